--- /dev/null
+++ b/internal/audit/golden_test.go
@@ -0,0 +1,53 @@
+package audit
+
+import (
+	"encoding/json"
+	"testing"
+
+	"micaspindle/internal/golden"
+)
+
+// The records of the audit stay as they are, as stored and as exported.
+func TestGoldenRecords(t *testing.T) {
+	asJSON := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
+	for _, tc := range []struct {
+		name   string
+		record any
+		codec  golden.Codec
+	}{
+		{"batch", golden.Fill(&Batch{}), golden.MessagePack},
+		{"head", golden.Fill(&head{}), golden.MessagePack},
+		{"signer", golden.Fill(&signerRecord{}), golden.MessagePack},
+		{"numbered", golden.Fill(&Numbered{}), golden.MessagePack},
+		{"seal", golden.Fill(&Seal{}), golden.MessagePack},
+		{"line", golden.Fill(&Record{}), asJSON},
+		{"sealed", golden.Fill(&Sealed{}), asJSON},
+	} {
+		t.Run(tc.name, func(t *testing.T) { golden.Check(t, tc.name, tc.record, tc.codec) })
+	}
+}
+
+// What is signed depends on the hashes, and on the words that they begin with.
+func TestGoldenHashes(t *testing.T) {
+	seal := golden.Fill(&Seal{})
+	sum := sealSum(seal.Text, seal.Signer)
+	golden.Bytes(t, "seal-hash", sum[:])
+	golden.Text(t, "batch-hash.txt", golden.Fill(&Batch{}).Hash("spindle-0/nonce", 7)+"\n")
+}
+
+// The audit's keys and words stay as they are.
+func TestGoldenKeys(t *testing.T) {
+	for _, tc := range []struct{ name, got, want string }{
+		{"all", Prefix, "a/"},
+		{"batches", BatchPrefix("spindle-0"), "a/r/spindle-0/"},
+		{"batch", BatchKey("spindle-0", 7), "a/r/spindle-0/0000000000000007"},
+		{"head", headKey("spindle-0"), "a/h/spindle-0"},
+		{"signer", signerKey("f1"), "a/k/f1"},
+		{"allowed", Allowed, "allowed"},
+		{"denied", Denied, "denied"},
+	} {
+		if tc.got != tc.want {
+			t.Errorf("%s: %q, want %q", tc.name, tc.got, tc.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/golden_test.go
@@ -0,0 +1,60 @@
+package coordination
+
+import (
+	"context"
+	"testing"
+
+	"micaspindle/internal/transport"
+)
+
+// The paths between controllers stay as they are.
+func TestGoldenPeerPaths(t *testing.T) {
+	for _, tc := range []struct{ name, got, want string }{
+		{"summary", summaryPath, "/peer/summary"},
+		{"fleet request", fleetPath, "/peer/fleet"},
+		{"tale", talePath, "/peer/tale"},
+		{"recall", recallPath, "/peer/recall"},
+		{"carry", carryPath, "/peer/carry"},
+		{"relay", relayPath, "/peer/relay"},
+	} {
+		if tc.got != tc.want {
+			t.Errorf("%s: path %q, want %q", tc.name, tc.got, tc.want)
+		}
+	}
+}
+
+// The paths and methods of users, workers and operators stay as they are: a known path
+// refuses another method with 405, an unknown one is 404.
+func TestGoldenPublicPaths(t *testing.T) {
+	other := map[string]string{"GET": "POST", "POST": "GET"}
+	ctx, c := context.Background(), &Controller{guard: &guard{}}
+	for path, method := range map[string]string{
+		"/checkin":                     "POST",
+		"/healthz":                     "GET",
+		"/submissions":                 "POST",
+		"/submissions/job-7":           "GET",
+		"/submissions/job-7/withdraw":  "POST",
+		"/submissions/job-7/arguments": "GET",
+		"/submissions/job-7/reassign":  "POST",
+		"/whoami":                      "GET",
+		"/may":                         "GET",
+		"/withdrawals":                 "POST",
+		"/policy":                      "POST",
+		"/policy/roles":                "GET",
+		"/policy/identities":           "GET",
+		"/audit/seal":                  "GET",
+		"/audit/batches":               "GET",
+	} {
+		if resp := c.Serve(ctx, &transport.Request{Method: other[method], Path: path}); resp.Status != 405 {
+			t.Errorf("%s %s: %d, want 405", other[method], path, resp.Status)
+		}
+	}
+	if resp := c.Serve(ctx, &transport.Request{Method: "GET", Path: "/unknown"}); resp.Status != 404 {
+		t.Errorf("an unknown path: %d, want 404", resp.Status)
+	}
+	for _, path := range []string{"/metrics", "/overview"} {
+		if resp := c.ServeOperations(ctx, &transport.Request{Method: "POST", Path: path}); resp.Status != 405 {
+			t.Errorf("POST %s: %d, want 405", path, resp.Status)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rights/golden_test.go
@@ -0,0 +1,50 @@
+package rights_test
+
+import (
+	"reflect"
+	"testing"
+
+	"go.yaml.in/yaml/v3"
+
+	"micaspindle/internal/golden"
+	"micaspindle/internal/rights"
+)
+
+// The messages by which administrators read and change the policy stay as they are.
+func TestGoldenMessages(t *testing.T) {
+	for name, message := range map[string]any{
+		"change":  golden.Fill(&rights.Change{}),
+		"version": golden.Fill(&rights.Version{}),
+		"page":    golden.Fill(&rights.Page{}),
+	} {
+		t.Run(name, func(t *testing.T) { golden.Check(t, name, message, golden.MessagePack) })
+	}
+}
+
+// The policy's file stays as administrators write it; tokens are not voided there.
+func TestGoldenFile(t *testing.T) {
+	want := golden.Fill(&rights.Document{})
+	for i := range want.Identities {
+		want.Identities[i].TokensFromMS = 0
+	}
+	text, err := yaml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, stored := &rights.Document{}, golden.Text(t, "policy.yaml", string(text))
+	if err := yaml.Unmarshal([]byte(stored), got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v (%v), want %+v", got, err, want)
+	}
+}
+
+// The verbs stay as policies name them.
+func TestGoldenVerbs(t *testing.T) {
+	for verb, want := range map[rights.Verb]string{
+		rights.Submit: "submit", rights.View: "view", rights.ViewArguments: "view-arguments", rights.Withdraw: "withdraw",
+		rights.Reassign: "reassign", rights.Administer: "administer", rights.Vouch: "vouch",
+	} {
+		if got := verb.String(); got != want {
+			t.Errorf("verb %d is %q, want %q", verb, got, want)
+		}
+	}
+}
