--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,56 @@
+package settings
+
+import (
+	"encoding/json"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"go.yaml.in/yaml/v3"
+
+	"micaspindle/internal/golden"
+)
+
+// goldenPlatform has every field of the platform's settings, with values that are allowed.
+func goldenPlatform() *Settings {
+	s := golden.Fill(&Settings{})
+	s.ServeOn, s.ClusterListen = "10.0.0.1:1001", "10.0.0.1:1002"
+	s.Others[0].PeerAddr, s.Others[1].PeerAddr = "10.0.0.2:1003", "10.0.0.3:1004"
+	s.Services = Services{Cloud: "10.0.0.4:1005", State: "10.0.0.5:1006"}
+	s.Params.Count = len(s.Others) + 1
+	s.Params.Workers = Workers{ReportS: 1.25, LeaseS: 10.25, CancelS: 30.25}
+	return s
+}
+
+// The platform's settings are read as they are handed over.
+func TestGoldenPlatform(t *testing.T) {
+	want := goldenPlatform()
+	golden.RequireFilled(t, want)
+	text, err := json.MarshalIndent(want, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := golden.Text(t, "platform.json", string(text)+"\n")
+	if got, err := Parse([]byte(stored)); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v (%v), want %+v", got, err, want)
+	}
+}
+
+// The operators' settings are read as they write them.
+func TestGoldenOperator(t *testing.T) {
+	want := golden.Fill(&Operator{})
+	want.LimitShare = 0.75
+	want.MovePeriod, want.IdleReturn, want.ClaimTTL = 2*time.Second, 20*time.Second, 4*time.Second
+	want.Operations.Listen = "127.0.0.1:1007"
+	golden.RequireFilled(t, want)
+	text, err := yaml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "operator.yaml", string(text))
+	got, err := LoadOperator(filepath.Join("testdata", "golden", "operator.yaml"))
+	if err != nil || !reflect.DeepEqual(&got, want) {
+		t.Errorf("read as %+v (%v), want %+v", got, err, want)
+	}
+}
