--- a/Makefile
+++ b/Makefile
@@ -5,6 +5,14 @@
 	go vet ./...
 	go tool staticcheck -checks all ./...
 	target/spindleregress tests
+	$(MAKE) bench-once
+
+# Every benchmark once, but for the largest sizes: one that is broken is seen. What is
+# measured this way is no figure.
+.PHONY: bench-once
+BENCHED = $(sort $(dir $(shell grep -rl --include='*_test.go' '^func Benchmark' cmd internal)))
+bench-once:
+	go test -short -run '^$$' -bench . -benchtime 1x $(addprefix ./,$(BENCHED))
 
 # The controller as deploy/service.toml does; the others need not link to libc.
 build:
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -23,7 +23,8 @@
 	b.Helper()
 	c, p := owner(b)
 	now := time.Now()
-	c.synced, c.renewed = true, now
+	// An owner answers workers only while it holds its claims and has followed the records.
+	c.synced, c.renewed, c.fresh = true, now, now
 	for _, p := range c.parts {
 		p.claimed = now
 	}
@@ -54,7 +55,20 @@
 	c.applyJobRecord(id, bookkeeping.Encode(s))
 }
 
-var sizes = []struct{ machines, running, waiting int }{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
+// fleetSize is how many machines there are, with so many running tasks on each and so many
+// tasks that wait.
+type fleetSize struct{ machines, running, waiting int }
+
+var sizes = []fleetSize{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
+
+// fleetSizes are the sizes to measure; -short leaves the two largest out, so that a check
+// that only runs every benchmark once takes seconds.
+func fleetSizes() []fleetSize {
+	if testing.Short() {
+		return sizes[:len(sizes)-2]
+	}
+	return sizes
+}
 
 // BenchmarkPoll: what a user's poll costs without the connection, refused while the
 // state service is down, and answered from memory.
@@ -109,8 +123,10 @@
 			for i := 0; b.Loop(); i++ {
 				r := reports[i%len(reports)]
 				r.Sequence++
-				if c.handleReport(r, nil).Status != 200 {
-					b.Fatal("report refused")
+				c.renewed = time.Now() // however long this is measured
+				c.fresh = c.renewed
+				if resp := c.handleReport(r, nil); resp.Status != 200 {
+					b.Fatalf("report refused: status %d, %s", resp.Status, resp.Body)
 				}
 			}
 		})
@@ -120,7 +136,7 @@
 // BenchmarkPlace: a round of placement over a full fleet with work waiting,
 // and the placing of one task.
 func BenchmarkPlace(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes() {
 		name := fmt.Sprintf("machines=%d/waiting=%d", n.machines, n.waiting)
 		b.Run("full/"+name, func(b *testing.B) {
 			c := fleetOf(b, n.machines, 8, 1)
@@ -157,7 +173,7 @@
 
 // bySize measures a duty that needs nothing but a fleet at work.
 func bySize(b *testing.B, duty func(c *Controller)) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
 			c := fleetOf(b, n.machines, n.running, 1)
 			b.ReportAllocs()
@@ -171,7 +187,7 @@
 // BenchmarkSteer: a round of the leader over a fleet at work, with demands that find
 // no room and nothing to rent for them.
 func BenchmarkSteer(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
 			c := fleetOf(b, n.machines, 8, 1)
 			for i := range n.waiting / 20 {
@@ -211,7 +227,7 @@
 // BenchmarkTakeover: from the answer that makes the copy of a part whole to the first
 // decision, cold (all records are read then) and warm (they were followed).
 func BenchmarkTakeover(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes() {
 		for i, kind := range []string{"cold", "warm", "cold", "warm"} {
 			each := []int{1, 20}[i/2] // arrays of one task, and as large as usual
 			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", kind, n.machines, n.machines*n.running, each), func(b *testing.B) {
