--- a/cmd/micaspindle/main.go
+++ b/cmd/micaspindle/main.go
@@ -119,7 +119,8 @@
 	client.Crowded = sockets * 3 / 4
 	listeners := []*transport.Listener{
 		{Addr: set.ServeOn, Handler: ctl.Serve, MaxBody: 64 << 10, MaxConns: max(8, sockets*3/4)},
-		{Addr: set.ClusterListen, Handler: ctl.ServePeers, MaxBody: coordination.MaxPeerBody, MaxConns: max(8, sockets/20)},
+		{Addr: set.ClusterListen, Handler: ctl.ServePeers, MaxBody: coordination.MaxPeerBody(set.Params.MachineLimits),
+			MaxConns: max(8, sockets/20), Full: ctl.PeersFull},
 	}
 	if keys != nil {
 		listeners[0].Secure = func() *tls.Config { return keys.Server(false) }
--- a/internal/bookkeeping/absence.go
+++ b/internal/bookkeeping/absence.go
@@ -25,6 +25,8 @@
 	asking bool
 	// pace bounds the requests that polls take.
 	pace *rate.Limiter
+	// room is how many questions may wait.
+	room int
 	// most is how many keys a comparison may hold.
 	most atomic.Int64
 }
@@ -52,6 +54,7 @@
 func (a *absences) init(rps float64, txnOps, controllers int) {
 	a.most.Store(int64(conditions * txnOps))
 	share := pollShare * rps / float64(controllers)
+	a.room = max(absencesLeast, int(absencesFor*share*conditions*float64(txnOps)))
 	a.pace = rate.NewLimiter(rate.Limit(share), max(2, int(share/2)))
 }
 
@@ -62,8 +65,11 @@
 	a := &s.absences
 	q := &absence{key: key, turn: make(chan struct{})}
 	a.mu.Lock()
-	if len(a.waiting) >= absencesMost {
+	if len(a.waiting) >= a.room {
 		a.mu.Unlock()
+		if s.PollsFull != nil {
+			s.PollsFull()
+		}
 		return false, fmt.Errorf("%w: budget used up", ErrRefused)
 	}
 	a.waiting = append(a.waiting, q)
@@ -87,8 +93,14 @@
 	return !q.present, q.err
 }
 
-// absencesMost is how many questions may wait: more would be answered too late.
-const absencesMost = 2048
+const (
+	// absencesFor is for how many seconds questions may wait at the pace at which they are
+	// asked: more would be answered too late.
+	absencesFor = 2
+	// absencesLeast is how many may wait at any pace. One takes some 200 bytes beside its
+	// user's connection.
+	absencesLeast = 2048
+)
 
 // gaveUp takes back a question that nobody has begun to ask, and says whether it
 // could.
--- a/internal/bookkeeping/absence_test.go
+++ b/internal/bookkeeping/absence_test.go
@@ -215,3 +215,32 @@
 		}
 	})
 }
+
+// How many polls may wait follows the pace at which they are asked; one more is refused
+// and counted.
+func TestWaitingPollsAreBounded(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		limits settings.State
+		room   int
+	}{
+		{"a slow service", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 2048},
+		{"a large deployment", settings.State{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}, 2880},
+		{"three times its arrivals", settings.State{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}, 8640},
+	} {
+		s := NewStore(&comparer{}, "state:1", tc.limits, 5)
+		refused := 0
+		s.PollsFull = func() { refused++ }
+		s.absences.asking = true // so that all wait
+		s.absences.waiting = make([]*absence, tc.room-1)
+		gone, leave := context.WithCancel(t.Context())
+		leave()
+		if _, err := s.UserAbsent(gone, "w/j/job-1/final"); !errors.Is(err, context.Canceled) || refused != 0 {
+			t.Errorf("%s: the last that may wait: %v, %d refused", tc.name, err, refused)
+		}
+		s.absences.waiting = make([]*absence, tc.room)
+		if _, err := s.UserAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrRefused) || refused != 1 {
+			t.Errorf("%s: one more: %v, %d refused", tc.name, err, refused)
+		}
+	}
+}
--- a/internal/bookkeeping/store.go
+++ b/internal/bookkeeping/store.go
@@ -55,6 +55,9 @@
 // with the other controllers: claim renewals go unhindered, then submissions
 // and withdrawals, then everything else.
 type Store struct {
+	// PollsFull, if set, is called when a user's question is refused since too many wait.
+	PollsFull func()
+
 	net      Doer
 	addr     string
 	requests *rate.Limiter
--- a/internal/coordination/cancellation_notices.go
+++ b/internal/coordination/cancellation_notices.go
@@ -1,10 +1,13 @@
 package coordination
 
 import (
+	"math"
+	"slices"
 	"time"
 
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/settings"
 )
 
 // cancellationNotices are the withdrawals that became known here of late, for the other
@@ -12,7 +15,11 @@
 // its workers still come to it. A notice may be lost; what a task may then outlive its job's
 // withdrawal by is bounded by what its owner is informed of (42, 43). It belongs to the
 // loop.
-type cancellationNotices struct{ list []withdrawn }
+type cancellationNotices struct {
+	list []withdrawn
+	most int
+	keep time.Duration
+}
 
 // withdrawn is a job and when that was at the earliest.
 type withdrawn struct {
@@ -20,13 +27,33 @@
 	at  time.Time
 }
 
-// noticesMost is how many withdrawals are told at a time, the newest.
-const noticesMost = 500
+// noticesLeast is how many withdrawals may be told at a time where few can be written.
+const noticesLeast = 500
+
+// limit derives how many withdrawals are kept: each is a change of the state service, so
+// that within cancel_s there can't be more than that accepts in as long and in one burst.
+// One takes some 20 bytes of a message, 44 at most, and 100 of memory.
+func (n *cancellationNotices) limit(cancelS time.Duration, state settings.State) {
+	changes := state.WriteRPS
+	if next := state.Next.WriteRPS; next != nil {
+		changes = max(changes, *next)
+	}
+	n.keep = cancelS
+	n.most = max(noticesLeast, int(math.Ceil(changes*(cancelS.Seconds()+1))))
+}
 
-// note adds a withdrawal.
-func (n *cancellationNotices) note(job string, at time.Time) {
+// note adds a withdrawal and says whether there was room: those that are told already are
+// more urgent than a newer one.
+func (n *cancellationNotices) note(job string, at time.Time) bool {
+	if len(n.list) >= n.most {
+		now := time.Now()
+		n.list = slices.DeleteFunc(n.list, func(w withdrawn) bool { return now.Sub(w.at) > n.keep })
+	}
+	if len(n.list) >= n.most {
+		return false
+	}
 	n.list = append(n.list, withdrawn{job, at})
-	n.list = n.list[max(0, len(n.list)-noticesMost):]
+	return true
 }
 
 // latest is what there is to tell: a withdrawal for as long as a task of it may run.
--- a/internal/coordination/carry.go
+++ b/internal/coordination/carry.go
@@ -29,8 +29,8 @@
 	carryEvery  = 300 * time.Millisecond
 	carryGather = 50 * time.Millisecond
 	carryWait   = time.Second
-	// carryMost bounds the reports that wait for a reply, in bytes: all go in one message.
-	carryMost = MaxPeerBody * 3 / 4
+	// carryMessage is how many bytes of reports one message holds; more go in several.
+	carryMessage = peerBodyLeast * 3 / 4
 
 	// carrySettle is how long a controller must have been heard before it is given shares.
 	carrySettle = 5 * time.Second
@@ -39,7 +39,7 @@
 	// relayMost are the orders of one message, relayBytes their size; relayAnswers is
 	// how long a carrier waits for the workers' answers to them.
 	relayMost    = 64
-	relayBytes   = MaxPeerBody / 2
+	relayBytes   = peerBodyLeast / 2
 	relayAnswers = 400 * time.Millisecond
 
 	// sendAwayEvery is how long a worker that was sent to its carrier and came back is
@@ -53,7 +53,10 @@
 type carrying struct {
 	c *Controller
 	// room is how many machines' connections the sockets hold: a report's and an order's each.
-	room    int
+	room int
+	// most bounds the reports of a part that wait for a reply, in bytes: at 322 MB it is
+	// 10 MiB, while 4,000 machines with 16 tasks each report some 7 MB at most.
+	most    int
 	errands []*errand // by part
 	// moved is when a share last went away or came back.
 	moved, steered time.Time
@@ -98,7 +101,9 @@
 }
 
 func (cy *carrying) init(c *Controller) {
-	cy.c, cy.room, cy.relays = c, c.set.Params.MachineLimits.Sockets/2, map[string][]*relayed{}
+	limits := c.set.Params.MachineLimits
+	cy.c, cy.room, cy.relays = c, limits.Sockets/2, map[string][]*relayed{}
+	cy.most = carriedMost(limits)
 	for range c.parts {
 		cy.errands = append(cy.errands, &errand{reports: map[string]answered{}, kick: make(chan struct{}, 1)})
 	}
@@ -121,7 +126,8 @@
 	if r.Token > token {
 		return refuse(503, "superseded", 1), true
 	}
-	if e.size+len(raw) > carryMost {
+	if e.size+len(raw) > cy.most {
+		c.boundMet(observe.CarriedReports, 1)
 		return refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
@@ -140,11 +146,26 @@
 		slices.ContainsFunc(ps.told(p).GetCarried(), func(k *peer.Carried) bool { return k.By == c.set.Label })
 }
 
+// take removes reports to be told, as many as a message holds, and says how many bytes they
+// have.
+func (e *errand) take() (told map[string]answered, size int) {
+	told = map[string]answered{}
+	for machine, a := range e.reports {
+		if len(told) > 0 && size+len(a.raw) > carryMessage {
+			break
+		}
+		told[machine] = a
+		size += len(a.raw)
+		delete(e.reports, machine)
+	}
+	return told, size
+}
+
 // duty asks a part's owner again and again to go on, and tells it what came. It sleeps
 // while nothing of the part is to be carried here.
 func (cy *carrying) duty(p *part) {
 	c, e := cy.c, cy.errands[p.index]
-	for engaged := false; ; engaged = cy.ask(p, e) {
+	for engaged := false; ; engaged = cy.askAll(p, e) {
 		var again <-chan time.Time
 		if engaged {
 			again = time.After(carryEvery)
@@ -172,13 +193,24 @@
 	}
 }
 
-// ask sends one request with all that was answered since the last one that had a reply.
-// It says whether there was anything to ask.
-func (cy *carrying) ask(p *part, e *errand) bool {
+// askAll sends requests, one at a time, until all that was answered is told or one had no
+// reply. It says whether there was anything to ask.
+func (cy *carrying) askAll(p *part, e *errand) bool {
+	asked, more := cy.ask(p, e)
+	for more && cy.c.ctx.Err() == nil {
+		_, more = cy.ask(p, e)
+	}
+	return asked
+}
+
+// ask sends one request with what was answered since the last one that had a reply, as
+// much as a message holds. It says whether there was anything to ask, and whether there is
+// more to tell.
+func (cy *carrying) ask(p *part, e *errand) (asked, more bool) {
 	c := cy.c
 	var req *peer.CarryRequest
 	var told map[string]answered
-	addr, size := "", 0
+	addr, size, left := "", 0, false
 	var begun time.Time
 	c.do(func() {
 		begun = time.Now()
@@ -193,14 +225,19 @@
 			return
 		}
 		addr = ps.addr
-		req = &peer.CarryRequest{From: c.set.Label, Nonce: c.nonce, Part: uint32(p.index), Claim: e.claim, After: e.serial}
-		told, size, e.reports = e.reports, e.size, map[string]answered{}
+		req = &peer.CarryRequest{From: c.set.Label, Nonce: c.nonce, Part: uint32(p.index), Claim: e.claim}
+		told, size = e.take()
+		if left = len(e.reports) > 0; !left {
+			// Only with all of it does the request show that every answer up to the last
+			// reply is known (39).
+			req.After = e.serial
+		}
 		for _, a := range told {
 			req.Reports = append(req.Reports, a.raw)
 		}
 	})
 	if req == nil {
-		return false
+		return false, false
 	}
 	reply := new(peer.CarryReply)
 	err := ask(c.ctx, c.net, carryWait, addr, carryPath, req, reply)
@@ -216,6 +253,7 @@
 			}
 			return
 		}
+		more = left
 		e.serial, e.until = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
 		had := e.shares
 		e.shares = [shares.Count]bool{}
@@ -228,7 +266,7 @@
 			c.log.Info("carrying shares of a part", "part", p.index, "owner", e.owner, "shares", reply.Shares)
 		}
 	})
-	return true
+	return true, more
 }
 
 // asked answers a carrier: it takes in what came there and grants the carrier its shares.
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -635,7 +635,7 @@
 		answers("the worker has seen a newer owner", 503, 0)
 		report.Token = 0
 		grant()
-		e.size = carryMost
+		e.size = c.carrying.most
 		answers("too much is to be told", 503, 0)
 		grant()
 		claim(5, "n2", "y")
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -9,6 +9,7 @@
 	"log/slog"
 	"slices"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -87,6 +88,8 @@
 	following following
 	carrying  carrying
 	notices   cancellationNotices
+	// boundsLogged says which bounds were met before; not the loop's alone.
+	boundsLogged [observe.Bounds]atomic.Bool
 	// repeats counts orders under way beside earlier ones to the same machine.
 	repeats int
 	// leaving: this controller is about to end and hands over what it has.
@@ -160,6 +163,8 @@
 		peers: map[string]*peerState{}, unknown: map[string]*peer.UnknownMachine{},
 		strayed: map[string]time.Time{}, bias: map[string]*classBias{}, classes: map[string]int{},
 	}
+	c.store.PollsFull = func() { c.boundMet(observe.WaitingPolls, 1) }
+	c.notices.limit(c.cancelS, p.State)
 	c.cloudCircuit = retry.Circuit{After: cloudFailures, Rest: cloudRest, Who: set.Label + " cloud"}
 	for i, t := range p.Teams {
 		c.teamIndex[t.Name] = i
--- a/internal/coordination/door.go
+++ b/internal/coordination/door.go
@@ -16,6 +16,7 @@
 	"micaspindle/internal/audit"
 	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/identity"
+	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/transport"
@@ -65,7 +66,8 @@
 	// An identity may ask for unknown jobs this often, and in such bursts.
 	missRate  = 5
 	missBurst = 20
-	missLimit = 1024
+	// missLimit is how many identities that is counted for, some 300 bytes each.
+	missLimit = 4096
 )
 
 // Identify makes the controller ask who comes. It is called before Run.
@@ -73,7 +75,7 @@
 	if ops := c.set.Params.State.Lower().TxnOps; ops < minAuditOps {
 		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minAuditOps, ops)
 	}
-	misses, err := lru.New[string, *rate.Limiter](missLimit)
+	misses, err := lru.NewWithEvict(missLimit, func(string, *rate.Limiter) { c.boundMet(observe.Callers, 1) })
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/estimates.go
+++ b/internal/coordination/estimates.go
@@ -5,6 +5,7 @@
 
 	"micaspindle/internal/coordination/fit"
 	"micaspindle/internal/coordination/procon"
+	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 )
 
@@ -110,7 +111,7 @@
 	}
 	b := c.bias[class]
 	if b == nil {
-		if len(c.bias) > 1000 {
+		if !c.mayLearn() {
 			return
 		}
 		b = &classBias{ratio: 1}
@@ -121,6 +122,15 @@
 	b.ratio += weight * (min(4, max(0.25, ran/estimate)) - b.ratio)
 }
 
+// mayLearn says whether the run times of one more class may be learnt.
+func (c *Controller) mayLearn() bool {
+	if len(c.bias) < classesMost {
+		return true
+	}
+	c.boundMet(observe.Estimates, 1)
+	return false
+}
+
 // estimate is the owner's estimate, corrected by what the class has shown.
 func (c *Controller) estimate(s *protocol.JobSpec) float64 {
 	if b := c.bias[s.Class]; b != nil {
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -261,6 +261,7 @@
 // The leader rents for what is told it first, and hears of a part of a long backlog
 // only: what is behind must be in it, yet not be all of it.
 func TestDemandsOfWhatIsBehindComeFirst(t *testing.T) {
+	behindMost := demandsLeast / behindShare
 	var list []*job
 	for i := range 300 {
 		list = append(list, &job{class: 7, queue: []int{i}})
@@ -269,12 +270,12 @@
 		list = append(list, &job{class: 8, queue: []int{1}})
 	}
 	f := &floorState{}
-	if got := f.first(list); !slices.Equal(got, list) {
+	if got := f.first(list, behindMost); !slices.Equal(got, list) {
 		t.Error("another order though nothing is behind")
 	}
 	f.shares = make([]float64, 9)
 	f.shares[8] = 0.1
-	got := f.first(list)
+	got := f.first(list, behindMost)
 	if len(got) != len(list) {
 		t.Fatalf("%d jobs of %d", len(got), len(list))
 	}
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -442,6 +442,8 @@
 	machines map[string]map[string]*attempt // by name, then as machine.attempts
 	// began is when attempts began, as far as their owner told it before their record came.
 	began map[taleKey]time.Time
+	// dropped is how many of these there was no room for since that was last counted.
+	dropped int
 }
 
 type shadowJob struct {
@@ -511,14 +513,17 @@
 			return
 		}
 	}
-	if len(s.began) < begunMost {
-		s.began[key] = at
+	if _, known := s.began[key]; !known && len(s.began) >= begunMost {
+		s.dropped++
+		return
 	}
+	s.began[key] = at
 }
 
-// begunMost is how many attempts may be told of before their records have come: what is
-// told is of records that were committed a moment ago.
-const begunMost = 20_000
+// begunMost is how many attempts may be told of before their records have come: those that
+// were committed a moment ago, or all 64,000 of 4,000 machines while the copy is begun. One
+// takes some 130 bytes, all 10 MB.
+const begunMost = 80_000
 
 // prune forgets what was told of attempts whose records have not come and won't.
 func (s *shadow) prune(now time.Time) {
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -802,32 +802,33 @@
 		}
 	}
 	// A message holds so much, and all of it comes in the end.
+	const machines, tasks = 2000, 80_000
 	c, p := owner(t)
-	for i := range 50 {
+	for i := range machines {
 		c.up(p, fmt.Sprint("m-", i), "big")
 	}
-	c.waiting("job-1", 2500)
+	c.waiting("job-1", tasks)
 	j := c.jobs["job-1"]
-	for task := range 2500 {
-		c.reserve(p, j, task, 1, c.machines[fmt.Sprint("m-", task%50)], now)
+	for task := range tasks {
+		c.reserve(p, j, task, 1, c.machines[fmt.Sprint("m-", task%machines)], now)
 		j.live[task].startedAt = now
 	}
 	p.standby = "n1"
 	fo, messages := newFollower(p.index, now), 0
 	fo.shadow.jobs["job-1"] = &shadowJob{live: map[int]*attempt{}}
-	for task := range 2500 {
+	for task := range tasks {
 		fo.shadow.jobs["job-1"].live[task] = &attempt{task: task, number: 1}
 	}
-	for ; fo.shadow.toldOf() < 2500 && messages < 10; messages++ {
+	for ; fo.shadow.toldOf() < tasks && messages < 10; messages++ {
 		raw, err := proto.Marshal(c.following.tell(p, now))
-		if err != nil || len(raw) > 64<<10 {
+		if err != nil || len(raw) > taleBytes+taleOverhead {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		msg := new(peer.Tale)
 		must(proto.Unmarshal(raw, msg))
 		p.telling.have = fo.tale.hear(msg, fo.shadow.told, now)
 	}
-	if messages != 3 || len(fo.tale.machines) != 50 {
+	if messages != 3 || len(fo.tale.machines) != machines {
 		t.Errorf("%d messages told %d attempts and %d machines", messages, fo.shadow.toldOf(), len(fo.tale.machines))
 	}
 	if again := c.following.tell(p, now); len(again.Attempts)+len(again.Machines) > 0 {
--- a/internal/coordination/keep.go
+++ b/internal/coordination/keep.go
@@ -7,6 +7,7 @@
 	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/coordination/fit"
 	"micaspindle/internal/coordination/floor"
+	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 )
 
@@ -60,18 +61,18 @@
 	return floor.None
 }
 
-// behindMost is the part of the demands told to the leader that work of groups which
-// are behind may take ahead of all other, so that machines are rented for it as well.
-const behindMost = demandsMost / 5
+// behindShare is which part of the demands told to the leader work of groups which are
+// behind may take ahead of all other, so that machines are rented for it as well.
+const behindShare = 5
 
-// first puts some jobs of groups that are behind ahead of the others.
-func (f *floorState) first(list []*job) []*job {
+// first puts at most so many jobs of groups that are behind ahead of the others.
+func (f *floorState) first(list []*job, most int) []*job {
 	if f.shares == nil {
 		return list
 	}
 	var ahead, others []*job
 	for _, j := range list {
-		if len(ahead) < behindMost && len(j.queue) > 0 && f.behind(j) {
+		if len(ahead) < most && len(j.queue) > 0 && f.behind(j) {
 			ahead = append(ahead, j)
 		} else {
 			others = append(others, j)
@@ -83,7 +84,8 @@
 // Groups are numbered from 1: the teams, then the classes as they come.
 func teamGroup(team int) int { return team + 1 }
 
-// classesMost bounds the classes that are told apart: users make up their names.
+// classesMost bounds the classes that are told apart, and those whose run times are learnt:
+// users make up their names. It does not grow with the machines; one takes up to 300 bytes.
 const classesMost = 1000
 
 func (c *Controller) classGroup(class string) int {
@@ -91,6 +93,7 @@
 	switch {
 	case known:
 	case len(c.classes) >= classesMost:
+		c.boundMet(observe.Classes, 1)
 		return floor.None
 	default:
 		g = len(c.set.Params.Teams) + len(c.classes) + 1
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -304,7 +304,7 @@
 			}
 		}
 	}
-	take(c.set.Label, c.summary(now), now)
+	take(c.set.Label, &peer.Summary{Parts: c.partSummaries(now)}, now)
 	for label, ps := range c.peers {
 		if ps.recent(now) {
 			take(label, ps.summary, ps.heard)
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -565,10 +565,10 @@
 		if told := c.notices.latest(time.Now(), c.cancelS); len(told) != 1 || told[0].AgeMs != 10_000 {
 			t.Errorf("told on: %v", told)
 		}
-		for i := range noticesMost + 10 {
+		for i := range c.notices.most + 10 {
 			c.setFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
 		}
-		if told := c.notices.latest(time.Now(), c.cancelS); len(told) != noticesMost {
+		if told := c.notices.latest(time.Now(), c.cancelS); len(told) != c.notices.most || told[0].Job != "job-1" {
 			t.Errorf("%d told at a time", len(told))
 		}
 		if time.Sleep(c.cancelS + time.Second); len(c.notices.latest(time.Now(), c.cancelS)) != 0 {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,6 +10,7 @@
 	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/coordination/fit"
 	"micaspindle/internal/identity"
+	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/transport"
@@ -19,8 +20,6 @@
 	summaryPath  = "/peer/summary"
 	fleetPath    = "/peer/fleet"
 	summaryEvery = 500 * time.Millisecond
-	// MaxPeerBody bounds a message of another controller.
-	MaxPeerBody = 1 << 20
 )
 
 // ServePeers answers the other controllers.
@@ -125,8 +124,12 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-		if _, err := c.net.Do(ctx, ps.addr, "POST", summaryPath, body); err != nil {
+		resp, err := c.net.Do(ctx, ps.addr, "POST", summaryPath, body)
+		switch {
+		case err != nil:
 			c.log.Debug("peer not reached", "peer", label, "reason", err)
+		case resp.Status != 200:
+			c.log.Debug("summary refused", "peer", label, "status", resp.Status, "bytes", len(body))
 		}
 		cancel()
 	}
@@ -140,8 +143,7 @@
 
 func (s *said) latest(c *Controller, now time.Time) []byte {
 	if c.synced && (s.body == nil || now.Sub(s.at) >= summaryEvery*4/5) {
-		// A summary always marshals: its texts were checked when they came in.
-		s.body, _ = proto.Marshal(c.summary(now))
+		s.body = c.encodeSummary(c.summary(now))
 		s.at = now
 	}
 	return s.body
@@ -152,15 +154,16 @@
 	sum := &peer.Summary{From: c.set.Label, StateSilenceS: c.store.Silence().Seconds(), WriteDemand: c.writeDemand,
 		Follows: c.following.follows(), Leaving: c.leaving, Copies: true, Withdrawn: c.notices.latest(now, c.cancelS),
 		Room: uint32(c.carrying.room), Connected: uint32(c.carrying.load(now).Machines)}
-	for _, p := range c.parts {
-		if p.mine && p.ready {
-			sum.Parts = append(sum.Parts, c.partSummary(p, now))
-		}
-	}
+	sum.Parts = c.partSummaries(now)
 	for _, j := range c.jobs {
-		if j.owned && (j.doneCount > 0 || j.running > 0) && len(sum.Jobs) < 2000 {
-			sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.spec.ID, Done: uint32(j.doneCount), Running: uint32(j.running)})
+		if !j.owned || j.doneCount == 0 && j.running == 0 {
+			continue
 		}
+		if len(sum.Jobs) >= progressMost {
+			c.boundMet(observe.JobProgress, 1)
+			break
+		}
+		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.spec.ID, Done: uint32(j.doneCount), Running: uint32(j.running)})
 	}
 	for _, u := range c.unknown {
 		sum.Unknown = append(sum.Unknown, u)
@@ -171,8 +174,31 @@
 	return sum
 }
 
-// demandsMost is how many demands of a part are told.
-const demandsMost = 200
+// progressMost is how many jobs' progress is told, for users who ask another controller:
+// 64,000 running tasks in arrays of eight. One takes some 24 bytes of a message and 100 of
+// memory.
+const progressMost = 8000
+
+// partSummaries describes the own parts.
+func (c *Controller) partSummaries(now time.Time) (list []*peer.PartSummary) {
+	for _, p := range c.parts {
+		if p.mine && p.ready {
+			list = append(list, c.partSummary(p, now))
+		}
+	}
+	return list
+}
+
+const (
+	// demandsLeast is how many demands of a part are told at least.
+	demandsLeast = 200
+	// demandMachines is for how many machines of a large part one more is: what waits
+	// grows with them.
+	demandMachines = 4
+)
+
+// demandsMost is how many demands are told of a part with so many machines.
+func demandsMost(machines int) int { return max(demandsLeast, machines/demandMachines) }
 
 func (c *Controller) partSummary(p *part, now time.Time) *peer.PartSummary {
 	ps := &peer.PartSummary{Part: uint32(p.index), Standby: p.standby, Carried: p.carried(c.labels)}
@@ -199,7 +225,8 @@
 		}
 	}
 	claimed := make([]fit.Share, len(p.usage))
-	for _, j := range p.floor.first(c.inOrder(p)) {
+	most := demandsMost(len(ps.Machines))
+	for _, j := range p.floor.first(c.inOrder(p), most/behindShare) {
 		if len(j.queue) == 0 || j.withdrawn || now.Before(j.holdTill) {
 			continue
 		}
@@ -226,12 +253,13 @@
 		if n <= 0 {
 			continue
 		}
+		if len(ps.Demands) >= most {
+			c.boundMet(observe.Demands, 1)
+			break
+		}
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: s.CPUs, Gpus: s.GPUs, MemGb: s.MemGB, Types: s.Types, Zone: s.Zone,
 			Spot: s.Spot, Count: uint32(n), WaitedS: now.Sub(j.since()).Seconds(),
 			EstimateS: c.estimate(s), SlackS: j.due().Sub(now).Seconds()})
-		if len(ps.Demands) >= demandsMost {
-			break
-		}
 	}
 	return ps
 }
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"micaspindle/internal/bookkeeping"
+	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 )
 
@@ -285,8 +286,8 @@
 		return
 	}
 	c.finals[id] = status
-	if status == protocol.StatusWithdrawn && time.Since(at) < c.cancelS {
-		c.notices.note(id, at)
+	if status == protocol.StatusWithdrawn && time.Since(at) < c.cancelS && !c.notices.note(id, at) {
+		c.boundMet(observe.Cancellations, 1)
 	}
 	for _, j := range c.graph.ended(id, status == protocol.StatusDone, time.Now()) {
 		if p := c.parts[j.part]; p.mine && p.ready {
--- a/internal/coordination/tale.go
+++ b/internal/coordination/tale.go
@@ -12,6 +12,7 @@
 
 	"micaspindle/internal/coordination/fit"
 	"micaspindle/internal/identity"
+	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/transport"
 )
@@ -27,8 +28,16 @@
 	recallPath = "/peer/recall"
 	taleEvery  = time.Second
 	taleTime   = time.Second // for a message and its answer
-	// What one message holds at most; the rest follows with the next.
-	taleAttempts, taleMachines, taleClasses, taleImages = 1000, 400, 100, 50
+	// taleBytes is what one message holds at most; the rest follows with the next. That is
+	// some 26,000 attempts, or 500 machines with all their images: a standby that knows
+	// nothing has 4,000 machines and 64,000 attempts after some 10 s.
+	taleBytes = peerBodyLeast * 3 / 4
+	// taleOverhead is what an entry takes beside itself.
+	taleOverhead = 8
+	// taleImages is how many images of a machine are told, the newest.
+	taleImages = 50
+	// movesTold is how many machines that were moved of late the leader names.
+	movesTold = 4000
 	// leaderTaleFor is how long what the leader told counts after it was told.
 	leaderTaleFor = 10 * time.Second
 )
@@ -121,7 +130,32 @@
 		t.to, t.have = p.standby, 0
 	}
 	tale := &peer.Tale{From: c.set.Label, Nonce: c.nonce, Claim: p.version, Part: uint32(p.index), Since: t.have}
-	var attempts []*attempt
+	room := taleBytes
+	for _, class := range slices.Sorted(maps.Keys(c.bias)) {
+		b := c.bias[class]
+		told := &peer.ClassTale{Class: class, Ratio: b.ratio, Count: uint32(b.count)}
+		tale.Classes = append(tale.Classes, told)
+		room -= proto.Size(told) + taleOverhead
+	}
+	list := f.changes(p)
+	tale.Upto = t.clock
+	if !tellChanges(tale, list, room, now) {
+		c.boundMet(observe.ReplicaMessages, 1)
+	}
+	return tale
+}
+
+// taleChange is an attempt or a machine of which something changed, and the place of that
+// change among all of the part.
+type taleChange struct {
+	place   uint64
+	attempt *attempt
+	machine *machine
+}
+
+// changes lists what has changed since what the part's standby has, in order.
+func (f *following) changes(p *part) (list []taleChange) {
+	c, t := f.c, &p.telling
 	for _, j := range c.jobs {
 		if j.part != p.index || !j.owned {
 			continue
@@ -132,11 +166,10 @@
 				a.noted = t.clock
 			}
 			if a.noted > t.have {
-				attempts = append(attempts, a)
+				list = append(list, taleChange{place: a.noted, attempt: a})
 			}
 		}
 	}
-	var machines []*machine
 	for _, m := range c.machines {
 		if m.rec.Part != p.index || !m.heard {
 			continue
@@ -146,38 +179,37 @@
 			m.tellable, m.noted = tells, t.clock
 		}
 		if m.noted > t.have {
-			machines = append(machines, m)
+			list = append(list, taleChange{place: m.noted, machine: m})
 		}
 	}
-	// What is cut off comes next time: what is told goes up to where both are whole.
-	slices.SortFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.noted, b.noted) })
-	slices.SortFunc(machines, func(a, b *machine) int { return cmp.Compare(a.noted, b.noted) })
-	tale.Upto = t.clock
-	if len(attempts) > taleAttempts {
-		attempts = attempts[:taleAttempts]
-		tale.Upto = attempts[taleAttempts-1].noted
-	}
-	if len(machines) > taleMachines {
-		machines = machines[:taleMachines]
-		tale.Upto = min(tale.Upto, machines[taleMachines-1].noted)
-	}
-	for _, a := range attempts {
-		if a.noted <= tale.Upto {
-			tale.Attempts = append(tale.Attempts, &peer.AttemptTale{Job: a.job.spec.ID, Task: uint32(a.task), Attempt: a.number, RanS: a.ranS(now)})
+	slices.SortFunc(list, func(a, b taleChange) int { return cmp.Compare(a.place, b.place) })
+	return list
+}
+
+// tellChanges puts changes into a message, as many as there is room for, and says whether
+// that was all: the others follow with the next.
+func tellChanges(tale *peer.Tale, list []taleChange, room int, now time.Time) bool {
+	for i, change := range list {
+		var at *peer.AttemptTale
+		var mt *peer.MachineTale
+		if a := change.attempt; a != nil {
+			at = &peer.AttemptTale{Job: a.job.spec.ID, Task: uint32(a.task), Attempt: a.number, RanS: a.ranS(now)}
+			room -= proto.Size(at) + taleOverhead
+		} else {
+			mt = change.machine.tale(now)
+			room -= proto.Size(mt) + taleOverhead
 		}
-	}
-	for _, m := range machines {
-		if m.noted <= tale.Upto {
-			tale.Machines = append(tale.Machines, m.tale(now))
+		if room < 0 && i > 0 {
+			tale.Upto = list[i-1].place
+			return false
 		}
-	}
-	for _, class := range slices.Sorted(maps.Keys(c.bias)) {
-		if len(tale.Classes) < taleClasses {
-			b := c.bias[class]
-			tale.Classes = append(tale.Classes, &peer.ClassTale{Class: class, Ratio: b.ratio, Count: uint32(b.count)})
+		if at != nil {
+			tale.Attempts = append(tale.Attempts, at)
+		} else {
+			tale.Machines = append(tale.Machines, mt)
 		}
 	}
-	return tale
+	return true
 }
 
 // tale is what is known of a machine beyond its record.
@@ -199,6 +231,8 @@
 	claim, have uint64
 	machines    map[string]heardMachine
 	classes     []*peer.ClassTale
+	// dropped is how many machines there was no room for since that was last counted.
+	dropped int
 }
 
 type taleKey struct {
@@ -237,7 +271,9 @@
 		}
 	}
 	for _, m := range t.Machines {
-		if len(h.machines) < taleMost {
+		if _, known := h.machines[m.Name]; !known && len(h.machines) >= taleMost {
+			h.dropped++
+		} else {
 			hm := heardMachine{MachineTale: m}
 			if m.NoticeS >= 0 && m.NoticeS < 1e9 {
 				hm.notice = now.Add(time.Duration(m.NoticeS * float64(time.Second)))
@@ -268,6 +304,9 @@
 		}
 		if fo := f.copies[int(t.Part)]; fo != nil {
 			reply.Have = fo.tale.hear(t, fo.shadow.told, now)
+			c.boundMet(observe.ReplicaMachines, fo.tale.dropped)
+			c.boundMet(observe.ReplicaStarts, fo.shadow.dropped)
+			fo.tale.dropped, fo.shadow.dropped = 0, 0
 		}
 	})
 	return replyOf(reply)
@@ -284,34 +323,60 @@
 	tale := &peer.Tale{Part: req.Part}
 	c.do(func() {
 		if fo := f.copies[int(req.Part)]; fo != nil && fo.tale.have != 0 {
-			tale = fo.retold(time.Now())
+			whole := false
+			if tale, whole = fo.retold(time.Now()); !whole {
+				c.boundMet(observe.RecallBytes, 1)
+			}
 		}
 	})
 	return replyOf(tale)
 }
 
-// recallMost is how many attempts a recalled tale holds: a message is bounded.
-const recallMost = 10_000
+// recallBytes is what a recalled tale holds at most, below what a client takes as a
+// response: 64,000 attempts take some 2 MB, 4,000 machines 0.4 MB, their images the rest.
+const recallBytes = 6 << 20
 
-// retold is a tale as it was heard, for whoever asks.
-func (fo *follower) retold(now time.Time) *peer.Tale {
+// retold is a tale as it was heard, for whoever asks. whole is false if it was too large: it
+// lacks images then, which only tell where a start is quick, or even more.
+func (fo *follower) retold(now time.Time) (t *peer.Tale, whole bool) {
 	h := &fo.tale
-	t := &peer.Tale{From: h.from, Nonce: h.nonce, Claim: h.claim, Part: uint32(fo.part), Upto: h.have, Classes: h.classes}
+	t = &peer.Tale{From: h.from, Nonce: h.nonce, Claim: h.claim, Part: uint32(fo.part), Upto: h.have, Classes: h.classes}
+	room := recallBytes - proto.Size(t)
+	fits := func(m proto.Message) bool {
+		room -= proto.Size(m) + taleOverhead
+		return room >= 0
+	}
 	for id, sj := range fo.shadow.jobs {
 		for task, a := range sj.live {
-			if !a.told.IsZero() && len(t.Attempts) < recallMost {
-				t.Attempts = append(t.Attempts, &peer.AttemptTale{Job: id, Task: uint32(task), Attempt: a.number, RanS: now.Sub(a.told).Seconds()})
+			if a.told.IsZero() {
+				continue
 			}
+			at := &peer.AttemptTale{Job: id, Task: uint32(task), Attempt: a.number, RanS: now.Sub(a.told).Seconds()}
+			if !fits(at) {
+				return t, false
+			}
+			t.Attempts = append(t.Attempts, at)
 		}
 	}
 	for _, hm := range h.machines {
 		m := proto.CloneOf(hm.MachineTale)
+		m.Images = nil
 		if !hm.notice.IsZero() {
 			m.NoticeS = max(0, hm.notice.Sub(now).Seconds())
 		}
+		if !fits(m) {
+			return t, false
+		}
 		t.Machines = append(t.Machines, m)
 	}
-	return t
+	for _, m := range t.Machines {
+		images := h.machines[m.Name].Images
+		if !fits(&peer.MachineTale{Images: images}) {
+			return t, false
+		}
+		m.Images = images
+	}
+	return t, true
 }
 
 // began puts it to an inherited attempt when it did, as its former owner had told.
@@ -356,7 +421,11 @@
 		}
 	}
 	for _, ct := range h.classes {
-		if b := c.bias[ct.Class]; (b == nil || b.count < int(ct.Count)) && ct.Ratio > 0 && ct.Ratio <= 4 && len(c.bias) < 1000 {
+		b := c.bias[ct.Class]
+		if b != nil && b.count >= int(ct.Count) || ct.Ratio <= 0 || ct.Ratio > 4 {
+			continue
+		}
+		if b != nil || c.mayLearn() {
 			c.bias[ct.Class] = &classBias{ratio: ct.Ratio, count: int(ct.Count)}
 		}
 	}
@@ -415,7 +484,7 @@
 		}
 	}
 	for name, at := range l.moved {
-		if c.machines[name] != nil && len(lt.Moved) < taleMachines && now.Sub(at) < 2*time.Minute {
+		if c.machines[name] != nil && len(lt.Moved) < movesTold && now.Sub(at) < 2*time.Minute {
 			lt.Moved = append(lt.Moved, &peer.MovedTale{Name: name, AgoS: now.Sub(at).Seconds()})
 		}
 	}
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -74,6 +74,7 @@
 	set    *metrics.Set
 	waits  [waits]*metrics.PrometheusHistogram
 	counts [events]*metrics.Counter
+	met    [Bounds]*metrics.Counter
 
 	mu       sync.Mutex
 	begun    time.Time
@@ -89,6 +90,9 @@
 	for e := range events {
 		m.counts[e] = m.set.NewCounter("micaspindle_" + counts[e] + "_total")
 	}
+	for b := range Bounds {
+		m.met[b] = m.set.NewCounter(b.metricName())
+	}
 	m.turn(time.Time{})
 	return m
 }
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -11,6 +11,7 @@
 	var none *Metrics
 	none.Took(Start, time.Second, time.Now())
 	none.Count(Late, 1)
+	none.Met(Demands, 1)
 	if none.Quantiles() != nil {
 		t.Error("the nil value has measured something")
 	}
@@ -21,6 +22,7 @@
 	m.Took(Finish, -time.Second, now) // a clock that was set
 	m.Took(Finish, 1000*time.Hour, now)
 	m.Count(Late, 3)
+	m.Met(CarriedReports, 2)
 	q := m.Quantiles()
 	if len(q) != 2 || q[0].What != "start" || q[0].Count != 100 || q[0].P50 < 4.9 || q[0].P50 > 5.2 || q[0].P99 < 9.8 || q[0].Most > 10.2 {
 		t.Errorf("%+v", q)
@@ -28,7 +30,8 @@
 	var out bytes.Buffer
 	m.Write(&out, []Gauge{{"part_machines", `{part="0"}`, 7}})
 	for _, want := range []string{`micaspindle_wait_seconds_bucket{what="start",le="5"} 50`, `micaspindle_wait_seconds_count{what="start"} 100`,
-		"micaspindle_jobs_late_total 3", `micaspindle_part_machines{part="0"} 7`} {
+		"micaspindle_jobs_late_total 3", `micaspindle_bound_met_total{bound="carried_reports"} 2`,
+		`micaspindle_bound_met_total{bound="peer_connections"} 0`, `micaspindle_part_machines{part="0"} 7`} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is not in\n%s", want, out.String())
 		}
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -39,7 +39,10 @@
 	MaxBody  int
 	// Secure, if set, gives the TLS configuration for each new connection.
 	Secure func() *tls.Config
-	open   atomic.Int64
+	// Full, if set, is called for each connection that is closed on arrival since there
+	// are too many.
+	Full func()
+	open atomic.Int64
 }
 
 // Engine carries every connection of the process: one gnet event loop for the
@@ -159,6 +162,9 @@
 	}
 	if l.open.Add(1) > int64(l.MaxConns) {
 		l.open.Add(-1)
+		if l.Full != nil {
+			l.Full()
+		}
 		slog.Debug("connection refused", "reason", "too many connections", "addr", l.Addr)
 		return nil, gnet.Close
 	}
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 )
@@ -24,13 +25,19 @@
 }
 
 func run(t *testing.T, h Handler, maxConns int) (addr string, client *Client) {
+	t.Helper()
+	return runListener(t, &Listener{Handler: h, MaxConns: maxConns})
+}
+
+func runListener(t *testing.T, l *Listener) (addr string, client *Client) {
 	t.Helper()
 	addr = freeAddr(t)
+	l.Addr, l.MaxBody = addr, 1000
 	client = NewClient()
 	ctx, cancel := context.WithCancel(context.Background())
 	up, down := make(chan struct{}), make(chan error, 1)
 	go func() {
-		down <- Run(ctx, []*Listener{{Addr: addr, Handler: h, MaxConns: maxConns, MaxBody: 1000}}, func(e *Engine) {
+		down <- Run(ctx, []*Listener{l}, func(e *Engine) {
 			client.Attach(e)
 			close(up)
 			<-ctx.Done()
@@ -108,7 +115,8 @@
 
 // A flood of connections must leave the process its sockets.
 func TestConnectionsPastTheBoundAreRefused(t *testing.T) {
-	addr, _ := run(t, echo, 2)
+	var counted atomic.Int64
+	addr, _ := runListener(t, &Listener{Handler: echo, MaxConns: 2, Full: func() { counted.Add(1) }})
 	var open []net.Conn
 	refused := 0
 	for range 6 {
@@ -127,8 +135,8 @@
 	for _, c := range open {
 		_ = c.Close()
 	}
-	if refused != 4 {
-		t.Errorf("%d of 6 refused, want 4", refused)
+	if refused != 4 || counted.Load() != 4 {
+		t.Errorf("%d of 6 refused, want 4; %d counted", refused, counted.Load())
 	}
 }
 
