--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -159,7 +159,7 @@
 // returns, if the state service takes it within a second.
 func (l *Log) Run(ctx context.Context) {
 	defer close(l.stopped)
-	tick := pulse.Every(pause)
+	tick := pulse.New(pause)
 	defer tick.Stop()
 	for {
 		if first := l.spare; first != nil {
--- a/internal/bookkeeping/absence.go
+++ b/internal/bookkeeping/absence.go
@@ -25,8 +25,8 @@
 	asking bool
 	// pace bounds the requests that polls take.
 	pace *rate.Limiter
-	// room is how many questions may wait.
-	room int
+	// capacity is how many questions may wait.
+	capacity int
 	// most is how many keys a comparison may hold.
 	most atomic.Int64
 }
@@ -54,18 +54,18 @@
 func (a *absences) init(rps float64, txnOps, controllers int) {
 	a.most.Store(int64(conditions * txnOps))
 	share := pollShare * rps / float64(controllers)
-	a.room = max(absencesLeast, int(absencesFor*share*conditions*float64(txnOps)))
+	a.capacity = max(absenceQueueMin, int(absenceQueueSeconds*share*conditions*float64(txnOps)))
 	a.pace = rate.NewLimiter(rate.Limit(share), max(2, int(share/2)))
 }
 
-// UserAbsent reads for a user whether a key is absent. Users who ask while another
+// UserKeyAbsent reads for a user whether a key is absent. Users who ask while another
 // question is on its way are asked for together by the next one: it is sent after
 // they came, so that what it says is no older than their question.
-func (s *Store) UserAbsent(ctx context.Context, key string) (bool, error) {
+func (s *Store) UserKeyAbsent(ctx context.Context, key string) (bool, error) {
 	a := &s.absences
 	q := &absence{key: key, turn: make(chan struct{})}
 	a.mu.Lock()
-	if len(a.waiting) >= a.room {
+	if len(a.waiting) >= a.capacity {
 		a.mu.Unlock()
 		if s.PollsFull != nil {
 			s.PollsFull()
@@ -94,12 +94,12 @@
 }
 
 const (
-	// absencesFor is for how many seconds questions may wait at the pace at which they are
+	// absenceQueueSeconds is for how many seconds questions may wait at the pace at which they are
 	// asked: more would be answered too late.
-	absencesFor = 2
-	// absencesLeast is how many may wait at any pace. One takes some 200 bytes beside its
+	absenceQueueSeconds = 2
+	// absenceQueueMin is how many may wait at any pace. One takes some 200 bytes beside its
 	// user's connection.
-	absencesLeast = 2048
+	absenceQueueMin = 2048
 )
 
 // gaveUp takes back a question that nobody has begun to ask, and says whether it
--- a/internal/bookkeeping/absence_test.go
+++ b/internal/bookkeeping/absence_test.go
@@ -66,7 +66,7 @@
 	for i := range n {
 		all.Go(func() {
 			key := fmt.Sprintf("w/j/job-%d/final", i)
-			absent, err := s.UserAbsent(t.Context(), key)
+			absent, err := s.UserKeyAbsent(t.Context(), key)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -120,18 +120,18 @@
 		var all sync.WaitGroup
 		for range 200 {
 			all.Go(func() {
-				if absent, err := s.UserAbsent(t.Context(), "w/j/job-1/final"); err != nil || !absent {
+				if absent, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); err != nil || !absent {
 					t.Errorf("%v %v", absent, err)
 				}
 			})
 		}
 		all.Wait()
-		all.Go(func() { _, _ = s.UserAbsent(t.Context(), "w/j/job-2/final") })
+		all.Go(func() { _, _ = s.UserKeyAbsent(t.Context(), "w/j/job-2/final") })
 		synctest.Wait() // that question is on its way
 		svc.mu.Lock()
 		svc.present["w/j/job-2/final"] = true
 		svc.mu.Unlock()
-		if absent, err := s.UserAbsent(t.Context(), "w/j/job-2/final"); err != nil || absent {
+		if absent, err := s.UserKeyAbsent(t.Context(), "w/j/job-2/final"); err != nil || absent {
 			t.Errorf("absent %v, %v, though it was there before the question", absent, err)
 		}
 		all.Wait()
@@ -152,7 +152,7 @@
 				c = ctx
 			}
 			all.Go(func() {
-				if absent, err := s.UserAbsent(c, fmt.Sprintf("w/j/job-%d/final", i)); err == nil && absent == (i == 5) || err != nil && c != ctx {
+				if absent, err := s.UserKeyAbsent(c, fmt.Sprintf("w/j/job-%d/final", i)); err == nil && absent == (i == 5) || err != nil && c != ctx {
 					t.Errorf("%d: %v %v", i, absent, err)
 				}
 			})
@@ -205,7 +205,7 @@
 		if failed := ask(t, s, svc, 100); failed != 100 {
 			t.Errorf("%d of 100 refused", failed)
 		}
-		if _, err := s.UserAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrRefused) {
+		if _, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrRefused) {
 			t.Errorf("%v", err)
 		}
 		svc.down = false
@@ -235,11 +235,11 @@
 		s.absences.waiting = make([]*absence, tc.room-1)
 		gone, leave := context.WithCancel(t.Context())
 		leave()
-		if _, err := s.UserAbsent(gone, "w/j/job-1/final"); !errors.Is(err, context.Canceled) || refused != 0 {
+		if _, err := s.UserKeyAbsent(gone, "w/j/job-1/final"); !errors.Is(err, context.Canceled) || refused != 0 {
 			t.Errorf("%s: the last that may wait: %v, %d refused", tc.name, err, refused)
 		}
 		s.absences.waiting = make([]*absence, tc.room)
-		if _, err := s.UserAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrRefused) || refused != 1 {
+		if _, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrRefused) || refused != 1 {
 			t.Errorf("%s: one more: %v, %d refused", tc.name, err, refused)
 		}
 	}
--- a/internal/bookkeeping/budget.go
+++ b/internal/bookkeeping/budget.go
@@ -59,9 +59,9 @@
 	demandMemory = 2 * time.Second
 )
 
-// Demand is how many changes a second this controller wants: what it asked for
+// WriteDemand is how many changes a second this controller wants: what it asked for
 // of late, and what waits. One goroutine calls it, several times a second.
-func (s *Store) Demand(now time.Time) float64 {
+func (s *Store) WriteDemand(now time.Time) float64 {
 	b := &s.budget
 	if b.seenAt.IsZero() {
 		b.seenAt = now
@@ -88,8 +88,8 @@
 	b.grantedAt = now
 }
 
-// ShareWrites sets the share of a controller that wants own of total changes.
-func (s *Store) ShareWrites(own, total float64) {
+// ShareWriteRate sets the share of a controller that wants own of total changes.
+func (s *Store) ShareWriteRate(own, total float64) {
 	b := &s.budget
 	b.follow(time.Now())
 	share := floorShare / b.controllers
--- a/internal/bookkeeping/budget_test.go
+++ b/internal/bookkeeping/budget_test.go
@@ -18,7 +18,7 @@
 		{0, 10, 25 * 0.08},   // the floor
 		{0, 0, 25 * 0.08},
 	} {
-		s.ShareWrites(tc.own, tc.total)
+		s.ShareWriteRate(tc.own, tc.total)
 		if got := float64(s.writes.Limit()); math.Abs(got-tc.want) > 1e-6 {
 			t.Errorf("%v of %v: %v writes a second, want %v", tc.own, tc.total, got, tc.want)
 		}
@@ -31,17 +31,17 @@
 func TestDemandFollowsWhatIsAskedFor(t *testing.T) {
 	s := NewStore(nil, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	now := time.Now()
-	s.Demand(now)
+	s.WriteDemand(now)
 	for range 40 {
 		now = now.Add(250 * time.Millisecond)
 		s.budget.wanted.Add(5)
-		s.Demand(now)
+		s.WriteDemand(now)
 	}
-	if d := s.Demand(now); math.Abs(d-20) > 1 {
+	if d := s.WriteDemand(now); math.Abs(d-20) > 1 {
 		t.Errorf("demand %v after 20 a second", d)
 	}
 	s.budget.waiting.Add(7)
-	if d := s.Demand(now); d < 26 {
+	if d := s.WriteDemand(now); d < 26 {
 		t.Errorf("demand %v leaves out what waits", d)
 	}
 }
--- a/internal/bookkeeping/compat_test.go
+++ b/internal/bookkeeping/compat_test.go
@@ -88,20 +88,20 @@
 			&oldJobSpec{ID: "job-8", Class: "web", Team: "t", Standing: true, Tasks: 3, CPUs: 2, MemGB: 4, SubmittedMS: 5},
 		},
 		"run": {
-			&Run{Done: [][2]int{{0, 5}, {9, 9}}, Last: 300, Live: []Attempt{{Task: 6, Number: 2, Machine: "m-000231", Session: 1},
-				{Task: 7, Number: 300, Machine: "m-000232", Session: 70000}}},
+			&RunRecord{Done: [][2]int{{0, 5}, {9, 9}}, Last: 300, Live: []Attempt{{Task: 6, Number: 2, Machine: "m-000231", Epoch: 1},
+				{Task: 7, Number: 300, Machine: "m-000232", Epoch: 70000}}},
 			&oldRun{Done: [][2]int{{0, 5}, {9, 9}}, Last: 300, Live: []oldAttempt{{Task: 6, Number: 2, Machine: "m-000231", Session: 1},
 				{Task: 7, Number: 300, Machine: "m-000232", Session: 70000}}},
 		},
-		"run-empty": {&Run{Done: [][2]int{}, Live: []Attempt{}}, &oldRun{Done: [][2]int{}, Live: []oldAttempt{}}},
+		"run-empty": {&RunRecord{Done: [][2]int{}, Live: []Attempt{}}, &oldRun{Done: [][2]int{}, Live: []oldAttempt{}}},
 		"machine": {
-			&Machine{Part: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, RentedMS: 1764600000123},
+			&Machine{Partition: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, RentedMS: 1764600000123},
 			&oldMachine{Part: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, RentedMS: 1764600000123},
 		},
 		"final-done": {&Final{Status: protocol.StatusDone, AtMS: 1764600000123}, &oldFinal{Status: "done", AtMS: 1764600000123}},
 		"final-withdrawn": {&Final{Status: protocol.StatusWithdrawn, AtMS: 1764600000124},
 			&oldFinal{Status: "withdrawn", AtMS: 1764600000124}},
-		"claim": {&Claim{Owner: "spindle-0", Nonce: "N0NCE"}, &oldClaim{Owner: "spindle-0", Nonce: "N0NCE"}},
+		"claim": {&Lease{Holder: "spindle-0", Nonce: "N0NCE"}, &oldClaim{Owner: "spindle-0", Nonce: "N0NCE"}},
 	}
 }
 
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	run.Done, run.Live = append(run.Done, [2]int{12, 13}), run.Live[:1]
-	back := new(Run)
+	back := new(RunRecord)
 	if err := Decode(Encode(run), back); err != nil || len(back.Done) != 3 || len(back.Live) != 1 || back.Live[0].Machine != "m-000231" {
 		t.Errorf("rewritten and read back: %+v (%v)", back, err)
 	}
@@ -157,11 +157,11 @@
 	long := "m-" + string(bytes.Repeat([]byte("0"), 180))
 	for _, name := range []string{"m", "m-000231", long, `odd"\<&>:,é`} {
 		for _, big := range []bool{false, true} {
-			run := Run{Done: [][2]int{}, Live: []Attempt{}, Last: 7}
+			run := RunRecord{Done: [][2]int{}, Live: []Attempt{}, Last: 7}
 			for task := range ChunkTasks {
-				a := Attempt{Task: task, Number: 3, Machine: name, Session: 2}
+				a := Attempt{Task: task, Number: 3, Machine: name, Epoch: 2}
 				if big {
-					a.Task, a.Number, a.Session, run.Last = 99_936+task, 1<<63, 1<<63, 1<<64-1
+					a.Task, a.Number, a.Epoch, run.Last = 99_936+task, 1<<63, 1<<63, 1<<64-1
 				}
 				if task%2 == 0 || name != "m" {
 					run.Live = append(run.Live, a)
--- a/internal/bookkeeping/golden_test.go
+++ b/internal/bookkeeping/golden_test.go
@@ -25,9 +25,9 @@
 	for name, record := range map[string]any{
 		"job":         golden.Fill(&protocol.JobSpec{}),
 		"final":       golden.Fill(&bookkeeping.Final{}),
-		"run":         golden.Fill(&bookkeeping.Run{}),
-		"claim":       golden.Fill(&bookkeeping.Claim{}), // of a part and of the leader
-		"life":        golden.Fill(&bookkeeping.Life{}),
+		"run":         golden.Fill(&bookkeeping.RunRecord{}),
+		"claim":       golden.Fill(&bookkeeping.Lease{}), // of a part and of the leader
+		"life":        golden.Fill(&bookkeeping.Incarnation{}),
 		"machine":     golden.Fill(&bookkeeping.Machine{}),
 		"catalog":     golden.Fill(&protocol.Catalog{}),
 		"policy-head": golden.Fill(&bookkeeping.PolicyHead{}),
@@ -45,12 +45,12 @@
 		kind            bookkeeping.Kind
 		of              string
 	}{
-		{"claim", bookkeeping.ClaimKey(12), "w/c/12", bookkeeping.KindClaim, "12"},
-		{"leader", bookkeeping.LeaderKey, "w/c/leader", bookkeeping.KindLeader, ""},
+		{"claim", bookkeeping.LeaseKey(12), "w/c/12", bookkeeping.KindLease, "12"},
+		{"leader", bookkeeping.LeadershipKey, "w/c/leader", bookkeeping.KindLeadership, ""},
 		{"machine", bookkeeping.MachineKey("m-000231"), "w/m/m-000231", bookkeeping.KindMachine, "m-000231"},
 		{"job", bookkeeping.JobKey("job-000412"), "w/j/job-000412/spec", bookkeeping.KindJob, "job-000412"},
 		{"final", bookkeeping.FinalKey("job-000412"), "w/j/job-000412/final", bookkeeping.KindFinal, "job-000412"},
-		{"life", bookkeeping.LifeKey("spindle-1"), "w/l/spindle-1", bookkeeping.KindLife, "spindle-1"},
+		{"life", bookkeeping.IncarnationKey("spindle-1"), "w/l/spindle-1", bookkeeping.KindIncarnation, "spindle-1"},
 		{"catalog", bookkeeping.CatalogKey, "w/catalog", bookkeeping.KindCatalog, ""},
 		{"policy head", bookkeeping.PolicyHeadKey, "w/a/head", bookkeeping.KindPolicyHead, ""},
 		{"role", bookkeeping.RoleKey("owners"), "w/a/role/owners", bookkeeping.KindRole, "owners"},
@@ -95,9 +95,9 @@
 		{"get", "GET", "/store/w/catalog", func() error { _, err := store.Get(ctx, "w/catalog"); return err }},
 		{"page", "GET", "/store?after=w/c/3&page=7&under=w/", func() error { _, err := store.Page(ctx, "w/", "w/c/3", 7); return err }},
 		{"commit", "POST", "/commit", func() error { _, err := store.Commit(ctx, &protocol.Transaction{}); return err }},
-		{"grant", "POST", "/grants", func() error { _, err := store.Grant(ctx, time.Second); return err }},
-		{"touch", "POST", "/grants/9/touch", func() error { return store.Touch(ctx, 9, time.Second) }},
-		{"revoke", "DELETE", "/grants/9", func() error { store.Revoke(ctx, 9); return nil }},
+		{"grant", "POST", "/grants", func() error { _, err := store.GrantLease(ctx, time.Second); return err }},
+		{"touch", "POST", "/grants/9/touch", func() error { return store.RenewLease(ctx, 9, time.Second) }},
+		{"revoke", "DELETE", "/grants/9", func() error { store.RevokeLease(ctx, 9); return nil }},
 		{"watch", "GET", "/changes?after=5&under=w/&wait_ms=250", func() error {
 			_, err := store.Watch(ctx, "w/", 5, 250*time.Millisecond, time.Second)
 			return err
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -19,7 +19,7 @@
 	jobPrefix     = "w/j/"
 	lifePrefix    = "w/l/"
 	runPrefix     = "r/"
-	LeaderKey     = claimPrefix + "leader"
+	LeadershipKey = claimPrefix + "leader"
 	CatalogKey    = "w/catalog"
 
 	policyPrefix   = "w/a/"
@@ -34,8 +34,8 @@
 // The kinds of watched keys.
 const (
 	KindOther Kind = iota
-	KindClaim
-	KindLeader
+	KindLease
+	KindLeadership
 	KindMachine
 	KindJob
 	KindFinal
@@ -43,17 +43,17 @@
 	KindPolicyHead
 	KindRole
 	KindIdentity
-	KindLife
+	KindIncarnation
 )
 
-// ClaimKey names the claim of a part.
-func ClaimKey(part int) string { return claimPrefix + strconv.Itoa(part) }
+// LeaseKey names the claim of a part.
+func LeaseKey(part int) string { return claimPrefix + strconv.Itoa(part) }
 
 // MachineKey names the assignment record of a machine.
 func MachineKey(name string) string { return machinePrefix + name }
 
-// LifeKey names the record of a controller's present life.
-func LifeKey(label string) string { return lifePrefix + label }
+// IncarnationKey names the record of a controller's present life.
+func IncarnationKey(label string) string { return lifePrefix + label }
 
 // JobPrefix holds both records of a job.
 func JobPrefix(id string) string { return jobPrefix + id + "/" }
@@ -82,8 +82,8 @@
 // ParseKey tells what a watched key holds and its name or part.
 func ParseKey(key string) (Kind, string) {
 	switch {
-	case key == LeaderKey:
-		return KindLeader, ""
+	case key == LeadershipKey:
+		return KindLeadership, ""
 	case key == CatalogKey:
 		return KindCatalog, ""
 	case key == PolicyHeadKey:
@@ -93,9 +93,9 @@
 	case strings.HasPrefix(key, identityPrefix):
 		return KindIdentity, key[len(identityPrefix):]
 	case strings.HasPrefix(key, lifePrefix):
-		return KindLife, key[len(lifePrefix):]
+		return KindIncarnation, key[len(lifePrefix):]
 	case strings.HasPrefix(key, claimPrefix):
-		return KindClaim, key[len(claimPrefix):]
+		return KindLease, key[len(claimPrefix):]
 	case strings.HasPrefix(key, machinePrefix):
 		return KindMachine, key[len(machinePrefix):]
 	case strings.HasPrefix(key, jobPrefix):
@@ -120,25 +120,25 @@
 	return fields[2], chunk, err
 }
 
-// Life says which process a controller is now, and on which lease its claims hang. The
+// Incarnation says which process a controller is now, and on which lease its claims hang. The
 // key stays, so that its stamps order a controller's lives.
-type Life struct {
+type Incarnation struct {
 	Nonce string `msgpack:"n"`
 	Lease uint64 `msgpack:"l"`
 	// Released are claims that this life gave up by itself, after it had stopped acting
 	// under them; the last few.
-	Released []Release `msgpack:"r,omitempty"`
+	Released []ReleasedLease `msgpack:"r,omitempty"`
 }
 
-// Release names a claim that was given up, by its revision.
-type Release struct {
-	Part  int    `msgpack:"p"`
-	Claim uint64 `msgpack:"c"`
+// ReleasedLease names a claim that was given up, by its revision.
+type ReleasedLease struct {
+	Partition     int    `msgpack:"p"`
+	LeaseRevision uint64 `msgpack:"c"`
 }
 
-// Claim says who owns a part or leads.
-type Claim struct {
-	Owner string `msgpack:"o"`
+// Lease says who owns a part or leads.
+type Lease struct {
+	Holder string `msgpack:"o"`
 	// Nonce differs with each start of the process, so that a restarted
 	// controller does not take its former life's claim for its own.
 	Nonce string `msgpack:"n"`
@@ -146,11 +146,11 @@
 
 // Machine is the assignment record of a machine.
 type Machine struct {
-	Part int    `msgpack:"p"`
-	Addr string `msgpack:"a"`
-	Type string `msgpack:"t"`
-	Zone string `msgpack:"z"`
-	Spot bool   `msgpack:"s"`
+	Partition int    `msgpack:"p"`
+	Addr      string `msgpack:"a"`
+	Type      string `msgpack:"t"`
+	Zone      string `msgpack:"z"`
+	Spot      bool   `msgpack:"s"`
 	// RentedMS is the wall clock of the rental, 0 for adopted machines.
 	RentedMS int64 `msgpack:"r"`
 }
@@ -172,8 +172,8 @@
 // within the size of a value.
 const ChunkTasks = 64
 
-// Run is one chunk of a job's run record.
-type Run struct {
+// RunRecord is one chunk of a job's run record.
+type RunRecord struct {
 	// Done holds ranges of done tasks, both ends included.
 	Done [][2]int `msgpack:"d"`
 	// Live holds the attempts that are not proven over.
@@ -189,20 +189,20 @@
 	Task     int
 	Number   uint64
 	Machine  string
-	Session  uint64
+	Epoch    uint64
 }
 
 // Size bounds the size of a run record in the form in which the state service
 // counts it, JSON. It is the sum of the sizes of its parts, so that it can be
 // worked out without making the record.
-func (r *Run) Size() int {
+func (r *RunRecord) Size() int {
 	size := RunBase
 	for range r.Done {
 		size += RangeSize
 	}
 	for i := range r.Live {
 		a := &r.Live[i]
-		size += AttemptSize(a.Number, a.Machine, a.Session)
+		size += AttemptSize(a.Number, a.Machine, a.Epoch)
 	}
 	return size
 }
--- a/internal/bookkeeping/store.go
+++ b/internal/bookkeeping/store.go
@@ -18,8 +18,8 @@
 	"micaspindle/internal/transport"
 )
 
-// Doer sends one request; transport.Client is the real one.
-type Doer interface {
+// Requester sends one request; transport.Client is the real one.
+type Requester interface {
 	Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error)
 }
 
@@ -58,7 +58,7 @@
 	// PollsFull, if set, is called when a user's question is refused since too many wait.
 	PollsFull func()
 
-	net      Doer
+	net      Requester
 	addr     string
 	requests *rate.Limiter
 	writes   *rate.Limiter
@@ -113,7 +113,7 @@
 )
 
 // NewStore makes a client for one of count controllers.
-func NewStore(net Doer, addr string, limits settings.State, count int) *Store {
+func NewStore(net Requester, addr string, limits settings.State, count int) *Store {
 	lower := limits.Lower()
 	limiter := func(perSecond float64, burst int) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(perSecond), max(burst, lower.TxnOps))
@@ -131,22 +131,22 @@
 	s.absences.init(lower.RPS, lower.TxnOps, count)
 	s.txnOps.Store(int64(lower.TxnOps))
 	s.valueBytes.Store(int64(lower.ValueKB * 1024))
-	s.ShareWrites(1, float64(count))
+	s.ShareWriteRate(1, float64(count))
 	return s
 }
 
-// Granted is how many changes a second this controller may write now.
-func (s *Store) Granted() float64 { return float64(s.writes.Limit()) }
+// GrantedWriteRate is how many changes a second this controller may write now.
+func (s *Store) GrantedWriteRate() float64 { return float64(s.writes.Limit()) }
 
-// Silence is how long ago the service last answered a request properly.
-func (s *Store) Silence() time.Duration {
+// SinceLastAnswer is how long ago the service last answered a request properly.
+func (s *Store) SinceLastAnswer() time.Duration {
 	return time.Since(s.start) - time.Duration(s.lastOK.Load())
 }
 
 // Down says that the service has just failed us and not answered since.
 func (s *Store) Down() bool {
 	fail := time.Duration(s.lastFail.Load())
-	return fail > time.Duration(s.lastOK.Load()) && s.Silence() > 1500*time.Millisecond
+	return fail > time.Duration(s.lastOK.Load()) && s.SinceLastAnswer() > 1500*time.Millisecond
 }
 
 func (s *Store) do(ctx context.Context, timeout time.Duration, method, target string, in, out any) (int, error) {
@@ -375,8 +375,8 @@
 	return nil
 }
 
-// CommitClaim commits a claim ahead of everything else.
-func (s *Store) CommitClaim(ctx context.Context, txn *protocol.Transaction) (uint64, error) {
+// CommitLease commits a claim ahead of everything else.
+func (s *Store) CommitLease(ctx context.Context, txn *protocol.Transaction) (uint64, error) {
 	s.requests.Reserve()
 	s.writes.ReserveN(time.Now(), len(txn.Then))
 	return s.commit(ctx, txn)
@@ -408,8 +408,8 @@
 	return 0, ErrLeaseGone
 }
 
-// Grant opens a lease.
-func (s *Store) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+// GrantLease opens a lease.
+func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var lease protocol.Lease
 	s.requests.Reserve()
 	status, err := s.do(ctx, requestTimeout, "POST", "/grants", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()}, &lease)
@@ -419,8 +419,8 @@
 	return lease.ID, err
 }
 
-// Touch renews a lease.
-func (s *Store) Touch(ctx context.Context, lease uint64, timeout time.Duration) error {
+// RenewLease renews a lease.
+func (s *Store) RenewLease(ctx context.Context, lease uint64, timeout time.Duration) error {
 	s.requests.Reserve()
 	status, err := s.do(ctx, timeout, "POST", "/grants/"+strconv.FormatUint(lease, 10)+"/touch", map[string]any{}, nil)
 	if err == nil && status == 404 {
@@ -456,15 +456,15 @@
 	return &ev, nil
 }
 
-// Catch reads what has changed under prefix after a revision, ahead of everything else:
+// CatchUp reads what has changed under prefix after a revision, ahead of everything else:
 // a takeover waits for it.
-func (s *Store) Catch(ctx context.Context, prefix string, after uint64) (*protocol.Events, error) {
+func (s *Store) CatchUp(ctx context.Context, prefix string, after uint64) (*protocol.Events, error) {
 	s.requests.Reserve()
 	return s.changes(ctx, prefix, after, 0, ChangePatience)
 }
 
-// Revoke ends a lease at once; if that fails, it ends by itself.
-func (s *Store) Revoke(ctx context.Context, lease uint64) {
+// RevokeLease ends a lease at once; if that fails, it ends by itself.
+func (s *Store) RevokeLease(ctx context.Context, lease uint64) {
 	s.requests.Reserve()
 	_, _ = s.do(ctx, requestTimeout, "DELETE", "/grants/"+strconv.FormatUint(lease, 10), nil, nil)
 }
--- a/internal/bookkeeping/store_test.go
+++ b/internal/bookkeeping/store_test.go
@@ -61,12 +61,12 @@
 		for range n {
 			txn.Then = append(txn.Then, put("r/0/job-1/0", 20))
 		}
-		if _, err := s.CommitClaim(t.Context(), txn); !errors.Is(err, ErrTooLarge) {
+		if _, err := s.CommitLease(t.Context(), txn); !errors.Is(err, ErrTooLarge) {
 			t.Errorf("%v", err)
 		}
 	}
 	value := put("r/0/job-1/0", 200)
-	if _, err := s.CommitClaim(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrTooLarge) {
+	if _, err := s.CommitLease(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("%v", err)
 	}
 	if size := protocol.JSONSize(value.Value); s.TxnOps() != 12 || s.ValueBytes() != size-1 {
@@ -74,7 +74,7 @@
 	}
 	gone := transport.Response{Status: 400, Body: protocol.Encode(protocol.Problem{Error: "no such lease"})}
 	s.net = &script{answers: []transport.Response{gone}}
-	if _, err := s.CommitClaim(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrLeaseGone) || s.TxnOps() != 12 {
+	if _, err := s.CommitLease(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrLeaseGone) || s.TxnOps() != 12 {
 		t.Errorf("%v, %d changes", err, s.TxnOps())
 	}
 }
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -10,33 +10,33 @@
 	"micaspindle/internal/protocol"
 )
 
-func (m *machine) sorted() []*attempt {
-	list := make([]*attempt, 0, len(m.attempts))
-	for _, a := range m.attempts {
+func (m *Machine) SortedAttempts() []*Attempt {
+	list := make([]*Attempt, 0, len(m.Attempts))
+	for _, a := range m.Attempts {
 		list = append(list, a)
 	}
-	slices.SortFunc(list, func(a, b *attempt) int {
-		if a.job != b.job {
-			if a.job.spec.ID < b.job.spec.ID {
+	slices.SortFunc(list, func(a, b *Attempt) int {
+		if a.Job != b.Job {
+			if a.Job.Spec.ID < b.Job.Spec.ID {
 				return -1
 			}
 			return 1
 		}
-		return a.task - b.task
+		return a.TaskIndex - b.TaskIndex
 	})
 	return list
 }
 
-// attemptEnded books the end that a worker reported.
-func (c *Controller) attemptEnded(a *attempt, t protocol.TaskReport, now time.Time) {
-	j := a.job
-	a.cause = t.Cause
-	a.state = attemptEnded
+// attemptExited books the end that a worker reported.
+func (c *Controller) attemptExited(a *Attempt, t protocol.TaskReport, now time.Time) {
+	j := a.Job
+	a.ExitCause = t.Cause
+	a.State = AttemptExited
 	c.release(a, now)
-	ch := j.chunk(a.task)
-	ch.ended = append(ch.ended, a)
-	if j.withdrawn {
-		c.dropIfOver(j)
+	ch := j.Chunk(a.TaskIndex)
+	ch.Exited = append(ch.Exited, a)
+	if j.Ended {
+		c.DropIfReleased(j)
 		return
 	}
 	switch t.Cause {
@@ -45,172 +45,172 @@
 	case protocol.CauseError:
 		c.attemptFailed(a, now)
 	case protocol.CauseFull, protocol.CauseInUse:
-		a.machine.avoidTill = now.Add(refusedPause)
+		a.Machine.AvoidUntil = now.Add(refusedBackoff)
 		c.startRefused(a)
 	case protocol.CauseUnknown:
-		j.holdTill = now.Add(unknownPause)
+		j.BackoffUntil = now.Add(unknownJobBackoff)
 		c.startRefused(a)
 	default:
-		j.requeue(a.task)
+		j.Requeue(a.TaskIndex)
 	}
 }
 
 const (
-	// refusedPause is how long a machine that refused a start is given no other.
-	refusedPause = time.Second
-	// unknownPause is how long a job that a worker does not know waits.
-	unknownPause = 2 * time.Second
-	// failedPause is how long a machine on which a task failed is given no start.
-	failedPause = 10 * time.Second
-	// failuresPauseMost bounds how long a job that fails on several machines waits; the
+	// refusedBackoff is how long a machine that refused a start is given no other.
+	refusedBackoff = time.Second
+	// unknownJobBackoff is how long a job that a worker does not know waits.
+	unknownJobBackoff = 2 * time.Second
+	// failedBackoff is how long a machine on which a task failed is given no start.
+	failedBackoff = 10 * time.Second
+	// failureBackoffMax bounds how long a job that fails on several machines waits; the
 	// wait doubles with each failure.
-	failuresPauseMost = time.Minute
+	failureBackoffMax = time.Minute
 )
 
 // attemptDone books a task that completed.
-func (c *Controller) attemptDone(a *attempt, now time.Time) {
-	j, m := a.job, a.machine
-	if j.spec.Standing {
-		j.requeue(a.task)
+func (c *Controller) attemptDone(a *Attempt, now time.Time) {
+	j, m := a.Job, a.Machine
+	if j.Spec.Standing {
+		j.Requeue(a.TaskIndex)
 		return
 	}
-	if !a.startedAt.IsZero() && !a.blind() {
-		ran := now.Sub(a.startedAt).Seconds()
-		c.learn(j.spec.Class, ran, j.spec.EstimateS)
-		c.compare(a, ran)
-		if !a.slow {
-			m.slowTasks = 0
+	if !a.StartedAt.IsZero() && !a.StartUnknown() {
+		ran := now.Sub(a.StartedAt).Seconds()
+		c.LearnRunTime(j.Spec.Class, ran, j.Spec.EstimateS)
+		c.detectSlowMachine(a, ran)
+		if !a.Slow {
+			m.SlowTasks = 0
 		}
-		if j.ranS == nil {
-			j.ranS = map[string][]float64{}
+		if j.RunTimesS == nil {
+			j.RunTimesS = map[string][]float64{}
 		}
-		j.ranS[m.name] = append(j.ranS[m.name], ran)
+		j.RunTimesS[m.Name] = append(j.RunTimesS[m.Name], ran)
 	}
-	j.failures = 0
-	clear(m.errorJobs)
-	if !j.done[a.task] {
-		j.done[a.task] = true
-		j.doneCount++
+	j.Failures = 0
+	clear(m.FailedJobs)
+	if !j.TaskDone[a.TaskIndex] {
+		j.TaskDone[a.TaskIndex] = true
+		j.DoneCount++
 	}
-	j.finishing = j.doneCount == j.spec.Tasks
+	j.Completing = j.DoneCount == j.Spec.Tasks
 }
 
 // attemptFailed books a task that failed. Its machine may be at fault, or its job.
-func (c *Controller) attemptFailed(a *attempt, now time.Time) {
-	j, m := a.job, a.machine
-	j.requeue(a.task)
-	j.failures++
-	m.errorJobs[j.spec.ID] = true
-	m.avoidTill = now.Add(failedPause)
+func (c *Controller) attemptFailed(a *Attempt, now time.Time) {
+	j, m := a.Job, a.Machine
+	j.Requeue(a.TaskIndex)
+	j.Failures++
+	m.FailedJobs[j.Spec.ID] = true
+	m.AvoidUntil = now.Add(failedBackoff)
 	c.metrics.Count(observe.Failed, 1)
-	c.log.Info("task failed", "task", a.wire(), "machine", m.name, "failures", j.failures)
-	if j.failedOn == nil {
-		j.failedOn = map[string]bool{}
+	c.log.Info("task failed", "task", a.TaskName(), "machine", m.Name, "failures", j.Failures)
+	if j.FailedMachines == nil {
+		j.FailedMachines = map[string]bool{}
 	}
-	j.failedOn[m.name] = true
-	if len(j.failedOn) >= 2 {
+	j.FailedMachines[m.Name] = true
+	if len(j.FailedMachines) >= 2 {
 		// It fails on different machines: the job may be at fault, so it
 		// must not burn the fleet.
-		j.holdTill = now.Add(min(failuresPauseMost, time.Second<<min(j.failures, 6)))
+		j.BackoffUntil = now.Add(min(failureBackoffMax, time.Second<<min(j.Failures, 6)))
 	}
-	if len(m.errorJobs) >= 2 && !m.faulty {
-		m.faulty = true
-		c.log.Info("machine set aside", "machine", m.name, "reason", "different jobs fail on it")
-		for _, b := range m.sorted() {
-			c.stopAttempt(b, b.job.spec.SaveS+1, now)
+	if len(m.FailedJobs) >= 2 && !m.Quarantined {
+		m.Quarantined = true
+		c.log.Info("machine set aside", "machine", m.Name, "reason", "different jobs fail on it")
+		for _, b := range m.SortedAttempts() {
+			c.StopAttempt(b, b.Job.Spec.SaveS+1, now)
 		}
 	}
 }
 
 // startRefused books a start that the worker refused.
-func (c *Controller) startRefused(a *attempt) {
-	a.job.requeue(a.task)
-	c.log.Info("start refused", "task", a.wire(), "machine", a.machine.name, "reason", a.cause)
+func (c *Controller) startRefused(a *Attempt) {
+	a.Job.Requeue(a.TaskIndex)
+	c.log.Info("start refused", "task", a.TaskName(), "machine", a.Machine.Name, "reason", a.ExitCause)
 }
 
-// attemptGone books an attempt that is proven over without a result.
-func (c *Controller) attemptGone(a *attempt, reason string, now time.Time) {
-	delete(a.machine.attempts, attemptKey(a.wire(), a.number))
-	if !a.live() {
+// ReleaseAttempt books an attempt that is proven over without a result.
+func (c *Controller) ReleaseAttempt(a *Attempt, reason string, now time.Time) {
+	delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
+	if !a.Live() {
 		return
 	}
-	c.log.Info("attempt over", "task", a.wire(), "machine", a.machine.name, "reason", reason)
-	a.state = attemptOver
+	c.log.Info("attempt over", "task", a.TaskName(), "machine", a.Machine.Name, "reason", reason)
+	a.State = AttemptReleased
 	c.release(a, now)
-	a.machine.resources()
-	if a.job.withdrawn {
-		c.dropIfOver(a.job)
+	a.Machine.RecountUsed()
+	if a.Job.Ended {
+		c.DropIfReleased(a.Job)
 		return
 	}
-	a.job.requeue(a.task)
+	a.Job.Requeue(a.TaskIndex)
 }
 
 // release frees what an attempt held.
-func (c *Controller) release(a *attempt, now time.Time) {
-	j := a.job
-	delete(j.live, a.task)
-	if !a.startedAt.IsZero() {
-		j.running--
-	}
-	p := c.parts[j.part]
-	p.usage[j.team].Add(needOf(j.spec), -1)
-	if j.spec.Gang && a.cause != protocol.CauseDone {
+func (c *Controller) release(a *Attempt, now time.Time) {
+	j := a.Job
+	delete(j.LiveAttempts, a.TaskIndex)
+	if !a.StartedAt.IsZero() {
+		j.RunningCount--
+	}
+	p := c.Partitions[j.Partition]
+	p.Usage[j.Team].Add(ResourcesOf(j.Spec), -1)
+	if j.Spec.Gang && a.ExitCause != protocol.CauseDone {
 		// Without one, the others can't go on: all start again together.
-		for _, mate := range j.mates() {
-			c.stopAttempt(mate, j.spec.SaveS+1, now)
+		for _, mate := range j.Attempts() {
+			c.StopAttempt(mate, j.Spec.SaveS+1, now)
 		}
 	}
-	j.touch(a.task, false, now)
-	p.wake()
+	j.MarkDirty(a.TaskIndex, false, now)
+	p.Wake()
 }
 
-// mates lists the live attempts of a job.
-func (j *job) mates() []*attempt {
-	list := make([]*attempt, 0, len(j.live))
-	for _, a := range j.live {
+// Attempts lists the live attempts of a job.
+func (j *Job) Attempts() []*Attempt {
+	list := make([]*Attempt, 0, len(j.LiveAttempts))
+	for _, a := range j.LiveAttempts {
 		list = append(list, a)
 	}
 	return list
 }
 
-func (j *job) requeue(task int) { j.queue = slices.Insert(j.queue, 0, task) }
+func (j *Job) Requeue(task int) { j.Pending = slices.Insert(j.Pending, 0, task) }
 
-// stopAttempt wants an attempt off its machine.
-func (c *Controller) stopAttempt(a *attempt, grace float64, now time.Time) {
-	if !a.live() || a.stopping && a.stopGrace <= grace {
+// StopAttempt wants an attempt off its machine.
+func (c *Controller) StopAttempt(a *Attempt, grace float64, now time.Time) {
+	if !a.Live() || a.Stopping && a.StopGraceS <= grace {
 		return
 	}
-	if a.state == attemptReserved || a.state == attemptCommitted && a.sentToken == 0 && a.inFlight == 0 && a.machine.fenced {
+	if a.State == AttemptReserved || a.State == AttemptCommitted && a.StartToken == 0 && a.StartsInFlight == 0 && a.Machine.Fenced {
 		// Nothing was sent, so nothing can arrive.
-		c.attemptGone(a, "stopped before its start", now)
+		c.ReleaseAttempt(a, "stopped before its start", now)
 		return
 	}
-	a.stopping, a.stopGrace, a.stopAt = true, grace, now
-	c.keepOut(a, now)
-	c.sendOrders(a.machine)
+	a.Stopping, a.StopGraceS, a.StopRequestedAt = true, grace, now
+	c.fenceOutStart(a, now)
+	c.SendCommands(a.Machine)
 }
 
-// drain moves work off a machine that will be taken: what would be over in
+// evacuate moves work off a machine that will be taken: what would be over in
 // time goes on, what can save does so at the last moment, and what would be
 // lost anyway is started elsewhere now.
-func (c *Controller) drain(m *machine, now time.Time) {
-	left := m.notice.Sub(now).Seconds()
-	for _, a := range m.sorted() {
-		if !a.live() || a.stopping {
+func (c *Controller) evacuate(m *Machine, now time.Time) {
+	left := m.PreemptionAt.Sub(now).Seconds()
+	for _, a := range m.SortedAttempts() {
+		if !a.Live() || a.Stopping {
 			continue
 		}
-		s := a.job.spec
-		remaining := c.remaining(a, now)
+		s := a.Job.Spec
+		remaining := c.RemainingS(a, now)
 		switch {
-		case a.startedAt.IsZero():
-			c.stopAttempt(a, 0, now)
+		case a.StartedAt.IsZero():
+			c.StopAttempt(a, 0, now)
 		case remaining < left*0.9:
 		case s.CheckpointS > 0:
-			if left < s.SaveS+2+1.5*c.reportS.Seconds() {
-				c.stopAttempt(a, s.SaveS+1, now)
+			if left < s.SaveS+2+1.5*c.HeartbeatInterval.Seconds() {
+				c.StopAttempt(a, s.SaveS+1, now)
 			}
 		case remaining > left*1.2:
-			c.stopAttempt(a, 0, now)
+			c.StopAttempt(a, 0, now)
 		}
 	}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -24,9 +24,9 @@
 	c, p := owner(b)
 	now := time.Now()
 	// An owner answers workers only while it holds its claims and has followed the records.
-	c.synced, c.renewed, c.fresh = true, now, now
-	for _, p := range c.parts {
-		p.claimed = now
+	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
+	for _, p := range c.Partitions {
+		p.AcquiredAt = now
 	}
 	for i := range machines {
 		c.up(p, fmt.Sprintf("m-%06d", i), "big")
@@ -36,15 +36,15 @@
 		if task == 0 {
 			c.waiting(id, each)
 		}
-		j, m := c.jobs[id], c.machines[fmt.Sprintf("m-%06d", i%machines)]
-		c.reserve(p, j, task, 1, m, now)
-		j.queue = nil
-		a := j.live[task]
-		a.state, a.startedAt, a.status = attemptSeen, now, protocol.TaskRunning
-		for _, ch := range j.chunks { // on record
-			ch.dirty, ch.urgent, ch.version = false, false, 3
+		j, m := c.Jobs[id], c.Machines[fmt.Sprintf("m-%06d", i%machines)]
+		c.Reserve(p, j, task, 1, m, now)
+		j.Pending = nil
+		a := j.LiveAttempts[task]
+		a.State, a.StartedAt, a.ReportedState = AttemptConfirmed, now, protocol.TaskRunning
+		for _, ch := range j.Chunks { // on record
+			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
-		j.touched = false
+		j.RecordsChanged = false
 	}
 	return c
 }
@@ -52,7 +52,7 @@
 func (c *Controller) waiting(id string, tasks int) {
 	s := spec(id, tasks, "green")
 	s.SubmittedMS = time.Now().UnixMilli()
-	c.applyJobRecord(id, bookkeeping.Encode(s))
+	c.ApplyJobRecord(id, bookkeeping.Encode(s))
 }
 
 // fleetSize is how many machines there are, with so many running tasks on each and so many
@@ -76,17 +76,17 @@
 	for _, what := range []string{"refused", "final"} {
 		b.Run(what, func(b *testing.B) {
 			c, _ := owner(b)
-			c.synced = true
+			c.Synced = true
 			c.waiting("job-1", 1)
 			ctx, stop := context.WithCancel(b.Context())
 			defer stop()
 			go c.loop(ctx)
 			if what == "final" {
-				c.do(func() { c.setFinal("job-1", protocol.StatusDone, time.Now()) })
+				c.do(func() { c.SetFinal("job-1", protocol.StatusDone, time.Now()) })
 			} else {
-				c.store = bookkeeping.NewStore(refusing{}, "state:1", c.set.Params.State, 3)
+				c.store = bookkeeping.NewStore(refusing{}, "state:1", c.Settings.Params.State, 3)
 				time.Sleep(1600 * time.Millisecond) // until it counts as down
-				_, _ = c.store.UserAbsent(ctx, bookkeeping.FinalKey("job-1"))
+				_, _ = c.store.UserKeyAbsent(ctx, bookkeeping.FinalKey("job-1"))
 			}
 			req := &transport.Request{Method: "GET", Path: "/submissions/job-1"}
 			want := map[string]int{"refused": 503, "final": 200}[what]
@@ -111,11 +111,11 @@
 	for _, running := range []int{0, 4, 8} {
 		b.Run(fmt.Sprintf("tasks=%d", running), func(b *testing.B) {
 			c := fleetOf(b, 200, running, 1)
-			reports := make([]*protocol.Report, 0, len(c.machines))
-			for _, m := range c.machines {
-				r := &protocol.Report{Machine: m.name, Type: "big", Zone: "a", Session: 1, Token: c.token(m)}
-				for _, a := range m.attempts {
-					r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.wire(), Attempt: a.number, State: protocol.TaskRunning})
+			reports := make([]*protocol.Heartbeat, 0, len(c.Machines))
+			for _, m := range c.Machines {
+				r := &protocol.Heartbeat{Machine: m.Name, Type: "big", Zone: "a", Epoch: 1, Token: c.Token(m)}
+				for _, a := range m.Attempts {
+					r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.TaskName(), Attempt: a.Number, State: protocol.TaskRunning})
 				}
 				reports = append(reports, r)
 			}
@@ -123,9 +123,9 @@
 			for i := 0; b.Loop(); i++ {
 				r := reports[i%len(reports)]
 				r.Sequence++
-				c.renewed = time.Now() // however long this is measured
-				c.fresh = c.renewed
-				if resp := c.handleReport(r, nil); resp.Status != 200 {
+				c.LeaseRenewedAt = time.Now() // however long this is measured
+				c.RecordsAsOf = c.LeaseRenewedAt
+				if resp := c.HandleHeartbeat(r, nil); resp.Status != 200 {
 					b.Fatalf("report refused: status %d, %s", resp.Status, resp.Body)
 				}
 			}
@@ -143,29 +143,29 @@
 			for i := range n.waiting / 20 {
 				c.waiting(fmt.Sprintf("job-9%d", i), 20)
 			}
-			p := c.parts[c.teamPart[c.teamIndex["green"]]]
+			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 			b.ReportAllocs()
 			for b.Loop() {
-				c.place(p, time.Now())
+				c.Place(p, time.Now())
 			}
 		})
 		b.Run("task/"+name, func(b *testing.B) {
 			c := fleetOf(b, n.machines, n.running, 1)
-			p := c.parts[c.teamPart[c.teamIndex["green"]]]
+			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 			placed, next := 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				if placed == 0 {
 					b.StopTimer()
 					c = fleetOf(b, n.machines, n.running, 1)
-					p = c.parts[c.teamPart[c.teamIndex["green"]]]
+					p = c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 					placed = n.machines * 2
 					b.StartTimer()
 				}
 				next++
 				placed--
 				c.waiting(fmt.Sprintf("job-8%d", next), 1)
-				c.place(p, time.Now())
+				c.Place(p, time.Now())
 			}
 		})
 	}
@@ -194,18 +194,18 @@
 				c.waiting(fmt.Sprintf("job-9%d", i), 20)
 			}
 			now := time.Now()
-			c.leader.mine = true
-			for i := range c.catalog {
-				for _, zone := range c.catalog[i].ZonesOffered {
+			c.Leadership.Held = true
+			for i := range c.Catalog {
+				for _, zone := range c.Catalog[i].ZonesOffered {
 					for _, spot := range []bool{true, false} {
-						c.leader.refused[fit.Kind{Type: c.catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
+						c.Leadership.RefusedCapacity[fit.MachineKind{Type: c.Catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
 					}
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.renewed = time.Now()
-				c.steer(c.renewed)
+				c.LeaseRenewedAt = time.Now()
+				c.reconcileFleet(c.LeaseRenewedAt)
 			}
 		})
 	}
@@ -219,8 +219,8 @@
 // BenchmarkSummary: what an owner tells the others twice a second.
 func BenchmarkSummary(b *testing.B) {
 	bySize(b, func(c *Controller) {
-		c.said.at = time.Time{}
-		c.said.latest(c, time.Now())
+		c.ownSummary.marshalledAt = time.Time{}
+		c.ownSummary.latest(c, time.Now())
 	})
 }
 
@@ -232,36 +232,36 @@
 			each := []int{1, 20}[i/2] // arrays of one task, and as large as usual
 			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", kind, n.machines, n.machines*n.running, each), func(b *testing.B) {
 				c := fleetOf(b, n.machines, n.running, each)
-				part := c.teamPart[c.teamIndex["green"]]
+				part := c.TeamPartition[c.TeamIndex["green"]]
 				var runs []protocol.Item
 				tale := &peer.Tale{From: "n1", Nonce: "x", Claim: 1, Upto: 1}
-				for id, j := range c.jobs {
-					for _, ch := range j.chunks {
-						runs = append(runs, protocol.Item{Key: bookkeeping.RunKey(part, id, ch.index), Version: 5,
-							Value: bookkeeping.Encode(j.record(ch))})
+				for id, j := range c.Jobs {
+					for _, ch := range j.Chunks {
+						runs = append(runs, protocol.Item{Key: bookkeeping.RunKey(part, id, ch.Index), Version: 5,
+							Value: bookkeeping.Encode(j.RunRecord(ch))})
 					}
-					for task := range j.live {
+					for task := range j.LiveAttempts {
 						tale.Attempts = append(tale.Attempts, &peer.AttemptTale{Job: id, Task: uint32(task), Attempt: 1, RanS: 3})
 					}
 				}
-				for _, m := range c.machines {
-					m.pendingOrders = 1 // nothing is sent here
+				for _, m := range c.Machines {
+					m.PendingCommands = 1 // nothing is sent here
 				}
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
-					fo := newFollower(part, time.Now())
+					fo := newReplica(part, time.Now())
 					if kind == "warm" {
-						fo.start(c.log.Error, runs, 5, time.Now())
-						fo.tale.hear(tale, fo.shadow.told, time.Now())
+						fo.startFrom(c.log.Error, runs, 5, time.Now())
+						fo.Updates.Apply(tale, fo.Derived.noteStart, time.Now())
 					}
-					c.clearPart(c.parts[part]) // as at a controller that did not own it
-					runtime.GC()               // the garbage of making them is none of the takeover's
+					c.ClearPartition(c.Partitions[part]) // as at a controller that did not own it
+					runtime.GC()                         // the garbage of making them is none of the takeover's
 					b.StartTimer()
 					if kind == "cold" {
-						fo.start(c.log.Error, runs, 5, time.Now())
+						fo.startFrom(c.log.Error, runs, 5, time.Now())
 					}
-					c.following.install(c.parts[part], fo, nil, kind == "warm")
+					c.replicator.install(c.Partitions[part], fo, nil, kind == "warm")
 				}
 			})
 		}
@@ -270,17 +270,17 @@
 
 // BenchmarkFollow: what a standby does with one change of a record of 64 tasks.
 func BenchmarkFollow(b *testing.B) {
-	fo := newFollower(0, time.Now())
-	run := bookkeeping.Run{Last: 1, Done: [][2]int{{0, 31}}}
+	fo := newReplica(0, time.Now())
+	run := bookkeeping.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
 	for t := 32; t < 64; t++ {
-		run.Live = append(run.Live, bookkeeping.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Session: 1})
+		run.Live = append(run.Live, bookkeeping.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
 	}
 	key, value := bookkeeping.RunKey(0, "job-1", 0), bookkeeping.Encode(run)
 	complain := slog.New(slog.DiscardHandler).Error
-	fo.start(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
+	fo.startFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
 	for at := uint64(1); b.Loop(); at++ {
-		if !fo.follow(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
+		if !fo.apply(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
 			b.Fatal("a gap")
 		}
 	}
@@ -336,7 +336,7 @@
 							c, next = pipelines(b, n, deep), 0
 							b.StartTimer()
 						}
-						c.setFinal(fmt.Sprint("job-", next), status, time.Now())
+						c.SetFinal(fmt.Sprint("job-", next), status, time.Now())
 						if next++; !deep || status == protocol.StatusWithdrawn {
 							next = n
 						}
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -12,29 +12,29 @@
 // sizes are for 4,000 machines with 16 running tasks each (docs/limits.md).
 
 const (
-	// peerBodyLeast is what every version of the controller takes as a message. Messages
+	// PeerBodyMin is what every version of the controller takes as a message. Messages
 	// that can be cut keep to it, so that a peer of an older version takes them too.
-	peerBodyLeast = 1 << 20
-	// peerBodyMost is what the summary of a controller that holds 4,000 machines needs.
-	peerBodyMost = 2 << 20
-	// peerBodyShare is which part of the memory one message may take: all that the
+	PeerBodyMin = 1 << 20
+	// peerBodyMax is what the summary of a controller that holds 4,000 machines needs.
+	peerBodyMax = 2 << 20
+	// peerBodyMemoryShare is which part of the memory one message may take: all that the
 	// cluster's sockets hold at a time is in memory.
-	peerBodyShare = 128
+	peerBodyMemoryShare = 128
 
-	// keptShare is which part of the memory reports that wait for their owner may take.
-	keptShare = 32
+	// unsentMemoryShare is which part of the memory reports that wait for their owner may take.
+	unsentMemoryShare = 32
 
 	bytesPerMB = 1 << 20
 )
 
 // MaxPeerBody bounds a message of another controller.
 func MaxPeerBody(limits settings.Limits) int {
-	return min(peerBodyMost, max(peerBodyLeast, int(limits.MemMB*bytesPerMB)/peerBodyShare))
+	return min(peerBodyMax, max(PeerBodyMin, int(limits.MemMB*bytesPerMB)/peerBodyMemoryShare))
 }
 
-// carriedMost bounds the reports of a part that wait for their owner, in bytes.
-func carriedMost(limits settings.Limits) int {
-	return max(carryMessage, int(limits.MemMB*bytesPerMB)/keptShare)
+// unsentBytesLimit bounds the reports of a part that wait for their owner, in bytes.
+func unsentBytesLimit(limits settings.Limits) int {
+	return max(renewalBytesLimit, int(limits.MemMB*bytesPerMB)/unsentMemoryShare)
 }
 
 // boundMet counts that a bound was met n times and says so in the log the first time. Any
@@ -57,7 +57,7 @@
 // can do without: first what only informs users, then machines that are not on record,
 // which report again.
 func (c *Controller) encodeSummary(sum *peer.Summary) []byte {
-	most := MaxPeerBody(c.set.Params.MachineLimits)
+	most := MaxPeerBody(c.Settings.Params.MachineLimits)
 	// A summary always marshals: its texts were checked when they came in.
 	body, _ := proto.Marshal(sum)
 	if len(body) <= most {
--- a/internal/coordination/cancellation_notices.go
+++ b/internal/coordination/cancellation_notices.go
@@ -10,54 +10,54 @@
 	"micaspindle/internal/settings"
 )
 
-// cancellationNotices are the withdrawals that became known here of late, for the other
+// CancellationNotices are the withdrawals that became known here of late, for the other
 // controllers: one that the state service alone refuses hears of them from nobody else, and
 // its workers still come to it. A notice may be lost; what a task may then outlive its job's
 // withdrawal by is bounded by what its owner is informed of (42, 43). It belongs to the
 // loop.
-type cancellationNotices struct {
-	list []withdrawn
-	most int
-	keep time.Duration
+type CancellationNotices struct {
+	list      []cancelledJob
+	limit     int
+	retention time.Duration
 }
 
-// withdrawn is a job and when that was at the earliest.
-type withdrawn struct {
+// cancelledJob is a job and when that was at the earliest.
+type cancelledJob struct {
 	job string
 	at  time.Time
 }
 
-// noticesLeast is how many withdrawals may be told at a time where few can be written.
-const noticesLeast = 500
+// cancellationNoticesMin is how many withdrawals may be told at a time where few can be written.
+const cancellationNoticesMin = 500
 
-// limit derives how many withdrawals are kept: each is a change of the state service, so
+// SetLimit derives how many withdrawals are kept: each is a change of the state service, so
 // that within cancel_s there can't be more than that accepts in as long and in one burst.
 // One takes some 20 bytes of a message, 44 at most, and 100 of memory.
-func (n *cancellationNotices) limit(cancelS time.Duration, state settings.State) {
+func (n *CancellationNotices) SetLimit(cancelS time.Duration, state settings.State) {
 	changes := state.WriteRPS
 	if next := state.Next.WriteRPS; next != nil {
 		changes = max(changes, *next)
 	}
-	n.keep = cancelS
-	n.most = max(noticesLeast, int(math.Ceil(changes*(cancelS.Seconds()+1))))
+	n.retention = cancelS
+	n.limit = max(cancellationNoticesMin, int(math.Ceil(changes*(cancelS.Seconds()+1))))
 }
 
-// note adds a withdrawal and says whether there was room: those that are told already are
+// Add adds a withdrawal and says whether there was room: those that are told already are
 // more urgent than a newer one.
-func (n *cancellationNotices) note(job string, at time.Time) bool {
-	if len(n.list) >= n.most {
+func (n *CancellationNotices) Add(job string, at time.Time) bool {
+	if len(n.list) >= n.limit {
 		now := time.Now()
-		n.list = slices.DeleteFunc(n.list, func(w withdrawn) bool { return now.Sub(w.at) > n.keep })
+		n.list = slices.DeleteFunc(n.list, func(w cancelledJob) bool { return now.Sub(w.at) > n.retention })
 	}
-	if len(n.list) >= n.most {
+	if len(n.list) >= n.limit {
 		return false
 	}
-	n.list = append(n.list, withdrawn{job, at})
+	n.list = append(n.list, cancelledJob{job, at})
 	return true
 }
 
-// latest is what there is to tell: a withdrawal for as long as a task of it may run.
-func (n *cancellationNotices) latest(now time.Time, keep time.Duration) (told []*peer.Withdrawn) {
+// Recent is what there is to tell: a withdrawal for as long as a task of it may run.
+func (n *CancellationNotices) Recent(now time.Time, keep time.Duration) (told []*peer.Withdrawn) {
 	old := 0
 	for old < len(n.list) && now.Sub(n.list[old].at) > keep {
 		old++
@@ -69,8 +69,8 @@
 	return told
 }
 
-// since is when a job was withdrawn, at the earliest; zero: longer ago than is kept.
-func (n *cancellationNotices) since(job string) time.Time {
+// CancelledAt is when a job was withdrawn, at the earliest; zero: longer ago than is kept.
+func (n *CancellationNotices) CancelledAt(job string) time.Time {
 	for _, w := range n.list {
 		if w.job == job {
 			return w.at
@@ -79,12 +79,12 @@
 	return time.Time{}
 }
 
-// heardNotices takes in what another controller has seen committed. Such a record never
+// ApplyCancellationNotices takes in what another controller has seen committed. Such a record never
 // changes, so that it is as good as read, however late it comes.
-func (c *Controller) heardNotices(sum *peer.Summary, now time.Time) {
+func (c *Controller) ApplyCancellationNotices(sum *peer.Summary, now time.Time) {
 	for _, w := range sum.Withdrawn {
 		if protocol.ValidID(w.Job) {
-			c.setFinal(w.Job, protocol.StatusWithdrawn, now.Add(-time.Duration(w.AgeMs)*time.Millisecond))
+			c.SetFinal(w.Job, protocol.StatusWithdrawn, now.Add(-time.Duration(w.AgeMs)*time.Millisecond))
 		}
 	}
 }
--- a/internal/coordination/carry.go
+++ b/internal/coordination/carry.go
@@ -21,158 +21,158 @@
 )
 
 const (
-	carryPath = "/peer/carry"
-	relayPath = "/peer/relay"
+	DelegationPath = "/peer/carry"
+	ForwardPath    = "/peer/relay"
 
-	// carryEvery is how often a carrier asks to go on, carryGather for how long it
+	// renewInterval is how often a carrier asks to go on, carryGather for how long it
 	// gathers reports after one has come, carryWait how long it waits for the reply.
-	carryEvery  = 300 * time.Millisecond
-	carryGather = 50 * time.Millisecond
-	carryWait   = time.Second
-	// carryMessage is how many bytes of reports one message holds; more go in several.
-	carryMessage = peerBodyLeast * 3 / 4
+	renewInterval = 300 * time.Millisecond
+	gatherDelay   = 50 * time.Millisecond
+	renewTimeout  = time.Second
+	// renewalBytesLimit is how many bytes of reports one message holds; more go in several.
+	renewalBytesLimit = PeerBodyMin * 3 / 4
 
-	// carrySettle is how long a controller must have been heard before it is given shares.
-	carrySettle = 5 * time.Second
+	// delegateSettleTime is how long a controller must have been heard before it is given shares.
+	delegateSettleTime = 5 * time.Second
 
-	relayGather = 3 * time.Millisecond
-	// relayMost are the orders of one message, relayBytes their size; relayAnswers is
+	forwardGatherDelay = 3 * time.Millisecond
+	// forwardCommandsLimit are the orders of one message, relayBytes their size; relayAnswers is
 	// how long a carrier waits for the workers' answers to them.
-	relayMost    = 64
-	relayBytes   = peerBodyLeast / 2
-	relayAnswers = 400 * time.Millisecond
+	forwardCommandsLimit = 64
+	forwardBytesLimit    = PeerBodyMin / 2
+	forwardAnswerWait    = 400 * time.Millisecond
 
-	// sendAwayEvery is how long a worker that was sent to its carrier and came back is
+	// redirectInterval is how long a worker that was sent to its carrier and came back is
 	// served here, sendAwayAgain if it did not come through to the carrier at all.
-	sendAwayEvery = 3 * time.Second
-	sendAwayAgain = 30 * time.Second
+	redirectInterval      = 3 * time.Second
+	redirectRetryInterval = 30 * time.Second
 )
 
-// carrying is what this controller carries for owners of other parts, and what others
+// Proxy is what this controller carries for owners of other parts, and what others
 // carry for it. It belongs to the loop, but for the relays.
-type carrying struct {
+type Proxy struct {
 	c *Controller
-	// room is how many machines' connections the sockets hold: a report's and an order's each.
-	room int
-	// most bounds the reports of a part that wait for a reply, in bytes: at 322 MB it is
+	// Capacity is how many machines' connections the sockets hold: a report's and an order's each.
+	Capacity int
+	// unsentLimit bounds the reports of a part that wait for a reply, in bytes: at 322 MB it is
 	// 10 MiB, while 4,000 machines with 16 tasks each report some 7 MB at most.
-	most    int
-	errands []*errand // by part
-	// moved is when a share last went away or came back.
-	moved, steered time.Time
+	unsentLimit int
+	assignments []*assignment // by part
+	// movedAt is when a share last went away or came back.
+	movedAt, balancedAt time.Time
 	// moves are the last ones, for operators.
-	moves []overview.Move
-	times []time.Time // when each of them was
+	moves     []overview.Move
+	moveTimes []time.Time // when each of them was
 
 	mu     sync.Mutex
-	relays map[string][]*relayed // orders that wait, by carrier
+	queued map[string][]*forwardedCommand // orders that wait, by carrier
 }
 
-// errand is what a carrier does for a part's owner.
-type errand struct {
-	owner  string
-	claim  uint64
-	shares [shares.Count]bool
-	until  time.Time // end of the grant, by our clock
-	serial uint64
-	// reports that were answered and not yet told, the newest of each machine; size is
+// assignment is what a carrier does for a part's owner.
+type assignment struct {
+	leader       string
+	lease        uint64
+	shards       [shares.ShardCount]bool
+	grantedUntil time.Time // end of the grant, by our clock
+	serial       uint64
+	// unsent that were answered and not yet told, the newest of each machine; size is
 	// that of them and of those on their way.
-	reports map[string]answered
-	size    int
-	kick    chan struct{}
+	unsent      map[string]answeredHeartbeat
+	unsentBytes int
+	wakeup      chan struct{}
 }
 
-// answered is a report that was answered here, as it came.
-type answered struct {
-	raw               []byte
-	session, sequence uint64
+// answeredHeartbeat is a report that was answered here, as it came.
+type answeredHeartbeat struct {
+	raw             []byte
+	epoch, sequence uint64
 }
 
-// keep keeps a report to be told, unless a newer one of its machine is: reports may come late.
-func (e *errand) keep(machine string, a answered) {
-	if had, ok := e.reports[machine]; ok {
-		if had.session > a.session || had.session == a.session && had.sequence > a.sequence {
+// add keeps a report to be told, unless a newer one of its machine is: reports may come late.
+func (e *assignment) add(machine string, a answeredHeartbeat) {
+	if had, ok := e.unsent[machine]; ok {
+		if had.epoch > a.epoch || had.epoch == a.epoch && had.sequence > a.sequence {
 			return
 		}
-		e.size -= len(had.raw)
+		e.unsentBytes -= len(had.raw)
 	}
-	e.size += len(a.raw)
-	e.reports[machine] = a
+	e.unsentBytes += len(a.raw)
+	e.unsent[machine] = a
 }
 
-func (cy *carrying) init(c *Controller) {
-	limits := c.set.Params.MachineLimits
-	cy.c, cy.room, cy.relays = c, limits.Sockets/2, map[string][]*relayed{}
-	cy.most = carriedMost(limits)
-	for range c.parts {
-		cy.errands = append(cy.errands, &errand{reports: map[string]answered{}, kick: make(chan struct{}, 1)})
+func (cy *Proxy) init(c *Controller) {
+	limits := c.Settings.Params.MachineLimits
+	cy.c, cy.Capacity, cy.queued = c, limits.Sockets/2, map[string][]*forwardedCommand{}
+	cy.unsentLimit = unsentBytesLimit(limits)
+	for range c.Partitions {
+		cy.assignments = append(cy.assignments, &assignment{unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)})
 	}
 }
 
-// holds says whether the errand allows an answer to a machine of a part now.
-func (e *errand) holds(p *part, m *machine, now time.Time) bool {
-	return e.shares[m.share] && now.Before(e.until) && p.owner == e.owner && p.version == e.claim
+// allows says whether the errand allows an answer to a machine of a part now.
+func (e *assignment) allows(p *Partition, m *Machine, now time.Time) bool {
+	return e.shards[m.Shard] && now.Before(e.grantedUntil) && p.Leader == e.leader && p.LeaseRevision == e.lease
 }
 
-// answer answers a worker's report for the part's owner, if that has granted it. What
+// AnswerHeartbeat answers a worker's report for the part's owner, if that has granted it. What
 // is answered is told to the owner with the next request (37).
-func (cy *carrying) answer(m *machine, r *protocol.Report, raw []byte, now time.Time) (transport.Response, bool) {
+func (cy *Proxy) AnswerHeartbeat(m *Machine, r *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
 	c := cy.c
-	p, e := c.parts[m.rec.Part], cy.errands[m.rec.Part]
-	if c.leaving || p.mine || !e.holds(p, m, now) {
+	p, e := c.Partitions[m.Record.Partition], cy.assignments[m.Record.Partition]
+	if c.Draining || p.Held || !e.allows(p, m, now) {
 		return transport.Response{}, false
 	}
-	token := c.token(m)
+	token := c.Token(m)
 	if r.Token > token {
-		return refuse(503, "superseded", 1), true
+		return Refuse(503, "superseded", 1), true
 	}
-	if e.size+len(raw) > cy.most {
+	if e.unsentBytes+len(raw) > cy.unsentLimit {
 		c.boundMet(observe.CarriedReports, 1)
-		return refuse(503, "the owner of the machine is behind", 1), true
+		return Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
-		m.rec.Addr = r.Addr
+		m.Record.Addr = r.Addr
 	}
-	e.keep(m.name, answered{bytes.Clone(raw), r.Session, r.Sequence})
-	nudge(e.kick)
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.Orders{Token: token, Commands: c.stopsOfWithdrawn(r)})}, true
+	e.add(m.Name, answeredHeartbeat{bytes.Clone(raw), r.Epoch, r.Sequence})
+	Signal(e.wakeup)
+	return transport.Response{Status: 200, Body: protocol.Encode(protocol.Orders{Token: token, Commands: c.StopsOfCancelled(r)})}, true
 }
 
-// named says whether a part's owner wants this controller to carry something of it.
-func (cy *carrying) named(p *part, now time.Time) bool {
+// isDelegate says whether a part's owner wants this controller to carry something of it.
+func (cy *Proxy) isDelegate(p *Partition, now time.Time) bool {
 	c := cy.c
-	ps := c.peers[p.owner]
-	return !p.mine && ps != nil && ps.recent(now) && !c.leaving &&
-		slices.ContainsFunc(ps.told(p).GetCarried(), func(k *peer.Carried) bool { return k.By == c.set.Label })
+	ps := c.Peers[p.Leader]
+	return !p.Held && ps != nil && ps.Alive(now) && !c.Draining &&
+		slices.ContainsFunc(ps.PartitionSummary(p).GetCarried(), func(k *peer.Carried) bool { return k.By == c.Settings.Label })
 }
 
-// take removes reports to be told, as many as a message holds, and says how many bytes they
+// takeUnsent removes reports to be told, as many as a message holds, and says how many bytes they
 // have.
-func (e *errand) take() (told map[string]answered, size int) {
-	told = map[string]answered{}
-	for machine, a := range e.reports {
-		if len(told) > 0 && size+len(a.raw) > carryMessage {
+func (e *assignment) takeUnsent() (told map[string]answeredHeartbeat, size int) {
+	told = map[string]answeredHeartbeat{}
+	for machine, a := range e.unsent {
+		if len(told) > 0 && size+len(a.raw) > renewalBytesLimit {
 			break
 		}
 		told[machine] = a
 		size += len(a.raw)
-		delete(e.reports, machine)
+		delete(e.unsent, machine)
 	}
 	return told, size
 }
 
-// duty asks a part's owner again and again to go on, and tells it what came. It sleeps
+// RenewLoop asks a part's owner again and again to go on, and tells it what came. It sleeps
 // while nothing of the part is to be carried here.
-func (cy *carrying) duty(p *part) {
-	c, e := cy.c, cy.errands[p.index]
-	for engaged := false; ; engaged = cy.askAll(p, e) {
+func (cy *Proxy) RenewLoop(p *Partition) {
+	c, e := cy.c, cy.assignments[p.Index]
+	for engaged := false; ; engaged = cy.renewAll(p, e) {
 		var again <-chan time.Time
 		if engaged {
-			again = time.After(carryEvery)
+			again = time.After(renewInterval)
 		}
 		select {
-		case <-e.kick:
-			if !c.sleep(carryGather) {
+		case <-e.wakeup:
+			if !c.sleep(gatherDelay) {
 				return
 			}
 		case <-again:
@@ -182,52 +182,52 @@
 	}
 }
 
-// heard looks whether a controller wants something of its parts carried here.
-func (cy *carrying) heard(sum *peer.Summary) {
+// SummaryReceived looks whether a controller wants something of its parts carried here.
+func (cy *Proxy) SummaryReceived(sum *peer.Summary) {
 	for _, p := range sum.Parts {
 		for _, k := range p.Carried {
-			if k.By == cy.c.set.Label && int(p.Part) < len(cy.errands) {
-				nudge(cy.errands[p.Part].kick)
+			if k.By == cy.c.Settings.Label && int(p.Part) < len(cy.assignments) {
+				Signal(cy.assignments[p.Part].wakeup)
 			}
 		}
 	}
 }
 
-// askAll sends requests, one at a time, until all that was answered is told or one had no
+// renewAll sends requests, one at a time, until all that was answered is told or one had no
 // reply. It says whether there was anything to ask.
-func (cy *carrying) askAll(p *part, e *errand) bool {
-	asked, more := cy.ask(p, e)
+func (cy *Proxy) renewAll(p *Partition, e *assignment) bool {
+	asked, more := cy.renew(p, e)
 	for more && cy.c.ctx.Err() == nil {
-		_, more = cy.ask(p, e)
+		_, more = cy.renew(p, e)
 	}
 	return asked
 }
 
-// ask sends one request with what was answered since the last one that had a reply, as
+// renew sends one request with what was answered since the last one that had a reply, as
 // much as a message holds. It says whether there was anything to ask, and whether there is
 // more to tell.
-func (cy *carrying) ask(p *part, e *errand) (asked, more bool) {
+func (cy *Proxy) renew(p *Partition, e *assignment) (asked, more bool) {
 	c := cy.c
 	var req *peer.CarryRequest
-	var told map[string]answered
+	var told map[string]answeredHeartbeat
 	addr, size, left := "", 0, false
 	var begun time.Time
 	c.do(func() {
 		begun = time.Now()
-		if e.owner != p.owner || e.claim != p.version {
+		if e.leader != p.Leader || e.lease != p.LeaseRevision {
 			// Another owner: what was told to the one before is its successor's to find out.
-			e.owner, e.claim, e.serial, e.until, e.size = p.owner, p.version, 0, time.Time{}, 0
-			e.shares = [shares.Count]bool{}
-			clear(e.reports)
+			e.leader, e.lease, e.serial, e.grantedUntil, e.unsentBytes = p.Leader, p.LeaseRevision, 0, time.Time{}, 0
+			e.shards = [shares.ShardCount]bool{}
+			clear(e.unsent)
 		}
-		ps := c.peers[p.owner]
-		if ps == nil || !cy.named(p, begun) && len(e.reports) == 0 {
+		ps := c.Peers[p.Leader]
+		if ps == nil || !cy.isDelegate(p, begun) && len(e.unsent) == 0 {
 			return
 		}
-		addr = ps.addr
-		req = &peer.CarryRequest{From: c.set.Label, Nonce: c.nonce, Part: uint32(p.index), Claim: e.claim}
-		told, size = e.take()
-		if left = len(e.reports) > 0; !left {
+		addr = ps.Addr
+		req = &peer.CarryRequest{From: c.Settings.Label, Nonce: c.Nonce, Part: uint32(p.Index), Claim: e.lease}
+		told, size = e.takeUnsent()
+		if left = len(e.unsent) > 0; !left {
 			// Only with all of it does the request show that every answer up to the last
 			// reply is known (39).
 			req.After = e.serial
@@ -240,48 +240,48 @@
 		return false, false
 	}
 	reply := new(peer.CarryReply)
-	err := ask(c.ctx, c.net, carryWait, addr, carryPath, req, reply)
+	err := callPeer(c.ctx, c.network, renewTimeout, addr, DelegationPath, req, reply)
 	c.do(func() {
-		if e.owner != p.owner || e.claim != req.Claim {
+		if e.leader != p.Leader || e.lease != req.Claim {
 			return
 		}
-		e.size -= size
+		e.unsentBytes -= size
 		if err != nil {
-			c.log.Debug("not carried on", "part", p.index, "owner", e.owner, "reason", err)
+			c.log.Debug("not carried on", "part", p.Index, "owner", e.leader, "reason", err)
 			for name, a := range told { // to be told again
-				e.keep(name, a)
+				e.add(name, a)
 			}
 			return
 		}
 		more = left
-		e.serial, e.until = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
-		had := e.shares
-		e.shares = [shares.Count]bool{}
+		e.serial, e.grantedUntil = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
+		had := e.shards
+		e.shards = [shares.ShardCount]bool{}
 		for _, s := range reply.Shares {
-			if s < shares.Count {
-				e.shares[s] = true
+			if s < shares.ShardCount {
+				e.shards[s] = true
 			}
 		}
-		if had != e.shares {
-			c.log.Info("carrying shares of a part", "part", p.index, "owner", e.owner, "shares", reply.Shares)
+		if had != e.shards {
+			c.log.Info("carrying shares of a part", "part", p.Index, "owner", e.leader, "shares", reply.Shares)
 		}
 	})
 	return true, more
 }
 
-// asked answers a carrier: it takes in what came there and grants the carrier its shares.
-func (cy *carrying) asked(who *caller, body []byte) transport.Response {
+// HandleRenewal answers a carrier: it takes in what came there and grants the carrier its shares.
+func (cy *Proxy) HandleRenewal(who *Caller, body []byte) transport.Response {
 	c := cy.c
 	req := new(peer.CarryRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
-		return refuse(400, "bad request", 0)
+		return Refuse(400, "bad request", 0)
 	}
-	if refusal := c.speaksFor(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
+	if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
 	}
-	reports := make([]*protocol.Report, 0, len(req.Reports))
+	reports := make([]*protocol.Heartbeat, 0, len(req.Reports))
 	for _, raw := range req.Reports {
-		r := new(protocol.Report)
+		r := new(protocol.Heartbeat)
 		if err := protocol.Decode(raw, r); err == nil && r.Check() == nil {
 			reports = append(reports, r)
 		}
@@ -289,109 +289,109 @@
 	reply, ok := new(peer.CarryReply), false
 	c.do(func() {
 		now := time.Now()
-		if int(req.Part) >= len(c.parts) {
+		if int(req.Part) >= len(c.Partitions) {
 			return
 		}
-		p := c.parts[req.Part]
-		if ok = c.entitled(p, now) && p.ready && p.version == req.Claim && !c.leaving; !ok {
+		p := c.Partitions[req.Part]
+		if ok = c.MayAnswer(p, now) && p.Ready && p.LeaseRevision == req.Claim && !c.Draining; !ok {
 			return
 		}
 		for _, r := range reports {
-			cy.take(p, r, now)
+			cy.applyHeartbeat(p, r, now)
 		}
-		granted, d, serial := p.ledger.Asked(req.From, req.Nonce, req.After, c.answerBound()-now.Sub(c.informed()), now)
+		granted, d, serial := p.Delegations.Renew(req.From, req.Nonce, req.After, c.AnswerBound()-now.Sub(c.InformedAt()), now)
 		for _, s := range granted {
 			reply.Shares = append(reply.Shares, uint32(s))
 		}
 		reply.GrantMs, reply.Serial = uint32(d.Milliseconds()), serial
 	})
 	if !ok {
-		return refuse(409, "not the owner under this claim", 0)
+		return Refuse(409, "not the owner under this claim", 0)
 	}
-	return replyOf(reply)
+	return protoResponse(reply)
 }
 
-// take takes in a report that a carrier has answered.
-func (cy *carrying) take(p *part, r *protocol.Report, now time.Time) {
+// applyHeartbeat takes in a report that a carrier has answered.
+func (cy *Proxy) applyHeartbeat(p *Partition, r *protocol.Heartbeat, now time.Time) {
 	c := cy.c
-	m := c.machines[r.Machine]
-	if m == nil || m.rec.Part != p.index {
+	m := c.Machines[r.Machine]
+	if m == nil || m.Record.Partition != p.Index {
 		return
 	}
-	m.reports(r)
-	m.answeredBy = now // at the latest
-	if r.Token > c.token(m) || !m.newer(r) {
+	m.AcceptHeartbeat(r)
+	m.AnsweredUntil = now // at the latest
+	if r.Token > c.Token(m) || !m.IsNewer(r) {
 		return // late, or older than what came otherwise
 	}
 	if r.Addr != "" {
-		m.rec.Addr = r.Addr
+		m.Record.Addr = r.Addr
 	}
-	c.observe(m, r, now)
-	m.lastHeard, m.carriedAt = now, now
-	if m.fenced && m.awaits() {
-		c.sendOrders(m)
+	c.ApplyReport(m, r, now)
+	m.LastHeardAt, m.DelegateHeardAt = now, now
+	if m.Fenced && m.NeedsCommands() {
+		c.SendCommands(m)
 	}
 }
 
-// sendsAway names the carrier that a worker which came here should report to.
-func (cy *carrying) sendsAway(p *part, m *machine, now time.Time) string {
-	pause := sendAwayEvery
-	if !m.carriedAt.After(m.sentAway) {
-		pause = sendAwayAgain
+// RedirectTarget names the carrier that a worker which came here should report to.
+func (cy *Proxy) RedirectTarget(p *Partition, m *Machine, now time.Time) string {
+	pause := redirectInterval
+	if !m.DelegateHeardAt.After(m.RedirectedAt) {
+		pause = redirectRetryInterval
 	}
-	if !p.ready || !m.fenced || !m.sentAway.IsZero() && now.Sub(m.sentAway) < pause || !p.ledger.Active(m.share, now) {
+	if !p.Ready || !m.Fenced || !m.RedirectedAt.IsZero() && now.Sub(m.RedirectedAt) < pause || !p.Delegations.Active(m.Shard, now) {
 		return ""
 	}
-	m.sentAway = now
-	return p.ledger.By(m.share)
+	m.RedirectedAt = now
+	return p.Delegations.Delegate(m.Shard)
 }
 
-// load is how many machines keep their connections here.
-func (cy *carrying) load(now time.Time) shares.Load {
+// Load is how many machines keep their connections here.
+func (cy *Proxy) Load(now time.Time) shares.Load {
 	c := cy.c
-	l := shares.Load{Room: cy.room}
-	for _, m := range c.machines {
-		p, e := c.parts[m.rec.Part], cy.errands[m.rec.Part]
-		if p.mine && m.heard && !m.lost && p.ledger.By(m.share) == "" || !p.mine && e.holds(p, m, now) {
+	l := shares.Load{Capacity: cy.Capacity}
+	for _, m := range c.Machines {
+		p, e := c.Partitions[m.Record.Partition], cy.assignments[m.Record.Partition]
+		if p.Held && m.HasReported && !m.Lost && p.Delegations.Delegate(m.Shard) == "" || !p.Held && e.allows(p, m, now) {
 			l.Machines++
 		}
 	}
 	return l
 }
 
-// steer evens out who carries what of this controller's parts.
-func (cy *carrying) steer(now time.Time) {
-	if now.Sub(cy.steered) < shares.Pause {
+// Rebalance evens out who carries what of this controller's parts.
+func (cy *Proxy) Rebalance(now time.Time) {
+	if now.Sub(cy.balancedAt) < shares.MoveInterval {
 		return
 	}
-	cy.steered = now
+	cy.balancedAt = now
 	v := cy.view(now, nil)
-	v.Rested, v.RestedLong = now.Sub(cy.moved) >= shares.Pause, now.Sub(cy.moved) >= shares.Return
-	for _, mv := range shares.Plan(v) {
-		cy.move(mv, now)
+	v.MayMove, v.MayReturn = now.Sub(cy.movedAt) >= shares.MoveInterval, now.Sub(cy.movedAt) >= shares.ReturnInterval
+	for _, mv := range shares.PlanMoves(v) {
+		cy.reassign(mv, now)
 	}
 }
 
-// spread gives shares of a part that was just taken over away at once, as many as its
+// SpreadShards gives shares of a part that was just taken over away at once, as many as its
 // machines ask for: they must all be fenced and will all report, and an owner that is
 // alone with that may run out of sockets. Carriers of the owner before keep what they
 // have, so that its workers' connections stay.
-func (cy *carrying) spread(p *part, now time.Time) {
+func (cy *Proxy) SpreadShards(p *Partition, now time.Time) {
 	v := cy.view(now, p)
-	for _, k := range cy.c.peers[p.last].told(p).GetCarried() {
-		able := slices.ContainsFunc(v.Peers, func(peer shares.Peer) bool { return peer.Label == k.By && peer.Able && peer.Fit })
+	for _, k := range cy.c.Peers[p.FormerLeader].PartitionSummary(p).GetCarried() {
+		able := slices.ContainsFunc(v.Peers, func(peer shares.Peer) bool { return peer.Label == k.By && peer.Available && peer.Settled })
 		for _, s := range k.Shares {
-			if s < shares.Count && able && !v.Whole {
-				cy.move(shares.Move{Part: p.index, Share: int(s), To: k.By, Reason: "as under the owner before"}, now)
+			if s < shares.ShardCount && able && !v.Unsupported {
+				cy.reassign(shares.Move{Partition: p.Index, Shard: int(s), To: k.By, Reason: "as under the owner before"}, now)
 			}
 		}
 	}
 	v = cy.view(now, p) // what they have is in what they tell
-	v.Rested = true
-	for range shares.Count {
-		moves := shares.Plan(v)
+	v.MayMove = true
+	for range shares.ShardCount {
+		moves := shares.PlanMoves(v)
 		for _, mv := range moves {
-			cy.move(mv, now)
+			cy.reassign(mv, now)
 			v.Apply(mv)
 		}
 		if len(moves) == 0 {
@@ -400,98 +400,98 @@
 	}
 }
 
-// move lets a share change its carrier.
-func (cy *carrying) move(mv shares.Move, now time.Time) {
+// reassign lets a share change its carrier.
+func (cy *Proxy) reassign(mv shares.Move, now time.Time) {
 	c := cy.c
-	p := c.parts[mv.Part]
-	from := p.ledger.By(mv.Share)
-	c.log.Info("a share changes its carrier", "part", mv.Part, "share", mv.Share, "from", from, "to", mv.To, "reason", mv.Reason)
+	p := c.Partitions[mv.Partition]
+	from := p.Delegations.Delegate(mv.Shard)
+	c.log.Info("a share changes its carrier", "part", mv.Partition, "share", mv.Shard, "from", from, "to", mv.To, "reason", mv.Reason)
 	c.metrics.Count(observe.ShareMoved, 1)
-	cy.note(overview.Move{Part: mv.Part, Share: mv.Share, From: from, To: mv.To, Reason: mv.Reason}, now)
-	p.ledger.Assign(mv.Share, mv.To)
-	cy.moved = now
+	cy.recordMove(overview.Move{Part: mv.Partition, Share: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
+	p.Delegations.Assign(mv.Shard, mv.To)
+	cy.movedAt = now
 }
 
 // view is what a plan is made of. All machines of a part that is just taken over count,
 // though none of them was heard yet.
-func (cy *carrying) view(now time.Time, taken *part) shares.View {
+func (cy *Proxy) view(now time.Time, taken *Partition) shares.View {
 	c := cy.c
-	v := shares.View{Own: cy.load(now)}
-	for _, label := range c.labels {
-		ps := c.peers[label]
-		if ps == nil || ps.summary == nil {
+	v := shares.View{Own: cy.Load(now)}
+	for _, label := range c.Labels {
+		ps := c.Peers[label]
+		if ps == nil || ps.Summary == nil {
 			continue
 		}
-		sum := ps.summary
-		if ps.recent(now) && sum.Room == 0 {
-			v.Whole = true
+		sum := ps.Summary
+		if ps.Alive(now) && sum.Room == 0 {
+			v.Unsupported = true
 		}
-		v.Peers = append(v.Peers, shares.Peer{Label: label, Load: shares.Load{Machines: int(sum.Connected), Room: int(sum.Room)},
-			Able: ps.recent(now) && sum.Room > 0 && !sum.Leaving,
-			Fit:  now.Sub(ps.since) >= carrySettle && sum.StateSilenceS < 3})
+		v.Peers = append(v.Peers, shares.Peer{Label: label, Load: shares.Load{Machines: int(sum.Connected), Capacity: int(sum.Room)},
+			Available: ps.Alive(now) && sum.Room > 0 && !sum.Leaving,
+			Settled:   now.Sub(ps.HeardSince) >= delegateSettleTime && sum.StateSilenceS < 3})
 	}
-	counts := make(map[*part]*[shares.Count]int)
-	for _, m := range c.machines {
-		p := c.parts[m.rec.Part]
-		if p != taken && (!p.mine || !p.ready || !m.heard || m.lost) {
+	counts := make(map[*Partition]*[shares.ShardCount]int)
+	for _, m := range c.Machines {
+		p := c.Partitions[m.Record.Partition]
+		if p != taken && (!p.Held || !p.Ready || !m.HasReported || m.Lost) {
 			continue
 		}
 		if counts[p] == nil {
-			counts[p] = new([shares.Count]int)
+			counts[p] = new([shares.ShardCount]int)
 		}
-		counts[p][m.share]++
-		if p == taken && p.ledger.By(m.share) == "" {
+		counts[p][m.Shard]++
+		if p == taken && p.Delegations.Delegate(m.Shard) == "" {
 			v.Own.Machines++
 		}
 	}
-	for _, p := range c.parts {
+	for _, p := range c.Partitions {
 		if n := counts[p]; n != nil {
-			for s := range shares.Count {
-				v.Held = append(v.Held, shares.Held{Part: p.index, Share: s, Machines: n[s], By: p.ledger.By(s)})
+			for s := range shares.ShardCount {
+				v.Shards = append(v.Shards, shares.Shard{Partition: p.Index, Index: s, Machines: n[s], Delegate: p.Delegations.Delegate(s)})
 			}
 		}
 	}
 	return v
 }
 
-// movesMost is how many moves are kept for operators.
-const movesMost = 16
+// recentMovesLimit is how many moves are kept for operators.
+const recentMovesLimit = 16
 
-func (cy *carrying) note(mv overview.Move, now time.Time) {
-	cy.moves, cy.times = append(cy.moves, mv), append(cy.times, now)
-	if n := len(cy.moves) - movesMost; n > 0 {
-		cy.moves, cy.times = slices.Delete(cy.moves, 0, n), slices.Delete(cy.times, 0, n)
+func (cy *Proxy) recordMove(mv overview.Move, now time.Time) {
+	cy.moves, cy.moveTimes = append(cy.moves, mv), append(cy.moveTimes, now)
+	if n := len(cy.moves) - recentMovesLimit; n > 0 {
+		cy.moves, cy.moveTimes = slices.Delete(cy.moves, 0, n), slices.Delete(cy.moveTimes, 0, n)
 	}
 }
 
-// told is the last moves with how long ago they were.
-func (cy *carrying) told(now time.Time) []overview.Move {
+// RecentMoves is the last moves with how long ago they were.
+func (cy *Proxy) RecentMoves(now time.Time) []overview.Move {
 	list := slices.Clone(cy.moves)
 	for i := range list {
-		list[i].AgoS = now.Sub(cy.times[i]).Seconds()
+		list[i].AgoS = now.Sub(cy.moveTimes[i]).Seconds()
 	}
 	return list
 }
 
-// overview says who carries what of a part.
-func (cy *carrying) overview(p *part, now time.Time) (list []overview.Carried) {
+// Overview says who carries what of a part.
+func (cy *Proxy) Overview(p *Partition, now time.Time) (list []overview.Carried) {
 	machines := map[string]int{}
-	for _, m := range cy.c.machines {
-		if m.rec.Part == p.index && m.heard && !m.lost {
-			machines[p.ledger.By(m.share)]++
+	for _, m := range cy.c.Machines {
+		if m.Record.Partition == p.Index && m.HasReported && !m.Lost {
+			machines[p.Delegations.Delegate(m.Shard)]++
 		}
 	}
-	for _, k := range p.carried(cy.c.labels) {
-		active := slices.ContainsFunc(k.Shares, func(s uint32) bool { return p.ledger.Active(int(s), now) })
+	for _, k := range p.DelegationSummary(cy.c.Labels) {
+		active := slices.ContainsFunc(k.Shares, func(s uint32) bool { return p.Delegations.Active(int(s), now) })
 		list = append(list, overview.Carried{By: k.By, Shares: len(k.Shares), Machines: machines[k.By], Active: active})
 	}
 	return list
 }
 
-// carried lists a part's carriers, as others are told of them.
-func (p *part) carried(labels []string) (list []*peer.Carried) {
+// DelegationSummary lists a part's carriers, as others are told of them.
+func (p *Partition) DelegationSummary(labels []string) (list []*peer.Carried) {
 	for _, label := range labels {
-		if held := p.ledger.Shares(label); len(held) > 0 {
+		if held := p.Delegations.ShardsOf(label); len(held) > 0 {
 			k := &peer.Carried{By: label}
 			for _, s := range held {
 				k.Shares = append(k.Shares, uint32(s))
@@ -502,21 +502,21 @@
 	return list
 }
 
-// relayed is orders that go to a worker by way of its carrier.
-type relayed struct {
+// forwardedCommand is orders that go to a worker by way of its carrier.
+type forwardedCommand struct {
 	peer.Relayed
 	done chan *peer.RelayAnswer
 }
 
-var errUnanswered = errors.New("the carrier had no answer of the worker")
+var errDelegateUnanswered = errors.New("the carrier had no answer of the worker")
 
-// send passes a machine's orders on by way of its carrier. An error that wraps
+// ForwardCommands passes a machine's orders on by way of its carrier. An error that wraps
 // transport.ErrNotSent proves that they can never arrive.
-func (cy *carrying) send(via, machine string, body []byte) (*transport.Response, error) {
-	it := &relayed{Relayed: peer.Relayed{Machine: machine, Body: body}, done: make(chan *peer.RelayAnswer, 1)}
+func (cy *Proxy) ForwardCommands(via, machine string, body []byte) (*transport.Response, error) {
+	it := &forwardedCommand{Relayed: peer.Relayed{Machine: machine, Body: body}, done: make(chan *peer.RelayAnswer, 1)}
 	cy.mu.Lock()
-	first := len(cy.relays[via]) == 0
-	cy.relays[via] = append(cy.relays[via], it)
+	first := len(cy.queued[via]) == 0
+	cy.queued[via] = append(cy.queued[via], it)
 	cy.mu.Unlock()
 	if first {
 		cy.c.duty.Go(func() { cy.flush(via) })
@@ -526,45 +526,45 @@
 	case a.Unsent:
 		return nil, fmt.Errorf("%w: by way of %s", transport.ErrNotSent, via)
 	case a.Status == 0:
-		return nil, fmt.Errorf("%w, by way of %s", errUnanswered, via)
+		return nil, fmt.Errorf("%w, by way of %s", errDelegateUnanswered, via)
 	}
 	return &transport.Response{Status: int(a.Status), Body: a.Body}, nil
 }
 
 // flush sends what was gathered for a carrier, as much as a message holds at a time.
-func (cy *carrying) flush(via string) {
+func (cy *Proxy) flush(via string) {
 	c := cy.c
-	c.sleep(relayGather)
+	c.sleep(forwardGatherDelay)
 	cy.mu.Lock()
-	batch := cy.relays[via]
-	delete(cy.relays, via)
+	batch := cy.queued[via]
+	delete(cy.queued, via)
 	cy.mu.Unlock()
 	for len(batch) > 0 {
 		n, size := 0, 0
-		req := &peer.RelayRequest{From: c.set.Label}
-		for n < len(batch) && n < relayMost && (n == 0 || size+len(batch[n].Body) <= relayBytes) {
+		req := &peer.RelayRequest{From: c.Settings.Label}
+		for n < len(batch) && n < forwardCommandsLimit && (n == 0 || size+len(batch[n].Body) <= forwardBytesLimit) {
 			size += len(batch[n].Body)
 			req.Orders = append(req.Orders, &peer.Relayed{Machine: batch[n].Machine, Body: batch[n].Body})
 			n++
 		}
 		lot := batch[:n]
 		batch = batch[n:]
-		c.duty.Go(func() { cy.pass(via, req, lot) })
+		c.duty.Go(func() { cy.forward(via, req, lot) })
 	}
 }
 
-func (cy *carrying) pass(via string, req *peer.RelayRequest, lot []*relayed) {
+func (cy *Proxy) forward(via string, req *peer.RelayRequest, lot []*forwardedCommand) {
 	c := cy.c
 	reply := new(peer.RelayReply)
-	err := ask(c.ctx, c.net, carryWait, c.peers[via].addr, relayPath, req, reply)
+	err := callPeer(c.ctx, c.network, renewTimeout, c.Peers[via].Addr, ForwardPath, req, reply)
 	if err == nil && len(reply.Answers) != len(lot) {
 		err = fmt.Errorf("%d answers to %d orders", len(reply.Answers), len(lot))
 	}
 	if err != nil {
 		c.log.Debug("orders not relayed", "by", via, "reason", err)
 		c.do(func() {
-			for _, p := range c.parts {
-				p.ledger.Down(via, time.Now())
+			for _, p := range c.Partitions {
+				p.Delegations.MarkDown(via, time.Now())
 			}
 		})
 	}
@@ -577,26 +577,26 @@
 	}
 }
 
-// relayed passes orders on to workers and answers with what they answered within a
+// HandleForwarded passes orders on to workers and answers with what they answered within a
 // moment. It decides nothing: workers obey or refuse orders by their token.
-func (cy *carrying) relayed(who *caller, body []byte) transport.Response {
+func (cy *Proxy) HandleForwarded(who *Caller, body []byte) transport.Response {
 	c := cy.c
 	req := new(peer.RelayRequest)
-	if err := proto.Unmarshal(body, req); err != nil || len(req.Orders) > relayMost {
-		return refuse(400, "bad request", 0)
+	if err := proto.Unmarshal(body, req); err != nil || len(req.Orders) > forwardCommandsLimit {
+		return Refuse(400, "bad request", 0)
 	}
-	if refusal := c.speaksFor(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
+	if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
 	}
 	addrs := make([]string, len(req.Orders))
 	if !c.do(func() {
 		for i, o := range req.Orders {
-			if m := c.machines[o.Machine]; m != nil {
-				addrs[i] = m.rec.Addr
+			if m := c.Machines[o.Machine]; m != nil {
+				addrs[i] = m.Record.Addr
 			}
 		}
 	}) {
-		return refuse(503, "stopping", 1)
+		return Refuse(503, "stopping", 1)
 	}
 	type numbered struct {
 		i int
@@ -612,10 +612,10 @@
 		}
 		waiting++
 		go func() {
-			ctx, cancel := context.WithTimeout(c.ctx, orderWait)
+			ctx, cancel := context.WithTimeout(c.ctx, CommandTimeout)
 			defer cancel()
 			a := &peer.RelayAnswer{}
-			resp, err := c.net.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
+			resp, err := c.network.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
 			if err == nil {
 				a.Status, a.Body = uint32(resp.Status), resp.Body
 			} else {
@@ -624,15 +624,15 @@
 			answers <- numbered{i, a}
 		}()
 	}
-	t := time.NewTimer(relayAnswers)
+	t := time.NewTimer(forwardAnswerWait)
 	defer t.Stop()
 	for ; waiting > 0; waiting-- {
 		select {
 		case n := <-answers:
 			reply.Answers[n.i] = n.a
 		case <-t.C:
-			return replyOf(reply) // the others may still arrive: not answered
+			return protoResponse(reply) // the others may still arrive: not answered
 		}
 	}
-	return replyOf(reply)
+	return protoResponse(reply)
 }
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -38,7 +38,7 @@
 		s.DeadlineS = 0
 		w.submit(s)
 	}
-	w.in("n0", func(c *Controller) { part = c.teamPart[c.teamIndex["green"]] })
+	w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
 	time.Sleep(45 * time.Second)
 	return part
 }
@@ -47,7 +47,7 @@
 func (w *world) spread() map[string]int {
 	n := map[string]int{}
 	for _, l := range []string{"n0", "n1", "n2"} {
-		w.in(l, func(c *Controller) { n[l] = c.carrying.load(time.Now()).Machines })
+		w.in(l, func(c *Controller) { n[l] = c.proxy.Load(time.Now()).Machines })
 	}
 	return n
 }
@@ -81,7 +81,7 @@
 		w.asked = func(from, host, target string, body []byte) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if target == relayPath {
+			if target == ForwardPath {
 				relayed[from]++
 			} else if target == "/orders" {
 				direct++
@@ -106,7 +106,7 @@
 			t.Errorf("workers report to %v, shares are spread as %v", homes, n)
 		}
 		w.in(owner, func(c *Controller) {
-			v := c.overview(time.Now())
+			v := c.stateOverview(time.Now())
 			carried, moves := 0, len(v.Moves)
 			for _, p := range v.Parts {
 				for _, k := range p.Carried {
@@ -228,10 +228,10 @@
 					t.Fatalf("nothing is carried: %v", w.spread())
 				}
 				var claim uint64
-				w.in(owner, func(c *Controller) { claim = c.parts[part].version })
+				w.in(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
 				f.do(w, owner, carrier)
 				w.in(owner, func(c *Controller) {
-					if f.stays && c.parts[part].version != claim {
+					if f.stays && c.Partitions[part].LeaseRevision != claim {
 						t.Error("a living owner lost its part")
 					}
 				})
@@ -284,7 +284,7 @@
 				}
 				gone := false
 				for begun := time.Now(); !gone && time.Since(begun) < time.Minute; time.Sleep(50 * time.Millisecond) {
-					w.in(owner, func(c *Controller) { gone = c.machines[name] == nil || c.machines[name].lost })
+					w.in(owner, func(c *Controller) { gone = c.Machines[name] == nil || c.Machines[name].Lost })
 				}
 				if took := time.Since(from); took <= lease || took > lease+7*time.Second {
 					t.Errorf("counts as lost %s after its lease began, which is %s", took, lease)
@@ -312,20 +312,20 @@
 		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
 			req := &peer.CarryRequest{From: carrier, Nonce: "x", Part: uint32(part), Reports: reports}
 			ctl.do(func() {
-				req.Claim = ctl.parts[part].version
-				ctl.renewed = time.Now().Add(-ago)
+				req.Claim = ctl.Partitions[part].LeaseRevision
+				ctl.LeaseRenewedAt = time.Now().Add(-ago)
 			})
 			body, err := proto.Marshal(req)
 			must(err)
-			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: carryPath, Body: body})
+			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: DelegationPath, Body: body})
 			reply := new(peer.CarryReply)
 			if resp.Status == 200 {
 				must(proto.Unmarshal(resp.Body, reply))
 			}
 			return resp.Status, time.Duration(reply.GrantMs) * time.Millisecond
 		}
-		bound := ctl.answerBound()
-		if status, d := ask(0); status != 200 || d != shares.GrantFor {
+		bound := ctl.AnswerBound()
+		if status, d := ask(0); status != 200 || d != shares.GrantDuration {
 			t.Errorf("%d, %s", status, d)
 		}
 		if status, d := ask(bound - time.Second); status != 200 || d > time.Second || d < 900*time.Millisecond {
@@ -346,9 +346,9 @@
 		time.Sleep(3 * time.Second)
 		ask(0, raw)
 		ctl.do(func() {
-			m := ctl.machines[name]
-			if heard := time.Since(m.lastHeard); heard < 3*time.Second || time.Since(m.answeredBy) > 0 {
-				t.Errorf("heard %s ago, answered %s ago", heard, time.Since(m.answeredBy))
+			m := ctl.Machines[name]
+			if heard := time.Since(m.LastHeardAt); heard < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
+				t.Errorf("heard %s ago, answered %s ago", heard, time.Since(m.AnsweredUntil))
 			}
 		})
 		w.each(func(wk *worker.Worker) { wk.Hung = false })
@@ -374,7 +374,7 @@
 					direct[from] = map[string]bool{}
 				}
 				direct[from][host] = true
-			case relayPath:
+			case ForwardPath:
 				req := new(peer.RelayRequest)
 				must(proto.Unmarshal(body, req))
 				relayed += len(req.Orders)
@@ -390,16 +390,16 @@
 		time.Sleep(100 * time.Millisecond)
 		machines, fenced, carried := 0, 0, 0
 		w.in(heir, func(c *Controller) {
-			for _, m := range c.machines {
-				if m.rec.Part == part {
+			for _, m := range c.Machines {
+				if m.Record.Partition == part {
 					machines++
-					if m.fenced {
+					if m.Fenced {
 						fenced++
 					}
 				}
 			}
-			for _, l := range c.labels {
-				carried += len(c.parts[part].ledger.Shares(l))
+			for _, l := range c.Labels {
+				carried += len(c.Partitions[part].Delegations.ShardsOf(l))
 			}
 		})
 		w.mu.Lock()
@@ -429,15 +429,15 @@
 		moves := 0
 		for round := range 50 {
 			w.in(owner, func(c *Controller) {
-				p := c.parts[part]
+				p := c.Partitions[part]
 				to := others[round%2]
 				for s := range 16 {
 					if s%4 == round%4 {
-						p.ledger.Assign(s, to)
+						p.Delegations.Assign(s, to)
 						moves++
 					}
 				}
-				c.carrying.moved = time.Now()
+				c.proxy.movedAt = time.Now()
 			})
 			time.Sleep(1500 * time.Millisecond)
 			switch round % 10 {
@@ -470,8 +470,8 @@
 		owner := w.owns(part)
 		carried := func() (shares []int) {
 			w.in(owner, func(c *Controller) {
-				for _, l := range c.labels {
-					shares = append(shares, c.parts[part].ledger.Shares(l)...)
+				for _, l := range c.Labels {
+					shares = append(shares, c.Partitions[part].Delegations.ShardsOf(l)...)
 				}
 			})
 			return shares
@@ -519,7 +519,7 @@
 		part := w.flock(2)
 		owner := w.owns(part)
 		var claim uint64
-		w.in(owner, func(c *Controller) { claim = c.parts[part].version })
+		w.in(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
 		w.mu.Lock()
 		ctl := w.nodes[owner].ctl
 		w.mu.Unlock()
@@ -529,13 +529,13 @@
 		carry := func(r *peer.CarryRequest) int {
 			body, err := proto.Marshal(r)
 			must(err)
-			return post(carryPath, body)
+			return post(DelegationPath, body)
 		}
 		for what, got := range map[string]int{
 			"another claim":   carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: uint32(part), Claim: claim - 1}) - 409,
 			"no such part":    carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: 99, Claim: claim}) - 409,
-			"no message":      post(carryPath, []byte{1, 2, 3}) - 400,
-			"no orders":       post(relayPath, []byte{1, 2, 3}) - 400,
+			"no message":      post(DelegationPath, []byte{1, 2, 3}) - 400,
+			"no orders":       post(ForwardPath, []byte{1, 2, 3}) - 400,
 			"reports of none": carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: uint32(part), Claim: claim, Reports: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
@@ -543,17 +543,17 @@
 			}
 		}
 		many := &peer.RelayRequest{From: "n1"}
-		for range relayMost + 1 {
+		for range forwardCommandsLimit + 1 {
 			many.Orders = append(many.Orders, &peer.Relayed{Machine: "m-000001"})
 		}
 		body, err := proto.Marshal(many)
 		must(err)
-		if got := post(relayPath, body); got != 400 {
+		if got := post(ForwardPath, body); got != 400 {
 			t.Errorf("too many orders: %d", got)
 		}
 		body, err = proto.Marshal(&peer.RelayRequest{From: "n1", Orders: []*peer.Relayed{{Machine: "unheard of"}}})
 		must(err)
-		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: relayPath, Body: body})
+		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: ForwardPath, Body: body})
 		reply := new(peer.RelayReply)
 		must(proto.Unmarshal(resp.Body, reply))
 		if len(reply.Answers) != 1 || !reply.Answers[0].Unsent {
@@ -580,7 +580,7 @@
 				w.asked = func(_, _, target string, _ []byte) bool {
 					w.mu.Lock()
 					defer w.mu.Unlock()
-					if target == carryPath {
+					if target == DelegationPath {
 						asked++
 					}
 					return false
@@ -603,26 +603,26 @@
 		c, end := unrun(t)
 		defer end()
 		claim := func(version uint64, label, nonce string) {
-			c.applyEvent(protocol.Event{Put: bookkeeping.ClaimKey(0), Value: bookkeeping.Encode(bookkeeping.Claim{Owner: label, Nonce: nonce}), Version: version})
+			c.applyEvent(protocol.Event{Put: bookkeeping.LeaseKey(0), Value: bookkeeping.Encode(bookkeeping.Lease{Holder: label, Nonce: nonce}), Version: version})
 		}
 		c.applyListing(nil, 1)
 		claim(3, "n1", "x")
-		c.machineRecorded("m-1", bookkeeping.Machine{Part: 0, Type: "small"}, 2, time.Now())
-		e, share := c.carrying.errands[0], c.machines["m-1"].share
+		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: 0, Type: "small"}, 2, time.Now())
+		e, share := c.proxy.assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
-			e.owner, e.claim, e.until = c.parts[0].owner, c.parts[0].version, time.Now().Add(time.Second)
-			e.shares[share], e.size = true, 0
-			clear(e.reports)
+			e.leader, e.lease, e.grantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
+			e.shards[share], e.unsentBytes = true, 0
+			clear(e.unsent)
 		}
-		report := &protocol.Report{Machine: "m-1", Session: 1, Sequence: 1}
+		report := &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}
 		answers := func(what string, want int, token uint64) {
 			t.Helper()
-			resp := c.handleReport(report, []byte("body"))
+			resp := c.HandleHeartbeat(report, []byte("body"))
 			var o protocol.Orders
 			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
 				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", what, resp.Status, o.Token, len(o.Commands), want, token)
 			}
-			if kept := string(e.reports["m-1"].raw) == "body"; kept != (want == 200) {
+			if kept := string(e.unsent["m-1"].raw) == "body"; kept != (want == 200) {
 				t.Errorf("%s: answered %d, to be told %v", what, resp.Status, kept)
 			}
 		}
@@ -631,14 +631,14 @@
 		answers("granted", 200, 3)
 		late := *report
 		report.Sequence = 9
-		c.handleReport(&late, []byte("late"))
+		c.HandleHeartbeat(&late, []byte("late"))
 		answers("a newer report", 200, 3)
 		late.Sequence = 8
-		if c.handleReport(&late, []byte("late")); string(e.reports["m-1"].raw) != "body" || e.size != 4 {
-			t.Errorf("%q, %d bytes to be told", e.reports["m-1"].raw, e.size)
+		if c.HandleHeartbeat(&late, []byte("late")); string(e.unsent["m-1"].raw) != "body" || e.unsentBytes != 4 {
+			t.Errorf("%q, %d bytes to be told", e.unsent["m-1"].raw, e.unsentBytes)
 		}
 		grant()
-		e.shares[share], e.shares[(share+1)%shares.Count] = false, true
+		e.shards[share], e.shards[(share+1)%shares.ShardCount] = false, true
 		answers("another share", 421, 0)
 		grant()
 		time.Sleep(time.Second)
@@ -648,7 +648,7 @@
 		answers("the worker has seen a newer owner", 503, 0)
 		report.Token = 0
 		grant()
-		e.size = c.carrying.most
+		e.unsentBytes = c.proxy.unsentLimit
 		answers("too much is to be told", 503, 0)
 		grant()
 		claim(5, "n2", "y")
@@ -659,13 +659,13 @@
 		claim(6, "n2", "y")
 		answers("the same owner under another claim", 421, 0)
 		grant()
-		c.leaving = true
+		c.Draining = true
 		answers("about to end", 421, 0)
-		c.leaving = false
+		c.Draining = false
 		grant()
-		claim(7, "n0", c.nonce)
-		if resp := c.handleReport(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.reports) > 0 {
-			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.reports))
+		claim(7, "n0", c.Nonce)
+		if resp := c.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.unsent) > 0 {
+			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.unsent))
 		}
 	})
 }
@@ -683,13 +683,13 @@
 		w.answered = func(from, _, target string, body []byte, _ *transport.Response) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if from != carrier || target != carryPath || again != nil {
+			if from != carrier || target != DelegationPath || again != nil {
 				return false
 			}
 			req, told := new(peer.CarryRequest), map[string]bool{}
 			must(proto.Unmarshal(body, req))
 			for _, raw := range req.Reports {
-				r := new(protocol.Report)
+				r := new(protocol.Heartbeat)
 				must(protocol.Decode(raw, r))
 				told[r.Machine] = true
 			}
@@ -733,31 +733,31 @@
 		p, m := c.owning(5)
 		time.Sleep(time.Minute) // its boot
 		now := time.Now()
-		c.fresh, c.renewed = now, now
-		p.ledger.Assign(m.share, "n1")
+		c.RecordsAsOf, c.LeaseRenewedAt = now, now
+		p.Delegations.Assign(m.Shard, "n1")
 		// The carrier asks again and again, so that all that it answered is known.
 		for serial := range uint64(3) {
-			p.ledger.Asked("n1", "x", serial, time.Minute, now.Add(-time.Second))
+			p.Delegations.Renew("n1", "x", serial, time.Minute, now.Add(-time.Second))
 		}
-		p.ledger.Asked("n1", "x", 3, time.Minute, now)
-		report := &protocol.Report{Machine: "m-1", Addr: "m-1:1", Session: 1, Sequence: 1, Token: 5}
-		if resp := c.handleReport(report, protocol.Encode(report)); resp.Status != 421 {
+		p.Delegations.Renew("n1", "x", 3, time.Minute, now)
+		report := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 1, Token: 5}
+		if resp := c.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
 			t.Fatalf("status %d: not sent to its carrier", resp.Status)
 		}
-		j := &job{spec: spec("job-1", 1, "red")}
-		j.own()
-		c.jobs["job-1"] = j
-		a := &attempt{job: j, number: 1, machine: m, session: 1, state: attemptCommitted}
-		j.live[0], j.queue = a, nil
-		m.attempts[attemptKey(a.wire(), 1)] = a
-		for _, wait := range []time.Duration{tickEvery, time.Duration(float64(c.leaseS) * drift)} {
+		j := &Job{Spec: spec("job-1", 1, "red")}
+		j.Load()
+		c.Jobs["job-1"] = j
+		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted}
+		j.LiveAttempts[0], j.Pending = a, nil
+		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+		for _, wait := range []time.Duration{tickInterval, time.Duration(float64(c.AgentLease) * ClockDrift)} {
 			time.Sleep(wait)
-			if c.checkMachines(time.Now()); m.lost || len(j.live) == 0 {
+			if c.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
 				t.Fatalf("lost %s into its first lease", time.Since(now))
 			}
 		}
-		time.Sleep(2*margin + shares.GrantFor)
-		if c.checkMachines(time.Now()); !m.lost || len(j.live) != 0 {
+		time.Sleep(2*ClockMargin + shares.GrantDuration)
+		if c.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("not lost after its first lease")
 		}
 	})
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -11,47 +11,47 @@
 	"micaspindle/internal/protocol"
 )
 
-// answerBound is for how long a controller goes on answering its workers after the
+// AnswerBound is for how long a controller goes on answering its workers after the
 // last moment up to which it was informed, so that their tasks survive an outage of the
 // state service, yet one that is withdrawn elsewhere is gone within cancel_s (12, 42).
-func (c *Controller) answerBound() time.Duration {
-	return max(0, c.cancelS-c.leaseS-2*margin)
+func (c *Controller) AnswerBound() time.Duration {
+	return max(0, c.CancelBound-c.AgentLease-2*ClockMargin)
 }
 
-// informed is the moment up to which this controller provably knows every withdrawal
+// InformedAt is the moment up to which this controller provably knows every withdrawal
 // that any user was told of, and held its claims. A renewal alone does not show the
 // first: it may come through while the watch brings nothing (42).
-func (c *Controller) informed() time.Time {
-	if c.fresh.Before(c.renewed) {
-		return c.fresh
+func (c *Controller) InformedAt() time.Time {
+	if c.RecordsAsOf.Before(c.LeaseRenewedAt) {
+		return c.RecordsAsOf
 	}
-	return c.renewed
+	return c.LeaseRenewedAt
 }
 
-// entitled says whether the controller may answer the workers of a part.
-func (c *Controller) entitled(p *part, now time.Time) bool {
-	return p.mine && now.Sub(c.informed()) < c.answerBound()
+// MayAnswer says whether the controller may answer the workers of a part.
+func (c *Controller) MayAnswer(p *Partition, now time.Time) bool {
+	return p.Held && now.Sub(c.InformedAt()) < c.AnswerBound()
 }
 
-// claimEvery is how often a controller looks whether there is something to
+// acquireInterval is how often a controller looks whether there is something to
 // claim, so that an orphan waits for its pause and not for a renewal.
-const claimEvery = 250 * time.Millisecond
+const acquireInterval = 250 * time.Millisecond
 
-// renewDuty keeps the lease that all claims of this process hang on, and
+// RenewLoop keeps the lease that all claims of this process hang on, and
 // claims what it should.
-func (c *Controller) renewDuty() {
+func (c *Controller) RenewLoop() {
 	var next time.Time
 	for {
 		if now := time.Now(); !now.Before(next) {
-			next = now.Add(c.op.ClaimTTL / 3)
+			next = now.Add(c.Operator.ClaimTTL / 3)
 			if !c.renew() {
 				next = now // a refused renewal costs the claims if a third of their time goes by each time
 			}
 		}
-		c.claimWishes()
+		c.acquireWanted()
 		select {
-		case <-time.After(claimEvery):
-		case <-c.claimKick:
+		case <-time.After(acquireInterval):
+		case <-c.LeaseWakeup:
 		case <-c.ctx.Done():
 			return
 		}
@@ -61,15 +61,15 @@
 // renew says whether the state service took the request; if not, it is repeated soon.
 func (c *Controller) renew() bool {
 	var lease uint64
-	if !c.do(func() { lease = c.lease }) {
+	if !c.do(func() { lease = c.LeaseID }) {
 		return true
 	}
 	sent := time.Now()
 	var err error
 	if lease == 0 {
-		lease, err = c.store.Grant(c.ctx, c.op.ClaimTTL)
+		lease, err = c.store.GrantLease(c.ctx, c.Operator.ClaimTTL)
 	} else {
-		err = c.store.Touch(c.ctx, lease, time.Second)
+		err = c.store.RenewLease(c.ctx, lease, time.Second)
 	}
 	c.do(func() {
 		switch {
@@ -78,14 +78,14 @@
 		case err != nil:
 			c.log.Debug("renewal failed", "reason", err)
 		default:
-			c.lease, c.renewed = lease, sent
+			c.LeaseID, c.LeaseRenewedAt = lease, sent
 		}
 	})
 	return !errors.Is(err, bookkeeping.ErrRefused)
 }
 
-// claimWishes claims what this controller wants, while its lease is alive.
-func (c *Controller) claimWishes() {
+// acquireWanted claims what this controller wants, while its lease is alive.
+func (c *Controller) acquireWanted() {
 	type wish struct {
 		key     string
 		version uint64
@@ -94,41 +94,41 @@
 	var lease uint64
 	c.do(func() {
 		now, handed := time.Now(), false
-		if lease = c.lease; lease == 0 || now.Sub(c.renewed) > c.op.ClaimTTL/2 {
+		if lease = c.LeaseID; lease == 0 || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL/2 {
 			return
 		}
-		for _, p := range c.parts {
-			if !handed && c.following.handsBack(p, now) {
+		for _, p := range c.Partitions {
+			if !handed && c.replicator.ShouldHandBack(p, now) {
 				handed = true // one at a time: each goes into the record of this life
-				version := p.version
-				c.lose(p, "handed back")
-				p.claimed = now
-				txn := c.relinquish([]bookkeeping.Release{{Part: p.index, Claim: version}}, 0)
-				c.duty.Go(func() { c.releaseClaims(c.ctx, txn) })
+				version := p.LeaseRevision
+				c.LosePartition(p, "handed back")
+				p.AcquiredAt = now
+				txn := c.releaseTransaction([]bookkeeping.ReleasedLease{{Partition: p.Index, LeaseRevision: version}}, 0)
+				c.duty.Go(func() { c.releaseLeases(c.ctx, txn) })
 				continue
 			}
-			if c.following.wantsPart(p, now) {
-				wishes = append(wishes, wish{bookkeeping.ClaimKey(p.index), p.version})
+			if c.replicator.WantsPartition(p, now) {
+				wishes = append(wishes, wish{bookkeeping.LeaseKey(p.Index), p.LeaseRevision})
 			}
 		}
-		if c.following.wantsLead(now) {
-			wishes = append(wishes, wish{bookkeeping.LeaderKey, c.leader.version})
+		if c.replicator.WantsLeadership(now) {
+			wishes = append(wishes, wish{bookkeeping.LeadershipKey, c.Leadership.Revision})
 		}
 	})
-	if lease == 0 || !c.announce(lease) {
+	if lease == 0 || !c.announceIncarnation(lease) {
 		return
 	}
 	for _, w := range wishes {
-		c.claim(w.key, w.version, lease)
+		c.acquireLease(w.key, w.version, lease)
 	}
 }
 
-// claim tries to take a claim that is free or held by this controller's former
+// acquireLease tries to take a claim that is free or held by this controller's former
 // life. An unanswered attempt shows in the watch, where the nonce tells it.
-func (s *succession) claim(key string, version, lease uint64) {
+func (s *leaseHolder) acquireLease(key string, version, lease uint64) {
 	c := s.c
-	value := bookkeeping.Encode(bookkeeping.Claim{Owner: c.set.Label, Nonce: c.nonce})
-	rev, err := c.store.CommitClaim(c.ctx, &protocol.Transaction{
+	value := bookkeeping.Encode(bookkeeping.Lease{Holder: c.Settings.Label, Nonce: c.Nonce})
+	rev, err := c.store.CommitLease(c.ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: key, Version: version}},
 		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
 	})
@@ -143,23 +143,23 @@
 	c.do(func() { c.applyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
 }
 
-// settleIn is how long a controller must have been heard, and a part have had
+// SettleTime is how long a controller must have been heard, and a part have had
 // its owner, before the part goes back: a roll of restarts must not move it
 // twice.
-const settleIn = 15 * time.Second
+const SettleTime = 15 * time.Second
 
-// releaseTime is how long the end of a claim may take to show: longer than a
+// ReleaseTimeout is how long the end of a claim may take to show: longer than a
 // request, so that a part is not claimed again while its release is on its way.
-const releaseTime = 4 * time.Second
+const ReleaseTimeout = 4 * time.Second
 
-// releaseClaims ends claims that this controller has stopped acting under.
+// releaseLeases ends claims that this controller has stopped acting under.
 // Only an owner that has stopped may do so: were the claim replaced while
 // it still answers workers, its answers would outlast the bound that the next
 // owner counts on (8, 12). If the end goes unrecorded, the part is claimed
 // again like one of a former life.
-func (s *succession) releaseClaims(ctx context.Context, txn *protocol.Transaction) bool {
+func (s *leaseHolder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
 	c := s.c
-	rev, err := c.store.CommitClaim(ctx, txn)
+	rev, err := c.store.CommitLease(ctx, txn)
 	if err != nil {
 		c.log.Info("claims not released", "reason", err)
 		return false
@@ -172,111 +172,111 @@
 	return true
 }
 
-// applyClaim follows who owns a part.
-func (c *Controller) applyClaim(p *part, e protocol.Event, now time.Time) {
-	if e.Version < p.version || e.Put != "" && e.Version == p.version {
+// ApplyLease follows who owns a part.
+func (c *Controller) ApplyLease(p *Partition, e protocol.Event, now time.Time) {
+	if e.Version < p.LeaseRevision || e.Put != "" && e.Version == p.LeaseRevision {
 		return
 	}
-	if p.version != 0 {
-		c.formerly(p, now)
+	if p.LeaseRevision != 0 {
+		c.noteFormerLeader(p, now)
 	}
 	if e.Delete != "" {
-		p.last, p.owner, p.nonce, p.version, p.orphan = p.owner, "", "", 0, now
-		c.lose(p, "the claim ended")
-		nudge(c.claimKick)
+		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
+		c.LosePartition(p, "the claim ended")
+		Signal(c.LeaseWakeup)
 		return
 	}
-	var claim bookkeeping.Claim
+	var claim bookkeeping.Lease
 	if err := bookkeeping.Decode(e.Value, &claim); err != nil {
-		c.log.Error("bad claim record", "part", p.index, "reason", err)
+		c.log.Error("bad claim record", "part", p.Index, "reason", err)
 		return
 	}
-	c.lose(p, "the claim changed hands")
-	p.owner, p.nonce, p.version = claim.Owner, claim.Nonce, e.Version
-	if claim.Owner == c.set.Label && claim.Nonce == c.nonce {
-		p.mine, p.ready, p.claimed = true, false, now
-		c.log.Info("part claimed", "part", p.index, "token", p.version)
-		c.duty.Go(func() { c.following.rebuild(p, e.Version) })
+	c.LosePartition(p, "the claim changed hands")
+	p.Leader, p.LeaderNonce, p.LeaseRevision = claim.Holder, claim.Nonce, e.Version
+	if claim.Holder == c.Settings.Label && claim.Nonce == c.Nonce {
+		p.Held, p.Ready, p.AcquiredAt = true, false, now
+		c.log.Info("part claimed", "part", p.Index, "token", p.LeaseRevision)
+		c.duty.Go(func() { c.replicator.TakeOver(p, e.Version) })
 	}
 }
 
-// lose stops acting for a part.
-func (c *Controller) lose(p *part, reason string) {
-	if !p.mine {
+// LosePartition stops acting for a part.
+func (c *Controller) LosePartition(p *Partition, reason string) {
+	if !p.Held {
 		return
 	}
-	c.log.Info("part lost", "part", p.index, "reason", reason)
-	p.mine, p.ready, p.floor = false, false, floorState{}
-	p.lent, p.ledger = p.ledger.Latest(), shares.Ledger{}
-	c.clearPart(p)
+	c.log.Info("part lost", "part", p.Index, "reason", reason)
+	p.Held, p.Ready, p.FairShare = false, false, FairShareState{}
+	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), shares.Ledger{}
+	c.ClearPartition(p)
 }
 
-func (c *Controller) clearPart(p *part) {
-	p.bare = true
-	clear(p.usage)
-	for id, j := range c.jobs {
-		if j.part != p.index {
+func (c *Controller) ClearPartition(p *Partition) {
+	p.Cleared = true
+	clear(p.Usage)
+	for id, j := range c.Jobs {
+		if j.Partition != p.Index {
 			continue
 		}
-		if j.disown(); c.finals[id] != "" {
-			delete(c.jobs, id)
+		if j.Unload(); c.FinalStates[id] != "" {
+			delete(c.Jobs, id)
 		}
 	}
-	for _, m := range c.machines {
-		if m.rec.Part == p.index {
-			m.reset()
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index {
+			m.Reset()
 		}
 	}
 }
 
-// reset forgets what only the machine's owner may believe.
-func (m *machine) reset() {
-	if len(m.attempts) > 0 || len(m.foreign) > 0 {
-		m.attempts, m.foreign = map[string]*attempt{}, map[string]protocol.TaskReport{}
+// Reset forgets what only the machine's owner may believe.
+func (m *Machine) Reset() {
+	if len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 {
+		m.Attempts, m.OrphanedTasks = map[string]*Attempt{}, map[string]protocol.TaskReport{}
 	}
-	m.fenced, m.lost, m.moving, m.heard, m.raiseBy = false, false, false, false, time.Time{}
-	m.retiring, m.keptFor, m.noted = time.Time{}, floor.None, 0
-	m.resources()
+	m.Fenced, m.Lost, m.Moving, m.HasReported, m.TokenRaiseBy = false, false, false, false, time.Time{}
+	m.RetiringSince, m.ReservedFor, m.ReplicationSeq = time.Time{}, floor.NoGroup, 0
+	m.RecountUsed()
 }
 
 func (c *Controller) loseAll(reason string) {
-	c.lease = 0
-	for _, p := range c.parts {
-		c.lose(p, reason)
+	c.LeaseID = 0
+	for _, p := range c.Partitions {
+		c.LosePartition(p, reason)
 	}
-	c.dropLead(reason)
+	c.DropLeadership(reason)
 }
 
-// checkClaims gives parts up that this controller can't serve: when none of
+// CheckReachability gives parts up that this controller can't serve: when none of
 // its workers has been heard for several report periods while other
 // controllers hear them, it is cut off from the workers and must let go (11).
-func (s *succession) checkClaims(now time.Time) {
+func (s *leaseHolder) CheckReachability(now time.Time) {
 	c := s.c
-	silence := max(3*c.reportS, 4*time.Second)
-	for _, ps := range c.peers {
-		if !ps.recent(now) {
+	silence := max(3*c.HeartbeatInterval, 4*time.Second)
+	for _, ps := range c.Peers {
+		if !ps.Alive(now) {
 			continue
 		}
-		for _, name := range ps.summary.Strayed {
-			if m := c.machines[name]; m != nil && m.strayedSince.IsZero() {
-				m.strayedSince = now
+		for _, name := range ps.Summary.Strayed {
+			if m := c.Machines[name]; m != nil && m.DivertedSince.IsZero() {
+				m.DivertedSince = now
 			}
 		}
 	}
 	var machines, silent int
 	strayed := false
-	for _, m := range c.machines {
-		p := c.parts[m.rec.Part]
+	for _, m := range c.Machines {
+		p := c.Partitions[m.Record.Partition]
 		// A worker that comes and can't be answered, in an outage say, reaches this
 		// controller all the same.
-		heard := m.lastHeard
-		if m.cameHere.After(heard) {
-			heard = m.cameHere
+		heard := m.LastHeardAt
+		if m.LastContactAt.After(heard) {
+			heard = m.LastContactAt
 		}
-		if !p.mine || heard.After(m.strayedSince) {
-			m.strayedSince = time.Time{}
+		if !p.Held || heard.After(m.DivertedSince) {
+			m.DivertedSince = time.Time{}
 		}
-		if !p.mine || now.Sub(p.claimed) < silence {
+		if !p.Held || now.Sub(p.AcquiredAt) < silence {
 			continue
 		}
 		machines++
@@ -284,13 +284,13 @@
 			silent++
 		}
 		// A worker that was just sent home needs a moment to get here.
-		strayed = strayed || !m.strayedSince.IsZero() && now.Sub(m.strayedSince) > silence
+		strayed = strayed || !m.DivertedSince.IsZero() && now.Sub(m.DivertedSince) > silence
 	}
 	if machines > 0 && silent == machines && strayed {
 		c.log.Info("resigning", "reason", "no worker heard while others hear them", "machines", machines)
-		c.resigned = now
-		lease := c.lease
+		c.ResignedAt = now
+		lease := c.LeaseID
 		c.loseAll("resigned")
-		c.duty.Go(func() { c.store.Revoke(c.ctx, lease) })
+		c.duty.Go(func() { c.store.RevokeLease(c.ctx, lease) })
 	}
 }
--- a/internal/coordination/command_meetings_test.go
+++ b/internal/coordination/command_meetings_test.go
@@ -288,8 +288,8 @@
 			time.Sleep(700 * time.Millisecond)
 			w.in(w.owns(part), func(c *Controller) {
 				queued := 0
-				for _, j := range c.jobs {
-					queued += len(j.queue)
+				for _, j := range c.Jobs {
+					queued += len(j.Pending)
 				}
 				waited = max(waited, queued)
 			})
@@ -397,7 +397,7 @@
 		for _, start := range w.afterCancel {
 			// What was fetching as its job was cancelled is another matter than a start
 			// that came after it.
-			if start.after > time.Second+answerPatience {
+			if start.after > time.Second+commandAnswerWait {
 				late = append(late, fmt.Sprintf("%s %s after", start.task, start.after))
 			}
 		}
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -11,48 +11,48 @@
 	"micaspindle/internal/protocol"
 )
 
-// lazyRecord is how long a record that no start and no user waits for may
+// lazyRecordDelay is how long a record that no start and no user waits for may
 // gather further changes before it is written.
-const lazyRecord = 2 * time.Second
+const lazyRecordDelay = 2 * time.Second
 
-// batch is one transaction of a part's owner and what it stands for.
-type batch struct {
-	txn    protocol.Transaction
-	chunks []batchChunk
-	finals []*job
-	raised []*machine
-	starts []*attempt
-	// doomed are the jobs that the batch withdraws; it then holds nothing else.
-	doomed []*job
+// commitBatch is one transaction of a part's owner and what it stands for.
+type commitBatch struct {
+	txn         protocol.Transaction
+	chunks      []batchChunk
+	completions []*Job
+	tokenRaises []*Machine
+	starts      []*Attempt
+	// cancellations are the jobs that the batch withdraws; it then holds nothing else.
+	cancellations []*Job
 }
 
 type batchChunk struct {
-	job     *job
-	chunk   *chunk
-	gen     uint64
-	ended   []*attempt
-	deleted bool
+	job        *Job
+	chunk      *RunChunk
+	generation uint64
+	exited     []*Attempt
+	deleted    bool
 }
 
-// commitDuty writes a part's records, one transaction at a time.
-func (c *Controller) commitDuty(p *part) {
-	tries := c.tries("commit "+strconv.Itoa(p.index), commitPause)
+// CommitLoop writes a part's records, one transaction at a time.
+func (c *Controller) CommitLoop(p *Partition) {
+	tries := c.tries("commit "+strconv.Itoa(p.Index), commitBackoff)
 	for {
 		select {
-		case <-p.kick:
+		case <-p.Wakeup:
 		case <-c.ctx.Done():
 			return
 		}
 		for {
-			var b *batch
+			var b *commitBatch
 			var unsure []batchChunk
 			c.do(func() {
-				if unsure = c.unsure(p); len(unsure) == 0 {
-					b = c.prepare(p, time.Now())
+				if unsure = c.unconfirmedChunks(p); len(unsure) == 0 {
+					b = c.prepareBatch(p, time.Now())
 				}
-				p.committing = b != nil
+				p.Committing = b != nil
 			})
-			if len(unsure) > 0 && !c.reread(p, unsure) && !c.sleep(tries.Failed()) {
+			if len(unsure) > 0 && !c.rereadChunks(p, unsure) && !c.sleep(tries.Failed()) {
 				return
 			}
 			if b == nil {
@@ -60,14 +60,14 @@
 			}
 			ctx, cancel := context.WithTimeout(c.ctx, 10*time.Second)
 			commit := c.store.Commit
-			if len(b.doomed) > 0 {
+			if len(b.cancellations) > 0 {
 				commit = c.store.CommitAhead
 			}
 			begun := time.Now()
 			rev, err := commit(ctx, &b.txn)
 			cancel()
 			c.metrics.Took(observe.Commit, time.Since(begun), time.Now())
-			c.do(func() { c.committed(p, b, rev, err) })
+			c.do(func() { c.batchCommitted(p, b, rev, err) })
 			if err == nil {
 				tries.Succeeded()
 			} else if !c.sleep(tries.Failed()) {
@@ -77,32 +77,32 @@
 	}
 }
 
-// unsure lists chunks whose last write went unanswered.
-func (c *Controller) unsure(p *part) []batchChunk {
+// unconfirmedChunks lists chunks whose last write went unanswered.
+func (c *Controller) unconfirmedChunks(p *Partition) []batchChunk {
 	var list []batchChunk
-	if !p.mine || !p.ready || !p.doubt {
+	if !p.Held || !p.Ready || !p.Unconfirmed {
 		return nil
 	}
-	for _, j := range c.jobs {
-		if j.part == p.index && j.owned {
-			for _, ch := range j.chunks {
-				if ch.unsure && len(list) < 8 {
+	for _, j := range c.Jobs {
+		if j.Partition == p.Index && j.Loaded {
+			for _, ch := range j.Chunks {
+				if ch.Unconfirmed && len(list) < 8 {
 					list = append(list, batchChunk{job: j, chunk: ch})
 				}
 			}
 		}
 	}
-	p.doubt = len(list) > 0
+	p.Unconfirmed = len(list) > 0
 	return list
 }
 
-// reread reads keys whose write went unanswered. The stamp seen goes into the
+// rereadChunks reads keys whose write went unanswered. The stamp seen goes into the
 // next write's conditions, so that the late one and the retry exclude each
 // other (2).
-func (c *Controller) reread(p *part, list []batchChunk) bool {
+func (c *Controller) rereadChunks(p *Partition, list []batchChunk) bool {
 	for _, b := range list {
-		id := b.job.spec.ID
-		item, err := c.store.Get(c.ctx, bookkeeping.RunKey(p.index, id, b.chunk.index))
+		id := b.job.Spec.ID
+		item, err := c.store.Get(c.ctx, bookkeeping.RunKey(p.Index, id, b.chunk.Index))
 		if err != nil && !errors.Is(err, bookkeeping.ErrNotFound) {
 			return false
 		}
@@ -111,102 +111,102 @@
 			return false
 		}
 		c.do(func() {
-			if c.jobs[id] != b.job || !b.job.owned || !p.mine {
+			if c.Jobs[id] != b.job || !b.job.Loaded || !p.Held {
 				return // the part was lost meanwhile
 			}
-			b.chunk.unsure = false
-			b.chunk.version = 0
+			b.chunk.Unconfirmed = false
+			b.chunk.Revision = 0
 			if err == nil {
-				b.chunk.version = item.Version
+				b.chunk.Revision = item.Version
 			}
-			b.job.touch(b.chunk.index*bookkeeping.ChunkTasks, true, time.Now())
+			b.job.MarkDirty(b.chunk.Index*bookkeeping.ChunkTasks, true, time.Now())
 			if ferr == nil {
-				c.applyFinalRecord(id, final.Value)
+				c.ApplyFinalRecord(id, final.Value)
 			}
 		})
 	}
 	return true
 }
 
-// prepare places waiting tasks and gathers what should be written now.
-func (c *Controller) prepare(p *part, now time.Time) *batch {
-	if !p.mine || !p.ready || c.leaving || now.Sub(c.renewed) > c.op.ClaimTTL+10*time.Second {
+// prepareBatch places waiting tasks and gathers what should be written now.
+func (c *Controller) prepareBatch(p *Partition, now time.Time) *commitBatch {
+	if !p.Held || !p.Ready || c.Draining || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL+10*time.Second {
 		return nil
 	}
-	b := &batch{}
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: bookkeeping.ClaimKey(p.index), Version: p.version})
+	b := &commitBatch{}
+	b.txn.If = append(b.txn.If, protocol.Condition{Key: bookkeeping.LeaseKey(p.Index), Version: p.LeaseRevision})
 	ops := c.store.TxnOps()
 	// Users were told already that what these jobs need is withdrawn (21, 22).
-	for _, j := range c.graph.doomed {
+	for _, j := range c.Dependencies.DoomedJobs {
 		if len(b.txn.Then) == ops {
 			break
 		}
-		if j.part == p.index {
-			withdrawal(&b.txn, j.spec.ID, now)
-			b.doomed = append(b.doomed, j)
+		if j.Partition == p.Index {
+			AddCancellation(&b.txn, j.Spec.ID, now)
+			b.cancellations = append(b.cancellations, j)
 		}
 	}
-	if len(b.doomed) > 0 {
+	if len(b.cancellations) > 0 {
 		return b
 	}
-	due := c.raiseTokens(b, c.tokensDue(p, now), now, ops/2)
-	c.place(p, now)
-	c.preempt(p, now)
+	due := c.RaiseTokens(b, c.TokensDue(p, now), now, ops/2)
+	c.Place(p, now)
+	c.Preempt(p, now)
 	size := 0
-	for _, j := range c.inOrder(p) {
-		if j.finishing && c.finals[j.spec.ID] == "" {
-			c.addFinal(b, p, j, now, ops)
+	for _, j := range c.Queue(p) {
+		if j.Completing && c.FinalStates[j.Spec.ID] == "" {
+			c.addCompletion(b, p, j, now, ops)
 			continue
 		}
-		for _, ch := range j.chunks {
-			due := ch.urgent || now.Sub(ch.since) > lazyRecord
-			if !ch.dirty || ch.unsure || !due || len(b.txn.Then) >= ops || size > 40<<10 {
+		for _, ch := range j.Chunks {
+			due := ch.Urgent || now.Sub(ch.DirtySince) > lazyRecordDelay
+			if !ch.Dirty || ch.Unconfirmed || !due || len(b.txn.Then) >= ops || size > 40<<10 {
 				continue
 			}
 			size += c.addChunk(b, p, j, ch)
 		}
 	}
-	c.raiseTokens(b, due, now, ops)
+	c.RaiseTokens(b, due, now, ops)
 	if len(b.txn.Then) == 0 {
 		return nil
 	}
 	return b
 }
 
-func (c *Controller) addChunk(b *batch, p *part, j *job, ch *chunk) int {
-	id := j.spec.ID
-	key := bookkeeping.RunKey(p.index, id, ch.index)
-	run := j.record(ch)
+func (c *Controller) addChunk(b *commitBatch, p *Partition, j *Job, ch *RunChunk) int {
+	id := j.Spec.ID
+	key := bookkeeping.RunKey(p.Index, id, ch.Index)
+	run := j.RunRecord(ch)
 	if limit := c.store.ValueBytes(); run.Size() > limit {
 		// Written under higher limits, or the service takes less than it said.
 		// What only waits for the record can wait elsewhere; the rest is written
 		// when enough of its tasks have ended.
-		c.unreserve(j, ch)
-		if run = j.record(ch); run.Size() > limit {
-			if !ch.oversize {
-				c.log.Error("run record is too large for now", "job", id, "chunk", ch.index, "size", run.Size(), "limit", limit)
+		c.unreserveChunk(j, ch)
+		if run = j.RunRecord(ch); run.Size() > limit {
+			if !ch.Oversized {
+				c.log.Error("run record is too large for now", "job", id, "chunk", ch.Index, "size", run.Size(), "limit", limit)
 			}
-			ch.oversize = true
+			ch.Oversized = true
 			return 0
 		}
 	}
-	ch.oversize = false
-	bc := batchChunk{job: j, chunk: ch, gen: ch.gen, ended: ch.ended}
-	ch.ended = nil
-	if c.finals[id] != "" && len(run.Live) == 0 {
+	ch.Oversized = false
+	bc := batchChunk{job: j, chunk: ch, generation: ch.Generation, exited: ch.Exited}
+	ch.Exited = nil
+	if c.FinalStates[id] != "" && len(run.Live) == 0 {
 		bc.deleted = true
-		if ch.version == 0 {
+		if ch.Revision == 0 {
 			// Nothing on record, nothing to remove.
-			ch.dirty = false
-			for _, a := range bc.ended {
-				a.state = attemptOver
+			ch.Dirty = false
+			for _, a := range bc.exited {
+				a.State = AttemptReleased
 			}
-			delete(j.chunks, ch.index)
-			c.dropIfOver(j)
+			delete(j.Chunks, ch.Index)
+			c.DropIfReleased(j)
 			return 0
 		}
 	}
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: ch.version})
+	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: ch.Revision})
 	if bc.deleted {
 		b.txn.Then = append(b.txn.Then, protocol.Change{Delete: key})
 		b.chunks = append(b.chunks, bc)
@@ -216,7 +216,7 @@
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: value})
 	from := len(b.starts)
 	for _, r := range run.Live {
-		if a := j.live[r.Task]; a.state == attemptReserved {
+		if a := j.LiveAttempts[r.Task]; a.State == AttemptReserved {
 			b.starts = append(b.starts, a)
 		}
 	}
@@ -228,144 +228,144 @@
 	return 2 * len(value)
 }
 
-// unreserve gives up the attempts of a chunk that are not on record.
-func (c *Controller) unreserve(j *job, ch *chunk) {
+// unreserveChunk gives up the attempts of a chunk that are not on record.
+func (c *Controller) unreserveChunk(j *Job, ch *RunChunk) {
 	now := time.Now()
-	for _, a := range j.mates() {
-		if a.state == attemptReserved && a.task/bookkeeping.ChunkTasks == ch.index {
-			c.attemptGone(a, "no room in the record", now)
+	for _, a := range j.Attempts() {
+		if a.State == AttemptReserved && a.TaskIndex/bookkeeping.ChunkTasks == ch.Index {
+			c.ReleaseAttempt(a, "no room in the record", now)
 		}
 	}
 }
 
-// recordable says whether the record of a chunk has room for one more attempt.
+// HasRecordRoom says whether the record of a chunk has room for one more attempt.
 // It adds up what the chunk's tasks take now; as they end, that only falls.
-func (c *Controller) recordable(j *job, task int, number uint64, m *machine) bool {
-	size := bookkeeping.RunBase + bookkeeping.AttemptSize(number, m.name, m.session)
+func (c *Controller) HasRecordRoom(j *Job, task int, number uint64, m *Machine) bool {
+	size := bookkeeping.RunBase + bookkeeping.AttemptSize(number, m.Name, m.Epoch)
 	index := task / bookkeeping.ChunkTasks
-	for t := index * bookkeeping.ChunkTasks; t < min((index+1)*bookkeeping.ChunkTasks, j.spec.Tasks); t++ {
-		if a := j.live[t]; a != nil && a.live() {
-			size += bookkeeping.AttemptSize(a.number, a.machine.name, a.session)
-		} else if j.done[t] && (t%bookkeeping.ChunkTasks == 0 || !j.done[t-1]) {
+	for t := index * bookkeeping.ChunkTasks; t < min((index+1)*bookkeeping.ChunkTasks, j.Spec.Tasks); t++ {
+		if a := j.LiveAttempts[t]; a != nil && a.Live() {
+			size += bookkeeping.AttemptSize(a.Number, a.Machine.Name, a.Epoch)
+		} else if j.TaskDone[t] && (t%bookkeeping.ChunkTasks == 0 || !j.TaskDone[t-1]) {
 			size += bookkeeping.RangeSize
 		}
 	}
 	return size <= c.store.ValueBytes()
 }
 
-// addFinal makes a job done and removes its run records if they fit in.
-func (c *Controller) addFinal(b *batch, p *part, j *job, now time.Time, ops int) {
+// addCompletion makes a job done and removes its run records if they fit in.
+func (c *Controller) addCompletion(b *commitBatch, p *Partition, j *Job, now time.Time, ops int) {
 	if len(b.txn.Then) >= ops {
 		return
 	}
-	id := j.spec.ID
+	id := j.Spec.ID
 	key := bookkeeping.FinalKey(id)
 	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: 0})
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key,
 		Value: bookkeeping.Encode(bookkeeping.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
-	b.finals = append(b.finals, j)
-	for _, ch := range j.chunks {
-		if ch.unsure || len(b.txn.Then) >= ops {
+	b.completions = append(b.completions, j)
+	for _, ch := range j.Chunks {
+		if ch.Unconfirmed || len(b.txn.Then) >= ops {
 			continue
 		}
-		bc := batchChunk{job: j, chunk: ch, gen: ch.gen, ended: ch.ended, deleted: true}
-		ch.ended = nil
-		if ch.version != 0 {
-			rk := bookkeeping.RunKey(p.index, id, ch.index)
-			b.txn.If = append(b.txn.If, protocol.Condition{Key: rk, Version: ch.version})
+		bc := batchChunk{job: j, chunk: ch, generation: ch.Generation, exited: ch.Exited, deleted: true}
+		ch.Exited = nil
+		if ch.Revision != 0 {
+			rk := bookkeeping.RunKey(p.Index, id, ch.Index)
+			b.txn.If = append(b.txn.If, protocol.Condition{Key: rk, Version: ch.Revision})
 			b.txn.Then = append(b.txn.Then, protocol.Change{Delete: rk})
 		}
 		b.chunks = append(b.chunks, bc)
 	}
 }
 
-// committed takes in the outcome of a batch.
-func (c *Controller) committed(p *part, b *batch, rev uint64, err error) {
+// batchCommitted takes in the outcome of a batch.
+func (c *Controller) batchCommitted(p *Partition, b *commitBatch, rev uint64, err error) {
 	now := time.Now()
-	p.committing = false
+	p.Committing = false
 	if err != nil {
-		c.notCommitted(p, b, err)
+		c.batchFailed(p, b, err)
 		return
 	}
-	if !p.mine || b.txn.If[0].Version != p.version {
+	if !p.Held || b.txn.If[0].Version != p.LeaseRevision {
 		return
 	}
 	for _, bc := range b.chunks {
 		ch := bc.chunk
-		ch.version = rev
-		if ch.gen == bc.gen {
-			ch.dirty, ch.urgent = false, false
+		ch.Revision = rev
+		if ch.Generation == bc.generation {
+			ch.Dirty, ch.Urgent = false, false
 		} else {
-			ch.since = now
+			ch.DirtySince = now
 		}
-		for _, a := range bc.ended {
-			a.state = attemptOver
+		for _, a := range bc.exited {
+			a.State = AttemptReleased
 		}
 		if bc.deleted {
-			ch.version = 0
-			delete(bc.job.chunks, ch.index)
+			ch.Revision = 0
+			delete(bc.job.Chunks, ch.Index)
 		}
 	}
-	targets := map[*machine]bool{}
+	targets := map[*Machine]bool{}
 	for _, a := range b.starts {
-		if a.state == attemptReserved {
-			a.state, a.committed = attemptCommitted, now
-			targets[a.machine] = true
+		if a.State == AttemptReserved {
+			a.State, a.CommittedAt = AttemptCommitted, now
+			targets[a.Machine] = true
 		}
 	}
 	for m := range targets {
-		c.sendOrders(m)
+		c.SendCommands(m)
 	}
-	for _, m := range b.raised {
-		if c.machines[m.name] == m {
-			c.machineRecorded(m.name, m.rec, rev, now)
+	for _, m := range b.tokenRaises {
+		if c.Machines[m.Name] == m {
+			c.MachineRecorded(m.Name, m.Record, rev, now)
 		}
 	}
-	for _, j := range b.doomed {
-		c.setFinal(j.spec.ID, protocol.StatusWithdrawn, now)
+	for _, j := range b.cancellations {
+		c.SetFinal(j.Spec.ID, protocol.StatusWithdrawn, now)
 	}
-	for _, j := range b.finals {
-		c.metrics.Took(observe.Finish, now.Sub(j.received), now)
-		if due, ok := j.deadline(); ok && now.After(due) {
+	for _, j := range b.completions {
+		c.metrics.Took(observe.Finish, now.Sub(j.SubmittedAt), now)
+		if due, ok := j.Deadline(); ok && now.After(due) {
 			c.metrics.Count(observe.Late, 1)
 		}
-		c.log.Info("job done", "job", j.spec.ID, "class", j.spec.Class, "tasks", j.spec.Tasks, "after", now.Sub(j.received),
-			"due_s", j.spec.DeadlineS)
-		c.setFinal(j.spec.ID, protocol.StatusDone, now)
+		c.log.Info("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", now.Sub(j.SubmittedAt),
+			"due_s", j.Spec.DeadlineS)
+		c.SetFinal(j.Spec.ID, protocol.StatusDone, now)
 	}
 	for _, bc := range b.chunks {
-		c.dropIfOver(bc.job)
+		c.DropIfReleased(bc.job)
 	}
 }
 
-func (c *Controller) notCommitted(p *part, b *batch, err error) {
+func (c *Controller) batchFailed(p *Partition, b *commitBatch, err error) {
 	var conflict *bookkeeping.Conflict
 	unknown := errors.Is(err, bookkeeping.ErrUnknown)
 	for _, bc := range b.chunks {
-		bc.chunk.ended = append(bc.ended, bc.chunk.ended...)
-		bc.chunk.dirty, bc.job.touched = true, true
-		bc.chunk.unsure = bc.chunk.unsure || unknown
-		p.doubt = p.doubt || unknown
+		bc.chunk.Exited = append(bc.exited, bc.chunk.Exited...)
+		bc.chunk.Dirty, bc.job.RecordsChanged = true, true
+		bc.chunk.Unconfirmed = bc.chunk.Unconfirmed || unknown
+		p.Unconfirmed = p.Unconfirmed || unknown
 	}
 	if unknown {
 		c.metrics.Count(observe.Unanswered, 1)
-		c.log.Info("commit unanswered", "part", p.index, "reason", err)
-		for _, m := range b.raised {
+		c.log.Info("commit unanswered", "part", p.Index, "reason", err)
+		for _, m := range b.tokenRaises {
 			// The watch or the next report shows whether it was applied.
-			m.raiseToken(time.Now())
+			m.RaiseTokenBy(time.Now())
 		}
 		return
 	}
 	if !errors.As(err, &conflict) {
-		c.log.Debug("commit refused", "part", p.index, "reason", err)
+		c.log.Debug("commit refused", "part", p.Index, "reason", err)
 		return
 	}
 	c.metrics.Count(observe.Conflict, 1)
 	for _, key := range conflict.Failed {
 		switch kind, id := bookkeeping.ParseKey(key); kind {
-		case bookkeeping.KindClaim:
-			if b.txn.If[0].Version == p.version {
-				c.lose(p, "a commit found the claim gone")
+		case bookkeeping.KindLease:
+			if b.txn.If[0].Version == p.LeaseRevision {
+				c.LosePartition(p, "a commit found the claim gone")
 			}
 		case bookkeeping.KindFinal:
 			c.duty.Go(func() { c.readFinal(id) })
@@ -373,8 +373,8 @@
 			// The watch brings the newer record.
 		default:
 			for _, bc := range b.chunks {
-				if bookkeeping.RunKey(p.index, bc.job.spec.ID, bc.chunk.index) == key {
-					bc.chunk.unsure, p.doubt = true, true
+				if bookkeeping.RunKey(p.Index, bc.job.Spec.ID, bc.chunk.Index) == key {
+					bc.chunk.Unconfirmed, p.Unconfirmed = true, true
 				}
 			}
 		}
@@ -387,5 +387,5 @@
 	if err != nil {
 		return
 	}
-	c.do(func() { c.applyFinalRecord(id, item.Value) })
+	c.do(func() { c.ApplyFinalRecord(id, item.Value) })
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -28,10 +28,10 @@
 
 // Controller is one controller process.
 type Controller struct {
-	set   *settings.Settings
-	op    settings.Operator
-	net   bookkeeping.Doer
-	store *bookkeeping.Store
+	Settings *settings.Settings
+	Operator settings.Operator
+	network  bookkeeping.Requester
+	store    *bookkeeping.Store
 	// cloudBudget keeps this controller within its share of the cloud's limit.
 	cloudBudget *rate.Limiter
 	// cloudCircuit leaves its interface alone while it does not answer.
@@ -40,8 +40,8 @@
 	// metrics measures what people notice; nil: nothing is measured.
 	metrics *observe.Metrics
 	// guard asks who comes; nil: everybody may do everything.
-	guard *guard
-	nonce string
+	guard *authorizer
+	Nonce string
 	calls chan func()
 	// loopDone is closed when the loop has ended.
 	loopDone chan struct{}
@@ -49,145 +49,145 @@
 	duty     sync.WaitGroup
 
 	// Derived from the settings once.
-	teamIndex map[string]int
-	teamPart  []int
-	labels    []string // all controllers, sorted
-	self      int
-	leaseS    time.Duration
-	cancelS   time.Duration
-	reportS   time.Duration
+	TeamIndex         map[string]int
+	TeamPartition     []int
+	Labels            []string // all controllers, sorted
+	SelfIndex         int
+	AgentLease        time.Duration
+	CancelBound       time.Duration
+	HeartbeatInterval time.Duration
 
 	// Owned by the loop.
-	synced   bool
-	parts    []*part
-	jobs     map[string]*job
-	finals   map[string]string
-	graph    graph
-	machines map[string]*machine
-	gone     map[string]time.Time // machines that were deleted, for late reports
-	types    map[string]*protocol.MachineType
-	catalog  []protocol.MachineType
-	peers    map[string]*peerState
-	unknown  map[string]*peer.UnknownMachine
-	lease    uint64
-	renewed  time.Time // when the last confirmed renewal was sent
-	resigned time.Time
-	strayed  map[string]time.Time
-	leader   leaderState
-	started  time.Time
-	bias     map[string]*classBias
-	scarce   fit.Scarcity
-	scarceAt time.Time
-	said     said
-	sorting  sorting
-	placing  placing
-	policy   policyRecords
-	queues   queueBook
-	classes  map[string]int // groups of the floor, after the teams'
-	succession
-	following following
-	carrying  carrying
-	notices   cancellationNotices
+	Synced               bool
+	Partitions           []*Partition
+	Jobs                 map[string]*Job
+	FinalStates          map[string]string
+	Dependencies         DependencyGraph
+	Machines             map[string]*Machine
+	DeletedMachines      map[string]time.Time // machines that were deleted, for late reports
+	MachineTypes         map[string]*protocol.MachineType
+	Catalog              []protocol.MachineType
+	Peers                map[string]*Peer
+	UnregisteredMachines map[string]*peer.UnknownMachine
+	LeaseID              uint64
+	LeaseRenewedAt       time.Time // when the last confirmed renewal was sent
+	ResignedAt           time.Time
+	DivertedMachines     map[string]time.Time
+	Leadership           Leadership
+	StartedAt            time.Time
+	runtimeCorrections   map[string]*runtimeCorrection
+	scarcityCache        fit.Scarcity
+	scarcityAt           time.Time
+	ownSummary           cachedSummary
+	queueBuffers         queueBuffers
+	placementBuffers     placementBuffers
+	policy               policyRecords
+	jobQueues            jobQueueIndex
+	ClassGroups          map[string]int // groups of the floor, after the teams'
+	leaseHolder
+	replicator    Replicator
+	proxy         Proxy
+	Cancellations CancellationNotices
 	// boundsLogged says which bounds were met before; not the loop's alone.
 	boundsLogged [observe.Bounds]atomic.Bool
-	// repeats counts orders under way beside earlier ones to the same machine.
-	repeats int
-	// leaving: this controller is about to end and hands over what it has.
-	leaving bool
-	// heardLeader is what the last leader told of what it was about.
-	heardLeader heardLeader
-	// claimKick lets claims be looked at before their next turn.
-	claimKick chan struct{}
-	// writeDemand is how many changes a second this controller wants.
-	writeDemand float64
-	// fresh is when a listing or watch was asked for whose answer is taken in:
+	// repeatedCommands counts orders under way beside earlier ones to the same machine.
+	repeatedCommands int
+	// Draining: this controller is about to end and hands over what it has.
+	Draining bool
+	// LastLeaderUpdate is what the last leader told of what it was about.
+	LastLeaderUpdate LeaderUpdate
+	// LeaseWakeup lets claims be looked at before their next turn.
+	LeaseWakeup chan struct{}
+	// WriteDemand is how many changes a second this controller wants.
+	WriteDemand float64
+	// RecordsAsOf is when a listing or watch was asked for whose answer is taken in:
 	// everything up to then is known.
-	fresh time.Time
-	// listedEnds is when jobs ended, while a listing is taken in.
-	listedEnds map[string]time.Time
+	RecordsAsOf time.Time
+	// ListedEnds is when jobs ended, while a listing is taken in.
+	ListedEnds map[string]time.Time
 }
 
-// peerState is what another controller last said of itself.
-type peerState struct {
-	addr    string
-	heard   time.Time
-	since   time.Time // since when it has been heard without a gap
-	summary *peer.Summary
-	// reporting are the machines that report to it, as it last said, visitors those of
+// Peer is what another controller last said of itself.
+type Peer struct {
+	Addr       string
+	HeardAt    time.Time
+	HeardSince time.Time // since when it has been heard without a gap
+	Summary    *peer.Summary
+	// ReportingMachines are the machines that report to it, as it last said, visitors those of
 	// them that came here since; ended is the lease of it that was ended here.
-	reporting, visitors map[string]bool
-	ended               uint64
+	ReportingMachines, DivertedMachines map[string]bool
+	RevokedLease                        uint64
 }
 
-// recent says whether what the controller last said still counts.
-func (ps *peerState) recent(now time.Time) bool {
-	return ps.summary != nil && now.Sub(ps.heard) <= 2*time.Second
+// Alive says whether what the controller last said still counts.
+func (ps *Peer) Alive(now time.Time) bool {
+	return ps.Summary != nil && now.Sub(ps.HeardAt) <= 2*time.Second
 }
 
-// told is what the controller last said of a part as its owner; nil: nothing.
-func (ps *peerState) told(p *part) *peer.PartSummary {
-	if ps == nil || ps.summary == nil {
+// PartitionSummary is what the controller last said of a part as its owner; nil: nothing.
+func (ps *Peer) PartitionSummary(p *Partition) *peer.PartSummary {
+	if ps == nil || ps.Summary == nil {
 		return nil
 	}
-	for _, sum := range ps.summary.Parts {
-		if int(sum.Part) == p.index {
+	for _, sum := range ps.Summary.Parts {
+		if int(sum.Part) == p.Index {
 			return sum
 		}
 	}
 	return nil
 }
 
-// margin is added to every bound that must hold on another machine's clock.
-const margin = time.Second
+// ClockMargin is added to every bound that must hold on another machine's clock.
+const ClockMargin = time.Second
 
-// drift is by how much steady clocks may differ, with room to spare.
-const drift = 1.001
+// ClockDrift is by how much steady clocks may differ, with room to spare.
+const ClockDrift = 1.001
 
 // New makes a controller that lives until ctx ends; Run starts its duties, but
 // requests may come before.
-func New(ctx context.Context, set *settings.Settings, op settings.Operator, net bookkeeping.Doer, log *slog.Logger) *Controller {
+func New(ctx context.Context, set *settings.Settings, op settings.Operator, net bookkeeping.Requester, log *slog.Logger) *Controller {
 	p := set.Params
 	c := &Controller{
-		ctx: ctx, started: time.Now(), set: set, op: op, net: net, log: log,
+		ctx: ctx, StartedAt: time.Now(), Settings: set, Operator: op, network: net, log: log,
 		store:       bookkeeping.NewStore(net, set.Services.State, p.State, p.Count),
-		nonce:       rand.Text(),
+		Nonce:       rand.Text(),
 		cloudBudget: rate.NewLimiter(rate.Limit(p.Cloud.RPS*0.8), 2),
 		calls:       make(chan func(), 256), loopDone: make(chan struct{}),
 
-		teamIndex: map[string]int{}, teamPart: parts.Of(p.Teams, p.Count),
-		leaseS: settings.Seconds(p.Workers.LeaseS), cancelS: settings.Seconds(p.Workers.CancelS),
-		reportS: settings.Seconds(p.Workers.ReportS),
+		TeamIndex: map[string]int{}, TeamPartition: parts.Assign(p.Teams, p.Count),
+		AgentLease: settings.Seconds(p.Workers.LeaseS), CancelBound: settings.Seconds(p.Workers.CancelS),
+		HeartbeatInterval: settings.Seconds(p.Workers.ReportS),
 
-		jobs: map[string]*job{}, finals: map[string]string{}, machines: map[string]*machine{},
-		gone: map[string]time.Time{}, types: map[string]*protocol.MachineType{},
-		peers: map[string]*peerState{}, unknown: map[string]*peer.UnknownMachine{},
-		strayed: map[string]time.Time{}, bias: map[string]*classBias{}, classes: map[string]int{},
+		Jobs: map[string]*Job{}, FinalStates: map[string]string{}, Machines: map[string]*Machine{},
+		DeletedMachines: map[string]time.Time{}, MachineTypes: map[string]*protocol.MachineType{},
+		Peers: map[string]*Peer{}, UnregisteredMachines: map[string]*peer.UnknownMachine{},
+		DivertedMachines: map[string]time.Time{}, runtimeCorrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{},
 	}
 	c.store.PollsFull = func() { c.boundMet(observe.WaitingPolls, 1) }
-	c.notices.limit(c.cancelS, p.State)
-	c.cloudCircuit = retry.Circuit{After: cloudFailures, Rest: cloudRest, Who: set.Label + " cloud"}
+	c.Cancellations.SetLimit(c.CancelBound, p.State)
+	c.cloudCircuit = retry.Circuit{After: cloudFailureLimit, Rest: cloudRestBackoff, Who: set.Label + " cloud"}
 	for i, t := range p.Teams {
-		c.teamIndex[t.Name] = i
+		c.TeamIndex[t.Name] = i
 	}
-	c.labels = append(c.labels, set.Label)
+	c.Labels = append(c.Labels, set.Label)
 	for _, o := range set.Others {
-		c.labels = append(c.labels, o.Label)
-		c.peers[o.Label] = &peerState{addr: o.PeerAddr}
+		c.Labels = append(c.Labels, o.Label)
+		c.Peers[o.Label] = &Peer{Addr: o.PeerAddr}
 	}
-	slices.Sort(c.labels)
-	c.self = slices.Index(c.labels, set.Label)
+	slices.Sort(c.Labels)
+	c.SelfIndex = slices.Index(c.Labels, set.Label)
 	for i := range p.Count {
-		c.parts = append(c.parts, &part{index: i, kick: make(chan struct{}, 1), usage: make([]fit.Share, len(p.Teams)), done: map[int]*floor.Tally{}})
+		c.Partitions = append(c.Partitions, &Partition{Index: i, Wakeup: make(chan struct{}, 1), Usage: make([]fit.Compute, len(p.Teams)), DoneTallies: map[int]*floor.Tally{}})
 	}
-	for _, i := range c.teamPart {
-		c.parts[i].loaded = true
+	for _, i := range c.TeamPartition {
+		c.Partitions[i].HasTeams = true
 	}
-	c.graph.init(c.jobs, c.runTime)
-	c.leader.kick, c.claimKick = make(chan struct{}, 1), make(chan struct{}, 1)
-	c.succession.init(c)
-	c.following = following{c: c, copies: map[int]*follower{}}
-	c.carrying.init(c)
-	c.leader.init()
+	c.Dependencies.init(c.Jobs, c.JobRunTime)
+	c.Leadership.Wakeup, c.LeaseWakeup = make(chan struct{}, 1), make(chan struct{}, 1)
+	c.leaseHolder.init(c)
+	c.replicator = Replicator{c: c, replicas: map[int]*Replica{}}
+	c.proxy.init(c)
+	c.Leadership.Reset()
 	return c
 }
 
@@ -201,20 +201,20 @@
 		c.loop(loopCtx)
 	}()
 	c.duty.Go(c.watchDuty)
-	c.duty.Go(c.renewDuty)
-	c.duty.Go(c.catalogDuty)
-	c.duty.Go(c.leaderDuty)
-	c.duty.Go(c.following.duty)
-	c.duty.Go(c.following.taleDuty)
+	c.duty.Go(c.RenewLoop)
+	c.duty.Go(c.CatalogLoop)
+	c.duty.Go(c.LeaderLoop)
+	c.duty.Go(c.replicator.FollowLoop)
+	c.duty.Go(c.replicator.ReplicateLoop)
 	if c.guard != nil {
 		c.duty.Go(func() { c.guard.log.Run(c.ctx) })
 	}
-	for label := range c.peers {
-		c.duty.Go(func() { c.peerDuty(label) })
+	for label := range c.Peers {
+		c.duty.Go(func() { c.PeerLoop(label) })
 	}
-	for _, p := range c.parts {
-		c.duty.Go(func() { c.commitDuty(p) })
-		c.duty.Go(func() { c.carrying.duty(p) })
+	for _, p := range c.Partitions {
+		c.duty.Go(func() { c.CommitLoop(p) })
+		c.duty.Go(func() { c.proxy.RenewLoop(p) })
 	}
 	// The loop outlives the duties, since they end through it.
 	c.duty.Wait()
@@ -222,10 +222,10 @@
 	<-c.loopDone
 }
 
-const tickEvery = 250 * time.Millisecond
+const tickInterval = 250 * time.Millisecond
 
 func (c *Controller) loop(ctx context.Context) {
-	tick := pulse.Every(tickEvery)
+	tick := pulse.New(tickInterval)
 	defer tick.Stop()
 	// A tick must not begin a duty while the last ones are waited for.
 	ending := c.ctx.Done()
@@ -273,22 +273,22 @@
 // budget makes duties wait already, and growing ones cost users what docs/retries.md
 // says.
 var (
-	commitPause  = retry.Backoff{First: 200 * time.Millisecond, Most: 200 * time.Millisecond}
-	followPause  = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
-	rebuildPause = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
-	recordPause  = retry.Backoff{First: 666 * time.Millisecond, Most: 666 * time.Millisecond}
-	cloudPause   = retry.Backoff{First: 1333 * time.Millisecond, Most: 1333 * time.Millisecond}
-	// cloudRest is how long the cloud's interface is left alone after it did not
+	commitBackoff   = retry.Backoff{First: 200 * time.Millisecond, Most: 200 * time.Millisecond}
+	followBackoff   = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
+	takeoverBackoff = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
+	recordBackoff   = retry.Backoff{First: 666 * time.Millisecond, Most: 666 * time.Millisecond}
+	cloudBackoff    = retry.Backoff{First: 1333 * time.Millisecond, Most: 1333 * time.Millisecond}
+	// cloudRestBackoff is how long the cloud's interface is left alone after it did not
 	// answer many times in a row.
-	cloudRest = retry.Backoff{First: 600 * time.Millisecond, Most: 600 * time.Millisecond}
+	cloudRestBackoff = retry.Backoff{First: 600 * time.Millisecond, Most: 600 * time.Millisecond}
 )
 
-// cloudFailures is how many times in a row that is.
-const cloudFailures = 10
+// cloudFailureLimit is how many times in a row that is.
+const cloudFailureLimit = 10
 
 // tries counts the failures of one of this controller's duties.
 func (c *Controller) tries(duty string, pauses retry.Backoff) *retry.Tries {
-	return &retry.Tries{Backoff: pauses, Who: c.set.Label + " " + duty}
+	return &retry.Tries{Backoff: pauses, Who: c.Settings.Label + " " + duty}
 }
 
 // sleep waits and reports whether the controller still runs.
@@ -307,27 +307,27 @@
 }
 
 func (c *Controller) tick(now time.Time) {
-	c.checkMachines(now)
-	c.checkClaims(now)
-	for label, ps := range c.peers {
-		c.endIfGone(label, ps, now)
+	c.CheckMachines(now)
+	c.CheckReachability(now)
+	for label, ps := range c.Peers {
+		c.RevokeIfDead(label, ps, now)
 	}
 	c.shareBudget(now)
-	c.carrying.steer(now)
-	for _, p := range c.parts {
-		if p.mine && p.ready {
-			c.following.nameStandby(p, now)
-			p.wake()
+	c.proxy.Rebalance(now)
+	for _, p := range c.Partitions {
+		if p.Held && p.Ready {
+			c.replicator.ChooseStandby(p, now)
+			p.Wake()
 		}
 	}
-	for name, at := range c.gone {
+	for name, at := range c.DeletedMachines {
 		if now.Sub(at) > 10*time.Minute {
-			delete(c.gone, name)
+			delete(c.DeletedMachines, name)
 		}
 	}
-	for name, at := range c.strayed {
+	for name, at := range c.DivertedMachines {
 		if now.Sub(at) > 5*time.Second {
-			delete(c.strayed, name)
+			delete(c.DivertedMachines, name)
 		}
 	}
 }
@@ -336,21 +336,21 @@
 // One that was not heard counts as wanting as much as the others together do
 // on average.
 func (c *Controller) shareBudget(now time.Time) {
-	c.writeDemand = c.store.Demand(now)
-	total, heard := c.writeDemand, 1.0
-	for _, ps := range c.peers {
-		if ps.recent(now) {
-			total += ps.summary.WriteDemand
+	c.WriteDemand = c.store.WriteDemand(now)
+	total, heard := c.WriteDemand, 1.0
+	for _, ps := range c.Peers {
+		if ps.Alive(now) {
+			total += ps.Summary.WriteDemand
 			heard++
 		}
 	}
-	c.store.ShareWrites(c.writeDemand, total*float64(len(c.peers)+1)/heard)
+	c.store.ShareWriteRate(c.WriteDemand, total*float64(len(c.Peers)+1)/heard)
 }
 
-func (p *part) wake() { nudge(p.kick) }
+func (p *Partition) Wake() { Signal(p.Wakeup) }
 
-// nudge wakes whoever waits for the channel, if it is not awake already.
-func nudge(kick chan struct{}) {
+// Signal wakes whoever waits for the channel, if it is not awake already.
+func Signal(kick chan struct{}) {
 	select {
 	case kick <- struct{}{}:
 	default:
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -186,7 +186,7 @@
 			fenced = 0
 			n.do(func() {
 				for name := range late {
-					if m := n.machines[name]; m != nil && m.fenced {
+					if m := n.Machines[name]; m != nil && m.Fenced {
 						fenced++
 					}
 				}
@@ -252,7 +252,7 @@
 		answered := func() (n int) {
 			for _, label := range []string{"n0", "n1", "n2"} {
 				w.mu.Lock()
-				var reports []*protocol.Report
+				var reports []*protocol.Heartbeat
 				for _, wk := range w.workers {
 					reports = append(reports, wk.Snapshot())
 				}
@@ -406,7 +406,7 @@
 		w.submit(spec("job-1", 4, "green"))
 		w.finish(time.Minute)
 		w.mu.Lock()
-		var r *protocol.Report
+		var r *protocol.Heartbeat
 		for _, wk := range w.workers {
 			r = wk.Snapshot()
 		}
@@ -519,14 +519,14 @@
 		owned := 0
 		n := w.nodes["n0"].ctl
 		n.do(func() {
-			for _, p := range n.parts {
-				if p.mine {
+			for _, p := range n.Partitions {
+				if p.Held {
 					owned++
 				}
 			}
 		})
 		machines := 0
-		n.do(func() { machines = len(n.machines) })
+		n.do(func() { machines = len(n.Machines) })
 		if owned > 0 && machines > 0 {
 			t.Logf("n0 still owns %d parts with %d machines on record", owned, machines)
 		}
@@ -686,9 +686,9 @@
 	add := func(id string, age, deadline float64, urgency protocol.Urgency) {
 		s := spec(id, 1, "red") // runs 6 s
 		s.DeadlineS, s.Urgency = deadline, urgency
-		j := &job{spec: s, received: now.Add(-settings.Seconds(age))}
-		j.own()
-		c.jobs[id] = j
+		j := &Job{Spec: s, SubmittedAt: now.Add(-settings.Seconds(age))}
+		j.Load()
+		c.Jobs[id] = j
 	}
 	add("late", 30, 20, protocol.Standard)          // over at 36 s of 20
 	add("a-little-late", 20, 20, protocol.Standard) // over at 26 s, within 1.5 times
@@ -697,8 +697,8 @@
 	add("starving", 200, 20, protocol.Standard)
 	add("urgent-late", 50, 20, protocol.High)
 	var got []string
-	for _, j := range c.inOrder(c.parts[0]) {
-		got = append(got, j.spec.ID)
+	for _, j := range c.Queue(c.Partitions[0]) {
+		got = append(got, j.Spec.ID)
 	}
 	return strings.Join(got, " ")
 }
@@ -772,9 +772,9 @@
 						n := w.nodes[label]
 						w.mu.Unlock()
 						n.ctl.do(func() {
-							for _, m := range n.ctl.machines {
-								if m.faulty {
-									aside[m.name] = true
+							for _, m := range n.ctl.Machines {
+								if m.Quarantined {
+									aside[m.Name] = true
 								}
 							}
 						})
@@ -815,7 +815,7 @@
 			n := w.nodes[label]
 			w.mu.Unlock()
 			n.ctl.do(func() {
-				if n.ctl.leader.mine {
+				if n.ctl.Leadership.Held {
 					leader = n
 				}
 			})
@@ -858,14 +858,14 @@
 			n.do(func() {
 				// What a former owner told of its attempts' beginnings teaches what they
 				// took; attempts that began nobody knows when teach nothing.
-				for class, b := range n.bias {
+				for class, b := range n.runtimeCorrections {
 					if math.Abs(b.ratio-1) > 0.01 {
 						t.Errorf("inherited tasks taught %s a ratio of %v", class, b.ratio)
 					}
 				}
-				for _, m := range n.machines {
-					if m.faulty {
-						t.Errorf("%s set aside", m.name)
+				for _, m := range n.Machines {
+					if m.Quarantined {
+						t.Errorf("%s set aside", m.Name)
 					}
 				}
 			})
@@ -881,22 +881,22 @@
 	set := newWorld(t, 1).set
 	set.Label = "n0"
 	c := New(t.Context(), &set, settings.DefaultOperator(), nil, slog.New(slog.DiscardHandler))
-	p := c.parts[0]
-	p.mine, p.ready, p.version = true, true, 5
+	p := c.Partitions[0]
+	p.Held, p.Ready, p.LeaseRevision = true, true, 5
 	now := time.Now()
-	c.machineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a"}, 3, now)
-	m := c.machines["m-1"]
-	m.session, m.heard = 2, true
-	j := &job{spec: spec("job-1", 1, "red")}
-	j.own()
-	j.queue = nil
-	c.jobs["job-1"] = j
-	a := &attempt{job: j, number: 1, machine: m, session: 1, state: attemptCommitted, inherited: true}
-	j.live[0] = a
-	m.attempts[attemptKey(a.wire(), 1)] = a
-	c.observe(m, &protocol.Report{Machine: "m-1", Session: 2, Sequence: 9, Token: 5}, now)
-	if len(j.live) != 0 || len(j.queue) != 1 {
-		t.Errorf("live %v, queue %v", j.live, j.queue)
+	c.MachineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a"}, 3, now)
+	m := c.Machines["m-1"]
+	m.Epoch, m.HasReported = 2, true
+	j := &Job{Spec: spec("job-1", 1, "red")}
+	j.Load()
+	j.Pending = nil
+	c.Jobs["job-1"] = j
+	a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted, Inherited: true}
+	j.LiveAttempts[0] = a
+	m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+	c.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
+	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
+		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
 	}
 }
 
@@ -921,8 +921,8 @@
 	w.mu.Unlock()
 	owned := 0
 	n.do(func() {
-		for _, p := range n.parts {
-			if p.mine {
+		for _, p := range n.Partitions {
+			if p.Held {
 				owned++
 			}
 		}
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -7,38 +7,38 @@
 	"micaspindle/internal/protocol"
 )
 
-// graph holds which unfinished jobs need which, over dense indices. Every
+// DependencyGraph holds which unfinished jobs need which, over dense indices. Every
 // controller follows all of it, since jobs need jobs of other parts. A job
 // without open dependencies that no other job needs has no node.
 //
 // A job can name accepted jobs only, so the graph has no cycle. Its depth is
 // set by users, so nothing here recurses.
-type graph struct {
+type DependencyGraph struct {
 	index   map[string]int32
-	nodes   []vertex
+	nodes   []graphNode
 	free    []int32
-	runTime func(*job) time.Duration
-	jobs    map[string]*job // all unfinished jobs; the controller's
-	// doomed are the jobs that are to be withdrawn, since something that they
+	runTime func(*Job) time.Duration
+	jobs    map[string]*Job // all unfinished jobs; the controller's
+	// DoomedJobs are the jobs that are to be withdrawn, since something that they
 	// need is, directly or through others.
-	doomed map[string]*job
+	DoomedJobs map[string]*Job
 }
 
-// vertex is a job that needs others or is needed.
-type vertex struct {
+// graphNode is a job that needs others or is needed.
+type graphNode struct {
 	id           string
-	job          *job // nil until its record is seen: a listing is not in order of age
+	job          *Job // nil until its record is seen: a listing is not in order of age
 	dependencies []int32
 	dependents   []int32
 	doomed       bool
 }
 
-func (g *graph) init(jobs map[string]*job, runTime func(*job) time.Duration) {
-	g.index, g.doomed, g.jobs, g.runTime = map[string]int32{}, map[string]*job{}, jobs, runTime
+func (g *DependencyGraph) init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
+	g.index, g.DoomedJobs, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
 }
 
-// vertex returns a job's place, made if there is none.
-func (g *graph) vertex(id string) int32 {
+// nodeOf returns a job's place, made if there is none.
+func (g *DependencyGraph) nodeOf(id string) int32 {
 	n, ok := g.index[id]
 	if ok {
 		return n
@@ -47,51 +47,51 @@
 		n, g.free = g.free[last], g.free[:last]
 	} else {
 		n = int32(len(g.nodes))
-		g.nodes = append(g.nodes, vertex{})
+		g.nodes = append(g.nodes, graphNode{})
 	}
 	g.index[id] = n
-	g.nodes[n] = vertex{id: id, job: g.jobs[id]}
+	g.nodes[n] = graphNode{id: id, job: g.jobs[id]}
 	return n
 }
 
-func (g *graph) release(n int32) {
+func (g *DependencyGraph) release(n int32) {
 	delete(g.index, g.nodes[n].id)
-	g.nodes[n] = vertex{}
+	g.nodes[n] = graphNode{}
 	g.free = append(g.free, n)
 }
 
-// needed says whether unfinished jobs wait for a job.
-func (g *graph) needed(id string) bool {
+// HasDependents says whether unfinished jobs wait for a job.
+func (g *DependencyGraph) HasDependents(id string) bool {
 	n, ok := g.index[id]
 	return ok && len(g.nodes[n].dependents) > 0
 }
 
-// releaseIdle forgets a node that neither waits nor is waited for.
-func (g *graph) releaseIdle(n int32) {
+// releaseIfIdle forgets a node that neither waits nor is waited for.
+func (g *DependencyGraph) releaseIfIdle(n int32) {
 	if nd := &g.nodes[n]; len(nd.dependencies) == 0 && len(nd.dependents) == 0 && !nd.doomed {
 		g.release(n)
 	}
 }
 
-// add takes a job in. final says how and when another job ended, if it did and
+// Add takes a job in. final says how and when another job ended, if it did and
 // that is known.
-func (g *graph) add(j *job, final func(id string) (status string, at time.Time)) {
-	id := j.spec.ID
+func (g *DependencyGraph) Add(j *Job, final func(id string) (status string, at time.Time)) {
+	id := j.Spec.ID
 	n, known := g.index[id]
-	if len(j.spec.Dependencies) == 0 && !known {
+	if len(j.Spec.Dependencies) == 0 && !known {
 		return
 	}
 	if !known {
-		n = g.vertex(id)
+		n = g.nodeOf(id)
 	}
 	g.nodes[n].job = j
 	doomed := g.nodes[n].doomed
 	var open []string
-	for _, dep := range j.spec.Dependencies {
+	for _, dep := range j.Spec.Dependencies {
 		switch status, at := final(dep); status {
 		case protocol.StatusDone:
-			if at.After(j.readyAt) {
-				j.readyAt = at
+			if at.After(j.DependenciesDoneAt) {
+				j.DependenciesDoneAt = at
 			}
 		case protocol.StatusWithdrawn:
 			doomed = true
@@ -104,58 +104,58 @@
 			open = append(open, dep)
 		}
 	}
-	j.blocked = doomed || len(open) > 0
+	j.Blocked = doomed || len(open) > 0
 	if doomed {
 		g.nodes[n].doomed = false // its job is noted by doom
-		g.doom(n)
+		g.markDoomed(n)
 		return
 	}
 	for _, dep := range open {
-		d := g.vertex(dep)
+		d := g.nodeOf(dep)
 		g.nodes[n].dependencies = append(g.nodes[n].dependencies, d)
 		g.nodes[d].dependents = append(g.nodes[d].dependents, n)
 	}
-	g.recompute(n)
-	g.tighten(n)
-	g.releaseIdle(n)
+	g.recomputeNeeds(n)
+	g.propagateNeeds(n)
+	g.releaseIfIdle(n)
 }
 
-// ended takes in that a job is done or withdrawn, and returns the jobs that
+// JobEnded takes in that a job is done or withdrawn, and returns the jobs that
 // are ready now.
-func (g *graph) ended(id string, done bool, now time.Time) []*job {
-	delete(g.doomed, id)
+func (g *DependencyGraph) JobEnded(id string, done bool, now time.Time) []*Job {
+	delete(g.DoomedJobs, id)
 	n, ok := g.index[id]
 	if !ok {
 		return nil
 	}
-	var ready []*job
+	var ready []*Job
 	for _, d := range g.nodes[n].dependents {
 		nd := &g.nodes[d]
-		nd.dependencies = without(nd.dependencies, n)
+		nd.dependencies = removeIndex(nd.dependencies, n)
 		switch {
 		case !done:
-			g.doom(d)
+			g.markDoomed(d)
 		case len(nd.dependencies) == 0 && !nd.doomed && nd.job != nil:
-			nd.job.blocked, nd.job.readyAt = false, now
+			nd.job.Blocked, nd.job.DependenciesDoneAt = false, now
 			ready = append(ready, nd.job)
-			g.releaseIdle(d)
+			g.releaseIfIdle(d)
 		}
 	}
 	dependencies := g.nodes[n].dependencies
 	g.release(n)
 	for _, d := range dependencies {
-		g.nodes[d].dependents = without(g.nodes[d].dependents, n)
+		g.nodes[d].dependents = removeIndex(g.nodes[d].dependents, n)
 	}
 	// What the job needed is needed by one job less.
-	g.loosen(dependencies)
+	g.relaxNeeds(dependencies)
 	for _, d := range dependencies {
-		g.releaseIdle(d)
+		g.releaseIfIdle(d)
 	}
 	return ready
 }
 
-// doom notes that a job, and all that need it, are to be withdrawn.
-func (g *graph) doom(n int32) {
+// markDoomed notes that a job, and all that need it, are to be withdrawn.
+func (g *DependencyGraph) markDoomed(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
@@ -166,45 +166,45 @@
 		}
 		nd.doomed = true
 		if nd.job != nil {
-			nd.job.blocked = true
-			g.doomed[nd.id] = nd.job
+			nd.job.Blocked = true
+			g.DoomedJobs[nd.id] = nd.job
 		}
 		stack = append(stack, nd.dependents...)
 	}
 }
 
-// uncertain says whether a job needs one whose own record was not seen yet, so
+// HasUnseenDependency says whether a job needs one whose own record was not seen yet, so
 // that nobody here can say what that one needs.
-func (g *graph) uncertain(id string) bool {
+func (g *DependencyGraph) HasUnseenDependency(id string) bool {
 	n, ok := g.index[id]
 	return ok && slices.ContainsFunc(g.nodes[n].dependencies, func(d int32) bool { return g.nodes[d].job == nil })
 }
 
-// need is what a job asks of its dependencies: its urgency, and when they must
+// needOf is what a job asks of its dependencies: its urgency, and when they must
 // be done.
-func (g *graph) need(j *job) (protocol.Urgency, time.Time) {
-	due, ok := j.deadline()
+func (g *DependencyGraph) needOf(j *Job) (protocol.Urgency, time.Time) {
+	due, ok := j.Deadline()
 	if !ok {
-		return j.urgency(), time.Time{}
+		return j.Urgency(), time.Time{}
 	}
-	return j.urgency(), due.Add(-g.runTime(j))
+	return j.Urgency(), due.Add(-g.runTime(j))
 }
 
-// raise lets a job meet a need, and says whether that changed it.
-func (j *job) raise(urgency protocol.Urgency, by time.Time) bool {
+// InheritNeed lets a job meet a need, and says whether that changed it.
+func (j *Job) InheritNeed(urgency protocol.Urgency, by time.Time) bool {
 	changed := false
-	if urgency > j.raised {
-		j.raised, changed = urgency, true
+	if urgency > j.InheritedUrgency {
+		j.InheritedUrgency, changed = urgency, true
 	}
-	if !by.IsZero() && (j.neededBy.IsZero() || by.Before(j.neededBy)) {
-		j.neededBy, changed = by, true
+	if !by.IsZero() && (j.InheritedDeadline.IsZero() || by.Before(j.InheritedDeadline)) {
+		j.InheritedDeadline, changed = by, true
 	}
 	return changed
 }
 
-// tighten passes a job's need up to all that it depends on, as far as it
+// propagateNeeds passes a job's need up to all that it depends on, as far as it
 // changes something.
-func (g *graph) tighten(n int32) {
+func (g *DependencyGraph) propagateNeeds(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
 		nd := &g.nodes[stack[len(stack)-1]]
@@ -212,45 +212,45 @@
 		if nd.job == nil {
 			continue
 		}
-		urgency, by := g.need(nd.job)
+		urgency, by := g.needOf(nd.job)
 		for _, d := range nd.dependencies {
-			if j := g.nodes[d].job; j != nil && j.raise(urgency, by) {
+			if j := g.nodes[d].job; j != nil && j.InheritNeed(urgency, by) {
 				stack = append(stack, d)
 			}
 		}
 	}
 }
 
-// recompute works out a job's needs from those that need it, and says whether
+// recomputeNeeds works out a job's needs from those that need it, and says whether
 // that changed them.
-func (g *graph) recompute(n int32) bool {
+func (g *DependencyGraph) recomputeNeeds(n int32) bool {
 	nd := &g.nodes[n]
 	j := nd.job
-	raised, neededBy := j.raised, j.neededBy
-	j.raised, j.neededBy = protocol.Low, time.Time{}
+	raised, neededBy := j.InheritedUrgency, j.InheritedDeadline
+	j.InheritedUrgency, j.InheritedDeadline = protocol.Low, time.Time{}
 	for _, d := range nd.dependents {
 		if g.nodes[d].job != nil && !g.nodes[d].doomed {
-			j.raise(g.need(g.nodes[d].job))
+			j.InheritNeed(g.needOf(g.nodes[d].job))
 		}
 	}
-	return raised != j.raised || !neededBy.Equal(j.neededBy)
+	return raised != j.InheritedUrgency || !neededBy.Equal(j.InheritedDeadline)
 }
 
-// loosen works the needs of jobs out again, and of all that they depend on, as
+// relaxNeeds works the needs of jobs out again, and of all that they depend on, as
 // far as it changes something.
-func (g *graph) loosen(list []int32) {
+func (g *DependencyGraph) relaxNeeds(list []int32) {
 	stack := slices.Clone(list)
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if g.nodes[n].job != nil && g.recompute(n) {
+		if g.nodes[n].job != nil && g.recomputeNeeds(n) {
 			stack = append(stack, g.nodes[n].dependencies...)
 		}
 	}
 }
 
-// without removes an index from a list whose order does not matter.
-func without(list []int32, n int32) []int32 {
+// removeIndex removes an index from a list whose order does not matter.
+func removeIndex(list []int32, n int32) []int32 {
 	if i := slices.Index(list, n); i >= 0 {
 		list[i] = list[len(list)-1]
 		return list[:len(list)-1]
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -151,25 +151,25 @@
 	urgent.CPUs, urgent.Types = 32, []string{"big"}
 	j := c.take(urgent)
 	now := time.Now()
-	if j.received = now.Add(-time.Hour); !j.blocked {
+	if j.SubmittedAt = now.Add(-time.Hour); !j.Blocked {
 		t.Fatal("the job is not blocked")
 	}
-	c.place(p, now)
-	c.preempt(p, now)
-	if len(j.live) > 0 || p.usage[j.team].CPUs != first.spec.CPUs {
-		t.Errorf("%d attempts, usage %v", len(j.live), p.usage[j.team])
+	c.Place(p, now)
+	c.Preempt(p, now)
+	if len(j.LiveAttempts) > 0 || p.Usage[j.Team].CPUs != first.Spec.CPUs {
+		t.Errorf("%d attempts, usage %v", len(j.LiveAttempts), p.Usage[j.Team])
 	}
-	if d := c.partSummary(p, now).Demands; len(d) > 0 {
+	if d := c.partitionSummary(p, now).Demands; len(d) > 0 {
 		t.Errorf("demands %v", d)
 	}
-	if s := c.scarcity(now); s.Contested("big", 2) {
+	if s := c.Scarcity(now); s.Contested("big", 2) {
 		t.Error("machines are kept for it")
 	}
-	c.setFinal("job-1", protocol.StatusDone, time.Now())
-	if j.blocked || j.since().Before(now) {
-		t.Errorf("blocked %v, ready since %s", j.blocked, j.since())
+	c.SetFinal("job-1", protocol.StatusDone, time.Now())
+	if j.Blocked || j.ReadySince().Before(now) {
+		t.Errorf("blocked %v, ready since %s", j.Blocked, j.ReadySince())
 	}
-	if list := c.inOrder(p); !slices.Contains(list, j) {
+	if list := c.Queue(p); !slices.Contains(list, j) {
 		t.Error("not served when ready")
 	}
 }
@@ -185,38 +185,38 @@
 		return s
 	}
 	a, b := c.take(plain("job-1")), c.take(plain("job-2", "job-1"))
-	if _, ok := a.deadline(); ok || a.urgency() != protocol.Low {
+	if _, ok := a.Deadline(); ok || a.Urgency() != protocol.Low {
 		t.Error("a need without anybody who needs it")
 	}
 	last := plain("job-3", "job-2")
 	last.DeadlineS, last.Urgency = 60, protocol.High
 	l := c.take(last)
-	due := func(j *job, left float64) {
+	due := func(j *Job, left float64) {
 		t.Helper()
-		at, ok := j.deadline()
-		if d := at.Sub(l.received).Seconds(); !ok || d < left-0.1 || d > left+0.1 {
-			t.Errorf("%s is needed after %v s (%v), want %v", j.spec.ID, d, ok, left)
+		at, ok := j.Deadline()
+		if d := at.Sub(l.SubmittedAt).Seconds(); !ok || d < left-0.1 || d > left+0.1 {
+			t.Errorf("%s is needed after %v s (%v), want %v", j.Spec.ID, d, ok, left)
 		}
-		if j.urgency() != protocol.High {
-			t.Errorf("%s has urgency %d", j.spec.ID, j.urgency())
+		if j.Urgency() != protocol.High {
+			t.Errorf("%s has urgency %d", j.Spec.ID, j.Urgency())
 		}
 	}
 	due(b, 54)
 	due(a, 48)
 	// One that comes late, when the first is over.
-	c.setFinal("job-1", protocol.StatusDone, time.Now())
+	c.SetFinal("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
 	c.take(sooner)
 	due(b, 24)
-	c.setFinal("job-4", protocol.StatusWithdrawn, time.Now())
+	c.SetFinal("job-4", protocol.StatusWithdrawn, time.Now())
 	due(b, 54)
-	c.setFinal("job-3", protocol.StatusWithdrawn, time.Now())
-	if _, ok := b.deadline(); ok || b.urgency() != protocol.Low {
+	c.SetFinal("job-3", protocol.StatusWithdrawn, time.Now())
+	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
 		t.Error("the need outlives the job")
 	}
-	c.setFinal("job-2", protocol.StatusDone, time.Now())
-	if n := len(c.graph.index) + len(c.graph.doomed); n > 0 || len(c.graph.free) != len(c.graph.nodes) {
+	c.SetFinal("job-2", protocol.StatusDone, time.Now())
+	if n := len(c.Dependencies.index) + len(c.Dependencies.DoomedJobs); n > 0 || len(c.Dependencies.free) != len(c.Dependencies.nodes) {
 		t.Errorf("%d jobs are left in the graph", n)
 	}
 }
@@ -226,12 +226,12 @@
 	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		jobs, finals := map[string]*job{}, map[string]string{}
-		var g graph
-		g.init(jobs, func(j *job) time.Duration { return settings.Seconds(j.spec.EstimateS) })
+		jobs, finals := map[string]*Job{}, map[string]string{}
+		var g DependencyGraph
+		g.init(jobs, func(j *Job) time.Duration { return settings.Seconds(j.Spec.EstimateS) })
 		const n = 24
 		now := time.Now()
-		all := make([]*job, n)
+		all := make([]*Job, n)
 		for i := range all {
 			s := spec(fmt.Sprintf("job-%d", i), 1, "red")
 			s.Urgency, s.EstimateS, s.DeadlineS = protocol.Urgency(rng.IntN(4)), float64(1+rng.IntN(9)), float64(rng.IntN(3)*50)
@@ -240,7 +240,7 @@
 					s.Dependencies = append(s.Dependencies, fmt.Sprintf("job-%d", d))
 				}
 			}
-			all[i] = &job{spec: s, received: now}
+			all[i] = &Job{Spec: s, SubmittedAt: now}
 		}
 		// A listing brings jobs in any order; endings come in between.
 		order := rng.Perm(n)
@@ -248,19 +248,19 @@
 			if len(order) > 0 && rng.IntN(3) > 0 {
 				j := all[order[0]]
 				order = order[1:]
-				if finals[j.spec.ID] != "" {
+				if finals[j.Spec.ID] != "" {
 					continue // ended jobs are not taken up
 				}
-				jobs[j.spec.ID] = j
-				g.add(j, func(id string) (string, time.Time) { return finals[id], time.Time{} })
+				jobs[j.Spec.ID] = j
+				g.Add(j, func(id string) (string, time.Time) { return finals[id], time.Time{} })
 			} else {
 				i := rng.IntN(n)
-				id := all[i].spec.ID
+				id := all[i].Spec.ID
 				if finals[id] != "" {
 					continue
 				}
 				done, doomed := true, false
-				for _, d := range all[i].spec.Dependencies {
+				for _, d := range all[i].Spec.Dependencies {
 					done = done && finals[d] == protocol.StatusDone
 					doomed = doomed || finals[d] == protocol.StatusWithdrawn
 				}
@@ -272,7 +272,7 @@
 				if done {
 					finals[id] = protocol.StatusDone
 				}
-				g.ended(id, done, now)
+				g.JobEnded(id, done, now)
 				delete(jobs, id)
 			}
 			checkGraph(t, seed, &g, all, jobs, finals)
@@ -283,15 +283,15 @@
 	}
 }
 
-func checkGraph(t *testing.T, seed uint64, g *graph, all []*job, jobs map[string]*job, finals map[string]string) {
+func checkGraph(t *testing.T, seed uint64, g *DependencyGraph, all []*Job, jobs map[string]*Job, finals map[string]string) {
 	t.Helper()
 	doomed, blocked := map[string]bool{}, map[string]bool{}
 	for _, j := range all { // dependencies come before dependents
-		id := j.spec.ID
+		id := j.Spec.ID
 		if jobs[id] == nil {
 			continue
 		}
-		for _, d := range j.spec.Dependencies {
+		for _, d := range j.Spec.Dependencies {
 			blocked[id] = blocked[id] || finals[d] != protocol.StatusDone
 			doomed[id] = doomed[id] || finals[d] == protocol.StatusWithdrawn || doomed[d]
 		}
@@ -299,27 +299,27 @@
 	raised, needed := map[string]protocol.Urgency{}, map[string]time.Time{}
 	for i := len(all) - 1; i >= 0; i-- {
 		j := all[i]
-		id := j.spec.ID
+		id := j.Spec.ID
 		if jobs[id] == nil {
 			continue
 		}
-		if j.blocked != blocked[id] || (g.doomed[id] != nil) != doomed[id] {
-			t.Errorf("seed %d: %s blocked %v doomed %v, want %v %v", seed, id, j.blocked, g.doomed[id] != nil, blocked[id], doomed[id])
+		if j.Blocked != blocked[id] || (g.DoomedJobs[id] != nil) != doomed[id] {
+			t.Errorf("seed %d: %s blocked %v doomed %v, want %v %v", seed, id, j.Blocked, g.DoomedJobs[id] != nil, blocked[id], doomed[id])
 		}
-		if !doomed[id] && (j.raised < raised[id] || !needed[id].IsZero() && (j.neededBy.IsZero() || j.neededBy.After(needed[id]))) {
-			t.Errorf("seed %d: %s raised to %d by %s, want %d %s", seed, id, j.raised, j.neededBy, raised[id], needed[id])
+		if !doomed[id] && (j.InheritedUrgency < raised[id] || !needed[id].IsZero() && (j.InheritedDeadline.IsZero() || j.InheritedDeadline.After(needed[id]))) {
+			t.Errorf("seed %d: %s raised to %d by %s, want %d %s", seed, id, j.InheritedUrgency, j.InheritedDeadline, raised[id], needed[id])
 		}
 		if doomed[id] {
 			continue // what is to be withdrawn needs nothing
 		}
-		urgency := max(j.spec.Urgency, raised[id])
+		urgency := max(j.Spec.Urgency, raised[id])
 		due := needed[id]
-		if own := j.received.Add(settings.Seconds(j.spec.DeadlineS)); j.spec.DeadlineS > 0 && (due.IsZero() || own.Before(due)) {
+		if own := j.SubmittedAt.Add(settings.Seconds(j.Spec.DeadlineS)); j.Spec.DeadlineS > 0 && (due.IsZero() || own.Before(due)) {
 			due = own
 		}
-		for _, d := range j.spec.Dependencies {
+		for _, d := range j.Spec.Dependencies {
 			raised[d] = max(raised[d], urgency)
-			if by := due.Add(-settings.Seconds(j.spec.EstimateS)); !due.IsZero() && (needed[d].IsZero() || by.Before(needed[d])) {
+			if by := due.Add(-settings.Seconds(j.Spec.EstimateS)); !due.IsZero() && (needed[d].IsZero() || by.Before(needed[d])) {
 				needed[d] = by
 			}
 		}
@@ -449,7 +449,7 @@
 		w.mu.Lock()
 		w.state.Stuck = true
 		w.mu.Unlock()
-		n.do(func() { n.fresh = time.Now().Add(-n.staleBound() - time.Second) })
+		n.do(func() { n.RecordsAsOf = time.Now().Add(-n.staleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a controller that is behind gets %d", got)
 		}
@@ -577,25 +577,25 @@
 	for _, pipeline := range []bool{false, true} {
 		c, p := owner(t)
 		busy := c.up(p, "m-1", "big")
-		busy.images["img"] = time.Now()
+		busy.Images["img"] = time.Now()
 		c.up(p, "m-2", "big")
 		// Two run there, so that its contention is the higher one.
 		other := spec("job-1", 2, "green")
 		other.Image, other.EstimateS = "other", 600
 		running := c.take(other)
 		for task := range 2 {
-			busy.attempts[fmt.Sprint(task)] = &attempt{job: running, task: task, machine: busy, session: 1, state: attemptSeen}
+			busy.Attempts[fmt.Sprint(task)] = &Attempt{Job: running, TaskIndex: task, Machine: busy, Epoch: 1, State: AttemptConfirmed}
 		}
-		busy.resources()
-		delete(c.jobs, "job-1")
+		busy.RecountUsed()
+		delete(c.Jobs, "job-1")
 		s := spec("job-2", 1, "green")
 		s.EstimateS, s.ImageGB = 600, 1 // a short fetch
 		j := c.take(s)
 		if pipeline {
 			c.take(after("job-3", 1, "green", "job-2"))
 		}
-		c.place(p, time.Now())
-		if got := j.live[0].machine.name; got == "m-1" != pipeline {
+		c.Place(p, time.Now())
+		if got := j.LiveAttempts[0].Machine.Name; got == "m-1" != pipeline {
 			t.Errorf("pipeline %v: placed on %s", pipeline, got)
 		}
 	}
