--- a/internal/coordination/door.go
+++ b/internal/coordination/door.go
@@ -33,234 +33,234 @@
 	ClockBound time.Duration
 }
 
-// guard stands at the door. Its policy is followed by the loop and read by the
+// authorizer stands at the door. Its policy is followed by the loop and read by the
 // connections.
-type guard struct {
-	who       *identity.Tokens
-	bootstrap string
-	bound     time.Duration
-	log       *audit.Log
-	policy    atomic.Pointer[policyView]
-	// fresh is when the policy was last known to be up to date, since started.
-	fresh   atomic.Int64
-	started time.Time
-	// misses bounds how often an identity may make this controller look for
+type authorizer struct {
+	tokens     *identity.Tokens
+	bootstrap  string
+	clockBound time.Duration
+	log        *audit.Log
+	policy     atomic.Pointer[policyView]
+	// freshSince is when the policy was last known to be up to date, since started.
+	freshSince atomic.Int64
+	started    time.Time
+	// unknownJobLimiters bounds how often an identity may make this controller look for
 	// jobs that it does not know.
-	misses *lru.Cache[string, *rate.Limiter]
+	unknownJobLimiters *lru.Cache[string, *rate.Limiter]
 }
 
 // policyView is the policy at one version; it does not change.
 type policyView struct {
-	version uint64
-	stamp   uint64 // of the head record
-	doc     *rights.Document
-	rights  *rights.Policy
+	version      uint64
+	headRevision uint64 // of the head record
+	doc          *rights.Document
+	rights       *rights.Policy
 }
 
 const (
-	// policyBound is how old the policy may be for anything to be allowed by
+	// policyMaxAge is how old the policy may be for anything to be allowed by
 	// it: a revocation must hold everywhere within 3 s.
-	policyBound = 2500 * time.Millisecond
-	// policyWait is how long a watch waits where the policy must be fresh.
-	policyWait = 500 * time.Millisecond
+	policyMaxAge = 2500 * time.Millisecond
+	// policyWatchWait is how long a watch waits where the policy must be fresh.
+	policyWatchWait = 500 * time.Millisecond
 	// An identity may ask for unknown jobs this often, and in such bursts.
-	missRate  = 5
-	missBurst = 20
-	// missLimit is how many identities that is counted for, some 300 bytes each.
-	missLimit = 4096
+	unknownJobRate  = 5
+	unknownJobBurst = 20
+	// unknownJobLimitersLimit is how many identities that is counted for, some 300 bytes each.
+	unknownJobLimitersLimit = 4096
 )
 
 // Identify makes the controller ask who comes. It is called before Run.
 func (c *Controller) Identify(ids Identities) error {
-	if ops := c.set.Params.State.Lower().TxnOps; ops < minAuditOps {
-		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minAuditOps, ops)
+	if ops := c.Settings.Params.State.Lower().TxnOps; ops < minTransactionChanges {
+		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minTransactionChanges, ops)
 	}
-	misses, err := lru.NewWithEvict(missLimit, func(string, *rate.Limiter) { c.boundMet(observe.Callers, 1) })
+	misses, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { c.boundMet(observe.Callers, 1) })
 	if err != nil {
 		return err
 	}
-	c.guard = &guard{who: ids.Tokens, bootstrap: ids.Bootstrap, bound: ids.ClockBound, started: time.Now(), misses: misses,
-		log: audit.NewLog(c.store, c.set.Label, ids.Signer, c.log)}
-	c.guard.fresh.Store(-int64(time.Hour))
+	c.guard = &authorizer{tokens: ids.Tokens, bootstrap: ids.Bootstrap, clockBound: ids.ClockBound, started: time.Now(), unknownJobLimiters: misses,
+		log: audit.NewLog(c.store, c.Settings.Label, ids.Signer, c.log)}
+	c.guard.freshSince.Store(-int64(time.Hour))
 	c.policy.init()
-	c.queues.init()
+	c.jobQueues.init()
 	return nil
 }
 
 const (
-	// auditOps is what the audit may add to a change: a batch, its chain's head
+	// auditChanges is what the audit may add to a change: a batch, its chain's head
 	// and its signer's certificate.
-	auditOps = 3
-	// minAuditOps is the largest change of users, a reassignment, with these.
-	minAuditOps = 2 + auditOps
+	auditChanges = 3
+	// minTransactionChanges is the largest change of users, a reassignment, with these.
+	minTransactionChanges = 2 + auditChanges
 )
 
-// caller is who sends a request.
-type caller struct {
-	name string
-	how  string
-	from string
-	// through is the service that vouches for the caller; "": it asks itself.
-	through string
+// Caller is who sends a request.
+type Caller struct {
+	Name       string
+	Credential string
+	RemoteAddr string
+	// Service is the service that vouches for the caller; "": it asks itself.
+	Service string
 }
 
-// record begins the audit record of what a caller does; nil while nobody asks
+// AuditRecord begins the audit record of what a caller does; nil while nobody asks
 // who comes.
-func (c *Controller) record(who *caller, verb string, q rights.Queue, job string) *audit.Record {
+func (c *Controller) AuditRecord(who *Caller, verb string, q rights.Queue, job string) *audit.Record {
 	if c.guard == nil {
 		return nil
 	}
-	r := &audit.Record{At: time.Now().UTC(), BoundMS: float64(c.guard.bound) / float64(time.Millisecond), Verb: verb,
-		Team: clip(q.Team), Class: clip(q.Class), Job: clip(job), Outcome: audit.Allowed}
+	r := &audit.Record{At: time.Now().UTC(), BoundMS: float64(c.guard.clockBound) / float64(time.Millisecond), Verb: verb,
+		Team: clipText(q.Team), Class: clipText(q.Class), Job: clipText(job), Outcome: audit.Allowed}
 	if who != nil {
-		r.Who, r.How, r.From = who.name, who.how, who.from
+		r.Who, r.How, r.From = who.Name, who.Credential, who.RemoteAddr
 	}
 	return r
 }
 
-// clip bounds what a caller's text takes of a record.
-func clip(s string) string { return s[:min(len(s), 100)] }
+// clipText bounds what a caller's text takes of a record.
+func clipText(s string) string { return s[:min(len(s), 100)] }
 
-// deny refuses and notes it.
-func (c *Controller) deny(who *caller, verb string, q rights.Queue, job string, status int, reason string) *transport.Response {
-	r := c.record(who, verb, q, job)
+// Deny refuses and notes it.
+func (c *Controller) Deny(who *Caller, verb string, q rights.Queue, job string, status int, reason string) *transport.Response {
+	r := c.AuditRecord(who, verb, q, job)
 	r.Outcome, r.Reason = audit.Denied, reason
 	c.guard.log.Note(*r)
 	said := "not allowed"
 	if status == 401 {
 		said = "no good credential"
 	}
-	resp := refuse(status, said, 0)
+	resp := Refuse(status, said, 0)
 	return &resp
 }
 
-// authenticate says who sends a request, or refuses it.
-func (c *Controller) authenticate(req *transport.Request, verb string) (*caller, *transport.Response) {
+// Authenticate says who sends a request, or refuses it.
+func (c *Controller) Authenticate(req *transport.Request, verb string) (*Caller, *transport.Response) {
 	g := c.guard
 	if g == nil {
 		return nil, nil
 	}
-	who := &caller{from: req.From}
+	who := &Caller{RemoteAddr: req.From}
 	var name identity.Name
 	var issued time.Time
 	switch scheme, token, _ := strings.Cut(req.Authorization, " "); {
 	case req.Authorization != "":
 		if !strings.EqualFold(scheme, "Bearer") {
-			return nil, c.deny(who, verb, rights.Queue{}, "", 401, "authorization is not of the kind Bearer")
+			return nil, c.Deny(who, verb, rights.Queue{}, "", 401, "authorization is not of the kind Bearer")
 		}
-		tok, err := g.who.Check(strings.TrimSpace(token))
+		tok, err := g.tokens.Check(strings.TrimSpace(token))
 		if err != nil {
-			return nil, c.deny(who, verb, rights.Queue{}, "", 401, err.Error())
+			return nil, c.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
 		}
-		name, issued, who.how = tok.Name, tok.Issued, "token "+tok.ID
+		name, issued, who.Credential = tok.Name, tok.Issued, "token "+tok.ID
 	case req.Peer != nil:
 		var err error
-		if name, err = c.certified(req); err != nil {
-			return nil, c.deny(who, verb, rights.Queue{}, "", 401, err.Error())
+		if name, err = c.certificateName(req); err != nil {
+			return nil, c.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
 		}
-		who.how = "certificate " + identity.Fingerprint(req.Peer)
+		who.Credential = "certificate " + identity.Fingerprint(req.Peer)
 	default:
-		return nil, c.deny(who, verb, rights.Queue{}, "", 401, "no credential")
+		return nil, c.Deny(who, verb, rights.Queue{}, "", 401, "no credential")
 	}
-	who.name = name.String()
+	who.Name = name.String()
 	if req.OnBehalfOf != "" {
-		refusal := c.vouched(who, name, issued.IsZero(), req.OnBehalfOf, verb)
+		refusal := c.authenticateOnBehalf(who, name, issued.IsZero(), req.OnBehalfOf, verb)
 		return who, refusal
 	}
 	if !name.Caller() {
-		return nil, c.deny(who, verb, rights.Queue{}, "", 403, "a "+string(name.Kind)+" sends no users' requests")
+		return nil, c.Deny(who, verb, rights.Queue{}, "", 403, "a "+string(name.Kind)+" sends no users' requests")
 	}
 	view := g.policy.Load()
-	if view == nil || !g.current() {
-		resp := refuse(503, "policy is not up to date here", 1)
+	if view == nil || !g.policyFresh() {
+		resp := Refuse(503, "policy is not up to date here", 1)
 		return nil, &resp
 	}
-	if !issued.IsZero() && view.rights.Voids(who.name, issued) {
-		return nil, c.deny(who, verb, rights.Queue{}, "", 401, "token was issued before it was voided")
+	if !issued.IsZero() && view.rights.Voids(who.Name, issued) {
+		return nil, c.Deny(who, verb, rights.Queue{}, "", 401, "token was issued before it was voided")
 	}
-	if !view.rights.Known(who.name) && !g.bootstraps(view, who.name) {
-		return nil, c.deny(who, verb, rights.Queue{}, "", 403, "not in the policy, or revoked")
+	if !view.rights.Known(who.Name) && !g.isBootstrap(view, who.Name) {
+		return nil, c.Deny(who, verb, rights.Queue{}, "", 403, "not in the policy, or revoked")
 	}
 	return who, nil
 }
 
-// vouched makes a service's request that of whom it names. The service must have
+// authenticateOnBehalf makes a service's request that of whom it names. The service must have
 // shown its certificate and hold the right to vouch; what may be done is decided
 // by the rights of the one who is named.
-func (c *Controller) vouched(who *caller, service identity.Name, certified bool, behalf, verb string) *transport.Response {
+func (c *Controller) authenticateOnBehalf(who *Caller, service identity.Name, certified bool, behalf, verb string) *transport.Response {
 	view := c.guard.policy.Load()
-	if view == nil || !c.guard.current() {
-		resp := refuse(503, "policy is not up to date here", 1)
+	if view == nil || !c.guard.policyFresh() {
+		resp := Refuse(503, "policy is not up to date here", 1)
 		return &resp
 	}
-	if !certified || service.Kind != identity.Service || !view.rights.HoldsAny(who.name, rights.Vouch) {
-		return c.deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clip(behalf)+", which it may not")
+	if !certified || service.Kind != identity.Service || !view.rights.HoldsAny(who.Name, rights.Vouch) {
+		return c.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", which it may not")
 	}
 	name, err := identity.ParseName(behalf)
 	if err != nil || !name.Caller() {
-		return c.deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clip(behalf)+", who can be no caller")
+		return c.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", who can be no caller")
 	}
-	who.through, who.name = who.name, name.String()
-	who.how = "vouched for by " + who.through + ", " + who.how
+	who.Service, who.Name = who.Name, name.String()
+	who.Credential = "vouched for by " + who.Service + ", " + who.Credential
 	return nil
 }
 
-// certified reads the name in a certificate that the handshake has verified. The
+// certificateName reads the name in a certificate that the handshake has verified. The
 // connection may have been open for longer than the certificate is good.
-func (c *Controller) certified(req *transport.Request) (identity.Name, error) {
-	if now := time.Now().Add(c.guard.bound); !now.Before(req.Peer.NotAfter) {
+func (c *Controller) certificateName(req *transport.Request) (identity.Name, error) {
+	if now := time.Now().Add(c.guard.clockBound); !now.Before(req.Peer.NotAfter) {
 		return identity.Name{}, errors.New("certificate expired")
 	}
 	return identity.FromCertificate(req.Peer)
 }
 
-// current says whether the policy is fresh enough to allow anything by.
-func (g *guard) current() bool {
-	return time.Since(g.started)-time.Duration(g.fresh.Load()) <= policyBound
+// policyFresh says whether the policy is fresh enough to allow anything by.
+func (g *authorizer) policyFresh() bool {
+	return time.Since(g.started)-time.Duration(g.freshSince.Load()) <= policyMaxAge
 }
 
-// bootstraps says whether somebody may write the first policy.
-func (g *guard) bootstraps(view *policyView, name string) bool {
+// isBootstrap says whether somebody may write the first policy.
+func (g *authorizer) isBootstrap(view *policyView, name string) bool {
 	return view.version == 0 && g.bootstrap != "" && name == g.bootstrap
 }
 
-// ownOfService are the rights that a service uses of its own even where it says
+// serviceOwnVerbs are the rights that a service uses of its own even where it says
 // for whom: it follows and ends what it was allowed to begin, whatever has become
 // of those for whom it did.
-const ownOfService = rights.View | rights.Withdraw
+const serviceOwnVerbs = rights.View | rights.Withdraw
 
 // allows says whether a caller holds a verb on a queue.
-func (g *guard) allows(who *caller, v rights.Verb, q rights.Queue) bool {
+func (g *authorizer) allows(who *Caller, v rights.Verb, q rights.Queue) bool {
 	p := g.policy.Load().rights
-	if who.through == "" {
-		return p.Allows(who.name, v, q)
+	if who.Service == "" {
+		return p.Allows(who.Name, v, q)
 	}
-	return p.Allows(who.name, v, q) && p.Allows(who.through, rights.Vouch, q) || v&ownOfService != 0 && p.Allows(who.through, v, q)
+	return p.Allows(who.Name, v, q) && p.Allows(who.Service, rights.Vouch, q) || v&serviceOwnVerbs != 0 && p.Allows(who.Service, v, q)
 }
 
 // holdsAny says whether a caller holds a verb on some queue.
-func (g *guard) holdsAny(who *caller, v rights.Verb) bool {
+func (g *authorizer) holdsAny(who *Caller, v rights.Verb) bool {
 	p := g.policy.Load().rights
-	return p.HoldsAny(who.name, v) || who.through != "" && v&ownOfService != 0 && p.HoldsAny(who.through, v)
+	return p.HoldsAny(who.Name, v) || who.Service != "" && v&serviceOwnVerbs != 0 && p.HoldsAny(who.Service, v)
 }
 
-// everywhere says whether a caller holds a verb on every queue.
-func (g *guard) everywhere(who *caller, v rights.Verb) bool {
+// allowsEverywhere says whether a caller holds a verb on every queue.
+func (g *authorizer) allowsEverywhere(who *Caller, v rights.Verb) bool {
 	p := g.policy.Load().rights
-	return p.AllowsEverywhere(who.name, v) && (who.through == "" || p.AllowsEverywhere(who.through, rights.Vouch))
+	return p.AllowsEverywhere(who.Name, v) && (who.Service == "" || p.AllowsEverywhere(who.Service, rights.Vouch))
 }
 
 // administers says whether a caller may change the policy and read the audit.
-func (g *guard) administers(who *caller) bool {
+func (g *authorizer) administers(who *Caller) bool {
 	// Nobody administers through a service.
 	view := g.policy.Load()
-	return who.through == "" && (view.rights.AllowsEverywhere(who.name, rights.Administer) || g.bootstraps(view, who.name))
+	return who.Service == "" && (view.rights.AllowsEverywhere(who.Name, rights.Administer) || g.isBootstrap(view, who.Name))
 }
 
-// admitJob says whether a caller may do something with a job, and refuses with
+// AuthorizeJob says whether a caller may do something with a job, and refuses with
 // the same words, after the same reading, whether the job exists or not. Only
 // who may do it with every job is told that there is none.
-func (c *Controller) admitJob(ctx context.Context, who *caller, v rights.Verb, id string) (rights.Queue, *transport.Response) {
+func (c *Controller) AuthorizeJob(ctx context.Context, who *Caller, v rights.Verb, id string) (rights.Queue, *transport.Response) {
 	var q rights.Queue
 	g := c.guard
 	if g == nil {
@@ -268,11 +268,11 @@
 	}
 	verb := v.String()
 	if !g.holdsAny(who, v) {
-		return q, c.deny(who, verb, q, id, 403, "holds this right on no queue")
+		return q, c.Deny(who, verb, q, id, 403, "holds this right on no queue")
 	}
-	everywhere := g.everywhere(who, v)
+	everywhere := g.allowsEverywhere(who, v)
 	known := false
-	c.do(func() { q, known = c.queues.of(id) })
+	c.do(func() { q, known = c.jobQueues.queueOf(id) })
 	if known && g.allows(who, v, q) {
 		return q, nil
 	}
@@ -280,41 +280,41 @@
 	// so that neither the time nor the budget for unknown jobs tells them apart.
 	spec, err := &protocol.JobSpec{}, error(bookkeeping.ErrNotFound)
 	if protocol.ValidID(id) {
-		spec, err = c.readSpec(ctx, who, id)
+		spec, err = c.ReadSpec(ctx, who, id)
 	}
 	switch {
 	case errors.Is(err, bookkeeping.ErrNotFound) && everywhere:
 		return q, nil
 	case errors.Is(err, bookkeeping.ErrNotFound):
-	case errors.Is(err, errMisses):
-		c.deny(who, verb, rights.Queue{}, id, 403, "asks too often for jobs that are not in its queues")
-		resp := unavailable(err)
+	case errors.Is(err, errUnknownJobBudget):
+		c.Deny(who, verb, rights.Queue{}, id, 403, "asks too often for jobs that are not in its queues")
+		resp := unavailableResponse(err)
 		return q, &resp
 	case err != nil:
-		resp := unavailable(err)
+		resp := unavailableResponse(err)
 		return q, &resp
 	default:
 		if q = (rights.Queue{Team: spec.Team, Class: spec.Class}); g.allows(who, v, q) {
 			return q, nil
 		}
 	}
-	return q, c.deny(who, verb, q, id, 403, "no such job in a queue of this right")
+	return q, c.Deny(who, verb, q, id, 403, "no such job in a queue of this right")
 }
 
-// errMisses refuses who asks too often for jobs that nobody knows.
-var errMisses = fmt.Errorf("%w: over the budget for unknown jobs", bookkeeping.ErrRefused)
+// errUnknownJobBudget refuses who asks too often for jobs that nobody knows.
+var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", bookkeeping.ErrRefused)
 
-// readSpec reads a job's record; who, if told, is held to the budget for
+// ReadSpec reads a job's record; who, if told, is held to the budget for
 // unknown jobs.
-func (c *Controller) readSpec(ctx context.Context, who *caller, id string) (*protocol.JobSpec, error) {
+func (c *Controller) ReadSpec(ctx context.Context, who *Caller, id string) (*protocol.JobSpec, error) {
 	if who != nil {
-		limiter, ok := c.guard.misses.Get(who.name)
+		limiter, ok := c.guard.unknownJobLimiters.Get(who.Name)
 		if !ok {
-			limiter = rate.NewLimiter(missRate, missBurst)
-			c.guard.misses.Add(who.name, limiter)
+			limiter = rate.NewLimiter(unknownJobRate, unknownJobBurst)
+			c.guard.unknownJobLimiters.Add(who.Name, limiter)
 		}
 		if !limiter.Allow() {
-			return nil, errMisses
+			return nil, errUnknownJobBudget
 		}
 	}
 	if c.store.Down() {
@@ -331,81 +331,81 @@
 	return spec, nil
 }
 
-// userCommit commits what a user asked for, together with its record if one is
+// Commit commits what a user asked for, together with its record if one is
 // to be kept.
-func (c *Controller) userCommit(ctx context.Context, txn *protocol.Transaction, r *audit.Record) (uint64, error) {
+func (c *Controller) Commit(ctx context.Context, txn *protocol.Transaction, r *audit.Record) (uint64, error) {
 	if r == nil {
 		return c.store.UserCommit(ctx, txn)
 	}
 	return c.guard.log.Commit(ctx, txn, *r)
 }
 
-// looked notes that a caller has looked at something.
-func (c *Controller) looked(who *caller, verb string, q rights.Queue, id string) {
+// NoteRead notes that a caller has looked at something.
+func (c *Controller) NoteRead(who *Caller, verb string, q rights.Queue, id string) {
 	if c.guard != nil {
-		c.guard.log.Note(*c.record(who, verb, q, id))
+		c.guard.log.Note(*c.AuditRecord(who, verb, q, id))
 	}
 }
 
-// worker says which worker sends a report, or refuses it.
-func (c *Controller) worker(req *transport.Request) (*caller, *transport.Response) {
-	return c.machineIdentity(req, "report", func(n identity.Name) bool { return n.Kind == identity.Worker })
+// AuthenticateWorker says which worker sends a report, or refuses it.
+func (c *Controller) AuthenticateWorker(req *transport.Request) (*Caller, *transport.Response) {
+	return c.authenticateMachine(req, "report", func(n identity.Name) bool { return n.Kind == identity.Worker })
 }
 
-// machineIdentity says which worker or controller sends a message. Only a
+// authenticateMachine says which worker or controller sends a message. Only a
 // certificate proves that, and only one that accept takes.
-func (c *Controller) machineIdentity(req *transport.Request, verb string, accept func(identity.Name) bool) (*caller, *transport.Response) {
+func (c *Controller) authenticateMachine(req *transport.Request, verb string, accept func(identity.Name) bool) (*Caller, *transport.Response) {
 	if c.guard == nil {
 		return nil, nil
 	}
-	who := &caller{from: req.From}
+	who := &Caller{RemoteAddr: req.From}
 	var name identity.Name
 	err := errors.New("no certificate")
 	if req.Peer != nil {
-		name, err = c.certified(req)
+		name, err = c.certificateName(req)
 	}
 	if err != nil {
-		return nil, c.deny(who, verb, rights.Queue{}, "", 401, err.Error())
+		return nil, c.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
 	}
-	who.name, who.how = name.String(), "certificate "+identity.Fingerprint(req.Peer)
+	who.Name, who.Credential = name.String(), "certificate "+identity.Fingerprint(req.Peer)
 	if !accept(name) {
-		return nil, c.deny(who, verb, rights.Queue{}, "", 403, "of the wrong kind, or not of this cluster")
+		return nil, c.Deny(who, verb, rights.Queue{}, "", 403, "of the wrong kind, or not of this cluster")
 	}
 	return who, nil
 }
 
-// speaksFor says whether a message comes from the worker or controller that it
+// CheckSender says whether a message comes from the worker or controller that it
 // names, and refuses it if not.
-func (c *Controller) speaksFor(who *caller, verb string, named identity.Name) *transport.Response {
-	if c.guard == nil || who.name == named.String() || who.name == (identity.Name{Kind: identity.Worker, ID: AnyWorker}).String() {
+func (c *Controller) CheckSender(who *Caller, verb string, named identity.Name) *transport.Response {
+	if c.guard == nil || who.Name == named.String() || who.Name == (identity.Name{Kind: identity.Worker, ID: AnyWorker}).String() {
 		return nil
 	}
-	return c.deny(who, verb, rights.Queue{}, "", 403, "speaks for "+clip(named.String()))
+	return c.Deny(who, verb, rights.Queue{}, "", 403, "speaks for "+clipText(named.String()))
 }
 
 // AnyWorker is the id in certificates that machines share, where the cloud
 // hands out names only when it rents.
 const AnyWorker = "any"
 
-// peer says which controller sends a message, or refuses it.
-func (c *Controller) peer(req *transport.Request) (*caller, *transport.Response) {
-	return c.machineIdentity(req, "peer", func(n identity.Name) bool { return n.Kind == identity.Controller && c.peers[n.ID] != nil })
+// AuthenticatePeer says which controller sends a message, or refuses it.
+func (c *Controller) AuthenticatePeer(req *transport.Request) (*Caller, *transport.Response) {
+	return c.authenticateMachine(req, "peer", func(n identity.Name) bool { return n.Kind == identity.Controller && c.Peers[n.ID] != nil })
 }
 
-// queueBook remembers the queue of every job, over dense indices. It belongs to
+// jobQueueIndex remembers the queue of every job, over dense indices. It belongs to
 // the loop.
-type queueBook struct {
+type jobQueueIndex struct {
 	index map[rights.Queue]uint32
 	list  []rights.Queue
 	jobs  map[string]uint32
 }
 
-func (b *queueBook) init() {
+func (b *jobQueueIndex) init() {
 	b.index, b.jobs = map[rights.Queue]uint32{}, map[string]uint32{}
 }
 
-// note remembers a job's queue.
-func (b *queueBook) note(spec *protocol.JobSpec) {
+// add remembers a job's queue.
+func (b *jobQueueIndex) add(spec *protocol.JobSpec) {
 	q := rights.Queue{Team: spec.Team, Class: spec.Class}
 	i, ok := b.index[q]
 	if !ok {
@@ -416,7 +416,7 @@
 	b.jobs[spec.ID] = i
 }
 
-func (b *queueBook) of(id string) (rights.Queue, bool) {
+func (b *jobQueueIndex) queueOf(id string) (rights.Queue, bool) {
 	i, ok := b.jobs[id]
 	if !ok {
 		return rights.Queue{}, false
@@ -425,7 +425,7 @@
 }
 
 // whoami tells a caller who it is taken for.
-func (c *Controller) whoami(who *caller) transport.Response {
+func (c *Controller) whoami(who *Caller) transport.Response {
 	view := c.guard.policy.Load()
 	var held []string
 	for _, v := range []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch} {
@@ -433,30 +433,30 @@
 			held = append(held, v.String())
 		}
 	}
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.name, How: who.how, Verbs: held, PolicyVersion: view.version})}
+	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: held, PolicyVersion: view.version})}
 }
 
 // may tells a caller whether it holds a right on a queue. Front doors ask it for
 // their clients, with the client's own credential, so that there is one place
 // that decides and one record of what was refused.
-func (c *Controller) may(who *caller, req *transport.Request) transport.Response {
+func (c *Controller) may(who *Caller, req *transport.Request) transport.Response {
 	query, err := url.ParseQuery(req.Query)
 	if err != nil {
-		return refuse(400, "bad query", 0)
+		return Refuse(400, "bad query", 0)
 	}
 	verb, err := rights.ParseVerb(query.Get("verb"))
 	if err != nil {
-		return refuse(400, oneLine(err), 0)
+		return Refuse(400, firstLine(err), 0)
 	}
 	q := rights.Queue{Team: query.Get("team"), Class: query.Get("class")}
 	if q.Team == "" || q.Class == "" {
-		return refuse(400, "team and class are needed", 0)
+		return Refuse(400, "team and class are needed", 0)
 	}
 	if !c.guard.allows(who, verb, q) {
-		return *c.deny(who, verb.String(), q, "", 403, "asked through a front door")
+		return *c.Deny(who, verb.String(), q, "", 403, "asked through a front door")
 	}
-	c.looked(who, verb.String()+"-asked", q, "")
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.name, How: who.how, Verbs: []string{verb.String()},
+	c.NoteRead(who, verb.String()+"-asked", q, "")
+	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: []string{verb.String()},
 		PolicyVersion: c.guard.policy.Load().version})}
 }
 
@@ -464,29 +464,29 @@
 const auditBody = 32 << 10
 
 // readAudit answers an administrator who reads the audit.
-func (c *Controller) readAudit(ctx context.Context, who *caller, req *transport.Request) transport.Response {
+func (c *Controller) readAudit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	q, err := url.ParseQuery(req.Query)
 	if err != nil {
-		return refuse(400, "bad query", 0)
+		return Refuse(400, "bad query", 0)
 	}
 	switch req.Path {
 	case "/audit/seal":
 		seal, err := c.guard.log.Seal(ctx)
 		if err != nil {
-			return unavailable(err)
+			return unavailableResponse(err)
 		}
-		c.looked(who, "read-audit", rights.Queue{}, "")
+		c.NoteRead(who, "read-audit", rights.Queue{}, "")
 		return transport.Response{Status: 200, Body: protocol.Encode(seal)}
 	case "/audit/batches":
 		after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 		if err != nil || q.Get("chain") == "" {
-			return refuse(400, "chain and after are needed", 0)
+			return Refuse(400, "chain and after are needed", 0)
 		}
 		batches, err := c.guard.log.Batches(ctx, q.Get("chain"), after, auditBody)
 		if err != nil {
-			return unavailable(err)
+			return unavailableResponse(err)
 		}
 		return transport.Response{Status: 200, Body: protocol.Encode(map[string]any{"batches": batches})}
 	}
-	return refuse(404, "no such path", 0)
+	return Refuse(404, "no such path", 0)
 }
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -268,7 +268,7 @@
 			refused("person/partner", 403, w.as("person/partner", label, "POST", "/submissions", submission(jobSpec("job-1", "red", "match"))))
 			refused("person/partner", 403, w.as("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
 			refused("person/partner", 403, w.as("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
-			refused("", 401, w.as("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Report{Machine: "m-000000", Session: 1}))))
+			refused("", 401, w.as("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
 			refused("", 401, w.as("", label, "GET", "/submissions/job-1", nil))
 		}
 		// What a job and one that does not exist are answered does not differ.
@@ -328,7 +328,7 @@
 			before := w.state.Served
 			w.mu.Unlock()
 			answers := ""
-			for range 3 * missBurst {
+			for range 3 * unknownJobBurst {
 				resp := w.as("service/refunds", "n0", "GET", "/submissions/"+id, nil)
 				answers += fmt.Sprintf("%d %q %d;", resp.Status, resp.Body, resp.RetryAfter)
 			}
@@ -336,7 +336,7 @@
 			read := w.state.Served - before
 			w.mu.Unlock()
 			seen[id] = answers
-			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < missBurst) {
+			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < unknownJobBurst) {
 				t.Errorf("%s: %d reads, %s", id, read, answers)
 			}
 		}
@@ -805,7 +805,7 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c := &Controller{guard: &guard{started: time.Now()}, log: slog.New(slog.DiscardHandler)}
+		c := &Controller{guard: &authorizer{started: time.Now()}, log: slog.New(slog.DiscardHandler)}
 		c.policy.init()
 		for i := range 1000 {
 			r := rights.Role{Name: fmt.Sprintf("role-%03d", i), Rules: []rights.Rule{{Verbs: []string{"submit", "view"}, Team: fmt.Sprintf("team-%03d", i), Class: "*"}}}
@@ -815,7 +815,7 @@
 			id := rights.Identity{Name: fmt.Sprintf("person/clerk-%05d", i), Roles: []string{fmt.Sprintf("role-%03d", i%1000)}}
 			must(c.policy.apply(bookkeeping.KindIdentity, id.Name, protocol.Event{Put: "x", Value: bookkeeping.Encode(&id)}))
 		}
-		c.publishPolicy(time.Now())
+		c.PublishPolicy(time.Now())
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/10/1000, "kB/1000identities")
@@ -830,12 +830,12 @@
 		n := w.nodes["n0"].ctl
 		report := func(cert, machine string) int {
 			return n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: w.ids.certificate(cert),
-				Body: protocol.Encode(&protocol.Report{Machine: machine, Session: 1})}).Status
+				Body: protocol.Encode(&protocol.Heartbeat{Machine: machine, Epoch: 1})}).Status
 		}
 		summary := func(cert, from string) int {
 			body, err := proto.Marshal(&peer.Summary{From: from})
 			must(err)
-			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: summaryPath, Peer: w.ids.certificate(cert), Body: body}).Status
+			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: SummaryPath, Peer: w.ids.certificate(cert), Body: body}).Status
 		}
 		for what, tc := range map[string]struct{ got, refused int }{
 			"another machine":        {report("worker/m-9", "m-1"), 403},
@@ -845,8 +845,8 @@
 			"a machine as a peer":    {summary("worker/any", "n1"), 403},
 			"a stranger as a peer":   {summary("controller/n9", "n9"), 403},
 			"nobody's report":        {n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
-			"nobody's summary":       {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: summaryPath}).Status, 401},
-			"nobody's fleet request": {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: fleetPath}).Status, 401},
+			"nobody's summary":       {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: SummaryPath}).Status, 401},
+			"nobody's fleet request": {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: MachineRequestPath}).Status, 401},
 		} {
 			if tc.got != tc.refused {
 				t.Errorf("%s: %d, want %d", what, tc.got, tc.refused)
--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -143,8 +143,8 @@
 		known := false
 		for _, l := range []string{"n0", "n1", "n2"} {
 			w.in(l, func(c *Controller) {
-				j := c.jobs[job]
-				known = known || j != nil && j.finishing || c.finals[job] != ""
+				j := c.Jobs[job]
+				known = known || j != nil && j.Completing || c.FinalStates[job] != ""
 			})
 		}
 		if known {
--- a/internal/coordination/fit/fit.go
+++ b/internal/coordination/fit/fit.go
@@ -12,24 +12,24 @@
 // Epsilon is by how much sums of amounts may be off.
 const Epsilon = 1e-6
 
-// Many bounds what a machine is taken to hold of tasks that need nothing.
-const Many = 1000
+// UnboundedSlots bounds what a machine is taken to hold of tasks that need nothing.
+const UnboundedSlots = 1000
 
-// Amounts are what tasks need and machines have.
-type Amounts struct{ CPUs, GPUs, MemGB float64 }
+// Resources are what tasks need and machines have.
+type Resources struct{ CPUs, GPUs, MemGB float64 }
 
 // Holds says whether a room holds a need.
-func (room Amounts) Holds(need Amounts) bool {
+func (room Resources) Holds(need Resources) bool {
 	return need.CPUs <= room.CPUs+Epsilon && need.GPUs <= room.GPUs+Epsilon && need.MemGB <= room.MemGB+Epsilon
 }
 
 // Plus is the sum with so many times the other.
-func (room Amounts) Plus(other Amounts, times float64) Amounts {
-	return Amounts{room.CPUs + times*other.CPUs, room.GPUs + times*other.GPUs, room.MemGB + times*other.MemGB}
+func (room Resources) Plus(other Resources, times float64) Resources {
+	return Resources{room.CPUs + times*other.CPUs, room.GPUs + times*other.GPUs, room.MemGB + times*other.MemGB}
 }
 
 // Slots is how many tasks with a need a room holds, at most most.
-func (room Amounts) Slots(need Amounts, most int) int {
+func (room Resources) Slots(need Resources, most int) int {
 	for _, p := range [3][2]float64{{need.CPUs, room.CPUs}, {need.GPUs, room.GPUs}, {need.MemGB, room.MemGB}} {
 		if p[0] > 0 {
 			most = min(most, int((p[1]+Epsilon)/p[0]))
@@ -38,73 +38,73 @@
 	return max(most, 0)
 }
 
-// Share is what a team uses, or may use, of what is shared out.
-type Share struct{ CPUs, GPUs float64 }
+// Compute is what a team uses, or may use, of what is shared out.
+type Compute struct{ CPUs, GPUs float64 }
 
 // Add adds so many times a need.
-func (s *Share) Add(need Amounts, times float64) {
+func (s *Compute) Add(need Resources, times float64) {
 	s.CPUs, s.GPUs = s.CPUs+times*need.CPUs, s.GPUs+times*need.GPUs
 }
 
 // Allows says whether one more task keeps a team within this limit; 0 is none.
-func (s Share) Allows(used Share, need Amounts) bool {
+func (s Compute) Allows(used Compute, need Resources) bool {
 	return (s.CPUs <= 0 || used.CPUs+need.CPUs <= s.CPUs+Epsilon) &&
 		(s.GPUs <= 0 || used.GPUs+need.GPUs <= s.GPUs+Epsilon)
 }
 
 // Size is what an empty machine of a type has.
-func Size(t *protocol.MachineType) Amounts { return Amounts{t.CPUs, t.GPUs, t.MemGB} }
+func Size(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemGB} }
 
-// Kind is what the cloud calls a machine.
-type Kind struct {
+// MachineKind is what the cloud calls a machine.
+type MachineKind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Wish is what a task asks of a machine's kind. An empty list of types, or an empty
+// Constraints is what a task asks of a machine's kind. An empty list of types, or an empty
 // zone, is any; Spot says that it may run on a spot machine.
-type Wish struct {
+type Constraints struct {
 	Types []string
 	Zone  string
 	Spot  bool
 }
 
 // Allows says whether a machine of a kind will do, which workers don't check.
-func (w Wish) Allows(k Kind) bool {
+func (w Constraints) Allows(k MachineKind) bool {
 	return (len(w.Types) == 0 || slices.Contains(w.Types, k.Type)) && (w.Zone == "" || w.Zone == k.Zone) && (!k.Spot || w.Spot)
 }
 
-// Offered says whether a task fits an empty machine of a type, in a zone where it
+// FitsOffered says whether a task fits an empty machine of a type, in a zone where it
 // is offered.
-func Offered(w Wish, need Amounts, t *protocol.MachineType) bool {
-	return (w.Zone == "" || len(t.ZonesOffered) == 0 || slices.Contains(t.ZonesOffered, w.Zone)) && OfType(w, need, t)
+func FitsOffered(w Constraints, need Resources, t *protocol.MachineType) bool {
+	return (w.Zone == "" || len(t.ZonesOffered) == 0 || slices.Contains(t.ZonesOffered, w.Zone)) && FitsType(w, need, t)
 }
 
-// OfType is Offered, whatever the zone.
-func OfType(w Wish, need Amounts, t *protocol.MachineType) bool {
+// FitsType is Offered, whatever the zone.
+func FitsType(w Constraints, need Resources, t *protocol.MachineType) bool {
 	return (len(w.Types) == 0 || slices.Contains(w.Types, t.Name)) && Size(t).Holds(need)
 }
 
-// Types is the set of types that a task fits, as bits.
-func Types(w Wish, need Amounts, catalog []protocol.MachineType) uint64 {
+// TypeSet is the set of types that a task fits, as bits.
+func TypeSet(w Constraints, need Resources, catalog []protocol.MachineType) uint64 {
 	set := uint64(0)
 	for i := range min(len(catalog), 64) {
-		if Offered(w, need, &catalog[i]) {
+		if FitsOffered(w, need, &catalog[i]) {
 			set |= 1 << i
 		}
 	}
 	return set
 }
 
-// Breadth is how many types are in a set.
-func Breadth(types uint64) int { return bits.OnesCount64(types) }
+// TypeCount is how many types are in a set.
+func TypeCount(types uint64) int { return bits.OnesCount64(types) }
 
 // Scarcity holds, for each machine type, how few types the choosiest unfinished
 // work that fits it can run on.
 type Scarcity map[string]int
 
-// Needs notes work that fits a type, and so many in all.
-func (s Scarcity) Needs(typ string, breadth int) {
+// Note notes work that fits a type, and so many in all.
+func (s Scarcity) Note(typ string, breadth int) {
 	if least := s[typ]; least == 0 || breadth < least {
 		s[typ] = breadth
 	}
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -16,23 +16,23 @@
 // View is all that the decisions rest on.
 type View struct {
 	Now time.Time
-	// Parts are by their numbers.
-	Parts []Part
+	// Partitions are by their numbers.
+	Partitions []Partition
 	// Machines are those on record, by name.
 	Machines []Machine
 	Catalog  []protocol.MachineType
-	Scarce   fit.Scarcity
-	// Refused says until when what the cloud refused is not asked for.
-	Refused map[fit.Kind]time.Time
-	// Renting are the parts for which a request is under way.
-	Renting map[int]bool
-	Strays  []Stray
+	Scarcity fit.Scarcity
+	// RefusedCapacity says until when what the cloud refused is not asked for.
+	RefusedCapacity map[fit.MachineKind]time.Time
+	// ScalingOut are the parts for which a request is under way.
+	ScalingOut map[int]bool
+	Unrecorded []Unrecorded
 	// IdleSpot and IdleOrdinary are how long machines may stand idle.
 	IdleSpot, IdleOrdinary time.Duration
 }
 
-// Part is what its owner last said.
-type Part struct {
+// Partition is what its owner last said.
+type Partition struct {
 	// Known: it has said something lately.
 	Known bool
 	// Demands are what waits and finds no room, in the order of service.
@@ -41,34 +41,34 @@
 
 // Demand is waiting tasks that are alike.
 type Demand struct {
-	Wish  fit.Wish
-	Need  fit.Amounts
-	Count int
+	Constraints fit.Constraints
+	Resources   fit.Resources
+	Count       int
 	// SlackS is how long until it should be done.
 	EstimateS, SlackS, WaitedS float64
 }
 
 // Machine is a machine on record.
 type Machine struct {
-	Name string
-	Part int
-	Kind fit.Kind
-	Type *protocol.MachineType // nil: not in the catalog
-	// Serves: it is neither lost nor faulty for all that the leader knows itself.
-	Serves bool
+	Name      string
+	Partition int
+	Kind      fit.MachineKind
+	Type      *protocol.MachineType // nil: not in the catalog
+	// Serving: it is neither lost nor faulty for all that the leader knows itself.
+	Serving bool
 	// What its part's owner says.
-	Idle, Lost, Faulty, NeverUp, Retiring bool
-	IdleS                                 float64
+	Idle, Lost, Quarantined, NeverUp, Retiring bool
+	IdleS                                      float64
 	// Failed is what the cloud says.
 	Failed bool
 	// When it came on record, was last moved, and was last sent away.
-	Recorded, Moved, Leaving time.Time
+	Recorded, Moved, DeletingSince time.Time
 }
 
-// Stray is a machine without a record.
-type Stray struct {
+// Unrecorded is a machine without a record.
+type Unrecorded struct {
 	Name string
-	Kind fit.Kind
+	Kind fit.MachineKind
 	// Tried is when it was last to be adopted.
 	Tried time.Time
 }
@@ -76,22 +76,22 @@
 // Plan is what is to be done.
 type Plan struct {
 	Adopt []Adoption
-	// Later are strays that may be the answer to a rental under way.
-	Later   []string
-	GiveUp  []Departure
-	Moves   []Move
-	Rentals []Rental
-	Returns []string
+	// AdoptLater are strays that may be the answer to a rental under way.
+	AdoptLater []string
+	Terminate  []Termination
+	Moves      []Move
+	ScaleOuts  []ScaleOut
+	ScaleIns   []string
 }
 
 // Adoption gives a stray to a part.
 type Adoption struct {
-	Name string
-	Part int
+	Name      string
+	Partition int
 }
 
-// Departure gives a machine up.
-type Departure struct{ Name, Reason string }
+// Termination gives a machine up.
+type Termination struct{ Name, Reason string }
 
 // Move moves an idle machine between parts.
 type Move struct {
@@ -99,11 +99,11 @@
 	From, To int
 }
 
-// Rental is a request to the cloud.
-type Rental struct {
-	Kind  fit.Kind
-	Part  int
-	Count int
+// ScaleOut is a request to the cloud.
+type ScaleOut struct {
+	Kind      fit.MachineKind
+	Partition int
+	Count     int
 }
 
 const (
@@ -130,8 +130,8 @@
 
 // Decide makes a plan.
 func Decide(v View) Plan {
-	r := &round{View: v, demands: make([][]Demand, len(v.Parts)), idle: make([][]int, len(v.Parts)), moved: map[int]bool{}, leaving: map[int]bool{}}
-	for i, p := range v.Parts {
+	r := &round{View: v, demands: make([][]Demand, len(v.Partitions)), idle: make([][]int, len(v.Partitions)), moved: map[int]bool{}, leaving: map[int]bool{}}
+	for i, p := range v.Partitions {
 		r.demands[i] = slices.Clone(p.Demands)
 	}
 	r.adopt()
@@ -144,20 +144,20 @@
 
 // adopt gives strays to the parts that hold least, one with waiting work first.
 func (r *round) adopt() {
-	held := make([]int, len(r.Parts))
+	held := make([]int, len(r.Partitions))
 	for i := range r.Machines {
-		held[r.Machines[i].Part]++
+		held[r.Machines[i].Partition]++
 	}
-	for _, s := range r.Strays {
+	for _, s := range r.Unrecorded {
 		if r.Now.Sub(s.Tried) < departRest {
 			continue
 		}
-		if len(r.Renting) > 0 && r.Now.Sub(s.Tried) > time.Hour {
-			r.plan.Later = append(r.plan.Later, s.Name)
+		if len(r.ScalingOut) > 0 && r.Now.Sub(s.Tried) > time.Hour {
+			r.plan.AdoptLater = append(r.plan.AdoptLater, s.Name)
 			continue
 		}
 		best := slices.Index(held, slices.Min(held))
-		for i := range r.Parts {
+		for i := range r.Partitions {
 			if len(r.demands[i]) > 0 && held[i] == held[best] {
 				best = i
 			}
@@ -175,25 +175,25 @@
 		switch {
 		case m.Lost:
 			reason = "lost"
-		case m.Faulty && m.Idle:
+		case m.Quarantined && m.Idle:
 			reason = "faulty"
 		case m.Failed:
 			reason = "failed"
 		case m.NeverUp:
 			reason = "never came up"
 		}
-		if reason == "" || r.Now.Sub(m.Leaving) < departRest {
+		if reason == "" || r.Now.Sub(m.DeletingSince) < departRest {
 			continue
 		}
 		r.leaving[i] = true
-		r.plan.GiveUp = append(r.plan.GiveUp, Departure{m.Name, reason})
+		r.plan.Terminate = append(r.plan.Terminate, Termination{m.Name, reason})
 	}
 }
 
 // wants says whether a part has waiting work for a machine of its own.
 func (r *round) wants(part int, m *Machine) bool {
 	return slices.ContainsFunc(r.demands[part], func(d Demand) bool {
-		return d.Count > 0 && d.Wish.Allows(m.Kind) && fit.Size(m.Type).Slots(d.Need, d.Count) > 0
+		return d.Count > 0 && d.Constraints.Allows(m.Kind) && fit.Size(m.Type).Slots(d.Resources, d.Count) > 0
 	})
 }
 
@@ -202,14 +202,14 @@
 func (r *round) move() {
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		if m.Type != nil && m.Idle && !m.Retiring && !m.Faulty && !m.Lost && r.Now.Sub(m.Moved) >= moveRest &&
-			!r.leaving[i] && r.Now.Sub(m.Leaving) >= departRest {
-			r.idle[m.Part] = append(r.idle[m.Part], i)
+		if m.Type != nil && m.Idle && !m.Retiring && !m.Quarantined && !m.Lost && r.Now.Sub(m.Moved) >= moveRest &&
+			!r.leaving[i] && r.Now.Sub(m.DeletingSince) >= departRest {
+			r.idle[m.Partition] = append(r.idle[m.Partition], i)
 		}
 	}
 	var needy []int
-	oldest := make([]float64, len(r.Parts))
-	for i := range r.Parts {
+	oldest := make([]float64, len(r.Partitions))
+	for i := range r.Partitions {
 		if len(r.demands[i]) > 0 {
 			needy = append(needy, i)
 		}
@@ -221,8 +221,8 @@
 	for _, to := range needy {
 		for di := range r.demands[to] {
 			d := &r.demands[to][di]
-			for from := range r.Parts {
-				if from != to && r.Parts[from].Known {
+			for from := range r.Partitions {
+				if from != to && r.Partitions[from].Known {
 					r.moveFrom(from, to, d)
 				}
 			}
@@ -233,10 +233,10 @@
 func (r *round) moveFrom(from, to int, d *Demand) {
 	r.idle[from] = slices.DeleteFunc(r.idle[from], func(i int) bool {
 		m := &r.Machines[i]
-		if d.Count <= 0 || !d.Wish.Allows(m.Kind) {
+		if d.Count <= 0 || !d.Constraints.Allows(m.Kind) {
 			return false
 		}
-		n := fit.Size(m.Type).Slots(d.Need, d.Count)
+		n := fit.Size(m.Type).Slots(d.Resources, d.Count)
 		if n == 0 || r.wants(from, m) {
 			return false
 		}
@@ -249,13 +249,13 @@
 
 // rent asks the cloud for machines for what waits and finds no room.
 func (r *round) rent() {
-	for part := range r.Parts {
-		if !r.Parts[part].Known || r.Renting[part] {
+	for part := range r.Partitions {
+		if !r.Partitions[part].Known || r.ScalingOut[part] {
 			continue // the summary does not know yet what a request under way brings
 		}
 		have := r.fleet(part)
-		wanted := map[fit.Kind]int{}
-		var kinds []fit.Kind
+		wanted := map[fit.MachineKind]int{}
+		var kinds []fit.MachineKind
 		ahead := 0.0
 		for di := range r.demands[part] {
 			d := &r.demands[part][di]
@@ -276,16 +276,16 @@
 			ahead += count
 		}
 		for _, k := range kinds {
-			r.plan.Rentals = append(r.plan.Rentals, Rental{k, part, wanted[k]})
+			r.plan.ScaleOuts = append(r.plan.ScaleOuts, ScaleOut{k, part, wanted[k]})
 		}
 	}
 }
 
 // fleet counts a part's machines by what the cloud calls them.
-func (r *round) fleet(part int) map[fit.Kind]int {
-	have := map[fit.Kind]int{}
+func (r *round) fleet(part int) map[fit.MachineKind]int {
+	have := map[fit.MachineKind]int{}
 	for i := range r.Machines {
-		if m := &r.Machines[i]; m.Part == part && m.Type != nil && m.Serves {
+		if m := &r.Machines[i]; m.Partition == part && m.Type != nil && m.Serving {
 			have[m.Kind]++
 		}
 	}
@@ -303,11 +303,11 @@
 
 // room is how many tasks like a demand's a fleet runs at a time, on machines that
 // no choosier work needs.
-func (r *round) room(d *Demand, have map[fit.Kind]int) float64 {
+func (r *round) room(d *Demand, have map[fit.MachineKind]int) float64 {
 	sum, breadth := 0, r.breadth(d)
 	for k, n := range have {
-		if t := r.typ(k.Type); t != nil && !r.Scarce.Contested(k.Type, breadth) && d.Wish.Allows(k) {
-			sum += n * fit.Size(t).Slots(d.Need, fit.Many)
+		if t := r.typ(k.Type); t != nil && !r.Scarcity.Contested(k.Type, breadth) && d.Constraints.Allows(k) {
+			sum += n * fit.Size(t).Slots(d.Resources, fit.UnboundedSlots)
 		}
 	}
 	return float64(sum)
@@ -317,7 +317,7 @@
 func (r *round) breadth(d *Demand) int {
 	n := 0
 	for i := range r.Catalog {
-		if fit.OfType(d.Wish, d.Need, &r.Catalog[i]) {
+		if fit.FitsType(d.Constraints, d.Resources, &r.Catalog[i]) {
 			n++
 		}
 	}
@@ -328,13 +328,13 @@
 // how many of them it holds. Types that work of fewer choices needs come last.
 // waitS is how long the demand's last task would wait for the machines that there
 // are.
-func (r *round) cheapest(d *Demand, waitS float64) (fit.Kind, int) {
-	var best fit.Kind
+func (r *round) cheapest(d *Demand, waitS float64) (fit.MachineKind, int) {
+	var best fit.MachineKind
 	held, least, bestContested := 0, math.Inf(1), true
 	breadth := r.breadth(d)
 	for i := range r.Catalog {
 		t := &r.Catalog[i]
-		n := fit.Size(t).Slots(d.Need, d.Count)
+		n := fit.Size(t).Slots(d.Resources, d.Count)
 		if n == 0 {
 			continue
 		}
@@ -342,18 +342,18 @@
 		slices.Sort(zones)
 		for _, zone := range zones {
 			for _, spot := range []bool{true, false} {
-				k := fit.Kind{Type: t.Name, Zone: zone, Spot: spot}
-				if !d.Wish.Allows(k) || r.Now.Before(r.Refused[k]) {
+				k := fit.MachineKind{Type: t.Name, Zone: zone, Spot: spot}
+				if !d.Constraints.Allows(k) || r.Now.Before(r.RefusedCapacity[k]) {
 					continue
 				}
-				if !spot && d.Wish.Spot && d.SlackS-d.EstimateS-t.BootS-waitS > spareSlackS {
+				if !spot && d.Constraints.Spot && d.SlackS-d.EstimateS-t.BootS-waitS > spareSlackS {
 					continue // there is time to wait for a spot machine
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				contested := r.Scarce.Contested(t.Name, breadth)
+				contested := r.Scarcity.Contested(t.Name, breadth)
 				cost := price / float64(n)
 				if contested != bestContested && !contested || contested == bestContested && cost < least-fit.Epsilon {
 					best, held, least, bestContested = k, n, cost, contested
@@ -365,14 +365,14 @@
 }
 
 // fill takes from the demands what a machine of a kind would run.
-func (r *round) fill(k fit.Kind, demands []Demand) {
+func (r *round) fill(k fit.MachineKind, demands []Demand) {
 	room := fit.Size(r.typ(k.Type))
 	for i := range demands {
 		d := &demands[i]
-		if d.Wish.Allows(k) {
-			n := room.Slots(d.Need, d.Count)
+		if d.Constraints.Allows(k) {
+			n := room.Slots(d.Resources, d.Count)
 			d.Count -= n
-			room = room.Plus(d.Need, -float64(n))
+			room = room.Plus(d.Resources, -float64(n))
 		}
 	}
 }
@@ -387,15 +387,15 @@
 			limit = r.IdleSpot
 		}
 		if m.Type == nil || !m.Idle || r.moved[i] || m.IdleS < limit.Seconds() || r.Now.Sub(m.Recorded) < paid ||
-			r.Now.Sub(m.Moved) < moveRest || r.leaving[i] || r.Now.Sub(m.Leaving) < departRest {
+			r.Now.Sub(m.Moved) < moveRest || r.leaving[i] || r.Now.Sub(m.DeletingSince) < departRest {
 			continue
 		}
 		needed := false
-		for p := range r.Parts {
-			needed = needed || !r.Parts[p].Known || r.wants(p, m)
+		for p := range r.Partitions {
+			needed = needed || !r.Partitions[p].Known || r.wants(p, m)
 		}
 		if !needed {
-			r.plan.Returns = append(r.plan.Returns, m.Name)
+			r.plan.ScaleIns = append(r.plan.ScaleIns, m.Name)
 		}
 	}
 }
--- a/internal/coordination/fleet/fleet_test.go
+++ b/internal/coordination/fleet/fleet_test.go
@@ -19,25 +19,25 @@
 )
 
 func world(parts int) View {
-	v := View{Now: now, Parts: make([]Part, parts), Catalog: catalog, Scarce: fit.Scarcity{}, Refused: map[fit.Kind]time.Time{}, Renting: map[int]bool{},
+	v := View{Now: now, Partitions: make([]Partition, parts), Catalog: catalog, Scarcity: fit.Scarcity{}, RefusedCapacity: map[fit.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
 		IdleSpot: time.Minute, IdleOrdinary: 20 * time.Second}
-	for i := range v.Parts {
-		v.Parts[i].Known = true
+	for i := range v.Partitions {
+		v.Partitions[i].Known = true
 	}
 	return v
 }
 
 func (v *View) machine(name string, part, typ int, spot bool) *Machine {
-	v.Machines = append(v.Machines, Machine{Name: name, Part: part, Kind: fit.Kind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serves: true})
+	v.Machines = append(v.Machines, Machine{Name: name, Partition: part, Kind: fit.MachineKind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serving: true})
 	return &v.Machines[len(v.Machines)-1]
 }
 
 func demand(count int, cpus float64) Demand {
-	return Demand{Wish: fit.Wish{Spot: true}, Need: fit.Amounts{CPUs: cpus, MemGB: 1}, Count: count, EstimateS: 10, SlackS: 1000}
+	return Demand{Constraints: fit.Constraints{Spot: true}, Resources: fit.Resources{CPUs: cpus, MemGB: 1}, Count: count, EstimateS: 10, SlackS: 1000}
 }
 
 func TestDecide(t *testing.T) {
-	spot := func(typ string) fit.Kind { return fit.Kind{Type: typ, Zone: "a", Spot: true} }
+	spot := func(typ string) fit.MachineKind { return fit.MachineKind{Type: typ, Zone: "a", Spot: true} }
 	for name, c := range map[string]struct {
 		view func(*View)
 		want Plan
@@ -45,58 +45,58 @@
 		"nothing to do": {func(v *View) {}, Plan{}},
 		"an idle machine moves rather than one is rented": {func(v *View) {
 			v.machine("m", 0, 1, true).Idle = true
-			v.Parts[1].Demands = []Demand{demand(4, 2)}
+			v.Partitions[1].Demands = []Demand{demand(4, 2)}
 		}, Plan{Moves: []Move{{"m", 0, 1}}}},
 		"not to another part while its own has work for it": {func(v *View) {
 			v.machine("m", 0, 1, true).Idle = true
-			v.Parts[0].Demands, v.Parts[1].Demands = []Demand{demand(4, 2)}, []Demand{demand(4, 2)}
-			v.Renting[0], v.Renting[1] = true, true
+			v.Partitions[0].Demands, v.Partitions[1].Demands = []Demand{demand(4, 2)}, []Demand{demand(4, 2)}
+			v.ScalingOut[0], v.ScalingOut[1] = true, true
 		}, Plan{}},
 		"not a machine that was just moved": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
 			m.Idle, m.Moved = true, now.Add(-time.Second)
-			v.Parts[1].Demands = []Demand{demand(4, 2)}
-		}, Plan{Rentals: []Rental{{spot("small"), 1, 1}}}},
-		"the cheapest for each task": {func(v *View) { v.Parts[0].Demands = []Demand{demand(9, 4)} },
-			Plan{Rentals: []Rental{{spot("small"), 0, 5}}}},
+			v.Partitions[1].Demands = []Demand{demand(4, 2)}
+		}, Plan{ScaleOuts: []ScaleOut{{spot("small"), 1, 1}}}},
+		"the cheapest for each task": {func(v *View) { v.Partitions[0].Demands = []Demand{demand(9, 4)} },
+			Plan{ScaleOuts: []ScaleOut{{spot("small"), 0, 5}}}},
 		"one request at a time for a part": {func(v *View) {
-			v.Parts[0].Demands = []Demand{demand(9, 4)}
-			v.Renting[0] = true
+			v.Partitions[0].Demands = []Demand{demand(9, 4)}
+			v.ScalingOut[0] = true
 		}, Plan{}},
 		"what was refused is not asked for": {func(v *View) {
-			v.Parts[0].Demands = []Demand{demand(2, 4)}
-			v.Refused[spot("small")] = now.Add(time.Second)
-		}, Plan{Rentals: []Rental{{spot("big"), 0, 1}}}},
+			v.Partitions[0].Demands = []Demand{demand(2, 4)}
+			v.RefusedCapacity[spot("small")] = now.Add(time.Second)
+		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
 		"ordinary where there is no time to wait": {func(v *View) {
 			d := demand(1, 4)
 			d.SlackS = 12
-			v.Parts[0].Demands = []Demand{d}
-			for _, k := range []fit.Kind{spot("small"), spot("big"), {Type: "big", Zone: "b", Spot: true}} {
-				v.Refused[k] = now.Add(time.Second)
+			v.Partitions[0].Demands = []Demand{d}
+			for _, k := range []fit.MachineKind{spot("small"), spot("big"), {Type: "big", Zone: "b", Spot: true}} {
+				v.RefusedCapacity[k] = now.Add(time.Second)
 			}
-		}, Plan{Rentals: []Rental{{fit.Kind{Type: "small", Zone: "a"}, 0, 1}}}},
+		}, Plan{ScaleOuts: []ScaleOut{{fit.MachineKind{Type: "small", Zone: "a"}, 0, 1}}}},
 		"a type that choosier work needs comes last": {func(v *View) {
-			v.Parts[0].Demands = []Demand{demand(2, 4)}
-			v.Scarce.Needs("small", 1)
-		}, Plan{Rentals: []Rental{{spot("big"), 0, 1}}}},
+			v.Partitions[0].Demands = []Demand{demand(2, 4)}
+			v.Scarcity.Note("small", 1)
+		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
 		"given up, and not returned as well": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
-			m.Idle, m.Faulty, m.IdleS = true, true, 1000
-		}, Plan{GiveUp: []Departure{{"m", "faulty"}}}},
+			m.Idle, m.Quarantined, m.IdleS = true, true, 1000
+		}, Plan{Terminate: []Termination{{"m", "faulty"}}}},
 		"not twice": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
-			m.Lost, m.Leaving = true, now.Add(-time.Second)
+			m.Lost, m.DeletingSince = true, now.Add(-time.Second)
 		}, Plan{}},
 		"an ordinary machine is returned sooner": {func(v *View) {
 			for _, spot := range []bool{false, true} {
 				m := v.machine(fmt.Sprint("m ", spot), 0, 1, spot)
 				m.Idle, m.IdleS = true, 30
 			}
-		}, Plan{Returns: []string{"m false"}}},
+		}, Plan{ScaleIns: []string{"m false"}}},
 		"none while a part is silent: it may want it": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
 			m.Idle, m.IdleS = true, 30
-			v.Parts[1].Known = false
+			v.Partitions[1].Known = false
 		}, Plan{}},
 		"its first minute is paid": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
@@ -104,13 +104,13 @@
 		}, Plan{}},
 		"strays go where least is, work first": {func(v *View) {
 			v.machine("m", 0, 1, false)
-			v.Parts = append(v.Parts, Part{Known: true, Demands: []Demand{{}}})
-			v.Strays = []Stray{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", Tried: now}}
+			v.Partitions = append(v.Partitions, Partition{Known: true, Demands: []Demand{{}}})
+			v.Unrecorded = []Unrecorded{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", Tried: now}}
 		}, Plan{Adopt: []Adoption{{"s-1", 2}, {"s-2", 1}}}},
 		"a stray waits while its rental may be unanswered": {func(v *View) {
-			v.Renting[0] = true
-			v.Strays = []Stray{{Name: "s"}}
-		}, Plan{Later: []string{"s"}}},
+			v.ScalingOut[0] = true
+			v.Unrecorded = []Unrecorded{{Name: "s"}}
+		}, Plan{AdoptLater: []string{"s"}}},
 	} {
 		v := world(2)
 		c.view(&v)
@@ -128,19 +128,19 @@
 			rng := rand.New(rand.NewPCG(seed, 1))
 			v := world(1 + rng.IntN(5))
 			for i := range rng.IntN(40) {
-				m := v.machine(fmt.Sprintf("m-%02d", i), rng.IntN(len(v.Parts)), rng.IntN(2), rng.IntN(2) == 0)
+				m := v.machine(fmt.Sprintf("m-%02d", i), rng.IntN(len(v.Partitions)), rng.IntN(2), rng.IntN(2) == 0)
 				m.Idle, m.IdleS = rng.IntN(2) == 0, float64(rng.IntN(100))
-				m.Lost, m.Faulty, m.Failed, m.NeverUp, m.Retiring = rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0
-				m.Moved, m.Leaving = now.Add(-time.Duration(rng.IntN(9))*time.Second), now.Add(-time.Duration(rng.IntN(9))*time.Second)
+				m.Lost, m.Quarantined, m.Failed, m.NeverUp, m.Retiring = rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0
+				m.Moved, m.DeletingSince = now.Add(-time.Duration(rng.IntN(9))*time.Second), now.Add(-time.Duration(rng.IntN(9))*time.Second)
 			}
-			for p := range v.Parts {
-				v.Parts[p].Known = rng.IntN(6) > 0
+			for p := range v.Partitions {
+				v.Partitions[p].Known = rng.IntN(6) > 0
 				for range rng.IntN(5) {
 					d := demand(1+rng.IntN(30), float64(1+rng.IntN(40)))
-					d.Wish.Spot, d.WaitedS, d.SlackS = rng.IntN(2) == 0, float64(rng.IntN(100)), float64(rng.IntN(100))
-					v.Parts[p].Demands = append(v.Parts[p].Demands, d)
+					d.Constraints.Spot, d.WaitedS, d.SlackS = rng.IntN(2) == 0, float64(rng.IntN(100)), float64(rng.IntN(100))
+					v.Partitions[p].Demands = append(v.Partitions[p].Demands, d)
 				}
-				v.Renting[p] = rng.IntN(4) == 0
+				v.ScalingOut[p] = rng.IntN(4) == 0
 			}
 			return v
 		}
@@ -153,13 +153,13 @@
 			t.Fatalf("seed %d: another plan of the same view", seed)
 		}
 		orders := map[string]int{}
-		for _, d := range plan.GiveUp {
+		for _, d := range plan.Terminate {
 			orders[d.Name]++
 		}
 		for _, m := range plan.Moves {
 			orders[m.Name]++
 		}
-		for _, name := range plan.Returns {
+		for _, name := range plan.ScaleIns {
 			orders[name]++
 		}
 		for name, n := range orders {
@@ -167,12 +167,12 @@
 				t.Errorf("seed %d: %s has %d orders: %+v", seed, name, n, plan)
 			}
 		}
-		for _, r := range plan.Rentals {
+		for _, r := range plan.ScaleOuts {
 			tasks := 0
-			for _, d := range v.Parts[r.Part].Demands {
+			for _, d := range v.Partitions[r.Partition].Demands {
 				tasks += d.Count
 			}
-			if r.Count > tasks || v.Renting[r.Part] || !v.Parts[r.Part].Known {
+			if r.Count > tasks || v.ScalingOut[r.Partition] || !v.Partitions[r.Partition].Known {
 				t.Errorf("seed %d: %+v for %d tasks", seed, r, tasks)
 			}
 		}
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -35,8 +35,8 @@
 		claims := func() string {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			return fmt.Sprint(w.state.Items[bookkeeping.ClaimKey(0)].Version, w.state.Items[bookkeeping.ClaimKey(1)].Version,
-				w.state.Items[bookkeeping.ClaimKey(2)].Version, w.state.Items[bookkeeping.LeaderKey].Version)
+			return fmt.Sprint(w.state.Items[bookkeeping.LeaseKey(0)].Version, w.state.Items[bookkeeping.LeaseKey(1)].Version,
+				w.state.Items[bookkeeping.LeaseKey(2)].Version, w.state.Items[bookkeeping.LeadershipKey].Version)
 		}
 		before, answered, asked := claims(), 0, 0
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
@@ -243,9 +243,9 @@
 		add("job-4", "", 0)
 		check := func(what string, want float64) {
 			t.Helper()
-			p := c.parts[c.teamPart[c.teamIndex["red"]]]
-			for _, g := range []int{teamGroup(c.teamIndex["red"]), c.classes["c"]} {
-				if got := p.done[g].Of(now); math.Abs(got-want) > 0.01 {
+			p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]]
+			for _, g := range []int{TeamGroup(c.TeamIndex["red"]), c.ClassGroups["c"]} {
+				if got := p.DoneTallies[g].Value(now); math.Abs(got-want) > 0.01 {
 					t.Errorf("%s: %v of group %d done, want %v", what, got, g, want)
 				}
 			}
@@ -266,27 +266,27 @@
 // only: what is behind must be in it, yet not be all of it.
 func TestDemandsOfWhatIsBehindComeFirst(t *testing.T) {
 	t.Parallel()
-	behindMost := demandsLeast / behindShare
-	var list []*job
+	behindMost := demandsMin / starvedDemandsShare
+	var list []*Job
 	for i := range 300 {
-		list = append(list, &job{class: 7, queue: []int{i}})
+		list = append(list, &Job{ClassGroup: 7, Pending: []int{i}})
 	}
 	for range 100 {
-		list = append(list, &job{class: 8, queue: []int{1}})
+		list = append(list, &Job{ClassGroup: 8, Pending: []int{1}})
 	}
-	f := &floorState{}
-	if got := f.first(list, behindMost); !slices.Equal(got, list) {
+	f := &FairShareState{}
+	if got := f.StarvedFirst(list, behindMost); !slices.Equal(got, list) {
 		t.Error("another order though nothing is behind")
 	}
-	f.shares = make([]float64, 9)
-	f.shares[8] = 0.1
-	got := f.first(list, behindMost)
+	f.Shares = make([]float64, 9)
+	f.Shares[8] = 0.1
+	got := f.StarvedFirst(list, behindMost)
 	if len(got) != len(list) {
 		t.Fatalf("%d jobs of %d", len(got), len(list))
 	}
 	for i, j := range got {
-		if i < 340 && (j.class == 8) != (i < behindMost) {
-			t.Fatalf("class %d at %d", j.class, i)
+		if i < 340 && (j.ClassGroup == 8) != (i < behindMost) {
+			t.Fatalf("class %d at %d", j.ClassGroup, i)
 		}
 	}
 }
--- a/internal/coordination/floor/floor.go
+++ b/internal/coordination/floor/floor.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// Most is the part of the machines of a type that may be kept, for all groups
+	// MaxReservedShare is the part of the machines of a type that may be kept, for all groups
 	// together.
-	Most = 0.5
+	MaxReservedShare = 0.5
 	// slight is how far behind a group may be without anything being kept for it, far
 	// from where on it gets all that it may: what half of everything being served asks
 	// for, with as much to spare.
@@ -40,19 +40,19 @@
 
 // Add counts a job that was done at a moment.
 func (t *Tally) Add(done, now time.Time) {
-	t.sum, t.at = t.Of(now)+decay(now.Sub(done)), now
+	t.sum, t.at = t.Value(now)+decay(now.Sub(done)), now
 }
 
-// Of is what counts now.
-func (t *Tally) Of(now time.Time) float64 { return t.sum * decay(now.Sub(t.at)) }
+// Value is what counts now.
+func (t *Tally) Value(now time.Time) float64 { return t.sum * decay(now.Sub(t.at)) }
 
 func decay(since time.Duration) float64 {
 	return math.Exp(-max(0, since).Seconds() / memory.Seconds())
 }
 
-// LongS is how long a job waits until it counts as behind; spanS is how long it has
+// StarvationS is how long a job waits until it counts as behind; spanS is how long it has
 // from its submission until it should be done, 0: no matter.
-func LongS(spanS float64) float64 {
+func StarvationS(spanS float64) float64 {
 	if spanS <= 0 {
 		return 2 * longWait.Seconds()
 	}
@@ -66,47 +66,47 @@
 	Open, Late, Done float64
 }
 
-// Behind is the share of a group that waits though it has waited long.
-func (g Group) Behind() float64 {
+// StarvedShare is the share of a group that waits though it has waited long.
+func (g Group) StarvedShare() float64 {
 	if g.Late <= 0 {
 		return 0
 	}
 	return g.Late / max(g.Late, g.Open+g.Done)
 }
 
-// Beyond is a group as far as it is more behind than all together: what hits every team
+// BeyondAverage is a group as far as it is more behind than all together: what hits every team
 // alike is no reason to keep machines for each of them.
-func (g Group) Beyond(all Group) Group {
-	g.Late = max(0, g.Late-all.Behind()*(g.Open+g.Done))
+func (g Group) BeyondAverage(all Group) Group {
+	g.Late = max(0, g.Late-all.StarvedShare()*(g.Open+g.Done))
 	return g
 }
 
 // share is the part of the machines that is kept for a group.
 func (g Group) share() float64 {
-	return Most * min(1, max(0, (g.Behind()-slight)/(far-slight)))
+	return MaxReservedShare * min(1, max(0, (g.StarvedShare()-slight)/(far-slight)))
 }
 
-// None is no group; groups are numbered from 1.
-const None = 0
+// NoGroup is no group; groups are numbered from 1.
+const NoGroup = 0
 
 // Job is one with tasks that wait and may start, as far as teams' limits go.
 type Job struct {
 	Class, Team int // groups
-	Need        fit.Amounts
-	Wish        fit.Wish
+	Need        fit.Resources
+	Wish        fit.Constraints
 	Waiting     int
 }
 
 // Machine is one that takes tasks.
 type Machine struct {
 	Name string
-	Kind fit.Kind
+	Kind fit.MachineKind
 	// Size is all of it, Free what is not in use.
-	Size, Free fit.Amounts
+	Size, Free fit.Resources
 	// Held is what groups use of it, in CPUs.
 	Held map[int]float64
-	// Kept is the group that it was kept for until now, or None.
-	Kept int
+	// ReservedFor is the group that it was kept for until now, or None.
+	ReservedFor int
 }
 
 // View is one part.
@@ -158,27 +158,27 @@
 	return r
 }
 
-// Keep says of each machine for which group it is kept, None if for none. Only that
+// Reserve says of each machine for which group it is kept, None if for none. Only that
 // group's work starts there; what runs there goes on. What may be kept is shared among
 // the groups by max-min fairness: nobody gets more than it wants, nor more than an equal
 // share as long as others want theirs. One that holds most of what its work fits, as a
 // flood does, needs no help. Of no machine type more than Most is kept.
-func Keep(v View) []int {
+func Reserve(v View) []int {
 	keep := make([]int, len(v.Machines))
 	left := map[string]float64{} // what may be kept, by type
 	for i := range v.Machines {
-		left[v.Machines[i].Kind.Type] += Most * v.Machines[i].Size.CPUs
+		left[v.Machines[i].Kind.Type] += MaxReservedShare * v.Machines[i].Size.CPUs
 	}
 	var rooms []room
 	for g, share := range Shares(v.Groups) {
 		if share > 0 {
-			if r := v.room(g); r.held < Most*r.cpus {
+			if r := v.room(g); r.held < MaxReservedShare*r.cpus {
 				rooms = append(rooms, r)
 			}
 		}
 	}
 	slices.SortStableFunc(rooms, func(a, b room) int { return cmp.Compare(a.wanted*b.cpus, b.wanted*a.cpus) })
-	rest := Most
+	rest := MaxReservedShare
 	for i, r := range rooms {
 		share := min(v.Groups[r.group].share(), r.wanted/r.cpus, rest/float64(len(rooms)-i))
 		rest -= share
@@ -194,7 +194,7 @@
 	slices.SortFunc(r.fits, func(a, b int) int {
 		x, y := &v.Machines[a], &v.Machines[b]
 		before := func(m *Machine) int {
-			if m.Kept == r.group {
+			if m.ReservedFor == r.group {
 				return 0
 			}
 			return 1
@@ -207,7 +207,7 @@
 		if share < fit.Epsilon || r.wanted < fit.Epsilon {
 			return
 		}
-		if keep[i] != None || m.Size.CPUs > left[m.Kind.Type]+fit.Epsilon {
+		if keep[i] != NoGroup || m.Size.CPUs > left[m.Kind.Type]+fit.Epsilon {
 			continue
 		}
 		keep[i] = r.group
@@ -216,30 +216,30 @@
 	}
 }
 
-// Use is what a class uses of its team's limit, and what waits of it.
-type Use struct {
+// ClassUse is what a class uses of its team's limit, and what waits of it.
+type ClassUse struct {
 	Class        int
-	Used, Wanted fit.Share
+	Used, Wanted fit.Compute
 }
 
-// Quota is what is kept of a team's limit for a class.
-type Quota struct {
-	Class int
-	Kept  fit.Share
+// ReservedQuota is what is kept of a team's limit for a class.
+type ReservedQuota struct {
+	Class    int
+	Reserved fit.Compute
 }
 
 // Quotas says how much of a team's limit is kept for each class that is behind: nobody
 // else of the team may start into it. As with machines, classes that want least go
 // first, one that has most of the limit needs no help, and at most Most is kept.
-func Quotas(shares []float64, limit fit.Share, uses []Use) []Quota {
-	var out []Quota
+func Quotas(shares []float64, limit fit.Compute, uses []ClassUse) []ReservedQuota {
+	var out []ReservedQuota
 	uses = slices.Clone(uses)
-	slices.SortFunc(uses, func(a, b Use) int {
+	slices.SortFunc(uses, func(a, b ClassUse) int {
 		return cmp.Or(cmp.Compare(a.Wanted.CPUs+a.Used.CPUs, b.Wanted.CPUs+b.Used.CPUs), cmp.Compare(a.Class, b.Class))
 	})
-	left := fit.Share{CPUs: Most * limit.CPUs, GPUs: Most * limit.GPUs}
+	left := fit.Compute{CPUs: MaxReservedShare * limit.CPUs, GPUs: MaxReservedShare * limit.GPUs}
 	keep := func(share, limit, used, wanted float64, left *float64) float64 {
-		if used >= Most*limit {
+		if used >= MaxReservedShare*limit {
 			return 0
 		}
 		n := max(0, min(share*limit-used, wanted, *left-used))
@@ -250,9 +250,9 @@
 		if shares[u.Class] <= 0 {
 			continue
 		}
-		q := Quota{u.Class, fit.Share{CPUs: keep(shares[u.Class], limit.CPUs, u.Used.CPUs, u.Wanted.CPUs, &left.CPUs),
+		q := ReservedQuota{u.Class, fit.Compute{CPUs: keep(shares[u.Class], limit.CPUs, u.Used.CPUs, u.Wanted.CPUs, &left.CPUs),
 			GPUs: keep(shares[u.Class], limit.GPUs, u.Used.GPUs, u.Wanted.GPUs, &left.GPUs)}}
-		if q.Kept != (fit.Share{}) {
+		if q.Reserved != (fit.Compute{}) {
 			out = append(out, q)
 		}
 	}
--- a/internal/coordination/floor/floor_test.go
+++ b/internal/coordination/floor/floor_test.go
@@ -14,14 +14,14 @@
 const large, urgent = 1, 2
 
 func machine(i int, typ string, cpus, free float64, held map[int]float64) Machine {
-	return Machine{Name: fmt.Sprintf("m-%02d", i), Kind: fit.Kind{Type: typ}, Size: fit.Amounts{CPUs: cpus, MemGB: 100},
-		Free: fit.Amounts{CPUs: free, MemGB: 100}, Held: held}
+	return Machine{Name: fmt.Sprintf("m-%02d", i), Kind: fit.MachineKind{Type: typ}, Size: fit.Resources{CPUs: cpus, MemGB: 100},
+		Free: fit.Resources{CPUs: free, MemGB: 100}, Held: held}
 }
 
 // full is a fleet of ten big machines full of urgent work, with large work waiting.
 func full() View {
 	v := View{Groups: []Group{{}, {Open: 40, Late: 40, Done: 10}, {Open: 500, Late: 400, Done: 500}},
-		Jobs: []Job{{Class: large, Need: fit.Amounts{CPUs: 16}, Waiting: 80}, {Class: urgent, Need: fit.Amounts{CPUs: 2}, Waiting: 4000}}}
+		Jobs: []Job{{Class: large, Need: fit.Resources{CPUs: 16}, Waiting: 80}, {Class: urgent, Need: fit.Resources{CPUs: 2}, Waiting: 4000}}}
 	for i := range 10 {
 		v.Machines = append(v.Machines, machine(i, "big", 32, 0, map[int]float64{urgent: 32}))
 	}
@@ -38,7 +38,7 @@
 		"nothing, while it is not":          {func(v *View) { v.Groups[large].Late, v.Groups[urgent].Late = 1, 0 }, []int{}},
 		"no more than it wants":             {func(v *View) { v.Jobs[0].Waiting = 3 }, []int{0, 1}},
 		"where it fits":                     {func(v *View) { v.Machines[0].Size.CPUs = 8 }, []int{1, 2, 3, 4, 5}[:4]},
-		"what was kept before":              {func(v *View) { v.Machines[8].Kept, v.Machines[9].Kept = large, large }, []int{0, 1, 2, 8, 9}},
+		"what was kept before":              {func(v *View) { v.Machines[8].ReservedFor, v.Machines[9].ReservedFor = large, large }, []int{0, 1, 2, 8, 9}},
 		"where most of it runs":             {func(v *View) { v.Machines[7].Held = map[int]float64{large: 16, urgent: 16} }, []int{0, 1, 2, 3, 7}},
 		"the emptiest":                      {func(v *View) { v.Machines[6].Free.CPUs = 4 }, []int{0, 1, 2, 3, 6}},
 		"not of a single machine":           {func(v *View) { v.Machines = v.Machines[:1] }, []int{}},
@@ -53,7 +53,7 @@
 		v := full()
 		c.change(&v)
 		got := []int{}
-		for i, g := range Keep(v) {
+		for i, g := range Reserve(v) {
 			if g == large {
 				got = append(got, i)
 			}
@@ -71,10 +71,10 @@
 func TestGroupsInNeedShareWhatIsKept(t *testing.T) {
 	v := full()
 	v.Groups = append(v.Groups, Group{Open: 30, Late: 30})
-	v.Jobs = append(v.Jobs, Job{Class: 3, Need: fit.Amounts{CPUs: 1}, Waiting: 70})
+	v.Jobs = append(v.Jobs, Job{Class: 3, Need: fit.Resources{CPUs: 1}, Waiting: 70})
 	v.Jobs[0].Waiting = 9000
 	count := map[int]int{}
-	for _, g := range Keep(v) {
+	for _, g := range Reserve(v) {
 		count[g]++
 	}
 	if count[3] != 3 || count[large] != 2 || count[urgent] != 0 {
@@ -86,7 +86,7 @@
 		all.Open, all.Late, all.Done = all.Open+g.Open, all.Late+g.Late, all.Done+g.Done
 	}
 	for i, want := range []float64{0, 0.023, 0.275} {
-		if got := teams[i].Beyond(all).Behind(); got < want-0.01 || got > want+0.01 {
+		if got := teams[i].BeyondAverage(all).StarvedShare(); got < want-0.01 || got > want+0.01 {
 			t.Errorf("team %d is behind by %v, want %v", i, got, want)
 		}
 	}
@@ -99,45 +99,45 @@
 		tally.Add(now, now)
 	}
 	tally.Add(now.Add(-memory), now) // from a listing: it was done some time ago
-	if got := tally.Of(now); got < 10.3 || got > 10.4 {
+	if got := tally.Value(now); got < 10.3 || got > 10.4 {
 		t.Errorf("%v", got)
 	}
-	if got := tally.Of(now.Add(5 * memory)); got > 0.1 {
+	if got := tally.Value(now.Add(5 * memory)); got > 0.1 {
 		t.Errorf("%v remembered", got)
 	}
 	// A class that was served for hours and then no more is behind before long.
-	if g := (Group{Open: 30, Late: 30, Done: tally.Of(now.Add(memory))}); g.Behind() < 0.8 {
-		t.Errorf("behind by %v", g.Behind())
+	if g := (Group{Open: 30, Late: 30, Done: tally.Value(now.Add(memory))}); g.StarvedShare() < 0.8 {
+		t.Errorf("behind by %v", g.StarvedShare())
 	}
 }
 
 func TestWhenAJobCountsAsBehind(t *testing.T) {
 	for span, want := range map[float64]float64{0: 60, 20: 30, 155: 77.5} {
-		if got := LongS(span); got != want {
+		if got := StarvationS(span); got != want {
 			t.Errorf("%v s to do it: after %v s, want %v", span, got, want)
 		}
 	}
 }
 
 func TestQuotas(t *testing.T) {
-	use := func(class int, used, wanted float64) Use {
-		return Use{class, fit.Share{CPUs: used}, fit.Share{CPUs: wanted}}
+	use := func(class int, used, wanted float64) ClassUse {
+		return ClassUse{class, fit.Compute{CPUs: used}, fit.Compute{CPUs: wanted}}
 	}
 	for name, c := range map[string]struct {
-		uses []Use
+		uses []ClassUse
 		want map[int]float64
 	}{
-		"half":                          {[]Use{use(large, 0, 500)}, map[int]float64{large: 50}},
-		"what it does not use of it":    {[]Use{use(large, 20, 500)}, map[int]float64{large: 30}},
-		"nothing for who has most":      {[]Use{use(large, 60, 500)}, map[int]float64{}},
-		"no more than is wanted":        {[]Use{use(large, 0, 10)}, map[int]float64{large: 10}},
-		"the small before the flood":    {[]Use{use(urgent, 45, 9000), use(large, 0, 500)}, map[int]float64{large: 50}},
-		"a little for who is a little":  {[]Use{use(3, 0, 500)}, map[int]float64{3: 10}},
-		"nothing for who is not behind": {[]Use{use(4, 0, 500)}, map[int]float64{}},
+		"half":                          {[]ClassUse{use(large, 0, 500)}, map[int]float64{large: 50}},
+		"what it does not use of it":    {[]ClassUse{use(large, 20, 500)}, map[int]float64{large: 30}},
+		"nothing for who has most":      {[]ClassUse{use(large, 60, 500)}, map[int]float64{}},
+		"no more than is wanted":        {[]ClassUse{use(large, 0, 10)}, map[int]float64{large: 10}},
+		"the small before the flood":    {[]ClassUse{use(urgent, 45, 9000), use(large, 0, 500)}, map[int]float64{large: 50}},
+		"a little for who is a little":  {[]ClassUse{use(3, 0, 500)}, map[int]float64{3: 10}},
+		"nothing for who is not behind": {[]ClassUse{use(4, 0, 500)}, map[int]float64{}},
 	} {
 		got := map[int]float64{}
-		for _, q := range Quotas([]float64{0, 0.5, 0.5, 0.1, 0}, fit.Share{CPUs: 100}, c.uses) {
-			got[q.Class] = q.Kept.CPUs
+		for _, q := range Quotas([]float64{0, 0.5, 0.5, 0.1, 0}, fit.Compute{CPUs: 100}, c.uses) {
+			got[q.Class] = q.Reserved.CPUs
 		}
 		if !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -158,7 +158,7 @@
 			v.Groups = append(v.Groups, Group{Open: open, Late: open * rng.Float64(), Done: float64(rng.IntN(100))})
 		}
 		for range rng.IntN(20) {
-			v.Jobs = append(v.Jobs, Job{Class: rng.IntN(groups + 1), Team: rng.IntN(groups + 1), Need: fit.Amounts{CPUs: float64(1 + rng.IntN(20))}, Waiting: rng.IntN(30)})
+			v.Jobs = append(v.Jobs, Job{Class: rng.IntN(groups + 1), Team: rng.IntN(groups + 1), Need: fit.Resources{CPUs: float64(1 + rng.IntN(20))}, Waiting: rng.IntN(30)})
 		}
 		room := map[string]float64{}
 		for i := range rng.IntN(20) {
@@ -167,14 +167,14 @@
 				typ, cpus = "big", 32
 			}
 			m := machine(i, typ, cpus, float64(rng.IntN(int(cpus))), map[int]float64{rng.IntN(groups + 1): float64(rng.IntN(8))})
-			m.Kept = rng.IntN(groups + 1)
+			m.ReservedFor = rng.IntN(groups + 1)
 			v.Machines = append(v.Machines, m)
 			room[typ] += cpus
 		}
-		keep := Keep(v)
+		keep := Reserve(v)
 		kept := map[string]float64{}
 		for i, g := range keep {
-			if g == None {
+			if g == NoGroup {
 				continue
 			}
 			some++
@@ -183,19 +183,19 @@
 			wanted := slices.ContainsFunc(v.Jobs, func(j Job) bool {
 				return j.Waiting > 0 && (j.Class == g || j.Team == g) && m.Size.Holds(j.Need)
 			})
-			if !wanted || v.Groups[g].Behind() <= slight {
-				t.Errorf("seed %d: %s kept for %d, behind by %v, wanted %v", seed, m.Name, g, v.Groups[g].Behind(), wanted)
+			if !wanted || v.Groups[g].StarvedShare() <= slight {
+				t.Errorf("seed %d: %s kept for %d, behind by %v, wanted %v", seed, m.Name, g, v.Groups[g].StarvedShare(), wanted)
 			}
 		}
 		for typ, n := range kept {
-			if n > Most*room[typ]+fit.Epsilon {
+			if n > MaxReservedShare*room[typ]+fit.Epsilon {
 				t.Errorf("seed %d: %v of %v CPUs of %s kept", seed, n, room[typ], typ)
 			}
 		}
 		turned := v
 		turned.Machines = slices.Clone(v.Machines)
 		slices.Reverse(turned.Machines)
-		again := Keep(turned)
+		again := Reserve(turned)
 		slices.Reverse(again)
 		if !reflect.DeepEqual(keep, again) {
 			t.Errorf("seed %d: other machines kept in another order", seed)
@@ -203,9 +203,9 @@
 		// A few that are more than is needed may be let go of once or twice.
 		for range 4 {
 			for i := range v.Machines {
-				v.Machines[i].Kept = keep[i]
+				v.Machines[i].ReservedFor = keep[i]
 			}
-			again, keep = keep, Keep(v)
+			again, keep = keep, Reserve(v)
 		}
 		if !reflect.DeepEqual(keep, again) {
 			t.Errorf("seed %d: %v, then %v", seed, again, keep)
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -35,7 +35,7 @@
 func (w *world) standbyOf(part int) (label string) {
 	for _, l := range []string{"n0", "n1", "n2"} {
 		w.in(l, func(c *Controller) {
-			if fo := c.following.copies[part]; fo != nil && fo.copy.At() != 0 && c.following.namedStandby(c.parts[part]) == l {
+			if fo := c.replicator.replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.replicator.NamedStandby(c.Partitions[part]) == l {
 				label = l
 			}
 		})
@@ -44,31 +44,31 @@
 }
 
 // state is what an owner holds of a part, for comparing.
-func (c *Controller) state(p *part) map[string]string {
+func (c *Controller) state(p *Partition) map[string]string {
 	out := map[string]string{}
-	for id, j := range c.jobs {
-		if j.part != p.index {
+	for id, j := range c.Jobs {
+		if j.Partition != p.Index {
 			continue
 		}
-		for t, a := range j.live {
-			out[a.wire()] = fmt.Sprint("live ", a.number, a.machine.name, a.session, a.state, a.machine.attempts[attemptKey(a.wire(), a.number)] == a, a.job == j, t == a.task)
+		for t, a := range j.LiveAttempts {
+			out[a.TaskName()] = fmt.Sprint("live ", a.Number, a.Machine.Name, a.Epoch, a.State, a.Machine.Attempts[AttemptKey(a.TaskName(), a.Number)] == a, a.Job == j, t == a.TaskIndex)
 		}
-		for i, ch := range j.chunks {
-			out[fmt.Sprint(id, " chunk ", i)] = fmt.Sprint(ch.index, ch.version, ch.last, ch.dirty, j.touched)
+		for i, ch := range j.Chunks {
+			out[fmt.Sprint(id, " chunk ", i)] = fmt.Sprint(ch.Index, ch.Revision, ch.LastNumber, ch.Dirty, j.RecordsChanged)
 		}
-		out[id] = fmt.Sprint(j.owned, j.done, j.doneCount, j.queue, j.withdrawn, j.finishing)
+		out[id] = fmt.Sprint(j.Loaded, j.TaskDone, j.DoneCount, j.Pending, j.Ended, j.Completing)
 	}
-	for name, m := range c.machines {
-		if m.rec.Part == p.index {
-			counted := m.used
-			m.resources()
-			out[name] = fmt.Sprint(len(m.attempts), m.used)
-			if counted != m.used {
-				out["miscounted"] = fmt.Sprint(name, " ", counted, m.used)
+	for name, m := range c.Machines {
+		if m.Record.Partition == p.Index {
+			counted := m.Used
+			m.RecountUsed()
+			out[name] = fmt.Sprint(len(m.Attempts), m.Used)
+			if counted != m.Used {
+				out["miscounted"] = fmt.Sprint(name, " ", counted, m.Used)
 			}
 		}
 	}
-	out["usage"] = fmt.Sprint(p.usage)
+	out["usage"] = fmt.Sprint(p.Usage)
 	return out
 }
 
@@ -79,15 +79,15 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		var two [2]*Controller
-		var p [2]*part
+		var p [2]*Partition
 		for i := range two {
 			two[i], p[i] = owner(t)
 		}
-		index := p[0].index
+		index := p[0].Index
 		for i := range 12 {
 			for k, c := range two {
 				if i == 0 { // moved elsewhere since
-					c.up(c.parts[(index+1)%3], "m-0", "big")
+					c.up(c.Partitions[(index+1)%3], "m-0", "big")
 				} else if i < 11 { // the last is not on record any more
 					c.up(p[k], fmt.Sprint("m-", i), "big")
 				}
@@ -115,13 +115,13 @@
 				events = append(events, protocol.Event{Delete: key, Version: rev})
 				return
 			}
-			run := bookkeeping.Run{Last: rev}
+			run := bookkeeping.RunRecord{Last: rev}
 			for task := chunk * bookkeeping.ChunkTasks; task < min((chunk+1)*bookkeeping.ChunkTasks, tasks[id]); task++ {
 				switch rng.IntN(4) {
 				case 0:
 					run.Done = append(run.Done, [2]int{task, task})
 				case 1:
-					run.Live = append(run.Live, bookkeeping.Attempt{Task: task, Number: 1 + rev/8, Machine: fmt.Sprint("m-", rng.IntN(12)), Session: 1})
+					run.Live = append(run.Live, bookkeeping.Attempt{Task: task, Number: 1 + rev/8, Machine: fmt.Sprint("m-", rng.IntN(12)), Epoch: 1})
 				}
 			}
 			it := protocol.Item{Key: key, Version: rev, Value: bookkeeping.Encode(run)}
@@ -138,32 +138,32 @@
 		for range 20 {
 			write()
 		}
-		warm, cold := newFollower(index, time.Now()), newFollower(index, time.Now())
-		warm.start(complain, listing(), rev, time.Now())
+		warm, cold := newReplica(index, time.Now()), newReplica(index, time.Now())
+		warm.startFrom(complain, listing(), rev, time.Now())
 		at := rev
 		for range 30 {
 			from := len(events)
 			for range rng.IntN(5) {
 				write()
 			}
-			if !warm.follow(complain, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
+			if !warm.apply(complain, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
 				t.Fatal("a gap")
 			}
 			at = rev
 		}
-		cold.start(complain, listing(), rev, time.Now())
+		cold.startFrom(complain, listing(), rev, time.Now())
 		if seed%3 == 0 {
 			for _, c := range two {
-				c.setFinal("job-2", protocol.StatusWithdrawn, time.Now())
+				c.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
 			}
 		}
 		for _, c := range two {
-			for _, m := range c.machines {
-				m.pendingOrders = 1 // nothing is sent here
+			for _, m := range c.Machines {
+				m.PendingCommands = 1 // nothing is sent here
 			}
 		}
-		two[0].following.install(p[0], warm, nil, true)
-		two[1].following.install(p[1], cold, nil, false)
+		two[0].replicator.install(p[0], warm, nil, true)
+		two[1].replicator.install(p[1], cold, nil, false)
 		a, b := two[0].state(p[0]), two[1].state(p[1])
 		for k := range b {
 			if a[k] != b[k] {
@@ -200,28 +200,28 @@
 			}
 			inherited, off := 0, time.Duration(0)
 			w.in(next, func(c *Controller) {
-				p := c.parts[0]
-				if !p.warm {
+				p := c.Partitions[0]
+				if !p.WarmFailover {
 					t.Errorf("seed %d: the takeover was cold", seed)
 				}
-				for _, m := range c.machines {
-					for _, a := range m.attempts {
-						if m.rec.Part != 0 {
+				for _, m := range c.Machines {
+					for _, a := range m.Attempts {
+						if m.Record.Partition != 0 {
 							continue
 						}
 						w.mu.Lock()
 						begun := time.Time{}
-						if wk := w.workers[m.name]; wk != nil {
+						if wk := w.workers[m.Name]; wk != nil {
 							for _, task := range wk.Tasks {
-								if task.Name == a.wire() {
+								if task.Name == a.TaskName() {
 									begun = task.Ends.Add(-10 * time.Minute)
 								}
 							}
 						}
 						w.mu.Unlock()
-						late := a.told.Sub(begun)
+						late := a.ReplicatedStart.Sub(begun)
 						if begun.IsZero() || late < -time.Second || late > 3*time.Second {
-							t.Errorf("seed %d: %s began %s late, as far as is known", seed, a.wire(), late)
+							t.Errorf("seed %d: %s began %s late, as far as is known", seed, a.TaskName(), late)
 						}
 						off += late.Abs()
 						inherited++
@@ -271,9 +271,9 @@
 			label := fmt.Sprint("n", seed%3)
 			var parts []int
 			w.in(label, func(c *Controller) {
-				for _, p := range c.parts {
-					if p.mine {
-						parts = append(parts, p.index)
+				for _, p := range c.Partitions {
+					if p.Held {
+						parts = append(parts, p.Index)
 					}
 				}
 			})
@@ -315,12 +315,12 @@
 			}
 			for _, p := range parts {
 				w.in(w.owns(p), func(c *Controller) {
-					if !c.parts[p].warm {
+					if !c.Partitions[p].WarmFailover {
 						t.Errorf("seed %d: part %d was taken over cold", seed, p)
 					}
-					for _, m := range c.machines {
-						if m.rec.Part == p && time.Until(m.answeredBy) > shares.GrantFor {
-							t.Errorf("seed %d: %s counts as answered by others until %s from now", seed, m.name, time.Until(m.answeredBy))
+					for _, m := range c.Machines {
+						if m.Record.Partition == p && time.Until(m.AnsweredUntil) > shares.GrantDuration {
+							t.Errorf("seed %d: %s counts as answered by others until %s from now", seed, m.Name, time.Until(m.AnsweredUntil))
 						}
 					}
 				})
@@ -331,9 +331,9 @@
 				t.Errorf("seed %d: %s has no part again", seed, label)
 			}
 			w.in(label, func(c *Controller) {
-				for _, p := range c.parts {
-					if p.mine && !p.warm && len(c.machines) > 0 {
-						t.Errorf("seed %d: part %d came back cold", seed, p.index)
+				for _, p := range c.Partitions {
+					if p.Held && !p.WarmFailover && len(c.Machines) > 0 {
+						t.Errorf("seed %d: part %d came back cold", seed, p.Index)
 					}
 				}
 			})
@@ -390,11 +390,11 @@
 		}
 		known, all := 0, 0
 		w.in(lost, func(c *Controller) {
-			for _, m := range c.machines {
-				for _, a := range m.attempts {
-					if m.rec.Part == 0 {
+			for _, m := range c.Machines {
+				for _, a := range m.Attempts {
+					if m.Record.Partition == 0 {
 						all++
-						if !a.blind() {
+						if !a.StartUnknown() {
 							known++
 						}
 					}
@@ -412,18 +412,18 @@
 // it decides.
 func TestWrongCopyIsFoundBeforeItDecides(t *testing.T) {
 	t.Parallel()
-	for i, spoil := range []func(fo *follower, key string){
-		func(fo *follower, key string) { // an attempt is missing
-			for k, r := range fo.copy.All {
+	for i, spoil := range []func(fo *Replica, key string){
+		func(fo *Replica, key string) { // an attempt is missing
+			for k, r := range fo.Records.All {
 				if k == key {
 					r.Value.Live = r.Value.Live[1:]
 				}
 			}
 		},
-		func(fo *follower, key string) { // a change got lost
-			for k, r := range fo.copy.All {
+		func(fo *Replica, key string) { // a change got lost
+			for k, r := range fo.Records.All {
 				if k == key {
-					*r.Value = bookkeeping.Run{Last: 1}
+					*r.Value = bookkeeping.RunRecord{Last: 1}
 				}
 			}
 		},
@@ -434,8 +434,8 @@
 			lost, next := w.owns(0), w.standbyOf(0)
 			key := ""
 			w.in(next, func(c *Controller) {
-				fo := c.following.copies[0]
-				for k, r := range fo.copy.All {
+				fo := c.replicator.replicas[0]
+				for k, r := range fo.Records.All {
 					if len(r.Value.Live) > 0 {
 						key = k
 					}
@@ -447,9 +447,9 @@
 			}
 			time.Sleep(12 * time.Second) // two samples of this part
 			w.in(next, func(c *Controller) {
-				fo := c.following.copies[0]
-				if c.following.differed != 1 || fo == nil || fo.copy.At() == 0 {
-					t.Errorf("%d: found %d times", i, c.following.differed)
+				fo := c.replicator.replicas[0]
+				if c.replicator.mismatches != 1 || fo == nil || fo.Records.Revision() == 0 {
+					t.Errorf("%d: found %d times", i, c.replicator.mismatches)
 				}
 			})
 			w.kill(lost)
@@ -476,14 +476,14 @@
 	t.Parallel()
 	steps := map[string]func(target string, body []byte) bool{
 		"claim": func(target string, body []byte) bool {
-			return target == "/commit" && strings.Contains(string(body), bookkeeping.ClaimKey(0)) && strings.Contains(string(body), "hold")
+			return target == "/commit" && strings.Contains(string(body), bookkeeping.LeaseKey(0)) && strings.Contains(string(body), "hold")
 		},
 		"catching up": func(target string, _ []byte) bool {
 			return strings.HasPrefix(target, "/changes?under=r/0/")
 		},
 		"reading anew": func(target string, _ []byte) bool { return strings.HasPrefix(target, "/store?") },
 		"fencing":      func(target string, _ []byte) bool { return target == "/orders" },
-		"tale":         func(target string, _ []byte) bool { return target == talePath },
+		"tale":         func(target string, _ []byte) bool { return target == UpdatePath },
 		"life":         func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
 	}
 	faults := map[string]func(w *world, label string){
@@ -785,11 +785,11 @@
 func TestTaleIsToldInOrder(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	var h heardTale
-	began := map[taleKey]time.Time{}
-	told := func(k taleKey, at time.Time) { began[k] = at }
+	var h ReceivedUpdates
+	began := map[AttemptID]time.Time{}
+	told := func(k AttemptID, at time.Time) { began[k] = at }
 	say := func(claim, since, upto uint64, job string) uint64 {
-		return h.hear(&peer.Tale{From: "n0", Nonce: "x", Claim: claim, Since: since, Upto: upto,
+		return h.Apply(&peer.Tale{From: "n0", Nonce: "x", Claim: claim, Since: since, Upto: upto,
 			Attempts: []*peer.AttemptTale{{Job: job, Attempt: 1, RanS: 2}}}, told, now)
 	}
 	for i, c := range []struct {
@@ -809,7 +809,7 @@
 		if got := say(c.claim, c.since, c.upto, job); got != c.want {
 			t.Errorf("%d: known up to %d, want %d", i, got, c.want)
 		}
-		if at, took := began[taleKey{job, 0, 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
+		if at, took := began[AttemptID{job, 0, 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
 			t.Errorf("%d: taken in %v, began %s ago", i, took, now.Sub(at))
 		}
 	}
@@ -820,30 +820,30 @@
 		c.up(p, fmt.Sprint("m-", i), "big")
 	}
 	c.waiting("job-1", tasks)
-	j := c.jobs["job-1"]
+	j := c.Jobs["job-1"]
 	for task := range tasks {
-		c.reserve(p, j, task, 1, c.machines[fmt.Sprint("m-", task%machines)], now)
-		j.live[task].startedAt = now
+		c.Reserve(p, j, task, 1, c.Machines[fmt.Sprint("m-", task%machines)], now)
+		j.LiveAttempts[task].StartedAt = now
 	}
-	p.standby = "n1"
-	fo, messages := newFollower(p.index, now), 0
-	fo.shadow.jobs["job-1"] = &shadowJob{live: map[int]*attempt{}}
+	p.Standby = "n1"
+	fo, messages := newReplica(p.Index, now), 0
+	fo.Derived.Jobs["job-1"] = &ReplicaJob{live: map[int]*Attempt{}}
 	for task := range tasks {
-		fo.shadow.jobs["job-1"].live[task] = &attempt{task: task, number: 1}
+		fo.Derived.Jobs["job-1"].live[task] = &Attempt{TaskIndex: task, Number: 1}
 	}
-	for ; fo.shadow.toldOf() < tasks && messages < 10; messages++ {
-		raw, err := proto.Marshal(c.following.tell(p, now))
-		if err != nil || len(raw) > taleBytes+taleOverhead {
+	for ; fo.Derived.knownStarts() < tasks && messages < 10; messages++ {
+		raw, err := proto.Marshal(c.replicator.partitionUpdate(p, now))
+		if err != nil || len(raw) > updateBytesLimit+entryOverheadBytes {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		msg := new(peer.Tale)
 		must(proto.Unmarshal(raw, msg))
-		p.telling.have = fo.tale.hear(msg, fo.shadow.told, now)
+		p.Replication.Acknowledged = fo.Updates.Apply(msg, fo.Derived.noteStart, now)
 	}
-	if messages != 3 || len(fo.tale.machines) != machines {
-		t.Errorf("%d messages told %d attempts and %d machines", messages, fo.shadow.toldOf(), len(fo.tale.machines))
+	if messages != 3 || len(fo.Updates.Machines) != machines {
+		t.Errorf("%d messages told %d attempts and %d machines", messages, fo.Derived.knownStarts(), len(fo.Updates.Machines))
 	}
-	if again := c.following.tell(p, now); len(again.Attempts)+len(again.Machines) > 0 {
+	if again := c.replicator.partitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
 		t.Errorf("told again: %d attempts, %d machines", len(again.Attempts), len(again.Machines))
 	}
 }
@@ -888,19 +888,19 @@
 	t.Parallel()
 	c, p := owner(t)
 	now := time.Now()
-	c.synced, c.started = true, now.Add(-time.Minute)
+	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
 	told := func(named string, follows, copies bool) {
-		c.peers["n1"] = &peerState{heard: now.Add(-3 * time.Second), summary: &peer.Summary{From: "n1", Parts: []*peer.PartSummary{{Part: uint32(p.index), Standby: named}}}}
-		c.peers["n2"] = &peerState{heard: now, summary: &peer.Summary{From: "n2", Copies: copies}}
+		c.Peers["n1"] = &Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Parts: []*peer.PartSummary{{Part: uint32(p.Index), Standby: named}}}}
+		c.Peers["n2"] = &Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Copies: copies}}
 		if follows {
-			c.peers["n2"].summary.Follows = []*peer.Follow{{Part: uint32(p.index), Revision: 4}}
+			c.Peers["n2"].Summary.Follows = []*peer.Follow{{Part: uint32(p.Index), Revision: 4}}
 		}
 	}
-	for _, q := range c.parts {
-		q.mine, q.ready = false, false
+	for _, q := range c.Partitions {
+		q.Held, q.Ready = false, false
 	}
-	p.owner, p.version, p.last, p.orphan = "", 0, "n1", now
-	other := (p.index + 1) % len(c.parts)
+	p.Leader, p.LeaseRevision, p.FormerLeader, p.VacantSince = "", 0, "n1", now
+	other := (p.Index + 1) % len(c.Partitions)
 	for i, tc := range []struct {
 		named           string
 		follows         bool
@@ -911,24 +911,24 @@
 		{"n2", true, 0, other, true, false},
 		{"n2", true, 500 * time.Millisecond, other, true, false},
 		{"n2", true, 700 * time.Millisecond, other, true, true},
-		{"n2", true, 0, p.index, true, false}, // its home
-		{"n2", false, 0, p.index, true, true},
+		{"n2", true, 0, p.Index, true, false}, // its home
+		{"n2", false, 0, p.Index, true, true},
 		{"n0", false, 0, other, true, true},  // it is this one
 		{"n0", false, 0, other, false, true}, // that has just started
 		{"", false, 0, other, false, false},  // nobody was named, and this one has just started
 	} {
 		told(tc.named, tc.follows, true)
-		c.self, c.started = tc.self, now.Add(-time.Minute)
+		c.SelfIndex, c.StartedAt = tc.self, now.Add(-time.Minute)
 		if !tc.started {
-			c.started = now.Add(-time.Second)
+			c.StartedAt = now.Add(-time.Second)
 		}
-		if got := c.following.wantsPart(p, now.Add(tc.after)); got != tc.wanted {
+		if got := c.replicator.WantsPartition(p, now.Add(tc.after)); got != tc.wanted {
 			t.Errorf("%d: wanted %v", i, got)
 		}
 	}
-	c.leaving = true
+	c.Draining = true
 	told("n0", false, true)
-	if c.following.wantsPart(p, now.Add(time.Hour)) {
+	if c.replicator.WantsPartition(p, now.Add(time.Hour)) {
 		t.Error("one that leaves wants a part")
 	}
 }
@@ -939,22 +939,22 @@
 	t.Parallel()
 	c, p := owner(t)
 	m := c.up(p, "m-1", "big")
-	m.fenced = true
+	m.Fenced = true
 	c.waiting("job-1", 1)
-	j, now := c.jobs["job-1"], time.Now()
-	c.reserve(p, j, 0, 1, m, now)
-	a := j.live[0]
-	a.state, a.inherited = attemptCommitted, true
-	if !c.following.began(p, taleKey{"job-1", 0, 1}, now.Add(-20*time.Second)) || c.following.began(p, taleKey{"job-1", 0, 2}, now) {
+	j, now := c.Jobs["job-1"], time.Now()
+	c.Reserve(p, j, 0, 1, m, now)
+	a := j.LiveAttempts[0]
+	a.State, a.Inherited = AttemptCommitted, true
+	if !c.replicator.ApplyStart(p, AttemptID{"job-1", 0, 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, AttemptID{"job-1", 0, 2}, now) {
 		t.Error("told of this attempt and of another")
 	}
-	if !a.startedAt.IsZero() || j.running != 0 || a.state != attemptCommitted || a.ranS(now) != 20 {
-		t.Errorf("started %s, %d running, state %d, ran %v s", a.startedAt, j.running, a.state, a.ranS(now))
+	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != AttemptCommitted || a.RunningS(now) != 20 {
+		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
 	}
-	c.observe(m, &protocol.Report{Machine: "m-1", Session: 1, Sequence: 1, Token: c.token(m),
-		Tasks: []protocol.TaskReport{{Task: a.wire(), Attempt: 1, State: protocol.TaskRunning}}}, now)
-	if now.Sub(a.startedAt) != 20*time.Second || j.running != 1 || a.state != attemptSeen {
-		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.startedAt), j.running, a.state)
+	c.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
+		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
+	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != AttemptConfirmed {
+		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
 	}
 }
 
@@ -966,7 +966,7 @@
 		leader := ""
 		for _, l := range []string{"n0", "n1", "n2"} {
 			w.in(l, func(c *Controller) {
-				if c.leader.mine {
+				if c.Leadership.Held {
 					leader = l
 				}
 			})
@@ -1007,7 +1007,7 @@
 		w.mu.Unlock()
 		recorded := 0
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.in(l, func(c *Controller) { recorded = max(recorded, len(c.machines)) })
+			w.in(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
 		}
 		if recorded < rented {
 			t.Errorf("%d of %d rented machines are on record", recorded, rented)
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -10,12 +10,12 @@
 // The paths between controllers stay as they are.
 func TestGoldenPeerPaths(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
-		{"summary", summaryPath, "/peer/summary"},
-		{"fleet request", fleetPath, "/peer/fleet"},
-		{"tale", talePath, "/peer/tale"},
-		{"recall", recallPath, "/peer/recall"},
-		{"carry", carryPath, "/peer/carry"},
-		{"relay", relayPath, "/peer/relay"},
+		{"summary", SummaryPath, "/peer/summary"},
+		{"fleet request", MachineRequestPath, "/peer/fleet"},
+		{"tale", UpdatePath, "/peer/tale"},
+		{"recall", StateTransferPath, "/peer/recall"},
+		{"carry", DelegationPath, "/peer/carry"},
+		{"relay", ForwardPath, "/peer/relay"},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: path %q, want %q", tc.name, tc.got, tc.want)
@@ -27,7 +27,7 @@
 // refuses another method with 405, an unknown one is 404.
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
-	ctx, c := context.Background(), &Controller{guard: &guard{}}
+	ctx, c := context.Background(), &Controller{guard: &authorizer{}}
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -12,8 +12,8 @@
 
 // quietFor is how long a planned end waits for answers to orders and commits.
 const (
-	quietFor   = 150 * time.Millisecond
-	quietPause = 5 * time.Millisecond
+	drainTimeout      = 150 * time.Millisecond
+	drainPollInterval = 5 * time.Millisecond
 )
 
 // HandOver gives what this controller has to whoever is to take it over, ahead of a
@@ -23,42 +23,42 @@
 // merely ends: its next life takes its claims back at once.
 func (c *Controller) HandOver(ctx context.Context) {
 	begun := time.Now()
-	f := &c.following
+	f := &c.replicator
 	able := false
 	c.do(func() {
-		c.leaving = true
-		able = standby.Choose(c.set.Label, c.set.Zone, f.candidates(begun)) != ""
+		c.Draining = true
+		able = standby.ChooseStandby(c.Settings.Label, c.Settings.Zone, f.Candidates(begun)) != ""
 	})
 	if !able {
 		c.log.Info("ending without a hand-over", "reason", "no other controller is heard")
 		return
 	}
-	quiet, cancel := context.WithTimeout(ctx, quietFor)
-	f.tellAll(quiet)
-	for busy := true; busy && quiet.Err() == nil; time.Sleep(quietPause) {
-		c.do(func() { busy = f.busy() })
+	quiet, cancel := context.WithTimeout(ctx, drainTimeout)
+	f.SendUpdates(quiet)
+	for busy := true; busy && quiet.Err() == nil; time.Sleep(drainPollInterval) {
+		c.do(func() { busy = f.Busy() })
 	}
 	cancel()
-	var letGo []bookkeeping.Release
+	var letGo []bookkeeping.ReleasedLease
 	leader := uint64(0)
 	c.do(func() {
-		for _, p := range c.parts {
-			if p.mine {
-				letGo = append(letGo, bookkeeping.Release{Part: p.index, Claim: p.version})
-				c.lose(p, "handed over")
+		for _, p := range c.Partitions {
+			if p.Held {
+				letGo = append(letGo, bookkeeping.ReleasedLease{Partition: p.Index, LeaseRevision: p.LeaseRevision})
+				c.LosePartition(p, "handed over")
 			}
 		}
-		if c.leader.mine {
-			leader = c.leader.version
-			c.dropLead("handed over")
+		if c.Leadership.Held {
+			leader = c.Leadership.Revision
+			c.DropLeadership("handed over")
 		}
 	})
 	group := max(1, c.store.TxnOps()-2)
 	for len(letGo) > 0 || leader != 0 {
 		n := min(group, len(letGo))
 		var txn *protocol.Transaction
-		c.do(func() { txn = c.relinquish(letGo[:n], leader) })
-		if txn == nil || !c.releaseClaims(ctx, txn) {
+		c.do(func() { txn = c.releaseTransaction(letGo[:n], leader) })
+		if txn == nil || !c.releaseLeases(ctx, txn) {
 			return
 		}
 		c.metrics.Count(observe.HandedOver, n)
@@ -67,16 +67,16 @@
 	}
 }
 
-// busy says whether answers to orders or commits of own parts are waited for.
-func (f *following) busy() bool {
+// Busy says whether answers to orders or commits of own parts are waited for.
+func (f *Replicator) Busy() bool {
 	c := f.c
-	for _, p := range c.parts {
-		if p.mine && p.committing {
+	for _, p := range c.Partitions {
+		if p.Held && p.Committing {
 			return true
 		}
 	}
-	for _, m := range c.machines {
-		if m.pendingOrders > 0 && c.parts[m.rec.Part].mine {
+	for _, m := range c.Machines {
+		if m.PendingCommands > 0 && c.Partitions[m.Record.Partition].Held {
 			return true
 		}
 	}
--- a/internal/coordination/inorder.go
+++ b/internal/coordination/inorder.go
@@ -11,81 +11,81 @@
 	"micaspindle/internal/settings"
 )
 
-// inOrder lists the jobs of a part that want something, in the order in which they
+// Queue lists the jobs of a part that want something, in the order in which they
 // are served: those with waiting tasks, with records to write, or at their end. The
 // list is kept for a moment, so that events do not each sort all jobs again, unless
 // another job comes to want something: served last, its tasks would find the room
 // taken, and its ends would be on record, and its team's room be free, a batch later.
-func (c *Controller) inOrder(p *part) []*job {
+func (c *Controller) Queue(p *Partition) []*Job {
 	now := time.Now()
 	// The room for both is that of the last time.
-	list, views := c.sorting.jobs[:0], c.sorting.views[:0]
-	gone := func(j *job) bool { return !j.owned || c.jobs[j.spec.ID] != j }
-	wants := func(j *job) bool { return j.active() && !gone(j) }
-	if p.order != nil && now.Sub(p.orderedAt) < orderFor && !slices.ContainsFunc(p.rest, wants) {
-		p.order = slices.DeleteFunc(p.order, gone)
-		return slices.Clone(p.order)
+	list, views := c.queueBuffers.jobs[:0], c.queueBuffers.views[:0]
+	gone := func(j *Job) bool { return !j.Loaded || c.Jobs[j.Spec.ID] != j }
+	wants := func(j *Job) bool { return j.HasWork() && !gone(j) }
+	if p.QueueOrder != nil && now.Sub(p.QueueOrderedAt) < QueueOrderTTL && !slices.ContainsFunc(p.IdleJobs, wants) {
+		p.QueueOrder = slices.DeleteFunc(p.QueueOrder, gone)
+		return slices.Clone(p.QueueOrder)
 	}
-	p.order, p.rest, p.orderedAt = []*job{}, p.rest[:0], now
-	for _, j := range c.jobs {
+	p.QueueOrder, p.IdleJobs, p.QueueOrderedAt = []*Job{}, p.IdleJobs[:0], now
+	for _, j := range c.Jobs {
 		switch {
-		case j.part != p.index || !j.owned || j.blocked:
-		case j.active():
-			j.touched = j.dirty()
-			list, views = append(list, j), append(views, c.forOrder(j))
+		case j.Partition != p.Index || !j.Loaded || j.Blocked:
+		case j.HasWork():
+			j.RecordsChanged = j.HasDirtyChunk()
+			list, views = append(list, j), append(views, c.queueView(j))
 		default:
-			p.rest = append(p.rest, j)
+			p.IdleJobs = append(p.IdleJobs, j)
 		}
 	}
-	c.sorting = sorting{list, views}
-	c.fillContest(p, list, views)
-	for _, at := range order.Of(views, now) {
-		p.order = append(p.order, list[at])
+	c.queueBuffers = queueBuffers{list, views}
+	c.estimateContention(p, list, views)
+	for _, at := range order.Order(views, now) {
+		p.QueueOrder = append(p.QueueOrder, list[at])
 	}
 	clear(list) // jobs that end are not held
-	return slices.Clone(p.order)
+	return slices.Clone(p.QueueOrder)
 }
 
-// active says whether a job wants something of its part's owner.
-func (j *job) active() bool { return len(j.queue) > 0 || j.finishing || j.touched }
+// HasWork says whether a job wants something of its part's owner.
+func (j *Job) HasWork() bool { return len(j.Pending) > 0 || j.Completing || j.RecordsChanged }
 
-// dirty says whether a record of the job waits to be written.
-func (j *job) dirty() bool {
-	for _, ch := range j.chunks {
-		if ch.dirty {
+// HasDirtyChunk says whether a record of the job waits to be written.
+func (j *Job) HasDirtyChunk() bool {
+	for _, ch := range j.Chunks {
+		if ch.Dirty {
 			return true
 		}
 	}
 	return false
 }
 
-// sorting is room for sorting jobs.
-type sorting struct {
-	jobs  []*job
+// queueBuffers is room for sorting jobs.
+type queueBuffers struct {
+	jobs  []*Job
 	views []order.Job
 }
 
-// orderFor is how long an order of jobs is good for.
-const orderFor = 200 * time.Millisecond
+// QueueOrderTTL is how long an order of jobs is good for.
+const QueueOrderTTL = 200 * time.Millisecond
 
-// forOrder is what the order depends on of every job.
-func (c *Controller) forOrder(j *job) order.Job {
-	deadline, _ := j.deadline()
-	return order.Job{ID: j.spec.ID, Urgency: j.urgency(), Received: j.received, Due: j.due(), Deadline: deadline, Waiting: len(j.queue), Team: j.team}
+// queueView is what the order depends on of every job.
+func (c *Controller) queueView(j *Job) order.Job {
+	deadline, _ := j.Deadline()
+	return order.Job{ID: j.Spec.ID, Urgency: j.Urgency(), Received: j.SubmittedAt, Due: j.Due(), Deadline: deadline, Waiting: len(j.Pending), Team: j.Team}
 }
 
-// fillContest works out what the order depends on of those jobs only that wait and
+// estimateContention works out what the order depends on of those jobs only that wait and
 // have a deadline: how long they run, on what, and how many tasks the part's machines
 // and the team's limit let run at a time. Jobs that are alike share the answer.
-func (c *Controller) fillContest(p *part, list []*job, views []order.Job) {
+func (c *Controller) estimateContention(p *Partition, list []*Job, views []order.Job) {
 	machines := map[string]int{}
-	for _, m := range c.machines {
-		if m.rec.Part == p.index && m.typ != nil && !m.lost && !m.faulty {
-			machines[m.typ.Name]++
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index && m.Type != nil && !m.Lost && !m.Quarantined {
+			machines[m.Type.Name]++
 		}
 	}
 	type like struct {
-		need  fit.Amounts
+		need  fit.Resources
 		types uint64
 	}
 	known := map[like]float64{}
@@ -94,12 +94,12 @@
 		if v.Deadline.IsZero() || v.Waiting == 0 {
 			continue
 		}
-		v.EstimateS, v.Types, v.AtOnce = c.estimate(j.spec), c.typeSet(j.spec), c.atOnce(j)
-		k := like{needOf(j.spec), v.Types}
+		v.EstimateS, v.Types, v.AtOnce = c.EstimateS(j.Spec), c.typeSet(j.Spec), c.teamParallelism(j)
+		k := like{ResourcesOf(j.Spec), v.Types}
 		slots, ok := known[k]
 		if !ok {
-			slots = c.slotsOf(machines, j.spec)
-			if len(c.catalog) <= 64 {
+			slots = c.fleetSlots(machines, j.Spec)
+			if len(c.Catalog) <= 64 {
 				known[k] = slots
 			}
 		}
@@ -107,50 +107,50 @@
 	}
 }
 
-// due is when a job should be done; one without a deadline queues as if it
+// Due is when a job should be done; one without a deadline queues as if it
 // had a long one.
-func (j *job) due() time.Time {
-	if at, ok := j.deadline(); ok {
+func (j *Job) Due() time.Time {
+	if at, ok := j.Deadline(); ok {
 		return at
 	}
-	return j.since().Add(time.Hour)
+	return j.ReadySince().Add(time.Hour)
 }
 
-// runTime predicts how long a job takes from its first start to its end.
-func (c *Controller) runTime(j *job) time.Duration {
-	return settings.Seconds(c.estimate(j.spec) * order.Rounds(j.spec.Tasks, c.atOnce(j)))
+// JobRunTime predicts how long a job takes from its first start to its end.
+func (c *Controller) JobRunTime(j *Job) time.Duration {
+	return settings.Seconds(c.EstimateS(j.Spec) * order.Rounds(j.Spec.Tasks, c.teamParallelism(j)))
 }
 
-// slotsOf is how many tasks of a job a fleet, counted by type, runs at a time.
-func (c *Controller) slotsOf(machines map[string]int, s *protocol.JobSpec) float64 {
+// fleetSlots is how many tasks of a job a fleet, counted by type, runs at a time.
+func (c *Controller) fleetSlots(machines map[string]int, s *protocol.JobSpec) float64 {
 	sum := 0.0
-	for i := range c.catalog {
-		t := &c.catalog[i]
-		if n := machines[t.Name]; n > 0 && fit.Offered(wishOf(s), needOf(s), t) {
-			sum += float64(n * fit.Size(t).Slots(needOf(s), fit.Many))
+	for i := range c.Catalog {
+		t := &c.Catalog[i]
+		if n := machines[t.Name]; n > 0 && fit.FitsOffered(ConstraintsOf(s), ResourcesOf(s), t) {
+			sum += float64(n * fit.Size(t).Slots(ResourcesOf(s), fit.UnboundedSlots))
 		}
 	}
 	return sum
 }
 
-// atOnce is how many tasks of a job its team's limit lets run at a time.
-func (c *Controller) atOnce(j *job) float64 {
-	t := c.set.Params.Teams[j.team]
-	if t.CPUsMax <= 0 || j.spec.CPUs <= 0 {
+// teamParallelism is how many tasks of a job its team's limit lets run at a time.
+func (c *Controller) teamParallelism(j *Job) float64 {
+	t := c.Settings.Params.Teams[j.Team]
+	if t.CPUsMax <= 0 || j.Spec.CPUs <= 0 {
 		return math.Inf(1)
 	}
-	return max(1, math.Floor((t.CPUsMax+fit.Epsilon)/j.spec.CPUs))
+	return max(1, math.Floor((t.CPUsMax+fit.Epsilon)/j.Spec.CPUs))
 }
 
 // typeSet is the set of machine types that a job's tasks fit, as bits.
 func (c *Controller) typeSet(s *protocol.JobSpec) uint64 {
-	return fit.Types(wishOf(s), needOf(s), c.catalog)
+	return fit.TypeSet(ConstraintsOf(s), ResourcesOf(s), c.Catalog)
 }
 
-func needOf(s *protocol.JobSpec) fit.Amounts {
-	return fit.Amounts{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+func ResourcesOf(s *protocol.JobSpec) fit.Resources {
+	return fit.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 }
 
-func wishOf(s *protocol.JobSpec) fit.Wish {
-	return fit.Wish{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
+func ConstraintsOf(s *protocol.JobSpec) fit.Constraints {
+	return fit.Constraints{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
 }
--- a/internal/coordination/keep.go
+++ b/internal/coordination/keep.go
@@ -11,68 +11,68 @@
 	"micaspindle/internal/protocol"
 )
 
-// keepEvery is how often it is decided anew what is kept for groups that are behind.
-const keepEvery = time.Second
+// fairShareInterval is how often it is decided anew what is kept for groups that are behind.
+const fairShareInterval = time.Second
 
-// floorState is what is kept for groups of a part's work that are behind.
-type floorState struct {
-	at time.Time
-	// shares are the parts of the machines that groups get; nil: none is behind.
-	shares []float64
-	// quota is what is kept of teams' limits, by team; within says which classes of
+// FairShareState is what is kept for groups of a part's work that are behind.
+type FairShareState struct {
+	DecidedAt time.Time
+	// Shares are the parts of the machines that groups get; nil: none is behind.
+	Shares []float64
+	// Quota is what is kept of teams' limits, by team; within says which classes of
 	// which teams run no more than what is kept for them of the limit.
-	quota  [][]floor.Quota
-	within map[teamClass]bool
+	Quota         [][]floor.ReservedQuota
+	WithinReserve map[TeamClass]bool
 }
 
-type teamClass struct{ team, class int }
+type TeamClass struct{ Team, ClassGroup int }
 
-// share is what a group gets.
-func (f *floorState) share(group int) float64 {
-	if group >= len(f.shares) {
+// Share is what a group gets.
+func (f *FairShareState) Share(group int) float64 {
+	if group >= len(f.Shares) {
 		return 0
 	}
-	return f.shares[group]
+	return f.Shares[group]
 }
 
-// behind says whether a job is of a group that something is kept for.
-func (f *floorState) behind(j *job) bool {
-	return f.share(j.class) > 0 || f.share(teamGroup(j.team)) > 0
+// Starved says whether a job is of a group that something is kept for.
+func (f *FairShareState) Starved(j *Job) bool {
+	return f.Share(j.ClassGroup) > 0 || f.Share(TeamGroup(j.Team)) > 0
 }
 
-func (f *floorState) quotaOf(team int) []floor.Quota {
-	if f.quota == nil {
+func (f *FairShareState) QuotaOf(team int) []floor.ReservedQuota {
+	if f.Quota == nil {
 		return nil
 	}
-	return f.quota[team]
+	return f.Quota[team]
 }
 
-// keeps is the group for which the room is kept that an attempt runs in.
-func (f *floorState) keeps(a *attempt) int {
-	j := a.job
-	switch kept := a.machine.keptFor; {
-	case f.shares == nil:
-		return floor.None
-	case kept != floor.None && (kept == j.class || kept == teamGroup(j.team)):
+// ReservationOf is the group for which the room is kept that an attempt runs in.
+func (f *FairShareState) ReservationOf(a *Attempt) int {
+	j := a.Job
+	switch kept := a.Machine.ReservedFor; {
+	case f.Shares == nil:
+		return floor.NoGroup
+	case kept != floor.NoGroup && (kept == j.ClassGroup || kept == TeamGroup(j.Team)):
 		return kept
-	case f.within[teamClass{j.team, j.class}]:
-		return j.class
+	case f.WithinReserve[TeamClass{j.Team, j.ClassGroup}]:
+		return j.ClassGroup
 	}
-	return floor.None
+	return floor.NoGroup
 }
 
-// behindShare is which part of the demands told to the leader work of groups which are
+// starvedDemandsShare is which part of the demands told to the leader work of groups which are
 // behind may take ahead of all other, so that machines are rented for it as well.
-const behindShare = 5
+const starvedDemandsShare = 5
 
-// first puts at most so many jobs of groups that are behind ahead of the others.
-func (f *floorState) first(list []*job, most int) []*job {
-	if f.shares == nil {
+// StarvedFirst puts at most so many jobs of groups that are behind ahead of the others.
+func (f *FairShareState) StarvedFirst(list []*Job, most int) []*Job {
+	if f.Shares == nil {
 		return list
 	}
-	var ahead, others []*job
+	var ahead, others []*Job
 	for _, j := range list {
-		if len(ahead) < most && len(j.queue) > 0 && f.behind(j) {
+		if len(ahead) < most && len(j.Pending) > 0 && f.Starved(j) {
 			ahead = append(ahead, j)
 		} else {
 			others = append(others, j)
@@ -82,102 +82,102 @@
 }
 
 // Groups are numbered from 1: the teams, then the classes as they come.
-func teamGroup(team int) int { return team + 1 }
+func TeamGroup(team int) int { return team + 1 }
 
-// classesMost bounds the classes that are told apart, and those whose run times are learnt:
+// classGroupsLimit bounds the classes that are told apart, and those whose run times are learnt:
 // users make up their names. It does not grow with the machines; one takes up to 300 bytes.
-const classesMost = 1000
+const classGroupsLimit = 1000
 
-func (c *Controller) classGroup(class string) int {
-	g, known := c.classes[class]
+func (c *Controller) ClassGroup(class string) int {
+	g, known := c.ClassGroups[class]
 	switch {
 	case known:
-	case len(c.classes) >= classesMost:
+	case len(c.ClassGroups) >= classGroupsLimit:
 		c.boundMet(observe.Classes, 1)
-		return floor.None
+		return floor.NoGroup
 	default:
-		g = len(c.set.Params.Teams) + len(c.classes) + 1
-		c.classes[class] = g
+		g = len(c.Settings.Params.Teams) + len(c.ClassGroups) + 1
+		c.ClassGroups[class] = g
 	}
 	return g
 }
 
-func (j *job) groups() [2]int { return [2]int{teamGroup(j.team), j.class} }
+func (j *Job) Groups() [2]int { return [2]int{TeamGroup(j.Team), j.ClassGroup} }
 
-// countDone counts a job that was done.
-func (c *Controller) countDone(part int, groups [2]int, at time.Time) {
+// CountDone counts a job that was done.
+func (c *Controller) CountDone(part int, groups [2]int, at time.Time) {
 	now := time.Now()
 	for _, g := range groups {
-		t := c.parts[part].done[g]
+		t := c.Partitions[part].DoneTallies[g]
 		if t == nil {
 			t = &floor.Tally{}
-			c.parts[part].done[g] = t
+			c.Partitions[part].DoneTallies[g] = t
 		}
 		t.Add(at, now)
 	}
 }
 
-// forgetDone begins the count anew, before a listing is taken in.
-func (c *Controller) forgetDone() {
-	for _, p := range c.parts {
-		clear(p.done)
+// ResetDoneCounts begins the count anew, before a listing is taken in.
+func (c *Controller) ResetDoneCounts() {
+	for _, p := range c.Partitions {
+		clear(p.DoneTallies)
 	}
 }
 
-// listedJob counts a listed job that is done: what a controller that was away missed.
-func (c *Controller) listedJob(id string, raw []byte) {
-	if c.finals[id] != protocol.StatusDone {
+// CountListedJob counts a listed job that is done: what a controller that was away missed.
+func (c *Controller) CountListedJob(id string, raw []byte) {
+	if c.FinalStates[id] != protocol.StatusDone {
 		return
 	}
 	var spec protocol.JobKind
 	if bookkeeping.Decode(raw, &spec) != nil {
 		return
 	}
-	if team, ok := c.teamIndex[spec.Team]; ok {
-		c.countDone(c.teamPart[team], [2]int{teamGroup(team), c.classGroup(spec.Class)}, c.listedEnds[id])
+	if team, ok := c.TeamIndex[spec.Team]; ok {
+		c.CountDone(c.TeamPartition[team], [2]int{TeamGroup(team), c.ClassGroup(spec.Class)}, c.ListedEnds[id])
 	}
 }
 
-// keepFloor decides what is kept for groups of a part that are behind.
-func (c *Controller) keepFloor(p *part, now time.Time) {
-	if now.Sub(p.floor.at) < keepEvery {
+// updateFairShare decides what is kept for groups of a part that are behind.
+func (c *Controller) updateFairShare(p *Partition, now time.Time) {
+	if now.Sub(p.FairShare.DecidedAt) < fairShareInterval {
 		return
 	}
-	was := p.floor.shares != nil
-	p.floor = floorState{at: now}
-	groups := c.groupsOf(p, now)
-	if p.floor.shares = floor.Shares(groups); p.floor.shares == nil {
+	was := p.FairShare.Shares != nil
+	p.FairShare = FairShareState{DecidedAt: now}
+	groups := c.countGroups(p, now)
+	if p.FairShare.Shares = floor.Shares(groups); p.FairShare.Shares == nil {
 		if was {
-			c.log.Info("nothing is kept any more", "part", p.index)
-			for _, m := range c.machines {
-				if m.rec.Part == p.index {
-					m.keptFor = floor.None
+			c.log.Info("nothing is kept any more", "part", p.Index)
+			for _, m := range c.Machines {
+				if m.Record.Partition == p.Index {
+					m.ReservedFor = floor.NoGroup
 				}
 			}
 		}
 		return
 	}
-	c.keepQuota(p, now)
+	c.reserveQuota(p, now)
 	v := floor.View{Groups: groups}
-	for _, j := range c.inOrder(p) {
-		team := c.set.Params.Teams[j.team]
-		if len(j.queue) > 0 && !j.withdrawn && !now.Before(j.holdTill) && p.floor.behind(j) &&
-			(limitOf(team).Allows(p.usage[j.team], needOf(j.spec)) || p.floor.within[teamClass{j.team, j.class}]) {
-			v.Jobs = append(v.Jobs, floor.Job{Class: j.class, Team: teamGroup(j.team), Need: needOf(j.spec), Wish: wishOf(j.spec), Waiting: len(j.queue)})
+	for _, j := range c.Queue(p) {
+		team := c.Settings.Params.Teams[j.Team]
+		if len(j.Pending) > 0 && !j.Ended && !now.Before(j.BackoffUntil) && p.FairShare.Starved(j) &&
+			(TeamLimit(team).Allows(p.Usage[j.Team], ResourcesOf(j.Spec)) || p.FairShare.WithinReserve[TeamClass{j.Team, j.ClassGroup}]) {
+			v.Jobs = append(v.Jobs, floor.Job{Class: j.ClassGroup, Team: TeamGroup(j.Team), Need: ResourcesOf(j.Spec), Wish: ConstraintsOf(j.Spec), Waiting: len(j.Pending)})
 		}
 	}
-	var machines []*machine
-	for _, m := range c.machines {
-		if m.rec.Part != p.index || !c.usable(m, now) {
+	var machines []*Machine
+	for _, m := range c.Machines {
+		if m.Record.Partition != p.Index || !c.Usable(m, now) {
 			continue
 		}
 		machines = append(machines, m)
-		fm := floor.Machine{Name: m.name, Kind: kindOf(m.rec), Size: fit.Size(m.typ), Free: m.free(), Kept: m.keptFor, Held: map[int]float64{}}
-		for _, a := range m.attempts {
-			if a.live() {
-				for _, g := range a.job.groups() {
-					if p.floor.share(g) > 0 {
-						fm.Held[g] += a.job.spec.CPUs
+		fm := floor.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Size: fit.Size(m.Type), Free: m.Free(), ReservedFor: m.ReservedFor, Held: map[int]float64{}}
+		for _, a := range m.Attempts {
+			if a.Live() {
+				for _, g := range a.Job.Groups() {
+					if p.FairShare.Share(g) > 0 {
+						fm.Held[g] += a.Job.Spec.CPUs
 					}
 				}
 			}
@@ -185,115 +185,115 @@
 		v.Machines = append(v.Machines, fm)
 	}
 	kept := 0
-	for i, g := range floor.Keep(v) {
-		machines[i].keptFor = g
-		if g != floor.None {
+	for i, g := range floor.Reserve(v) {
+		machines[i].ReservedFor = g
+		if g != floor.NoGroup {
 			kept++
 		}
 	}
 	if !was {
-		c.log.Info("keeping machines for what is behind", "part", p.index, "groups", c.behindNames(p), "machines", kept, "of", len(machines))
+		c.log.Info("keeping machines for what is behind", "part", p.Index, "groups", c.starvedGroupNames(p), "machines", kept, "of", len(machines))
 	}
 }
 
-// groupsOf counts a part's work by group.
-func (c *Controller) groupsOf(p *part, now time.Time) []floor.Group {
-	groups := make([]floor.Group, len(c.set.Params.Teams)+len(c.classes)+1)
-	for id, j := range c.jobs {
-		if j.part != p.index || !j.owned || j.blocked || j.withdrawn || c.finals[id] != "" {
+// countGroups counts a part's work by group.
+func (c *Controller) countGroups(p *Partition, now time.Time) []floor.Group {
+	groups := make([]floor.Group, len(c.Settings.Params.Teams)+len(c.ClassGroups)+1)
+	for id, j := range c.Jobs {
+		if j.Partition != p.Index || !j.Loaded || j.Blocked || j.Ended || c.FinalStates[id] != "" {
 			continue
 		}
 		late := 0.0
-		if len(j.queue) > 0 && now.Sub(j.since()).Seconds() > floor.LongS(j.spec.DeadlineS) {
-			late = float64(len(j.queue)) / float64(j.spec.Tasks)
+		if len(j.Pending) > 0 && now.Sub(j.ReadySince()).Seconds() > floor.StarvationS(j.Spec.DeadlineS) {
+			late = float64(len(j.Pending)) / float64(j.Spec.Tasks)
 		}
-		for _, g := range j.groups() {
+		for _, g := range j.Groups() {
 			groups[g].Open++
 			groups[g].Late += late
 		}
 	}
-	for g, t := range p.done {
-		groups[g].Done = t.Of(now)
+	for g, t := range p.DoneTallies {
+		groups[g].Done = t.Value(now)
 	}
-	groups[floor.None] = floor.Group{}
-	teams, all := groups[1:len(c.set.Params.Teams)+1], floor.Group{}
+	groups[floor.NoGroup] = floor.Group{}
+	teams, all := groups[1:len(c.Settings.Params.Teams)+1], floor.Group{}
 	for _, g := range teams {
 		all.Open, all.Late, all.Done = all.Open+g.Open, all.Late+g.Late, all.Done+g.Done
 	}
 	for i := range teams {
-		teams[i] = teams[i].Beyond(all)
+		teams[i] = teams[i].BeyondAverage(all)
 	}
 	return groups
 }
 
-// keepQuota keeps a part of teams' limits for their classes that are behind, as far as
+// reserveQuota keeps a part of teams' limits for their classes that are behind, as far as
 // machines have room for their work now: where room is what it waits for, the limit is
 // of more use to others.
-func (c *Controller) keepQuota(p *part, now time.Time) {
-	uses := map[teamClass]floor.Use{}
-	var machines []*machine
-	free := map[*machine]fit.Amounts{}
-	for _, m := range c.machines {
-		if m.rec.Part == p.index && c.usable(m, now) {
-			machines, free[m] = append(machines, m), m.free()
+func (c *Controller) reserveQuota(p *Partition, now time.Time) {
+	uses := map[TeamClass]floor.ClassUse{}
+	var machines []*Machine
+	free := map[*Machine]fit.Resources{}
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index && c.Usable(m, now) {
+			machines, free[m] = append(machines, m), m.Free()
 		}
 	}
-	for _, j := range c.inOrder(p) {
-		if c.set.Params.Teams[j.team].CPUsMax <= 0 || p.floor.share(j.class) == 0 {
+	for _, j := range c.Queue(p) {
+		if c.Settings.Params.Teams[j.Team].CPUsMax <= 0 || p.FairShare.Share(j.ClassGroup) == 0 {
 			continue
 		}
-		u := uses[teamClass{j.team, j.class}]
-		u.Class = j.class
-		n, need := 0, needOf(j.spec)
+		u := uses[TeamClass{j.Team, j.ClassGroup}]
+		u.Class = j.ClassGroup
+		n, need := 0, ResourcesOf(j.Spec)
 		for _, m := range machines {
-			if m.keptFor != floor.None && m.keptFor != j.class && m.keptFor != teamGroup(j.team) || !wishOf(j.spec).Allows(kindOf(m.rec)) {
+			if m.ReservedFor != floor.NoGroup && m.ReservedFor != j.ClassGroup && m.ReservedFor != TeamGroup(j.Team) || !ConstraintsOf(j.Spec).Allows(MachineKindOf(m.Record)) {
 				continue
 			}
-			slots := free[m].Slots(need, len(j.queue)-n)
+			slots := free[m].Slots(need, len(j.Pending)-n)
 			n, free[m] = n+slots, free[m].Plus(need, -float64(slots))
 		}
 		u.Wanted.Add(need, float64(n))
-		uses[teamClass{j.team, j.class}] = u
+		uses[TeamClass{j.Team, j.ClassGroup}] = u
 	}
-	for _, j := range c.jobs {
-		k := teamClass{j.team, j.class}
+	for _, j := range c.Jobs {
+		k := TeamClass{j.Team, j.ClassGroup}
 		u, asked := uses[k]
-		if !asked || !j.owned {
+		if !asked || !j.Loaded {
 			continue
 		}
-		for _, a := range j.live {
-			if a.live() {
-				u.Used.Add(needOf(j.spec), 1)
+		for _, a := range j.LiveAttempts {
+			if a.Live() {
+				u.Used.Add(ResourcesOf(j.Spec), 1)
 			}
 		}
 		uses[k] = u
 	}
-	p.floor.quota, p.floor.within = make([][]floor.Quota, len(p.usage)), map[teamClass]bool{}
-	for team := range p.usage {
-		var of []floor.Use
+	p.FairShare.Quota, p.FairShare.WithinReserve = make([][]floor.ReservedQuota, len(p.Usage)), map[TeamClass]bool{}
+	for team := range p.Usage {
+		var of []floor.ClassUse
 		for k, u := range uses {
-			if k.team == team {
+			if k.Team == team {
 				of = append(of, u)
 			}
 		}
-		limit := limitOf(c.set.Params.Teams[team])
-		p.floor.quota[team] = floor.Quotas(p.floor.shares, limit, of)
+		limit := TeamLimit(c.Settings.Params.Teams[team])
+		p.FairShare.Quota[team] = floor.Quotas(p.FairShare.Shares, limit, of)
 		for _, u := range of {
-			p.floor.within[teamClass{team, u.Class}] = u.Used.CPUs <= p.floor.share(u.Class)*limit.CPUs
+			p.FairShare.WithinReserve[TeamClass{team, u.Class}] = u.Used.CPUs <= p.FairShare.Share(u.Class)*limit.CPUs
 		}
 	}
 }
 
-// behindNames names the groups that something is kept for.
-func (c *Controller) behindNames(p *part) []string {
+// starvedGroupNames names the groups that something is kept for.
+func (c *Controller) starvedGroupNames(p *Partition) []string {
 	var names []string
-	for i, t := range c.set.Params.Teams {
-		if p.floor.share(teamGroup(i)) > 0 {
+	for i, t := range c.Settings.Params.Teams {
+		if p.FairShare.Share(TeamGroup(i)) > 0 {
 			names = append(names, "team "+t.Name)
 		}
 	}
-	for class, g := range c.classes {
-		if p.floor.share(g) > 0 {
+	for class, g := range c.ClassGroups {
+		if p.FairShare.Share(g) > 0 {
 			names = append(names, "class "+class)
 		}
 	}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -175,22 +175,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
-		c.net = silentNet{}
+		c.network = silentNet{}
 		loop, stop := context.WithCancel(t.Context())
 		go c.loop(loop)
 		c.do(func() {
 			_, _ = c.owning(5)
 			for i := range 100 {
 				name := fmt.Sprintf("m-%d", 100+i)
-				c.machineRecorded(name, bookkeeping.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
-				m := c.machines[name]
-				m.heard, m.fenced, m.session, m.answeredBy = true, true, 1, time.Now()
-				j := &job{spec: spec(fmt.Sprint("job-", i), 1, "red"), withdrawn: true}
-				j.own()
-				a := &attempt{job: j, number: 1, machine: m, session: 1, state: attemptSeen, stopping: true, stopAt: time.Now()}
-				j.live[0] = a
-				m.attempts[attemptKey(a.wire(), 1)] = a
-				c.sendOrders(m)
+				c.MachineRecorded(name, bookkeeping.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
+				m := c.Machines[name]
+				m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
+				j := &Job{Spec: spec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
+				j.Load()
+				a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptConfirmed, Stopping: true, StopRequestedAt: time.Now()}
+				j.LiveAttempts[0] = a
+				m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+				c.SendCommands(m)
 			}
 		})
 		most, extra := 0, 0
@@ -198,23 +198,23 @@
 			time.Sleep(200 * time.Millisecond)
 			c.do(func() {
 				extra = 0
-				for _, m := range c.machines {
-					extra += max(0, m.pendingOrders-1)
+				for _, m := range c.Machines {
+					extra += max(0, m.PendingCommands-1)
 				}
-				if extra != c.repeats {
-					t.Errorf("%d orders beside others, counted %d", extra, c.repeats)
+				if extra != c.repeatedCommands {
+					t.Errorf("%d orders beside others, counted %d", extra, c.repeatedCommands)
 				}
 				most = max(most, extra)
 			})
 		}
-		c.do(func() { clear(c.machines) })
-		time.Sleep(2 * orderWait)
+		c.do(func() { clear(c.Machines) })
+		time.Sleep(2 * CommandTimeout)
 		c.do(func() {
-			if c.repeats != 0 {
-				t.Errorf("%d repeats are left", c.repeats)
+			if c.repeatedCommands != 0 {
+				t.Errorf("%d repeats are left", c.repeatedCommands)
 			}
 		})
-		if limit := max(repeatsLeast, c.set.Params.MachineLimits.Sockets/repeatShare); most != limit {
+		if limit := max(repeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/repeatedCommandsSocketShare); most != limit {
 			t.Errorf("at most %d orders beside others, want %d", most, limit)
 		}
 		stop()
@@ -225,7 +225,7 @@
 type answeringNet struct{ status int }
 
 func (n answeringNet) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
-	r := protocol.Report{Machine: "m-1", Session: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
+	r := protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
 	return &transport.Response{Status: n.status, Body: protocol.Encode(r)}, nil
 }
 
@@ -236,8 +236,8 @@
 		c, end := unrun(t)
 		defer end()
 		for status, mayCome := range map[int]bool{200: true, 400: false, 409: false, 500: true, 503: true, 504: true} {
-			c.net = answeringNet{status}
-			r, sent, err := c.postOrders("", "m-1", "m-1:1", protocol.Orders{Token: 5, Session: 1})
+			c.network = answeringNet{status}
+			r, sent, err := c.postCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
 				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
 			}
@@ -250,10 +250,10 @@
 	for range 60_000 {
 		time.Sleep(time.Millisecond)
 		w.in(owner, func(c *Controller) {
-			if j := c.jobs[job]; j != nil {
-				for _, a := range j.live {
-					if a.inFlight > 0 {
-						machines = append(machines, a.machine.name)
+			if j := c.Jobs[job]; j != nil {
+				for _, a := range j.LiveAttempts {
+					if a.StartsInFlight > 0 {
+						machines = append(machines, a.Machine.Name)
 					}
 				}
 			}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -49,33 +49,33 @@
 	t.Helper()
 	c, _ := owner(t)
 	c.Observe()
-	c.net = nowhere{}
-	c.set.Params.MachineLimits, c.set.Params.State = largeLimits, largeState
-	c.carrying.most = carriedMost(largeLimits)
-	c.cancelS = largeCancelS
-	c.notices.limit(largeCancelS, largeState)
+	c.network = nowhere{}
+	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeLimits, largeState
+	c.proxy.unsentLimit = unsentBytesLimit(largeLimits)
+	c.CancelBound = largeCancelS
+	c.Cancellations.SetLimit(largeCancelS, largeState)
 	now := time.Now()
-	c.synced, c.renewed, c.fresh = true, now, now
-	for _, p := range c.parts {
-		p.claimed, p.standby = now, "n1"
+	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
+	for _, p := range c.Partitions {
+		p.AcquiredAt, p.Standby = now, "n1"
 	}
 	for i := range largeMachines {
 		team := teams[i%len(teams)]
-		p := c.parts[c.teamPart[c.teamIndex[team]]]
+		p := c.Partitions[c.TeamPartition[c.TeamIndex[team]]]
 		m := c.up(p, largeMachine(i), "big")
-		m.rec.Addr = fmt.Sprintf("10.0.%d.%d:10000", i/250, i%250)
+		m.Record.Addr = fmt.Sprintf("10.0.%d.%d:10000", i/250, i%250)
 		for k := range 20 {
-			m.images[fmt.Sprintf("registry/team-%d/image-%d:v%d", k, i%50, k)] = now
+			m.Images[fmt.Sprintf("registry/team-%d/image-%d:v%d", k, i%50, k)] = now
 		}
 		j := c.take(spec(fmt.Sprintf("job-%06d", i), largeEach, team))
 		for task := range largeEach {
-			c.reserve(p, j, task, 1, m, now)
-			a := j.live[task]
-			a.state, a.startedAt, a.status = attemptSeen, now.Add(-time.Minute), protocol.TaskRunning
+			c.Reserve(p, j, task, 1, m, now)
+			a := j.LiveAttempts[task]
+			a.State, a.StartedAt, a.ReportedState = AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
 		}
-		j.queue, j.running, j.touched = nil, largeEach, false
-		for _, ch := range j.chunks { // on record
-			ch.dirty, ch.urgent, ch.version = false, false, 3
+		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeEach, false
+		for _, ch := range j.Chunks { // on record
+			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
 	}
 	return c
@@ -84,10 +84,10 @@
 func largeMachine(i int) string { return fmt.Sprintf("machine-%06d", i) }
 
 // reportOf is what a machine's worker reports.
-func reportOf(c *Controller, m *machine, sequence uint64) *protocol.Report {
-	r := &protocol.Report{Machine: m.name, Addr: m.rec.Addr, Type: "big", Zone: "a", Session: 1, Sequence: sequence, Token: c.token(m)}
-	for _, a := range m.attempts {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.wire(), Attempt: a.number, State: protocol.TaskRunning})
+func reportOf(c *Controller, m *Machine, sequence uint64) *protocol.Heartbeat {
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Record.Addr, Type: "big", Zone: "a", Epoch: 1, Sequence: sequence, Token: c.Token(m)}
+	for _, a := range m.Attempts {
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.TaskName(), Attempt: a.Number, State: protocol.TaskRunning})
 	}
 	return r
 }
@@ -119,28 +119,28 @@
 }
 
 // replica is a standby's copy of a part's records, as read from the store.
-func replica(c *Controller, p *part) *follower {
+func replica(c *Controller, p *Partition) *Replica {
 	var items []protocol.Item
-	for id, j := range c.jobs {
-		if j.part != p.index {
+	for id, j := range c.Jobs {
+		if j.Partition != p.Index {
 			continue
 		}
-		for _, ch := range j.chunks {
-			items = append(items, protocol.Item{Key: bookkeeping.RunKey(p.index, id, ch.index), Version: 5, Value: bookkeeping.Encode(j.record(ch))})
+		for _, ch := range j.Chunks {
+			items = append(items, protocol.Item{Key: bookkeeping.RunKey(p.Index, id, ch.Index), Version: 5, Value: bookkeeping.Encode(j.RunRecord(ch))})
 		}
 	}
-	fo := newFollower(p.index, time.Now())
-	fo.start(c.log.Error, items, 5, time.Now())
+	fo := newReplica(p.Index, time.Now())
+	fo.startFrom(c.log.Error, items, 5, time.Now())
 	return fo
 }
 
 // tellStandby tells a standby all that there is of a part, and says in how many messages.
-func tellStandby(t *testing.T, c *Controller, p *part, fo *follower) (messages int) {
+func tellStandby(t *testing.T, c *Controller, p *Partition, fo *Replica) (messages int) {
 	t.Helper()
 	for messages < 100 {
 		now := time.Now()
-		raw, err := proto.Marshal(c.following.tell(p, now))
-		if err != nil || len(raw) > peerBodyLeast {
+		raw, err := proto.Marshal(c.replicator.partitionUpdate(p, now))
+		if err != nil || len(raw) > PeerBodyMin {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		told := new(peer.Tale)
@@ -149,7 +149,7 @@
 			break
 		}
 		messages++
-		p.telling.have = fo.tale.hear(told, fo.shadow.told, now)
+		p.Replication.Acknowledged = fo.Updates.Apply(told, fo.Derived.noteStart, now)
 	}
 	return messages
 }
@@ -208,15 +208,15 @@
 	}
 	noted := int(largeCancels * largeCancelS.Seconds())
 	for i := range noted {
-		c.setFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
+		c.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
 	}
 	for i := range largeMachines { // as after the start of all controllers
 		name := largeMachine(largeMachines + i)
-		c.unknown[name] = &peer.UnknownMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
-		c.strayed[name] = now
+		c.UnregisteredMachines[name] = &peer.UnknownMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
+		c.DivertedMachines[name] = now
 	}
 	most := MaxPeerBody(largeLimits)
-	body := c.encodeSummary(c.summary(now))
+	body := c.encodeSummary(c.OwnSummary(now))
 	sum := new(peer.Summary)
 	must(proto.Unmarshal(body, sum))
 	machines, demands := 0, 0
@@ -236,8 +236,8 @@
 func TestSummaryAtItsWorstFits(t *testing.T) {
 	c, _ := owner(t)
 	c.Observe()
-	c.set.Params.MachineLimits = largeLimits
-	c.notices.limit(largeCancelS, largeState)
+	c.Settings.Params.MachineLimits = largeLimits
+	c.Cancellations.SetLimit(largeCancelS, largeState)
 	longID := func(i int) string { return fmt.Sprintf("job-%032d", i) }
 	longName := func(i int) string { return fmt.Sprintf("%064d", i) }
 	sum := &peer.Summary{From: "n0"}
@@ -246,19 +246,19 @@
 		ps.Machines = append(ps.Machines, &peer.MachineStatus{Name: longName(i), Heard: true, Idle: true, IdleS: 1, Addr: "10.100.100.100:10000"})
 		sum.Strayed = append(sum.Strayed, longName(i))
 	}
-	for i := range demandsMost(largeMachines) {
+	for i := range demandsLimit(largeMachines) {
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: 1, Gpus: 1, MemGb: 1, Types: []string{longName(i), longName(i)}, Zone: "a",
 			Spot: true, Count: 1000, WaitedS: 1, EstimateS: 1, SlackS: 1})
 	}
-	for i := range progressMost {
+	for i := range jobProgressLimit {
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: longID(i), Done: 1000, Running: 1000})
 	}
-	for i := range c.notices.most {
+	for i := range c.Cancellations.limit {
 		sum.Withdrawn = append(sum.Withdrawn, &peer.Withdrawn{Job: longID(i), AgeMs: 40_000})
 	}
 	sum.Parts = append(sum.Parts, ps)
 	body := c.encodeSummary(sum)
-	if len(body) > MaxPeerBody(largeLimits) || len(sum.Jobs) != progressMost {
+	if len(body) > MaxPeerBody(largeLimits) || len(sum.Jobs) != jobProgressLimit {
 		t.Errorf("%d bytes of %d, %d jobs", len(body), MaxPeerBody(largeLimits), len(sum.Jobs))
 	}
 	wantMet(t, c)
@@ -266,36 +266,36 @@
 }
 
 func replicaOfALargeFleet(t *testing.T, c *Controller) {
-	for _, m := range c.machines {
-		m.pendingOrders = 1 // nothing is sent here
+	for _, m := range c.Machines {
+		m.PendingCommands = 1 // nothing is sent here
 	}
 	attempts, machines := 0, 0
-	for _, p := range c.parts {
+	for _, p := range c.Partitions {
 		fo := replica(c, p)
-		if len(fo.shadow.jobs) == 0 {
+		if len(fo.Derived.Jobs) == 0 {
 			continue
 		}
 		messages := tellStandby(t, c, p, fo)
 		if messages > standbySeconds {
-			t.Errorf("part %d: %d messages, one a second", p.index, messages)
+			t.Errorf("part %d: %d messages, one a second", p.Index, messages)
 		}
-		attempts, machines = attempts+fo.shadow.toldOf(), machines+len(fo.tale.machines)
-		recalled, whole := fo.retold(time.Now())
+		attempts, machines = attempts+fo.Derived.knownStarts(), machines+len(fo.Updates.Machines)
+		recalled, whole := fo.stateTransfer(time.Now())
 		raw, err := proto.Marshal(recalled)
-		if err != nil || !whole || len(raw) > recallBytes || len(recalled.Attempts) != fo.shadow.toldOf() || len(recalled.Machines) != len(fo.tale.machines) {
+		if err != nil || !whole || len(raw) > stateTransferBytesLimit || len(recalled.Attempts) != fo.Derived.knownStarts() || len(recalled.Machines) != len(fo.Updates.Machines) {
 			t.Errorf("recalled in %d bytes, whole %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
 		}
-		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.index, len(fo.tale.machines), messages, len(raw))
-		c.clearPart(p) // the standby never owned it
-		c.following.install(p, fo, nil, true)
+		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.Index, len(fo.Updates.Machines), messages, len(raw))
+		c.ClearPartition(p) // the standby never owned it
+		c.replicator.install(p, fo, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
 		t.Errorf("the standby knows %d starts and %d machines", attempts, machines)
 	}
 	live := 0
-	for _, j := range c.jobs {
-		for _, a := range j.live {
-			if a.machine != nil && !a.told.IsZero() {
+	for _, j := range c.Jobs {
+		for _, a := range j.LiveAttempts {
+			if a.Machine != nil && !a.ReplicatedStart.IsZero() {
 				live++
 			}
 		}
@@ -306,14 +306,14 @@
 }
 
 func startsAheadOfTheirRecords(t *testing.T, c *Controller) {
-	fo := newFollower(0, time.Now())
-	for id, j := range c.jobs {
-		for task := range j.live {
-			fo.shadow.told(taleKey{id, task, 1}, time.Now())
+	fo := newReplica(0, time.Now())
+	for id, j := range c.Jobs {
+		for task := range j.LiveAttempts {
+			fo.Derived.noteStart(AttemptID{id, task, 1}, time.Now())
 		}
 	}
-	if len(fo.shadow.began) != largeTasks || fo.shadow.dropped != 0 {
-		t.Errorf("%d starts kept, %d dropped", len(fo.shadow.began), fo.shadow.dropped)
+	if len(fo.Derived.starts) != largeTasks || fo.Derived.droppedStarts != 0 {
+		t.Errorf("%d starts kept, %d dropped", len(fo.Derived.starts), fo.Derived.droppedStarts)
 	}
 }
 
@@ -322,9 +322,9 @@
 	noted := int(largeCancels * largeCancelS.Seconds())
 	for i := range noted {
 		age := largeCancelS - time.Second - time.Duration(i)*(largeCancelS-2*time.Second)/time.Duration(noted)
-		c.setFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
+		c.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
 	}
-	told := c.notices.latest(now, c.cancelS)
+	told := c.Cancellations.Recent(now, c.CancelBound)
 	if len(told) != noted || told[0].Job != "job-800000000" {
 		t.Errorf("%d of %d told, %s first", len(told), noted, told[0].Job)
 	}
@@ -340,46 +340,46 @@
 
 // Do answers as the owner of the part.
 func (o *ownerOfCarried) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
-	if len(body) > peerBodyLeast {
+	if len(body) > PeerBodyMin {
 		o.t.Errorf("a message of %d bytes", len(body))
 	}
 	req := new(peer.CarryRequest)
 	must(proto.Unmarshal(body, req))
 	for _, raw := range req.Reports {
-		r := new(protocol.Report)
+		r := new(protocol.Heartbeat)
 		must(protocol.Decode(raw, r))
 		o.reports[r.Machine] = true
 	}
 	o.after = append(o.after, req.After)
 	o.serial++
-	resp := replyOf(&peer.CarryReply{GrantMs: 2000, Serial: o.serial})
+	resp := protoResponse(&peer.CarryReply{GrantMs: 2000, Serial: o.serial})
 	return &resp, nil
 }
 
 func carriedReportsOfALargeFleet(t *testing.T, c *Controller) {
-	p := c.parts[c.teamPart[c.teamIndex["green"]]]
-	p.mine, p.owner = false, "n1"
+	p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
+	p.Held, p.Leader = false, "n1"
 	net := &ownerOfCarried{t: t, reports: map[string]bool{}}
-	c.net = net
-	c.peers["n1"] = &peerState{addr: "n1:2", heard: time.Now(), summary: &peer.Summary{
-		Parts: []*peer.PartSummary{{Part: uint32(p.index), Carried: []*peer.Carried{{By: c.set.Label}}}}}}
-	e := c.carrying.errands[p.index]
-	e.owner, e.claim, e.serial, e.until = p.owner, p.version, 0, time.Now().Add(time.Hour)
-	for s := range e.shares {
-		e.shares[s] = true
-	}
-	for _, m := range c.machines {
+	c.network = net
+	c.Peers["n1"] = &Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
+		Parts: []*peer.PartSummary{{Part: uint32(p.Index), Carried: []*peer.Carried{{By: c.Settings.Label}}}}}}
+	e := c.proxy.assignments[p.Index]
+	e.leader, e.lease, e.serial, e.grantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
+	for s := range e.shards {
+		e.shards[s] = true
+	}
+	for _, m := range c.Machines {
 		r := reportOf(c, m, 1)
-		if resp := c.handleReport(r, protocol.Encode(r)); resp.Status != 200 {
-			t.Fatalf("%s: status %d, %s", m.name, resp.Status, resp.Body)
+		if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
+			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
-	size := e.size
+	size := e.unsentBytes
 	stop := serveCalls(c)
-	asked := c.carrying.askAll(p, e)
+	asked := c.proxy.renewAll(p, e)
 	stop()
-	if !asked || len(net.reports) != largeMachines || e.size != 0 {
-		t.Errorf("%d reports told, %d bytes left", len(net.reports), e.size)
+	if !asked || len(net.reports) != largeMachines || e.unsentBytes != 0 {
+		t.Errorf("%d reports told, %d bytes left", len(net.reports), e.unsentBytes)
 	}
 	// Only a request with all that is left may show that everything is known.
 	for i, after := range net.after {
@@ -391,24 +391,24 @@
 			t.Errorf("request %d of %d is after reply %d, not %d", i+1, len(net.after), after, want)
 		}
 	}
-	t.Logf("carried: %d bytes of %d in %d messages", size, c.carrying.most, len(net.after))
+	t.Logf("carried: %d bytes of %d in %d messages", size, c.proxy.unsentLimit, len(net.after))
 }
 
 func oneControllerIsLeft(t *testing.T, c *Controller) {
-	for _, m := range c.machines {
+	for _, m := range c.Machines {
 		r := reportOf(c, m, 1)
-		if resp := c.handleReport(r, protocol.Encode(r)); resp.Status != 200 {
-			t.Fatalf("%s: status %d, %s", m.name, resp.Status, resp.Body)
+		if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
+			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
 	c.tick(time.Now())
 	seen, machines := 0, 0
-	for _, m := range c.machines {
-		if m.heard && !m.lost {
+	for _, m := range c.Machines {
+		if m.HasReported && !m.Lost {
 			machines++
 		}
-		for _, a := range m.attempts {
-			if a.live() && a.state == attemptSeen {
+		for _, a := range m.Attempts {
+			if a.Live() && a.State == AttemptConfirmed {
 				seen++
 			}
 		}
@@ -420,7 +420,7 @@
 
 // What lies beyond a bound is counted, and said once; what is more urgent is kept.
 func TestMetBoundsAreCounted(t *testing.T) {
-	small := func(c *Controller) { c.set.Params.MachineLimits.MemMB = 64 }
+	small := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
 	for _, tc := range []struct {
 		name  string
 		bound observe.Bound
@@ -452,126 +452,126 @@
 			}
 		}},
 		{"progress of jobs", observe.JobProgress, func(t *testing.T, c *Controller) {
-			for i := range progressMost + 1 {
+			for i := range jobProgressLimit + 1 {
 				id := fmt.Sprint("job-", i)
-				c.jobs[id] = &job{spec: spec(id, 1, "green"), owned: true, running: 1}
+				c.Jobs[id] = &Job{Spec: spec(id, 1, "green"), Loaded: true, RunningCount: 1}
 			}
-			if n := len(c.summary(time.Now()).Jobs); n != progressMost {
+			if n := len(c.OwnSummary(time.Now()).Jobs); n != jobProgressLimit {
 				t.Errorf("%d jobs told", n)
 			}
 		}},
 		{"demands", observe.Demands, func(t *testing.T, c *Controller) {
-			for i := range demandsLeast + 1 {
+			for i := range demandsMin + 1 {
 				c.waiting(fmt.Sprint("job-", i), 1)
 			}
-			if n := len(c.partSummary(c.parts[c.teamPart[c.teamIndex["green"]]], time.Now()).Demands); n != demandsLeast {
+			if n := len(c.partitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != demandsMin {
 				t.Errorf("%d demands told", n)
 			}
 		}},
 		{"cancellation notices", observe.Cancellations, func(t *testing.T, c *Controller) {
-			for i := range c.notices.most + 1 {
-				c.setFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
+			for i := range c.Cancellations.limit + 1 {
+				c.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
 			}
-			if told := c.notices.latest(time.Now(), c.cancelS); len(told) != c.notices.most || told[0].Job != "job-0" {
+			if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.limit || told[0].Job != "job-0" {
 				t.Errorf("%d told, %s first", len(told), told[0].Job)
 			}
 		}},
 		{"carried reports", observe.CarriedReports, func(t *testing.T, c *Controller) {
-			p := c.parts[0]
+			p := c.Partitions[0]
 			m := c.up(p, "m-1", "big")
-			p.mine, p.owner = false, "n1"
-			e := c.carrying.errands[0]
-			e.owner, e.claim, e.until, e.size = "n1", p.version, time.Now().Add(time.Hour), c.carrying.most
-			e.shares[m.share] = true
+			p.Held, p.Leader = false, "n1"
+			e := c.proxy.assignments[0]
+			e.leader, e.lease, e.grantedUntil, e.unsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.unsentLimit
+			e.shards[m.Shard] = true
 			r := reportOf(c, m, 1)
-			if resp := c.handleReport(r, protocol.Encode(r)); resp.Status != 503 {
+			if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 503 {
 				t.Errorf("status %d", resp.Status)
 			}
 		}},
 		{"messages to a standby", observe.ReplicaMessages, func(t *testing.T, c *Controller) {
-			p, m := c.parts[0], c.up(c.parts[0], "m-1", "big")
+			p, m := c.Partitions[0], c.up(c.Partitions[0], "m-1", "big")
 			for i := range 200 {
-				for k := range taleImages {
-					m.images[fmt.Sprintf("%0190d", k)] = time.Now()
+				for k := range updateImagesLimit {
+					m.Images[fmt.Sprintf("%0190d", k)] = time.Now()
 				}
 				m = c.up(p, fmt.Sprint("m-2", i), "big")
 			}
-			if told := c.following.tell(p, time.Now()); proto.Size(told) > peerBodyLeast || len(told.Machines) > 200 || told.Upto >= p.telling.clock {
+			if told := c.replicator.partitionUpdate(p, time.Now()); proto.Size(told) > PeerBodyMin || len(told.Machines) > 200 || told.Upto >= p.Replication.Clock {
 				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
 			}
 		}},
 		{"starts told to a standby", observe.ReplicaStarts, func(t *testing.T, c *Controller) {
-			fo := newFollower(0, time.Now())
-			c.following.copies[0] = fo
-			for i := range begunMost {
-				fo.shadow.began[taleKey{"job-1", i, 1}] = time.Now()
+			fo := newReplica(0, time.Now())
+			c.replicator.replicas[0] = fo
+			for i := range pendingStartsLimit {
+				fo.Derived.starts[AttemptID{"job-1", i, 1}] = time.Now()
 			}
 			hears(t, c, &peer.Tale{From: "n1", Claim: 1, Upto: 1, Attempts: []*peer.AttemptTale{{Job: "job-2", Attempt: 1}}})
-			if len(fo.shadow.began) != begunMost {
-				t.Errorf("%d starts kept", len(fo.shadow.began))
+			if len(fo.Derived.starts) != pendingStartsLimit {
+				t.Errorf("%d starts kept", len(fo.Derived.starts))
 			}
 		}},
 		{"machines told to a standby", observe.ReplicaMachines, func(t *testing.T, c *Controller) {
-			fo := newFollower(0, time.Now())
-			c.following.copies[0] = fo
-			fo.tale = heardTale{from: "n1", claim: 1, have: 1, machines: map[string]heardMachine{}}
-			for i := range taleMost {
-				fo.tale.machines[fmt.Sprint("m-", i)] = heardMachine{}
+			fo := newReplica(0, time.Now())
+			c.replicator.replicas[0] = fo
+			fo.Updates = ReceivedUpdates{sender: "n1", lease: 1, Acknowledged: 1, Machines: map[string]MachineHints{}}
+			for i := range replicaMachinesLimit {
+				fo.Updates.Machines[fmt.Sprint("m-", i)] = MachineHints{}
 			}
 			hears(t, c, &peer.Tale{From: "n1", Claim: 1, Since: 1, Upto: 2, Machines: []*peer.MachineTale{{Name: "another"}, {Name: "m-1"}}})
-			if fo.tale.machines["m-1"].MachineTale == nil || len(fo.tale.machines) != taleMost {
-				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.tale.machines))
+			if fo.Updates.Machines["m-1"].MachineTale == nil || len(fo.Updates.Machines) != replicaMachinesLimit {
+				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
 			}
 		}},
 		{"recalls", observe.RecallBytes, func(t *testing.T, c *Controller) {
-			fo := newFollower(0, time.Now())
-			c.following.copies[0] = fo
-			fo.tale = heardTale{from: "n1", claim: 1, have: 1, machines: map[string]heardMachine{}}
+			fo := newReplica(0, time.Now())
+			c.replicator.replicas[0] = fo
+			fo.Updates = ReceivedUpdates{sender: "n1", lease: 1, Acknowledged: 1, Machines: map[string]MachineHints{}}
 			for i := range largeMachines {
 				mt := &peer.MachineTale{Name: largeMachine(i), NoticeS: -1}
-				for k := range taleImages {
+				for k := range updateImagesLimit {
 					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
 				}
-				fo.tale.machines[mt.Name] = heardMachine{MachineTale: mt}
+				fo.Updates.Machines[mt.Name] = MachineHints{MachineTale: mt}
 			}
 			raw, err := proto.Marshal(&peer.RecallRequest{})
 			must(err)
 			stop := serveCalls(c)
-			resp := c.following.recall(raw)
+			resp := c.replicator.HandleStateTransfer(raw)
 			stop()
 			told := new(peer.Tale)
 			must(proto.Unmarshal(resp.Body, told))
-			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.tale.machines[largeMachine(0)].Images) != taleImages {
+			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != updateImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
 			}
 		}},
 		{"classes", observe.Classes, func(t *testing.T, c *Controller) {
-			for i := range classesMost {
-				c.classGroup(fmt.Sprint("class-", i))
+			for i := range classGroupsLimit {
+				c.ClassGroup(fmt.Sprint("class-", i))
 			}
-			if met(c) != nil || c.classGroup("another") != 0 {
+			if met(c) != nil || c.ClassGroup("another") != 0 {
 				t.Error("too soon, or not at all")
 			}
 		}},
 		{"estimates", observe.Estimates, func(t *testing.T, c *Controller) {
-			for i := range classesMost + 1 {
-				c.learn(fmt.Sprint("class-", i), 1, 1)
+			for i := range classGroupsLimit + 1 {
+				c.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
-			if len(c.bias) != classesMost {
-				t.Errorf("%d classes are learnt", len(c.bias))
+			if len(c.runtimeCorrections) != classGroupsLimit {
+				t.Errorf("%d classes are learnt", len(c.runtimeCorrections))
 			}
-			c.learn("class-0", 1, 1)
-			if c.bias["class-0"].count != 2 {
+			c.LearnRunTime("class-0", 1, 1)
+			if c.runtimeCorrections["class-0"].count != 2 {
 				t.Error("a class that is known is not learnt on")
 			}
 		}},
 		{"estimates that are told", observe.Estimates, func(t *testing.T, c *Controller) {
-			h := heardTale{}
-			for i := range classesMost + 1 {
-				h.classes = append(h.classes, &peer.ClassTale{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
+			h := ReceivedUpdates{}
+			for i := range classGroupsLimit + 1 {
+				h.Classes = append(h.Classes, &peer.ClassTale{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
-			if c.following.recollect(c.parts[0], &h, time.Now()); len(c.bias) != classesMost {
-				t.Errorf("%d classes are known", len(c.bias))
+			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.runtimeCorrections) != classGroupsLimit {
+				t.Errorf("%d classes are known", len(c.runtimeCorrections))
 			}
 		}},
 		{"polls", observe.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
@@ -598,7 +598,7 @@
 	raw, err := proto.Marshal(tale)
 	must(err)
 	stop := serveCalls(c)
-	resp := c.following.hearTale(nil, raw)
+	resp := c.replicator.HandleUpdate(nil, raw)
 	stop()
 	if resp.Status != 200 {
 		t.Fatalf("status %d, %s", resp.Status, resp.Body)
@@ -621,14 +621,14 @@
 		{"a large deployment", settings.Limits{MemMB: 322}, settings.State{WriteRPS: 90}, 43 * time.Second, 2 << 20, 10_551_296, 3960},
 		{"a higher limit is announced", settings.Limits{MemMB: 322}, settings.State{WriteRPS: 90, Next: settings.NextState{WriteRPS: &next}}, 43 * time.Second, 2 << 20, 10_551_296, 17_600},
 	} {
-		var n cancellationNotices
-		n.limit(tc.cancelS, tc.state)
-		if body, carried := MaxPeerBody(tc.limits), carriedMost(tc.limits); body != tc.peerBody || carried != tc.carried || n.most != tc.cancelled {
-			t.Errorf("%s: %d, %d, %d", tc.name, body, carried, n.most)
+		var n CancellationNotices
+		n.SetLimit(tc.cancelS, tc.state)
+		if body, carried := MaxPeerBody(tc.limits), unsentBytesLimit(tc.limits); body != tc.peerBody || carried != tc.carried || n.limit != tc.cancelled {
+			t.Errorf("%s: %d, %d, %d", tc.name, body, carried, n.limit)
 		}
 	}
 	for machines, want := range map[int]int{0: 200, 800: 200, 4000: 1000} {
-		if got := demandsMost(machines); got != want {
+		if got := demandsLimit(machines); got != want {
 			t.Errorf("%d demands of %d machines", got, machines)
 		}
 	}
--- a/internal/coordination/meetings_table_test.go
+++ b/internal/coordination/meetings_table_test.go
@@ -49,7 +49,7 @@
 }
 
 func (w *world) partOf(team string) (part int) {
-	w.in("n0", func(c *Controller) { part = c.teamPart[c.teamIndex[team]] })
+	w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex[team]] })
 	return part
 }
 
@@ -171,8 +171,8 @@
 		heir := w.newOwner(part, owner)
 		unfenced := 0
 		w.in(heir, func(c *Controller) {
-			for _, m := range c.machines {
-				if m.rec.Part == part && !m.fenced && len(m.attempts) > 0 {
+			for _, m := range c.Machines {
+				if m.Record.Partition == part && !m.Fenced && len(m.Attempts) > 0 {
 					unfenced++
 				}
 			}
@@ -198,8 +198,8 @@
 		time.Sleep(time.Second)
 		fenced := 0
 		w.in(heir, func(c *Controller) {
-			for _, m := range c.machines {
-				if m.rec.Part == part && m.fenced {
+			for _, m := range c.Machines {
+				if m.Record.Partition == part && m.Fenced {
 					fenced++
 				}
 			}
@@ -367,7 +367,7 @@
 		leader := ""
 		for _, l := range []string{"n0", "n1", "n2"} {
 			w.in(l, func(c *Controller) {
-				if c.leader.mine {
+				if c.Leadership.Held {
 					leader = l
 				}
 			})
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -71,7 +71,7 @@
 				}
 				time.Sleep(40 * time.Second)
 				part := 0
-				w.in("n0", func(c *Controller) { part = c.teamPart[c.teamIndex["green"]] })
+				w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
 				for round := range rounds {
 					w.gap(round*each, each, before, part, func(i int, owner string) {
 						switch i {
@@ -154,7 +154,7 @@
 
 // awaitClaim waits until a part is claimed by another than now.
 func (w *world) awaitClaim(part int) {
-	key := bookkeeping.ClaimKey(part)
+	key := bookkeeping.LeaseKey(part)
 	w.mu.Lock()
 	was := w.state.Items[key].Version
 	w.mu.Unlock()
@@ -189,7 +189,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		part := 0
-		w.in("n0", func(c *Controller) { part = c.teamPart[c.teamIndex["red"]] })
+		w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["red"]] })
 		owner := w.owns(part)
 		claimed := make(chan struct{})
 		var late atomic.Bool
@@ -210,7 +210,7 @@
 			check := w.state.BeforePut
 			w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 				check(c, old, exists)
-				if c.Put == bookkeeping.ClaimKey(part) && !late.Swap(true) {
+				if c.Put == bookkeeping.LeaseKey(part) && !late.Swap(true) {
 					close(claimed)
 				}
 			}
@@ -221,7 +221,7 @@
 		heir := ""
 		for _, l := range w.others("") {
 			w.in(l, func(c *Controller) {
-				if c.parts[part].mine && !c.parts[part].ready {
+				if c.Partitions[part].Held && !c.Partitions[part].Ready {
 					heir = l
 				}
 			})
@@ -248,13 +248,13 @@
 
 // owning makes a controller whose loop never runs the informed owner of its first part,
 // with the machine m-1, under a claim.
-func (c *Controller) owning(claim uint64) (*part, *machine) {
+func (c *Controller) owning(claim uint64) (*Partition, *Machine) {
 	now := time.Now()
-	c.fresh, c.renewed, c.synced = now, now, true
-	p := c.parts[0]
-	p.mine, p.ready, p.version, p.claimed = true, true, claim, now
-	c.machineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
-	return p, c.machines["m-1"]
+	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
+	p := c.Partitions[0]
+	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, claim, now
+	c.MachineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
+	return p, c.Machines["m-1"]
 }
 
 // What an old copy of a report may and may not do at an owner: it wins no time for a
@@ -266,18 +266,18 @@
 		defer end()
 		_, m := c.owning(5)
 		task := []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}}
-		j := &job{spec: spec("job-1", 1, "red")}
-		j.own()
-		c.jobs["job-1"] = j
-		a := &attempt{job: j, number: 1, machine: m, session: 2, state: attemptCommitted}
-		j.live[0], j.queue = a, nil
-		m.attempts[attemptKey(a.wire(), 1)] = a
+		j := &Job{Spec: spec("job-1", 1, "red")}
+		j.Load()
+		c.Jobs["job-1"] = j
+		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 2, State: AttemptCommitted}
+		j.LiveAttempts[0], j.Pending = a, nil
+		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
 		report := func(session, sequence, token uint64, tasks []protocol.TaskReport) int {
-			c.fresh, c.renewed = time.Now(), time.Now()
-			r := &protocol.Report{Machine: "m-1", Addr: "m-1:1", Session: session, Sequence: sequence, Token: token, Tasks: tasks}
-			return c.handleReport(r, protocol.Encode(r)).Status
+			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
+			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: session, Sequence: sequence, Token: token, Tasks: tasks}
+			return c.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
-		if report(2, 40, 5, task) != 200 || !m.fenced || a.state != attemptSeen {
+		if report(2, 40, 5, task) != 200 || !m.Fenced || a.State != AttemptConfirmed {
 			t.Fatal("the newest report was not taken in")
 		}
 		heard := time.Now()
@@ -289,19 +289,19 @@
 			if status := report(old.session, old.sequence, old.token, nil); status == 200 {
 				t.Errorf("%s: answered", old.name)
 			}
-			if !m.fenced || m.session != 2 || !a.live() || !m.answeredBy.Equal(heard) || !m.lastHeard.Equal(heard) {
-				t.Errorf("%s: fenced %v, session %d, live %v, answered %s and heard %s late", old.name, m.fenced, m.session, a.live(),
-					m.answeredBy.Sub(heard), m.lastHeard.Sub(heard))
+			if !m.Fenced || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(heard) || !m.LastHeardAt.Equal(heard) {
+				t.Errorf("%s: fenced %v, session %d, live %v, answered %s and heard %s late", old.name, m.Fenced, m.Epoch, a.Live(),
+					m.AnsweredUntil.Sub(heard), m.LastHeardAt.Sub(heard))
 			}
 		}
 		// A report that was under way while orders were answered is no copy.
-		c.observe(m, &protocol.Report{Machine: "m-1", Session: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
-		if report(2, 43, 5, task) != 200 || !m.answeredBy.Equal(time.Now()) {
+		c.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
+		if report(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a report that orders overtook is not answered")
 		}
-		time.Sleep(time.Duration(float64(c.leaseS)*drift) + margin + tickEvery)
+		time.Sleep(time.Duration(float64(c.AgentLease)*ClockDrift) + ClockMargin + tickInterval)
 		report(2, 41, 5, task)
-		if c.checkMachines(time.Now()); !m.lost || len(j.live) != 0 {
+		if c.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("old reports keep a machine that is gone")
 		}
 	})
@@ -315,29 +315,29 @@
 		c, end := unrun(t)
 		defer end()
 		now := time.Now()
-		c.fresh, c.renewed, c.synced, c.leader.mine = now, now, true, true
-		c.setCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, ZonesOffered: []string{"a"}}})
-		p := c.parts[0]
-		p.mine, p.ready, p.version, p.claimed = true, true, 5, now
+		c.RecordsAsOf, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
+		c.SetCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, ZonesOffered: []string{"a"}}})
+		p := c.Partitions[0]
+		p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, 5, now
 		rec := bookkeeping.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}
 		for i, name := range []string{"m-1", "m-2", "m-3"} {
-			c.machineRecorded(name, rec, uint64(10+i), now)
+			c.MachineRecorded(name, rec, uint64(10+i), now)
 		}
-		c.machineDeleted("m-1", now)
-		c.machineRecorded("m-1", rec, 20, now) // the late write of its record
+		c.MachineDeleted("m-1", now)
+		c.MachineRecorded("m-1", rec, 20, now) // the late write of its record
 		failed := map[string]bool{}
-		for _, m := range c.view(nil, now).Machines {
+		for _, m := range c.scalingView(nil, now).Machines {
 			failed[m.Name] = m.Failed
 		}
 		if !failed["m-1"] || failed["m-2"] {
 			t.Errorf("to be given up: %v", failed)
 		}
-		waiting := &job{spec: spec("job-1", 6, "red"), received: now}
-		waiting.own()
-		c.jobs["job-1"] = waiting
+		waiting := &Job{Spec: spec("job-1", 6, "red"), SubmittedAt: now}
+		waiting.Load()
+		c.Jobs["job-1"] = waiting
 		demands := func() (n uint32) {
-			p.order = nil
-			for _, d := range c.partSummary(p, now).Demands {
+			p.QueueOrder = nil
+			for _, d := range c.partitionSummary(p, now).Demands {
 				n += d.Count
 			}
 			return n
@@ -345,13 +345,13 @@
 		if n := demands(); n != 2 { // two tasks each on the two that boot
 			t.Errorf("%d tasks ask for machines", n)
 		}
-		m := c.machines["m-3"]
-		m.deleted, m.lost = true, true
-		r := &protocol.Report{Machine: "m-3", Addr: "m-3:1", Session: 1, Sequence: 9, Token: 12}
-		if resp := c.handleReport(r, protocol.Encode(r)); resp.Status == 200 || !m.lost || m.heard {
-			t.Errorf("a report of a deleted machine: %d, lost %v", resp.Status, m.lost)
+		m := c.Machines["m-3"]
+		m.DeleteConfirmed, m.Lost = true, true
+		r := &protocol.Heartbeat{Machine: "m-3", Addr: "m-3:1", Epoch: 1, Sequence: 9, Token: 12}
+		if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
+			t.Errorf("a report of a deleted machine: %d, lost %v", resp.Status, m.Lost)
 		}
-		if c.observe(m, r, now); !m.lost || m.heard {
+		if c.ApplyReport(m, r, now); !m.Lost || m.HasReported {
 			t.Error("an answer of a deleted machine brought it back")
 		}
 	})
@@ -365,8 +365,8 @@
 		c, end := unrun(t)
 		defer end()
 		now := time.Now()
-		c.machineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a"}, 3, now)
-		m := c.machines["m-1"]
+		c.MachineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a"}, 3, now)
+		m := c.Machines["m-1"]
 		for i, tc := range []struct {
 			status string
 			ago    time.Duration
@@ -374,20 +374,20 @@
 		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusWithdrawn, time.Second, false},
 			{protocol.StatusWithdrawn, 20 * time.Second, true}, {protocol.StatusWithdrawn, time.Hour, false}} {
 			id := fmt.Sprint("job-", i)
-			j := &job{spec: spec(id, 1, "red")}
-			j.own()
-			c.jobs[id] = j
-			a := &attempt{job: j, number: 1, machine: m, session: 1, state: attemptSeen}
-			j.live[0], j.queue = a, nil
-			m.attempts = map[string]*attempt{attemptKey(a.wire(), 1): a}
+			j := &Job{Spec: spec(id, 1, "red")}
+			j.Load()
+			c.Jobs[id] = j
+			a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptConfirmed}
+			j.LiveAttempts[0], j.Pending = a, nil
+			m.Attempts = map[string]*Attempt{AttemptKey(a.TaskName(), 1): a}
 			// As an owner that hears of it, and as one that finds it at a takeover.
-			c.setFinal(id, tc.status, now.Add(-tc.ago))
+			c.SetFinal(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
-				a.stopAt = now.Add(-time.Minute)
-				if got := c.outlasts(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.cancelS || tc.status == protocol.StatusDone) {
+				a.StopRequestedAt = now.Add(-time.Minute)
+				if got := c.outlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
 					t.Errorf("%s %s ago: %v", tc.status, tc.ago, got)
 				}
-				if j.withdrawnAt = c.notices.since(id); tc.ago > c.cancelS && c.outlasts(m, now.Add(time.Hour), now) {
+				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.outlastsCancelBound(m, now.Add(time.Hour), now) {
 					t.Errorf("%s %s ago, found at a takeover", tc.status, tc.ago)
 				}
 			}
@@ -428,7 +428,7 @@
 				}
 				time.Sleep(20 * time.Second)
 				part := 0
-				w.in("n0", func(c *Controller) { part = c.teamPart[c.teamIndex["green"]] })
+				w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
 				owner := w.owns(part)
 				var on []string
 				w.locked(func() {
@@ -567,22 +567,22 @@
 		c, end := unrun(t)
 		defer end()
 		begun := time.Now()
-		c.heardNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
+		c.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
 		time.Sleep(3 * time.Second)
-		c.heardNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 500}}}, time.Now())
-		if at := c.notices.since("job-1"); begun.Sub(at) != 7*time.Second || len(c.finals) != 1 {
-			t.Errorf("withdrawn %s before it was heard, %d finals", begun.Sub(at), len(c.finals))
+		c.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 500}}}, time.Now())
+		if at := c.Cancellations.CancelledAt("job-1"); begun.Sub(at) != 7*time.Second || len(c.FinalStates) != 1 {
+			t.Errorf("withdrawn %s before it was heard, %d finals", begun.Sub(at), len(c.FinalStates))
 		}
-		if told := c.notices.latest(time.Now(), c.cancelS); len(told) != 1 || told[0].AgeMs != 10_000 {
+		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != 1 || told[0].AgeMs != 10_000 {
 			t.Errorf("told on: %v", told)
 		}
-		for i := range c.notices.most + 10 {
-			c.setFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
+		for i := range c.Cancellations.limit + 10 {
+			c.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
 		}
-		if told := c.notices.latest(time.Now(), c.cancelS); len(told) != c.notices.most || told[0].Job != "job-1" {
+		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.limit || told[0].Job != "job-1" {
 			t.Errorf("%d told at a time", len(told))
 		}
-		if time.Sleep(c.cancelS + time.Second); len(c.notices.latest(time.Now(), c.cancelS)) != 0 {
+		if time.Sleep(c.CancelBound + time.Second); len(c.Cancellations.Recent(time.Now(), c.CancelBound)) != 0 {
 			t.Error("news are told for ever")
 		}
 	})
@@ -597,19 +597,19 @@
 		defer end()
 		now := time.Now()
 		_, m := c.owning(9)
-		j := &job{spec: spec("job-1", 1, "red"), withdrawn: true}
-		j.own()
-		c.jobs["job-1"], c.finals["job-1"] = j, protocol.StatusWithdrawn
-		a := &attempt{job: j, number: 1, machine: m, session: 1, state: attemptCommitted, inherited: true, stopping: true, stopAt: now}
-		j.live[0], j.queue = a, nil
-		m.attempts[attemptKey(a.wire(), 1)] = a
-		old := &protocol.Report{Machine: "m-1", Addr: "m-1:1", Session: 1, Sequence: 10, Token: 5}
-		if c.handleReport(old, protocol.Encode(old)); !a.live() || m.fenced {
-			t.Errorf("a report under an old token that lacks the task: live %v, fenced %v", a.live(), m.fenced)
+		j := &Job{Spec: spec("job-1", 1, "red"), Ended: true}
+		j.Load()
+		c.Jobs["job-1"], c.FinalStates["job-1"] = j, protocol.StatusWithdrawn
+		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted, Inherited: true, Stopping: true, StopRequestedAt: now}
+		j.LiveAttempts[0], j.Pending = a, nil
+		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
+		if c.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
+			t.Errorf("a report under an old token that lacks the task: live %v, fenced %v", a.Live(), m.Fenced)
 		}
-		r := &protocol.Report{Machine: "m-1", Addr: "m-1:1", Session: 1, Sequence: 11, Token: 9}
-		if c.handleReport(r, protocol.Encode(r)); a.live() || !m.fenced {
-			t.Errorf("a report under the new token: live %v, fenced %v", a.live(), m.fenced)
+		r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 11, Token: 9}
+		if c.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.Fenced {
+			t.Errorf("a report under the new token: live %v, fenced %v", a.Live(), m.Fenced)
 		}
 	})
 }
@@ -648,7 +648,7 @@
 			w.in(owner, func(c *Controller) {
 				w.locked(func() {
 					if len(w.jobs["job-1"].tasksDone) == 0 { // up to the moment when there is
-						unseen = c.finals["job-2"] == ""
+						unseen = c.FinalStates["job-2"] == ""
 					}
 				})
 			})
--- a/internal/coordination/odd_requests_test.go
+++ b/internal/coordination/odd_requests_test.go
@@ -124,7 +124,7 @@
 		w.start("n2")
 		time.Sleep(3 * time.Second)
 		types := -1
-		w.in("n2", func(c *Controller) { types = len(c.catalog) })
+		w.in("n2", func(c *Controller) { types = len(c.Catalog) })
 		if types != 0 {
 			t.Fatalf("n2 knows %d machine types", types)
 		}
--- a/internal/coordination/operations.go
+++ b/internal/coordination/operations.go
@@ -21,21 +21,21 @@
 // must be allowed to view every queue, since the sums are over all of them.
 func (c *Controller) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
 	if req.Path != "/metrics" && req.Path != "/overview" {
-		return refuse(404, "no such path", 0)
+		return Refuse(404, "no such path", 0)
 	}
 	if req.Method != "GET" {
-		return refuse(405, "method not allowed", 0)
+		return Refuse(405, "method not allowed", 0)
 	}
-	who, refusal := c.authenticate(req, "observe")
+	who, refusal := c.Authenticate(req, "observe")
 	if refusal != nil {
 		return *refusal
 	}
-	if c.guard != nil && !c.guard.everywhere(who, rights.View) {
-		return *c.deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
+	if c.guard != nil && !c.guard.allowsEverywhere(who, rights.View) {
+		return *c.Deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
 	}
 	v := overview.View{}
-	if !c.do(func() { v = c.overview(time.Now()) }) {
-		return refuse(503, "stopping", 1)
+	if !c.do(func() { v = c.stateOverview(time.Now()) }) {
+		return Refuse(503, "stopping", 1)
 	}
 	v.Waits = c.metrics.Quantiles()
 	if req.Path == "/overview" {
@@ -46,69 +46,69 @@
 	return transport.Response{Status: 200, Type: "text/plain; version=0.0.4", Body: body.Bytes()}
 }
 
-// overview is how this controller and its parts stand.
-func (c *Controller) overview(now time.Time) overview.View {
-	v := overview.View{Controller: c.set.Label, Zone: c.set.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(c.started).Seconds(), Leads: c.leader.mine,
-		Ready: c.synced && len(c.catalog) > 0, StateSilentS: c.store.Silence().Seconds(), WritesWanted: c.writeDemand, WritesGranted: c.store.Granted(),
-		CloudRests: c.cloudCircuit.Open(now), Jobs: len(c.jobs), Ended: len(c.finals), Renting: len(c.leader.renting)}
-	for _, p := range c.parts {
-		if p.mine {
-			v.Parts = append(v.Parts, c.partOverview(p, now))
+// stateOverview is how this controller and its parts stand.
+func (c *Controller) stateOverview(now time.Time) overview.View {
+	v := overview.View{Controller: c.Settings.Label, Zone: c.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(c.StartedAt).Seconds(), Leads: c.Leadership.Held,
+		Ready: c.Synced && len(c.Catalog) > 0, StateSilentS: c.store.SinceLastAnswer().Seconds(), WritesWanted: c.WriteDemand, WritesGranted: c.store.GrantedWriteRate(),
+		CloudRests: c.cloudCircuit.Open(now), Jobs: len(c.Jobs), Ended: len(c.FinalStates), Renting: len(c.Leadership.PendingScaleOut)}
+	for _, p := range c.Partitions {
+		if p.Held {
+			v.Parts = append(v.Parts, c.partitionOverview(p, now))
 		}
 	}
-	v.Follows = c.following.overview(now)
-	v.Connected, v.Room, v.Moves = c.carrying.load(now).Machines, c.carrying.room, c.carrying.told(now)
-	for team, t := range c.set.Params.Teams {
-		if p := c.parts[c.teamPart[team]]; p.mine {
-			v.Teams = append(v.Teams, overview.Team{Name: t.Name, Part: p.index, CPUs: p.usage[team].CPUs, Guarantee: t.CPUs, Limit: t.CPUsMax})
+	v.Follows = c.replicator.Overview(now)
+	v.Connected, v.Room, v.Moves = c.proxy.Load(now).Machines, c.proxy.Capacity, c.proxy.RecentMoves(now)
+	for team, t := range c.Settings.Params.Teams {
+		if p := c.Partitions[c.TeamPartition[team]]; p.Held {
+			v.Teams = append(v.Teams, overview.Team{Name: t.Name, Part: p.Index, CPUs: p.Usage[team].CPUs, Guarantee: t.CPUs, Limit: t.CPUsMax})
 		}
 	}
-	for _, j := range c.jobs {
+	for _, j := range c.Jobs {
 		for i := range v.Teams {
-			if t := &v.Teams[i]; j.owned && t.Name == j.spec.Team {
-				t.Running += len(j.live)
-				t.Waiting += len(j.queue)
+			if t := &v.Teams[i]; j.Loaded && t.Name == j.Spec.Team {
+				t.Running += len(j.LiveAttempts)
+				t.Waiting += len(j.Pending)
 			}
 		}
 	}
 	return v
 }
 
-func (c *Controller) partOverview(p *part, now time.Time) overview.Part {
-	v := overview.Part{Part: p.index, Ready: p.ready}
+func (c *Controller) partitionOverview(p *Partition, now time.Time) overview.Part {
+	v := overview.Part{Part: p.Index, Ready: p.Ready}
 	used, all := 0.0, 0.0
-	for _, m := range c.machines {
-		if m.rec.Part != p.index {
+	for _, m := range c.Machines {
+		if m.Record.Partition != p.Index {
 			continue
 		}
 		v.Machines++
-		if m.keptFor != floor.None {
+		if m.ReservedFor != floor.NoGroup {
 			v.Kept++
 		}
 		switch {
-		case m.lost || m.faulty:
+		case m.Lost || m.Quarantined:
 			v.Bad++
-		case !m.heard:
+		case !m.HasReported:
 			v.Coming++
-		case len(m.attempts) == 0 && len(m.foreign) == 0:
+		case len(m.Attempts) == 0 && len(m.OrphanedTasks) == 0:
 			v.Idle++
 		}
-		if m.typ != nil && m.heard {
-			used, all = used+m.used.CPUs, all+m.typ.CPUs
+		if m.Type != nil && m.HasReported {
+			used, all = used+m.Used.CPUs, all+m.Type.CPUs
 		}
 	}
 	if all > 0 {
 		v.Used = used / all
 	}
-	v.Carried = c.carrying.overview(p, now)
-	for _, j := range c.jobs {
-		if j.part != p.index || !j.owned {
+	v.Carried = c.proxy.Overview(p, now)
+	for _, j := range c.Jobs {
+		if j.Partition != p.Index || !j.Loaded {
 			continue
 		}
-		v.Running += len(j.live)
-		v.Waiting += len(j.queue)
-		if len(j.queue) > 0 && !j.blocked {
-			v.OldestS = max(v.OldestS, now.Sub(j.since()).Seconds())
+		v.Running += len(j.LiveAttempts)
+		v.Waiting += len(j.Pending)
+		if len(j.Pending) > 0 && !j.Blocked {
+			v.OldestS = max(v.OldestS, now.Sub(j.ReadySince()).Seconds())
 		}
 	}
 	return v
--- a/internal/coordination/order/order.go
+++ b/internal/coordination/order/order.go
@@ -47,8 +47,8 @@
 	return max(1, math.Ceil(float64(tasks)/atOnce))
 }
 
-// Of returns the jobs' places in the list in the order in which they are served.
-func Of(jobs []Job, now time.Time) []int {
+// Order returns the jobs' places in the list in the order in which they are served.
+func Order(jobs []Job, now time.Time) []int {
 	list := make([]int, len(jobs))
 	for i := range list {
 		list[i] = i
--- a/internal/coordination/order/order_test.go
+++ b/internal/coordination/order/order_test.go
@@ -47,7 +47,7 @@
 		}(), "small large"},
 	} {
 		got := ""
-		for i, at := range Of(c.jobs, now) {
+		for i, at := range Order(c.jobs, now) {
 			if i > 0 {
 				got += " "
 			}
@@ -70,7 +70,7 @@
 			j := job(fmt.Sprint(i), run+float64(rng.IntN(40)), run)
 			jobs = append(jobs, j)
 		}
-		list := Of(jobs, now)
+		list := Order(jobs, now)
 		most := 0
 		for set := range 1 << len(jobs) {
 			var chosen []Job
@@ -94,7 +94,7 @@
 		rng.Shuffle(len(swapped), func(a, b int) { swapped[a], swapped[b] = swapped[b], swapped[a] })
 		var again []string
 		var first []string
-		for i, at := range Of(swapped, now) {
+		for i, at := range Order(swapped, now) {
 			again, first = append(again, swapped[at].ID), append(first, served[i].ID)
 		}
 		if !reflect.DeepEqual(first, again) {
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -11,37 +11,37 @@
 	"micaspindle/internal/transport"
 )
 
-// commands lists what a worker should do, in order. An answer to a report
+// commandsFor lists what a worker should do, in order. An answer to a report
 // repeats what direct orders may have missed.
-func (c *Controller) commands(m *machine, now time.Time, repair bool) []protocol.Command {
+func (c *Controller) commandsFor(m *Machine, now time.Time, repair bool) []protocol.Command {
 	cmds := []protocol.Command{}
-	if !m.awaits() {
+	if !m.NeedsCommands() {
 		return cmds
 	}
-	token := c.token(m)
-	for _, a := range m.sorted() {
+	token := c.Token(m)
+	for _, a := range m.SortedAttempts() {
 		switch {
-		case a.state == attemptCommitted && !a.stopping && !a.job.withdrawn && a.session == m.session:
-			if a.inFlight > 0 || repair && a.sentToken == 0 && now.Sub(a.committed) < 500*time.Millisecond {
+		case a.State == AttemptCommitted && !a.Stopping && !a.Job.Ended && a.Epoch == m.Epoch:
+			if a.StartsInFlight > 0 || repair && a.StartToken == 0 && now.Sub(a.CommittedAt) < 500*time.Millisecond {
 				continue
 			}
-			a.sentToken, a.sentAt = token, now
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStart, Task: a.wire(), Attempt: a.number})
-		case a.state == attemptSeen && a.stopping:
-			grace := a.stopGrace
-			if grace > 0 && now.Sub(a.stopAt).Seconds() > grace+2 {
+			a.StartToken, a.StartSentAt = token, now
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStart, Task: a.TaskName(), Attempt: a.Number})
+		case a.State == AttemptConfirmed && a.Stopping:
+			grace := a.StopGraceS
+			if grace > 0 && now.Sub(a.StopRequestedAt).Seconds() > grace+2 {
 				grace = 0
 			}
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: a.wire(), Attempt: a.number, GraceS: grace})
-		case a.state == attemptOver && a.inFlight == 0:
-			if a.unanswered && a.sentToken >= token {
-				m.raiseToken(now.Add(reapPatience)) // a repeated start may still arrive (9)
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: a.TaskName(), Attempt: a.Number, GraceS: grace})
+		case a.State == AttemptReleased && a.StartsInFlight == 0:
+			if a.StartUnanswered && a.StartToken >= token {
+				m.RaiseTokenBy(now.Add(reapDelay)) // a repeated start may still arrive (9)
 				continue
 			}
-			cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: a.wire(), Attempt: a.number})
+			cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: a.TaskName(), Attempt: a.Number})
 		}
 	}
-	for _, t := range m.foreign {
+	for _, t := range m.OrphanedTasks {
 		// No record knows it: stop it, then reap it.
 		op := protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt}
 		if t.State == protocol.TaskEnded {
@@ -49,108 +49,108 @@
 		}
 		cmds = append(cmds, op)
 	}
-	return cmds[:min(len(cmds), commandsMost)]
+	return cmds[:min(len(cmds), commandsLimit)]
 }
 
-// commandsMost keeps an answer to a worker far below 64 KiB.
-const commandsMost = 300
+// commandsLimit keeps an answer to a worker far below 64 KiB.
+const commandsLimit = 300
 
-// awaits says whether there may be anything to command: most reports change
+// NeedsCommands says whether there may be anything to command: most reports change
 // nothing.
-func (m *machine) awaits() bool {
-	if len(m.foreign) > 0 {
+func (m *Machine) NeedsCommands() bool {
+	if len(m.OrphanedTasks) > 0 {
 		return true
 	}
-	for _, a := range m.attempts {
-		if a.state == attemptCommitted || a.state == attemptOver || a.state == attemptSeen && a.stopping {
+	for _, a := range m.Attempts {
+		if a.State == AttemptCommitted || a.State == AttemptReleased || a.State == AttemptConfirmed && a.Stopping {
 			return true
 		}
 	}
 	return false
 }
 
-// sendOrders sends direct commands, one request at a time for each machine.
-func (c *Controller) sendOrders(m *machine) {
-	if m.pendingOrders > 0 {
-		m.again = true
+// SendCommands sends direct commands, one request at a time for each machine.
+func (c *Controller) SendCommands(m *Machine) {
+	if m.PendingCommands > 0 {
+		m.CommandAgain = true
 		return
 	}
-	c.sendOrdersNow(m)
+	c.sendCommandsNow(m)
 }
 
-// sendOrdersNow sends direct commands, whatever else is under way.
-func (c *Controller) sendOrdersNow(m *machine) {
-	p := c.parts[m.rec.Part]
-	if !p.ready || !m.fenced || m.lost || m.rec.Addr == "" {
+// sendCommandsNow sends direct commands, whatever else is under way.
+func (c *Controller) sendCommandsNow(m *Machine) {
+	p := c.Partitions[m.Record.Partition]
+	if !p.Ready || !m.Fenced || m.Lost || m.Record.Addr == "" {
 		return
 	}
 	now := time.Now()
-	cmds := c.commands(m, now, false)
+	cmds := c.commandsFor(m, now, false)
 	if len(cmds) == 0 {
 		return
 	}
-	var starts []*attempt
+	var starts []*Attempt
 	for _, cmd := range cmds {
 		if cmd.Op == protocol.OpStart {
-			a := m.attempts[attemptKey(cmd.Task, cmd.Attempt)]
-			a.inFlight++
+			a := m.Attempts[AttemptKey(cmd.Task, cmd.Attempt)]
+			a.StartsInFlight++
 			starts = append(starts, a)
 		}
 	}
-	m.again = false
-	c.ordering(m, now)
-	orders := protocol.Orders{Token: c.token(m), Session: m.session, Commands: cmds}
-	via, name, addr := p.ledger.Via(m.share, now), m.name, m.rec.Addr
+	m.CommandAgain = false
+	c.commandsSent(m, now)
+	orders := protocol.Orders{Token: c.Token(m), Epoch: m.Epoch, Commands: cmds}
+	via, name, addr := p.Delegations.CommandRoute(m.Shard, now), m.Name, m.Record.Addr
 	c.duty.Go(func() {
-		r, sent, err := c.postOrders(via, name, addr, orders)
+		r, sent, err := c.postCommands(via, name, addr, orders)
 		c.do(func() {
-			c.ordered(m)
+			c.commandsAnswered(m)
 			for _, a := range starts {
-				a.inFlight--
+				a.StartsInFlight--
 				if sent && r == nil {
-					a.unanswered = true
+					a.StartUnanswered = true
 				}
 			}
 			if err != nil {
-				c.log.Debug("orders failed", "machine", m.name, "reason", err)
+				c.log.Debug("orders failed", "machine", m.Name, "reason", err)
 			}
-			if r != nil && c.machines[m.name] == m && c.parts[m.rec.Part].mine {
-				c.observe(m, r, time.Now())
+			if r != nil && c.Machines[m.Name] == m && c.Partitions[m.Record.Partition].Held {
+				c.ApplyReport(m, r, time.Now())
 			}
-			if m.again && err == nil {
-				c.sendOrders(m)
+			if m.CommandAgain && err == nil {
+				c.SendCommands(m)
 			}
 		})
 	})
 }
 
-var errStale = errors.New("worker refused: token or session is stale")
+var errStaleCommand = errors.New("worker refused: token or session is stale")
 
-// orderWait is how long a worker's answer to orders is waited for.
-const orderWait = 2500 * time.Millisecond
+// CommandTimeout is how long a worker's answer to orders is waited for.
+const CommandTimeout = 2500 * time.Millisecond
 
-// postOrders sends orders, by way of the machine's carrier if there is one that takes
+// postCommands sends orders, by way of the machine's carrier if there is one that takes
 // them, and returns the worker's report. sent is false if they can never arrive or were
 // certainly refused.
-func (c *Controller) postOrders(via, machine, addr string, orders protocol.Orders) (r *protocol.Report, sent bool, err error) {
+func (c *Controller) postCommands(via, machine, addr string, orders protocol.Orders) (r *protocol.Heartbeat, sent bool, err error) {
 	body := protocol.Encode(orders)
 	var resp *transport.Response
 	if err = transport.ErrNotSent; via != "" {
-		resp, err = c.carrying.send(via, machine, body)
+		resp, err = c.proxy.ForwardCommands(via, machine, body)
 	}
 	if errors.Is(err, transport.ErrNotSent) {
-		ctx, cancel := context.WithTimeout(c.ctx, orderWait)
+		ctx, cancel := context.WithTimeout(c.ctx, CommandTimeout)
 		defer cancel()
-		resp, err = c.net.Do(ctx, addr, "POST", "/orders", body)
+		resp, err = c.network.Do(ctx, addr, "POST", "/orders", body)
 	}
 	if err != nil {
 		return nil, !errors.Is(err, transport.ErrNotSent), err
 	}
 	if resp.Status != 200 && resp.Status != 409 {
 		// Only a refusal shows that they will never be carried out.
-		return nil, resp.Status >= 500, errStale
+		return nil, resp.Status >= 500, errStaleCommand
 	}
-	r = new(protocol.Report)
+	r = new(protocol.Heartbeat)
 	if err := protocol.Decode(resp.Body, r); err != nil {
 		return nil, true, err
 	}
@@ -158,50 +158,50 @@
 		return nil, true, err
 	}
 	if resp.Status == 409 {
-		return r, false, errStale
+		return r, false, errStaleCommand
 	}
 	return r, true, nil
 }
 
-// fence raises the worker's token by orders without commands, without waiting
+// Fence raises the worker's token by orders without commands, without waiting
 // for its next report, so that nobody older commands it any more (7).
-func (c *Controller) fence(m *machine) {
-	m.fenced = false
-	if m.rec.Addr == "" || m.lost {
+func (c *Controller) Fence(m *Machine) {
+	m.Fenced = false
+	if m.Record.Addr == "" || m.Lost {
 		return
 	}
 	// The answer to a command that is held up is not waited for where it matters.
-	if m.pendingOrders > 0 && !c.mayRepeat(m) {
+	if m.PendingCommands > 0 && !c.mayRepeat(m) {
 		return
 	}
-	c.ordering(m, time.Now())
-	orders := protocol.Orders{Token: c.token(m), Session: max(m.session, m.hint, 1), Commands: []protocol.Command{}}
-	via, name, addr := c.parts[m.rec.Part].ledger.Toward(m.share, time.Now()), m.name, m.rec.Addr
+	c.commandsSent(m, time.Now())
+	orders := protocol.Orders{Token: c.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
+	via, name, addr := c.Partitions[m.Record.Partition].Delegations.FenceRoute(m.Shard, time.Now()), m.Name, m.Record.Addr
 	c.duty.Go(func() {
-		r, _, err := c.postOrders(via, name, addr, orders)
-		if r != nil && errors.Is(err, errStale) && r.Session != orders.Session {
-			orders.Session = r.Session
-			r, _, err = c.postOrders(via, name, addr, orders)
+		r, _, err := c.postCommands(via, name, addr, orders)
+		if r != nil && errors.Is(err, errStaleCommand) && r.Epoch != orders.Epoch {
+			orders.Epoch = r.Epoch
+			r, _, err = c.postCommands(via, name, addr, orders)
 		}
 		c.do(func() {
-			c.ordered(m)
+			c.commandsAnswered(m)
 			if err != nil {
-				c.log.Debug("fencing failed", "machine", m.name, "reason", err)
+				c.log.Debug("fencing failed", "machine", m.Name, "reason", err)
 				return
 			}
-			if c.machines[m.name] == m && c.parts[m.rec.Part].mine && r.Machine == m.name {
-				m.lastHeard = time.Now()
-				c.observe(m, r, time.Now())
-				c.sendOrders(m)
+			if c.Machines[m.Name] == m && c.Partitions[m.Record.Partition].Held && r.Machine == m.Name {
+				m.LastHeardAt = time.Now()
+				c.ApplyReport(m, r, time.Now())
+				c.SendCommands(m)
 			}
 		})
 	})
 }
 
-// pending says whether direct orders could bring something forward.
-func (m *machine) pending() bool {
-	for _, a := range m.attempts {
-		if a.state == attemptCommitted && a.inFlight == 0 && !a.stopping || a.state == attemptSeen && a.stopping {
+// HasUnsentCommands says whether direct orders could bring something forward.
+func (m *Machine) HasUnsentCommands() bool {
+	for _, a := range m.Attempts {
+		if a.State == AttemptCommitted && a.StartsInFlight == 0 && !a.Stopping || a.State == AttemptConfirmed && a.Stopping {
 			return true
 		}
 	}
--- a/internal/coordination/parts/parts.go
+++ b/internal/coordination/parts/parts.go
@@ -9,11 +9,11 @@
 	"micaspindle/internal/settings"
 )
 
-// Of maps teams to as many parts as controllers, balanced by
+// Assign maps teams to as many parts as controllers, balanced by
 // guarantee. Teams with neither a guarantee nor a limit stay together in the
 // part that is left lightest: no quota needs them apart, and splitting what
 // they all borrow only leaves machines half empty (docs/design.md).
-func Of(teams []settings.Team, count int) []int {
+func Assign(teams []settings.Team, count int) []int {
 	order := make([]int, len(teams))
 	for i := range order {
 		order[i] = i
--- a/internal/coordination/parts/parts_test.go
+++ b/internal/coordination/parts/parts_test.go
@@ -9,14 +9,14 @@
 func TestTeamsAreBalancedOverParts(t *testing.T) {
 	teams := []settings.Team{{CPUs: 10}, {CPUs: 100}, {CPUs: 50}, {CPUs: 50}, {CPUs: 10}}
 	load := make([]float64, 2)
-	for i, p := range Of(teams, 2) {
+	for i, p := range Assign(teams, 2) {
 		load[p] += teams[i].CPUs
 	}
 	if load[0] != 110 || load[1] != 110 {
 		t.Errorf("load %v", load)
 	}
 	mixed := []settings.Team{{}, {CPUs: 10, CPUsMax: 20}, {}, {CPUsMax: 8}, {CPUs: 4}}
-	got := Of(mixed, 3)
+	got := Assign(mixed, 3)
 	if got[0] != got[2] {
 		t.Errorf("teams with neither guarantee nor limit are apart: %v", got)
 	}
