--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -17,60 +17,60 @@
 )
 
 const (
-	summaryPath  = "/peer/summary"
-	fleetPath    = "/peer/fleet"
-	summaryEvery = 500 * time.Millisecond
+	SummaryPath        = "/peer/summary"
+	MachineRequestPath = "/peer/fleet"
+	SummaryInterval    = 500 * time.Millisecond
 )
 
 // ServePeers answers the other controllers.
 func (c *Controller) ServePeers(_ context.Context, req *transport.Request) transport.Response {
-	who, refusal := c.peer(req)
+	who, refusal := c.AuthenticatePeer(req)
 	if refusal != nil {
 		return *refusal
 	}
 	switch {
 	case req.Method != "POST":
-		return refuse(405, "method not allowed", 0)
-	case req.Path == summaryPath:
+		return Refuse(405, "method not allowed", 0)
+	case req.Path == SummaryPath:
 		sum := new(peer.Summary)
 		if err := proto.Unmarshal(req.Body, sum); err != nil {
-			return refuse(400, "bad summary", 0)
+			return Refuse(400, "bad summary", 0)
 		}
-		if refusal := c.speaksFor(who, "peer", identity.Name{Kind: identity.Controller, ID: sum.From}); refusal != nil {
+		if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: sum.From}); refusal != nil {
 			return *refusal
 		}
-		c.do(func() { c.heardPeer(sum) })
+		c.do(func() { c.receiveSummary(sum) })
 		return transport.Response{Status: 200}
-	case req.Path == talePath:
-		return c.following.hearTale(who, req.Body)
-	case req.Path == recallPath:
-		return c.following.recall(req.Body)
-	case req.Path == carryPath:
-		return c.carrying.asked(who, req.Body)
-	case req.Path == relayPath:
-		return c.carrying.relayed(who, req.Body)
-	case req.Path == fleetPath:
+	case req.Path == UpdatePath:
+		return c.replicator.HandleUpdate(who, req.Body)
+	case req.Path == StateTransferPath:
+		return c.replicator.HandleStateTransfer(req.Body)
+	case req.Path == DelegationPath:
+		return c.proxy.HandleRenewal(who, req.Body)
+	case req.Path == ForwardPath:
+		return c.proxy.HandleForwarded(who, req.Body)
+	case req.Path == MachineRequestPath:
 		fr := new(peer.FleetRequest)
 		if err := proto.Unmarshal(req.Body, fr); err != nil {
-			return refuse(400, "bad request", 0)
+			return Refuse(400, "bad request", 0)
 		}
-		return replyOf(c.fleetRequest(fr))
+		return protoResponse(c.HandleMachineRequest(fr))
 	}
-	return refuse(404, "no such path", 0)
+	return Refuse(404, "no such path", 0)
 }
 
-// replyOf answers another controller.
-func replyOf(m proto.Message) transport.Response {
+// protoResponse answers another controller.
+func protoResponse(m proto.Message) transport.Response {
 	body, err := proto.Marshal(m)
 	if err != nil {
-		return refuse(500, "reply failed", 0)
+		return Refuse(500, "reply failed", 0)
 	}
 	return transport.Response{Status: 200, Body: body}
 }
 
-// ask sends another controller a message and reads its reply. A version that does not know
+// callPeer sends another controller a message and reads its reply. A version that does not know
 // the path answers 404.
-func ask(ctx context.Context, net bookkeeping.Doer, most time.Duration, addr, path string, in, reply proto.Message) error {
+func callPeer(ctx context.Context, net bookkeeping.Requester, most time.Duration, addr, path string, in, reply proto.Message) error {
 	body, err := proto.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -87,44 +87,44 @@
 	return proto.Unmarshal(resp.Body, reply)
 }
 
-func (c *Controller) heardPeer(sum *peer.Summary) {
-	ps := c.peers[sum.From]
+func (c *Controller) receiveSummary(sum *peer.Summary) {
+	ps := c.Peers[sum.From]
 	if ps == nil {
 		return
 	}
 	now := time.Now()
-	if !ps.recent(now) {
-		ps.since = now
+	if !ps.Alive(now) {
+		ps.HeardSince = now
 	}
-	ps.heard, ps.summary = now, sum
-	ps.noteReporting()
-	c.heardNotices(sum, now)
-	c.carrying.heard(sum)
+	ps.HeardAt, ps.Summary = now, sum
+	ps.NoteReporting()
+	c.ApplyCancellationNotices(sum, now)
+	c.proxy.SummaryReceived(sum)
 	// Addresses learnt by others let a new owner fence at once.
 	for _, part := range sum.Parts {
 		for _, st := range part.Machines {
-			if m := c.machines[st.Name]; m != nil && !m.heard {
-				if m.rec.Addr == "" {
-					m.rec.Addr = st.Addr
+			if m := c.Machines[st.Name]; m != nil && !m.HasReported {
+				if m.Record.Addr == "" {
+					m.Record.Addr = st.Addr
 				}
 			}
 		}
 	}
 }
 
-// peerDuty tells one other controller several times a second how things are.
-func (c *Controller) peerDuty(label string) {
-	ps := c.peers[label]
-	for c.sleep(summaryEvery) {
+// PeerLoop tells one other controller several times a second how things are.
+func (c *Controller) PeerLoop(label string) {
+	ps := c.Peers[label]
+	for c.sleep(SummaryInterval) {
 		var body []byte
 		c.do(func() {
-			body = c.said.latest(c, time.Now())
+			body = c.ownSummary.latest(c, time.Now())
 		})
 		if body == nil {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
-		resp, err := c.net.Do(ctx, ps.addr, "POST", summaryPath, body)
+		resp, err := c.network.Do(ctx, ps.Addr, "POST", SummaryPath, body)
 		switch {
 		case err != nil:
 			c.log.Debug("peer not reached", "peer", label, "reason", err)
@@ -135,118 +135,118 @@
 	}
 }
 
-// said is the last summary as it goes to the others: one serves all of them.
-type said struct {
-	body []byte
-	at   time.Time
+// cachedSummary is the last summary as it goes to the others: one serves all of them.
+type cachedSummary struct {
+	body         []byte
+	marshalledAt time.Time
 }
 
-func (s *said) latest(c *Controller, now time.Time) []byte {
-	if c.synced && (s.body == nil || now.Sub(s.at) >= summaryEvery*4/5) {
-		s.body = c.encodeSummary(c.summary(now))
-		s.at = now
+func (s *cachedSummary) latest(c *Controller, now time.Time) []byte {
+	if c.Synced && (s.body == nil || now.Sub(s.marshalledAt) >= SummaryInterval*4/5) {
+		s.body = c.encodeSummary(c.OwnSummary(now))
+		s.marshalledAt = now
 	}
 	return s.body
 }
 
-// summary describes this controller and its parts.
-func (c *Controller) summary(now time.Time) *peer.Summary {
-	sum := &peer.Summary{From: c.set.Label, StateSilenceS: c.store.Silence().Seconds(), WriteDemand: c.writeDemand,
-		Follows: c.following.follows(), Leaving: c.leaving, Copies: true, Withdrawn: c.notices.latest(now, c.cancelS),
-		Room: uint32(c.carrying.room), Connected: uint32(c.carrying.load(now).Machines)}
-	sum.Parts = c.partSummaries(now)
-	for _, j := range c.jobs {
-		if !j.owned || j.doneCount == 0 && j.running == 0 {
+// OwnSummary describes this controller and its parts.
+func (c *Controller) OwnSummary(now time.Time) *peer.Summary {
+	sum := &peer.Summary{From: c.Settings.Label, StateSilenceS: c.store.SinceLastAnswer().Seconds(), WriteDemand: c.WriteDemand,
+		Follows: c.replicator.Summaries(), Leaving: c.Draining, Copies: true, Withdrawn: c.Cancellations.Recent(now, c.CancelBound),
+		Room: uint32(c.proxy.Capacity), Connected: uint32(c.proxy.Load(now).Machines)}
+	sum.Parts = c.PartitionSummaries(now)
+	for _, j := range c.Jobs {
+		if !j.Loaded || j.DoneCount == 0 && j.RunningCount == 0 {
 			continue
 		}
-		if len(sum.Jobs) >= progressMost {
+		if len(sum.Jobs) >= jobProgressLimit {
 			c.boundMet(observe.JobProgress, 1)
 			break
 		}
-		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.spec.ID, Done: uint32(j.doneCount), Running: uint32(j.running)})
+		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.Spec.ID, Done: uint32(j.DoneCount), Running: uint32(j.RunningCount)})
 	}
-	for _, u := range c.unknown {
+	for _, u := range c.UnregisteredMachines {
 		sum.Unknown = append(sum.Unknown, u)
 	}
-	for name := range c.strayed {
+	for name := range c.DivertedMachines {
 		sum.Strayed = append(sum.Strayed, name)
 	}
 	return sum
 }
 
-// progressMost is how many jobs' progress is told, for users who ask another controller:
+// jobProgressLimit is how many jobs' progress is told, for users who ask another controller:
 // 64,000 running tasks in arrays of eight. One takes some 24 bytes of a message and 100 of
 // memory.
-const progressMost = 8000
+const jobProgressLimit = 8000
 
-// partSummaries describes the own parts.
-func (c *Controller) partSummaries(now time.Time) (list []*peer.PartSummary) {
-	for _, p := range c.parts {
-		if p.mine && p.ready {
-			list = append(list, c.partSummary(p, now))
+// PartitionSummaries describes the own parts.
+func (c *Controller) PartitionSummaries(now time.Time) (list []*peer.PartSummary) {
+	for _, p := range c.Partitions {
+		if p.Held && p.Ready {
+			list = append(list, c.partitionSummary(p, now))
 		}
 	}
 	return list
 }
 
 const (
-	// demandsLeast is how many demands of a part are told at least.
-	demandsLeast = 200
-	// demandMachines is for how many machines of a large part one more is: what waits
+	// demandsMin is how many demands of a part are told at least.
+	demandsMin = 200
+	// machinesPerDemand is for how many machines of a large part one more is: what waits
 	// grows with them.
-	demandMachines = 4
+	machinesPerDemand = 4
 )
 
-// demandsMost is how many demands are told of a part with so many machines.
-func demandsMost(machines int) int { return max(demandsLeast, machines/demandMachines) }
+// demandsLimit is how many demands are told of a part with so many machines.
+func demandsLimit(machines int) int { return max(demandsMin, machines/machinesPerDemand) }
 
-func (c *Controller) partSummary(p *part, now time.Time) *peer.PartSummary {
-	ps := &peer.PartSummary{Part: uint32(p.index), Standby: p.standby, Carried: p.carried(c.labels)}
-	var coming []*machine
-	left := map[*machine]fit.Amounts{}
-	for _, m := range c.machines {
-		if m.rec.Part != p.index {
+func (c *Controller) partitionSummary(p *Partition, now time.Time) *peer.PartSummary {
+	ps := &peer.PartSummary{Part: uint32(p.Index), Standby: p.Standby, Carried: p.DelegationSummary(c.Labels)}
+	var coming []*Machine
+	left := map[*Machine]fit.Resources{}
+	for _, m := range c.Machines {
+		if m.Record.Partition != p.Index {
 			continue
 		}
-		idle := len(m.attempts) == 0 && len(m.foreign) == 0 && m.fenced && m.pendingOrders == 0
-		st := &peer.MachineStatus{Name: m.name, Heard: m.heard, Idle: idle, Lost: m.lost, Retiring: !m.retiring.IsZero(),
-			Faulty: m.faulty, Addr: m.rec.Addr,
-			NeverUp: !m.heard && len(m.attempts) == 0 && m.typ != nil && now.Sub(m.ownedSince) > neverUpPause && m.age(now) > c.bootLimit(m.typ)}
+		idle := len(m.Attempts) == 0 && len(m.OrphanedTasks) == 0 && m.Fenced && m.PendingCommands == 0
+		st := &peer.MachineStatus{Name: m.Name, Heard: m.HasReported, Idle: idle, Lost: m.Lost, Retiring: !m.RetiringSince.IsZero(),
+			Faulty: m.Quarantined, Addr: m.Record.Addr,
+			NeverUp: !m.HasReported && len(m.Attempts) == 0 && m.Type != nil && now.Sub(m.LedSince) > neverUpGrace && m.Age(now) > c.bootTimeout(m.Type)}
 		if idle {
-			st.IdleS = now.Sub(m.idleSince).Seconds()
+			st.IdleS = now.Sub(m.IdleSince).Seconds()
 		}
 		ps.Machines = append(ps.Machines, st)
 		// A machine that still boots, or was just moved here, will take some
 		// of what waits.
-		if m.typ != nil && !m.lost && !m.faulty && !c.deleted(m.name) && m.retiring.IsZero() && (!m.heard || !m.fenced && m.notice.IsZero()) &&
-			(m.age(now) < usualBoot(m.typ) || now.Sub(m.ownedSince) < c.reportS+time.Second) {
+		if m.Type != nil && !m.Lost && !m.Quarantined && !c.IsDeleted(m.Name) && m.RetiringSince.IsZero() && (!m.HasReported || !m.Fenced && m.PreemptionAt.IsZero()) &&
+			(m.Age(now) < usualBootTime(m.Type) || now.Sub(m.LedSince) < c.HeartbeatInterval+time.Second) {
 			coming = append(coming, m)
-			left[m] = m.free()
+			left[m] = m.Free()
 		}
 	}
-	claimed := make([]fit.Share, len(p.usage))
-	most := demandsMost(len(ps.Machines))
-	for _, j := range p.floor.first(c.inOrder(p), most/behindShare) {
-		if len(j.queue) == 0 || j.withdrawn || now.Before(j.holdTill) {
+	claimed := make([]fit.Compute, len(p.Usage))
+	most := demandsLimit(len(ps.Machines))
+	for _, j := range p.FairShare.StarvedFirst(c.Queue(p), most/starvedDemandsShare) {
+		if len(j.Pending) == 0 || j.Ended || now.Before(j.BackoffUntil) {
 			continue
 		}
-		s := j.spec
-		n := len(j.queue)
+		s := j.Spec
+		n := len(j.Pending)
 		// Jobs of a team share what its limit leaves.
-		team, own := c.set.Params.Teams[j.team], &claimed[j.team]
+		team, own := c.Settings.Params.Teams[j.Team], &claimed[j.Team]
 		if team.CPUsMax > 0 && s.CPUs > 0 {
-			n = min(n, int((team.CPUsMax-p.usage[j.team].CPUs-own.CPUs+fit.Epsilon)/s.CPUs))
+			n = min(n, int((team.CPUsMax-p.Usage[j.Team].CPUs-own.CPUs+fit.Epsilon)/s.CPUs))
 		}
 		if team.GPUsMax > 0 && s.GPUs > 0 {
-			n = min(n, int((team.GPUsMax-p.usage[j.team].GPUs-own.GPUs+fit.Epsilon)/s.GPUs))
+			n = min(n, int((team.GPUsMax-p.Usage[j.Team].GPUs-own.GPUs+fit.Epsilon)/s.GPUs))
 		}
 		if n <= 0 {
 			continue
 		}
-		own.Add(needOf(s), float64(n))
+		own.Add(ResourcesOf(s), float64(n))
 		for _, m := range coming {
-			for n > 0 && wishOf(s).Allows(kindOf(m.rec)) && left[m].Holds(needOf(s)) {
-				left[m] = left[m].Plus(needOf(s), -1)
+			for n > 0 && ConstraintsOf(s).Allows(MachineKindOf(m.Record)) && left[m].Holds(ResourcesOf(s)) {
+				left[m] = left[m].Plus(ResourcesOf(s), -1)
 				n--
 			}
 		}
@@ -258,67 +258,67 @@
 			break
 		}
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: s.CPUs, Gpus: s.GPUs, MemGb: s.MemGB, Types: s.Types, Zone: s.Zone,
-			Spot: s.Spot, Count: uint32(n), WaitedS: now.Sub(j.since()).Seconds(),
-			EstimateS: c.estimate(s), SlackS: j.due().Sub(now).Seconds()})
+			Spot: s.Spot, Count: uint32(n), WaitedS: now.Sub(j.ReadySince()).Seconds(),
+			EstimateS: c.EstimateS(s), SlackS: j.Due().Sub(now).Seconds()})
 	}
 	return ps
 }
 
-// bootLimit is how long a machine may take to come up before it is given up.
-func (c *Controller) bootLimit(t *protocol.MachineType) time.Duration {
+// bootTimeout is how long a machine may take to come up before it is given up.
+func (c *Controller) bootTimeout(t *protocol.MachineType) time.Duration {
 	return time.Duration((3*t.BootS + 15) * float64(time.Second))
 }
 
-// neverUpPause is how long a new owner waits for a machine that should have
+// neverUpGrace is how long a new owner waits for a machine that should have
 // been up long ago.
-const neverUpPause = 10 * time.Second
+const neverUpGrace = 10 * time.Second
 
-// usualBoot is how long most machines take. What takes longer may never come
+// usualBootTime is how long most machines take. What takes longer may never come
 // up, so waiting work no longer counts on it.
-func usualBoot(t *protocol.MachineType) time.Duration {
+func usualBootTime(t *protocol.MachineType) time.Duration {
 	return time.Duration((1.6*t.BootS + 2) * float64(time.Second))
 }
 
-// age is how long ago a machine was rented. A record may not say it, and clocks
+// Age is how long ago a machine was rented. A record may not say it, and clocks
 // differ, so that it is at least how long its owner has known it.
-func (m *machine) age(now time.Time) time.Duration {
-	known := now.Sub(m.ownedSince)
-	if m.rec.RentedMS == 0 {
+func (m *Machine) Age(now time.Time) time.Duration {
+	known := now.Sub(m.LedSince)
+	if m.Record.RentedMS == 0 {
 		return known
 	}
-	return max(known, time.Duration(now.UnixMilli()-m.rec.RentedMS)*time.Millisecond)
+	return max(known, time.Duration(now.UnixMilli()-m.Record.RentedMS)*time.Millisecond)
 }
 
-// fleetRequest does what the leader asks about one of this owner's machines.
-func (c *Controller) fleetRequest(fr *peer.FleetRequest) *peer.FleetReply {
+// HandleMachineRequest does what the leader asks about one of this owner's machines.
+func (c *Controller) HandleMachineRequest(fr *peer.FleetRequest) *peer.FleetReply {
 	reply := &peer.FleetReply{Reason: "stopping"}
 	var txn *protocol.Transaction
-	var m *machine
+	var m *Machine
 	var rec bookkeeping.Machine
 	c.do(func() {
-		m = c.machines[fr.Machine]
-		if m == nil || !c.parts[m.rec.Part].ready || int(fr.ToPart) >= len(c.parts) {
+		m = c.Machines[fr.Machine]
+		if m == nil || !c.Partitions[m.Record.Partition].Ready || int(fr.ToPart) >= len(c.Partitions) {
 			reply.Reason = "not mine"
 			return
 		}
-		if m.heard && !m.lost && (len(m.attempts) > 0 || len(m.foreign) > 0 || m.pendingOrders > 0 || m.moving || !m.fenced) || !m.heard && !fr.Retire {
+		if m.HasReported && !m.Lost && (len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 || m.PendingCommands > 0 || m.Moving || !m.Fenced) || !m.HasReported && !fr.Retire {
 			reply.Reason = "in use"
 			return
 		}
 		if fr.Retire {
-			m.retiring = time.Now()
+			m.RetiringSince = time.Now()
 			reply.Ok = true
 			return
 		}
 		// Every order is answered and the newest report is empty (10).
-		m.moving = true
-		rec = m.rec
-		rec.Part = int(fr.ToPart)
-		p := c.parts[m.rec.Part]
+		m.Moving = true
+		rec = m.Record
+		rec.Partition = int(fr.ToPart)
+		p := c.Partitions[m.Record.Partition]
 		txn = &protocol.Transaction{
-			If: []protocol.Condition{{Key: bookkeeping.ClaimKey(p.index), Version: p.version},
-				{Key: bookkeeping.MachineKey(m.name), Version: m.version}},
-			Then: []protocol.Change{{Put: bookkeeping.MachineKey(m.name), Value: bookkeeping.Encode(rec)}},
+			If: []protocol.Condition{{Key: bookkeeping.LeaseKey(p.Index), Version: p.LeaseRevision},
+				{Key: bookkeeping.MachineKey(m.Name), Version: m.Revision}},
+			Then: []protocol.Change{{Put: bookkeeping.MachineKey(m.Name), Value: bookkeeping.Encode(rec)}},
 		}
 	})
 	if txn == nil {
@@ -329,14 +329,14 @@
 	rev, err := c.store.Commit(ctx, txn)
 	c.do(func() {
 		if err == nil {
-			c.machineRecorded(m.name, rec, rev, time.Now())
+			c.MachineRecorded(m.Name, rec, rev, time.Now())
 			reply.Ok = true
 			return
 		}
 		reply.Reason = err.Error()
 		// An unanswered move may still be applied; until the record shows, the
 		// machine stays out of use for a while and is then claimed by a bump.
-		m.raiseToken(time.Now())
+		m.RaiseTokenBy(time.Now())
 	})
 	return reply
 }
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -9,47 +9,47 @@
 	"micaspindle/internal/settings"
 )
 
-// place gives waiting tasks to machines by least contention: it gathers what the
+// Place gives waiting tasks to machines by least contention: it gathers what the
 // placement's room decides on, and reserves what that says.
-func (c *Controller) place(p *part, now time.Time) {
+func (c *Controller) Place(p *Partition, now time.Time) {
 	// The room for all of these is that of the last time.
-	list, usable := c.placing.jobs[:0], usableMachines{c: c, now: now, list: c.placing.machines[:0]}
-	v := placement.View{Jobs: c.placing.forJobs[:0], Machines: c.placing.forMachines[:0], Scarce: c.scarcity(now), Horizon: c.horizon()}
+	list, usable := c.placementBuffers.jobs[:0], usableMachines{c: c, now: now, list: c.placementBuffers.machines[:0]}
+	v := placement.View{Jobs: c.placementBuffers.jobViews[:0], Machines: c.placementBuffers.machineViews[:0], Scarcity: c.Scarcity(now), Horizon: c.horizon()}
 	defer func() {
-		c.placing = placing{list, usable.list, v.Jobs, v.Machines}
+		c.placementBuffers = placementBuffers{list, usable.list, v.Jobs, v.Machines}
 		clear(list) // what ends is not held
 		clear(usable.list)
 		clear(v.Jobs)
 	}()
-	c.keepFloor(p, now)
-	for _, j := range c.inOrder(p) {
-		if len(j.queue) == 0 || j.withdrawn || c.finals[j.spec.ID] != "" || now.Before(j.holdTill) {
+	c.updateFairShare(p, now)
+	for _, j := range c.Queue(p) {
+		if len(j.Pending) == 0 || j.Ended || c.FinalStates[j.Spec.ID] != "" || now.Before(j.BackoffUntil) {
 			continue
 		}
-		if j.spec.Gang && len(j.live) > 0 {
+		if j.Spec.Gang && len(j.LiveAttempts) > 0 {
 			continue // remnants of the last try are still on their machines
 		}
-		list, v.Jobs = append(list, j), append(v.Jobs, c.forPlacement(j))
+		list, v.Jobs = append(list, j), append(v.Jobs, c.placementView(j))
 	}
 	if len(list) == 0 {
 		return
 	}
-	for _, m := range c.machines {
-		if m.rec.Part == p.index && c.usable(m, now) {
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index && c.Usable(m, now) {
 			usable.list = append(usable.list, m)
-			v.Machines = append(v.Machines, placement.Machine{Name: m.name, Kind: kindOf(m.rec), Free: m.free(), FetchGBPerS: m.typ.FetchGBPerS, KeptFor: m.keptFor})
+			v.Machines = append(v.Machines, placement.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Free: m.Free(), FetchGBPerS: m.Type.FetchGBPerS, ReservedFor: m.ReservedFor})
 		}
 	}
 	if len(v.Machines) == 0 {
 		return
 	}
 	v.Of = usable
-	for team, t := range c.set.Params.Teams {
-		v.Teams = append(v.Teams, placement.Team{Limit: limitOf(t), Used: p.usage[team], Kept: p.floor.quotaOf(team)})
+	for team, t := range c.Settings.Params.Teams {
+		v.Teams = append(v.Teams, placement.Team{Limit: TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.QuotaOf(team)})
 	}
 	decided := placement.Decide(v)
 	for _, i := range decided.Wanted {
-		usable.list[i].idleSince = now
+		usable.list[i].IdleSince = now
 	}
 	for plan := decided.Start; len(plan) > 0; {
 		at, n := plan[0].Job, 1
@@ -61,40 +61,40 @@
 	}
 }
 
-// placing is room for the views of placement.
-type placing struct {
-	jobs        []*job
-	machines    []*machine
-	forJobs     []placement.Job
-	forMachines []placement.Machine
+// placementBuffers is room for the views of placement.
+type placementBuffers struct {
+	jobs         []*Job
+	machines     []*Machine
+	jobViews     []placement.Job
+	machineViews []placement.Machine
 }
 
-func limitOf(t settings.Team) fit.Share { return fit.Share{CPUs: t.CPUsMax, GPUs: t.GPUsMax} }
+func TeamLimit(t settings.Team) fit.Compute { return fit.Compute{CPUs: t.CPUsMax, GPUs: t.GPUsMax} }
 
-// longFetch is the share of a run from which on fetching its image counts as
+// longFetchShare is the share of a run from which on fetching its image counts as
 // long.
-const longFetch = 0.15
+const longFetchShare = 0.15
 
-// forPlacement is what the placement of a job's tasks depends on.
-func (c *Controller) forPlacement(j *job) placement.Job {
-	s := j.spec
-	v := placement.Job{Waiting: len(j.queue), Gang: s.Gang, Team: j.team, Groups: j.groups(), Class: j.class, Need: needOf(s), Wish: wishOf(s), Types: c.typeSet(s),
-		Image: s.Image, ImageGB: s.ImageGB, LongS: longFetch * c.estimate(s), OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
-		Failed: j.failedOn, Prediction: c.prediction(s, 0)}
-	if len(s.Dependencies) > 0 || !j.neededBy.IsZero() {
+// placementView is what the placement of a job's tasks depends on.
+func (c *Controller) placementView(j *Job) placement.Job {
+	s := j.Spec
+	v := placement.Job{Waiting: len(j.Pending), Gang: s.Gang, Team: j.Team, Groups: j.Groups(), Class: j.ClassGroup, Resources: ResourcesOf(s), Constraints: ConstraintsOf(s), Types: c.typeSet(s),
+		Image: s.Image, ImageGB: s.ImageGB, LongS: longFetchShare * c.EstimateS(s), OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
+		Failed: j.FailedMachines, Prediction: c.predictTask(s, 0)}
+	if len(s.Dependencies) > 0 || !j.InheritedDeadline.IsZero() {
 		v.LongS = 0 // in a pipeline, fetches add up
 	}
 	if s.OneZone || s.Spread {
-		v.Zones = j.zones()
+		v.Zones = j.ZoneCounts()
 	}
 	return v
 }
 
-// zones counts where a job's tasks are.
-func (j *job) zones() map[string]int {
+// ZoneCounts counts where a job's tasks are.
+func (j *Job) ZoneCounts() map[string]int {
 	zones := map[string]int{}
-	for _, a := range j.live {
-		zones[a.machine.rec.Zone]++
+	for _, a := range j.LiveAttempts {
+		zones[a.Machine.Record.Zone]++
 	}
 	return zones
 }
@@ -103,95 +103,95 @@
 type usableMachines struct {
 	c    *Controller
 	now  time.Time
-	list []*machine
+	list []*Machine
 }
 
 // HasImage says whether a machine has an image or is fetching it already.
-func (u usableMachines) HasImage(i int, image string) bool { return u.list[i].hasImage(image) }
+func (u usableMachines) HasImage(i int, image string) bool { return u.list[i].HasImage(image) }
 
 // Running is what placement compares of a machine, kept until its attempts change or
 // the prediction is old: not every task that is placed must predict every other one.
 func (u usableMachines) Running(i int) *procon.Machine {
 	m := u.list[i]
-	if m.predicted == nil || u.now.Sub(m.predictedAt) >= orderFor {
-		m.predicted = &procon.Machine{Tasks: u.c.predict(m, u.now), Limit: u.c.op.LimitShare * m.typ.CPUs}
-		m.predictedAt = u.now
+	if m.Prediction == nil || u.now.Sub(m.PredictedAt) >= QueueOrderTTL {
+		m.Prediction = &procon.Machine{Tasks: u.c.predictTasks(m, u.now), Limit: u.c.Operator.LimitShare * m.Type.CPUs}
+		m.PredictedAt = u.now
 	}
-	return m.predicted
+	return m.Prediction
 }
 
 // reserveAll reserves what was decided for a job, as far as its records have room;
 // of a gang all or nothing. What has none waits for the next round.
-func (c *Controller) reserveAll(p *part, j *job, plan []placement.Assignment, machines []*machine, now time.Time) {
+func (c *Controller) reserveAll(p *Partition, j *Job, plan []placement.Assignment, machines []*Machine, now time.Time) {
 	number := uint64(0)
-	before := map[int]chunk{}
-	if j.spec.Gang {
+	before := map[int]RunChunk{}
+	if j.Spec.Gang {
 		// All share one attempt number, by which workers know their mates.
 		number = 1
-		for i, ch := range j.chunks {
+		for i, ch := range j.Chunks {
 			before[i] = *ch
-			number = max(number, ch.last+1)
+			number = max(number, ch.LastNumber+1)
 		}
 	}
 	for n, a := range plan {
-		task, m, own := j.queue[n], machines[a.Machine], number
-		if !j.spec.Gang {
-			own = j.chunk(task).last + 1
+		task, m, own := j.Pending[n], machines[a.Machine], number
+		if !j.Spec.Gang {
+			own = j.Chunk(task).LastNumber + 1
 		}
-		if c.recordable(j, task, own, m) {
-			c.reserve(p, j, task, own, m, now)
+		if c.HasRecordRoom(j, task, own, m) {
+			c.Reserve(p, j, task, own, m, now)
 			continue
 		}
-		if j.spec.Gang {
+		if j.Spec.Gang {
 			c.unreserveGang(p, j, before)
 			return
 		}
 		plan = plan[:n]
 		break
 	}
-	j.queue = j.queue[len(plan):]
-	if len(j.queue) == 0 {
-		j.queue = nil
+	j.Pending = j.Pending[len(plan):]
+	if len(j.Pending) == 0 {
+		j.Pending = nil
 	}
 }
 
 // unreserveGang gives back what was reserved of a gang.
-func (c *Controller) unreserveGang(p *part, j *job, before map[int]chunk) {
-	for _, a := range j.live {
-		delete(a.machine.attempts, attemptKey(a.wire(), a.number))
-		a.machine.resources()
-		p.usage[j.team].Add(needOf(j.spec), -1)
-	}
-	clear(j.live)
-	for i, ch := range j.chunks {
+func (c *Controller) unreserveGang(p *Partition, j *Job, before map[int]RunChunk) {
+	for _, a := range j.LiveAttempts {
+		delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
+		a.Machine.RecountUsed()
+		p.Usage[j.Team].Add(ResourcesOf(j.Spec), -1)
+	}
+	clear(j.LiveAttempts)
+	for i, ch := range j.Chunks {
 		old, existed := before[i]
 		if !existed {
-			delete(j.chunks, i)
+			delete(j.Chunks, i)
 			continue
 		}
-		ch.dirty, ch.urgent, ch.last = old.dirty, old.urgent, old.last
+		ch.Dirty, ch.Urgent, ch.LastNumber = old.Dirty, old.Urgent, old.LastNumber
 	}
 }
 
-func (c *Controller) reserve(p *part, j *job, task int, number uint64, m *machine, now time.Time) {
-	ch := j.chunk(task)
-	ch.last = max(ch.last, number)
-	a := &attempt{job: j, task: task, number: number, machine: m, session: m.session}
-	j.live[task] = a
-	m.attempts[attemptKey(a.wire(), a.number)] = a
-	p.usage[j.team].Add(needOf(j.spec), 1)
-	m.resources()
-	m.idleSince = now
-	j.touch(task, true, now)
+func (c *Controller) Reserve(p *Partition, j *Job, task int, number uint64, m *Machine, now time.Time) {
+	ch := j.Chunk(task)
+	ch.LastNumber = max(ch.LastNumber, number)
+	a := &Attempt{Job: j, TaskIndex: task, Number: number, Machine: m, Epoch: m.Epoch}
+	j.LiveAttempts[task] = a
+	m.Attempts[AttemptKey(a.TaskName(), a.Number)] = a
+	p.Usage[j.Team].Add(ResourcesOf(j.Spec), 1)
+	m.RecountUsed()
+	m.IdleSince = now
+	j.MarkDirty(task, true, now)
 }
 
-// hasImage says whether a machine has an image or is fetching it already.
-func (m *machine) hasImage(image string) bool {
-	if _, ok := m.images[image]; ok {
+// HasImage says whether a machine has an image or is fetching it already.
+func (m *Machine) HasImage(image string) bool {
+	if _, ok := m.Images[image]; ok {
 		return true
 	}
-	for _, a := range m.attempts {
-		if a.live() && a.job.spec.Image == image {
+	for _, a := range m.Attempts {
+		if a.Live() && a.Job.Spec.Image == image {
 			return true
 		}
 	}
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -16,12 +16,12 @@
 // Machine is one that takes tasks.
 type Machine struct {
 	Name string
-	Kind fit.Kind
+	Kind fit.MachineKind
 	// Free is the room on it.
-	Free        fit.Amounts
+	Free        fit.Resources
 	FetchGBPerS float64
-	// KeptFor is the group of jobs that it is kept for; 0: it is nobody's.
-	KeptFor int
+	// ReservedFor is the group of jobs that it is kept for; 0: it is nobody's.
+	ReservedFor int
 }
 
 // Job is a job with waiting tasks.
@@ -31,10 +31,10 @@
 	Gang bool
 	Team int
 	// Groups are those that it belongs to, Class the one of them that its class is.
-	Groups [2]int
-	Class  int
-	Need   fit.Amounts
-	Wish   fit.Wish
+	Groups      [2]int
+	Class       int
+	Resources   fit.Resources
+	Constraints fit.Constraints
 	// Types is the set of machine types that its tasks fit.
 	Types   uint64
 	Image   string
@@ -55,32 +55,32 @@
 // Team is what a team uses of its limit, and what of it is kept for classes that are
 // behind; a limit of 0 is none.
 type Team struct {
-	Limit, Used fit.Share
-	Kept        []floor.Quota
+	Limit, Used fit.Compute
+	Reserved    []floor.ReservedQuota
 }
 
 // allows says whether a task of a job may start.
 func (t *Team) allows(j *Job) bool {
 	used := t.Used
-	for _, q := range t.Kept {
+	for _, q := range t.Reserved {
 		if q.Class != j.Class {
-			used.CPUs, used.GPUs = used.CPUs+q.Kept.CPUs, used.GPUs+q.Kept.GPUs
+			used.CPUs, used.GPUs = used.CPUs+q.Reserved.CPUs, used.GPUs+q.Reserved.GPUs
 		}
 	}
-	return t.Limit.Allows(used, j.Need)
+	return t.Limit.Allows(used, j.Resources)
 }
 
 func (t Team) clone() Team {
-	t.Kept = slices.Clone(t.Kept)
+	t.Reserved = slices.Clone(t.Reserved)
 	return t
 }
 
 // starts notes that a task of a job starts.
 func (t *Team) starts(j *Job) {
-	t.Used.Add(j.Need, 1)
-	for i, q := range t.Kept {
+	t.Used.Add(j.Resources, 1)
+	for i, q := range t.Reserved {
 		if q.Class == j.Class {
-			t.Kept[i].Kept = fit.Share{CPUs: max(0, q.Kept.CPUs-j.Need.CPUs), GPUs: max(0, q.Kept.GPUs-j.Need.GPUs)}
+			t.Reserved[i].Reserved = fit.Compute{CPUs: max(0, q.Reserved.CPUs-j.Resources.CPUs), GPUs: max(0, q.Reserved.GPUs-j.Resources.GPUs)}
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	Jobs     []Job
 	Machines []Machine
 	Teams    []Team
-	Scarce   fit.Scarcity
+	Scarcity fit.Scarcity
 	Horizon  procon.Horizon
 	Of       Machines
 }
@@ -119,7 +119,7 @@
 // shape is what decides where a task fits, for jobs without wishes that depend on
 // their other tasks.
 type shape struct {
-	need  fit.Amounts
+	need  fit.Resources
 	zone  string
 	spot  bool
 	types uint64
@@ -129,7 +129,7 @@
 
 // placed is what a machine got in this round.
 type placed struct {
-	free   fit.Amounts
+	free   fit.Resources
 	tasks  []procon.Task
 	images []string
 	// predicted is the machine with these, nil: as it was.
@@ -152,7 +152,7 @@
 // Decide places waiting tasks, job by job, while there is room.
 func Decide(v View) Plan {
 	r := &round{View: v, teams: slices.Clone(v.Teams), full: map[shape]bool{},
-		keeps: slices.ContainsFunc(v.Machines, func(m Machine) bool { return m.KeptFor != 0 })}
+		keeps: slices.ContainsFunc(v.Machines, func(m Machine) bool { return m.ReservedFor != 0 })}
 	for i := range r.teams {
 		r.teams[i] = r.teams[i].clone()
 	}
@@ -167,7 +167,7 @@
 }
 
 // free is the room on a machine.
-func (r *round) free(i int) fit.Amounts {
+func (r *round) free(i int) fit.Resources {
 	if r.now == nil {
 		return r.Machines[i].Free
 	}
@@ -177,7 +177,7 @@
 // tasks places waiting tasks of a job while there is room.
 func (r *round) tasks(at int) {
 	j := &r.Jobs[at]
-	sh := shape{need: j.Need, zone: j.Wish.Zone, spot: j.Wish.Spot, types: j.Types}
+	sh := shape{need: j.Resources, zone: j.Constraints.Zone, spot: j.Constraints.Spot, types: j.Types}
 	if r.keeps {
 		sh.groups = j.Groups
 	}
@@ -229,7 +229,7 @@
 		}
 	}
 	j, p := &r.Jobs[at], &r.now[m]
-	p.free = p.free.Plus(j.Need, -1)
+	p.free = p.free.Plus(j.Resources, -1)
 	p.tasks = append(slices.Clip(p.tasks), j.Prediction)
 	p.images = append(slices.Clip(p.images), j.Image)
 	p.predicted = nil
@@ -275,8 +275,8 @@
 	fits := r.fits[:0]
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		if r.free(i).Holds(j.Need) && j.Wish.Allows(m.Kind) && (zones == nil || Open(j.OneZone, j.Spread, j.Tasks, zones, m.Kind.Zone)) &&
-			!j.Failed[m.Name] && (m.KeptFor == 0 || slices.Contains(j.Groups[:], m.KeptFor)) {
+		if r.free(i).Holds(j.Resources) && j.Constraints.Allows(m.Kind) && (zones == nil || Open(j.OneZone, j.Spread, j.Tasks, zones, m.Kind.Zone)) &&
+			!j.Failed[m.Name] && (m.ReservedFor == 0 || slices.Contains(j.Groups[:], m.ReservedFor)) {
 			fits = append(fits, i)
 		}
 	}
@@ -289,8 +289,8 @@
 	// are left alone while a spot one has room, so that they empty and can be
 	// returned; and where a fetch is long, machines that have the image go first,
 	// since fetches at a time share their rate.
-	breadth := fit.Breadth(j.Types)
-	fits = prefer(fits, func(i int) bool { return !r.Scarce.Contested(r.Machines[i].Kind.Type, breadth) })
+	breadth := fit.TypeCount(j.Types)
+	fits = prefer(fits, func(i int) bool { return !r.Scarcity.Contested(r.Machines[i].Kind.Type, breadth) })
 	fits = prefer(fits, func(i int) bool { return r.Machines[i].Kind.Spot })
 	fits = prefer(fits, func(i int) bool {
 		return j.ImageGB <= j.LongS*r.Machines[i].FetchGBPerS || r.hasImage(i, j.Image)
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -28,11 +28,11 @@
 }
 
 func machine(name, zone string, cpus float64, spot bool) Machine {
-	return Machine{Name: name, Kind: fit.Kind{Type: "t", Zone: zone, Spot: spot}, Free: fit.Amounts{CPUs: cpus, MemGB: 100}, FetchGBPerS: 1}
+	return Machine{Name: name, Kind: fit.MachineKind{Type: "t", Zone: zone, Spot: spot}, Free: fit.Resources{CPUs: cpus, MemGB: 100}, FetchGBPerS: 1}
 }
 
 func job(waiting int, cpus float64) Job {
-	return Job{Waiting: waiting, Need: fit.Amounts{CPUs: cpus, MemGB: 1}, Wish: fit.Wish{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongS: 10,
+	return Job{Waiting: waiting, Resources: fit.Resources{CPUs: cpus, MemGB: 1}, Constraints: fit.Constraints{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongS: 10,
 		Tasks: waiting, Prediction: procon.Task{EstimateS: 10, Use: cpus}}
 }
 
@@ -51,12 +51,12 @@
 		}, Plan{Start: []Assignment{{0, 0}}}},
 		"a type that choosier work needs comes last": {func(v *View, k *known) {
 			v.Machines[0].Kind.Type = "scarce"
-			v.Scarce.Needs("scarce", 1)
+			v.Scarcity.Note("scarce", 1)
 			v.Jobs[0].Types = 3
 		}, Plan{Start: []Assignment{{0, 1}}}},
 		"not where it failed": {func(v *View, k *known) { v.Jobs[0].Failed = map[string]bool{"a": true} }, Plan{Start: []Assignment{{0, 1}}}},
 		"within the team's limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: fit.Share{CPUs: 8}, Used: fit.Share{CPUs: 3.5}}
+			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 3.5}}
 		}, Plan{Start: []Assignment{{0, 0}, {0, 0}}}},
 		"apart": {func(v *View, k *known) {
 			v.Jobs[0] = job(4, 1)
@@ -77,30 +77,30 @@
 			v.Jobs = []Job{job(2, 4)}
 			v.Jobs[0].Gang, v.Teams[0].Limit.CPUs = true, 6
 		}, Plan{Wanted: []int{0}}},
-		"not where it is kept for others": {func(v *View, k *known) { v.Machines[0].KeptFor, v.Jobs[0].Groups = 5, [2]int{1, 2} },
+		"not where it is kept for others": {func(v *View, k *known) { v.Machines[0].ReservedFor, v.Jobs[0].Groups = 5, [2]int{1, 2} },
 			Plan{Start: []Assignment{{0, 1}}}},
 		"where it is kept for its class": {func(v *View, k *known) {
-			v.Machines[0].KeptFor, v.Jobs[0].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
+			v.Machines[0].ReservedFor, v.Jobs[0].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
 		}, Plan{Start: []Assignment{{0, 0}}}},
 		"where it is kept, after others like it found no room": {func(v *View, k *known) {
 			v.Jobs = []Job{job(1, 2), job(1, 2)}
-			v.Machines[0].KeptFor, v.Jobs[1].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
+			v.Machines[0].ReservedFor, v.Jobs[1].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
 		}, Plan{Start: []Assignment{{1, 0}}}},
 		"not into what is kept of the limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: fit.Share{CPUs: 8}, Used: fit.Share{CPUs: 2}, Kept: []floor.Quota{{Class: 4, Kept: fit.Share{CPUs: 3}}}}
+			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 2}, Reserved: []floor.ReservedQuota{{Class: 4, Reserved: fit.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}}}},
 		"into it, and no further than the limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: fit.Share{CPUs: 8}, Used: fit.Share{CPUs: 2}, Kept: []floor.Quota{{Class: 4, Kept: fit.Share{CPUs: 3}}}}
+			v.Jobs[0].Waiting, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 2}, Reserved: []floor.ReservedQuota{{Class: 4, Reserved: fit.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}}}},
 		"what was kept is used up": {func(v *View, k *known) {
 			v.Jobs = []Job{job(1, 3), job(2, 2)}
-			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: fit.Share{CPUs: 8}, Used: fit.Share{CPUs: 2}, Kept: []floor.Quota{{Class: 4, Kept: fit.Share{CPUs: 3}}}}
+			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 2}, Reserved: []floor.ReservedQuota{{Class: 4, Reserved: fit.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}, {1, 0}}}},
 		"no machine": {func(v *View, k *known) { v.Machines = nil }, Plan{}},
 	} {
 		k := known{}
 		v := View{Jobs: []Job{job(1, 2)}, Machines: []Machine{machine("a", "x", 8, true), machine("b", "y", 8, true)}, Teams: make([]Team, 1),
-			Scarce: fit.Scarcity{}, Horizon: procon.Horizon{MaxS: 3600, OverdueS: 1}}
+			Scarcity: fit.Scarcity{}, Horizon: procon.Horizon{MaxS: 3600, OverdueS: 1}}
 		c.view(&v, &k)
 		v.Of = k
 		got := Decide(v)
@@ -121,7 +121,7 @@
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var k known
-			v := View{Teams: []Team{{}, {Limit: fit.Share{CPUs: float64(rng.IntN(40))}}}, Scarce: fit.Scarcity{}, Horizon: procon.Horizon{MaxS: 3600, OverdueS: 1}}
+			v := View{Teams: []Team{{}, {Limit: fit.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: fit.Scarcity{}, Horizon: procon.Horizon{MaxS: 3600, OverdueS: 1}}
 			for i := range rng.IntN(8) {
 				v.Machines = append(v.Machines, machine(fmt.Sprint("m-", i), fmt.Sprint(rng.IntN(3)), float64(rng.IntN(17)), rng.IntN(2) == 0))
 				var tasks []procon.Task
@@ -133,7 +133,7 @@
 			for range rng.IntN(10) {
 				j := job(1+rng.IntN(6), float64(1+rng.IntN(6)))
 				j.Team, j.Gang, j.OneZone, j.Spread = rng.IntN(2), rng.IntN(5) == 0, rng.IntN(6) == 0, rng.IntN(6) == 0
-				j.Wish.Spot, j.Image, j.ImageGB = rng.IntN(3) > 0, fmt.Sprint(rng.IntN(3)), float64(rng.IntN(30))
+				j.Constraints.Spot, j.Image, j.ImageGB = rng.IntN(3) > 0, fmt.Sprint(rng.IntN(3)), float64(rng.IntN(30))
 				v.Jobs = append(v.Jobs, j)
 			}
 			v.Of = k
@@ -147,18 +147,18 @@
 		if again := Decide(build()); !reflect.DeepEqual(plan, again) {
 			t.Fatalf("seed %d: another plan of the same view", seed)
 		}
-		free, used, count := make([]fit.Amounts, len(v.Machines)), make([]float64, len(v.Teams)), make([]int, len(v.Jobs))
+		free, used, count := make([]fit.Resources, len(v.Machines)), make([]float64, len(v.Teams)), make([]int, len(v.Jobs))
 		zones := make([]map[string]int, len(v.Jobs))
 		for i, m := range v.Machines {
 			free[i] = m.Free
 		}
 		for _, a := range plan.Start {
 			j, m := &v.Jobs[a.Job], &v.Machines[a.Machine]
-			if !free[a.Machine].Holds(j.Need) || !j.Wish.Allows(m.Kind) {
+			if !free[a.Machine].Holds(j.Resources) || !j.Constraints.Allows(m.Kind) {
 				t.Errorf("seed %d: %+v does not fit", seed, a)
 			}
-			free[a.Machine] = free[a.Machine].Plus(j.Need, -1)
-			used[j.Team] += j.Need.CPUs
+			free[a.Machine] = free[a.Machine].Plus(j.Resources, -1)
+			used[j.Team] += j.Resources.CPUs
 			if zones[a.Job] == nil {
 				zones[a.Job] = map[string]int{}
 			}
@@ -187,7 +187,7 @@
 				continue
 			}
 			for m := range v.Machines {
-				if free[m].Holds(j.Need) && j.Wish.Allows(v.Machines[m].Kind) {
+				if free[m].Holds(j.Resources) && j.Constraints.Allows(v.Machines[m].Kind) {
 					t.Errorf("seed %d: job %d waits, machine %d has room", seed, i, m)
 				}
 			}
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -85,29 +85,29 @@
 		close(c.loopDone) // it never ran
 		c.duty.Wait()
 	}()
-	c.setCatalog(w.cloud.Types)
+	c.SetCatalog(w.cloud.Types)
 	now := time.Now()
-	c.synced, c.renewed = true, now
-	for _, p := range c.parts {
-		p.owner, p.version, p.mine, p.ready, p.claimed = "n0", 1, true, true, now
+	c.Synced, c.LeaseRenewedAt = true, now
+	for _, p := range c.Partitions {
+		p.Leader, p.LeaseRevision, p.Held, p.Ready, p.AcquiredAt = "n0", 1, true, true, now
 	}
-	c.leader.mine, c.leader.version = true, 7
-	types := c.catalog
-	for p := range c.parts {
+	c.Leadership.Held, c.Leadership.Revision = true, 7
+	types := c.Catalog
+	for p := range c.Partitions {
 		typ, zone, spot := types[rng.IntN(len(types))], "", rng.IntN(2) == 0
 		zone = typ.ZonesOffered[rng.IntN(len(typ.ZonesOffered))]
 		recorded, idle := now.Add(-time.Duration(rng.IntN(200))*time.Second), now.Add(-time.Duration(rng.IntN(60))*time.Second)
 		for i := range rng.IntN(6) {
 			name := fmt.Sprintf("m-%d-%d", p, i)
-			c.machineRecorded(name, bookkeeping.Machine{Part: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
-			m := c.machines[name]
-			m.heard, m.fenced, m.session, m.answeredBy, m.lastHeard = true, true, 1, now, now
-			m.recordedAt, m.idleSince = recorded, idle
+			c.MachineRecorded(name, bookkeeping.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
+			m := c.Machines[name]
+			m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil, m.LastHeardAt = true, true, 1, now, now
+			m.RecordedAt, m.IdleSince = recorded, idle
 			if rng.IntN(4) == 0 {
-				m.images["img-1"] = now
+				m.Images["img-1"] = now
 			}
-			m.faulty = rng.IntN(12) == 0
-			m.lost = rng.IntN(15) == 0
+			m.Quarantined = rng.IntN(12) == 0
+			m.Lost = rng.IntN(15) == 0
 		}
 	}
 	teams := w.set.Params.Teams
@@ -124,66 +124,66 @@
 				s.Types = []string{types[rng.IntN(len(types))].Name}
 			}
 			s.SubmittedMS = now.Add(-time.Duration(rng.IntN(90)) * time.Second).UnixMilli()
-			c.applyJobRecord(s.ID, bookkeeping.Encode(s))
+			c.ApplyJobRecord(s.ID, bookkeeping.Encode(s))
 		}
 	}
 	var out strings.Builder
 	orders := func() {
-		for _, p := range c.parts {
-			p.order = nil
+		for _, p := range c.Partitions {
+			p.QueueOrder = nil
 			var ids []string
-			for _, j := range c.inOrder(p) {
-				ids = append(ids, strings.TrimPrefix(j.spec.ID, "job-"))
+			for _, j := range c.Queue(p) {
+				ids = append(ids, strings.TrimPrefix(j.Spec.ID, "job-"))
 			}
-			fmt.Fprintf(&out, " order %d: %s\n", p.index, strings.Join(ids, " "))
+			fmt.Fprintf(&out, " order %d: %s\n", p.Index, strings.Join(ids, " "))
 		}
 	}
 	add(3+rng.IntN(8), 0)
 	orders()
-	for _, p := range c.parts {
-		c.place(p, now)
+	for _, p := range c.Partitions {
+		c.Place(p, now)
 	}
 	var placed []string
-	for _, m := range c.machines {
-		for _, a := range m.attempts {
-			placed = append(placed, a.wire()+"@"+m.name)
-			a.state, a.startedAt = attemptSeen, now.Add(-time.Duration(a.task*3)*time.Second)
+	for _, m := range c.Machines {
+		for _, a := range m.Attempts {
+			placed = append(placed, a.TaskName()+"@"+m.Name)
+			a.State, a.StartedAt = AttemptConfirmed, now.Add(-time.Duration(a.TaskIndex*3)*time.Second)
 		}
 	}
 	slices.Sort(placed)
 	fmt.Fprintf(&out, " placed: %s\n", strings.Join(placed, " "))
-	c.scarce = nil
+	c.scarcityCache = nil
 	add(4+rng.IntN(10), 100)
 	orders()
-	for _, p := range c.parts {
-		c.preempt(p, now)
+	for _, p := range c.Partitions {
+		c.Preempt(p, now)
 	}
 	var stopped []string
-	for _, m := range c.machines {
-		for _, a := range m.attempts {
-			if a.stopping {
-				stopped = append(stopped, a.wire())
+	for _, m := range c.Machines {
+		for _, a := range m.Attempts {
+			if a.Stopping {
+				stopped = append(stopped, a.TaskName())
 			}
 		}
 	}
 	slices.Sort(stopped)
 	fmt.Fprintf(&out, " stopped: %s\n", strings.Join(stopped, " "))
-	c.steer(now)
+	c.reconcileFleet(now)
 	var fleet []string
-	for _, r := range c.leader.renting {
-		fleet = append(fleet, fmt.Sprintf("rent %d %s %s %v for %d", r.count, r.kind.Type, r.kind.Zone, r.kind.Spot, r.part))
+	for _, r := range c.Leadership.PendingScaleOut {
+		fleet = append(fleet, fmt.Sprintf("rent %d %s %s %v for %d", r.Count, r.Kind.Type, r.Kind.Zone, r.Kind.Spot, r.Partition))
 	}
 	moved := map[int]int{}
-	for name := range c.leader.moved {
-		moved[c.machines[name].rec.Part]++
+	for name := range c.Leadership.MovedAt {
+		moved[c.Machines[name].Record.Partition]++
 	}
 	for p, n := range moved {
 		fleet = append(fleet, fmt.Sprintf("move %d from %d", n, p))
 	}
 	away := map[string]int{}
-	for name := range c.leader.deleting {
-		m := c.machines[name]
-		away[fmt.Sprintf("%d lost %v faulty %v", m.rec.Part, m.lost, m.faulty)]++
+	for name := range c.Leadership.Deleting {
+		m := c.Machines[name]
+		away[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
 	}
 	for what, n := range away {
 		fleet = append(fleet, fmt.Sprintf("give %d of %s", n, what))
--- a/internal/coordination/policy.go
+++ b/internal/coordination/policy.go
@@ -20,15 +20,15 @@
 // role and identity, and a head whose stamp every change demands, so that
 // changes come one after the other. It belongs to the loop.
 type policyRecords struct {
-	head    bookkeeping.PolicyHead
-	stamp   uint64
-	roles   map[string]rights.Role
-	ids     map[string]rights.Identity
-	changed bool
+	head         bookkeeping.PolicyHead
+	headRevision uint64
+	roles        map[string]rights.Role
+	identities   map[string]rights.Identity
+	changed      bool
 }
 
 func (p *policyRecords) init() {
-	p.roles, p.ids, p.changed = map[string]rights.Role{}, map[string]rights.Identity{}, true
+	p.roles, p.identities, p.changed = map[string]rights.Role{}, map[string]rights.Identity{}, true
 }
 
 // apply takes a record in. One that can't be read takes the right it might have
@@ -37,9 +37,9 @@
 	p.changed = true
 	switch kind {
 	case bookkeeping.KindPolicyHead:
-		p.head, p.stamp = bookkeeping.PolicyHead{}, 0
+		p.head, p.headRevision = bookkeeping.PolicyHead{}, 0
 		if e.Delete == "" {
-			p.stamp = e.Version
+			p.headRevision = e.Version
 			return bookkeeping.Decode(e.Value, &p.head)
 		}
 	case bookkeeping.KindRole:
@@ -55,7 +55,7 @@
 			p.roles[name] = r
 		}
 	case bookkeeping.KindIdentity:
-		delete(p.ids, name)
+		delete(p.identities, name)
 		if e.Delete == "" {
 			var id rights.Identity
 			if err := bookkeeping.Decode(e.Value, &id); err != nil {
@@ -64,35 +64,35 @@
 			if err := id.Check(); err != nil {
 				return err
 			}
-			p.ids[name] = id
+			p.identities[name] = id
 		}
 	}
 	return nil
 }
 
-// forget drops what a fresh listing no longer holds.
-func (p *policyRecords) forget(listed map[string]bool) {
+// dropUnlisted drops what a fresh listing no longer holds.
+func (p *policyRecords) dropUnlisted(listed map[string]bool) {
 	for name := range p.roles {
 		if !listed[bookkeeping.RoleKey(name)] {
 			delete(p.roles, name)
 			p.changed = true
 		}
 	}
-	for name := range p.ids {
+	for name := range p.identities {
 		if !listed[bookkeeping.IdentityKey(name)] {
-			delete(p.ids, name)
+			delete(p.identities, name)
 			p.changed = true
 		}
 	}
-	if p.stamp != 0 && !listed[bookkeeping.PolicyHeadKey] {
-		p.head, p.stamp, p.changed = bookkeeping.PolicyHead{}, 0, true
+	if p.headRevision != 0 && !listed[bookkeeping.PolicyHeadKey] {
+		p.head, p.headRevision, p.changed = bookkeeping.PolicyHead{}, 0, true
 	}
 }
 
-// publishPolicy gives the connections what the watch has brought, once for all
+// PublishPolicy gives the connections what the watch has brought, once for all
 // records that came together. asked is when the listing or watch was sent that
 // brought it.
-func (c *Controller) publishPolicy(asked time.Time) {
+func (c *Controller) PublishPolicy(asked time.Time) {
 	if c.guard == nil {
 		return
 	}
@@ -102,41 +102,41 @@
 		for _, name := range slices.Sorted(maps.Keys(p.roles)) {
 			doc.Roles = append(doc.Roles, p.roles[name])
 		}
-		for _, name := range slices.Sorted(maps.Keys(p.ids)) {
-			doc.Identities = append(doc.Identities, p.ids[name])
+		for _, name := range slices.Sorted(maps.Keys(p.identities)) {
+			doc.Identities = append(doc.Identities, p.identities[name])
 		}
-		before := c.guard.policy.Swap(&policyView{version: p.head.Version, stamp: p.stamp, doc: doc, rights: rights.Compile(doc)})
+		before := c.guard.policy.Swap(&policyView{version: p.head.Version, headRevision: p.headRevision, doc: doc, rights: rights.Compile(doc)})
 		if before == nil || before.version != p.head.Version {
 			c.log.Info("policy followed", "version", p.head.Version, "roles", len(doc.Roles), "identities", len(doc.Identities))
 		}
 	}
-	c.guard.fresh.Store(int64(asked.Sub(c.guard.started)))
+	c.guard.freshSince.Store(int64(asked.Sub(c.guard.started)))
 }
 
-// policyRoom is how many records one change of the policy may touch: the head
+// policyChangeLimit is how many records one change of the policy may touch: the head
 // and the audit's own are in the same transaction.
-func (c *Controller) policyRoom() int { return max(1, c.store.TxnOps()-1-auditOps) }
+func (c *Controller) policyChangeLimit() int { return max(1, c.store.TxnOps()-1-auditChanges) }
 
 // changePolicy makes an administrator's change of the policy.
-func (c *Controller) changePolicy(ctx context.Context, who *caller, req *transport.Request) transport.Response {
+func (c *Controller) changePolicy(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	var ch rights.Change
 	if err := protocol.Decode(req.Body, &ch); err != nil {
-		return refuse(400, oneLine(err), 0)
+		return Refuse(400, firstLine(err), 0)
 	}
 	view := c.guard.policy.Load()
 	if ch.Version != view.version {
-		return refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.version, ch.Version), 0)
+		return Refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.version, ch.Version), 0)
 	}
-	if n, most := ch.Size(), c.policyRoom(); n > most {
-		return refuse(422, fmt.Sprintf("changes %d records, at most %d at a time; split it", n, most), 0)
+	if n, most := ch.Size(), c.policyChangeLimit(); n > most {
+		return Refuse(422, fmt.Sprintf("changes %d records, at most %d at a time; split it", n, most), 0)
 	}
 	if _, err := rights.Apply(view.doc, &ch); err != nil {
-		return refuse(422, oneLine(err), 0)
+		return Refuse(422, firstLine(err), 0)
 	}
 	head := bookkeeping.PolicyHead{Version: view.version + 1}
 	// Every change demands the head's stamp and moves it, so no other change of
 	// any of these records, late or from elsewhere, can come between.
-	txn := &protocol.Transaction{If: []protocol.Condition{{Key: bookkeeping.PolicyHeadKey, Version: view.stamp}},
+	txn := &protocol.Transaction{If: []protocol.Condition{{Key: bookkeeping.PolicyHeadKey, Version: view.headRevision}},
 		Then: []protocol.Change{{Put: bookkeeping.PolicyHeadKey, Value: bookkeeping.Encode(head)}}}
 	for i := range ch.PutRoles {
 		txn.Then = append(txn.Then, protocol.Change{Put: bookkeeping.RoleKey(ch.PutRoles[i].Name), Value: bookkeeping.Encode(&ch.PutRoles[i])})
@@ -155,31 +155,31 @@
 			continue
 		}
 		if size, limit := protocol.JSONSize(change.Value), c.store.ValueBytes(); size > limit {
-			return refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, bookkeeping.WatchPrefix), size, limit), 0)
+			return Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, bookkeeping.WatchPrefix), size, limit), 0)
 		}
 	}
-	r := c.record(who, "change-policy", rights.Queue{}, "")
+	r := c.AuditRecord(who, "change-policy", rights.Queue{}, "")
 	r.Detail = changeDetail(&ch, head.Version)
-	revision, err := c.userCommit(ctx, txn, r)
+	revision, err := c.Commit(ctx, txn, r)
 	var conflict *bookkeeping.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		return refuse(409, "the policy was changed by somebody else just now; look at it again", 0)
+		return Refuse(409, "the policy was changed by somebody else just now; look at it again", 0)
 	case errors.Is(err, bookkeeping.ErrTooLarge):
-		return refuse(422, "too large for the state service; split it", 0)
+		return Refuse(422, "too large for the state service; split it", 0)
 	case err != nil:
-		return unavailable(err)
+		return unavailableResponse(err)
 	}
 	c.do(func() {
-		if revision <= c.policy.stamp {
+		if revision <= c.policy.headRevision {
 			return // the watch was faster
 		}
 		for _, change := range txn.Then {
 			c.applyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
 		}
-		c.publishPolicy(c.fresh)
+		c.PublishPolicy(c.RecordsAsOf)
 	})
-	return transport.Response{Status: 200, Body: protocol.Encode(rights.Version{Version: head.Version, MaxChanges: c.policyRoom()})}
+	return transport.Response{Status: 200, Body: protocol.Encode(rights.Version{Version: head.Version, MaxChanges: c.policyChangeLimit()})}
 }
 
 // changeDetail says in words what a change of the policy was.
@@ -227,13 +227,13 @@
 )
 
 // showPolicy answers with a page of the policy.
-func (c *Controller) showPolicy(who *caller, req *transport.Request) transport.Response {
+func (c *Controller) showPolicy(who *Caller, req *transport.Request) transport.Response {
 	q, err := url.ParseQuery(req.Query)
 	if err != nil {
-		return refuse(400, "bad query", 0)
+		return Refuse(400, "bad query", 0)
 	}
 	view := c.guard.policy.Load()
-	answer := rights.Page{Version: view.version, MaxChanges: c.policyRoom()}
+	answer := rights.Page{Version: view.version, MaxChanges: c.policyChangeLimit()}
 	size := 0
 	fits := func(v any) bool {
 		size += protocol.JSONSize(protocol.Encode(v))
@@ -263,8 +263,8 @@
 			answer.Identities = append(answer.Identities, id)
 		}
 	default:
-		return refuse(404, "no such path", 0)
+		return Refuse(404, "no such path", 0)
 	}
-	c.looked(who, "read-policy", rights.Queue{}, "")
+	c.NoteRead(who, "read-policy", rights.Queue{}, "")
 	return transport.Response{Status: 200, Body: protocol.Encode(answer)}
 }
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -12,30 +12,30 @@
 )
 
 // owner makes a controller that owns every part, without a network.
-func owner(t testing.TB) (c *Controller, p *part) {
+func owner(t testing.TB) (c *Controller, p *Partition) {
 	w := newWorld(t, 1)
 	w.set.Label = "n0"
 	c = New(t.Context(), &w.set, settings.DefaultOperator(), nil, slog.New(slog.DiscardHandler))
-	c.setCatalog(w.cloud.Types)
-	for _, p := range c.parts {
-		p.owner, p.version, p.mine, p.ready = "n0", 1, true, true
+	c.SetCatalog(w.cloud.Types)
+	for _, p := range c.Partitions {
+		p.Leader, p.LeaseRevision, p.Held, p.Ready = "n0", 1, true, true
 	}
-	return c, c.parts[c.teamPart[c.teamIndex["green"]]]
+	return c, c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 }
 
 // up puts a usable machine on record.
-func (c *Controller) up(p *part, name, typ string) *machine {
+func (c *Controller) up(p *Partition, name, typ string) *Machine {
 	now := time.Now()
-	c.machineRecorded(name, bookkeeping.Machine{Part: p.index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
-	m := c.machines[name]
-	m.heard, m.fenced, m.session, m.answeredBy = true, true, 1, now
+	c.MachineRecorded(name, bookkeeping.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
+	m := c.Machines[name]
+	m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, now
 	return m
 }
 
-func (c *Controller) take(s *protocol.JobSpec) *job {
+func (c *Controller) take(s *protocol.JobSpec) *Job {
 	s.SubmittedMS = time.Now().UnixMilli()
-	c.applyJobRecord(s.ID, bookkeeping.Encode(s))
-	return c.jobs[s.ID]
+	c.ApplyJobRecord(s.ID, bookkeeping.Encode(s))
+	return c.Jobs[s.ID]
 }
 
 // By deadline alone, a backlog makes every job late; the largest goes last.
@@ -48,15 +48,15 @@
 	c.take(large)
 	c.take(small)
 	var got []string
-	for _, j := range c.inOrder(p) {
-		got = append(got, j.spec.ID)
+	for _, j := range c.Queue(p) {
+		got = append(got, j.Spec.ID)
 	}
 	if strings.Join(got, " ") != "job-2 job-1" {
 		t.Errorf("order %v: 24 s of work can't all be over in 21 s", got)
 	}
 	c.up(p, "m-2", "big")
-	p.order = nil
-	if first := c.inOrder(p)[0].spec.ID; first != "job-1" {
+	p.QueueOrder = nil
+	if first := c.Queue(p)[0].Spec.ID; first != "job-1" {
 		t.Errorf("%s goes first though both can be in time", first)
 	}
 }
@@ -67,23 +67,23 @@
 	t.Parallel()
 	c, p := owner(t)
 	small, big := c.up(p, "m-1", "small"), c.up(p, "m-2", "big")
-	big.images["img"] = time.Now() // it would win the tie
+	big.Images["img"] = time.Now() // it would win the tie
 	s := spec("job-1", 3, "green")
 	s.Urgency = protocol.High
 	easy := c.take(s)
 	s = spec("job-2", 2, "green")
 	s.CPUs = 16 // fits big machines only
 	choosy := c.take(s)
-	c.place(p, time.Now())
-	on := map[*machine]int{}
-	for _, a := range easy.live {
-		on[a.machine]++
+	c.Place(p, time.Now())
+	on := map[*Machine]int{}
+	for _, a := range easy.LiveAttempts {
+		on[a.Machine]++
 	}
 	if on[small] != 2 || on[big] != 1 {
 		t.Errorf("small tasks on small %d and big %d machines, want 2 and 1", on[small], on[big])
 	}
-	if len(choosy.live) != 1 {
-		t.Errorf("%d large tasks placed", len(choosy.live))
+	if len(choosy.LiveAttempts) != 1 {
+		t.Errorf("%d large tasks placed", len(choosy.LiveAttempts))
 	}
 }
 
@@ -97,12 +97,12 @@
 	}{{5 * time.Second, 1}, {time.Minute, 9}} {
 		c, p := owner(t)
 		now := time.Now()
-		c.machineRecorded("m-1", bookkeeping.Machine{Part: p.index, Type: "big", Zone: "a", Spot: true,
+		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
 			RentedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
-		c.machines["m-1"].ownedSince = now.Add(-tc.age)
+		c.Machines["m-1"].LedSince = now.Add(-tc.age)
 		c.take(spec("job-1", 9, "green"))
 		count := uint32(0)
-		for _, d := range c.partSummary(p, now).Demands {
+		for _, d := range c.partitionSummary(p, now).Demands {
 			count += d.Count
 		}
 		if count != tc.want {
@@ -115,11 +115,11 @@
 func TestDemandsShareTheTeamsLimit(t *testing.T) {
 	t.Parallel()
 	c, _ := owner(t)
-	p := c.parts[c.teamPart[c.teamIndex["red"]]] // limit 32: eight tasks
+	p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]] // limit 32: eight tasks
 	c.take(spec("job-1", 6, "red"))
 	c.take(spec("job-2", 6, "red"))
 	count := uint32(0)
-	for _, d := range c.partSummary(p, time.Now()).Demands {
+	for _, d := range c.partitionSummary(p, time.Now()).Demands {
 		count += d.Count
 	}
 	if count != 8 {
@@ -163,18 +163,18 @@
 	high, low := spec("job-1", 1, "green"), spec("job-2", 1, "green")
 	high.Urgency = protocol.High
 	first, second := c.take(high), c.take(low)
-	first.queue, first.touched = nil, false // all of it runs, and is on record
-	if list := c.inOrder(p); len(list) != 1 || list[0] != second {
+	first.Pending, first.RecordsChanged = nil, false // all of it runs, and is on record
+	if list := c.Queue(p); len(list) != 1 || list[0] != second {
 		t.Fatalf("%d jobs want something", len(list))
 	}
-	first.requeue(0)
-	if list := c.inOrder(p); len(list) != 2 || list[0] != first {
+	first.Requeue(0)
+	if list := c.Queue(p); len(list) != 2 || list[0] != first {
 		t.Error("a task that waits again is served after lower work")
 	}
-	p.order, first.queue = nil, nil
-	c.inOrder(p)
-	first.touch(0, false, time.Now())
-	if list := c.inOrder(p); len(list) != 2 || list[0] != first {
+	p.QueueOrder, first.Pending = nil, nil
+	c.Queue(p)
+	first.MarkDirty(0, false, time.Now())
+	if list := c.Queue(p); len(list) != 2 || list[0] != first {
 		t.Error("a record that changed is written after lower work's")
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -11,110 +11,110 @@
 	"micaspindle/internal/coordination/preemption"
 )
 
-const preemptEvery = time.Second
+const preemptInterval = time.Second
 
-// preempt stops running work for jobs that must start now and find no room.
-func (c *Controller) preempt(p *part, now time.Time) {
-	if now.Sub(p.preempted) < preemptEvery {
+// Preempt stops running work for jobs that must start now and find no room.
+func (c *Controller) Preempt(p *Partition, now time.Time) {
+	if now.Sub(p.PreemptedAt) < preemptInterval {
 		return
 	}
-	p.preempted = now
-	list := c.inOrder(p)
-	if !slices.ContainsFunc(list, func(j *job) bool { return c.mayPreemptFor(p, j, now) }) {
+	p.PreemptedAt = now
+	list := c.Queue(p)
+	if !slices.ContainsFunc(list, func(j *Job) bool { return c.mayPreemptFor(p, j, now) }) {
 		return
 	}
-	list = append(list, p.rest...) // what runs may be stopped
-	v, tasks := c.viewForPreemption(p, list, now)
+	list = append(list, p.IdleJobs...) // what runs may be stopped
+	v, tasks := c.partitionPreemptionView(p, list, now)
 	for _, s := range preemption.Decide(v) {
 		a, j := tasks[s.Task], list[s.For]
 		reason := "a job must start"
 		if s.OwnLimit {
 			reason = "team's limit"
 		}
-		c.log.Info("preempting", "task", a.wire(), "machine", a.machine.name, "for", j.spec.ID, "reason", reason)
+		c.log.Info("preempting", "task", a.TaskName(), "machine", a.Machine.Name, "for", j.Spec.ID, "reason", reason)
 		c.metrics.Count(observe.Stopped, 1)
-		c.stopAttempt(a, a.job.spec.SaveS+1, now)
+		c.StopAttempt(a, a.Job.Spec.SaveS+1, now)
 	}
 }
 
 // mayPreemptFor says whether a job must start now, before anything more is looked at.
-func (c *Controller) mayPreemptFor(p *part, j *job, now time.Time) bool {
-	if len(j.queue) == 0 || j.spec.Gang || j.withdrawn || now.Before(j.holdTill) {
+func (c *Controller) mayPreemptFor(p *Partition, j *Job, now time.Time) bool {
+	if len(j.Pending) == 0 || j.Spec.Gang || j.Ended || now.Before(j.BackoffUntil) {
 		return false
 	}
-	v, t := c.forPreemption(j, now), c.teamFor(p, j.team)
+	v, t := c.preemptionView(j, now), c.preemptionTeam(p, j.Team)
 	return preemption.MustStart(&v, &t, now)
 }
 
-func (c *Controller) forPreemption(j *job, now time.Time) preemption.Job {
-	due, _ := j.deadline()
-	return preemption.Job{Team: j.team, Urgency: j.urgency(), Need: needOf(j.spec), Wish: wishOf(j.spec), Since: j.since(), Due: due,
-		EstimateS: c.estimate(j.spec), Waiting: len(j.queue), Standing: j.spec.Standing,
-		Never: j.spec.Gang || j.withdrawn || now.Before(j.holdTill), Failed: j.failedOn, Groups: j.groups()}
+func (c *Controller) preemptionView(j *Job, now time.Time) preemption.Job {
+	due, _ := j.Deadline()
+	return preemption.Job{Team: j.Team, Urgency: j.Urgency(), Resources: ResourcesOf(j.Spec), Constraints: ConstraintsOf(j.Spec), Since: j.ReadySince(), Due: due,
+		EstimateS: c.EstimateS(j.Spec), Waiting: len(j.Pending), Standing: j.Spec.Standing,
+		Never: j.Spec.Gang || j.Ended || now.Before(j.BackoffUntil), Failed: j.FailedMachines, Groups: j.Groups()}
 }
 
-func (c *Controller) teamFor(p *part, team int) preemption.Team {
-	t := c.set.Params.Teams[team]
-	return preemption.Team{Guarantee: fit.Share{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: limitOf(t), Used: p.usage[team]}
+func (c *Controller) preemptionTeam(p *Partition, team int) preemption.Team {
+	t := c.Settings.Params.Teams[team]
+	return preemption.Team{Guarantee: fit.Compute{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: TeamLimit(t), Used: p.Usage[team]}
 }
 
-// viewForPreemption gathers a part with all that runs on its usable machines.
-func (c *Controller) viewForPreemption(p *part, list []*job, now time.Time) (preemption.View, []*attempt) {
+// partitionPreemptionView gathers a part with all that runs on its usable machines.
+func (c *Controller) partitionPreemptionView(p *Partition, list []*Job, now time.Time) (preemption.View, []*Attempt) {
 	v := preemption.View{Now: now}
-	for team := range c.set.Params.Teams {
-		v.Teams = append(v.Teams, c.teamFor(p, team))
+	for team := range c.Settings.Params.Teams {
+		v.Teams = append(v.Teams, c.preemptionTeam(p, team))
 	}
-	index := make(map[*job]int, len(list))
-	note := func(j *job) int {
+	index := make(map[*Job]int, len(list))
+	note := func(j *Job) int {
 		i, ok := index[j]
 		if !ok {
 			i = len(v.Jobs)
 			index[j] = i
-			v.Jobs = append(v.Jobs, c.forPreemption(j, now))
+			v.Jobs = append(v.Jobs, c.preemptionView(j, now))
 		}
 		return i
 	}
 	zones := map[string]bool{}
-	for _, m := range c.machines {
-		zones[m.rec.Zone] = true
+	for _, m := range c.Machines {
+		zones[m.Record.Zone] = true
 	}
 	for i, j := range list {
 		note(j)
-		if len(j.queue) > 0 && (j.spec.OneZone || j.spec.Spread) {
-			closed, in := map[string]bool{}, j.zones()
+		if len(j.Pending) > 0 && (j.Spec.OneZone || j.Spec.Spread) {
+			closed, in := map[string]bool{}, j.ZoneCounts()
 			for zone := range zones {
-				closed[zone] = !placement.Open(j.spec.OneZone, j.spec.Spread, j.spec.Tasks, in, zone)
+				closed[zone] = !placement.Open(j.Spec.OneZone, j.Spec.Spread, j.Spec.Tasks, in, zone)
 			}
 			v.Jobs[i].Closed = closed
 		}
 	}
-	var tasks []*attempt
-	known := map[*attempt]int{}
-	task := func(a *attempt) int {
+	var tasks []*Attempt
+	known := map[*Attempt]int{}
+	task := func(a *Attempt) int {
 		i, ok := known[a]
 		if !ok {
 			i = len(tasks)
 			known[a] = i
 			tasks = append(tasks, a)
-			v.Tasks = append(v.Tasks, preemption.Task{Job: note(a.job), Name: a.wire(), Loss: c.loss(a, now), Stopping: a.stopping,
-				KeptFor: p.floor.keeps(a)})
+			v.Tasks = append(v.Tasks, preemption.Task{Job: note(a.Job), Name: a.TaskName(), Loss: c.lostWork(a, now), Stopping: a.Stopping,
+				ReservedFor: p.FairShare.ReservationOf(a)})
 		}
 		return i
 	}
 	for _, j := range list {
-		for _, a := range j.mates() {
-			if a.live() {
+		for _, a := range j.Attempts() {
+			if a.Live() {
 				task(a)
 			}
 		}
 	}
-	for _, m := range c.machines {
-		if m.rec.Part != p.index || !c.usable(m, now) {
+	for _, m := range c.Machines {
+		if m.Record.Partition != p.Index || !c.Usable(m, now) {
 			continue
 		}
-		view := preemption.Machine{Name: m.name, Kind: kindOf(m.rec), Free: m.free()}
-		for _, a := range m.sorted() {
-			if a.live() {
+		view := preemption.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Free: m.Free()}
+		for _, a := range m.SortedAttempts() {
+			if a.Live() {
 				view.Tasks = append(view.Tasks, task(a))
 			}
 		}
@@ -124,13 +124,13 @@
 	return v, tasks
 }
 
-// loss is what stopping an attempt throws away, in CPU seconds. A service
+// lostWork is what stopping an attempt throws away, in CPU seconds. A service
 // loses nothing: what its replicas have run has been of use.
-func (c *Controller) loss(a *attempt, now time.Time) float64 {
-	s := a.job.spec
+func (c *Controller) lostWork(a *Attempt, now time.Time) float64 {
+	s := a.Job.Spec
 	lost := 0.0
 	if !s.Standing {
-		lost = a.ranS(now)
+		lost = a.RunningS(now)
 	}
 	if s.CheckpointS > 0 {
 		lost = min(lost, s.SaveS)
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -28,14 +28,14 @@
 )
 
 // Team is a team's rights and use. A limit of 0 is none.
-type Team struct{ Guarantee, Limit, Used fit.Share }
+type Team struct{ Guarantee, Limit, Used fit.Compute }
 
 // Job is a job that waits, or whose work may be stopped.
 type Job struct {
-	Team    int
-	Urgency protocol.Urgency
-	Need    fit.Amounts
-	Wish    fit.Wish
+	Team        int
+	Urgency     protocol.Urgency
+	Resources   fit.Resources
+	Constraints fit.Constraints
 	// Since is when it could first have started, Due when it should be done; zero:
 	// no matter.
 	Since, Due time.Time
@@ -58,20 +58,22 @@
 	// Loss is what stopping it throws away, in CPU seconds.
 	Loss     float64
 	Stopping bool
-	// KeptFor is the group of jobs, a class or team that is behind, for which the room
+	// ReservedFor is the group of jobs, a class or team that is behind, for which the room
 	// is kept that it runs in; it is stopped only for others of the group. 0: none.
-	KeptFor int
+	ReservedFor int
 }
 
 // spared says whether a task must not be stopped for a job, which would undo what is
 // kept for those that are behind.
-func (t *Task) spared(j *Job) bool { return t.KeptFor != 0 && !slices.Contains(j.Groups[:], t.KeptFor) }
+func (t *Task) spared(j *Job) bool {
+	return t.ReservedFor != 0 && !slices.Contains(j.Groups[:], t.ReservedFor)
+}
 
 // Machine is a usable one with what runs on it, in order of names.
 type Machine struct {
 	Name  string
-	Kind  fit.Kind
-	Free  fit.Amounts
+	Kind  fit.MachineKind
+	Free  fit.Resources
 	Tasks []int
 }
 
@@ -98,7 +100,7 @@
 		return now.Sub(j.Since) > patience
 	}
 	moment := lastMoment
-	if !t.Limit.Allows(t.Used, j.Need) {
+	if !t.Limit.Allows(t.Used, j.Resources) {
 		moment = quotaMoment
 	}
 	spare := j.Due.Sub(now) - time.Duration(j.EstimateS*float64(time.Second))
@@ -107,8 +109,8 @@
 
 // guarantees says whether one more task keeps the team in its guarantee.
 func (t *Team) guarantees(j *Job) bool {
-	return (t.Guarantee.CPUs > 0 || t.Guarantee.GPUs > 0) && t.Used.CPUs+j.Need.CPUs <= t.Guarantee.CPUs+fit.Epsilon &&
-		(j.Need.GPUs == 0 || t.Used.GPUs+j.Need.GPUs <= t.Guarantee.GPUs+fit.Epsilon)
+	return (t.Guarantee.CPUs > 0 || t.Guarantee.GPUs > 0) && t.Used.CPUs+j.Resources.CPUs <= t.Guarantee.CPUs+fit.Epsilon &&
+		(j.Resources.GPUs == 0 || t.Used.GPUs+j.Resources.GPUs <= t.Guarantee.GPUs+fit.Epsilon)
 }
 
 // beyond says whether the team uses more than its guarantee.
@@ -136,7 +138,7 @@
 		if j.Waiting == 0 || j.Never || !MustStart(j, team, v.Now) {
 			continue
 		}
-		if !team.Limit.Allows(team.Used, j.Need) {
+		if !team.Limit.Allows(team.Used, j.Resources) {
 			r.freeQuota(i)
 			continue
 		}
@@ -172,7 +174,7 @@
 func (r *round) freeQuota(at int) {
 	j := &r.Jobs[at]
 	t := &r.Teams[j.Team]
-	room := fit.Share{CPUs: t.Limit.CPUs - t.Used.CPUs, GPUs: t.Limit.GPUs - t.Used.GPUs}
+	room := fit.Compute{CPUs: t.Limit.CPUs - t.Used.CPUs, GPUs: t.Limit.GPUs - t.Used.GPUs}
 	var victims []int
 	for i, task := range r.Tasks {
 		lower := &r.Jobs[task.Job]
@@ -181,8 +183,8 @@
 		}
 		switch {
 		case r.stopping[i]:
-			room.Add(lower.Need, 1)
-		case task.Loss <= worth(j, lower.Need.CPUs):
+			room.Add(lower.Resources, 1)
+		case task.Loss <= worth(j, lower.Resources.CPUs):
 			victims = append(victims, i)
 		}
 	}
@@ -191,14 +193,14 @@
 	})
 	need := float64(j.Waiting)
 	fits := func() bool {
-		return (t.Limit.CPUs <= 0 || need*j.Need.CPUs <= room.CPUs+fit.Epsilon || room.CPUs >= t.Limit.CPUs-j.Need.CPUs) &&
-			(t.Limit.GPUs <= 0 || need*j.Need.GPUs <= room.GPUs+fit.Epsilon || room.GPUs >= t.Limit.GPUs-j.Need.GPUs)
+		return (t.Limit.CPUs <= 0 || need*j.Resources.CPUs <= room.CPUs+fit.Epsilon || room.CPUs >= t.Limit.CPUs-j.Resources.CPUs) &&
+			(t.Limit.GPUs <= 0 || need*j.Resources.GPUs <= room.GPUs+fit.Epsilon || room.GPUs >= t.Limit.GPUs-j.Resources.GPUs)
 	}
 	for _, i := range victims {
 		if len(r.stops) >= most || fits() {
 			break
 		}
-		room.Add(r.Jobs[r.Tasks[i].Job].Need, 1)
+		room.Add(r.Jobs[r.Tasks[i].Job].Resources, 1)
 		r.stop(i, at, true)
 	}
 }
@@ -215,7 +217,7 @@
 	least := 0.0
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		if r.promised[i] || !j.Wish.Allows(m.Kind) || j.Closed[m.Kind.Zone] || j.Failed[m.Name] {
+		if r.promised[i] || !j.Constraints.Allows(m.Kind) || j.Closed[m.Kind.Zone] || j.Failed[m.Name] {
 			continue
 		}
 		room := m.Free
@@ -224,7 +226,7 @@
 			victim := &r.Jobs[r.Tasks[t].Job]
 			switch {
 			case r.stopping[t]:
-				room = room.Plus(victim.Need, 1)
+				room = room.Plus(victim.Resources, 1)
 			case !r.Tasks[t].spared(j) && r.may(j, guaranteed, victim):
 				candidates = append(candidates, t)
 			}
@@ -233,17 +235,17 @@
 		var stop []int
 		cost := 0.0
 		for _, t := range candidates {
-			if room.Holds(j.Need) {
+			if room.Holds(j.Resources) {
 				break
 			}
-			room = room.Plus(r.Jobs[r.Tasks[t].Job].Need, 1)
+			room = room.Plus(r.Jobs[r.Tasks[t].Job].Resources, 1)
 			stop = append(stop, t)
 			cost += r.Tasks[t].Loss
 		}
-		if !j.Standing && cost > worth(j, j.Need.CPUs) {
+		if !j.Standing && cost > worth(j, j.Resources.CPUs) {
 			continue
 		}
-		if room.Holds(j.Need) && (best < 0 || cost < least) {
+		if room.Holds(j.Resources) && (best < 0 || cost < least) {
 			best, chosen, least = i, stop, cost
 		}
 	}
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -16,13 +16,13 @@
 const red, blue, green = 0, 1, 2 // red beyond its 16, blue within its, green has none
 
 func teams() []Team {
-	sixteen := fit.Share{CPUs: 16}
-	return []Team{{Guarantee: sixteen, Used: fit.Share{CPUs: 20}}, {Guarantee: sixteen, Used: fit.Share{CPUs: 8}}, {Used: fit.Share{CPUs: 4}}}
+	sixteen := fit.Compute{CPUs: 16}
+	return []Team{{Guarantee: sixteen, Used: fit.Compute{CPUs: 20}}, {Guarantee: sixteen, Used: fit.Compute{CPUs: 8}}, {Used: fit.Compute{CPUs: 4}}}
 }
 
 // must is a job that has to start now.
 func must(team int, u protocol.Urgency) Job {
-	return Job{Team: team, Urgency: u, Need: fit.Amounts{CPUs: 4, MemGB: 4}, Wish: fit.Wish{Spot: true}, Due: now.Add(15 * time.Second), EstimateS: 10, Waiting: 1}
+	return Job{Team: team, Urgency: u, Resources: fit.Resources{CPUs: 4, MemGB: 4}, Constraints: fit.Constraints{Spot: true}, Due: now.Add(15 * time.Second), EstimateS: 10, Waiting: 1}
 }
 
 // Who may be stopped for whom: PROTOCOL, "Preemption".
@@ -69,10 +69,10 @@
 		"not what costs more than it brings":    {func(v *View) { v.Tasks[0].Loss, v.Tasks[1].Loss = 41, 41 }, nil},
 		"what stops already is enough":          {func(v *View) { v.Tasks[1].Stopping = true }, nil},
 		"each machine once":                     {func(v *View) { v.Jobs[0].Waiting = 3 }, []Stop{{Task: 1}, {Task: 0}}},
-		"not what runs in what is kept":         {func(v *View) { v.Tasks[1].KeptFor = 7 }, []Stop{{Task: 0}}},
-		"but for others that it is kept for":    {func(v *View) { v.Tasks[1].KeptFor, v.Jobs[0].Groups[1] = 7, 7 }, []Stop{{Task: 1}}},
+		"not what runs in what is kept":         {func(v *View) { v.Tasks[1].ReservedFor = 7 }, []Stop{{Task: 0}}},
+		"but for others that it is kept for":    {func(v *View) { v.Tasks[1].ReservedFor, v.Jobs[0].Groups[1] = 7, 7 }, []Stop{{Task: 1}}},
 		"not what is kept of the limit": {func(v *View) {
-			v.Jobs[1].Team, v.Tasks[1].KeptFor = red, 7
+			v.Jobs[1].Team, v.Tasks[1].ReservedFor = red, 7
 			v.Teams[red].Limit.CPUs = 20
 		}, []Stop{{Task: 0, OwnLimit: true}}},
 		"the team's own lower work, where its limit is in the way": {func(v *View) {
@@ -100,7 +100,7 @@
 			v.Jobs = append(v.Jobs, j)
 		}
 		for i := range 1 + rng.IntN(6) {
-			m := Machine{Name: fmt.Sprint("m-", i), Free: fit.Amounts{CPUs: float64(rng.IntN(4)), MemGB: 100}}
+			m := Machine{Name: fmt.Sprint("m-", i), Free: fit.Resources{CPUs: float64(rng.IntN(4)), MemGB: 100}}
 			for range rng.IntN(5) {
 				m.Tasks = append(m.Tasks, len(v.Tasks))
 				v.Tasks = append(v.Tasks, Task{Job: rng.IntN(len(v.Jobs)), Name: fmt.Sprint(len(v.Tasks)), Loss: float64(rng.IntN(60)), Stopping: rng.IntN(5) == 0})
--- a/internal/coordination/procon/procon.go
+++ b/internal/coordination/procon/procon.go
@@ -29,14 +29,14 @@
 
 	// The machine as it is does not depend on the newcomer, so that many can be
 	// placed against one computation.
-	known           bool
+	computed        bool
 	use, contention float64
 }
 
-// know computes what does not depend on a newcomer, once.
-func (h Horizon) know(m *Machine) {
-	if !m.known {
-		m.known, m.use, m.contention = true, Use(m.Tasks), h.Contention(m.Tasks)
+// precompute computes what does not depend on a newcomer, once.
+func (h Horizon) precompute(m *Machine) {
+	if !m.computed {
+		m.computed, m.use, m.contention = true, Use(m.Tasks), h.Contention(m.Tasks)
 	}
 }
 
@@ -118,7 +118,7 @@
 		}
 	}
 	for i, m := range machines {
-		if h.know(m); m.use < m.Limit {
+		if h.precompute(m); m.use < m.Limit {
 			consider(i, m.contention)
 		}
 	}
--- a/internal/coordination/random_meetings_test.go
+++ b/internal/coordination/random_meetings_test.go
@@ -63,11 +63,11 @@
 
 func stepOf(key string) string {
 	switch kind, _ := bookkeeping.ParseKey(key); kind {
-	case bookkeeping.KindClaim:
+	case bookkeeping.KindLease:
 		return "claim"
-	case bookkeeping.KindLeader:
+	case bookkeeping.KindLeadership:
 		return "leader"
-	case bookkeeping.KindLife:
+	case bookkeeping.KindIncarnation:
 		return "life"
 	case bookkeeping.KindFinal:
 		return "final"
--- a/internal/coordination/reassign.go
+++ b/internal/coordination/reassign.go
@@ -20,47 +20,47 @@
 // it was: so in one transaction the job is withdrawn and its successor, under a
 // new id, is accepted. That none of its tasks was started is a condition on its
 // run records: every start is written there first.
-func (c *Controller) reassign(ctx context.Context, who *caller, id string, req *transport.Request) transport.Response {
-	from, refusal := c.admitJob(ctx, who, rights.Reassign, id)
+func (c *Controller) reassign(ctx context.Context, who *Caller, id string, req *transport.Request) transport.Response {
+	from, refusal := c.AuthorizeJob(ctx, who, rights.Reassign, id)
 	if refusal != nil {
 		return *refusal
 	}
 	var body protocol.Reassignment
 	if err := protocol.Decode(req.Body, &body); err != nil {
-		return refuse(400, oneLine(err), 0)
+		return Refuse(400, firstLine(err), 0)
 	}
 	if !protocol.ValidID(body.As) || body.As == id {
-		return refuse(400, "as: the successor needs an id of its own", 0)
+		return Refuse(400, "as: the successor needs an id of its own", 0)
 	}
 	if body.Team == "" {
-		return refuse(400, "owner: the new team is missing", 0)
+		return Refuse(400, "owner: the new team is missing", 0)
 	}
 	if body.Class == "" {
 		body.Class = from.Class
 	}
 	to := rights.Queue{Team: body.Team, Class: body.Class}
 	if !c.guard.allows(who, rights.Reassign, to) {
-		return *c.deny(who, rights.Reassign.String(), to, id, 403, "may not move jobs to this queue")
+		return *c.Deny(who, rights.Reassign.String(), to, id, 403, "may not move jobs to this queue")
 	}
-	spec, err := c.readSpec(ctx, nil, id)
+	spec, err := c.ReadSpec(ctx, nil, id)
 	switch {
 	case errors.Is(err, bookkeeping.ErrNotFound):
-		return refuse(404, "no such job", 0)
+		return Refuse(404, "no such job", 0)
 	case err != nil:
-		return unavailable(err)
+		return unavailableResponse(err)
 	}
 	part, reason := 0, ""
 	next := *spec
 	next.ID, next.Team, next.Class, next.Replaces = body.As, body.Team, body.Class, id
 	c.do(func() {
-		team, ok := c.teamIndex[spec.Team]
+		team, ok := c.TeamIndex[spec.Team]
 		if !ok {
 			reason = "its team is not in the settings any more"
 			return
 		}
-		part = c.teamPart[team]
-		reason = c.impossible(&next)
-		if reason == "" && c.graph.needed(id) {
+		part = c.TeamPartition[team]
+		reason = c.checkFeasible(&next)
+		if reason == "" && c.Dependencies.HasDependents(id) {
 			reason = "other jobs wait for this one; withdraw and submit the pipeline again"
 		}
 	})
@@ -70,7 +70,7 @@
 		reason = fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", most*bookkeeping.ChunkTasks)
 	}
 	if reason != "" {
-		return refuse(422, reason, 0)
+		return Refuse(422, reason, 0)
 	}
 	final := bookkeeping.Final{Status: protocol.StatusWithdrawn, AtMS: time.Now().UnixMilli(), Successor: body.As}
 	value := bookkeeping.Encode(&next)
@@ -81,21 +81,21 @@
 	for k := range chunks {
 		txn.If = append(txn.If, protocol.Condition{Key: bookkeeping.RunKey(part, id, k)})
 	}
-	r := c.record(who, rights.Reassign.String(), from, id)
-	r.Detail = fmt.Sprintf("to team %s, class %s as %s", clip(to.Team), clip(to.Class), body.As)
-	_, err = c.userCommit(ctx, txn, r)
+	r := c.AuditRecord(who, rights.Reassign.String(), from, id)
+	r.Detail = fmt.Sprintf("to team %s, class %s as %s", clipText(to.Team), clipText(to.Class), body.As)
+	_, err = c.Commit(ctx, txn, r)
 	var conflict *bookkeeping.Conflict
 	switch {
 	case errors.As(err, &conflict):
 		return c.notReassigned(ctx, id, body.As)
 	case errors.Is(err, bookkeeping.ErrTooLarge):
-		return refuse(422, "too large for the state service; withdraw it and submit it again", 0)
+		return Refuse(422, "too large for the state service; withdraw it and submit it again", 0)
 	case err != nil:
-		return unavailable(err)
+		return unavailableResponse(err)
 	}
 	c.do(func() {
-		c.setFinal(id, protocol.StatusWithdrawn, time.Now())
-		c.applyJobRecord(body.As, value)
+		c.SetFinal(id, protocol.StatusWithdrawn, time.Now())
+		c.ApplyJobRecord(body.As, value)
 	})
 	return statusResponse(200, protocol.JobStatus{ID: body.As, Status: protocol.StatusQueued})
 }
@@ -107,37 +107,37 @@
 	switch {
 	case errors.Is(err, bookkeeping.ErrNotFound):
 		if _, err := c.store.UserGet(ctx, bookkeeping.JobKey(as)); err == nil {
-			return refuse(409, "the id for the successor is taken", 0)
+			return Refuse(409, "the id for the successor is taken", 0)
 		}
-		return refuse(409, "the job has started", 0)
+		return Refuse(409, "the job has started", 0)
 	case err != nil:
-		return unavailable(err)
+		return unavailableResponse(err)
 	case bookkeeping.Decode(item.Value, &final) != nil:
-		return unavailable(bookkeeping.ErrUnknown)
+		return unavailableResponse(bookkeeping.ErrUnknown)
 	case final.Successor == as:
-		st, found, err := c.status(ctx, as)
+		st, found, err := c.jobStatus(ctx, as)
 		if err != nil || !found {
-			return unavailable(errors.Join(bookkeeping.ErrUnknown, err))
+			return unavailableResponse(errors.Join(bookkeeping.ErrUnknown, err))
 		}
 		return statusResponse(200, st)
 	}
-	return refuse(409, "the job is "+final.Status+" already", 0)
+	return Refuse(409, "the job is "+final.Status+" already", 0)
 }
 
 const (
 	// Of a sweep: how many jobs at a time, and for how long.
-	sweepJobs    = 200
-	sweepAtATime = 8
-	sweepFor     = 3 * time.Second
+	cancelAllLimit   = 200
+	cancelAllWorkers = 8
+	cancelAllTimeout = 3 * time.Second
 )
 
-// sweep withdraws the unfinished jobs that somebody has submitted, as far as the
+// cancelAllOf withdraws the unfinished jobs that somebody has submitted, as far as the
 // caller administers their queues. It answers after a while with what is left;
 // the caller asks again.
-func (c *Controller) sweep(ctx context.Context, who *caller, req *transport.Request) transport.Response {
+func (c *Controller) cancelAllOf(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	var body protocol.Sweep
 	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
-		return refuse(400, "by: whose jobs are to be withdrawn", 0)
+		return Refuse(400, "by: whose jobs are to be withdrawn", 0)
 	}
 	type found struct {
 		id    string
@@ -145,33 +145,33 @@
 	}
 	var jobs []found
 	c.do(func() {
-		for id, j := range c.jobs {
-			if j.spec.By == body.By && c.finals[id] == "" {
-				jobs = append(jobs, found{id, rights.Queue{Team: j.spec.Team, Class: j.spec.Class}})
+		for id, j := range c.Jobs {
+			if j.Spec.By == body.By && c.FinalStates[id] == "" {
+				jobs = append(jobs, found{id, rights.Queue{Team: j.Spec.Team, Class: j.Spec.Class}})
 			}
 		}
 	})
 	answer := protocol.SweepResult{}
 	jobs = slices.DeleteFunc(jobs, func(f found) bool {
-		if who.through == "" && c.guard.allows(who, rights.Administer, f.queue) {
+		if who.Service == "" && c.guard.allows(who, rights.Administer, f.queue) {
 			return false
 		}
 		answer.NotAllowed++
-		c.deny(who, "withdraw-all", f.queue, f.id, 403, "does not administer this queue")
+		c.Deny(who, "withdraw-all", f.queue, f.id, 403, "does not administer this queue")
 		return true
 	})
 	slices.SortFunc(jobs, func(a, b found) int { return strings.Compare(a.id, b.id) })
-	ctx, cancel := context.WithTimeout(ctx, sweepFor)
+	ctx, cancel := context.WithTimeout(ctx, cancelAllTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	work := make(chan found)
-	for range sweepAtATime {
+	for range cancelAllWorkers {
 		wg.Go(func() {
 			for f := range work {
-				r := c.record(who, "withdraw-all", f.queue, f.id)
-				r.Detail = "submitted by " + clip(body.By)
-				status, err := c.withdrawNow(ctx, f.id, r)
+				r := c.AuditRecord(who, "withdraw-all", f.queue, f.id)
+				r.Detail = "submitted by " + clipText(body.By)
+				status, err := c.cancelNow(ctx, f.id, r)
 				mu.Lock()
 				switch {
 				case err != nil:
@@ -184,7 +184,7 @@
 		})
 	}
 	for i, f := range jobs {
-		if i >= sweepJobs || ctx.Err() != nil {
+		if i >= cancelAllLimit || ctx.Err() != nil {
 			mu.Lock()
 			answer.Left += len(jobs) - i
 			mu.Unlock()
@@ -198,21 +198,21 @@
 }
 
 // arguments tells what a job was submitted with.
-func (c *Controller) arguments(ctx context.Context, who *caller, id string) transport.Response {
-	q, refusal := c.admitJob(ctx, who, rights.ViewArguments, id)
+func (c *Controller) arguments(ctx context.Context, who *Caller, id string) transport.Response {
+	q, refusal := c.AuthorizeJob(ctx, who, rights.ViewArguments, id)
 	if refusal != nil {
 		return *refusal
 	}
-	spec, err := c.readSpec(ctx, nil, id)
+	spec, err := c.ReadSpec(ctx, nil, id)
 	switch {
 	case errors.Is(err, bookkeeping.ErrNotFound):
-		return refuse(404, "no such job", 0)
+		return Refuse(404, "no such job", 0)
 	case err != nil:
-		return unavailable(err)
+		return unavailableResponse(err)
 	}
 	// Looking at arguments is rare and matters: it is recorded by itself.
-	if _, err := c.userCommit(ctx, &protocol.Transaction{}, c.record(who, rights.ViewArguments.String(), q, id)); err != nil {
-		return unavailable(err)
+	if _, err := c.Commit(ctx, &protocol.Transaction{}, c.AuditRecord(who, rights.ViewArguments.String(), q, id)); err != nil {
+		return unavailableResponse(err)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(spec.Arguments())}
 }
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -11,18 +11,18 @@
 	"micaspindle/internal/protocol"
 )
 
-// watchPatience is how long a watch may go on through an outage: after one that is given
+// watchOutagePatience is how long a watch may go on through an outage: after one that is given
 // up everything is listed.
-const watchPatience = 12 * time.Second
+const watchOutagePatience = 12 * time.Second
 
 // watchDuty follows the shared records: a listing, then changes from there.
 func (c *Controller) watchDuty() {
-	tries := c.tries("watch", followPause)
+	tries := c.tries("watch", followBackoff)
 	// As often as the lease is renewed: the older of the two bounds what workers are
 	// answered (informed).
-	wait, patience := c.op.ClaimTTL/3, watchPatience
+	wait, patience := c.Operator.ClaimTTL/3, watchOutagePatience
 	if c.guard != nil {
-		wait, patience = min(wait, policyWait), bookkeeping.ChangePatience
+		wait, patience = min(wait, policyWatchWait), bookkeeping.ChangePatience
 	}
 	late := false
 	revision := uint64(0)
@@ -39,8 +39,8 @@
 			}
 			if !c.do(func() {
 				c.applyListing(items, rev)
-				c.fresh, c.followed = asked, rev
-				c.publishPolicy(asked)
+				c.RecordsAsOf, c.RecordsRevision = asked, rev
+				c.PublishPolicy(asked)
 			}) {
 				return
 			}
@@ -69,8 +69,8 @@
 			for _, e := range ev.Events {
 				c.applyEvent(e)
 			}
-			c.fresh, c.followed = asked, max(c.followed, ev.Revision)
-			c.publishPolicy(asked)
+			c.RecordsAsOf, c.RecordsRevision = asked, max(c.RecordsRevision, ev.Revision)
+			c.PublishPolicy(asked)
 		}) {
 			return
 		}
@@ -83,23 +83,23 @@
 func (c *Controller) applyListing(items []protocol.Item, revision uint64) {
 	now := time.Now()
 	machines, claims, policy := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	c.listedEnds = map[string]time.Time{}
-	defer func() { c.listedEnds = nil }()
+	c.ListedEnds = map[string]time.Time{}
+	defer func() { c.ListedEnds = nil }()
 	// Final states go first, so that ended jobs are not taken up.
 	for _, it := range items {
 		if kind, id := bookkeeping.ParseKey(it.Key); kind == bookkeeping.KindFinal {
-			c.applyFinalRecord(id, it.Value)
+			c.ApplyFinalRecord(id, it.Value)
 		}
 	}
-	c.unfollowed(now)
-	c.forgetDone()
+	c.NoteMissedLeaders(now)
+	c.ResetDoneCounts()
 	for _, it := range items {
 		switch kind, name := bookkeeping.ParseKey(it.Key); kind {
 		case bookkeeping.KindJob:
-			c.listedJob(name, it.Value)
+			c.CountListedJob(name, it.Value)
 		case bookkeeping.KindMachine:
 			machines[name] = true
-		case bookkeeping.KindClaim, bookkeeping.KindLeader:
+		case bookkeeping.KindLease, bookkeeping.KindLeadership:
 			claims[it.Key] = true
 		case bookkeeping.KindPolicyHead, bookkeeping.KindRole, bookkeeping.KindIdentity:
 			policy[it.Key] = true
@@ -109,32 +109,32 @@
 		c.applyEvent(protocol.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
 	// What was written after the listing began is not in it, yet not gone.
-	for name, m := range c.machines {
-		if !machines[name] && m.version <= revision {
-			c.machineDeleted(name, now)
+	for name, m := range c.Machines {
+		if !machines[name] && m.Revision <= revision {
+			c.MachineDeleted(name, now)
 		}
 	}
-	for _, p := range c.parts {
-		if key := bookkeeping.ClaimKey(p.index); !claims[key] && p.version != 0 {
+	for _, p := range c.Partitions {
+		if key := bookkeeping.LeaseKey(p.Index); !claims[key] && p.LeaseRevision != 0 {
 			c.applyEvent(protocol.Event{Delete: key, Version: revision})
 		}
 	}
-	for _, p := range c.parts {
+	for _, p := range c.Partitions {
 		// A part that was never seen claimed is an orphan from now on, so that
 		// its preferred owner has the time to start.
-		if p.version == 0 && p.orphan.IsZero() {
-			p.orphan = now
+		if p.LeaseRevision == 0 && p.VacantSince.IsZero() {
+			p.VacantSince = now
 		}
 	}
-	if !claims[bookkeeping.LeaderKey] {
-		c.applyEvent(protocol.Event{Delete: bookkeeping.LeaderKey, Version: revision})
+	if !claims[bookkeeping.LeadershipKey] {
+		c.applyEvent(protocol.Event{Delete: bookkeeping.LeadershipKey, Version: revision})
 	}
 	if c.guard != nil {
-		c.policy.forget(policy)
+		c.policy.dropUnlisted(policy)
 	}
-	if !c.synced {
-		c.synced = true
-		c.log.Info("records read", "jobs", len(c.jobs), "final", len(c.finals), "machines", len(c.machines))
+	if !c.Synced {
+		c.Synced = true
+		c.log.Info("records read", "jobs", len(c.Jobs), "final", len(c.FinalStates), "machines", len(c.Machines))
 	}
 }
 
@@ -143,37 +143,37 @@
 	key := e.Put + e.Delete
 	kind, name := bookkeeping.ParseKey(key)
 	switch kind {
-	case bookkeeping.KindClaim:
-		for _, p := range c.parts {
-			if bookkeeping.ClaimKey(p.index) == key {
-				c.applyClaim(p, e, now)
+	case bookkeeping.KindLease:
+		for _, p := range c.Partitions {
+			if bookkeeping.LeaseKey(p.Index) == key {
+				c.ApplyLease(p, e, now)
 			}
 		}
-	case bookkeeping.KindLeader:
-		c.applyLeader(e, now)
+	case bookkeeping.KindLeadership:
+		c.ApplyLeadership(e, now)
 	case bookkeeping.KindMachine:
 		if e.Delete != "" {
-			if m := c.machines[name]; m != nil && e.Version >= m.version {
-				c.machineDeleted(name, now)
+			if m := c.Machines[name]; m != nil && e.Version >= m.Revision {
+				c.MachineDeleted(name, now)
 			}
 			return
 		}
 		var rec bookkeeping.Machine
-		if err := bookkeeping.Decode(e.Value, &rec); err != nil || rec.Part < 0 || rec.Part >= len(c.parts) {
+		if err := bookkeeping.Decode(e.Value, &rec); err != nil || rec.Partition < 0 || rec.Partition >= len(c.Partitions) {
 			c.log.Error("bad machine record", "machine", name, "reason", err)
 			return
 		}
-		c.machineRecorded(name, rec, e.Version, now)
+		c.MachineRecorded(name, rec, e.Version, now)
 	case bookkeeping.KindJob:
 		if e.Delete == "" {
-			c.applyJobRecord(name, e.Value)
+			c.ApplyJobRecord(name, e.Value)
 		}
 	case bookkeeping.KindFinal:
 		if e.Delete == "" {
-			c.applyFinalRecord(name, e.Value)
+			c.ApplyFinalRecord(name, e.Value)
 		}
-	case bookkeeping.KindLife:
-		c.applyLife(name, e)
+	case bookkeeping.KindIncarnation:
+		c.ApplyIncarnation(name, e)
 	case bookkeeping.KindPolicyHead, bookkeeping.KindRole, bookkeeping.KindIdentity:
 		if c.guard != nil {
 			if err := c.policy.apply(kind, name, e); err != nil {
@@ -182,177 +182,177 @@
 		}
 	case bookkeeping.KindCatalog:
 		var cat protocol.Catalog
-		if e.Delete == "" && bookkeeping.Decode(e.Value, &cat) == nil && len(c.catalog) == 0 {
-			c.setCatalog(cat.Types)
+		if e.Delete == "" && bookkeeping.Decode(e.Value, &cat) == nil && len(c.Catalog) == 0 {
+			c.SetCatalog(cat.Types)
 		}
 	}
 }
 
-func (c *Controller) setCatalog(types []protocol.MachineType) {
-	c.catalog = types
-	c.types = map[string]*protocol.MachineType{}
+func (c *Controller) SetCatalog(types []protocol.MachineType) {
+	c.Catalog = types
+	c.MachineTypes = map[string]*protocol.MachineType{}
 	for i := range types {
-		c.types[types[i].Name] = &types[i]
+		c.MachineTypes[types[i].Name] = &types[i]
 	}
-	for _, m := range c.machines {
-		m.typ = c.types[m.rec.Type]
+	for _, m := range c.Machines {
+		m.Type = c.MachineTypes[m.Record.Type]
 	}
 }
 
-// applyJobRecord takes up an accepted job. Records never change.
-func (c *Controller) applyJobRecord(id string, raw []byte) {
+// ApplyJobRecord takes up an accepted job. Records never change.
+func (c *Controller) ApplyJobRecord(id string, raw []byte) {
 	if c.guard != nil {
-		if _, known := c.queues.of(id); !known {
+		if _, known := c.jobQueues.queueOf(id); !known {
 			var spec protocol.JobSpec
 			if bookkeeping.Decode(raw, &spec) == nil {
-				c.queues.note(&spec)
+				c.jobQueues.add(&spec)
 			}
 		}
 	}
-	if c.jobs[id] != nil || c.finals[id] != "" {
+	if c.Jobs[id] != nil || c.FinalStates[id] != "" {
 		return
 	}
-	if j := c.takeUp(id, raw); j != nil {
-		c.graph.add(j, func(dep string) (string, time.Time) { return c.finals[dep], c.listedEnds[dep] })
-		c.wakeDoomed()
+	if j := c.LoadJobRecord(id, raw); j != nil {
+		c.Dependencies.Add(j, func(dep string) (string, time.Time) { return c.FinalStates[dep], c.ListedEnds[dep] })
+		c.wakeForDoomedJobs()
 	}
 }
 
-// takeUp makes a job of its record.
-func (c *Controller) takeUp(id string, raw []byte) *job {
+// LoadJobRecord makes a job of its record.
+func (c *Controller) LoadJobRecord(id string, raw []byte) *Job {
 	spec := new(protocol.JobSpec)
 	if err := bookkeeping.Decode(raw, spec); err != nil || spec.Tasks < 1 {
 		c.log.Error("bad job record", "job", id, "reason", err)
 		return nil
 	}
-	team, ok := c.teamIndex[spec.Team]
+	team, ok := c.TeamIndex[spec.Team]
 	if !ok {
 		c.log.Error("job of a team that is not in the settings", "job", id, "team", spec.Team)
 		return nil
 	}
-	j := &job{spec: spec, part: c.teamPart[team], team: team, class: c.classGroup(spec.Class), received: steady(spec.SubmittedMS, time.Now())}
-	c.jobs[id] = j
-	if p := c.parts[j.part]; p.mine && p.ready {
-		j.own()
-		p.order = nil
-		p.wake()
+	j := &Job{Spec: spec, Partition: c.TeamPartition[team], Team: team, ClassGroup: c.ClassGroup(spec.Class), SubmittedAt: SteadyTime(spec.SubmittedMS, time.Now())}
+	c.Jobs[id] = j
+	if p := c.Partitions[j.Partition]; p.Held && p.Ready {
+		j.Load()
+		p.QueueOrder = nil
+		p.Wake()
 	}
 	return j
 }
 
-// steady is the moment on the steady clock of a wall clock's reading that lies
+// SteadyTime is the moment on the steady clock of a wall clock's reading that lies
 // in the past.
-func steady(ms int64, now time.Time) time.Time {
+func SteadyTime(ms int64, now time.Time) time.Time {
 	return now.Add(-time.Duration(max(0, now.UnixMilli()-ms)) * time.Millisecond)
 }
 
-// own prepares a job for its part's owner, with all tasks waiting.
-func (j *job) own() {
-	j.owned = true
-	j.done = make([]bool, j.spec.Tasks)
-	j.doneCount, j.running, j.finishing = 0, 0, false
-	j.live, j.chunks, j.failedOn, j.ranS = map[int]*attempt{}, map[int]*chunk{}, nil, nil
-	j.queue = make([]int, j.spec.Tasks)
-	for i := range j.queue {
-		j.queue[i] = i
+// Load prepares a job for its part's owner, with all tasks waiting.
+func (j *Job) Load() {
+	j.Loaded = true
+	j.TaskDone = make([]bool, j.Spec.Tasks)
+	j.DoneCount, j.RunningCount, j.Completing = 0, 0, false
+	j.LiveAttempts, j.Chunks, j.FailedMachines, j.RunTimesS = map[int]*Attempt{}, map[int]*RunChunk{}, nil, nil
+	j.Pending = make([]int, j.Spec.Tasks)
+	for i := range j.Pending {
+		j.Pending[i] = i
 	}
 }
 
-// disown forgets what only the owner keeps.
-func (j *job) disown() {
-	j.owned, j.done, j.live, j.chunks, j.queue = false, nil, nil, nil, nil
-	j.finishing, j.running, j.doneCount = false, 0, 0
+// Unload forgets what only the owner keeps.
+func (j *Job) Unload() {
+	j.Loaded, j.TaskDone, j.LiveAttempts, j.Chunks, j.Pending = false, nil, nil, nil, nil
+	j.Completing, j.RunningCount, j.DoneCount = false, 0, 0
 }
 
-func (c *Controller) applyFinalRecord(id string, raw []byte) {
+func (c *Controller) ApplyFinalRecord(id string, raw []byte) {
 	var f bookkeeping.Final
 	if err := bookkeeping.Decode(raw, &f); err != nil {
 		c.log.Error("bad final record", "job", id, "reason", err)
 		return
 	}
-	if c.listedEnds != nil {
-		c.listedEnds[id] = steady(f.AtMS, time.Now())
+	if c.ListedEnds != nil {
+		c.ListedEnds[id] = SteadyTime(f.AtMS, time.Now())
 	}
 	at := time.Now()
 	if f.AtMS > 0 {
-		at = steady(f.AtMS, at)
+		at = SteadyTime(f.AtMS, at)
 	}
-	c.setFinal(id, f.Status, at)
+	c.SetFinal(id, f.Status, at)
 }
 
-// setFinal notes that a job is done or withdrawn, for good, and when it was at the earliest.
-func (c *Controller) setFinal(id, status string, at time.Time) {
-	if c.finals[id] != "" {
+// SetFinal notes that a job is done or withdrawn, for good, and when it was at the earliest.
+func (c *Controller) SetFinal(id, status string, at time.Time) {
+	if c.FinalStates[id] != "" {
 		return
 	}
-	c.finals[id] = status
-	if status == protocol.StatusWithdrawn && time.Since(at) < c.cancelS && !c.notices.note(id, at) {
+	c.FinalStates[id] = status
+	if status == protocol.StatusWithdrawn && time.Since(at) < c.CancelBound && !c.Cancellations.Add(id, at) {
 		c.boundMet(observe.Cancellations, 1)
 	}
-	for _, j := range c.graph.ended(id, status == protocol.StatusDone, time.Now()) {
-		if p := c.parts[j.part]; p.mine && p.ready {
-			p.order = nil
-			p.wake()
+	for _, j := range c.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
+		if p := c.Partitions[j.Partition]; p.Held && p.Ready {
+			p.QueueOrder = nil
+			p.Wake()
 		}
 	}
-	c.wakeDoomed()
-	j := c.jobs[id]
+	c.wakeForDoomedJobs()
+	j := c.Jobs[id]
 	if j == nil {
 		return
 	}
 	if status == protocol.StatusDone {
-		c.countDone(j.part, j.groups(), time.Now())
+		c.CountDone(j.Partition, j.Groups(), time.Now())
 	}
-	if !j.owned {
-		delete(c.jobs, id)
+	if !j.Loaded {
+		delete(c.Jobs, id)
 		return
 	}
-	j.withdrawn, j.queue = true, nil
+	j.Ended, j.Pending = true, nil
 	if status == protocol.StatusWithdrawn {
-		j.withdrawnAt = at
+		j.CancelledAt = at
 	}
 	now := time.Now()
 	if status == protocol.StatusWithdrawn {
-		c.log.Info("job withdrawn", "job", id, "live", len(j.live))
+		c.log.Info("job withdrawn", "job", id, "live", len(j.LiveAttempts))
 	}
-	for _, a := range j.live {
-		c.stopAttempt(a, 0, now)
+	for _, a := range j.LiveAttempts {
+		c.StopAttempt(a, 0, now)
 	}
-	c.parts[j.part].wake()
-	c.dropIfOver(j)
+	c.Partitions[j.Partition].Wake()
+	c.DropIfReleased(j)
 }
 
-// wakeDoomed lets the owners of jobs that are to be withdrawn do so.
-func (c *Controller) wakeDoomed() {
-	if len(c.graph.doomed) > 0 {
-		for _, p := range c.parts {
-			p.wake()
+// wakeForDoomedJobs lets the owners of jobs that are to be withdrawn do so.
+func (c *Controller) wakeForDoomedJobs() {
+	if len(c.Dependencies.DoomedJobs) > 0 {
+		for _, p := range c.Partitions {
+			p.Wake()
 		}
 	}
 }
 
-// dropIfOver forgets a job that has ended and holds nothing any more.
-func (c *Controller) dropIfOver(j *job) {
-	if c.finals[j.spec.ID] == "" || len(j.live) > 0 {
+// DropIfReleased forgets a job that has ended and holds nothing any more.
+func (c *Controller) DropIfReleased(j *Job) {
+	if c.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
 		return
 	}
 	now := time.Now()
 	left := false
-	for _, ch := range j.chunks {
-		if ch.version != 0 || ch.unsure {
+	for _, ch := range j.Chunks {
+		if ch.Revision != 0 || ch.Unconfirmed {
 			left = true
-			if !ch.dirty {
-				ch.dirty, ch.since, j.touched = true, now, true
+			if !ch.Dirty {
+				ch.Dirty, ch.DirtySince, j.RecordsChanged = true, now, true
 			}
 		}
 	}
 	if left {
 		return
 	}
-	for _, ch := range j.chunks {
-		for _, a := range ch.ended {
-			a.state = attemptOver
+	for _, ch := range j.Chunks {
+		for _, a := range ch.Exited {
+			a.State = AttemptReleased
 		}
 	}
-	delete(c.jobs, j.spec.ID)
+	delete(c.Jobs, j.Spec.ID)
 }
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -10,53 +10,53 @@
 	"micaspindle/internal/protocol"
 )
 
-// startRental sends one request. Its name holds the revision of the leader's
+// startScaleOut sends one request. Its name holds the revision of the leader's
 // claim and a counter, so that no other request ever has it.
-func (c *Controller) startRental(plan fleet.Rental) {
-	l := &c.leader
-	l.counter++
-	name := fmt.Sprintf("r-%d-%d", l.version, l.counter)
-	r := &rental{kind: plan.Kind, part: plan.Part, count: min(plan.Count, 50)}
-	l.renting[name] = r
-	version := l.version
-	c.metrics.Count(observe.Rented, r.count)
-	c.log.Info("renting", "request", name, "type", r.kind.Type, "zone", r.kind.Zone, "spot", r.kind.Spot, "count", plan.Count, "part", r.part)
-	c.duty.Go(func() { c.finishRental(name, r, version) })
+func (c *Controller) startScaleOut(plan fleet.ScaleOut) {
+	l := &c.Leadership
+	l.Requests++
+	name := fmt.Sprintf("r-%d-%d", l.Revision, l.Requests)
+	r := &ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, 50)}
+	l.PendingScaleOut[name] = r
+	version := l.Revision
+	c.metrics.Count(observe.Rented, r.Count)
+	c.log.Info("renting", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "count", plan.Count, "part", r.Partition)
+	c.duty.Go(func() { c.finishScaleOut(name, r, version) })
 }
 
-// finishRental repeats a request under its name until it is answered.
-func (c *Controller) finishRental(name string, r *rental, version uint64) {
-	req := protocol.Rental{Request: name, Type: r.kind.Type, Zone: r.kind.Zone, Spot: r.kind.Spot, Count: r.count}
-	tries := c.tries(name, cloudPause)
+// finishScaleOut repeats a request under its name until it is answered.
+func (c *Controller) finishScaleOut(name string, r *ScaleOutRequest, version uint64) {
+	req := protocol.Rental{Request: name, Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: r.Count}
+	tries := c.tries(name, cloudBackoff)
 	for {
 		var names protocol.MachineNames
-		status, err := c.cloud("POST", "/machines", req, &names)
+		status, err := c.callCloud("POST", "/machines", req, &names)
 		switch {
 		case err == nil && status == 200:
-			if len(names.Machines) < r.count {
-				c.do(func() { c.leader.refused[r.kind] = time.Now().Add(15 * time.Second) })
-				c.log.Info("rental partly filled", "request", name, "machines", len(names.Machines), "asked", r.count)
+			if len(names.Machines) < r.Count {
+				c.do(func() { c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second) })
+				c.log.Info("rental partly filled", "request", name, "machines", len(names.Machines), "asked", r.Count)
 			}
-			c.recordMachines(names.Machines, bookkeeping.Machine{Part: r.part, Type: r.kind.Type, Zone: r.kind.Zone,
-				Spot: r.kind.Spot, RentedMS: time.Now().UnixMilli()})
+			c.recordMachines(names.Machines, bookkeeping.Machine{Partition: r.Partition, Type: r.Kind.Type, Zone: r.Kind.Zone,
+				Spot: r.Kind.Spot, RentedMS: time.Now().UnixMilli()})
 			c.do(func() {
-				delete(c.leader.renting, name)
-				c.leader.settled[r.part] = time.Now()
+				delete(c.Leadership.PendingScaleOut, name)
+				c.Leadership.AssignedAt[r.Partition] = time.Now()
 			})
 			return
 		case err == nil && (status == 503 || status == 400):
 			c.metrics.Count(observe.RentRefused, 1)
-			c.log.Info("rental refused", "request", name, "type", r.kind.Type, "zone", r.kind.Zone, "spot", r.kind.Spot, "status", status)
+			c.log.Info("rental refused", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "status", status)
 			c.do(func() {
-				c.leader.refused[r.kind] = time.Now().Add(15 * time.Second)
-				delete(c.leader.renting, name)
+				c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second)
+				delete(c.Leadership.PendingScaleOut, name)
 			})
-			nudge(c.leader.kick)
+			Signal(c.Leadership.Wakeup)
 			return
 		}
 		c.log.Debug("rental unanswered", "request", name, "status", status, "reason", err)
 		leading := false
-		c.do(func() { leading = c.leader.mine && c.leader.version == version })
+		c.do(func() { leading = c.Leadership.Held && c.Leadership.Revision == version })
 		if !leading || !c.sleep(tries.Failed()) {
 			return
 		}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -11,149 +11,149 @@
 	"micaspindle/internal/transport"
 )
 
-// handleReport answers a worker's report, of which raw is the body.
-func (c *Controller) handleReport(r *protocol.Report, raw []byte) transport.Response {
+// HandleHeartbeat answers a worker's report, of which raw is the body.
+func (c *Controller) HandleHeartbeat(r *protocol.Heartbeat, raw []byte) transport.Response {
 	now := time.Now()
-	m := c.machines[r.Machine]
+	m := c.Machines[r.Machine]
 	if m == nil {
-		if _, deleted := c.gone[r.Machine]; !deleted && c.synced {
-			c.unknown[r.Machine] = &peer.UnknownMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		if _, deleted := c.DeletedMachines[r.Machine]; !deleted && c.Synced {
+			c.UnregisteredMachines[r.Machine] = &peer.UnknownMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		}
-		return refuse(503, "machine is not on record", 1)
+		return Refuse(503, "machine is not on record", 1)
 	}
-	p := c.parts[m.rec.Part]
-	if resp, carried := c.carrying.answer(m, r, raw, now); carried {
+	p := c.Partitions[m.Record.Partition]
+	if resp, carried := c.proxy.AnswerHeartbeat(m, r, raw, now); carried {
 		return resp
 	}
-	m.cameHere = now
-	if !c.entitled(p, now) {
-		if p.owner != "" && p.owner != c.set.Label {
-			c.strayed[r.Machine] = now
-			c.visited(p.owner, r.Machine, now)
-			return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: p.owner})}
+	m.LastContactAt = now
+	if !c.MayAnswer(p, now) {
+		if p.Leader != "" && p.Leader != c.Settings.Label {
+			c.DivertedMachines[r.Machine] = now
+			c.NoteDiverted(p.Leader, r.Machine, now)
+			return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: p.Leader})}
 		}
-		return refuse(503, "part has no owner here", 1)
+		return Refuse(503, "part has no owner here", 1)
 	}
-	token := c.token(m)
+	token := c.Token(m)
 	if r.Token > token {
 		// Somebody newer commands this machine; an answer would be dropped and
 		// only hold the worker here.
-		return refuse(503, "superseded", 1)
+		return Refuse(503, "superseded", 1)
 	}
-	if m.deleted || !m.reports(r) {
-		return refuse(503, "a newer report has come, or the machine is gone", 1)
+	if m.DeleteConfirmed || !m.AcceptHeartbeat(r) {
+		return Refuse(503, "a newer report has come, or the machine is gone", 1)
 	}
 	if r.Addr != "" {
-		m.rec.Addr = r.Addr
+		m.Record.Addr = r.Addr
 	}
-	c.observe(m, r, now)
-	m.lastHeard = now
-	if by := c.carrying.sendsAway(p, m, now); by != "" {
+	c.ApplyReport(m, r, now)
+	m.LastHeardAt = now
+	if by := c.proxy.RedirectTarget(p, m, now); by != "" {
 		return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: by})}
 	}
-	m.answeredBy = now
+	m.AnsweredUntil = now
 	orders := protocol.Orders{Token: token}
-	if p.ready && m.fenced {
-		orders.Commands = c.commands(m, now, true)
+	if p.Ready && m.Fenced {
+		orders.Commands = c.commandsFor(m, now, true)
 	} else {
-		orders.Commands = c.stopsOfWithdrawn(r)
+		orders.Commands = c.StopsOfCancelled(r)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(orders)}
 }
 
-// stopsOfWithdrawn stops what a report shows of withdrawn jobs. Whoever answers a report keeps
+// StopsOfCancelled stops what a report shows of withdrawn jobs. Whoever answers a report keeps
 // what it shows alive, so that nobody may do so for a task that it knows to be withdrawn:
 // neither an owner that has not read its part's records yet nor a carrier, which both
 // decide nothing else. A withdrawal is on record for good, so that the stop needs none.
-func (c *Controller) stopsOfWithdrawn(r *protocol.Report) []protocol.Command {
+func (c *Controller) StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command {
 	cmds := []protocol.Command{}
 	for _, t := range r.Tasks {
-		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && c.finals[job] == protocol.StatusWithdrawn {
+		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && c.FinalStates[job] == protocol.StatusWithdrawn {
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
-	return cmds[:min(len(cmds), commandsMost)]
+	return cmds[:min(len(cmds), commandsLimit)]
 }
 
-// observe takes in a report, from whichever way it came.
-func (c *Controller) observe(m *machine, r *protocol.Report, now time.Time) {
-	p := c.parts[m.rec.Part]
-	if !p.ready || m.deleted || !m.newer(r) {
+// ApplyReport takes in a report, from whichever way it came.
+func (c *Controller) ApplyReport(m *Machine, r *protocol.Heartbeat, now time.Time) {
+	p := c.Partitions[m.Record.Partition]
+	if !p.Ready || m.DeleteConfirmed || !m.IsNewer(r) {
 		return
 	}
-	if (!m.heard || r.Session > m.session) && m.answeredBy.Before(now) {
+	if (!m.HasReported || r.Epoch > m.Epoch) && m.AnsweredUntil.Before(now) {
 		// The lease of a session counts from its beginning, which lies before its first
 		// report, until a report is answered: one that was sent to a carrier was not.
-		m.answeredBy = now
+		m.AnsweredUntil = now
 	}
-	if !m.heard {
-		m.heard, m.idleSince = true, now
-		c.log.Info("machine up", "machine", m.name, "type", m.rec.Type, "zone", m.rec.Zone, "spot", m.rec.Spot)
+	if !m.HasReported {
+		m.HasReported, m.IdleSince = true, now
+		c.log.Info("machine up", "machine", m.Name, "type", m.Record.Type, "zone", m.Record.Zone, "spot", m.Record.Spot)
 	}
-	if m.lost {
-		m.lost = false
-		c.log.Info("machine back", "machine", m.name, "session", r.Session)
+	if m.Lost {
+		m.Lost = false
+		c.log.Info("machine back", "machine", m.Name, "session", r.Epoch)
 	}
-	if r.Session > m.session {
-		if m.session != 0 {
-			c.log.Info("worker's session ended", "machine", m.name, "session", r.Session)
+	if r.Epoch > m.Epoch {
+		if m.Epoch != 0 {
+			c.log.Info("worker's session ended", "machine", m.Name, "session", r.Epoch)
 		}
-		clear(m.foreign)
+		clear(m.OrphanedTasks)
 	}
 	// Not only when the session changes: records read at a takeover may hold
 	// attempts of sessions that ended before.
-	if m.outlived(r.Session) {
-		for _, a := range m.sorted() {
-			if a.session < r.Session {
-				c.attemptGone(a, "session ended", now)
+	if m.HasAttemptBefore(r.Epoch) {
+		for _, a := range m.SortedAttempts() {
+			if a.Epoch < r.Epoch {
+				c.ReleaseAttempt(a, "session ended", now)
 			}
 		}
 	}
-	m.session, m.sequence = r.Session, r.Sequence
-	if r.NoticeS != nil {
-		if m.notice.IsZero() {
-			c.log.Info("spot notice", "machine", m.name, "seconds", *r.NoticeS)
+	m.Epoch, m.Sequence = r.Epoch, r.Sequence
+	if r.PreemptionNoticeS != nil {
+		if m.PreemptionAt.IsZero() {
+			c.log.Info("spot notice", "machine", m.Name, "seconds", *r.PreemptionNoticeS)
 		}
-		m.notice = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
+		m.PreemptionAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
-	if r.Token != c.token(m) {
-		c.fence(m)
+	if r.Token != c.Token(m) {
+		c.Fence(m)
 		return
 	}
-	if !m.fenced {
-		m.fenced = true
-		p.wake()
-		c.log.Debug("machine fenced", "machine", m.name, "token", r.Token)
+	if !m.Fenced {
+		m.Fenced = true
+		p.Wake()
+		c.log.Debug("machine fenced", "machine", m.Name, "token", r.Token)
 	}
 	c.reconcile(m, r, now)
-	if !m.notice.IsZero() {
-		c.drain(m, now)
+	if !m.PreemptionAt.IsZero() {
+		c.evacuate(m, now)
 	}
-	if len(m.attempts) > 0 || len(m.foreign) > 0 {
-		m.idleSince = now
+	if len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 {
+		m.IdleSince = now
 	}
 }
 
-// reports takes in that a report came as one, and says whether it did for the first time.
+// AcceptHeartbeat takes in that a report came as one, and says whether it did for the first time.
 // A worker has one under way at a time, so that nobody waits any more for an answer to one
 // that comes after a newer one, or twice: it can keep no lease alive (48).
-func (m *machine) reports(r *protocol.Report) bool {
-	if r.Session < m.reported.session || r.Session == m.reported.session && r.Sequence <= m.reported.sequence {
+func (m *Machine) AcceptHeartbeat(r *protocol.Heartbeat) bool {
+	if r.Epoch < m.NewestReceived.Epoch || r.Epoch == m.NewestReceived.Epoch && r.Sequence <= m.NewestReceived.Sequence {
 		return false
 	}
-	m.reported.session, m.reported.sequence = r.Session, r.Sequence
+	m.NewestReceived.Epoch, m.NewestReceived.Sequence = r.Epoch, r.Sequence
 	return true
 }
 
-// newer says whether a report is newer than all that came before.
-func (m *machine) newer(r *protocol.Report) bool {
-	return r.Session > m.session || r.Session == m.session && r.Sequence > m.sequence
+// IsNewer says whether a report is newer than all that came before.
+func (m *Machine) IsNewer(r *protocol.Heartbeat) bool {
+	return r.Epoch > m.Epoch || r.Epoch == m.Epoch && r.Sequence > m.Sequence
 }
 
-// outlived says whether a session has ended the session of some attempt.
-func (m *machine) outlived(session uint64) bool {
-	for _, a := range m.attempts {
-		if a.session < session {
+// HasAttemptBefore says whether a session has ended the session of some attempt.
+func (m *Machine) HasAttemptBefore(session uint64) bool {
+	for _, a := range m.Attempts {
+		if a.Epoch < session {
 			return true
 		}
 	}
@@ -161,56 +161,56 @@
 }
 
 // reconcile compares a report under our token with our attempts.
-func (c *Controller) reconcile(m *machine, r *protocol.Report, now time.Time) {
+func (c *Controller) reconcile(m *Machine, r *protocol.Heartbeat, now time.Time) {
 	seen := make(map[string]bool, len(r.Tasks))
-	clear(m.foreign)
+	clear(m.OrphanedTasks)
 	for _, t := range r.Tasks {
-		key := attemptKey(t.Task, t.Attempt)
+		key := AttemptKey(t.Task, t.Attempt)
 		seen[key] = true
-		a := m.attempts[key]
+		a := m.Attempts[key]
 		if a == nil {
-			m.foreign[key] = t
+			m.OrphanedTasks[key] = t
 			continue
 		}
-		if a.state <= attemptCommitted {
-			a.state = attemptSeen
+		if a.State <= AttemptCommitted {
+			a.State = AttemptConfirmed
 		}
-		if !a.live() {
+		if !a.Live() {
 			continue
 		}
-		a.status = t.State
+		a.ReportedState = t.State
 		switch t.State {
 		case protocol.TaskRunning:
-			if a.startedAt.IsZero() {
-				if a.startedAt = now; !a.told.IsZero() {
-					a.startedAt = a.told
+			if a.StartedAt.IsZero() {
+				if a.StartedAt = now; !a.ReplicatedStart.IsZero() {
+					a.StartedAt = a.ReplicatedStart
 				}
-				a.job.running++
-				if !a.inherited {
-					c.metrics.Took(observe.Start, now.Sub(a.job.since()), now)
+				a.Job.RunningCount++
+				if !a.Inherited {
+					c.metrics.Took(observe.Start, now.Sub(a.Job.ReadySince()), now)
 				}
 			}
-			m.images[a.job.spec.Image] = now
-			c.compare(a, now.Sub(a.startedAt).Seconds())
+			m.Images[a.Job.Spec.Image] = now
+			c.detectSlowMachine(a, now.Sub(a.StartedAt).Seconds())
 		case protocol.TaskEnded:
-			c.attemptEnded(a, t, now)
+			c.attemptExited(a, t, now)
 		}
 	}
-	for key, a := range m.attempts {
+	for key, a := range m.Attempts {
 		if seen[key] {
 			continue
 		}
 		switch {
-		case a.state == attemptOver:
-			delete(m.attempts, key) // reaped
-		case a.state == attemptEnded:
+		case a.State == AttemptReleased:
+			delete(m.Attempts, key) // reaped
+		case a.State == AttemptExited:
 			// Stays until its end is on record.
-		case a.state == attemptSeen:
-			c.attemptGone(a, "vanished", now)
-		case a.state == attemptCommitted && a.stopping && a.sentToken < r.Token:
+		case a.State == AttemptConfirmed:
+			c.ReleaseAttempt(a, "vanished", now)
+		case a.State == AttemptCommitted && a.Stopping && a.StartToken < r.Token:
 			// No start of ours can still arrive under this token, also none under way.
-			c.attemptGone(a, "never started", now)
+			c.ReleaseAttempt(a, "never started", now)
 		}
 	}
-	m.resources()
+	m.RecountUsed()
 }
--- a/internal/coordination/shares/shares.go
+++ b/internal/coordination/shares/shares.go
@@ -13,63 +13,63 @@
 	"time"
 )
 
-// Count is how many shares a part's machines are in: several for each controller, and few
+// ShardCount is how many shares a part's machines are in: several for each controller, and few
 // enough to be named one by one in messages.
-const Count = 16
+const ShardCount = 16
 
-// Of is the share that a machine is in, the same for everybody.
-func Of(machine string) int {
+// ShardOf is the share that a machine is in, the same for everybody.
+func ShardOf(machine string) int {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
-	return int(h.Sum32() % Count)
+	return int(h.Sum32() % ShardCount)
 }
 
-// GrantFor is how long a carrier may answer after it has asked, at the most. Whoever
+// GrantDuration is how long a carrier may answer after it has asked, at the most. Whoever
 // concludes that a former owner has stopped answering adds it, since its carriers may
 // not have.
-const GrantFor = 2 * time.Second
+const GrantDuration = 2 * time.Second
 
 // Load of a controller, in machines: those that keep their connections with it, and as
 // many as its sockets hold.
-type Load struct{ Machines, Room int }
+type Load struct{ Machines, Capacity int }
 
 // with says how full it would be with more machines.
 func (l Load) with(more int) float64 {
-	return float64(l.Machines+more) / float64(max(1, l.Room))
+	return float64(l.Machines+more) / float64(max(1, l.Capacity))
 }
 
 // Peer is another controller as a carrier.
 type Peer struct {
 	Label string
 	Load  Load
-	// Able: it is heard, not about to end, and knows shares, so that it goes on with what
+	// Available: it is heard, not about to end, and knows shares, so that it goes on with what
 	// it carries; Fit: it is settled and reaches the state service as well.
-	Able, Fit bool
+	Available, Settled bool
 }
 
-// Held is one share of a part that the asking controller owns.
-type Held struct {
-	Part, Share, Machines int
-	By                    string // its carrier; "": the owner itself
+// Shard is one share of a part that the asking controller owns.
+type Shard struct {
+	Partition, Index, Machines int
+	Delegate                   string // its carrier; "": the owner itself
 }
 
 // View is what a plan is made of.
 type View struct {
-	Own   Load // machines whose connections are here, shares of others among them
-	Held  []Held
-	Peers []Peer
-	// Whole: some controller that is heard does not know shares, so nothing is carried.
-	Whole bool
-	// Rested: the last move is long enough ago for another one (Pause, or Return for
+	Own    Load // machines whose connections are here, shares of others among them
+	Shards []Shard
+	Peers  []Peer
+	// Unsupported: some controller that is heard does not know shares, so nothing is carried.
+	Unsupported bool
+	// MayMove: the last move is long enough ago for another one (Pause, or Return for
 	// shares that come back though their carrier is well).
-	Rested, RestedLong bool
+	MayMove, MayReturn bool
 }
 
 const (
-	// Pause is the least time between two shares that are given away, Return between
+	// MoveInterval is the least time between two shares that are given away, Return between
 	// two that are taken back from carriers that are well.
-	Pause  = time.Second
-	Return = 10 * time.Second
+	MoveInterval   = time.Second
+	ReturnInterval = 10 * time.Second
 
 	// full is where an owner begins to give shares away, brim what no carrier is filled
 	// beyond; empty is where it takes them back, as long as it stays below roomy.
@@ -78,29 +78,29 @@
 
 // Move is a change of a share's carrier; To "": back to the owner.
 type Move struct {
-	Part, Share int
-	To          string
-	Reason      string
+	Partition, Shard int
+	To               string
+	Reason           string
 }
 
-// Plan says which shares change hands now. Those whose carrier can't go on come back at
+// PlanMoves says which shares change hands now. Those whose carrier can't go on come back at
 // once; otherwise at most one moves. The same view gives the same plan.
-func Plan(v View) []Move {
+func PlanMoves(v View) []Move {
 	peers := map[string]Peer{}
 	for _, p := range v.Peers {
 		peers[p.Label] = p
 	}
 	var moves []Move
-	for _, h := range v.Held {
+	for _, h := range v.Shards {
 		switch {
-		case h.By == "":
-		case v.Whole:
-			moves = append(moves, Move{h.Part, h.Share, "", "a controller does not know shares"})
-		case !peers[h.By].Able:
-			moves = append(moves, Move{h.Part, h.Share, "", "its carrier can't go on"})
+		case h.Delegate == "":
+		case v.Unsupported:
+			moves = append(moves, Move{h.Partition, h.Index, "", "a controller does not know shares"})
+		case !peers[h.Delegate].Available:
+			moves = append(moves, Move{h.Partition, h.Index, "", "its carrier can't go on"})
 		}
 	}
-	if len(moves) > 0 || v.Whole {
+	if len(moves) > 0 || v.Unsupported {
 		return moves
 	}
 	if m, ok := giveAway(v); ok {
@@ -114,9 +114,9 @@
 
 // Apply makes the view what it will be once a move is done.
 func (v *View) Apply(m Move) {
-	for i := range v.Held {
-		h := &v.Held[i]
-		if h.Part != m.Part || h.Share != m.Share {
+	for i := range v.Shards {
+		h := &v.Shards[i]
+		if h.Partition != m.Partition || h.Index != m.Shard {
 			continue
 		}
 		shift := func(label string, machines int) {
@@ -129,19 +129,19 @@
 				}
 			}
 		}
-		shift(h.By, -h.Machines)
+		shift(h.Delegate, -h.Machines)
 		shift(m.To, h.Machines)
-		h.By = m.To
+		h.Delegate = m.To
 	}
 }
 
 // giveAway moves the largest share that fits to the controller that is least full.
 func giveAway(v View) (Move, bool) {
-	if !v.Rested || v.Own.with(0) <= full {
+	if !v.MayMove || v.Own.with(0) <= full {
 		return Move{}, false
 	}
-	held := slices.Clone(v.Held)
-	slices.SortStableFunc(held, func(a, b Held) int { return b.Machines - a.Machines })
+	held := slices.Clone(v.Shards)
+	slices.SortStableFunc(held, func(a, b Shard) int { return b.Machines - a.Machines })
 	peers := slices.Clone(v.Peers)
 	slices.SortFunc(peers, func(a, b Peer) int {
 		if x, y := a.Load.with(0), b.Load.with(0); x != y {
@@ -153,13 +153,13 @@
 		return strings.Compare(a.Label, b.Label)
 	})
 	for _, h := range held {
-		if h.By != "" || h.Machines == 0 {
+		if h.Delegate != "" || h.Machines == 0 {
 			continue
 		}
 		for _, p := range peers {
 			// It must stay less full than this one, or the share would wander.
-			if p.Able && p.Fit && p.Load.with(h.Machines) <= brim && p.Load.with(h.Machines) < v.Own.with(-h.Machines) {
-				return Move{h.Part, h.Share, p.Label, "the owner is full"}, true
+			if p.Available && p.Settled && p.Load.with(h.Machines) <= brim && p.Load.with(h.Machines) < v.Own.with(-h.Machines) {
+				return Move{h.Partition, h.Index, p.Label, "the owner is full"}, true
 			}
 		}
 	}
@@ -168,17 +168,17 @@
 
 // takeBack brings the smallest share home where there is plenty of room again.
 func takeBack(v View) (Move, bool) {
-	if !v.RestedLong || v.Own.with(0) > empty {
+	if !v.MayReturn || v.Own.with(0) > empty {
 		return Move{}, false
 	}
-	var best *Held
-	for i := range v.Held {
-		if h := &v.Held[i]; h.By != "" && (best == nil || h.Machines < best.Machines) {
+	var best *Shard
+	for i := range v.Shards {
+		if h := &v.Shards[i]; h.Delegate != "" && (best == nil || h.Machines < best.Machines) {
 			best = h
 		}
 	}
 	if best == nil || v.Own.with(best.Machines) > roomy {
 		return Move{}, false
 	}
-	return Move{best.Part, best.Share, "", "the owner has room again"}, true
+	return Move{best.Partition, best.Index, "", "the owner has room again"}, true
 }
--- a/internal/coordination/shares/shares_test.go
+++ b/internal/coordination/shares/shares_test.go
@@ -14,22 +14,22 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n, room := 2+rng.IntN(6), 100+rng.IntN(900)
-		machines := make([]int, Count)
+		machines := make([]int, ShardCount)
 		total := 0
 		for range rng.IntN(room) {
-			machines[rng.IntN(Count)]++
+			machines[rng.IntN(ShardCount)]++
 			total++
 		}
-		by := [Count]string{}
+		by := [ShardCount]string{}
 		others := map[string]int{}
 		for i := range n - 1 {
 			others[fmt.Sprint("c-", i+1)] = rng.IntN(room / 3)
 		}
 		view := func() View {
-			v := View{Own: Load{Room: room}, Rested: true, RestedLong: true}
+			v := View{Own: Load{Capacity: room}, MayMove: true, MayReturn: true}
 			held := map[string]int{}
 			for s, k := range machines {
-				v.Held = append(v.Held, Held{Share: s, Machines: k, By: by[s]})
+				v.Shards = append(v.Shards, Shard{Index: s, Machines: k, Delegate: by[s]})
 				if by[s] == "" {
 					v.Own.Machines += k
 				} else {
@@ -38,28 +38,28 @@
 			}
 			for i := range n - 1 {
 				l := fmt.Sprint("c-", i+1)
-				v.Peers = append(v.Peers, Peer{Label: l, Load: Load{others[l] + held[l], room}, Able: true, Fit: true})
+				v.Peers = append(v.Peers, Peer{Label: l, Load: Load{others[l] + held[l], room}, Available: true, Settled: true})
 			}
 			return v
 		}
 		moves := 0
 		for {
 			v := view()
-			plan := Plan(v)
-			if again := Plan(v); !reflect.DeepEqual(plan, again) {
+			plan := PlanMoves(v)
+			if again := PlanMoves(v); !reflect.DeepEqual(plan, again) {
 				t.Fatalf("seed %d: %v, then %v", seed, plan, again)
 			}
 			if len(plan) == 0 {
 				break
 			}
 			for _, m := range plan {
-				by[m.Share] = m.To
+				by[m.Shard] = m.To
 				v.Apply(m)
 			}
 			if again := view(); !reflect.DeepEqual(v, again) {
 				t.Fatalf("seed %d: %v comes to\n%+v, not\n%+v", seed, plan, v, again)
 			}
-			if moves++; moves > Count {
+			if moves++; moves > ShardCount {
 				t.Fatalf("seed %d: shares wander: %v", seed, plan)
 			}
 		}
@@ -81,34 +81,34 @@
 }
 
 func TestPlan(t *testing.T) {
-	fits := Peer{Label: "b", Load: Load{0, 100}, Able: true, Fit: true}
-	able := Peer{Label: "b", Load: Load{0, 100}, Able: true}
+	fits := Peer{Label: "b", Load: Load{0, 100}, Available: true, Settled: true}
+	able := Peer{Label: "b", Load: Load{0, 100}, Available: true}
 	gone := Peer{Label: "b", Load: Load{0, 100}}
-	held := []Held{{Share: 0, Machines: 29}, {Share: 1, Machines: 30}}
-	away := []Held{{Share: 0, Machines: 30}, {Share: 1, Machines: 10, By: "b"}}
+	held := []Shard{{Index: 0, Machines: 29}, {Index: 1, Machines: 30}}
+	away := []Shard{{Index: 0, Machines: 30}, {Index: 1, Machines: 10, Delegate: "b"}}
 	for _, c := range []struct {
 		what string
 		v    View
 		want []Move
 	}{
-		{"room", View{Own: Load{50, 100}, Held: held, Peers: []Peer{fits}, Rested: true}, nil},
-		{"full", View{Own: Load{61, 100}, Held: held, Peers: []Peer{fits}, Rested: true}, []Move{{0, 1, "b", "the owner is full"}}},
-		{"full, not rested", View{Own: Load{61, 100}, Held: held, Peers: []Peer{fits}}, nil},
-		{"full, nobody fit", View{Own: Load{61, 100}, Held: held, Peers: []Peer{gone}, Rested: true}, nil},
-		{"full, an old version is heard", View{Own: Load{61, 100}, Held: held, Peers: []Peer{fits}, Rested: true, Whole: true}, nil},
-		{"the carrier goes", View{Own: Load{61, 100}, Held: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		{"room", View{Own: Load{50, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, nil},
+		{"full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, []Move{{0, 1, "b", "the owner is full"}}},
+		{"full, not rested", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}}, nil},
+		{"full, nobody fit", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{gone}, MayMove: true}, nil},
+		{"full, an old version is heard", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true, Unsupported: true}, nil},
+		{"the carrier goes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
 		// In an outage of the state service all carriers are cut off from it: were their
 		// shares to come home then, the owner's sockets would end.
-		{"the carrier lacks the state service", View{Own: Load{61, 100}, Held: away, Peers: []Peer{able}, Rested: true}, nil},
-		{"the carrier is gone", View{Own: Load{61, 100}, Held: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
-		{"an old version comes", View{Own: Load{61, 100}, Held: away, Peers: []Peer{fits}, Whole: true},
+		{"the carrier lacks the state service", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{able}, MayMove: true}, nil},
+		{"the carrier is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		{"an old version comes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{fits}, Unsupported: true},
 			[]Move{{0, 1, "", "a controller does not know shares"}}},
-		{"room again", View{Own: Load{30, 100}, Held: away, Peers: []Peer{fits}, RestedLong: true}, []Move{{0, 1, "", "the owner has room again"}}},
-		{"room again, too soon", View{Own: Load{30, 100}, Held: away, Peers: []Peer{fits}, Rested: true}, nil},
-		{"some room", View{Own: Load{31, 100}, Held: away, Peers: []Peer{fits}, RestedLong: true}, nil},
-		{"the peer is as full", View{Own: Load{61, 100}, Held: held, Peers: []Peer{{Label: "b", Load: Load{35, 100}, Able: true, Fit: true}}, Rested: true}, nil},
+		{"room again", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, []Move{{0, 1, "", "the owner has room again"}}},
+		{"room again, too soon", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayMove: true}, nil},
+		{"some room", View{Own: Load{31, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, nil},
+		{"the peer is as full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{{Label: "b", Load: Load{35, 100}, Available: true, Settled: true}}, MayMove: true}, nil},
 	} {
-		if got := Plan(c.v); !reflect.DeepEqual(got, c.want) {
+		if got := PlanMoves(c.v); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
@@ -150,13 +150,13 @@
 			carriers[i] = &carrier{nonce: "a", untold: map[int]bool{}, shares: map[int]bool{}}
 		}
 		label := func(i int) string { return fmt.Sprint("c-", i) }
-		answers := make([][]time.Time, Count) // given, in order
-		last := make([]time.Time, Count)      // as the owner knows
+		answers := make([][]time.Time, ShardCount) // given, in order
+		last := make([]time.Time, ShardCount)      // as the owner knows
 		for s := range last {
 			last[s] = start
 			answers[s] = []time.Time{start}
 		}
-		silent := make([]time.Time, Count) // machines that don't report until then
+		silent := make([]time.Time, ShardCount) // machines that don't report until then
 		var flying []*request
 		for ms := 0; ms < 60_000; ms += 50 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
@@ -165,10 +165,10 @@
 				if rng.IntN(4) > 0 {
 					to = label(rng.IntN(len(carriers)))
 				}
-				l.Assign(rng.IntN(Count), to)
+				l.Assign(rng.IntN(ShardCount), to)
 			}
 			if rng.IntN(20) == 0 {
-				silent[rng.IntN(Count)] = now.Add(time.Duration(rng.IntN(15_000)) * time.Millisecond)
+				silent[rng.IntN(ShardCount)] = now.Add(time.Duration(rng.IntN(15_000)) * time.Millisecond)
 			}
 			for i, c := range carriers {
 				switch rng.IntN(400) {
@@ -223,16 +223,16 @@
 				for s := range r.told {
 					last[s] = now
 				}
-				r.granted, r.d, r.serial = l.Asked(label(r.from), r.nonce, r.after, time.Duration(rng.IntN(3000)-100)*time.Millisecond, now)
+				r.granted, r.d, r.serial = l.Renew(label(r.from), r.nonce, r.after, time.Duration(rng.IntN(3000)-100)*time.Millisecond, now)
 				r.d = max(r.d, 0)
 			}
-			for s := range Count {
+			for s := range ShardCount {
 				// The owner itself answers only those that nobody carries.
-				if l.By(s) == "" && now.After(silent[s]) && rng.IntN(8) == 0 {
+				if l.Delegate(s) == "" && now.After(silent[s]) && rng.IntN(8) == 0 {
 					last[s] = now
 					answers[s] = append(answers[s], now)
 				}
-				known, answered := l.Answered(s, last[s], now)
+				known, answered := l.AnswerBounds(s, last[s], now)
 				if known.Sub(answered) <= lease {
 					continue
 				}
@@ -241,7 +241,7 @@
 					if a := answers[s][i]; !a.After(known) {
 						if known.Sub(a) <= lease {
 							t.Fatalf("seed %d, %d ms: share %d of %q counts as silent for %s, but was answered %s before",
-								seed, ms, s, l.By(s), known.Sub(answered), known.Sub(a))
+								seed, ms, s, l.Delegate(s), known.Sub(answered), known.Sub(a))
 						}
 						break
 					}
@@ -257,16 +257,16 @@
 
 // What a share is can't change: two versions must agree on it.
 func TestSharesOfNamesStay(t *testing.T) {
-	counts := [Count]int{}
+	counts := [ShardCount]int{}
 	for i := range 1600 {
-		counts[Of(fmt.Sprintf("m-%06d", i))]++
+		counts[ShardOf(fmt.Sprintf("m-%06d", i))]++
 	}
 	for s, n := range counts {
 		if n < 60 || n > 140 {
 			t.Errorf("share %d holds %d of 1600 machines", s, n)
 		}
 	}
-	if got := [3]int{Of("m-000001"), Of("m-000231"), Of("")}; got != [3]int{4, 9, 5} {
+	if got := [3]int{ShardOf("m-000001"), ShardOf("m-000231"), ShardOf("")}; got != [3]int{4, 9, 5} {
 		t.Errorf("shares %v", got)
 	}
 }
@@ -276,29 +276,29 @@
 	now := time.Unix(1000, 0)
 	var l Ledger
 	l.Assign(3, "b")
-	if l.Active(3, now) || l.Via(3, now) != "" {
+	if l.Active(3, now) || l.CommandRoute(3, now) != "" {
 		t.Error("a carrier that has not asked is sent workers or orders")
 	}
 	for _, c := range []struct {
 		most, want time.Duration
 		shares     int
-	}{{time.Minute, GrantFor, 1}, {time.Second, time.Second, 1}, {0, 0, 0}, {-time.Second, 0, 0}} {
-		granted, d, _ := l.Asked("b", "x", 0, c.most, now)
+	}{{time.Minute, GrantDuration, 1}, {time.Second, time.Second, 1}, {0, 0, 0}, {-time.Second, 0, 0}} {
+		granted, d, _ := l.Renew("b", "x", 0, c.most, now)
 		if d > max(0, c.want) || len(granted) != c.shares {
 			t.Errorf("with %s left: shares %v for %s", c.most, granted, d)
 		}
 	}
-	if by := l.Via(3, now); by != "b" {
+	if by := l.CommandRoute(3, now); by != "b" {
 		t.Errorf("orders go by way of %q", by)
 	}
-	l.Down("b", now)
-	if by := l.Via(3, now.Add(time.Second/2)); by != "" || !l.Active(3, now.Add(time.Second/2)) {
+	l.MarkDown("b", now)
+	if by := l.CommandRoute(3, now.Add(time.Second/2)); by != "" || !l.Active(3, now.Add(time.Second/2)) {
 		t.Errorf("orders go by way of %q, which takes none", by)
 	}
-	if l.Active(3, now.Add(GrantFor)) {
+	if l.Active(3, now.Add(GrantDuration)) {
 		t.Error("a carrier that is silent is sent workers")
 	}
-	if granted, _, _ := l.Asked("c", "x", 0, time.Minute, now); len(granted) != 0 {
+	if granted, _, _ := l.Renew("c", "x", 0, time.Minute, now); len(granted) != 0 {
 		t.Errorf("%v granted to who carries nothing", granted)
 	}
 }
--- a/internal/coordination/standby/copy.go
+++ b/internal/coordination/standby/copy.go
@@ -15,54 +15,54 @@
 type Change[V any] struct {
 	Key     string
 	Version uint64
-	Dropped bool
+	Deleted bool
 	Value   V
 }
 
-// Copy is what the state service holds under a prefix, up to a revision. It is a hint
+// Replica is what the state service holds under a prefix, up to a revision. It is a hint
 // until that revision has reached the claim under which it is used: nothing of the
 // owner before is applied after that (1).
-type Copy[V any] struct {
-	at      uint64
-	records map[string]Record[V]
+type Replica[V any] struct {
+	revision uint64
+	records  map[string]Record[V]
 	// dropped are the revisions at which records went, as far back as a sample may be
 	// compared.
 	dropped map[string]uint64
 }
 
-// At is the revision up to which everything is known; 0: nothing is.
-func (c *Copy[V]) At() uint64 { return c.at }
+// Revision is the revision up to which everything is known; 0: nothing is.
+func (c *Replica[V]) Revision() uint64 { return c.revision }
 
 // Len is how many records there are.
-func (c *Copy[V]) Len() int { return len(c.records) }
+func (c *Replica[V]) Len() int { return len(c.records) }
 
 // All yields the records.
-func (c *Copy[V]) All(yield func(string, Record[V]) bool) { maps.All(c.records)(yield) }
+func (c *Replica[V]) All(yield func(string, Record[V]) bool) { maps.All(c.records)(yield) }
 
-// Forget makes the copy empty.
-func (c *Copy[V]) Forget() { *c = Copy[V]{} }
+// Reset makes the copy empty.
+func (c *Replica[V]) Reset() { *c = Replica[V]{} }
 
-// Start takes in a listing, which stands at a revision or later: what was written while
+// StartFrom takes in a listing, which stands at a revision or later: what was written while
 // its pages were read comes again with the changes.
-func (c *Copy[V]) Start(all []Change[V], revision uint64) {
-	*c = Copy[V]{at: revision, records: make(map[string]Record[V], len(all)), dropped: map[string]uint64{}}
+func (c *Replica[V]) StartFrom(all []Change[V], revision uint64) {
+	*c = Replica[V]{revision: revision, records: make(map[string]Record[V], len(all)), dropped: map[string]uint64{}}
 	for _, ch := range all {
 		c.records[ch.Key] = Record[V]{ch.Version, ch.Value}
 	}
 }
 
-// Follow takes in the changes after one revision and up to another, and says whether they
+// Apply takes in the changes after one revision and up to another, and says whether they
 // join what is known. Changes that are known already do nothing. took sees each that is new.
-func (c *Copy[V]) Follow(after, upto uint64, changes []Change[V], took func(Change[V])) bool {
-	if c.at == 0 || after > c.at {
+func (c *Replica[V]) Apply(after, upto uint64, changes []Change[V], took func(Change[V])) bool {
+	if c.revision == 0 || after > c.revision {
 		return false // something between is missing
 	}
 	for _, ch := range changes {
 		// A listing may already hold what was written after its first page.
-		if ch.Version <= c.at || ch.Version <= c.records[ch.Key].Version || ch.Version <= c.dropped[ch.Key] {
+		if ch.Version <= c.revision || ch.Version <= c.records[ch.Key].Version || ch.Version <= c.dropped[ch.Key] {
 			continue
 		}
-		if ch.Dropped {
+		if ch.Deleted {
 			delete(c.records, ch.Key)
 			c.dropped[ch.Key] = ch.Version
 		} else {
@@ -70,7 +70,7 @@
 		}
 		took(ch)
 	}
-	c.at = max(c.at, upto)
+	c.revision = max(c.revision, upto)
 	return true
 }
 
@@ -82,11 +82,11 @@
 	Records    []Change[V]
 }
 
-// Differs names the keys that stand otherwise in the copy than in a sample, though neither
+// Mismatches names the keys that stand otherwise in the copy than in a sample, though neither
 // says that they were changed since. The copy must have come to the sample's revision; ok
 // is false while it has not.
-func (c *Copy[V]) Differs(s Sample[V], same func(a, b V) bool) (keys []string, ok bool) {
-	if c.at < s.Revision {
+func (c *Replica[V]) Mismatches(s Sample[V], same func(a, b V) bool) (keys []string, ok bool) {
+	if c.revision < s.Revision {
 		return nil, false
 	}
 	stored := make(map[string]bool, len(s.Records))
@@ -113,8 +113,8 @@
 // Lag tells when a copy falls behind and when it has caught up, once each.
 type Lag struct{ behind bool }
 
-// Turned takes in how far behind the copy is, and says whether to tell so now.
-func (l *Lag) Turned(behindS, limitS float64) (told, behind bool) {
+// Changed takes in how far behind the copy is, and says whether to tell so now.
+func (l *Lag) Changed(behindS, limitS float64) (told, behind bool) {
 	switch {
 	case !l.behind && behindS > limitS:
 		l.behind = true
@@ -126,10 +126,10 @@
 	return false, l.behind
 }
 
-// Keep is Choose with patience: the standby that has a copy already stays, as long as it
+// KeepStandby is Choose with patience: the standby that has a copy already stays, as long as it
 // is there, stands in as good a zone as any, and does not carry far more than another.
-func Keep(now, owner, zone string, all []Candidate) string {
-	best := Choose(owner, zone, all)
+func KeepStandby(now, owner, zone string, all []Candidate) string {
+	best := ChooseStandby(owner, zone, all)
 	if now == "" || now == best || now == owner {
 		return best
 	}
--- a/internal/coordination/standby/copy_test.go
+++ b/internal/coordination/standby/copy_test.go
@@ -25,7 +25,7 @@
 	key := fmt.Sprintf("k%02d", rng.IntN(30))
 	if _, have := s.records[key]; have && rng.IntN(3) == 0 {
 		delete(s.records, key)
-		s.log = append(s.log, Change[int]{Key: key, Version: s.at, Dropped: true})
+		s.log = append(s.log, Change[int]{Key: key, Version: s.at, Deleted: true})
 		return
 	}
 	s.records[key] = Record[int]{s.at, rng.IntN(1000)}
@@ -63,8 +63,8 @@
 		for range rng.IntN(60) {
 			s.step(rng)
 		}
-		var c Copy[int]
-		if c.Follow(0, s.at, s.log, func(Change[int]) {}) {
+		var c Replica[int]
+		if c.Apply(0, s.at, s.log, func(Change[int]) {}) {
 			t.Fatalf("seed %d: an empty copy follows", seed)
 		}
 		// Two pages, with changes between them.
@@ -76,13 +76,13 @@
 		if first.Last != "" {
 			all = append(all, s.page(first.Last, 100).Records...)
 		}
-		c.Start(all, from)
+		c.StartFrom(all, from)
 		seen := map[string]int{}
 		for _, ch := range all {
 			seen[ch.Key] = ch.Value
 		}
 		took := func(ch Change[int]) {
-			if delete(seen, ch.Key); !ch.Dropped {
+			if delete(seen, ch.Key); !ch.Deleted {
 				seen[ch.Key] = ch.Value
 			}
 		}
@@ -96,20 +96,20 @@
 				p := s.page(cursor, 5)
 				sample, cursor = &p, p.Last
 			}
-			after := c.At()
+			after := c.Revision()
 			switch rng.IntN(4) {
 			case 0: // an old answer once more
 				after = max(1, after-min(after-1, uint64(rng.IntN(5))))
 			case 1: // changes are missing
-				if c.Follow(after+1, s.at+9, s.after(after+1), took) {
+				if c.Apply(after+1, s.at+9, s.after(after+1), took) {
 					t.Fatalf("seed %d: a gap was not seen", seed)
 				}
 			}
-			if !c.Follow(after, s.at, s.after(after), took) {
+			if !c.Apply(after, s.at, s.after(after), took) {
 				t.Fatalf("seed %d: changes that join were refused", seed)
 			}
-			if !maps.Equal(c.records, s.records) || c.At() != s.at {
-				t.Fatalf("seed %d: the copy is %v at %d, the store %v at %d", seed, c.records, c.At(), s.records, s.at)
+			if !maps.Equal(c.records, s.records) || c.Revision() != s.at {
+				t.Fatalf("seed %d: the copy is %v at %d, the store %v at %d", seed, c.records, c.Revision(), s.records, s.at)
 			}
 			for k, r := range s.records {
 				if seen[k] != r.Value || len(seen) != len(s.records) {
@@ -120,13 +120,13 @@
 				s.step(rng)
 			}
 			if sample != nil && rng.IntN(2) == 0 {
-				if keys, ok := c.Differs(*sample, same); !ok || len(keys) > 0 {
+				if keys, ok := c.Mismatches(*sample, same); !ok || len(keys) > 0 {
 					t.Fatalf("seed %d: %v differ (%v)", seed, keys, ok)
 				}
 				sample = nil
 			}
 		}
-		c.Follow(c.At(), s.at, s.after(c.At()), took)
+		c.Apply(c.Revision(), s.at, s.after(c.Revision()), took)
 		if len(s.records) == 0 {
 			continue
 		}
@@ -146,10 +146,10 @@
 		found, last := []string{}, ""
 		for {
 			p := s.page(last, 5)
-			if _, ok := (&Copy[int]{at: s.at - 1}).Differs(p, same); ok {
+			if _, ok := (&Replica[int]{revision: s.at - 1}).Mismatches(p, same); ok {
 				t.Fatalf("seed %d: compared before the sample's revision", seed)
 			}
-			keys, _ := c.Differs(p, same)
+			keys, _ := c.Mismatches(p, same)
 			found = append(found, keys...)
 			if last = p.Last; last == "" {
 				break
@@ -171,14 +171,14 @@
 		"n9": "n1", // gone
 		"n0": "n1", // the owner itself
 	} {
-		if got := Keep(now, "n0", "a", all); got != want {
+		if got := KeepStandby(now, "n0", "a", all); got != want {
 			t.Errorf("%q named before: %q, want %q", now, got, want)
 		}
 	}
-	if got := Keep("n3", "n0", "a", all[2:3]); got != "n3" {
+	if got := KeepStandby("n3", "n0", "a", all[2:3]); got != "n3" {
 		t.Errorf("the only one: %q", got)
 	}
-	if got := Keep("n1", "n0", "a", nil); got != "" {
+	if got := KeepStandby("n1", "n0", "a", nil); got != "" {
 		t.Errorf("nobody: %q", got)
 	}
 }
@@ -189,7 +189,7 @@
 		s            float64
 		told, behind bool
 	}{{1, false, false}, {5.1, true, true}, {9, false, true}, {4, false, true}, {2.5, true, false}, {4, false, false}, {6, true, true}} {
-		if told, behind := l.Turned(c.s, 5); told != c.told || behind != c.behind {
+		if told, behind := l.Changed(c.s, 5); told != c.told || behind != c.behind {
 			t.Errorf("%d: told %v behind %v", i, told, behind)
 		}
 	}
--- a/internal/coordination/standby/standby_test.go
+++ b/internal/coordination/standby/standby_test.go
@@ -20,12 +20,12 @@
 		"nobody":                           {"n0", "a", all[:1], ""},
 		"an owner whose zone is not known": {"n9", "", all, "n1"},
 	} {
-		if got := Choose(c.owner, c.zone, c.all); got != c.want {
+		if got := ChooseStandby(c.owner, c.zone, c.all); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 		turned := slices.Clone(c.all)
 		slices.Reverse(turned)
-		if got := Choose(c.owner, c.zone, turned); got != c.want {
+		if got := ChooseStandby(c.owner, c.zone, turned); got != c.want {
 			t.Errorf("%s: %q in another order", name, got)
 		}
 	}
@@ -48,7 +48,7 @@
 		{time.Minute, 1, 1, false}, // then its lease has to run out
 		{time.Minute, 0, 0, false},
 	} {
-		if got := (Evidence{c.silent, period, c.reporting, c.visitors}).Gone(); got != c.want {
+		if got := (Evidence{c.silent, period, c.reporting, c.visitors}).Dead(); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -56,7 +56,7 @@
 
 func TestAnsweredUntil(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
-	all := []Answerer{{"n0", "x", 4, at(20)}, {"n1", "y", 7, at(23)}}
+	all := []FormerLeader{{"n0", "x", 4, at(20)}, {"n1", "y", 7, at(23)}}
 	for name, c := range map[string]struct {
 		ended map[string]time.Time
 		want  time.Time
@@ -72,12 +72,12 @@
 		}
 	}
 	never := func(string, string) time.Time { return time.Time{} }
-	for _, r := range []Answerer{{Label: "n1", Nonce: "y", Claim: 6}, {Label: "n1", Nonce: "z", Claim: 7}, {Label: "n0", Nonce: "y", Claim: 7}} {
-		if Released(all, r.Label, r.Nonce, r.Claim, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
+	for _, r := range []FormerLeader{{Label: "n1", Nonce: "y", LeaseRevision: 6}, {Label: "n1", Nonce: "z", LeaseRevision: 7}, {Label: "n0", Nonce: "y", LeaseRevision: 7}} {
+		if NoteReleased(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
 			t.Errorf("%+v released another's claim", r)
 		}
 	}
-	if Released(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
+	if NoteReleased(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
 		t.Error("a claim that was given up")
 	}
 	if got := AnsweredUntil(nil, nil); !got.IsZero() {
@@ -86,17 +86,17 @@
 }
 
 func TestMissing(t *testing.T) {
-	good := Check{Claim: 7, Newest: 7, Renewed: time.Second, TTL: 3 * time.Second, Runs: 7, Machines: 8, Finals: 9, Counted: true}
+	good := TakeoverCheck{LeaseRevision: 7, NewestLease: 7, SinceRenewal: time.Second, TTL: 3 * time.Second, RunRecords: 7, MachineRecords: 8, FinalStates: 9, Counted: true}
 	if m := good.Missing(); len(m) != 0 {
 		t.Errorf("missing %v", m)
 	}
-	for want, change := range map[string]func(*Check){
-		"the newest claim":                func(c *Check) { c.Newest = 8 },
-		"a fresh lease":                   func(c *Check) { c.Renewed = 3 * time.Second },
-		"run records up to the claim":     func(c *Check) { c.Runs = 6 },
-		"machine records up to the claim": func(c *Check) { c.Machines = 6 },
-		"ends of jobs up to the claim":    func(c *Check) { c.Finals = 6 },
-		"quotas from all live attempts":   func(c *Check) { c.Counted = false },
+	for want, change := range map[string]func(*TakeoverCheck){
+		"the newest claim":                func(c *TakeoverCheck) { c.NewestLease = 8 },
+		"a fresh lease":                   func(c *TakeoverCheck) { c.SinceRenewal = 3 * time.Second },
+		"run records up to the claim":     func(c *TakeoverCheck) { c.RunRecords = 6 },
+		"machine records up to the claim": func(c *TakeoverCheck) { c.MachineRecords = 6 },
+		"ends of jobs up to the claim":    func(c *TakeoverCheck) { c.FinalStates = 6 },
+		"quotas from all live attempts":   func(c *TakeoverCheck) { c.Counted = false },
 	} {
 		c := good
 		change(&c)
@@ -104,7 +104,7 @@
 			t.Errorf("%s: %v", want, m)
 		}
 	}
-	if m := (Check{}).Missing(); !slices.Contains(m, "the newest claim") {
+	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest claim") {
 		t.Errorf("without a claim: %v", m)
 	}
 }
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -13,9 +13,9 @@
 	"micaspindle/internal/transport"
 )
 
-// status reads a job's state. Final states come from memory; anything else is
+// jobStatus reads a job's state. Final states come from memory; anything else is
 // read through, since another controller may have told the user more.
-func (c *Controller) status(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
+func (c *Controller) jobStatus(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
 	st := protocol.JobStatus{ID: id}
 	known := false
 	c.do(func() { known = c.describe(&st) })
@@ -26,7 +26,7 @@
 		return st, false, bookkeeping.ErrRefused
 	}
 	if known {
-		absent, err := c.store.UserAbsent(ctx, bookkeeping.FinalKey(id))
+		absent, err := c.store.UserKeyAbsent(ctx, bookkeeping.FinalKey(id))
 		if err != nil {
 			return st, false, err
 		}
@@ -38,7 +38,7 @@
 			return st, false, err
 		}
 		c.do(func() {
-			c.applyFinalRecord(id, item.Value)
+			c.ApplyFinalRecord(id, item.Value)
 			c.describe(&st)
 		})
 		return st, true, nil
@@ -53,12 +53,12 @@
 	c.do(func() {
 		for _, it := range list.Items {
 			if it.Key == bookkeeping.FinalKey(id) {
-				c.applyFinalRecord(id, it.Value)
+				c.ApplyFinalRecord(id, it.Value)
 			}
 		}
 		for _, it := range list.Items {
 			if it.Key == bookkeeping.JobKey(id) {
-				c.applyJobRecord(id, it.Value)
+				c.ApplyJobRecord(id, it.Value)
 			}
 		}
 		known = c.describe(&st)
@@ -69,10 +69,12 @@
 	return st, known, nil
 }
 
-// staleBound is how old what this controller knows may be for it to call a job
+// staleLimit is how old what this controller knows may be for it to call a job
 // with unfinished dependencies queued: the user of one of them may have been
 // told since that it is withdrawn (22).
-func (c *Controller) staleBound() time.Duration { return max(3*time.Second, c.cancelS-2*margin) }
+func (c *Controller) staleLimit() time.Duration {
+	return max(3*time.Second, c.CancelBound-2*ClockMargin)
+}
 
 // unfinished answers for a job that is not on record as ended. One that is to
 // be withdrawn, since something that it needs was, is withdrawn first: the
@@ -80,13 +82,13 @@
 func (c *Controller) unfinished(ctx context.Context, st protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	doomed, stale := false, false
 	c.do(func() {
-		j := c.jobs[st.ID]
-		doomed = c.graph.doomed[st.ID] != nil
-		stale = j != nil && j.blocked && (time.Since(c.fresh) > c.staleBound() || c.graph.uncertain(st.ID))
+		j := c.Jobs[st.ID]
+		doomed = c.Dependencies.DoomedJobs[st.ID] != nil
+		stale = j != nil && j.Blocked && (time.Since(c.RecordsAsOf) > c.staleLimit() || c.Dependencies.HasUnseenDependency(st.ID))
 	})
 	switch {
 	case doomed:
-		status, err := c.withdrawNow(ctx, st.ID, nil)
+		status, err := c.cancelNow(ctx, st.ID, nil)
 		return protocol.JobStatus{ID: st.ID, Status: status}, err == nil, err
 	case stale:
 		return st, false, fmt.Errorf("%w: changes not followed", bookkeeping.ErrRefused)
@@ -96,21 +98,21 @@
 
 // describe fills in what memory knows of a job.
 func (c *Controller) describe(st *protocol.JobStatus) bool {
-	if f := c.finals[st.ID]; f != "" {
+	if f := c.FinalStates[st.ID]; f != "" {
 		st.Status = f
 		return true
 	}
-	j := c.jobs[st.ID]
+	j := c.Jobs[st.ID]
 	if j == nil {
 		return false
 	}
-	st.Done, st.Running = j.doneCount, j.running
-	if !j.owned {
-		for _, ps := range c.peers {
-			if ps.summary == nil {
+	st.Done, st.Running = j.DoneCount, j.RunningCount
+	if !j.Loaded {
+		for _, ps := range c.Peers {
+			if ps.Summary == nil {
 				continue
 			}
-			for _, jp := range ps.summary.Jobs {
+			for _, jp := range ps.Summary.Jobs {
 				if jp.Id == st.ID {
 					st.Done, st.Running = int(jp.Done), int(jp.Running)
 				}
@@ -124,32 +126,32 @@
 	return true
 }
 
-func (c *Controller) poll(ctx context.Context, who *caller, id string) transport.Response {
-	q, refused := c.admitJob(ctx, who, rights.View, id)
+func (c *Controller) poll(ctx context.Context, who *Caller, id string) transport.Response {
+	q, refused := c.AuthorizeJob(ctx, who, rights.View, id)
 	if refused != nil {
 		return *refused
 	}
-	st, refusal := c.lookUp(ctx, id)
+	st, refusal := c.lookUpJob(ctx, id)
 	if refusal != nil {
 		return *refusal
 	}
-	c.looked(who, "view", q, "")
+	c.NoteRead(who, "view", q, "")
 	return statusResponse(200, st)
 }
 
-// lookUp reads the state of the job that a user names, or says why it can't.
-func (c *Controller) lookUp(ctx context.Context, id string) (protocol.JobStatus, *transport.Response) {
+// lookUpJob reads the state of the job that a user names, or says why it can't.
+func (c *Controller) lookUpJob(ctx context.Context, id string) (protocol.JobStatus, *transport.Response) {
 	var refusal transport.Response
 	if !protocol.ValidID(id) {
-		refusal = refuse(404, "no such job", 0)
+		refusal = Refuse(404, "no such job", 0)
 		return protocol.JobStatus{}, &refusal
 	}
-	st, found, err := c.status(ctx, id)
+	st, found, err := c.jobStatus(ctx, id)
 	switch {
 	case err != nil:
-		refusal = unavailable(err)
+		refusal = unavailableResponse(err)
 	case !found:
-		refusal = refuse(404, "no such job", 0)
+		refusal = Refuse(404, "no such job", 0)
 	default:
 		return st, nil
 	}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -16,10 +16,10 @@
 )
 
 // submit accepts a job once its record is committed.
-func (c *Controller) submit(ctx context.Context, who *caller, req *transport.Request) transport.Response {
+func (c *Controller) submit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	var sub protocol.Submission
 	err := protocol.Decode(req.Body, &sub)
-	queue, refused := c.admitSubmission(who, &sub)
+	queue, refused := c.authorizeSubmission(who, &sub)
 	if refused != nil {
 		return *refused
 	}
@@ -31,55 +31,55 @@
 	if err == nil {
 		id = spec.ID
 	} else if id = protocol.SubmissionID(req.Body); id == "" {
-		return refuse(400, oneLine(err), 0)
+		return Refuse(400, firstLine(err), 0)
 	}
 	// A known id is looked up before anything else is said about the body, so
 	// that a repeat of an accepted job never gets 400 or 422.
-	judged := c.judge(ctx, who, id, spec)
-	if judged.known || err != nil || judged.refusal != "" || judged.unread != nil {
-		st, found, rerr := c.status(ctx, id)
+	judged := c.checkSubmission(ctx, who, id, spec)
+	if judged.known || err != nil || judged.refusal != "" || judged.readErr != nil {
+		st, found, rerr := c.jobStatus(ctx, id)
 		switch {
 		case rerr != nil:
-			return unavailable(rerr)
+			return unavailableResponse(rerr)
 		case found:
-			return c.repeated(ctx, who, st)
+			return c.answerRepeated(ctx, who, st)
 		case err != nil:
-			return refuse(400, oneLine(err), 0)
+			return Refuse(400, firstLine(err), 0)
 		case judged.refusal != "":
-			return refuse(422, judged.refusal, 0)
-		case judged.unread != nil:
-			return unavailable(judged.unread)
+			return Refuse(422, judged.refusal, 0)
+		case judged.readErr != nil:
+			return unavailableResponse(judged.readErr)
 		}
 	}
 	if !judged.typesKnown {
-		return refuse(503, "machine types are not known yet", 2)
+		return Refuse(503, "machine types are not known yet", 2)
 	}
 	if c.store.Down() {
-		return refuse(503, "state service unavailable", 1)
+		return Refuse(503, "state service unavailable", 1)
 	}
-	return c.accept(ctx, who, queue, id, judged.value)
+	return c.commitSubmission(ctx, who, queue, id, judged.value)
 }
 
-// judgement is what memory, and reads of what a submission depends on, say of it.
-type judgement struct {
+// submissionCheck is what memory, and reads of what a submission depends on, say of it.
+type submissionCheck struct {
 	// known: the job was accepted before.
 	known bool
 	// typesKnown: so are the machine types, without which nothing is accepted.
 	typesKnown bool
 	// refusal is why the job can never run, "" if it can; unread why that can't be told.
 	refusal string
-	unread  error
+	readErr error
 	// value is the record that accepts the job.
 	value []byte
 }
 
-// judge looks at a submission; spec is nil if its body is malformed.
-func (c *Controller) judge(ctx context.Context, who *caller, id string, spec *protocol.JobSpec) (j judgement) {
+// checkSubmission looks at a submission; spec is nil if its body is malformed.
+func (c *Controller) checkSubmission(ctx context.Context, who *Caller, id string, spec *protocol.JobSpec) (j submissionCheck) {
 	c.do(func() {
-		j.known = c.jobs[id] != nil || c.finals[id] != ""
-		j.typesKnown = len(c.catalog) > 0
+		j.known = c.Jobs[id] != nil || c.FinalStates[id] != ""
+		j.typesKnown = len(c.Catalog) > 0
 		if spec != nil {
-			j.refusal = c.impossible(spec)
+			j.refusal = c.checkFeasible(spec)
 		}
 	})
 	if spec == nil || j.refusal != "" || j.known {
@@ -87,46 +87,46 @@
 	}
 	spec.SubmittedMS = time.Now().UnixMilli()
 	if who != nil {
-		spec.By = who.name
+		spec.By = who.Name
 	}
 	j.value = bookkeeping.Encode(spec)
 	if size, limit := protocol.JSONSize(j.value), c.store.ValueBytes(); size > limit {
 		j.refusal = tooLarge(size, limit)
 	} else if j.typesKnown {
-		j.refusal, j.unread = c.unaccepted(ctx, spec)
+		j.refusal, j.readErr = c.checkDependencies(ctx, spec)
 	}
 	return j
 }
 
-// accept commits a job's record, and answers by what became of that.
-func (c *Controller) accept(ctx context.Context, who *caller, queue rights.Queue, id string, value []byte) transport.Response {
-	_, err := c.userCommit(ctx, &protocol.Transaction{
+// commitSubmission commits a job's record, and answers by what became of that.
+func (c *Controller) commitSubmission(ctx context.Context, who *Caller, queue rights.Queue, id string, value []byte) transport.Response {
+	_, err := c.Commit(ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: bookkeeping.JobKey(id), Version: 0}},
 		Then: []protocol.Change{{Put: bookkeeping.JobKey(id), Value: value}},
-	}, c.record(who, "submit", queue, id))
+	}, c.AuditRecord(who, "submit", queue, id))
 	var conflict *bookkeeping.Conflict
 	switch {
 	case errors.As(err, &conflict), errors.Is(err, bookkeeping.ErrTooLarge):
 		// The service may look at the size before it looks whether the job is
 		// known: an accepted one must not be refused.
-		st, found, rerr := c.status(ctx, id)
+		st, found, rerr := c.jobStatus(ctx, id)
 		switch {
 		case rerr == nil && found:
-			return c.repeated(ctx, who, st)
+			return c.answerRepeated(ctx, who, st)
 		case rerr == nil && conflict == nil:
-			return refuse(422, tooLarge(protocol.JSONSize(value), c.store.ValueBytes()), 0)
+			return Refuse(422, tooLarge(protocol.JSONSize(value), c.store.ValueBytes()), 0)
 		}
-		return unavailable(rerr)
+		return unavailableResponse(rerr)
 	case err != nil:
-		return unavailable(err)
+		return unavailableResponse(err)
 	}
-	c.do(func() { c.applyJobRecord(id, value) })
+	c.do(func() { c.ApplyJobRecord(id, value) })
 	return statusResponse(201, protocol.JobStatus{ID: id, Status: protocol.StatusQueued})
 }
 
-// admitSubmission says whether a caller may submit what it does: to the queue it
+// authorizeSubmission says whether a caller may submit what it does: to the queue it
 // names, or if it names none, to any at all.
-func (c *Controller) admitSubmission(who *caller, sub *protocol.Submission) (rights.Queue, *transport.Response) {
+func (c *Controller) authorizeSubmission(who *Caller, sub *protocol.Submission) (rights.Queue, *transport.Response) {
 	var q rights.Queue
 	if c.guard == nil {
 		return q, nil
@@ -137,36 +137,36 @@
 	}
 	if sub.Team == nil || sub.Class == nil {
 		if !c.guard.holdsAny(who, rights.Submit) {
-			return q, c.deny(who, "submit", q, id, 403, "holds this right on no queue")
+			return q, c.Deny(who, "submit", q, id, 403, "holds this right on no queue")
 		}
 		return q, nil
 	}
 	q = rights.Queue{Team: *sub.Team, Class: *sub.Class}
 	if !c.guard.allows(who, rights.Submit, q) {
-		return q, c.deny(who, "submit", q, id, 403, "may not submit to this queue")
+		return q, c.Deny(who, "submit", q, id, 403, "may not submit to this queue")
 	}
 	return q, nil
 }
 
-// repeated answers a submission of a known job with its state, to those who may
+// answerRepeated answers a submission of a known job with its state, to those who may
 // submit to its queue or look at it. Ids are one for all queues, so the id of
 // somebody else's job can't be told from one that is not free.
-func (c *Controller) repeated(ctx context.Context, who *caller, st protocol.JobStatus) transport.Response {
+func (c *Controller) answerRepeated(ctx context.Context, who *Caller, st protocol.JobStatus) transport.Response {
 	if c.guard != nil {
 		var q rights.Queue
 		known := false
-		c.do(func() { q, known = c.queues.of(st.ID) })
+		c.do(func() { q, known = c.jobQueues.queueOf(st.ID) })
 		if !known { // a job that ended before this controller heard of it
-			spec, err := c.readSpec(ctx, nil, st.ID)
+			spec, err := c.ReadSpec(ctx, nil, st.ID)
 			if err != nil {
-				return unavailable(err)
+				return unavailableResponse(err)
 			}
 			q = rights.Queue{Team: spec.Team, Class: spec.Class}
 		}
 		if !c.guard.allows(who, rights.Submit, q) && !c.guard.allows(who, rights.View, q) {
-			return *c.deny(who, "submit", q, st.ID, 403, "the id is another queue's")
+			return *c.Deny(who, "submit", q, st.ID, 403, "the id is another queue's")
 		}
-		c.looked(who, "repeat", q, "")
+		c.NoteRead(who, "repeat", q, "")
 	}
 	return statusResponse(200, st)
 }
@@ -175,14 +175,14 @@
 	return fmt.Sprintf("job is too large to record: %d bytes of at most %d", size, limit)
 }
 
-// lookUpTime bounds how long a submission's dependencies are looked up.
-const lookUpTime = 3 * time.Second
+// dependencyLookupTimeout bounds how long a submission's dependencies are looked up.
+const dependencyLookupTimeout = 3 * time.Second
 
-// unaccepted says why a job can't depend on what it names, or nothing. Being
+// checkDependencies says why a job can't depend on what it names, or nothing. Being
 // accepted is for ever, so memory proves it; what memory lacks is read, since
 // another controller may have accepted it a moment ago (20).
-func (c *Controller) unaccepted(ctx context.Context, s *protocol.JobSpec) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookUpTime)
+func (c *Controller) checkDependencies(ctx context.Context, s *protocol.JobSpec) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, dependencyLookupTimeout)
 	defer cancel()
 	for _, id := range s.Dependencies {
 		if id == s.ID || !protocol.ValidID(id) {
@@ -190,10 +190,10 @@
 		}
 		known, service := false, false
 		c.do(func() {
-			j := c.jobs[id]
+			j := c.Jobs[id]
 			// Of a withdrawn job, the record tells whether it was a service.
-			known = j != nil || c.finals[id] == protocol.StatusDone
-			service = j != nil && j.spec.Standing
+			known = j != nil || c.FinalStates[id] == protocol.StatusDone
+			service = j != nil && j.Spec.Standing
 		})
 		if !known {
 			if c.store.Down() {
@@ -219,13 +219,13 @@
 	return "", nil
 }
 
-// impossible says why a job can never run, or nothing.
-func (c *Controller) impossible(s *protocol.JobSpec) string {
-	team, ok := c.teamIndex[s.Team]
+// checkFeasible says why a job can never run, or nothing.
+func (c *Controller) checkFeasible(s *protocol.JobSpec) string {
+	team, ok := c.TeamIndex[s.Team]
 	if !ok {
 		return "unknown team"
 	}
-	t := c.set.Params.Teams[team]
+	t := c.Settings.Params.Teams[team]
 	n := 1.0
 	if s.Standing || s.Gang {
 		n = float64(s.Tasks)
@@ -236,11 +236,11 @@
 	if (s.Standing || s.Gang) && s.Tasks > 1 && s.Spread && (s.OneZone || s.Zone != "") {
 		return "its tasks can't run together in one zone and be apart"
 	}
-	if len(c.catalog) == 0 {
+	if len(c.Catalog) == 0 {
 		return ""
 	}
-	for i := range c.catalog {
-		if fit.Offered(wishOf(s), needOf(s), &c.catalog[i]) {
+	for i := range c.Catalog {
+		if fit.FitsOffered(ConstraintsOf(s), ResourcesOf(s), &c.Catalog[i]) {
 			return ""
 		}
 	}
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -42,7 +42,7 @@
 		w.mu.Unlock()
 		owner := false
 		if n != nil {
-			n.ctl.do(func() { owner = n.ctl.parts[part].mine && n.ctl.parts[part].ready })
+			n.ctl.do(func() { owner = n.ctl.Partitions[part].Held && n.ctl.Partitions[part].Ready })
 		}
 		if owner {
 			return label
@@ -124,7 +124,7 @@
 					defer w.mu.Unlock()
 					all := ""
 					for p := range 3 {
-						all += fmt.Sprint(w.state.Items[bookkeeping.ClaimKey(p)].Version, " ")
+						all += fmt.Sprint(w.state.Items[bookkeeping.LeaseKey(p)].Version, " ")
 					}
 					return all
 				}
@@ -171,8 +171,8 @@
 					if n := w.nodes[label]; label == lost {
 						w.mu.Unlock()
 						n.ctl.do(func() {
-							for name, m := range n.ctl.machines {
-								if m.rec.Part == 0 && len(m.attempts) > 0 && (fallen == "" || name < fallen) {
+							for name, m := range n.ctl.Machines {
+								if m.Record.Partition == 0 && len(m.Attempts) > 0 && (fallen == "" || name < fallen) {
 									fallen = name
 								}
 							}
@@ -197,7 +197,7 @@
 					w.mu.Unlock()
 					if n != nil {
 						n.ctl.do(func() {
-							if m := n.ctl.machines[fallen]; m == nil || m.lost {
+							if m := n.ctl.Machines[fallen]; m == nil || m.Lost {
 								took = time.Since(begun)
 							}
 						})
@@ -226,7 +226,7 @@
 	t.Parallel()
 	simulate(t, 540, func(w *world) {
 		time.Sleep(3 * time.Second)
-		key := bookkeeping.LifeKey("n1")
+		key := bookkeeping.IncarnationKey("n1")
 		w.mu.Lock()
 		first := w.state.Items[key]
 		w.mu.Unlock()
@@ -236,13 +236,13 @@
 		w.mu.Lock()
 		second := w.state.Items[key]
 		w.mu.Unlock()
-		var a, b bookkeeping.Life
+		var a, b bookkeeping.Incarnation
 		if bookkeeping.Decode(first.Value, &a) != nil || bookkeeping.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
 			t.Fatalf("lives %+v and %+v", a, b)
 		}
 		n0 := w.nodes["n0"].ctl
 		over := func(nonce string) (is bool) {
-			n0.do(func() { is = !n0.over[lifeName{"n1", nonce}].IsZero() })
+			n0.do(func() { is = !n0.endedIncarnations[incarnationID{"n1", nonce}].IsZero() })
 			return is
 		}
 		n0.do(func() { // the older record once more, late
@@ -275,17 +275,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
-		p, bound := c.parts[0], c.answerBound()
+		p, bound := c.Partitions[0], c.AnswerBound()
 		put := func(key string, version uint64, v any) {
 			c.applyEvent(protocol.Event{Put: key, Value: bookkeeping.Encode(v), Version: version})
 		}
 		claim := func(version uint64, label, nonce string) {
-			put(bookkeeping.ClaimKey(0), version, bookkeeping.Claim{Owner: label, Nonce: nonce})
+			put(bookkeeping.LeaseKey(0), version, bookkeeping.Lease{Holder: label, Nonce: nonce})
 		}
-		m := &machine{}
+		m := &Machine{}
 		check := func(what string, want time.Time) {
 			t.Helper()
-			if got := c.answeredUntil(p, m); !got.Equal(want) {
+			if got := c.LastAnswerBound(p, m); !got.Equal(want) {
 				t.Errorf("%s: until %s, want %s", what, got, want)
 			}
 		}
@@ -293,58 +293,58 @@
 		c.applyListing(nil, 1)
 		check("owners before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
-		put(bookkeeping.LifeKey("n1"), 2, bookkeeping.Life{Nonce: "x", Lease: 1})
+		put(bookkeeping.IncarnationKey("n1"), 2, bookkeeping.Incarnation{Nonce: "x", Lease: 1})
 		claim(3, "n1", "x")
 		claim(4, "n2", "y")
 		check("an owner whose claim has ended", time.Now().Add(bound))
 		time.Sleep(time.Second)
-		put(bookkeeping.LifeKey("n1"), 5, bookkeeping.Life{Nonce: "x", Lease: 2})
+		put(bookkeeping.IncarnationKey("n1"), 5, bookkeeping.Incarnation{Nonce: "x", Lease: 2})
 		check("the same life with another lease", time.Now().Add(bound-time.Second))
-		put(bookkeeping.LifeKey("n1"), 6, bookkeeping.Life{Nonce: "z", Lease: 3})
-		check("its next life, and its carriers", time.Now().Add(shares.GrantFor))
+		put(bookkeeping.IncarnationKey("n1"), 6, bookkeeping.Incarnation{Nonce: "z", Lease: 3})
+		check("its next life, and its carriers", time.Now().Add(shares.GrantDuration))
 		time.Sleep(time.Minute)
-		claim(7, "n0", c.nonce)
+		claim(7, "n0", c.Nonce)
 		time.Sleep(time.Minute)
 		claim(8, "n2", "y")
 		check("this controller itself", time.Now())
 		time.Sleep(time.Minute)
-		c.machineRecorded("m-1", bookkeeping.Machine{Part: 1, Type: "small"}, 9, time.Now())
-		c.machineRecorded("m-1", bookkeeping.Machine{Part: 0, Type: "small"}, 10, time.Now())
-		m = c.machines["m-1"]
+		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: 1, Type: "small"}, 9, time.Now())
+		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: 0, Type: "small"}, 10, time.Now())
+		m = c.Machines["m-1"]
 		check("the owner of the part that a machine came from", time.Now().Add(bound))
-		m = &machine{}
+		m = &Machine{}
 		time.Sleep(time.Minute)
-		claim(11, "n0", c.nonce)
+		claim(11, "n0", c.Nonce)
 		time.Sleep(time.Minute)
-		p.ledger.Assign(0, "n1")
-		p.ledger.Asked("n1", "x", 0, time.Minute, time.Now())
-		granted := p.ledger.Latest()
-		if left := time.Until(granted); left < shares.GrantFor {
+		p.Delegations.Assign(0, "n1")
+		p.Delegations.Renew("n1", "x", 0, time.Minute, time.Now())
+		granted := p.Delegations.LatestGrantEnd()
+		if left := time.Until(granted); left < shares.GrantDuration {
 			t.Errorf("granted for %s", left)
 		}
 		claim(12, "n2", "y")
 		check("this controller, whose carriers go on", granted)
 
 		// Whose lease is ended: the one on which the claims hang.
-		ps := c.peers["n2"]
-		ps.heard, ps.reporting, ps.visitors = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
-		c.synced = true
-		put(bookkeeping.LifeKey("n2"), 11, bookkeeping.Life{Nonce: "other", Lease: 7})
+		ps := c.Peers["n2"]
+		ps.HeardAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
+		c.Synced = true
+		put(bookkeeping.IncarnationKey("n2"), 11, bookkeeping.Incarnation{Nonce: "other", Lease: 7})
 		time.Sleep(5 * time.Second)
-		c.renewed = time.Now()
-		if c.endIfGone("n2", ps, time.Now()); ps.ended != 0 {
+		c.LeaseRenewedAt = time.Now()
+		if c.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
 			t.Error("ended the lease of a life that holds no claim")
 		}
 		claim(14, "n2", "other")
-		if c.endIfGone("n2", ps, time.Now()); ps.ended != 7 {
-			t.Errorf("lease %d ended", ps.ended)
+		if c.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 7 {
+			t.Errorf("lease %d ended", ps.RevokedLease)
 		}
 
-		p.version, c.followed = 20, 19
-		if lacks := c.following.lacks(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
+		p.LeaseRevision, c.RecordsRevision = 20, 19
+		if lacks := c.replicator.missingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
 			t.Errorf("lacks %v", lacks)
 		}
-		if c.followed = 20; len(c.following.lacks(p, 20, 20)) != 0 || len(c.following.lacks(p, 20, 19)) != 1 {
+		if c.RecordsRevision = 20; len(c.replicator.missingEvidence(p, 20, 20)) != 0 || len(c.replicator.missingEvidence(p, 20, 19)) != 1 {
 			t.Error("what was read before the claim is not enough")
 		}
 	})
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -13,72 +13,72 @@
 	"micaspindle/internal/protocol"
 )
 
-// wantsPart says whether to claim a part now: its own at once, an orphan after
+// WantsPartition says whether to claim a part now: its own at once, an orphan after
 // a pause that is longer the more parts are held already.
-func (f *following) wantsPart(p *part, now time.Time) bool {
+func (f *Replicator) WantsPartition(p *Partition, now time.Time) bool {
 	c := f.c
-	if !c.synced || p.mine || c.leaving || now.Sub(c.resigned) < 10*time.Second && !c.resigned.IsZero() {
+	if !c.Synced || p.Held || c.Draining || now.Sub(c.ResignedAt) < 10*time.Second && !c.ResignedAt.IsZero() {
 		return false
 	}
-	if p.version != 0 {
+	if p.LeaseRevision != 0 {
 		// A former life's, or one whose release is not on record yet.
-		return p.owner == c.set.Label && now.Sub(p.claimed) > releaseTime
+		return p.Leader == c.Settings.Label && now.Sub(p.AcquiredAt) > ReleaseTimeout
 	}
-	if f.standsBy(p.last, f.namedStandby(p), now) {
+	if f.isStandbyFor(p.FormerLeader, f.NamedStandby(p), now) {
 		return true
 	}
-	if f.heir(p, now) && now.Sub(p.orphan) < heirFirst {
+	if f.liveStandby(p, now) && now.Sub(p.VacantSince) < standbyHeadStart {
 		return false
 	}
-	if p.index == c.self {
+	if p.Index == c.SelfIndex {
 		return true
 	}
 	held := 0
-	for _, q := range c.parts {
-		if q.mine {
+	for _, q := range c.Partitions {
+		if q.Held {
 			held++
 		}
 	}
 	pause := time.Duration(held) * 400 * time.Millisecond
-	if now.Sub(c.started) < 5*time.Second {
+	if now.Sub(c.StartedAt) < 5*time.Second {
 		pause += 2500 * time.Millisecond
 	}
-	return now.Sub(p.orphan) >= pause
+	return now.Sub(p.VacantSince) >= pause
 }
 
-// heirFirst is how long others leave a part to the standby that has a copy of it.
-const heirFirst = 600 * time.Millisecond
+// standbyHeadStart is how long others leave a part to the standby that has a copy of it.
+const standbyHeadStart = 600 * time.Millisecond
 
-func (f *following) wantsLead(now time.Time) bool {
+func (f *Replicator) WantsLeadership(now time.Time) bool {
 	c := f.c
-	l := &c.leader
-	if !c.synced || l.mine || c.leaving || now.Sub(c.resigned) < 10*time.Second && !c.resigned.IsZero() {
+	l := &c.Leadership
+	if !c.Synced || l.Held || c.Draining || now.Sub(c.ResignedAt) < 10*time.Second && !c.ResignedAt.IsZero() {
 		return false
 	}
-	if l.version != 0 {
-		return l.owner == c.set.Label
+	if l.Revision != 0 {
+		return l.Holder == c.Settings.Label
 	}
-	return f.standsBy(l.last, "", now) || now.Sub(l.orphan) >= time.Duration(c.self)*400*time.Millisecond
+	return f.isStandbyFor(l.FormerHolder, "", now) || now.Sub(l.VacantSince) >= time.Duration(c.SelfIndex)*400*time.Millisecond
 }
 
-// homeOf is the controller whose own a part is and to which it goes back now that it is
+// preferredLeader is the controller whose own a part is and to which it goes back now that it is
 // there again; empty: it stays. That is done only where it evens the work out.
-func (f *following) homeOf(p *part, now time.Time) string {
+func (f *Replicator) preferredLeader(p *Partition, now time.Time) string {
 	c := f.c
-	if !p.mine || !p.ready || !p.loaded || p.index == c.self || p.index >= len(c.labels) || now.Sub(p.claimed) < settleIn {
+	if !p.Held || !p.Ready || !p.HasTeams || p.Index == c.SelfIndex || p.Index >= len(c.Labels) || now.Sub(p.AcquiredAt) < SettleTime {
 		return ""
 	}
-	label := c.labels[p.index]
-	home := c.peers[label]
-	if home == nil || !home.recent(now) || home.summary.Leaving || now.Sub(home.since) < settleIn {
+	label := c.Labels[p.Index]
+	home := c.Peers[label]
+	if home == nil || !home.Alive(now) || home.Summary.Leaving || now.Sub(home.HeardSince) < SettleTime {
 		return ""
 	}
 	mine, theirs := 0, 0
-	for _, q := range c.parts {
+	for _, q := range c.Partitions {
 		switch {
-		case q.loaded && q.mine:
+		case q.HasTeams && q.Held:
 			mine++
-		case q.loaded && q.owner == label:
+		case q.HasTeams && q.Leader == label:
 			theirs++
 		}
 	}
@@ -88,37 +88,37 @@
 	return label
 }
 
-// warmUp is how long a part that goes back waits for its home to have a copy of it.
-const warmUp = 10 * time.Second
+// handbackWarmUp is how long a part that goes back waits for its home to have a copy of it.
+const handbackWarmUp = 10 * time.Second
 
-// handsBack says whether to give a part up to its home now.
-func (f *following) handsBack(p *part, now time.Time) bool {
+// ShouldHandBack says whether to give a part up to its home now.
+func (f *Replicator) ShouldHandBack(p *Partition, now time.Time) bool {
 	c := f.c
-	home := f.homeOf(p, now)
+	home := f.preferredLeader(p, now)
 	if home == "" {
-		p.homing = time.Time{}
+		p.HandbackSince = time.Time{}
 		return false
 	}
-	if p.homing.IsZero() {
-		p.homing = now
+	if p.HandbackSince.IsZero() {
+		p.HandbackSince = now
 	}
-	return !c.peers[home].summary.Copies || c.peers[home].followedBy(p.index) || now.Sub(p.homing) > warmUp
+	return !c.Peers[home].Summary.Copies || c.Peers[home].HasReplicaOf(p.Index) || now.Sub(p.HandbackSince) > handbackWarmUp
 }
 
-// rebuild reads what the part's former owner recorded. Everything that owner
+// TakeOver reads what the part's former owner recorded. Everything that owner
 // still sends fails from now on, since it is conditional on the old claim.
-func (f *following) rebuild(p *part, version uint64) {
+func (f *Replicator) TakeOver(p *Partition, version uint64) {
 	c := f.c
 	current := func() bool {
 		ok := false
-		return c.do(func() { ok = p.mine && p.version == version }) && ok
+		return c.do(func() { ok = p.Held && p.LeaseRevision == version }) && ok
 	}
-	tries := c.tries("rebuild "+strconv.Itoa(p.index), rebuildPause)
+	tries := c.tries("rebuild "+strconv.Itoa(p.Index), takeoverBackoff)
 	for current() {
-		if err := f.tryRebuild(p, version); err == nil {
+		if err := f.tryTakeOver(p, version); err == nil {
 			return
 		} else {
-			c.log.Info("rebuilding failed", "part", p.index, "reason", err)
+			c.log.Info("rebuilding failed", "part", p.Index, "reason", err)
 		}
 		if !c.sleep(tries.Failed()) {
 			return
@@ -126,9 +126,9 @@
 	}
 }
 
-func (f *following) tryRebuild(p *part, version uint64) error {
+func (f *Replicator) tryTakeOver(p *Partition, version uint64) error {
 	c := f.c
-	fo, warm, err := f.whole(p, version)
+	fo, warm, err := f.CompleteReplica(p, version)
 	if err != nil {
 		return err
 	}
@@ -137,19 +137,19 @@
 	told := true
 	for begun := time.Now(); ; {
 		c.do(func() {
-			if lacks, missing = nil, nil; !p.mine || p.version != version {
+			if lacks, missing = nil, nil; !p.Held || p.LeaseRevision != version {
 				return // lost meanwhile: nothing to wait for
 			}
 			// Asked in the same turn as the rest: a job that ends meanwhile is not known
 			// any more, yet its attempts hold their team's quota until they are over.
-			if missing = fo.shadow.unknown(c.jobs, specs); len(missing) > 0 {
+			if missing = fo.Derived.UnknownJobs(c.Jobs, specs); len(missing) > 0 {
 				return
 			}
-			if lacks = f.lacks(p, version, fo.copy.At()); len(lacks) > 0 {
+			if lacks = f.missingEvidence(p, version, fo.Records.Revision()); len(lacks) > 0 {
 				return
 			}
 			f.install(p, fo, specs, warm)
-			told = fo.tale.have != 0
+			told = fo.Updates.Acknowledged != 0
 		})
 		if len(missing) > 0 {
 			for _, id := range missing {
@@ -161,130 +161,130 @@
 		}
 		if len(lacks) == 0 {
 			if !told {
-				f.recallTale(p, version)
+				f.RequestStateTransfer(p, version)
 			}
 			return nil
 		}
-		if time.Since(begun) > catchUp || !c.sleep(catchUpPause) {
+		if time.Since(begun) > catchUpTimeout || !c.sleep(catchUpPollInterval) {
 			return fmt.Errorf("not to be decided on yet: missing %s", strings.Join(lacks, ", "))
 		}
 	}
 }
 
-// lacks says what is still missing before the first decision on a part whose run records
+// missingEvidence says what is still missing before the first decision on a part whose run records
 // are known up to a revision. Machines and ends of jobs come with the watch, in order.
 // Quotas are added up as the records are taken in.
-func (f *following) lacks(p *part, claim, runs uint64) []string {
+func (f *Replicator) missingEvidence(p *Partition, claim, runs uint64) []string {
 	c := f.c
-	return standby.Check{Claim: claim, Newest: p.version, Renewed: time.Since(c.renewed), TTL: c.op.ClaimTTL,
-		Runs: runs, Machines: c.followed, Finals: c.followed, Counted: true}.Missing()
+	return standby.TakeoverCheck{LeaseRevision: claim, NewestLease: p.LeaseRevision, SinceRenewal: time.Since(c.LeaseRenewedAt), TTL: c.Operator.ClaimTTL,
+		RunRecords: runs, MachineRecords: c.RecordsRevision, FinalStates: c.RecordsRevision, Counted: true}.Missing()
 }
 
 // catchUp is how long a new owner waits for what is missing before it reads anew.
 const (
-	catchUp      = 2 * time.Second
-	catchUpPause = 10 * time.Millisecond
+	catchUpTimeout      = 2 * time.Second
+	catchUpPollInterval = 10 * time.Millisecond
 )
 
 // install takes a part's copy as the state of its jobs and machines. The copy is the
 // part's from then on.
-func (f *following) install(p *part, fo *follower, specs map[string]*protocol.Item, warm bool) {
+func (f *Replicator) install(p *Partition, fo *Replica, specs map[string]*protocol.Item, warm bool) {
 	c := f.c
 	now := time.Now()
-	delete(f.copies, p.index)
-	if !p.bare {
-		c.clearPart(p)
+	delete(f.replicas, p.Index)
+	if !p.Cleared {
+		c.ClearPartition(p)
 	}
-	p.bare = false
+	p.Cleared = false
 	for id, it := range specs {
-		if c.finals[id] == "" {
-			c.applyJobRecord(id, it.Value)
-		} else if c.jobs[id] == nil {
+		if c.FinalStates[id] == "" {
+			c.ApplyJobRecord(id, it.Value)
+		} else if c.Jobs[id] == nil {
 			// An ended job whose attempts are not all proven over.
-			c.takeUp(id, it.Value)
+			c.LoadJobRecord(id, it.Value)
 		}
 	}
-	for name, attempts := range fo.shadow.machines {
-		m := c.machines[name]
-		if m == nil || m.rec.Part != p.index {
+	for name, attempts := range fo.Derived.AttemptsByMachine {
+		m := c.Machines[name]
+		if m == nil || m.Record.Partition != p.Index {
 			// The record of a machine goes only after the machine, and a
 			// machine moves only when it is empty: these attempts are over.
 			continue
 		}
-		m.attempts = attempts
+		m.Attempts = attempts
 		for _, a := range attempts {
-			a.machine, a.committed = m, now
+			a.Machine, a.CommittedAt = m, now
 		}
 	}
-	for _, m := range c.machines {
-		if m.rec.Part == p.index {
-			m.predicted, m.used = nil, fit.Amounts{}
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index {
+			m.Prediction, m.Used = nil, fit.Resources{}
 		}
 	}
 	live, bound := 0, 0
-	for id, j := range c.jobs {
-		if j.part != p.index {
+	for id, j := range c.Jobs {
+		if j.Partition != p.Index {
 			continue
 		}
-		if sj := fo.shadow.jobs[id]; sj != nil {
-			live += sj.bind(j, now)
+		if sj := fo.Derived.Jobs[id]; sj != nil {
+			live += sj.Bind(j, now)
 			bound++
-			p.usage[j.team].Add(needOf(j.spec), float64(len(j.live)))
+			p.Usage[j.Team].Add(ResourcesOf(j.Spec), float64(len(j.LiveAttempts)))
 		} else {
-			j.own()
+			j.Load()
 		}
-		j.requeueAll()
-		if c.finals[id] != "" {
-			j.withdrawn, j.withdrawnAt, j.queue = true, c.notices.since(id), nil
-		} else if j.doneCount == j.spec.Tasks && !j.spec.Standing {
-			j.finishing = true
+		j.RequeueAll()
+		if c.FinalStates[id] != "" {
+			j.Ended, j.CancelledAt, j.Pending = true, c.Cancellations.CancelledAt(id), nil
+		} else if j.DoneCount == j.Spec.Tasks && !j.Spec.Standing {
+			j.Completing = true
 		}
 	}
-	if bound < len(fo.shadow.jobs) {
-		for id, sj := range fo.shadow.jobs {
-			if c.jobs[id] == nil || c.jobs[id].part != p.index {
-				c.log.Error("run records of a job that is not known", "job", id, "records", len(sj.runs))
-				sj.unbound(id)
+	if bound < len(fo.Derived.Jobs) {
+		for id, sj := range fo.Derived.Jobs {
+			if c.Jobs[id] == nil || c.Jobs[id].Partition != p.Index {
+				c.log.Error("run records of a job that is not known", "job", id, "records", len(sj.Records))
+				sj.Unbind(id)
 			}
 		}
 	}
-	f.recollect(p, &fo.tale, now)
-	c.carrying.spread(p, now)
-	for _, m := range c.machines {
-		if m.rec.Part == p.index {
+	f.ApplyHints(p, &fo.Updates, now)
+	c.proxy.SpreadShards(p, now)
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index {
 			// Former owners may have gone on answering until then (8, 12, 34).
-			m.answeredBy = c.answeredUntil(p, m)
-			m.lastHeard, m.ownedSince = now, now
-			c.fence(m)
+			m.AnsweredUntil = c.LastAnswerBound(p, m)
+			m.LastHeardAt, m.LedSince = now, now
+			c.Fence(m)
 		}
 	}
-	for id, j := range c.jobs {
-		if j.part == p.index && c.finals[id] != "" {
-			for _, a := range j.mates() {
-				c.stopAttempt(a, 0, now)
+	for id, j := range c.Jobs {
+		if j.Partition == p.Index && c.FinalStates[id] != "" {
+			for _, a := range j.Attempts() {
+				c.StopAttempt(a, 0, now)
 			}
-			c.dropIfOver(j)
+			c.DropIfReleased(j)
 		}
 	}
-	p.ready, p.warm, p.order, p.telling, p.homing = true, warm, nil, telling{}, time.Time{}
-	p.wake()
-	c.metrics.Took(observe.Takeover, now.Sub(p.claimed), now)
+	p.Ready, p.WarmFailover, p.QueueOrder, p.Replication, p.HandbackSince = true, warm, nil, ReplicationProgress{}, time.Time{}
+	p.Wake()
+	c.metrics.Took(observe.Takeover, now.Sub(p.AcquiredAt), now)
 	kind := observe.TakeoverCold
 	if warm {
 		kind = observe.TakeoverWarm
 	}
 	c.metrics.Count(kind, 1)
-	c.log.Info("part ready", "part", p.index, "live", live, "after", now.Sub(p.claimed), "warm", warm)
+	c.log.Info("part ready", "part", p.Index, "live", live, "after", now.Sub(p.AcquiredAt), "warm", warm)
 }
 
-func (j *job) requeueAll() {
-	j.queue = j.queue[:0]
-	if waiting := j.spec.Tasks - j.doneCount - len(j.live); cap(j.queue) < waiting {
-		j.queue = make([]int, 0, waiting)
+func (j *Job) RequeueAll() {
+	j.Pending = j.Pending[:0]
+	if waiting := j.Spec.Tasks - j.DoneCount - len(j.LiveAttempts); cap(j.Pending) < waiting {
+		j.Pending = make([]int, 0, waiting)
 	}
-	for t := range j.spec.Tasks {
-		if !j.done[t] && j.live[t] == nil {
-			j.queue = append(j.queue, t)
+	for t := range j.Spec.Tasks {
+		if !j.TaskDone[t] && j.LiveAttempts[t] == nil {
+			j.Pending = append(j.Pending, t)
 		}
 	}
 }
--- a/internal/coordination/tokens.go
+++ b/internal/coordination/tokens.go
@@ -14,122 +14,122 @@
 // machine is raised: the record of the machine is written again, and the worker is told.
 
 const (
-	// answerPatience is how long the answer to a command is waited for before the command
+	// commandAnswerWait is how long the answer to a command is waited for before the command
 	// counts as held up, where a task of a cancelled job depends on it. It is as long as a
 	// worker takes to report a change.
-	answerPatience = 500 * time.Millisecond
-	// stopPatience is the same where no job was cancelled.
-	stopPatience = time.Second
-	// reapPatience is how long an ended attempt whose start may still come stays with its
+	commandAnswerWait = 500 * time.Millisecond
+	// stopAnswerWait is the same where no job was cancelled.
+	stopAnswerWait = time.Second
+	// reapDelay is how long an ended attempt whose start may still come stays with its
 	// worker, so that one raise serves many. It holds neither room nor quota.
-	reapPatience = 5 * time.Second
-	// pendingOrdersMost bounds the orders to a machine that wait for an answer.
-	pendingOrdersMost = 4
-	// repeatShare of the sockets, and repeatsLeast at least, may hold orders beside earlier
+	reapDelay = 5 * time.Second
+	// pendingCommandsLimit bounds the orders to a machine that wait for an answer.
+	pendingCommandsLimit = 4
+	// repeatedCommandsSocketShare of the sockets, and repeatsLeast at least, may hold orders beside earlier
 	// ones to the same machine: where many machines are cut off, workers and users need them.
-	repeatShare  = 32
-	repeatsLeast = 8
+	repeatedCommandsSocketShare = 32
+	repeatedCommandsMin         = 8
 )
 
-// raiseToken wants a higher token for the machine by a moment, at the latest.
-func (m *machine) raiseToken(by time.Time) {
-	if m.raiseBy.IsZero() || by.Before(m.raiseBy) {
-		m.raiseBy = by
+// RaiseTokenBy wants a higher token for the machine by a moment, at the latest.
+func (m *Machine) RaiseTokenBy(by time.Time) {
+	if m.TokenRaiseBy.IsZero() || by.Before(m.TokenRaiseBy) {
+		m.TokenRaiseBy = by
 	}
 }
 
-// ordering notes that orders are sent to a machine.
-func (c *Controller) ordering(m *machine, now time.Time) {
-	if m.pendingOrders > 0 {
-		c.repeats++
+// commandsSent notes that orders are sent to a machine.
+func (c *Controller) commandsSent(m *Machine, now time.Time) {
+	if m.PendingCommands > 0 {
+		c.repeatedCommands++
 	}
-	m.pendingOrders++
-	m.orderedAt = now
+	m.PendingCommands++
+	m.CommandedAt = now
 }
 
-// ordered notes that the answer to orders has come or been given up.
-func (c *Controller) ordered(m *machine) {
-	if m.pendingOrders--; m.pendingOrders > 0 {
-		c.repeats--
+// commandsAnswered notes that the answer to orders has come or been given up.
+func (c *Controller) commandsAnswered(m *Machine) {
+	if m.PendingCommands--; m.PendingCommands > 0 {
+		c.repeatedCommands--
 	}
 }
 
 // mayRepeat says whether orders may be sent to a machine beside those that are under way:
 // a cancelled task depends on them, and there is room.
-func (c *Controller) mayRepeat(m *machine) bool {
-	most := max(repeatsLeast, c.set.Params.MachineLimits.Sockets/repeatShare)
-	return m.cancelling() && m.pendingOrders < pendingOrdersMost && c.repeats < most
+func (c *Controller) mayRepeat(m *Machine) bool {
+	most := max(repeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/repeatedCommandsSocketShare)
+	return m.HasCancelledTask() && m.PendingCommands < pendingCommandsLimit && c.repeatedCommands < most
 }
 
 // mayStillStart says whether a start of an attempt was sent that can come at any time.
-func (c *Controller) mayStillStart(a *attempt) bool {
-	return a.state == attemptCommitted && a.stopping && a.sentToken != 0 && a.sentToken >= c.token(a.machine)
+func (c *Controller) mayStillStart(a *Attempt) bool {
+	return a.State == AttemptCommitted && a.Stopping && a.StartToken != 0 && a.StartToken >= c.Token(a.Machine)
 }
 
-// keepOut has the token raised where a start of an attempt that is to stop may still come.
+// fenceOutStart has the token raised where a start of an attempt that is to stop may still come.
 // The answer to the start is waited for, but not for long if its job was cancelled: its
 // user was told so, and from then on nothing of it may start.
-func (c *Controller) keepOut(a *attempt, now time.Time) {
+func (c *Controller) fenceOutStart(a *Attempt, now time.Time) {
 	if !c.mayStillStart(a) {
 		return
 	}
 	switch {
-	case a.job.withdrawn && now.Sub(a.sentAt) > answerPatience:
-	case a.inFlight == 0 && now.Sub(a.stopAt) > stopPatience:
+	case a.Job.Ended && now.Sub(a.StartSentAt) > commandAnswerWait:
+	case a.StartsInFlight == 0 && now.Sub(a.StopRequestedAt) > stopAnswerWait:
 	default:
 		return
 	}
-	a.machine.raiseToken(now)
-	c.parts[a.machine.rec.Part].wake()
+	a.Machine.RaiseTokenBy(now)
+	c.Partitions[a.Machine.Record.Partition].Wake()
 }
 
-// cancelling says whether a task of a cancelled job is or may come to be on the machine,
+// HasCancelledTask says whether a task of a cancelled job is or may come to be on the machine,
 // so that commands to it are repeated without waiting for the answers to earlier ones.
-func (m *machine) cancelling() bool {
-	for _, a := range m.attempts {
-		if a.live() && a.stopping && a.job.withdrawn {
+func (m *Machine) HasCancelledTask() bool {
+	for _, a := range m.Attempts {
+		if a.Live() && a.Stopping && a.Job.Ended {
 			return true
 		}
 	}
 	return false
 }
 
-// repeatOrders sends what the machine has to do beside commands that are held up.
-func (c *Controller) repeatOrders(m *machine) {
-	if m.fenced {
-		c.sendOrdersNow(m)
+// repeatCommands sends what the machine has to do beside commands that are held up.
+func (c *Controller) repeatCommands(m *Machine) {
+	if m.Fenced {
+		c.sendCommandsNow(m)
 	} else {
-		c.fence(m)
+		c.Fence(m)
 	}
 }
 
-// tokensDue are the machines of a part whose tokens are due to be raised, the longest due first.
-func (c *Controller) tokensDue(p *part, now time.Time) (due []*machine) {
-	for _, m := range c.machines {
-		if m.rec.Part == p.index && !m.raiseBy.IsZero() && !m.raiseBy.After(now) {
+// TokensDue are the machines of a part whose tokens are due to be raised, the longest due first.
+func (c *Controller) TokensDue(p *Partition, now time.Time) (due []*Machine) {
+	for _, m := range c.Machines {
+		if m.Record.Partition == p.Index && !m.TokenRaiseBy.IsZero() && !m.TokenRaiseBy.After(now) {
 			due = append(due, m)
 		}
 	}
-	slices.SortFunc(due, func(x, y *machine) int {
-		return cmp.Or(x.raiseBy.Compare(y.raiseBy), cmp.Compare(x.name, y.name))
+	slices.SortFunc(due, func(x, y *Machine) int {
+		return cmp.Or(x.TokenRaiseBy.Compare(y.TokenRaiseBy), cmp.Compare(x.Name, y.Name))
 	})
 	return due
 }
 
-// raiseTokens adds the records of machines to a batch, until it has so many changes, and
+// RaiseTokens adds the records of machines to a batch, until it has so many changes, and
 // returns those that are left.
-func (c *Controller) raiseTokens(b *batch, due []*machine, now time.Time, most int) (left []*machine) {
+func (c *Controller) RaiseTokens(b *commitBatch, due []*Machine, now time.Time, most int) (left []*Machine) {
 	for i, m := range due {
 		if len(b.txn.Then) >= most {
 			return due[i:]
 		}
-		if m.pendingOrders > 0 && now.Sub(m.orderedAt) < answerPatience {
+		if m.PendingCommands > 0 && now.Sub(m.CommandedAt) < commandAnswerWait {
 			continue // their answer may make it needless
 		}
-		key := bookkeeping.MachineKey(m.name)
-		b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: m.version})
-		b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: bookkeeping.Encode(m.rec)})
-		b.raised = append(b.raised, m)
+		key := bookkeeping.MachineKey(m.Name)
+		b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: m.Revision})
+		b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: bookkeeping.Encode(m.Record)})
+		b.tokenRaises = append(b.tokenRaises, m)
 	}
 	return nil
 }
