--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -20,23 +20,23 @@
 func (c *Controller) Serve(ctx context.Context, req *transport.Request) transport.Response {
 	method := func(want string, h func() transport.Response) transport.Response {
 		if req.Method != want {
-			return refuse(405, "method not allowed", 0)
+			return Refuse(405, "method not allowed", 0)
 		}
 		return h()
 	}
 	switch req.Path {
 	case "/checkin":
-		return method("POST", func() transport.Response { return c.checkin(req) })
+		return method("POST", func() transport.Response { return c.handleHeartbeat(req) })
 	case "/healthz":
 		return method("GET", c.healthz)
 	}
 	// known runs h for somebody who has shown who it is.
-	known := func(want, verb string, h func(who *caller) transport.Response) transport.Response {
+	known := func(want, verb string, h func(who *Caller) transport.Response) transport.Response {
 		return method(want, func() (resp transport.Response) {
 			if c.metrics != nil {
-				defer c.answered(verb, time.Now(), &resp)
+				defer c.observeRequest(verb, time.Now(), &resp)
 			}
-			who, refusal := c.authenticate(req, verb)
+			who, refusal := c.Authenticate(req, verb)
 			if refusal != nil {
 				return *refusal
 			}
@@ -44,30 +44,30 @@
 		})
 	}
 	if req.Path == "/submissions" {
-		return known("POST", "submit", func(who *caller) transport.Response { return c.submit(ctx, who, req) })
+		return known("POST", "submit", func(who *Caller) transport.Response { return c.submit(ctx, who, req) })
 	}
 	if rest, ok := strings.CutPrefix(req.Path, "/submissions/"); ok {
 		id, verb, more := strings.Cut(rest, "/")
 		switch {
 		case !more:
-			return known("GET", "view", func(who *caller) transport.Response { return c.poll(ctx, who, id) })
+			return known("GET", "view", func(who *Caller) transport.Response { return c.poll(ctx, who, id) })
 		case verb == "withdraw":
-			return known("POST", "withdraw", func(who *caller) transport.Response { return c.withdraw(ctx, who, id) })
+			return known("POST", "withdraw", func(who *Caller) transport.Response { return c.cancelJob(ctx, who, id) })
 		case c.guard == nil:
 		case verb == "arguments":
-			return known("GET", "view-arguments", func(who *caller) transport.Response { return c.arguments(ctx, who, id) })
+			return known("GET", "view-arguments", func(who *Caller) transport.Response { return c.arguments(ctx, who, id) })
 		case verb == "reassign":
-			return known("POST", "reassign", func(who *caller) transport.Response { return c.reassign(ctx, who, id, req) })
+			return known("POST", "reassign", func(who *Caller) transport.Response { return c.reassign(ctx, who, id, req) })
 		}
-		return refuse(404, "no such path", 0)
+		return Refuse(404, "no such path", 0)
 	}
 	if c.guard == nil {
-		return refuse(404, "no such path", 0)
+		return Refuse(404, "no such path", 0)
 	}
-	administer := func(want, verb string, h func(who *caller) transport.Response) transport.Response {
-		return known(want, verb, func(who *caller) transport.Response {
+	administer := func(want, verb string, h func(who *Caller) transport.Response) transport.Response {
+		return known(want, verb, func(who *Caller) transport.Response {
 			if !c.guard.administers(who) {
-				return *c.deny(who, verb, rights.Queue{}, "", 403, "does not administer every queue")
+				return *c.Deny(who, verb, rights.Queue{}, "", 403, "does not administer every queue")
 			}
 			return h(who)
 		})
@@ -76,26 +76,26 @@
 	case req.Path == "/whoami":
 		return known("GET", "whoami", c.whoami)
 	case req.Path == "/may":
-		return known("GET", "may", func(who *caller) transport.Response { return c.may(who, req) })
+		return known("GET", "may", func(who *Caller) transport.Response { return c.may(who, req) })
 	case req.Path == "/withdrawals":
-		return known("POST", "withdraw-all", func(who *caller) transport.Response {
-			if who.through != "" || !c.guard.holdsAny(who, rights.Administer) {
-				return *c.deny(who, "withdraw-all", rights.Queue{}, "", 403, "administers no queue")
+		return known("POST", "withdraw-all", func(who *Caller) transport.Response {
+			if who.Service != "" || !c.guard.holdsAny(who, rights.Administer) {
+				return *c.Deny(who, "withdraw-all", rights.Queue{}, "", 403, "administers no queue")
 			}
-			return c.sweep(ctx, who, req)
+			return c.cancelAllOf(ctx, who, req)
 		})
 	case req.Path == "/policy":
-		return administer("POST", "change-policy", func(who *caller) transport.Response { return c.changePolicy(ctx, who, req) })
+		return administer("POST", "change-policy", func(who *Caller) transport.Response { return c.changePolicy(ctx, who, req) })
 	case strings.HasPrefix(req.Path, "/policy/"):
-		return administer("GET", "read-policy", func(who *caller) transport.Response { return c.showPolicy(who, req) })
+		return administer("GET", "read-policy", func(who *Caller) transport.Response { return c.showPolicy(who, req) })
 	case strings.HasPrefix(req.Path, "/audit/"):
-		return administer("GET", "read-audit", func(who *caller) transport.Response { return c.readAudit(ctx, who, req) })
+		return administer("GET", "read-audit", func(who *Caller) transport.Response { return c.readAudit(ctx, who, req) })
 	}
-	return refuse(404, "no such path", 0)
+	return Refuse(404, "no such path", 0)
 }
 
-// answered measures a user's request.
-func (c *Controller) answered(verb string, begun time.Time, resp *transport.Response) {
+// observeRequest measures a user's request.
+func (c *Controller) observeRequest(verb string, begun time.Time, resp *transport.Response) {
 	now := time.Now()
 	switch verb {
 	case "submit":
@@ -110,24 +110,24 @@
 	}
 }
 
-func (c *Controller) checkin(req *transport.Request) transport.Response {
-	who, refusal := c.worker(req)
+func (c *Controller) handleHeartbeat(req *transport.Request) transport.Response {
+	who, refusal := c.AuthenticateWorker(req)
 	if refusal != nil {
 		return *refusal
 	}
-	r := new(protocol.Report)
+	r := new(protocol.Heartbeat)
 	err := protocol.Decode(req.Body, r)
 	if err == nil {
 		err = r.Check()
 	}
 	if err != nil {
-		return refuse(400, oneLine(err), 0)
+		return Refuse(400, firstLine(err), 0)
 	}
-	if refusal := c.speaksFor(who, "report", identity.Name{Kind: identity.Worker, ID: r.Machine}); refusal != nil {
+	if refusal := c.CheckSender(who, "report", identity.Name{Kind: identity.Worker, ID: r.Machine}); refusal != nil {
 		return *refusal
 	}
-	resp := refuse(503, "stopping", 1)
-	c.do(func() { resp = c.handleReport(r, req.Body) })
+	resp := Refuse(503, "stopping", 1)
+	c.do(func() { resp = c.HandleHeartbeat(r, req.Body) })
 	return resp
 }
 
@@ -135,15 +135,15 @@
 // everybody, all controllers stay in, since leaving would only delay their
 // return; one that alone can't reach it leaves the users to the others.
 func (c *Controller) healthz() transport.Response {
-	resp := refuse(503, "not ready", 1)
+	resp := Refuse(503, "not ready", 1)
 	c.do(func() {
-		if !c.synced {
+		if !c.Synced {
 			return
 		}
-		silence := c.store.Silence()
+		silence := c.store.SinceLastAnswer()
 		if silence > 2500*time.Millisecond {
-			for _, ps := range c.peers {
-				if ps.recent(time.Now()) && ps.summary.StateSilenceS < 1.5 {
+			for _, ps := range c.Peers {
+				if ps.Alive(time.Now()) && ps.Summary.StateSilenceS < 1.5 {
 					return
 				}
 			}
@@ -153,42 +153,42 @@
 	return resp
 }
 
-func oneLine(err error) string {
+func firstLine(err error) string {
 	line, _, _ := strings.Cut(err.Error(), "\n")
 	return line[:min(len(line), 200)]
 }
 
-// unavailable is the answer while the state service can't be asked.
-func unavailable(err error) transport.Response {
+// unavailableResponse is the answer while the state service can't be asked.
+func unavailableResponse(err error) transport.Response {
 	if errors.Is(err, bookkeeping.ErrRefused) && strings.Contains(err.Error(), "budget") {
-		return refuse(429, "over budget", 1)
+		return Refuse(429, "over budget", 1)
 	}
-	return refuse(503, "state service unavailable", 1)
+	return Refuse(503, "state service unavailable", 1)
 }
 
 func statusResponse(code int, st protocol.JobStatus) transport.Response {
 	return transport.Response{Status: code, Body: protocol.Encode(st)}
 }
 
-// withdrawal adds to a transaction what makes a job withdrawn, unless it has
+// AddCancellation adds to a transaction what makes a job withdrawn, unless it has
 // ended.
-func withdrawal(txn *protocol.Transaction, id string, now time.Time) {
+func AddCancellation(txn *protocol.Transaction, id string, now time.Time) {
 	key := bookkeeping.FinalKey(id)
 	txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
 	txn.Then = append(txn.Then, protocol.Change{Put: key,
 		Value: bookkeeping.Encode(bookkeeping.Final{Status: protocol.StatusWithdrawn, AtMS: now.UnixMilli()})})
 }
 
-// withdrawNow withdraws a job for somebody who waits for the answer, and
+// cancelNow withdraws a job for somebody who waits for the answer, and
 // returns how the job ended.
-func (c *Controller) withdrawNow(ctx context.Context, id string, r *audit.Record) (string, error) {
+func (c *Controller) cancelNow(ctx context.Context, id string, r *audit.Record) (string, error) {
 	var txn protocol.Transaction
-	withdrawal(&txn, id, time.Now())
-	_, err := c.userCommit(ctx, &txn, r)
+	AddCancellation(&txn, id, time.Now())
+	_, err := c.Commit(ctx, &txn, r)
 	var conflict *bookkeeping.Conflict
 	switch {
 	case err == nil:
-		c.do(func() { c.setFinal(id, protocol.StatusWithdrawn, time.Now()) })
+		c.do(func() { c.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
 		return protocol.StatusWithdrawn, nil
 	case !errors.As(err, &conflict):
 		return "", err
@@ -199,8 +199,8 @@
 	}
 	status := ""
 	c.do(func() {
-		c.applyFinalRecord(id, item.Value)
-		status = c.finals[id]
+		c.ApplyFinalRecord(id, item.Value)
+		status = c.FinalStates[id]
 	})
 	if status == "" {
 		return "", fmt.Errorf("%w: final record can't be read", bookkeeping.ErrUnknown)
@@ -208,26 +208,26 @@
 	return status, nil
 }
 
-// withdraw cancels a job, unless it is done already.
-func (c *Controller) withdraw(ctx context.Context, who *caller, id string) transport.Response {
-	q, refused := c.admitJob(ctx, who, rights.Withdraw, id)
+// cancelJob cancels a job, unless it is done already.
+func (c *Controller) cancelJob(ctx context.Context, who *Caller, id string) transport.Response {
+	q, refused := c.AuthorizeJob(ctx, who, rights.Withdraw, id)
 	if refused != nil {
 		return *refused
 	}
-	st, refusal := c.lookUp(ctx, id)
+	st, refusal := c.lookUpJob(ctx, id)
 	if refusal != nil {
 		return *refusal
 	}
 	if !st.Ended() {
 		var err error
-		if st.Status, err = c.withdrawNow(ctx, id, c.record(who, "withdraw", q, id)); err != nil {
-			return unavailable(err)
+		if st.Status, err = c.cancelNow(ctx, id, c.AuditRecord(who, "withdraw", q, id)); err != nil {
+			return unavailableResponse(err)
 		}
 	}
 	return statusResponse(200, protocol.JobStatus{ID: id, Status: st.Status})
 }
 
-// refuse answers at once with a reason and when to come back.
-func refuse(status int, reason string, retryAfter int) transport.Response {
+// Refuse answers at once with a reason and when to come back.
+func Refuse(status int, reason string, retryAfter int) transport.Response {
 	return transport.Response{Status: status, Body: protocol.Encode(protocol.Problem{Error: reason}), RetryAfter: retryAfter}
 }
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -61,7 +61,7 @@
 	ids   *clerks
 	group sync.WaitGroup
 	// lived are the lives of controllers of which a record was written.
-	lived map[lifeName]bool
+	lived map[incarnationID]bool
 	troubles
 	// stormTasks is how many tasks a storm's jobs have at most.
 	stormTasks int
@@ -88,7 +88,7 @@
 
 func newWorld(t testing.TB, seed uint64) *world {
 	w := &world{t: t, ctx: t.Context(), rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{},
-		workers: map[string]*worker.Worker{}, jobs: map[string]*userJob{}, lived: map[lifeName]bool{}, op: settings.DefaultOperator(), stormTasks: 12}
+		workers: map[string]*worker.Worker{}, jobs: map[string]*userJob{}, lived: map[incarnationID]bool{}, op: settings.DefaultOperator(), stormTasks: 12}
 	w.set.Params = settings.Params{Count: 3, Zones: []string{"a", "b"},
 		Teams:         []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
 		Workers:       settings.Workers{ReportS: 1, LeaseS: 8, CancelS: 25},
@@ -283,7 +283,7 @@
 
 // ofOld is a message of a controller that keeps no copies, without what it does not know.
 func ofOld(path string, body []byte) []byte {
-	if path != summaryPath {
+	if path != SummaryPath {
 		return body
 	}
 	sum := new(peer.Summary)
@@ -310,7 +310,7 @@
 	n, wk := w.nodes[host], w.workers[host]
 	w.mu.Unlock()
 	switch {
-	case n != nil && (w.old[host] || w.old[from]) && (path == talePath || path == recallPath || path == carryPath || path == relayPath):
+	case n != nil && (w.old[host] || w.old[from]) && (path == UpdatePath || path == StateTransferPath || path == DelegationPath || path == ForwardPath):
 		return &transport.Response{Status: 404}
 	case n != nil:
 		if w.old[from] {
@@ -319,10 +319,10 @@
 		w.mu.Lock()
 		noNotices := w.noNotices
 		w.mu.Unlock()
-		if path == summaryPath && noNotices {
+		if path == SummaryPath && noNotices {
 			body = withoutNotices(body)
 		}
-		if w.told != nil && path == talePath {
+		if w.told != nil && path == UpdatePath {
 			tale := new(peer.Tale)
 			must(proto.Unmarshal(body, tale))
 			w.mu.Lock()
@@ -343,29 +343,29 @@
 // checkClaim sees that nobody takes a claim that another still holds: its owner
 // might go on answering workers for longer than its successor expects.
 func (w *world) checkClaim(c protocol.Change, old protocol.Item, held bool) {
-	var claim bookkeeping.Claim
-	if kind, _ := bookkeeping.ParseKey(c.Put); (kind == bookkeeping.KindClaim || kind == bookkeeping.KindLeader) && bookkeeping.Decode(c.Value, &claim) == nil {
+	var claim bookkeeping.Lease
+	if kind, _ := bookkeeping.ParseKey(c.Put); (kind == bookkeeping.KindLease || kind == bookkeeping.KindLeadership) && bookkeeping.Decode(c.Value, &claim) == nil {
 		// Not that the record is of this life still: a late claim of a process that ended
 		// may come after its next life's record, on a lease that has not run out yet (44).
-		if !w.lived[lifeName{claim.Owner, claim.Nonce}] {
+		if !w.lived[incarnationID{claim.Holder, claim.Nonce}] {
 			w.breakRule("%s claimed before the record of its owner's life", c.Put)
 		}
 	}
 	kind, label := bookkeeping.ParseKey(c.Put)
-	if kind == bookkeeping.KindLife {
-		var life bookkeeping.Life
+	if kind == bookkeeping.KindIncarnation {
+		var life bookkeeping.Incarnation
 		must(bookkeeping.Decode(c.Value, &life))
-		w.lived[lifeName{label, life.Nonce}] = true
+		w.lived[incarnationID{label, life.Nonce}] = true
 		w.checkReleases(label, c.Value)
 	}
-	if !held || kind != bookkeeping.KindClaim && kind != bookkeeping.KindLeader {
+	if !held || kind != bookkeeping.KindLease && kind != bookkeeping.KindLeadership {
 		return
 	}
-	var before, after bookkeeping.Claim
+	var before, after bookkeeping.Lease
 	must(bookkeeping.Decode(old.Value, &before))
 	must(bookkeeping.Decode(c.Value, &after))
-	if before.Owner != after.Owner {
-		w.breakRule("claim %s of %s taken by %s", c.Put, before.Owner, after.Owner)
+	if before.Holder != after.Holder {
+		w.breakRule("claim %s of %s taken by %s", c.Put, before.Holder, after.Holder)
 	}
 }
 
@@ -378,16 +378,16 @@
 
 // checkReleases sees that whoever writes that it gave claims up acts under none of them.
 func (w *world) checkReleases(label string, value []byte) {
-	var life bookkeeping.Life
+	var life bookkeeping.Incarnation
 	must(bookkeeping.Decode(value, &life))
 	n := w.nodes[label]
-	if n == nil || n.ctl.nonce != life.Nonce {
+	if n == nil || n.ctl.Nonce != life.Nonce {
 		return
 	}
 	n.ctl.do(func() {
 		for _, r := range life.Released {
-			if p := n.ctl.parts[r.Part]; p.mine && p.version == r.Claim {
-				w.broken = append(w.broken, fmt.Sprintf("%s gives part %d up and acts for it", label, r.Part))
+			if p := n.ctl.Partitions[r.Partition]; p.Held && p.LeaseRevision == r.LeaseRevision {
+				w.broken = append(w.broken, fmt.Sprintf("%s gives part %d up and acts for it", label, r.Partition))
 			}
 		}
 	})
@@ -586,9 +586,9 @@
 		if job, _, err := bookkeeping.ParseRunKey(key); err != nil || job != id {
 			continue
 		}
-		var run bookkeeping.Run
+		var run bookkeeping.RunRecord
 		must(bookkeeping.Decode(it.Value, &run))
-		if slices.Contains(run.Live, bookkeeping.Attempt{Task: task, Number: c.Attempt, Machine: wk.Name, Session: wk.Session}) {
+		if slices.Contains(run.Live, bookkeeping.Attempt{Task: task, Number: c.Attempt, Machine: wk.Name, Epoch: wk.Session}) {
 			return true
 		}
 	}
--- a/internal/lab/hosted_test.go
+++ b/internal/lab/hosted_test.go
@@ -195,7 +195,7 @@
 	machine := client.New(c.Addrs(), c.Hosted().reports(), "")
 	_, err = machine.Status(ctx, "job-1")
 	refused(t, err, 403)
-	refused(t, partner.Do(ctx, "POST", "/checkin", &protocol.Report{Machine: "m-1", Session: 1}, nil), 401)
+	refused(t, partner.Do(ctx, "POST", "/checkin", &protocol.Heartbeat{Machine: "m-1", Epoch: 1}, nil), 401)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		for st := (protocol.JobStatus{}); !st.Ended(); time.Sleep(100 * time.Millisecond) {
 			if st, err = root.Status(ctx, id); err != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -356,13 +356,13 @@
 func (c *Cluster) Leader() *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var claim bookkeeping.Claim
-	it, ok := c.state.Items[bookkeeping.LeaderKey]
+	var claim bookkeeping.Lease
+	it, ok := c.state.Items[bookkeeping.LeadershipKey]
 	if !ok || bookkeeping.Decode(it.Value, &claim) != nil {
 		return nil
 	}
 	for _, n := range c.nodes {
-		if n.Label == claim.Owner {
+		if n.Label == claim.Holder {
 			return n
 		}
 	}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -18,7 +18,7 @@
 		"user-sweep":         golden.Fill(&protocol.Sweep{}),
 		"user-sweep-result":  golden.Fill(&protocol.SweepResult{}),
 		"user-whoami":        golden.Fill(&protocol.WhoAmI{}),
-		"worker-report":      golden.Fill(&protocol.Report{}),
+		"worker-report":      golden.Fill(&protocol.Heartbeat{}),
 		"worker-home":        golden.Fill(&protocol.Home{}),
 		"cloud-catalog":      golden.Fill(&protocol.Catalog{}),
 		"cloud-rental":       golden.Fill(&protocol.Rental{}),
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -109,14 +109,14 @@
 func FuzzDecode(f *testing.F) {
 	body, _ := msgpack.Marshal(valid())
 	f.Add(body)
-	f.Add(Encode(Report{Machine: "m-1", Session: 1, Tasks: []TaskReport{{Task: "job-1/0"}}}))
+	f.Add(Encode(Heartbeat{Machine: "m-1", Epoch: 1, Tasks: []TaskReport{{Task: "job-1/0"}}}))
 	f.Add([]byte{0x81, 0xa1, 'a', 0xdd, 0, 0, 0, 1, 0xc0})
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		var s Submission
 		if Decode(body, &s) == nil {
 			_, _ = s.Check()
 		}
-		var r Report
+		var r Heartbeat
 		if Decode(body, &r) == nil {
 			_ = r.Check()
 		}
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -285,19 +285,19 @@
 	return job, index, err == nil && index >= 0 && index < maxTasks
 }
 
-// Report is what a worker says of itself: the body of POST /checkin and of the
+// Heartbeat is what a worker says of itself: the body of POST /checkin and of the
 // answers of /orders and /show.
-type Report struct {
-	Machine  string       `msgpack:"host"`
-	Addr     string       `msgpack:"endpoint"`
-	Type     string       `msgpack:"box"`
-	Zone     string       `msgpack:"locale"`
-	Spot     bool         `msgpack:"loaners"`
-	Session  uint64       `msgpack:"tenure"`
-	Sequence uint64       `msgpack:"tick"`
-	Token    uint64       `msgpack:"mandate"`
-	NoticeS  *float64     `msgpack:"warning_s"`
-	Tasks    []TaskReport `msgpack:"pieces"`
+type Heartbeat struct {
+	Machine           string       `msgpack:"host"`
+	Addr              string       `msgpack:"endpoint"`
+	Type              string       `msgpack:"box"`
+	Zone              string       `msgpack:"locale"`
+	Spot              bool         `msgpack:"loaners"`
+	Epoch             uint64       `msgpack:"tenure"`
+	Sequence          uint64       `msgpack:"tick"`
+	Token             uint64       `msgpack:"mandate"`
+	PreemptionNoticeS *float64     `msgpack:"warning_s"`
+	Tasks             []TaskReport `msgpack:"pieces"`
 }
 
 // TaskReport is one task in a report.
@@ -325,13 +325,13 @@
 )
 
 // Check says what is wrong with a report.
-func (r *Report) Check() error {
+func (r *Heartbeat) Check() error {
 	switch {
 	case r.Machine == "" || len(r.Machine) > maxText || strings.ContainsAny(r.Machine, " /"):
 		return fmt.Errorf("%w: host is invalid", ErrMalformed)
-	case r.Session == 0:
+	case r.Epoch == 0:
 		return fmt.Errorf("%w: tenure is missing", ErrMalformed)
-	case r.NoticeS != nil && !finite(*r.NoticeS):
+	case r.PreemptionNoticeS != nil && !finite(*r.PreemptionNoticeS):
 		return fmt.Errorf("%w: warning_s is invalid", ErrMalformed)
 	}
 	return nil
@@ -365,7 +365,7 @@
 // session) or the body of POST /orders.
 type Orders struct {
 	Token    uint64    `msgpack:"mandate"`
-	Session  uint64    `msgpack:"tenure,omitempty"`
+	Epoch    uint64    `msgpack:"tenure,omitempty"`
 	Commands []Command `msgpack:"orders"`
 }
 
--- a/internal/pulse/pulse.go
+++ b/internal/pulse/pulse.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Pulse beats until it is stopped. A beat that nobody has taken yet is not doubled.
-type Pulse struct {
+// Ticker beats until it is stopped. A beat that nobody has taken yet is not doubled.
+type Ticker struct {
 	C <-chan struct{}
 
 	mu    sync.Mutex
 	timer *time.Timer // nil once stopped
 }
 
-// Every starts a pulse whose first beat comes after one interval.
-func Every(interval time.Duration) *Pulse {
+// New starts a pulse whose first beat comes after one interval.
+func New(interval time.Duration) *Ticker {
 	beats := make(chan struct{}, 1)
-	p := &Pulse{C: beats}
+	p := &Ticker{C: beats}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := time.Now().Add(interval)
@@ -48,7 +48,7 @@
 }
 
 // Stop ends the beats.
-func (p *Pulse) Stop() {
+func (p *Ticker) Stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.timer.Stop()
--- a/internal/pulse/pulse_test.go
+++ b/internal/pulse/pulse_test.go
@@ -9,7 +9,7 @@
 func TestBeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		p := Every(250 * time.Millisecond)
+		p := New(250 * time.Millisecond)
 		at := func(want time.Duration) {
 			t.Helper()
 			<-p.C
@@ -43,7 +43,7 @@
 		for i := range duties {
 			calls[i] = make(chan struct{})
 			go func() {
-				p := Every(time.Millisecond)
+				p := New(time.Millisecond)
 				defer p.Stop()
 				n := 0
 				for {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -180,13 +180,13 @@
 }
 
 // Snapshot is the worker's report as of now, with the lock held.
-func (w *Worker) Snapshot() *protocol.Report {
+func (w *Worker) Snapshot() *protocol.Heartbeat {
 	w.Sequence++
-	r := &protocol.Report{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Sequence: w.Sequence, Token: w.Token, Tasks: []protocol.TaskReport{}}
+	r := &protocol.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		Epoch: w.Session, Sequence: w.Sequence, Token: w.Token, Tasks: []protocol.TaskReport{}}
 	if w.Notice != nil {
 		s := time.Until(*w.Notice).Seconds()
-		r.NoticeS = &s
+		r.PreemptionNoticeS = &s
 	}
 	for _, t := range w.Tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Cause: t.Cause})
@@ -211,7 +211,7 @@
 	switch status {
 	case 200:
 		var o protocol.Orders
-		if protocol.Decode(body, &o) == nil && o.Token >= w.Token && r.Session == w.Session {
+		if protocol.Decode(body, &o) == nil && o.Token >= w.Token && r.Epoch == w.Session {
 			w.Token, w.LeaseFrom = o.Token, sent
 			w.execute(o.Commands)
 		}
@@ -279,10 +279,10 @@
 		return answer(200)
 	}
 	var o protocol.Orders
-	if protocol.Decode(body, &o) != nil || o.Token == 0 && o.Session == 0 {
+	if protocol.Decode(body, &o) != nil || o.Token == 0 && o.Epoch == 0 {
 		return answer(400)
 	}
-	if o.Token < w.Token || o.Session != w.Session {
+	if o.Token < w.Token || o.Epoch != w.Session {
 		return answer(409)
 	}
 	w.Token = o.Token
