--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -18,12 +18,12 @@
 
 	"micaspindle/internal/audit"
 	"micaspindle/internal/audit/archive"
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/pki"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/standin/state"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -76,7 +76,7 @@
 
 // open starts the log of a controller; stop ends it as a signal does.
 func (f *fixture) open(label string) (l *audit.Log, stop func()) {
-	store := bookkeeping.NewStore(f.net, "state", settings.State{RPS: 10_000, WriteRPS: 10_000, ValueKB: 8, TxnOps: 12}, 2)
+	store := storage.NewStore(f.net, "state", settings.State{RPS: 10_000, WriteRPS: 10_000, ValueKB: 8, TxnOps: 12}, 2)
 	l = audit.NewLog(store, label, func() audit.Signer {
 		key, cert := f.rings[label].Signer()
 		return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
@@ -275,7 +275,7 @@
 				l.Note(audit.Record{At: time.Now().UTC(), Who: fmt.Sprintf("person/p%d", i), Verb: "view", Outcome: audit.Denied})
 				for tries := 0; ; tries++ {
 					_, err := l.Commit(context.Background(), put(key), record("submit", fmt.Sprintf("job-%d", i)))
-					var conflict *bookkeeping.Conflict
+					var conflict *storage.Conflict
 					if err == nil || errors.As(err, &conflict) {
 						break // done, or was done before
 					}
@@ -336,7 +336,7 @@
 			}
 			for {
 				_, err := l.Commit(context.Background(), put(key), record("submit", fmt.Sprintf("job-%d", i)))
-				var conflict *bookkeeping.Conflict
+				var conflict *storage.Conflict
 				switch {
 				case errors.As(err, &conflict):
 					mu.Lock()
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
-	"micaspindle/internal/pulse"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/ticker"
 )
 
 // Store is what the log needs of the state service's client.
@@ -48,7 +48,7 @@
 
 // errBehind refuses a change because those before it took too long. Its words
 // tell the user's door to answer 429.
-var errBehind = fmt.Errorf("%w: audit log is over its budget", bookkeeping.ErrRefused)
+var errBehind = fmt.Errorf("%w: audit log is over its budget", storage.ErrRefused)
 
 // Log writes one controller's chain. Changes from several users at a time go in
 // one transaction together with the batch that records them, so that the audit
@@ -133,7 +133,7 @@
 		}
 	case <-ctx.Done():
 		if it.state.CompareAndSwap(waiting, givenUp) {
-			return 0, fmt.Errorf("%w: %w", bookkeeping.ErrRefused, ctx.Err())
+			return 0, fmt.Errorf("%w: %w", storage.ErrRefused, ctx.Err())
 		}
 	case <-l.stopped:
 	}
@@ -141,13 +141,13 @@
 	case res := <-it.result:
 		return res.revision, res.err
 	case <-ctx.Done():
-		return 0, fmt.Errorf("%w: %w", bookkeeping.ErrUnknown, ctx.Err())
+		return 0, fmt.Errorf("%w: %w", storage.ErrUnknown, ctx.Err())
 	case <-l.stopped:
 		select {
 		case res := <-it.result:
 			return res.revision, res.err
 		default:
-			return 0, fmt.Errorf("%w: stopping", bookkeeping.ErrUnknown)
+			return 0, fmt.Errorf("%w: stopping", storage.ErrUnknown)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 // returns, if the state service takes it within a second.
 func (l *Log) Run(ctx context.Context) {
 	defer close(l.stopped)
-	tick := pulse.New(pause)
+	tick := ticker.New(pause)
 	defer tick.Stop()
 	for {
 		if first := l.spare; first != nil {
@@ -306,7 +306,7 @@
 	if !l.opened {
 		if err := l.open(ctx); err != nil {
 			l.log.Debug("audit chain can't be read yet", "reason", err)
-			fail(fmt.Errorf("%w: audit chain can't be read", bookkeeping.ErrRefused))
+			fail(fmt.Errorf("%w: audit chain can't be read", storage.ErrRefused))
 			l.sleep(ctx)
 			return
 		}
@@ -315,15 +315,15 @@
 		batch, gathered, txn, err := l.assemble(items)
 		if err != nil {
 			l.log.Error("audit batch not made", "reason", err)
-			fail(fmt.Errorf("%w: audit batch not made", bookkeeping.ErrRefused))
+			fail(fmt.Errorf("%w: audit batch not made", storage.ErrRefused))
 			return
 		}
 		if len(batch.Lines) == 0 {
 			return
 		}
 		revision, err := l.store.UserCommit(ctx, txn)
-		var conflict *bookkeeping.Conflict
-		if errors.Is(err, bookkeeping.ErrUnknown) {
+		var conflict *storage.Conflict
+		if errors.Is(err, storage.ErrUnknown) {
 			revision, err = l.settle(ctx, batch, err)
 		}
 		switch {
@@ -343,7 +343,7 @@
 			if len(items) == 0 {
 				return // what was gathered waits for the next batch
 			}
-		case errors.Is(err, bookkeeping.ErrTooLarge):
+		case errors.Is(err, storage.ErrTooLarge):
 			l.putBack(gathered)
 			if len(items) > 1 {
 				for _, it := range items {
@@ -355,7 +355,7 @@
 			return
 		default:
 			l.putBack(gathered)
-			if errors.Is(err, bookkeeping.ErrUnknown) {
+			if errors.Is(err, storage.ErrUnknown) {
 				l.unsure = append(l.unsure, unsureBatch{batch.Sig, len(gathered)})
 			}
 			fail(err)
@@ -363,7 +363,7 @@
 			return
 		}
 	}
-	fail(fmt.Errorf("%w: audit chain moves on", bookkeeping.ErrRefused))
+	fail(fmt.Errorf("%w: audit chain moves on", storage.ErrRefused))
 }
 
 func (l *Log) sleep(ctx context.Context) {
@@ -400,16 +400,16 @@
 		l.putBack(gathered)
 		return nil, nil, nil, err
 	}
-	txn.Then = append(txn.Then, protocol.Change{Put: BatchKey(l.chain, l.next), Value: bookkeeping.Encode(batch)})
+	txn.Then = append(txn.Then, protocol.Change{Put: BatchKey(l.chain, l.next), Value: storage.Encode(batch)})
 	// The head needs no condition of its own: whoever writes it holds the
 	// number of the batch, and batches come in order.
 	if l.next%headEvery == 1 && len(txn.Then) < l.store.TxnOps() {
 		end := head{Number: l.next, Hash: batch.Hash(l.chain, l.next)}
-		txn.Then = append(txn.Then, protocol.Change{Put: headKey(l.chain), Value: bookkeeping.Encode(end)})
+		txn.Then = append(txn.Then, protocol.Change{Put: headKey(l.chain), Value: storage.Encode(end)})
 	}
 	if !l.published[signer.ID] && len(txn.Then) < l.store.TxnOps() {
 		txn.Then = append(txn.Then, protocol.Change{Put: signerKey(signer.ID),
-			Value: bookkeeping.Encode(signerRecord{base64.StdEncoding.EncodeToString(signer.Cert.Raw)})})
+			Value: storage.Encode(signerRecord{base64.StdEncoding.EncodeToString(signer.Cert.Raw)})})
 	}
 	return batch, gathered, txn, nil
 }
@@ -437,11 +437,11 @@
 		switch {
 		case err == nil:
 			var there Batch
-			if bookkeeping.Decode(item.Value, &there) == nil && there.Sig == batch.Sig && there.Prev == batch.Prev && slices.Equal(there.Lines, batch.Lines) {
+			if storage.Decode(item.Value, &there) == nil && there.Sig == batch.Sig && there.Prev == batch.Prev && slices.Equal(there.Lines, batch.Lines) {
 				return item.Version, nil
 			}
-			return 0, &bookkeeping.Conflict{Failed: []string{BatchKey(l.chain, l.next)}}
-		case errors.Is(err, bookkeeping.ErrNotFound), ctx.Err() != nil:
+			return 0, &storage.Conflict{Failed: []string{BatchKey(l.chain, l.next)}}
+		case errors.Is(err, storage.ErrNotFound), ctx.Err() != nil:
 			return 0, unknown
 		}
 		l.sleep(ctx)
@@ -451,7 +451,7 @@
 
 // sortOut answers the changes whose own conditions failed and returns the rest,
 // to be tried again. If the batch's number is taken, the chain is followed.
-func (l *Log) sortOut(ctx context.Context, items []*item, conflict *bookkeeping.Conflict) ([]*item, error) {
+func (l *Log) sortOut(ctx context.Context, items []*item, conflict *storage.Conflict) ([]*item, error) {
 	failed := map[string]bool{}
 	for _, key := range conflict.Failed {
 		failed[key] = true
@@ -465,14 +465,14 @@
 			}
 		}
 		if len(own) > 0 {
-			it.result <- result{err: &bookkeeping.Conflict{Failed: own}}
+			it.result <- result{err: &storage.Conflict{Failed: own}}
 		} else {
 			rest = append(rest, it)
 		}
 	}
 	if failed[BatchKey(l.chain, l.next)] || len(rest) == len(items) {
 		if err := l.follow(ctx); err != nil {
-			return rest, fmt.Errorf("%w: audit chain can't be read", bookkeeping.ErrRefused)
+			return rest, fmt.Errorf("%w: audit chain can't be read", storage.ErrRefused)
 		}
 	}
 	return rest, nil
@@ -485,7 +485,7 @@
 	switch {
 	case err == nil:
 		raw = item.Value
-	case !errors.Is(err, bookkeeping.ErrNotFound):
+	case !errors.Is(err, storage.ErrNotFound):
 		return err
 	}
 	last, hash, err := l.end(ctx, l.chain, raw)
@@ -503,15 +503,15 @@
 	var from head
 	if rawHead != nil {
 		var there Batch
-		item, err := (*protocol.Item)(nil), bookkeeping.Decode(rawHead, &from)
+		item, err := (*protocol.Item)(nil), storage.Decode(rawHead, &from)
 		if err == nil {
 			item, err = l.store.Get(ctx, BatchKey(chain, from.Number))
 		}
 		if err == nil {
-			err = bookkeeping.Decode(item.Value, &there)
+			err = storage.Decode(item.Value, &there)
 		}
 		switch {
-		case errors.Is(err, bookkeeping.ErrRefused), errors.Is(err, bookkeeping.ErrUnknown):
+		case errors.Is(err, storage.ErrRefused), errors.Is(err, storage.ErrUnknown):
 			return 0, "", err
 		case err != nil || there.Hash(chain, from.Number) != from.Hash:
 			l.log.Error("audit chain has a head that is not true", "chain", chain)
@@ -526,7 +526,7 @@
 	err := l.all(ctx, BatchPrefix(chain), BatchKey(chain, number), func(key string, raw []byte) error {
 		var b Batch
 		_, n, ok := ParseBatchKey(key)
-		if err := bookkeeping.Decode(raw, &b); err != nil || !ok {
+		if err := storage.Decode(raw, &b); err != nil || !ok {
 			return fmt.Errorf("audit: %s can't be read", key)
 		}
 		if n != number+1 || b.Prev != hash {
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
+	"micaspindle/internal/storage"
 )
 
 // Numbered is a batch with its place.
@@ -81,7 +81,7 @@
 	seal.Signers = []string{own}
 	err = l.all(ctx, signerPrefix, signerPrefix, func(_ string, raw []byte) error {
 		var rec signerRecord
-		if err := bookkeeping.Decode(raw, &rec); err != nil {
+		if err := storage.Decode(raw, &rec); err != nil {
 			return err
 		}
 		if rec.Cert != own {
@@ -122,7 +122,7 @@
 	for _, it := range list.Items {
 		var b Batch
 		_, number, ok := ParseBatchKey(it.Key)
-		if err := bookkeeping.Decode(it.Value, &b); err != nil || !ok {
+		if err := storage.Decode(it.Value, &b); err != nil || !ok {
 			return nil, fmt.Errorf("audit: %s can't be read", it.Key)
 		}
 		if size -= len(it.Value) + 64; size < 0 && len(out) > 0 {
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/telemetry"
 )
 
 func (m *Machine) SortedAttempts() []*Attempt {
@@ -102,7 +102,7 @@
 	j.Failures++
 	m.FailedJobs[j.Spec.ID] = true
 	m.AvoidUntil = now.Add(failedBackoff)
-	c.metrics.Count(observe.Failed, 1)
+	c.metrics.Count(telemetry.Failed, 1)
 	c.log.Info("task failed", "task", a.TaskName(), "machine", m.Name, "failures", j.Failures)
 	if j.FailedMachines == nil {
 		j.FailedMachines = map[string]bool{}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -52,7 +52,7 @@
 func (c *Controller) waiting(id string, tasks int) {
 	s := spec(id, tasks, "green")
 	s.SubmittedMS = time.Now().UnixMilli()
-	c.ApplyJobRecord(id, bookkeeping.Encode(s))
+	c.ApplyJobRecord(id, storage.Encode(s))
 }
 
 // fleetSize is how many machines there are, with so many running tasks on each and so many
@@ -84,9 +84,9 @@
 			if what == "final" {
 				c.do(func() { c.SetFinal("job-1", protocol.StatusDone, time.Now()) })
 			} else {
-				c.store = bookkeeping.NewStore(refusing{}, "state:1", c.Settings.Params.State, 3)
+				c.store = storage.NewStore(refusing{}, "state:1", c.Settings.Params.State, 3)
 				time.Sleep(1600 * time.Millisecond) // until it counts as down
-				_, _ = c.store.UserKeyAbsent(ctx, bookkeeping.FinalKey("job-1"))
+				_, _ = c.store.UserKeyAbsent(ctx, storage.FinalKey("job-1"))
 			}
 			req := &transport.Request{Method: "GET", Path: "/submissions/job-1"}
 			want := map[string]int{"refused": 503, "final": 200}[what]
@@ -198,7 +198,7 @@
 			for i := range c.Catalog {
 				for _, zone := range c.Catalog[i].ZonesOffered {
 					for _, spot := range []bool{true, false} {
-						c.Leadership.RefusedCapacity[fit.MachineKind{Type: c.Catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
+						c.Leadership.RefusedCapacity[binpack.MachineKind{Type: c.Catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
 					}
 				}
 			}
@@ -237,8 +237,8 @@
 				tale := &peer.Tale{From: "n1", Nonce: "x", Claim: 1, Upto: 1}
 				for id, j := range c.Jobs {
 					for _, ch := range j.Chunks {
-						runs = append(runs, protocol.Item{Key: bookkeeping.RunKey(part, id, ch.Index), Version: 5,
-							Value: bookkeeping.Encode(j.RunRecord(ch))})
+						runs = append(runs, protocol.Item{Key: storage.RunKey(part, id, ch.Index), Version: 5,
+							Value: storage.Encode(j.RunRecord(ch))})
 					}
 					for task := range j.LiveAttempts {
 						tale.Attempts = append(tale.Attempts, &peer.AttemptTale{Job: id, Task: uint32(task), Attempt: 1, RanS: 3})
@@ -271,11 +271,11 @@
 // BenchmarkFollow: what a standby does with one change of a record of 64 tasks.
 func BenchmarkFollow(b *testing.B) {
 	fo := newReplica(0, time.Now())
-	run := bookkeeping.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
+	run := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
 	for t := 32; t < 64; t++ {
-		run.Live = append(run.Live, bookkeeping.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
+		run.Live = append(run.Live, storage.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
 	}
-	key, value := bookkeeping.RunKey(0, "job-1", 0), bookkeeping.Encode(run)
+	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(run)
 	complain := slog.New(slog.DiscardHandler).Error
 	fo.startFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
--- a/internal/coordination/fit/fit.go
+++ b/internal/coordination/binpack/binpack.go
@@ -1,6 +1,6 @@
-// Package fit says what fits where: needs of tasks against room, and their wishes
+// Package binpack says what fits where: needs of tasks against room, and their wishes
 // against kinds of machines. It knows no job, machine or controller.
-package fit
+package binpack
 
 import (
 	"math/bits"
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -3,9 +3,9 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/telemetry"
 )
 
 // What bounds the messages between controllers, and what happens when a bound is met. The
@@ -39,7 +39,7 @@
 
 // boundMet counts that a bound was met n times and says so in the log the first time. Any
 // goroutine may call it.
-func (c *Controller) boundMet(b observe.Bound, n int) {
+func (c *Controller) boundMet(b telemetry.Bound, n int) {
 	if n <= 0 {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // PeersFull notes that a connection of another controller was closed on arrival, since
 // there are too many.
-func (c *Controller) PeersFull() { c.boundMet(observe.PeerConnections, 1) }
+func (c *Controller) PeersFull() { c.boundMet(telemetry.PeerConnections, 1) }
 
 // encodeSummary makes a message of a summary. One that is too large goes without what it
 // can do without: first what only informs users, then machines that are not on record,
@@ -63,7 +63,7 @@
 	if len(body) <= most {
 		return body
 	}
-	c.boundMet(observe.SummaryBytes, 1)
+	c.boundMet(telemetry.SummaryBytes, 1)
 	sum.Jobs = nil
 	if body, _ = proto.Marshal(sum); len(body) <= most {
 		return body
--- a/internal/coordination/carry.go
+++ b/internal/coordination/carry.go
@@ -11,12 +11,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/coordination/shares"
+	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -72,7 +72,7 @@
 type assignment struct {
 	leader       string
 	lease        uint64
-	shards       [shares.ShardCount]bool
+	shards       [delegation.ShardCount]bool
 	grantedUntil time.Time // end of the grant, by our clock
 	serial       uint64
 	// unsent that were answered and not yet told, the newest of each machine; size is
@@ -127,7 +127,7 @@
 		return Refuse(503, "superseded", 1), true
 	}
 	if e.unsentBytes+len(raw) > cy.unsentLimit {
-		c.boundMet(observe.CarriedReports, 1)
+		c.boundMet(telemetry.CarriedReports, 1)
 		return Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
@@ -217,7 +217,7 @@
 		if e.leader != p.Leader || e.lease != p.LeaseRevision {
 			// Another owner: what was told to the one before is its successor's to find out.
 			e.leader, e.lease, e.serial, e.grantedUntil, e.unsentBytes = p.Leader, p.LeaseRevision, 0, time.Time{}, 0
-			e.shards = [shares.ShardCount]bool{}
+			e.shards = [delegation.ShardCount]bool{}
 			clear(e.unsent)
 		}
 		ps := c.Peers[p.Leader]
@@ -256,9 +256,9 @@
 		more = left
 		e.serial, e.grantedUntil = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
 		had := e.shards
-		e.shards = [shares.ShardCount]bool{}
+		e.shards = [delegation.ShardCount]bool{}
 		for _, s := range reply.Shares {
-			if s < shares.ShardCount {
+			if s < delegation.ShardCount {
 				e.shards[s] = true
 			}
 		}
@@ -347,9 +347,9 @@
 }
 
 // Load is how many machines keep their connections here.
-func (cy *Proxy) Load(now time.Time) shares.Load {
+func (cy *Proxy) Load(now time.Time) delegation.Load {
 	c := cy.c
-	l := shares.Load{Capacity: cy.Capacity}
+	l := delegation.Load{Capacity: cy.Capacity}
 	for _, m := range c.Machines {
 		p, e := c.Partitions[m.Record.Partition], cy.assignments[m.Record.Partition]
 		if p.Held && m.HasReported && !m.Lost && p.Delegations.Delegate(m.Shard) == "" || !p.Held && e.allows(p, m, now) {
@@ -361,13 +361,13 @@
 
 // Rebalance evens out who carries what of this controller's parts.
 func (cy *Proxy) Rebalance(now time.Time) {
-	if now.Sub(cy.balancedAt) < shares.MoveInterval {
+	if now.Sub(cy.balancedAt) < delegation.MoveInterval {
 		return
 	}
 	cy.balancedAt = now
 	v := cy.view(now, nil)
-	v.MayMove, v.MayReturn = now.Sub(cy.movedAt) >= shares.MoveInterval, now.Sub(cy.movedAt) >= shares.ReturnInterval
-	for _, mv := range shares.PlanMoves(v) {
+	v.MayMove, v.MayReturn = now.Sub(cy.movedAt) >= delegation.MoveInterval, now.Sub(cy.movedAt) >= delegation.ReturnInterval
+	for _, mv := range delegation.PlanMoves(v) {
 		cy.reassign(mv, now)
 	}
 }
@@ -379,17 +379,17 @@
 func (cy *Proxy) SpreadShards(p *Partition, now time.Time) {
 	v := cy.view(now, p)
 	for _, k := range cy.c.Peers[p.FormerLeader].PartitionSummary(p).GetCarried() {
-		able := slices.ContainsFunc(v.Peers, func(peer shares.Peer) bool { return peer.Label == k.By && peer.Available && peer.Settled })
+		able := slices.ContainsFunc(v.Peers, func(peer delegation.Peer) bool { return peer.Label == k.By && peer.Available && peer.Settled })
 		for _, s := range k.Shares {
-			if s < shares.ShardCount && able && !v.Unsupported {
-				cy.reassign(shares.Move{Partition: p.Index, Shard: int(s), To: k.By, Reason: "as under the owner before"}, now)
+			if s < delegation.ShardCount && able && !v.Unsupported {
+				cy.reassign(delegation.Move{Partition: p.Index, Shard: int(s), To: k.By, Reason: "as under the owner before"}, now)
 			}
 		}
 	}
 	v = cy.view(now, p) // what they have is in what they tell
 	v.MayMove = true
-	for range shares.ShardCount {
-		moves := shares.PlanMoves(v)
+	for range delegation.ShardCount {
+		moves := delegation.PlanMoves(v)
 		for _, mv := range moves {
 			cy.reassign(mv, now)
 			v.Apply(mv)
@@ -401,12 +401,12 @@
 }
 
 // reassign lets a share change its carrier.
-func (cy *Proxy) reassign(mv shares.Move, now time.Time) {
+func (cy *Proxy) reassign(mv delegation.Move, now time.Time) {
 	c := cy.c
 	p := c.Partitions[mv.Partition]
 	from := p.Delegations.Delegate(mv.Shard)
 	c.log.Info("a share changes its carrier", "part", mv.Partition, "share", mv.Shard, "from", from, "to", mv.To, "reason", mv.Reason)
-	c.metrics.Count(observe.ShareMoved, 1)
+	c.metrics.Count(telemetry.ShareMoved, 1)
 	cy.recordMove(overview.Move{Part: mv.Partition, Share: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
 	p.Delegations.Assign(mv.Shard, mv.To)
 	cy.movedAt = now
@@ -414,9 +414,9 @@
 
 // view is what a plan is made of. All machines of a part that is just taken over count,
 // though none of them was heard yet.
-func (cy *Proxy) view(now time.Time, taken *Partition) shares.View {
+func (cy *Proxy) view(now time.Time, taken *Partition) delegation.View {
 	c := cy.c
-	v := shares.View{Own: cy.Load(now)}
+	v := delegation.View{Own: cy.Load(now)}
 	for _, label := range c.Labels {
 		ps := c.Peers[label]
 		if ps == nil || ps.Summary == nil {
@@ -426,18 +426,18 @@
 		if ps.Alive(now) && sum.Room == 0 {
 			v.Unsupported = true
 		}
-		v.Peers = append(v.Peers, shares.Peer{Label: label, Load: shares.Load{Machines: int(sum.Connected), Capacity: int(sum.Room)},
+		v.Peers = append(v.Peers, delegation.Peer{Label: label, Load: delegation.Load{Machines: int(sum.Connected), Capacity: int(sum.Room)},
 			Available: ps.Alive(now) && sum.Room > 0 && !sum.Leaving,
 			Settled:   now.Sub(ps.HeardSince) >= delegateSettleTime && sum.StateSilenceS < 3})
 	}
-	counts := make(map[*Partition]*[shares.ShardCount]int)
+	counts := make(map[*Partition]*[delegation.ShardCount]int)
 	for _, m := range c.Machines {
 		p := c.Partitions[m.Record.Partition]
 		if p != taken && (!p.Held || !p.Ready || !m.HasReported || m.Lost) {
 			continue
 		}
 		if counts[p] == nil {
-			counts[p] = new([shares.ShardCount]int)
+			counts[p] = new([delegation.ShardCount]int)
 		}
 		counts[p][m.Shard]++
 		if p == taken && p.Delegations.Delegate(m.Shard) == "" {
@@ -446,8 +446,8 @@
 	}
 	for _, p := range c.Partitions {
 		if n := counts[p]; n != nil {
-			for s := range shares.ShardCount {
-				v.Shards = append(v.Shards, shares.Shard{Partition: p.Index, Index: s, Machines: n[s], Delegate: p.Delegations.Delegate(s)})
+			for s := range delegation.ShardCount {
+				v.Shards = append(v.Shards, delegation.Shard{Partition: p.Index, Index: s, Machines: n[s], Delegate: p.Delegations.Delegate(s)})
 			}
 		}
 	}
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -13,11 +13,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/shares"
+	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/standin/worker"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -325,7 +325,7 @@
 			return resp.Status, time.Duration(reply.GrantMs) * time.Millisecond
 		}
 		bound := ctl.AnswerBound()
-		if status, d := ask(0); status != 200 || d != shares.GrantDuration {
+		if status, d := ask(0); status != 200 || d != delegation.GrantDuration {
 			t.Errorf("%d, %s", status, d)
 		}
 		if status, d := ask(bound - time.Second); status != 200 || d > time.Second || d < 900*time.Millisecond {
@@ -603,11 +603,11 @@
 		c, end := unrun(t)
 		defer end()
 		claim := func(version uint64, label, nonce string) {
-			c.applyEvent(protocol.Event{Put: bookkeeping.LeaseKey(0), Value: bookkeeping.Encode(bookkeeping.Lease{Holder: label, Nonce: nonce}), Version: version})
+			c.applyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
 		}
 		c.applyListing(nil, 1)
 		claim(3, "n1", "x")
-		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: 0, Type: "small"}, 2, time.Now())
+		c.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
 		e, share := c.proxy.assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
 			e.leader, e.lease, e.grantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
@@ -638,7 +638,7 @@
 			t.Errorf("%q, %d bytes to be told", e.unsent["m-1"].raw, e.unsentBytes)
 		}
 		grant()
-		e.shards[share], e.shards[(share+1)%shares.ShardCount] = false, true
+		e.shards[share], e.shards[(share+1)%delegation.ShardCount] = false, true
 		answers("another share", 421, 0)
 		grant()
 		time.Sleep(time.Second)
@@ -756,7 +756,7 @@
 				t.Fatalf("lost %s into its first lease", time.Since(now))
 			}
 		}
-		time.Sleep(2*ClockMargin + shares.GrantDuration)
+		time.Sleep(2*ClockMargin + delegation.GrantDuration)
 		if c.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("not lost after its first lease")
 		}
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -5,10 +5,10 @@
 	"errors"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/coordination/shares"
+	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/coordination/fairshare"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 )
 
 // AnswerBound is for how long a controller goes on answering its workers after the
@@ -73,7 +73,7 @@
 	}
 	c.do(func() {
 		switch {
-		case errors.Is(err, bookkeeping.ErrNotFound):
+		case errors.Is(err, storage.ErrNotFound):
 			c.loseAll("the lease ended")
 		case err != nil:
 			c.log.Debug("renewal failed", "reason", err)
@@ -81,7 +81,7 @@
 			c.LeaseID, c.LeaseRenewedAt = lease, sent
 		}
 	})
-	return !errors.Is(err, bookkeeping.ErrRefused)
+	return !errors.Is(err, storage.ErrRefused)
 }
 
 // acquireWanted claims what this controller wants, while its lease is alive.
@@ -103,16 +103,16 @@
 				version := p.LeaseRevision
 				c.LosePartition(p, "handed back")
 				p.AcquiredAt = now
-				txn := c.releaseTransaction([]bookkeeping.ReleasedLease{{Partition: p.Index, LeaseRevision: version}}, 0)
+				txn := c.releaseTransaction([]storage.ReleasedLease{{Partition: p.Index, LeaseRevision: version}}, 0)
 				c.duty.Go(func() { c.releaseLeases(c.ctx, txn) })
 				continue
 			}
 			if c.replicator.WantsPartition(p, now) {
-				wishes = append(wishes, wish{bookkeeping.LeaseKey(p.Index), p.LeaseRevision})
+				wishes = append(wishes, wish{storage.LeaseKey(p.Index), p.LeaseRevision})
 			}
 		}
 		if c.replicator.WantsLeadership(now) {
-			wishes = append(wishes, wish{bookkeeping.LeadershipKey, c.Leadership.Revision})
+			wishes = append(wishes, wish{storage.LeadershipKey, c.Leadership.Revision})
 		}
 	})
 	if lease == 0 || !c.announceIncarnation(lease) {
@@ -127,12 +127,12 @@
 // life. An unanswered attempt shows in the watch, where the nonce tells it.
 func (s *leaseHolder) acquireLease(key string, version, lease uint64) {
 	c := s.c
-	value := bookkeeping.Encode(bookkeeping.Lease{Holder: c.Settings.Label, Nonce: c.Nonce})
+	value := storage.Encode(storage.Lease{Holder: c.Settings.Label, Nonce: c.Nonce})
 	rev, err := c.store.CommitLease(c.ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: key, Version: version}},
 		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
 	})
-	if errors.Is(err, bookkeeping.ErrLeaseGone) {
+	if errors.Is(err, storage.ErrLeaseGone) {
 		c.do(func() { c.loseAll("the lease ended") })
 		return
 	}
@@ -186,8 +186,8 @@
 		Signal(c.LeaseWakeup)
 		return
 	}
-	var claim bookkeeping.Lease
-	if err := bookkeeping.Decode(e.Value, &claim); err != nil {
+	var claim storage.Lease
+	if err := storage.Decode(e.Value, &claim); err != nil {
 		c.log.Error("bad claim record", "part", p.Index, "reason", err)
 		return
 	}
@@ -207,7 +207,7 @@
 	}
 	c.log.Info("part lost", "part", p.Index, "reason", reason)
 	p.Held, p.Ready, p.FairShare = false, false, FairShareState{}
-	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), shares.Ledger{}
+	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), delegation.Ledger{}
 	c.ClearPartition(p)
 }
 
@@ -235,7 +235,7 @@
 		m.Attempts, m.OrphanedTasks = map[string]*Attempt{}, map[string]protocol.TaskReport{}
 	}
 	m.Fenced, m.Lost, m.Moving, m.HasReported, m.TokenRaiseBy = false, false, false, false, time.Time{}
-	m.RetiringSince, m.ReservedFor, m.ReplicationSeq = time.Time{}, floor.NoGroup, 0
+	m.RetiringSince, m.ReservedFor, m.ReplicationSeq = time.Time{}, fairshare.NoGroup, 0
 	m.RecountUsed()
 }
 
--- a/internal/coordination/command_meetings_test.go
+++ b/internal/coordination/command_meetings_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/standin/worker"
+	"micaspindle/internal/storage"
 )
 
 // keptOrder is an order that a controller sent and that has not come yet.
@@ -336,7 +336,7 @@
 		check := w.state.BeforePut
 		w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 			check(c, old, exists)
-			if kind, _ := bookkeeping.ParseKey(c.Put); kind == bookkeeping.KindMachine && exists {
+			if kind, _ := storage.ParseKey(c.Put); kind == storage.KindMachine && exists {
 				raised[int(time.Now().Unix())]++
 			}
 		}
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -3,12 +3,12 @@
 import (
 	"context"
 	"errors"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/telemetry"
 	"strconv"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 )
 
 // lazyRecordDelay is how long a record that no start and no user waits for may
@@ -66,7 +66,7 @@
 			begun := time.Now()
 			rev, err := commit(ctx, &b.txn)
 			cancel()
-			c.metrics.Took(observe.Commit, time.Since(begun), time.Now())
+			c.metrics.Took(telemetry.Commit, time.Since(begun), time.Now())
 			c.do(func() { c.batchCommitted(p, b, rev, err) })
 			if err == nil {
 				tries.Succeeded()
@@ -102,12 +102,12 @@
 func (c *Controller) rereadChunks(p *Partition, list []batchChunk) bool {
 	for _, b := range list {
 		id := b.job.Spec.ID
-		item, err := c.store.Get(c.ctx, bookkeeping.RunKey(p.Index, id, b.chunk.Index))
-		if err != nil && !errors.Is(err, bookkeeping.ErrNotFound) {
+		item, err := c.store.Get(c.ctx, storage.RunKey(p.Index, id, b.chunk.Index))
+		if err != nil && !errors.Is(err, storage.ErrNotFound) {
 			return false
 		}
-		final, ferr := c.store.Get(c.ctx, bookkeeping.FinalKey(id))
-		if ferr != nil && !errors.Is(ferr, bookkeeping.ErrNotFound) {
+		final, ferr := c.store.Get(c.ctx, storage.FinalKey(id))
+		if ferr != nil && !errors.Is(ferr, storage.ErrNotFound) {
 			return false
 		}
 		c.do(func() {
@@ -119,7 +119,7 @@
 			if err == nil {
 				b.chunk.Revision = item.Version
 			}
-			b.job.MarkDirty(b.chunk.Index*bookkeeping.ChunkTasks, true, time.Now())
+			b.job.MarkDirty(b.chunk.Index*storage.ChunkTasks, true, time.Now())
 			if ferr == nil {
 				c.ApplyFinalRecord(id, final.Value)
 			}
@@ -134,7 +134,7 @@
 		return nil
 	}
 	b := &commitBatch{}
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: bookkeeping.LeaseKey(p.Index), Version: p.LeaseRevision})
+	b.txn.If = append(b.txn.If, protocol.Condition{Key: storage.LeaseKey(p.Index), Version: p.LeaseRevision})
 	ops := c.store.TxnOps()
 	// Users were told already that what these jobs need is withdrawn (21, 22).
 	for _, j := range c.Dependencies.DoomedJobs {
@@ -175,7 +175,7 @@
 
 func (c *Controller) addChunk(b *commitBatch, p *Partition, j *Job, ch *RunChunk) int {
 	id := j.Spec.ID
-	key := bookkeeping.RunKey(p.Index, id, ch.Index)
+	key := storage.RunKey(p.Index, id, ch.Index)
 	run := j.RunRecord(ch)
 	if limit := c.store.ValueBytes(); run.Size() > limit {
 		// Written under higher limits, or the service takes less than it said.
@@ -212,7 +212,7 @@
 		b.chunks = append(b.chunks, bc)
 		return 100
 	}
-	value := bookkeeping.Encode(run)
+	value := storage.Encode(run)
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: value})
 	from := len(b.starts)
 	for _, r := range run.Live {
@@ -222,7 +222,7 @@
 	}
 	if len(b.starts) > from {
 		// No start after a withdrawal (17).
-		b.txn.If = append(b.txn.If, protocol.Condition{Key: bookkeeping.FinalKey(id), Version: 0})
+		b.txn.If = append(b.txn.If, protocol.Condition{Key: storage.FinalKey(id), Version: 0})
 	}
 	b.chunks = append(b.chunks, bc)
 	return 2 * len(value)
@@ -232,7 +232,7 @@
 func (c *Controller) unreserveChunk(j *Job, ch *RunChunk) {
 	now := time.Now()
 	for _, a := range j.Attempts() {
-		if a.State == AttemptReserved && a.TaskIndex/bookkeeping.ChunkTasks == ch.Index {
+		if a.State == AttemptReserved && a.TaskIndex/storage.ChunkTasks == ch.Index {
 			c.ReleaseAttempt(a, "no room in the record", now)
 		}
 	}
@@ -241,13 +241,13 @@
 // HasRecordRoom says whether the record of a chunk has room for one more attempt.
 // It adds up what the chunk's tasks take now; as they end, that only falls.
 func (c *Controller) HasRecordRoom(j *Job, task int, number uint64, m *Machine) bool {
-	size := bookkeeping.RunBase + bookkeeping.AttemptSize(number, m.Name, m.Epoch)
-	index := task / bookkeeping.ChunkTasks
-	for t := index * bookkeeping.ChunkTasks; t < min((index+1)*bookkeeping.ChunkTasks, j.Spec.Tasks); t++ {
+	size := storage.RunBase + storage.AttemptSize(number, m.Name, m.Epoch)
+	index := task / storage.ChunkTasks
+	for t := index * storage.ChunkTasks; t < min((index+1)*storage.ChunkTasks, j.Spec.Tasks); t++ {
 		if a := j.LiveAttempts[t]; a != nil && a.Live() {
-			size += bookkeeping.AttemptSize(a.Number, a.Machine.Name, a.Epoch)
-		} else if j.TaskDone[t] && (t%bookkeeping.ChunkTasks == 0 || !j.TaskDone[t-1]) {
-			size += bookkeeping.RangeSize
+			size += storage.AttemptSize(a.Number, a.Machine.Name, a.Epoch)
+		} else if j.TaskDone[t] && (t%storage.ChunkTasks == 0 || !j.TaskDone[t-1]) {
+			size += storage.RangeSize
 		}
 	}
 	return size <= c.store.ValueBytes()
@@ -259,10 +259,10 @@
 		return
 	}
 	id := j.Spec.ID
-	key := bookkeeping.FinalKey(id)
+	key := storage.FinalKey(id)
 	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: 0})
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key,
-		Value: bookkeeping.Encode(bookkeeping.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
+		Value: storage.Encode(storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
 	b.completions = append(b.completions, j)
 	for _, ch := range j.Chunks {
 		if ch.Unconfirmed || len(b.txn.Then) >= ops {
@@ -271,7 +271,7 @@
 		bc := batchChunk{job: j, chunk: ch, generation: ch.Generation, exited: ch.Exited, deleted: true}
 		ch.Exited = nil
 		if ch.Revision != 0 {
-			rk := bookkeeping.RunKey(p.Index, id, ch.Index)
+			rk := storage.RunKey(p.Index, id, ch.Index)
 			b.txn.If = append(b.txn.If, protocol.Condition{Key: rk, Version: ch.Revision})
 			b.txn.Then = append(b.txn.Then, protocol.Change{Delete: rk})
 		}
@@ -325,9 +325,9 @@
 		c.SetFinal(j.Spec.ID, protocol.StatusWithdrawn, now)
 	}
 	for _, j := range b.completions {
-		c.metrics.Took(observe.Finish, now.Sub(j.SubmittedAt), now)
+		c.metrics.Took(telemetry.Finish, now.Sub(j.SubmittedAt), now)
 		if due, ok := j.Deadline(); ok && now.After(due) {
-			c.metrics.Count(observe.Late, 1)
+			c.metrics.Count(telemetry.Late, 1)
 		}
 		c.log.Info("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", now.Sub(j.SubmittedAt),
 			"due_s", j.Spec.DeadlineS)
@@ -339,8 +339,8 @@
 }
 
 func (c *Controller) batchFailed(p *Partition, b *commitBatch, err error) {
-	var conflict *bookkeeping.Conflict
-	unknown := errors.Is(err, bookkeeping.ErrUnknown)
+	var conflict *storage.Conflict
+	unknown := errors.Is(err, storage.ErrUnknown)
 	for _, bc := range b.chunks {
 		bc.chunk.Exited = append(bc.exited, bc.chunk.Exited...)
 		bc.chunk.Dirty, bc.job.RecordsChanged = true, true
@@ -348,7 +348,7 @@
 		p.Unconfirmed = p.Unconfirmed || unknown
 	}
 	if unknown {
-		c.metrics.Count(observe.Unanswered, 1)
+		c.metrics.Count(telemetry.Unanswered, 1)
 		c.log.Info("commit unanswered", "part", p.Index, "reason", err)
 		for _, m := range b.tokenRaises {
 			// The watch or the next report shows whether it was applied.
@@ -360,20 +360,20 @@
 		c.log.Debug("commit refused", "part", p.Index, "reason", err)
 		return
 	}
-	c.metrics.Count(observe.Conflict, 1)
+	c.metrics.Count(telemetry.Conflict, 1)
 	for _, key := range conflict.Failed {
-		switch kind, id := bookkeeping.ParseKey(key); kind {
-		case bookkeeping.KindLease:
+		switch kind, id := storage.ParseKey(key); kind {
+		case storage.KindLease:
 			if b.txn.If[0].Version == p.LeaseRevision {
 				c.LosePartition(p, "a commit found the claim gone")
 			}
-		case bookkeeping.KindFinal:
+		case storage.KindFinal:
 			c.duty.Go(func() { c.readFinal(id) })
-		case bookkeeping.KindMachine:
+		case storage.KindMachine:
 			// The watch brings the newer record.
 		default:
 			for _, bc := range b.chunks {
-				if bookkeeping.RunKey(p.Index, bc.job.Spec.ID, bc.chunk.Index) == key {
+				if storage.RunKey(p.Index, bc.job.Spec.ID, bc.chunk.Index) == key {
 					bc.chunk.Unconfirmed, p.Unconfirmed = true, true
 				}
 			}
@@ -383,7 +383,7 @@
 
 // readFinal reads how a job ended, when a commit found that it has.
 func (c *Controller) readFinal(id string) {
-	item, err := c.store.Get(c.ctx, bookkeeping.FinalKey(id))
+	item, err := c.store.Get(c.ctx, storage.FinalKey(id))
 	if err != nil {
 		return
 	}
--- a/internal/coordination/procon/procon.go
+++ b/internal/coordination/contention/contention.go
@@ -1,7 +1,7 @@
-// Package procon computes the contention that progress-based placement
+// Package contention computes the contention that progress-based placement
 // (ProCon, Fu et al.) compares: expected co-running tasks per second. It is
 // pure, so that it can be checked against values worked out by hand.
-package procon
+package contention
 
 import "math"
 
--- a/internal/coordination/procon/procon_test.go
+++ b/internal/coordination/contention/contention_test.go
@@ -1,4 +1,4 @@
-package procon
+package contention
 
 import (
 	"math"
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -14,31 +14,31 @@
 
 	"golang.org/x/time/rate"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/coordination/parts"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/fairshare"
+	"micaspindle/internal/coordination/partition"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
-	"micaspindle/internal/pulse"
 	"micaspindle/internal/retry"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
+	"micaspindle/internal/ticker"
 )
 
 // Controller is one controller process.
 type Controller struct {
 	Settings *settings.Settings
 	Operator settings.Operator
-	network  bookkeeping.Requester
-	store    *bookkeeping.Store
+	network  storage.Requester
+	store    *storage.Store
 	// cloudBudget keeps this controller within its share of the cloud's limit.
 	cloudBudget *rate.Limiter
 	// cloudCircuit leaves its interface alone while it does not answer.
 	cloudCircuit retry.Circuit
 	log          *slog.Logger
 	// metrics measures what people notice; nil: nothing is measured.
-	metrics *observe.Metrics
+	metrics *telemetry.Metrics
 	// guard asks who comes; nil: everybody may do everything.
 	guard *authorizer
 	Nonce string
@@ -76,7 +76,7 @@
 	Leadership           Leadership
 	StartedAt            time.Time
 	runtimeCorrections   map[string]*runtimeCorrection
-	scarcityCache        fit.Scarcity
+	scarcityCache        binpack.Scarcity
 	scarcityAt           time.Time
 	ownSummary           cachedSummary
 	queueBuffers         queueBuffers
@@ -89,7 +89,7 @@
 	proxy         Proxy
 	Cancellations CancellationNotices
 	// boundsLogged says which bounds were met before; not the loop's alone.
-	boundsLogged [observe.Bounds]atomic.Bool
+	boundsLogged [telemetry.Bounds]atomic.Bool
 	// repeatedCommands counts orders under way beside earlier ones to the same machine.
 	repeatedCommands int
 	// Draining: this controller is about to end and hands over what it has.
@@ -145,16 +145,16 @@
 
 // New makes a controller that lives until ctx ends; Run starts its duties, but
 // requests may come before.
-func New(ctx context.Context, set *settings.Settings, op settings.Operator, net bookkeeping.Requester, log *slog.Logger) *Controller {
+func New(ctx context.Context, set *settings.Settings, op settings.Operator, net storage.Requester, log *slog.Logger) *Controller {
 	p := set.Params
 	c := &Controller{
 		ctx: ctx, StartedAt: time.Now(), Settings: set, Operator: op, network: net, log: log,
-		store:       bookkeeping.NewStore(net, set.Services.State, p.State, p.Count),
+		store:       storage.NewStore(net, set.Services.State, p.State, p.Count),
 		Nonce:       rand.Text(),
 		cloudBudget: rate.NewLimiter(rate.Limit(p.Cloud.RPS*0.8), 2),
 		calls:       make(chan func(), 256), loopDone: make(chan struct{}),
 
-		TeamIndex: map[string]int{}, TeamPartition: parts.Assign(p.Teams, p.Count),
+		TeamIndex: map[string]int{}, TeamPartition: partition.Assign(p.Teams, p.Count),
 		AgentLease: settings.Seconds(p.Workers.LeaseS), CancelBound: settings.Seconds(p.Workers.CancelS),
 		HeartbeatInterval: settings.Seconds(p.Workers.ReportS),
 
@@ -163,7 +163,7 @@
 		Peers: map[string]*Peer{}, UnregisteredMachines: map[string]*peer.UnknownMachine{},
 		DivertedMachines: map[string]time.Time{}, runtimeCorrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{},
 	}
-	c.store.PollsFull = func() { c.boundMet(observe.WaitingPolls, 1) }
+	c.store.PollsFull = func() { c.boundMet(telemetry.WaitingPolls, 1) }
 	c.Cancellations.SetLimit(c.CancelBound, p.State)
 	c.cloudCircuit = retry.Circuit{After: cloudFailureLimit, Rest: cloudRestBackoff, Who: set.Label + " cloud"}
 	for i, t := range p.Teams {
@@ -177,7 +177,7 @@
 	slices.Sort(c.Labels)
 	c.SelfIndex = slices.Index(c.Labels, set.Label)
 	for i := range p.Count {
-		c.Partitions = append(c.Partitions, &Partition{Index: i, Wakeup: make(chan struct{}, 1), Usage: make([]fit.Compute, len(p.Teams)), DoneTallies: map[int]*floor.Tally{}})
+		c.Partitions = append(c.Partitions, &Partition{Index: i, Wakeup: make(chan struct{}, 1), Usage: make([]binpack.Compute, len(p.Teams)), DoneTallies: map[int]*fairshare.Tally{}})
 	}
 	for _, i := range c.TeamPartition {
 		c.Partitions[i].HasTeams = true
@@ -225,7 +225,7 @@
 const tickInterval = 250 * time.Millisecond
 
 func (c *Controller) loop(ctx context.Context) {
-	tick := pulse.New(tickInterval)
+	tick := ticker.New(tickInterval)
 	defer tick.Stop()
 	// A tick must not begin a duty while the last ones are waited for.
 	ending := c.ctx.Done()
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -14,10 +14,10 @@
 
 	"golang.org/x/time/rate"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/standin/worker"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -884,7 +884,7 @@
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision = true, true, 5
 	now := time.Now()
-	c.MachineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a"}, 3, now)
+	c.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 	m := c.Machines["m-1"]
 	m.Epoch, m.HasReported = 2, true
 	j := &Job{Spec: spec("job-1", 1, "red")}
--- a/internal/coordination/shares/shares.go
+++ b/internal/coordination/delegation/delegation.go
@@ -1,10 +1,10 @@
-// Package shares divides the machines of a part among controllers that carry them: a
+// Package delegation divides the machines of a part among controllers that carry them: a
 // carrier keeps the workers' connections, answers their reports under a grant of the
 // part's owner and passes on what comes and goes, while the owner alone decides. The
 // package knows which share a machine is in, who should carry what (Plan) and what may
 // have been answered under grants (Ledger). It knows no controller, and nothing of how
 // messages travel.
-package shares
+package delegation
 
 import (
 	"hash/fnv"
--- a/internal/coordination/shares/ledger.go
+++ b/internal/coordination/delegation/ledger.go
@@ -1,4 +1,4 @@
-package shares
+package delegation
 
 import "time"
 
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -10,9 +10,9 @@
 
 	"golang.org/x/time/rate"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // after is a job that depends on others.
@@ -383,7 +383,7 @@
 				time.Sleep(time.Until(told.Add(settings.Seconds(w.set.Params.Workers.CancelS - 3))))
 				w.mu.Lock()
 				for i := 1; i < n; i++ {
-					if _, ok := w.state.Items[bookkeeping.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
+					if _, ok := w.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
 						t.Errorf("job-%d is not withdrawn", i)
 					}
 				}
--- a/internal/coordination/door.go
+++ b/internal/coordination/door.go
@@ -14,11 +14,11 @@
 	"golang.org/x/time/rate"
 
 	"micaspindle/internal/audit"
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -75,7 +75,7 @@
 	if ops := c.Settings.Params.State.Lower().TxnOps; ops < minTransactionChanges {
 		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minTransactionChanges, ops)
 	}
-	misses, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { c.boundMet(observe.Callers, 1) })
+	misses, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { c.boundMet(telemetry.Callers, 1) })
 	if err != nil {
 		return err
 	}
@@ -278,14 +278,14 @@
 	}
 	// Somebody else's job is read like one that this controller does not know,
 	// so that neither the time nor the budget for unknown jobs tells them apart.
-	spec, err := &protocol.JobSpec{}, error(bookkeeping.ErrNotFound)
+	spec, err := &protocol.JobSpec{}, error(storage.ErrNotFound)
 	if protocol.ValidID(id) {
 		spec, err = c.ReadSpec(ctx, who, id)
 	}
 	switch {
-	case errors.Is(err, bookkeeping.ErrNotFound) && everywhere:
+	case errors.Is(err, storage.ErrNotFound) && everywhere:
 		return q, nil
-	case errors.Is(err, bookkeeping.ErrNotFound):
+	case errors.Is(err, storage.ErrNotFound):
 	case errors.Is(err, errUnknownJobBudget):
 		c.Deny(who, verb, rights.Queue{}, id, 403, "asks too often for jobs that are not in its queues")
 		resp := unavailableResponse(err)
@@ -302,7 +302,7 @@
 }
 
 // errUnknownJobBudget refuses who asks too often for jobs that nobody knows.
-var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", bookkeeping.ErrRefused)
+var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", storage.ErrRefused)
 
 // ReadSpec reads a job's record; who, if told, is held to the budget for
 // unknown jobs.
@@ -318,15 +318,15 @@
 		}
 	}
 	if c.store.Down() {
-		return nil, bookkeeping.ErrRefused
+		return nil, storage.ErrRefused
 	}
-	item, err := c.store.UserGet(ctx, bookkeeping.JobKey(id))
+	item, err := c.store.UserGet(ctx, storage.JobKey(id))
 	if err != nil {
 		return nil, err
 	}
 	spec := new(protocol.JobSpec)
-	if err := bookkeeping.Decode(item.Value, spec); err != nil {
-		return nil, fmt.Errorf("%w: %w", bookkeeping.ErrUnknown, err)
+	if err := storage.Decode(item.Value, spec); err != nil {
+		return nil, fmt.Errorf("%w: %w", storage.ErrUnknown, err)
 	}
 	return spec, nil
 }
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -22,13 +22,13 @@
 
 	"micaspindle/internal/audit"
 	"micaspindle/internal/audit/archive"
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/pki"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/standin/state"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -356,7 +356,7 @@
 		killed := false
 		w.mu.Lock()
 		w.answered = func(from, host, target string, body []byte, resp *transport.Response) bool {
-			if host != "state" || target != "/commit" || killed || from != "n1" || !bytes.Contains(body, []byte(bookkeeping.JobKey(s.ID))) {
+			if host != "state" || target != "/commit" || killed || from != "n1" || !bytes.Contains(body, []byte(storage.JobKey(s.ID))) {
 				return false
 			}
 			if resp.Status != 200 {
@@ -726,13 +726,13 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			for id := range submitted {
-				_, exists := w.state.Items[bookkeeping.JobKey(id)]
+				_, exists := w.state.Items[storage.JobKey(id)]
 				if !exists || accepts[id] != 1 {
 					t.Errorf("seed %d: %s: record of the job %v, of its acceptance %d", seed, id, exists, accepts[id])
 				}
-				var f bookkeeping.Final
-				it, over := w.state.Items[bookkeeping.FinalKey(id)]
-				must(bookkeeping.Decode(it.Value, &f))
+				var f storage.Final
+				it, over := w.state.Items[storage.FinalKey(id)]
+				must(storage.Decode(it.Value, &f))
 				want := 0
 				if over && f.Status == protocol.StatusWithdrawn {
 					want = 1
@@ -782,9 +782,9 @@
 			key, it := find(s)
 			before = it
 			var b audit.Batch
-			must(bookkeeping.Decode(it.Value, &b))
+			must(storage.Decode(it.Value, &b))
 			b.Lines[0] = strings.Replace(b.Lines[0], "person/root", "person/anna", 1)
-			it.Value = bookkeeping.Encode(b)
+			it.Value = storage.Encode(b)
 			s.Items[key] = it
 		})
 		roots := x509.NewCertPool()
@@ -809,11 +809,11 @@
 		c.policy.init()
 		for i := range 1000 {
 			r := rights.Role{Name: fmt.Sprintf("role-%03d", i), Rules: []rights.Rule{{Verbs: []string{"submit", "view"}, Team: fmt.Sprintf("team-%03d", i), Class: "*"}}}
-			must(c.policy.apply(bookkeeping.KindRole, r.Name, protocol.Event{Put: "x", Value: bookkeeping.Encode(&r)}))
+			must(c.policy.apply(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
 		}
 		for i := range 10_000 {
 			id := rights.Identity{Name: fmt.Sprintf("person/clerk-%05d", i), Roles: []string{fmt.Sprintf("role-%03d", i%1000)}}
-			must(c.policy.apply(bookkeeping.KindIdentity, id.Name, protocol.Event{Put: "x", Value: bookkeeping.Encode(&id)}))
+			must(c.policy.apply(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
 		}
 		c.PublishPolicy(time.Now())
 		runtime.GC()
--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -25,8 +25,8 @@
 	var txn protocol.Transaction
 	must(protocol.Decode(body, &txn))
 	return slices.ContainsFunc(txn.Then, func(c protocol.Change) bool {
-		var final bookkeeping.Final
-		return c.Put == bookkeeping.FinalKey(job) && bookkeeping.Decode(c.Value, &final) == nil && final.Status == protocol.StatusDone
+		var final storage.Final
+		return c.Put == storage.FinalKey(job) && storage.Decode(c.Value, &final) == nil && final.Status == protocol.StatusDone
 	})
 }
 
--- a/internal/coordination/estimates.go
+++ b/internal/coordination/estimates.go
@@ -3,26 +3,26 @@
 import (
 	"time"
 
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/procon"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/contention"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/telemetry"
 )
 
 // Scarcity looks over all unfinished jobs, those of other parts too: machines
 // move between parts. It is kept for a moment, like the order of jobs.
-func (c *Controller) Scarcity(now time.Time) fit.Scarcity {
+func (c *Controller) Scarcity(now time.Time) binpack.Scarcity {
 	if c.scarcityCache != nil && now.Sub(c.scarcityAt) < QueueOrderTTL {
 		return c.scarcityCache
 	}
-	s := fit.Scarcity{}
+	s := binpack.Scarcity{}
 	for id, j := range c.Jobs {
 		if j.Ended || j.Blocked || c.FinalStates[id] != "" || j.Loaded && len(j.Pending) == 0 {
 			continue
 		}
 		n := c.typeCount(j.Spec)
 		for i := range c.Catalog {
-			if t := &c.Catalog[i]; fit.FitsOffered(ConstraintsOf(j.Spec), ResourcesOf(j.Spec), t) {
+			if t := &c.Catalog[i]; binpack.FitsOffered(ConstraintsOf(j.Spec), ResourcesOf(j.Spec), t) {
 				s.Note(t.Name, n)
 			}
 		}
@@ -32,15 +32,15 @@
 }
 
 // typeCount is on how many machine types a task could run.
-func (c *Controller) typeCount(s *protocol.JobSpec) int { return fit.TypeCount(c.typeSet(s)) }
+func (c *Controller) typeCount(s *protocol.JobSpec) int { return binpack.TypeCount(c.typeSet(s)) }
 
-func (c *Controller) horizon() procon.Horizon {
-	return procon.Horizon{MaxS: 3600, OverdueS: c.HeartbeatInterval.Seconds()}
+func (c *Controller) horizon() contention.Horizon {
+	return contention.Horizon{MaxS: 3600, OverdueS: c.HeartbeatInterval.Seconds()}
 }
 
 // predictTasks lists a machine's running tasks as placement sees them.
-func (c *Controller) predictTasks(m *Machine, now time.Time) []procon.Task {
-	var tasks []procon.Task
+func (c *Controller) predictTasks(m *Machine, now time.Time) []contention.Task {
+	var tasks []contention.Task
 	for _, a := range m.Attempts {
 		if a.Live() {
 			tasks = append(tasks, c.predictTask(a.Job.Spec, a.RunningS(now)))
@@ -49,8 +49,8 @@
 	return tasks
 }
 
-func (c *Controller) predictTask(s *protocol.JobSpec, elapsed float64) procon.Task {
-	return procon.Task{ElapsedS: elapsed, EstimateS: c.EstimateS(s), Use: s.CPUs, Service: s.Standing}
+func (c *Controller) predictTask(s *protocol.JobSpec, elapsed float64) contention.Task {
+	return contention.Task{ElapsedS: elapsed, EstimateS: c.EstimateS(s), Use: s.CPUs, Service: s.Standing}
 }
 
 // RemainingS predicts how long an attempt still runs.
@@ -127,7 +127,7 @@
 	if len(c.runtimeCorrections) < classGroupsLimit {
 		return true
 	}
-	c.boundMet(observe.Estimates, 1)
+	c.boundMet(telemetry.Estimates, 1)
 	return false
 }
 
--- a/internal/coordination/standby/copy.go
+++ b/internal/coordination/failover/copy.go
@@ -1,4 +1,4 @@
-package standby
+package failover
 
 import (
 	"maps"
--- a/internal/coordination/standby/standby.go
+++ b/internal/coordination/failover/failover.go
@@ -1,9 +1,9 @@
-// Package standby decides, for whoever takes a part over: which controller does so
+// Package failover decides, for whoever takes a part over: which controller does so
 // first, when an owner counts as gone before its lease has run out, until when a former
 // owner may have answered workers, whether a followed copy is whole and true, and what is
 // still to be checked before the first decision. All of it is pure; it knows no record's
 // meaning, no connection and no controller.
-package standby
+package failover
 
 import (
 	"cmp"
--- a/internal/coordination/floor/floor.go
+++ b/internal/coordination/fairshare/fairshare.go
@@ -1,11 +1,11 @@
-// Package floor decides what is kept for classes of jobs, and for teams, that have
+// Package fairshare decides what is kept for classes of jobs, and for teams, that have
 // fallen behind: a bounded part of the machines that their work fits, against any
 // urgency and any flood of others. It is a pure function of a view of one part.
 //
 // A group is a class or a team; a job belongs to one of each. How far a group is
 // behind is how much of what was accepted of it still waits though it has waited long,
 // so it is counted from the records and a takeover does not forget it.
-package floor
+package fairshare
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 )
 
 const (
@@ -92,17 +92,17 @@
 // Job is one with tasks that wait and may start, as far as teams' limits go.
 type Job struct {
 	Class, Team int // groups
-	Need        fit.Resources
-	Wish        fit.Constraints
+	Need        binpack.Resources
+	Wish        binpack.Constraints
 	Waiting     int
 }
 
 // Machine is one that takes tasks.
 type Machine struct {
 	Name string
-	Kind fit.MachineKind
+	Kind binpack.MachineKind
 	// Size is all of it, Free what is not in use.
-	Size, Free fit.Resources
+	Size, Free binpack.Resources
 	// Held is what groups use of it, in CPUs.
 	Held map[int]float64
 	// ReservedFor is the group that it was kept for until now, or None.
@@ -143,7 +143,7 @@
 	for i := range v.Jobs {
 		if j := &v.Jobs[i]; j.Waiting > 0 && (j.Class == g || j.Team == g) {
 			jobs = append(jobs, j)
-			r.wanted += float64(j.Waiting) * max(j.Need.CPUs, fit.Epsilon)
+			r.wanted += float64(j.Waiting) * max(j.Need.CPUs, binpack.Epsilon)
 		}
 	}
 	for i := range v.Machines {
@@ -204,10 +204,10 @@
 	})
 	for _, i := range r.fits {
 		m := &v.Machines[i]
-		if share < fit.Epsilon || r.wanted < fit.Epsilon {
+		if share < binpack.Epsilon || r.wanted < binpack.Epsilon {
 			return
 		}
-		if keep[i] != NoGroup || m.Size.CPUs > left[m.Kind.Type]+fit.Epsilon {
+		if keep[i] != NoGroup || m.Size.CPUs > left[m.Kind.Type]+binpack.Epsilon {
 			continue
 		}
 		keep[i] = r.group
@@ -219,25 +219,25 @@
 // ClassUse is what a class uses of its team's limit, and what waits of it.
 type ClassUse struct {
 	Class        int
-	Used, Wanted fit.Compute
+	Used, Wanted binpack.Compute
 }
 
 // ReservedQuota is what is kept of a team's limit for a class.
 type ReservedQuota struct {
 	Class    int
-	Reserved fit.Compute
+	Reserved binpack.Compute
 }
 
 // Quotas says how much of a team's limit is kept for each class that is behind: nobody
 // else of the team may start into it. As with machines, classes that want least go
 // first, one that has most of the limit needs no help, and at most Most is kept.
-func Quotas(shares []float64, limit fit.Compute, uses []ClassUse) []ReservedQuota {
+func Quotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
 	var out []ReservedQuota
 	uses = slices.Clone(uses)
 	slices.SortFunc(uses, func(a, b ClassUse) int {
 		return cmp.Or(cmp.Compare(a.Wanted.CPUs+a.Used.CPUs, b.Wanted.CPUs+b.Used.CPUs), cmp.Compare(a.Class, b.Class))
 	})
-	left := fit.Compute{CPUs: MaxReservedShare * limit.CPUs, GPUs: MaxReservedShare * limit.GPUs}
+	left := binpack.Compute{CPUs: MaxReservedShare * limit.CPUs, GPUs: MaxReservedShare * limit.GPUs}
 	keep := func(share, limit, used, wanted float64, left *float64) float64 {
 		if used >= MaxReservedShare*limit {
 			return 0
@@ -250,9 +250,9 @@
 		if shares[u.Class] <= 0 {
 			continue
 		}
-		q := ReservedQuota{u.Class, fit.Compute{CPUs: keep(shares[u.Class], limit.CPUs, u.Used.CPUs, u.Wanted.CPUs, &left.CPUs),
+		q := ReservedQuota{u.Class, binpack.Compute{CPUs: keep(shares[u.Class], limit.CPUs, u.Used.CPUs, u.Wanted.CPUs, &left.CPUs),
 			GPUs: keep(shares[u.Class], limit.GPUs, u.Used.GPUs, u.Wanted.GPUs, &left.GPUs)}}
-		if q.Reserved != (fit.Compute{}) {
+		if q.Reserved != (binpack.Compute{}) {
 			out = append(out, q)
 		}
 	}
--- a/internal/coordination/floor/floor_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -1,4 +1,4 @@
-package floor
+package fairshare
 
 import (
 	"fmt"
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 )
 
 const large, urgent = 1, 2
 
 func machine(i int, typ string, cpus, free float64, held map[int]float64) Machine {
-	return Machine{Name: fmt.Sprintf("m-%02d", i), Kind: fit.MachineKind{Type: typ}, Size: fit.Resources{CPUs: cpus, MemGB: 100},
-		Free: fit.Resources{CPUs: free, MemGB: 100}, Held: held}
+	return Machine{Name: fmt.Sprintf("m-%02d", i), Kind: binpack.MachineKind{Type: typ}, Size: binpack.Resources{CPUs: cpus, MemGB: 100},
+		Free: binpack.Resources{CPUs: free, MemGB: 100}, Held: held}
 }
 
 // full is a fleet of ten big machines full of urgent work, with large work waiting.
 func full() View {
 	v := View{Groups: []Group{{}, {Open: 40, Late: 40, Done: 10}, {Open: 500, Late: 400, Done: 500}},
-		Jobs: []Job{{Class: large, Need: fit.Resources{CPUs: 16}, Waiting: 80}, {Class: urgent, Need: fit.Resources{CPUs: 2}, Waiting: 4000}}}
+		Jobs: []Job{{Class: large, Need: binpack.Resources{CPUs: 16}, Waiting: 80}, {Class: urgent, Need: binpack.Resources{CPUs: 2}, Waiting: 4000}}}
 	for i := range 10 {
 		v.Machines = append(v.Machines, machine(i, "big", 32, 0, map[int]float64{urgent: 32}))
 	}
@@ -71,7 +71,7 @@
 func TestGroupsInNeedShareWhatIsKept(t *testing.T) {
 	v := full()
 	v.Groups = append(v.Groups, Group{Open: 30, Late: 30})
-	v.Jobs = append(v.Jobs, Job{Class: 3, Need: fit.Resources{CPUs: 1}, Waiting: 70})
+	v.Jobs = append(v.Jobs, Job{Class: 3, Need: binpack.Resources{CPUs: 1}, Waiting: 70})
 	v.Jobs[0].Waiting = 9000
 	count := map[int]int{}
 	for _, g := range Reserve(v) {
@@ -121,7 +121,7 @@
 
 func TestQuotas(t *testing.T) {
 	use := func(class int, used, wanted float64) ClassUse {
-		return ClassUse{class, fit.Compute{CPUs: used}, fit.Compute{CPUs: wanted}}
+		return ClassUse{class, binpack.Compute{CPUs: used}, binpack.Compute{CPUs: wanted}}
 	}
 	for name, c := range map[string]struct {
 		uses []ClassUse
@@ -136,7 +136,7 @@
 		"nothing for who is not behind": {[]ClassUse{use(4, 0, 500)}, map[int]float64{}},
 	} {
 		got := map[int]float64{}
-		for _, q := range Quotas([]float64{0, 0.5, 0.5, 0.1, 0}, fit.Compute{CPUs: 100}, c.uses) {
+		for _, q := range Quotas([]float64{0, 0.5, 0.5, 0.1, 0}, binpack.Compute{CPUs: 100}, c.uses) {
 			got[q.Class] = q.Reserved.CPUs
 		}
 		if !reflect.DeepEqual(got, c.want) {
@@ -158,7 +158,7 @@
 			v.Groups = append(v.Groups, Group{Open: open, Late: open * rng.Float64(), Done: float64(rng.IntN(100))})
 		}
 		for range rng.IntN(20) {
-			v.Jobs = append(v.Jobs, Job{Class: rng.IntN(groups + 1), Team: rng.IntN(groups + 1), Need: fit.Resources{CPUs: float64(1 + rng.IntN(20))}, Waiting: rng.IntN(30)})
+			v.Jobs = append(v.Jobs, Job{Class: rng.IntN(groups + 1), Team: rng.IntN(groups + 1), Need: binpack.Resources{CPUs: float64(1 + rng.IntN(20))}, Waiting: rng.IntN(30)})
 		}
 		room := map[string]float64{}
 		for i := range rng.IntN(20) {
@@ -188,7 +188,7 @@
 			}
 		}
 		for typ, n := range kept {
-			if n > MaxReservedShare*room[typ]+fit.Epsilon {
+			if n > MaxReservedShare*room[typ]+binpack.Epsilon {
 				t.Errorf("seed %d: %v of %v CPUs of %s kept", seed, n, room[typ], typ)
 			}
 		}
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/time/rate"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // Users who poll many waiting jobs used up every request that the state service
@@ -35,8 +35,8 @@
 		claims := func() string {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			return fmt.Sprint(w.state.Items[bookkeeping.LeaseKey(0)].Version, w.state.Items[bookkeeping.LeaseKey(1)].Version,
-				w.state.Items[bookkeeping.LeaseKey(2)].Version, w.state.Items[bookkeeping.LeadershipKey].Version)
+			return fmt.Sprint(w.state.Items[storage.LeaseKey(0)].Version, w.state.Items[storage.LeaseKey(1)].Version,
+				w.state.Items[storage.LeaseKey(2)].Version, w.state.Items[storage.LeadershipKey].Version)
 		}
 		before, answered, asked := claims(), 0, 0
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
@@ -231,10 +231,10 @@
 		add := func(id, status string, ago time.Duration) {
 			s := spec(id, 1, "red")
 			s.SubmittedMS = now.Add(-ago - time.Minute).UnixMilli()
-			items = append(items, protocol.Item{Key: bookkeeping.JobKey(id), Value: bookkeeping.Encode(s), Version: 2})
+			items = append(items, protocol.Item{Key: storage.JobKey(id), Value: storage.Encode(s), Version: 2})
 			if status != "" {
-				items = append(items, protocol.Item{Key: bookkeeping.FinalKey(id), Version: 3,
-					Value: bookkeeping.Encode(bookkeeping.Final{Status: status, AtMS: now.Add(-ago).UnixMilli()})})
+				items = append(items, protocol.Item{Key: storage.FinalKey(id), Version: 3,
+					Value: storage.Encode(storage.Final{Status: status, AtMS: now.Add(-ago).UnixMilli()})})
 			}
 		}
 		add("job-1", protocol.StatusDone, 0)
@@ -255,8 +255,8 @@
 		c.applyListing(items, 3)
 		check("listed again", 1+1/math.E)
 		for range 2 {
-			c.applyEvent(protocol.Event{Put: bookkeeping.FinalKey("job-4"), Version: 4,
-				Value: bookkeeping.Encode(bookkeeping.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
+			c.applyEvent(protocol.Event{Put: storage.FinalKey("job-4"), Version: 4,
+				Value: storage.Encode(storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
 		}
 		check("followed", 2+1/math.E)
 	})
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/standby"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/failover"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // Replicator is the parts that this controller keeps copies of, as their standby. It
@@ -29,18 +29,18 @@
 // taken over.
 type Replica struct {
 	partition int
-	Records   standby.Replica[*bookkeeping.RunRecord]
+	Records   failover.Replica[*storage.RunRecord]
 	Derived   DerivedState
 	Updates   ReceivedUpdates
 	// wantedAt is when this controller was last named the part's standby, asked when the
 	// last answer that was taken in was asked for.
 	wantedAt, asOf time.Time
-	lag            standby.Lag
+	lag            failover.Lag
 	// sampledAt is when a sample of the store was last compared, cursor where the next one
 	// begins.
 	sampledAt time.Time
 	cursor    string
-	sample    *standby.Sample[*bookkeeping.RunRecord]
+	sample    *failover.Sample[*storage.RunRecord]
 }
 
 const (
@@ -120,7 +120,7 @@
 	c := f.c
 	ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 	defer cancel()
-	prefix, after := bookkeeping.RunPrefix(fo.partition), uint64(0)
+	prefix, after := storage.RunPrefix(fo.partition), uint64(0)
 	sampling, cursor := false, ""
 	c.do(func() {
 		after = fo.Records.Revision()
@@ -143,10 +143,10 @@
 		}
 	}
 	asked := time.Now()
-	ev, err := c.store.Watch(ctx, prefix, after, 0, bookkeeping.ChangePatience)
+	ev, err := c.store.Watch(ctx, prefix, after, 0, storage.ChangePatience)
 	f.ifCurrent(fo, func() {
 		switch {
-		case errors.Is(err, bookkeeping.ErrTooOld):
+		case errors.Is(err, storage.ErrTooOld):
 			fo.forget()
 		case err != nil:
 			c.log.Debug("copy not followed", "part", fo.partition, "reason", err)
@@ -186,15 +186,15 @@
 }
 
 // parseChange reads a run record as it comes from the store.
-func parseChange(complain func(string, ...any), key string, version uint64, dropped bool, value []byte) (standby.Change[*bookkeeping.RunRecord], bool) {
-	ch := standby.Change[*bookkeeping.RunRecord]{Key: key, Version: version, Deleted: dropped}
-	if _, _, err := bookkeeping.ParseRunKey(key); err != nil {
+func parseChange(complain func(string, ...any), key string, version uint64, dropped bool, value []byte) (failover.Change[*storage.RunRecord], bool) {
+	ch := failover.Change[*storage.RunRecord]{Key: key, Version: version, Deleted: dropped}
+	if _, _, err := storage.ParseRunKey(key); err != nil {
 		complain("bad run record", "key", key, "reason", err)
 		return ch, false
 	}
 	if !dropped {
-		ch.Value = new(bookkeeping.RunRecord)
-		if err := bookkeeping.Decode(value, ch.Value); err != nil {
+		ch.Value = new(storage.RunRecord)
+		if err := storage.Decode(value, ch.Value); err != nil {
 			complain("bad run record", "key", key, "reason", err)
 			return ch, false
 		}
@@ -204,7 +204,7 @@
 
 // startFrom takes in a listing.
 func (fo *Replica) startFrom(complain func(string, ...any), items []protocol.Item, revision uint64, asked time.Time) {
-	all := make([]standby.Change[*bookkeeping.RunRecord], 0, len(items))
+	all := make([]failover.Change[*storage.RunRecord], 0, len(items))
 	for _, it := range items {
 		if ch, ok := parseChange(complain, it.Key, it.Version, false, it.Value); ok {
 			all = append(all, ch)
@@ -220,7 +220,7 @@
 
 // apply takes in changes; false: they don't join what is known.
 func (fo *Replica) apply(complain func(string, ...any), after uint64, ev *protocol.Events, asked time.Time) bool {
-	changes := make([]standby.Change[*bookkeeping.RunRecord], 0, len(ev.Events))
+	changes := make([]failover.Change[*storage.RunRecord], 0, len(ev.Events))
 	for _, e := range ev.Events {
 		if ch, ok := parseChange(complain, e.Put+e.Delete, e.Version, e.Delete != "", e.Value); ok {
 			changes = append(changes, ch)
@@ -237,7 +237,7 @@
 
 // takeSample keeps a page of the store until the copy has come to its revision.
 func (fo *Replica) takeSample(page *protocol.ItemList, now time.Time) {
-	s := &standby.Sample[*bookkeeping.RunRecord]{From: fo.cursor, Revision: page.Revision}
+	s := &failover.Sample[*storage.RunRecord]{From: fo.cursor, Revision: page.Revision}
 	for _, it := range page.Items {
 		if ch, ok := parseChange(func(string, ...any) {}, it.Key, it.Version, false, it.Value); ok {
 			s.Records = append(s.Records, ch)
@@ -262,14 +262,14 @@
 	fo.sample = nil
 	maps.DeleteFunc(fo.Updates.Machines, func(name string, _ MachineHints) bool { return c.Machines[name] == nil })
 	if len(keys) > 0 {
-		c.metrics.Count(observe.CopyDiffers, 1)
+		c.metrics.Count(telemetry.CopyDiffers, 1)
 		c.replicator.mismatches++
 		c.log.Error("a copy differs from the store and is read anew", "part", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
 		fo.forget()
 	}
 }
 
-func equalRuns(a, b *bookkeeping.RunRecord) bool {
+func equalRuns(a, b *storage.RunRecord) bool {
 	return a.Last == b.Last && slices.Equal(a.Done, b.Done) && slices.Equal(a.Live, b.Live)
 }
 
@@ -298,7 +298,7 @@
 // claim, so that an answer that reaches it covers everything (32).
 func (f *Replicator) CompleteReplica(p *Partition, claim uint64) (*Replica, bool, error) {
 	c := f.c
-	prefix := bookkeeping.RunPrefix(p.Index)
+	prefix := storage.RunPrefix(p.Index)
 	var fo *Replica
 	after := uint64(0)
 	c.do(func() {
@@ -356,11 +356,11 @@
 		p.Standby = home
 		return
 	}
-	able := slices.DeleteFunc(f.Candidates(now), func(o standby.Candidate) bool {
+	able := slices.DeleteFunc(f.Candidates(now), func(o failover.Candidate) bool {
 		ps := c.Peers[o.Label]
 		return ps != nil && !ps.Summary.Copies
 	})
-	p.Standby = standby.KeepStandby(p.Standby, c.Settings.Label, c.Settings.Zone, able)
+	p.Standby = failover.KeepStandby(p.Standby, c.Settings.Label, c.Settings.Zone, able)
 }
 
 // HasReplicaOf says whether another controller's copy of a part is whole.
@@ -377,8 +377,8 @@
 		return false // not known, or not settled
 	}
 	all := f.Candidates(now)
-	if named == "" || !slices.ContainsFunc(all, func(o standby.Candidate) bool { return o.Label == named }) {
-		named = standby.ChooseStandby(owner, f.zoneOf(owner), all)
+	if named == "" || !slices.ContainsFunc(all, func(o failover.Candidate) bool { return o.Label == named }) {
+		named = failover.ChooseStandby(owner, f.zoneOf(owner), all)
 	}
 	return named == c.Settings.Label
 }
@@ -405,9 +405,9 @@
 }
 
 // Candidates are the controllers that could take something over now.
-func (f *Replicator) Candidates(now time.Time) []standby.Candidate {
+func (f *Replicator) Candidates(now time.Time) []failover.Candidate {
 	c := f.c
-	own := standby.Candidate{Label: c.Settings.Label, Zone: c.Settings.Zone}
+	own := failover.Candidate{Label: c.Settings.Label, Zone: c.Settings.Zone}
 	for _, m := range c.Machines {
 		if c.Partitions[m.Record.Partition].Held {
 			own.Machines++
@@ -418,7 +418,7 @@
 			own.Partitions++
 		}
 	}
-	var all []standby.Candidate
+	var all []failover.Candidate
 	if !c.Draining {
 		all = append(all, own)
 	}
@@ -426,7 +426,7 @@
 		if !ps.Alive(now) || ps.Summary.Leaving {
 			continue
 		}
-		other := standby.Candidate{Label: label, Zone: f.zoneOf(label), Partitions: len(ps.Summary.Parts)}
+		other := failover.Candidate{Label: label, Zone: f.zoneOf(label), Partitions: len(ps.Summary.Parts)}
 		for _, p := range ps.Summary.Parts {
 			other.Machines += len(p.Machines)
 		}
@@ -447,7 +447,7 @@
 }
 
 type ReplicaJob struct {
-	Records map[int]*bookkeeping.RunRecord
+	Records map[int]*storage.RunRecord
 	chunks  map[int]*RunChunk
 	live    map[int]*Attempt
 }
@@ -457,11 +457,11 @@
 }
 
 // apply brings the shadow in line with a change of a record.
-func (s *DerivedState) apply(ch standby.Change[*bookkeeping.RunRecord]) {
-	id, index, _ := bookkeeping.ParseRunKey(ch.Key) // was read when the change came
+func (s *DerivedState) apply(ch failover.Change[*storage.RunRecord]) {
+	id, index, _ := storage.ParseRunKey(ch.Key) // was read when the change came
 	sj := s.Jobs[id]
 	if sj == nil {
-		sj = &ReplicaJob{Records: map[int]*bookkeeping.RunRecord{}, chunks: map[int]*RunChunk{}, live: map[int]*Attempt{}}
+		sj = &ReplicaJob{Records: map[int]*storage.RunRecord{}, chunks: map[int]*RunChunk{}, live: map[int]*Attempt{}}
 		s.Jobs[id] = sj
 	}
 	before := map[int]*Attempt{}
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -14,10 +14,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/shares"
+	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -108,23 +108,23 @@
 		write := func() {
 			rev += 1 + uint64(rng.IntN(2))
 			id := fmt.Sprint("job-", rng.IntN(8))
-			chunk := rng.IntN((tasks[id] + bookkeeping.ChunkTasks - 1) / bookkeeping.ChunkTasks)
-			key := bookkeeping.RunKey(index, id, chunk)
+			chunk := rng.IntN((tasks[id] + storage.ChunkTasks - 1) / storage.ChunkTasks)
+			key := storage.RunKey(index, id, chunk)
 			if _, have := store[key]; have && rng.IntN(6) == 0 {
 				delete(store, key)
 				events = append(events, protocol.Event{Delete: key, Version: rev})
 				return
 			}
-			run := bookkeeping.RunRecord{Last: rev}
-			for task := chunk * bookkeeping.ChunkTasks; task < min((chunk+1)*bookkeeping.ChunkTasks, tasks[id]); task++ {
+			run := storage.RunRecord{Last: rev}
+			for task := chunk * storage.ChunkTasks; task < min((chunk+1)*storage.ChunkTasks, tasks[id]); task++ {
 				switch rng.IntN(4) {
 				case 0:
 					run.Done = append(run.Done, [2]int{task, task})
 				case 1:
-					run.Live = append(run.Live, bookkeeping.Attempt{Task: task, Number: 1 + rev/8, Machine: fmt.Sprint("m-", rng.IntN(12)), Epoch: 1})
+					run.Live = append(run.Live, storage.Attempt{Task: task, Number: 1 + rev/8, Machine: fmt.Sprint("m-", rng.IntN(12)), Epoch: 1})
 				}
 			}
-			it := protocol.Item{Key: key, Version: rev, Value: bookkeeping.Encode(run)}
+			it := protocol.Item{Key: key, Version: rev, Value: storage.Encode(run)}
 			store[key] = it
 			events = append(events, protocol.Event{Put: key, Version: rev, Value: it.Value})
 		}
@@ -319,7 +319,7 @@
 						t.Errorf("seed %d: part %d was taken over cold", seed, p)
 					}
 					for _, m := range c.Machines {
-						if m.Record.Partition == p && time.Until(m.AnsweredUntil) > shares.GrantDuration {
+						if m.Record.Partition == p && time.Until(m.AnsweredUntil) > delegation.GrantDuration {
 							t.Errorf("seed %d: %s counts as answered by others until %s from now", seed, m.Name, time.Until(m.AnsweredUntil))
 						}
 					}
@@ -423,7 +423,7 @@
 		func(fo *Replica, key string) { // a change got lost
 			for k, r := range fo.Records.All {
 				if k == key {
-					*r.Value = bookkeeping.RunRecord{Last: 1}
+					*r.Value = storage.RunRecord{Last: 1}
 				}
 			}
 		},
@@ -476,7 +476,7 @@
 	t.Parallel()
 	steps := map[string]func(target string, body []byte) bool{
 		"claim": func(target string, body []byte) bool {
-			return target == "/commit" && strings.Contains(string(body), bookkeeping.LeaseKey(0)) && strings.Contains(string(body), "hold")
+			return target == "/commit" && strings.Contains(string(body), storage.LeaseKey(0)) && strings.Contains(string(body), "hold")
 		},
 		"catching up": func(target string, _ []byte) bool {
 			return strings.HasPrefix(target, "/changes?under=r/0/")
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/standby"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/failover"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // quietFor is how long a planned end waits for answers to orders and commits.
@@ -27,7 +27,7 @@
 	able := false
 	c.do(func() {
 		c.Draining = true
-		able = standby.ChooseStandby(c.Settings.Label, c.Settings.Zone, f.Candidates(begun)) != ""
+		able = failover.ChooseStandby(c.Settings.Label, c.Settings.Zone, f.Candidates(begun)) != ""
 	})
 	if !able {
 		c.log.Info("ending without a hand-over", "reason", "no other controller is heard")
@@ -39,12 +39,12 @@
 		c.do(func() { busy = f.Busy() })
 	}
 	cancel()
-	var letGo []bookkeeping.ReleasedLease
+	var letGo []storage.ReleasedLease
 	leader := uint64(0)
 	c.do(func() {
 		for _, p := range c.Partitions {
 			if p.Held {
-				letGo = append(letGo, bookkeeping.ReleasedLease{Partition: p.Index, LeaseRevision: p.LeaseRevision})
+				letGo = append(letGo, storage.ReleasedLease{Partition: p.Index, LeaseRevision: p.LeaseRevision})
 				c.LosePartition(p, "handed over")
 			}
 		}
@@ -61,7 +61,7 @@
 		if txn == nil || !c.releaseLeases(ctx, txn) {
 			return
 		}
-		c.metrics.Count(observe.HandedOver, n)
+		c.metrics.Count(telemetry.HandedOver, n)
 		c.log.Info("handed over", "parts", n, "leader", leader != 0, "after", time.Since(begun))
 		letGo, leader = letGo[n:], 0
 	}
--- a/internal/coordination/inorder.go
+++ b/internal/coordination/inorder.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/order"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/queue"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
 )
@@ -39,7 +39,7 @@
 	}
 	c.queueBuffers = queueBuffers{list, views}
 	c.estimateContention(p, list, views)
-	for _, at := range order.Order(views, now) {
+	for _, at := range queue.Order(views, now) {
 		p.QueueOrder = append(p.QueueOrder, list[at])
 	}
 	clear(list) // jobs that end are not held
@@ -62,22 +62,22 @@
 // queueBuffers is room for sorting jobs.
 type queueBuffers struct {
 	jobs  []*Job
-	views []order.Job
+	views []queue.Job
 }
 
 // QueueOrderTTL is how long an order of jobs is good for.
 const QueueOrderTTL = 200 * time.Millisecond
 
 // queueView is what the order depends on of every job.
-func (c *Controller) queueView(j *Job) order.Job {
+func (c *Controller) queueView(j *Job) queue.Job {
 	deadline, _ := j.Deadline()
-	return order.Job{ID: j.Spec.ID, Urgency: j.Urgency(), Received: j.SubmittedAt, Due: j.Due(), Deadline: deadline, Waiting: len(j.Pending), Team: j.Team}
+	return queue.Job{ID: j.Spec.ID, Urgency: j.Urgency(), Received: j.SubmittedAt, Due: j.Due(), Deadline: deadline, Waiting: len(j.Pending), Team: j.Team}
 }
 
 // estimateContention works out what the order depends on of those jobs only that wait and
 // have a deadline: how long they run, on what, and how many tasks the part's machines
 // and the team's limit let run at a time. Jobs that are alike share the answer.
-func (c *Controller) estimateContention(p *Partition, list []*Job, views []order.Job) {
+func (c *Controller) estimateContention(p *Partition, list []*Job, views []queue.Job) {
 	machines := map[string]int{}
 	for _, m := range c.Machines {
 		if m.Record.Partition == p.Index && m.Type != nil && !m.Lost && !m.Quarantined {
@@ -85,7 +85,7 @@
 		}
 	}
 	type like struct {
-		need  fit.Resources
+		need  binpack.Resources
 		types uint64
 	}
 	known := map[like]float64{}
@@ -118,7 +118,7 @@
 
 // JobRunTime predicts how long a job takes from its first start to its end.
 func (c *Controller) JobRunTime(j *Job) time.Duration {
-	return settings.Seconds(c.EstimateS(j.Spec) * order.Rounds(j.Spec.Tasks, c.teamParallelism(j)))
+	return settings.Seconds(c.EstimateS(j.Spec) * queue.Rounds(j.Spec.Tasks, c.teamParallelism(j)))
 }
 
 // fleetSlots is how many tasks of a job a fleet, counted by type, runs at a time.
@@ -126,8 +126,8 @@
 	sum := 0.0
 	for i := range c.Catalog {
 		t := &c.Catalog[i]
-		if n := machines[t.Name]; n > 0 && fit.FitsOffered(ConstraintsOf(s), ResourcesOf(s), t) {
-			sum += float64(n * fit.Size(t).Slots(ResourcesOf(s), fit.UnboundedSlots))
+		if n := machines[t.Name]; n > 0 && binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), t) {
+			sum += float64(n * binpack.Size(t).Slots(ResourcesOf(s), binpack.UnboundedSlots))
 		}
 	}
 	return sum
@@ -139,18 +139,18 @@
 	if t.CPUsMax <= 0 || j.Spec.CPUs <= 0 {
 		return math.Inf(1)
 	}
-	return max(1, math.Floor((t.CPUsMax+fit.Epsilon)/j.Spec.CPUs))
+	return max(1, math.Floor((t.CPUsMax+binpack.Epsilon)/j.Spec.CPUs))
 }
 
 // typeSet is the set of machine types that a job's tasks fit, as bits.
 func (c *Controller) typeSet(s *protocol.JobSpec) uint64 {
-	return fit.TypeSet(ConstraintsOf(s), ResourcesOf(s), c.Catalog)
+	return binpack.TypeSet(ConstraintsOf(s), ResourcesOf(s), c.Catalog)
 }
 
-func ResourcesOf(s *protocol.JobSpec) fit.Resources {
-	return fit.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+func ResourcesOf(s *protocol.JobSpec) binpack.Resources {
+	return binpack.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 }
 
-func ConstraintsOf(s *protocol.JobSpec) fit.Constraints {
-	return fit.Constraints{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
+func ConstraintsOf(s *protocol.JobSpec) binpack.Constraints {
+	return binpack.Constraints{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
 }
--- a/internal/coordination/keep.go
+++ b/internal/coordination/keep.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/fairshare"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // fairShareInterval is how often it is decided anew what is kept for groups that are behind.
@@ -21,7 +21,7 @@
 	Shares []float64
 	// Quota is what is kept of teams' limits, by team; within says which classes of
 	// which teams run no more than what is kept for them of the limit.
-	Quota         [][]floor.ReservedQuota
+	Quota         [][]fairshare.ReservedQuota
 	WithinReserve map[TeamClass]bool
 }
 
@@ -40,7 +40,7 @@
 	return f.Share(j.ClassGroup) > 0 || f.Share(TeamGroup(j.Team)) > 0
 }
 
-func (f *FairShareState) QuotaOf(team int) []floor.ReservedQuota {
+func (f *FairShareState) QuotaOf(team int) []fairshare.ReservedQuota {
 	if f.Quota == nil {
 		return nil
 	}
@@ -52,13 +52,13 @@
 	j := a.Job
 	switch kept := a.Machine.ReservedFor; {
 	case f.Shares == nil:
-		return floor.NoGroup
-	case kept != floor.NoGroup && (kept == j.ClassGroup || kept == TeamGroup(j.Team)):
+		return fairshare.NoGroup
+	case kept != fairshare.NoGroup && (kept == j.ClassGroup || kept == TeamGroup(j.Team)):
 		return kept
 	case f.WithinReserve[TeamClass{j.Team, j.ClassGroup}]:
 		return j.ClassGroup
 	}
-	return floor.NoGroup
+	return fairshare.NoGroup
 }
 
 // starvedDemandsShare is which part of the demands told to the leader work of groups which are
@@ -93,8 +93,8 @@
 	switch {
 	case known:
 	case len(c.ClassGroups) >= classGroupsLimit:
-		c.boundMet(observe.Classes, 1)
-		return floor.NoGroup
+		c.boundMet(telemetry.Classes, 1)
+		return fairshare.NoGroup
 	default:
 		g = len(c.Settings.Params.Teams) + len(c.ClassGroups) + 1
 		c.ClassGroups[class] = g
@@ -110,7 +110,7 @@
 	for _, g := range groups {
 		t := c.Partitions[part].DoneTallies[g]
 		if t == nil {
-			t = &floor.Tally{}
+			t = &fairshare.Tally{}
 			c.Partitions[part].DoneTallies[g] = t
 		}
 		t.Add(at, now)
@@ -130,7 +130,7 @@
 		return
 	}
 	var spec protocol.JobKind
-	if bookkeeping.Decode(raw, &spec) != nil {
+	if storage.Decode(raw, &spec) != nil {
 		return
 	}
 	if team, ok := c.TeamIndex[spec.Team]; ok {
@@ -146,24 +146,24 @@
 	was := p.FairShare.Shares != nil
 	p.FairShare = FairShareState{DecidedAt: now}
 	groups := c.countGroups(p, now)
-	if p.FairShare.Shares = floor.Shares(groups); p.FairShare.Shares == nil {
+	if p.FairShare.Shares = fairshare.Shares(groups); p.FairShare.Shares == nil {
 		if was {
 			c.log.Info("nothing is kept any more", "part", p.Index)
 			for _, m := range c.Machines {
 				if m.Record.Partition == p.Index {
-					m.ReservedFor = floor.NoGroup
+					m.ReservedFor = fairshare.NoGroup
 				}
 			}
 		}
 		return
 	}
 	c.reserveQuota(p, now)
-	v := floor.View{Groups: groups}
+	v := fairshare.View{Groups: groups}
 	for _, j := range c.Queue(p) {
 		team := c.Settings.Params.Teams[j.Team]
 		if len(j.Pending) > 0 && !j.Ended && !now.Before(j.BackoffUntil) && p.FairShare.Starved(j) &&
 			(TeamLimit(team).Allows(p.Usage[j.Team], ResourcesOf(j.Spec)) || p.FairShare.WithinReserve[TeamClass{j.Team, j.ClassGroup}]) {
-			v.Jobs = append(v.Jobs, floor.Job{Class: j.ClassGroup, Team: TeamGroup(j.Team), Need: ResourcesOf(j.Spec), Wish: ConstraintsOf(j.Spec), Waiting: len(j.Pending)})
+			v.Jobs = append(v.Jobs, fairshare.Job{Class: j.ClassGroup, Team: TeamGroup(j.Team), Need: ResourcesOf(j.Spec), Wish: ConstraintsOf(j.Spec), Waiting: len(j.Pending)})
 		}
 	}
 	var machines []*Machine
@@ -172,7 +172,7 @@
 			continue
 		}
 		machines = append(machines, m)
-		fm := floor.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Size: fit.Size(m.Type), Free: m.Free(), ReservedFor: m.ReservedFor, Held: map[int]float64{}}
+		fm := fairshare.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Size: binpack.Size(m.Type), Free: m.Free(), ReservedFor: m.ReservedFor, Held: map[int]float64{}}
 		for _, a := range m.Attempts {
 			if a.Live() {
 				for _, g := range a.Job.Groups() {
@@ -185,9 +185,9 @@
 		v.Machines = append(v.Machines, fm)
 	}
 	kept := 0
-	for i, g := range floor.Reserve(v) {
+	for i, g := range fairshare.Reserve(v) {
 		machines[i].ReservedFor = g
-		if g != floor.NoGroup {
+		if g != fairshare.NoGroup {
 			kept++
 		}
 	}
@@ -197,14 +197,14 @@
 }
 
 // countGroups counts a part's work by group.
-func (c *Controller) countGroups(p *Partition, now time.Time) []floor.Group {
-	groups := make([]floor.Group, len(c.Settings.Params.Teams)+len(c.ClassGroups)+1)
+func (c *Controller) countGroups(p *Partition, now time.Time) []fairshare.Group {
+	groups := make([]fairshare.Group, len(c.Settings.Params.Teams)+len(c.ClassGroups)+1)
 	for id, j := range c.Jobs {
 		if j.Partition != p.Index || !j.Loaded || j.Blocked || j.Ended || c.FinalStates[id] != "" {
 			continue
 		}
 		late := 0.0
-		if len(j.Pending) > 0 && now.Sub(j.ReadySince()).Seconds() > floor.StarvationS(j.Spec.DeadlineS) {
+		if len(j.Pending) > 0 && now.Sub(j.ReadySince()).Seconds() > fairshare.StarvationS(j.Spec.DeadlineS) {
 			late = float64(len(j.Pending)) / float64(j.Spec.Tasks)
 		}
 		for _, g := range j.Groups() {
@@ -215,8 +215,8 @@
 	for g, t := range p.DoneTallies {
 		groups[g].Done = t.Value(now)
 	}
-	groups[floor.NoGroup] = floor.Group{}
-	teams, all := groups[1:len(c.Settings.Params.Teams)+1], floor.Group{}
+	groups[fairshare.NoGroup] = fairshare.Group{}
+	teams, all := groups[1:len(c.Settings.Params.Teams)+1], fairshare.Group{}
 	for _, g := range teams {
 		all.Open, all.Late, all.Done = all.Open+g.Open, all.Late+g.Late, all.Done+g.Done
 	}
@@ -230,9 +230,9 @@
 // machines have room for their work now: where room is what it waits for, the limit is
 // of more use to others.
 func (c *Controller) reserveQuota(p *Partition, now time.Time) {
-	uses := map[TeamClass]floor.ClassUse{}
+	uses := map[TeamClass]fairshare.ClassUse{}
 	var machines []*Machine
-	free := map[*Machine]fit.Resources{}
+	free := map[*Machine]binpack.Resources{}
 	for _, m := range c.Machines {
 		if m.Record.Partition == p.Index && c.Usable(m, now) {
 			machines, free[m] = append(machines, m), m.Free()
@@ -246,7 +246,7 @@
 		u.Class = j.ClassGroup
 		n, need := 0, ResourcesOf(j.Spec)
 		for _, m := range machines {
-			if m.ReservedFor != floor.NoGroup && m.ReservedFor != j.ClassGroup && m.ReservedFor != TeamGroup(j.Team) || !ConstraintsOf(j.Spec).Allows(MachineKindOf(m.Record)) {
+			if m.ReservedFor != fairshare.NoGroup && m.ReservedFor != j.ClassGroup && m.ReservedFor != TeamGroup(j.Team) || !ConstraintsOf(j.Spec).Allows(MachineKindOf(m.Record)) {
 				continue
 			}
 			slots := free[m].Slots(need, len(j.Pending)-n)
@@ -268,16 +268,16 @@
 		}
 		uses[k] = u
 	}
-	p.FairShare.Quota, p.FairShare.WithinReserve = make([][]floor.ReservedQuota, len(p.Usage)), map[TeamClass]bool{}
+	p.FairShare.Quota, p.FairShare.WithinReserve = make([][]fairshare.ReservedQuota, len(p.Usage)), map[TeamClass]bool{}
 	for team := range p.Usage {
-		var of []floor.ClassUse
+		var of []fairshare.ClassUse
 		for k, u := range uses {
 			if k.Team == team {
 				of = append(of, u)
 			}
 		}
 		limit := TeamLimit(c.Settings.Params.Teams[team])
-		p.FairShare.Quota[team] = floor.Quotas(p.FairShare.Shares, limit, of)
+		p.FairShare.Quota[team] = fairshare.Quotas(p.FairShare.Shares, limit, of)
 		for _, u := range of {
 			p.FairShare.WithinReserve[TeamClass{team, u.Class}] = u.Used.CPUs <= p.FairShare.Share(u.Class)*limit.CPUs
 		}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -182,7 +182,7 @@
 			_, _ = c.owning(5)
 			for i := range 100 {
 				name := fmt.Sprintf("m-%d", 100+i)
-				c.MachineRecorded(name, bookkeeping.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
+				c.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
 				m := c.Machines[name]
 				m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
 				j := &Job{Spec: spec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/fleet"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/scaling"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // Leadership is what the leader keeps in memory. All of it may be lost: names
@@ -29,7 +29,7 @@
 	Wakeup          chan struct{}
 	Requests        int
 	PendingScaleOut map[string]*ScaleOutRequest
-	RefusedCapacity map[fit.MachineKind]time.Time // capacity that was refused, until when
+	RefusedCapacity map[binpack.MachineKind]time.Time // capacity that was refused, until when
 	Deleting        map[string]time.Time
 	Adopting        map[string]time.Time
 	MovedAt         map[string]time.Time
@@ -41,13 +41,13 @@
 
 // ScaleOutRequest is a request under way.
 type ScaleOutRequest struct {
-	Kind      fit.MachineKind
+	Kind      binpack.MachineKind
 	Partition int
 	Count     int
 }
 
 func (l *Leadership) Reset() {
-	l.PendingScaleOut, l.RefusedCapacity = map[string]*ScaleOutRequest{}, map[fit.MachineKind]time.Time{}
+	l.PendingScaleOut, l.RefusedCapacity = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
 	l.Deleting, l.Adopting = map[string]time.Time{}, map[string]time.Time{}
 	l.MovedAt, l.AssignedAt = map[string]time.Time{}, map[int]time.Time{}
 	l.Listed = map[string]protocol.ListedMachine{}
@@ -68,8 +68,8 @@
 		Signal(c.LeaseWakeup)
 		return
 	}
-	var claim bookkeeping.Lease
-	if err := bookkeeping.Decode(e.Value, &claim); err != nil {
+	var claim storage.Lease
+	if err := storage.Decode(e.Value, &claim); err != nil {
 		c.log.Error("bad leader record", "reason", err)
 		return
 	}
@@ -154,17 +154,17 @@
 // recordCatalog records the machine types for controllers that start while the
 // cloud's interface is down.
 func (c *Controller) recordCatalog(cat protocol.Catalog) {
-	_, err := c.store.Get(c.ctx, bookkeeping.CatalogKey)
-	if !errors.Is(err, bookkeeping.ErrNotFound) {
+	_, err := c.store.Get(c.ctx, storage.CatalogKey)
+	if !errors.Is(err, storage.ErrNotFound) {
 		return
 	}
-	value := bookkeeping.Encode(cat)
+	value := storage.Encode(cat)
 	if protocol.JSONSize(value) > c.store.ValueBytes() {
 		return // the record only helps while the cloud is down
 	}
 	_, err = c.store.Commit(c.ctx, &protocol.Transaction{
-		If:   []protocol.Condition{{Key: bookkeeping.CatalogKey, Version: 0}},
-		Then: []protocol.Change{{Put: bookkeeping.CatalogKey, Value: value}},
+		If:   []protocol.Condition{{Key: storage.CatalogKey, Version: 0}},
+		Then: []protocol.Change{{Put: storage.CatalogKey, Value: value}},
 	})
 	if err != nil {
 		c.log.Debug("catalog not recorded", "reason", err)
@@ -236,7 +236,7 @@
 		return
 	}
 	strays := c.unrecordedMachines(now)
-	plan := fleet.Decide(c.scalingView(strays, now))
+	plan := scaling.Decide(c.scalingView(strays, now))
 	for _, a := range plan.Adopt {
 		rec := strays[a.Name]
 		rec.Partition = a.Partition
@@ -275,16 +275,16 @@
 }
 
 // scalingView is what the leader's decisions rest on.
-func (c *Controller) scalingView(strays map[string]bookkeeping.Machine, now time.Time) fleet.View {
+func (c *Controller) scalingView(strays map[string]storage.Machine, now time.Time) scaling.View {
 	l := &c.Leadership
 	// An ordinary machine is too dear to wait as long as a spot one.
-	v := fleet.View{Now: now, Partitions: make([]fleet.Partition, len(c.Partitions)), Machines: make([]fleet.Machine, 0, len(c.Machines)), Catalog: c.Catalog,
+	v := scaling.View{Now: now, Partitions: make([]scaling.Partition, len(c.Partitions)), Machines: make([]scaling.Machine, 0, len(c.Machines)), Catalog: c.Catalog,
 		Scarcity: c.Scarcity(now), RefusedCapacity: l.RefusedCapacity, ScalingOut: map[int]bool{}, IdleSpot: c.Operator.IdleReturn, IdleOrdinary: c.Operator.IdleReturn / 3}
 	for _, r := range l.PendingScaleOut {
 		v.ScalingOut[r.Partition] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(strays)) {
-		v.Unrecorded = append(v.Unrecorded, fleet.Unrecorded{Name: name, Kind: MachineKindOf(strays[name]), Tried: l.Adopting[name]})
+		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: MachineKindOf(strays[name]), Tried: l.Adopting[name]})
 	}
 	states := map[string]*peer.MachineStatus{} // as the owner of the machine's part tells
 	take := func(owner string, sum *peer.Summary, heard time.Time) {
@@ -312,7 +312,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Machines)) {
 		m := c.Machines[name]
-		f := fleet.Machine{Name: name, Partition: m.Record.Partition, Kind: MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
+		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
 			Failed: l.Listed[name].State == protocol.MachineFailed || c.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
 		if st := states[name]; st != nil {
 			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Faulty, st.NeverUp, st.Retiring, st.IdleS
@@ -329,14 +329,14 @@
 	return gone
 }
 
-func MachineKindOf(rec bookkeeping.Machine) fit.MachineKind {
-	return fit.MachineKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
+func MachineKindOf(rec storage.Machine) binpack.MachineKind {
+	return binpack.MachineKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 }
 
-func scalingDemands(told []*peer.Demand) []fleet.Demand {
-	out := make([]fleet.Demand, len(told))
+func scalingDemands(told []*peer.Demand) []scaling.Demand {
+	out := make([]scaling.Demand, len(told))
 	for i, d := range told {
-		out[i] = fleet.Demand{Constraints: fit.Constraints{Types: d.Types, Zone: d.Zone, Spot: d.Spot}, Resources: fit.Resources{CPUs: d.Cpus, GPUs: d.Gpus, MemGB: d.MemGb},
+		out[i] = scaling.Demand{Constraints: binpack.Constraints{Types: d.Types, Zone: d.Zone, Spot: d.Spot}, Resources: binpack.Resources{CPUs: d.Cpus, GPUs: d.Gpus, MemGB: d.MemGb},
 			Count: int(d.Count), EstimateS: d.EstimateS, SlackS: d.SlackS, WaitedS: d.WaitedS}
 	}
 	return out
@@ -344,10 +344,10 @@
 
 // unrecordedMachines are machines that turn up without a record: those up at the start, and
 // those whose rental was answered to nobody.
-func (c *Controller) unrecordedMachines(now time.Time) map[string]bookkeeping.Machine {
-	strays := map[string]bookkeeping.Machine{}
+func (c *Controller) unrecordedMachines(now time.Time) map[string]storage.Machine {
+	strays := map[string]storage.Machine{}
 	take := func(u *peer.UnknownMachine) {
-		strays[u.Name] = bookkeeping.Machine{Addr: u.Addr, Type: u.Type, Zone: u.Zone, Spot: u.Spot}
+		strays[u.Name] = storage.Machine{Addr: u.Addr, Type: u.Type, Zone: u.Zone, Spot: u.Spot}
 	}
 	for _, u := range c.UnregisteredMachines {
 		take(u)
@@ -362,10 +362,10 @@
 	late := 4 + 2*c.Settings.Params.Cloud.ListLagS
 	for name, lm := range c.Leadership.Listed {
 		if lm.State != protocol.MachineFailed && lm.AgeS > late && now.Sub(c.StartedAt) > 5*time.Second {
-			strays[name] = bookkeeping.Machine{Addr: lm.Addr, Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}
+			strays[name] = storage.Machine{Addr: lm.Addr, Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}
 		}
 	}
-	maps.DeleteFunc(strays, func(name string, _ bookkeeping.Machine) bool {
+	maps.DeleteFunc(strays, func(name string, _ storage.Machine) bool {
 		_, deleted := c.DeletedMachines[name]
 		return deleted || c.Machines[name] != nil
 	})
@@ -373,7 +373,7 @@
 }
 
 // recordMachines writes the assignment of new machines.
-func (c *Controller) recordMachines(names []string, rec bookkeeping.Machine) {
+func (c *Controller) recordMachines(names []string, rec storage.Machine) {
 	tries := c.tries("records", recordBackoff)
 	for len(names) > 0 {
 		var group []string
@@ -388,11 +388,11 @@
 			if version == 0 {
 				return // the next leader adopts them
 			}
-			txn := &protocol.Transaction{If: []protocol.Condition{{Key: bookkeeping.LeadershipKey, Version: version}}}
+			txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.LeadershipKey, Version: version}}}
 			for _, name := range group {
-				key := bookkeeping.MachineKey(name)
+				key := storage.MachineKey(name)
 				txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
-				txn.Then = append(txn.Then, protocol.Change{Put: key, Value: bookkeeping.Encode(rec)})
+				txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(rec)})
 			}
 			ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 			rev, err := c.store.Commit(ctx, txn)
@@ -405,7 +405,7 @@
 				})
 				break
 			}
-			var conflict *bookkeeping.Conflict
+			var conflict *storage.Conflict
 			if errors.As(err, &conflict) {
 				return // on record already, or no longer leading: the watch tells
 			}
@@ -430,9 +430,9 @@
 		var txn *protocol.Transaction
 		c.do(func() {
 			if m := c.Machines[name]; m != nil && c.Leadership.Held {
-				key := bookkeeping.MachineKey(name)
+				key := storage.MachineKey(name)
 				txn = &protocol.Transaction{
-					If:   []protocol.Condition{{Key: bookkeeping.LeadershipKey, Version: c.Leadership.Revision}, {Key: key, Version: m.Revision}},
+					If:   []protocol.Condition{{Key: storage.LeadershipKey, Version: c.Leadership.Revision}, {Key: key, Version: m.Revision}},
 					Then: []protocol.Change{{Delete: key}}}
 			}
 		})
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -11,11 +11,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -105,7 +105,7 @@
 	return list
 }
 
-func wantMet(t *testing.T, c *Controller, bounds ...observe.Bound) {
+func wantMet(t *testing.T, c *Controller, bounds ...telemetry.Bound) {
 	t.Helper()
 	list := met(c)
 	for _, b := range bounds {
@@ -126,7 +126,7 @@
 			continue
 		}
 		for _, ch := range j.Chunks {
-			items = append(items, protocol.Item{Key: bookkeeping.RunKey(p.Index, id, ch.Index), Version: 5, Value: bookkeeping.Encode(j.RunRecord(ch))})
+			items = append(items, protocol.Item{Key: storage.RunKey(p.Index, id, ch.Index), Version: 5, Value: storage.Encode(j.RunRecord(ch))})
 		}
 	}
 	fo := newReplica(p.Index, time.Now())
@@ -178,12 +178,12 @@
 		name  string
 		teams []string
 		run   func(t *testing.T, c *Controller)
-		met   []observe.Bound
+		met   []telemetry.Bound
 	}{
 		{"summary", onePart, summaryOfALargeFleet, nil},
 		// A standby that knows nothing is told in several messages.
-		{"replicated copy, recall and takeover of one part by the standby", onePart, replicaOfALargeFleet, []observe.Bound{observe.ReplicaMessages}},
-		{"the same of three parts", threeParts, replicaOfALargeFleet, []observe.Bound{observe.ReplicaMessages}},
+		{"replicated copy, recall and takeover of one part by the standby", onePart, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaMessages}},
+		{"the same of three parts", threeParts, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaMessages}},
 		{"replicated starts ahead of their records", onePart, startsAheadOfTheirRecords, nil},
 		{"cancellation notices", onePart, noticesOfALargeFleet, nil},
 		{"carried reports that wait", onePart, carriedReportsOfALargeFleet, nil},
@@ -423,10 +423,10 @@
 	small := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
 	for _, tc := range []struct {
 		name  string
-		bound observe.Bound
+		bound telemetry.Bound
 		meet  func(t *testing.T, c *Controller)
 	}{
-		{"a summary too large", observe.SummaryBytes, func(t *testing.T, c *Controller) {
+		{"a summary too large", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
 			small(c)
 			sum := &peer.Summary{From: "n0", Jobs: make([]*peer.JobProgress, 0, 40_000)}
 			for i := range 40_000 {
@@ -439,7 +439,7 @@
 				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Parts))
 			}
 		}},
-		{"machines not on record too many", observe.SummaryBytes, func(t *testing.T, c *Controller) {
+		{"machines not on record too many", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
 			small(c)
 			sum := &peer.Summary{From: "n0", Withdrawn: []*peer.Withdrawn{{Job: "job-1"}}}
 			for i := range 40_000 {
@@ -451,7 +451,7 @@
 				t.Errorf("%d machines, %d cancelled told", len(told.Unknown), len(told.Withdrawn))
 			}
 		}},
-		{"progress of jobs", observe.JobProgress, func(t *testing.T, c *Controller) {
+		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
 			for i := range jobProgressLimit + 1 {
 				id := fmt.Sprint("job-", i)
 				c.Jobs[id] = &Job{Spec: spec(id, 1, "green"), Loaded: true, RunningCount: 1}
@@ -460,7 +460,7 @@
 				t.Errorf("%d jobs told", n)
 			}
 		}},
-		{"demands", observe.Demands, func(t *testing.T, c *Controller) {
+		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
 			for i := range demandsMin + 1 {
 				c.waiting(fmt.Sprint("job-", i), 1)
 			}
@@ -468,7 +468,7 @@
 				t.Errorf("%d demands told", n)
 			}
 		}},
-		{"cancellation notices", observe.Cancellations, func(t *testing.T, c *Controller) {
+		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
 			for i := range c.Cancellations.limit + 1 {
 				c.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
 			}
@@ -476,7 +476,7 @@
 				t.Errorf("%d told, %s first", len(told), told[0].Job)
 			}
 		}},
-		{"carried reports", observe.CarriedReports, func(t *testing.T, c *Controller) {
+		{"carried reports", telemetry.CarriedReports, func(t *testing.T, c *Controller) {
 			p := c.Partitions[0]
 			m := c.up(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
@@ -488,7 +488,7 @@
 				t.Errorf("status %d", resp.Status)
 			}
 		}},
-		{"messages to a standby", observe.ReplicaMessages, func(t *testing.T, c *Controller) {
+		{"messages to a standby", telemetry.ReplicaMessages, func(t *testing.T, c *Controller) {
 			p, m := c.Partitions[0], c.up(c.Partitions[0], "m-1", "big")
 			for i := range 200 {
 				for k := range updateImagesLimit {
@@ -500,7 +500,7 @@
 				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
 			}
 		}},
-		{"starts told to a standby", observe.ReplicaStarts, func(t *testing.T, c *Controller) {
+		{"starts told to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
 			fo := newReplica(0, time.Now())
 			c.replicator.replicas[0] = fo
 			for i := range pendingStartsLimit {
@@ -511,7 +511,7 @@
 				t.Errorf("%d starts kept", len(fo.Derived.starts))
 			}
 		}},
-		{"machines told to a standby", observe.ReplicaMachines, func(t *testing.T, c *Controller) {
+		{"machines told to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
 			fo := newReplica(0, time.Now())
 			c.replicator.replicas[0] = fo
 			fo.Updates = ReceivedUpdates{sender: "n1", lease: 1, Acknowledged: 1, Machines: map[string]MachineHints{}}
@@ -523,7 +523,7 @@
 				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
 			}
 		}},
-		{"recalls", observe.RecallBytes, func(t *testing.T, c *Controller) {
+		{"recalls", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
 			fo := newReplica(0, time.Now())
 			c.replicator.replicas[0] = fo
 			fo.Updates = ReceivedUpdates{sender: "n1", lease: 1, Acknowledged: 1, Machines: map[string]MachineHints{}}
@@ -545,7 +545,7 @@
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
 			}
 		}},
-		{"classes", observe.Classes, func(t *testing.T, c *Controller) {
+		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
 			for i := range classGroupsLimit {
 				c.ClassGroup(fmt.Sprint("class-", i))
 			}
@@ -553,7 +553,7 @@
 				t.Error("too soon, or not at all")
 			}
 		}},
-		{"estimates", observe.Estimates, func(t *testing.T, c *Controller) {
+		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			for i := range classGroupsLimit + 1 {
 				c.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
@@ -565,7 +565,7 @@
 				t.Error("a class that is known is not learnt on")
 			}
 		}},
-		{"estimates that are told", observe.Estimates, func(t *testing.T, c *Controller) {
+		{"estimates that are told", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			h := ReceivedUpdates{}
 			for i := range classGroupsLimit + 1 {
 				h.Classes = append(h.Classes, &peer.ClassTale{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
@@ -574,8 +574,8 @@
 				t.Errorf("%d classes are known", len(c.runtimeCorrections))
 			}
 		}},
-		{"polls", observe.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
-		{"connections of peers", observe.PeerConnections, func(_ *testing.T, c *Controller) { c.PeersFull() }},
+		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
+		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.PeersFull() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var log bytes.Buffer
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -5,10 +5,10 @@
 import (
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/shares"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // Token identifies who may command a machine: both revisions come from the
@@ -18,11 +18,11 @@
 }
 
 // MachineRecorded follows the assignment record of a machine.
-func (c *Controller) MachineRecorded(name string, rec bookkeeping.Machine, version uint64, now time.Time) {
+func (c *Controller) MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time) {
 	m := c.Machines[name]
 	delete(c.UnregisteredMachines, name)
 	if m == nil {
-		m = &Machine{Name: name, Shard: shares.ShardOf(name), Attempts: map[string]*Attempt{}, OrphanedTasks: map[string]protocol.TaskReport{},
+		m = &Machine{Name: name, Shard: delegation.ShardOf(name), Attempts: map[string]*Attempt{}, OrphanedTasks: map[string]protocol.TaskReport{},
 			FailedJobs: map[string]bool{}, Images: map[string]time.Time{}, RecordedAt: now, LedSince: now, LastHeardAt: now}
 		c.Machines[name] = m
 	} else if version <= m.Revision {
@@ -75,7 +75,7 @@
 		}
 		known, answered := p.Delegations.AnswerBounds(m.Shard, m.AnsweredUntil, now)
 		if (m.HasReported || len(m.Attempts) > 0) && known.Sub(answered) > bound {
-			c.metrics.Count(observe.MachineLost, 1)
+			c.metrics.Count(telemetry.MachineLost, 1)
 			c.log.Info("machine lost", "machine", m.Name, "silent", now.Sub(m.LastHeardAt), "attempts", len(m.Attempts))
 			m.Lost, m.Fenced = true, false
 			for _, a := range m.SortedAttempts() {
@@ -152,7 +152,7 @@
 				if c.Machines[m.Name] != m {
 					continue
 				}
-				c.metrics.Count(observe.MachineLost, 1)
+				c.metrics.Count(telemetry.MachineLost, 1)
 				m.DeleteConfirmed, m.Lost, m.Fenced = true, true, false
 				for _, a := range m.SortedAttempts() {
 					c.ReleaseAttempt(a, "machine is deleted", now)
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/standin/worker"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -154,7 +154,7 @@
 
 // awaitClaim waits until a part is claimed by another than now.
 func (w *world) awaitClaim(part int) {
-	key := bookkeeping.LeaseKey(part)
+	key := storage.LeaseKey(part)
 	w.mu.Lock()
 	was := w.state.Items[key].Version
 	w.mu.Unlock()
@@ -202,7 +202,7 @@
 			// The shared records come late, so that the successor waits for them after it
 			// has read those of the part.
 			w.answered = func(_, _, target string, _ []byte, _ *transport.Response) bool {
-				for late.Load() && strings.HasPrefix(target, "/changes?under="+bookkeeping.WatchPrefix) {
+				for late.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
 					time.Sleep(time.Millisecond)
 				}
 				return false
@@ -210,7 +210,7 @@
 			check := w.state.BeforePut
 			w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 				check(c, old, exists)
-				if c.Put == bookkeeping.LeaseKey(part) && !late.Swap(true) {
+				if c.Put == storage.LeaseKey(part) && !late.Swap(true) {
 					close(claimed)
 				}
 			}
@@ -253,7 +253,7 @@
 	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, claim, now
-	c.MachineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
+	c.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
 	return p, c.Machines["m-1"]
 }
 
@@ -319,7 +319,7 @@
 		c.SetCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, ZonesOffered: []string{"a"}}})
 		p := c.Partitions[0]
 		p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, 5, now
-		rec := bookkeeping.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}
+		rec := storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}
 		for i, name := range []string{"m-1", "m-2", "m-3"} {
 			c.MachineRecorded(name, rec, uint64(10+i), now)
 		}
@@ -365,7 +365,7 @@
 		c, end := unrun(t)
 		defer end()
 		now := time.Now()
-		c.MachineRecorded("m-1", bookkeeping.Machine{Type: "small", Zone: "a"}, 3, now)
+		c.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 		m := c.Machines["m-1"]
 		for i, tc := range []struct {
 			status string
--- a/internal/coordination/model.go
+++ b/internal/coordination/model.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/coordination/procon"
-	"micaspindle/internal/coordination/shares"
-	"micaspindle/internal/coordination/standby"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/contention"
+	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/coordination/failover"
+	"micaspindle/internal/coordination/fairshare"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // AttemptState is how far an attempt has come.
@@ -149,7 +149,7 @@
 }
 
 func (j *Job) Chunk(task int) *RunChunk {
-	i := task / bookkeeping.ChunkTasks
+	i := task / storage.ChunkTasks
 	c := j.Chunks[i]
 	if c == nil {
 		c = &RunChunk{Index: i}
@@ -169,9 +169,9 @@
 }
 
 // RunRecord is the chunk as it should stand in the state service.
-func (j *Job) RunRecord(c *RunChunk) bookkeeping.RunRecord {
-	run := bookkeeping.RunRecord{Last: c.LastNumber, Done: [][2]int{}, Live: []bookkeeping.Attempt{}}
-	from, to := c.Index*bookkeeping.ChunkTasks, min((c.Index+1)*bookkeeping.ChunkTasks, j.Spec.Tasks)
+func (j *Job) RunRecord(c *RunChunk) storage.RunRecord {
+	run := storage.RunRecord{Last: c.LastNumber, Done: [][2]int{}, Live: []storage.Attempt{}}
+	from, to := c.Index*storage.ChunkTasks, min((c.Index+1)*storage.ChunkTasks, j.Spec.Tasks)
 	for t := from; t < to; t++ {
 		if j.TaskDone[t] {
 			if n := len(run.Done); n > 0 && run.Done[n-1][1] == t-1 {
@@ -181,7 +181,7 @@
 			}
 		}
 		if a := j.LiveAttempts[t]; a != nil && a.Live() {
-			run.Live = append(run.Live, bookkeeping.Attempt{Task: t, Number: a.Number, Machine: a.Machine.Name, Epoch: a.Epoch})
+			run.Live = append(run.Live, storage.Attempt{Task: t, Number: a.Number, Machine: a.Machine.Name, Epoch: a.Epoch})
 		}
 	}
 	return run
@@ -191,7 +191,7 @@
 type Machine struct {
 	Name     string
 	Shard    int // of its part's machines, the same wherever it is
-	Record   bookkeeping.Machine
+	Record   storage.Machine
 	Revision uint64
 	Type     *protocol.MachineType
 
@@ -241,8 +241,8 @@
 	Replicated     MachineFacts
 	ReplicationSeq uint64
 
-	Used        fit.Resources // by its live attempts
-	Prediction  *procon.Machine
+	Used        binpack.Resources // by its live attempts
+	Prediction  *contention.Machine
 	PredictedAt time.Time
 }
 
@@ -262,7 +262,7 @@
 // RecountUsed recounts what the attempts on the machine hold.
 func (m *Machine) RecountUsed() {
 	m.Prediction = nil
-	m.Used = fit.Resources{}
+	m.Used = binpack.Resources{}
 	for _, a := range m.Attempts {
 		if a.Live() {
 			m.Used = m.Used.Plus(ResourcesOf(a.Job.Spec), 1)
@@ -271,7 +271,7 @@
 }
 
 // Free is the room on a machine whose type is known.
-func (m *Machine) Free() fit.Resources { return fit.Size(m.Type).Plus(m.Used, -1) }
+func (m *Machine) Free() binpack.Resources { return binpack.Size(m.Type).Plus(m.Used, -1) }
 
 // Partition is a share of the teams, with its owner.
 type Partition struct {
@@ -282,7 +282,7 @@
 	LeaseRevision uint64 // revision of the claim; 0: unclaimed
 	VacantSince   time.Time
 	// FormerAnswerers are earlier owners that may still answer workers.
-	FormerAnswerers []standby.FormerLeader
+	FormerAnswerers []failover.FormerLeader
 	Held            bool
 	Ready           bool // rebuilt from the records
 	WarmFailover    bool // they had been followed
@@ -291,7 +291,7 @@
 	HasTeams        bool // some team's work is in it
 	Wakeup          chan struct{}
 	// Usage is what live attempts use, by team.
-	Usage []fit.Compute
+	Usage []binpack.Compute
 	// PreemptedAt is when work was last considered for stopping.
 	PreemptedAt time.Time
 	// Unconfirmed: some chunk's last write went unanswered; committing: one is under way.
@@ -307,10 +307,10 @@
 	QueueOrderedAt       time.Time
 	// DoneTallies counts what was done of late, by group; floor is what is kept for groups
 	// that are behind.
-	DoneTallies map[int]*floor.Tally
+	DoneTallies map[int]*fairshare.Tally
 	FairShare   FairShareState
 	// Delegations says who carries its machines' connections; lent is the latest end of what
 	// was granted before this controller last lost the part.
-	Delegations    shares.Ledger
+	Delegations    delegation.Ledger
 	DelegatedUntil time.Time
 }
--- a/internal/coordination/odd_requests_test.go
+++ b/internal/coordination/odd_requests_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -117,7 +117,7 @@
 		// A controller that starts while the cloud does not answer knows no types, if they
 		// were not on record.
 		w.locked(func() {
-			delete(w.state.Items, bookkeeping.CatalogKey)
+			delete(w.state.Items, storage.CatalogKey)
 			w.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
 		})
 		w.kill("n2")
--- a/internal/coordination/operations.go
+++ b/internal/coordination/operations.go
@@ -6,16 +6,16 @@
 	"fmt"
 	"time"
 
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/fairshare"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
 // Observe makes the controller measure itself; before Run.
-func (c *Controller) Observe() { c.metrics = observe.New() }
+func (c *Controller) Observe() { c.metrics = telemetry.New() }
 
 // ServeOperations answers operators: /metrics and /overview. With identities they
 // must be allowed to view every queue, since the sums are over all of them.
@@ -82,7 +82,7 @@
 			continue
 		}
 		v.Machines++
-		if m.ReservedFor != floor.NoGroup {
+		if m.ReservedFor != fairshare.NoGroup {
 			v.Kept++
 		}
 		switch {
@@ -115,17 +115,17 @@
 }
 
 // gauges are the overview for Prometheus.
-func gauges(v *overview.View) []observe.Gauge {
+func gauges(v *overview.View) []telemetry.Gauge {
 	yes := map[bool]float64{true: 1}
-	out := []observe.Gauge{{Name: "leads", Value: yes[v.Leads]}, {Name: "ready", Value: yes[v.Ready]}, {Name: "up_seconds", Value: v.UpS},
+	out := []telemetry.Gauge{{Name: "leads", Value: yes[v.Leads]}, {Name: "ready", Value: yes[v.Ready]}, {Name: "up_seconds", Value: v.UpS},
 		{Name: "state_silent_seconds", Value: v.StateSilentS}, {Name: "writes_wanted", Value: v.WritesWanted}, {Name: "writes_granted", Value: v.WritesGranted},
 		{Name: "cloud_rests", Value: yes[v.CloudRests]}, {Name: "jobs", Value: float64(v.Jobs)}, {Name: "jobs_ended", Value: float64(v.Ended)},
 		{Name: "rentals_open", Value: float64(v.Renting)}, {Name: "machines_connected", Value: float64(v.Connected)},
 		{Name: "machines_room", Value: float64(v.Room)}}
 	for _, f := range v.Follows {
 		labels := fmt.Sprintf("{part=%q}", fmt.Sprint(f.Part))
-		out = append(out, observe.Gauge{Name: "copy_behind_seconds", Labels: labels, Value: f.BehindS},
-			observe.Gauge{Name: "copy_records", Labels: labels, Value: float64(f.Records)})
+		out = append(out, telemetry.Gauge{Name: "copy_behind_seconds", Labels: labels, Value: f.BehindS},
+			telemetry.Gauge{Name: "copy_records", Labels: labels, Value: float64(f.Records)})
 	}
 	for _, p := range v.Parts {
 		labels := fmt.Sprintf("{part=%q}", fmt.Sprint(p.Part))
@@ -133,16 +133,16 @@
 		for _, k := range p.Carried {
 			carried += k.Machines
 		}
-		out = append(out, observe.Gauge{Name: "part_machines_carried", Labels: labels, Value: float64(carried)},
-			observe.Gauge{Name: "part_machines", Labels: labels, Value: float64(p.Machines)},
-			observe.Gauge{Name: "part_machines_idle", Labels: labels, Value: float64(p.Idle)},
-			observe.Gauge{Name: "part_machines_coming", Labels: labels, Value: float64(p.Coming)},
-			observe.Gauge{Name: "part_machines_bad", Labels: labels, Value: float64(p.Bad)},
-			observe.Gauge{Name: "part_machines_kept", Labels: labels, Value: float64(p.Kept)},
-			observe.Gauge{Name: "part_cpus_used_ratio", Labels: labels, Value: p.Used},
-			observe.Gauge{Name: "part_tasks_running", Labels: labels, Value: float64(p.Running)},
-			observe.Gauge{Name: "part_tasks_waiting", Labels: labels, Value: float64(p.Waiting)},
-			observe.Gauge{Name: "part_oldest_wait_seconds", Labels: labels, Value: p.OldestS})
+		out = append(out, telemetry.Gauge{Name: "part_machines_carried", Labels: labels, Value: float64(carried)},
+			telemetry.Gauge{Name: "part_machines", Labels: labels, Value: float64(p.Machines)},
+			telemetry.Gauge{Name: "part_machines_idle", Labels: labels, Value: float64(p.Idle)},
+			telemetry.Gauge{Name: "part_machines_coming", Labels: labels, Value: float64(p.Coming)},
+			telemetry.Gauge{Name: "part_machines_bad", Labels: labels, Value: float64(p.Bad)},
+			telemetry.Gauge{Name: "part_machines_kept", Labels: labels, Value: float64(p.Kept)},
+			telemetry.Gauge{Name: "part_cpus_used_ratio", Labels: labels, Value: p.Used},
+			telemetry.Gauge{Name: "part_tasks_running", Labels: labels, Value: float64(p.Running)},
+			telemetry.Gauge{Name: "part_tasks_waiting", Labels: labels, Value: float64(p.Waiting)},
+			telemetry.Gauge{Name: "part_oldest_wait_seconds", Labels: labels, Value: p.OldestS})
 	}
 	return out
 }
--- a/internal/coordination/parts/parts.go
+++ b/internal/coordination/partition/partition.go
@@ -1,6 +1,6 @@
-// Package parts decides which part each team's work is in. It is a pure function of
+// Package partition decides which part each team's work is in. It is a pure function of
 // the settings, so that all controllers agree without a word.
-package parts
+package partition
 
 import (
 	"cmp"
--- a/internal/coordination/parts/parts_test.go
+++ b/internal/coordination/partition/partition_test.go
@@ -1,4 +1,4 @@
-package parts
+package partition
 
 import (
 	"testing"
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -7,12 +7,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -70,7 +70,7 @@
 
 // callPeer sends another controller a message and reads its reply. A version that does not know
 // the path answers 404.
-func callPeer(ctx context.Context, net bookkeeping.Requester, most time.Duration, addr, path string, in, reply proto.Message) error {
+func callPeer(ctx context.Context, net storage.Requester, most time.Duration, addr, path string, in, reply proto.Message) error {
 	body, err := proto.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -160,7 +160,7 @@
 			continue
 		}
 		if len(sum.Jobs) >= jobProgressLimit {
-			c.boundMet(observe.JobProgress, 1)
+			c.boundMet(telemetry.JobProgress, 1)
 			break
 		}
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.Spec.ID, Done: uint32(j.DoneCount), Running: uint32(j.RunningCount)})
@@ -203,7 +203,7 @@
 func (c *Controller) partitionSummary(p *Partition, now time.Time) *peer.PartSummary {
 	ps := &peer.PartSummary{Part: uint32(p.Index), Standby: p.Standby, Carried: p.DelegationSummary(c.Labels)}
 	var coming []*Machine
-	left := map[*Machine]fit.Resources{}
+	left := map[*Machine]binpack.Resources{}
 	for _, m := range c.Machines {
 		if m.Record.Partition != p.Index {
 			continue
@@ -224,7 +224,7 @@
 			left[m] = m.Free()
 		}
 	}
-	claimed := make([]fit.Compute, len(p.Usage))
+	claimed := make([]binpack.Compute, len(p.Usage))
 	most := demandsLimit(len(ps.Machines))
 	for _, j := range p.FairShare.StarvedFirst(c.Queue(p), most/starvedDemandsShare) {
 		if len(j.Pending) == 0 || j.Ended || now.Before(j.BackoffUntil) {
@@ -235,10 +235,10 @@
 		// Jobs of a team share what its limit leaves.
 		team, own := c.Settings.Params.Teams[j.Team], &claimed[j.Team]
 		if team.CPUsMax > 0 && s.CPUs > 0 {
-			n = min(n, int((team.CPUsMax-p.Usage[j.Team].CPUs-own.CPUs+fit.Epsilon)/s.CPUs))
+			n = min(n, int((team.CPUsMax-p.Usage[j.Team].CPUs-own.CPUs+binpack.Epsilon)/s.CPUs))
 		}
 		if team.GPUsMax > 0 && s.GPUs > 0 {
-			n = min(n, int((team.GPUsMax-p.Usage[j.Team].GPUs-own.GPUs+fit.Epsilon)/s.GPUs))
+			n = min(n, int((team.GPUsMax-p.Usage[j.Team].GPUs-own.GPUs+binpack.Epsilon)/s.GPUs))
 		}
 		if n <= 0 {
 			continue
@@ -254,7 +254,7 @@
 			continue
 		}
 		if len(ps.Demands) >= most {
-			c.boundMet(observe.Demands, 1)
+			c.boundMet(telemetry.Demands, 1)
 			break
 		}
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: s.CPUs, Gpus: s.GPUs, MemGb: s.MemGB, Types: s.Types, Zone: s.Zone,
@@ -294,7 +294,7 @@
 	reply := &peer.FleetReply{Reason: "stopping"}
 	var txn *protocol.Transaction
 	var m *Machine
-	var rec bookkeeping.Machine
+	var rec storage.Machine
 	c.do(func() {
 		m = c.Machines[fr.Machine]
 		if m == nil || !c.Partitions[m.Record.Partition].Ready || int(fr.ToPart) >= len(c.Partitions) {
@@ -316,9 +316,9 @@
 		rec.Partition = int(fr.ToPart)
 		p := c.Partitions[m.Record.Partition]
 		txn = &protocol.Transaction{
-			If: []protocol.Condition{{Key: bookkeeping.LeaseKey(p.Index), Version: p.LeaseRevision},
-				{Key: bookkeeping.MachineKey(m.Name), Version: m.Revision}},
-			Then: []protocol.Change{{Put: bookkeeping.MachineKey(m.Name), Value: bookkeeping.Encode(rec)}},
+			If: []protocol.Condition{{Key: storage.LeaseKey(p.Index), Version: p.LeaseRevision},
+				{Key: storage.MachineKey(m.Name), Version: m.Revision}},
+			Then: []protocol.Change{{Put: storage.MachineKey(m.Name), Value: storage.Encode(rec)}},
 		}
 	})
 	if txn == nil {
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/contention"
 	"micaspindle/internal/coordination/placement"
-	"micaspindle/internal/coordination/procon"
 	"micaspindle/internal/settings"
 )
 
@@ -69,7 +69,9 @@
 	machineViews []placement.Machine
 }
 
-func TeamLimit(t settings.Team) fit.Compute { return fit.Compute{CPUs: t.CPUsMax, GPUs: t.GPUsMax} }
+func TeamLimit(t settings.Team) binpack.Compute {
+	return binpack.Compute{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+}
 
 // longFetchShare is the share of a run from which on fetching its image counts as
 // long.
@@ -111,10 +113,10 @@
 
 // Running is what placement compares of a machine, kept until its attempts change or
 // the prediction is old: not every task that is placed must predict every other one.
-func (u usableMachines) Running(i int) *procon.Machine {
+func (u usableMachines) Running(i int) *contention.Machine {
 	m := u.list[i]
 	if m.Prediction == nil || u.now.Sub(m.PredictedAt) >= QueueOrderTTL {
-		m.Prediction = &procon.Machine{Tasks: u.c.predictTasks(m, u.now), Limit: u.c.Operator.LimitShare * m.Type.CPUs}
+		m.Prediction = &contention.Machine{Tasks: u.c.predictTasks(m, u.now), Limit: u.c.Operator.LimitShare * m.Type.CPUs}
 		m.PredictedAt = u.now
 	}
 	return m.Prediction
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -8,17 +8,17 @@
 	"math"
 	"slices"
 
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/coordination/procon"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/contention"
+	"micaspindle/internal/coordination/fairshare"
 )
 
 // Machine is one that takes tasks.
 type Machine struct {
 	Name string
-	Kind fit.MachineKind
+	Kind binpack.MachineKind
 	// Free is the room on it.
-	Free        fit.Resources
+	Free        binpack.Resources
 	FetchGBPerS float64
 	// ReservedFor is the group of jobs that it is kept for; 0: it is nobody's.
 	ReservedFor int
@@ -33,8 +33,8 @@
 	// Groups are those that it belongs to, Class the one of them that its class is.
 	Groups      [2]int
 	Class       int
-	Resources   fit.Resources
-	Constraints fit.Constraints
+	Resources   binpack.Resources
+	Constraints binpack.Constraints
 	// Types is the set of machine types that its tasks fit.
 	Types   uint64
 	Image   string
@@ -49,14 +49,14 @@
 	Zones           map[string]int
 	// Failed are machines where it failed.
 	Failed     map[string]bool
-	Prediction procon.Task
+	Prediction contention.Task
 }
 
 // Team is what a team uses of its limit, and what of it is kept for classes that are
 // behind; a limit of 0 is none.
 type Team struct {
-	Limit, Used fit.Compute
-	Reserved    []floor.ReservedQuota
+	Limit, Used binpack.Compute
+	Reserved    []fairshare.ReservedQuota
 }
 
 // allows says whether a task of a job may start.
@@ -80,7 +80,7 @@
 	t.Used.Add(j.Resources, 1)
 	for i, q := range t.Reserved {
 		if q.Class == j.Class {
-			t.Reserved[i].Reserved = fit.Compute{CPUs: max(0, q.Reserved.CPUs-j.Resources.CPUs), GPUs: max(0, q.Reserved.GPUs-j.Resources.GPUs)}
+			t.Reserved[i].Reserved = binpack.Compute{CPUs: max(0, q.Reserved.CPUs-j.Resources.CPUs), GPUs: max(0, q.Reserved.GPUs-j.Resources.GPUs)}
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	// HasImage says whether a machine has an image or is fetching it already.
 	HasImage(machine int, image string) bool
 	// Running is what runs on a machine, as prediction sees it.
-	Running(machine int) *procon.Machine
+	Running(machine int) *contention.Machine
 }
 
 // View is one part.
@@ -99,8 +99,8 @@
 	Jobs     []Job
 	Machines []Machine
 	Teams    []Team
-	Scarcity fit.Scarcity
-	Horizon  procon.Horizon
+	Scarcity binpack.Scarcity
+	Horizon  contention.Horizon
 	Of       Machines
 }
 
@@ -119,7 +119,7 @@
 // shape is what decides where a task fits, for jobs without wishes that depend on
 // their other tasks.
 type shape struct {
-	need  fit.Resources
+	need  binpack.Resources
 	zone  string
 	spot  bool
 	types uint64
@@ -129,11 +129,11 @@
 
 // placed is what a machine got in this round.
 type placed struct {
-	free   fit.Resources
-	tasks  []procon.Task
+	free   binpack.Resources
+	tasks  []contention.Task
 	images []string
 	// predicted is the machine with these, nil: as it was.
-	predicted *procon.Machine
+	predicted *contention.Machine
 }
 
 // round is a decision under way.
@@ -146,7 +146,7 @@
 	keeps bool // some machine is kept for a group
 	plan  Plan
 	fits  []int // scratch
-	among []*procon.Machine
+	among []*contention.Machine
 }
 
 // Decide places waiting tasks, job by job, while there is room.
@@ -167,7 +167,7 @@
 }
 
 // free is the room on a machine.
-func (r *round) free(i int) fit.Resources {
+func (r *round) free(i int) binpack.Resources {
 	if r.now == nil {
 		return r.Machines[i].Free
 	}
@@ -289,7 +289,7 @@
 	// are left alone while a spot one has room, so that they empty and can be
 	// returned; and where a fetch is long, machines that have the image go first,
 	// since fetches at a time share their rate.
-	breadth := fit.TypeCount(j.Types)
+	breadth := binpack.TypeCount(j.Types)
 	fits = prefer(fits, func(i int) bool { return !r.Scarcity.Contested(r.Machines[i].Kind.Type, breadth) })
 	fits = prefer(fits, func(i int) bool { return r.Machines[i].Kind.Spot })
 	fits = prefer(fits, func(i int) bool {
@@ -304,14 +304,14 @@
 }
 
 // predicted is what runs on a machine, with what it got in this round.
-func (r *round) predicted(i int) *procon.Machine {
+func (r *round) predicted(i int) *contention.Machine {
 	if r.now == nil || len(r.now[i].tasks) == 0 {
 		return r.Of.Running(i)
 	}
 	p := &r.now[i]
 	if p.predicted == nil {
 		was := r.Of.Running(i)
-		p.predicted = &procon.Machine{Tasks: slices.Concat(was.Tasks, p.tasks), Limit: was.Limit}
+		p.predicted = &contention.Machine{Tasks: slices.Concat(was.Tasks, p.tasks), Limit: was.Limit}
 	}
 	return p.predicted
 }
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -6,21 +6,21 @@
 	"reflect"
 	"testing"
 
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/floor"
-	"micaspindle/internal/coordination/procon"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/contention"
+	"micaspindle/internal/coordination/fairshare"
 )
 
 // known answers from tables.
 type known struct {
-	running [][]procon.Task
+	running [][]contention.Task
 	images  []string // one on each machine
 }
 
 func (k known) HasImage(m int, image string) bool { return m < len(k.images) && k.images[m] == image }
 
-func (k known) Running(m int) *procon.Machine {
-	p := &procon.Machine{Limit: 6.4}
+func (k known) Running(m int) *contention.Machine {
+	p := &contention.Machine{Limit: 6.4}
 	if m < len(k.running) {
 		p.Tasks = k.running[m]
 	}
@@ -28,26 +28,26 @@
 }
 
 func machine(name, zone string, cpus float64, spot bool) Machine {
-	return Machine{Name: name, Kind: fit.MachineKind{Type: "t", Zone: zone, Spot: spot}, Free: fit.Resources{CPUs: cpus, MemGB: 100}, FetchGBPerS: 1}
+	return Machine{Name: name, Kind: binpack.MachineKind{Type: "t", Zone: zone, Spot: spot}, Free: binpack.Resources{CPUs: cpus, MemGB: 100}, FetchGBPerS: 1}
 }
 
 func job(waiting int, cpus float64) Job {
-	return Job{Waiting: waiting, Resources: fit.Resources{CPUs: cpus, MemGB: 1}, Constraints: fit.Constraints{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongS: 10,
-		Tasks: waiting, Prediction: procon.Task{EstimateS: 10, Use: cpus}}
+	return Job{Waiting: waiting, Resources: binpack.Resources{CPUs: cpus, MemGB: 1}, Constraints: binpack.Constraints{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongS: 10,
+		Tasks: waiting, Prediction: contention.Task{EstimateS: 10, Use: cpus}}
 }
 
 func TestDecide(t *testing.T) {
-	busy := []procon.Task{{EstimateS: 100, Use: 2}, {EstimateS: 100, Use: 2}}
+	busy := []contention.Task{{EstimateS: 100, Use: 2}, {EstimateS: 100, Use: 2}}
 	for name, c := range map[string]struct {
 		view func(v *View, k *known)
 		want Plan
 	}{
-		"the least contention":    {func(v *View, k *known) { k.running = [][]procon.Task{busy} }, Plan{Start: []Assignment{{0, 1}}}},
+		"the least contention":    {func(v *View, k *known) { k.running = [][]contention.Task{busy} }, Plan{Start: []Assignment{{0, 1}}}},
 		"the image among equals":  {func(v *View, k *known) { k.images = []string{"", "i"} }, Plan{Start: []Assignment{{0, 1}}}},
 		"the fuller among equals": {func(v *View, k *known) { v.Machines[1].Free.CPUs = 6 }, Plan{Start: []Assignment{{0, 1}}}},
 		"spot before ordinary":    {func(v *View, k *known) { v.Machines[0].Kind.Spot = false }, Plan{Start: []Assignment{{0, 1}}}},
 		"the image where fetching takes long": {func(v *View, k *known) {
-			k.running, k.images, v.Jobs[0].ImageGB = [][]procon.Task{busy}, []string{"i"}, 20
+			k.running, k.images, v.Jobs[0].ImageGB = [][]contention.Task{busy}, []string{"i"}, 20
 		}, Plan{Start: []Assignment{{0, 0}}}},
 		"a type that choosier work needs comes last": {func(v *View, k *known) {
 			v.Machines[0].Kind.Type = "scarce"
@@ -56,7 +56,7 @@
 		}, Plan{Start: []Assignment{{0, 1}}}},
 		"not where it failed": {func(v *View, k *known) { v.Jobs[0].Failed = map[string]bool{"a": true} }, Plan{Start: []Assignment{{0, 1}}}},
 		"within the team's limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 3.5}}
+			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 3.5}}
 		}, Plan{Start: []Assignment{{0, 0}, {0, 0}}}},
 		"apart": {func(v *View, k *known) {
 			v.Jobs[0] = job(4, 1)
@@ -87,20 +87,20 @@
 			v.Machines[0].ReservedFor, v.Jobs[1].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
 		}, Plan{Start: []Assignment{{1, 0}}}},
 		"not into what is kept of the limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 2}, Reserved: []floor.ReservedQuota{{Class: 4, Reserved: fit.Compute{CPUs: 3}}}}
+			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}}}},
 		"into it, and no further than the limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 2}, Reserved: []floor.ReservedQuota{{Class: 4, Reserved: fit.Compute{CPUs: 3}}}}
+			v.Jobs[0].Waiting, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}}}},
 		"what was kept is used up": {func(v *View, k *known) {
 			v.Jobs = []Job{job(1, 3), job(2, 2)}
-			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: fit.Compute{CPUs: 8}, Used: fit.Compute{CPUs: 2}, Reserved: []floor.ReservedQuota{{Class: 4, Reserved: fit.Compute{CPUs: 3}}}}
+			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}, {1, 0}}}},
 		"no machine": {func(v *View, k *known) { v.Machines = nil }, Plan{}},
 	} {
 		k := known{}
 		v := View{Jobs: []Job{job(1, 2)}, Machines: []Machine{machine("a", "x", 8, true), machine("b", "y", 8, true)}, Teams: make([]Team, 1),
-			Scarcity: fit.Scarcity{}, Horizon: procon.Horizon{MaxS: 3600, OverdueS: 1}}
+			Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
 		c.view(&v, &k)
 		v.Of = k
 		got := Decide(v)
@@ -121,12 +121,12 @@
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var k known
-			v := View{Teams: []Team{{}, {Limit: fit.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: fit.Scarcity{}, Horizon: procon.Horizon{MaxS: 3600, OverdueS: 1}}
+			v := View{Teams: []Team{{}, {Limit: binpack.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
 			for i := range rng.IntN(8) {
 				v.Machines = append(v.Machines, machine(fmt.Sprint("m-", i), fmt.Sprint(rng.IntN(3)), float64(rng.IntN(17)), rng.IntN(2) == 0))
-				var tasks []procon.Task
+				var tasks []contention.Task
 				for range rng.IntN(4) {
-					tasks = append(tasks, procon.Task{EstimateS: float64(1 + rng.IntN(50)), Use: 1})
+					tasks = append(tasks, contention.Task{EstimateS: float64(1 + rng.IntN(50)), Use: 1})
 				}
 				k.running, k.images = append(k.running, tasks), append(k.images, fmt.Sprint(rng.IntN(3)))
 			}
@@ -147,7 +147,7 @@
 		if again := Decide(build()); !reflect.DeepEqual(plan, again) {
 			t.Fatalf("seed %d: another plan of the same view", seed)
 		}
-		free, used, count := make([]fit.Resources, len(v.Machines)), make([]float64, len(v.Teams)), make([]int, len(v.Jobs))
+		free, used, count := make([]binpack.Resources, len(v.Machines)), make([]float64, len(v.Teams)), make([]int, len(v.Jobs))
 		zones := make([]map[string]int, len(v.Jobs))
 		for i, m := range v.Machines {
 			free[i] = m.Free
@@ -166,7 +166,7 @@
 			count[a.Job]++
 		}
 		for team, u := range used {
-			if limit := v.Teams[team].Limit.CPUs; limit > 0 && u > limit+fit.Epsilon {
+			if limit := v.Teams[team].Limit.CPUs; limit > 0 && u > limit+binpack.Epsilon {
 				t.Errorf("seed %d: team %d uses %v of %v", seed, team, u, limit)
 			}
 		}
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -99,7 +99,7 @@
 		recorded, idle := now.Add(-time.Duration(rng.IntN(200))*time.Second), now.Add(-time.Duration(rng.IntN(60))*time.Second)
 		for i := range rng.IntN(6) {
 			name := fmt.Sprintf("m-%d-%d", p, i)
-			c.MachineRecorded(name, bookkeeping.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
+			c.MachineRecorded(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
 			m := c.Machines[name]
 			m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil, m.LastHeardAt = true, true, 1, now, now
 			m.RecordedAt, m.IdleSince = recorded, idle
@@ -124,7 +124,7 @@
 				s.Types = []string{types[rng.IntN(len(types))].Name}
 			}
 			s.SubmittedMS = now.Add(-time.Duration(rng.IntN(90)) * time.Second).UnixMilli()
-			c.ApplyJobRecord(s.ID, bookkeeping.Encode(s))
+			c.ApplyJobRecord(s.ID, storage.Encode(s))
 		}
 	}
 	var out strings.Builder
--- a/internal/coordination/policy.go
+++ b/internal/coordination/policy.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -20,7 +20,7 @@
 // role and identity, and a head whose stamp every change demands, so that
 // changes come one after the other. It belongs to the loop.
 type policyRecords struct {
-	head         bookkeeping.PolicyHead
+	head         storage.PolicyHead
 	headRevision uint64
 	roles        map[string]rights.Role
 	identities   map[string]rights.Identity
@@ -33,20 +33,20 @@
 
 // apply takes a record in. One that can't be read takes the right it might have
 // given with it.
-func (p *policyRecords) apply(kind bookkeeping.Kind, name string, e protocol.Event) error {
+func (p *policyRecords) apply(kind storage.Kind, name string, e protocol.Event) error {
 	p.changed = true
 	switch kind {
-	case bookkeeping.KindPolicyHead:
-		p.head, p.headRevision = bookkeeping.PolicyHead{}, 0
+	case storage.KindPolicyHead:
+		p.head, p.headRevision = storage.PolicyHead{}, 0
 		if e.Delete == "" {
 			p.headRevision = e.Version
-			return bookkeeping.Decode(e.Value, &p.head)
+			return storage.Decode(e.Value, &p.head)
 		}
-	case bookkeeping.KindRole:
+	case storage.KindRole:
 		delete(p.roles, name)
 		if e.Delete == "" {
 			var r rights.Role
-			if err := bookkeeping.Decode(e.Value, &r); err != nil {
+			if err := storage.Decode(e.Value, &r); err != nil {
 				return err
 			}
 			if err := r.Check(); err != nil {
@@ -54,11 +54,11 @@
 			}
 			p.roles[name] = r
 		}
-	case bookkeeping.KindIdentity:
+	case storage.KindIdentity:
 		delete(p.identities, name)
 		if e.Delete == "" {
 			var id rights.Identity
-			if err := bookkeeping.Decode(e.Value, &id); err != nil {
+			if err := storage.Decode(e.Value, &id); err != nil {
 				return err
 			}
 			if err := id.Check(); err != nil {
@@ -73,19 +73,19 @@
 // dropUnlisted drops what a fresh listing no longer holds.
 func (p *policyRecords) dropUnlisted(listed map[string]bool) {
 	for name := range p.roles {
-		if !listed[bookkeeping.RoleKey(name)] {
+		if !listed[storage.RoleKey(name)] {
 			delete(p.roles, name)
 			p.changed = true
 		}
 	}
 	for name := range p.identities {
-		if !listed[bookkeeping.IdentityKey(name)] {
+		if !listed[storage.IdentityKey(name)] {
 			delete(p.identities, name)
 			p.changed = true
 		}
 	}
-	if p.headRevision != 0 && !listed[bookkeeping.PolicyHeadKey] {
-		p.head, p.headRevision, p.changed = bookkeeping.PolicyHead{}, 0, true
+	if p.headRevision != 0 && !listed[storage.PolicyHeadKey] {
+		p.head, p.headRevision, p.changed = storage.PolicyHead{}, 0, true
 	}
 }
 
@@ -133,39 +133,39 @@
 	if _, err := rights.Apply(view.doc, &ch); err != nil {
 		return Refuse(422, firstLine(err), 0)
 	}
-	head := bookkeeping.PolicyHead{Version: view.version + 1}
+	head := storage.PolicyHead{Version: view.version + 1}
 	// Every change demands the head's stamp and moves it, so no other change of
 	// any of these records, late or from elsewhere, can come between.
-	txn := &protocol.Transaction{If: []protocol.Condition{{Key: bookkeeping.PolicyHeadKey, Version: view.headRevision}},
-		Then: []protocol.Change{{Put: bookkeeping.PolicyHeadKey, Value: bookkeeping.Encode(head)}}}
+	txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.PolicyHeadKey, Version: view.headRevision}},
+		Then: []protocol.Change{{Put: storage.PolicyHeadKey, Value: storage.Encode(head)}}}
 	for i := range ch.PutRoles {
-		txn.Then = append(txn.Then, protocol.Change{Put: bookkeeping.RoleKey(ch.PutRoles[i].Name), Value: bookkeeping.Encode(&ch.PutRoles[i])})
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.RoleKey(ch.PutRoles[i].Name), Value: storage.Encode(&ch.PutRoles[i])})
 	}
 	for i := range ch.PutIdentities {
-		txn.Then = append(txn.Then, protocol.Change{Put: bookkeeping.IdentityKey(ch.PutIdentities[i].Name), Value: bookkeeping.Encode(&ch.PutIdentities[i])})
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.IdentityKey(ch.PutIdentities[i].Name), Value: storage.Encode(&ch.PutIdentities[i])})
 	}
 	for _, name := range ch.DropRoles {
-		txn.Then = append(txn.Then, protocol.Change{Delete: bookkeeping.RoleKey(name)})
+		txn.Then = append(txn.Then, protocol.Change{Delete: storage.RoleKey(name)})
 	}
 	for _, name := range ch.DropIdentities {
-		txn.Then = append(txn.Then, protocol.Change{Delete: bookkeeping.IdentityKey(name)})
+		txn.Then = append(txn.Then, protocol.Change{Delete: storage.IdentityKey(name)})
 	}
 	for _, change := range txn.Then {
 		if len(change.Value) == 0 {
 			continue
 		}
 		if size, limit := protocol.JSONSize(change.Value), c.store.ValueBytes(); size > limit {
-			return Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, bookkeeping.WatchPrefix), size, limit), 0)
+			return Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, storage.WatchPrefix), size, limit), 0)
 		}
 	}
 	r := c.AuditRecord(who, "change-policy", rights.Queue{}, "")
 	r.Detail = changeDetail(&ch, head.Version)
 	revision, err := c.Commit(ctx, txn, r)
-	var conflict *bookkeeping.Conflict
+	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
 		return Refuse(409, "the policy was changed by somebody else just now; look at it again", 0)
-	case errors.Is(err, bookkeeping.ErrTooLarge):
+	case errors.Is(err, storage.ErrTooLarge):
 		return Refuse(422, "too large for the state service; split it", 0)
 	case err != nil:
 		return unavailableResponse(err)
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // owner makes a controller that owns every part, without a network.
@@ -26,7 +26,7 @@
 // up puts a usable machine on record.
 func (c *Controller) up(p *Partition, name, typ string) *Machine {
 	now := time.Now()
-	c.MachineRecorded(name, bookkeeping.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
+	c.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
 	m := c.Machines[name]
 	m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, now
 	return m
@@ -34,7 +34,7 @@
 
 func (c *Controller) take(s *protocol.JobSpec) *Job {
 	s.SubmittedMS = time.Now().UnixMilli()
-	c.ApplyJobRecord(s.ID, bookkeeping.Encode(s))
+	c.ApplyJobRecord(s.ID, storage.Encode(s))
 	return c.Jobs[s.ID]
 }
 
@@ -97,7 +97,7 @@
 	}{{5 * time.Second, 1}, {time.Minute, 9}} {
 		c, p := owner(t)
 		now := time.Now()
-		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
+		c.MachineRecorded("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
 			RentedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
 		c.Machines["m-1"].LedSince = now.Add(-tc.age)
 		c.take(spec("job-1", 9, "green"))
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -2,11 +2,11 @@
 
 import (
 	"cmp"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/telemetry"
 	"slices"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/placement"
 	"micaspindle/internal/coordination/preemption"
 )
@@ -32,7 +32,7 @@
 			reason = "team's limit"
 		}
 		c.log.Info("preempting", "task", a.TaskName(), "machine", a.Machine.Name, "for", j.Spec.ID, "reason", reason)
-		c.metrics.Count(observe.Stopped, 1)
+		c.metrics.Count(telemetry.Stopped, 1)
 		c.StopAttempt(a, a.Job.Spec.SaveS+1, now)
 	}
 }
@@ -55,7 +55,7 @@
 
 func (c *Controller) preemptionTeam(p *Partition, team int) preemption.Team {
 	t := c.Settings.Params.Teams[team]
-	return preemption.Team{Guarantee: fit.Compute{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: TeamLimit(t), Used: p.Usage[team]}
+	return preemption.Team{Guarantee: binpack.Compute{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: TeamLimit(t), Used: p.Usage[team]}
 }
 
 // partitionPreemptionView gathers a part with all that runs on its usable machines.
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/protocol"
 )
 
@@ -28,14 +28,14 @@
 )
 
 // Team is a team's rights and use. A limit of 0 is none.
-type Team struct{ Guarantee, Limit, Used fit.Compute }
+type Team struct{ Guarantee, Limit, Used binpack.Compute }
 
 // Job is a job that waits, or whose work may be stopped.
 type Job struct {
 	Team        int
 	Urgency     protocol.Urgency
-	Resources   fit.Resources
-	Constraints fit.Constraints
+	Resources   binpack.Resources
+	Constraints binpack.Constraints
 	// Since is when it could first have started, Due when it should be done; zero:
 	// no matter.
 	Since, Due time.Time
@@ -72,8 +72,8 @@
 // Machine is a usable one with what runs on it, in order of names.
 type Machine struct {
 	Name  string
-	Kind  fit.MachineKind
-	Free  fit.Resources
+	Kind  binpack.MachineKind
+	Free  binpack.Resources
 	Tasks []int
 }
 
@@ -109,13 +109,13 @@
 
 // guarantees says whether one more task keeps the team in its guarantee.
 func (t *Team) guarantees(j *Job) bool {
-	return (t.Guarantee.CPUs > 0 || t.Guarantee.GPUs > 0) && t.Used.CPUs+j.Resources.CPUs <= t.Guarantee.CPUs+fit.Epsilon &&
-		(j.Resources.GPUs == 0 || t.Used.GPUs+j.Resources.GPUs <= t.Guarantee.GPUs+fit.Epsilon)
+	return (t.Guarantee.CPUs > 0 || t.Guarantee.GPUs > 0) && t.Used.CPUs+j.Resources.CPUs <= t.Guarantee.CPUs+binpack.Epsilon &&
+		(j.Resources.GPUs == 0 || t.Used.GPUs+j.Resources.GPUs <= t.Guarantee.GPUs+binpack.Epsilon)
 }
 
 // beyond says whether the team uses more than its guarantee.
 func (t *Team) beyond() bool {
-	return t.Used.CPUs > t.Guarantee.CPUs+fit.Epsilon || t.Used.GPUs > t.Guarantee.GPUs+fit.Epsilon
+	return t.Used.CPUs > t.Guarantee.CPUs+binpack.Epsilon || t.Used.GPUs > t.Guarantee.GPUs+binpack.Epsilon
 }
 
 // round is a decision under way.
@@ -174,7 +174,7 @@
 func (r *round) freeQuota(at int) {
 	j := &r.Jobs[at]
 	t := &r.Teams[j.Team]
-	room := fit.Compute{CPUs: t.Limit.CPUs - t.Used.CPUs, GPUs: t.Limit.GPUs - t.Used.GPUs}
+	room := binpack.Compute{CPUs: t.Limit.CPUs - t.Used.CPUs, GPUs: t.Limit.GPUs - t.Used.GPUs}
 	var victims []int
 	for i, task := range r.Tasks {
 		lower := &r.Jobs[task.Job]
@@ -193,8 +193,8 @@
 	})
 	need := float64(j.Waiting)
 	fits := func() bool {
-		return (t.Limit.CPUs <= 0 || need*j.Resources.CPUs <= room.CPUs+fit.Epsilon || room.CPUs >= t.Limit.CPUs-j.Resources.CPUs) &&
-			(t.Limit.GPUs <= 0 || need*j.Resources.GPUs <= room.GPUs+fit.Epsilon || room.GPUs >= t.Limit.GPUs-j.Resources.GPUs)
+		return (t.Limit.CPUs <= 0 || need*j.Resources.CPUs <= room.CPUs+binpack.Epsilon || room.CPUs >= t.Limit.CPUs-j.Resources.CPUs) &&
+			(t.Limit.GPUs <= 0 || need*j.Resources.GPUs <= room.GPUs+binpack.Epsilon || room.GPUs >= t.Limit.GPUs-j.Resources.GPUs)
 	}
 	for _, i := range victims {
 		if len(r.stops) >= most || fits() {
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/protocol"
 )
 
@@ -16,13 +16,13 @@
 const red, blue, green = 0, 1, 2 // red beyond its 16, blue within its, green has none
 
 func teams() []Team {
-	sixteen := fit.Compute{CPUs: 16}
-	return []Team{{Guarantee: sixteen, Used: fit.Compute{CPUs: 20}}, {Guarantee: sixteen, Used: fit.Compute{CPUs: 8}}, {Used: fit.Compute{CPUs: 4}}}
+	sixteen := binpack.Compute{CPUs: 16}
+	return []Team{{Guarantee: sixteen, Used: binpack.Compute{CPUs: 20}}, {Guarantee: sixteen, Used: binpack.Compute{CPUs: 8}}, {Used: binpack.Compute{CPUs: 4}}}
 }
 
 // must is a job that has to start now.
 func must(team int, u protocol.Urgency) Job {
-	return Job{Team: team, Urgency: u, Resources: fit.Resources{CPUs: 4, MemGB: 4}, Constraints: fit.Constraints{Spot: true}, Due: now.Add(15 * time.Second), EstimateS: 10, Waiting: 1}
+	return Job{Team: team, Urgency: u, Resources: binpack.Resources{CPUs: 4, MemGB: 4}, Constraints: binpack.Constraints{Spot: true}, Due: now.Add(15 * time.Second), EstimateS: 10, Waiting: 1}
 }
 
 // Who may be stopped for whom: PROTOCOL, "Preemption".
@@ -100,7 +100,7 @@
 			v.Jobs = append(v.Jobs, j)
 		}
 		for i := range 1 + rng.IntN(6) {
-			m := Machine{Name: fmt.Sprint("m-", i), Free: fit.Resources{CPUs: float64(rng.IntN(4)), MemGB: 100}}
+			m := Machine{Name: fmt.Sprint("m-", i), Free: binpack.Resources{CPUs: float64(rng.IntN(4)), MemGB: 100}}
 			for range rng.IntN(5) {
 				m.Tasks = append(m.Tasks, len(v.Tasks))
 				v.Tasks = append(v.Tasks, Task{Job: rng.IntN(len(v.Jobs)), Name: fmt.Sprint(len(v.Tasks)), Loss: float64(rng.IntN(60)), Stopping: rng.IntN(5) == 0})
--- a/internal/coordination/order/order.go
+++ b/internal/coordination/queue/queue.go
@@ -1,7 +1,7 @@
-// Package order decides in which order a part's jobs are served: by urgency, then
+// Package queue decides in which order a part's jobs are served: by urgency, then
 // what can still be done in time, then by deadline, then by age. It is a pure
 // function of what it is told of the jobs.
-package order
+package queue
 
 import (
 	"cmp"
--- a/internal/coordination/order/order_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -1,4 +1,4 @@
-package order
+package queue
 
 import (
 	"fmt"
--- a/internal/coordination/random_meetings_test.go
+++ b/internal/coordination/random_meetings_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // meeting is one trouble of a plan. It begins at a time, or with the next write of a kind
@@ -62,18 +62,18 @@
 type steps struct{ wait map[string]chan struct{} }
 
 func stepOf(key string) string {
-	switch kind, _ := bookkeeping.ParseKey(key); kind {
-	case bookkeeping.KindLease:
+	switch kind, _ := storage.ParseKey(key); kind {
+	case storage.KindLease:
 		return "claim"
-	case bookkeeping.KindLeadership:
+	case storage.KindLeadership:
 		return "leader"
-	case bookkeeping.KindIncarnation:
+	case storage.KindIncarnation:
 		return "life"
-	case bookkeeping.KindFinal:
+	case storage.KindFinal:
 		return "final"
-	case bookkeeping.KindMachine:
+	case storage.KindMachine:
 		return "machine"
-	case bookkeeping.KindJob:
+	case storage.KindJob:
 		return "job"
 	}
 	if strings.HasPrefix(key, "r/") {
--- a/internal/coordination/reassign.go
+++ b/internal/coordination/reassign.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -44,7 +44,7 @@
 	}
 	spec, err := c.ReadSpec(ctx, nil, id)
 	switch {
-	case errors.Is(err, bookkeeping.ErrNotFound):
+	case errors.Is(err, storage.ErrNotFound):
 		return Refuse(404, "no such job", 0)
 	case err != nil:
 		return unavailableResponse(err)
@@ -64,31 +64,31 @@
 			reason = "other jobs wait for this one; withdraw and submit the pipeline again"
 		}
 	})
-	chunks := (spec.Tasks + bookkeeping.ChunkTasks - 1) / bookkeeping.ChunkTasks
+	chunks := (spec.Tasks + storage.ChunkTasks - 1) / storage.ChunkTasks
 	// The audit's batch takes one condition.
 	if most := 4*c.store.TxnOps() - 3; reason == "" && chunks > most {
-		reason = fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", most*bookkeeping.ChunkTasks)
+		reason = fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", most*storage.ChunkTasks)
 	}
 	if reason != "" {
 		return Refuse(422, reason, 0)
 	}
-	final := bookkeeping.Final{Status: protocol.StatusWithdrawn, AtMS: time.Now().UnixMilli(), Successor: body.As}
-	value := bookkeeping.Encode(&next)
+	final := storage.Final{Status: protocol.StatusWithdrawn, AtMS: time.Now().UnixMilli(), Successor: body.As}
+	value := storage.Encode(&next)
 	txn := &protocol.Transaction{
-		If: []protocol.Condition{{Key: bookkeeping.FinalKey(id)}, {Key: bookkeeping.JobKey(body.As)}},
-		Then: []protocol.Change{{Put: bookkeeping.FinalKey(id), Value: bookkeeping.Encode(final)},
-			{Put: bookkeeping.JobKey(body.As), Value: value}}}
+		If: []protocol.Condition{{Key: storage.FinalKey(id)}, {Key: storage.JobKey(body.As)}},
+		Then: []protocol.Change{{Put: storage.FinalKey(id), Value: storage.Encode(final)},
+			{Put: storage.JobKey(body.As), Value: value}}}
 	for k := range chunks {
-		txn.If = append(txn.If, protocol.Condition{Key: bookkeeping.RunKey(part, id, k)})
+		txn.If = append(txn.If, protocol.Condition{Key: storage.RunKey(part, id, k)})
 	}
 	r := c.AuditRecord(who, rights.Reassign.String(), from, id)
 	r.Detail = fmt.Sprintf("to team %s, class %s as %s", clipText(to.Team), clipText(to.Class), body.As)
 	_, err = c.Commit(ctx, txn, r)
-	var conflict *bookkeeping.Conflict
+	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
 		return c.notReassigned(ctx, id, body.As)
-	case errors.Is(err, bookkeeping.ErrTooLarge):
+	case errors.Is(err, storage.ErrTooLarge):
 		return Refuse(422, "too large for the state service; withdraw it and submit it again", 0)
 	case err != nil:
 		return unavailableResponse(err)
@@ -102,22 +102,22 @@
 
 // notReassigned says why a job could not be moved, or that it was already.
 func (c *Controller) notReassigned(ctx context.Context, id, as string) transport.Response {
-	item, err := c.store.UserGet(ctx, bookkeeping.FinalKey(id))
-	var final bookkeeping.Final
+	item, err := c.store.UserGet(ctx, storage.FinalKey(id))
+	var final storage.Final
 	switch {
-	case errors.Is(err, bookkeeping.ErrNotFound):
-		if _, err := c.store.UserGet(ctx, bookkeeping.JobKey(as)); err == nil {
+	case errors.Is(err, storage.ErrNotFound):
+		if _, err := c.store.UserGet(ctx, storage.JobKey(as)); err == nil {
 			return Refuse(409, "the id for the successor is taken", 0)
 		}
 		return Refuse(409, "the job has started", 0)
 	case err != nil:
 		return unavailableResponse(err)
-	case bookkeeping.Decode(item.Value, &final) != nil:
-		return unavailableResponse(bookkeeping.ErrUnknown)
+	case storage.Decode(item.Value, &final) != nil:
+		return unavailableResponse(storage.ErrUnknown)
 	case final.Successor == as:
 		st, found, err := c.jobStatus(ctx, as)
 		if err != nil || !found {
-			return unavailableResponse(errors.Join(bookkeeping.ErrUnknown, err))
+			return unavailableResponse(errors.Join(storage.ErrUnknown, err))
 		}
 		return statusResponse(200, st)
 	}
@@ -205,7 +205,7 @@
 	}
 	spec, err := c.ReadSpec(ctx, nil, id)
 	switch {
-	case errors.Is(err, bookkeeping.ErrNotFound):
+	case errors.Is(err, storage.ErrNotFound):
 		return Refuse(404, "no such job", 0)
 	case err != nil:
 		return unavailableResponse(err)
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // watchOutagePatience is how long a watch may go on through an outage: after one that is given
@@ -22,14 +22,14 @@
 	// answered (informed).
 	wait, patience := c.Operator.ClaimTTL/3, watchOutagePatience
 	if c.guard != nil {
-		wait, patience = min(wait, policyWatchWait), bookkeeping.ChangePatience
+		wait, patience = min(wait, policyWatchWait), storage.ChangePatience
 	}
 	late := false
 	revision := uint64(0)
 	for {
 		asked := time.Now()
 		if revision == 0 {
-			items, rev, err := c.store.List(c.ctx, bookkeeping.WatchPrefix)
+			items, rev, err := c.store.List(c.ctx, storage.WatchPrefix)
 			if err != nil {
 				c.log.Debug("listing failed", "reason", err)
 				if !c.sleep(tries.Failed()) {
@@ -51,7 +51,7 @@
 		if late {
 			most = 0 // what was asked for long ago, before an outage perhaps, informs of little
 		}
-		ev, err := c.store.Watch(c.ctx, bookkeeping.WatchPrefix, revision, most, patience)
+		ev, err := c.store.Watch(c.ctx, storage.WatchPrefix, revision, most, patience)
 		if err != nil {
 			if c.ctx.Err() != nil {
 				return
@@ -87,23 +87,23 @@
 	defer func() { c.ListedEnds = nil }()
 	// Final states go first, so that ended jobs are not taken up.
 	for _, it := range items {
-		if kind, id := bookkeeping.ParseKey(it.Key); kind == bookkeeping.KindFinal {
+		if kind, id := storage.ParseKey(it.Key); kind == storage.KindFinal {
 			c.ApplyFinalRecord(id, it.Value)
 		}
 	}
 	c.NoteMissedLeaders(now)
 	c.ResetDoneCounts()
 	for _, it := range items {
-		switch kind, name := bookkeeping.ParseKey(it.Key); kind {
-		case bookkeeping.KindJob:
+		switch kind, name := storage.ParseKey(it.Key); kind {
+		case storage.KindJob:
 			c.CountListedJob(name, it.Value)
-		case bookkeeping.KindMachine:
+		case storage.KindMachine:
 			machines[name] = true
-		case bookkeeping.KindLease, bookkeeping.KindLeadership:
+		case storage.KindLease, storage.KindLeadership:
 			claims[it.Key] = true
-		case bookkeeping.KindPolicyHead, bookkeeping.KindRole, bookkeeping.KindIdentity:
+		case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
 			policy[it.Key] = true
-		case bookkeeping.KindFinal:
+		case storage.KindFinal:
 			continue
 		}
 		c.applyEvent(protocol.Event{Put: it.Key, Value: it.Value, Version: it.Version})
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, p := range c.Partitions {
-		if key := bookkeeping.LeaseKey(p.Index); !claims[key] && p.LeaseRevision != 0 {
+		if key := storage.LeaseKey(p.Index); !claims[key] && p.LeaseRevision != 0 {
 			c.applyEvent(protocol.Event{Delete: key, Version: revision})
 		}
 	}
@@ -126,8 +126,8 @@
 			p.VacantSince = now
 		}
 	}
-	if !claims[bookkeeping.LeadershipKey] {
-		c.applyEvent(protocol.Event{Delete: bookkeeping.LeadershipKey, Version: revision})
+	if !claims[storage.LeadershipKey] {
+		c.applyEvent(protocol.Event{Delete: storage.LeadershipKey, Version: revision})
 	}
 	if c.guard != nil {
 		c.policy.dropUnlisted(policy)
@@ -141,48 +141,48 @@
 func (c *Controller) applyEvent(e protocol.Event) {
 	now := time.Now()
 	key := e.Put + e.Delete
-	kind, name := bookkeeping.ParseKey(key)
+	kind, name := storage.ParseKey(key)
 	switch kind {
-	case bookkeeping.KindLease:
+	case storage.KindLease:
 		for _, p := range c.Partitions {
-			if bookkeeping.LeaseKey(p.Index) == key {
+			if storage.LeaseKey(p.Index) == key {
 				c.ApplyLease(p, e, now)
 			}
 		}
-	case bookkeeping.KindLeadership:
+	case storage.KindLeadership:
 		c.ApplyLeadership(e, now)
-	case bookkeeping.KindMachine:
+	case storage.KindMachine:
 		if e.Delete != "" {
 			if m := c.Machines[name]; m != nil && e.Version >= m.Revision {
 				c.MachineDeleted(name, now)
 			}
 			return
 		}
-		var rec bookkeeping.Machine
-		if err := bookkeeping.Decode(e.Value, &rec); err != nil || rec.Partition < 0 || rec.Partition >= len(c.Partitions) {
+		var rec storage.Machine
+		if err := storage.Decode(e.Value, &rec); err != nil || rec.Partition < 0 || rec.Partition >= len(c.Partitions) {
 			c.log.Error("bad machine record", "machine", name, "reason", err)
 			return
 		}
 		c.MachineRecorded(name, rec, e.Version, now)
-	case bookkeeping.KindJob:
+	case storage.KindJob:
 		if e.Delete == "" {
 			c.ApplyJobRecord(name, e.Value)
 		}
-	case bookkeeping.KindFinal:
+	case storage.KindFinal:
 		if e.Delete == "" {
 			c.ApplyFinalRecord(name, e.Value)
 		}
-	case bookkeeping.KindIncarnation:
+	case storage.KindIncarnation:
 		c.ApplyIncarnation(name, e)
-	case bookkeeping.KindPolicyHead, bookkeeping.KindRole, bookkeeping.KindIdentity:
+	case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
 		if c.guard != nil {
 			if err := c.policy.apply(kind, name, e); err != nil {
 				c.log.Error("bad policy record", "key", key, "reason", err)
 			}
 		}
-	case bookkeeping.KindCatalog:
+	case storage.KindCatalog:
 		var cat protocol.Catalog
-		if e.Delete == "" && bookkeeping.Decode(e.Value, &cat) == nil && len(c.Catalog) == 0 {
+		if e.Delete == "" && storage.Decode(e.Value, &cat) == nil && len(c.Catalog) == 0 {
 			c.SetCatalog(cat.Types)
 		}
 	}
@@ -204,7 +204,7 @@
 	if c.guard != nil {
 		if _, known := c.jobQueues.queueOf(id); !known {
 			var spec protocol.JobSpec
-			if bookkeeping.Decode(raw, &spec) == nil {
+			if storage.Decode(raw, &spec) == nil {
 				c.jobQueues.add(&spec)
 			}
 		}
@@ -221,7 +221,7 @@
 // LoadJobRecord makes a job of its record.
 func (c *Controller) LoadJobRecord(id string, raw []byte) *Job {
 	spec := new(protocol.JobSpec)
-	if err := bookkeeping.Decode(raw, spec); err != nil || spec.Tasks < 1 {
+	if err := storage.Decode(raw, spec); err != nil || spec.Tasks < 1 {
 		c.log.Error("bad job record", "job", id, "reason", err)
 		return nil
 	}
@@ -265,8 +265,8 @@
 }
 
 func (c *Controller) ApplyFinalRecord(id string, raw []byte) {
-	var f bookkeeping.Final
-	if err := bookkeeping.Decode(raw, &f); err != nil {
+	var f storage.Final
+	if err := storage.Decode(raw, &f); err != nil {
 		c.log.Error("bad final record", "job", id, "reason", err)
 		return
 	}
@@ -287,7 +287,7 @@
 	}
 	c.FinalStates[id] = status
 	if status == protocol.StatusWithdrawn && time.Since(at) < c.CancelBound && !c.Cancellations.Add(id, at) {
-		c.boundMet(observe.Cancellations, 1)
+		c.boundMet(telemetry.Cancellations, 1)
 	}
 	for _, j := range c.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
 		if p := c.Partitions[j.Partition]; p.Held && p.Ready {
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -2,24 +2,24 @@
 
 import (
 	"fmt"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/telemetry"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fleet"
+	"micaspindle/internal/coordination/scaling"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 )
 
 // startScaleOut sends one request. Its name holds the revision of the leader's
 // claim and a counter, so that no other request ever has it.
-func (c *Controller) startScaleOut(plan fleet.ScaleOut) {
+func (c *Controller) startScaleOut(plan scaling.ScaleOut) {
 	l := &c.Leadership
 	l.Requests++
 	name := fmt.Sprintf("r-%d-%d", l.Revision, l.Requests)
 	r := &ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, 50)}
 	l.PendingScaleOut[name] = r
 	version := l.Revision
-	c.metrics.Count(observe.Rented, r.Count)
+	c.metrics.Count(telemetry.Rented, r.Count)
 	c.log.Info("renting", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "count", plan.Count, "part", r.Partition)
 	c.duty.Go(func() { c.finishScaleOut(name, r, version) })
 }
@@ -37,7 +37,7 @@
 				c.do(func() { c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second) })
 				c.log.Info("rental partly filled", "request", name, "machines", len(names.Machines), "asked", r.Count)
 			}
-			c.recordMachines(names.Machines, bookkeeping.Machine{Partition: r.Partition, Type: r.Kind.Type, Zone: r.Kind.Zone,
+			c.recordMachines(names.Machines, storage.Machine{Partition: r.Partition, Type: r.Kind.Type, Zone: r.Kind.Zone,
 				Spot: r.Kind.Spot, RentedMS: time.Now().UnixMilli()})
 			c.do(func() {
 				delete(c.Leadership.PendingScaleOut, name)
@@ -45,7 +45,7 @@
 			})
 			return
 		case err == nil && (status == 503 || status == 400):
-			c.metrics.Count(observe.RentRefused, 1)
+			c.metrics.Count(telemetry.RentRefused, 1)
 			c.log.Info("rental refused", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "status", status)
 			c.do(func() {
 				c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second)
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -187,7 +187,7 @@
 				}
 				a.Job.RunningCount++
 				if !a.Inherited {
-					c.metrics.Took(observe.Start, now.Sub(a.Job.ReadySince()), now)
+					c.metrics.Took(telemetry.Start, now.Sub(a.Job.ReadySince()), now)
 				}
 			}
 			m.Images[a.Job.Spec.Image] = now
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/scaling/scaling.go
@@ -1,7 +1,7 @@
-// Package fleet decides, for the leader, on the machines of all parts: which are
+// Package scaling decides, for the leader, on the machines of all parts: which are
 // adopted, given up, moved, rented and returned. It is a pure function of a view;
 // the leader gathers that, and does what the plan says.
-package fleet
+package scaling
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/protocol"
 )
 
@@ -21,9 +21,9 @@
 	// Machines are those on record, by name.
 	Machines []Machine
 	Catalog  []protocol.MachineType
-	Scarcity fit.Scarcity
+	Scarcity binpack.Scarcity
 	// RefusedCapacity says until when what the cloud refused is not asked for.
-	RefusedCapacity map[fit.MachineKind]time.Time
+	RefusedCapacity map[binpack.MachineKind]time.Time
 	// ScalingOut are the parts for which a request is under way.
 	ScalingOut map[int]bool
 	Unrecorded []Unrecorded
@@ -41,8 +41,8 @@
 
 // Demand is waiting tasks that are alike.
 type Demand struct {
-	Constraints fit.Constraints
-	Resources   fit.Resources
+	Constraints binpack.Constraints
+	Resources   binpack.Resources
 	Count       int
 	// SlackS is how long until it should be done.
 	EstimateS, SlackS, WaitedS float64
@@ -52,7 +52,7 @@
 type Machine struct {
 	Name      string
 	Partition int
-	Kind      fit.MachineKind
+	Kind      binpack.MachineKind
 	Type      *protocol.MachineType // nil: not in the catalog
 	// Serving: it is neither lost nor faulty for all that the leader knows itself.
 	Serving bool
@@ -68,7 +68,7 @@
 // Unrecorded is a machine without a record.
 type Unrecorded struct {
 	Name string
-	Kind fit.MachineKind
+	Kind binpack.MachineKind
 	// Tried is when it was last to be adopted.
 	Tried time.Time
 }
@@ -101,7 +101,7 @@
 
 // ScaleOut is a request to the cloud.
 type ScaleOut struct {
-	Kind      fit.MachineKind
+	Kind      binpack.MachineKind
 	Partition int
 	Count     int
 }
@@ -193,7 +193,7 @@
 // wants says whether a part has waiting work for a machine of its own.
 func (r *round) wants(part int, m *Machine) bool {
 	return slices.ContainsFunc(r.demands[part], func(d Demand) bool {
-		return d.Count > 0 && d.Constraints.Allows(m.Kind) && fit.Size(m.Type).Slots(d.Resources, d.Count) > 0
+		return d.Count > 0 && d.Constraints.Allows(m.Kind) && binpack.Size(m.Type).Slots(d.Resources, d.Count) > 0
 	})
 }
 
@@ -236,7 +236,7 @@
 		if d.Count <= 0 || !d.Constraints.Allows(m.Kind) {
 			return false
 		}
-		n := fit.Size(m.Type).Slots(d.Resources, d.Count)
+		n := binpack.Size(m.Type).Slots(d.Resources, d.Count)
 		if n == 0 || r.wants(from, m) {
 			return false
 		}
@@ -254,8 +254,8 @@
 			continue // the summary does not know yet what a request under way brings
 		}
 		have := r.fleet(part)
-		wanted := map[fit.MachineKind]int{}
-		var kinds []fit.MachineKind
+		wanted := map[binpack.MachineKind]int{}
+		var kinds []binpack.MachineKind
 		ahead := 0.0
 		for di := range r.demands[part] {
 			d := &r.demands[part][di]
@@ -282,8 +282,8 @@
 }
 
 // fleet counts a part's machines by what the cloud calls them.
-func (r *round) fleet(part int) map[fit.MachineKind]int {
-	have := map[fit.MachineKind]int{}
+func (r *round) fleet(part int) map[binpack.MachineKind]int {
+	have := map[binpack.MachineKind]int{}
 	for i := range r.Machines {
 		if m := &r.Machines[i]; m.Partition == part && m.Type != nil && m.Serving {
 			have[m.Kind]++
@@ -303,11 +303,11 @@
 
 // room is how many tasks like a demand's a fleet runs at a time, on machines that
 // no choosier work needs.
-func (r *round) room(d *Demand, have map[fit.MachineKind]int) float64 {
+func (r *round) room(d *Demand, have map[binpack.MachineKind]int) float64 {
 	sum, breadth := 0, r.breadth(d)
 	for k, n := range have {
 		if t := r.typ(k.Type); t != nil && !r.Scarcity.Contested(k.Type, breadth) && d.Constraints.Allows(k) {
-			sum += n * fit.Size(t).Slots(d.Resources, fit.UnboundedSlots)
+			sum += n * binpack.Size(t).Slots(d.Resources, binpack.UnboundedSlots)
 		}
 	}
 	return float64(sum)
@@ -317,7 +317,7 @@
 func (r *round) breadth(d *Demand) int {
 	n := 0
 	for i := range r.Catalog {
-		if fit.FitsType(d.Constraints, d.Resources, &r.Catalog[i]) {
+		if binpack.FitsType(d.Constraints, d.Resources, &r.Catalog[i]) {
 			n++
 		}
 	}
@@ -328,13 +328,13 @@
 // how many of them it holds. Types that work of fewer choices needs come last.
 // waitS is how long the demand's last task would wait for the machines that there
 // are.
-func (r *round) cheapest(d *Demand, waitS float64) (fit.MachineKind, int) {
-	var best fit.MachineKind
+func (r *round) cheapest(d *Demand, waitS float64) (binpack.MachineKind, int) {
+	var best binpack.MachineKind
 	held, least, bestContested := 0, math.Inf(1), true
 	breadth := r.breadth(d)
 	for i := range r.Catalog {
 		t := &r.Catalog[i]
-		n := fit.Size(t).Slots(d.Resources, d.Count)
+		n := binpack.Size(t).Slots(d.Resources, d.Count)
 		if n == 0 {
 			continue
 		}
@@ -342,7 +342,7 @@
 		slices.Sort(zones)
 		for _, zone := range zones {
 			for _, spot := range []bool{true, false} {
-				k := fit.MachineKind{Type: t.Name, Zone: zone, Spot: spot}
+				k := binpack.MachineKind{Type: t.Name, Zone: zone, Spot: spot}
 				if !d.Constraints.Allows(k) || r.Now.Before(r.RefusedCapacity[k]) {
 					continue
 				}
@@ -355,7 +355,7 @@
 				}
 				contested := r.Scarcity.Contested(t.Name, breadth)
 				cost := price / float64(n)
-				if contested != bestContested && !contested || contested == bestContested && cost < least-fit.Epsilon {
+				if contested != bestContested && !contested || contested == bestContested && cost < least-binpack.Epsilon {
 					best, held, least, bestContested = k, n, cost, contested
 				}
 			}
@@ -365,8 +365,8 @@
 }
 
 // fill takes from the demands what a machine of a kind would run.
-func (r *round) fill(k fit.MachineKind, demands []Demand) {
-	room := fit.Size(r.typ(k.Type))
+func (r *round) fill(k binpack.MachineKind, demands []Demand) {
+	room := binpack.Size(r.typ(k.Type))
 	for i := range demands {
 		d := &demands[i]
 		if d.Constraints.Allows(k) {
--- a/internal/coordination/fleet/fleet_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -1,4 +1,4 @@
-package fleet
+package scaling
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/protocol"
 )
 
@@ -19,7 +19,7 @@
 )
 
 func world(parts int) View {
-	v := View{Now: now, Partitions: make([]Partition, parts), Catalog: catalog, Scarcity: fit.Scarcity{}, RefusedCapacity: map[fit.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
+	v := View{Now: now, Partitions: make([]Partition, parts), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
 		IdleSpot: time.Minute, IdleOrdinary: 20 * time.Second}
 	for i := range v.Partitions {
 		v.Partitions[i].Known = true
@@ -28,16 +28,16 @@
 }
 
 func (v *View) machine(name string, part, typ int, spot bool) *Machine {
-	v.Machines = append(v.Machines, Machine{Name: name, Partition: part, Kind: fit.MachineKind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serving: true})
+	v.Machines = append(v.Machines, Machine{Name: name, Partition: part, Kind: binpack.MachineKind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serving: true})
 	return &v.Machines[len(v.Machines)-1]
 }
 
 func demand(count int, cpus float64) Demand {
-	return Demand{Constraints: fit.Constraints{Spot: true}, Resources: fit.Resources{CPUs: cpus, MemGB: 1}, Count: count, EstimateS: 10, SlackS: 1000}
+	return Demand{Constraints: binpack.Constraints{Spot: true}, Resources: binpack.Resources{CPUs: cpus, MemGB: 1}, Count: count, EstimateS: 10, SlackS: 1000}
 }
 
 func TestDecide(t *testing.T) {
-	spot := func(typ string) fit.MachineKind { return fit.MachineKind{Type: typ, Zone: "a", Spot: true} }
+	spot := func(typ string) binpack.MachineKind { return binpack.MachineKind{Type: typ, Zone: "a", Spot: true} }
 	for name, c := range map[string]struct {
 		view func(*View)
 		want Plan
@@ -71,10 +71,10 @@
 			d := demand(1, 4)
 			d.SlackS = 12
 			v.Partitions[0].Demands = []Demand{d}
-			for _, k := range []fit.MachineKind{spot("small"), spot("big"), {Type: "big", Zone: "b", Spot: true}} {
+			for _, k := range []binpack.MachineKind{spot("small"), spot("big"), {Type: "big", Zone: "b", Spot: true}} {
 				v.RefusedCapacity[k] = now.Add(time.Second)
 			}
-		}, Plan{ScaleOuts: []ScaleOut{{fit.MachineKind{Type: "small", Zone: "a"}, 0, 1}}}},
+		}, Plan{ScaleOuts: []ScaleOut{{binpack.MachineKind{Type: "small", Zone: "a"}, 0, 1}}}},
 		"a type that choosier work needs comes last": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(2, 4)}
 			v.Scarcity.Note("small", 1)
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -23,17 +23,17 @@
 		return st, true, nil
 	}
 	if c.store.Down() {
-		return st, false, bookkeeping.ErrRefused
+		return st, false, storage.ErrRefused
 	}
 	if known {
-		absent, err := c.store.UserKeyAbsent(ctx, bookkeeping.FinalKey(id))
+		absent, err := c.store.UserKeyAbsent(ctx, storage.FinalKey(id))
 		if err != nil {
 			return st, false, err
 		}
 		if absent {
 			return c.unfinished(ctx, st)
 		}
-		item, err := c.store.UserGet(ctx, bookkeeping.FinalKey(id))
+		item, err := c.store.UserGet(ctx, storage.FinalKey(id))
 		if err != nil {
 			return st, false, err
 		}
@@ -43,7 +43,7 @@
 		})
 		return st, true, nil
 	}
-	list, err := c.store.UserList(ctx, bookkeeping.JobPrefix(id))
+	list, err := c.store.UserList(ctx, storage.JobPrefix(id))
 	if err != nil {
 		return st, false, err
 	}
@@ -52,12 +52,12 @@
 	}
 	c.do(func() {
 		for _, it := range list.Items {
-			if it.Key == bookkeeping.FinalKey(id) {
+			if it.Key == storage.FinalKey(id) {
 				c.ApplyFinalRecord(id, it.Value)
 			}
 		}
 		for _, it := range list.Items {
-			if it.Key == bookkeeping.JobKey(id) {
+			if it.Key == storage.JobKey(id) {
 				c.ApplyJobRecord(id, it.Value)
 			}
 		}
@@ -91,7 +91,7 @@
 		status, err := c.cancelNow(ctx, st.ID, nil)
 		return protocol.JobStatus{ID: st.ID, Status: status}, err == nil, err
 	case stale:
-		return st, false, fmt.Errorf("%w: changes not followed", bookkeeping.ErrRefused)
+		return st, false, fmt.Errorf("%w: changes not followed", storage.ErrRefused)
 	}
 	return st, true, nil
 }
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -8,10 +8,10 @@
 	"fmt"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -89,7 +89,7 @@
 	if who != nil {
 		spec.By = who.Name
 	}
-	j.value = bookkeeping.Encode(spec)
+	j.value = storage.Encode(spec)
 	if size, limit := protocol.JSONSize(j.value), c.store.ValueBytes(); size > limit {
 		j.refusal = tooLarge(size, limit)
 	} else if j.typesKnown {
@@ -101,12 +101,12 @@
 // commitSubmission commits a job's record, and answers by what became of that.
 func (c *Controller) commitSubmission(ctx context.Context, who *Caller, queue rights.Queue, id string, value []byte) transport.Response {
 	_, err := c.Commit(ctx, &protocol.Transaction{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(id), Version: 0}},
-		Then: []protocol.Change{{Put: bookkeeping.JobKey(id), Value: value}},
+		If:   []protocol.Condition{{Key: storage.JobKey(id), Version: 0}},
+		Then: []protocol.Change{{Put: storage.JobKey(id), Value: value}},
 	}, c.AuditRecord(who, "submit", queue, id))
-	var conflict *bookkeeping.Conflict
+	var conflict *storage.Conflict
 	switch {
-	case errors.As(err, &conflict), errors.Is(err, bookkeeping.ErrTooLarge):
+	case errors.As(err, &conflict), errors.Is(err, storage.ErrTooLarge):
 		// The service may look at the size before it looks whether the job is
 		// known: an accepted one must not be refused.
 		st, found, rerr := c.jobStatus(ctx, id)
@@ -197,17 +197,17 @@
 		})
 		if !known {
 			if c.store.Down() {
-				return "", bookkeeping.ErrRefused
+				return "", storage.ErrRefused
 			}
-			item, err := c.store.UserGet(ctx, bookkeeping.JobKey(id))
+			item, err := c.store.UserGet(ctx, storage.JobKey(id))
 			switch {
-			case errors.Is(err, bookkeeping.ErrNotFound):
+			case errors.Is(err, storage.ErrNotFound):
 				return "depends on a job that was never accepted", nil
 			case err != nil:
 				return "", err
 			}
 			var spec protocol.JobSpec
-			if err := bookkeeping.Decode(item.Value, &spec); err != nil {
+			if err := storage.Decode(item.Value, &spec); err != nil {
 				return "", err
 			}
 			service = spec.Standing
@@ -230,7 +230,7 @@
 	if s.Standing || s.Gang {
 		n = float64(s.Tasks)
 	}
-	if t.CPUsMax > 0 && n*s.CPUs > t.CPUsMax+fit.Epsilon || t.GPUsMax > 0 && n*s.GPUs > t.GPUsMax+fit.Epsilon {
+	if t.CPUsMax > 0 && n*s.CPUs > t.CPUsMax+binpack.Epsilon || t.GPUsMax > 0 && n*s.GPUs > t.GPUsMax+binpack.Epsilon {
 		return "more than the team's limit"
 	}
 	if (s.Standing || s.Gang) && s.Tasks > 1 && s.Spread && (s.OneZone || s.Zone != "") {
@@ -240,7 +240,7 @@
 		return ""
 	}
 	for i := range c.Catalog {
-		if fit.FitsOffered(ConstraintsOf(s), ResourcesOf(s), &c.Catalog[i]) {
+		if binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), &c.Catalog[i]) {
 			return ""
 		}
 	}
--- a/internal/coordination/succession.go
+++ b/internal/coordination/succession.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/shares"
-	"micaspindle/internal/coordination/standby"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/coordination/failover"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // leaseHolder is what a controller knows of the lives of all controllers, for taking
@@ -30,7 +30,7 @@
 
 // incarnationRecord is the newest record of a controller's life.
 type incarnationRecord struct {
-	bookkeeping.Incarnation
+	storage.Incarnation
 	revision uint64
 }
 
@@ -45,17 +45,17 @@
 	c := s.c
 	var txn *protocol.Transaction
 	done, ready := false, false
-	key := bookkeeping.IncarnationKey(c.Settings.Label)
+	key := storage.IncarnationKey(c.Settings.Label)
 	var value []byte
 	c.do(func() {
 		if done, ready = s.announcedLease == lease, c.Synced; done || !ready {
 			return
 		}
-		rec := bookkeeping.Incarnation{Nonce: c.Nonce, Lease: lease}
+		rec := storage.Incarnation{Nonce: c.Nonce, Lease: lease}
 		if own := s.incarnations[c.Settings.Label]; own.Nonce == c.Nonce {
 			rec.Released = own.Released
 		}
-		value = bookkeeping.Encode(rec)
+		value = storage.Encode(rec)
 		txn = &protocol.Transaction{If: []protocol.Condition{{Key: key, Version: s.incarnations[c.Settings.Label].revision}},
 			Then: []protocol.Change{{Put: key, Value: value}}}
 	})
@@ -63,13 +63,13 @@
 		return done
 	}
 	rev, err := c.store.CommitLease(c.ctx, txn)
-	var conflict *bookkeeping.Conflict
+	var conflict *storage.Conflict
 	switch {
 	case err == nil:
 		c.do(func() {
 			c.ApplyIncarnation(c.Settings.Label, protocol.Event{Put: key, Value: value, Version: rev})
 		})
-	case errors.As(err, &conflict) || errors.Is(err, bookkeeping.ErrUnknown):
+	case errors.As(err, &conflict) || errors.Is(err, storage.ErrUnknown):
 		// Written by the former life, or by this one without an answer.
 		if item, rerr := c.store.Get(c.ctx, key); rerr == nil {
 			c.do(func() {
@@ -90,8 +90,8 @@
 	if e.Delete != "" || e.Version <= was.revision {
 		return
 	}
-	var rec bookkeeping.Incarnation
-	if err := bookkeeping.Decode(e.Value, &rec); err != nil {
+	var rec storage.Incarnation
+	if err := storage.Decode(e.Value, &rec); err != nil {
 		c.log.Error("bad record of a controller's life", "controller", label, "reason", err)
 		return
 	}
@@ -105,7 +105,7 @@
 			continue
 		}
 		p := c.Partitions[r.Partition]
-		standby.NoteReleased(p.FormerAnswerers, label, rec.Nonce, r.LeaseRevision, now.Add(shares.GrantDuration))
+		failover.NoteReleased(p.FormerAnswerers, label, rec.Nonce, r.LeaseRevision, now.Add(delegation.GrantDuration))
 		if p.Held && p.Ready {
 			c.shortenBounds(p, now)
 		}
@@ -118,7 +118,7 @@
 			delete(s.endedIncarnations, name)
 		}
 	}
-	s.endedIncarnations[incarnationID{label, was.Nonce}] = now.Add(shares.GrantDuration) // its carriers may go on for that long
+	s.endedIncarnations[incarnationID{label, was.Nonce}] = now.Add(delegation.GrantDuration) // its carriers may go on for that long
 	c.log.Info("a former life is over", "controller", label)
 	for _, p := range c.Partitions {
 		if p.Held && p.Ready {
@@ -133,32 +133,32 @@
 // releaseTransaction is the transaction by which this controller gives claims up after it has
 // stopped acting under them: with it, its life's record says so. leader is the revision of
 // its claim to lead, if that goes too.
-func (s *leaseHolder) releaseTransaction(parts []bookkeeping.ReleasedLease, leader uint64) *protocol.Transaction {
+func (s *leaseHolder) releaseTransaction(parts []storage.ReleasedLease, leader uint64) *protocol.Transaction {
 	c := s.c
-	life, own := bookkeeping.IncarnationKey(c.Settings.Label), s.incarnations[c.Settings.Label]
+	life, own := storage.IncarnationKey(c.Settings.Label), s.incarnations[c.Settings.Label]
 	txn := &protocol.Transaction{}
 	drop := func(key string, version uint64) {
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: version})
 		txn.Then = append(txn.Then, protocol.Change{Delete: key})
 	}
 	for _, r := range parts {
-		drop(bookkeeping.LeaseKey(r.Partition), r.LeaseRevision)
+		drop(storage.LeaseKey(r.Partition), r.LeaseRevision)
 	}
 	if leader != 0 {
-		drop(bookkeeping.LeadershipKey, leader)
+		drop(storage.LeadershipKey, leader)
 	}
 	rec := own.Incarnation
 	rec.Released = append(slices.Clone(rec.Released), parts...)
 	rec.Released = rec.Released[max(0, len(rec.Released)-max(releasedLeasesLimit, len(parts))):]
 	txn.If = append(txn.If, protocol.Condition{Key: life, Version: own.revision})
-	txn.Then = append(txn.Then, protocol.Change{Put: life, Value: bookkeeping.Encode(rec)})
+	txn.Then = append(txn.Then, protocol.Change{Put: life, Value: storage.Encode(rec)})
 	return txn
 }
 
 // LastAnswerBound is the latest moment at which anybody but this controller may have
 // answered a machine of a part.
 func (s *leaseHolder) LastAnswerBound(p *Partition, m *Machine) time.Time {
-	until := standby.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time { return s.endedIncarnations[incarnationID{label, nonce}] })
+	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time { return s.endedIncarnations[incarnationID{label, nonce}] })
 	if m.FormerLeaderBound.After(until) {
 		until = m.FormerLeaderBound
 	}
@@ -185,7 +185,7 @@
 // workers for as long after its last renewal as rule 12 lets it.
 func (s *leaseHolder) noteFormerLeader(p *Partition, now time.Time) {
 	c := s.c
-	a := standby.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(c.AnswerBound())}
+	a := failover.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(c.AnswerBound())}
 	if a.Label == c.Settings.Label && a.Nonce == c.Nonce {
 		// This one stopped when it lost the part, its carriers when their grants end.
 		a.AnswersUntil = now
@@ -195,8 +195,8 @@
 			}
 		}
 	}
-	if l := s.incarnations[a.Label]; l.Nonce == a.Nonce && slices.Contains(l.Released, bookkeeping.ReleasedLease{Partition: p.Index, LeaseRevision: a.LeaseRevision}) {
-		a.AnswersUntil = now.Add(shares.GrantDuration)
+	if l := s.incarnations[a.Label]; l.Nonce == a.Nonce && slices.Contains(l.Released, storage.ReleasedLease{Partition: p.Index, LeaseRevision: a.LeaseRevision}) {
+		a.AnswersUntil = now.Add(delegation.GrantDuration)
 	}
 	p.FormerAnswerers = append(stillAnswering(p.FormerAnswerers, now), a)
 }
@@ -205,13 +205,13 @@
 func (s *leaseHolder) NoteMissedLeaders(now time.Time) {
 	c := s.c
 	for _, p := range c.Partitions {
-		p.FormerAnswerers = slices.DeleteFunc(stillAnswering(p.FormerAnswerers, now), func(a standby.FormerLeader) bool { return a.Label == "" })
-		p.FormerAnswerers = append(p.FormerAnswerers, standby.FormerLeader{AnswersUntil: now.Add(c.AnswerBound())})
+		p.FormerAnswerers = slices.DeleteFunc(stillAnswering(p.FormerAnswerers, now), func(a failover.FormerLeader) bool { return a.Label == "" })
+		p.FormerAnswerers = append(p.FormerAnswerers, failover.FormerLeader{AnswersUntil: now.Add(c.AnswerBound())})
 	}
 }
 
 // stillAnswering drops those whose time is over, and that can prove nothing any more.
-func stillAnswering(all []standby.FormerLeader, now time.Time) []standby.FormerLeader {
+func stillAnswering(all []failover.FormerLeader, now time.Time) []failover.FormerLeader {
 	kept := all[:0]
 	for _, a := range all {
 		if a.AnswersUntil.After(now) {
@@ -243,7 +243,7 @@
 func (s *leaseHolder) RevokeIfDead(label string, ps *Peer, now time.Time) {
 	c := s.c
 	l := s.incarnations[label]
-	e := standby.Evidence{Silent: now.Sub(ps.HeardAt), Interval: SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
+	e := failover.Evidence{Silent: now.Sub(ps.HeardAt), Interval: SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
 	if l.Lease == 0 || l.Lease == ps.RevokedLease || !e.Dead() || !c.Synced || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL/2 {
 		return
 	}
@@ -255,7 +255,7 @@
 		return
 	}
 	ps.RevokedLease = l.Lease
-	c.metrics.Count(observe.LeaseEnded, 1)
+	c.metrics.Count(telemetry.LeaseEnded, 1)
 	c.log.Info("ending the lease of a controller that is gone", "controller", label, "silent", e.Silent, "visitors", e.Diverted, "of", e.Reporting)
 	c.duty.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, 2*time.Second)
@@ -274,14 +274,14 @@
 	for _, part := range ps.Summary.Parts {
 		// Those that others carry prove nothing: a carrier that doesn't hear the owner
 		// sends them away, and the owner may serve all the others.
-		var carried [shares.ShardCount]bool
+		var carried [delegation.ShardCount]bool
 		for _, k := range part.Carried {
 			for _, s := range k.Shares {
-				carried[s%shares.ShardCount] = true
+				carried[s%delegation.ShardCount] = true
 			}
 		}
 		for _, m := range part.Machines {
-			if m.Heard && (len(part.Carried) == 0 || !carried[shares.ShardOf(m.Name)]) {
+			if m.Heard && (len(part.Carried) == 0 || !carried[delegation.ShardOf(m.Name)]) {
 				ps.ReportingMachines[m.Name] = true
 			}
 		}
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/shares"
+	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 )
 
 // busy fills the world's machines with long work of all teams.
@@ -124,7 +124,7 @@
 					defer w.mu.Unlock()
 					all := ""
 					for p := range 3 {
-						all += fmt.Sprint(w.state.Items[bookkeeping.LeaseKey(p)].Version, " ")
+						all += fmt.Sprint(w.state.Items[storage.LeaseKey(p)].Version, " ")
 					}
 					return all
 				}
@@ -226,7 +226,7 @@
 	t.Parallel()
 	simulate(t, 540, func(w *world) {
 		time.Sleep(3 * time.Second)
-		key := bookkeeping.IncarnationKey("n1")
+		key := storage.IncarnationKey("n1")
 		w.mu.Lock()
 		first := w.state.Items[key]
 		w.mu.Unlock()
@@ -236,8 +236,8 @@
 		w.mu.Lock()
 		second := w.state.Items[key]
 		w.mu.Unlock()
-		var a, b bookkeeping.Incarnation
-		if bookkeeping.Decode(first.Value, &a) != nil || bookkeeping.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
+		var a, b storage.Incarnation
+		if storage.Decode(first.Value, &a) != nil || storage.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
 			t.Fatalf("lives %+v and %+v", a, b)
 		}
 		n0 := w.nodes["n0"].ctl
@@ -277,10 +277,10 @@
 		defer end()
 		p, bound := c.Partitions[0], c.AnswerBound()
 		put := func(key string, version uint64, v any) {
-			c.applyEvent(protocol.Event{Put: key, Value: bookkeeping.Encode(v), Version: version})
+			c.applyEvent(protocol.Event{Put: key, Value: storage.Encode(v), Version: version})
 		}
 		claim := func(version uint64, label, nonce string) {
-			put(bookkeeping.LeaseKey(0), version, bookkeeping.Lease{Holder: label, Nonce: nonce})
+			put(storage.LeaseKey(0), version, storage.Lease{Holder: label, Nonce: nonce})
 		}
 		m := &Machine{}
 		check := func(what string, want time.Time) {
@@ -293,23 +293,23 @@
 		c.applyListing(nil, 1)
 		check("owners before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
-		put(bookkeeping.IncarnationKey("n1"), 2, bookkeeping.Incarnation{Nonce: "x", Lease: 1})
+		put(storage.IncarnationKey("n1"), 2, storage.Incarnation{Nonce: "x", Lease: 1})
 		claim(3, "n1", "x")
 		claim(4, "n2", "y")
 		check("an owner whose claim has ended", time.Now().Add(bound))
 		time.Sleep(time.Second)
-		put(bookkeeping.IncarnationKey("n1"), 5, bookkeeping.Incarnation{Nonce: "x", Lease: 2})
+		put(storage.IncarnationKey("n1"), 5, storage.Incarnation{Nonce: "x", Lease: 2})
 		check("the same life with another lease", time.Now().Add(bound-time.Second))
-		put(bookkeeping.IncarnationKey("n1"), 6, bookkeeping.Incarnation{Nonce: "z", Lease: 3})
-		check("its next life, and its carriers", time.Now().Add(shares.GrantDuration))
+		put(storage.IncarnationKey("n1"), 6, storage.Incarnation{Nonce: "z", Lease: 3})
+		check("its next life, and its carriers", time.Now().Add(delegation.GrantDuration))
 		time.Sleep(time.Minute)
 		claim(7, "n0", c.Nonce)
 		time.Sleep(time.Minute)
 		claim(8, "n2", "y")
 		check("this controller itself", time.Now())
 		time.Sleep(time.Minute)
-		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: 1, Type: "small"}, 9, time.Now())
-		c.MachineRecorded("m-1", bookkeeping.Machine{Partition: 0, Type: "small"}, 10, time.Now())
+		c.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
+		c.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
 		m = c.Machines["m-1"]
 		check("the owner of the part that a machine came from", time.Now().Add(bound))
 		m = &Machine{}
@@ -319,7 +319,7 @@
 		p.Delegations.Assign(0, "n1")
 		p.Delegations.Renew("n1", "x", 0, time.Minute, time.Now())
 		granted := p.Delegations.LatestGrantEnd()
-		if left := time.Until(granted); left < shares.GrantDuration {
+		if left := time.Until(granted); left < delegation.GrantDuration {
 			t.Errorf("granted for %s", left)
 		}
 		claim(12, "n2", "y")
@@ -329,7 +329,7 @@
 		ps := c.Peers["n2"]
 		ps.HeardAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
 		c.Synced = true
-		put(bookkeeping.IncarnationKey("n2"), 11, bookkeeping.Incarnation{Nonce: "other", Lease: 7})
+		put(storage.IncarnationKey("n2"), 11, storage.Incarnation{Nonce: "other", Lease: 7})
 		time.Sleep(5 * time.Second)
 		c.LeaseRenewedAt = time.Now()
 		if c.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
