--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
-	"micaspindle/internal/coordination/fit"
-	"micaspindle/internal/coordination/standby"
-	"micaspindle/internal/observe"
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/failover"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // WantsPartition says whether to claim a part now: its own at once, an orphan after
@@ -153,7 +153,7 @@
 		})
 		if len(missing) > 0 {
 			for _, id := range missing {
-				if specs[id], err = c.store.Get(c.ctx, bookkeeping.JobKey(id)); err != nil {
+				if specs[id], err = c.store.Get(c.ctx, storage.JobKey(id)); err != nil {
 					return err
 				}
 			}
@@ -176,7 +176,7 @@
 // Quotas are added up as the records are taken in.
 func (f *Replicator) missingEvidence(p *Partition, claim, runs uint64) []string {
 	c := f.c
-	return standby.TakeoverCheck{LeaseRevision: claim, NewestLease: p.LeaseRevision, SinceRenewal: time.Since(c.LeaseRenewedAt), TTL: c.Operator.ClaimTTL,
+	return failover.TakeoverCheck{LeaseRevision: claim, NewestLease: p.LeaseRevision, SinceRenewal: time.Since(c.LeaseRenewedAt), TTL: c.Operator.ClaimTTL,
 		RunRecords: runs, MachineRecords: c.RecordsRevision, FinalStates: c.RecordsRevision, Counted: true}.Missing()
 }
 
@@ -218,7 +218,7 @@
 	}
 	for _, m := range c.Machines {
 		if m.Record.Partition == p.Index {
-			m.Prediction, m.Used = nil, fit.Resources{}
+			m.Prediction, m.Used = nil, binpack.Resources{}
 		}
 	}
 	live, bound := 0, 0
@@ -268,10 +268,10 @@
 	}
 	p.Ready, p.WarmFailover, p.QueueOrder, p.Replication, p.HandbackSince = true, warm, nil, ReplicationProgress{}, time.Time{}
 	p.Wake()
-	c.metrics.Took(observe.Takeover, now.Sub(p.AcquiredAt), now)
-	kind := observe.TakeoverCold
+	c.metrics.Took(telemetry.Takeover, now.Sub(p.AcquiredAt), now)
+	kind := telemetry.TakeoverCold
 	if warm {
-		kind = observe.TakeoverWarm
+		kind = telemetry.TakeoverWarm
 	}
 	c.metrics.Count(kind, 1)
 	c.log.Info("part ready", "part", p.Index, "live", live, "after", now.Sub(p.AcquiredAt), "warm", warm)
--- a/internal/coordination/tale.go
+++ b/internal/coordination/tale.go
@@ -10,10 +10,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/coordination/fit"
+	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -140,7 +140,7 @@
 	list := f.partitionChanges(p)
 	tale.Upto = t.Clock
 	if !addChanges(tale, list, room, now) {
-		c.boundMet(observe.ReplicaMessages, 1)
+		c.boundMet(telemetry.ReplicaMessages, 1)
 	}
 	return tale
 }
@@ -304,8 +304,8 @@
 		}
 		if fo := f.replicas[int(t.Part)]; fo != nil {
 			reply.Have = fo.Updates.Apply(t, fo.Derived.noteStart, now)
-			c.boundMet(observe.ReplicaMachines, fo.Updates.droppedMachines)
-			c.boundMet(observe.ReplicaStarts, fo.Derived.droppedStarts)
+			c.boundMet(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
+			c.boundMet(telemetry.ReplicaStarts, fo.Derived.droppedStarts)
 			fo.Updates.droppedMachines, fo.Derived.droppedStarts = 0, 0
 		}
 	})
@@ -325,7 +325,7 @@
 		if fo := f.replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
 			whole := false
 			if tale, whole = fo.stateTransfer(time.Now()); !whole {
-				c.boundMet(observe.RecallBytes, 1)
+				c.boundMet(telemetry.RecallBytes, 1)
 			}
 		}
 	})
@@ -503,7 +503,7 @@
 	}
 	for _, r := range h.Update.Refused {
 		if r.ForS > 0 && r.ForS < 60 {
-			l.RefusedCapacity[fit.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = h.ReceivedAt.Add(time.Duration(r.ForS * float64(time.Second)))
+			l.RefusedCapacity[binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = h.ReceivedAt.Add(time.Duration(r.ForS * float64(time.Second)))
 		}
 	}
 	for _, m := range h.Update.Moved {
@@ -513,7 +513,7 @@
 		if int(r.Part) >= len(c.Partitions) || r.Count == 0 || r.Count > 50 || l.PendingScaleOut[r.Name] != nil {
 			continue
 		}
-		rent := &ScaleOutRequest{Kind: fit.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, Partition: int(r.Part), Count: int(r.Count)}
+		rent := &ScaleOutRequest{Kind: binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, Partition: int(r.Part), Count: int(r.Count)}
 		l.PendingScaleOut[r.Name] = rent
 		c.log.Info("repeating a rental of the leader before", "request", r.Name, "type", r.Type, "count", r.Count)
 		c.duty.Go(func() { c.finishScaleOut(r.Name, rent, version) })
--- a/internal/coordination/tokens.go
+++ b/internal/coordination/tokens.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 )
 
 // A command without an answer may be carried out at any later time, until its worker has
@@ -126,9 +126,9 @@
 		if m.PendingCommands > 0 && now.Sub(m.CommandedAt) < commandAnswerWait {
 			continue // their answer may make it needless
 		}
-		key := bookkeeping.MachineKey(m.Name)
+		key := storage.MachineKey(m.Name)
 		b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: m.Revision})
-		b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: bookkeeping.Encode(m.Record)})
+		b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: storage.Encode(m.Record)})
 		b.tokenRaises = append(b.tokenRaises, m)
 	}
 	return nil
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"micaspindle/internal/audit"
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/observe"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
@@ -99,14 +99,14 @@
 	now := time.Now()
 	switch verb {
 	case "submit":
-		c.metrics.Took(observe.Submission, now.Sub(begun), now)
+		c.metrics.Took(telemetry.Submission, now.Sub(begun), now)
 	case "view":
-		c.metrics.Took(observe.Poll, now.Sub(begun), now)
+		c.metrics.Took(telemetry.Poll, now.Sub(begun), now)
 	case "withdraw":
-		c.metrics.Took(observe.Withdrawal, now.Sub(begun), now)
+		c.metrics.Took(telemetry.Withdrawal, now.Sub(begun), now)
 	}
 	if resp.Status >= 400 {
-		c.metrics.Count(observe.Refused, 1)
+		c.metrics.Count(telemetry.Refused, 1)
 	}
 }
 
@@ -160,7 +160,7 @@
 
 // unavailableResponse is the answer while the state service can't be asked.
 func unavailableResponse(err error) transport.Response {
-	if errors.Is(err, bookkeeping.ErrRefused) && strings.Contains(err.Error(), "budget") {
+	if errors.Is(err, storage.ErrRefused) && strings.Contains(err.Error(), "budget") {
 		return Refuse(429, "over budget", 1)
 	}
 	return Refuse(503, "state service unavailable", 1)
@@ -173,10 +173,10 @@
 // AddCancellation adds to a transaction what makes a job withdrawn, unless it has
 // ended.
 func AddCancellation(txn *protocol.Transaction, id string, now time.Time) {
-	key := bookkeeping.FinalKey(id)
+	key := storage.FinalKey(id)
 	txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
 	txn.Then = append(txn.Then, protocol.Change{Put: key,
-		Value: bookkeeping.Encode(bookkeeping.Final{Status: protocol.StatusWithdrawn, AtMS: now.UnixMilli()})})
+		Value: storage.Encode(storage.Final{Status: protocol.StatusWithdrawn, AtMS: now.UnixMilli()})})
 }
 
 // cancelNow withdraws a job for somebody who waits for the answer, and
@@ -185,7 +185,7 @@
 	var txn protocol.Transaction
 	AddCancellation(&txn, id, time.Now())
 	_, err := c.Commit(ctx, &txn, r)
-	var conflict *bookkeeping.Conflict
+	var conflict *storage.Conflict
 	switch {
 	case err == nil:
 		c.do(func() { c.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
@@ -193,7 +193,7 @@
 	case !errors.As(err, &conflict):
 		return "", err
 	}
-	item, err := c.store.UserGet(ctx, bookkeeping.FinalKey(id))
+	item, err := c.store.UserGet(ctx, storage.FinalKey(id))
 	if err != nil {
 		return "", err
 	}
@@ -203,7 +203,7 @@
 		status = c.FinalStates[id]
 	})
 	if status == "" {
-		return "", fmt.Errorf("%w: final record can't be read", bookkeeping.ErrUnknown)
+		return "", fmt.Errorf("%w: final record can't be read", storage.ErrUnknown)
 	}
 	return status, nil
 }
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -17,13 +17,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/standin/cloud"
 	"micaspindle/internal/standin/state"
 	"micaspindle/internal/standin/worker"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -343,27 +343,27 @@
 // checkClaim sees that nobody takes a claim that another still holds: its owner
 // might go on answering workers for longer than its successor expects.
 func (w *world) checkClaim(c protocol.Change, old protocol.Item, held bool) {
-	var claim bookkeeping.Lease
-	if kind, _ := bookkeeping.ParseKey(c.Put); (kind == bookkeeping.KindLease || kind == bookkeeping.KindLeadership) && bookkeeping.Decode(c.Value, &claim) == nil {
+	var claim storage.Lease
+	if kind, _ := storage.ParseKey(c.Put); (kind == storage.KindLease || kind == storage.KindLeadership) && storage.Decode(c.Value, &claim) == nil {
 		// Not that the record is of this life still: a late claim of a process that ended
 		// may come after its next life's record, on a lease that has not run out yet (44).
 		if !w.lived[incarnationID{claim.Holder, claim.Nonce}] {
 			w.breakRule("%s claimed before the record of its owner's life", c.Put)
 		}
 	}
-	kind, label := bookkeeping.ParseKey(c.Put)
-	if kind == bookkeeping.KindIncarnation {
-		var life bookkeeping.Incarnation
-		must(bookkeeping.Decode(c.Value, &life))
+	kind, label := storage.ParseKey(c.Put)
+	if kind == storage.KindIncarnation {
+		var life storage.Incarnation
+		must(storage.Decode(c.Value, &life))
 		w.lived[incarnationID{label, life.Nonce}] = true
 		w.checkReleases(label, c.Value)
 	}
-	if !held || kind != bookkeeping.KindLease && kind != bookkeeping.KindLeadership {
+	if !held || kind != storage.KindLease && kind != storage.KindLeadership {
 		return
 	}
-	var before, after bookkeeping.Lease
-	must(bookkeeping.Decode(old.Value, &before))
-	must(bookkeeping.Decode(c.Value, &after))
+	var before, after storage.Lease
+	must(storage.Decode(old.Value, &before))
+	must(storage.Decode(c.Value, &after))
 	if before.Holder != after.Holder {
 		w.breakRule("claim %s of %s taken by %s", c.Put, before.Holder, after.Holder)
 	}
@@ -371,15 +371,15 @@
 
 // checkFinal sees that how a job ended is written once: controllers answer it from memory (15).
 func (w *world) checkFinal(c protocol.Change, exists bool) {
-	if kind, job := bookkeeping.ParseKey(c.Put); kind == bookkeeping.KindFinal && exists {
+	if kind, job := storage.ParseKey(c.Put); kind == storage.KindFinal && exists {
 		w.breakRule("the end of %s is written twice", job)
 	}
 }
 
 // checkReleases sees that whoever writes that it gave claims up acts under none of them.
 func (w *world) checkReleases(label string, value []byte) {
-	var life bookkeeping.Incarnation
-	must(bookkeeping.Decode(value, &life))
+	var life storage.Incarnation
+	must(storage.Decode(value, &life))
 	n := w.nodes[label]
 	if n == nil || n.ctl.Nonce != life.Nonce {
 		return
@@ -583,12 +583,12 @@
 		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
 			continue // without taking the key apart, as most are others'
 		}
-		if job, _, err := bookkeeping.ParseRunKey(key); err != nil || job != id {
+		if job, _, err := storage.ParseRunKey(key); err != nil || job != id {
 			continue
 		}
-		var run bookkeeping.RunRecord
-		must(bookkeeping.Decode(it.Value, &run))
-		if slices.Contains(run.Live, bookkeeping.Attempt{Task: task, Number: c.Attempt, Machine: wk.Name, Epoch: wk.Session}) {
+		var run storage.RunRecord
+		must(storage.Decode(it.Value, &run))
+		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: wk.Name, Epoch: wk.Session}) {
 			return true
 		}
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -30,7 +30,6 @@
 	"golang.org/x/time/rate"
 	"google.golang.org/grpc"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/gate"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
@@ -38,6 +37,7 @@
 	"micaspindle/internal/standin/runner"
 	"micaspindle/internal/standin/state"
 	"micaspindle/internal/standin/worker"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
@@ -356,9 +356,9 @@
 func (c *Cluster) Leader() *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var claim bookkeeping.Lease
-	it, ok := c.state.Items[bookkeeping.LeadershipKey]
-	if !ok || bookkeeping.Decode(it.Value, &claim) != nil {
+	var claim storage.Lease
+	it, ok := c.state.Items[storage.LeadershipKey]
+	if !ok || storage.Decode(it.Value, &claim) != nil {
 		return nil
 	}
 	for _, n := range c.nodes {
@@ -562,9 +562,9 @@
 // same time again, and none once it has a result. A worker would fetch the
 // job's description from where users upload it; here it is the job's record.
 func (c *Cluster) RunTime(job string, task int, _ string) (time.Duration, bool) {
-	it, ok := c.state.Items[bookkeeping.JobKey(job)]
+	it, ok := c.state.Items[storage.JobKey(job)]
 	var spec protocol.JobSpec
-	if !ok || bookkeeping.Decode(it.Value, &spec) != nil || task >= spec.Tasks {
+	if !ok || storage.Decode(it.Value, &spec) != nil || task >= spec.Tasks {
 		return 0, false
 	}
 	if spec.Standing {
@@ -582,9 +582,9 @@
 // execute runs a task that is a build action; other tasks only take time. It is
 // called with the lock held.
 func (c *Cluster) execute(w *worker.Worker, t *worker.Task) func() {
-	it := c.state.Items[bookkeeping.JobKey(t.Job)]
+	it := c.state.Items[storage.JobKey(t.Job)]
 	var spec protocol.JobSpec
-	if bookkeeping.Decode(it.Value, &spec) != nil || !strings.HasPrefix(spec.Image, gate.ImagePrefix) || c.results[t.Name] {
+	if storage.Decode(it.Value, &spec) != nil || !strings.HasPrefix(spec.Image, gate.ImagePrefix) || c.results[t.Name] {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"micaspindle/internal/observe"
+	"micaspindle/internal/telemetry"
 )
 
 // View is what one controller says of itself and of the parts that it owns.
@@ -40,9 +40,9 @@
 	// Follows are parts of others of which it keeps a copy, as their standby.
 	Follows []Follow `msgpack:"follows,omitempty" json:"follows,omitempty"`
 
-	Parts []Part              `msgpack:"parts" json:"parts"`
-	Teams []Team              `msgpack:"teams" json:"teams"`
-	Waits []observe.Quantiles `msgpack:"waits" json:"waits"`
+	Parts []Part                `msgpack:"parts" json:"parts"`
+	Teams []Team                `msgpack:"teams" json:"teams"`
+	Waits []telemetry.Quantiles `msgpack:"waits" json:"waits"`
 }
 
 // Part is a part that the controller owns.
@@ -140,7 +140,7 @@
 	var parts []Part
 	owner, next := map[int]string{}, map[int]string{}
 	var teams []Team
-	var waits []observe.Quantiles
+	var waits []telemetry.Quantiles
 	for _, r := range rows {
 		if r.View == nil {
 			continue
@@ -215,10 +215,10 @@
 }
 
 // worstWaits puts what several controllers measured together: the slowest counts.
-func worstWaits(all []observe.Quantiles) []observe.Quantiles {
-	var out []observe.Quantiles
+func worstWaits(all []telemetry.Quantiles) []telemetry.Quantiles {
+	var out []telemetry.Quantiles
 	for _, q := range all {
-		i := slices.IndexFunc(out, func(o observe.Quantiles) bool { return o.What == q.What })
+		i := slices.IndexFunc(out, func(o telemetry.Quantiles) bool { return o.What == q.What })
 		if i < 0 {
 			out = append(out, q)
 			continue
--- a/internal/overview/overview_test.go
+++ b/internal/overview/overview_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/observe"
+	"micaspindle/internal/telemetry"
 )
 
 func view(i int) *View {
@@ -15,7 +15,7 @@
 	v.Parts = []Part{{Part: i, Ready: true, Machines: 798, Idle: 12, Used: 0.876, Running: 12_345, Waiting: 99_999, OldestS: 4000}}
 	v.Follows = []Follow{{Part: 1 - i, Owner: "o", Whole: i == 1, BehindS: 0.4}}
 	v.Teams = []Team{{Name: fmt.Sprint("placements-desk-", i), Part: i, CPUs: 1200, Guarantee: 100, Limit: 2000, Running: 40, Waiting: i}}
-	v.Waits = []observe.Quantiles{{What: "start", Count: 10, P50: float64(i), P99: 100, Most: 4000}}
+	v.Waits = []telemetry.Quantiles{{What: "start", Count: 10, P50: float64(i), P99: 100, Most: 4000}}
 	return v
 }
 
--- a/internal/bookkeeping/budget.go
+++ b/internal/storage/budget.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"sync/atomic"
--- a/internal/bookkeeping/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -1,4 +1,4 @@
-package bookkeeping_test
+package storage_test
 
 import (
 	"context"
@@ -7,30 +7,30 @@
 	"testing"
 	"time"
 
-	"micaspindle/internal/bookkeeping"
 	"micaspindle/internal/golden"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
 var stored = golden.Codec{
-	Marshal:   func(value any) ([]byte, error) { return bookkeeping.Encode(value), nil },
-	Unmarshal: func(data []byte, pointer any) error { return bookkeeping.Decode(data, pointer) },
+	Marshal:   func(value any) ([]byte, error) { return storage.Encode(value), nil },
+	Unmarshal: func(data []byte, pointer any) error { return storage.Decode(data, pointer) },
 }
 
 // Every kind of record that controllers share through the state service stays as it is.
 func TestGoldenRecords(t *testing.T) {
 	for name, record := range map[string]any{
 		"job":         golden.Fill(&protocol.JobSpec{}),
-		"final":       golden.Fill(&bookkeeping.Final{}),
-		"run":         golden.Fill(&bookkeeping.RunRecord{}),
-		"claim":       golden.Fill(&bookkeeping.Lease{}), // of a part and of the leader
-		"life":        golden.Fill(&bookkeeping.Incarnation{}),
-		"machine":     golden.Fill(&bookkeeping.Machine{}),
+		"final":       golden.Fill(&storage.Final{}),
+		"run":         golden.Fill(&storage.RunRecord{}),
+		"claim":       golden.Fill(&storage.Lease{}), // of a part and of the leader
+		"life":        golden.Fill(&storage.Incarnation{}),
+		"machine":     golden.Fill(&storage.Machine{}),
 		"catalog":     golden.Fill(&protocol.Catalog{}),
-		"policy-head": golden.Fill(&bookkeeping.PolicyHead{}),
+		"policy-head": golden.Fill(&storage.PolicyHead{}),
 		"role":        golden.Fill(&rights.Role{}),
 		"identity":    golden.Fill(&rights.Identity{}),
 	} {
@@ -42,36 +42,36 @@
 func TestGoldenKeys(t *testing.T) {
 	for _, tc := range []struct {
 		name, key, want string
-		kind            bookkeeping.Kind
+		kind            storage.Kind
 		of              string
 	}{
-		{"claim", bookkeeping.LeaseKey(12), "w/c/12", bookkeeping.KindLease, "12"},
-		{"leader", bookkeeping.LeadershipKey, "w/c/leader", bookkeeping.KindLeadership, ""},
-		{"machine", bookkeeping.MachineKey("m-000231"), "w/m/m-000231", bookkeeping.KindMachine, "m-000231"},
-		{"job", bookkeeping.JobKey("job-000412"), "w/j/job-000412/spec", bookkeeping.KindJob, "job-000412"},
-		{"final", bookkeeping.FinalKey("job-000412"), "w/j/job-000412/final", bookkeeping.KindFinal, "job-000412"},
-		{"life", bookkeeping.IncarnationKey("spindle-1"), "w/l/spindle-1", bookkeeping.KindIncarnation, "spindle-1"},
-		{"catalog", bookkeeping.CatalogKey, "w/catalog", bookkeeping.KindCatalog, ""},
-		{"policy head", bookkeeping.PolicyHeadKey, "w/a/head", bookkeeping.KindPolicyHead, ""},
-		{"role", bookkeeping.RoleKey("owners"), "w/a/role/owners", bookkeeping.KindRole, "owners"},
-		{"identity", bookkeeping.IdentityKey("user:eva"), "w/a/id/user:eva", bookkeeping.KindIdentity, "user:eva"},
-		{"run", bookkeeping.RunKey(3, "job-000412", 2), "r/3/job-000412/2", bookkeeping.KindOther, ""},
-		{"watched", bookkeeping.WatchPrefix, "w/", bookkeeping.KindOther, ""},
-		{"runs of a part", bookkeeping.RunPrefix(3), "r/3/", bookkeeping.KindOther, ""},
-		{"records of a job", bookkeeping.JobPrefix("job-7"), "w/j/job-7/", bookkeeping.KindOther, ""},
+		{"claim", storage.LeaseKey(12), "w/c/12", storage.KindLease, "12"},
+		{"leader", storage.LeadershipKey, "w/c/leader", storage.KindLeadership, ""},
+		{"machine", storage.MachineKey("m-000231"), "w/m/m-000231", storage.KindMachine, "m-000231"},
+		{"job", storage.JobKey("job-000412"), "w/j/job-000412/spec", storage.KindJob, "job-000412"},
+		{"final", storage.FinalKey("job-000412"), "w/j/job-000412/final", storage.KindFinal, "job-000412"},
+		{"life", storage.IncarnationKey("spindle-1"), "w/l/spindle-1", storage.KindIncarnation, "spindle-1"},
+		{"catalog", storage.CatalogKey, "w/catalog", storage.KindCatalog, ""},
+		{"policy head", storage.PolicyHeadKey, "w/a/head", storage.KindPolicyHead, ""},
+		{"role", storage.RoleKey("owners"), "w/a/role/owners", storage.KindRole, "owners"},
+		{"identity", storage.IdentityKey("user:eva"), "w/a/id/user:eva", storage.KindIdentity, "user:eva"},
+		{"run", storage.RunKey(3, "job-000412", 2), "r/3/job-000412/2", storage.KindOther, ""},
+		{"watched", storage.WatchPrefix, "w/", storage.KindOther, ""},
+		{"runs of a part", storage.RunPrefix(3), "r/3/", storage.KindOther, ""},
+		{"records of a job", storage.JobPrefix("job-7"), "w/j/job-7/", storage.KindOther, ""},
 	} {
 		if tc.key != tc.want {
 			t.Errorf("%s: key %q, want %q", tc.name, tc.key, tc.want)
 		}
-		if kind, of := bookkeeping.ParseKey(tc.want); kind != tc.kind || of != tc.of {
+		if kind, of := storage.ParseKey(tc.want); kind != tc.kind || of != tc.of {
 			t.Errorf("%s: key %q is kind %v of %q, want %v of %q", tc.name, tc.want, kind, of, tc.kind, tc.of)
 		}
 	}
-	if id, chunk, err := bookkeeping.ParseRunKey("r/3/job-000412/2"); err != nil || id != "job-000412" || chunk != 2 {
+	if id, chunk, err := storage.ParseRunKey("r/3/job-000412/2"); err != nil || id != "job-000412" || chunk != 2 {
 		t.Errorf("run key is chunk %d of %q (%v)", chunk, id, err)
 	}
-	if bookkeeping.ChunkTasks != 64 {
-		t.Errorf("a run record holds %d tasks, want 64", bookkeeping.ChunkTasks)
+	if storage.ChunkTasks != 64 {
+		t.Errorf("a run record holds %d tasks, want 64", storage.ChunkTasks)
 	}
 }
 
@@ -86,7 +86,7 @@
 // The requests to the state service stay as they are.
 func TestGoldenStateRequests(t *testing.T) {
 	last := &recorder{}
-	store := bookkeeping.NewStore(last, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+	store := storage.NewStore(last, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	ctx := t.Context()
 	for _, tc := range []struct {
 		name, method, target string
--- a/internal/bookkeeping/store.go
+++ b/internal/storage/store.go
@@ -1,6 +1,6 @@
-// Package bookkeeping keeps the records of jobs, machines and quotas in the
+// Package storage keeps the records of jobs, machines and quotas in the
 // state service, within its limits.
-package bookkeeping
+package storage
 
 import (
 	"context"
--- a/internal/observe/observe.go
+++ b/internal/telemetry/telemetry.go
@@ -1,7 +1,7 @@
-// Package observe counts what a controller does and measures the waits that people
+// Package telemetry counts what a controller does and measures the waits that people
 // notice, for Prometheus and for `spindlectl top`. Its nil value measures nothing. It
 // knows no job, team or caller: no label tells one from another.
-package observe
+package telemetry
 
 import (
 	"fmt"
--- a/internal/observe/observe_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -1,4 +1,4 @@
-package observe
+package telemetry
 
 import (
 	"bytes"
--- a/internal/pulse/pulse.go
+++ b/internal/ticker/ticker.go
@@ -1,10 +1,10 @@
-// Package pulse beats at even intervals for a duty that does other things between the
+// Package ticker beats at even intervals for a duty that does other things between the
 // beats. It is a ticker, except that a beat is sent by a timer's own function and not by
 // whoever looks at the channel: with the race detector, Go's fake clock lets two
 // goroutines of one test that look at channels of due tickers at the same moment use the
 // same record of the detector, which ends the process (seen with 1.26.8: one of three runs of
 // the controllers' tests on a loaded machine, none of twelve since). It knows nothing of what is done at a beat.
-package pulse
+package ticker
 
 import (
 	"sync"
--- a/internal/pulse/pulse_test.go
+++ b/internal/ticker/ticker_test.go
@@ -1,4 +1,4 @@
-package pulse
+package ticker
 
 import (
 	"testing"
