--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -80,11 +80,11 @@
 			c.waiting("job-1", 1)
 			ctx, stop := context.WithCancel(b.Context())
 			defer stop()
-			go c.loop(ctx)
+			go c.loop.Serve(ctx, c.tick)
 			if what == "final" {
-				c.do(func() { c.SetFinal("job-1", protocol.StatusDone, time.Now()) })
+				c.loop.Do(func() { c.SetFinal("job-1", protocol.StatusDone, time.Now()) })
 			} else {
-				c.store = storage.NewStore(refusing{}, "state:1", c.Settings.Params.State, 3)
+				setNetwork(c, refusing{})
 				time.Sleep(1600 * time.Millisecond) // until it counts as down
 				_, _ = c.store.UserKeyAbsent(ctx, storage.FinalKey("job-1"))
 			}
@@ -220,7 +220,7 @@
 func BenchmarkSummary(b *testing.B) {
 	bySize(b, func(c *Controller) {
 		c.ownSummary.marshalledAt = time.Time{}
-		c.ownSummary.latest(c, time.Now())
+		c.marshalledSummary(time.Now())
 	})
 }
 
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -37,21 +37,9 @@
 	return max(renewalBytesLimit, int(limits.MemMB*bytesPerMB)/unsentMemoryShare)
 }
 
-// boundMet counts that a bound was met n times and says so in the log the first time. Any
-// goroutine may call it.
-func (c *Controller) boundMet(b telemetry.Bound, n int) {
-	if n <= 0 {
-		return
-	}
-	c.metrics.Met(b, n)
-	if !c.boundsLogged[b].Swap(true) {
-		c.log.Warn("a bound was met; from now on it is only counted", "bound", b)
-	}
-}
-
 // PeersFull notes that a connection of another controller was closed on arrival, since
 // there are too many.
-func (c *Controller) PeersFull() { c.boundMet(telemetry.PeerConnections, 1) }
+func (c *Controller) PeersFull() { c.bounds.Met(telemetry.PeerConnections, 1) }
 
 // encodeSummary makes a message of a summary. One that is too large goes without what it
 // can do without: first what only informs users, then machines that are not on record,
@@ -63,7 +51,7 @@
 	if len(body) <= most {
 		return body
 	}
-	c.boundMet(telemetry.SummaryBytes, 1)
+	c.bounds.Met(telemetry.SummaryBytes, 1)
 	sum.Jobs = nil
 	if body, _ = proto.Marshal(sum); len(body) <= most {
 		return body
--- a/internal/coordination/carry.go
+++ b/internal/coordination/carry.go
@@ -12,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
@@ -127,14 +128,14 @@
 		return Refuse(503, "superseded", 1), true
 	}
 	if e.unsentBytes+len(raw) > cy.unsentLimit {
-		c.boundMet(telemetry.CarriedReports, 1)
+		c.bounds.Met(telemetry.CarriedReports, 1)
 		return Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
 	}
 	e.add(m.Name, answeredHeartbeat{bytes.Clone(raw), r.Epoch, r.Sequence})
-	Signal(e.wakeup)
+	eventloop.Signal(e.wakeup)
 	return transport.Response{Status: 200, Body: protocol.Encode(protocol.Orders{Token: token, Commands: c.StopsOfCancelled(r)})}, true
 }
 
@@ -172,11 +173,11 @@
 		}
 		select {
 		case <-e.wakeup:
-			if !c.sleep(gatherDelay) {
+			if !c.loop.Sleep(gatherDelay) {
 				return
 			}
 		case <-again:
-		case <-c.ctx.Done():
+		case <-c.loop.Context().Done():
 			return
 		}
 	}
@@ -187,7 +188,7 @@
 	for _, p := range sum.Parts {
 		for _, k := range p.Carried {
 			if k.By == cy.c.Settings.Label && int(p.Part) < len(cy.assignments) {
-				Signal(cy.assignments[p.Part].wakeup)
+				eventloop.Signal(cy.assignments[p.Part].wakeup)
 			}
 		}
 	}
@@ -197,7 +198,7 @@
 // reply. It says whether there was anything to ask.
 func (cy *Proxy) renewAll(p *Partition, e *assignment) bool {
 	asked, more := cy.renew(p, e)
-	for more && cy.c.ctx.Err() == nil {
+	for more && cy.c.loop.Context().Err() == nil {
 		_, more = cy.renew(p, e)
 	}
 	return asked
@@ -212,7 +213,7 @@
 	var told map[string]answeredHeartbeat
 	addr, size, left := "", 0, false
 	var begun time.Time
-	c.do(func() {
+	c.loop.Do(func() {
 		begun = time.Now()
 		if e.leader != p.Leader || e.lease != p.LeaseRevision {
 			// Another owner: what was told to the one before is its successor's to find out.
@@ -240,8 +241,8 @@
 		return false, false
 	}
 	reply := new(peer.CarryReply)
-	err := callPeer(c.ctx, c.network, renewTimeout, addr, DelegationPath, req, reply)
-	c.do(func() {
+	err := callPeer(c.loop.Context(), c.network, renewTimeout, addr, DelegationPath, req, reply)
+	c.loop.Do(func() {
 		if e.leader != p.Leader || e.lease != req.Claim {
 			return
 		}
@@ -287,7 +288,7 @@
 		}
 	}
 	reply, ok := new(peer.CarryReply), false
-	c.do(func() {
+	c.loop.Do(func() {
 		now := time.Now()
 		if int(req.Part) >= len(c.Partitions) {
 			return
@@ -519,7 +520,7 @@
 	cy.queued[via] = append(cy.queued[via], it)
 	cy.mu.Unlock()
 	if first {
-		cy.c.duty.Go(func() { cy.flush(via) })
+		cy.c.loop.Go(func() { cy.flush(via) })
 	}
 	a := <-it.done
 	switch {
@@ -534,7 +535,7 @@
 // flush sends what was gathered for a carrier, as much as a message holds at a time.
 func (cy *Proxy) flush(via string) {
 	c := cy.c
-	c.sleep(forwardGatherDelay)
+	c.loop.Sleep(forwardGatherDelay)
 	cy.mu.Lock()
 	batch := cy.queued[via]
 	delete(cy.queued, via)
@@ -549,20 +550,20 @@
 		}
 		lot := batch[:n]
 		batch = batch[n:]
-		c.duty.Go(func() { cy.forward(via, req, lot) })
+		c.loop.Go(func() { cy.forward(via, req, lot) })
 	}
 }
 
 func (cy *Proxy) forward(via string, req *peer.RelayRequest, lot []*forwardedCommand) {
 	c := cy.c
 	reply := new(peer.RelayReply)
-	err := callPeer(c.ctx, c.network, renewTimeout, c.Peers[via].Addr, ForwardPath, req, reply)
+	err := callPeer(c.loop.Context(), c.network, renewTimeout, c.Peers[via].Addr, ForwardPath, req, reply)
 	if err == nil && len(reply.Answers) != len(lot) {
 		err = fmt.Errorf("%d answers to %d orders", len(reply.Answers), len(lot))
 	}
 	if err != nil {
 		c.log.Debug("orders not relayed", "by", via, "reason", err)
-		c.do(func() {
+		c.loop.Do(func() {
 			for _, p := range c.Partitions {
 				p.Delegations.MarkDown(via, time.Now())
 			}
@@ -589,7 +590,7 @@
 		return *refusal
 	}
 	addrs := make([]string, len(req.Orders))
-	if !c.do(func() {
+	if !c.loop.Do(func() {
 		for i, o := range req.Orders {
 			if m := c.Machines[o.Machine]; m != nil {
 				addrs[i] = m.Record.Addr
@@ -612,7 +613,7 @@
 		}
 		waiting++
 		go func() {
-			ctx, cancel := context.WithTimeout(c.ctx, CommandTimeout)
+			ctx, cancel := context.WithTimeout(c.loop.Context(), CommandTimeout)
 			defer cancel()
 			a := &peer.RelayAnswer{}
 			resp, err := c.network.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -14,6 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/standin/worker"
@@ -311,7 +312,7 @@
 		w.mu.Unlock()
 		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
 			req := &peer.CarryRequest{From: carrier, Nonce: "x", Part: uint32(part), Reports: reports}
-			ctl.do(func() {
+			ctl.loop.Do(func() {
 				req.Claim = ctl.Partitions[part].LeaseRevision
 				ctl.LeaseRenewedAt = time.Now().Add(-ago)
 			})
@@ -345,7 +346,7 @@
 		ask(0, raw)
 		time.Sleep(3 * time.Second)
 		ask(0, raw)
-		ctl.do(func() {
+		ctl.loop.Do(func() {
 			m := ctl.Machines[name]
 			if heard := time.Since(m.LastHeardAt); heard < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
 				t.Errorf("heard %s ago, answered %s ago", heard, time.Since(m.AnsweredUntil))
@@ -750,7 +751,7 @@
 		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted}
 		j.LiveAttempts[0], j.Pending = a, nil
 		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
-		for _, wait := range []time.Duration{tickInterval, time.Duration(float64(c.AgentLease) * ClockDrift)} {
+		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * ClockDrift)} {
 			time.Sleep(wait)
 			if c.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
 				t.Fatalf("lost %s into its first lease", time.Since(now))
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -7,6 +7,7 @@
 
 	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/coordination/fairshare"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 )
@@ -52,7 +53,7 @@
 		select {
 		case <-time.After(acquireInterval):
 		case <-c.LeaseWakeup:
-		case <-c.ctx.Done():
+		case <-c.loop.Context().Done():
 			return
 		}
 	}
@@ -61,17 +62,17 @@
 // renew says whether the state service took the request; if not, it is repeated soon.
 func (c *Controller) renew() bool {
 	var lease uint64
-	if !c.do(func() { lease = c.LeaseID }) {
+	if !c.loop.Do(func() { lease = c.LeaseID }) {
 		return true
 	}
 	sent := time.Now()
 	var err error
 	if lease == 0 {
-		lease, err = c.store.GrantLease(c.ctx, c.Operator.ClaimTTL)
+		lease, err = c.store.GrantLease(c.loop.Context(), c.Operator.ClaimTTL)
 	} else {
-		err = c.store.RenewLease(c.ctx, lease, time.Second)
+		err = c.store.RenewLease(c.loop.Context(), lease, time.Second)
 	}
-	c.do(func() {
+	c.loop.Do(func() {
 		switch {
 		case errors.Is(err, storage.ErrNotFound):
 			c.loseAll("the lease ended")
@@ -92,7 +93,7 @@
 	}
 	var wishes []wish
 	var lease uint64
-	c.do(func() {
+	c.loop.Do(func() {
 		now, handed := time.Now(), false
 		if lease = c.LeaseID; lease == 0 || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL/2 {
 			return
@@ -104,7 +105,7 @@
 				c.LosePartition(p, "handed back")
 				p.AcquiredAt = now
 				txn := c.releaseTransaction([]storage.ReleasedLease{{Partition: p.Index, LeaseRevision: version}}, 0)
-				c.duty.Go(func() { c.releaseLeases(c.ctx, txn) })
+				c.loop.Go(func() { c.releaseLeases(c.loop.Context(), txn) })
 				continue
 			}
 			if c.replicator.WantsPartition(p, now) {
@@ -128,19 +129,19 @@
 func (s *leaseHolder) acquireLease(key string, version, lease uint64) {
 	c := s.c
 	value := storage.Encode(storage.Lease{Holder: c.Settings.Label, Nonce: c.Nonce})
-	rev, err := c.store.CommitLease(c.ctx, &protocol.Transaction{
+	rev, err := c.store.CommitLease(c.loop.Context(), &protocol.Transaction{
 		If:   []protocol.Condition{{Key: key, Version: version}},
 		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
 	})
 	if errors.Is(err, storage.ErrLeaseGone) {
-		c.do(func() { c.loseAll("the lease ended") })
+		c.loop.Do(func() { c.loseAll("the lease ended") })
 		return
 	}
 	if err != nil {
 		c.log.Debug("claim failed", "key", key, "reason", err)
 		return
 	}
-	c.do(func() { c.applyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
+	c.loop.Do(func() { c.applyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
 }
 
 // SettleTime is how long a controller must have been heard, and a part have had
@@ -164,7 +165,7 @@
 		c.log.Info("claims not released", "reason", err)
 		return false
 	}
-	c.do(func() {
+	c.loop.Do(func() {
 		for _, ch := range txn.Then {
 			c.applyEvent(protocol.Event{Put: ch.Put, Delete: ch.Delete, Value: ch.Value, Version: rev})
 		}
@@ -183,7 +184,7 @@
 	if e.Delete != "" {
 		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
 		c.LosePartition(p, "the claim ended")
-		Signal(c.LeaseWakeup)
+		eventloop.Signal(c.LeaseWakeup)
 		return
 	}
 	var claim storage.Lease
@@ -196,7 +197,7 @@
 	if claim.Holder == c.Settings.Label && claim.Nonce == c.Nonce {
 		p.Held, p.Ready, p.AcquiredAt = true, false, now
 		c.log.Info("part claimed", "part", p.Index, "token", p.LeaseRevision)
-		c.duty.Go(func() { c.replicator.TakeOver(p, e.Version) })
+		c.loop.Go(func() { c.replicator.TakeOver(p, e.Version) })
 	}
 }
 
@@ -291,6 +292,6 @@
 		c.ResignedAt = now
 		lease := c.LeaseID
 		c.loseAll("resigned")
-		c.duty.Go(func() { c.store.RevokeLease(c.ctx, lease) })
+		c.loop.Go(func() { c.store.RevokeLease(c.loop.Context(), lease) })
 	}
 }
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"errors"
-	"micaspindle/internal/telemetry"
 	"strconv"
 	"time"
 
+	"micaspindle/internal/telemetry"
+
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 )
@@ -36,29 +37,29 @@
 
 // CommitLoop writes a part's records, one transaction at a time.
 func (c *Controller) CommitLoop(p *Partition) {
-	tries := c.tries("commit "+strconv.Itoa(p.Index), commitBackoff)
+	tries := c.loop.Tries("commit "+strconv.Itoa(p.Index), commitBackoff)
 	for {
 		select {
 		case <-p.Wakeup:
-		case <-c.ctx.Done():
+		case <-c.loop.Context().Done():
 			return
 		}
 		for {
 			var b *commitBatch
 			var unsure []batchChunk
-			c.do(func() {
+			c.loop.Do(func() {
 				if unsure = c.unconfirmedChunks(p); len(unsure) == 0 {
 					b = c.prepareBatch(p, time.Now())
 				}
 				p.Committing = b != nil
 			})
-			if len(unsure) > 0 && !c.rereadChunks(p, unsure) && !c.sleep(tries.Failed()) {
+			if len(unsure) > 0 && !c.rereadChunks(p, unsure) && !c.loop.Sleep(tries.Failed()) {
 				return
 			}
 			if b == nil {
 				break
 			}
-			ctx, cancel := context.WithTimeout(c.ctx, 10*time.Second)
+			ctx, cancel := context.WithTimeout(c.loop.Context(), 10*time.Second)
 			commit := c.store.Commit
 			if len(b.cancellations) > 0 {
 				commit = c.store.CommitAhead
@@ -67,10 +68,10 @@
 			rev, err := commit(ctx, &b.txn)
 			cancel()
 			c.metrics.Took(telemetry.Commit, time.Since(begun), time.Now())
-			c.do(func() { c.batchCommitted(p, b, rev, err) })
+			c.loop.Do(func() { c.batchCommitted(p, b, rev, err) })
 			if err == nil {
 				tries.Succeeded()
-			} else if !c.sleep(tries.Failed()) {
+			} else if !c.loop.Sleep(tries.Failed()) {
 				return
 			}
 		}
@@ -102,15 +103,15 @@
 func (c *Controller) rereadChunks(p *Partition, list []batchChunk) bool {
 	for _, b := range list {
 		id := b.job.Spec.ID
-		item, err := c.store.Get(c.ctx, storage.RunKey(p.Index, id, b.chunk.Index))
+		item, err := c.store.Get(c.loop.Context(), storage.RunKey(p.Index, id, b.chunk.Index))
 		if err != nil && !errors.Is(err, storage.ErrNotFound) {
 			return false
 		}
-		final, ferr := c.store.Get(c.ctx, storage.FinalKey(id))
+		final, ferr := c.store.Get(c.loop.Context(), storage.FinalKey(id))
 		if ferr != nil && !errors.Is(ferr, storage.ErrNotFound) {
 			return false
 		}
-		c.do(func() {
+		c.loop.Do(func() {
 			if c.Jobs[id] != b.job || !b.job.Loaded || !p.Held {
 				return // the part was lost meanwhile
 			}
@@ -368,7 +369,7 @@
 				c.LosePartition(p, "a commit found the claim gone")
 			}
 		case storage.KindFinal:
-			c.duty.Go(func() { c.readFinal(id) })
+			c.loop.Go(func() { c.readFinal(id) })
 		case storage.KindMachine:
 			// The watch brings the newer record.
 		default:
@@ -383,9 +384,9 @@
 
 // readFinal reads how a job ended, when a commit found that it has.
 func (c *Controller) readFinal(id string) {
-	item, err := c.store.Get(c.ctx, storage.FinalKey(id))
+	item, err := c.store.Get(c.loop.Context(), storage.FinalKey(id))
 	if err != nil {
 		return
 	}
-	c.do(func() { c.ApplyFinalRecord(id, item.Value) })
+	c.loop.Do(func() { c.ApplyFinalRecord(id, item.Value) })
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -8,8 +8,6 @@
 	"crypto/rand"
 	"log/slog"
 	"slices"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -17,13 +15,13 @@
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/fairshare"
 	"micaspindle/internal/coordination/partition"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/retry"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
-	"micaspindle/internal/ticker"
 )
 
 // Controller is one controller process.
@@ -40,13 +38,10 @@
 	// metrics measures what people notice; nil: nothing is measured.
 	metrics *telemetry.Metrics
 	// guard asks who comes; nil: everybody may do everything.
-	guard *authorizer
-	Nonce string
-	calls chan func()
-	// loopDone is closed when the loop has ended.
-	loopDone chan struct{}
-	ctx      context.Context
-	duty     sync.WaitGroup
+	guard  *authorizer
+	Nonce  string
+	loop   *eventloop.Loop
+	bounds *telemetry.BoundReporter
 
 	// Derived from the settings once.
 	TeamIndex         map[string]int
@@ -88,8 +83,6 @@
 	replicator    Replicator
 	proxy         Proxy
 	Cancellations CancellationNotices
-	// boundsLogged says which bounds were met before; not the loop's alone.
-	boundsLogged [telemetry.Bounds]atomic.Bool
 	// repeatedCommands counts orders under way beside earlier ones to the same machine.
 	repeatedCommands int
 	// Draining: this controller is about to end and hands over what it has.
@@ -148,11 +141,10 @@
 func New(ctx context.Context, set *settings.Settings, op settings.Operator, net storage.Requester, log *slog.Logger) *Controller {
 	p := set.Params
 	c := &Controller{
-		ctx: ctx, StartedAt: time.Now(), Settings: set, Operator: op, network: net, log: log,
+		loop: eventloop.New(ctx, set.Label), bounds: telemetry.NewBoundReporter(log), StartedAt: time.Now(), Settings: set, Operator: op, network: net, log: log,
 		store:       storage.NewStore(net, set.Services.State, p.State, p.Count),
 		Nonce:       rand.Text(),
 		cloudBudget: rate.NewLimiter(rate.Limit(p.Cloud.RPS*0.8), 2),
-		calls:       make(chan func(), 256), loopDone: make(chan struct{}),
 
 		TeamIndex: map[string]int{}, TeamPartition: partition.Assign(p.Teams, p.Count),
 		AgentLease: settings.Seconds(p.Workers.LeaseS), CancelBound: settings.Seconds(p.Workers.CancelS),
@@ -163,7 +155,7 @@
 		Peers: map[string]*Peer{}, UnregisteredMachines: map[string]*peer.UnknownMachine{},
 		DivertedMachines: map[string]time.Time{}, runtimeCorrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{},
 	}
-	c.store.PollsFull = func() { c.boundMet(telemetry.WaitingPolls, 1) }
+	c.store.PollsFull = func() { c.bounds.Met(telemetry.WaitingPolls, 1) }
 	c.Cancellations.SetLimit(c.CancelBound, p.State)
 	c.cloudCircuit = retry.Circuit{After: cloudFailureLimit, Rest: cloudRestBackoff, Who: set.Label + " cloud"}
 	for i, t := range p.Teams {
@@ -194,79 +186,24 @@
 // Run serves until the controller's context ends, and returns when every duty
 // has ended.
 func (c *Controller) Run() {
-	loopCtx, stopLoop := context.WithCancel(context.Background())
-	c.duty.Add(1) // for the loop's ticks, which begin duties
-	go func() {
-		defer close(c.loopDone)
-		c.loop(loopCtx)
-	}()
-	c.duty.Go(c.watchDuty)
-	c.duty.Go(c.RenewLoop)
-	c.duty.Go(c.CatalogLoop)
-	c.duty.Go(c.LeaderLoop)
-	c.duty.Go(c.replicator.FollowLoop)
-	c.duty.Go(c.replicator.ReplicateLoop)
+	c.loop.Start(c.tick)
+	c.loop.Go(c.watchDuty)
+	c.loop.Go(c.RenewLoop)
+	c.loop.Go(c.CatalogLoop)
+	c.loop.Go(c.LeaderLoop)
+	c.loop.Go(c.replicator.FollowLoop)
+	c.loop.Go(c.replicator.ReplicateLoop)
 	if c.guard != nil {
-		c.duty.Go(func() { c.guard.log.Run(c.ctx) })
+		c.loop.Go(func() { c.guard.log.Run(c.loop.Context()) })
 	}
 	for label := range c.Peers {
-		c.duty.Go(func() { c.PeerLoop(label) })
+		c.loop.Go(func() { c.PeerLoop(label) })
 	}
 	for _, p := range c.Partitions {
-		c.duty.Go(func() { c.CommitLoop(p) })
-		c.duty.Go(func() { c.proxy.RenewLoop(p) })
-	}
-	// The loop outlives the duties, since they end through it.
-	c.duty.Wait()
-	stopLoop()
-	<-c.loopDone
-}
-
-const tickInterval = 250 * time.Millisecond
-
-func (c *Controller) loop(ctx context.Context) {
-	tick := ticker.New(tickInterval)
-	defer tick.Stop()
-	// A tick must not begin a duty while the last ones are waited for.
-	ending := c.ctx.Done()
-	for {
-		select {
-		case fn := <-c.calls:
-			fn()
-		case <-tick.C:
-			if ending != nil {
-				c.tick(time.Now())
-			}
-		case <-ending:
-			ending = nil
-			c.duty.Done()
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// do runs fn in the loop and waits for it. It reports whether fn ran. What fn
-// touches may be used afterwards: once do has returned, fn never runs.
-func (c *Controller) do(fn func()) bool {
-	done := make(chan struct{})
-	select {
-	case c.calls <- func() { fn(); close(done) }:
-	case <-c.loopDone:
-		return false
-	}
-	select {
-	case <-done:
-		return true
-	case <-c.loopDone:
-		// The last call may have ended together with the loop.
-		select {
-		case <-done:
-			return true
-		default:
-			return false
-		}
+		c.loop.Go(func() { c.CommitLoop(p) })
+		c.loop.Go(func() { c.proxy.RenewLoop(p) })
 	}
+	c.loop.Wait()
 }
 
 // Pauses after a failure, by duty. They are spread and don't grow: the state service's
@@ -286,26 +223,6 @@
 // cloudFailureLimit is how many times in a row that is.
 const cloudFailureLimit = 10
 
-// tries counts the failures of one of this controller's duties.
-func (c *Controller) tries(duty string, pauses retry.Backoff) *retry.Tries {
-	return &retry.Tries{Backoff: pauses, Who: c.Settings.Label + " " + duty}
-}
-
-// sleep waits and reports whether the controller still runs.
-func (c *Controller) sleep(d time.Duration) bool {
-	if d <= 0 {
-		return c.ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-c.ctx.Done():
-		return false
-	}
-}
-
 func (c *Controller) tick(now time.Time) {
 	c.CheckMachines(now)
 	c.CheckReachability(now)
@@ -347,12 +264,4 @@
 	c.store.ShareWriteRate(c.WriteDemand, total*float64(len(c.Peers)+1)/heard)
 }
 
-func (p *Partition) Wake() { Signal(p.Wakeup) }
-
-// Signal wakes whoever waits for the channel, if it is not awake already.
-func Signal(kick chan struct{}) {
-	select {
-	case kick <- struct{}{}:
-	default:
-	}
-}
+func (p *Partition) Wake() { eventloop.Signal(p.Wakeup) }
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"maps"
 	"math"
 	"slices"
@@ -184,7 +183,7 @@
 		// Until a worker has heard the successor, it knows no better.
 		for fenced := 0; fenced < len(late); time.Sleep(100 * time.Millisecond) {
 			fenced = 0
-			n.do(func() {
+			n.loop.Do(func() {
 				for name := range late {
 					if m := n.Machines[name]; m != nil && m.Fenced {
 						fenced++
@@ -518,7 +517,7 @@
 		time.Sleep(25 * time.Second)
 		owned := 0
 		n := w.nodes["n0"].ctl
-		n.do(func() {
+		n.loop.Do(func() {
 			for _, p := range n.Partitions {
 				if p.Held {
 					owned++
@@ -526,7 +525,7 @@
 			}
 		})
 		machines := 0
-		n.do(func() { machines = len(n.Machines) })
+		n.loop.Do(func() { machines = len(n.Machines) })
 		if owned > 0 && machines > 0 {
 			t.Logf("n0 still owns %d parts with %d machines on record", owned, machines)
 		}
@@ -771,7 +770,7 @@
 						w.mu.Lock()
 						n := w.nodes[label]
 						w.mu.Unlock()
-						n.ctl.do(func() {
+						n.ctl.loop.Do(func() {
 							for _, m := range n.ctl.Machines {
 								if m.Quarantined {
 									aside[m.Name] = true
@@ -814,7 +813,7 @@
 			w.mu.Lock()
 			n := w.nodes[label]
 			w.mu.Unlock()
-			n.ctl.do(func() {
+			n.ctl.loop.Do(func() {
 				if n.ctl.Leadership.Held {
 					leader = n
 				}
@@ -855,7 +854,7 @@
 			w.mu.Lock()
 			n := w.nodes[label].ctl
 			w.mu.Unlock()
-			n.do(func() {
+			n.loop.Do(func() {
 				// What a former owner told of its attempts' beginnings teaches what they
 				// took; attempts that began nobody knows when teach nothing.
 				for class, b := range n.runtimeCorrections {
@@ -880,7 +879,7 @@
 	t.Parallel()
 	set := newWorld(t, 1).set
 	set.Label = "n0"
-	c := New(t.Context(), &set, settings.DefaultOperator(), nil, slog.New(slog.DiscardHandler))
+	c := newTestController(t.Context(), &set, settings.DefaultOperator())
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision = true, true, 5
 	now := time.Now()
@@ -920,7 +919,7 @@
 	n := w.nodes[label].ctl
 	w.mu.Unlock()
 	owned := 0
-	n.do(func() {
+	n.loop.Do(func() {
 		for _, p := range n.Partitions {
 			if p.Held {
 				owned++
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -449,7 +449,7 @@
 		w.mu.Lock()
 		w.state.Stuck = true
 		w.mu.Unlock()
-		n.do(func() { n.RecordsAsOf = time.Now().Add(-n.staleLimit() - time.Second) })
+		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.staleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a controller that is behind gets %d", got)
 		}
--- a/internal/coordination/door.go
+++ b/internal/coordination/door.go
@@ -75,7 +75,7 @@
 	if ops := c.Settings.Params.State.Lower().TxnOps; ops < minTransactionChanges {
 		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minTransactionChanges, ops)
 	}
-	misses, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { c.boundMet(telemetry.Callers, 1) })
+	misses, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { c.bounds.Met(telemetry.Callers, 1) })
 	if err != nil {
 		return err
 	}
@@ -272,7 +272,7 @@
 	}
 	everywhere := g.allowsEverywhere(who, v)
 	known := false
-	c.do(func() { q, known = c.jobQueues.queueOf(id) })
+	c.loop.Do(func() { q, known = c.jobQueues.queueOf(id) })
 	if known && g.allows(who, v, q) {
 		return q, nil
 	}
--- a/internal/coordination/estimates.go
+++ b/internal/coordination/estimates.go
@@ -1,11 +1,14 @@
 package coordination
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/contention"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
 )
 
@@ -127,7 +130,7 @@
 	if len(c.runtimeCorrections) < classGroupsLimit {
 		return true
 	}
-	c.boundMet(telemetry.Estimates, 1)
+	c.bounds.Met(telemetry.Estimates, 1)
 	return false
 }
 
@@ -138,3 +141,24 @@
 	}
 	return s.EstimateS
 }
+
+// RuntimeCorrections lists what was learned of classes, by name.
+func (c *Controller) RuntimeCorrections() (list []*peer.ClassTale) {
+	for _, class := range slices.Sorted(maps.Keys(c.runtimeCorrections)) {
+		correction := c.runtimeCorrections[class]
+		list = append(list, &peer.ClassTale{Class: class, Ratio: correction.ratio, Count: uint32(correction.count)})
+	}
+	return list
+}
+
+// AdoptCorrection takes over what another controller has learned of a class, if that is
+// more than what is known here.
+func (c *Controller) AdoptCorrection(told *peer.ClassTale) {
+	own := c.runtimeCorrections[told.Class]
+	if own != nil && own.count >= int(told.Count) || told.Ratio <= 0 || told.Ratio > 4 {
+		return
+	}
+	if own != nil || c.mayLearn() {
+		c.runtimeCorrections[told.Class] = &runtimeCorrection{ratio: told.Ratio, count: int(told.Count)}
+	}
+}
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"maps"
 	"math"
 	"slices"
@@ -225,7 +224,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		set := newWorld(t, 1).set
 		set.Label = "n0"
-		c := New(t.Context(), &set, settings.DefaultOperator(), nowhere{}, slog.New(slog.DiscardHandler))
+		c := newTestController(t.Context(), &set, settings.DefaultOperator())
 		now := time.Now()
 		var items []protocol.Item
 		add := func(id, status string, ago time.Duration) {
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -69,9 +69,9 @@
 func (f *Replicator) FollowLoop() {
 	c := f.c
 	pace := f.pollInterval()
-	for c.sleep(pace) {
+	for c.loop.Sleep(pace) {
 		var due []*Replica
-		c.do(func() { due = f.dueReplicas(time.Now()) })
+		c.loop.Do(func() { due = f.dueReplicas(time.Now()) })
 		for _, fo := range due {
 			f.advance(fo)
 		}
@@ -118,11 +118,11 @@
 // advance brings one copy up to date.
 func (f *Replicator) advance(fo *Replica) {
 	c := f.c
-	ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
+	ctx, cancel := context.WithTimeout(c.loop.Context(), 4*time.Second)
 	defer cancel()
 	prefix, after := storage.RunPrefix(fo.partition), uint64(0)
 	sampling, cursor := false, ""
-	c.do(func() {
+	c.loop.Do(func() {
 		after = fo.Records.Revision()
 		sampling, cursor = after != 0 && fo.sample == nil && time.Since(fo.sampledAt) >= sampleInterval, fo.cursor
 	})
@@ -153,14 +153,14 @@
 		case !fo.apply(c.log.Error, after, ev, asked):
 			fo.forget()
 		default:
-			fo.compareSample(c)
+			f.compareSample(fo)
 		}
 	})
 }
 
 // ifCurrent runs what concerns a copy, if it is still kept.
 func (f *Replicator) ifCurrent(fo *Replica, fn func()) {
-	f.c.do(func() {
+	f.c.loop.Do(func() {
 		if f.replicas[fo.partition] == fo {
 			fn()
 		}
@@ -250,8 +250,10 @@
 	fo.Derived.pruneStarts(now)
 }
 
-// compareSample holds the sample against the copy, which is dropped if they differ.
-func (fo *Replica) compareSample(c *Controller) {
+// compareSample holds the sample against the records once these have come to its revision,
+// and drops the replica if they differ.
+func (f *Replicator) compareSample(fo *Replica) {
+	c := f.c
 	if fo.sample == nil {
 		return
 	}
@@ -263,8 +265,8 @@
 	maps.DeleteFunc(fo.Updates.Machines, func(name string, _ MachineHints) bool { return c.Machines[name] == nil })
 	if len(keys) > 0 {
 		c.metrics.Count(telemetry.CopyDiffers, 1)
-		c.replicator.mismatches++
-		c.log.Error("a copy differs from the store and is read anew", "part", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
+		f.mismatches++
+		c.log.Error("replica differs from the state store and is read anew", "partition", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
 		fo.forget()
 	}
 }
@@ -301,20 +303,20 @@
 	prefix := storage.RunPrefix(p.Index)
 	var fo *Replica
 	after := uint64(0)
-	c.do(func() {
+	c.loop.Do(func() {
 		if fo = f.replicas[p.Index]; fo != nil {
 			after = fo.Records.Revision()
 		}
 	})
 	if after != 0 {
 		asked := time.Now()
-		ev, err := c.store.CatchUp(c.ctx, prefix, after)
+		ev, err := c.store.CatchUp(c.loop.Context(), prefix, after)
 		good := false
 		if err == nil {
 			f.ifCurrent(fo, func() {
 				good = fo.apply(c.log.Error, after, ev, asked) && fo.Records.Revision() >= claim
 				if good && fo.sample != nil {
-					fo.compareSample(c)
+					f.compareSample(fo)
 					good = fo.Records.Revision() != 0
 				}
 			})
@@ -325,14 +327,14 @@
 		c.log.Info("the copy of a part is not used", "part", p.Index, "revision", after, "claim", claim, "reason", err)
 	}
 	asked := time.Now()
-	items, rev, err := c.store.List(c.ctx, prefix)
+	items, rev, err := c.store.List(c.loop.Context(), prefix)
 	if err != nil {
 		return nil, false, fmt.Errorf("run records: %w", err)
 	}
 	cold := newReplica(p.Index, asked)
 	cold.startFrom(c.log.Error, items, rev, asked)
 	if fo != nil {
-		c.do(func() { cold.inherit(fo) })
+		c.loop.Do(func() { cold.inherit(fo) })
 	}
 	return cold, false, nil
 }
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -27,7 +27,7 @@
 	n := w.nodes[label]
 	w.mu.Unlock()
 	if n != nil {
-		n.ctl.do(func() { f(n.ctl) })
+		n.ctl.loop.Do(func() { f(n.ctl) })
 	}
 }
 
--- a/internal/coordination/handover.go
+++ b/internal/coordination/handover.go
@@ -25,7 +25,7 @@
 	begun := time.Now()
 	f := &c.replicator
 	able := false
-	c.do(func() {
+	c.loop.Do(func() {
 		c.Draining = true
 		able = failover.ChooseStandby(c.Settings.Label, c.Settings.Zone, f.Candidates(begun)) != ""
 	})
@@ -36,12 +36,12 @@
 	quiet, cancel := context.WithTimeout(ctx, drainTimeout)
 	f.SendUpdates(quiet)
 	for busy := true; busy && quiet.Err() == nil; time.Sleep(drainPollInterval) {
-		c.do(func() { busy = f.Busy() })
+		c.loop.Do(func() { busy = f.Busy() })
 	}
 	cancel()
 	var letGo []storage.ReleasedLease
 	leader := uint64(0)
-	c.do(func() {
+	c.loop.Do(func() {
 		for _, p := range c.Partitions {
 			if p.Held {
 				letGo = append(letGo, storage.ReleasedLease{Partition: p.Index, LeaseRevision: p.LeaseRevision})
@@ -57,7 +57,7 @@
 	for len(letGo) > 0 || leader != 0 {
 		n := min(group, len(letGo))
 		var txn *protocol.Transaction
-		c.do(func() { txn = c.releaseTransaction(letGo[:n], leader) })
+		c.loop.Do(func() { txn = c.releaseTransaction(letGo[:n], leader) })
 		if txn == nil || !c.releaseLeases(ctx, txn) {
 			return
 		}
--- a/internal/coordination/keep.go
+++ b/internal/coordination/keep.go
@@ -93,7 +93,7 @@
 	switch {
 	case known:
 	case len(c.ClassGroups) >= classGroupsLimit:
-		c.boundMet(telemetry.Classes, 1)
+		c.bounds.Met(telemetry.Classes, 1)
 		return fairshare.NoGroup
 	default:
 		g = len(c.Settings.Params.Teams) + len(c.ClassGroups) + 1
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -175,10 +175,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
-		c.network = silentNet{}
+		setNetwork(c, silentNet{})
 		loop, stop := context.WithCancel(t.Context())
-		go c.loop(loop)
-		c.do(func() {
+		go c.loop.Serve(loop, c.tick)
+		c.loop.Do(func() {
 			_, _ = c.owning(5)
 			for i := range 100 {
 				name := fmt.Sprintf("m-%d", 100+i)
@@ -196,7 +196,7 @@
 		most, extra := 0, 0
 		for range 20 {
 			time.Sleep(200 * time.Millisecond)
-			c.do(func() {
+			c.loop.Do(func() {
 				extra = 0
 				for _, m := range c.Machines {
 					extra += max(0, m.PendingCommands-1)
@@ -207,9 +207,9 @@
 				most = max(most, extra)
 			})
 		}
-		c.do(func() { clear(c.Machines) })
+		c.loop.Do(func() { clear(c.Machines) })
 		time.Sleep(2 * CommandTimeout)
-		c.do(func() {
+		c.loop.Do(func() {
 			if c.repeatedCommands != 0 {
 				t.Errorf("%d repeats are left", c.repeatedCommands)
 			}
@@ -236,7 +236,7 @@
 		c, end := unrun(t)
 		defer end()
 		for status, mayCome := range map[int]bool{200: true, 400: false, 409: false, 500: true, 503: true, 504: true} {
-			c.network = answeringNet{status}
+			setNetwork(c, answeringNet{status})
 			r, sent, err := c.postCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
 				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -10,6 +10,7 @@
 
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/scaling"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
@@ -65,7 +66,7 @@
 		}
 		l.FormerHolder, l.Holder, l.Revision = l.Holder, "", 0
 		c.DropLeadership("the claim ended")
-		Signal(c.LeaseWakeup)
+		eventloop.Signal(c.LeaseWakeup)
 		return
 	}
 	var claim storage.Lease
@@ -95,7 +96,7 @@
 
 // callCloud sends one request to the cloud within its budget.
 func (c *Controller) callCloud(method, target string, in, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
+	ctx, cancel := context.WithTimeout(c.loop.Context(), 5*time.Second)
 	defer cancel()
 	if c.cloudCircuit.Open(time.Now()) {
 		return 0, errCloudCircuitOpen
@@ -127,10 +128,10 @@
 // for the prices; the others ask until they know.
 func (c *Controller) CatalogLoop() {
 	pause := time.Duration(0)
-	for c.sleep(pause) {
+	for c.loop.Sleep(pause) {
 		pause = time.Second
 		want, leading := false, false
-		c.do(func() {
+		c.loop.Do(func() {
 			leading = c.Leadership.Held
 			want = len(c.Catalog) == 0 || leading
 		})
@@ -143,7 +144,7 @@
 			c.log.Debug("no catalog", "status", status, "reason", err)
 			continue
 		}
-		c.do(func() { c.SetCatalog(cat.Types) })
+		c.loop.Do(func() { c.SetCatalog(cat.Types) })
 		if leading {
 			c.recordCatalog(cat)
 			pause = 20 * time.Second
@@ -154,7 +155,7 @@
 // recordCatalog records the machine types for controllers that start while the
 // cloud's interface is down.
 func (c *Controller) recordCatalog(cat protocol.Catalog) {
-	_, err := c.store.Get(c.ctx, storage.CatalogKey)
+	_, err := c.store.Get(c.loop.Context(), storage.CatalogKey)
 	if !errors.Is(err, storage.ErrNotFound) {
 		return
 	}
@@ -162,7 +163,7 @@
 	if protocol.JSONSize(value) > c.store.ValueBytes() {
 		return // the record only helps while the cloud is down
 	}
-	_, err = c.store.Commit(c.ctx, &protocol.Transaction{
+	_, err = c.store.Commit(c.loop.Context(), &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.CatalogKey, Version: 0}},
 		Then: []protocol.Change{{Put: storage.CatalogKey, Value: value}},
 	})
@@ -180,19 +181,19 @@
 		case <-time.After(c.Operator.MovePeriod):
 		case <-c.Leadership.Wakeup:
 			// What was refused is sought elsewhere at once.
-		case <-c.ctx.Done():
+		case <-c.loop.Context().Done():
 			return
 		}
 		leading := false
-		c.do(func() { leading = c.Leadership.Held })
+		c.loop.Do(func() { leading = c.Leadership.Held })
 		if !leading {
 			continue
 		}
 		if time.Since(lastList) > listEvery {
 			lastList = time.Now()
-			c.duty.Go(c.listMachines)
+			c.loop.Go(c.listMachines)
 		}
-		c.do(func() { c.reconcileFleet(time.Now()) })
+		c.loop.Do(func() { c.reconcileFleet(time.Now()) })
 	}
 }
 
@@ -214,7 +215,7 @@
 			break
 		}
 	}
-	c.do(func() {
+	c.loop.Do(func() {
 		c.Leadership.Listed = listed
 		for name, lm := range listed {
 			if m := c.Machines[name]; m != nil && m.Record.Addr == "" {
@@ -242,7 +243,7 @@
 		rec.Partition = a.Partition
 		l.Adopting[a.Name] = now
 		c.log.Info("machine adopted", "machine", a.Name, "type", rec.Type, "zone", rec.Zone, "part", rec.Partition)
-		c.duty.Go(func() { c.recordMachines([]string{a.Name}, rec) })
+		c.loop.Go(func() { c.recordMachines([]string{a.Name}, rec) })
 	}
 	for _, name := range plan.AdoptLater {
 		l.Adopting[name] = now.Add(-3 * time.Second)
@@ -254,13 +255,13 @@
 			names = append(names, d.Name)
 			c.log.Info("giving machine up", "machine", d.Name, "reason", d.Reason)
 		}
-		c.duty.Go(func() { c.deleteMachines(names) })
+		c.loop.Go(func() { c.deleteMachines(names) })
 	}
 	for _, m := range plan.Moves {
 		l.MovedAt[m.Name] = now
 		c.log.Info("moving machine", "machine", m.Name, "from", m.From, "to", m.To)
 		c.askPartitionLeader(c.Partitions[m.From].Leader, &peer.FleetRequest{Machine: m.Name, ToPart: uint32(m.To)}, func() {
-			c.do(func() { c.Leadership.AssignedAt[m.To] = time.Now() })
+			c.loop.Do(func() { c.Leadership.AssignedAt[m.To] = time.Now() })
 		})
 	}
 	for _, r := range plan.ScaleOuts {
@@ -374,13 +375,13 @@
 
 // recordMachines writes the assignment of new machines.
 func (c *Controller) recordMachines(names []string, rec storage.Machine) {
-	tries := c.tries("records", recordBackoff)
+	tries := c.loop.Tries("records", recordBackoff)
 	for len(names) > 0 {
 		var group []string
 		for {
 			group = names[:min(c.store.TxnOps(), len(names))]
 			version := uint64(0)
-			c.do(func() {
+			c.loop.Do(func() {
 				if c.Leadership.Held {
 					version = c.Leadership.Revision
 				}
@@ -394,11 +395,11 @@
 				txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
 				txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(rec)})
 			}
-			ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
+			ctx, cancel := context.WithTimeout(c.loop.Context(), 4*time.Second)
 			rev, err := c.store.Commit(ctx, txn)
 			cancel()
 			if err == nil {
-				c.do(func() {
+				c.loop.Do(func() {
 					for _, name := range group {
 						c.MachineRecorded(name, rec, rev, time.Now())
 					}
@@ -410,7 +411,7 @@
 				return // on record already, or no longer leading: the watch tells
 			}
 			c.log.Info("machines not recorded yet", "machines", group, "reason", err)
-			if !c.sleep(tries.Failed()) {
+			if !c.loop.Sleep(tries.Failed()) {
 				return
 			}
 		}
@@ -428,7 +429,7 @@
 	}
 	for _, name := range names {
 		var txn *protocol.Transaction
-		c.do(func() {
+		c.loop.Do(func() {
 			if m := c.Machines[name]; m != nil && c.Leadership.Held {
 				key := storage.MachineKey(name)
 				txn = &protocol.Transaction{
@@ -439,20 +440,20 @@
 		if txn == nil {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
+		ctx, cancel := context.WithTimeout(c.loop.Context(), 4*time.Second)
 		_, err := c.store.Commit(ctx, txn)
 		cancel()
 		if err != nil {
 			c.log.Info("record of a deleted machine stays for now", "machine", name, "reason", err)
 			continue
 		}
-		c.do(func() { c.MachineDeleted(name, time.Now()) })
+		c.loop.Do(func() { c.MachineDeleted(name, time.Now()) })
 	}
 }
 
 // askPartitionLeader asks a machine's owner for something; then runs if it agreed.
 func (c *Controller) askPartitionLeader(owner string, fr *peer.FleetRequest, then func()) {
-	c.duty.Go(func() {
+	c.loop.Go(func() {
 		reply, err := c.sendMachineRequest(owner, fr)
 		if err != nil || !reply.Ok {
 			c.log.Debug("owner declined", "machine", fr.Machine, "owner", owner, "answer", reply.GetReason(), "reason", err)
@@ -473,5 +474,5 @@
 		return nil, fmt.Errorf("no such controller %q", owner)
 	}
 	reply := new(peer.FleetReply)
-	return reply, callPeer(c.ctx, c.network, 3*time.Second, ps.Addr, MachineRequestPath, fr, reply)
+	return reply, callPeer(c.loop.Context(), c.network, 3*time.Second, ps.Addr, MachineRequestPath, fr, reply)
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	c, _ := owner(t)
 	c.Observe()
-	c.network = nowhere{}
+	setNetwork(c, nowhere{})
 	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeLimits, largeState
 	c.proxy.unsentLimit = unsentBytesLimit(largeLimits)
 	c.CancelBound = largeCancelS
@@ -156,19 +156,13 @@
 
 // serveCalls stands in for the controller's loop, without its ticks, until stop.
 func serveCalls(c *Controller) (stop func()) {
-	end, ended := make(chan struct{}), make(chan struct{})
+	ctx, end := context.WithCancel(context.Background())
+	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		for {
-			select {
-			case fn := <-c.calls:
-				fn()
-			case <-end:
-				return
-			}
-		}
+		c.loop.Serve(ctx, func(time.Time) {})
 	}()
-	return func() { close(end); <-ended }
+	return func() { end(); <-ended }
 }
 
 // What a controller keeps and tells of 4,000 machines with 64,000 running tasks passes
@@ -360,7 +354,7 @@
 	p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 	p.Held, p.Leader = false, "n1"
 	net := &ownerOfCarried{t: t, reports: map[string]bool{}}
-	c.network = net
+	setNetwork(c, net)
 	c.Peers["n1"] = &Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
 		Parts: []*peer.PartSummary{{Part: uint32(p.Index), Carried: []*peer.Carried{{By: c.Settings.Label}}}}}}
 	e := c.proxy.assignments[p.Index]
@@ -581,10 +575,10 @@
 			var log bytes.Buffer
 			c, _ := owner(t)
 			c.Observe()
-			c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn}))
+			c.bounds.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn}))
 			tc.meet(t, c)
 			wantMet(t, c, tc.bound)
-			c.boundMet(tc.bound, 1)
+			c.bounds.Met(tc.bound, 1)
 			if n := strings.Count(log.String(), "bound="+tc.bound.String()); n != 1 {
 				t.Errorf("said %d times:\n%s", n, log.String())
 			}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -140,13 +140,13 @@
 		names = append(names, m.Name)
 	}
 	c.log.Info("deleting machines", "machines", names, "reason", "withdrawn tasks on them can't be stopped in time")
-	c.duty.Go(func() {
+	c.loop.Go(func() {
 		status, err := c.callCloud("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
 		if err != nil || status != 200 {
 			c.log.Info("machines not deleted", "machines", names, "status", status, "reason", err)
 			return
 		}
-		c.do(func() {
+		c.loop.Do(func() {
 			now := time.Now()
 			for _, m := range machines {
 				if c.Machines[m.Name] != m {
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -8,6 +8,7 @@
 	"testing/synctest"
 	"time"
 
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/standin/worker"
@@ -299,7 +300,7 @@
 		if report(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a report that orders overtook is not answered")
 		}
-		time.Sleep(time.Duration(float64(c.AgentLease)*ClockDrift) + ClockMargin + tickInterval)
+		time.Sleep(time.Duration(float64(c.AgentLease)*ClockDrift) + ClockMargin + eventloop.TickInterval)
 		report(2, 41, 5, task)
 		if c.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("old reports keep a machine that is gone")
--- a/internal/coordination/operations.go
+++ b/internal/coordination/operations.go
@@ -15,7 +15,10 @@
 )
 
 // Observe makes the controller measure itself; before Run.
-func (c *Controller) Observe() { c.metrics = telemetry.New() }
+func (c *Controller) Observe() {
+	c.metrics = telemetry.New()
+	c.bounds.Metrics = c.metrics
+}
 
 // ServeOperations answers operators: /metrics and /overview. With identities they
 // must be allowed to view every queue, since the sums are over all of them.
@@ -34,7 +37,7 @@
 		return *c.Deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
 	}
 	v := overview.View{}
-	if !c.do(func() { v = c.stateOverview(time.Now()) }) {
+	if !c.loop.Do(func() { v = c.stateOverview(time.Now()) }) {
 		return Refuse(503, "stopping", 1)
 	}
 	v.Waits = c.metrics.Quantiles()
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -101,9 +101,9 @@
 	c.commandsSent(m, now)
 	orders := protocol.Orders{Token: c.Token(m), Epoch: m.Epoch, Commands: cmds}
 	via, name, addr := p.Delegations.CommandRoute(m.Shard, now), m.Name, m.Record.Addr
-	c.duty.Go(func() {
+	c.loop.Go(func() {
 		r, sent, err := c.postCommands(via, name, addr, orders)
-		c.do(func() {
+		c.loop.Do(func() {
 			c.commandsAnswered(m)
 			for _, a := range starts {
 				a.StartsInFlight--
@@ -139,7 +139,7 @@
 		resp, err = c.proxy.ForwardCommands(via, machine, body)
 	}
 	if errors.Is(err, transport.ErrNotSent) {
-		ctx, cancel := context.WithTimeout(c.ctx, CommandTimeout)
+		ctx, cancel := context.WithTimeout(c.loop.Context(), CommandTimeout)
 		defer cancel()
 		resp, err = c.network.Do(ctx, addr, "POST", "/orders", body)
 	}
@@ -177,13 +177,13 @@
 	c.commandsSent(m, time.Now())
 	orders := protocol.Orders{Token: c.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
 	via, name, addr := c.Partitions[m.Record.Partition].Delegations.FenceRoute(m.Shard, time.Now()), m.Name, m.Record.Addr
-	c.duty.Go(func() {
+	c.loop.Go(func() {
 		r, _, err := c.postCommands(via, name, addr, orders)
 		if r != nil && errors.Is(err, errStaleCommand) && r.Epoch != orders.Epoch {
 			orders.Epoch = r.Epoch
 			r, _, err = c.postCommands(via, name, addr, orders)
 		}
-		c.do(func() {
+		c.loop.Do(func() {
 			c.commandsAnswered(m)
 			if err != nil {
 				c.log.Debug("fencing failed", "machine", m.Name, "reason", err)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -39,7 +39,7 @@
 		if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: sum.From}); refusal != nil {
 			return *refusal
 		}
-		c.do(func() { c.receiveSummary(sum) })
+		c.loop.Do(func() { c.receiveSummary(sum) })
 		return transport.Response{Status: 200}
 	case req.Path == UpdatePath:
 		return c.replicator.HandleUpdate(who, req.Body)
@@ -115,15 +115,15 @@
 // PeerLoop tells one other controller several times a second how things are.
 func (c *Controller) PeerLoop(label string) {
 	ps := c.Peers[label]
-	for c.sleep(SummaryInterval) {
+	for c.loop.Sleep(SummaryInterval) {
 		var body []byte
-		c.do(func() {
-			body = c.ownSummary.latest(c, time.Now())
+		c.loop.Do(func() {
+			body = c.marshalledSummary(time.Now())
 		})
 		if body == nil {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
+		ctx, cancel := context.WithTimeout(c.loop.Context(), time.Second)
 		resp, err := c.network.Do(ctx, ps.Addr, "POST", SummaryPath, body)
 		switch {
 		case err != nil:
@@ -141,12 +141,15 @@
 	marshalledAt time.Time
 }
 
-func (s *cachedSummary) latest(c *Controller, now time.Time) []byte {
-	if c.Synced && (s.body == nil || now.Sub(s.marshalledAt) >= SummaryInterval*4/5) {
-		s.body = c.encodeSummary(c.OwnSummary(now))
-		s.marshalledAt = now
+// marshalledSummary is the summary as it goes to the others, made anew if it is old; nil
+// before the records were read.
+func (c *Controller) marshalledSummary(now time.Time) []byte {
+	cached := &c.ownSummary
+	if c.Synced && (cached.body == nil || now.Sub(cached.marshalledAt) >= SummaryInterval*4/5) {
+		cached.body = c.encodeSummary(c.OwnSummary(now))
+		cached.marshalledAt = now
 	}
-	return s.body
+	return cached.body
 }
 
 // OwnSummary describes this controller and its parts.
@@ -160,7 +163,7 @@
 			continue
 		}
 		if len(sum.Jobs) >= jobProgressLimit {
-			c.boundMet(telemetry.JobProgress, 1)
+			c.bounds.Met(telemetry.JobProgress, 1)
 			break
 		}
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.Spec.ID, Done: uint32(j.DoneCount), Running: uint32(j.RunningCount)})
@@ -254,7 +257,7 @@
 			continue
 		}
 		if len(ps.Demands) >= most {
-			c.boundMet(telemetry.Demands, 1)
+			c.bounds.Met(telemetry.Demands, 1)
 			break
 		}
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: s.CPUs, Gpus: s.GPUs, MemGb: s.MemGB, Types: s.Types, Zone: s.Zone,
@@ -295,7 +298,7 @@
 	var txn *protocol.Transaction
 	var m *Machine
 	var rec storage.Machine
-	c.do(func() {
+	c.loop.Do(func() {
 		m = c.Machines[fr.Machine]
 		if m == nil || !c.Partitions[m.Record.Partition].Ready || int(fr.ToPart) >= len(c.Partitions) {
 			reply.Reason = "not mine"
@@ -324,10 +327,10 @@
 	if txn == nil {
 		return reply
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, 2*time.Second)
+	ctx, cancel := context.WithTimeout(c.loop.Context(), 2*time.Second)
 	defer cancel()
 	rev, err := c.store.Commit(ctx, txn)
-	c.do(func() {
+	c.loop.Do(func() {
 		if err == nil {
 			c.MachineRecorded(m.Name, rec, rev, time.Now())
 			reply.Ok = true
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -13,7 +13,7 @@
 // placement's room decides on, and reserves what that says.
 func (c *Controller) Place(p *Partition, now time.Time) {
 	// The room for all of these is that of the last time.
-	list, usable := c.placementBuffers.jobs[:0], usableMachines{c: c, now: now, list: c.placementBuffers.machines[:0]}
+	list, usable := c.placementBuffers.jobs[:0], usableMachines{now: now, list: c.placementBuffers.machines[:0], predict: c.predictMachine}
 	v := placement.View{Jobs: c.placementBuffers.jobViews[:0], Machines: c.placementBuffers.machineViews[:0], Scarcity: c.Scarcity(now), Horizon: c.horizon()}
 	defer func() {
 		c.placementBuffers = placementBuffers{list, usable.list, v.Jobs, v.Machines}
@@ -103,9 +103,10 @@
 
 // usableMachines answers what placement asks of few of them.
 type usableMachines struct {
-	c    *Controller
 	now  time.Time
 	list []*Machine
+	// predict says what runs on a machine now.
+	predict func(m *Machine, now time.Time) *contention.Machine
 }
 
 // HasImage says whether a machine has an image or is fetching it already.
@@ -116,12 +117,17 @@
 func (u usableMachines) Running(i int) *contention.Machine {
 	m := u.list[i]
 	if m.Prediction == nil || u.now.Sub(m.PredictedAt) >= QueueOrderTTL {
-		m.Prediction = &contention.Machine{Tasks: u.c.predictTasks(m, u.now), Limit: u.c.Operator.LimitShare * m.Type.CPUs}
+		m.Prediction = u.predict(m, u.now)
 		m.PredictedAt = u.now
 	}
 	return m.Prediction
 }
 
+// predictMachine is what placement compares of a machine.
+func (c *Controller) predictMachine(m *Machine, now time.Time) *contention.Machine {
+	return &contention.Machine{Tasks: c.predictTasks(m, now), Limit: c.Operator.LimitShare * m.Type.CPUs}
+}
+
 // reserveAll reserves what was decided for a job, as far as its records have room;
 // of a gang all or nothing. What has none waits for the next round.
 func (c *Controller) reserveAll(p *Partition, j *Job, plan []placement.Assignment, machines []*Machine, now time.Time) {
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"flag"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -79,11 +78,10 @@
 	w.set.Label = "n0"
 	op := settings.DefaultOperator()
 	ctx, cancel := context.WithCancel(context.Background())
-	c := New(ctx, &w.set, op, nowhere{}, slog.New(slog.DiscardHandler))
+	c := newTestController(ctx, &w.set, op)
 	defer func() {
 		cancel()
-		close(c.loopDone) // it never ran
-		c.duty.Wait()
+		c.loop.Abandon()
 	}()
 	c.SetCatalog(w.cloud.Types)
 	now := time.Now()
--- a/internal/coordination/policy.go
+++ b/internal/coordination/policy.go
@@ -170,7 +170,7 @@
 	case err != nil:
 		return unavailableResponse(err)
 	}
-	c.do(func() {
+	c.loop.Do(func() {
 		if revision <= c.policy.headRevision {
 			return // the watch was faster
 		}
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -15,7 +14,7 @@
 func owner(t testing.TB) (c *Controller, p *Partition) {
 	w := newWorld(t, 1)
 	w.set.Label = "n0"
-	c = New(t.Context(), &w.set, settings.DefaultOperator(), nil, slog.New(slog.DiscardHandler))
+	c = newTestController(t.Context(), &w.set, settings.DefaultOperator())
 	c.SetCatalog(w.cloud.Types)
 	for _, p := range c.Partitions {
 		p.Leader, p.LeaseRevision, p.Held, p.Ready = "n0", 1, true, true
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"micaspindle/internal/telemetry"
 	"slices"
 	"time"
 
+	"micaspindle/internal/telemetry"
+
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/placement"
 	"micaspindle/internal/coordination/preemption"
--- a/internal/coordination/reassign.go
+++ b/internal/coordination/reassign.go
@@ -52,7 +52,7 @@
 	part, reason := 0, ""
 	next := *spec
 	next.ID, next.Team, next.Class, next.Replaces = body.As, body.Team, body.Class, id
-	c.do(func() {
+	c.loop.Do(func() {
 		team, ok := c.TeamIndex[spec.Team]
 		if !ok {
 			reason = "its team is not in the settings any more"
@@ -93,7 +93,7 @@
 	case err != nil:
 		return unavailableResponse(err)
 	}
-	c.do(func() {
+	c.loop.Do(func() {
 		c.SetFinal(id, protocol.StatusWithdrawn, time.Now())
 		c.ApplyJobRecord(body.As, value)
 	})
@@ -144,7 +144,7 @@
 		queue rights.Queue
 	}
 	var jobs []found
-	c.do(func() {
+	c.loop.Do(func() {
 		for id, j := range c.Jobs {
 			if j.Spec.By == body.By && c.FinalStates[id] == "" {
 				jobs = append(jobs, found{id, rights.Queue{Team: j.Spec.Team, Class: j.Spec.Class}})
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -17,7 +17,7 @@
 
 // watchDuty follows the shared records: a listing, then changes from there.
 func (c *Controller) watchDuty() {
-	tries := c.tries("watch", followBackoff)
+	tries := c.loop.Tries("watch", followBackoff)
 	// As often as the lease is renewed: the older of the two bounds what workers are
 	// answered (informed).
 	wait, patience := c.Operator.ClaimTTL/3, watchOutagePatience
@@ -29,15 +29,15 @@
 	for {
 		asked := time.Now()
 		if revision == 0 {
-			items, rev, err := c.store.List(c.ctx, storage.WatchPrefix)
+			items, rev, err := c.store.List(c.loop.Context(), storage.WatchPrefix)
 			if err != nil {
 				c.log.Debug("listing failed", "reason", err)
-				if !c.sleep(tries.Failed()) {
+				if !c.loop.Sleep(tries.Failed()) {
 					return
 				}
 				continue
 			}
-			if !c.do(func() {
+			if !c.loop.Do(func() {
 				c.applyListing(items, rev)
 				c.RecordsAsOf, c.RecordsRevision = asked, rev
 				c.PublishPolicy(asked)
@@ -51,21 +51,21 @@
 		if late {
 			most = 0 // what was asked for long ago, before an outage perhaps, informs of little
 		}
-		ev, err := c.store.Watch(c.ctx, storage.WatchPrefix, revision, most, patience)
+		ev, err := c.store.Watch(c.loop.Context(), storage.WatchPrefix, revision, most, patience)
 		if err != nil {
-			if c.ctx.Err() != nil {
+			if c.loop.Context().Err() != nil {
 				return
 			}
 			// A watch that ended without an answer, or that answers 410, may
 			// have missed changes; a fresh listing never does.
 			c.log.Debug("watch ended", "reason", err)
 			revision = 0
-			if !c.sleep(tries.Failed()) {
+			if !c.loop.Sleep(tries.Failed()) {
 				return
 			}
 			continue
 		}
-		if !c.do(func() {
+		if !c.loop.Do(func() {
 			for _, e := range ev.Events {
 				c.applyEvent(e)
 			}
@@ -287,7 +287,7 @@
 	}
 	c.FinalStates[id] = status
 	if status == protocol.StatusWithdrawn && time.Since(at) < c.CancelBound && !c.Cancellations.Add(id, at) {
-		c.boundMet(telemetry.Cancellations, 1)
+		c.bounds.Met(telemetry.Cancellations, 1)
 	}
 	for _, j := range c.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
 		if p := c.Partitions[j.Partition]; p.Held && p.Ready {
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
-	"micaspindle/internal/telemetry"
 	"time"
 
+	"micaspindle/internal/eventloop"
+	"micaspindle/internal/telemetry"
+
 	"micaspindle/internal/coordination/scaling"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
@@ -21,25 +23,25 @@
 	version := l.Revision
 	c.metrics.Count(telemetry.Rented, r.Count)
 	c.log.Info("renting", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "count", plan.Count, "part", r.Partition)
-	c.duty.Go(func() { c.finishScaleOut(name, r, version) })
+	c.loop.Go(func() { c.finishScaleOut(name, r, version) })
 }
 
 // finishScaleOut repeats a request under its name until it is answered.
 func (c *Controller) finishScaleOut(name string, r *ScaleOutRequest, version uint64) {
 	req := protocol.Rental{Request: name, Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: r.Count}
-	tries := c.tries(name, cloudBackoff)
+	tries := c.loop.Tries(name, cloudBackoff)
 	for {
 		var names protocol.MachineNames
 		status, err := c.callCloud("POST", "/machines", req, &names)
 		switch {
 		case err == nil && status == 200:
 			if len(names.Machines) < r.Count {
-				c.do(func() { c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second) })
+				c.loop.Do(func() { c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second) })
 				c.log.Info("rental partly filled", "request", name, "machines", len(names.Machines), "asked", r.Count)
 			}
 			c.recordMachines(names.Machines, storage.Machine{Partition: r.Partition, Type: r.Kind.Type, Zone: r.Kind.Zone,
 				Spot: r.Kind.Spot, RentedMS: time.Now().UnixMilli()})
-			c.do(func() {
+			c.loop.Do(func() {
 				delete(c.Leadership.PendingScaleOut, name)
 				c.Leadership.AssignedAt[r.Partition] = time.Now()
 			})
@@ -47,17 +49,17 @@
 		case err == nil && (status == 503 || status == 400):
 			c.metrics.Count(telemetry.RentRefused, 1)
 			c.log.Info("rental refused", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "status", status)
-			c.do(func() {
+			c.loop.Do(func() {
 				c.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second)
 				delete(c.Leadership.PendingScaleOut, name)
 			})
-			Signal(c.Leadership.Wakeup)
+			eventloop.Signal(c.Leadership.Wakeup)
 			return
 		}
 		c.log.Debug("rental unanswered", "request", name, "status", status, "reason", err)
 		leading := false
-		c.do(func() { leading = c.Leadership.Held && c.Leadership.Revision == version })
-		if !leading || !c.sleep(tries.Failed()) {
+		c.loop.Do(func() { leading = c.Leadership.Held && c.Leadership.Revision == version })
+		if !leading || !c.loop.Sleep(tries.Failed()) {
 			return
 		}
 	}
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -18,7 +18,7 @@
 func (c *Controller) jobStatus(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
 	st := protocol.JobStatus{ID: id}
 	known := false
-	c.do(func() { known = c.describe(&st) })
+	c.loop.Do(func() { known = c.describe(&st) })
 	if st.Ended() {
 		return st, true, nil
 	}
@@ -37,7 +37,7 @@
 		if err != nil {
 			return st, false, err
 		}
-		c.do(func() {
+		c.loop.Do(func() {
 			c.ApplyFinalRecord(id, item.Value)
 			c.describe(&st)
 		})
@@ -50,7 +50,7 @@
 	if len(list.Items) == 0 {
 		return st, false, nil
 	}
-	c.do(func() {
+	c.loop.Do(func() {
 		for _, it := range list.Items {
 			if it.Key == storage.FinalKey(id) {
 				c.ApplyFinalRecord(id, it.Value)
@@ -81,7 +81,7 @@
 // answer must come from a record, not from what only this controller knows (23).
 func (c *Controller) unfinished(ctx context.Context, st protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	doomed, stale := false, false
-	c.do(func() {
+	c.loop.Do(func() {
 		j := c.Jobs[st.ID]
 		doomed = c.Dependencies.DoomedJobs[st.ID] != nil
 		stale = j != nil && j.Blocked && (time.Since(c.RecordsAsOf) > c.staleLimit() || c.Dependencies.HasUnseenDependency(st.ID))
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -75,7 +75,7 @@
 
 // checkSubmission looks at a submission; spec is nil if its body is malformed.
 func (c *Controller) checkSubmission(ctx context.Context, who *Caller, id string, spec *protocol.JobSpec) (j submissionCheck) {
-	c.do(func() {
+	c.loop.Do(func() {
 		j.known = c.Jobs[id] != nil || c.FinalStates[id] != ""
 		j.typesKnown = len(c.Catalog) > 0
 		if spec != nil {
@@ -120,7 +120,7 @@
 	case err != nil:
 		return unavailableResponse(err)
 	}
-	c.do(func() { c.ApplyJobRecord(id, value) })
+	c.loop.Do(func() { c.ApplyJobRecord(id, value) })
 	return statusResponse(201, protocol.JobStatus{ID: id, Status: protocol.StatusQueued})
 }
 
@@ -155,7 +155,7 @@
 	if c.guard != nil {
 		var q rights.Queue
 		known := false
-		c.do(func() { q, known = c.jobQueues.queueOf(st.ID) })
+		c.loop.Do(func() { q, known = c.jobQueues.queueOf(st.ID) })
 		if !known { // a job that ended before this controller heard of it
 			spec, err := c.ReadSpec(ctx, nil, st.ID)
 			if err != nil {
@@ -189,7 +189,7 @@
 			return "depends on a job that was never accepted", nil
 		}
 		known, service := false, false
-		c.do(func() {
+		c.loop.Do(func() {
 			j := c.Jobs[id]
 			// Of a withdrawn job, the record tells whether it was a service.
 			known = j != nil || c.FinalStates[id] == protocol.StatusDone
--- a/internal/coordination/succession.go
+++ b/internal/coordination/succession.go
@@ -47,7 +47,7 @@
 	done, ready := false, false
 	key := storage.IncarnationKey(c.Settings.Label)
 	var value []byte
-	c.do(func() {
+	c.loop.Do(func() {
 		if done, ready = s.announcedLease == lease, c.Synced; done || !ready {
 			return
 		}
@@ -62,24 +62,24 @@
 	if done || !ready {
 		return done
 	}
-	rev, err := c.store.CommitLease(c.ctx, txn)
+	rev, err := c.store.CommitLease(c.loop.Context(), txn)
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		c.do(func() {
+		c.loop.Do(func() {
 			c.ApplyIncarnation(c.Settings.Label, protocol.Event{Put: key, Value: value, Version: rev})
 		})
 	case errors.As(err, &conflict) || errors.Is(err, storage.ErrUnknown):
 		// Written by the former life, or by this one without an answer.
-		if item, rerr := c.store.Get(c.ctx, key); rerr == nil {
-			c.do(func() {
+		if item, rerr := c.store.Get(c.loop.Context(), key); rerr == nil {
+			c.loop.Do(func() {
 				c.ApplyIncarnation(c.Settings.Label, protocol.Event{Put: key, Value: item.Value, Version: item.Version})
 			})
 		}
 	default:
 		c.log.Debug("life not announced", "reason", err)
 	}
-	c.do(func() { done = s.announcedLease == lease })
+	c.loop.Do(func() { done = s.announcedLease == lease })
 	return done
 }
 
@@ -257,8 +257,8 @@
 	ps.RevokedLease = l.Lease
 	c.metrics.Count(telemetry.LeaseEnded, 1)
 	c.log.Info("ending the lease of a controller that is gone", "controller", label, "silent", e.Silent, "visitors", e.Diverted, "of", e.Reporting)
-	c.duty.Go(func() {
-		ctx, cancel := context.WithTimeout(c.ctx, 2*time.Second)
+	c.loop.Go(func() {
+		ctx, cancel := context.WithTimeout(c.loop.Context(), 2*time.Second)
 		defer cancel()
 		c.store.RevokeLease(ctx, l.Lease)
 	})
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"slices"
 	"strings"
 	"testing"
@@ -42,7 +41,7 @@
 		w.mu.Unlock()
 		owner := false
 		if n != nil {
-			n.ctl.do(func() { owner = n.ctl.Partitions[part].Held && n.ctl.Partitions[part].Ready })
+			n.ctl.loop.Do(func() { owner = n.ctl.Partitions[part].Held && n.ctl.Partitions[part].Ready })
 		}
 		if owner {
 			return label
@@ -170,7 +169,7 @@
 				for _, label := range []string{"n0", "n1", "n2"} {
 					if n := w.nodes[label]; label == lost {
 						w.mu.Unlock()
-						n.ctl.do(func() {
+						n.ctl.loop.Do(func() {
 							for name, m := range n.ctl.Machines {
 								if m.Record.Partition == 0 && len(m.Attempts) > 0 && (fallen == "" || name < fallen) {
 									fallen = name
@@ -196,7 +195,7 @@
 					n := w.nodes[label]
 					w.mu.Unlock()
 					if n != nil {
-						n.ctl.do(func() {
+						n.ctl.loop.Do(func() {
 							if m := n.ctl.Machines[fallen]; m == nil || m.Lost {
 								took = time.Since(begun)
 							}
@@ -242,10 +241,10 @@
 		}
 		n0 := w.nodes["n0"].ctl
 		over := func(nonce string) (is bool) {
-			n0.do(func() { is = !n0.endedIncarnations[incarnationID{"n1", nonce}].IsZero() })
+			n0.loop.Do(func() { is = !n0.endedIncarnations[incarnationID{"n1", nonce}].IsZero() })
 			return is
 		}
-		n0.do(func() { // the older record once more, late
+		n0.loop.Do(func() { // the older record once more, late
 			n0.applyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
 		})
 		if !over(a.Nonce) || over(b.Nonce) {
@@ -265,8 +264,8 @@
 	set := newWorld(t, 1).set
 	set.Label, set.Others = "n0", []settings.Other{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
 	ctx, cancel := context.WithCancel(t.Context())
-	c = New(ctx, &set, settings.DefaultOperator(), nowhere{}, slog.New(slog.DiscardHandler))
-	return c, func() { cancel(); close(c.loopDone); c.duty.Wait() }
+	c = newTestController(ctx, &set, settings.DefaultOperator())
+	return c, func() { cancel(); c.loop.Abandon() }
 }
 
 // Until when somebody else may have answered a part's machines, from what was followed.
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -111,16 +111,16 @@
 	c := f.c
 	current := func() bool {
 		ok := false
-		return c.do(func() { ok = p.Held && p.LeaseRevision == version }) && ok
+		return c.loop.Do(func() { ok = p.Held && p.LeaseRevision == version }) && ok
 	}
-	tries := c.tries("rebuild "+strconv.Itoa(p.Index), takeoverBackoff)
+	tries := c.loop.Tries("rebuild "+strconv.Itoa(p.Index), takeoverBackoff)
 	for current() {
 		if err := f.tryTakeOver(p, version); err == nil {
 			return
 		} else {
 			c.log.Info("rebuilding failed", "part", p.Index, "reason", err)
 		}
-		if !c.sleep(tries.Failed()) {
+		if !c.loop.Sleep(tries.Failed()) {
 			return
 		}
 	}
@@ -136,7 +136,7 @@
 	var lacks, missing []string
 	told := true
 	for begun := time.Now(); ; {
-		c.do(func() {
+		c.loop.Do(func() {
 			if lacks, missing = nil, nil; !p.Held || p.LeaseRevision != version {
 				return // lost meanwhile: nothing to wait for
 			}
@@ -153,7 +153,7 @@
 		})
 		if len(missing) > 0 {
 			for _, id := range missing {
-				if specs[id], err = c.store.Get(c.ctx, storage.JobKey(id)); err != nil {
+				if specs[id], err = c.store.Get(c.loop.Context(), storage.JobKey(id)); err != nil {
 					return err
 				}
 			}
@@ -165,7 +165,7 @@
 			}
 			return nil
 		}
-		if time.Since(begun) > catchUpTimeout || !c.sleep(catchUpPollInterval) {
+		if time.Since(begun) > catchUpTimeout || !c.loop.Sleep(catchUpPollInterval) {
 			return fmt.Errorf("not to be decided on yet: missing %s", strings.Join(lacks, ", "))
 		}
 	}
--- a/internal/coordination/tale.go
+++ b/internal/coordination/tale.go
@@ -65,8 +65,8 @@
 
 // ReplicateLoop tells each part's standby, and the leader's peers, once a second.
 func (f *Replicator) ReplicateLoop() {
-	for f.c.sleep(updateInterval) {
-		f.SendUpdates(f.c.ctx)
+	for f.c.loop.Sleep(updateInterval) {
+		f.SendUpdates(f.c.loop.Context())
 	}
 }
 
@@ -79,7 +79,7 @@
 		tale     *peer.Tale
 	}
 	var out []message
-	c.do(func() {
+	c.loop.Do(func() {
 		now := time.Now()
 		for _, p := range c.Partitions {
 			if ps := c.Peers[p.Standby]; p.Held && p.Ready && ps != nil && ps.Alive(now) {
@@ -97,7 +97,7 @@
 	})
 	done := make(chan struct{}, len(out))
 	for _, msg := range out {
-		c.duty.Go(func() {
+		c.loop.Go(func() {
 			defer func() { done <- struct{}{} }()
 			reply := new(peer.TaleReply)
 			if err := callPeer(ctx, c.network, updateTimeout, msg.addr, UpdatePath, msg.tale, reply); err != nil {
@@ -105,7 +105,7 @@
 				return
 			}
 			if msg.part != nil {
-				c.do(func() {
+				c.loop.Do(func() {
 					if t := &msg.part.Replication; t.Target == msg.to && msg.part.LeaseRevision == msg.tale.Claim {
 						t.Acknowledged = min(reply.Have, t.Clock)
 					}
@@ -131,16 +131,14 @@
 	}
 	tale := &peer.Tale{From: c.Settings.Label, Nonce: c.Nonce, Claim: p.LeaseRevision, Part: uint32(p.Index), Since: t.Acknowledged}
 	room := updateBytesLimit
-	for _, class := range slices.Sorted(maps.Keys(c.runtimeCorrections)) {
-		b := c.runtimeCorrections[class]
-		told := &peer.ClassTale{Class: class, Ratio: b.ratio, Count: uint32(b.count)}
-		tale.Classes = append(tale.Classes, told)
-		room -= proto.Size(told) + entryOverheadBytes
+	for _, correction := range c.RuntimeCorrections() {
+		tale.Classes = append(tale.Classes, correction)
+		room -= proto.Size(correction) + entryOverheadBytes
 	}
 	list := f.partitionChanges(p)
 	tale.Upto = t.Clock
 	if !addChanges(tale, list, room, now) {
-		c.boundMet(telemetry.ReplicaMessages, 1)
+		c.bounds.Met(telemetry.ReplicaMessages, 1)
 	}
 	return tale
 }
@@ -296,7 +294,7 @@
 		return *refusal
 	}
 	reply := new(peer.TaleReply)
-	c.do(func() {
+	c.loop.Do(func() {
 		now := time.Now()
 		if t.Leader != nil {
 			c.LastLeaderUpdate = LeaderUpdate{From: t.From, ReceivedAt: now, Update: t.Leader}
@@ -304,8 +302,8 @@
 		}
 		if fo := f.replicas[int(t.Part)]; fo != nil {
 			reply.Have = fo.Updates.Apply(t, fo.Derived.noteStart, now)
-			c.boundMet(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
-			c.boundMet(telemetry.ReplicaStarts, fo.Derived.droppedStarts)
+			c.bounds.Met(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
+			c.bounds.Met(telemetry.ReplicaStarts, fo.Derived.droppedStarts)
 			fo.Updates.droppedMachines, fo.Derived.droppedStarts = 0, 0
 		}
 	})
@@ -321,11 +319,11 @@
 		return Refuse(400, "bad request", 0)
 	}
 	tale := &peer.Tale{Part: req.Part}
-	c.do(func() {
+	c.loop.Do(func() {
 		if fo := f.replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
 			whole := false
 			if tale, whole = fo.stateTransfer(time.Now()); !whole {
-				c.boundMet(telemetry.RecallBytes, 1)
+				c.bounds.Met(telemetry.RecallBytes, 1)
 			}
 		}
 	})
@@ -420,14 +418,8 @@
 			m.PreemptionAt = mt.PreemptionAt
 		}
 	}
-	for _, ct := range h.Classes {
-		b := c.runtimeCorrections[ct.Class]
-		if b != nil && b.count >= int(ct.Count) || ct.Ratio <= 0 || ct.Ratio > 4 {
-			continue
-		}
-		if b != nil || c.mayLearn() {
-			c.runtimeCorrections[ct.Class] = &runtimeCorrection{ratio: ct.Ratio, count: int(ct.Count)}
-		}
+	for _, correction := range h.Classes {
+		c.AdoptCorrection(correction)
 	}
 }
 
@@ -436,16 +428,16 @@
 func (f *Replicator) RequestStateTransfer(p *Partition, claim uint64) {
 	c := f.c
 	for _, ps := range c.Peers {
-		c.duty.Go(func() {
+		c.loop.Go(func() {
 			t := new(peer.Tale)
-			err := callPeer(c.ctx, c.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
+			err := callPeer(c.loop.Context(), c.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
 			if err != nil && !errors.Is(err, transport.ErrNotSent) {
 				c.log.Debug("tale not recalled", "from", ps.Addr, "reason", err)
 			}
 			if err != nil || t.Upto == 0 {
 				return
 			}
-			c.do(func() {
+			c.loop.Do(func() {
 				if !p.Held || !p.Ready || p.LeaseRevision != claim {
 					return
 				}
@@ -516,6 +508,6 @@
 		rent := &ScaleOutRequest{Kind: binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, Partition: int(r.Part), Count: int(r.Count)}
 		l.PendingScaleOut[r.Name] = rent
 		c.log.Info("repeating a rental of the leader before", "request", r.Name, "type", r.Type, "count", r.Count)
-		c.duty.Go(func() { c.finishScaleOut(r.Name, rent, version) })
+		c.loop.Go(func() { c.finishScaleOut(r.Name, rent, version) })
 	}
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -127,7 +127,7 @@
 		return *refusal
 	}
 	resp := Refuse(503, "stopping", 1)
-	c.do(func() { resp = c.HandleHeartbeat(r, req.Body) })
+	c.loop.Do(func() { resp = c.HandleHeartbeat(r, req.Body) })
 	return resp
 }
 
@@ -136,7 +136,7 @@
 // return; one that alone can't reach it leaves the users to the others.
 func (c *Controller) healthz() transport.Response {
 	resp := Refuse(503, "not ready", 1)
-	c.do(func() {
+	c.loop.Do(func() {
 		if !c.Synced {
 			return
 		}
@@ -188,7 +188,7 @@
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		c.do(func() { c.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
+		c.loop.Do(func() { c.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
 		return protocol.StatusWithdrawn, nil
 	case !errors.As(err, &conflict):
 		return "", err
@@ -198,7 +198,7 @@
 		return "", err
 	}
 	status := ""
-	c.do(func() {
+	c.loop.Do(func() {
 		c.ApplyFinalRecord(id, item.Value)
 		status = c.FinalStates[id]
 	})
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -384,7 +384,7 @@
 	if n == nil || n.ctl.Nonce != life.Nonce {
 		return
 	}
-	n.ctl.do(func() {
+	n.ctl.loop.Do(func() {
 		for _, r := range life.Released {
 			if p := n.ctl.Partitions[r.Partition]; p.Held && p.LeaseRevision == r.LeaseRevision {
 				w.broken = append(w.broken, fmt.Sprintf("%s gives part %d up and acts for it", label, r.Partition))
