--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -28,28 +28,28 @@
 }
 
 // attemptExited books the end that a worker reported.
-func (c *Controller) attemptExited(a *Attempt, t protocol.TaskReport, now time.Time) {
+func (ag *Agents) attemptExited(a *Attempt, t protocol.TaskReport, now time.Time) {
 	j := a.Job
 	a.ExitCause = t.Cause
 	a.State = AttemptExited
-	c.release(a, now)
+	ag.release(a, now)
 	ch := j.Chunk(a.TaskIndex)
 	ch.Exited = append(ch.Exited, a)
 	if j.Ended {
-		c.DropIfReleased(j)
+		ag.jobs.DropIfReleased(j)
 		return
 	}
 	switch t.Cause {
 	case protocol.CauseDone:
-		c.attemptDone(a, now)
+		ag.attemptDone(a, now)
 	case protocol.CauseError:
-		c.attemptFailed(a, now)
+		ag.attemptFailed(a, now)
 	case protocol.CauseFull, protocol.CauseInUse:
 		a.Machine.AvoidUntil = now.Add(refusedBackoff)
-		c.startRefused(a)
+		ag.startRefused(a)
 	case protocol.CauseUnknown:
 		j.BackoffUntil = now.Add(unknownJobBackoff)
-		c.startRefused(a)
+		ag.startRefused(a)
 	default:
 		j.Requeue(a.TaskIndex)
 	}
@@ -68,7 +68,7 @@
 )
 
 // attemptDone books a task that completed.
-func (c *Controller) attemptDone(a *Attempt, now time.Time) {
+func (ag *Agents) attemptDone(a *Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if j.Spec.Standing {
 		j.Requeue(a.TaskIndex)
@@ -76,8 +76,8 @@
 	}
 	if !a.StartedAt.IsZero() && !a.StartUnknown() {
 		ran := now.Sub(a.StartedAt).Seconds()
-		c.LearnRunTime(j.Spec.Class, ran, j.Spec.EstimateS)
-		c.detectSlowMachine(a, ran)
+		ag.scheduler.LearnRunTime(j.Spec.Class, ran, j.Spec.EstimateS)
+		ag.detectSlowMachine(a, ran)
 		if !a.Slow {
 			m.SlowTasks = 0
 		}
@@ -96,14 +96,14 @@
 }
 
 // attemptFailed books a task that failed. Its machine may be at fault, or its job.
-func (c *Controller) attemptFailed(a *Attempt, now time.Time) {
+func (ag *Agents) attemptFailed(a *Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	j.Requeue(a.TaskIndex)
 	j.Failures++
 	m.FailedJobs[j.Spec.ID] = true
 	m.AvoidUntil = now.Add(failedBackoff)
-	c.metrics.Count(telemetry.Failed, 1)
-	c.log.Info("task failed", "task", a.TaskName(), "machine", m.Name, "failures", j.Failures)
+	ag.metrics.Count(telemetry.Failed, 1)
+	ag.log.Info("task failed", "task", a.TaskName(), "machine", m.Name, "failures", j.Failures)
 	if j.FailedMachines == nil {
 		j.FailedMachines = map[string]bool{}
 	}
@@ -115,49 +115,49 @@
 	}
 	if len(m.FailedJobs) >= 2 && !m.Quarantined {
 		m.Quarantined = true
-		c.log.Info("machine set aside", "machine", m.Name, "reason", "different jobs fail on it")
+		ag.log.Info("machine set aside", "machine", m.Name, "reason", "different jobs fail on it")
 		for _, b := range m.SortedAttempts() {
-			c.StopAttempt(b, b.Job.Spec.SaveS+1, now)
+			ag.StopAttempt(b, b.Job.Spec.SaveS+1, now)
 		}
 	}
 }
 
 // startRefused books a start that the worker refused.
-func (c *Controller) startRefused(a *Attempt) {
+func (ag *Agents) startRefused(a *Attempt) {
 	a.Job.Requeue(a.TaskIndex)
-	c.log.Info("start refused", "task", a.TaskName(), "machine", a.Machine.Name, "reason", a.ExitCause)
+	ag.log.Info("start refused", "task", a.TaskName(), "machine", a.Machine.Name, "reason", a.ExitCause)
 }
 
 // ReleaseAttempt books an attempt that is proven over without a result.
-func (c *Controller) ReleaseAttempt(a *Attempt, reason string, now time.Time) {
+func (ag *Agents) ReleaseAttempt(a *Attempt, reason string, now time.Time) {
 	delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
 	if !a.Live() {
 		return
 	}
-	c.log.Info("attempt over", "task", a.TaskName(), "machine", a.Machine.Name, "reason", reason)
+	ag.log.Info("attempt over", "task", a.TaskName(), "machine", a.Machine.Name, "reason", reason)
 	a.State = AttemptReleased
-	c.release(a, now)
+	ag.release(a, now)
 	a.Machine.RecountUsed()
 	if a.Job.Ended {
-		c.DropIfReleased(a.Job)
+		ag.jobs.DropIfReleased(a.Job)
 		return
 	}
 	a.Job.Requeue(a.TaskIndex)
 }
 
 // release frees what an attempt held.
-func (c *Controller) release(a *Attempt, now time.Time) {
+func (ag *Agents) release(a *Attempt, now time.Time) {
 	j := a.Job
 	delete(j.LiveAttempts, a.TaskIndex)
 	if !a.StartedAt.IsZero() {
 		j.RunningCount--
 	}
-	p := c.Partitions[j.Partition]
+	p := ag.Partitions[j.Partition]
 	p.Usage[j.Team].Add(ResourcesOf(j.Spec), -1)
 	if j.Spec.Gang && a.ExitCause != protocol.CauseDone {
 		// Without one, the others can't go on: all start again together.
 		for _, mate := range j.Attempts() {
-			c.StopAttempt(mate, j.Spec.SaveS+1, now)
+			ag.StopAttempt(mate, j.Spec.SaveS+1, now)
 		}
 	}
 	j.MarkDirty(a.TaskIndex, false, now)
@@ -176,41 +176,41 @@
 func (j *Job) Requeue(task int) { j.Pending = slices.Insert(j.Pending, 0, task) }
 
 // StopAttempt wants an attempt off its machine.
-func (c *Controller) StopAttempt(a *Attempt, grace float64, now time.Time) {
+func (ag *Agents) StopAttempt(a *Attempt, grace float64, now time.Time) {
 	if !a.Live() || a.Stopping && a.StopGraceS <= grace {
 		return
 	}
 	if a.State == AttemptReserved || a.State == AttemptCommitted && a.StartToken == 0 && a.StartsInFlight == 0 && a.Machine.Fenced {
 		// Nothing was sent, so nothing can arrive.
-		c.ReleaseAttempt(a, "stopped before its start", now)
+		ag.ReleaseAttempt(a, "stopped before its start", now)
 		return
 	}
 	a.Stopping, a.StopGraceS, a.StopRequestedAt = true, grace, now
-	c.fenceOutStart(a, now)
-	c.SendCommands(a.Machine)
+	ag.fenceOutStart(a, now)
+	ag.SendCommands(a.Machine)
 }
 
 // evacuate moves work off a machine that will be taken: what would be over in
 // time goes on, what can save does so at the last moment, and what would be
 // lost anyway is started elsewhere now.
-func (c *Controller) evacuate(m *Machine, now time.Time) {
+func (ag *Agents) evacuate(m *Machine, now time.Time) {
 	left := m.PreemptionAt.Sub(now).Seconds()
 	for _, a := range m.SortedAttempts() {
 		if !a.Live() || a.Stopping {
 			continue
 		}
 		s := a.Job.Spec
-		remaining := c.RemainingS(a, now)
+		remaining := ag.scheduler.RemainingS(a, now)
 		switch {
 		case a.StartedAt.IsZero():
-			c.StopAttempt(a, 0, now)
+			ag.StopAttempt(a, 0, now)
 		case remaining < left*0.9:
 		case s.CheckpointS > 0:
-			if left < s.SaveS+2+1.5*c.HeartbeatInterval.Seconds() {
-				c.StopAttempt(a, s.SaveS+1, now)
+			if left < s.SaveS+2+1.5*ag.HeartbeatInterval.Seconds() {
+				ag.StopAttempt(a, s.SaveS+1, now)
 			}
 		case remaining > left*1.2:
-			c.StopAttempt(a, 0, now)
+			ag.StopAttempt(a, 0, now)
 		}
 	}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -37,7 +37,7 @@
 			c.waiting(id, each)
 		}
 		j, m := c.Jobs[id], c.Machines[fmt.Sprintf("m-%06d", i%machines)]
-		c.Reserve(p, j, task, 1, m, now)
+		c.scheduler.Reserve(p, j, task, 1, m, now)
 		j.Pending = nil
 		a := j.LiveAttempts[task]
 		a.State, a.StartedAt, a.ReportedState = AttemptConfirmed, now, protocol.TaskRunning
@@ -52,7 +52,7 @@
 func (c *Controller) waiting(id string, tasks int) {
 	s := spec(id, tasks, "green")
 	s.SubmittedMS = time.Now().UnixMilli()
-	c.ApplyJobRecord(id, storage.Encode(s))
+	c.jobs.ApplyJobRecord(id, storage.Encode(s))
 }
 
 // fleetSize is how many machines there are, with so many running tasks on each and so many
@@ -82,7 +82,7 @@
 			defer stop()
 			go c.loop.Serve(ctx, c.tick)
 			if what == "final" {
-				c.loop.Do(func() { c.SetFinal("job-1", protocol.StatusDone, time.Now()) })
+				c.loop.Do(func() { c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now()) })
 			} else {
 				setNetwork(c, refusing{})
 				time.Sleep(1600 * time.Millisecond) // until it counts as down
@@ -125,7 +125,7 @@
 				r.Sequence++
 				c.LeaseRenewedAt = time.Now() // however long this is measured
 				c.RecordsAsOf = c.LeaseRenewedAt
-				if resp := c.HandleHeartbeat(r, nil); resp.Status != 200 {
+				if resp := c.agents.HandleHeartbeat(r, nil); resp.Status != 200 {
 					b.Fatalf("report refused: status %d, %s", resp.Status, resp.Body)
 				}
 			}
@@ -146,7 +146,7 @@
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 			b.ReportAllocs()
 			for b.Loop() {
-				c.Place(p, time.Now())
+				c.scheduler.Place(p, time.Now())
 			}
 		})
 		b.Run("task/"+name, func(b *testing.B) {
@@ -165,7 +165,7 @@
 				next++
 				placed--
 				c.waiting(fmt.Sprintf("job-8%d", next), 1)
-				c.Place(p, time.Now())
+				c.scheduler.Place(p, time.Now())
 			}
 		})
 	}
@@ -205,7 +205,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c.LeaseRenewedAt = time.Now()
-				c.reconcileFleet(c.LeaseRenewedAt)
+				c.autoscaler.reconcileFleet(c.LeaseRenewedAt)
 			}
 		})
 	}
@@ -219,8 +219,8 @@
 // BenchmarkSummary: what an owner tells the others twice a second.
 func BenchmarkSummary(b *testing.B) {
 	bySize(b, func(c *Controller) {
-		c.ownSummary.marshalledAt = time.Time{}
-		c.marshalledSummary(time.Now())
+		c.peering.ownSummary.marshalledAt = time.Time{}
+		c.peering.marshalledSummary(time.Now())
 	})
 }
 
@@ -255,13 +255,13 @@
 						fo.startFrom(c.log.Error, runs, 5, time.Now())
 						fo.Updates.Apply(tale, fo.Derived.noteStart, time.Now())
 					}
-					c.ClearPartition(c.Partitions[part]) // as at a controller that did not own it
-					runtime.GC()                         // the garbage of making them is none of the takeover's
+					c.leases.ClearPartition(c.Partitions[part]) // as at a controller that did not own it
+					runtime.GC()                                // the garbage of making them is none of the takeover's
 					b.StartTimer()
 					if kind == "cold" {
 						fo.startFrom(c.log.Error, runs, 5, time.Now())
 					}
-					c.replicator.install(c.Partitions[part], fo, nil, kind == "warm")
+					c.takeover.install(c.Partitions[part], fo, nil, kind == "warm")
 				}
 			})
 		}
@@ -336,7 +336,7 @@
 							c, next = pipelines(b, n, deep), 0
 							b.StartTimer()
 						}
-						c.SetFinal(fmt.Sprint("job-", next), status, time.Now())
+						c.jobs.SetFinal(fmt.Sprint("job-", next), status, time.Now())
 						if next++; !deep || status == protocol.StatusWithdrawn {
 							next = n
 						}
--- a/internal/coordination/bounds.go
+++ b/internal/coordination/bounds.go
@@ -44,14 +44,14 @@
 // encodeSummary makes a message of a summary. One that is too large goes without what it
 // can do without: first what only informs users, then machines that are not on record,
 // which report again.
-func (c *Controller) encodeSummary(sum *peer.Summary) []byte {
-	most := MaxPeerBody(c.Settings.Params.MachineLimits)
+func (ex *Exchange) encodeSummary(sum *peer.Summary) []byte {
+	most := MaxPeerBody(ex.Settings.Params.MachineLimits)
 	// A summary always marshals: its texts were checked when they came in.
 	body, _ := proto.Marshal(sum)
 	if len(body) <= most {
 		return body
 	}
-	c.bounds.Met(telemetry.SummaryBytes, 1)
+	ex.bounds.Met(telemetry.SummaryBytes, 1)
 	sum.Jobs = nil
 	if body, _ = proto.Marshal(sum); len(body) <= most {
 		return body
--- a/internal/coordination/cancellation_notices.go
+++ b/internal/coordination/cancellation_notices.go
@@ -81,10 +81,10 @@
 
 // ApplyCancellationNotices takes in what another controller has seen committed. Such a record never
 // changes, so that it is as good as read, however late it comes.
-func (c *Controller) ApplyCancellationNotices(sum *peer.Summary, now time.Time) {
+func (tr *Tracker) ApplyCancellationNotices(sum *peer.Summary, now time.Time) {
 	for _, w := range sum.Withdrawn {
 		if protocol.ValidID(w.Job) {
-			c.SetFinal(w.Job, protocol.StatusWithdrawn, now.Add(-time.Duration(w.AgeMs)*time.Millisecond))
+			tr.SetFinal(w.Job, protocol.StatusWithdrawn, now.Add(-time.Duration(w.AgeMs)*time.Millisecond))
 		}
 	}
 }
--- a/internal/coordination/carry.go
+++ b/internal/coordination/carry.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"slices"
 	"sync"
 	"time"
@@ -17,10 +18,61 @@
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
+// Proxy answers heartbeats and forwards commands for leaders of other partitions, and
+// delegates shards of the own partitions to others. It belongs to the loop, but for the
+// queued commands.
+type Proxy struct {
+	*State
+	loop    *eventloop.Loop
+	network storage.Requester
+	log     *slog.Logger
+	bounds  *telemetry.BoundReporter
+	metrics *telemetry.Metrics
+
+	agents *Agents
+	auth   *Auth
+
+	// capacity is how many machines' connections the sockets hold: one for heartbeats and one
+	// for commands each.
+	capacity int
+	// unsentLimit bounds the heartbeats of a partition that wait to be told to its leader, in
+	// bytes: at 322 MB it is 10 MiB, while 4,000 machines with 16 tasks each report some 7 MB.
+	unsentLimit int
+	assignments []*assignment // by partition
+	// movedAt is when a shard last changed its delegate.
+	movedAt, balancedAt time.Time
+	// moves are the last ones, for operators, moveTimes when each of them was.
+	moves     []overview.Move
+	moveTimes []time.Time
+
+	mu     sync.Mutex
+	queued map[string][]*forwardedCommand // commands that wait to be forwarded, by delegate
+}
+
+// NewProxy makes one without collaborators.
+func NewProxy(state *State, loop *eventloop.Loop, network storage.Requester, log *slog.Logger, bounds *telemetry.BoundReporter) *Proxy {
+	px := &Proxy{State: state, loop: loop, network: network, log: log, bounds: bounds,
+		capacity: state.Settings.Params.MachineLimits.Sockets / 2, unsentLimit: unsentBytesLimit(state.Settings.Params.MachineLimits),
+		queued: map[string][]*forwardedCommand{}}
+	for range state.Partitions {
+		px.assignments = append(px.assignments, &assignment{unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)})
+	}
+	return px
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (px *Proxy) Connect(agents *Agents, auth *Auth) {
+	px.agents, px.auth = agents, auth
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (px *Proxy) Observe(m *telemetry.Metrics) { px.metrics = m }
+
 const (
 	DelegationPath = "/peer/carry"
 	ForwardPath    = "/peer/relay"
@@ -49,26 +101,6 @@
 	redirectRetryInterval = 30 * time.Second
 )
 
-// Proxy is what this controller carries for owners of other parts, and what others
-// carry for it. It belongs to the loop, but for the relays.
-type Proxy struct {
-	c *Controller
-	// Capacity is how many machines' connections the sockets hold: a report's and an order's each.
-	Capacity int
-	// unsentLimit bounds the reports of a part that wait for a reply, in bytes: at 322 MB it is
-	// 10 MiB, while 4,000 machines with 16 tasks each report some 7 MB at most.
-	unsentLimit int
-	assignments []*assignment // by part
-	// movedAt is when a share last went away or came back.
-	movedAt, balancedAt time.Time
-	// moves are the last ones, for operators.
-	moves     []overview.Move
-	moveTimes []time.Time // when each of them was
-
-	mu     sync.Mutex
-	queued map[string][]*forwardedCommand // orders that wait, by carrier
-}
-
 // assignment is what a carrier does for a part's owner.
 type assignment struct {
 	leader       string
@@ -101,15 +133,6 @@
 	e.unsent[machine] = a
 }
 
-func (cy *Proxy) init(c *Controller) {
-	limits := c.Settings.Params.MachineLimits
-	cy.c, cy.Capacity, cy.queued = c, limits.Sockets/2, map[string][]*forwardedCommand{}
-	cy.unsentLimit = unsentBytesLimit(limits)
-	for range c.Partitions {
-		cy.assignments = append(cy.assignments, &assignment{unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)})
-	}
-}
-
 // allows says whether the errand allows an answer to a machine of a part now.
 func (e *assignment) allows(p *Partition, m *Machine, now time.Time) bool {
 	return e.shards[m.Shard] && now.Before(e.grantedUntil) && p.Leader == e.leader && p.LeaseRevision == e.lease
@@ -117,18 +140,17 @@
 
 // AnswerHeartbeat answers a worker's report for the part's owner, if that has granted it. What
 // is answered is told to the owner with the next request (37).
-func (cy *Proxy) AnswerHeartbeat(m *Machine, r *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
-	c := cy.c
-	p, e := c.Partitions[m.Record.Partition], cy.assignments[m.Record.Partition]
-	if c.Draining || p.Held || !e.allows(p, m, now) {
+func (px *Proxy) AnswerHeartbeat(m *Machine, r *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
+	p, e := px.Partitions[m.Record.Partition], px.assignments[m.Record.Partition]
+	if px.Draining || p.Held || !e.allows(p, m, now) {
 		return transport.Response{}, false
 	}
-	token := c.Token(m)
+	token := px.Token(m)
 	if r.Token > token {
 		return Refuse(503, "superseded", 1), true
 	}
-	if e.unsentBytes+len(raw) > cy.unsentLimit {
-		c.bounds.Met(telemetry.CarriedReports, 1)
+	if e.unsentBytes+len(raw) > px.unsentLimit {
+		px.bounds.Met(telemetry.CarriedReports, 1)
 		return Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
@@ -136,15 +158,14 @@
 	}
 	e.add(m.Name, answeredHeartbeat{bytes.Clone(raw), r.Epoch, r.Sequence})
 	eventloop.Signal(e.wakeup)
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.Orders{Token: token, Commands: c.StopsOfCancelled(r)})}, true
+	return transport.Response{Status: 200, Body: protocol.Encode(protocol.Orders{Token: token, Commands: px.agents.StopsOfCancelled(r)})}, true
 }
 
 // isDelegate says whether a part's owner wants this controller to carry something of it.
-func (cy *Proxy) isDelegate(p *Partition, now time.Time) bool {
-	c := cy.c
-	ps := c.Peers[p.Leader]
-	return !p.Held && ps != nil && ps.Alive(now) && !c.Draining &&
-		slices.ContainsFunc(ps.PartitionSummary(p).GetCarried(), func(k *peer.Carried) bool { return k.By == c.Settings.Label })
+func (px *Proxy) isDelegate(p *Partition, now time.Time) bool {
+	ps := px.Peers[p.Leader]
+	return !p.Held && ps != nil && ps.Alive(now) && !px.Draining &&
+		slices.ContainsFunc(ps.PartitionSummary(p).GetCarried(), func(k *peer.Carried) bool { return k.By == px.Settings.Label })
 }
 
 // takeUnsent removes reports to be told, as many as a message holds, and says how many bytes they
@@ -164,31 +185,31 @@
 
 // RenewLoop asks a part's owner again and again to go on, and tells it what came. It sleeps
 // while nothing of the part is to be carried here.
-func (cy *Proxy) RenewLoop(p *Partition) {
-	c, e := cy.c, cy.assignments[p.Index]
-	for engaged := false; ; engaged = cy.renewAll(p, e) {
+func (px *Proxy) RenewLoop(p *Partition) {
+	e := px.assignments[p.Index]
+	for engaged := false; ; engaged = px.renewAll(p, e) {
 		var again <-chan time.Time
 		if engaged {
 			again = time.After(renewInterval)
 		}
 		select {
 		case <-e.wakeup:
-			if !c.loop.Sleep(gatherDelay) {
+			if !px.loop.Sleep(gatherDelay) {
 				return
 			}
 		case <-again:
-		case <-c.loop.Context().Done():
+		case <-px.loop.Context().Done():
 			return
 		}
 	}
 }
 
 // SummaryReceived looks whether a controller wants something of its parts carried here.
-func (cy *Proxy) SummaryReceived(sum *peer.Summary) {
+func (px *Proxy) SummaryReceived(sum *peer.Summary) {
 	for _, p := range sum.Parts {
 		for _, k := range p.Carried {
-			if k.By == cy.c.Settings.Label && int(p.Part) < len(cy.assignments) {
-				eventloop.Signal(cy.assignments[p.Part].wakeup)
+			if k.By == px.Settings.Label && int(p.Part) < len(px.assignments) {
+				eventloop.Signal(px.assignments[p.Part].wakeup)
 			}
 		}
 	}
@@ -196,10 +217,10 @@
 
 // renewAll sends requests, one at a time, until all that was answered is told or one had no
 // reply. It says whether there was anything to ask.
-func (cy *Proxy) renewAll(p *Partition, e *assignment) bool {
-	asked, more := cy.renew(p, e)
-	for more && cy.c.loop.Context().Err() == nil {
-		_, more = cy.renew(p, e)
+func (px *Proxy) renewAll(p *Partition, e *assignment) bool {
+	asked, more := px.renew(p, e)
+	for more && px.loop.Context().Err() == nil {
+		_, more = px.renew(p, e)
 	}
 	return asked
 }
@@ -207,13 +228,12 @@
 // renew sends one request with what was answered since the last one that had a reply, as
 // much as a message holds. It says whether there was anything to ask, and whether there is
 // more to tell.
-func (cy *Proxy) renew(p *Partition, e *assignment) (asked, more bool) {
-	c := cy.c
+func (px *Proxy) renew(p *Partition, e *assignment) (asked, more bool) {
 	var req *peer.CarryRequest
 	var told map[string]answeredHeartbeat
 	addr, size, left := "", 0, false
 	var begun time.Time
-	c.loop.Do(func() {
+	px.loop.Do(func() {
 		begun = time.Now()
 		if e.leader != p.Leader || e.lease != p.LeaseRevision {
 			// Another owner: what was told to the one before is its successor's to find out.
@@ -221,12 +241,12 @@
 			e.shards = [delegation.ShardCount]bool{}
 			clear(e.unsent)
 		}
-		ps := c.Peers[p.Leader]
-		if ps == nil || !cy.isDelegate(p, begun) && len(e.unsent) == 0 {
+		ps := px.Peers[p.Leader]
+		if ps == nil || !px.isDelegate(p, begun) && len(e.unsent) == 0 {
 			return
 		}
 		addr = ps.Addr
-		req = &peer.CarryRequest{From: c.Settings.Label, Nonce: c.Nonce, Part: uint32(p.Index), Claim: e.lease}
+		req = &peer.CarryRequest{From: px.Settings.Label, Nonce: px.Nonce, Part: uint32(p.Index), Claim: e.lease}
 		told, size = e.takeUnsent()
 		if left = len(e.unsent) > 0; !left {
 			// Only with all of it does the request show that every answer up to the last
@@ -241,14 +261,14 @@
 		return false, false
 	}
 	reply := new(peer.CarryReply)
-	err := callPeer(c.loop.Context(), c.network, renewTimeout, addr, DelegationPath, req, reply)
-	c.loop.Do(func() {
+	err := callPeer(px.loop.Context(), px.network, renewTimeout, addr, DelegationPath, req, reply)
+	px.loop.Do(func() {
 		if e.leader != p.Leader || e.lease != req.Claim {
 			return
 		}
 		e.unsentBytes -= size
 		if err != nil {
-			c.log.Debug("not carried on", "part", p.Index, "owner", e.leader, "reason", err)
+			px.log.Debug("not carried on", "part", p.Index, "owner", e.leader, "reason", err)
 			for name, a := range told { // to be told again
 				e.add(name, a)
 			}
@@ -264,20 +284,19 @@
 			}
 		}
 		if had != e.shards {
-			c.log.Info("carrying shares of a part", "part", p.Index, "owner", e.leader, "shares", reply.Shares)
+			px.log.Info("carrying shares of a part", "part", p.Index, "owner", e.leader, "shares", reply.Shares)
 		}
 	})
 	return true, more
 }
 
 // HandleRenewal answers a carrier: it takes in what came there and grants the carrier its shares.
-func (cy *Proxy) HandleRenewal(who *Caller, body []byte) transport.Response {
-	c := cy.c
+func (px *Proxy) HandleRenewal(who *Caller, body []byte) transport.Response {
 	req := new(peer.CarryRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
 		return Refuse(400, "bad request", 0)
 	}
-	if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
+	if refusal := px.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
 	}
 	reports := make([]*protocol.Heartbeat, 0, len(req.Reports))
@@ -288,19 +307,19 @@
 		}
 	}
 	reply, ok := new(peer.CarryReply), false
-	c.loop.Do(func() {
+	px.loop.Do(func() {
 		now := time.Now()
-		if int(req.Part) >= len(c.Partitions) {
+		if int(req.Part) >= len(px.Partitions) {
 			return
 		}
-		p := c.Partitions[req.Part]
-		if ok = c.MayAnswer(p, now) && p.Ready && p.LeaseRevision == req.Claim && !c.Draining; !ok {
+		p := px.Partitions[req.Part]
+		if ok = px.MayAnswer(p, now) && p.Ready && p.LeaseRevision == req.Claim && !px.Draining; !ok {
 			return
 		}
 		for _, r := range reports {
-			cy.applyHeartbeat(p, r, now)
+			px.applyHeartbeat(p, r, now)
 		}
-		granted, d, serial := p.Delegations.Renew(req.From, req.Nonce, req.After, c.AnswerBound()-now.Sub(c.InformedAt()), now)
+		granted, d, serial := p.Delegations.Renew(req.From, req.Nonce, req.After, px.AnswerBound()-now.Sub(px.InformedAt()), now)
 		for _, s := range granted {
 			reply.Shares = append(reply.Shares, uint32(s))
 		}
@@ -313,29 +332,28 @@
 }
 
 // applyHeartbeat takes in a report that a carrier has answered.
-func (cy *Proxy) applyHeartbeat(p *Partition, r *protocol.Heartbeat, now time.Time) {
-	c := cy.c
-	m := c.Machines[r.Machine]
+func (px *Proxy) applyHeartbeat(p *Partition, r *protocol.Heartbeat, now time.Time) {
+	m := px.Machines[r.Machine]
 	if m == nil || m.Record.Partition != p.Index {
 		return
 	}
 	m.AcceptHeartbeat(r)
 	m.AnsweredUntil = now // at the latest
-	if r.Token > c.Token(m) || !m.IsNewer(r) {
+	if r.Token > px.Token(m) || !m.IsNewer(r) {
 		return // late, or older than what came otherwise
 	}
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
 	}
-	c.ApplyReport(m, r, now)
+	px.agents.ApplyReport(m, r, now)
 	m.LastHeardAt, m.DelegateHeardAt = now, now
 	if m.Fenced && m.NeedsCommands() {
-		c.SendCommands(m)
+		px.agents.SendCommands(m)
 	}
 }
 
 // RedirectTarget names the carrier that a worker which came here should report to.
-func (cy *Proxy) RedirectTarget(p *Partition, m *Machine, now time.Time) string {
+func (px *Proxy) RedirectTarget(p *Partition, m *Machine, now time.Time) string {
 	pause := redirectInterval
 	if !m.DelegateHeardAt.After(m.RedirectedAt) {
 		pause = redirectRetryInterval
@@ -348,11 +366,10 @@
 }
 
 // Load is how many machines keep their connections here.
-func (cy *Proxy) Load(now time.Time) delegation.Load {
-	c := cy.c
-	l := delegation.Load{Capacity: cy.Capacity}
-	for _, m := range c.Machines {
-		p, e := c.Partitions[m.Record.Partition], cy.assignments[m.Record.Partition]
+func (px *Proxy) Load(now time.Time) delegation.Load {
+	l := delegation.Load{Capacity: px.capacity}
+	for _, m := range px.Machines {
+		p, e := px.Partitions[m.Record.Partition], px.assignments[m.Record.Partition]
 		if p.Held && m.HasReported && !m.Lost && p.Delegations.Delegate(m.Shard) == "" || !p.Held && e.allows(p, m, now) {
 			l.Machines++
 		}
@@ -361,15 +378,15 @@
 }
 
 // Rebalance evens out who carries what of this controller's parts.
-func (cy *Proxy) Rebalance(now time.Time) {
-	if now.Sub(cy.balancedAt) < delegation.MoveInterval {
+func (px *Proxy) Rebalance(now time.Time) {
+	if now.Sub(px.balancedAt) < delegation.MoveInterval {
 		return
 	}
-	cy.balancedAt = now
-	v := cy.view(now, nil)
-	v.MayMove, v.MayReturn = now.Sub(cy.movedAt) >= delegation.MoveInterval, now.Sub(cy.movedAt) >= delegation.ReturnInterval
+	px.balancedAt = now
+	v := px.view(now, nil)
+	v.MayMove, v.MayReturn = now.Sub(px.movedAt) >= delegation.MoveInterval, now.Sub(px.movedAt) >= delegation.ReturnInterval
 	for _, mv := range delegation.PlanMoves(v) {
-		cy.reassign(mv, now)
+		px.reassign(mv, now)
 	}
 }
 
@@ -377,22 +394,22 @@
 // machines ask for: they must all be fenced and will all report, and an owner that is
 // alone with that may run out of sockets. Carriers of the owner before keep what they
 // have, so that its workers' connections stay.
-func (cy *Proxy) SpreadShards(p *Partition, now time.Time) {
-	v := cy.view(now, p)
-	for _, k := range cy.c.Peers[p.FormerLeader].PartitionSummary(p).GetCarried() {
+func (px *Proxy) SpreadShards(p *Partition, now time.Time) {
+	v := px.view(now, p)
+	for _, k := range px.Peers[p.FormerLeader].PartitionSummary(p).GetCarried() {
 		able := slices.ContainsFunc(v.Peers, func(peer delegation.Peer) bool { return peer.Label == k.By && peer.Available && peer.Settled })
 		for _, s := range k.Shares {
 			if s < delegation.ShardCount && able && !v.Unsupported {
-				cy.reassign(delegation.Move{Partition: p.Index, Shard: int(s), To: k.By, Reason: "as under the owner before"}, now)
+				px.reassign(delegation.Move{Partition: p.Index, Shard: int(s), To: k.By, Reason: "as under the owner before"}, now)
 			}
 		}
 	}
-	v = cy.view(now, p) // what they have is in what they tell
+	v = px.view(now, p) // what they have is in what they tell
 	v.MayMove = true
 	for range delegation.ShardCount {
 		moves := delegation.PlanMoves(v)
 		for _, mv := range moves {
-			cy.reassign(mv, now)
+			px.reassign(mv, now)
 			v.Apply(mv)
 		}
 		if len(moves) == 0 {
@@ -402,24 +419,22 @@
 }
 
 // reassign lets a share change its carrier.
-func (cy *Proxy) reassign(mv delegation.Move, now time.Time) {
-	c := cy.c
-	p := c.Partitions[mv.Partition]
+func (px *Proxy) reassign(mv delegation.Move, now time.Time) {
+	p := px.Partitions[mv.Partition]
 	from := p.Delegations.Delegate(mv.Shard)
-	c.log.Info("a share changes its carrier", "part", mv.Partition, "share", mv.Shard, "from", from, "to", mv.To, "reason", mv.Reason)
-	c.metrics.Count(telemetry.ShareMoved, 1)
-	cy.recordMove(overview.Move{Part: mv.Partition, Share: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
+	px.log.Info("a share changes its carrier", "part", mv.Partition, "share", mv.Shard, "from", from, "to", mv.To, "reason", mv.Reason)
+	px.metrics.Count(telemetry.ShareMoved, 1)
+	px.recordMove(overview.Move{Part: mv.Partition, Share: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
 	p.Delegations.Assign(mv.Shard, mv.To)
-	cy.movedAt = now
+	px.movedAt = now
 }
 
 // view is what a plan is made of. All machines of a part that is just taken over count,
 // though none of them was heard yet.
-func (cy *Proxy) view(now time.Time, taken *Partition) delegation.View {
-	c := cy.c
-	v := delegation.View{Own: cy.Load(now)}
-	for _, label := range c.Labels {
-		ps := c.Peers[label]
+func (px *Proxy) view(now time.Time, taken *Partition) delegation.View {
+	v := delegation.View{Own: px.Load(now)}
+	for _, label := range px.Labels {
+		ps := px.Peers[label]
 		if ps == nil || ps.Summary == nil {
 			continue
 		}
@@ -432,8 +447,8 @@
 			Settled:   now.Sub(ps.HeardSince) >= delegateSettleTime && sum.StateSilenceS < 3})
 	}
 	counts := make(map[*Partition]*[delegation.ShardCount]int)
-	for _, m := range c.Machines {
-		p := c.Partitions[m.Record.Partition]
+	for _, m := range px.Machines {
+		p := px.Partitions[m.Record.Partition]
 		if p != taken && (!p.Held || !p.Ready || !m.HasReported || m.Lost) {
 			continue
 		}
@@ -445,7 +460,7 @@
 			v.Own.Machines++
 		}
 	}
-	for _, p := range c.Partitions {
+	for _, p := range px.Partitions {
 		if n := counts[p]; n != nil {
 			for s := range delegation.ShardCount {
 				v.Shards = append(v.Shards, delegation.Shard{Partition: p.Index, Index: s, Machines: n[s], Delegate: p.Delegations.Delegate(s)})
@@ -458,31 +473,31 @@
 // recentMovesLimit is how many moves are kept for operators.
 const recentMovesLimit = 16
 
-func (cy *Proxy) recordMove(mv overview.Move, now time.Time) {
-	cy.moves, cy.moveTimes = append(cy.moves, mv), append(cy.moveTimes, now)
-	if n := len(cy.moves) - recentMovesLimit; n > 0 {
-		cy.moves, cy.moveTimes = slices.Delete(cy.moves, 0, n), slices.Delete(cy.moveTimes, 0, n)
+func (px *Proxy) recordMove(mv overview.Move, now time.Time) {
+	px.moves, px.moveTimes = append(px.moves, mv), append(px.moveTimes, now)
+	if n := len(px.moves) - recentMovesLimit; n > 0 {
+		px.moves, px.moveTimes = slices.Delete(px.moves, 0, n), slices.Delete(px.moveTimes, 0, n)
 	}
 }
 
 // RecentMoves is the last moves with how long ago they were.
-func (cy *Proxy) RecentMoves(now time.Time) []overview.Move {
-	list := slices.Clone(cy.moves)
+func (px *Proxy) RecentMoves(now time.Time) []overview.Move {
+	list := slices.Clone(px.moves)
 	for i := range list {
-		list[i].AgoS = now.Sub(cy.moveTimes[i]).Seconds()
+		list[i].AgoS = now.Sub(px.moveTimes[i]).Seconds()
 	}
 	return list
 }
 
 // Overview says who carries what of a part.
-func (cy *Proxy) Overview(p *Partition, now time.Time) (list []overview.Carried) {
+func (px *Proxy) Overview(p *Partition, now time.Time) (list []overview.Carried) {
 	machines := map[string]int{}
-	for _, m := range cy.c.Machines {
+	for _, m := range px.Machines {
 		if m.Record.Partition == p.Index && m.HasReported && !m.Lost {
 			machines[p.Delegations.Delegate(m.Shard)]++
 		}
 	}
-	for _, k := range p.DelegationSummary(cy.c.Labels) {
+	for _, k := range p.DelegationSummary(px.Labels) {
 		active := slices.ContainsFunc(k.Shares, func(s uint32) bool { return p.Delegations.Active(int(s), now) })
 		list = append(list, overview.Carried{By: k.By, Shares: len(k.Shares), Machines: machines[k.By], Active: active})
 	}
@@ -513,14 +528,14 @@
 
 // ForwardCommands passes a machine's orders on by way of its carrier. An error that wraps
 // transport.ErrNotSent proves that they can never arrive.
-func (cy *Proxy) ForwardCommands(via, machine string, body []byte) (*transport.Response, error) {
+func (px *Proxy) ForwardCommands(via, machine string, body []byte) (*transport.Response, error) {
 	it := &forwardedCommand{Relayed: peer.Relayed{Machine: machine, Body: body}, done: make(chan *peer.RelayAnswer, 1)}
-	cy.mu.Lock()
-	first := len(cy.queued[via]) == 0
-	cy.queued[via] = append(cy.queued[via], it)
-	cy.mu.Unlock()
+	px.mu.Lock()
+	first := len(px.queued[via]) == 0
+	px.queued[via] = append(px.queued[via], it)
+	px.mu.Unlock()
 	if first {
-		cy.c.loop.Go(func() { cy.flush(via) })
+		px.loop.Go(func() { px.flush(via) })
 	}
 	a := <-it.done
 	switch {
@@ -533,16 +548,15 @@
 }
 
 // flush sends what was gathered for a carrier, as much as a message holds at a time.
-func (cy *Proxy) flush(via string) {
-	c := cy.c
-	c.loop.Sleep(forwardGatherDelay)
-	cy.mu.Lock()
-	batch := cy.queued[via]
-	delete(cy.queued, via)
-	cy.mu.Unlock()
+func (px *Proxy) flush(via string) {
+	px.loop.Sleep(forwardGatherDelay)
+	px.mu.Lock()
+	batch := px.queued[via]
+	delete(px.queued, via)
+	px.mu.Unlock()
 	for len(batch) > 0 {
 		n, size := 0, 0
-		req := &peer.RelayRequest{From: c.Settings.Label}
+		req := &peer.RelayRequest{From: px.Settings.Label}
 		for n < len(batch) && n < forwardCommandsLimit && (n == 0 || size+len(batch[n].Body) <= forwardBytesLimit) {
 			size += len(batch[n].Body)
 			req.Orders = append(req.Orders, &peer.Relayed{Machine: batch[n].Machine, Body: batch[n].Body})
@@ -550,21 +564,20 @@
 		}
 		lot := batch[:n]
 		batch = batch[n:]
-		c.loop.Go(func() { cy.forward(via, req, lot) })
+		px.loop.Go(func() { px.forward(via, req, lot) })
 	}
 }
 
-func (cy *Proxy) forward(via string, req *peer.RelayRequest, lot []*forwardedCommand) {
-	c := cy.c
+func (px *Proxy) forward(via string, req *peer.RelayRequest, lot []*forwardedCommand) {
 	reply := new(peer.RelayReply)
-	err := callPeer(c.loop.Context(), c.network, renewTimeout, c.Peers[via].Addr, ForwardPath, req, reply)
+	err := callPeer(px.loop.Context(), px.network, renewTimeout, px.Peers[via].Addr, ForwardPath, req, reply)
 	if err == nil && len(reply.Answers) != len(lot) {
 		err = fmt.Errorf("%d answers to %d orders", len(reply.Answers), len(lot))
 	}
 	if err != nil {
-		c.log.Debug("orders not relayed", "by", via, "reason", err)
-		c.loop.Do(func() {
-			for _, p := range c.Partitions {
+		px.log.Debug("orders not relayed", "by", via, "reason", err)
+		px.loop.Do(func() {
+			for _, p := range px.Partitions {
 				p.Delegations.MarkDown(via, time.Now())
 			}
 		})
@@ -580,19 +593,18 @@
 
 // HandleForwarded passes orders on to workers and answers with what they answered within a
 // moment. It decides nothing: workers obey or refuse orders by their token.
-func (cy *Proxy) HandleForwarded(who *Caller, body []byte) transport.Response {
-	c := cy.c
+func (px *Proxy) HandleForwarded(who *Caller, body []byte) transport.Response {
 	req := new(peer.RelayRequest)
 	if err := proto.Unmarshal(body, req); err != nil || len(req.Orders) > forwardCommandsLimit {
 		return Refuse(400, "bad request", 0)
 	}
-	if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
+	if refusal := px.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
 	}
 	addrs := make([]string, len(req.Orders))
-	if !c.loop.Do(func() {
+	if !px.loop.Do(func() {
 		for i, o := range req.Orders {
-			if m := c.Machines[o.Machine]; m != nil {
+			if m := px.Machines[o.Machine]; m != nil {
 				addrs[i] = m.Record.Addr
 			}
 		}
@@ -613,10 +625,10 @@
 		}
 		waiting++
 		go func() {
-			ctx, cancel := context.WithTimeout(c.loop.Context(), CommandTimeout)
+			ctx, cancel := context.WithTimeout(px.loop.Context(), CommandTimeout)
 			defer cancel()
 			a := &peer.RelayAnswer{}
-			resp, err := c.network.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
+			resp, err := px.network.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
 			if err == nil {
 				a.Status, a.Body = uint32(resp.Status), resp.Body
 			} else {
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -107,7 +107,7 @@
 			t.Errorf("workers report to %v, shares are spread as %v", homes, n)
 		}
 		w.in(owner, func(c *Controller) {
-			v := c.stateOverview(time.Now())
+			v := c.api.stateOverview(time.Now())
 			carried, moves := 0, len(v.Moves)
 			for _, p := range v.Parts {
 				for _, k := range p.Carried {
@@ -604,11 +604,11 @@
 		c, end := unrun(t)
 		defer end()
 		claim := func(version uint64, label, nonce string) {
-			c.applyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
+			c.watcher.applyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
 		}
-		c.applyListing(nil, 1)
+		c.watcher.applyListing(nil, 1)
 		claim(3, "n1", "x")
-		c.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
+		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
 		e, share := c.proxy.assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
 			e.leader, e.lease, e.grantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
@@ -618,7 +618,7 @@
 		report := &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}
 		answers := func(what string, want int, token uint64) {
 			t.Helper()
-			resp := c.HandleHeartbeat(report, []byte("body"))
+			resp := c.agents.HandleHeartbeat(report, []byte("body"))
 			var o protocol.Orders
 			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
 				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", what, resp.Status, o.Token, len(o.Commands), want, token)
@@ -632,10 +632,10 @@
 		answers("granted", 200, 3)
 		late := *report
 		report.Sequence = 9
-		c.HandleHeartbeat(&late, []byte("late"))
+		c.agents.HandleHeartbeat(&late, []byte("late"))
 		answers("a newer report", 200, 3)
 		late.Sequence = 8
-		if c.HandleHeartbeat(&late, []byte("late")); string(e.unsent["m-1"].raw) != "body" || e.unsentBytes != 4 {
+		if c.agents.HandleHeartbeat(&late, []byte("late")); string(e.unsent["m-1"].raw) != "body" || e.unsentBytes != 4 {
 			t.Errorf("%q, %d bytes to be told", e.unsent["m-1"].raw, e.unsentBytes)
 		}
 		grant()
@@ -665,7 +665,7 @@
 		c.Draining = false
 		grant()
 		claim(7, "n0", c.Nonce)
-		if resp := c.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.unsent) > 0 {
+		if resp := c.agents.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.unsent) > 0 {
 			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.unsent))
 		}
 	})
@@ -742,7 +742,7 @@
 		}
 		p.Delegations.Renew("n1", "x", 3, time.Minute, now)
 		report := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 1, Token: 5}
-		if resp := c.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
+		if resp := c.agents.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
 			t.Fatalf("status %d: not sent to its carrier", resp.Status)
 		}
 		j := &Job{Spec: spec("job-1", 1, "red")}
@@ -753,12 +753,12 @@
 		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
 		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * ClockDrift)} {
 			time.Sleep(wait)
-			if c.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
+			if c.agents.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
 				t.Fatalf("lost %s into its first lease", time.Since(now))
 			}
 		}
 		time.Sleep(2*ClockMargin + delegation.GrantDuration)
-		if c.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
+		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("not lost after its first lease")
 		}
 	})
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -15,23 +15,23 @@
 // AnswerBound is for how long a controller goes on answering its workers after the
 // last moment up to which it was informed, so that their tasks survive an outage of the
 // state service, yet one that is withdrawn elsewhere is gone within cancel_s (12, 42).
-func (c *Controller) AnswerBound() time.Duration {
-	return max(0, c.CancelBound-c.AgentLease-2*ClockMargin)
+func (s *State) AnswerBound() time.Duration {
+	return max(0, s.CancelBound-s.AgentLease-2*ClockMargin)
 }
 
 // InformedAt is the moment up to which this controller provably knows every withdrawal
 // that any user was told of, and held its claims. A renewal alone does not show the
 // first: it may come through while the watch brings nothing (42).
-func (c *Controller) InformedAt() time.Time {
-	if c.RecordsAsOf.Before(c.LeaseRenewedAt) {
-		return c.RecordsAsOf
+func (s *State) InformedAt() time.Time {
+	if s.RecordsAsOf.Before(s.LeaseRenewedAt) {
+		return s.RecordsAsOf
 	}
-	return c.LeaseRenewedAt
+	return s.LeaseRenewedAt
 }
 
 // MayAnswer says whether the controller may answer the workers of a part.
-func (c *Controller) MayAnswer(p *Partition, now time.Time) bool {
-	return p.Held && now.Sub(c.InformedAt()) < c.AnswerBound()
+func (s *State) MayAnswer(p *Partition, now time.Time) bool {
+	return p.Held && now.Sub(s.InformedAt()) < s.AnswerBound()
 }
 
 // acquireInterval is how often a controller looks whether there is something to
@@ -40,108 +40,107 @@
 
 // RenewLoop keeps the lease that all claims of this process hang on, and
 // claims what it should.
-func (c *Controller) RenewLoop() {
+func (lh *LeaseHolder) RenewLoop() {
 	var next time.Time
 	for {
 		if now := time.Now(); !now.Before(next) {
-			next = now.Add(c.Operator.ClaimTTL / 3)
-			if !c.renew() {
+			next = now.Add(lh.Operator.ClaimTTL / 3)
+			if !lh.renew() {
 				next = now // a refused renewal costs the claims if a third of their time goes by each time
 			}
 		}
-		c.acquireWanted()
+		lh.acquireWanted()
 		select {
 		case <-time.After(acquireInterval):
-		case <-c.LeaseWakeup:
-		case <-c.loop.Context().Done():
+		case <-lh.LeaseWakeup:
+		case <-lh.loop.Context().Done():
 			return
 		}
 	}
 }
 
 // renew says whether the state service took the request; if not, it is repeated soon.
-func (c *Controller) renew() bool {
+func (lh *LeaseHolder) renew() bool {
 	var lease uint64
-	if !c.loop.Do(func() { lease = c.LeaseID }) {
+	if !lh.loop.Do(func() { lease = lh.LeaseID }) {
 		return true
 	}
 	sent := time.Now()
 	var err error
 	if lease == 0 {
-		lease, err = c.store.GrantLease(c.loop.Context(), c.Operator.ClaimTTL)
+		lease, err = lh.store.GrantLease(lh.loop.Context(), lh.Operator.ClaimTTL)
 	} else {
-		err = c.store.RenewLease(c.loop.Context(), lease, time.Second)
+		err = lh.store.RenewLease(lh.loop.Context(), lease, time.Second)
 	}
-	c.loop.Do(func() {
+	lh.loop.Do(func() {
 		switch {
 		case errors.Is(err, storage.ErrNotFound):
-			c.loseAll("the lease ended")
+			lh.loseAll("the lease ended")
 		case err != nil:
-			c.log.Debug("renewal failed", "reason", err)
+			lh.log.Debug("renewal failed", "reason", err)
 		default:
-			c.LeaseID, c.LeaseRenewedAt = lease, sent
+			lh.LeaseID, lh.LeaseRenewedAt = lease, sent
 		}
 	})
 	return !errors.Is(err, storage.ErrRefused)
 }
 
 // acquireWanted claims what this controller wants, while its lease is alive.
-func (c *Controller) acquireWanted() {
+func (lh *LeaseHolder) acquireWanted() {
 	type wish struct {
 		key     string
 		version uint64
 	}
 	var wishes []wish
 	var lease uint64
-	c.loop.Do(func() {
+	lh.loop.Do(func() {
 		now, handed := time.Now(), false
-		if lease = c.LeaseID; lease == 0 || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL/2 {
+		if lease = lh.LeaseID; lease == 0 || now.Sub(lh.LeaseRenewedAt) > lh.Operator.ClaimTTL/2 {
 			return
 		}
-		for _, p := range c.Partitions {
-			if !handed && c.replicator.ShouldHandBack(p, now) {
+		for _, p := range lh.Partitions {
+			if !handed && lh.takeover.ShouldHandBack(p, now) {
 				handed = true // one at a time: each goes into the record of this life
 				version := p.LeaseRevision
-				c.LosePartition(p, "handed back")
+				lh.LosePartition(p, "handed back")
 				p.AcquiredAt = now
-				txn := c.releaseTransaction([]storage.ReleasedLease{{Partition: p.Index, LeaseRevision: version}}, 0)
-				c.loop.Go(func() { c.releaseLeases(c.loop.Context(), txn) })
+				txn := lh.releaseTransaction([]storage.ReleasedLease{{Partition: p.Index, LeaseRevision: version}}, 0)
+				lh.loop.Go(func() { lh.releaseLeases(lh.loop.Context(), txn) })
 				continue
 			}
-			if c.replicator.WantsPartition(p, now) {
+			if lh.takeover.WantsPartition(p, now) {
 				wishes = append(wishes, wish{storage.LeaseKey(p.Index), p.LeaseRevision})
 			}
 		}
-		if c.replicator.WantsLeadership(now) {
-			wishes = append(wishes, wish{storage.LeadershipKey, c.Leadership.Revision})
+		if lh.takeover.WantsLeadership(now) {
+			wishes = append(wishes, wish{storage.LeadershipKey, lh.Leadership.Revision})
 		}
 	})
-	if lease == 0 || !c.announceIncarnation(lease) {
+	if lease == 0 || !lh.announceIncarnation(lease) {
 		return
 	}
 	for _, w := range wishes {
-		c.acquireLease(w.key, w.version, lease)
+		lh.acquireLease(w.key, w.version, lease)
 	}
 }
 
 // acquireLease tries to take a claim that is free or held by this controller's former
 // life. An unanswered attempt shows in the watch, where the nonce tells it.
-func (s *leaseHolder) acquireLease(key string, version, lease uint64) {
-	c := s.c
-	value := storage.Encode(storage.Lease{Holder: c.Settings.Label, Nonce: c.Nonce})
-	rev, err := c.store.CommitLease(c.loop.Context(), &protocol.Transaction{
+func (lh *LeaseHolder) acquireLease(key string, version, lease uint64) {
+	value := storage.Encode(storage.Lease{Holder: lh.Settings.Label, Nonce: lh.Nonce})
+	rev, err := lh.store.CommitLease(lh.loop.Context(), &protocol.Transaction{
 		If:   []protocol.Condition{{Key: key, Version: version}},
 		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
 	})
 	if errors.Is(err, storage.ErrLeaseGone) {
-		c.loop.Do(func() { c.loseAll("the lease ended") })
+		lh.loop.Do(func() { lh.loseAll("the lease ended") })
 		return
 	}
 	if err != nil {
-		c.log.Debug("claim failed", "key", key, "reason", err)
+		lh.log.Debug("claim failed", "key", key, "reason", err)
 		return
 	}
-	c.loop.Do(func() { c.applyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
+	lh.loop.Do(func() { lh.watcher.applyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
 }
 
 // SettleTime is how long a controller must have been heard, and a part have had
@@ -158,72 +157,71 @@
 // it still answers workers, its answers would outlast the bound that the next
 // owner counts on (8, 12). If the end goes unrecorded, the part is claimed
 // again like one of a former life.
-func (s *leaseHolder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
-	c := s.c
-	rev, err := c.store.CommitLease(ctx, txn)
+func (lh *LeaseHolder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
+	rev, err := lh.store.CommitLease(ctx, txn)
 	if err != nil {
-		c.log.Info("claims not released", "reason", err)
+		lh.log.Info("claims not released", "reason", err)
 		return false
 	}
-	c.loop.Do(func() {
+	lh.loop.Do(func() {
 		for _, ch := range txn.Then {
-			c.applyEvent(protocol.Event{Put: ch.Put, Delete: ch.Delete, Value: ch.Value, Version: rev})
+			lh.watcher.applyEvent(protocol.Event{Put: ch.Put, Delete: ch.Delete, Value: ch.Value, Version: rev})
 		}
 	})
 	return true
 }
 
 // ApplyLease follows who owns a part.
-func (c *Controller) ApplyLease(p *Partition, e protocol.Event, now time.Time) {
+func (lh *LeaseHolder) ApplyLease(p *Partition, e protocol.Event, now time.Time) {
 	if e.Version < p.LeaseRevision || e.Put != "" && e.Version == p.LeaseRevision {
 		return
 	}
 	if p.LeaseRevision != 0 {
-		c.noteFormerLeader(p, now)
+		lh.noteFormerLeader(p, now)
 	}
 	if e.Delete != "" {
 		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
-		c.LosePartition(p, "the claim ended")
-		eventloop.Signal(c.LeaseWakeup)
+		lh.LosePartition(p, "the claim ended")
+		eventloop.Signal(lh.LeaseWakeup)
 		return
 	}
 	var claim storage.Lease
 	if err := storage.Decode(e.Value, &claim); err != nil {
-		c.log.Error("bad claim record", "part", p.Index, "reason", err)
+		lh.log.Error("bad claim record", "part", p.Index, "reason", err)
 		return
 	}
-	c.LosePartition(p, "the claim changed hands")
+	lh.LosePartition(p, "the claim changed hands")
 	p.Leader, p.LeaderNonce, p.LeaseRevision = claim.Holder, claim.Nonce, e.Version
-	if claim.Holder == c.Settings.Label && claim.Nonce == c.Nonce {
+	if claim.Holder == lh.Settings.Label && claim.Nonce == lh.Nonce {
 		p.Held, p.Ready, p.AcquiredAt = true, false, now
-		c.log.Info("part claimed", "part", p.Index, "token", p.LeaseRevision)
-		c.loop.Go(func() { c.replicator.TakeOver(p, e.Version) })
+		lh.log.Info("part claimed", "part", p.Index, "token", p.LeaseRevision)
+		lh.loop.Go(func() { lh.takeover.TakeOver(p, e.Version) })
 	}
 }
 
 // LosePartition stops acting for a part.
-func (c *Controller) LosePartition(p *Partition, reason string) {
+func (lh *LeaseHolder) LosePartition(p *Partition, reason string) {
 	if !p.Held {
 		return
 	}
-	c.log.Info("part lost", "part", p.Index, "reason", reason)
+	lh.log.Info("part lost", "part", p.Index, "reason", reason)
 	p.Held, p.Ready, p.FairShare = false, false, FairShareState{}
 	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), delegation.Ledger{}
-	c.ClearPartition(p)
+	lh.ClearPartition(p)
 }
 
-func (c *Controller) ClearPartition(p *Partition) {
+func (lh *LeaseHolder) ClearPartition(p *Partition) {
 	p.Cleared = true
 	clear(p.Usage)
-	for id, j := range c.Jobs {
+	for id, j := range lh.Jobs {
 		if j.Partition != p.Index {
 			continue
 		}
-		if j.Unload(); c.FinalStates[id] != "" {
-			delete(c.Jobs, id)
+		if j.Unload(); lh.FinalStates[id] != "" {
+			delete(lh.Jobs, id)
 		}
 	}
-	for _, m := range c.Machines {
+	for _, m := range lh.Machines {
 		if m.Record.Partition == p.Index {
 			m.Reset()
 		}
@@ -240,34 +238,33 @@
 	m.RecountUsed()
 }
 
-func (c *Controller) loseAll(reason string) {
-	c.LeaseID = 0
-	for _, p := range c.Partitions {
-		c.LosePartition(p, reason)
+func (lh *LeaseHolder) loseAll(reason string) {
+	lh.LeaseID = 0
+	for _, p := range lh.Partitions {
+		lh.LosePartition(p, reason)
 	}
-	c.DropLeadership(reason)
+	lh.autoscaler.DropLeadership(reason)
 }
 
 // CheckReachability gives parts up that this controller can't serve: when none of
 // its workers has been heard for several report periods while other
 // controllers hear them, it is cut off from the workers and must let go (11).
-func (s *leaseHolder) CheckReachability(now time.Time) {
-	c := s.c
-	silence := max(3*c.HeartbeatInterval, 4*time.Second)
-	for _, ps := range c.Peers {
+func (lh *LeaseHolder) CheckReachability(now time.Time) {
+	silence := max(3*lh.HeartbeatInterval, 4*time.Second)
+	for _, ps := range lh.Peers {
 		if !ps.Alive(now) {
 			continue
 		}
 		for _, name := range ps.Summary.Strayed {
-			if m := c.Machines[name]; m != nil && m.DivertedSince.IsZero() {
+			if m := lh.Machines[name]; m != nil && m.DivertedSince.IsZero() {
 				m.DivertedSince = now
 			}
 		}
 	}
 	var machines, silent int
 	strayed := false
-	for _, m := range c.Machines {
-		p := c.Partitions[m.Record.Partition]
+	for _, m := range lh.Machines {
+		p := lh.Partitions[m.Record.Partition]
 		// A worker that comes and can't be answered, in an outage say, reaches this
 		// controller all the same.
 		heard := m.LastHeardAt
@@ -288,10 +285,10 @@
 		strayed = strayed || !m.DivertedSince.IsZero() && now.Sub(m.DivertedSince) > silence
 	}
 	if machines > 0 && silent == machines && strayed {
-		c.log.Info("resigning", "reason", "no worker heard while others hear them", "machines", machines)
-		c.ResignedAt = now
-		lease := c.LeaseID
-		c.loseAll("resigned")
-		c.loop.Go(func() { c.store.RevokeLease(c.loop.Context(), lease) })
+		lh.log.Info("resigning", "reason", "no worker heard while others hear them", "machines", machines)
+		lh.ResignedAt = now
+		lease := lh.LeaseID
+		lh.loseAll("resigned")
+		lh.loop.Go(func() { lh.store.RevokeLease(lh.loop.Context(), lease) })
 	}
 }
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commits.go
@@ -3,15 +3,44 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"strconv"
 	"time"
 
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/telemetry"
 
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 )
 
+// Committer writes the records of the partitions that this controller leads.
+type Committer struct {
+	*State
+	loop    *eventloop.Loop
+	store   *storage.Store
+	log     *slog.Logger
+	metrics *telemetry.Metrics
+
+	agents    *Agents
+	jobs      *Tracker
+	leases    *LeaseHolder
+	scheduler *Scheduler
+}
+
+// NewCommitter makes one without collaborators.
+func NewCommitter(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Committer {
+	return &Committer{State: state, loop: loop, store: store, log: log}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (co *Committer) Connect(agents *Agents, jobs *Tracker, leases *LeaseHolder, scheduler *Scheduler) {
+	co.agents, co.jobs, co.leases, co.scheduler = agents, jobs, leases, scheduler
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (co *Committer) Observe(m *telemetry.Metrics) { co.metrics = m }
+
 // lazyRecordDelay is how long a record that no start and no user waits for may
 // gather further changes before it is written.
 const lazyRecordDelay = 2 * time.Second
@@ -36,42 +65,42 @@
 }
 
 // CommitLoop writes a part's records, one transaction at a time.
-func (c *Controller) CommitLoop(p *Partition) {
-	tries := c.loop.Tries("commit "+strconv.Itoa(p.Index), commitBackoff)
+func (co *Committer) CommitLoop(p *Partition) {
+	tries := co.loop.Tries("commit "+strconv.Itoa(p.Index), commitBackoff)
 	for {
 		select {
 		case <-p.Wakeup:
-		case <-c.loop.Context().Done():
+		case <-co.loop.Context().Done():
 			return
 		}
 		for {
 			var b *commitBatch
 			var unsure []batchChunk
-			c.loop.Do(func() {
-				if unsure = c.unconfirmedChunks(p); len(unsure) == 0 {
-					b = c.prepareBatch(p, time.Now())
+			co.loop.Do(func() {
+				if unsure = co.unconfirmedChunks(p); len(unsure) == 0 {
+					b = co.prepareBatch(p, time.Now())
 				}
 				p.Committing = b != nil
 			})
-			if len(unsure) > 0 && !c.rereadChunks(p, unsure) && !c.loop.Sleep(tries.Failed()) {
+			if len(unsure) > 0 && !co.rereadChunks(p, unsure) && !co.loop.Sleep(tries.Failed()) {
 				return
 			}
 			if b == nil {
 				break
 			}
-			ctx, cancel := context.WithTimeout(c.loop.Context(), 10*time.Second)
-			commit := c.store.Commit
+			ctx, cancel := context.WithTimeout(co.loop.Context(), 10*time.Second)
+			commit := co.store.Commit
 			if len(b.cancellations) > 0 {
-				commit = c.store.CommitAhead
+				commit = co.store.CommitAhead
 			}
 			begun := time.Now()
 			rev, err := commit(ctx, &b.txn)
 			cancel()
-			c.metrics.Took(telemetry.Commit, time.Since(begun), time.Now())
-			c.loop.Do(func() { c.batchCommitted(p, b, rev, err) })
+			co.metrics.Took(telemetry.Commit, time.Since(begun), time.Now())
+			co.loop.Do(func() { co.batchCommitted(p, b, rev, err) })
 			if err == nil {
 				tries.Succeeded()
-			} else if !c.loop.Sleep(tries.Failed()) {
+			} else if !co.loop.Sleep(tries.Failed()) {
 				return
 			}
 		}
@@ -79,12 +108,12 @@
 }
 
 // unconfirmedChunks lists chunks whose last write went unanswered.
-func (c *Controller) unconfirmedChunks(p *Partition) []batchChunk {
+func (co *Committer) unconfirmedChunks(p *Partition) []batchChunk {
 	var list []batchChunk
 	if !p.Held || !p.Ready || !p.Unconfirmed {
 		return nil
 	}
-	for _, j := range c.Jobs {
+	for _, j := range co.Jobs {
 		if j.Partition == p.Index && j.Loaded {
 			for _, ch := range j.Chunks {
 				if ch.Unconfirmed && len(list) < 8 {
@@ -100,19 +129,19 @@
 // rereadChunks reads keys whose write went unanswered. The stamp seen goes into the
 // next write's conditions, so that the late one and the retry exclude each
 // other (2).
-func (c *Controller) rereadChunks(p *Partition, list []batchChunk) bool {
+func (co *Committer) rereadChunks(p *Partition, list []batchChunk) bool {
 	for _, b := range list {
 		id := b.job.Spec.ID
-		item, err := c.store.Get(c.loop.Context(), storage.RunKey(p.Index, id, b.chunk.Index))
+		item, err := co.store.Get(co.loop.Context(), storage.RunKey(p.Index, id, b.chunk.Index))
 		if err != nil && !errors.Is(err, storage.ErrNotFound) {
 			return false
 		}
-		final, ferr := c.store.Get(c.loop.Context(), storage.FinalKey(id))
+		final, ferr := co.store.Get(co.loop.Context(), storage.FinalKey(id))
 		if ferr != nil && !errors.Is(ferr, storage.ErrNotFound) {
 			return false
 		}
-		c.loop.Do(func() {
-			if c.Jobs[id] != b.job || !b.job.Loaded || !p.Held {
+		co.loop.Do(func() {
+			if co.Jobs[id] != b.job || !b.job.Loaded || !p.Held {
 				return // the part was lost meanwhile
 			}
 			b.chunk.Unconfirmed = false
@@ -122,7 +151,7 @@
 			}
 			b.job.MarkDirty(b.chunk.Index*storage.ChunkTasks, true, time.Now())
 			if ferr == nil {
-				c.ApplyFinalRecord(id, final.Value)
+				co.jobs.ApplyFinalRecord(id, final.Value)
 			}
 		})
 	}
@@ -130,15 +159,15 @@
 }
 
 // prepareBatch places waiting tasks and gathers what should be written now.
-func (c *Controller) prepareBatch(p *Partition, now time.Time) *commitBatch {
-	if !p.Held || !p.Ready || c.Draining || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL+10*time.Second {
+func (co *Committer) prepareBatch(p *Partition, now time.Time) *commitBatch {
+	if !p.Held || !p.Ready || co.Draining || now.Sub(co.LeaseRenewedAt) > co.Operator.ClaimTTL+10*time.Second {
 		return nil
 	}
 	b := &commitBatch{}
 	b.txn.If = append(b.txn.If, protocol.Condition{Key: storage.LeaseKey(p.Index), Version: p.LeaseRevision})
-	ops := c.store.TxnOps()
+	ops := co.store.TxnOps()
 	// Users were told already that what these jobs need is withdrawn (21, 22).
-	for _, j := range c.Dependencies.DoomedJobs {
+	for _, j := range co.Dependencies.DoomedJobs {
 		if len(b.txn.Then) == ops {
 			break
 		}
@@ -150,13 +179,13 @@
 	if len(b.cancellations) > 0 {
 		return b
 	}
-	due := c.RaiseTokens(b, c.TokensDue(p, now), now, ops/2)
-	c.Place(p, now)
-	c.Preempt(p, now)
+	due := co.RaiseTokens(b, co.agents.TokensDue(p, now), now, ops/2)
+	co.scheduler.Place(p, now)
+	co.scheduler.Preempt(p, now)
 	size := 0
-	for _, j := range c.Queue(p) {
-		if j.Completing && c.FinalStates[j.Spec.ID] == "" {
-			c.addCompletion(b, p, j, now, ops)
+	for _, j := range co.scheduler.Queue(p) {
+		if j.Completing && co.FinalStates[j.Spec.ID] == "" {
+			co.addCompletion(b, p, j, now, ops)
 			continue
 		}
 		for _, ch := range j.Chunks {
@@ -164,28 +193,28 @@
 			if !ch.Dirty || ch.Unconfirmed || !due || len(b.txn.Then) >= ops || size > 40<<10 {
 				continue
 			}
-			size += c.addChunk(b, p, j, ch)
+			size += co.addChunk(b, p, j, ch)
 		}
 	}
-	c.RaiseTokens(b, due, now, ops)
+	co.RaiseTokens(b, due, now, ops)
 	if len(b.txn.Then) == 0 {
 		return nil
 	}
 	return b
 }
 
-func (c *Controller) addChunk(b *commitBatch, p *Partition, j *Job, ch *RunChunk) int {
+func (co *Committer) addChunk(b *commitBatch, p *Partition, j *Job, ch *RunChunk) int {
 	id := j.Spec.ID
 	key := storage.RunKey(p.Index, id, ch.Index)
 	run := j.RunRecord(ch)
-	if limit := c.store.ValueBytes(); run.Size() > limit {
+	if limit := co.store.ValueBytes(); run.Size() > limit {
 		// Written under higher limits, or the service takes less than it said.
 		// What only waits for the record can wait elsewhere; the rest is written
 		// when enough of its tasks have ended.
-		c.unreserveChunk(j, ch)
+		co.unreserveChunk(j, ch)
 		if run = j.RunRecord(ch); run.Size() > limit {
 			if !ch.Oversized {
-				c.log.Error("run record is too large for now", "job", id, "chunk", ch.Index, "size", run.Size(), "limit", limit)
+				co.log.Error("run record is too large for now", "job", id, "chunk", ch.Index, "size", run.Size(), "limit", limit)
 			}
 			ch.Oversized = true
 			return 0
@@ -194,7 +223,7 @@
 	ch.Oversized = false
 	bc := batchChunk{job: j, chunk: ch, generation: ch.Generation, exited: ch.Exited}
 	ch.Exited = nil
-	if c.FinalStates[id] != "" && len(run.Live) == 0 {
+	if co.FinalStates[id] != "" && len(run.Live) == 0 {
 		bc.deleted = true
 		if ch.Revision == 0 {
 			// Nothing on record, nothing to remove.
@@ -203,7 +232,7 @@
 				a.State = AttemptReleased
 			}
 			delete(j.Chunks, ch.Index)
-			c.DropIfReleased(j)
+			co.jobs.DropIfReleased(j)
 			return 0
 		}
 	}
@@ -230,18 +259,18 @@
 }
 
 // unreserveChunk gives up the attempts of a chunk that are not on record.
-func (c *Controller) unreserveChunk(j *Job, ch *RunChunk) {
+func (co *Committer) unreserveChunk(j *Job, ch *RunChunk) {
 	now := time.Now()
 	for _, a := range j.Attempts() {
 		if a.State == AttemptReserved && a.TaskIndex/storage.ChunkTasks == ch.Index {
-			c.ReleaseAttempt(a, "no room in the record", now)
+			co.agents.ReleaseAttempt(a, "no room in the record", now)
 		}
 	}
 }
 
 // HasRecordRoom says whether the record of a chunk has room for one more attempt.
 // It adds up what the chunk's tasks take now; as they end, that only falls.
-func (c *Controller) HasRecordRoom(j *Job, task int, number uint64, m *Machine) bool {
+func (sched *Scheduler) HasRecordRoom(j *Job, task int, number uint64, m *Machine) bool {
 	size := storage.RunBase + storage.AttemptSize(number, m.Name, m.Epoch)
 	index := task / storage.ChunkTasks
 	for t := index * storage.ChunkTasks; t < min((index+1)*storage.ChunkTasks, j.Spec.Tasks); t++ {
@@ -251,11 +280,11 @@
 			size += storage.RangeSize
 		}
 	}
-	return size <= c.store.ValueBytes()
+	return size <= sched.store.ValueBytes()
 }
 
 // addCompletion makes a job done and removes its run records if they fit in.
-func (c *Controller) addCompletion(b *commitBatch, p *Partition, j *Job, now time.Time, ops int) {
+func (co *Committer) addCompletion(b *commitBatch, p *Partition, j *Job, now time.Time, ops int) {
 	if len(b.txn.Then) >= ops {
 		return
 	}
@@ -281,11 +310,11 @@
 }
 
 // batchCommitted takes in the outcome of a batch.
-func (c *Controller) batchCommitted(p *Partition, b *commitBatch, rev uint64, err error) {
+func (co *Committer) batchCommitted(p *Partition, b *commitBatch, rev uint64, err error) {
 	now := time.Now()
 	p.Committing = false
 	if err != nil {
-		c.batchFailed(p, b, err)
+		co.batchFailed(p, b, err)
 		return
 	}
 	if !p.Held || b.txn.If[0].Version != p.LeaseRevision {
@@ -315,31 +344,31 @@
 		}
 	}
 	for m := range targets {
-		c.SendCommands(m)
+		co.agents.SendCommands(m)
 	}
 	for _, m := range b.tokenRaises {
-		if c.Machines[m.Name] == m {
-			c.MachineRecorded(m.Name, m.Record, rev, now)
+		if co.Machines[m.Name] == m {
+			co.agents.MachineRecorded(m.Name, m.Record, rev, now)
 		}
 	}
 	for _, j := range b.cancellations {
-		c.SetFinal(j.Spec.ID, protocol.StatusWithdrawn, now)
+		co.jobs.SetFinal(j.Spec.ID, protocol.StatusWithdrawn, now)
 	}
 	for _, j := range b.completions {
-		c.metrics.Took(telemetry.Finish, now.Sub(j.SubmittedAt), now)
+		co.metrics.Took(telemetry.Finish, now.Sub(j.SubmittedAt), now)
 		if due, ok := j.Deadline(); ok && now.After(due) {
-			c.metrics.Count(telemetry.Late, 1)
+			co.metrics.Count(telemetry.Late, 1)
 		}
-		c.log.Info("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", now.Sub(j.SubmittedAt),
+		co.log.Info("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", now.Sub(j.SubmittedAt),
 			"due_s", j.Spec.DeadlineS)
-		c.SetFinal(j.Spec.ID, protocol.StatusDone, now)
+		co.jobs.SetFinal(j.Spec.ID, protocol.StatusDone, now)
 	}
 	for _, bc := range b.chunks {
-		c.DropIfReleased(bc.job)
+		co.jobs.DropIfReleased(bc.job)
 	}
 }
 
-func (c *Controller) batchFailed(p *Partition, b *commitBatch, err error) {
+func (co *Committer) batchFailed(p *Partition, b *commitBatch, err error) {
 	var conflict *storage.Conflict
 	unknown := errors.Is(err, storage.ErrUnknown)
 	for _, bc := range b.chunks {
@@ -349,8 +378,8 @@
 		p.Unconfirmed = p.Unconfirmed || unknown
 	}
 	if unknown {
-		c.metrics.Count(telemetry.Unanswered, 1)
-		c.log.Info("commit unanswered", "part", p.Index, "reason", err)
+		co.metrics.Count(telemetry.Unanswered, 1)
+		co.log.Info("commit unanswered", "part", p.Index, "reason", err)
 		for _, m := range b.tokenRaises {
 			// The watch or the next report shows whether it was applied.
 			m.RaiseTokenBy(time.Now())
@@ -358,18 +387,18 @@
 		return
 	}
 	if !errors.As(err, &conflict) {
-		c.log.Debug("commit refused", "part", p.Index, "reason", err)
+		co.log.Debug("commit refused", "part", p.Index, "reason", err)
 		return
 	}
-	c.metrics.Count(telemetry.Conflict, 1)
+	co.metrics.Count(telemetry.Conflict, 1)
 	for _, key := range conflict.Failed {
 		switch kind, id := storage.ParseKey(key); kind {
 		case storage.KindLease:
 			if b.txn.If[0].Version == p.LeaseRevision {
-				c.LosePartition(p, "a commit found the claim gone")
+				co.leases.LosePartition(p, "a commit found the claim gone")
 			}
 		case storage.KindFinal:
-			c.loop.Go(func() { c.readFinal(id) })
+			co.loop.Go(func() { co.readFinal(id) })
 		case storage.KindMachine:
 			// The watch brings the newer record.
 		default:
@@ -383,10 +412,10 @@
 }
 
 // readFinal reads how a job ended, when a commit found that it has.
-func (c *Controller) readFinal(id string) {
-	item, err := c.store.Get(c.loop.Context(), storage.FinalKey(id))
+func (co *Committer) readFinal(id string) {
+	item, err := co.store.Get(co.loop.Context(), storage.FinalKey(id))
 	if err != nil {
 		return
 	}
-	c.loop.Do(func() { c.ApplyFinalRecord(id, item.Value) })
+	co.loop.Do(func() { co.jobs.ApplyFinalRecord(id, item.Value) })
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -5,99 +5,43 @@
 
 import (
 	"context"
-	"crypto/rand"
 	"log/slog"
-	"slices"
 	"time"
 
-	"golang.org/x/time/rate"
-
-	"micaspindle/internal/coordination/binpack"
-	"micaspindle/internal/coordination/fairshare"
-	"micaspindle/internal/coordination/partition"
 	"micaspindle/internal/eventloop"
-	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/retry"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
+	"micaspindle/internal/transport"
 )
 
-// Controller is one controller process.
+// Controller is one controller process: the state of its loop, and the components that run
+// on it. It wires them and decides nothing itself.
 type Controller struct {
-	Settings *settings.Settings
-	Operator settings.Operator
-	network  storage.Requester
-	store    *storage.Store
-	// cloudBudget keeps this controller within its share of the cloud's limit.
-	cloudBudget *rate.Limiter
-	// cloudCircuit leaves its interface alone while it does not answer.
-	cloudCircuit retry.Circuit
-	log          *slog.Logger
+	*State
+	loop  *eventloop.Loop
+	store *storage.Store
+	log   *slog.Logger
 	// metrics measures what people notice; nil: nothing is measured.
 	metrics *telemetry.Metrics
-	// guard asks who comes; nil: everybody may do everything.
-	guard  *authorizer
-	Nonce  string
-	loop   *eventloop.Loop
-	bounds *telemetry.BoundReporter
-
-	// Derived from the settings once.
-	TeamIndex         map[string]int
-	TeamPartition     []int
-	Labels            []string // all controllers, sorted
-	SelfIndex         int
-	AgentLease        time.Duration
-	CancelBound       time.Duration
-	HeartbeatInterval time.Duration
-
-	// Owned by the loop.
-	Synced               bool
-	Partitions           []*Partition
-	Jobs                 map[string]*Job
-	FinalStates          map[string]string
-	Dependencies         DependencyGraph
-	Machines             map[string]*Machine
-	DeletedMachines      map[string]time.Time // machines that were deleted, for late reports
-	MachineTypes         map[string]*protocol.MachineType
-	Catalog              []protocol.MachineType
-	Peers                map[string]*Peer
-	UnregisteredMachines map[string]*peer.UnknownMachine
-	LeaseID              uint64
-	LeaseRenewedAt       time.Time // when the last confirmed renewal was sent
-	ResignedAt           time.Time
-	DivertedMachines     map[string]time.Time
-	Leadership           Leadership
-	StartedAt            time.Time
-	runtimeCorrections   map[string]*runtimeCorrection
-	scarcityCache        binpack.Scarcity
-	scarcityAt           time.Time
-	ownSummary           cachedSummary
-	queueBuffers         queueBuffers
-	placementBuffers     placementBuffers
-	policy               policyRecords
-	jobQueues            jobQueueIndex
-	ClassGroups          map[string]int // groups of the floor, after the teams'
-	leaseHolder
-	replicator    Replicator
-	proxy         Proxy
-	Cancellations CancellationNotices
-	// repeatedCommands counts orders under way beside earlier ones to the same machine.
-	repeatedCommands int
-	// Draining: this controller is about to end and hands over what it has.
-	Draining bool
-	// LastLeaderUpdate is what the last leader told of what it was about.
-	LastLeaderUpdate LeaderUpdate
-	// LeaseWakeup lets claims be looked at before their next turn.
-	LeaseWakeup chan struct{}
-	// WriteDemand is how many changes a second this controller wants.
-	WriteDemand float64
-	// RecordsAsOf is when a listing or watch was asked for whose answer is taken in:
-	// everything up to then is known.
-	RecordsAsOf time.Time
-	// ListedEnds is when jobs ended, while a listing is taken in.
-	ListedEnds map[string]time.Time
+	bounds  *telemetry.BoundReporter
+
+	scheduler  *Scheduler
+	agents     *Agents
+	jobs       *Tracker
+	committer  *Committer
+	leases     *LeaseHolder
+	replicator *Replicator
+	takeover   *Takeover
+	proxy      *Proxy
+	cloud      *CloudClient
+	autoscaler *Autoscaler
+	peering    *Exchange
+	auth       *Auth
+	watcher    *Watcher
+	api        *Server
 }
 
 // Peer is what another controller last said of itself.
@@ -136,71 +80,98 @@
 // ClockDrift is by how much steady clocks may differ, with room to spare.
 const ClockDrift = 1.001
 
-// New makes a controller that lives until ctx ends; Run starts its duties, but
-// requests may come before.
-func New(ctx context.Context, set *settings.Settings, op settings.Operator, net storage.Requester, log *slog.Logger) *Controller {
-	p := set.Params
+// New makes a controller that lives until ctx ends; Run starts its tasks, but requests may
+// come before.
+func New(ctx context.Context, set *settings.Settings, op settings.Operator, network storage.Requester, log *slog.Logger) *Controller {
+	params := set.Params
+	state := NewState(set, op)
+	loop := eventloop.New(ctx, set.Label)
+	store := storage.NewStore(network, set.Services.State, params.State, params.Count)
+	bounds := telemetry.NewBoundReporter(log)
+	store.PollsFull = func() { bounds.Met(telemetry.WaitingPolls, 1) }
 	c := &Controller{
-		loop: eventloop.New(ctx, set.Label), bounds: telemetry.NewBoundReporter(log), StartedAt: time.Now(), Settings: set, Operator: op, network: net, log: log,
-		store:       storage.NewStore(net, set.Services.State, p.State, p.Count),
-		Nonce:       rand.Text(),
-		cloudBudget: rate.NewLimiter(rate.Limit(p.Cloud.RPS*0.8), 2),
+		State: state, loop: loop, store: store, log: log, bounds: bounds,
+		scheduler:  NewScheduler(state, store, log, bounds),
+		agents:     NewAgents(state, loop, network, store, log),
+		jobs:       NewTracker(state, log, bounds),
+		committer:  NewCommitter(state, loop, store, log),
+		leases:     NewLeaseHolder(state, loop, store, log),
+		replicator: NewReplicator(state, loop, network, store, log, bounds),
+		takeover:   NewTakeover(state, loop, store, log),
+		proxy:      NewProxy(state, loop, network, log, bounds),
+		cloud:      NewCloudClient(state, loop, network),
+		autoscaler: NewAutoscaler(state, loop, network, store, log),
+		peering:    NewExchange(state, loop, network, store, log, bounds),
+		auth:       NewAuth(state, loop, store, log, bounds),
+		watcher:    NewWatcher(state, loop, store, log),
+		api:        NewServer(state, loop, store),
+	}
+	c.Dependencies.Init(c.Jobs, c.scheduler.JobRunTime)
+	c.connect()
+	return c
+}
 
-		TeamIndex: map[string]int{}, TeamPartition: partition.Assign(p.Teams, p.Count),
-		AgentLease: settings.Seconds(p.Workers.LeaseS), CancelBound: settings.Seconds(p.Workers.CancelS),
-		HeartbeatInterval: settings.Seconds(p.Workers.ReportS),
+// connect gives the components their collaborators.
+func (c *Controller) connect() {
+	c.scheduler.Connect(c.agents)
+	c.agents.Connect(c.cloud, c.jobs, c.leases, c.proxy, c.scheduler)
+	c.jobs.Connect(c.agents, c.auth, c.scheduler)
+	c.committer.Connect(c.agents, c.jobs, c.leases, c.scheduler)
+	c.leases.Connect(c.autoscaler, c.replicator, c.takeover, c.watcher)
+	c.replicator.Connect(c.auth, c.autoscaler, c.scheduler)
+	c.takeover.Connect(c.agents, c.jobs, c.leases, c.proxy, c.replicator)
+	c.proxy.Connect(c.agents, c.auth)
+	c.autoscaler.Connect(c.agents, c.cloud, c.peering, c.scheduler)
+	c.peering.Connect(c.jobs, c.proxy, c.replicator, c.scheduler)
+	c.watcher.Connect(c.agents, c.auth, c.autoscaler, c.jobs, c.leases, c.scheduler)
+	c.api.Connect(c.agents, c.auth, c.cloud, c.jobs, c.proxy, c.replicator, c.watcher)
+}
 
-		Jobs: map[string]*Job{}, FinalStates: map[string]string{}, Machines: map[string]*Machine{},
-		DeletedMachines: map[string]time.Time{}, MachineTypes: map[string]*protocol.MachineType{},
-		Peers: map[string]*Peer{}, UnregisteredMachines: map[string]*peer.UnknownMachine{},
-		DivertedMachines: map[string]time.Time{}, runtimeCorrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{},
-	}
-	c.store.PollsFull = func() { c.bounds.Met(telemetry.WaitingPolls, 1) }
-	c.Cancellations.SetLimit(c.CancelBound, p.State)
-	c.cloudCircuit = retry.Circuit{After: cloudFailureLimit, Rest: cloudRestBackoff, Who: set.Label + " cloud"}
-	for i, t := range p.Teams {
-		c.TeamIndex[t.Name] = i
-	}
-	c.Labels = append(c.Labels, set.Label)
-	for _, o := range set.Others {
-		c.Labels = append(c.Labels, o.Label)
-		c.Peers[o.Label] = &Peer{Addr: o.PeerAddr}
-	}
-	slices.Sort(c.Labels)
-	c.SelfIndex = slices.Index(c.Labels, set.Label)
-	for i := range p.Count {
-		c.Partitions = append(c.Partitions, &Partition{Index: i, Wakeup: make(chan struct{}, 1), Usage: make([]binpack.Compute, len(p.Teams)), DoneTallies: map[int]*fairshare.Tally{}})
-	}
-	for _, i := range c.TeamPartition {
-		c.Partitions[i].HasTeams = true
+// Identify makes the controller ask who sends a request. It is called before Run.
+func (c *Controller) Identify(ids Identities) error { return c.auth.Enable(ids) }
+
+// Observe makes the controller measure itself. It is called before Run.
+func (c *Controller) Observe() {
+	c.metrics = telemetry.New()
+	c.bounds.Metrics = c.metrics
+	for _, component := range []interface{ Observe(m *telemetry.Metrics) }{c.scheduler, c.agents, c.committer, c.leases, c.replicator,
+		c.takeover, c.proxy, c.autoscaler, c.api} {
+		component.Observe(c.metrics)
 	}
-	c.Dependencies.init(c.Jobs, c.JobRunTime)
-	c.Leadership.Wakeup, c.LeaseWakeup = make(chan struct{}, 1), make(chan struct{}, 1)
-	c.leaseHolder.init(c)
-	c.replicator = Replicator{c: c, replicas: map[int]*Replica{}}
-	c.proxy.init(c)
-	c.Leadership.Reset()
-	return c
 }
 
+// Serve answers users, workers and health checks.
+func (c *Controller) Serve(ctx context.Context, req *transport.Request) transport.Response {
+	return c.api.Serve(ctx, req)
+}
+
+// ServeOperations answers operators: /metrics and /overview.
+func (c *Controller) ServeOperations(ctx context.Context, req *transport.Request) transport.Response {
+	return c.api.ServeOperations(ctx, req)
+}
+
+// HandOver gives what this controller holds to whoever is to take it over, ahead of a
+// planned end.
+func (c *Controller) HandOver(ctx context.Context) { c.leases.HandOver(ctx) }
+
 // Run serves until the controller's context ends, and returns when every duty
 // has ended.
 func (c *Controller) Run() {
 	c.loop.Start(c.tick)
-	c.loop.Go(c.watchDuty)
-	c.loop.Go(c.RenewLoop)
-	c.loop.Go(c.CatalogLoop)
-	c.loop.Go(c.LeaderLoop)
+	c.loop.Go(c.watcher.watchDuty)
+	c.loop.Go(c.leases.RenewLoop)
+	c.loop.Go(c.autoscaler.CatalogLoop)
+	c.loop.Go(c.autoscaler.LeaderLoop)
 	c.loop.Go(c.replicator.FollowLoop)
 	c.loop.Go(c.replicator.ReplicateLoop)
-	if c.guard != nil {
-		c.loop.Go(func() { c.guard.log.Run(c.loop.Context()) })
+	if c.auth.Enabled() {
+		c.loop.Go(func() { c.auth.RunAudit(c.loop.Context()) })
 	}
 	for label := range c.Peers {
-		c.loop.Go(func() { c.PeerLoop(label) })
+		c.loop.Go(func() { c.peering.PeerLoop(label) })
 	}
 	for _, p := range c.Partitions {
-		c.loop.Go(func() { c.CommitLoop(p) })
+		c.loop.Go(func() { c.committer.CommitLoop(p) })
 		c.loop.Go(func() { c.proxy.RenewLoop(p) })
 	}
 	c.loop.Wait()
@@ -224,16 +195,16 @@
 const cloudFailureLimit = 10
 
 func (c *Controller) tick(now time.Time) {
-	c.CheckMachines(now)
-	c.CheckReachability(now)
+	c.agents.CheckMachines(now)
+	c.leases.CheckReachability(now)
 	for label, ps := range c.Peers {
-		c.RevokeIfDead(label, ps, now)
+		c.leases.RevokeIfDead(label, ps, now)
 	}
 	c.shareBudget(now)
 	c.proxy.Rebalance(now)
 	for _, p := range c.Partitions {
 		if p.Held && p.Ready {
-			c.replicator.ChooseStandby(p, now)
+			c.takeover.ChooseStandby(p, now)
 			p.Wake()
 		}
 	}
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -696,7 +696,7 @@
 	add("starving", 200, 20, protocol.Standard)
 	add("urgent-late", 50, 20, protocol.High)
 	var got []string
-	for _, j := range c.Queue(c.Partitions[0]) {
+	for _, j := range c.scheduler.Queue(c.Partitions[0]) {
 		got = append(got, j.Spec.ID)
 	}
 	return strings.Join(got, " ")
@@ -857,7 +857,7 @@
 			n.loop.Do(func() {
 				// What a former owner told of its attempts' beginnings teaches what they
 				// took; attempts that began nobody knows when teach nothing.
-				for class, b := range n.runtimeCorrections {
+				for class, b := range n.scheduler.runtimeCorrections {
 					if math.Abs(b.ratio-1) > 0.01 {
 						t.Errorf("inherited tasks taught %s a ratio of %v", class, b.ratio)
 					}
@@ -883,7 +883,7 @@
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision = true, true, 5
 	now := time.Now()
-	c.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
+	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 	m := c.Machines["m-1"]
 	m.Epoch, m.HasReported = 2, true
 	j := &Job{Spec: spec("job-1", 1, "red")}
@@ -893,7 +893,7 @@
 	a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted, Inherited: true}
 	j.LiveAttempts[0] = a
 	m.Attempts[AttemptKey(a.TaskName(), 1)] = a
-	c.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
+	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
 	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
 		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
 	}
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -33,7 +33,8 @@
 	doomed       bool
 }
 
-func (g *DependencyGraph) init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
+// Init gives the graph the unfinished jobs and how to predict their run times.
+func (g *DependencyGraph) Init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
 	g.index, g.DoomedJobs, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
 }
 
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -154,22 +154,22 @@
 	if j.SubmittedAt = now.Add(-time.Hour); !j.Blocked {
 		t.Fatal("the job is not blocked")
 	}
-	c.Place(p, now)
-	c.Preempt(p, now)
+	c.scheduler.Place(p, now)
+	c.scheduler.Preempt(p, now)
 	if len(j.LiveAttempts) > 0 || p.Usage[j.Team].CPUs != first.Spec.CPUs {
 		t.Errorf("%d attempts, usage %v", len(j.LiveAttempts), p.Usage[j.Team])
 	}
-	if d := c.partitionSummary(p, now).Demands; len(d) > 0 {
+	if d := c.peering.partitionSummary(p, now).Demands; len(d) > 0 {
 		t.Errorf("demands %v", d)
 	}
-	if s := c.Scarcity(now); s.Contested("big", 2) {
+	if s := c.scheduler.Scarcity(now); s.Contested("big", 2) {
 		t.Error("machines are kept for it")
 	}
-	c.SetFinal("job-1", protocol.StatusDone, time.Now())
+	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	if j.Blocked || j.ReadySince().Before(now) {
 		t.Errorf("blocked %v, ready since %s", j.Blocked, j.ReadySince())
 	}
-	if list := c.Queue(p); !slices.Contains(list, j) {
+	if list := c.scheduler.Queue(p); !slices.Contains(list, j) {
 		t.Error("not served when ready")
 	}
 }
@@ -204,18 +204,18 @@
 	due(b, 54)
 	due(a, 48)
 	// One that comes late, when the first is over.
-	c.SetFinal("job-1", protocol.StatusDone, time.Now())
+	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
 	c.take(sooner)
 	due(b, 24)
-	c.SetFinal("job-4", protocol.StatusWithdrawn, time.Now())
+	c.jobs.SetFinal("job-4", protocol.StatusWithdrawn, time.Now())
 	due(b, 54)
-	c.SetFinal("job-3", protocol.StatusWithdrawn, time.Now())
+	c.jobs.SetFinal("job-3", protocol.StatusWithdrawn, time.Now())
 	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
 		t.Error("the need outlives the job")
 	}
-	c.SetFinal("job-2", protocol.StatusDone, time.Now())
+	c.jobs.SetFinal("job-2", protocol.StatusDone, time.Now())
 	if n := len(c.Dependencies.index) + len(c.Dependencies.DoomedJobs); n > 0 || len(c.Dependencies.free) != len(c.Dependencies.nodes) {
 		t.Errorf("%d jobs are left in the graph", n)
 	}
@@ -228,7 +228,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		jobs, finals := map[string]*Job{}, map[string]string{}
 		var g DependencyGraph
-		g.init(jobs, func(j *Job) time.Duration { return settings.Seconds(j.Spec.EstimateS) })
+		g.Init(jobs, func(j *Job) time.Duration { return settings.Seconds(j.Spec.EstimateS) })
 		const n = 24
 		now := time.Now()
 		all := make([]*Job, n)
@@ -449,7 +449,7 @@
 		w.mu.Lock()
 		w.state.Stuck = true
 		w.mu.Unlock()
-		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.staleLimit() - time.Second) })
+		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.staleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a controller that is behind gets %d", got)
 		}
@@ -594,7 +594,7 @@
 		if pipeline {
 			c.take(after("job-3", 1, "green", "job-2"))
 		}
-		c.Place(p, time.Now())
+		c.scheduler.Place(p, time.Now())
 		if got := j.LiveAttempts[0].Machine.Name; got == "m-1" != pipeline {
 			t.Errorf("pipeline %v: placed on %s", pipeline, got)
 		}
--- a/internal/coordination/door.go
+++ b/internal/coordination/door.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net/url"
 	"strconv"
 	"strings"
@@ -14,6 +15,7 @@
 	"golang.org/x/time/rate"
 
 	"micaspindle/internal/audit"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
@@ -22,6 +24,36 @@
 	"micaspindle/internal/transport"
 )
 
+// Auth knows who sends a request and what they may do. Its policy is followed by the loop
+// and read by the connections. Until Enable, everybody may do everything.
+type Auth struct {
+	*State
+	loop   *eventloop.Loop
+	store  *storage.Store
+	log    *slog.Logger
+	bounds *telemetry.BoundReporter
+
+	enabled    bool
+	enabledAt  time.Time
+	tokens     *identity.Tokens
+	bootstrap  string
+	clockBound time.Duration
+	auditLog   *audit.Log
+	policy     atomic.Pointer[PolicyView]
+	// freshSince is when the policy was last known to be up to date, since enabledAt.
+	freshSince atomic.Int64
+	// unknownJobLimiters bounds how often an identity may make this controller look for jobs
+	// that it does not know.
+	unknownJobLimiters *lru.Cache[string, *rate.Limiter]
+	records            policyRecords
+	jobQueues          jobQueueIndex
+}
+
+// NewAuth makes one without collaborators.
+func NewAuth(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Auth {
+	return &Auth{State: state, loop: loop, store: store, log: log, bounds: bounds}
+}
+
 // Identities is what a controller needs to ask who comes, to bound what they
 // may do, and to keep the record of it. Without it everybody may do everything.
 type Identities struct {
@@ -33,28 +65,13 @@
 	ClockBound time.Duration
 }
 
-// authorizer stands at the door. Its policy is followed by the loop and read by the
-// connections.
-type authorizer struct {
-	tokens     *identity.Tokens
-	bootstrap  string
-	clockBound time.Duration
-	log        *audit.Log
-	policy     atomic.Pointer[policyView]
-	// freshSince is when the policy was last known to be up to date, since started.
-	freshSince atomic.Int64
-	started    time.Time
-	// unknownJobLimiters bounds how often an identity may make this controller look for
-	// jobs that it does not know.
-	unknownJobLimiters *lru.Cache[string, *rate.Limiter]
-}
-
-// policyView is the policy at one version; it does not change.
-type policyView struct {
-	version      uint64
-	headRevision uint64 // of the head record
-	doc          *rights.Document
-	rights       *rights.Policy
+// PolicyView is the policy at one version; it does not change.
+type PolicyView struct {
+	Version uint64
+	// HeadRevision is the revision of the head record.
+	HeadRevision uint64
+	Document     *rights.Document
+	Rights       *rights.Policy
 }
 
 const (
@@ -70,23 +87,69 @@
 	unknownJobLimitersLimit = 4096
 )
 
-// Identify makes the controller ask who comes. It is called before Run.
-func (c *Controller) Identify(ids Identities) error {
-	if ops := c.Settings.Params.State.Lower().TxnOps; ops < minTransactionChanges {
+// Enable makes the controller ask who sends a request. It is called before the loop starts.
+func (au *Auth) Enable(ids Identities) error {
+	if ops := au.Settings.Params.State.Lower().TxnOps; ops < minTransactionChanges {
 		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minTransactionChanges, ops)
 	}
-	misses, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { c.bounds.Met(telemetry.Callers, 1) })
+	limiters, err := lru.NewWithEvict(unknownJobLimitersLimit, func(string, *rate.Limiter) { au.bounds.Met(telemetry.Callers, 1) })
 	if err != nil {
 		return err
 	}
-	c.guard = &authorizer{tokens: ids.Tokens, bootstrap: ids.Bootstrap, clockBound: ids.ClockBound, started: time.Now(), unknownJobLimiters: misses,
-		log: audit.NewLog(c.store, c.Settings.Label, ids.Signer, c.log)}
-	c.guard.freshSince.Store(-int64(time.Hour))
-	c.policy.init()
-	c.jobQueues.init()
+	au.enabled, au.enabledAt, au.unknownJobLimiters = true, time.Now(), limiters
+	au.tokens, au.bootstrap, au.clockBound = ids.Tokens, ids.Bootstrap, ids.ClockBound
+	au.auditLog = audit.NewLog(au.store, au.Settings.Label, ids.Signer, au.log)
+	au.freshSince.Store(-int64(time.Hour))
+	au.records.init()
+	au.jobQueues.init()
 	return nil
 }
 
+// Enabled says whether requests need an identity.
+func (au *Auth) Enabled() bool { return au.enabled }
+
+// Policy is the policy as it was last published; nil before it was read.
+func (au *Auth) Policy() *PolicyView { return au.policy.Load() }
+
+// RunAudit writes the audit until ctx ends.
+func (au *Auth) RunAudit(ctx context.Context) { au.auditLog.Run(ctx) }
+
+// SealAudit signs what the audit holds now.
+func (au *Auth) SealAudit(ctx context.Context) (*audit.Seal, error) { return au.auditLog.Seal(ctx) }
+
+// AuditBatches reads batches of a chain of the audit, up to so many bytes.
+func (au *Auth) AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error) {
+	return au.auditLog.Batches(ctx, chain, after, size)
+}
+
+// PolicyRevision is the revision of the policy's head record, for the loop.
+func (au *Auth) PolicyRevision() uint64 { return au.records.headRevision }
+
+// ApplyPolicyRecord takes in a record of the policy.
+func (au *Auth) ApplyPolicyRecord(kind storage.Kind, name string, e protocol.Event) error {
+	return au.records.apply(kind, name, e)
+}
+
+// DropUnlistedPolicy drops the policy's records that a listing no longer holds.
+func (au *Auth) DropUnlistedPolicy(listed map[string]bool) { au.records.dropUnlisted(listed) }
+
+// NoteJob remembers the queue of an accepted job, from its record.
+func (au *Auth) NoteJob(id string, record []byte) {
+	if !au.enabled {
+		return
+	}
+	if _, known := au.jobQueues.queueOf(id); known {
+		return
+	}
+	var spec protocol.JobSpec
+	if storage.Decode(record, &spec) == nil {
+		au.jobQueues.add(&spec)
+	}
+}
+
+// JobQueue is the queue of a job that this controller knows, for the loop.
+func (au *Auth) JobQueue(id string) (q rights.Queue, known bool) { return au.jobQueues.queueOf(id) }
+
 const (
 	// auditChanges is what the audit may add to a change: a batch, its chain's head
 	// and its signer's certificate.
@@ -106,11 +169,11 @@
 
 // AuditRecord begins the audit record of what a caller does; nil while nobody asks
 // who comes.
-func (c *Controller) AuditRecord(who *Caller, verb string, q rights.Queue, job string) *audit.Record {
-	if c.guard == nil {
+func (au *Auth) AuditRecord(who *Caller, verb string, q rights.Queue, job string) *audit.Record {
+	if !au.enabled {
 		return nil
 	}
-	r := &audit.Record{At: time.Now().UTC(), BoundMS: float64(c.guard.clockBound) / float64(time.Millisecond), Verb: verb,
+	r := &audit.Record{At: time.Now().UTC(), BoundMS: float64(au.clockBound) / float64(time.Millisecond), Verb: verb,
 		Team: clipText(q.Team), Class: clipText(q.Class), Job: clipText(job), Outcome: audit.Allowed}
 	if who != nil {
 		r.Who, r.How, r.From = who.Name, who.Credential, who.RemoteAddr
@@ -122,10 +185,10 @@
 func clipText(s string) string { return s[:min(len(s), 100)] }
 
 // Deny refuses and notes it.
-func (c *Controller) Deny(who *Caller, verb string, q rights.Queue, job string, status int, reason string) *transport.Response {
-	r := c.AuditRecord(who, verb, q, job)
+func (au *Auth) Deny(who *Caller, verb string, q rights.Queue, job string, status int, reason string) *transport.Response {
+	r := au.AuditRecord(who, verb, q, job)
 	r.Outcome, r.Reason = audit.Denied, reason
-	c.guard.log.Note(*r)
+	au.auditLog.Note(*r)
 	said := "not allowed"
 	if status == 401 {
 		said = "no good credential"
@@ -135,9 +198,8 @@
 }
 
 // Authenticate says who sends a request, or refuses it.
-func (c *Controller) Authenticate(req *transport.Request, verb string) (*Caller, *transport.Response) {
-	g := c.guard
-	if g == nil {
+func (au *Auth) Authenticate(req *transport.Request, verb string) (*Caller, *transport.Response) {
+	if !au.enabled {
 		return nil, nil
 	}
 	who := &Caller{RemoteAddr: req.From}
@@ -146,40 +208,40 @@
 	switch scheme, token, _ := strings.Cut(req.Authorization, " "); {
 	case req.Authorization != "":
 		if !strings.EqualFold(scheme, "Bearer") {
-			return nil, c.Deny(who, verb, rights.Queue{}, "", 401, "authorization is not of the kind Bearer")
+			return nil, au.Deny(who, verb, rights.Queue{}, "", 401, "authorization is not of the kind Bearer")
 		}
-		tok, err := g.tokens.Check(strings.TrimSpace(token))
+		tok, err := au.tokens.Check(strings.TrimSpace(token))
 		if err != nil {
-			return nil, c.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
+			return nil, au.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
 		}
 		name, issued, who.Credential = tok.Name, tok.Issued, "token "+tok.ID
 	case req.Peer != nil:
 		var err error
-		if name, err = c.certificateName(req); err != nil {
-			return nil, c.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
+		if name, err = au.certificateName(req); err != nil {
+			return nil, au.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
 		}
 		who.Credential = "certificate " + identity.Fingerprint(req.Peer)
 	default:
-		return nil, c.Deny(who, verb, rights.Queue{}, "", 401, "no credential")
+		return nil, au.Deny(who, verb, rights.Queue{}, "", 401, "no credential")
 	}
 	who.Name = name.String()
 	if req.OnBehalfOf != "" {
-		refusal := c.authenticateOnBehalf(who, name, issued.IsZero(), req.OnBehalfOf, verb)
+		refusal := au.authenticateOnBehalf(who, name, issued.IsZero(), req.OnBehalfOf, verb)
 		return who, refusal
 	}
 	if !name.Caller() {
-		return nil, c.Deny(who, verb, rights.Queue{}, "", 403, "a "+string(name.Kind)+" sends no users' requests")
+		return nil, au.Deny(who, verb, rights.Queue{}, "", 403, "a "+string(name.Kind)+" sends no users' requests")
 	}
-	view := g.policy.Load()
-	if view == nil || !g.policyFresh() {
+	view := au.policy.Load()
+	if view == nil || !au.policyFresh() {
 		resp := Refuse(503, "policy is not up to date here", 1)
 		return nil, &resp
 	}
-	if !issued.IsZero() && view.rights.Voids(who.Name, issued) {
-		return nil, c.Deny(who, verb, rights.Queue{}, "", 401, "token was issued before it was voided")
+	if !issued.IsZero() && view.Rights.Voids(who.Name, issued) {
+		return nil, au.Deny(who, verb, rights.Queue{}, "", 401, "token was issued before it was voided")
 	}
-	if !view.rights.Known(who.Name) && !g.isBootstrap(view, who.Name) {
-		return nil, c.Deny(who, verb, rights.Queue{}, "", 403, "not in the policy, or revoked")
+	if !view.Rights.Known(who.Name) && !au.isBootstrap(view, who.Name) {
+		return nil, au.Deny(who, verb, rights.Queue{}, "", 403, "not in the policy, or revoked")
 	}
 	return who, nil
 }
@@ -187,18 +249,18 @@
 // authenticateOnBehalf makes a service's request that of whom it names. The service must have
 // shown its certificate and hold the right to vouch; what may be done is decided
 // by the rights of the one who is named.
-func (c *Controller) authenticateOnBehalf(who *Caller, service identity.Name, certified bool, behalf, verb string) *transport.Response {
-	view := c.guard.policy.Load()
-	if view == nil || !c.guard.policyFresh() {
+func (au *Auth) authenticateOnBehalf(who *Caller, service identity.Name, certified bool, behalf, verb string) *transport.Response {
+	view := au.policy.Load()
+	if view == nil || !au.policyFresh() {
 		resp := Refuse(503, "policy is not up to date here", 1)
 		return &resp
 	}
-	if !certified || service.Kind != identity.Service || !view.rights.HoldsAny(who.Name, rights.Vouch) {
-		return c.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", which it may not")
+	if !certified || service.Kind != identity.Service || !view.Rights.HoldsAny(who.Name, rights.Vouch) {
+		return au.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", which it may not")
 	}
 	name, err := identity.ParseName(behalf)
 	if err != nil || !name.Caller() {
-		return c.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", who can be no caller")
+		return au.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", who can be no caller")
 	}
 	who.Service, who.Name = who.Name, name.String()
 	who.Credential = "vouched for by " + who.Service + ", " + who.Credential
@@ -207,21 +269,21 @@
 
 // certificateName reads the name in a certificate that the handshake has verified. The
 // connection may have been open for longer than the certificate is good.
-func (c *Controller) certificateName(req *transport.Request) (identity.Name, error) {
-	if now := time.Now().Add(c.guard.clockBound); !now.Before(req.Peer.NotAfter) {
+func (au *Auth) certificateName(req *transport.Request) (identity.Name, error) {
+	if now := time.Now().Add(au.clockBound); !now.Before(req.Peer.NotAfter) {
 		return identity.Name{}, errors.New("certificate expired")
 	}
 	return identity.FromCertificate(req.Peer)
 }
 
 // policyFresh says whether the policy is fresh enough to allow anything by.
-func (g *authorizer) policyFresh() bool {
-	return time.Since(g.started)-time.Duration(g.freshSince.Load()) <= policyMaxAge
+func (au *Auth) policyFresh() bool {
+	return time.Since(au.enabledAt)-time.Duration(au.freshSince.Load()) <= policyMaxAge
 }
 
 // isBootstrap says whether somebody may write the first policy.
-func (g *authorizer) isBootstrap(view *policyView, name string) bool {
-	return view.version == 0 && g.bootstrap != "" && name == g.bootstrap
+func (au *Auth) isBootstrap(view *PolicyView, name string) bool {
+	return view.Version == 0 && au.bootstrap != "" && name == au.bootstrap
 }
 
 // serviceOwnVerbs are the rights that a service uses of its own even where it says
@@ -229,76 +291,75 @@
 // of those for whom it did.
 const serviceOwnVerbs = rights.View | rights.Withdraw
 
-// allows says whether a caller holds a verb on a queue.
-func (g *authorizer) allows(who *Caller, v rights.Verb, q rights.Queue) bool {
-	p := g.policy.Load().rights
+// Allows says whether a caller holds a verb on a queue.
+func (au *Auth) Allows(who *Caller, v rights.Verb, q rights.Queue) bool {
+	p := au.policy.Load().Rights
 	if who.Service == "" {
 		return p.Allows(who.Name, v, q)
 	}
 	return p.Allows(who.Name, v, q) && p.Allows(who.Service, rights.Vouch, q) || v&serviceOwnVerbs != 0 && p.Allows(who.Service, v, q)
 }
 
-// holdsAny says whether a caller holds a verb on some queue.
-func (g *authorizer) holdsAny(who *Caller, v rights.Verb) bool {
-	p := g.policy.Load().rights
+// HoldsAny says whether a caller holds a verb on some queue.
+func (au *Auth) HoldsAny(who *Caller, v rights.Verb) bool {
+	p := au.policy.Load().Rights
 	return p.HoldsAny(who.Name, v) || who.Service != "" && v&serviceOwnVerbs != 0 && p.HoldsAny(who.Service, v)
 }
 
-// allowsEverywhere says whether a caller holds a verb on every queue.
-func (g *authorizer) allowsEverywhere(who *Caller, v rights.Verb) bool {
-	p := g.policy.Load().rights
+// AllowsEverywhere says whether a caller holds a verb on every queue.
+func (au *Auth) AllowsEverywhere(who *Caller, v rights.Verb) bool {
+	p := au.policy.Load().Rights
 	return p.AllowsEverywhere(who.Name, v) && (who.Service == "" || p.AllowsEverywhere(who.Service, rights.Vouch))
 }
 
-// administers says whether a caller may change the policy and read the audit.
-func (g *authorizer) administers(who *Caller) bool {
+// Administers says whether a caller may change the policy and read the audit.
+func (au *Auth) Administers(who *Caller) bool {
 	// Nobody administers through a service.
-	view := g.policy.Load()
-	return who.Service == "" && (view.rights.AllowsEverywhere(who.Name, rights.Administer) || g.isBootstrap(view, who.Name))
+	view := au.policy.Load()
+	return who.Service == "" && (view.Rights.AllowsEverywhere(who.Name, rights.Administer) || au.isBootstrap(view, who.Name))
 }
 
 // AuthorizeJob says whether a caller may do something with a job, and refuses with
 // the same words, after the same reading, whether the job exists or not. Only
 // who may do it with every job is told that there is none.
-func (c *Controller) AuthorizeJob(ctx context.Context, who *Caller, v rights.Verb, id string) (rights.Queue, *transport.Response) {
+func (au *Auth) AuthorizeJob(ctx context.Context, who *Caller, v rights.Verb, id string) (rights.Queue, *transport.Response) {
 	var q rights.Queue
-	g := c.guard
-	if g == nil {
+	if !au.enabled {
 		return q, nil
 	}
 	verb := v.String()
-	if !g.holdsAny(who, v) {
-		return q, c.Deny(who, verb, q, id, 403, "holds this right on no queue")
+	if !au.HoldsAny(who, v) {
+		return q, au.Deny(who, verb, q, id, 403, "holds this right on no queue")
 	}
-	everywhere := g.allowsEverywhere(who, v)
+	everywhere := au.AllowsEverywhere(who, v)
 	known := false
-	c.loop.Do(func() { q, known = c.jobQueues.queueOf(id) })
-	if known && g.allows(who, v, q) {
+	au.loop.Do(func() { q, known = au.jobQueues.queueOf(id) })
+	if known && au.Allows(who, v, q) {
 		return q, nil
 	}
 	// Somebody else's job is read like one that this controller does not know,
 	// so that neither the time nor the budget for unknown jobs tells them apart.
 	spec, err := &protocol.JobSpec{}, error(storage.ErrNotFound)
 	if protocol.ValidID(id) {
-		spec, err = c.ReadSpec(ctx, who, id)
+		spec, err = au.ReadSpec(ctx, who, id)
 	}
 	switch {
 	case errors.Is(err, storage.ErrNotFound) && everywhere:
 		return q, nil
 	case errors.Is(err, storage.ErrNotFound):
 	case errors.Is(err, errUnknownJobBudget):
-		c.Deny(who, verb, rights.Queue{}, id, 403, "asks too often for jobs that are not in its queues")
+		au.Deny(who, verb, rights.Queue{}, id, 403, "asks too often for jobs that are not in its queues")
 		resp := unavailableResponse(err)
 		return q, &resp
 	case err != nil:
 		resp := unavailableResponse(err)
 		return q, &resp
 	default:
-		if q = (rights.Queue{Team: spec.Team, Class: spec.Class}); g.allows(who, v, q) {
+		if q = (rights.Queue{Team: spec.Team, Class: spec.Class}); au.Allows(who, v, q) {
 			return q, nil
 		}
 	}
-	return q, c.Deny(who, verb, q, id, 403, "no such job in a queue of this right")
+	return q, au.Deny(who, verb, q, id, 403, "no such job in a queue of this right")
 }
 
 // errUnknownJobBudget refuses who asks too often for jobs that nobody knows.
@@ -306,21 +367,21 @@
 
 // ReadSpec reads a job's record; who, if told, is held to the budget for
 // unknown jobs.
-func (c *Controller) ReadSpec(ctx context.Context, who *Caller, id string) (*protocol.JobSpec, error) {
+func (au *Auth) ReadSpec(ctx context.Context, who *Caller, id string) (*protocol.JobSpec, error) {
 	if who != nil {
-		limiter, ok := c.guard.unknownJobLimiters.Get(who.Name)
+		limiter, ok := au.unknownJobLimiters.Get(who.Name)
 		if !ok {
 			limiter = rate.NewLimiter(unknownJobRate, unknownJobBurst)
-			c.guard.unknownJobLimiters.Add(who.Name, limiter)
+			au.unknownJobLimiters.Add(who.Name, limiter)
 		}
 		if !limiter.Allow() {
 			return nil, errUnknownJobBudget
 		}
 	}
-	if c.store.Down() {
+	if au.store.Down() {
 		return nil, storage.ErrRefused
 	}
-	item, err := c.store.UserGet(ctx, storage.JobKey(id))
+	item, err := au.store.UserGet(ctx, storage.JobKey(id))
 	if err != nil {
 		return nil, err
 	}
@@ -333,54 +394,54 @@
 
 // Commit commits what a user asked for, together with its record if one is
 // to be kept.
-func (c *Controller) Commit(ctx context.Context, txn *protocol.Transaction, r *audit.Record) (uint64, error) {
+func (au *Auth) Commit(ctx context.Context, txn *protocol.Transaction, r *audit.Record) (uint64, error) {
 	if r == nil {
-		return c.store.UserCommit(ctx, txn)
+		return au.store.UserCommit(ctx, txn)
 	}
-	return c.guard.log.Commit(ctx, txn, *r)
+	return au.auditLog.Commit(ctx, txn, *r)
 }
 
 // NoteRead notes that a caller has looked at something.
-func (c *Controller) NoteRead(who *Caller, verb string, q rights.Queue, id string) {
-	if c.guard != nil {
-		c.guard.log.Note(*c.AuditRecord(who, verb, q, id))
+func (au *Auth) NoteRead(who *Caller, verb string, q rights.Queue, id string) {
+	if au.enabled {
+		au.auditLog.Note(*au.AuditRecord(who, verb, q, id))
 	}
 }
 
 // AuthenticateWorker says which worker sends a report, or refuses it.
-func (c *Controller) AuthenticateWorker(req *transport.Request) (*Caller, *transport.Response) {
-	return c.authenticateMachine(req, "report", func(n identity.Name) bool { return n.Kind == identity.Worker })
+func (au *Auth) AuthenticateWorker(req *transport.Request) (*Caller, *transport.Response) {
+	return au.authenticateMachine(req, "report", func(n identity.Name) bool { return n.Kind == identity.Worker })
 }
 
 // authenticateMachine says which worker or controller sends a message. Only a
 // certificate proves that, and only one that accept takes.
-func (c *Controller) authenticateMachine(req *transport.Request, verb string, accept func(identity.Name) bool) (*Caller, *transport.Response) {
-	if c.guard == nil {
+func (au *Auth) authenticateMachine(req *transport.Request, verb string, accept func(identity.Name) bool) (*Caller, *transport.Response) {
+	if !au.enabled {
 		return nil, nil
 	}
 	who := &Caller{RemoteAddr: req.From}
 	var name identity.Name
 	err := errors.New("no certificate")
 	if req.Peer != nil {
-		name, err = c.certificateName(req)
+		name, err = au.certificateName(req)
 	}
 	if err != nil {
-		return nil, c.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
+		return nil, au.Deny(who, verb, rights.Queue{}, "", 401, err.Error())
 	}
 	who.Name, who.Credential = name.String(), "certificate "+identity.Fingerprint(req.Peer)
 	if !accept(name) {
-		return nil, c.Deny(who, verb, rights.Queue{}, "", 403, "of the wrong kind, or not of this cluster")
+		return nil, au.Deny(who, verb, rights.Queue{}, "", 403, "of the wrong kind, or not of this cluster")
 	}
 	return who, nil
 }
 
 // CheckSender says whether a message comes from the worker or controller that it
 // names, and refuses it if not.
-func (c *Controller) CheckSender(who *Caller, verb string, named identity.Name) *transport.Response {
-	if c.guard == nil || who.Name == named.String() || who.Name == (identity.Name{Kind: identity.Worker, ID: AnyWorker}).String() {
+func (au *Auth) CheckSender(who *Caller, verb string, named identity.Name) *transport.Response {
+	if !au.enabled || who.Name == named.String() || who.Name == (identity.Name{Kind: identity.Worker, ID: AnyWorker}).String() {
 		return nil
 	}
-	return c.Deny(who, verb, rights.Queue{}, "", 403, "speaks for "+clipText(named.String()))
+	return au.Deny(who, verb, rights.Queue{}, "", 403, "speaks for "+clipText(named.String()))
 }
 
 // AnyWorker is the id in certificates that machines share, where the cloud
@@ -388,8 +449,8 @@
 const AnyWorker = "any"
 
 // AuthenticatePeer says which controller sends a message, or refuses it.
-func (c *Controller) AuthenticatePeer(req *transport.Request) (*Caller, *transport.Response) {
-	return c.authenticateMachine(req, "peer", func(n identity.Name) bool { return n.Kind == identity.Controller && c.Peers[n.ID] != nil })
+func (au *Auth) AuthenticatePeer(req *transport.Request) (*Caller, *transport.Response) {
+	return au.authenticateMachine(req, "peer", func(n identity.Name) bool { return n.Kind == identity.Controller && au.Peers[n.ID] != nil })
 }
 
 // jobQueueIndex remembers the queue of every job, over dense indices. It belongs to
@@ -425,21 +486,21 @@
 }
 
 // whoami tells a caller who it is taken for.
-func (c *Controller) whoami(who *Caller) transport.Response {
-	view := c.guard.policy.Load()
+func (srv *Server) whoami(who *Caller) transport.Response {
+	view := srv.auth.Policy()
 	var held []string
 	for _, v := range []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch} {
-		if c.guard.holdsAny(who, v) {
+		if srv.auth.HoldsAny(who, v) {
 			held = append(held, v.String())
 		}
 	}
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: held, PolicyVersion: view.version})}
+	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: held, PolicyVersion: view.Version})}
 }
 
 // may tells a caller whether it holds a right on a queue. Front doors ask it for
 // their clients, with the client's own credential, so that there is one place
 // that decides and one record of what was refused.
-func (c *Controller) may(who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) may(who *Caller, req *transport.Request) transport.Response {
 	query, err := url.ParseQuery(req.Query)
 	if err != nil {
 		return Refuse(400, "bad query", 0)
@@ -452,37 +513,37 @@
 	if q.Team == "" || q.Class == "" {
 		return Refuse(400, "team and class are needed", 0)
 	}
-	if !c.guard.allows(who, verb, q) {
-		return *c.Deny(who, verb.String(), q, "", 403, "asked through a front door")
+	if !srv.auth.Allows(who, verb, q) {
+		return *srv.auth.Deny(who, verb.String(), q, "", 403, "asked through a front door")
 	}
-	c.NoteRead(who, verb.String()+"-asked", q, "")
+	srv.auth.NoteRead(who, verb.String()+"-asked", q, "")
 	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: []string{verb.String()},
-		PolicyVersion: c.guard.policy.Load().version})}
+		PolicyVersion: srv.auth.Policy().Version})}
 }
 
 // auditBody bounds an answer with batches of the audit.
 const auditBody = 32 << 10
 
 // readAudit answers an administrator who reads the audit.
-func (c *Controller) readAudit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) readAudit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	q, err := url.ParseQuery(req.Query)
 	if err != nil {
 		return Refuse(400, "bad query", 0)
 	}
 	switch req.Path {
 	case "/audit/seal":
-		seal, err := c.guard.log.Seal(ctx)
+		seal, err := srv.auth.SealAudit(ctx)
 		if err != nil {
 			return unavailableResponse(err)
 		}
-		c.NoteRead(who, "read-audit", rights.Queue{}, "")
+		srv.auth.NoteRead(who, "read-audit", rights.Queue{}, "")
 		return transport.Response{Status: 200, Body: protocol.Encode(seal)}
 	case "/audit/batches":
 		after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 		if err != nil || q.Get("chain") == "" {
 			return Refuse(400, "chain and after are needed", 0)
 		}
-		batches, err := c.guard.log.Batches(ctx, q.Get("chain"), after, auditBody)
+		batches, err := srv.auth.AuditBatches(ctx, q.Get("chain"), after, auditBody)
 		if err != nil {
 			return unavailableResponse(err)
 		}
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -805,17 +805,17 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c := &Controller{guard: &authorizer{started: time.Now()}, log: slog.New(slog.DiscardHandler)}
-		c.policy.init()
+		c := &Controller{auth: &Auth{enabled: true, enabledAt: time.Now(), log: slog.New(slog.DiscardHandler)}}
+		c.auth.records.init()
 		for i := range 1000 {
 			r := rights.Role{Name: fmt.Sprintf("role-%03d", i), Rules: []rights.Rule{{Verbs: []string{"submit", "view"}, Team: fmt.Sprintf("team-%03d", i), Class: "*"}}}
-			must(c.policy.apply(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
+			must(c.auth.records.apply(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
 		}
 		for i := range 10_000 {
 			id := rights.Identity{Name: fmt.Sprintf("person/clerk-%05d", i), Roles: []string{fmt.Sprintf("role-%03d", i%1000)}}
-			must(c.policy.apply(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
+			must(c.auth.records.apply(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
 		}
-		c.PublishPolicy(time.Now())
+		c.auth.PublishPolicy(time.Now())
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/10/1000, "kB/1000identities")
--- a/internal/coordination/estimates.go
+++ b/internal/coordination/estimates.go
@@ -14,54 +14,56 @@
 
 // Scarcity looks over all unfinished jobs, those of other parts too: machines
 // move between parts. It is kept for a moment, like the order of jobs.
-func (c *Controller) Scarcity(now time.Time) binpack.Scarcity {
-	if c.scarcityCache != nil && now.Sub(c.scarcityAt) < QueueOrderTTL {
-		return c.scarcityCache
+func (sched *Scheduler) Scarcity(now time.Time) binpack.Scarcity {
+	if sched.scarcityCache != nil && now.Sub(sched.scarcityAt) < QueueOrderTTL {
+		return sched.scarcityCache
 	}
 	s := binpack.Scarcity{}
-	for id, j := range c.Jobs {
-		if j.Ended || j.Blocked || c.FinalStates[id] != "" || j.Loaded && len(j.Pending) == 0 {
+	for id, j := range sched.Jobs {
+		if j.Ended || j.Blocked || sched.FinalStates[id] != "" || j.Loaded && len(j.Pending) == 0 {
 			continue
 		}
-		n := c.typeCount(j.Spec)
-		for i := range c.Catalog {
-			if t := &c.Catalog[i]; binpack.FitsOffered(ConstraintsOf(j.Spec), ResourcesOf(j.Spec), t) {
+		n := sched.typeCount(j.Spec)
+		for i := range sched.Catalog {
+			if t := &sched.Catalog[i]; binpack.FitsOffered(ConstraintsOf(j.Spec), ResourcesOf(j.Spec), t) {
 				s.Note(t.Name, n)
 			}
 		}
 	}
-	c.scarcityCache, c.scarcityAt = s, now
+	sched.scarcityCache, sched.scarcityAt = s, now
 	return s
 }
 
 // typeCount is on how many machine types a task could run.
-func (c *Controller) typeCount(s *protocol.JobSpec) int { return binpack.TypeCount(c.typeSet(s)) }
+func (sched *Scheduler) typeCount(s *protocol.JobSpec) int {
+	return binpack.TypeCount(sched.typeSet(s))
+}
 
-func (c *Controller) horizon() contention.Horizon {
-	return contention.Horizon{MaxS: 3600, OverdueS: c.HeartbeatInterval.Seconds()}
+func (sched *Scheduler) horizon() contention.Horizon {
+	return contention.Horizon{MaxS: 3600, OverdueS: sched.HeartbeatInterval.Seconds()}
 }
 
 // predictTasks lists a machine's running tasks as placement sees them.
-func (c *Controller) predictTasks(m *Machine, now time.Time) []contention.Task {
+func (sched *Scheduler) predictTasks(m *Machine, now time.Time) []contention.Task {
 	var tasks []contention.Task
 	for _, a := range m.Attempts {
 		if a.Live() {
-			tasks = append(tasks, c.predictTask(a.Job.Spec, a.RunningS(now)))
+			tasks = append(tasks, sched.predictTask(a.Job.Spec, a.RunningS(now)))
 		}
 	}
 	return tasks
 }
 
-func (c *Controller) predictTask(s *protocol.JobSpec, elapsed float64) contention.Task {
-	return contention.Task{ElapsedS: elapsed, EstimateS: c.EstimateS(s), Use: s.CPUs, Service: s.Standing}
+func (sched *Scheduler) predictTask(s *protocol.JobSpec, elapsed float64) contention.Task {
+	return contention.Task{ElapsedS: elapsed, EstimateS: sched.EstimateS(s), Use: s.CPUs, Service: s.Standing}
 }
 
 // RemainingS predicts how long an attempt still runs.
-func (c *Controller) RemainingS(a *Attempt, now time.Time) float64 {
+func (sched *Scheduler) RemainingS(a *Attempt, now time.Time) float64 {
 	if a.Job.Spec.Standing {
-		return c.horizon().MaxS
+		return sched.horizon().MaxS
 	}
-	return max(c.EstimateS(a.Job.Spec)-a.RunningS(now), c.HeartbeatInterval.Seconds())
+	return max(sched.EstimateS(a.Job.Spec)-a.RunningS(now), sched.HeartbeatInterval.Seconds())
 }
 
 const (
@@ -74,7 +76,7 @@
 // job on other machines: their estimates share one error, so the estimate says
 // nothing. A false alarm costs little, since work that runs goes on; only no
 // new work comes, and the machine is returned once idle.
-func (c *Controller) detectSlowMachine(a *Attempt, ran float64) {
+func (ag *Agents) detectSlowMachine(a *Attempt, ran float64) {
 	if a.Slow || a.StartUnknown() {
 		return
 	}
@@ -96,7 +98,7 @@
 	m.SlowTasks++
 	if m.SlowTasks >= slowTasksLimit && !m.Quarantined {
 		m.Quarantined = true
-		c.log.Info("machine set aside", "machine", m.Name, "reason", "tasks take far longer than elsewhere")
+		ag.log.Info("machine set aside", "machine", m.Name, "reason", "tasks take far longer than elsewhere")
 	}
 }
 
@@ -108,17 +110,17 @@
 
 // LearnRunTime takes in a completed task. The ratio follows slowly, since single
 // estimates are often wrong by half.
-func (c *Controller) LearnRunTime(class string, ran, estimate float64) {
+func (sched *Scheduler) LearnRunTime(class string, ran, estimate float64) {
 	if estimate <= 0 || ran <= 0 {
 		return
 	}
-	b := c.runtimeCorrections[class]
+	b := sched.runtimeCorrections[class]
 	if b == nil {
-		if !c.mayLearn() {
+		if !sched.mayLearn() {
 			return
 		}
 		b = &runtimeCorrection{ratio: 1}
-		c.runtimeCorrections[class] = b
+		sched.runtimeCorrections[class] = b
 	}
 	b.count++
 	weight := max(0.02, 1/float64(b.count+5))
@@ -126,26 +128,26 @@
 }
 
 // mayLearn says whether the run times of one more class may be learnt.
-func (c *Controller) mayLearn() bool {
-	if len(c.runtimeCorrections) < classGroupsLimit {
+func (sched *Scheduler) mayLearn() bool {
+	if len(sched.runtimeCorrections) < classGroupsLimit {
 		return true
 	}
-	c.bounds.Met(telemetry.Estimates, 1)
+	sched.bounds.Met(telemetry.Estimates, 1)
 	return false
 }
 
 // EstimateS is the owner's estimate, corrected by what the class has shown.
-func (c *Controller) EstimateS(s *protocol.JobSpec) float64 {
-	if b := c.runtimeCorrections[s.Class]; b != nil {
+func (sched *Scheduler) EstimateS(s *protocol.JobSpec) float64 {
+	if b := sched.runtimeCorrections[s.Class]; b != nil {
 		return s.EstimateS * b.ratio
 	}
 	return s.EstimateS
 }
 
 // RuntimeCorrections lists what was learned of classes, by name.
-func (c *Controller) RuntimeCorrections() (list []*peer.ClassTale) {
-	for _, class := range slices.Sorted(maps.Keys(c.runtimeCorrections)) {
-		correction := c.runtimeCorrections[class]
+func (sched *Scheduler) RuntimeCorrections() (list []*peer.ClassTale) {
+	for _, class := range slices.Sorted(maps.Keys(sched.runtimeCorrections)) {
+		correction := sched.runtimeCorrections[class]
 		list = append(list, &peer.ClassTale{Class: class, Ratio: correction.ratio, Count: uint32(correction.count)})
 	}
 	return list
@@ -153,12 +155,12 @@
 
 // AdoptCorrection takes over what another controller has learned of a class, if that is
 // more than what is known here.
-func (c *Controller) AdoptCorrection(told *peer.ClassTale) {
-	own := c.runtimeCorrections[told.Class]
+func (sched *Scheduler) AdoptCorrection(told *peer.ClassTale) {
+	own := sched.runtimeCorrections[told.Class]
 	if own != nil && own.count >= int(told.Count) || told.Ratio <= 0 || told.Ratio > 4 {
 		return
 	}
-	if own != nil || c.mayLearn() {
-		c.runtimeCorrections[told.Class] = &runtimeCorrection{ratio: told.Ratio, count: int(told.Count)}
+	if own != nil || sched.mayLearn() {
+		sched.runtimeCorrections[told.Class] = &runtimeCorrection{ratio: told.Ratio, count: int(told.Count)}
 	}
 }
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -243,18 +243,18 @@
 		check := func(what string, want float64) {
 			t.Helper()
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]]
-			for _, g := range []int{TeamGroup(c.TeamIndex["red"]), c.ClassGroups["c"]} {
+			for _, g := range []int{TeamGroup(c.TeamIndex["red"]), c.scheduler.ClassGroups["c"]} {
 				if got := p.DoneTallies[g].Value(now); math.Abs(got-want) > 0.01 {
 					t.Errorf("%s: %v of group %d done, want %v", what, got, g, want)
 				}
 			}
 		}
-		c.applyListing(items, 3)
+		c.watcher.applyListing(items, 3)
 		check("listed", 1+1/math.E)
-		c.applyListing(items, 3)
+		c.watcher.applyListing(items, 3)
 		check("listed again", 1+1/math.E)
 		for range 2 {
-			c.applyEvent(protocol.Event{Put: storage.FinalKey("job-4"), Version: 4,
+			c.watcher.applyEvent(protocol.Event{Put: storage.FinalKey("job-4"), Version: 4,
 				Value: storage.Encode(storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
 		}
 		check("followed", 2+1/math.E)
--- a/internal/coordination/follow.go
+++ b/internal/coordination/follow.go
@@ -4,11 +4,13 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"maps"
 	"slices"
 	"time"
 
 	"micaspindle/internal/coordination/failover"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
@@ -16,15 +18,40 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Replicator is the parts that this controller keeps copies of, as their standby. It
-// belongs to the loop; I/O runs in its duty.
+// Replicator keeps replicas of the partitions that this controller is the standby of, and
+// tells the standbys of its own partitions what is not on record.
 type Replicator struct {
-	c        *Controller
+	*State
+	loop    *eventloop.Loop
+	network storage.Requester
+	store   *storage.Store
+	log     *slog.Logger
+	bounds  *telemetry.BoundReporter
+	metrics *telemetry.Metrics
+
+	auth       *Auth
+	autoscaler *Autoscaler
+	scheduler  *Scheduler
+
 	replicas map[int]*Replica
-	// mismatches counts the copies that differed from the store.
+	// mismatches counts the replicas that differed from the state store.
 	mismatches int
 }
 
+// NewReplicator makes one without collaborators.
+func NewReplicator(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Replicator {
+	return &Replicator{State: state, loop: loop, network: network, store: store, log: log, bounds: bounds,
+		replicas: map[int]*Replica{}}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (rep *Replicator) Connect(auth *Auth, autoscaler *Autoscaler, scheduler *Scheduler) {
+	rep.auth, rep.autoscaler, rep.scheduler = auth, autoscaler, scheduler
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (rep *Replicator) Observe(m *telemetry.Metrics) { rep.metrics = m }
+
 // Replica is a copy of one part's run records, with what they come to, ready to be
 // taken over.
 type Replica struct {
@@ -59,35 +86,32 @@
 )
 
 // pollInterval is how often a copy asks what has changed.
-func (f *Replicator) pollInterval() time.Duration {
-	c := f.c
-	p := c.Settings.Params
+func (rep *Replicator) pollInterval() time.Duration {
+	p := rep.Settings.Params
 	return max(followIntervalMin, time.Duration(float64(p.Count)/(followRequestShare*p.State.Lower().RPS)*float64(time.Second)))
 }
 
 // FollowLoop follows what there is to follow until the controller ends.
-func (f *Replicator) FollowLoop() {
-	c := f.c
-	pace := f.pollInterval()
-	for c.loop.Sleep(pace) {
+func (rep *Replicator) FollowLoop() {
+	pace := rep.pollInterval()
+	for rep.loop.Sleep(pace) {
 		var due []*Replica
-		c.loop.Do(func() { due = f.dueReplicas(time.Now()) })
+		rep.loop.Do(func() { due = rep.dueReplicas(time.Now()) })
 		for _, fo := range due {
-			f.advance(fo)
+			rep.advance(fo)
 		}
 	}
 }
 
 // dueReplicas says which copies are to be brought up to date, and begins and drops copies.
-func (f *Replicator) dueReplicas(now time.Time) (due []*Replica) {
-	c := f.c
-	for _, p := range c.Partitions {
-		fo := f.replicas[p.Index]
-		if !p.Held && c.Synced && !c.Draining && f.NamedStandby(p) == c.Settings.Label {
+func (rep *Replicator) dueReplicas(now time.Time) (due []*Replica) {
+	for _, p := range rep.Partitions {
+		fo := rep.replicas[p.Index]
+		if !p.Held && rep.Synced && !rep.Draining && rep.NamedStandby(p) == rep.Settings.Label {
 			if fo == nil {
 				fo = newReplica(p.Index, now)
-				f.replicas[p.Index] = fo
-				c.log.Info("following a part", "part", p.Index, "owner", p.Leader)
+				rep.replicas[p.Index] = fo
+				rep.log.Info("following a part", "part", p.Index, "owner", p.Leader)
 			}
 			fo.wantedAt = now
 		}
@@ -95,19 +119,22 @@
 			continue
 		}
 		if p.Held && p.Ready || now.Sub(fo.wantedAt) > replicaRetention {
-			delete(f.replicas, p.Index)
+			delete(rep.replicas, p.Index)
 			continue
 		}
 		due = append(due, fo)
 		if told, behind := fo.lag.Changed(fo.lagS(now), lagLimitS); told && behind {
-			c.log.Info("the copy of a part is behind", "part", p.Index, "seconds", fo.lagS(now))
+			rep.log.Info("the copy of a part is behind", "part", p.Index, "seconds", fo.lagS(now))
 		} else if told {
-			c.log.Info("the copy of a part has caught up", "part", p.Index)
+			rep.log.Info("the copy of a part has caught up", "part", p.Index)
 		}
 	}
 	return due
 }
 
+// DropReplica forgets the replica of a partition: what it holds is its taker's from then on.
+func (rep *Replicator) DropReplica(partition int) { delete(rep.replicas, partition) }
+
 func newReplica(part int, now time.Time) *Replica {
 	return &Replica{partition: part, Derived: newDerivedState(), wantedAt: now, asOf: now, sampledAt: now}
 }
@@ -116,52 +143,51 @@
 func (fo *Replica) lagS(now time.Time) float64 { return now.Sub(fo.asOf).Seconds() }
 
 // advance brings one copy up to date.
-func (f *Replicator) advance(fo *Replica) {
-	c := f.c
-	ctx, cancel := context.WithTimeout(c.loop.Context(), 4*time.Second)
+func (rep *Replicator) advance(fo *Replica) {
+	ctx, cancel := context.WithTimeout(rep.loop.Context(), 4*time.Second)
 	defer cancel()
 	prefix, after := storage.RunPrefix(fo.partition), uint64(0)
 	sampling, cursor := false, ""
-	c.loop.Do(func() {
+	rep.loop.Do(func() {
 		after = fo.Records.Revision()
 		sampling, cursor = after != 0 && fo.sample == nil && time.Since(fo.sampledAt) >= sampleInterval, fo.cursor
 	})
 	if after == 0 {
 		asked := time.Now()
-		items, rev, err := c.store.List(ctx, prefix)
+		items, rev, err := rep.store.List(ctx, prefix)
 		if err != nil {
-			c.log.Debug("copy not begun", "part", fo.partition, "reason", err)
+			rep.log.Debug("copy not begun", "part", fo.partition, "reason", err)
 			return
 		}
-		f.ifCurrent(fo, func() { fo.startFrom(c.log.Error, items, rev, asked) })
+		rep.ifCurrent(fo, func() { fo.startFrom(rep.log.Error, items, rev, asked) })
 		return
 	}
 	if sampling {
 		// Before the changes, so that the copy comes to the sample's revision.
-		if page, err := c.store.Page(ctx, prefix, cursor, sampleSize); err == nil {
-			f.ifCurrent(fo, func() { fo.takeSample(page, time.Now()) })
+		if page, err := rep.store.Page(ctx, prefix, cursor, sampleSize); err == nil {
+			rep.ifCurrent(fo, func() { fo.takeSample(page, time.Now()) })
 		}
 	}
 	asked := time.Now()
-	ev, err := c.store.Watch(ctx, prefix, after, 0, storage.ChangePatience)
-	f.ifCurrent(fo, func() {
+	ev, err := rep.store.Watch(ctx, prefix, after, 0, storage.ChangePatience)
+	rep.ifCurrent(fo, func() {
 		switch {
 		case errors.Is(err, storage.ErrTooOld):
 			fo.forget()
 		case err != nil:
-			c.log.Debug("copy not followed", "part", fo.partition, "reason", err)
-		case !fo.apply(c.log.Error, after, ev, asked):
+			rep.log.Debug("copy not followed", "part", fo.partition, "reason", err)
+		case !fo.apply(rep.log.Error, after, ev, asked):
 			fo.forget()
 		default:
-			f.compareSample(fo)
+			rep.compareSample(fo)
 		}
 	})
 }
 
 // ifCurrent runs what concerns a copy, if it is still kept.
-func (f *Replicator) ifCurrent(fo *Replica, fn func()) {
-	f.c.loop.Do(func() {
-		if f.replicas[fo.partition] == fo {
+func (rep *Replicator) ifCurrent(fo *Replica, fn func()) {
+	rep.loop.Do(func() {
+		if rep.replicas[fo.partition] == fo {
 			fn()
 		}
 	})
@@ -252,8 +278,7 @@
 
 // compareSample holds the sample against the records once these have come to its revision,
 // and drops the replica if they differ.
-func (f *Replicator) compareSample(fo *Replica) {
-	c := f.c
+func (rep *Replicator) compareSample(fo *Replica) {
 	if fo.sample == nil {
 		return
 	}
@@ -262,11 +287,11 @@
 		return
 	}
 	fo.sample = nil
-	maps.DeleteFunc(fo.Updates.Machines, func(name string, _ MachineHints) bool { return c.Machines[name] == nil })
+	maps.DeleteFunc(fo.Updates.Machines, func(name string, _ MachineHints) bool { return rep.Machines[name] == nil })
 	if len(keys) > 0 {
-		c.metrics.Count(telemetry.CopyDiffers, 1)
-		f.mismatches++
-		c.log.Error("replica differs from the state store and is read anew", "partition", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
+		rep.metrics.Count(telemetry.CopyDiffers, 1)
+		rep.mismatches++
+		rep.log.Error("replica differs from the state store and is read anew", "partition", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
 		fo.forget()
 	}
 }
@@ -276,18 +301,17 @@
 }
 
 // Summaries is what this controller tells the others of its copies.
-func (f *Replicator) Summaries() (list []*peer.Follow) {
-	for part, fo := range f.replicas {
+func (rep *Replicator) Summaries() (list []*peer.Follow) {
+	for part, fo := range rep.replicas {
 		list = append(list, &peer.Follow{Part: uint32(part), Revision: fo.Records.Revision()})
 	}
 	return list
 }
 
 // Overview is how the copies stand.
-func (f *Replicator) Overview(now time.Time) (list []overview.Follow) {
-	c := f.c
-	for _, p := range c.Partitions {
-		if fo := f.replicas[p.Index]; fo != nil {
+func (rep *Replicator) Overview(now time.Time) (list []overview.Follow) {
+	for _, p := range rep.Partitions {
+		if fo := rep.replicas[p.Index]; fo != nil {
 			list = append(list, overview.Follow{Part: p.Index, Owner: p.Leader, Records: fo.Records.Len(), Whole: fo.Records.Revision() != 0,
 				BehindS: fo.lagS(now), Told: fo.Derived.knownStarts()})
 		}
@@ -298,25 +322,24 @@
 // CompleteReplica brings a part's copy to the claim under which it is to be used, or reads the part
 // anew if there is none that can be. Nothing of the owner before is applied after the
 // claim, so that an answer that reaches it covers everything (32).
-func (f *Replicator) CompleteReplica(p *Partition, claim uint64) (*Replica, bool, error) {
-	c := f.c
+func (rep *Replicator) CompleteReplica(p *Partition, claim uint64) (*Replica, bool, error) {
 	prefix := storage.RunPrefix(p.Index)
 	var fo *Replica
 	after := uint64(0)
-	c.loop.Do(func() {
-		if fo = f.replicas[p.Index]; fo != nil {
+	rep.loop.Do(func() {
+		if fo = rep.replicas[p.Index]; fo != nil {
 			after = fo.Records.Revision()
 		}
 	})
 	if after != 0 {
 		asked := time.Now()
-		ev, err := c.store.CatchUp(c.loop.Context(), prefix, after)
+		ev, err := rep.store.CatchUp(rep.loop.Context(), prefix, after)
 		good := false
 		if err == nil {
-			f.ifCurrent(fo, func() {
-				good = fo.apply(c.log.Error, after, ev, asked) && fo.Records.Revision() >= claim
+			rep.ifCurrent(fo, func() {
+				good = fo.apply(rep.log.Error, after, ev, asked) && fo.Records.Revision() >= claim
 				if good && fo.sample != nil {
-					f.compareSample(fo)
+					rep.compareSample(fo)
 					good = fo.Records.Revision() != 0
 				}
 			})
@@ -324,45 +347,43 @@
 		if good {
 			return fo, true, nil
 		}
-		c.log.Info("the copy of a part is not used", "part", p.Index, "revision", after, "claim", claim, "reason", err)
+		rep.log.Info("the copy of a part is not used", "part", p.Index, "revision", after, "claim", claim, "reason", err)
 	}
 	asked := time.Now()
-	items, rev, err := c.store.List(c.loop.Context(), prefix)
+	items, rev, err := rep.store.List(rep.loop.Context(), prefix)
 	if err != nil {
 		return nil, false, fmt.Errorf("run records: %w", err)
 	}
 	cold := newReplica(p.Index, asked)
-	cold.startFrom(c.log.Error, items, rev, asked)
+	cold.startFrom(rep.log.Error, items, rev, asked)
 	if fo != nil {
-		c.loop.Do(func() { cold.inherit(fo) })
+		rep.loop.Do(func() { cold.inherit(fo) })
 	}
 	return cold, false, nil
 }
 
 // NamedStandby is which controller a part's owner has named to take the part over; empty:
 // none, or the owner is of a version that names nobody.
-func (f *Replicator) NamedStandby(p *Partition) string {
-	c := f.c
+func (s *State) NamedStandby(p *Partition) string {
 	owner := p.Leader
 	if owner == "" {
 		owner = p.FormerLeader
 	}
-	return c.Peers[owner].PartitionSummary(p).GetStandby()
+	return s.Peers[owner].PartitionSummary(p).GetStandby()
 }
 
 // ChooseStandby names who is to take an own part over: whoever it goes back to, or the
 // one that was named before, while that one is as good as any.
-func (f *Replicator) ChooseStandby(p *Partition, now time.Time) {
-	c := f.c
-	if home := f.preferredLeader(p, now); home != "" && c.Peers[home].Summary.Copies {
+func (to *Takeover) ChooseStandby(p *Partition, now time.Time) {
+	if home := to.preferredLeader(p, now); home != "" && to.Peers[home].Summary.Copies {
 		p.Standby = home
 		return
 	}
-	able := slices.DeleteFunc(f.Candidates(now), func(o failover.Candidate) bool {
-		ps := c.Peers[o.Label]
+	able := slices.DeleteFunc(to.Candidates(now), func(o failover.Candidate) bool {
+		ps := to.Peers[o.Label]
 		return ps != nil && !ps.Summary.Copies
 	})
-	p.Standby = failover.KeepStandby(p.Standby, c.Settings.Label, c.Settings.Zone, able)
+	p.Standby = failover.KeepStandby(p.Standby, to.Settings.Label, to.Settings.Zone, able)
 }
 
 // HasReplicaOf says whether another controller's copy of a part is whole.
@@ -373,32 +394,30 @@
 // isStandbyFor says whether this controller is the standby of what another owned: the one
 // that it had named, as long as that one is there, else whoever all would choose. One that
 // has just started knows too little to be chosen, but not to be named.
-func (f *Replicator) isStandbyFor(owner, named string, now time.Time) bool {
-	c := f.c
-	if owner == "" || named != c.Settings.Label && now.Sub(c.StartedAt) < 5*time.Second {
+func (to *Takeover) isStandbyFor(owner, named string, now time.Time) bool {
+	if owner == "" || named != to.Settings.Label && now.Sub(to.StartedAt) < 5*time.Second {
 		return false // not known, or not settled
 	}
-	all := f.Candidates(now)
+	all := to.Candidates(now)
 	if named == "" || !slices.ContainsFunc(all, func(o failover.Candidate) bool { return o.Label == named }) {
-		named = failover.ChooseStandby(owner, f.zoneOf(owner), all)
+		named = failover.ChooseStandby(owner, to.zoneOf(owner), all)
 	}
-	return named == c.Settings.Label
+	return named == to.Settings.Label
 }
 
 // liveStandby says whether another controller is there that was named a lost part's standby and
 // has a copy of it.
-func (f *Replicator) liveStandby(p *Partition, now time.Time) bool {
-	ps := f.c.Peers[f.NamedStandby(p)]
+func (to *Takeover) liveStandby(p *Partition, now time.Time) bool {
+	ps := to.Peers[to.NamedStandby(p)]
 	return ps != nil && ps.Alive(now) && !ps.Summary.Leaving && ps.HasReplicaOf(p.Index)
 }
 
 // zoneOf is a controller's zone, as the settings tell.
-func (f *Replicator) zoneOf(label string) string {
-	c := f.c
-	if label == c.Settings.Label {
-		return c.Settings.Zone
+func (s *State) zoneOf(label string) string {
+	if label == s.Settings.Label {
+		return s.Settings.Zone
 	}
-	for _, o := range c.Settings.Others {
+	for _, o := range s.Settings.Others {
 		if o.Label == label {
 			return o.Zone
 		}
@@ -407,28 +426,27 @@
 }
 
 // Candidates are the controllers that could take something over now.
-func (f *Replicator) Candidates(now time.Time) []failover.Candidate {
-	c := f.c
-	own := failover.Candidate{Label: c.Settings.Label, Zone: c.Settings.Zone}
-	for _, m := range c.Machines {
-		if c.Partitions[m.Record.Partition].Held {
+func (s *State) Candidates(now time.Time) []failover.Candidate {
+	own := failover.Candidate{Label: s.Settings.Label, Zone: s.Settings.Zone}
+	for _, m := range s.Machines {
+		if s.Partitions[m.Record.Partition].Held {
 			own.Machines++
 		}
 	}
-	for _, p := range c.Partitions {
+	for _, p := range s.Partitions {
 		if p.Held {
 			own.Partitions++
 		}
 	}
 	var all []failover.Candidate
-	if !c.Draining {
+	if !s.Draining {
 		all = append(all, own)
 	}
-	for label, ps := range c.Peers {
+	for label, ps := range s.Peers {
 		if !ps.Alive(now) || ps.Summary.Leaving {
 			continue
 		}
-		other := failover.Candidate{Label: label, Zone: f.zoneOf(label), Partitions: len(ps.Summary.Parts)}
+		other := failover.Candidate{Label: label, Zone: s.zoneOf(label), Partitions: len(ps.Summary.Parts)}
 		for _, p := range ps.Summary.Parts {
 			other.Machines += len(p.Machines)
 		}
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -35,7 +35,7 @@
 func (w *world) standbyOf(part int) (label string) {
 	for _, l := range []string{"n0", "n1", "n2"} {
 		w.in(l, func(c *Controller) {
-			if fo := c.replicator.replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.replicator.NamedStandby(c.Partitions[part]) == l {
+			if fo := c.replicator.replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.NamedStandby(c.Partitions[part]) == l {
 				label = l
 			}
 		})
@@ -154,7 +154,7 @@
 		cold.startFrom(complain, listing(), rev, time.Now())
 		if seed%3 == 0 {
 			for _, c := range two {
-				c.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
+				c.jobs.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
 			}
 		}
 		for _, c := range two {
@@ -162,8 +162,8 @@
 				m.PendingCommands = 1 // nothing is sent here
 			}
 		}
-		two[0].replicator.install(p[0], warm, nil, true)
-		two[1].replicator.install(p[1], cold, nil, false)
+		two[0].takeover.install(p[0], warm, nil, true)
+		two[1].takeover.install(p[1], cold, nil, false)
 		a, b := two[0].state(p[0]), two[1].state(p[1])
 		for k := range b {
 			if a[k] != b[k] {
@@ -822,7 +822,7 @@
 	c.waiting("job-1", tasks)
 	j := c.Jobs["job-1"]
 	for task := range tasks {
-		c.Reserve(p, j, task, 1, c.Machines[fmt.Sprint("m-", task%machines)], now)
+		c.scheduler.Reserve(p, j, task, 1, c.Machines[fmt.Sprint("m-", task%machines)], now)
 		j.LiveAttempts[task].StartedAt = now
 	}
 	p.Standby = "n1"
@@ -922,13 +922,13 @@
 		if !tc.started {
 			c.StartedAt = now.Add(-time.Second)
 		}
-		if got := c.replicator.WantsPartition(p, now.Add(tc.after)); got != tc.wanted {
+		if got := c.takeover.WantsPartition(p, now.Add(tc.after)); got != tc.wanted {
 			t.Errorf("%d: wanted %v", i, got)
 		}
 	}
 	c.Draining = true
 	told("n0", false, true)
-	if c.replicator.WantsPartition(p, now.Add(time.Hour)) {
+	if c.takeover.WantsPartition(p, now.Add(time.Hour)) {
 		t.Error("one that leaves wants a part")
 	}
 }
@@ -942,7 +942,7 @@
 	m.Fenced = true
 	c.waiting("job-1", 1)
 	j, now := c.Jobs["job-1"], time.Now()
-	c.Reserve(p, j, 0, 1, m, now)
+	c.scheduler.Reserve(p, j, 0, 1, m, now)
 	a := j.LiveAttempts[0]
 	a.State, a.Inherited = AttemptCommitted, true
 	if !c.replicator.ApplyStart(p, AttemptID{"job-1", 0, 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, AttemptID{"job-1", 0, 2}, now) {
@@ -951,7 +951,7 @@
 	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != AttemptCommitted || a.RunningS(now) != 20 {
 		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
 	}
-	c.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
+	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
 	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != AttemptConfirmed {
 		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -27,7 +27,7 @@
 // refuses another method with 405, an unknown one is 404.
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
-	ctx, c := context.Background(), &Controller{guard: &authorizer{}}
+	ctx, c := context.Background(), &Controller{api: &Server{auth: &Auth{enabled: true}}}
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
--- a/internal/coordination/inorder.go
+++ b/internal/coordination/inorder.go
@@ -16,29 +16,29 @@
 // list is kept for a moment, so that events do not each sort all jobs again, unless
 // another job comes to want something: served last, its tasks would find the room
 // taken, and its ends would be on record, and its team's room be free, a batch later.
-func (c *Controller) Queue(p *Partition) []*Job {
+func (sched *Scheduler) Queue(p *Partition) []*Job {
 	now := time.Now()
 	// The room for both is that of the last time.
-	list, views := c.queueBuffers.jobs[:0], c.queueBuffers.views[:0]
-	gone := func(j *Job) bool { return !j.Loaded || c.Jobs[j.Spec.ID] != j }
+	list, views := sched.queueBuffers.jobs[:0], sched.queueBuffers.views[:0]
+	gone := func(j *Job) bool { return !j.Loaded || sched.Jobs[j.Spec.ID] != j }
 	wants := func(j *Job) bool { return j.HasWork() && !gone(j) }
 	if p.QueueOrder != nil && now.Sub(p.QueueOrderedAt) < QueueOrderTTL && !slices.ContainsFunc(p.IdleJobs, wants) {
 		p.QueueOrder = slices.DeleteFunc(p.QueueOrder, gone)
 		return slices.Clone(p.QueueOrder)
 	}
 	p.QueueOrder, p.IdleJobs, p.QueueOrderedAt = []*Job{}, p.IdleJobs[:0], now
-	for _, j := range c.Jobs {
+	for _, j := range sched.Jobs {
 		switch {
 		case j.Partition != p.Index || !j.Loaded || j.Blocked:
 		case j.HasWork():
 			j.RecordsChanged = j.HasDirtyChunk()
-			list, views = append(list, j), append(views, c.queueView(j))
+			list, views = append(list, j), append(views, sched.queueView(j))
 		default:
 			p.IdleJobs = append(p.IdleJobs, j)
 		}
 	}
-	c.queueBuffers = queueBuffers{list, views}
-	c.estimateContention(p, list, views)
+	sched.queueBuffers = queueBuffers{list, views}
+	sched.estimateContention(p, list, views)
 	for _, at := range queue.Order(views, now) {
 		p.QueueOrder = append(p.QueueOrder, list[at])
 	}
@@ -69,7 +69,7 @@
 const QueueOrderTTL = 200 * time.Millisecond
 
 // queueView is what the order depends on of every job.
-func (c *Controller) queueView(j *Job) queue.Job {
+func (sched *Scheduler) queueView(j *Job) queue.Job {
 	deadline, _ := j.Deadline()
 	return queue.Job{ID: j.Spec.ID, Urgency: j.Urgency(), Received: j.SubmittedAt, Due: j.Due(), Deadline: deadline, Waiting: len(j.Pending), Team: j.Team}
 }
@@ -77,9 +77,9 @@
 // estimateContention works out what the order depends on of those jobs only that wait and
 // have a deadline: how long they run, on what, and how many tasks the part's machines
 // and the team's limit let run at a time. Jobs that are alike share the answer.
-func (c *Controller) estimateContention(p *Partition, list []*Job, views []queue.Job) {
+func (sched *Scheduler) estimateContention(p *Partition, list []*Job, views []queue.Job) {
 	machines := map[string]int{}
-	for _, m := range c.Machines {
+	for _, m := range sched.Machines {
 		if m.Record.Partition == p.Index && m.Type != nil && !m.Lost && !m.Quarantined {
 			machines[m.Type.Name]++
 		}
@@ -94,12 +94,12 @@
 		if v.Deadline.IsZero() || v.Waiting == 0 {
 			continue
 		}
-		v.EstimateS, v.Types, v.AtOnce = c.EstimateS(j.Spec), c.typeSet(j.Spec), c.teamParallelism(j)
+		v.EstimateS, v.Types, v.AtOnce = sched.EstimateS(j.Spec), sched.typeSet(j.Spec), sched.teamParallelism(j)
 		k := like{ResourcesOf(j.Spec), v.Types}
 		slots, ok := known[k]
 		if !ok {
-			slots = c.fleetSlots(machines, j.Spec)
-			if len(c.Catalog) <= 64 {
+			slots = sched.fleetSlots(machines, j.Spec)
+			if len(sched.Catalog) <= 64 {
 				known[k] = slots
 			}
 		}
@@ -117,15 +117,15 @@
 }
 
 // JobRunTime predicts how long a job takes from its first start to its end.
-func (c *Controller) JobRunTime(j *Job) time.Duration {
-	return settings.Seconds(c.EstimateS(j.Spec) * queue.Rounds(j.Spec.Tasks, c.teamParallelism(j)))
+func (sched *Scheduler) JobRunTime(j *Job) time.Duration {
+	return settings.Seconds(sched.EstimateS(j.Spec) * queue.Rounds(j.Spec.Tasks, sched.teamParallelism(j)))
 }
 
 // fleetSlots is how many tasks of a job a fleet, counted by type, runs at a time.
-func (c *Controller) fleetSlots(machines map[string]int, s *protocol.JobSpec) float64 {
+func (sched *Scheduler) fleetSlots(machines map[string]int, s *protocol.JobSpec) float64 {
 	sum := 0.0
-	for i := range c.Catalog {
-		t := &c.Catalog[i]
+	for i := range sched.Catalog {
+		t := &sched.Catalog[i]
 		if n := machines[t.Name]; n > 0 && binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), t) {
 			sum += float64(n * binpack.Size(t).Slots(ResourcesOf(s), binpack.UnboundedSlots))
 		}
@@ -134,8 +134,8 @@
 }
 
 // teamParallelism is how many tasks of a job its team's limit lets run at a time.
-func (c *Controller) teamParallelism(j *Job) float64 {
-	t := c.Settings.Params.Teams[j.Team]
+func (sched *Scheduler) teamParallelism(j *Job) float64 {
+	t := sched.Settings.Params.Teams[j.Team]
 	if t.CPUsMax <= 0 || j.Spec.CPUs <= 0 {
 		return math.Inf(1)
 	}
@@ -143,8 +143,8 @@
 }
 
 // typeSet is the set of machine types that a job's tasks fit, as bits.
-func (c *Controller) typeSet(s *protocol.JobSpec) uint64 {
-	return binpack.TypeSet(ConstraintsOf(s), ResourcesOf(s), c.Catalog)
+func (sched *Scheduler) typeSet(s *protocol.JobSpec) uint64 {
+	return binpack.TypeSet(ConstraintsOf(s), ResourcesOf(s), sched.Catalog)
 }
 
 func ResourcesOf(s *protocol.JobSpec) binpack.Resources {
--- a/internal/coordination/keep.go
+++ b/internal/coordination/keep.go
@@ -88,16 +88,16 @@
 // users make up their names. It does not grow with the machines; one takes up to 300 bytes.
 const classGroupsLimit = 1000
 
-func (c *Controller) ClassGroup(class string) int {
-	g, known := c.ClassGroups[class]
+func (sched *Scheduler) ClassGroup(class string) int {
+	g, known := sched.ClassGroups[class]
 	switch {
 	case known:
-	case len(c.ClassGroups) >= classGroupsLimit:
-		c.bounds.Met(telemetry.Classes, 1)
+	case len(sched.ClassGroups) >= classGroupsLimit:
+		sched.bounds.Met(telemetry.Classes, 1)
 		return fairshare.NoGroup
 	default:
-		g = len(c.Settings.Params.Teams) + len(c.ClassGroups) + 1
-		c.ClassGroups[class] = g
+		g = len(sched.Settings.Params.Teams) + len(sched.ClassGroups) + 1
+		sched.ClassGroups[class] = g
 	}
 	return g
 }
@@ -105,51 +105,51 @@
 func (j *Job) Groups() [2]int { return [2]int{TeamGroup(j.Team), j.ClassGroup} }
 
 // CountDone counts a job that was done.
-func (c *Controller) CountDone(part int, groups [2]int, at time.Time) {
+func (sched *Scheduler) CountDone(part int, groups [2]int, at time.Time) {
 	now := time.Now()
 	for _, g := range groups {
-		t := c.Partitions[part].DoneTallies[g]
+		t := sched.Partitions[part].DoneTallies[g]
 		if t == nil {
 			t = &fairshare.Tally{}
-			c.Partitions[part].DoneTallies[g] = t
+			sched.Partitions[part].DoneTallies[g] = t
 		}
 		t.Add(at, now)
 	}
 }
 
 // ResetDoneCounts begins the count anew, before a listing is taken in.
-func (c *Controller) ResetDoneCounts() {
-	for _, p := range c.Partitions {
+func (sched *Scheduler) ResetDoneCounts() {
+	for _, p := range sched.Partitions {
 		clear(p.DoneTallies)
 	}
 }
 
 // CountListedJob counts a listed job that is done: what a controller that was away missed.
-func (c *Controller) CountListedJob(id string, raw []byte) {
-	if c.FinalStates[id] != protocol.StatusDone {
+func (sched *Scheduler) CountListedJob(id string, raw []byte) {
+	if sched.FinalStates[id] != protocol.StatusDone {
 		return
 	}
 	var spec protocol.JobKind
 	if storage.Decode(raw, &spec) != nil {
 		return
 	}
-	if team, ok := c.TeamIndex[spec.Team]; ok {
-		c.CountDone(c.TeamPartition[team], [2]int{TeamGroup(team), c.ClassGroup(spec.Class)}, c.ListedEnds[id])
+	if team, ok := sched.TeamIndex[spec.Team]; ok {
+		sched.CountDone(sched.TeamPartition[team], [2]int{TeamGroup(team), sched.ClassGroup(spec.Class)}, sched.ListedEnds[id])
 	}
 }
 
 // updateFairShare decides what is kept for groups of a part that are behind.
-func (c *Controller) updateFairShare(p *Partition, now time.Time) {
+func (sched *Scheduler) updateFairShare(p *Partition, now time.Time) {
 	if now.Sub(p.FairShare.DecidedAt) < fairShareInterval {
 		return
 	}
 	was := p.FairShare.Shares != nil
 	p.FairShare = FairShareState{DecidedAt: now}
-	groups := c.countGroups(p, now)
+	groups := sched.countGroups(p, now)
 	if p.FairShare.Shares = fairshare.Shares(groups); p.FairShare.Shares == nil {
 		if was {
-			c.log.Info("nothing is kept any more", "part", p.Index)
-			for _, m := range c.Machines {
+			sched.log.Info("nothing is kept any more", "part", p.Index)
+			for _, m := range sched.Machines {
 				if m.Record.Partition == p.Index {
 					m.ReservedFor = fairshare.NoGroup
 				}
@@ -157,18 +157,18 @@
 		}
 		return
 	}
-	c.reserveQuota(p, now)
+	sched.reserveQuota(p, now)
 	v := fairshare.View{Groups: groups}
-	for _, j := range c.Queue(p) {
-		team := c.Settings.Params.Teams[j.Team]
+	for _, j := range sched.Queue(p) {
+		team := sched.Settings.Params.Teams[j.Team]
 		if len(j.Pending) > 0 && !j.Ended && !now.Before(j.BackoffUntil) && p.FairShare.Starved(j) &&
 			(TeamLimit(team).Allows(p.Usage[j.Team], ResourcesOf(j.Spec)) || p.FairShare.WithinReserve[TeamClass{j.Team, j.ClassGroup}]) {
 			v.Jobs = append(v.Jobs, fairshare.Job{Class: j.ClassGroup, Team: TeamGroup(j.Team), Need: ResourcesOf(j.Spec), Wish: ConstraintsOf(j.Spec), Waiting: len(j.Pending)})
 		}
 	}
 	var machines []*Machine
-	for _, m := range c.Machines {
-		if m.Record.Partition != p.Index || !c.Usable(m, now) {
+	for _, m := range sched.Machines {
+		if m.Record.Partition != p.Index || !sched.Usable(m, now) {
 			continue
 		}
 		machines = append(machines, m)
@@ -192,15 +192,15 @@
 		}
 	}
 	if !was {
-		c.log.Info("keeping machines for what is behind", "part", p.Index, "groups", c.starvedGroupNames(p), "machines", kept, "of", len(machines))
+		sched.log.Info("keeping machines for what is behind", "part", p.Index, "groups", sched.starvedGroupNames(p), "machines", kept, "of", len(machines))
 	}
 }
 
 // countGroups counts a part's work by group.
-func (c *Controller) countGroups(p *Partition, now time.Time) []fairshare.Group {
-	groups := make([]fairshare.Group, len(c.Settings.Params.Teams)+len(c.ClassGroups)+1)
-	for id, j := range c.Jobs {
-		if j.Partition != p.Index || !j.Loaded || j.Blocked || j.Ended || c.FinalStates[id] != "" {
+func (sched *Scheduler) countGroups(p *Partition, now time.Time) []fairshare.Group {
+	groups := make([]fairshare.Group, len(sched.Settings.Params.Teams)+len(sched.ClassGroups)+1)
+	for id, j := range sched.Jobs {
+		if j.Partition != p.Index || !j.Loaded || j.Blocked || j.Ended || sched.FinalStates[id] != "" {
 			continue
 		}
 		late := 0.0
@@ -216,7 +216,7 @@
 		groups[g].Done = t.Value(now)
 	}
 	groups[fairshare.NoGroup] = fairshare.Group{}
-	teams, all := groups[1:len(c.Settings.Params.Teams)+1], fairshare.Group{}
+	teams, all := groups[1:len(sched.Settings.Params.Teams)+1], fairshare.Group{}
 	for _, g := range teams {
 		all.Open, all.Late, all.Done = all.Open+g.Open, all.Late+g.Late, all.Done+g.Done
 	}
@@ -229,17 +229,17 @@
 // reserveQuota keeps a part of teams' limits for their classes that are behind, as far as
 // machines have room for their work now: where room is what it waits for, the limit is
 // of more use to others.
-func (c *Controller) reserveQuota(p *Partition, now time.Time) {
+func (sched *Scheduler) reserveQuota(p *Partition, now time.Time) {
 	uses := map[TeamClass]fairshare.ClassUse{}
 	var machines []*Machine
 	free := map[*Machine]binpack.Resources{}
-	for _, m := range c.Machines {
-		if m.Record.Partition == p.Index && c.Usable(m, now) {
+	for _, m := range sched.Machines {
+		if m.Record.Partition == p.Index && sched.Usable(m, now) {
 			machines, free[m] = append(machines, m), m.Free()
 		}
 	}
-	for _, j := range c.Queue(p) {
-		if c.Settings.Params.Teams[j.Team].CPUsMax <= 0 || p.FairShare.Share(j.ClassGroup) == 0 {
+	for _, j := range sched.Queue(p) {
+		if sched.Settings.Params.Teams[j.Team].CPUsMax <= 0 || p.FairShare.Share(j.ClassGroup) == 0 {
 			continue
 		}
 		u := uses[TeamClass{j.Team, j.ClassGroup}]
@@ -255,7 +255,7 @@
 		u.Wanted.Add(need, float64(n))
 		uses[TeamClass{j.Team, j.ClassGroup}] = u
 	}
-	for _, j := range c.Jobs {
+	for _, j := range sched.Jobs {
 		k := TeamClass{j.Team, j.ClassGroup}
 		u, asked := uses[k]
 		if !asked || !j.Loaded {
@@ -276,7 +276,7 @@
 				of = append(of, u)
 			}
 		}
-		limit := TeamLimit(c.Settings.Params.Teams[team])
+		limit := TeamLimit(sched.Settings.Params.Teams[team])
 		p.FairShare.Quota[team] = fairshare.Quotas(p.FairShare.Shares, limit, of)
 		for _, u := range of {
 			p.FairShare.WithinReserve[TeamClass{team, u.Class}] = u.Used.CPUs <= p.FairShare.Share(u.Class)*limit.CPUs
@@ -285,14 +285,14 @@
 }
 
 // starvedGroupNames names the groups that something is kept for.
-func (c *Controller) starvedGroupNames(p *Partition) []string {
+func (sched *Scheduler) starvedGroupNames(p *Partition) []string {
 	var names []string
-	for i, t := range c.Settings.Params.Teams {
+	for i, t := range sched.Settings.Params.Teams {
 		if p.FairShare.Share(TeamGroup(i)) > 0 {
 			names = append(names, "team "+t.Name)
 		}
 	}
-	for class, g := range c.ClassGroups {
+	for class, g := range sched.ClassGroups {
 		if p.FairShare.Share(g) > 0 {
 			names = append(names, "class "+class)
 		}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -182,7 +182,7 @@
 			_, _ = c.owning(5)
 			for i := range 100 {
 				name := fmt.Sprintf("m-%d", 100+i)
-				c.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
+				c.agents.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
 				m := c.Machines[name]
 				m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
 				j := &Job{Spec: spec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
@@ -190,7 +190,7 @@
 				a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptConfirmed, Stopping: true, StopRequestedAt: time.Now()}
 				j.LiveAttempts[0] = a
 				m.Attempts[AttemptKey(a.TaskName(), 1)] = a
-				c.SendCommands(m)
+				c.agents.SendCommands(m)
 			}
 		})
 		most, extra := 0, 0
@@ -201,8 +201,8 @@
 				for _, m := range c.Machines {
 					extra += max(0, m.PendingCommands-1)
 				}
-				if extra != c.repeatedCommands {
-					t.Errorf("%d orders beside others, counted %d", extra, c.repeatedCommands)
+				if extra != c.agents.repeatedCommands {
+					t.Errorf("%d orders beside others, counted %d", extra, c.agents.repeatedCommands)
 				}
 				most = max(most, extra)
 			})
@@ -210,8 +210,8 @@
 		c.loop.Do(func() { clear(c.Machines) })
 		time.Sleep(2 * CommandTimeout)
 		c.loop.Do(func() {
-			if c.repeatedCommands != 0 {
-				t.Errorf("%d repeats are left", c.repeatedCommands)
+			if c.agents.repeatedCommands != 0 {
+				t.Errorf("%d repeats are left", c.agents.repeatedCommands)
 			}
 		})
 		if limit := max(repeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/repeatedCommandsSocketShare); most != limit {
@@ -237,7 +237,7 @@
 		defer end()
 		for status, mayCome := range map[int]bool{200: true, 400: false, 409: false, 500: true, 503: true, 504: true} {
 			setNetwork(c, answeringNet{status})
-			r, sent, err := c.postCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
+			r, sent, err := c.agents.postCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
 				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
 			}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"maps"
 	"slices"
 	"time"
@@ -15,8 +16,38 @@
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
+// Autoscaler rents, moves and returns machines while this controller is the cluster's
+// leader.
+type Autoscaler struct {
+	*State
+	loop    *eventloop.Loop
+	network storage.Requester
+	store   *storage.Store
+	log     *slog.Logger
+	metrics *telemetry.Metrics
+
+	agents    *Agents
+	cloud     *CloudClient
+	peering   *Exchange
+	scheduler *Scheduler
+}
+
+// NewAutoscaler makes one without collaborators.
+func NewAutoscaler(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Autoscaler {
+	return &Autoscaler{State: state, loop: loop, network: network, store: store, log: log}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (as *Autoscaler) Connect(agents *Agents, cloud *CloudClient, peering *Exchange, scheduler *Scheduler) {
+	as.agents, as.cloud, as.peering, as.scheduler = agents, cloud, peering, scheduler
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (as *Autoscaler) Observe(m *telemetry.Metrics) { as.metrics = m }
+
 // Leadership is what the leader keeps in memory. All of it may be lost: names
 // of rentals never repeat, and machines without a record are adopted.
 type Leadership struct {
@@ -55,8 +86,8 @@
 }
 
 // ApplyLeadership follows who leads.
-func (c *Controller) ApplyLeadership(e protocol.Event, now time.Time) {
-	l := &c.Leadership
+func (as *Autoscaler) ApplyLeadership(e protocol.Event, now time.Time) {
+	l := &as.Leadership
 	if e.Version < l.Revision || e.Put != "" && e.Version == l.Revision {
 		return
 	}
@@ -65,88 +96,55 @@
 			l.VacantSince = now
 		}
 		l.FormerHolder, l.Holder, l.Revision = l.Holder, "", 0
-		c.DropLeadership("the claim ended")
-		eventloop.Signal(c.LeaseWakeup)
+		as.DropLeadership("the claim ended")
+		eventloop.Signal(as.LeaseWakeup)
 		return
 	}
 	var claim storage.Lease
 	if err := storage.Decode(e.Value, &claim); err != nil {
-		c.log.Error("bad leader record", "reason", err)
+		as.log.Error("bad leader record", "reason", err)
 		return
 	}
-	c.DropLeadership("the claim changed hands")
+	as.DropLeadership("the claim changed hands")
 	l.Holder, l.Revision = claim.Holder, e.Version
-	if claim.Holder == c.Settings.Label && claim.Nonce == c.Nonce {
+	if claim.Holder == as.Settings.Label && claim.Nonce == as.Nonce {
 		l.Reset()
 		l.Held = true
-		c.replicator.ResumeLeadership(c.LastLeaderUpdate, now)
-		c.log.Info("leading", "token", l.Revision)
+		as.ResumeLeadership(as.LastLeaderUpdate, now)
+		as.log.Info("leading", "token", l.Revision)
 	}
 }
 
-func (c *Controller) DropLeadership(reason string) {
-	if c.Leadership.Held {
-		c.log.Info("no longer leading", "reason", reason)
-		c.Leadership.Held = false
-	}
-}
-
-// errCloudCircuitOpen: the cloud's interface has not answered for a while.
-var errCloudCircuitOpen = errors.New("the cloud's interface does not answer; it is left alone for a moment")
-
-// callCloud sends one request to the cloud within its budget.
-func (c *Controller) callCloud(method, target string, in, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(c.loop.Context(), 5*time.Second)
-	defer cancel()
-	if c.cloudCircuit.Open(time.Now()) {
-		return 0, errCloudCircuitOpen
-	}
-	if err := c.cloudBudget.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("cloud budget: %w", err)
-	}
-	var body []byte
-	if in != nil {
-		body = protocol.Encode(in)
-	}
-	if !c.cloudCircuit.Allow(time.Now()) {
-		return 0, errCloudCircuitOpen
-	}
-	resp, err := c.network.Do(ctx, c.Settings.Services.Cloud, method, target, body)
-	c.cloudCircuit.Done(time.Now(), err == nil)
-	if err != nil {
-		return 0, fmt.Errorf("cloud: %w", err)
-	}
-	if out != nil && resp.Status == 200 {
-		if err := protocol.Decode(resp.Body, out); err != nil {
-			return 0, fmt.Errorf("cloud: %w", err)
-		}
+func (as *Autoscaler) DropLeadership(reason string) {
+	if as.Leadership.Held {
+		as.log.Info("no longer leading", "reason", reason)
+		as.Leadership.Held = false
 	}
-	return resp.Status, nil
 }
 
 // CatalogLoop learns the machine types. Only the leader asks again and again,
 // for the prices; the others ask until they know.
-func (c *Controller) CatalogLoop() {
+func (as *Autoscaler) CatalogLoop() {
 	pause := time.Duration(0)
-	for c.loop.Sleep(pause) {
+	for as.loop.Sleep(pause) {
 		pause = time.Second
 		want, leading := false, false
-		c.loop.Do(func() {
-			leading = c.Leadership.Held
-			want = len(c.Catalog) == 0 || leading
+		as.loop.Do(func() {
+			leading = as.Leadership.Held
+			want = len(as.Catalog) == 0 || leading
 		})
 		if !want {
 			continue
 		}
 		var cat protocol.Catalog
-		status, err := c.callCloud("GET", "/catalog", nil, &cat)
+		status, err := as.cloud.Call("GET", "/catalog", nil, &cat)
 		if err != nil || status != 200 || len(cat.Types) == 0 {
-			c.log.Debug("no catalog", "status", status, "reason", err)
+			as.log.Debug("no catalog", "status", status, "reason", err)
 			continue
 		}
-		c.loop.Do(func() { c.SetCatalog(cat.Types) })
+		as.loop.Do(func() { as.SetCatalog(cat.Types) })
 		if leading {
-			c.recordCatalog(cat)
+			as.recordCatalog(cat)
 			pause = 20 * time.Second
 		}
 	}
@@ -154,57 +152,57 @@
 
 // recordCatalog records the machine types for controllers that start while the
 // cloud's interface is down.
-func (c *Controller) recordCatalog(cat protocol.Catalog) {
-	_, err := c.store.Get(c.loop.Context(), storage.CatalogKey)
+func (as *Autoscaler) recordCatalog(cat protocol.Catalog) {
+	_, err := as.store.Get(as.loop.Context(), storage.CatalogKey)
 	if !errors.Is(err, storage.ErrNotFound) {
 		return
 	}
 	value := storage.Encode(cat)
-	if protocol.JSONSize(value) > c.store.ValueBytes() {
+	if protocol.JSONSize(value) > as.store.ValueBytes() {
 		return // the record only helps while the cloud is down
 	}
-	_, err = c.store.Commit(c.loop.Context(), &protocol.Transaction{
+	_, err = as.store.Commit(as.loop.Context(), &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.CatalogKey, Version: 0}},
 		Then: []protocol.Change{{Put: storage.CatalogKey, Value: value}},
 	})
 	if err != nil {
-		c.log.Debug("catalog not recorded", "reason", err)
+		as.log.Debug("catalog not recorded", "reason", err)
 	}
 }
 
 // LeaderLoop lists the cloud's machines and steers the fleet while leading.
-func (c *Controller) LeaderLoop() {
+func (as *Autoscaler) LeaderLoop() {
 	lastList := time.Time{}
-	listEvery := max(2*time.Second, settings.Seconds(c.Settings.Params.Cloud.ListLagS/3))
+	listEvery := max(2*time.Second, settings.Seconds(as.Settings.Params.Cloud.ListLagS/3))
 	for {
 		select {
-		case <-time.After(c.Operator.MovePeriod):
-		case <-c.Leadership.Wakeup:
+		case <-time.After(as.Operator.MovePeriod):
+		case <-as.Leadership.Wakeup:
 			// What was refused is sought elsewhere at once.
-		case <-c.loop.Context().Done():
+		case <-as.loop.Context().Done():
 			return
 		}
 		leading := false
-		c.loop.Do(func() { leading = c.Leadership.Held })
+		as.loop.Do(func() { leading = as.Leadership.Held })
 		if !leading {
 			continue
 		}
 		if time.Since(lastList) > listEvery {
 			lastList = time.Now()
-			c.loop.Go(c.listMachines)
+			as.loop.Go(as.listMachines)
 		}
-		c.loop.Do(func() { c.reconcileFleet(time.Now()) })
+		as.loop.Do(func() { as.reconcileFleet(time.Now()) })
 	}
 }
 
-func (c *Controller) listMachines() {
+func (as *Autoscaler) listMachines() {
 	listed := map[string]protocol.ListedMachine{}
 	after := ""
 	for {
 		var page protocol.MachineList
-		status, err := c.callCloud("GET", "/machines?after="+after+"&page=500", nil, &page)
+		status, err := as.cloud.Call("GET", "/machines?after="+after+"&page=500", nil, &page)
 		if err != nil || status != 200 {
-			c.log.Debug("machines not listed", "status", status, "reason", err)
+			as.log.Debug("machines not listed", "status", status, "reason", err)
 			return
 		}
 		for _, m := range page.Machines {
@@ -215,10 +213,10 @@
 			break
 		}
 	}
-	c.loop.Do(func() {
-		c.Leadership.Listed = listed
+	as.loop.Do(func() {
+		as.Leadership.Listed = listed
 		for name, lm := range listed {
-			if m := c.Machines[name]; m != nil && m.Record.Addr == "" {
+			if m := as.Machines[name]; m != nil && m.Record.Addr == "" {
 				m.Record.Addr = lm.Addr
 			}
 		}
@@ -231,19 +229,19 @@
 
 // reconcileFleet is one round of the leader: it gathers what is known, has the fleet's room
 // decide, and does what that says.
-func (c *Controller) reconcileFleet(now time.Time) {
-	l := &c.Leadership
-	if !l.Held || len(c.Catalog) == 0 || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL {
+func (as *Autoscaler) reconcileFleet(now time.Time) {
+	l := &as.Leadership
+	if !l.Held || len(as.Catalog) == 0 || now.Sub(as.LeaseRenewedAt) > as.Operator.ClaimTTL {
 		return
 	}
-	strays := c.unrecordedMachines(now)
-	plan := scaling.Decide(c.scalingView(strays, now))
+	strays := as.unrecordedMachines(now)
+	plan := scaling.Decide(as.scalingView(strays, now))
 	for _, a := range plan.Adopt {
 		rec := strays[a.Name]
 		rec.Partition = a.Partition
 		l.Adopting[a.Name] = now
-		c.log.Info("machine adopted", "machine", a.Name, "type", rec.Type, "zone", rec.Zone, "part", rec.Partition)
-		c.loop.Go(func() { c.recordMachines([]string{a.Name}, rec) })
+		as.log.Info("machine adopted", "machine", a.Name, "type", rec.Type, "zone", rec.Zone, "part", rec.Partition)
+		as.loop.Go(func() { as.recordMachines([]string{a.Name}, rec) })
 	}
 	for _, name := range plan.AdoptLater {
 		l.Adopting[name] = now.Add(-3 * time.Second)
@@ -253,34 +251,34 @@
 		for _, d := range plan.Terminate {
 			l.Deleting[d.Name] = now
 			names = append(names, d.Name)
-			c.log.Info("giving machine up", "machine", d.Name, "reason", d.Reason)
+			as.log.Info("giving machine up", "machine", d.Name, "reason", d.Reason)
 		}
-		c.loop.Go(func() { c.deleteMachines(names) })
+		as.loop.Go(func() { as.deleteMachines(names) })
 	}
 	for _, m := range plan.Moves {
 		l.MovedAt[m.Name] = now
-		c.log.Info("moving machine", "machine", m.Name, "from", m.From, "to", m.To)
-		c.askPartitionLeader(c.Partitions[m.From].Leader, &peer.FleetRequest{Machine: m.Name, ToPart: uint32(m.To)}, func() {
-			c.loop.Do(func() { c.Leadership.AssignedAt[m.To] = time.Now() })
+		as.log.Info("moving machine", "machine", m.Name, "from", m.From, "to", m.To)
+		as.askPartitionLeader(as.Partitions[m.From].Leader, &peer.FleetRequest{Machine: m.Name, ToPart: uint32(m.To)}, func() {
+			as.loop.Do(func() { as.Leadership.AssignedAt[m.To] = time.Now() })
 		})
 	}
 	for _, r := range plan.ScaleOuts {
-		c.startScaleOut(r)
+		as.startScaleOut(r)
 	}
 	for _, name := range plan.ScaleIns {
 		l.Deleting[name] = now
-		m := c.Machines[name]
-		c.log.Info("returning machine", "machine", name, "type", m.Record.Type, "part", m.Record.Partition)
-		c.askPartitionLeader(c.Partitions[m.Record.Partition].Leader, &peer.FleetRequest{Machine: name, Retire: true}, func() { c.deleteMachines([]string{name}) })
+		m := as.Machines[name]
+		as.log.Info("returning machine", "machine", name, "type", m.Record.Type, "part", m.Record.Partition)
+		as.askPartitionLeader(as.Partitions[m.Record.Partition].Leader, &peer.FleetRequest{Machine: name, Retire: true}, func() { as.deleteMachines([]string{name}) })
 	}
 }
 
 // scalingView is what the leader's decisions rest on.
-func (c *Controller) scalingView(strays map[string]storage.Machine, now time.Time) scaling.View {
-	l := &c.Leadership
+func (as *Autoscaler) scalingView(strays map[string]storage.Machine, now time.Time) scaling.View {
+	l := &as.Leadership
 	// An ordinary machine is too dear to wait as long as a spot one.
-	v := scaling.View{Now: now, Partitions: make([]scaling.Partition, len(c.Partitions)), Machines: make([]scaling.Machine, 0, len(c.Machines)), Catalog: c.Catalog,
-		Scarcity: c.Scarcity(now), RefusedCapacity: l.RefusedCapacity, ScalingOut: map[int]bool{}, IdleSpot: c.Operator.IdleReturn, IdleOrdinary: c.Operator.IdleReturn / 3}
+	v := scaling.View{Now: now, Partitions: make([]scaling.Partition, len(as.Partitions)), Machines: make([]scaling.Machine, 0, len(as.Machines)), Catalog: as.Catalog,
+		Scarcity: as.scheduler.Scarcity(now), RefusedCapacity: l.RefusedCapacity, ScalingOut: map[int]bool{}, IdleSpot: as.Operator.IdleReturn, IdleOrdinary: as.Operator.IdleReturn / 3}
 	for _, r := range l.PendingScaleOut {
 		v.ScalingOut[r.Partition] = true
 	}
@@ -291,12 +289,12 @@
 	take := func(owner string, sum *peer.Summary, heard time.Time) {
 		for _, ps := range sum.Parts {
 			i := int(ps.Part)
-			if i >= len(v.Partitions) || c.Partitions[i].Leader != owner {
+			if i >= len(v.Partitions) || as.Partitions[i].Leader != owner {
 				continue
 			}
 			v.Partitions[i].Known = true
 			for _, st := range ps.Machines {
-				if m := c.Machines[st.Name]; m != nil && m.Record.Partition == i {
+				if m := as.Machines[st.Name]; m != nil && m.Record.Partition == i {
 					states[st.Name] = st
 				}
 			}
@@ -305,16 +303,16 @@
 			}
 		}
 	}
-	take(c.Settings.Label, &peer.Summary{Parts: c.PartitionSummaries(now)}, now)
-	for label, ps := range c.Peers {
+	take(as.Settings.Label, &peer.Summary{Parts: as.peering.PartitionSummaries(now)}, now)
+	for label, ps := range as.Peers {
 		if ps.Alive(now) {
 			take(label, ps.Summary, ps.HeardAt)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.Machines)) {
-		m := c.Machines[name]
+	for _, name := range slices.Sorted(maps.Keys(as.Machines)) {
+		m := as.Machines[name]
 		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
-			Failed: l.Listed[name].State == protocol.MachineFailed || c.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
+			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
 		if st := states[name]; st != nil {
 			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Faulty, st.NeverUp, st.Retiring, st.IdleS
 		}
@@ -325,8 +323,8 @@
 
 // IsDeleted says whether a machine is known to be gone though it is on record: the write of
 // its record went unanswered and was applied after the record's end (44).
-func (c *Controller) IsDeleted(name string) bool {
-	_, gone := c.DeletedMachines[name]
+func (s *State) IsDeleted(name string) bool {
+	_, gone := s.DeletedMachines[name]
 	return gone
 }
 
@@ -345,45 +343,45 @@
 
 // unrecordedMachines are machines that turn up without a record: those up at the start, and
 // those whose rental was answered to nobody.
-func (c *Controller) unrecordedMachines(now time.Time) map[string]storage.Machine {
+func (as *Autoscaler) unrecordedMachines(now time.Time) map[string]storage.Machine {
 	strays := map[string]storage.Machine{}
 	take := func(u *peer.UnknownMachine) {
 		strays[u.Name] = storage.Machine{Addr: u.Addr, Type: u.Type, Zone: u.Zone, Spot: u.Spot}
 	}
-	for _, u := range c.UnregisteredMachines {
+	for _, u := range as.UnregisteredMachines {
 		take(u)
 	}
-	for _, ps := range c.Peers {
+	for _, ps := range as.Peers {
 		if ps.Alive(now) {
 			for _, u := range ps.Summary.Unknown {
 				take(u)
 			}
 		}
 	}
-	late := 4 + 2*c.Settings.Params.Cloud.ListLagS
-	for name, lm := range c.Leadership.Listed {
-		if lm.State != protocol.MachineFailed && lm.AgeS > late && now.Sub(c.StartedAt) > 5*time.Second {
+	late := 4 + 2*as.Settings.Params.Cloud.ListLagS
+	for name, lm := range as.Leadership.Listed {
+		if lm.State != protocol.MachineFailed && lm.AgeS > late && now.Sub(as.StartedAt) > 5*time.Second {
 			strays[name] = storage.Machine{Addr: lm.Addr, Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}
 		}
 	}
 	maps.DeleteFunc(strays, func(name string, _ storage.Machine) bool {
-		_, deleted := c.DeletedMachines[name]
-		return deleted || c.Machines[name] != nil
+		_, deleted := as.DeletedMachines[name]
+		return deleted || as.Machines[name] != nil
 	})
 	return strays
 }
 
 // recordMachines writes the assignment of new machines.
-func (c *Controller) recordMachines(names []string, rec storage.Machine) {
-	tries := c.loop.Tries("records", recordBackoff)
+func (as *Autoscaler) recordMachines(names []string, rec storage.Machine) {
+	tries := as.loop.Tries("records", recordBackoff)
 	for len(names) > 0 {
 		var group []string
 		for {
-			group = names[:min(c.store.TxnOps(), len(names))]
+			group = names[:min(as.store.TxnOps(), len(names))]
 			version := uint64(0)
-			c.loop.Do(func() {
-				if c.Leadership.Held {
-					version = c.Leadership.Revision
+			as.loop.Do(func() {
+				if as.Leadership.Held {
+					version = as.Leadership.Revision
 				}
 			})
 			if version == 0 {
@@ -395,13 +393,13 @@
 				txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
 				txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(rec)})
 			}
-			ctx, cancel := context.WithTimeout(c.loop.Context(), 4*time.Second)
-			rev, err := c.store.Commit(ctx, txn)
+			ctx, cancel := context.WithTimeout(as.loop.Context(), 4*time.Second)
+			rev, err := as.store.Commit(ctx, txn)
 			cancel()
 			if err == nil {
-				c.loop.Do(func() {
+				as.loop.Do(func() {
 					for _, name := range group {
-						c.MachineRecorded(name, rec, rev, time.Now())
+						as.agents.MachineRecorded(name, rec, rev, time.Now())
 					}
 				})
 				break
@@ -410,8 +408,8 @@
 			if errors.As(err, &conflict) {
 				return // on record already, or no longer leading: the watch tells
 			}
-			c.log.Info("machines not recorded yet", "machines", group, "reason", err)
-			if !c.loop.Sleep(tries.Failed()) {
+			as.log.Info("machines not recorded yet", "machines", group, "reason", err)
+			if !as.loop.Sleep(tries.Failed()) {
 				return
 			}
 		}
@@ -421,42 +419,42 @@
 
 // deleteMachines deletes machines and then their records; the record goes only
 // after the cloud's answer, since its end proves all attempts over.
-func (c *Controller) deleteMachines(names []string) {
-	status, err := c.callCloud("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
+func (as *Autoscaler) deleteMachines(names []string) {
+	status, err := as.cloud.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
 	if err != nil || status != 200 {
-		c.log.Info("machines not deleted", "machines", names, "status", status, "reason", err)
+		as.log.Info("machines not deleted", "machines", names, "status", status, "reason", err)
 		return
 	}
 	for _, name := range names {
 		var txn *protocol.Transaction
-		c.loop.Do(func() {
-			if m := c.Machines[name]; m != nil && c.Leadership.Held {
+		as.loop.Do(func() {
+			if m := as.Machines[name]; m != nil && as.Leadership.Held {
 				key := storage.MachineKey(name)
 				txn = &protocol.Transaction{
-					If:   []protocol.Condition{{Key: storage.LeadershipKey, Version: c.Leadership.Revision}, {Key: key, Version: m.Revision}},
+					If:   []protocol.Condition{{Key: storage.LeadershipKey, Version: as.Leadership.Revision}, {Key: key, Version: m.Revision}},
 					Then: []protocol.Change{{Delete: key}}}
 			}
 		})
 		if txn == nil {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(c.loop.Context(), 4*time.Second)
-		_, err := c.store.Commit(ctx, txn)
+		ctx, cancel := context.WithTimeout(as.loop.Context(), 4*time.Second)
+		_, err := as.store.Commit(ctx, txn)
 		cancel()
 		if err != nil {
-			c.log.Info("record of a deleted machine stays for now", "machine", name, "reason", err)
+			as.log.Info("record of a deleted machine stays for now", "machine", name, "reason", err)
 			continue
 		}
-		c.loop.Do(func() { c.MachineDeleted(name, time.Now()) })
+		as.loop.Do(func() { as.agents.MachineDeleted(name, time.Now()) })
 	}
 }
 
 // askPartitionLeader asks a machine's owner for something; then runs if it agreed.
-func (c *Controller) askPartitionLeader(owner string, fr *peer.FleetRequest, then func()) {
-	c.loop.Go(func() {
-		reply, err := c.sendMachineRequest(owner, fr)
+func (as *Autoscaler) askPartitionLeader(owner string, fr *peer.FleetRequest, then func()) {
+	as.loop.Go(func() {
+		reply, err := as.sendMachineRequest(owner, fr)
 		if err != nil || !reply.Ok {
-			c.log.Debug("owner declined", "machine", fr.Machine, "owner", owner, "answer", reply.GetReason(), "reason", err)
+			as.log.Debug("owner declined", "machine", fr.Machine, "owner", owner, "answer", reply.GetReason(), "reason", err)
 			return
 		}
 		if then != nil {
@@ -465,14 +463,14 @@
 	})
 }
 
-func (c *Controller) sendMachineRequest(owner string, fr *peer.FleetRequest) (*peer.FleetReply, error) {
-	if owner == c.Settings.Label {
-		return c.HandleMachineRequest(fr), nil
+func (as *Autoscaler) sendMachineRequest(owner string, fr *peer.FleetRequest) (*peer.FleetReply, error) {
+	if owner == as.Settings.Label {
+		return as.agents.HandleMachineRequest(fr), nil
 	}
-	ps := c.Peers[owner]
+	ps := as.Peers[owner]
 	if ps == nil {
 		return nil, fmt.Errorf("no such controller %q", owner)
 	}
 	reply := new(peer.FleetReply)
-	return reply, callPeer(c.loop.Context(), c.network, 3*time.Second, ps.Addr, MachineRequestPath, fr, reply)
+	return reply, callPeer(as.loop.Context(), as.network, 3*time.Second, ps.Addr, MachineRequestPath, fr, reply)
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -69,7 +69,7 @@
 		}
 		j := c.take(spec(fmt.Sprintf("job-%06d", i), largeEach, team))
 		for task := range largeEach {
-			c.Reserve(p, j, task, 1, m, now)
+			c.scheduler.Reserve(p, j, task, 1, m, now)
 			a := j.LiveAttempts[task]
 			a.State, a.StartedAt, a.ReportedState = AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
 		}
@@ -202,7 +202,7 @@
 	}
 	noted := int(largeCancels * largeCancelS.Seconds())
 	for i := range noted {
-		c.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
+		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
 	}
 	for i := range largeMachines { // as after the start of all controllers
 		name := largeMachine(largeMachines + i)
@@ -210,7 +210,7 @@
 		c.DivertedMachines[name] = now
 	}
 	most := MaxPeerBody(largeLimits)
-	body := c.encodeSummary(c.OwnSummary(now))
+	body := c.peering.encodeSummary(c.peering.OwnSummary(now))
 	sum := new(peer.Summary)
 	must(proto.Unmarshal(body, sum))
 	machines, demands := 0, 0
@@ -251,7 +251,7 @@
 		sum.Withdrawn = append(sum.Withdrawn, &peer.Withdrawn{Job: longID(i), AgeMs: 40_000})
 	}
 	sum.Parts = append(sum.Parts, ps)
-	body := c.encodeSummary(sum)
+	body := c.peering.encodeSummary(sum)
 	if len(body) > MaxPeerBody(largeLimits) || len(sum.Jobs) != jobProgressLimit {
 		t.Errorf("%d bytes of %d, %d jobs", len(body), MaxPeerBody(largeLimits), len(sum.Jobs))
 	}
@@ -280,8 +280,8 @@
 			t.Errorf("recalled in %d bytes, whole %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
 		}
 		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.Index, len(fo.Updates.Machines), messages, len(raw))
-		c.ClearPartition(p) // the standby never owned it
-		c.replicator.install(p, fo, nil, true)
+		c.leases.ClearPartition(p) // the standby never owned it
+		c.takeover.install(p, fo, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
 		t.Errorf("the standby knows %d starts and %d machines", attempts, machines)
@@ -316,7 +316,7 @@
 	noted := int(largeCancels * largeCancelS.Seconds())
 	for i := range noted {
 		age := largeCancelS - time.Second - time.Duration(i)*(largeCancelS-2*time.Second)/time.Duration(noted)
-		c.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
+		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
 	}
 	told := c.Cancellations.Recent(now, c.CancelBound)
 	if len(told) != noted || told[0].Job != "job-800000000" {
@@ -364,7 +364,7 @@
 	}
 	for _, m := range c.Machines {
 		r := reportOf(c, m, 1)
-		if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
+		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
 			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
@@ -391,7 +391,7 @@
 func oneControllerIsLeft(t *testing.T, c *Controller) {
 	for _, m := range c.Machines {
 		r := reportOf(c, m, 1)
-		if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
+		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
 			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
@@ -428,7 +428,7 @@
 			}
 			sum.Parts = append(sum.Parts, &peer.PartSummary{Machines: []*peer.MachineStatus{{Name: "m-1"}}})
 			told := new(peer.Summary)
-			must(proto.Unmarshal(c.encodeSummary(sum), told))
+			must(proto.Unmarshal(c.peering.encodeSummary(sum), told))
 			if len(told.Jobs) > 0 || len(told.Parts) != 1 {
 				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Parts))
 			}
@@ -440,7 +440,7 @@
 				sum.Unknown = append(sum.Unknown, &peer.UnknownMachine{Name: fmt.Sprintf("m-%032d", i)})
 			}
 			told := new(peer.Summary)
-			must(proto.Unmarshal(c.encodeSummary(sum), told))
+			must(proto.Unmarshal(c.peering.encodeSummary(sum), told))
 			if len(told.Unknown) > 0 || len(told.Withdrawn) != 1 {
 				t.Errorf("%d machines, %d cancelled told", len(told.Unknown), len(told.Withdrawn))
 			}
@@ -450,7 +450,7 @@
 				id := fmt.Sprint("job-", i)
 				c.Jobs[id] = &Job{Spec: spec(id, 1, "green"), Loaded: true, RunningCount: 1}
 			}
-			if n := len(c.OwnSummary(time.Now()).Jobs); n != jobProgressLimit {
+			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != jobProgressLimit {
 				t.Errorf("%d jobs told", n)
 			}
 		}},
@@ -458,13 +458,13 @@
 			for i := range demandsMin + 1 {
 				c.waiting(fmt.Sprint("job-", i), 1)
 			}
-			if n := len(c.partitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != demandsMin {
+			if n := len(c.peering.partitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != demandsMin {
 				t.Errorf("%d demands told", n)
 			}
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
 			for i := range c.Cancellations.limit + 1 {
-				c.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
+				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
 			}
 			if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.limit || told[0].Job != "job-0" {
 				t.Errorf("%d told, %s first", len(told), told[0].Job)
@@ -478,7 +478,7 @@
 			e.leader, e.lease, e.grantedUntil, e.unsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.unsentLimit
 			e.shards[m.Shard] = true
 			r := reportOf(c, m, 1)
-			if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 503 {
+			if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 503 {
 				t.Errorf("status %d", resp.Status)
 			}
 		}},
@@ -541,21 +541,21 @@
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
 			for i := range classGroupsLimit {
-				c.ClassGroup(fmt.Sprint("class-", i))
+				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
-			if met(c) != nil || c.ClassGroup("another") != 0 {
+			if met(c) != nil || c.scheduler.ClassGroup("another") != 0 {
 				t.Error("too soon, or not at all")
 			}
 		}},
 		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			for i := range classGroupsLimit + 1 {
-				c.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
+				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
-			if len(c.runtimeCorrections) != classGroupsLimit {
-				t.Errorf("%d classes are learnt", len(c.runtimeCorrections))
+			if len(c.scheduler.runtimeCorrections) != classGroupsLimit {
+				t.Errorf("%d classes are learnt", len(c.scheduler.runtimeCorrections))
 			}
-			c.LearnRunTime("class-0", 1, 1)
-			if c.runtimeCorrections["class-0"].count != 2 {
+			c.scheduler.LearnRunTime("class-0", 1, 1)
+			if c.scheduler.runtimeCorrections["class-0"].count != 2 {
 				t.Error("a class that is known is not learnt on")
 			}
 		}},
@@ -564,8 +564,8 @@
 			for i := range classGroupsLimit + 1 {
 				h.Classes = append(h.Classes, &peer.ClassTale{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
-			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.runtimeCorrections) != classGroupsLimit {
-				t.Errorf("%d classes are known", len(c.runtimeCorrections))
+			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.runtimeCorrections) != classGroupsLimit {
+				t.Errorf("%d classes are known", len(c.scheduler.runtimeCorrections))
 			}
 		}},
 		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -3,28 +3,63 @@
 // The machines on record: their tokens, leases and ends.
 
 import (
+	"log/slog"
 	"time"
 
 	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
 
+// Agents commands the workers of the partitions that this controller leads, and takes in
+// what they report.
+type Agents struct {
+	*State
+	loop    *eventloop.Loop
+	network storage.Requester
+	store   *storage.Store
+	log     *slog.Logger
+	metrics *telemetry.Metrics
+
+	cloud     *CloudClient
+	jobs      *Tracker
+	leases    *LeaseHolder
+	proxy     *Proxy
+	scheduler *Scheduler
+
+	// repeatedCommands counts requests under way beside earlier ones to the same machine.
+	repeatedCommands int
+}
+
+// NewAgents makes one without collaborators.
+func NewAgents(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Agents {
+	return &Agents{State: state, loop: loop, network: network, store: store, log: log}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (ag *Agents) Connect(cloud *CloudClient, jobs *Tracker, leases *LeaseHolder, proxy *Proxy, scheduler *Scheduler) {
+	ag.cloud, ag.jobs, ag.leases, ag.proxy, ag.scheduler = cloud, jobs, leases, proxy, scheduler
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (ag *Agents) Observe(m *telemetry.Metrics) { ag.metrics = m }
+
 // Token identifies who may command a machine: both revisions come from the
 // state service's one counter, so a takeover and a move each raise it.
-func (c *Controller) Token(m *Machine) uint64 {
-	return max(c.Partitions[m.Record.Partition].LeaseRevision, m.Revision)
+func (s *State) Token(m *Machine) uint64 {
+	return max(s.Partitions[m.Record.Partition].LeaseRevision, m.Revision)
 }
 
 // MachineRecorded follows the assignment record of a machine.
-func (c *Controller) MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time) {
-	m := c.Machines[name]
-	delete(c.UnregisteredMachines, name)
+func (ag *Agents) MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time) {
+	m := ag.Machines[name]
+	delete(ag.UnregisteredMachines, name)
 	if m == nil {
 		m = &Machine{Name: name, Shard: delegation.ShardOf(name), Attempts: map[string]*Attempt{}, OrphanedTasks: map[string]protocol.TaskReport{},
 			FailedJobs: map[string]bool{}, Images: map[string]time.Time{}, RecordedAt: now, LedSince: now, LastHeardAt: now}
-		c.Machines[name] = m
+		ag.Machines[name] = m
 	} else if version <= m.Revision {
 		return
 	}
@@ -35,55 +70,55 @@
 	if moved {
 		m.Record = rec
 		m.Reset()
-		m.AnsweredUntil, m.LedSince = now.Add(c.AnswerBound()), now
+		m.AnsweredUntil, m.LedSince = now.Add(ag.AnswerBound()), now
 		m.FormerLeaderBound = m.AnsweredUntil
 	}
-	m.Record, m.Revision, m.Type = rec, version, c.MachineTypes[rec.Type]
+	m.Record, m.Revision, m.Type = rec, version, ag.MachineTypes[rec.Type]
 	m.Moving, m.Fenced, m.TokenRaiseBy = false, false, time.Time{}
-	if p := c.Partitions[rec.Partition]; p.Held && p.Ready && (moved || m.HasReported) {
-		c.Fence(m)
+	if p := ag.Partitions[rec.Partition]; p.Held && p.Ready && (moved || m.HasReported) {
+		ag.Fence(m)
 	}
 }
 
 // MachineDeleted follows the end of a record, which the leader removes only
 // after the machine is certainly gone.
-func (c *Controller) MachineDeleted(name string, now time.Time) {
-	m := c.Machines[name]
+func (ag *Agents) MachineDeleted(name string, now time.Time) {
+	m := ag.Machines[name]
 	if m == nil {
 		return
 	}
 	for _, a := range m.SortedAttempts() {
-		c.ReleaseAttempt(a, "machine is gone", now)
+		ag.ReleaseAttempt(a, "machine is gone", now)
 	}
-	delete(c.Machines, name)
-	c.DeletedMachines[name] = now
+	delete(ag.Machines, name)
+	ag.DeletedMachines[name] = now
 }
 
 // CheckMachines finds machines whose lease must have run out.
-func (c *Controller) CheckMachines(now time.Time) {
-	bound := time.Duration(float64(c.AgentLease)*ClockDrift) + ClockMargin
+func (ag *Agents) CheckMachines(now time.Time) {
+	bound := time.Duration(float64(ag.AgentLease)*ClockDrift) + ClockMargin
 	var overdue []*Machine
 	defer func() {
 		if len(overdue) > 0 {
-			c.deleteMachinesInTime(overdue[:min(len(overdue), deleteBatchLimit)])
+			ag.deleteMachinesInTime(overdue[:min(len(overdue), deleteBatchLimit)])
 		}
 	}()
-	for _, m := range c.Machines {
-		p := c.Partitions[m.Record.Partition]
+	for _, m := range ag.Machines {
+		p := ag.Partitions[m.Record.Partition]
 		if !p.Held || !p.Ready || m.Lost {
 			continue
 		}
 		known, answered := p.Delegations.AnswerBounds(m.Shard, m.AnsweredUntil, now)
 		if (m.HasReported || len(m.Attempts) > 0) && known.Sub(answered) > bound {
-			c.metrics.Count(telemetry.MachineLost, 1)
-			c.log.Info("machine lost", "machine", m.Name, "silent", now.Sub(m.LastHeardAt), "attempts", len(m.Attempts))
+			ag.metrics.Count(telemetry.MachineLost, 1)
+			ag.log.Info("machine lost", "machine", m.Name, "silent", now.Sub(m.LastHeardAt), "attempts", len(m.Attempts))
 			m.Lost, m.Fenced = true, false
 			for _, a := range m.SortedAttempts() {
-				c.ReleaseAttempt(a, "lease ran out", now)
+				ag.ReleaseAttempt(a, "lease ran out", now)
 			}
 			continue
 		}
-		if c.outlastsCancelBound(m, answered.Add(bound), now) && now.Sub(m.DeleteTriedAt) > deleteRetryInterval {
+		if ag.outlastsCancelBound(m, answered.Add(bound), now) && now.Sub(m.DeleteTriedAt) > deleteRetryInterval {
 			m.DeleteTriedAt = now
 			overdue = append(overdue, m)
 		}
@@ -91,17 +126,17 @@
 			m.RetiringSince = time.Time{}
 		}
 		if !m.PreemptionAt.IsZero() && m.Fenced {
-			c.evacuate(m, now)
+			ag.evacuate(m, now)
 		}
 		for _, a := range m.Attempts {
-			c.fenceOutStart(a, now)
+			ag.fenceOutStart(a, now)
 		}
-		if now.Sub(m.CommandedAt) > commandAnswerWait && c.mayRepeat(m) {
-			c.repeatCommands(m)
+		if now.Sub(m.CommandedAt) > commandAnswerWait && ag.mayRepeat(m) {
+			ag.repeatCommands(m)
 		}
 		if m.Fenced && m.PendingCommands == 0 && now.Sub(m.CommandsRetriedAt) > time.Second && m.HasUnsentCommands() {
 			m.CommandsRetriedAt = now
-			c.SendCommands(m)
+			ag.SendCommands(m)
 		}
 	}
 }
@@ -118,12 +153,12 @@
 // outlastsCancelBound says whether a task of a withdrawn job may be on a machine for longer than
 // cancel_s: it was not stopped, and the machine's lease, which may go on until ends, does
 // not provably run out in time (46). A machine that is merely silent is left alone.
-func (c *Controller) outlastsCancelBound(m *Machine, ends, now time.Time) bool {
+func (ag *Agents) outlastsCancelBound(m *Machine, ends, now time.Time) bool {
 	for _, a := range m.Attempts {
 		if !a.Live() || !a.Stopping || a.Job.CancelledAt.IsZero() || now.Sub(a.StopRequestedAt) < stopGraceBeforeDelete {
 			continue
 		}
-		due := a.Job.CancelledAt.Add(c.CancelBound)
+		due := a.Job.CancelledAt.Add(ag.CancelBound)
 		if now.After(due.Add(-deleteLead)) && ends.After(due.Add(-ClockMargin)) {
 			return true
 		}
@@ -134,28 +169,28 @@
 // deleteMachinesInTime has the cloud delete machines on which withdrawn tasks may go on. Their
 // owner does so itself: the leader needs the state service, which the trouble that keeps a
 // task from being stopped may have taken away. The records go later, as of lost machines.
-func (c *Controller) deleteMachinesInTime(machines []*Machine) {
+func (ag *Agents) deleteMachinesInTime(machines []*Machine) {
 	names := make([]string, 0, len(machines))
 	for _, m := range machines {
 		names = append(names, m.Name)
 	}
-	c.log.Info("deleting machines", "machines", names, "reason", "withdrawn tasks on them can't be stopped in time")
-	c.loop.Go(func() {
-		status, err := c.callCloud("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
+	ag.log.Info("deleting machines", "machines", names, "reason", "withdrawn tasks on them can't be stopped in time")
+	ag.loop.Go(func() {
+		status, err := ag.cloud.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
 		if err != nil || status != 200 {
-			c.log.Info("machines not deleted", "machines", names, "status", status, "reason", err)
+			ag.log.Info("machines not deleted", "machines", names, "status", status, "reason", err)
 			return
 		}
-		c.loop.Do(func() {
+		ag.loop.Do(func() {
 			now := time.Now()
 			for _, m := range machines {
-				if c.Machines[m.Name] != m {
+				if ag.Machines[m.Name] != m {
 					continue
 				}
-				c.metrics.Count(telemetry.MachineLost, 1)
+				ag.metrics.Count(telemetry.MachineLost, 1)
 				m.DeleteConfirmed, m.Lost, m.Fenced = true, true, false
 				for _, a := range m.SortedAttempts() {
-					c.ReleaseAttempt(a, "machine is deleted", now)
+					ag.ReleaseAttempt(a, "machine is deleted", now)
 				}
 			}
 		})
@@ -163,8 +198,8 @@
 }
 
 // Usable says whether new work may go to a machine.
-func (c *Controller) Usable(m *Machine, now time.Time) bool {
+func (s *State) Usable(m *Machine, now time.Time) bool {
 	return m.Fenced && !m.Lost && !m.Moving && !m.Quarantined && m.Type != nil && m.Record.Addr != "" &&
 		m.RetiringSince.IsZero() && m.PreemptionAt.IsZero() && now.After(m.AvoidUntil) &&
-		now.Sub(m.LastHeardAt) < c.HeartbeatInterval*5/4+1500*time.Millisecond
+		now.Sub(m.LastHeardAt) < s.HeartbeatInterval*5/4+1500*time.Millisecond
 }
