--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -254,7 +254,7 @@
 	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, claim, now
-	c.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
+	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
 	return p, c.Machines["m-1"]
 }
 
@@ -276,7 +276,7 @@
 		report := func(session, sequence, token uint64, tasks []protocol.TaskReport) int {
 			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
 			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: session, Sequence: sequence, Token: token, Tasks: tasks}
-			return c.HandleHeartbeat(r, protocol.Encode(r)).Status
+			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
 		if report(2, 40, 5, task) != 200 || !m.Fenced || a.State != AttemptConfirmed {
 			t.Fatal("the newest report was not taken in")
@@ -296,13 +296,13 @@
 			}
 		}
 		// A report that was under way while orders were answered is no copy.
-		c.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
+		c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
 		if report(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a report that orders overtook is not answered")
 		}
 		time.Sleep(time.Duration(float64(c.AgentLease)*ClockDrift) + ClockMargin + eventloop.TickInterval)
 		report(2, 41, 5, task)
-		if c.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
+		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("old reports keep a machine that is gone")
 		}
 	})
@@ -322,12 +322,12 @@
 		p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, 5, now
 		rec := storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}
 		for i, name := range []string{"m-1", "m-2", "m-3"} {
-			c.MachineRecorded(name, rec, uint64(10+i), now)
+			c.agents.MachineRecorded(name, rec, uint64(10+i), now)
 		}
-		c.MachineDeleted("m-1", now)
-		c.MachineRecorded("m-1", rec, 20, now) // the late write of its record
+		c.agents.MachineDeleted("m-1", now)
+		c.agents.MachineRecorded("m-1", rec, 20, now) // the late write of its record
 		failed := map[string]bool{}
-		for _, m := range c.scalingView(nil, now).Machines {
+		for _, m := range c.autoscaler.scalingView(nil, now).Machines {
 			failed[m.Name] = m.Failed
 		}
 		if !failed["m-1"] || failed["m-2"] {
@@ -338,7 +338,7 @@
 		c.Jobs["job-1"] = waiting
 		demands := func() (n uint32) {
 			p.QueueOrder = nil
-			for _, d := range c.partitionSummary(p, now).Demands {
+			for _, d := range c.peering.partitionSummary(p, now).Demands {
 				n += d.Count
 			}
 			return n
@@ -349,10 +349,10 @@
 		m := c.Machines["m-3"]
 		m.DeleteConfirmed, m.Lost = true, true
 		r := &protocol.Heartbeat{Machine: "m-3", Addr: "m-3:1", Epoch: 1, Sequence: 9, Token: 12}
-		if resp := c.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
+		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
 			t.Errorf("a report of a deleted machine: %d, lost %v", resp.Status, m.Lost)
 		}
-		if c.ApplyReport(m, r, now); !m.Lost || m.HasReported {
+		if c.agents.ApplyReport(m, r, now); !m.Lost || m.HasReported {
 			t.Error("an answer of a deleted machine brought it back")
 		}
 	})
@@ -366,7 +366,7 @@
 		c, end := unrun(t)
 		defer end()
 		now := time.Now()
-		c.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
+		c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 		m := c.Machines["m-1"]
 		for i, tc := range []struct {
 			status string
@@ -382,13 +382,13 @@
 			j.LiveAttempts[0], j.Pending = a, nil
 			m.Attempts = map[string]*Attempt{AttemptKey(a.TaskName(), 1): a}
 			// As an owner that hears of it, and as one that finds it at a takeover.
-			c.SetFinal(id, tc.status, now.Add(-tc.ago))
+			c.jobs.SetFinal(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
 				a.StopRequestedAt = now.Add(-time.Minute)
-				if got := c.outlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
+				if got := c.agents.outlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
 					t.Errorf("%s %s ago: %v", tc.status, tc.ago, got)
 				}
-				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.outlastsCancelBound(m, now.Add(time.Hour), now) {
+				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.outlastsCancelBound(m, now.Add(time.Hour), now) {
 					t.Errorf("%s %s ago, found at a takeover", tc.status, tc.ago)
 				}
 			}
@@ -568,9 +568,9 @@
 		c, end := unrun(t)
 		defer end()
 		begun := time.Now()
-		c.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
+		c.jobs.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
 		time.Sleep(3 * time.Second)
-		c.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 500}}}, time.Now())
+		c.jobs.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 500}}}, time.Now())
 		if at := c.Cancellations.CancelledAt("job-1"); begun.Sub(at) != 7*time.Second || len(c.FinalStates) != 1 {
 			t.Errorf("withdrawn %s before it was heard, %d finals", begun.Sub(at), len(c.FinalStates))
 		}
@@ -578,7 +578,7 @@
 			t.Errorf("told on: %v", told)
 		}
 		for i := range c.Cancellations.limit + 10 {
-			c.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
+			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
 		}
 		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.limit || told[0].Job != "job-1" {
 			t.Errorf("%d told at a time", len(told))
@@ -605,11 +605,11 @@
 		j.LiveAttempts[0], j.Pending = a, nil
 		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
 		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
-		if c.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
+		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
 			t.Errorf("a report under an old token that lacks the task: live %v, fenced %v", a.Live(), m.Fenced)
 		}
 		r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 11, Token: 9}
-		if c.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.Fenced {
+		if c.agents.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.Fenced {
 			t.Errorf("a report under the new token: live %v, fenced %v", a.Live(), m.Fenced)
 		}
 	})
--- a/internal/coordination/operations.go
+++ b/internal/coordination/operations.go
@@ -14,59 +14,54 @@
 	"micaspindle/internal/transport"
 )
 
-// Observe makes the controller measure itself; before Run.
-func (c *Controller) Observe() {
-	c.metrics = telemetry.New()
-	c.bounds.Metrics = c.metrics
-}
-
 // ServeOperations answers operators: /metrics and /overview. With identities they
 // must be allowed to view every queue, since the sums are over all of them.
-func (c *Controller) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
+func (srv *Server) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
 	if req.Path != "/metrics" && req.Path != "/overview" {
 		return Refuse(404, "no such path", 0)
 	}
 	if req.Method != "GET" {
 		return Refuse(405, "method not allowed", 0)
 	}
-	who, refusal := c.Authenticate(req, "observe")
+	who, refusal := srv.auth.Authenticate(req, "observe")
 	if refusal != nil {
 		return *refusal
 	}
-	if c.guard != nil && !c.guard.allowsEverywhere(who, rights.View) {
-		return *c.Deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
+	if srv.auth.Enabled() && !srv.auth.AllowsEverywhere(who, rights.View) {
+		return *srv.auth.Deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
 	}
 	v := overview.View{}
-	if !c.loop.Do(func() { v = c.stateOverview(time.Now()) }) {
+	if !srv.loop.Do(func() { v = srv.stateOverview(time.Now()) }) {
 		return Refuse(503, "stopping", 1)
 	}
-	v.Waits = c.metrics.Quantiles()
+	v.Waits = srv.metrics.Quantiles()
 	if req.Path == "/overview" {
 		return transport.Response{Status: 200, Body: protocol.Encode(v)}
 	}
 	var body bytes.Buffer
-	c.metrics.Write(&body, gauges(&v))
+	srv.metrics.Write(&body, gauges(&v))
 	return transport.Response{Status: 200, Type: "text/plain; version=0.0.4", Body: body.Bytes()}
 }
 
 // stateOverview is how this controller and its parts stand.
-func (c *Controller) stateOverview(now time.Time) overview.View {
-	v := overview.View{Controller: c.Settings.Label, Zone: c.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(c.StartedAt).Seconds(), Leads: c.Leadership.Held,
-		Ready: c.Synced && len(c.Catalog) > 0, StateSilentS: c.store.SinceLastAnswer().Seconds(), WritesWanted: c.WriteDemand, WritesGranted: c.store.GrantedWriteRate(),
-		CloudRests: c.cloudCircuit.Open(now), Jobs: len(c.Jobs), Ended: len(c.FinalStates), Renting: len(c.Leadership.PendingScaleOut)}
-	for _, p := range c.Partitions {
+func (srv *Server) stateOverview(now time.Time) overview.View {
+	v := overview.View{Controller: srv.Settings.Label, Zone: srv.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(srv.StartedAt).Seconds(), Leads: srv.Leadership.Held,
+		Ready: srv.Synced && len(srv.Catalog) > 0, StateSilentS: srv.store.SinceLastAnswer().Seconds(), WritesWanted: srv.WriteDemand, WritesGranted: srv.store.GrantedWriteRate(),
+		CloudRests: srv.cloud.Unavailable(now), Jobs: len(srv.Jobs), Ended: len(srv.FinalStates), Renting: len(srv.Leadership.PendingScaleOut)}
+	for _, p := range srv.Partitions {
 		if p.Held {
-			v.Parts = append(v.Parts, c.partitionOverview(p, now))
+			v.Parts = append(v.Parts, srv.partitionOverview(p, now))
 		}
 	}
-	v.Follows = c.replicator.Overview(now)
-	v.Connected, v.Room, v.Moves = c.proxy.Load(now).Machines, c.proxy.Capacity, c.proxy.RecentMoves(now)
-	for team, t := range c.Settings.Params.Teams {
-		if p := c.Partitions[c.TeamPartition[team]]; p.Held {
+	v.Follows = srv.replicator.Overview(now)
+	load := srv.proxy.Load(now)
+	v.Connected, v.Room, v.Moves = load.Machines, load.Capacity, srv.proxy.RecentMoves(now)
+	for team, t := range srv.Settings.Params.Teams {
+		if p := srv.Partitions[srv.TeamPartition[team]]; p.Held {
 			v.Teams = append(v.Teams, overview.Team{Name: t.Name, Part: p.Index, CPUs: p.Usage[team].CPUs, Guarantee: t.CPUs, Limit: t.CPUsMax})
 		}
 	}
-	for _, j := range c.Jobs {
+	for _, j := range srv.Jobs {
 		for i := range v.Teams {
 			if t := &v.Teams[i]; j.Loaded && t.Name == j.Spec.Team {
 				t.Running += len(j.LiveAttempts)
@@ -77,10 +72,10 @@
 	return v
 }
 
-func (c *Controller) partitionOverview(p *Partition, now time.Time) overview.Part {
+func (srv *Server) partitionOverview(p *Partition, now time.Time) overview.Part {
 	v := overview.Part{Part: p.Index, Ready: p.Ready}
 	used, all := 0.0, 0.0
-	for _, m := range c.Machines {
+	for _, m := range srv.Machines {
 		if m.Record.Partition != p.Index {
 			continue
 		}
@@ -103,8 +98,8 @@
 	if all > 0 {
 		v.Used = used / all
 	}
-	v.Carried = c.proxy.Overview(p, now)
-	for _, j := range c.Jobs {
+	v.Carried = srv.proxy.Overview(p, now)
+	for _, j := range srv.Jobs {
 		if j.Partition != p.Index || !j.Loaded {
 			continue
 		}
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -13,12 +13,12 @@
 
 // commandsFor lists what a worker should do, in order. An answer to a report
 // repeats what direct orders may have missed.
-func (c *Controller) commandsFor(m *Machine, now time.Time, repair bool) []protocol.Command {
+func (ag *Agents) commandsFor(m *Machine, now time.Time, repair bool) []protocol.Command {
 	cmds := []protocol.Command{}
 	if !m.NeedsCommands() {
 		return cmds
 	}
-	token := c.Token(m)
+	token := ag.Token(m)
 	for _, a := range m.SortedAttempts() {
 		switch {
 		case a.State == AttemptCommitted && !a.Stopping && !a.Job.Ended && a.Epoch == m.Epoch:
@@ -70,22 +70,22 @@
 }
 
 // SendCommands sends direct commands, one request at a time for each machine.
-func (c *Controller) SendCommands(m *Machine) {
+func (ag *Agents) SendCommands(m *Machine) {
 	if m.PendingCommands > 0 {
 		m.CommandAgain = true
 		return
 	}
-	c.sendCommandsNow(m)
+	ag.sendCommandsNow(m)
 }
 
 // sendCommandsNow sends direct commands, whatever else is under way.
-func (c *Controller) sendCommandsNow(m *Machine) {
-	p := c.Partitions[m.Record.Partition]
+func (ag *Agents) sendCommandsNow(m *Machine) {
+	p := ag.Partitions[m.Record.Partition]
 	if !p.Ready || !m.Fenced || m.Lost || m.Record.Addr == "" {
 		return
 	}
 	now := time.Now()
-	cmds := c.commandsFor(m, now, false)
+	cmds := ag.commandsFor(m, now, false)
 	if len(cmds) == 0 {
 		return
 	}
@@ -98,13 +98,13 @@
 		}
 	}
 	m.CommandAgain = false
-	c.commandsSent(m, now)
-	orders := protocol.Orders{Token: c.Token(m), Epoch: m.Epoch, Commands: cmds}
+	ag.commandsSent(m, now)
+	orders := protocol.Orders{Token: ag.Token(m), Epoch: m.Epoch, Commands: cmds}
 	via, name, addr := p.Delegations.CommandRoute(m.Shard, now), m.Name, m.Record.Addr
-	c.loop.Go(func() {
-		r, sent, err := c.postCommands(via, name, addr, orders)
-		c.loop.Do(func() {
-			c.commandsAnswered(m)
+	ag.loop.Go(func() {
+		r, sent, err := ag.postCommands(via, name, addr, orders)
+		ag.loop.Do(func() {
+			ag.commandsAnswered(m)
 			for _, a := range starts {
 				a.StartsInFlight--
 				if sent && r == nil {
@@ -112,13 +112,13 @@
 				}
 			}
 			if err != nil {
-				c.log.Debug("orders failed", "machine", m.Name, "reason", err)
+				ag.log.Debug("orders failed", "machine", m.Name, "reason", err)
 			}
-			if r != nil && c.Machines[m.Name] == m && c.Partitions[m.Record.Partition].Held {
-				c.ApplyReport(m, r, time.Now())
+			if r != nil && ag.Machines[m.Name] == m && ag.Partitions[m.Record.Partition].Held {
+				ag.ApplyReport(m, r, time.Now())
 			}
 			if m.CommandAgain && err == nil {
-				c.SendCommands(m)
+				ag.SendCommands(m)
 			}
 		})
 	})
@@ -132,16 +132,16 @@
 // postCommands sends orders, by way of the machine's carrier if there is one that takes
 // them, and returns the worker's report. sent is false if they can never arrive or were
 // certainly refused.
-func (c *Controller) postCommands(via, machine, addr string, orders protocol.Orders) (r *protocol.Heartbeat, sent bool, err error) {
+func (ag *Agents) postCommands(via, machine, addr string, orders protocol.Orders) (r *protocol.Heartbeat, sent bool, err error) {
 	body := protocol.Encode(orders)
 	var resp *transport.Response
 	if err = transport.ErrNotSent; via != "" {
-		resp, err = c.proxy.ForwardCommands(via, machine, body)
+		resp, err = ag.proxy.ForwardCommands(via, machine, body)
 	}
 	if errors.Is(err, transport.ErrNotSent) {
-		ctx, cancel := context.WithTimeout(c.loop.Context(), CommandTimeout)
+		ctx, cancel := context.WithTimeout(ag.loop.Context(), CommandTimeout)
 		defer cancel()
-		resp, err = c.network.Do(ctx, addr, "POST", "/orders", body)
+		resp, err = ag.network.Do(ctx, addr, "POST", "/orders", body)
 	}
 	if err != nil {
 		return nil, !errors.Is(err, transport.ErrNotSent), err
@@ -165,34 +165,34 @@
 
 // Fence raises the worker's token by orders without commands, without waiting
 // for its next report, so that nobody older commands it any more (7).
-func (c *Controller) Fence(m *Machine) {
+func (ag *Agents) Fence(m *Machine) {
 	m.Fenced = false
 	if m.Record.Addr == "" || m.Lost {
 		return
 	}
 	// The answer to a command that is held up is not waited for where it matters.
-	if m.PendingCommands > 0 && !c.mayRepeat(m) {
+	if m.PendingCommands > 0 && !ag.mayRepeat(m) {
 		return
 	}
-	c.commandsSent(m, time.Now())
-	orders := protocol.Orders{Token: c.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
-	via, name, addr := c.Partitions[m.Record.Partition].Delegations.FenceRoute(m.Shard, time.Now()), m.Name, m.Record.Addr
-	c.loop.Go(func() {
-		r, _, err := c.postCommands(via, name, addr, orders)
+	ag.commandsSent(m, time.Now())
+	orders := protocol.Orders{Token: ag.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
+	via, name, addr := ag.Partitions[m.Record.Partition].Delegations.FenceRoute(m.Shard, time.Now()), m.Name, m.Record.Addr
+	ag.loop.Go(func() {
+		r, _, err := ag.postCommands(via, name, addr, orders)
 		if r != nil && errors.Is(err, errStaleCommand) && r.Epoch != orders.Epoch {
 			orders.Epoch = r.Epoch
-			r, _, err = c.postCommands(via, name, addr, orders)
+			r, _, err = ag.postCommands(via, name, addr, orders)
 		}
-		c.loop.Do(func() {
-			c.commandsAnswered(m)
+		ag.loop.Do(func() {
+			ag.commandsAnswered(m)
 			if err != nil {
-				c.log.Debug("fencing failed", "machine", m.Name, "reason", err)
+				ag.log.Debug("fencing failed", "machine", m.Name, "reason", err)
 				return
 			}
-			if c.Machines[m.Name] == m && c.Partitions[m.Record.Partition].Held && r.Machine == m.Name {
+			if ag.Machines[m.Name] == m && ag.Partitions[m.Record.Partition].Held && r.Machine == m.Name {
 				m.LastHeardAt = time.Now()
-				c.ApplyReport(m, r, time.Now())
-				c.SendCommands(m)
+				ag.ApplyReport(m, r, time.Now())
+				ag.SendCommands(m)
 			}
 		})
 	})
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
@@ -16,6 +18,33 @@
 	"micaspindle/internal/transport"
 )
 
+// Exchange tells the other controllers how this one stands, and takes in what they tell.
+type Exchange struct {
+	*State
+	loop    *eventloop.Loop
+	network storage.Requester
+	store   *storage.Store
+	log     *slog.Logger
+	bounds  *telemetry.BoundReporter
+
+	jobs       *Tracker
+	proxy      *Proxy
+	replicator *Replicator
+	scheduler  *Scheduler
+
+	ownSummary cachedSummary
+}
+
+// NewExchange makes one without collaborators.
+func NewExchange(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Exchange {
+	return &Exchange{State: state, loop: loop, network: network, store: store, log: log, bounds: bounds}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (ex *Exchange) Connect(jobs *Tracker, proxy *Proxy, replicator *Replicator, scheduler *Scheduler) {
+	ex.jobs, ex.proxy, ex.replicator, ex.scheduler = jobs, proxy, replicator, scheduler
+}
+
 const (
 	SummaryPath        = "/peer/summary"
 	MachineRequestPath = "/peer/fleet"
@@ -24,7 +53,7 @@
 
 // ServePeers answers the other controllers.
 func (c *Controller) ServePeers(_ context.Context, req *transport.Request) transport.Response {
-	who, refusal := c.AuthenticatePeer(req)
+	who, refusal := c.auth.AuthenticatePeer(req)
 	if refusal != nil {
 		return *refusal
 	}
@@ -36,10 +65,10 @@
 		if err := proto.Unmarshal(req.Body, sum); err != nil {
 			return Refuse(400, "bad summary", 0)
 		}
-		if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: sum.From}); refusal != nil {
+		if refusal := c.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: sum.From}); refusal != nil {
 			return *refusal
 		}
-		c.loop.Do(func() { c.receiveSummary(sum) })
+		c.loop.Do(func() { c.peering.receiveSummary(sum) })
 		return transport.Response{Status: 200}
 	case req.Path == UpdatePath:
 		return c.replicator.HandleUpdate(who, req.Body)
@@ -54,7 +83,7 @@
 		if err := proto.Unmarshal(req.Body, fr); err != nil {
 			return Refuse(400, "bad request", 0)
 		}
-		return protoResponse(c.HandleMachineRequest(fr))
+		return protoResponse(c.agents.HandleMachineRequest(fr))
 	}
 	return Refuse(404, "no such path", 0)
 }
@@ -87,8 +116,8 @@
 	return proto.Unmarshal(resp.Body, reply)
 }
 
-func (c *Controller) receiveSummary(sum *peer.Summary) {
-	ps := c.Peers[sum.From]
+func (ex *Exchange) receiveSummary(sum *peer.Summary) {
+	ps := ex.Peers[sum.From]
 	if ps == nil {
 		return
 	}
@@ -98,12 +127,12 @@
 	}
 	ps.HeardAt, ps.Summary = now, sum
 	ps.NoteReporting()
-	c.ApplyCancellationNotices(sum, now)
-	c.proxy.SummaryReceived(sum)
+	ex.jobs.ApplyCancellationNotices(sum, now)
+	ex.proxy.SummaryReceived(sum)
 	// Addresses learnt by others let a new owner fence at once.
 	for _, part := range sum.Parts {
 		for _, st := range part.Machines {
-			if m := c.Machines[st.Name]; m != nil && !m.HasReported {
+			if m := ex.Machines[st.Name]; m != nil && !m.HasReported {
 				if m.Record.Addr == "" {
 					m.Record.Addr = st.Addr
 				}
@@ -113,23 +142,23 @@
 }
 
 // PeerLoop tells one other controller several times a second how things are.
-func (c *Controller) PeerLoop(label string) {
-	ps := c.Peers[label]
-	for c.loop.Sleep(SummaryInterval) {
+func (ex *Exchange) PeerLoop(label string) {
+	ps := ex.Peers[label]
+	for ex.loop.Sleep(SummaryInterval) {
 		var body []byte
-		c.loop.Do(func() {
-			body = c.marshalledSummary(time.Now())
+		ex.loop.Do(func() {
+			body = ex.marshalledSummary(time.Now())
 		})
 		if body == nil {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(c.loop.Context(), time.Second)
-		resp, err := c.network.Do(ctx, ps.Addr, "POST", SummaryPath, body)
+		ctx, cancel := context.WithTimeout(ex.loop.Context(), time.Second)
+		resp, err := ex.network.Do(ctx, ps.Addr, "POST", SummaryPath, body)
 		switch {
 		case err != nil:
-			c.log.Debug("peer not reached", "peer", label, "reason", err)
+			ex.log.Debug("peer not reached", "peer", label, "reason", err)
 		case resp.Status != 200:
-			c.log.Debug("summary refused", "peer", label, "status", resp.Status, "bytes", len(body))
+			ex.log.Debug("summary refused", "peer", label, "status", resp.Status, "bytes", len(body))
 		}
 		cancel()
 	}
@@ -143,35 +172,36 @@
 
 // marshalledSummary is the summary as it goes to the others, made anew if it is old; nil
 // before the records were read.
-func (c *Controller) marshalledSummary(now time.Time) []byte {
-	cached := &c.ownSummary
-	if c.Synced && (cached.body == nil || now.Sub(cached.marshalledAt) >= SummaryInterval*4/5) {
-		cached.body = c.encodeSummary(c.OwnSummary(now))
+func (ex *Exchange) marshalledSummary(now time.Time) []byte {
+	cached := &ex.ownSummary
+	if ex.Synced && (cached.body == nil || now.Sub(cached.marshalledAt) >= SummaryInterval*4/5) {
+		cached.body = ex.encodeSummary(ex.OwnSummary(now))
 		cached.marshalledAt = now
 	}
 	return cached.body
 }
 
 // OwnSummary describes this controller and its parts.
-func (c *Controller) OwnSummary(now time.Time) *peer.Summary {
-	sum := &peer.Summary{From: c.Settings.Label, StateSilenceS: c.store.SinceLastAnswer().Seconds(), WriteDemand: c.WriteDemand,
-		Follows: c.replicator.Summaries(), Leaving: c.Draining, Copies: true, Withdrawn: c.Cancellations.Recent(now, c.CancelBound),
-		Room: uint32(c.proxy.Capacity), Connected: uint32(c.proxy.Load(now).Machines)}
-	sum.Parts = c.PartitionSummaries(now)
-	for _, j := range c.Jobs {
+func (ex *Exchange) OwnSummary(now time.Time) *peer.Summary {
+	load := ex.proxy.Load(now)
+	sum := &peer.Summary{From: ex.Settings.Label, StateSilenceS: ex.store.SinceLastAnswer().Seconds(), WriteDemand: ex.WriteDemand,
+		Follows: ex.replicator.Summaries(), Leaving: ex.Draining, Copies: true, Withdrawn: ex.Cancellations.Recent(now, ex.CancelBound),
+		Room: uint32(load.Capacity), Connected: uint32(load.Machines)}
+	sum.Parts = ex.PartitionSummaries(now)
+	for _, j := range ex.Jobs {
 		if !j.Loaded || j.DoneCount == 0 && j.RunningCount == 0 {
 			continue
 		}
 		if len(sum.Jobs) >= jobProgressLimit {
-			c.bounds.Met(telemetry.JobProgress, 1)
+			ex.bounds.Met(telemetry.JobProgress, 1)
 			break
 		}
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.Spec.ID, Done: uint32(j.DoneCount), Running: uint32(j.RunningCount)})
 	}
-	for _, u := range c.UnregisteredMachines {
+	for _, u := range ex.UnregisteredMachines {
 		sum.Unknown = append(sum.Unknown, u)
 	}
-	for name := range c.DivertedMachines {
+	for name := range ex.DivertedMachines {
 		sum.Strayed = append(sum.Strayed, name)
 	}
 	return sum
@@ -183,10 +213,10 @@
 const jobProgressLimit = 8000
 
 // PartitionSummaries describes the own parts.
-func (c *Controller) PartitionSummaries(now time.Time) (list []*peer.PartSummary) {
-	for _, p := range c.Partitions {
+func (ex *Exchange) PartitionSummaries(now time.Time) (list []*peer.PartSummary) {
+	for _, p := range ex.Partitions {
 		if p.Held && p.Ready {
-			list = append(list, c.partitionSummary(p, now))
+			list = append(list, ex.partitionSummary(p, now))
 		}
 	}
 	return list
@@ -203,40 +233,40 @@
 // demandsLimit is how many demands are told of a part with so many machines.
 func demandsLimit(machines int) int { return max(demandsMin, machines/machinesPerDemand) }
 
-func (c *Controller) partitionSummary(p *Partition, now time.Time) *peer.PartSummary {
-	ps := &peer.PartSummary{Part: uint32(p.Index), Standby: p.Standby, Carried: p.DelegationSummary(c.Labels)}
+func (ex *Exchange) partitionSummary(p *Partition, now time.Time) *peer.PartSummary {
+	ps := &peer.PartSummary{Part: uint32(p.Index), Standby: p.Standby, Carried: p.DelegationSummary(ex.Labels)}
 	var coming []*Machine
 	left := map[*Machine]binpack.Resources{}
-	for _, m := range c.Machines {
+	for _, m := range ex.Machines {
 		if m.Record.Partition != p.Index {
 			continue
 		}
 		idle := len(m.Attempts) == 0 && len(m.OrphanedTasks) == 0 && m.Fenced && m.PendingCommands == 0
 		st := &peer.MachineStatus{Name: m.Name, Heard: m.HasReported, Idle: idle, Lost: m.Lost, Retiring: !m.RetiringSince.IsZero(),
 			Faulty: m.Quarantined, Addr: m.Record.Addr,
-			NeverUp: !m.HasReported && len(m.Attempts) == 0 && m.Type != nil && now.Sub(m.LedSince) > neverUpGrace && m.Age(now) > c.bootTimeout(m.Type)}
+			NeverUp: !m.HasReported && len(m.Attempts) == 0 && m.Type != nil && now.Sub(m.LedSince) > neverUpGrace && m.Age(now) > ex.bootTimeout(m.Type)}
 		if idle {
 			st.IdleS = now.Sub(m.IdleSince).Seconds()
 		}
 		ps.Machines = append(ps.Machines, st)
 		// A machine that still boots, or was just moved here, will take some
 		// of what waits.
-		if m.Type != nil && !m.Lost && !m.Quarantined && !c.IsDeleted(m.Name) && m.RetiringSince.IsZero() && (!m.HasReported || !m.Fenced && m.PreemptionAt.IsZero()) &&
-			(m.Age(now) < usualBootTime(m.Type) || now.Sub(m.LedSince) < c.HeartbeatInterval+time.Second) {
+		if m.Type != nil && !m.Lost && !m.Quarantined && !ex.IsDeleted(m.Name) && m.RetiringSince.IsZero() && (!m.HasReported || !m.Fenced && m.PreemptionAt.IsZero()) &&
+			(m.Age(now) < usualBootTime(m.Type) || now.Sub(m.LedSince) < ex.HeartbeatInterval+time.Second) {
 			coming = append(coming, m)
 			left[m] = m.Free()
 		}
 	}
 	claimed := make([]binpack.Compute, len(p.Usage))
 	most := demandsLimit(len(ps.Machines))
-	for _, j := range p.FairShare.StarvedFirst(c.Queue(p), most/starvedDemandsShare) {
+	for _, j := range p.FairShare.StarvedFirst(ex.scheduler.Queue(p), most/starvedDemandsShare) {
 		if len(j.Pending) == 0 || j.Ended || now.Before(j.BackoffUntil) {
 			continue
 		}
 		s := j.Spec
 		n := len(j.Pending)
 		// Jobs of a team share what its limit leaves.
-		team, own := c.Settings.Params.Teams[j.Team], &claimed[j.Team]
+		team, own := ex.Settings.Params.Teams[j.Team], &claimed[j.Team]
 		if team.CPUsMax > 0 && s.CPUs > 0 {
 			n = min(n, int((team.CPUsMax-p.Usage[j.Team].CPUs-own.CPUs+binpack.Epsilon)/s.CPUs))
 		}
@@ -257,18 +287,18 @@
 			continue
 		}
 		if len(ps.Demands) >= most {
-			c.bounds.Met(telemetry.Demands, 1)
+			ex.bounds.Met(telemetry.Demands, 1)
 			break
 		}
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: s.CPUs, Gpus: s.GPUs, MemGb: s.MemGB, Types: s.Types, Zone: s.Zone,
 			Spot: s.Spot, Count: uint32(n), WaitedS: now.Sub(j.ReadySince()).Seconds(),
-			EstimateS: c.EstimateS(s), SlackS: j.Due().Sub(now).Seconds()})
+			EstimateS: ex.scheduler.EstimateS(s), SlackS: j.Due().Sub(now).Seconds()})
 	}
 	return ps
 }
 
 // bootTimeout is how long a machine may take to come up before it is given up.
-func (c *Controller) bootTimeout(t *protocol.MachineType) time.Duration {
+func (ex *Exchange) bootTimeout(t *protocol.MachineType) time.Duration {
 	return time.Duration((3*t.BootS + 15) * float64(time.Second))
 }
 
@@ -293,14 +323,14 @@
 }
 
 // HandleMachineRequest does what the leader asks about one of this owner's machines.
-func (c *Controller) HandleMachineRequest(fr *peer.FleetRequest) *peer.FleetReply {
+func (ag *Agents) HandleMachineRequest(fr *peer.FleetRequest) *peer.FleetReply {
 	reply := &peer.FleetReply{Reason: "stopping"}
 	var txn *protocol.Transaction
 	var m *Machine
 	var rec storage.Machine
-	c.loop.Do(func() {
-		m = c.Machines[fr.Machine]
-		if m == nil || !c.Partitions[m.Record.Partition].Ready || int(fr.ToPart) >= len(c.Partitions) {
+	ag.loop.Do(func() {
+		m = ag.Machines[fr.Machine]
+		if m == nil || !ag.Partitions[m.Record.Partition].Ready || int(fr.ToPart) >= len(ag.Partitions) {
 			reply.Reason = "not mine"
 			return
 		}
@@ -317,7 +347,7 @@
 		m.Moving = true
 		rec = m.Record
 		rec.Partition = int(fr.ToPart)
-		p := c.Partitions[m.Record.Partition]
+		p := ag.Partitions[m.Record.Partition]
 		txn = &protocol.Transaction{
 			If: []protocol.Condition{{Key: storage.LeaseKey(p.Index), Version: p.LeaseRevision},
 				{Key: storage.MachineKey(m.Name), Version: m.Revision}},
@@ -327,12 +357,12 @@
 	if txn == nil {
 		return reply
 	}
-	ctx, cancel := context.WithTimeout(c.loop.Context(), 2*time.Second)
+	ctx, cancel := context.WithTimeout(ag.loop.Context(), 2*time.Second)
 	defer cancel()
-	rev, err := c.store.Commit(ctx, txn)
-	c.loop.Do(func() {
+	rev, err := ag.store.Commit(ctx, txn)
+	ag.loop.Do(func() {
 		if err == nil {
-			c.MachineRecorded(m.Name, rec, rev, time.Now())
+			ag.MachineRecorded(m.Name, rec, rev, time.Now())
 			reply.Ok = true
 			return
 		}
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -1,41 +1,79 @@
 package coordination
 
 import (
+	"log/slog"
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/contention"
 	"micaspindle/internal/coordination/placement"
 	"micaspindle/internal/settings"
+	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
+// Scheduler decides which tasks of a partition run where: the order of its queue, placement,
+// preemption and the fair share.
+type Scheduler struct {
+	*State
+	store   *storage.Store
+	log     *slog.Logger
+	bounds  *telemetry.BoundReporter
+	metrics *telemetry.Metrics
+
+	agents *Agents
+
+	// runtimeCorrections are, by class, how far estimates of run times are off.
+	runtimeCorrections map[string]*runtimeCorrection
+	scarcityCache      binpack.Scarcity
+	scarcityAt         time.Time
+	queueBuffers       queueBuffers
+	placementBuffers   placementBuffers
+	// ClassGroups numbers the classes as groups of the fair share, after the teams.
+	ClassGroups map[string]int
+}
+
+// NewScheduler makes one without collaborators.
+func NewScheduler(state *State, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Scheduler {
+	return &Scheduler{State: state, store: store, log: log, bounds: bounds,
+		runtimeCorrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{}}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (sched *Scheduler) Connect(agents *Agents) {
+	sched.agents = agents
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (sched *Scheduler) Observe(m *telemetry.Metrics) { sched.metrics = m }
+
 // Place gives waiting tasks to machines by least contention: it gathers what the
 // placement's room decides on, and reserves what that says.
-func (c *Controller) Place(p *Partition, now time.Time) {
+func (sched *Scheduler) Place(p *Partition, now time.Time) {
 	// The room for all of these is that of the last time.
-	list, usable := c.placementBuffers.jobs[:0], usableMachines{now: now, list: c.placementBuffers.machines[:0], predict: c.predictMachine}
-	v := placement.View{Jobs: c.placementBuffers.jobViews[:0], Machines: c.placementBuffers.machineViews[:0], Scarcity: c.Scarcity(now), Horizon: c.horizon()}
+	list, usable := sched.placementBuffers.jobs[:0], usableMachines{now: now, list: sched.placementBuffers.machines[:0], predict: sched.predictMachine}
+	v := placement.View{Jobs: sched.placementBuffers.jobViews[:0], Machines: sched.placementBuffers.machineViews[:0], Scarcity: sched.Scarcity(now), Horizon: sched.horizon()}
 	defer func() {
-		c.placementBuffers = placementBuffers{list, usable.list, v.Jobs, v.Machines}
+		sched.placementBuffers = placementBuffers{list, usable.list, v.Jobs, v.Machines}
 		clear(list) // what ends is not held
 		clear(usable.list)
 		clear(v.Jobs)
 	}()
-	c.updateFairShare(p, now)
-	for _, j := range c.Queue(p) {
-		if len(j.Pending) == 0 || j.Ended || c.FinalStates[j.Spec.ID] != "" || now.Before(j.BackoffUntil) {
+	sched.updateFairShare(p, now)
+	for _, j := range sched.Queue(p) {
+		if len(j.Pending) == 0 || j.Ended || sched.FinalStates[j.Spec.ID] != "" || now.Before(j.BackoffUntil) {
 			continue
 		}
 		if j.Spec.Gang && len(j.LiveAttempts) > 0 {
 			continue // remnants of the last try are still on their machines
 		}
-		list, v.Jobs = append(list, j), append(v.Jobs, c.placementView(j))
+		list, v.Jobs = append(list, j), append(v.Jobs, sched.placementView(j))
 	}
 	if len(list) == 0 {
 		return
 	}
-	for _, m := range c.Machines {
-		if m.Record.Partition == p.Index && c.Usable(m, now) {
+	for _, m := range sched.Machines {
+		if m.Record.Partition == p.Index && sched.Usable(m, now) {
 			usable.list = append(usable.list, m)
 			v.Machines = append(v.Machines, placement.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Free: m.Free(), FetchGBPerS: m.Type.FetchGBPerS, ReservedFor: m.ReservedFor})
 		}
@@ -44,7 +82,7 @@
 		return
 	}
 	v.Of = usable
-	for team, t := range c.Settings.Params.Teams {
+	for team, t := range sched.Settings.Params.Teams {
 		v.Teams = append(v.Teams, placement.Team{Limit: TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.QuotaOf(team)})
 	}
 	decided := placement.Decide(v)
@@ -56,7 +94,7 @@
 		for n < len(plan) && plan[n].Job == at {
 			n++
 		}
-		c.reserveAll(p, list[at], plan[:n], usable.list, now)
+		sched.reserveAll(p, list[at], plan[:n], usable.list, now)
 		plan = plan[n:]
 	}
 }
@@ -78,11 +116,11 @@
 const longFetchShare = 0.15
 
 // placementView is what the placement of a job's tasks depends on.
-func (c *Controller) placementView(j *Job) placement.Job {
+func (sched *Scheduler) placementView(j *Job) placement.Job {
 	s := j.Spec
-	v := placement.Job{Waiting: len(j.Pending), Gang: s.Gang, Team: j.Team, Groups: j.Groups(), Class: j.ClassGroup, Resources: ResourcesOf(s), Constraints: ConstraintsOf(s), Types: c.typeSet(s),
-		Image: s.Image, ImageGB: s.ImageGB, LongS: longFetchShare * c.EstimateS(s), OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
-		Failed: j.FailedMachines, Prediction: c.predictTask(s, 0)}
+	v := placement.Job{Waiting: len(j.Pending), Gang: s.Gang, Team: j.Team, Groups: j.Groups(), Class: j.ClassGroup, Resources: ResourcesOf(s), Constraints: ConstraintsOf(s), Types: sched.typeSet(s),
+		Image: s.Image, ImageGB: s.ImageGB, LongS: longFetchShare * sched.EstimateS(s), OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
+		Failed: j.FailedMachines, Prediction: sched.predictTask(s, 0)}
 	if len(s.Dependencies) > 0 || !j.InheritedDeadline.IsZero() {
 		v.LongS = 0 // in a pipeline, fetches add up
 	}
@@ -124,13 +162,13 @@
 }
 
 // predictMachine is what placement compares of a machine.
-func (c *Controller) predictMachine(m *Machine, now time.Time) *contention.Machine {
-	return &contention.Machine{Tasks: c.predictTasks(m, now), Limit: c.Operator.LimitShare * m.Type.CPUs}
+func (sched *Scheduler) predictMachine(m *Machine, now time.Time) *contention.Machine {
+	return &contention.Machine{Tasks: sched.predictTasks(m, now), Limit: sched.Operator.LimitShare * m.Type.CPUs}
 }
 
 // reserveAll reserves what was decided for a job, as far as its records have room;
 // of a gang all or nothing. What has none waits for the next round.
-func (c *Controller) reserveAll(p *Partition, j *Job, plan []placement.Assignment, machines []*Machine, now time.Time) {
+func (sched *Scheduler) reserveAll(p *Partition, j *Job, plan []placement.Assignment, machines []*Machine, now time.Time) {
 	number := uint64(0)
 	before := map[int]RunChunk{}
 	if j.Spec.Gang {
@@ -146,12 +184,12 @@
 		if !j.Spec.Gang {
 			own = j.Chunk(task).LastNumber + 1
 		}
-		if c.HasRecordRoom(j, task, own, m) {
-			c.Reserve(p, j, task, own, m, now)
+		if sched.HasRecordRoom(j, task, own, m) {
+			sched.Reserve(p, j, task, own, m, now)
 			continue
 		}
 		if j.Spec.Gang {
-			c.unreserveGang(p, j, before)
+			sched.unreserveGang(p, j, before)
 			return
 		}
 		plan = plan[:n]
@@ -164,7 +202,7 @@
 }
 
 // unreserveGang gives back what was reserved of a gang.
-func (c *Controller) unreserveGang(p *Partition, j *Job, before map[int]RunChunk) {
+func (sched *Scheduler) unreserveGang(p *Partition, j *Job, before map[int]RunChunk) {
 	for _, a := range j.LiveAttempts {
 		delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
 		a.Machine.RecountUsed()
@@ -181,7 +219,7 @@
 	}
 }
 
-func (c *Controller) Reserve(p *Partition, j *Job, task int, number uint64, m *Machine, now time.Time) {
+func (sched *Scheduler) Reserve(p *Partition, j *Job, task int, number uint64, m *Machine, now time.Time) {
 	ch := j.Chunk(task)
 	ch.LastNumber = max(ch.LastNumber, number)
 	a := &Attempt{Job: j, TaskIndex: task, Number: number, Machine: m, Epoch: m.Epoch}
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -97,7 +97,7 @@
 		recorded, idle := now.Add(-time.Duration(rng.IntN(200))*time.Second), now.Add(-time.Duration(rng.IntN(60))*time.Second)
 		for i := range rng.IntN(6) {
 			name := fmt.Sprintf("m-%d-%d", p, i)
-			c.MachineRecorded(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
+			c.agents.MachineRecorded(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
 			m := c.Machines[name]
 			m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil, m.LastHeardAt = true, true, 1, now, now
 			m.RecordedAt, m.IdleSince = recorded, idle
@@ -122,7 +122,7 @@
 				s.Types = []string{types[rng.IntN(len(types))].Name}
 			}
 			s.SubmittedMS = now.Add(-time.Duration(rng.IntN(90)) * time.Second).UnixMilli()
-			c.ApplyJobRecord(s.ID, storage.Encode(s))
+			c.jobs.ApplyJobRecord(s.ID, storage.Encode(s))
 		}
 	}
 	var out strings.Builder
@@ -130,7 +130,7 @@
 		for _, p := range c.Partitions {
 			p.QueueOrder = nil
 			var ids []string
-			for _, j := range c.Queue(p) {
+			for _, j := range c.scheduler.Queue(p) {
 				ids = append(ids, strings.TrimPrefix(j.Spec.ID, "job-"))
 			}
 			fmt.Fprintf(&out, " order %d: %s\n", p.Index, strings.Join(ids, " "))
@@ -139,7 +139,7 @@
 	add(3+rng.IntN(8), 0)
 	orders()
 	for _, p := range c.Partitions {
-		c.Place(p, now)
+		c.scheduler.Place(p, now)
 	}
 	var placed []string
 	for _, m := range c.Machines {
@@ -150,11 +150,11 @@
 	}
 	slices.Sort(placed)
 	fmt.Fprintf(&out, " placed: %s\n", strings.Join(placed, " "))
-	c.scarcityCache = nil
+	c.scheduler.scarcityCache = nil
 	add(4+rng.IntN(10), 100)
 	orders()
 	for _, p := range c.Partitions {
-		c.Preempt(p, now)
+		c.scheduler.Preempt(p, now)
 	}
 	var stopped []string
 	for _, m := range c.Machines {
@@ -166,7 +166,7 @@
 	}
 	slices.Sort(stopped)
 	fmt.Fprintf(&out, " stopped: %s\n", strings.Join(stopped, " "))
-	c.reconcileFleet(now)
+	c.autoscaler.reconcileFleet(now)
 	var fleet []string
 	for _, r := range c.Leadership.PendingScaleOut {
 		fleet = append(fleet, fmt.Sprintf("rent %d %s %s %v for %d", r.Count, r.Kind.Type, r.Kind.Zone, r.Kind.Spot, r.Partition))
--- a/internal/coordination/policy.go
+++ b/internal/coordination/policy.go
@@ -92,11 +92,11 @@
 // PublishPolicy gives the connections what the watch has brought, once for all
 // records that came together. asked is when the listing or watch was sent that
 // brought it.
-func (c *Controller) PublishPolicy(asked time.Time) {
-	if c.guard == nil {
+func (au *Auth) PublishPolicy(asked time.Time) {
+	if !au.enabled {
 		return
 	}
-	if p := &c.policy; p.changed {
+	if p := &au.records; p.changed {
 		p.changed = false
 		doc := &rights.Document{}
 		for _, name := range slices.Sorted(maps.Keys(p.roles)) {
@@ -105,38 +105,38 @@
 		for _, name := range slices.Sorted(maps.Keys(p.identities)) {
 			doc.Identities = append(doc.Identities, p.identities[name])
 		}
-		before := c.guard.policy.Swap(&policyView{version: p.head.Version, headRevision: p.headRevision, doc: doc, rights: rights.Compile(doc)})
-		if before == nil || before.version != p.head.Version {
-			c.log.Info("policy followed", "version", p.head.Version, "roles", len(doc.Roles), "identities", len(doc.Identities))
+		before := au.policy.Swap(&PolicyView{Version: p.head.Version, HeadRevision: p.headRevision, Document: doc, Rights: rights.Compile(doc)})
+		if before == nil || before.Version != p.head.Version {
+			au.log.Info("policy followed", "version", p.head.Version, "roles", len(doc.Roles), "identities", len(doc.Identities))
 		}
 	}
-	c.guard.freshSince.Store(int64(asked.Sub(c.guard.started)))
+	au.freshSince.Store(int64(asked.Sub(au.enabledAt)))
 }
 
 // policyChangeLimit is how many records one change of the policy may touch: the head
 // and the audit's own are in the same transaction.
-func (c *Controller) policyChangeLimit() int { return max(1, c.store.TxnOps()-1-auditChanges) }
+func (srv *Server) policyChangeLimit() int { return max(1, srv.store.TxnOps()-1-auditChanges) }
 
 // changePolicy makes an administrator's change of the policy.
-func (c *Controller) changePolicy(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) changePolicy(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	var ch rights.Change
 	if err := protocol.Decode(req.Body, &ch); err != nil {
 		return Refuse(400, firstLine(err), 0)
 	}
-	view := c.guard.policy.Load()
-	if ch.Version != view.version {
-		return Refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.version, ch.Version), 0)
+	view := srv.auth.Policy()
+	if ch.Version != view.Version {
+		return Refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.Version, ch.Version), 0)
 	}
-	if n, most := ch.Size(), c.policyChangeLimit(); n > most {
+	if n, most := ch.Size(), srv.policyChangeLimit(); n > most {
 		return Refuse(422, fmt.Sprintf("changes %d records, at most %d at a time; split it", n, most), 0)
 	}
-	if _, err := rights.Apply(view.doc, &ch); err != nil {
+	if _, err := rights.Apply(view.Document, &ch); err != nil {
 		return Refuse(422, firstLine(err), 0)
 	}
-	head := storage.PolicyHead{Version: view.version + 1}
+	head := storage.PolicyHead{Version: view.Version + 1}
 	// Every change demands the head's stamp and moves it, so no other change of
 	// any of these records, late or from elsewhere, can come between.
-	txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.PolicyHeadKey, Version: view.headRevision}},
+	txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.PolicyHeadKey, Version: view.HeadRevision}},
 		Then: []protocol.Change{{Put: storage.PolicyHeadKey, Value: storage.Encode(head)}}}
 	for i := range ch.PutRoles {
 		txn.Then = append(txn.Then, protocol.Change{Put: storage.RoleKey(ch.PutRoles[i].Name), Value: storage.Encode(&ch.PutRoles[i])})
@@ -154,13 +154,13 @@
 		if len(change.Value) == 0 {
 			continue
 		}
-		if size, limit := protocol.JSONSize(change.Value), c.store.ValueBytes(); size > limit {
+		if size, limit := protocol.JSONSize(change.Value), srv.store.ValueBytes(); size > limit {
 			return Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, storage.WatchPrefix), size, limit), 0)
 		}
 	}
-	r := c.AuditRecord(who, "change-policy", rights.Queue{}, "")
+	r := srv.auth.AuditRecord(who, "change-policy", rights.Queue{}, "")
 	r.Detail = changeDetail(&ch, head.Version)
-	revision, err := c.Commit(ctx, txn, r)
+	revision, err := srv.auth.Commit(ctx, txn, r)
 	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
@@ -170,16 +170,16 @@
 	case err != nil:
 		return unavailableResponse(err)
 	}
-	c.loop.Do(func() {
-		if revision <= c.policy.headRevision {
+	srv.loop.Do(func() {
+		if revision <= srv.auth.PolicyRevision() {
 			return // the watch was faster
 		}
 		for _, change := range txn.Then {
-			c.applyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
+			srv.watcher.applyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
 		}
-		c.PublishPolicy(c.RecordsAsOf)
+		srv.auth.PublishPolicy(srv.RecordsAsOf)
 	})
-	return transport.Response{Status: 200, Body: protocol.Encode(rights.Version{Version: head.Version, MaxChanges: c.policyChangeLimit()})}
+	return transport.Response{Status: 200, Body: protocol.Encode(rights.Version{Version: head.Version, MaxChanges: srv.policyChangeLimit()})}
 }
 
 // changeDetail says in words what a change of the policy was.
@@ -227,13 +227,13 @@
 )
 
 // showPolicy answers with a page of the policy.
-func (c *Controller) showPolicy(who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) showPolicy(who *Caller, req *transport.Request) transport.Response {
 	q, err := url.ParseQuery(req.Query)
 	if err != nil {
 		return Refuse(400, "bad query", 0)
 	}
-	view := c.guard.policy.Load()
-	answer := rights.Page{Version: view.version, MaxChanges: c.policyChangeLimit()}
+	view := srv.auth.Policy()
+	answer := rights.Page{Version: view.Version, MaxChanges: srv.policyChangeLimit()}
 	size := 0
 	fits := func(v any) bool {
 		size += protocol.JSONSize(protocol.Encode(v))
@@ -241,7 +241,7 @@
 	}
 	switch req.Path {
 	case "/policy/roles":
-		for _, r := range view.doc.Roles {
+		for _, r := range view.Document.Roles {
 			if r.Name <= q.Get("after") {
 				continue
 			}
@@ -252,7 +252,7 @@
 			answer.Roles = append(answer.Roles, r)
 		}
 	case "/policy/identities":
-		for _, id := range view.doc.Identities {
+		for _, id := range view.Document.Identities {
 			if id.Name <= q.Get("after") {
 				continue
 			}
@@ -265,6 +265,6 @@
 	default:
 		return Refuse(404, "no such path", 0)
 	}
-	c.NoteRead(who, "read-policy", rights.Queue{}, "")
+	srv.auth.NoteRead(who, "read-policy", rights.Queue{}, "")
 	return transport.Response{Status: 200, Body: protocol.Encode(answer)}
 }
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -25,7 +25,7 @@
 // up puts a usable machine on record.
 func (c *Controller) up(p *Partition, name, typ string) *Machine {
 	now := time.Now()
-	c.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
+	c.agents.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
 	m := c.Machines[name]
 	m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, now
 	return m
@@ -33,7 +33,7 @@
 
 func (c *Controller) take(s *protocol.JobSpec) *Job {
 	s.SubmittedMS = time.Now().UnixMilli()
-	c.ApplyJobRecord(s.ID, storage.Encode(s))
+	c.jobs.ApplyJobRecord(s.ID, storage.Encode(s))
 	return c.Jobs[s.ID]
 }
 
@@ -47,7 +47,7 @@
 	c.take(large)
 	c.take(small)
 	var got []string
-	for _, j := range c.Queue(p) {
+	for _, j := range c.scheduler.Queue(p) {
 		got = append(got, j.Spec.ID)
 	}
 	if strings.Join(got, " ") != "job-2 job-1" {
@@ -55,7 +55,7 @@
 	}
 	c.up(p, "m-2", "big")
 	p.QueueOrder = nil
-	if first := c.Queue(p)[0].Spec.ID; first != "job-1" {
+	if first := c.scheduler.Queue(p)[0].Spec.ID; first != "job-1" {
 		t.Errorf("%s goes first though both can be in time", first)
 	}
 }
@@ -73,7 +73,7 @@
 	s = spec("job-2", 2, "green")
 	s.CPUs = 16 // fits big machines only
 	choosy := c.take(s)
-	c.Place(p, time.Now())
+	c.scheduler.Place(p, time.Now())
 	on := map[*Machine]int{}
 	for _, a := range easy.LiveAttempts {
 		on[a.Machine]++
@@ -96,12 +96,12 @@
 	}{{5 * time.Second, 1}, {time.Minute, 9}} {
 		c, p := owner(t)
 		now := time.Now()
-		c.MachineRecorded("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
+		c.agents.MachineRecorded("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
 			RentedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
 		c.Machines["m-1"].LedSince = now.Add(-tc.age)
 		c.take(spec("job-1", 9, "green"))
 		count := uint32(0)
-		for _, d := range c.partitionSummary(p, now).Demands {
+		for _, d := range c.peering.partitionSummary(p, now).Demands {
 			count += d.Count
 		}
 		if count != tc.want {
@@ -118,7 +118,7 @@
 	c.take(spec("job-1", 6, "red"))
 	c.take(spec("job-2", 6, "red"))
 	count := uint32(0)
-	for _, d := range c.partitionSummary(p, time.Now()).Demands {
+	for _, d := range c.peering.partitionSummary(p, time.Now()).Demands {
 		count += d.Count
 	}
 	if count != 8 {
@@ -163,17 +163,17 @@
 	high.Urgency = protocol.High
 	first, second := c.take(high), c.take(low)
 	first.Pending, first.RecordsChanged = nil, false // all of it runs, and is on record
-	if list := c.Queue(p); len(list) != 1 || list[0] != second {
+	if list := c.scheduler.Queue(p); len(list) != 1 || list[0] != second {
 		t.Fatalf("%d jobs want something", len(list))
 	}
 	first.Requeue(0)
-	if list := c.Queue(p); len(list) != 2 || list[0] != first {
+	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
 		t.Error("a task that waits again is served after lower work")
 	}
 	p.QueueOrder, first.Pending = nil, nil
-	c.Queue(p)
+	c.scheduler.Queue(p)
 	first.MarkDirty(0, false, time.Now())
-	if list := c.Queue(p); len(list) != 2 || list[0] != first {
+	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
 		t.Error("a record that changed is written after lower work's")
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -15,55 +15,55 @@
 const preemptInterval = time.Second
 
 // Preempt stops running work for jobs that must start now and find no room.
-func (c *Controller) Preempt(p *Partition, now time.Time) {
+func (sched *Scheduler) Preempt(p *Partition, now time.Time) {
 	if now.Sub(p.PreemptedAt) < preemptInterval {
 		return
 	}
 	p.PreemptedAt = now
-	list := c.Queue(p)
-	if !slices.ContainsFunc(list, func(j *Job) bool { return c.mayPreemptFor(p, j, now) }) {
+	list := sched.Queue(p)
+	if !slices.ContainsFunc(list, func(j *Job) bool { return sched.mayPreemptFor(p, j, now) }) {
 		return
 	}
 	list = append(list, p.IdleJobs...) // what runs may be stopped
-	v, tasks := c.partitionPreemptionView(p, list, now)
+	v, tasks := sched.partitionPreemptionView(p, list, now)
 	for _, s := range preemption.Decide(v) {
 		a, j := tasks[s.Task], list[s.For]
 		reason := "a job must start"
 		if s.OwnLimit {
 			reason = "team's limit"
 		}
-		c.log.Info("preempting", "task", a.TaskName(), "machine", a.Machine.Name, "for", j.Spec.ID, "reason", reason)
-		c.metrics.Count(telemetry.Stopped, 1)
-		c.StopAttempt(a, a.Job.Spec.SaveS+1, now)
+		sched.log.Info("preempting", "task", a.TaskName(), "machine", a.Machine.Name, "for", j.Spec.ID, "reason", reason)
+		sched.metrics.Count(telemetry.Stopped, 1)
+		sched.agents.StopAttempt(a, a.Job.Spec.SaveS+1, now)
 	}
 }
 
 // mayPreemptFor says whether a job must start now, before anything more is looked at.
-func (c *Controller) mayPreemptFor(p *Partition, j *Job, now time.Time) bool {
+func (sched *Scheduler) mayPreemptFor(p *Partition, j *Job, now time.Time) bool {
 	if len(j.Pending) == 0 || j.Spec.Gang || j.Ended || now.Before(j.BackoffUntil) {
 		return false
 	}
-	v, t := c.preemptionView(j, now), c.preemptionTeam(p, j.Team)
+	v, t := sched.preemptionView(j, now), sched.preemptionTeam(p, j.Team)
 	return preemption.MustStart(&v, &t, now)
 }
 
-func (c *Controller) preemptionView(j *Job, now time.Time) preemption.Job {
+func (sched *Scheduler) preemptionView(j *Job, now time.Time) preemption.Job {
 	due, _ := j.Deadline()
 	return preemption.Job{Team: j.Team, Urgency: j.Urgency(), Resources: ResourcesOf(j.Spec), Constraints: ConstraintsOf(j.Spec), Since: j.ReadySince(), Due: due,
-		EstimateS: c.EstimateS(j.Spec), Waiting: len(j.Pending), Standing: j.Spec.Standing,
+		EstimateS: sched.EstimateS(j.Spec), Waiting: len(j.Pending), Standing: j.Spec.Standing,
 		Never: j.Spec.Gang || j.Ended || now.Before(j.BackoffUntil), Failed: j.FailedMachines, Groups: j.Groups()}
 }
 
-func (c *Controller) preemptionTeam(p *Partition, team int) preemption.Team {
-	t := c.Settings.Params.Teams[team]
+func (sched *Scheduler) preemptionTeam(p *Partition, team int) preemption.Team {
+	t := sched.Settings.Params.Teams[team]
 	return preemption.Team{Guarantee: binpack.Compute{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: TeamLimit(t), Used: p.Usage[team]}
 }
 
 // partitionPreemptionView gathers a part with all that runs on its usable machines.
-func (c *Controller) partitionPreemptionView(p *Partition, list []*Job, now time.Time) (preemption.View, []*Attempt) {
+func (sched *Scheduler) partitionPreemptionView(p *Partition, list []*Job, now time.Time) (preemption.View, []*Attempt) {
 	v := preemption.View{Now: now}
-	for team := range c.Settings.Params.Teams {
-		v.Teams = append(v.Teams, c.preemptionTeam(p, team))
+	for team := range sched.Settings.Params.Teams {
+		v.Teams = append(v.Teams, sched.preemptionTeam(p, team))
 	}
 	index := make(map[*Job]int, len(list))
 	note := func(j *Job) int {
@@ -71,12 +71,12 @@
 		if !ok {
 			i = len(v.Jobs)
 			index[j] = i
-			v.Jobs = append(v.Jobs, c.preemptionView(j, now))
+			v.Jobs = append(v.Jobs, sched.preemptionView(j, now))
 		}
 		return i
 	}
 	zones := map[string]bool{}
-	for _, m := range c.Machines {
+	for _, m := range sched.Machines {
 		zones[m.Record.Zone] = true
 	}
 	for i, j := range list {
@@ -97,7 +97,7 @@
 			i = len(tasks)
 			known[a] = i
 			tasks = append(tasks, a)
-			v.Tasks = append(v.Tasks, preemption.Task{Job: note(a.Job), Name: a.TaskName(), Loss: c.lostWork(a, now), Stopping: a.Stopping,
+			v.Tasks = append(v.Tasks, preemption.Task{Job: note(a.Job), Name: a.TaskName(), Loss: sched.lostWork(a, now), Stopping: a.Stopping,
 				ReservedFor: p.FairShare.ReservationOf(a)})
 		}
 		return i
@@ -109,8 +109,8 @@
 			}
 		}
 	}
-	for _, m := range c.Machines {
-		if m.Record.Partition != p.Index || !c.Usable(m, now) {
+	for _, m := range sched.Machines {
+		if m.Record.Partition != p.Index || !sched.Usable(m, now) {
 			continue
 		}
 		view := preemption.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Free: m.Free()}
@@ -127,7 +127,7 @@
 
 // lostWork is what stopping an attempt throws away, in CPU seconds. A service
 // loses nothing: what its replicas have run has been of use.
-func (c *Controller) lostWork(a *Attempt, now time.Time) float64 {
+func (sched *Scheduler) lostWork(a *Attempt, now time.Time) float64 {
 	s := a.Job.Spec
 	lost := 0.0
 	if !s.Standing {
--- a/internal/coordination/reassign.go
+++ b/internal/coordination/reassign.go
@@ -20,8 +20,8 @@
 // it was: so in one transaction the job is withdrawn and its successor, under a
 // new id, is accepted. That none of its tasks was started is a condition on its
 // run records: every start is written there first.
-func (c *Controller) reassign(ctx context.Context, who *Caller, id string, req *transport.Request) transport.Response {
-	from, refusal := c.AuthorizeJob(ctx, who, rights.Reassign, id)
+func (srv *Server) reassign(ctx context.Context, who *Caller, id string, req *transport.Request) transport.Response {
+	from, refusal := srv.auth.AuthorizeJob(ctx, who, rights.Reassign, id)
 	if refusal != nil {
 		return *refusal
 	}
@@ -39,10 +39,10 @@
 		body.Class = from.Class
 	}
 	to := rights.Queue{Team: body.Team, Class: body.Class}
-	if !c.guard.allows(who, rights.Reassign, to) {
-		return *c.Deny(who, rights.Reassign.String(), to, id, 403, "may not move jobs to this queue")
+	if !srv.auth.Allows(who, rights.Reassign, to) {
+		return *srv.auth.Deny(who, rights.Reassign.String(), to, id, 403, "may not move jobs to this queue")
 	}
-	spec, err := c.ReadSpec(ctx, nil, id)
+	spec, err := srv.auth.ReadSpec(ctx, nil, id)
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
 		return Refuse(404, "no such job", 0)
@@ -52,21 +52,21 @@
 	part, reason := 0, ""
 	next := *spec
 	next.ID, next.Team, next.Class, next.Replaces = body.As, body.Team, body.Class, id
-	c.loop.Do(func() {
-		team, ok := c.TeamIndex[spec.Team]
+	srv.loop.Do(func() {
+		team, ok := srv.TeamIndex[spec.Team]
 		if !ok {
 			reason = "its team is not in the settings any more"
 			return
 		}
-		part = c.TeamPartition[team]
-		reason = c.checkFeasible(&next)
-		if reason == "" && c.Dependencies.HasDependents(id) {
+		part = srv.TeamPartition[team]
+		reason = srv.checkFeasible(&next)
+		if reason == "" && srv.Dependencies.HasDependents(id) {
 			reason = "other jobs wait for this one; withdraw and submit the pipeline again"
 		}
 	})
 	chunks := (spec.Tasks + storage.ChunkTasks - 1) / storage.ChunkTasks
 	// The audit's batch takes one condition.
-	if most := 4*c.store.TxnOps() - 3; reason == "" && chunks > most {
+	if most := 4*srv.store.TxnOps() - 3; reason == "" && chunks > most {
 		reason = fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", most*storage.ChunkTasks)
 	}
 	if reason != "" {
@@ -81,32 +81,32 @@
 	for k := range chunks {
 		txn.If = append(txn.If, protocol.Condition{Key: storage.RunKey(part, id, k)})
 	}
-	r := c.AuditRecord(who, rights.Reassign.String(), from, id)
+	r := srv.auth.AuditRecord(who, rights.Reassign.String(), from, id)
 	r.Detail = fmt.Sprintf("to team %s, class %s as %s", clipText(to.Team), clipText(to.Class), body.As)
-	_, err = c.Commit(ctx, txn, r)
+	_, err = srv.auth.Commit(ctx, txn, r)
 	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		return c.notReassigned(ctx, id, body.As)
+		return srv.notReassigned(ctx, id, body.As)
 	case errors.Is(err, storage.ErrTooLarge):
 		return Refuse(422, "too large for the state service; withdraw it and submit it again", 0)
 	case err != nil:
 		return unavailableResponse(err)
 	}
-	c.loop.Do(func() {
-		c.SetFinal(id, protocol.StatusWithdrawn, time.Now())
-		c.ApplyJobRecord(body.As, value)
+	srv.loop.Do(func() {
+		srv.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now())
+		srv.jobs.ApplyJobRecord(body.As, value)
 	})
 	return statusResponse(200, protocol.JobStatus{ID: body.As, Status: protocol.StatusQueued})
 }
 
 // notReassigned says why a job could not be moved, or that it was already.
-func (c *Controller) notReassigned(ctx context.Context, id, as string) transport.Response {
-	item, err := c.store.UserGet(ctx, storage.FinalKey(id))
+func (srv *Server) notReassigned(ctx context.Context, id, as string) transport.Response {
+	item, err := srv.store.UserGet(ctx, storage.FinalKey(id))
 	var final storage.Final
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
-		if _, err := c.store.UserGet(ctx, storage.JobKey(as)); err == nil {
+		if _, err := srv.store.UserGet(ctx, storage.JobKey(as)); err == nil {
 			return Refuse(409, "the id for the successor is taken", 0)
 		}
 		return Refuse(409, "the job has started", 0)
@@ -115,7 +115,7 @@
 	case storage.Decode(item.Value, &final) != nil:
 		return unavailableResponse(storage.ErrUnknown)
 	case final.Successor == as:
-		st, found, err := c.jobStatus(ctx, as)
+		st, found, err := srv.jobStatus(ctx, as)
 		if err != nil || !found {
 			return unavailableResponse(errors.Join(storage.ErrUnknown, err))
 		}
@@ -134,7 +134,7 @@
 // cancelAllOf withdraws the unfinished jobs that somebody has submitted, as far as the
 // caller administers their queues. It answers after a while with what is left;
 // the caller asks again.
-func (c *Controller) cancelAllOf(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) cancelAllOf(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	var body protocol.Sweep
 	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
 		return Refuse(400, "by: whose jobs are to be withdrawn", 0)
@@ -144,20 +144,20 @@
 		queue rights.Queue
 	}
 	var jobs []found
-	c.loop.Do(func() {
-		for id, j := range c.Jobs {
-			if j.Spec.By == body.By && c.FinalStates[id] == "" {
+	srv.loop.Do(func() {
+		for id, j := range srv.Jobs {
+			if j.Spec.By == body.By && srv.FinalStates[id] == "" {
 				jobs = append(jobs, found{id, rights.Queue{Team: j.Spec.Team, Class: j.Spec.Class}})
 			}
 		}
 	})
 	answer := protocol.SweepResult{}
 	jobs = slices.DeleteFunc(jobs, func(f found) bool {
-		if who.Service == "" && c.guard.allows(who, rights.Administer, f.queue) {
+		if who.Service == "" && srv.auth.Allows(who, rights.Administer, f.queue) {
 			return false
 		}
 		answer.NotAllowed++
-		c.Deny(who, "withdraw-all", f.queue, f.id, 403, "does not administer this queue")
+		srv.auth.Deny(who, "withdraw-all", f.queue, f.id, 403, "does not administer this queue")
 		return true
 	})
 	slices.SortFunc(jobs, func(a, b found) int { return strings.Compare(a.id, b.id) })
@@ -169,9 +169,9 @@
 	for range cancelAllWorkers {
 		wg.Go(func() {
 			for f := range work {
-				r := c.AuditRecord(who, "withdraw-all", f.queue, f.id)
+				r := srv.auth.AuditRecord(who, "withdraw-all", f.queue, f.id)
 				r.Detail = "submitted by " + clipText(body.By)
-				status, err := c.cancelNow(ctx, f.id, r)
+				status, err := srv.cancelNow(ctx, f.id, r)
 				mu.Lock()
 				switch {
 				case err != nil:
@@ -198,12 +198,12 @@
 }
 
 // arguments tells what a job was submitted with.
-func (c *Controller) arguments(ctx context.Context, who *Caller, id string) transport.Response {
-	q, refusal := c.AuthorizeJob(ctx, who, rights.ViewArguments, id)
+func (srv *Server) arguments(ctx context.Context, who *Caller, id string) transport.Response {
+	q, refusal := srv.auth.AuthorizeJob(ctx, who, rights.ViewArguments, id)
 	if refusal != nil {
 		return *refusal
 	}
-	spec, err := c.ReadSpec(ctx, nil, id)
+	spec, err := srv.auth.ReadSpec(ctx, nil, id)
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
 		return Refuse(404, "no such job", 0)
@@ -211,7 +211,7 @@
 		return unavailableResponse(err)
 	}
 	// Looking at arguments is rare and matters: it is recorded by itself.
-	if _, err := c.Commit(ctx, &protocol.Transaction{}, c.AuditRecord(who, rights.ViewArguments.String(), q, id)); err != nil {
+	if _, err := srv.auth.Commit(ctx, &protocol.Transaction{}, srv.auth.AuditRecord(who, rights.ViewArguments.String(), q, id)); err != nil {
 		return unavailableResponse(err)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(spec.Arguments())}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -4,24 +4,72 @@
 // machine types, by a listing and the changes after it.
 
 import (
+	"log/slog"
 	"time"
 
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
 
+// Watcher follows the shared records and hands each to its owner.
+type Watcher struct {
+	*State
+	loop  *eventloop.Loop
+	store *storage.Store
+	log   *slog.Logger
+
+	agents     *Agents
+	auth       *Auth
+	autoscaler *Autoscaler
+	jobs       *Tracker
+	leases     *LeaseHolder
+	scheduler  *Scheduler
+}
+
+// NewWatcher makes one without collaborators.
+func NewWatcher(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Watcher {
+	return &Watcher{State: state, loop: loop, store: store, log: log}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (wa *Watcher) Connect(agents *Agents, auth *Auth, autoscaler *Autoscaler, jobs *Tracker, leases *LeaseHolder, scheduler *Scheduler) {
+	wa.agents, wa.auth, wa.autoscaler, wa.jobs, wa.leases, wa.scheduler = agents, auth, autoscaler, jobs, leases, scheduler
+}
+
+// Tracker follows jobs from their record to their final state.
+type Tracker struct {
+	*State
+	log    *slog.Logger
+	bounds *telemetry.BoundReporter
+
+	agents    *Agents
+	auth      *Auth
+	scheduler *Scheduler
+}
+
+// NewTracker makes one without collaborators.
+func NewTracker(state *State, log *slog.Logger, bounds *telemetry.BoundReporter) *Tracker {
+	return &Tracker{State: state, log: log, bounds: bounds}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (tr *Tracker) Connect(agents *Agents, auth *Auth, scheduler *Scheduler) {
+	tr.agents, tr.auth, tr.scheduler = agents, auth, scheduler
+}
+
 // watchOutagePatience is how long a watch may go on through an outage: after one that is given
 // up everything is listed.
 const watchOutagePatience = 12 * time.Second
 
 // watchDuty follows the shared records: a listing, then changes from there.
-func (c *Controller) watchDuty() {
-	tries := c.loop.Tries("watch", followBackoff)
+func (wa *Watcher) watchDuty() {
+	tries := wa.loop.Tries("watch", followBackoff)
 	// As often as the lease is renewed: the older of the two bounds what workers are
 	// answered (informed).
-	wait, patience := c.Operator.ClaimTTL/3, watchOutagePatience
-	if c.guard != nil {
+	wait, patience := wa.Operator.ClaimTTL/3, watchOutagePatience
+	if wa.auth.Enabled() {
 		wait, patience = min(wait, policyWatchWait), storage.ChangePatience
 	}
 	late := false
@@ -29,18 +77,18 @@
 	for {
 		asked := time.Now()
 		if revision == 0 {
-			items, rev, err := c.store.List(c.loop.Context(), storage.WatchPrefix)
+			items, rev, err := wa.store.List(wa.loop.Context(), storage.WatchPrefix)
 			if err != nil {
-				c.log.Debug("listing failed", "reason", err)
-				if !c.loop.Sleep(tries.Failed()) {
+				wa.log.Debug("listing failed", "reason", err)
+				if !wa.loop.Sleep(tries.Failed()) {
 					return
 				}
 				continue
 			}
-			if !c.loop.Do(func() {
-				c.applyListing(items, rev)
-				c.RecordsAsOf, c.RecordsRevision = asked, rev
-				c.PublishPolicy(asked)
+			if !wa.loop.Do(func() {
+				wa.applyListing(items, rev)
+				wa.RecordsAsOf, wa.RecordsRevision = asked, rev
+				wa.auth.PublishPolicy(asked)
 			}) {
 				return
 			}
@@ -51,26 +99,26 @@
 		if late {
 			most = 0 // what was asked for long ago, before an outage perhaps, informs of little
 		}
-		ev, err := c.store.Watch(c.loop.Context(), storage.WatchPrefix, revision, most, patience)
+		ev, err := wa.store.Watch(wa.loop.Context(), storage.WatchPrefix, revision, most, patience)
 		if err != nil {
-			if c.loop.Context().Err() != nil {
+			if wa.loop.Context().Err() != nil {
 				return
 			}
 			// A watch that ended without an answer, or that answers 410, may
 			// have missed changes; a fresh listing never does.
-			c.log.Debug("watch ended", "reason", err)
+			wa.log.Debug("watch ended", "reason", err)
 			revision = 0
-			if !c.loop.Sleep(tries.Failed()) {
+			if !wa.loop.Sleep(tries.Failed()) {
 				return
 			}
 			continue
 		}
-		if !c.loop.Do(func() {
+		if !wa.loop.Do(func() {
 			for _, e := range ev.Events {
-				c.applyEvent(e)
+				wa.applyEvent(e)
 			}
-			c.RecordsAsOf, c.RecordsRevision = asked, max(c.RecordsRevision, ev.Revision)
-			c.PublishPolicy(asked)
+			wa.RecordsAsOf, wa.RecordsRevision = asked, max(wa.RecordsRevision, ev.Revision)
+			wa.auth.PublishPolicy(asked)
 		}) {
 			return
 		}
@@ -80,23 +128,23 @@
 }
 
 // applyListing replaces what is known of the shared records.
-func (c *Controller) applyListing(items []protocol.Item, revision uint64) {
+func (wa *Watcher) applyListing(items []protocol.Item, revision uint64) {
 	now := time.Now()
 	machines, claims, policy := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	c.ListedEnds = map[string]time.Time{}
-	defer func() { c.ListedEnds = nil }()
+	wa.ListedEnds = map[string]time.Time{}
+	defer func() { wa.ListedEnds = nil }()
 	// Final states go first, so that ended jobs are not taken up.
 	for _, it := range items {
 		if kind, id := storage.ParseKey(it.Key); kind == storage.KindFinal {
-			c.ApplyFinalRecord(id, it.Value)
+			wa.jobs.ApplyFinalRecord(id, it.Value)
 		}
 	}
-	c.NoteMissedLeaders(now)
-	c.ResetDoneCounts()
+	wa.leases.NoteMissedLeaders(now)
+	wa.scheduler.ResetDoneCounts()
 	for _, it := range items {
 		switch kind, name := storage.ParseKey(it.Key); kind {
 		case storage.KindJob:
-			c.CountListedJob(name, it.Value)
+			wa.scheduler.CountListedJob(name, it.Value)
 		case storage.KindMachine:
 			machines[name] = true
 		case storage.KindLease, storage.KindLeadership:
@@ -106,20 +154,20 @@
 		case storage.KindFinal:
 			continue
 		}
-		c.applyEvent(protocol.Event{Put: it.Key, Value: it.Value, Version: it.Version})
+		wa.applyEvent(protocol.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
 	// What was written after the listing began is not in it, yet not gone.
-	for name, m := range c.Machines {
+	for name, m := range wa.Machines {
 		if !machines[name] && m.Revision <= revision {
-			c.MachineDeleted(name, now)
+			wa.agents.MachineDeleted(name, now)
 		}
 	}
-	for _, p := range c.Partitions {
+	for _, p := range wa.Partitions {
 		if key := storage.LeaseKey(p.Index); !claims[key] && p.LeaseRevision != 0 {
-			c.applyEvent(protocol.Event{Delete: key, Version: revision})
+			wa.applyEvent(protocol.Event{Delete: key, Version: revision})
 		}
 	}
-	for _, p := range c.Partitions {
+	for _, p := range wa.Partitions {
 		// A part that was never seen claimed is an orphan from now on, so that
 		// its preferred owner has the time to start.
 		if p.LeaseRevision == 0 && p.VacantSince.IsZero() {
@@ -127,112 +175,105 @@
 		}
 	}
 	if !claims[storage.LeadershipKey] {
-		c.applyEvent(protocol.Event{Delete: storage.LeadershipKey, Version: revision})
+		wa.applyEvent(protocol.Event{Delete: storage.LeadershipKey, Version: revision})
 	}
-	if c.guard != nil {
-		c.policy.dropUnlisted(policy)
+	if wa.auth.Enabled() {
+		wa.auth.DropUnlistedPolicy(policy)
 	}
-	if !c.Synced {
-		c.Synced = true
-		c.log.Info("records read", "jobs", len(c.Jobs), "final", len(c.FinalStates), "machines", len(c.Machines))
+	if !wa.Synced {
+		wa.Synced = true
+		wa.log.Info("records read", "jobs", len(wa.Jobs), "final", len(wa.FinalStates), "machines", len(wa.Machines))
 	}
 }
 
-func (c *Controller) applyEvent(e protocol.Event) {
+func (wa *Watcher) applyEvent(e protocol.Event) {
 	now := time.Now()
 	key := e.Put + e.Delete
 	kind, name := storage.ParseKey(key)
 	switch kind {
 	case storage.KindLease:
-		for _, p := range c.Partitions {
+		for _, p := range wa.Partitions {
 			if storage.LeaseKey(p.Index) == key {
-				c.ApplyLease(p, e, now)
+				wa.leases.ApplyLease(p, e, now)
 			}
 		}
 	case storage.KindLeadership:
-		c.ApplyLeadership(e, now)
+		wa.autoscaler.ApplyLeadership(e, now)
 	case storage.KindMachine:
 		if e.Delete != "" {
-			if m := c.Machines[name]; m != nil && e.Version >= m.Revision {
-				c.MachineDeleted(name, now)
+			if m := wa.Machines[name]; m != nil && e.Version >= m.Revision {
+				wa.agents.MachineDeleted(name, now)
 			}
 			return
 		}
 		var rec storage.Machine
-		if err := storage.Decode(e.Value, &rec); err != nil || rec.Partition < 0 || rec.Partition >= len(c.Partitions) {
-			c.log.Error("bad machine record", "machine", name, "reason", err)
+		if err := storage.Decode(e.Value, &rec); err != nil || rec.Partition < 0 || rec.Partition >= len(wa.Partitions) {
+			wa.log.Error("bad machine record", "machine", name, "reason", err)
 			return
 		}
-		c.MachineRecorded(name, rec, e.Version, now)
+		wa.agents.MachineRecorded(name, rec, e.Version, now)
 	case storage.KindJob:
 		if e.Delete == "" {
-			c.ApplyJobRecord(name, e.Value)
+			wa.jobs.ApplyJobRecord(name, e.Value)
 		}
 	case storage.KindFinal:
 		if e.Delete == "" {
-			c.ApplyFinalRecord(name, e.Value)
+			wa.jobs.ApplyFinalRecord(name, e.Value)
 		}
 	case storage.KindIncarnation:
-		c.ApplyIncarnation(name, e)
+		wa.leases.ApplyIncarnation(name, e)
 	case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
-		if c.guard != nil {
-			if err := c.policy.apply(kind, name, e); err != nil {
-				c.log.Error("bad policy record", "key", key, "reason", err)
+		if wa.auth.Enabled() {
+			if err := wa.auth.ApplyPolicyRecord(kind, name, e); err != nil {
+				wa.log.Error("bad policy record", "key", key, "reason", err)
 			}
 		}
 	case storage.KindCatalog:
 		var cat protocol.Catalog
-		if e.Delete == "" && storage.Decode(e.Value, &cat) == nil && len(c.Catalog) == 0 {
-			c.SetCatalog(cat.Types)
+		if e.Delete == "" && storage.Decode(e.Value, &cat) == nil && len(wa.Catalog) == 0 {
+			wa.SetCatalog(cat.Types)
 		}
 	}
 }
 
-func (c *Controller) SetCatalog(types []protocol.MachineType) {
-	c.Catalog = types
-	c.MachineTypes = map[string]*protocol.MachineType{}
+func (s *State) SetCatalog(types []protocol.MachineType) {
+	s.Catalog = types
+	s.MachineTypes = map[string]*protocol.MachineType{}
 	for i := range types {
-		c.MachineTypes[types[i].Name] = &types[i]
+		s.MachineTypes[types[i].Name] = &types[i]
 	}
-	for _, m := range c.Machines {
-		m.Type = c.MachineTypes[m.Record.Type]
+	for _, m := range s.Machines {
+		m.Type = s.MachineTypes[m.Record.Type]
 	}
 }
 
 // ApplyJobRecord takes up an accepted job. Records never change.
-func (c *Controller) ApplyJobRecord(id string, raw []byte) {
-	if c.guard != nil {
-		if _, known := c.jobQueues.queueOf(id); !known {
-			var spec protocol.JobSpec
-			if storage.Decode(raw, &spec) == nil {
-				c.jobQueues.add(&spec)
-			}
-		}
-	}
-	if c.Jobs[id] != nil || c.FinalStates[id] != "" {
+func (tr *Tracker) ApplyJobRecord(id string, raw []byte) {
+	tr.auth.NoteJob(id, raw)
+	if tr.Jobs[id] != nil || tr.FinalStates[id] != "" {
 		return
 	}
-	if j := c.LoadJobRecord(id, raw); j != nil {
-		c.Dependencies.Add(j, func(dep string) (string, time.Time) { return c.FinalStates[dep], c.ListedEnds[dep] })
-		c.wakeForDoomedJobs()
+	if j := tr.LoadJobRecord(id, raw); j != nil {
+		tr.Dependencies.Add(j, func(dep string) (string, time.Time) { return tr.FinalStates[dep], tr.ListedEnds[dep] })
+		tr.wakeForDoomedJobs()
 	}
 }
 
 // LoadJobRecord makes a job of its record.
-func (c *Controller) LoadJobRecord(id string, raw []byte) *Job {
+func (tr *Tracker) LoadJobRecord(id string, raw []byte) *Job {
 	spec := new(protocol.JobSpec)
 	if err := storage.Decode(raw, spec); err != nil || spec.Tasks < 1 {
-		c.log.Error("bad job record", "job", id, "reason", err)
+		tr.log.Error("bad job record", "job", id, "reason", err)
 		return nil
 	}
-	team, ok := c.TeamIndex[spec.Team]
+	team, ok := tr.TeamIndex[spec.Team]
 	if !ok {
-		c.log.Error("job of a team that is not in the settings", "job", id, "team", spec.Team)
+		tr.log.Error("job of a team that is not in the settings", "job", id, "team", spec.Team)
 		return nil
 	}
-	j := &Job{Spec: spec, Partition: c.TeamPartition[team], Team: team, ClassGroup: c.ClassGroup(spec.Class), SubmittedAt: SteadyTime(spec.SubmittedMS, time.Now())}
-	c.Jobs[id] = j
-	if p := c.Partitions[j.Partition]; p.Held && p.Ready {
+	j := &Job{Spec: spec, Partition: tr.TeamPartition[team], Team: team, ClassGroup: tr.scheduler.ClassGroup(spec.Class), SubmittedAt: SteadyTime(spec.SubmittedMS, time.Now())}
+	tr.Jobs[id] = j
+	if p := tr.Partitions[j.Partition]; p.Held && p.Ready {
 		j.Load()
 		p.QueueOrder = nil
 		p.Wake()
@@ -264,47 +305,47 @@
 	j.Completing, j.RunningCount, j.DoneCount = false, 0, 0
 }
 
-func (c *Controller) ApplyFinalRecord(id string, raw []byte) {
+func (tr *Tracker) ApplyFinalRecord(id string, raw []byte) {
 	var f storage.Final
 	if err := storage.Decode(raw, &f); err != nil {
-		c.log.Error("bad final record", "job", id, "reason", err)
+		tr.log.Error("bad final record", "job", id, "reason", err)
 		return
 	}
-	if c.ListedEnds != nil {
-		c.ListedEnds[id] = SteadyTime(f.AtMS, time.Now())
+	if tr.ListedEnds != nil {
+		tr.ListedEnds[id] = SteadyTime(f.AtMS, time.Now())
 	}
 	at := time.Now()
 	if f.AtMS > 0 {
 		at = SteadyTime(f.AtMS, at)
 	}
-	c.SetFinal(id, f.Status, at)
+	tr.SetFinal(id, f.Status, at)
 }
 
 // SetFinal notes that a job is done or withdrawn, for good, and when it was at the earliest.
-func (c *Controller) SetFinal(id, status string, at time.Time) {
-	if c.FinalStates[id] != "" {
+func (tr *Tracker) SetFinal(id, status string, at time.Time) {
+	if tr.FinalStates[id] != "" {
 		return
 	}
-	c.FinalStates[id] = status
-	if status == protocol.StatusWithdrawn && time.Since(at) < c.CancelBound && !c.Cancellations.Add(id, at) {
-		c.bounds.Met(telemetry.Cancellations, 1)
+	tr.FinalStates[id] = status
+	if status == protocol.StatusWithdrawn && time.Since(at) < tr.CancelBound && !tr.Cancellations.Add(id, at) {
+		tr.bounds.Met(telemetry.Cancellations, 1)
 	}
-	for _, j := range c.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
-		if p := c.Partitions[j.Partition]; p.Held && p.Ready {
+	for _, j := range tr.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
+		if p := tr.Partitions[j.Partition]; p.Held && p.Ready {
 			p.QueueOrder = nil
 			p.Wake()
 		}
 	}
-	c.wakeForDoomedJobs()
-	j := c.Jobs[id]
+	tr.wakeForDoomedJobs()
+	j := tr.Jobs[id]
 	if j == nil {
 		return
 	}
 	if status == protocol.StatusDone {
-		c.CountDone(j.Partition, j.Groups(), time.Now())
+		tr.scheduler.CountDone(j.Partition, j.Groups(), time.Now())
 	}
 	if !j.Loaded {
-		delete(c.Jobs, id)
+		delete(tr.Jobs, id)
 		return
 	}
 	j.Ended, j.Pending = true, nil
@@ -313,27 +354,27 @@
 	}
 	now := time.Now()
 	if status == protocol.StatusWithdrawn {
-		c.log.Info("job withdrawn", "job", id, "live", len(j.LiveAttempts))
+		tr.log.Info("job withdrawn", "job", id, "live", len(j.LiveAttempts))
 	}
 	for _, a := range j.LiveAttempts {
-		c.StopAttempt(a, 0, now)
+		tr.agents.StopAttempt(a, 0, now)
 	}
-	c.Partitions[j.Partition].Wake()
-	c.DropIfReleased(j)
+	tr.Partitions[j.Partition].Wake()
+	tr.DropIfReleased(j)
 }
 
 // wakeForDoomedJobs lets the owners of jobs that are to be withdrawn do so.
-func (c *Controller) wakeForDoomedJobs() {
-	if len(c.Dependencies.DoomedJobs) > 0 {
-		for _, p := range c.Partitions {
+func (tr *Tracker) wakeForDoomedJobs() {
+	if len(tr.Dependencies.DoomedJobs) > 0 {
+		for _, p := range tr.Partitions {
 			p.Wake()
 		}
 	}
 }
 
 // DropIfReleased forgets a job that has ended and holds nothing any more.
-func (c *Controller) DropIfReleased(j *Job) {
-	if c.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
+func (tr *Tracker) DropIfReleased(j *Job) {
+	if tr.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
 		return
 	}
 	now := time.Now()
@@ -354,5 +395,5 @@
 			a.State = AttemptReleased
 		}
 	}
-	delete(c.Jobs, j.Spec.ID)
+	delete(tr.Jobs, j.Spec.ID)
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -12,29 +12,29 @@
 )
 
 // HandleHeartbeat answers a worker's report, of which raw is the body.
-func (c *Controller) HandleHeartbeat(r *protocol.Heartbeat, raw []byte) transport.Response {
+func (ag *Agents) HandleHeartbeat(r *protocol.Heartbeat, raw []byte) transport.Response {
 	now := time.Now()
-	m := c.Machines[r.Machine]
+	m := ag.Machines[r.Machine]
 	if m == nil {
-		if _, deleted := c.DeletedMachines[r.Machine]; !deleted && c.Synced {
-			c.UnregisteredMachines[r.Machine] = &peer.UnknownMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		if _, deleted := ag.DeletedMachines[r.Machine]; !deleted && ag.Synced {
+			ag.UnregisteredMachines[r.Machine] = &peer.UnknownMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		}
 		return Refuse(503, "machine is not on record", 1)
 	}
-	p := c.Partitions[m.Record.Partition]
-	if resp, carried := c.proxy.AnswerHeartbeat(m, r, raw, now); carried {
+	p := ag.Partitions[m.Record.Partition]
+	if resp, carried := ag.proxy.AnswerHeartbeat(m, r, raw, now); carried {
 		return resp
 	}
 	m.LastContactAt = now
-	if !c.MayAnswer(p, now) {
-		if p.Leader != "" && p.Leader != c.Settings.Label {
-			c.DivertedMachines[r.Machine] = now
-			c.NoteDiverted(p.Leader, r.Machine, now)
+	if !ag.MayAnswer(p, now) {
+		if p.Leader != "" && p.Leader != ag.Settings.Label {
+			ag.DivertedMachines[r.Machine] = now
+			ag.leases.NoteDiverted(p.Leader, r.Machine, now)
 			return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: p.Leader})}
 		}
 		return Refuse(503, "part has no owner here", 1)
 	}
-	token := c.Token(m)
+	token := ag.Token(m)
 	if r.Token > token {
 		// Somebody newer commands this machine; an answer would be dropped and
 		// only hold the worker here.
@@ -46,17 +46,17 @@
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
 	}
-	c.ApplyReport(m, r, now)
+	ag.ApplyReport(m, r, now)
 	m.LastHeardAt = now
-	if by := c.proxy.RedirectTarget(p, m, now); by != "" {
+	if by := ag.proxy.RedirectTarget(p, m, now); by != "" {
 		return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: by})}
 	}
 	m.AnsweredUntil = now
 	orders := protocol.Orders{Token: token}
 	if p.Ready && m.Fenced {
-		orders.Commands = c.commandsFor(m, now, true)
+		orders.Commands = ag.commandsFor(m, now, true)
 	} else {
-		orders.Commands = c.StopsOfCancelled(r)
+		orders.Commands = ag.StopsOfCancelled(r)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(orders)}
 }
@@ -65,10 +65,10 @@
 // what it shows alive, so that nobody may do so for a task that it knows to be withdrawn:
 // neither an owner that has not read its part's records yet nor a carrier, which both
 // decide nothing else. A withdrawal is on record for good, so that the stop needs none.
-func (c *Controller) StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command {
+func (ag *Agents) StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command {
 	cmds := []protocol.Command{}
 	for _, t := range r.Tasks {
-		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && c.FinalStates[job] == protocol.StatusWithdrawn {
+		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && ag.FinalStates[job] == protocol.StatusWithdrawn {
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
@@ -76,8 +76,8 @@
 }
 
 // ApplyReport takes in a report, from whichever way it came.
-func (c *Controller) ApplyReport(m *Machine, r *protocol.Heartbeat, now time.Time) {
-	p := c.Partitions[m.Record.Partition]
+func (ag *Agents) ApplyReport(m *Machine, r *protocol.Heartbeat, now time.Time) {
+	p := ag.Partitions[m.Record.Partition]
 	if !p.Ready || m.DeleteConfirmed || !m.IsNewer(r) {
 		return
 	}
@@ -88,15 +88,15 @@
 	}
 	if !m.HasReported {
 		m.HasReported, m.IdleSince = true, now
-		c.log.Info("machine up", "machine", m.Name, "type", m.Record.Type, "zone", m.Record.Zone, "spot", m.Record.Spot)
+		ag.log.Info("machine up", "machine", m.Name, "type", m.Record.Type, "zone", m.Record.Zone, "spot", m.Record.Spot)
 	}
 	if m.Lost {
 		m.Lost = false
-		c.log.Info("machine back", "machine", m.Name, "session", r.Epoch)
+		ag.log.Info("machine back", "machine", m.Name, "session", r.Epoch)
 	}
 	if r.Epoch > m.Epoch {
 		if m.Epoch != 0 {
-			c.log.Info("worker's session ended", "machine", m.Name, "session", r.Epoch)
+			ag.log.Info("worker's session ended", "machine", m.Name, "session", r.Epoch)
 		}
 		clear(m.OrphanedTasks)
 	}
@@ -105,29 +105,29 @@
 	if m.HasAttemptBefore(r.Epoch) {
 		for _, a := range m.SortedAttempts() {
 			if a.Epoch < r.Epoch {
-				c.ReleaseAttempt(a, "session ended", now)
+				ag.ReleaseAttempt(a, "session ended", now)
 			}
 		}
 	}
 	m.Epoch, m.Sequence = r.Epoch, r.Sequence
 	if r.PreemptionNoticeS != nil {
 		if m.PreemptionAt.IsZero() {
-			c.log.Info("spot notice", "machine", m.Name, "seconds", *r.PreemptionNoticeS)
+			ag.log.Info("spot notice", "machine", m.Name, "seconds", *r.PreemptionNoticeS)
 		}
 		m.PreemptionAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
-	if r.Token != c.Token(m) {
-		c.Fence(m)
+	if r.Token != ag.Token(m) {
+		ag.Fence(m)
 		return
 	}
 	if !m.Fenced {
 		m.Fenced = true
 		p.Wake()
-		c.log.Debug("machine fenced", "machine", m.Name, "token", r.Token)
+		ag.log.Debug("machine fenced", "machine", m.Name, "token", r.Token)
 	}
-	c.reconcile(m, r, now)
+	ag.reconcile(m, r, now)
 	if !m.PreemptionAt.IsZero() {
-		c.evacuate(m, now)
+		ag.evacuate(m, now)
 	}
 	if len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 {
 		m.IdleSince = now
@@ -161,7 +161,7 @@
 }
 
 // reconcile compares a report under our token with our attempts.
-func (c *Controller) reconcile(m *Machine, r *protocol.Heartbeat, now time.Time) {
+func (ag *Agents) reconcile(m *Machine, r *protocol.Heartbeat, now time.Time) {
 	seen := make(map[string]bool, len(r.Tasks))
 	clear(m.OrphanedTasks)
 	for _, t := range r.Tasks {
@@ -187,13 +187,13 @@
 				}
 				a.Job.RunningCount++
 				if !a.Inherited {
-					c.metrics.Took(telemetry.Start, now.Sub(a.Job.ReadySince()), now)
+					ag.metrics.Took(telemetry.Start, now.Sub(a.Job.ReadySince()), now)
 				}
 			}
 			m.Images[a.Job.Spec.Image] = now
-			c.detectSlowMachine(a, now.Sub(a.StartedAt).Seconds())
+			ag.detectSlowMachine(a, now.Sub(a.StartedAt).Seconds())
 		case protocol.TaskEnded:
-			c.attemptExited(a, t, now)
+			ag.attemptExited(a, t, now)
 		}
 	}
 	for key, a := range m.Attempts {
@@ -206,10 +206,10 @@
 		case a.State == AttemptExited:
 			// Stays until its end is on record.
 		case a.State == AttemptConfirmed:
-			c.ReleaseAttempt(a, "vanished", now)
+			ag.ReleaseAttempt(a, "vanished", now)
 		case a.State == AttemptCommitted && a.Stopping && a.StartToken < r.Token:
 			// No start of ours can still arrive under this token, also none under way.
-			c.ReleaseAttempt(a, "never started", now)
+			ag.ReleaseAttempt(a, "never started", now)
 		}
 	}
 	m.RecountUsed()
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -16,10 +16,10 @@
 )
 
 // submit accepts a job once its record is committed.
-func (c *Controller) submit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) submit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
 	var sub protocol.Submission
 	err := protocol.Decode(req.Body, &sub)
-	queue, refused := c.authorizeSubmission(who, &sub)
+	queue, refused := srv.authorizeSubmission(who, &sub)
 	if refused != nil {
 		return *refused
 	}
@@ -35,14 +35,14 @@
 	}
 	// A known id is looked up before anything else is said about the body, so
 	// that a repeat of an accepted job never gets 400 or 422.
-	judged := c.checkSubmission(ctx, who, id, spec)
+	judged := srv.checkSubmission(ctx, who, id, spec)
 	if judged.known || err != nil || judged.refusal != "" || judged.readErr != nil {
-		st, found, rerr := c.jobStatus(ctx, id)
+		st, found, rerr := srv.jobStatus(ctx, id)
 		switch {
 		case rerr != nil:
 			return unavailableResponse(rerr)
 		case found:
-			return c.answerRepeated(ctx, who, st)
+			return srv.answerRepeated(ctx, who, st)
 		case err != nil:
 			return Refuse(400, firstLine(err), 0)
 		case judged.refusal != "":
@@ -54,10 +54,10 @@
 	if !judged.typesKnown {
 		return Refuse(503, "machine types are not known yet", 2)
 	}
-	if c.store.Down() {
+	if srv.store.Down() {
 		return Refuse(503, "state service unavailable", 1)
 	}
-	return c.commitSubmission(ctx, who, queue, id, judged.value)
+	return srv.commitSubmission(ctx, who, queue, id, judged.value)
 }
 
 // submissionCheck is what memory, and reads of what a submission depends on, say of it.
@@ -74,12 +74,12 @@
 }
 
 // checkSubmission looks at a submission; spec is nil if its body is malformed.
-func (c *Controller) checkSubmission(ctx context.Context, who *Caller, id string, spec *protocol.JobSpec) (j submissionCheck) {
-	c.loop.Do(func() {
-		j.known = c.Jobs[id] != nil || c.FinalStates[id] != ""
-		j.typesKnown = len(c.Catalog) > 0
+func (srv *Server) checkSubmission(ctx context.Context, who *Caller, id string, spec *protocol.JobSpec) (j submissionCheck) {
+	srv.loop.Do(func() {
+		j.known = srv.Jobs[id] != nil || srv.FinalStates[id] != ""
+		j.typesKnown = len(srv.Catalog) > 0
 		if spec != nil {
-			j.refusal = c.checkFeasible(spec)
+			j.refusal = srv.checkFeasible(spec)
 		}
 	})
 	if spec == nil || j.refusal != "" || j.known {
@@ -90,45 +90,45 @@
 		spec.By = who.Name
 	}
 	j.value = storage.Encode(spec)
-	if size, limit := protocol.JSONSize(j.value), c.store.ValueBytes(); size > limit {
+	if size, limit := protocol.JSONSize(j.value), srv.store.ValueBytes(); size > limit {
 		j.refusal = tooLarge(size, limit)
 	} else if j.typesKnown {
-		j.refusal, j.readErr = c.checkDependencies(ctx, spec)
+		j.refusal, j.readErr = srv.checkDependencies(ctx, spec)
 	}
 	return j
 }
 
 // commitSubmission commits a job's record, and answers by what became of that.
-func (c *Controller) commitSubmission(ctx context.Context, who *Caller, queue rights.Queue, id string, value []byte) transport.Response {
-	_, err := c.Commit(ctx, &protocol.Transaction{
+func (srv *Server) commitSubmission(ctx context.Context, who *Caller, queue rights.Queue, id string, value []byte) transport.Response {
+	_, err := srv.auth.Commit(ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.JobKey(id), Version: 0}},
 		Then: []protocol.Change{{Put: storage.JobKey(id), Value: value}},
-	}, c.AuditRecord(who, "submit", queue, id))
+	}, srv.auth.AuditRecord(who, "submit", queue, id))
 	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrTooLarge):
 		// The service may look at the size before it looks whether the job is
 		// known: an accepted one must not be refused.
-		st, found, rerr := c.jobStatus(ctx, id)
+		st, found, rerr := srv.jobStatus(ctx, id)
 		switch {
 		case rerr == nil && found:
-			return c.answerRepeated(ctx, who, st)
+			return srv.answerRepeated(ctx, who, st)
 		case rerr == nil && conflict == nil:
-			return Refuse(422, tooLarge(protocol.JSONSize(value), c.store.ValueBytes()), 0)
+			return Refuse(422, tooLarge(protocol.JSONSize(value), srv.store.ValueBytes()), 0)
 		}
 		return unavailableResponse(rerr)
 	case err != nil:
 		return unavailableResponse(err)
 	}
-	c.loop.Do(func() { c.ApplyJobRecord(id, value) })
+	srv.loop.Do(func() { srv.jobs.ApplyJobRecord(id, value) })
 	return statusResponse(201, protocol.JobStatus{ID: id, Status: protocol.StatusQueued})
 }
 
 // authorizeSubmission says whether a caller may submit what it does: to the queue it
 // names, or if it names none, to any at all.
-func (c *Controller) authorizeSubmission(who *Caller, sub *protocol.Submission) (rights.Queue, *transport.Response) {
+func (srv *Server) authorizeSubmission(who *Caller, sub *protocol.Submission) (rights.Queue, *transport.Response) {
 	var q rights.Queue
-	if c.guard == nil {
+	if !srv.auth.Enabled() {
 		return q, nil
 	}
 	id := ""
@@ -136,14 +136,14 @@
 		id = *sub.ID
 	}
 	if sub.Team == nil || sub.Class == nil {
-		if !c.guard.holdsAny(who, rights.Submit) {
-			return q, c.Deny(who, "submit", q, id, 403, "holds this right on no queue")
+		if !srv.auth.HoldsAny(who, rights.Submit) {
+			return q, srv.auth.Deny(who, "submit", q, id, 403, "holds this right on no queue")
 		}
 		return q, nil
 	}
 	q = rights.Queue{Team: *sub.Team, Class: *sub.Class}
-	if !c.guard.allows(who, rights.Submit, q) {
-		return q, c.Deny(who, "submit", q, id, 403, "may not submit to this queue")
+	if !srv.auth.Allows(who, rights.Submit, q) {
+		return q, srv.auth.Deny(who, "submit", q, id, 403, "may not submit to this queue")
 	}
 	return q, nil
 }
@@ -151,22 +151,22 @@
 // answerRepeated answers a submission of a known job with its state, to those who may
 // submit to its queue or look at it. Ids are one for all queues, so the id of
 // somebody else's job can't be told from one that is not free.
-func (c *Controller) answerRepeated(ctx context.Context, who *Caller, st protocol.JobStatus) transport.Response {
-	if c.guard != nil {
+func (srv *Server) answerRepeated(ctx context.Context, who *Caller, st protocol.JobStatus) transport.Response {
+	if srv.auth.Enabled() {
 		var q rights.Queue
 		known := false
-		c.loop.Do(func() { q, known = c.jobQueues.queueOf(st.ID) })
+		srv.loop.Do(func() { q, known = srv.auth.JobQueue(st.ID) })
 		if !known { // a job that ended before this controller heard of it
-			spec, err := c.ReadSpec(ctx, nil, st.ID)
+			spec, err := srv.auth.ReadSpec(ctx, nil, st.ID)
 			if err != nil {
 				return unavailableResponse(err)
 			}
 			q = rights.Queue{Team: spec.Team, Class: spec.Class}
 		}
-		if !c.guard.allows(who, rights.Submit, q) && !c.guard.allows(who, rights.View, q) {
-			return *c.Deny(who, "submit", q, st.ID, 403, "the id is another queue's")
+		if !srv.auth.Allows(who, rights.Submit, q) && !srv.auth.Allows(who, rights.View, q) {
+			return *srv.auth.Deny(who, "submit", q, st.ID, 403, "the id is another queue's")
 		}
-		c.NoteRead(who, "repeat", q, "")
+		srv.auth.NoteRead(who, "repeat", q, "")
 	}
 	return statusResponse(200, st)
 }
@@ -181,7 +181,7 @@
 // checkDependencies says why a job can't depend on what it names, or nothing. Being
 // accepted is for ever, so memory proves it; what memory lacks is read, since
 // another controller may have accepted it a moment ago (20).
-func (c *Controller) checkDependencies(ctx context.Context, s *protocol.JobSpec) (string, error) {
+func (srv *Server) checkDependencies(ctx context.Context, s *protocol.JobSpec) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, dependencyLookupTimeout)
 	defer cancel()
 	for _, id := range s.Dependencies {
@@ -189,17 +189,17 @@
 			return "depends on a job that was never accepted", nil
 		}
 		known, service := false, false
-		c.loop.Do(func() {
-			j := c.Jobs[id]
+		srv.loop.Do(func() {
+			j := srv.Jobs[id]
 			// Of a withdrawn job, the record tells whether it was a service.
-			known = j != nil || c.FinalStates[id] == protocol.StatusDone
+			known = j != nil || srv.FinalStates[id] == protocol.StatusDone
 			service = j != nil && j.Spec.Standing
 		})
 		if !known {
-			if c.store.Down() {
+			if srv.store.Down() {
 				return "", storage.ErrRefused
 			}
-			item, err := c.store.UserGet(ctx, storage.JobKey(id))
+			item, err := srv.store.UserGet(ctx, storage.JobKey(id))
 			switch {
 			case errors.Is(err, storage.ErrNotFound):
 				return "depends on a job that was never accepted", nil
@@ -220,12 +220,12 @@
 }
 
 // checkFeasible says why a job can never run, or nothing.
-func (c *Controller) checkFeasible(s *protocol.JobSpec) string {
-	team, ok := c.TeamIndex[s.Team]
+func (srv *Server) checkFeasible(s *protocol.JobSpec) string {
+	team, ok := srv.TeamIndex[s.Team]
 	if !ok {
 		return "unknown team"
 	}
-	t := c.Settings.Params.Teams[team]
+	t := srv.Settings.Params.Teams[team]
 	n := 1.0
 	if s.Standing || s.Gang {
 		n = float64(s.Tasks)
@@ -236,11 +236,11 @@
 	if (s.Standing || s.Gang) && s.Tasks > 1 && s.Spread && (s.OneZone || s.Zone != "") {
 		return "its tasks can't run together in one zone and be apart"
 	}
-	if len(c.Catalog) == 0 {
+	if len(srv.Catalog) == 0 {
 		return ""
 	}
-	for i := range c.Catalog {
-		if binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), &c.Catalog[i]) {
+	for i := range srv.Catalog {
+		if binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), &srv.Catalog[i]) {
 			return ""
 		}
 	}
--- a/internal/coordination/succession.go
+++ b/internal/coordination/succession.go
@@ -3,29 +3,54 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"slices"
 	"time"
 
 	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/coordination/failover"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
 
-// leaseHolder is what a controller knows of the lives of all controllers, for taking
-// parts over. It belongs to the loop.
-type leaseHolder struct {
-	c            *Controller
+// LeaseHolder acquires, renews, hands over and loses the leases of partitions and of the
+// cluster's leadership, and knows the incarnations of all controllers.
+type LeaseHolder struct {
+	*State
+	loop    *eventloop.Loop
+	store   *storage.Store
+	log     *slog.Logger
+	metrics *telemetry.Metrics
+
+	autoscaler *Autoscaler
+	replicator *Replicator
+	takeover   *Takeover
+	watcher    *Watcher
+
 	incarnations map[string]incarnationRecord
-	// endedIncarnations is when a life was proven to be over, by the record of a later one.
+	// endedIncarnations is when an incarnation was proven to be over, by the record of a
+	// later one.
 	endedIncarnations map[incarnationID]time.Time
-	// RecordsRevision is the revision up to which the shared records are known.
-	RecordsRevision uint64
 	// announcedLease is the lease that this controller's own record names.
 	announcedLease uint64
 }
 
+// NewLeaseHolder makes one without collaborators.
+func NewLeaseHolder(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *LeaseHolder {
+	return &LeaseHolder{State: state, loop: loop, store: store, log: log,
+		incarnations: map[string]incarnationRecord{}, endedIncarnations: map[incarnationID]time.Time{}}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (lh *LeaseHolder) Connect(autoscaler *Autoscaler, replicator *Replicator, takeover *Takeover, watcher *Watcher) {
+	lh.autoscaler, lh.replicator, lh.takeover, lh.watcher = autoscaler, replicator, takeover, watcher
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (lh *LeaseHolder) Observe(m *telemetry.Metrics) { lh.metrics = m }
+
 type incarnationID struct{ label, nonce string }
 
 // incarnationRecord is the newest record of a controller's life.
@@ -34,95 +59,89 @@
 	revision uint64
 }
 
-func (s *leaseHolder) init(c *Controller) {
-	s.c, s.incarnations, s.endedIncarnations = c, map[string]incarnationRecord{}, map[incarnationID]time.Time{}
-}
-
 // announceIncarnation records this life with its lease, which must come before any claim: records
 // of lives follow one another by their stamps, so that one with another nonce proves
 // that the one before is over (34). It says whether the record names the lease.
-func (s *leaseHolder) announceIncarnation(lease uint64) bool {
-	c := s.c
+func (lh *LeaseHolder) announceIncarnation(lease uint64) bool {
 	var txn *protocol.Transaction
 	done, ready := false, false
-	key := storage.IncarnationKey(c.Settings.Label)
+	key := storage.IncarnationKey(lh.Settings.Label)
 	var value []byte
-	c.loop.Do(func() {
-		if done, ready = s.announcedLease == lease, c.Synced; done || !ready {
+	lh.loop.Do(func() {
+		if done, ready = lh.announcedLease == lease, lh.Synced; done || !ready {
 			return
 		}
-		rec := storage.Incarnation{Nonce: c.Nonce, Lease: lease}
-		if own := s.incarnations[c.Settings.Label]; own.Nonce == c.Nonce {
+		rec := storage.Incarnation{Nonce: lh.Nonce, Lease: lease}
+		if own := lh.incarnations[lh.Settings.Label]; own.Nonce == lh.Nonce {
 			rec.Released = own.Released
 		}
 		value = storage.Encode(rec)
-		txn = &protocol.Transaction{If: []protocol.Condition{{Key: key, Version: s.incarnations[c.Settings.Label].revision}},
+		txn = &protocol.Transaction{If: []protocol.Condition{{Key: key, Version: lh.incarnations[lh.Settings.Label].revision}},
 			Then: []protocol.Change{{Put: key, Value: value}}}
 	})
 	if done || !ready {
 		return done
 	}
-	rev, err := c.store.CommitLease(c.loop.Context(), txn)
+	rev, err := lh.store.CommitLease(lh.loop.Context(), txn)
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		c.loop.Do(func() {
-			c.ApplyIncarnation(c.Settings.Label, protocol.Event{Put: key, Value: value, Version: rev})
+		lh.loop.Do(func() {
+			lh.ApplyIncarnation(lh.Settings.Label, protocol.Event{Put: key, Value: value, Version: rev})
 		})
 	case errors.As(err, &conflict) || errors.Is(err, storage.ErrUnknown):
 		// Written by the former life, or by this one without an answer.
-		if item, rerr := c.store.Get(c.loop.Context(), key); rerr == nil {
-			c.loop.Do(func() {
-				c.ApplyIncarnation(c.Settings.Label, protocol.Event{Put: key, Value: item.Value, Version: item.Version})
+		if item, rerr := lh.store.Get(lh.loop.Context(), key); rerr == nil {
+			lh.loop.Do(func() {
+				lh.ApplyIncarnation(lh.Settings.Label, protocol.Event{Put: key, Value: item.Value, Version: item.Version})
 			})
 		}
 	default:
-		c.log.Debug("life not announced", "reason", err)
+		lh.log.Debug("life not announced", "reason", err)
 	}
-	c.loop.Do(func() { done = s.announcedLease == lease })
+	lh.loop.Do(func() { done = lh.announcedLease == lease })
 	return done
 }
 
 // ApplyIncarnation follows the record of a controller's life.
-func (s *leaseHolder) ApplyIncarnation(label string, e protocol.Event) {
-	c := s.c
-	was := s.incarnations[label]
+func (lh *LeaseHolder) ApplyIncarnation(label string, e protocol.Event) {
+	was := lh.incarnations[label]
 	if e.Delete != "" || e.Version <= was.revision {
 		return
 	}
 	var rec storage.Incarnation
 	if err := storage.Decode(e.Value, &rec); err != nil {
-		c.log.Error("bad record of a controller's life", "controller", label, "reason", err)
+		lh.log.Error("bad record of a controller's life", "controller", label, "reason", err)
 		return
 	}
-	s.incarnations[label] = incarnationRecord{rec, e.Version}
-	if label == c.Settings.Label && rec.Nonce == c.Nonce {
-		s.announcedLease = rec.Lease
+	lh.incarnations[label] = incarnationRecord{rec, e.Version}
+	if label == lh.Settings.Label && rec.Nonce == lh.Nonce {
+		lh.announcedLease = rec.Lease
 	}
 	now := time.Now()
 	for _, r := range rec.Released {
-		if r.Partition < 0 || r.Partition >= len(c.Partitions) {
+		if r.Partition < 0 || r.Partition >= len(lh.Partitions) {
 			continue
 		}
-		p := c.Partitions[r.Partition]
+		p := lh.Partitions[r.Partition]
 		failover.NoteReleased(p.FormerAnswerers, label, rec.Nonce, r.LeaseRevision, now.Add(delegation.GrantDuration))
 		if p.Held && p.Ready {
-			c.shortenBounds(p, now)
+			lh.shortenBounds(p, now)
 		}
 	}
 	if was.Nonce == "" || was.Nonce == rec.Nonce {
 		return
 	}
-	for name, at := range s.endedIncarnations {
+	for name, at := range lh.endedIncarnations {
 		if now.Sub(at) > time.Hour { // whoever it answered is long free of it
-			delete(s.endedIncarnations, name)
+			delete(lh.endedIncarnations, name)
 		}
 	}
-	s.endedIncarnations[incarnationID{label, was.Nonce}] = now.Add(delegation.GrantDuration) // its carriers may go on for that long
-	c.log.Info("a former life is over", "controller", label)
-	for _, p := range c.Partitions {
+	lh.endedIncarnations[incarnationID{label, was.Nonce}] = now.Add(delegation.GrantDuration) // its carriers may go on for that long
+	lh.log.Info("a former life is over", "controller", label)
+	for _, p := range lh.Partitions {
 		if p.Held && p.Ready {
-			c.shortenBounds(p, now)
+			lh.shortenBounds(p, now)
 		}
 	}
 }
@@ -133,9 +152,8 @@
 // releaseTransaction is the transaction by which this controller gives claims up after it has
 // stopped acting under them: with it, its life's record says so. leader is the revision of
 // its claim to lead, if that goes too.
-func (s *leaseHolder) releaseTransaction(parts []storage.ReleasedLease, leader uint64) *protocol.Transaction {
-	c := s.c
-	life, own := storage.IncarnationKey(c.Settings.Label), s.incarnations[c.Settings.Label]
+func (lh *LeaseHolder) releaseTransaction(parts []storage.ReleasedLease, leader uint64) *protocol.Transaction {
+	life, own := storage.IncarnationKey(lh.Settings.Label), lh.incarnations[lh.Settings.Label]
 	txn := &protocol.Transaction{}
 	drop := func(key string, version uint64) {
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: version})
@@ -157,8 +175,8 @@
 
 // LastAnswerBound is the latest moment at which anybody but this controller may have
 // answered a machine of a part.
-func (s *leaseHolder) LastAnswerBound(p *Partition, m *Machine) time.Time {
-	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time { return s.endedIncarnations[incarnationID{label, nonce}] })
+func (lh *LeaseHolder) LastAnswerBound(p *Partition, m *Machine) time.Time {
+	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time { return lh.endedIncarnations[incarnationID{label, nonce}] })
 	if m.FormerLeaderBound.After(until) {
 		until = m.FormerLeaderBound
 	}
@@ -166,13 +184,12 @@
 }
 
 // shortenBounds counts silent machines' leases from what is proven by now.
-func (s *leaseHolder) shortenBounds(p *Partition, now time.Time) {
-	c := s.c
-	for _, m := range c.Machines {
+func (lh *LeaseHolder) shortenBounds(p *Partition, now time.Time) {
+	for _, m := range lh.Machines {
 		if m.Record.Partition != p.Index || !m.AnsweredUntil.After(now) {
 			continue
 		}
-		if until := c.LastAnswerBound(p, m); until.Before(m.AnsweredUntil) {
+		if until := lh.LastAnswerBound(p, m); until.Before(m.AnsweredUntil) {
 			m.AnsweredUntil = until
 			if m.LastHeardAt.After(until) && m.HasReported {
 				m.AnsweredUntil = m.LastHeardAt
@@ -183,10 +200,9 @@
 
 // noteFormerLeader notes that a part's owner is not its owner any more: it may go on answering
 // workers for as long after its last renewal as rule 12 lets it.
-func (s *leaseHolder) noteFormerLeader(p *Partition, now time.Time) {
-	c := s.c
-	a := failover.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(c.AnswerBound())}
-	if a.Label == c.Settings.Label && a.Nonce == c.Nonce {
+func (lh *LeaseHolder) noteFormerLeader(p *Partition, now time.Time) {
+	a := failover.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(lh.AnswerBound())}
+	if a.Label == lh.Settings.Label && a.Nonce == lh.Nonce {
 		// This one stopped when it lost the part, its carriers when their grants end.
 		a.AnswersUntil = now
 		for _, end := range []time.Time{p.DelegatedUntil, p.Delegations.LatestGrantEnd()} {
@@ -195,18 +211,17 @@
 			}
 		}
 	}
-	if l := s.incarnations[a.Label]; l.Nonce == a.Nonce && slices.Contains(l.Released, storage.ReleasedLease{Partition: p.Index, LeaseRevision: a.LeaseRevision}) {
+	if l := lh.incarnations[a.Label]; l.Nonce == a.Nonce && slices.Contains(l.Released, storage.ReleasedLease{Partition: p.Index, LeaseRevision: a.LeaseRevision}) {
 		a.AnswersUntil = now.Add(delegation.GrantDuration)
 	}
 	p.FormerAnswerers = append(stillAnswering(p.FormerAnswerers, now), a)
 }
 
 // NoteMissedLeaders notes that owners may have come and gone unseen before a listing.
-func (s *leaseHolder) NoteMissedLeaders(now time.Time) {
-	c := s.c
-	for _, p := range c.Partitions {
+func (lh *LeaseHolder) NoteMissedLeaders(now time.Time) {
+	for _, p := range lh.Partitions {
 		p.FormerAnswerers = slices.DeleteFunc(stillAnswering(p.FormerAnswerers, now), func(a failover.FormerLeader) bool { return a.Label == "" })
-		p.FormerAnswerers = append(p.FormerAnswerers, failover.FormerLeader{AnswersUntil: now.Add(c.AnswerBound())})
+		p.FormerAnswerers = append(p.FormerAnswerers, failover.FormerLeader{AnswersUntil: now.Add(lh.AnswerBound())})
 	}
 }
 
@@ -223,9 +238,8 @@
 
 // NoteDiverted notes that a machine's worker came here though its home is another: with
 // others, and with the other's silence, it shows that the other is gone.
-func (s *leaseHolder) NoteDiverted(home, machine string, now time.Time) {
-	c := s.c
-	ps := c.Peers[home]
+func (lh *LeaseHolder) NoteDiverted(home, machine string, now time.Time) {
+	ps := lh.Peers[home]
 	if ps == nil || !ps.ReportingMachines[machine] {
 		return
 	}
@@ -233,34 +247,33 @@
 		ps.DivertedMachines = map[string]bool{}
 	}
 	ps.DivertedMachines[machine] = true
-	c.RevokeIfDead(home, ps, now)
+	lh.RevokeIfDead(home, ps, now)
 }
 
 // RevokeIfDead ends the lease of a controller that neither controllers nor workers reach,
 // so that its claims end at once and not when the lease runs out. That is an earlier
 // end of the lease and nothing else: what it still writes fails on its claims, it
 // answers workers no longer than after any end, and its successor counts on as much (11).
-func (s *leaseHolder) RevokeIfDead(label string, ps *Peer, now time.Time) {
-	c := s.c
-	l := s.incarnations[label]
+func (lh *LeaseHolder) RevokeIfDead(label string, ps *Peer, now time.Time) {
+	l := lh.incarnations[label]
 	e := failover.Evidence{Silent: now.Sub(ps.HeardAt), Interval: SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
-	if l.Lease == 0 || l.Lease == ps.RevokedLease || !e.Dead() || !c.Synced || now.Sub(c.LeaseRenewedAt) > c.Operator.ClaimTTL/2 {
+	if l.Lease == 0 || l.Lease == ps.RevokedLease || !e.Dead() || !lh.Synced || now.Sub(lh.LeaseRenewedAt) > lh.Operator.ClaimTTL/2 {
 		return
 	}
 	owns := false
-	for _, p := range c.Partitions {
+	for _, p := range lh.Partitions {
 		owns = owns || p.Leader == label && p.LeaderNonce == l.Nonce
 	}
 	if !owns {
 		return
 	}
 	ps.RevokedLease = l.Lease
-	c.metrics.Count(telemetry.LeaseEnded, 1)
-	c.log.Info("ending the lease of a controller that is gone", "controller", label, "silent", e.Silent, "visitors", e.Diverted, "of", e.Reporting)
-	c.loop.Go(func() {
-		ctx, cancel := context.WithTimeout(c.loop.Context(), 2*time.Second)
+	lh.metrics.Count(telemetry.LeaseEnded, 1)
+	lh.log.Info("ending the lease of a controller that is gone", "controller", label, "silent", e.Silent, "visitors", e.Diverted, "of", e.Reporting)
+	lh.loop.Go(func() {
+		ctx, cancel := context.WithTimeout(lh.loop.Context(), 2*time.Second)
 		defer cancel()
-		c.store.RevokeLease(ctx, l.Lease)
+		lh.store.RevokeLease(ctx, l.Lease)
 	})
 }
 
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -241,11 +241,11 @@
 		}
 		n0 := w.nodes["n0"].ctl
 		over := func(nonce string) (is bool) {
-			n0.loop.Do(func() { is = !n0.endedIncarnations[incarnationID{"n1", nonce}].IsZero() })
+			n0.loop.Do(func() { is = !n0.leases.endedIncarnations[incarnationID{"n1", nonce}].IsZero() })
 			return is
 		}
 		n0.loop.Do(func() { // the older record once more, late
-			n0.applyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
+			n0.watcher.applyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
 		})
 		if !over(a.Nonce) || over(b.Nonce) {
 			t.Errorf("over: the first life %v, the second %v", over(a.Nonce), over(b.Nonce))
@@ -276,7 +276,7 @@
 		defer end()
 		p, bound := c.Partitions[0], c.AnswerBound()
 		put := func(key string, version uint64, v any) {
-			c.applyEvent(protocol.Event{Put: key, Value: storage.Encode(v), Version: version})
+			c.watcher.applyEvent(protocol.Event{Put: key, Value: storage.Encode(v), Version: version})
 		}
 		claim := func(version uint64, label, nonce string) {
 			put(storage.LeaseKey(0), version, storage.Lease{Holder: label, Nonce: nonce})
@@ -284,12 +284,12 @@
 		m := &Machine{}
 		check := func(what string, want time.Time) {
 			t.Helper()
-			if got := c.LastAnswerBound(p, m); !got.Equal(want) {
+			if got := c.leases.LastAnswerBound(p, m); !got.Equal(want) {
 				t.Errorf("%s: until %s, want %s", what, got, want)
 			}
 		}
 		start := time.Now()
-		c.applyListing(nil, 1)
+		c.watcher.applyListing(nil, 1)
 		check("owners before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
 		put(storage.IncarnationKey("n1"), 2, storage.Incarnation{Nonce: "x", Lease: 1})
@@ -307,8 +307,8 @@
 		claim(8, "n2", "y")
 		check("this controller itself", time.Now())
 		time.Sleep(time.Minute)
-		c.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
-		c.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
+		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
+		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
 		m = c.Machines["m-1"]
 		check("the owner of the part that a machine came from", time.Now().Add(bound))
 		m = &Machine{}
@@ -331,19 +331,19 @@
 		put(storage.IncarnationKey("n2"), 11, storage.Incarnation{Nonce: "other", Lease: 7})
 		time.Sleep(5 * time.Second)
 		c.LeaseRenewedAt = time.Now()
-		if c.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
+		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
 			t.Error("ended the lease of a life that holds no claim")
 		}
 		claim(14, "n2", "other")
-		if c.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 7 {
+		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 7 {
 			t.Errorf("lease %d ended", ps.RevokedLease)
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
-		if lacks := c.replicator.missingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
+		if lacks := c.takeover.missingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
 			t.Errorf("lacks %v", lacks)
 		}
-		if c.RecordsRevision = 20; len(c.replicator.missingEvidence(p, 20, 20)) != 0 || len(c.replicator.missingEvidence(p, 20, 19)) != 1 {
+		if c.RecordsRevision = 20; len(c.takeover.missingEvidence(p, 20, 20)) != 0 || len(c.takeover.missingEvidence(p, 20, 19)) != 1 {
 			t.Error("what was read before the claim is not enough")
 		}
 	})
--- a/internal/coordination/tale.go
+++ b/internal/coordination/tale.go
@@ -64,31 +64,30 @@
 }
 
 // ReplicateLoop tells each part's standby, and the leader's peers, once a second.
-func (f *Replicator) ReplicateLoop() {
-	for f.c.loop.Sleep(updateInterval) {
-		f.SendUpdates(f.c.loop.Context())
+func (rep *Replicator) ReplicateLoop() {
+	for rep.loop.Sleep(updateInterval) {
+		rep.SendUpdates(rep.loop.Context())
 	}
 }
 
 // SendUpdates tells everything that there is to tell now, to each at the same time.
-func (f *Replicator) SendUpdates(ctx context.Context) {
-	c := f.c
+func (rep *Replicator) SendUpdates(ctx context.Context) {
 	type message struct {
 		to, addr string
 		part     *Partition // nil: the leader's
 		tale     *peer.Tale
 	}
 	var out []message
-	c.loop.Do(func() {
+	rep.loop.Do(func() {
 		now := time.Now()
-		for _, p := range c.Partitions {
-			if ps := c.Peers[p.Standby]; p.Held && p.Ready && ps != nil && ps.Alive(now) {
-				out = append(out, message{p.Standby, ps.Addr, p, f.partitionUpdate(p, now)})
+		for _, p := range rep.Partitions {
+			if ps := rep.Peers[p.Standby]; p.Held && p.Ready && ps != nil && ps.Alive(now) {
+				out = append(out, message{p.Standby, ps.Addr, p, rep.partitionUpdate(p, now)})
 			}
 		}
-		if c.Leadership.Held {
-			tale := f.leaderUpdate(now)
-			for label, ps := range c.Peers {
+		if rep.Leadership.Held {
+			tale := rep.autoscaler.leaderUpdate(now)
+			for label, ps := range rep.Peers {
 				if ps.Alive(now) {
 					out = append(out, message{label, ps.Addr, nil, tale})
 				}
@@ -97,15 +96,15 @@
 	})
 	done := make(chan struct{}, len(out))
 	for _, msg := range out {
-		c.loop.Go(func() {
+		rep.loop.Go(func() {
 			defer func() { done <- struct{}{} }()
 			reply := new(peer.TaleReply)
-			if err := callPeer(ctx, c.network, updateTimeout, msg.addr, UpdatePath, msg.tale, reply); err != nil {
-				c.log.Debug("tale not told", "to", msg.to, "reason", err)
+			if err := callPeer(ctx, rep.network, updateTimeout, msg.addr, UpdatePath, msg.tale, reply); err != nil {
+				rep.log.Debug("tale not told", "to", msg.to, "reason", err)
 				return
 			}
 			if msg.part != nil {
-				c.loop.Do(func() {
+				rep.loop.Do(func() {
 					if t := &msg.part.Replication; t.Target == msg.to && msg.part.LeaseRevision == msg.tale.Claim {
 						t.Acknowledged = min(reply.Have, t.Clock)
 					}
@@ -123,22 +122,21 @@
 }
 
 // partitionUpdate is what has changed of a part's tale since what its standby has.
-func (f *Replicator) partitionUpdate(p *Partition, now time.Time) *peer.Tale {
-	c := f.c
+func (rep *Replicator) partitionUpdate(p *Partition, now time.Time) *peer.Tale {
 	t := &p.Replication
 	if t.Target != p.Standby {
 		t.Target, t.Acknowledged = p.Standby, 0
 	}
-	tale := &peer.Tale{From: c.Settings.Label, Nonce: c.Nonce, Claim: p.LeaseRevision, Part: uint32(p.Index), Since: t.Acknowledged}
+	tale := &peer.Tale{From: rep.Settings.Label, Nonce: rep.Nonce, Claim: p.LeaseRevision, Part: uint32(p.Index), Since: t.Acknowledged}
 	room := updateBytesLimit
-	for _, correction := range c.RuntimeCorrections() {
+	for _, correction := range rep.scheduler.RuntimeCorrections() {
 		tale.Classes = append(tale.Classes, correction)
 		room -= proto.Size(correction) + entryOverheadBytes
 	}
-	list := f.partitionChanges(p)
+	list := rep.partitionChanges(p)
 	tale.Upto = t.Clock
 	if !addChanges(tale, list, room, now) {
-		c.bounds.Met(telemetry.ReplicaMessages, 1)
+		rep.bounds.Met(telemetry.ReplicaMessages, 1)
 	}
 	return tale
 }
@@ -152,9 +150,9 @@
 }
 
 // partitionChanges lists what has changed since what the part's standby has, in order.
-func (f *Replicator) partitionChanges(p *Partition) (list []replicaChange) {
-	c, t := f.c, &p.Replication
-	for _, j := range c.Jobs {
+func (rep *Replicator) partitionChanges(p *Partition) (list []replicaChange) {
+	t := &p.Replication
+	for _, j := range rep.Jobs {
 		if j.Partition != p.Index || !j.Loaded {
 			continue
 		}
@@ -168,7 +166,7 @@
 			}
 		}
 	}
-	for _, m := range c.Machines {
+	for _, m := range rep.Machines {
 		if m.Record.Partition != p.Index || !m.HasReported {
 			continue
 		}
@@ -284,26 +282,25 @@
 }
 
 // HandleUpdate answers an owner that tells its part's tale, or the leader.
-func (f *Replicator) HandleUpdate(who *Caller, body []byte) transport.Response {
-	c := f.c
+func (rep *Replicator) HandleUpdate(who *Caller, body []byte) transport.Response {
 	t := new(peer.Tale)
 	if err := proto.Unmarshal(body, t); err != nil {
 		return Refuse(400, "bad tale", 0)
 	}
-	if refusal := c.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: t.From}); refusal != nil {
+	if refusal := rep.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: t.From}); refusal != nil {
 		return *refusal
 	}
 	reply := new(peer.TaleReply)
-	c.loop.Do(func() {
+	rep.loop.Do(func() {
 		now := time.Now()
 		if t.Leader != nil {
-			c.LastLeaderUpdate = LeaderUpdate{From: t.From, ReceivedAt: now, Update: t.Leader}
+			rep.LastLeaderUpdate = LeaderUpdate{From: t.From, ReceivedAt: now, Update: t.Leader}
 			return
 		}
-		if fo := f.replicas[int(t.Part)]; fo != nil {
+		if fo := rep.replicas[int(t.Part)]; fo != nil {
 			reply.Have = fo.Updates.Apply(t, fo.Derived.noteStart, now)
-			c.bounds.Met(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
-			c.bounds.Met(telemetry.ReplicaStarts, fo.Derived.droppedStarts)
+			rep.bounds.Met(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
+			rep.bounds.Met(telemetry.ReplicaStarts, fo.Derived.droppedStarts)
 			fo.Updates.droppedMachines, fo.Derived.droppedStarts = 0, 0
 		}
 	})
@@ -312,18 +309,17 @@
 
 // HandleStateTransfer answers a controller that was started anew: the tale of a part as its former
 // life told it here.
-func (f *Replicator) HandleStateTransfer(body []byte) transport.Response {
-	c := f.c
+func (rep *Replicator) HandleStateTransfer(body []byte) transport.Response {
 	req := new(peer.RecallRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
 		return Refuse(400, "bad request", 0)
 	}
 	tale := &peer.Tale{Part: req.Part}
-	c.loop.Do(func() {
-		if fo := f.replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
+	rep.loop.Do(func() {
+		if fo := rep.replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
 			whole := false
 			if tale, whole = fo.stateTransfer(time.Now()); !whole {
-				c.bounds.Met(telemetry.RecallBytes, 1)
+				rep.bounds.Met(telemetry.RecallBytes, 1)
 			}
 		}
 	})
@@ -378,8 +374,8 @@
 }
 
 // ApplyStart puts it to an inherited attempt when it did, as its former owner had told.
-func (f *Replicator) ApplyStart(p *Partition, k AttemptID, at time.Time) bool {
-	j := f.c.Jobs[k.Job]
+func (rep *Replicator) ApplyStart(p *Partition, k AttemptID, at time.Time) bool {
+	j := rep.Jobs[k.Job]
 	if j == nil || j.Partition != p.Index || !j.Loaded {
 		return false
 	}
@@ -395,10 +391,9 @@
 }
 
 // ApplyHints puts what the former owner told of machines and classes to what they are now.
-func (f *Replicator) ApplyHints(p *Partition, h *ReceivedUpdates, now time.Time) {
-	c := f.c
+func (rep *Replicator) ApplyHints(p *Partition, h *ReceivedUpdates, now time.Time) {
 	for name, mt := range h.Machines {
-		m := c.Machines[name]
+		m := rep.Machines[name]
 		if m == nil || m.Record.Partition != p.Index {
 			continue
 		}
@@ -419,36 +414,35 @@
 		}
 	}
 	for _, correction := range h.Classes {
-		c.AdoptCorrection(correction)
+		rep.scheduler.AdoptCorrection(correction)
 	}
 }
 
 // RequestStateTransfer asks the others what they were told of a part that this controller has just
 // taken over without a tale of its own: its former life's, above all.
-func (f *Replicator) RequestStateTransfer(p *Partition, claim uint64) {
-	c := f.c
-	for _, ps := range c.Peers {
-		c.loop.Go(func() {
+func (rep *Replicator) RequestStateTransfer(p *Partition, claim uint64) {
+	for _, ps := range rep.Peers {
+		rep.loop.Go(func() {
 			t := new(peer.Tale)
-			err := callPeer(c.loop.Context(), c.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
+			err := callPeer(rep.loop.Context(), rep.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
 			if err != nil && !errors.Is(err, transport.ErrNotSent) {
-				c.log.Debug("tale not recalled", "from", ps.Addr, "reason", err)
+				rep.log.Debug("tale not recalled", "from", ps.Addr, "reason", err)
 			}
 			if err != nil || t.Upto == 0 {
 				return
 			}
-			c.loop.Do(func() {
+			rep.loop.Do(func() {
 				if !p.Held || !p.Ready || p.LeaseRevision != claim {
 					return
 				}
 				now, h, attempts := time.Now(), ReceivedUpdates{}, 0
 				h.Apply(t, func(k AttemptID, at time.Time) {
-					if f.ApplyStart(p, k, at) {
+					if rep.ApplyStart(p, k, at) {
 						attempts++
 					}
 				}, now)
-				f.ApplyHints(p, &h, now)
-				c.log.Info("recalled what was known of a part", "part", p.Index, "attempts", attempts, "machines", len(h.Machines))
+				rep.ApplyHints(p, &h, now)
+				rep.log.Info("recalled what was known of a part", "part", p.Index, "attempts", attempts, "machines", len(h.Machines))
 			})
 		})
 	}
@@ -462,9 +456,8 @@
 }
 
 // leaderUpdate is what the leader is about.
-func (f *Replicator) leaderUpdate(now time.Time) *peer.Tale {
-	c := f.c
-	l := &c.Leadership
+func (as *Autoscaler) leaderUpdate(now time.Time) *peer.Tale {
+	l := &as.Leadership
 	lt := &peer.LeaderTale{}
 	for _, name := range slices.Sorted(maps.Keys(l.PendingScaleOut)) {
 		r := l.PendingScaleOut[name]
@@ -476,21 +469,20 @@
 		}
 	}
 	for name, at := range l.MovedAt {
-		if c.Machines[name] != nil && len(lt.Moved) < movedMachinesLimit && now.Sub(at) < 2*time.Minute {
+		if as.Machines[name] != nil && len(lt.Moved) < movedMachinesLimit && now.Sub(at) < 2*time.Minute {
 			lt.Moved = append(lt.Moved, &peer.MovedTale{Name: name, AgoS: now.Sub(at).Seconds()})
 		}
 	}
-	return &peer.Tale{From: c.Settings.Label, Nonce: c.Nonce, Claim: l.Revision, Leader: lt}
+	return &peer.Tale{From: as.Settings.Label, Nonce: as.Nonce, Claim: l.Revision, Leader: lt}
 }
 
 // ResumeLeadership goes on with what the leader before was about: what the cloud lacked, which
 // machines were moved of late, and its rentals without an answer, which are repeated
 // under their own names, so that they rent nothing twice (18).
-func (f *Replicator) ResumeLeadership(h LeaderUpdate, now time.Time) {
-	c := f.c
-	l := &c.Leadership
+func (as *Autoscaler) ResumeLeadership(h LeaderUpdate, now time.Time) {
+	l := &as.Leadership
 	version := l.Revision
-	if h.Update == nil || now.Sub(h.ReceivedAt) > leaderUpdateTTL || h.From == c.Settings.Label {
+	if h.Update == nil || now.Sub(h.ReceivedAt) > leaderUpdateTTL || h.From == as.Settings.Label {
 		return
 	}
 	for _, r := range h.Update.Refused {
@@ -502,12 +494,12 @@
 		l.MovedAt[m.Name] = h.ReceivedAt.Add(-time.Duration(m.AgoS * float64(time.Second)))
 	}
 	for _, r := range h.Update.Rentals {
-		if int(r.Part) >= len(c.Partitions) || r.Count == 0 || r.Count > 50 || l.PendingScaleOut[r.Name] != nil {
+		if int(r.Part) >= len(as.Partitions) || r.Count == 0 || r.Count > 50 || l.PendingScaleOut[r.Name] != nil {
 			continue
 		}
 		rent := &ScaleOutRequest{Kind: binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, Partition: int(r.Part), Count: int(r.Count)}
 		l.PendingScaleOut[r.Name] = rent
-		c.log.Info("repeating a rental of the leader before", "request", r.Name, "type", r.Type, "count", r.Count)
-		c.loop.Go(func() { c.finishScaleOut(r.Name, rent, version) })
+		as.log.Info("repeating a rental of the leader before", "request", r.Name, "type", r.Type, "count", r.Count)
+		as.loop.Go(func() { as.finishScaleOut(r.Name, rent, version) })
 	}
 }
--- a/internal/coordination/tokens.go
+++ b/internal/coordination/tokens.go
@@ -39,38 +39,38 @@
 }
 
 // commandsSent notes that orders are sent to a machine.
-func (c *Controller) commandsSent(m *Machine, now time.Time) {
+func (ag *Agents) commandsSent(m *Machine, now time.Time) {
 	if m.PendingCommands > 0 {
-		c.repeatedCommands++
+		ag.repeatedCommands++
 	}
 	m.PendingCommands++
 	m.CommandedAt = now
 }
 
 // commandsAnswered notes that the answer to orders has come or been given up.
-func (c *Controller) commandsAnswered(m *Machine) {
+func (ag *Agents) commandsAnswered(m *Machine) {
 	if m.PendingCommands--; m.PendingCommands > 0 {
-		c.repeatedCommands--
+		ag.repeatedCommands--
 	}
 }
 
 // mayRepeat says whether orders may be sent to a machine beside those that are under way:
 // a cancelled task depends on them, and there is room.
-func (c *Controller) mayRepeat(m *Machine) bool {
-	most := max(repeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/repeatedCommandsSocketShare)
-	return m.HasCancelledTask() && m.PendingCommands < pendingCommandsLimit && c.repeatedCommands < most
+func (ag *Agents) mayRepeat(m *Machine) bool {
+	most := max(repeatedCommandsMin, ag.Settings.Params.MachineLimits.Sockets/repeatedCommandsSocketShare)
+	return m.HasCancelledTask() && m.PendingCommands < pendingCommandsLimit && ag.repeatedCommands < most
 }
 
 // mayStillStart says whether a start of an attempt was sent that can come at any time.
-func (c *Controller) mayStillStart(a *Attempt) bool {
-	return a.State == AttemptCommitted && a.Stopping && a.StartToken != 0 && a.StartToken >= c.Token(a.Machine)
+func (ag *Agents) mayStillStart(a *Attempt) bool {
+	return a.State == AttemptCommitted && a.Stopping && a.StartToken != 0 && a.StartToken >= ag.Token(a.Machine)
 }
 
 // fenceOutStart has the token raised where a start of an attempt that is to stop may still come.
 // The answer to the start is waited for, but not for long if its job was cancelled: its
 // user was told so, and from then on nothing of it may start.
-func (c *Controller) fenceOutStart(a *Attempt, now time.Time) {
-	if !c.mayStillStart(a) {
+func (ag *Agents) fenceOutStart(a *Attempt, now time.Time) {
+	if !ag.mayStillStart(a) {
 		return
 	}
 	switch {
@@ -80,7 +80,7 @@
 		return
 	}
 	a.Machine.RaiseTokenBy(now)
-	c.Partitions[a.Machine.Record.Partition].Wake()
+	ag.Partitions[a.Machine.Record.Partition].Wake()
 }
 
 // HasCancelledTask says whether a task of a cancelled job is or may come to be on the machine,
@@ -95,17 +95,17 @@
 }
 
 // repeatCommands sends what the machine has to do beside commands that are held up.
-func (c *Controller) repeatCommands(m *Machine) {
+func (ag *Agents) repeatCommands(m *Machine) {
 	if m.Fenced {
-		c.sendCommandsNow(m)
+		ag.sendCommandsNow(m)
 	} else {
-		c.Fence(m)
+		ag.Fence(m)
 	}
 }
 
 // TokensDue are the machines of a part whose tokens are due to be raised, the longest due first.
-func (c *Controller) TokensDue(p *Partition, now time.Time) (due []*Machine) {
-	for _, m := range c.Machines {
+func (ag *Agents) TokensDue(p *Partition, now time.Time) (due []*Machine) {
+	for _, m := range ag.Machines {
 		if m.Record.Partition == p.Index && !m.TokenRaiseBy.IsZero() && !m.TokenRaiseBy.After(now) {
 			due = append(due, m)
 		}
@@ -118,7 +118,7 @@
 
 // RaiseTokens adds the records of machines to a batch, until it has so many changes, and
 // returns those that are left.
-func (c *Controller) RaiseTokens(b *commitBatch, due []*Machine, now time.Time, most int) (left []*Machine) {
+func (co *Committer) RaiseTokens(b *commitBatch, due []*Machine, now time.Time, most int) (left []*Machine) {
 	for i, m := range due {
 		if len(b.txn.Then) >= most {
 			return due[i:]
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"micaspindle/internal/audit"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
@@ -16,8 +17,37 @@
 	"micaspindle/internal/transport"
 )
 
+// Server answers users, workers and operators.
+type Server struct {
+	*State
+	loop    *eventloop.Loop
+	store   *storage.Store
+	metrics *telemetry.Metrics
+
+	agents     *Agents
+	auth       *Auth
+	cloud      *CloudClient
+	jobs       *Tracker
+	proxy      *Proxy
+	replicator *Replicator
+	watcher    *Watcher
+}
+
+// NewServer makes one without collaborators.
+func NewServer(state *State, loop *eventloop.Loop, store *storage.Store) *Server {
+	return &Server{State: state, loop: loop, store: store}
+}
+
+// Connect gives it its collaborators, before the loop starts.
+func (srv *Server) Connect(agents *Agents, auth *Auth, cloud *CloudClient, jobs *Tracker, proxy *Proxy, replicator *Replicator, watcher *Watcher) {
+	srv.agents, srv.auth, srv.cloud, srv.jobs, srv.proxy, srv.replicator, srv.watcher = agents, auth, cloud, jobs, proxy, replicator, watcher
+}
+
+// Observe makes it measure itself, before the loop starts.
+func (srv *Server) Observe(m *telemetry.Metrics) { srv.metrics = m }
+
 // Serve answers users, workers and health checks.
-func (c *Controller) Serve(ctx context.Context, req *transport.Request) transport.Response {
+func (srv *Server) Serve(ctx context.Context, req *transport.Request) transport.Response {
 	method := func(want string, h func() transport.Response) transport.Response {
 		if req.Method != want {
 			return Refuse(405, "method not allowed", 0)
@@ -26,17 +56,17 @@
 	}
 	switch req.Path {
 	case "/checkin":
-		return method("POST", func() transport.Response { return c.handleHeartbeat(req) })
+		return method("POST", func() transport.Response { return srv.handleHeartbeat(req) })
 	case "/healthz":
-		return method("GET", c.healthz)
+		return method("GET", srv.healthz)
 	}
 	// known runs h for somebody who has shown who it is.
 	known := func(want, verb string, h func(who *Caller) transport.Response) transport.Response {
 		return method(want, func() (resp transport.Response) {
-			if c.metrics != nil {
-				defer c.observeRequest(verb, time.Now(), &resp)
+			if srv.metrics != nil {
+				defer srv.observeRequest(verb, time.Now(), &resp)
 			}
-			who, refusal := c.Authenticate(req, verb)
+			who, refusal := srv.auth.Authenticate(req, verb)
 			if refusal != nil {
 				return *refusal
 			}
@@ -44,74 +74,74 @@
 		})
 	}
 	if req.Path == "/submissions" {
-		return known("POST", "submit", func(who *Caller) transport.Response { return c.submit(ctx, who, req) })
+		return known("POST", "submit", func(who *Caller) transport.Response { return srv.submit(ctx, who, req) })
 	}
 	if rest, ok := strings.CutPrefix(req.Path, "/submissions/"); ok {
 		id, verb, more := strings.Cut(rest, "/")
 		switch {
 		case !more:
-			return known("GET", "view", func(who *Caller) transport.Response { return c.poll(ctx, who, id) })
+			return known("GET", "view", func(who *Caller) transport.Response { return srv.poll(ctx, who, id) })
 		case verb == "withdraw":
-			return known("POST", "withdraw", func(who *Caller) transport.Response { return c.cancelJob(ctx, who, id) })
-		case c.guard == nil:
+			return known("POST", "withdraw", func(who *Caller) transport.Response { return srv.cancelJob(ctx, who, id) })
+		case !srv.auth.Enabled():
 		case verb == "arguments":
-			return known("GET", "view-arguments", func(who *Caller) transport.Response { return c.arguments(ctx, who, id) })
+			return known("GET", "view-arguments", func(who *Caller) transport.Response { return srv.arguments(ctx, who, id) })
 		case verb == "reassign":
-			return known("POST", "reassign", func(who *Caller) transport.Response { return c.reassign(ctx, who, id, req) })
+			return known("POST", "reassign", func(who *Caller) transport.Response { return srv.reassign(ctx, who, id, req) })
 		}
 		return Refuse(404, "no such path", 0)
 	}
-	if c.guard == nil {
+	if !srv.auth.Enabled() {
 		return Refuse(404, "no such path", 0)
 	}
 	administer := func(want, verb string, h func(who *Caller) transport.Response) transport.Response {
 		return known(want, verb, func(who *Caller) transport.Response {
-			if !c.guard.administers(who) {
-				return *c.Deny(who, verb, rights.Queue{}, "", 403, "does not administer every queue")
+			if !srv.auth.Administers(who) {
+				return *srv.auth.Deny(who, verb, rights.Queue{}, "", 403, "does not administer every queue")
 			}
 			return h(who)
 		})
 	}
 	switch {
 	case req.Path == "/whoami":
-		return known("GET", "whoami", c.whoami)
+		return known("GET", "whoami", srv.whoami)
 	case req.Path == "/may":
-		return known("GET", "may", func(who *Caller) transport.Response { return c.may(who, req) })
+		return known("GET", "may", func(who *Caller) transport.Response { return srv.may(who, req) })
 	case req.Path == "/withdrawals":
 		return known("POST", "withdraw-all", func(who *Caller) transport.Response {
-			if who.Service != "" || !c.guard.holdsAny(who, rights.Administer) {
-				return *c.Deny(who, "withdraw-all", rights.Queue{}, "", 403, "administers no queue")
+			if who.Service != "" || !srv.auth.HoldsAny(who, rights.Administer) {
+				return *srv.auth.Deny(who, "withdraw-all", rights.Queue{}, "", 403, "administers no queue")
 			}
-			return c.cancelAllOf(ctx, who, req)
+			return srv.cancelAllOf(ctx, who, req)
 		})
 	case req.Path == "/policy":
-		return administer("POST", "change-policy", func(who *Caller) transport.Response { return c.changePolicy(ctx, who, req) })
+		return administer("POST", "change-policy", func(who *Caller) transport.Response { return srv.changePolicy(ctx, who, req) })
 	case strings.HasPrefix(req.Path, "/policy/"):
-		return administer("GET", "read-policy", func(who *Caller) transport.Response { return c.showPolicy(who, req) })
+		return administer("GET", "read-policy", func(who *Caller) transport.Response { return srv.showPolicy(who, req) })
 	case strings.HasPrefix(req.Path, "/audit/"):
-		return administer("GET", "read-audit", func(who *Caller) transport.Response { return c.readAudit(ctx, who, req) })
+		return administer("GET", "read-audit", func(who *Caller) transport.Response { return srv.readAudit(ctx, who, req) })
 	}
 	return Refuse(404, "no such path", 0)
 }
 
 // observeRequest measures a user's request.
-func (c *Controller) observeRequest(verb string, begun time.Time, resp *transport.Response) {
+func (srv *Server) observeRequest(verb string, begun time.Time, resp *transport.Response) {
 	now := time.Now()
 	switch verb {
 	case "submit":
-		c.metrics.Took(telemetry.Submission, now.Sub(begun), now)
+		srv.metrics.Took(telemetry.Submission, now.Sub(begun), now)
 	case "view":
-		c.metrics.Took(telemetry.Poll, now.Sub(begun), now)
+		srv.metrics.Took(telemetry.Poll, now.Sub(begun), now)
 	case "withdraw":
-		c.metrics.Took(telemetry.Withdrawal, now.Sub(begun), now)
+		srv.metrics.Took(telemetry.Withdrawal, now.Sub(begun), now)
 	}
 	if resp.Status >= 400 {
-		c.metrics.Count(telemetry.Refused, 1)
+		srv.metrics.Count(telemetry.Refused, 1)
 	}
 }
 
-func (c *Controller) handleHeartbeat(req *transport.Request) transport.Response {
-	who, refusal := c.AuthenticateWorker(req)
+func (srv *Server) handleHeartbeat(req *transport.Request) transport.Response {
+	who, refusal := srv.auth.AuthenticateWorker(req)
 	if refusal != nil {
 		return *refusal
 	}
@@ -123,26 +153,26 @@
 	if err != nil {
 		return Refuse(400, firstLine(err), 0)
 	}
-	if refusal := c.CheckSender(who, "report", identity.Name{Kind: identity.Worker, ID: r.Machine}); refusal != nil {
+	if refusal := srv.auth.CheckSender(who, "report", identity.Name{Kind: identity.Worker, ID: r.Machine}); refusal != nil {
 		return *refusal
 	}
 	resp := Refuse(503, "stopping", 1)
-	c.loop.Do(func() { resp = c.HandleHeartbeat(r, req.Body) })
+	srv.loop.Do(func() { resp = srv.agents.HandleHeartbeat(r, req.Body) })
 	return resp
 }
 
 // healthz says whether requests can be taken. While the state service fails
 // everybody, all controllers stay in, since leaving would only delay their
 // return; one that alone can't reach it leaves the users to the others.
-func (c *Controller) healthz() transport.Response {
+func (srv *Server) healthz() transport.Response {
 	resp := Refuse(503, "not ready", 1)
-	c.loop.Do(func() {
-		if !c.Synced {
+	srv.loop.Do(func() {
+		if !srv.Synced {
 			return
 		}
-		silence := c.store.SinceLastAnswer()
+		silence := srv.store.SinceLastAnswer()
 		if silence > 2500*time.Millisecond {
-			for _, ps := range c.Peers {
+			for _, ps := range srv.Peers {
 				if ps.Alive(time.Now()) && ps.Summary.StateSilenceS < 1.5 {
 					return
 				}
@@ -181,26 +211,26 @@
 
 // cancelNow withdraws a job for somebody who waits for the answer, and
 // returns how the job ended.
-func (c *Controller) cancelNow(ctx context.Context, id string, r *audit.Record) (string, error) {
+func (srv *Server) cancelNow(ctx context.Context, id string, r *audit.Record) (string, error) {
 	var txn protocol.Transaction
 	AddCancellation(&txn, id, time.Now())
-	_, err := c.Commit(ctx, &txn, r)
+	_, err := srv.auth.Commit(ctx, &txn, r)
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		c.loop.Do(func() { c.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
+		srv.loop.Do(func() { srv.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
 		return protocol.StatusWithdrawn, nil
 	case !errors.As(err, &conflict):
 		return "", err
 	}
-	item, err := c.store.UserGet(ctx, storage.FinalKey(id))
+	item, err := srv.store.UserGet(ctx, storage.FinalKey(id))
 	if err != nil {
 		return "", err
 	}
 	status := ""
-	c.loop.Do(func() {
-		c.ApplyFinalRecord(id, item.Value)
-		status = c.FinalStates[id]
+	srv.loop.Do(func() {
+		srv.jobs.ApplyFinalRecord(id, item.Value)
+		status = srv.FinalStates[id]
 	})
 	if status == "" {
 		return "", fmt.Errorf("%w: final record can't be read", storage.ErrUnknown)
@@ -209,18 +239,18 @@
 }
 
 // cancelJob cancels a job, unless it is done already.
-func (c *Controller) cancelJob(ctx context.Context, who *Caller, id string) transport.Response {
-	q, refused := c.AuthorizeJob(ctx, who, rights.Withdraw, id)
+func (srv *Server) cancelJob(ctx context.Context, who *Caller, id string) transport.Response {
+	q, refused := srv.auth.AuthorizeJob(ctx, who, rights.Withdraw, id)
 	if refused != nil {
 		return *refused
 	}
-	st, refusal := c.lookUpJob(ctx, id)
+	st, refusal := srv.lookUpJob(ctx, id)
 	if refusal != nil {
 		return *refusal
 	}
 	if !st.Ended() {
 		var err error
-		if st.Status, err = c.cancelNow(ctx, id, c.AuditRecord(who, "withdraw", q, id)); err != nil {
+		if st.Status, err = srv.cancelNow(ctx, id, srv.auth.AuditRecord(who, "withdraw", q, id)); err != nil {
 			return unavailableResponse(err)
 		}
 	}
