--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -7,7 +7,6 @@
 	"crypto/x509"
 	"errors"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"net/url"
 	"os"
@@ -27,6 +26,7 @@
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/rights"
+	"micaspindle/internal/settings"
 	"micaspindle/internal/standin/state"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
@@ -803,17 +803,17 @@
 func BenchmarkPolicyOf10000Identities(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
+		c := newTestController(b.Context(), &newWorld(b, 1).set, settings.DefaultOperator())
+		must(c.Identify(Identities{}))
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c := &Controller{auth: &Auth{enabled: true, enabledAt: time.Now(), log: slog.New(slog.DiscardHandler)}}
-		c.auth.records.init()
 		for i := range 1000 {
 			r := rights.Role{Name: fmt.Sprintf("role-%03d", i), Rules: []rights.Rule{{Verbs: []string{"submit", "view"}, Team: fmt.Sprintf("team-%03d", i), Class: "*"}}}
-			must(c.auth.records.apply(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
+			must(c.auth.ApplyPolicyRecord(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
 		}
 		for i := range 10_000 {
 			id := rights.Identity{Name: fmt.Sprintf("person/clerk-%05d", i), Roles: []string{fmt.Sprintf("role-%03d", i%1000)}}
-			must(c.auth.records.apply(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
+			must(c.auth.ApplyPolicyRecord(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
 		}
 		c.auth.PublishPolicy(time.Now())
 		runtime.GC()
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"context"
 	"testing"
 
+	"micaspindle/internal/settings"
 	"micaspindle/internal/transport"
 )
 
@@ -27,7 +27,8 @@
 // refuses another method with 405, an unknown one is 404.
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
-	ctx, c := context.Background(), &Controller{api: &Server{auth: &Auth{enabled: true}}}
+	ctx, c := t.Context(), newTestController(t.Context(), &newWorld(t, 1).set, settings.DefaultOperator())
+	must(c.Identify(Identities{}))
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
