--- a/cmd/micaspindle/main.go
+++ b/cmd/micaspindle/main.go
@@ -19,6 +19,8 @@
 
 	"micaspindle/internal/audit"
 	"micaspindle/internal/coordination"
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/peerapi"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/transport"
@@ -119,7 +121,7 @@
 	client.Crowded = sockets * 3 / 4
 	listeners := []*transport.Listener{
 		{Addr: set.ServeOn, Handler: ctl.Serve, MaxBody: 64 << 10, MaxConns: max(8, sockets*3/4)},
-		{Addr: set.ClusterListen, Handler: ctl.ServePeers, MaxBody: coordination.MaxPeerBody(set.Params.MachineLimits),
+		{Addr: set.ClusterListen, Handler: ctl.ServePeers, MaxBody: peerapi.MaxBody(set.Params.MachineLimits),
 			MaxConns: max(8, sockets/20), Full: ctl.PeersFull},
 	}
 	if keys != nil {
@@ -198,7 +200,7 @@
 		})
 	}
 	bound := time.Duration(set.Params.TimeBoundMS * float64(time.Millisecond))
-	err = ctl.Identify(coordination.Identities{Tokens: identity.NewTokens(keys, id.Cluster, bound), Bootstrap: id.Bootstrap, ClockBound: bound,
+	err = ctl.Identify(auth.Identities{Tokens: identity.NewTokens(keys, id.Cluster, bound), Bootstrap: id.Bootstrap, ClockBound: bound,
 		Signer: func() audit.Signer {
 			key, cert := keys.Signer()
 			return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -1,37 +1,18 @@
-package coordination
-
-// The life of an attempt at its owner, from its reservation to its end.
+package agents
 
 import (
-	"slices"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/telemetry"
 )
 
-func (m *Machine) SortedAttempts() []*Attempt {
-	list := make([]*Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
-		list = append(list, a)
-	}
-	slices.SortFunc(list, func(a, b *Attempt) int {
-		if a.Job != b.Job {
-			if a.Job.Spec.ID < b.Job.Spec.ID {
-				return -1
-			}
-			return 1
-		}
-		return a.TaskIndex - b.TaskIndex
-	})
-	return list
-}
-
 // attemptExited books the end that a worker reported.
-func (ag *Agents) attemptExited(a *Attempt, t protocol.TaskReport, now time.Time) {
+func (ag *Agents) attemptExited(a *cluster.Attempt, t protocol.TaskReport, now time.Time) {
 	j := a.Job
 	a.ExitCause = t.Cause
-	a.State = AttemptExited
+	a.State = cluster.AttemptExited
 	ag.release(a, now)
 	ch := j.Chunk(a.TaskIndex)
 	ch.Exited = append(ch.Exited, a)
@@ -55,20 +36,21 @@
 	}
 }
 
-const (
-	// refusedBackoff is how long a machine that refused a start is given no other.
-	refusedBackoff = time.Second
-	// unknownJobBackoff is how long a job that a worker does not know waits.
-	unknownJobBackoff = 2 * time.Second
-	// failedBackoff is how long a machine on which a task failed is given no start.
-	failedBackoff = 10 * time.Second
-	// failureBackoffMax bounds how long a job that fails on several machines waits; the
-	// wait doubles with each failure.
-	failureBackoffMax = time.Minute
-)
+// refusedBackoff is how long a machine that refused a start is given no other.
+const refusedBackoff = time.Second
+
+// unknownJobBackoff is how long a job that a worker does not know waits.
+const unknownJobBackoff = 2 * time.Second
+
+// failedBackoff is how long a machine on which a task failed is given no start.
+const failedBackoff = 10 * time.Second
+
+// failureBackoffMax bounds how long a job that fails on several machines waits; the
+// wait doubles with each failure.
+const failureBackoffMax = time.Minute
 
 // attemptDone books a task that completed.
-func (ag *Agents) attemptDone(a *Attempt, now time.Time) {
+func (ag *Agents) attemptDone(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if j.Spec.Standing {
 		j.Requeue(a.TaskIndex)
@@ -96,7 +78,7 @@
 }
 
 // attemptFailed books a task that failed. Its machine may be at fault, or its job.
-func (ag *Agents) attemptFailed(a *Attempt, now time.Time) {
+func (ag *Agents) attemptFailed(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	j.Requeue(a.TaskIndex)
 	j.Failures++
@@ -123,19 +105,19 @@
 }
 
 // startRefused books a start that the worker refused.
-func (ag *Agents) startRefused(a *Attempt) {
+func (ag *Agents) startRefused(a *cluster.Attempt) {
 	a.Job.Requeue(a.TaskIndex)
 	ag.log.Info("start refused", "task", a.TaskName(), "machine", a.Machine.Name, "reason", a.ExitCause)
 }
 
 // ReleaseAttempt books an attempt that is proven over without a result.
-func (ag *Agents) ReleaseAttempt(a *Attempt, reason string, now time.Time) {
-	delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
+func (ag *Agents) ReleaseAttempt(a *cluster.Attempt, reason string, now time.Time) {
+	delete(a.Machine.Attempts, cluster.AttemptKey(a.TaskName(), a.Number))
 	if !a.Live() {
 		return
 	}
 	ag.log.Info("attempt over", "task", a.TaskName(), "machine", a.Machine.Name, "reason", reason)
-	a.State = AttemptReleased
+	a.State = cluster.AttemptReleased
 	ag.release(a, now)
 	a.Machine.RecountUsed()
 	if a.Job.Ended {
@@ -146,14 +128,14 @@
 }
 
 // release frees what an attempt held.
-func (ag *Agents) release(a *Attempt, now time.Time) {
+func (ag *Agents) release(a *cluster.Attempt, now time.Time) {
 	j := a.Job
 	delete(j.LiveAttempts, a.TaskIndex)
 	if !a.StartedAt.IsZero() {
 		j.RunningCount--
 	}
 	p := ag.Partitions[j.Partition]
-	p.Usage[j.Team].Add(ResourcesOf(j.Spec), -1)
+	p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), -1)
 	if j.Spec.Gang && a.ExitCause != protocol.CauseDone {
 		// Without one, the others can't go on: all start again together.
 		for _, mate := range j.Attempts() {
@@ -164,23 +146,12 @@
 	p.Wake()
 }
 
-// Attempts lists the live attempts of a job.
-func (j *Job) Attempts() []*Attempt {
-	list := make([]*Attempt, 0, len(j.LiveAttempts))
-	for _, a := range j.LiveAttempts {
-		list = append(list, a)
-	}
-	return list
-}
-
-func (j *Job) Requeue(task int) { j.Pending = slices.Insert(j.Pending, 0, task) }
-
 // StopAttempt wants an attempt off its machine.
-func (ag *Agents) StopAttempt(a *Attempt, grace float64, now time.Time) {
+func (ag *Agents) StopAttempt(a *cluster.Attempt, grace float64, now time.Time) {
 	if !a.Live() || a.Stopping && a.StopGraceS <= grace {
 		return
 	}
-	if a.State == AttemptReserved || a.State == AttemptCommitted && a.StartToken == 0 && a.StartsInFlight == 0 && a.Machine.Fenced {
+	if a.State == cluster.AttemptReserved || a.State == cluster.AttemptCommitted && a.StartToken == 0 && a.StartsInFlight == 0 && a.Machine.Fenced {
 		// Nothing was sent, so nothing can arrive.
 		ag.ReleaseAttempt(a, "stopped before its start", now)
 		return
@@ -193,7 +164,7 @@
 // evacuate moves work off a machine that will be taken: what would be over in
 // time goes on, what can save does so at the last moment, and what would be
 // lost anyway is started elsewhere now.
-func (ag *Agents) evacuate(m *Machine, now time.Time) {
+func (ag *Agents) evacuate(m *cluster.Machine, now time.Time) {
 	left := m.PreemptionAt.Sub(now).Seconds()
 	for _, a := range m.SortedAttempts() {
 		if !a.Live() || a.Stopping {
--- a/internal/coordination/orders.go
+++ b/internal/coordination/agents/commands.go
@@ -1,19 +1,18 @@
-package coordination
-
-// Commands to workers, directly and in answers to their reports.
+package agents
 
 import (
 	"context"
 	"errors"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/transport"
 )
 
 // commandsFor lists what a worker should do, in order. An answer to a report
 // repeats what direct orders may have missed.
-func (ag *Agents) commandsFor(m *Machine, now time.Time, repair bool) []protocol.Command {
+func (ag *Agents) commandsFor(m *cluster.Machine, now time.Time, repair bool) []protocol.Command {
 	cmds := []protocol.Command{}
 	if !m.NeedsCommands() {
 		return cmds
@@ -21,19 +20,19 @@
 	token := ag.Token(m)
 	for _, a := range m.SortedAttempts() {
 		switch {
-		case a.State == AttemptCommitted && !a.Stopping && !a.Job.Ended && a.Epoch == m.Epoch:
+		case a.State == cluster.AttemptCommitted && !a.Stopping && !a.Job.Ended && a.Epoch == m.Epoch:
 			if a.StartsInFlight > 0 || repair && a.StartToken == 0 && now.Sub(a.CommittedAt) < 500*time.Millisecond {
 				continue
 			}
 			a.StartToken, a.StartSentAt = token, now
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStart, Task: a.TaskName(), Attempt: a.Number})
-		case a.State == AttemptConfirmed && a.Stopping:
+		case a.State == cluster.AttemptConfirmed && a.Stopping:
 			grace := a.StopGraceS
 			if grace > 0 && now.Sub(a.StopRequestedAt).Seconds() > grace+2 {
 				grace = 0
 			}
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: a.TaskName(), Attempt: a.Number, GraceS: grace})
-		case a.State == AttemptReleased && a.StartsInFlight == 0:
+		case a.State == cluster.AttemptReleased && a.StartsInFlight == 0:
 			if a.StartUnanswered && a.StartToken >= token {
 				m.RaiseTokenBy(now.Add(reapDelay)) // a repeated start may still arrive (9)
 				continue
@@ -55,22 +54,8 @@
 // commandsLimit keeps an answer to a worker far below 64 KiB.
 const commandsLimit = 300
 
-// NeedsCommands says whether there may be anything to command: most reports change
-// nothing.
-func (m *Machine) NeedsCommands() bool {
-	if len(m.OrphanedTasks) > 0 {
-		return true
-	}
-	for _, a := range m.Attempts {
-		if a.State == AttemptCommitted || a.State == AttemptReleased || a.State == AttemptConfirmed && a.Stopping {
-			return true
-		}
-	}
-	return false
-}
-
 // SendCommands sends direct commands, one request at a time for each machine.
-func (ag *Agents) SendCommands(m *Machine) {
+func (ag *Agents) SendCommands(m *cluster.Machine) {
 	if m.PendingCommands > 0 {
 		m.CommandAgain = true
 		return
@@ -79,7 +64,7 @@
 }
 
 // sendCommandsNow sends direct commands, whatever else is under way.
-func (ag *Agents) sendCommandsNow(m *Machine) {
+func (ag *Agents) sendCommandsNow(m *cluster.Machine) {
 	p := ag.Partitions[m.Record.Partition]
 	if !p.Ready || !m.Fenced || m.Lost || m.Record.Addr == "" {
 		return
@@ -89,10 +74,10 @@
 	if len(cmds) == 0 {
 		return
 	}
-	var starts []*Attempt
+	var starts []*cluster.Attempt
 	for _, cmd := range cmds {
 		if cmd.Op == protocol.OpStart {
-			a := m.Attempts[AttemptKey(cmd.Task, cmd.Attempt)]
+			a := m.Attempts[cluster.AttemptKey(cmd.Task, cmd.Attempt)]
 			a.StartsInFlight++
 			starts = append(starts, a)
 		}
@@ -102,7 +87,7 @@
 	orders := protocol.Orders{Token: ag.Token(m), Epoch: m.Epoch, Commands: cmds}
 	via, name, addr := p.Delegations.CommandRoute(m.Shard, now), m.Name, m.Record.Addr
 	ag.loop.Go(func() {
-		r, sent, err := ag.postCommands(via, name, addr, orders)
+		r, sent, err := ag.PostCommands(via, name, addr, orders)
 		ag.loop.Do(func() {
 			ag.commandsAnswered(m)
 			for _, a := range starts {
@@ -129,10 +114,10 @@
 // CommandTimeout is how long a worker's answer to orders is waited for.
 const CommandTimeout = 2500 * time.Millisecond
 
-// postCommands sends orders, by way of the machine's carrier if there is one that takes
+// PostCommands sends orders, by way of the machine's carrier if there is one that takes
 // them, and returns the worker's report. sent is false if they can never arrive or were
 // certainly refused.
-func (ag *Agents) postCommands(via, machine, addr string, orders protocol.Orders) (r *protocol.Heartbeat, sent bool, err error) {
+func (ag *Agents) PostCommands(via, machine, addr string, orders protocol.Orders) (r *protocol.Heartbeat, sent bool, err error) {
 	body := protocol.Encode(orders)
 	var resp *transport.Response
 	if err = transport.ErrNotSent; via != "" {
@@ -165,7 +150,7 @@
 
 // Fence raises the worker's token by orders without commands, without waiting
 // for its next report, so that nobody older commands it any more (7).
-func (ag *Agents) Fence(m *Machine) {
+func (ag *Agents) Fence(m *cluster.Machine) {
 	m.Fenced = false
 	if m.Record.Addr == "" || m.Lost {
 		return
@@ -178,10 +163,10 @@
 	orders := protocol.Orders{Token: ag.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
 	via, name, addr := ag.Partitions[m.Record.Partition].Delegations.FenceRoute(m.Shard, time.Now()), m.Name, m.Record.Addr
 	ag.loop.Go(func() {
-		r, _, err := ag.postCommands(via, name, addr, orders)
+		r, _, err := ag.PostCommands(via, name, addr, orders)
 		if r != nil && errors.Is(err, errStaleCommand) && r.Epoch != orders.Epoch {
 			orders.Epoch = r.Epoch
-			r, _, err = ag.postCommands(via, name, addr, orders)
+			r, _, err = ag.PostCommands(via, name, addr, orders)
 		}
 		ag.loop.Do(func() {
 			ag.commandsAnswered(m)
@@ -197,13 +182,3 @@
 		})
 	})
 }
-
-// HasUnsentCommands says whether direct orders could bring something forward.
-func (m *Machine) HasUnsentCommands() bool {
-	for _, a := range m.Attempts {
-		if a.State == AttemptCommitted && a.StartsInFlight == 0 && !a.Stopping || a.State == AttemptConfirmed && a.Stopping {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -1,10 +1,10 @@
-package coordination
-
-// What workers report: who may answer a report, and what it proves.
+package agents
 
 import (
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
@@ -19,7 +19,7 @@
 		if _, deleted := ag.DeletedMachines[r.Machine]; !deleted && ag.Synced {
 			ag.UnregisteredMachines[r.Machine] = &peer.UnknownMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		}
-		return Refuse(503, "machine is not on record", 1)
+		return respond.Refuse(503, "machine is not on record", 1)
 	}
 	p := ag.Partitions[m.Record.Partition]
 	if resp, carried := ag.proxy.AnswerHeartbeat(m, r, raw, now); carried {
@@ -32,16 +32,16 @@
 			ag.leases.NoteDiverted(p.Leader, r.Machine, now)
 			return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: p.Leader})}
 		}
-		return Refuse(503, "part has no owner here", 1)
+		return respond.Refuse(503, "part has no owner here", 1)
 	}
 	token := ag.Token(m)
 	if r.Token > token {
 		// Somebody newer commands this machine; an answer would be dropped and
 		// only hold the worker here.
-		return Refuse(503, "superseded", 1)
+		return respond.Refuse(503, "superseded", 1)
 	}
 	if m.DeleteConfirmed || !m.AcceptHeartbeat(r) {
-		return Refuse(503, "a newer report has come, or the machine is gone", 1)
+		return respond.Refuse(503, "a newer report has come, or the machine is gone", 1)
 	}
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
@@ -76,7 +76,7 @@
 }
 
 // ApplyReport takes in a report, from whichever way it came.
-func (ag *Agents) ApplyReport(m *Machine, r *protocol.Heartbeat, now time.Time) {
+func (ag *Agents) ApplyReport(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
 	p := ag.Partitions[m.Record.Partition]
 	if !p.Ready || m.DeleteConfirmed || !m.IsNewer(r) {
 		return
@@ -134,46 +134,20 @@
 	}
 }
 
-// AcceptHeartbeat takes in that a report came as one, and says whether it did for the first time.
-// A worker has one under way at a time, so that nobody waits any more for an answer to one
-// that comes after a newer one, or twice: it can keep no lease alive (48).
-func (m *Machine) AcceptHeartbeat(r *protocol.Heartbeat) bool {
-	if r.Epoch < m.NewestReceived.Epoch || r.Epoch == m.NewestReceived.Epoch && r.Sequence <= m.NewestReceived.Sequence {
-		return false
-	}
-	m.NewestReceived.Epoch, m.NewestReceived.Sequence = r.Epoch, r.Sequence
-	return true
-}
-
-// IsNewer says whether a report is newer than all that came before.
-func (m *Machine) IsNewer(r *protocol.Heartbeat) bool {
-	return r.Epoch > m.Epoch || r.Epoch == m.Epoch && r.Sequence > m.Sequence
-}
-
-// HasAttemptBefore says whether a session has ended the session of some attempt.
-func (m *Machine) HasAttemptBefore(session uint64) bool {
-	for _, a := range m.Attempts {
-		if a.Epoch < session {
-			return true
-		}
-	}
-	return false
-}
-
 // reconcile compares a report under our token with our attempts.
-func (ag *Agents) reconcile(m *Machine, r *protocol.Heartbeat, now time.Time) {
+func (ag *Agents) reconcile(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
 	seen := make(map[string]bool, len(r.Tasks))
 	clear(m.OrphanedTasks)
 	for _, t := range r.Tasks {
-		key := AttemptKey(t.Task, t.Attempt)
+		key := cluster.AttemptKey(t.Task, t.Attempt)
 		seen[key] = true
 		a := m.Attempts[key]
 		if a == nil {
 			m.OrphanedTasks[key] = t
 			continue
 		}
-		if a.State <= AttemptCommitted {
-			a.State = AttemptConfirmed
+		if a.State <= cluster.AttemptCommitted {
+			a.State = cluster.AttemptConfirmed
 		}
 		if !a.Live() {
 			continue
@@ -201,13 +175,13 @@
 			continue
 		}
 		switch {
-		case a.State == AttemptReleased:
+		case a.State == cluster.AttemptReleased:
 			delete(m.Attempts, key) // reaped
-		case a.State == AttemptExited:
+		case a.State == cluster.AttemptExited:
 			// Stays until its end is on record.
-		case a.State == AttemptConfirmed:
+		case a.State == cluster.AttemptConfirmed:
 			ag.ReleaseAttempt(a, "vanished", now)
-		case a.State == AttemptCommitted && a.Stopping && a.StartToken < r.Token:
+		case a.State == cluster.AttemptCommitted && a.Stopping && a.StartToken < r.Token:
 			// No start of ours can still arrive under this token, also none under way.
 			ag.ReleaseAttempt(a, "never started", now)
 		}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -1,11 +1,10 @@
-package coordination
-
-// The machines on record: their tokens, leases and ends.
+package agents
 
 import (
 	"log/slog"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
@@ -16,48 +15,42 @@
 // Agents commands the workers of the partitions that this controller leads, and takes in
 // what they report.
 type Agents struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	network storage.Requester
 	store   *storage.Store
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 
-	cloud     *CloudClient
-	jobs      *Tracker
-	leases    *LeaseHolder
-	proxy     *Proxy
-	scheduler *Scheduler
+	cloud     Cloud
+	jobs      Jobs
+	leases    Leases
+	proxy     Proxy
+	scheduler Scheduler
 
-	// repeatedCommands counts requests under way beside earlier ones to the same machine.
-	repeatedCommands int
+	// RepeatedCommands counts requests under way beside earlier ones to the same machine.
+	RepeatedCommands int
 }
 
-// NewAgents makes one without collaborators.
-func NewAgents(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Agents {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Agents {
 	return &Agents{State: state, loop: loop, network: network, store: store, log: log}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (ag *Agents) Connect(cloud *CloudClient, jobs *Tracker, leases *LeaseHolder, proxy *Proxy, scheduler *Scheduler) {
+func (ag *Agents) Connect(cloud Cloud, jobs Jobs, leases Leases, proxy Proxy, scheduler Scheduler) {
 	ag.cloud, ag.jobs, ag.leases, ag.proxy, ag.scheduler = cloud, jobs, leases, proxy, scheduler
 }
 
 // Observe makes it measure itself, before the loop starts.
 func (ag *Agents) Observe(m *telemetry.Metrics) { ag.metrics = m }
 
-// Token identifies who may command a machine: both revisions come from the
-// state service's one counter, so a takeover and a move each raise it.
-func (s *State) Token(m *Machine) uint64 {
-	return max(s.Partitions[m.Record.Partition].LeaseRevision, m.Revision)
-}
-
 // MachineRecorded follows the assignment record of a machine.
 func (ag *Agents) MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time) {
 	m := ag.Machines[name]
 	delete(ag.UnregisteredMachines, name)
 	if m == nil {
-		m = &Machine{Name: name, Shard: delegation.ShardOf(name), Attempts: map[string]*Attempt{}, OrphanedTasks: map[string]protocol.TaskReport{},
+		m = &cluster.Machine{Name: name, Shard: delegation.ShardOf(name), Attempts: map[string]*cluster.Attempt{}, OrphanedTasks: map[string]protocol.TaskReport{},
 			FailedJobs: map[string]bool{}, Images: map[string]time.Time{}, RecordedAt: now, LedSince: now, LastHeardAt: now}
 		ag.Machines[name] = m
 	} else if version <= m.Revision {
@@ -96,8 +89,8 @@
 
 // CheckMachines finds machines whose lease must have run out.
 func (ag *Agents) CheckMachines(now time.Time) {
-	bound := time.Duration(float64(ag.AgentLease)*ClockDrift) + ClockMargin
-	var overdue []*Machine
+	bound := time.Duration(float64(ag.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin
+	var overdue []*cluster.Machine
 	defer func() {
 		if len(overdue) > 0 {
 			ag.deleteMachinesInTime(overdue[:min(len(overdue), deleteBatchLimit)])
@@ -118,7 +111,7 @@
 			}
 			continue
 		}
-		if ag.outlastsCancelBound(m, answered.Add(bound), now) && now.Sub(m.DeleteTriedAt) > deleteRetryInterval {
+		if ag.OutlastsCancelBound(m, answered.Add(bound), now) && now.Sub(m.DeleteTriedAt) > deleteRetryInterval {
 			m.DeleteTriedAt = now
 			overdue = append(overdue, m)
 		}
@@ -131,7 +124,7 @@
 		for _, a := range m.Attempts {
 			ag.fenceOutStart(a, now)
 		}
-		if now.Sub(m.CommandedAt) > commandAnswerWait && ag.mayRepeat(m) {
+		if now.Sub(m.CommandedAt) > CommandAnswerWait && ag.mayRepeat(m) {
 			ag.repeatCommands(m)
 		}
 		if m.Fenced && m.PendingCommands == 0 && now.Sub(m.CommandsRetriedAt) > time.Second && m.HasUnsentCommands() {
@@ -141,25 +134,26 @@
 	}
 }
 
-const (
-	// deleteLead is how long before a withdrawn task must be gone its machine is deleted,
-	// if it could not be stopped; deleteAfter is the least time that a stop is given.
-	deleteLead            = 8 * time.Second
-	stopGraceBeforeDelete = 3 * time.Second
-	deleteRetryInterval   = 2 * time.Second
-	deleteBatchLimit      = 100 // names in a request
-)
+// deleteLead is how long before a withdrawn task must be gone its machine is deleted,
+// if it could not be stopped; deleteAfter is the least time that a stop is given.
+const deleteLead = 8 * time.Second
+
+const stopGraceBeforeDelete = 3 * time.Second
 
-// outlastsCancelBound says whether a task of a withdrawn job may be on a machine for longer than
+const deleteRetryInterval = 2 * time.Second
+
+const deleteBatchLimit = 100 // names in a request
+
+// OutlastsCancelBound says whether a task of a withdrawn job may be on a machine for longer than
 // cancel_s: it was not stopped, and the machine's lease, which may go on until ends, does
 // not provably run out in time (46). A machine that is merely silent is left alone.
-func (ag *Agents) outlastsCancelBound(m *Machine, ends, now time.Time) bool {
+func (ag *Agents) OutlastsCancelBound(m *cluster.Machine, ends, now time.Time) bool {
 	for _, a := range m.Attempts {
 		if !a.Live() || !a.Stopping || a.Job.CancelledAt.IsZero() || now.Sub(a.StopRequestedAt) < stopGraceBeforeDelete {
 			continue
 		}
 		due := a.Job.CancelledAt.Add(ag.CancelBound)
-		if now.After(due.Add(-deleteLead)) && ends.After(due.Add(-ClockMargin)) {
+		if now.After(due.Add(-deleteLead)) && ends.After(due.Add(-cluster.ClockMargin)) {
 			return true
 		}
 	}
@@ -169,7 +163,7 @@
 // deleteMachinesInTime has the cloud delete machines on which withdrawn tasks may go on. Their
 // owner does so itself: the leader needs the state service, which the trouble that keeps a
 // task from being stopped may have taken away. The records go later, as of lost machines.
-func (ag *Agents) deleteMachinesInTime(machines []*Machine) {
+func (ag *Agents) deleteMachinesInTime(machines []*cluster.Machine) {
 	names := make([]string, 0, len(machines))
 	for _, m := range machines {
 		names = append(names, m.Name)
@@ -196,10 +190,3 @@
 		})
 	})
 }
-
-// Usable says whether new work may go to a machine.
-func (s *State) Usable(m *Machine, now time.Time) bool {
-	return m.Fenced && !m.Lost && !m.Moving && !m.Quarantined && m.Type != nil && m.Record.Addr != "" &&
-		m.RetiringSince.IsZero() && m.PreemptionAt.IsZero() && now.After(m.AvoidUntil) &&
-		now.Sub(m.LastHeardAt) < s.HeartbeatInterval*5/4+1500*time.Millisecond
-}
--- a/internal/coordination/operations.go
+++ b/internal/coordination/api/operations.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"bytes"
@@ -6,7 +6,9 @@
 	"fmt"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/fairshare"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
@@ -18,10 +20,10 @@
 // must be allowed to view every queue, since the sums are over all of them.
 func (srv *Server) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
 	if req.Path != "/metrics" && req.Path != "/overview" {
-		return Refuse(404, "no such path", 0)
+		return respond.Refuse(404, "no such path", 0)
 	}
 	if req.Method != "GET" {
-		return Refuse(405, "method not allowed", 0)
+		return respond.Refuse(405, "method not allowed", 0)
 	}
 	who, refusal := srv.auth.Authenticate(req, "observe")
 	if refusal != nil {
@@ -31,8 +33,8 @@
 		return *srv.auth.Deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
 	}
 	v := overview.View{}
-	if !srv.loop.Do(func() { v = srv.stateOverview(time.Now()) }) {
-		return Refuse(503, "stopping", 1)
+	if !srv.loop.Do(func() { v = srv.StateOverview(time.Now()) }) {
+		return respond.Refuse(503, "stopping", 1)
 	}
 	v.Waits = srv.metrics.Quantiles()
 	if req.Path == "/overview" {
@@ -43,8 +45,8 @@
 	return transport.Response{Status: 200, Type: "text/plain; version=0.0.4", Body: body.Bytes()}
 }
 
-// stateOverview is how this controller and its parts stand.
-func (srv *Server) stateOverview(now time.Time) overview.View {
+// StateOverview is how this controller and its parts stand.
+func (srv *Server) StateOverview(now time.Time) overview.View {
 	v := overview.View{Controller: srv.Settings.Label, Zone: srv.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(srv.StartedAt).Seconds(), Leads: srv.Leadership.Held,
 		Ready: srv.Synced && len(srv.Catalog) > 0, StateSilentS: srv.store.SinceLastAnswer().Seconds(), WritesWanted: srv.WriteDemand, WritesGranted: srv.store.GrantedWriteRate(),
 		CloudRests: srv.cloud.Unavailable(now), Jobs: len(srv.Jobs), Ended: len(srv.FinalStates), Renting: len(srv.Leadership.PendingScaleOut)}
@@ -72,7 +74,7 @@
 	return v
 }
 
-func (srv *Server) partitionOverview(p *Partition, now time.Time) overview.Part {
+func (srv *Server) partitionOverview(p *cluster.Partition, now time.Time) overview.Part {
 	v := overview.Part{Part: p.Index, Ready: p.Ready}
 	used, all := 0.0, 0.0
 	for _, m := range srv.Machines {
--- a/internal/coordination/policy.go
+++ b/internal/coordination/api/policy.go
@@ -1,137 +1,39 @@
-package coordination
+package api
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"maps"
 	"net/url"
-	"slices"
 	"strings"
-	"time"
 
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
-// policyRecords is the policy as the watch has brought it: one record for each
-// role and identity, and a head whose stamp every change demands, so that
-// changes come one after the other. It belongs to the loop.
-type policyRecords struct {
-	head         storage.PolicyHead
-	headRevision uint64
-	roles        map[string]rights.Role
-	identities   map[string]rights.Identity
-	changed      bool
-}
-
-func (p *policyRecords) init() {
-	p.roles, p.identities, p.changed = map[string]rights.Role{}, map[string]rights.Identity{}, true
-}
-
-// apply takes a record in. One that can't be read takes the right it might have
-// given with it.
-func (p *policyRecords) apply(kind storage.Kind, name string, e protocol.Event) error {
-	p.changed = true
-	switch kind {
-	case storage.KindPolicyHead:
-		p.head, p.headRevision = storage.PolicyHead{}, 0
-		if e.Delete == "" {
-			p.headRevision = e.Version
-			return storage.Decode(e.Value, &p.head)
-		}
-	case storage.KindRole:
-		delete(p.roles, name)
-		if e.Delete == "" {
-			var r rights.Role
-			if err := storage.Decode(e.Value, &r); err != nil {
-				return err
-			}
-			if err := r.Check(); err != nil {
-				return err
-			}
-			p.roles[name] = r
-		}
-	case storage.KindIdentity:
-		delete(p.identities, name)
-		if e.Delete == "" {
-			var id rights.Identity
-			if err := storage.Decode(e.Value, &id); err != nil {
-				return err
-			}
-			if err := id.Check(); err != nil {
-				return err
-			}
-			p.identities[name] = id
-		}
-	}
-	return nil
-}
-
-// dropUnlisted drops what a fresh listing no longer holds.
-func (p *policyRecords) dropUnlisted(listed map[string]bool) {
-	for name := range p.roles {
-		if !listed[storage.RoleKey(name)] {
-			delete(p.roles, name)
-			p.changed = true
-		}
-	}
-	for name := range p.identities {
-		if !listed[storage.IdentityKey(name)] {
-			delete(p.identities, name)
-			p.changed = true
-		}
-	}
-	if p.headRevision != 0 && !listed[storage.PolicyHeadKey] {
-		p.head, p.headRevision, p.changed = storage.PolicyHead{}, 0, true
-	}
-}
-
-// PublishPolicy gives the connections what the watch has brought, once for all
-// records that came together. asked is when the listing or watch was sent that
-// brought it.
-func (au *Auth) PublishPolicy(asked time.Time) {
-	if !au.enabled {
-		return
-	}
-	if p := &au.records; p.changed {
-		p.changed = false
-		doc := &rights.Document{}
-		for _, name := range slices.Sorted(maps.Keys(p.roles)) {
-			doc.Roles = append(doc.Roles, p.roles[name])
-		}
-		for _, name := range slices.Sorted(maps.Keys(p.identities)) {
-			doc.Identities = append(doc.Identities, p.identities[name])
-		}
-		before := au.policy.Swap(&PolicyView{Version: p.head.Version, HeadRevision: p.headRevision, Document: doc, Rights: rights.Compile(doc)})
-		if before == nil || before.Version != p.head.Version {
-			au.log.Info("policy followed", "version", p.head.Version, "roles", len(doc.Roles), "identities", len(doc.Identities))
-		}
-	}
-	au.freshSince.Store(int64(asked.Sub(au.enabledAt)))
-}
-
 // policyChangeLimit is how many records one change of the policy may touch: the head
 // and the audit's own are in the same transaction.
-func (srv *Server) policyChangeLimit() int { return max(1, srv.store.TxnOps()-1-auditChanges) }
+func (srv *Server) policyChangeLimit() int { return max(1, srv.store.TxnOps()-1-auth.AuditChanges) }
 
 // changePolicy makes an administrator's change of the policy.
-func (srv *Server) changePolicy(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) changePolicy(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
 	var ch rights.Change
 	if err := protocol.Decode(req.Body, &ch); err != nil {
-		return Refuse(400, firstLine(err), 0)
+		return respond.Refuse(400, respond.FirstLine(err), 0)
 	}
 	view := srv.auth.Policy()
 	if ch.Version != view.Version {
-		return Refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.Version, ch.Version), 0)
+		return respond.Refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.Version, ch.Version), 0)
 	}
 	if n, most := ch.Size(), srv.policyChangeLimit(); n > most {
-		return Refuse(422, fmt.Sprintf("changes %d records, at most %d at a time; split it", n, most), 0)
+		return respond.Refuse(422, fmt.Sprintf("changes %d records, at most %d at a time; split it", n, most), 0)
 	}
 	if _, err := rights.Apply(view.Document, &ch); err != nil {
-		return Refuse(422, firstLine(err), 0)
+		return respond.Refuse(422, respond.FirstLine(err), 0)
 	}
 	head := storage.PolicyHead{Version: view.Version + 1}
 	// Every change demands the head's stamp and moves it, so no other change of
@@ -155,7 +57,7 @@
 			continue
 		}
 		if size, limit := protocol.JSONSize(change.Value), srv.store.ValueBytes(); size > limit {
-			return Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, storage.WatchPrefix), size, limit), 0)
+			return respond.Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, storage.WatchPrefix), size, limit), 0)
 		}
 	}
 	r := srv.auth.AuditRecord(who, "change-policy", rights.Queue{}, "")
@@ -164,18 +66,18 @@
 	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		return Refuse(409, "the policy was changed by somebody else just now; look at it again", 0)
+		return respond.Refuse(409, "the policy was changed by somebody else just now; look at it again", 0)
 	case errors.Is(err, storage.ErrTooLarge):
-		return Refuse(422, "too large for the state service; split it", 0)
+		return respond.Refuse(422, "too large for the state service; split it", 0)
 	case err != nil:
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	}
 	srv.loop.Do(func() {
 		if revision <= srv.auth.PolicyRevision() {
 			return // the watch was faster
 		}
 		for _, change := range txn.Then {
-			srv.watcher.applyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
+			srv.watcher.ApplyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
 		}
 		srv.auth.PublishPolicy(srv.RecordsAsOf)
 	})
@@ -221,16 +123,15 @@
 }
 
 // policyPage is how many records an answer holds, and policyBody its size.
-const (
-	policyPage = 200
-	policyBody = 48 << 10
-)
+const policyPage = 200
+
+const policyBody = 48 << 10
 
 // showPolicy answers with a page of the policy.
-func (srv *Server) showPolicy(who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) showPolicy(who *auth.Caller, req *transport.Request) transport.Response {
 	q, err := url.ParseQuery(req.Query)
 	if err != nil {
-		return Refuse(400, "bad query", 0)
+		return respond.Refuse(400, "bad query", 0)
 	}
 	view := srv.auth.Policy()
 	answer := rights.Page{Version: view.Version, MaxChanges: srv.policyChangeLimit()}
@@ -263,7 +164,7 @@
 			answer.Identities = append(answer.Identities, id)
 		}
 	default:
-		return Refuse(404, "no such path", 0)
+		return respond.Refuse(404, "no such path", 0)
 	}
 	srv.auth.NoteRead(who, "read-policy", rights.Queue{}, "")
 	return transport.Response{Status: 200, Body: protocol.Encode(answer)}
--- a/internal/coordination/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"context"
@@ -9,6 +9,8 @@
 	"sync"
 	"time"
 
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
@@ -20,20 +22,20 @@
 // it was: so in one transaction the job is withdrawn and its successor, under a
 // new id, is accepted. That none of its tasks was started is a condition on its
 // run records: every start is written there first.
-func (srv *Server) reassign(ctx context.Context, who *Caller, id string, req *transport.Request) transport.Response {
+func (srv *Server) reassign(ctx context.Context, who *auth.Caller, id string, req *transport.Request) transport.Response {
 	from, refusal := srv.auth.AuthorizeJob(ctx, who, rights.Reassign, id)
 	if refusal != nil {
 		return *refusal
 	}
 	var body protocol.Reassignment
 	if err := protocol.Decode(req.Body, &body); err != nil {
-		return Refuse(400, firstLine(err), 0)
+		return respond.Refuse(400, respond.FirstLine(err), 0)
 	}
 	if !protocol.ValidID(body.As) || body.As == id {
-		return Refuse(400, "as: the successor needs an id of its own", 0)
+		return respond.Refuse(400, "as: the successor needs an id of its own", 0)
 	}
 	if body.Team == "" {
-		return Refuse(400, "owner: the new team is missing", 0)
+		return respond.Refuse(400, "owner: the new team is missing", 0)
 	}
 	if body.Class == "" {
 		body.Class = from.Class
@@ -45,9 +47,9 @@
 	spec, err := srv.auth.ReadSpec(ctx, nil, id)
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
-		return Refuse(404, "no such job", 0)
+		return respond.Refuse(404, "no such job", 0)
 	case err != nil:
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	}
 	part, reason := 0, ""
 	next := *spec
@@ -70,7 +72,7 @@
 		reason = fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", most*storage.ChunkTasks)
 	}
 	if reason != "" {
-		return Refuse(422, reason, 0)
+		return respond.Refuse(422, reason, 0)
 	}
 	final := storage.Final{Status: protocol.StatusWithdrawn, AtMS: time.Now().UnixMilli(), Successor: body.As}
 	value := storage.Encode(&next)
@@ -82,16 +84,16 @@
 		txn.If = append(txn.If, protocol.Condition{Key: storage.RunKey(part, id, k)})
 	}
 	r := srv.auth.AuditRecord(who, rights.Reassign.String(), from, id)
-	r.Detail = fmt.Sprintf("to team %s, class %s as %s", clipText(to.Team), clipText(to.Class), body.As)
+	r.Detail = fmt.Sprintf("to team %s, class %s as %s", auth.Clip(to.Team), auth.Clip(to.Class), body.As)
 	_, err = srv.auth.Commit(ctx, txn, r)
 	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
 		return srv.notReassigned(ctx, id, body.As)
 	case errors.Is(err, storage.ErrTooLarge):
-		return Refuse(422, "too large for the state service; withdraw it and submit it again", 0)
+		return respond.Refuse(422, "too large for the state service; withdraw it and submit it again", 0)
 	case err != nil:
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	}
 	srv.loop.Do(func() {
 		srv.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now())
@@ -107,37 +109,37 @@
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
 		if _, err := srv.store.UserGet(ctx, storage.JobKey(as)); err == nil {
-			return Refuse(409, "the id for the successor is taken", 0)
+			return respond.Refuse(409, "the id for the successor is taken", 0)
 		}
-		return Refuse(409, "the job has started", 0)
+		return respond.Refuse(409, "the job has started", 0)
 	case err != nil:
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	case storage.Decode(item.Value, &final) != nil:
-		return unavailableResponse(storage.ErrUnknown)
+		return respond.Unavailable(storage.ErrUnknown)
 	case final.Successor == as:
 		st, found, err := srv.jobStatus(ctx, as)
 		if err != nil || !found {
-			return unavailableResponse(errors.Join(storage.ErrUnknown, err))
+			return respond.Unavailable(errors.Join(storage.ErrUnknown, err))
 		}
 		return statusResponse(200, st)
 	}
-	return Refuse(409, "the job is "+final.Status+" already", 0)
+	return respond.Refuse(409, "the job is "+final.Status+" already", 0)
 }
 
-const (
-	// Of a sweep: how many jobs at a time, and for how long.
-	cancelAllLimit   = 200
-	cancelAllWorkers = 8
-	cancelAllTimeout = 3 * time.Second
-)
+// Of a sweep: how many jobs at a time, and for how long.
+const cancelAllLimit = 200
+
+const cancelAllWorkers = 8
+
+const cancelAllTimeout = 3 * time.Second
 
 // cancelAllOf withdraws the unfinished jobs that somebody has submitted, as far as the
 // caller administers their queues. It answers after a while with what is left;
 // the caller asks again.
-func (srv *Server) cancelAllOf(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) cancelAllOf(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
 	var body protocol.Sweep
 	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
-		return Refuse(400, "by: whose jobs are to be withdrawn", 0)
+		return respond.Refuse(400, "by: whose jobs are to be withdrawn", 0)
 	}
 	type found struct {
 		id    string
@@ -170,7 +172,7 @@
 		wg.Go(func() {
 			for f := range work {
 				r := srv.auth.AuditRecord(who, "withdraw-all", f.queue, f.id)
-				r.Detail = "submitted by " + clipText(body.By)
+				r.Detail = "submitted by " + auth.Clip(body.By)
 				status, err := srv.cancelNow(ctx, f.id, r)
 				mu.Lock()
 				switch {
@@ -198,7 +200,7 @@
 }
 
 // arguments tells what a job was submitted with.
-func (srv *Server) arguments(ctx context.Context, who *Caller, id string) transport.Response {
+func (srv *Server) arguments(ctx context.Context, who *auth.Caller, id string) transport.Response {
 	q, refusal := srv.auth.AuthorizeJob(ctx, who, rights.ViewArguments, id)
 	if refusal != nil {
 		return *refusal
@@ -206,13 +208,13 @@
 	spec, err := srv.auth.ReadSpec(ctx, nil, id)
 	switch {
 	case errors.Is(err, storage.ErrNotFound):
-		return Refuse(404, "no such job", 0)
+		return respond.Refuse(404, "no such job", 0)
 	case err != nil:
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	}
 	// Looking at arguments is rare and matters: it is recorded by itself.
 	if _, err := srv.auth.Commit(ctx, &protocol.Transaction{}, srv.auth.AuditRecord(who, rights.ViewArguments.String(), q, id)); err != nil {
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(spec.Arguments())}
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/api/server.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"context"
@@ -8,6 +8,10 @@
 	"time"
 
 	"micaspindle/internal/audit"
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/jobs"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
@@ -19,27 +23,27 @@
 
 // Server answers users, workers and operators.
 type Server struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	store   *storage.Store
 	metrics *telemetry.Metrics
 
-	agents     *Agents
-	auth       *Auth
-	cloud      *CloudClient
-	jobs       *Tracker
-	proxy      *Proxy
-	replicator *Replicator
-	watcher    *Watcher
+	agents     Agents
+	auth       Auth
+	cloud      Cloud
+	jobs       Jobs
+	proxy      Proxy
+	replicator Replicator
+	watcher    Records
 }
 
-// NewServer makes one without collaborators.
-func NewServer(state *State, loop *eventloop.Loop, store *storage.Store) *Server {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store) *Server {
 	return &Server{State: state, loop: loop, store: store}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (srv *Server) Connect(agents *Agents, auth *Auth, cloud *CloudClient, jobs *Tracker, proxy *Proxy, replicator *Replicator, watcher *Watcher) {
+func (srv *Server) Connect(agents Agents, auth Auth, cloud Cloud, jobs Jobs, proxy Proxy, replicator Replicator, watcher Records) {
 	srv.agents, srv.auth, srv.cloud, srv.jobs, srv.proxy, srv.replicator, srv.watcher = agents, auth, cloud, jobs, proxy, replicator, watcher
 }
 
@@ -50,7 +54,7 @@
 func (srv *Server) Serve(ctx context.Context, req *transport.Request) transport.Response {
 	method := func(want string, h func() transport.Response) transport.Response {
 		if req.Method != want {
-			return Refuse(405, "method not allowed", 0)
+			return respond.Refuse(405, "method not allowed", 0)
 		}
 		return h()
 	}
@@ -61,7 +65,7 @@
 		return method("GET", srv.healthz)
 	}
 	// known runs h for somebody who has shown who it is.
-	known := func(want, verb string, h func(who *Caller) transport.Response) transport.Response {
+	known := func(want, verb string, h func(who *auth.Caller) transport.Response) transport.Response {
 		return method(want, func() (resp transport.Response) {
 			if srv.metrics != nil {
 				defer srv.observeRequest(verb, time.Now(), &resp)
@@ -74,28 +78,28 @@
 		})
 	}
 	if req.Path == "/submissions" {
-		return known("POST", "submit", func(who *Caller) transport.Response { return srv.submit(ctx, who, req) })
+		return known("POST", "submit", func(who *auth.Caller) transport.Response { return srv.submit(ctx, who, req) })
 	}
 	if rest, ok := strings.CutPrefix(req.Path, "/submissions/"); ok {
 		id, verb, more := strings.Cut(rest, "/")
 		switch {
 		case !more:
-			return known("GET", "view", func(who *Caller) transport.Response { return srv.poll(ctx, who, id) })
+			return known("GET", "view", func(who *auth.Caller) transport.Response { return srv.poll(ctx, who, id) })
 		case verb == "withdraw":
-			return known("POST", "withdraw", func(who *Caller) transport.Response { return srv.cancelJob(ctx, who, id) })
+			return known("POST", "withdraw", func(who *auth.Caller) transport.Response { return srv.cancelJob(ctx, who, id) })
 		case !srv.auth.Enabled():
 		case verb == "arguments":
-			return known("GET", "view-arguments", func(who *Caller) transport.Response { return srv.arguments(ctx, who, id) })
+			return known("GET", "view-arguments", func(who *auth.Caller) transport.Response { return srv.arguments(ctx, who, id) })
 		case verb == "reassign":
-			return known("POST", "reassign", func(who *Caller) transport.Response { return srv.reassign(ctx, who, id, req) })
+			return known("POST", "reassign", func(who *auth.Caller) transport.Response { return srv.reassign(ctx, who, id, req) })
 		}
-		return Refuse(404, "no such path", 0)
+		return respond.Refuse(404, "no such path", 0)
 	}
 	if !srv.auth.Enabled() {
-		return Refuse(404, "no such path", 0)
+		return respond.Refuse(404, "no such path", 0)
 	}
-	administer := func(want, verb string, h func(who *Caller) transport.Response) transport.Response {
-		return known(want, verb, func(who *Caller) transport.Response {
+	administer := func(want, verb string, h func(who *auth.Caller) transport.Response) transport.Response {
+		return known(want, verb, func(who *auth.Caller) transport.Response {
 			if !srv.auth.Administers(who) {
 				return *srv.auth.Deny(who, verb, rights.Queue{}, "", 403, "does not administer every queue")
 			}
@@ -106,22 +110,22 @@
 	case req.Path == "/whoami":
 		return known("GET", "whoami", srv.whoami)
 	case req.Path == "/may":
-		return known("GET", "may", func(who *Caller) transport.Response { return srv.may(who, req) })
+		return known("GET", "may", func(who *auth.Caller) transport.Response { return srv.may(who, req) })
 	case req.Path == "/withdrawals":
-		return known("POST", "withdraw-all", func(who *Caller) transport.Response {
+		return known("POST", "withdraw-all", func(who *auth.Caller) transport.Response {
 			if who.Service != "" || !srv.auth.HoldsAny(who, rights.Administer) {
 				return *srv.auth.Deny(who, "withdraw-all", rights.Queue{}, "", 403, "administers no queue")
 			}
 			return srv.cancelAllOf(ctx, who, req)
 		})
 	case req.Path == "/policy":
-		return administer("POST", "change-policy", func(who *Caller) transport.Response { return srv.changePolicy(ctx, who, req) })
+		return administer("POST", "change-policy", func(who *auth.Caller) transport.Response { return srv.changePolicy(ctx, who, req) })
 	case strings.HasPrefix(req.Path, "/policy/"):
-		return administer("GET", "read-policy", func(who *Caller) transport.Response { return srv.showPolicy(who, req) })
+		return administer("GET", "read-policy", func(who *auth.Caller) transport.Response { return srv.showPolicy(who, req) })
 	case strings.HasPrefix(req.Path, "/audit/"):
-		return administer("GET", "read-audit", func(who *Caller) transport.Response { return srv.readAudit(ctx, who, req) })
+		return administer("GET", "read-audit", func(who *auth.Caller) transport.Response { return srv.readAudit(ctx, who, req) })
 	}
-	return Refuse(404, "no such path", 0)
+	return respond.Refuse(404, "no such path", 0)
 }
 
 // observeRequest measures a user's request.
@@ -151,12 +155,12 @@
 		err = r.Check()
 	}
 	if err != nil {
-		return Refuse(400, firstLine(err), 0)
+		return respond.Refuse(400, respond.FirstLine(err), 0)
 	}
 	if refusal := srv.auth.CheckSender(who, "report", identity.Name{Kind: identity.Worker, ID: r.Machine}); refusal != nil {
 		return *refusal
 	}
-	resp := Refuse(503, "stopping", 1)
+	resp := respond.Refuse(503, "stopping", 1)
 	srv.loop.Do(func() { resp = srv.agents.HandleHeartbeat(r, req.Body) })
 	return resp
 }
@@ -165,7 +169,7 @@
 // everybody, all controllers stay in, since leaving would only delay their
 // return; one that alone can't reach it leaves the users to the others.
 func (srv *Server) healthz() transport.Response {
-	resp := Refuse(503, "not ready", 1)
+	resp := respond.Refuse(503, "not ready", 1)
 	srv.loop.Do(func() {
 		if !srv.Synced {
 			return
@@ -183,37 +187,15 @@
 	return resp
 }
 
-func firstLine(err error) string {
-	line, _, _ := strings.Cut(err.Error(), "\n")
-	return line[:min(len(line), 200)]
-}
-
-// unavailableResponse is the answer while the state service can't be asked.
-func unavailableResponse(err error) transport.Response {
-	if errors.Is(err, storage.ErrRefused) && strings.Contains(err.Error(), "budget") {
-		return Refuse(429, "over budget", 1)
-	}
-	return Refuse(503, "state service unavailable", 1)
-}
-
 func statusResponse(code int, st protocol.JobStatus) transport.Response {
 	return transport.Response{Status: code, Body: protocol.Encode(st)}
 }
 
-// AddCancellation adds to a transaction what makes a job withdrawn, unless it has
-// ended.
-func AddCancellation(txn *protocol.Transaction, id string, now time.Time) {
-	key := storage.FinalKey(id)
-	txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
-	txn.Then = append(txn.Then, protocol.Change{Put: key,
-		Value: storage.Encode(storage.Final{Status: protocol.StatusWithdrawn, AtMS: now.UnixMilli()})})
-}
-
 // cancelNow withdraws a job for somebody who waits for the answer, and
 // returns how the job ended.
 func (srv *Server) cancelNow(ctx context.Context, id string, r *audit.Record) (string, error) {
 	var txn protocol.Transaction
-	AddCancellation(&txn, id, time.Now())
+	jobs.AddCancellation(&txn, id, time.Now())
 	_, err := srv.auth.Commit(ctx, &txn, r)
 	var conflict *storage.Conflict
 	switch {
@@ -239,7 +221,7 @@
 }
 
 // cancelJob cancels a job, unless it is done already.
-func (srv *Server) cancelJob(ctx context.Context, who *Caller, id string) transport.Response {
+func (srv *Server) cancelJob(ctx context.Context, who *auth.Caller, id string) transport.Response {
 	q, refused := srv.auth.AuthorizeJob(ctx, who, rights.Withdraw, id)
 	if refused != nil {
 		return *refused
@@ -251,13 +233,8 @@
 	if !st.Ended() {
 		var err error
 		if st.Status, err = srv.cancelNow(ctx, id, srv.auth.AuditRecord(who, "withdraw", q, id)); err != nil {
-			return unavailableResponse(err)
+			return respond.Unavailable(err)
 		}
 	}
 	return statusResponse(200, protocol.JobStatus{ID: id, Status: st.Status})
 }
-
-// Refuse answers at once with a reason and when to come back.
-func Refuse(status int, reason string, retryAfter int) transport.Response {
-	return transport.Response{Status: status, Body: protocol.Encode(protocol.Problem{Error: reason}), RetryAfter: retryAfter}
-}
--- a/internal/coordination/status.go
+++ b/internal/coordination/api/status.go
@@ -1,12 +1,13 @@
-package coordination
-
-// What users are told of a job's state.
+package api
 
 import (
 	"context"
 	"fmt"
 	"time"
 
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
@@ -69,11 +70,11 @@
 	return st, known, nil
 }
 
-// staleLimit is how old what this controller knows may be for it to call a job
+// StaleLimit is how old what this controller knows may be for it to call a job
 // with unfinished dependencies queued: the user of one of them may have been
 // told since that it is withdrawn (22).
-func (srv *Server) staleLimit() time.Duration {
-	return max(3*time.Second, srv.CancelBound-2*ClockMargin)
+func (srv *Server) StaleLimit() time.Duration {
+	return max(3*time.Second, srv.CancelBound-2*cluster.ClockMargin)
 }
 
 // unfinished answers for a job that is not on record as ended. One that is to
@@ -84,7 +85,7 @@
 	srv.loop.Do(func() {
 		j := srv.Jobs[st.ID]
 		doomed = srv.Dependencies.DoomedJobs[st.ID] != nil
-		stale = j != nil && j.Blocked && (time.Since(srv.RecordsAsOf) > srv.staleLimit() || srv.Dependencies.HasUnseenDependency(st.ID))
+		stale = j != nil && j.Blocked && (time.Since(srv.RecordsAsOf) > srv.StaleLimit() || srv.Dependencies.HasUnseenDependency(st.ID))
 	})
 	switch {
 	case doomed:
@@ -126,7 +127,7 @@
 	return true
 }
 
-func (srv *Server) poll(ctx context.Context, who *Caller, id string) transport.Response {
+func (srv *Server) poll(ctx context.Context, who *auth.Caller, id string) transport.Response {
 	q, refused := srv.auth.AuthorizeJob(ctx, who, rights.View, id)
 	if refused != nil {
 		return *refused
@@ -143,15 +144,15 @@
 func (srv *Server) lookUpJob(ctx context.Context, id string) (protocol.JobStatus, *transport.Response) {
 	var refusal transport.Response
 	if !protocol.ValidID(id) {
-		refusal = Refuse(404, "no such job", 0)
+		refusal = respond.Refuse(404, "no such job", 0)
 		return protocol.JobStatus{}, &refusal
 	}
 	st, found, err := srv.jobStatus(ctx, id)
 	switch {
 	case err != nil:
-		refusal = unavailableResponse(err)
+		refusal = respond.Unavailable(err)
 	case !found:
-		refusal = Refuse(404, "no such job", 0)
+		refusal = respond.Refuse(404, "no such job", 0)
 	default:
 		return st, nil
 	}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -1,6 +1,4 @@
-package coordination
-
-// Submissions: what is accepted, what is refused, and why.
+package api
 
 import (
 	"context"
@@ -8,7 +6,10 @@
 	"fmt"
 	"time"
 
+	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
@@ -16,7 +17,7 @@
 )
 
 // submit accepts a job once its record is committed.
-func (srv *Server) submit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
+func (srv *Server) submit(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
 	var sub protocol.Submission
 	err := protocol.Decode(req.Body, &sub)
 	queue, refused := srv.authorizeSubmission(who, &sub)
@@ -31,7 +32,7 @@
 	if err == nil {
 		id = spec.ID
 	} else if id = protocol.SubmissionID(req.Body); id == "" {
-		return Refuse(400, firstLine(err), 0)
+		return respond.Refuse(400, respond.FirstLine(err), 0)
 	}
 	// A known id is looked up before anything else is said about the body, so
 	// that a repeat of an accepted job never gets 400 or 422.
@@ -40,22 +41,22 @@
 		st, found, rerr := srv.jobStatus(ctx, id)
 		switch {
 		case rerr != nil:
-			return unavailableResponse(rerr)
+			return respond.Unavailable(rerr)
 		case found:
 			return srv.answerRepeated(ctx, who, st)
 		case err != nil:
-			return Refuse(400, firstLine(err), 0)
+			return respond.Refuse(400, respond.FirstLine(err), 0)
 		case judged.refusal != "":
-			return Refuse(422, judged.refusal, 0)
+			return respond.Refuse(422, judged.refusal, 0)
 		case judged.readErr != nil:
-			return unavailableResponse(judged.readErr)
+			return respond.Unavailable(judged.readErr)
 		}
 	}
 	if !judged.typesKnown {
-		return Refuse(503, "machine types are not known yet", 2)
+		return respond.Refuse(503, "machine types are not known yet", 2)
 	}
 	if srv.store.Down() {
-		return Refuse(503, "state service unavailable", 1)
+		return respond.Refuse(503, "state service unavailable", 1)
 	}
 	return srv.commitSubmission(ctx, who, queue, id, judged.value)
 }
@@ -74,7 +75,7 @@
 }
 
 // checkSubmission looks at a submission; spec is nil if its body is malformed.
-func (srv *Server) checkSubmission(ctx context.Context, who *Caller, id string, spec *protocol.JobSpec) (j submissionCheck) {
+func (srv *Server) checkSubmission(ctx context.Context, who *auth.Caller, id string, spec *protocol.JobSpec) (j submissionCheck) {
 	srv.loop.Do(func() {
 		j.known = srv.Jobs[id] != nil || srv.FinalStates[id] != ""
 		j.typesKnown = len(srv.Catalog) > 0
@@ -99,7 +100,7 @@
 }
 
 // commitSubmission commits a job's record, and answers by what became of that.
-func (srv *Server) commitSubmission(ctx context.Context, who *Caller, queue rights.Queue, id string, value []byte) transport.Response {
+func (srv *Server) commitSubmission(ctx context.Context, who *auth.Caller, queue rights.Queue, id string, value []byte) transport.Response {
 	_, err := srv.auth.Commit(ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.JobKey(id), Version: 0}},
 		Then: []protocol.Change{{Put: storage.JobKey(id), Value: value}},
@@ -114,11 +115,11 @@
 		case rerr == nil && found:
 			return srv.answerRepeated(ctx, who, st)
 		case rerr == nil && conflict == nil:
-			return Refuse(422, tooLarge(protocol.JSONSize(value), srv.store.ValueBytes()), 0)
+			return respond.Refuse(422, tooLarge(protocol.JSONSize(value), srv.store.ValueBytes()), 0)
 		}
-		return unavailableResponse(rerr)
+		return respond.Unavailable(rerr)
 	case err != nil:
-		return unavailableResponse(err)
+		return respond.Unavailable(err)
 	}
 	srv.loop.Do(func() { srv.jobs.ApplyJobRecord(id, value) })
 	return statusResponse(201, protocol.JobStatus{ID: id, Status: protocol.StatusQueued})
@@ -126,7 +127,7 @@
 
 // authorizeSubmission says whether a caller may submit what it does: to the queue it
 // names, or if it names none, to any at all.
-func (srv *Server) authorizeSubmission(who *Caller, sub *protocol.Submission) (rights.Queue, *transport.Response) {
+func (srv *Server) authorizeSubmission(who *auth.Caller, sub *protocol.Submission) (rights.Queue, *transport.Response) {
 	var q rights.Queue
 	if !srv.auth.Enabled() {
 		return q, nil
@@ -151,7 +152,7 @@
 // answerRepeated answers a submission of a known job with its state, to those who may
 // submit to its queue or look at it. Ids are one for all queues, so the id of
 // somebody else's job can't be told from one that is not free.
-func (srv *Server) answerRepeated(ctx context.Context, who *Caller, st protocol.JobStatus) transport.Response {
+func (srv *Server) answerRepeated(ctx context.Context, who *auth.Caller, st protocol.JobStatus) transport.Response {
 	if srv.auth.Enabled() {
 		var q rights.Queue
 		known := false
@@ -159,7 +160,7 @@
 		if !known { // a job that ended before this controller heard of it
 			spec, err := srv.auth.ReadSpec(ctx, nil, st.ID)
 			if err != nil {
-				return unavailableResponse(err)
+				return respond.Unavailable(err)
 			}
 			q = rights.Queue{Team: spec.Team, Class: spec.Class}
 		}
@@ -240,7 +241,7 @@
 		return ""
 	}
 	for i := range srv.Catalog {
-		if binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), &srv.Catalog[i]) {
+		if binpack.FitsOffered(cluster.ConstraintsOf(s), cluster.ResourcesOf(s), &srv.Catalog[i]) {
 			return ""
 		}
 	}
--- a/internal/coordination/door.go
+++ b/internal/coordination/auth/auth.go
@@ -1,12 +1,10 @@
-package coordination
+package auth
 
 import (
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
-	"net/url"
-	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -15,6 +13,8 @@
 	"golang.org/x/time/rate"
 
 	"micaspindle/internal/audit"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
@@ -27,7 +27,7 @@
 // Auth knows who sends a request and what they may do. Its policy is followed by the loop
 // and read by the connections. Until Enable, everybody may do everything.
 type Auth struct {
-	*State
+	*cluster.State
 	loop   *eventloop.Loop
 	store  *storage.Store
 	log    *slog.Logger
@@ -49,8 +49,8 @@
 	jobQueues          jobQueueIndex
 }
 
-// NewAuth makes one without collaborators.
-func NewAuth(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Auth {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Auth {
 	return &Auth{State: state, loop: loop, store: store, log: log, bounds: bounds}
 }
 
@@ -74,18 +74,20 @@
 	Rights       *rights.Policy
 }
 
-const (
-	// policyMaxAge is how old the policy may be for anything to be allowed by
-	// it: a revocation must hold everywhere within 3 s.
-	policyMaxAge = 2500 * time.Millisecond
-	// policyWatchWait is how long a watch waits where the policy must be fresh.
-	policyWatchWait = 500 * time.Millisecond
-	// An identity may ask for unknown jobs this often, and in such bursts.
-	unknownJobRate  = 5
-	unknownJobBurst = 20
-	// unknownJobLimitersLimit is how many identities that is counted for, some 300 bytes each.
-	unknownJobLimitersLimit = 4096
-)
+// policyMaxAge is how old the policy may be for anything to be allowed by
+// it: a revocation must hold everywhere within 3 s.
+const policyMaxAge = 2500 * time.Millisecond
+
+// PolicyWatchWait is how long a watch waits where the policy must be fresh.
+const PolicyWatchWait = 500 * time.Millisecond
+
+// An identity may ask for unknown jobs this often, and in such bursts.
+const unknownJobRate = 5
+
+const UnknownJobBurst = 20
+
+// unknownJobLimitersLimit is how many identities that is counted for, some 300 bytes each.
+const unknownJobLimitersLimit = 4096
 
 // Enable makes the controller ask who sends a request. It is called before the loop starts.
 func (au *Auth) Enable(ids Identities) error {
@@ -150,13 +152,12 @@
 // JobQueue is the queue of a job that this controller knows, for the loop.
 func (au *Auth) JobQueue(id string) (q rights.Queue, known bool) { return au.jobQueues.queueOf(id) }
 
-const (
-	// auditChanges is what the audit may add to a change: a batch, its chain's head
-	// and its signer's certificate.
-	auditChanges = 3
-	// minTransactionChanges is the largest change of users, a reassignment, with these.
-	minTransactionChanges = 2 + auditChanges
-)
+// AuditChanges is what the audit may add to a change: a batch, its chain's head
+// and its signer's certificate.
+const AuditChanges = 3
+
+// minTransactionChanges is the largest change of users, a reassignment, with these.
+const minTransactionChanges = 2 + AuditChanges
 
 // Caller is who sends a request.
 type Caller struct {
@@ -174,15 +175,15 @@
 		return nil
 	}
 	r := &audit.Record{At: time.Now().UTC(), BoundMS: float64(au.clockBound) / float64(time.Millisecond), Verb: verb,
-		Team: clipText(q.Team), Class: clipText(q.Class), Job: clipText(job), Outcome: audit.Allowed}
+		Team: Clip(q.Team), Class: Clip(q.Class), Job: Clip(job), Outcome: audit.Allowed}
 	if who != nil {
 		r.Who, r.How, r.From = who.Name, who.Credential, who.RemoteAddr
 	}
 	return r
 }
 
-// clipText bounds what a caller's text takes of a record.
-func clipText(s string) string { return s[:min(len(s), 100)] }
+// Clip bounds what a caller's text takes of a record.
+func Clip(s string) string { return s[:min(len(s), 100)] }
 
 // Deny refuses and notes it.
 func (au *Auth) Deny(who *Caller, verb string, q rights.Queue, job string, status int, reason string) *transport.Response {
@@ -193,7 +194,7 @@
 	if status == 401 {
 		said = "no good credential"
 	}
-	resp := Refuse(status, said, 0)
+	resp := respond.Refuse(status, said, 0)
 	return &resp
 }
 
@@ -234,7 +235,7 @@
 	}
 	view := au.policy.Load()
 	if view == nil || !au.policyFresh() {
-		resp := Refuse(503, "policy is not up to date here", 1)
+		resp := respond.Refuse(503, "policy is not up to date here", 1)
 		return nil, &resp
 	}
 	if !issued.IsZero() && view.Rights.Voids(who.Name, issued) {
@@ -252,15 +253,15 @@
 func (au *Auth) authenticateOnBehalf(who *Caller, service identity.Name, certified bool, behalf, verb string) *transport.Response {
 	view := au.policy.Load()
 	if view == nil || !au.policyFresh() {
-		resp := Refuse(503, "policy is not up to date here", 1)
+		resp := respond.Refuse(503, "policy is not up to date here", 1)
 		return &resp
 	}
 	if !certified || service.Kind != identity.Service || !view.Rights.HoldsAny(who.Name, rights.Vouch) {
-		return au.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", which it may not")
+		return au.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+Clip(behalf)+", which it may not")
 	}
 	name, err := identity.ParseName(behalf)
 	if err != nil || !name.Caller() {
-		return au.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+clipText(behalf)+", who can be no caller")
+		return au.Deny(who, verb, rights.Queue{}, "", 403, "vouches for "+Clip(behalf)+", who can be no caller")
 	}
 	who.Service, who.Name = who.Name, name.String()
 	who.Credential = "vouched for by " + who.Service + ", " + who.Credential
@@ -349,10 +350,10 @@
 	case errors.Is(err, storage.ErrNotFound):
 	case errors.Is(err, errUnknownJobBudget):
 		au.Deny(who, verb, rights.Queue{}, id, 403, "asks too often for jobs that are not in its queues")
-		resp := unavailableResponse(err)
+		resp := respond.Unavailable(err)
 		return q, &resp
 	case err != nil:
-		resp := unavailableResponse(err)
+		resp := respond.Unavailable(err)
 		return q, &resp
 	default:
 		if q = (rights.Queue{Team: spec.Team, Class: spec.Class}); au.Allows(who, v, q) {
@@ -371,7 +372,7 @@
 	if who != nil {
 		limiter, ok := au.unknownJobLimiters.Get(who.Name)
 		if !ok {
-			limiter = rate.NewLimiter(unknownJobRate, unknownJobBurst)
+			limiter = rate.NewLimiter(unknownJobRate, UnknownJobBurst)
 			au.unknownJobLimiters.Add(who.Name, limiter)
 		}
 		if !limiter.Allow() {
@@ -441,7 +442,7 @@
 	if !au.enabled || who.Name == named.String() || who.Name == (identity.Name{Kind: identity.Worker, ID: AnyWorker}).String() {
 		return nil
 	}
-	return au.Deny(who, verb, rights.Queue{}, "", 403, "speaks for "+clipText(named.String()))
+	return au.Deny(who, verb, rights.Queue{}, "", 403, "speaks for "+Clip(named.String()))
 }
 
 // AnyWorker is the id in certificates that machines share, where the cloud
@@ -484,70 +485,3 @@
 	}
 	return b.list[i], true
 }
-
-// whoami tells a caller who it is taken for.
-func (srv *Server) whoami(who *Caller) transport.Response {
-	view := srv.auth.Policy()
-	var held []string
-	for _, v := range []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch} {
-		if srv.auth.HoldsAny(who, v) {
-			held = append(held, v.String())
-		}
-	}
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: held, PolicyVersion: view.Version})}
-}
-
-// may tells a caller whether it holds a right on a queue. Front doors ask it for
-// their clients, with the client's own credential, so that there is one place
-// that decides and one record of what was refused.
-func (srv *Server) may(who *Caller, req *transport.Request) transport.Response {
-	query, err := url.ParseQuery(req.Query)
-	if err != nil {
-		return Refuse(400, "bad query", 0)
-	}
-	verb, err := rights.ParseVerb(query.Get("verb"))
-	if err != nil {
-		return Refuse(400, firstLine(err), 0)
-	}
-	q := rights.Queue{Team: query.Get("team"), Class: query.Get("class")}
-	if q.Team == "" || q.Class == "" {
-		return Refuse(400, "team and class are needed", 0)
-	}
-	if !srv.auth.Allows(who, verb, q) {
-		return *srv.auth.Deny(who, verb.String(), q, "", 403, "asked through a front door")
-	}
-	srv.auth.NoteRead(who, verb.String()+"-asked", q, "")
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: []string{verb.String()},
-		PolicyVersion: srv.auth.Policy().Version})}
-}
-
-// auditBody bounds an answer with batches of the audit.
-const auditBody = 32 << 10
-
-// readAudit answers an administrator who reads the audit.
-func (srv *Server) readAudit(ctx context.Context, who *Caller, req *transport.Request) transport.Response {
-	q, err := url.ParseQuery(req.Query)
-	if err != nil {
-		return Refuse(400, "bad query", 0)
-	}
-	switch req.Path {
-	case "/audit/seal":
-		seal, err := srv.auth.SealAudit(ctx)
-		if err != nil {
-			return unavailableResponse(err)
-		}
-		srv.auth.NoteRead(who, "read-audit", rights.Queue{}, "")
-		return transport.Response{Status: 200, Body: protocol.Encode(seal)}
-	case "/audit/batches":
-		after, err := strconv.ParseUint(q.Get("after"), 10, 64)
-		if err != nil || q.Get("chain") == "" {
-			return Refuse(400, "chain and after are needed", 0)
-		}
-		batches, err := srv.auth.AuditBatches(ctx, q.Get("chain"), after, auditBody)
-		if err != nil {
-			return unavailableResponse(err)
-		}
-		return transport.Response{Status: 200, Body: protocol.Encode(map[string]any{"batches": batches})}
-	}
-	return Refuse(404, "no such path", 0)
-}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,4 +1,4 @@
-package coordination
+package autoscaler
 
 import (
 	"context"
@@ -10,6 +10,8 @@
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peerapi"
 	"micaspindle/internal/coordination/scaling"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
@@ -22,69 +24,32 @@
 // Autoscaler rents, moves and returns machines while this controller is the cluster's
 // leader.
 type Autoscaler struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	network storage.Requester
 	store   *storage.Store
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 
-	agents    *Agents
-	cloud     *CloudClient
-	peering   *Exchange
-	scheduler *Scheduler
+	agents    Agents
+	cloud     Cloud
+	peering   Peering
+	scheduler Scheduler
 }
 
-// NewAutoscaler makes one without collaborators.
-func NewAutoscaler(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Autoscaler {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{State: state, loop: loop, network: network, store: store, log: log}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (as *Autoscaler) Connect(agents *Agents, cloud *CloudClient, peering *Exchange, scheduler *Scheduler) {
+func (as *Autoscaler) Connect(agents Agents, cloud Cloud, peering Peering, scheduler Scheduler) {
 	as.agents, as.cloud, as.peering, as.scheduler = agents, cloud, peering, scheduler
 }
 
 // Observe makes it measure itself, before the loop starts.
 func (as *Autoscaler) Observe(m *telemetry.Metrics) { as.metrics = m }
 
-// Leadership is what the leader keeps in memory. All of it may be lost: names
-// of rentals never repeat, and machines without a record are adopted.
-type Leadership struct {
-	Held         bool
-	Holder       string
-	FormerHolder string // who led before, while nobody does
-	Revision     uint64
-	VacantSince  time.Time
-
-	// Wakeup brings the next round forward.
-	Wakeup          chan struct{}
-	Requests        int
-	PendingScaleOut map[string]*ScaleOutRequest
-	RefusedCapacity map[binpack.MachineKind]time.Time // capacity that was refused, until when
-	Deleting        map[string]time.Time
-	Adopting        map[string]time.Time
-	MovedAt         map[string]time.Time
-	// AssignedAt is when a part was last given a machine: what its owner said
-	// before it noticed must not bring another one.
-	AssignedAt map[int]time.Time
-	Listed     map[string]protocol.ListedMachine
-}
-
-// ScaleOutRequest is a request under way.
-type ScaleOutRequest struct {
-	Kind      binpack.MachineKind
-	Partition int
-	Count     int
-}
-
-func (l *Leadership) Reset() {
-	l.PendingScaleOut, l.RefusedCapacity = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
-	l.Deleting, l.Adopting = map[string]time.Time{}, map[string]time.Time{}
-	l.MovedAt, l.AssignedAt = map[string]time.Time{}, map[int]time.Time{}
-	l.Listed = map[string]protocol.ListedMachine{}
-}
-
 // ApplyLeadership follows who leads.
 func (as *Autoscaler) ApplyLeadership(e protocol.Event, now time.Time) {
 	l := &as.Leadership
@@ -191,7 +156,7 @@
 			lastList = time.Now()
 			as.loop.Go(as.listMachines)
 		}
-		as.loop.Do(func() { as.reconcileFleet(time.Now()) })
+		as.loop.Do(func() { as.ReconcileFleet(time.Now()) })
 	}
 }
 
@@ -227,15 +192,15 @@
 // owner says.
 const assignmentLag = 300 * time.Millisecond
 
-// reconcileFleet is one round of the leader: it gathers what is known, has the fleet's room
+// ReconcileFleet is one round of the leader: it gathers what is known, has the fleet's room
 // decide, and does what that says.
-func (as *Autoscaler) reconcileFleet(now time.Time) {
+func (as *Autoscaler) ReconcileFleet(now time.Time) {
 	l := &as.Leadership
 	if !l.Held || len(as.Catalog) == 0 || now.Sub(as.LeaseRenewedAt) > as.Operator.ClaimTTL {
 		return
 	}
 	strays := as.unrecordedMachines(now)
-	plan := scaling.Decide(as.scalingView(strays, now))
+	plan := scaling.Decide(as.ScalingView(strays, now))
 	for _, a := range plan.Adopt {
 		rec := strays[a.Name]
 		rec.Partition = a.Partition
@@ -273,8 +238,8 @@
 	}
 }
 
-// scalingView is what the leader's decisions rest on.
-func (as *Autoscaler) scalingView(strays map[string]storage.Machine, now time.Time) scaling.View {
+// ScalingView is what the leader's decisions rest on.
+func (as *Autoscaler) ScalingView(strays map[string]storage.Machine, now time.Time) scaling.View {
 	l := &as.Leadership
 	// An ordinary machine is too dear to wait as long as a spot one.
 	v := scaling.View{Now: now, Partitions: make([]scaling.Partition, len(as.Partitions)), Machines: make([]scaling.Machine, 0, len(as.Machines)), Catalog: as.Catalog,
@@ -283,7 +248,7 @@
 		v.ScalingOut[r.Partition] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(strays)) {
-		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: MachineKindOf(strays[name]), Tried: l.Adopting[name]})
+		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: cluster.MachineKindOf(strays[name]), Tried: l.Adopting[name]})
 	}
 	states := map[string]*peer.MachineStatus{} // as the owner of the machine's part tells
 	take := func(owner string, sum *peer.Summary, heard time.Time) {
@@ -311,7 +276,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(as.Machines)) {
 		m := as.Machines[name]
-		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
+		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: cluster.MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
 			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
 		if st := states[name]; st != nil {
 			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Faulty, st.NeverUp, st.Retiring, st.IdleS
@@ -321,17 +286,6 @@
 	return v
 }
 
-// IsDeleted says whether a machine is known to be gone though it is on record: the write of
-// its record went unanswered and was applied after the record's end (44).
-func (s *State) IsDeleted(name string) bool {
-	_, gone := s.DeletedMachines[name]
-	return gone
-}
-
-func MachineKindOf(rec storage.Machine) binpack.MachineKind {
-	return binpack.MachineKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
-}
-
 func scalingDemands(told []*peer.Demand) []scaling.Demand {
 	out := make([]scaling.Demand, len(told))
 	for i, d := range told {
@@ -472,5 +426,5 @@
 		return nil, fmt.Errorf("no such controller %q", owner)
 	}
 	reply := new(peer.FleetReply)
-	return reply, callPeer(as.loop.Context(), as.network, 3*time.Second, ps.Addr, MachineRequestPath, fr, reply)
+	return reply, peerapi.Call(as.loop.Context(), as.network, 3*time.Second, ps.Addr, peerapi.MachineRequestPath, fr, reply)
 }
--- a/internal/coordination/rent.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -1,15 +1,15 @@
-package coordination
+package autoscaler
 
 import (
 	"fmt"
 	"time"
 
-	"micaspindle/internal/eventloop"
-	"micaspindle/internal/telemetry"
-
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/scaling"
+	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // startScaleOut sends one request. Its name holds the revision of the leader's
@@ -18,7 +18,7 @@
 	l := &as.Leadership
 	l.Requests++
 	name := fmt.Sprintf("r-%d-%d", l.Revision, l.Requests)
-	r := &ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, 50)}
+	r := &cluster.ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, 50)}
 	l.PendingScaleOut[name] = r
 	version := l.Revision
 	as.metrics.Count(telemetry.Rented, r.Count)
@@ -27,7 +27,7 @@
 }
 
 // finishScaleOut repeats a request under its name until it is answered.
-func (as *Autoscaler) finishScaleOut(name string, r *ScaleOutRequest, version uint64) {
+func (as *Autoscaler) finishScaleOut(name string, r *cluster.ScaleOutRequest, version uint64) {
 	req := protocol.Rental{Request: name, Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: r.Count}
 	tries := as.loop.Tries(name, cloudBackoff)
 	for {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -1,6 +1,9 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/replication"
+
 	"context"
 	"fmt"
 	"log/slog"
@@ -40,7 +43,7 @@
 		c.scheduler.Reserve(p, j, task, 1, m, now)
 		j.Pending = nil
 		a := j.LiveAttempts[task]
-		a.State, a.StartedAt, a.ReportedState = AttemptConfirmed, now, protocol.TaskRunning
+		a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now, protocol.TaskRunning
 		for _, ch := range j.Chunks { // on record
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
@@ -205,7 +208,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c.LeaseRenewedAt = time.Now()
-				c.autoscaler.reconcileFleet(c.LeaseRenewedAt)
+				c.autoscaler.ReconcileFleet(c.LeaseRenewedAt)
 			}
 		})
 	}
@@ -219,8 +222,8 @@
 // BenchmarkSummary: what an owner tells the others twice a second.
 func BenchmarkSummary(b *testing.B) {
 	bySize(b, func(c *Controller) {
-		c.peering.ownSummary.marshalledAt = time.Time{}
-		c.peering.marshalledSummary(time.Now())
+		c.peering.SummaryCache.MarshalledAt = time.Time{}
+		c.peering.MarshalledSummary(time.Now())
 	})
 }
 
@@ -250,18 +253,18 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
-					fo := newReplica(part, time.Now())
+					fo := replication.NewReplica(part, time.Now())
 					if kind == "warm" {
-						fo.startFrom(c.log.Error, runs, 5, time.Now())
-						fo.Updates.Apply(tale, fo.Derived.noteStart, time.Now())
+						fo.StartFrom(c.log.Error, runs, 5, time.Now())
+						fo.Updates.Apply(tale, fo.Derived.NoteStart, time.Now())
 					}
 					c.leases.ClearPartition(c.Partitions[part]) // as at a controller that did not own it
 					runtime.GC()                                // the garbage of making them is none of the takeover's
 					b.StartTimer()
 					if kind == "cold" {
-						fo.startFrom(c.log.Error, runs, 5, time.Now())
+						fo.StartFrom(c.log.Error, runs, 5, time.Now())
 					}
-					c.takeover.install(c.Partitions[part], fo, nil, kind == "warm")
+					c.takeover.Install(c.Partitions[part], fo, nil, kind == "warm")
 				}
 			})
 		}
@@ -270,17 +273,17 @@
 
 // BenchmarkFollow: what a standby does with one change of a record of 64 tasks.
 func BenchmarkFollow(b *testing.B) {
-	fo := newReplica(0, time.Now())
+	fo := replication.NewReplica(0, time.Now())
 	run := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
 	for t := 32; t < 64; t++ {
 		run.Live = append(run.Live, storage.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
 	}
 	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(run)
 	complain := slog.New(slog.DiscardHandler).Error
-	fo.startFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
+	fo.StartFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
 	for at := uint64(1); b.Loop(); at++ {
-		if !fo.apply(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
+		if !fo.Apply(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
 			b.Fatal("a gap")
 		}
 	}
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -1,6 +1,9 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/proxy"
+
 	"fmt"
 	"maps"
 	"os"
@@ -82,7 +85,7 @@
 		w.asked = func(from, host, target string, body []byte) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if target == ForwardPath {
+			if target == proxy.ForwardPath {
 				relayed[from]++
 			} else if target == "/orders" {
 				direct++
@@ -107,7 +110,7 @@
 			t.Errorf("workers report to %v, shares are spread as %v", homes, n)
 		}
 		w.in(owner, func(c *Controller) {
-			v := c.api.stateOverview(time.Now())
+			v := c.api.StateOverview(time.Now())
 			carried, moves := 0, len(v.Moves)
 			for _, p := range v.Parts {
 				for _, k := range p.Carried {
@@ -318,7 +321,7 @@
 			})
 			body, err := proto.Marshal(req)
 			must(err)
-			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: DelegationPath, Body: body})
+			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.DelegationPath, Body: body})
 			reply := new(peer.CarryReply)
 			if resp.Status == 200 {
 				must(proto.Unmarshal(resp.Body, reply))
@@ -375,7 +378,7 @@
 					direct[from] = map[string]bool{}
 				}
 				direct[from][host] = true
-			case ForwardPath:
+			case proxy.ForwardPath:
 				req := new(peer.RelayRequest)
 				must(proto.Unmarshal(body, req))
 				relayed += len(req.Orders)
@@ -438,7 +441,7 @@
 						moves++
 					}
 				}
-				c.proxy.movedAt = time.Now()
+				c.proxy.MovedAt = time.Now()
 			})
 			time.Sleep(1500 * time.Millisecond)
 			switch round % 10 {
@@ -530,13 +533,13 @@
 		carry := func(r *peer.CarryRequest) int {
 			body, err := proto.Marshal(r)
 			must(err)
-			return post(DelegationPath, body)
+			return post(proxy.DelegationPath, body)
 		}
 		for what, got := range map[string]int{
 			"another claim":   carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: uint32(part), Claim: claim - 1}) - 409,
 			"no such part":    carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: 99, Claim: claim}) - 409,
-			"no message":      post(DelegationPath, []byte{1, 2, 3}) - 400,
-			"no orders":       post(ForwardPath, []byte{1, 2, 3}) - 400,
+			"no message":      post(proxy.DelegationPath, []byte{1, 2, 3}) - 400,
+			"no orders":       post(proxy.ForwardPath, []byte{1, 2, 3}) - 400,
 			"reports of none": carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: uint32(part), Claim: claim, Reports: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
@@ -544,17 +547,17 @@
 			}
 		}
 		many := &peer.RelayRequest{From: "n1"}
-		for range forwardCommandsLimit + 1 {
+		for range proxy.ForwardCommandsLimit + 1 {
 			many.Orders = append(many.Orders, &peer.Relayed{Machine: "m-000001"})
 		}
 		body, err := proto.Marshal(many)
 		must(err)
-		if got := post(ForwardPath, body); got != 400 {
+		if got := post(proxy.ForwardPath, body); got != 400 {
 			t.Errorf("too many orders: %d", got)
 		}
 		body, err = proto.Marshal(&peer.RelayRequest{From: "n1", Orders: []*peer.Relayed{{Machine: "unheard of"}}})
 		must(err)
-		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: ForwardPath, Body: body})
+		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.ForwardPath, Body: body})
 		reply := new(peer.RelayReply)
 		must(proto.Unmarshal(resp.Body, reply))
 		if len(reply.Answers) != 1 || !reply.Answers[0].Unsent {
@@ -581,7 +584,7 @@
 				w.asked = func(_, _, target string, _ []byte) bool {
 					w.mu.Lock()
 					defer w.mu.Unlock()
-					if target == DelegationPath {
+					if target == proxy.DelegationPath {
 						asked++
 					}
 					return false
@@ -604,16 +607,16 @@
 		c, end := unrun(t)
 		defer end()
 		claim := func(version uint64, label, nonce string) {
-			c.watcher.applyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
+			c.watcher.ApplyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
 		}
-		c.watcher.applyListing(nil, 1)
+		c.watcher.ApplyListing(nil, 1)
 		claim(3, "n1", "x")
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
-		e, share := c.proxy.assignments[0], c.Machines["m-1"].Shard
+		e, share := c.proxy.Assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
-			e.leader, e.lease, e.grantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
-			e.shards[share], e.unsentBytes = true, 0
-			clear(e.unsent)
+			e.Leader, e.Lease, e.GrantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
+			e.Shards[share], e.UnsentBytes = true, 0
+			clear(e.Unsent)
 		}
 		report := &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}
 		answers := func(what string, want int, token uint64) {
@@ -623,7 +626,7 @@
 			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
 				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", what, resp.Status, o.Token, len(o.Commands), want, token)
 			}
-			if kept := string(e.unsent["m-1"].raw) == "body"; kept != (want == 200) {
+			if kept := string(e.Unsent["m-1"].Raw) == "body"; kept != (want == 200) {
 				t.Errorf("%s: answered %d, to be told %v", what, resp.Status, kept)
 			}
 		}
@@ -635,11 +638,11 @@
 		c.agents.HandleHeartbeat(&late, []byte("late"))
 		answers("a newer report", 200, 3)
 		late.Sequence = 8
-		if c.agents.HandleHeartbeat(&late, []byte("late")); string(e.unsent["m-1"].raw) != "body" || e.unsentBytes != 4 {
-			t.Errorf("%q, %d bytes to be told", e.unsent["m-1"].raw, e.unsentBytes)
+		if c.agents.HandleHeartbeat(&late, []byte("late")); string(e.Unsent["m-1"].Raw) != "body" || e.UnsentBytes != 4 {
+			t.Errorf("%q, %d bytes to be told", e.Unsent["m-1"].Raw, e.UnsentBytes)
 		}
 		grant()
-		e.shards[share], e.shards[(share+1)%delegation.ShardCount] = false, true
+		e.Shards[share], e.Shards[(share+1)%delegation.ShardCount] = false, true
 		answers("another share", 421, 0)
 		grant()
 		time.Sleep(time.Second)
@@ -649,7 +652,7 @@
 		answers("the worker has seen a newer owner", 503, 0)
 		report.Token = 0
 		grant()
-		e.unsentBytes = c.proxy.unsentLimit
+		e.UnsentBytes = c.proxy.UnsentLimit
 		answers("too much is to be told", 503, 0)
 		grant()
 		claim(5, "n2", "y")
@@ -665,8 +668,8 @@
 		c.Draining = false
 		grant()
 		claim(7, "n0", c.Nonce)
-		if resp := c.agents.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.unsent) > 0 {
-			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.unsent))
+		if resp := c.agents.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.Unsent) > 0 {
+			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.Unsent))
 		}
 	})
 }
@@ -684,7 +687,7 @@
 		w.answered = func(from, _, target string, body []byte, _ *transport.Response) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if from != carrier || target != DelegationPath || again != nil {
+			if from != carrier || target != proxy.DelegationPath || again != nil {
 				return false
 			}
 			req, told := new(peer.CarryRequest), map[string]bool{}
@@ -745,19 +748,19 @@
 		if resp := c.agents.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
 			t.Fatalf("status %d: not sent to its carrier", resp.Status)
 		}
-		j := &Job{Spec: spec("job-1", 1, "red")}
+		j := &cluster.Job{Spec: spec("job-1", 1, "red")}
 		j.Load()
 		c.Jobs["job-1"] = j
-		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted}
+		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted}
 		j.LiveAttempts[0], j.Pending = a, nil
-		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
-		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * ClockDrift)} {
+		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
+		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * cluster.ClockDrift)} {
 			time.Sleep(wait)
 			if c.agents.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
 				t.Fatalf("lost %s into its first lease", time.Since(now))
 			}
 		}
-		time.Sleep(2*ClockMargin + delegation.GrantDuration)
+		time.Sleep(2*cluster.ClockMargin + delegation.GrantDuration)
 		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("not lost after its first lease")
 		}
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloudclient/client.go
@@ -1,4 +1,4 @@
-package coordination
+package cloudclient
 
 import (
 	"context"
@@ -8,16 +8,17 @@
 
 	"golang.org/x/time/rate"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/retry"
 	"micaspindle/internal/storage"
 )
 
-// CloudClient sends requests to the cloud's interface, within this controller's share of
+// Client sends requests to the cloud's interface, within this controller's share of
 // its limit.
-type CloudClient struct {
-	*State
+type Client struct {
+	*cluster.State
 	loop    *eventloop.Loop
 	network storage.Requester
 
@@ -26,9 +27,9 @@
 	circuit retry.Circuit
 }
 
-// NewCloudClient makes one without collaborators.
-func NewCloudClient(state *State, loop *eventloop.Loop, network storage.Requester) *CloudClient {
-	return &CloudClient{State: state, loop: loop, network: network,
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester) *Client {
+	return &Client{State: state, loop: loop, network: network,
 		budget:  rate.NewLimiter(rate.Limit(state.Settings.Params.Cloud.RPS*0.8), 2),
 		circuit: retry.Circuit{After: cloudFailureLimit, Rest: cloudRestBackoff, Who: state.Settings.Label + " cloud"}}
 }
@@ -37,7 +38,7 @@
 var errCloudCircuitOpen = errors.New("the cloud's interface does not answer; it is left alone for a moment")
 
 // Call sends one request to the cloud within its budget.
-func (cl *CloudClient) Call(method, target string, in, out any) (int, error) {
+func (cl *Client) Call(method, target string, in, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(cl.loop.Context(), 5*time.Second)
 	defer cancel()
 	if cl.circuit.Open(time.Now()) {
@@ -67,4 +68,4 @@
 }
 
 // Unavailable says whether the interface is left alone since it did not answer.
-func (cl *CloudClient) Unavailable(now time.Time) bool { return cl.circuit.Open(now) }
+func (cl *Client) Unavailable(now time.Time) bool { return cl.circuit.Open(now) }
--- a/internal/coordination/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -1,11 +1,10 @@
-package coordination
+package cluster
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/settings"
 )
@@ -17,7 +16,7 @@
 // loop.
 type CancellationNotices struct {
 	list      []cancelledJob
-	limit     int
+	Limit     int
 	retention time.Duration
 }
 
@@ -39,17 +38,17 @@
 		changes = max(changes, *next)
 	}
 	n.retention = cancelS
-	n.limit = max(cancellationNoticesMin, int(math.Ceil(changes*(cancelS.Seconds()+1))))
+	n.Limit = max(cancellationNoticesMin, int(math.Ceil(changes*(cancelS.Seconds()+1))))
 }
 
 // Add adds a withdrawal and says whether there was room: those that are told already are
 // more urgent than a newer one.
 func (n *CancellationNotices) Add(job string, at time.Time) bool {
-	if len(n.list) >= n.limit {
+	if len(n.list) >= n.Limit {
 		now := time.Now()
 		n.list = slices.DeleteFunc(n.list, func(w cancelledJob) bool { return now.Sub(w.at) > n.retention })
 	}
-	if len(n.list) >= n.limit {
+	if len(n.list) >= n.Limit {
 		return false
 	}
 	n.list = append(n.list, cancelledJob{job, at})
@@ -78,13 +77,3 @@
 	}
 	return time.Time{}
 }
-
-// ApplyCancellationNotices takes in what another controller has seen committed. Such a record never
-// changes, so that it is as good as read, however late it comes.
-func (tr *Tracker) ApplyCancellationNotices(sum *peer.Summary, now time.Time) {
-	for _, w := range sum.Withdrawn {
-		if protocol.ValidID(w.Job) {
-			tr.SetFinal(w.Job, protocol.StatusWithdrawn, now.Add(-time.Duration(w.AgeMs)*time.Millisecond))
-		}
-	}
-}
--- /dev/null
+++ b/internal/coordination/cluster/carry.go
@@ -0,0 +1,19 @@
+package cluster
+
+import (
+	"micaspindle/internal/protocol/peer"
+)
+
+// DelegationSummary lists a part's carriers, as others are told of them.
+func (p *Partition) DelegationSummary(labels []string) (list []*peer.Carried) {
+	for _, label := range labels {
+		if held := p.Delegations.ShardsOf(label); len(held) > 0 {
+			k := &peer.Carried{By: label}
+			for _, s := range held {
+				k.Shares = append(k.Shares, uint32(s))
+			}
+			list = append(list, k)
+		}
+	}
+	return list
+}
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -1,4 +1,4 @@
-package coordination
+package cluster
 
 import (
 	"slices"
@@ -14,9 +14,9 @@
 // A job can name accepted jobs only, so the graph has no cycle. Its depth is
 // set by users, so nothing here recurses.
 type DependencyGraph struct {
-	index   map[string]int32
-	nodes   []graphNode
-	free    []int32
+	Index   map[string]int32
+	Nodes   []graphNode
+	Free    []int32
 	runTime func(*Job) time.Duration
 	jobs    map[string]*Job // all unfinished jobs; the controller's
 	// DoomedJobs are the jobs that are to be withdrawn, since something that they
@@ -35,41 +35,41 @@
 
 // Init gives the graph the unfinished jobs and how to predict their run times.
 func (g *DependencyGraph) Init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
-	g.index, g.DoomedJobs, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
+	g.Index, g.DoomedJobs, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
 }
 
 // nodeOf returns a job's place, made if there is none.
 func (g *DependencyGraph) nodeOf(id string) int32 {
-	n, ok := g.index[id]
+	n, ok := g.Index[id]
 	if ok {
 		return n
 	}
-	if last := len(g.free) - 1; last >= 0 {
-		n, g.free = g.free[last], g.free[:last]
+	if last := len(g.Free) - 1; last >= 0 {
+		n, g.Free = g.Free[last], g.Free[:last]
 	} else {
-		n = int32(len(g.nodes))
-		g.nodes = append(g.nodes, graphNode{})
+		n = int32(len(g.Nodes))
+		g.Nodes = append(g.Nodes, graphNode{})
 	}
-	g.index[id] = n
-	g.nodes[n] = graphNode{id: id, job: g.jobs[id]}
+	g.Index[id] = n
+	g.Nodes[n] = graphNode{id: id, job: g.jobs[id]}
 	return n
 }
 
 func (g *DependencyGraph) release(n int32) {
-	delete(g.index, g.nodes[n].id)
-	g.nodes[n] = graphNode{}
-	g.free = append(g.free, n)
+	delete(g.Index, g.Nodes[n].id)
+	g.Nodes[n] = graphNode{}
+	g.Free = append(g.Free, n)
 }
 
 // HasDependents says whether unfinished jobs wait for a job.
 func (g *DependencyGraph) HasDependents(id string) bool {
-	n, ok := g.index[id]
-	return ok && len(g.nodes[n].dependents) > 0
+	n, ok := g.Index[id]
+	return ok && len(g.Nodes[n].dependents) > 0
 }
 
 // releaseIfIdle forgets a node that neither waits nor is waited for.
 func (g *DependencyGraph) releaseIfIdle(n int32) {
-	if nd := &g.nodes[n]; len(nd.dependencies) == 0 && len(nd.dependents) == 0 && !nd.doomed {
+	if nd := &g.Nodes[n]; len(nd.dependencies) == 0 && len(nd.dependents) == 0 && !nd.doomed {
 		g.release(n)
 	}
 }
@@ -78,15 +78,15 @@
 // that is known.
 func (g *DependencyGraph) Add(j *Job, final func(id string) (status string, at time.Time)) {
 	id := j.Spec.ID
-	n, known := g.index[id]
+	n, known := g.Index[id]
 	if len(j.Spec.Dependencies) == 0 && !known {
 		return
 	}
 	if !known {
 		n = g.nodeOf(id)
 	}
-	g.nodes[n].job = j
-	doomed := g.nodes[n].doomed
+	g.Nodes[n].job = j
+	doomed := g.Nodes[n].doomed
 	var open []string
 	for _, dep := range j.Spec.Dependencies {
 		switch status, at := final(dep); status {
@@ -99,7 +99,7 @@
 		default:
 			// One that is to be withdrawn dooms whatever names it, before its
 			// own end is on record.
-			if d, ok := g.index[dep]; ok && g.nodes[d].doomed {
+			if d, ok := g.Index[dep]; ok && g.Nodes[d].doomed {
 				doomed = true
 			}
 			open = append(open, dep)
@@ -107,14 +107,14 @@
 	}
 	j.Blocked = doomed || len(open) > 0
 	if doomed {
-		g.nodes[n].doomed = false // its job is noted by doom
+		g.Nodes[n].doomed = false // its job is noted by doom
 		g.markDoomed(n)
 		return
 	}
 	for _, dep := range open {
 		d := g.nodeOf(dep)
-		g.nodes[n].dependencies = append(g.nodes[n].dependencies, d)
-		g.nodes[d].dependents = append(g.nodes[d].dependents, n)
+		g.Nodes[n].dependencies = append(g.Nodes[n].dependencies, d)
+		g.Nodes[d].dependents = append(g.Nodes[d].dependents, n)
 	}
 	g.recomputeNeeds(n)
 	g.propagateNeeds(n)
@@ -125,13 +125,13 @@
 // are ready now.
 func (g *DependencyGraph) JobEnded(id string, done bool, now time.Time) []*Job {
 	delete(g.DoomedJobs, id)
-	n, ok := g.index[id]
+	n, ok := g.Index[id]
 	if !ok {
 		return nil
 	}
 	var ready []*Job
-	for _, d := range g.nodes[n].dependents {
-		nd := &g.nodes[d]
+	for _, d := range g.Nodes[n].dependents {
+		nd := &g.Nodes[d]
 		nd.dependencies = removeIndex(nd.dependencies, n)
 		switch {
 		case !done:
@@ -142,10 +142,10 @@
 			g.releaseIfIdle(d)
 		}
 	}
-	dependencies := g.nodes[n].dependencies
+	dependencies := g.Nodes[n].dependencies
 	g.release(n)
 	for _, d := range dependencies {
-		g.nodes[d].dependents = removeIndex(g.nodes[d].dependents, n)
+		g.Nodes[d].dependents = removeIndex(g.Nodes[d].dependents, n)
 	}
 	// What the job needed is needed by one job less.
 	g.relaxNeeds(dependencies)
@@ -161,7 +161,7 @@
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		nd := &g.nodes[n]
+		nd := &g.Nodes[n]
 		if nd.doomed {
 			continue
 		}
@@ -177,8 +177,8 @@
 // HasUnseenDependency says whether a job needs one whose own record was not seen yet, so
 // that nobody here can say what that one needs.
 func (g *DependencyGraph) HasUnseenDependency(id string) bool {
-	n, ok := g.index[id]
-	return ok && slices.ContainsFunc(g.nodes[n].dependencies, func(d int32) bool { return g.nodes[d].job == nil })
+	n, ok := g.Index[id]
+	return ok && slices.ContainsFunc(g.Nodes[n].dependencies, func(d int32) bool { return g.Nodes[d].job == nil })
 }
 
 // needOf is what a job asks of its dependencies: its urgency, and when they must
@@ -208,14 +208,14 @@
 func (g *DependencyGraph) propagateNeeds(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
-		nd := &g.nodes[stack[len(stack)-1]]
+		nd := &g.Nodes[stack[len(stack)-1]]
 		stack = stack[:len(stack)-1]
 		if nd.job == nil {
 			continue
 		}
 		urgency, by := g.needOf(nd.job)
 		for _, d := range nd.dependencies {
-			if j := g.nodes[d].job; j != nil && j.InheritNeed(urgency, by) {
+			if j := g.Nodes[d].job; j != nil && j.InheritNeed(urgency, by) {
 				stack = append(stack, d)
 			}
 		}
@@ -225,13 +225,13 @@
 // recomputeNeeds works out a job's needs from those that need it, and says whether
 // that changed them.
 func (g *DependencyGraph) recomputeNeeds(n int32) bool {
-	nd := &g.nodes[n]
+	nd := &g.Nodes[n]
 	j := nd.job
 	raised, neededBy := j.InheritedUrgency, j.InheritedDeadline
 	j.InheritedUrgency, j.InheritedDeadline = protocol.Low, time.Time{}
 	for _, d := range nd.dependents {
-		if g.nodes[d].job != nil && !g.nodes[d].doomed {
-			j.InheritNeed(g.needOf(g.nodes[d].job))
+		if g.Nodes[d].job != nil && !g.Nodes[d].doomed {
+			j.InheritNeed(g.needOf(g.Nodes[d].job))
 		}
 	}
 	return raised != j.InheritedUrgency || !neededBy.Equal(j.InheritedDeadline)
@@ -244,8 +244,8 @@
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if g.nodes[n].job != nil && g.recomputeNeeds(n) {
-			stack = append(stack, g.nodes[n].dependencies...)
+		if g.Nodes[n].job != nil && g.recomputeNeeds(n) {
+			stack = append(stack, g.Nodes[n].dependencies...)
 		}
 	}
 }
--- a/internal/coordination/model.go
+++ b/internal/coordination/cluster/model.go
@@ -1,4 +1,4 @@
-package coordination
+package cluster
 
 import (
 	"time"
--- a/internal/coordination/command_meetings_test.go
+++ b/internal/coordination/command_meetings_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/agents"
+
 	"fmt"
 	"maps"
 	"slices"
@@ -397,7 +399,7 @@
 		for _, start := range w.afterCancel {
 			// What was fetching as its job was cancelled is another matter than a start
 			// that came after it.
-			if start.after > time.Second+commandAnswerWait {
+			if start.after > time.Second+agents.CommandAnswerWait {
 				late = append(late, fmt.Sprintf("%s %s after", start.task, start.after))
 			}
 		}
--- a/internal/coordination/commits.go
+++ b/internal/coordination/commit/committer.go
@@ -1,4 +1,4 @@
-package coordination
+package commit
 
 import (
 	"context"
@@ -7,34 +7,35 @@
 	"strconv"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/jobs"
 	"micaspindle/internal/eventloop"
-	"micaspindle/internal/telemetry"
-
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
+	"micaspindle/internal/telemetry"
 )
 
 // Committer writes the records of the partitions that this controller leads.
 type Committer struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	store   *storage.Store
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 
-	agents    *Agents
-	jobs      *Tracker
-	leases    *LeaseHolder
-	scheduler *Scheduler
+	agents    Agents
+	jobs      Jobs
+	leases    Leases
+	scheduler Scheduler
 }
 
-// NewCommitter makes one without collaborators.
-func NewCommitter(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Committer {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Committer {
 	return &Committer{State: state, loop: loop, store: store, log: log}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (co *Committer) Connect(agents *Agents, jobs *Tracker, leases *LeaseHolder, scheduler *Scheduler) {
+func (co *Committer) Connect(agents Agents, jobs Jobs, leases Leases, scheduler Scheduler) {
 	co.agents, co.jobs, co.leases, co.scheduler = agents, jobs, leases, scheduler
 }
 
@@ -49,23 +50,23 @@
 type commitBatch struct {
 	txn         protocol.Transaction
 	chunks      []batchChunk
-	completions []*Job
-	tokenRaises []*Machine
-	starts      []*Attempt
+	completions []*cluster.Job
+	tokenRaises []*cluster.Machine
+	starts      []*cluster.Attempt
 	// cancellations are the jobs that the batch withdraws; it then holds nothing else.
-	cancellations []*Job
+	cancellations []*cluster.Job
 }
 
 type batchChunk struct {
-	job        *Job
-	chunk      *RunChunk
+	job        *cluster.Job
+	chunk      *cluster.RunChunk
 	generation uint64
-	exited     []*Attempt
+	exited     []*cluster.Attempt
 	deleted    bool
 }
 
 // CommitLoop writes a part's records, one transaction at a time.
-func (co *Committer) CommitLoop(p *Partition) {
+func (co *Committer) CommitLoop(p *cluster.Partition) {
 	tries := co.loop.Tries("commit "+strconv.Itoa(p.Index), commitBackoff)
 	for {
 		select {
@@ -108,7 +109,7 @@
 }
 
 // unconfirmedChunks lists chunks whose last write went unanswered.
-func (co *Committer) unconfirmedChunks(p *Partition) []batchChunk {
+func (co *Committer) unconfirmedChunks(p *cluster.Partition) []batchChunk {
 	var list []batchChunk
 	if !p.Held || !p.Ready || !p.Unconfirmed {
 		return nil
@@ -129,7 +130,7 @@
 // rereadChunks reads keys whose write went unanswered. The stamp seen goes into the
 // next write's conditions, so that the late one and the retry exclude each
 // other (2).
-func (co *Committer) rereadChunks(p *Partition, list []batchChunk) bool {
+func (co *Committer) rereadChunks(p *cluster.Partition, list []batchChunk) bool {
 	for _, b := range list {
 		id := b.job.Spec.ID
 		item, err := co.store.Get(co.loop.Context(), storage.RunKey(p.Index, id, b.chunk.Index))
@@ -159,7 +160,7 @@
 }
 
 // prepareBatch places waiting tasks and gathers what should be written now.
-func (co *Committer) prepareBatch(p *Partition, now time.Time) *commitBatch {
+func (co *Committer) prepareBatch(p *cluster.Partition, now time.Time) *commitBatch {
 	if !p.Held || !p.Ready || co.Draining || now.Sub(co.LeaseRenewedAt) > co.Operator.ClaimTTL+10*time.Second {
 		return nil
 	}
@@ -172,7 +173,7 @@
 			break
 		}
 		if j.Partition == p.Index {
-			AddCancellation(&b.txn, j.Spec.ID, now)
+			jobs.AddCancellation(&b.txn, j.Spec.ID, now)
 			b.cancellations = append(b.cancellations, j)
 		}
 	}
@@ -203,7 +204,7 @@
 	return b
 }
 
-func (co *Committer) addChunk(b *commitBatch, p *Partition, j *Job, ch *RunChunk) int {
+func (co *Committer) addChunk(b *commitBatch, p *cluster.Partition, j *cluster.Job, ch *cluster.RunChunk) int {
 	id := j.Spec.ID
 	key := storage.RunKey(p.Index, id, ch.Index)
 	run := j.RunRecord(ch)
@@ -229,7 +230,7 @@
 			// Nothing on record, nothing to remove.
 			ch.Dirty = false
 			for _, a := range bc.exited {
-				a.State = AttemptReleased
+				a.State = cluster.AttemptReleased
 			}
 			delete(j.Chunks, ch.Index)
 			co.jobs.DropIfReleased(j)
@@ -246,7 +247,7 @@
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: value})
 	from := len(b.starts)
 	for _, r := range run.Live {
-		if a := j.LiveAttempts[r.Task]; a.State == AttemptReserved {
+		if a := j.LiveAttempts[r.Task]; a.State == cluster.AttemptReserved {
 			b.starts = append(b.starts, a)
 		}
 	}
@@ -259,32 +260,17 @@
 }
 
 // unreserveChunk gives up the attempts of a chunk that are not on record.
-func (co *Committer) unreserveChunk(j *Job, ch *RunChunk) {
+func (co *Committer) unreserveChunk(j *cluster.Job, ch *cluster.RunChunk) {
 	now := time.Now()
 	for _, a := range j.Attempts() {
-		if a.State == AttemptReserved && a.TaskIndex/storage.ChunkTasks == ch.Index {
+		if a.State == cluster.AttemptReserved && a.TaskIndex/storage.ChunkTasks == ch.Index {
 			co.agents.ReleaseAttempt(a, "no room in the record", now)
 		}
 	}
 }
 
-// HasRecordRoom says whether the record of a chunk has room for one more attempt.
-// It adds up what the chunk's tasks take now; as they end, that only falls.
-func (sched *Scheduler) HasRecordRoom(j *Job, task int, number uint64, m *Machine) bool {
-	size := storage.RunBase + storage.AttemptSize(number, m.Name, m.Epoch)
-	index := task / storage.ChunkTasks
-	for t := index * storage.ChunkTasks; t < min((index+1)*storage.ChunkTasks, j.Spec.Tasks); t++ {
-		if a := j.LiveAttempts[t]; a != nil && a.Live() {
-			size += storage.AttemptSize(a.Number, a.Machine.Name, a.Epoch)
-		} else if j.TaskDone[t] && (t%storage.ChunkTasks == 0 || !j.TaskDone[t-1]) {
-			size += storage.RangeSize
-		}
-	}
-	return size <= sched.store.ValueBytes()
-}
-
 // addCompletion makes a job done and removes its run records if they fit in.
-func (co *Committer) addCompletion(b *commitBatch, p *Partition, j *Job, now time.Time, ops int) {
+func (co *Committer) addCompletion(b *commitBatch, p *cluster.Partition, j *cluster.Job, now time.Time, ops int) {
 	if len(b.txn.Then) >= ops {
 		return
 	}
@@ -310,7 +296,7 @@
 }
 
 // batchCommitted takes in the outcome of a batch.
-func (co *Committer) batchCommitted(p *Partition, b *commitBatch, rev uint64, err error) {
+func (co *Committer) batchCommitted(p *cluster.Partition, b *commitBatch, rev uint64, err error) {
 	now := time.Now()
 	p.Committing = false
 	if err != nil {
@@ -329,17 +315,17 @@
 			ch.DirtySince = now
 		}
 		for _, a := range bc.exited {
-			a.State = AttemptReleased
+			a.State = cluster.AttemptReleased
 		}
 		if bc.deleted {
 			ch.Revision = 0
 			delete(bc.job.Chunks, ch.Index)
 		}
 	}
-	targets := map[*Machine]bool{}
+	targets := map[*cluster.Machine]bool{}
 	for _, a := range b.starts {
-		if a.State == AttemptReserved {
-			a.State, a.CommittedAt = AttemptCommitted, now
+		if a.State == cluster.AttemptReserved {
+			a.State, a.CommittedAt = cluster.AttemptCommitted, now
 			targets[a.Machine] = true
 		}
 	}
@@ -368,7 +354,7 @@
 	}
 }
 
-func (co *Committer) batchFailed(p *Partition, b *commitBatch, err error) {
+func (co *Committer) batchFailed(p *cluster.Partition, b *commitBatch, err error) {
 	var conflict *storage.Conflict
 	unknown := errors.Is(err, storage.ErrUnknown)
 	for _, bc := range b.chunks {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,6 +1,3 @@
-// Package coordination decides: who owns which part, who leads, where tasks
-// run and which machines are rented. One goroutine owns all its state; I/O
-// happens elsewhere and comes back to it as calls.
 package coordination
 
 import (
@@ -8,9 +5,22 @@
 	"log/slog"
 	"time"
 
+	"micaspindle/internal/coordination/agents"
+	"micaspindle/internal/coordination/api"
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/autoscaler"
+	"micaspindle/internal/coordination/cloudclient"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/commit"
+	"micaspindle/internal/coordination/jobs"
+	"micaspindle/internal/coordination/lease"
+	"micaspindle/internal/coordination/peering"
+	"micaspindle/internal/coordination/proxy"
+	"micaspindle/internal/coordination/records"
+	"micaspindle/internal/coordination/replication"
+	"micaspindle/internal/coordination/scheduler"
+	"micaspindle/internal/coordination/takeover"
 	"micaspindle/internal/eventloop"
-	"micaspindle/internal/protocol/peer"
-	"micaspindle/internal/retry"
 	"micaspindle/internal/settings"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
@@ -20,7 +30,7 @@
 // Controller is one controller process: the state of its loop, and the components that run
 // on it. It wires them and decides nothing itself.
 type Controller struct {
-	*State
+	*cluster.State
 	loop  *eventloop.Loop
 	store *storage.Store
 	log   *slog.Logger
@@ -28,83 +38,47 @@
 	metrics *telemetry.Metrics
 	bounds  *telemetry.BoundReporter
 
-	scheduler  *Scheduler
-	agents     *Agents
-	jobs       *Tracker
-	committer  *Committer
-	leases     *LeaseHolder
-	replicator *Replicator
-	takeover   *Takeover
-	proxy      *Proxy
-	cloud      *CloudClient
-	autoscaler *Autoscaler
-	peering    *Exchange
-	auth       *Auth
-	watcher    *Watcher
-	api        *Server
+	scheduler  *scheduler.Scheduler
+	agents     *agents.Agents
+	jobs       *jobs.Tracker
+	committer  *commit.Committer
+	leases     *lease.Holder
+	replicator *replication.Replicator
+	takeover   *takeover.Takeover
+	proxy      *proxy.Proxy
+	cloud      *cloudclient.Client
+	autoscaler *autoscaler.Autoscaler
+	peering    *peering.Exchange
+	auth       *auth.Auth
+	watcher    *records.Watcher
+	api        *api.Server
 }
 
-// Peer is what another controller last said of itself.
-type Peer struct {
-	Addr       string
-	HeardAt    time.Time
-	HeardSince time.Time // since when it has been heard without a gap
-	Summary    *peer.Summary
-	// ReportingMachines are the machines that report to it, as it last said, visitors those of
-	// them that came here since; ended is the lease of it that was ended here.
-	ReportingMachines, DivertedMachines map[string]bool
-	RevokedLease                        uint64
-}
-
-// Alive says whether what the controller last said still counts.
-func (ps *Peer) Alive(now time.Time) bool {
-	return ps.Summary != nil && now.Sub(ps.HeardAt) <= 2*time.Second
-}
-
-// PartitionSummary is what the controller last said of a part as its owner; nil: nothing.
-func (ps *Peer) PartitionSummary(p *Partition) *peer.PartSummary {
-	if ps == nil || ps.Summary == nil {
-		return nil
-	}
-	for _, sum := range ps.Summary.Parts {
-		if int(sum.Part) == p.Index {
-			return sum
-		}
-	}
-	return nil
-}
-
-// ClockMargin is added to every bound that must hold on another machine's clock.
-const ClockMargin = time.Second
-
-// ClockDrift is by how much steady clocks may differ, with room to spare.
-const ClockDrift = 1.001
-
 // New makes a controller that lives until ctx ends; Run starts its tasks, but requests may
 // come before.
 func New(ctx context.Context, set *settings.Settings, op settings.Operator, network storage.Requester, log *slog.Logger) *Controller {
 	params := set.Params
-	state := NewState(set, op)
+	state := cluster.NewState(set, op)
 	loop := eventloop.New(ctx, set.Label)
 	store := storage.NewStore(network, set.Services.State, params.State, params.Count)
 	bounds := telemetry.NewBoundReporter(log)
 	store.PollsFull = func() { bounds.Met(telemetry.WaitingPolls, 1) }
 	c := &Controller{
 		State: state, loop: loop, store: store, log: log, bounds: bounds,
-		scheduler:  NewScheduler(state, store, log, bounds),
-		agents:     NewAgents(state, loop, network, store, log),
-		jobs:       NewTracker(state, log, bounds),
-		committer:  NewCommitter(state, loop, store, log),
-		leases:     NewLeaseHolder(state, loop, store, log),
-		replicator: NewReplicator(state, loop, network, store, log, bounds),
-		takeover:   NewTakeover(state, loop, store, log),
-		proxy:      NewProxy(state, loop, network, log, bounds),
-		cloud:      NewCloudClient(state, loop, network),
-		autoscaler: NewAutoscaler(state, loop, network, store, log),
-		peering:    NewExchange(state, loop, network, store, log, bounds),
-		auth:       NewAuth(state, loop, store, log, bounds),
-		watcher:    NewWatcher(state, loop, store, log),
-		api:        NewServer(state, loop, store),
+		scheduler:  scheduler.New(state, store, log, bounds),
+		agents:     agents.New(state, loop, network, store, log),
+		jobs:       jobs.New(state, log, bounds),
+		committer:  commit.New(state, loop, store, log),
+		leases:     lease.New(state, loop, store, log),
+		replicator: replication.New(state, loop, network, store, log, bounds),
+		takeover:   takeover.New(state, loop, store, log),
+		proxy:      proxy.New(state, loop, network, log, bounds),
+		cloud:      cloudclient.New(state, loop, network),
+		autoscaler: autoscaler.New(state, loop, network, store, log),
+		peering:    peering.New(state, loop, network, store, log, bounds),
+		auth:       auth.New(state, loop, store, log, bounds),
+		watcher:    records.New(state, loop, store, log),
+		api:        api.New(state, loop, store),
 	}
 	c.Dependencies.Init(c.Jobs, c.scheduler.JobRunTime)
 	c.connect()
@@ -128,7 +102,7 @@
 }
 
 // Identify makes the controller ask who sends a request. It is called before Run.
-func (c *Controller) Identify(ids Identities) error { return c.auth.Enable(ids) }
+func (c *Controller) Identify(ids auth.Identities) error { return c.auth.Enable(ids) }
 
 // Observe makes the controller measure itself. It is called before Run.
 func (c *Controller) Observe() {
@@ -158,7 +132,7 @@
 // has ended.
 func (c *Controller) Run() {
 	c.loop.Start(c.tick)
-	c.loop.Go(c.watcher.watchDuty)
+	c.loop.Go(c.watcher.Watch)
 	c.loop.Go(c.leases.RenewLoop)
 	c.loop.Go(c.autoscaler.CatalogLoop)
 	c.loop.Go(c.autoscaler.LeaderLoop)
@@ -177,23 +151,6 @@
 	c.loop.Wait()
 }
 
-// Pauses after a failure, by duty. They are spread and don't grow: the state service's
-// budget makes duties wait already, and growing ones cost users what docs/retries.md
-// says.
-var (
-	commitBackoff   = retry.Backoff{First: 200 * time.Millisecond, Most: 200 * time.Millisecond}
-	followBackoff   = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
-	takeoverBackoff = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
-	recordBackoff   = retry.Backoff{First: 666 * time.Millisecond, Most: 666 * time.Millisecond}
-	cloudBackoff    = retry.Backoff{First: 1333 * time.Millisecond, Most: 1333 * time.Millisecond}
-	// cloudRestBackoff is how long the cloud's interface is left alone after it did not
-	// answer many times in a row.
-	cloudRestBackoff = retry.Backoff{First: 600 * time.Millisecond, Most: 600 * time.Millisecond}
-)
-
-// cloudFailureLimit is how many times in a row that is.
-const cloudFailureLimit = 10
-
 func (c *Controller) tick(now time.Time) {
 	c.agents.CheckMachines(now)
 	c.leases.CheckReachability(now)
@@ -234,5 +191,3 @@
 	}
 	c.store.ShareWriteRate(c.WriteDemand, total*float64(len(c.Peers)+1)/heard)
 }
-
-func (p *Partition) Wake() { eventloop.Signal(p.Wakeup) }
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+
 	"fmt"
 	"maps"
 	"math"
@@ -685,7 +687,7 @@
 	add := func(id string, age, deadline float64, urgency protocol.Urgency) {
 		s := spec(id, 1, "red") // runs 6 s
 		s.DeadlineS, s.Urgency = deadline, urgency
-		j := &Job{Spec: s, SubmittedAt: now.Add(-settings.Seconds(age))}
+		j := &cluster.Job{Spec: s, SubmittedAt: now.Add(-settings.Seconds(age))}
 		j.Load()
 		c.Jobs[id] = j
 	}
@@ -857,9 +859,9 @@
 			n.loop.Do(func() {
 				// What a former owner told of its attempts' beginnings teaches what they
 				// took; attempts that began nobody knows when teach nothing.
-				for class, b := range n.scheduler.runtimeCorrections {
-					if math.Abs(b.ratio-1) > 0.01 {
-						t.Errorf("inherited tasks taught %s a ratio of %v", class, b.ratio)
+				for class, b := range n.scheduler.Corrections {
+					if math.Abs(b.Ratio-1) > 0.01 {
+						t.Errorf("inherited tasks taught %s a ratio of %v", class, b.Ratio)
 					}
 				}
 				for _, m := range n.Machines {
@@ -886,13 +888,13 @@
 	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 	m := c.Machines["m-1"]
 	m.Epoch, m.HasReported = 2, true
-	j := &Job{Spec: spec("job-1", 1, "red")}
+	j := &cluster.Job{Spec: spec("job-1", 1, "red")}
 	j.Load()
 	j.Pending = nil
 	c.Jobs["job-1"] = j
-	a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted, Inherited: true}
+	a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true}
 	j.LiveAttempts[0] = a
-	m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+	m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
 	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
 	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
 		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -159,7 +161,7 @@
 	if len(j.LiveAttempts) > 0 || p.Usage[j.Team].CPUs != first.Spec.CPUs {
 		t.Errorf("%d attempts, usage %v", len(j.LiveAttempts), p.Usage[j.Team])
 	}
-	if d := c.peering.partitionSummary(p, now).Demands; len(d) > 0 {
+	if d := c.peering.PartitionSummary(p, now).Demands; len(d) > 0 {
 		t.Errorf("demands %v", d)
 	}
 	if s := c.scheduler.Scarcity(now); s.Contested("big", 2) {
@@ -191,7 +193,7 @@
 	last := plain("job-3", "job-2")
 	last.DeadlineS, last.Urgency = 60, protocol.High
 	l := c.take(last)
-	due := func(j *Job, left float64) {
+	due := func(j *cluster.Job, left float64) {
 		t.Helper()
 		at, ok := j.Deadline()
 		if d := at.Sub(l.SubmittedAt).Seconds(); !ok || d < left-0.1 || d > left+0.1 {
@@ -216,7 +218,7 @@
 		t.Error("the need outlives the job")
 	}
 	c.jobs.SetFinal("job-2", protocol.StatusDone, time.Now())
-	if n := len(c.Dependencies.index) + len(c.Dependencies.DoomedJobs); n > 0 || len(c.Dependencies.free) != len(c.Dependencies.nodes) {
+	if n := len(c.Dependencies.Index) + len(c.Dependencies.DoomedJobs); n > 0 || len(c.Dependencies.Free) != len(c.Dependencies.Nodes) {
 		t.Errorf("%d jobs are left in the graph", n)
 	}
 }
@@ -226,12 +228,12 @@
 	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		jobs, finals := map[string]*Job{}, map[string]string{}
-		var g DependencyGraph
-		g.Init(jobs, func(j *Job) time.Duration { return settings.Seconds(j.Spec.EstimateS) })
+		jobs, finals := map[string]*cluster.Job{}, map[string]string{}
+		var g cluster.DependencyGraph
+		g.Init(jobs, func(j *cluster.Job) time.Duration { return settings.Seconds(j.Spec.EstimateS) })
 		const n = 24
 		now := time.Now()
-		all := make([]*Job, n)
+		all := make([]*cluster.Job, n)
 		for i := range all {
 			s := spec(fmt.Sprintf("job-%d", i), 1, "red")
 			s.Urgency, s.EstimateS, s.DeadlineS = protocol.Urgency(rng.IntN(4)), float64(1+rng.IntN(9)), float64(rng.IntN(3)*50)
@@ -240,7 +242,7 @@
 					s.Dependencies = append(s.Dependencies, fmt.Sprintf("job-%d", d))
 				}
 			}
-			all[i] = &Job{Spec: s, SubmittedAt: now}
+			all[i] = &cluster.Job{Spec: s, SubmittedAt: now}
 		}
 		// A listing brings jobs in any order; endings come in between.
 		order := rng.Perm(n)
@@ -283,7 +285,7 @@
 	}
 }
 
-func checkGraph(t *testing.T, seed uint64, g *DependencyGraph, all []*Job, jobs map[string]*Job, finals map[string]string) {
+func checkGraph(t *testing.T, seed uint64, g *cluster.DependencyGraph, all []*cluster.Job, jobs map[string]*cluster.Job, finals map[string]string) {
 	t.Helper()
 	doomed, blocked := map[string]bool{}, map[string]bool{}
 	for _, j := range all { // dependencies come before dependents
@@ -449,7 +451,7 @@
 		w.mu.Lock()
 		w.state.Stuck = true
 		w.mu.Unlock()
-		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.staleLimit() - time.Second) })
+		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.StaleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a controller that is behind gets %d", got)
 		}
@@ -584,7 +586,7 @@
 		other.Image, other.EstimateS = "other", 600
 		running := c.take(other)
 		for task := range 2 {
-			busy.Attempts[fmt.Sprint(task)] = &Attempt{Job: running, TaskIndex: task, Machine: busy, Epoch: 1, State: AttemptConfirmed}
+			busy.Attempts[fmt.Sprint(task)] = &cluster.Attempt{Job: running, TaskIndex: task, Machine: busy, Epoch: 1, State: cluster.AttemptConfirmed}
 		}
 		busy.RecountUsed()
 		delete(c.Jobs, "job-1")
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -1,6 +1,10 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/peering"
+
 	"bytes"
 	"context"
 	"crypto/ed25519"
@@ -63,9 +67,9 @@
 	return k
 }
 
-func (k *clerks) identities(label string) Identities {
+func (k *clerks) identities(label string) auth.Identities {
 	ring := k.keyrings[label]
-	return Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
+	return auth.Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
 		Signer: func() audit.Signer {
 			key, cert := ring.Signer()
 			return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
@@ -328,7 +332,7 @@
 			before := w.state.Served
 			w.mu.Unlock()
 			answers := ""
-			for range 3 * unknownJobBurst {
+			for range 3 * auth.UnknownJobBurst {
 				resp := w.as("service/refunds", "n0", "GET", "/submissions/"+id, nil)
 				answers += fmt.Sprintf("%d %q %d;", resp.Status, resp.Body, resp.RetryAfter)
 			}
@@ -336,7 +340,7 @@
 			read := w.state.Served - before
 			w.mu.Unlock()
 			seen[id] = answers
-			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < unknownJobBurst) {
+			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < auth.UnknownJobBurst) {
 				t.Errorf("%s: %d reads, %s", id, read, answers)
 			}
 		}
@@ -804,7 +808,7 @@
 	var before, after runtime.MemStats
 	for b.Loop() {
 		c := newTestController(b.Context(), &newWorld(b, 1).set, settings.DefaultOperator())
-		must(c.Identify(Identities{}))
+		must(c.Identify(auth.Identities{}))
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range 1000 {
@@ -835,7 +839,7 @@
 		summary := func(cert, from string) int {
 			body, err := proto.Marshal(&peer.Summary{From: from})
 			must(err)
-			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: SummaryPath, Peer: w.ids.certificate(cert), Body: body}).Status
+			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: w.ids.certificate(cert), Body: body}).Status
 		}
 		for what, tc := range map[string]struct{ got, refused int }{
 			"another machine":        {report("worker/m-9", "m-1"), 403},
@@ -845,8 +849,8 @@
 			"a machine as a peer":    {summary("worker/any", "n1"), 403},
 			"a stranger as a peer":   {summary("controller/n9", "n9"), 403},
 			"nobody's report":        {n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
-			"nobody's summary":       {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: SummaryPath}).Status, 401},
-			"nobody's fleet request": {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: MachineRequestPath}).Status, 401},
+			"nobody's summary":       {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
+			"nobody's fleet request": {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
 		} {
 			if tc.got != tc.refused {
 				t.Errorf("%s: %d, want %d", what, tc.got, tc.refused)
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -1,6 +1,9 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peering"
+
 	"fmt"
 	"maps"
 	"math"
@@ -243,18 +246,18 @@
 		check := func(what string, want float64) {
 			t.Helper()
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]]
-			for _, g := range []int{TeamGroup(c.TeamIndex["red"]), c.scheduler.ClassGroups["c"]} {
+			for _, g := range []int{cluster.TeamGroup(c.TeamIndex["red"]), c.scheduler.ClassGroups["c"]} {
 				if got := p.DoneTallies[g].Value(now); math.Abs(got-want) > 0.01 {
 					t.Errorf("%s: %v of group %d done, want %v", what, got, g, want)
 				}
 			}
 		}
-		c.watcher.applyListing(items, 3)
+		c.watcher.ApplyListing(items, 3)
 		check("listed", 1+1/math.E)
-		c.watcher.applyListing(items, 3)
+		c.watcher.ApplyListing(items, 3)
 		check("listed again", 1+1/math.E)
 		for range 2 {
-			c.watcher.applyEvent(protocol.Event{Put: storage.FinalKey("job-4"), Version: 4,
+			c.watcher.ApplyEvent(protocol.Event{Put: storage.FinalKey("job-4"), Version: 4,
 				Value: storage.Encode(storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
 		}
 		check("followed", 2+1/math.E)
@@ -265,15 +268,15 @@
 // only: what is behind must be in it, yet not be all of it.
 func TestDemandsOfWhatIsBehindComeFirst(t *testing.T) {
 	t.Parallel()
-	behindMost := demandsMin / starvedDemandsShare
-	var list []*Job
+	behindMost := peering.DemandsMin / peering.StarvedDemandsShare
+	var list []*cluster.Job
 	for i := range 300 {
-		list = append(list, &Job{ClassGroup: 7, Pending: []int{i}})
+		list = append(list, &cluster.Job{ClassGroup: 7, Pending: []int{i}})
 	}
 	for range 100 {
-		list = append(list, &Job{ClassGroup: 8, Pending: []int{1}})
+		list = append(list, &cluster.Job{ClassGroup: 8, Pending: []int{1}})
 	}
-	f := &FairShareState{}
+	f := &cluster.FairShareState{}
 	if got := f.StarvedFirst(list, behindMost); !slices.Equal(got, list) {
 		t.Error("another order though nothing is behind")
 	}
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -1,6 +1,9 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/replication"
+
 	"context"
 	"fmt"
 	"maps"
@@ -35,7 +38,7 @@
 func (w *world) standbyOf(part int) (label string) {
 	for _, l := range []string{"n0", "n1", "n2"} {
 		w.in(l, func(c *Controller) {
-			if fo := c.replicator.replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.NamedStandby(c.Partitions[part]) == l {
+			if fo := c.replicator.Replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.NamedStandby(c.Partitions[part]) == l {
 				label = l
 			}
 		})
@@ -44,14 +47,14 @@
 }
 
 // state is what an owner holds of a part, for comparing.
-func (c *Controller) state(p *Partition) map[string]string {
+func (c *Controller) state(p *cluster.Partition) map[string]string {
 	out := map[string]string{}
 	for id, j := range c.Jobs {
 		if j.Partition != p.Index {
 			continue
 		}
 		for t, a := range j.LiveAttempts {
-			out[a.TaskName()] = fmt.Sprint("live ", a.Number, a.Machine.Name, a.Epoch, a.State, a.Machine.Attempts[AttemptKey(a.TaskName(), a.Number)] == a, a.Job == j, t == a.TaskIndex)
+			out[a.TaskName()] = fmt.Sprint("live ", a.Number, a.Machine.Name, a.Epoch, a.State, a.Machine.Attempts[cluster.AttemptKey(a.TaskName(), a.Number)] == a, a.Job == j, t == a.TaskIndex)
 		}
 		for i, ch := range j.Chunks {
 			out[fmt.Sprint(id, " chunk ", i)] = fmt.Sprint(ch.Index, ch.Revision, ch.LastNumber, ch.Dirty, j.RecordsChanged)
@@ -79,7 +82,7 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		var two [2]*Controller
-		var p [2]*Partition
+		var p [2]*cluster.Partition
 		for i := range two {
 			two[i], p[i] = owner(t)
 		}
@@ -138,20 +141,20 @@
 		for range 20 {
 			write()
 		}
-		warm, cold := newReplica(index, time.Now()), newReplica(index, time.Now())
-		warm.startFrom(complain, listing(), rev, time.Now())
+		warm, cold := replication.NewReplica(index, time.Now()), replication.NewReplica(index, time.Now())
+		warm.StartFrom(complain, listing(), rev, time.Now())
 		at := rev
 		for range 30 {
 			from := len(events)
 			for range rng.IntN(5) {
 				write()
 			}
-			if !warm.apply(complain, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
+			if !warm.Apply(complain, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
 				t.Fatal("a gap")
 			}
 			at = rev
 		}
-		cold.startFrom(complain, listing(), rev, time.Now())
+		cold.StartFrom(complain, listing(), rev, time.Now())
 		if seed%3 == 0 {
 			for _, c := range two {
 				c.jobs.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
@@ -162,8 +165,8 @@
 				m.PendingCommands = 1 // nothing is sent here
 			}
 		}
-		two[0].takeover.install(p[0], warm, nil, true)
-		two[1].takeover.install(p[1], cold, nil, false)
+		two[0].takeover.Install(p[0], warm, nil, true)
+		two[1].takeover.Install(p[1], cold, nil, false)
 		a, b := two[0].state(p[0]), two[1].state(p[1])
 		for k := range b {
 			if a[k] != b[k] {
@@ -412,15 +415,15 @@
 // it decides.
 func TestWrongCopyIsFoundBeforeItDecides(t *testing.T) {
 	t.Parallel()
-	for i, spoil := range []func(fo *Replica, key string){
-		func(fo *Replica, key string) { // an attempt is missing
+	for i, spoil := range []func(fo *replication.Replica, key string){
+		func(fo *replication.Replica, key string) { // an attempt is missing
 			for k, r := range fo.Records.All {
 				if k == key {
 					r.Value.Live = r.Value.Live[1:]
 				}
 			}
 		},
-		func(fo *Replica, key string) { // a change got lost
+		func(fo *replication.Replica, key string) { // a change got lost
 			for k, r := range fo.Records.All {
 				if k == key {
 					*r.Value = storage.RunRecord{Last: 1}
@@ -434,7 +437,7 @@
 			lost, next := w.owns(0), w.standbyOf(0)
 			key := ""
 			w.in(next, func(c *Controller) {
-				fo := c.replicator.replicas[0]
+				fo := c.replicator.Replicas[0]
 				for k, r := range fo.Records.All {
 					if len(r.Value.Live) > 0 {
 						key = k
@@ -447,9 +450,9 @@
 			}
 			time.Sleep(12 * time.Second) // two samples of this part
 			w.in(next, func(c *Controller) {
-				fo := c.replicator.replicas[0]
-				if c.replicator.mismatches != 1 || fo == nil || fo.Records.Revision() == 0 {
-					t.Errorf("%d: found %d times", i, c.replicator.mismatches)
+				fo := c.replicator.Replicas[0]
+				if c.replicator.Mismatches != 1 || fo == nil || fo.Records.Revision() == 0 {
+					t.Errorf("%d: found %d times", i, c.replicator.Mismatches)
 				}
 			})
 			w.kill(lost)
@@ -483,7 +486,7 @@
 		},
 		"reading anew": func(target string, _ []byte) bool { return strings.HasPrefix(target, "/store?") },
 		"fencing":      func(target string, _ []byte) bool { return target == "/orders" },
-		"tale":         func(target string, _ []byte) bool { return target == UpdatePath },
+		"tale":         func(target string, _ []byte) bool { return target == replication.UpdatePath },
 		"life":         func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
 	}
 	faults := map[string]func(w *world, label string){
@@ -785,9 +788,9 @@
 func TestTaleIsToldInOrder(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	var h ReceivedUpdates
-	began := map[AttemptID]time.Time{}
-	told := func(k AttemptID, at time.Time) { began[k] = at }
+	var h replication.ReceivedUpdates
+	began := map[replication.AttemptID]time.Time{}
+	told := func(k replication.AttemptID, at time.Time) { began[k] = at }
 	say := func(claim, since, upto uint64, job string) uint64 {
 		return h.Apply(&peer.Tale{From: "n0", Nonce: "x", Claim: claim, Since: since, Upto: upto,
 			Attempts: []*peer.AttemptTale{{Job: job, Attempt: 1, RanS: 2}}}, told, now)
@@ -809,7 +812,7 @@
 		if got := say(c.claim, c.since, c.upto, job); got != c.want {
 			t.Errorf("%d: known up to %d, want %d", i, got, c.want)
 		}
-		if at, took := began[AttemptID{job, 0, 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
+		if at, took := began[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
 			t.Errorf("%d: taken in %v, began %s ago", i, took, now.Sub(at))
 		}
 	}
@@ -826,24 +829,24 @@
 		j.LiveAttempts[task].StartedAt = now
 	}
 	p.Standby = "n1"
-	fo, messages := newReplica(p.Index, now), 0
-	fo.Derived.Jobs["job-1"] = &ReplicaJob{live: map[int]*Attempt{}}
+	fo, messages := replication.NewReplica(p.Index, now), 0
+	fo.Derived.Jobs["job-1"] = &replication.ReplicaJob{Live: map[int]*cluster.Attempt{}}
 	for task := range tasks {
-		fo.Derived.Jobs["job-1"].live[task] = &Attempt{TaskIndex: task, Number: 1}
+		fo.Derived.Jobs["job-1"].Live[task] = &cluster.Attempt{TaskIndex: task, Number: 1}
 	}
-	for ; fo.Derived.knownStarts() < tasks && messages < 10; messages++ {
-		raw, err := proto.Marshal(c.replicator.partitionUpdate(p, now))
-		if err != nil || len(raw) > updateBytesLimit+entryOverheadBytes {
+	for ; fo.Derived.KnownStarts() < tasks && messages < 10; messages++ {
+		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
+		if err != nil || len(raw) > replication.UpdateBytesLimit+replication.EntryOverheadBytes {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		msg := new(peer.Tale)
 		must(proto.Unmarshal(raw, msg))
-		p.Replication.Acknowledged = fo.Updates.Apply(msg, fo.Derived.noteStart, now)
+		p.Replication.Acknowledged = fo.Updates.Apply(msg, fo.Derived.NoteStart, now)
 	}
 	if messages != 3 || len(fo.Updates.Machines) != machines {
-		t.Errorf("%d messages told %d attempts and %d machines", messages, fo.Derived.knownStarts(), len(fo.Updates.Machines))
+		t.Errorf("%d messages told %d attempts and %d machines", messages, fo.Derived.KnownStarts(), len(fo.Updates.Machines))
 	}
-	if again := c.replicator.partitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
+	if again := c.replicator.PartitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
 		t.Errorf("told again: %d attempts, %d machines", len(again.Attempts), len(again.Machines))
 	}
 }
@@ -890,8 +893,8 @@
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
 	told := func(named string, follows, copies bool) {
-		c.Peers["n1"] = &Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Parts: []*peer.PartSummary{{Part: uint32(p.Index), Standby: named}}}}
-		c.Peers["n2"] = &Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Copies: copies}}
+		c.Peers["n1"] = &cluster.Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Parts: []*peer.PartSummary{{Part: uint32(p.Index), Standby: named}}}}
+		c.Peers["n2"] = &cluster.Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Copies: copies}}
 		if follows {
 			c.Peers["n2"].Summary.Follows = []*peer.Follow{{Part: uint32(p.Index), Revision: 4}}
 		}
@@ -944,16 +947,16 @@
 	j, now := c.Jobs["job-1"], time.Now()
 	c.scheduler.Reserve(p, j, 0, 1, m, now)
 	a := j.LiveAttempts[0]
-	a.State, a.Inherited = AttemptCommitted, true
-	if !c.replicator.ApplyStart(p, AttemptID{"job-1", 0, 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, AttemptID{"job-1", 0, 2}, now) {
+	a.State, a.Inherited = cluster.AttemptCommitted, true
+	if !c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 2}, now) {
 		t.Error("told of this attempt and of another")
 	}
-	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != AttemptCommitted || a.RunningS(now) != 20 {
+	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunningS(now) != 20 {
 		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
 	}
 	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
-	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != AttemptConfirmed {
+	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != cluster.AttemptConfirmed {
 		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
 	}
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -1,6 +1,12 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/peering"
+	"micaspindle/internal/coordination/proxy"
+	"micaspindle/internal/coordination/replication"
+
 	"testing"
 
 	"micaspindle/internal/settings"
@@ -10,12 +16,12 @@
 // The paths between controllers stay as they are.
 func TestGoldenPeerPaths(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
-		{"summary", SummaryPath, "/peer/summary"},
-		{"fleet request", MachineRequestPath, "/peer/fleet"},
-		{"tale", UpdatePath, "/peer/tale"},
-		{"recall", StateTransferPath, "/peer/recall"},
-		{"carry", DelegationPath, "/peer/carry"},
-		{"relay", ForwardPath, "/peer/relay"},
+		{"summary", peering.SummaryPath, "/peer/summary"},
+		{"fleet request", peerapi.MachineRequestPath, "/peer/fleet"},
+		{"tale", replication.UpdatePath, "/peer/tale"},
+		{"recall", replication.StateTransferPath, "/peer/recall"},
+		{"carry", proxy.DelegationPath, "/peer/carry"},
+		{"relay", proxy.ForwardPath, "/peer/relay"},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: path %q, want %q", tc.name, tc.got, tc.want)
@@ -28,7 +34,7 @@
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
 	ctx, c := t.Context(), newTestController(t.Context(), &newWorld(t, 1).set, settings.DefaultOperator())
-	must(c.Identify(Identities{}))
+	must(c.Identify(auth.Identities{}))
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -1,6 +1,9 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/agents"
+	"micaspindle/internal/coordination/cluster"
+
 	"context"
 	"fmt"
 	"testing"
@@ -185,11 +188,11 @@
 				c.agents.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
 				m := c.Machines[name]
 				m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
-				j := &Job{Spec: spec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
+				j := &cluster.Job{Spec: spec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
 				j.Load()
-				a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptConfirmed, Stopping: true, StopRequestedAt: time.Now()}
+				a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed, Stopping: true, StopRequestedAt: time.Now()}
 				j.LiveAttempts[0] = a
-				m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+				m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
 				c.agents.SendCommands(m)
 			}
 		})
@@ -201,20 +204,20 @@
 				for _, m := range c.Machines {
 					extra += max(0, m.PendingCommands-1)
 				}
-				if extra != c.agents.repeatedCommands {
-					t.Errorf("%d orders beside others, counted %d", extra, c.agents.repeatedCommands)
+				if extra != c.agents.RepeatedCommands {
+					t.Errorf("%d orders beside others, counted %d", extra, c.agents.RepeatedCommands)
 				}
 				most = max(most, extra)
 			})
 		}
 		c.loop.Do(func() { clear(c.Machines) })
-		time.Sleep(2 * CommandTimeout)
+		time.Sleep(2 * agents.CommandTimeout)
 		c.loop.Do(func() {
-			if c.agents.repeatedCommands != 0 {
-				t.Errorf("%d repeats are left", c.agents.repeatedCommands)
+			if c.agents.RepeatedCommands != 0 {
+				t.Errorf("%d repeats are left", c.agents.RepeatedCommands)
 			}
 		})
-		if limit := max(repeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/repeatedCommandsSocketShare); most != limit {
+		if limit := max(agents.RepeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/agents.RepeatedCommandsSocketShare); most != limit {
 			t.Errorf("at most %d orders beside others, want %d", most, limit)
 		}
 		stop()
@@ -237,7 +240,7 @@
 		defer end()
 		for status, mayCome := range map[int]bool{200: true, 400: false, 409: false, 500: true, 503: true, 504: true} {
 			setNetwork(c, answeringNet{status})
-			r, sent, err := c.agents.postCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
+			r, sent, err := c.agents.PostCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
 				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
 			}
--- a/internal/coordination/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -1,4 +1,4 @@
-package coordination
+package lease
 
 import (
 	"context"
@@ -11,17 +11,16 @@
 )
 
 // quietFor is how long a planned end waits for answers to orders and commits.
-const (
-	drainTimeout      = 150 * time.Millisecond
-	drainPollInterval = 5 * time.Millisecond
-)
+const drainTimeout = 150 * time.Millisecond
+
+const drainPollInterval = 5 * time.Millisecond
 
 // HandOver gives what this controller has to whoever is to take it over, ahead of a
 // planned end: it starts nothing more, has orders and commits answered, answers nobody
 // any more, and only then lets its claims go, in this order (36). Each step is bounded,
 // and to end in the middle of it is a loss like any other. Where nobody can take over it
 // merely ends: its next life takes its claims back at once.
-func (lh *LeaseHolder) HandOver(ctx context.Context) {
+func (lh *Holder) HandOver(ctx context.Context) {
 	begun := time.Now()
 	able := false
 	lh.loop.Do(func() {
@@ -67,7 +66,7 @@
 }
 
 // Busy says whether answers to orders or commits of own parts are waited for.
-func (lh *LeaseHolder) Busy() bool {
+func (lh *Holder) Busy() bool {
 	for _, p := range lh.Partitions {
 		if p.Held && p.Committing {
 			return true
--- a/internal/coordination/claims.go
+++ b/internal/coordination/lease/holder.go
@@ -1,46 +1,24 @@
-package coordination
+package lease
 
 import (
 	"context"
 	"errors"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/delegation"
-	"micaspindle/internal/coordination/fairshare"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 )
 
-// AnswerBound is for how long a controller goes on answering its workers after the
-// last moment up to which it was informed, so that their tasks survive an outage of the
-// state service, yet one that is withdrawn elsewhere is gone within cancel_s (12, 42).
-func (s *State) AnswerBound() time.Duration {
-	return max(0, s.CancelBound-s.AgentLease-2*ClockMargin)
-}
-
-// InformedAt is the moment up to which this controller provably knows every withdrawal
-// that any user was told of, and held its claims. A renewal alone does not show the
-// first: it may come through while the watch brings nothing (42).
-func (s *State) InformedAt() time.Time {
-	if s.RecordsAsOf.Before(s.LeaseRenewedAt) {
-		return s.RecordsAsOf
-	}
-	return s.LeaseRenewedAt
-}
-
-// MayAnswer says whether the controller may answer the workers of a part.
-func (s *State) MayAnswer(p *Partition, now time.Time) bool {
-	return p.Held && now.Sub(s.InformedAt()) < s.AnswerBound()
-}
-
 // acquireInterval is how often a controller looks whether there is something to
 // claim, so that an orphan waits for its pause and not for a renewal.
 const acquireInterval = 250 * time.Millisecond
 
 // RenewLoop keeps the lease that all claims of this process hang on, and
 // claims what it should.
-func (lh *LeaseHolder) RenewLoop() {
+func (lh *Holder) RenewLoop() {
 	var next time.Time
 	for {
 		if now := time.Now(); !now.Before(next) {
@@ -60,7 +38,7 @@
 }
 
 // renew says whether the state service took the request; if not, it is repeated soon.
-func (lh *LeaseHolder) renew() bool {
+func (lh *Holder) renew() bool {
 	var lease uint64
 	if !lh.loop.Do(func() { lease = lh.LeaseID }) {
 		return true
@@ -86,7 +64,7 @@
 }
 
 // acquireWanted claims what this controller wants, while its lease is alive.
-func (lh *LeaseHolder) acquireWanted() {
+func (lh *Holder) acquireWanted() {
 	type wish struct {
 		key     string
 		version uint64
@@ -126,7 +104,7 @@
 
 // acquireLease tries to take a claim that is free or held by this controller's former
 // life. An unanswered attempt shows in the watch, where the nonce tells it.
-func (lh *LeaseHolder) acquireLease(key string, version, lease uint64) {
+func (lh *Holder) acquireLease(key string, version, lease uint64) {
 	value := storage.Encode(storage.Lease{Holder: lh.Settings.Label, Nonce: lh.Nonce})
 	rev, err := lh.store.CommitLease(lh.loop.Context(), &protocol.Transaction{
 		If:   []protocol.Condition{{Key: key, Version: version}},
@@ -140,7 +118,7 @@
 		lh.log.Debug("claim failed", "key", key, "reason", err)
 		return
 	}
-	lh.loop.Do(func() { lh.watcher.applyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
+	lh.loop.Do(func() { lh.watcher.ApplyEvent(protocol.Event{Put: key, Value: value, Version: rev}) })
 }
 
 // SettleTime is how long a controller must have been heard, and a part have had
@@ -157,7 +135,7 @@
 // it still answers workers, its answers would outlast the bound that the next
 // owner counts on (8, 12). If the end goes unrecorded, the part is claimed
 // again like one of a former life.
-func (lh *LeaseHolder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
+func (lh *Holder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
 	rev, err := lh.store.CommitLease(ctx, txn)
 	if err != nil {
 		lh.log.Info("claims not released", "reason", err)
@@ -165,14 +143,14 @@
 	}
 	lh.loop.Do(func() {
 		for _, ch := range txn.Then {
-			lh.watcher.applyEvent(protocol.Event{Put: ch.Put, Delete: ch.Delete, Value: ch.Value, Version: rev})
+			lh.watcher.ApplyEvent(protocol.Event{Put: ch.Put, Delete: ch.Delete, Value: ch.Value, Version: rev})
 		}
 	})
 	return true
 }
 
 // ApplyLease follows who owns a part.
-func (lh *LeaseHolder) ApplyLease(p *Partition, e protocol.Event, now time.Time) {
+func (lh *Holder) ApplyLease(p *cluster.Partition, e protocol.Event, now time.Time) {
 	if e.Version < p.LeaseRevision || e.Put != "" && e.Version == p.LeaseRevision {
 		return
 	}
@@ -200,17 +178,17 @@
 }
 
 // LosePartition stops acting for a part.
-func (lh *LeaseHolder) LosePartition(p *Partition, reason string) {
+func (lh *Holder) LosePartition(p *cluster.Partition, reason string) {
 	if !p.Held {
 		return
 	}
 	lh.log.Info("part lost", "part", p.Index, "reason", reason)
-	p.Held, p.Ready, p.FairShare = false, false, FairShareState{}
+	p.Held, p.Ready, p.FairShare = false, false, cluster.FairShareState{}
 	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), delegation.Ledger{}
 	lh.ClearPartition(p)
 }
 
-func (lh *LeaseHolder) ClearPartition(p *Partition) {
+func (lh *Holder) ClearPartition(p *cluster.Partition) {
 	p.Cleared = true
 	clear(p.Usage)
 	for id, j := range lh.Jobs {
@@ -228,17 +206,7 @@
 	}
 }
 
-// Reset forgets what only the machine's owner may believe.
-func (m *Machine) Reset() {
-	if len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 {
-		m.Attempts, m.OrphanedTasks = map[string]*Attempt{}, map[string]protocol.TaskReport{}
-	}
-	m.Fenced, m.Lost, m.Moving, m.HasReported, m.TokenRaiseBy = false, false, false, false, time.Time{}
-	m.RetiringSince, m.ReservedFor, m.ReplicationSeq = time.Time{}, fairshare.NoGroup, 0
-	m.RecountUsed()
-}
-
-func (lh *LeaseHolder) loseAll(reason string) {
+func (lh *Holder) loseAll(reason string) {
 	lh.LeaseID = 0
 	for _, p := range lh.Partitions {
 		lh.LosePartition(p, reason)
@@ -249,7 +217,7 @@
 // CheckReachability gives parts up that this controller can't serve: when none of
 // its workers has been heard for several report periods while other
 // controllers hear them, it is cut off from the workers and must let go (11).
-func (lh *LeaseHolder) CheckReachability(now time.Time) {
+func (lh *Holder) CheckReachability(now time.Time) {
 	silence := max(3*lh.HeartbeatInterval, 4*time.Second)
 	for _, ps := range lh.Peers {
 		if !ps.Alive(now) {
--- a/internal/coordination/succession.go
+++ b/internal/coordination/lease/incarnations.go
@@ -1,4 +1,4 @@
-package coordination
+package lease
 
 import (
 	"context"
@@ -7,51 +7,53 @@
 	"slices"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/delegation"
 	"micaspindle/internal/coordination/failover"
+	"micaspindle/internal/coordination/peering"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
 
-// LeaseHolder acquires, renews, hands over and loses the leases of partitions and of the
+// Holder acquires, renews, hands over and loses the leases of partitions and of the
 // cluster's leadership, and knows the incarnations of all controllers.
-type LeaseHolder struct {
-	*State
+type Holder struct {
+	*cluster.State
 	loop    *eventloop.Loop
 	store   *storage.Store
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 
-	autoscaler *Autoscaler
-	replicator *Replicator
-	takeover   *Takeover
-	watcher    *Watcher
+	autoscaler Autoscaler
+	replicator Replicator
+	takeover   Takeover
+	watcher    Records
 
 	incarnations map[string]incarnationRecord
-	// endedIncarnations is when an incarnation was proven to be over, by the record of a
+	// EndedIncarnations is when an incarnation was proven to be over, by the record of a
 	// later one.
-	endedIncarnations map[incarnationID]time.Time
+	EndedIncarnations map[IncarnationID]time.Time
 	// announcedLease is the lease that this controller's own record names.
 	announcedLease uint64
 }
 
-// NewLeaseHolder makes one without collaborators.
-func NewLeaseHolder(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *LeaseHolder {
-	return &LeaseHolder{State: state, loop: loop, store: store, log: log,
-		incarnations: map[string]incarnationRecord{}, endedIncarnations: map[incarnationID]time.Time{}}
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Holder {
+	return &Holder{State: state, loop: loop, store: store, log: log,
+		incarnations: map[string]incarnationRecord{}, EndedIncarnations: map[IncarnationID]time.Time{}}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (lh *LeaseHolder) Connect(autoscaler *Autoscaler, replicator *Replicator, takeover *Takeover, watcher *Watcher) {
+func (lh *Holder) Connect(autoscaler Autoscaler, replicator Replicator, takeover Takeover, watcher Records) {
 	lh.autoscaler, lh.replicator, lh.takeover, lh.watcher = autoscaler, replicator, takeover, watcher
 }
 
 // Observe makes it measure itself, before the loop starts.
-func (lh *LeaseHolder) Observe(m *telemetry.Metrics) { lh.metrics = m }
+func (lh *Holder) Observe(m *telemetry.Metrics) { lh.metrics = m }
 
-type incarnationID struct{ label, nonce string }
+type IncarnationID struct{ Label, Nonce string }
 
 // incarnationRecord is the newest record of a controller's life.
 type incarnationRecord struct {
@@ -62,7 +64,7 @@
 // announceIncarnation records this life with its lease, which must come before any claim: records
 // of lives follow one another by their stamps, so that one with another nonce proves
 // that the one before is over (34). It says whether the record names the lease.
-func (lh *LeaseHolder) announceIncarnation(lease uint64) bool {
+func (lh *Holder) announceIncarnation(lease uint64) bool {
 	var txn *protocol.Transaction
 	done, ready := false, false
 	key := storage.IncarnationKey(lh.Settings.Label)
@@ -104,7 +106,7 @@
 }
 
 // ApplyIncarnation follows the record of a controller's life.
-func (lh *LeaseHolder) ApplyIncarnation(label string, e protocol.Event) {
+func (lh *Holder) ApplyIncarnation(label string, e protocol.Event) {
 	was := lh.incarnations[label]
 	if e.Delete != "" || e.Version <= was.revision {
 		return
@@ -132,12 +134,12 @@
 	if was.Nonce == "" || was.Nonce == rec.Nonce {
 		return
 	}
-	for name, at := range lh.endedIncarnations {
+	for name, at := range lh.EndedIncarnations {
 		if now.Sub(at) > time.Hour { // whoever it answered is long free of it
-			delete(lh.endedIncarnations, name)
+			delete(lh.EndedIncarnations, name)
 		}
 	}
-	lh.endedIncarnations[incarnationID{label, was.Nonce}] = now.Add(delegation.GrantDuration) // its carriers may go on for that long
+	lh.EndedIncarnations[IncarnationID{Label: label, Nonce: was.Nonce}] = now.Add(delegation.GrantDuration) // its carriers may go on for that long
 	lh.log.Info("a former life is over", "controller", label)
 	for _, p := range lh.Partitions {
 		if p.Held && p.Ready {
@@ -152,7 +154,7 @@
 // releaseTransaction is the transaction by which this controller gives claims up after it has
 // stopped acting under them: with it, its life's record says so. leader is the revision of
 // its claim to lead, if that goes too.
-func (lh *LeaseHolder) releaseTransaction(parts []storage.ReleasedLease, leader uint64) *protocol.Transaction {
+func (lh *Holder) releaseTransaction(parts []storage.ReleasedLease, leader uint64) *protocol.Transaction {
 	life, own := storage.IncarnationKey(lh.Settings.Label), lh.incarnations[lh.Settings.Label]
 	txn := &protocol.Transaction{}
 	drop := func(key string, version uint64) {
@@ -175,8 +177,10 @@
 
 // LastAnswerBound is the latest moment at which anybody but this controller may have
 // answered a machine of a part.
-func (lh *LeaseHolder) LastAnswerBound(p *Partition, m *Machine) time.Time {
-	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time { return lh.endedIncarnations[incarnationID{label, nonce}] })
+func (lh *Holder) LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time {
+	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time {
+		return lh.EndedIncarnations[IncarnationID{Label: label, Nonce: nonce}]
+	})
 	if m.FormerLeaderBound.After(until) {
 		until = m.FormerLeaderBound
 	}
@@ -184,7 +188,7 @@
 }
 
 // shortenBounds counts silent machines' leases from what is proven by now.
-func (lh *LeaseHolder) shortenBounds(p *Partition, now time.Time) {
+func (lh *Holder) shortenBounds(p *cluster.Partition, now time.Time) {
 	for _, m := range lh.Machines {
 		if m.Record.Partition != p.Index || !m.AnsweredUntil.After(now) {
 			continue
@@ -200,7 +204,7 @@
 
 // noteFormerLeader notes that a part's owner is not its owner any more: it may go on answering
 // workers for as long after its last renewal as rule 12 lets it.
-func (lh *LeaseHolder) noteFormerLeader(p *Partition, now time.Time) {
+func (lh *Holder) noteFormerLeader(p *cluster.Partition, now time.Time) {
 	a := failover.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(lh.AnswerBound())}
 	if a.Label == lh.Settings.Label && a.Nonce == lh.Nonce {
 		// This one stopped when it lost the part, its carriers when their grants end.
@@ -218,7 +222,7 @@
 }
 
 // NoteMissedLeaders notes that owners may have come and gone unseen before a listing.
-func (lh *LeaseHolder) NoteMissedLeaders(now time.Time) {
+func (lh *Holder) NoteMissedLeaders(now time.Time) {
 	for _, p := range lh.Partitions {
 		p.FormerAnswerers = slices.DeleteFunc(stillAnswering(p.FormerAnswerers, now), func(a failover.FormerLeader) bool { return a.Label == "" })
 		p.FormerAnswerers = append(p.FormerAnswerers, failover.FormerLeader{AnswersUntil: now.Add(lh.AnswerBound())})
@@ -238,7 +242,7 @@
 
 // NoteDiverted notes that a machine's worker came here though its home is another: with
 // others, and with the other's silence, it shows that the other is gone.
-func (lh *LeaseHolder) NoteDiverted(home, machine string, now time.Time) {
+func (lh *Holder) NoteDiverted(home, machine string, now time.Time) {
 	ps := lh.Peers[home]
 	if ps == nil || !ps.ReportingMachines[machine] {
 		return
@@ -254,9 +258,9 @@
 // so that its claims end at once and not when the lease runs out. That is an earlier
 // end of the lease and nothing else: what it still writes fails on its claims, it
 // answers workers no longer than after any end, and its successor counts on as much (11).
-func (lh *LeaseHolder) RevokeIfDead(label string, ps *Peer, now time.Time) {
+func (lh *Holder) RevokeIfDead(label string, ps *cluster.Peer, now time.Time) {
 	l := lh.incarnations[label]
-	e := failover.Evidence{Silent: now.Sub(ps.HeardAt), Interval: SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
+	e := failover.Evidence{Silent: now.Sub(ps.HeardAt), Interval: peering.SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
 	if l.Lease == 0 || l.Lease == ps.RevokedLease || !e.Dead() || !lh.Synced || now.Sub(lh.LeaseRenewedAt) > lh.Operator.ClaimTTL/2 {
 		return
 	}
@@ -276,27 +280,3 @@
 		lh.store.RevokeLease(ctx, l.Lease)
 	})
 }
-
-// NoteReporting notes which machines report to a controller, as it says.
-func (ps *Peer) NoteReporting() {
-	if ps.ReportingMachines == nil {
-		ps.ReportingMachines = map[string]bool{}
-	}
-	clear(ps.ReportingMachines)
-	clear(ps.DivertedMachines)
-	for _, part := range ps.Summary.Parts {
-		// Those that others carry prove nothing: a carrier that doesn't hear the owner
-		// sends them away, and the owner may serve all the others.
-		var carried [delegation.ShardCount]bool
-		for _, k := range part.Carried {
-			for _, s := range k.Shares {
-				carried[s%delegation.ShardCount] = true
-			}
-		}
-		for _, m := range part.Machines {
-			if m.Heard && (len(part.Carried) == 0 || !carried[delegation.ShardOf(m.Name)]) {
-				ps.ReportingMachines[m.Name] = true
-			}
-		}
-	}
-}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -1,6 +1,13 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/peering"
+	"micaspindle/internal/coordination/proxy"
+	"micaspindle/internal/coordination/replication"
+	"micaspindle/internal/coordination/scheduler"
+
 	"bytes"
 	"context"
 	"fmt"
@@ -51,7 +58,7 @@
 	c.Observe()
 	setNetwork(c, nowhere{})
 	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeLimits, largeState
-	c.proxy.unsentLimit = unsentBytesLimit(largeLimits)
+	c.proxy.UnsentLimit = proxy.UnsentBytesLimit(largeLimits)
 	c.CancelBound = largeCancelS
 	c.Cancellations.SetLimit(largeCancelS, largeState)
 	now := time.Now()
@@ -71,7 +78,7 @@
 		for task := range largeEach {
 			c.scheduler.Reserve(p, j, task, 1, m, now)
 			a := j.LiveAttempts[task]
-			a.State, a.StartedAt, a.ReportedState = AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
+			a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
 		}
 		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeEach, false
 		for _, ch := range j.Chunks { // on record
@@ -84,7 +91,7 @@
 func largeMachine(i int) string { return fmt.Sprintf("machine-%06d", i) }
 
 // reportOf is what a machine's worker reports.
-func reportOf(c *Controller, m *Machine, sequence uint64) *protocol.Heartbeat {
+func reportOf(c *Controller, m *cluster.Machine, sequence uint64) *protocol.Heartbeat {
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Record.Addr, Type: "big", Zone: "a", Epoch: 1, Sequence: sequence, Token: c.Token(m)}
 	for _, a := range m.Attempts {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.TaskName(), Attempt: a.Number, State: protocol.TaskRunning})
@@ -119,7 +126,7 @@
 }
 
 // replica is a standby's copy of a part's records, as read from the store.
-func replica(c *Controller, p *Partition) *Replica {
+func replica(c *Controller, p *cluster.Partition) *replication.Replica {
 	var items []protocol.Item
 	for id, j := range c.Jobs {
 		if j.Partition != p.Index {
@@ -129,18 +136,18 @@
 			items = append(items, protocol.Item{Key: storage.RunKey(p.Index, id, ch.Index), Version: 5, Value: storage.Encode(j.RunRecord(ch))})
 		}
 	}
-	fo := newReplica(p.Index, time.Now())
-	fo.startFrom(c.log.Error, items, 5, time.Now())
+	fo := replication.NewReplica(p.Index, time.Now())
+	fo.StartFrom(c.log.Error, items, 5, time.Now())
 	return fo
 }
 
 // tellStandby tells a standby all that there is of a part, and says in how many messages.
-func tellStandby(t *testing.T, c *Controller, p *Partition, fo *Replica) (messages int) {
+func tellStandby(t *testing.T, c *Controller, p *cluster.Partition, fo *replication.Replica) (messages int) {
 	t.Helper()
 	for messages < 100 {
 		now := time.Now()
-		raw, err := proto.Marshal(c.replicator.partitionUpdate(p, now))
-		if err != nil || len(raw) > PeerBodyMin {
+		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
+		if err != nil || len(raw) > peerapi.BodyMin {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		told := new(peer.Tale)
@@ -149,7 +156,7 @@
 			break
 		}
 		messages++
-		p.Replication.Acknowledged = fo.Updates.Apply(told, fo.Derived.noteStart, now)
+		p.Replication.Acknowledged = fo.Updates.Apply(told, fo.Derived.NoteStart, now)
 	}
 	return messages
 }
@@ -209,8 +216,8 @@
 		c.UnregisteredMachines[name] = &peer.UnknownMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
 		c.DivertedMachines[name] = now
 	}
-	most := MaxPeerBody(largeLimits)
-	body := c.peering.encodeSummary(c.peering.OwnSummary(now))
+	most := peerapi.MaxBody(largeLimits)
+	body := c.peering.EncodeSummary(c.peering.OwnSummary(now))
 	sum := new(peer.Summary)
 	must(proto.Unmarshal(body, sum))
 	machines, demands := 0, 0
@@ -240,23 +247,23 @@
 		ps.Machines = append(ps.Machines, &peer.MachineStatus{Name: longName(i), Heard: true, Idle: true, IdleS: 1, Addr: "10.100.100.100:10000"})
 		sum.Strayed = append(sum.Strayed, longName(i))
 	}
-	for i := range demandsLimit(largeMachines) {
+	for i := range peering.DemandsLimit(largeMachines) {
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: 1, Gpus: 1, MemGb: 1, Types: []string{longName(i), longName(i)}, Zone: "a",
 			Spot: true, Count: 1000, WaitedS: 1, EstimateS: 1, SlackS: 1})
 	}
-	for i := range jobProgressLimit {
+	for i := range peering.JobProgressLimit {
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: longID(i), Done: 1000, Running: 1000})
 	}
-	for i := range c.Cancellations.limit {
+	for i := range c.Cancellations.Limit {
 		sum.Withdrawn = append(sum.Withdrawn, &peer.Withdrawn{Job: longID(i), AgeMs: 40_000})
 	}
 	sum.Parts = append(sum.Parts, ps)
-	body := c.peering.encodeSummary(sum)
-	if len(body) > MaxPeerBody(largeLimits) || len(sum.Jobs) != jobProgressLimit {
-		t.Errorf("%d bytes of %d, %d jobs", len(body), MaxPeerBody(largeLimits), len(sum.Jobs))
+	body := c.peering.EncodeSummary(sum)
+	if len(body) > peerapi.MaxBody(largeLimits) || len(sum.Jobs) != peering.JobProgressLimit {
+		t.Errorf("%d bytes of %d, %d jobs", len(body), peerapi.MaxBody(largeLimits), len(sum.Jobs))
 	}
 	wantMet(t, c)
-	t.Logf("summary at its worst: %d bytes of %d", len(body), MaxPeerBody(largeLimits))
+	t.Logf("summary at its worst: %d bytes of %d", len(body), peerapi.MaxBody(largeLimits))
 }
 
 func replicaOfALargeFleet(t *testing.T, c *Controller) {
@@ -273,15 +280,15 @@
 		if messages > standbySeconds {
 			t.Errorf("part %d: %d messages, one a second", p.Index, messages)
 		}
-		attempts, machines = attempts+fo.Derived.knownStarts(), machines+len(fo.Updates.Machines)
-		recalled, whole := fo.stateTransfer(time.Now())
+		attempts, machines = attempts+fo.Derived.KnownStarts(), machines+len(fo.Updates.Machines)
+		recalled, whole := fo.StateTransfer(time.Now())
 		raw, err := proto.Marshal(recalled)
-		if err != nil || !whole || len(raw) > stateTransferBytesLimit || len(recalled.Attempts) != fo.Derived.knownStarts() || len(recalled.Machines) != len(fo.Updates.Machines) {
+		if err != nil || !whole || len(raw) > replication.StateTransferBytesLimit || len(recalled.Attempts) != fo.Derived.KnownStarts() || len(recalled.Machines) != len(fo.Updates.Machines) {
 			t.Errorf("recalled in %d bytes, whole %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
 		}
 		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.Index, len(fo.Updates.Machines), messages, len(raw))
 		c.leases.ClearPartition(p) // the standby never owned it
-		c.takeover.install(p, fo, nil, true)
+		c.takeover.Install(p, fo, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
 		t.Errorf("the standby knows %d starts and %d machines", attempts, machines)
@@ -300,14 +307,14 @@
 }
 
 func startsAheadOfTheirRecords(t *testing.T, c *Controller) {
-	fo := newReplica(0, time.Now())
+	fo := replication.NewReplica(0, time.Now())
 	for id, j := range c.Jobs {
 		for task := range j.LiveAttempts {
-			fo.Derived.noteStart(AttemptID{id, task, 1}, time.Now())
+			fo.Derived.NoteStart(replication.AttemptID{Job: id, Task: task, Number: 1}, time.Now())
 		}
 	}
-	if len(fo.Derived.starts) != largeTasks || fo.Derived.droppedStarts != 0 {
-		t.Errorf("%d starts kept, %d dropped", len(fo.Derived.starts), fo.Derived.droppedStarts)
+	if len(fo.Derived.Starts) != largeTasks || fo.Derived.DroppedStarts != 0 {
+		t.Errorf("%d starts kept, %d dropped", len(fo.Derived.Starts), fo.Derived.DroppedStarts)
 	}
 }
 
@@ -334,7 +341,7 @@
 
 // Do answers as the owner of the part.
 func (o *ownerOfCarried) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
-	if len(body) > PeerBodyMin {
+	if len(body) > peerapi.BodyMin {
 		o.t.Errorf("a message of %d bytes", len(body))
 	}
 	req := new(peer.CarryRequest)
@@ -346,7 +353,7 @@
 	}
 	o.after = append(o.after, req.After)
 	o.serial++
-	resp := protoResponse(&peer.CarryReply{GrantMs: 2000, Serial: o.serial})
+	resp := peerapi.Reply(&peer.CarryReply{GrantMs: 2000, Serial: o.serial})
 	return &resp, nil
 }
 
@@ -355,12 +362,12 @@
 	p.Held, p.Leader = false, "n1"
 	net := &ownerOfCarried{t: t, reports: map[string]bool{}}
 	setNetwork(c, net)
-	c.Peers["n1"] = &Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
+	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
 		Parts: []*peer.PartSummary{{Part: uint32(p.Index), Carried: []*peer.Carried{{By: c.Settings.Label}}}}}}
-	e := c.proxy.assignments[p.Index]
-	e.leader, e.lease, e.serial, e.grantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
-	for s := range e.shards {
-		e.shards[s] = true
+	e := c.proxy.Assignments[p.Index]
+	e.Leader, e.Lease, e.Serial, e.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
+	for s := range e.Shards {
+		e.Shards[s] = true
 	}
 	for _, m := range c.Machines {
 		r := reportOf(c, m, 1)
@@ -368,12 +375,12 @@
 			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
-	size := e.unsentBytes
+	size := e.UnsentBytes
 	stop := serveCalls(c)
-	asked := c.proxy.renewAll(p, e)
+	asked := c.proxy.RenewAll(p, e)
 	stop()
-	if !asked || len(net.reports) != largeMachines || e.unsentBytes != 0 {
-		t.Errorf("%d reports told, %d bytes left", len(net.reports), e.unsentBytes)
+	if !asked || len(net.reports) != largeMachines || e.UnsentBytes != 0 {
+		t.Errorf("%d reports told, %d bytes left", len(net.reports), e.UnsentBytes)
 	}
 	// Only a request with all that is left may show that everything is known.
 	for i, after := range net.after {
@@ -385,7 +392,7 @@
 			t.Errorf("request %d of %d is after reply %d, not %d", i+1, len(net.after), after, want)
 		}
 	}
-	t.Logf("carried: %d bytes of %d in %d messages", size, c.proxy.unsentLimit, len(net.after))
+	t.Logf("carried: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.after))
 }
 
 func oneControllerIsLeft(t *testing.T, c *Controller) {
@@ -402,7 +409,7 @@
 			machines++
 		}
 		for _, a := range m.Attempts {
-			if a.Live() && a.State == AttemptConfirmed {
+			if a.Live() && a.State == cluster.AttemptConfirmed {
 				seen++
 			}
 		}
@@ -428,7 +435,7 @@
 			}
 			sum.Parts = append(sum.Parts, &peer.PartSummary{Machines: []*peer.MachineStatus{{Name: "m-1"}}})
 			told := new(peer.Summary)
-			must(proto.Unmarshal(c.peering.encodeSummary(sum), told))
+			must(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
 			if len(told.Jobs) > 0 || len(told.Parts) != 1 {
 				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Parts))
 			}
@@ -440,33 +447,33 @@
 				sum.Unknown = append(sum.Unknown, &peer.UnknownMachine{Name: fmt.Sprintf("m-%032d", i)})
 			}
 			told := new(peer.Summary)
-			must(proto.Unmarshal(c.peering.encodeSummary(sum), told))
+			must(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
 			if len(told.Unknown) > 0 || len(told.Withdrawn) != 1 {
 				t.Errorf("%d machines, %d cancelled told", len(told.Unknown), len(told.Withdrawn))
 			}
 		}},
 		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
-			for i := range jobProgressLimit + 1 {
+			for i := range peering.JobProgressLimit + 1 {
 				id := fmt.Sprint("job-", i)
-				c.Jobs[id] = &Job{Spec: spec(id, 1, "green"), Loaded: true, RunningCount: 1}
+				c.Jobs[id] = &cluster.Job{Spec: spec(id, 1, "green"), Loaded: true, RunningCount: 1}
 			}
-			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != jobProgressLimit {
+			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != peering.JobProgressLimit {
 				t.Errorf("%d jobs told", n)
 			}
 		}},
 		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
-			for i := range demandsMin + 1 {
+			for i := range peering.DemandsMin + 1 {
 				c.waiting(fmt.Sprint("job-", i), 1)
 			}
-			if n := len(c.peering.partitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != demandsMin {
+			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.DemandsMin {
 				t.Errorf("%d demands told", n)
 			}
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
-			for i := range c.Cancellations.limit + 1 {
+			for i := range c.Cancellations.Limit + 1 {
 				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
 			}
-			if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.limit || told[0].Job != "job-0" {
+			if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.Limit || told[0].Job != "job-0" {
 				t.Errorf("%d told, %s first", len(told), told[0].Job)
 			}
 		}},
@@ -474,9 +481,9 @@
 			p := c.Partitions[0]
 			m := c.up(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
-			e := c.proxy.assignments[0]
-			e.leader, e.lease, e.grantedUntil, e.unsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.unsentLimit
-			e.shards[m.Shard] = true
+			e := c.proxy.Assignments[0]
+			e.Leader, e.Lease, e.GrantedUntil, e.UnsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.UnsentLimit
+			e.Shards[m.Shard] = true
 			r := reportOf(c, m, 1)
 			if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 503 {
 				t.Errorf("status %d", resp.Status)
@@ -485,48 +492,48 @@
 		{"messages to a standby", telemetry.ReplicaMessages, func(t *testing.T, c *Controller) {
 			p, m := c.Partitions[0], c.up(c.Partitions[0], "m-1", "big")
 			for i := range 200 {
-				for k := range updateImagesLimit {
+				for k := range cluster.UpdateImagesLimit {
 					m.Images[fmt.Sprintf("%0190d", k)] = time.Now()
 				}
 				m = c.up(p, fmt.Sprint("m-2", i), "big")
 			}
-			if told := c.replicator.partitionUpdate(p, time.Now()); proto.Size(told) > PeerBodyMin || len(told.Machines) > 200 || told.Upto >= p.Replication.Clock {
+			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.BodyMin || len(told.Machines) > 200 || told.Upto >= p.Replication.Clock {
 				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
 			}
 		}},
 		{"starts told to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
-			fo := newReplica(0, time.Now())
-			c.replicator.replicas[0] = fo
-			for i := range pendingStartsLimit {
-				fo.Derived.starts[AttemptID{"job-1", i, 1}] = time.Now()
+			fo := replication.NewReplica(0, time.Now())
+			c.replicator.Replicas[0] = fo
+			for i := range replication.PendingStartsLimit {
+				fo.Derived.Starts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
 			}
 			hears(t, c, &peer.Tale{From: "n1", Claim: 1, Upto: 1, Attempts: []*peer.AttemptTale{{Job: "job-2", Attempt: 1}}})
-			if len(fo.Derived.starts) != pendingStartsLimit {
-				t.Errorf("%d starts kept", len(fo.Derived.starts))
+			if len(fo.Derived.Starts) != replication.PendingStartsLimit {
+				t.Errorf("%d starts kept", len(fo.Derived.Starts))
 			}
 		}},
 		{"machines told to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
-			fo := newReplica(0, time.Now())
-			c.replicator.replicas[0] = fo
-			fo.Updates = ReceivedUpdates{sender: "n1", lease: 1, Acknowledged: 1, Machines: map[string]MachineHints{}}
-			for i := range replicaMachinesLimit {
-				fo.Updates.Machines[fmt.Sprint("m-", i)] = MachineHints{}
+			fo := replication.NewReplica(0, time.Now())
+			c.replicator.Replicas[0] = fo
+			fo.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
+			for i := range replication.ReplicaMachinesLimit {
+				fo.Updates.Machines[fmt.Sprint("m-", i)] = replication.MachineHints{}
 			}
 			hears(t, c, &peer.Tale{From: "n1", Claim: 1, Since: 1, Upto: 2, Machines: []*peer.MachineTale{{Name: "another"}, {Name: "m-1"}}})
-			if fo.Updates.Machines["m-1"].MachineTale == nil || len(fo.Updates.Machines) != replicaMachinesLimit {
+			if fo.Updates.Machines["m-1"].MachineTale == nil || len(fo.Updates.Machines) != replication.ReplicaMachinesLimit {
 				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
 			}
 		}},
 		{"recalls", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
-			fo := newReplica(0, time.Now())
-			c.replicator.replicas[0] = fo
-			fo.Updates = ReceivedUpdates{sender: "n1", lease: 1, Acknowledged: 1, Machines: map[string]MachineHints{}}
+			fo := replication.NewReplica(0, time.Now())
+			c.replicator.Replicas[0] = fo
+			fo.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
 				mt := &peer.MachineTale{Name: largeMachine(i), NoticeS: -1}
-				for k := range updateImagesLimit {
+				for k := range cluster.UpdateImagesLimit {
 					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
 				}
-				fo.Updates.Machines[mt.Name] = MachineHints{MachineTale: mt}
+				fo.Updates.Machines[mt.Name] = replication.MachineHints{MachineTale: mt}
 			}
 			raw, err := proto.Marshal(&peer.RecallRequest{})
 			must(err)
@@ -535,12 +542,12 @@
 			stop()
 			told := new(peer.Tale)
 			must(proto.Unmarshal(resp.Body, told))
-			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != updateImagesLimit {
+			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
 			}
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
-			for i := range classGroupsLimit {
+			for i := range scheduler.ClassGroupsLimit {
 				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
 			if met(c) != nil || c.scheduler.ClassGroup("another") != 0 {
@@ -548,24 +555,24 @@
 			}
 		}},
 		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
-			for i := range classGroupsLimit + 1 {
+			for i := range scheduler.ClassGroupsLimit + 1 {
 				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
-			if len(c.scheduler.runtimeCorrections) != classGroupsLimit {
-				t.Errorf("%d classes are learnt", len(c.scheduler.runtimeCorrections))
+			if len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
+				t.Errorf("%d classes are learnt", len(c.scheduler.Corrections))
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
-			if c.scheduler.runtimeCorrections["class-0"].count != 2 {
+			if c.scheduler.Corrections["class-0"].Count != 2 {
 				t.Error("a class that is known is not learnt on")
 			}
 		}},
 		{"estimates that are told", telemetry.Estimates, func(t *testing.T, c *Controller) {
-			h := ReceivedUpdates{}
-			for i := range classGroupsLimit + 1 {
+			h := replication.ReceivedUpdates{}
+			for i := range scheduler.ClassGroupsLimit + 1 {
 				h.Classes = append(h.Classes, &peer.ClassTale{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
-			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.runtimeCorrections) != classGroupsLimit {
-				t.Errorf("%d classes are known", len(c.scheduler.runtimeCorrections))
+			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
+				t.Errorf("%d classes are known", len(c.scheduler.Corrections))
 			}
 		}},
 		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
@@ -615,14 +622,14 @@
 		{"a large deployment", settings.Limits{MemMB: 322}, settings.State{WriteRPS: 90}, 43 * time.Second, 2 << 20, 10_551_296, 3960},
 		{"a higher limit is announced", settings.Limits{MemMB: 322}, settings.State{WriteRPS: 90, Next: settings.NextState{WriteRPS: &next}}, 43 * time.Second, 2 << 20, 10_551_296, 17_600},
 	} {
-		var n CancellationNotices
+		var n cluster.CancellationNotices
 		n.SetLimit(tc.cancelS, tc.state)
-		if body, carried := MaxPeerBody(tc.limits), unsentBytesLimit(tc.limits); body != tc.peerBody || carried != tc.carried || n.limit != tc.cancelled {
-			t.Errorf("%s: %d, %d, %d", tc.name, body, carried, n.limit)
+		if body, carried := peerapi.MaxBody(tc.limits), proxy.UnsentBytesLimit(tc.limits); body != tc.peerBody || carried != tc.carried || n.Limit != tc.cancelled {
+			t.Errorf("%s: %d, %d, %d", tc.name, body, carried, n.Limit)
 		}
 	}
 	for machines, want := range map[int]int{0: 200, 800: 200, 4000: 1000} {
-		if got := demandsLimit(machines); got != want {
+		if got := peering.DemandsLimit(machines); got != want {
 			t.Errorf("%d demands of %d machines", got, machines)
 		}
 	}
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+
 	"fmt"
 	"strings"
 	"sync/atomic"
@@ -249,7 +251,7 @@
 
 // owning makes a controller whose loop never runs the informed owner of its first part,
 // with the machine m-1, under a claim.
-func (c *Controller) owning(claim uint64) (*Partition, *Machine) {
+func (c *Controller) owning(claim uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
 	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
@@ -267,18 +269,18 @@
 		defer end()
 		_, m := c.owning(5)
 		task := []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}}
-		j := &Job{Spec: spec("job-1", 1, "red")}
+		j := &cluster.Job{Spec: spec("job-1", 1, "red")}
 		j.Load()
 		c.Jobs["job-1"] = j
-		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 2, State: AttemptCommitted}
+		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 2, State: cluster.AttemptCommitted}
 		j.LiveAttempts[0], j.Pending = a, nil
-		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
 		report := func(session, sequence, token uint64, tasks []protocol.TaskReport) int {
 			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
 			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: session, Sequence: sequence, Token: token, Tasks: tasks}
 			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
-		if report(2, 40, 5, task) != 200 || !m.Fenced || a.State != AttemptConfirmed {
+		if report(2, 40, 5, task) != 200 || !m.Fenced || a.State != cluster.AttemptConfirmed {
 			t.Fatal("the newest report was not taken in")
 		}
 		heard := time.Now()
@@ -300,7 +302,7 @@
 		if report(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a report that orders overtook is not answered")
 		}
-		time.Sleep(time.Duration(float64(c.AgentLease)*ClockDrift) + ClockMargin + eventloop.TickInterval)
+		time.Sleep(time.Duration(float64(c.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin + eventloop.TickInterval)
 		report(2, 41, 5, task)
 		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("old reports keep a machine that is gone")
@@ -327,18 +329,18 @@
 		c.agents.MachineDeleted("m-1", now)
 		c.agents.MachineRecorded("m-1", rec, 20, now) // the late write of its record
 		failed := map[string]bool{}
-		for _, m := range c.autoscaler.scalingView(nil, now).Machines {
+		for _, m := range c.autoscaler.ScalingView(nil, now).Machines {
 			failed[m.Name] = m.Failed
 		}
 		if !failed["m-1"] || failed["m-2"] {
 			t.Errorf("to be given up: %v", failed)
 		}
-		waiting := &Job{Spec: spec("job-1", 6, "red"), SubmittedAt: now}
+		waiting := &cluster.Job{Spec: spec("job-1", 6, "red"), SubmittedAt: now}
 		waiting.Load()
 		c.Jobs["job-1"] = waiting
 		demands := func() (n uint32) {
 			p.QueueOrder = nil
-			for _, d := range c.peering.partitionSummary(p, now).Demands {
+			for _, d := range c.peering.PartitionSummary(p, now).Demands {
 				n += d.Count
 			}
 			return n
@@ -375,20 +377,20 @@
 		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusWithdrawn, time.Second, false},
 			{protocol.StatusWithdrawn, 20 * time.Second, true}, {protocol.StatusWithdrawn, time.Hour, false}} {
 			id := fmt.Sprint("job-", i)
-			j := &Job{Spec: spec(id, 1, "red")}
+			j := &cluster.Job{Spec: spec(id, 1, "red")}
 			j.Load()
 			c.Jobs[id] = j
-			a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptConfirmed}
+			a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed}
 			j.LiveAttempts[0], j.Pending = a, nil
-			m.Attempts = map[string]*Attempt{AttemptKey(a.TaskName(), 1): a}
+			m.Attempts = map[string]*cluster.Attempt{cluster.AttemptKey(a.TaskName(), 1): a}
 			// As an owner that hears of it, and as one that finds it at a takeover.
 			c.jobs.SetFinal(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
 				a.StopRequestedAt = now.Add(-time.Minute)
-				if got := c.agents.outlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
+				if got := c.agents.OutlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
 					t.Errorf("%s %s ago: %v", tc.status, tc.ago, got)
 				}
-				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.outlastsCancelBound(m, now.Add(time.Hour), now) {
+				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.OutlastsCancelBound(m, now.Add(time.Hour), now) {
 					t.Errorf("%s %s ago, found at a takeover", tc.status, tc.ago)
 				}
 			}
@@ -577,10 +579,10 @@
 		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != 1 || told[0].AgeMs != 10_000 {
 			t.Errorf("told on: %v", told)
 		}
-		for i := range c.Cancellations.limit + 10 {
+		for i := range c.Cancellations.Limit + 10 {
 			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
 		}
-		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.limit || told[0].Job != "job-1" {
+		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.Limit || told[0].Job != "job-1" {
 			t.Errorf("%d told at a time", len(told))
 		}
 		if time.Sleep(c.CancelBound + time.Second); len(c.Cancellations.Recent(time.Now(), c.CancelBound)) != 0 {
@@ -598,12 +600,12 @@
 		defer end()
 		now := time.Now()
 		_, m := c.owning(9)
-		j := &Job{Spec: spec("job-1", 1, "red"), Ended: true}
+		j := &cluster.Job{Spec: spec("job-1", 1, "red"), Ended: true}
 		j.Load()
 		c.Jobs["job-1"], c.FinalStates["job-1"] = j, protocol.StatusWithdrawn
-		a := &Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: AttemptCommitted, Inherited: true, Stopping: true, StopRequestedAt: now}
+		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true, Stopping: true, StopRequestedAt: now}
 		j.LiveAttempts[0], j.Pending = a, nil
-		m.Attempts[AttemptKey(a.TaskName(), 1)] = a
+		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
 		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
 		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
 			t.Errorf("a report under an old token that lacks the task: live %v, fenced %v", a.Live(), m.Fenced)
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+
 	"context"
 	"flag"
 	"fmt"
@@ -145,12 +147,12 @@
 	for _, m := range c.Machines {
 		for _, a := range m.Attempts {
 			placed = append(placed, a.TaskName()+"@"+m.Name)
-			a.State, a.StartedAt = AttemptConfirmed, now.Add(-time.Duration(a.TaskIndex*3)*time.Second)
+			a.State, a.StartedAt = cluster.AttemptConfirmed, now.Add(-time.Duration(a.TaskIndex*3)*time.Second)
 		}
 	}
 	slices.Sort(placed)
 	fmt.Fprintf(&out, " placed: %s\n", strings.Join(placed, " "))
-	c.scheduler.scarcityCache = nil
+	c.scheduler.ScarcityCache = nil
 	add(4+rng.IntN(10), 100)
 	orders()
 	for _, p := range c.Partitions {
@@ -166,7 +168,7 @@
 	}
 	slices.Sort(stopped)
 	fmt.Fprintf(&out, " stopped: %s\n", strings.Join(stopped, " "))
-	c.autoscaler.reconcileFleet(now)
+	c.autoscaler.ReconcileFleet(now)
 	var fleet []string
 	for _, r := range c.Leadership.PendingScaleOut {
 		fleet = append(fleet, fmt.Sprintf("rent %d %s %s %v for %d", r.Count, r.Kind.Type, r.Kind.Zone, r.Kind.Spot, r.Partition))
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+
 	"strings"
 	"testing"
 	"time"
@@ -11,7 +13,7 @@
 )
 
 // owner makes a controller that owns every part, without a network.
-func owner(t testing.TB) (c *Controller, p *Partition) {
+func owner(t testing.TB) (c *Controller, p *cluster.Partition) {
 	w := newWorld(t, 1)
 	w.set.Label = "n0"
 	c = newTestController(t.Context(), &w.set, settings.DefaultOperator())
@@ -23,7 +25,7 @@
 }
 
 // up puts a usable machine on record.
-func (c *Controller) up(p *Partition, name, typ string) *Machine {
+func (c *Controller) up(p *cluster.Partition, name, typ string) *cluster.Machine {
 	now := time.Now()
 	c.agents.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
 	m := c.Machines[name]
@@ -31,7 +33,7 @@
 	return m
 }
 
-func (c *Controller) take(s *protocol.JobSpec) *Job {
+func (c *Controller) take(s *protocol.JobSpec) *cluster.Job {
 	s.SubmittedMS = time.Now().UnixMilli()
 	c.jobs.ApplyJobRecord(s.ID, storage.Encode(s))
 	return c.Jobs[s.ID]
@@ -74,7 +76,7 @@
 	s.CPUs = 16 // fits big machines only
 	choosy := c.take(s)
 	c.scheduler.Place(p, time.Now())
-	on := map[*Machine]int{}
+	on := map[*cluster.Machine]int{}
 	for _, a := range easy.LiveAttempts {
 		on[a.Machine]++
 	}
@@ -101,7 +103,7 @@
 		c.Machines["m-1"].LedSince = now.Add(-tc.age)
 		c.take(spec("job-1", 9, "green"))
 		count := uint32(0)
-		for _, d := range c.peering.partitionSummary(p, now).Demands {
+		for _, d := range c.peering.PartitionSummary(p, now).Demands {
 			count += d.Count
 		}
 		if count != tc.want {
@@ -118,7 +120,7 @@
 	c.take(spec("job-1", 6, "red"))
 	c.take(spec("job-2", 6, "red"))
 	count := uint32(0)
-	for _, d := range c.peering.partitionSummary(p, time.Now()).Demands {
+	for _, d := range c.peering.PartitionSummary(p, time.Now()).Demands {
 		count += d.Count
 	}
 	if count != 8 {
