--- a/internal/coordination/carry.go
+++ b/internal/coordination/proxy/proxy.go
@@ -1,4 +1,4 @@
-package coordination
+package proxy
 
 import (
 	"bytes"
@@ -12,7 +12,12 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/agents"
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/delegation"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/overview"
@@ -27,25 +32,25 @@
 // delegates shards of the own partitions to others. It belongs to the loop, but for the
 // queued commands.
 type Proxy struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	network storage.Requester
 	log     *slog.Logger
 	bounds  *telemetry.BoundReporter
 	metrics *telemetry.Metrics
 
-	agents *Agents
-	auth   *Auth
+	agents Agents
+	auth   Auth
 
 	// capacity is how many machines' connections the sockets hold: one for heartbeats and one
 	// for commands each.
 	capacity int
-	// unsentLimit bounds the heartbeats of a partition that wait to be told to its leader, in
+	// UnsentLimit bounds the heartbeats of a partition that wait to be told to its leader, in
 	// bytes: at 322 MB it is 10 MiB, while 4,000 machines with 16 tasks each report some 7 MB.
-	unsentLimit int
-	assignments []*assignment // by partition
-	// movedAt is when a shard last changed its delegate.
-	movedAt, balancedAt time.Time
+	UnsentLimit int
+	Assignments []*assignment // by partition
+	// MovedAt is when a shard last changed its delegate.
+	MovedAt, balancedAt time.Time
 	// moves are the last ones, for operators, moveTimes when each of them was.
 	moves     []overview.Move
 	moveTimes []time.Time
@@ -54,104 +59,110 @@
 	queued map[string][]*forwardedCommand // commands that wait to be forwarded, by delegate
 }
 
-// NewProxy makes one without collaborators.
-func NewProxy(state *State, loop *eventloop.Loop, network storage.Requester, log *slog.Logger, bounds *telemetry.BoundReporter) *Proxy {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, log *slog.Logger, bounds *telemetry.BoundReporter) *Proxy {
 	px := &Proxy{State: state, loop: loop, network: network, log: log, bounds: bounds,
-		capacity: state.Settings.Params.MachineLimits.Sockets / 2, unsentLimit: unsentBytesLimit(state.Settings.Params.MachineLimits),
+		capacity: state.Settings.Params.MachineLimits.Sockets / 2, UnsentLimit: UnsentBytesLimit(state.Settings.Params.MachineLimits),
 		queued: map[string][]*forwardedCommand{}}
 	for range state.Partitions {
-		px.assignments = append(px.assignments, &assignment{unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)})
+		px.Assignments = append(px.Assignments, &assignment{Unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)})
 	}
 	return px
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (px *Proxy) Connect(agents *Agents, auth *Auth) {
+func (px *Proxy) Connect(agents Agents, auth Auth) {
 	px.agents, px.auth = agents, auth
 }
 
 // Observe makes it measure itself, before the loop starts.
 func (px *Proxy) Observe(m *telemetry.Metrics) { px.metrics = m }
 
-const (
-	DelegationPath = "/peer/carry"
-	ForwardPath    = "/peer/relay"
-
-	// renewInterval is how often a carrier asks to go on, carryGather for how long it
-	// gathers reports after one has come, carryWait how long it waits for the reply.
-	renewInterval = 300 * time.Millisecond
-	gatherDelay   = 50 * time.Millisecond
-	renewTimeout  = time.Second
-	// renewalBytesLimit is how many bytes of reports one message holds; more go in several.
-	renewalBytesLimit = PeerBodyMin * 3 / 4
-
-	// delegateSettleTime is how long a controller must have been heard before it is given shares.
-	delegateSettleTime = 5 * time.Second
-
-	forwardGatherDelay = 3 * time.Millisecond
-	// forwardCommandsLimit are the orders of one message, relayBytes their size; relayAnswers is
-	// how long a carrier waits for the workers' answers to them.
-	forwardCommandsLimit = 64
-	forwardBytesLimit    = PeerBodyMin / 2
-	forwardAnswerWait    = 400 * time.Millisecond
-
-	// redirectInterval is how long a worker that was sent to its carrier and came back is
-	// served here, sendAwayAgain if it did not come through to the carrier at all.
-	redirectInterval      = 3 * time.Second
-	redirectRetryInterval = 30 * time.Second
-)
+const DelegationPath = "/peer/carry"
+
+const ForwardPath = "/peer/relay"
+
+// renewInterval is how often a carrier asks to go on, carryGather for how long it
+// gathers reports after one has come, carryWait how long it waits for the reply.
+const renewInterval = 300 * time.Millisecond
+
+const gatherDelay = 50 * time.Millisecond
+
+const renewTimeout = time.Second
+
+// renewalBytesLimit is how many bytes of reports one message holds; more go in several.
+const renewalBytesLimit = peerapi.BodyMin * 3 / 4
+
+// delegateSettleTime is how long a controller must have been heard before it is given shares.
+const delegateSettleTime = 5 * time.Second
+
+const forwardGatherDelay = 3 * time.Millisecond
+
+// ForwardCommandsLimit are the orders of one message, relayBytes their size; relayAnswers is
+// how long a carrier waits for the workers' answers to them.
+const ForwardCommandsLimit = 64
+
+const forwardBytesLimit = peerapi.BodyMin / 2
+
+const forwardAnswerWait = 400 * time.Millisecond
+
+// redirectInterval is how long a worker that was sent to its carrier and came back is
+// served here, sendAwayAgain if it did not come through to the carrier at all.
+const redirectInterval = 3 * time.Second
+
+const redirectRetryInterval = 30 * time.Second
 
 // assignment is what a carrier does for a part's owner.
 type assignment struct {
-	leader       string
-	lease        uint64
-	shards       [delegation.ShardCount]bool
-	grantedUntil time.Time // end of the grant, by our clock
-	serial       uint64
-	// unsent that were answered and not yet told, the newest of each machine; size is
+	Leader       string
+	Lease        uint64
+	Shards       [delegation.ShardCount]bool
+	GrantedUntil time.Time // end of the grant, by our clock
+	Serial       uint64
+	// Unsent that were answered and not yet told, the newest of each machine; size is
 	// that of them and of those on their way.
-	unsent      map[string]answeredHeartbeat
-	unsentBytes int
+	Unsent      map[string]answeredHeartbeat
+	UnsentBytes int
 	wakeup      chan struct{}
 }
 
 // answeredHeartbeat is a report that was answered here, as it came.
 type answeredHeartbeat struct {
-	raw             []byte
+	Raw             []byte
 	epoch, sequence uint64
 }
 
 // add keeps a report to be told, unless a newer one of its machine is: reports may come late.
 func (e *assignment) add(machine string, a answeredHeartbeat) {
-	if had, ok := e.unsent[machine]; ok {
+	if had, ok := e.Unsent[machine]; ok {
 		if had.epoch > a.epoch || had.epoch == a.epoch && had.sequence > a.sequence {
 			return
 		}
-		e.unsentBytes -= len(had.raw)
+		e.UnsentBytes -= len(had.Raw)
 	}
-	e.unsentBytes += len(a.raw)
-	e.unsent[machine] = a
+	e.UnsentBytes += len(a.Raw)
+	e.Unsent[machine] = a
 }
 
 // allows says whether the errand allows an answer to a machine of a part now.
-func (e *assignment) allows(p *Partition, m *Machine, now time.Time) bool {
-	return e.shards[m.Shard] && now.Before(e.grantedUntil) && p.Leader == e.leader && p.LeaseRevision == e.lease
+func (e *assignment) allows(p *cluster.Partition, m *cluster.Machine, now time.Time) bool {
+	return e.Shards[m.Shard] && now.Before(e.GrantedUntil) && p.Leader == e.Leader && p.LeaseRevision == e.Lease
 }
 
 // AnswerHeartbeat answers a worker's report for the part's owner, if that has granted it. What
 // is answered is told to the owner with the next request (37).
-func (px *Proxy) AnswerHeartbeat(m *Machine, r *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
-	p, e := px.Partitions[m.Record.Partition], px.assignments[m.Record.Partition]
+func (px *Proxy) AnswerHeartbeat(m *cluster.Machine, r *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
+	p, e := px.Partitions[m.Record.Partition], px.Assignments[m.Record.Partition]
 	if px.Draining || p.Held || !e.allows(p, m, now) {
 		return transport.Response{}, false
 	}
 	token := px.Token(m)
 	if r.Token > token {
-		return Refuse(503, "superseded", 1), true
+		return respond.Refuse(503, "superseded", 1), true
 	}
-	if e.unsentBytes+len(raw) > px.unsentLimit {
+	if e.UnsentBytes+len(raw) > px.UnsentLimit {
 		px.bounds.Met(telemetry.CarriedReports, 1)
-		return Refuse(503, "the owner of the machine is behind", 1), true
+		return respond.Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
@@ -162,7 +173,7 @@
 }
 
 // isDelegate says whether a part's owner wants this controller to carry something of it.
-func (px *Proxy) isDelegate(p *Partition, now time.Time) bool {
+func (px *Proxy) isDelegate(p *cluster.Partition, now time.Time) bool {
 	ps := px.Peers[p.Leader]
 	return !p.Held && ps != nil && ps.Alive(now) && !px.Draining &&
 		slices.ContainsFunc(ps.PartitionSummary(p).GetCarried(), func(k *peer.Carried) bool { return k.By == px.Settings.Label })
@@ -172,22 +183,22 @@
 // have.
 func (e *assignment) takeUnsent() (told map[string]answeredHeartbeat, size int) {
 	told = map[string]answeredHeartbeat{}
-	for machine, a := range e.unsent {
-		if len(told) > 0 && size+len(a.raw) > renewalBytesLimit {
+	for machine, a := range e.Unsent {
+		if len(told) > 0 && size+len(a.Raw) > renewalBytesLimit {
 			break
 		}
 		told[machine] = a
-		size += len(a.raw)
-		delete(e.unsent, machine)
+		size += len(a.Raw)
+		delete(e.Unsent, machine)
 	}
 	return told, size
 }
 
 // RenewLoop asks a part's owner again and again to go on, and tells it what came. It sleeps
 // while nothing of the part is to be carried here.
-func (px *Proxy) RenewLoop(p *Partition) {
-	e := px.assignments[p.Index]
-	for engaged := false; ; engaged = px.renewAll(p, e) {
+func (px *Proxy) RenewLoop(p *cluster.Partition) {
+	e := px.Assignments[p.Index]
+	for engaged := false; ; engaged = px.RenewAll(p, e) {
 		var again <-chan time.Time
 		if engaged {
 			again = time.After(renewInterval)
@@ -208,16 +219,16 @@
 func (px *Proxy) SummaryReceived(sum *peer.Summary) {
 	for _, p := range sum.Parts {
 		for _, k := range p.Carried {
-			if k.By == px.Settings.Label && int(p.Part) < len(px.assignments) {
-				eventloop.Signal(px.assignments[p.Part].wakeup)
+			if k.By == px.Settings.Label && int(p.Part) < len(px.Assignments) {
+				eventloop.Signal(px.Assignments[p.Part].wakeup)
 			}
 		}
 	}
 }
 
-// renewAll sends requests, one at a time, until all that was answered is told or one had no
+// RenewAll sends requests, one at a time, until all that was answered is told or one had no
 // reply. It says whether there was anything to ask.
-func (px *Proxy) renewAll(p *Partition, e *assignment) bool {
+func (px *Proxy) RenewAll(p *cluster.Partition, e *assignment) bool {
 	asked, more := px.renew(p, e)
 	for more && px.loop.Context().Err() == nil {
 		_, more = px.renew(p, e)
@@ -228,73 +239,73 @@
 // renew sends one request with what was answered since the last one that had a reply, as
 // much as a message holds. It says whether there was anything to ask, and whether there is
 // more to tell.
-func (px *Proxy) renew(p *Partition, e *assignment) (asked, more bool) {
+func (px *Proxy) renew(p *cluster.Partition, e *assignment) (asked, more bool) {
 	var req *peer.CarryRequest
 	var told map[string]answeredHeartbeat
 	addr, size, left := "", 0, false
 	var begun time.Time
 	px.loop.Do(func() {
 		begun = time.Now()
-		if e.leader != p.Leader || e.lease != p.LeaseRevision {
+		if e.Leader != p.Leader || e.Lease != p.LeaseRevision {
 			// Another owner: what was told to the one before is its successor's to find out.
-			e.leader, e.lease, e.serial, e.grantedUntil, e.unsentBytes = p.Leader, p.LeaseRevision, 0, time.Time{}, 0
-			e.shards = [delegation.ShardCount]bool{}
-			clear(e.unsent)
+			e.Leader, e.Lease, e.Serial, e.GrantedUntil, e.UnsentBytes = p.Leader, p.LeaseRevision, 0, time.Time{}, 0
+			e.Shards = [delegation.ShardCount]bool{}
+			clear(e.Unsent)
 		}
 		ps := px.Peers[p.Leader]
-		if ps == nil || !px.isDelegate(p, begun) && len(e.unsent) == 0 {
+		if ps == nil || !px.isDelegate(p, begun) && len(e.Unsent) == 0 {
 			return
 		}
 		addr = ps.Addr
-		req = &peer.CarryRequest{From: px.Settings.Label, Nonce: px.Nonce, Part: uint32(p.Index), Claim: e.lease}
+		req = &peer.CarryRequest{From: px.Settings.Label, Nonce: px.Nonce, Part: uint32(p.Index), Claim: e.Lease}
 		told, size = e.takeUnsent()
-		if left = len(e.unsent) > 0; !left {
+		if left = len(e.Unsent) > 0; !left {
 			// Only with all of it does the request show that every answer up to the last
 			// reply is known (39).
-			req.After = e.serial
+			req.After = e.Serial
 		}
 		for _, a := range told {
-			req.Reports = append(req.Reports, a.raw)
+			req.Reports = append(req.Reports, a.Raw)
 		}
 	})
 	if req == nil {
 		return false, false
 	}
 	reply := new(peer.CarryReply)
-	err := callPeer(px.loop.Context(), px.network, renewTimeout, addr, DelegationPath, req, reply)
+	err := peerapi.Call(px.loop.Context(), px.network, renewTimeout, addr, DelegationPath, req, reply)
 	px.loop.Do(func() {
-		if e.leader != p.Leader || e.lease != req.Claim {
+		if e.Leader != p.Leader || e.Lease != req.Claim {
 			return
 		}
-		e.unsentBytes -= size
+		e.UnsentBytes -= size
 		if err != nil {
-			px.log.Debug("not carried on", "part", p.Index, "owner", e.leader, "reason", err)
+			px.log.Debug("not carried on", "part", p.Index, "owner", e.Leader, "reason", err)
 			for name, a := range told { // to be told again
 				e.add(name, a)
 			}
 			return
 		}
 		more = left
-		e.serial, e.grantedUntil = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
-		had := e.shards
-		e.shards = [delegation.ShardCount]bool{}
+		e.Serial, e.GrantedUntil = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
+		had := e.Shards
+		e.Shards = [delegation.ShardCount]bool{}
 		for _, s := range reply.Shares {
 			if s < delegation.ShardCount {
-				e.shards[s] = true
+				e.Shards[s] = true
 			}
 		}
-		if had != e.shards {
-			px.log.Info("carrying shares of a part", "part", p.Index, "owner", e.leader, "shares", reply.Shares)
+		if had != e.Shards {
+			px.log.Info("carrying shares of a part", "part", p.Index, "owner", e.Leader, "shares", reply.Shares)
 		}
 	})
 	return true, more
 }
 
 // HandleRenewal answers a carrier: it takes in what came there and grants the carrier its shares.
-func (px *Proxy) HandleRenewal(who *Caller, body []byte) transport.Response {
+func (px *Proxy) HandleRenewal(who *auth.Caller, body []byte) transport.Response {
 	req := new(peer.CarryRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
-		return Refuse(400, "bad request", 0)
+		return respond.Refuse(400, "bad request", 0)
 	}
 	if refusal := px.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
@@ -326,13 +337,13 @@
 		reply.GrantMs, reply.Serial = uint32(d.Milliseconds()), serial
 	})
 	if !ok {
-		return Refuse(409, "not the owner under this claim", 0)
+		return respond.Refuse(409, "not the owner under this claim", 0)
 	}
-	return protoResponse(reply)
+	return peerapi.Reply(reply)
 }
 
 // applyHeartbeat takes in a report that a carrier has answered.
-func (px *Proxy) applyHeartbeat(p *Partition, r *protocol.Heartbeat, now time.Time) {
+func (px *Proxy) applyHeartbeat(p *cluster.Partition, r *protocol.Heartbeat, now time.Time) {
 	m := px.Machines[r.Machine]
 	if m == nil || m.Record.Partition != p.Index {
 		return
@@ -353,7 +364,7 @@
 }
 
 // RedirectTarget names the carrier that a worker which came here should report to.
-func (px *Proxy) RedirectTarget(p *Partition, m *Machine, now time.Time) string {
+func (px *Proxy) RedirectTarget(p *cluster.Partition, m *cluster.Machine, now time.Time) string {
 	pause := redirectInterval
 	if !m.DelegateHeardAt.After(m.RedirectedAt) {
 		pause = redirectRetryInterval
@@ -369,7 +380,7 @@
 func (px *Proxy) Load(now time.Time) delegation.Load {
 	l := delegation.Load{Capacity: px.capacity}
 	for _, m := range px.Machines {
-		p, e := px.Partitions[m.Record.Partition], px.assignments[m.Record.Partition]
+		p, e := px.Partitions[m.Record.Partition], px.Assignments[m.Record.Partition]
 		if p.Held && m.HasReported && !m.Lost && p.Delegations.Delegate(m.Shard) == "" || !p.Held && e.allows(p, m, now) {
 			l.Machines++
 		}
@@ -384,7 +395,7 @@
 	}
 	px.balancedAt = now
 	v := px.view(now, nil)
-	v.MayMove, v.MayReturn = now.Sub(px.movedAt) >= delegation.MoveInterval, now.Sub(px.movedAt) >= delegation.ReturnInterval
+	v.MayMove, v.MayReturn = now.Sub(px.MovedAt) >= delegation.MoveInterval, now.Sub(px.MovedAt) >= delegation.ReturnInterval
 	for _, mv := range delegation.PlanMoves(v) {
 		px.reassign(mv, now)
 	}
@@ -394,7 +405,7 @@
 // machines ask for: they must all be fenced and will all report, and an owner that is
 // alone with that may run out of sockets. Carriers of the owner before keep what they
 // have, so that its workers' connections stay.
-func (px *Proxy) SpreadShards(p *Partition, now time.Time) {
+func (px *Proxy) SpreadShards(p *cluster.Partition, now time.Time) {
 	v := px.view(now, p)
 	for _, k := range px.Peers[p.FormerLeader].PartitionSummary(p).GetCarried() {
 		able := slices.ContainsFunc(v.Peers, func(peer delegation.Peer) bool { return peer.Label == k.By && peer.Available && peer.Settled })
@@ -426,12 +437,12 @@
 	px.metrics.Count(telemetry.ShareMoved, 1)
 	px.recordMove(overview.Move{Part: mv.Partition, Share: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
 	p.Delegations.Assign(mv.Shard, mv.To)
-	px.movedAt = now
+	px.MovedAt = now
 }
 
 // view is what a plan is made of. All machines of a part that is just taken over count,
 // though none of them was heard yet.
-func (px *Proxy) view(now time.Time, taken *Partition) delegation.View {
+func (px *Proxy) view(now time.Time, taken *cluster.Partition) delegation.View {
 	v := delegation.View{Own: px.Load(now)}
 	for _, label := range px.Labels {
 		ps := px.Peers[label]
@@ -446,7 +457,7 @@
 			Available: ps.Alive(now) && sum.Room > 0 && !sum.Leaving,
 			Settled:   now.Sub(ps.HeardSince) >= delegateSettleTime && sum.StateSilenceS < 3})
 	}
-	counts := make(map[*Partition]*[delegation.ShardCount]int)
+	counts := make(map[*cluster.Partition]*[delegation.ShardCount]int)
 	for _, m := range px.Machines {
 		p := px.Partitions[m.Record.Partition]
 		if p != taken && (!p.Held || !p.Ready || !m.HasReported || m.Lost) {
@@ -490,7 +501,7 @@
 }
 
 // Overview says who carries what of a part.
-func (px *Proxy) Overview(p *Partition, now time.Time) (list []overview.Carried) {
+func (px *Proxy) Overview(p *cluster.Partition, now time.Time) (list []overview.Carried) {
 	machines := map[string]int{}
 	for _, m := range px.Machines {
 		if m.Record.Partition == p.Index && m.HasReported && !m.Lost {
@@ -504,20 +515,6 @@
 	return list
 }
 
-// DelegationSummary lists a part's carriers, as others are told of them.
-func (p *Partition) DelegationSummary(labels []string) (list []*peer.Carried) {
-	for _, label := range labels {
-		if held := p.Delegations.ShardsOf(label); len(held) > 0 {
-			k := &peer.Carried{By: label}
-			for _, s := range held {
-				k.Shares = append(k.Shares, uint32(s))
-			}
-			list = append(list, k)
-		}
-	}
-	return list
-}
-
 // forwardedCommand is orders that go to a worker by way of its carrier.
 type forwardedCommand struct {
 	peer.Relayed
@@ -557,7 +554,7 @@
 	for len(batch) > 0 {
 		n, size := 0, 0
 		req := &peer.RelayRequest{From: px.Settings.Label}
-		for n < len(batch) && n < forwardCommandsLimit && (n == 0 || size+len(batch[n].Body) <= forwardBytesLimit) {
+		for n < len(batch) && n < ForwardCommandsLimit && (n == 0 || size+len(batch[n].Body) <= forwardBytesLimit) {
 			size += len(batch[n].Body)
 			req.Orders = append(req.Orders, &peer.Relayed{Machine: batch[n].Machine, Body: batch[n].Body})
 			n++
@@ -570,7 +567,7 @@
 
 func (px *Proxy) forward(via string, req *peer.RelayRequest, lot []*forwardedCommand) {
 	reply := new(peer.RelayReply)
-	err := callPeer(px.loop.Context(), px.network, renewTimeout, px.Peers[via].Addr, ForwardPath, req, reply)
+	err := peerapi.Call(px.loop.Context(), px.network, renewTimeout, px.Peers[via].Addr, ForwardPath, req, reply)
 	if err == nil && len(reply.Answers) != len(lot) {
 		err = fmt.Errorf("%d answers to %d orders", len(reply.Answers), len(lot))
 	}
@@ -593,10 +590,10 @@
 
 // HandleForwarded passes orders on to workers and answers with what they answered within a
 // moment. It decides nothing: workers obey or refuse orders by their token.
-func (px *Proxy) HandleForwarded(who *Caller, body []byte) transport.Response {
+func (px *Proxy) HandleForwarded(who *auth.Caller, body []byte) transport.Response {
 	req := new(peer.RelayRequest)
-	if err := proto.Unmarshal(body, req); err != nil || len(req.Orders) > forwardCommandsLimit {
-		return Refuse(400, "bad request", 0)
+	if err := proto.Unmarshal(body, req); err != nil || len(req.Orders) > ForwardCommandsLimit {
+		return respond.Refuse(400, "bad request", 0)
 	}
 	if refusal := px.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
@@ -609,7 +606,7 @@
 			}
 		}
 	}) {
-		return Refuse(503, "stopping", 1)
+		return respond.Refuse(503, "stopping", 1)
 	}
 	type numbered struct {
 		i int
@@ -625,7 +622,7 @@
 		}
 		waiting++
 		go func() {
-			ctx, cancel := context.WithTimeout(px.loop.Context(), CommandTimeout)
+			ctx, cancel := context.WithTimeout(px.loop.Context(), agents.CommandTimeout)
 			defer cancel()
 			a := &peer.RelayAnswer{}
 			resp, err := px.network.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
@@ -644,8 +641,8 @@
 		case n := <-answers:
 			reply.Answers[n.i] = n.a
 		case <-t.C:
-			return protoResponse(reply) // the others may still arrive: not answered
+			return peerapi.Reply(reply) // the others may still arrive: not answered
 		}
 	}
-	return protoResponse(reply)
+	return peerapi.Reply(reply)
 }
--- a/internal/coordination/follow.go
+++ b/internal/coordination/replication/replicas.go
@@ -1,4 +1,4 @@
-package coordination
+package replication
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/failover"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/overview"
@@ -21,7 +22,7 @@
 // Replicator keeps replicas of the partitions that this controller is the standby of, and
 // tells the standbys of its own partitions what is not on record.
 type Replicator struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	network storage.Requester
 	store   *storage.Store
@@ -29,23 +30,23 @@
 	bounds  *telemetry.BoundReporter
 	metrics *telemetry.Metrics
 
-	auth       *Auth
-	autoscaler *Autoscaler
-	scheduler  *Scheduler
+	auth       Auth
+	autoscaler Autoscaler
+	scheduler  Scheduler
 
-	replicas map[int]*Replica
-	// mismatches counts the replicas that differed from the state store.
-	mismatches int
+	Replicas map[int]*Replica
+	// Mismatches counts the replicas that differed from the state store.
+	Mismatches int
 }
 
-// NewReplicator makes one without collaborators.
-func NewReplicator(state *State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Replicator {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Replicator {
 	return &Replicator{State: state, loop: loop, network: network, store: store, log: log, bounds: bounds,
-		replicas: map[int]*Replica{}}
+		Replicas: map[int]*Replica{}}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (rep *Replicator) Connect(auth *Auth, autoscaler *Autoscaler, scheduler *Scheduler) {
+func (rep *Replicator) Connect(auth Auth, autoscaler Autoscaler, scheduler Scheduler) {
 	rep.auth, rep.autoscaler, rep.scheduler = auth, autoscaler, scheduler
 }
 
@@ -70,20 +71,23 @@
 	sample    *failover.Sample[*storage.RunRecord]
 }
 
-const (
-	// replicaRetention is how long a copy is kept by a controller that is not the standby any
-	// more: it may be again.
-	replicaRetention = 30 * time.Second
-	// followRequestShare is which part of the state service's requests may go into following,
-	// for all parts together.
-	followRequestShare = 0.04
-	followIntervalMin  = 500 * time.Millisecond
-	// A sample of so many records is compared this often.
-	sampleInterval = 5 * time.Second
-	sampleSize     = 20
-	// lagLimitS is from when on a copy counts as behind.
-	lagLimitS = 5
-)
+// replicaRetention is how long a copy is kept by a controller that is not the standby any
+// more: it may be again.
+const replicaRetention = 30 * time.Second
+
+// followRequestShare is which part of the state service's requests may go into following,
+// for all parts together.
+const followRequestShare = 0.04
+
+const followIntervalMin = 500 * time.Millisecond
+
+// A sample of so many records is compared this often.
+const sampleInterval = 5 * time.Second
+
+const sampleSize = 20
+
+// lagLimitS is from when on a copy counts as behind.
+const lagLimitS = 5
 
 // pollInterval is how often a copy asks what has changed.
 func (rep *Replicator) pollInterval() time.Duration {
@@ -106,11 +110,11 @@
 // dueReplicas says which copies are to be brought up to date, and begins and drops copies.
 func (rep *Replicator) dueReplicas(now time.Time) (due []*Replica) {
 	for _, p := range rep.Partitions {
-		fo := rep.replicas[p.Index]
+		fo := rep.Replicas[p.Index]
 		if !p.Held && rep.Synced && !rep.Draining && rep.NamedStandby(p) == rep.Settings.Label {
 			if fo == nil {
-				fo = newReplica(p.Index, now)
-				rep.replicas[p.Index] = fo
+				fo = NewReplica(p.Index, now)
+				rep.Replicas[p.Index] = fo
 				rep.log.Info("following a part", "part", p.Index, "owner", p.Leader)
 			}
 			fo.wantedAt = now
@@ -119,7 +123,7 @@
 			continue
 		}
 		if p.Held && p.Ready || now.Sub(fo.wantedAt) > replicaRetention {
-			delete(rep.replicas, p.Index)
+			delete(rep.Replicas, p.Index)
 			continue
 		}
 		due = append(due, fo)
@@ -133,9 +137,9 @@
 }
 
 // DropReplica forgets the replica of a partition: what it holds is its taker's from then on.
-func (rep *Replicator) DropReplica(partition int) { delete(rep.replicas, partition) }
+func (rep *Replicator) DropReplica(partition int) { delete(rep.Replicas, partition) }
 
-func newReplica(part int, now time.Time) *Replica {
+func NewReplica(part int, now time.Time) *Replica {
 	return &Replica{partition: part, Derived: newDerivedState(), wantedAt: now, asOf: now, sampledAt: now}
 }
 
@@ -159,7 +163,7 @@
 			rep.log.Debug("copy not begun", "part", fo.partition, "reason", err)
 			return
 		}
-		rep.ifCurrent(fo, func() { fo.startFrom(rep.log.Error, items, rev, asked) })
+		rep.ifCurrent(fo, func() { fo.StartFrom(rep.log.Error, items, rev, asked) })
 		return
 	}
 	if sampling {
@@ -176,7 +180,7 @@
 			fo.forget()
 		case err != nil:
 			rep.log.Debug("copy not followed", "part", fo.partition, "reason", err)
-		case !fo.apply(rep.log.Error, after, ev, asked):
+		case !fo.Apply(rep.log.Error, after, ev, asked):
 			fo.forget()
 		default:
 			rep.compareSample(fo)
@@ -187,7 +191,7 @@
 // ifCurrent runs what concerns a copy, if it is still kept.
 func (rep *Replicator) ifCurrent(fo *Replica, fn func()) {
 	rep.loop.Do(func() {
-		if rep.replicas[fo.partition] == fo {
+		if rep.Replicas[fo.partition] == fo {
 			fn()
 		}
 	})
@@ -197,9 +201,9 @@
 func (fo *Replica) inherit(from *Replica) {
 	fo.Updates = from.Updates
 	for id, sj := range from.Derived.Jobs {
-		for t, a := range sj.live {
+		for t, a := range sj.Live {
 			if !a.ReplicatedStart.IsZero() {
-				fo.Derived.noteStart(AttemptID{id, t, a.Number}, a.ReplicatedStart)
+				fo.Derived.NoteStart(AttemptID{Job: id, Task: t, Number: a.Number}, a.ReplicatedStart)
 			}
 		}
 	}
@@ -228,8 +232,8 @@
 	return ch, true
 }
 
-// startFrom takes in a listing.
-func (fo *Replica) startFrom(complain func(string, ...any), items []protocol.Item, revision uint64, asked time.Time) {
+// StartFrom takes in a listing.
+func (fo *Replica) StartFrom(complain func(string, ...any), items []protocol.Item, revision uint64, asked time.Time) {
 	all := make([]failover.Change[*storage.RunRecord], 0, len(items))
 	for _, it := range items {
 		if ch, ok := parseChange(complain, it.Key, it.Version, false, it.Value); ok {
@@ -244,8 +248,8 @@
 	fo.asOf = asked
 }
 
-// apply takes in changes; false: they don't join what is known.
-func (fo *Replica) apply(complain func(string, ...any), after uint64, ev *protocol.Events, asked time.Time) bool {
+// Apply takes in changes; false: they don't join what is known.
+func (fo *Replica) Apply(complain func(string, ...any), after uint64, ev *protocol.Events, asked time.Time) bool {
 	changes := make([]failover.Change[*storage.RunRecord], 0, len(ev.Events))
 	for _, e := range ev.Events {
 		if ch, ok := parseChange(complain, e.Put+e.Delete, e.Version, e.Delete != "", e.Value); ok {
@@ -290,7 +294,7 @@
 	maps.DeleteFunc(fo.Updates.Machines, func(name string, _ MachineHints) bool { return rep.Machines[name] == nil })
 	if len(keys) > 0 {
 		rep.metrics.Count(telemetry.CopyDiffers, 1)
-		rep.mismatches++
+		rep.Mismatches++
 		rep.log.Error("replica differs from the state store and is read anew", "partition", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
 		fo.forget()
 	}
@@ -302,7 +306,7 @@
 
 // Summaries is what this controller tells the others of its copies.
 func (rep *Replicator) Summaries() (list []*peer.Follow) {
-	for part, fo := range rep.replicas {
+	for part, fo := range rep.Replicas {
 		list = append(list, &peer.Follow{Part: uint32(part), Revision: fo.Records.Revision()})
 	}
 	return list
@@ -311,9 +315,9 @@
 // Overview is how the copies stand.
 func (rep *Replicator) Overview(now time.Time) (list []overview.Follow) {
 	for _, p := range rep.Partitions {
-		if fo := rep.replicas[p.Index]; fo != nil {
+		if fo := rep.Replicas[p.Index]; fo != nil {
 			list = append(list, overview.Follow{Part: p.Index, Owner: p.Leader, Records: fo.Records.Len(), Whole: fo.Records.Revision() != 0,
-				BehindS: fo.lagS(now), Told: fo.Derived.knownStarts()})
+				BehindS: fo.lagS(now), Told: fo.Derived.KnownStarts()})
 		}
 	}
 	return list
@@ -322,12 +326,12 @@
 // CompleteReplica brings a part's copy to the claim under which it is to be used, or reads the part
 // anew if there is none that can be. Nothing of the owner before is applied after the
 // claim, so that an answer that reaches it covers everything (32).
-func (rep *Replicator) CompleteReplica(p *Partition, claim uint64) (*Replica, bool, error) {
+func (rep *Replicator) CompleteReplica(p *cluster.Partition, claim uint64) (*Replica, bool, error) {
 	prefix := storage.RunPrefix(p.Index)
 	var fo *Replica
 	after := uint64(0)
 	rep.loop.Do(func() {
-		if fo = rep.replicas[p.Index]; fo != nil {
+		if fo = rep.Replicas[p.Index]; fo != nil {
 			after = fo.Records.Revision()
 		}
 	})
@@ -337,7 +341,7 @@
 		good := false
 		if err == nil {
 			rep.ifCurrent(fo, func() {
-				good = fo.apply(rep.log.Error, after, ev, asked) && fo.Records.Revision() >= claim
+				good = fo.Apply(rep.log.Error, after, ev, asked) && fo.Records.Revision() >= claim
 				if good && fo.sample != nil {
 					rep.compareSample(fo)
 					good = fo.Records.Revision() != 0
@@ -354,126 +358,33 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("run records: %w", err)
 	}
-	cold := newReplica(p.Index, asked)
-	cold.startFrom(rep.log.Error, items, rev, asked)
+	cold := NewReplica(p.Index, asked)
+	cold.StartFrom(rep.log.Error, items, rev, asked)
 	if fo != nil {
 		rep.loop.Do(func() { cold.inherit(fo) })
 	}
 	return cold, false, nil
 }
 
-// NamedStandby is which controller a part's owner has named to take the part over; empty:
-// none, or the owner is of a version that names nobody.
-func (s *State) NamedStandby(p *Partition) string {
-	owner := p.Leader
-	if owner == "" {
-		owner = p.FormerLeader
-	}
-	return s.Peers[owner].PartitionSummary(p).GetStandby()
-}
-
-// ChooseStandby names who is to take an own part over: whoever it goes back to, or the
-// one that was named before, while that one is as good as any.
-func (to *Takeover) ChooseStandby(p *Partition, now time.Time) {
-	if home := to.preferredLeader(p, now); home != "" && to.Peers[home].Summary.Copies {
-		p.Standby = home
-		return
-	}
-	able := slices.DeleteFunc(to.Candidates(now), func(o failover.Candidate) bool {
-		ps := to.Peers[o.Label]
-		return ps != nil && !ps.Summary.Copies
-	})
-	p.Standby = failover.KeepStandby(p.Standby, to.Settings.Label, to.Settings.Zone, able)
-}
-
-// HasReplicaOf says whether another controller's copy of a part is whole.
-func (ps *Peer) HasReplicaOf(part int) bool {
-	return slices.ContainsFunc(ps.Summary.GetFollows(), func(f *peer.Follow) bool { return int(f.Part) == part && f.Revision > 0 })
-}
-
-// isStandbyFor says whether this controller is the standby of what another owned: the one
-// that it had named, as long as that one is there, else whoever all would choose. One that
-// has just started knows too little to be chosen, but not to be named.
-func (to *Takeover) isStandbyFor(owner, named string, now time.Time) bool {
-	if owner == "" || named != to.Settings.Label && now.Sub(to.StartedAt) < 5*time.Second {
-		return false // not known, or not settled
-	}
-	all := to.Candidates(now)
-	if named == "" || !slices.ContainsFunc(all, func(o failover.Candidate) bool { return o.Label == named }) {
-		named = failover.ChooseStandby(owner, to.zoneOf(owner), all)
-	}
-	return named == to.Settings.Label
-}
-
-// liveStandby says whether another controller is there that was named a lost part's standby and
-// has a copy of it.
-func (to *Takeover) liveStandby(p *Partition, now time.Time) bool {
-	ps := to.Peers[to.NamedStandby(p)]
-	return ps != nil && ps.Alive(now) && !ps.Summary.Leaving && ps.HasReplicaOf(p.Index)
-}
-
-// zoneOf is a controller's zone, as the settings tell.
-func (s *State) zoneOf(label string) string {
-	if label == s.Settings.Label {
-		return s.Settings.Zone
-	}
-	for _, o := range s.Settings.Others {
-		if o.Label == label {
-			return o.Zone
-		}
-	}
-	return ""
-}
-
-// Candidates are the controllers that could take something over now.
-func (s *State) Candidates(now time.Time) []failover.Candidate {
-	own := failover.Candidate{Label: s.Settings.Label, Zone: s.Settings.Zone}
-	for _, m := range s.Machines {
-		if s.Partitions[m.Record.Partition].Held {
-			own.Machines++
-		}
-	}
-	for _, p := range s.Partitions {
-		if p.Held {
-			own.Partitions++
-		}
-	}
-	var all []failover.Candidate
-	if !s.Draining {
-		all = append(all, own)
-	}
-	for label, ps := range s.Peers {
-		if !ps.Alive(now) || ps.Summary.Leaving {
-			continue
-		}
-		other := failover.Candidate{Label: label, Zone: s.zoneOf(label), Partitions: len(ps.Summary.Parts)}
-		for _, p := range ps.Summary.Parts {
-			other.Machines += len(p.Machines)
-		}
-		all = append(all, other)
-	}
-	return all
-}
-
 // DerivedState is what a part's records come to, made ahead of a takeover: attempts by job
 // and by machine, without the jobs and machines themselves.
 type DerivedState struct {
 	Jobs              map[string]*ReplicaJob
-	AttemptsByMachine map[string]map[string]*Attempt // by name, then as machine.attempts
-	// starts is when attempts began, as far as their owner told it before their record came.
-	starts map[AttemptID]time.Time
-	// droppedStarts is how many of these there was no room for since that was last counted.
-	droppedStarts int
+	AttemptsByMachine map[string]map[string]*cluster.Attempt // by name, then as machine.attempts
+	// Starts is when attempts began, as far as their owner told it before their record came.
+	Starts map[AttemptID]time.Time
+	// DroppedStarts is how many of these there was no room for since that was last counted.
+	DroppedStarts int
 }
 
 type ReplicaJob struct {
 	Records map[int]*storage.RunRecord
-	chunks  map[int]*RunChunk
-	live    map[int]*Attempt
+	chunks  map[int]*cluster.RunChunk
+	Live    map[int]*cluster.Attempt
 }
 
 func newDerivedState() DerivedState {
-	return DerivedState{Jobs: map[string]*ReplicaJob{}, AttemptsByMachine: map[string]map[string]*Attempt{}, starts: map[AttemptID]time.Time{}}
+	return DerivedState{Jobs: map[string]*ReplicaJob{}, AttemptsByMachine: map[string]map[string]*cluster.Attempt{}, Starts: map[AttemptID]time.Time{}}
 }
 
 // apply brings the shadow in line with a change of a record.
@@ -481,18 +392,18 @@
 	id, index, _ := storage.ParseRunKey(ch.Key) // was read when the change came
 	sj := s.Jobs[id]
 	if sj == nil {
-		sj = &ReplicaJob{Records: map[int]*storage.RunRecord{}, chunks: map[int]*RunChunk{}, live: map[int]*Attempt{}}
+		sj = &ReplicaJob{Records: map[int]*storage.RunRecord{}, chunks: map[int]*cluster.RunChunk{}, Live: map[int]*cluster.Attempt{}}
 		s.Jobs[id] = sj
 	}
-	before := map[int]*Attempt{}
+	before := map[int]*cluster.Attempt{}
 	if old := sj.Records[index]; old != nil {
 		for _, r := range old.Live {
-			delete(s.AttemptsByMachine[r.Machine], AttemptKey(protocol.TaskName(id, r.Task), r.Number))
+			delete(s.AttemptsByMachine[r.Machine], cluster.AttemptKey(protocol.TaskName(id, r.Task), r.Number))
 			if len(s.AttemptsByMachine[r.Machine]) == 0 {
 				delete(s.AttemptsByMachine, r.Machine)
 			}
-			before[r.Task] = sj.live[r.Task]
-			delete(sj.live, r.Task)
+			before[r.Task] = sj.Live[r.Task]
+			delete(sj.Live, r.Task)
 		}
 	}
 	if ch.Deleted {
@@ -503,57 +414,57 @@
 		return
 	}
 	sj.Records[index] = ch.Value
-	sj.chunks[index] = &RunChunk{Index: index, Revision: ch.Version, LastNumber: ch.Value.Last}
+	sj.chunks[index] = &cluster.RunChunk{Index: index, Revision: ch.Version, LastNumber: ch.Value.Last}
 	for _, r := range ch.Value.Live {
-		a := &Attempt{TaskIndex: r.Task, Number: r.Number, Epoch: r.Epoch, State: AttemptCommitted, Inherited: true}
-		key := AttemptID{id, r.Task, r.Number}
+		a := &cluster.Attempt{TaskIndex: r.Task, Number: r.Number, Epoch: r.Epoch, State: cluster.AttemptCommitted, Inherited: true}
+		key := AttemptID{Job: id, Task: r.Task, Number: r.Number}
 		if was := before[r.Task]; was != nil && was.Number == r.Number {
 			a.ReplicatedStart = was.ReplicatedStart
-		} else if at, ok := s.starts[key]; ok {
+		} else if at, ok := s.Starts[key]; ok {
 			a.ReplicatedStart = at
-			delete(s.starts, key)
+			delete(s.Starts, key)
 		}
-		sj.live[r.Task] = a
+		sj.Live[r.Task] = a
 		on := s.AttemptsByMachine[r.Machine]
 		if on == nil {
-			on = map[string]*Attempt{}
+			on = map[string]*cluster.Attempt{}
 			s.AttemptsByMachine[r.Machine] = on
 		}
-		on[AttemptKey(protocol.TaskName(id, r.Task), r.Number)] = a
+		on[cluster.AttemptKey(protocol.TaskName(id, r.Task), r.Number)] = a
 	}
 }
 
-// noteStart takes in when an attempt began, as its owner tells it.
-func (s *DerivedState) noteStart(key AttemptID, at time.Time) {
+// NoteStart takes in when an attempt began, as its owner tells it.
+func (s *DerivedState) NoteStart(key AttemptID, at time.Time) {
 	if sj := s.Jobs[key.Job]; sj != nil {
-		if a := sj.live[key.Task]; a != nil && a.Number >= key.Number {
+		if a := sj.Live[key.Task]; a != nil && a.Number >= key.Number {
 			if a.Number == key.Number {
 				a.ReplicatedStart = at
 			}
 			return
 		}
 	}
-	if _, known := s.starts[key]; !known && len(s.starts) >= pendingStartsLimit {
-		s.droppedStarts++
+	if _, known := s.Starts[key]; !known && len(s.Starts) >= PendingStartsLimit {
+		s.DroppedStarts++
 		return
 	}
-	s.starts[key] = at
+	s.Starts[key] = at
 }
 
-// pendingStartsLimit is how many attempts may be told of before their records have come: those that
+// PendingStartsLimit is how many attempts may be told of before their records have come: those that
 // were committed a moment ago, or all 64,000 of 4,000 machines while the copy is begun. One
 // takes some 130 bytes, all 10 MB.
-const pendingStartsLimit = 80_000
+const PendingStartsLimit = 80_000
 
 // pruneStarts forgets what was told of attempts whose records have not come and won't.
 func (s *DerivedState) pruneStarts(now time.Time) {
-	maps.DeleteFunc(s.starts, func(_ AttemptID, at time.Time) bool { return now.Sub(at) > time.Minute })
+	maps.DeleteFunc(s.Starts, func(_ AttemptID, at time.Time) bool { return now.Sub(at) > time.Minute })
 }
 
-// knownStarts is how many attempts are known to have begun.
-func (s *DerivedState) knownStarts() (n int) {
+// KnownStarts is how many attempts are known to have begun.
+func (s *DerivedState) KnownStarts() (n int) {
 	for _, sj := range s.Jobs {
-		for _, a := range sj.live {
+		for _, a := range sj.Live {
 			if !a.ReplicatedStart.IsZero() {
 				n++
 			}
@@ -565,7 +476,7 @@
 // UnknownJobs lists jobs that the records name and that are neither known here nor among the
 // records read: ended ones whose attempts are not all proven over, and those whose own
 // record has not come yet.
-func (s *DerivedState) UnknownJobs(jobs map[string]*Job, read map[string]*protocol.Item) (ids []string) {
+func (s *DerivedState) UnknownJobs(jobs map[string]*cluster.Job, read map[string]*protocol.Item) (ids []string) {
 	for id := range s.Jobs {
 		if jobs[id] == nil && read[id] == nil {
 			ids = append(ids, id)
@@ -575,10 +486,10 @@
 }
 
 // Bind makes the records' state that of the job, for its part's new owner.
-func (sj *ReplicaJob) Bind(j *Job, now time.Time) (live int) {
+func (sj *ReplicaJob) Bind(j *cluster.Job, now time.Time) (live int) {
 	j.Loaded, j.RunningCount, j.Completing, j.FailedMachines, j.RunTimesS = true, 0, false, nil, nil
 	j.TaskDone, j.DoneCount, j.Pending = make([]bool, j.Spec.Tasks), 0, nil
-	j.LiveAttempts, j.Chunks = sj.live, sj.chunks
+	j.LiveAttempts, j.Chunks = sj.Live, sj.chunks
 	for _, run := range sj.Records {
 		for _, r := range run.Done {
 			for t := max(0, r[0]); t <= r[1] && t < len(j.TaskDone); t++ {
@@ -589,11 +500,11 @@
 			}
 		}
 	}
-	need := ResourcesOf(j.Spec)
+	need := cluster.ResourcesOf(j.Spec)
 	for t, a := range j.LiveAttempts {
 		if a.Job = j; a.Machine == nil || t < 0 || t >= j.Spec.Tasks {
 			if a.Machine != nil {
-				delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
+				delete(a.Machine.Attempts, cluster.AttemptKey(a.TaskName(), a.Number))
 			}
 			delete(j.LiveAttempts, t)
 			j.MarkDirty(max(0, min(t, j.Spec.Tasks-1)), false, now)
@@ -607,9 +518,9 @@
 // Unbind takes the attempts of a job that nobody knows off their machines, whose reports
 // then show them as nobody's.
 func (sj *ReplicaJob) Unbind(id string) {
-	for t, a := range sj.live {
+	for t, a := range sj.Live {
 		if a.Machine != nil {
-			delete(a.Machine.Attempts, AttemptKey(protocol.TaskName(id, t), a.Number))
+			delete(a.Machine.Attempts, cluster.AttemptKey(protocol.TaskName(id, t), a.Number))
 		}
 	}
 }
--- a/internal/coordination/tale.go
+++ b/internal/coordination/replication/updates.go
@@ -1,67 +1,39 @@
-package coordination
+package replication
 
 import (
 	"cmp"
 	"context"
 	"errors"
-	"maps"
 	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
-// What an owner knows beyond the records, and tells its standby: when attempts began,
-// which machines are slow, faulty or about to be taken, which images they hold, how far
-// estimates are off; and what the leader is about. It is told as what has changed since
-// what the other has, bounded in size and rate. It serves predictions only: nothing that
-// a rule rests on comes from it (33).
+const UpdatePath = "/peer/tale"
 
-const (
-	UpdatePath        = "/peer/tale"
-	StateTransferPath = "/peer/recall"
-	updateInterval    = time.Second
-	updateTimeout     = time.Second // for a message and its answer
-	// updateBytesLimit is what one message holds at most; the rest follows with the next. That is
-	// some 26,000 attempts, or 500 machines with all their images: a standby that knows
-	// nothing has 4,000 machines and 64,000 attempts after some 10 s.
-	updateBytesLimit = PeerBodyMin * 3 / 4
-	// entryOverheadBytes is what an entry takes beside itself.
-	entryOverheadBytes = 8
-	// updateImagesLimit is how many images of a machine are told, the newest.
-	updateImagesLimit = 50
-	// movedMachinesLimit is how many machines that were moved of late the leader names.
-	movedMachinesLimit = 4000
-	// leaderUpdateTTL is how long what the leader told counts after it was told.
-	leaderUpdateTTL = 10 * time.Second
-)
+const StateTransferPath = "/peer/recall"
 
-// ReplicationProgress is how far a part's tale has come with the standby.
-type ReplicationProgress struct {
-	Target       string // whom it is told to
-	Acknowledged uint64 // up to where that one has it
-	Clock        uint64 // the place of the newest change
-}
+const updateInterval = time.Second
 
-// MachineFacts is what is told of a machine, as far as a change of it is told again.
-type MachineFacts struct {
-	Addr              string
-	Epoch             uint64
-	Quarantined       bool
-	SlowTasks         int
-	PreemptionNoticed bool
-	Images            int
-}
+const updateTimeout = time.Second // for a message and its answer
 
-func (m *Machine) Facts() MachineFacts {
-	return MachineFacts{m.Record.Addr, m.Epoch, m.Quarantined, m.SlowTasks, !m.PreemptionAt.IsZero(), len(m.Images)}
-}
+// UpdateBytesLimit is what one message holds at most; the rest follows with the next. That is
+// some 26,000 attempts, or 500 machines with all their images: a standby that knows
+// nothing has 4,000 machines and 64,000 attempts after some 10 s.
+const UpdateBytesLimit = peerapi.BodyMin * 3 / 4
+
+// EntryOverheadBytes is what an entry takes beside itself.
+const EntryOverheadBytes = 8
 
 // ReplicateLoop tells each part's standby, and the leader's peers, once a second.
 func (rep *Replicator) ReplicateLoop() {
@@ -74,7 +46,7 @@
 func (rep *Replicator) SendUpdates(ctx context.Context) {
 	type message struct {
 		to, addr string
-		part     *Partition // nil: the leader's
+		part     *cluster.Partition // nil: the leader's
 		tale     *peer.Tale
 	}
 	var out []message
@@ -82,11 +54,11 @@
 		now := time.Now()
 		for _, p := range rep.Partitions {
 			if ps := rep.Peers[p.Standby]; p.Held && p.Ready && ps != nil && ps.Alive(now) {
-				out = append(out, message{p.Standby, ps.Addr, p, rep.partitionUpdate(p, now)})
+				out = append(out, message{p.Standby, ps.Addr, p, rep.PartitionUpdate(p, now)})
 			}
 		}
 		if rep.Leadership.Held {
-			tale := rep.autoscaler.leaderUpdate(now)
+			tale := rep.autoscaler.LeaderUpdate(now)
 			for label, ps := range rep.Peers {
 				if ps.Alive(now) {
 					out = append(out, message{label, ps.Addr, nil, tale})
@@ -99,7 +71,7 @@
 		rep.loop.Go(func() {
 			defer func() { done <- struct{}{} }()
 			reply := new(peer.TaleReply)
-			if err := callPeer(ctx, rep.network, updateTimeout, msg.addr, UpdatePath, msg.tale, reply); err != nil {
+			if err := peerapi.Call(ctx, rep.network, updateTimeout, msg.addr, UpdatePath, msg.tale, reply); err != nil {
 				rep.log.Debug("tale not told", "to", msg.to, "reason", err)
 				return
 			}
@@ -121,17 +93,17 @@
 	}
 }
 
-// partitionUpdate is what has changed of a part's tale since what its standby has.
-func (rep *Replicator) partitionUpdate(p *Partition, now time.Time) *peer.Tale {
+// PartitionUpdate is what has changed of a part's tale since what its standby has.
+func (rep *Replicator) PartitionUpdate(p *cluster.Partition, now time.Time) *peer.Tale {
 	t := &p.Replication
 	if t.Target != p.Standby {
 		t.Target, t.Acknowledged = p.Standby, 0
 	}
 	tale := &peer.Tale{From: rep.Settings.Label, Nonce: rep.Nonce, Claim: p.LeaseRevision, Part: uint32(p.Index), Since: t.Acknowledged}
-	room := updateBytesLimit
+	room := UpdateBytesLimit
 	for _, correction := range rep.scheduler.RuntimeCorrections() {
 		tale.Classes = append(tale.Classes, correction)
-		room -= proto.Size(correction) + entryOverheadBytes
+		room -= proto.Size(correction) + EntryOverheadBytes
 	}
 	list := rep.partitionChanges(p)
 	tale.Upto = t.Clock
@@ -145,12 +117,12 @@
 // change among all of the part.
 type replicaChange struct {
 	seq     uint64
-	attempt *Attempt
-	machine *Machine
+	attempt *cluster.Attempt
+	machine *cluster.Machine
 }
 
 // partitionChanges lists what has changed since what the part's standby has, in order.
-func (rep *Replicator) partitionChanges(p *Partition) (list []replicaChange) {
+func (rep *Replicator) partitionChanges(p *cluster.Partition) (list []replicaChange) {
 	t := &p.Replication
 	for _, j := range rep.Jobs {
 		if j.Partition != p.Index || !j.Loaded {
@@ -190,10 +162,10 @@
 		var mt *peer.MachineTale
 		if a := change.attempt; a != nil {
 			at = &peer.AttemptTale{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RanS: a.RunningS(now)}
-			room -= proto.Size(at) + entryOverheadBytes
+			room -= proto.Size(at) + EntryOverheadBytes
 		} else {
-			mt = change.machine.hint(now)
-			room -= proto.Size(mt) + entryOverheadBytes
+			mt = change.machine.Hint(now)
+			room -= proto.Size(mt) + EntryOverheadBytes
 		}
 		if room < 0 && i > 0 {
 			tale.Upto = list[i-1].seq
@@ -208,23 +180,10 @@
 	return true
 }
 
-// hint is what is known of a machine beyond its record.
-func (m *Machine) hint(now time.Time) *peer.MachineTale {
-	mt := &peer.MachineTale{Name: m.Name, Addr: m.Record.Addr, Session: m.Epoch, Faulty: m.Quarantined, SlowTasks: uint32(m.SlowTasks), NoticeS: -1}
-	if !m.PreemptionAt.IsZero() {
-		mt.NoticeS = max(0, m.PreemptionAt.Sub(now).Seconds())
-	}
-	images := slices.SortedFunc(maps.Keys(m.Images), func(a, b string) int {
-		return cmp.Or(m.Images[b].Compare(m.Images[a]), cmp.Compare(a, b))
-	})
-	mt.Images = images[:min(len(images), updateImagesLimit)]
-	return mt
-}
-
 // ReceivedUpdates is a part's tale as its owner told it.
 type ReceivedUpdates struct {
-	sender, nonce       string
-	lease, Acknowledged uint64
+	Sender, nonce       string
+	Lease, Acknowledged uint64
 	Machines            map[string]MachineHints
 	Classes             []*peer.ClassTale
 	// droppedMachines is how many machines there was no room for since that was last counted.
@@ -242,18 +201,18 @@
 	PreemptionAt time.Time // zero: not announced
 }
 
-// replicaMachinesLimit is how many machines a tale may hold: more than any part has, so that only a
+// ReplicaMachinesLimit is how many machines a tale may hold: more than any part has, so that only a
 // faulty sender is bounded by it.
-const replicaMachinesLimit = 100_000
+const ReplicaMachinesLimit = 100_000
 
 // Apply takes a message in and says up to where the tale is known. What comes twice or
 // late does nothing; after a gap the sender goes on from what is known.
 func (h *ReceivedUpdates) Apply(t *peer.Tale, began func(AttemptID, time.Time), now time.Time) uint64 {
-	if t.Claim < h.lease {
+	if t.Claim < h.Lease {
 		return 0 // an owner of before
 	}
-	if h.sender != t.From || h.nonce != t.Nonce || h.lease != t.Claim {
-		*h = ReceivedUpdates{sender: t.From, nonce: t.Nonce, lease: t.Claim}
+	if h.Sender != t.From || h.nonce != t.Nonce || h.Lease != t.Claim {
+		*h = ReceivedUpdates{Sender: t.From, nonce: t.Nonce, Lease: t.Claim}
 	}
 	if t.Since > h.Acknowledged || t.Upto < h.Acknowledged {
 		return h.Acknowledged
@@ -263,11 +222,11 @@
 	}
 	for _, a := range t.Attempts {
 		if a.RanS >= 0 && a.RanS < 1e9 {
-			began(AttemptID{a.Job, int(a.Task), a.Attempt}, now.Add(-time.Duration(a.RanS*float64(time.Second))))
+			began(AttemptID{Job: a.Job, Task: int(a.Task), Number: a.Attempt}, now.Add(-time.Duration(a.RanS*float64(time.Second))))
 		}
 	}
 	for _, m := range t.Machines {
-		if _, known := h.Machines[m.Name]; !known && len(h.Machines) >= replicaMachinesLimit {
+		if _, known := h.Machines[m.Name]; !known && len(h.Machines) >= ReplicaMachinesLimit {
 			h.droppedMachines++
 		} else {
 			hm := MachineHints{MachineTale: m}
@@ -282,10 +241,10 @@
 }
 
 // HandleUpdate answers an owner that tells its part's tale, or the leader.
-func (rep *Replicator) HandleUpdate(who *Caller, body []byte) transport.Response {
+func (rep *Replicator) HandleUpdate(who *auth.Caller, body []byte) transport.Response {
 	t := new(peer.Tale)
 	if err := proto.Unmarshal(body, t); err != nil {
-		return Refuse(400, "bad tale", 0)
+		return respond.Refuse(400, "bad tale", 0)
 	}
 	if refusal := rep.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: t.From}); refusal != nil {
 		return *refusal
@@ -294,17 +253,17 @@
 	rep.loop.Do(func() {
 		now := time.Now()
 		if t.Leader != nil {
-			rep.LastLeaderUpdate = LeaderUpdate{From: t.From, ReceivedAt: now, Update: t.Leader}
+			rep.LastLeaderUpdate = cluster.LeaderUpdate{From: t.From, ReceivedAt: now, Update: t.Leader}
 			return
 		}
-		if fo := rep.replicas[int(t.Part)]; fo != nil {
-			reply.Have = fo.Updates.Apply(t, fo.Derived.noteStart, now)
+		if fo := rep.Replicas[int(t.Part)]; fo != nil {
+			reply.Have = fo.Updates.Apply(t, fo.Derived.NoteStart, now)
 			rep.bounds.Met(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
-			rep.bounds.Met(telemetry.ReplicaStarts, fo.Derived.droppedStarts)
-			fo.Updates.droppedMachines, fo.Derived.droppedStarts = 0, 0
+			rep.bounds.Met(telemetry.ReplicaStarts, fo.Derived.DroppedStarts)
+			fo.Updates.droppedMachines, fo.Derived.DroppedStarts = 0, 0
 		}
 	})
-	return protoResponse(reply)
+	return peerapi.Reply(reply)
 }
 
 // HandleStateTransfer answers a controller that was started anew: the tale of a part as its former
@@ -312,36 +271,36 @@
 func (rep *Replicator) HandleStateTransfer(body []byte) transport.Response {
 	req := new(peer.RecallRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
-		return Refuse(400, "bad request", 0)
+		return respond.Refuse(400, "bad request", 0)
 	}
 	tale := &peer.Tale{Part: req.Part}
 	rep.loop.Do(func() {
-		if fo := rep.replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
+		if fo := rep.Replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
 			whole := false
-			if tale, whole = fo.stateTransfer(time.Now()); !whole {
+			if tale, whole = fo.StateTransfer(time.Now()); !whole {
 				rep.bounds.Met(telemetry.RecallBytes, 1)
 			}
 		}
 	})
-	return protoResponse(tale)
+	return peerapi.Reply(tale)
 }
 
-// stateTransferBytesLimit is what a recalled tale holds at most, below what a client takes as a
+// StateTransferBytesLimit is what a recalled tale holds at most, below what a client takes as a
 // response: 64,000 attempts take some 2 MB, 4,000 machines 0.4 MB, their images the rest.
-const stateTransferBytesLimit = 6 << 20
+const StateTransferBytesLimit = 6 << 20
 
-// stateTransfer is a tale as it was heard, for whoever asks. whole is false if it was too large: it
+// StateTransfer is a tale as it was heard, for whoever asks. whole is false if it was too large: it
 // lacks images then, which only tell where a start is quick, or even more.
-func (fo *Replica) stateTransfer(now time.Time) (t *peer.Tale, whole bool) {
+func (fo *Replica) StateTransfer(now time.Time) (t *peer.Tale, whole bool) {
 	h := &fo.Updates
-	t = &peer.Tale{From: h.sender, Nonce: h.nonce, Claim: h.lease, Part: uint32(fo.partition), Upto: h.Acknowledged, Classes: h.Classes}
-	room := stateTransferBytesLimit - proto.Size(t)
+	t = &peer.Tale{From: h.Sender, Nonce: h.nonce, Claim: h.Lease, Part: uint32(fo.partition), Upto: h.Acknowledged, Classes: h.Classes}
+	room := StateTransferBytesLimit - proto.Size(t)
 	fits := func(m proto.Message) bool {
-		room -= proto.Size(m) + entryOverheadBytes
+		room -= proto.Size(m) + EntryOverheadBytes
 		return room >= 0
 	}
 	for id, sj := range fo.Derived.Jobs {
-		for task, a := range sj.live {
+		for task, a := range sj.Live {
 			if a.ReplicatedStart.IsZero() {
 				continue
 			}
@@ -374,7 +333,7 @@
 }
 
 // ApplyStart puts it to an inherited attempt when it did, as its former owner had told.
-func (rep *Replicator) ApplyStart(p *Partition, k AttemptID, at time.Time) bool {
+func (rep *Replicator) ApplyStart(p *cluster.Partition, k AttemptID, at time.Time) bool {
 	j := rep.Jobs[k.Job]
 	if j == nil || j.Partition != p.Index || !j.Loaded {
 		return false
@@ -391,7 +350,7 @@
 }
 
 // ApplyHints puts what the former owner told of machines and classes to what they are now.
-func (rep *Replicator) ApplyHints(p *Partition, h *ReceivedUpdates, now time.Time) {
+func (rep *Replicator) ApplyHints(p *cluster.Partition, h *ReceivedUpdates, now time.Time) {
 	for name, mt := range h.Machines {
 		m := rep.Machines[name]
 		if m == nil || m.Record.Partition != p.Index {
@@ -420,11 +379,11 @@
 
 // RequestStateTransfer asks the others what they were told of a part that this controller has just
 // taken over without a tale of its own: its former life's, above all.
-func (rep *Replicator) RequestStateTransfer(p *Partition, claim uint64) {
+func (rep *Replicator) RequestStateTransfer(p *cluster.Partition, claim uint64) {
 	for _, ps := range rep.Peers {
 		rep.loop.Go(func() {
 			t := new(peer.Tale)
-			err := callPeer(rep.loop.Context(), rep.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
+			err := peerapi.Call(rep.loop.Context(), rep.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
 			if err != nil && !errors.Is(err, transport.ErrNotSent) {
 				rep.log.Debug("tale not recalled", "from", ps.Addr, "reason", err)
 			}
@@ -447,59 +406,3 @@
 		})
 	}
 }
-
-// LeaderUpdate is what the leader told last.
-type LeaderUpdate struct {
-	From       string
-	ReceivedAt time.Time
-	Update     *peer.LeaderTale
-}
-
-// leaderUpdate is what the leader is about.
-func (as *Autoscaler) leaderUpdate(now time.Time) *peer.Tale {
-	l := &as.Leadership
-	lt := &peer.LeaderTale{}
-	for _, name := range slices.Sorted(maps.Keys(l.PendingScaleOut)) {
-		r := l.PendingScaleOut[name]
-		lt.Rentals = append(lt.Rentals, &peer.RentalTale{Name: name, Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: uint32(r.Count), Part: uint32(r.Partition)})
-	}
-	for kind, until := range l.RefusedCapacity {
-		if until.After(now) {
-			lt.Refused = append(lt.Refused, &peer.RefusalTale{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, ForS: until.Sub(now).Seconds()})
-		}
-	}
-	for name, at := range l.MovedAt {
-		if as.Machines[name] != nil && len(lt.Moved) < movedMachinesLimit && now.Sub(at) < 2*time.Minute {
-			lt.Moved = append(lt.Moved, &peer.MovedTale{Name: name, AgoS: now.Sub(at).Seconds()})
-		}
-	}
-	return &peer.Tale{From: as.Settings.Label, Nonce: as.Nonce, Claim: l.Revision, Leader: lt}
-}
-
-// ResumeLeadership goes on with what the leader before was about: what the cloud lacked, which
-// machines were moved of late, and its rentals without an answer, which are repeated
-// under their own names, so that they rent nothing twice (18).
-func (as *Autoscaler) ResumeLeadership(h LeaderUpdate, now time.Time) {
-	l := &as.Leadership
-	version := l.Revision
-	if h.Update == nil || now.Sub(h.ReceivedAt) > leaderUpdateTTL || h.From == as.Settings.Label {
-		return
-	}
-	for _, r := range h.Update.Refused {
-		if r.ForS > 0 && r.ForS < 60 {
-			l.RefusedCapacity[binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = h.ReceivedAt.Add(time.Duration(r.ForS * float64(time.Second)))
-		}
-	}
-	for _, m := range h.Update.Moved {
-		l.MovedAt[m.Name] = h.ReceivedAt.Add(-time.Duration(m.AgoS * float64(time.Second)))
-	}
-	for _, r := range h.Update.Rentals {
-		if int(r.Part) >= len(as.Partitions) || r.Count == 0 || r.Count > 50 || l.PendingScaleOut[r.Name] != nil {
-			continue
-		}
-		rent := &ScaleOutRequest{Kind: binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, Partition: int(r.Part), Count: int(r.Count)}
-		l.PendingScaleOut[r.Name] = rent
-		as.log.Info("repeating a rental of the leader before", "request", r.Name, "type", r.Type, "count", r.Count)
-		as.loop.Go(func() { as.finishScaleOut(r.Name, rent, version) })
-	}
-}
--- a/internal/coordination/place.go
+++ b/internal/coordination/scheduler/placement.go
@@ -1,13 +1,13 @@
-package coordination
+package scheduler
 
 import (
 	"log/slog"
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/contention"
 	"micaspindle/internal/coordination/placement"
-	"micaspindle/internal/settings"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
@@ -15,32 +15,32 @@
 // Scheduler decides which tasks of a partition run where: the order of its queue, placement,
 // preemption and the fair share.
 type Scheduler struct {
-	*State
+	*cluster.State
 	store   *storage.Store
 	log     *slog.Logger
 	bounds  *telemetry.BoundReporter
 	metrics *telemetry.Metrics
 
-	agents *Agents
+	agents Agents
 
-	// runtimeCorrections are, by class, how far estimates of run times are off.
-	runtimeCorrections map[string]*runtimeCorrection
-	scarcityCache      binpack.Scarcity
-	scarcityAt         time.Time
-	queueBuffers       queueBuffers
-	placementBuffers   placementBuffers
+	// Corrections are, by class, how far estimates of run times are off.
+	Corrections      map[string]*runtimeCorrection
+	ScarcityCache    binpack.Scarcity
+	scarcityAt       time.Time
+	queueBuffers     queueBuffers
+	placementBuffers placementBuffers
 	// ClassGroups numbers the classes as groups of the fair share, after the teams.
 	ClassGroups map[string]int
 }
 
-// NewScheduler makes one without collaborators.
-func NewScheduler(state *State, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Scheduler {
+// New makes one without collaborators.
+func New(state *cluster.State, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Scheduler {
 	return &Scheduler{State: state, store: store, log: log, bounds: bounds,
-		runtimeCorrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{}}
+		Corrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{}}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (sched *Scheduler) Connect(agents *Agents) {
+func (sched *Scheduler) Connect(agents Agents) {
 	sched.agents = agents
 }
 
@@ -49,7 +49,7 @@
 
 // Place gives waiting tasks to machines by least contention: it gathers what the
 // placement's room decides on, and reserves what that says.
-func (sched *Scheduler) Place(p *Partition, now time.Time) {
+func (sched *Scheduler) Place(p *cluster.Partition, now time.Time) {
 	// The room for all of these is that of the last time.
 	list, usable := sched.placementBuffers.jobs[:0], usableMachines{now: now, list: sched.placementBuffers.machines[:0], predict: sched.predictMachine}
 	v := placement.View{Jobs: sched.placementBuffers.jobViews[:0], Machines: sched.placementBuffers.machineViews[:0], Scarcity: sched.Scarcity(now), Horizon: sched.horizon()}
@@ -75,7 +75,7 @@
 	for _, m := range sched.Machines {
 		if m.Record.Partition == p.Index && sched.Usable(m, now) {
 			usable.list = append(usable.list, m)
-			v.Machines = append(v.Machines, placement.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Free: m.Free(), FetchGBPerS: m.Type.FetchGBPerS, ReservedFor: m.ReservedFor})
+			v.Machines = append(v.Machines, placement.Machine{Name: m.Name, Kind: cluster.MachineKindOf(m.Record), Free: m.Free(), FetchGBPerS: m.Type.FetchGBPerS, ReservedFor: m.ReservedFor})
 		}
 	}
 	if len(v.Machines) == 0 {
@@ -83,7 +83,7 @@
 	}
 	v.Of = usable
 	for team, t := range sched.Settings.Params.Teams {
-		v.Teams = append(v.Teams, placement.Team{Limit: TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.QuotaOf(team)})
+		v.Teams = append(v.Teams, placement.Team{Limit: cluster.TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.QuotaOf(team)})
 	}
 	decided := placement.Decide(v)
 	for _, i := range decided.Wanted {
@@ -101,24 +101,20 @@
 
 // placementBuffers is room for the views of placement.
 type placementBuffers struct {
-	jobs         []*Job
-	machines     []*Machine
+	jobs         []*cluster.Job
+	machines     []*cluster.Machine
 	jobViews     []placement.Job
 	machineViews []placement.Machine
 }
 
-func TeamLimit(t settings.Team) binpack.Compute {
-	return binpack.Compute{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
-}
-
 // longFetchShare is the share of a run from which on fetching its image counts as
 // long.
 const longFetchShare = 0.15
 
 // placementView is what the placement of a job's tasks depends on.
-func (sched *Scheduler) placementView(j *Job) placement.Job {
+func (sched *Scheduler) placementView(j *cluster.Job) placement.Job {
 	s := j.Spec
-	v := placement.Job{Waiting: len(j.Pending), Gang: s.Gang, Team: j.Team, Groups: j.Groups(), Class: j.ClassGroup, Resources: ResourcesOf(s), Constraints: ConstraintsOf(s), Types: sched.typeSet(s),
+	v := placement.Job{Waiting: len(j.Pending), Gang: s.Gang, Team: j.Team, Groups: j.Groups(), Class: j.ClassGroup, Resources: cluster.ResourcesOf(s), Constraints: cluster.ConstraintsOf(s), Types: sched.typeSet(s),
 		Image: s.Image, ImageGB: s.ImageGB, LongS: longFetchShare * sched.EstimateS(s), OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
 		Failed: j.FailedMachines, Prediction: sched.predictTask(s, 0)}
 	if len(s.Dependencies) > 0 || !j.InheritedDeadline.IsZero() {
@@ -130,21 +126,12 @@
 	return v
 }
 
-// ZoneCounts counts where a job's tasks are.
-func (j *Job) ZoneCounts() map[string]int {
-	zones := map[string]int{}
-	for _, a := range j.LiveAttempts {
-		zones[a.Machine.Record.Zone]++
-	}
-	return zones
-}
-
 // usableMachines answers what placement asks of few of them.
 type usableMachines struct {
 	now  time.Time
-	list []*Machine
+	list []*cluster.Machine
 	// predict says what runs on a machine now.
-	predict func(m *Machine, now time.Time) *contention.Machine
+	predict func(m *cluster.Machine, now time.Time) *contention.Machine
 }
 
 // HasImage says whether a machine has an image or is fetching it already.
@@ -154,7 +141,7 @@
 // the prediction is old: not every task that is placed must predict every other one.
 func (u usableMachines) Running(i int) *contention.Machine {
 	m := u.list[i]
-	if m.Prediction == nil || u.now.Sub(m.PredictedAt) >= QueueOrderTTL {
+	if m.Prediction == nil || u.now.Sub(m.PredictedAt) >= cluster.QueueOrderTTL {
 		m.Prediction = u.predict(m, u.now)
 		m.PredictedAt = u.now
 	}
@@ -162,15 +149,15 @@
 }
 
 // predictMachine is what placement compares of a machine.
-func (sched *Scheduler) predictMachine(m *Machine, now time.Time) *contention.Machine {
+func (sched *Scheduler) predictMachine(m *cluster.Machine, now time.Time) *contention.Machine {
 	return &contention.Machine{Tasks: sched.predictTasks(m, now), Limit: sched.Operator.LimitShare * m.Type.CPUs}
 }
 
 // reserveAll reserves what was decided for a job, as far as its records have room;
 // of a gang all or nothing. What has none waits for the next round.
-func (sched *Scheduler) reserveAll(p *Partition, j *Job, plan []placement.Assignment, machines []*Machine, now time.Time) {
+func (sched *Scheduler) reserveAll(p *cluster.Partition, j *cluster.Job, plan []placement.Assignment, machines []*cluster.Machine, now time.Time) {
 	number := uint64(0)
-	before := map[int]RunChunk{}
+	before := map[int]cluster.RunChunk{}
 	if j.Spec.Gang {
 		// All share one attempt number, by which workers know their mates.
 		number = 1
@@ -202,11 +189,11 @@
 }
 
 // unreserveGang gives back what was reserved of a gang.
-func (sched *Scheduler) unreserveGang(p *Partition, j *Job, before map[int]RunChunk) {
+func (sched *Scheduler) unreserveGang(p *cluster.Partition, j *cluster.Job, before map[int]cluster.RunChunk) {
 	for _, a := range j.LiveAttempts {
-		delete(a.Machine.Attempts, AttemptKey(a.TaskName(), a.Number))
+		delete(a.Machine.Attempts, cluster.AttemptKey(a.TaskName(), a.Number))
 		a.Machine.RecountUsed()
-		p.Usage[j.Team].Add(ResourcesOf(j.Spec), -1)
+		p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), -1)
 	}
 	clear(j.LiveAttempts)
 	for i, ch := range j.Chunks {
@@ -219,27 +206,14 @@
 	}
 }
 
-func (sched *Scheduler) Reserve(p *Partition, j *Job, task int, number uint64, m *Machine, now time.Time) {
+func (sched *Scheduler) Reserve(p *cluster.Partition, j *cluster.Job, task int, number uint64, m *cluster.Machine, now time.Time) {
 	ch := j.Chunk(task)
 	ch.LastNumber = max(ch.LastNumber, number)
-	a := &Attempt{Job: j, TaskIndex: task, Number: number, Machine: m, Epoch: m.Epoch}
+	a := &cluster.Attempt{Job: j, TaskIndex: task, Number: number, Machine: m, Epoch: m.Epoch}
 	j.LiveAttempts[task] = a
-	m.Attempts[AttemptKey(a.TaskName(), a.Number)] = a
-	p.Usage[j.Team].Add(ResourcesOf(j.Spec), 1)
+	m.Attempts[cluster.AttemptKey(a.TaskName(), a.Number)] = a
+	p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), 1)
 	m.RecountUsed()
 	m.IdleSince = now
 	j.MarkDirty(task, true, now)
 }
-
-// HasImage says whether a machine has an image or is fetching it already.
-func (m *Machine) HasImage(image string) bool {
-	if _, ok := m.Images[image]; ok {
-		return true
-	}
-	for _, a := range m.Attempts {
-		if a.Live() && a.Job.Spec.Image == image {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -1,27 +1,27 @@
-package coordination
+package scheduler
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"micaspindle/internal/telemetry"
-
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/placement"
 	"micaspindle/internal/coordination/preemption"
+	"micaspindle/internal/telemetry"
 )
 
 const preemptInterval = time.Second
 
 // Preempt stops running work for jobs that must start now and find no room.
-func (sched *Scheduler) Preempt(p *Partition, now time.Time) {
+func (sched *Scheduler) Preempt(p *cluster.Partition, now time.Time) {
 	if now.Sub(p.PreemptedAt) < preemptInterval {
 		return
 	}
 	p.PreemptedAt = now
 	list := sched.Queue(p)
-	if !slices.ContainsFunc(list, func(j *Job) bool { return sched.mayPreemptFor(p, j, now) }) {
+	if !slices.ContainsFunc(list, func(j *cluster.Job) bool { return sched.mayPreemptFor(p, j, now) }) {
 		return
 	}
 	list = append(list, p.IdleJobs...) // what runs may be stopped
@@ -39,7 +39,7 @@
 }
 
 // mayPreemptFor says whether a job must start now, before anything more is looked at.
-func (sched *Scheduler) mayPreemptFor(p *Partition, j *Job, now time.Time) bool {
+func (sched *Scheduler) mayPreemptFor(p *cluster.Partition, j *cluster.Job, now time.Time) bool {
 	if len(j.Pending) == 0 || j.Spec.Gang || j.Ended || now.Before(j.BackoffUntil) {
 		return false
 	}
@@ -47,26 +47,26 @@
 	return preemption.MustStart(&v, &t, now)
 }
 
-func (sched *Scheduler) preemptionView(j *Job, now time.Time) preemption.Job {
+func (sched *Scheduler) preemptionView(j *cluster.Job, now time.Time) preemption.Job {
 	due, _ := j.Deadline()
-	return preemption.Job{Team: j.Team, Urgency: j.Urgency(), Resources: ResourcesOf(j.Spec), Constraints: ConstraintsOf(j.Spec), Since: j.ReadySince(), Due: due,
+	return preemption.Job{Team: j.Team, Urgency: j.Urgency(), Resources: cluster.ResourcesOf(j.Spec), Constraints: cluster.ConstraintsOf(j.Spec), Since: j.ReadySince(), Due: due,
 		EstimateS: sched.EstimateS(j.Spec), Waiting: len(j.Pending), Standing: j.Spec.Standing,
 		Never: j.Spec.Gang || j.Ended || now.Before(j.BackoffUntil), Failed: j.FailedMachines, Groups: j.Groups()}
 }
 
-func (sched *Scheduler) preemptionTeam(p *Partition, team int) preemption.Team {
+func (sched *Scheduler) preemptionTeam(p *cluster.Partition, team int) preemption.Team {
 	t := sched.Settings.Params.Teams[team]
-	return preemption.Team{Guarantee: binpack.Compute{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: TeamLimit(t), Used: p.Usage[team]}
+	return preemption.Team{Guarantee: binpack.Compute{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: cluster.TeamLimit(t), Used: p.Usage[team]}
 }
 
 // partitionPreemptionView gathers a part with all that runs on its usable machines.
-func (sched *Scheduler) partitionPreemptionView(p *Partition, list []*Job, now time.Time) (preemption.View, []*Attempt) {
+func (sched *Scheduler) partitionPreemptionView(p *cluster.Partition, list []*cluster.Job, now time.Time) (preemption.View, []*cluster.Attempt) {
 	v := preemption.View{Now: now}
 	for team := range sched.Settings.Params.Teams {
 		v.Teams = append(v.Teams, sched.preemptionTeam(p, team))
 	}
-	index := make(map[*Job]int, len(list))
-	note := func(j *Job) int {
+	index := make(map[*cluster.Job]int, len(list))
+	note := func(j *cluster.Job) int {
 		i, ok := index[j]
 		if !ok {
 			i = len(v.Jobs)
@@ -89,9 +89,9 @@
 			v.Jobs[i].Closed = closed
 		}
 	}
-	var tasks []*Attempt
-	known := map[*Attempt]int{}
-	task := func(a *Attempt) int {
+	var tasks []*cluster.Attempt
+	known := map[*cluster.Attempt]int{}
+	task := func(a *cluster.Attempt) int {
 		i, ok := known[a]
 		if !ok {
 			i = len(tasks)
@@ -113,7 +113,7 @@
 		if m.Record.Partition != p.Index || !sched.Usable(m, now) {
 			continue
 		}
-		view := preemption.Machine{Name: m.Name, Kind: MachineKindOf(m.Record), Free: m.Free()}
+		view := preemption.Machine{Name: m.Name, Kind: cluster.MachineKindOf(m.Record), Free: m.Free()}
 		for _, a := range m.SortedAttempts() {
 			if a.Live() {
 				view.Tasks = append(view.Tasks, task(a))
@@ -127,7 +127,7 @@
 
 // lostWork is what stopping an attempt throws away, in CPU seconds. A service
 // loses nothing: what its replicas have run has been of use.
-func (sched *Scheduler) lostWork(a *Attempt, now time.Time) float64 {
+func (sched *Scheduler) lostWork(a *cluster.Attempt, now time.Time) float64 {
 	s := a.Job.Spec
 	lost := 0.0
 	if !s.Standing {
--- a/internal/coordination/inorder.go
+++ b/internal/coordination/scheduler/queue.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"math"
@@ -6,6 +6,7 @@
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/queue"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/settings"
@@ -16,17 +17,17 @@
 // list is kept for a moment, so that events do not each sort all jobs again, unless
 // another job comes to want something: served last, its tasks would find the room
 // taken, and its ends would be on record, and its team's room be free, a batch later.
-func (sched *Scheduler) Queue(p *Partition) []*Job {
+func (sched *Scheduler) Queue(p *cluster.Partition) []*cluster.Job {
 	now := time.Now()
 	// The room for both is that of the last time.
 	list, views := sched.queueBuffers.jobs[:0], sched.queueBuffers.views[:0]
-	gone := func(j *Job) bool { return !j.Loaded || sched.Jobs[j.Spec.ID] != j }
-	wants := func(j *Job) bool { return j.HasWork() && !gone(j) }
-	if p.QueueOrder != nil && now.Sub(p.QueueOrderedAt) < QueueOrderTTL && !slices.ContainsFunc(p.IdleJobs, wants) {
+	gone := func(j *cluster.Job) bool { return !j.Loaded || sched.Jobs[j.Spec.ID] != j }
+	wants := func(j *cluster.Job) bool { return j.HasWork() && !gone(j) }
+	if p.QueueOrder != nil && now.Sub(p.QueueOrderedAt) < cluster.QueueOrderTTL && !slices.ContainsFunc(p.IdleJobs, wants) {
 		p.QueueOrder = slices.DeleteFunc(p.QueueOrder, gone)
 		return slices.Clone(p.QueueOrder)
 	}
-	p.QueueOrder, p.IdleJobs, p.QueueOrderedAt = []*Job{}, p.IdleJobs[:0], now
+	p.QueueOrder, p.IdleJobs, p.QueueOrderedAt = []*cluster.Job{}, p.IdleJobs[:0], now
 	for _, j := range sched.Jobs {
 		switch {
 		case j.Partition != p.Index || !j.Loaded || j.Blocked:
@@ -46,30 +47,14 @@
 	return slices.Clone(p.QueueOrder)
 }
 
-// HasWork says whether a job wants something of its part's owner.
-func (j *Job) HasWork() bool { return len(j.Pending) > 0 || j.Completing || j.RecordsChanged }
-
-// HasDirtyChunk says whether a record of the job waits to be written.
-func (j *Job) HasDirtyChunk() bool {
-	for _, ch := range j.Chunks {
-		if ch.Dirty {
-			return true
-		}
-	}
-	return false
-}
-
 // queueBuffers is room for sorting jobs.
 type queueBuffers struct {
-	jobs  []*Job
+	jobs  []*cluster.Job
 	views []queue.Job
 }
 
-// QueueOrderTTL is how long an order of jobs is good for.
-const QueueOrderTTL = 200 * time.Millisecond
-
 // queueView is what the order depends on of every job.
-func (sched *Scheduler) queueView(j *Job) queue.Job {
+func (sched *Scheduler) queueView(j *cluster.Job) queue.Job {
 	deadline, _ := j.Deadline()
 	return queue.Job{ID: j.Spec.ID, Urgency: j.Urgency(), Received: j.SubmittedAt, Due: j.Due(), Deadline: deadline, Waiting: len(j.Pending), Team: j.Team}
 }
@@ -77,7 +62,7 @@
 // estimateContention works out what the order depends on of those jobs only that wait and
 // have a deadline: how long they run, on what, and how many tasks the part's machines
 // and the team's limit let run at a time. Jobs that are alike share the answer.
-func (sched *Scheduler) estimateContention(p *Partition, list []*Job, views []queue.Job) {
+func (sched *Scheduler) estimateContention(p *cluster.Partition, list []*cluster.Job, views []queue.Job) {
 	machines := map[string]int{}
 	for _, m := range sched.Machines {
 		if m.Record.Partition == p.Index && m.Type != nil && !m.Lost && !m.Quarantined {
@@ -95,7 +80,7 @@
 			continue
 		}
 		v.EstimateS, v.Types, v.AtOnce = sched.EstimateS(j.Spec), sched.typeSet(j.Spec), sched.teamParallelism(j)
-		k := like{ResourcesOf(j.Spec), v.Types}
+		k := like{cluster.ResourcesOf(j.Spec), v.Types}
 		slots, ok := known[k]
 		if !ok {
 			slots = sched.fleetSlots(machines, j.Spec)
@@ -107,17 +92,8 @@
 	}
 }
 
-// Due is when a job should be done; one without a deadline queues as if it
-// had a long one.
-func (j *Job) Due() time.Time {
-	if at, ok := j.Deadline(); ok {
-		return at
-	}
-	return j.ReadySince().Add(time.Hour)
-}
-
 // JobRunTime predicts how long a job takes from its first start to its end.
-func (sched *Scheduler) JobRunTime(j *Job) time.Duration {
+func (sched *Scheduler) JobRunTime(j *cluster.Job) time.Duration {
 	return settings.Seconds(sched.EstimateS(j.Spec) * queue.Rounds(j.Spec.Tasks, sched.teamParallelism(j)))
 }
 
@@ -126,15 +102,15 @@
 	sum := 0.0
 	for i := range sched.Catalog {
 		t := &sched.Catalog[i]
-		if n := machines[t.Name]; n > 0 && binpack.FitsOffered(ConstraintsOf(s), ResourcesOf(s), t) {
-			sum += float64(n * binpack.Size(t).Slots(ResourcesOf(s), binpack.UnboundedSlots))
+		if n := machines[t.Name]; n > 0 && binpack.FitsOffered(cluster.ConstraintsOf(s), cluster.ResourcesOf(s), t) {
+			sum += float64(n * binpack.Size(t).Slots(cluster.ResourcesOf(s), binpack.UnboundedSlots))
 		}
 	}
 	return sum
 }
 
 // teamParallelism is how many tasks of a job its team's limit lets run at a time.
-func (sched *Scheduler) teamParallelism(j *Job) float64 {
+func (sched *Scheduler) teamParallelism(j *cluster.Job) float64 {
 	t := sched.Settings.Params.Teams[j.Team]
 	if t.CPUsMax <= 0 || j.Spec.CPUs <= 0 {
 		return math.Inf(1)
@@ -144,13 +120,5 @@
 
 // typeSet is the set of machine types that a job's tasks fit, as bits.
 func (sched *Scheduler) typeSet(s *protocol.JobSpec) uint64 {
-	return binpack.TypeSet(ConstraintsOf(s), ResourcesOf(s), sched.Catalog)
-}
-
-func ResourcesOf(s *protocol.JobSpec) binpack.Resources {
-	return binpack.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
-}
-
-func ConstraintsOf(s *protocol.JobSpec) binpack.Constraints {
-	return binpack.Constraints{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
+	return binpack.TypeSet(cluster.ConstraintsOf(s), cluster.ResourcesOf(s), sched.Catalog)
 }
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -1,6 +1,9 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/lease"
+
 	"context"
 	"fmt"
 	"slices"
@@ -241,11 +244,11 @@
 		}
 		n0 := w.nodes["n0"].ctl
 		over := func(nonce string) (is bool) {
-			n0.loop.Do(func() { is = !n0.leases.endedIncarnations[incarnationID{"n1", nonce}].IsZero() })
+			n0.loop.Do(func() { is = !n0.leases.EndedIncarnations[lease.IncarnationID{Label: "n1", Nonce: nonce}].IsZero() })
 			return is
 		}
 		n0.loop.Do(func() { // the older record once more, late
-			n0.watcher.applyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
+			n0.watcher.ApplyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
 		})
 		if !over(a.Nonce) || over(b.Nonce) {
 			t.Errorf("over: the first life %v, the second %v", over(a.Nonce), over(b.Nonce))
@@ -276,12 +279,12 @@
 		defer end()
 		p, bound := c.Partitions[0], c.AnswerBound()
 		put := func(key string, version uint64, v any) {
-			c.watcher.applyEvent(protocol.Event{Put: key, Value: storage.Encode(v), Version: version})
+			c.watcher.ApplyEvent(protocol.Event{Put: key, Value: storage.Encode(v), Version: version})
 		}
 		claim := func(version uint64, label, nonce string) {
 			put(storage.LeaseKey(0), version, storage.Lease{Holder: label, Nonce: nonce})
 		}
-		m := &Machine{}
+		m := &cluster.Machine{}
 		check := func(what string, want time.Time) {
 			t.Helper()
 			if got := c.leases.LastAnswerBound(p, m); !got.Equal(want) {
@@ -289,7 +292,7 @@
 			}
 		}
 		start := time.Now()
-		c.watcher.applyListing(nil, 1)
+		c.watcher.ApplyListing(nil, 1)
 		check("owners before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
 		put(storage.IncarnationKey("n1"), 2, storage.Incarnation{Nonce: "x", Lease: 1})
@@ -311,7 +314,7 @@
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
 		m = c.Machines["m-1"]
 		check("the owner of the part that a machine came from", time.Now().Add(bound))
-		m = &Machine{}
+		m = &cluster.Machine{}
 		time.Sleep(time.Minute)
 		claim(11, "n0", c.Nonce)
 		time.Sleep(time.Minute)
@@ -340,10 +343,10 @@
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
-		if lacks := c.takeover.missingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
+		if lacks := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
 			t.Errorf("lacks %v", lacks)
 		}
-		if c.RecordsRevision = 20; len(c.takeover.missingEvidence(p, 20, 20)) != 0 || len(c.takeover.missingEvidence(p, 20, 19)) != 1 {
+		if c.RecordsRevision = 20; len(c.takeover.MissingEvidence(p, 20, 20)) != 0 || len(c.takeover.MissingEvidence(p, 20, 19)) != 1 {
 			t.Error("what was read before the claim is not enough")
 		}
 	})
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover/takeover.go
@@ -1,4 +1,4 @@
-package coordination
+package takeover
 
 import (
 	"fmt"
@@ -8,7 +8,10 @@
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/failover"
+	"micaspindle/internal/coordination/lease"
+	"micaspindle/internal/coordination/replication"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
@@ -17,26 +20,26 @@
 
 // Takeover decides which partitions to take over, and rebuilds their state.
 type Takeover struct {
-	*State
+	*cluster.State
 	loop    *eventloop.Loop
 	store   *storage.Store
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 
-	agents     *Agents
-	jobs       *Tracker
-	leases     *LeaseHolder
-	proxy      *Proxy
-	replicator *Replicator
+	agents     Agents
+	jobs       Jobs
+	leases     Leases
+	proxy      Proxy
+	replicator Replicator
 }
 
-// NewTakeover makes one without collaborators.
-func NewTakeover(state *State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Takeover {
+// New makes one without collaborators.
+func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Takeover {
 	return &Takeover{State: state, loop: loop, store: store, log: log}
 }
 
 // Connect gives it its collaborators, before the loop starts.
-func (to *Takeover) Connect(agents *Agents, jobs *Tracker, leases *LeaseHolder, proxy *Proxy, replicator *Replicator) {
+func (to *Takeover) Connect(agents Agents, jobs Jobs, leases Leases, proxy Proxy, replicator Replicator) {
 	to.agents, to.jobs, to.leases, to.proxy, to.replicator = agents, jobs, leases, proxy, replicator
 }
 
@@ -45,13 +48,13 @@
 
 // WantsPartition says whether to claim a part now: its own at once, an orphan after
 // a pause that is longer the more parts are held already.
-func (to *Takeover) WantsPartition(p *Partition, now time.Time) bool {
+func (to *Takeover) WantsPartition(p *cluster.Partition, now time.Time) bool {
 	if !to.Synced || p.Held || to.Draining || now.Sub(to.ResignedAt) < 10*time.Second && !to.ResignedAt.IsZero() {
 		return false
 	}
 	if p.LeaseRevision != 0 {
 		// A former life's, or one whose release is not on record yet.
-		return p.Leader == to.Settings.Label && now.Sub(p.AcquiredAt) > ReleaseTimeout
+		return p.Leader == to.Settings.Label && now.Sub(p.AcquiredAt) > lease.ReleaseTimeout
 	}
 	if to.isStandbyFor(p.FormerLeader, to.NamedStandby(p), now) {
 		return true
@@ -91,13 +94,13 @@
 
 // preferredLeader is the controller whose own a part is and to which it goes back now that it is
 // there again; empty: it stays. That is done only where it evens the work out.
-func (to *Takeover) preferredLeader(p *Partition, now time.Time) string {
-	if !p.Held || !p.Ready || !p.HasTeams || p.Index == to.SelfIndex || p.Index >= len(to.Labels) || now.Sub(p.AcquiredAt) < SettleTime {
+func (to *Takeover) preferredLeader(p *cluster.Partition, now time.Time) string {
+	if !p.Held || !p.Ready || !p.HasTeams || p.Index == to.SelfIndex || p.Index >= len(to.Labels) || now.Sub(p.AcquiredAt) < lease.SettleTime {
 		return ""
 	}
 	label := to.Labels[p.Index]
 	home := to.Peers[label]
-	if home == nil || !home.Alive(now) || home.Summary.Leaving || now.Sub(home.HeardSince) < SettleTime {
+	if home == nil || !home.Alive(now) || home.Summary.Leaving || now.Sub(home.HeardSince) < lease.SettleTime {
 		return ""
 	}
 	mine, theirs := 0, 0
@@ -119,7 +122,7 @@
 const handbackWarmUp = 10 * time.Second
 
 // ShouldHandBack says whether to give a part up to its home now.
-func (to *Takeover) ShouldHandBack(p *Partition, now time.Time) bool {
+func (to *Takeover) ShouldHandBack(p *cluster.Partition, now time.Time) bool {
 	home := to.preferredLeader(p, now)
 	if home == "" {
 		p.HandbackSince = time.Time{}
@@ -133,7 +136,7 @@
 
 // TakeOver reads what the part's former owner recorded. Everything that owner
 // still sends fails from now on, since it is conditional on the old claim.
-func (to *Takeover) TakeOver(p *Partition, version uint64) {
+func (to *Takeover) TakeOver(p *cluster.Partition, version uint64) {
 	current := func() bool {
 		ok := false
 		return to.loop.Do(func() { ok = p.Held && p.LeaseRevision == version }) && ok
@@ -151,7 +154,7 @@
 	}
 }
 
-func (to *Takeover) tryTakeOver(p *Partition, version uint64) error {
+func (to *Takeover) tryTakeOver(p *cluster.Partition, version uint64) error {
 	fo, warm, err := to.replicator.CompleteReplica(p, version)
 	if err != nil {
 		return err
@@ -169,10 +172,10 @@
 			if missing = fo.Derived.UnknownJobs(to.Jobs, specs); len(missing) > 0 {
 				return
 			}
-			if lacks = to.missingEvidence(p, version, fo.Records.Revision()); len(lacks) > 0 {
+			if lacks = to.MissingEvidence(p, version, fo.Records.Revision()); len(lacks) > 0 {
 				return
 			}
-			to.install(p, fo, specs, warm)
+			to.Install(p, fo, specs, warm)
 			told = fo.Updates.Acknowledged != 0
 		})
 		if len(missing) > 0 {
@@ -195,23 +198,22 @@
 	}
 }
 
-// missingEvidence says what is still missing before the first decision on a part whose run records
+// MissingEvidence says what is still missing before the first decision on a part whose run records
 // are known up to a revision. Machines and ends of jobs come with the watch, in order.
 // Quotas are added up as the records are taken in.
-func (to *Takeover) missingEvidence(p *Partition, claim, runs uint64) []string {
+func (to *Takeover) MissingEvidence(p *cluster.Partition, claim, runs uint64) []string {
 	return failover.TakeoverCheck{LeaseRevision: claim, NewestLease: p.LeaseRevision, SinceRenewal: time.Since(to.LeaseRenewedAt), TTL: to.Operator.ClaimTTL,
 		RunRecords: runs, MachineRecords: to.RecordsRevision, FinalStates: to.RecordsRevision, Counted: true}.Missing()
 }
 
 // catchUp is how long a new owner waits for what is missing before it reads anew.
-const (
-	catchUpTimeout      = 2 * time.Second
-	catchUpPollInterval = 10 * time.Millisecond
-)
+const catchUpTimeout = 2 * time.Second
+
+const catchUpPollInterval = 10 * time.Millisecond
 
-// install takes a part's copy as the state of its jobs and machines. The copy is the
+// Install takes a part's copy as the state of its jobs and machines. The copy is the
 // part's from then on.
-func (to *Takeover) install(p *Partition, fo *Replica, specs map[string]*protocol.Item, warm bool) {
+func (to *Takeover) Install(p *cluster.Partition, fo *replication.Replica, specs map[string]*protocol.Item, warm bool) {
 	now := time.Now()
 	to.replicator.DropReplica(p.Index)
 	if !p.Cleared {
@@ -251,7 +253,7 @@
 		if sj := fo.Derived.Jobs[id]; sj != nil {
 			live += sj.Bind(j, now)
 			bound++
-			p.Usage[j.Team].Add(ResourcesOf(j.Spec), float64(len(j.LiveAttempts)))
+			p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), float64(len(j.LiveAttempts)))
 		} else {
 			j.Load()
 		}
@@ -288,7 +290,7 @@
 			to.jobs.DropIfReleased(j)
 		}
 	}
-	p.Ready, p.WarmFailover, p.QueueOrder, p.Replication, p.HandbackSince = true, warm, nil, ReplicationProgress{}, time.Time{}
+	p.Ready, p.WarmFailover, p.QueueOrder, p.Replication, p.HandbackSince = true, warm, nil, cluster.ReplicationProgress{}, time.Time{}
 	p.Wake()
 	to.metrics.Took(telemetry.Takeover, now.Sub(p.AcquiredAt), now)
 	kind := telemetry.TakeoverCold
@@ -298,15 +300,3 @@
 	to.metrics.Count(kind, 1)
 	to.log.Info("part ready", "part", p.Index, "live", live, "after", now.Sub(p.AcquiredAt), "warm", warm)
 }
-
-func (j *Job) RequeueAll() {
-	j.Pending = j.Pending[:0]
-	if waiting := j.Spec.Tasks - j.DoneCount - len(j.LiveAttempts); cap(j.Pending) < waiting {
-		j.Pending = make([]int, 0, waiting)
-	}
-	for t := range j.Spec.Tasks {
-		if !j.TaskDone[t] && j.LiveAttempts[t] == nil {
-			j.Pending = append(j.Pending, t)
-		}
-	}
-}
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -1,6 +1,11 @@
 package coordination
 
 import (
+	"micaspindle/internal/coordination/lease"
+	"micaspindle/internal/coordination/peering"
+	"micaspindle/internal/coordination/proxy"
+	"micaspindle/internal/coordination/replication"
+
 	"context"
 	"fmt"
 	"log/slog"
@@ -61,7 +66,7 @@
 	ids   *clerks
 	group sync.WaitGroup
 	// lived are the lives of controllers of which a record was written.
-	lived map[incarnationID]bool
+	lived map[lease.IncarnationID]bool
 	troubles
 	// stormTasks is how many tasks a storm's jobs have at most.
 	stormTasks int
@@ -88,7 +93,7 @@
 
 func newWorld(t testing.TB, seed uint64) *world {
 	w := &world{t: t, ctx: t.Context(), rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{},
-		workers: map[string]*worker.Worker{}, jobs: map[string]*userJob{}, lived: map[incarnationID]bool{}, op: settings.DefaultOperator(), stormTasks: 12}
+		workers: map[string]*worker.Worker{}, jobs: map[string]*userJob{}, lived: map[lease.IncarnationID]bool{}, op: settings.DefaultOperator(), stormTasks: 12}
 	w.set.Params = settings.Params{Count: 3, Zones: []string{"a", "b"},
 		Teams:         []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
 		Workers:       settings.Workers{ReportS: 1, LeaseS: 8, CancelS: 25},
@@ -283,7 +288,7 @@
 
 // ofOld is a message of a controller that keeps no copies, without what it does not know.
 func ofOld(path string, body []byte) []byte {
-	if path != SummaryPath {
+	if path != peering.SummaryPath {
 		return body
 	}
 	sum := new(peer.Summary)
@@ -310,7 +315,7 @@
 	n, wk := w.nodes[host], w.workers[host]
 	w.mu.Unlock()
 	switch {
-	case n != nil && (w.old[host] || w.old[from]) && (path == UpdatePath || path == StateTransferPath || path == DelegationPath || path == ForwardPath):
+	case n != nil && (w.old[host] || w.old[from]) && (path == replication.UpdatePath || path == replication.StateTransferPath || path == proxy.DelegationPath || path == proxy.ForwardPath):
 		return &transport.Response{Status: 404}
 	case n != nil:
 		if w.old[from] {
@@ -319,10 +324,10 @@
 		w.mu.Lock()
 		noNotices := w.noNotices
 		w.mu.Unlock()
-		if path == SummaryPath && noNotices {
+		if path == peering.SummaryPath && noNotices {
 			body = withoutNotices(body)
 		}
-		if w.told != nil && path == UpdatePath {
+		if w.told != nil && path == replication.UpdatePath {
 			tale := new(peer.Tale)
 			must(proto.Unmarshal(body, tale))
 			w.mu.Lock()
@@ -347,7 +352,7 @@
 	if kind, _ := storage.ParseKey(c.Put); (kind == storage.KindLease || kind == storage.KindLeadership) && storage.Decode(c.Value, &claim) == nil {
 		// Not that the record is of this life still: a late claim of a process that ended
 		// may come after its next life's record, on a lease that has not run out yet (44).
-		if !w.lived[incarnationID{claim.Holder, claim.Nonce}] {
+		if !w.lived[lease.IncarnationID{Label: claim.Holder, Nonce: claim.Nonce}] {
 			w.breakRule("%s claimed before the record of its owner's life", c.Put)
 		}
 	}
@@ -355,7 +360,7 @@
 	if kind == storage.KindIncarnation {
 		var life storage.Incarnation
 		must(storage.Decode(c.Value, &life))
-		w.lived[incarnationID{label, life.Nonce}] = true
+		w.lived[lease.IncarnationID{Label: label, Nonce: life.Nonce}] = true
 		w.checkReleases(label, c.Value)
 	}
 	if !held || kind != storage.KindLease && kind != storage.KindLeadership {
