--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -17,7 +17,7 @@
 	m := ag.Machines[r.Machine]
 	if m == nil {
 		if _, deleted := ag.DeletedMachines[r.Machine]; !deleted && ag.Synced {
-			ag.UnregisteredMachines[r.Machine] = &peer.UnknownMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+			ag.UnregisteredMachines[r.Machine] = &peer.UnregisteredMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		}
 		return respond.Refuse(503, "machine is not on record", 1)
 	}
--- a/internal/coordination/agents/machine_requests.go
+++ b/internal/coordination/agents/machine_requests.go
@@ -11,14 +11,14 @@
 )
 
 // HandleMachineRequest does what the leader asks about one of this owner's machines.
-func (ag *Agents) HandleMachineRequest(fr *peer.FleetRequest) *peer.FleetReply {
-	reply := &peer.FleetReply{Reason: "stopping"}
+func (ag *Agents) HandleMachineRequest(fr *peer.MachineRequest) *peer.MachineReply {
+	reply := &peer.MachineReply{Reason: "stopping"}
 	var txn *protocol.Transaction
 	var m *cluster.Machine
 	var rec storage.Machine
 	ag.loop.Do(func() {
 		m = ag.Machines[fr.Machine]
-		if m == nil || !ag.Partitions[m.Record.Partition].Ready || int(fr.ToPart) >= len(ag.Partitions) {
+		if m == nil || !ag.Partitions[m.Record.Partition].Ready || int(fr.ToPartition) >= len(ag.Partitions) {
 			reply.Reason = "not mine"
 			return
 		}
@@ -34,7 +34,7 @@
 		// Every order is answered and the newest report is empty (10).
 		m.Moving = true
 		rec = m.Record
-		rec.Partition = int(fr.ToPart)
+		rec.Partition = int(fr.ToPartition)
 		p := ag.Partitions[m.Record.Partition]
 		txn = &protocol.Transaction{
 			If: []protocol.Condition{{Key: storage.LeaseKey(p.Index), Version: p.LeaseRevision},
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -223,7 +223,7 @@
 	for _, m := range plan.Moves {
 		l.MovedAt[m.Name] = now
 		as.log.Info("moving machine", "machine", m.Name, "from", m.From, "to", m.To)
-		as.askPartitionLeader(as.Partitions[m.From].Leader, &peer.FleetRequest{Machine: m.Name, ToPart: uint32(m.To)}, func() {
+		as.askPartitionLeader(as.Partitions[m.From].Leader, &peer.MachineRequest{Machine: m.Name, ToPartition: uint32(m.To)}, func() {
 			as.loop.Do(func() { as.Leadership.AssignedAt[m.To] = time.Now() })
 		})
 	}
@@ -234,7 +234,7 @@
 		l.Deleting[name] = now
 		m := as.Machines[name]
 		as.log.Info("returning machine", "machine", name, "type", m.Record.Type, "part", m.Record.Partition)
-		as.askPartitionLeader(as.Partitions[m.Record.Partition].Leader, &peer.FleetRequest{Machine: name, Retire: true}, func() { as.deleteMachines([]string{name}) })
+		as.askPartitionLeader(as.Partitions[m.Record.Partition].Leader, &peer.MachineRequest{Machine: name, Retire: true}, func() { as.deleteMachines([]string{name}) })
 	}
 }
 
@@ -252,8 +252,8 @@
 	}
 	states := map[string]*peer.MachineStatus{} // as the owner of the machine's part tells
 	take := func(owner string, sum *peer.Summary, heard time.Time) {
-		for _, ps := range sum.Parts {
-			i := int(ps.Part)
+		for _, ps := range sum.Partitions {
+			i := int(ps.Partition)
 			if i >= len(v.Partitions) || as.Partitions[i].Leader != owner {
 				continue
 			}
@@ -268,7 +268,7 @@
 			}
 		}
 	}
-	take(as.Settings.Label, &peer.Summary{Parts: as.peering.PartitionSummaries(now)}, now)
+	take(as.Settings.Label, &peer.Summary{Partitions: as.peering.PartitionSummaries(now)}, now)
 	for label, ps := range as.Peers {
 		if ps.Alive(now) {
 			take(label, ps.Summary, ps.HeardAt)
@@ -279,7 +279,7 @@
 		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: cluster.MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
 			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
 		if st := states[name]; st != nil {
-			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Faulty, st.NeverUp, st.Retiring, st.IdleS
+			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Quarantined, st.NeverUp, st.Retiring, st.IdleS
 		}
 		v.Machines = append(v.Machines, f)
 	}
@@ -299,7 +299,7 @@
 // those whose rental was answered to nobody.
 func (as *Autoscaler) unrecordedMachines(now time.Time) map[string]storage.Machine {
 	strays := map[string]storage.Machine{}
-	take := func(u *peer.UnknownMachine) {
+	take := func(u *peer.UnregisteredMachine) {
 		strays[u.Name] = storage.Machine{Addr: u.Addr, Type: u.Type, Zone: u.Zone, Spot: u.Spot}
 	}
 	for _, u := range as.UnregisteredMachines {
@@ -307,7 +307,7 @@
 	}
 	for _, ps := range as.Peers {
 		if ps.Alive(now) {
-			for _, u := range ps.Summary.Unknown {
+			for _, u := range ps.Summary.Unregistered {
 				take(u)
 			}
 		}
@@ -404,7 +404,7 @@
 }
 
 // askPartitionLeader asks a machine's owner for something; then runs if it agreed.
-func (as *Autoscaler) askPartitionLeader(owner string, fr *peer.FleetRequest, then func()) {
+func (as *Autoscaler) askPartitionLeader(owner string, fr *peer.MachineRequest, then func()) {
 	as.loop.Go(func() {
 		reply, err := as.sendMachineRequest(owner, fr)
 		if err != nil || !reply.Ok {
@@ -417,7 +417,7 @@
 	})
 }
 
-func (as *Autoscaler) sendMachineRequest(owner string, fr *peer.FleetRequest) (*peer.FleetReply, error) {
+func (as *Autoscaler) sendMachineRequest(owner string, fr *peer.MachineRequest) (*peer.MachineReply, error) {
 	if owner == as.Settings.Label {
 		return as.agents.HandleMachineRequest(fr), nil
 	}
@@ -425,6 +425,6 @@
 	if ps == nil {
 		return nil, fmt.Errorf("no such controller %q", owner)
 	}
-	reply := new(peer.FleetReply)
+	reply := new(peer.MachineReply)
 	return reply, peerapi.Call(as.loop.Context(), as.network, 3*time.Second, ps.Addr, peerapi.MachineRequestPath, fr, reply)
 }
--- a/internal/coordination/autoscaler/collaborators.go
+++ b/internal/coordination/autoscaler/collaborators.go
@@ -11,7 +11,7 @@
 // Agents is what Autoscaler asks of its collaborator.
 type Agents interface {
 	// HandleMachineRequest does what the leader asks about one of this owner's machines.
-	HandleMachineRequest(fr *peer.FleetRequest) *peer.FleetReply
+	HandleMachineRequest(fr *peer.MachineRequest) *peer.MachineReply
 	// MachineDeleted follows the end of a record, which the leader removes only
 	// after the machine is certainly gone.
 	MachineDeleted(name string, now time.Time)
@@ -28,7 +28,7 @@
 // Peering is what Autoscaler asks of its collaborator.
 type Peering interface {
 	// PartitionSummaries describes the own parts.
-	PartitionSummaries(now time.Time) (list []*peer.PartSummary)
+	PartitionSummaries(now time.Time) (list []*peer.PartitionSummary)
 }
 
 // Scheduler is what Autoscaler asks of its collaborator.
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -237,14 +237,14 @@
 				c := fleetOf(b, n.machines, n.running, each)
 				part := c.TeamPartition[c.TeamIndex["green"]]
 				var runs []protocol.Item
-				tale := &peer.Tale{From: "n1", Nonce: "x", Claim: 1, Upto: 1}
+				tale := &peer.ReplicaUpdate{From: "n1", Nonce: "x", LeaseRevision: 1, Through: 1}
 				for id, j := range c.Jobs {
 					for _, ch := range j.Chunks {
 						runs = append(runs, protocol.Item{Key: storage.RunKey(part, id, ch.Index), Version: 5,
 							Value: storage.Encode(j.RunRecord(ch))})
 					}
 					for task := range j.LiveAttempts {
-						tale.Attempts = append(tale.Attempts, &peer.AttemptTale{Job: id, Task: uint32(task), Attempt: 1, RanS: 3})
+						tale.Attempts = append(tale.Attempts, &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: 1, RunningS: 3})
 					}
 				}
 				for _, m := range c.Machines {
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -314,15 +314,15 @@
 		ctl := w.nodes[owner].ctl
 		w.mu.Unlock()
 		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
-			req := &peer.CarryRequest{From: carrier, Nonce: "x", Part: uint32(part), Reports: reports}
+			req := &peer.DelegationRequest{From: carrier, Nonce: "x", Partition: uint32(part), Heartbeats: reports}
 			ctl.loop.Do(func() {
-				req.Claim = ctl.Partitions[part].LeaseRevision
+				req.LeaseRevision = ctl.Partitions[part].LeaseRevision
 				ctl.LeaseRenewedAt = time.Now().Add(-ago)
 			})
 			body, err := proto.Marshal(req)
 			must(err)
 			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.DelegationPath, Body: body})
-			reply := new(peer.CarryReply)
+			reply := new(peer.DelegationGrant)
 			if resp.Status == 200 {
 				must(proto.Unmarshal(resp.Body, reply))
 			}
@@ -379,9 +379,9 @@
 				}
 				direct[from][host] = true
 			case proxy.ForwardPath:
-				req := new(peer.RelayRequest)
+				req := new(peer.ForwardRequest)
 				must(proto.Unmarshal(body, req))
-				relayed += len(req.Orders)
+				relayed += len(req.Commands)
 			}
 			return false
 		}
@@ -530,37 +530,37 @@
 		post := func(path string, body []byte) int {
 			return ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: path, Body: body}).Status
 		}
-		carry := func(r *peer.CarryRequest) int {
+		carry := func(r *peer.DelegationRequest) int {
 			body, err := proto.Marshal(r)
 			must(err)
 			return post(proxy.DelegationPath, body)
 		}
 		for what, got := range map[string]int{
-			"another claim":   carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: uint32(part), Claim: claim - 1}) - 409,
-			"no such part":    carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: 99, Claim: claim}) - 409,
+			"another claim":   carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(part), LeaseRevision: claim - 1}) - 409,
+			"no such part":    carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: 99, LeaseRevision: claim}) - 409,
 			"no message":      post(proxy.DelegationPath, []byte{1, 2, 3}) - 400,
 			"no orders":       post(proxy.ForwardPath, []byte{1, 2, 3}) - 400,
-			"reports of none": carry(&peer.CarryRequest{From: "n1", Nonce: "x", Part: uint32(part), Claim: claim, Reports: [][]byte{{1}, nil}}) - 200,
+			"reports of none": carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(part), LeaseRevision: claim, Heartbeats: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
 				t.Errorf("%s: status off by %d", what, got)
 			}
 		}
-		many := &peer.RelayRequest{From: "n1"}
+		many := &peer.ForwardRequest{From: "n1"}
 		for range proxy.ForwardCommandsLimit + 1 {
-			many.Orders = append(many.Orders, &peer.Relayed{Machine: "m-000001"})
+			many.Commands = append(many.Commands, &peer.ForwardedCommand{Machine: "m-000001"})
 		}
 		body, err := proto.Marshal(many)
 		must(err)
 		if got := post(proxy.ForwardPath, body); got != 400 {
 			t.Errorf("too many orders: %d", got)
 		}
-		body, err = proto.Marshal(&peer.RelayRequest{From: "n1", Orders: []*peer.Relayed{{Machine: "unheard of"}}})
+		body, err = proto.Marshal(&peer.ForwardRequest{From: "n1", Commands: []*peer.ForwardedCommand{{Machine: "unheard of"}}})
 		must(err)
 		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.ForwardPath, Body: body})
-		reply := new(peer.RelayReply)
+		reply := new(peer.ForwardReply)
 		must(proto.Unmarshal(resp.Body, reply))
-		if len(reply.Answers) != 1 || !reply.Answers[0].Unsent {
+		if len(reply.Results) != 1 || !reply.Results[0].Unsent {
 			t.Errorf("orders for a machine that nobody knows: %v", reply)
 		}
 		w.finish(4 * time.Minute)
@@ -690,9 +690,9 @@
 			if from != carrier || target != proxy.DelegationPath || again != nil {
 				return false
 			}
-			req, told := new(peer.CarryRequest), map[string]bool{}
+			req, told := new(peer.DelegationRequest), map[string]bool{}
 			must(proto.Unmarshal(body, req))
-			for _, raw := range req.Reports {
+			for _, raw := range req.Heartbeats {
 				r := new(protocol.Heartbeat)
 				must(protocol.Decode(raw, r))
 				told[r.Machine] = true
--- a/internal/coordination/cluster/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -56,14 +56,14 @@
 }
 
 // Recent is what there is to tell: a withdrawal for as long as a task of it may run.
-func (n *CancellationNotices) Recent(now time.Time, keep time.Duration) (told []*peer.Withdrawn) {
+func (n *CancellationNotices) Recent(now time.Time, keep time.Duration) (told []*peer.CancelledJob) {
 	old := 0
 	for old < len(n.list) && now.Sub(n.list[old].at) > keep {
 		old++
 	}
 	n.list = n.list[old:]
 	for _, w := range n.list {
-		told = append(told, &peer.Withdrawn{Job: w.job, AgeMs: uint32(max(0, now.Sub(w.at).Milliseconds()))})
+		told = append(told, &peer.CancelledJob{Job: w.job, AgeMs: uint32(max(0, now.Sub(w.at).Milliseconds()))})
 	}
 	return told
 }
--- a/internal/coordination/cluster/carry.go
+++ b/internal/coordination/cluster/carry.go
@@ -5,12 +5,12 @@
 )
 
 // DelegationSummary lists a part's carriers, as others are told of them.
-func (p *Partition) DelegationSummary(labels []string) (list []*peer.Carried) {
+func (p *Partition) DelegationSummary(labels []string) (list []*peer.DelegatedShards) {
 	for _, label := range labels {
 		if held := p.Delegations.ShardsOf(label); len(held) > 0 {
-			k := &peer.Carried{By: label}
+			k := &peer.DelegatedShards{Delegate: label}
 			for _, s := range held {
-				k.Shares = append(k.Shares, uint32(s))
+				k.Shards = append(k.Shards, uint32(s))
 			}
 			list = append(list, k)
 		}
--- a/internal/coordination/cluster/controller.go
+++ b/internal/coordination/cluster/controller.go
@@ -25,12 +25,12 @@
 }
 
 // PartitionSummary is what the controller last said of a part as its owner; nil: nothing.
-func (ps *Peer) PartitionSummary(p *Partition) *peer.PartSummary {
+func (ps *Peer) PartitionSummary(p *Partition) *peer.PartitionSummary {
 	if ps == nil || ps.Summary == nil {
 		return nil
 	}
-	for _, sum := range ps.Summary.Parts {
-		if int(sum.Part) == p.Index {
+	for _, sum := range ps.Summary.Partitions {
+		if int(sum.Partition) == p.Index {
 			return sum
 		}
 	}
--- a/internal/coordination/cluster/follow.go
+++ b/internal/coordination/cluster/follow.go
@@ -20,7 +20,7 @@
 
 // HasReplicaOf says whether another controller's copy of a part is whole.
 func (ps *Peer) HasReplicaOf(part int) bool {
-	return slices.ContainsFunc(ps.Summary.GetFollows(), func(f *peer.Follow) bool { return int(f.Part) == part && f.Revision > 0 })
+	return slices.ContainsFunc(ps.Summary.GetReplicas(), func(f *peer.ReplicaStatus) bool { return int(f.Partition) == part && f.Revision > 0 })
 }
 
 // ZoneOf is a controller's zone, as the settings tell.
@@ -54,11 +54,11 @@
 		all = append(all, own)
 	}
 	for label, ps := range s.Peers {
-		if !ps.Alive(now) || ps.Summary.Leaving {
+		if !ps.Alive(now) || ps.Summary.Draining {
 			continue
 		}
-		other := failover.Candidate{Label: label, Zone: s.ZoneOf(label), Partitions: len(ps.Summary.Parts)}
-		for _, p := range ps.Summary.Parts {
+		other := failover.Candidate{Label: label, Zone: s.ZoneOf(label), Partitions: len(ps.Summary.Partitions)}
+		for _, p := range ps.Summary.Partitions {
 			other.Machines += len(p.Machines)
 		}
 		all = append(all, other)
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -47,7 +47,7 @@
 	Machines        map[string]*Machine
 	DeletedMachines map[string]time.Time // when they were deleted, for late heartbeats
 	// UnregisteredMachines have sent heartbeats without being on record.
-	UnregisteredMachines map[string]*peer.UnknownMachine
+	UnregisteredMachines map[string]*peer.UnregisteredMachine
 	// DivertedMachines are machines of other leaders that came here, with when they did.
 	DivertedMachines map[string]time.Time
 	MachineTypes     map[string]*protocol.MachineType
@@ -79,7 +79,7 @@
 
 		Jobs: map[string]*Job{}, FinalStates: map[string]string{}, Machines: map[string]*Machine{},
 		DeletedMachines: map[string]time.Time{}, MachineTypes: map[string]*protocol.MachineType{},
-		Peers: map[string]*Peer{}, UnregisteredMachines: map[string]*peer.UnknownMachine{},
+		Peers: map[string]*Peer{}, UnregisteredMachines: map[string]*peer.UnregisteredMachine{},
 		DivertedMachines: map[string]time.Time{}, LeaseWakeup: make(chan struct{}, 1)}
 	for i, t := range p.Teams {
 		s.TeamIndex[t.Name] = i
--- a/internal/coordination/cluster/tale.go
+++ b/internal/coordination/cluster/tale.go
@@ -34,10 +34,10 @@
 }
 
 // Hint is what is known of a machine beyond its record.
-func (m *Machine) Hint(now time.Time) *peer.MachineTale {
-	mt := &peer.MachineTale{Name: m.Name, Addr: m.Record.Addr, Session: m.Epoch, Faulty: m.Quarantined, SlowTasks: uint32(m.SlowTasks), NoticeS: -1}
+func (m *Machine) Hint(now time.Time) *peer.MachineHint {
+	mt := &peer.MachineHint{Name: m.Name, Addr: m.Record.Addr, Epoch: m.Epoch, Quarantined: m.Quarantined, SlowTasks: uint32(m.SlowTasks), PreemptionNoticeS: -1}
 	if !m.PreemptionAt.IsZero() {
-		mt.NoticeS = max(0, m.PreemptionAt.Sub(now).Seconds())
+		mt.PreemptionNoticeS = max(0, m.PreemptionAt.Sub(now).Seconds())
 	}
 	images := slices.SortedFunc(maps.Keys(m.Images), func(a, b string) int {
 		return cmp.Or(m.Images[b].Compare(m.Images[a]), cmp.Compare(a, b))
@@ -50,5 +50,5 @@
 type LeaderUpdate struct {
 	From       string
 	ReceivedAt time.Time
-	Update     *peer.LeaderTale
+	Update     *peer.LeaderUpdate
 }
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -792,8 +792,8 @@
 	began := map[replication.AttemptID]time.Time{}
 	told := func(k replication.AttemptID, at time.Time) { began[k] = at }
 	say := func(claim, since, upto uint64, job string) uint64 {
-		return h.Apply(&peer.Tale{From: "n0", Nonce: "x", Claim: claim, Since: since, Upto: upto,
-			Attempts: []*peer.AttemptTale{{Job: job, Attempt: 1, RanS: 2}}}, told, now)
+		return h.Apply(&peer.ReplicaUpdate{From: "n0", Nonce: "x", LeaseRevision: claim, After: since, Through: upto,
+			Attempts: []*peer.AttemptStart{{Job: job, Attempt: 1, RunningS: 2}}}, told, now)
 	}
 	for i, c := range []struct {
 		claim, since, upto, want uint64
@@ -839,7 +839,7 @@
 		if err != nil || len(raw) > replication.UpdateBytesLimit+replication.EntryOverheadBytes {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
-		msg := new(peer.Tale)
+		msg := new(peer.ReplicaUpdate)
 		must(proto.Unmarshal(raw, msg))
 		p.Replication.Acknowledged = fo.Updates.Apply(msg, fo.Derived.NoteStart, now)
 	}
@@ -858,26 +858,26 @@
 	for seed := range uint64(2) {
 		simulatePrepared(t, 690+seed, func(w *world) {
 			announce(w)
-			w.told = func(tale *peer.Tale) {
+			w.told = func(tale *peer.ReplicaUpdate) {
 				dice := func(n int) int { return w.rng.IntN(n) }
 				for _, a := range tale.Attempts {
-					a.RanS, a.Attempt = float64(dice(100000)), a.Attempt+uint64(dice(2))
+					a.RunningS, a.Attempt = float64(dice(100000)), a.Attempt+uint64(dice(2))
 				}
 				for i := range 5 {
-					tale.Attempts = append(tale.Attempts, &peer.AttemptTale{Job: fmt.Sprint("job-", dice(9)), Task: uint32(dice(9)), Attempt: uint64(dice(4)), RanS: float64(dice(90) - i)})
+					tale.Attempts = append(tale.Attempts, &peer.AttemptStart{Job: fmt.Sprint("job-", dice(9)), Task: uint32(dice(9)), Attempt: uint64(dice(4)), RunningS: float64(dice(90) - i)})
 				}
 				for _, m := range tale.Machines {
-					m.Session, m.Images, m.SlowTasks = uint64(dice(5)), []string{"img", "other"}, uint32(dice(3))
-					if m.NoticeS = -1; dice(4) == 0 {
-						m.NoticeS = float64(dice(100))
+					m.Epoch, m.Images, m.SlowTasks = uint64(dice(5)), []string{"img", "other"}, uint32(dice(3))
+					if m.PreemptionNoticeS = -1; dice(4) == 0 {
+						m.PreemptionNoticeS = float64(dice(100))
 					}
 				}
 				for _, ct := range tale.Classes {
 					ct.Ratio = float64(dice(90)) - 5
 				}
 				if l := tale.Leader; l != nil {
-					for _, r := range l.Rentals {
-						r.Part, r.Count = uint32(dice(5)), uint32(dice(60))
+					for _, r := range l.ScaleOuts {
+						r.Partition, r.Count = uint32(dice(5)), uint32(dice(60))
 					}
 				}
 			}
@@ -893,10 +893,10 @@
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
 	told := func(named string, follows, copies bool) {
-		c.Peers["n1"] = &cluster.Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Parts: []*peer.PartSummary{{Part: uint32(p.Index), Standby: named}}}}
-		c.Peers["n2"] = &cluster.Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Copies: copies}}
+		c.Peers["n1"] = &cluster.Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
+		c.Peers["n2"] = &cluster.Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
 		if follows {
-			c.Peers["n2"].Summary.Follows = []*peer.Follow{{Part: uint32(p.Index), Revision: 4}}
+			c.Peers["n2"].Summary.Replicas = []*peer.ReplicaStatus{{Partition: uint32(p.Index), Revision: 4}}
 		}
 	}
 	for _, q := range c.Partitions {
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -223,7 +223,7 @@
 		if !ps.Alive(now) {
 			continue
 		}
-		for _, name := range ps.Summary.Strayed {
+		for _, name := range ps.Summary.Diverted {
 			if m := lh.Machines[name]; m != nil && m.DivertedSince.IsZero() {
 				m.DivertedSince = now
 			}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -150,7 +150,7 @@
 		if err != nil || len(raw) > peerapi.BodyMin {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
-		told := new(peer.Tale)
+		told := new(peer.ReplicaUpdate)
 		must(proto.Unmarshal(raw, told))
 		if len(told.Attempts)+len(told.Machines) == 0 {
 			break
@@ -213,7 +213,7 @@
 	}
 	for i := range largeMachines { // as after the start of all controllers
 		name := largeMachine(largeMachines + i)
-		c.UnregisteredMachines[name] = &peer.UnknownMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
+		c.UnregisteredMachines[name] = &peer.UnregisteredMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
 		c.DivertedMachines[name] = now
 	}
 	most := peerapi.MaxBody(largeLimits)
@@ -221,11 +221,11 @@
 	sum := new(peer.Summary)
 	must(proto.Unmarshal(body, sum))
 	machines, demands := 0, 0
-	for _, ps := range sum.Parts {
+	for _, ps := range sum.Partitions {
 		machines, demands = machines+len(ps.Machines), demands+len(ps.Demands)
 	}
-	if machines != largeMachines || demands != waiting || len(sum.Jobs) != largeMachines || len(sum.Withdrawn) != noted || len(sum.Unknown) != largeMachines {
-		t.Errorf("%d machines, %d demands, %d jobs, %d cancelled, %d not on record", machines, demands, len(sum.Jobs), len(sum.Withdrawn), len(sum.Unknown))
+	if machines != largeMachines || demands != waiting || len(sum.Jobs) != largeMachines || len(sum.Cancelled) != noted || len(sum.Unregistered) != largeMachines {
+		t.Errorf("%d machines, %d demands, %d jobs, %d cancelled, %d not on record", machines, demands, len(sum.Jobs), len(sum.Cancelled), len(sum.Unregistered))
 	}
 	if len(body) > most {
 		t.Errorf("%d bytes of %d", len(body), most)
@@ -242,10 +242,10 @@
 	longID := func(i int) string { return fmt.Sprintf("job-%032d", i) }
 	longName := func(i int) string { return fmt.Sprintf("%064d", i) }
 	sum := &peer.Summary{From: "n0"}
-	ps := &peer.PartSummary{}
+	ps := &peer.PartitionSummary{}
 	for i := range largeMachines {
-		ps.Machines = append(ps.Machines, &peer.MachineStatus{Name: longName(i), Heard: true, Idle: true, IdleS: 1, Addr: "10.100.100.100:10000"})
-		sum.Strayed = append(sum.Strayed, longName(i))
+		ps.Machines = append(ps.Machines, &peer.MachineStatus{Name: longName(i), Reported: true, Idle: true, IdleS: 1, Addr: "10.100.100.100:10000"})
+		sum.Diverted = append(sum.Diverted, longName(i))
 	}
 	for i := range peering.DemandsLimit(largeMachines) {
 		ps.Demands = append(ps.Demands, &peer.Demand{Cpus: 1, Gpus: 1, MemGb: 1, Types: []string{longName(i), longName(i)}, Zone: "a",
@@ -255,9 +255,9 @@
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: longID(i), Done: 1000, Running: 1000})
 	}
 	for i := range c.Cancellations.Limit {
-		sum.Withdrawn = append(sum.Withdrawn, &peer.Withdrawn{Job: longID(i), AgeMs: 40_000})
+		sum.Cancelled = append(sum.Cancelled, &peer.CancelledJob{Job: longID(i), AgeMs: 40_000})
 	}
-	sum.Parts = append(sum.Parts, ps)
+	sum.Partitions = append(sum.Partitions, ps)
 	body := c.peering.EncodeSummary(sum)
 	if len(body) > peerapi.MaxBody(largeLimits) || len(sum.Jobs) != peering.JobProgressLimit {
 		t.Errorf("%d bytes of %d, %d jobs", len(body), peerapi.MaxBody(largeLimits), len(sum.Jobs))
@@ -344,16 +344,16 @@
 	if len(body) > peerapi.BodyMin {
 		o.t.Errorf("a message of %d bytes", len(body))
 	}
-	req := new(peer.CarryRequest)
+	req := new(peer.DelegationRequest)
 	must(proto.Unmarshal(body, req))
-	for _, raw := range req.Reports {
+	for _, raw := range req.Heartbeats {
 		r := new(protocol.Heartbeat)
 		must(protocol.Decode(raw, r))
 		o.reports[r.Machine] = true
 	}
 	o.after = append(o.after, req.After)
 	o.serial++
-	resp := peerapi.Reply(&peer.CarryReply{GrantMs: 2000, Serial: o.serial})
+	resp := peerapi.Reply(&peer.DelegationGrant{GrantMs: 2000, Serial: o.serial})
 	return &resp, nil
 }
 
@@ -363,7 +363,7 @@
 	net := &ownerOfCarried{t: t, reports: map[string]bool{}}
 	setNetwork(c, net)
 	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
-		Parts: []*peer.PartSummary{{Part: uint32(p.Index), Carried: []*peer.Carried{{By: c.Settings.Label}}}}}}
+		Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Delegated: []*peer.DelegatedShards{{Delegate: c.Settings.Label}}}}}}
 	e := c.proxy.Assignments[p.Index]
 	e.Leader, e.Lease, e.Serial, e.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
 	for s := range e.Shards {
@@ -433,23 +433,23 @@
 			for i := range 40_000 {
 				sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: fmt.Sprintf("job-%032d", i), Done: 1})
 			}
-			sum.Parts = append(sum.Parts, &peer.PartSummary{Machines: []*peer.MachineStatus{{Name: "m-1"}}})
+			sum.Partitions = append(sum.Partitions, &peer.PartitionSummary{Machines: []*peer.MachineStatus{{Name: "m-1"}}})
 			told := new(peer.Summary)
 			must(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
-			if len(told.Jobs) > 0 || len(told.Parts) != 1 {
-				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Parts))
+			if len(told.Jobs) > 0 || len(told.Partitions) != 1 {
+				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Partitions))
 			}
 		}},
 		{"machines not on record too many", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
 			small(c)
-			sum := &peer.Summary{From: "n0", Withdrawn: []*peer.Withdrawn{{Job: "job-1"}}}
+			sum := &peer.Summary{From: "n0", Cancelled: []*peer.CancelledJob{{Job: "job-1"}}}
 			for i := range 40_000 {
-				sum.Unknown = append(sum.Unknown, &peer.UnknownMachine{Name: fmt.Sprintf("m-%032d", i)})
+				sum.Unregistered = append(sum.Unregistered, &peer.UnregisteredMachine{Name: fmt.Sprintf("m-%032d", i)})
 			}
 			told := new(peer.Summary)
 			must(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
-			if len(told.Unknown) > 0 || len(told.Withdrawn) != 1 {
-				t.Errorf("%d machines, %d cancelled told", len(told.Unknown), len(told.Withdrawn))
+			if len(told.Unregistered) > 0 || len(told.Cancelled) != 1 {
+				t.Errorf("%d machines, %d cancelled told", len(told.Unregistered), len(told.Cancelled))
 			}
 		}},
 		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
@@ -497,7 +497,7 @@
 				}
 				m = c.up(p, fmt.Sprint("m-2", i), "big")
 			}
-			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.BodyMin || len(told.Machines) > 200 || told.Upto >= p.Replication.Clock {
+			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.BodyMin || len(told.Machines) > 200 || told.Through >= p.Replication.Clock {
 				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
 			}
 		}},
@@ -507,7 +507,7 @@
 			for i := range replication.PendingStartsLimit {
 				fo.Derived.Starts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
 			}
-			hears(t, c, &peer.Tale{From: "n1", Claim: 1, Upto: 1, Attempts: []*peer.AttemptTale{{Job: "job-2", Attempt: 1}}})
+			hears(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
 			if len(fo.Derived.Starts) != replication.PendingStartsLimit {
 				t.Errorf("%d starts kept", len(fo.Derived.Starts))
 			}
@@ -519,8 +519,8 @@
 			for i := range replication.ReplicaMachinesLimit {
 				fo.Updates.Machines[fmt.Sprint("m-", i)] = replication.MachineHints{}
 			}
-			hears(t, c, &peer.Tale{From: "n1", Claim: 1, Since: 1, Upto: 2, Machines: []*peer.MachineTale{{Name: "another"}, {Name: "m-1"}}})
-			if fo.Updates.Machines["m-1"].MachineTale == nil || len(fo.Updates.Machines) != replication.ReplicaMachinesLimit {
+			hears(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
+			if fo.Updates.Machines["m-1"].MachineHint == nil || len(fo.Updates.Machines) != replication.ReplicaMachinesLimit {
 				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
 			}
 		}},
@@ -529,18 +529,18 @@
 			c.replicator.Replicas[0] = fo
 			fo.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
-				mt := &peer.MachineTale{Name: largeMachine(i), NoticeS: -1}
+				mt := &peer.MachineHint{Name: largeMachine(i), PreemptionNoticeS: -1}
 				for k := range cluster.UpdateImagesLimit {
 					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
 				}
-				fo.Updates.Machines[mt.Name] = replication.MachineHints{MachineTale: mt}
+				fo.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
 			}
-			raw, err := proto.Marshal(&peer.RecallRequest{})
+			raw, err := proto.Marshal(&peer.StateTransferRequest{})
 			must(err)
 			stop := serveCalls(c)
 			resp := c.replicator.HandleStateTransfer(raw)
 			stop()
-			told := new(peer.Tale)
+			told := new(peer.ReplicaUpdate)
 			must(proto.Unmarshal(resp.Body, told))
 			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
@@ -569,7 +569,7 @@
 		{"estimates that are told", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			h := replication.ReceivedUpdates{}
 			for i := range scheduler.ClassGroupsLimit + 1 {
-				h.Classes = append(h.Classes, &peer.ClassTale{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
+				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
 			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
 				t.Errorf("%d classes are known", len(c.scheduler.Corrections))
@@ -594,7 +594,7 @@
 }
 
 // hears hands a controller what a part's owner tells its standby.
-func hears(t *testing.T, c *Controller, tale *peer.Tale) {
+func hears(t *testing.T, c *Controller, tale *peer.ReplicaUpdate) {
 	t.Helper()
 	raw, err := proto.Marshal(tale)
 	must(err)
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -570,9 +570,9 @@
 		c, end := unrun(t)
 		defer end()
 		begun := time.Now()
-		c.jobs.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
+		c.jobs.ApplyCancellationNotices(&peer.Summary{Cancelled: []*peer.CancelledJob{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
 		time.Sleep(3 * time.Second)
-		c.jobs.ApplyCancellationNotices(&peer.Summary{Withdrawn: []*peer.Withdrawn{{Job: "job-1", AgeMs: 500}}}, time.Now())
+		c.jobs.ApplyCancellationNotices(&peer.Summary{Cancelled: []*peer.CancelledJob{{Job: "job-1", AgeMs: 500}}}, time.Now())
 		if at := c.Cancellations.CancelledAt("job-1"); begun.Sub(at) != 7*time.Second || len(c.FinalStates) != 1 {
 			t.Errorf("withdrawn %s before it was heard, %d finals", begun.Sub(at), len(c.FinalStates))
 		}
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -23,7 +23,7 @@
 	if body, _ = proto.Marshal(sum); len(body) <= most {
 		return body
 	}
-	sum.Unknown, sum.Strayed = nil, nil
+	sum.Unregistered, sum.Diverted = nil, nil
 	body, _ = proto.Marshal(sum)
 	return body
 }
--- a/internal/coordination/peering/collaborators.go
+++ b/internal/coordination/peering/collaborators.go
@@ -20,7 +20,7 @@
 // Replicator is what Exchange asks of its collaborator.
 type Replicator interface {
 	// Summaries is what this controller tells the others of its copies.
-	Summaries() (list []*peer.Follow)
+	Summaries() (list []*peer.ReplicaStatus)
 }
 
 // Scheduler is what Exchange asks of its collaborator.
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -59,7 +59,7 @@
 	ex.jobs.ApplyCancellationNotices(sum, now)
 	ex.proxy.SummaryReceived(sum)
 	// Addresses learnt by others let a new owner fence at once.
-	for _, part := range sum.Parts {
+	for _, part := range sum.Partitions {
 		for _, st := range part.Machines {
 			if m := ex.Machines[st.Name]; m != nil && !m.HasReported {
 				if m.Record.Addr == "" {
@@ -114,9 +114,9 @@
 func (ex *Exchange) OwnSummary(now time.Time) *peer.Summary {
 	load := ex.proxy.Load(now)
 	sum := &peer.Summary{From: ex.Settings.Label, StateSilenceS: ex.store.SinceLastAnswer().Seconds(), WriteDemand: ex.WriteDemand,
-		Follows: ex.replicator.Summaries(), Leaving: ex.Draining, Copies: true, Withdrawn: ex.Cancellations.Recent(now, ex.CancelBound),
-		Room: uint32(load.Capacity), Connected: uint32(load.Machines)}
-	sum.Parts = ex.PartitionSummaries(now)
+		Replicas: ex.replicator.Summaries(), Draining: ex.Draining, Replicates: true, Cancelled: ex.Cancellations.Recent(now, ex.CancelBound),
+		Capacity: uint32(load.Capacity), Connected: uint32(load.Machines)}
+	sum.Partitions = ex.PartitionSummaries(now)
 	for _, j := range ex.Jobs {
 		if !j.Loaded || j.DoneCount == 0 && j.RunningCount == 0 {
 			continue
@@ -128,10 +128,10 @@
 		sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: j.Spec.ID, Done: uint32(j.DoneCount), Running: uint32(j.RunningCount)})
 	}
 	for _, u := range ex.UnregisteredMachines {
-		sum.Unknown = append(sum.Unknown, u)
+		sum.Unregistered = append(sum.Unregistered, u)
 	}
 	for name := range ex.DivertedMachines {
-		sum.Strayed = append(sum.Strayed, name)
+		sum.Diverted = append(sum.Diverted, name)
 	}
 	return sum
 }
@@ -142,7 +142,7 @@
 const JobProgressLimit = 8000
 
 // PartitionSummaries describes the own parts.
-func (ex *Exchange) PartitionSummaries(now time.Time) (list []*peer.PartSummary) {
+func (ex *Exchange) PartitionSummaries(now time.Time) (list []*peer.PartitionSummary) {
 	for _, p := range ex.Partitions {
 		if p.Held && p.Ready {
 			list = append(list, ex.PartitionSummary(p, now))
@@ -161,8 +161,8 @@
 // DemandsLimit is how many demands are told of a part with so many machines.
 func DemandsLimit(machines int) int { return max(DemandsMin, machines/machinesPerDemand) }
 
-func (ex *Exchange) PartitionSummary(p *cluster.Partition, now time.Time) *peer.PartSummary {
-	ps := &peer.PartSummary{Part: uint32(p.Index), Standby: p.Standby, Carried: p.DelegationSummary(ex.Labels)}
+func (ex *Exchange) PartitionSummary(p *cluster.Partition, now time.Time) *peer.PartitionSummary {
+	ps := &peer.PartitionSummary{Partition: uint32(p.Index), Standby: p.Standby, Delegated: p.DelegationSummary(ex.Labels)}
 	var coming []*cluster.Machine
 	left := map[*cluster.Machine]binpack.Resources{}
 	for _, m := range ex.Machines {
@@ -170,8 +170,8 @@
 			continue
 		}
 		idle := len(m.Attempts) == 0 && len(m.OrphanedTasks) == 0 && m.Fenced && m.PendingCommands == 0
-		st := &peer.MachineStatus{Name: m.Name, Heard: m.HasReported, Idle: idle, Lost: m.Lost, Retiring: !m.RetiringSince.IsZero(),
-			Faulty: m.Quarantined, Addr: m.Record.Addr,
+		st := &peer.MachineStatus{Name: m.Name, Reported: m.HasReported, Idle: idle, Lost: m.Lost, Retiring: !m.RetiringSince.IsZero(),
+			Quarantined: m.Quarantined, Addr: m.Record.Addr,
 			NeverUp: !m.HasReported && len(m.Attempts) == 0 && m.Type != nil && now.Sub(m.LedSince) > neverUpGrace && m.Age(now) > ex.bootTimeout(m.Type)}
 		if idle {
 			st.IdleS = now.Sub(m.IdleSince).Seconds()
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -43,7 +43,7 @@
 	case req.Path == proxy.ForwardPath:
 		return c.proxy.HandleForwarded(who, req.Body)
 	case req.Path == peerapi.MachineRequestPath:
-		fr := new(peer.FleetRequest)
+		fr := new(peer.MachineRequest)
 		if err := proto.Unmarshal(req.Body, fr); err != nil {
 			return respond.Refuse(400, "bad request", 0)
 		}
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -176,7 +176,7 @@
 func (px *Proxy) isDelegate(p *cluster.Partition, now time.Time) bool {
 	ps := px.Peers[p.Leader]
 	return !p.Held && ps != nil && ps.Alive(now) && !px.Draining &&
-		slices.ContainsFunc(ps.PartitionSummary(p).GetCarried(), func(k *peer.Carried) bool { return k.By == px.Settings.Label })
+		slices.ContainsFunc(ps.PartitionSummary(p).GetDelegated(), func(k *peer.DelegatedShards) bool { return k.Delegate == px.Settings.Label })
 }
 
 // takeUnsent removes reports to be told, as many as a message holds, and says how many bytes they
@@ -217,10 +217,10 @@
 
 // SummaryReceived looks whether a controller wants something of its parts carried here.
 func (px *Proxy) SummaryReceived(sum *peer.Summary) {
-	for _, p := range sum.Parts {
-		for _, k := range p.Carried {
-			if k.By == px.Settings.Label && int(p.Part) < len(px.Assignments) {
-				eventloop.Signal(px.Assignments[p.Part].wakeup)
+	for _, p := range sum.Partitions {
+		for _, k := range p.Delegated {
+			if k.Delegate == px.Settings.Label && int(p.Partition) < len(px.Assignments) {
+				eventloop.Signal(px.Assignments[p.Partition].wakeup)
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 // much as a message holds. It says whether there was anything to ask, and whether there is
 // more to tell.
 func (px *Proxy) renew(p *cluster.Partition, e *assignment) (asked, more bool) {
-	var req *peer.CarryRequest
+	var req *peer.DelegationRequest
 	var told map[string]answeredHeartbeat
 	addr, size, left := "", 0, false
 	var begun time.Time
@@ -257,7 +257,7 @@
 			return
 		}
 		addr = ps.Addr
-		req = &peer.CarryRequest{From: px.Settings.Label, Nonce: px.Nonce, Part: uint32(p.Index), Claim: e.Lease}
+		req = &peer.DelegationRequest{From: px.Settings.Label, Nonce: px.Nonce, Partition: uint32(p.Index), LeaseRevision: e.Lease}
 		told, size = e.takeUnsent()
 		if left = len(e.Unsent) > 0; !left {
 			// Only with all of it does the request show that every answer up to the last
@@ -265,16 +265,16 @@
 			req.After = e.Serial
 		}
 		for _, a := range told {
-			req.Reports = append(req.Reports, a.Raw)
+			req.Heartbeats = append(req.Heartbeats, a.Raw)
 		}
 	})
 	if req == nil {
 		return false, false
 	}
-	reply := new(peer.CarryReply)
+	reply := new(peer.DelegationGrant)
 	err := peerapi.Call(px.loop.Context(), px.network, renewTimeout, addr, DelegationPath, req, reply)
 	px.loop.Do(func() {
-		if e.Leader != p.Leader || e.Lease != req.Claim {
+		if e.Leader != p.Leader || e.Lease != req.LeaseRevision {
 			return
 		}
 		e.UnsentBytes -= size
@@ -289,13 +289,13 @@
 		e.Serial, e.GrantedUntil = reply.Serial, begun.Add(time.Duration(reply.GrantMs)*time.Millisecond)
 		had := e.Shards
 		e.Shards = [delegation.ShardCount]bool{}
-		for _, s := range reply.Shares {
+		for _, s := range reply.Shards {
 			if s < delegation.ShardCount {
 				e.Shards[s] = true
 			}
 		}
 		if had != e.Shards {
-			px.log.Info("carrying shares of a part", "part", p.Index, "owner", e.Leader, "shares", reply.Shares)
+			px.log.Info("carrying shares of a part", "part", p.Index, "owner", e.Leader, "shares", reply.Shards)
 		}
 	})
 	return true, more
@@ -303,28 +303,28 @@
 
 // HandleRenewal answers a carrier: it takes in what came there and grants the carrier its shares.
 func (px *Proxy) HandleRenewal(who *auth.Caller, body []byte) transport.Response {
-	req := new(peer.CarryRequest)
+	req := new(peer.DelegationRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
 		return respond.Refuse(400, "bad request", 0)
 	}
 	if refusal := px.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
 	}
-	reports := make([]*protocol.Heartbeat, 0, len(req.Reports))
-	for _, raw := range req.Reports {
+	reports := make([]*protocol.Heartbeat, 0, len(req.Heartbeats))
+	for _, raw := range req.Heartbeats {
 		r := new(protocol.Heartbeat)
 		if err := protocol.Decode(raw, r); err == nil && r.Check() == nil {
 			reports = append(reports, r)
 		}
 	}
-	reply, ok := new(peer.CarryReply), false
+	reply, ok := new(peer.DelegationGrant), false
 	px.loop.Do(func() {
 		now := time.Now()
-		if int(req.Part) >= len(px.Partitions) {
+		if int(req.Partition) >= len(px.Partitions) {
 			return
 		}
-		p := px.Partitions[req.Part]
-		if ok = px.MayAnswer(p, now) && p.Ready && p.LeaseRevision == req.Claim && !px.Draining; !ok {
+		p := px.Partitions[req.Partition]
+		if ok = px.MayAnswer(p, now) && p.Ready && p.LeaseRevision == req.LeaseRevision && !px.Draining; !ok {
 			return
 		}
 		for _, r := range reports {
@@ -332,7 +332,7 @@
 		}
 		granted, d, serial := p.Delegations.Renew(req.From, req.Nonce, req.After, px.AnswerBound()-now.Sub(px.InformedAt()), now)
 		for _, s := range granted {
-			reply.Shares = append(reply.Shares, uint32(s))
+			reply.Shards = append(reply.Shards, uint32(s))
 		}
 		reply.GrantMs, reply.Serial = uint32(d.Milliseconds()), serial
 	})
@@ -407,11 +407,11 @@
 // have, so that its workers' connections stay.
 func (px *Proxy) SpreadShards(p *cluster.Partition, now time.Time) {
 	v := px.view(now, p)
-	for _, k := range px.Peers[p.FormerLeader].PartitionSummary(p).GetCarried() {
-		able := slices.ContainsFunc(v.Peers, func(peer delegation.Peer) bool { return peer.Label == k.By && peer.Available && peer.Settled })
-		for _, s := range k.Shares {
+	for _, k := range px.Peers[p.FormerLeader].PartitionSummary(p).GetDelegated() {
+		able := slices.ContainsFunc(v.Peers, func(peer delegation.Peer) bool { return peer.Label == k.Delegate && peer.Available && peer.Settled })
+		for _, s := range k.Shards {
 			if s < delegation.ShardCount && able && !v.Unsupported {
-				px.reassign(delegation.Move{Partition: p.Index, Shard: int(s), To: k.By, Reason: "as under the owner before"}, now)
+				px.reassign(delegation.Move{Partition: p.Index, Shard: int(s), To: k.Delegate, Reason: "as under the owner before"}, now)
 			}
 		}
 	}
@@ -450,11 +450,11 @@
 			continue
 		}
 		sum := ps.Summary
-		if ps.Alive(now) && sum.Room == 0 {
+		if ps.Alive(now) && sum.Capacity == 0 {
 			v.Unsupported = true
 		}
-		v.Peers = append(v.Peers, delegation.Peer{Label: label, Load: delegation.Load{Machines: int(sum.Connected), Capacity: int(sum.Room)},
-			Available: ps.Alive(now) && sum.Room > 0 && !sum.Leaving,
+		v.Peers = append(v.Peers, delegation.Peer{Label: label, Load: delegation.Load{Machines: int(sum.Connected), Capacity: int(sum.Capacity)},
+			Available: ps.Alive(now) && sum.Capacity > 0 && !sum.Draining,
 			Settled:   now.Sub(ps.HeardSince) >= delegateSettleTime && sum.StateSilenceS < 3})
 	}
 	counts := make(map[*cluster.Partition]*[delegation.ShardCount]int)
@@ -509,16 +509,16 @@
 		}
 	}
 	for _, k := range p.DelegationSummary(px.Labels) {
-		active := slices.ContainsFunc(k.Shares, func(s uint32) bool { return p.Delegations.Active(int(s), now) })
-		list = append(list, overview.Carried{By: k.By, Shares: len(k.Shares), Machines: machines[k.By], Active: active})
+		active := slices.ContainsFunc(k.Shards, func(s uint32) bool { return p.Delegations.Active(int(s), now) })
+		list = append(list, overview.Carried{By: k.Delegate, Shares: len(k.Shards), Machines: machines[k.Delegate], Active: active})
 	}
 	return list
 }
 
 // forwardedCommand is orders that go to a worker by way of its carrier.
 type forwardedCommand struct {
-	peer.Relayed
-	done chan *peer.RelayAnswer
+	peer.ForwardedCommand
+	done chan *peer.ForwardResult
 }
 
 var errDelegateUnanswered = errors.New("the carrier had no answer of the worker")
@@ -526,7 +526,7 @@
 // ForwardCommands passes a machine's orders on by way of its carrier. An error that wraps
 // transport.ErrNotSent proves that they can never arrive.
 func (px *Proxy) ForwardCommands(via, machine string, body []byte) (*transport.Response, error) {
-	it := &forwardedCommand{Relayed: peer.Relayed{Machine: machine, Body: body}, done: make(chan *peer.RelayAnswer, 1)}
+	it := &forwardedCommand{ForwardedCommand: peer.ForwardedCommand{Machine: machine, Body: body}, done: make(chan *peer.ForwardResult, 1)}
 	px.mu.Lock()
 	first := len(px.queued[via]) == 0
 	px.queued[via] = append(px.queued[via], it)
@@ -553,10 +553,10 @@
 	px.mu.Unlock()
 	for len(batch) > 0 {
 		n, size := 0, 0
-		req := &peer.RelayRequest{From: px.Settings.Label}
+		req := &peer.ForwardRequest{From: px.Settings.Label}
 		for n < len(batch) && n < ForwardCommandsLimit && (n == 0 || size+len(batch[n].Body) <= forwardBytesLimit) {
 			size += len(batch[n].Body)
-			req.Orders = append(req.Orders, &peer.Relayed{Machine: batch[n].Machine, Body: batch[n].Body})
+			req.Commands = append(req.Commands, &peer.ForwardedCommand{Machine: batch[n].Machine, Body: batch[n].Body})
 			n++
 		}
 		lot := batch[:n]
@@ -565,11 +565,11 @@
 	}
 }
 
-func (px *Proxy) forward(via string, req *peer.RelayRequest, lot []*forwardedCommand) {
-	reply := new(peer.RelayReply)
+func (px *Proxy) forward(via string, req *peer.ForwardRequest, lot []*forwardedCommand) {
+	reply := new(peer.ForwardReply)
 	err := peerapi.Call(px.loop.Context(), px.network, renewTimeout, px.Peers[via].Addr, ForwardPath, req, reply)
-	if err == nil && len(reply.Answers) != len(lot) {
-		err = fmt.Errorf("%d answers to %d orders", len(reply.Answers), len(lot))
+	if err == nil && len(reply.Results) != len(lot) {
+		err = fmt.Errorf("%d answers to %d orders", len(reply.Results), len(lot))
 	}
 	if err != nil {
 		px.log.Debug("orders not relayed", "by", via, "reason", err)
@@ -581,9 +581,9 @@
 	}
 	for i, it := range lot {
 		if err == nil {
-			it.done <- reply.Answers[i]
+			it.done <- reply.Results[i]
 		} else {
-			it.done <- &peer.RelayAnswer{Unsent: errors.Is(err, transport.ErrNotSent)}
+			it.done <- &peer.ForwardResult{Unsent: errors.Is(err, transport.ErrNotSent)}
 		}
 	}
 }
@@ -591,16 +591,16 @@
 // HandleForwarded passes orders on to workers and answers with what they answered within a
 // moment. It decides nothing: workers obey or refuse orders by their token.
 func (px *Proxy) HandleForwarded(who *auth.Caller, body []byte) transport.Response {
-	req := new(peer.RelayRequest)
-	if err := proto.Unmarshal(body, req); err != nil || len(req.Orders) > ForwardCommandsLimit {
+	req := new(peer.ForwardRequest)
+	if err := proto.Unmarshal(body, req); err != nil || len(req.Commands) > ForwardCommandsLimit {
 		return respond.Refuse(400, "bad request", 0)
 	}
 	if refusal := px.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: req.From}); refusal != nil {
 		return *refusal
 	}
-	addrs := make([]string, len(req.Orders))
+	addrs := make([]string, len(req.Commands))
 	if !px.loop.Do(func() {
-		for i, o := range req.Orders {
+		for i, o := range req.Commands {
 			if m := px.Machines[o.Machine]; m != nil {
 				addrs[i] = m.Record.Addr
 			}
@@ -610,13 +610,13 @@
 	}
 	type numbered struct {
 		i int
-		a *peer.RelayAnswer
+		a *peer.ForwardResult
 	}
 	answers := make(chan numbered, len(addrs))
-	reply := &peer.RelayReply{}
+	reply := &peer.ForwardReply{}
 	waiting := 0
 	for i, addr := range addrs {
-		reply.Answers = append(reply.Answers, &peer.RelayAnswer{Unsent: addr == ""})
+		reply.Results = append(reply.Results, &peer.ForwardResult{Unsent: addr == ""})
 		if addr == "" {
 			continue
 		}
@@ -624,8 +624,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(px.loop.Context(), agents.CommandTimeout)
 			defer cancel()
-			a := &peer.RelayAnswer{}
-			resp, err := px.network.Do(ctx, addr, "POST", "/orders", req.Orders[i].Body)
+			a := &peer.ForwardResult{}
+			resp, err := px.network.Do(ctx, addr, "POST", "/orders", req.Commands[i].Body)
 			if err == nil {
 				a.Status, a.Body = uint32(resp.Status), resp.Body
 			} else {
@@ -639,7 +639,7 @@
 	for ; waiting > 0; waiting-- {
 		select {
 		case n := <-answers:
-			reply.Answers[n.i] = n.a
+			reply.Results[n.i] = n.a
 		case <-t.C:
 			return peerapi.Reply(reply) // the others may still arrive: not answered
 		}
--- a/internal/coordination/replication/collaborators.go
+++ b/internal/coordination/replication/collaborators.go
@@ -19,14 +19,14 @@
 // Autoscaler is what Replicator asks of its collaborator.
 type Autoscaler interface {
 	// LeaderUpdate is what the leader is about.
-	LeaderUpdate(now time.Time) *peer.Tale
+	LeaderUpdate(now time.Time) *peer.ReplicaUpdate
 }
 
 // Scheduler is what Replicator asks of its collaborator.
 type Scheduler interface {
 	// AdoptCorrection takes over what another controller has learned of a class, if that is
 	// more than what is known here.
-	AdoptCorrection(told *peer.ClassTale)
+	AdoptCorrection(told *peer.RuntimeCorrection)
 	// RuntimeCorrections lists what was learned of classes, by name.
-	RuntimeCorrections() (list []*peer.ClassTale)
+	RuntimeCorrections() (list []*peer.RuntimeCorrection)
 }
--- a/internal/coordination/replication/replicas.go
+++ b/internal/coordination/replication/replicas.go
@@ -305,9 +305,9 @@
 }
 
 // Summaries is what this controller tells the others of its copies.
-func (rep *Replicator) Summaries() (list []*peer.Follow) {
+func (rep *Replicator) Summaries() (list []*peer.ReplicaStatus) {
 	for part, fo := range rep.Replicas {
-		list = append(list, &peer.Follow{Part: uint32(part), Revision: fo.Records.Revision()})
+		list = append(list, &peer.ReplicaStatus{Partition: uint32(part), Revision: fo.Records.Revision()})
 	}
 	return list
 }
--- a/internal/coordination/replication/updates.go
+++ b/internal/coordination/replication/updates.go
@@ -47,7 +47,7 @@
 	type message struct {
 		to, addr string
 		part     *cluster.Partition // nil: the leader's
-		tale     *peer.Tale
+		tale     *peer.ReplicaUpdate
 	}
 	var out []message
 	rep.loop.Do(func() {
@@ -70,15 +70,15 @@
 	for _, msg := range out {
 		rep.loop.Go(func() {
 			defer func() { done <- struct{}{} }()
-			reply := new(peer.TaleReply)
+			reply := new(peer.ReplicaUpdateReply)
 			if err := peerapi.Call(ctx, rep.network, updateTimeout, msg.addr, UpdatePath, msg.tale, reply); err != nil {
 				rep.log.Debug("tale not told", "to", msg.to, "reason", err)
 				return
 			}
 			if msg.part != nil {
 				rep.loop.Do(func() {
-					if t := &msg.part.Replication; t.Target == msg.to && msg.part.LeaseRevision == msg.tale.Claim {
-						t.Acknowledged = min(reply.Have, t.Clock)
+					if t := &msg.part.Replication; t.Target == msg.to && msg.part.LeaseRevision == msg.tale.LeaseRevision {
+						t.Acknowledged = min(reply.Acknowledged, t.Clock)
 					}
 				})
 			}
@@ -94,19 +94,19 @@
 }
 
 // PartitionUpdate is what has changed of a part's tale since what its standby has.
-func (rep *Replicator) PartitionUpdate(p *cluster.Partition, now time.Time) *peer.Tale {
+func (rep *Replicator) PartitionUpdate(p *cluster.Partition, now time.Time) *peer.ReplicaUpdate {
 	t := &p.Replication
 	if t.Target != p.Standby {
 		t.Target, t.Acknowledged = p.Standby, 0
 	}
-	tale := &peer.Tale{From: rep.Settings.Label, Nonce: rep.Nonce, Claim: p.LeaseRevision, Part: uint32(p.Index), Since: t.Acknowledged}
+	tale := &peer.ReplicaUpdate{From: rep.Settings.Label, Nonce: rep.Nonce, LeaseRevision: p.LeaseRevision, Partition: uint32(p.Index), After: t.Acknowledged}
 	room := UpdateBytesLimit
 	for _, correction := range rep.scheduler.RuntimeCorrections() {
 		tale.Classes = append(tale.Classes, correction)
 		room -= proto.Size(correction) + EntryOverheadBytes
 	}
 	list := rep.partitionChanges(p)
-	tale.Upto = t.Clock
+	tale.Through = t.Clock
 	if !addChanges(tale, list, room, now) {
 		rep.bounds.Met(telemetry.ReplicaMessages, 1)
 	}
@@ -156,19 +156,19 @@
 
 // addChanges puts changes into a message, as many as there is room for, and says whether
 // that was all: the others follow with the next.
-func addChanges(tale *peer.Tale, list []replicaChange, room int, now time.Time) bool {
+func addChanges(tale *peer.ReplicaUpdate, list []replicaChange, room int, now time.Time) bool {
 	for i, change := range list {
-		var at *peer.AttemptTale
-		var mt *peer.MachineTale
+		var at *peer.AttemptStart
+		var mt *peer.MachineHint
 		if a := change.attempt; a != nil {
-			at = &peer.AttemptTale{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RanS: a.RunningS(now)}
+			at = &peer.AttemptStart{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RunningS: a.RunningS(now)}
 			room -= proto.Size(at) + EntryOverheadBytes
 		} else {
 			mt = change.machine.Hint(now)
 			room -= proto.Size(mt) + EntryOverheadBytes
 		}
 		if room < 0 && i > 0 {
-			tale.Upto = list[i-1].seq
+			tale.Through = list[i-1].seq
 			return false
 		}
 		if at != nil {
@@ -185,7 +185,7 @@
 	Sender, nonce       string
 	Lease, Acknowledged uint64
 	Machines            map[string]MachineHints
-	Classes             []*peer.ClassTale
+	Classes             []*peer.RuntimeCorrection
 	// droppedMachines is how many machines there was no room for since that was last counted.
 	droppedMachines int
 }
@@ -197,7 +197,7 @@
 }
 
 type MachineHints struct {
-	*peer.MachineTale
+	*peer.MachineHint
 	PreemptionAt time.Time // zero: not announced
 }
 
@@ -207,57 +207,57 @@
 
 // Apply takes a message in and says up to where the tale is known. What comes twice or
 // late does nothing; after a gap the sender goes on from what is known.
-func (h *ReceivedUpdates) Apply(t *peer.Tale, began func(AttemptID, time.Time), now time.Time) uint64 {
-	if t.Claim < h.Lease {
+func (h *ReceivedUpdates) Apply(t *peer.ReplicaUpdate, began func(AttemptID, time.Time), now time.Time) uint64 {
+	if t.LeaseRevision < h.Lease {
 		return 0 // an owner of before
 	}
-	if h.Sender != t.From || h.nonce != t.Nonce || h.Lease != t.Claim {
-		*h = ReceivedUpdates{Sender: t.From, nonce: t.Nonce, Lease: t.Claim}
+	if h.Sender != t.From || h.nonce != t.Nonce || h.Lease != t.LeaseRevision {
+		*h = ReceivedUpdates{Sender: t.From, nonce: t.Nonce, Lease: t.LeaseRevision}
 	}
-	if t.Since > h.Acknowledged || t.Upto < h.Acknowledged {
+	if t.After > h.Acknowledged || t.Through < h.Acknowledged {
 		return h.Acknowledged
 	}
 	if h.Machines == nil {
 		h.Machines = map[string]MachineHints{}
 	}
 	for _, a := range t.Attempts {
-		if a.RanS >= 0 && a.RanS < 1e9 {
-			began(AttemptID{Job: a.Job, Task: int(a.Task), Number: a.Attempt}, now.Add(-time.Duration(a.RanS*float64(time.Second))))
+		if a.RunningS >= 0 && a.RunningS < 1e9 {
+			began(AttemptID{Job: a.Job, Task: int(a.Task), Number: a.Attempt}, now.Add(-time.Duration(a.RunningS*float64(time.Second))))
 		}
 	}
 	for _, m := range t.Machines {
 		if _, known := h.Machines[m.Name]; !known && len(h.Machines) >= ReplicaMachinesLimit {
 			h.droppedMachines++
 		} else {
-			hm := MachineHints{MachineTale: m}
-			if m.NoticeS >= 0 && m.NoticeS < 1e9 {
-				hm.PreemptionAt = now.Add(time.Duration(m.NoticeS * float64(time.Second)))
+			hm := MachineHints{MachineHint: m}
+			if m.PreemptionNoticeS >= 0 && m.PreemptionNoticeS < 1e9 {
+				hm.PreemptionAt = now.Add(time.Duration(m.PreemptionNoticeS * float64(time.Second)))
 			}
 			h.Machines[m.Name] = hm
 		}
 	}
-	h.Acknowledged, h.Classes = t.Upto, t.Classes
+	h.Acknowledged, h.Classes = t.Through, t.Classes
 	return h.Acknowledged
 }
 
 // HandleUpdate answers an owner that tells its part's tale, or the leader.
 func (rep *Replicator) HandleUpdate(who *auth.Caller, body []byte) transport.Response {
-	t := new(peer.Tale)
+	t := new(peer.ReplicaUpdate)
 	if err := proto.Unmarshal(body, t); err != nil {
 		return respond.Refuse(400, "bad tale", 0)
 	}
 	if refusal := rep.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: t.From}); refusal != nil {
 		return *refusal
 	}
-	reply := new(peer.TaleReply)
+	reply := new(peer.ReplicaUpdateReply)
 	rep.loop.Do(func() {
 		now := time.Now()
 		if t.Leader != nil {
 			rep.LastLeaderUpdate = cluster.LeaderUpdate{From: t.From, ReceivedAt: now, Update: t.Leader}
 			return
 		}
-		if fo := rep.Replicas[int(t.Part)]; fo != nil {
-			reply.Have = fo.Updates.Apply(t, fo.Derived.NoteStart, now)
+		if fo := rep.Replicas[int(t.Partition)]; fo != nil {
+			reply.Acknowledged = fo.Updates.Apply(t, fo.Derived.NoteStart, now)
 			rep.bounds.Met(telemetry.ReplicaMachines, fo.Updates.droppedMachines)
 			rep.bounds.Met(telemetry.ReplicaStarts, fo.Derived.DroppedStarts)
 			fo.Updates.droppedMachines, fo.Derived.DroppedStarts = 0, 0
@@ -269,13 +269,13 @@
 // HandleStateTransfer answers a controller that was started anew: the tale of a part as its former
 // life told it here.
 func (rep *Replicator) HandleStateTransfer(body []byte) transport.Response {
-	req := new(peer.RecallRequest)
+	req := new(peer.StateTransferRequest)
 	if err := proto.Unmarshal(body, req); err != nil {
 		return respond.Refuse(400, "bad request", 0)
 	}
-	tale := &peer.Tale{Part: req.Part}
+	tale := &peer.ReplicaUpdate{Partition: req.Partition}
 	rep.loop.Do(func() {
-		if fo := rep.Replicas[int(req.Part)]; fo != nil && fo.Updates.Acknowledged != 0 {
+		if fo := rep.Replicas[int(req.Partition)]; fo != nil && fo.Updates.Acknowledged != 0 {
 			whole := false
 			if tale, whole = fo.StateTransfer(time.Now()); !whole {
 				rep.bounds.Met(telemetry.RecallBytes, 1)
@@ -291,9 +291,9 @@
 
 // StateTransfer is a tale as it was heard, for whoever asks. whole is false if it was too large: it
 // lacks images then, which only tell where a start is quick, or even more.
-func (fo *Replica) StateTransfer(now time.Time) (t *peer.Tale, whole bool) {
+func (fo *Replica) StateTransfer(now time.Time) (t *peer.ReplicaUpdate, whole bool) {
 	h := &fo.Updates
-	t = &peer.Tale{From: h.Sender, Nonce: h.nonce, Claim: h.Lease, Part: uint32(fo.partition), Upto: h.Acknowledged, Classes: h.Classes}
+	t = &peer.ReplicaUpdate{From: h.Sender, Nonce: h.nonce, LeaseRevision: h.Lease, Partition: uint32(fo.partition), Through: h.Acknowledged, Classes: h.Classes}
 	room := StateTransferBytesLimit - proto.Size(t)
 	fits := func(m proto.Message) bool {
 		room -= proto.Size(m) + EntryOverheadBytes
@@ -304,7 +304,7 @@
 			if a.ReplicatedStart.IsZero() {
 				continue
 			}
-			at := &peer.AttemptTale{Job: id, Task: uint32(task), Attempt: a.Number, RanS: now.Sub(a.ReplicatedStart).Seconds()}
+			at := &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: a.Number, RunningS: now.Sub(a.ReplicatedStart).Seconds()}
 			if !fits(at) {
 				return t, false
 			}
@@ -312,10 +312,10 @@
 		}
 	}
 	for _, hm := range h.Machines {
-		m := proto.CloneOf(hm.MachineTale)
+		m := proto.CloneOf(hm.MachineHint)
 		m.Images = nil
 		if !hm.PreemptionAt.IsZero() {
-			m.NoticeS = max(0, hm.PreemptionAt.Sub(now).Seconds())
+			m.PreemptionNoticeS = max(0, hm.PreemptionAt.Sub(now).Seconds())
 		}
 		if !fits(m) {
 			return t, false
@@ -324,7 +324,7 @@
 	}
 	for _, m := range t.Machines {
 		images := h.Machines[m.Name].Images
-		if !fits(&peer.MachineTale{Images: images}) {
+		if !fits(&peer.MachineHint{Images: images}) {
 			return t, false
 		}
 		m.Images = images
@@ -364,9 +364,9 @@
 		if m.Record.Addr == "" {
 			m.Record.Addr = mt.Addr
 		}
-		m.Quarantined, m.SlowTasks = m.Quarantined || mt.Faulty, max(m.SlowTasks, int(mt.SlowTasks))
-		if m.EpochHint < mt.Session {
-			m.EpochHint = mt.Session
+		m.Quarantined, m.SlowTasks = m.Quarantined || mt.Quarantined, max(m.SlowTasks, int(mt.SlowTasks))
+		if m.EpochHint < mt.Epoch {
+			m.EpochHint = mt.Epoch
 		}
 		if m.PreemptionAt.IsZero() {
 			m.PreemptionAt = mt.PreemptionAt
@@ -382,12 +382,12 @@
 func (rep *Replicator) RequestStateTransfer(p *cluster.Partition, claim uint64) {
 	for _, ps := range rep.Peers {
 		rep.loop.Go(func() {
-			t := new(peer.Tale)
-			err := peerapi.Call(rep.loop.Context(), rep.network, updateTimeout, ps.Addr, StateTransferPath, &peer.RecallRequest{Part: uint32(p.Index)}, t)
+			t := new(peer.ReplicaUpdate)
+			err := peerapi.Call(rep.loop.Context(), rep.network, updateTimeout, ps.Addr, StateTransferPath, &peer.StateTransferRequest{Partition: uint32(p.Index)}, t)
 			if err != nil && !errors.Is(err, transport.ErrNotSent) {
 				rep.log.Debug("tale not recalled", "from", ps.Addr, "reason", err)
 			}
-			if err != nil || t.Upto == 0 {
+			if err != nil || t.Through == 0 {
 				return
 			}
 			rep.loop.Do(func() {
--- a/internal/coordination/scheduler/run_times.go
+++ b/internal/coordination/scheduler/run_times.go
@@ -110,17 +110,17 @@
 }
 
 // RuntimeCorrections lists what was learned of classes, by name.
-func (sched *Scheduler) RuntimeCorrections() (list []*peer.ClassTale) {
+func (sched *Scheduler) RuntimeCorrections() (list []*peer.RuntimeCorrection) {
 	for _, class := range slices.Sorted(maps.Keys(sched.Corrections)) {
 		correction := sched.Corrections[class]
-		list = append(list, &peer.ClassTale{Class: class, Ratio: correction.Ratio, Count: uint32(correction.Count)})
+		list = append(list, &peer.RuntimeCorrection{Class: class, Ratio: correction.Ratio, Count: uint32(correction.Count)})
 	}
 	return list
 }
 
 // AdoptCorrection takes over what another controller has learned of a class, if that is
 // more than what is known here.
-func (sched *Scheduler) AdoptCorrection(told *peer.ClassTale) {
+func (sched *Scheduler) AdoptCorrection(told *peer.RuntimeCorrection) {
 	own := sched.Corrections[told.Class]
 	if own != nil && own.Count >= int(told.Count) || told.Ratio <= 0 || told.Ratio > 4 {
 		return
--- a/internal/coordination/takeover/standby.go
+++ b/internal/coordination/takeover/standby.go
@@ -11,13 +11,13 @@
 // ChooseStandby names who is to take an own part over: whoever it goes back to, or the
 // one that was named before, while that one is as good as any.
 func (to *Takeover) ChooseStandby(p *cluster.Partition, now time.Time) {
-	if home := to.preferredLeader(p, now); home != "" && to.Peers[home].Summary.Copies {
+	if home := to.preferredLeader(p, now); home != "" && to.Peers[home].Summary.Replicates {
 		p.Standby = home
 		return
 	}
 	able := slices.DeleteFunc(to.Candidates(now), func(o failover.Candidate) bool {
 		ps := to.Peers[o.Label]
-		return ps != nil && !ps.Summary.Copies
+		return ps != nil && !ps.Summary.Replicates
 	})
 	p.Standby = failover.KeepStandby(p.Standby, to.Settings.Label, to.Settings.Zone, able)
 }
@@ -40,5 +40,5 @@
 // has a copy of it.
 func (to *Takeover) liveStandby(p *cluster.Partition, now time.Time) bool {
 	ps := to.Peers[to.NamedStandby(p)]
-	return ps != nil && ps.Alive(now) && !ps.Summary.Leaving && ps.HasReplicaOf(p.Index)
+	return ps != nil && ps.Alive(now) && !ps.Summary.Draining && ps.HasReplicaOf(p.Index)
 }
--- a/internal/coordination/takeover/takeover.go
+++ b/internal/coordination/takeover/takeover.go
@@ -100,7 +100,7 @@
 	}
 	label := to.Labels[p.Index]
 	home := to.Peers[label]
-	if home == nil || !home.Alive(now) || home.Summary.Leaving || now.Sub(home.HeardSince) < lease.SettleTime {
+	if home == nil || !home.Alive(now) || home.Summary.Draining || now.Sub(home.HeardSince) < lease.SettleTime {
 		return ""
 	}
 	mine, theirs := 0, 0
@@ -131,7 +131,7 @@
 	if p.HandbackSince.IsZero() {
 		p.HandbackSince = now
 	}
-	return !to.Peers[home].Summary.Copies || to.Peers[home].HasReplicaOf(p.Index) || now.Sub(p.HandbackSince) > handbackWarmUp
+	return !to.Peers[home].Summary.Replicates || to.Peers[home].HasReplicaOf(p.Index) || now.Sub(p.HandbackSince) > handbackWarmUp
 }
 
 // TakeOver reads what the part's former owner recorded. Everything that owner
--- a/internal/coordination/troubles_test.go
+++ b/internal/coordination/troubles_test.go
@@ -331,7 +331,7 @@
 func withoutNotices(body []byte) []byte {
 	sum := new(peer.Summary)
 	must(proto.Unmarshal(body, sum))
-	sum.Withdrawn = nil
+	sum.Cancelled = nil
 	body, err := proto.Marshal(sum)
 	must(err)
 	return body
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -57,7 +57,7 @@
 	// held is until when what a controller sends and gets is kept back.
 	held map[string]time.Time
 	// told changes what owners and the leader tell, with the lock held.
-	told func(*peer.Tale)
+	told func(*peer.ReplicaUpdate)
 	// old are controllers of a version that keeps no copies.
 	old map[string]bool
 	// answered sees what a controller was answered, and may lose it.
@@ -293,9 +293,9 @@
 	}
 	sum := new(peer.Summary)
 	must(proto.Unmarshal(body, sum))
-	sum.Follows, sum.Leaving, sum.Copies, sum.Room, sum.Connected, sum.Withdrawn = nil, false, false, 0, 0, nil
-	for _, p := range sum.Parts {
-		p.Standby, p.Carried = "", nil
+	sum.Replicas, sum.Draining, sum.Replicates, sum.Capacity, sum.Connected, sum.Cancelled = nil, false, false, 0, 0, nil
+	for _, p := range sum.Partitions {
+		p.Standby, p.Delegated = "", nil
 	}
 	body, err := proto.Marshal(sum)
 	must(err)
@@ -328,7 +328,7 @@
 			body = withoutNotices(body)
 		}
 		if w.told != nil && path == replication.UpdatePath {
-			tale := new(peer.Tale)
+			tale := new(peer.ReplicaUpdate)
 			must(proto.Unmarshal(body, tale))
 			w.mu.Lock()
 			w.told(tale)
