--- a/cmd/micaspindlectl/connection.go
+++ b/cmd/micaspindlectl/connection.go
@@ -1,35 +1,34 @@
 package main
 
 import (
-	"context"
 	"crypto/x509"
 	"errors"
 	"fmt"
 	"os"
-	"strings"
 	"time"
 
 	"micaspindle/internal/client"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/protocol"
 )
 
-// Connection says where the controllers are and how to prove who one is. A
-// token is read from a file only: a command line is seen by others.
+// Connection holds the flags that say where the controllers are and which credentials
+// the caller has. A token is read from a file only, since other users of the machine
+// can see a command line.
 type Connection struct {
 	Controllers string        `env:"SPINDLE_CONTROLLERS" placeholder:"HOST:PORT,..." help:"Addresses of controllers."`
-	Roots       string        `env:"SPINDLE_ROOTS" type:"path" help:"Certificates of the authorities to trust; without them the connection is in the clear."`
-	Cert        string        `env:"SPINDLE_CERT" type:"path" help:"Your certificate and key in one file."`
+	Roots       string        `env:"SPINDLE_ROOTS" type:"path" help:"CA certificates to trust; without them connections are not encrypted."`
+	Cert        string        `env:"SPINDLE_CERT" type:"path" help:"Your client certificate and key in one file."`
 	TokenFile   string        `env:"SPINDLE_TOKEN_FILE" type:"path" help:"File that holds your token."`
-	Patience    time.Duration `default:"60s" help:"How long a request is tried again."`
+	Patience    time.Duration `default:"60s" help:"How long requests are retried."`
 }
 
+// client is a client of the controllers with the caller's credentials.
 func (c *Connection) client() (*client.Client, error) {
 	addrs := client.SplitAddresses(c.Controllers)
 	if len(addrs) == 0 {
 		return nil, usageError{errors.New("no controllers: give --controllers or set SPINDLE_CONTROLLERS")}
 	}
-	secure, token, err := c.proof().Load(func(n identity.Name) bool { return n.Kind == identity.Controller })
+	secure, token, err := c.credentials().Load(func(n identity.Name) bool { return n.Kind == identity.Controller })
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -38,10 +37,12 @@
 	return cl, nil
 }
 
-func (c *Connection) proof() *identity.Proof {
+// credentials are the files that prove who the caller is.
+func (c *Connection) credentials() *identity.Proof {
 	return &identity.Proof{Roots: c.Roots, Cert: c.Cert, TokenFile: c.TokenFile}
 }
 
+// readRoots reads CA certificates from a PEM file.
 func readRoots(path string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -53,25 +54,3 @@
 	}
 	return roots, nil
 }
-
-type whoamiCmd struct{}
-
-type whoView struct {
-	Name          string   `json:"name"`
-	How           string   `json:"how"`
-	Verbs         []string `json:"verbs"`
-	PolicyVersion uint64   `json:"policy_version"`
-}
-
-// Run shows who the cluster takes the caller for.
-func (whoamiCmd) Run(ctx context.Context, c *cli) error {
-	cl, err := c.client()
-	if err != nil {
-		return err
-	}
-	var who protocol.WhoAmI
-	if err := cl.Do(ctx, "GET", "/whoami", nil, &who); err != nil {
-		return err
-	}
-	return c.print(whoView(who), "NAME\tBY\tMAY, ON SOME QUEUE\tPOLICY", [][]any{{who.Name, who.How, orNone(strings.Join(who.Verbs, " ")), who.PolicyVersion}})
-}
--- /dev/null
+++ b/cmd/micaspindlectl/delegations.go
@@ -0,0 +1,40 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"micaspindle/internal/overview"
+)
+
+// delegationsCmd shows which controllers hold the connections to the workers.
+type delegationsCmd struct {
+	Operations string `env:"SPINDLE_OPERATIONS" placeholder:"HOST:PORT,..." help:"The controllers' operations addresses (operations.listen in their settings)."`
+}
+
+// Help shows examples.
+func (delegationsCmd) Help() string {
+	return "Examples:\n\n    micaspindlectl delegations --operations 10.0.0.1:9090,10.0.0.2:9090\n    micaspindlectl delegations -o json | jq '.[].view.moves'\n\n" +
+		"An owner that runs short of sockets delegates worker connections, in fixed groups called\n" +
+		"shares, to other controllers (docs/shares.md). This needs no action by operators.\n" +
+		"MACHINES are the worker connections a controller holds, ROOM is its capacity.\n" +
+		"With identities it needs the right to view every queue.\n\n" +
+		"Exit codes: 0 success, 2 wrong arguments, 3 not authorized, 5 no controller answered."
+}
+
+// Run shows the delegations.
+func (d *delegationsCmd) Run(ctx context.Context, c *cli) error {
+	cl, addrs, err := operationsClient(c, d.Operations)
+	if err != nil {
+		return err
+	}
+	rows, err := fetchOverviews(ctx, cl, addrs)
+	if c.Output == outputJSON {
+		return errors.Join(err, printJSON(rows))
+	}
+	if err == nil {
+		fmt.Print(overview.Shares(rows))
+	}
+	return err
+}
--- a/cmd/micaspindlectl/main.go
+++ b/cmd/micaspindlectl/main.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"os/signal"
 	"syscall"
@@ -14,56 +15,78 @@
 	"micaspindle/internal/client"
 )
 
+// cli is the command line.
 type cli struct {
 	Connection `group:"Connection"`
 	Output     string `default:"table" enum:"table,json" short:"o" help:"How results are printed: table or json."`
 
-	Submit   submitCmd   `cmd:"" help:"Submit a job."`
-	Status   statusCmd   `cmd:"" help:"Show the state of jobs."`
-	Withdraw withdrawCmd `cmd:"" help:"Withdraw jobs."`
+	Submit    submitCmd    `cmd:"" help:"Submit a job."`
+	Status    statusCmd    `cmd:"" help:"Show the state of jobs."`
+	Cancel    cancelCmd    `cmd:"" help:"Cancel jobs."`
+	CancelAll cancelAllCmd `cmd:"" help:"Cancel all unfinished jobs of one identity."`
+	Arguments argumentsCmd `cmd:"" help:"Show the specification that a job was submitted with."`
+	Reassign  reassignCmd  `cmd:"" help:"Move a job that has not started to another queue."`
 
-	Arguments   argumentsCmd   `cmd:"" help:"Show what a job was submitted with."`
-	Reassign    reassignCmd    `cmd:"" help:"Move a job that has not started to another queue."`
-	WithdrawAll withdrawAllCmd `cmd:"" help:"Withdraw everything that somebody has submitted."`
-	Shares      sharesCmd      `cmd:"" help:"Show who has the machines' connections, and which shares moved of late."`
-	Top         topCmd         `cmd:"" help:"Show how the cluster stands, again and again."`
-	Whoami      whoamiCmd      `cmd:"" help:"Show who the cluster takes you for."`
-	Cache       cacheCmd       `cmd:"" help:"Show what gates for build tools hold."`
-	Action      actionCmd      `cmd:"" help:"Show how a build action stands."`
-	Policy      policyCmd      `cmd:"" help:"Work with the policy: who may do what."`
-	Audit       auditCmd       `cmd:"" help:"Read, export and verify the audit."`
-	PKI         pkiCmd         `cmd:"" name:"pki" help:"A small certificate authority in a folder."`
-	Token       tokenCmd       `cmd:"" help:"Sign a token for a person or a service."`
+	Top         topCmd         `cmd:"" help:"Show controllers, queues and machines, refreshed continuously."`
+	Delegations delegationsCmd `cmd:"" help:"Show which controllers hold the worker connections, and recent delegations."`
+	Cache       cacheCmd       `cmd:"" help:"Show the build caches of Remote Execution API front ends."`
+	Action      actionCmd      `cmd:"" help:"Show the state of a build action."`
+
+	Whoami whoamiCmd `cmd:"" help:"Show the identity that the cluster sees you as."`
+	Policy policyCmd `cmd:"" help:"Manage the access policy."`
+	Audit  auditCmd  `cmd:"" help:"List, export and verify the audit log."`
+	PKI    pkiCmd    `cmd:"" name:"pki" help:"Manage a small certificate authority in a local directory."`
+	Token  tokenCmd  `cmd:"" help:"Issue a token for a person or a service."`
+
+	// The former names of commands, kept for one release.
+	Withdraw    cancelCmd      `cmd:"" hidden:"" help:"Former name of cancel."`
+	WithdrawAll cancelAllCmd   `cmd:"" hidden:"" help:"Former name of cancel-all."`
+	Shares      delegationsCmd `cmd:"" hidden:"" help:"Former name of delegations."`
 }
 
-// usageError marks what the caller must mend; it ends the process with code 2.
+// usageError marks a mistake of the caller; it ends the process with exitUsage.
 type usageError struct{ error }
 
+// The exit codes, as the description tells them.
+const (
+	exitFailed     = 1
+	exitUsage      = 2
+	exitForbidden  = 3
+	exitNotFound   = 4
+	exitUnanswered = 5
+)
+
 // exitCode tells scripts what kind of failure it was.
 func exitCode(err error) int {
 	var refusal *client.Refusal
 	switch {
 	case errors.As(err, new(usageError)):
-		return 2
+		return exitUsage
 	case errors.As(err, &refusal):
-		switch refusal.Status {
-		case 400, 422:
-			return 2
-		case 401, 403:
-			return 3
-		case 404:
-			return 4
-		}
+		return refusalExitCode(refusal.Status)
 	case errors.Is(err, client.ErrUnanswered):
-		return 5
+		return exitUnanswered
+	}
+	return exitFailed
+}
+
+// refusalExitCode is the exit code of a controller's refusal.
+func refusalExitCode(status int) int {
+	switch status {
+	case http.StatusBadRequest, http.StatusUnprocessableEntity:
+		return exitUsage
+	case http.StatusUnauthorized, http.StatusForbidden:
+		return exitForbidden
+	case http.StatusNotFound:
+		return exitNotFound
 	}
-	return 1
+	return exitFailed
 }
 
-const description = `Speaks to the controllers of a micaspindle cluster.
+const description = `Command line of a micaspindle cluster, for users and operators.
 
-Exit codes: 0 done, 1 failed, 2 wrong arguments or a request that can never be
-done, 3 no good credential or no right, 4 no such job, 5 no controller answered.`
+Exit codes: 0 success, 1 failure, 2 wrong arguments or an invalid request, 3 not
+authenticated or not authorized, 4 no such job, 5 no controller answered.`
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/micaspindlectl/main_test.go
+++ b/cmd/micaspindlectl/main_test.go
@@ -44,6 +44,17 @@
 		}
 		return out.String()
 	}
+	run(2, "no addresses", "delegations")
+	run(5, "", "delegations", "--operations", "127.0.0.1:1")
+	run(2, "no front ends", "cache")
+	run(2, "no controllers", "cancel", "job-1")
+	run(2, "no controllers", "cancel-all", "--by", "person/anna")
+	run(2, "no controllers", "policy", "revoke-tokens", "person/anna")
+	// The former names of commands and flags, which scripts may still use.
+	run(2, "no controllers", "withdraw", "job-1")
+	run(2, "no controllers", "withdraw-all", "--by", "person/anna")
+	run(2, "no controllers", "policy", "void-tokens", "person/anna")
+	run(5, "no controller answered", "cache", "--gates", "127.0.0.1:1", "--patience", "1s")
 	run(2, "no addresses", "shares")
 	run(5, "", "shares", "--operations", "127.0.0.1:1")
 	run(2, "holds no root", "pki", "issue", "person/anna")
--- a/cmd/micaspindlectl/pki.go
+++ b/cmd/micaspindlectl/pki.go
@@ -2,34 +2,36 @@
 
 import (
 	"fmt"
-	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	"micaspindle/internal/identity"
 	"micaspindle/internal/pki"
 )
 
+// day is the unit of the validity flags.
 const day = 24 * time.Hour
 
+// pkiDir says where the certificate authority's files are.
 type pkiDir struct {
-	Dir string `default:"pki" env:"SPINDLE_PKI" type:"path" help:"The authority's folder. Its keys open everything: keep it off the cluster's machines."`
+	Dir string `default:"pki" env:"SPINDLE_PKI" type:"path" help:"Directory of the certificate authority. Its keys grant full access: keep it off the cluster's machines."`
 }
 
+// pkiCmd holds the commands of the certificate authority.
 type pkiCmd struct {
-	Init           pkiInitCmd   `cmd:"" help:"Make a root and a key for tokens."`
+	Init           pkiInitCmd   `cmd:"" help:"Create a root certificate and a token signing key."`
 	Issue          pkiIssueCmd  `cmd:"" help:"Issue certificates."`
-	Renew          pkiRenewCmd  `cmd:"" help:"Renew certificates, with new keys."`
-	List           pkiListCmd   `cmd:"" help:"List what was issued."`
-	RotateTokenKey pkiRotateCmd `cmd:"" help:"Make a new key for tokens; the former stays good until the next time."`
+	Renew          pkiRenewCmd  `cmd:"" help:"Renew certificates with new keys."`
+	List           pkiListCmd   `cmd:"" help:"List issued certificates."`
+	RotateTokenKey pkiRotateCmd `cmd:"" help:"Create a new token signing key; the previous one stays valid until the next rotation."`
 }
 
+// pkiInitCmd creates a certificate authority.
 type pkiInitCmd struct {
 	pkiDir
-	Name string `default:"micaspindle root" help:"The root's common name."`
-	Days int    `default:"3650" help:"For how many days."`
+	Name string `default:"micaspindle root" help:"Common name of the root certificate."`
+	Days int    `default:"3650" help:"Validity in days."`
 }
 
 // Help shows examples.
@@ -48,29 +50,32 @@
 	return nil
 }
 
+// pkiIssueCmd issues certificates.
 type pkiIssueCmd struct {
 	pkiDir
 	Names []string `arg:"" name:"name" help:"Names, KIND/ID: person, service, controller or worker."`
-	Days  int      `default:"90" help:"For how many days."`
+	Days  int      `default:"90" help:"Validity in days."`
 }
 
 // Help shows examples.
 func (pkiIssueCmd) Help() string {
-	return "A controller's id is its label; machines whose names the cloud hands out share worker/any.\n\nExample:\n  micaspindlectl pki issue controller/spindle-0 worker/any person/anna"
+	return "The id of a controller is its label; worker machines that the cloud names share worker/any.\n\nExample:\n  micaspindlectl pki issue controller/spindle-0 worker/any person/anna"
 }
 
 // Run issues certificates.
 func (p *pkiIssueCmd) Run(c *cli) error { return issue(c, p.Dir, p.Names, p.Days, false) }
 
+// pkiRenewCmd renews certificates.
 type pkiRenewCmd struct {
 	pkiDir
 	Names []string `arg:"" name:"name" help:"Names, KIND/ID."`
-	Days  int      `default:"90" help:"For how many days."`
+	Days  int      `default:"90" help:"Validity in days."`
 }
 
 // Run renews certificates.
 func (p *pkiRenewCmd) Run(c *cli) error { return issue(c, p.Dir, p.Names, p.Days, true) }
 
+// issue issues certificates, or renews those that there are.
 func issue(c *cli, dir string, names []string, days int, renew bool) error {
 	a, err := pki.Open(dir)
 	if err != nil {
@@ -95,12 +100,14 @@
 	return c.printIssued(list)
 }
 
+// issuedView is a certificate as JSON.
 type issuedView struct {
 	Name  string    `json:"name"`
 	Until time.Time `json:"until"`
 	File  string    `json:"file"`
 }
 
+// printIssued shows certificates.
 func (c *cli) printIssued(list []pki.Issued) error {
 	views := []issuedView{}
 	var rows [][]any
@@ -115,6 +122,7 @@
 	return c.print(views, "NAME\tUNTIL\tLEFT\tFILE", rows)
 }
 
+// pkiListCmd lists certificates.
 type pkiListCmd struct{ pkiDir }
 
 // Run lists what was issued.
@@ -131,9 +139,10 @@
 	return c.printIssued(list)
 }
 
+// pkiRotateCmd replaces the token signing key.
 type pkiRotateCmd struct{ pkiDir }
 
-// Run rotates the key for tokens.
+// Run rotates the token signing key.
 func (p *pkiRotateCmd) Run() error {
 	if _, err := pki.Open(p.Dir); err != nil {
 		return usageError{err}
@@ -144,41 +153,3 @@
 	fmt.Printf("bring %s to every controller before tokens of the new key are used\n", filepath.Join(p.Dir, pki.TokenKeysFile))
 	return nil
 }
-
-type tokenCmd struct {
-	pkiDir
-	Name    string        `arg:"" help:"For whom: person/ID or service/ID."`
-	Cluster string        `required:"" help:"The cluster's name, as its settings have it."`
-	For     time.Duration `default:"8h" help:"How long it is good, at most 168h."`
-	Out     string        `type:"path" help:"File to write it to, for its owner only; default: standard output."`
-}
-
-// Help shows examples.
-func (tokenCmd) Help() string {
-	return "Who holds the token is taken for its owner until it ends.\n\nExample:\n  micaspindlectl token person/anna --cluster hosted --for 8h --out anna.token"
-}
-
-// Run signs a token.
-func (t *tokenCmd) Run() error {
-	name, err := identity.ParseName(t.Name)
-	if err != nil {
-		return usageError{err}
-	}
-	key, err := pki.TokenKey(t.Dir)
-	if err != nil {
-		return usageError{err}
-	}
-	token, err := identity.IssueToken(key, name, t.Cluster, time.Now(), t.For)
-	if err != nil {
-		return usageError{err}
-	}
-	if t.Out == "" {
-		fmt.Println(token)
-		return nil
-	}
-	if err := os.WriteFile(t.Out, []byte(token+"\n"), 0o600); err != nil {
-		return err
-	}
-	fmt.Printf("%s, good until %s\n", strings.TrimSpace(t.Out), time.Now().Add(t.For).Format(time.RFC3339))
-	return nil
-}
--- a/cmd/micaspindlectl/policy.go
+++ b/cmd/micaspindlectl/policy.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"os"
-	"time"
 
 	"go.yaml.in/yaml/v3"
 
@@ -15,16 +14,21 @@
 	"micaspindle/internal/rights/policyfile"
 )
 
+// policyCmd holds the commands of the access policy.
 type policyCmd struct {
-	Check      policyCheckCmd   `cmd:"" help:"Check a policy file."`
-	Apply      policyApplyCmd   `cmd:"" help:"Bring the cluster to a policy file."`
-	Show       policyShowCmd    `cmd:"" help:"Print the cluster's policy as a policy file."`
-	Revoke     policyRevokeCmd  `cmd:"" help:"Revoke identities, on every controller within 3 s."`
-	Restore    policyRestoreCmd `cmd:"" help:"Take a revocation back."`
-	VoidTokens policyVoidCmd    `cmd:"" help:"Void every token of an identity that was issued until now."`
-	Schema     policySchemaCmd  `cmd:"" help:"Print the JSON schema of policy files."`
+	Check        policyCheckCmd        `cmd:"" help:"Validate a policy file."`
+	Apply        policyApplyCmd        `cmd:"" help:"Replace the cluster's policy with a policy file."`
+	Show         policyShowCmd         `cmd:"" help:"Print the cluster's policy as a policy file."`
+	Revoke       policyRevokeCmd       `cmd:"" help:"Revoke identities; effective on every controller within 3 s."`
+	Restore      policyRestoreCmd      `cmd:"" help:"Restore revoked identities."`
+	RevokeTokens policyRevokeTokensCmd `cmd:"" help:"Revoke all tokens of an identity that were issued until now."`
+	Schema       policySchemaCmd       `cmd:"" help:"Print the JSON schema of policy files."`
+
+	// The former name of a command, kept for one release.
+	VoidTokens policyRevokeTokensCmd `cmd:"" hidden:"" help:"Former name of revoke-tokens."`
 }
 
+// policySchemaCmd prints the JSON schema of policy files.
 type policySchemaCmd struct{}
 
 // Run prints the schema.
@@ -33,10 +37,12 @@
 	return nil
 }
 
+// policyCheckCmd validates a policy file.
 type policyCheckCmd struct {
 	File string `arg:"" type:"path" help:"Policy file (YAML)."`
 }
 
+// readPolicy reads and validates a policy file.
 func readPolicy(path string) (*rights.Document, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -59,43 +65,69 @@
 	return nil
 }
 
-// fetchPolicy reads the cluster's policy, all of one version.
+// fetchPolicy reads the cluster's policy, and starts again if it was changed meanwhile. The
+// page that it returns is the last one read.
 func fetchPolicy(ctx context.Context, cl *client.Client) (*rights.Document, rights.Page, error) {
 	for {
-		d := new(rights.Document)
-		var last rights.Page
-		changed := false
-		for _, what := range []string{"roles", "identities"} {
-			after := ""
-			for more := true; more; more = last.More {
-				var page rights.Page
-				if err := cl.Do(ctx, "GET", "/policy/"+what+"?after="+url.QueryEscape(after), nil, &page); err != nil {
-					return nil, page, err
-				}
-				changed = changed || last.MaxChanges != 0 && page.Version != last.Version
-				d.Roles, d.Identities, last = append(d.Roles, page.Roles...), append(d.Identities, page.Identities...), page
-				if n := len(page.Roles); n > 0 {
-					after = page.Roles[n-1].Name
-				}
-				if n := len(page.Identities); n > 0 {
-					after = page.Identities[n-1].Name
-				}
-			}
+		document := new(rights.Document)
+		roles, err := fetchPolicyPages(ctx, cl, "roles", document)
+		if err != nil {
+			return nil, rights.Page{}, err
 		}
-		if !changed {
-			return d, last, nil
+		identities, err := fetchPolicyPages(ctx, cl, "identities", document)
+		if err != nil {
+			return nil, rights.Page{}, err
+		}
+		if roles.consistent && identities.consistent && roles.last.Version == identities.last.Version {
+			return document, identities.last, nil
 		}
 	}
 }
 
+// policyPages are pages that were read one after the other.
+type policyPages struct {
+	last       rights.Page
+	consistent bool // all are of one version
+}
+
+// fetchPolicyPages adds all entries of a kind, roles or identities, to the document.
+func fetchPolicyPages(ctx context.Context, cl *client.Client, kind string, document *rights.Document) (policyPages, error) {
+	var first *rights.Page
+	pages := policyPages{consistent: true}
+	after := ""
+	for {
+		var page rights.Page
+		if err := cl.Do(ctx, http.MethodGet, "/policy/"+kind+"?after="+url.QueryEscape(after), nil, &page); err != nil {
+			return pages, err
+		}
+		if first == nil {
+			first = &page
+		}
+		pages.last = page
+		pages.consistent = pages.consistent && page.Version == first.Version
+		document.Roles = append(document.Roles, page.Roles...)
+		document.Identities = append(document.Identities, page.Identities...)
+		if n := len(page.Roles); n > 0 {
+			after = page.Roles[n-1].Name
+		}
+		if n := len(page.Identities); n > 0 {
+			after = page.Identities[n-1].Name
+		}
+		if !page.More {
+			return pages, nil
+		}
+	}
+}
+
+// policyApplyCmd replaces the cluster's policy with that of a file.
 type policyApplyCmd struct {
-	File   string `arg:"" type:"path" help:"Policy file (YAML); what it does not name is dropped."`
-	DryRun bool   `help:"Only say what would be changed."`
+	File   string `arg:"" type:"path" help:"Policy file (YAML); roles and identities that it does not name are removed."`
+	DryRun bool   `help:"Only print what would change."`
 }
 
 // Help shows examples.
 func (policyApplyCmd) Help() string {
-	return "A large difference goes in steps, each of which leaves a policy that holds; if it is cut\nshort, apply it again.\n\nExample:\n  micaspindlectl policy apply policy.yaml --dry-run"
+	return "A large difference is applied in steps, each of which leaves a valid policy. If the command\nis interrupted, run it again.\n\nExample:\n  micaspindlectl policy apply policy.yaml --dry-run"
 }
 
 // Run applies a policy file.
@@ -144,6 +176,7 @@
 	return v.Version, err
 }
 
+// policyShowCmd prints the cluster's policy.
 type policyShowCmd struct{}
 
 // Run prints the policy.
@@ -156,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Output == "json" {
+	if c.Output == outputJSON {
 		return c.print(map[string]any{"version": page.Version, "roles": d.Roles, "identities": d.Identities}, "", nil)
 	}
 	out, err := yaml.Marshal(d)
@@ -166,89 +199,3 @@
 	fmt.Printf("# version %d\n%s", page.Version, out)
 	return nil
 }
-
-// edit changes identities of the cluster's policy, again if somebody else was
-// faster.
-func edit(ctx context.Context, c *cli, names []string, f func(*rights.Identity) bool) error {
-	cl, err := c.client()
-	if err != nil {
-		return err
-	}
-	for {
-		d, page, err := fetchPolicy(ctx, cl)
-		if err != nil {
-			return err
-		}
-		ch := rights.Change{}
-		for _, name := range names {
-			found := false
-			for _, id := range d.Identities {
-				if id.Name != name {
-					continue
-				}
-				found = true
-				if f(&id) {
-					ch.PutIdentities = append(ch.PutIdentities, id)
-				}
-			}
-			if !found {
-				return usageError{fmt.Errorf("the policy does not name %s", name)}
-			}
-		}
-		version := page.Version
-		if ch.Size() > 0 {
-			if version, err = change(ctx, cl, &ch, version); err != nil {
-				var refusal *client.Refusal
-				if errors.As(err, &refusal) && refusal.Status == 409 && ctx.Err() == nil {
-					continue
-				}
-				return err
-			}
-		}
-		return c.print(map[string]any{"version": version, "changed": ch.Size()}, "VERSION\tCHANGED", [][]any{{version, ch.Size()}})
-	}
-}
-
-type policyRevokeCmd struct {
-	Names []string `arg:"" name:"name" help:"Identities, KIND/ID."`
-}
-
-// Help shows examples.
-func (policyRevokeCmd) Help() string {
-	return "Jobs that they have submitted go on for their queue; 'micaspindlectl withdraw-all' ends them.\nThe last administrator can't be revoked.\n\nExample:\n  micaspindlectl policy revoke person/anna"
-}
-
-// Run revokes identities.
-func (p *policyRevokeCmd) Run(ctx context.Context, c *cli) error {
-	return setRevoked(ctx, c, p.Names, true)
-}
-
-type policyRestoreCmd struct {
-	Names []string `arg:"" name:"name" help:"Identities, KIND/ID."`
-}
-
-// Run takes revocations back.
-func (p *policyRestoreCmd) Run(ctx context.Context, c *cli) error {
-	return setRevoked(ctx, c, p.Names, false)
-}
-
-func setRevoked(ctx context.Context, c *cli, names []string, revoked bool) error {
-	return edit(ctx, c, names, func(id *rights.Identity) bool {
-		changed := id.Revoked != revoked
-		id.Revoked = revoked
-		return changed
-	})
-}
-
-type policyVoidCmd struct {
-	Names []string `arg:"" name:"name" help:"Identities, KIND/ID."`
-}
-
-// Run voids tokens.
-func (p *policyVoidCmd) Run(ctx context.Context, c *cli) error {
-	now := time.Now().UnixMilli()
-	return edit(ctx, c, p.Names, func(id *rights.Identity) bool {
-		id.TokensFromMS = now
-		return true
-	})
-}
