--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # The checks of the README; .ci/run calls the same target.
-.PHONY: check build demo demo-build regress regress-full regress-night regress-hunt
+.PHONY: check build demo demo-build regress regress-full regress-scenarios regress-fault-search regress-night regress-hunt
 check: build
 	test -z "$$(gofmt -l cmd internal)"
 	go vet ./...
@@ -20,7 +20,7 @@
 demo: build
 	target/micaspindle-devcluster demo
 
-# A build of real actions through two gates, one of them killed in the middle.
+# A build of real actions through two REAPI front ends, one of which is killed.
 demo-build: build
 	target/micaspindle-devcluster demo-build
 
@@ -31,16 +31,20 @@
 LARGE = next/ombili-admissions-grown.toml next/bilet-ordasy-grown.toml \
 	change/ombili-admissions-next.toml change/bilet-ordasy-next.toml $(FLEET)
 OPS = more/ombili-admissions-ops.toml more/bilet-ordasy-ops.toml
-HUNT = more/hunt/ombili-admissions-hunt.toml more/hunt/bilet-ordasy-hunt.toml
+FAULT_SEARCH = more/hunt/ombili-admissions-hunt.toml more/hunt/bilet-ordasy-hunt.toml
 regress: build
 	target/micaspindle-regress run --kit $(KIT) --why "$(WHY)" $(LARGE)
 regress-full: build
-	target/micaspindle-regress run --full --kit $(KIT) --why "$(WHY)" $(SMALL) $(LARGE) $(OPS) $(HUNT)
-# The project's own hard days on the large deployments: half of every class and team.
+	target/micaspindle-regress run --full --kit $(KIT) --why "$(WHY)" $(SMALL) $(LARGE) $(OPS) $(FAULT_SEARCH)
+# Overload and failure scenarios of the project's own: half of every class and team is served.
 FLEET = more/fleet/ombili-admissions-fleet.toml more/fleet/bilet-ordasy-fleet.toml
-regress-night: build
-	target/micaspindle-regress night --kit $(KIT) --why "$(WHY)" $(FLEET)
+regress-scenarios: build
+	target/micaspindle-regress scenarios --kit $(KIT) --why "$(WHY)" $(FLEET)
 
-# Days on which two troubles meet, and the bench's hunts, on the operators' hunt sites.
-regress-hunt: build
-	target/micaspindle-regress hunt --kit $(KIT) --why "$(WHY)" $(HUNT)
+# Scenarios in which two faults coincide, then the bench's random searches, on the operators' sites for these.
+regress-fault-search: build
+	target/micaspindle-regress fault-search --kit $(KIT) --why "$(WHY)" $(FAULT_SEARCH)
+
+# The former names of targets, kept for one release.
+regress-night: regress-scenarios
+regress-hunt: regress-fault-search
--- a/cmd/micaspindle-regress/main_test.go
+++ b/cmd/micaspindle-regress/main_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/alecthomas/kong"
 )
 
 // kit is a folder with one site and a scripted bench, which writes entries with
@@ -70,39 +72,39 @@
 	}
 }
 
-// nightReport is the bench's report of a day with so many of ten jobs started.
-func nightReport(started int) string {
+// dayReport is the bench's report of a day with so many of ten jobs started.
+func dayReport(started int) string {
 	return fmt.Sprintf(`{"rules_broken":{"total":0},"classes":{"j":{"jobs":10,"started":%d,"done":10,"told_done":10}},"node_stats":[{"node":"n"}]}`, started)
 }
 
-func TestNightRefusesWhatIsNotServedByHalf(t *testing.T) {
+func TestScenariosRefuseWhatIsNotServedByHalf(t *testing.T) {
 	const site = "name = 'a'\n[nodes]\ncount = 1\n[[capacity]]\nzone = 'z'\ncount = 5\n[[teams]]\nname = 't'\n[[jobs]]\nname = 'j'\narrivals = {rate = 1.0}\n"
 	usage := new(usageError)
 	// The bench is told: run SITE DAY --seed N --log info --report FILE.
 	for name, c := range map[string]struct {
 		script string
-		change func(*nightCmd)
+		change func(*scenariosCmd)
 		is     func(error) bool
 	}{
-		"all served":          {`echo '` + nightReport(5) + `' >$9`, nil, func(err error) bool { return err == nil }},
-		"a class under half":  {`echo '` + nightReport(4) + `' >$9`, nil, func(err error) bool { return errors.Is(err, errMayNotLand) }},
+		"all served":          {`echo '` + dayReport(5) + `' >$9`, nil, func(err error) bool { return err == nil }},
+		"a class under half":  {`echo '` + dayReport(4) + `' >$9`, nil, func(err error) bool { return errors.Is(err, errMayNotLand) }},
 		"the bench fails":     {`echo no such fault; exit 1`, nil, func(err error) bool { return err != nil && strings.Contains(err.Error(), "no such fault") }},
 		"no report":           {`exit 0`, nil, func(err error) bool { return err != nil && !errors.Is(err, errMayNotLand) }},
-		"a day there is not":  {"", func(n *nightCmd) { n.Day = []string{"x"} }, func(err error) bool { return errors.As(err, usage) }},
-		"a file there is not": {"", func(n *nightCmd) { n.Day, n.File = nil, []string{"/nowhere.yaml"} }, func(err error) bool { return errors.As(err, usage) }},
-		"a day of a file":     {`echo '` + nightReport(5) + `' >$9`, ownDay("node_roll, every_s: 9"), func(err error) bool { return err == nil }},
-		"an unknown trouble": {"", ownDay("late_comands"), func(err error) bool {
+		"a day there is not":  {"", func(n *scenariosCmd) { n.Scenario = []string{"x"} }, func(err error) bool { return errors.As(err, usage) }},
+		"a file there is not": {"", func(n *scenariosCmd) { n.Scenario, n.File = nil, []string{"/nowhere.yaml"} }, func(err error) bool { return errors.As(err, usage) }},
+		"a day of a file":     {`echo '` + dayReport(5) + `' >$9`, ownScenario("node_roll, every_s: 9"), func(err error) bool { return err == nil }},
+		"an unknown trouble": {"", ownScenario("late_comands"), func(err error) bool {
 			return errors.As(err, usage) && strings.Contains(err.Error(), "late_commands") && strings.Contains(err.Error(), "own.yaml")
 		}},
-		"no seeds":            {"", func(n *nightCmd) { n.Seeds = 0 }, func(err error) bool { return errors.As(err, usage) }},
-		"a site that is none": {"", func(n *nightCmd) { n.Sites = []string{"bench"} }, func(err error) bool { return errors.As(err, usage) }},
+		"no seeds":            {"", func(n *scenariosCmd) { n.Seeds = 0 }, func(err error) bool { return errors.As(err, usage) }},
+		"a site that is none": {"", func(n *scenariosCmd) { n.Sites = []string{"bench"} }, func(err error) bool { return errors.As(err, usage) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, cl := kit(t, "if [ $1 = build ]; then exit 0; fi\n"+c.script)
 			if err := os.WriteFile(filepath.Join(r.Kit, "a.toml"), []byte(site), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			n := &nightCmd{dayFlags{Kit: r.Kit, Bench: r.Bench, Seeds: 1, Limit: time.Minute, Sites: r.Sites, Day: []string{"all-at-once", "flood-large"}}}
+			n := &scenariosCmd{scenarioFlags{Kit: r.Kit, Bench: r.Bench, Seeds: 1, Limit: time.Minute, Sites: r.Sites, Scenario: []string{"all-at-once", "flood-large"}}}
 			if c.change != nil {
 				c.change(n)
 			}
@@ -113,45 +115,45 @@
 	}
 }
 
-// ownDay has a night play a day of a file, with one fault of a kind.
-func ownDay(kind string) func(n *nightCmd) {
-	return func(n *nightCmd) {
+// ownScenario plays a scenario of a file, with one fault of a kind.
+func ownScenario(kind string) func(n *scenariosCmd) {
+	return func(n *scenariosCmd) {
 		file := filepath.Join(n.Kit, "own.yaml")
 		text := "name: own\nwhy: a day\nmachines: 1\narrivals: 1\nrestart_s: 1\nfaults:\n  - {at_s: 5, kind: " + kind + ", why: so}\n"
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			panic(err)
 		}
-		n.Day, n.File = nil, []string{file}
+		n.Scenario, n.File = nil, []string{file}
 	}
 }
 
-func TestHuntRefusesBrokenRules(t *testing.T) {
+func TestFaultSearchRefusesBrokenRules(t *testing.T) {
 	const site = "name = 'a'\n[nodes]\ncount = 1\n[[capacity]]\nzone = 'z'\ncount = 5\n[[teams]]\nname = 't'\n[[jobs]]\nname = 'j'\npriority = 'high'\ncpus = 4.0\narrivals = {rate = 1.0}\n"
 	usage := new(usageError)
 	broken := `{"rules_broken":{"total":1,"by_kind":{"quota":1}},"classes":{"j":{"jobs":10,"started":10,"done":10,"told_done":10}},"node_stats":[{"node":"n"}]}`
-	large := strings.Replace(nightReport(9), `"node_stats"`, `"largest":{"j":{"jobs":4,"started":1}},"node_stats"`, 1)
+	large := strings.Replace(dayReport(9), `"node_stats"`, `"largest":{"j":{"jobs":4,"started":1}},"node_stats"`, 1)
 	hunt := func(broken string) string { return entry("hunt", "", 0, `{"name":"h","score":0,"rules":{`+broken+`}}`) }
 	for name, c := range map[string]struct {
 		report, hunted string
-		change         func(*huntCmd)
+		change         func(*faultSearchCmd)
 		is             func(error) bool
 	}{
-		"nothing found":        {nightReport(9), hunt(""), nil, func(err error) bool { return err == nil }},
+		"nothing found":        {dayReport(9), hunt(""), nil, func(err error) bool { return err == nil }},
 		"a rule in own days":   {broken, hunt(""), nil, func(err error) bool { return errors.Is(err, errMayNotLand) }},
 		"largest under half":   {large, hunt(""), nil, func(err error) bool { return errors.Is(err, errMayNotLand) }},
-		"a rule in the hunt":   {nightReport(9), hunt(`"quota":1`), nil, func(err error) bool { return errors.Is(err, errMayNotLand) }},
-		"the hunt fails":       {nightReport(9), "exit 1", nil, func(err error) bool { return err != nil && !errors.Is(err, errMayNotLand) }},
-		"no hunt":              {nightReport(9), "exit 1", func(h *huntCmd) { h.Hunt = 0 }, func(err error) bool { return err == nil }},
-		"a size out of bounds": {"", "", func(h *huntCmd) { h.Sizes = []float64{9} }, func(err error) bool { return errors.As(err, usage) }},
-		"a day there is not":   {"", "", func(h *huntCmd) { h.Day = []string{"x"} }, func(err error) bool { return errors.As(err, usage) }},
-		"no kit":               {"", "", func(h *huntCmd) { h.Kit = "nowhere" }, func(err error) bool { return errors.As(err, usage) }},
+		"a rule in the hunt":   {dayReport(9), hunt(`"quota":1`), nil, func(err error) bool { return errors.Is(err, errMayNotLand) }},
+		"the hunt fails":       {dayReport(9), "exit 1", nil, func(err error) bool { return err != nil && !errors.Is(err, errMayNotLand) }},
+		"no hunt":              {dayReport(9), "exit 1", func(h *faultSearchCmd) { h.SearchDays = 0 }, func(err error) bool { return err == nil }},
+		"a size out of bounds": {"", "", func(h *faultSearchCmd) { h.Sizes = []float64{9} }, func(err error) bool { return errors.As(err, usage) }},
+		"a day there is not":   {"", "", func(h *faultSearchCmd) { h.Scenario = []string{"x"} }, func(err error) bool { return errors.As(err, usage) }},
+		"no kit":               {"", "", func(h *faultSearchCmd) { h.Kit = "nowhere" }, func(err error) bool { return errors.As(err, usage) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, cl := kit(t, "if [ $1 = build ]; then exit 0; elif [ $1 = hunt ]; then "+c.hunted+"\n:; else echo '"+c.report+"' >$9; fi\n")
 			if err := os.WriteFile(filepath.Join(r.Kit, "a.toml"), []byte(site), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			h := &huntCmd{dayFlags: dayFlags{Kit: r.Kit, Bench: r.Bench, Why: "A reason", Seeds: 1, Limit: time.Minute, Sites: r.Sites, Day: []string{"gap"}}, Sizes: []float64{1, 1.5}, Hunt: 2}
+			h := &faultSearchCmd{scenarioFlags: scenarioFlags{Kit: r.Kit, Bench: r.Bench, Why: "A reason", Seeds: 1, Limit: time.Minute, Sites: r.Sites, Scenario: []string{"gap"}}, Sizes: []float64{1, 1.5}, SearchDays: 2}
 			if c.change != nil {
 				c.change(h)
 			}
@@ -199,3 +201,39 @@
 		})
 	}
 }
+
+// Scripts may still use the former names of commands and flags.
+func TestFormerNamesSelectTheSameCommands(t *testing.T) {
+	for _, args := range [][]string{
+		{"scenarios", "--kit", "k", "--scenario", "gap", "a.toml"},
+		{"night", "--kit", "k", "--day", "gap", "a.toml"},
+	} {
+		var c cli
+		if _, err := kong.Must(&c).Parse(args); err != nil {
+			t.Fatalf("%v: %v", args, err)
+		}
+		cmd := c.Scenarios
+		if args[0] == "night" {
+			cmd = c.Night
+		}
+		if len(cmd.Scenario) != 1 || cmd.Scenario[0] != "gap" || len(cmd.Sites) != 1 {
+			t.Errorf("%v: %+v", args, cmd)
+		}
+	}
+	for _, args := range [][]string{
+		{"fault-search", "--kit", "k", "--search-days", "3", "a.toml"},
+		{"hunt", "--kit", "k", "--hunt", "3", "a.toml"},
+	} {
+		var c cli
+		if _, err := kong.Must(&c).Parse(args); err != nil {
+			t.Fatalf("%v: %v", args, err)
+		}
+		cmd := c.FaultSearch
+		if args[0] == "hunt" {
+			cmd = c.Hunt
+		}
+		if cmd.SearchDays != 3 || len(cmd.Sites) != 1 {
+			t.Errorf("%v: %+v", args, cmd)
+		}
+	}
+}
--- a/cmd/micaspindle-regress/tests.go
+++ b/cmd/micaspindle-regress/tests.go
@@ -15,27 +15,29 @@
 	"micaspindle/internal/regress"
 )
 
+// testsCmd runs the tests except known failures.
 type testsCmd struct {
-	KnownRed string        `default:"KNOWN-RED.txt" type:"path" help:"The tests that may fail, a line each."`
-	Timeout  time.Duration `default:"20m" help:"How long the tests of a package may take."`
-	Race     bool          `default:"true" negatable:"" help:"With the race detector."`
+	KnownRed string        `default:"KNOWN-RED.txt" type:"path" help:"List of tests that are known to fail, one a line."`
+	Timeout  time.Duration `default:"20m" help:"Time limit for the tests of a package."`
+	Race     bool          `default:"true" negatable:"" help:"Run with the race detector."`
 }
 
 // Help shows the form of the list.
 func (testsCmd) Help() string {
-	return `Runs all tests but those that KNOWN-RED.txt names, and prints these. A line there is
-"PACKAGE TEST: CAUSE (issue N)"; at most three, and each must name a test that there is.
-Exit codes: 0 all others pass; 1 one does not; 2 the list is wrong.`
+	return `Runs all tests except those that KNOWN-RED.txt lists, and prints these. A line of the list is
+"PACKAGE TEST: CAUSE (issue N)"; at most three, and each must name an existing test.
+
+Exit codes: 0 all others pass; 1 a test fails; 2 the list is invalid.`
 }
 
 // Run runs the tests.
 func (t *testsCmd) Run(ctx context.Context) error {
-	reds, err := t.reds(ctx)
+	known, err := t.knownFailures(ctx)
 	if err != nil {
 		return usageError{err}
 	}
 	skip := map[string][]string{} // by import path
-	for _, r := range reds {
+	for _, r := range known {
 		path, err := output(ctx, "go", "list", "./"+r.Package)
 		if err != nil {
 			return err
@@ -52,34 +54,34 @@
 	for path, tests := range skip {
 		ended = errors.Join(ended, t.test(ctx, regress.SkipPattern(tests), path))
 	}
-	printReds(os.Stdout, reds)
+	printKnownFailures(os.Stdout, known)
 	if ended != nil {
 		return fmt.Errorf("%w: %w", errMayNotLand, ended)
 	}
 	return nil
 }
 
-// printReds says what was passed over.
-func printReds(out io.Writer, reds []regress.KnownRed) {
-	for _, r := range reds {
+// printKnownFailures lists the tests that were not run.
+func printKnownFailures(out io.Writer, known []regress.KnownRed) {
+	for _, r := range known {
 		fmt.Fprintln(out, "KNOWN RED, not run:", r.Line)
 	}
-	if len(reds) == 0 {
+	if len(known) == 0 {
 		fmt.Fprintln(out, "KNOWN RED: none")
 	}
 }
 
-// reds reads the list and checks that each line names a test that there is.
-func (t *testsCmd) reds(ctx context.Context) ([]regress.KnownRed, error) {
+// knownFailures reads the list and checks that each line names an existing test.
+func (t *testsCmd) knownFailures(ctx context.Context) ([]regress.KnownRed, error) {
 	text, err := os.ReadFile(t.KnownRed)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	reds, err := regress.ParseKnownRed(string(text))
+	known, err := regress.ParseKnownRed(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path.Base(t.KnownRed), err)
 	}
-	for _, r := range reds {
+	for _, r := range known {
 		name, _, _ := strings.Cut(r.Test, "/")
 		listed, err := output(ctx, "go", "test", "-list", "^"+name+"$", "./"+r.Package)
 		if err != nil {
@@ -89,9 +91,10 @@
 			return nil, fmt.Errorf("%s: there is no test %s in %s", path.Base(t.KnownRed), name, r.Package)
 		}
 	}
-	return reds, nil
+	return known, nil
 }
 
+// test runs the tests of packages, without those that match skip.
 func (t *testsCmd) test(ctx context.Context, skip string, packages ...string) error {
 	args := []string{"test", "-timeout", t.Timeout.String()}
 	if t.Race {
@@ -105,6 +108,7 @@
 	return cmd.Run()
 }
 
+// output is the standard output of a command; an error has its standard error too.
 func output(ctx context.Context, name string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, name, args...)
 	out, err := cmd.Output()
