--- a/cmd/micaspindle-reapi/main_test.go
+++ b/cmd/micaspindle-reapi/main_test.go
@@ -21,6 +21,7 @@
 	"micaspindle/internal/content"
 )
 
+// program builds this program.
 func program(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "micaspindle-reapi")
@@ -74,7 +75,7 @@
 	}
 }
 
-// The gate is killed in the middle of an upload and started again: what was
+// The front end is killed in the middle of an upload and started again: what was
 // answered is there, what was not is missing, and the client can go on.
 func TestKilledInTheMiddle(t *testing.T) {
 	bin, dir := program(t), t.TempDir()
--- a/cmd/micaspindle-reapi/shares.go
+++ b/cmd/micaspindle-reapi/sharing.go
@@ -12,19 +12,19 @@
 	"micaspindle/internal/gate"
 )
 
-// shares is what teams share, as operators write it.
-type shares struct {
+// sharingSettings are the resources that teams share by weight.
+type sharingSettings struct {
 	// Weights of teams; one that is not named has 1.
 	Weights map[string]float64 `yaml:"weights"`
-	// Calls and Transfers are served at a time, BytesPerSecond transferred; 0:
-	// without bound.
+	// Calls and Transfers are the limits of concurrent ones, BytesPerSecond that of the transfer
+	// rate; 0: no limit.
 	Calls          int     `yaml:"calls"`
 	Transfers      int     `yaml:"transfers"`
 	BytesPerSecond float64 `yaml:"bytes_per_second"`
 	// Queue is how many calls may wait for each of these, Patience for how long.
 	Queue    int           `yaml:"queue"`
 	Patience time.Duration `yaml:"patience"`
-	// Actions may wait to be submitted, ActionsClient of one client.
+	// Actions is how many actions may wait to be submitted, ActionsClient how many of one client.
 	Actions       int `yaml:"actions"`
 	ActionsClient int `yaml:"actions_client"`
 	// Ahead is how many of a team's actions may wait for a machine in the cluster,
@@ -36,8 +36,19 @@
 	StoreQuota float64 `yaml:"store_quota"`
 }
 
-func defaultShares() shares {
-	return shares{Calls: 64, Transfers: 64, Queue: 4096, Patience: 10 * time.Second, Actions: 10_000, ActionsClient: 2000, Ahead: 64, AheadFor: time.Second, StoreQuota: 0.9}
+// defaultSharing are the limits that a file leaves out.
+func defaultSharing() sharingSettings {
+	return sharingSettings{
+		Calls:         64,
+		Transfers:     64,
+		Queue:         4096,
+		Patience:      10 * time.Second,
+		Actions:       10_000,
+		ActionsClient: 2000,
+		Ahead:         64,
+		AheadFor:      time.Second,
+		StoreQuota:    0.9,
+	}
 }
 
 // teams are the teams behind the instances, in order.
@@ -45,11 +56,13 @@
 	return slices.Compact(slices.Sorted(maps.Values(s.Instances)))
 }
 
-func (s *shares) limits(atOnce int, perSecond float64) admission.Limits {
+// limits are those of one shared resource.
+func (s *sharingSettings) limits(atOnce int, perSecond float64) admission.Limits {
 	return admission.Limits{AtOnce: atOnce, PerSecond: perSecond, Waiting: s.Queue, Patience: s.Patience, Weights: s.Weights}
 }
 
-func (s *shares) check(teams []string) error {
+// check finds the first value that can't be used.
+func (s *sharingSettings) check(teams []string) error {
 	for team := range s.Weights {
 		if !slices.Contains(teams, team) {
 			return fmt.Errorf("weights.%s: no instance has this team", team)
@@ -77,7 +90,7 @@
 }
 
 // quotas divides the store among teams by weight.
-func (s *shares) quotas(bytes int64, teams []string) map[string]int64 {
+func (s *sharingSettings) quotas(bytes int64, teams []string) map[string]int64 {
 	sum := 0.0
 	for _, t := range teams {
 		sum += s.weight(t)
@@ -89,15 +102,16 @@
 	return out
 }
 
-func (s *shares) weight(team string) float64 {
+// weight is that of a team.
+func (s *sharingSettings) weight(team string) float64 {
 	if w, ok := s.Weights[team]; ok {
 		return w
 	}
 	return 1
 }
 
-// open makes what the gate shares out.
-func (s *shares) open(teams []string) (gate.Shares, error) {
+// open creates the queues and quotas of the shared resources.
+func (s *sharingSettings) open(teams []string) (gate.Shares, error) {
 	waiting, err := admission.NewLedger(float64(s.Actions), float64(s.ActionsClient), teams, s.Weights)
 	if err != nil {
 		return gate.Shares{}, err
