--- a/cmd/micaspindle-reapi/main_test.go
+++ b/cmd/micaspindle-reapi/main_test.go
@@ -75,9 +75,20 @@
 	}
 }
 
-// The front end is killed in the middle of an upload and started again: what was
-// answered is there, what was not is missing, and the client can go on.
-func TestKilledInTheMiddle(t *testing.T) {
+// frontend is a running front end of one team, "red", with a client.
+type frontend struct {
+	t        *testing.T
+	program  string
+	settings string
+	log      bytes.Buffer
+	process  *exec.Cmd
+	cas      repb.ContentAddressableStorageClient
+	stream   bytestream.ByteStreamClient
+}
+
+// newFrontend builds the program, writes settings and connects a client; nothing runs yet.
+func newFrontend(t *testing.T) *frontend {
+	t.Helper()
 	bin, dir := program(t), t.TempDir()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,92 +96,122 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	file := filepath.Join(dir, "gate.yaml")
+	f := &frontend{t: t, program: bin, settings: filepath.Join(dir, "gate.yaml")}
 	text := fmt.Sprintf("listen: %s\ninstances: {\"\": red}\nclient_results: true\nstore: {dir: %s, max_gb: 1, max_blob_mb: 100}\n", addr, filepath.Join(dir, "data"))
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(f.settings, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-	defer cancel()
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.WaitForReady(true)),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close() //nolint:errcheck // the test ends
-	cas, stream := repb.NewContentAddressableStorageClient(conn), bytestream.NewByteStreamClient(conn)
-	var logged bytes.Buffer
-	run := func() *exec.Cmd {
-		cmd := exec.Command(bin, "--config", file)
-		cmd.Stderr = &logged
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		return cmd
-	}
-	cmd := run()
-	defer func() { _ = cmd.Process.Kill(); _ = cmd.Wait() }()
-	put := func(data []byte) *repb.Digest {
-		t.Helper()
-		d := content.Of(data)
-		w := &repb.Digest{Hash: d.Hash, SizeBytes: d.Size}
-		resp, err := cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: w, Data: data}}})
-		if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
-			t.Fatalf("%v %v", resp, err)
+	t.Cleanup(func() { _ = conn.Close() })
+	f.cas, f.stream = repb.NewContentAddressableStorageClient(conn), bytestream.NewByteStreamClient(conn)
+	return f
+}
+
+// start starts the front end.
+func (f *frontend) start() {
+	f.t.Helper()
+	f.process = exec.Command(f.program, "--config", f.settings)
+	f.process.Stderr = &f.log
+	if err := f.process.Start(); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// kill ends the front end without a chance to clean up.
+func (f *frontend) kill() {
+	f.t.Helper()
+	if err := f.process.Process.Kill(); err != nil {
+		f.t.Fatal(err)
+	}
+	_ = f.process.Wait()
+}
+
+// put uploads a small blob.
+func (f *frontend) put(ctx context.Context, data []byte) *repb.Digest {
+	f.t.Helper()
+	digest := digestOf(data)
+	resp, err := f.cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: digest, Data: data}}})
+	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
+		f.t.Fatalf("%v %v", resp, err)
+	}
+	return digest
+}
+
+// upload streams a blob up to a length; without an answer if that is not all of it.
+func (f *frontend) upload(ctx context.Context, name string, blob []byte, upTo int) (*bytestream.WriteResponse, error) {
+	const chunk = 1 << 20
+	w, err := f.stream.Write(ctx)
+	if err != nil {
+		return nil, err
+	}
+	for at := 0; at < upTo; at += chunk {
+		end := min(at+chunk, len(blob))
+		if err := w.Send(&bytestream.WriteRequest{ResourceName: name, WriteOffset: int64(at), Data: blob[at:end], FinishWrite: end == len(blob)}); err != nil {
+			break
 		}
-		return w
 	}
-	random := func(n int) []byte { b := make([]byte, n); _, _ = rand.Read(b); return b }
-	var kept []*repb.Digest
+	if upTo < len(blob) {
+		return nil, nil // left in the middle
+	}
+	return w.CloseAndRecv()
+}
+
+// digestOf is the digest of a blob as clients send it.
+func digestOf(blob []byte) *repb.Digest {
+	d := content.Of(blob)
+	return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size}
+}
+
+// random is a blob of a size.
+func random(size int) []byte {
+	blob := make([]byte, size)
+	_, _ = rand.Read(blob)
+	return blob
+}
+
+// The front end is killed in the middle of an upload and started again: what was
+// answered is there, what was not is missing, and the client can go on.
+func TestKilledInTheMiddle(t *testing.T) {
+	f := newFrontend(t)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	defer cancel()
+	f.start()
+	defer func() { _ = f.process.Process.Kill(); _ = f.process.Wait() }()
+	var stored []*repb.Digest
 	for i := range 10 {
-		kept = append(kept, put(random(1000+i*10_000)))
+		stored = append(stored, f.put(ctx, random(1000+i*10_000)))
 	}
 	large := random(20 << 20)
+	digest := digestOf(large)
 	name := "uploads/1/blobs/" + content.Of(large).String()
-	send := func(upTo int) (*bytestream.WriteResponse, error) {
-		w, err := stream.Write(ctx)
-		if err != nil {
-			return nil, err
-		}
-		for at := 0; at < upTo; at += 1 << 20 {
-			end := min(at+1<<20, len(large))
-			if err := w.Send(&bytestream.WriteRequest{ResourceName: name, WriteOffset: int64(at), Data: large[at:end], FinishWrite: end == len(large)}); err != nil {
-				break
-			}
-		}
-		if upTo < len(large) {
-			return nil, nil // left in the middle
-		}
-		return w.CloseAndRecv()
-	}
-	if _, err := send(10 << 20); err != nil {
+	if _, err := f.upload(ctx, name, large, 10<<20); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if err := cmd.Process.Kill(); err != nil {
-		t.Fatal(err)
-	}
-	_ = cmd.Wait()
-	cmd = run()
-	d := content.Of(large)
-	miss, err := cas.FindMissingBlobs(ctx, &repb.FindMissingBlobsRequest{BlobDigests: append(kept, &repb.Digest{Hash: d.Hash, SizeBytes: d.Size})})
-	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != d.Hash {
+	f.kill()
+	f.start()
+	miss, err := f.cas.FindMissingBlobs(ctx, &repb.FindMissingBlobsRequest{BlobDigests: append(stored, digest)})
+	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != digest.Hash {
 		t.Fatalf("%v %v", miss, err)
 	}
-	st, err := stream.QueryWriteStatus(ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
-	if err != nil || st.CommittedSize <= 0 || st.CommittedSize >= d.Size || st.Complete {
-		t.Errorf("%v %v", st, err)
+	status, err := f.stream.QueryWriteStatus(ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
+	if err != nil || status.CommittedSize <= 0 || status.CommittedSize >= digest.SizeBytes || status.Complete {
+		t.Errorf("%v %v", status, err)
 	}
-	if resp, err := send(len(large)); err != nil || resp.CommittedSize != d.Size {
+	if resp, err := f.upload(ctx, name, large, len(large)); err != nil || resp.CommittedSize != digest.SizeBytes {
 		t.Errorf("%v %v", resp, err)
 	}
-	if err := cmd.Process.Signal(os.Interrupt); err != nil {
+	if err := f.process.Process.Signal(os.Interrupt); err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Wait(); err != nil {
+	if err := f.process.Wait(); err != nil {
 		t.Errorf("after a signal: %v", err)
 	}
-	if log := logged.String(); !strings.Contains(log, "kept=1") || !strings.Contains(log, "stopped") {
+	if log := f.log.String(); !strings.Contains(log, "kept=1") || !strings.Contains(log, "stopped") {
 		t.Errorf("the log: %s", log)
 	}
 }
