--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -574,6 +574,15 @@
 				t.Errorf("%d classes are known", len(c.bias))
 			}
 		}},
+		{"callers", observe.Callers, func(t *testing.T, c *Controller) {
+			must(c.Identify(Identities{}))
+			for i := range missLimit + 1 {
+				c.guard.misses.Add(fmt.Sprint("person/", i), nil)
+			}
+			if n := c.guard.misses.Len(); n != missLimit {
+				t.Errorf("%d callers are counted for", n)
+			}
+		}},
 		{"polls", observe.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
 		{"connections of peers", observe.PeerConnections, func(_ *testing.T, c *Controller) { c.PeersFull() }},
 		{"connections of workers and users", observe.Connections, func(_ *testing.T, c *Controller) { c.UsersFull() }},
