--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -1,3 +1,10 @@
+// Package agents commands the workers of the partitions that this controller leads and takes
+// in what they report: heartbeats, commands, fencing tokens, agent epochs, attempts and the
+// leases of machines.
+//
+// It owns the attempts on machines. Invariant: an attempt holds its resources until it is
+// proven over, by a heartbeat under the current token, a later epoch, a confirmed deletion of
+// the machine, or a lease that must have expired.
 package agents
 
 import (
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -1,3 +1,6 @@
+// Package api answers users, workers and operators: submissions, polls, cancellations, the
+// policy, the audit and the metrics. It decides nothing about placement; what it tells a user
+// rests on the state store or on a final state, which never changes.
 package api
 
 import (
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -1,3 +1,6 @@
+// Package auth knows who sends a request and what they may do: identities, the policy as the
+// watch has brought it, and the audit of what was allowed and refused. It owns the policy's
+// records and the queue of each known job. Until Enable, everybody may do everything.
 package auth
 
 import (
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,3 +1,7 @@
+// Package autoscaler scales the fleet out and in, moves idle machines between partitions and
+// terminates unhealthy ones, while this controller is the cluster's leader. Decisions are made
+// by package scaling, from a view that is gathered here. Everything it keeps in memory may be
+// lost: request names never repeat, and machines without a record are adopted.
 package autoscaler
 
 import (
--- a/internal/coordination/cloudclient/client.go
+++ b/internal/coordination/cloudclient/client.go
@@ -1,3 +1,5 @@
+// Package cloudclient sends requests to the cloud's interface, within this controller's share
+// of the rate limit, behind a circuit breaker.
 package cloudclient
 
 import (
--- a/internal/coordination/cluster/keep.go
+++ b/internal/coordination/cluster/keep.go
@@ -69,7 +69,8 @@
 	return append(ahead, others...)
 }
 
-// Groups are numbered from 1: the teams, then the classes as they come.
+// TeamGroup is the group of a team. Groups are numbered from 1: the teams, then the classes
+// as they come.
 func TeamGroup(team int) int { return team + 1 }
 
 func (j *Job) Groups() [2]int { return [2]int{TeamGroup(j.Team), j.ClassGroup} }
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -1,3 +1,6 @@
+// Package cluster is the state that a controller's event loop owns: partitions, jobs,
+// attempts, machines, peers and the graph of dependencies. It holds data and what follows
+// from it; the components around it change it, each its own part, and only in the loop.
 package cluster
 
 import (
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -1,3 +1,7 @@
+// Package commit writes the run records and final states of the partitions that this
+// controller leads, in batches of compare-and-swap transactions, one at a time for each
+// partition. Invariant: every transaction is conditional on the partition's lease and on the
+// revision of each key that it changes; one without an answer is read back before the next.
 package commit
 
 import (
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,3 +1,8 @@
+// Package coordination puts a controller together: it makes the state that the event loop
+// owns, the components that work on it, and gives each component its collaborators. It runs
+// their tasks and ticks and routes the requests of other controllers. Nothing is decided here.
+//
+// docs/architecture.md has the picture of the packages and says who owns which state.
 package coordination
 
 import (
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -1,3 +1,6 @@
+// Package jobs follows jobs from their record to their final state: it takes up accepted
+// jobs, keeps the graph of dependencies, and ends what was done or cancelled. Invariant: a
+// final state never changes.
 package jobs
 
 import (
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -1,3 +1,7 @@
+// Package lease acquires, renews, hands over and loses the leases of partitions and of the
+// cluster's leadership, and knows the incarnations of all controllers. Invariant: a controller
+// that has lost a lease, or may have, answers no agent under it; who takes it over counts on
+// the latest moment at which the former leader may have answered.
 package lease
 
 import (
--- a/internal/coordination/peerapi/peers.go
+++ b/internal/coordination/peerapi/peers.go
@@ -1,3 +1,5 @@
+// Package peerapi is how controllers call each other: protobuf messages over HTTP, bounded in
+// size.
 package peerapi
 
 import (
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -1,3 +1,5 @@
+// Package peering tells the other controllers how this one stands, several times a second,
+// and takes in what they tell. It owns what is known of each peer.
 package peering
 
 import (
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -1,3 +1,7 @@
+// Package proxy delegates heartbeats: where a partition's leader runs out of sockets, other
+// controllers answer the heartbeats of some shards of its machines under short grants, and
+// forward its commands. The leader alone decides. It owns the assignments of this controller
+// as a delegate, and the delegations of the partitions that it leads.
 package proxy
 
 import (
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -1,3 +1,5 @@
+// Package records follows the shared records of the state store, by a listing and the changes
+// after it, and hands each to the component that owns what it says.
 package records
 
 import (
--- a/internal/coordination/replication/replicas.go
+++ b/internal/coordination/replication/replicas.go
@@ -1,3 +1,6 @@
+// Package replication keeps replicas of the partitions that this controller is the standby
+// of, and sends the standbys of its own partitions what is not on record. A replica is a hint
+// until it is proven whole; nothing that a safety rule rests on comes from an update.
 package replication
 
 import (
--- a/internal/coordination/respond/users.go
+++ b/internal/coordination/respond/users.go
@@ -1,3 +1,4 @@
+// Package respond makes the answers that refuse a request.
 package respond
 
 import (
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -1,3 +1,7 @@
+// Package scheduler decides which tasks of a partition run where. It gathers views of the
+// state, has the pure packages queue, placement, preemption, fairshare and contention decide,
+// and reserves what they say. It owns the corrections of run-time estimates and what is kept
+// of the fair share.
 package scheduler
 
 import (
--- a/internal/coordination/takeover/takeover.go
+++ b/internal/coordination/takeover/takeover.go
@@ -1,3 +1,6 @@
+// Package takeover decides which partitions this controller should lead, and rebuilds the
+// state of one that it has acquired from a replica or from the state store. Invariant: nothing
+// is placed before the records are known up to the lease's revision.
 package takeover
 
 import (
