--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -74,6 +74,7 @@
 // The workers of an owner that is full report to others; its orders go by way of them, and
 // no session ends.
 func TestWorkersReportToCarriers(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 700, crowded, func(w *world) {
 		relayed, direct := map[string]int{}, 0
 		w.mu.Lock()
@@ -135,6 +136,7 @@
 // While work runs, each fault comes to the owner or to a carrier of it. The rules hold, all
 // ends, and where only a carrier is lost no lease is.
 func TestCarriedSharesSurvive(t *testing.T) {
+	t.Parallel()
 	between := func(a, b string) func(from, host string) bool {
 		return func(from, host string) bool { return from == a && host == b }
 	}
@@ -218,6 +220,7 @@
 	for i, name := range slices.Sorted(maps.Keys(faults)) {
 		f := faults[name]
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 710+uint64(i), crowded, func(w *world) {
 				part := w.flock(9)
 				owner, carrier := w.owns(part), w.carrier(part)
@@ -249,8 +252,10 @@
 // run out, and not much later, whatever its carrier does: it lives, is killed, or goes on
 // answering for a while after it was last heard.
 func TestSilentCarriedMachinesAreLostInTime(t *testing.T) {
+	t.Parallel()
 	for _, what := range []string{"the carrier lives", "the carrier is killed", "the carrier is not heard"} {
 		t.Run(what, func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 730, crowded, func(w *world) {
 				part := w.flock(9)
 				owner, carrier := w.owns(part), w.carrier(part)
@@ -297,6 +302,7 @@
 // An owner grants no longer than it may answer itself, and a report that comes twice, or
 // late, makes no machine look alive.
 func TestOwnersGrantNoLongerThanTheyAnswer(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 780, crowded, func(w *world) {
 		part := w.flock(9)
 		owner, carrier := w.owns(part), w.carrier(part)
@@ -353,6 +359,7 @@
 // Whoever takes over more machines than its sockets should hold has others fence and carry
 // some of them from its first moment on.
 func TestTakeoverSpreadsAtOnce(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 790, crowded, func(w *world) {
 		part := w.flock(9)
 		lost := w.owns(part)
@@ -409,6 +416,7 @@
 // A share goes back and forth fifty times while its tasks run, through kills and
 // standstills: no task is started again, no session ends.
 func TestShareMovesWhileTasksRun(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 740, func(w *world) {
 		crowded(w)
 		w.runTime = func(string, int, string) time.Duration { return 8 * time.Minute }
@@ -456,6 +464,7 @@
 // comes, what was carried goes home, and no session ends; once it is gone, shares are
 // given away again.
 func TestOldVersionsAreNotAskedToCarry(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 750, crowded, func(w *world) {
 		part := w.flock(9)
 		owner := w.owns(part)
@@ -505,6 +514,7 @@
 // Messages that make no sense are refused, and those of another claim, which a carrier
 // of a former owner may send.
 func TestStrangeCarriersAreRefused(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 760, crowded, func(w *world) {
 		part := w.flock(2)
 		owner := w.owns(part)
@@ -555,12 +565,14 @@
 
 // Random nights of crowded controllers, whose shares move all the time.
 func TestRandomNightsOfShares(t *testing.T) {
+	t.Parallel()
 	nights := 3
 	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_NIGHTS")); err == nil {
 		nights = n
 	}
 	for seed := range uint64(nights) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			asked := 0
 			simulatePrepared(t, 20_000+seed, func(w *world) {
 				announce(w)
@@ -586,6 +598,7 @@
 
 // What a carrier may answer, and with what.
 func TestGrantsEndWithTheClaim(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -660,6 +673,7 @@
 // Reports whose telling had no reply are told again, unless newer ones of the same
 // machines have come.
 func TestUntoldReportsAreToldAgain(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 770, crowded, func(w *world) {
 		part := w.flock(9)
 		carrier := w.carrier(part)
@@ -712,6 +726,7 @@
 // A worker that is sent to its carrier before anybody has answered it holds its first
 // lease all the same: what was started on it is not over (6).
 func TestUnansweredWorkerKeepsItsFirstLease(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
--- a/internal/coordination/command_meetings_test.go
+++ b/internal/coordination/command_meetings_test.go
@@ -418,5 +418,6 @@
 // Each meeting of commands that are late, of slow links and of zones without room breaks
 // no rule, and everything is over in time.
 func TestCommandMeetings(t *testing.T) {
+	t.Parallel()
 	playMeetings(t, 600, commandMeetings)
 }
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -22,6 +22,7 @@
 )
 
 func TestJobsRunToCompletion(t *testing.T) {
+	t.Parallel()
 	simulate(t, 1, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 10, "red"))
@@ -39,6 +40,7 @@
 }
 
 func TestPlacesAreHonoured(t *testing.T) {
+	t.Parallel()
 	simulate(t, 2, func(w *world) {
 		time.Sleep(2 * time.Second)
 		// First a machine that is free but not allowed: spot, small, zone a.
@@ -66,6 +68,7 @@
 }
 
 func TestTeamStaysWithinItsLimit(t *testing.T) {
+	t.Parallel()
 	simulate(t, 3, func(w *world) {
 		time.Sleep(2 * time.Second)
 		// 32 CPUs at most, so 8 of 24 tasks at a time.
@@ -78,6 +81,7 @@
 }
 
 func TestStandingJobRunsUntilWithdrawn(t *testing.T) {
+	t.Parallel()
 	simulate(t, 4, func(w *world) {
 		time.Sleep(2 * time.Second)
 		s := spec("job-1", 2, "blue")
@@ -97,6 +101,7 @@
 // A start that was held back in the network must not begin a task after its
 // job was withdrawn: the owner raises the machine's token.
 func TestLateStartAfterWithdrawalIsKeptOut(t *testing.T) {
+	t.Parallel()
 	simulate(t, 5, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 1, "blue")) // brings a machine up
@@ -148,6 +153,7 @@
 // What an owner sent before it lost its part must not be obeyed after the
 // successor was heard: a takeover raises every machine's token.
 func TestOrdersOfAFormerOwnerAreRefused(t *testing.T) {
+	t.Parallel()
 	simulate(t, 13, func(w *world) {
 		time.Sleep(2 * time.Second)
 		late := map[string]protocol.Orders{}
@@ -201,6 +207,7 @@
 // Accepted means recorded: while the record's fate is unknown, the user is
 // told to come back.
 func TestNothingIsAcceptedWithoutItsRecord(t *testing.T) {
+	t.Parallel()
 	simulate(t, 14, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
@@ -230,6 +237,7 @@
 // An owner without the state service keeps its workers' leases alive, but not
 // for so long that a task withdrawn through a successor outlives cancel_s.
 func TestOwnerAnswersWorkersOnlyForABoundedTime(t *testing.T) {
+	t.Parallel()
 	simulate(t, 15, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
@@ -272,6 +280,7 @@
 // A rental whose answer was lost is repeated under its name, so that nothing
 // is rented twice; what turns up without a record is adopted.
 func TestLostRentalAnswersRentNothingTwice(t *testing.T) {
+	t.Parallel()
 	simulate(t, 16, func(w *world) {
 		time.Sleep(2 * time.Second)
 		// Only answers to rentals are lost: what else is lost could ask for more
@@ -297,6 +306,7 @@
 }
 
 func TestOutageOfTheStateService(t *testing.T) {
+	t.Parallel()
 	simulate(t, 6, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 8, "blue"))
@@ -324,6 +334,7 @@
 }
 
 func TestAnswersToUsers(t *testing.T) {
+	t.Parallel()
 	simulate(t, 7, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 1, "red"))
@@ -370,6 +381,7 @@
 
 // Done and withdrawn exclude each other, and what was said stays.
 func TestWithdrawalAndCompletionExcludeEachOther(t *testing.T) {
+	t.Parallel()
 	simulate(t, 8, func(w *world) {
 		time.Sleep(2 * time.Second)
 		for i := range 8 {
@@ -388,6 +400,7 @@
 }
 
 func TestWorkersAreSentHome(t *testing.T) {
+	t.Parallel()
 	simulate(t, 9, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 4, "green"))
@@ -419,6 +432,7 @@
 // A job that fails on every machine must not burn the fleet, and a machine on
 // which different jobs fail is returned.
 func TestFailingJobsAndFailingMachines(t *testing.T) {
+	t.Parallel()
 	simulate(t, 10, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
@@ -464,6 +478,7 @@
 // A machine that is cut off may still run its tasks until its lease has run
 // out: they must not be started elsewhere before.
 func TestSilentMachineKeepsItsTasksUntilItsLeaseRunsOut(t *testing.T) {
+	t.Parallel()
 	simulate(t, 11, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
@@ -490,6 +505,7 @@
 }
 
 func TestOwnerCutFromItsWorkersLetsGo(t *testing.T) {
+	t.Parallel()
 	simulate(t, 12, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 4, "red"))
@@ -525,12 +541,14 @@
 // the state service goes out, machines hang and vanish; no rule may break and
 // every job must end.
 func TestNoRuleBreaksInAStorm(t *testing.T) {
+	t.Parallel()
 	seeds := 6
 	if testing.Short() {
 		seeds = 2
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, uint64(100+seed), announce, storm)
 		})
 	}
@@ -544,6 +562,7 @@
 
 // The same with hundreds of machines and jobs of up to a hundred tasks.
 func TestNoRuleBreaksInAStormOfALargeFleet(t *testing.T) {
+	t.Parallel()
 	prepare := func(w *world) {
 		w.cloud.Capacity, w.stormTasks = 250, 100
 		w.cloud.Types = w.cloud.Types[:1]
@@ -647,6 +666,7 @@
 // Serving what must be late first would make the next jobs late too; yet what
 // has waited very long must not starve: for a quarter of the time it goes first.
 func TestLateJobsQueueBehindThoseInTime(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		if got, want := lateOrder(t), "urgent-late starving sooner in-time a-little-late late"; got != want {
 			t.Errorf("order %s, want %s, at a whole minute", got, want)
@@ -684,6 +704,7 @@
 }
 
 func TestUrgentWorkGetsRoomFromLowerWork(t *testing.T) {
+	t.Parallel()
 	simulate(t, 17, func(w *world) {
 		w.mu.Lock()
 		w.cloud.Capacity = 1
@@ -724,8 +745,10 @@
 // Slow machines are found by comparison with their like; an estimate that is
 // wrong for the whole job must raise no alarm.
 func TestSlowMachineIsSetAside(t *testing.T) {
+	t.Parallel()
 	for _, slow := range []bool{true, false} {
 		t.Run(fmt.Sprint("slow ", slow), func(t *testing.T) {
+			t.Parallel()
 			simulate(t, 18, func(w *world) {
 				time.Sleep(2 * time.Second)
 				w.mu.Lock()
@@ -770,6 +793,7 @@
 // not be taken for machines that never came up, nor the rest of an inherited
 // task for its whole run time.
 func TestTakeoverKeepsMachinesAndEstimates(t *testing.T) {
+	t.Parallel()
 	simulate(t, 19, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
@@ -853,6 +877,7 @@
 // An attempt of a session that had ended before the takeover must not hold its
 // task for ever, even if the new owner knew the later session already.
 func TestInheritedAttemptOfAnEndedSessionIsOver(t *testing.T) {
+	t.Parallel()
 	set := newWorld(t, 1).set
 	set.Label = "n0"
 	c := New(t.Context(), &set, settings.DefaultOperator(), nil, slog.New(slog.DiscardHandler))
@@ -878,6 +903,7 @@
 // Controllers that start together must each get their part, instead of the
 // first one taking all and doing all the work.
 func TestPartsAreSplitAtTheStart(t *testing.T) {
+	t.Parallel()
 	simulate(t, 20, func(w *world) {
 		time.Sleep(4 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
@@ -907,6 +933,7 @@
 // After a takeover one controller must not own two parts for ever, and giving
 // one back must not cost what runs.
 func TestPartsAreHandedBack(t *testing.T) {
+	t.Parallel()
 	simulate(t, 22, func(w *world) {
 		w.runTime = func(string, int, string) time.Duration { return 90 * time.Second }
 		time.Sleep(4 * time.Second)
@@ -941,6 +968,7 @@
 
 // A gang starts together or not at all, and starts again together.
 func TestGangStartsTogether(t *testing.T) {
+	t.Parallel()
 	simulate(t, 21, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -33,6 +33,7 @@
 var everywhere = []string{"n0", "n1", "n2"}
 
 func TestWhatASubmissionMayDependOn(t *testing.T) {
+	t.Parallel()
 	simulate(t, 30, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 1, "red"))
@@ -115,6 +116,7 @@
 
 // A pipeline over teams and parts runs in order, whatever owner dies.
 func TestPipelineRunsInOrder(t *testing.T) {
+	t.Parallel()
 	simulate(t, 31, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 6, "red"))
@@ -140,6 +142,7 @@
 
 // A job that waits for others asks for nothing.
 func TestBlockedJobHoldsNothing(t *testing.T) {
+	t.Parallel()
 	c, p := owner(t)
 	c.up(p, "m-1", "big")
 	first := c.take(spec("job-1", 1, "green"))
@@ -174,6 +177,7 @@
 // The deadline and urgency of the last job reach back over all that it needs,
 // and are lifted when it is withdrawn.
 func TestNeedsReachBack(t *testing.T) {
+	t.Parallel()
 	c, _ := owner(t)
 	plain := func(id string, dependencies ...string) *protocol.JobSpec {
 		s := after(id, 1, "green", dependencies...) // 6 s each
@@ -219,6 +223,7 @@
 
 // The graph, changed by steps in any order, agrees with what its words mean.
 func TestGraphAgreesWithItsMeaning(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		jobs, finals := map[string]*job{}, map[string]string{}
@@ -325,8 +330,10 @@
 // whichever parts, with the death of an owner, an outage that ends or a low
 // rate of changes in between; so is one submitted later.
 func TestWithdrawalReachesAllDependents(t *testing.T) {
+	t.Parallel()
 	for _, trouble := range []string{"none", "owner dies", "all die", "outage", "low rate"} {
 		t.Run(trouble, func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 32, func(w *world) {
 				if trouble == "low rate" {
 					writes := 12.0
@@ -401,6 +408,7 @@
 // A cancellation crosses a submission that names its job, or the completion of
 // its job: whichever wins, the jobs after it follow the answer.
 func TestCrossingsOfWithdrawals(t *testing.T) {
+	t.Parallel()
 	simulate(t, 33, func(w *world) {
 		time.Sleep(2 * time.Second)
 		for i := range 6 {
@@ -426,6 +434,7 @@
 // of: when it has not followed the changes for too long, it does not call a job
 // queued that needs others.
 func TestStaleControllerDoesNotCallDependentsQueued(t *testing.T) {
+	t.Parallel()
 	simulate(t, 34, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.runTime = func(string, int, string) time.Duration { return time.Hour }
@@ -459,6 +468,7 @@
 // Names may be long: a record that would outgrow the lower limit takes fewer
 // attempts at a time, and all tasks run in the end.
 func TestRunRecordsKeepToTheLowerLimit(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 35, func(w *world) {
 		announce(w)
 		w.cloud.Prefix = strings.Repeat("m", 180)
@@ -478,6 +488,7 @@
 // A limit that nobody announced makes batches smaller; what is too large alone
 // does not block the rest.
 func TestUnannouncedLimitsShrinkBatches(t *testing.T) {
+	t.Parallel()
 	simulate(t, 36, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
@@ -500,6 +511,7 @@
 // A job that was accepted before a limit fell that nobody announced is known
 // all the same to a controller that has not heard of it.
 func TestRepeatOfAJobLargerThanAnUnannouncedLimit(t *testing.T) {
+	t.Parallel()
 	simulate(t, 38, func(w *world) {
 		time.Sleep(2 * time.Second)
 		s := spec("job-1", 1, "red")
@@ -532,6 +544,7 @@
 
 // The rate of changes falls without notice: few refusals, and all goes on.
 func TestRateOfChangesIsFollowed(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 37, func(w *world) {
 		w.set.Params.State.WriteRPS = 40
 		writes := 15.0
@@ -560,6 +573,7 @@
 // Fetches of all stages of a pipeline add up: there even a short one is saved
 // where a machine has the image.
 func TestPipelinesGoWhereTheImageIs(t *testing.T) {
+	t.Parallel()
 	for _, pipeline := range []bool{false, true} {
 		c, p := owner(t)
 		busy := c.up(p, "m-1", "big")
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -238,6 +238,7 @@
 // The wish's three roles try what they must not do; each refusal is the same
 // whether the job exists or not, and each is in the audit, once or counted.
 func TestRolesOfTheWish(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 51, func(w *world) {
 		for _, s := range []*protocol.JobSpec{jobSpec("job-1", "red", "match"), jobSpec("job-2", "blue", "refund-batch"), jobSpec("job-3", "blue", "price-check")} {
 			w.submit(s)
@@ -316,6 +317,7 @@
 // Neither the answer, nor how much the state service is asked, nor the budget for
 // unknown jobs tells a job of another queue from one that does not exist.
 func TestForeignJobsLookLikeNone(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 50, func(w *world) {
 		w.submit(jobSpec("job-3", "blue", "price-check"))
 		time.Sleep(10 * time.Second) // every controller knows it
@@ -348,6 +350,7 @@
 // A controller that ends between its commit and its answer leaves the user to
 // ask again: there is one job and one record of its acceptance.
 func TestKilledBetweenCommitAndAnswer(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 52, func(w *world) {
 		s := jobSpec("job-1", "red", "match")
 		killed := false
@@ -389,6 +392,7 @@
 // A revocation holds on every controller within 3 s, also on one that can't be
 // told.
 func TestRevocationDuringAPartition(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 53, func(w *world) {
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return 40 * time.Second }
@@ -438,6 +442,7 @@
 // One command withdraws everything that somebody has submitted, and nothing
 // else; it is allowed where the operator administers the queue.
 func TestSweepOfSomebodysJobs(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 54, func(w *world) {
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
@@ -488,6 +493,7 @@
 
 // Two administrators revoke each other at the same moment: one of them stays.
 func TestAdministratorsRevokeEachOther(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 55, func(w *world) {
 		second := rights.Identity{Name: "person/second", Roles: []string{"admin"}}
 		w.expect(200, w.as("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{second}}))
@@ -520,6 +526,7 @@
 // Tokens that were issued before a moment can be voided, with the identity left
 // as it is.
 func TestVoidedTokens(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 56, func(w *world) {
 		w.expect(404, w.as("person/partner", "n0", "GET", "/submissions/job-9", nil))
 		time.Sleep(2 * time.Second)
@@ -535,6 +542,7 @@
 // A job that has not started goes on under another id in another queue, in one
 // step; one that has started stays.
 func TestReassignment(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 57, func(w *world) {
 		w.mu.Lock()
 		w.cloud.Capacity = 0
@@ -593,6 +601,7 @@
 // A reassignment that crosses the job's first start: one of them wins, and no
 // task of a moved job ever starts. Started checks the queue's limits and places.
 func TestReassignmentCrossesTheFirstStart(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(60); seed < 64; seed++ {
 		simulateIdentities(t, seed, func(w *world) {
 			w.mu.Lock()
@@ -639,6 +648,7 @@
 // A flood of refusals takes hardly any of the state service's budget, and none
 // of them is lost.
 func TestFloodOfRefusals(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 58, func(w *world) {
 		time.Sleep(audit.GatherFor)
 		w.mu.Lock()
@@ -667,6 +677,7 @@
 // has one record of its acceptance, every such record has its job, and the
 // chains hold.
 func TestAuditThroughStorms(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(70); seed < 74; seed++ {
 		simulateIdentities(t, seed, func(w *world) {
 			w.stormTasks = 3
@@ -745,6 +756,7 @@
 // Somebody at the state service changes a batch that is stored: the verifier
 // names the place.
 func TestTamperedStore(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 59, func(w *world) {
 		for i := range 3 {
 			w.submit(jobSpec(fmt.Sprintf("job-%d", i), "red", "match"))
@@ -813,6 +825,7 @@
 
 // Machines and controllers speak for themselves only.
 func TestMachinesAndControllersSpeakForThemselves(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 49, func(w *world) {
 		n := w.nodes["n0"].ctl
 		report := func(cert, machine string) int {
--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -34,9 +34,11 @@
 // a job's last task, with no other trouble, at each step of the commit of that end: what
 // users are told is one life of the job (15, 16, 49).
 func TestRequestsMeetEachStepOfAnEnd(t *testing.T) {
+	t.Parallel()
 	for _, step := range []string{"the task ends", "its end is reported", "the commit is sent", "the commit is done", "its answer is lost", "the commit is late"} {
 		for _, delay := range []time.Duration{0, 2 * time.Millisecond, 40 * time.Millisecond} {
 			t.Run(fmt.Sprint(step, " ", delay), func(t *testing.T) {
+				t.Parallel()
 				h := &history{jobs: map[string][]porcupine.Operation{}}
 				simulate(t, 640, func(w *world) {
 					w.playEnd(h, step, delay)
@@ -156,9 +158,11 @@
 // the machine would be deleted, or everything must be gone; the state service is there or
 // out meanwhile. A machine that goes on must not go on with them (12, 46).
 func TestCancelledTasksOfMachinesThatHang(t *testing.T) {
+	t.Parallel()
 	for _, hang := range []time.Duration{17 * time.Second, 19 * time.Second, 33 * time.Second, 36 * time.Second, 42 * time.Second, 44 * time.Second, 60 * time.Second} {
 		for _, outage := range []bool{false, true} {
 			t.Run(fmt.Sprint(hang, " outage ", outage), func(t *testing.T) {
+				t.Parallel()
 				simulatePrepared(t, 641, gapWorld, func(w *world) {
 					time.Sleep(3 * time.Second)
 					for i := range 6 {
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -21,6 +21,7 @@
 // grants; renewals were refused with the rest, so that parts changed hands all the
 // time (docs/incidents/night-flood.md).
 func TestPollsDoNotCostTheClaims(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 51, func(w *world) {
 		w.set.Params.State.RPS = 60
 		w.state.Requests = rate.NewLimiter(60, 60)
@@ -165,6 +166,7 @@
 
 // Half of every class and of every team is served, whatever floods.
 func TestHalfIsServedWhateverFloods(t *testing.T) {
+	t.Parallel()
 	for seed, f := range []flood{{"urgent", "", 4}, {"urgent", "", 10}, {"urgent", "", 30}, {"large", "", 4}, {"large", "", 10},
 		{"small", "", 10}, {"small", "", 30}, {"", "red", 10}, {"", "green", 10}, {"", "green", 30}} {
 		t.Run(fmt.Sprintf("%s%s by %d, seed %d", f.class, f.team, f.times, seed), func(t *testing.T) {
@@ -185,6 +187,7 @@
 
 // The same while the flood goes on: what it starves does not have to wait for its end.
 func TestAFloodWithoutAnEndLeavesRoomForOthers(t *testing.T) {
+	t.Parallel()
 	for seed, c := range []struct {
 		flood
 		what  string
@@ -218,6 +221,7 @@
 // What was done counts from the records, so that a controller that starts, or that
 // listed them anew, counts as one that saw it; and each job once.
 func TestWhatWasDoneIsCountedFromTheRecords(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		set := newWorld(t, 1).set
 		set.Label = "n0"
@@ -261,6 +265,7 @@
 // The leader rents for what is told it first, and hears of a part of a long backlog
 // only: what is behind must be in it, yet not be all of it.
 func TestDemandsOfWhatIsBehindComeFirst(t *testing.T) {
+	t.Parallel()
 	var list []*job
 	for i := range 300 {
 		list = append(list, &job{class: 7, queue: []int{i}})
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -75,6 +75,7 @@
 // A copy that followed the records comes to the same state as reading them anew, whatever
 // the records, and whatever of jobs and machines is known when it is used.
 func TestCopyGivesWhatAListingGives(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		var two [2]*Controller
@@ -181,6 +182,7 @@
 // An owner that is lost is followed by its standby, from its copy, which knows when the
 // attempts began; what was under way goes on.
 func TestTakeoverIsWarm(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		simulatePrepared(t, 600+seed, busy, func(w *world) {
 			w.long()
@@ -261,6 +263,7 @@
 // A planned end hands over first: hardly a moment without an owner, nothing lost, and the
 // machines' leases count from the hand-over. Who comes back gets its part back warm.
 func TestPlannedEndHandsOver(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(6) {
 		simulatePrepared(t, 620+seed, busy, func(w *world) {
 			w.long()
@@ -342,6 +345,7 @@
 // Where nobody can take over, a planned end merely ends, and the next life takes its own
 // claims back.
 func TestPlannedEndOfTheLastOne(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 630, busy, func(w *world) {
 		w.long()
 		w.kill("n1")
@@ -373,6 +377,7 @@
 // A process that is back at once takes its claims back, and hears from who followed it
 // when its attempts began.
 func TestBackAtOnceRecallsWhatWasTold(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 640, busy, func(w *world) {
 		w.long()
 		lost := w.owns(0)
@@ -406,6 +411,7 @@
 // A copy that is wrong is found by its samples, said loudly, dropped and read anew before
 // it decides.
 func TestWrongCopyIsFoundBeforeItDecides(t *testing.T) {
+	t.Parallel()
 	for i, spoil := range []func(fo *follower, key string){
 		func(fo *follower, key string) { // an attempt is missing
 			for k, r := range fo.copy.All {
@@ -467,6 +473,7 @@
 // Each step of a takeover is cut by each fault, right before and right after it; the rules
 // hold, and everything ends.
 func TestTakeoverCutAtEachStep(t *testing.T) {
+	t.Parallel()
 	steps := map[string]func(target string, body []byte) bool{
 		"claim": func(target string, body []byte) bool {
 			return target == "/commit" && strings.Contains(string(body), bookkeeping.ClaimKey(0)) && strings.Contains(string(body), "hold")
@@ -516,6 +523,7 @@
 					continue
 				}
 				t.Run(fmt.Sprintf("%s/%s/after=%v", step, fault, after), func(t *testing.T) {
+					t.Parallel()
 					simulatePrepared(t, 660, func(w *world) {
 						w.cloud.Capacity = 12
 						w.runTime = func(string, int, string) time.Duration { return 15 * time.Second }
@@ -624,12 +632,14 @@
 // goes on; every start is checked against the stand-in's books. MICASPINDLE_NIGHTS says how
 // many; CI plays a few.
 func TestRandomNights(t *testing.T) {
+	t.Parallel()
 	nights := 4
 	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_NIGHTS")); err == nil {
 		nights = n
 	}
 	for seed := range uint64(nights) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 10_000+seed, announce, randomNight)
 		})
 	}
@@ -746,6 +756,7 @@
 // A controller of a version that keeps no copies neither follows nor is followed; takeovers
 // from it and by it go as they did.
 func TestOldNeighboursAreNotFollowed(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 670, func(w *world) { busy(w); w.old = map[string]bool{"n1": true} }, func(w *world) {
 		w.long()
 		for part := range 3 {
@@ -772,6 +783,7 @@
 // What comes of the tale late, twice, out of order or from an owner of before changes
 // nothing; after a gap it goes on from what is known; its size is bounded.
 func TestTaleIsToldInOrder(t *testing.T) {
+	t.Parallel()
 	now := time.Now()
 	var h heardTale
 	began := map[taleKey]time.Time{}
@@ -838,6 +850,7 @@
 // What is told beyond the records serves predictions only: owners that tell nonsense of
 // sessions, beginnings, notices and machines break no rule and lose nothing (33).
 func TestNonsenseToldBreaksNoRule(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(2) {
 		simulatePrepared(t, 690+seed, func(w *world) {
 			announce(w)
@@ -871,6 +884,7 @@
 // A lost part is its standby's, as long as that is there and has a copy; others leave it
 // alone for a moment, its home too.
 func TestOthersLeaveAPartToItsHeir(t *testing.T) {
+	t.Parallel()
 	c, p := owner(t)
 	now := time.Now()
 	c.synced, c.started = true, now.Add(-time.Minute)
@@ -921,6 +935,7 @@
 // That an attempt was told to have begun is no report of its running: it counts from then
 // on only once its machine says so.
 func TestToldBeginningIsNoRun(t *testing.T) {
+	t.Parallel()
 	c, p := owner(t)
 	m := c.up(p, "m-1", "big")
 	m.fenced = true
@@ -944,6 +959,7 @@
 
 // What the leader was about goes on under the next one: rentals under their own names.
 func TestNextLeaderRepeatsRentals(t *testing.T) {
+	t.Parallel()
 	simulate(t, 680, func(w *world) {
 		time.Sleep(3 * time.Second)
 		leader := ""
--- a/internal/coordination/history_test.go
+++ b/internal/coordination/history_test.go
@@ -219,9 +219,11 @@
 }
 
 func TestWhatUsersAreToldIsLinearizable(t *testing.T) {
+	t.Parallel()
 	from, count := meetingsOf(6)
 	for seed := from; seed < from+count; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			plan := toldTroubles(seed)
 			h := &history{jobs: map[string][]porcupine.Operation{}}
 			prepare := func(w *world) {
@@ -303,6 +305,7 @@
 
 // The checker itself must refuse what a user may not be told.
 func TestHistoryOfAJob(t *testing.T) {
+	t.Parallel()
 	accepted, done, gone, unknown := told{201, "queued"}, told{200, "done"}, told{200, "withdrawn"}, told{status: 404}
 	op := func(q question, call, ret int64, out any) porcupine.Operation {
 		return porcupine.Operation{Input: q, Call: call, Return: ret, Output: out}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -16,6 +16,7 @@
 // comes, so that it is refused, whoever owns the part by then (9, 50, 51). Without the state
 // service no token can be raised; then the task is stopped as soon as it shows.
 func TestLateStartsOfCancelledJobsAreKeptOut(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name string
 		// fencesToo: half of the orders that only tell the token are held up as well.
@@ -41,6 +42,7 @@
 		{name: "outage", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, outage: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
 			prepare := func(w *world) {
 				w.cloud.Capacity = 16
 				if tc.carried {
@@ -135,6 +137,7 @@
 // Stops of cancelled tasks that are held up are repeated before their answer is given up, if
 // no report can bring them (54): their machines reach no controller.
 func TestHeldUpStopsAreRepeated(t *testing.T) {
+	t.Parallel()
 	simulate(t, 502, func(w *world) {
 		ids := w.longJobs(2, 4, "green", 5*time.Minute)
 		owner := w.owns(w.partOf("green"))
@@ -168,6 +171,7 @@
 // Where many machines with cancelled tasks are silent, repeated orders hold a bounded share
 // of the sockets, and none for ever.
 func TestRepeatedOrdersAreBounded(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -227,6 +231,7 @@
 
 // Only an answer that refuses a command shows that it will not be carried out late (50).
 func TestWhichAnswersRefuseACommand(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
--- a/internal/coordination/meetings_table_test.go
+++ b/internal/coordination/meetings_table_test.go
@@ -584,6 +584,7 @@
 
 // Each meeting of docs/meetings.md breaks no rule, and everything is over in time.
 func TestMeetings(t *testing.T) {
+	t.Parallel()
 	playMeetings(t, 400, meetingTests)
 }
 
@@ -591,6 +592,7 @@
 func playMeetings(t *testing.T, seed uint64, meetings []meetingTest) {
 	for i, m := range meetings {
 		t.Run(strings.ReplaceAll(m.name, " ", "-"), func(t *testing.T) {
+			t.Parallel()
 			prepare := func(w *world) {
 				w.cloud.Capacity = 16
 				if m.prepare != nil {
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -29,6 +29,7 @@
 // the workers go on reporting to the old owner. Every task must be gone within cancel_s of
 // the answer's arrival at its user (checked by the world, at every step of every machine).
 func TestWithdrawnBetweenARefusalAndAnOutage(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name string
 		// refusedFor is how long the refusal lasts before the outage begins; 0: until a
@@ -54,6 +55,7 @@
 		{name: "machines hang, a successor has claimed", noNotices: true, hang: 14 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 301, gapWorld, func(w *world) {
 				time.Sleep(3 * time.Second)
 				// Withdrawals every 0.1 s, from 4 s before the refusal on.
@@ -173,6 +175,7 @@
 // the cancelled job has on its machines counts against the team's limit until it is proven
 // over (6, 39, 47).
 func TestLimitHoldsForJobsThatEndWhileTheirPartIsRead(t *testing.T) {
+	t.Parallel()
 	prepare := func(w *world) {
 		gapWorld(w)
 		w.set.Params.Teams[0].CPUsMax = 32
@@ -257,6 +260,7 @@
 // What an old copy of a report may and may not do at an owner: it wins no time for a
 // machine that says nothing any more, un-fences nothing and ends nothing (48).
 func TestOldReportsProveNothing(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -306,6 +310,7 @@
 // A machine that was deleted, or whose record is written after its end by a late
 // transaction, is neither room to come nor comes back by a report that was on its way (44).
 func TestDeletedMachinesStayDeleted(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -355,6 +360,7 @@
 // A machine is deleted for what its owner knows to be withdrawn of late, not for what is left
 // of jobs that are done, or were withdrawn longer ago than a lease can last.
 func TestMachinesOfEndedJobsAreNotDeleted(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -393,6 +399,7 @@
 // leader and without the state service, and before cancel_s is over; one whose lease
 // provably runs out in time has not.
 func TestMachinesOfWithdrawnTasksAreDeletedInTime(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name string
 		// taken: the owner is lost with the withdrawal, and its successor can't know whom
@@ -411,6 +418,7 @@
 		{name: "withdrawn after the takeover, then an outage", taken: true, later: true, cut: true, outage: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 303, gapWorld, func(w *world) {
 				time.Sleep(3 * time.Second)
 				for i := range 4 {
@@ -495,11 +503,13 @@
 // stops what they concern at once; without that, a carrier that knows does so for the
 // machines that report to it (43). The bound is not needed for either.
 func TestNoticesAndCarriersStopWithdrawnTasks(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name      string
 		noNotices bool
 	}{{"news", false}, {"a carrier knows", true}} {
 		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
 			prepare := func(w *world) {
 				crowded(w)
 				w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
@@ -552,6 +562,7 @@
 
 // News say for how long a job has been withdrawn, and are taken once.
 func TestCancellationNoticesBearTheirAge(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -580,6 +591,7 @@
 // The first report that a new owner sees may be an old copy: that it lacks a task does not
 // show that the task is not there, only one under the new token does (48).
 func TestAbsenceIsBelievedUnderTheNewTokenOnly(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
@@ -606,6 +618,7 @@
 // tells it, still keeps what waits from being started: its record is in every start's
 // conditions (17).
 func TestNothingStartsAfterAWithdrawalThatItsOwnerHasNotSeen(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 305, gapWorld, func(w *world) {
 		time.Sleep(3 * time.Second)
 		w.locked(func() {
--- a/internal/coordination/odd_requests_test.go
+++ b/internal/coordination/odd_requests_test.go
@@ -110,6 +110,7 @@
 // does not know the machine types yet or is cut off; of a job that is known, its state is
 // told whatever the body says (14).
 func TestOddSubmissions(t *testing.T) {
+	t.Parallel()
 	simulate(t, 620, func(w *world) {
 		time.Sleep(2 * time.Second)
 		w.submit(spec("job-1", 1, "green"))
@@ -177,6 +178,7 @@
 // Users repeat submissions of unfinished jobs, cancel those that are done and send what
 // can't run, at all controllers, while the leader ends and the state service answers late.
 func TestOddRequestsMeetTroubles(t *testing.T) {
+	t.Parallel()
 	simulate(t, 621, func(w *world) {
 		time.Sleep(2 * time.Second)
 		odd := oddSubmissions("job-7")
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -25,6 +25,7 @@
 
 // Sums over all queues are for those who may view all of them.
 func TestWhoMaySeeTheWhole(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 5, func(w *world) {
 		w.expect(200, w.operations("person/root", "n0", "/overview"))
 		w.expect(200, w.operations("person/partner", "n0", "/metrics")) // a guest views everything
@@ -37,6 +38,7 @@
 
 // What is told is what is: jobs, machines, who owns, how long it took.
 func TestTheOverviewIsTrue(t *testing.T) {
+	t.Parallel()
 	simulatePrepared(t, 6, func(w *world) { w.op.Operations = &settings.Operations{} }, func(w *world) {
 		time.Sleep(3 * time.Second)
 		w.submit(spec("job-1", 6, "green"))
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -33,6 +33,7 @@
 // placement, preemption, moves, rentals, returns. Guards against a change of behaviour
 // where none is meant; one that is meant writes them anew: go test -run TestPlans -update
 func TestPlansStayTheSame(t *testing.T) {
+	t.Parallel()
 	const file = "testdata/plans.txt"
 	var all strings.Builder
 	for seed := range uint64(120) {
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -40,6 +40,7 @@
 
 // By deadline alone, a backlog makes every job late; the largest goes last.
 func TestBacklogPutsTheLargestLast(t *testing.T) {
+	t.Parallel()
 	c, p := owner(t)
 	c.up(p, "m-1", "big") // 8 tasks at a time, 6 s each
 	large, small := spec("job-1", 24, "green"), spec("job-2", 8, "green")
@@ -63,6 +64,7 @@
 // Small tasks must not fill the machines that waiting large ones need while
 // there is another place for them.
 func TestScarceTypesAreLeftToChoosyWork(t *testing.T) {
+	t.Parallel()
 	c, p := owner(t)
 	small, big := c.up(p, "m-1", "small"), c.up(p, "m-2", "big")
 	big.images["img"] = time.Now() // it would win the tie
@@ -88,6 +90,7 @@
 // A machine that is long overdue may never come up: waiting work must not
 // count on it.
 func TestLateBootsAreNotCountedOn(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		age  time.Duration
 		want uint32
@@ -110,6 +113,7 @@
 
 // Jobs of one team must not each claim all that its limit leaves.
 func TestDemandsShareTheTeamsLimit(t *testing.T) {
+	t.Parallel()
 	c, _ := owner(t)
 	p := c.parts[c.teamPart[c.teamIndex["red"]]] // limit 32: eight tasks
 	c.take(spec("job-1", 6, "red"))
@@ -126,6 +130,7 @@
 // Where only the team's limit keeps urgent work waiting, the team's own lower
 // work saves and makes room.
 func TestLowerWorkMakesRoomUnderTheTeamsLimit(t *testing.T) {
+	t.Parallel()
 	simulate(t, 23, func(w *world) {
 		w.runTime = func(job string, _ int, _ string) time.Duration {
 			if job == "job-1" {
@@ -153,6 +158,7 @@
 // while the order was kept was served last, so that lower work took the room first, and
 // its ends, which free its team's room, went on record a batch later.
 func TestWhoComesToWantSomethingKeepsHisPlace(t *testing.T) {
+	t.Parallel()
 	c, p := owner(t)
 	high, low := spec("job-1", 1, "green"), spec("job-2", 1, "green")
 	high.Urgency = protocol.High
--- a/internal/coordination/random_meetings_test.go
+++ b/internal/coordination/random_meetings_test.go
@@ -522,9 +522,13 @@
 	}
 }
 
-// leavingOut is a plan less the meetings that MICASPINDLE_MEETINGS_WITHOUT names by number.
-func leavingOut(plan []meeting) (kept []meeting) {
-	drop := strings.Split(os.Getenv("MICASPINDLE_MEETINGS_WITHOUT"), ",")
+// meetingsWithout are the numbers of the meetings that MICASPINDLE_MEETINGS_WITHOUT names.
+func meetingsWithout() []string {
+	return strings.Split(os.Getenv("MICASPINDLE_MEETINGS_WITHOUT"), ",")
+}
+
+// leavingOut is a plan less the meetings that drop names by number.
+func leavingOut(plan []meeting, drop []string) (kept []meeting) {
 	for i, m := range plan {
 		if !slices.Contains(drop, strconv.Itoa(i)) {
 			kept = append(kept, m)
@@ -545,18 +549,19 @@
 			drop = strings.Split(try, ",")
 		}
 	}
-	t.Setenv("MICASPINDLE_MEETINGS_WITHOUT", strings.Join(drop, ","))
-	return leavingOut(plan)
+	return leavingOut(plan, drop)
 }
 
 // Random meetings: pairs of troubles drawn from a seed, while jobs are submitted, run and
 // are withdrawn. A plan that fails is printed as rows; with MICASPINDLE_MEETINGS_SHRINK set,
 // without those that it fails without.
 func TestRandomMeetings(t *testing.T) {
+	t.Parallel()
 	from, count := meetingsOf(12)
 	for seed := from; seed < from+count; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			plan := leavingOut(drawMeetings(seed))
+			t.Parallel()
+			plan := leavingOut(drawMeetings(seed), meetingsWithout())
 			simulatePrepared(t, 20_000+seed, ground(seed), func(w *world) { meetAll(w, seed, plan) })
 			if t.Failed() {
 				if os.Getenv("MICASPINDLE_MEETINGS_SHRINK") != "" {
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -54,6 +54,7 @@
 // An owner that ends is noticed by its workers' coming to others, not only when its
 // lease has run out.
 func TestLostOwnerIsSucceededBeforeItsLeaseRunsOut(t *testing.T) {
+	t.Parallel()
 	var took []time.Duration
 	for seed := range uint64(8) {
 		simulatePrepared(t, 500+seed, busy, func(w *world) {
@@ -87,6 +88,7 @@
 // of standing still, a state service that answers thirty times as slowly, and packets that
 // are lost and come a second later.
 func TestLivingOwnersKeepTheirLeases(t *testing.T) {
+	t.Parallel()
 	node := func(host string) bool { return strings.HasPrefix(host, "n") }
 	for name, c := range map[string]struct {
 		cut  func(from, host string) bool
@@ -114,6 +116,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 520, busy, func(w *world) {
 				w.long()
 				claims := func() string {
@@ -155,8 +158,10 @@
 // Machines that fall together with their owner are lost a lease after its new life has
 // spoken, not only after the time for which the old one might have gone on answering.
 func TestNewLifeProvesTheOldOneOver(t *testing.T) {
+	t.Parallel()
 	for _, back := range []bool{true, false} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
+			t.Parallel()
 			simulatePrepared(t, 530, busy, func(w *world) {
 				w.long()
 				lost := w.owns(0)
@@ -218,6 +223,7 @@
 // Lives follow one another by the stamps of their record: what an older life sent late
 // can't come after a newer one, and proves nothing.
 func TestRecordsOfLivesKeepTheirOrder(t *testing.T) {
+	t.Parallel()
 	simulate(t, 540, func(w *world) {
 		time.Sleep(3 * time.Second)
 		key := bookkeeping.LifeKey("n1")
@@ -265,6 +271,7 @@
 
 // Until when somebody else may have answered a part's machines, from what was followed.
 func TestUnseenAnswersAreCountedOn(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := unrun(t)
 		defer end()
--- a/internal/coordination/vouch_test.go
+++ b/internal/coordination/vouch_test.go
@@ -15,6 +15,7 @@
 // follows and ends by its own rights what it was allowed to begin; and the audit
 // says who asked for whom.
 func TestVouching(t *testing.T) {
+	t.Parallel()
 	simulateIdentities(t, 57, func(w *world) {
 		change := rights.Change{Version: 1,
 			PutRoles: []rights.Role{{Name: "gate", Rules: []rights.Rule{{Verbs: []string{"vouch", "view", "withdraw"}, Team: "*", Class: "build"}}},
