--- a/internal/coordination/settled_test.go
+++ b/internal/coordination/settled_test.go
@@ -115,23 +115,38 @@
 	if w.fails != nil {
 		return list // who fails is held back
 	}
+	names := slices.Sorted(maps.Keys(w.workers))
 	used := map[string]float64{}
-	for _, wk := range w.workers {
+	perZone := map[string]map[string]int{} // by job, how many of its tasks are in each zone
+	free := make([]resources, len(names))
+	for i, name := range names {
+		wk := w.workers[name]
+		free[i] = w.size(wk.Type)
 		for _, t := range wk.Tasks {
-			if t.State != protocol.TaskEnded {
-				used[w.jobs[t.Job].spec.Team] += w.jobs[t.Job].spec.CPUs
+			if t.State == protocol.TaskEnded {
+				continue
+			}
+			s := w.jobs[t.Job].spec
+			used[s.Team] += s.CPUs
+			free[i].take(s)
+			if perZone[t.Job] == nil {
+				perZone[t.Job] = map[string]int{}
 			}
+			perZone[t.Job][wk.Zone]++
 		}
 	}
 	for id, uj := range w.jobs {
 		s := uj.spec
-		come := len(uj.tasksDone) + len(w.runs(id))
+		come := len(uj.tasksDone)
+		for _, n := range perZone[id] {
+			come += n
+		}
 		if uj.accepted.IsZero() || uj.asked || uj.ended != "" || come >= s.Tasks || !w.mayRun(uj) || !w.underLimit(s, used[s.Team]) {
 			continue
 		}
 		places, machines := 0, ""
-		for _, name := range slices.Sorted(maps.Keys(w.workers)) {
-			n := w.places(w.workers[name], s)
+		for i, name := range names {
+			n := placesOn(w.workers[name], free[i], s, perZone[id])
 			if places += n; n == 0 {
 				continue
 			}
@@ -171,40 +186,42 @@
 	return true
 }
 
-// places is how many tasks of a job a machine has room for. The lock is held.
-func (w *world) places(wk *worker.Worker, s *protocol.JobSpec) int {
+// resources is what a machine has to give.
+type resources struct{ cpus, memGB, gpus float64 }
+
+// size is what a machine of a type has; nothing if there is no such type.
+func (w *world) size(machineType string) resources {
+	for _, mt := range w.cloud.Types {
+		if mt.Name == machineType {
+			return resources{mt.CPUs, mt.MemGB, mt.GPUs}
+		}
+	}
+	return resources{}
+}
+
+// take takes what one task of a job needs.
+func (r *resources) take(s *protocol.JobSpec) {
+	r.cpus, r.memGB, r.gpus = r.cpus-s.CPUs, r.memGB-s.MemGB, r.gpus-s.GPUs
+}
+
+// placesOn is how many tasks of a job a machine has room for, of which so much is free;
+// inZone is how many of the job's tasks are in each zone.
+func placesOn(wk *worker.Worker, free resources, s *protocol.JobSpec, inZone map[string]int) int {
 	if wk.Dead || wk.Hung || wk.Notice != nil || wk.Spot && !s.Spot || s.Zone != "" && s.Zone != wk.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, wk.Type) {
 		return 0
 	}
-	inZone := 0
-	for _, other := range w.workers {
-		for _, t := range other.Tasks {
-			if t.Job != s.ID || t.State == protocol.TaskEnded {
-				continue
-			}
-			if s.OneZone && other.Zone != wk.Zone {
-				return 0
-			}
-			if other.Zone == wk.Zone {
-				inZone++
-			}
+	for zone := range inZone {
+		if s.OneZone && zone != wk.Zone {
+			return 0
 		}
 	}
-	i := slices.IndexFunc(w.cloud.Types, func(mt protocol.MachineType) bool { return mt.Name == wk.Type })
-	if i < 0 || s.Spread && inZone >= (s.Tasks+1)/2 {
+	if s.Spread && inZone[wk.Zone] >= (s.Tasks+1)/2 {
 		return 0
 	}
-	cpus, mem, gpus := w.cloud.Types[i].CPUs, w.cloud.Types[i].MemGB, w.cloud.Types[i].GPUs
-	for _, t := range wk.Tasks {
-		if t.State != protocol.TaskEnded {
-			o := w.jobs[t.Job].spec
-			cpus, mem, gpus = cpus-o.CPUs, mem-o.MemGB, gpus-o.GPUs
-		}
-	}
-	n := min(cpus/s.CPUs, mem/s.MemGB)
+	n := min(free.cpus/s.CPUs, free.memGB/s.MemGB)
 	if s.GPUs > 0 {
-		n = min(n, gpus/s.GPUs)
+		n = min(n, free.gpus/s.GPUs)
 	}
 	return max(0, int(n))
 }
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -580,7 +580,10 @@
 func (w *world) recorded(c protocol.Command, wk *worker.Worker) bool {
 	id, task, _ := protocol.ParseTask(c.Task)
 	for key, it := range w.state.Items {
-		if job, _, err := bookkeeping.ParseRunKey(key); err != nil || job != id || !strings.HasPrefix(key, "r/") {
+		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
+			continue // without taking the key apart, as most are others'
+		}
+		if job, _, err := bookkeeping.ParseRunKey(key); err != nil || job != id {
 			continue
 		}
 		var run bookkeeping.Run
