--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -52,6 +52,30 @@
 	}
 }
 
+// bubbleOnce is a sync.Once for functions that sleep: whoever waits for one lets the time
+// of the bubble go on, which who waits for a mutex does not.
+type bubbleOnce struct {
+	mu   sync.Mutex
+	done chan struct{} // nil before the first call
+}
+
+// Do calls f the first time, and waits until that is over.
+func (o *bubbleOnce) Do(f func()) {
+	o.mu.Lock()
+	first := o.done == nil
+	if first {
+		o.done = make(chan struct{})
+	}
+	done := o.done
+	o.mu.Unlock()
+	if !first {
+		<-done
+		return
+	}
+	defer close(done)
+	f()
+}
+
 // playEnd lets requests meet a step of the ends of jobs of one to three tasks.
 func (w *world) playEnd(h *history, step string, delay time.Duration) {
 	time.Sleep(2 * time.Second)
@@ -59,7 +83,7 @@
 	for i := range 3 {
 		s := spec(fmt.Sprintf("job-%d", i), 1+i, "green")
 		w.locked(func() { w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}} })
-		var once sync.Once
+		var once bubbleOnce
 		var asking sync.WaitGroup
 		ask := func() {
 			once.Do(func() {
