--- a/internal/coordination/main_test.go
+++ b/internal/coordination/main_test.go
@@ -16,9 +16,9 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	if !given["test.parallel"] {
+	given := false
+	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
+	if !given {
 		if err := flag.Set("test.parallel", strconv.Itoa(clustersAtOnce)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/lab/build_test.go
+++ b/internal/lab/build_test.go
@@ -296,6 +296,7 @@
 
 // A build of a few hundred real actions, from clean and then all from the cache.
 func TestBuild(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
 	b := newBuilder(t, ctx)
@@ -331,6 +332,7 @@
 // What actions come to that fail, run too long, name what is not there or climb
 // out of their root.
 func TestActionsThatGoWrong(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	b := newBuilder(t, ctx)
--- a/internal/lab/hosted_test.go
+++ b/internal/lab/hosted_test.go
@@ -113,6 +113,7 @@
 // The wish's three roles against real processes over TLS: a clerk, the refund
 // team and a guest partner try what they must not do.
 func TestRolesOverTLS(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	c := hostedCluster(t, ctx)
@@ -369,6 +370,7 @@
 // The front door of build tools asks the controllers: who may, may; a refusal is
 // in their audit; a revocation holds there too.
 func TestGateAsksControllers(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	c := hostedCluster(t, ctx)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -3,11 +3,14 @@
 import (
 	"context"
 	"errors"
+	"flag"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -28,20 +31,60 @@
 	return program(t, "micaspindle", "-ldflags=-linkmode=external")
 }
 
-// program builds a program of the project.
+// programs are those that the tests of this package have built, by name.
+var programs struct {
+	mu    sync.Mutex
+	dir   string
+	built map[string]string
+}
+
+// program builds a program of the project, or takes the one that another test has built.
 func program(t *testing.T, name string, flags ...string) string {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), name)
+	programs.mu.Lock()
+	defer programs.mu.Unlock()
+	if path, ok := programs.built[name]; ok {
+		return path
+	}
+	path := filepath.Join(programs.dir, name)
 	out, err := exec.Command("go", append(append([]string{"build"}, flags...), "-o", path, "micaspindle/cmd/"+name)...).CombinedOutput()
 	if err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
+	programs.built[name] = path
 	return path
 }
 
+// clustersAtOnce is how many clusters of real processes run beside each other, unless
+// -parallel says it: their leases run in real time. A test that starts a gate on its old
+// address again, or compares times, runs alone.
+const clustersAtOnce = 3
+
+func TestMain(m *testing.M) {
+	flag.Parse()
+	given := false
+	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
+	if !given {
+		if err := flag.Set("test.parallel", strconv.Itoa(clustersAtOnce)); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+	}
+	dir, err := os.MkdirTemp("", "micaspindle-lab-")
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	programs.dir, programs.built = dir, map[string]string{}
+	code := m.Run()
+	_ = os.RemoveAll(dir)
+	os.Exit(code)
+}
+
 // The demo's cluster is of real processes; its leader is killed and every job
 // is still done.
 func TestDemo(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: t.TempDir(), LogLevel: "info", WriteRPS: 60, RPS: 400})
@@ -95,6 +138,7 @@
 // A roll of restarts of real controllers: each hands its part to the one that follows it,
 // ends with code 0, and no task is run twice.
 func TestRollOfRestarts(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: t.TempDir(), LogLevel: "info", WriteRPS: 60, RPS: 400})
@@ -162,6 +206,7 @@
 // Real controllers whose sockets are few share the machines' connections, go on when a
 // carrier is killed, and start no task twice.
 func TestCrowdedControllersShare(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
 	const machines, sockets = 60, 120 // room for 60 of them each, full with 30
@@ -241,6 +286,7 @@
 // Real gates before real controllers, all asking who comes: a build goes on when a
 // gate is killed, comes out right, and is cached.
 func TestDemoBuild(t *testing.T) {
+	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
 	dir := t.TempDir()
