--- a/internal/lab/build_test.go
+++ b/internal/lab/build_test.go
@@ -101,7 +101,7 @@
 	believe := func(context.Context) bool { return true }
 	b.gate = gate.New(gate.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: believe},
 		b.store, results, gate.Open{}, nil, gate.Controllers{Client: client.New(b.c.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
-	b.server = b.gate.Server()
+	b.server = b.gate.Server(grpc.WaitForHandlers(true)) // a process leaves no calls behind
 	server := b.server
 	go func() { _ = server.Serve(l) }()
 	go b.gate.Sweep(b.ctx, 2*time.Second)
