--- a/internal/coordination/cluster/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -9,44 +9,47 @@
 	"micaspindle/internal/settings"
 )
 
-// CancellationNotices are the withdrawals that became known here of late, for the other
-// controllers: one that the state service alone refuses hears of them from nobody else, and
-// its workers still come to it. A notice may be lost; what a task may then outlive its job's
-// withdrawal by is bounded by what its owner is informed of (42, 43). It belongs to the
-// loop.
+// CancellationNotices are the cancellations that became known here recently, for the other
+// controllers: one that only the state store refuses hears of them from nobody else, and
+// its agents still come to it. A notice may be lost: what bounds how long a task may outlive
+// its job's cancellation is what its leader is informed of (rules 42 and 43). They belong to
+// the event loop.
 type CancellationNotices struct {
-	list      []cancelledJob
-	Limit     int
+	// list is in the order in which notices were added.
+	list []cancelledJob
+	// Limit is how many notices are kept.
+	Limit int
+	// retention is for how long a notice is of use.
 	retention time.Duration
 }
 
-// cancelledJob is a job and when that was at the earliest.
+// cancelledJob is a cancelled job's id and when it was cancelled, at the earliest.
 type cancelledJob struct {
 	job string
 	at  time.Time
 }
 
-// cancellationNoticesMin is how many withdrawals may be told at a time where few can be written.
+// cancellationNoticesMin is the least Limit, where the state store takes few writes.
 const cancellationNoticesMin = 500
 
-// SetLimit derives how many withdrawals are kept: each is a change of the state service, so
-// that within cancel_s there can't be more than that accepts in as long and in one burst.
-// One takes some 20 bytes of a message, 44 at most, and 100 of memory.
-func (n *CancellationNotices) SetLimit(cancelS time.Duration, state settings.State) {
-	changes := state.WriteRPS
+// SetLimit derives how many notices are kept: each is a write to the state store, so that
+// within the cancel bound there can't be more than the store takes in that time and in one
+// burst. A notice takes some 20 bytes of a message, 44 at most, and 100 of memory.
+func (n *CancellationNotices) SetLimit(cancelBound time.Duration, state settings.State) {
+	writesPerSecond := state.WriteRPS
 	if next := state.Next.WriteRPS; next != nil {
-		changes = max(changes, *next)
+		writesPerSecond = max(writesPerSecond, *next)
 	}
-	n.retention = cancelS
-	n.Limit = max(cancellationNoticesMin, int(math.Ceil(changes*(cancelS.Seconds()+1))))
+	n.retention = cancelBound
+	n.Limit = max(cancellationNoticesMin, int(math.Ceil(writesPerSecond*(cancelBound.Seconds()+1))))
 }
 
-// Add adds a withdrawal and says whether there was room: those that are told already are
-// more urgent than a newer one.
+// Add adds a notice and says whether there was room: those that are there already are more
+// urgent than a newer one.
 func (n *CancellationNotices) Add(job string, at time.Time) bool {
 	if len(n.list) >= n.Limit {
 		now := time.Now()
-		n.list = slices.DeleteFunc(n.list, func(w cancelledJob) bool { return now.Sub(w.at) > n.retention })
+		n.list = slices.DeleteFunc(n.list, func(c cancelledJob) bool { return now.Sub(c.at) > n.retention })
 	}
 	if len(n.list) >= n.Limit {
 		return false
@@ -55,24 +58,25 @@
 	return true
 }
 
-// Recent is what there is to tell: a withdrawal for as long as a task of it may run.
-func (n *CancellationNotices) Recent(now time.Time, keep time.Duration) (told []*peer.CancelledJob) {
+// Recent are the notices of the last maxAge; older ones are dropped.
+func (n *CancellationNotices) Recent(now time.Time, maxAge time.Duration) (recent []*peer.CancelledJob) {
 	old := 0
-	for old < len(n.list) && now.Sub(n.list[old].at) > keep {
+	for old < len(n.list) && now.Sub(n.list[old].at) > maxAge {
 		old++
 	}
 	n.list = n.list[old:]
-	for _, w := range n.list {
-		told = append(told, &peer.CancelledJob{Job: w.job, AgeMs: uint32(max(0, now.Sub(w.at).Milliseconds()))})
+	for _, c := range n.list {
+		recent = append(recent, &peer.CancelledJob{Job: c.job, AgeMs: uint32(max(0, now.Sub(c.at).Milliseconds()))})
 	}
-	return told
+	return recent
 }
 
-// CancelledAt is when a job was withdrawn, at the earliest; zero: longer ago than is kept.
+// CancelledAt is when a job was cancelled, at the earliest; zero: longer ago than notices
+// are kept, or not at all.
 func (n *CancellationNotices) CancelledAt(job string) time.Time {
-	for _, w := range n.list {
-		if w.job == job {
-			return w.at
+	for _, c := range n.list {
+		if c.job == job {
+			return c.at
 		}
 	}
 	return time.Time{}
--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -8,37 +8,44 @@
 )
 
 // DependencyGraph holds which unfinished jobs need which, over dense indices. Every
-// controller follows all of it, since jobs need jobs of other parts. A job
-// without open dependencies that no other job needs has no node.
+// controller follows all of it, since jobs need jobs of other partitions. A job without open
+// dependencies that no other job needs has no node.
 //
-// A job can name accepted jobs only, so the graph has no cycle. Its depth is
-// set by users, so nothing here recurses.
+// A job is doomed once something that it needs, directly or through others, is cancelled: it
+// is to be cancelled too.
+//
+// A job can name accepted jobs only, so the graph has no cycle. Its depth is set by users,
+// so nothing here recurses.
 type DependencyGraph struct {
-	Index   map[string]int32
-	Nodes   []graphNode
-	Free    []int32
-	runTime func(*Job) time.Duration
-	jobs    map[string]*Job // all unfinished jobs; the controller's
-	// DoomedJobs are the jobs that are to be withdrawn, since something that they
-	// need is, directly or through others.
+	// Index gives the node of a job by its id.
+	Index map[string]int32
+	// Nodes are all nodes, those in Free unused.
+	Nodes []graphNode
+	Free  []int32
+	// DoomedJobs are the doomed jobs that have not ended and whose records were seen, by id.
 	DoomedJobs map[string]*Job
+	// jobs are all unfinished jobs by id, the State's map.
+	jobs map[string]*Job
+	// runTime predicts a job's run time.
+	runTime func(*Job) time.Duration
 }
 
 // graphNode is a job that needs others or is needed.
 type graphNode struct {
-	id           string
-	job          *Job // nil until its record is seen: a listing is not in order of age
+	id  string
+	job *Job // nil until its record is seen: a listing is not in order of age
+	// dependencies and dependents are the nodes that it needs and those that need it.
 	dependencies []int32
 	dependents   []int32
 	doomed       bool
 }
 
-// Init gives the graph the unfinished jobs and how to predict their run times.
+// Init sets the unfinished jobs, which stay the caller's, and how to predict run times.
 func (g *DependencyGraph) Init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
 	g.Index, g.DoomedJobs, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
 }
 
-// nodeOf returns a job's place, made if there is none.
+// nodeOf returns a job's node, made if there is none.
 func (g *DependencyGraph) nodeOf(id string) int32 {
 	n, ok := g.Index[id]
 	if ok {
@@ -55,27 +62,28 @@
 	return n
 }
 
+// release frees a node.
 func (g *DependencyGraph) release(n int32) {
 	delete(g.Index, g.Nodes[n].id)
 	g.Nodes[n] = graphNode{}
 	g.Free = append(g.Free, n)
 }
 
-// HasDependents says whether unfinished jobs wait for a job.
+// HasDependents says whether unfinished jobs need a job.
 func (g *DependencyGraph) HasDependents(id string) bool {
 	n, ok := g.Index[id]
 	return ok && len(g.Nodes[n].dependents) > 0
 }
 
-// releaseIfIdle forgets a node that neither waits nor is waited for.
+// releaseIfIdle frees a node that neither needs others nor is needed.
 func (g *DependencyGraph) releaseIfIdle(n int32) {
-	if nd := &g.Nodes[n]; len(nd.dependencies) == 0 && len(nd.dependents) == 0 && !nd.doomed {
+	if node := &g.Nodes[n]; len(node.dependencies) == 0 && len(node.dependents) == 0 && !node.doomed {
 		g.release(n)
 	}
 }
 
-// Add takes a job in. final says how and when another job ended, if it did and
-// that is known.
+// Add adds a job whose record was seen. final gives the final status of another job, "" if
+// none is known, and when it ended, zero if that is not known.
 func (g *DependencyGraph) Add(j *Job, final func(id string) (status string, at time.Time)) {
 	id := j.Spec.ID
 	n, known := g.Index[id]
@@ -86,33 +94,16 @@
 		n = g.nodeOf(id)
 	}
 	g.Nodes[n].job = j
-	doomed := g.Nodes[n].doomed
-	var open []string
-	for _, dep := range j.Spec.Dependencies {
-		switch status, at := final(dep); status {
-		case protocol.StatusDone:
-			if at.After(j.DependenciesDoneAt) {
-				j.DependenciesDoneAt = at
-			}
-		case protocol.StatusWithdrawn:
-			doomed = true
-		default:
-			// One that is to be withdrawn dooms whatever names it, before its
-			// own end is on record.
-			if d, ok := g.Index[dep]; ok && g.Nodes[d].doomed {
-				doomed = true
-			}
-			open = append(open, dep)
-		}
-	}
+	open, doomed := g.openDependencies(j, final)
+	doomed = doomed || g.Nodes[n].doomed
 	j.Blocked = doomed || len(open) > 0
 	if doomed {
-		g.Nodes[n].doomed = false // its job is noted by doom
+		g.Nodes[n].doomed = false // so that markDoomed adds its job
 		g.markDoomed(n)
 		return
 	}
-	for _, dep := range open {
-		d := g.nodeOf(dep)
+	for _, dependency := range open {
+		d := g.nodeOf(dependency)
 		g.Nodes[n].dependencies = append(g.Nodes[n].dependencies, d)
 		g.Nodes[d].dependents = append(g.Nodes[d].dependents, n)
 	}
@@ -121,8 +112,29 @@
 	g.releaseIfIdle(n)
 }
 
-// JobEnded takes in that a job is done or withdrawn, and returns the jobs that
-// are ready now.
+// openDependencies lists the dependencies of a job that have not ended, notes when the last
+// of the others was done, and says whether some dependency dooms the job.
+func (g *DependencyGraph) openDependencies(j *Job, final func(id string) (status string, at time.Time)) (open []string, doomed bool) {
+	for _, dependency := range j.Spec.Dependencies {
+		switch status, at := final(dependency); status {
+		case protocol.StatusDone:
+			if at.After(j.DependenciesDoneAt) {
+				j.DependenciesDoneAt = at
+			}
+		case protocol.StatusWithdrawn:
+			doomed = true
+		default:
+			// A doomed job dooms whatever names it, before its own end is on record.
+			if d, ok := g.Index[dependency]; ok && g.Nodes[d].doomed {
+				doomed = true
+			}
+			open = append(open, dependency)
+		}
+	}
+	return open, doomed
+}
+
+// JobEnded notes that a job is done or cancelled, and returns the jobs that are ready now.
 func (g *DependencyGraph) JobEnded(id string, done bool, now time.Time) []*Job {
 	delete(g.DoomedJobs, id)
 	n, ok := g.Index[id]
@@ -131,14 +143,14 @@
 	}
 	var ready []*Job
 	for _, d := range g.Nodes[n].dependents {
-		nd := &g.Nodes[d]
-		nd.dependencies = removeIndex(nd.dependencies, n)
+		node := &g.Nodes[d]
+		node.dependencies = removeIndex(node.dependencies, n)
 		switch {
 		case !done:
 			g.markDoomed(d)
-		case len(nd.dependencies) == 0 && !nd.doomed && nd.job != nil:
-			nd.job.Blocked, nd.job.DependenciesDoneAt = false, now
-			ready = append(ready, nd.job)
+		case len(node.dependencies) == 0 && !node.doomed && node.job != nil:
+			node.job.Blocked, node.job.DependenciesDoneAt = false, now
+			ready = append(ready, node.job)
 			g.releaseIfIdle(d)
 		}
 	}
@@ -147,7 +159,7 @@
 	for _, d := range dependencies {
 		g.Nodes[d].dependents = removeIndex(g.Nodes[d].dependents, n)
 	}
-	// What the job needed is needed by one job less.
+	// What the job needed is now needed by one job less.
 	g.relaxNeeds(dependencies)
 	for _, d := range dependencies {
 		g.releaseIfIdle(d)
@@ -155,34 +167,34 @@
 	return ready
 }
 
-// markDoomed notes that a job, and all that need it, are to be withdrawn.
+// markDoomed dooms a job and all that need it, directly or through others.
 func (g *DependencyGraph) markDoomed(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		nd := &g.Nodes[n]
-		if nd.doomed {
+		node := &g.Nodes[n]
+		if node.doomed {
 			continue
 		}
-		nd.doomed = true
-		if nd.job != nil {
-			nd.job.Blocked = true
-			g.DoomedJobs[nd.id] = nd.job
+		node.doomed = true
+		if node.job != nil {
+			node.job.Blocked = true
+			g.DoomedJobs[node.id] = node.job
 		}
-		stack = append(stack, nd.dependents...)
+		stack = append(stack, node.dependents...)
 	}
 }
 
 // HasUnseenDependency says whether a job needs one whose own record was not seen yet, so
-// that nobody here can say what that one needs.
+// that it is not known here what that one needs.
 func (g *DependencyGraph) HasUnseenDependency(id string) bool {
 	n, ok := g.Index[id]
 	return ok && slices.ContainsFunc(g.Nodes[n].dependencies, func(d int32) bool { return g.Nodes[d].job == nil })
 }
 
-// needOf is what a job asks of its dependencies: its urgency, and when they must
-// be done.
+// needOf is what a job asks of its dependencies: its urgency, and by when they must be
+// done; zero: at any time.
 func (g *DependencyGraph) needOf(j *Job) (protocol.Urgency, time.Time) {
 	due, ok := j.Deadline()
 	if !ok {
@@ -191,30 +203,18 @@
 	return j.Urgency(), due.Add(-g.runTime(j))
 }
 
-// InheritNeed lets a job meet a need, and says whether that changed it.
-func (j *Job) InheritNeed(urgency protocol.Urgency, by time.Time) bool {
-	changed := false
-	if urgency > j.InheritedUrgency {
-		j.InheritedUrgency, changed = urgency, true
-	}
-	if !by.IsZero() && (j.InheritedDeadline.IsZero() || by.Before(j.InheritedDeadline)) {
-		j.InheritedDeadline, changed = by, true
-	}
-	return changed
-}
-
-// propagateNeeds passes a job's need up to all that it depends on, as far as it
-// changes something.
+// propagateNeeds passes a job's need on to all that it depends on, as far as that changes
+// something.
 func (g *DependencyGraph) propagateNeeds(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
-		nd := &g.Nodes[stack[len(stack)-1]]
+		node := &g.Nodes[stack[len(stack)-1]]
 		stack = stack[:len(stack)-1]
-		if nd.job == nil {
+		if node.job == nil {
 			continue
 		}
-		urgency, by := g.needOf(nd.job)
-		for _, d := range nd.dependencies {
+		urgency, by := g.needOf(node.job)
+		for _, d := range node.dependencies {
 			if j := g.Nodes[d].job; j != nil && j.InheritNeed(urgency, by) {
 				stack = append(stack, d)
 			}
@@ -222,23 +222,23 @@
 	}
 }
 
-// recomputeNeeds works out a job's needs from those that need it, and says whether
-// that changed them.
+// recomputeNeeds computes anew what a job inherits from those that need it, and says whether
+// that changed it.
 func (g *DependencyGraph) recomputeNeeds(n int32) bool {
-	nd := &g.Nodes[n]
-	j := nd.job
-	raised, neededBy := j.InheritedUrgency, j.InheritedDeadline
+	node := &g.Nodes[n]
+	j := node.job
+	urgency, deadline := j.InheritedUrgency, j.InheritedDeadline
 	j.InheritedUrgency, j.InheritedDeadline = protocol.Low, time.Time{}
-	for _, d := range nd.dependents {
+	for _, d := range node.dependents {
 		if g.Nodes[d].job != nil && !g.Nodes[d].doomed {
 			j.InheritNeed(g.needOf(g.Nodes[d].job))
 		}
 	}
-	return raised != j.InheritedUrgency || !neededBy.Equal(j.InheritedDeadline)
+	return urgency != j.InheritedUrgency || !deadline.Equal(j.InheritedDeadline)
 }
 
-// relaxNeeds works the needs of jobs out again, and of all that they depend on, as
-// far as it changes something.
+// relaxNeeds computes anew what jobs inherit, and all that they depend on, as far as that
+// changes something.
 func (g *DependencyGraph) relaxNeeds(list []int32) {
 	stack := slices.Clone(list)
 	for len(stack) > 0 {
--- /dev/null
+++ b/internal/coordination/cluster/leadership.go
@@ -0,0 +1,77 @@
+package cluster
+
+import (
+	"time"
+
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/protocol/peer"
+)
+
+// Leadership is who leads the cluster, on every controller, and what the cluster leader
+// keeps in memory to scale it. All of the latter may be lost: names of machines never
+// repeat, and machines without a record are adopted.
+type Leadership struct {
+	// From the leadership's record.
+
+	// Held: this controller is the cluster leader.
+	Held bool
+	// Holder is the cluster leader's label; "": there is none.
+	Holder string
+	// FormerHolder is who led last, for while nobody does.
+	FormerHolder string
+	// Revision is the record's in the state store; 0: there is none.
+	Revision uint64
+	// VacantSince is since when nobody leads.
+	VacantSince time.Time
+
+	// The cluster leader's memory.
+
+	// Wakeup brings the next round of scaling forward.
+	Wakeup chan struct{}
+	// Requests counts the requests for machines under this leadership: names of machines
+	// are made of Revision and this number.
+	Requests int
+	// PendingScaleOut are the requests under way, by the machines' name.
+	PendingScaleOut map[string]*ScaleOutRequest
+	// RefusedCapacity is until when machines of a kind are not asked for, since the cloud
+	// had none.
+	RefusedCapacity map[binpack.MachineKind]time.Time
+	// Deleting is when the deletion of a machine was last asked for, by name.
+	Deleting map[string]time.Time
+	// Adopting is when recording a machine without a record was last tried, by name.
+	Adopting map[string]time.Time
+	// MovedAt is when a machine was last moved between partitions, by name.
+	MovedAt map[string]time.Time
+	// AssignedAt is when a partition was last given a machine, by index: demand that its
+	// leader sent before it noticed must not bring another one.
+	AssignedAt map[int]time.Time
+	// Listed are the machines in the cloud's last listing, by name.
+	Listed map[string]protocol.ListedMachine
+}
+
+// Reset forgets what the cluster leader keeps in memory about machines.
+func (l *Leadership) Reset() {
+	l.PendingScaleOut, l.RefusedCapacity = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
+	l.Deleting, l.Adopting = map[string]time.Time{}, map[string]time.Time{}
+	l.MovedAt, l.AssignedAt = map[string]time.Time{}, map[int]time.Time{}
+	l.Listed = map[string]protocol.ListedMachine{}
+}
+
+// ScaleOutRequest is a request for machines that is under way.
+type ScaleOutRequest struct {
+	Kind binpack.MachineKind
+	// Partition is the index of the one that the machines are for.
+	Partition int
+	// Count is how many machines were asked for.
+	Count int
+}
+
+// LeaderUpdate is what a cluster leader last sent of its memory, so that whoever leads next
+// resumes from there.
+type LeaderUpdate struct {
+	// From is the sender's label; "": no update was received.
+	From       string
+	ReceivedAt time.Time
+	Update     *peer.LeaderUpdate
+}
