--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -4,6 +4,7 @@
 package jobs
 
 import (
+	"errors"
 	"log/slog"
 	"time"
 
@@ -13,7 +14,11 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Tracker follows jobs from their record to their final state.
+// errNoTasks is what is wrong with a job record that decodes but has no task.
+var errNoTasks = errors.New("no tasks")
+
+// Tracker follows jobs from their record to their final state. Its methods run in the event
+// loop.
 type Tracker struct {
 	*cluster.State
 	log    *slog.Logger
@@ -24,139 +29,180 @@
 	scheduler Scheduler
 }
 
-// New makes one without collaborators.
+// New makes a tracker without collaborators.
 func New(state *cluster.State, log *slog.Logger, bounds *telemetry.BoundReporter) *Tracker {
 	return &Tracker{State: state, log: log, bounds: bounds}
 }
 
-// Connect gives it its collaborators, before the loop starts.
-func (tr *Tracker) Connect(agents Agents, auth Auth, scheduler Scheduler) {
-	tr.agents, tr.auth, tr.scheduler = agents, auth, scheduler
+// Connect sets the collaborators, before the loop starts.
+func (t *Tracker) Connect(agents Agents, auth Auth, scheduler Scheduler) {
+	t.agents, t.auth, t.scheduler = agents, auth, scheduler
 }
 
-// ApplyJobRecord takes up an accepted job. Records never change.
-func (tr *Tracker) ApplyJobRecord(id string, raw []byte) {
-	tr.auth.NoteJob(id, raw)
-	if tr.Jobs[id] != nil || tr.FinalStates[id] != "" {
+// ApplyJobRecord takes up an accepted job. Records of jobs never change, so one that is
+// known already does nothing.
+func (t *Tracker) ApplyJobRecord(id string, raw []byte) {
+	t.auth.NoteJob(id, raw)
+	if t.Jobs[id] != nil || t.FinalStates[id] != "" {
 		return
 	}
-	if j := tr.LoadJobRecord(id, raw); j != nil {
-		tr.Dependencies.Add(j, func(dep string) (string, time.Time) { return tr.FinalStates[dep], tr.ListedEnds[dep] })
-		tr.wakeForDoomedJobs()
+	if j := t.LoadJobRecord(id, raw); j != nil {
+		t.Dependencies.Add(j, t.finalOf)
+		t.wakeForDoomedJobs()
 	}
 }
 
-// LoadJobRecord makes a job of its record.
-func (tr *Tracker) LoadJobRecord(id string, raw []byte) *cluster.Job {
+// finalOf is a job's final status, and when it ended where a listing has just shown it.
+func (t *Tracker) finalOf(id string) (string, time.Time) {
+	return t.FinalStates[id], t.ListedEnds[id]
+}
+
+// LoadJobRecord makes a job of its record and adds it to the unfinished jobs, without its
+// dependencies; nil: the record can't be used.
+func (t *Tracker) LoadJobRecord(id string, raw []byte) *cluster.Job {
 	spec := new(protocol.JobSpec)
-	if err := storage.Decode(raw, spec); err != nil || spec.Tasks < 1 {
-		tr.log.Error("bad job record", "job", id, "reason", err)
+	err := storage.Decode(raw, spec)
+	if err == nil && spec.Tasks < 1 {
+		err = errNoTasks
+	}
+	if err != nil {
+		t.log.Error("bad job record", "job", id, "error", err)
 		return nil
 	}
-	team, ok := tr.TeamIndex[spec.Team]
+	team, ok := t.TeamIndex[spec.Team]
 	if !ok {
-		tr.log.Error("job of a team that is not in the settings", "job", id, "team", spec.Team)
+		t.log.Error("job of a team that is not in the settings", "job", id, "team", spec.Team)
 		return nil
 	}
-	j := &cluster.Job{Spec: spec, Partition: tr.TeamPartition[team], Team: team, ClassGroup: tr.scheduler.ClassGroup(spec.Class), SubmittedAt: cluster.SteadyTime(spec.SubmittedMS, time.Now())}
-	tr.Jobs[id] = j
-	if p := tr.Partitions[j.Partition]; p.Held && p.Ready {
+	j := &cluster.Job{
+		Spec:        spec,
+		Partition:   t.TeamPartition[team],
+		Team:        team,
+		ClassGroup:  t.scheduler.ClassGroup(spec.Class),
+		SubmittedAt: cluster.SteadyTime(spec.SubmittedMS, time.Now()),
+	}
+	t.Jobs[id] = j
+	if p := t.Partitions[j.Partition]; p.Held && p.Ready {
 		j.Load()
-		p.QueueOrder = nil
-		p.Wake()
+		requeue(p)
 	}
 	return j
 }
 
-func (tr *Tracker) ApplyFinalRecord(id string, raw []byte) {
-	var f storage.Final
-	if err := storage.Decode(raw, &f); err != nil {
-		tr.log.Error("bad final record", "job", id, "reason", err)
+// requeue has a partition's queue computed anew, at once.
+func requeue(p *cluster.Partition) {
+	p.QueueOrder = nil
+	p.Wake()
+}
+
+// ApplyFinalRecord ends a job as its final record says.
+func (t *Tracker) ApplyFinalRecord(id string, raw []byte) {
+	var final storage.Final
+	if err := storage.Decode(raw, &final); err != nil {
+		t.log.Error("bad final record", "job", id, "error", err)
 		return
 	}
-	if tr.ListedEnds != nil {
-		tr.ListedEnds[id] = cluster.SteadyTime(f.AtMS, time.Now())
+	if t.ListedEnds != nil {
+		t.ListedEnds[id] = cluster.SteadyTime(final.AtMS, time.Now())
 	}
 	at := time.Now()
-	if f.AtMS > 0 {
-		at = cluster.SteadyTime(f.AtMS, at)
+	if final.AtMS > 0 {
+		at = cluster.SteadyTime(final.AtMS, at)
 	}
-	tr.SetFinal(id, f.Status, at)
+	t.SetFinal(id, final.Status, at)
 }
 
-// SetFinal notes that a job is done or withdrawn, for good, and when it was at the earliest.
-func (tr *Tracker) SetFinal(id, status string, at time.Time) {
-	if tr.FinalStates[id] != "" {
+// SetFinal notes that a job is done or cancelled, for good, and when it was at the earliest.
+// A job that has ended already stays as it is.
+func (t *Tracker) SetFinal(id, status string, at time.Time) {
+	if t.FinalStates[id] != "" {
 		return
 	}
-	tr.FinalStates[id] = status
-	if status == protocol.StatusWithdrawn && time.Since(at) < tr.CancelBound && !tr.Cancellations.Add(id, at) {
-		tr.bounds.Met(telemetry.Cancellations, 1)
+	t.FinalStates[id] = status
+	if status == protocol.StatusWithdrawn {
+		t.noteCancellation(id, at)
 	}
-	for _, j := range tr.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
-		if p := tr.Partitions[j.Partition]; p.Held && p.Ready {
-			p.QueueOrder = nil
-			p.Wake()
+	for _, dependent := range t.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
+		if p := t.Partitions[dependent.Partition]; p.Held && p.Ready {
+			requeue(p)
 		}
 	}
-	tr.wakeForDoomedJobs()
-	j := tr.Jobs[id]
+	t.wakeForDoomedJobs()
+	j := t.Jobs[id]
 	if j == nil {
 		return
 	}
 	if status == protocol.StatusDone {
-		tr.scheduler.CountDone(j.Partition, j.Groups(), time.Now())
+		t.scheduler.CountDone(j.Partition, j.Groups(), time.Now())
 	}
 	if !j.Loaded {
-		delete(tr.Jobs, id)
+		delete(t.Jobs, id)
 		return
 	}
-	j.Ended, j.Pending = true, nil
-	if status == protocol.StatusWithdrawn {
-		j.CancelledAt = at
+	t.stop(j, status, at)
+}
+
+// noteCancellation keeps a notice of a cancellation for the other controllers, unless every
+// task of the job has certainly ended.
+func (t *Tracker) noteCancellation(id string, at time.Time) {
+	if time.Since(at) < t.CancelBound && !t.Cancellations.Add(id, at) {
+		t.bounds.Met(telemetry.Cancellations, 1)
 	}
+}
+
+// stop ends what still runs of a loaded job that has ended.
+func (t *Tracker) stop(j *cluster.Job, status string, at time.Time) {
+	j.Ended, j.Pending = true, nil
 	now := time.Now()
 	if status == protocol.StatusWithdrawn {
-		tr.log.Info("job withdrawn", "job", id, "live", len(j.LiveAttempts))
+		j.CancelledAt = at
+		t.log.Info("job cancelled", "job", j.Spec.ID, "count", len(j.LiveAttempts))
 	}
 	for _, a := range j.LiveAttempts {
-		tr.agents.StopAttempt(a, 0, now)
+		t.agents.StopAttempt(a, 0, now)
 	}
-	tr.Partitions[j.Partition].Wake()
-	tr.DropIfReleased(j)
+	t.Partitions[j.Partition].Wake()
+	t.DropIfReleased(j)
 }
 
-// wakeForDoomedJobs lets the owners of jobs that are to be withdrawn do so.
-func (tr *Tracker) wakeForDoomedJobs() {
-	if len(tr.Dependencies.DoomedJobs) > 0 {
-		for _, p := range tr.Partitions {
+// wakeForDoomedJobs lets the partitions' leaders cancel the jobs that are doomed.
+func (t *Tracker) wakeForDoomedJobs() {
+	if len(t.Dependencies.DoomedJobs) > 0 {
+		for _, p := range t.Partitions {
 			p.Wake()
 		}
 	}
 }
 
-// DropIfReleased forgets a job that has ended and holds nothing any more.
-func (tr *Tracker) DropIfReleased(j *cluster.Job) {
-	if tr.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
+// DropIfReleased forgets a job that has ended once none of its attempts holds a task and its
+// run records are gone; it has those that are left written.
+func (t *Tracker) DropIfReleased(j *cluster.Job) {
+	if t.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
 		return
 	}
-	now := time.Now()
-	left := false
-	for _, ch := range j.Chunks {
-		if ch.Revision != 0 || ch.Unconfirmed {
-			left = true
-			if !ch.Dirty {
-				ch.Dirty, ch.DirtySince, j.RecordsChanged = true, now, true
-			}
-		}
-	}
-	if left {
+	if hasRunRecords(j, time.Now()) {
 		return
 	}
-	for _, ch := range j.Chunks {
-		for _, a := range ch.Exited {
+	for _, chunk := range j.Chunks {
+		for _, a := range chunk.Exited {
 			a.State = cluster.AttemptReleased
 		}
 	}
-	delete(tr.Jobs, j.Spec.ID)
+	delete(t.Jobs, j.Spec.ID)
+}
+
+// hasRunRecords says whether run records of a job are or may be in the state store, and marks
+// them to be written, which drops those of a job that has ended.
+func hasRunRecords(j *cluster.Job, now time.Time) bool {
+	left := false
+	for _, chunk := range j.Chunks {
+		if chunk.Revision == 0 && !chunk.Unconfirmed {
+			continue
+		}
+		left = true
+		if !chunk.Dirty {
+			chunk.Dirty, chunk.DirtySince, j.RecordsChanged = true, now, true
+		}
+	}
+	return left
 }
