--- /dev/null
+++ b/internal/coordination/records/apply.go
@@ -0,0 +1,172 @@
+package records
+
+import (
+	"fmt"
+	"time"
+
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+)
+
+// listing is which keys a listing has, of the records that can be deleted.
+type listing struct {
+	machines map[string]bool // by the machine's name
+	leases   map[string]bool // by key; the cluster leadership too
+	policy   map[string]bool // by key
+}
+
+// ApplyListing replaces what is known of the shared records by a listing at a revision.
+func (w *Watcher) ApplyListing(items []protocol.Item, revision uint64) {
+	now := time.Now()
+	w.ListedEnds = map[string]time.Time{}
+	defer func() { w.ListedEnds = nil }()
+	// Final records go first, so that ended jobs are not taken up.
+	w.applyListedFinals(items)
+	w.leases.NoteMissedLeaders(now)
+	w.scheduler.ResetDoneCounts()
+	listed := w.applyListedRecords(items)
+	w.dropUnlisted(listed, revision, now)
+	if !w.Synced {
+		w.Synced = true
+		w.log.Info("records read", "jobs", len(w.Jobs), "final", len(w.FinalStates), "machines", len(w.Machines))
+	}
+}
+
+// applyListedFinals applies the final records of a listing.
+func (w *Watcher) applyListedFinals(items []protocol.Item) {
+	for _, item := range items {
+		if kind, id := storage.ParseKey(item.Key); kind == storage.KindFinal {
+			w.jobs.ApplyFinalRecord(id, item.Value)
+		}
+	}
+}
+
+// applyListedRecords applies all other records of a listing, and says which keys it has.
+func (w *Watcher) applyListedRecords(items []protocol.Item) listing {
+	listed := listing{machines: map[string]bool{}, leases: map[string]bool{}, policy: map[string]bool{}}
+	for _, item := range items {
+		switch kind, name := storage.ParseKey(item.Key); kind {
+		case storage.KindJob:
+			w.scheduler.CountListedJob(name, item.Value)
+		case storage.KindMachine:
+			listed.machines[name] = true
+		case storage.KindLease, storage.KindLeadership:
+			listed.leases[item.Key] = true
+		case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
+			listed.policy[item.Key] = true
+		case storage.KindFinal:
+			continue
+		}
+		w.ApplyEvent(protocol.Event{Put: item.Key, Value: item.Value, Version: item.Version})
+	}
+	return listed
+}
+
+// dropUnlisted applies the deletion of what a listing at a revision does not have. What was
+// written after the listing began is not in it, yet not gone (rule 4).
+func (w *Watcher) dropUnlisted(listed listing, revision uint64, now time.Time) {
+	for name, m := range w.Machines {
+		if !listed.machines[name] && m.Revision <= revision {
+			w.agents.MachineDeleted(name, now)
+		}
+	}
+	for _, p := range w.Partitions {
+		if key := storage.LeaseKey(p.Index); !listed.leases[key] && p.LeaseRevision != 0 {
+			w.ApplyEvent(protocol.Event{Delete: key, Version: revision})
+		}
+	}
+	for _, p := range w.Partitions {
+		// A partition that nobody was ever seen to lead is vacant from now on, so that its
+		// preferred leader has the time to start.
+		if p.LeaseRevision == 0 && p.VacantSince.IsZero() {
+			p.VacantSince = now
+		}
+	}
+	if !listed.leases[storage.LeadershipKey] {
+		w.ApplyEvent(protocol.Event{Delete: storage.LeadershipKey, Version: revision})
+	}
+	if w.auth.Enabled() {
+		w.auth.DropUnlistedPolicy(listed.policy)
+	}
+}
+
+// ApplyEvent hands one changed record to the component that owns what it says.
+func (w *Watcher) ApplyEvent(event protocol.Event) {
+	now := time.Now()
+	key := event.Put + event.Delete // one of the two is empty
+	deleted := event.Delete != ""
+	kind, name := storage.ParseKey(key)
+	switch kind {
+	case storage.KindLease:
+		w.applyLease(key, event, now)
+	case storage.KindLeadership:
+		w.autoscaler.ApplyLeadership(event, now)
+	case storage.KindMachine:
+		w.applyMachine(name, event, now)
+	case storage.KindJob:
+		if !deleted {
+			w.jobs.ApplyJobRecord(name, event.Value)
+		}
+	case storage.KindFinal:
+		if !deleted {
+			w.jobs.ApplyFinalRecord(name, event.Value)
+		}
+	case storage.KindIncarnation:
+		w.leases.ApplyIncarnation(name, event)
+	case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
+		w.applyPolicy(kind, name, event)
+	case storage.KindCatalog:
+		if !deleted {
+			w.applyCatalog(event.Value)
+		}
+	}
+}
+
+// applyLease applies a change of some partition's lease.
+func (w *Watcher) applyLease(key string, event protocol.Event, now time.Time) {
+	for _, p := range w.Partitions {
+		if storage.LeaseKey(p.Index) == key {
+			w.leases.ApplyLease(p, event, now)
+		}
+	}
+}
+
+// applyMachine applies a change of a machine's record. A deletion that is older than the
+// record does nothing.
+func (w *Watcher) applyMachine(name string, event protocol.Event, now time.Time) {
+	if event.Delete != "" {
+		if m := w.Machines[name]; m != nil && event.Version >= m.Revision {
+			w.agents.MachineDeleted(name, now)
+		}
+		return
+	}
+	var rec storage.Machine
+	err := storage.Decode(event.Value, &rec)
+	if err == nil && (rec.Partition < 0 || rec.Partition >= len(w.Partitions)) {
+		err = fmt.Errorf("no partition %d", rec.Partition)
+	}
+	if err != nil {
+		w.log.Error("bad machine record", "machine", name, "error", err)
+		return
+	}
+	w.agents.MachineRecorded(name, rec, event.Version, now)
+}
+
+// applyPolicy applies a change of one of the access policy's records.
+func (w *Watcher) applyPolicy(kind storage.Kind, name string, event protocol.Event) {
+	if !w.auth.Enabled() {
+		return
+	}
+	if err := w.auth.ApplyPolicyRecord(kind, name, event); err != nil {
+		w.log.Error("bad policy record", "key", event.Put+event.Delete, "error", err)
+	}
+}
+
+// applyCatalog sets the machine types, unless they are known: each controller asks the cloud
+// itself, and the record serves one that has had no answer yet.
+func (w *Watcher) applyCatalog(raw []byte) {
+	var catalog protocol.Catalog
+	if err := storage.Decode(raw, &catalog); err == nil && len(w.Catalog) == 0 {
+		w.SetCatalog(catalog.Types)
+	}
+}
--- a/internal/coordination/records/collaborators.go
+++ b/internal/coordination/records/collaborators.go
@@ -8,56 +8,56 @@
 	"micaspindle/internal/storage"
 )
 
-// Agents is what Watcher asks of its collaborator.
+// Agents follows the machines on record.
 type Agents interface {
-	// MachineDeleted follows the end of a record, which the leader removes only
-	// after the machine is certainly gone.
+	// MachineDeleted follows the deletion of a machine's record, which the cluster leader
+	// does only after the machine is certainly gone.
 	MachineDeleted(name string, now time.Time)
-	// MachineRecorded follows the assignment record of a machine.
+	// MachineRecorded follows a machine's record, which says whose machine it is.
 	MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time)
 }
 
-// Auth is what Watcher asks of its collaborator.
+// Auth follows the records of the access policy.
 type Auth interface {
-	// ApplyPolicyRecord takes in a record of the policy.
-	ApplyPolicyRecord(kind storage.Kind, name string, e protocol.Event) error
-	// DropUnlistedPolicy drops the policy's records that a listing no longer holds.
-	DropUnlistedPolicy(listed map[string]bool)
-	// Enabled says whether requests need an identity.
+	// Enabled says whether requests need an identity; if not, no policy is followed.
 	Enabled() bool
-	// PublishPolicy gives the connections what the watch has brought, once for all
-	// records that came together. asked is when the listing or watch was sent that
-	// brought it.
+	// ApplyPolicyRecord applies one record of the policy.
+	ApplyPolicyRecord(kind storage.Kind, name string, event protocol.Event) error
+	// DropUnlistedPolicy drops the policy's records whose keys are not in a listing.
+	DropUnlistedPolicy(listed map[string]bool)
+	// PublishPolicy makes the applied records of the policy effective, once for all that
+	// came together. asked is when the listing or watch that brought them was requested.
 	PublishPolicy(asked time.Time)
 }
 
-// Autoscaler is what Watcher asks of its collaborator.
+// Autoscaler follows who is the cluster leader.
 type Autoscaler interface {
-	// ApplyLeadership follows who leads.
-	ApplyLeadership(e protocol.Event, now time.Time)
+	// ApplyLeadership follows the record of the cluster leadership.
+	ApplyLeadership(event protocol.Event, now time.Time)
 }
 
-// Leases is what Watcher asks of its collaborator.
+// Leases follows who leads which partition.
 type Leases interface {
-	// ApplyIncarnation follows the record of a controller's life.
-	ApplyIncarnation(label string, e protocol.Event)
-	// ApplyLease follows who owns a part.
-	ApplyLease(p *cluster.Partition, e protocol.Event, now time.Time)
-	// NoteMissedLeaders notes that owners may have come and gone unseen before a listing.
+	// ApplyIncarnation follows the record of a controller's incarnation.
+	ApplyIncarnation(label string, event protocol.Event)
+	// ApplyLease follows the record of a partition's lease.
+	ApplyLease(p *cluster.Partition, event protocol.Event, now time.Time)
+	// NoteMissedLeaders notes that leaders may have come and gone unseen before a listing.
 	NoteMissedLeaders(now time.Time)
 }
 
-// Scheduler is what Watcher asks of its collaborator.
+// Scheduler counts the jobs that were done.
 type Scheduler interface {
-	// CountListedJob counts a listed job that is done: what a controller that was away missed.
+	// CountListedJob counts a listed job if it is done: a controller that was away missed it.
 	CountListedJob(id string, raw []byte)
-	// ResetDoneCounts begins the count anew, before a listing is taken in.
+	// ResetDoneCounts begins the counts anew, before a listing is applied.
 	ResetDoneCounts()
 }
 
-// Jobs is what Watcher asks of its collaborator.
+// Jobs follows jobs and their ends.
 type Jobs interface {
+	// ApplyFinalRecord ends a job as its final record says.
 	ApplyFinalRecord(id string, raw []byte)
-	// ApplyJobRecord takes up an accepted job. Records never change.
+	// ApplyJobRecord takes up an accepted job. Such records never change.
 	ApplyJobRecord(id string, raw []byte)
 }
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -3,16 +3,32 @@
 package records
 
 import (
+	"errors"
+	"fmt"
 	"log/slog"
 	"time"
 
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/eventloop"
-	"micaspindle/internal/protocol"
+	"micaspindle/internal/retry"
 	"micaspindle/internal/storage"
 )
 
+const (
+	// watchOutagePatience is how long a watch may go on through an outage: after one that is
+	// given up everything is listed.
+	watchOutagePatience = 12 * time.Second
+	// watchesPerLease is how often the state store is watched anew within the TTL of a lease,
+	// which is as often as the lease is renewed.
+	watchesPerLease = 3
+)
+
+// watchBackoff is the pause after a failed listing or watch. It is spread and does not grow:
+// the state store's budget makes tasks wait already, and docs/retries.md says what growing
+// pauses cost users.
+var watchBackoff = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
+
 // Watcher follows the shared records and hands each to its owner.
 type Watcher struct {
 	*cluster.State
@@ -28,189 +44,118 @@
 	scheduler  Scheduler
 }
 
-// New makes one without collaborators.
+// New makes a watcher without collaborators.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Watcher {
 	return &Watcher{State: state, loop: loop, store: store, log: log}
 }
 
-// Connect gives it its collaborators, before the loop starts.
-func (wa *Watcher) Connect(agents Agents, auth Auth, autoscaler Autoscaler, jobs Jobs, leases Leases, scheduler Scheduler) {
-	wa.agents, wa.auth, wa.autoscaler, wa.jobs, wa.leases, wa.scheduler = agents, auth, autoscaler, jobs, leases, scheduler
+// Connect sets the collaborators, before the loop starts.
+func (w *Watcher) Connect(agents Agents, auth Auth, autoscaler Autoscaler, jobs Jobs, leases Leases, scheduler Scheduler) {
+	w.agents, w.auth, w.autoscaler, w.jobs, w.leases, w.scheduler = agents, auth, autoscaler, jobs, leases, scheduler
 }
 
-// watchOutagePatience is how long a watch may go on through an outage: after one that is given
-// up everything is listed.
-const watchOutagePatience = 12 * time.Second
+// errLoopEnded says that the event loop takes no calls any more.
+var errLoopEnded = errors.New("event loop ended")
 
-// Watch follows the shared records: a listing, then changes from there.
-func (wa *Watcher) Watch() {
-	tries := wa.loop.Tries("watch", followBackoff)
-	// As often as the lease is renewed: the older of the two bounds what workers are
-	// answered (informed).
-	wait, patience := wa.Operator.ClaimTTL/3, watchOutagePatience
-	if wa.auth.Enabled() {
-		wait, patience = min(wait, auth.PolicyWatchWait), storage.ChangePatience
-	}
-	late := false
-	revision := uint64(0)
+// cursor is how far Watch has come.
+type cursor struct {
+	// revision is that up to which all changes were applied; 0: everything is to be listed.
+	revision uint64
+	// late: the last watch was answered late.
+	late bool
+	// wait is how long a watch waits for a change, patience how long it may go on beyond
+	// that, through an outage.
+	wait, patience time.Duration
+}
+
+// Watch follows the shared records until the loop's context ends: a listing, then the changes
+// from there.
+func (w *Watcher) Watch() {
+	tries := w.loop.Tries("watch", watchBackoff)
+	at := w.newCursor()
 	for {
-		asked := time.Now()
-		if revision == 0 {
-			items, rev, err := wa.store.List(wa.loop.Context(), storage.WatchPrefix)
-			if err != nil {
-				wa.log.Debug("listing failed", "reason", err)
-				if !wa.loop.Sleep(tries.Failed()) {
-					return
-				}
-				continue
-			}
-			if !wa.loop.Do(func() {
-				wa.ApplyListing(items, rev)
-				wa.RecordsAsOf, wa.RecordsRevision = asked, rev
-				wa.auth.PublishPolicy(asked)
-			}) {
-				return
-			}
-			revision = rev
-			asked = time.Now()
-		}
-		most := wait
-		if late {
-			most = 0 // what was asked for long ago, before an outage perhaps, informs of little
-		}
-		ev, err := wa.store.Watch(wa.loop.Context(), storage.WatchPrefix, revision, most, patience)
-		if err != nil {
-			if wa.loop.Context().Err() != nil {
-				return
-			}
-			// A watch that ended without an answer, or that answers 410, may
-			// have missed changes; a fresh listing never does.
-			wa.log.Debug("watch ended", "reason", err)
-			revision = 0
-			if !wa.loop.Sleep(tries.Failed()) {
-				return
-			}
+		err := w.follow(&at)
+		if err == nil {
+			tries.Succeeded()
 			continue
 		}
-		if !wa.loop.Do(func() {
-			for _, e := range ev.Events {
-				wa.ApplyEvent(e)
-			}
-			wa.RecordsAsOf, wa.RecordsRevision = asked, max(wa.RecordsRevision, ev.Revision)
-			wa.auth.PublishPolicy(asked)
-		}) {
+		if w.loop.Context().Err() != nil || errors.Is(err, errLoopEnded) {
+			return
+		}
+		w.log.Debug("watching records failed", "error", err)
+		if !w.loop.Sleep(tries.Failed()) {
 			return
 		}
-		revision, late = max(revision, ev.Revision), time.Since(asked) > 2*wait
-		tries.Succeeded()
 	}
 }
 
-// ApplyListing replaces what is known of the shared records.
-func (wa *Watcher) ApplyListing(items []protocol.Item, revision uint64) {
-	now := time.Now()
-	machines, claims, policy := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	wa.ListedEnds = map[string]time.Time{}
-	defer func() { wa.ListedEnds = nil }()
-	// Final states go first, so that ended jobs are not taken up.
-	for _, it := range items {
-		if kind, id := storage.ParseKey(it.Key); kind == storage.KindFinal {
-			wa.jobs.ApplyFinalRecord(id, it.Value)
-		}
-	}
-	wa.leases.NoteMissedLeaders(now)
-	wa.scheduler.ResetDoneCounts()
-	for _, it := range items {
-		switch kind, name := storage.ParseKey(it.Key); kind {
-		case storage.KindJob:
-			wa.scheduler.CountListedJob(name, it.Value)
-		case storage.KindMachine:
-			machines[name] = true
-		case storage.KindLease, storage.KindLeadership:
-			claims[it.Key] = true
-		case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
-			policy[it.Key] = true
-		case storage.KindFinal:
-			continue
-		}
-		wa.ApplyEvent(protocol.Event{Put: it.Key, Value: it.Value, Version: it.Version})
-	}
-	// What was written after the listing began is not in it, yet not gone.
-	for name, m := range wa.Machines {
-		if !machines[name] && m.Revision <= revision {
-			wa.agents.MachineDeleted(name, now)
-		}
+// newCursor is a cursor before everything. Watches are requested as often as the lease is
+// renewed: the older of the two bounds until when heartbeats are answered (rule 42).
+func (w *Watcher) newCursor() cursor {
+	at := cursor{wait: w.Operator.ClaimTTL / watchesPerLease, patience: watchOutagePatience}
+	if w.auth.Enabled() {
+		at.wait, at.patience = min(at.wait, auth.PolicyWatchWait), storage.ChangePatience
 	}
-	for _, p := range wa.Partitions {
-		if key := storage.LeaseKey(p.Index); !claims[key] && p.LeaseRevision != 0 {
-			wa.ApplyEvent(protocol.Event{Delete: key, Version: revision})
-		}
-	}
-	for _, p := range wa.Partitions {
-		// A part that was never seen claimed is an orphan from now on, so that
-		// its preferred owner has the time to start.
-		if p.LeaseRevision == 0 && p.VacantSince.IsZero() {
-			p.VacantSince = now
+	return at
+}
+
+// follow applies the changes after the cursor, and a listing before them where one is due.
+func (w *Watcher) follow(at *cursor) error {
+	if at.revision == 0 {
+		if err := w.list(at); err != nil {
+			return fmt.Errorf("listing: %w", err)
 		}
 	}
-	if !claims[storage.LeadershipKey] {
-		wa.ApplyEvent(protocol.Event{Delete: storage.LeadershipKey, Version: revision})
+	if err := w.watchChanges(at); err != nil {
+		// A watch that ended without an answer, or that answers 410, may have missed
+		// changes; a fresh listing never does (rule 4).
+		at.revision = 0
+		return fmt.Errorf("watch: %w", err)
 	}
-	if wa.auth.Enabled() {
-		wa.auth.DropUnlistedPolicy(policy)
+	return nil
+}
+
+// list applies a listing of all shared records.
+func (w *Watcher) list(at *cursor) error {
+	asked := time.Now()
+	items, revision, err := w.store.List(w.loop.Context(), storage.WatchPrefix)
+	if err != nil {
+		return err
 	}
-	if !wa.Synced {
-		wa.Synced = true
-		wa.log.Info("records read", "jobs", len(wa.Jobs), "final", len(wa.FinalStates), "machines", len(wa.Machines))
+	applied := w.loop.Do(func() {
+		w.ApplyListing(items, revision)
+		w.RecordsAsOf, w.RecordsRevision = asked, revision
+		w.auth.PublishPolicy(asked)
+	})
+	if !applied {
+		return errLoopEnded
 	}
+	at.revision = revision
+	return nil
 }
 
-func (wa *Watcher) ApplyEvent(e protocol.Event) {
-	now := time.Now()
-	key := e.Put + e.Delete
-	kind, name := storage.ParseKey(key)
-	switch kind {
-	case storage.KindLease:
-		for _, p := range wa.Partitions {
-			if storage.LeaseKey(p.Index) == key {
-				wa.leases.ApplyLease(p, e, now)
-			}
-		}
-	case storage.KindLeadership:
-		wa.autoscaler.ApplyLeadership(e, now)
-	case storage.KindMachine:
-		if e.Delete != "" {
-			if m := wa.Machines[name]; m != nil && e.Version >= m.Revision {
-				wa.agents.MachineDeleted(name, now)
-			}
-			return
-		}
-		var rec storage.Machine
-		if err := storage.Decode(e.Value, &rec); err != nil || rec.Partition < 0 || rec.Partition >= len(wa.Partitions) {
-			wa.log.Error("bad machine record", "machine", name, "reason", err)
-			return
-		}
-		wa.agents.MachineRecorded(name, rec, e.Version, now)
-	case storage.KindJob:
-		if e.Delete == "" {
-			wa.jobs.ApplyJobRecord(name, e.Value)
-		}
-	case storage.KindFinal:
-		if e.Delete == "" {
-			wa.jobs.ApplyFinalRecord(name, e.Value)
-		}
-	case storage.KindIncarnation:
-		wa.leases.ApplyIncarnation(name, e)
-	case storage.KindPolicyHead, storage.KindRole, storage.KindIdentity:
-		if wa.auth.Enabled() {
-			if err := wa.auth.ApplyPolicyRecord(kind, name, e); err != nil {
-				wa.log.Error("bad policy record", "key", key, "reason", err)
-			}
-		}
-	case storage.KindCatalog:
-		var cat protocol.Catalog
-		if e.Delete == "" && storage.Decode(e.Value, &cat) == nil && len(wa.Catalog) == 0 {
-			wa.SetCatalog(cat.Types)
-		}
+// watchChanges waits for changes after the cursor and applies them.
+func (w *Watcher) watchChanges(at *cursor) error {
+	asked := time.Now()
+	wait := at.wait
+	if at.late {
+		wait = 0 // what was requested long ago, before an outage perhaps, informs of little
+	}
+	changes, err := w.store.Watch(w.loop.Context(), storage.WatchPrefix, at.revision, wait, at.patience)
+	if err != nil {
+		return err
+	}
+	applied := w.loop.Do(func() {
+		for _, event := range changes.Events {
+			w.ApplyEvent(event)
+		}
+		w.RecordsAsOf, w.RecordsRevision = asked, max(w.RecordsRevision, changes.Revision)
+		w.auth.PublishPolicy(asked)
+	})
+	if !applied {
+		return errLoopEnded
 	}
+	at.revision = max(at.revision, changes.Revision)
+	at.late = time.Since(asked) > 2*at.wait
+	return nil
 }
