--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -25,18 +25,23 @@
 
 // Loop is an event loop with its tasks.
 type Loop struct {
-	name  string
+	name string
+	// ctx is the tasks' context. It is kept because tasks begin at any time; they get it from
+	// Context.
 	ctx   context.Context
 	calls chan func()
 	tasks sync.WaitGroup
-	// ticksEnded is closed once no tick begins any more, ended once the loop has ended.
-	ticksEnded, ended chan struct{}
-	endOnce           sync.Once
-	stop              context.CancelFunc
+	// ticksEnded is closed once no tick begins any more.
+	ticksEnded chan struct{}
+	// ended is closed once no call runs any more.
+	ended   chan struct{}
+	endOnce sync.Once
+	// stop ends the loop; Start sets it.
+	stop context.CancelFunc
 }
 
-// New makes a loop whose tasks live until ctx ends. The name tells the retries of one
-// process from those of others.
+// New makes a loop whose tasks run until ctx ends. The name spreads the retries of one process
+// apart from those of others.
 func New(ctx context.Context, name string) *Loop {
 	return &Loop{name: name, ctx: ctx, calls: make(chan func(), queuedCalls),
 		ticksEnded: make(chan struct{}), ended: make(chan struct{})}
@@ -45,7 +50,7 @@
 // Context ends when the tasks are to end.
 func (l *Loop) Context() context.Context { return l.ctx }
 
-// Start starts the loop in a goroutine of its own. Wait is to be called after it.
+// Start starts the loop in a goroutine of its own, which Wait waits for.
 func (l *Loop) Start(tick func(now time.Time)) {
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
@@ -85,6 +90,7 @@
 	}
 }
 
+// end makes Do refuse calls from now on.
 func (l *Loop) end() { l.endOnce.Do(func() { close(l.ended) }) }
 
 // Abandon ends a loop that was never started, and returns when its tasks have: their calls
@@ -120,7 +126,7 @@
 	}
 }
 
-// Sleep waits and reports whether the loop's context is still alive.
+// Sleep waits for d, or until the loop's context ends, and reports whether it has not.
 func (l *Loop) Sleep(d time.Duration) bool {
 	if d <= 0 {
 		return l.ctx.Err() == nil
@@ -135,13 +141,13 @@
 	}
 }
 
-// Tries counts the failures of one task, with the pauses that follow them.
-func (l *Loop) Tries(task string, pauses retry.Backoff) *retry.Tries {
-	return &retry.Tries{Backoff: pauses, Who: l.name + " " + task}
+// Tries counts the failures of one task, with the pauses after them.
+func (l *Loop) Tries(task string, backoff retry.Backoff) *retry.Tries {
+	return &retry.Tries{Backoff: backoff, Who: l.name + " " + task}
 }
 
-// Signal wakes whoever receives from the channel, which has room for one value, if it is
-// not about to wake already.
+// Signal wakes the receiver of a channel that holds one value, unless a signal waits for it
+// already.
 func Signal(wakeup chan struct{}) {
 	select {
 	case wakeup <- struct{}{}:
--- a/internal/ticker/ticker.go
+++ b/internal/ticker/ticker.go
@@ -1,9 +1,10 @@
-// Package ticker beats at even intervals for a duty that does other things between the
-// beats. It is a ticker, except that a beat is sent by a timer's own function and not by
-// whoever looks at the channel: with the race detector, Go's fake clock lets two
-// goroutines of one test that look at channels of due tickers at the same moment use the
-// same record of the detector, which ends the process (seen with 1.26.8: one of three runs of
-// the controllers' tests on a loaded machine, none of twelve since). It knows nothing of what is done at a beat.
+// Package ticker sends ticks at even intervals to a goroutine that waits for other things
+// between them. It is a time.Ticker, except that a tick is sent by a timer's own function
+// and not by whoever receives from the channel: with the race detector, the fake clock of
+// testing/synctest lets two goroutines of one test that receive from channels of due
+// tickers at the same moment use the same record of the detector, which ends the process
+// (seen with Go 1.26.8: one of three runs of the controllers' tests on a loaded machine, none
+// of twelve since).
 package ticker
 
 import (
@@ -11,46 +12,48 @@
 	"time"
 )
 
-// Ticker beats until it is stopped. A beat that nobody has taken yet is not doubled.
+// Ticker sends ticks until it is stopped. A tick is dropped while the one before waits to be
+// received.
 type Ticker struct {
+	// C is where ticks are received.
 	C <-chan struct{}
 
 	mu    sync.Mutex
 	timer *time.Timer // nil once stopped
 }
 
-// New starts a pulse whose first beat comes after one interval.
+// New starts a ticker whose first tick comes after one interval.
 func New(interval time.Duration) *Ticker {
-	beats := make(chan struct{}, 1)
-	p := &Ticker{C: beats}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	ticks := make(chan struct{}, 1)
+	t := &Ticker{C: ticks}
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	next := time.Now().Add(interval)
-	p.timer = time.AfterFunc(interval, func() {
+	t.timer = time.AfterFunc(interval, func() {
 		select {
-		case beats <- struct{}{}:
+		case ticks <- struct{}{}:
 		default:
 		}
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.timer == nil {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		if t.timer == nil {
 			return
 		}
-		// The beats keep to the first one's time, whatever a beat was late; those
-		// that a standstill has missed are left out.
+		// Ticks stay at multiples of the interval, however late one was; those that a
+		// standstill of the process has missed are left out.
 		now := time.Now()
 		for !next.After(now) {
 			next = next.Add(interval)
 		}
-		p.timer.Reset(next.Sub(now))
+		t.timer.Reset(next.Sub(now))
 	})
-	return p
+	return t
 }
 
-// Stop ends the beats.
-func (p *Ticker) Stop() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timer.Stop()
-	p.timer = nil
+// Stop ends the ticks. It is called once.
+func (t *Ticker) Stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer.Stop()
+	t.timer = nil
 }
--- a/internal/ticker/ticker_test.go
+++ b/internal/ticker/ticker_test.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-func TestBeats(t *testing.T) {
+func TestTicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		p := New(250 * time.Millisecond)
+		ticks := New(250 * time.Millisecond)
 		at := func(want time.Duration) {
 			t.Helper()
-			<-p.C
+			<-ticks.C
 			if got := time.Since(start); got != want {
-				t.Fatalf("a beat at %v, not at %v", got, want)
+				t.Fatalf("a tick at %v, not at %v", got, want)
 			}
 		}
 		at(250 * time.Millisecond)
 		at(500 * time.Millisecond)
-		time.Sleep(900 * time.Millisecond) // two beats come, one of them is kept
+		time.Sleep(900 * time.Millisecond) // two ticks come, one of them waits
 		at(1400 * time.Millisecond)
 		at(1500 * time.Millisecond)
-		p.Stop()
+		ticks.Stop()
 		select {
-		case <-p.C:
-			t.Fatal("a beat after the end")
+		case <-ticks.C:
+			t.Fatal("a tick after the end")
 		case <-time.After(time.Second):
 		}
 	})
 }
 
-// Duties that are woken by something else in the moment in which all of their beats are
-// due lose none. (With tickers, worlds of several controllers ended the process there, in
-// one of three runs; this test alone is too small to show it.)
-func TestBeatsOfTheSameMoment(t *testing.T) {
+// Goroutines that are woken by something else at the moment at which all of their ticks are
+// due lose none. (With time.Ticker, tests with several controllers ended the process there,
+// in one of three runs; this test alone is too small to show it.)
+func TestTicksOfTheSameMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const duties, rounds = 8, 200
+		const receivers, rounds = 8, 200
 		done := make(chan struct{})
-		calls := make([]chan struct{}, duties)
-		counts := make(chan int, duties)
-		for i := range duties {
+		calls := make([]chan struct{}, receivers)
+		counts := make(chan int, receivers)
+		for i := range receivers {
 			calls[i] = make(chan struct{})
 			go func() {
-				p := New(time.Millisecond)
-				defer p.Stop()
+				ticks := New(time.Millisecond)
+				defer ticks.Stop()
 				n := 0
 				for {
 					select {
 					case <-calls[i]:
-					case <-p.C:
+					case <-ticks.C:
 						n++
 					case <-done:
 						counts <- n
@@ -66,9 +66,9 @@
 		}
 		time.Sleep(rounds*time.Millisecond + time.Microsecond)
 		close(done)
-		for range duties {
+		for range receivers {
 			if n := <-counts; n != rounds {
-				t.Fatalf("%d beats of %d", n, rounds)
+				t.Fatalf("%d ticks of %d", n, rounds)
 			}
 		}
 	})
