--- a/internal/telemetry/bound_reporter.go
+++ b/internal/telemetry/bound_reporter.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// BoundReporter counts each time that a bound is met, and logs the first time of each
-// bound. Its methods may be called from any goroutine.
+// BoundReporter counts each time that a bound is met, and logs the first time of each bound.
+// Its methods may be called from any goroutine.
 type BoundReporter struct {
-	// Metrics counts; nil: bounds are logged only. It is set before the first call.
+	// Metrics counts; nil: bounds are logged only. It is set before the first call of Met.
 	Metrics *Metrics
 
-	// Log takes a line the first time that each bound is met.
+	// Log gets a line the first time that each bound is met.
 	Log *slog.Logger
 
-	logged [Bounds]atomic.Bool
+	logged [boundCount]atomic.Bool
 }
 
 // NewBoundReporter makes a reporter that does not count yet.
--- /dev/null
+++ b/internal/telemetry/event.go
@@ -0,0 +1,32 @@
+package telemetry
+
+// Event is something that is counted.
+type Event int
+
+// The events.
+const (
+	Refused      Event = iota // users' requests that were refused
+	Late                      // jobs that ended after their deadline
+	Failed                    // attempts that ended without a result
+	Stopped                   // attempts that were preempted
+	MachineLost               // machines whose lease expired
+	Rented                    // machines that were requested
+	RentRefused               // requests for machines that the cloud refused
+	Conflict                  // transactions that found a key changed
+	Unanswered                // transactions without an answer
+	LeaseEnded                // leases of controllers that were gone, revoked early
+	TakeoverWarm              // takeovers of a partition from a replica
+	TakeoverCold              // takeovers of a partition from the state store
+	CopyDiffers               // replicas that differed from the state store
+	HandedOver                // partitions handed over at a planned end
+	ShareMoved                // shards of machines that changed their delegate
+	eventCount
+)
+
+// eventNames are the middles of the counters' names.
+var eventNames = [eventCount]string{"requests_refused", "jobs_late", "attempts_failed", "attempts_stopped", "machines_lost", "machines_asked",
+	"rentals_refused", "commits_conflicting", "commits_unanswered", "leases_ended",
+	"takeovers_warm", "takeovers_cold", "copies_differing", "parts_handed_over", "shares_moved"}
+
+// metricName is the name of an event's counter.
+func (e Event) metricName() string { return "micaspindle_" + eventNames[e] + "_total" }
