--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -8,7 +8,6 @@
 import (
 	"context"
 	"log/slog"
-	"time"
 
 	"micaspindle/internal/coordination/agents"
 	"micaspindle/internal/coordination/api"
@@ -39,10 +38,12 @@
 	loop  *eventloop.Loop
 	store *storage.Store
 	log   *slog.Logger
-	// metrics measures what people notice; nil: nothing is measured.
+	// metrics is set by Observe; nil: nothing is measured.
 	metrics *telemetry.Metrics
 	bounds  *telemetry.BoundReporter
 
+	// The components; each package's comment says what it owns.
+
 	scheduler  *scheduler.Scheduler
 	agents     *agents.Agents
 	jobs       *jobs.Tracker
@@ -59,11 +60,11 @@
 	api        *api.Server
 }
 
-// New makes a controller that lives until ctx ends; Run starts its tasks, but requests may
+// New makes a controller that lives until ctx ends. Run starts its tasks, but requests may
 // come before.
-func New(ctx context.Context, set *settings.Settings, op settings.Operator, network storage.Requester, log *slog.Logger) *Controller {
+func New(ctx context.Context, set *settings.Settings, operator settings.Operator, network storage.Requester, log *slog.Logger) *Controller {
 	params := set.Params
-	state := cluster.NewState(set, op)
+	state := cluster.NewState(set, operator)
 	loop := eventloop.New(ctx, set.Label)
 	store := storage.NewStore(network, set.Services.State, params.State, params.Count)
 	bounds := telemetry.NewBoundReporter(log)
@@ -106,20 +107,22 @@
 	c.api.Connect(c.agents, c.auth, c.cloud, c.jobs, c.proxy, c.replicator, c.watcher)
 }
 
-// Identify makes the controller ask who sends a request. It is called before Run.
-func (c *Controller) Identify(ids auth.Identities) error { return c.auth.Enable(ids) }
+// Identify makes the controller authenticate and authorize requests. It is called before Run.
+func (c *Controller) Identify(identities auth.Identities) error { return c.auth.Enable(identities) }
+
+// observer is a component that measures itself.
+type observer interface{ Observe(*telemetry.Metrics) }
 
 // Observe makes the controller measure itself. It is called before Run.
 func (c *Controller) Observe() {
 	c.metrics = telemetry.New()
 	c.bounds.Metrics = c.metrics
-	for _, component := range []interface{ Observe(m *telemetry.Metrics) }{c.scheduler, c.agents, c.committer, c.leases, c.replicator,
-		c.takeover, c.proxy, c.autoscaler, c.api} {
+	for _, component := range []observer{c.scheduler, c.agents, c.committer, c.leases, c.replicator, c.takeover, c.proxy, c.autoscaler, c.api} {
 		component.Observe(c.metrics)
 	}
 }
 
-// Serve answers users, workers and health checks.
+// Serve answers users, agents and health checks.
 func (c *Controller) Serve(ctx context.Context, req *transport.Request) transport.Response {
 	return c.api.Serve(ctx, req)
 }
@@ -129,12 +132,11 @@
 	return c.api.ServeOperations(ctx, req)
 }
 
-// HandOver gives what this controller holds to whoever is to take it over, ahead of a
-// planned end.
+// HandOver hands this controller's partitions and leadership over to others, ahead of a
+// planned end. It returns when that is done, given up or ctx has ended.
 func (c *Controller) HandOver(ctx context.Context) { c.leases.HandOver(ctx) }
 
-// Run serves until the controller's context ends, and returns when every duty
-// has ended.
+// Run serves until the controller's context ends, and returns when every task has returned.
 func (c *Controller) Run() {
 	c.loop.Start(c.tick)
 	c.loop.Go(c.watcher.Watch)
@@ -155,44 +157,3 @@
 	}
 	c.loop.Wait()
 }
-
-func (c *Controller) tick(now time.Time) {
-	c.agents.CheckMachines(now)
-	c.leases.CheckReachability(now)
-	for label, ps := range c.Peers {
-		c.leases.RevokeIfDead(label, ps, now)
-	}
-	c.shareBudget(now)
-	c.proxy.Rebalance(now)
-	for _, p := range c.Partitions {
-		if p.Held && p.Ready {
-			c.takeover.ChooseStandby(p, now)
-			p.Wake()
-		}
-	}
-	for name, at := range c.DeletedMachines {
-		if now.Sub(at) > 10*time.Minute {
-			delete(c.DeletedMachines, name)
-		}
-	}
-	for name, at := range c.DivertedMachines {
-		if now.Sub(at) > 5*time.Second {
-			delete(c.DivertedMachines, name)
-		}
-	}
-}
-
-// shareBudget divides the state service's budget by what the controllers want.
-// One that was not heard counts as wanting as much as the others together do
-// on average.
-func (c *Controller) shareBudget(now time.Time) {
-	c.WriteDemand = c.store.WriteDemand(now)
-	total, heard := c.WriteDemand, 1.0
-	for _, ps := range c.Peers {
-		if ps.Alive(now) {
-			total += ps.Summary.WriteDemand
-			heard++
-		}
-	}
-	c.store.ShareWriteRate(c.WriteDemand, total*float64(len(c.Peers)+1)/heard)
-}
