--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -215,7 +215,7 @@
 		}
 		urgency, by := g.needOf(node.job)
 		for _, d := range node.dependencies {
-			if j := g.Nodes[d].job; j != nil && j.InheritNeed(urgency, by) {
+			if j := g.Nodes[d].job; j != nil && j.inheritNeed(urgency, by) {
 				stack = append(stack, d)
 			}
 		}
@@ -231,7 +231,7 @@
 	j.InheritedUrgency, j.InheritedDeadline = protocol.Low, time.Time{}
 	for _, d := range node.dependents {
 		if g.Nodes[d].job != nil && !g.Nodes[d].doomed {
-			j.InheritNeed(g.needOf(g.Nodes[d].job))
+			j.inheritNeed(g.needOf(g.Nodes[d].job))
 		}
 	}
 	return urgency != j.InheritedUrgency || !deadline.Equal(j.InheritedDeadline)
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -154,9 +154,9 @@
 	return j.ReadySince().Add(queueHorizon)
 }
 
-// InheritNeed raises the job's inherited urgency and moves its inherited deadline forward
+// inheritNeed raises the job's inherited urgency and moves its inherited deadline forward
 // to what a job that needs it asks for, and says whether that changed anything.
-func (j *Job) InheritNeed(urgency protocol.Urgency, by time.Time) bool {
+func (j *Job) inheritNeed(urgency protocol.Urgency, by time.Time) bool {
 	changed := false
 	if urgency > j.InheritedUrgency {
 		j.InheritedUrgency, changed = urgency, true
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -9,7 +9,7 @@
 )
 
 // Leadership is who leads the cluster, on every controller, and what the cluster leader
-// keeps in memory to scale it. All of the latter may be lost: names of machines never
+// keeps in memory to scale it. All of the latter may be lost: names of requests never
 // repeat, and machines without a record are adopted.
 type Leadership struct {
 	// From the leadership's record.
@@ -29,17 +29,18 @@
 
 	// Wakeup brings the next round of scaling forward.
 	Wakeup chan struct{}
-	// Requests counts the requests for machines under this leadership: names of machines
-	// are made of Revision and this number.
+	// Requests counts the requests for machines that this process has made: a request's name
+	// is made of Revision and this number.
 	Requests int
-	// PendingScaleOut are the requests under way, by the machines' name.
+	// PendingScaleOut are the requests under way, by the request's name.
 	PendingScaleOut map[string]*ScaleOutRequest
 	// RefusedCapacity is until when machines of a kind are not asked for, since the cloud
 	// had none.
 	RefusedCapacity map[binpack.MachineKind]time.Time
 	// Deleting is when the deletion of a machine was last asked for, by name.
 	Deleting map[string]time.Time
-	// Adopting is when recording a machine without a record was last tried, by name.
+	// Adopting is when recording a machine without a record was last tried, by name; an
+	// earlier time stands for one that is to be tried soon.
 	Adopting map[string]time.Time
 	// MovedAt is when a machine was last moved between partitions, by name.
 	MovedAt map[string]time.Time
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -57,7 +57,8 @@
 	// Usage is what live attempts use, by team index.
 	Usage []binpack.Compute
 	// QueueOrder are the jobs that need something done, in the order in which they are
-	// served, as of QueueOrderedAt; nil: to be computed. IdleJobs are the other jobs.
+	// served, as of QueueOrderedAt; nil: to be computed. IdleJobs are the other loaded jobs
+	// that are not blocked.
 	QueueOrder     []*Job
 	IdleJobs       []*Job
 	QueueOrderedAt time.Time
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -29,7 +29,7 @@
 // pauses cost users.
 var watchBackoff = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
 
-// Watcher follows the shared records and hands each to its owner.
+// Watcher follows the shared records and hands each to the component that owns what it says.
 type Watcher struct {
 	*cluster.State
 	loop  *eventloop.Loop
