--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -85,10 +85,13 @@
 	return (len(w.Types) == 0 || slices.Contains(w.Types, t.Name)) && Size(t).Holds(need)
 }
 
+// TypeSetSize is how many types of a catalog a TypeSet tells apart: the first so many.
+const TypeSetSize = 64
+
 // TypeSet is the set of types that a task fits, as bits.
 func TypeSet(w Constraints, need Resources, catalog []protocol.MachineType) uint64 {
 	set := uint64(0)
-	for i := range min(len(catalog), 64) {
+	for i := range min(len(catalog), TypeSetSize) {
 		if FitsOffered(w, need, &catalog[i]) {
 			set |= 1 << i
 		}
--- /dev/null
+++ b/internal/coordination/scheduler/capacity.go
@@ -0,0 +1,114 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/queue"
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/settings"
+)
+
+// slotsKey identifies jobs that the same machines run equally many tasks of.
+type slotsKey struct {
+	need  binpack.Resources
+	types uint64
+}
+
+// addEstimates completes the views of those jobs that have pending tasks and a deadline; the
+// order depends on it for these only. It estimates how long they run, on which types, and how
+// many tasks the partition's machines and the team's limit let run at once.
+func (s *Scheduler) addEstimates(p *cluster.Partition, jobs []*cluster.Job, views []queue.Job) {
+	machines := s.machinesByType(p)
+	// Beyond that many types a set does not tell them all apart.
+	cacheable := len(s.Catalog) <= binpack.TypeSetSize
+	cache := map[slotsKey]float64{}
+	for index, job := range jobs {
+		view := &views[index]
+		if view.Deadline.IsZero() || view.Waiting == 0 {
+			continue
+		}
+		view.EstimateS = s.EstimateS(job.Spec)
+		view.Types = s.typeSet(job.Spec)
+		view.AtOnce = s.teamParallelism(job)
+		key := slotsKey{cluster.ResourcesOf(job.Spec), view.Types}
+		slots, cached := cache[key]
+		if !cached {
+			slots = s.fleetSlots(machines, job.Spec)
+			if cacheable {
+				cache[key] = slots
+			}
+		}
+		view.Slots = slots
+	}
+}
+
+// machinesByType counts the healthy machines of a partition by type.
+func (s *Scheduler) machinesByType(p *cluster.Partition) map[string]int {
+	counts := map[string]int{}
+	for _, machine := range s.Machines {
+		if machine.Record.Partition == p.Index && machine.Type != nil && !machine.Lost && !machine.Quarantined {
+			counts[machine.Type.Name]++
+		}
+	}
+	return counts
+}
+
+// JobRunTime predicts how long a job takes from its first start to its end.
+func (s *Scheduler) JobRunTime(job *cluster.Job) time.Duration {
+	rounds := queue.Rounds(job.Spec.Tasks, s.teamParallelism(job))
+	return settings.Seconds(s.EstimateS(job.Spec) * rounds)
+}
+
+// fleetSlots is how many tasks of a job run at once on machines that are counted by type.
+func (s *Scheduler) fleetSlots(machines map[string]int, spec *protocol.JobSpec) float64 {
+	constraints, need := cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec)
+	slots := 0
+	for index := range s.Catalog {
+		machineType := &s.Catalog[index]
+		if count := machines[machineType.Name]; count > 0 && binpack.FitsOffered(constraints, need, machineType) {
+			slots += count * binpack.Size(machineType).Slots(need, binpack.UnboundedSlots)
+		}
+	}
+	return float64(slots)
+}
+
+// teamParallelism is how many tasks of a job its team's limit lets run at once.
+func (s *Scheduler) teamParallelism(job *cluster.Job) float64 {
+	team := s.Settings.Params.Teams[job.Team]
+	if team.CPUsMax <= 0 || job.Spec.CPUs <= 0 {
+		return math.Inf(1)
+	}
+	return max(1, math.Floor((team.CPUsMax+binpack.Epsilon)/job.Spec.CPUs))
+}
+
+// typeSet is the set of machine types that a job's tasks fit, as bits.
+func (s *Scheduler) typeSet(spec *protocol.JobSpec) uint64 {
+	return binpack.TypeSet(cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec), s.Catalog)
+}
+
+// Scarcity says of each machine type how few choices the unfinished jobs have that need it.
+// It looks at the jobs of all partitions, since machines move between them, and is cached for
+// cluster.QueueOrderTTL.
+func (s *Scheduler) Scarcity(now time.Time) binpack.Scarcity {
+	if s.ScarcityCache != nil && now.Sub(s.scarcityAt) < cluster.QueueOrderTTL {
+		return s.ScarcityCache
+	}
+	scarcity := binpack.Scarcity{}
+	for id, job := range s.Jobs {
+		if job.Ended || job.Blocked || s.FinalStates[id] != "" || job.Loaded && len(job.Pending) == 0 {
+			continue
+		}
+		constraints, need := cluster.ConstraintsOf(job.Spec), cluster.ResourcesOf(job.Spec)
+		breadth := binpack.TypeCount(s.typeSet(job.Spec))
+		for index := range s.Catalog {
+			if machineType := &s.Catalog[index]; binpack.FitsOffered(constraints, need, machineType) {
+				scarcity.Note(machineType.Name, breadth)
+			}
+		}
+	}
+	s.ScarcityCache, s.scarcityAt = scarcity, now
+	return scarcity
+}
--- a/internal/coordination/scheduler/collaborators.go
+++ b/internal/coordination/scheduler/collaborators.go
@@ -6,8 +6,9 @@
 	"micaspindle/internal/coordination/cluster"
 )
 
-// Agents is what Scheduler asks of its collaborator.
+// Agents stops attempts on behalf of the scheduler.
 type Agents interface {
-	// StopAttempt wants an attempt off its machine.
+	// StopAttempt sends the agent of an attempt's machine the command to stop it. The task
+	// gets grace seconds to save its state.
 	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
 }
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -7,222 +7,163 @@
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/fairshare"
-	"micaspindle/internal/protocol"
-	"micaspindle/internal/storage"
-	"micaspindle/internal/telemetry"
 )
 
-// fairShareInterval is how often it is decided anew what is kept for groups that are behind.
+// fairShareInterval is the least time between two decisions on what is reserved for starved
+// groups.
 const fairShareInterval = time.Second
 
-// ClassGroupsLimit bounds the classes that are told apart, and those whose run times are learnt:
-// users make up their names. It does not grow with the machines; one takes up to 300 bytes.
-const ClassGroupsLimit = 1000
-
-func (sched *Scheduler) ClassGroup(class string) int {
-	g, known := sched.ClassGroups[class]
-	switch {
-	case known:
-	case len(sched.ClassGroups) >= ClassGroupsLimit:
-		sched.bounds.Met(telemetry.Classes, 1)
-		return fairshare.NoGroup
-	default:
-		g = len(sched.Settings.Params.Teams) + len(sched.ClassGroups) + 1
-		sched.ClassGroups[class] = g
-	}
-	return g
-}
-
-// CountDone counts a job that was done.
-func (sched *Scheduler) CountDone(part int, groups [2]int, at time.Time) {
-	now := time.Now()
-	for _, g := range groups {
-		t := sched.Partitions[part].DoneTallies[g]
-		if t == nil {
-			t = &fairshare.Tally{}
-			sched.Partitions[part].DoneTallies[g] = t
+// updateFairShare decides which machines of a partition, and what of the teams' limits, are
+// reserved for starved groups.
+func (s *Scheduler) updateFairShare(p *cluster.Partition, now time.Time) {
+	if now.Sub(p.FairShare.DecidedAt) < fairShareInterval {
+		return
+	}
+	wasActive := p.FairShare.Shares != nil
+	p.FairShare = cluster.FairShareState{DecidedAt: now}
+	groups := s.countGroups(p, now)
+	p.FairShare.Shares = fairshare.Shares(groups)
+	if p.FairShare.Shares == nil {
+		if wasActive {
+			s.releaseMachines(p)
 		}
-		t.Add(at, now)
+		return
 	}
-}
-
-// ResetDoneCounts begins the count anew, before a listing is taken in.
-func (sched *Scheduler) ResetDoneCounts() {
-	for _, p := range sched.Partitions {
-		clear(p.DoneTallies)
+	s.reserveQuota(p, now)
+	reserved, usable := s.reserveMachines(p, groups, now)
+	if !wasActive {
+		s.log.Info("fair-share reservations started", "partition", p.Index, "groups", s.starvedGroupNames(p), "count", reserved, "usable", usable)
 	}
 }
 
-// CountListedJob counts a listed job that is done: what a controller that was away missed.
-func (sched *Scheduler) CountListedJob(id string, raw []byte) {
-	if sched.FinalStates[id] != protocol.StatusDone {
-		return
-	}
-	var spec protocol.JobKind
-	if storage.Decode(raw, &spec) != nil {
-		return
-	}
-	if team, ok := sched.TeamIndex[spec.Team]; ok {
-		sched.CountDone(sched.TeamPartition[team], [2]int{cluster.TeamGroup(team), sched.ClassGroup(spec.Class)}, sched.ListedEnds[id])
+// releaseMachines ends all reservations of a partition's machines.
+func (s *Scheduler) releaseMachines(p *cluster.Partition) {
+	s.log.Info("fair-share reservations released", "partition", p.Index)
+	for _, machine := range s.Machines {
+		if machine.Record.Partition == p.Index {
+			machine.ReservedFor = fairshare.NoGroup
+		}
 	}
 }
 
-// updateFairShare decides what is kept for groups of a part that are behind.
-func (sched *Scheduler) updateFairShare(p *cluster.Partition, now time.Time) {
-	if now.Sub(p.FairShare.DecidedAt) < fairShareInterval {
-		return
+// reserveMachines decides anew for which group each usable machine of a partition is
+// reserved. It returns how many are, and how many machines are usable.
+func (s *Scheduler) reserveMachines(p *cluster.Partition, groups []fairshare.Group, now time.Time) (reserved, usable int) {
+	view := fairshare.View{Groups: groups, Jobs: s.starvedJobs(p, now)}
+	var machines []*cluster.Machine
+	for _, machine := range s.Machines {
+		if s.usableIn(p, machine, now) {
+			machines = append(machines, machine)
+			view.Machines = append(view.Machines, fairShareMachine(p, machine))
+		}
 	}
-	was := p.FairShare.Shares != nil
-	p.FairShare = cluster.FairShareState{DecidedAt: now}
-	groups := sched.countGroups(p, now)
-	if p.FairShare.Shares = fairshare.Shares(groups); p.FairShare.Shares == nil {
-		if was {
-			sched.log.Info("nothing is kept any more", "part", p.Index)
-			for _, m := range sched.Machines {
-				if m.Record.Partition == p.Index {
-					m.ReservedFor = fairshare.NoGroup
-				}
-			}
+	for index, group := range fairshare.Reserve(view) {
+		machines[index].ReservedFor = group
+		if group != fairshare.NoGroup {
+			reserved++
 		}
-		return
 	}
-	sched.reserveQuota(p, now)
-	v := fairshare.View{Groups: groups}
-	for _, j := range sched.Queue(p) {
-		team := sched.Settings.Params.Teams[j.Team]
-		if len(j.Pending) > 0 && !j.Ended && !now.Before(j.BackoffUntil) && p.FairShare.Starved(j) &&
-			(cluster.TeamLimit(team).Allows(p.Usage[j.Team], cluster.ResourcesOf(j.Spec)) || p.FairShare.WithinReserve[cluster.TeamClass{Team: j.Team, ClassGroup: j.ClassGroup}]) {
-			v.Jobs = append(v.Jobs, fairshare.Job{Class: j.ClassGroup, Team: cluster.TeamGroup(j.Team), Need: cluster.ResourcesOf(j.Spec), Wish: cluster.ConstraintsOf(j.Spec), Waiting: len(j.Pending)})
+	return reserved, len(machines)
+}
+
+// starvedJobs lists the jobs of starved groups that could start if there were room for them.
+func (s *Scheduler) starvedJobs(p *cluster.Partition, now time.Time) []fairshare.Job {
+	var jobs []fairshare.Job
+	for _, job := range s.Queue(p) {
+		if len(job.Pending) == 0 || job.Ended || now.Before(job.BackoffUntil) || !p.FairShare.Starved(job) || !s.withinQuota(p, job) {
+			continue
 		}
+		jobs = append(jobs, fairshare.Job{
+			Class:   job.ClassGroup,
+			Team:    cluster.TeamGroup(job.Team),
+			Need:    cluster.ResourcesOf(job.Spec),
+			Wish:    cluster.ConstraintsOf(job.Spec),
+			Waiting: len(job.Pending),
+		})
 	}
-	var machines []*cluster.Machine
-	for _, m := range sched.Machines {
-		if m.Record.Partition != p.Index || !sched.Usable(m, now) {
+	return jobs
+}
+
+// withinQuota reports whether a job's team may start one more task of it: within the team's
+// limit, or within what is reserved of that for the job's class.
+func (s *Scheduler) withinQuota(p *cluster.Partition, job *cluster.Job) bool {
+	limit := cluster.TeamLimit(s.Settings.Params.Teams[job.Team])
+	return limit.Allows(p.Usage[job.Team], cluster.ResourcesOf(job.Spec)) || p.FairShare.WithinReserve[teamClass(job)]
+}
+
+// fairShareMachine is what the reservation of a machine depends on.
+func fairShareMachine(p *cluster.Partition, machine *cluster.Machine) fairshare.Machine {
+	view := fairshare.Machine{
+		Name:        machine.Name,
+		Kind:        cluster.MachineKindOf(machine.Record),
+		Size:        binpack.Size(machine.Type),
+		Free:        machine.Free(),
+		ReservedFor: machine.ReservedFor,
+		Held:        map[int]float64{},
+	}
+	for _, attempt := range machine.Attempts {
+		if !attempt.Live() {
 			continue
 		}
-		machines = append(machines, m)
-		fm := fairshare.Machine{Name: m.Name, Kind: cluster.MachineKindOf(m.Record), Size: binpack.Size(m.Type), Free: m.Free(), ReservedFor: m.ReservedFor, Held: map[int]float64{}}
-		for _, a := range m.Attempts {
-			if a.Live() {
-				for _, g := range a.Job.Groups() {
-					if p.FairShare.Share(g) > 0 {
-						fm.Held[g] += a.Job.Spec.CPUs
-					}
-				}
+		for _, group := range attempt.Job.Groups() {
+			if p.FairShare.Share(group) > 0 {
+				view.Held[group] += attempt.Job.Spec.CPUs
 			}
 		}
-		v.Machines = append(v.Machines, fm)
-	}
-	kept := 0
-	for i, g := range fairshare.Reserve(v) {
-		machines[i].ReservedFor = g
-		if g != fairshare.NoGroup {
-			kept++
-		}
-	}
-	if !was {
-		sched.log.Info("keeping machines for what is behind", "part", p.Index, "groups", sched.starvedGroupNames(p), "machines", kept, "of", len(machines))
 	}
+	return view
 }
 
-// countGroups counts a part's work by group.
-func (sched *Scheduler) countGroups(p *cluster.Partition, now time.Time) []fairshare.Group {
-	groups := make([]fairshare.Group, len(sched.Settings.Params.Teams)+len(sched.ClassGroups)+1)
-	for id, j := range sched.Jobs {
-		if j.Partition != p.Index || !j.Loaded || j.Blocked || j.Ended || sched.FinalStates[id] != "" {
+// countGroups counts the jobs of a partition by group. What of a team is starved counts only
+// beyond the average of all teams.
+func (s *Scheduler) countGroups(p *cluster.Partition, now time.Time) []fairshare.Group {
+	teamCount := len(s.Settings.Params.Teams)
+	groups := make([]fairshare.Group, teamCount+len(s.ClassGroups)+1)
+	for id, job := range s.Jobs {
+		if job.Partition != p.Index || !job.Loaded || job.Blocked || job.Ended || s.FinalStates[id] != "" {
 			continue
 		}
-		late := 0.0
-		if len(j.Pending) > 0 && now.Sub(j.ReadySince()).Seconds() > fairshare.StarvationS(j.Spec.DeadlineS) {
-			late = float64(len(j.Pending)) / float64(j.Spec.Tasks)
-		}
-		for _, g := range j.Groups() {
-			groups[g].Open++
-			groups[g].Late += late
+		late := lateShare(job, now)
+		for _, group := range job.Groups() {
+			groups[group].Open++
+			groups[group].Late += late
 		}
 	}
-	for g, t := range p.DoneTallies {
-		groups[g].Done = t.Value(now)
+	for group, tally := range p.DoneTallies {
+		groups[group].Done = tally.Value(now)
 	}
 	groups[fairshare.NoGroup] = fairshare.Group{}
-	teams, all := groups[1:len(sched.Settings.Params.Teams)+1], fairshare.Group{}
-	for _, g := range teams {
-		all.Open, all.Late, all.Done = all.Open+g.Open, all.Late+g.Late, all.Done+g.Done
+	teams := groups[cluster.TeamGroup(0) : cluster.TeamGroup(0)+teamCount]
+	all := fairshare.Group{}
+	for _, team := range teams {
+		all.Open += team.Open
+		all.Late += team.Late
+		all.Done += team.Done
 	}
-	for i := range teams {
-		teams[i] = teams[i].BeyondAverage(all)
+	for index := range teams {
+		teams[index] = teams[index].BeyondAverage(all)
 	}
 	return groups
 }
 
-// reserveQuota keeps a part of teams' limits for their classes that are behind, as far as
-// machines have room for their work now: where room is what it waits for, the limit is
-// of more use to others.
-func (sched *Scheduler) reserveQuota(p *cluster.Partition, now time.Time) {
-	uses := map[cluster.TeamClass]fairshare.ClassUse{}
-	var machines []*cluster.Machine
-	free := map[*cluster.Machine]binpack.Resources{}
-	for _, m := range sched.Machines {
-		if m.Record.Partition == p.Index && sched.Usable(m, now) {
-			machines, free[m] = append(machines, m), m.Free()
-		}
-	}
-	for _, j := range sched.Queue(p) {
-		if sched.Settings.Params.Teams[j.Team].CPUsMax <= 0 || p.FairShare.Share(j.ClassGroup) == 0 {
-			continue
-		}
-		u := uses[cluster.TeamClass{Team: j.Team, ClassGroup: j.ClassGroup}]
-		u.Class = j.ClassGroup
-		n, need := 0, cluster.ResourcesOf(j.Spec)
-		for _, m := range machines {
-			if m.ReservedFor != fairshare.NoGroup && m.ReservedFor != j.ClassGroup && m.ReservedFor != cluster.TeamGroup(j.Team) || !cluster.ConstraintsOf(j.Spec).Allows(cluster.MachineKindOf(m.Record)) {
-				continue
-			}
-			slots := free[m].Slots(need, len(j.Pending)-n)
-			n, free[m] = n+slots, free[m].Plus(need, -float64(slots))
-		}
-		u.Wanted.Add(need, float64(n))
-		uses[cluster.TeamClass{Team: j.Team, ClassGroup: j.ClassGroup}] = u
-	}
-	for _, j := range sched.Jobs {
-		k := cluster.TeamClass{Team: j.Team, ClassGroup: j.ClassGroup}
-		u, asked := uses[k]
-		if !asked || !j.Loaded {
-			continue
-		}
-		for _, a := range j.LiveAttempts {
-			if a.Live() {
-				u.Used.Add(cluster.ResourcesOf(j.Spec), 1)
-			}
-		}
-		uses[k] = u
-	}
-	p.FairShare.Quota, p.FairShare.WithinReserve = make([][]fairshare.ReservedQuota, len(p.Usage)), map[cluster.TeamClass]bool{}
-	for team := range p.Usage {
-		var of []fairshare.ClassUse
-		for k, u := range uses {
-			if k.Team == team {
-				of = append(of, u)
-			}
-		}
-		limit := cluster.TeamLimit(sched.Settings.Params.Teams[team])
-		p.FairShare.Quota[team] = fairshare.Quotas(p.FairShare.Shares, limit, of)
-		for _, u := range of {
-			p.FairShare.WithinReserve[cluster.TeamClass{Team: team, ClassGroup: u.Class}] = u.Used.CPUs <= p.FairShare.Share(u.Class)*limit.CPUs
-		}
+// lateShare is the share of a job's tasks that are pending though the job has waited long.
+func lateShare(job *cluster.Job, now time.Time) float64 {
+	if len(job.Pending) == 0 || now.Sub(job.ReadySince()).Seconds() <= fairshare.StarvationS(job.Spec.DeadlineS) {
+		return 0
 	}
+	return float64(len(job.Pending)) / float64(job.Spec.Tasks)
 }
 
-// starvedGroupNames names the groups that something is kept for.
-func (sched *Scheduler) starvedGroupNames(p *cluster.Partition) []string {
+// starvedGroupNames names the groups for which something is reserved.
+func (s *Scheduler) starvedGroupNames(p *cluster.Partition) []string {
 	var names []string
-	for i, t := range sched.Settings.Params.Teams {
-		if p.FairShare.Share(cluster.TeamGroup(i)) > 0 {
-			names = append(names, "team "+t.Name)
+	for index, team := range s.Settings.Params.Teams {
+		if p.FairShare.Share(cluster.TeamGroup(index)) > 0 {
+			names = append(names, "team "+team.Name)
 		}
 	}
-	for class, g := range sched.ClassGroups {
-		if p.FairShare.Share(g) > 0 {
+	for class, group := range s.ClassGroups {
+		if p.FairShare.Share(group) > 0 {
 			names = append(names, "class "+class)
 		}
 	}
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -1,223 +1,147 @@
-// Package scheduler decides which tasks of a partition run where. It gathers views of the
-// state, has the pure packages queue, placement, preemption, fairshare and contention decide,
-// and reserves what they say. It owns the corrections of run-time estimates and what is kept
-// of the fair share.
 package scheduler
 
 import (
-	"log/slog"
 	"time"
 
-	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/contention"
 	"micaspindle/internal/coordination/placement"
-	"micaspindle/internal/storage"
-	"micaspindle/internal/telemetry"
 )
 
-// Scheduler decides which tasks of a partition run where: the order of its queue, placement,
-// preemption and the fair share.
-type Scheduler struct {
-	*cluster.State
-	store   *storage.Store
-	log     *slog.Logger
-	bounds  *telemetry.BoundReporter
-	metrics *telemetry.Metrics
-
-	agents Agents
-
-	// Corrections are, by class, how far estimates of run times are off.
-	Corrections      map[string]*runtimeCorrection
-	ScarcityCache    binpack.Scarcity
-	scarcityAt       time.Time
-	queueBuffers     queueBuffers
-	placementBuffers placementBuffers
-	// ClassGroups numbers the classes as groups of the fair share, after the teams.
-	ClassGroups map[string]int
-}
+// longFetchShare is the share of a task's run time from which on fetching its image counts
+// as long.
+const longFetchShare = 0.15
 
-// New makes one without collaborators.
-func New(state *cluster.State, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Scheduler {
-	return &Scheduler{State: state, store: store, log: log, bounds: bounds,
-		Corrections: map[string]*runtimeCorrection{}, ClassGroups: map[string]int{}}
+// placementBuffers are the slices that Place fills, reused from one round to the next. jobs
+// and jobViews, and machines and machineViews, have the same indexes.
+type placementBuffers struct {
+	jobs         []*cluster.Job
+	jobViews     []placement.Job
+	machines     []*cluster.Machine
+	machineViews []placement.Machine
 }
 
-// Connect gives it its collaborators, before the loop starts.
-func (sched *Scheduler) Connect(agents Agents) {
-	sched.agents = agents
+// release empties the buffers, so that they don't keep jobs and machines that end alive.
+func (b *placementBuffers) release() {
+	clear(b.jobs)
+	clear(b.jobViews)
+	clear(b.machines)
+	b.jobs, b.jobViews = b.jobs[:0], b.jobViews[:0]
+	b.machines, b.machineViews = b.machines[:0], b.machineViews[:0]
 }
 
-// Observe makes it measure itself, before the loop starts.
-func (sched *Scheduler) Observe(m *telemetry.Metrics) { sched.metrics = m }
-
-// Place gives waiting tasks to machines by least contention: it gathers what the
-// placement's room decides on, and reserves what that says.
-func (sched *Scheduler) Place(p *cluster.Partition, now time.Time) {
-	// The room for all of these is that of the last time.
-	list, usable := sched.placementBuffers.jobs[:0], usableMachines{now: now, list: sched.placementBuffers.machines[:0], predict: sched.predictMachine}
-	v := placement.View{Jobs: sched.placementBuffers.jobViews[:0], Machines: sched.placementBuffers.machineViews[:0], Scarcity: sched.Scarcity(now), Horizon: sched.horizon()}
-	defer func() {
-		sched.placementBuffers = placementBuffers{list, usable.list, v.Jobs, v.Machines}
-		clear(list) // what ends is not held
-		clear(usable.list)
-		clear(v.Jobs)
-	}()
-	sched.updateFairShare(p, now)
-	for _, j := range sched.Queue(p) {
-		if len(j.Pending) == 0 || j.Ended || sched.FinalStates[j.Spec.ID] != "" || now.Before(j.BackoffUntil) {
-			continue
-		}
-		if j.Spec.Gang && len(j.LiveAttempts) > 0 {
-			continue // remnants of the last try are still on their machines
-		}
-		list, v.Jobs = append(list, j), append(v.Jobs, sched.placementView(j))
-	}
-	if len(list) == 0 {
+// Place assigns pending tasks of a partition to machines, by least contention, and reserves
+// an attempt for each.
+func (s *Scheduler) Place(p *cluster.Partition, now time.Time) {
+	buffers := &s.placementBuffers
+	defer buffers.release()
+	scarcity := s.Scarcity(now)
+	s.updateFairShare(p, now)
+	s.collectPlaceableJobs(p, now)
+	if len(buffers.jobs) == 0 {
 		return
 	}
-	for _, m := range sched.Machines {
-		if m.Record.Partition == p.Index && sched.Usable(m, now) {
-			usable.list = append(usable.list, m)
-			v.Machines = append(v.Machines, placement.Machine{Name: m.Name, Kind: cluster.MachineKindOf(m.Record), Free: m.Free(), FetchGBPerS: m.Type.FetchGBPerS, ReservedFor: m.ReservedFor})
-		}
-	}
-	if len(v.Machines) == 0 {
+	s.collectPlacementMachines(p, now)
+	if len(buffers.machines) == 0 {
 		return
 	}
-	v.Of = usable
-	for team, t := range sched.Settings.Params.Teams {
-		v.Teams = append(v.Teams, placement.Team{Limit: cluster.TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.QuotaOf(team)})
-	}
-	decided := placement.Decide(v)
-	for _, i := range decided.Wanted {
-		usable.list[i].IdleSince = now
-	}
-	for plan := decided.Start; len(plan) > 0; {
-		at, n := plan[0].Job, 1
-		for n < len(plan) && plan[n].Job == at {
-			n++
-		}
-		sched.reserveAll(p, list[at], plan[:n], usable.list, now)
-		plan = plan[n:]
+	plan := placement.Decide(placement.View{
+		Jobs:     buffers.jobViews,
+		Machines: buffers.machineViews,
+		Teams:    s.placementTeams(p),
+		Scarcity: scarcity,
+		Horizon:  s.horizon(),
+		Of:       usableMachines{scheduler: s, machines: buffers.machines, now: now},
+	})
+	for _, index := range plan.Wanted {
+		buffers.machines[index].IdleSince = now
 	}
+	s.reservePlan(p, plan.Start, now)
 }
 
-// placementBuffers is room for the views of placement.
-type placementBuffers struct {
-	jobs         []*cluster.Job
-	machines     []*cluster.Machine
-	jobViews     []placement.Job
-	machineViews []placement.Machine
-}
-
-// longFetchShare is the share of a run from which on fetching its image counts as
-// long.
-const longFetchShare = 0.15
-
-// placementView is what the placement of a job's tasks depends on.
-func (sched *Scheduler) placementView(j *cluster.Job) placement.Job {
-	s := j.Spec
-	v := placement.Job{Waiting: len(j.Pending), Gang: s.Gang, Team: j.Team, Groups: j.Groups(), Class: j.ClassGroup, Resources: cluster.ResourcesOf(s), Constraints: cluster.ConstraintsOf(s), Types: sched.typeSet(s),
-		Image: s.Image, ImageGB: s.ImageGB, LongS: longFetchShare * sched.EstimateS(s), OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
-		Failed: j.FailedMachines, Prediction: sched.predictTask(s, 0)}
-	if len(s.Dependencies) > 0 || !j.InheritedDeadline.IsZero() {
-		v.LongS = 0 // in a pipeline, fetches add up
-	}
-	if s.OneZone || s.Spread {
-		v.Zones = j.ZoneCounts()
+// collectPlaceableJobs gathers the jobs of a partition that have tasks to place, in queue
+// order.
+func (s *Scheduler) collectPlaceableJobs(p *cluster.Partition, now time.Time) {
+	buffers := &s.placementBuffers
+	for _, job := range s.Queue(p) {
+		if len(job.Pending) == 0 || job.Ended || s.FinalStates[job.Spec.ID] != "" || now.Before(job.BackoffUntil) {
+			continue
+		}
+		if job.Spec.Gang && len(job.LiveAttempts) > 0 {
+			continue // attempts of the last try are still on their machines
+		}
+		buffers.jobs = append(buffers.jobs, job)
+		buffers.jobViews = append(buffers.jobViews, s.placementView(job))
 	}
-	return v
-}
-
-// usableMachines answers what placement asks of few of them.
-type usableMachines struct {
-	now  time.Time
-	list []*cluster.Machine
-	// predict says what runs on a machine now.
-	predict func(m *cluster.Machine, now time.Time) *contention.Machine
 }
 
-// HasImage says whether a machine has an image or is fetching it already.
-func (u usableMachines) HasImage(i int, image string) bool { return u.list[i].HasImage(image) }
-
-// Running is what placement compares of a machine, kept until its attempts change or
-// the prediction is old: not every task that is placed must predict every other one.
-func (u usableMachines) Running(i int) *contention.Machine {
-	m := u.list[i]
-	if m.Prediction == nil || u.now.Sub(m.PredictedAt) >= cluster.QueueOrderTTL {
-		m.Prediction = u.predict(m, u.now)
-		m.PredictedAt = u.now
+// collectPlacementMachines gathers the usable machines of a partition.
+func (s *Scheduler) collectPlacementMachines(p *cluster.Partition, now time.Time) {
+	buffers := &s.placementBuffers
+	for _, machine := range s.Machines {
+		if !s.usableIn(p, machine, now) {
+			continue
+		}
+		buffers.machines = append(buffers.machines, machine)
+		buffers.machineViews = append(buffers.machineViews, placement.Machine{
+			Name:        machine.Name,
+			Kind:        cluster.MachineKindOf(machine.Record),
+			Free:        machine.Free(),
+			FetchGBPerS: machine.Type.FetchGBPerS,
+			ReservedFor: machine.ReservedFor,
+		})
 	}
-	return m.Prediction
 }
 
-// predictMachine is what placement compares of a machine.
-func (sched *Scheduler) predictMachine(m *cluster.Machine, now time.Time) *contention.Machine {
-	return &contention.Machine{Tasks: sched.predictTasks(m, now), Limit: sched.Operator.LimitShare * m.Type.CPUs}
-}
-
-// reserveAll reserves what was decided for a job, as far as its records have room;
-// of a gang all or nothing. What has none waits for the next round.
-func (sched *Scheduler) reserveAll(p *cluster.Partition, j *cluster.Job, plan []placement.Assignment, machines []*cluster.Machine, now time.Time) {
-	number := uint64(0)
-	before := map[int]cluster.RunChunk{}
-	if j.Spec.Gang {
-		// All share one attempt number, by which workers know their mates.
-		number = 1
-		for i, ch := range j.Chunks {
-			before[i] = *ch
-			number = max(number, ch.LastNumber+1)
+// placementTeams lists the teams' limits and what they use of them in a partition.
+func (s *Scheduler) placementTeams(p *cluster.Partition) []placement.Team {
+	teams := make([]placement.Team, len(s.Settings.Params.Teams))
+	for index, team := range s.Settings.Params.Teams {
+		teams[index] = placement.Team{
+			Limit:    cluster.TeamLimit(team),
+			Used:     p.Usage[index],
+			Reserved: p.FairShare.QuotaOf(index),
 		}
 	}
-	for n, a := range plan {
-		task, m, own := j.Pending[n], machines[a.Machine], number
-		if !j.Spec.Gang {
-			own = j.Chunk(task).LastNumber + 1
-		}
-		if sched.HasRecordRoom(j, task, own, m) {
-			sched.Reserve(p, j, task, own, m, now)
-			continue
-		}
-		if j.Spec.Gang {
-			sched.unreserveGang(p, j, before)
-			return
-		}
-		plan = plan[:n]
-		break
+	return teams
+}
+
+// placementView is what the placement of a job's tasks depends on.
+func (s *Scheduler) placementView(job *cluster.Job) placement.Job {
+	spec := job.Spec
+	view := placement.Job{
+		Waiting:     len(job.Pending),
+		Gang:        spec.Gang,
+		Team:        job.Team,
+		Groups:      job.Groups(),
+		Class:       job.ClassGroup,
+		Resources:   cluster.ResourcesOf(spec),
+		Constraints: cluster.ConstraintsOf(spec),
+		Types:       s.typeSet(spec),
+		Image:       spec.Image,
+		ImageGB:     spec.ImageGB,
+		LongS:       s.longFetchS(job),
+		OneZone:     spec.OneZone,
+		Spread:      spec.Spread,
+		Tasks:       spec.Tasks,
+		Failed:      job.FailedMachines,
+		Prediction:  s.predictTask(spec, 0),
 	}
-	j.Pending = j.Pending[len(plan):]
-	if len(j.Pending) == 0 {
-		j.Pending = nil
+	if spec.OneZone || spec.Spread {
+		view.Zones = job.ZoneCounts()
 	}
+	return view
 }
 
-// unreserveGang gives back what was reserved of a gang.
-func (sched *Scheduler) unreserveGang(p *cluster.Partition, j *cluster.Job, before map[int]cluster.RunChunk) {
-	for _, a := range j.LiveAttempts {
-		delete(a.Machine.Attempts, cluster.AttemptKey(a.TaskName(), a.Number))
-		a.Machine.RecountUsed()
-		p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), -1)
-	}
-	clear(j.LiveAttempts)
-	for i, ch := range j.Chunks {
-		old, existed := before[i]
-		if !existed {
-			delete(j.Chunks, i)
-			continue
-		}
-		ch.Dirty, ch.Urgent, ch.LastNumber = old.Dirty, old.Urgent, old.LastNumber
+// longFetchS is how many seconds fetching a job's image may take before machines that have
+// it are preferred. In a pipeline fetches add up, so there every fetch counts as long.
+func (s *Scheduler) longFetchS(job *cluster.Job) float64 {
+	if inPipeline(job) {
+		return 0
 	}
+	return longFetchShare * s.EstimateS(job.Spec)
 }
 
-func (sched *Scheduler) Reserve(p *cluster.Partition, j *cluster.Job, task int, number uint64, m *cluster.Machine, now time.Time) {
-	ch := j.Chunk(task)
-	ch.LastNumber = max(ch.LastNumber, number)
-	a := &cluster.Attempt{Job: j, TaskIndex: task, Number: number, Machine: m, Epoch: m.Epoch}
-	j.LiveAttempts[task] = a
-	m.Attempts[cluster.AttemptKey(a.TaskName(), a.Number)] = a
-	p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), 1)
-	m.RecountUsed()
-	m.IdleSince = now
-	j.MarkDirty(task, true, now)
+// inPipeline reports whether a job waits for others or others wait for it.
+func inPipeline(job *cluster.Job) bool {
+	return len(job.Spec.Dependencies) > 0 || !job.InheritedDeadline.IsZero()
 }
--- /dev/null
+++ b/internal/coordination/scheduler/quota.go
@@ -0,0 +1,99 @@
+package scheduler
+
+import (
+	"time"
+
+	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/fairshare"
+)
+
+// teamClass identifies the jobs that share a team and a class with this one.
+func teamClass(job *cluster.Job) cluster.TeamClass {
+	return cluster.TeamClass{Team: job.Team, ClassGroup: job.ClassGroup}
+}
+
+// reserveQuota reserves a share of the teams' limits for their starved classes, as far as
+// machines have room for their tasks now: where a class waits for room, the limit is of more
+// use to others.
+func (s *Scheduler) reserveQuota(p *cluster.Partition, now time.Time) {
+	uses := s.quotaWanted(p, now)
+	s.addQuotaUsed(uses)
+	p.FairShare.Quota = make([][]fairshare.ReservedQuota, len(p.Usage))
+	p.FairShare.WithinReserve = map[cluster.TeamClass]bool{}
+	for team := range p.Usage {
+		var classes []fairshare.ClassUse
+		for key, use := range uses {
+			if key.Team == team {
+				classes = append(classes, use)
+			}
+		}
+		limit := cluster.TeamLimit(s.Settings.Params.Teams[team])
+		p.FairShare.Quota[team] = fairshare.Quotas(p.FairShare.Shares, limit, classes)
+		for _, class := range classes {
+			key := cluster.TeamClass{Team: team, ClassGroup: class.Class}
+			p.FairShare.WithinReserve[key] = class.Used.CPUs <= p.FairShare.Share(class.Class)*limit.CPUs
+		}
+	}
+}
+
+// quotaWanted adds up, for the starved classes of teams that have a limit, the tasks that
+// machines of a partition have room for.
+func (s *Scheduler) quotaWanted(p *cluster.Partition, now time.Time) map[cluster.TeamClass]fairshare.ClassUse {
+	wanted := map[cluster.TeamClass]fairshare.ClassUse{}
+	free := map[*cluster.Machine]binpack.Resources{}
+	var machines []*cluster.Machine
+	for _, machine := range s.Machines {
+		if s.usableIn(p, machine, now) {
+			machines = append(machines, machine)
+			free[machine] = machine.Free()
+		}
+	}
+	for _, job := range s.Queue(p) {
+		if s.Settings.Params.Teams[job.Team].CPUsMax <= 0 || p.FairShare.Share(job.ClassGroup) == 0 {
+			continue
+		}
+		use := wanted[teamClass(job)]
+		use.Class = job.ClassGroup
+		use.Wanted.Add(cluster.ResourcesOf(job.Spec), float64(takeSlots(job, machines, free)))
+		wanted[teamClass(job)] = use
+	}
+	return wanted
+}
+
+// takeSlots returns how many pending tasks of a job machines have room for, and takes that
+// room off what is free.
+func takeSlots(job *cluster.Job, machines []*cluster.Machine, free map[*cluster.Machine]binpack.Resources) int {
+	taken, need, constraints := 0, cluster.ResourcesOf(job.Spec), cluster.ConstraintsOf(job.Spec)
+	for _, machine := range machines {
+		if reservedForOthers(machine, job) || !constraints.Allows(cluster.MachineKindOf(machine.Record)) {
+			continue
+		}
+		slots := free[machine].Slots(need, len(job.Pending)-taken)
+		taken += slots
+		free[machine] = free[machine].Plus(need, -float64(slots))
+	}
+	return taken
+}
+
+// reservedForOthers reports whether a machine is reserved for a group that a job is not of.
+func reservedForOthers(machine *cluster.Machine, job *cluster.Job) bool {
+	group := machine.ReservedFor
+	return group != fairshare.NoGroup && group != job.ClassGroup && group != cluster.TeamGroup(job.Team)
+}
+
+// addQuotaUsed adds up what the classes in uses take of their teams' limits.
+func (s *Scheduler) addQuotaUsed(uses map[cluster.TeamClass]fairshare.ClassUse) {
+	for _, job := range s.Jobs {
+		use, counted := uses[teamClass(job)]
+		if !counted || !job.Loaded {
+			continue
+		}
+		for _, attempt := range job.LiveAttempts {
+			if attempt.Live() {
+				use.Used.Add(cluster.ResourcesOf(job.Spec), 1)
+			}
+		}
+		uses[teamClass(job)] = use
+	}
+}
