--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -252,7 +252,7 @@
 		v.ScalingOut[r.Partition] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(strays)) {
-		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: cluster.MachineKindOf(strays[name]), Tried: l.Adopting[name]})
+		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: cluster.MachineKindOf(strays[name]), TriedAt: l.Adopting[name]})
 	}
 	states := map[string]*peer.MachineStatus{} // as the owner of the machine's part tells
 	take := func(owner string, sum *peer.Summary, heard time.Time) {
@@ -281,7 +281,7 @@
 	for _, name := range slices.Sorted(maps.Keys(as.Machines)) {
 		m := as.Machines[name]
 		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: cluster.MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
-			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
+			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), RecordedAt: m.RecordedAt, MovedAt: l.MovedAt[name], DeletingSince: l.Deleting[name]}
 		if st := states[name]; st != nil {
 			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Quarantined, st.NeverUp, st.Retiring, st.IdleS
 		}
--- a/internal/coordination/contention/contention.go
+++ b/internal/coordination/contention/contention.go
@@ -24,8 +24,8 @@
 // Machine is a candidate with its running tasks.
 type Machine struct {
 	Tasks []Task
-	// Limit is the use below which the machine counts as under its limit.
-	Limit float64
+	// UseLimit is the use below which the machine counts as under its limit.
+	UseLimit float64
 
 	// The machine as it is does not depend on the newcomer, so that many can be
 	// placed against one computation.
@@ -118,7 +118,7 @@
 		}
 	}
 	for i, m := range machines {
-		if h.precompute(m); m.use < m.Limit {
+		if h.precompute(m); m.use < m.UseLimit {
 			consider(i, m.contention)
 		}
 	}
--- a/internal/coordination/contention/contention_test.go
+++ b/internal/coordination/contention/contention_test.go
@@ -103,13 +103,13 @@
 		{"none", nil, -1},
 		// Two tasks about to end contend less than two that stay: the paper's
 		// first example. 2×(10/0.5)→20 against 200.
-		{"soon free", []*Machine{{Tasks: []Task{long, long}, Limit: 16}, {Tasks: []Task{short, short}, Limit: 16}}, 1},
+		{"soon free", []*Machine{{Tasks: []Task{long, long}, UseLimit: 16}, {Tasks: []Task{short, short}, UseLimit: 16}}, 1},
 		// Under the limit goes first, whatever its contention.
-		{"under limit first", []*Machine{{Tasks: []Task{short}, Limit: 4}, {Tasks: []Task{long, long, long}, Limit: 16}}, 1},
+		{"under limit first", []*Machine{{Tasks: []Task{short}, UseLimit: 4}, {Tasks: []Task{long, long, long}, UseLimit: 16}}, 1},
 		// None is under its limit. With the newcomer (10/0.5 = 20): beside the
 		// long task 200 and 20 → 20; beside two short 30, 30, 30 → 60.
-		{"even share", []*Machine{{Tasks: []Task{short, short}, Limit: 8}, {Tasks: []Task{long}, Limit: 4}}, 1},
-		{"ties go to the caller's favourite", []*Machine{{Tasks: []Task{long}, Limit: 16}, {Limit: 16}}, 0},
+		{"even share", []*Machine{{Tasks: []Task{short, short}, UseLimit: 8}, {Tasks: []Task{long}, UseLimit: 4}}, 1},
+		{"ties go to the caller's favourite", []*Machine{{Tasks: []Task{long}, UseLimit: 16}, {UseLimit: 16}}, 0},
 	} {
 		if got := h.Choose(tc.machines, newcomer, func(a, b int) bool { return a < b }); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
--- a/internal/coordination/fairshare/fairshare.go
+++ b/internal/coordination/fairshare/fairshare.go
@@ -20,12 +20,12 @@
 	// MaxReservedShare is the part of the machines of a type that may be kept, for all groups
 	// together.
 	MaxReservedShare = 0.5
-	// slight is how far behind a group may be without anything being kept for it, far
+	// minStarvedShare is how far behind a group may be without anything being kept for it, far
 	// from where on it gets all that it may: what half of everything being served asks
 	// for, with as much to spare.
-	slight, far = 0.05, 0.25
-	// memory is how long what is done counts: after so long, by a factor of e less.
-	memory = 10 * time.Minute
+	minStarvedShare, fullStarvedShare = 0.05, 0.25
+	// tallyDecay is how long what is done counts: after so long, by a factor of e less.
+	tallyDecay = 10 * time.Minute
 	// longWait and its share of the time that a job has are how long it waits until it
 	// counts as behind.
 	longWait  = 30 * time.Second
@@ -47,7 +47,7 @@
 func (t *Tally) Value(now time.Time) float64 { return t.sum * decay(now.Sub(t.at)) }
 
 func decay(since time.Duration) float64 {
-	return math.Exp(-max(0, since).Seconds() / memory.Seconds())
+	return math.Exp(-max(0, since).Seconds() / tallyDecay.Seconds())
 }
 
 // StarvationS is how long a job waits until it counts as behind; spanS is how long it has
@@ -63,27 +63,27 @@
 type Group struct {
 	// Open is how many unfinished jobs it has, Late how much of them has waited long
 	// (of each the share of its tasks that wait), Done what was done of late.
-	Open, Late, Done float64
+	Open, Starved, Done float64
 }
 
 // StarvedShare is the share of a group that waits though it has waited long.
 func (g Group) StarvedShare() float64 {
-	if g.Late <= 0 {
+	if g.Starved <= 0 {
 		return 0
 	}
-	return g.Late / max(g.Late, g.Open+g.Done)
+	return g.Starved / max(g.Starved, g.Open+g.Done)
 }
 
 // BeyondAverage is a group as far as it is more behind than all together: what hits every team
 // alike is no reason to keep machines for each of them.
 func (g Group) BeyondAverage(all Group) Group {
-	g.Late = max(0, g.Late-all.StarvedShare()*(g.Open+g.Done))
+	g.Starved = max(0, g.Starved-all.StarvedShare()*(g.Open+g.Done))
 	return g
 }
 
 // share is the part of the machines that is kept for a group.
 func (g Group) share() float64 {
-	return MaxReservedShare * min(1, max(0, (g.StarvedShare()-slight)/(far-slight)))
+	return MaxReservedShare * min(1, max(0, (g.StarvedShare()-minStarvedShare)/(fullStarvedShare-minStarvedShare)))
 }
 
 // NoGroup is no group; groups are numbered from 1.
@@ -92,9 +92,9 @@
 // Job is one with tasks that wait and may start, as far as teams' limits go.
 type Job struct {
 	Class, Team int // groups
-	Need        binpack.Resources
-	Wish        binpack.Constraints
-	Waiting     int
+	Resources   binpack.Resources
+	Constraints binpack.Constraints
+	Pending     int
 }
 
 // Machine is one that takes tasks.
@@ -103,8 +103,8 @@
 	Kind binpack.MachineKind
 	// Size is all of it, Free what is not in use.
 	Size, Free binpack.Resources
-	// Held is what groups use of it, in CPUs.
-	Held map[int]float64
+	// UsedCPUs is what groups use of it, in CPUs.
+	UsedCPUs map[int]float64
 	// ReservedFor is the group that it was kept for until now, or None.
 	ReservedFor int
 }
@@ -116,8 +116,8 @@
 	Machines []Machine
 }
 
-// Shares are the parts of the machines that groups may get, nil if none is behind.
-func Shares(groups []Group) []float64 {
+// ReservedShares are the parts of the machines that groups may get, nil if none is behind.
+func ReservedShares(groups []Group) []float64 {
 	if !slices.ContainsFunc(groups, func(g Group) bool { return g.share() > 0 }) {
 		return nil
 	}
@@ -141,17 +141,17 @@
 	r := room{group: g}
 	var jobs []*Job
 	for i := range v.Jobs {
-		if j := &v.Jobs[i]; j.Waiting > 0 && (j.Class == g || j.Team == g) {
+		if j := &v.Jobs[i]; j.Pending > 0 && (j.Class == g || j.Team == g) {
 			jobs = append(jobs, j)
-			r.wanted += float64(j.Waiting) * max(j.Need.CPUs, binpack.Epsilon)
+			r.wanted += float64(j.Pending) * max(j.Resources.CPUs, binpack.Epsilon)
 		}
 	}
 	for i := range v.Machines {
 		m := &v.Machines[i]
-		if slices.ContainsFunc(jobs, func(j *Job) bool { return m.Size.Holds(j.Need) && j.Wish.Allows(m.Kind) }) {
+		if slices.ContainsFunc(jobs, func(j *Job) bool { return m.Size.Holds(j.Resources) && j.Constraints.Allows(m.Kind) }) {
 			r.fits = append(r.fits, i)
 			r.cpus += m.Size.CPUs
-			r.held += m.Held[g]
+			r.held += m.UsedCPUs[g]
 		}
 	}
 	r.wanted += r.held
@@ -170,7 +170,7 @@
 		left[v.Machines[i].Kind.Type] += MaxReservedShare * v.Machines[i].Size.CPUs
 	}
 	var rooms []room
-	for g, share := range Shares(v.Groups) {
+	for g, share := range ReservedShares(v.Groups) {
 		if share > 0 {
 			if r := v.room(g); r.held < MaxReservedShare*r.cpus {
 				rooms = append(rooms, r)
@@ -199,7 +199,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(before(x), before(y)), cmp.Compare(y.Held[r.group], x.Held[r.group]), cmp.Compare(y.Free.CPUs, x.Free.CPUs),
+		return cmp.Or(cmp.Compare(before(x), before(y)), cmp.Compare(y.UsedCPUs[r.group], x.UsedCPUs[r.group]), cmp.Compare(y.Free.CPUs, x.Free.CPUs),
 			cmp.Compare(x.Name, y.Name))
 	})
 	for _, i := range r.fits {
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -15,13 +15,13 @@
 
 func machine(i int, typ string, cpus, free float64, held map[int]float64) Machine {
 	return Machine{Name: fmt.Sprintf("m-%02d", i), Kind: binpack.MachineKind{Type: typ}, Size: binpack.Resources{CPUs: cpus, MemGB: 100},
-		Free: binpack.Resources{CPUs: free, MemGB: 100}, Held: held}
+		Free: binpack.Resources{CPUs: free, MemGB: 100}, UsedCPUs: held}
 }
 
 // full is a fleet of ten big machines full of urgent work, with large work waiting.
 func full() View {
-	v := View{Groups: []Group{{}, {Open: 40, Late: 40, Done: 10}, {Open: 500, Late: 400, Done: 500}},
-		Jobs: []Job{{Class: large, Need: binpack.Resources{CPUs: 16}, Waiting: 80}, {Class: urgent, Need: binpack.Resources{CPUs: 2}, Waiting: 4000}}}
+	v := View{Groups: []Group{{}, {Open: 40, Starved: 40, Done: 10}, {Open: 500, Starved: 400, Done: 500}},
+		Jobs: []Job{{Class: large, Resources: binpack.Resources{CPUs: 16}, Pending: 80}, {Class: urgent, Resources: binpack.Resources{CPUs: 2}, Pending: 4000}}}
 	for i := range 10 {
 		v.Machines = append(v.Machines, machine(i, "big", 32, 0, map[int]float64{urgent: 32}))
 	}
@@ -34,19 +34,19 @@
 		want   []int // machines that are kept for the large class; nil: as they are full, five
 	}{
 		"half, while it is far behind":      {func(*View) {}, []int{0, 1, 2, 3, 4}},
-		"little, while it is a little":      {func(v *View) { v.Groups[large] = Group{Open: 10, Late: 7, Done: 90} }, []int{0}},
-		"nothing, while it is not":          {func(v *View) { v.Groups[large].Late, v.Groups[urgent].Late = 1, 0 }, []int{}},
-		"no more than it wants":             {func(v *View) { v.Jobs[0].Waiting = 3 }, []int{0, 1}},
+		"little, while it is a little":      {func(v *View) { v.Groups[large] = Group{Open: 10, Starved: 7, Done: 90} }, []int{0}},
+		"nothing, while it is not":          {func(v *View) { v.Groups[large].Starved, v.Groups[urgent].Starved = 1, 0 }, []int{}},
+		"no more than it wants":             {func(v *View) { v.Jobs[0].Pending = 3 }, []int{0, 1}},
 		"where it fits":                     {func(v *View) { v.Machines[0].Size.CPUs = 8 }, []int{1, 2, 3, 4, 5}[:4]},
 		"what was kept before":              {func(v *View) { v.Machines[8].ReservedFor, v.Machines[9].ReservedFor = large, large }, []int{0, 1, 2, 8, 9}},
-		"where most of it runs":             {func(v *View) { v.Machines[7].Held = map[int]float64{large: 16, urgent: 16} }, []int{0, 1, 2, 3, 7}},
+		"where most of it runs":             {func(v *View) { v.Machines[7].UsedCPUs = map[int]float64{large: 16, urgent: 16} }, []int{0, 1, 2, 3, 7}},
 		"the emptiest":                      {func(v *View) { v.Machines[6].Free.CPUs = 4 }, []int{0, 1, 2, 3, 6}},
 		"not of a single machine":           {func(v *View) { v.Machines = v.Machines[:1] }, []int{}},
-		"one of two, however little behind": {func(v *View) { v.Machines = v.Machines[:2]; v.Groups[large] = Group{Open: 10, Late: 7, Done: 90} }, []int{0}},
-		"not of what it may not have":       {func(v *View) { v.Jobs[0].Wish.Types = []string{"other"} }, []int{}},
+		"one of two, however little behind": {func(v *View) { v.Machines = v.Machines[:2]; v.Groups[large] = Group{Open: 10, Starved: 7, Done: 90} }, []int{0}},
+		"not of what it may not have":       {func(v *View) { v.Jobs[0].Constraints.Types = []string{"other"} }, []int{}},
 		"not if it holds most of the room": {func(v *View) {
 			for i := range 6 {
-				v.Machines[i].Held = map[int]float64{large: 32}
+				v.Machines[i].UsedCPUs = map[int]float64{large: 32}
 			}
 		}, []int{}},
 	} {
@@ -70,9 +70,9 @@
 // (flood-urgent of seed 993: 0.18 of listing-sync done).
 func TestGroupsInNeedShareWhatIsKept(t *testing.T) {
 	v := full()
-	v.Groups = append(v.Groups, Group{Open: 30, Late: 30})
-	v.Jobs = append(v.Jobs, Job{Class: 3, Need: binpack.Resources{CPUs: 1}, Waiting: 70})
-	v.Jobs[0].Waiting = 9000
+	v.Groups = append(v.Groups, Group{Open: 30, Starved: 30})
+	v.Jobs = append(v.Jobs, Job{Class: 3, Resources: binpack.Resources{CPUs: 1}, Pending: 70})
+	v.Jobs[0].Pending = 9000
 	count := map[int]int{}
 	for _, g := range Reserve(v) {
 		count[g]++
@@ -81,9 +81,9 @@
 		t.Errorf("kept %v", count)
 	}
 	all := Group{}
-	teams := []Group{{Open: 400, Late: 300, Done: 100}, {Open: 390, Late: 310, Done: 90}, {Open: 10, Late: 9}}
+	teams := []Group{{Open: 400, Starved: 300, Done: 100}, {Open: 390, Starved: 310, Done: 90}, {Open: 10, Starved: 9}}
 	for _, g := range teams {
-		all.Open, all.Late, all.Done = all.Open+g.Open, all.Late+g.Late, all.Done+g.Done
+		all.Open, all.Starved, all.Done = all.Open+g.Open, all.Starved+g.Starved, all.Done+g.Done
 	}
 	for i, want := range []float64{0, 0.023, 0.275} {
 		if got := teams[i].BeyondAverage(all).StarvedShare(); got < want-0.01 || got > want+0.01 {
@@ -98,15 +98,15 @@
 	for range 10 {
 		tally.Add(now, now)
 	}
-	tally.Add(now.Add(-memory), now) // from a listing: it was done some time ago
+	tally.Add(now.Add(-tallyDecay), now) // from a listing: it was done some time ago
 	if got := tally.Value(now); got < 10.3 || got > 10.4 {
 		t.Errorf("%v", got)
 	}
-	if got := tally.Value(now.Add(5 * memory)); got > 0.1 {
+	if got := tally.Value(now.Add(5 * tallyDecay)); got > 0.1 {
 		t.Errorf("%v remembered", got)
 	}
 	// A class that was served for hours and then no more is behind before long.
-	if g := (Group{Open: 30, Late: 30, Done: tally.Value(now.Add(memory))}); g.StarvedShare() < 0.8 {
+	if g := (Group{Open: 30, Starved: 30, Done: tally.Value(now.Add(tallyDecay))}); g.StarvedShare() < 0.8 {
 		t.Errorf("behind by %v", g.StarvedShare())
 	}
 }
@@ -155,10 +155,10 @@
 		groups := 1 + rng.IntN(6)
 		for range groups {
 			open := float64(rng.IntN(50))
-			v.Groups = append(v.Groups, Group{Open: open, Late: open * rng.Float64(), Done: float64(rng.IntN(100))})
+			v.Groups = append(v.Groups, Group{Open: open, Starved: open * rng.Float64(), Done: float64(rng.IntN(100))})
 		}
 		for range rng.IntN(20) {
-			v.Jobs = append(v.Jobs, Job{Class: rng.IntN(groups + 1), Team: rng.IntN(groups + 1), Need: binpack.Resources{CPUs: float64(1 + rng.IntN(20))}, Waiting: rng.IntN(30)})
+			v.Jobs = append(v.Jobs, Job{Class: rng.IntN(groups + 1), Team: rng.IntN(groups + 1), Resources: binpack.Resources{CPUs: float64(1 + rng.IntN(20))}, Pending: rng.IntN(30)})
 		}
 		room := map[string]float64{}
 		for i := range rng.IntN(20) {
@@ -181,9 +181,9 @@
 			m := &v.Machines[i]
 			kept[m.Kind.Type] += m.Size.CPUs
 			wanted := slices.ContainsFunc(v.Jobs, func(j Job) bool {
-				return j.Waiting > 0 && (j.Class == g || j.Team == g) && m.Size.Holds(j.Need)
+				return j.Pending > 0 && (j.Class == g || j.Team == g) && m.Size.Holds(j.Resources)
 			})
-			if !wanted || v.Groups[g].StarvedShare() <= slight {
+			if !wanted || v.Groups[g].StarvedShare() <= minStarvedShare {
 				t.Errorf("seed %d: %s kept for %d, behind by %v, wanted %v", seed, m.Name, g, v.Groups[g].StarvedShare(), wanted)
 			}
 		}
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -20,7 +20,7 @@
 func (k known) HasImage(m int, image string) bool { return m < len(k.images) && k.images[m] == image }
 
 func (k known) Running(m int) *contention.Machine {
-	p := &contention.Machine{Limit: 6.4}
+	p := &contention.Machine{UseLimit: 6.4}
 	if m < len(k.running) {
 		p.Tasks = k.running[m]
 	}
@@ -32,7 +32,7 @@
 }
 
 func job(waiting int, cpus float64) Job {
-	return Job{Waiting: waiting, Resources: binpack.Resources{CPUs: cpus, MemGB: 1}, Constraints: binpack.Constraints{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongS: 10,
+	return Job{Pending: waiting, Resources: binpack.Resources{CPUs: cpus, MemGB: 1}, Constraints: binpack.Constraints{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongFetchS: 10,
 		Tasks: waiting, Prediction: contention.Task{EstimateS: 10, Use: cpus}}
 }
 
@@ -42,70 +42,70 @@
 		view func(v *View, k *known)
 		want Plan
 	}{
-		"the least contention":    {func(v *View, k *known) { k.running = [][]contention.Task{busy} }, Plan{Start: []Assignment{{0, 1}}}},
-		"the image among equals":  {func(v *View, k *known) { k.images = []string{"", "i"} }, Plan{Start: []Assignment{{0, 1}}}},
-		"the fuller among equals": {func(v *View, k *known) { v.Machines[1].Free.CPUs = 6 }, Plan{Start: []Assignment{{0, 1}}}},
-		"spot before ordinary":    {func(v *View, k *known) { v.Machines[0].Kind.Spot = false }, Plan{Start: []Assignment{{0, 1}}}},
+		"the least contention":    {func(v *View, k *known) { k.running = [][]contention.Task{busy} }, Plan{Assignments: []Assignment{{0, 1}}}},
+		"the image among equals":  {func(v *View, k *known) { k.images = []string{"", "i"} }, Plan{Assignments: []Assignment{{0, 1}}}},
+		"the fuller among equals": {func(v *View, k *known) { v.Machines[1].Free.CPUs = 6 }, Plan{Assignments: []Assignment{{0, 1}}}},
+		"spot before ordinary":    {func(v *View, k *known) { v.Machines[0].Kind.Spot = false }, Plan{Assignments: []Assignment{{0, 1}}}},
 		"the image where fetching takes long": {func(v *View, k *known) {
 			k.running, k.images, v.Jobs[0].ImageGB = [][]contention.Task{busy}, []string{"i"}, 20
-		}, Plan{Start: []Assignment{{0, 0}}}},
+		}, Plan{Assignments: []Assignment{{0, 0}}}},
 		"a type that choosier work needs comes last": {func(v *View, k *known) {
 			v.Machines[0].Kind.Type = "scarce"
 			v.Scarcity.Note("scarce", 1)
 			v.Jobs[0].Types = 3
-		}, Plan{Start: []Assignment{{0, 1}}}},
-		"not where it failed": {func(v *View, k *known) { v.Jobs[0].Failed = map[string]bool{"a": true} }, Plan{Start: []Assignment{{0, 1}}}},
+		}, Plan{Assignments: []Assignment{{0, 1}}}},
+		"not where it failed": {func(v *View, k *known) { v.Jobs[0].FailedMachines = map[string]bool{"a": true} }, Plan{Assignments: []Assignment{{0, 1}}}},
 		"within the team's limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 3.5}}
-		}, Plan{Start: []Assignment{{0, 0}, {0, 0}}}},
+			v.Jobs[0].Pending, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 3.5}}
+		}, Plan{Assignments: []Assignment{{0, 0}, {0, 0}}}},
 		"apart": {func(v *View, k *known) {
 			v.Jobs[0] = job(4, 1)
 			v.Jobs[0].Spread, v.Jobs[0].Zones = true, map[string]int{"x": 2}
-		}, Plan{Start: []Assignment{{0, 1}, {0, 1}}}},
+		}, Plan{Assignments: []Assignment{{0, 1}, {0, 1}}}},
 		"together": {func(v *View, k *known) {
 			v.Jobs[0] = job(2, 1)
 			v.Jobs[0].OneZone, v.Jobs[0].Zones = true, map[string]int{"y": 1}
-		}, Plan{Start: []Assignment{{0, 1}, {0, 1}}}},
-		"room that is given is gone": {func(v *View, k *known) { v.Jobs = []Job{job(5, 4)} }, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
+		}, Plan{Assignments: []Assignment{{0, 1}, {0, 1}}}},
+		"room that is given is gone": {func(v *View, k *known) { v.Jobs = []Job{job(5, 4)} }, Plan{Assignments: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
 		"a gang, whole": {func(v *View, k *known) { v.Jobs = []Job{job(4, 4)}; v.Jobs[0].Gang = true },
-			Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
+			Plan{Assignments: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
 		"a gang without room, and who comes after it": {func(v *View, k *known) {
 			v.Jobs = []Job{job(5, 4), job(1, 8)}
 			v.Jobs[0].Gang = true
-		}, Plan{Start: []Assignment{{1, 0}}, Wanted: []int{0, 0, 1, 1}}},
+		}, Plan{Assignments: []Assignment{{1, 0}}, WantedByGangs: []int{0, 0, 1, 1}}},
 		"a gang beyond its team's limit": {func(v *View, k *known) {
 			v.Jobs = []Job{job(2, 4)}
 			v.Jobs[0].Gang, v.Teams[0].Limit.CPUs = true, 6
-		}, Plan{Wanted: []int{0}}},
+		}, Plan{WantedByGangs: []int{0}}},
 		"not where it is kept for others": {func(v *View, k *known) { v.Machines[0].ReservedFor, v.Jobs[0].Groups = 5, [2]int{1, 2} },
-			Plan{Start: []Assignment{{0, 1}}}},
+			Plan{Assignments: []Assignment{{0, 1}}}},
 		"where it is kept for its class": {func(v *View, k *known) {
 			v.Machines[0].ReservedFor, v.Jobs[0].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
-		}, Plan{Start: []Assignment{{0, 0}}}},
+		}, Plan{Assignments: []Assignment{{0, 0}}}},
 		"where it is kept, after others like it found no room": {func(v *View, k *known) {
 			v.Jobs = []Job{job(1, 2), job(1, 2)}
 			v.Machines[0].ReservedFor, v.Jobs[1].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
-		}, Plan{Start: []Assignment{{1, 0}}}},
+		}, Plan{Assignments: []Assignment{{1, 0}}}},
 		"not into what is kept of the limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
-		}, Plan{Start: []Assignment{{0, 0}}}},
+			v.Jobs[0].Pending, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
+		}, Plan{Assignments: []Assignment{{0, 0}}}},
 		"into it, and no further than the limit": {func(v *View, k *known) {
-			v.Jobs[0].Waiting, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
-		}, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}}}},
+			v.Jobs[0].Pending, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
+		}, Plan{Assignments: []Assignment{{0, 0}, {0, 0}, {0, 1}}}},
 		"what was kept is used up": {func(v *View, k *known) {
 			v.Jobs = []Job{job(1, 3), job(2, 2)}
 			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
-		}, Plan{Start: []Assignment{{0, 0}, {1, 0}}}},
+		}, Plan{Assignments: []Assignment{{0, 0}, {1, 0}}}},
 		"no machine": {func(v *View, k *known) { v.Machines = nil }, Plan{}},
 	} {
 		k := known{}
 		v := View{Jobs: []Job{job(1, 2)}, Machines: []Machine{machine("a", "x", 8, true), machine("b", "y", 8, true)}, Teams: make([]Team, 1),
 			Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
 		c.view(&v, &k)
-		v.Of = k
+		v.Details = k
 		got := Decide(v)
-		if len(got.Start) == 0 {
-			got.Start = nil
+		if len(got.Assignments) == 0 {
+			got.Assignments = nil
 		}
 		if !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -136,7 +136,7 @@
 				j.Constraints.Spot, j.Image, j.ImageGB = rng.IntN(3) > 0, fmt.Sprint(rng.IntN(3)), float64(rng.IntN(30))
 				v.Jobs = append(v.Jobs, j)
 			}
-			v.Of = k
+			v.Details = k
 			return v
 		}
 		v := build()
@@ -152,7 +152,7 @@
 		for i, m := range v.Machines {
 			free[i] = m.Free
 		}
-		for _, a := range plan.Start {
+		for _, a := range plan.Assignments {
 			j, m := &v.Jobs[a.Job], &v.Machines[a.Machine]
 			if !free[a.Machine].Holds(j.Resources) || !j.Constraints.Allows(m.Kind) {
 				t.Errorf("seed %d: %+v does not fit", seed, a)
@@ -171,19 +171,19 @@
 			}
 		}
 		for i, j := range v.Jobs {
-			if count[i] > j.Waiting || j.Gang && count[i] != 0 && count[i] != j.Waiting {
-				t.Errorf("seed %d: %d of %d tasks of job %d, gang %v", seed, count[i], j.Waiting, i, j.Gang)
+			if count[i] > j.Pending || j.Gang && count[i] != 0 && count[i] != j.Pending {
+				t.Errorf("seed %d: %d of %d tasks of job %d, gang %v", seed, count[i], j.Pending, i, j.Gang)
 			}
 			if j.OneZone && len(zones[i]) > 1 {
 				t.Errorf("seed %d: job %d is in %v", seed, i, zones[i])
 			}
 			for zone, n := range zones[i] {
-				if j.Spread && n > Ceiling(j.Tasks) {
+				if j.Spread && n > SpreadLimit(j.Tasks) {
 					t.Errorf("seed %d: %d of %d tasks in zone %s", seed, n, j.Tasks, zone)
 				}
 			}
 			team := v.Teams[j.Team]
-			if count[i] == j.Waiting || j.Gang || j.OneZone || j.Spread || team.Limit.CPUs > 0 {
+			if count[i] == j.Pending || j.Gang || j.OneZone || j.Spread || team.Limit.CPUs > 0 {
 				continue
 			}
 			for m := range v.Machines {
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -23,8 +23,8 @@
 	// patience is how long jobs without a deadline, and jobs within their team's
 	// guarantee, wait before running work is stopped for them.
 	patience = 15 * time.Second
-	// most is how many tasks are stopped at a time.
-	most = 8
+	// maxStops is how many tasks are stopped at a time.
+	maxStops = 8
 )
 
 // Team is a team's rights and use. A limit of 0 is none.
@@ -36,17 +36,17 @@
 	Urgency     protocol.Urgency
 	Resources   binpack.Resources
 	Constraints binpack.Constraints
-	// Since is when it could first have started, Due when it should be done; zero:
+	// ReadyAt is when it could first have started, Due when it should be done; zero:
 	// no matter.
-	Since, Due time.Time
-	EstimateS  float64
-	Waiting    int
-	Standing   bool
-	// Never: nothing is stopped for it, as for gangs.
-	Never bool
-	// Closed are zones where no further task of it may start, Failed machines where
+	ReadyAt, Deadline time.Time
+	EstimateS         float64
+	Pending           int
+	Service           bool
+	// NonPreempting: nothing is stopped for it, as for gangs.
+	NonPreempting bool
+	// ClosedZones are zones where no further task of it may start, Failed machines where
 	// it failed.
-	Closed, Failed map[string]bool
+	ClosedZones, FailedMachines map[string]bool
 	// Groups are those that it belongs to.
 	Groups [2]int
 }
@@ -55,8 +55,8 @@
 type Task struct {
 	Job  int
 	Name string
-	// Loss is what stopping it throws away, in CPU seconds.
-	Loss     float64
+	// LostWork is what stopping it throws away, in CPU seconds.
+	LostWork float64
 	Stopping bool
 	// ReservedFor is the group of jobs, a class or team that is behind, for which the room
 	// is kept that it runs in; it is stopped only for others of the group. 0: none.
@@ -90,31 +90,31 @@
 // Stop is a task that is to be stopped for a job; OwnLimit: because the team's limit
 // is in the way.
 type Stop struct {
-	Task, For int
-	OwnLimit  bool
+	Task, Job int
+	TeamLimit bool
 }
 
 // MustStart says whether a job that waits can't do so any longer.
 func MustStart(j *Job, t *Team, now time.Time) bool {
-	if j.Due.IsZero() {
-		return now.Sub(j.Since) > patience
+	if j.Deadline.IsZero() {
+		return now.Sub(j.ReadyAt) > patience
 	}
 	moment := lastMoment
 	if !t.Limit.Allows(t.Used, j.Resources) {
 		moment = quotaMoment
 	}
-	spare := j.Due.Sub(now) - time.Duration(j.EstimateS*float64(time.Second))
+	spare := j.Deadline.Sub(now) - time.Duration(j.EstimateS*float64(time.Second))
 	return spare >= 0 && spare < moment
 }
 
-// guarantees says whether one more task keeps the team in its guarantee.
-func (t *Team) guarantees(j *Job) bool {
+// withinGuarantee says whether one more task keeps the team in its guarantee.
+func (t *Team) withinGuarantee(j *Job) bool {
 	return (t.Guarantee.CPUs > 0 || t.Guarantee.GPUs > 0) && t.Used.CPUs+j.Resources.CPUs <= t.Guarantee.CPUs+binpack.Epsilon &&
 		(j.Resources.GPUs == 0 || t.Used.GPUs+j.Resources.GPUs <= t.Guarantee.GPUs+binpack.Epsilon)
 }
 
-// beyond says whether the team uses more than its guarantee.
-func (t *Team) beyond() bool {
+// beyondGuarantee says whether the team uses more than its guarantee.
+func (t *Team) beyondGuarantee() bool {
 	return t.Used.CPUs > t.Guarantee.CPUs+binpack.Epsilon || t.Used.GPUs > t.Guarantee.GPUs+binpack.Epsilon
 }
 
@@ -135,16 +135,16 @@
 	for i := range v.Jobs {
 		j := &v.Jobs[i]
 		team := &v.Teams[j.Team]
-		if j.Waiting == 0 || j.Never || !MustStart(j, team, v.Now) {
+		if j.Pending == 0 || j.NonPreempting || !MustStart(j, team, v.Now) {
 			continue
 		}
 		if !team.Limit.Allows(team.Used, j.Resources) {
 			r.freeQuota(i)
 			continue
 		}
-		guaranteed := team.guarantees(j)
-		for range j.Waiting {
-			if len(r.stops) >= most {
+		guaranteed := team.withinGuarantee(j)
+		for range j.Pending {
+			if len(r.stops) >= maxStops {
 				break
 			}
 			m, victims := r.victims(j, guaranteed)
@@ -184,20 +184,20 @@
 		switch {
 		case r.stopping[i]:
 			room.Add(lower.Resources, 1)
-		case task.Loss <= worth(j, lower.Resources.CPUs):
+		case task.LostWork <= worth(j, lower.Resources.CPUs):
 			victims = append(victims, i)
 		}
 	}
 	slices.SortFunc(victims, func(a, b int) int {
-		return cmp.Or(cmp.Compare(r.Tasks[a].Loss, r.Tasks[b].Loss), cmp.Compare(r.Tasks[a].Name, r.Tasks[b].Name))
+		return cmp.Or(cmp.Compare(r.Tasks[a].LostWork, r.Tasks[b].LostWork), cmp.Compare(r.Tasks[a].Name, r.Tasks[b].Name))
 	})
-	need := float64(j.Waiting)
+	need := float64(j.Pending)
 	fits := func() bool {
 		return (t.Limit.CPUs <= 0 || need*j.Resources.CPUs <= room.CPUs+binpack.Epsilon || room.CPUs >= t.Limit.CPUs-j.Resources.CPUs) &&
 			(t.Limit.GPUs <= 0 || need*j.Resources.GPUs <= room.GPUs+binpack.Epsilon || room.GPUs >= t.Limit.GPUs-j.Resources.GPUs)
 	}
 	for _, i := range victims {
-		if len(r.stops) >= most || fits() {
+		if len(r.stops) >= maxStops || fits() {
 			break
 		}
 		room.Add(r.Jobs[r.Tasks[i].Job].Resources, 1)
@@ -207,7 +207,7 @@
 
 // may is PROTOCOL's rule of who may be stopped for whom.
 func (r *round) may(j *Job, guaranteed bool, victim *Job) bool {
-	return victim.Urgency < j.Urgency || guaranteed && victim.Team != j.Team && r.Teams[victim.Team].beyond()
+	return victim.Urgency < j.Urgency || guaranteed && victim.Team != j.Team && r.Teams[victim.Team].beyondGuarantee()
 }
 
 // victims finds the machine where room for one task of a job costs least, and what
@@ -217,7 +217,7 @@
 	least := 0.0
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		if r.promised[i] || !j.Constraints.Allows(m.Kind) || j.Closed[m.Kind.Zone] || j.Failed[m.Name] {
+		if r.promised[i] || !j.Constraints.Allows(m.Kind) || j.ClosedZones[m.Kind.Zone] || j.FailedMachines[m.Name] {
 			continue
 		}
 		room := m.Free
@@ -231,7 +231,7 @@
 				candidates = append(candidates, t)
 			}
 		}
-		slices.SortStableFunc(candidates, func(a, b int) int { return cmp.Compare(r.Tasks[a].Loss, r.Tasks[b].Loss) })
+		slices.SortStableFunc(candidates, func(a, b int) int { return cmp.Compare(r.Tasks[a].LostWork, r.Tasks[b].LostWork) })
 		var stop []int
 		cost := 0.0
 		for _, t := range candidates {
@@ -240,9 +240,9 @@
 			}
 			room = room.Plus(r.Jobs[r.Tasks[t].Job].Resources, 1)
 			stop = append(stop, t)
-			cost += r.Tasks[t].Loss
+			cost += r.Tasks[t].LostWork
 		}
-		if !j.Standing && cost > worth(j, j.Resources.CPUs) {
+		if !j.Service && cost > worth(j, j.Resources.CPUs) {
 			continue
 		}
 		if room.Holds(j.Resources) && (best < 0 || cost < least) {
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -22,7 +22,7 @@
 
 // must is a job that has to start now.
 func must(team int, u protocol.Urgency) Job {
-	return Job{Team: team, Urgency: u, Resources: binpack.Resources{CPUs: 4, MemGB: 4}, Constraints: binpack.Constraints{Spot: true}, Due: now.Add(15 * time.Second), EstimateS: 10, Waiting: 1}
+	return Job{Team: team, Urgency: u, Resources: binpack.Resources{CPUs: 4, MemGB: 4}, Constraints: binpack.Constraints{Spot: true}, Deadline: now.Add(15 * time.Second), EstimateS: 10, Pending: 1}
 }
 
 // Who may be stopped for whom: PROTOCOL, "Preemption".
@@ -40,8 +40,8 @@
 		{"guaranteed, own team", must(blue, protocol.Low), must(blue, protocol.Low), 20, false},
 		{"guaranteed, other team within its own", must(blue, protocol.Low), must(red, protocol.Low), 16, false},
 	} {
-		tc.victim.Waiting = 0
-		v := View{Now: now, Teams: teams(), Jobs: []Job{tc.job, tc.victim}, Tasks: []Task{{Job: 1, Name: "job-2/0", Loss: 1}},
+		tc.victim.Pending = 0
+		v := View{Now: now, Teams: teams(), Jobs: []Job{tc.job, tc.victim}, Tasks: []Task{{Job: 1, Name: "job-2/0", LostWork: 1}},
 			Machines: []Machine{{Name: "m", Tasks: []int{0}}}}
 		v.Teams[red].Used.CPUs = tc.used
 		if got := len(Decide(v)) == 1; got != tc.want {
@@ -51,34 +51,34 @@
 }
 
 func TestDecide(t *testing.T) {
-	two := []Task{{Job: 1, Name: "a", Loss: 30}, {Job: 1, Name: "b", Loss: 5}}
+	two := []Task{{Job: 1, Name: "a", LostWork: 30}, {Job: 1, Name: "b", LostWork: 5}}
 	each := []Machine{{Name: "m-1", Tasks: []int{0}}, {Name: "m-2", Tasks: []int{1}}}
 	low := must(blue, protocol.Low)
-	low.Waiting = 0
+	low.Pending = 0
 	for name, c := range map[string]struct {
 		change func(*View)
 		want   []Stop
 	}{
 		"where it costs least":                  {func(v *View) {}, []Stop{{Task: 1}}},
-		"not while there is time":               {func(v *View) { v.Jobs[0].Due = now.Add(time.Minute) }, nil},
-		"not when it is too late":               {func(v *View) { v.Jobs[0].Due = now.Add(9 * time.Second) }, nil},
-		"without a deadline after some seconds": {func(v *View) { v.Jobs[0].Due, v.Jobs[0].Since = time.Time{}, now.Add(-16*time.Second) }, []Stop{{Task: 1}}},
-		"not for a gang":                        {func(v *View) { v.Jobs[0].Never = true }, nil},
-		"not where it failed":                   {func(v *View) { v.Jobs[0].Failed = map[string]bool{"m-2": true} }, []Stop{{Task: 0}}},
-		"not in a closed zone":                  {func(v *View) { v.Jobs[0].Closed = map[string]bool{"": true} }, nil},
-		"not what costs more than it brings":    {func(v *View) { v.Tasks[0].Loss, v.Tasks[1].Loss = 41, 41 }, nil},
+		"not while there is time":               {func(v *View) { v.Jobs[0].Deadline = now.Add(time.Minute) }, nil},
+		"not when it is too late":               {func(v *View) { v.Jobs[0].Deadline = now.Add(9 * time.Second) }, nil},
+		"without a deadline after some seconds": {func(v *View) { v.Jobs[0].Deadline, v.Jobs[0].ReadyAt = time.Time{}, now.Add(-16*time.Second) }, []Stop{{Task: 1}}},
+		"not for a gang":                        {func(v *View) { v.Jobs[0].NonPreempting = true }, nil},
+		"not where it failed":                   {func(v *View) { v.Jobs[0].FailedMachines = map[string]bool{"m-2": true} }, []Stop{{Task: 0}}},
+		"not in a closed zone":                  {func(v *View) { v.Jobs[0].ClosedZones = map[string]bool{"": true} }, nil},
+		"not what costs more than it brings":    {func(v *View) { v.Tasks[0].LostWork, v.Tasks[1].LostWork = 41, 41 }, nil},
 		"what stops already is enough":          {func(v *View) { v.Tasks[1].Stopping = true }, nil},
-		"each machine once":                     {func(v *View) { v.Jobs[0].Waiting = 3 }, []Stop{{Task: 1}, {Task: 0}}},
+		"each machine once":                     {func(v *View) { v.Jobs[0].Pending = 3 }, []Stop{{Task: 1}, {Task: 0}}},
 		"not what runs in what is kept":         {func(v *View) { v.Tasks[1].ReservedFor = 7 }, []Stop{{Task: 0}}},
 		"but for others that it is kept for":    {func(v *View) { v.Tasks[1].ReservedFor, v.Jobs[0].Groups[1] = 7, 7 }, []Stop{{Task: 1}}},
 		"not what is kept of the limit": {func(v *View) {
 			v.Jobs[1].Team, v.Tasks[1].ReservedFor = red, 7
 			v.Teams[red].Limit.CPUs = 20
-		}, []Stop{{Task: 0, OwnLimit: true}}},
+		}, []Stop{{Task: 0, TeamLimit: true}}},
 		"the team's own lower work, where its limit is in the way": {func(v *View) {
 			v.Jobs[1].Team = red
 			v.Teams[red].Limit.CPUs = 20
-		}, []Stop{{Task: 1, OwnLimit: true}}},
+		}, []Stop{{Task: 1, TeamLimit: true}}},
 	} {
 		v := View{Now: now, Teams: teams(), Jobs: []Job{must(red, protocol.High), low}, Tasks: append([]Task(nil), two...), Machines: each}
 		c.change(&v)
@@ -96,14 +96,14 @@
 		v := View{Now: now, Teams: teams()}
 		for range 2 + rng.IntN(10) {
 			j := must(rng.IntN(3), protocol.Urgency(rng.IntN(4)))
-			j.Waiting, j.Due = rng.IntN(4), now.Add(time.Duration(8+rng.IntN(12))*time.Second)
+			j.Pending, j.Deadline = rng.IntN(4), now.Add(time.Duration(8+rng.IntN(12))*time.Second)
 			v.Jobs = append(v.Jobs, j)
 		}
 		for i := range 1 + rng.IntN(6) {
 			m := Machine{Name: fmt.Sprint("m-", i), Free: binpack.Resources{CPUs: float64(rng.IntN(4)), MemGB: 100}}
 			for range rng.IntN(5) {
 				m.Tasks = append(m.Tasks, len(v.Tasks))
-				v.Tasks = append(v.Tasks, Task{Job: rng.IntN(len(v.Jobs)), Name: fmt.Sprint(len(v.Tasks)), Loss: float64(rng.IntN(60)), Stopping: rng.IntN(5) == 0})
+				v.Tasks = append(v.Tasks, Task{Job: rng.IntN(len(v.Jobs)), Name: fmt.Sprint(len(v.Tasks)), LostWork: float64(rng.IntN(60)), Stopping: rng.IntN(5) == 0})
 			}
 			v.Machines = append(v.Machines, m)
 		}
@@ -113,9 +113,9 @@
 		}
 		seen := map[int]bool{}
 		for _, s := range stops {
-			j, victim := v.Jobs[s.For], v.Jobs[v.Tasks[s.Task].Job]
-			allowed := victim.Urgency < j.Urgency || v.Teams[j.Team].guarantees(&j) && victim.Team != j.Team && v.Teams[victim.Team].beyond()
-			if seen[s.Task] || v.Tasks[s.Task].Stopping || !allowed || len(stops) > most+4 {
+			j, victim := v.Jobs[s.Job], v.Jobs[v.Tasks[s.Task].Job]
+			allowed := victim.Urgency < j.Urgency || v.Teams[j.Team].withinGuarantee(&j) && victim.Team != j.Team && v.Teams[victim.Team].beyondGuarantee()
+			if seen[s.Task] || v.Tasks[s.Task].Stopping || !allowed || len(stops) > maxStops+4 {
 				t.Errorf("seed %d: %+v of %+v", seed, s, stops)
 			}
 			seen[s.Task] = true
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -15,13 +15,13 @@
 
 func job(id string, dueS, runS float64) Job {
 	due := now.Add(time.Duration(dueS * float64(time.Second)))
-	return Job{ID: id, Urgency: protocol.Standard, Received: now, Due: due, Deadline: due, EstimateS: runS, Waiting: 1, Slots: 1, AtOnce: math.Inf(1)}
+	return Job{ID: id, Urgency: protocol.Standard, SubmittedAt: now, Due: due, Deadline: due, EstimateS: runS, Pending: 1, Slots: 1, Parallelism: math.Inf(1)}
 }
 
 func TestOf(t *testing.T) {
 	urgent, no, starving := job("urgent", 900, 5), job("no deadline", 50, 5), job("starving", -850, 50)
 	urgent.Urgency, no.Deadline = protocol.High, time.Time{}
-	starving.Received = now.Add(-1000 * time.Second)
+	starving.SubmittedAt = now.Add(-1000 * time.Second)
 	for name, c := range map[string]struct {
 		jobs []Job
 		want string
@@ -41,7 +41,7 @@
 		"the team's limit is a queue too": {func() []Job {
 			l := []Job{job("large", 20, 18), job("small", 21, 6)}
 			for i := range l {
-				l[i].Slots, l[i].AtOnce = math.Inf(1), 1
+				l[i].Slots, l[i].Parallelism = math.Inf(1), 1
 			}
 			return l
 		}(), "small large"},
--- a/internal/coordination/scaling/scaling.go
+++ b/internal/coordination/scaling/scaling.go
@@ -62,15 +62,15 @@
 	// Failed is what the cloud says.
 	Failed bool
 	// When it came on record, was last moved, and was last sent away.
-	Recorded, Moved, DeletingSince time.Time
+	RecordedAt, MovedAt, DeletingSince time.Time
 }
 
 // Unrecorded is a machine without a record.
 type Unrecorded struct {
 	Name string
 	Kind binpack.MachineKind
-	// Tried is when it was last to be adopted.
-	Tried time.Time
+	// TriedAt is when it was last to be adopted.
+	TriedAt time.Time
 }
 
 // Plan is what is to be done.
@@ -149,10 +149,10 @@
 		held[r.Machines[i].Partition]++
 	}
 	for _, s := range r.Unrecorded {
-		if r.Now.Sub(s.Tried) < departRest {
+		if r.Now.Sub(s.TriedAt) < departRest {
 			continue
 		}
-		if len(r.ScalingOut) > 0 && r.Now.Sub(s.Tried) > time.Hour {
+		if len(r.ScalingOut) > 0 && r.Now.Sub(s.TriedAt) > time.Hour {
 			r.plan.AdoptLater = append(r.plan.AdoptLater, s.Name)
 			continue
 		}
@@ -202,7 +202,7 @@
 func (r *round) move() {
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		if m.Type != nil && m.Idle && !m.Retiring && !m.Quarantined && !m.Lost && r.Now.Sub(m.Moved) >= moveRest &&
+		if m.Type != nil && m.Idle && !m.Retiring && !m.Quarantined && !m.Lost && r.Now.Sub(m.MovedAt) >= moveRest &&
 			!r.leaving[i] && r.Now.Sub(m.DeletingSince) >= departRest {
 			r.idle[m.Partition] = append(r.idle[m.Partition], i)
 		}
@@ -386,8 +386,8 @@
 		if m.Kind.Spot {
 			limit = r.IdleSpot
 		}
-		if m.Type == nil || !m.Idle || r.moved[i] || m.IdleS < limit.Seconds() || r.Now.Sub(m.Recorded) < paid ||
-			r.Now.Sub(m.Moved) < moveRest || r.leaving[i] || r.Now.Sub(m.DeletingSince) < departRest {
+		if m.Type == nil || !m.Idle || r.moved[i] || m.IdleS < limit.Seconds() || r.Now.Sub(m.RecordedAt) < paid ||
+			r.Now.Sub(m.MovedAt) < moveRest || r.leaving[i] || r.Now.Sub(m.DeletingSince) < departRest {
 			continue
 		}
 		needed := false
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -54,7 +54,7 @@
 		}, Plan{}},
 		"not a machine that was just moved": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
-			m.Idle, m.Moved = true, now.Add(-time.Second)
+			m.Idle, m.MovedAt = true, now.Add(-time.Second)
 			v.Partitions[1].Demands = []Demand{demand(4, 2)}
 		}, Plan{ScaleOuts: []ScaleOut{{spot("small"), 1, 1}}}},
 		"the cheapest for each task": {func(v *View) { v.Partitions[0].Demands = []Demand{demand(9, 4)} },
@@ -100,12 +100,12 @@
 		}, Plan{}},
 		"its first minute is paid": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
-			m.Idle, m.IdleS, m.Recorded = true, 30, now.Add(-40*time.Second)
+			m.Idle, m.IdleS, m.RecordedAt = true, 30, now.Add(-40*time.Second)
 		}, Plan{}},
 		"strays go where least is, work first": {func(v *View) {
 			v.machine("m", 0, 1, false)
 			v.Partitions = append(v.Partitions, Partition{Known: true, Demands: []Demand{{}}})
-			v.Unrecorded = []Unrecorded{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", Tried: now}}
+			v.Unrecorded = []Unrecorded{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", TriedAt: now}}
 		}, Plan{Adopt: []Adoption{{"s-1", 2}, {"s-2", 1}}}},
 		"a stray waits while its rental may be unanswered": {func(v *View) {
 			v.ScalingOut[0] = true
@@ -131,7 +131,7 @@
 				m := v.machine(fmt.Sprintf("m-%02d", i), rng.IntN(len(v.Partitions)), rng.IntN(2), rng.IntN(2) == 0)
 				m.Idle, m.IdleS = rng.IntN(2) == 0, float64(rng.IntN(100))
 				m.Lost, m.Quarantined, m.Failed, m.NeverUp, m.Retiring = rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0, rng.IntN(9) == 0
-				m.Moved, m.DeletingSince = now.Add(-time.Duration(rng.IntN(9))*time.Second), now.Add(-time.Duration(rng.IntN(9))*time.Second)
+				m.MovedAt, m.DeletingSince = now.Add(-time.Duration(rng.IntN(9))*time.Second), now.Add(-time.Duration(rng.IntN(9))*time.Second)
 			}
 			for p := range v.Partitions {
 				v.Partitions[p].Known = rng.IntN(6) > 0
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -27,12 +27,12 @@
 	cache := map[slotsKey]float64{}
 	for index, job := range jobs {
 		view := &views[index]
-		if view.Deadline.IsZero() || view.Waiting == 0 {
+		if view.Deadline.IsZero() || view.Pending == 0 {
 			continue
 		}
 		view.EstimateS = s.EstimateS(job.Spec)
 		view.Types = s.typeSet(job.Spec)
-		view.AtOnce = s.teamParallelism(job)
+		view.Parallelism = s.teamParallelism(job)
 		key := slotsKey{cluster.ResourcesOf(job.Spec), view.Types}
 		slots, cached := cache[key]
 		if !cached {
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -22,7 +22,7 @@
 	wasActive := p.FairShare.Shares != nil
 	p.FairShare = cluster.FairShareState{DecidedAt: now}
 	groups := s.countGroups(p, now)
-	p.FairShare.Shares = fairshare.Shares(groups)
+	p.FairShare.Shares = fairshare.ReservedShares(groups)
 	if p.FairShare.Shares == nil {
 		if wasActive {
 			s.releaseMachines(p)
@@ -74,11 +74,11 @@
 			continue
 		}
 		jobs = append(jobs, fairshare.Job{
-			Class:   job.ClassGroup,
-			Team:    cluster.TeamGroup(job.Team),
-			Need:    cluster.ResourcesOf(job.Spec),
-			Wish:    cluster.ConstraintsOf(job.Spec),
-			Waiting: len(job.Pending),
+			Class:       job.ClassGroup,
+			Team:        cluster.TeamGroup(job.Team),
+			Resources:   cluster.ResourcesOf(job.Spec),
+			Constraints: cluster.ConstraintsOf(job.Spec),
+			Pending:     len(job.Pending),
 		})
 	}
 	return jobs
@@ -99,7 +99,7 @@
 		Size:        binpack.Size(machine.Type),
 		Free:        machine.Free(),
 		ReservedFor: machine.ReservedFor,
-		Held:        map[int]float64{},
+		UsedCPUs:    map[int]float64{},
 	}
 	for _, attempt := range machine.Attempts {
 		if !attempt.Live() {
@@ -107,7 +107,7 @@
 		}
 		for _, group := range attempt.Job.Groups() {
 			if p.FairShare.Share(group) > 0 {
-				view.Held[group] += attempt.Job.Spec.CPUs
+				view.UsedCPUs[group] += attempt.Job.Spec.CPUs
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 		late := lateShare(job, now)
 		for _, group := range job.Groups() {
 			groups[group].Open++
-			groups[group].Late += late
+			groups[group].Starved += late
 		}
 	}
 	for group, tally := range p.DoneTallies {
@@ -137,7 +137,7 @@
 	all := fairshare.Group{}
 	for _, team := range teams {
 		all.Open += team.Open
-		all.Late += team.Late
+		all.Starved += team.Starved
 		all.Done += team.Done
 	}
 	for index := range teams {
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -50,12 +50,12 @@
 		Teams:    s.placementTeams(p),
 		Scarcity: scarcity,
 		Horizon:  s.horizon(),
-		Of:       usableMachines{scheduler: s, machines: buffers.machines, now: now},
+		Details:  usableMachines{scheduler: s, machines: buffers.machines, now: now},
 	})
-	for _, index := range plan.Wanted {
+	for _, index := range plan.WantedByGangs {
 		buffers.machines[index].IdleSince = now
 	}
-	s.reservePlan(p, plan.Start, now)
+	s.reservePlan(p, plan.Assignments, now)
 }
 
 // collectPlaceableJobs gathers the jobs of a partition that have tasks to place, in queue
@@ -109,22 +109,22 @@
 func (s *Scheduler) placementView(job *cluster.Job) placement.Job {
 	spec := job.Spec
 	view := placement.Job{
-		Waiting:     len(job.Pending),
-		Gang:        spec.Gang,
-		Team:        job.Team,
-		Groups:      job.Groups(),
-		Class:       job.ClassGroup,
-		Resources:   cluster.ResourcesOf(spec),
-		Constraints: cluster.ConstraintsOf(spec),
-		Types:       s.typeSet(spec),
-		Image:       spec.Image,
-		ImageGB:     spec.ImageGB,
-		LongS:       s.longFetchS(job),
-		OneZone:     spec.OneZone,
-		Spread:      spec.Spread,
-		Tasks:       spec.Tasks,
-		Failed:      job.FailedMachines,
-		Prediction:  s.predictTask(spec, 0),
+		Pending:        len(job.Pending),
+		Gang:           spec.Gang,
+		Team:           job.Team,
+		Groups:         job.Groups(),
+		Class:          job.ClassGroup,
+		Resources:      cluster.ResourcesOf(spec),
+		Constraints:    cluster.ConstraintsOf(spec),
+		Types:          s.typeSet(spec),
+		Image:          spec.Image,
+		ImageGB:        spec.ImageGB,
+		LongFetchS:     s.longFetchS(job),
+		OneZone:        spec.OneZone,
+		Spread:         spec.Spread,
+		Tasks:          spec.Tasks,
+		FailedMachines: job.FailedMachines,
+		Prediction:     s.predictTask(spec, 0),
 	}
 	if spec.OneZone || spec.Spread {
 		view.Zones = job.ZoneCounts()
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -43,7 +43,7 @@
 
 // predictMachine predicts the contention on a machine from its running tasks.
 func (s *Scheduler) predictMachine(machine *cluster.Machine, now time.Time) *contention.Machine {
-	prediction := &contention.Machine{Limit: s.Operator.LimitShare * machine.Type.CPUs}
+	prediction := &contention.Machine{UseLimit: s.Operator.LimitShare * machine.Type.CPUs}
 	for _, attempt := range machine.Attempts {
 		if attempt.Live() {
 			prediction.Tasks = append(prediction.Tasks, s.predictTask(attempt.Job.Spec, attempt.RunningS(now)))
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -38,7 +38,7 @@
 	jobs = append(jobs, p.IdleJobs...) // they have running attempts that may be stopped
 	view, attempts := s.preemptionView(p, jobs, now)
 	for _, stop := range preemption.Decide(view) {
-		s.preempt(attempts[stop.Task], jobs[stop.For], stop.OwnLimit, now)
+		s.preempt(attempts[stop.Task], jobs[stop.Job], stop.TeamLimit, now)
 	}
 }
 
--- a/internal/coordination/scheduler/preemption_view.go
+++ b/internal/coordination/scheduler/preemption_view.go
@@ -53,7 +53,7 @@
 	for _, job := range jobs {
 		index := b.job(job)
 		if len(job.Pending) > 0 && (job.Spec.OneZone || job.Spec.Spread) {
-			b.view.Jobs[index].Closed = closedZones(job, zones)
+			b.view.Jobs[index].ClosedZones = closedZones(job, zones)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		b.view.Tasks = append(b.view.Tasks, preemption.Task{
 			Job:         b.job(attempt.Job),
 			Name:        attempt.TaskName(),
-			Loss:        lostWork(attempt, b.now),
+			LostWork:    lostWork(attempt, b.now),
 			Stopping:    attempt.Stopping,
 			ReservedFor: b.partition.FairShare.ReservationOf(attempt),
 		})
@@ -120,18 +120,18 @@
 func (s *Scheduler) preemptionJob(job *cluster.Job, now time.Time) preemption.Job {
 	deadline, _ := job.Deadline()
 	return preemption.Job{
-		Team:        job.Team,
-		Urgency:     job.Urgency(),
-		Resources:   cluster.ResourcesOf(job.Spec),
-		Constraints: cluster.ConstraintsOf(job.Spec),
-		Since:       job.ReadySince(),
-		Due:         deadline,
-		EstimateS:   s.EstimateS(job.Spec),
-		Waiting:     len(job.Pending),
-		Standing:    job.Spec.Standing,
-		Never:       !mayPreempt(job, now),
-		Failed:      job.FailedMachines,
-		Groups:      job.Groups(),
+		Team:           job.Team,
+		Urgency:        job.Urgency(),
+		Resources:      cluster.ResourcesOf(job.Spec),
+		Constraints:    cluster.ConstraintsOf(job.Spec),
+		ReadyAt:        job.ReadySince(),
+		Deadline:       deadline,
+		EstimateS:      s.EstimateS(job.Spec),
+		Pending:        len(job.Pending),
+		Service:        job.Spec.Standing,
+		NonPreempting:  !mayPreempt(job, now),
+		FailedMachines: job.FailedMachines,
+		Groups:         job.Groups(),
 	}
 }
 
@@ -158,7 +158,7 @@
 func closedZones(job *cluster.Job, zones map[string]bool) map[string]bool {
 	closed, running := map[string]bool{}, job.ZoneCounts()
 	for zone := range zones {
-		closed[zone] = !placement.Open(job.Spec.OneZone, job.Spec.Spread, job.Spec.Tasks, running, zone)
+		closed[zone] = !placement.ZoneOpen(job.Spec.OneZone, job.Spec.Spread, job.Spec.Tasks, running, zone)
 	}
 	return closed
 }
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -69,12 +69,12 @@
 func queueView(job *cluster.Job) queue.Job {
 	deadline, _ := job.Deadline()
 	return queue.Job{
-		ID:       job.Spec.ID,
-		Urgency:  job.Urgency(),
-		Received: job.SubmittedAt,
-		Due:      job.Due(),
-		Deadline: deadline,
-		Waiting:  len(job.Pending),
-		Team:     job.Team,
+		ID:          job.Spec.ID,
+		Urgency:     job.Urgency(),
+		SubmittedAt: job.SubmittedAt,
+		Due:         job.Due(),
+		Deadline:    deadline,
+		Pending:     len(job.Pending),
+		Team:        job.Team,
 	}
 }
