--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -1,120 +1,101 @@
-// Package binpack says what fits where: needs of tasks against room, and their wishes
-// against kinds of machines. It knows no job, machine or controller.
+// Package binpack says what fits where: resources that tasks need against those that machines
+// have, and tasks' constraints against kinds of machines. It knows no job, machine or
+// controller.
 package binpack
 
 import (
-	"math/bits"
 	"slices"
 
 	"micaspindle/internal/protocol"
 )
 
-// Epsilon is by how much sums of amounts may be off.
+// Epsilon is the tolerance for rounding errors in sums of resources.
 const Epsilon = 1e-6
 
-// UnboundedSlots bounds what a machine is taken to hold of tasks that need nothing.
+// UnboundedSlots bounds how many tasks that need nothing a machine is taken to hold.
 const UnboundedSlots = 1000
 
-// Resources are what tasks need and machines have.
+// Resources are what a task needs or a machine has.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
-// Holds says whether a room holds a need.
-func (room Resources) Holds(need Resources) bool {
-	return need.CPUs <= room.CPUs+Epsilon && need.GPUs <= room.GPUs+Epsilon && need.MemGB <= room.MemGB+Epsilon
+// Holds reports whether these resources suffice for a need.
+func (r Resources) Holds(need Resources) bool {
+	return need.CPUs <= r.CPUs+Epsilon && need.GPUs <= r.GPUs+Epsilon && need.MemGB <= r.MemGB+Epsilon
 }
 
-// Plus is the sum with so many times the other.
-func (room Resources) Plus(other Resources, times float64) Resources {
-	return Resources{room.CPUs + times*other.CPUs, room.GPUs + times*other.GPUs, room.MemGB + times*other.MemGB}
+// Plus adds another amount so many times; negative times subtract.
+func (r Resources) Plus(other Resources, times float64) Resources {
+	return Resources{
+		CPUs:  r.CPUs + times*other.CPUs,
+		GPUs:  r.GPUs + times*other.GPUs,
+		MemGB: r.MemGB + times*other.MemGB,
+	}
 }
 
-// Slots is how many tasks with a need a room holds, at most most.
-func (room Resources) Slots(need Resources, most int) int {
-	for _, p := range [3][2]float64{{need.CPUs, room.CPUs}, {need.GPUs, room.GPUs}, {need.MemGB, room.MemGB}} {
-		if p[0] > 0 {
-			most = min(most, int((p[1]+Epsilon)/p[0]))
+// Slots is how many tasks with a need these resources hold, at most limit.
+func (r Resources) Slots(need Resources, limit int) int {
+	slots := limit
+	for _, resource := range [...]struct{ need, room float64 }{{need.CPUs, r.CPUs}, {need.GPUs, r.GPUs}, {need.MemGB, r.MemGB}} {
+		if resource.need > 0 {
+			slots = min(slots, int((resource.room+Epsilon)/resource.need))
 		}
 	}
-	return max(most, 0)
+	return max(slots, 0)
 }
 
-// Compute is what a team uses, or may use, of what is shared out.
+// Compute is what a team uses, or may use: the resources that are divided among teams.
 type Compute struct{ CPUs, GPUs float64 }
 
-// Add adds so many times a need.
-func (s *Compute) Add(need Resources, times float64) {
-	s.CPUs, s.GPUs = s.CPUs+times*need.CPUs, s.GPUs+times*need.GPUs
+// Add adds a need so many times; negative times subtract.
+func (c *Compute) Add(need Resources, times float64) {
+	c.CPUs += times * need.CPUs
+	c.GPUs += times * need.GPUs
 }
 
-// Allows says whether one more task keeps a team within this limit; 0 is none.
-func (s Compute) Allows(used Compute, need Resources) bool {
-	return (s.CPUs <= 0 || used.CPUs+need.CPUs <= s.CPUs+Epsilon) &&
-		(s.GPUs <= 0 || used.GPUs+need.GPUs <= s.GPUs+Epsilon)
+// Allows reports whether one more task keeps a team within this limit. A limit of 0 is none.
+func (c Compute) Allows(used Compute, need Resources) bool {
+	return (c.CPUs <= 0 || used.CPUs+need.CPUs <= c.CPUs+Epsilon) &&
+		(c.GPUs <= 0 || used.GPUs+need.GPUs <= c.GPUs+Epsilon)
 }
 
 // Size is what an empty machine of a type has.
-func Size(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemGB} }
+func Size(t *protocol.MachineType) Resources {
+	return Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+}
 
-// MachineKind is what the cloud calls a machine.
+// MachineKind is what the cloud distinguishes machines by.
 type MachineKind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Constraints is what a task asks of a machine's kind. An empty list of types, or an empty
-// zone, is any; Spot says that it may run on a spot machine.
+// Constraints are what a task demands of a machine's kind.
 type Constraints struct {
+	// Types are the machine types that will do; empty: any.
 	Types []string
-	Zone  string
-	Spot  bool
-}
-
-// Allows says whether a machine of a kind will do, which workers don't check.
-func (w Constraints) Allows(k MachineKind) bool {
-	return (len(w.Types) == 0 || slices.Contains(w.Types, k.Type)) && (w.Zone == "" || w.Zone == k.Zone) && (!k.Spot || w.Spot)
-}
-
-// FitsOffered says whether a task fits an empty machine of a type, in a zone where it
-// is offered.
-func FitsOffered(w Constraints, need Resources, t *protocol.MachineType) bool {
-	return (w.Zone == "" || len(t.ZonesOffered) == 0 || slices.Contains(t.ZonesOffered, w.Zone)) && FitsType(w, need, t)
+	// Zone is the zone that will do; empty: any.
+	Zone string
+	// Spot: spot machines will do, too.
+	Spot bool
 }
 
-// FitsType is Offered, whatever the zone.
-func FitsType(w Constraints, need Resources, t *protocol.MachineType) bool {
-	return (len(w.Types) == 0 || slices.Contains(w.Types, t.Name)) && Size(t).Holds(need)
+// Allows reports whether a machine of a kind will do. Agents don't check it.
+func (c Constraints) Allows(kind MachineKind) bool {
+	return c.allowsType(kind.Type) && (c.Zone == "" || c.Zone == kind.Zone) && (!kind.Spot || c.Spot)
 }
 
-// TypeSetSize is how many types of a catalog a TypeSet tells apart: the first so many.
-const TypeSetSize = 64
-
-// TypeSet is the set of types that a task fits, as bits.
-func TypeSet(w Constraints, need Resources, catalog []protocol.MachineType) uint64 {
-	set := uint64(0)
-	for i := range min(len(catalog), TypeSetSize) {
-		if FitsOffered(w, need, &catalog[i]) {
-			set |= 1 << i
-		}
-	}
-	return set
+func (c Constraints) allowsType(name string) bool {
+	return len(c.Types) == 0 || slices.Contains(c.Types, name)
 }
 
-// TypeCount is how many types are in a set.
-func TypeCount(types uint64) int { return bits.OnesCount64(types) }
-
-// Scarcity holds, for each machine type, how few types the choosiest unfinished
-// work that fits it can run on.
-type Scarcity map[string]int
-
-// Note notes work that fits a type, and so many in all.
-func (s Scarcity) Note(typ string, breadth int) {
-	if least := s[typ]; least == 0 || breadth < least {
-		s[typ] = breadth
-	}
+// FitsType reports whether a task fits an empty machine of a type, in any zone.
+func FitsType(c Constraints, need Resources, t *protocol.MachineType) bool {
+	return c.allowsType(t.Name) && Size(t).Holds(need)
 }
 
-// Contested says that work with fewer choices than breadth needs the type.
-func (s Scarcity) Contested(typ string, breadth int) bool {
-	least, needed := s[typ]
-	return needed && least < breadth
+// FitsOffered reports whether a task fits an empty machine of a type, in a zone where the cloud
+// offers it.
+func FitsOffered(c Constraints, need Resources, t *protocol.MachineType) bool {
+	offered := c.Zone == "" || len(t.ZonesOffered) == 0 || slices.Contains(t.ZonesOffered, c.Zone)
+	return offered && FitsType(c, need, t)
 }
