--- a/internal/coordination/autoscaler/collaborators.go
+++ b/internal/coordination/autoscaler/collaborators.go
@@ -4,36 +4,46 @@
 	"time"
 
 	"micaspindle/internal/coordination/binpack"
+	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/storage"
 )
 
-// Agents is what Autoscaler asks of its collaborator.
+// Agents keeps the machines of this controller's state and talks to their agents.
 type Agents interface {
-	// HandleMachineRequest does what the leader asks about one of this owner's machines.
-	HandleMachineRequest(fr *peer.MachineRequest) *peer.MachineReply
-	// MachineDeleted follows the end of a record, which the leader removes only
-	// after the machine is certainly gone.
+	// HandleMachineRequest moves or retires a machine of one of this controller's
+	// partitions, if it is idle.
+	HandleMachineRequest(req *peer.MachineRequest) *peer.MachineReply
+	// MachineDeleted takes a machine whose record was deleted out of the state.
 	MachineDeleted(name string, now time.Time)
-	// MachineRecorded follows the assignment record of a machine.
+	// MachineRecorded takes the record of a machine, and its version, into the state.
 	MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time)
 }
 
-// Cloud is what Autoscaler asks of its collaborator.
+// Cloud creates, lists and deletes machines.
 type Cloud interface {
-	// Call sends one request to the cloud within its budget.
-	Call(method, target string, in, out any) (int, error)
+	// Catalog gets the machine types that the cloud offers, at least one.
+	Catalog() (protocol.Catalog, error)
+	// Machines lists all machines of the cluster that the cloud knows, by name. The list
+	// lags behind.
+	Machines() (map[string]protocol.ListedMachine, error)
+	// CreateMachines asks for machines and returns the names of those that the cloud gives,
+	// which may be fewer. A request that is repeated under its name creates no machine twice.
+	CreateMachines(req protocol.Rental) ([]string, error)
+	// DeleteMachines deletes machines. Nothing runs on them once it has returned without an
+	// error.
+	DeleteMachines(names []string) error
 }
 
-// Peering is what Autoscaler asks of its collaborator.
+// Peering knows what this controller tells others.
 type Peering interface {
-	// PartitionSummaries describes the own parts.
-	PartitionSummaries(now time.Time) (list []*peer.PartitionSummary)
+	// PartitionSummaries describes the partitions that this controller leads.
+	PartitionSummaries(now time.Time) []*peer.PartitionSummary
 }
 
-// Scheduler is what Autoscaler asks of its collaborator.
+// Scheduler knows the pending work of all partitions.
 type Scheduler interface {
-	// Scarcity looks over all unfinished jobs, those of other parts too: machines
-	// move between parts. It is kept for a moment, like the order of jobs.
+	// Scarcity says of each machine type how few choices the unfinished jobs have that need
+	// it.
 	Scarcity(now time.Time) binpack.Scarcity
 }
--- a/internal/coordination/autoscaler/leadership_update.go
+++ b/internal/coordination/autoscaler/leadership_update.go
@@ -8,59 +8,84 @@
 	"micaspindle/internal/coordination/binpack"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/settings"
 )
 
-// movedMachinesLimit is how many machines that were moved of late the leader names.
-const movedMachinesLimit = 4000
-
-// leaderUpdateTTL is how long what the leader told counts after it was told.
-const leaderUpdateTTL = 10 * time.Second
+const (
+	// maxReplicatedMoves bounds the recently moved machines of an update.
+	maxReplicatedMoves = 4000
+	// replicatedMoveAge is how long ago a machine may have been moved to be in an update.
+	replicatedMoveAge = 2 * time.Minute
+	// maxRefusalS is beneath how many seconds a refusal of another leader must last to be
+	// believed.
+	maxRefusalS = 60
+	// leaderUpdateTTL is how long an update counts after it was received.
+	leaderUpdateTTL = 10 * time.Second
+)
 
-// LeaderUpdate is what the leader is about.
-func (as *Autoscaler) LeaderUpdate(now time.Time) *peer.ReplicaUpdate {
-	l := &as.Leadership
-	lt := &peer.LeaderUpdate{}
-	for _, name := range slices.Sorted(maps.Keys(l.PendingScaleOut)) {
-		r := l.PendingScaleOut[name]
-		lt.ScaleOuts = append(lt.ScaleOuts, &peer.ScaleOutRequest{Name: name, Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: uint32(r.Count), Partition: uint32(r.Partition)})
+// LeaderUpdate is what the next leader of the cluster needs to go on: the requests to the cloud
+// under way, refused capacity, and which machines were moved lately.
+func (a *Autoscaler) LeaderUpdate(now time.Time) *peer.ReplicaUpdate {
+	leadership := &a.Leadership
+	update := &peer.LeaderUpdate{}
+	for _, name := range slices.Sorted(maps.Keys(leadership.PendingScaleOut)) {
+		request := leadership.PendingScaleOut[name]
+		update.ScaleOuts = append(update.ScaleOuts, &peer.ScaleOutRequest{
+			Name:      name,
+			Type:      request.Kind.Type,
+			Zone:      request.Kind.Zone,
+			Spot:      request.Kind.Spot,
+			Count:     uint32(request.Count),
+			Partition: uint32(request.Partition),
+		})
 	}
-	for kind, until := range l.RefusedCapacity {
+	for kind, until := range leadership.RefusedCapacity {
 		if until.After(now) {
-			lt.Refusals = append(lt.Refusals, &peer.CapacityRefusal{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, ForS: until.Sub(now).Seconds()})
+			update.Refusals = append(update.Refusals, &peer.CapacityRefusal{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, ForS: until.Sub(now).Seconds()})
 		}
 	}
-	for name, at := range l.MovedAt {
-		if as.Machines[name] != nil && len(lt.Moves) < movedMachinesLimit && now.Sub(at) < 2*time.Minute {
-			lt.Moves = append(lt.Moves, &peer.MachineMove{Name: name, AgoS: now.Sub(at).Seconds()})
+	for name, movedAt := range leadership.MovedAt {
+		if a.Machines[name] != nil && len(update.Moves) < maxReplicatedMoves && now.Sub(movedAt) < replicatedMoveAge {
+			update.Moves = append(update.Moves, &peer.MachineMove{Name: name, AgoS: now.Sub(movedAt).Seconds()})
 		}
 	}
-	return &peer.ReplicaUpdate{From: as.Settings.Label, Nonce: as.Nonce, LeaseRevision: l.Revision, Leader: lt}
+	return &peer.ReplicaUpdate{From: a.Settings.Label, Nonce: a.Nonce, LeaseRevision: leadership.Revision, Leader: update}
 }
 
-// ResumeLeadership goes on with what the leader before was about: what the cloud lacked, which
-// machines were moved of late, and its rentals without an answer, which are repeated
-// under their own names, so that they rent nothing twice (18).
-func (as *Autoscaler) ResumeLeadership(h cluster.LeaderUpdate, now time.Time) {
-	l := &as.Leadership
-	version := l.Revision
-	if h.Update == nil || now.Sub(h.ReceivedAt) > leaderUpdateTTL || h.From == as.Settings.Label {
+// ResumeLeadership goes on where the former leader stopped, as its last update has it. Requests
+// to the cloud without an answer are repeated under their own names, so that they create no
+// machine twice (rule 18).
+func (a *Autoscaler) ResumeLeadership(last cluster.LeaderUpdate, now time.Time) {
+	if last.Update == nil || now.Sub(last.ReceivedAt) > leaderUpdateTTL || last.From == a.Settings.Label {
 		return
 	}
-	for _, r := range h.Update.Refusals {
-		if r.ForS > 0 && r.ForS < 60 {
-			l.RefusedCapacity[binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = h.ReceivedAt.Add(time.Duration(r.ForS * float64(time.Second)))
+	leadership := &a.Leadership
+	for _, refusal := range last.Update.Refusals {
+		if refusal.ForS > 0 && refusal.ForS < maxRefusalS {
+			kind := binpack.MachineKind{Type: refusal.Type, Zone: refusal.Zone, Spot: refusal.Spot}
+			leadership.RefusedCapacity[kind] = last.ReceivedAt.Add(settings.Seconds(refusal.ForS))
 		}
 	}
-	for _, m := range h.Update.Moves {
-		l.MovedAt[m.Name] = h.ReceivedAt.Add(-time.Duration(m.AgoS * float64(time.Second)))
+	for _, move := range last.Update.Moves {
+		leadership.MovedAt[move.Name] = last.ReceivedAt.Add(-settings.Seconds(move.AgoS))
 	}
-	for _, r := range h.Update.ScaleOuts {
-		if int(r.Partition) >= len(as.Partitions) || r.Count == 0 || r.Count > 50 || l.PendingScaleOut[r.Name] != nil {
-			continue
-		}
-		rent := &cluster.ScaleOutRequest{Kind: binpack.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, Partition: int(r.Partition), Count: int(r.Count)}
-		l.PendingScaleOut[r.Name] = rent
-		as.log.Info("repeating a rental of the leader before", "request", r.Name, "type", r.Type, "count", r.Count)
-		as.loop.Go(func() { as.finishScaleOut(r.Name, rent, version) })
+	for _, request := range last.Update.ScaleOuts {
+		a.resumeScaleOut(request)
+	}
+}
+
+// resumeScaleOut goes on with a request of the former leader, if it is valid and not known yet.
+func (a *Autoscaler) resumeScaleOut(received *peer.ScaleOutRequest) {
+	leadership := &a.Leadership
+	if int(received.Partition) >= len(a.Partitions) || received.Count == 0 || received.Count > maxScaleOut || leadership.PendingScaleOut[received.Name] != nil {
+		return
+	}
+	request := &cluster.ScaleOutRequest{
+		Kind:      binpack.MachineKind{Type: received.Type, Zone: received.Zone, Spot: received.Spot},
+		Partition: int(received.Partition),
+		Count:     int(received.Count),
 	}
+	leadership.PendingScaleOut[received.Name] = request
+	a.log.Info("scale-out resumed", "request", received.Name, "type", received.Type, "count", received.Count)
+	a.runScaleOut(received.Name, request, leadership.Revision)
 }
--- /dev/null
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -0,0 +1,103 @@
+package autoscaler
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/retry"
+	"micaspindle/internal/storage"
+)
+
+// recordBackoff is the pause before the records of new machines are written again.
+var recordBackoff = retry.Backoff{First: 666 * time.Millisecond, Most: 666 * time.Millisecond}
+
+// recordMachines writes the same record for new machines, in as many transactions as it takes.
+// It retries until they are written, somebody else has written one, or this controller no
+// longer leads; then the next leader adopts the rest.
+func (a *Autoscaler) recordMachines(names []string, record storage.Machine) {
+	retries := a.loop.Tries("records", recordBackoff)
+	for len(names) > 0 {
+		leaseRevision, leading := a.leads()
+		if !leading {
+			return
+		}
+		batch := names[:min(a.store.TxnOps(), len(names))]
+		revision, err := a.commitRecords(batch, record, leaseRevision)
+		if err == nil {
+			a.loop.Do(func() {
+				for _, name := range batch {
+					a.agents.MachineRecorded(name, record, revision, time.Now())
+				}
+			})
+			names = names[len(batch):]
+			continue
+		}
+		var conflict *storage.Conflict
+		if errors.As(err, &conflict) {
+			return // on record already, or no longer leading: the watch will say
+		}
+		a.log.Info("machines not recorded yet", "machines", batch, "error", err)
+		if !a.loop.Sleep(retries.Failed()) {
+			return
+		}
+	}
+}
+
+// commitRecords writes the records of machines that have none, if this controller still leads.
+func (a *Autoscaler) commitRecords(names []string, record storage.Machine, leaseRevision uint64) (uint64, error) {
+	txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.LeadershipKey, Version: leaseRevision}}}
+	for _, name := range names {
+		key := storage.MachineKey(name)
+		txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
+		txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(record)})
+	}
+	return a.commit(txn)
+}
+
+// deleteMachines deletes machines and then their records. A record is deleted only after the
+// cloud's answer, since its end proves that no attempt runs there any more.
+func (a *Autoscaler) deleteMachines(names []string) {
+	if err := a.cloud.DeleteMachines(names); err != nil {
+		a.log.Info("machines not deleted", "machines", names, "error", err)
+		return
+	}
+	for _, name := range names {
+		a.deleteRecord(name)
+	}
+}
+
+// deleteRecord deletes the record of a machine that is gone, if this controller still leads.
+func (a *Autoscaler) deleteRecord(name string) {
+	var txn *protocol.Transaction
+	a.loop.Do(func() {
+		machine := a.Machines[name]
+		if machine == nil || !a.Leadership.Held {
+			return
+		}
+		key := storage.MachineKey(name)
+		txn = &protocol.Transaction{
+			If: []protocol.Condition{
+				{Key: storage.LeadershipKey, Version: a.Leadership.Revision},
+				{Key: key, Version: machine.Revision},
+			},
+			Then: []protocol.Change{{Delete: key}},
+		}
+	})
+	if txn == nil {
+		return
+	}
+	if _, err := a.commit(txn); err != nil {
+		a.log.Info("machine record not deleted yet", "machine", name, "error", err)
+		return
+	}
+	a.loop.Do(func() { a.agents.MachineDeleted(name, time.Now()) })
+}
+
+// commit commits a transaction on records of machines and returns its revision.
+func (a *Autoscaler) commit(txn *protocol.Transaction) (uint64, error) {
+	ctx, cancel := context.WithTimeout(a.loop.Context(), recordTimeout)
+	defer cancel()
+	return a.store.Commit(ctx, txn)
+}
--- /dev/null
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -0,0 +1,105 @@
+package autoscaler
+
+import (
+	"time"
+
+	"micaspindle/internal/coordination/scaling"
+	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/storage"
+)
+
+// adoptLaterHeadStart is how much sooner an unrecorded machine is looked at again that may be
+// the answer to a scale-out under way, than one whose adoption failed.
+const adoptLaterHeadStart = 3 * time.Second
+
+// LeaderLoop lists the cloud's machines and reconciles the fleet while this controller is the
+// cluster's leader. It returns when the event loop's context ends.
+func (a *Autoscaler) LeaderLoop() {
+	listedAt := time.Time{}
+	listInterval := a.listInterval()
+	for {
+		select {
+		case <-time.After(a.Operator.MovePeriod):
+		case <-a.Leadership.Wakeup:
+			// Capacity that was refused is sought elsewhere at once.
+		case <-a.loop.Context().Done():
+			return
+		}
+		if _, leading := a.leads(); !leading {
+			continue
+		}
+		if time.Since(listedAt) > listInterval {
+			listedAt = time.Now()
+			a.loop.Go(a.listMachines)
+		}
+		a.loop.Do(func() { a.ReconcileFleet(time.Now()) })
+	}
+}
+
+// ReconcileFleet is one round of the leader: it gathers what is known, has package scaling
+// decide, and starts what the plan says. It does nothing while this controller's lease may
+// have expired.
+func (a *Autoscaler) ReconcileFleet(now time.Time) {
+	if !a.Leadership.Held || len(a.Catalog) == 0 || now.Sub(a.LeaseRenewedAt) > a.Operator.ClaimTTL {
+		return
+	}
+	unrecorded := a.unrecordedMachines(now)
+	plan := scaling.Decide(a.ScalingView(unrecorded, now))
+	for _, adoption := range plan.Adopt {
+		a.adopt(adoption, unrecorded[adoption.Name], now)
+	}
+	for _, name := range plan.AdoptLater {
+		a.Leadership.Adopting[name] = now.Add(-adoptLaterHeadStart)
+	}
+	a.terminate(plan.Terminate, now)
+	for _, move := range plan.Moves {
+		a.move(move, now)
+	}
+	for _, scaleOut := range plan.ScaleOuts {
+		a.startScaleOut(scaleOut)
+	}
+	for _, name := range plan.ScaleIns {
+		a.scaleIn(name, now)
+	}
+}
+
+// adopt records an unrecorded machine as one of a partition.
+func (a *Autoscaler) adopt(adoption scaling.Adoption, record storage.Machine, now time.Time) {
+	record.Partition = adoption.Partition
+	a.Leadership.Adopting[adoption.Name] = now
+	a.log.Info("machine adopted", "machine", adoption.Name, "type", record.Type, "zone", record.Zone, "partition", record.Partition)
+	a.loop.Go(func() { a.recordMachines([]string{adoption.Name}, record) })
+}
+
+// terminate deletes unhealthy machines.
+func (a *Autoscaler) terminate(terminations []scaling.Termination, now time.Time) {
+	if len(terminations) == 0 {
+		return
+	}
+	names := make([]string, len(terminations))
+	for i, termination := range terminations {
+		names[i] = termination.Name
+		a.Leadership.Deleting[termination.Name] = now
+		a.log.Info("machine termination started", "machine", termination.Name, "reason", termination.Reason)
+	}
+	a.loop.Go(func() { a.deleteMachines(names) })
+}
+
+// move asks the leader of a machine's partition to move the machine to another one.
+func (a *Autoscaler) move(move scaling.Move, now time.Time) {
+	a.Leadership.MovedAt[move.Name] = now
+	a.log.Info("machine move started", "machine", move.Name, "from", move.From, "to", move.To)
+	request := &peer.MachineRequest{Machine: move.Name, ToPartition: uint32(move.To)}
+	a.askPartitionLeader(move.From, request, func() {
+		a.loop.Do(func() { a.Leadership.AssignedAt[move.To] = time.Now() })
+	})
+}
+
+// scaleIn asks the leader of a machine's partition to retire it, and then deletes it.
+func (a *Autoscaler) scaleIn(name string, now time.Time) {
+	a.Leadership.Deleting[name] = now
+	record := a.Machines[name].Record
+	a.log.Info("scale-in started", "machine", name, "type", record.Type, "partition", record.Partition)
+	request := &peer.MachineRequest{Machine: name, Retire: true}
+	a.askPartitionLeader(record.Partition, request, func() { a.deleteMachines([]string{name}) })
+}
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -4,63 +4,102 @@
 	"fmt"
 	"time"
 
+	"micaspindle/internal/coordination/cloudclient"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/scaling"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/retry"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
 
-// startScaleOut sends one request. Its name holds the revision of the leader's
-// claim and a counter, so that no other request ever has it.
-func (as *Autoscaler) startScaleOut(plan scaling.ScaleOut) {
-	l := &as.Leadership
-	l.Requests++
-	name := fmt.Sprintf("r-%d-%d", l.Revision, l.Requests)
-	r := &cluster.ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, 50)}
-	l.PendingScaleOut[name] = r
-	version := l.Revision
-	as.metrics.Count(telemetry.Rented, r.Count)
-	as.log.Info("renting", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "count", plan.Count, "part", r.Partition)
-	as.loop.Go(func() { as.finishScaleOut(name, r, version) })
+const (
+	// maxScaleOut is how many machines one request may ask for.
+	maxScaleOut = 50
+	// refusedCapacityTTL is how long capacity that the cloud refused is not asked for.
+	refusedCapacityTTL = 15 * time.Second
+)
+
+// scaleOutBackoff is the pause before a request without an answer is repeated.
+var scaleOutBackoff = retry.Backoff{First: 1333 * time.Millisecond, Most: 1333 * time.Millisecond}
+
+// startScaleOut starts a request for machines. Its name holds the revision of the leader's
+// lease and a counter, so that no other request ever has it.
+func (a *Autoscaler) startScaleOut(plan scaling.ScaleOut) {
+	leadership := &a.Leadership
+	leadership.Requests++
+	name := fmt.Sprintf("r-%d-%d", leadership.Revision, leadership.Requests)
+	request := &cluster.ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, maxScaleOut)}
+	leadership.PendingScaleOut[name] = request
+	a.metrics.Count(telemetry.Rented, request.Count)
+	a.log.Info("scale-out started", "request", name, "type", plan.Kind.Type, "zone", plan.Kind.Zone, "spot", plan.Kind.Spot, "count", request.Count, "wanted", plan.Count, "partition", request.Partition)
+	a.runScaleOut(name, request, leadership.Revision)
+}
+
+// runScaleOut starts the task that finishes a request.
+func (a *Autoscaler) runScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
+	a.loop.Go(func() { a.finishScaleOut(name, request, leaseRevision) })
 }
 
-// finishScaleOut repeats a request under its name until it is answered.
-func (as *Autoscaler) finishScaleOut(name string, r *cluster.ScaleOutRequest, version uint64) {
-	req := protocol.Rental{Request: name, Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: r.Count}
-	tries := as.loop.Tries(name, cloudBackoff)
+// finishScaleOut repeats a request under its name until it is answered, or this controller no
+// longer leads under the lease of that revision; then the next leader goes on with it.
+func (a *Autoscaler) finishScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
+	kind := request.Kind
+	body := protocol.Rental{Request: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: request.Count}
+	retries := a.loop.Tries(name, scaleOutBackoff)
 	for {
-		var names protocol.MachineNames
-		status, err := as.cloud.Call("POST", "/machines", req, &names)
-		switch {
-		case err == nil && status == 200:
-			if len(names.Machines) < r.Count {
-				as.loop.Do(func() { as.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second) })
-				as.log.Info("rental partly filled", "request", name, "machines", len(names.Machines), "asked", r.Count)
-			}
-			as.recordMachines(names.Machines, storage.Machine{Partition: r.Partition, Type: r.Kind.Type, Zone: r.Kind.Zone,
-				Spot: r.Kind.Spot, RentedMS: time.Now().UnixMilli()})
-			as.loop.Do(func() {
-				delete(as.Leadership.PendingScaleOut, name)
-				as.Leadership.AssignedAt[r.Partition] = time.Now()
-			})
+		machines, err := a.cloud.CreateMachines(body)
+		if err == nil {
+			a.completeScaleOut(name, request, machines)
+			return
+		}
+		if cloudclient.CapacityRefused(err) {
+			a.refuseScaleOut(name, request, err)
 			return
-		case err == nil && (status == 503 || status == 400):
-			as.metrics.Count(telemetry.RentRefused, 1)
-			as.log.Info("rental refused", "request", name, "type", r.Kind.Type, "zone", r.Kind.Zone, "spot", r.Kind.Spot, "status", status)
-			as.loop.Do(func() {
-				as.Leadership.RefusedCapacity[r.Kind] = time.Now().Add(15 * time.Second)
-				delete(as.Leadership.PendingScaleOut, name)
-			})
-			eventloop.Signal(as.Leadership.Wakeup)
+		}
+		a.log.Debug("scale-out unanswered", "request", name, "error", err)
+		if revision, leading := a.leads(); !leading || revision != leaseRevision {
 			return
 		}
-		as.log.Debug("rental unanswered", "request", name, "status", status, "reason", err)
-		leading := false
-		as.loop.Do(func() { leading = as.Leadership.Held && as.Leadership.Revision == version })
-		if !leading || !as.loop.Sleep(tries.Failed()) {
+		if !a.loop.Sleep(retries.Failed()) {
 			return
 		}
 	}
 }
+
+// completeScaleOut records the machines that the cloud gave.
+func (a *Autoscaler) completeScaleOut(name string, request *cluster.ScaleOutRequest, machines []string) {
+	if len(machines) < request.Count {
+		a.loop.Do(func() { a.avoidCapacity(request) })
+		a.log.Info("scale-out partly filled", "request", name, "count", len(machines), "wanted", request.Count)
+	}
+	a.recordMachines(machines, storage.Machine{
+		Partition: request.Partition,
+		Type:      request.Kind.Type,
+		Zone:      request.Kind.Zone,
+		Spot:      request.Kind.Spot,
+		RentedMS:  time.Now().UnixMilli(),
+	})
+	a.loop.Do(func() {
+		delete(a.Leadership.PendingScaleOut, name)
+		a.Leadership.AssignedAt[request.Partition] = time.Now()
+	})
+}
+
+// refuseScaleOut ends a request that the cloud refused, and has the capacity sought elsewhere
+// at once.
+func (a *Autoscaler) refuseScaleOut(name string, request *cluster.ScaleOutRequest, err error) {
+	a.metrics.Count(telemetry.RentRefused, 1)
+	a.log.Info("scale-out refused", "request", name, "type", request.Kind.Type, "zone", request.Kind.Zone, "spot", request.Kind.Spot, "error", err)
+	a.loop.Do(func() {
+		a.avoidCapacity(request)
+		delete(a.Leadership.PendingScaleOut, name)
+	})
+	eventloop.Signal(a.Leadership.Wakeup)
+}
+
+// avoidCapacity keeps requests of the same kind back for a while.
+func (a *Autoscaler) avoidCapacity(request *cluster.ScaleOutRequest) {
+	a.Leadership.RefusedCapacity[request.Kind] = time.Now().Add(refusedCapacityTTL)
+}
