--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -80,7 +80,7 @@
 	for i, termination := range terminations {
 		names[i] = termination.Name
 		a.Leadership.Deleting[termination.Name] = now
-		a.log.Info("machine termination started", "machine", termination.Name, "reason", termination.Reason)
+		a.log.Info("machine termination started", "machine", termination.Name, "reason", string(termination.Reason))
 	}
 	a.loop.Go(func() { a.deleteMachines(names) })
 }
--- /dev/null
+++ b/internal/coordination/scaling/move.go
@@ -0,0 +1,70 @@
+package scaling
+
+import (
+	"cmp"
+	"slices"
+
+	"micaspindle/internal/coordination/binpack"
+)
+
+// move moves idle machines from partitions without fitting work to others, whose tasks have
+// waited longest first.
+func (r *round) move() {
+	for i := range r.Machines {
+		if r.mayMove(i) {
+			partition := r.Machines[i].Partition
+			r.movable[partition] = append(r.movable[partition], i)
+		}
+	}
+	for _, to := range r.needy() {
+		for i := range r.demands[to] {
+			for from := range r.Partitions {
+				if from != to && r.Partitions[from].Known {
+					r.moveFrom(from, to, &r.demands[to][i])
+				}
+			}
+		}
+	}
+}
+
+// mayMove reports whether a machine is idle and may be moved.
+func (r *round) mayMove(i int) bool {
+	machine := &r.Machines[i]
+	return machine.Type != nil && machine.Idle &&
+		!machine.Retiring && !machine.Quarantined && !machine.Lost && !r.terminated[i] &&
+		!r.recently(machine.MovedAt, moveRest) && !r.recently(machine.DeletingSince, retryRest)
+}
+
+// needy lists the partitions with demands, by their longest wait.
+func (r *round) needy() []int {
+	var partitions []int
+	longestS := make([]float64, len(r.Partitions))
+	for i, demands := range r.demands {
+		if len(demands) > 0 {
+			partitions = append(partitions, i)
+		}
+		for _, demand := range demands {
+			longestS[i] = max(longestS[i], demand.WaitedS)
+		}
+	}
+	slices.SortStableFunc(partitions, func(a, b int) int { return cmp.Compare(longestS[b], longestS[a]) })
+	return partitions
+}
+
+// moveFrom moves machines from one partition to another until they serve a demand there.
+func (r *round) moveFrom(from, to int, demand *Demand) {
+	r.movable[from] = slices.DeleteFunc(r.movable[from], func(i int) bool {
+		machine := &r.Machines[i]
+		if demand.Count <= 0 || !demand.Constraints.Allows(machine.Kind) {
+			return false
+		}
+		slots := binpack.Size(machine.Type).Slots(demand.Resources, demand.Count)
+		if slots == 0 || r.wants(from, machine) {
+			return false
+		}
+		demand.Count -= slots
+		r.moved[i] = true
+		r.plan.Moves = append(r.plan.Moves, Move{Name: machine.Name, From: from, To: to})
+		return true
+	})
+}
