--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -46,8 +46,8 @@
 	groups [2]int
 }
 
-func newRound(v View) *round {
-	r := &round{
+func newRound(v View) round {
+	r := round{
 		View:  v,
 		teams: slices.Clone(v.Teams),
 		full:  map[taskShape]bool{},
--- a/internal/coordination/preemption/round.go
+++ b/internal/coordination/preemption/round.go
@@ -17,8 +17,8 @@
 	stops   []Stop
 }
 
-func newRound(v View) *round {
-	r := &round{View: v, stopping: make([]bool, len(v.Tasks)), claimed: make([]bool, len(v.Machines))}
+func newRound(v View) round {
+	r := round{View: v, stopping: make([]bool, len(v.Tasks)), claimed: make([]bool, len(v.Machines))}
 	for i := range v.Tasks {
 		r.stopping[i] = v.Tasks[i].Stopping
 	}
--- a/internal/coordination/queue/grades.go
+++ b/internal/coordination/queue/grades.go
@@ -84,7 +84,7 @@
 // lateJobs returns those jobs of a group that can't be done within factor times their
 // deadlines, in the order in which they are found. group holds the jobs' indexes.
 func lateJobs(jobs []Job, group []int, factor float64, now time.Time) []int {
-	s := &schedule{jobs: jobs, machines: &backlog{}, teams: map[int]*backlog{}}
+	s := schedule{jobs: jobs, teams: map[int]*backlog{}}
 	for _, i := range group {
 		leftS := jobs[i].allowedS()*factor - jobs[i].waitedS(now)
 		s.add(i, leftS)
@@ -96,7 +96,7 @@
 // and for what their teams' limits allow.
 type schedule struct {
 	jobs     []Job
-	machines *backlog
+	machines backlog
 	teams    map[int]*backlog
 	// late are the jobs that were dropped, so that the others can be in time.
 	late []int
@@ -115,7 +115,7 @@
 		team = &backlog{}
 		s.teams[job.Team] = team
 	}
-	if s.enqueue(s.machines, i, job.Slots, aloneS, leftS) {
+	if s.enqueue(&s.machines, i, job.Slots, aloneS, leftS) {
 		s.enqueue(team, i, job.Parallelism, aloneS, leftS)
 	}
 }
--- a/internal/coordination/scaling/scaling.go
+++ b/internal/coordination/scaling/scaling.go
@@ -162,8 +162,8 @@
 	plan              Plan
 }
 
-func newRound(v View) *round {
-	r := &round{
+func newRound(v View) round {
+	r := round{
 		View:       v,
 		demands:    make([][]Demand, len(v.Partitions)),
 		movable:    make([][]int, len(v.Partitions)),
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -43,13 +43,18 @@
 
 // predictMachine predicts the contention on a machine from its running tasks.
 func (s *Scheduler) predictMachine(machine *cluster.Machine, now time.Time) *contention.Machine {
-	prediction := &contention.Machine{UseLimit: s.Operator.LimitShare * machine.Type.CPUs}
+	return &contention.Machine{Tasks: s.predictTasks(machine, now), UseLimit: s.Operator.LimitShare * machine.Type.CPUs}
+}
+
+// predictTasks describes the running tasks of a machine.
+func (s *Scheduler) predictTasks(machine *cluster.Machine, now time.Time) []contention.Task {
+	var tasks []contention.Task
 	for _, attempt := range machine.Attempts {
 		if attempt.Live() {
-			prediction.Tasks = append(prediction.Tasks, s.predictTask(attempt.Job.Spec, attempt.RunningS(now)))
+			tasks = append(tasks, s.predictTask(attempt.Job.Spec, attempt.RunningS(now)))
 		}
 	}
-	return prediction
+	return tasks
 }
 
 // predictTask describes a task of a job that has run for so many seconds.
