--- a/internal/coordination/autoscaler/collaborators.go
+++ b/internal/coordination/autoscaler/collaborators.go
@@ -9,7 +9,7 @@
 	"micaspindle/internal/storage"
 )
 
-// Agents keeps the machines of this controller's state and talks to their agents.
+// Agents moves, retires and forgets machines, in the state and with their agents.
 type Agents interface {
 	// HandleMachineRequest moves or retires a machine of one of this controller's
 	// partitions, if it is idle.
@@ -35,7 +35,7 @@
 	DeleteMachines(names []string) error
 }
 
-// Peering knows what this controller tells others.
+// Peering summarises this controller for others.
 type Peering interface {
 	// PartitionSummaries describes the partitions that this controller leads.
 	PartitionSummaries(now time.Time) []*peer.PartitionSummary
--- a/internal/coordination/binpack/types.go
+++ b/internal/coordination/binpack/types.go
@@ -6,7 +6,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// TypeSetSize is how many types of a catalog a TypeSet tells apart: the first so many.
+// TypeSetSize is how many types of a catalog a TypeSet distinguishes: the first so many.
 const TypeSetSize = 64
 
 // TypeSet is the set of machine types that a task fits, as bits by their places in the
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -65,7 +65,7 @@
 }
 
 // Two classes that a flood starves, one of which wants far more than the other: both
-// get their part. The teams that the flood is of are all as much behind, so none of them
+// get their share. The teams that the flood is of are all as starved, so none of them
 // is beyond the others; kept for each, nothing was left for the class in need
 // (flood-urgent of seed 993: 0.18 of listing-sync done).
 func TestGroupsInNeedShareWhatIsKept(t *testing.T) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Random parts: never more than Most of a type, only for those that are behind and want
+// Random partitions: never more than MaxReservedShare of a type, only for those that are starved and want
 // it, the same whatever the machines' order, and before long the same again and again.
 func TestWhatIsKeptIsSound(t *testing.T) {
 	some := 0
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Random parts: the same view gives the same stops; nothing is stopped twice, that
+// Random partitions: the same view gives the same stops; nothing is stopped twice, that
 // stops already, or that the rule keeps.
 func TestStopsAreSound(t *testing.T) {
 	for seed := range uint64(300) {
--- a/internal/coordination/preemption/round.go
+++ b/internal/coordination/preemption/round.go
@@ -12,13 +12,13 @@
 	View
 	// stopping is by task: it stops already, or is to be stopped.
 	stopping []bool
-	// claimed is by machine: its room is meant for a job already.
-	claimed []bool
-	stops   []Stop
+	// taken is by machine: room is made there for a job already.
+	taken []bool
+	stops []Stop
 }
 
 func newRound(v View) round {
-	r := round{View: v, stopping: make([]bool, len(v.Tasks)), claimed: make([]bool, len(v.Machines))}
+	r := round{View: v, stopping: make([]bool, len(v.Tasks)), taken: make([]bool, len(v.Machines))}
 	for i := range v.Tasks {
 		r.stopping[i] = v.Tasks[i].Stopping
 	}
@@ -46,7 +46,7 @@
 		if !found {
 			return
 		}
-		r.claimed[cheapest.machine] = true
+		r.taken[cheapest.machine] = true
 		for _, task := range cheapest.tasks {
 			r.stop(task, jobIndex, false)
 		}
@@ -66,7 +66,7 @@
 func (r *round) cheapestMachine(job *Job, guaranteed bool) (cheapest eviction, found bool) {
 	for i := range r.Machines {
 		machine := &r.Machines[i]
-		if r.claimed[i] || !job.Constraints.Allows(machine.Kind) || job.ClosedZones[machine.Kind.Zone] || job.FailedMachines[machine.Name] {
+		if r.taken[i] || !job.Constraints.Allows(machine.Kind) || job.ClosedZones[machine.Kind.Zone] || job.FailedMachines[machine.Name] {
 			continue
 		}
 		candidate, possible := r.evict(i, job, guaranteed)
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -121,7 +121,7 @@
 }
 
 // Random views: the same view gives the same plan and is not changed; no machine is
-// given two orders; no part is rented more than its demands need one by one.
+// acted on twice; no partition scales out by more than its demands need one by one.
 func TestPlansAreSound(t *testing.T) {
 	for seed := range uint64(300) {
 		build := func() View {
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/telemetry"
 )
 
-// ClassGroupsLimit bounds the classes that are told apart, and those whose run times are
+// ClassGroupsLimit bounds the classes that are distinguished, and those whose run times are
 // learnt, since users make up their names. It does not grow with the machines; one class
 // takes up to 300 bytes.
 const ClassGroupsLimit = 1000
