--- a/internal/coordination/proxy/bounds.go
+++ b/internal/coordination/proxy/bounds.go
@@ -5,10 +5,16 @@
 	"micaspindle/internal/settings"
 )
 
-// unsentMemoryShare is which part of the memory reports that wait for their owner may take.
+// socketsPerMachine is how many connections a machine keeps with the controller that answers
+// its heartbeats: one for heartbeats and one for commands.
+const socketsPerMachine = 2
+
+// unsentMemoryShare is the fraction of the memory, as a divisor, that heartbeats which are
+// still to be sent to the partition's leader may take.
 const unsentMemoryShare = 32
 
-// UnsentBytesLimit bounds the reports of a part that wait for their owner, in bytes.
+// UnsentBytesLimit bounds the answered heartbeats of a partition that are still to be sent to
+// its leader, in bytes.
 func UnsentBytesLimit(limits settings.Limits) int {
 	return max(renewalBytesLimit, int(limits.MemMB*peerapi.BytesPerMB)/unsentMemoryShare)
 }
--- a/internal/coordination/proxy/collaborators.go
+++ b/internal/coordination/proxy/collaborators.go
@@ -10,22 +10,24 @@
 	"micaspindle/internal/transport"
 )
 
-// Agents is what Proxy asks of its collaborator.
+// Agents applies heartbeats of agents and sends commands to them.
 type Agents interface {
-	// ApplyReport takes in a report, from whichever way it came.
-	ApplyReport(m *cluster.Machine, r *protocol.Heartbeat, now time.Time)
-	// SendCommands sends direct commands, one request at a time for each machine.
-	SendCommands(m *cluster.Machine)
-	// StopsOfCancelled stops what a report shows of withdrawn jobs. Whoever answers a report keeps
-	// what it shows alive, so that nobody may do so for a task that it knows to be withdrawn:
-	// neither an owner that has not read its part's records yet nor a carrier, which both
-	// decide nothing else. A withdrawal is on record for good, so that the stop needs none.
-	StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command
+	// ApplyReport applies a machine's heartbeat to the state, whichever way it came.
+	ApplyReport(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time)
+	// SendCommands sends a machine's commands to its agent, one request at a time for each
+	// machine.
+	SendCommands(machine *cluster.Machine)
+	// StopsOfCancelled makes stop commands for the attempts of cancelled jobs that a heartbeat
+	// shows. Whoever answers a heartbeat renews the lease of every attempt in it, so nobody may
+	// do so for a task that it knows to be cancelled: neither a leader that has not read its
+	// partition's records yet nor a delegate, which both decide nothing else. A cancellation
+	// is on record for good, so the stop needs no record of its own.
+	StopsOfCancelled(heartbeat *protocol.Heartbeat) []protocol.Command
 }
 
-// Auth is what Proxy asks of its collaborator.
+// Auth checks who sent a message.
 type Auth interface {
-	// CheckSender says whether a message comes from the worker or controller that it
-	// names, and refuses it if not.
-	CheckSender(who *auth.Caller, verb string, named identity.Name) *transport.Response
+	// CheckSender checks that a message comes from the agent or controller that it names; it
+	// returns the refusal if not, otherwise nil.
+	CheckSender(caller *auth.Caller, verb string, named identity.Name) *transport.Response
 }
--- /dev/null
+++ b/internal/coordination/proxy/forwarded.go
@@ -0,0 +1,96 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"micaspindle/internal/coordination/agents"
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/identity"
+	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/transport"
+)
+
+// forwardAnswerWait is how long a delegate waits for the agents' answers to the commands of
+// one message.
+const forwardAnswerWait = 400 * time.Millisecond
+
+// agentResult is an agent's answer to the command with the given index in its message.
+type agentResult struct {
+	index  int
+	result *peer.ForwardResult
+}
+
+// HandleForwarded forwards commands to agents as a delegate and replies with what they
+// answered in time. It decides nothing: agents obey or refuse commands by their fencing token.
+func (p *Proxy) HandleForwarded(caller *auth.Caller, body []byte) transport.Response {
+	request := new(peer.ForwardRequest)
+	if err := proto.Unmarshal(body, request); err != nil || len(request.Commands) > ForwardCommandsLimit {
+		return respond.Refuse(400, "bad request", 0)
+	}
+	if refusal := p.auth.CheckSender(caller, "peer", identity.Name{Kind: identity.Controller, ID: request.From}); refusal != nil {
+		return *refusal
+	}
+	addrs, ok := p.agentAddrs(request.Commands)
+	if !ok {
+		return respond.Refuse(503, "stopping", 1)
+	}
+	return peerapi.Reply(p.sendToAgents(request.Commands, addrs))
+}
+
+// agentAddrs is the address of each command's agent, "" where it is unknown; false: the event
+// loop has ended.
+func (p *Proxy) agentAddrs(commands []*peer.ForwardedCommand) (addrs []string, ok bool) {
+	addrs = make([]string, len(commands))
+	ok = p.loop.Do(func() {
+		for i, command := range commands {
+			if machine := p.Machines[command.Machine]; machine != nil {
+				addrs[i] = machine.Record.Addr
+			}
+		}
+	})
+	return addrs, ok
+}
+
+// sendToAgents sends all commands at once and gathers the answers that come in time. The
+// others have status 0: they may still arrive, and count as unanswered.
+func (p *Proxy) sendToAgents(commands []*peer.ForwardedCommand, addrs []string) *peer.ForwardReply {
+	answers := make(chan agentResult, len(addrs))
+	reply := &peer.ForwardReply{}
+	waiting := 0
+	for i, addr := range addrs {
+		reply.Results = append(reply.Results, &peer.ForwardResult{Unsent: addr == ""})
+		if addr == "" {
+			continue
+		}
+		waiting++
+		go func() { answers <- agentResult{i, p.sendToAgent(addr, commands[i].Body)} }()
+	}
+	deadline := time.NewTimer(forwardAnswerWait)
+	defer deadline.Stop()
+	for ; waiting > 0; waiting-- {
+		select {
+		case answer := <-answers:
+			reply.Results[answer.index] = answer.result
+		case <-deadline.C:
+			return reply
+		}
+	}
+	return reply
+}
+
+// sendToAgent sends one agent its commands and waits for its answer.
+func (p *Proxy) sendToAgent(addr string, body []byte) *peer.ForwardResult {
+	ctx, cancel := context.WithTimeout(p.loop.Context(), agents.CommandTimeout)
+	defer cancel()
+	response, err := p.network.Do(ctx, addr, "POST", "/orders", body)
+	if err != nil {
+		return &peer.ForwardResult{Unsent: errors.Is(err, transport.ErrNotSent)}
+	}
+	return &peer.ForwardResult{Status: uint32(response.Status), Body: response.Body}
+}
--- /dev/null
+++ b/internal/coordination/proxy/grants.go
@@ -0,0 +1,117 @@
+package proxy
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"micaspindle/internal/coordination/auth"
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/identity"
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/transport"
+)
+
+const (
+	// redirectInterval is how long an agent that was redirected to its delegate and came back
+	// is served by the leader before it is redirected again.
+	redirectInterval = 3 * time.Second
+	// redirectRetryInterval is the same for an agent that did not reach the delegate at all.
+	redirectRetryInterval = 30 * time.Second
+)
+
+// HandleRenewal answers a delegate's renewal as the partition's leader: it applies the
+// heartbeats that the delegate answered and grants it its shards.
+func (p *Proxy) HandleRenewal(caller *auth.Caller, body []byte) transport.Response {
+	request := new(peer.DelegationRequest)
+	if err := proto.Unmarshal(body, request); err != nil {
+		return respond.Refuse(400, "bad request", 0)
+	}
+	if refusal := p.auth.CheckSender(caller, "peer", identity.Name{Kind: identity.Controller, ID: request.From}); refusal != nil {
+		return *refusal
+	}
+	heartbeats := decodeHeartbeats(request.Heartbeats)
+	var grant *peer.DelegationGrant
+	p.loop.Do(func() { grant = p.renewGrant(request, heartbeats, time.Now()) })
+	if grant == nil {
+		return respond.Refuse(409, "not the owner under this claim", 0)
+	}
+	return peerapi.Reply(grant)
+}
+
+// decodeHeartbeats decodes heartbeats as agents sent them, leaving out those that are invalid.
+func decodeHeartbeats(encoded [][]byte) []*protocol.Heartbeat {
+	heartbeats := make([]*protocol.Heartbeat, 0, len(encoded))
+	for _, raw := range encoded {
+		heartbeat := new(protocol.Heartbeat)
+		if err := protocol.Decode(raw, heartbeat); err == nil && heartbeat.Check() == nil {
+			heartbeats = append(heartbeats, heartbeat)
+		}
+	}
+	return heartbeats
+}
+
+// renewGrant applies the heartbeats of a renewal and renews the delegate's grant; nil: this
+// controller does not lead the partition under the lease that the request names.
+func (p *Proxy) renewGrant(request *peer.DelegationRequest, heartbeats []*protocol.Heartbeat, now time.Time) *peer.DelegationGrant {
+	if int(request.Partition) >= len(p.Partitions) {
+		return nil
+	}
+	partition := p.Partitions[request.Partition]
+	if !p.MayAnswer(partition, now) || !partition.Ready || partition.LeaseRevision != request.LeaseRevision || p.Draining {
+		return nil
+	}
+	for _, heartbeat := range heartbeats {
+		p.applyHeartbeat(partition, heartbeat, now)
+	}
+	longest := p.AnswerBound() - now.Sub(p.InformedAt())
+	shards, duration, serial := partition.Delegations.Renew(request.From, request.Nonce, request.After, longest, now)
+	grant := &peer.DelegationGrant{GrantMs: uint32(duration.Milliseconds()), Serial: serial}
+	for _, shard := range shards {
+		grant.Shards = append(grant.Shards, uint32(shard))
+	}
+	return grant
+}
+
+// applyHeartbeat applies a heartbeat that a delegate has answered.
+func (p *Proxy) applyHeartbeat(partition *cluster.Partition, heartbeat *protocol.Heartbeat, now time.Time) {
+	machine := p.Machines[heartbeat.Machine]
+	if machine == nil || machine.Record.Partition != partition.Index {
+		return
+	}
+	machine.AcceptHeartbeat(heartbeat)
+	machine.AnsweredUntil = now // the delegate answered before now, so this is an upper bound
+	if heartbeat.Token > p.Token(machine) || !machine.IsNewer(heartbeat) {
+		return // late, or older than one that came another way
+	}
+	if heartbeat.Addr != "" {
+		machine.Record.Addr = heartbeat.Addr
+	}
+	p.agents.ApplyReport(machine, heartbeat, now)
+	machine.LastHeardAt, machine.DelegateHeardAt = now, now
+	if machine.Fenced && machine.NeedsCommands() {
+		p.agents.SendCommands(machine)
+	}
+}
+
+// RedirectTarget names the delegate to which an agent that came here should send its
+// heartbeats; "": it is served here.
+func (p *Proxy) RedirectTarget(partition *cluster.Partition, machine *cluster.Machine, now time.Time) string {
+	pause := redirectInterval
+	if !machine.DelegateHeardAt.After(machine.RedirectedAt) {
+		pause = redirectRetryInterval
+	}
+	switch {
+	case !partition.Ready || !machine.Fenced:
+		return ""
+	case !machine.RedirectedAt.IsZero() && now.Sub(machine.RedirectedAt) < pause:
+		return ""
+	case !partition.Delegations.Active(machine.Shard, now):
+		return ""
+	}
+	machine.RedirectedAt = now
+	return partition.Delegations.Delegate(machine.Shard)
+}
