--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -70,11 +70,11 @@
 		}
 		for _, p := range v.Peers {
 			least = min(least, p.Load.with(largest))
-			if p.Load.with(0) > brim {
+			if p.Load.with(0) > delegateFillLimit {
 				t.Errorf("seed %d: %s is filled to %d of %d", seed, p.Label, p.Load.Machines, room)
 			}
 		}
-		if v.Own.with(0) > full && least <= brim && least < v.Own.with(-largest) {
+		if v.Own.with(0) > delegateAbove && least <= delegateFillLimit && least < v.Own.with(-largest) {
 			t.Errorf("seed %d: the owner keeps %d of %d though there is room", seed, v.Own.Machines, room)
 		}
 	}
