--- a/internal/coordination/peerapi/bounds.go
+++ b/internal/coordination/peerapi/bounds.go
@@ -4,20 +4,22 @@
 	"micaspindle/internal/settings"
 )
 
-// BodyMin is what every version of the controller takes as a message. Messages
-// that can be cut keep to it, so that a peer of an older version takes them too.
+// BytesPerMB is the size of the megabytes in which the settings state the memory.
+const BytesPerMB = 1 << 20
+
+// BodyMin is the size in bytes up to which every version of the controller takes a message.
+// Messages that can be split are kept within it, so that a peer of an older version takes them
+// too.
 const BodyMin = 1 << 20
 
-// bodyMax is what the summary of a controller that holds 4,000 machines needs.
+// bodyMax is the size in bytes that the summary of a controller with 4,000 machines needs.
 const bodyMax = 2 << 20
 
-// bodyMemoryShare is which part of the memory one message may take: all that the
-// cluster's sockets hold at a time is in memory.
+// bodyMemoryShare is the fraction of the memory, as a divisor, that one message may take: the
+// messages on all of the cluster's connections may be in memory at a time.
 const bodyMemoryShare = 128
 
-const BytesPerMB = 1 << 20
-
-// MaxBody bounds a message of another controller.
+// MaxBody is the size in bytes up to which a message of another controller is taken.
 func MaxBody(limits settings.Limits) int {
 	return min(bodyMax, max(BodyMin, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
 }
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -1,29 +1,20 @@
 package peering
 
-import (
-	"google.golang.org/protobuf/proto"
+// JobProgressLimit is how many jobs' progress a summary has, for users who ask another
+// controller: 64,000 running tasks in arrays of eight. One takes some 24 bytes of a message
+// and 100 of memory.
+const JobProgressLimit = 8000
 
-	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/protocol/peer"
-	"micaspindle/internal/telemetry"
-)
+// DemandsMin is up to how many demands of a partition a summary has in any case.
+const DemandsMin = 200
 
-// EncodeSummary makes a message of a summary. One that is too large goes without what it
-// can do without: first what only informs users, then machines that are not on record,
-// which report again.
-func (ex *Exchange) EncodeSummary(sum *peer.Summary) []byte {
-	most := peerapi.MaxBody(ex.Settings.Params.MachineLimits)
-	// A summary always marshals: its texts were checked when they came in.
-	body, _ := proto.Marshal(sum)
-	if len(body) <= most {
-		return body
-	}
-	ex.bounds.Met(telemetry.SummaryBytes, 1)
-	sum.Jobs = nil
-	if body, _ = proto.Marshal(sum); len(body) <= most {
-		return body
-	}
-	sum.Unregistered, sum.Diverted = nil, nil
-	body, _ = proto.Marshal(sum)
-	return body
-}
+// machinesPerDemand is for how many machines of a large partition a summary may have one
+// demand more: the queue grows with the machines.
+const machinesPerDemand = 4
+
+// StarvedDemandsShare is the fraction, as a divisor, of the demands in a summary which the
+// work of starved groups may take ahead of all other, so that machines are rented for it too.
+const StarvedDemandsShare = 5
+
+// DemandsLimit is how many demands a summary has of a partition with so many machines.
+func DemandsLimit(machines int) int { return max(DemandsMin, machines/machinesPerDemand) }
--- a/internal/coordination/peering/collaborators.go
+++ b/internal/coordination/peering/collaborators.go
@@ -9,35 +9,37 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Proxy is what Exchange asks of its collaborator.
+// Proxy knows the load by heartbeats, and acts on the delegations in other controllers'
+// summaries.
 type Proxy interface {
-	// Load is how many machines keep their connections here.
+	// Load is how many machines keep their connections with this controller, and how many its
+	// sockets hold.
 	Load(now time.Time) delegation.Load
-	// SummaryReceived looks whether a controller wants something of its parts carried here.
-	SummaryReceived(sum *peer.Summary)
+	// SummaryReceived checks whether a controller delegates shards of its partitions to this
+	// one.
+	SummaryReceived(summary *peer.Summary)
 }
 
-// Replicator is what Exchange asks of its collaborator.
+// Replicator knows the replicas that this controller holds.
 type Replicator interface {
-	// Summaries is what this controller tells the others of its copies.
-	Summaries() (list []*peer.ReplicaStatus)
+	// Summaries describes the replicas that this controller holds of other leaders' partitions.
+	Summaries() []*peer.ReplicaStatus
 }
 
-// Scheduler is what Exchange asks of its collaborator.
+// Scheduler knows the queue and the run times that it expects.
 type Scheduler interface {
-	// EstimateS is the owner's estimate, corrected by what the class has shown.
-	EstimateS(s *protocol.JobSpec) float64
-	// Queue lists the jobs of a part that want something, in the order in which they
-	// are served: those with waiting tasks, with records to write, or at their end. The
-	// list is kept for a moment, so that events do not each sort all jobs again, unless
-	// another job comes to want something: served last, its tasks would find the room
-	// taken, and its ends would be on record, and its team's room be free, a batch later.
-	Queue(p *cluster.Partition) []*cluster.Job
+	// EstimateS is the submitter's estimate of a task's run time in seconds, corrected by what
+	// the job's class has shown.
+	EstimateS(spec *protocol.JobSpec) float64
+	// Queue lists the jobs of a partition that need anything, in the order in which they are
+	// served: those with waiting tasks, with records to write, or at their end.
+	Queue(partition *cluster.Partition) []*cluster.Job
 }
 
-// Jobs is what Exchange asks of its collaborator.
+// Jobs tracks the jobs and their cancellations.
 type Jobs interface {
-	// ApplyCancellationNotices takes in what another controller has seen committed. Such a record never
-	// changes, so that it is as good as read, however late it comes.
-	ApplyCancellationNotices(sum *peer.Summary, now time.Time)
+	// ApplyCancellationNotices applies the cancellations that another controller has seen
+	// committed. Such a record never changes, so a notice is as good as the record, however
+	// late it comes.
+	ApplyCancellationNotices(summary *peer.Summary, now time.Time)
 }
--- /dev/null
+++ b/internal/coordination/peering/partition_summary.go
@@ -0,0 +1,106 @@
+package peering
+
+import (
+	"time"
+
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/protocol/peer"
+)
+
+const (
+	// neverUpGrace is how long a new leader waits for a machine that should have been up long
+	// ago.
+	neverUpGrace = 10 * time.Second
+	// firstHeartbeatMargin is how long after the interval of heartbeats a machine that was
+	// just moved here may still send its first one.
+	firstHeartbeatMargin = time.Second
+)
+
+// Boot times as multiples of the one that a machine type's catalog entry states, plus seconds.
+const (
+	bootTimeoutFactor, bootTimeoutExtraS = 3, 15
+	usualBootFactor, usualBootExtraS     = 1.6, 2
+)
+
+// PartitionSummaries describes the partitions that this controller leads.
+func (e *Exchange) PartitionSummaries(now time.Time) (list []*peer.PartitionSummary) {
+	for _, partition := range e.Partitions {
+		if partition.Held && partition.Ready {
+			list = append(list, e.PartitionSummary(partition, now))
+		}
+	}
+	return list
+}
+
+// PartitionSummary describes one partition: its machines, its delegates and the demand of its
+// waiting tasks for more machines.
+func (e *Exchange) PartitionSummary(partition *cluster.Partition, now time.Time) *peer.PartitionSummary {
+	summary := &peer.PartitionSummary{
+		Partition: uint32(partition.Index),
+		Standby:   partition.Standby,
+		Delegated: partition.DelegationSummary(e.Labels),
+	}
+	var expected []expectedMachine
+	for _, machine := range e.Machines {
+		if machine.Record.Partition != partition.Index {
+			continue
+		}
+		summary.Machines = append(summary.Machines, machineStatus(machine, now))
+		if e.isExpected(machine, now) {
+			expected = append(expected, expectedMachine{machine, machine.Free()})
+		}
+	}
+	summary.Demands = e.demands(partition, expected, DemandsLimit(len(summary.Machines)), now)
+	return summary
+}
+
+// machineStatus describes a machine.
+func machineStatus(machine *cluster.Machine, now time.Time) *peer.MachineStatus {
+	idle := len(machine.Attempts) == 0 && len(machine.OrphanedTasks) == 0 && machine.Fenced && machine.PendingCommands == 0
+	status := &peer.MachineStatus{
+		Name:        machine.Name,
+		Reported:    machine.HasReported,
+		Idle:        idle,
+		Lost:        machine.Lost,
+		Retiring:    !machine.RetiringSince.IsZero(),
+		Quarantined: machine.Quarantined,
+		Addr:        machine.Record.Addr,
+		NeverUp:     isNeverUp(machine, now),
+	}
+	if idle {
+		status.IdleS = now.Sub(machine.IdleSince).Seconds()
+	}
+	return status
+}
+
+// isNeverUp says whether a machine has been waited for far longer than it takes to boot.
+func isNeverUp(machine *cluster.Machine, now time.Time) bool {
+	return !machine.HasReported && len(machine.Attempts) == 0 && machine.Type != nil &&
+		now.Sub(machine.LedSince) > neverUpGrace && machine.Age(now) > bootTimeout(machine.Type)
+}
+
+// isExpected says whether a machine that still boots, or was just moved here, will run some of
+// the waiting tasks.
+func (e *Exchange) isExpected(machine *cluster.Machine, now time.Time) bool {
+	if machine.Type == nil || machine.Lost || machine.Quarantined || e.IsDeleted(machine.Name) || !machine.RetiringSince.IsZero() {
+		return false
+	}
+	unfenced := !machine.Fenced && machine.PreemptionAt.IsZero()
+	if machine.HasReported && !unfenced {
+		return false
+	}
+	return machine.Age(now) < usualBootTime(machine.Type) ||
+		now.Sub(machine.LedSince) < e.HeartbeatInterval+firstHeartbeatMargin
+}
+
+// bootTimeout is how long a machine may take to come up before it is given up.
+func bootTimeout(machineType *protocol.MachineType) time.Duration {
+	return time.Duration((bootTimeoutFactor*machineType.BootS + bootTimeoutExtraS) * float64(time.Second))
+}
+
+// usualBootTime is how long most machines take to come up. One that takes longer may never do
+// so, and waiting tasks no longer count on it.
+func usualBootTime(machineType *protocol.MachineType) time.Duration {
+	return time.Duration((usualBootFactor*machineType.BootS + usualBootExtraS) * float64(time.Second))
+}
--- /dev/null
+++ b/internal/coordination/peering/summary.go
@@ -0,0 +1,71 @@
+package peering
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/telemetry"
+)
+
+// OwnSummary describes this controller and the partitions that it leads.
+func (e *Exchange) OwnSummary(now time.Time) *peer.Summary {
+	load := e.proxy.Load(now)
+	summary := &peer.Summary{
+		From:          e.Settings.Label,
+		StateSilenceS: e.store.SinceLastAnswer().Seconds(),
+		WriteDemand:   e.WriteDemand,
+		Replicas:      e.replicator.Summaries(),
+		Draining:      e.Draining,
+		Replicates:    true,
+		Cancelled:     e.Cancellations.Recent(now, e.CancelBound),
+		Capacity:      uint32(load.Capacity),
+		Connected:     uint32(load.Machines),
+		Partitions:    e.PartitionSummaries(now),
+		Jobs:          e.jobProgress(),
+	}
+	for _, machine := range e.UnregisteredMachines {
+		summary.Unregistered = append(summary.Unregistered, machine)
+	}
+	for name := range e.DivertedMachines {
+		summary.Diverted = append(summary.Diverted, name)
+	}
+	return summary
+}
+
+// jobProgress counts the done and running tasks of jobs that have any, up to a bound.
+func (e *Exchange) jobProgress() (list []*peer.JobProgress) {
+	for _, job := range e.Jobs {
+		if !job.Loaded || job.DoneCount == 0 && job.RunningCount == 0 {
+			continue
+		}
+		if len(list) >= JobProgressLimit {
+			e.bounds.Met(telemetry.JobProgress, 1)
+			break
+		}
+		list = append(list, &peer.JobProgress{Id: job.Spec.ID, Done: uint32(job.DoneCount), Running: uint32(job.RunningCount)})
+	}
+	return list
+}
+
+// EncodeSummary encodes a summary. One that is too large goes without what is least needed:
+// first the jobs' progress, which only informs users, then machines that are not on record,
+// which send heartbeats again.
+func (e *Exchange) EncodeSummary(summary *peer.Summary) []byte {
+	limit := peerapi.MaxBody(e.Settings.Params.MachineLimits)
+	// A summary always marshals: its texts were checked when they came in.
+	body, _ := proto.Marshal(summary)
+	if len(body) <= limit {
+		return body
+	}
+	e.bounds.Met(telemetry.SummaryBytes, 1)
+	summary.Jobs = nil
+	if body, _ = proto.Marshal(summary); len(body) <= limit {
+		return body
+	}
+	summary.Unregistered, summary.Diverted = nil, nil
+	body, _ = proto.Marshal(summary)
+	return body
+}
