--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -15,9 +15,14 @@
 var ErrNotSent = errors.New("transport: request not sent")
 
 const (
+	// dialTimeout bounds the wait for a connection.
 	dialTimeout = time.Second
+	// responseTimeout bounds the wait for a response, beside the caller's context.
+	responseTimeout = 2 * time.Minute
+	// idlePerHost is how many connections to one address wait for their next request.
 	idlePerHost = 4
-	idleFor     = 20 * time.Second
+	// idleFor is how long a connection waits for its next request.
+	idleFor = 20 * time.Second
 	// crowdedIdleFor is how long a connection waits for its next request where sockets
 	// run out.
 	crowdedIdleFor = time.Second
@@ -28,25 +33,29 @@
 	// Secure, if set, gives the TLS configuration for connections to an
 	// address; nil: in the clear.
 	Secure func(addr string) *tls.Config
-	// Crowded, if set, is how many open connections of the process, accepted ones among
-	// them, are so many that none is kept for a next request: sockets that only wait
-	// would be missing for workers and users. Below it connections are kept, since
-	// dialling anew costs time and processor.
+	// Crowded, if set, is from how many open connections of the process on, accepted ones
+	// among them, no connection waits for a next request: sockets that only wait would be
+	// missing for agents and users. Below it connections are reused, since dialling anew
+	// costs time and processor.
 	Crowded int
 
 	engine *Engine
 
 	mu   sync.Mutex
-	idle map[string][]idleStream
+	idle map[string][]idleConnection // by address, the one used last at the end
 }
 
-type idleStream struct {
-	s     pipe
+// idleConnection is a connection that waits for its next request.
+type idleConnection struct {
+	connection
 	since time.Time
 }
 
+// requestHeadSize is about how many bytes the head of a request has.
+const requestHeadSize = 256
+
 // NewClient makes a client; it can send once an engine is attached.
-func NewClient() *Client { return &Client{idle: map[string][]idleStream{}} }
+func NewClient() *Client { return &Client{idle: map[string][]idleConnection{}} }
 
 // Attach lets the client use the engine's event loop.
 func (c *Client) Attach(e *Engine) { c.engine = e }
@@ -54,32 +63,32 @@
 // Do sends one request and waits for its response until ctx ends. An error
 // that wraps ErrNotSent proves that the peer will never execute the request.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte) (*Response, error) {
-	s := c.pooled(addr)
-	if s == nil {
+	conn := c.takeIdle(addr)
+	if conn == nil {
 		var err error
-		if s, err = c.dial(ctx, addr); err != nil {
+		if conn, err = c.dial(ctx, addr); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
-	if err := s.write(appendRequest(make([]byte, 0, 256+len(body)), method, target, addr, body)); err != nil {
-		s.close()
+	if err := conn.write(appendRequest(make([]byte, 0, requestHeadSize+len(body)), method, target, addr, body)); err != nil {
+		conn.close()
 		return nil, err
 	}
-	resp, err := readResponse(ctx, s)
+	resp, err := readResponse(ctx, conn)
 	if err != nil {
-		s.close()
+		conn.close()
 		return nil, fmt.Errorf("transport: %s %s%s: %w", method, addr, target, err)
 	}
 	if resp.Close {
-		s.close()
+		conn.close()
 	} else {
-		c.keep(addr, s)
+		c.release(addr, conn)
 	}
 	return resp, nil
 }
 
-// dial connects, and shakes hands where the address asks for it.
-func (c *Client) dial(ctx context.Context, addr string) (pipe, error) {
+// dial connects, over TLS where the address asks for it.
+func (c *Client) dial(ctx context.Context, addr string) (connection, error) {
 	raw, err := c.engine.dial(ctx, addr, dialTimeout)
 	if err != nil {
 		return nil, err
@@ -91,7 +100,7 @@
 	if config == nil {
 		return raw, nil
 	}
-	s, err := secure(ctx, raw, func(nc net.Conn) *tls.Conn { return tls.Client(nc, config) })
+	s, err := startTLS(ctx, raw, func(nc net.Conn) *tls.Conn { return tls.Client(nc, config) })
 	if err != nil {
 		raw.close()
 		return nil, err
@@ -99,12 +108,13 @@
 	return s, nil
 }
 
-func readResponse(ctx context.Context, s pipe) (*Response, error) {
-	timer := time.NewTimer(2 * time.Minute)
+// readResponse waits for the response to the request that was sent last.
+func readResponse(ctx context.Context, conn connection) (*Response, error) {
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	for {
 		var resp *Response
-		err := s.take(func(buf []byte) (n int, err error) {
+		err := conn.take(func(buf []byte) (n int, err error) {
 			resp, n, err = ParseResponse(buf, clientBuffer)
 			return n, err
 		})
@@ -114,13 +124,15 @@
 		if !errors.Is(err, ErrIncomplete) {
 			return nil, err
 		}
-		if err := s.wait(ctx, timer); err != nil {
+		if err := conn.wait(ctx, timer); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func (c *Client) pooled(addr string) pipe {
+// takeIdle takes a connection that waits for its next request; nil: there is none that is
+// still usable.
+func (c *Client) takeIdle(addr string) connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
@@ -128,30 +140,32 @@
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
 		c.idle[addr] = list
-		if time.Since(last.since) < idleFor && !last.s.dead() && last.s.pending() == 0 {
-			return last.s
+		if time.Since(last.since) < idleFor && !last.dead() && last.pending() == 0 {
+			return last.connection
 		}
-		last.s.close()
+		last.close()
 	}
 	return nil
 }
 
-func (c *Client) keep(addr string, s pipe) {
+// release lets a connection wait for its next request, or closes it if enough do.
+func (c *Client) release(addr string, conn connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[addr]) >= idlePerHost || c.crowded() {
-		s.close()
+		conn.close()
 		return
 	}
-	c.idle[addr] = append(c.idle[addr], idleStream{s: s, since: time.Now()})
+	c.idle[addr] = append(c.idle[addr], idleConnection{connection: conn, since: time.Now()})
 }
 
-// crowded says whether sockets run out.
+// crowded says whether the process is about to run out of sockets.
 func (c *Client) crowded() bool {
 	return c.Crowded > 0 && c.engine.open.Load() >= int64(c.Crowded)
 }
 
-// SweepUntil sweeps now and then until ctx ends, and soon where sockets run out.
+// SweepUntil closes connections that were not used for long, until ctx ends, and sooner where
+// sockets run out.
 func (c *Client) SweepUntil(ctx context.Context) {
 	tick := time.NewTicker(crowdedIdleFor)
 	defer tick.Stop()
@@ -177,11 +191,11 @@
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
 		kept := list[:0]
-		for _, e := range list {
-			if time.Since(e.since) < unused && !e.s.dead() {
-				kept = append(kept, e)
+		for _, waiting := range list {
+			if time.Since(waiting.since) < unused && !waiting.dead() {
+				kept = append(kept, waiting)
 			} else {
-				e.s.close()
+				waiting.close()
 			}
 		}
 		if len(kept) == 0 {
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -14,35 +13,31 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Errors of a connection.
-var (
-	ErrClosed  = errors.New("transport: connection closed")
-	ErrTimeout = errors.New("transport: timed out")
-	errFlooded = errors.New("transport: peer sent more than a message may hold")
-)
-
 const (
-	serverBuffer = 96 << 10
-	clientBuffer = 8 << 20
+	// gnetBuffer is how large gnet's read and write buffers of a connection are, in bytes.
+	gnetBuffer = 16 << 10
+	// stopTimeout bounds the wait for gnet to stop.
+	stopTimeout = 2 * time.Second
 )
 
 // Handler answers the requests of one listening address.
 type Handler func(ctx context.Context, req *Request) Response
 
-// Listener is an address and what answers there.
+// Listener is a listening address and what answers there.
 type Listener struct {
 	Addr    string
 	Handler Handler
 	// MaxConns bounds the open connections; more are closed on arrival, so
-	// that a flood of users leaves sockets for workers and the state service.
+	// that a flood of users leaves sockets for agents and the state store.
 	MaxConns int
-	MaxBody  int
+	// MaxBody bounds the body of a request, in bytes.
+	MaxBody int
 	// Secure, if set, gives the TLS configuration for each new connection.
 	Secure func() *tls.Config
 	// Full, if set, is called for each connection that is closed on arrival since there
 	// are too many.
 	Full func()
-	open atomic.Int64
+	open atomic.Int64 // connections
 }
 
 // Engine carries every connection of the process: one gnet event loop for the
@@ -50,45 +45,39 @@
 // dialled connections with a listening engine races with its acceptor.
 type Engine struct {
 	gnet.BuiltinEventEngine
-	listeners map[string]*Listener
-	eng       gnet.Engine
+	listeners map[string]*Listener // by port
+	server    gnet.Engine
 	client    *gnet.Client
-	booted    chan struct{}
-	ctx       context.Context
-	conns     sync.WaitGroup
+	booted    chan struct{} // closed once the engine listens
+	// ctx is that of Run: gnet's callbacks have none.
+	ctx         context.Context
+	connections sync.WaitGroup // goroutines of accepted connections
 	// open counts the connections, accepted and dialled.
 	open atomic.Int64
 }
 
-// dialled handles the connections that the process made.
-type dialled struct {
+// dialledEvents handles gnet's events of the connections that the process dialled.
+type dialledEvents struct {
 	gnet.BuiltinEventEngine
-	e *Engine
+	engine *Engine
 }
 
-func (*dialled) OnTraffic(raw gnet.Conn) gnet.Action            { return onTraffic(raw) }
-func (d *dialled) OnClose(raw gnet.Conn, err error) gnet.Action { return d.e.onClose(raw, err) }
+func (*dialledEvents) OnTraffic(raw gnet.Conn) gnet.Action { return onTraffic(raw) }
+
+func (d *dialledEvents) OnClose(raw gnet.Conn, err error) gnet.Action {
+	return d.engine.onClose(raw, err)
+}
 
 // Run serves the listeners until ctx ends. Once connections can be made, body
 // runs with the engine; the engine stops after body has returned.
 func Run(ctx context.Context, listeners []*Listener, body func(*Engine)) error {
 	e := &Engine{listeners: map[string]*Listener{}, booted: make(chan struct{}), ctx: ctx}
-	var addrs []string
-	for _, l := range listeners {
-		_, port, err := net.SplitHostPort(l.Addr)
-		if err != nil {
-			return fmt.Errorf("transport: listen on %q: %w", l.Addr, err)
-		}
-		e.listeners[port] = l
-		addrs = append(addrs, "tcp4://"+l.Addr)
-	}
-	client, err := gnet.NewClient(&dialled{e: e}, options()...)
+	addrs, err := e.addListeners(listeners)
 	if err != nil {
-		return fmt.Errorf("transport: client: %w", err)
+		return err
 	}
-	e.client = client
-	if err := client.Start(); err != nil {
-		return fmt.Errorf("transport: client: %w", err)
+	if err := e.startClient(); err != nil {
+		return err
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- gnet.Rotate(e, addrs, append(options(), gnet.WithReuseAddr(true))...) }()
@@ -97,9 +86,9 @@
 		return fmt.Errorf("transport: start: %w", err)
 	case <-e.booted:
 	}
-	ended := make(chan struct{})
+	bodyDone := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(bodyDone)
 		body(e)
 	}()
 	select {
@@ -107,48 +96,83 @@
 		return fmt.Errorf("transport: engine ended: %w", err)
 	case <-ctx.Done():
 	}
-	<-ended
-	stop, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	<-bodyDone
+	return e.stop()
+}
+
+// addListeners registers the listeners by their ports and returns their addresses in gnet's
+// form.
+func (e *Engine) addListeners(listeners []*Listener) (addrs []string, err error) {
+	for _, l := range listeners {
+		_, port, err := net.SplitHostPort(l.Addr)
+		if err != nil {
+			return nil, fmt.Errorf("transport: listen on %q: %w", l.Addr, err)
+		}
+		e.listeners[port] = l
+		addrs = append(addrs, "tcp4://"+l.Addr)
+	}
+	return addrs, nil
+}
+
+// startClient starts the event loop of dialled connections.
+func (e *Engine) startClient() error {
+	client, err := gnet.NewClient(&dialledEvents{engine: e}, options()...)
+	if err != nil {
+		return fmt.Errorf("transport: client: %w", err)
+	}
+	e.client = client
+	if err := client.Start(); err != nil {
+		return fmt.Errorf("transport: client: %w", err)
+	}
+	return nil
+}
+
+// stop ends both event loops and waits for the goroutines of accepted connections.
+func (e *Engine) stop() error {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	if err := e.eng.Stop(stop); err != nil {
+	if err := e.server.Stop(ctx); err != nil {
 		return fmt.Errorf("transport: stop: %w", err)
 	}
 	// No connection can be accepted any more, so the count only falls.
-	e.conns.Wait()
-	if err := client.Stop(); err != nil {
+	e.connections.Wait()
+	if err := e.client.Stop(); err != nil {
 		return fmt.Errorf("transport: stop: %w", err)
 	}
 	return nil
 }
 
+// options are those of both event loops.
 func options() []gnet.Option {
 	return []gnet.Option{
 		gnet.WithNumEventLoop(1),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithReadBufferCap(16 << 10),
-		gnet.WithWriteBufferCap(16 << 10),
+		gnet.WithReadBufferCap(gnetBuffer),
+		gnet.WithWriteBufferCap(gnetBuffer),
 		gnet.WithLogger(engineLog{}),
 	}
 }
 
-// engineLog passes gnet's own messages on to the process's log.
+// engineLog passes gnet's own messages on to the process's log; all but those before gnet ends
+// the process are for debugging.
 type engineLog struct{}
 
-func (engineLog) Debugf(format string, args ...any) {
-	slog.Debug(fmt.Sprintf("gnet: "+format, args...))
-}
-func (engineLog) Infof(format string, args ...any) { slog.Debug(fmt.Sprintf("gnet: "+format, args...)) }
-func (engineLog) Warnf(format string, args ...any) { slog.Debug(fmt.Sprintf("gnet: "+format, args...)) }
-func (engineLog) Errorf(format string, args ...any) {
-	slog.Debug(fmt.Sprintf("gnet: "+format, args...))
-}
+func (l engineLog) Debugf(format string, args ...any) { l.debug(format, args) }
+func (l engineLog) Infof(format string, args ...any)  { l.debug(format, args) }
+func (l engineLog) Warnf(format string, args ...any)  { l.debug(format, args) }
+func (l engineLog) Errorf(format string, args ...any) { l.debug(format, args) }
+
 func (engineLog) Fatalf(format string, args ...any) {
 	slog.Error(fmt.Sprintf("gnet: "+format, args...))
 }
 
-// OnBoot tells that the engine listens.
-func (e *Engine) OnBoot(eng gnet.Engine) gnet.Action {
-	e.eng = eng
+func (engineLog) debug(format string, args []any) {
+	slog.Debug(fmt.Sprintf("gnet: "+format, args...))
+}
+
+// OnBoot marks that the engine listens.
+func (e *Engine) OnBoot(server gnet.Engine) gnet.Action {
+	e.server = server
 	close(e.booted)
 	return gnet.None
 }
@@ -172,9 +196,9 @@
 	s.raw, s.addr = raw, raw.RemoteAddr()
 	raw.SetContext(s)
 	e.open.Add(1)
-	e.conns.Go(func() {
+	e.connections.Go(func() {
 		defer l.open.Add(-1)
-		accept(e.ctx, s, l)
+		serveAccepted(e.ctx, s, l)
 	})
 	return nil, gnet.None
 }
@@ -185,6 +209,7 @@
 // OnClose wakes the connection's goroutine for the last time.
 func (e *Engine) OnClose(raw gnet.Conn, err error) gnet.Action { return e.onClose(raw, err) }
 
+// onTraffic feeds the bytes that arrived to the connection's stream.
 func onTraffic(raw gnet.Conn) gnet.Action {
 	buf, err := raw.Next(-1)
 	s, ok := raw.Context().(*stream)
@@ -194,6 +219,7 @@
 	return gnet.None
 }
 
+// onClose ends the connection's stream.
 func (e *Engine) onClose(raw gnet.Conn, err error) gnet.Action {
 	if s, ok := raw.Context().(*stream); ok {
 		e.open.Add(-1)
@@ -206,126 +232,19 @@
 }
 
 // dial connects off the event loop, since gnet's own dial blocks it, and then
-// enrols the connection.
+// enrols the connection with the event loop.
 func (e *Engine) dial(ctx context.Context, addr string, timeout time.Duration) (*stream, error) {
-	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp4", addr)
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	raw, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("transport: dial %s: %w", addr, err)
 	}
 	s := newStream(clientBuffer)
-	s.addr = nc.RemoteAddr()
+	s.addr = raw.RemoteAddr()
 	e.open.Add(1) // its end may come before EnrollContext returns
-	raw, err := e.client.EnrollContext(nc, s)
-	if err != nil {
+	if s.raw, err = e.client.EnrollContext(raw, s); err != nil {
 		e.open.Add(-1)
 		return nil, fmt.Errorf("transport: enrol %s: %w", addr, err)
 	}
-	s.raw = raw
 	return s, nil
 }
-
-// stream is the byte stream of one connection. The event loop feeds it; one
-// goroutine reads it.
-type stream struct {
-	raw gnet.Conn
-	// addr is the other side; gnet's own may be asked for by the loop only.
-	addr  net.Addr
-	limit int
-	wake  chan struct{}
-
-	mu  sync.Mutex
-	buf []byte
-	err error
-}
-
-func newStream(limit int) *stream {
-	return &stream{limit: limit, wake: make(chan struct{}, 1)}
-}
-
-func (s *stream) feed(b []byte) bool {
-	s.mu.Lock()
-	ok := len(s.buf)+len(b) <= s.limit
-	if ok {
-		s.buf = append(s.buf, b...)
-	} else if s.err == nil {
-		s.err = errFlooded
-	}
-	s.mu.Unlock()
-	s.signal()
-	return ok
-}
-
-func (s *stream) fail(err error) {
-	s.mu.Lock()
-	if s.err == nil {
-		s.err = err
-	}
-	s.mu.Unlock()
-	s.signal()
-}
-
-func (s *stream) signal() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-}
-
-// take runs parse on what has arrived and drops the bytes it used.
-func (s *stream) take(parse func([]byte) (int, error)) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	n, err := parse(s.buf)
-	if err == nil {
-		s.buf = s.buf[:copy(s.buf, s.buf[n:])]
-		if len(s.buf) == 0 && cap(s.buf) > 8<<10 {
-			s.buf = nil
-		}
-		return nil
-	}
-	if errors.Is(err, ErrIncomplete) && s.err != nil {
-		return s.err
-	}
-	return err
-}
-
-func (s *stream) pending() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.buf)
-}
-
-func (s *stream) dead() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.err != nil
-}
-
-// wait blocks until something arrived, the time is over or ctx ends.
-func (s *stream) wait(ctx context.Context, timer *time.Timer) error {
-	select {
-	case <-s.wake:
-		return nil
-	case <-timer.C:
-		return ErrTimeout
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
-func (s *stream) write(b []byte) error {
-	if err := s.raw.AsyncWrite(b, nil); err != nil {
-		return fmt.Errorf("transport: write: %w", err)
-	}
-	return nil
-}
-
-func (s *stream) close() { _ = s.raw.Close() }
-
-func (s *stream) from() string {
-	if s.addr == nil {
-		return ""
-	}
-	return s.addr.String()
-}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,65 +12,71 @@
 )
 
 const (
+	// idleTimeout is how long a connection may wait for its next request.
 	idleTimeout = 75 * time.Second
+	// readTimeout is how long a request may take to arrive once it has begun.
 	readTimeout = 5 * time.Second
 )
 
-// accept serves one connection, over TLS if the listener asks for it.
-func accept(ctx context.Context, raw *stream, l *Listener) {
+// responseHeadSize is about how many bytes the head of a response has.
+const responseHeadSize = 160
+
+// serveAccepted serves one accepted connection, over TLS if the listener asks for it.
+func serveAccepted(ctx context.Context, raw *stream, l *Listener) {
 	if l.Secure == nil {
-		serve(ctx, raw, l, nil)
+		serveRequests(ctx, raw, l, nil)
 		return
 	}
-	s, err := secure(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.Secure()) })
+	s, err := startTLS(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.Secure()) })
 	if err != nil {
-		slog.Debug("connection refused", "reason", err, "from", raw.from())
+		slog.Debug("connection refused", "error", err, "from", raw.from())
 		raw.close()
 		return
 	}
-	serve(ctx, s, l, s.peer())
+	serveRequests(ctx, s, l, s.peer())
 }
 
-// serve answers the requests of one connection, one after the other.
-func serve(ctx context.Context, s pipe, l *Listener, peer *x509.Certificate) {
-	defer s.close()
+// serveRequests answers the requests of one connection, one after the other.
+func serveRequests(ctx context.Context, conn connection, l *Listener, peer *x509.Certificate) {
+	defer conn.close()
 	for {
-		req, err := readRequest(ctx, s, l.MaxBody)
+		req, err := readRequest(ctx, conn, l.MaxBody)
 		if err != nil {
-			var bad *ParseError
-			if errors.As(err, &bad) {
-				out := appendResponse(nil, Response{Status: bad.Status, Close: true})
-				_ = s.write(out)
+			var malformed *ParseError
+			if errors.As(err, &malformed) {
+				_ = conn.write(appendResponse(nil, Response{Status: malformed.Status, Close: true}))
 			}
 			return
 		}
-		req.Peer, req.From = peer, s.from()
-		resp := safely(ctx, l.Handler, req)
+		req.Peer, req.From = peer, conn.from()
+		resp := handle(ctx, l.Handler, req)
 		resp.Close = resp.Close || req.Close
-		if s.write(appendResponse(make([]byte, 0, 160+len(resp.Body)), resp)) != nil || resp.Close {
+		if conn.write(appendResponse(make([]byte, 0, responseHeadSize+len(resp.Body)), resp)) != nil || resp.Close {
 			return
 		}
 	}
 }
 
-// safely keeps a fault in one handler from ending the process.
-func safely(ctx context.Context, h Handler, req *Request) (resp Response) {
+// handle runs a handler. A panic in it does not end the process, but is answered with
+// status 500.
+func handle(ctx context.Context, handler Handler, req *Request) (resp Response) {
 	defer func() {
-		if r := recover(); r != nil {
-			slog.Error("handler failed", "path", req.Path, "reason", r, "stack", string(debug.Stack()))
+		if fault := recover(); fault != nil {
+			slog.Error("handler failed", "path", req.Path, "reason", fault, "stack", string(debug.Stack()))
 			resp = Response{Status: 500, Close: true}
 		}
 	}()
-	return h(ctx, req)
+	return handler(ctx, req)
 }
 
-func readRequest(ctx context.Context, s pipe, maxBody int) (*Request, error) {
+// readRequest waits for the next request of a connection.
+func readRequest(ctx context.Context, conn connection, maxBody int) (*Request, error) {
 	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
 	begun := false
 	for {
 		var req *Request
-		err := s.take(func(buf []byte) (n int, err error) {
+		err := conn.take(func(buf []byte) (n int, err error) {
 			if len(buf) == 0 {
 				return 0, ErrIncomplete
 			}
@@ -84,11 +90,11 @@
 			return nil, err
 		}
 		// A sender that has begun must finish soon; an idle one may wait.
-		if !begun && s.pending() > 0 {
+		if !begun && conn.pending() > 0 {
 			begun = true
 			timer.Reset(readTimeout)
 		}
-		if err := s.wait(ctx, timer); err != nil {
+		if err := conn.wait(ctx, timer); err != nil {
 			if begun && errors.Is(err, ErrTimeout) {
 				return nil, &ParseError{Status: 408, Reason: "request came too slowly"}
 			}
