--- /dev/null
+++ b/internal/protocol/agent.go
@@ -0,0 +1,97 @@
+package protocol
+
+import (
+	"strings"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// Heartbeat is an agent's description of its machine: the body of POST /checkin and of the
+// answers of /orders and /show. Epoch is the agent's epoch, Sequence counts its heartbeats, and
+// Token is the highest fencing token that it has seen.
+type Heartbeat struct {
+	Machine           string       `msgpack:"host"`
+	Addr              string       `msgpack:"endpoint"`
+	Type              string       `msgpack:"box"`
+	Zone              string       `msgpack:"locale"`
+	Spot              bool         `msgpack:"loaners"`
+	Epoch             uint64       `msgpack:"tenure"`
+	Sequence          uint64       `msgpack:"tick"`
+	Token             uint64       `msgpack:"mandate"`
+	PreemptionNoticeS *float64     `msgpack:"warning_s"`
+	Tasks             []TaskReport `msgpack:"pieces"`
+}
+
+// TaskReport is one attempt of a task in a heartbeat.
+type TaskReport struct {
+	Task    string `msgpack:"piece"`
+	Attempt uint64 `msgpack:"try"`
+	State   string `msgpack:"status"`
+	Cause   string `msgpack:"cause"`
+	Saved   bool   `msgpack:"kept"`
+}
+
+// The states of an attempt and the causes of its end.
+const (
+	TaskFetching = "fetching"
+	TaskRunning  = "running"
+	TaskSaving   = "flushing"
+	TaskEnded    = "ended"
+
+	CauseDone    = "done"
+	CauseStopped = "stopped"
+	CauseError   = "error"
+	CauseFull    = "full"
+	CauseInUse   = "in_use"
+	CauseUnknown = "unknown"
+)
+
+// Check says what is wrong with a heartbeat; nil: nothing.
+func (h *Heartbeat) Check() error {
+	switch {
+	case h.Machine == "" || len(h.Machine) > maxText || strings.ContainsAny(h.Machine, " /"):
+		return invalid("host")
+	case h.Epoch == 0:
+		return missing("tenure")
+	case h.PreemptionNoticeS != nil && !finite(*h.PreemptionNoticeS):
+		return invalid("warning_s")
+	}
+	return nil
+}
+
+// Command is one command to an agent, about one attempt.
+type Command struct {
+	Op      string  `msgpack:"verb"`
+	Task    string  `msgpack:"piece"`
+	Attempt uint64  `msgpack:"try"`
+	GraceS  float64 `msgpack:"wind_down_s"`
+}
+
+// EncodeMsgpack leaves the grace period out of commands other than stops.
+func (c *Command) EncodeMsgpack(enc *msgpack.Encoder) error {
+	fields := map[string]any{"verb": c.Op, "piece": c.Task, "try": c.Attempt}
+	if c.Op == OpStop {
+		fields["wind_down_s"] = c.GraceS
+	}
+	return enc.EncodeMap(fields)
+}
+
+// The commands that agents know. OpForget drops an ended attempt from the heartbeats.
+const (
+	OpStart  = "start"
+	OpStop   = "stop"
+	OpForget = "reap"
+)
+
+// Orders carries commands to an agent under a fencing token: the answer to its heartbeat
+// (without an epoch) or the body of POST /orders.
+type Orders struct {
+	Token    uint64    `msgpack:"mandate"`
+	Epoch    uint64    `msgpack:"tenure,omitempty"`
+	Commands []Command `msgpack:"orders"`
+}
+
+// Home tells an agent which controller answers its heartbeats.
+type Home struct {
+	Home string `msgpack:"home,omitempty"`
+}
--- /dev/null
+++ b/internal/protocol/api.go
@@ -0,0 +1,35 @@
+package protocol
+
+// Problem is the body of a response that refuses a request.
+type Problem struct {
+	Error string `msgpack:"error"`
+}
+
+// Reassignment is the body of POST /submissions/{id}/reassign: submit the job anew under another
+// id, team or class.
+type Reassignment struct {
+	As    string `msgpack:"as"`
+	Team  string `msgpack:"owner"`
+	Class string `msgpack:"jobclass"`
+}
+
+// Sweep is the body of POST /withdrawals: cancel all jobs that somebody has submitted.
+type Sweep struct {
+	By string `msgpack:"by"`
+}
+
+// SweepResult is the answer to a Sweep: how many jobs were cancelled, how many are left to be
+// cancelled by another request, and how many the caller may not cancel.
+type SweepResult struct {
+	Withdrawn  int `msgpack:"withdrawn"`
+	Left       int `msgpack:"left"`
+	NotAllowed int `msgpack:"not_allowed"`
+}
+
+// WhoAmI tells a caller its name, how it was authenticated and what it may do.
+type WhoAmI struct {
+	Name          string   `msgpack:"name"`
+	How           string   `msgpack:"how"`
+	Verbs         []string `msgpack:"verbs"`
+	PolicyVersion uint64   `msgpack:"policy_version"`
+}
--- /dev/null
+++ b/internal/protocol/job.go
@@ -0,0 +1,158 @@
+package protocol
+
+import (
+	"strconv"
+	"strings"
+)
+
+// Urgency orders jobs; higher goes first.
+type Urgency int
+
+// The urgencies of the protocol.
+const (
+	Low Urgency = iota
+	Standard
+	High
+	Production
+)
+
+// urgencies are the urgencies by their names on the wire.
+var urgencies = map[string]Urgency{"low": Low, "standard": Standard, "high": High, "production": Production}
+
+// JobSpec is a checked submission. It is also what the job's record holds, so that fields and
+// their order stay.
+type JobSpec struct {
+	ID    string `msgpack:"id"`
+	Class string `msgpack:"cl"`
+	Team  string `msgpack:"tm"`
+	// Standing tasks run until they are stopped.
+	Standing bool `msgpack:"st,omitempty"`
+	// Gang tasks start together or not at all.
+	Gang        bool     `msgpack:"ga,omitempty"`
+	Urgency     Urgency  `msgpack:"ur"`
+	Tasks       int      `msgpack:"n"`
+	CPUs        float64  `msgpack:"c"`
+	GPUs        float64  `msgpack:"g,omitempty"`
+	MemGB       float64  `msgpack:"m"`
+	Image       string   `msgpack:"im,omitempty"`
+	ImageGB     float64  `msgpack:"ig,omitempty"`
+	Types       []string `msgpack:"ty,omitempty"`
+	Zone        string   `msgpack:"z,omitempty"`
+	OneZone     bool     `msgpack:"oz,omitempty"`
+	Spread      bool     `msgpack:"sp,omitempty"`
+	Spot        bool     `msgpack:"so,omitempty"`
+	EstimateS   float64  `msgpack:"e,omitempty"`
+	CheckpointS float64  `msgpack:"ck,omitempty"`
+	SaveS       float64  `msgpack:"sv,omitempty"`
+	DeadlineS   float64  `msgpack:"d,omitempty"`
+	// SubmittedMS is the wall clock at acceptance.
+	SubmittedMS int64 `msgpack:"at"`
+	// Dependencies are the jobs that must be done first, each named once.
+	Dependencies []string `msgpack:"dp,omitempty"`
+	// By is who submitted it, where callers are identified.
+	By string `msgpack:"by,omitempty"`
+	// Replaces is the job that was reassigned to become this one.
+	Replaces string `msgpack:"rp,omitempty"`
+}
+
+// JobKind is the little of a JobSpec that is read of jobs in a final state.
+type JobKind struct {
+	Class string `msgpack:"cl"`
+	Team  string `msgpack:"tm"`
+}
+
+// maxIDDigits is how many digits a job id may have.
+const maxIDDigits = 32
+
+// ValidID says whether id has the form of a job id.
+func ValidID(id string) bool {
+	digits, ok := strings.CutPrefix(id, "job-")
+	if !ok || digits == "" || len(digits) > maxIDDigits {
+		return false
+	}
+	for _, c := range digits {
+		if c < '0' || c > '9' {
+			return false
+		}
+	}
+	return true
+}
+
+// TaskName is the name of a job's task on the wire.
+func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+
+// ParseTask splits a task's name into its job's id and its index.
+func ParseTask(name string) (job string, index int, ok bool) {
+	job, number, ok := strings.Cut(name, "/")
+	if !ok {
+		return "", 0, false
+	}
+	index, err := strconv.Atoi(number)
+	return job, index, err == nil && index >= 0 && index < maxTasks
+}
+
+// JobStatus is the answer to a user who asks for a job.
+type JobStatus struct {
+	ID      string `msgpack:"name_id"`
+	Status  string `msgpack:"status"`
+	Done    int    `msgpack:"done"`
+	Running int    `msgpack:"running"`
+}
+
+// Ended says whether the job is in a final state.
+func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusWithdrawn }
+
+// The states of a job as users see them. StatusWithdrawn is the protocol's word for cancelled.
+const (
+	StatusQueued    = "queued"
+	StatusRunning   = "running"
+	StatusDone      = "done"
+	StatusWithdrawn = "withdrawn"
+)
+
+// Arguments is what a job was submitted with, for callers who may read it.
+type Arguments struct {
+	ID           string   `msgpack:"name_id"`
+	Class        string   `msgpack:"jobclass"`
+	Team         string   `msgpack:"owner"`
+	By           string   `msgpack:"by"`
+	Replaces     string   `msgpack:"replaces"`
+	Urgency      string   `msgpack:"urgency"`
+	Tasks        int      `msgpack:"pieces"`
+	CPUs         float64  `msgpack:"vcpus"`
+	GPUs         float64  `msgpack:"gpus"`
+	MemGB        float64  `msgpack:"mem_gb"`
+	Image        string   `msgpack:"bundle"`
+	ImageGB      float64  `msgpack:"image_gb"`
+	EstimateS    float64  `msgpack:"guess_s"`
+	DeadlineS    float64  `msgpack:"due_s"`
+	SubmittedMS  int64    `msgpack:"submitted_ms"`
+	Dependencies []string `msgpack:"waits_on"`
+}
+
+// Arguments returns what the job was submitted with.
+func (j *JobSpec) Arguments() Arguments {
+	arguments := Arguments{
+		ID:           j.ID,
+		Class:        j.Class,
+		Team:         j.Team,
+		By:           j.By,
+		Replaces:     j.Replaces,
+		Tasks:        j.Tasks,
+		CPUs:         j.CPUs,
+		GPUs:         j.GPUs,
+		MemGB:        j.MemGB,
+		Image:        j.Image,
+		ImageGB:      j.ImageGB,
+		EstimateS:    j.EstimateS,
+		DeadlineS:    j.DeadlineS,
+		SubmittedMS:  j.SubmittedMS,
+		Dependencies: j.Dependencies,
+	}
+	for name, urgency := range urgencies {
+		if urgency == j.Urgency {
+			arguments.Urgency = name
+		}
+	}
+	return arguments
+}
--- /dev/null
+++ b/internal/protocol/submission.go
@@ -0,0 +1,246 @@
+package protocol
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Bounds of what a message may hold.
+const (
+	maxTasks  = 100_000
+	maxTypes  = 64
+	maxAmount = 1e6
+	maxText   = 200 // bytes
+)
+
+// Submission is the body of POST /submissions: a job as a user asks for it. Whatever may not be
+// null is a pointer, so that what was left out is noticed.
+type Submission struct {
+	ID          *string  `msgpack:"name_id"`
+	Class       *string  `msgpack:"jobclass"`
+	Team        *string  `msgpack:"owner"`
+	Shape       *string  `msgpack:"shape"`
+	Urgency     *string  `msgpack:"urgency"`
+	Tasks       *int64   `msgpack:"pieces"`
+	CPUs        *float64 `msgpack:"vcpus"`
+	GPUs        *float64 `msgpack:"gpus"`
+	MemGB       *float64 `msgpack:"mem_gb"`
+	Image       *string  `msgpack:"bundle"`
+	ImageGB     *float64 `msgpack:"image_gb"`
+	Types       []string `msgpack:"shapes_of_box"`
+	Zone        *string  `msgpack:"locale"`
+	OneZone     *bool    `msgpack:"same_place"`
+	Spread      *bool    `msgpack:"apart"`
+	Spot        *bool    `msgpack:"loaners"`
+	EstimateS   *float64 `msgpack:"guess_s"`
+	CheckpointS *float64 `msgpack:"snapshot_every_s"`
+	SaveS       *float64 `msgpack:"snapshot_s"`
+	DeadlineS   *float64 `msgpack:"due_s"`
+	// Dependencies are the ids of jobs that must be done before a task of this one
+	// starts.
+	Dependencies []*string `msgpack:"waits_on"`
+}
+
+// SubmissionID finds the job id in a body that may not be a valid submission; "": there is
+// none.
+func SubmissionID(body []byte) string {
+	var s struct {
+		ID string `msgpack:"name_id"`
+	}
+	if Decode(body, &s) != nil || !ValidID(s.ID) {
+		return ""
+	}
+	return s.ID
+}
+
+// submissionChecks are the steps of Check: each checks some fields and copies them to the job.
+var submissionChecks = []func(*Submission, *JobSpec) error{
+	(*Submission).checkTexts,
+	(*Submission).checkAmounts,
+	(*Submission).checkFlags,
+	(*Submission).checkShape,
+	(*Submission).checkUrgency,
+	(*Submission).checkTasks,
+	(*Submission).checkTypes,
+	(*Submission).checkDependencies,
+}
+
+// Check turns a submission into a job, or says in one line what is wrong. Only what may be
+// null may be left out.
+func (s *Submission) Check() (*JobSpec, error) {
+	var spec JobSpec
+	for _, check := range submissionChecks {
+		if err := check(s, &spec); err != nil {
+			return nil, err
+		}
+	}
+	return &spec, nil
+}
+
+func (s *Submission) checkTexts(spec *JobSpec) error {
+	for _, field := range []struct {
+		name     string
+		from, to *string
+		rule     presence
+	}{
+		{"name_id", s.ID, &spec.ID, filled},
+		{"jobclass", s.Class, &spec.Class, filled},
+		{"owner", s.Team, &spec.Team, filled},
+		{"bundle", s.Image, &spec.Image, present},
+		{"locale", s.Zone, &spec.Zone, nullable},
+	} {
+		if err := checkText(field.name, field.from, field.to, field.rule); err != nil {
+			return err
+		}
+	}
+	if !ValidID(spec.ID) {
+		return invalid("name_id")
+	}
+	return nil
+}
+
+func (s *Submission) checkAmounts(spec *JobSpec) error {
+	for _, field := range []struct {
+		name     string
+		from, to *float64
+		rule     presence
+	}{
+		{"vcpus", s.CPUs, &spec.CPUs, present},
+		{"gpus", s.GPUs, &spec.GPUs, present},
+		{"mem_gb", s.MemGB, &spec.MemGB, present},
+		{"image_gb", s.ImageGB, &spec.ImageGB, present},
+		{"guess_s", s.EstimateS, &spec.EstimateS, present},
+		{"snapshot_every_s", s.CheckpointS, &spec.CheckpointS, present},
+		{"snapshot_s", s.SaveS, &spec.SaveS, present},
+		{"due_s", s.DeadlineS, &spec.DeadlineS, nullable},
+	} {
+		if err := checkAmount(field.name, field.from, field.to, field.rule); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Submission) checkFlags(spec *JobSpec) error {
+	for _, field := range []struct {
+		name     string
+		from, to *bool
+	}{
+		{"same_place", s.OneZone, &spec.OneZone},
+		{"apart", s.Spread, &spec.Spread},
+		{"loaners", s.Spot, &spec.Spot},
+	} {
+		if field.from == nil {
+			return missing(field.name)
+		}
+		*field.to = *field.from
+	}
+	return nil
+}
+
+func (s *Submission) checkShape(spec *JobSpec) error {
+	if s.Shape == nil {
+		return missing("shape")
+	}
+	switch *s.Shape {
+	case "standing":
+		spec.Standing = true
+	case "gang":
+		spec.Gang = true
+	case "batch":
+	default:
+		return invalid("shape")
+	}
+	return nil
+}
+
+func (s *Submission) checkUrgency(spec *JobSpec) error {
+	if s.Urgency == nil {
+		return missing("urgency")
+	}
+	urgency, ok := urgencies[*s.Urgency]
+	if !ok {
+		return invalid("urgency")
+	}
+	spec.Urgency = urgency
+	return nil
+}
+
+func (s *Submission) checkTasks(spec *JobSpec) error {
+	if s.Tasks == nil {
+		return missing("pieces")
+	}
+	if *s.Tasks < 1 || *s.Tasks > maxTasks {
+		return outOfRange("pieces")
+	}
+	spec.Tasks = int(*s.Tasks)
+	return nil
+}
+
+func (s *Submission) checkTypes(spec *JobSpec) error {
+	if len(s.Types) > maxTypes {
+		return fmt.Errorf("%w: shapes_of_box is too long", ErrMalformed)
+	}
+	for _, name := range s.Types {
+		if name == "" || len(name) > maxText {
+			return invalid("shapes_of_box")
+		}
+	}
+	spec.Types = s.Types
+	return nil
+}
+
+// checkDependencies does not ask whether the jobs named were ever accepted: that is not a
+// matter of form, and even a name that can't be a job's is text.
+func (s *Submission) checkDependencies(spec *JobSpec) error {
+	for _, id := range s.Dependencies {
+		if id == nil {
+			return invalid("waits_on")
+		}
+		if !slices.Contains(spec.Dependencies, *id) {
+			spec.Dependencies = append(spec.Dependencies, *id)
+		}
+	}
+	return nil
+}
+
+// presence says what a field of a submission must hold.
+type presence int
+
+const (
+	nullable presence = iota // it may be null or left out
+	present                  // it must be there
+	filled                   // it must be there and not be empty
+)
+
+func missing(name string) error { return fmt.Errorf("%w: %s is missing", ErrMalformed, name) }
+
+func invalid(name string) error { return fmt.Errorf("%w: %s is invalid", ErrMalformed, name) }
+
+func outOfRange(name string) error { return fmt.Errorf("%w: %s is out of range", ErrMalformed, name) }
+
+func checkText(name string, from, to *string, rule presence) error {
+	switch {
+	case from == nil && rule == nullable:
+		return nil
+	case from == nil:
+		return missing(name)
+	case len(*from) > maxText || *from == "" && rule == filled:
+		return invalid(name)
+	}
+	*to = *from
+	return nil
+}
+
+func checkAmount(name string, from, to *float64, rule presence) error {
+	switch {
+	case from == nil && rule == nullable:
+		return nil
+	case from == nil:
+		return missing(name)
+	case !finite(*from) || *from < 0 || *from > maxAmount:
+		return outOfRange(name)
+	}
+	*to = *from
+	return nil
+}
