--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// An owner of everything with more machines than its sockets should hold: the shares
-// spread, nobody gets too full, nothing wanders, and the same view gives the same plan.
+// A leader of everything with more machines than its sockets should hold: the shards
+// spread, no delegate gets too full, no shard moves back and forth, and the same view gives the
+// same plan.
 func TestPlanSpreadsAndSettles(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -60,7 +61,7 @@
 				t.Fatalf("seed %d: %v comes to\n%+v, not\n%+v", seed, plan, v, again)
 			}
 			if moves++; moves > ShardCount {
-				t.Fatalf("seed %d: shares wander: %v", seed, plan)
+				t.Fatalf("seed %d: shards move back and forth: %v", seed, plan)
 			}
 		}
 		v := view()
@@ -75,7 +76,7 @@
 			}
 		}
 		if v.Own.with(0) > delegateAbove && least <= delegateFillLimit && least < v.Own.with(-largest) {
-			t.Errorf("seed %d: the owner keeps %d of %d though there is room", seed, v.Own.Machines, room)
+			t.Errorf("seed %d: the leader has %d of %d though delegates have room", seed, v.Own.Machines, room)
 		}
 	}
 }
@@ -93,15 +94,15 @@
 	}{
 		{"room", View{Own: Load{50, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, nil},
 		{"full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, []Move{{0, 1, "b", "the owner is full"}}},
-		{"full, not rested", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}}, nil},
-		{"full, nobody fit", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{gone}, MayMove: true}, nil},
-		{"full, an old version is heard", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true, Unsupported: true}, nil},
-		{"the carrier goes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
-		// In an outage of the state service all carriers are cut off from it: were their
-		// shares to come home then, the owner's sockets would end.
-		{"the carrier lacks the state service", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{able}, MayMove: true}, nil},
-		{"the carrier is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
-		{"an old version comes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{fits}, Unsupported: true},
+		{"full, moved just now", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}}, nil},
+		{"full, nobody available", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{gone}, MayMove: true}, nil},
+		{"full, a version without delegation is there", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true, Unsupported: true}, nil},
+		{"the delegate drains", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		// In an outage of the state store all delegates are cut off from it: if their
+		// shards came back then, the leader would run out of sockets.
+		{"the delegate lacks the state store", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{able}, MayMove: true}, nil},
+		{"the delegate is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		{"a version without delegation comes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{fits}, Unsupported: true},
 			[]Move{{0, 1, "", "a controller does not know shares"}}},
 		{"room again", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, []Move{{0, 1, "", "the owner has room again"}}},
 		{"room again, too soon", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayMove: true}, nil},
@@ -114,8 +115,8 @@
 	}
 }
 
-// Carriers answer, tell, are killed, stand still and lose requests and replies; shares
-// change hands. Whenever the book says that a lease has run out, it has: no answer that
+// Delegates answer, renew, are killed, stall and lose requests and replies; shards change
+// their delegates. Whenever the ledger says that a lease has run out, it has: no answer that
 // was given up to then is younger.
 func TestLedgerNeverEndsALivingLease(t *testing.T) {
 	const lease = 6 * time.Second
@@ -127,7 +128,7 @@
 			from          int
 			nonce         string
 			after         uint64
-			told          map[int]bool
+			sent          map[int]bool
 			asked, comes  time.Time
 			answers, lost time.Time
 			granted       []int
@@ -135,59 +136,59 @@
 			serial        uint64
 			handled       bool
 		}
-		type carrier struct {
-			nonce   string
-			serial  uint64
-			until   time.Time
-			shares  map[int]bool
-			untold  map[int]bool
-			pending *request
-			still   time.Time
+		type delegate struct {
+			nonce        string
+			serial       uint64
+			until        time.Time
+			shares       map[int]bool
+			unsent       map[int]bool
+			pending      *request
+			stalledUntil time.Time
 		}
 		var l Ledger
-		carriers := make([]*carrier, 3)
-		for i := range carriers {
-			carriers[i] = &carrier{nonce: "a", untold: map[int]bool{}, shares: map[int]bool{}}
+		delegates := make([]*delegate, 3)
+		for i := range delegates {
+			delegates[i] = &delegate{nonce: "a", unsent: map[int]bool{}, shares: map[int]bool{}}
 		}
 		label := func(i int) string { return fmt.Sprint("c-", i) }
 		answers := make([][]time.Time, ShardCount) // given, in order
-		last := make([]time.Time, ShardCount)      // as the owner knows
+		last := make([]time.Time, ShardCount)      // as the leader knows
 		for s := range last {
 			last[s] = start
 			answers[s] = []time.Time{start}
 		}
-		silent := make([]time.Time, ShardCount) // machines that don't report until then
+		silent := make([]time.Time, ShardCount) // machines that send no heartbeats until then
 		var flying []*request
 		for ms := 0; ms < 60_000; ms += 50 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			if rng.IntN(40) == 0 {
 				to := ""
 				if rng.IntN(4) > 0 {
-					to = label(rng.IntN(len(carriers)))
+					to = label(rng.IntN(len(delegates)))
 				}
 				l.Assign(rng.IntN(ShardCount), to)
 			}
 			if rng.IntN(20) == 0 {
 				silent[rng.IntN(ShardCount)] = now.Add(time.Duration(rng.IntN(15_000)) * time.Millisecond)
 			}
-			for i, c := range carriers {
+			for i, c := range delegates {
 				switch rng.IntN(400) {
 				case 0:
-					*c = carrier{nonce: fmt.Sprint(ms), untold: map[int]bool{}, shares: map[int]bool{}}
+					*c = delegate{nonce: fmt.Sprint(ms), unsent: map[int]bool{}, shares: map[int]bool{}}
 				case 1:
-					c.still = now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
+					c.stalledUntil = now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
 				}
-				if now.Before(c.still) {
+				if now.Before(c.stalledUntil) {
 					continue
 				}
 				for s := range c.shares {
 					if now.Before(c.until) && now.After(silent[s]) && rng.IntN(8) == 0 {
 						answers[s] = append(answers[s], now)
-						c.untold[s] = true
+						c.unsent[s] = true
 					}
 				}
 				if c.pending == nil && rng.IntN(5) == 0 {
-					r := &request{from: i, nonce: c.nonce, after: c.serial, told: c.untold, asked: now, comes: now.Add(time.Duration(rng.IntN(3)) * 50 * time.Millisecond)}
+					r := &request{from: i, nonce: c.nonce, after: c.serial, sent: c.unsent, asked: now, comes: now.Add(time.Duration(rng.IntN(3)) * 50 * time.Millisecond)}
 					switch rng.IntN(15) {
 					case 0:
 						r.comes = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
@@ -197,7 +198,7 @@
 					if rng.IntN(15) == 0 {
 						r.lost = now // its reply
 					}
-					c.pending, c.untold = r, map[int]bool{}
+					c.pending, c.unsent = r, map[int]bool{}
 					flying = append(flying, r)
 				}
 				if r := c.pending; r != nil {
@@ -208,8 +209,8 @@
 							c.shares[s] = true
 						}
 					case now.Sub(r.asked) > time.Second:
-						for s := range r.told {
-							c.untold[s] = true
+						for s := range r.sent {
+							c.unsent[s] = true
 						}
 						c.pending = nil
 					}
@@ -220,14 +221,14 @@
 					continue
 				}
 				r.handled, r.answers = true, now.Add(50*time.Millisecond)
-				for s := range r.told {
+				for s := range r.sent {
 					last[s] = now
 				}
 				r.granted, r.d, r.serial = l.Renew(label(r.from), r.nonce, r.after, time.Duration(rng.IntN(3000)-100)*time.Millisecond, now)
 				r.d = max(r.d, 0)
 			}
 			for s := range ShardCount {
-				// The owner itself answers only those that nobody carries.
+				// The leader itself answers only those without a delegate.
 				if l.Delegate(s) == "" && now.After(silent[s]) && rng.IntN(8) == 0 {
 					last[s] = now
 					answers[s] = append(answers[s], now)
@@ -240,13 +241,13 @@
 				for i := len(answers[s]) - 1; i >= 0; i-- {
 					if a := answers[s][i]; !a.After(known) {
 						if known.Sub(a) <= lease {
-							t.Fatalf("seed %d, %d ms: share %d of %q counts as silent for %s, but was answered %s before",
+							t.Fatalf("seed %d, %d ms: shard %d of %q counts as silent for %s, but was answered %s before",
 								seed, ms, s, l.Delegate(s), known.Sub(answered), known.Sub(a))
 						}
 						break
 					}
 				}
-				last[s] = now // another session begins
+				last[s] = now // another epoch begins
 			}
 		}
 	}
@@ -255,7 +256,7 @@
 	}
 }
 
-// What a share is can't change: two versions must agree on it.
+// The shard of a machine can't change: two versions must agree on it.
 func TestSharesOfNamesStay(t *testing.T) {
 	counts := [ShardCount]int{}
 	for i := range 1600 {
@@ -263,21 +264,21 @@
 	}
 	for s, n := range counts {
 		if n < 60 || n > 140 {
-			t.Errorf("share %d holds %d of 1600 machines", s, n)
+			t.Errorf("shard %d holds %d of 1600 machines", s, n)
 		}
 	}
 	if got := [3]int{ShardOf("m-000001"), ShardOf("m-000231"), ShardOf("")}; got != [3]int{4, 9, 5} {
-		t.Errorf("shares %v", got)
+		t.Errorf("shards %v", got)
 	}
 }
 
-// No grant outlasts what its owner may do itself.
+// No grant lasts longer than the leader may answer itself.
 func TestGrantsKeepToTheOwnersBound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Ledger
 	l.Assign(3, "b")
 	if l.Active(3, now) || l.CommandRoute(3, now) != "" {
-		t.Error("a carrier that has not asked is sent workers or orders")
+		t.Error("a delegate that has not asked is sent agents or commands")
 	}
 	for _, c := range []struct {
 		most, want time.Duration
@@ -285,20 +286,20 @@
 	}{{time.Minute, GrantDuration, 1}, {time.Second, time.Second, 1}, {0, 0, 0}, {-time.Second, 0, 0}} {
 		granted, d, _ := l.Renew("b", "x", 0, c.most, now)
 		if d > max(0, c.want) || len(granted) != c.shares {
-			t.Errorf("with %s left: shares %v for %s", c.most, granted, d)
+			t.Errorf("with %s left: shards %v for %s", c.most, granted, d)
 		}
 	}
 	if by := l.CommandRoute(3, now); by != "b" {
-		t.Errorf("orders go by way of %q", by)
+		t.Errorf("commands go through %q", by)
 	}
 	l.MarkDown("b", now)
 	if by := l.CommandRoute(3, now.Add(time.Second/2)); by != "" || !l.Active(3, now.Add(time.Second/2)) {
-		t.Errorf("orders go by way of %q, which takes none", by)
+		t.Errorf("commands go through %q, which takes none", by)
 	}
 	if l.Active(3, now.Add(GrantDuration)) {
-		t.Error("a carrier that is silent is sent workers")
+		t.Error("a silent delegate is sent agents")
 	}
 	if granted, _, _ := l.Renew("c", "x", 0, time.Minute, now); len(granted) != 0 {
-		t.Errorf("%v granted to who carries nothing", granted)
+		t.Errorf("%v granted to a controller without shards", granted)
 	}
 }
--- a/internal/coordination/proxy/forwarded.go
+++ b/internal/coordination/proxy/forwarded.go
@@ -16,6 +16,9 @@
 	"micaspindle/internal/transport"
 )
 
+// commandsPath is where agents take commands.
+const commandsPath = "/orders"
+
 // forwardAnswerWait is how long a delegate waits for the agents' answers to the commands of
 // one message.
 const forwardAnswerWait = 400 * time.Millisecond
@@ -88,7 +91,7 @@
 func (p *Proxy) sendToAgent(addr string, body []byte) *peer.ForwardResult {
 	ctx, cancel := context.WithTimeout(p.loop.Context(), agents.CommandTimeout)
 	defer cancel()
-	response, err := p.network.Do(ctx, addr, "POST", "/orders", body)
+	response, err := p.network.Do(ctx, addr, "POST", commandsPath, body)
 	if err != nil {
 		return &peer.ForwardResult{Unsent: errors.Is(err, transport.ErrNotSent)}
 	}
--- a/internal/coordination/proxy/forwarding.go
+++ b/internal/coordination/proxy/forwarding.go
@@ -26,7 +26,7 @@
 
 // errDelegateUnanswered: the delegate had no answer of the agent, which may have got the
 // commands or may still get them.
-var errDelegateUnanswered = errors.New("the carrier had no answer of the worker")
+var errDelegateUnanswered = errors.New("the delegate had no answer of the agent")
 
 // forwardedCommand is the commands for one machine's agent that go through its delegate.
 type forwardedCommand struct {
@@ -49,9 +49,9 @@
 	result := <-command.result
 	switch {
 	case result.Unsent:
-		return nil, fmt.Errorf("%w: by way of %s", transport.ErrNotSent, delegate)
+		return nil, fmt.Errorf("%w: through %s", transport.ErrNotSent, delegate)
 	case result.Status == 0:
-		return nil, fmt.Errorf("%w, by way of %s", errDelegateUnanswered, delegate)
+		return nil, fmt.Errorf("%w: %s", errDelegateUnanswered, delegate)
 	}
 	return &transport.Response{Status: int(result.Status), Body: result.Body}, nil
 }
@@ -90,7 +90,7 @@
 	reply := new(peer.ForwardReply)
 	err := peerapi.Call(p.loop.Context(), p.network, renewTimeout, p.Peers[delegate].Addr, ForwardPath, request, reply)
 	if err == nil && len(reply.Results) != len(batch) {
-		err = fmt.Errorf("%d answers to %d orders", len(reply.Results), len(batch))
+		err = fmt.Errorf("%d results for %d commands", len(reply.Results), len(batch))
 	}
 	if err != nil {
 		p.log.Debug("commands not forwarded", "controller", delegate, "error", err)
