--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -8,180 +8,196 @@
 	"micaspindle/internal/telemetry"
 )
 
-// attemptExited books the end that a worker reported.
-func (ag *Agents) attemptExited(a *cluster.Attempt, t protocol.TaskReport, now time.Time) {
-	j := a.Job
-	a.ExitCause = t.Cause
-	a.State = cluster.AttemptExited
-	ag.release(a, now)
-	ch := j.Chunk(a.TaskIndex)
-	ch.Exited = append(ch.Exited, a)
-	if j.Ended {
-		ag.jobs.DropIfReleased(j)
+const (
+	// refusedBackoff is how long a machine that refused a start gets no other.
+	refusedBackoff = time.Second
+	// unknownJobBackoff is how long a job that an agent does not know waits.
+	unknownJobBackoff = 2 * time.Second
+	// failedBackoff is how long a machine on which a task failed gets no start.
+	failedBackoff = 10 * time.Second
+	// failureBackoff is how long a job waits that fails on several machines; it doubles with
+	// each failure, up to failureBackoffMax.
+	failureBackoff    = time.Second
+	failureBackoffMax = time.Minute
+	// failureDoublingsLimit keeps the doubled backoff within its type.
+	failureDoublingsLimit = 6
+	// failedMachinesLimit is on how many machines a job fails before the job itself counts as
+	// faulty.
+	failedMachinesLimit = 2
+	// failedJobsLimit is how many jobs fail on a machine before it is quarantined.
+	failedJobsLimit = 2
+	// saveSlackS is for how many seconds more than its job needs to save an attempt may go
+	// on after a stop.
+	saveSlackS = 1
+)
+
+// attemptExited takes in the end of an attempt that its agent reported.
+func (a *Agents) attemptExited(attempt *cluster.Attempt, task protocol.TaskReport, now time.Time) {
+	job := attempt.Job
+	attempt.ExitCause = task.Cause
+	attempt.State = cluster.AttemptExited
+	a.release(attempt, now)
+	chunk := job.Chunk(attempt.TaskIndex)
+	chunk.Exited = append(chunk.Exited, attempt)
+	if job.Ended {
+		a.jobs.DropIfReleased(job)
 		return
 	}
-	switch t.Cause {
+	switch task.Cause {
 	case protocol.CauseDone:
-		ag.attemptDone(a, now)
+		a.attemptDone(attempt, now)
 	case protocol.CauseError:
-		ag.attemptFailed(a, now)
+		a.attemptFailed(attempt, now)
 	case protocol.CauseFull, protocol.CauseInUse:
-		a.Machine.AvoidUntil = now.Add(refusedBackoff)
-		ag.startRefused(a)
+		attempt.Machine.AvoidUntil = now.Add(refusedBackoff)
+		a.startRefused(attempt)
 	case protocol.CauseUnknown:
-		j.BackoffUntil = now.Add(unknownJobBackoff)
-		ag.startRefused(a)
+		job.BackoffUntil = now.Add(unknownJobBackoff)
+		a.startRefused(attempt)
 	default:
-		j.Requeue(a.TaskIndex)
+		job.Requeue(attempt.TaskIndex)
 	}
 }
 
-// refusedBackoff is how long a machine that refused a start is given no other.
-const refusedBackoff = time.Second
-
-// unknownJobBackoff is how long a job that a worker does not know waits.
-const unknownJobBackoff = 2 * time.Second
-
-// failedBackoff is how long a machine on which a task failed is given no start.
-const failedBackoff = 10 * time.Second
-
-// failureBackoffMax bounds how long a job that fails on several machines waits; the
-// wait doubles with each failure.
-const failureBackoffMax = time.Minute
-
-// attemptDone books a task that completed.
-func (ag *Agents) attemptDone(a *cluster.Attempt, now time.Time) {
-	j, m := a.Job, a.Machine
-	if j.Spec.Standing {
-		j.Requeue(a.TaskIndex)
+// attemptDone takes in that a task completed. The tasks of a standing job start again.
+func (a *Agents) attemptDone(attempt *cluster.Attempt, now time.Time) {
+	job := attempt.Job
+	if job.Spec.Standing {
+		job.Requeue(attempt.TaskIndex)
 		return
 	}
-	if !a.StartedAt.IsZero() && !a.StartUnknown() {
-		ran := now.Sub(a.StartedAt).Seconds()
-		ag.scheduler.LearnRunTime(j.Spec.Class, ran, j.Spec.EstimateS)
-		ag.detectSlowMachine(a, ran)
-		if !a.Slow {
-			m.SlowTasks = 0
-		}
-		if j.RunTimesS == nil {
-			j.RunTimesS = map[string][]float64{}
-		}
-		j.RunTimesS[m.Name] = append(j.RunTimesS[m.Name], ran)
+	if !attempt.StartedAt.IsZero() && !attempt.StartUnknown() {
+		a.recordRunTime(attempt, now.Sub(attempt.StartedAt).Seconds())
+	}
+	job.Failures = 0
+	clear(attempt.Machine.FailedJobs)
+	if !job.TaskDone[attempt.TaskIndex] {
+		job.TaskDone[attempt.TaskIndex] = true
+		job.DoneCount++
+	}
+	job.Completing = job.DoneCount == job.Spec.Tasks
+}
+
+// recordRunTime takes in for how many seconds a completed task ran.
+func (a *Agents) recordRunTime(attempt *cluster.Attempt, ran float64) {
+	job, machine := attempt.Job, attempt.Machine
+	a.scheduler.LearnRunTime(job.Spec.Class, ran, job.Spec.EstimateS)
+	a.detectSlowMachine(attempt, ran)
+	if !attempt.Slow {
+		machine.SlowTasks = 0
 	}
-	j.Failures = 0
-	clear(m.FailedJobs)
-	if !j.TaskDone[a.TaskIndex] {
-		j.TaskDone[a.TaskIndex] = true
-		j.DoneCount++
+	if job.RunTimesS == nil {
+		job.RunTimesS = map[string][]float64{}
 	}
-	j.Completing = j.DoneCount == j.Spec.Tasks
+	job.RunTimesS[machine.Name] = append(job.RunTimesS[machine.Name], ran)
 }
 
-// attemptFailed books a task that failed. Its machine may be at fault, or its job.
-func (ag *Agents) attemptFailed(a *cluster.Attempt, now time.Time) {
-	j, m := a.Job, a.Machine
-	j.Requeue(a.TaskIndex)
-	j.Failures++
-	m.FailedJobs[j.Spec.ID] = true
-	m.AvoidUntil = now.Add(failedBackoff)
-	ag.metrics.Count(telemetry.Failed, 1)
-	ag.log.Info("task failed", "task", a.TaskName(), "machine", m.Name, "failures", j.Failures)
-	if j.FailedMachines == nil {
-		j.FailedMachines = map[string]bool{}
-	}
-	j.FailedMachines[m.Name] = true
-	if len(j.FailedMachines) >= 2 {
-		// It fails on different machines: the job may be at fault, so it
-		// must not burn the fleet.
-		j.BackoffUntil = now.Add(min(failureBackoffMax, time.Second<<min(j.Failures, 6)))
-	}
-	if len(m.FailedJobs) >= 2 && !m.Quarantined {
-		m.Quarantined = true
-		ag.log.Info("machine set aside", "machine", m.Name, "reason", "different jobs fail on it")
-		for _, b := range m.SortedAttempts() {
-			ag.StopAttempt(b, b.Job.Spec.SaveS+1, now)
+// attemptFailed takes in that a task failed. Its machine may be at fault, or its job.
+func (a *Agents) attemptFailed(attempt *cluster.Attempt, now time.Time) {
+	job, machine := attempt.Job, attempt.Machine
+	job.Requeue(attempt.TaskIndex)
+	job.Failures++
+	machine.FailedJobs[job.Spec.ID] = true
+	machine.AvoidUntil = now.Add(failedBackoff)
+	a.metrics.Count(telemetry.Failed, 1)
+	a.log.Info("task failed", "task", attempt.TaskName(), "machine", machine.Name, "count", job.Failures)
+	if job.FailedMachines == nil {
+		job.FailedMachines = map[string]bool{}
+	}
+	job.FailedMachines[machine.Name] = true
+	if len(job.FailedMachines) >= failedMachinesLimit {
+		// The job may be at fault, so it must not occupy the fleet.
+		job.BackoffUntil = now.Add(min(failureBackoffMax, failureBackoff<<min(job.Failures, failureDoublingsLimit)))
+	}
+	if len(machine.FailedJobs) >= failedJobsLimit && !machine.Quarantined {
+		a.quarantine(machine, "different jobs fail on it")
+		for _, other := range machine.SortedAttempts() {
+			a.StopAttempt(other, other.Job.Spec.SaveS+saveSlackS, now)
 		}
 	}
 }
 
-// startRefused books a start that the worker refused.
-func (ag *Agents) startRefused(a *cluster.Attempt) {
-	a.Job.Requeue(a.TaskIndex)
-	ag.log.Info("start refused", "task", a.TaskName(), "machine", a.Machine.Name, "reason", a.ExitCause)
+// quarantine keeps new work off a machine. It is returned to the cloud once it is idle.
+func (a *Agents) quarantine(machine *cluster.Machine, reason string) {
+	machine.Quarantined = true
+	a.log.Info("machine quarantined", "machine", machine.Name, "reason", reason)
 }
 
-// ReleaseAttempt books an attempt that is proven over without a result.
-func (ag *Agents) ReleaseAttempt(a *cluster.Attempt, reason string, now time.Time) {
-	delete(a.Machine.Attempts, cluster.AttemptKey(a.TaskName(), a.Number))
-	if !a.Live() {
+// startRefused takes in that the agent refused to start an attempt.
+func (a *Agents) startRefused(attempt *cluster.Attempt) {
+	attempt.Job.Requeue(attempt.TaskIndex)
+	a.log.Info("start refused", "task", attempt.TaskName(), "machine", attempt.Machine.Name, "reason", attempt.ExitCause)
+}
+
+// ReleaseAttempt ends an attempt that is proven over without a result, and has its task start
+// again.
+func (a *Agents) ReleaseAttempt(attempt *cluster.Attempt, reason string, now time.Time) {
+	machine, job := attempt.Machine, attempt.Job
+	delete(machine.Attempts, cluster.AttemptKey(attempt.TaskName(), attempt.Number))
+	if !attempt.Live() {
 		return
 	}
-	ag.log.Info("attempt over", "task", a.TaskName(), "machine", a.Machine.Name, "reason", reason)
-	a.State = cluster.AttemptReleased
-	ag.release(a, now)
-	a.Machine.RecountUsed()
-	if a.Job.Ended {
-		ag.jobs.DropIfReleased(a.Job)
+	a.log.Info("attempt released", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", machine.Name, "reason", reason)
+	attempt.State = cluster.AttemptReleased
+	a.release(attempt, now)
+	machine.RecountUsed()
+	if job.Ended {
+		a.jobs.DropIfReleased(job)
 		return
 	}
-	a.Job.Requeue(a.TaskIndex)
+	job.Requeue(attempt.TaskIndex)
+}
+
+// releaseAll ends all attempts on a machine without a result.
+func (a *Agents) releaseAll(machine *cluster.Machine, reason string, now time.Time) {
+	for _, attempt := range machine.SortedAttempts() {
+		a.ReleaseAttempt(attempt, reason, now)
+	}
 }
 
 // release frees what an attempt held.
-func (ag *Agents) release(a *cluster.Attempt, now time.Time) {
-	j := a.Job
-	delete(j.LiveAttempts, a.TaskIndex)
-	if !a.StartedAt.IsZero() {
-		j.RunningCount--
-	}
-	p := ag.Partitions[j.Partition]
-	p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), -1)
-	if j.Spec.Gang && a.ExitCause != protocol.CauseDone {
-		// Without one, the others can't go on: all start again together.
-		for _, mate := range j.Attempts() {
-			ag.StopAttempt(mate, j.Spec.SaveS+1, now)
+func (a *Agents) release(attempt *cluster.Attempt, now time.Time) {
+	job := attempt.Job
+	delete(job.LiveAttempts, attempt.TaskIndex)
+	if !attempt.StartedAt.IsZero() {
+		job.RunningCount--
+	}
+	partition := a.Partitions[job.Partition]
+	partition.Usage[job.Team].Add(cluster.ResourcesOf(job.Spec), -1)
+	if job.Spec.Gang && attempt.ExitCause != protocol.CauseDone {
+		// Without one task the others of a gang can't go on: all start again together.
+		for _, other := range job.Attempts() {
+			a.StopAttempt(other, job.Spec.SaveS+saveSlackS, now)
 		}
 	}
-	j.MarkDirty(a.TaskIndex, false, now)
-	p.Wake()
+	job.MarkDirty(attempt.TaskIndex, false, now)
+	partition.Wake()
 }
 
-// StopAttempt wants an attempt off its machine.
-func (ag *Agents) StopAttempt(a *cluster.Attempt, grace float64, now time.Time) {
-	if !a.Live() || a.Stopping && a.StopGraceS <= grace {
+// StopAttempt has an attempt stopped with so many seconds of grace. An earlier stop stands
+// unless its grace was longer.
+func (a *Agents) StopAttempt(attempt *cluster.Attempt, graceS float64, now time.Time) {
+	if !attempt.Live() || attempt.Stopping && attempt.StopGraceS <= graceS {
 		return
 	}
-	if a.State == cluster.AttemptReserved || a.State == cluster.AttemptCommitted && a.StartToken == 0 && a.StartsInFlight == 0 && a.Machine.Fenced {
+	if neverSent(attempt) {
 		// Nothing was sent, so nothing can arrive.
-		ag.ReleaseAttempt(a, "stopped before its start", now)
+		a.ReleaseAttempt(attempt, "stopped before its start", now)
 		return
 	}
-	a.Stopping, a.StopGraceS, a.StopRequestedAt = true, grace, now
-	ag.fenceOutStart(a, now)
-	ag.SendCommands(a.Machine)
+	attempt.Stopping, attempt.StopGraceS, attempt.StopRequestedAt = true, graceS, now
+	a.fenceOutStart(attempt, now)
+	a.SendCommands(attempt.Machine)
 }
 
-// evacuate moves work off a machine that will be taken: what would be over in
-// time goes on, what can save does so at the last moment, and what would be
-// lost anyway is started elsewhere now.
-func (ag *Agents) evacuate(m *cluster.Machine, now time.Time) {
-	left := m.PreemptionAt.Sub(now).Seconds()
-	for _, a := range m.SortedAttempts() {
-		if !a.Live() || a.Stopping {
-			continue
-		}
-		s := a.Job.Spec
-		remaining := ag.scheduler.RemainingS(a, now)
-		switch {
-		case a.StartedAt.IsZero():
-			ag.StopAttempt(a, 0, now)
-		case remaining < left*0.9:
-		case s.CheckpointS > 0:
-			if left < s.SaveS+2+1.5*ag.HeartbeatInterval.Seconds() {
-				ag.StopAttempt(a, s.SaveS+1, now)
-			}
-		case remaining > left*1.2:
-			ag.StopAttempt(a, 0, now)
-		}
+// neverSent says whether no start of an attempt was sent, by this controller or, as its fenced
+// machine shows, by an earlier leader.
+func neverSent(attempt *cluster.Attempt) bool {
+	switch attempt.State {
+	case cluster.AttemptReserved:
+		return true
+	case cluster.AttemptCommitted:
+		return attempt.StartToken == 0 && attempt.StartsInFlight == 0 && attempt.Machine.Fenced
 	}
+	return false
 }
--- a/internal/coordination/agents/collaborators.go
+++ b/internal/coordination/agents/collaborators.go
@@ -8,42 +8,46 @@
 	"micaspindle/internal/transport"
 )
 
-// Cloud is what Agents asks of its collaborator.
+// Cloud is the client of the cloud's interface, by which machines are deleted.
 type Cloud interface {
-	// Call sends one request to the cloud within its budget.
+	// Call sends one request to the cloud within the request budget. It blocks, so it is
+	// called outside the event loop.
 	Call(method, target string, in, out any) (int, error)
 }
 
-// Leases is what Agents asks of its collaborator.
+// Leases judges whether the leaders of other partitions are still alive.
 type Leases interface {
-	// NoteDiverted notes that a machine's worker came here though its home is another: with
-	// others, and with the other's silence, it shows that the other is gone.
-	NoteDiverted(home, machine string, now time.Time)
+	// NoteDiverted records that a machine's agent came to this controller instead of its
+	// leader. Several such machines, together with the leader's silence, show that the
+	// leader is gone.
+	NoteDiverted(leader, machine string, now time.Time)
 }
 
-// Proxy is what Agents asks of its collaborator.
+// Proxy passes heartbeats and commands between agents, their delegates and partition leaders.
 type Proxy interface {
-	// AnswerHeartbeat answers a worker's report for the part's owner, if that has granted it. What
-	// is answered is told to the owner with the next request (37).
-	AnswerHeartbeat(m *cluster.Machine, r *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool)
-	// ForwardCommands passes a machine's orders on by way of its carrier. An error that wraps
-	// transport.ErrNotSent proves that they can never arrive.
-	ForwardCommands(via, machine string, body []byte) (*transport.Response, error)
-	// RedirectTarget names the carrier that a worker which came here should report to.
-	RedirectTarget(p *cluster.Partition, m *cluster.Machine, now time.Time) string
+	// AnswerHeartbeat answers a heartbeat on behalf of the partition leader, if that has
+	// delegated the machine's shard to this controller. The leader gets the heartbeat with
+	// the next delegation request (rule 37).
+	AnswerHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool)
+	// ForwardCommands sends commands to a machine by way of its delegate. An error that
+	// wraps transport.ErrNotSent proves that they can never arrive.
+	ForwardCommands(delegate, machine string, body []byte) (*transport.Response, error)
+	// RedirectTarget is the delegate to which an agent that came here should send its
+	// heartbeats; "": it stays here.
+	RedirectTarget(partition *cluster.Partition, machine *cluster.Machine, now time.Time) string
 }
 
-// Scheduler is what Agents asks of its collaborator.
+// Scheduler predicts run times and learns from those that were measured.
 type Scheduler interface {
-	// LearnRunTime takes in a completed task. The ratio follows slowly, since single
-	// estimates are often wrong by half.
+	// LearnRunTime takes in the run time in seconds of a completed task of a class, beside
+	// its estimate.
 	LearnRunTime(class string, ran, estimate float64)
-	// RemainingS predicts how long an attempt still runs.
-	RemainingS(a *cluster.Attempt, now time.Time) float64
+	// RemainingS predicts for how many seconds an attempt still runs.
+	RemainingS(attempt *cluster.Attempt, now time.Time) float64
 }
 
-// Jobs is what Agents asks of its collaborator.
+// Jobs holds the jobs that are not finished.
 type Jobs interface {
 	// DropIfReleased forgets a job that has ended and holds nothing any more.
-	DropIfReleased(j *cluster.Job)
+	DropIfReleased(job *cluster.Job)
 }
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -1,10 +1,3 @@
-// Package agents commands the workers of the partitions that this controller leads and takes
-// in what they report: heartbeats, commands, fencing tokens, agent epochs, attempts and the
-// leases of machines.
-//
-// It owns the attempts on machines. Invariant: an attempt holds its resources until it is
-// proven over, by a heartbeat under the current token, a later epoch, a confirmed deletion of
-// the machine, or a lease that must have expired.
 package agents
 
 import (
@@ -14,184 +7,176 @@
 	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
-	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
-// HandleHeartbeat answers a worker's report, of which raw is the body.
-func (ag *Agents) HandleHeartbeat(r *protocol.Heartbeat, raw []byte) transport.Response {
+// HandleHeartbeat answers an agent's heartbeat, of which raw is the body.
+func (a *Agents) HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response {
 	now := time.Now()
-	m := ag.Machines[r.Machine]
-	if m == nil {
-		if _, deleted := ag.DeletedMachines[r.Machine]; !deleted && ag.Synced {
-			ag.UnregisteredMachines[r.Machine] = &peer.UnregisteredMachine{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-		}
+	machine := a.Machines[heartbeat.Machine]
+	if machine == nil {
+		a.noteUnregistered(heartbeat)
 		return respond.Refuse(503, "machine is not on record", 1)
 	}
-	p := ag.Partitions[m.Record.Partition]
-	if resp, carried := ag.proxy.AnswerHeartbeat(m, r, raw, now); carried {
-		return resp
+	partition := a.Partitions[machine.Record.Partition]
+	if response, delegated := a.proxy.AnswerHeartbeat(machine, heartbeat, raw, now); delegated {
+		return response
 	}
-	m.LastContactAt = now
-	if !ag.MayAnswer(p, now) {
-		if p.Leader != "" && p.Leader != ag.Settings.Label {
-			ag.DivertedMachines[r.Machine] = now
-			ag.leases.NoteDiverted(p.Leader, r.Machine, now)
-			return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: p.Leader})}
-		}
-		return respond.Refuse(503, "part has no owner here", 1)
+	machine.LastContactAt = now
+	if !a.MayAnswer(partition, now) {
+		return a.redirectToLeader(partition, machine, now)
 	}
-	token := ag.Token(m)
-	if r.Token > token {
-		// Somebody newer commands this machine; an answer would be dropped and
-		// only hold the worker here.
+	token := a.Token(machine)
+	if heartbeat.Token > token {
+		// A newer leader commands this machine; its agent would drop an answer, which would
+		// only keep it coming here.
 		return respond.Refuse(503, "superseded", 1)
 	}
-	if m.DeleteConfirmed || !m.AcceptHeartbeat(r) {
+	if machine.DeleteConfirmed || !machine.AcceptHeartbeat(heartbeat) {
 		return respond.Refuse(503, "a newer report has come, or the machine is gone", 1)
 	}
-	if r.Addr != "" {
-		m.Record.Addr = r.Addr
+	if heartbeat.Addr != "" {
+		machine.Record.Addr = heartbeat.Addr
 	}
-	ag.ApplyReport(m, r, now)
-	m.LastHeardAt = now
-	if by := ag.proxy.RedirectTarget(p, m, now); by != "" {
-		return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: by})}
+	a.ApplyReport(machine, heartbeat, now)
+	machine.LastHeardAt = now
+	if delegate := a.proxy.RedirectTarget(partition, machine, now); delegate != "" {
+		return redirect(delegate)
 	}
-	m.AnsweredUntil = now
+	// From here on the answer extends the machine lease.
+	machine.AnsweredUntil = now
 	orders := protocol.Orders{Token: token}
-	if p.Ready && m.Fenced {
-		orders.Commands = ag.commandsFor(m, now, true)
+	if partition.Ready && machine.Fenced {
+		orders.Commands = a.commandsFor(machine, now, true)
 	} else {
-		orders.Commands = ag.StopsOfCancelled(r)
+		orders.Commands = a.StopsOfCancelled(heartbeat)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(orders)}
 }
 
-// StopsOfCancelled stops what a report shows of withdrawn jobs. Whoever answers a report keeps
-// what it shows alive, so that nobody may do so for a task that it knows to be withdrawn:
-// neither an owner that has not read its part's records yet nor a carrier, which both
-// decide nothing else. A withdrawal is on record for good, so that the stop needs none.
-func (ag *Agents) StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command {
-	cmds := []protocol.Command{}
-	for _, t := range r.Tasks {
-		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && ag.FinalStates[job] == protocol.StatusWithdrawn {
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt})
-		}
-	}
-	return cmds[:min(len(cmds), commandsLimit)]
-}
-
-// ApplyReport takes in a report, from whichever way it came.
-func (ag *Agents) ApplyReport(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
-	p := ag.Partitions[m.Record.Partition]
-	if !p.Ready || m.DeleteConfirmed || !m.IsNewer(r) {
+// noteUnregistered remembers a machine that is not on record, for the cluster leader to adopt.
+// Machines whose record was just deleted and records not yet read are no reason for that.
+func (a *Agents) noteUnregistered(heartbeat *protocol.Heartbeat) {
+	if _, deleted := a.DeletedMachines[heartbeat.Machine]; deleted || !a.Synced {
 		return
 	}
-	if (!m.HasReported || r.Epoch > m.Epoch) && m.AnsweredUntil.Before(now) {
-		// The lease of a session counts from its beginning, which lies before its first
-		// report, until a report is answered: one that was sent to a carrier was not.
-		m.AnsweredUntil = now
+	a.UnregisteredMachines[heartbeat.Machine] = &peer.UnregisteredMachine{
+		Name: heartbeat.Machine,
+		Addr: heartbeat.Addr,
+		Type: heartbeat.Type,
+		Zone: heartbeat.Zone,
+		Spot: heartbeat.Spot,
 	}
-	if !m.HasReported {
-		m.HasReported, m.IdleSince = true, now
-		ag.log.Info("machine up", "machine", m.Name, "type", m.Record.Type, "zone", m.Record.Zone, "spot", m.Record.Spot)
-	}
-	if m.Lost {
-		m.Lost = false
-		ag.log.Info("machine back", "machine", m.Name, "session", r.Epoch)
+}
+
+// redirectToLeader sends an agent that this controller may not answer to its partition leader,
+// if there is another, and notes that it came here.
+func (a *Agents) redirectToLeader(partition *cluster.Partition, machine *cluster.Machine, now time.Time) transport.Response {
+	if partition.Leader == "" || partition.Leader == a.Settings.Label {
+		return respond.Refuse(503, "part has no owner here", 1)
 	}
-	if r.Epoch > m.Epoch {
-		if m.Epoch != 0 {
-			ag.log.Info("worker's session ended", "machine", m.Name, "session", r.Epoch)
-		}
-		clear(m.OrphanedTasks)
-	}
-	// Not only when the session changes: records read at a takeover may hold
-	// attempts of sessions that ended before.
-	if m.HasAttemptBefore(r.Epoch) {
-		for _, a := range m.SortedAttempts() {
-			if a.Epoch < r.Epoch {
-				ag.ReleaseAttempt(a, "session ended", now)
-			}
+	a.DivertedMachines[machine.Name] = now
+	a.leases.NoteDiverted(partition.Leader, machine.Name, now)
+	return redirect(partition.Leader)
+}
+
+// redirect tells an agent to which controller it should send its heartbeats.
+func redirect(label string) transport.Response {
+	return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: label})}
+}
+
+// StopsOfCancelled returns the stops of the tasks of cancelled jobs that a heartbeat shows.
+// Whoever answers a heartbeat extends the lease under which its tasks run, so nobody may do so
+// for a task of a job that it knows to be cancelled: neither a leader that has not yet read its
+// partition's records nor a delegate, which both decide nothing else. A cancellation is final,
+// so the stop needs no token check.
+func (a *Agents) StopsOfCancelled(heartbeat *protocol.Heartbeat) []protocol.Command {
+	commands := []protocol.Command{}
+	for _, task := range heartbeat.Tasks {
+		job, _, ok := protocol.ParseTask(task.Task)
+		if ok && task.State != protocol.TaskEnded && a.FinalStates[job] == protocol.StatusWithdrawn {
+			commands = append(commands, protocol.Command{Op: protocol.OpStop, Task: task.Task, Attempt: task.Attempt})
 		}
 	}
-	m.Epoch, m.Sequence = r.Epoch, r.Sequence
-	if r.PreemptionNoticeS != nil {
-		if m.PreemptionAt.IsZero() {
-			ag.log.Info("spot notice", "machine", m.Name, "seconds", *r.PreemptionNoticeS)
-		}
-		m.PreemptionAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
+	return commands[:min(len(commands), commandsLimit)]
+}
+
+// ApplyReport takes in what a heartbeat says, whether it came directly, by way of a delegate or
+// as the answer to commands. Heartbeats that are not the newest of their machine are ignored.
+func (a *Agents) ApplyReport(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
+	partition := a.Partitions[machine.Record.Partition]
+	if !partition.Ready || machine.DeleteConfirmed || !machine.IsNewer(heartbeat) {
+		return
 	}
-	if r.Token != ag.Token(m) {
-		ag.Fence(m)
+	if (!machine.HasReported || heartbeat.Epoch > machine.Epoch) && machine.AnsweredUntil.Before(now) {
+		// The lease of an agent epoch counts from its beginning, which lies before its first
+		// heartbeat, until a heartbeat is answered: one that was redirected to a delegate
+		// was not.
+		machine.AnsweredUntil = now
+	}
+	a.noteReporting(machine, heartbeat, now)
+	a.applyEpoch(machine, heartbeat, now)
+	a.applyPreemptionNotice(machine, heartbeat, now)
+	if heartbeat.Token != a.Token(machine) {
+		a.Fence(machine)
 		return
 	}
-	if !m.Fenced {
-		m.Fenced = true
-		p.Wake()
-		ag.log.Debug("machine fenced", "machine", m.Name, "token", r.Token)
+	if !machine.Fenced {
+		machine.Fenced = true
+		partition.Wake()
+		a.log.Debug("machine fenced", "machine", machine.Name, "token", heartbeat.Token)
 	}
-	ag.reconcile(m, r, now)
-	if !m.PreemptionAt.IsZero() {
-		ag.evacuate(m, now)
+	a.reconcile(machine, heartbeat, now)
+	if !machine.PreemptionAt.IsZero() {
+		a.evacuate(machine, now)
 	}
-	if len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 {
-		m.IdleSince = now
+	if len(machine.Attempts) > 0 || len(machine.OrphanedTasks) > 0 {
+		machine.IdleSince = now
 	}
 }
 
-// reconcile compares a report under our token with our attempts.
-func (ag *Agents) reconcile(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
-	seen := make(map[string]bool, len(r.Tasks))
-	clear(m.OrphanedTasks)
-	for _, t := range r.Tasks {
-		key := cluster.AttemptKey(t.Task, t.Attempt)
-		seen[key] = true
-		a := m.Attempts[key]
-		if a == nil {
-			m.OrphanedTasks[key] = t
-			continue
-		}
-		if a.State <= cluster.AttemptCommitted {
-			a.State = cluster.AttemptConfirmed
-		}
-		if !a.Live() {
-			continue
+// noteReporting notes that a machine reports for the first time, or again after its lease
+// expired.
+func (a *Agents) noteReporting(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
+	if !machine.HasReported {
+		machine.HasReported, machine.IdleSince = true, now
+		a.log.Info("machine reporting", "machine", machine.Name, "type", machine.Record.Type, "zone", machine.Record.Zone, "spot", machine.Record.Spot)
+	}
+	if machine.Lost {
+		machine.Lost = false
+		a.log.Info("lost machine reporting again", "machine", machine.Name, "epoch", heartbeat.Epoch)
+	}
+}
+
+// applyEpoch takes in the agent epoch and sequence number of a heartbeat. The attempts of
+// earlier epochs ended with those.
+func (a *Agents) applyEpoch(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
+	if heartbeat.Epoch > machine.Epoch {
+		if machine.Epoch != 0 {
+			a.log.Info("agent epoch ended", "machine", machine.Name, "epoch", heartbeat.Epoch)
 		}
-		a.ReportedState = t.State
-		switch t.State {
-		case protocol.TaskRunning:
-			if a.StartedAt.IsZero() {
-				if a.StartedAt = now; !a.ReplicatedStart.IsZero() {
-					a.StartedAt = a.ReplicatedStart
-				}
-				a.Job.RunningCount++
-				if !a.Inherited {
-					ag.metrics.Took(telemetry.Start, now.Sub(a.Job.ReadySince()), now)
-				}
+		clear(machine.OrphanedTasks)
+	}
+	// Not only when the epoch changes: records read at a takeover may hold attempts of epochs
+	// that ended before.
+	if machine.HasAttemptBefore(heartbeat.Epoch) {
+		for _, attempt := range machine.SortedAttempts() {
+			if attempt.Epoch < heartbeat.Epoch {
+				a.ReleaseAttempt(attempt, "agent epoch ended", now)
 			}
-			m.Images[a.Job.Spec.Image] = now
-			ag.detectSlowMachine(a, now.Sub(a.StartedAt).Seconds())
-		case protocol.TaskEnded:
-			ag.attemptExited(a, t, now)
 		}
 	}
-	for key, a := range m.Attempts {
-		if seen[key] {
-			continue
-		}
-		switch {
-		case a.State == cluster.AttemptReleased:
-			delete(m.Attempts, key) // reaped
-		case a.State == cluster.AttemptExited:
-			// Stays until its end is on record.
-		case a.State == cluster.AttemptConfirmed:
-			ag.ReleaseAttempt(a, "vanished", now)
-		case a.State == cluster.AttemptCommitted && a.Stopping && a.StartToken < r.Token:
-			// No start of ours can still arrive under this token, also none under way.
-			ag.ReleaseAttempt(a, "never started", now)
-		}
+	machine.Epoch, machine.Sequence = heartbeat.Epoch, heartbeat.Sequence
+}
+
+// applyPreemptionNotice takes in that the cloud is going to take a spot machine away.
+func (a *Agents) applyPreemptionNotice(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
+	if heartbeat.PreemptionNoticeS == nil {
+		return
+	}
+	after := time.Duration(*heartbeat.PreemptionNoticeS * float64(time.Second))
+	if machine.PreemptionAt.IsZero() {
+		a.log.Info("preemption notice received", "machine", machine.Name, "after", after)
 	}
-	m.RecountUsed()
+	machine.PreemptionAt = now.Add(after)
 }
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -1,192 +1,132 @@
 package agents
 
 import (
-	"log/slog"
 	"time"
 
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/delegation"
-	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/telemetry"
 )
 
-// Agents commands the workers of the partitions that this controller leads, and takes in
-// what they report.
-type Agents struct {
-	*cluster.State
-	loop    *eventloop.Loop
-	network storage.Requester
-	store   *storage.Store
-	log     *slog.Logger
-	metrics *telemetry.Metrics
-
-	cloud     Cloud
-	jobs      Jobs
-	leases    Leases
-	proxy     Proxy
-	scheduler Scheduler
-
-	// RepeatedCommands counts requests under way beside earlier ones to the same machine.
-	RepeatedCommands int
-}
-
-// New makes one without collaborators.
-func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Agents {
-	return &Agents{State: state, loop: loop, network: network, store: store, log: log}
-}
-
-// Connect gives it its collaborators, before the loop starts.
-func (ag *Agents) Connect(cloud Cloud, jobs Jobs, leases Leases, proxy Proxy, scheduler Scheduler) {
-	ag.cloud, ag.jobs, ag.leases, ag.proxy, ag.scheduler = cloud, jobs, leases, proxy, scheduler
-}
-
-// Observe makes it measure itself, before the loop starts.
-func (ag *Agents) Observe(m *telemetry.Metrics) { ag.metrics = m }
+const (
+	// retirementTimeout is how long a machine waits for the cluster leader to retire it before
+	// it gets work again.
+	retirementTimeout = 30 * time.Second
+	// commandRetryInterval is how often commands that did not arrive are sent again.
+	commandRetryInterval = time.Second
+)
 
-// MachineRecorded follows the assignment record of a machine.
-func (ag *Agents) MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time) {
-	m := ag.Machines[name]
-	delete(ag.UnregisteredMachines, name)
-	if m == nil {
-		m = &cluster.Machine{Name: name, Shard: delegation.ShardOf(name), Attempts: map[string]*cluster.Attempt{}, OrphanedTasks: map[string]protocol.TaskReport{},
-			FailedJobs: map[string]bool{}, Images: map[string]time.Time{}, RecordedAt: now, LedSince: now, LastHeardAt: now}
-		ag.Machines[name] = m
-	} else if version <= m.Revision {
+// MachineRecorded takes in the assignment record of a machine, as of a revision. Records older
+// than the one known are ignored.
+func (a *Agents) MachineRecorded(name string, record storage.Machine, revision uint64, now time.Time) {
+	delete(a.UnregisteredMachines, name)
+	machine := a.Machines[name]
+	if machine == nil {
+		machine = newMachine(name, now)
+		a.Machines[name] = machine
+	} else if revision <= machine.Revision {
 		return
 	}
-	moved := m.Revision != 0 && m.Record.Partition != rec.Partition
-	if rec.Addr == "" {
-		rec.Addr = m.Record.Addr
+	moved := machine.Revision != 0 && machine.Record.Partition != record.Partition
+	if record.Addr == "" {
+		record.Addr = machine.Record.Addr
 	}
 	if moved {
-		m.Record = rec
-		m.Reset()
-		m.AnsweredUntil, m.LedSince = now.Add(ag.AnswerBound()), now
-		m.FormerLeaderBound = m.AnsweredUntil
+		machine.Record = record
+		machine.Reset()
+		machine.AnsweredUntil, machine.LedSince = now.Add(a.AnswerBound()), now
+		machine.FormerLeaderBound = machine.AnsweredUntil
 	}
-	m.Record, m.Revision, m.Type = rec, version, ag.MachineTypes[rec.Type]
-	m.Moving, m.Fenced, m.TokenRaiseBy = false, false, time.Time{}
-	if p := ag.Partitions[rec.Partition]; p.Held && p.Ready && (moved || m.HasReported) {
-		ag.Fence(m)
+	machine.Record, machine.Revision, machine.Type = record, revision, a.MachineTypes[record.Type]
+	machine.Moving, machine.Fenced, machine.TokenRaiseBy = false, false, time.Time{}
+	partition := a.Partitions[record.Partition]
+	if partition.Held && partition.Ready && (moved || machine.HasReported) {
+		a.Fence(machine)
 	}
 }
 
-// MachineDeleted follows the end of a record, which the leader removes only
-// after the machine is certainly gone.
-func (ag *Agents) MachineDeleted(name string, now time.Time) {
-	m := ag.Machines[name]
-	if m == nil {
-		return
+// newMachine returns a machine of which nothing but the name is known.
+func newMachine(name string, now time.Time) *cluster.Machine {
+	return &cluster.Machine{
+		Name:          name,
+		Shard:         delegation.ShardOf(name),
+		Attempts:      map[string]*cluster.Attempt{},
+		OrphanedTasks: map[string]protocol.TaskReport{},
+		FailedJobs:    map[string]bool{},
+		Images:        map[string]time.Time{},
+		RecordedAt:    now,
+		LedSince:      now,
+		LastHeardAt:   now,
 	}
-	for _, a := range m.SortedAttempts() {
-		ag.ReleaseAttempt(a, "machine is gone", now)
+}
+
+// MachineDeleted takes in that a machine's record is gone. The cluster leader removes it only
+// after the machine certainly is.
+func (a *Agents) MachineDeleted(name string, now time.Time) {
+	machine := a.Machines[name]
+	if machine == nil {
+		return
 	}
-	delete(ag.Machines, name)
-	ag.DeletedMachines[name] = now
+	a.releaseAll(machine, "machine is gone", now)
+	delete(a.Machines, name)
+	a.DeletedMachines[name] = now
 }
 
-// CheckMachines finds machines whose lease must have run out.
-func (ag *Agents) CheckMachines(now time.Time) {
-	bound := time.Duration(float64(ag.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin
+// CheckMachines finds the machines whose lease must have expired, and does what has become due
+// for the others.
+func (a *Agents) CheckMachines(now time.Time) {
+	bound := time.Duration(float64(a.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin
 	var overdue []*cluster.Machine
-	defer func() {
-		if len(overdue) > 0 {
-			ag.deleteMachinesInTime(overdue[:min(len(overdue), deleteBatchLimit)])
-		}
-	}()
-	for _, m := range ag.Machines {
-		p := ag.Partitions[m.Record.Partition]
-		if !p.Held || !p.Ready || m.Lost {
+	for _, machine := range a.Machines {
+		partition := a.Partitions[machine.Record.Partition]
+		if !partition.Held || !partition.Ready || machine.Lost {
 			continue
 		}
-		known, answered := p.Delegations.AnswerBounds(m.Shard, m.AnsweredUntil, now)
-		if (m.HasReported || len(m.Attempts) > 0) && known.Sub(answered) > bound {
-			ag.metrics.Count(telemetry.MachineLost, 1)
-			ag.log.Info("machine lost", "machine", m.Name, "silent", now.Sub(m.LastHeardAt), "attempts", len(m.Attempts))
-			m.Lost, m.Fenced = true, false
-			for _, a := range m.SortedAttempts() {
-				ag.ReleaseAttempt(a, "lease ran out", now)
-			}
+		known, answered := partition.Delegations.AnswerBounds(machine.Shard, machine.AnsweredUntil, now)
+		if (machine.HasReported || len(machine.Attempts) > 0) && known.Sub(answered) > bound {
+			a.machineLost(machine, now)
 			continue
 		}
-		if ag.OutlastsCancelBound(m, answered.Add(bound), now) && now.Sub(m.DeleteTriedAt) > deleteRetryInterval {
-			m.DeleteTriedAt = now
-			overdue = append(overdue, m)
-		}
-		if !m.RetiringSince.IsZero() && now.Sub(m.RetiringSince) > 30*time.Second {
-			m.RetiringSince = time.Time{}
-		}
-		if !m.PreemptionAt.IsZero() && m.Fenced {
-			ag.evacuate(m, now)
-		}
-		for _, a := range m.Attempts {
-			ag.fenceOutStart(a, now)
-		}
-		if now.Sub(m.CommandedAt) > CommandAnswerWait && ag.mayRepeat(m) {
-			ag.repeatCommands(m)
-		}
-		if m.Fenced && m.PendingCommands == 0 && now.Sub(m.CommandsRetriedAt) > time.Second && m.HasUnsentCommands() {
-			m.CommandsRetriedAt = now
-			ag.SendCommands(m)
+		if a.OutlastsCancelBound(machine, answered.Add(bound), now) && now.Sub(machine.DeleteTriedAt) > deleteRetryInterval {
+			machine.DeleteTriedAt = now
+			overdue = append(overdue, machine)
 		}
+		a.checkMachine(machine, now)
+	}
+	if len(overdue) > 0 {
+		a.deleteMachinesInTime(overdue[:min(len(overdue), deleteBatchLimit)])
 	}
 }
 
-// deleteLead is how long before a withdrawn task must be gone its machine is deleted,
-// if it could not be stopped; deleteAfter is the least time that a stop is given.
-const deleteLead = 8 * time.Second
-
-const stopGraceBeforeDelete = 3 * time.Second
-
-const deleteRetryInterval = 2 * time.Second
-
-const deleteBatchLimit = 100 // names in a request
-
-// OutlastsCancelBound says whether a task of a withdrawn job may be on a machine for longer than
-// cancel_s: it was not stopped, and the machine's lease, which may go on until ends, does
-// not provably run out in time (46). A machine that is merely silent is left alone.
-func (ag *Agents) OutlastsCancelBound(m *cluster.Machine, ends, now time.Time) bool {
-	for _, a := range m.Attempts {
-		if !a.Live() || !a.Stopping || a.Job.CancelledAt.IsZero() || now.Sub(a.StopRequestedAt) < stopGraceBeforeDelete {
-			continue
-		}
-		due := a.Job.CancelledAt.Add(ag.CancelBound)
-		if now.After(due.Add(-deleteLead)) && ends.After(due.Add(-cluster.ClockMargin)) {
-			return true
-		}
-	}
-	return false
+// machineLost takes in that a machine's lease has expired: its agent has stopped all tasks.
+func (a *Agents) machineLost(machine *cluster.Machine, now time.Time) {
+	a.metrics.Count(telemetry.MachineLost, 1)
+	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeardAt), "count", len(machine.Attempts))
+	machine.Lost, machine.Fenced = true, false
+	a.releaseAll(machine, "machine lease expired", now)
 }
 
-// deleteMachinesInTime has the cloud delete machines on which withdrawn tasks may go on. Their
-// owner does so itself: the leader needs the state service, which the trouble that keeps a
-// task from being stopped may have taken away. The records go later, as of lost machines.
-func (ag *Agents) deleteMachinesInTime(machines []*cluster.Machine) {
-	names := make([]string, 0, len(machines))
-	for _, m := range machines {
-		names = append(names, m.Name)
+// checkMachine does what has become due for a machine whose lease may still run: a retirement
+// that did not happen is given up, work leaves a machine that goes away, and commands without
+// an answer are repeated.
+func (a *Agents) checkMachine(machine *cluster.Machine, now time.Time) {
+	if !machine.RetiringSince.IsZero() && now.Sub(machine.RetiringSince) > retirementTimeout {
+		machine.RetiringSince = time.Time{}
+	}
+	if !machine.PreemptionAt.IsZero() && machine.Fenced {
+		a.evacuate(machine, now)
+	}
+	for _, attempt := range machine.Attempts {
+		a.fenceOutStart(attempt, now)
+	}
+	if now.Sub(machine.CommandedAt) > CommandAnswerWait && a.mayRepeat(machine) {
+		a.repeatCommands(machine)
+	}
+	retryDue := machine.Fenced && machine.PendingCommands == 0 && now.Sub(machine.CommandsRetriedAt) > commandRetryInterval
+	if retryDue && machine.HasUnsentCommands() {
+		machine.CommandsRetriedAt = now
+		a.SendCommands(machine)
 	}
-	ag.log.Info("deleting machines", "machines", names, "reason", "withdrawn tasks on them can't be stopped in time")
-	ag.loop.Go(func() {
-		status, err := ag.cloud.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
-		if err != nil || status != 200 {
-			ag.log.Info("machines not deleted", "machines", names, "status", status, "reason", err)
-			return
-		}
-		ag.loop.Do(func() {
-			now := time.Now()
-			for _, m := range machines {
-				if ag.Machines[m.Name] != m {
-					continue
-				}
-				ag.metrics.Count(telemetry.MachineLost, 1)
-				m.DeleteConfirmed, m.Lost, m.Fenced = true, true, false
-				for _, a := range m.SortedAttempts() {
-					ag.ReleaseAttempt(a, "machine is deleted", now)
-				}
-			}
-		})
-	})
 }
--- a/internal/coordination/agents/tokens.go
+++ b/internal/coordination/agents/tokens.go
@@ -8,86 +8,91 @@
 	"micaspindle/internal/coordination/cluster"
 )
 
-// CommandAnswerWait is how long the answer to a command is waited for before the command
-// counts as held up, where a task of a cancelled job depends on it. It is as long as a
-// worker takes to report a change.
-const CommandAnswerWait = 500 * time.Millisecond
+// A command without an answer may be carried out at any later time, until its agent has seen a
+// higher fencing token (rule 50). So where a start must not come any more, the token of its
+// machine is raised: the record of the machine is written again, and the agent is fenced.
 
-// stopAnswerWait is the same where no job was cancelled.
-const stopAnswerWait = time.Second
+const (
+	// CommandAnswerWait is how long the answer to a command is waited for before the command
+	// counts as held up, where a task of a cancelled job depends on it. It is as long as an
+	// agent takes to report a change.
+	CommandAnswerWait = 500 * time.Millisecond
+	// stopAnswerWait is the same where no job was cancelled.
+	stopAnswerWait = time.Second
+	// forgetDelay is how long a released attempt whose start may still arrive stays with its
+	// agent, so that one raise of the token serves many. It holds neither room nor quota.
+	forgetDelay = 5 * time.Second
+	// pendingCommandsLimit bounds the requests to a machine that wait for an answer.
+	pendingCommandsLimit = 4
 
-// reapDelay is how long an ended attempt whose start may still come stays with its
-// worker, so that one raise serves many. It holds neither room nor quota.
-const reapDelay = 5 * time.Second
-
-// pendingCommandsLimit bounds the orders to a machine that wait for an answer.
-const pendingCommandsLimit = 4
-
-// RepeatedCommandsSocketShare of the sockets, and repeatsLeast at least, may hold orders beside earlier
-// ones to the same machine: where many machines are cut off, workers and users need them.
-const RepeatedCommandsSocketShare = 32
-
-const RepeatedCommandsMin = 8
+	// One in RepeatedCommandsSocketShare of the sockets, and RepeatedCommandsMin at least, may
+	// serve requests beside earlier ones to the same machine: where many machines are cut off,
+	// agents and users need the others.
+	RepeatedCommandsSocketShare = 32
+	RepeatedCommandsMin         = 8
+)
 
-// commandsSent notes that orders are sent to a machine.
-func (ag *Agents) commandsSent(m *cluster.Machine, now time.Time) {
-	if m.PendingCommands > 0 {
-		ag.RepeatedCommands++
+// commandsSent notes that a request with commands is sent to a machine.
+func (a *Agents) commandsSent(machine *cluster.Machine, now time.Time) {
+	if machine.PendingCommands > 0 {
+		a.RepeatedCommands++
 	}
-	m.PendingCommands++
-	m.CommandedAt = now
+	machine.PendingCommands++
+	machine.CommandedAt = now
 }
 
-// commandsAnswered notes that the answer to orders has come or been given up.
-func (ag *Agents) commandsAnswered(m *cluster.Machine) {
-	if m.PendingCommands--; m.PendingCommands > 0 {
-		ag.RepeatedCommands--
+// commandsAnswered notes that the answer to a request with commands has come or been given up.
+func (a *Agents) commandsAnswered(machine *cluster.Machine) {
+	machine.PendingCommands--
+	if machine.PendingCommands > 0 {
+		a.RepeatedCommands--
 	}
 }
 
-// mayRepeat says whether orders may be sent to a machine beside those that are under way:
-// a cancelled task depends on them, and there is room.
-func (ag *Agents) mayRepeat(m *cluster.Machine) bool {
-	most := max(RepeatedCommandsMin, ag.Settings.Params.MachineLimits.Sockets/RepeatedCommandsSocketShare)
-	return m.HasCancelledTask() && m.PendingCommands < pendingCommandsLimit && ag.RepeatedCommands < most
+// mayRepeat says whether commands may be sent to a machine beside those that are under way: a
+// task of a cancelled job depends on them, and there are sockets left.
+func (a *Agents) mayRepeat(machine *cluster.Machine) bool {
+	limit := max(RepeatedCommandsMin, a.Settings.Params.MachineLimits.Sockets/RepeatedCommandsSocketShare)
+	return machine.HasCancelledTask() && machine.PendingCommands < pendingCommandsLimit && a.RepeatedCommands < limit
 }
 
-// mayStillStart says whether a start of an attempt was sent that can come at any time.
-func (ag *Agents) mayStillStart(a *cluster.Attempt) bool {
-	return a.State == cluster.AttemptCommitted && a.Stopping && a.StartToken != 0 && a.StartToken >= ag.Token(a.Machine)
+// mayStillStart says whether a start of an attempt was sent that may arrive at any time.
+func (a *Agents) mayStillStart(attempt *cluster.Attempt) bool {
+	return attempt.State == cluster.AttemptCommitted && attempt.Stopping && attempt.StartToken != 0 &&
+		attempt.StartToken >= a.Token(attempt.Machine)
 }
 
-// fenceOutStart has the token raised where a start of an attempt that is to stop may still come.
-// The answer to the start is waited for, but not for long if its job was cancelled: its
+// fenceOutStart has the token raised where a start of an attempt that is to stop may still
+// arrive. The answer to the start is waited for, but not for long if its job was cancelled: its
 // user was told so, and from then on nothing of it may start.
-func (ag *Agents) fenceOutStart(a *cluster.Attempt, now time.Time) {
-	if !ag.mayStillStart(a) {
+func (a *Agents) fenceOutStart(attempt *cluster.Attempt, now time.Time) {
+	if !a.mayStillStart(attempt) {
 		return
 	}
-	switch {
-	case a.Job.Ended && now.Sub(a.StartSentAt) > CommandAnswerWait:
-	case a.StartsInFlight == 0 && now.Sub(a.StopRequestedAt) > stopAnswerWait:
-	default:
+	cancelledWaitOver := attempt.Job.Ended && now.Sub(attempt.StartSentAt) > CommandAnswerWait
+	stopWaitOver := attempt.StartsInFlight == 0 && now.Sub(attempt.StopRequestedAt) > stopAnswerWait
+	if !cancelledWaitOver && !stopWaitOver {
 		return
 	}
-	a.Machine.RaiseTokenBy(now)
-	ag.Partitions[a.Machine.Record.Partition].Wake()
+	attempt.Machine.RaiseTokenBy(now)
+	a.Partitions[attempt.Machine.Record.Partition].Wake()
 }
 
-// repeatCommands sends what the machine has to do beside commands that are held up.
-func (ag *Agents) repeatCommands(m *cluster.Machine) {
-	if m.Fenced {
-		ag.sendCommandsNow(m)
+// repeatCommands sends what a machine's agent should do beside commands that are held up.
+func (a *Agents) repeatCommands(machine *cluster.Machine) {
+	if machine.Fenced {
+		a.sendCommandsNow(machine)
 	} else {
-		ag.Fence(m)
+		a.Fence(machine)
 	}
 }
 
-// TokensDue are the machines of a part whose tokens are due to be raised, the longest due first.
-func (ag *Agents) TokensDue(p *cluster.Partition, now time.Time) (due []*cluster.Machine) {
-	for _, m := range ag.Machines {
-		if m.Record.Partition == p.Index && !m.TokenRaiseBy.IsZero() && !m.TokenRaiseBy.After(now) {
-			due = append(due, m)
+// TokensDue lists the machines of a partition whose tokens are due to be raised, those that are
+// due the longest first.
+func (a *Agents) TokensDue(partition *cluster.Partition, now time.Time) (due []*cluster.Machine) {
+	for _, machine := range a.Machines {
+		if machine.Record.Partition == partition.Index && !machine.TokenRaiseBy.IsZero() && !machine.TokenRaiseBy.After(now) {
+			due = append(due, machine)
 		}
 	}
 	slices.SortFunc(due, func(x, y *cluster.Machine) int {
