--- a/internal/coordination/commit/collaborators.go
+++ b/internal/coordination/commit/collaborators.go
@@ -7,44 +7,43 @@
 	"micaspindle/internal/storage"
 )
 
-// Agents is what Committer asks of its collaborator.
+// Agents sends commands to agents and owns the attempts on machines.
 type Agents interface {
-	// MachineRecorded follows the assignment record of a machine.
-	MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time)
-	// ReleaseAttempt books an attempt that is proven over without a result.
-	ReleaseAttempt(a *cluster.Attempt, reason string, now time.Time)
-	// SendCommands sends direct commands, one request at a time for each machine.
-	SendCommands(m *cluster.Machine)
-	// TokensDue are the machines of a part whose tokens are due to be raised, the longest due first.
-	TokensDue(p *cluster.Partition, now time.Time) (due []*cluster.Machine)
+	// MachineRecorded takes in the assignment record of a machine, as of a revision.
+	MachineRecorded(name string, record storage.Machine, revision uint64, now time.Time)
+	// ReleaseAttempt ends an attempt that is proven over without a result.
+	ReleaseAttempt(attempt *cluster.Attempt, reason string, now time.Time)
+	// SendCommands sends what a machine's agent should do, one request at a time for each
+	// machine.
+	SendCommands(machine *cluster.Machine)
+	// TokensDue lists the machines of a partition whose fencing tokens are due to be raised,
+	// those that are due the longest first.
+	TokensDue(partition *cluster.Partition, now time.Time) (due []*cluster.Machine)
 }
 
-// Leases is what Committer asks of its collaborator.
+// Leases holds the partition leases of this controller.
 type Leases interface {
-	// LosePartition stops acting for a part.
-	LosePartition(p *cluster.Partition, reason string)
+	// LosePartition stops acting as the leader of a partition.
+	LosePartition(partition *cluster.Partition, reason string)
 }
 
-// Scheduler is what Committer asks of its collaborator.
+// Scheduler decides which tasks start where.
 type Scheduler interface {
-	// Place gives waiting tasks to machines by least contention: it gathers what the
-	// placement's room decides on, and reserves what that says.
-	Place(p *cluster.Partition, now time.Time)
-	// Preempt stops running work for jobs that must start now and find no room.
-	Preempt(p *cluster.Partition, now time.Time)
-	// Queue lists the jobs of a part that want something, in the order in which they
-	// are served: those with waiting tasks, with records to write, or at their end. The
-	// list is kept for a moment, so that events do not each sort all jobs again, unless
-	// another job comes to want something: served last, its tasks would find the room
-	// taken, and its ends would be on record, and its team's room be free, a batch later.
-	Queue(p *cluster.Partition) []*cluster.Job
+	// Place reserves machines for waiting tasks.
+	Place(partition *cluster.Partition, now time.Time)
+	// Preempt stops running tasks for jobs that must start now and find no room.
+	Preempt(partition *cluster.Partition, now time.Time)
+	// Queue lists the jobs of a partition that have waiting tasks, records to write or their
+	// end to record, in the order in which they are served.
+	Queue(partition *cluster.Partition) []*cluster.Job
 }
 
-// Jobs is what Committer asks of its collaborator.
+// Jobs holds the jobs that are not finished, and how the others ended.
 type Jobs interface {
+	// ApplyFinalRecord takes in the record of how a job ended.
 	ApplyFinalRecord(id string, raw []byte)
 	// DropIfReleased forgets a job that has ended and holds nothing any more.
-	DropIfReleased(j *cluster.Job)
-	// SetFinal notes that a job is done or withdrawn, for good, and when it was at the earliest.
+	DropIfReleased(job *cluster.Job)
+	// SetFinal notes that a job is done or cancelled, for good, and since when at the earliest.
 	SetFinal(id, status string, at time.Time)
 }
