--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -46,9 +46,9 @@
 	settling = time.Second
 )
 
-// errBehind refuses a change because those before it took too long. Its words
-// tell the user's door to answer 429.
-var errBehind = fmt.Errorf("%w: audit log is over its budget", storage.ErrRefused)
+// errBehind refuses a change because those before it took too long. It wraps
+// storage.ErrBudget, so that the user is answered 429.
+var errBehind = fmt.Errorf("%w: audit log is over its budget", storage.ErrBudget)
 
 // Log writes one controller's chain. Changes from several users at a time go in
 // one transaction together with the batch that records them, so that the audit
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -367,7 +367,7 @@
 }
 
 // errUnknownJobBudget refuses who asks too often for jobs that nobody knows.
-var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", storage.ErrRefused)
+var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", storage.ErrBudget)
 
 // ReadSpec reads a job's record; who, if told, is held to the budget for
 // unknown jobs.
--- a/internal/storage/absence.go
+++ b/internal/storage/absence.go
@@ -13,111 +13,123 @@
 	"micaspindle/internal/protocol"
 )
 
-// absences asks for many users at once whether keys are absent. A transaction that
-// only compares reads as many keys as it may have conditions, for one request; asked
-// one by one, the polls of some 1,500 waiting jobs take every request that the service
-// grants, those that keep the controllers' claims among them
-// (docs/incidents/night-flood.md).
-type absences struct {
+const (
+	// pollShare is the part of the state store's requests that absence queries may take.
+	pollShare = 0.5
+	// conditionsPerOp is how many conditions a transaction may hold for each change that it
+	// may.
+	conditionsPerOp = 4
+	// keyBytesLimit bounds the keys of one comparison, in bytes: the body's limit is 64 KiB.
+	keyBytesLimit = 32 << 10
+	// absenceQueueSeconds is for how many seconds queries may wait at the pace at which they
+	// are sent: more would be answered too late.
+	absenceQueueSeconds = 2
+	// absenceQueueMin is how many queries may wait at any pace. One takes some 200 bytes beside
+	// its user's connection.
+	absenceQueueMin = 2048
+)
+
+// absenceQueue asks for many users at once whether keys are absent. A transaction that only
+// compares reads as many keys as it may have conditions, for one request; asked one by one, the
+// polls of some 1,500 waiting jobs take every request that the state store grants, those that
+// renew the controllers' leases among them (docs/incidents/night-flood.md).
+//
+// One user's query at a time has the turn: its goroutine asks for itself and for those that wait,
+// and then passes the turn on.
+type absenceQueue struct {
 	mu      sync.Mutex
-	waiting []*absence
-	// asking says that somebody asks now, for itself and for those who waited then.
+	waiting []*absenceQuery
+	// asking says that some query has the turn.
 	asking bool
-	// pace bounds the requests that polls take.
-	pace *rate.Limiter
-	// capacity is how many questions may wait.
+	// requests bounds the requests that queries take.
+	requests *rate.Limiter
+	// capacity is how many queries may wait.
 	capacity int
-	// most is how many keys a comparison may hold.
-	most atomic.Int64
+	// conditionsLimit is how many keys a comparison may hold.
+	conditionsLimit atomic.Int64
 }
 
-// absence is a question and its answer.
-type absence struct {
+// absenceQuery is a user's query whether a key is absent, and its answer.
+type absenceQuery struct {
 	key string
-	// turn is closed when the question is answered, or when it is this one's turn to
-	// ask.
+	// turn is closed when the query is answered, or when it gets the turn.
 	turn     chan struct{}
 	answered bool
 	present  bool
 	err      error
 }
 
-const (
-	// pollShare is the part of the service's requests that polls may take; conditions
-	// is how many a transaction may hold for each change that it may.
-	pollShare  = 0.5
-	conditions = 4
-	// keyBytes bounds the keys of one question: the body's limit is 64 KiB.
-	keyBytes = 32 << 10
-)
-
-func (a *absences) init(rps float64, txnOps, controllers int) {
-	a.most.Store(int64(conditions * txnOps))
+func (q *absenceQueue) init(rps float64, txnOps, controllers int) {
+	q.conditionsLimit.Store(int64(conditionsPerOp * txnOps))
 	share := pollShare * rps / float64(controllers)
-	a.capacity = max(absenceQueueMin, int(absenceQueueSeconds*share*conditions*float64(txnOps)))
-	a.pace = rate.NewLimiter(rate.Limit(share), max(2, int(share/2)))
+	q.capacity = max(absenceQueueMin, int(absenceQueueSeconds*share*conditionsPerOp*float64(txnOps)))
+	q.requests = rate.NewLimiter(rate.Limit(share), max(2, int(share/2)))
 }
 
-// UserKeyAbsent reads for a user whether a key is absent. Users who ask while another
-// question is on its way are asked for together by the next one: it is sent after
-// they came, so that what it says is no older than their question.
+// UserKeyAbsent reads for a user whether a key is absent. Users who ask while another comparison
+// is under way are asked for together by the next one: it is sent after they came, so that its
+// answer is no older than their query.
 func (s *Store) UserKeyAbsent(ctx context.Context, key string) (bool, error) {
-	a := &s.absences
-	q := &absence{key: key, turn: make(chan struct{})}
-	a.mu.Lock()
-	if len(a.waiting) >= a.capacity {
-		a.mu.Unlock()
+	query := &absenceQuery{key: key, turn: make(chan struct{})}
+	hasTurn, admitted := s.absences.add(query)
+	if !admitted {
 		if s.PollsFull != nil {
 			s.PollsFull()
 		}
-		return false, fmt.Errorf("%w: budget used up", ErrRefused)
-	}
-	a.waiting = append(a.waiting, q)
-	lead := !a.asking
-	a.asking = true
-	a.mu.Unlock()
-	if !lead {
-		select {
-		case <-q.turn:
-		case <-ctx.Done():
-			if s.gaveUp(q) {
-				return false, fmt.Errorf("%w: %w", ErrRefused, ctx.Err())
-			}
-			<-q.turn // it is asked for just now, or asks itself
-		}
-		if q.answered {
-			return !q.present, q.err
+		return false, ErrBudget
+	}
+	if !hasTurn {
+		if err := s.absences.awaitTurn(ctx, query); err != nil {
+			return false, err
 		}
 	}
-	s.askAbsences(ctx, q)
-	return !q.present, q.err
+	if !query.answered {
+		s.askAbsences(ctx, query)
+	}
+	return !query.present, query.err
 }
 
-const (
-	// absenceQueueSeconds is for how many seconds questions may wait at the pace at which they are
-	// asked: more would be answered too late.
-	absenceQueueSeconds = 2
-	// absenceQueueMin is how many may wait at any pace. One takes some 200 bytes beside its
-	// user's connection.
-	absenceQueueMin = 2048
-)
+// add has a query wait, unless too many do, and says whether it has the turn at once.
+func (q *absenceQueue) add(query *absenceQuery) (hasTurn, admitted bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.waiting) >= q.capacity {
+		return false, false
+	}
+	q.waiting = append(q.waiting, query)
+	hasTurn = !q.asking
+	q.asking = true
+	return hasTurn, true
+}
 
-// gaveUp takes back a question that nobody has begun to ask, and says whether it
-// could.
-func (s *Store) gaveUp(q *absence) bool {
-	a := &s.absences
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	i := slices.Index(a.waiting, q)
-	if i < 0 || q.onTurn() {
+// awaitTurn waits until a query is answered or has the turn, or its user goes away.
+func (q *absenceQueue) awaitTurn(ctx context.Context, query *absenceQuery) error {
+	select {
+	case <-query.turn:
+		return nil
+	case <-ctx.Done():
+	}
+	if q.remove(query) {
+		return fmt.Errorf("%w: %w", ErrRefused, ctx.Err())
+	}
+	<-query.turn // it is being asked for, or has the turn
+	return nil
+}
+
+// remove takes back a query that nobody has begun to ask, and says whether it could.
+func (q *absenceQueue) remove(query *absenceQuery) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	i := slices.Index(q.waiting, query)
+	if i < 0 || query.hasTurn() {
 		return false
 	}
-	a.waiting = slices.Delete(a.waiting, i, i+1)
+	q.waiting = slices.Delete(q.waiting, i, i+1)
 	return true
 }
 
-// onTurn says whether its turn has come. The lock is held.
-func (q *absence) onTurn() bool {
+// hasTurn says whether a waiting query has the turn. The queue's lock is held.
+func (q *absenceQuery) hasTurn() bool {
 	select {
 	case <-q.turn:
 		return true
@@ -126,86 +138,107 @@
 	}
 }
 
-// askAbsences asks for those who wait, its own question among them, and hands the
-// turn on.
-func (s *Store) askAbsences(ctx context.Context, own *absence) {
-	a := &s.absences
-	// The user who waits for this may go away; the others may not pay for that.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
-	defer cancel()
-	err := a.pace.Wait(ctx)
-	if err == nil {
-		_, err = forUser(s.requests, 1)
-	} else {
-		err = fmt.Errorf("%w: budget used up: %w", ErrRefused, err)
+// take removes and returns as many queries, the oldest first, as one request of askAbsences
+// serves.
+func (q *absenceQueue) take() []*absenceQuery {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	count, bytes := 0, 0
+	for count < len(q.waiting) && count < int(q.conditionsLimit.Load()) && bytes < keyBytesLimit {
+		bytes += len(q.waiting[count].key)
+		count++
 	}
-	a.mu.Lock()
-	// Its own question is the oldest: it led, or was given the turn as the first.
-	n, size := 0, 0
-	for n < len(a.waiting) && n < int(a.most.Load()) && size < keyBytes {
-		size += len(a.waiting[n].key)
-		n++
+	taken := slices.Clone(q.waiting[:count])
+	q.waiting = slices.Delete(q.waiting, 0, count)
+	return taken
+}
+
+// passTurn gives the turn to the oldest query that waits, if any.
+func (q *absenceQueue) passTurn() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.waiting) == 0 {
+		q.asking = false
+		return
 	}
-	asked := slices.Clone(a.waiting[:n])
-	a.waiting = slices.Delete(a.waiting, 0, n)
-	a.mu.Unlock()
+	close(q.waiting[0].turn)
+}
 
+// askAbsences asks for the queries that wait, the one that has the turn among them, and passes
+// the turn on.
+func (s *Store) askAbsences(ctx context.Context, own *absenceQuery) {
+	// The user who has the turn may go away; the others must not pay for that.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
+	defer cancel()
+	err := s.admitAbsences(ctx)
+	// Its own query is the oldest: it found the queue empty, or got the turn as the first.
+	queries := s.absences.take()
 	var present map[string]bool
 	if err == nil {
-		present, err = s.present(ctx, asked)
+		present, err = s.presentKeys(ctx, queries)
 	}
-	for _, q := range asked {
-		q.answered, q.present, q.err = true, present[q.key], err
-		if q != own {
-			close(q.turn)
+	for _, query := range queries {
+		query.answered, query.present, query.err = true, present[query.key], err
+		if query != own {
+			close(query.turn)
 		}
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.waiting) == 0 {
-		a.asking = false
-		return
+	s.absences.passTurn()
+}
+
+// admitAbsences waits until the budget grants a comparison.
+func (s *Store) admitAbsences(ctx context.Context) error {
+	if err := s.absences.requests.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: %w", ErrBudget, err)
 	}
-	close(a.waiting[0].turn) // it asks next
+	_, err := reserveForUser(s.requests, 1)
+	return err
 }
 
-// present says which keys of questions are there. A refused comparison need not name
-// every key that is there, so the others are compared again; one that is too large
-// goes in smaller ones from then on.
-func (s *Store) present(ctx context.Context, asked []*absence) (map[string]bool, error) {
-	found := map[string]bool{}
+// presentKeys says which keys of queries are there. A refused comparison need not name every key
+// that is there, so the others are compared again; after one that was too large, they are
+// smaller from then on.
+func (s *Store) presentKeys(ctx context.Context, queries []*absenceQuery) (map[string]bool, error) {
+	present := map[string]bool{}
 	var keys []string
-	for _, q := range asked {
-		keys = append(keys, q.key)
+	for _, query := range queries {
+		keys = append(keys, query.key)
 	}
 	slices.Sort(keys)
 	for keys = slices.Compact(keys); len(keys) > 0; {
-		txn := &protocol.Transaction{}
-		for _, key := range keys[:min(len(keys), int(s.absences.most.Load()))] {
-			txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
-		}
-		_, err := s.commit(ctx, txn)
+		compared := keys[:min(len(keys), int(s.absences.conditionsLimit.Load()))]
+		err := s.compareAbsent(ctx, compared)
 		var conflict *Conflict
 		switch {
 		case err == nil:
-			keys = keys[len(txn.If):]
+			keys = keys[len(compared):]
 		case errors.As(err, &conflict):
 			before := len(keys)
 			keys = slices.DeleteFunc(keys, func(key string) bool {
-				present := slices.Contains(conflict.Failed, key)
-				if present {
-					found[key] = true
+				failed := slices.Contains(conflict.Failed, key)
+				if failed {
+					present[key] = true
 				}
-				return present
+				return failed
 			})
 			if len(keys) == before {
 				return nil, fmt.Errorf("%w: refused a comparison without saying why", ErrUnknown)
 			}
-		case errors.Is(err, ErrTooLarge) && len(txn.If) > 1:
-			s.absences.most.Store(int64(len(txn.If)+1) / 2)
+		case errors.Is(err, ErrTooLarge) && len(compared) > 1:
+			s.absences.conditionsLimit.Store(int64(len(compared)+1) / 2)
 		default:
 			return nil, err
 		}
 	}
-	return found, nil
+	return present, nil
+}
+
+// compareAbsent succeeds if all keys are absent.
+func (s *Store) compareAbsent(ctx context.Context, keys []string) error {
+	txn := &protocol.Transaction{}
+	for _, key := range keys {
+		txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
+	}
+	_, err := s.commit(ctx, txn)
+	return err
 }
--- a/internal/storage/absence_test.go
+++ b/internal/storage/absence_test.go
@@ -172,13 +172,13 @@
 func TestTurnOfAUserWhoJustGoesAwayIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, s := newComparer()
-		first, next := &absence{key: "a", turn: make(chan struct{})}, &absence{key: "b", turn: make(chan struct{})}
-		s.absences.asking, s.absences.waiting = true, []*absence{first, next}
-		if !s.gaveUp(next) || len(s.absences.waiting) != 1 {
+		first, next := &absenceQuery{key: "a", turn: make(chan struct{})}, &absenceQuery{key: "b", turn: make(chan struct{})}
+		s.absences.asking, s.absences.waiting = true, []*absenceQuery{first, next}
+		if !s.absences.remove(next) || len(s.absences.waiting) != 1 {
 			t.Error("who waits can't go away")
 		}
 		close(first.turn)
-		if s.gaveUp(first) {
+		if s.absences.remove(first) {
 			t.Error("whose turn it is goes away")
 		}
 	})
@@ -188,11 +188,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		svc, s := newComparer(47)
 		svc.most = 10
-		var asked []*absence
+		var asked []*absenceQuery
 		for i := range 48 {
-			asked = append(asked, &absence{key: fmt.Sprintf("w/j/job-%d/final", i)})
+			asked = append(asked, &absenceQuery{key: fmt.Sprintf("w/j/job-%d/final", i)})
 		}
-		if found, err := s.present(t.Context(), asked); err != nil || len(found) != 1 || !found["w/j/job-47/final"] {
+		if found, err := s.presentKeys(t.Context(), asked); err != nil || len(found) != 1 || !found["w/j/job-47/final"] {
 			t.Errorf("%v %v", found, err)
 		}
 	})
@@ -232,14 +232,14 @@
 		refused := 0
 		s.PollsFull = func() { refused++ }
 		s.absences.asking = true // so that all wait
-		s.absences.waiting = make([]*absence, tc.room-1)
+		s.absences.waiting = make([]*absenceQuery, tc.room-1)
 		gone, leave := context.WithCancel(t.Context())
 		leave()
 		if _, err := s.UserKeyAbsent(gone, "w/j/job-1/final"); !errors.Is(err, context.Canceled) || refused != 0 {
 			t.Errorf("%s: the last that may wait: %v, %d refused", tc.name, err, refused)
 		}
-		s.absences.waiting = make([]*absence, tc.room)
-		if _, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrRefused) || refused != 1 {
+		s.absences.waiting = make([]*absenceQuery, tc.room)
+		if _, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrBudget) || !errors.Is(err, ErrRefused) || refused != 1 {
 			t.Errorf("%s: one more: %v, %d refused", tc.name, err, refused)
 		}
 	}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -41,7 +41,7 @@
 			s := NewStore(&script{answers: tc.answers}, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 			begun := time.Now()
 			_, err := s.UserCommit(t.Context(), &protocol.Transaction{Then: []protocol.Change{put("w/j/job-1/spec", 9)}})
-			if !errors.Is(err, tc.err) || time.Since(begun) > userPatience {
+			if !errors.Is(err, tc.err) || time.Since(begun) > userWaitLimit {
 				t.Errorf("%v after %s, want %v", err, time.Since(begun), tc.err)
 			}
 		})
@@ -73,7 +73,7 @@
 		t.Errorf("%d changes of %d bytes, after one of %d was refused alone", s.TxnOps(), s.ValueBytes(), size)
 	}
 	gone := transport.Response{Status: 400, Body: protocol.Encode(protocol.Problem{Error: "no such lease"})}
-	s.net = &script{answers: []transport.Response{gone}}
+	s.network = &script{answers: []transport.Response{gone}}
 	if _, err := s.CommitLease(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrLeaseGone) || s.TxnOps() != 12 {
 		t.Errorf("%v, %d changes", err, s.TxnOps())
 	}
