--- /dev/null
+++ b/internal/coordination/lease/acquisition.go
@@ -0,0 +1,104 @@
+package lease
+
+import (
+	"errors"
+	"time"
+
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/eventloop"
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+)
+
+// wantedLease is a lease that this controller should hold, and the revision of its record that
+// it was decided on; 0: there was none.
+type wantedLease struct {
+	key      string
+	revision uint64
+}
+
+// acquireWanted acquires the leases that this controller should hold, while its own is fresh.
+func (h *Holder) acquireWanted() {
+	var wanted []wantedLease
+	var lease uint64
+	h.loop.Do(func() {
+		now := time.Now()
+		if lease = h.LeaseID; lease == 0 || !h.leaseIsFresh(now) {
+			return
+		}
+		wanted = h.wantedLeases(now)
+	})
+	if lease == 0 || !h.announceIncarnation(lease) {
+		return
+	}
+	for _, w := range wanted {
+		h.acquireLease(w.key, w.revision, lease)
+	}
+}
+
+// wantedLeases lists the leases to acquire now, and hands a partition back to its preferred
+// leader if one is due.
+func (h *Holder) wantedLeases(now time.Time) (wanted []wantedLease) {
+	handedBack := false
+	for _, p := range h.Partitions {
+		if !handedBack && h.takeover.ShouldHandBack(p, now) {
+			handedBack = true // one at a time: each goes into the record of this incarnation
+			h.handBack(p, now)
+			continue
+		}
+		if h.takeover.WantsPartition(p, now) {
+			wanted = append(wanted, wantedLease{storage.LeaseKey(p.Index), p.LeaseRevision})
+		}
+	}
+	if h.takeover.WantsLeadership(now) {
+		wanted = append(wanted, wantedLease{storage.LeadershipKey, h.Leadership.Revision})
+	}
+	return wanted
+}
+
+// acquireLease tries to acquire a lease that is free or held by this controller's former
+// incarnation. An unanswered attempt shows in the watch, where it is known by its nonce.
+func (h *Holder) acquireLease(key string, revision, lease uint64) {
+	value := storage.Encode(storage.Lease{Holder: h.Settings.Label, Nonce: h.Nonce})
+	acquired, err := h.store.CommitLease(h.loop.Context(), &protocol.Transaction{
+		If:   []protocol.Condition{{Key: key, Version: revision}},
+		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
+	})
+	if errors.Is(err, storage.ErrLeaseGone) {
+		h.loop.Do(func() { h.loseAll(reasonControllerLeaseEnded) })
+		return
+	}
+	if err != nil {
+		h.log.Debug("lease not acquired", "key", key, "error", err)
+		return
+	}
+	h.loop.Do(func() { h.records.ApplyEvent(protocol.Event{Put: key, Value: value, Version: acquired}) })
+}
+
+// ApplyLease applies a change of a partition's lease record.
+func (h *Holder) ApplyLease(p *cluster.Partition, e protocol.Event, now time.Time) {
+	if e.Version < p.LeaseRevision || e.Put != "" && e.Version == p.LeaseRevision {
+		return
+	}
+	if p.LeaseRevision != 0 {
+		h.noteFormerLeader(p, now)
+	}
+	if e.Delete != "" {
+		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
+		h.LosePartition(p, "the lease ended")
+		eventloop.Signal(h.LeaseWakeup)
+		return
+	}
+	var record storage.Lease
+	if err := storage.Decode(e.Value, &record); err != nil {
+		h.log.Error("invalid lease record", "partition", p.Index, "error", err)
+		return
+	}
+	h.LosePartition(p, "the lease changed hands")
+	p.Leader, p.LeaderNonce, p.LeaseRevision = record.Holder, record.Nonce, e.Version
+	if record.Holder == h.Settings.Label && record.Nonce == h.Nonce {
+		p.Held, p.Ready, p.AcquiredAt = true, false, now
+		h.log.Info("part claimed", "part", p.Index, "token", p.LeaseRevision)
+		h.loop.Go(func() { h.takeover.TakeOver(p, e.Version) })
+	}
+}
--- a/internal/coordination/lease/collaborators.go
+++ b/internal/coordination/lease/collaborators.go
@@ -8,31 +8,35 @@
 	"micaspindle/internal/protocol"
 )
 
-// Autoscaler is what LeaseHolder asks of its collaborator.
+// Autoscaler does the work of the cluster leader.
 type Autoscaler interface {
+	// DropLeadership stops acting as the cluster leader.
 	DropLeadership(reason string)
 }
 
-// Replicator is what LeaseHolder asks of its collaborator.
+// Replicator sends the standbys of the partitions led here what is not on record.
 type Replicator interface {
-	// SendUpdates tells everything that there is to tell now, to each at the same time.
+	// SendUpdates sends all pending replica updates at the same time and returns once they are
+	// answered or ctx ends.
 	SendUpdates(ctx context.Context)
 }
 
-// Takeover is what LeaseHolder asks of its collaborator.
+// Takeover decides which leases this controller should hold, and rebuilds the state of the
+// partitions whose leases it has acquired.
 type Takeover interface {
-	// ShouldHandBack says whether to give a part up to its home now.
+	// ShouldHandBack says whether to release a partition now, for its preferred leader.
 	ShouldHandBack(p *cluster.Partition, now time.Time) bool
-	// TakeOver reads what the part's former owner recorded. Everything that owner
-	// still sends fails from now on, since it is conditional on the old claim.
-	TakeOver(p *cluster.Partition, version uint64)
+	// TakeOver rebuilds the state of a partition from what its former leader recorded; revision
+	// is that of the partition's lease.
+	TakeOver(p *cluster.Partition, revision uint64)
+	// WantsLeadership says whether to acquire the cluster leadership now.
 	WantsLeadership(now time.Time) bool
-	// WantsPartition says whether to claim a part now: its own at once, an orphan after
-	// a pause that is longer the more parts are held already.
+	// WantsPartition says whether to acquire the lease of a partition now.
 	WantsPartition(p *cluster.Partition, now time.Time) bool
 }
 
-// Records is what LeaseHolder asks of its collaborator.
+// Records applies the state store's changes to what this controller knows.
 type Records interface {
+	// ApplyEvent applies one change. It runs on the event loop.
 	ApplyEvent(e protocol.Event)
 }
--- /dev/null
+++ b/internal/coordination/lease/loss.go
@@ -0,0 +1,49 @@
+package lease
+
+import (
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/delegation"
+)
+
+// reasonControllerLeaseEnded is why all leases are lost at once.
+const reasonControllerLeaseEnded = "the controller lease ended"
+
+// LosePartition stops acting for a partition, if this controller does.
+func (h *Holder) LosePartition(p *cluster.Partition, reason string) {
+	if !p.Held {
+		return
+	}
+	h.log.Info("part lost", "part", p.Index, "reason", reason)
+	p.Held, p.Ready, p.FairShare = false, false, cluster.FairShareState{}
+	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), delegation.Ledger{}
+	h.ClearPartition(p)
+}
+
+// ClearPartition forgets what only the leader of a partition may believe of its jobs and
+// machines.
+func (h *Holder) ClearPartition(p *cluster.Partition) {
+	p.Cleared = true
+	clear(p.Usage)
+	for id, j := range h.Jobs {
+		if j.Partition != p.Index {
+			continue
+		}
+		if j.Unload(); h.FinalStates[id] != "" {
+			delete(h.Jobs, id)
+		}
+	}
+	for _, m := range h.Machines {
+		if m.Record.Partition == p.Index {
+			m.Reset()
+		}
+	}
+}
+
+// loseAll stops acting for all partitions and as the cluster leader.
+func (h *Holder) loseAll(reason string) {
+	h.LeaseID = 0
+	for _, p := range h.Partitions {
+		h.LosePartition(p, reason)
+	}
+	h.autoscaler.DropLeadership(reason)
+}
