--- a/internal/coordination/lease/acquisition.go
+++ b/internal/coordination/lease/acquisition.go
@@ -98,7 +98,7 @@
 	p.Leader, p.LeaderNonce, p.LeaseRevision = record.Holder, record.Nonce, e.Version
 	if record.Holder == h.Settings.Label && record.Nonce == h.Nonce {
 		p.Held, p.Ready, p.AcquiredAt = true, false, now
-		h.log.Info("part claimed", "part", p.Index, "token", p.LeaseRevision)
+		h.log.Info("partition lease acquired", "partition", p.Index, "token", p.LeaseRevision)
 		h.loop.Go(func() { h.takeover.TakeOver(p, e.Version) })
 	}
 }
--- a/internal/coordination/lease/loss.go
+++ b/internal/coordination/lease/loss.go
@@ -13,7 +13,7 @@
 	if !p.Held {
 		return
 	}
-	h.log.Info("part lost", "part", p.Index, "reason", reason)
+	h.log.Info("partition lost", "partition", p.Index, "reason", reason)
 	p.Held, p.Ready, p.FairShare = false, false, cluster.FairShareState{}
 	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), delegation.Ledger{}
 	h.ClearPartition(p)
--- a/internal/coordination/takeover/collaborators.go
+++ b/internal/coordination/takeover/collaborators.go
@@ -7,50 +7,51 @@
 	"micaspindle/internal/coordination/replication"
 )
 
-// Agents is what Takeover asks of its collaborator.
+// Agents stops attempts and sends commands to agents.
 type Agents interface {
-	// Fence raises the worker's token by orders without commands, without waiting
-	// for its next report, so that nobody older commands it any more (7).
+	// Fence raises a machine's fencing token with empty commands, without waiting for its next
+	// heartbeat, so that no former leader commands it any more (rule 7).
 	Fence(m *cluster.Machine)
-	// StopAttempt wants an attempt off its machine.
+	// StopAttempt stops an attempt, with so many seconds of grace.
 	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
 }
 
-// Leases is what Takeover asks of its collaborator.
+// Leases knows what this controller, or others before it, may still do under a lease.
 type Leases interface {
+	// ClearPartition forgets what only the leader of a partition may believe.
 	ClearPartition(p *cluster.Partition)
 	// LastAnswerBound is the latest moment at which anybody but this controller may have
-	// answered a machine of a part.
+	// answered a machine of a partition.
 	LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time
 }
 
-// Proxy is what Takeover asks of its collaborator.
+// Proxy delegates shards of a partition's machines to other controllers.
 type Proxy interface {
-	// SpreadShards gives shares of a part that was just taken over away at once, as many as its
-	// machines ask for: they must all be fenced and will all report, and an owner that is
-	// alone with that may run out of sockets. Carriers of the owner before keep what they
-	// have, so that its workers' connections stay.
+	// SpreadShards delegates shards of a partition that was just taken over at once, as many as
+	// its machines ask for: all of them must be fenced and will send heartbeats, and a leader
+	// that is alone with that may run out of sockets. Delegates of the former leader keep what
+	// they have, so that the agents' connections stay.
 	SpreadShards(p *cluster.Partition, now time.Time)
 }
 
-// Replicator is what Takeover asks of its collaborator.
+// Replicator keeps the replicas that partitions are taken over from.
 type Replicator interface {
-	// ApplyHints puts what the former owner told of machines and classes to what they are now.
-	ApplyHints(p *cluster.Partition, h *replication.ReceivedUpdates, now time.Time)
-	// CompleteReplica brings a part's copy to the claim under which it is to be used, or reads the part
-	// anew if there is none that can be. Nothing of the owner before is applied after the
-	// claim, so that an answer that reaches it covers everything (32).
-	CompleteReplica(p *cluster.Partition, claim uint64) (*replication.Replica, bool, error)
-	// DropReplica forgets the replica of a partition: what it holds is its taker's from then on.
+	// ApplyHints applies what the former leader sent of machines and classes.
+	ApplyHints(p *cluster.Partition, updates *replication.ReceivedUpdates, now time.Time)
+	// CompleteReplica brings the replica of a partition to the lease under which it is to be
+	// used, or reads the records anew if there is none that can be; warm says that it did not.
+	CompleteReplica(p *cluster.Partition, leaseRevision uint64) (replica *replication.Replica, warm bool, err error)
+	// DropReplica forgets the replica of a partition: what it holds belongs to the partition
+	// from then on.
 	DropReplica(partition int)
-	// RequestStateTransfer asks the others what they were told of a part that this controller has just
-	// taken over without a tale of its own: its former life's, above all.
-	RequestStateTransfer(p *cluster.Partition, claim uint64)
+	// RequestStateTransfer asks the other controllers for the updates of a partition that this
+	// one has just taken over without having received any: its former incarnation's, above all.
+	RequestStateTransfer(p *cluster.Partition, leaseRevision uint64)
 }
 
-// Jobs is what Takeover asks of its collaborator.
+// Jobs keeps the jobs of all partitions.
 type Jobs interface {
-	// ApplyJobRecord takes up an accepted job. Records never change.
+	// ApplyJobRecord makes an accepted job known. Records never change.
 	ApplyJobRecord(id string, raw []byte)
 	// DropIfReleased forgets a job that has ended and holds nothing any more.
 	DropIfReleased(j *cluster.Job)
--- a/internal/coordination/takeover/standby.go
+++ b/internal/coordination/takeover/standby.go
@@ -8,37 +8,37 @@
 	"micaspindle/internal/coordination/failover"
 )
 
-// ChooseStandby names who is to take an own part over: whoever it goes back to, or the
-// one that was named before, while that one is as good as any.
-func (to *Takeover) ChooseStandby(p *cluster.Partition, now time.Time) {
-	if home := to.preferredLeader(p, now); home != "" && to.Peers[home].Summary.Replicates {
-		p.Standby = home
+// ChooseStandby names the standby of a partition led here: the controller that it is to be
+// handed back to, or the one that was named before, while that one is as good as any.
+func (t *Takeover) ChooseStandby(p *cluster.Partition, now time.Time) {
+	if preferred := t.preferredLeader(p, now); preferred != "" && t.Peers[preferred].Summary.Replicates {
+		p.Standby = preferred
 		return
 	}
-	able := slices.DeleteFunc(to.Candidates(now), func(o failover.Candidate) bool {
-		ps := to.Peers[o.Label]
-		return ps != nil && !ps.Summary.Replicates
+	able := slices.DeleteFunc(t.Candidates(now), func(c failover.Candidate) bool {
+		other := t.Peers[c.Label]
+		return other != nil && !other.Summary.Replicates
 	})
-	p.Standby = failover.KeepStandby(p.Standby, to.Settings.Label, to.Settings.Zone, able)
+	p.Standby = failover.KeepStandby(p.Standby, t.Settings.Label, t.Settings.Zone, able)
 }
 
-// isStandbyFor says whether this controller is the standby of what another owned: the one
-// that it had named, as long as that one is there, else whoever all would choose. One that
-// has just started knows too little to be chosen, but not to be named.
-func (to *Takeover) isStandbyFor(owner, named string, now time.Time) bool {
-	if owner == "" || named != to.Settings.Label && now.Sub(to.StartedAt) < 5*time.Second {
-		return false // not known, or not settled
+// isStandbyFor says whether this controller is the standby of what a former leader led: the one
+// that it had named, as long as that one is there, else the one that all would choose. A
+// controller that has just started knows too little to be chosen, but not to be named.
+func (t *Takeover) isStandbyFor(former, named string, now time.Time) bool {
+	if former == "" || named != t.Settings.Label && now.Sub(t.StartedAt) < startSettleTime {
+		return false
 	}
-	all := to.Candidates(now)
-	if named == "" || !slices.ContainsFunc(all, func(o failover.Candidate) bool { return o.Label == named }) {
-		named = failover.ChooseStandby(owner, to.ZoneOf(owner), all)
+	all := t.Candidates(now)
+	if named == "" || !slices.ContainsFunc(all, func(c failover.Candidate) bool { return c.Label == named }) {
+		named = failover.ChooseStandby(former, t.ZoneOf(former), all)
 	}
-	return named == to.Settings.Label
+	return named == t.Settings.Label
 }
 
-// liveStandby says whether another controller is there that was named a lost part's standby and
-// has a copy of it.
-func (to *Takeover) liveStandby(p *cluster.Partition, now time.Time) bool {
-	ps := to.Peers[to.NamedStandby(p)]
-	return ps != nil && ps.Alive(now) && !ps.Summary.Draining && ps.HasReplicaOf(p.Index)
+// liveStandby says whether another controller is there that was named the standby of a vacant
+// partition and has a replica of it.
+func (t *Takeover) liveStandby(p *cluster.Partition, now time.Time) bool {
+	named := t.Peers[t.NamedStandby(p)]
+	return named != nil && named.Alive(now) && !named.Summary.Draining && named.HasReplicaOf(p.Index)
 }
--- a/internal/regress/night/night_test.go
+++ b/internal/regress/night/night_test.go
@@ -206,17 +206,44 @@
 	}
 }
 
+// The seconds without a leader are the same in logs of the former form, of the present form, and of a
+// roll from one to the other.
 func TestSecondsWithoutAnOwner(t *testing.T) {
+	type form struct{ acquired, ready, lost string }
+	former := form{`msg="part claimed" part=`, `msg="part ready" part=`, `msg="part lost" part=`}
+	present := form{`msg="partition lease acquired" partition=`, `msg="partition ready" partition=`, `msg="partition lost" partition=`}
 	line := func(at float64, node, what string) string {
-		return fmt.Sprintf("%9.4f %s time=x level=INFO msg=\"part %s\n", at, node, what)
+		return fmt.Sprintf("%9.4f %s time=x level=INFO %s\n", at, node, what)
 	}
-	log := line(0.1, "n-0", `claimed" part=1 token=1`) + line(0.2, "n-0", `ready" part=1 live=0 after=1ms`) +
-		line(53, "n-1", `claimed" part=1 token=9`) + line(53.5, "n-1", `ready" part=1 live=7 after=1ms`) + // n-0 crashed at 50
-		line(60, "n-1", `lost" part=1 reason="the lease ended"`) + line(62, "n-2", `claimed" part=1 token=12`) + line(64, "n-2", `ready" part=1 live=3 after=1ms`) +
-		line(70, "n-3", `claimed" part=1 token=20`) + line(71, "n-3", `ready" part=1 live=0 after=1ms`) // n-2 stood still; nothing ran
-	r, err := site(t).Judge("d", []byte(reportText), strings.NewReader(log))
-	if err != nil || r.OwnerlessS != 3.5+4 {
-		t.Errorf("%v s, %v", r.OwnerlessS, err)
+	for name, forms := range map[string]struct{ before, after form }{
+		"the former form":                {former, former},
+		"the present form":               {present, present},
+		"from the former to the present": {former, present},
+		"back from the present":          {present, former},
+	} {
+		one, two := forms.before, forms.after
+		log := line(0.1, "n-0", one.acquired+`1 token=1`) + line(0.2, "n-0", one.ready+`1 live=0 after=1ms`) +
+			line(53, "n-1", one.acquired+`1 token=9`) + line(53.5, "n-1", one.ready+`1 live=7 after=1ms`) + // n-0 crashed at 50
+			line(60, "n-1", one.lost+`1 reason="the lease ended"`) + line(62, "n-2", two.acquired+`1 token=12`) + line(64, "n-2", two.ready+`1 live=3 after=1ms`) +
+			line(70, "n-3", two.acquired+`1 token=20`) + line(71, "n-3", two.ready+`1 live=0 after=1ms`) // n-2 stood still; nothing ran
+		r, err := site(t).Judge("d", []byte(reportText), strings.NewReader(log))
+		if err != nil || r.OwnerlessS != 3.5+4 {
+			t.Errorf("%s: %v s, %v", name, r.OwnerlessS, err)
+		}
+	}
+	for _, other := range []string{`msg="part ready" partition=1 live=7`, `msg="partition ready" part=1 live=7`, `msg="partition readyish" partition=1 live=7`,
+		`msg="partition ready" partition=x live=7`, `msg="partition rebuild failed" partition=1`} {
+		if entry, ok, err := parseLeadership(strings.TrimSuffix(line(1, "n-0", other), "\n")); ok || err != nil {
+			t.Errorf("%s is read as %+v, %v", other, entry, err)
+		}
+	}
+	for _, form := range []form{former, present} {
+		for message, event := range map[string]leadershipEvent{form.acquired: leaseAcquired, form.ready: partitionReady, form.lost: partitionLost} {
+			want := leadershipEntry{at: 1, controller: "n-0", partition: "12", event: event, hasLive: true}
+			if entry, ok, err := parseLeadership(strings.TrimSuffix(line(1, "n-0", message+"12 live=3"), "\n")); entry != want || !ok || err != nil {
+				t.Errorf("%s is read as %+v, %v, %v", message, entry, ok, err)
+			}
+		}
 	}
 }
 
--- a/internal/regress/night/verdict.go
+++ b/internal/regress/night/verdict.go
@@ -198,61 +198,113 @@
 	return share
 }
 
+// A controller logs these events of a partition's leadership. Each message has a
+// former form, with the key part: logs of the version in production are compared with those of
+// this one, so both are read.
 var (
-	partLine = regexp.MustCompile(`^\s*([0-9.]+) (\S+) .*msg="part (claimed|ready|lost)" part=(\d+)(?: .*)?$`)
-	liveWord = regexp.MustCompile(` live=(\d+)`)
+	leadershipLine = regexp.MustCompile(`^\s*([0-9.]+) (\S+) .*msg="(?:(part claimed|part ready|part lost)" part|(partition lease acquired|partition ready|partition lost)" partition)=(\d+)(?: .*)?$`)
+	liveAttempts   = regexp.MustCompile(` live=(\d+)`)
 )
 
-// ownerless adds up, over the parts, the seconds from the end of an owner (its crash,
-// or its loss of the claim) until the next one is ready. It counts only where that one
-// found running work. An owner that stands still or is cut off says nothing; then it is
-// the time that its successor took from its claim.
-func ownerless(log io.Reader, crashes map[string][]float64) (float64, error) {
-	type holder struct {
-		node  string
-		since float64 // when without an owner; below 0: it has one
-		until float64
+// leadershipEvent is what happened to the leadership of a partition.
+type leadershipEvent int
+
+const (
+	leaseAcquired leadershipEvent = iota + 1
+	partitionReady
+	partitionLost
+)
+
+var leadershipEvents = map[string]leadershipEvent{
+	"part claimed": leaseAcquired, "partition lease acquired": leaseAcquired,
+	"part ready": partitionReady, "partition ready": partitionReady,
+	"part lost": partitionLost, "partition lost": partitionLost,
+}
+
+// leadershipEntry is one line of the log about the leadership of a partition.
+type leadershipEntry struct {
+	at         float64 // seconds since the log began
+	controller string
+	partition  string
+	event      leadershipEvent
+	// hasLive: the event says that the new leader found running work.
+	hasLive bool
+}
+
+// parseLeadership reads a line of the log; ok is false if it is about something else.
+func parseLeadership(line string) (entry leadershipEntry, ok bool, err error) {
+	match := leadershipLine.FindStringSubmatch(line)
+	if match == nil {
+		return entry, false, nil
 	}
-	parts := map[string]*holder{}
+	at, err := strconv.ParseFloat(match[1], 64)
+	if err != nil {
+		return entry, false, fmt.Errorf("log: %w", err)
+	}
+	live := liveAttempts.FindStringSubmatch(line)
+	return leadershipEntry{at: at, controller: match[2], partition: match[5], event: leadershipEvents[match[3]+match[4]],
+		hasLive: live != nil && live[1] != "0"}, true, nil
+}
+
+// leadership is who leads a partition, as far as the log tells.
+type leadership struct {
+	leader string
+	// vacantSince is when it lost its leader; below 0: it has one.
+	vacantSince float64
+	// readyAt is when the leader was last ready.
+	readyAt float64
+}
+
+// apply takes in what happened, and returns for how many seconds running work had no leader if that
+// has ended with it.
+func (l *leadership) apply(entry leadershipEntry, crashes map[string][]float64) (vacant float64) {
+	switch entry.event {
+	case partitionLost:
+		if entry.controller == l.leader && l.vacantSince < 0 {
+			l.vacantSince = entry.at
+		}
+	case leaseAcquired:
+		if l.vacantSince < 0 {
+			l.vacantSince = entry.at
+			for _, crash := range crashes[l.leader] {
+				if crash > l.readyAt && crash < entry.at {
+					l.vacantSince = crash
+					break
+				}
+			}
+		}
+	case partitionReady:
+		if l.leader != "" && l.vacantSince >= 0 && entry.hasLive {
+			vacant = entry.at - l.vacantSince
+		}
+		l.leader, l.vacantSince, l.readyAt = entry.controller, -1, entry.at
+	}
+	return vacant
+}
+
+// ownerless adds up, over the partitions, the seconds from the end of a leader (its crash, or its
+// loss of the lease) until the next one is ready. It counts only where that one found running
+// work. A leader that stands still or is cut off says nothing; then it is the time that its
+// successor took from the moment it acquired the lease.
+func ownerless(log io.Reader, crashes map[string][]float64) (float64, error) {
+	partitions := map[string]*leadership{}
 	sum := 0.0
 	lines := bufio.NewScanner(log)
 	lines.Buffer(make([]byte, 64<<10), 4<<20)
 	for lines.Scan() {
-		m := partLine.FindStringSubmatch(lines.Text())
-		if m == nil {
-			continue
-		}
-		at, err := strconv.ParseFloat(m[1], 64)
+		entry, ok, err := parseLeadership(lines.Text())
 		if err != nil {
-			return 0, fmt.Errorf("log: %w", err)
+			return 0, err
 		}
-		node, part := m[2], parts[m[4]]
-		if part == nil {
-			part = &holder{since: -1}
-			parts[m[4]] = part
+		if !ok {
+			continue
 		}
-		switch m[3] {
-		case "lost":
-			if node == part.node && part.since < 0 {
-				part.since = at
-			}
-		case "claimed":
-			if part.since < 0 {
-				part.since = at
-				for _, crash := range crashes[part.node] {
-					if crash > part.until && crash < at {
-						part.since = crash
-						break
-					}
-				}
-			}
-		case "ready":
-			live := liveWord.FindStringSubmatch(lines.Text())
-			if part.node != "" && part.since >= 0 && live != nil && live[1] != "0" {
-				sum += at - part.since
-			}
-			part.node, part.since, part.until = node, -1, at
+		partition := partitions[entry.partition]
+		if partition == nil {
+			partition = &leadership{vacantSince: -1}
+			partitions[entry.partition] = partition
 		}
+		sum += partition.apply(entry, crashes)
 	}
 	return sum, lines.Err()
 }
