--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -31,6 +31,28 @@
 	}
 }
 
+func TestKeep(t *testing.T) {
+	all := []Candidate{{"n1", "b", 100, 1}, {"n2", "b", 300, 1}, {"n3", "a", 10, 1}, {"n4", "b", 240, 1}}
+	for now, want := range map[string]string{
+		"":   "n1", // the best
+		"n4": "n4", // carries more, but not far more
+		"n2": "n1", // carries far more
+		"n3": "n1", // in the owner's zone
+		"n9": "n1", // gone
+		"n0": "n1", // the owner itself
+	} {
+		if got := KeepStandby(now, "n0", "a", all); got != want {
+			t.Errorf("%q named before: %q, want %q", now, got, want)
+		}
+	}
+	if got := KeepStandby("n3", "n0", "a", all[2:3]); got != "n3" {
+		t.Errorf("the only one: %q", got)
+	}
+	if got := KeepStandby("n1", "n0", "a", nil); got != "" {
+		t.Errorf("nobody: %q", got)
+	}
+}
+
 // Only both together: silence alone is also that of refused connections between
 // controllers, visitors alone those of a worker that lost its connection.
 func TestGone(t *testing.T) {
--- a/internal/coordination/replication/collaborators.go
+++ b/internal/coordination/replication/collaborators.go
@@ -9,24 +9,24 @@
 	"micaspindle/internal/transport"
 )
 
-// Auth is what Replicator asks of its collaborator.
+// Auth checks who sends a request.
 type Auth interface {
-	// CheckSender says whether a message comes from the worker or controller that it
-	// names, and refuses it if not.
+	// CheckSender refuses a message that does not come from the agent or controller that it
+	// names; nil: it does.
 	CheckSender(who *auth.Caller, verb string, named identity.Name) *transport.Response
 }
 
-// Autoscaler is what Replicator asks of its collaborator.
+// Autoscaler does the work of the cluster leader.
 type Autoscaler interface {
-	// LeaderUpdate is what the leader is about.
+	// LeaderUpdate is what the next cluster leader should know of this one's work.
 	LeaderUpdate(now time.Time) *peer.ReplicaUpdate
 }
 
-// Scheduler is what Replicator asks of its collaborator.
+// Scheduler learns how estimates of run times are to be corrected.
 type Scheduler interface {
-	// AdoptCorrection takes over what another controller has learned of a class, if that is
-	// more than what is known here.
-	AdoptCorrection(told *peer.RuntimeCorrection)
-	// RuntimeCorrections lists what was learned of classes, by name.
-	RuntimeCorrections() (list []*peer.RuntimeCorrection)
+	// AdoptCorrection adopts the correction of a class from another controller, if it rests on
+	// more jobs than the one known here.
+	AdoptCorrection(correction *peer.RuntimeCorrection)
+	// RuntimeCorrections lists the corrections of all classes, by name.
+	RuntimeCorrections() []*peer.RuntimeCorrection
 }
--- /dev/null
+++ b/internal/coordination/replication/hints.go
@@ -0,0 +1,55 @@
+package replication
+
+import (
+	"time"
+
+	"micaspindle/internal/coordination/cluster"
+)
+
+// ApplyStart sets when an inherited attempt began, as its former leader had sent it, and says
+// whether that was not known before.
+func (r *Replicator) ApplyStart(p *cluster.Partition, id AttemptID, at time.Time) bool {
+	job := r.Jobs[id.Job]
+	if job == nil || job.Partition != p.Index || !job.Loaded {
+		return false
+	}
+	a := job.LiveAttempts[id.Task]
+	if a == nil || a.Number != id.Number || !a.StartUnknown() {
+		return false
+	}
+	if a.ReplicatedStart = at; !a.StartedAt.IsZero() {
+		a.StartedAt = at
+	}
+	a.Machine.Prediction = nil
+	return true
+}
+
+// ApplyHints adds what the former leader sent of machines and classes to what is known now.
+func (r *Replicator) ApplyHints(p *cluster.Partition, updates *ReceivedUpdates, now time.Time) {
+	for name, hints := range updates.Machines {
+		if m := r.Machines[name]; m != nil && m.Record.Partition == p.Index {
+			applyMachineHints(m, hints, now)
+		}
+	}
+	for _, correction := range updates.Classes {
+		r.scheduler.AdoptCorrection(correction)
+	}
+}
+
+// applyMachineHints adds what was received of a machine; what is known here comes first.
+func applyMachineHints(m *cluster.Machine, hints MachineHints, now time.Time) {
+	for _, image := range hints.Images {
+		if _, known := m.Images[image]; !known {
+			m.Images[image] = now
+		}
+	}
+	if m.Record.Addr == "" {
+		m.Record.Addr = hints.Addr
+	}
+	m.Quarantined = m.Quarantined || hints.Quarantined
+	m.SlowTasks = max(m.SlowTasks, int(hints.SlowTasks))
+	m.EpochHint = max(m.EpochHint, hints.Epoch)
+	if m.PreemptionAt.IsZero() {
+		m.PreemptionAt = hints.PreemptionAt
+	}
+}
--- /dev/null
+++ b/internal/coordination/replication/send.go
@@ -0,0 +1,192 @@
+package replication
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/telemetry"
+)
+
+const (
+	// UpdatePath is where a controller receives replica updates.
+	UpdatePath = "/peer/tale"
+	// updateInterval is how often updates are sent.
+	updateInterval = time.Second
+	// updateTimeout bounds a message and its answer.
+	updateTimeout = time.Second
+	// UpdateBytesLimit is what one update holds at most; the rest follows with the next. That is
+	// some 26,000 attempts, or 500 machines with all their images: a standby that knows nothing
+	// has 4,000 machines and 64,000 attempts after some 10 s.
+	UpdateBytesLimit = peerapi.BodyMin * 3 / 4
+	// EntryOverheadBytes is what an entry takes beside itself.
+	EntryOverheadBytes = 8
+)
+
+// outgoingUpdate is an update and whom it is sent to.
+type outgoingUpdate struct {
+	label, addr string
+	// partition is nil for the cluster leader's update.
+	partition *cluster.Partition
+	update    *peer.ReplicaUpdate
+}
+
+// ReplicateLoop sends updates to each partition's standby, and to the cluster leader's peers, until
+// the controller ends.
+func (r *Replicator) ReplicateLoop() {
+	for r.loop.Sleep(updateInterval) {
+		r.SendUpdates(r.loop.Context())
+	}
+}
+
+// SendUpdates sends all pending updates at the same time, and returns once they are answered or ctx
+// ends.
+func (r *Replicator) SendUpdates(ctx context.Context) {
+	var updates []outgoingUpdate
+	r.loop.Do(func() { updates = r.pendingUpdates(time.Now()) })
+	done := make(chan struct{}, len(updates))
+	for _, u := range updates {
+		r.loop.Go(func() {
+			defer func() { done <- struct{}{} }()
+			r.sendUpdate(ctx, u)
+		})
+	}
+	for range updates {
+		select {
+		case <-done:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// pendingUpdates makes the updates to send now.
+func (r *Replicator) pendingUpdates(now time.Time) (updates []outgoingUpdate) {
+	for _, p := range r.Partitions {
+		if standby := r.Peers[p.Standby]; p.Held && p.Ready && standby != nil && standby.Alive(now) {
+			updates = append(updates, outgoingUpdate{label: p.Standby, addr: standby.Addr, partition: p, update: r.PartitionUpdate(p, now)})
+		}
+	}
+	if !r.Leadership.Held {
+		return updates
+	}
+	update := r.autoscaler.LeaderUpdate(now)
+	for label, other := range r.Peers {
+		if other.Alive(now) {
+			updates = append(updates, outgoingUpdate{label: label, addr: other.Addr, update: update})
+		}
+	}
+	return updates
+}
+
+// sendUpdate sends one update, and notes up to where the standby has it.
+func (r *Replicator) sendUpdate(ctx context.Context, u outgoingUpdate) {
+	reply := new(peer.ReplicaUpdateReply)
+	if err := peerapi.Call(ctx, r.network, updateTimeout, u.addr, UpdatePath, u.update, reply); err != nil {
+		r.log.Debug("replica update not sent", "controller", u.label, "error", err)
+		return
+	}
+	if u.partition == nil {
+		return
+	}
+	r.loop.Do(func() {
+		progress := &u.partition.Replication
+		if progress.Target == u.label && u.partition.LeaseRevision == u.update.LeaseRevision {
+			progress.Acknowledged = min(reply.Acknowledged, progress.Clock)
+		}
+	})
+}
+
+// PartitionUpdate is what has changed of a partition since what its standby has acknowledged.
+func (r *Replicator) PartitionUpdate(p *cluster.Partition, now time.Time) *peer.ReplicaUpdate {
+	progress := &p.Replication
+	if progress.Target != p.Standby {
+		progress.Target, progress.Acknowledged = p.Standby, 0
+	}
+	update := &peer.ReplicaUpdate{From: r.Settings.Label, Nonce: r.Nonce, LeaseRevision: p.LeaseRevision, Partition: uint32(p.Index), After: progress.Acknowledged}
+	room := UpdateBytesLimit
+	for _, correction := range r.scheduler.RuntimeCorrections() {
+		update.Classes = append(update.Classes, correction)
+		room -= proto.Size(correction) + EntryOverheadBytes
+	}
+	changes := r.partitionChanges(p)
+	update.Through = progress.Clock
+	if !addChanges(update, changes, room, now) {
+		r.bounds.Met(telemetry.ReplicaMessages, 1)
+	}
+	return update
+}
+
+// replicaChange is an attempt or a machine of which something changed.
+type replicaChange struct {
+	// seq is the place of the change among all of the partition.
+	seq     uint64
+	attempt *cluster.Attempt
+	machine *cluster.Machine
+}
+
+// partitionChanges lists what has changed since what the partition's standby has acknowledged, in
+// order.
+func (r *Replicator) partitionChanges(p *cluster.Partition) (changes []replicaChange) {
+	progress := &p.Replication
+	for _, job := range r.Jobs {
+		if job.Partition != p.Index || !job.Loaded {
+			continue
+		}
+		for _, a := range job.LiveAttempts {
+			if a.ReplicationSeq == 0 && !a.StartedAt.IsZero() && (!a.Inherited || !a.ReplicatedStart.IsZero()) {
+				progress.Clock++
+				a.ReplicationSeq = progress.Clock
+			}
+			if a.ReplicationSeq > progress.Acknowledged {
+				changes = append(changes, replicaChange{seq: a.ReplicationSeq, attempt: a})
+			}
+		}
+	}
+	for _, m := range r.Machines {
+		if m.Record.Partition != p.Index || !m.HasReported {
+			continue
+		}
+		if facts := m.Facts(); m.ReplicationSeq == 0 || facts != m.Replicated {
+			progress.Clock++
+			m.Replicated, m.ReplicationSeq = facts, progress.Clock
+		}
+		if m.ReplicationSeq > progress.Acknowledged {
+			changes = append(changes, replicaChange{seq: m.ReplicationSeq, machine: m})
+		}
+	}
+	slices.SortFunc(changes, func(a, b replicaChange) int { return cmp.Compare(a.seq, b.seq) })
+	return changes
+}
+
+// addChanges puts changes into an update, as many as there is room for but at least one, and says
+// whether that was all: the others follow with the next.
+func addChanges(update *peer.ReplicaUpdate, changes []replicaChange, room int, now time.Time) bool {
+	for i, change := range changes {
+		var start *peer.AttemptStart
+		var hint *peer.MachineHint
+		if a := change.attempt; a != nil {
+			start = &peer.AttemptStart{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RunningS: a.RunningS(now)}
+			room -= proto.Size(start) + EntryOverheadBytes
+		} else {
+			hint = change.machine.Hint(now)
+			room -= proto.Size(hint) + EntryOverheadBytes
+		}
+		if room < 0 && i > 0 {
+			update.Through = changes[i-1].seq
+			return false
+		}
+		if start != nil {
+			update.Attempts = append(update.Attempts, start)
+		} else {
+			update.Machines = append(update.Machines, hint)
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/coordination/replication/state_transfer.go
@@ -0,0 +1,143 @@
+package replication
+
+import (
+	"errors"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"micaspindle/internal/coordination/cluster"
+	"micaspindle/internal/coordination/peerapi"
+	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/protocol/peer"
+	"micaspindle/internal/telemetry"
+	"micaspindle/internal/transport"
+)
+
+const (
+	// StateTransferPath is where a controller answers with the updates that it has received of a
+	// partition.
+	StateTransferPath = "/peer/recall"
+	// StateTransferBytesLimit is what a state transfer holds at most, below what a client takes as
+	// a response: 64,000 attempts take some 2 MB, 4,000 machines 0.4 MB, their images the rest.
+	StateTransferBytesLimit = 6 << 20
+)
+
+// HandleStateTransfer answers a controller that was started anew with what its former incarnation
+// had sent here of a partition.
+func (r *Replicator) HandleStateTransfer(body []byte) transport.Response {
+	request := new(peer.StateTransferRequest)
+	if err := proto.Unmarshal(body, request); err != nil {
+		return respond.Refuse(400, "bad request", 0)
+	}
+	transfer := &peer.ReplicaUpdate{Partition: request.Partition}
+	r.loop.Do(func() {
+		if replica := r.Replicas[int(request.Partition)]; replica != nil && replica.Updates.Acknowledged != 0 {
+			whole := false
+			if transfer, whole = replica.StateTransfer(time.Now()); !whole {
+				r.bounds.Met(telemetry.RecallBytes, 1)
+			}
+		}
+	})
+	return peerapi.Reply(transfer)
+}
+
+// StateTransfer is what was received of the replica's partition, for its new leader. whole is false
+// if it was too large: it lacks images then, which only tell where a start is quick, or even more.
+func (r *Replica) StateTransfer(now time.Time) (transfer *peer.ReplicaUpdate, whole bool) {
+	updates := &r.Updates
+	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
+		Through: updates.Acknowledged, Classes: updates.Classes}
+	room := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
+	whole = r.addStarts(transfer, &room, now) && updates.addMachines(transfer, &room, now) && updates.addImages(transfer, &room)
+	return transfer, whole
+}
+
+// byteBudget is how many bytes a message may still take.
+type byteBudget int
+
+// take takes the room of an entry, and says whether there was enough.
+func (b *byteBudget) take(entry proto.Message) bool {
+	*b -= byteBudget(proto.Size(entry) + EntryOverheadBytes)
+	return *b >= 0
+}
+
+// addStarts adds when attempts began, and says whether there was room for all.
+func (r *Replica) addStarts(transfer *peer.ReplicaUpdate, room *byteBudget, now time.Time) bool {
+	for id, job := range r.Derived.Jobs {
+		for task, a := range job.Live {
+			if a.ReplicatedStart.IsZero() {
+				continue
+			}
+			start := &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: a.Number, RunningS: now.Sub(a.ReplicatedStart).Seconds()}
+			if !room.take(start) {
+				return false
+			}
+			transfer.Attempts = append(transfer.Attempts, start)
+		}
+	}
+	return true
+}
+
+// addMachines adds the machines without their images, and says whether there was room for all.
+func (u *ReceivedUpdates) addMachines(transfer *peer.ReplicaUpdate, room *byteBudget, now time.Time) bool {
+	for _, hints := range u.Machines {
+		hint := proto.CloneOf(hints.MachineHint)
+		hint.Images = nil
+		if !hints.PreemptionAt.IsZero() {
+			hint.PreemptionNoticeS = max(0, hints.PreemptionAt.Sub(now).Seconds())
+		}
+		if !room.take(hint) {
+			return false
+		}
+		transfer.Machines = append(transfer.Machines, hint)
+	}
+	return true
+}
+
+// addImages adds the images of the machines, and says whether there was room for all.
+func (u *ReceivedUpdates) addImages(transfer *peer.ReplicaUpdate, room *byteBudget) bool {
+	for _, hint := range transfer.Machines {
+		images := u.Machines[hint.Name].Images
+		if !room.take(&peer.MachineHint{Images: images}) {
+			return false
+		}
+		hint.Images = images
+	}
+	return true
+}
+
+// RequestStateTransfer asks the other controllers for the updates of a partition that this one has
+// just taken over without having received any: its former incarnation's, above all.
+func (r *Replicator) RequestStateTransfer(p *cluster.Partition, leaseRevision uint64) {
+	for label, other := range r.Peers {
+		r.loop.Go(func() {
+			transfer := new(peer.ReplicaUpdate)
+			request := &peer.StateTransferRequest{Partition: uint32(p.Index)}
+			err := peerapi.Call(r.loop.Context(), r.network, updateTimeout, other.Addr, StateTransferPath, request, transfer)
+			if err != nil && !errors.Is(err, transport.ErrNotSent) {
+				r.log.Debug("state transfer failed", "partition", p.Index, "controller", label, "error", err)
+			}
+			if err != nil || transfer.Through == 0 {
+				return
+			}
+			r.loop.Do(func() { r.applyStateTransfer(p, leaseRevision, transfer) })
+		})
+	}
+}
+
+// applyStateTransfer applies what another controller had received of a partition, if it is still
+// led under the lease of this revision.
+func (r *Replicator) applyStateTransfer(p *cluster.Partition, leaseRevision uint64, transfer *peer.ReplicaUpdate) {
+	if !p.Held || !p.Ready || p.LeaseRevision != leaseRevision {
+		return
+	}
+	now, updates, starts := time.Now(), ReceivedUpdates{}, 0
+	updates.Apply(transfer, func(id AttemptID, at time.Time) {
+		if r.ApplyStart(p, id, at) {
+			starts++
+		}
+	}, now)
+	r.ApplyHints(p, &updates, now)
+	r.log.Info("state transfer received", "partition", p.Index, "attempts", starts, "machines", len(updates.Machines))
+}
