--- a/internal/coordination/failover/evidence.go
+++ b/internal/coordination/failover/evidence.go
@@ -7,10 +7,10 @@
 	// show that it is not one agent's fault. Of very few machines divertedMin must do.
 	divertedEnough = 3
 	divertedMin    = 2
-	// silentIntervals is for how many intervals a leader must have been silent, and another
-	// fraction of one, intervalTolerance, for messages that come late.
-	silentIntervals   = 2
-	intervalTolerance = 5
+	// silentIntervals is for how many intervals a leader must have been silent; to allow for late
+	// messages, one more is added, divided by lateDivisor.
+	silentIntervals = 2
+	lateDivisor     = 5
 )
 
 // Evidence is what shows that a leader is dead.
@@ -27,6 +27,6 @@
 // enough (connections between controllers may be refused alone), nor are diverted machines (an
 // agent may lose its connection): each has been seen without the other.
 func (e Evidence) Dead() bool {
-	silent := e.Silent > silentIntervals*e.Interval+e.Interval/intervalTolerance
+	silent := e.Silent > silentIntervals*e.Interval+e.Interval/lateDivisor
 	return silent && e.Diverted >= max(divertedMin, min(divertedEnough, e.Reporting))
 }
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-func TestChoose(t *testing.T) {
+func TestChooseStandby(t *testing.T) {
 	all := []Candidate{{"n0", "a", 9, 1}, {"n1", "a", 1, 1}, {"n2", "b", 5, 1}, {"n3", "b", 5, 2}, {"n4", "b", 2, 1}}
 	for name, c := range map[string]struct {
-		owner, zone string
-		all         []Candidate
-		want        string
+		leader, zone string
+		all          []Candidate
+		want         string
 	}{
 		"another zone, the least loaded":   {"n0", "a", all, "n4"},
-		"not the owner":                    {"n4", "b", all, "n1"},
-		"among equals fewer parts":         {"n0", "a", all[:4], "n2"},
+		"not the leader":                   {"n4", "b", all, "n1"},
+		"among equals fewer partitions":    {"n0", "a", all[:4], "n2"},
 		"the same zone if there is none":   {"n0", "a", all[:2], "n1"},
 		"nobody":                           {"n0", "a", all[:1], ""},
-		"an owner whose zone is not known": {"n9", "", all, "n1"},
+		"a leader whose zone is not known": {"n9", "", all, "n1"},
 	} {
-		if got := ChooseStandby(c.owner, c.zone, c.all); got != c.want {
+		if got := ChooseStandby(c.leader, c.zone, c.all); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
-		turned := slices.Clone(c.all)
-		slices.Reverse(turned)
-		if got := ChooseStandby(c.owner, c.zone, turned); got != c.want {
+		reversed := slices.Clone(c.all)
+		slices.Reverse(reversed)
+		if got := ChooseStandby(c.leader, c.zone, reversed); got != c.want {
 			t.Errorf("%s: %q in another order", name, got)
 		}
 	}
 }
 
-func TestKeep(t *testing.T) {
+func TestKeepStandby(t *testing.T) {
 	all := []Candidate{{"n1", "b", 100, 1}, {"n2", "b", 300, 1}, {"n3", "a", 10, 1}, {"n4", "b", 240, 1}}
-	for now, want := range map[string]string{
+	for present, want := range map[string]string{
 		"":   "n1", // the best
-		"n4": "n4", // carries more, but not far more
-		"n2": "n1", // carries far more
-		"n3": "n1", // in the owner's zone
+		"n4": "n4", // leads more, but not far more
+		"n2": "n1", // leads far more
+		"n3": "n1", // in the leader's zone
 		"n9": "n1", // gone
-		"n0": "n1", // the owner itself
+		"n0": "n1", // the leader itself
 	} {
-		if got := KeepStandby(now, "n0", "a", all); got != want {
-			t.Errorf("%q named before: %q, want %q", now, got, want)
+		if got := KeepStandby(present, "n0", "a", all); got != want {
+			t.Errorf("%q named before: %q, want %q", present, got, want)
 		}
 	}
 	if got := KeepStandby("n3", "n0", "a", all[2:3]); got != "n3" {
@@ -54,12 +54,12 @@
 }
 
 // Only both together: silence alone is also that of refused connections between
-// controllers, visitors alone those of a worker that lost its connection.
-func TestGone(t *testing.T) {
-	const period = 500 * time.Millisecond
+// controllers, diverted machines alone those of an agent that lost its connection.
+func TestDead(t *testing.T) {
+	const interval = 500 * time.Millisecond
 	for _, c := range []struct {
 		silent              time.Duration
-		reporting, visitors int
+		reporting, diverted int
 		want                bool
 	}{
 		{1200 * time.Millisecond, 100, 3, true},
@@ -70,7 +70,7 @@
 		{time.Minute, 1, 1, false}, // then its lease has to run out
 		{time.Minute, 0, 0, false},
 	} {
-		if got := (Evidence{c.silent, period, c.reporting, c.visitors}).Dead(); got != c.want {
+		if got := (Evidence{c.silent, interval, c.reporting, c.diverted}).Dead(); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -83,11 +83,11 @@
 		ended map[string]time.Time
 		want  time.Time
 	}{
-		"the latest of all":                   {nil, at(23)},
-		"but for one whose new life has come": {map[string]time.Time{"n1/y": at(3)}, at(20)},
-		"unless that came later still":        {map[string]time.Time{"n1/y": at(40)}, at(23)},
-		"all of them":                         {map[string]time.Time{"n1/y": at(3), "n0/x": at(2)}, at(3)},
-		"not another life of the same":        {map[string]time.Time{"n1/z": at(3)}, at(23)},
+		"the latest of all":                          {nil, at(23)},
+		"but for one whose new incarnation has come": {map[string]time.Time{"n1/y": at(3)}, at(20)},
+		"unless that came later still":               {map[string]time.Time{"n1/y": at(40)}, at(23)},
+		"all of them":                                {map[string]time.Time{"n1/y": at(3), "n0/x": at(2)}, at(3)},
+		"not another incarnation of the same":        {map[string]time.Time{"n1/z": at(3)}, at(23)},
 	} {
 		if got := AnsweredUntil(all, func(label, nonce string) time.Time { return c.ended[label+"/"+nonce] }); !got.Equal(c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -96,11 +96,11 @@
 	never := func(string, string) time.Time { return time.Time{} }
 	for _, r := range []FormerLeader{{Label: "n1", Nonce: "y", LeaseRevision: 6}, {Label: "n1", Nonce: "z", LeaseRevision: 7}, {Label: "n0", Nonce: "y", LeaseRevision: 7}} {
 		if NoteReleased(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
-			t.Errorf("%+v released another's claim", r)
+			t.Errorf("%+v released another's lease", r)
 		}
 	}
 	if NoteReleased(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
-		t.Error("a claim that was given up")
+		t.Error("a lease that was released")
 	}
 	if got := AnsweredUntil(nil, nil); !got.IsZero() {
 		t.Errorf("nobody answered until %v", got)
@@ -127,6 +127,6 @@
 		}
 	}
 	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest claim") {
-		t.Errorf("without a claim: %v", m)
+		t.Errorf("without a lease: %v", m)
 	}
 }
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func same(a, b int) bool { return a == b }
+func equal(a, b int) bool { return a == b }
 
 // store is what a set is a copy of.
 type store struct {
@@ -81,7 +81,7 @@
 		for _, ch := range all {
 			seen[ch.Key] = ch.Value
 		}
-		took := func(ch Change[int]) {
+		applied := func(ch Change[int]) {
 			if delete(seen, ch.Key); !ch.Deleted {
 				seen[ch.Key] = ch.Value
 			}
@@ -101,11 +101,11 @@
 			case 0: // an old answer once more
 				after = max(1, after-min(after-1, uint64(rng.IntN(5))))
 			case 1: // changes are missing
-				if set.Apply(after+1, s.at+9, s.after(after+1), took) {
+				if set.Apply(after+1, s.at+9, s.after(after+1), applied) {
 					t.Fatalf("seed %d: a gap was not seen", seed)
 				}
 			}
-			if !set.Apply(after, s.at, s.after(after), took) {
+			if !set.Apply(after, s.at, s.after(after), applied) {
 				t.Fatalf("seed %d: changes that join were refused", seed)
 			}
 			if !maps.Equal(set.records, s.records) || set.Revision() != s.at {
@@ -113,20 +113,20 @@
 			}
 			for k, r := range s.records {
 				if seen[k] != r.Value || len(seen) != len(s.records) {
-					t.Fatalf("seed %d: what was told of changes comes to %v", seed, seen)
+					t.Fatalf("seed %d: the changes applied come to %v", seed, seen)
 				}
 			}
 			for range rng.IntN(3) {
 				s.step(rng)
 			}
 			if sample != nil && rng.IntN(2) == 0 {
-				if keys, ok := set.Mismatches(*sample, same); !ok || len(keys) > 0 {
+				if keys, ok := set.Mismatches(*sample, equal); !ok || len(keys) > 0 {
 					t.Fatalf("seed %d: %v differ (%v)", seed, keys, ok)
 				}
 				sample = nil
 			}
 		}
-		set.Apply(set.Revision(), s.at, s.after(set.Revision()), took)
+		set.Apply(set.Revision(), s.at, s.after(set.Revision()), applied)
 		if len(s.records) == 0 {
 			continue
 		}
@@ -146,10 +146,10 @@
 		found, last := []string{}, ""
 		for {
 			p := s.page(last, 5)
-			if _, ok := (&Set[int]{revision: s.at - 1}).Mismatches(p, same); ok {
+			if _, ok := (&Set[int]{revision: s.at - 1}).Mismatches(p, equal); ok {
 				t.Fatalf("seed %d: compared before the sample's revision", seed)
 			}
-			keys, _ := set.Mismatches(p, same)
+			keys, _ := set.Mismatches(p, equal)
 			found = append(found, keys...)
 			if last = p.Last; last == "" {
 				break
