--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -8,103 +8,108 @@
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/delegation"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/overview"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/transport"
 )
 
-// Agents is what Server asks of its collaborator.
+// Agents takes the heartbeats of the workers' agents.
 type Agents interface {
-	// HandleHeartbeat answers a worker's report, of which raw is the body.
-	HandleHeartbeat(r *protocol.Heartbeat, raw []byte) transport.Response
+	// HandleHeartbeat answers a heartbeat, of which raw is the encoded body. It runs in the
+	// loop.
+	HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response
 }
 
-// Auth is what Server asks of its collaborator.
+// Auth authenticates and authorizes callers and audits what they do.
 type Auth interface {
-	// Administers says whether a caller may change the policy and read the audit.
-	Administers(who *auth.Caller) bool
-	// Allows says whether a caller holds a verb on a queue.
-	Allows(who *auth.Caller, v rights.Verb, q rights.Queue) bool
-	// AllowsEverywhere says whether a caller holds a verb on every queue.
-	AllowsEverywhere(who *auth.Caller, v rights.Verb) bool
-	// AuditBatches reads batches of a chain of the audit, up to so many bytes.
-	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error)
-	// AuditRecord begins the audit record of what a caller does; nil while nobody asks
-	// who comes.
-	AuditRecord(who *auth.Caller, verb string, q rights.Queue, job string) *audit.Record
-	// Authenticate says who sends a request, or refuses it.
-	Authenticate(req *transport.Request, verb string) (*auth.Caller, *transport.Response)
-	// AuthenticateWorker says which worker sends a report, or refuses it.
-	AuthenticateWorker(req *transport.Request) (*auth.Caller, *transport.Response)
-	// AuthorizeJob says whether a caller may do something with a job, and refuses with
-	// the same words, after the same reading, whether the job exists or not. Only
-	// who may do it with every job is told that there is none.
-	AuthorizeJob(ctx context.Context, who *auth.Caller, v rights.Verb, id string) (rights.Queue, *transport.Response)
-	// CheckSender says whether a message comes from the worker or controller that it
-	// names, and refuses it if not.
-	CheckSender(who *auth.Caller, verb string, named identity.Name) *transport.Response
-	// Commit commits what a user asked for, together with its record if one is
-	// to be kept.
-	Commit(ctx context.Context, txn *protocol.Transaction, r *audit.Record) (uint64, error)
-	// Deny refuses and notes it.
-	Deny(who *auth.Caller, verb string, q rights.Queue, job string, status int, reason string) *transport.Response
-	// Enabled says whether requests need an identity.
+	// Enabled reports whether requests need an identity.
 	Enabled() bool
-	// HoldsAny says whether a caller holds a verb on some queue.
-	HoldsAny(who *auth.Caller, v rights.Verb) bool
-	// JobQueue is the queue of a job that this controller knows, for the loop.
-	JobQueue(id string) (q rights.Queue, known bool)
-	// NoteRead notes that a caller has looked at something.
-	NoteRead(who *auth.Caller, verb string, q rights.Queue, id string)
+
+	// Authenticate returns who sends a request, or the error that refuses it.
+	Authenticate(req *transport.Request, verb string) (*auth.Caller, error)
+	// AuthenticateWorker returns which worker sends a heartbeat, or the error that refuses it.
+	AuthenticateWorker(req *transport.Request) (*auth.Caller, error)
+	// CheckWorker refuses a heartbeat that does not come from the machine that it names.
+	CheckWorker(caller *auth.Caller, machine string) error
+
+	// Allows reports whether a caller holds a verb on a queue.
+	Allows(caller *auth.Caller, verb rights.Verb, queue rights.Queue) bool
+	// AllowsEverywhere reports whether a caller holds a verb on every queue.
+	AllowsEverywhere(caller *auth.Caller, verb rights.Verb) bool
+	// HoldsAny reports whether a caller holds a verb on some queue.
+	HoldsAny(caller *auth.Caller, verb rights.Verb) bool
+	// Administers reports whether a caller may change the policy and read the audit.
+	Administers(caller *auth.Caller) bool
+	// AuthorizeJob returns the queue of a job if a caller holds a verb on it, or the error
+	// that refuses the request, which is the same whether the job exists or not.
+	AuthorizeJob(ctx context.Context, caller *auth.Caller, verb rights.Verb, id string) (rights.Queue, error)
+	// JobQueue returns the queue of a job, and whether this controller knows the job. It runs
+	// in the loop.
+	JobQueue(id string) (queue rights.Queue, known bool)
+	// ReadSpec reads a job's record from the state store.
+	ReadSpec(ctx context.Context, id string) (*protocol.JobSpec, error)
+
+	// AuditRecord returns the audit record of what a caller does, as allowed; nil while
+	// requests need no identity.
+	AuditRecord(caller *auth.Caller, verb string, queue rights.Queue, job string) *audit.Record
+	// Commit commits a caller's transaction, and its audit record with it unless that is nil.
+	Commit(ctx context.Context, txn *protocol.Transaction, record *audit.Record) (uint64, error)
+	// Deny audits that a caller was not allowed to do something, and returns the error that
+	// refuses the request.
+	Deny(caller *auth.Caller, verb string, queue rights.Queue, job, reason string) error
+	// NoteRead audits that a caller has read something.
+	NoteRead(caller *auth.Caller, verb string, queue rights.Queue, job string)
+	// AuditBatches reads the batches of an audit chain that come after a number, up to size
+	// bytes of them.
+	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error)
+	// SealAudit signs what the audit holds now.
+	SealAudit(ctx context.Context) (*audit.Seal, error)
+
 	// Policy is the policy as it was last published; nil before it was read.
 	Policy() *auth.PolicyView
-	// PolicyRevision is the revision of the policy's head record, for the loop.
+	// PolicyRevision is the revision of the policy's head record. It is called in the loop.
 	PolicyRevision() uint64
-	// PublishPolicy gives the connections what the watch has brought, once for all
-	// records that came together. asked is when the listing or watch was sent that
-	// brought it.
+	// PublishPolicy gives the connections the policy as it is now. asked is when the listing
+	// or watch was sent that brought it. It is called in the loop.
 	PublishPolicy(asked time.Time)
-	// ReadSpec reads a job's record; who, if told, is held to the budget for
-	// unknown jobs.
-	ReadSpec(ctx context.Context, who *auth.Caller, id string) (*protocol.JobSpec, error)
-	// SealAudit signs what the audit holds now.
-	SealAudit(ctx context.Context) (*audit.Seal, error)
 }
 
-// Cloud is what Server asks of its collaborator.
+// Cloud knows how the cloud's interface does.
 type Cloud interface {
-	// Unavailable says whether the interface is left alone since it did not answer.
+	// Unavailable reports whether the cloud is not asked for now since it did not answer.
 	Unavailable(now time.Time) bool
 }
 
-// Proxy is what Server asks of its collaborator.
+// Proxy knows which controllers have the machines' connections.
 type Proxy interface {
 	// Load is how many machines keep their connections here.
 	Load(now time.Time) delegation.Load
-	// Overview says who carries what of a part.
+	// Overview lists the controllers that have connections of a partition's machines.
 	Overview(p *cluster.Partition, now time.Time) (list []overview.Carried)
-	// RecentMoves is the last moves with how long ago they were.
+	// RecentMoves lists the last moves of shards, with how long ago they were.
 	RecentMoves(now time.Time) []overview.Move
 }
 
-// Replicator is what Server asks of its collaborator.
+// Replicator knows how far the replicas are that this controller keeps.
 type Replicator interface {
-	// Overview is how the copies stand.
+	// Overview lists the replicas.
 	Overview(now time.Time) (list []overview.Follow)
 }
 
-// Jobs is what Server asks of its collaborator.
+// Jobs applies the records of jobs. All of it runs in the loop.
 type Jobs interface {
+	// ApplyFinalRecord applies the record of a job's final state.
 	ApplyFinalRecord(id string, raw []byte)
-	// ApplyJobRecord takes up an accepted job. Records never change.
+	// ApplyJobRecord applies the record of an accepted job, which never changes.
 	ApplyJobRecord(id string, raw []byte)
-	// SetFinal notes that a job is done or withdrawn, for good, and when it was at the earliest.
+	// SetFinal sets that a job is done or cancelled, for good, and when it was at the
+	// earliest.
 	SetFinal(id, status string, at time.Time)
 }
 
-// Records is what Server asks of its collaborator.
+// Records applies events of the state store before the watch delivers them.
 type Records interface {
+	// ApplyEvent applies an event. It runs in the loop.
 	ApplyEvent(e protocol.Event)
 }
--- /dev/null
+++ b/internal/coordination/api/gauges.go
@@ -0,0 +1,76 @@
+package api
+
+import (
+	"fmt"
+	"strconv"
+
+	"micaspindle/internal/overview"
+	"micaspindle/internal/telemetry"
+)
+
+// gauges are the overview for Prometheus.
+func gauges(view *overview.View) []telemetry.Gauge {
+	list := controllerGauges(view)
+	for i := range view.Follows {
+		list = append(list, replicaGauges(&view.Follows[i])...)
+	}
+	for i := range view.Parts {
+		list = append(list, partitionGauges(&view.Parts[i])...)
+	}
+	return list
+}
+
+func controllerGauges(view *overview.View) []telemetry.Gauge {
+	return []telemetry.Gauge{
+		{Name: "leads", Value: gaugeOf(view.Leads)},
+		{Name: "ready", Value: gaugeOf(view.Ready)},
+		{Name: "up_seconds", Value: view.UpS},
+		{Name: "state_silent_seconds", Value: view.StateSilentS},
+		{Name: "writes_wanted", Value: view.WritesWanted},
+		{Name: "writes_granted", Value: view.WritesGranted},
+		{Name: "cloud_rests", Value: gaugeOf(view.CloudRests)},
+		{Name: "jobs", Value: float64(view.Jobs)},
+		{Name: "jobs_ended", Value: float64(view.Ended)},
+		{Name: "rentals_open", Value: float64(view.Renting)},
+		{Name: "machines_connected", Value: float64(view.Connected)},
+		{Name: "machines_room", Value: float64(view.Room)},
+	}
+}
+
+func replicaGauges(replica *overview.Follow) []telemetry.Gauge {
+	labels := partitionLabels(replica.Part)
+	return []telemetry.Gauge{
+		{Name: "copy_behind_seconds", Labels: labels, Value: replica.BehindS},
+		{Name: "copy_records", Labels: labels, Value: float64(replica.Records)},
+	}
+}
+
+func partitionGauges(partition *overview.Part) []telemetry.Gauge {
+	delegated := 0
+	for _, delegation := range partition.Carried {
+		delegated += delegation.Machines
+	}
+	labels := partitionLabels(partition.Part)
+	return []telemetry.Gauge{
+		{Name: "part_machines_carried", Labels: labels, Value: float64(delegated)},
+		{Name: "part_machines", Labels: labels, Value: float64(partition.Machines)},
+		{Name: "part_machines_idle", Labels: labels, Value: float64(partition.Idle)},
+		{Name: "part_machines_coming", Labels: labels, Value: float64(partition.Coming)},
+		{Name: "part_machines_bad", Labels: labels, Value: float64(partition.Bad)},
+		{Name: "part_machines_kept", Labels: labels, Value: float64(partition.Kept)},
+		{Name: "part_cpus_used_ratio", Labels: labels, Value: partition.Used},
+		{Name: "part_tasks_running", Labels: labels, Value: float64(partition.Running)},
+		{Name: "part_tasks_waiting", Labels: labels, Value: float64(partition.Waiting)},
+		{Name: "part_oldest_wait_seconds", Labels: labels, Value: partition.OldestS},
+	}
+}
+
+func partitionLabels(partition int) string { return fmt.Sprintf("{part=%q}", strconv.Itoa(partition)) }
+
+// gaugeOf is 1 if a condition holds, and 0 if not.
+func gaugeOf(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- a/internal/coordination/api/identity.go
+++ b/internal/coordination/api/identity.go
@@ -2,79 +2,53 @@
 
 import (
 	"context"
+	"net/http"
 	"net/url"
-	"strconv"
 
-	"micaspindle/internal/coordination/auth"
-	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/transport"
 )
 
-// whoami tells a caller who it is taken for.
-func (srv *Server) whoami(who *auth.Caller) transport.Response {
-	view := srv.auth.Policy()
+// allVerbs are the rights that a caller may hold, in the order in which it is told of them.
+var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch}
+
+// whoAmI tells a caller as whom it is authenticated, and which rights it holds on some queue.
+func (s *Server) whoAmI(_ context.Context, req request) (transport.Response, error) {
 	var held []string
-	for _, v := range []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch} {
-		if srv.auth.HoldsAny(who, v) {
-			held = append(held, v.String())
+	for _, verb := range allVerbs {
+		if s.auth.HoldsAny(req.caller, verb) {
+			held = append(held, verb.String())
 		}
 	}
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: held, PolicyVersion: view.Version})}
+	return s.describeCaller(req, held), nil
 }
 
-// may tells a caller whether it holds a right on a queue. Front doors ask it for
-// their clients, with the client's own credential, so that there is one place
-// that decides and one record of what was refused.
-func (srv *Server) may(who *auth.Caller, req *transport.Request) transport.Response {
+// may tells a caller whether it holds a right on a queue. Gateways ask it for their clients,
+// with the client's own credential, so that there is one place that decides and one record
+// of what was refused.
+func (s *Server) may(_ context.Context, req request) (transport.Response, error) {
 	query, err := url.ParseQuery(req.Query)
 	if err != nil {
-		return respond.Refuse(400, "bad query", 0)
+		return transport.Response{}, errBadQuery
 	}
 	verb, err := rights.ParseVerb(query.Get("verb"))
 	if err != nil {
-		return respond.Refuse(400, respond.FirstLine(err), 0)
+		return transport.Response{}, apierror.Invalid(http.StatusBadRequest, err)
 	}
-	q := rights.Queue{Team: query.Get("team"), Class: query.Get("class")}
-	if q.Team == "" || q.Class == "" {
-		return respond.Refuse(400, "team and class are needed", 0)
+	queue := rights.Queue{Team: query.Get("team"), Class: query.Get("class")}
+	if queue.Team == "" || queue.Class == "" {
+		return transport.Response{}, apierror.New(http.StatusBadRequest, "team and class are needed")
 	}
-	if !srv.auth.Allows(who, verb, q) {
-		return *srv.auth.Deny(who, verb.String(), q, "", 403, "asked through a front door")
+	if !s.auth.Allows(req.caller, verb, queue) {
+		return transport.Response{}, s.auth.Deny(req.caller, verb.String(), queue, "", "asked through a front door")
 	}
-	srv.auth.NoteRead(who, verb.String()+"-asked", q, "")
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.WhoAmI{Name: who.Name, How: who.Credential, Verbs: []string{verb.String()},
-		PolicyVersion: srv.auth.Policy().Version})}
+	s.auth.NoteRead(req.caller, verb.String()+"-asked", queue, "")
+	return s.describeCaller(req, []string{verb.String()}), nil
 }
 
-// auditBody bounds an answer with batches of the audit.
-const auditBody = 32 << 10
-
-// readAudit answers an administrator who reads the audit.
-func (srv *Server) readAudit(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
-	q, err := url.ParseQuery(req.Query)
-	if err != nil {
-		return respond.Refuse(400, "bad query", 0)
-	}
-	switch req.Path {
-	case "/audit/seal":
-		seal, err := srv.auth.SealAudit(ctx)
-		if err != nil {
-			return respond.Unavailable(err)
-		}
-		srv.auth.NoteRead(who, "read-audit", rights.Queue{}, "")
-		return transport.Response{Status: 200, Body: protocol.Encode(seal)}
-	case "/audit/batches":
-		after, err := strconv.ParseUint(q.Get("after"), 10, 64)
-		if err != nil || q.Get("chain") == "" {
-			return respond.Refuse(400, "chain and after are needed", 0)
-		}
-		batches, err := srv.auth.AuditBatches(ctx, q.Get("chain"), after, auditBody)
-		if err != nil {
-			return respond.Unavailable(err)
-		}
-		return transport.Response{Status: 200, Body: protocol.Encode(map[string]any{"batches": batches})}
-	}
-	return respond.Refuse(404, "no such path", 0)
+func (s *Server) describeCaller(req request, verbs []string) transport.Response {
+	return success(http.StatusOK, protocol.WhoAmI{Name: req.caller.Name, How: req.caller.Credential, Verbs: verbs,
+		PolicyVersion: s.auth.Policy().Version})
 }
--- a/internal/coordination/api/operations.go
+++ b/internal/coordination/api/operations.go
@@ -3,146 +3,159 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
+	"net/http"
 	"time"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/fairshare"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/overview"
-	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
-	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
+// Paths of operators.
+const (
+	metricsPath  = "/metrics"
+	overviewPath = "/overview"
+)
+
+// prometheusText is the content type of the metrics.
+const prometheusText = "text/plain; version=0.0.4"
+
 // ServeOperations answers operators: /metrics and /overview. With identities they
 // must be allowed to view every queue, since the sums are over all of them.
-func (srv *Server) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
-	if req.Path != "/metrics" && req.Path != "/overview" {
-		return respond.Refuse(404, "no such path", 0)
+func (s *Server) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
+	response, err := s.serveOperations(req)
+	if err != nil {
+		return apierror.Response(err)
 	}
-	if req.Method != "GET" {
-		return respond.Refuse(405, "method not allowed", 0)
+	return response
+}
+
+func (s *Server) serveOperations(req *transport.Request) (transport.Response, error) {
+	if req.Path != metricsPath && req.Path != overviewPath {
+		return transport.Response{}, errNoSuchPath
 	}
-	who, refusal := srv.auth.Authenticate(req, "observe")
-	if refusal != nil {
-		return *refusal
+	if req.Method != http.MethodGet {
+		return transport.Response{}, errWrongMethod
 	}
-	if srv.auth.Enabled() && !srv.auth.AllowsEverywhere(who, rights.View) {
-		return *srv.auth.Deny(who, "observe", rights.Queue{}, "", 403, "may not view every queue")
+	caller, err := s.auth.Authenticate(req, verbObserve)
+	if err != nil {
+		return transport.Response{}, err
 	}
-	v := overview.View{}
-	if !srv.loop.Do(func() { v = srv.StateOverview(time.Now()) }) {
-		return respond.Refuse(503, "stopping", 1)
+	if s.auth.Enabled() && !s.auth.AllowsEverywhere(caller, rights.View) {
+		return transport.Response{}, s.auth.Deny(caller, verbObserve, rights.Queue{}, "", "may not view every queue")
 	}
-	v.Waits = srv.metrics.Quantiles()
-	if req.Path == "/overview" {
-		return transport.Response{Status: 200, Body: protocol.Encode(v)}
+	var view overview.View
+	if !s.loop.Do(func() { view = s.StateOverview(time.Now()) }) {
+		return transport.Response{}, errStopping
+	}
+	view.Waits = s.metrics.Quantiles()
+	if req.Path == overviewPath {
+		return success(http.StatusOK, view), nil
 	}
 	var body bytes.Buffer
-	srv.metrics.Write(&body, gauges(&v))
-	return transport.Response{Status: 200, Type: "text/plain; version=0.0.4", Body: body.Bytes()}
+	s.metrics.Write(&body, gauges(&view))
+	return transport.Response{Status: http.StatusOK, Type: prometheusText, Body: body.Bytes()}, nil
 }
 
-// StateOverview is how this controller and its parts stand.
-func (srv *Server) StateOverview(now time.Time) overview.View {
-	v := overview.View{Controller: srv.Settings.Label, Zone: srv.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(srv.StartedAt).Seconds(), Leads: srv.Leadership.Held,
-		Ready: srv.Synced && len(srv.Catalog) > 0, StateSilentS: srv.store.SinceLastAnswer().Seconds(), WritesWanted: srv.WriteDemand, WritesGranted: srv.store.GrantedWriteRate(),
-		CloudRests: srv.cloud.Unavailable(now), Jobs: len(srv.Jobs), Ended: len(srv.FinalStates), Renting: len(srv.Leadership.PendingScaleOut)}
-	for _, p := range srv.Partitions {
-		if p.Held {
-			v.Parts = append(v.Parts, srv.partitionOverview(p, now))
+// StateOverview is how this controller and the partitions that it leads stand. It runs in
+// the loop.
+func (s *Server) StateOverview(now time.Time) overview.View {
+	load := s.proxy.Load(now)
+	view := overview.View{
+		Controller:    s.Settings.Label,
+		Zone:          s.Settings.Zone,
+		AtMS:          now.UnixMilli(),
+		UpS:           now.Sub(s.StartedAt).Seconds(),
+		Leads:         s.Leadership.Held,
+		Ready:         s.Synced && len(s.Catalog) > 0,
+		StateSilentS:  s.store.SinceLastAnswer().Seconds(),
+		WritesWanted:  s.WriteDemand,
+		WritesGranted: s.store.GrantedWriteRate(),
+		CloudRests:    s.cloud.Unavailable(now),
+		Jobs:          len(s.Jobs),
+		Ended:         len(s.FinalStates),
+		Renting:       len(s.Leadership.PendingScaleOut),
+		Connected:     load.Machines,
+		Room:          load.Capacity,
+		Moves:         s.proxy.RecentMoves(now),
+		Follows:       s.replicator.Overview(now),
+		Teams:         s.teamOverviews(),
+	}
+	for _, partition := range s.Partitions {
+		if partition.Held {
+			view.Parts = append(view.Parts, s.partitionOverview(partition, now))
 		}
 	}
-	v.Follows = srv.replicator.Overview(now)
-	load := srv.proxy.Load(now)
-	v.Connected, v.Room, v.Moves = load.Machines, load.Capacity, srv.proxy.RecentMoves(now)
-	for team, t := range srv.Settings.Params.Teams {
-		if p := srv.Partitions[srv.TeamPartition[team]]; p.Held {
-			v.Teams = append(v.Teams, overview.Team{Name: t.Name, Part: p.Index, CPUs: p.Usage[team].CPUs, Guarantee: t.CPUs, Limit: t.CPUsMax})
+	return view
+}
+
+// teamOverviews lists the teams of the partitions that this controller leads.
+func (s *Server) teamOverviews() (teams []overview.Team) {
+	for index, team := range s.Settings.Params.Teams {
+		if partition := s.Partitions[s.TeamPartition[index]]; partition.Held {
+			teams = append(teams, overview.Team{Name: team.Name, Part: partition.Index, CPUs: partition.Usage[index].CPUs, Guarantee: team.CPUs, Limit: team.CPUsMax})
 		}
 	}
-	for _, j := range srv.Jobs {
-		for i := range v.Teams {
-			if t := &v.Teams[i]; j.Loaded && t.Name == j.Spec.Team {
-				t.Running += len(j.LiveAttempts)
-				t.Waiting += len(j.Pending)
+	for _, job := range s.Jobs {
+		for i := range teams {
+			if team := &teams[i]; job.Loaded && team.Name == job.Spec.Team {
+				team.Running += len(job.LiveAttempts)
+				team.Waiting += len(job.Pending)
 			}
 		}
 	}
-	return v
+	return teams
 }
 
-func (srv *Server) partitionOverview(p *cluster.Partition, now time.Time) overview.Part {
-	v := overview.Part{Part: p.Index, Ready: p.Ready}
-	used, all := 0.0, 0.0
-	for _, m := range srv.Machines {
-		if m.Record.Partition != p.Index {
+func (s *Server) partitionOverview(partition *cluster.Partition, now time.Time) overview.Part {
+	view := overview.Part{Part: partition.Index, Ready: partition.Ready, Carried: s.proxy.Overview(partition, now)}
+	s.addMachines(&view)
+	s.addJobs(&view, now)
+	return view
+}
+
+// addMachines counts a partition's machines.
+func (s *Server) addMachines(view *overview.Part) {
+	usedCPUs, allCPUs := 0.0, 0.0
+	for _, machine := range s.Machines {
+		if machine.Record.Partition != view.Part {
 			continue
 		}
-		v.Machines++
-		if m.ReservedFor != fairshare.NoGroup {
-			v.Kept++
+		view.Machines++
+		if machine.ReservedFor != fairshare.NoGroup {
+			view.Kept++
 		}
 		switch {
-		case m.Lost || m.Quarantined:
-			v.Bad++
-		case !m.HasReported:
-			v.Coming++
-		case len(m.Attempts) == 0 && len(m.OrphanedTasks) == 0:
-			v.Idle++
+		case machine.Lost || machine.Quarantined:
+			view.Bad++
+		case !machine.HasReported:
+			view.Coming++
+		case len(machine.Attempts) == 0 && len(machine.OrphanedTasks) == 0:
+			view.Idle++
 		}
-		if m.Type != nil && m.HasReported {
-			used, all = used+m.Used.CPUs, all+m.Type.CPUs
+		if machine.Type != nil && machine.HasReported {
+			usedCPUs += machine.Used.CPUs
+			allCPUs += machine.Type.CPUs
 		}
 	}
-	if all > 0 {
-		v.Used = used / all
+	if allCPUs > 0 {
+		view.Used = usedCPUs / allCPUs
 	}
-	v.Carried = srv.proxy.Overview(p, now)
-	for _, j := range srv.Jobs {
-		if j.Partition != p.Index || !j.Loaded {
-			continue
-		}
-		v.Running += len(j.LiveAttempts)
-		v.Waiting += len(j.Pending)
-		if len(j.Pending) > 0 && !j.Blocked {
-			v.OldestS = max(v.OldestS, now.Sub(j.ReadySince()).Seconds())
-		}
-	}
-	return v
 }
 
-// gauges are the overview for Prometheus.
-func gauges(v *overview.View) []telemetry.Gauge {
-	yes := map[bool]float64{true: 1}
-	out := []telemetry.Gauge{{Name: "leads", Value: yes[v.Leads]}, {Name: "ready", Value: yes[v.Ready]}, {Name: "up_seconds", Value: v.UpS},
-		{Name: "state_silent_seconds", Value: v.StateSilentS}, {Name: "writes_wanted", Value: v.WritesWanted}, {Name: "writes_granted", Value: v.WritesGranted},
-		{Name: "cloud_rests", Value: yes[v.CloudRests]}, {Name: "jobs", Value: float64(v.Jobs)}, {Name: "jobs_ended", Value: float64(v.Ended)},
-		{Name: "rentals_open", Value: float64(v.Renting)}, {Name: "machines_connected", Value: float64(v.Connected)},
-		{Name: "machines_room", Value: float64(v.Room)}}
-	for _, f := range v.Follows {
-		labels := fmt.Sprintf("{part=%q}", fmt.Sprint(f.Part))
-		out = append(out, telemetry.Gauge{Name: "copy_behind_seconds", Labels: labels, Value: f.BehindS},
-			telemetry.Gauge{Name: "copy_records", Labels: labels, Value: float64(f.Records)})
-	}
-	for _, p := range v.Parts {
-		labels := fmt.Sprintf("{part=%q}", fmt.Sprint(p.Part))
-		carried := 0
-		for _, k := range p.Carried {
-			carried += k.Machines
+// addJobs counts the tasks of a partition's jobs.
+func (s *Server) addJobs(view *overview.Part, now time.Time) {
+	for _, job := range s.Jobs {
+		if job.Partition != view.Part || !job.Loaded {
+			continue
+		}
+		view.Running += len(job.LiveAttempts)
+		view.Waiting += len(job.Pending)
+		if len(job.Pending) > 0 && !job.Blocked {
+			view.OldestS = max(view.OldestS, now.Sub(job.ReadySince()).Seconds())
 		}
-		out = append(out, telemetry.Gauge{Name: "part_machines_carried", Labels: labels, Value: float64(carried)},
-			telemetry.Gauge{Name: "part_machines", Labels: labels, Value: float64(p.Machines)},
-			telemetry.Gauge{Name: "part_machines_idle", Labels: labels, Value: float64(p.Idle)},
-			telemetry.Gauge{Name: "part_machines_coming", Labels: labels, Value: float64(p.Coming)},
-			telemetry.Gauge{Name: "part_machines_bad", Labels: labels, Value: float64(p.Bad)},
-			telemetry.Gauge{Name: "part_machines_kept", Labels: labels, Value: float64(p.Kept)},
-			telemetry.Gauge{Name: "part_cpus_used_ratio", Labels: labels, Value: p.Used},
-			telemetry.Gauge{Name: "part_tasks_running", Labels: labels, Value: float64(p.Running)},
-			telemetry.Gauge{Name: "part_tasks_waiting", Labels: labels, Value: float64(p.Waiting)},
-			telemetry.Gauge{Name: "part_oldest_wait_seconds", Labels: labels, Value: p.OldestS})
 	}
-	return out
 }
--- a/internal/coordination/api/policy.go
+++ b/internal/coordination/api/policy.go
@@ -4,104 +4,138 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strings"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
+const (
+	// maxPolicyRecords bounds the records in an answer with a page of the policy.
+	maxPolicyRecords = 200
+	// maxPolicyBody bounds the size of such an answer, in bytes.
+	maxPolicyBody = 48 << 10
+	// maxDetailNames is how many names of a kind the audit has of a change of the policy.
+	maxDetailNames = 12
+	// maxDetail bounds what the audit has of such a change, in bytes.
+	maxDetail = 500
+)
+
 // policyChangeLimit is how many records one change of the policy may touch: the head
 // and the audit's own are in the same transaction.
-func (srv *Server) policyChangeLimit() int { return max(1, srv.store.TxnOps()-1-auth.AuditChanges) }
+func (s *Server) policyChangeLimit() int { return max(1, s.store.TxnOps()-1-auth.AuditChanges) }
 
 // changePolicy makes an administrator's change of the policy.
-func (srv *Server) changePolicy(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
-	var ch rights.Change
-	if err := protocol.Decode(req.Body, &ch); err != nil {
-		return respond.Refuse(400, respond.FirstLine(err), 0)
-	}
-	view := srv.auth.Policy()
-	if ch.Version != view.Version {
-		return respond.Refuse(409, fmt.Sprintf("the policy is at version %d, the change is for version %d; look at it again", view.Version, ch.Version), 0)
-	}
-	if n, most := ch.Size(), srv.policyChangeLimit(); n > most {
-		return respond.Refuse(422, fmt.Sprintf("changes %d records, at most %d at a time; split it", n, most), 0)
+func (s *Server) changePolicy(ctx context.Context, req request) (transport.Response, error) {
+	var change rights.Change
+	if err := protocol.Decode(req.Body, &change); err != nil {
+		return transport.Response{}, apierror.Invalid(http.StatusBadRequest, err)
+	}
+	view := s.auth.Policy()
+	if err := s.checkPolicyChange(view, &change); err != nil {
+		return transport.Response{}, err
+	}
+	next := storage.PolicyHead{Version: view.Version + 1}
+	txn := policyTransaction(view, next, &change)
+	if err := s.checkPolicyRecordSizes(txn); err != nil {
+		return transport.Response{}, err
+	}
+	record := s.auth.AuditRecord(req.caller, verbChangePolicy, rights.Queue{}, "")
+	record.Detail = changeDetail(&change, next.Version)
+	revision, err := s.auth.Commit(ctx, txn, record)
+	var conflict *storage.Conflict
+	switch {
+	case errors.As(err, &conflict):
+		return transport.Response{}, apierror.New(http.StatusConflict, "the policy was changed by somebody else just now; look at it again")
+	case errors.Is(err, storage.ErrTooLarge):
+		return transport.Response{}, apierror.New(http.StatusUnprocessableEntity, "too large for the state service; split it")
+	case err != nil:
+		return transport.Response{}, err
 	}
-	if _, err := rights.Apply(view.Document, &ch); err != nil {
-		return respond.Refuse(422, respond.FirstLine(err), 0)
+	s.applyPolicyChange(txn, revision)
+	return success(http.StatusOK, rights.Version{Version: next.Version, MaxChanges: s.policyChangeLimit()}), nil
+}
+
+// checkPolicyChange refuses a change that does not fit the policy as it is.
+func (s *Server) checkPolicyChange(view *auth.PolicyView, change *rights.Change) error {
+	if change.Version != view.Version {
+		return apierror.Newf(http.StatusConflict, "the policy is at version %d, the change is for version %d; look at it again", view.Version, change.Version)
 	}
-	head := storage.PolicyHead{Version: view.Version + 1}
-	// Every change demands the head's stamp and moves it, so no other change of
-	// any of these records, late or from elsewhere, can come between.
-	txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.PolicyHeadKey, Version: view.HeadRevision}},
-		Then: []protocol.Change{{Put: storage.PolicyHeadKey, Value: storage.Encode(head)}}}
-	for i := range ch.PutRoles {
-		txn.Then = append(txn.Then, protocol.Change{Put: storage.RoleKey(ch.PutRoles[i].Name), Value: storage.Encode(&ch.PutRoles[i])})
+	if size, limit := change.Size(), s.policyChangeLimit(); size > limit {
+		return apierror.Newf(http.StatusUnprocessableEntity, "changes %d records, at most %d at a time; split it", size, limit)
 	}
-	for i := range ch.PutIdentities {
-		txn.Then = append(txn.Then, protocol.Change{Put: storage.IdentityKey(ch.PutIdentities[i].Name), Value: storage.Encode(&ch.PutIdentities[i])})
+	if _, err := rights.Apply(view.Document, change); err != nil {
+		return apierror.Invalid(http.StatusUnprocessableEntity, err)
 	}
-	for _, name := range ch.DropRoles {
+	return nil
+}
+
+// policyTransaction is the transaction of a change of the policy. Every change is conditional
+// on the head's revision and writes the head, so no other change of any of these records,
+// late or from elsewhere, can come between.
+func policyTransaction(view *auth.PolicyView, next storage.PolicyHead, change *rights.Change) *protocol.Transaction {
+	txn := &protocol.Transaction{
+		If:   []protocol.Condition{{Key: storage.PolicyHeadKey, Version: view.HeadRevision}},
+		Then: []protocol.Change{{Put: storage.PolicyHeadKey, Value: storage.Encode(next)}},
+	}
+	for i := range change.PutRoles {
+		role := &change.PutRoles[i]
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.RoleKey(role.Name), Value: storage.Encode(role)})
+	}
+	for i := range change.PutIdentities {
+		id := &change.PutIdentities[i]
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.IdentityKey(id.Name), Value: storage.Encode(id)})
+	}
+	for _, name := range change.DropRoles {
 		txn.Then = append(txn.Then, protocol.Change{Delete: storage.RoleKey(name)})
 	}
-	for _, name := range ch.DropIdentities {
+	for _, name := range change.DropIdentities {
 		txn.Then = append(txn.Then, protocol.Change{Delete: storage.IdentityKey(name)})
 	}
+	return txn
+}
+
+// checkPolicyRecordSizes refuses records that are larger than the state service takes.
+func (s *Server) checkPolicyRecordSizes(txn *protocol.Transaction) error {
 	for _, change := range txn.Then {
 		if len(change.Value) == 0 {
 			continue
 		}
-		if size, limit := protocol.JSONSize(change.Value), srv.store.ValueBytes(); size > limit {
-			return respond.Refuse(422, fmt.Sprintf("%s takes %d bytes of at most %d; split the role into several", strings.TrimPrefix(change.Put, storage.WatchPrefix), size, limit), 0)
+		if size, limit := protocol.JSONSize(change.Value), s.store.ValueBytes(); size > limit {
+			return apierror.Newf(http.StatusUnprocessableEntity, "%s takes %d bytes of at most %d; split the role into several",
+				strings.TrimPrefix(change.Put, storage.WatchPrefix), size, limit)
 		}
 	}
-	r := srv.auth.AuditRecord(who, "change-policy", rights.Queue{}, "")
-	r.Detail = changeDetail(&ch, head.Version)
-	revision, err := srv.auth.Commit(ctx, txn, r)
-	var conflict *storage.Conflict
-	switch {
-	case errors.As(err, &conflict):
-		return respond.Refuse(409, "the policy was changed by somebody else just now; look at it again", 0)
-	case errors.Is(err, storage.ErrTooLarge):
-		return respond.Refuse(422, "too large for the state service; split it", 0)
-	case err != nil:
-		return respond.Unavailable(err)
-	}
-	srv.loop.Do(func() {
-		if revision <= srv.auth.PolicyRevision() {
-			return // the watch was faster
+	return nil
+}
+
+// applyPolicyChange applies a committed change of the policy, unless the watch has brought
+// it already.
+func (s *Server) applyPolicyChange(txn *protocol.Transaction, revision uint64) {
+	s.loop.Do(func() {
+		if revision <= s.auth.PolicyRevision() {
+			return
 		}
 		for _, change := range txn.Then {
-			srv.watcher.ApplyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
+			s.watcher.ApplyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
 		}
-		srv.auth.PublishPolicy(srv.RecordsAsOf)
+		s.auth.PublishPolicy(s.RecordsAsOf)
 	})
-	return transport.Response{Status: 200, Body: protocol.Encode(rights.Version{Version: head.Version, MaxChanges: srv.policyChangeLimit()})}
 }
 
-// changeDetail says in words what a change of the policy was.
-func changeDetail(ch *rights.Change, version uint64) string {
-	parts := []string{fmt.Sprintf("version %d", version)}
-	add := func(what string, names []string) {
-		if len(names) == 0 {
-			return
-		}
-		text := strings.Join(names[:min(len(names), 12)], " ")
-		if len(names) > 12 {
-			text += fmt.Sprintf(" and %d more", len(names)-12)
-		}
-		parts = append(parts, what+" "+text)
-	}
-	var roles, ids, revoked, voided []string
-	for _, r := range ch.PutRoles {
-		roles = append(roles, r.Name)
+// changeDetail is the text that the audit has of a change of the policy.
+func changeDetail(change *rights.Change, version uint64) string {
+	var roles, identities, revoked, voided []string
+	for _, role := range change.PutRoles {
+		roles = append(roles, role.Name)
 	}
-	for _, id := range ch.PutIdentities {
+	for _, id := range change.PutIdentities {
 		text := id.Name + "=" + strings.Join(id.Roles, "+")
 		switch {
 		case id.Revoked:
@@ -109,63 +143,76 @@
 		case id.TokensFromMS > 0:
 			voided = append(voided, text)
 		default:
-			ids = append(ids, text)
+			identities = append(identities, text)
+		}
+	}
+	details := []string{fmt.Sprintf("version %d", version)}
+	for _, list := range []struct {
+		action string
+		names  []string
+	}{
+		{"put roles", roles},
+		{"put", identities},
+		{"put with tokens voided", voided},
+		{"revoked", revoked},
+		{"dropped roles", change.DropRoles},
+		{"dropped", change.DropIdentities},
+	} {
+		if len(list.names) > 0 {
+			details = append(details, list.action+" "+joinSome(list.names))
 		}
 	}
-	add("put roles", roles)
-	add("put", ids)
-	add("put with tokens voided", voided)
-	add("revoked", revoked)
-	add("dropped roles", ch.DropRoles)
-	add("dropped", ch.DropIdentities)
-	detail := strings.Join(parts, "; ")
-	return detail[:min(len(detail), 500)]
+	detail := strings.Join(details, "; ")
+	return detail[:min(len(detail), maxDetail)]
 }
 
-// policyPage is how many records an answer holds, and policyBody its size.
-const policyPage = 200
-
-const policyBody = 48 << 10
+// joinSome lists the first names, and says how many more there are.
+func joinSome(names []string) string {
+	text := strings.Join(names[:min(len(names), maxDetailNames)], " ")
+	if len(names) > maxDetailNames {
+		text += fmt.Sprintf(" and %d more", len(names)-maxDetailNames)
+	}
+	return text
+}
 
-// showPolicy answers with a page of the policy.
-func (srv *Server) showPolicy(who *auth.Caller, req *transport.Request) transport.Response {
-	q, err := url.ParseQuery(req.Query)
+// showPolicy answers with a page of the policy, of the records that come after a name.
+func (s *Server) showPolicy(_ context.Context, req request) (transport.Response, error) {
+	query, err := url.ParseQuery(req.Query)
 	if err != nil {
-		return respond.Refuse(400, "bad query", 0)
-	}
-	view := srv.auth.Policy()
-	answer := rights.Page{Version: view.Version, MaxChanges: srv.policyChangeLimit()}
-	size := 0
-	fits := func(v any) bool {
-		size += protocol.JSONSize(protocol.Encode(v))
-		return size <= policyBody
+		return transport.Response{}, errBadQuery
 	}
+	view, after := s.auth.Policy(), query.Get("after")
+	page := rights.Page{Version: view.Version, MaxChanges: s.policyChangeLimit()}
 	switch req.Path {
 	case "/policy/roles":
-		for _, r := range view.Document.Roles {
-			if r.Name <= q.Get("after") {
-				continue
-			}
-			if len(answer.Roles) > 0 && (len(answer.Roles) >= policyPage || !fits(r)) {
-				answer.More = true
-				break
-			}
-			answer.Roles = append(answer.Roles, r)
-		}
+		page.Roles, page.More = pageOf(view.Document.Roles, after, func(role *rights.Role) string { return role.Name })
 	case "/policy/identities":
-		for _, id := range view.Document.Identities {
-			if id.Name <= q.Get("after") {
-				continue
+		page.Identities, page.More = pageOf(view.Document.Identities, after, func(id *rights.Identity) string { return id.Name })
+	default:
+		return transport.Response{}, errNoSuchPath
+	}
+	s.auth.NoteRead(req.caller, verbReadPolicy, rights.Queue{}, "")
+	return success(http.StatusOK, page), nil
+}
+
+// pageOf returns as many of the records that come after a name as an answer may hold, at
+// least one, and whether there are more. Records are sorted by name. The first record of a
+// page does not count against the size.
+func pageOf[Record any](records []Record, after string, name func(*Record) string) (page []Record, more bool) {
+	size := 0
+	for i := range records {
+		if name(&records[i]) <= after {
+			continue
+		}
+		if len(page) > 0 {
+			if len(page) >= maxPolicyRecords {
+				return page, true
 			}
-			if len(answer.Identities) > 0 && (len(answer.Identities) >= policyPage || !fits(id)) {
-				answer.More = true
-				break
+			if size += protocol.JSONSize(protocol.Encode(records[i])); size > maxPolicyBody {
+				return page, true
 			}
-			answer.Identities = append(answer.Identities, id)
 		}
-	default:
-		return respond.Refuse(404, "no such path", 0)
+		page = append(page, records[i])
 	}
-	srv.auth.NoteRead(who, "read-policy", rights.Queue{}, "")
-	return transport.Response{Status: 200, Body: protocol.Encode(answer)}
+	return page, false
 }
--- a/internal/coordination/api/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -4,217 +4,209 @@
 	"context"
 	"errors"
 	"fmt"
-	"slices"
-	"strings"
-	"sync"
+	"net/http"
 	"time"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
+const (
+	// conditionsPerChange is how many conditions a transaction may have for each change that
+	// it may have.
+	conditionsPerChange = 4
+	// otherReassignConditions are the conditions of a reassignment that are not on run
+	// records: the final record, the successor's record, and the audit's batch.
+	otherReassignConditions = 3
+)
+
+// reassignment is a job that is about to be moved to another queue.
+type reassignment struct {
+	id       string
+	from, to rights.Queue
+	// partition has the job's run records.
+	partition int
+	// spec is the job's, successor that of the job which replaces it.
+	spec, successor *protocol.JobSpec
+	// value is the successor's record.
+	value []byte
+}
+
 // reassign moves a job that has not started to another queue. A job's record is
 // never rewritten, and a controller of the former version must not run it where
-// it was: so in one transaction the job is withdrawn and its successor, under a
+// it was: so in one transaction the job is cancelled and its successor, under a
 // new id, is accepted. That none of its tasks was started is a condition on its
 // run records: every start is written there first.
-func (srv *Server) reassign(ctx context.Context, who *auth.Caller, id string, req *transport.Request) transport.Response {
-	from, refusal := srv.auth.AuthorizeJob(ctx, who, rights.Reassign, id)
-	if refusal != nil {
-		return *refusal
+func (s *Server) reassign(ctx context.Context, req request) (transport.Response, error) {
+	move, err := s.prepareReassignment(ctx, req)
+	if err != nil {
+		return transport.Response{}, err
+	}
+	record := s.auth.AuditRecord(req.caller, verbReassign, move.from, move.id)
+	record.Detail = fmt.Sprintf("to team %s, class %s as %s", auth.Clip(move.to.Team), auth.Clip(move.to.Class), move.successor.ID)
+	_, err = s.auth.Commit(ctx, move.transaction(time.Now()), record)
+	var conflict *storage.Conflict
+	switch {
+	case errors.As(err, &conflict):
+		return s.answerConflictingReassignment(ctx, move.id, move.successor.ID)
+	case errors.Is(err, storage.ErrTooLarge):
+		return transport.Response{}, apierror.New(http.StatusUnprocessableEntity, "too large for the state service; withdraw it and submit it again")
+	case err != nil:
+		return transport.Response{}, err
+	}
+	s.loop.Do(func() {
+		s.jobs.SetFinal(move.id, protocol.StatusWithdrawn, time.Now())
+		s.jobs.ApplyJobRecord(move.successor.ID, move.value)
+	})
+	return success(http.StatusOK, protocol.JobStatus{ID: move.successor.ID, Status: protocol.StatusQueued}), nil
+}
+
+// prepareReassignment checks everything of a reassignment that can be checked before the
+// transaction.
+func (s *Server) prepareReassignment(ctx context.Context, req request) (*reassignment, error) {
+	from, err := s.auth.AuthorizeJob(ctx, req.caller, rights.Reassign, req.job)
+	if err != nil {
+		return nil, err
+	}
+	body, err := decodeReassignment(req, from)
+	if err != nil {
+		return nil, err
+	}
+	to := rights.Queue{Team: body.Team, Class: body.Class}
+	if !s.auth.Allows(req.caller, rights.Reassign, to) {
+		return nil, s.auth.Deny(req.caller, verbReassign, to, req.job, "may not move jobs to this queue")
 	}
-	var body protocol.Reassignment
-	if err := protocol.Decode(req.Body, &body); err != nil {
-		return respond.Refuse(400, respond.FirstLine(err), 0)
+	spec, err := s.readSpec(ctx, req.job)
+	if err != nil {
+		return nil, err
 	}
-	if !protocol.ValidID(body.As) || body.As == id {
-		return respond.Refuse(400, "as: the successor needs an id of its own", 0)
+	successor := *spec
+	successor.ID, successor.Team, successor.Class, successor.Replaces = body.As, to.Team, to.Class, req.job
+	move := &reassignment{id: req.job, from: from, to: to, spec: spec, successor: &successor}
+	if reason := s.checkReassignable(move); reason != "" {
+		return nil, apierror.New(http.StatusUnprocessableEntity, reason)
+	}
+	move.value = storage.Encode(&successor)
+	return move, nil
+}
+
+// decodeReassignment reads the body of a reassignment. The class is the job's own unless
+// another one is named.
+func decodeReassignment(req request, from rights.Queue) (*protocol.Reassignment, error) {
+	body := new(protocol.Reassignment)
+	if err := protocol.Decode(req.Body, body); err != nil {
+		return nil, apierror.Invalid(http.StatusBadRequest, err)
+	}
+	if !protocol.ValidID(body.As) || body.As == req.job {
+		return nil, apierror.New(http.StatusBadRequest, "as: the successor needs an id of its own")
 	}
 	if body.Team == "" {
-		return respond.Refuse(400, "owner: the new team is missing", 0)
+		return nil, apierror.New(http.StatusBadRequest, "owner: the new team is missing")
 	}
 	if body.Class == "" {
 		body.Class = from.Class
 	}
-	to := rights.Queue{Team: body.Team, Class: body.Class}
-	if !srv.auth.Allows(who, rights.Reassign, to) {
-		return *srv.auth.Deny(who, rights.Reassign.String(), to, id, 403, "may not move jobs to this queue")
-	}
-	spec, err := srv.auth.ReadSpec(ctx, nil, id)
-	switch {
-	case errors.Is(err, storage.ErrNotFound):
-		return respond.Refuse(404, "no such job", 0)
-	case err != nil:
-		return respond.Unavailable(err)
-	}
-	part, reason := 0, ""
-	next := *spec
-	next.ID, next.Team, next.Class, next.Replaces = body.As, body.Team, body.Class, id
-	srv.loop.Do(func() {
-		team, ok := srv.TeamIndex[spec.Team]
+	return body, nil
+}
+
+// checkReassignable returns why a job can't be moved, "" if it can, and fills in its
+// partition.
+func (s *Server) checkReassignable(move *reassignment) (reason string) {
+	s.loop.Do(func() {
+		team, ok := s.TeamIndex[move.spec.Team]
 		if !ok {
 			reason = "its team is not in the settings any more"
 			return
 		}
-		part = srv.TeamPartition[team]
-		reason = srv.checkFeasible(&next)
-		if reason == "" && srv.Dependencies.HasDependents(id) {
+		move.partition = s.TeamPartition[team]
+		reason = s.checkFeasible(move.successor)
+		if reason == "" && s.Dependencies.HasDependents(move.id) {
 			reason = "other jobs wait for this one; withdraw and submit the pipeline again"
 		}
 	})
-	chunks := (spec.Tasks + storage.ChunkTasks - 1) / storage.ChunkTasks
-	// The audit's batch takes one condition.
-	if most := 4*srv.store.TxnOps() - 3; reason == "" && chunks > most {
-		reason = fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", most*storage.ChunkTasks)
-	}
 	if reason != "" {
-		return respond.Refuse(422, reason, 0)
+		return reason
 	}
-	final := storage.Final{Status: protocol.StatusWithdrawn, AtMS: time.Now().UnixMilli(), Successor: body.As}
-	value := storage.Encode(&next)
-	txn := &protocol.Transaction{
-		If: []protocol.Condition{{Key: storage.FinalKey(id)}, {Key: storage.JobKey(body.As)}},
-		Then: []protocol.Change{{Put: storage.FinalKey(id), Value: storage.Encode(final)},
-			{Put: storage.JobKey(body.As), Value: value}}}
-	for k := range chunks {
-		txn.If = append(txn.If, protocol.Condition{Key: storage.RunKey(part, id, k)})
-	}
-	r := srv.auth.AuditRecord(who, rights.Reassign.String(), from, id)
-	r.Detail = fmt.Sprintf("to team %s, class %s as %s", auth.Clip(to.Team), auth.Clip(to.Class), body.As)
-	_, err = srv.auth.Commit(ctx, txn, r)
-	var conflict *storage.Conflict
-	switch {
-	case errors.As(err, &conflict):
-		return srv.notReassigned(ctx, id, body.As)
-	case errors.Is(err, storage.ErrTooLarge):
-		return respond.Refuse(422, "too large for the state service; withdraw it and submit it again", 0)
-	case err != nil:
-		return respond.Unavailable(err)
+	if limit := conditionsPerChange*s.store.TxnOps() - otherReassignConditions; move.chunks() > limit {
+		return fmt.Sprintf("has more than %d tasks; withdraw it and submit it again", limit*storage.ChunkTasks)
 	}
-	srv.loop.Do(func() {
-		srv.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now())
-		srv.jobs.ApplyJobRecord(body.As, value)
-	})
-	return statusResponse(200, protocol.JobStatus{ID: body.As, Status: protocol.StatusQueued})
+	return ""
 }
 
-// notReassigned says why a job could not be moved, or that it was already.
-func (srv *Server) notReassigned(ctx context.Context, id, as string) transport.Response {
-	item, err := srv.store.UserGet(ctx, storage.FinalKey(id))
-	var final storage.Final
-	switch {
-	case errors.Is(err, storage.ErrNotFound):
-		if _, err := srv.store.UserGet(ctx, storage.JobKey(as)); err == nil {
-			return respond.Refuse(409, "the id for the successor is taken", 0)
-		}
-		return respond.Refuse(409, "the job has started", 0)
-	case err != nil:
-		return respond.Unavailable(err)
-	case storage.Decode(item.Value, &final) != nil:
-		return respond.Unavailable(storage.ErrUnknown)
-	case final.Successor == as:
-		st, found, err := srv.jobStatus(ctx, as)
-		if err != nil || !found {
-			return respond.Unavailable(errors.Join(storage.ErrUnknown, err))
-		}
-		return statusResponse(200, st)
-	}
-	return respond.Refuse(409, "the job is "+final.Status+" already", 0)
+// chunks is how many run records the job may have.
+func (r *reassignment) chunks() int {
+	return (r.spec.Tasks + storage.ChunkTasks - 1) / storage.ChunkTasks
 }
 
-// Of a sweep: how many jobs at a time, and for how long.
-const cancelAllLimit = 200
-
-const cancelAllWorkers = 8
-
-const cancelAllTimeout = 3 * time.Second
-
-// cancelAllOf withdraws the unfinished jobs that somebody has submitted, as far as the
-// caller administers their queues. It answers after a while with what is left;
-// the caller asks again.
-func (srv *Server) cancelAllOf(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
-	var body protocol.Sweep
-	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
-		return respond.Refuse(400, "by: whose jobs are to be withdrawn", 0)
-	}
-	type found struct {
-		id    string
-		queue rights.Queue
-	}
-	var jobs []found
-	srv.loop.Do(func() {
-		for id, j := range srv.Jobs {
-			if j.Spec.By == body.By && srv.FinalStates[id] == "" {
-				jobs = append(jobs, found{id, rights.Queue{Team: j.Spec.Team, Class: j.Spec.Class}})
-			}
-		}
-	})
-	answer := protocol.SweepResult{}
-	jobs = slices.DeleteFunc(jobs, func(f found) bool {
-		if who.Service == "" && srv.auth.Allows(who, rights.Administer, f.queue) {
-			return false
-		}
-		answer.NotAllowed++
-		srv.auth.Deny(who, "withdraw-all", f.queue, f.id, 403, "does not administer this queue")
-		return true
-	})
-	slices.SortFunc(jobs, func(a, b found) int { return strings.Compare(a.id, b.id) })
-	ctx, cancel := context.WithTimeout(ctx, cancelAllTimeout)
-	defer cancel()
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	work := make(chan found)
-	for range cancelAllWorkers {
-		wg.Go(func() {
-			for f := range work {
-				r := srv.auth.AuditRecord(who, "withdraw-all", f.queue, f.id)
-				r.Detail = "submitted by " + auth.Clip(body.By)
-				status, err := srv.cancelNow(ctx, f.id, r)
-				mu.Lock()
-				switch {
-				case err != nil:
-					answer.Left++
-				case status == protocol.StatusWithdrawn:
-					answer.Withdrawn++
-				}
-				mu.Unlock()
-			}
-		})
-	}
-	for i, f := range jobs {
-		if i >= cancelAllLimit || ctx.Err() != nil {
-			mu.Lock()
-			answer.Left += len(jobs) - i
-			mu.Unlock()
-			break
-		}
-		work <- f
+// transaction cancels the job and accepts its successor, if no task was started.
+func (r *reassignment) transaction(now time.Time) *protocol.Transaction {
+	final := storage.Final{Status: protocol.StatusWithdrawn, AtMS: now.UnixMilli(), Successor: r.successor.ID}
+	txn := &protocol.Transaction{
+		If: []protocol.Condition{{Key: storage.FinalKey(r.id)}, {Key: storage.JobKey(r.successor.ID)}},
+		Then: []protocol.Change{
+			{Put: storage.FinalKey(r.id), Value: storage.Encode(final)},
+			{Put: storage.JobKey(r.successor.ID), Value: r.value},
+		},
+	}
+	for chunk := range r.chunks() {
+		txn.If = append(txn.If, protocol.Condition{Key: storage.RunKey(r.partition, r.id, chunk)})
 	}
-	close(work)
-	wg.Wait()
-	return transport.Response{Status: 200, Body: protocol.Encode(answer)}
+	return txn
 }
 
-// arguments tells what a job was submitted with.
-func (srv *Server) arguments(ctx context.Context, who *auth.Caller, id string) transport.Response {
-	q, refusal := srv.auth.AuthorizeJob(ctx, who, rights.ViewArguments, id)
-	if refusal != nil {
-		return *refusal
+// answerConflictingReassignment says why a job could not be moved, or that it was already.
+func (s *Server) answerConflictingReassignment(ctx context.Context, id, successor string) (transport.Response, error) {
+	item, err := s.store.UserGet(ctx, storage.FinalKey(id))
+	if errors.Is(err, storage.ErrNotFound) {
+		if _, err := s.store.UserGet(ctx, storage.JobKey(successor)); err == nil {
+			return transport.Response{}, apierror.New(http.StatusConflict, "the id for the successor is taken")
+		}
+		return transport.Response{}, apierror.New(http.StatusConflict, "the job has started")
 	}
-	spec, err := srv.auth.ReadSpec(ctx, nil, id)
-	switch {
-	case errors.Is(err, storage.ErrNotFound):
-		return respond.Refuse(404, "no such job", 0)
-	case err != nil:
-		return respond.Unavailable(err)
+	if err != nil {
+		return transport.Response{}, err
 	}
-	// Looking at arguments is rare and matters: it is recorded by itself.
-	if _, err := srv.auth.Commit(ctx, &protocol.Transaction{}, srv.auth.AuditRecord(who, rights.ViewArguments.String(), q, id)); err != nil {
-		return respond.Unavailable(err)
+	var final storage.Final
+	if err := storage.Decode(item.Value, &final); err != nil {
+		return transport.Response{}, storage.ErrUnknown
+	}
+	if final.Successor != successor {
+		return transport.Response{}, apierror.Newf(http.StatusConflict, "the job is %s already", final.Status)
+	}
+	status, found, err := s.jobStatus(ctx, successor)
+	if err != nil || !found {
+		return transport.Response{}, errors.Join(storage.ErrUnknown, err)
+	}
+	return success(http.StatusOK, status), nil
+}
+
+// arguments answers with what a job was submitted with.
+func (s *Server) arguments(ctx context.Context, req request) (transport.Response, error) {
+	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.ViewArguments, req.job)
+	if err != nil {
+		return transport.Response{}, err
+	}
+	spec, err := s.readSpec(ctx, req.job)
+	if err != nil {
+		return transport.Response{}, err
+	}
+	// Reading arguments is rare and matters: each time has an audit record of its own.
+	record := s.auth.AuditRecord(req.caller, verbViewArguments, queue, req.job)
+	if _, err := s.auth.Commit(ctx, &protocol.Transaction{}, record); err != nil {
+		return transport.Response{}, err
+	}
+	return success(http.StatusOK, spec.Arguments()), nil
+}
+
+// readSpec reads the record of a job that a caller names.
+func (s *Server) readSpec(ctx context.Context, id string) (*protocol.JobSpec, error) {
+	spec, err := s.auth.ReadSpec(ctx, id)
+	if errors.Is(err, storage.ErrNotFound) {
+		return nil, errNoSuchJob
 	}
-	return transport.Response{Status: 200, Body: protocol.Encode(spec.Arguments())}
+	return spec, err
 }
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -3,158 +3,178 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"time"
 
-	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/rights"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
-// jobStatus reads a job's state. Final states come from memory; anything else is
-// read through, since another controller may have told the user more.
-func (srv *Server) jobStatus(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
-	st := protocol.JobStatus{ID: id}
+// minStaleLimit is the least that StaleLimit is.
+const minStaleLimit = 3 * time.Second
+
+// poll answers with a job's state.
+func (s *Server) poll(ctx context.Context, req request) (transport.Response, error) {
+	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.View, req.job)
+	if err != nil {
+		return transport.Response{}, err
+	}
+	status, err := s.lookUpJob(ctx, req.job)
+	if err != nil {
+		return transport.Response{}, err
+	}
+	s.auth.NoteRead(req.caller, verbView, queue, "")
+	return success(http.StatusOK, status), nil
+}
+
+// lookUpJob returns the state of the job that a caller names, or the error that refuses the
+// request.
+func (s *Server) lookUpJob(ctx context.Context, id string) (protocol.JobStatus, error) {
+	if !protocol.ValidID(id) {
+		return protocol.JobStatus{}, errNoSuchJob
+	}
+	status, found, err := s.jobStatus(ctx, id)
+	switch {
+	case err != nil:
+		return protocol.JobStatus{}, err
+	case !found:
+		return protocol.JobStatus{}, errNoSuchJob
+	}
+	return status, nil
+}
+
+// jobStatus returns a job's state and whether there is such a job. Final states come from
+// memory; anything else is read from the state store, since another controller may have told
+// the user more.
+func (s *Server) jobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
+	status.ID = id
 	known := false
-	srv.loop.Do(func() { known = srv.describe(&st) })
-	if st.Ended() {
-		return st, true, nil
+	s.loop.Do(func() { known = s.describe(&status) })
+	switch {
+	case status.Ended():
+		return status, true, nil
+	case s.store.Down():
+		return status, false, storage.ErrRefused
+	case known:
+		return s.knownJobStatus(ctx, status)
 	}
-	if srv.store.Down() {
-		return st, false, storage.ErrRefused
+	return s.unknownJobStatus(ctx, status)
+}
+
+// knownJobStatus reads whether a job that memory has as unfinished has ended.
+func (s *Server) knownJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
+	finalKey := storage.FinalKey(status.ID)
+	unfinished, err := s.store.UserKeyAbsent(ctx, finalKey)
+	if err != nil {
+		return status, false, err
 	}
-	if known {
-		absent, err := srv.store.UserKeyAbsent(ctx, storage.FinalKey(id))
-		if err != nil {
-			return st, false, err
-		}
-		if absent {
-			return srv.unfinished(ctx, st)
-		}
-		item, err := srv.store.UserGet(ctx, storage.FinalKey(id))
-		if err != nil {
-			return st, false, err
-		}
-		srv.loop.Do(func() {
-			srv.jobs.ApplyFinalRecord(id, item.Value)
-			srv.describe(&st)
-		})
-		return st, true, nil
+	if unfinished {
+		return s.unfinishedJobStatus(ctx, status)
 	}
-	list, err := srv.store.UserList(ctx, storage.JobPrefix(id))
+	item, err := s.store.UserGet(ctx, finalKey)
 	if err != nil {
-		return st, false, err
+		return status, false, err
 	}
-	if len(list.Items) == 0 {
-		return st, false, nil
+	s.loop.Do(func() {
+		s.jobs.ApplyFinalRecord(status.ID, item.Value)
+		s.describe(&status)
+	})
+	return status, true, nil
+}
+
+// unknownJobStatus reads the records of a job that memory does not have, and applies them.
+func (s *Server) unknownJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
+	list, err := s.store.UserList(ctx, storage.JobPrefix(status.ID))
+	if err != nil || len(list.Items) == 0 {
+		return status, false, err
 	}
-	srv.loop.Do(func() {
-		for _, it := range list.Items {
-			if it.Key == storage.FinalKey(id) {
-				srv.jobs.ApplyFinalRecord(id, it.Value)
-			}
+	known := false
+	s.loop.Do(func() {
+		s.applyJobRecords(status.ID, list.Items)
+		known = s.describe(&status)
+	})
+	if known && !status.Ended() {
+		return s.unfinishedJobStatus(ctx, status)
+	}
+	return status, known, nil
+}
+
+// applyJobRecords applies the records of a job, the final one first. It runs in the loop.
+func (s *Server) applyJobRecords(id string, items []protocol.Item) {
+	for _, item := range items {
+		if item.Key == storage.FinalKey(id) {
+			s.jobs.ApplyFinalRecord(id, item.Value)
 		}
-		for _, it := range list.Items {
-			if it.Key == storage.JobKey(id) {
-				srv.jobs.ApplyJobRecord(id, it.Value)
-			}
+	}
+	for _, item := range items {
+		if item.Key == storage.JobKey(id) {
+			s.jobs.ApplyJobRecord(id, item.Value)
 		}
-		known = srv.describe(&st)
-	})
-	if known && !st.Ended() {
-		return srv.unfinished(ctx, st)
 	}
-	return st, known, nil
 }
 
 // StaleLimit is how old what this controller knows may be for it to call a job
 // with unfinished dependencies queued: the user of one of them may have been
-// told since that it is withdrawn (22).
-func (srv *Server) StaleLimit() time.Duration {
-	return max(3*time.Second, srv.CancelBound-2*cluster.ClockMargin)
+// told since that it is cancelled (rule 22).
+func (s *Server) StaleLimit() time.Duration {
+	return max(minStaleLimit, s.CancelBound-2*cluster.ClockMargin)
 }
 
-// unfinished answers for a job that is not on record as ended. One that is to
-// be withdrawn, since something that it needs was, is withdrawn first: the
-// answer must come from a record, not from what only this controller knows (23).
-func (srv *Server) unfinished(ctx context.Context, st protocol.JobStatus) (protocol.JobStatus, bool, error) {
+// unfinishedJobStatus returns the state of a job that has no final record. One that is to
+// be cancelled, since something that it depends on was, is cancelled first: the
+// answer must come from a record, not from what only this controller knows (rule 23).
+func (s *Server) unfinishedJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	doomed, stale := false, false
-	srv.loop.Do(func() {
-		j := srv.Jobs[st.ID]
-		doomed = srv.Dependencies.DoomedJobs[st.ID] != nil
-		stale = j != nil && j.Blocked && (time.Since(srv.RecordsAsOf) > srv.StaleLimit() || srv.Dependencies.HasUnseenDependency(st.ID))
+	s.loop.Do(func() {
+		job := s.Jobs[status.ID]
+		doomed = s.Dependencies.DoomedJobs[status.ID] != nil
+		stale = job != nil && job.Blocked && (time.Since(s.RecordsAsOf) > s.StaleLimit() || s.Dependencies.HasUnseenDependency(status.ID))
 	})
 	switch {
 	case doomed:
-		status, err := srv.cancelNow(ctx, st.ID, nil)
-		return protocol.JobStatus{ID: st.ID, Status: status}, err == nil, err
+		final, err := s.cancelNow(ctx, status.ID, nil)
+		return protocol.JobStatus{ID: status.ID, Status: final}, err == nil, err
 	case stale:
-		return st, false, fmt.Errorf("%w: changes not followed", storage.ErrRefused)
+		return status, false, fmt.Errorf("%w: changes not followed", storage.ErrRefused)
 	}
-	return st, true, nil
+	return status, true, nil
 }
 
-// describe fills in what memory knows of a job.
-func (srv *Server) describe(st *protocol.JobStatus) bool {
-	if f := srv.FinalStates[st.ID]; f != "" {
-		st.Status = f
+// describe fills in what memory has of a job, and reports whether it has the job. It runs in
+// the loop.
+func (s *Server) describe(status *protocol.JobStatus) bool {
+	if final := s.FinalStates[status.ID]; final != "" {
+		status.Status = final
 		return true
 	}
-	j := srv.Jobs[st.ID]
-	if j == nil {
+	job := s.Jobs[status.ID]
+	if job == nil {
 		return false
 	}
-	st.Done, st.Running = j.DoneCount, j.RunningCount
-	if !j.Loaded {
-		for _, ps := range srv.Peers {
-			if ps.Summary == nil {
-				continue
-			}
-			for _, jp := range ps.Summary.Jobs {
-				if jp.Id == st.ID {
-					st.Done, st.Running = int(jp.Done), int(jp.Running)
-				}
-			}
-		}
+	status.Done, status.Running = job.DoneCount, job.RunningCount
+	if !job.Loaded {
+		s.describeFromPeers(status)
 	}
-	st.Status = protocol.StatusQueued
-	if st.Running > 0 {
-		st.Status = protocol.StatusRunning
+	status.Status = protocol.StatusQueued
+	if status.Running > 0 {
+		status.Status = protocol.StatusRunning
 	}
 	return true
 }
 
-func (srv *Server) poll(ctx context.Context, who *auth.Caller, id string) transport.Response {
-	q, refused := srv.auth.AuthorizeJob(ctx, who, rights.View, id)
-	if refused != nil {
-		return *refused
-	}
-	st, refusal := srv.lookUpJob(ctx, id)
-	if refusal != nil {
-		return *refusal
-	}
-	srv.auth.NoteRead(who, "view", q, "")
-	return statusResponse(200, st)
-}
-
-// lookUpJob reads the state of the job that a user names, or says why it can't.
-func (srv *Server) lookUpJob(ctx context.Context, id string) (protocol.JobStatus, *transport.Response) {
-	var refusal transport.Response
-	if !protocol.ValidID(id) {
-		refusal = respond.Refuse(404, "no such job", 0)
-		return protocol.JobStatus{}, &refusal
-	}
-	st, found, err := srv.jobStatus(ctx, id)
-	switch {
-	case err != nil:
-		refusal = respond.Unavailable(err)
-	case !found:
-		refusal = respond.Refuse(404, "no such job", 0)
-	default:
-		return st, nil
+// describeFromPeers fills in what another controller's summary has of a job.
+func (s *Server) describeFromPeers(status *protocol.JobStatus) {
+	for _, peer := range s.Peers {
+		if peer.Summary == nil {
+			continue
+		}
+		for _, job := range peer.Summary.Jobs {
+			if job.Id == status.ID {
+				status.Done, status.Running = int(job.Done), int(job.Running)
+			}
+		}
 	}
-	return st, &refusal
 }
