--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -1,69 +1,29 @@
 // Package rights decides what an identity may do on which queue. A queue is a
 // team and a class of jobs. Everything is denied that no rule of one of the
 // identity's roles allows. The package is pure: it knows neither where policies
-// are kept nor how identities are proven.
+// are stored nor how identities are proven.
 package rights
 
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"path"
 	"slices"
-	"strings"
-	"sync"
-	"time"
 
 	"micaspindle/internal/identity"
 )
 
-// Verb is something that a rule may allow; several form a set.
-type Verb uint8
-
-// The verbs.
-const (
-	Submit Verb = 1 << iota
-	View
-	ViewArguments
-	Withdraw
-	Reassign
-	Administer
-	// Vouch lets a service say for whom it asks, where it has seen that somebody's
-	// certificate itself. It gives no right that this one does not hold.
-	Vouch
-)
-
-// Verbs are the names that rules use.
-var verbs = []struct {
-	name string
-	verb Verb
-}{{"submit", Submit}, {"view", View}, {"view-arguments", ViewArguments}, {"withdraw", Withdraw}, {"reassign", Reassign}, {"administer", Administer}, {"vouch", Vouch}}
-
-func (v Verb) String() string {
-	var names []string
-	for _, e := range verbs {
-		if v&e.verb != 0 {
-			names = append(names, e.name)
-		}
-	}
-	return strings.Join(names, ",")
-}
-
-// ParseVerb reads a verb's name.
-func ParseVerb(name string) (Verb, error) {
-	for _, e := range verbs {
-		if e.name == name {
-			return e.verb, nil
-		}
-	}
-	return 0, fmt.Errorf("%q is no verb: submit, view, view-arguments, withdraw, reassign, administer or vouch", clip(name))
-}
-
 // Queue is a team and a class of jobs.
 type Queue struct{ Team, Class string }
 
+// Document is a policy as it is written down.
+type Document struct {
+	Roles      []Role     `msgpack:"roles" yaml:"roles" json:"roles"`
+	Identities []Identity `msgpack:"identities" yaml:"identities" json:"identities"`
+}
+
 // Rule allows verbs on queues: patterns as path.Match knows them, so that "*"
-// stands for any name without a slash.
+// matches any name without a slash.
 type Rule struct {
 	Verbs []string `msgpack:"v" yaml:"allow" json:"allow"`
 	Team  string   `msgpack:"t" yaml:"team" json:"team"`
@@ -88,14 +48,73 @@
 
 // Bounds of a policy.
 const (
-	MaxRoles      = 1000
-	MaxRules      = 1000 // of one role
+	// MaxRoles is how many roles a policy may have.
+	MaxRoles = 1000
+	// MaxRules is how many rules a role may have.
+	MaxRules = 1000
+	// MaxIdentities is how many identities a policy may name.
 	MaxIdentities = 100_000
-	maxText       = 100
+	// maxText bounds names and patterns, in bytes.
+	maxText = 100
+	// maxRolesOfOne is how many roles an identity may have.
 	maxRolesOfOne = 64
+	// maxQuoted bounds what an error quotes of a text, in bytes.
+	maxQuoted = 40
 )
 
-func clip(s string) string { return s[:min(len(s), 40)] }
+// ErrNoAdministrator refuses a policy that nobody could change any more.
+var ErrNoAdministrator = errors.New("nobody would be left who may administer every queue (team \"*\", class \"*\")")
+
+func clip(text string) string { return text[:min(len(text), maxQuoted)] }
+
+// Check says what is wrong with a policy, in one line.
+func (d *Document) Check() error {
+	if len(d.Roles) > MaxRoles || len(d.Identities) > MaxIdentities {
+		return fmt.Errorf("more than %d roles or %d identities", MaxRoles, MaxIdentities)
+	}
+	roles, err := checkRoles(d.Roles)
+	if err != nil {
+		return err
+	}
+	return checkIdentities(d.Identities, roles)
+}
+
+// checkRoles says what is wrong with the roles of a policy, and returns their names.
+func checkRoles(roles []Role) (names map[string]bool, err error) {
+	names = make(map[string]bool, len(roles))
+	for i := range roles {
+		role := &roles[i]
+		if err := role.Check(); err != nil {
+			return nil, err
+		}
+		if names[role.Name] {
+			return nil, fmt.Errorf("role %s stands there twice", role.Name)
+		}
+		names[role.Name] = true
+	}
+	return names, nil
+}
+
+// checkIdentities says what is wrong with the identities of a policy that has so many roles.
+func checkIdentities(identities []Identity, roles map[string]bool) error {
+	names := make(map[string]bool, len(identities))
+	for i := range identities {
+		id := &identities[i]
+		if err := id.Check(); err != nil {
+			return err
+		}
+		if names[id.Name] {
+			return fmt.Errorf("%s stands there twice", id.Name)
+		}
+		names[id.Name] = true
+		for _, role := range id.Roles {
+			if !roles[role] {
+				return fmt.Errorf("%s: there is no role %s", id.Name, role)
+			}
+		}
+	}
+	return nil
+}
 
 // Check says what is wrong with a role.
 func (r *Role) Check() error {
@@ -105,17 +124,25 @@
 	if len(r.Rules) > MaxRules {
 		return fmt.Errorf("role %s: more than %d rules; split it", r.Name, MaxRules)
 	}
-	for i, rule := range r.Rules {
-		if _, err := rule.verbs(); err != nil {
+	for i := range r.Rules {
+		if err := r.Rules[i].check(); err != nil {
 			return fmt.Errorf("role %s: rule %d: %w", r.Name, i+1, err)
 		}
-		for _, pattern := range []string{rule.Team, rule.Class} {
-			if pattern == "" || len(pattern) > maxText {
-				return fmt.Errorf("role %s: rule %d: team and class need a pattern of 1 to %d characters; \"*\" means any", r.Name, i+1, maxText)
-			}
-			if _, err := path.Match(pattern, ""); err != nil {
-				return fmt.Errorf("role %s: rule %d: %q is no pattern", r.Name, i+1, clip(pattern))
-			}
+	}
+	return nil
+}
+
+// check says what is wrong with a rule.
+func (r *Rule) check() error {
+	if _, err := r.parseVerbs(); err != nil {
+		return err
+	}
+	for _, pattern := range []string{r.Team, r.Class} {
+		if pattern == "" || len(pattern) > maxText {
+			return fmt.Errorf("team and class need a pattern of 1 to %d characters; \"*\" means any", maxText)
+		}
+		if _, err := path.Match(pattern, ""); err != nil {
+			return fmt.Errorf("%q is no pattern", clip(pattern))
 		}
 	}
 	return nil
@@ -133,14 +160,15 @@
 	return nil
 }
 
-func (r *Rule) verbs() (Verb, error) {
+// parseVerbs reads the verbs that a rule allows.
+func (r *Rule) parseVerbs() (Verb, error) {
 	var set Verb
 	for _, name := range r.Verbs {
-		v, err := ParseVerb(name)
+		verb, err := ParseVerb(name)
 		if err != nil {
 			return 0, err
 		}
-		set |= v
+		set |= verb
 	}
 	if set == 0 {
 		return 0, errors.New("allows nothing; name at least one verb")
@@ -148,13 +176,23 @@
 	return set, nil
 }
 
-// covers says whether a rule's patterns stand for a queue.
-func (r *Rule) covers(q Queue) bool {
-	team, _ := path.Match(r.Team, q.Team)
-	class, _ := path.Match(r.Class, q.Class)
+// verbSet is what a rule allows that was checked before.
+func (r *Rule) verbSet() Verb {
+	set, _ := r.parseVerbs()
+	return set
+}
+
+// covers reports whether a rule's patterns match a queue.
+func (r *Rule) covers(queue Queue) bool {
+	team, _ := path.Match(r.Team, queue.Team)
+	class, _ := path.Match(r.Class, queue.Class)
 	return team && class
 }
 
+// everywhere reports whether a rule covers every queue: only patterns that match any text
+// count.
+func (r *Rule) everywhere() bool { return r.Team == "*" && r.Class == "*" }
+
 // Check says what is wrong with an identity, apart from the roles it names.
 func (id *Identity) Check() error {
 	name, err := identity.ParseName(id.Name)
@@ -177,279 +215,3 @@
 	}
 	return nil
 }
-
-// Document is a policy as it is written down.
-type Document struct {
-	Roles      []Role     `msgpack:"roles" yaml:"roles" json:"roles"`
-	Identities []Identity `msgpack:"identities" yaml:"identities" json:"identities"`
-}
-
-// Check says what is wrong with a policy, in one line.
-func (d *Document) Check() error {
-	if len(d.Roles) > MaxRoles || len(d.Identities) > MaxIdentities {
-		return fmt.Errorf("more than %d roles or %d identities", MaxRoles, MaxIdentities)
-	}
-	roles, names := map[string]bool{}, map[string]bool{}
-	for i := range d.Roles {
-		if err := d.Roles[i].Check(); err != nil {
-			return err
-		}
-		if roles[d.Roles[i].Name] {
-			return fmt.Errorf("role %s stands there twice", d.Roles[i].Name)
-		}
-		roles[d.Roles[i].Name] = true
-	}
-	for i := range d.Identities {
-		id := &d.Identities[i]
-		if err := id.Check(); err != nil {
-			return err
-		}
-		if names[id.Name] {
-			return fmt.Errorf("%s stands there twice", id.Name)
-		}
-		names[id.Name] = true
-		for _, r := range id.Roles {
-			if !roles[r] {
-				return fmt.Errorf("%s: there is no role %s", id.Name, r)
-			}
-		}
-	}
-	return nil
-}
-
-// ErrNoAdministrator refuses a policy that nobody could change any more.
-var ErrNoAdministrator = errors.New("nobody would be left who may administer every queue (team \"*\", class \"*\")")
-
-// Policy is a policy ready for decisions. It does not change; what it remembers
-// of queues it has seen is bounded. Several goroutines may use it.
-type Policy struct {
-	roles []Role
-	names map[string]uint16
-	ids   map[string]member
-
-	mu     sync.RWMutex
-	queues map[Queue][]Verb // what each role allows
-}
-
-type member struct {
-	roles   []uint16
-	held    Verb // on any queue
-	revoked bool
-	from    int64
-}
-
-// maxQueues bounds the queues that are remembered; a caller may name any.
-const maxQueues = 4096
-
-// Compile makes a policy of a checked document.
-func Compile(d *Document) *Policy {
-	p := &Policy{roles: d.Roles, names: make(map[string]uint16, len(d.Roles)), ids: make(map[string]member, len(d.Identities)), queues: map[Queue][]Verb{}}
-	held := make([]Verb, len(d.Roles))
-	for i := range d.Roles {
-		p.names[d.Roles[i].Name] = uint16(i)
-		for j := range d.Roles[i].Rules {
-			v, _ := d.Roles[i].Rules[j].verbs() // checked before
-			held[i] |= v
-		}
-	}
-	for i := range d.Identities {
-		id := &d.Identities[i]
-		m := member{revoked: id.Revoked, from: id.TokensFromMS}
-		for _, name := range id.Roles {
-			// A role that is gone allows nothing.
-			if r, ok := p.names[name]; ok {
-				m.roles = append(m.roles, r)
-				m.held |= held[r]
-			}
-		}
-		p.ids[id.Name] = m
-	}
-	return p
-}
-
-// Known says whether the policy names an identity that is not revoked.
-func (p *Policy) Known(name string) bool {
-	m, ok := p.ids[name]
-	return ok && !m.revoked
-}
-
-// Voids says whether a token of an identity, issued at a time, is void.
-func (p *Policy) Voids(name string, issued time.Time) bool {
-	return issued.UnixMilli() < p.ids[name].from
-}
-
-// HoldsAny says whether an identity holds a verb on any queue at all.
-func (p *Policy) HoldsAny(name string, v Verb) bool {
-	m := p.ids[name]
-	return !m.revoked && m.held&v != 0
-}
-
-// Allows says whether an identity holds a verb on a queue.
-func (p *Policy) Allows(name string, v Verb, q Queue) bool {
-	m, ok := p.ids[name]
-	if !ok || m.revoked || m.held&v == 0 {
-		return false
-	}
-	p.mu.RLock()
-	masks, seen := p.queues[q]
-	p.mu.RUnlock()
-	if !seen {
-		masks = p.masks(q)
-	}
-	for _, r := range m.roles {
-		if masks[r]&v != 0 {
-			return true
-		}
-	}
-	return false
-}
-
-// masks works out what each role allows on a queue, and remembers it.
-func (p *Policy) masks(q Queue) []Verb {
-	masks := make([]Verb, len(p.roles))
-	for i := range p.roles {
-		for j := range p.roles[i].Rules {
-			if rule := &p.roles[i].Rules[j]; rule.covers(q) {
-				v, _ := rule.verbs()
-				masks[i] |= v
-			}
-		}
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.queues) < maxQueues {
-		p.queues[q] = masks
-	}
-	return masks
-}
-
-// everywhere is the queue of all queues: only patterns that stand for
-// everything cover it.
-func (r *Rule) everywhere() bool { return r.Team == "*" && r.Class == "*" }
-
-// AllowsEverywhere says whether an identity holds a verb on every queue, by one
-// rule with "*" for team and class.
-func (p *Policy) AllowsEverywhere(name string, v Verb) bool {
-	m := p.ids[name]
-	if m.revoked || m.held&v == 0 {
-		return false
-	}
-	for _, r := range m.roles {
-		for j := range p.roles[r].Rules {
-			if rule := &p.roles[r].Rules[j]; rule.everywhere() {
-				if set, _ := rule.verbs(); set&v != 0 {
-					return true
-				}
-			}
-		}
-	}
-	return false
-}
-
-// Administered says whether anybody is left who may change the policy.
-func (p *Policy) Administered() bool {
-	for name := range p.ids {
-		if p.AllowsEverywhere(name, Administer) {
-			return true
-		}
-	}
-	return false
-}
-
-// Change is what an administrator asks to be changed, at once.
-type Change struct {
-	// Version is the policy's version that the change is meant for.
-	Version        uint64     `msgpack:"version" json:"version"`
-	PutRoles       []Role     `msgpack:"put_roles" json:"put_roles,omitempty"`
-	DropRoles      []string   `msgpack:"drop_roles" json:"drop_roles,omitempty"`
-	PutIdentities  []Identity `msgpack:"put_identities" json:"put_identities,omitempty"`
-	DropIdentities []string   `msgpack:"drop_identities" json:"drop_identities,omitempty"`
-}
-
-// Size is how many records the change touches.
-func (ch *Change) Size() int {
-	return len(ch.PutRoles) + len(ch.DropRoles) + len(ch.PutIdentities) + len(ch.DropIdentities)
-}
-
-// Apply returns the policy with a change made, or says why it can't be.
-func Apply(d *Document, ch *Change) (*Document, error) {
-	roles := make(map[string]Role, len(d.Roles))
-	for _, r := range d.Roles {
-		roles[r.Name] = r
-	}
-	ids := make(map[string]Identity, len(d.Identities))
-	for _, id := range d.Identities {
-		ids[id.Name] = id
-	}
-	if ch.Size() == 0 {
-		return nil, errors.New("nothing is to be changed")
-	}
-	touched := map[string]bool{}
-	touch := func(key string) error {
-		if touched[key] {
-			return fmt.Errorf("%s is changed twice", key)
-		}
-		touched[key] = true
-		return nil
-	}
-	for _, r := range ch.PutRoles {
-		if err := touch("role " + clip(r.Name)); err != nil {
-			return nil, err
-		}
-		roles[r.Name] = r
-	}
-	for _, name := range ch.DropRoles {
-		if err := touch("role " + clip(name)); err != nil {
-			return nil, err
-		}
-		if _, ok := roles[name]; !ok {
-			return nil, fmt.Errorf("there is no role %q", clip(name))
-		}
-		delete(roles, name)
-	}
-	for _, id := range ch.PutIdentities {
-		if err := touch(clip(id.Name)); err != nil {
-			return nil, err
-		}
-		ids[id.Name] = id
-	}
-	for _, name := range ch.DropIdentities {
-		if err := touch(clip(name)); err != nil {
-			return nil, err
-		}
-		if _, ok := ids[name]; !ok {
-			return nil, fmt.Errorf("there is no identity %q", clip(name))
-		}
-		delete(ids, name)
-	}
-	next := &Document{}
-	for _, name := range slices.Sorted(maps.Keys(roles)) {
-		next.Roles = append(next.Roles, roles[name])
-	}
-	for _, name := range slices.Sorted(maps.Keys(ids)) {
-		next.Identities = append(next.Identities, ids[name])
-	}
-	if err := next.Check(); err != nil {
-		return nil, err
-	}
-	if !Compile(next).Administered() {
-		return nil, ErrNoAdministrator
-	}
-	return next, nil
-}
-
-// Version is the answer to a change.
-type Version struct {
-	Version uint64 `msgpack:"version"`
-	// MaxChanges is how many records one change may touch.
-	MaxChanges int `msgpack:"max_changes"`
-}
-
-// Page is a page of the policy.
-type Page struct {
-	Version    uint64     `msgpack:"version"`
-	MaxChanges int        `msgpack:"max_changes"`
-	Roles      []Role     `msgpack:"roles"`
-	Identities []Identity `msgpack:"identities"`
-	More       bool       `msgpack:"more"`
-}
