--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,6 +1,6 @@
-// Package identity says who somebody is: names, the certificates and signed
-// tokens that prove them, and the files that this process's own proof and its
-// roots of trust are read from. It does not know what anybody may do.
+// Package identity authenticates: names, the certificates and signed tokens that
+// prove them, and the files that this process's own credentials and its roots of
+// trust are read from. It does not know what anybody may do.
 package identity
 
 import (
@@ -28,15 +28,23 @@
 	ID   string
 }
 
+// String is KIND/ID.
 func (n Name) String() string { return string(n.Kind) + "/" + n.ID }
 
-// IsZero says whether there is no name.
+// IsZero reports whether there is no name.
 func (n Name) IsZero() bool { return n.Kind == "" }
 
-// Caller says whether the identity is one that sends users' requests.
+// Caller reports whether the identity is one that sends users' requests.
 func (n Name) Caller() bool { return n.Kind == Person || n.Kind == Service }
 
-const maxName = 100
+const (
+	// maxName bounds ids, in bytes.
+	maxName = 100
+	// maxQuoted bounds what an error quotes of a text, in bytes.
+	maxQuoted = 40
+	// uriScheme is that of the names in certificates.
+	uriScheme = "spindle"
+)
 
 // ParseName reads KIND/ID.
 func ParseName(text string) (Name, error) {
@@ -60,24 +68,22 @@
 	return Name{Kind(kind), id}, nil
 }
 
-func clip(s string) string { return s[:min(len(s), 40)] }
-
-const scheme = "spindle"
+func clip(text string) string { return text[:min(len(text), maxQuoted)] }
 
 // URI is the name as a certificate carries it.
 func (n Name) URI() *url.URL {
-	return &url.URL{Scheme: scheme, Host: string(n.Kind), Path: "/" + n.ID}
+	return &url.URL{Scheme: uriScheme, Host: string(n.Kind), Path: "/" + n.ID}
 }
 
 // FromCertificate reads the name that a certificate proves. The caller has
 // verified the certificate.
 func FromCertificate(cert *x509.Certificate) (Name, error) {
 	var found Name
-	for _, u := range cert.URIs {
-		if u.Scheme != scheme {
+	for _, uri := range cert.URIs {
+		if uri.Scheme != uriScheme {
 			continue
 		}
-		name, err := ParseName(u.Host + u.Path)
+		name, err := ParseName(uri.Host + uri.Path)
 		if err != nil {
 			return Name{}, err
 		}
