--- /dev/null
+++ b/internal/audit/keys.go
@@ -0,0 +1,40 @@
+package audit
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Keys of the audit, outside of what controllers watch.
+const (
+	// Prefix is that of all of them.
+	Prefix       = "a/"
+	batchPrefix  = Prefix + "r/"
+	headPrefix   = Prefix + "h/"
+	signerPrefix = Prefix + "k/"
+)
+
+// BatchPrefix is the prefix of the keys of a chain's batches.
+func BatchPrefix(chain string) string { return batchPrefix + chain + "/" }
+
+// BatchKey is the key of a batch; keys sort as numbers do.
+func BatchKey(chain string, number uint64) string {
+	return fmt.Sprintf("%s%016d", BatchPrefix(chain), number)
+}
+
+// ParseBatchKey reads a batch's chain and number.
+func ParseBatchKey(key string) (chain string, number uint64, ok bool) {
+	rest, ok := strings.CutPrefix(key, batchPrefix)
+	slash := strings.LastIndexByte(rest, '/')
+	if !ok || slash <= 0 {
+		return "", 0, false
+	}
+	number, err := strconv.ParseUint(rest[slash+1:], 10, 64)
+	return rest[:slash], number, err == nil
+}
+
+func headKey(chain string) string { return headPrefix + chain }
+
+// signerKey is the key of a signer's certificate, by its fingerprint.
+func signerKey(fingerprint string) string { return signerPrefix + fingerprint }
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -4,7 +4,6 @@
 	"context"
 	"crypto/sha256"
 	"crypto/x509"
-	"encoding/base64"
 	"encoding/json"
 	"fmt"
 	"strings"
@@ -13,7 +12,7 @@
 	"micaspindle/internal/storage"
 )
 
-// Numbered is a batch with its place.
+// Numbered is a batch with its place in the chains.
 type Numbered struct {
 	Chain  string `msgpack:"chain"`
 	Number uint64 `msgpack:"number"`
@@ -49,23 +48,18 @@
 	return verifySum(sealSum(s.Text, s.Signer), s.Sig, cert)
 }
 
-func sealSum(text, signer string) [32]byte {
-	return sha256.Sum256([]byte("micaspindle audit seal 1\n" + signer + "\n" + text))
+// sealDomain begins what the signature of a seal is over.
+const sealDomain = "micaspindle audit seal 1"
+
+func sealSum(text, signer string) [sha256.Size]byte {
+	return sha256.Sum256([]byte(sealDomain + "\n" + signer + "\n" + text))
 }
 
 // Seal reads the ends of all chains and signs them.
 func (l *Log) Seal(ctx context.Context) (*Seal, error) {
-	body := Sealed{At: time.Now().UTC(), By: l.chain, Chains: []ChainEnd{}}
-	err := l.all(ctx, headPrefix, headPrefix, func(key string, raw []byte) error {
-		chain := strings.TrimPrefix(key, headPrefix)
-		number, hash, err := l.end(ctx, chain, raw)
-		if err != nil {
-			return err
-		}
-		body.Chains = append(body.Chains, ChainEnd{chain, number, hash})
-		return nil
-	})
-	if err != nil {
+	body := Sealed{At: time.Now().UTC(), By: l.chain}
+	var err error
+	if body.Chains, err = l.chainEnds(ctx); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(body)
@@ -74,61 +68,40 @@
 	}
 	signer := l.signer()
 	seal := &Seal{Text: string(text), Signer: signer.ID}
-	if seal.Sig, err = sign(signer, sealSum(seal.Text, seal.Signer)); err != nil {
+	if seal.Sig, err = signSum(signer, sealSum(seal.Text, seal.Signer)); err != nil {
 		return nil, err
 	}
-	own := base64.StdEncoding.EncodeToString(signer.Cert.Raw)
-	seal.Signers = []string{own}
-	err = l.all(ctx, signerPrefix, signerPrefix, func(_ string, raw []byte) error {
-		var rec signerRecord
-		if err := storage.Decode(raw, &rec); err != nil {
-			return err
-		}
-		if rec.Cert != own {
-			seal.Signers = append(seal.Signers, rec.Cert)
-		}
-		return nil
-	})
+	seal.Signers, err = l.signers(ctx, signer.record())
 	return seal, err
 }
 
-// all hands over everything under a prefix that comes after a key.
-func (l *Log) all(ctx context.Context, prefix, after string, f func(key string, raw []byte) error) error {
-	for {
-		list, err := l.store.Page(ctx, prefix, after, 50)
+// chainEnds lists the ends of all chains.
+func (l *Log) chainEnds(ctx context.Context) ([]ChainEnd, error) {
+	ends := []ChainEnd{}
+	err := l.scan(ctx, headPrefix, headPrefix, func(key string, raw []byte) error {
+		chain := strings.TrimPrefix(key, headPrefix)
+		number, hash, err := l.findEnd(ctx, chain, raw)
 		if err != nil {
 			return err
 		}
-		for _, it := range list.Items {
-			if err := f(it.Key, it.Value); err != nil {
-				return err
-			}
-			after = it.Key
-		}
-		if !list.More {
-			return nil
-		}
-	}
+		ends = append(ends, ChainEnd{chain, number, hash})
+		return nil
+	})
+	return ends, err
 }
 
-// Batches reads batches of a chain that come after a number, as many as an
-// answer may hold.
-func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]Numbered, error) {
-	list, err := l.store.Page(ctx, BatchPrefix(chain), BatchKey(chain, after), 50)
-	if err != nil {
-		return nil, err
-	}
-	var out []Numbered
-	for _, it := range list.Items {
-		var b Batch
-		_, number, ok := ParseBatchKey(it.Key)
-		if err := storage.Decode(it.Value, &b); err != nil || !ok {
-			return nil, fmt.Errorf("audit: %s can't be read", it.Key)
+// signers lists the certificates of all signers, base64, this controller's own first.
+func (l *Log) signers(ctx context.Context, own signerRecord) ([]string, error) {
+	certs := []string{own.Cert}
+	err := l.scan(ctx, signerPrefix, signerPrefix, func(_ string, raw []byte) error {
+		var record signerRecord
+		if err := storage.Decode(raw, &record); err != nil {
+			return err
 		}
-		if size -= len(it.Value) + 64; size < 0 && len(out) > 0 {
-			break
+		if record.Cert != own.Cert {
+			certs = append(certs, record.Cert)
 		}
-		out = append(out, Numbered{chain, number, b})
-	}
-	return out, nil
+		return nil
+	})
+	return certs, err
 }
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// tally gathers what is too frequent to be recorded one by one: refusals and
-// looks. Equal ones are counted, and the more different ones come, the less a
-// count tells them apart: first by job, then by identity, then only by verb and
-// reason. So a flood takes a bounded number of lines and the counts still add up.
+// tally gathers what is too frequent to be recorded one by one: denials and
+// reads. Equal ones are counted, and the more different ones come, the less a
+// count tells them apart: first by everything, then by identity and verb, then only by
+// verb and reason. So a flood takes a bounded number of lines and the counts still add up.
 type tally struct {
 	mu     sync.Mutex
 	counts map[tallyKey]*Record
@@ -20,12 +20,15 @@
 type tallyKey struct{ who, how, verb, team, class, job, outcome, reason string }
 
 const (
-	fullTally   = 64  // up to here, records are told apart by everything
-	coarseTally = 128 // up to here, by identity and verb
-	others      = "(others)"
+	// maxDetailed is up to how many counts records are told apart by everything.
+	maxDetailed = 64
+	// maxByIdentity is up to how many counts they are told apart by identity and verb.
+	maxByIdentity = 128
+	// others stands for the identities that are not told apart.
+	others = "(others)"
 )
 
-// add counts a record in.
+// add counts a record.
 func (t *tally) add(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,39 +38,43 @@
 	if len(t.counts) == 0 {
 		t.since = r.At
 	}
-	k := tallyKey{r.Who, r.How, r.Verb, r.Team, r.Class, r.Job, r.Outcome, r.Reason}
-	if t.counts[k] == nil && len(t.counts) >= fullTally {
+	key := tallyKey{r.Who, r.How, r.Verb, r.Team, r.Class, r.Job, r.Outcome, r.Reason}
+	if t.counts[key] == nil && len(t.counts) >= maxDetailed {
 		r.Team, r.Class, r.Job, r.Detail = "", "", "", ""
-		k = tallyKey{who: r.Who, how: r.How, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
+		key = tallyKey{who: r.Who, how: r.How, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
 	}
-	if t.counts[k] == nil && len(t.counts) >= coarseTally {
+	if t.counts[key] == nil && len(t.counts) >= maxByIdentity {
 		r.Who, r.How, r.From = others, "", ""
-		k = tallyKey{who: others, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
+		key = tallyKey{who: others, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
 	}
-	n := max(1, r.Count)
-	if have := t.counts[k]; have != nil {
-		have.Count += n
-		last := r.At
-		if r.Until != nil {
-			last = *r.Until
-		}
-		have.Until = &last
+	r.Count = max(1, r.Count)
+	if counted := t.counts[key]; counted != nil {
+		counted.merge(&r)
 		return
 	}
-	r.Count = n
-	t.counts[k] = &r
+	t.counts[key] = &r
 }
 
-// drain takes everything out.
+// merge counts a later record that is equal.
+func (r *Record) merge(later *Record) {
+	r.Count += later.Count
+	last := later.At
+	if later.Until != nil {
+		last = *later.Until
+	}
+	r.Until = &last
+}
+
+// drain removes and returns everything.
 func (t *tally) drain() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Record, 0, len(t.counts))
-	for _, r := range t.counts {
-		out = append(out, *r)
+	records := make([]Record, 0, len(t.counts))
+	for _, record := range t.counts {
+		records = append(records, *record)
 	}
 	t.counts = nil
-	return out
+	return records
 }
 
 // oldest says how long the oldest record has waited.
