--- /dev/null
+++ b/internal/audit/archive/export.go
@@ -0,0 +1,123 @@
+package archive
+
+import (
+	"bufio"
+	"context"
+	"crypto/x509"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"micaspindle/internal/audit"
+	"micaspindle/internal/identity"
+)
+
+// Fetch returns batches of a chain that come after a number.
+type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error)
+
+// Export writes everything up to a seal: a head, the signers, the batches of
+// each chain, and the seal at the end. progress is told how many batches are done.
+func Export(ctx context.Context, w io.Writer, seal *audit.Seal, fetch Fetch, progress func(done, all uint64)) error {
+	var sealed audit.Sealed
+	if err := json.Unmarshal([]byte(seal.Text), &sealed); err != nil {
+		return fmt.Errorf("audit: seal: %w", err)
+	}
+	e := &exporter{out: bufio.NewWriter(w), fetch: fetch, progress: progress}
+	for _, end := range sealed.Chains {
+		e.all += end.Number
+	}
+	if err := e.write(exportHead{exportFormat}); err != nil {
+		return err
+	}
+	if err := e.writeSigners(seal.Signers); err != nil {
+		return err
+	}
+	for _, end := range sealed.Chains {
+		if err := e.writeChain(ctx, end); err != nil {
+			return err
+		}
+	}
+	if err := e.write(exportSeal{json.RawMessage(seal.Text), seal.Signer, seal.Sig}); err != nil {
+		return err
+	}
+	return e.out.Flush()
+}
+
+// exporter writes an export line by line.
+type exporter struct {
+	out      *bufio.Writer
+	fetch    Fetch
+	progress func(done, all uint64)
+	// done of all batches are written.
+	done, all uint64
+}
+
+// write writes a line.
+func (e *exporter) write(v any) error {
+	line, err := json.Marshal(v)
+	if err != nil {
+		return fmt.Errorf("audit: export: %w", err)
+	}
+	_, err = e.out.Write(append(line, '\n'))
+	return err
+}
+
+// writeSigners writes certificates, base64.
+func (e *exporter) writeSigners(certs []string) error {
+	for _, encoded := range certs {
+		cert, err := parseCertificate(encoded)
+		if err != nil {
+			return fmt.Errorf("audit: a signer's certificate can't be read: %w", err)
+		}
+		if err := e.write(exportSigner{identity.Fingerprint(cert), encoded}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func parseCertificate(encoded string) (*x509.Certificate, error) {
+	der, err := base64.StdEncoding.DecodeString(encoded)
+	if err != nil {
+		return nil, err
+	}
+	return x509.ParseCertificate(der)
+}
+
+// writeChain writes the batches of a chain up to its end. If batches are missing it stops
+// there: the verifier will say so.
+func (e *exporter) writeChain(ctx context.Context, end audit.ChainEnd) error {
+	for last := uint64(0); last < end.Number; {
+		batches, err := e.fetch(ctx, end.Chain, last)
+		if err != nil {
+			return err
+		}
+		if len(batches) == 0 {
+			return nil
+		}
+		for i := range batches {
+			batch := &batches[i]
+			if batch.Number > end.Number {
+				last = end.Number
+				break
+			}
+			if err := e.writeBatch(batch); err != nil {
+				return err
+			}
+			last = batch.Number
+			e.done++
+		}
+		e.progress(e.done, e.all)
+	}
+	return nil
+}
+
+func (e *exporter) writeBatch(numbered *audit.Numbered) error {
+	batch := &numbered.Batch
+	lines := make([]json.RawMessage, 0, len(batch.Lines))
+	for _, line := range batch.Lines {
+		lines = append(lines, json.RawMessage(line))
+	}
+	return e.write(exportBatch{numbered.Chain, numbered.Number, batch.Prev, batch.Signer, batch.Sig, lines})
+}
