--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -1,43 +1,41 @@
-// Package overview is how a controller describes itself to operators, and how that
-// is shown on a screen. It asks nobody.
+// Package overview has what a controller tells operators of itself, and formats it for
+// a terminal. It does no requests.
 package overview
 
-import (
-	"cmp"
-	"fmt"
-	"slices"
-	"strings"
-	"time"
+import "micaspindle/internal/telemetry"
 
-	"micaspindle/internal/telemetry"
-)
-
-// View is what one controller says of itself and of the parts that it owns.
+// View is what one controller tells of itself and of the partitions that it leads.
 type View struct {
 	Controller string  `msgpack:"controller" json:"controller"`
 	Zone       string  `msgpack:"zone" json:"zone"`
 	AtMS       int64   `msgpack:"at_ms" json:"at_ms"`
 	UpS        float64 `msgpack:"up_s" json:"up_s"`
-	Leads      bool    `msgpack:"leads" json:"leads"`
-	Ready      bool    `msgpack:"ready" json:"ready"`
+	// Leads: it is the cluster leader.
+	Leads bool `msgpack:"leads" json:"leads"`
+	// Ready: it has read the state store and knows the machine types.
+	Ready bool `msgpack:"ready" json:"ready"`
 	// StateSilentS is how long ago the state service answered last.
 	StateSilentS float64 `msgpack:"state_silent_s" json:"state_silent_s"`
-	// WritesWanted of WritesGranted changes a second.
+	// WritesWanted is how many changes of the state store a second it wants, WritesGranted its
+	// part of the budget.
 	WritesWanted  float64 `msgpack:"writes_wanted" json:"writes_wanted"`
 	WritesGranted float64 `msgpack:"writes_granted" json:"writes_granted"`
-	CloudRests    bool    `msgpack:"cloud_rests" json:"cloud_rests"`
-	Jobs          int     `msgpack:"jobs" json:"jobs"`
-	Ended         int     `msgpack:"ended" json:"ended"`
-	Renting       int     `msgpack:"renting" json:"renting"`
-
-	// Connected machines keep their connections with this controller, whose sockets have
-	// room for Room of them.
+	// CloudRests: the cloud is not asked for now since it did not answer.
+	CloudRests bool `msgpack:"cloud_rests" json:"cloud_rests"`
+	// Jobs is how many jobs are unfinished, Ended how many have ended.
+	Jobs  int `msgpack:"jobs" json:"jobs"`
+	Ended int `msgpack:"ended" json:"ended"`
+	// Renting is how many scale-out requests are open.
+	Renting int `msgpack:"renting" json:"renting"`
+
+	// Connected is how many machines keep their connections with this controller, Room for how
+	// many it has sockets.
 	Connected int `msgpack:"connected" json:"connected"`
 	Room      int `msgpack:"room" json:"room"`
-	// Moves are the last shares that changed their carrier, the newest last.
+	// Moves are the last moves of shards, the newest last.
 	Moves []Move `msgpack:"moves,omitempty" json:"moves,omitempty"`
 
-	// Follows are parts of others of which it keeps a copy, as their standby.
+	// Follows are the replicas that it has of other leaders' partitions, as their standby.
 	Follows []Follow `msgpack:"follows,omitempty" json:"follows,omitempty"`
 
 	Parts []Part                `msgpack:"parts" json:"parts"`
@@ -45,35 +43,40 @@
 	Waits []telemetry.Quantiles `msgpack:"waits" json:"waits"`
 }
 
-// Part is a part that the controller owns.
+// Part is a partition that the controller leads.
 type Part struct {
-	Part     int  `msgpack:"part" json:"part"`
+	Part int `msgpack:"part" json:"part"`
+	// Ready: the takeover is complete.
 	Ready    bool `msgpack:"ready" json:"ready"`
 	Machines int  `msgpack:"machines" json:"machines"`
 	Idle     int  `msgpack:"idle" json:"idle"`
-	Coming   int  `msgpack:"coming" json:"coming"`
-	Bad      int  `msgpack:"bad" json:"bad"` // lost or set aside
-	// Kept are kept for classes or teams that are behind.
-	Kept    int     `msgpack:"kept,omitempty" json:"kept,omitempty"`
+	// Coming machines have sent no heartbeat yet.
+	Coming int `msgpack:"coming" json:"coming"`
+	// Bad machines are lost or quarantined.
+	Bad int `msgpack:"bad" json:"bad"`
+	// Kept machines are reserved for classes or teams that are starved.
+	Kept int `msgpack:"kept,omitempty" json:"kept,omitempty"`
+	// Running and Waiting are tasks; OldestS is how long a job has waited that could start.
 	Running int     `msgpack:"running" json:"running"`
 	Waiting int     `msgpack:"waiting" json:"waiting"`
 	OldestS float64 `msgpack:"oldest_s" json:"oldest_s"`
-	// Used is the part of the CPUs that is in use.
+	// Used is the fraction of the CPUs that is in use.
 	Used float64 `msgpack:"used" json:"used"`
-	// Carried are the shares of its machines whose connections others have.
+	// Carried are the delegates that have connections of its machines.
 	Carried []Carried `msgpack:"carried,omitempty" json:"carried,omitempty"`
 }
 
-// Carried is what another controller carries of a part.
+// Carried is what is delegated of a partition to another controller.
 type Carried struct {
+	// By is the delegate, Shares how many shards it has.
 	By       string `msgpack:"by" json:"by"`
 	Shares   int    `msgpack:"shares" json:"shares"`
 	Machines int    `msgpack:"machines" json:"machines"`
-	// Active: it has asked to go on of late, so that workers are sent to it.
+	// Active: it has renewed the delegation of late, so that agents are sent to it.
 	Active bool `msgpack:"active" json:"active"`
 }
 
-// Move is a share that changed its carrier; From and To "": the part's owner.
+// Move is a shard that changed its delegate; From and To are empty for the partition leader.
 type Move struct {
 	Part   int     `msgpack:"part" json:"part"`
 	Share  int     `msgpack:"share" json:"share"`
@@ -83,269 +86,35 @@
 	AgoS   float64 `msgpack:"ago_s" json:"ago_s"`
 }
 
-// Follow is a copy of a part that another controller owns.
+// Follow is a replica of a partition that another controller leads.
 type Follow struct {
 	Part  int    `msgpack:"part" json:"part"`
 	Owner string `msgpack:"owner" json:"owner"`
-	// Records are run records, Told attempts of which the owner has said when they began.
-	Records int  `msgpack:"records" json:"records"`
-	Told    int  `msgpack:"told" json:"told"`
-	Whole   bool `msgpack:"whole" json:"whole"`
-	// BehindS is how long ago what was taken in last was asked for.
+	// Records is how many run records it has, Told of how many attempts the leader has said when
+	// they began.
+	Records int `msgpack:"records" json:"records"`
+	Told    int `msgpack:"told" json:"told"`
+	// Whole: the state transfer is complete.
+	Whole bool `msgpack:"whole" json:"whole"`
+	// BehindS is how long ago the update was asked for that was applied last.
 	BehindS float64 `msgpack:"behind_s" json:"behind_s"`
 }
 
-// Team is a team's use in a part of the controller's.
+// Team is a team's use of a partition that the controller leads.
 type Team struct {
-	Name      string  `msgpack:"name" json:"name"`
-	Part      int     `msgpack:"part" json:"part"`
-	CPUs      float64 `msgpack:"cpus" json:"cpus"`
+	Name string  `msgpack:"name" json:"name"`
+	Part int     `msgpack:"part" json:"part"`
+	CPUs float64 `msgpack:"cpus" json:"cpus"`
+	// Guarantee and Limit are in CPUs; a Limit of 0 is none.
 	Guarantee float64 `msgpack:"guarantee" json:"guarantee"`
 	Limit     float64 `msgpack:"limit" json:"limit"`
 	Running   int     `msgpack:"running" json:"running"`
 	Waiting   int     `msgpack:"waiting" json:"waiting"`
 }
 
-// Row is a controller as it was asked: its view, or why there is none.
+// Row is the answer of a controller: its view, or why there is none.
 type Row struct {
 	Addr string `json:"addr"`
 	View *View  `json:"view,omitempty"`
 	Err  string `json:"error,omitempty"`
 }
-
-// Screen is what all rows come to, on so many columns and lines.
-func Screen(rows []Row, now time.Time, width, height int) string {
-	var lines []string
-	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	leader, up := "nobody", 0
-	for _, r := range rows {
-		if r.View != nil {
-			up++
-			if r.View.Leads {
-				leader = r.View.Controller
-			}
-		}
-	}
-	add("micaspindle  %d of %d controllers answer, %s leads  %s", up, len(rows), leader, now.UTC().Format("15:04:05 UTC"))
-	add("")
-	add("%-12s %-9s %7s %5s %7s %6s %13s %s", "CONTROLLER", "ZONE", "UP", "JOBS", "ENDED", "RENTS", "WRITES/S", "STATE")
-	for _, r := range rows {
-		v := r.View
-		if v == nil {
-			add("%-22s %s", clip(r.Addr, 22), r.Err)
-			continue
-		}
-		add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", clip(v.Controller, 12), clip(v.Zone, 9), span(v.UpS), v.Jobs, v.Ended, v.Renting, v.WritesWanted, v.WritesGranted, v.state())
-	}
-	var parts []Part
-	owner, next := map[int]string{}, map[int]string{}
-	var teams []Team
-	var waits []telemetry.Quantiles
-	for _, r := range rows {
-		if r.View == nil {
-			continue
-		}
-		for _, p := range r.View.Parts {
-			parts = append(parts, p)
-			owner[p.Part] = r.View.Controller
-		}
-		for _, f := range r.View.Follows {
-			next[f.Part] = fmt.Sprintf("%s %s behind", clip(r.View.Controller, 12), short(f.BehindS))
-			if !f.Whole {
-				next[f.Part] = clip(r.View.Controller, 12) + " reading"
-			}
-		}
-		teams = append(teams, r.View.Teams...)
-		waits = append(waits, r.View.Waits...)
-	}
-	slices.SortFunc(parts, func(a, b Part) int { return cmp.Compare(a.Part, b.Part) })
-	add("")
-	add("%4s %-12s %8s %5s %6s %4s %5s %7s %7s %7s", "PART", "OWNER", "MACHINES", "IDLE", "COMING", "BAD", "CPUS", "RUNNING", "WAITING", "OLDEST")
-	for _, p := range parts {
-		who := owner[p.Part]
-		if !p.Ready {
-			who += " (taking over)"
-		}
-		add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(who, 12), p.Machines, p.Idle, p.Coming, p.Bad, 100*p.Used, p.Running, p.Waiting, span(p.OldestS))
-	}
-	lines = append(lines, standbys(parts, next, width)...)
-	lines = append(lines, carriers(parts, width)...)
-	if len(parts) == 0 {
-		add("no part is owned by a controller that answers")
-	}
-	worst := worstWaits(waits)
-	add("")
-	add("%-12s %8s %9s %9s %9s", "WAIT FOR", "COUNT", "HALF IN", "99% IN", "LONGEST")
-	for _, w := range worst {
-		add("%-12s %8d %9s %9s %9s", w.What, w.Count, short(w.P50), short(w.P99), short(w.Most))
-	}
-	slices.SortFunc(teams, func(a, b Team) int {
-		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(b.CPUs, a.CPUs), cmp.Compare(a.Name, b.Name))
-	})
-	add("")
-	add("%-24s %4s %9s %9s %9s %7s %7s", "TEAM", "PART", "CPUS", "HAS", "AT MOST", "RUNNING", "WAITING")
-	for i, t := range teams {
-		if left := len(teams) - i; len(lines) >= height-1 && left > 1 {
-			add("and %d teams more", left)
-			break
-		}
-		most := "-"
-		if t.Limit > 0 {
-			most = fmt.Sprintf("%.0f", t.Limit)
-		}
-		add("%-24s %4d %9.0f %9.0f %9s %7d %7d", clip(t.Name, 24), t.Part, t.CPUs, t.Guarantee, most, t.Running, t.Waiting)
-	}
-	for i, l := range lines {
-		lines[i] = strings.TrimRight(clip(l, width), " ")
-	}
-	return strings.Join(lines[:min(len(lines), height)], "\n")
-}
-
-// state says in a word what is wrong, if something is.
-func (v *View) state() string {
-	switch {
-	case v.StateSilentS > 2:
-		return "no state " + span(v.StateSilentS)
-	case !v.Ready:
-		return "not ready"
-	case v.CloudRests:
-		return "no cloud"
-	}
-	return "ok"
-}
-
-// worstWaits puts what several controllers measured together: the slowest counts.
-func worstWaits(all []telemetry.Quantiles) []telemetry.Quantiles {
-	var out []telemetry.Quantiles
-	for _, q := range all {
-		i := slices.IndexFunc(out, func(o telemetry.Quantiles) bool { return o.What == q.What })
-		if i < 0 {
-			out = append(out, q)
-			continue
-		}
-		o := &out[i]
-		o.Count, o.P50, o.P99, o.Most = o.Count+q.Count, max(o.P50, q.P50), max(o.P99, q.P99), max(o.Most, q.Most)
-	}
-	return out
-}
-
-func clip(s string, n int) string {
-	if r := []rune(s); len(r) > n {
-		return string(r[:n])
-	}
-	return s
-}
-
-// span is a time in a few characters.
-func span(s float64) string {
-	d := time.Duration(s * float64(time.Second))
-	switch {
-	case d < time.Minute:
-		return fmt.Sprintf("%ds", int(d.Seconds()))
-	case d < time.Hour:
-		return fmt.Sprintf("%dm%02ds", int(d.Minutes()), int(d.Seconds())%60)
-	case d < 48*time.Hour:
-		return fmt.Sprintf("%dh%02dm", int(d.Hours()), int(d.Minutes())%60)
-	}
-	return fmt.Sprintf("%dd", int(d.Hours()/24))
-}
-
-// standbys tells who would take each part over, and how far behind it is, on as few
-// lines as the width allows.
-func standbys(parts []Part, next map[int]string, width int) (lines []string) {
-	line := "STANDBYS"
-	for _, p := range parts {
-		one := fmt.Sprintf("  %d: %s", p.Part, cmp.Or(next[p.Part], "none"))
-		if len([]rune(line+one)) > width && line != "" {
-			lines, line = append(lines, line), ""
-		}
-		line += one
-	}
-	if len(parts) > 0 {
-		lines = append(lines, line)
-	}
-	return lines
-}
-
-// carriers tells which machines' connections others have, if any.
-func carriers(parts []Part, width int) (lines []string) {
-	line := "CARRIED "
-	for _, p := range parts {
-		for _, k := range p.Carried {
-			one := fmt.Sprintf("  %d: %d by %s", p.Part, k.Machines, clip(k.By, 12))
-			if len([]rune(line+one)) > width && line != "" {
-				lines, line = append(lines, line), ""
-			}
-			line += one
-		}
-	}
-	if line != "CARRIED " {
-		lines = append(lines, line)
-	}
-	return lines
-}
-
-// Shares is what all rows say of who has the machines' connections.
-func Shares(rows []Row) string {
-	var out strings.Builder
-	add := func(format string, args ...any) {
-		fmt.Fprintln(&out, strings.TrimRight(fmt.Sprintf(format, args...), " "))
-	}
-	standby := map[int]string{}
-	for _, r := range rows {
-		if r.View != nil {
-			for _, f := range r.View.Follows {
-				standby[f.Part] = r.View.Controller
-			}
-		}
-	}
-	add("%-16s %-12s %9s %6s %5s", "CONTROLLER", "ZONE", "MACHINES", "ROOM", "FULL")
-	for _, r := range rows {
-		if v := r.View; v != nil {
-			add("%-16s %-12s %9d %6d %4.0f%%", clip(v.Controller, 16), clip(v.Zone, 12), v.Connected, v.Room, 100*float64(v.Connected)/float64(max(1, v.Room)))
-		} else {
-			add("%-16s %s", clip(r.Addr, 16), r.Err)
-		}
-	}
-	add("")
-	add("%4s %-16s %-16s %9s  %s", "PART", "OWNER", "STANDBY", "MACHINES", "CARRIED BY")
-	for _, r := range rows {
-		if r.View == nil {
-			continue
-		}
-		for _, p := range r.View.Parts {
-			var by []string
-			for _, k := range p.Carried {
-				one := fmt.Sprintf("%s: %d in %d shares", k.By, k.Machines, k.Shares)
-				if !k.Active {
-					one += " (has not asked yet)"
-				}
-				by = append(by, one)
-			}
-			add("%4d %-16s %-16s %9d  %s", p.Part, clip(r.View.Controller, 16), clip(cmp.Or(standby[p.Part], "none"), 16), p.Machines, cmp.Or(strings.Join(by, ", "), "nobody else"))
-		}
-	}
-	add("")
-	add("%7s %4s %5s  %s", "AGO", "PART", "SHARE", "MOVED")
-	moves := 0
-	for _, r := range rows {
-		if r.View == nil {
-			continue
-		}
-		for _, m := range slices.Backward(r.View.Moves) {
-			moves++
-			add("%7s %4d %5d  %s to %s: %s", span(m.AgoS), m.Part, m.Share, cmp.Or(m.From, "its owner"), cmp.Or(m.To, "its owner"), m.Reason)
-		}
-	}
-	if moves == 0 {
-		add("no share has moved")
-	}
-	return out.String()
-}
-
-func short(s float64) string {
-	if s < 10 {
-		return fmt.Sprintf("%.3gs", s)
-	}
-	return span(s)
-}
--- /dev/null
+++ b/internal/overview/screen.go
@@ -0,0 +1,223 @@
+package overview
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"micaspindle/internal/telemetry"
+)
+
+const (
+	// nameWidth and teamWidth are how many characters of names are shown.
+	nameWidth = 12
+	zoneWidth = 9
+	teamWidth = 24
+	// addressWidth is that of a controller that does not answer.
+	addressWidth = 22
+	// maxStateSilenceS is after how many seconds without an answer the state service counts
+	// as out of reach.
+	maxStateSilenceS = 2
+)
+
+// Screen formats all rows as a text of at most so many columns and lines.
+func Screen(rows []Row, now time.Time, width, height int) string {
+	s := &screen{width: width, height: height}
+	s.addTitle(rows, now)
+	s.addControllers(rows)
+	c := summarize(rows)
+	s.addPartitions(c)
+	s.addWaits(c.waits)
+	s.addTeams(c.teams)
+	return s.text()
+}
+
+// clusterSummary is what the controllers that answer tell together.
+type clusterSummary struct {
+	// partitions are sorted by their numbers.
+	partitions []Part
+	// leaders and standbys are by partition; a standby comes with how far it is behind.
+	leaders, standbys map[int]string
+	// teams are sorted by what waits.
+	teams []Team
+	waits []telemetry.Quantiles
+}
+
+func summarize(rows []Row) *clusterSummary {
+	c := &clusterSummary{leaders: map[int]string{}, standbys: map[int]string{}}
+	for _, row := range rows {
+		if row.View == nil {
+			continue
+		}
+		for _, partition := range row.View.Parts {
+			c.partitions = append(c.partitions, partition)
+			c.leaders[partition.Part] = row.View.Controller
+		}
+		for i := range row.View.Follows {
+			replica := &row.View.Follows[i]
+			c.standbys[replica.Part] = describeStandby(row.View.Controller, replica)
+		}
+		c.teams = append(c.teams, row.View.Teams...)
+		c.waits = append(c.waits, row.View.Waits...)
+	}
+	slices.SortFunc(c.partitions, func(a, b Part) int { return cmp.Compare(a.Part, b.Part) })
+	slices.SortFunc(c.teams, func(a, b Team) int {
+		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(b.CPUs, a.CPUs), cmp.Compare(a.Name, b.Name))
+	})
+	c.waits = worstWaits(c.waits)
+	return c
+}
+
+func describeStandby(controller string, replica *Follow) string {
+	if !replica.Whole {
+		return clip(controller, nameWidth) + " reading"
+	}
+	return fmt.Sprintf("%s %s behind", clip(controller, nameWidth), formatShortSpan(replica.BehindS))
+}
+
+// worstWaits merges what several controllers have measured: the slowest counts.
+func worstWaits(all []telemetry.Quantiles) []telemetry.Quantiles {
+	var merged []telemetry.Quantiles
+	for _, q := range all {
+		i := slices.IndexFunc(merged, func(known telemetry.Quantiles) bool { return known.What == q.What })
+		if i < 0 {
+			merged = append(merged, q)
+			continue
+		}
+		worst := &merged[i]
+		worst.Count += q.Count
+		worst.P50, worst.P99, worst.Most = max(worst.P50, q.P50), max(worst.P99, q.P99), max(worst.Most, q.Most)
+	}
+	return merged
+}
+
+// screen collects lines.
+type screen struct {
+	width, height int
+	lines         []string
+}
+
+func (s *screen) add(format string, args ...any) {
+	s.lines = append(s.lines, fmt.Sprintf(format, args...))
+}
+
+// text is the lines as far as they fit.
+func (s *screen) text() string {
+	lines := s.lines[:min(len(s.lines), s.height)]
+	for i, line := range lines {
+		lines[i] = strings.TrimRight(clip(line, s.width), " ")
+	}
+	return strings.Join(lines, "\n")
+}
+
+func (s *screen) addTitle(rows []Row, now time.Time) {
+	leader, answering := "nobody", 0
+	for _, row := range rows {
+		if row.View == nil {
+			continue
+		}
+		answering++
+		if row.View.Leads {
+			leader = row.View.Controller
+		}
+	}
+	s.add("micaspindle  %d of %d controllers answer, %s leads  %s", answering, len(rows), leader, now.UTC().Format("15:04:05 UTC"))
+}
+
+func (s *screen) addControllers(rows []Row) {
+	s.add("")
+	s.add("%-12s %-9s %7s %5s %7s %6s %13s %s", "CONTROLLER", "ZONE", "UP", "JOBS", "ENDED", "RENTS", "WRITES/S", "STATE")
+	for _, row := range rows {
+		view := row.View
+		if view == nil {
+			s.add("%-22s %s", clip(row.Addr, addressWidth), row.Err)
+			continue
+		}
+		s.add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", clip(view.Controller, nameWidth), clip(view.Zone, zoneWidth), formatSpan(view.UpS),
+			view.Jobs, view.Ended, view.Renting, view.WritesWanted, view.WritesGranted, view.state())
+	}
+}
+
+// state says in a word what is wrong, if something is.
+func (v *View) state() string {
+	switch {
+	case v.StateSilentS > maxStateSilenceS:
+		return "no state " + formatSpan(v.StateSilentS)
+	case !v.Ready:
+		return "not ready"
+	case v.CloudRests:
+		return "no cloud"
+	}
+	return "ok"
+}
+
+func (s *screen) addPartitions(c *clusterSummary) {
+	s.add("")
+	s.add("%4s %-12s %8s %5s %6s %4s %5s %7s %7s %7s", "PART", "OWNER", "MACHINES", "IDLE", "COMING", "BAD", "CPUS", "RUNNING", "WAITING", "OLDEST")
+	for i := range c.partitions {
+		p := &c.partitions[i]
+		leader := c.leaders[p.Part]
+		if !p.Ready {
+			leader += " (taking over)"
+		}
+		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(leader, nameWidth), p.Machines, p.Idle, p.Coming, p.Bad,
+			100*p.Used, p.Running, p.Waiting, formatSpan(p.OldestS))
+	}
+	if len(c.partitions) == 0 {
+		s.add("no part is owned by a controller that answers")
+		return
+	}
+	s.addStandbys(c)
+	s.addDelegates(c)
+}
+
+// addStandbys says who would take each partition over, and how far behind it is.
+func (s *screen) addStandbys(c *clusterSummary) {
+	var items []string
+	for i := range c.partitions {
+		partition := c.partitions[i].Part
+		items = append(items, fmt.Sprintf("  %d: %s", partition, cmp.Or(c.standbys[partition], "none")))
+	}
+	s.lines = append(s.lines, listInLines("STANDBYS", items, s.width)...)
+}
+
+// addDelegates says who has connections of other leaders' machines, if anybody.
+func (s *screen) addDelegates(c *clusterSummary) {
+	var items []string
+	for i := range c.partitions {
+		for _, delegate := range c.partitions[i].Carried {
+			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Part, delegate.Machines, clip(delegate.By, nameWidth)))
+		}
+	}
+	if len(items) > 0 {
+		s.lines = append(s.lines, listInLines("CARRIED ", items, s.width)...)
+	}
+}
+
+func (s *screen) addWaits(waits []telemetry.Quantiles) {
+	s.add("")
+	s.add("%-12s %8s %9s %9s %9s", "WAIT FOR", "COUNT", "HALF IN", "99% IN", "LONGEST")
+	for _, w := range waits {
+		s.add("%-12s %8d %9s %9s %9s", w.What, w.Count, formatShortSpan(w.P50), formatShortSpan(w.P99), formatShortSpan(w.Most))
+	}
+}
+
+// addTeams lists the teams as far as there are lines.
+func (s *screen) addTeams(teams []Team) {
+	s.add("")
+	s.add("%-24s %4s %9s %9s %9s %7s %7s", "TEAM", "PART", "CPUS", "HAS", "AT MOST", "RUNNING", "WAITING")
+	for i := range teams {
+		if left := len(teams) - i; len(s.lines) >= s.height-1 && left > 1 {
+			s.add("and %d teams more", left)
+			break
+		}
+		team := &teams[i]
+		limit := "-"
+		if team.Limit > 0 {
+			limit = fmt.Sprintf("%.0f", team.Limit)
+		}
+		s.add("%-24s %4d %9.0f %9.0f %9s %7d %7d", clip(team.Name, teamWidth), team.Part, team.CPUs, team.Guarantee, limit, team.Running, team.Waiting)
+	}
+}
--- /dev/null
+++ b/internal/overview/shares.go
@@ -0,0 +1,98 @@
+package overview
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// wideName is how many characters of names Shares shows.
+const wideName = 16
+
+// Shares formats what all rows tell of who has the machines' connections.
+func Shares(rows []Row) string {
+	l := new(listing)
+	l.addSockets(rows)
+	l.addDelegates(rows)
+	l.addMoves(rows)
+	return l.text.String()
+}
+
+// listing collects lines of any length.
+type listing struct{ text strings.Builder }
+
+func (l *listing) add(format string, args ...any) {
+	fmt.Fprintln(&l.text, strings.TrimRight(fmt.Sprintf(format, args...), " "))
+}
+
+// addSockets lists how many machines are connected to each controller.
+func (l *listing) addSockets(rows []Row) {
+	l.add("%-16s %-12s %9s %6s %5s", "CONTROLLER", "ZONE", "MACHINES", "ROOM", "FULL")
+	for _, row := range rows {
+		view := row.View
+		if view == nil {
+			l.add("%-16s %s", clip(row.Addr, wideName), row.Err)
+			continue
+		}
+		percent := 100 * float64(view.Connected) / float64(max(1, view.Room))
+		l.add("%-16s %-12s %9d %6d %4.0f%%", clip(view.Controller, wideName), clip(view.Zone, nameWidth), view.Connected, view.Room, percent)
+	}
+}
+
+// addDelegates lists who has the connections of each partition's machines.
+func (l *listing) addDelegates(rows []Row) {
+	standbys := map[int]string{}
+	for _, row := range rows {
+		if row.View == nil {
+			continue
+		}
+		for _, replica := range row.View.Follows {
+			standbys[replica.Part] = row.View.Controller
+		}
+	}
+	l.add("")
+	l.add("%4s %-16s %-16s %9s  %s", "PART", "OWNER", "STANDBY", "MACHINES", "CARRIED BY")
+	for _, row := range rows {
+		if row.View == nil {
+			continue
+		}
+		for i := range row.View.Parts {
+			p := &row.View.Parts[i]
+			standby := cmp.Or(standbys[p.Part], "none")
+			l.add("%4d %-16s %-16s %9d  %s", p.Part, clip(row.View.Controller, wideName), clip(standby, wideName), p.Machines, describeDelegates(p))
+		}
+	}
+}
+
+func describeDelegates(p *Part) string {
+	var delegates []string
+	for _, d := range p.Carried {
+		text := fmt.Sprintf("%s: %d in %d shares", d.By, d.Machines, d.Shares)
+		if !d.Active {
+			text += " (has not asked yet)"
+		}
+		delegates = append(delegates, text)
+	}
+	return cmp.Or(strings.Join(delegates, ", "), "nobody else")
+}
+
+// addMoves lists the last moves of shards, the newest of each controller first.
+func (l *listing) addMoves(rows []Row) {
+	const leader = "its owner"
+	l.add("")
+	l.add("%7s %4s %5s  %s", "AGO", "PART", "SHARE", "MOVED")
+	moved := false
+	for _, row := range rows {
+		if row.View == nil {
+			continue
+		}
+		for _, move := range slices.Backward(row.View.Moves) {
+			moved = true
+			l.add("%7s %4d %5d  %s to %s: %s", formatSpan(move.AgoS), move.Part, move.Share, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
+		}
+	}
+	if !moved {
+		l.add("no share has moved")
+	}
+}
