--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -115,7 +115,7 @@
 		}
 		synctest.Wait()
 		var busy *BusyError
-		if err := <-refused; !errors.As(err, &busy) || busy.RetryAfter < leastRetry {
+		if err := <-refused; !errors.As(err, &busy) || busy.RetryAfter < minRetryDelay {
 			t.Fatalf("one too many got %v", err)
 		}
 		// Another client of the team, and another team: both find a place.
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -11,36 +11,42 @@
 // down to a part of what they have not used of theirs, so that who comes later
 // finds some of his own at once.
 type Ledger struct {
-	mu      sync.Mutex
-	most    float64
-	each    float64 // of one client; 0: no bound
-	weights map[string]float64
-	sum     float64 // of the weights of the teams that are known
-	held    map[string]float64
-	clients map[[2]string]float64
-	all     float64
+	total float64
+	// perClient is the most that a client may hold; 0 is no bound.
+	perClient float64
+	// weights are those of all teams that there are, weightSum their sum.
+	weights   map[string]float64
+	weightSum float64
+
+	mu       sync.Mutex
+	held     float64
+	byTeam   map[string]float64
+	byClient map[teamClient]float64
 }
 
-// kept is the part of what others have not used that nobody borrows.
-const kept = 0.25
+// teamClient is a client of a team.
+type teamClient struct{ team, client string }
+
+// unborrowable is the part of what others have not used that nobody borrows.
+const unborrowable = 0.25
 
 // NewLedger makes one of a total amount and a most for each client. Teams are all
 // that there are.
-func NewLedger(most, each float64, teams []string, weights map[string]float64) (*Ledger, error) {
+func NewLedger(total, perClient float64, teams []string, weights map[string]float64) (*Ledger, error) {
 	switch {
-	case !(most > 0):
+	case !(total > 0):
 		return nil, errors.New("the amount must be above 0")
-	case each < 0:
+	case perClient < 0:
 		return nil, errors.New("the most of a client must not be below 0")
 	}
 	if err := checkWeights(weights); err != nil {
 		return nil, err
 	}
-	l := &Ledger{most: most, each: each, weights: map[string]float64{}, held: map[string]float64{}, clients: map[[2]string]float64{}}
-	for _, t := range teams {
-		if _, twice := l.weights[t]; !twice {
-			l.weights[t] = weight(weights, t)
-			l.sum += l.weights[t]
+	l := &Ledger{total: total, perClient: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
+	for _, team := range teams {
+		if _, known := l.weights[team]; !known {
+			l.weights[team] = weight(weights, team)
+			l.weightSum += l.weights[team]
 		}
 	}
 	return l, nil
@@ -48,46 +54,49 @@
 
 // Quota is what a team has without borrowing.
 func (l *Ledger) Quota(team string) float64 {
-	if l.sum == 0 {
+	if l.weightSum == 0 {
 		return 0
 	}
-	return l.most * l.weights[team] / l.sum
+	return l.total * l.weights[team] / l.weightSum
 }
 
-// Take takes an amount or says no. What was taken is given back with Give.
-func (l *Ledger) Take(team, client string, n float64) bool {
+// Take takes an amount and reports whether it could. What was taken is given back with Give.
+func (l *Ledger) Take(team, client string, amount float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	key := [2]string{team, client}
-	switch {
-	case l.all+n > l.most, l.each > 0 && l.clients[key]+n > l.each:
+	key := teamClient{team, client}
+	if l.held+amount > l.total || l.perClient > 0 && l.byClient[key]+amount > l.perClient {
 		return false
-	case l.held[team]+n > l.Quota(team):
-		spare := 0.0
-		for t := range l.weights {
-			if t != team {
-				spare += max(0, l.Quota(t)-l.held[t])
-			}
-		}
-		if l.most-l.all-n < spare*kept {
-			return false
-		}
 	}
-	l.held[team] += n
-	l.clients[key] += n
-	l.all += n
+	if l.byTeam[team]+amount > l.Quota(team) && !l.mayBorrow(team, amount) {
+		return false
+	}
+	l.byTeam[team] += amount
+	l.byClient[key] += amount
+	l.held += amount
 	return true
 }
 
-// Give gives back.
-func (l *Ledger) Give(team, client string, n float64) {
+// mayBorrow reports whether enough is left for the other teams if a team takes an amount.
+func (l *Ledger) mayBorrow(team string, amount float64) bool {
+	unused := 0.0
+	for other := range l.weights {
+		if other != team {
+			unused += max(0, l.Quota(other)-l.byTeam[other])
+		}
+	}
+	return l.total-l.held-amount >= unused*unborrowable
+}
+
+// Give gives back what was taken.
+func (l *Ledger) Give(team, client string, amount float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	key := [2]string{team, client}
-	l.held[team] -= n
-	l.all -= n
-	if l.clients[key] -= n; l.clients[key] <= 0 {
-		delete(l.clients, key)
+	key := teamClient{team, client}
+	l.byTeam[team] -= amount
+	l.held -= amount
+	if l.byClient[key] -= amount; l.byClient[key] <= 0 {
+		delete(l.byClient, key)
 	}
 }
 
@@ -95,5 +104,5 @@
 func (l *Ledger) Held() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.held)
+	return maps.Clone(l.byTeam)
 }
