--- a/internal/audit/archive/export.go
+++ b/internal/audit/archive/export.go
@@ -17,7 +17,7 @@
 type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error)
 
 // Export writes everything up to a seal: a head, the signers, the batches of
-// each chain, and the seal at the end. progress is told how many batches are done.
+// each chain, and the seal at the end. progress is called with how many batches are done.
 func Export(ctx context.Context, w io.Writer, seal *audit.Seal, fetch Fetch, progress func(done, all uint64)) error {
 	var sealed audit.Sealed
 	if err := json.Unmarshal([]byte(seal.Text), &sealed); err != nil {
--- a/internal/audit/archive/verify.go
+++ b/internal/audit/archive/verify.go
@@ -296,7 +296,7 @@
 	}
 }
 
-// finish checks what can be told only at the end of the file.
+// finish checks what is known only at the end of the file.
 func (v *verifier) finish() {
 	if !v.sealed {
 		v.problem("", 0, "no seal at the end: the file was cut off")
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -20,11 +20,11 @@
 type tallyKey struct{ who, how, verb, team, class, job, outcome, reason string }
 
 const (
-	// maxDetailed is up to how many counts records are told apart by everything.
+	// maxDetailed is up to how many counts records are distinguished by everything.
 	maxDetailed = 64
-	// maxByIdentity is up to how many counts they are told apart by identity and verb.
+	// maxByIdentity is up to how many counts they are distinguished by identity and verb.
 	maxByIdentity = 128
-	// others stands for the identities that are not told apart.
+	// others stands for the identities that are not distinguished.
 	others = "(others)"
 )
 
--- a/internal/coordination/api/identity.go
+++ b/internal/coordination/api/identity.go
@@ -11,7 +11,7 @@
 	"micaspindle/internal/transport"
 )
 
-// allVerbs are the rights that a caller may hold, in the order in which it is told of them.
+// allVerbs are the rights that a caller may hold, in the order of the answer.
 var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch}
 
 // whoAmI tells a caller as whom it is authenticated, and which rights it holds on some queue.
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -47,8 +47,8 @@
 }
 
 // jobStatus returns a job's state and whether there is such a job. Final states come from
-// memory; anything else is read from the state store, since another controller may have told
-// the user more.
+// memory; anything else is read from the state store, since another controller may have answered
+// the user with more.
 func (s *Server) jobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
 	status.ID = id
 	known := false
@@ -118,7 +118,7 @@
 
 // StaleLimit is how old what this controller knows may be for it to call a job
 // with unfinished dependencies queued: the user of one of them may have been
-// told since that it is cancelled (rule 22).
+// answered since that it is cancelled (rule 22).
 func (s *Server) StaleLimit() time.Duration {
 	return max(minStaleLimit, s.CancelBound-2*cluster.ClockMargin)
 }
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -56,7 +56,7 @@
 	return s.commitSubmission(ctx, req.caller, queue, id, check.record)
 }
 
-// errTypesUnknown refuses submissions while it can't be told whether they can ever run.
+// errTypesUnknown refuses submissions while it is unknown whether they can ever run.
 var errTypesUnknown = apierror.NotReady("machine types are not known yet", retryTypesListed)
 
 // submissionCheck is what a submission's body, memory, and reads of what it depends on say
@@ -68,8 +68,8 @@
 	known bool
 	// typesKnown: so are the machine types, without which nothing is accepted.
 	typesKnown bool
-	// infeasible is why the job can never run, "" if it can; readErr is why that can't be
-	// told.
+	// infeasible is why the job can never run, "" if it can; readErr is why that is
+	// unknown.
 	infeasible string
 	readErr    error
 	// record is what accepts the job.
@@ -173,7 +173,7 @@
 
 // answerRepeated answers a submission of a known job with its state, to those who may
 // submit to its queue or view it. Ids are one name space for all queues, so the id of
-// somebody else's job can't be told from one that is not free.
+// somebody else's job looks like one that is taken.
 func (s *Server) answerRepeated(ctx context.Context, caller *auth.Caller, status protocol.JobStatus) (transport.Response, error) {
 	if s.auth.Enabled() {
 		queue, err := s.queueOf(ctx, status.ID)
--- a/internal/coordination/apierror/apierror.go
+++ b/internal/coordination/apierror/apierror.go
@@ -15,7 +15,7 @@
 type Error struct {
 	// Status is the HTTP status of the answer.
 	Status int
-	// Message is told to the caller.
+	// Message is for the caller.
 	Message string
 	// RetryAfter is in how many seconds the caller should try again; 0 says nothing of it.
 	RetryAfter int
@@ -34,7 +34,7 @@
 }
 
 // Invalid refuses a request with a status because of what err says of its content. The
-// caller is told the first line of it.
+// message is the first line of it.
 func Invalid(status int, err error) error {
 	return New(status, respond.FirstLine(err))
 }
--- a/internal/coordination/auth/audit.go
+++ b/internal/coordination/auth/audit.go
@@ -14,7 +14,7 @@
 // maxAuditText bounds what a caller's text takes of an audit record, in bytes.
 const maxAuditText = 100
 
-// Callers are told no more than this; the audit has the reason.
+// The answers to callers say no more than this; the audit has the reason.
 var (
 	errBadCredential = apierror.New(http.StatusUnauthorized, "no good credential")
 	errNotAllowed    = apierror.New(http.StatusForbidden, "not allowed")
