--- a/internal/identity/keyring.go
+++ b/internal/identity/keyring.go
@@ -157,7 +157,7 @@
 		if digest := k.digestFiles(); digest != k.current.Load().digest && digest != failedDigest {
 			if err := k.reload(log); err != nil {
 				// A file that is being written may be complete at the next look.
-				log.Error("certificates not reloaded; the former ones stay", "error", err)
+				log.Error("certificates not read again; the former ones stay", "error", err)
 				failedDigest = digest
 				continue
 			}
@@ -178,7 +178,7 @@
 	}
 	k.current.Store(read)
 	leaf := read.own.Leaf
-	log.Info("certificates reloaded", "own", Fingerprint(leaf), "until", leaf.NotAfter, "token_keys", len(read.tokenKeys))
+	log.Info("certificates read again", "own", Fingerprint(leaf), "until", leaf.NotAfter, "token_keys", len(read.tokenKeys))
 	k.warnOfExpiry(log)
 	return nil
 }
