--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -20,11 +20,11 @@
 
 // The benchmarks show how the cost of each duty grows with machines and tasks.
 
-// fleetOf makes a controller that owns every part, with machines up and, on
+// newFleet makes a controller that owns every part, with machines up and, on
 // each, running tasks.
-func fleetOf(b *testing.B, machines, running, each int) *Controller {
+func newFleet(b *testing.B, machines, running, each int) *Controller {
 	b.Helper()
-	c, p := owner(b)
+	c, p := newLeadingController(b)
 	now := time.Now()
 	// An owner answers workers only while it holds its claims and has followed the records.
 	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
@@ -32,12 +32,12 @@
 		p.AcquiredAt = now
 	}
 	for i := range machines {
-		c.up(p, fmt.Sprintf("m-%06d", i), "big")
+		c.addMachine(p, fmt.Sprintf("m-%06d", i), "big")
 	}
 	for i := range machines * running {
 		id, task := fmt.Sprintf("job-%d", i/each), i%each
 		if task == 0 {
-			c.waiting(id, each)
+			c.addQueuedJob(id, each)
 		}
 		j, m := c.Jobs[id], c.Machines[fmt.Sprintf("m-%06d", i%machines)]
 		c.scheduler.Reserve(p, j, task, 1, m, now)
@@ -52,8 +52,8 @@
 	return c
 }
 
-func (c *Controller) waiting(id string, tasks int) {
-	s := spec(id, tasks, "green")
+func (c *Controller) addQueuedJob(id string, tasks int) {
+	s := newJobSpec(id, tasks, "green")
 	s.SubmittedMS = time.Now().UnixMilli()
 	c.jobs.ApplyJobRecord(id, storage.Encode(s))
 }
@@ -62,15 +62,15 @@
 // tasks that wait.
 type fleetSize struct{ machines, running, waiting int }
 
-var sizes = []fleetSize{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
+var allFleetSizes = []fleetSize{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
 
 // fleetSizes are the sizes to measure; -short leaves the two largest out, so that a check
 // that only runs every benchmark once takes seconds.
 func fleetSizes() []fleetSize {
 	if testing.Short() {
-		return sizes[:len(sizes)-2]
+		return allFleetSizes[:len(allFleetSizes)-2]
 	}
-	return sizes
+	return allFleetSizes
 }
 
 // BenchmarkPoll: what a user's poll costs without the connection, refused while the
@@ -78,16 +78,16 @@
 func BenchmarkPoll(b *testing.B) {
 	for _, what := range []string{"refused", "final"} {
 		b.Run(what, func(b *testing.B) {
-			c, _ := owner(b)
+			c, _ := newLeadingController(b)
 			c.Synced = true
-			c.waiting("job-1", 1)
+			c.addQueuedJob("job-1", 1)
 			ctx, stop := context.WithCancel(b.Context())
 			defer stop()
 			go c.loop.Serve(ctx, c.tick)
 			if what == "final" {
 				c.loop.Do(func() { c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now()) })
 			} else {
-				setNetwork(c, refusing{})
+				setNetwork(c, unavailableNetwork{})
 				time.Sleep(1600 * time.Millisecond) // until it counts as down
 				_, _ = c.store.UserKeyAbsent(ctx, storage.FinalKey("job-1"))
 			}
@@ -102,18 +102,18 @@
 	}
 }
 
-// refusing is a state service that is down.
-type refusing struct{}
+// unavailableNetwork is a state service that is down.
+type unavailableNetwork struct{}
 
-func (refusing) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
+func (unavailableNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	return &transport.Response{Status: 503}, nil
 }
 
-// BenchmarkReport: a report that changes nothing.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat: a report that changes nothing.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, running := range []int{0, 4, 8} {
 		b.Run(fmt.Sprintf("tasks=%d", running), func(b *testing.B) {
-			c := fleetOf(b, 200, running, 1)
+			c := newFleet(b, 200, running, 1)
 			reports := make([]*protocol.Heartbeat, 0, len(c.Machines))
 			for _, m := range c.Machines {
 				r := &protocol.Heartbeat{Machine: m.Name, Type: "big", Zone: "a", Epoch: 1, Token: c.Token(m)}
@@ -142,9 +142,9 @@
 	for _, n := range fleetSizes() {
 		name := fmt.Sprintf("machines=%d/waiting=%d", n.machines, n.waiting)
 		b.Run("full/"+name, func(b *testing.B) {
-			c := fleetOf(b, n.machines, 8, 1)
+			c := newFleet(b, n.machines, 8, 1)
 			for i := range n.waiting / 20 {
-				c.waiting(fmt.Sprintf("job-9%d", i), 20)
+				c.addQueuedJob(fmt.Sprintf("job-9%d", i), 20)
 			}
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 			b.ReportAllocs()
@@ -153,32 +153,32 @@
 			}
 		})
 		b.Run("task/"+name, func(b *testing.B) {
-			c := fleetOf(b, n.machines, n.running, 1)
+			c := newFleet(b, n.machines, n.running, 1)
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 			placed, next := 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				if placed == 0 {
 					b.StopTimer()
-					c = fleetOf(b, n.machines, n.running, 1)
+					c = newFleet(b, n.machines, n.running, 1)
 					p = c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 					placed = n.machines * 2
 					b.StartTimer()
 				}
 				next++
 				placed--
-				c.waiting(fmt.Sprintf("job-8%d", next), 1)
+				c.addQueuedJob(fmt.Sprintf("job-8%d", next), 1)
 				c.scheduler.Place(p, time.Now())
 			}
 		})
 	}
 }
 
-// bySize measures a duty that needs nothing but a fleet at work.
-func bySize(b *testing.B, duty func(c *Controller)) {
+// benchmarkBySize measures a duty that needs nothing but a fleet at work.
+func benchmarkBySize(b *testing.B, duty func(c *Controller)) {
 	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
-			c := fleetOf(b, n.machines, n.running, 1)
+			c := newFleet(b, n.machines, n.running, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				duty(c)
@@ -187,14 +187,14 @@
 	}
 }
 
-// BenchmarkSteer: a round of the leader over a fleet at work, with demands that find
+// BenchmarkReconcileFleet: a round of the leader over a fleet at work, with demands that find
 // no room and nothing to rent for them.
-func BenchmarkSteer(b *testing.B) {
+func BenchmarkReconcileFleet(b *testing.B) {
 	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
-			c := fleetOf(b, n.machines, 8, 1)
+			c := newFleet(b, n.machines, 8, 1)
 			for i := range n.waiting / 20 {
-				c.waiting(fmt.Sprintf("job-9%d", i), 20)
+				c.addQueuedJob(fmt.Sprintf("job-9%d", i), 20)
 			}
 			now := time.Now()
 			c.Leadership.Held = true
@@ -216,12 +216,12 @@
 
 // BenchmarkTick: what a quarter of a second costs without any event.
 func BenchmarkTick(b *testing.B) {
-	bySize(b, func(c *Controller) { c.tick(time.Now()) })
+	benchmarkBySize(b, func(c *Controller) { c.tick(time.Now()) })
 }
 
 // BenchmarkSummary: what an owner tells the others twice a second.
 func BenchmarkSummary(b *testing.B) {
-	bySize(b, func(c *Controller) {
+	benchmarkBySize(b, func(c *Controller) {
 		c.peering.SummaryCache.MarshalledAt = time.Time{}
 		c.peering.MarshalledSummary(time.Now())
 	})
@@ -234,7 +234,7 @@
 		for i, kind := range []string{"cold", "warm", "cold", "warm"} {
 			each := []int{1, 20}[i/2] // arrays of one task, and as large as usual
 			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", kind, n.machines, n.machines*n.running, each), func(b *testing.B) {
-				c := fleetOf(b, n.machines, n.running, each)
+				c := newFleet(b, n.machines, n.running, each)
 				part := c.TeamPartition[c.TeamIndex["green"]]
 				var runs []protocol.Item
 				tale := &peer.ReplicaUpdate{From: "n1", Nonce: "x", LeaseRevision: 1, Through: 1}
@@ -271,8 +271,8 @@
 	}
 }
 
-// BenchmarkFollow: what a standby does with one change of a record of 64 tasks.
-func BenchmarkFollow(b *testing.B) {
+// BenchmarkApplyRecordChange: what a standby does with one change of a record of 64 tasks.
+func BenchmarkApplyRecordChange(b *testing.B) {
 	fo := replication.NewReplica(0, time.Now())
 	run := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
 	for t := 32; t < 64; t++ {
@@ -289,38 +289,38 @@
 	}
 }
 
-// pipelines makes a controller that knows n jobs after one first job: each
+// newPipelines makes a controller that knows n jobs after one first job: each
 // after the one before, or all after the first.
-func pipelines(b *testing.B, n int, deep bool) *Controller {
+func newPipelines(b *testing.B, n int, deep bool) *Controller {
 	b.Helper()
-	c, _ := owner(b)
-	c.take(spec("job-0", 1, "green"))
+	c, _ := newLeadingController(b)
+	c.addJob(newJobSpec("job-0", 1, "green"))
 	for i := 1; i < n; i++ {
 		dep := 0
 		if deep {
 			dep = i - 1
 		}
-		s := after(fmt.Sprintf("job-%d", i), 1, "green", fmt.Sprintf("job-%d", dep))
+		s := dependentJob(fmt.Sprintf("job-%d", i), 1, "green", fmt.Sprintf("job-%d", dep))
 		s.DeadlineS = 0
-		c.take(s)
+		c.addJob(s)
 	}
 	return c
 }
 
-// BenchmarkGraph: a submission at the end of a pipeline whose deadline reaches
+// BenchmarkDependencyGraph: a submission at the end of a pipeline whose deadline reaches
 // back over all of it, the completion of what all wait for, and its withdrawal.
-func BenchmarkGraph(b *testing.B) {
+func BenchmarkDependencyGraph(b *testing.B) {
 	for _, n := range []int{1000, 8000} {
 		for _, deep := range []bool{false, true} {
 			name := fmt.Sprintf("/jobs=%d/deep=%v", n, deep)
 			b.Run("submission"+name, func(b *testing.B) {
-				c := pipelines(b, n, deep)
+				c := newPipelines(b, n, deep)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					// Each is needed a little sooner, so that all change.
-					last := after(fmt.Sprintf("job-1000000%d", i), 1, "green", fmt.Sprintf("job-%d", n-1))
+					last := dependentJob(fmt.Sprintf("job-1000000%d", i), 1, "green", fmt.Sprintf("job-%d", n-1))
 					last.DeadlineS = 1e6 - float64(i)/100
-					c.take(last)
+					c.addJob(last)
 				}
 			})
 			if n > 1000 {
@@ -336,7 +336,7 @@
 						// ends its first job goes on with the next.
 						if next == n {
 							b.StopTimer()
-							c, next = pipelines(b, n, deep), 0
+							c, next = newPipelines(b, n, deep), 0
 							b.StartTimer()
 						}
 						c.jobs.SetFinal(fmt.Sprint("job-", next), status, time.Now())
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -25,39 +25,39 @@
 	"micaspindle/internal/transport"
 )
 
-// crowded makes controllers whose sockets hold six machines, of 14 that there may be.
-func crowded(w *world) {
+// configureFewSockets makes controllers whose sockets hold six machines, of 14 that there may be.
+func configureFewSockets(w *simulatedCluster) {
 	w.cloud.Capacity = 14
 	w.cloud.Types = w.cloud.Types[:1]
-	w.set.Params.MachineLimits.Sockets = 12
+	w.settings.Params.MachineLimits.Sockets = 12
 	w.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
 }
 
-// flock gives one part, that of the free team, work for all machines, and waits until
+// startDelegation gives one part, that of the free team, work for all machines, and waits until
 // its shares are spread.
-func (w *world) flock(jobs int) (part int) {
+func (w *simulatedCluster) startDelegation(jobs int) (part int) {
 	time.Sleep(2 * time.Second)
 	for i := range jobs {
-		s := spec(fmt.Sprint("job-", i), 10, "green")
+		s := newJobSpec(fmt.Sprint("job-", i), 10, "green")
 		s.DeadlineS = 0
 		w.submit(s)
 	}
-	w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
+	w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
 	time.Sleep(45 * time.Second)
 	return part
 }
 
-// spread is how many machines each controller has the connections of.
-func (w *world) spread() map[string]int {
+// connectedMachines is how many machines each controller has the connections of.
+func (w *simulatedCluster) connectedMachines() map[string]int {
 	n := map[string]int{}
 	for _, l := range []string{"n0", "n1", "n2"} {
-		w.in(l, func(c *Controller) { n[l] = c.proxy.Load(time.Now()).Machines })
+		w.onController(l, func(c *Controller) { n[l] = c.proxy.Load(time.Now()).Machines })
 	}
 	return n
 }
 
-// each runs f for every machine that is up.
-func (w *world) each(f func(wk *worker.Worker)) {
+// forEachWorker runs f for every machine that is up.
+func (w *simulatedCluster) forEachWorker(f func(wk *worker.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
@@ -65,9 +65,9 @@
 	}
 }
 
-func (w *world) carrier(part int) string {
-	owner := w.owns(part)
-	for l, n := range w.spread() {
+func (w *simulatedCluster) delegateOf(part int) string {
+	owner := w.leaderOf(part)
+	for l, n := range w.connectedMachines() {
 		if l != owner && n > 0 {
 			return l
 		}
@@ -77,12 +77,12 @@
 
 // The workers of an owner that is full report to others; its orders go by way of them, and
 // no session ends.
-func TestWorkersReportToCarriers(t *testing.T) {
+func TestAgentsSendHeartbeatsToDelegates(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 700, crowded, func(w *world) {
+	runConfiguredSimulation(t, 700, configureFewSockets, func(w *simulatedCluster) {
 		relayed, direct := map[string]int{}, 0
 		w.mu.Lock()
-		w.asked = func(from, host, target string, body []byte) bool {
+		w.onRequest = func(from, host, target string, body []byte) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if target == proxy.ForwardPath {
@@ -93,8 +93,8 @@
 			return false
 		}
 		w.mu.Unlock()
-		part := w.flock(8)
-		owner, n := w.owns(part), w.spread()
+		part := w.startDelegation(8)
+		owner, n := w.leaderOf(part), w.connectedMachines()
 		total := 0
 		for l, k := range n {
 			if total += k; k < 3 || k > 6 {
@@ -105,11 +105,11 @@
 			t.Errorf("only %d machines report", total)
 		}
 		homes := map[string]int{}
-		w.each(func(wk *worker.Worker) { homes[wk.Homes[wk.Home]]++ })
+		w.forEachWorker(func(wk *worker.Worker) { homes[wk.Homes[wk.Home]]++ })
 		if len(homes) != 3 {
 			t.Errorf("workers report to %v, shares are spread as %v", homes, n)
 		}
-		w.in(owner, func(c *Controller) {
+		w.onController(owner, func(c *Controller) {
 			v := c.api.StateOverview(time.Now())
 			carried, moves := 0, len(v.Moves)
 			for _, p := range v.Parts {
@@ -128,8 +128,8 @@
 			t.Error("no orders went by way of a carrier")
 		}
 		w.mu.Unlock()
-		w.finish(4 * time.Minute)
-		w.each(func(wk *worker.Worker) {
+		w.waitForAllJobs(4 * time.Minute)
+		w.forEachWorker(func(wk *worker.Worker) {
 			if wk.Session != 1 {
 				t.Errorf("%s lost its lease: session %d", wk.Name, wk.Session)
 			}
@@ -139,78 +139,84 @@
 
 // While work runs, each fault comes to the owner or to a carrier of it. The rules hold, all
 // ends, and where only a carrier is lost no lease is.
-func TestCarriedSharesSurvive(t *testing.T) {
+func TestDelegationSurvivesFaults(t *testing.T) {
 	t.Parallel()
 	between := func(a, b string) func(from, host string) bool {
 		return func(from, host string) bool { return from == a && host == b }
 	}
 	type fault struct {
-		do func(w *world, owner, carrier string)
+		do func(w *simulatedCluster, owner, carrier string)
 		// kept: no worker's session may end; stays: nor may the owner lose the part.
 		kept, stays bool
 	}
 	faults := map[string]fault{
-		"the carrier is killed": {func(w *world, _, carrier string) {
-			w.kill(carrier)
+		"the carrier is killed": {func(w *simulatedCluster, _, carrier string) {
+			w.killController(carrier)
 			time.Sleep(300 * time.Millisecond)
-			w.start(carrier)
+			w.startController(carrier)
 		}, true, false},
-		"the owner is killed": {func(w *world, owner, _ string) {
-			w.kill(owner)
+		"the owner is killed": {func(w *simulatedCluster, owner, _ string) {
+			w.killController(owner)
 			time.Sleep(3 * time.Second)
-			w.start(owner)
+			w.startController(owner)
 		}, true, false},
-		"both are killed": {func(w *world, owner, carrier string) {
-			w.kill(owner)
-			w.kill(carrier)
+		"both are killed": {func(w *simulatedCluster, owner, carrier string) {
+			w.killController(owner)
+			w.killController(carrier)
 			time.Sleep(300 * time.Millisecond)
-			w.start(owner)
-			w.start(carrier)
+			w.startController(owner)
+			w.startController(carrier)
 		}, true, false},
-		"the carrier stands still":  {func(w *world, _, carrier string) { w.hold(carrier, 6*time.Second) }, true, false},
-		"the owner stands still":    {func(w *world, owner, _ string) { w.hold(owner, 2500*time.Millisecond) }, true, false},
-		"the owner's way is cut":    {func(w *world, owner, carrier string) { w.cutFor(between(owner, carrier), 12*time.Second) }, true, false},
-		"the carrier's way is cut":  {func(w *world, owner, carrier string) { w.cutFor(between(carrier, owner), 12*time.Second) }, true, false},
-		"the carrier without state": {func(w *world, _, carrier string) { w.cutFor(between(carrier, "state"), 9*time.Second) }, true, false},
-		"the owner without state":   {func(w *world, owner, _ string) { w.cutFor(between(owner, "state"), 9*time.Second) }, false, false},
-		"the carrier without workers": {func(w *world, _, carrier string) {
-			w.cutFor(func(from, host string) bool { return from == carrier && strings.HasPrefix(host, "m-") }, 9*time.Second)
+		"the carrier stands still": {func(w *simulatedCluster, _, carrier string) { w.pauseController(carrier, 6*time.Second) }, true, false},
+		"the owner stands still":   {func(w *simulatedCluster, owner, _ string) { w.pauseController(owner, 2500*time.Millisecond) }, true, false},
+		"the owner's way is cut": {func(w *simulatedCluster, owner, carrier string) {
+			w.cutNetworkFor(between(owner, carrier), 12*time.Second)
 		}, true, false},
-		"controllers don't hear each other": {func(w *world, _, _ string) {
-			w.cutFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
+		"the carrier's way is cut": {func(w *simulatedCluster, owner, carrier string) {
+			w.cutNetworkFor(between(carrier, owner), 12*time.Second)
+		}, true, false},
+		"the carrier without state": {func(w *simulatedCluster, _, carrier string) {
+			w.cutNetworkFor(between(carrier, "state"), 9*time.Second)
+		}, true, false},
+		"the owner without state": {func(w *simulatedCluster, owner, _ string) { w.cutNetworkFor(between(owner, "state"), 9*time.Second) }, false, false},
+		"the carrier without workers": {func(w *simulatedCluster, _, carrier string) {
+			w.cutNetworkFor(func(from, host string) bool { return from == carrier && strings.HasPrefix(host, "m-") }, 9*time.Second)
+		}, true, false},
+		"controllers don't hear each other": {func(w *simulatedCluster, _, _ string) {
+			w.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
 		}, true, true},
 		// The carrier's workers come to others, while nobody hears the owner.
-		"the carrier is killed unheard": {func(w *world, _, carrier string) {
+		"the carrier is killed unheard": {func(w *simulatedCluster, _, carrier string) {
 			w.group.Go(func() {
 				time.Sleep(time.Second)
-				w.kill(carrier)
+				w.killController(carrier)
 			})
-			w.cutFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
-			w.start(carrier)
+			w.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
+			w.startController(carrier)
 		}, true, true},
-		"an outage": {func(w *world, _, _ string) {
-			w.outage(true)
+		"an outage": {func(w *simulatedCluster, _, _ string) {
+			w.setOutage(true)
 			time.Sleep(12 * time.Second)
-			w.outage(false)
+			w.setOutage(false)
 		}, true, false},
-		"planned ends": {func(w *world, owner, carrier string) {
-			w.handOver(carrier)
+		"planned ends": {func(w *simulatedCluster, owner, carrier string) {
+			w.handOverAndRestart(carrier)
 			time.Sleep(2 * time.Second)
-			w.handOver(owner)
+			w.handOverAndRestart(owner)
 		}, true, false},
-		"lost and late messages": {func(w *world, _, _ string) {
+		"lost and late messages": {func(w *simulatedCluster, _, _ string) {
 			w.mu.Lock()
-			w.trouble = 0.05
+			w.messageFaultRate = 0.05
 			w.mu.Unlock()
 			time.Sleep(15 * time.Second)
 			w.mu.Lock()
-			w.trouble = 0
+			w.messageFaultRate = 0
 			w.mu.Unlock()
 		}, false, false},
-		"machines hang": {func(w *world, _, _ string) {
+		"machines hang": {func(w *simulatedCluster, _, _ string) {
 			hang := func(on bool) {
 				n := 0
-				w.each(func(wk *worker.Worker) {
+				w.forEachWorker(func(wk *worker.Worker) {
 					if n++; n%3 == 0 {
 						wk.Hung = on
 					}
@@ -225,28 +231,28 @@
 		f := faults[name]
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 710+uint64(i), crowded, func(w *world) {
-				part := w.flock(9)
-				owner, carrier := w.owns(part), w.carrier(part)
+			runConfiguredSimulation(t, 710+uint64(i), configureFewSockets, func(w *simulatedCluster) {
+				part := w.startDelegation(9)
+				owner, carrier := w.leaderOf(part), w.delegateOf(part)
 				if carrier == "" {
-					t.Fatalf("nothing is carried: %v", w.spread())
+					t.Fatalf("nothing is carried: %v", w.connectedMachines())
 				}
 				var claim uint64
-				w.in(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
+				w.onController(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
 				f.do(w, owner, carrier)
-				w.in(owner, func(c *Controller) {
+				w.onController(owner, func(c *Controller) {
 					if f.stays && c.Partitions[part].LeaseRevision != claim {
 						t.Error("a living owner lost its part")
 					}
 				})
 				if time.Sleep(12 * time.Second); f.kept {
-					w.each(func(wk *worker.Worker) {
+					w.forEachWorker(func(wk *worker.Worker) {
 						if wk.Session != 1 {
 							t.Errorf("%s lost its lease: session %d", wk.Name, wk.Session)
 						}
 					})
 				}
-				w.finish(6 * time.Minute)
+				w.waitForAllJobs(6 * time.Minute)
 			})
 		})
 	}
@@ -255,22 +261,22 @@
 // A machine that goes silent while it is carried counts as lost no sooner than its lease has
 // run out, and not much later, whatever its carrier does: it lives, is killed, or goes on
 // answering for a while after it was last heard.
-func TestSilentCarriedMachinesAreLostInTime(t *testing.T) {
+func TestSilentDelegatedMachinesAreLostInTime(t *testing.T) {
 	t.Parallel()
 	for _, what := range []string{"the carrier lives", "the carrier is killed", "the carrier is not heard"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 730, crowded, func(w *world) {
-				part := w.flock(9)
-				owner, carrier := w.owns(part), w.carrier(part)
+			runConfiguredSimulation(t, 730, configureFewSockets, func(w *simulatedCluster) {
+				part := w.startDelegation(9)
+				owner, carrier := w.leaderOf(part), w.delegateOf(part)
 				if what == "the carrier is not heard" {
 					w.group.Go(func() {
-						w.cutFor(func(from, host string) bool { return from == carrier && host == owner }, 30*time.Second)
+						w.cutNetworkFor(func(from, host string) bool { return from == carrier && host == owner }, 30*time.Second)
 					})
 					time.Sleep(1900 * time.Millisecond) // its grants have just not ended
 				}
 				var silent *worker.Worker
-				w.each(func(wk *worker.Worker) {
+				w.forEachWorker(func(wk *worker.Worker) {
 					// The one that was answered last: its lease is the longest.
 					if wk.Homes[wk.Home] == carrier && len(wk.Tasks) > 0 && (silent == nil || wk.LeaseFrom.After(silent.LeaseFrom)) {
 						silent = wk
@@ -284,20 +290,20 @@
 				name, from, lease := silent.Name, silent.LeaseFrom, silent.Lease
 				w.mu.Unlock()
 				if what == "the carrier is killed" {
-					w.kill(carrier)
+					w.killController(carrier)
 				}
 				gone := false
 				for begun := time.Now(); !gone && time.Since(begun) < time.Minute; time.Sleep(50 * time.Millisecond) {
-					w.in(owner, func(c *Controller) { gone = c.Machines[name] == nil || c.Machines[name].Lost })
+					w.onController(owner, func(c *Controller) { gone = c.Machines[name] == nil || c.Machines[name].Lost })
 				}
 				if took := time.Since(from); took <= lease || took > lease+7*time.Second {
 					t.Errorf("counts as lost %s after its lease began, which is %s", took, lease)
 				}
-				w.each(func(wk *worker.Worker) { wk.Hung = false })
+				w.forEachWorker(func(wk *worker.Worker) { wk.Hung = false })
 				if what == "the carrier is killed" {
-					w.start(carrier)
+					w.startController(carrier)
 				}
-				w.finish(6 * time.Minute)
+				w.waitForAllJobs(6 * time.Minute)
 			})
 		})
 	}
@@ -305,13 +311,13 @@
 
 // An owner grants no longer than it may answer itself, and a report that comes twice, or
 // late, makes no machine look alive.
-func TestOwnersGrantNoLongerThanTheyAnswer(t *testing.T) {
+func TestGrantsEndWithinTheLeadersAnswerBound(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 780, crowded, func(w *world) {
-		part := w.flock(9)
-		owner, carrier := w.owns(part), w.carrier(part)
+	runConfiguredSimulation(t, 780, configureFewSockets, func(w *simulatedCluster) {
+		part := w.startDelegation(9)
+		owner, carrier := w.leaderOf(part), w.delegateOf(part)
 		w.mu.Lock()
-		ctl := w.nodes[owner].ctl
+		ctl := w.controllers[owner].controller
 		w.mu.Unlock()
 		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
 			req := &peer.DelegationRequest{From: carrier, Nonce: "x", Partition: uint32(part), Heartbeats: reports}
@@ -320,11 +326,11 @@
 				ctl.LeaseRenewedAt = time.Now().Add(-ago)
 			})
 			body, err := proto.Marshal(req)
-			must(err)
+			panicOnError(err)
 			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.DelegationPath, Body: body})
 			reply := new(peer.DelegationGrant)
 			if resp.Status == 200 {
-				must(proto.Unmarshal(resp.Body, reply))
+				panicOnError(proto.Unmarshal(resp.Body, reply))
 			}
 			return resp.Status, time.Duration(reply.GrantMs) * time.Millisecond
 		}
@@ -340,7 +346,7 @@
 		}
 		var raw []byte
 		var name string
-		w.each(func(wk *worker.Worker) {
+		w.forEachWorker(func(wk *worker.Worker) {
 			if raw == nil && wk.Homes[wk.Home] == carrier {
 				name, raw = wk.Name, protocol.Encode(wk.Snapshot())
 				wk.Hung = true
@@ -355,21 +361,21 @@
 				t.Errorf("heard %s ago, answered %s ago", heard, time.Since(m.AnsweredUntil))
 			}
 		})
-		w.each(func(wk *worker.Worker) { wk.Hung = false })
-		w.finish(4 * time.Minute)
+		w.forEachWorker(func(wk *worker.Worker) { wk.Hung = false })
+		w.waitForAllJobs(4 * time.Minute)
 	})
 }
 
 // Whoever takes over more machines than its sockets should hold has others fence and carry
 // some of them from its first moment on.
-func TestTakeoverSpreadsAtOnce(t *testing.T) {
+func TestTakeoverDelegatesAtOnce(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 790, crowded, func(w *world) {
-		part := w.flock(9)
-		lost := w.owns(part)
+	runConfiguredSimulation(t, 790, configureFewSockets, func(w *simulatedCluster) {
+		part := w.startDelegation(9)
+		lost := w.leaderOf(part)
 		direct, relayed := map[string]map[string]bool{}, 0
 		w.mu.Lock()
-		w.asked = func(from, host, target string, body []byte) bool {
+		w.onRequest = func(from, host, target string, body []byte) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			switch target {
@@ -380,20 +386,20 @@
 				direct[from][host] = true
 			case proxy.ForwardPath:
 				req := new(peer.ForwardRequest)
-				must(proto.Unmarshal(body, req))
+				panicOnError(proto.Unmarshal(body, req))
 				relayed += len(req.Commands)
 			}
 			return false
 		}
 		w.mu.Unlock()
-		w.kill(lost)
+		w.killController(lost)
 		heir := ""
 		for begun := time.Now(); heir == "" && time.Since(begun) < 10*time.Second; time.Sleep(time.Millisecond) {
-			heir = w.owns(part)
+			heir = w.leaderOf(part)
 		}
 		time.Sleep(100 * time.Millisecond)
 		machines, fenced, carried := 0, 0, 0
-		w.in(heir, func(c *Controller) {
+		w.onController(heir, func(c *Controller) {
 			for _, m := range c.Machines {
 				if m.Record.Partition == part {
 					machines++
@@ -412,27 +418,27 @@
 		if machines < 9 || fenced < machines || carried == 0 || relayed == 0 || own >= machines {
 			t.Errorf("%d machines, %d fenced, %d shares carried, %d orders relayed, %d machines fenced by %s itself", machines, fenced, carried, relayed, own, heir)
 		}
-		w.start(lost)
-		w.finish(6 * time.Minute)
+		w.startController(lost)
+		w.waitForAllJobs(6 * time.Minute)
 	})
 }
 
 // A share goes back and forth fifty times while its tasks run, through kills and
 // standstills: no task is started again, no session ends.
-func TestShareMovesWhileTasksRun(t *testing.T) {
+func TestShardsMoveWhileTasksRun(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 740, func(w *world) {
-		crowded(w)
+	runConfiguredSimulation(t, 740, func(w *simulatedCluster) {
+		configureFewSockets(w)
 		w.runTime = func(string, int, string) time.Duration { return 8 * time.Minute }
-	}, func(w *world) {
-		part := w.flock(3)
-		owner := w.owns(part)
+	}, func(w *simulatedCluster) {
+		part := w.startDelegation(3)
+		owner := w.leaderOf(part)
 		starts := map[string]int{}
-		w.each(func(wk *worker.Worker) { starts[wk.Name] = wk.Starts })
+		w.forEachWorker(func(wk *worker.Worker) { starts[wk.Name] = wk.Starts })
 		others := slices.DeleteFunc([]string{"n0", "n1", "n2"}, func(l string) bool { return l == owner })
 		moves := 0
 		for round := range 50 {
-			w.in(owner, func(c *Controller) {
+			w.onController(owner, func(c *Controller) {
 				p := c.Partitions[part]
 				to := others[round%2]
 				for s := range 16 {
@@ -446,16 +452,16 @@
 			time.Sleep(1500 * time.Millisecond)
 			switch round % 10 {
 			case 3:
-				w.kill(others[0])
+				w.killController(others[0])
 				time.Sleep(200 * time.Millisecond)
-				w.start(others[0])
+				w.startController(others[0])
 			case 6:
-				w.hold(others[1], 2*time.Second)
+				w.pauseController(others[1], 2*time.Second)
 			case 9:
-				w.hold(owner, time.Second)
+				w.pauseController(owner, time.Second)
 			}
 		}
-		w.each(func(wk *worker.Worker) {
+		w.forEachWorker(func(wk *worker.Worker) {
 			if wk.Session != 1 || wk.Starts != starts[wk.Name] {
 				t.Errorf("%s: session %d, %d starts more", wk.Name, wk.Session, wk.Starts-starts[wk.Name])
 			}
@@ -467,13 +473,13 @@
 // Where a controller of a version without shares is heard, nothing is carried: once it
 // comes, what was carried goes home, and no session ends; once it is gone, shares are
 // given away again.
-func TestOldVersionsAreNotAskedToCarry(t *testing.T) {
+func TestOldVersionsAreNoDelegates(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 750, crowded, func(w *world) {
-		part := w.flock(9)
-		owner := w.owns(part)
+	runConfiguredSimulation(t, 750, configureFewSockets, func(w *simulatedCluster) {
+		part := w.startDelegation(9)
+		owner := w.leaderOf(part)
 		carried := func() (shares []int) {
-			w.in(owner, func(c *Controller) {
+			w.onController(owner, func(c *Controller) {
 				for _, l := range c.Labels {
 					shares = append(shares, c.Partitions[part].Delegations.ShardsOf(l)...)
 				}
@@ -481,12 +487,12 @@
 			return shares
 		}
 		if len(carried()) == 0 {
-			t.Errorf("nothing is carried: %v", w.spread())
+			t.Errorf("nothing is carried: %v", w.connectedMachines())
 		}
 		for _, l := range []string{"n0", "n1", "n2"} {
 			if l != owner {
 				w.mu.Lock()
-				w.old = map[string]bool{l: true}
+				w.oldVersions = map[string]bool{l: true}
 				w.mu.Unlock()
 				break
 			}
@@ -496,18 +502,18 @@
 			t.Errorf("shares %v are carried beside an old version", s)
 		}
 		time.Sleep(5 * time.Second)
-		if n := w.spread(); n[owner] < 9 {
+		if n := w.connectedMachines(); n[owner] < 9 {
 			t.Errorf("the owner has the connections of %d machines: %v", n[owner], n)
 		}
 		w.mu.Lock()
-		w.old = nil
+		w.oldVersions = nil
 		w.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if len(carried()) == 0 {
 			t.Error("nothing is carried after the old version is gone")
 		}
-		w.finish(4 * time.Minute)
-		w.each(func(wk *worker.Worker) {
+		w.waitForAllJobs(4 * time.Minute)
+		w.forEachWorker(func(wk *worker.Worker) {
 			if wk.Session != 1 {
 				t.Errorf("%s lost its lease: session %d", wk.Name, wk.Session)
 			}
@@ -517,22 +523,22 @@
 
 // Messages that make no sense are refused, and those of another claim, which a carrier
 // of a former owner may send.
-func TestStrangeCarriersAreRefused(t *testing.T) {
+func TestInvalidDelegationRequestsAreRefused(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 760, crowded, func(w *world) {
-		part := w.flock(2)
-		owner := w.owns(part)
+	runConfiguredSimulation(t, 760, configureFewSockets, func(w *simulatedCluster) {
+		part := w.startDelegation(2)
+		owner := w.leaderOf(part)
 		var claim uint64
-		w.in(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
+		w.onController(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
 		w.mu.Lock()
-		ctl := w.nodes[owner].ctl
+		ctl := w.controllers[owner].controller
 		w.mu.Unlock()
 		post := func(path string, body []byte) int {
 			return ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: path, Body: body}).Status
 		}
 		carry := func(r *peer.DelegationRequest) int {
 			body, err := proto.Marshal(r)
-			must(err)
+			panicOnError(err)
 			return post(proxy.DelegationPath, body)
 		}
 		for what, got := range map[string]int{
@@ -551,24 +557,24 @@
 			many.Commands = append(many.Commands, &peer.ForwardedCommand{Machine: "m-000001"})
 		}
 		body, err := proto.Marshal(many)
-		must(err)
+		panicOnError(err)
 		if got := post(proxy.ForwardPath, body); got != 400 {
 			t.Errorf("too many orders: %d", got)
 		}
 		body, err = proto.Marshal(&peer.ForwardRequest{From: "n1", Commands: []*peer.ForwardedCommand{{Machine: "unheard of"}}})
-		must(err)
+		panicOnError(err)
 		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.ForwardPath, Body: body})
 		reply := new(peer.ForwardReply)
-		must(proto.Unmarshal(resp.Body, reply))
+		panicOnError(proto.Unmarshal(resp.Body, reply))
 		if len(reply.Results) != 1 || !reply.Results[0].Unsent {
 			t.Errorf("orders for a machine that nobody knows: %v", reply)
 		}
-		w.finish(4 * time.Minute)
+		w.waitForAllJobs(4 * time.Minute)
 	})
 }
 
 // Random nights of crowded controllers, whose shares move all the time.
-func TestRandomNightsOfShares(t *testing.T) {
+func TestRandomFailoversWithDelegation(t *testing.T) {
 	t.Parallel()
 	nights := 3
 	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_NIGHTS")); err == nil {
@@ -578,10 +584,10 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			asked := 0
-			simulatePrepared(t, 20_000+seed, func(w *world) {
-				announce(w)
-				w.set.Params.MachineLimits.Sockets = 8
-				w.asked = func(_, _, target string, _ []byte) bool {
+			runConfiguredSimulation(t, 20_000+seed, func(w *simulatedCluster) {
+				announceLowerLimits(w)
+				w.settings.Params.MachineLimits.Sockets = 8
+				w.onRequest = func(_, _, target string, _ []byte) bool {
 					w.mu.Lock()
 					defer w.mu.Unlock()
 					if target == proxy.DelegationPath {
@@ -589,9 +595,9 @@
 					}
 					return false
 				}
-			}, func(w *world) {
+			}, func(w *simulatedCluster) {
 				time.Sleep(20 * time.Second) // until the others count as settled
-				randomNight(w)
+				runRandomFailovers(w)
 			})
 			if asked == 0 {
 				t.Log("nothing was carried")
@@ -601,10 +607,10 @@
 }
 
 // What a carrier may answer, and with what.
-func TestGrantsEndWithTheClaim(t *testing.T) {
+func TestGrantsEndWithThePartitionLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		claim := func(version uint64, label, nonce string) {
 			c.watcher.ApplyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
@@ -676,25 +682,25 @@
 
 // Reports whose telling had no reply are told again, unless newer ones of the same
 // machines have come.
-func TestUntoldReportsAreToldAgain(t *testing.T) {
+func TestUnacknowledgedHeartbeatsAreForwardedAgain(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 770, crowded, func(w *world) {
-		part := w.flock(9)
-		carrier := w.carrier(part)
+	runConfiguredSimulation(t, 770, configureFewSockets, func(w *simulatedCluster) {
+		part := w.startDelegation(9)
+		carrier := w.delegateOf(part)
 		var lost, again map[string]bool
 		var after uint64
 		w.mu.Lock()
-		w.answered = func(from, _, target string, body []byte, _ *transport.Response) bool {
+		w.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if from != carrier || target != proxy.DelegationPath || again != nil {
 				return false
 			}
 			req, told := new(peer.DelegationRequest), map[string]bool{}
-			must(proto.Unmarshal(body, req))
+			panicOnError(proto.Unmarshal(body, req))
 			for _, raw := range req.Heartbeats {
 				r := new(protocol.Heartbeat)
-				must(protocol.Decode(raw, r))
+				panicOnError(protocol.Decode(raw, r))
 				told[r.Machine] = true
 			}
 			switch {
@@ -723,18 +729,18 @@
 			}
 		}
 		w.mu.Unlock()
-		w.finish(4 * time.Minute)
+		w.waitForAllJobs(4 * time.Minute)
 	})
 }
 
 // A worker that is sent to its carrier before anybody has answered it holds its first
 // lease all the same: what was started on it is not over (6).
-func TestUnansweredWorkerKeepsItsFirstLease(t *testing.T) {
+func TestUnansweredAgentKeepsItsFirstLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
-		p, m := c.owning(5)
+		p, m := c.leadFirstPartition(5)
 		time.Sleep(time.Minute) // its boot
 		now := time.Now()
 		c.RecordsAsOf, c.LeaseRenewedAt = now, now
@@ -748,7 +754,7 @@
 		if resp := c.agents.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
 			t.Fatalf("status %d: not sent to its carrier", resp.Status)
 		}
-		j := &cluster.Job{Spec: spec("job-1", 1, "red")}
+		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
 		j.Load()
 		c.Jobs["job-1"] = j
 		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted}
--- a/internal/coordination/command_meetings_test.go
+++ b/internal/coordination/command_meetings_test.go
@@ -16,40 +16,40 @@
 	"micaspindle/internal/storage"
 )
 
-// keptOrder is an order that a controller sent and that has not come yet.
-type keptOrder struct {
+// capturedCommands is an order that a controller sent and that has not come yet.
+type capturedCommands struct {
 	machine string
 	body    []byte
 }
 
-// keepOrders keeps every order with commands that a controller sends itself from now on.
-func (w *world) keepOrders(from string) (kept *[]keptOrder) {
-	kept = new([]keptOrder)
-	w.locked(func() {
-		w.asked = func(sender, host, target string, body []byte) bool {
+// captureCommands keeps every order with commands that a controller sends itself from now on.
+func (w *simulatedCluster) captureCommands(from string) (kept *[]capturedCommands) {
+	kept = new([]capturedCommands)
+	w.withLock(func() {
+		w.onRequest = func(sender, host, target string, body []byte) bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if sender != from || target != "/orders" || w.workers[host] == nil || verbsOf(body)[fenceVerb] {
+			if sender != from || target != "/orders" || w.workers[host] == nil || commandOps(body)[fenceOp] {
 				return false
 			}
-			*kept = append(*kept, keptOrder{host, body})
+			*kept = append(*kept, capturedCommands{host, body})
 			return true
 		}
 	})
 	return kept
 }
 
-// bringOrders brings kept orders to their workers.
-func (w *world) bringOrders(orders []keptOrder) (done, refused map[string]int) {
+// deliverCaptured brings kept orders to their workers.
+func (w *simulatedCluster) deliverCaptured(orders []capturedCommands) (done, refused map[string]int) {
 	done, refused = map[string]int{}, map[string]int{}
 	for _, k := range orders {
 		var wk *worker.Worker
-		w.locked(func() { wk = w.workers[k.machine] })
+		w.withLock(func() { wk = w.workers[k.machine] })
 		if wk == nil {
 			continue
 		}
 		resp := w.serveWorker(wk, "/orders", k.body)
-		for verb := range verbsOf(k.body) {
+		for verb := range commandOps(k.body) {
 			if resp != nil && resp.Status == 200 {
 				done[verb]++
 			} else {
@@ -60,64 +60,64 @@
 	return done, refused
 }
 
-// everySecond are the orders at even or odd places, so that both have all kinds.
-func everySecond(orders []keptOrder, from int) (list []keptOrder) {
+// everySecondMessage are the orders at even or odd places, so that both have all kinds.
+func everySecondMessage(orders []capturedCommands, from int) (list []capturedCommands) {
 	for i := from; i < len(orders); i += 2 {
 		list = append(list, orders[i])
 	}
 	return list
 }
 
-// startsAndMore says whether orders hold starts and stops or reaps.
-func startsAndMore(orders []keptOrder) bool {
+// hasStartsAndStops says whether orders hold starts and stops or reaps.
+func hasStartsAndStops(orders []capturedCommands) bool {
 	verbs := map[string]bool{}
 	for _, k := range orders {
-		maps.Copy(verbs, verbsOf(k.body))
+		maps.Copy(verbs, commandOps(k.body))
 	}
 	return verbs[protocol.OpStart] && (verbs[protocol.OpStop] || verbs[protocol.OpForget])
 }
 
-// commandsOfAllKinds has an owner send starts, stops and reaps: jobs end, one is called off
+// sendCommandsOfAllKinds has an owner send starts, stops and reaps: jobs end, one is called off
 // and another is submitted.
-func (w *world) commandsOfAllKinds(owner, cancelled string) error {
+func (w *simulatedCluster) sendCommandsOfAllKinds(owner, cancelled string) error {
 	for i := range 4 {
-		s := spec(fmt.Sprintf("job-8%d", i), 4, "green")
+		s := newJobSpec(fmt.Sprintf("job-8%d", i), 4, "green")
 		s.DeadlineS, s.CPUs = 0, 2
 		w.submit(s)
 	}
 	time.Sleep(1500 * time.Millisecond)
-	if !w.withdrawAt(w.others(owner)[0], cancelled) {
+	if !w.cancelAt(w.otherControllers(owner)[0], cancelled) {
 		return fmt.Errorf("%s is not cancelled", cancelled)
 	}
 	return nil
 }
 
-// oldOrders plays an owner whose commands come after another has begun: some before its
+// runWithStaleCommands plays an owner whose commands come after another has begun: some before its
 // first fencing orders, some after.
-func oldOrders(replace func(w *world, part int, owner string) (heir string)) func(w *world) error {
-	return func(w *world) error {
-		w.longJobs(3, 4, "green", 9*time.Second)
-		part := w.partOf("green")
-		owner := w.owns(part)
-		kept := w.keepOrders(owner)
+func runWithStaleCommands(replace func(w *simulatedCluster, part int, owner string) (heir string)) func(w *simulatedCluster) error {
+	return func(w *simulatedCluster) error {
+		w.startLongJobs(3, 4, "green", 9*time.Second)
+		part := w.partitionOf("green")
+		owner := w.leaderOf(part)
+		kept := w.captureCommands(owner)
 		time.Sleep(2500 * time.Millisecond)
-		if err := w.commandsOfAllKinds(owner, "job-101"); err != nil {
+		if err := w.sendCommandsOfAllKinds(owner, "job-101"); err != nil {
 			return err
 		}
-		var sent []keptOrder
+		var sent []capturedCommands
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
-			w.locked(func() { sent = slices.Clone(*kept) })
-			if startsAndMore(everySecond(sent, 0)) && startsAndMore(everySecond(sent, 1)) {
+			w.withLock(func() { sent = slices.Clone(*kept) })
+			if hasStartsAndStops(everySecondMessage(sent, 0)) && hasStartsAndStops(everySecondMessage(sent, 1)) {
 				break
 			}
 		}
 		fencing := make(chan struct{})
-		w.locked(func() {
-			w.asked = func(_, host, target string, body []byte) bool {
+		w.withLock(func() {
+			w.onRequest = func(_, host, target string, body []byte) bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				if target == "/orders" && w.workers[host] != nil && verbsOf(body)[fenceVerb] && fencing != nil {
+				if target == "/orders" && w.workers[host] != nil && commandOps(body)[fenceOp] && fencing != nil {
 					close(fencing)
 					fencing = nil
 				}
@@ -129,15 +129,15 @@
 		brought := make(chan outcome, 1)
 		w.group.Go(func() {
 			<-before
-			done, refused := w.bringOrders(everySecond(sent, 0))
+			done, refused := w.deliverCaptured(everySecondMessage(sent, 0))
 			brought <- outcome{done, refused}
 		})
 		heir := replace(w, part, owner)
 		early := <-brought
 		time.Sleep(3 * time.Second)
-		_, refused := w.bringOrders(everySecond(sent, 1))
-		w.startAway()
-		w.locked(func() { w.asked = nil })
+		_, refused := w.deliverCaptured(everySecondMessage(sent, 1))
+		w.startMissingControllers()
+		w.withLock(func() { w.onRequest = nil })
 		came := map[string]int{}
 		maps.Copy(came, early.refused)
 		maps.Copy(came, early.done)
@@ -148,118 +148,118 @@
 	}
 }
 
-// raisedMost is the share of the write budget that raised tokens may take in a second.
-const raisedMost = 0.5
+// tokenRaiseShareMax is the share of the write budget that raised tokens may take in a second.
+const tokenRaiseShareMax = 0.5
 
-var commandMeetings = []meetingTest{
+var commandFaultCombinations = []faultCombination{
 	{name: "an old owner's starts, stops and reaps come before and after the new one's first fencing",
-		play: oldOrders(func(w *world, part int, owner string) string {
-			w.kill(owner)
-			return w.newOwner(part, owner)
+		run: runWithStaleCommands(func(w *simulatedCluster, part int, owner string) string {
+			w.killController(owner)
+			return w.waitForNewLeader(part, owner)
 		})},
 	{name: "those of a process that restarted as successor of itself",
-		play: oldOrders(func(w *world, part int, owner string) string {
-			for _, l := range w.others(owner) {
-				w.kill(l)
+		run: runWithStaleCommands(func(w *simulatedCluster, part int, owner string) string {
+			for _, l := range w.otherControllers(owner) {
+				w.killController(l)
 			}
-			w.kill(owner)
+			w.killController(owner)
 			time.Sleep(300 * time.Millisecond)
-			w.start(owner)
-			return w.newOwner(part, "")
+			w.startController(owner)
+			return w.waitForNewLeader(part, "")
 		})},
-	{name: "a process stands still between the check and the sending of a start, and the job is cancelled", play: func(w *world) error {
-		w.longJobs(2, 4, "green", 12*time.Second)
-		part := w.partOf("green")
-		owner := w.owns(part)
+	{name: "a process stands still between the check and the sending of a start, and the job is cancelled", run: func(w *simulatedCluster) error {
+		w.startLongJobs(2, 4, "green", 12*time.Second)
+		part := w.partitionOf("green")
+		owner := w.leaderOf(part)
 		time.Sleep(12 * time.Second)
 		sending := make(chan struct{})
 		var once sync.Once
-		w.locked(func() {
-			w.asked = func(from, host, target string, body []byte) bool {
-				if from != owner || target != "/orders" || host[0] != 'm' || !verbsOf(body)[protocol.OpStart] {
+		w.withLock(func() {
+			w.onRequest = func(from, host, target string, body []byte) bool {
+				if from != owner || target != "/orders" || host[0] != 'm' || !commandOps(body)[protocol.OpStart] {
 					return false
 				}
 				once.Do(func() {
 					close(sending)
-					w.hold(owner, 14*time.Second)
+					w.pauseController(owner, 14*time.Second)
 				})
-				w.awaitHeld(owner)
+				w.waitWhilePaused(owner)
 				return false
 			}
 		})
-		s := spec("job-900", 3, "green")
+		s := newJobSpec("job-900", 3, "green")
 		s.DeadlineS = 0
 		w.submit(s)
 		<-sending
-		heir := w.newOwner(part, owner)
-		if !w.withdrawAt(heir, s.ID) {
+		heir := w.waitForNewLeader(part, owner)
+		if !w.cancelAt(heir, s.ID) {
 			return fmt.Errorf("not cancelled")
 		}
 		time.Sleep(14 * time.Second)
-		w.locked(func() {
-			w.asked = nil
-			for _, start := range w.afterCancel {
+		w.withLock(func() {
+			w.onRequest = nil
+			for _, start := range w.startsAfterCancel {
 				w.t.Errorf("%s started %s after its cancellation", start.task, start.after)
 			}
 		})
-		if refused := w.metTimes("refused start"); heir == owner || refused == 0 {
+		if refused := w.faultCount("refused start"); heir == owner || refused == 0 {
 			return fmt.Errorf("new owner %s, %d old starts came and were refused", heir, refused)
 		}
 		return nil
 	}},
-	{name: "commands are carried out at once and only their answers lost, while jobs are cancelled and the owner ends", play: func(w *world) error {
-		w.longJobs(3, 4, "green", 9*time.Second)
-		part := w.partOf("green")
-		w.locked(func() { w.lateCommands = &lateCommands{share: 0.7, atOnce: true} })
+	{name: "commands are carried out at once and only their answers lost, while jobs are cancelled and the owner ends", run: func(w *simulatedCluster) error {
+		w.startLongJobs(3, 4, "green", 9*time.Second)
+		part := w.partitionOf("green")
+		w.withLock(func() { w.delayedCommands = &commandDelayFault{share: 0.7, loseAnswersOnly: true} })
 		met := func() (starts, stops, reaps int) {
-			return w.metTimes("late start done"), w.metTimes("late stop done"), w.metTimes("late reap done")
+			return w.faultCount("late start done"), w.faultCount("late stop done"), w.faultCount("late reap done")
 		}
 		for i := range 60 {
 			if starts, stops, reaps := met(); i >= 20 && starts >= 5 && stops >= 2 && reaps >= 3 {
 				break
 			}
-			s := spec(fmt.Sprintf("job-%d", i), 2+i%3, "green")
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 2+i%3, "green")
 			s.DeadlineS, s.CPUs = 0, 2
 			w.submit(s)
 			if i%4 == 3 {
 				w.group.Go(func() {
 					time.Sleep(4 * time.Second)
-					w.insist(s.ID, i)
+					w.cancelUntilAnswered(s.ID, i)
 				})
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
-		owner := w.owns(part)
-		w.kill(owner)
-		w.newOwner(part, owner)
-		w.start(owner)
+		owner := w.leaderOf(part)
+		w.killController(owner)
+		w.waitForNewLeader(part, owner)
+		w.startController(owner)
 		time.Sleep(8 * time.Second)
 		if starts, stops, reaps := met(); starts < 5 || stops < 2 || reaps < 3 {
 			return fmt.Errorf("answers lost of %d starts, %d stops, %d reaps", starts, stops, reaps)
 		}
 		return nil
 	}},
-	{name: "half of the commands are held up for a minute while jobs are cancelled, preempted and drained", prepare: func(w *world) {
+	{name: "half of the commands are held up for a minute while jobs are cancelled, preempted and drained", prepare: func(w *simulatedCluster) {
 		w.cloud.Capacity = 40
-		w.set.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 80}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
-	}, play: heldUpFleet, over: 5 * time.Minute},
-	{name: "jobs are cancelled as their part changes hands, and their machines reach nobody", play: func(w *world) error {
-		ids := w.longJobs(3, 4, "green", 2*time.Minute)
-		part := w.partOf("green")
-		owner := w.owns(part)
-		other := w.others(owner)[0]
-		w.locked(func() { w.mute = w.machinesOf(ids[0]) })
-		w.kill(owner)
-		between := w.owns(part) == ""
-		cancelled := w.withdrawAt(other, ids[0])
-		w.newOwner(part, owner)
+		w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 80}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
+	}, run: delayHalfOfCommands, finishWithin: 5 * time.Minute},
+	{name: "jobs are cancelled as their part changes hands, and their machines reach nobody", run: func(w *simulatedCluster) error {
+		ids := w.startLongJobs(3, 4, "green", 2*time.Minute)
+		part := w.partitionOf("green")
+		owner := w.leaderOf(part)
+		other := w.otherControllers(owner)[0]
+		w.withLock(func() { w.outboundLost = w.machinesRunningAnyOf(ids[0]) })
+		w.killController(owner)
+		between := w.leaderOf(part) == ""
+		cancelled := w.cancelAt(other, ids[0])
+		w.waitForNewLeader(part, owner)
 		time.Sleep(1500 * time.Millisecond) // far less than what is left of the lease
 		left := 0
-		w.locked(func() {
-			left = len(w.runs(ids[0]))
-			w.mute = nil
+		w.withLock(func() {
+			left = len(w.machinesRunning(ids[0]))
+			w.outboundLost = nil
 		})
-		w.start(owner)
+		w.startController(owner)
 		if left > 0 {
 			w.t.Errorf("%d of its tasks go on though commands reach their machines", left)
 		}
@@ -268,27 +268,27 @@
 		}
 		return nil
 	}},
-	{name: "more work than room, urgent and not, over slow links", play: func(w *world) error {
-		w.locked(func() { w.slowLinks = 900 * time.Millisecond })
-		part := w.partOf("green")
+	{name: "more work than room, urgent and not, over slow links", run: func(w *simulatedCluster) error {
+		w.withLock(func() { w.linkDelayMax = 900 * time.Millisecond })
+		part := w.partitionOf("green")
 		waited := 0
 		for i := range 40 {
-			s := spec(fmt.Sprintf("job-%d", i), 4, "green")
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 4, "green")
 			s.Urgency, s.DeadlineS = protocol.Urgency(i%4), 0
-			w.group.Go(func() { w.offer(s, i) })
-			w.locked(func() { w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}} })
+			w.group.Go(func() { w.submitUntilAccepted(s, i) })
+			w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
 			if i%5 == 4 {
 				w.group.Go(func() {
 					time.Sleep(6 * time.Second)
-					w.insist(s.ID, i)
+					w.cancelUntilAnswered(s.ID, i)
 				})
 			}
 			if i == 25 {
-				owner := w.owns(part)
-				w.group.Go(func() { w.crash(owner, time.Second) })
+				owner := w.leaderOf(part)
+				w.group.Go(func() { w.restartController(owner, time.Second) })
 			}
 			time.Sleep(700 * time.Millisecond)
-			w.in(w.owns(part), func(c *Controller) {
+			w.onController(w.leaderOf(part), func(c *Controller) {
 				queued := 0
 				for _, j := range c.Jobs {
 					queued += len(j.Pending)
@@ -297,44 +297,44 @@
 			})
 		}
 		time.Sleep(20 * time.Second)
-		w.locked(func() { w.slowLinks = 0 })
+		w.withLock(func() { w.linkDelayMax = 0 })
 		if waited < 20 {
 			return fmt.Errorf("at most %d tasks waited", waited)
 		}
 		return nil
-	}, over: 5 * time.Minute},
-	{name: "jobs bound to a zone lose machines where it has no room, and the leader ends", prepare: func(w *world) {
+	}, finishWithin: 5 * time.Minute},
+	{name: "jobs bound to a zone lose machines where it has no room, and the leader ends", prepare: func(w *simulatedCluster) {
 		w.cloud.Types[1].ZonesOffered = []string{"a"}
-	}, play: func(w *world) error {
-		w.locked(func() { w.runTime = func(string, int, string) time.Duration { return 25 * time.Second } })
-		part := w.partOf("green")
+	}, run: func(w *simulatedCluster) error {
+		w.withLock(func() { w.runTime = func(string, int, string) time.Duration { return 25 * time.Second } })
+		part := w.partitionOf("green")
 		bound := []string{"job-0", "job-1", "job-2"}
-		w.submitBound(9, 6, 4)
-		hit := w.loseMachines(bound, func() bool {
+		w.submitPlacementBoundJobs(9, 6, 4)
+		hit := w.powerOffMachinesOf(bound, func() bool {
 			return len(w.cloud.Machines) >= w.cloud.Capacity &&
 				!slices.ContainsFunc(bound, func(id string) bool { return len(w.jobs[id].tasksDone) == 6 })
 		})
-		owner := w.owns(part)
-		w.kill(owner)
-		w.newOwner(part, owner)
-		w.start(owner)
+		owner := w.leaderOf(part)
+		w.killController(owner)
+		w.waitForNewLeader(part, owner)
+		w.startController(owner)
 		if hit < len(bound) {
 			return fmt.Errorf("%d of %d kinds of jobs lost machines while no room was left", hit, len(bound))
 		}
 		return nil
-	}, over: 6 * time.Minute},
+	}, finishWithin: 6 * time.Minute},
 }
 
-// heldUpFleet holds half of the direct commands up for a minute.
-func heldUpFleet(w *world) error {
-	w.locked(func() {
+// delayHalfOfCommands holds half of the direct commands up for a minute.
+func delayHalfOfCommands(w *simulatedCluster) error {
+	w.withLock(func() {
 		w.runTime = func(job string, task int, _ string) time.Duration {
 			return time.Duration(4+(len(job)+task*5)%16) * time.Second
 		}
 	})
 	time.Sleep(2 * time.Second)
 	raised := map[int]int{} // by second
-	w.locked(func() {
+	w.withLock(func() {
 		check := w.state.BeforePut
 		w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 			check(c, old, exists)
@@ -347,15 +347,15 @@
 	begun := time.Now()
 	for i := 0; time.Since(begun) < 75*time.Second; i++ {
 		if at := time.Since(begun); at > 10*time.Second && at < 70*time.Second {
-			w.locked(func() {
-				if w.lateCommands == nil {
-					w.lateCommands = &lateCommands{share: 0.5}
+			w.withLock(func() {
+				if w.delayedCommands == nil {
+					w.delayedCommands = &commandDelayFault{share: 0.5}
 				}
 			})
 		} else {
-			w.locked(func() { w.lateCommands = nil })
+			w.withLock(func() { w.delayedCommands = nil })
 		}
-		s := spec(fmt.Sprintf("job-%d", i), 1+i%5, teams[i%3])
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%5, teams[i%3])
 		s.Urgency, s.DeadlineS, s.CPUs = protocol.Urgency(i%4), 0, float64(2+2*(i%2))
 		if i%9 == 8 {
 			s.Gang, s.Tasks = true, 3
@@ -365,11 +365,11 @@
 			after := time.Duration(i%7) * 900 * time.Millisecond
 			w.group.Go(func() {
 				time.Sleep(after)
-				w.insist(s.ID, i)
+				w.cancelUntilAnswered(s.ID, i)
 			})
 		}
 		if i%20 == 10 {
-			w.locked(func() {
+			w.withLock(func() {
 				names := slices.Sorted(maps.Keys(w.workers))
 				for _, name := range names[:len(names)/5] {
 					notice := time.Now().Add(15 * time.Second)
@@ -377,10 +377,10 @@
 						wk.Notice = &notice
 						w.group.Go(func() {
 							time.Sleep(15 * time.Second)
-							w.locked(func() {
-								w.stop(name)
+							w.withLock(func() {
+								w.stopMachine(name)
 								delete(w.cloud.Machines, name)
-								w.meets("machines taken")
+								w.countFault("machines taken")
 							})
 						})
 					}
@@ -389,14 +389,14 @@
 		}
 		time.Sleep(600 * time.Millisecond)
 	}
-	w.locked(func() { w.lateCommands = nil })
+	w.withLock(func() { w.delayedCommands = nil })
 	most := 0
 	for _, n := range raised {
 		most = max(most, n)
 	}
 	var late []string
-	w.locked(func() {
-		for _, start := range w.afterCancel {
+	w.withLock(func() {
+		for _, start := range w.startsAfterCancel {
 			// What was fetching as its job was cancelled is another matter than a start
 			// that came after it.
 			if start.after > time.Second+agents.CommandAnswerWait {
@@ -407,10 +407,10 @@
 	if len(late) > 0 {
 		w.t.Errorf("started after their cancellation: %v", late)
 	}
-	if limit := raisedMost * w.set.Params.State.WriteRPS; float64(most) > limit {
+	if limit := tokenRaiseShareMax * w.settings.Params.State.WriteRPS; float64(most) > limit {
 		w.t.Errorf("%d records of machines written in a second, at most %v", most, limit)
 	}
-	done, refused, stops, taken := w.metTimes("late start done"), w.metTimes("late start refused"), w.metTimes("late stop done"), w.metTimes("machines taken")
+	done, refused, stops, taken := w.faultCount("late start done"), w.faultCount("late start refused"), w.faultCount("late stop done"), w.faultCount("machines taken")
 	if done < 10 || refused < 3 || stops < 3 || taken < 1 || len(raised) == 0 {
 		return fmt.Errorf("%d late starts done, %d refused, %d late stops, %d machines taken, raises in %d seconds", done, refused, stops, taken, len(raised))
 	}
@@ -419,7 +419,7 @@
 
 // Each meeting of commands that are late, of slow links and of zones without room breaks
 // no rule, and everything is over in time.
-func TestCommandMeetings(t *testing.T) {
+func TestConcurrentCommandFaults(t *testing.T) {
 	t.Parallel()
-	playMeetings(t, 600, commandMeetings)
+	runFaultCombinations(t, 600, commandFaultCombinations)
 }
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -24,12 +24,12 @@
 
 func TestJobsRunToCompletion(t *testing.T) {
 	t.Parallel()
-	simulate(t, 1, func(w *world) {
+	runSimulation(t, 1, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 10, "red"))
-		w.submit(spec("job-2", 20, "blue"))
-		w.submit(spec("job-3", 150, "green")) // more than one run record
-		w.finish(5 * time.Minute)
+		w.submit(newJobSpec("job-1", 10, "red"))
+		w.submit(newJobSpec("job-2", 20, "blue"))
+		w.submit(newJobSpec("job-3", 150, "green")) // more than one run record
+		w.waitForAllJobs(5 * time.Minute)
 		// Idle machines go back.
 		time.Sleep(2 * time.Minute)
 		w.mu.Lock()
@@ -40,52 +40,52 @@
 	})
 }
 
-func TestPlacesAreHonoured(t *testing.T) {
+func TestPlacementConstraintsHold(t *testing.T) {
 	t.Parallel()
-	simulate(t, 2, func(w *world) {
+	runSimulation(t, 2, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// First a machine that is free but not allowed: spot, small, zone a.
 		w.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
-		first := spec("job-9", 1, "blue")
+		first := newJobSpec("job-9", 1, "blue")
 		first.CPUs, first.Zone = 1, "a"
 		w.submit(first)
 		time.Sleep(10 * time.Second)
-		a := spec("job-1", 6, "blue")
+		a := newJobSpec("job-1", 6, "blue")
 		a.Zone, a.Spot = "b", false
-		b := spec("job-2", 4, "blue")
+		b := newJobSpec("job-2", 4, "blue")
 		b.Types = []string{"big"}
-		e := spec("job-5", 1, "blue")
+		e := newJobSpec("job-5", 1, "blue")
 		e.Spot, e.CPUs = false, 1
 		w.submit(e)
-		c := spec("job-3", 5, "green")
+		c := newJobSpec("job-3", 5, "green")
 		c.Spread = true
-		d := spec("job-4", 5, "green")
+		d := newJobSpec("job-4", 5, "green")
 		d.OneZone = true
 		for _, s := range []*protocol.JobSpec{a, b, c, d} {
 			w.submit(s)
 		}
-		w.finish(4 * time.Minute)
+		w.waitForAllJobs(4 * time.Minute)
 	})
 }
 
-func TestTeamStaysWithinItsLimit(t *testing.T) {
+func TestTeamQuotaHoldsThroughFailover(t *testing.T) {
 	t.Parallel()
-	simulate(t, 3, func(w *world) {
+	runSimulation(t, 3, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// 32 CPUs at most, so 8 of 24 tasks at a time.
-		w.submit(spec("job-1", 24, "red"))
-		w.kill("n0")
+		w.submit(newJobSpec("job-1", 24, "red"))
+		w.killController("n0")
 		time.Sleep(10 * time.Second)
-		w.start("n0")
-		w.finish(4 * time.Minute)
+		w.startController("n0")
+		w.waitForAllJobs(4 * time.Minute)
 	})
 }
 
-func TestStandingJobRunsUntilWithdrawn(t *testing.T) {
+func TestServiceRunsUntilCancelled(t *testing.T) {
 	t.Parallel()
-	simulate(t, 4, func(w *world) {
+	runSimulation(t, 4, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		s := spec("job-1", 2, "blue")
+		s := newJobSpec("job-1", 2, "blue")
 		s.Standing, s.EstimateS, s.DeadlineS = true, 0, 0
 		w.runTime = func(string, int, string) time.Duration { return time.Hour }
 		w.submit(s)
@@ -93,24 +93,24 @@
 		if st := w.poll("", "job-1"); st != protocol.StatusRunning {
 			t.Errorf("standing job is %q", st)
 		}
-		w.withdraw("job-1")
+		w.cancelJob("job-1")
 		time.Sleep(30 * time.Second)
-		w.finish(time.Minute)
+		w.waitForAllJobs(time.Minute)
 	})
 }
 
 // A start that was held back in the network must not begin a task after its
 // job was withdrawn: the owner raises the machine's token.
-func TestLateStartAfterWithdrawalIsKeptOut(t *testing.T) {
+func TestLateStartAfterCancellationIsFenced(t *testing.T) {
 	t.Parallel()
-	simulate(t, 5, func(w *world) {
+	runSimulation(t, 5, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 1, "blue")) // brings a machine up
-		w.finish(time.Minute)
+		w.submit(newJobSpec("job-1", 1, "blue")) // brings a machine up
+		w.waitForAllJobs(time.Minute)
 		w.mu.Lock()
 		var held []protocol.Orders
 		var machine string
-		w.onOrders = func(name string, o *protocol.Orders) {
+		w.interceptCommands = func(name string, o *protocol.Orders) {
 			for _, c := range o.Commands {
 				if c.Op == protocol.OpStart {
 					// The order hangs; the worker will see it minutes later.
@@ -126,11 +126,11 @@
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return time.Hour }
 		w.mu.Unlock()
-		w.submit(spec("job-2", 1, "blue"))
+		w.submit(newJobSpec("job-2", 1, "blue"))
 		time.Sleep(3 * time.Second)
-		w.withdraw("job-2")
+		w.cancelJob("job-2")
 		w.mu.Lock()
-		w.cut, w.onOrders = nil, nil
+		w.cut, w.interceptCommands = nil, nil
 		if len(held) == 0 {
 			t.Fatal("no start was held back")
 		}
@@ -153,34 +153,34 @@
 
 // What an owner sent before it lost its part must not be obeyed after the
 // successor was heard: a takeover raises every machine's token.
-func TestOrdersOfAFormerOwnerAreRefused(t *testing.T) {
+func TestCommandsOfAFormerLeaderAreRefused(t *testing.T) {
 	t.Parallel()
-	simulate(t, 13, func(w *world) {
+	runSimulation(t, 13, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		late := map[string]protocol.Orders{}
 		w.mu.Lock()
-		w.onOrders = func(name string, o *protocol.Orders) { late[name] = *o }
+		w.interceptCommands = func(name string, o *protocol.Orders) { late[name] = *o }
 		w.mu.Unlock()
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return time.Minute }
 		w.mu.Unlock()
 		for i, team := range []string{"red", "blue", "green"} {
-			w.submit(spec(fmt.Sprintf("job-%d", i), 2, team))
+			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
 		}
 		time.Sleep(15 * time.Second)
 		w.mu.Lock()
-		w.onOrders = nil
+		w.interceptCommands = nil
 		before := len(late)
 		w.mu.Unlock()
 		if before == 0 {
 			t.Fatal("no orders were sent")
 		}
 		for _, label := range []string{"n0", "n1", "n2"} {
-			w.kill(label)
+			w.killController(label)
 		}
-		w.start("n1")
+		w.startController("n1")
 		w.mu.Lock()
-		n := w.nodes["n1"].ctl
+		n := w.controllers["n1"].controller
 		w.mu.Unlock()
 		// Until a worker has heard the successor, it knows no better.
 		for fenced := 0; fenced < len(late); time.Sleep(100 * time.Millisecond) {
@@ -201,15 +201,15 @@
 				t.Errorf("%s obeyed an order from before the takeover", name)
 			}
 		}
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 	})
 }
 
 // Accepted means recorded: while the record's fate is unknown, the user is
 // told to come back.
-func TestNothingIsAcceptedWithoutItsRecord(t *testing.T) {
+func TestSubmissionIsAcceptedOnlyWhenRecorded(t *testing.T) {
 	t.Parallel()
-	simulate(t, 14, func(w *world) {
+	runSimulation(t, 14, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		w.cut = func(from, host string) bool { return from == "n0" && host == "state" }
@@ -217,7 +217,7 @@
 		for _, wait := range []time.Duration{0, 3 * time.Second} {
 			time.Sleep(wait)
 			begun := time.Now()
-			resp := w.ask("n0", "POST", "/submissions", submission(spec("job-1", 1, "red")))
+			resp := w.sendRequest("n0", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")))
 			if resp.Status != 503 || resp.RetryAfter < 1 {
 				t.Errorf("submission without the state service: %d, Retry-After %d", resp.Status, resp.RetryAfter)
 			}
@@ -226,7 +226,7 @@
 			}
 		}
 		// The other controllers serve, so this one leaves the users to them.
-		if resp := w.ask("n0", "GET", "/healthz", nil); resp.Status != 503 {
+		if resp := w.sendRequest("n0", "GET", "/healthz", nil); resp.Status != 503 {
 			t.Errorf("health of a controller that alone is cut off: %d", resp.Status)
 		}
 		w.mu.Lock()
@@ -237,18 +237,18 @@
 
 // An owner without the state service keeps its workers' leases alive, but not
 // for so long that a task withdrawn through a successor outlives cancel_s.
-func TestOwnerAnswersWorkersOnlyForABoundedTime(t *testing.T) {
+func TestLeaderAnswersHeartbeatsOnlyWithinItsBound(t *testing.T) {
 	t.Parallel()
-	simulate(t, 15, func(w *world) {
+	runSimulation(t, 15, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return time.Hour }
 		w.mu.Unlock()
 		for i, team := range []string{"red", "blue", "green"} {
-			w.submit(spec(fmt.Sprintf("job-%d", i), 1, team))
+			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, team))
 		}
 		time.Sleep(12 * time.Second)
-		w.outage(true)
+		w.setOutage(true)
 		// cancel_s − lease_s and two seconds' margin: 25 − 8 − 2 = 15.
 		answered := func() (n int) {
 			for _, label := range []string{"n0", "n1", "n2"} {
@@ -259,7 +259,7 @@
 				}
 				w.mu.Unlock()
 				for _, r := range reports {
-					if w.ask(label, "POST", "/checkin", protocol.Encode(r)).Status == 200 {
+					if w.sendRequest(label, "POST", "/checkin", protocol.Encode(r)).Status == 200 {
 						n++
 					}
 				}
@@ -274,51 +274,51 @@
 		if n := answered(); n > 0 {
 			t.Errorf("%d reports answered 17 s into the outage", n)
 		}
-		w.outage(false)
+		w.setOutage(false)
 	})
 }
 
 // A rental whose answer was lost is repeated under its name, so that nothing
 // is rented twice; what turns up without a record is adopted.
-func TestLostRentalAnswersRentNothingTwice(t *testing.T) {
+func TestScaleOutRetriesAreIdempotent(t *testing.T) {
 	t.Parallel()
-	simulate(t, 16, func(w *world) {
+	runSimulation(t, 16, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// Only answers to rentals are lost: what else is lost could ask for more
 		// machines by right, and did in one run of forty.
 		var lost atomic.Int32
 		w.mu.Lock()
-		w.answered = func(_, host, target string, _ []byte, _ *transport.Response) bool {
+		w.onResponse = func(_, host, target string, _ []byte, _ *transport.Response) bool {
 			if host != "cloud" || target != "/machines" {
 				return false
 			}
 			return lost.Add(1) <= 3
 		}
 		w.mu.Unlock()
-		w.submit(spec("job-1", 2, "blue"))
+		w.submit(newJobSpec("job-1", 2, "blue"))
 		time.Sleep(40 * time.Second)
 		w.mu.Lock()
 		if lost.Load() < 3 || w.cloud.Rented > 2 {
 			t.Errorf("%d machines rented for two tasks, %d answers lost", w.cloud.Rented, lost.Load())
 		}
 		w.mu.Unlock()
-		w.finish(2 * time.Minute)
+		w.waitForAllJobs(2 * time.Minute)
 	})
 }
 
-func TestOutageOfTheStateService(t *testing.T) {
+func TestStateStoreOutage(t *testing.T) {
 	t.Parallel()
-	simulate(t, 6, func(w *world) {
+	runSimulation(t, 6, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 8, "blue"))
+		w.submit(newJobSpec("job-1", 8, "blue"))
 		time.Sleep(12 * time.Second)
-		w.outage(true)
+		w.setOutage(true)
 		time.Sleep(3 * time.Second)
-		resp := w.ask("n1", "POST", "/submissions", submission(spec("job-2", 1, "red")))
+		resp := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(newJobSpec("job-2", 1, "red")))
 		if resp.Status != 503 || resp.RetryAfter == 0 {
 			t.Errorf("submission during the outage: %d, Retry-After %d", resp.Status, resp.RetryAfter)
 		}
-		if resp := w.ask("n1", "GET", "/submissions/job-1", nil); resp.Status != 503 {
+		if resp := w.sendRequest("n1", "GET", "/submissions/job-1", nil); resp.Status != 503 {
 			t.Errorf("poll of an unfinished job during the outage: %d", resp.Status)
 		}
 		time.Sleep(8 * time.Second)
@@ -329,39 +329,39 @@
 			}
 		}
 		w.mu.Unlock()
-		w.outage(false)
-		w.finish(2 * time.Minute)
+		w.setOutage(false)
+		w.waitForAllJobs(2 * time.Minute)
 	})
 }
 
-func TestAnswersToUsers(t *testing.T) {
+func TestStatusCodesOfUserRequests(t *testing.T) {
 	t.Parallel()
-	simulate(t, 7, func(w *world) {
+	runSimulation(t, 7, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 1, "red"))
-		bad := spec("job-1", 1, "red")
+		w.submit(newJobSpec("job-1", 1, "red"))
+		bad := newJobSpec("job-1", 1, "red")
 		bad.Tasks = -4
-		unknownTeam := spec("job-9", 1, "nobody")
-		tooLarge := spec("job-9", 1, "green")
+		unknownTeam := newJobSpec("job-9", 1, "nobody")
+		tooLarge := newJobSpec("job-9", 1, "green")
 		tooLarge.CPUs = 1000
-		overLimit := spec("job-9", 10, "red")
+		overLimit := newJobSpec("job-9", 10, "red")
 		overLimit.Standing = true
-		oddZone := spec("job-9", 1, "green")
+		oddZone := newJobSpec("job-9", 1, "green")
 		oddZone.Types, oddZone.Zone = []string{"big"}, "b"
 		for _, tc := range []struct {
 			name, method, path string
 			body               []byte
 			want               int
 		}{
-			{"repeat", "POST", "/submissions", submission(spec("job-1", 1, "red")), 200},
-			{"invalid repeat of a known job", "POST", "/submissions", submission(bad), 200},
+			{"repeat", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")), 200},
+			{"invalid repeat of a known job", "POST", "/submissions", encodeSubmission(bad), 200},
 			{"not MessagePack", "POST", "/submissions", []byte("{}"), 400},
 			{"not a map", "POST", "/submissions", []byte{0x93, 1, 2, 3}, 400},
 			{"invalid", "POST", "/submissions", []byte{0x81, 0xa7, 'n', 'a', 'm', 'e', '_', 'i', 'd', 0xa5, 'j', 'o', 'b', '-', '7'}, 400},
-			{"unknown team", "POST", "/submissions", submission(unknownTeam), 422},
-			{"fits no type", "POST", "/submissions", submission(tooLarge), 422},
-			{"more than the limit", "POST", "/submissions", submission(overLimit), 422},
-			{"type not offered in the zone", "POST", "/submissions", submission(oddZone), 422},
+			{"unknown team", "POST", "/submissions", encodeSubmission(unknownTeam), 422},
+			{"fits no type", "POST", "/submissions", encodeSubmission(tooLarge), 422},
+			{"more than the limit", "POST", "/submissions", encodeSubmission(overLimit), 422},
+			{"type not offered in the zone", "POST", "/submissions", encodeSubmission(oddZone), 422},
 			{"unknown job", "GET", "/submissions/job-77", nil, 404},
 			{"odd id", "GET", "/submissions/..", nil, 404},
 			{"withdrawal of an unknown job", "POST", "/submissions/job-77/withdraw", nil, 404},
@@ -371,41 +371,41 @@
 			{"bad report", "POST", "/checkin", []byte{0x80}, 400},
 		} {
 			for _, label := range []string{"n0", "n1", "n2"} {
-				if resp := w.ask(label, tc.method, tc.path, tc.body); resp.Status != tc.want {
+				if resp := w.sendRequest(label, tc.method, tc.path, tc.body); resp.Status != tc.want {
 					t.Errorf("%s at %s: %d, want %d", tc.name, label, resp.Status, tc.want)
 				}
 			}
 		}
-		w.finish(time.Minute)
+		w.waitForAllJobs(time.Minute)
 	})
 }
 
 // Done and withdrawn exclude each other, and what was said stays.
-func TestWithdrawalAndCompletionExcludeEachOther(t *testing.T) {
+func TestCancellationAndCompletionAreExclusive(t *testing.T) {
 	t.Parallel()
-	simulate(t, 8, func(w *world) {
+	runSimulation(t, 8, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 8 {
-			w.submit(spec(fmt.Sprintf("job-%d", i), 1, "green"))
+			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, "green"))
 		}
 		for i := range 8 {
 			time.Sleep(1500 * time.Millisecond)
 			id := fmt.Sprintf("job-%d", i)
-			w.withdraw(id)
+			w.cancelJob(id)
 			for _, label := range []string{"n0", "n1", "n2"} {
 				w.poll(label, id)
 			}
 		}
-		w.finish(time.Minute)
+		w.waitForAllJobs(time.Minute)
 	})
 }
 
-func TestWorkersAreSentHome(t *testing.T) {
+func TestAgentsAreRedirectedToTheirLeader(t *testing.T) {
 	t.Parallel()
-	simulate(t, 9, func(w *world) {
+	runSimulation(t, 9, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 4, "green"))
-		w.finish(time.Minute)
+		w.submit(newJobSpec("job-1", 4, "green"))
+		w.waitForAllJobs(time.Minute)
 		w.mu.Lock()
 		var r *protocol.Heartbeat
 		for _, wk := range w.workers {
@@ -414,10 +414,10 @@
 		w.mu.Unlock()
 		homes := map[string]bool{}
 		for _, label := range []string{"n0", "n1", "n2"} {
-			resp := w.ask(label, "POST", "/checkin", protocol.Encode(r))
+			resp := w.sendRequest(label, "POST", "/checkin", protocol.Encode(r))
 			if resp.Status == 421 {
 				var h protocol.Home
-				must(protocol.Decode(resp.Body, &h))
+				panicOnError(protocol.Decode(resp.Body, &h))
 				homes[h.Home] = true
 				if h.Home == label {
 					t.Errorf("%s names itself", label)
@@ -432,15 +432,15 @@
 
 // A job that fails on every machine must not burn the fleet, and a machine on
 // which different jobs fail is returned.
-func TestFailingJobsAndFailingMachines(t *testing.T) {
+func TestFailingJobsBackOffAndFaultyMachinesAreReplaced(t *testing.T) {
 	t.Parallel()
-	simulate(t, 10, func(w *world) {
+	runSimulation(t, 10, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		w.fails = func(job string, _ int, _ string) bool { return job == "job-13" }
 		w.mu.Unlock()
-		w.submit(spec("job-13", 2, "red"))
-		w.submit(spec("job-2", 4, "blue"))
+		w.submit(newJobSpec("job-13", 2, "red"))
+		w.submit(newJobSpec("job-2", 4, "blue"))
 		time.Sleep(2 * time.Minute)
 		w.mu.Lock()
 		starts := 0
@@ -452,7 +452,7 @@
 		if rented > 10 || starts > 40 {
 			t.Errorf("%d machines rented, %d starts for a job that always fails", rented, starts)
 		}
-		w.withdraw("job-13")
+		w.cancelJob("job-13")
 
 		var sick string
 		w.mu.Lock()
@@ -464,9 +464,9 @@
 		}
 		w.mu.Unlock()
 		for i := range 6 {
-			w.submit(spec(fmt.Sprintf("job-10%d", i), 4, "green"))
+			w.submit(newJobSpec(fmt.Sprintf("job-10%d", i), 4, "green"))
 		}
-		w.finish(4 * time.Minute)
+		w.waitForAllJobs(4 * time.Minute)
 		time.Sleep(20 * time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -478,12 +478,12 @@
 
 // A machine that is cut off may still run its tasks until its lease has run
 // out: they must not be started elsewhere before.
-func TestSilentMachineKeepsItsTasksUntilItsLeaseRunsOut(t *testing.T) {
+func TestSilentMachineKeepsItsTasksUntilItsLeaseExpires(t *testing.T) {
 	t.Parallel()
-	simulate(t, 11, func(w *world) {
+	runSimulation(t, 11, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
-		w.submit(spec("job-1", 12, "blue"))
+		w.submit(newJobSpec("job-1", 12, "blue"))
 		time.Sleep(15 * time.Second)
 		w.mu.Lock()
 		victim := ""
@@ -501,24 +501,24 @@
 		w.mu.Lock()
 		w.cut = nil
 		w.mu.Unlock()
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 	})
 }
 
-func TestOwnerCutFromItsWorkersLetsGo(t *testing.T) {
+func TestLeaderWithoutItsAgentsGivesUpItsPartition(t *testing.T) {
 	t.Parallel()
-	simulate(t, 12, func(w *world) {
+	runSimulation(t, 12, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 4, "red"))
-		w.submit(spec("job-2", 4, "blue"))
-		w.submit(spec("job-3", 4, "green"))
+		w.submit(newJobSpec("job-1", 4, "red"))
+		w.submit(newJobSpec("job-2", 4, "blue"))
+		w.submit(newJobSpec("job-3", 4, "green"))
 		time.Sleep(10 * time.Second)
 		w.mu.Lock()
 		w.cut = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
 		w.mu.Unlock()
 		time.Sleep(25 * time.Second)
 		owned := 0
-		n := w.nodes["n0"].ctl
+		n := w.controllers["n0"].controller
 		n.loop.Do(func() {
 			for _, p := range n.Partitions {
 				if p.Held {
@@ -531,7 +531,7 @@
 		if owned > 0 && machines > 0 {
 			t.Logf("n0 still owns %d parts with %d machines on record", owned, machines)
 		}
-		w.finish(2 * time.Minute)
+		w.waitForAllJobs(2 * time.Minute)
 		w.mu.Lock()
 		w.cut = nil
 		w.mu.Unlock()
@@ -541,7 +541,7 @@
 // The seeded storm: controllers are killed, messages lost, late or doubled,
 // the state service goes out, machines hang and vanish; no rule may break and
 // every job must end.
-func TestNoRuleBreaksInAStorm(t *testing.T) {
+func TestSafetyUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	seeds := 6
 	if testing.Short() {
@@ -550,40 +550,40 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, uint64(100+seed), announce, storm)
+			runConfiguredSimulation(t, uint64(100+seed), announceLowerLimits, runRandomFaults)
 		})
 	}
 }
 
-// announce lets the state service's limits fall some time after the start.
-func announce(w *world) {
+// announceLowerLimits lets the state service's limits fall some time after the start.
+func announceLowerLimits(w *simulatedCluster) {
 	writes, kb, ops := 40.0, 2.0, 5
-	w.set.Params.State.Next = settings.NextState{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
+	w.settings.Params.State.Next = settings.NextState{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
 }
 
 // The same with hundreds of machines and jobs of up to a hundred tasks.
-func TestNoRuleBreaksInAStormOfALargeFleet(t *testing.T) {
+func TestSafetyUnderRandomFaultsInALargeFleet(t *testing.T) {
 	t.Parallel()
-	prepare := func(w *world) {
-		w.cloud.Capacity, w.stormTasks = 250, 100
+	prepare := func(w *simulatedCluster) {
+		w.cloud.Capacity, w.jobTasksMax = 250, 100
 		w.cloud.Types = w.cloud.Types[:1]
-		w.set.Params.Teams = []settings.Team{{Name: "red", CPUs: 160, CPUsMax: 320}, {Name: "blue", CPUs: 160, CPUsMax: 640}, {Name: "green"}}
-		w.set.Params.State.RPS, w.set.Params.State.WriteRPS = 600, 200
+		w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 160, CPUsMax: 320}, {Name: "blue", CPUs: 160, CPUsMax: 640}, {Name: "green"}}
+		w.settings.Params.State.RPS, w.settings.Params.State.WriteRPS = 600, 200
 	}
-	simulatePrepared(t, 200, prepare, func(w *world) {
+	runConfiguredSimulation(t, 200, prepare, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1000", 600, "green"))
-		storm(w)
+		w.submit(newJobSpec("job-1000", 600, "green"))
+		runRandomFaults(w)
 		if w.cloud.Rented < 200 {
 			t.Errorf("only %d machines took part", w.cloud.Rented)
 		}
 	})
 }
 
-func storm(w *world) {
+func runRandomFaults(w *simulatedCluster) {
 	time.Sleep(2 * time.Second)
 	w.mu.Lock()
-	w.trouble = 0.03
+	w.messageFaultRate = 0.03
 	w.runTime = func(job string, task int, _ string) time.Duration {
 		return time.Duration(3+(len(job)*7+task*5)%15) * time.Second
 	}
@@ -599,13 +599,13 @@
 		if round == 30 {
 			// What was announced comes into force.
 			w.mu.Lock()
-			w.state.Writes = rate.NewLimiter(rate.Limit(w.set.Params.State.Lower().WriteRPS), int(w.set.Params.State.Lower().WriteRPS))
+			w.state.Writes = rate.NewLimiter(rate.Limit(w.settings.Params.State.Lower().WriteRPS), int(w.settings.Params.State.Lower().WriteRPS))
 			w.mu.Unlock()
 		}
 		time.Sleep(time.Duration(500+dice(3000)) * time.Millisecond)
 		switch dice(8) {
 		case 0, 1, 2:
-			s := spec(fmt.Sprintf("job-%d", next), 1+dice(w.stormTasks), teams[dice(3)])
+			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(w.jobTasksMax), teams[dice(3)])
 			s.Spread, s.OneZone = dice(4) == 0, dice(6) == 0
 			s.Urgency = protocol.Urgency(dice(4))
 			// Some jobs wait for earlier ones, in whatever state those are.
@@ -619,17 +619,17 @@
 		case 3:
 			label := fmt.Sprintf("n%d", dice(3))
 			w.mu.Lock()
-			up := w.nodes[label] != nil
+			up := w.controllers[label] != nil
 			w.mu.Unlock()
 			if up {
-				w.kill(label)
+				w.killController(label)
 				time.Sleep(time.Duration(dice(6000)) * time.Millisecond)
-				w.start(label)
+				w.startController(label)
 			}
 		case 4:
-			w.outage(true)
+			w.setOutage(true)
 			time.Sleep(time.Duration(dice(9000)) * time.Millisecond)
-			w.outage(false)
+			w.setOutage(false)
 		case 5:
 			// A machine hangs, for less or more than its lease, or for ever.
 			w.mu.Lock()
@@ -650,7 +650,7 @@
 			w.mu.Unlock()
 		case 6:
 			if next > 0 {
-				w.withdraw(fmt.Sprintf("job-%d", dice(next)))
+				w.cancelJob(fmt.Sprintf("job-%d", dice(next)))
 			}
 		case 7:
 			if next > 0 {
@@ -659,33 +659,33 @@
 		}
 	}
 	w.mu.Lock()
-	w.trouble = 0
+	w.messageFaultRate = 0
 	w.mu.Unlock()
-	w.finish(6 * time.Minute)
+	w.waitForAllJobs(6 * time.Minute)
 }
 
 // Serving what must be late first would make the next jobs late too; yet what
 // has waited very long must not starve: for a quarter of the time it goes first.
-func TestLateJobsQueueBehindThoseInTime(t *testing.T) {
+func TestLateJobsQueueBehindJobsInTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		if got, want := lateOrder(t), "urgent-late starving sooner in-time a-little-late late"; got != want {
+		if got, want := queueOrderWithLateJobs(t), "urgent-late starving sooner in-time a-little-late late"; got != want {
 			t.Errorf("order %s, want %s, at a whole minute", got, want)
 		}
 		time.Sleep(time.Second)
-		if got, want := lateOrder(t), "urgent-late sooner in-time a-little-late starving late"; got != want {
+		if got, want := queueOrderWithLateJobs(t), "urgent-late sooner in-time a-little-late starving late"; got != want {
 			t.Errorf("order %s, want %s", got, want)
 		}
 	})
 }
 
-func lateOrder(t *testing.T) string {
-	set := newWorld(t, 1).set
+func queueOrderWithLateJobs(t *testing.T) string {
+	set := newSimulatedCluster(t, 1).settings
 	set.Label = "n0"
 	c := New(t.Context(), &set, settings.DefaultOperator(), nil, nil)
 	now := time.Now()
 	add := func(id string, age, deadline float64, urgency protocol.Urgency) {
-		s := spec(id, 1, "red") // runs 6 s
+		s := newJobSpec(id, 1, "red") // runs 6 s
 		s.DeadlineS, s.Urgency = deadline, urgency
 		j := &cluster.Job{Spec: s, SubmittedAt: now.Add(-settings.Seconds(age))}
 		j.Load()
@@ -704,9 +704,9 @@
 	return strings.Join(got, " ")
 }
 
-func TestUrgentWorkGetsRoomFromLowerWork(t *testing.T) {
+func TestUrgentJobsPreemptLowerUrgency(t *testing.T) {
 	t.Parallel()
-	simulate(t, 17, func(w *world) {
+	runSimulation(t, 17, func(w *simulatedCluster) {
 		w.mu.Lock()
 		w.cloud.Capacity = 1
 		w.cloud.Types = w.cloud.Types[:1]
@@ -720,37 +720,37 @@
 			return 5 * time.Second
 		}
 		w.mu.Unlock()
-		low := spec("job-1", 2, "blue") // fills the only machine
+		low := newJobSpec("job-1", 2, "blue") // fills the only machine
 		low.Standing, low.EstimateS, low.DeadlineS = true, 0, 0
 		w.submit(low)
 		time.Sleep(20 * time.Second)
-		same := spec("job-2", 1, "blue")
+		same := newJobSpec("job-2", 1, "blue")
 		same.DeadlineS = 30
 		w.submit(same)
 		time.Sleep(40 * time.Second)
 		if st := w.poll("", "job-2"); st != protocol.StatusQueued {
 			t.Errorf("work of the same urgency is %q", st)
 		}
-		high := spec("job-3", 1, "blue")
+		high := newJobSpec("job-3", 1, "blue")
 		high.Urgency, high.DeadlineS = protocol.High, 30
 		w.submit(high)
 		time.Sleep(40 * time.Second)
 		if st := w.poll("", "job-3"); st != protocol.StatusDone {
 			t.Errorf("urgent work is %q", st)
 		}
-		w.withdraw("job-1")
-		w.finish(2 * time.Minute)
+		w.cancelJob("job-1")
+		w.waitForAllJobs(2 * time.Minute)
 	})
 }
 
 // Slow machines are found by comparison with their like; an estimate that is
 // wrong for the whole job must raise no alarm.
-func TestSlowMachineIsSetAside(t *testing.T) {
+func TestSlowMachineIsQuarantined(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []bool{true, false} {
 		t.Run(fmt.Sprint("slow ", slow), func(t *testing.T) {
 			t.Parallel()
-			simulate(t, 18, func(w *world) {
+			runSimulation(t, 18, func(w *simulatedCluster) {
 				time.Sleep(2 * time.Second)
 				w.mu.Lock()
 				w.runTime = func(_ string, _ int, machine string) time.Duration {
@@ -761,7 +761,7 @@
 				}
 				w.mu.Unlock()
 				for i := range 4 {
-					s := spec(fmt.Sprintf("job-%d", i), 16, "green")
+					s := newJobSpec(fmt.Sprintf("job-%d", i), 16, "green")
 					s.DeadlineS = 600
 					w.submit(s)
 				}
@@ -770,10 +770,10 @@
 					time.Sleep(time.Second)
 					for _, label := range []string{"n0", "n1", "n2"} {
 						w.mu.Lock()
-						n := w.nodes[label]
+						n := w.controllers[label]
 						w.mu.Unlock()
-						n.ctl.loop.Do(func() {
-							for _, m := range n.ctl.Machines {
+						n.controller.loop.Do(func() {
+							for _, m := range n.controller.Machines {
 								if m.Quarantined {
 									aside[m.Name] = true
 								}
@@ -784,7 +784,7 @@
 				if len(aside) > 1 || aside["m-000000"] != slow {
 					t.Errorf("set aside: %v", aside)
 				}
-				w.finish(5 * time.Minute)
+				w.waitForAllJobs(5 * time.Minute)
 			})
 		})
 	}
@@ -795,13 +795,13 @@
 // task for its whole run time.
 func TestTakeoverKeepsMachinesAndEstimates(t *testing.T) {
 	t.Parallel()
-	simulate(t, 19, func(w *world) {
+	runSimulation(t, 19, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return 60 * time.Second }
 		w.mu.Unlock()
 		for i, team := range []string{"red", "blue", "green"} {
-			s := spec(fmt.Sprintf("job-%d", i), 6, team)
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 6, team)
 			s.EstimateS, s.DeadlineS = 60, 200
 			w.submit(s)
 		}
@@ -810,21 +810,21 @@
 		before := maps.Clone(w.cloud.Machines)
 		w.mu.Unlock()
 		// The leader lives on and has known the machines for long.
-		var leader *node
+		var leader *simulatedController
 		for _, label := range []string{"n0", "n1", "n2"} {
 			w.mu.Lock()
-			n := w.nodes[label]
+			n := w.controllers[label]
 			w.mu.Unlock()
-			n.ctl.loop.Do(func() {
-				if n.ctl.Leadership.Held {
+			n.controller.loop.Do(func() {
+				if n.controller.Leadership.Held {
 					leader = n
 				}
 			})
 		}
 		for _, label := range []string{"n0", "n1", "n2"} {
 			if label != leader.label {
-				w.kill(label)
-				w.start(label)
+				w.killController(label)
+				w.startController(label)
 			}
 		}
 		// Their workers don't reach the new owners for a moment.
@@ -854,7 +854,7 @@
 				continue
 			}
 			w.mu.Lock()
-			n := w.nodes[label].ctl
+			n := w.controllers[label].controller
 			w.mu.Unlock()
 			n.loop.Do(func() {
 				// What a former owner told of its attempts' beginnings teaches what they
@@ -871,15 +871,15 @@
 				}
 			})
 		}
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 	})
 }
 
 // An attempt of a session that had ended before the takeover must not hold its
 // task for ever, even if the new owner knew the later session already.
-func TestInheritedAttemptOfAnEndedSessionIsOver(t *testing.T) {
+func TestInheritedAttemptOfAnOlderEpochIsOver(t *testing.T) {
 	t.Parallel()
-	set := newWorld(t, 1).set
+	set := newSimulatedCluster(t, 1).settings
 	set.Label = "n0"
 	c := newTestController(t.Context(), &set, settings.DefaultOperator())
 	p := c.Partitions[0]
@@ -888,7 +888,7 @@
 	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 	m := c.Machines["m-1"]
 	m.Epoch, m.HasReported = 2, true
-	j := &cluster.Job{Spec: spec("job-1", 1, "red")}
+	j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
 	j.Load()
 	j.Pending = nil
 	c.Jobs["job-1"] = j
@@ -903,22 +903,22 @@
 
 // Controllers that start together must each get their part, instead of the
 // first one taking all and doing all the work.
-func TestPartsAreSplitAtTheStart(t *testing.T) {
+func TestPartitionsAreSpreadAtStartup(t *testing.T) {
 	t.Parallel()
-	simulate(t, 20, func(w *world) {
+	runSimulation(t, 20, func(w *simulatedCluster) {
 		time.Sleep(4 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			if owned := w.owned(label); owned != 1 {
+			if owned := w.leaseCount(label); owned != 1 {
 				t.Errorf("%s owns %d parts", label, owned)
 			}
 		}
 	})
 }
 
-// owned counts a controller's parts.
-func (w *world) owned(label string) int {
+// leaseCount counts a controller's parts.
+func (w *simulatedCluster) leaseCount(label string) int {
 	w.mu.Lock()
-	n := w.nodes[label].ctl
+	n := w.controllers[label].controller
 	w.mu.Unlock()
 	owned := 0
 	n.loop.Do(func() {
@@ -933,28 +933,28 @@
 
 // After a takeover one controller must not own two parts for ever, and giving
 // one back must not cost what runs.
-func TestPartsAreHandedBack(t *testing.T) {
+func TestPartitionsAreHandedBack(t *testing.T) {
 	t.Parallel()
-	simulate(t, 22, func(w *world) {
+	runSimulation(t, 22, func(w *simulatedCluster) {
 		w.runTime = func(string, int, string) time.Duration { return 90 * time.Second }
 		time.Sleep(4 * time.Second)
 		for i, team := range []string{"red", "blue", "green"} {
-			w.submit(spec(fmt.Sprintf("job-%d", i), 4, team))
+			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 4, team))
 		}
 		time.Sleep(25 * time.Second)
-		w.kill("n0")
+		w.killController("n0")
 		time.Sleep(12 * time.Second)
-		if w.owned("n1")+w.owned("n2") != 3 {
+		if w.leaseCount("n1")+w.leaseCount("n2") != 3 {
 			t.Error("the dead controller's part was not taken over")
 		}
-		w.start("n0")
+		w.startController("n0")
 		time.Sleep(25 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			if n := w.owned(label); n != 1 {
+			if n := w.leaseCount(label); n != 1 {
 				t.Errorf("%s owns %d parts", label, n)
 			}
 		}
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 		w.mu.Lock()
 		starts := 0
 		for _, wk := range w.workers {
@@ -970,14 +970,14 @@
 // A gang starts together or not at all, and starts again together.
 func TestGangStartsTogether(t *testing.T) {
 	t.Parallel()
-	simulate(t, 21, func(w *world) {
+	runSimulation(t, 21, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		w.cloud.Capacity = 3 // room for six tasks of 4 CPUs on small machines
 		w.cloud.Types = w.cloud.Types[:1]
 		w.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
 		w.mu.Unlock()
-		g := spec("job-1", 5, "blue")
+		g := newJobSpec("job-1", 5, "blue")
 		g.Gang = true
 		w.submit(g)
 		most := 0
@@ -1015,15 +1015,15 @@
 				t.Fatalf("attempt numbers %v", numbers)
 			}
 		}
-		w.finish(2 * time.Minute)
-		big := spec("job-2", 9, "green") // more than there is room for
+		w.waitForAllJobs(2 * time.Minute)
+		big := newJobSpec("job-2", 9, "green") // more than there is room for
 		big.Gang = true
 		w.submit(big)
 		time.Sleep(time.Minute)
 		if st := w.poll("", "job-2"); st != protocol.StatusQueued {
 			t.Errorf("a gang without room is %q", st)
 		}
-		w.withdraw("job-2")
-		w.finish(time.Minute)
+		w.cancelJob("job-2")
+		w.waitForAllJobs(time.Minute)
 	})
 }
--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -10,7 +10,7 @@
 
 // An owner of everything with more machines than its sockets should hold: the shares
 // spread, nobody gets too full, nothing wanders, and the same view gives the same plan.
-func TestPlanSpreadsAndSettles(t *testing.T) {
+func TestPlanBalancesAndConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n, room := 2+rng.IntN(6), 100+rng.IntN(900)
@@ -117,7 +117,7 @@
 // Carriers answer, tell, are killed, stand still and lose requests and replies; shares
 // change hands. Whenever the book says that a lease has run out, it has: no answer that
 // was given up to then is younger.
-func TestLedgerNeverEndsALivingLease(t *testing.T) {
+func TestLedgerNeverEndsAnUnexpiredLease(t *testing.T) {
 	const lease = 6 * time.Second
 	ended := 0
 	for seed := range uint64(400) {
@@ -256,7 +256,7 @@
 }
 
 // What a share is can't change: two versions must agree on it.
-func TestSharesOfNamesStay(t *testing.T) {
+func TestShardOfNameIsStable(t *testing.T) {
 	counts := [ShardCount]int{}
 	for i := range 1600 {
 		counts[ShardOf(fmt.Sprintf("m-%06d", i))]++
@@ -272,7 +272,7 @@
 }
 
 // No grant outlasts what its owner may do itself.
-func TestGrantsKeepToTheOwnersBound(t *testing.T) {
+func TestGrantsStayWithinTheLeadersBound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Ledger
 	l.Assign(3, "b")
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -17,35 +17,35 @@
 	"micaspindle/internal/storage"
 )
 
-// after is a job that depends on others.
-func after(id string, tasks int, team string, dependencies ...string) *protocol.JobSpec {
-	s := spec(id, tasks, team)
+// dependentJob is a job that depends on others.
+func dependentJob(id string, tasks int, team string, dependencies ...string) *protocol.JobSpec {
+	s := newJobSpec(id, tasks, team)
 	s.Dependencies = dependencies
 	return s
 }
 
-// withField is a submission with one more field, or another value of one.
-func withField(s *protocol.JobSpec, name string, value any) []byte {
+// submissionWithField is a submission with one more field, or another value of one.
+func submissionWithField(s *protocol.JobSpec, name string, value any) []byte {
 	var m map[string]any
-	must(protocol.Decode(submission(s), &m))
+	panicOnError(protocol.Decode(encodeSubmission(s), &m))
 	m[name] = value
 	return protocol.Encode(m)
 }
 
-var everywhere = []string{"n0", "n1", "n2"}
+var allControllers = []string{"n0", "n1", "n2"}
 
-func TestWhatASubmissionMayDependOn(t *testing.T) {
+func TestValidationOfDependencies(t *testing.T) {
 	t.Parallel()
-	simulate(t, 30, func(w *world) {
+	runSimulation(t, 30, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 1, "red"))
-		service := spec("job-2", 1, "blue")
+		w.submit(newJobSpec("job-1", 1, "red"))
+		service := newJobSpec("job-2", 1, "blue")
 		service.Standing, service.EstimateS, service.DeadlineS = true, 0, 0
 		w.submit(service)
-		gone := spec("job-3", 1, "blue")
+		gone := newJobSpec("job-3", 1, "blue")
 		gone.Standing, gone.EstimateS, gone.DeadlineS = true, 0, 0
 		w.submit(gone)
-		w.withdraw("job-3")
+		w.cancelJob("job-3")
 		time.Sleep(2 * time.Second)
 		many := make([]string, 300)
 		for i := range many {
@@ -73,13 +73,13 @@
 			{"withdrawn service", []string{"job-3"}, 422},
 			{"too many to record", many, 422},
 		} {
-			for _, label := range everywhere {
+			for _, label := range allControllers {
 				next++
-				s := spec(fmt.Sprintf("job-%d", next), 1, "green")
+				s := newJobSpec(fmt.Sprintf("job-%d", next), 1, "green")
 				if tc.name == "itself" {
 					tc.value = []string{s.ID}
 				}
-				resp := w.ask(label, "POST", "/submissions", withField(s, "waits_on", tc.value))
+				resp := w.sendRequest(label, "POST", "/submissions", submissionWithField(s, "waits_on", tc.value))
 				if resp.Status != tc.want {
 					t.Errorf("%s at %s: %d %q, want %d", tc.name, label, resp.Status, resp.Body, tc.want)
 				}
@@ -88,7 +88,7 @@
 				}
 				// Of a known job, a repeat gets its state, whatever its body.
 				if tc.want != 201 {
-					if resp := w.ask(label, "POST", "/submissions", withField(spec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
+					if resp := w.sendRequest(label, "POST", "/submissions", submissionWithField(newJobSpec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
 						t.Errorf("repeat with %s at %s: %d", tc.name, label, resp.Status)
 					}
 				}
@@ -97,61 +97,61 @@
 		// Accepted by one a moment ago, named to another whose watch lags.
 		for i := range 6 {
 			a, b := fmt.Sprintf("job-5%d", i), fmt.Sprintf("job-6%d", i)
-			if r := w.ask(everywhere[i%3], "POST", "/submissions", submission(spec(a, 1, "red"))); r.Status != 201 {
+			if r := w.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
 				t.Fatal(r.Status)
 			}
-			if r := w.ask(everywhere[(i+1)%3], "POST", "/submissions", submission(after(b, 1, "blue", a))); r.Status != 201 {
+			if r := w.sendRequest(allControllers[(i+1)%3], "POST", "/submissions", encodeSubmission(dependentJob(b, 1, "blue", a))); r.Status != 201 {
 				t.Errorf("a job that names one accepted a moment ago: %d %q", r.Status, r.Body)
 			}
 		}
 		// What can't be looked up is no reason to refuse for good.
-		w.outage(true)
+		w.setOutage(true)
 		begun := time.Now()
-		resp := w.ask("n1", "POST", "/submissions", submission(after("job-70", 1, "red", "job-999")))
+		resp := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(dependentJob("job-70", 1, "red", "job-999")))
 		if resp.Status != 503 || resp.RetryAfter == 0 || time.Since(begun) > time.Second {
 			t.Errorf("dependency that can't be read: %d, Retry-After %d, after %s", resp.Status, resp.RetryAfter, time.Since(begun))
 		}
-		w.outage(false)
-		w.withdraw("job-2")
+		w.setOutage(false)
+		w.cancelJob("job-2")
 	})
 }
 
 // A pipeline over teams and parts runs in order, whatever owner dies.
-func TestPipelineRunsInOrder(t *testing.T) {
+func TestDependenciesRunInOrderThroughFailovers(t *testing.T) {
 	t.Parallel()
-	simulate(t, 31, func(w *world) {
+	runSimulation(t, 31, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 6, "red"))
-		w.submit(after("job-2", 70, "green", "job-1"))
-		w.submit(after("job-3", 3, "blue", "job-1"))
-		w.submit(after("job-4", 2, "red", "job-2", "job-3"))
+		w.submit(newJobSpec("job-1", 6, "red"))
+		w.submit(dependentJob("job-2", 70, "green", "job-1"))
+		w.submit(dependentJob("job-3", 3, "blue", "job-1"))
+		w.submit(dependentJob("job-4", 2, "red", "job-2", "job-3"))
 		for i := range 40 {
 			time.Sleep(time.Second)
 			for _, id := range []string{"job-2", "job-4"} {
-				if st := w.poll(everywhere[i%3], id); st == protocol.StatusDone && id == "job-4" {
+				if st := w.poll(allControllers[i%3], id); st == protocol.StatusDone && id == "job-4" {
 					break
 				}
 			}
 			if i == 8 || i == 20 {
-				w.kill(everywhere[i%3])
+				w.killController(allControllers[i%3])
 				time.Sleep(3 * time.Second)
-				w.start(everywhere[i%3])
+				w.startController(allControllers[i%3])
 			}
 		}
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 	})
 }
 
 // A job that waits for others asks for nothing.
-func TestBlockedJobHoldsNothing(t *testing.T) {
+func TestBlockedJobHoldsNoResources(t *testing.T) {
 	t.Parallel()
-	c, p := owner(t)
-	c.up(p, "m-1", "big")
-	first := c.take(spec("job-1", 1, "green"))
-	urgent := after("job-2", 4, "green", "job-1")
+	c, p := newLeadingController(t)
+	c.addMachine(p, "m-1", "big")
+	first := c.addJob(newJobSpec("job-1", 1, "green"))
+	urgent := dependentJob("job-2", 4, "green", "job-1")
 	urgent.Urgency = protocol.Production
 	urgent.CPUs, urgent.Types = 32, []string{"big"}
-	j := c.take(urgent)
+	j := c.addJob(urgent)
 	now := time.Now()
 	if j.SubmittedAt = now.Add(-time.Hour); !j.Blocked {
 		t.Fatal("the job is not blocked")
@@ -178,21 +178,21 @@
 
 // The deadline and urgency of the last job reach back over all that it needs,
 // and are lifted when it is withdrawn.
-func TestNeedsReachBack(t *testing.T) {
+func TestDeadlineAndUrgencyAreInheritedByDependencies(t *testing.T) {
 	t.Parallel()
-	c, _ := owner(t)
+	c, _ := newLeadingController(t)
 	plain := func(id string, dependencies ...string) *protocol.JobSpec {
-		s := after(id, 1, "green", dependencies...) // 6 s each
+		s := dependentJob(id, 1, "green", dependencies...) // 6 s each
 		s.DeadlineS, s.Urgency = 0, protocol.Low
 		return s
 	}
-	a, b := c.take(plain("job-1")), c.take(plain("job-2", "job-1"))
+	a, b := c.addJob(plain("job-1")), c.addJob(plain("job-2", "job-1"))
 	if _, ok := a.Deadline(); ok || a.Urgency() != protocol.Low {
 		t.Error("a need without anybody who needs it")
 	}
 	last := plain("job-3", "job-2")
 	last.DeadlineS, last.Urgency = 60, protocol.High
-	l := c.take(last)
+	l := c.addJob(last)
 	due := func(j *cluster.Job, left float64) {
 		t.Helper()
 		at, ok := j.Deadline()
@@ -209,7 +209,7 @@
 	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
-	c.take(sooner)
+	c.addJob(sooner)
 	due(b, 24)
 	c.jobs.SetFinal("job-4", protocol.StatusWithdrawn, time.Now())
 	due(b, 54)
@@ -224,7 +224,7 @@
 }
 
 // The graph, changed by steps in any order, agrees with what its words mean.
-func TestGraphAgreesWithItsMeaning(t *testing.T) {
+func TestDependencyGraphAgreesWithAModel(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -235,7 +235,7 @@
 		now := time.Now()
 		all := make([]*cluster.Job, n)
 		for i := range all {
-			s := spec(fmt.Sprintf("job-%d", i), 1, "red")
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 1, "red")
 			s.Urgency, s.EstimateS, s.DeadlineS = protocol.Urgency(rng.IntN(4)), float64(1+rng.IntN(9)), float64(rng.IntN(3)*50)
 			for d := range i {
 				if rng.IntN(8) == 0 {
@@ -277,7 +277,7 @@
 				g.JobEnded(id, done, now)
 				delete(jobs, id)
 			}
-			checkGraph(t, seed, &g, all, jobs, finals)
+			checkDependencyGraph(t, seed, &g, all, jobs, finals)
 			if t.Failed() {
 				return
 			}
@@ -285,7 +285,7 @@
 	}
 }
 
-func checkGraph(t *testing.T, seed uint64, g *cluster.DependencyGraph, all []*cluster.Job, jobs map[string]*cluster.Job, finals map[string]string) {
+func checkDependencyGraph(t *testing.T, seed uint64, g *cluster.DependencyGraph, all []*cluster.Job, jobs map[string]*cluster.Job, finals map[string]string) {
 	t.Helper()
 	doomed, blocked := map[string]bool{}, map[string]bool{}
 	for _, j := range all { // dependencies come before dependents
@@ -331,25 +331,25 @@
 // All jobs after a withdrawn one are withdrawn in time, however deep and over
 // whichever parts, with the death of an owner, an outage that ends or a low
 // rate of changes in between; so is one submitted later.
-func TestWithdrawalReachesAllDependents(t *testing.T) {
+func TestCancellationReachesAllDependents(t *testing.T) {
 	t.Parallel()
 	for _, trouble := range []string{"none", "owner dies", "all die", "outage", "low rate"} {
 		t.Run(trouble, func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 32, func(w *world) {
+			runConfiguredSimulation(t, 32, func(w *simulatedCluster) {
 				if trouble == "low rate" {
 					writes := 12.0
-					w.set.Params.State.Next.WriteRPS = &writes
+					w.settings.Params.State.Next.WriteRPS = &writes
 				}
-			}, func(w *world) {
+			}, func(w *simulatedCluster) {
 				time.Sleep(2 * time.Second)
 				w.runTime = func(string, int, string) time.Duration { return time.Hour }
 				teams := []string{"red", "blue", "green"}
-				w.submit(spec("job-0", 2, "red"))
-				w.submit(spec("job-500", 1, "blue")) // stays
+				w.submit(newJobSpec("job-0", 2, "red"))
+				w.submit(newJobSpec("job-500", 1, "blue")) // stays
 				n := 40
 				for i := 1; i < n; i++ {
-					s := after(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
+					s := dependentJob(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
 					if i%4 == 0 {
 						s.Dependencies = append(s.Dependencies, "job-0", "job-500")
 					}
@@ -361,28 +361,28 @@
 					w.state.Writes = rate.NewLimiter(12, 12)
 					w.mu.Unlock()
 				}
-				w.withdraw("job-0")
+				w.cancelJob("job-0")
 				told := time.Now()
 				switch trouble {
 				case "owner dies":
-					w.kill("n1")
+					w.killController("n1")
 				case "all die":
-					for _, label := range everywhere {
-						w.kill(label)
+					for _, label := range allControllers {
+						w.killController(label)
 					}
 					time.Sleep(3 * time.Second)
-					for _, label := range everywhere {
-						w.start(label)
+					for _, label := range allControllers {
+						w.startController(label)
 					}
 				case "outage":
-					w.outage(true)
+					w.setOutage(true)
 					time.Sleep(10 * time.Second)
-					w.outage(false)
+					w.setOutage(false)
 				}
-				w.submit(after("job-600", 1, "blue", "job-39"))
+				w.submit(dependentJob("job-600", 1, "blue", "job-39"))
 				// Unseen by any poll: the owners withdraw, not only who is asked.
 				// The reserve of 3 s is for the dead controllers' leases.
-				time.Sleep(time.Until(told.Add(settings.Seconds(w.set.Params.Workers.CancelS - 3))))
+				time.Sleep(time.Until(told.Add(settings.Seconds(w.settings.Params.Workers.CancelS - 3))))
 				w.mu.Lock()
 				for i := 1; i < n; i++ {
 					if _, ok := w.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
@@ -401,7 +401,7 @@
 				if st := w.poll("", "job-500"); st == protocol.StatusWithdrawn {
 					t.Error("a job before it is withdrawn too")
 				}
-				w.withdraw("job-500")
+				w.cancelJob("job-500")
 			})
 		})
 	}
@@ -409,18 +409,18 @@
 
 // A cancellation crosses a submission that names its job, or the completion of
 // its job: whichever wins, the jobs after it follow the answer.
-func TestCrossingsOfWithdrawals(t *testing.T) {
+func TestCancellationRacesWithDependentJobs(t *testing.T) {
 	t.Parallel()
-	simulate(t, 33, func(w *world) {
+	runSimulation(t, 33, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 6 {
 			a, b, c := fmt.Sprintf("job-1%d", i), fmt.Sprintf("job-2%d", i), fmt.Sprintf("job-3%d", i)
-			w.submit(spec(a, 1, "red"))
-			w.submit(after(b, 1, "green", a))
+			w.submit(newJobSpec(a, 1, "red"))
+			w.submit(dependentJob(b, 1, "green", a))
 			time.Sleep(time.Duration(i) * 2500 * time.Millisecond)
-			w.group.Go(func() { w.submit(after(c, 1, "blue", a, b)) })
+			w.group.Go(func() { w.submit(dependentJob(c, 1, "blue", a, b)) })
 			time.Sleep(time.Duration(i) * time.Millisecond)
-			ended := w.withdraw(a)
+			ended := w.cancelJob(a)
 			time.Sleep(30 * time.Second)
 			for _, id := range []string{b, c} {
 				if st := w.poll("", id); st != ended {
@@ -428,26 +428,26 @@
 				}
 			}
 		}
-		w.finish(2 * time.Minute)
+		w.waitForAllJobs(2 * time.Minute)
 	})
 }
 
 // A user may have been told of a withdrawal that this controller has not heard
 // of: when it has not followed the changes for too long, it does not call a job
 // queued that needs others.
-func TestStaleControllerDoesNotCallDependentsQueued(t *testing.T) {
+func TestStaleControllerRefusesStatusOfDependentJobs(t *testing.T) {
 	t.Parallel()
-	simulate(t, 34, func(w *world) {
+	runSimulation(t, 34, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.runTime = func(string, int, string) time.Duration { return time.Hour }
-		w.submit(spec("job-1", 1, "red"))
-		w.submit(after("job-2", 1, "blue", "job-1"))
+		w.submit(newJobSpec("job-1", 1, "red"))
+		w.submit(dependentJob("job-2", 1, "blue", "job-1"))
 		time.Sleep(time.Second)
-		ask := func() int { return w.ask("n0", "GET", "/submissions/job-2", nil).Status }
+		ask := func() int { return w.sendRequest("n0", "GET", "/submissions/job-2", nil).Status }
 		if got := ask(); got != 200 {
 			t.Errorf("a poll gets %d", got)
 		}
-		n := w.nodes["n0"].ctl
+		n := w.controllers["n0"].controller
 		w.mu.Lock()
 		w.state.Stuck = true
 		w.mu.Unlock()
@@ -462,25 +462,25 @@
 		if got := ask(); got != 200 {
 			t.Errorf("a poll gets %d after the watch went on", got)
 		}
-		w.withdraw("job-1")
-		w.finish(time.Minute)
+		w.cancelJob("job-1")
+		w.waitForAllJobs(time.Minute)
 	})
 }
 
 // Names may be long: a record that would outgrow the lower limit takes fewer
 // attempts at a time, and all tasks run in the end.
-func TestRunRecordsKeepToTheLowerLimit(t *testing.T) {
+func TestRunRecordsStayBelowTheLowerLimit(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 35, func(w *world) {
-		announce(w)
+	runConfiguredSimulation(t, 35, func(w *simulatedCluster) {
+		announceLowerLimits(w)
 		w.cloud.Prefix = strings.Repeat("m", 180)
 		w.cloud.Capacity = 20
-	}, func(w *world) {
+	}, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		s := spec("job-1", 64, "green")
+		s := newJobSpec("job-1", 64, "green")
 		s.CPUs = 1
 		w.submit(s)
-		w.finish(8 * time.Minute)
+		w.waitForAllJobs(8 * time.Minute)
 		if most := w.state.Largest["r"]; most < 1500 {
 			t.Errorf("the largest run record has %d bytes: nothing was tried", most)
 		}
@@ -491,17 +491,17 @@
 // does not block the rest.
 func TestUnannouncedLimitsShrinkBatches(t *testing.T) {
 	t.Parallel()
-	simulate(t, 36, func(w *world) {
+	runSimulation(t, 36, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
 		w.state.HiddenOps, w.state.HiddenValue = 2, 700
 		w.mu.Unlock()
 		for i := range 12 {
-			s := spec(fmt.Sprintf("job-%d", i), 40, "green")
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 40, "green")
 			s.CPUs, s.DeadlineS = 0.5, 600
 			w.submit(s)
 		}
-		w.finish(8 * time.Minute)
+		w.waitForAllJobs(8 * time.Minute)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if n := w.state.RefusedSize; n == 0 || n > 60 {
@@ -512,46 +512,46 @@
 
 // A job that was accepted before a limit fell that nobody announced is known
 // all the same to a controller that has not heard of it.
-func TestRepeatOfAJobLargerThanAnUnannouncedLimit(t *testing.T) {
+func TestRepeatedSubmissionAboveAnUnannouncedLimit(t *testing.T) {
 	t.Parallel()
-	simulate(t, 38, func(w *world) {
+	runSimulation(t, 38, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		s := spec("job-1", 1, "red")
+		s := newJobSpec("job-1", 1, "red")
 		s.Class = strings.Repeat("c", 190)
 		w.mu.Lock()
 		w.state.Stuck = true // the others' watches bring nothing
 		w.mu.Unlock()
-		if got := w.ask("n0", "POST", "/submissions", submission(s)).Status; got != 201 {
+		if got := w.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
 			t.Fatal(got)
 		}
 		w.mu.Lock()
 		w.state.HiddenValue = 300
 		w.mu.Unlock()
-		if got := w.ask("n1", "POST", "/submissions", submission(s)).Status; got != 200 {
+		if got := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 200 {
 			t.Errorf("a repeat gets %d", got)
 		}
 		s.ID = "job-2"
-		if got := w.ask("n1", "POST", "/submissions", submission(s)).Status; got != 422 {
+		if got := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
 			t.Errorf("another of its size gets %d", got)
 		}
 		w.mu.Lock()
 		w.state.Stuck, w.state.HiddenValue = false, 0
 		w.mu.Unlock()
 		w.mu.Lock()
-		w.jobs["job-1"] = &userJob{spec: spec("job-1", 1, "red"), tasksDone: map[int]bool{}}
+		w.jobs["job-1"] = &submittedJob{spec: newJobSpec("job-1", 1, "red"), tasksDone: map[int]bool{}}
 		w.mu.Unlock()
-		w.finish(2 * time.Minute)
+		w.waitForAllJobs(2 * time.Minute)
 	})
 }
 
 // The rate of changes falls without notice: few refusals, and all goes on.
-func TestRateOfChangesIsFollowed(t *testing.T) {
+func TestWriteRateFollowsTheLowerLimit(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 37, func(w *world) {
-		w.set.Params.State.WriteRPS = 40
+	runConfiguredSimulation(t, 37, func(w *simulatedCluster) {
+		w.settings.Params.State.WriteRPS = 40
 		writes := 15.0
-		w.set.Params.State.Next.WriteRPS = &writes
-	}, func(w *world) {
+		w.settings.Params.State.Next.WriteRPS = &writes
+	}, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
 			if i == 20 {
@@ -559,11 +559,11 @@
 				w.state.Writes = rate.NewLimiter(15, 15)
 				w.mu.Unlock()
 			}
-			s := spec(fmt.Sprintf("job-%d", i), 3, "green")
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 3, "green")
 			s.DeadlineS = 600
 			w.submit(s)
 		}
-		w.finish(5 * time.Minute)
+		w.waitForAllJobs(5 * time.Minute)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if n := w.state.RefusedRate; n > 60 {
@@ -574,27 +574,27 @@
 
 // Fetches of all stages of a pipeline add up: there even a short one is saved
 // where a machine has the image.
-func TestPipelinesGoWhereTheImageIs(t *testing.T) {
+func TestPipelinesPreferMachinesWithTheImage(t *testing.T) {
 	t.Parallel()
 	for _, pipeline := range []bool{false, true} {
-		c, p := owner(t)
-		busy := c.up(p, "m-1", "big")
+		c, p := newLeadingController(t)
+		busy := c.addMachine(p, "m-1", "big")
 		busy.Images["img"] = time.Now()
-		c.up(p, "m-2", "big")
+		c.addMachine(p, "m-2", "big")
 		// Two run there, so that its contention is the higher one.
-		other := spec("job-1", 2, "green")
+		other := newJobSpec("job-1", 2, "green")
 		other.Image, other.EstimateS = "other", 600
-		running := c.take(other)
+		running := c.addJob(other)
 		for task := range 2 {
 			busy.Attempts[fmt.Sprint(task)] = &cluster.Attempt{Job: running, TaskIndex: task, Machine: busy, Epoch: 1, State: cluster.AttemptConfirmed}
 		}
 		busy.RecountUsed()
 		delete(c.Jobs, "job-1")
-		s := spec("job-2", 1, "green")
+		s := newJobSpec("job-2", 1, "green")
 		s.EstimateS, s.ImageGB = 600, 1 // a short fetch
-		j := c.take(s)
+		j := c.addJob(s)
 		if pipeline {
-			c.take(after("job-3", 1, "green", "job-2"))
+			c.addJob(dependentJob("job-3", 1, "green", "job-2"))
 		}
 		c.scheduler.Place(p, time.Now())
 		if got := j.LiveAttempts[0].Machine.Name; got == "m-1" != pipeline {
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -36,9 +36,9 @@
 	"micaspindle/internal/transport"
 )
 
-// clerks is the identities of a simulated world: an authority whose
+// testIdentities is the identities of a simulated world: an authority whose
 // certificates and tokens the world's messages carry, in the clear.
-type clerks struct {
+type testIdentities struct {
 	t        *testing.T
 	ca       *pki.Authority
 	key      ed25519.PrivateKey
@@ -48,26 +48,26 @@
 	tokens   map[string]string
 }
 
-const everybody = 24 * time.Hour
+const certificateLifetime = 24 * time.Hour
 
-func newClerks(t *testing.T) *clerks {
+func newTestIdentities(t *testing.T) *testIdentities {
 	dir := t.TempDir()
-	ca, err := pki.Create(dir, "test", time.Now(), 100*everybody)
-	must(err)
+	ca, err := pki.Create(dir, "test", time.Now(), 100*certificateLifetime)
+	panicOnError(err)
 	key, err := pki.TokenKey(dir)
-	must(err)
-	k := &clerks{t: t, ca: ca, key: key, keyrings: map[string]*identity.Keyring{}, certs: map[string]*x509.Certificate{}, tokens: map[string]string{}}
+	panicOnError(err)
+	k := &testIdentities{t: t, ca: ca, key: key, keyrings: map[string]*identity.Keyring{}, certs: map[string]*x509.Certificate{}, tokens: map[string]string{}}
 	for _, label := range []string{"n0", "n1", "n2"} {
 		k.certificate("controller/" + label)
 		ring, err := identity.Load(identity.Files{Own: ca.File(identity.Name{Kind: identity.Controller, ID: label}),
 			Roots: filepath.Join(dir, pki.RootFile), TokenKeys: filepath.Join(dir, pki.TokenKeysFile)})
-		must(err)
+		panicOnError(err)
 		k.keyrings[label] = ring
 	}
 	return k
 }
 
-func (k *clerks) identities(label string) auth.Identities {
+func (k *testIdentities) forController(label string) auth.Identities {
 	ring := k.keyrings[label]
 	return auth.Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
 		Signer: func() audit.Signer {
@@ -77,33 +77,33 @@
 }
 
 // certificate is what somebody shows; nil where nobody asks.
-func (k *clerks) certificate(who string) *x509.Certificate {
+func (k *testIdentities) certificate(who string) *x509.Certificate {
 	if k == nil {
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.certs[who] == nil {
-		k.certs[who] = k.issue(who, everybody)
+		k.certs[who] = k.issue(who, certificateLifetime)
 	}
 	return k.certs[who]
 }
 
-func (k *clerks) issue(who string, life time.Duration) *x509.Certificate {
+func (k *testIdentities) issue(who string, life time.Duration) *x509.Certificate {
 	name, err := identity.ParseName(who)
-	must(err)
+	panicOnError(err)
 	issued, err := k.ca.Issue(name, time.Now(), life, false)
-	must(err)
+	panicOnError(err)
 	data, err := os.ReadFile(issued.File)
-	must(err)
+	panicOnError(err)
 	certs, err := identity.ParseCertificates(data)
-	must(err)
+	panicOnError(err)
 	return certs[0]
 }
 
 // authorization is the header of somebody's requests; the world's own user is
 // the administrator.
-func (k *clerks) authorization(who string) string {
+func (k *testIdentities) authorization(who string) string {
 	if k == nil {
 		return ""
 	}
@@ -114,18 +114,18 @@
 	defer k.mu.Unlock()
 	if k.tokens[who] == "" {
 		name, err := identity.ParseName(who)
-		must(err)
-		token, err := identity.IssueToken(k.key, name, "test", time.Now(), everybody)
-		must(err)
+		panicOnError(err)
+		token, err := identity.IssueToken(k.key, name, "test", time.Now(), certificateLifetime)
+		panicOnError(err)
 		k.tokens[who] = "Bearer " + token
 	}
 	return k.tokens[who]
 }
 
-// as sends somebody's request to a controller.
-func (w *world) as(who, label, method, target string, body any) transport.Response {
+// requestAs sends somebody's request to a controller.
+func (w *simulatedCluster) requestAs(who, label, method, target string, body any) transport.Response {
 	w.mu.Lock()
-	n := w.nodes[label]
+	n := w.controllers[label]
 	w.mu.Unlock()
 	var raw []byte
 	switch b := body.(type) {
@@ -138,14 +138,14 @@
 	path, query, _ := strings.Cut(target, "?")
 	req := &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: "10.9.0.2:4000"}
 	if who != "" {
-		req.Authorization = w.ids.authorization(who)
+		req.Authorization = w.identities.authorization(who)
 	}
-	return n.ctl.Serve(w.ctx, req)
+	return n.controller.Serve(w.ctx, req)
 }
 
-// theWish is the policy of the wish: a clerk of one office, the refund team and
+// testPolicy is the policy of the wish: a clerk of one office, the refund team and
 // a guest partner, beside the administrator who may do everything.
-func theWish() *rights.Change {
+func testPolicy() *rights.Change {
 	all := []string{"submit", "view", "view-arguments", "withdraw", "reassign", "administer"}
 	return &rights.Change{
 		PutRoles: []rights.Role{
@@ -159,21 +159,21 @@
 	}
 }
 
-// simulateIdentities is simulate with identities, the wish's policy in force.
-func simulateIdentities(t *testing.T, seed uint64, f func(w *world)) {
+// runSimulationWithIdentities is simulate with identities, the wish's policy in force.
+func runSimulationWithIdentities(t *testing.T, seed uint64, f func(w *simulatedCluster)) {
 	t.Helper()
-	simulatePrepared(t, seed, func(w *world) {
-		w.ids = newClerks(t)
-		w.set.Params.State.TxnOps = 16
-	}, func(w *world) {
+	runConfiguredSimulation(t, seed, func(w *simulatedCluster) {
+		w.identities = newTestIdentities(t)
+		w.settings.Params.State.TxnOps = 16
+	}, func(w *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		w.expect(200, w.as("person/root", "n0", "POST", "/policy", theWish()))
+		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", testPolicy()))
 		time.Sleep(time.Second)
 		f(w)
 	})
 }
 
-func (w *world) expect(status int, resp transport.Response) transport.Response {
+func (w *simulatedCluster) expectStatus(status int, resp transport.Response) transport.Response {
 	w.t.Helper()
 	if resp.Status != status {
 		var p protocol.Problem
@@ -185,31 +185,31 @@
 
 // readAudit exports the audit as an operator does, verifies it and returns what
 // it holds.
-func (w *world) readAudit(label string) []archive.ReadRecord {
+func (w *simulatedCluster) readAudit(label string) []archive.ReadRecord {
 	w.t.Helper()
 	data := w.exportAudit(label)
 	roots := x509.NewCertPool()
-	roots.AddCert(w.ids.ca.Root())
+	roots.AddCert(w.identities.ca.Root())
 	v, err := archive.Verify(bytes.NewReader(data), roots)
-	must(err)
+	panicOnError(err)
 	for _, p := range v.Problems {
 		w.t.Errorf("audit: %s", p)
 	}
 	return v.Read
 }
 
-func (w *world) exportAudit(label string) []byte {
+func (w *simulatedCluster) exportAudit(label string) []byte {
 	w.t.Helper()
-	resp := w.as("person/root", label, "GET", "/audit/seal", nil)
+	resp := w.requestAs("person/root", label, "GET", "/audit/seal", nil)
 	for tries := 0; resp.Status != 200 && tries < 20; tries++ {
 		time.Sleep(time.Second)
-		resp = w.as("person/root", label, "GET", "/audit/seal", nil)
+		resp = w.requestAs("person/root", label, "GET", "/audit/seal", nil)
 	}
 	var seal audit.Seal
-	must(protocol.Decode(w.expect(200, resp).Body, &seal))
+	panicOnError(protocol.Decode(w.expectStatus(200, resp).Body, &seal))
 	var out bytes.Buffer
-	must(archive.Export(w.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
-		resp := w.as("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
+	panicOnError(archive.Export(w.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+		resp := w.requestAs("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
 		if resp.Status != 200 {
 			return nil, errors.New("no answer")
 		}
@@ -222,8 +222,8 @@
 	return out.Bytes()
 }
 
-// counted adds up the records that match.
-func counted(read []archive.ReadRecord, match func(r *audit.Record) bool) int {
+// countRecords adds up the records that match.
+func countRecords(read []archive.ReadRecord, match func(r *audit.Record) bool) int {
 	n := uint64(0)
 	for i := range read {
 		if match(&read[i].Record) {
@@ -233,75 +233,75 @@
 	return int(n)
 }
 
-func jobSpec(id, team, class string) *protocol.JobSpec {
-	s := spec(id, 2, team)
+func newJobSpecOfClass(id, team, class string) *protocol.JobSpec {
+	s := newJobSpec(id, 2, team)
 	s.Class = class
 	return s
 }
 
 // The wish's three roles try what they must not do; each refusal is the same
 // whether the job exists or not, and each is in the audit, once or counted.
-func TestRolesOfTheWish(t *testing.T) {
+func TestRolesLimitWhatIdentitiesMayDo(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 51, func(w *world) {
-		for _, s := range []*protocol.JobSpec{jobSpec("job-1", "red", "match"), jobSpec("job-2", "blue", "refund-batch"), jobSpec("job-3", "blue", "price-check")} {
+	runSimulationWithIdentities(t, 51, func(w *simulatedCluster) {
+		for _, s := range []*protocol.JobSpec{newJobSpecOfClass("job-1", "red", "match"), newJobSpecOfClass("job-2", "blue", "refund-batch"), newJobSpecOfClass("job-3", "blue", "price-check")} {
 			w.submit(s)
 		}
 		asked := map[string]int{} // by identity, refusals
 		refused := func(who string, status int, resp transport.Response) {
 			t.Helper()
-			w.expect(status, resp)
+			w.expectStatus(status, resp)
 			if resp.Status == 401 || resp.Status == 403 {
 				asked[who]++
 			}
 		}
 		// The clerk moves another region's job, or one of its own there.
 		for _, label := range []string{"n0", "n1", "n2"} {
-			refused("person/anna", 403, w.as("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
-			refused("person/anna", 403, w.as("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
-			refused("person/anna", 403, w.as("person/anna", label, "POST", "/submissions/job-77/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
+			refused("person/anna", 403, w.requestAs("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
+			refused("person/anna", 403, w.requestAs("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
+			refused("person/anna", 403, w.requestAs("person/anna", label, "POST", "/submissions/job-77/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
 			// The refund team touches the price-check queue.
-			refused("service/refunds", 403, w.as("service/refunds", label, "GET", "/submissions/job-3", nil))
-			refused("service/refunds", 403, w.as("service/refunds", label, "POST", "/submissions/job-3/withdraw", nil))
-			refused("service/refunds", 403, w.as("service/refunds", label, "POST", "/submissions", submission(jobSpec("job-91", "blue", "price-check"))))
+			refused("service/refunds", 403, w.requestAs("service/refunds", label, "GET", "/submissions/job-3", nil))
+			refused("service/refunds", 403, w.requestAs("service/refunds", label, "POST", "/submissions/job-3/withdraw", nil))
+			refused("service/refunds", 403, w.requestAs("service/refunds", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-91", "blue", "price-check"))))
 			// A guest partner looks for arguments wherever there might be some.
 			for _, path := range []string{"/submissions/job-1/arguments", "/submissions/job-77/arguments", "/audit/seal", "/audit/batches?chain=n0&after=0",
 				"/policy/roles", "/policy/identities"} {
-				refused("person/partner", 403, w.as("person/partner", label, "GET", path, nil))
+				refused("person/partner", 403, w.requestAs("person/partner", label, "GET", path, nil))
 			}
-			refused("person/partner", 403, w.as("person/partner", label, "POST", "/submissions", submission(jobSpec("job-1", "red", "match"))))
-			refused("person/partner", 403, w.as("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
-			refused("person/partner", 403, w.as("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
-			refused("", 401, w.as("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
-			refused("", 401, w.as("", label, "GET", "/submissions/job-1", nil))
+			refused("person/partner", 403, w.requestAs("person/partner", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-1", "red", "match"))))
+			refused("person/partner", 403, w.requestAs("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
+			refused("person/partner", 403, w.requestAs("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
+			refused("", 401, w.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
+			refused("", 401, w.requestAs("", label, "GET", "/submissions/job-1", nil))
 		}
 		// What a job and one that does not exist are answered does not differ.
-		a := w.as("service/refunds", "n0", "GET", "/submissions/job-3", nil)
-		b := w.as("service/refunds", "n0", "GET", "/submissions/job-77", nil)
+		a := w.requestAs("service/refunds", "n0", "GET", "/submissions/job-3", nil)
+		b := w.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
 		asked["service/refunds"] += 2
 		if a.Status != b.Status || !bytes.Equal(a.Body, b.Body) || a.RetryAfter != b.RetryAfter {
 			t.Errorf("a job of another queue gets %d %q, no job %d %q", a.Status, a.Body, b.Status, b.Body)
 		}
 		// What they may do, they may.
-		w.expect(200, w.as("person/anna", "n1", "GET", "/submissions/job-1", nil))
-		w.expect(200, w.as("service/refunds", "n1", "GET", "/submissions/job-2/arguments", nil))
-		w.expect(200, w.as("person/partner", "n1", "GET", "/submissions/job-3", nil))
-		w.expect(201, w.as("person/anna", "n2", "POST", "/submissions", submission(jobSpec("job-4", "red", "verify"))))
-		w.expect(404, w.as("person/root", "n2", "GET", "/submissions/job-77", nil))
+		w.expectStatus(200, w.requestAs("person/anna", "n1", "GET", "/submissions/job-1", nil))
+		w.expectStatus(200, w.requestAs("service/refunds", "n1", "GET", "/submissions/job-2/arguments", nil))
+		w.expectStatus(200, w.requestAs("person/partner", "n1", "GET", "/submissions/job-3", nil))
+		w.expectStatus(201, w.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-4", "red", "verify"))))
+		w.expectStatus(404, w.requestAs("person/root", "n2", "GET", "/submissions/job-77", nil))
 		// Nothing that a guest is told holds arguments.
 		for _, id := range []string{"job-1", "job-2"} {
-			if resp := w.as("person/partner", "n0", "GET", "/submissions/"+id, nil); bytes.Contains(resp.Body, []byte("img")) {
+			if resp := w.requestAs("person/partner", "n0", "GET", "/submissions/"+id, nil); bytes.Contains(resp.Body, []byte("img")) {
 				t.Errorf("the image of %s is told: %q", id, resp.Body)
 			}
 		}
 		time.Sleep(2 * audit.GatherFor)
 		read := w.readAudit("n1")
 		for who, n := range asked {
-			if got := counted(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == who }); got != n {
+			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == who }); got != n {
 				t.Errorf("%q was refused %d times, the audit has %d", who, n, got)
 			}
 		}
-		if n := counted(read, func(r *audit.Record) bool {
+		if n := countRecords(read, func(r *audit.Record) bool {
 			return r.Verb == "view-arguments" && r.Who == "service/refunds" && r.Job == "job-2" && r.Outcome == audit.Allowed
 		}); n != 1 {
 			t.Errorf("looking at arguments is recorded %d times", n)
@@ -312,18 +312,18 @@
 			}
 		}
 		w.mu.Lock()
-		w.jobs["job-4"] = &userJob{spec: jobSpec("job-4", "red", "verify"), tasksDone: map[int]bool{}, accepted: time.Now()}
+		w.jobs["job-4"] = &submittedJob{spec: newJobSpecOfClass("job-4", "red", "verify"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
 		w.mu.Unlock()
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 	})
 }
 
 // Neither the answer, nor how much the state service is asked, nor the budget for
 // unknown jobs tells a job of another queue from one that does not exist.
-func TestForeignJobsLookLikeNone(t *testing.T) {
+func TestJobsOfOtherQueuesAreIndistinguishableFromUnknown(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 50, func(w *world) {
-		w.submit(jobSpec("job-3", "blue", "price-check"))
+	runSimulationWithIdentities(t, 50, func(w *simulatedCluster) {
+		w.submit(newJobSpecOfClass("job-3", "blue", "price-check"))
 		time.Sleep(10 * time.Second) // every controller knows it
 		seen := map[string]string{}
 		for _, id := range []string{"job-3", "job-77", "job-3/", "job-x"} {
@@ -333,7 +333,7 @@
 			w.mu.Unlock()
 			answers := ""
 			for range 3 * auth.UnknownJobBurst {
-				resp := w.as("service/refunds", "n0", "GET", "/submissions/"+id, nil)
+				resp := w.requestAs("service/refunds", "n0", "GET", "/submissions/"+id, nil)
 				answers += fmt.Sprintf("%d %q %d;", resp.Status, resp.Body, resp.RetryAfter)
 			}
 			w.mu.Lock()
@@ -347,19 +347,19 @@
 		if seen["job-3"] != seen["job-77"] {
 			t.Errorf("another queue's job: %s\nno job: %s", seen["job-3"], seen["job-77"])
 		}
-		w.finish(time.Minute)
+		w.waitForAllJobs(time.Minute)
 	})
 }
 
 // A controller that ends between its commit and its answer leaves the user to
 // ask again: there is one job and one record of its acceptance.
-func TestKilledBetweenCommitAndAnswer(t *testing.T) {
+func TestControllerKilledBetweenCommitAndAnswer(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 52, func(w *world) {
-		s := jobSpec("job-1", "red", "match")
+	runSimulationWithIdentities(t, 52, func(w *simulatedCluster) {
+		s := newJobSpecOfClass("job-1", "red", "match")
 		killed := false
 		w.mu.Lock()
-		w.answered = func(from, host, target string, body []byte, resp *transport.Response) bool {
+		w.onResponse = func(from, host, target string, body []byte, resp *transport.Response) bool {
 			if host != "state" || target != "/commit" || killed || from != "n1" || !bytes.Contains(body, []byte(storage.JobKey(s.ID))) {
 				return false
 			}
@@ -367,62 +367,62 @@
 				t.Errorf("the commit got %d", resp.Status)
 			}
 			killed = true
-			go w.kill("n1")
+			go w.killController("n1")
 			return true
 		}
 		w.mu.Unlock()
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 		defer cancel()
-		n := w.nodes["n1"]
-		resp := n.ctl.Serve(ctx, &transport.Request{Method: "POST", Path: "/submissions", Body: submission(s), Authorization: w.ids.authorization("person/anna")})
+		n := w.controllers["n1"]
+		resp := n.controller.Serve(ctx, &transport.Request{Method: "POST", Path: "/submissions", Body: encodeSubmission(s), Authorization: w.identities.authorization("person/anna")})
 		if resp.Status == 201 || resp.Status == 200 || !killed {
 			t.Fatalf("answered %d, killed %v", resp.Status, killed)
 		}
 		// Until the others' watches bring it, the record is all that tells.
-		w.expect(200, w.as("person/anna", "n2", "POST", "/submissions", submission(s)))
-		w.expect(200, w.as("person/anna", "n0", "POST", "/submissions", submission(s)))
-		w.start("n1")
+		w.expectStatus(200, w.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
+		w.expectStatus(200, w.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
+		w.startController("n1")
 		time.Sleep(2 * audit.GatherFor)
-		if n := counted(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
+		if n := countRecords(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
 			t.Errorf("%d records of one acceptance", n)
 		}
 		w.mu.Lock()
-		w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}, accepted: time.Now()}
+		w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
 		w.mu.Unlock()
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 	})
 }
 
 // A revocation holds on every controller within 3 s, also on one that can't be
 // told.
-func TestRevocationDuringAPartition(t *testing.T) {
+func TestRevocationDuringANetworkPartition(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 53, func(w *world) {
+	runSimulationWithIdentities(t, 53, func(w *simulatedCluster) {
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return 40 * time.Second }
 		w.mu.Unlock()
-		mine := jobSpec("job-1", "red", "match")
+		mine := newJobSpecOfClass("job-1", "red", "match")
 		w.mu.Lock()
-		w.jobs[mine.ID] = &userJob{spec: mine, tasksDone: map[int]bool{}, accepted: time.Now()}
+		w.jobs[mine.ID] = &submittedJob{spec: mine, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
 		w.mu.Unlock()
-		w.expect(201, w.as("person/anna", "n0", "POST", "/submissions", submission(mine)))
+		w.expectStatus(201, w.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(mine)))
 		time.Sleep(15 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			w.expect(200, w.as("person/anna", label, "GET", "/submissions/job-1", nil))
+			w.expectStatus(200, w.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
 		w.mu.Lock()
 		w.cut = func(from, to string) bool { return from == "n2" && to == "state" }
 		w.mu.Unlock()
 		revoke := &rights.Change{Version: 1, PutIdentities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}, Revoked: true}}}
-		w.expect(200, w.as("person/root", "n0", "POST", "/policy", revoke))
-		w.expect(403, w.as("person/anna", "n0", "GET", "/submissions/job-1", nil))
+		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", revoke))
+		w.expectStatus(403, w.requestAs("person/anna", "n0", "GET", "/submissions/job-1", nil))
 		time.Sleep(3 * time.Second)
-		w.expect(403, w.as("person/anna", "n1", "POST", "/submissions", submission(jobSpec("job-2", "red", "match"))))
+		w.expectStatus(403, w.requestAs("person/anna", "n1", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-2", "red", "match"))))
 		for _, resp := range []transport.Response{
-			w.as("person/anna", "n2", "POST", "/submissions", submission(jobSpec("job-2", "red", "match"))),
-			w.as("person/anna", "n2", "GET", "/submissions/job-1", nil), w.as("person/anna", "n2", "POST", "/submissions/job-1/withdraw", nil),
-			w.as("person/root", "n2", "POST", "/policy", revoke)} {
-			if w.expect(503, resp).RetryAfter == 0 {
+			w.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-2", "red", "match"))),
+			w.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil), w.requestAs("person/anna", "n2", "POST", "/submissions/job-1/withdraw", nil),
+			w.requestAs("person/root", "n2", "POST", "/policy", revoke)} {
+			if w.expectStatus(503, resp).RetryAfter == 0 {
 				t.Error("no Retry-After")
 			}
 		}
@@ -430,37 +430,37 @@
 		w.cut = nil
 		w.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		w.expect(403, w.as("person/anna", "n2", "GET", "/submissions/job-1", nil))
+		w.expectStatus(403, w.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil))
 		// Her job goes on for its queue.
 		if st := w.poll("n1", "job-1"); st != protocol.StatusRunning {
 			t.Errorf("the revoked clerk's job is %q", st)
 		}
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 		for _, label := range []string{"n0", "n1", "n2"} {
 			// The others had the revocation at once, so that refusals are on all.
-			w.expect(403, w.as("person/anna", label, "GET", "/submissions/job-1", nil))
+			w.expectStatus(403, w.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
 	})
 }
 
 // One command withdraws everything that somebody has submitted, and nothing
 // else; it is allowed where the operator administers the queue.
-func TestSweepOfSomebodysJobs(t *testing.T) {
+func TestCancellingAllJobsOfAnIdentity(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 54, func(w *world) {
+	runSimulationWithIdentities(t, 54, func(w *simulatedCluster) {
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
 		w.mu.Unlock()
 		for i := range 40 {
-			s := jobSpec(fmt.Sprintf("job-%d", i), "red", "match")
+			s := newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match")
 			w.mu.Lock()
-			w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}, accepted: time.Now(), asked: i%2 == 0}
+			w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now(), cancelRequested: i%2 == 0}
 			w.mu.Unlock()
 			who := "person/root"
 			if i%2 == 0 {
 				who = "person/anna"
 			}
-			for w.as(who, "n0", "POST", "/submissions", submission(s)).Status != 201 {
+			for w.requestAs(who, "n0", "POST", "/submissions", encodeSubmission(s)).Status != 201 {
 				time.Sleep(time.Second)
 			}
 		}
@@ -468,8 +468,8 @@
 		withdrawn := 0
 		for tries := 0; ; tries++ {
 			var res protocol.SweepResult
-			resp := w.as("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
-			must(protocol.Decode(w.expect(200, resp).Body, &res))
+			resp := w.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
+			panicOnError(protocol.Decode(w.expectStatus(200, resp).Body, &res))
 			withdrawn += res.Withdrawn
 			if res.Left == 0 || tries > 30 {
 				break
@@ -479,7 +479,7 @@
 		if withdrawn == 0 {
 			t.Error("nothing was withdrawn")
 		}
-		w.finish(10 * time.Minute)
+		w.waitForAllJobs(10 * time.Minute)
 		for i := range 40 {
 			id := fmt.Sprintf("job-%d", i)
 			if st := w.poll("", id); i%2 == 1 && st != protocol.StatusDone {
@@ -487,7 +487,7 @@
 			}
 		}
 		time.Sleep(2 * audit.GatherFor)
-		if n := counted(w.readAudit("n2"), func(r *audit.Record) bool {
+		if n := countRecords(w.readAudit("n2"), func(r *audit.Record) bool {
 			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
 		}); n != withdrawn {
 			t.Errorf("%d withdrawals are recorded, %d were made", n, withdrawn)
@@ -498,16 +498,16 @@
 // Two administrators revoke each other at the same moment: one of them stays.
 func TestAdministratorsRevokeEachOther(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 55, func(w *world) {
+	runSimulationWithIdentities(t, 55, func(w *simulatedCluster) {
 		second := rights.Identity{Name: "person/second", Roles: []string{"admin"}}
-		w.expect(200, w.as("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{second}}))
+		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{second}}))
 		time.Sleep(time.Second)
 		var got [2]transport.Response
 		var wg sync.WaitGroup
 		for i, who := range []string{"person/root", "person/second"} {
 			wg.Go(func() {
 				other := []string{"person/second", "person/root"}[i]
-				got[i] = w.as(who, []string{"n0", "n1"}[i], "POST", "/policy", &rights.Change{Version: 2,
+				got[i] = w.requestAs(who, []string{"n0", "n1"}[i], "POST", "/policy", &rights.Change{Version: 2,
 					PutIdentities: []rights.Identity{{Name: other, Roles: []string{"admin"}, Revoked: true}}})
 			})
 		}
@@ -520,34 +520,34 @@
 			left, other = other, left
 		}
 		time.Sleep(time.Second)
-		w.expect(403, w.as(other, "n2", "GET", "/policy/roles", nil))
-		w.expect(422, w.as(left, "n2", "POST", "/policy", &rights.Change{Version: 3, PutIdentities: []rights.Identity{{Name: left, Roles: []string{"admin"}, Revoked: true}}}))
-		w.expect(409, w.as(left, "n2", "POST", "/policy", &rights.Change{Version: 2, DropIdentities: []string{other}}))
-		w.expect(200, w.as(left, "n2", "POST", "/policy", &rights.Change{Version: 3, DropIdentities: []string{other}}))
+		w.expectStatus(403, w.requestAs(other, "n2", "GET", "/policy/roles", nil))
+		w.expectStatus(422, w.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, PutIdentities: []rights.Identity{{Name: left, Roles: []string{"admin"}, Revoked: true}}}))
+		w.expectStatus(409, w.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 2, DropIdentities: []string{other}}))
+		w.expectStatus(200, w.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, DropIdentities: []string{other}}))
 	})
 }
 
 // Tokens that were issued before a moment can be voided, with the identity left
 // as it is.
-func TestVoidedTokens(t *testing.T) {
+func TestRevokedTokensAreRefused(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 56, func(w *world) {
-		w.expect(404, w.as("person/partner", "n0", "GET", "/submissions/job-9", nil))
+	runSimulationWithIdentities(t, 56, func(w *simulatedCluster) {
+		w.expectStatus(404, w.requestAs("person/partner", "n0", "GET", "/submissions/job-9", nil))
 		time.Sleep(2 * time.Second)
 		void := rights.Identity{Name: "person/partner", Roles: []string{"guest"}, TokensFromMS: time.Now().UnixMilli()}
-		w.expect(200, w.as("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{void}}))
+		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{void}}))
 		time.Sleep(2 * time.Second)
-		w.expect(401, w.as("person/partner", "n1", "GET", "/submissions/job-9", nil))
-		delete(w.ids.tokens, "person/partner")
-		w.expect(404, w.as("person/partner", "n1", "GET", "/submissions/job-9", nil))
+		w.expectStatus(401, w.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
+		delete(w.identities.tokens, "person/partner")
+		w.expectStatus(404, w.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
 	})
 }
 
 // A job that has not started goes on under another id in another queue, in one
 // step; one that has started stays.
-func TestReassignment(t *testing.T) {
+func TestReassignmentOfQueuedJobs(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 57, func(w *world) {
+	runSimulationWithIdentities(t, 57, func(w *simulatedCluster) {
 		w.mu.Lock()
 		w.cloud.Capacity = 0
 		w.runTime = func(string, int, string) time.Duration { return 8 * time.Second }
@@ -555,48 +555,48 @@
 		add := func(s *protocol.JobSpec) {
 			w.submit(s)
 			w.mu.Lock()
-			w.jobs[s.ID].asked = true
+			w.jobs[s.ID].cancelRequested = true
 			w.mu.Unlock()
 		}
-		add(jobSpec("job-1", "red", "match"))
-		add(jobSpec("job-2", "red", "match"))
-		add(jobSpec("job-3", "red", "match"))
-		wait := jobSpec("job-4", "red", "letters")
+		add(newJobSpecOfClass("job-1", "red", "match"))
+		add(newJobSpecOfClass("job-2", "red", "match"))
+		add(newJobSpecOfClass("job-3", "red", "match"))
+		wait := newJobSpecOfClass("job-4", "red", "letters")
 		wait.Dependencies = []string{"job-3"}
 		add(wait)
 		time.Sleep(time.Second)
 		move := func(id, as, team string) transport.Response {
-			return w.as("person/root", "n1", "POST", "/submissions/"+id+"/reassign", protocol.Reassignment{As: as, Team: team})
+			return w.requestAs("person/root", "n1", "POST", "/submissions/"+id+"/reassign", protocol.Reassignment{As: as, Team: team})
 		}
-		moved := jobSpec("job-11", "blue", "match")
+		moved := newJobSpecOfClass("job-11", "blue", "match")
 		w.mu.Lock()
-		w.jobs["job-11"] = &userJob{spec: moved, tasksDone: map[int]bool{}, accepted: time.Now()}
+		w.jobs["job-11"] = &submittedJob{spec: moved, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
 		w.mu.Unlock()
-		w.expect(200, move("job-1", "job-11", "blue"))
-		w.expect(200, move("job-1", "job-11", "blue")) // asked again, also elsewhere
-		w.expect(200, w.as("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
-		w.expect(409, move("job-1", "job-12", "blue"))
-		w.expect(409, move("job-2", "job-11", "blue"))
-		w.expect(422, move("job-2", "job-12", "nobody"))
-		w.expect(422, move("job-3", "job-13", "blue")) // another waits for it
-		w.expect(400, move("job-2", "job-2", "blue"))
-		w.expect(400, move("job-2", "x", "blue"))
-		w.expect(404, move("job-77", "job-14", "blue"))
+		w.expectStatus(200, move("job-1", "job-11", "blue"))
+		w.expectStatus(200, move("job-1", "job-11", "blue")) // asked again, also elsewhere
+		w.expectStatus(200, w.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
+		w.expectStatus(409, move("job-1", "job-12", "blue"))
+		w.expectStatus(409, move("job-2", "job-11", "blue"))
+		w.expectStatus(422, move("job-2", "job-12", "nobody"))
+		w.expectStatus(422, move("job-3", "job-13", "blue")) // another waits for it
+		w.expectStatus(400, move("job-2", "job-2", "blue"))
+		w.expectStatus(400, move("job-2", "x", "blue"))
+		w.expectStatus(404, move("job-77", "job-14", "blue"))
 		w.mu.Lock()
 		w.cloud.Capacity = 12
 		w.mu.Unlock()
 		for w.poll("", "job-2") != protocol.StatusRunning {
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.expect(409, move("job-2", "job-12", "blue"))
+		w.expectStatus(409, move("job-2", "job-12", "blue"))
 		if st := w.poll("n0", "job-1"); st != protocol.StatusWithdrawn {
 			t.Errorf("the job that was moved is %s", st)
 		}
-		w.finish(3 * time.Minute)
+		w.waitForAllJobs(3 * time.Minute)
 		if st := w.poll("n0", "job-11"); st != protocol.StatusDone {
 			t.Errorf("its successor is %s", st)
 		}
-		if n := counted(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
+		if n := countRecords(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
 			t.Errorf("%d records of one reassignment", n)
 		}
 	})
@@ -604,28 +604,28 @@
 
 // A reassignment that crosses the job's first start: one of them wins, and no
 // task of a moved job ever starts. Started checks the queue's limits and places.
-func TestReassignmentCrossesTheFirstStart(t *testing.T) {
+func TestReassignmentRacesWithTheFirstStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(60); seed < 64; seed++ {
-		simulateIdentities(t, seed, func(w *world) {
+		runSimulationWithIdentities(t, seed, func(w *simulatedCluster) {
 			w.mu.Lock()
 			rng := rand.New(rand.NewPCG(seed, 1))
 			w.runTime = func(string, int, string) time.Duration { return 2 * time.Second }
 			w.mu.Unlock()
-			first := jobSpec("job-1000", "red", "match") // brings machines up
+			first := newJobSpecOfClass("job-1000", "red", "match") // brings machines up
 			w.submit(first)
-			w.finish(time.Minute)
+			w.waitForAllJobs(time.Minute)
 			won, lost := 0, 0
 			for i := range 20 {
-				s := jobSpec(fmt.Sprintf("job-%d", i), "red", "match")
+				s := newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match")
 				w.submit(s)
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 				as := fmt.Sprintf("job-%d", 100+i)
 				w.mu.Lock()
-				w.jobs[s.ID].asked = true
-				w.jobs[as] = &userJob{spec: jobSpec(as, "blue", "match"), tasksDone: map[int]bool{}, accepted: time.Now()}
+				w.jobs[s.ID].cancelRequested = true
+				w.jobs[as] = &submittedJob{spec: newJobSpecOfClass(as, "blue", "match"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
 				w.mu.Unlock()
-				resp := w.as("person/root", fmt.Sprintf("n%d", i%3), "POST", "/submissions/"+s.ID+"/reassign", protocol.Reassignment{As: as, Team: "blue"})
+				resp := w.requestAs("person/root", fmt.Sprintf("n%d", i%3), "POST", "/submissions/"+s.ID+"/reassign", protocol.Reassignment{As: as, Team: "blue"})
 				w.mu.Lock()
 				switch resp.Status {
 				case 200:
@@ -643,7 +643,7 @@
 				w.mu.Unlock()
 				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 			}
-			w.finish(3 * time.Minute)
+			w.waitForAllJobs(3 * time.Minute)
 			t.Logf("seed %d: %d moved, %d had started", seed, won, lost)
 		})
 	}
@@ -651,9 +651,9 @@
 
 // A flood of refusals takes hardly any of the state service's budget, and none
 // of them is lost.
-func TestFloodOfRefusals(t *testing.T) {
+func TestRefusalsAreAuditedAtABoundedWriteRate(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 58, func(w *world) {
+	runSimulationWithIdentities(t, 58, func(w *simulatedCluster) {
 		time.Sleep(audit.GatherFor)
 		w.mu.Lock()
 		before := w.state.Changes
@@ -661,7 +661,7 @@
 		flood := 20 * time.Second
 		refused := 0
 		for begun := time.Now(); time.Since(begun) < flood; time.Sleep(time.Millisecond) {
-			w.expect(403, w.as("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
+			w.expectStatus(403, w.requestAs("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
 			refused++
 		}
 		time.Sleep(2 * audit.GatherFor)
@@ -671,7 +671,7 @@
 		if most := 2 * int(flood/time.Second); changes > most {
 			t.Errorf("%d refusals made %d changes in %s, want at most %d", refused, changes, flood, most)
 		}
-		if n := counted(w.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
+		if n := countRecords(w.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
 			t.Errorf("%d refusals, the audit counts %d", refused, n)
 		}
 	})
@@ -680,44 +680,44 @@
 // Storms with identities: whatever is lost, late or killed, every accepted job
 // has one record of its acceptance, every such record has its job, and the
 // chains hold.
-func TestAuditThroughStorms(t *testing.T) {
+func TestAuditIsCompleteUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(70); seed < 74; seed++ {
-		simulateIdentities(t, seed, func(w *world) {
-			w.stormTasks = 3
+		runSimulationWithIdentities(t, seed, func(w *simulatedCluster) {
+			w.jobTasksMax = 3
 			dice := func(n int) int { w.mu.Lock(); defer w.mu.Unlock(); return w.rng.IntN(n) }
 			submitted := map[string]bool{}
 			w.mu.Lock()
-			w.trouble = 0.05
+			w.messageFaultRate = 0.05
 			w.mu.Unlock()
 			for i := range 40 {
 				id := fmt.Sprintf("job-%d", i)
 				submitted[id] = true
-				w.submit(jobSpec(id, []string{"red", "blue", "green"}[dice(3)], "match"))
+				w.submit(newJobSpecOfClass(id, []string{"red", "blue", "green"}[dice(3)], "match"))
 				switch dice(6) {
 				case 0:
 					label := fmt.Sprintf("n%d", dice(3))
 					w.mu.Lock()
-					up := w.nodes[label] != nil && len(w.nodes) > 1
+					up := w.controllers[label] != nil && len(w.controllers) > 1
 					w.mu.Unlock()
 					if up {
-						w.kill(label)
-						w.group.Go(func() { time.Sleep(2 * time.Second); w.start(label) })
+						w.killController(label)
+						w.group.Go(func() { time.Sleep(2 * time.Second); w.startController(label) })
 					}
 				case 1:
-					w.withdraw(id)
+					w.cancelJob(id)
 				case 2:
-					w.outage(true)
+					w.setOutage(true)
 					time.Sleep(time.Duration(dice(4000)) * time.Millisecond)
-					w.outage(false)
+					w.setOutage(false)
 				}
 				time.Sleep(time.Duration(dice(800)) * time.Millisecond)
 			}
 			w.mu.Lock()
-			w.trouble = 0
+			w.messageFaultRate = 0
 			w.mu.Unlock()
 			time.Sleep(25 * time.Second) // what is late has come, and who was killed is back
-			w.finish(6 * time.Minute)
+			w.waitForAllJobs(6 * time.Minute)
 			accepts, withdrawals := map[string]int{}, map[string]int{}
 			for _, r := range w.readAudit("n0") {
 				if r.Outcome == audit.Allowed && r.Verb == "submit" {
@@ -736,7 +736,7 @@
 				}
 				var f storage.Final
 				it, over := w.state.Items[storage.FinalKey(id)]
-				must(storage.Decode(it.Value, &f))
+				panicOnError(storage.Decode(it.Value, &f))
 				want := 0
 				if over && f.Status == protocol.StatusWithdrawn {
 					want = 1
@@ -749,7 +749,7 @@
 				t.Errorf("seed %d: %d acceptances of %d jobs", seed, len(accepts), len(submitted))
 			}
 			for key := range w.state.Items {
-				if strings.HasPrefix(key, audit.Prefix) && w.state.Largest["a"] > int(w.set.Params.State.ValueKB*1024) {
+				if strings.HasPrefix(key, audit.Prefix) && w.state.Largest["a"] > int(w.settings.Params.State.ValueKB*1024) {
 					t.Fatalf("%s is too large", key)
 				}
 			}
@@ -759,13 +759,13 @@
 
 // Somebody at the state service changes a batch that is stored: the verifier
 // names the place.
-func TestTamperedStore(t *testing.T) {
+func TestTamperedAuditBatchIsFound(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 59, func(w *world) {
+	runSimulationWithIdentities(t, 59, func(w *simulatedCluster) {
 		for i := range 3 {
-			w.submit(jobSpec(fmt.Sprintf("job-%d", i), "red", "match"))
+			w.submit(newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match"))
 		}
-		w.finish(time.Minute)
+		w.waitForAllJobs(time.Minute)
 		tamper := func(f func(s *state.Service)) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -786,15 +786,15 @@
 			key, it := find(s)
 			before = it
 			var b audit.Batch
-			must(storage.Decode(it.Value, &b))
+			panicOnError(storage.Decode(it.Value, &b))
 			b.Lines[0] = strings.Replace(b.Lines[0], "person/root", "person/anna", 1)
 			it.Value = storage.Encode(b)
 			s.Items[key] = it
 		})
 		roots := x509.NewCertPool()
-		roots.AddCert(w.ids.ca.Root())
+		roots.AddCert(w.identities.ca.Root())
 		v, err := archive.Verify(bytes.NewReader(w.exportAudit("n2")), roots)
-		must(err)
+		panicOnError(err)
 		if len(v.Problems) == 0 || v.Problems[0].Chain != label || v.Problems[0].Batch != 1 {
 			t.Errorf("an altered batch: %v", v.Problems)
 		}
@@ -807,17 +807,17 @@
 func BenchmarkPolicyOf10000Identities(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
-		c := newTestController(b.Context(), &newWorld(b, 1).set, settings.DefaultOperator())
-		must(c.Identify(auth.Identities{}))
+		c := newTestController(b.Context(), &newSimulatedCluster(b, 1).settings, settings.DefaultOperator())
+		panicOnError(c.Identify(auth.Identities{}))
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range 1000 {
 			r := rights.Role{Name: fmt.Sprintf("role-%03d", i), Rules: []rights.Rule{{Verbs: []string{"submit", "view"}, Team: fmt.Sprintf("team-%03d", i), Class: "*"}}}
-			must(c.auth.ApplyPolicyRecord(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
+			panicOnError(c.auth.ApplyPolicyRecord(storage.KindRole, r.Name, protocol.Event{Put: "x", Value: storage.Encode(&r)}))
 		}
 		for i := range 10_000 {
 			id := rights.Identity{Name: fmt.Sprintf("person/clerk-%05d", i), Roles: []string{fmt.Sprintf("role-%03d", i%1000)}}
-			must(c.auth.ApplyPolicyRecord(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
+			panicOnError(c.auth.ApplyPolicyRecord(storage.KindIdentity, id.Name, protocol.Event{Put: "x", Value: storage.Encode(&id)}))
 		}
 		c.auth.PublishPolicy(time.Now())
 		runtime.GC()
@@ -828,18 +828,18 @@
 }
 
 // Machines and controllers speak for themselves only.
-func TestMachinesAndControllersSpeakForThemselves(t *testing.T) {
+func TestCertificatesAuthenticateOnlyTheirOwnName(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 49, func(w *world) {
-		n := w.nodes["n0"].ctl
+	runSimulationWithIdentities(t, 49, func(w *simulatedCluster) {
+		n := w.controllers["n0"].controller
 		report := func(cert, machine string) int {
-			return n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: w.ids.certificate(cert),
+			return n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: w.identities.certificate(cert),
 				Body: protocol.Encode(&protocol.Heartbeat{Machine: machine, Epoch: 1})}).Status
 		}
 		summary := func(cert, from string) int {
 			body, err := proto.Marshal(&peer.Summary{From: from})
-			must(err)
-			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: w.ids.certificate(cert), Body: body}).Status
+			panicOnError(err)
+			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: w.identities.certificate(cert), Body: body}).Status
 		}
 		for what, tc := range map[string]struct{ got, refused int }{
 			"another machine":        {report("worker/m-9", "m-1"), 403},
@@ -862,7 +862,7 @@
 			}
 		}
 		// A certificate that has ended counts no more, however old the connection.
-		w.ids.certs["worker/m-7"] = w.ids.issue("worker/m-7", time.Minute)
+		w.identities.certs["worker/m-7"] = w.identities.issue("worker/m-7", time.Minute)
 		if got := report("worker/m-7", "m-7"); got == 401 {
 			t.Error("refused before its end")
 		}
--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -17,13 +17,13 @@
 	"micaspindle/internal/transport"
 )
 
-// endsJob says whether a message to the state service is the transaction that makes a job done.
-func endsJob(host, target string, body []byte, job string) bool {
+// completesJob says whether a message to the state service is the transaction that makes a job done.
+func completesJob(host, target string, body []byte, job string) bool {
 	if host != "state" || target != "/commit" {
 		return false
 	}
 	var txn protocol.Transaction
-	must(protocol.Decode(body, &txn))
+	panicOnError(protocol.Decode(body, &txn))
 	return slices.ContainsFunc(txn.Then, func(c protocol.Change) bool {
 		var final storage.Final
 		return c.Put == storage.FinalKey(job) && storage.Decode(c.Value, &final) == nil && final.Status == protocol.StatusDone
@@ -33,15 +33,15 @@
 // A cancellation, a question and a repeated submission at every controller meet the end of
 // a job's last task, with no other trouble, at each step of the commit of that end: what
 // users are told is one life of the job (15, 16, 49).
-func TestRequestsMeetEachStepOfAnEnd(t *testing.T) {
+func TestRequestsRaceWithEachStepOfJobCompletion(t *testing.T) {
 	t.Parallel()
 	for _, step := range []string{"the task ends", "its end is reported", "the commit is sent", "the commit is done", "its answer is lost", "the commit is late"} {
 		for _, delay := range []time.Duration{0, 2 * time.Millisecond, 40 * time.Millisecond} {
 			t.Run(fmt.Sprint(step, " ", delay), func(t *testing.T) {
 				t.Parallel()
-				h := &history{jobs: map[string][]porcupine.Operation{}}
-				simulate(t, 640, func(w *world) {
-					w.playEnd(h, step, delay)
+				h := &requestHistory{jobs: map[string][]porcupine.Operation{}}
+				runSimulation(t, 640, func(w *simulatedCluster) {
+					w.runJobEndRace(h, step, delay)
 				})
 				h.check(t)
 				if h.finals < 10 {
@@ -52,15 +52,15 @@
 	}
 }
 
-// bubbleOnce is a sync.Once for functions that sleep: whoever waits for one lets the time
+// synctestOnce is a sync.Once for functions that sleep: whoever waits for one lets the time
 // of the bubble go on, which who waits for a mutex does not.
-type bubbleOnce struct {
+type synctestOnce struct {
 	mu   sync.Mutex
 	done chan struct{} // nil before the first call
 }
 
 // Do calls f the first time, and waits until that is over.
-func (o *bubbleOnce) Do(f func()) {
+func (o *synctestOnce) Do(f func()) {
 	o.mu.Lock()
 	first := o.done == nil
 	if first {
@@ -76,49 +76,49 @@
 	f()
 }
 
-// playEnd lets requests meet a step of the ends of jobs of one to three tasks.
-func (w *world) playEnd(h *history, step string, delay time.Duration) {
+// runJobEndRace lets requests meet a step of the ends of jobs of one to three tasks.
+func (w *simulatedCluster) runJobEndRace(h *requestHistory, step string, delay time.Duration) {
 	time.Sleep(2 * time.Second)
-	w.locked(func() { w.runTime = func(string, int, string) time.Duration { return 3 * time.Second } })
+	w.withLock(func() { w.runTime = func(string, int, string) time.Duration { return 3 * time.Second } })
 	for i := range 3 {
-		s := spec(fmt.Sprintf("job-%d", i), 1+i, "green")
-		w.locked(func() { w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}} })
-		var once bubbleOnce
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i, "green")
+		w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+		var once synctestOnce
 		var asking sync.WaitGroup
 		ask := func() {
 			once.Do(func() {
 				for k, l := range []string{"n0", "n1", "n2"} {
-					for n, q := range []question{withdraws, polls, submits} {
+					for n, q := range []requestKind{requestCancel, requestPoll, requestSubmit} {
 						asking.Go(func() {
 							time.Sleep(time.Duration((k+n)%3) * time.Millisecond)
-							h.asks(w, l, q, s)
+							h.request(w, l, q, s)
 						})
 					}
 				}
 				time.Sleep(delay)
 			})
 		}
-		w.locked(func() {
-			w.ended = func(job string) {
-				h.note(job, porcupine.Operation{Input: ends, Call: h.tick(), Return: math.MaxInt64})
+		w.withLock(func() {
+			w.onJobEnd = func(job string) {
+				h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
 				switch step {
 				case "the task ends":
 					w.group.Go(ask)
 				case "its end is reported":
 					w.group.Go(func() {
-						w.awaitFinishing(job)
+						w.waitForCompletion(job)
 						ask()
 					})
 				}
 			}
-			w.asked = func(_, host, target string, body []byte) bool {
-				if step == "the commit is sent" && endsJob(host, target, body, s.ID) {
+			w.onRequest = func(_, host, target string, body []byte) bool {
+				if step == "the commit is sent" && completesJob(host, target, body, s.ID) {
 					ask()
 				}
 				return false
 			}
-			w.answered = func(_, host, target string, body []byte, resp *transport.Response) bool {
-				if resp.Status != 200 || !endsJob(host, target, body, s.ID) {
+			w.onResponse = func(_, host, target string, body []byte, resp *transport.Response) bool {
+				if resp.Status != 200 || !completesJob(host, target, body, s.ID) {
 					return false
 				}
 				if step == "the commit is done" || step == "its answer is lost" {
@@ -127,25 +127,25 @@
 				return step == "its answer is lost"
 			}
 			if step == "the commit is late" {
-				w.lateWrites, w.lateWhat = 1, "final"
-				w.asked = nil
-				w.ended = func(job string) {
-					h.note(job, porcupine.Operation{Input: ends, Call: h.tick(), Return: math.MaxInt64})
+				w.lateTransactionShare, w.lateTransactionKind = 1, "final"
+				w.onRequest = nil
+				w.onJobEnd = func(job string) {
+					h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
 					w.group.Go(func() {
-						w.awaitFinishing(job)
+						w.waitForCompletion(job)
 						time.Sleep(time.Second)
 						ask()
-						w.locked(func() { w.lateWrites, w.lateWhat = 0, "" })
+						w.withLock(func() { w.lateTransactionShare, w.lateTransactionKind = 0, "" })
 					})
 				}
 			}
 		})
-		for h.asks(w, "n0", submits, s) == "" {
+		for h.request(w, "n0", requestSubmit, s) == "" {
 			time.Sleep(time.Second)
 		}
 		for range 90 {
 			time.Sleep(time.Second)
-			if st := h.asks(w, "n1", polls, s); st == protocol.StatusDone || st == protocol.StatusWithdrawn {
+			if st := h.request(w, "n1", requestPoll, s); st == protocol.StatusDone || st == protocol.StatusWithdrawn {
 				break
 			}
 		}
@@ -155,18 +155,18 @@
 			w.t.Errorf("nobody asked as %s", step)
 		}
 		asking.Wait()
-		h.closeLook(w, s, rand.New(rand.NewPCG(1, uint64(i))))
-		w.locked(func() { w.ended, w.asked, w.answered = nil, nil, nil })
+		h.pollAllControllers(w, s, rand.New(rand.NewPCG(1, uint64(i))))
+		w.withLock(func() { w.onJobEnd, w.onRequest, w.onResponse = nil, nil, nil })
 	}
 	time.Sleep(10 * time.Second)
 }
 
-// awaitFinishing waits until a job's owner knows that its last task has ended.
-func (w *world) awaitFinishing(job string) {
+// waitForCompletion waits until a job's owner knows that its last task has ended.
+func (w *simulatedCluster) waitForCompletion(job string) {
 	for range 5000 {
 		known := false
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.in(l, func(c *Controller) {
+			w.onController(l, func(c *Controller) {
 				j := c.Jobs[job]
 				known = known || j != nil && j.Completing || c.FinalStates[job] != ""
 			})
@@ -181,32 +181,32 @@
 // Jobs are cancelled as their machines hang, until just before or after the lease runs out,
 // the machine would be deleted, or everything must be gone; the state service is there or
 // out meanwhile. A machine that goes on must not go on with them (12, 46).
-func TestCancelledTasksOfMachinesThatHang(t *testing.T) {
+func TestCancelledTasksOfHungMachinesAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{17 * time.Second, 19 * time.Second, 33 * time.Second, 36 * time.Second, 42 * time.Second, 44 * time.Second, 60 * time.Second} {
 		for _, outage := range []bool{false, true} {
 			t.Run(fmt.Sprint(hang, " outage ", outage), func(t *testing.T) {
 				t.Parallel()
-				simulatePrepared(t, 641, gapWorld, func(w *world) {
+				runConfiguredSimulation(t, 641, configureLongAnswerBound, func(w *simulatedCluster) {
 					time.Sleep(3 * time.Second)
 					for i := range 6 {
-						s := spec(fmt.Sprintf("job-%d", i), 2, "green")
+						s := newJobSpec(fmt.Sprintf("job-%d", i), 2, "green")
 						s.EstimateS, s.DeadlineS = 600, 0
 						w.submit(s)
 					}
 					time.Sleep(25 * time.Second)
-					part := w.partOf("green")
-					owner := w.owns(part)
+					part := w.partitionOf("green")
+					owner := w.leaderOf(part)
 					var on []string
 					for i := range 4 {
 						var machines []string
 						id := fmt.Sprintf("job-%d", i)
-						w.locked(func() { machines = w.runs(id) })
+						w.withLock(func() { machines = w.machinesRunning(id) })
 						for _, m := range machines {
-							w.hang(m, hang)
+							w.hangMachine(m, hang)
 						}
 						on = append(on, machines...)
-						if !w.withdrawAt(w.others(owner)[i%2], id) {
+						if !w.cancelAt(w.otherControllers(owner)[i%2], id) {
 							t.Fatalf("%s is not cancelled", id)
 						}
 					}
@@ -215,20 +215,20 @@
 					}
 					if outage {
 						time.Sleep(time.Second)
-						w.outage(true)
+						w.setOutage(true)
 					}
-					time.Sleep(settings.Seconds(w.set.Params.Workers.CancelS))
-					w.locked(func() {
+					time.Sleep(settings.Seconds(w.settings.Params.Workers.CancelS))
+					w.withLock(func() {
 						for _, wk := range w.workers {
 							for _, task := range wk.Tasks {
 								uj := w.jobs[task.Job]
-								if task.Running && !uj.withdrawn.IsZero() && time.Since(wk.LeaseFrom) <= wk.Lease {
+								if task.Running && !uj.cancelledAt.IsZero() && time.Since(wk.LeaseFrom) <= wk.Lease {
 									t.Errorf("%s may go on on %s", task.Name, wk.Name)
 								}
 							}
 						}
 					})
-					w.outage(false)
+					w.setOutage(false)
 					time.Sleep(25 * time.Second)
 				})
 			})
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -22,17 +22,17 @@
 // Users who poll many waiting jobs used up every request that the state service
 // grants; renewals were refused with the rest, so that parts changed hands all the
 // time (docs/incidents/night-flood.md).
-func TestPollsDoNotCostTheClaims(t *testing.T) {
+func TestPollLoadDoesNotCostPartitionLeases(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 51, func(w *world) {
-		w.set.Params.State.RPS = 60
+	runConfiguredSimulation(t, 51, func(w *simulatedCluster) {
+		w.settings.Params.State.RPS = 60
 		w.state.Requests = rate.NewLimiter(60, 60)
 		w.cloud.Capacity = 0 // nothing runs
-	}, func(w *world) {
+	}, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		const jobs = 300
 		for i := range jobs {
-			w.submit(spec(fmt.Sprintf("job-%d", i), 2, "green"))
+			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, "green"))
 		}
 		claims := func() string {
 			w.mu.Lock()
@@ -65,34 +65,34 @@
 	})
 }
 
-// flood is one kind of work coming so many times as often as else.
-type flood struct {
+// loadSurge is one kind of work coming so many times as often as else.
+type loadSurge struct {
 	class, team string // empty: any
 	times       int
 }
 
-func (f flood) of(class, team string) int {
+func (f loadSurge) factor(class, team string) int {
 	if (f.class == "" || f.class == class) && (f.team == "" || f.team == team) {
 		return f.times
 	}
 	return 1
 }
 
-// served counts what became of a group's jobs.
-type served struct{ jobs, started, done int }
+// groupOutcome counts what became of a group's jobs.
+type groupOutcome struct{ jobs, started, done int }
 
-// floodWorld is a fleet of which the large class's work fits one type only; about a
+// configureSurgeCluster is a fleet of which the large class's work fits one type only; about a
 // third of it is in use as long as nothing floods.
-func floodWorld(w *world) {
+func configureSurgeCluster(w *simulatedCluster) {
 	w.cloud.Capacity, w.cloud.ByType = 22, map[string]int{"small": 12, "big": 10}
-	w.set.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
-	w.set.Params.State.RPS, w.set.Params.State.WriteRPS = 600, 200
+	w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
+	w.settings.Params.State.RPS, w.settings.Params.State.WriteRPS = 600, 200
 }
 
-// playFlood plays a flood of so long, with losses of owners in it, waits, and tells what
+// runLoadSurge plays a flood of so long, with losses of owners in it, waits, and tells what
 // became of each class and team.
-func playFlood(w *world, f flood, lasts, wait int) map[string]*served {
-	groups := map[string]*served{}
+func runLoadSurge(w *simulatedCluster, f loadSurge, lasts, wait int) map[string]*groupOutcome {
+	groups := map[string]*groupOutcome{}
 	started := map[string]map[int]bool{}
 	w.mu.Lock()
 	w.runTime = func(job string, task int, _ string) time.Duration {
@@ -106,7 +106,7 @@
 	time.Sleep(2 * time.Second)
 	next := 0
 	submit := func(class, team string) {
-		s := spec(fmt.Sprintf("job-%d", next), 8, team)
+		s := newJobSpec(fmt.Sprintf("job-%d", next), 8, team)
 		s.Class, s.MemGB, s.Image = class, 1, "img-"+class
 		switch class {
 		case "urgent":
@@ -122,10 +122,10 @@
 	const begins = 20
 	for second := range begins + lasts {
 		for i, class := range []string{"urgent", "large", "small"} {
-			team := w.set.Params.Teams[(second+i)%len(w.set.Params.Teams)].Name
+			team := w.settings.Params.Teams[(second+i)%len(w.settings.Params.Teams)].Name
 			n := 1
 			if second >= begins {
-				n = f.of(class, team)
+				n = f.factor(class, team)
 			}
 			if second%2 == 0 {
 				for range n {
@@ -135,9 +135,9 @@
 		}
 		switch second {
 		case 40, 70:
-			w.kill(fmt.Sprintf("n%d", second/40))
+			w.killController(fmt.Sprintf("n%d", second/40))
 		case 43, 72:
-			w.start(fmt.Sprintf("n%d", second/43))
+			w.startController(fmt.Sprintf("n%d", second/43))
 		}
 		time.Sleep(time.Second)
 	}
@@ -145,13 +145,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, uj := range w.jobs {
-		if uj.accepted.IsZero() || time.Since(uj.accepted) < 45*time.Second {
+		if uj.acceptedAt.IsZero() || time.Since(uj.acceptedAt) < 45*time.Second {
 			continue // nobody expects it to be under way
 		}
 		for _, group := range []string{"class " + uj.spec.Class, "team " + uj.spec.Team} {
 			g := groups[group]
 			if g == nil {
-				g = &served{}
+				g = &groupOutcome{}
 				groups[group] = g
 			}
 			g.jobs++
@@ -167,14 +167,14 @@
 }
 
 // Half of every class and of every team is served, whatever floods.
-func TestHalfIsServedWhateverFloods(t *testing.T) {
+func TestHalfOfEachGroupIsServedDuringALoadSurge(t *testing.T) {
 	t.Parallel()
-	for seed, f := range []flood{{"urgent", "", 4}, {"urgent", "", 10}, {"urgent", "", 30}, {"large", "", 4}, {"large", "", 10},
+	for seed, f := range []loadSurge{{"urgent", "", 4}, {"urgent", "", 10}, {"urgent", "", 30}, {"large", "", 4}, {"large", "", 10},
 		{"small", "", 10}, {"small", "", 30}, {"", "red", 10}, {"", "green", 10}, {"", "green", 30}} {
 		t.Run(fmt.Sprintf("%s%s by %d, seed %d", f.class, f.team, f.times, seed), func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, uint64(300+seed), floodWorld, func(w *world) {
-				groups := playFlood(w, f, 60, 180+6*f.times) // what a fleet as large needs for it
+			runConfiguredSimulation(t, uint64(300+seed), configureSurgeCluster, func(w *simulatedCluster) {
+				groups := runLoadSurge(w, f, 60, 180+6*f.times) // what a fleet as large needs for it
 				for _, name := range slices.Sorted(maps.Keys(groups)) {
 					g := groups[name]
 					t.Logf("%s: of %d jobs %.2f started, %.2f done", name, g.jobs, float64(g.started)/float64(g.jobs), float64(g.done)/float64(g.jobs))
@@ -188,29 +188,29 @@
 }
 
 // The same while the flood goes on: what it starves does not have to wait for its end.
-func TestAFloodWithoutAnEndLeavesRoomForOthers(t *testing.T) {
+func TestEndlessLoadSurgeLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
 	for seed, c := range []struct {
-		flood
+		loadSurge
 		what  string
 		limit float64 // of team red
 		needy string
 	}{
-		{flood{"urgent", "", 30}, "machines", 400, "class large"},
-		{flood{"urgent", "red", 60}, "a team's limit", 256, "class large"},
-		{flood{"", "green", 30}, "one team", 400, "team blue"},
+		{loadSurge{"urgent", "", 30}, "machines", 400, "class large"},
+		{loadSurge{"urgent", "red", 60}, "a team's limit", 256, "class large"},
+		{loadSurge{"", "green", 30}, "one team", 400, "team blue"},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			t.Parallel()
-			prepare := func(w *world) {
-				floodWorld(w)
-				w.set.Params.Teams[0].CPUsMax = c.limit
+			prepare := func(w *simulatedCluster) {
+				configureSurgeCluster(w)
+				w.settings.Params.Teams[0].CPUsMax = c.limit
 				if c.limit < 400 {
-					w.set.Params.Teams = w.set.Params.Teams[:1]
+					w.settings.Params.Teams = w.settings.Params.Teams[:1]
 				}
 			}
-			simulatePrepared(t, uint64(400+seed), prepare, func(w *world) {
-				g := playFlood(w, c.flood, 150, 0)[c.needy]
+			runConfiguredSimulation(t, uint64(400+seed), prepare, func(w *simulatedCluster) {
+				g := runLoadSurge(w, c.loadSurge, 150, 0)[c.needy]
 				t.Logf("%s: of %d jobs %d started, %d done", c.needy, g.jobs, g.started, g.done)
 				if 2*g.started < g.jobs {
 					t.Errorf("%s: of %d jobs %d started", c.needy, g.jobs, g.started)
@@ -222,16 +222,16 @@
 
 // What was done counts from the records, so that a controller that starts, or that
 // listed them anew, counts as one that saw it; and each job once.
-func TestWhatWasDoneIsCountedFromTheRecords(t *testing.T) {
+func TestCompletedJobsAreCountedFromTheRecords(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		set := newWorld(t, 1).set
+		set := newSimulatedCluster(t, 1).settings
 		set.Label = "n0"
 		c := newTestController(t.Context(), &set, settings.DefaultOperator())
 		now := time.Now()
 		var items []protocol.Item
 		add := func(id, status string, ago time.Duration) {
-			s := spec(id, 1, "red")
+			s := newJobSpec(id, 1, "red")
 			s.SubmittedMS = now.Add(-ago - time.Minute).UnixMilli()
 			items = append(items, protocol.Item{Key: storage.JobKey(id), Value: storage.Encode(s), Version: 2})
 			if status != "" {
@@ -266,7 +266,7 @@
 
 // The leader rents for what is told it first, and hears of a part of a long backlog
 // only: what is behind must be in it, yet not be all of it.
-func TestDemandsOfWhatIsBehindComeFirst(t *testing.T) {
+func TestDemandsOfStarvedGroupsComeFirst(t *testing.T) {
 	t.Parallel()
 	behindMost := peering.DemandsMin / peering.StarvedDemandsShare
 	var list []*cluster.Job
