--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -24,20 +24,20 @@
 	"micaspindle/internal/transport"
 )
 
-// in runs something in a controller's loop.
-func (w *world) in(label string, f func(c *Controller)) {
+// onController runs something in a controller's loop.
+func (w *simulatedCluster) onController(label string, f func(c *Controller)) {
 	w.mu.Lock()
-	n := w.nodes[label]
+	n := w.controllers[label]
 	w.mu.Unlock()
 	if n != nil {
-		n.ctl.loop.Do(func() { f(n.ctl) })
+		n.controller.loop.Do(func() { f(n.controller) })
 	}
 }
 
 // standbyOf is the controller that keeps a whole copy of a part, "" if none does.
-func (w *world) standbyOf(part int) (label string) {
+func (w *simulatedCluster) standbyOf(part int) (label string) {
 	for _, l := range []string{"n0", "n1", "n2"} {
-		w.in(l, func(c *Controller) {
+		w.onController(l, func(c *Controller) {
 			if fo := c.replicator.Replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.NamedStandby(c.Partitions[part]) == l {
 				label = l
 			}
@@ -46,8 +46,8 @@
 	return label
 }
 
-// state is what an owner holds of a part, for comparing.
-func (c *Controller) state(p *cluster.Partition) map[string]string {
+// partitionSnapshot is what an owner holds of a part, for comparing.
+func (c *Controller) partitionSnapshot(p *cluster.Partition) map[string]string {
 	out := map[string]string{}
 	for id, j := range c.Jobs {
 		if j.Partition != p.Index {
@@ -77,22 +77,22 @@
 
 // A copy that followed the records comes to the same state as reading them anew, whatever
 // the records, and whatever of jobs and machines is known when it is used.
-func TestCopyGivesWhatAListingGives(t *testing.T) {
+func TestReplicaEqualsAListing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		var two [2]*Controller
 		var p [2]*cluster.Partition
 		for i := range two {
-			two[i], p[i] = owner(t)
+			two[i], p[i] = newLeadingController(t)
 		}
 		index := p[0].Index
 		for i := range 12 {
 			for k, c := range two {
 				if i == 0 { // moved elsewhere since
-					c.up(c.Partitions[(index+1)%3], "m-0", "big")
+					c.addMachine(c.Partitions[(index+1)%3], "m-0", "big")
 				} else if i < 11 { // the last is not on record any more
-					c.up(p[k], fmt.Sprint("m-", i), "big")
+					c.addMachine(p[k], fmt.Sprint("m-", i), "big")
 				}
 			}
 		}
@@ -102,7 +102,7 @@
 			tasks[id] = 1 + rng.IntN(150)
 			for _, c := range two {
 				if i > 0 { // of the first only the record of its run is known
-					c.waiting(id, tasks[id])
+					c.addQueuedJob(id, tasks[id])
 				}
 			}
 		}
@@ -167,7 +167,7 @@
 		}
 		two[0].takeover.Install(p[0], warm, nil, true)
 		two[1].takeover.Install(p[1], cold, nil, false)
-		a, b := two[0].state(p[0]), two[1].state(p[1])
+		a, b := two[0].partitionSnapshot(p[0]), two[1].partitionSnapshot(p[1])
 		for k := range b {
 			if a[k] != b[k] {
 				t.Fatalf("seed %d: %s is %s from the copy, %s from the listing", seed, k, a[k], b[k])
@@ -184,25 +184,25 @@
 
 // An owner that is lost is followed by its standby, from its copy, which knows when the
 // attempts began; what was under way goes on.
-func TestTakeoverIsWarm(t *testing.T) {
+func TestFailoverUsesTheStandbyReplica(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		simulatePrepared(t, 600+seed, busy, func(w *world) {
-			w.long()
+		runConfiguredSimulation(t, 600+seed, configureLongJobs, func(w *simulatedCluster) {
+			w.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 170 * time.Millisecond)
-			lost, next := w.owns(0), w.standbyOf(0)
+			lost, next := w.leaderOf(0), w.standbyOf(0)
 			if next == "" || next == lost {
 				t.Fatalf("seed %d: the standby of %s is %q", seed, lost, next)
 			}
-			w.kill(lost)
-			for begun := time.Now(); w.owns(0) == "" && time.Since(begun) < 10*time.Second; {
+			w.killController(lost)
+			for begun := time.Now(); w.leaderOf(0) == "" && time.Since(begun) < 10*time.Second; {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if now := w.owns(0); now != next {
+			if now := w.leaderOf(0); now != next {
 				t.Errorf("seed %d: %s follows, not %s", seed, now, next)
 			}
 			inherited, off := 0, time.Duration(0)
-			w.in(next, func(c *Controller) {
+			w.onController(next, func(c *Controller) {
 				p := c.Partitions[0]
 				if !p.WarmFailover {
 					t.Errorf("seed %d: the takeover was cold", seed)
@@ -241,7 +241,7 @@
 				starts += wk.Starts
 			}
 			w.mu.Unlock()
-			w.start(lost)
+			w.startController(lost)
 			time.Sleep(10 * time.Second)
 			w.mu.Lock()
 			for _, wk := range w.workers {
@@ -251,29 +251,29 @@
 			if starts != 0 {
 				t.Errorf("seed %d: %d tasks were started anew", seed, -starts)
 			}
-			w.endLong()
+			w.cancelLongJobs()
 		})
 	}
 }
 
-func (w *world) endLong() {
+func (w *simulatedCluster) cancelLongJobs() {
 	for i := range 3 {
-		w.withdraw(fmt.Sprintf("job-%d", i))
+		w.cancelJob(fmt.Sprintf("job-%d", i))
 	}
-	w.finish(time.Minute)
+	w.waitForAllJobs(time.Minute)
 }
 
 // A planned end hands over first: hardly a moment without an owner, nothing lost, and the
 // machines' leases count from the hand-over. Who comes back gets its part back warm.
-func TestPlannedEndHandsOver(t *testing.T) {
+func TestPlannedShutdownHandsOverPartitions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		simulatePrepared(t, 620+seed, busy, func(w *world) {
-			w.long()
+		runConfiguredSimulation(t, 620+seed, configureLongJobs, func(w *simulatedCluster) {
+			w.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 130 * time.Millisecond)
 			label := fmt.Sprint("n", seed%3)
 			var parts []int
-			w.in(label, func(c *Controller) {
+			w.onController(label, func(c *Controller) {
 				for _, p := range c.Partitions {
 					if p.Held {
 						parts = append(parts, p.Index)
@@ -283,26 +283,26 @@
 			longest := time.Duration(0)
 			ended := make(chan struct{})
 			w.mu.Lock()
-			n := w.nodes[label]
+			n := w.controllers[label]
 			w.mu.Unlock()
 			go func() {
 				defer close(ended)
 				ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 				defer cancel()
-				n.ctl.HandOver(ctx)
+				n.controller.HandOver(ctx)
 				time.Sleep(time.Duration(seed%2) * time.Second) // it may take a moment to end
 				for _, p := range parts {
-					if w.owns(p) == label {
+					if w.leaderOf(p) == label {
 						t.Errorf("seed %d: %s owns part %d again", seed, label, p)
 					}
 				}
-				w.kill(label)
+				w.killController(label)
 			}()
 			begun, last := time.Now(), time.Now()
 			for time.Since(begun) < 2*time.Second {
 				owned := true
 				for _, p := range parts {
-					owned = owned && w.owns(p) != ""
+					owned = owned && w.leaderOf(p) != ""
 				}
 				if now := time.Now(); owned {
 					last = now
@@ -317,7 +317,7 @@
 				t.Errorf("seed %d: parts %v without an owner for %s", seed, parts, longest)
 			}
 			for _, p := range parts {
-				w.in(w.owns(p), func(c *Controller) {
+				w.onController(w.leaderOf(p), func(c *Controller) {
 					if !c.Partitions[p].WarmFailover {
 						t.Errorf("seed %d: part %d was taken over cold", seed, p)
 					}
@@ -328,71 +328,71 @@
 					}
 				})
 			}
-			w.start(label)
+			w.startController(label)
 			time.Sleep(40 * time.Second)
-			if back := w.owned(label); back == 0 {
+			if back := w.leaseCount(label); back == 0 {
 				t.Errorf("seed %d: %s has no part again", seed, label)
 			}
-			w.in(label, func(c *Controller) {
+			w.onController(label, func(c *Controller) {
 				for _, p := range c.Partitions {
 					if p.Held && !p.WarmFailover && len(c.Machines) > 0 {
 						t.Errorf("seed %d: part %d came back cold", seed, p.Index)
 					}
 				}
 			})
-			w.endLong()
+			w.cancelLongJobs()
 		})
 	}
 }
 
 // Where nobody can take over, a planned end merely ends, and the next life takes its own
 // claims back.
-func TestPlannedEndOfTheLastOne(t *testing.T) {
+func TestPlannedShutdownOfTheLastController(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 630, busy, func(w *world) {
-		w.long()
-		w.kill("n1")
-		w.kill("n2")
+	runConfiguredSimulation(t, 630, configureLongJobs, func(w *simulatedCluster) {
+		w.submitLongJobs()
+		w.killController("n1")
+		w.killController("n2")
 		time.Sleep(6 * time.Second)
 		w.mu.Lock()
-		n := w.nodes["n0"]
+		n := w.controllers["n0"]
 		w.mu.Unlock()
 		begun := time.Now()
-		n.ctl.HandOver(w.ctx)
+		n.controller.HandOver(w.ctx)
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Errorf("the end took %s", took)
 		}
-		w.kill("n0")
+		w.killController("n0")
 		time.Sleep(300 * time.Millisecond)
-		w.start("n0")
-		for w.owned("n0") < 3 && time.Since(begun) < 10*time.Second {
+		w.startController("n0")
+		for w.leaseCount("n0") < 3 && time.Since(begun) < 10*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(begun); took > time.Second {
 			t.Errorf("owned again only after %s", took)
 		}
-		w.start("n1")
-		w.start("n2")
-		w.endLong()
+		w.startController("n1")
+		w.startController("n2")
+		w.cancelLongJobs()
 	})
 }
 
 // A process that is back at once takes its claims back, and hears from who followed it
 // when its attempts began.
-func TestBackAtOnceRecallsWhatWasTold(t *testing.T) {
+func TestRestartedLeaderRecoversReplicatedStarts(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 640, busy, func(w *world) {
-		w.long()
-		lost := w.owns(0)
-		w.kill(lost)
+	runConfiguredSimulation(t, 640, configureLongJobs, func(w *simulatedCluster) {
+		w.submitLongJobs()
+		lost := w.leaderOf(0)
+		w.killController(lost)
 		time.Sleep(300 * time.Millisecond)
-		w.start(lost)
+		w.startController(lost)
 		time.Sleep(1500 * time.Millisecond)
-		if now := w.owns(0); now != lost {
+		if now := w.leaderOf(0); now != lost {
 			t.Fatalf("%s owns what %s had", now, lost)
 		}
 		known, all := 0, 0
-		w.in(lost, func(c *Controller) {
+		w.onController(lost, func(c *Controller) {
 			for _, m := range c.Machines {
 				for _, a := range m.Attempts {
 					if m.Record.Partition == 0 {
@@ -407,13 +407,13 @@
 		if all == 0 || known < all {
 			t.Errorf("of %d attempts it is known of %d when they began", all, known)
 		}
-		w.endLong()
+		w.cancelLongJobs()
 	})
 }
 
 // A copy that is wrong is found by its samples, said loudly, dropped and read anew before
 // it decides.
-func TestWrongCopyIsFoundBeforeItDecides(t *testing.T) {
+func TestCorruptReplicaIsFoundBeforeFailover(t *testing.T) {
 	t.Parallel()
 	for i, spoil := range []func(fo *replication.Replica, key string){
 		func(fo *replication.Replica, key string) { // an attempt is missing
@@ -431,12 +431,12 @@
 			}
 		},
 	} {
-		simulatePrepared(t, uint64(650+i), busy, func(w *world) {
-			w.op.Operations = nil
-			w.long()
-			lost, next := w.owns(0), w.standbyOf(0)
+		runConfiguredSimulation(t, uint64(650+i), configureLongJobs, func(w *simulatedCluster) {
+			w.operator.Operations = nil
+			w.submitLongJobs()
+			lost, next := w.leaderOf(0), w.standbyOf(0)
 			key := ""
-			w.in(next, func(c *Controller) {
+			w.onController(next, func(c *Controller) {
 				fo := c.replicator.Replicas[0]
 				for k, r := range fo.Records.All {
 					if len(r.Value.Live) > 0 {
@@ -449,33 +449,33 @@
 				t.Fatal("no record to spoil")
 			}
 			time.Sleep(12 * time.Second) // two samples of this part
-			w.in(next, func(c *Controller) {
+			w.onController(next, func(c *Controller) {
 				fo := c.replicator.Replicas[0]
 				if c.replicator.Mismatches != 1 || fo == nil || fo.Records.Revision() == 0 {
 					t.Errorf("%d: found %d times", i, c.replicator.Mismatches)
 				}
 			})
-			w.kill(lost)
+			w.killController(lost)
 			time.Sleep(4 * time.Second)
-			w.start(lost)
-			w.endLong()
+			w.startController(lost)
+			w.cancelLongJobs()
 		})
 	}
 }
 
-// hold keeps back what a controller sends and gets, as if its process stood still.
-func (w *world) hold(label string, d time.Duration) {
+// pauseController keeps back what a controller sends and gets, as if its process stood still.
+func (w *simulatedCluster) pauseController(label string, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.held == nil {
-		w.held = map[string]time.Time{}
+	if w.pausedUntil == nil {
+		w.pausedUntil = map[string]time.Time{}
 	}
-	w.held[label] = time.Now().Add(d)
+	w.pausedUntil[label] = time.Now().Add(d)
 }
 
 // Each step of a takeover is cut by each fault, right before and right after it; the rules
 // hold, and everything ends.
-func TestTakeoverCutAtEachStep(t *testing.T) {
+func TestFaultsAtEachStepOfATakeover(t *testing.T) {
 	t.Parallel()
 	steps := map[string]func(target string, body []byte) bool{
 		"claim": func(target string, body []byte) bool {
@@ -489,31 +489,31 @@
 		"tale":         func(target string, _ []byte) bool { return target == replication.UpdatePath },
 		"life":         func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
 	}
-	faults := map[string]func(w *world, label string){
-		"killed": func(w *world, label string) {
-			w.kill(label)
+	faults := map[string]func(w *simulatedCluster, label string){
+		"killed": func(w *simulatedCluster, label string) {
+			w.killController(label)
 			time.Sleep(300 * time.Millisecond)
-			w.start(label)
+			w.startController(label)
 		},
-		"stands still": func(w *world, label string) { w.hold(label, 4*time.Second) },
-		"without state": func(w *world, label string) {
-			w.cutFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
+		"stands still": func(w *simulatedCluster, label string) { w.pauseController(label, 4*time.Second) },
+		"without state": func(w *simulatedCluster, label string) {
+			w.cutNetworkFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
 		},
-		"without workers": func(w *world, label string) {
-			w.cutFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
+		"without workers": func(w *simulatedCluster, label string) {
+			w.cutNetworkFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
 		},
-		"without peers": func(w *world, label string) {
-			w.cutFor(func(from, host string) bool {
+		"without peers": func(w *simulatedCluster, label string) {
+			w.cutNetworkFor(func(from, host string) bool {
 				return (from == label || host == label) && strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n")
 			}, 6*time.Second)
 		},
-		"outage": func(w *world, label string) {
-			w.outage(true)
+		"outage": func(w *simulatedCluster, label string) {
+			w.setOutage(true)
 			time.Sleep(5 * time.Second)
-			w.outage(false)
+			w.setOutage(false)
 		},
 		"answer lost": nil,
-		"planned end": func(w *world, label string) { w.handOver(label) },
+		"planned end": func(w *simulatedCluster, label string) { w.handOverAndRestart(label) },
 	}
 	n := 0
 	for i, step := range slices.Sorted(maps.Keys(steps)) {
@@ -527,15 +527,15 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/after=%v", step, fault, after), func(t *testing.T) {
 					t.Parallel()
-					simulatePrepared(t, 660, func(w *world) {
+					runConfiguredSimulation(t, 660, func(w *simulatedCluster) {
 						w.cloud.Capacity = 12
 						w.runTime = func(string, int, string) time.Duration { return 15 * time.Second }
-					}, func(w *world) {
+					}, func(w *simulatedCluster) {
 						time.Sleep(2 * time.Second)
 						submitted := 0
 						submit := func() {
 							for _, team := range []string{"red", "blue", "green"} {
-								s := spec(fmt.Sprint("job-", submitted), 6, team)
+								s := newJobSpec(fmt.Sprint("job-", submitted), 6, team)
 								s.DeadlineS = 0
 								w.submit(s)
 								submitted++
@@ -543,7 +543,7 @@
 						}
 						submit()
 						time.Sleep(15 * time.Second)
-						lost := w.owns(0)
+						lost := w.leaderOf(0)
 						var cut string // whose step was cut
 						trigger := make(chan string, 1)
 						w.mu.Lock()
@@ -558,7 +558,7 @@
 							return true
 						}
 						if after {
-							w.answered = func(from, _, target string, body []byte, _ *transport.Response) bool {
+							w.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
 								hit := seen(from, target, body)
 								if hit && faults[fault] != nil {
 									time.Sleep(time.Millisecond) // the fault comes before the answer
@@ -566,7 +566,7 @@
 								return hit && faults[fault] == nil
 							}
 						} else {
-							w.asked = func(from, _, target string, body []byte) bool {
+							w.onRequest = func(from, _, target string, body []byte) bool {
 								hit := seen(from, target, body)
 								if hit && faults[fault] != nil {
 									time.Sleep(time.Millisecond)
@@ -584,19 +584,19 @@
 							case <-w.ctx.Done():
 							}
 						})
-						w.kill(lost)
+						w.killController(lost)
 						time.Sleep(4 * time.Second)
-						w.start(lost)
+						w.startController(lost)
 						time.Sleep(10 * time.Second)
 						submit()
 						w.mu.Lock()
-						w.answered, w.asked = nil, nil
+						w.onResponse, w.onRequest = nil, nil
 						hit := cut != ""
 						w.mu.Unlock()
 						if !hit && step != "reading anew" {
 							t.Error("the step did not come")
 						}
-						w.finish(3 * time.Minute)
+						w.waitForAllJobs(3 * time.Minute)
 					})
 				})
 			}
@@ -604,8 +604,8 @@
 	}
 }
 
-// cutFor cuts what a filter says for some time.
-func (w *world) cutFor(cut func(from, host string) bool, d time.Duration) {
+// cutNetworkFor cuts what a filter says for some time.
+func (w *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
 	w.mu.Lock()
 	w.cut = cut
 	w.mu.Unlock()
@@ -615,26 +615,26 @@
 	w.mu.Unlock()
 }
 
-// handOver ends a controller as planned and starts it again.
-func (w *world) handOver(label string) {
+// handOverAndRestart ends a controller as planned and starts it again.
+func (w *simulatedCluster) handOverAndRestart(label string) {
 	w.mu.Lock()
-	n := w.nodes[label]
+	n := w.controllers[label]
 	w.mu.Unlock()
 	if n == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-	n.ctl.HandOver(ctx)
+	n.controller.HandOver(ctx)
 	cancel()
-	w.kill(label)
+	w.killController(label)
 	time.Sleep(300 * time.Millisecond)
-	w.start(label)
+	w.startController(label)
 }
 
 // Random nights: owners are lost in every way, one after another and together, while work
 // goes on; every start is checked against the stand-in's books. MICASPINDLE_NIGHTS says how
 // many; CI plays a few.
-func TestRandomNights(t *testing.T) {
+func TestRandomFailovers(t *testing.T) {
 	t.Parallel()
 	nights := 4
 	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_NIGHTS")); err == nil {
@@ -643,16 +643,16 @@
 	for seed := range uint64(nights) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 10_000+seed, announce, randomNight)
+			runConfiguredSimulation(t, 10_000+seed, announceLowerLimits, runRandomFailovers)
 		})
 	}
 }
 
-func randomNight(w *world) {
+func runRandomFailovers(w *simulatedCluster) {
 	time.Sleep(2 * time.Second)
 	w.mu.Lock()
 	w.cloud.Capacity = 16
-	w.trouble = []float64{0, 0.01, 0.03}[w.rng.IntN(3)]
+	w.messageFaultRate = []float64{0, 0.01, 0.03}[w.rng.IntN(3)]
 	w.runTime = func(job string, task int, _ string) time.Duration {
 		return time.Duration(4+(len(job)*7+task*5)%20) * time.Second
 	}
@@ -665,7 +665,7 @@
 	some := func() string {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		labels := slices.Sorted(maps.Keys(w.nodes))
+		labels := slices.Sorted(maps.Keys(w.controllers))
 		if len(labels) == 0 {
 			return ""
 		}
@@ -675,15 +675,15 @@
 		if label == "" {
 			return
 		}
-		w.kill(label)
+		w.killController(label)
 		time.Sleep(pause)
-		w.start(label)
+		w.startController(label)
 	}
 	next := 0
 	for range 40 {
 		time.Sleep(time.Duration(300+dice(2500)) * time.Millisecond)
 		if next < 25 && dice(2) == 0 {
-			s := spec(fmt.Sprintf("job-%d", next), 1+dice(14), []string{"red", "blue", "green"}[dice(3)])
+			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(14), []string{"red", "blue", "green"}[dice(3)])
 			s.Spread, s.OneZone, s.Urgency = dice(4) == 0, dice(6) == 0, protocol.Urgency(dice(4))
 			if next > 2 && dice(3) == 0 {
 				s.Dependencies = []string{fmt.Sprintf("job-%d", dice(next))}
@@ -696,42 +696,42 @@
 			lose(some(), []time.Duration{0, 300 * time.Millisecond, 3 * time.Second}[dice(3)])
 		case 2:
 			if label := some(); label != "" {
-				w.handOver(label)
+				w.handOverAndRestart(label)
 			}
 		case 3: // the owner, and its standby in the middle of taking over
 			part := dice(3)
-			lost, heir := w.owns(part), w.standbyOf(part)
+			lost, heir := w.leaderOf(part), w.standbyOf(part)
 			if lost != "" && heir != "" && lost != heir {
-				w.kill(lost)
+				w.killController(lost)
 				time.Sleep(time.Duration(900+dice(700)) * time.Millisecond)
 				lose(heir, 300*time.Millisecond)
-				w.start(lost)
+				w.startController(lost)
 			}
 		case 4:
-			w.hold(some(), time.Duration(500+dice(6000))*time.Millisecond)
+			w.pauseController(some(), time.Duration(500+dice(6000))*time.Millisecond)
 		case 5:
 			label, what := some(), []string{"state", "m-", "n"}[dice(3)]
-			w.cutFor(func(from, host string) bool {
+			w.cutNetworkFor(func(from, host string) bool {
 				return from == label && strings.HasPrefix(host, what) || what == "n" && host == label && strings.HasPrefix(from, "n")
 			}, time.Duration(500+dice(9000))*time.Millisecond)
 		case 6: // all at once
 			w.mu.Lock()
-			labels := slices.Sorted(maps.Keys(w.nodes))
+			labels := slices.Sorted(maps.Keys(w.controllers))
 			w.mu.Unlock()
 			for _, l := range labels {
-				w.kill(l)
+				w.killController(l)
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, l := range labels {
-				w.start(l)
+				w.startController(l)
 			}
 		case 7:
-			w.outage(true)
+			w.setOutage(true)
 			time.Sleep(time.Duration(dice(9000)) * time.Millisecond)
-			w.outage(false)
+			w.setOutage(false)
 		case 8:
 			if next > 0 {
-				w.withdraw(fmt.Sprintf("job-%d", dice(next)))
+				w.cancelJob(fmt.Sprintf("job-%d", dice(next)))
 			}
 		case 9:
 			w.mu.Lock()
@@ -751,41 +751,41 @@
 		}
 	}
 	w.mu.Lock()
-	w.trouble = 0
+	w.messageFaultRate = 0
 	w.mu.Unlock()
-	w.finish(6 * time.Minute)
+	w.waitForAllJobs(6 * time.Minute)
 }
 
 // A controller of a version that keeps no copies neither follows nor is followed; takeovers
 // from it and by it go as they did.
-func TestOldNeighboursAreNotFollowed(t *testing.T) {
+func TestOldVersionsAreNoStandbys(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 670, func(w *world) { busy(w); w.old = map[string]bool{"n1": true} }, func(w *world) {
-		w.long()
+	runConfiguredSimulation(t, 670, func(w *simulatedCluster) { configureLongJobs(w); w.oldVersions = map[string]bool{"n1": true} }, func(w *simulatedCluster) {
+		w.submitLongJobs()
 		for part := range 3 {
-			who, heir := w.owns(part), w.standbyOf(part)
+			who, heir := w.leaderOf(part), w.standbyOf(part)
 			if heir == "n1" || who == "n1" && heir != "" {
 				t.Errorf("%q follows part %d of %s", heir, part, who)
 			}
 		}
 		for _, lost := range []string{"n1", "n0"} {
-			w.kill(lost)
+			w.killController(lost)
 			time.Sleep(5 * time.Second)
 			for part := range 3 {
-				if w.owns(part) == "" {
+				if w.leaderOf(part) == "" {
 					t.Errorf("nobody owns part %d without %s", part, lost)
 				}
 			}
-			w.start(lost)
+			w.startController(lost)
 			time.Sleep(20 * time.Second)
 		}
-		w.endLong()
+		w.cancelLongJobs()
 	})
 }
 
 // What comes of the tale late, twice, out of order or from an owner of before changes
 // nothing; after a gap it goes on from what is known; its size is bounded.
-func TestTaleIsToldInOrder(t *testing.T) {
+func TestReplicaUpdatesApplyInOrder(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	var h replication.ReceivedUpdates
@@ -818,11 +818,11 @@
 	}
 	// A message holds so much, and all of it comes in the end.
 	const machines, tasks = 2000, 80_000
-	c, p := owner(t)
+	c, p := newLeadingController(t)
 	for i := range machines {
-		c.up(p, fmt.Sprint("m-", i), "big")
+		c.addMachine(p, fmt.Sprint("m-", i), "big")
 	}
-	c.waiting("job-1", tasks)
+	c.addQueuedJob("job-1", tasks)
 	j := c.Jobs["job-1"]
 	for task := range tasks {
 		c.scheduler.Reserve(p, j, task, 1, c.Machines[fmt.Sprint("m-", task%machines)], now)
@@ -840,7 +840,7 @@
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		msg := new(peer.ReplicaUpdate)
-		must(proto.Unmarshal(raw, msg))
+		panicOnError(proto.Unmarshal(raw, msg))
 		p.Replication.Acknowledged = fo.Updates.Apply(msg, fo.Derived.NoteStart, now)
 	}
 	if messages != 3 || len(fo.Updates.Machines) != machines {
@@ -853,12 +853,12 @@
 
 // What is told beyond the records serves predictions only: owners that tell nonsense of
 // sessions, beginnings, notices and machines break no rule and lose nothing (33).
-func TestNonsenseToldBreaksNoRule(t *testing.T) {
+func TestInvalidReplicaUpdatesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		simulatePrepared(t, 690+seed, func(w *world) {
-			announce(w)
-			w.told = func(tale *peer.ReplicaUpdate) {
+		runConfiguredSimulation(t, 690+seed, func(w *simulatedCluster) {
+			announceLowerLimits(w)
+			w.alterReplicaUpdate = func(tale *peer.ReplicaUpdate) {
 				dice := func(n int) int { return w.rng.IntN(n) }
 				for _, a := range tale.Attempts {
 					a.RunningS, a.Attempt = float64(dice(100000)), a.Attempt+uint64(dice(2))
@@ -881,15 +881,15 @@
 					}
 				}
 			}
-		}, randomNight)
+		}, runRandomFailovers)
 	}
 }
 
 // A lost part is its standby's, as long as that is there and has a copy; others leave it
 // alone for a moment, its home too.
-func TestOthersLeaveAPartToItsHeir(t *testing.T) {
+func TestVacantPartitionIsLeftToItsStandby(t *testing.T) {
 	t.Parallel()
-	c, p := owner(t)
+	c, p := newLeadingController(t)
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
 	told := func(named string, follows, copies bool) {
@@ -938,12 +938,12 @@
 
 // That an attempt was told to have begun is no report of its running: it counts from then
 // on only once its machine says so.
-func TestToldBeginningIsNoRun(t *testing.T) {
+func TestReplicatedStartIsNoReportOfRunning(t *testing.T) {
 	t.Parallel()
-	c, p := owner(t)
-	m := c.up(p, "m-1", "big")
+	c, p := newLeadingController(t)
+	m := c.addMachine(p, "m-1", "big")
 	m.Fenced = true
-	c.waiting("job-1", 1)
+	c.addQueuedJob("job-1", 1)
 	j, now := c.Jobs["job-1"], time.Now()
 	c.scheduler.Reserve(p, j, 0, 1, m, now)
 	a := j.LiveAttempts[0]
@@ -962,13 +962,13 @@
 }
 
 // What the leader was about goes on under the next one: rentals under their own names.
-func TestNextLeaderRepeatsRentals(t *testing.T) {
+func TestNextClusterLeaderResumesScaleOuts(t *testing.T) {
 	t.Parallel()
-	simulate(t, 680, func(w *world) {
+	runSimulation(t, 680, func(w *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		leader := ""
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.in(l, func(c *Controller) {
+			w.onController(l, func(c *Controller) {
 				if c.Leadership.Held {
 					leader = l
 				}
@@ -977,19 +977,19 @@
 		// The cloud's answers are lost, so that the rental stays under way.
 		var names []string
 		w.mu.Lock()
-		w.answered = func(from, host, target string, body []byte, _ *transport.Response) bool {
+		w.onResponse = func(from, host, target string, body []byte, _ *transport.Response) bool {
 			if host != "cloud" || target != "/machines" {
 				return false
 			}
 			var r protocol.Rental
-			must(protocol.Decode(body, &r))
+			panicOnError(protocol.Decode(body, &r))
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			names = append(names, r.Request)
 			return from == leader
 		}
 		w.mu.Unlock()
-		w.submit(spec("job-1", 6, "green"))
+		w.submit(newJobSpec("job-1", 6, "green"))
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
 		mine := slices.Compact(slices.Sorted(slices.Values(names)))
@@ -999,7 +999,7 @@
 		if len(mine) == 0 || rented == 0 {
 			t.Fatalf("%d rentals under way, %d machines", len(mine), rented)
 		}
-		w.kill(leader)
+		w.killController(leader)
 		time.Sleep(5 * time.Second)
 		w.mu.Lock()
 		for _, name := range mine {
@@ -1010,12 +1010,12 @@
 		w.mu.Unlock()
 		recorded := 0
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.in(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
+			w.onController(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
 		}
 		if recorded < rented {
 			t.Errorf("%d of %d rented machines are on record", recorded, rented)
 		}
-		w.start(leader)
-		w.finish(time.Minute)
+		w.startController(leader)
+		w.waitForAllJobs(time.Minute)
 	})
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -33,8 +33,8 @@
 // refuses another method with 405, an unknown one is 404.
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
-	ctx, c := t.Context(), newTestController(t.Context(), &newWorld(t, 1).set, settings.DefaultOperator())
-	must(c.Identify(auth.Identities{}))
+	ctx, c := t.Context(), newTestController(t.Context(), &newSimulatedCluster(t, 1).settings, settings.DefaultOperator())
+	panicOnError(c.Identify(auth.Identities{}))
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
--- a/internal/coordination/history_test.go
+++ b/internal/coordination/history_test.go
@@ -18,73 +18,73 @@
 // for a job must be those of one job that is unknown, then accepted, then done or withdrawn
 // for good, each at some moment between its request and its answer (49).
 
-// question is what was asked about a job; the last task's end is asked by nobody.
-type question int
+// requestKind is what was asked about a job; the last task's end is asked by nobody.
+type requestKind int
 
 const (
-	submits question = iota
-	polls
-	withdraws
-	ends
+	requestSubmit requestKind = iota
+	requestPoll
+	requestCancel
+	jobCompletion
 )
 
-// told is what was answered.
-type told struct {
-	status int
-	state  string
+// userAnswer is what was answered.
+type userAnswer struct {
+	status    int
+	jobStatus string
 }
 
-// jobLife is a job as its users may see it.
-type jobLife int
+// jobState is a job as its users may see it.
+type jobState int
 
 const (
-	lifeUnknown jobLife = iota
-	lifeAccepted
-	lifeDone
-	lifeWithdrawn
+	jobUnknown jobState = iota
+	jobAccepted
+	jobDone
+	jobCancelled
 )
 
-// shows says whether an answer shows this state.
-func (l jobLife) shows(a told) bool {
+// matches says whether an answer shows this state.
+func (l jobState) matches(a userAnswer) bool {
 	if a.status == 404 {
-		return l == lifeUnknown
+		return l == jobUnknown
 	}
-	switch a.state {
+	switch a.jobStatus {
 	case protocol.StatusDone:
-		return l == lifeDone
+		return l == jobDone
 	case protocol.StatusWithdrawn:
-		return l == lifeWithdrawn
+		return l == jobCancelled
 	}
-	return l == lifeAccepted
+	return l == jobAccepted
 }
 
-// after is the state that a request leaves behind.
-func (l jobLife) after(q question) jobLife {
+// next is the state that a request leaves behind.
+func (l jobState) next(q requestKind) jobState {
 	switch {
-	case q == submits && l == lifeUnknown:
-		return lifeAccepted
-	case q == withdraws && l == lifeAccepted:
-		return lifeWithdrawn
-	case q == ends && l == lifeAccepted:
-		return lifeDone
+	case q == requestSubmit && l == jobUnknown:
+		return jobAccepted
+	case q == requestCancel && l == jobAccepted:
+		return jobCancelled
+	case q == jobCompletion && l == jobAccepted:
+		return jobDone
 	}
 	return l
 }
 
-// jobModel is the life of a job. A request without an answer may be carried out at any
+// jobStateModel is the life of a job. A request without an answer may be carried out at any
 // later time, or never, which is at the end of time.
-var jobModel = porcupine.Model{
-	Init: func() any { return lifeUnknown },
+var jobStateModel = porcupine.Model{
+	Init: func() any { return jobUnknown },
 	Step: func(state, input, output any) (bool, any) {
-		next := state.(jobLife).after(input.(question))
-		answer, answered := output.(told)
-		return !answered || next.shows(answer), next
+		next := state.(jobState).next(input.(requestKind))
+		answer, answered := output.(userAnswer)
+		return !answered || next.matches(answer), next
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " -> ", output) },
 }
 
-// history gathers what was asked and answered, in the order in which it happened.
-type history struct {
+// requestHistory gathers what was asked and answered, in the order in which it happened.
+type requestHistory struct {
 	mu   sync.Mutex
 	next int64
 	jobs map[string][]porcupine.Operation
@@ -92,150 +92,150 @@
 	answers, finals int
 }
 
-func (h *history) tick() int64 {
+func (h *requestHistory) nextTime() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.next++
 	return h.next
 }
 
-func (h *history) note(job string, op porcupine.Operation) {
+func (h *requestHistory) record(job string, op porcupine.Operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs[job] = append(h.jobs[job], op)
-	if a, ok := op.Output.(told); ok {
+	if a, ok := op.Output.(userAnswer); ok {
 		h.answers++
-		if a.state == protocol.StatusDone || a.state == protocol.StatusWithdrawn {
+		if a.jobStatus == protocol.StatusDone || a.jobStatus == protocol.StatusWithdrawn {
 			h.finals++
 		}
 	}
 }
 
-// asks sends one request to a controller and notes it. It says how the job is, "" if that
+// request sends one request to a controller and notes it. It says how the job is, "" if that
 // was not answered.
-func (h *history) asks(w *world, label string, q question, s *protocol.JobSpec) string {
+func (h *requestHistory) request(w *simulatedCluster, label string, q requestKind, s *protocol.JobSpec) string {
 	w.mu.Lock()
-	n := w.nodes[label]
+	n := w.controllers[label]
 	w.mu.Unlock()
 	if n == nil {
 		return ""
 	}
 	method, path, body := "GET", "/submissions/"+s.ID, []byte(nil)
 	switch q {
-	case submits:
-		method, path, body = "POST", "/submissions", submission(s)
-	case withdraws:
+	case requestSubmit:
+		method, path, body = "POST", "/submissions", encodeSubmission(s)
+	case requestCancel:
 		method, path = "POST", path+"/withdraw"
 	}
-	op := porcupine.Operation{Input: q, Call: h.tick(), Return: math.MaxInt64}
-	resp := w.ask(label, method, path, body)
+	op := porcupine.Operation{Input: q, Call: h.nextTime(), Return: math.MaxInt64}
+	resp := w.sendRequest(label, method, path, body)
 	state := ""
 	switch resp.Status {
 	case 200, 201:
 		var st protocol.JobStatus
-		must(protocol.Decode(resp.Body, &st))
+		panicOnError(protocol.Decode(resp.Body, &st))
 		state = st.Status
-		op.Output, op.Return = told{resp.Status, state}, h.tick()
+		op.Output, op.Return = userAnswer{resp.Status, state}, h.nextTime()
 	case 404:
-		op.Output, op.Return = told{status: 404}, h.tick()
+		op.Output, op.Return = userAnswer{status: 404}, h.nextTime()
 	case 400, 422:
-		w.locked(func() { w.breakRule("%s got %d", s.ID, resp.Status) })
+		w.withLock(func() { w.recordViolation("%s got %d", s.ID, resp.Status) })
 		return ""
 	default:
-		if q == polls {
+		if q == requestPoll {
 			return "" // asks for nothing and says nothing
 		}
 	}
-	h.note(s.ID, op)
+	h.record(s.ID, op)
 	return state
 }
 
-// closeLook asks all controllers at once, again and again within milliseconds, and repeats
+// pollAllControllers asks all controllers at once, again and again within milliseconds, and repeats
 // the submission.
-func (h *history) closeLook(w *world, s *protocol.JobSpec, rng *rand.Rand) {
+func (h *requestHistory) pollAllControllers(w *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	var all sync.WaitGroup
 	for range 2 {
 		for _, l := range []string{"n0", "n1", "n2"} {
-			q := polls
+			q := requestPoll
 			if rng.IntN(5) == 0 {
-				q = submits
+				q = requestSubmit
 			}
-			all.Go(func() { h.asks(w, l, q, s) })
+			all.Go(func() { h.request(w, l, q, s) })
 		}
 		time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond)
 	}
 	all.Wait()
 }
 
-// live takes a job through its life: submitted at one controller after another, looked at
+// runJobLifecycle takes a job through its life: submitted at one controller after another, looked at
 // closely, perhaps called off, at once or later or at its end, until it is over.
-func (h *history) live(w *world, s *protocol.JobSpec, rng *rand.Rand) {
+func (h *requestHistory) runJobLifecycle(w *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	pick := func() string { return fmt.Sprint("n", rng.IntN(3)) }
 	// insists repeats a request until it is answered, as users do.
-	insists := func(q question) string {
+	insists := func(q requestKind) string {
 		for range 90 {
-			if st := h.asks(w, pick(), q, s); st != "" {
+			if st := h.request(w, pick(), q, s); st != "" {
 				return st
 			}
 			time.Sleep(time.Second)
 		}
-		w.locked(func() { w.breakRule("%s: request %v never answered", s.ID, q) })
+		w.withLock(func() { w.recordViolation("%s: request %v never answered", s.ID, q) })
 		return ""
 	}
-	insists(submits)
-	h.closeLook(w, s, rng)
+	insists(requestSubmit)
+	h.pollAllControllers(w, s, rng)
 	if rng.IntN(2) == 0 {
 		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
-		insists(withdraws)
-		h.closeLook(w, s, rng)
+		insists(requestCancel)
+		h.pollAllControllers(w, s, rng)
 	}
 	for range 120 {
-		st := h.asks(w, pick(), polls, s)
+		st := h.request(w, pick(), requestPoll, s)
 		if st == protocol.StatusDone || st == protocol.StatusWithdrawn {
-			h.closeLook(w, s, rng)
+			h.pollAllControllers(w, s, rng)
 			if rng.IntN(2) == 0 {
-				insists(withdraws) // of a job that is over
-				h.closeLook(w, s, rng)
+				insists(requestCancel) // of a job that is over
+				h.pollAllControllers(w, s, rng)
 			}
 			return
 		}
 		time.Sleep(time.Duration(500+rng.IntN(2500)) * time.Millisecond)
 	}
-	w.locked(func() { w.breakRule("%s never ended", s.ID) })
+	w.withLock(func() { w.recordViolation("%s never ended", s.ID) })
 }
 
-// toldTroubles are those under which users ask: answers are lost while others read what
+// drawLinearizabilityFaults are those under which users ask: answers are lost while others read what
 // was written, transactions are late, controllers end or are cut off.
-func toldTroubles(seed uint64) []meeting {
+func drawLinearizabilityFaults(seed uint64) []plannedFault {
 	kinds := []string{"lost answers", "lost answers", "late writes", "crash", "refused", "cut from all but workers", "outage", "hand-over", "still", "watches stuck", "crash of all", "late commands", "slow links"}
 	rng := rand.New(rand.NewPCG(seed, 79))
-	plan := []meeting{{Kind: "late writes", At: 14 * time.Second, For: 10 * time.Second, Share: 0.5},
+	plan := []plannedFault{{Kind: "late writes", At: 14 * time.Second, For: 10 * time.Second, Share: 0.5},
 		{Kind: "lost answers", At: 32 * time.Second, For: 10 * time.Second, Share: 0.5}}
 	for i := range 8 {
-		plan = append(plan, meeting{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(4+i*6)*time.Second + time.Duration(rng.IntN(5000))*time.Millisecond,
-			For: time.Duration(500+rng.IntN(6000)) * time.Millisecond, Arg: rng.IntN(1000), Share: 0.2 + 0.6*rng.Float64(), With: []string{"", "final", "claim", "run"}[rng.IntN(4)]})
+		plan = append(plan, plannedFault{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(4+i*6)*time.Second + time.Duration(rng.IntN(5000))*time.Millisecond,
+			For: time.Duration(500+rng.IntN(6000)) * time.Millisecond, Arg: rng.IntN(1000), Share: 0.2 + 0.6*rng.Float64(), OnWrite: []string{"", "final", "claim", "run"}[rng.IntN(4)]})
 	}
 	return plan
 }
 
-func TestWhatUsersAreToldIsLinearizable(t *testing.T) {
+func TestUserAnswersAreLinearizable(t *testing.T) {
 	t.Parallel()
-	from, count := meetingsOf(6)
+	from, count := seedRange(6)
 	for seed := from; seed < from+count; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			plan := toldTroubles(seed)
-			h := &history{jobs: map[string][]porcupine.Operation{}}
-			prepare := func(w *world) {
-				if announce(w); seed%3 == 2 {
-					w.old = map[string]bool{"n1": true}
+			plan := drawLinearizabilityFaults(seed)
+			h := &requestHistory{jobs: map[string][]porcupine.Operation{}}
+			prepare := func(w *simulatedCluster) {
+				if announceLowerLimits(w); seed%3 == 2 {
+					w.oldVersions = map[string]bool{"n1": true}
 				}
 			}
-			simulatePrepared(t, 30_000+seed, prepare, func(w *world) {
+			runConfiguredSimulation(t, 30_000+seed, prepare, func(w *simulatedCluster) {
 				time.Sleep(2 * time.Second)
-				w.locked(func() {
+				w.withLock(func() {
 					w.cloud.Capacity = 16
-					w.steps.follow(w)
+					w.writes.observe(w)
 					w.runTime = func(job string, _ int, _ string) time.Duration {
 						return time.Duration(2+int(job[len(job)-1])%9) * time.Second
 					}
@@ -243,30 +243,30 @@
 				specs := map[string]*protocol.JobSpec{}
 				var users sync.WaitGroup
 				for i := range 24 {
-					s := spec(fmt.Sprintf("job-%d", i), 1+i%3, []string{"red", "blue", "green"}[i%3])
+					s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%3, []string{"red", "blue", "green"}[i%3])
 					specs[s.ID] = s
-					w.locked(func() { w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}} })
+					w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
 				}
-				w.locked(func() {
-					w.ended = func(job string) {
-						h.note(job, porcupine.Operation{Input: ends, Call: h.tick(), Return: math.MaxInt64})
+				w.withLock(func() {
+					w.onJobEnd = func(job string) {
+						h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
 						if len(job)%2 == 0 { // called off at the very end
 							w.group.Go(func() {
-								h.asks(w, "n0", withdraws, specs[job])
-								h.closeLook(w, specs[job], rand.New(rand.NewPCG(seed, 80)))
+								h.request(w, "n0", requestCancel, specs[job])
+								h.pollAllControllers(w, specs[job], rand.New(rand.NewPCG(seed, 80)))
 							})
 						}
 					}
 				})
 				begun := time.Now()
 				for _, m := range plan {
-					w.group.Go(func() { w.bring(m, begun, 3*time.Second) })
+					w.group.Go(func() { w.injectAtTrigger(m, begun, 3*time.Second) })
 				}
 				for i := range 24 {
 					rng := rand.New(rand.NewPCG(seed, 81+uint64(i)))
 					users.Go(func() {
 						time.Sleep(time.Duration(i*2000+rng.IntN(1500)) * time.Millisecond)
-						h.live(w, specs[fmt.Sprintf("job-%d", i)], rng)
+						h.runJobLifecycle(w, specs[fmt.Sprintf("job-%d", i)], rng)
 					})
 				}
 				users.Wait()
@@ -286,28 +286,28 @@
 }
 
 // check fails the test for each job of which users were told what no life of a job gives.
-func (h *history) check(t *testing.T) {
+func (h *requestHistory) check(t *testing.T) {
 	t.Helper()
 	for job, ops := range h.jobs {
 		for i := range ops {
 			ops[i].ClientId = i
 		}
-		if porcupine.CheckOperations(jobModel, ops) {
+		if porcupine.CheckOperations(jobStateModel, ops) {
 			continue
 		}
 		t.Errorf("%s: told what no job's life gives", job)
 		slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 		for _, op := range ops {
-			t.Logf("%d-%d %s", op.Call, op.Return, jobModel.DescribeOperation(op.Input, op.Output))
+			t.Logf("%d-%d %s", op.Call, op.Return, jobStateModel.DescribeOperation(op.Input, op.Output))
 		}
 	}
 }
 
 // The checker itself must refuse what a user may not be told.
-func TestHistoryOfAJob(t *testing.T) {
+func TestLinearizabilityCheckerRefusesInvalidHistories(t *testing.T) {
 	t.Parallel()
-	accepted, done, gone, unknown := told{201, "queued"}, told{200, "done"}, told{200, "withdrawn"}, told{status: 404}
-	op := func(q question, call, ret int64, out any) porcupine.Operation {
+	accepted, done, gone, unknown := userAnswer{201, "queued"}, userAnswer{200, "done"}, userAnswer{200, "withdrawn"}, userAnswer{status: 404}
+	op := func(q requestKind, call, ret int64, out any) porcupine.Operation {
 		return porcupine.Operation{Input: q, Call: call, Return: ret, Output: out}
 	}
 	for _, tc := range []struct {
@@ -315,20 +315,20 @@
 		ops  []porcupine.Operation
 		ok   bool
 	}{
-		{"a life", []porcupine.Operation{op(polls, 1, 2, unknown), op(submits, 3, 4, accepted), op(polls, 5, 6, accepted), op(ends, 7, math.MaxInt64, nil), op(polls, 8, 9, done)}, true},
-		{"404 after accepted", []porcupine.Operation{op(submits, 1, 2, accepted), op(polls, 3, 4, unknown)}, false},
-		{"queued after withdrawn", []porcupine.Operation{op(submits, 1, 2, accepted), op(withdraws, 3, 4, gone), op(polls, 5, 6, accepted)}, false},
-		{"queued while it is withdrawn", []porcupine.Operation{op(submits, 1, 2, accepted), op(withdraws, 3, 6, gone), op(polls, 4, 5, accepted)}, true},
-		{"queued after another was told withdrawn meanwhile", []porcupine.Operation{op(submits, 1, 2, accepted), op(withdraws, 3, 9, gone), op(polls, 4, 5, gone), op(polls, 6, 7, accepted)}, false},
-		{"done before its end", []porcupine.Operation{op(submits, 1, 2, accepted), op(polls, 3, 4, done), op(ends, 5, math.MaxInt64, nil)}, false},
-		{"withdrawn by nobody", []porcupine.Operation{op(submits, 1, 2, accepted), op(polls, 3, 4, gone)}, false},
-		{"withdrawn without an answer, later", []porcupine.Operation{op(submits, 1, 2, accepted), op(withdraws, 3, math.MaxInt64, nil), op(polls, 4, 5, accepted), op(polls, 6, 7, gone)}, true},
-		{"queued again", []porcupine.Operation{op(submits, 1, 2, accepted), op(withdraws, 3, math.MaxInt64, nil), op(polls, 4, 5, gone), op(polls, 6, 7, accepted)}, false},
+		{"a life", []porcupine.Operation{op(requestPoll, 1, 2, unknown), op(requestSubmit, 3, 4, accepted), op(requestPoll, 5, 6, accepted), op(jobCompletion, 7, math.MaxInt64, nil), op(requestPoll, 8, 9, done)}, true},
+		{"404 after accepted", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, unknown)}, false},
+		{"queued after withdrawn", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 4, gone), op(requestPoll, 5, 6, accepted)}, false},
+		{"queued while it is withdrawn", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 6, gone), op(requestPoll, 4, 5, accepted)}, true},
+		{"queued after another was told withdrawn meanwhile", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 9, gone), op(requestPoll, 4, 5, gone), op(requestPoll, 6, 7, accepted)}, false},
+		{"done before its end", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, done), op(jobCompletion, 5, math.MaxInt64, nil)}, false},
+		{"withdrawn by nobody", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, gone)}, false},
+		{"withdrawn without an answer, later", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, math.MaxInt64, nil), op(requestPoll, 4, 5, accepted), op(requestPoll, 6, 7, gone)}, true},
+		{"queued again", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, math.MaxInt64, nil), op(requestPoll, 4, 5, gone), op(requestPoll, 6, 7, accepted)}, false},
 	} {
 		for i := range tc.ops {
 			tc.ops[i].ClientId = i
 		}
-		if got := porcupine.CheckOperations(jobModel, tc.ops); got != tc.ok {
+		if got := porcupine.CheckOperations(jobStateModel, tc.ops); got != tc.ok {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -18,7 +18,7 @@
 // A start that is held up while its job is cancelled: the token is raised before the start
 // comes, so that it is refused, whoever owns the part by then (9, 50, 51). Without the state
 // service no token can be raised; then the task is stopped as soon as it shows.
-func TestLateStartsOfCancelledJobsAreKeptOut(t *testing.T) {
+func TestLateStartsOfCancelledJobsAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
@@ -46,81 +46,81 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			prepare := func(w *world) {
+			prepare := func(w *simulatedCluster) {
 				w.cloud.Capacity = 16
 				if tc.carried {
-					crowded(w)
+					configureFewSockets(w)
 				}
 			}
-			simulatePrepared(t, 501, prepare, func(w *world) {
+			runConfiguredSimulation(t, 501, prepare, func(w *simulatedCluster) {
 				if tc.carried {
-					w.flock(8)
+					w.startDelegation(8)
 				} else {
 					time.Sleep(2 * time.Second)
-					w.longJobs(3, 4, "green", 20*time.Second)
+					w.startLongJobs(3, 4, "green", 20*time.Second)
 					time.Sleep(25 * time.Second) // machines are up and idle
 				}
-				part := w.partOf("green")
-				owner := w.owns(part)
-				w.locked(func() {
+				part := w.partitionOf("green")
+				owner := w.leaderOf(part)
+				w.withLock(func() {
 					w.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
-					w.lateCommands = &lateCommands{share: 1, verb: protocol.OpStart, after: tc.late}
+					w.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStart, delay: tc.late}
 				})
-				s := spec("job-900", 4, "green")
+				s := newJobSpec("job-900", 4, "green")
 				s.DeadlineS, s.CPUs, s.Urgency = 0, 2, protocol.Production
 				if tc.carried {
 					s.Tasks = 40
 				}
 				w.submit(s)
-				sent := w.awaitStarts(owner, s.ID)
-				for tc.carried && w.metTimes("held up from "+w.others(owner)[0])+w.metTimes("held up from "+w.others(owner)[1]) == 0 {
+				sent := w.waitForStartsInFlight(owner, s.ID)
+				for tc.carried && w.faultCount("held up from "+w.otherControllers(owner)[0])+w.faultCount("held up from "+w.otherControllers(owner)[1]) == 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
 				time.Sleep(tc.cancelAfter)
 				if tc.outage {
-					defer w.outage(false)
+					defer w.setOutage(false)
 				}
 				if tc.mute {
-					w.locked(func() {
-						w.mute = map[string]bool{}
+					w.withLock(func() {
+						w.outboundLost = map[string]bool{}
 						for _, m := range sent {
-							w.mute[m] = true
+							w.outboundLost[m] = true
 						}
 					})
 				}
 				if tc.hang > 0 {
 					for _, m := range sent {
-						w.hang(m, tc.hang)
+						w.hangMachine(m, tc.hang)
 					}
 				}
-				w.locked(func() {
-					if w.lateCommands = nil; tc.fencesToo {
-						w.lateCommands = &lateCommands{share: 0.5, verb: fenceVerb}
+				w.withLock(func() {
+					if w.delayedCommands = nil; tc.fencesToo {
+						w.delayedCommands = &commandDelayFault{share: 0.5, op: fenceOp}
 					}
 				})
-				if !w.withdrawAt(w.others(owner)[0], s.ID) {
+				if !w.cancelAt(w.otherControllers(owner)[0], s.ID) {
 					t.Fatal("not withdrawn")
 				}
 				if tc.outage {
-					w.outage(true)
+					w.setOutage(true)
 				}
 				if tc.takeover {
-					w.kill(owner)
-					w.newOwner(part, owner)
+					w.killController(owner)
+					w.waitForNewLeader(part, owner)
 				}
 				time.Sleep(tc.late + tc.hang + 3*time.Second)
-				w.locked(func() {
-					refused, done := w.met["late start refused"], w.met["late start done"]
+				w.withLock(func() {
+					refused, done := w.faultCounts["late start refused"], w.faultCounts["late start done"]
 					byOthers := 0
 					for _, l := range []string{"n0", "n1", "n2"} {
 						if l != owner {
-							byOthers += w.met["held up from "+l]
+							byOthers += w.faultCounts["held up from "+l]
 						}
 					}
 					if refused+done == 0 || tc.carried && byOthers == 0 {
 						t.Errorf("%d starts came late, %d held up on the way from carriers", refused+done, byOthers)
 					}
-					for _, start := range w.afterCancel {
+					for _, start := range w.startsAfterCancel {
 						if !tc.outage {
 							t.Errorf("%s started on %s %s after its cancellation", start.task, start.machine, start.after)
 						}
@@ -128,7 +128,7 @@
 					if tc.outage && done == 0 {
 						t.Error("no start came that nothing could keep out")
 					}
-					if n := len(w.runs(s.ID)); n > 0 {
+					if n := len(w.machinesRunning(s.ID)); n > 0 {
 						t.Errorf("%d of its tasks are left", n)
 					}
 				})
@@ -139,56 +139,56 @@
 
 // Stops of cancelled tasks that are held up are repeated before their answer is given up, if
 // no report can bring them (54): their machines reach no controller.
-func TestHeldUpStopsAreRepeated(t *testing.T) {
+func TestDelayedStopsAreRepeated(t *testing.T) {
 	t.Parallel()
-	simulate(t, 502, func(w *world) {
-		ids := w.longJobs(2, 4, "green", 5*time.Minute)
-		owner := w.owns(w.partOf("green"))
-		w.locked(func() {
-			w.mute = w.machinesOf(ids[0])
-			w.lateCommands = &lateCommands{share: 1, verb: protocol.OpStop, after: 16 * time.Second}
+	runSimulation(t, 502, func(w *simulatedCluster) {
+		ids := w.startLongJobs(2, 4, "green", 5*time.Minute)
+		owner := w.leaderOf(w.partitionOf("green"))
+		w.withLock(func() {
+			w.outboundLost = w.machinesRunningAnyOf(ids[0])
+			w.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStop, delay: 16 * time.Second}
 		})
-		if !w.withdrawAt(owner, ids[0]) {
+		if !w.cancelAt(owner, ids[0]) {
 			t.Fatal("not withdrawn")
 		}
 		time.Sleep(300 * time.Millisecond)
-		held := w.metTimes("held up from " + owner)
-		w.locked(func() { w.lateCommands = nil })
+		held := w.faultCount("held up from " + owner)
+		w.withLock(func() { w.delayedCommands = nil })
 		time.Sleep(700 * time.Millisecond)
-		w.locked(func() {
-			if left := len(w.runs(ids[0])); left > 0 || held == 0 {
+		w.withLock(func() {
+			if left := len(w.machinesRunning(ids[0])); left > 0 || held == 0 {
 				t.Errorf("%d tasks are left a second after their cancellation, %d stops were held up", left, held)
 			}
 		})
 	})
 }
 
-// silentNet answers nothing.
-type silentNet struct{}
+// silentNetwork answers nothing.
+type silentNetwork struct{}
 
-func (silentNet) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
+func (silentNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
 // Where many machines with cancelled tasks are silent, repeated orders hold a bounded share
 // of the sockets, and none for ever.
-func TestRepeatedOrdersAreBounded(t *testing.T) {
+func TestRepeatedCommandsAreBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
-		setNetwork(c, silentNet{})
+		setNetwork(c, silentNetwork{})
 		loop, stop := context.WithCancel(t.Context())
 		go c.loop.Serve(loop, c.tick)
 		c.loop.Do(func() {
-			_, _ = c.owning(5)
+			_, _ = c.leadFirstPartition(5)
 			for i := range 100 {
 				name := fmt.Sprintf("m-%d", 100+i)
 				c.agents.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
 				m := c.Machines[name]
 				m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
-				j := &cluster.Job{Spec: spec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
+				j := &cluster.Job{Spec: newJobSpec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
 				j.Load()
 				a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed, Stopping: true, StopRequestedAt: time.Now()}
 				j.LiveAttempts[0] = a
@@ -224,22 +224,22 @@
 	})
 }
 
-// answeringNet answers every message with one status.
-type answeringNet struct{ status int }
+// fixedStatusNetwork answers every message with one status.
+type fixedStatusNetwork struct{ status int }
 
-func (n answeringNet) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
+func (n fixedStatusNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	r := protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
 	return &transport.Response{Status: n.status, Body: protocol.Encode(r)}, nil
 }
 
 // Only an answer that refuses a command shows that it will not be carried out late (50).
-func TestWhichAnswersRefuseACommand(t *testing.T) {
+func TestWhichResponsesRefuseACommand(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		for status, mayCome := range map[int]bool{200: true, 400: false, 409: false, 500: true, 503: true, 504: true} {
-			setNetwork(c, answeringNet{status})
+			setNetwork(c, fixedStatusNetwork{status})
 			r, sent, err := c.agents.PostCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
 				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
@@ -248,11 +248,11 @@
 	})
 }
 
-// awaitStarts waits until starts of a job are under way, and says to which machines.
-func (w *world) awaitStarts(owner, job string) (machines []string) {
+// waitForStartsInFlight waits until starts of a job are under way, and says to which machines.
+func (w *simulatedCluster) waitForStartsInFlight(owner, job string) (machines []string) {
 	for range 60_000 {
 		time.Sleep(time.Millisecond)
-		w.in(owner, func(c *Controller) {
+		w.onController(owner, func(c *Controller) {
 			if j := c.Jobs[job]; j != nil {
 				for _, a := range j.LiveAttempts {
 					if a.StartsInFlight > 0 {
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -30,38 +30,38 @@
 // The deployment that no fixed bound may stand below: one controller of several holds all
 // of its machines (docs/limits.md).
 const (
-	largeMachines = 4000
-	largeEach     = 16 // running tasks of a machine
-	largeTasks    = largeMachines * largeEach
-	// largeCancels is how many jobs are cancelled in a second: three times what the large
+	largeMachines        = 4000
+	largeTasksPerMachine = 16 // running tasks of a machine
+	largeTasks           = largeMachines * largeTasksPerMachine
+	// largeCancelsPerSecond is how many jobs are cancelled in a second: three times what the large
 	// deployments see.
-	largeCancels = 36
-	largeCancelS = 43 * time.Second
-	// standbySeconds is in how long a standby that knows nothing is told a part.
-	standbySeconds = 10
-	// clientResponse is what transport's client takes as a response.
-	clientResponse = 8 << 20
+	largeCancelsPerSecond = 36
+	largeCancelBound      = 43 * time.Second
+	// standbyMessagesMax is in how long a standby that knows nothing is told a part.
+	standbyMessagesMax = 10
+	// clientResponseLimit is what transport's client takes as a response.
+	clientResponseLimit = 8 << 20
 )
 
 var (
 	largeLimits = settings.Limits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
-	// onePart and threeParts are teams whose parts the machines are in.
-	onePart    = []string{"green"}
-	threeParts = []string{"red", "blue", "green"}
-	largeState = settings.State{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
+	// onePartition and threeParts are teams whose parts the machines are in.
+	onePartition    = []string{"green"}
+	threePartitions = []string{"red", "blue", "green"}
+	largeState      = settings.State{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
 )
 
 // largeFleet makes a controller that holds every part, with all machines up and all tasks
 // running, in the parts of some teams.
 func largeFleet(t testing.TB, teams []string) *Controller {
 	t.Helper()
-	c, _ := owner(t)
+	c, _ := newLeadingController(t)
 	c.Observe()
-	setNetwork(c, nowhere{})
+	setNetwork(c, unresponsiveNetwork{})
 	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeLimits, largeState
 	c.proxy.UnsentLimit = proxy.UnsentBytesLimit(largeLimits)
-	c.CancelBound = largeCancelS
-	c.Cancellations.SetLimit(largeCancelS, largeState)
+	c.CancelBound = largeCancelBound
+	c.Cancellations.SetLimit(largeCancelBound, largeState)
 	now := time.Now()
 	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
 	for _, p := range c.Partitions {
@@ -70,18 +70,18 @@
 	for i := range largeMachines {
 		team := teams[i%len(teams)]
 		p := c.Partitions[c.TeamPartition[c.TeamIndex[team]]]
-		m := c.up(p, largeMachine(i), "big")
+		m := c.addMachine(p, largeMachine(i), "big")
 		m.Record.Addr = fmt.Sprintf("10.0.%d.%d:10000", i/250, i%250)
 		for k := range 20 {
 			m.Images[fmt.Sprintf("registry/team-%d/image-%d:v%d", k, i%50, k)] = now
 		}
-		j := c.take(spec(fmt.Sprintf("job-%06d", i), largeEach, team))
-		for task := range largeEach {
+		j := c.addJob(newJobSpec(fmt.Sprintf("job-%06d", i), largeTasksPerMachine, team))
+		for task := range largeTasksPerMachine {
 			c.scheduler.Reserve(p, j, task, 1, m, now)
 			a := j.LiveAttempts[task]
 			a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
 		}
-		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeEach, false
+		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeTasksPerMachine, false
 		for _, ch := range j.Chunks { // on record
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
@@ -91,8 +91,8 @@
 
 func largeMachine(i int) string { return fmt.Sprintf("machine-%06d", i) }
 
-// reportOf is what a machine's worker reports.
-func reportOf(c *Controller, m *cluster.Machine, sequence uint64) *protocol.Heartbeat {
+// heartbeatOf is what a machine's worker reports.
+func heartbeatOf(c *Controller, m *cluster.Machine, sequence uint64) *protocol.Heartbeat {
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Record.Addr, Type: "big", Zone: "a", Epoch: 1, Sequence: sequence, Token: c.Token(m)}
 	for _, a := range m.Attempts {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.TaskName(), Attempt: a.Number, State: protocol.TaskRunning})
@@ -100,8 +100,8 @@
 	return r
 }
 
-// met are the bounds that were met, with how often, as the metrics say.
-func met(c *Controller) []string {
+// countedBounds are the bounds that were met, with how often, as the metrics say.
+func countedBounds(c *Controller) []string {
 	var out bytes.Buffer
 	c.metrics.Write(&out, nil)
 	var list []string
@@ -113,9 +113,9 @@
 	return list
 }
 
-func wantMet(t *testing.T, c *Controller, bounds ...telemetry.Bound) {
+func expectCountedBounds(t *testing.T, c *Controller, bounds ...telemetry.Bound) {
 	t.Helper()
-	list := met(c)
+	list := countedBounds(c)
 	for _, b := range bounds {
 		if !strings.Contains(strings.Join(list, "\n"), fmt.Sprintf("%q", b.String())) {
 			t.Errorf("%s was not counted: %q", b, list)
@@ -126,8 +126,8 @@
 	}
 }
 
-// replica is a standby's copy of a part's records, as read from the store.
-func replica(c *Controller, p *cluster.Partition) *replication.Replica {
+// replicaFromRecords is a standby's copy of a part's records, as read from the store.
+func replicaFromRecords(c *Controller, p *cluster.Partition) *replication.Replica {
 	var items []protocol.Item
 	for id, j := range c.Jobs {
 		if j.Partition != p.Index {
@@ -142,8 +142,8 @@
 	return fo
 }
 
-// tellStandby tells a standby all that there is of a part, and says in how many messages.
-func tellStandby(t *testing.T, c *Controller, p *cluster.Partition, fo *replication.Replica) (messages int) {
+// updateStandby tells a standby all that there is of a part, and says in how many messages.
+func updateStandby(t *testing.T, c *Controller, p *cluster.Partition, fo *replication.Replica) (messages int) {
 	t.Helper()
 	for messages < 100 {
 		now := time.Now()
@@ -152,7 +152,7 @@
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		told := new(peer.ReplicaUpdate)
-		must(proto.Unmarshal(raw, told))
+		panicOnError(proto.Unmarshal(raw, told))
 		if len(told.Attempts)+len(told.Machines) == 0 {
 			break
 		}
@@ -162,8 +162,8 @@
 	return messages
 }
 
-// serveCalls stands in for the controller's loop, without its ticks, until stop.
-func serveCalls(c *Controller) (stop func()) {
+// serveEventLoop stands in for the controller's loop, without its ticks, until stop.
+func serveEventLoop(c *Controller) (stop func()) {
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -175,40 +175,40 @@
 
 // What a controller keeps and tells of 4,000 machines with 64,000 running tasks passes
 // whole and within the limit of a message.
-func TestLimitsHoldALargeFleet(t *testing.T) {
+func TestBoundsFitALargeFleet(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		teams []string
 		run   func(t *testing.T, c *Controller)
 		met   []telemetry.Bound
 	}{
-		{"summary", onePart, summaryOfALargeFleet, nil},
+		{"summary", onePartition, checkLargeSummary, nil},
 		// A standby that knows nothing is told in several messages.
-		{"replicated copy, recall and takeover of one part by the standby", onePart, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaMessages}},
-		{"the same of three parts", threeParts, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaMessages}},
-		{"replicated starts ahead of their records", onePart, startsAheadOfTheirRecords, nil},
-		{"cancellation notices", onePart, noticesOfALargeFleet, nil},
-		{"carried reports that wait", onePart, carriedReportsOfALargeFleet, nil},
-		{"one controller of several is left", threeParts, oneControllerIsLeft, nil},
+		{"replicated copy, recall and takeover of one part by the standby", onePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
+		{"the same of three parts", threePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
+		{"replicated starts ahead of their records", onePartition, checkStartsAheadOfRecords, nil},
+		{"cancellation notices", onePartition, checkLargeCancellationNotices, nil},
+		{"carried reports that wait", onePartition, checkLargeDelegatedHeartbeats, nil},
+		{"one controller of several is left", threePartitions, checkSingleControllerLeft, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := largeFleet(t, tc.teams)
 			tc.run(t, c)
-			wantMet(t, c, tc.met...)
+			expectCountedBounds(t, c, tc.met...)
 		})
 	}
 }
 
-func summaryOfALargeFleet(t *testing.T, c *Controller) {
+func checkLargeSummary(t *testing.T, c *Controller) {
 	now := time.Now()
 	waiting := 0
 	for i := range 700 {
-		s := spec(fmt.Sprintf("job-9%05d", i), largeEach, "green")
+		s := newJobSpec(fmt.Sprintf("job-9%05d", i), largeTasksPerMachine, "green")
 		s.DeadlineS = 0
-		c.take(s)
+		c.addJob(s)
 		waiting++
 	}
-	noted := int(largeCancels * largeCancelS.Seconds())
+	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range noted {
 		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
 	}
@@ -220,7 +220,7 @@
 	most := peerapi.MaxBody(largeLimits)
 	body := c.peering.EncodeSummary(c.peering.OwnSummary(now))
 	sum := new(peer.Summary)
-	must(proto.Unmarshal(body, sum))
+	panicOnError(proto.Unmarshal(body, sum))
 	machines, demands := 0, 0
 	for _, ps := range sum.Partitions {
 		machines, demands = machines+len(ps.Machines), demands+len(ps.Demands)
@@ -235,11 +235,11 @@
 }
 
 // A summary with the longest texts and everything at its bound still holds all of it.
-func TestSummaryAtItsWorstFits(t *testing.T) {
-	c, _ := owner(t)
+func TestWorstCaseSummaryFits(t *testing.T) {
+	c, _ := newLeadingController(t)
 	c.Observe()
 	c.Settings.Params.MachineLimits = largeLimits
-	c.Cancellations.SetLimit(largeCancelS, largeState)
+	c.Cancellations.SetLimit(largeCancelBound, largeState)
 	longID := func(i int) string { return fmt.Sprintf("job-%032d", i) }
 	longName := func(i int) string { return fmt.Sprintf("%064d", i) }
 	sum := &peer.Summary{From: "n0"}
@@ -263,22 +263,22 @@
 	if len(body) > peerapi.MaxBody(largeLimits) || len(sum.Jobs) != peering.JobProgressLimit {
 		t.Errorf("%d bytes of %d, %d jobs", len(body), peerapi.MaxBody(largeLimits), len(sum.Jobs))
 	}
-	wantMet(t, c)
+	expectCountedBounds(t, c)
 	t.Logf("summary at its worst: %d bytes of %d", len(body), peerapi.MaxBody(largeLimits))
 }
 
-func replicaOfALargeFleet(t *testing.T, c *Controller) {
+func checkLargeReplica(t *testing.T, c *Controller) {
 	for _, m := range c.Machines {
 		m.PendingCommands = 1 // nothing is sent here
 	}
 	attempts, machines := 0, 0
 	for _, p := range c.Partitions {
-		fo := replica(c, p)
+		fo := replicaFromRecords(c, p)
 		if len(fo.Derived.Jobs) == 0 {
 			continue
 		}
-		messages := tellStandby(t, c, p, fo)
-		if messages > standbySeconds {
+		messages := updateStandby(t, c, p, fo)
+		if messages > standbyMessagesMax {
 			t.Errorf("part %d: %d messages, one a second", p.Index, messages)
 		}
 		attempts, machines = attempts+fo.Derived.KnownStarts(), machines+len(fo.Updates.Machines)
@@ -307,7 +307,7 @@
 	}
 }
 
-func startsAheadOfTheirRecords(t *testing.T, c *Controller) {
+func checkStartsAheadOfRecords(t *testing.T, c *Controller) {
 	fo := replication.NewReplica(0, time.Now())
 	for id, j := range c.Jobs {
 		for task := range j.LiveAttempts {
@@ -319,11 +319,11 @@
 	}
 }
 
-func noticesOfALargeFleet(t *testing.T, c *Controller) {
+func checkLargeCancellationNotices(t *testing.T, c *Controller) {
 	now := time.Now()
-	noted := int(largeCancels * largeCancelS.Seconds())
+	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range noted {
-		age := largeCancelS - time.Second - time.Duration(i)*(largeCancelS-2*time.Second)/time.Duration(noted)
+		age := largeCancelBound - time.Second - time.Duration(i)*(largeCancelBound-2*time.Second)/time.Duration(noted)
 		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
 	}
 	told := c.Cancellations.Recent(now, c.CancelBound)
@@ -332,36 +332,36 @@
 	}
 }
 
-// ownerOfCarried is the network of a carrier, on which the owner answers.
-type ownerOfCarried struct {
-	t       *testing.T
-	reports map[string]bool
-	after   []uint64
-	serial  uint64
+// delegatingLeader is the network of a carrier, on which the owner answers.
+type delegatingLeader struct {
+	t            *testing.T
+	machines     map[string]bool
+	acknowledged []uint64
+	serial       uint64
 }
 
 // Do answers as the owner of the part.
-func (o *ownerOfCarried) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
+func (o *delegatingLeader) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
 	if len(body) > peerapi.BodyMin {
 		o.t.Errorf("a message of %d bytes", len(body))
 	}
 	req := new(peer.DelegationRequest)
-	must(proto.Unmarshal(body, req))
+	panicOnError(proto.Unmarshal(body, req))
 	for _, raw := range req.Heartbeats {
 		r := new(protocol.Heartbeat)
-		must(protocol.Decode(raw, r))
-		o.reports[r.Machine] = true
+		panicOnError(protocol.Decode(raw, r))
+		o.machines[r.Machine] = true
 	}
-	o.after = append(o.after, req.After)
+	o.acknowledged = append(o.acknowledged, req.After)
 	o.serial++
 	resp := peerapi.Reply(&peer.DelegationGrant{GrantMs: 2000, Serial: o.serial})
 	return &resp, nil
 }
 
-func carriedReportsOfALargeFleet(t *testing.T, c *Controller) {
+func checkLargeDelegatedHeartbeats(t *testing.T, c *Controller) {
 	p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 	p.Held, p.Leader = false, "n1"
-	net := &ownerOfCarried{t: t, reports: map[string]bool{}}
+	net := &delegatingLeader{t: t, machines: map[string]bool{}}
 	setNetwork(c, net)
 	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
 		Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Delegated: []*peer.DelegatedShards{{Delegate: c.Settings.Label}}}}}}
@@ -371,34 +371,34 @@
 		e.Shards[s] = true
 	}
 	for _, m := range c.Machines {
-		r := reportOf(c, m, 1)
+		r := heartbeatOf(c, m, 1)
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
 			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
 	size := e.UnsentBytes
-	stop := serveCalls(c)
+	stop := serveEventLoop(c)
 	asked := c.proxy.RenewAll(p, e)
 	stop()
-	if !asked || len(net.reports) != largeMachines || e.UnsentBytes != 0 {
-		t.Errorf("%d reports told, %d bytes left", len(net.reports), e.UnsentBytes)
+	if !asked || len(net.machines) != largeMachines || e.UnsentBytes != 0 {
+		t.Errorf("%d reports told, %d bytes left", len(net.machines), e.UnsentBytes)
 	}
 	// Only a request with all that is left may show that everything is known.
-	for i, after := range net.after {
+	for i, after := range net.acknowledged {
 		want := uint64(0)
-		if i == len(net.after)-1 {
+		if i == len(net.acknowledged)-1 {
 			want = uint64(i)
 		}
 		if after != want {
-			t.Errorf("request %d of %d is after reply %d, not %d", i+1, len(net.after), after, want)
+			t.Errorf("request %d of %d is after reply %d, not %d", i+1, len(net.acknowledged), after, want)
 		}
 	}
-	t.Logf("carried: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.after))
+	t.Logf("carried: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.acknowledged))
 }
 
-func oneControllerIsLeft(t *testing.T, c *Controller) {
+func checkSingleControllerLeft(t *testing.T, c *Controller) {
 	for _, m := range c.Machines {
-		r := reportOf(c, m, 1)
+		r := heartbeatOf(c, m, 1)
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
 			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
@@ -421,7 +421,7 @@
 }
 
 // What lies beyond a bound is counted, and said once; what is more urgent is kept.
-func TestMetBoundsAreCounted(t *testing.T) {
+func TestExceededBoundsAreCounted(t *testing.T) {
 	small := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
 	for _, tc := range []struct {
 		name  string
@@ -436,7 +436,7 @@
 			}
 			sum.Partitions = append(sum.Partitions, &peer.PartitionSummary{Machines: []*peer.MachineStatus{{Name: "m-1"}}})
 			told := new(peer.Summary)
-			must(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
+			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
 			if len(told.Jobs) > 0 || len(told.Partitions) != 1 {
 				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Partitions))
 			}
@@ -448,7 +448,7 @@
 				sum.Unregistered = append(sum.Unregistered, &peer.UnregisteredMachine{Name: fmt.Sprintf("m-%032d", i)})
 			}
 			told := new(peer.Summary)
-			must(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
+			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
 			if len(told.Unregistered) > 0 || len(told.Cancelled) != 1 {
 				t.Errorf("%d machines, %d cancelled told", len(told.Unregistered), len(told.Cancelled))
 			}
@@ -456,7 +456,7 @@
 		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
 			for i := range peering.JobProgressLimit + 1 {
 				id := fmt.Sprint("job-", i)
-				c.Jobs[id] = &cluster.Job{Spec: spec(id, 1, "green"), Loaded: true, RunningCount: 1}
+				c.Jobs[id] = &cluster.Job{Spec: newJobSpec(id, 1, "green"), Loaded: true, RunningCount: 1}
 			}
 			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != peering.JobProgressLimit {
 				t.Errorf("%d jobs told", n)
@@ -464,7 +464,7 @@
 		}},
 		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
 			for i := range peering.DemandsMin + 1 {
-				c.waiting(fmt.Sprint("job-", i), 1)
+				c.addQueuedJob(fmt.Sprint("job-", i), 1)
 			}
 			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.DemandsMin {
 				t.Errorf("%d demands told", n)
@@ -480,23 +480,23 @@
 		}},
 		{"carried reports", telemetry.CarriedReports, func(t *testing.T, c *Controller) {
 			p := c.Partitions[0]
-			m := c.up(p, "m-1", "big")
+			m := c.addMachine(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
 			e := c.proxy.Assignments[0]
 			e.Leader, e.Lease, e.GrantedUntil, e.UnsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.UnsentLimit
 			e.Shards[m.Shard] = true
-			r := reportOf(c, m, 1)
+			r := heartbeatOf(c, m, 1)
 			if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 503 {
 				t.Errorf("status %d", resp.Status)
 			}
 		}},
 		{"messages to a standby", telemetry.ReplicaMessages, func(t *testing.T, c *Controller) {
-			p, m := c.Partitions[0], c.up(c.Partitions[0], "m-1", "big")
+			p, m := c.Partitions[0], c.addMachine(c.Partitions[0], "m-1", "big")
 			for i := range 200 {
 				for k := range cluster.UpdateImagesLimit {
 					m.Images[fmt.Sprintf("%0190d", k)] = time.Now()
 				}
-				m = c.up(p, fmt.Sprint("m-2", i), "big")
+				m = c.addMachine(p, fmt.Sprint("m-2", i), "big")
 			}
 			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.BodyMin || len(told.Machines) > 200 || told.Through >= p.Replication.Clock {
 				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
@@ -508,7 +508,7 @@
 			for i := range replication.PendingStartsLimit {
 				fo.Derived.Starts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
 			}
-			hears(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
+			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
 			if len(fo.Derived.Starts) != replication.PendingStartsLimit {
 				t.Errorf("%d starts kept", len(fo.Derived.Starts))
 			}
@@ -520,7 +520,7 @@
 			for i := range replication.ReplicaMachinesLimit {
 				fo.Updates.Machines[fmt.Sprint("m-", i)] = replication.MachineHints{}
 			}
-			hears(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
+			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
 			if fo.Updates.Machines["m-1"].MachineHint == nil || len(fo.Updates.Machines) != replication.ReplicaMachinesLimit {
 				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
 			}
@@ -537,13 +537,13 @@
 				fo.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
 			}
 			raw, err := proto.Marshal(&peer.StateTransferRequest{})
-			must(err)
-			stop := serveCalls(c)
+			panicOnError(err)
+			stop := serveEventLoop(c)
 			resp := c.replicator.HandleStateTransfer(raw)
 			stop()
 			told := new(peer.ReplicaUpdate)
-			must(proto.Unmarshal(resp.Body, told))
-			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
+			panicOnError(proto.Unmarshal(resp.Body, told))
+			if len(resp.Body) > clientResponseLimit || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
 			}
 		}},
@@ -551,7 +551,7 @@
 			for i := range scheduler.ClassGroupsLimit {
 				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
-			if met(c) != nil || c.scheduler.ClassGroup("another") != 0 {
+			if countedBounds(c) != nil || c.scheduler.ClassGroup("another") != 0 {
 				t.Error("too soon, or not at all")
 			}
 		}},
@@ -579,7 +579,7 @@
 		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
 		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.PeersFull() }},
 		{"callers", telemetry.Callers, func(t *testing.T, c *Controller) {
-			must(c.Identify(auth.Identities{}))
+			panicOnError(c.Identify(auth.Identities{}))
 			for i := range auth.UnknownJobLimitersLimit + 1 {
 				c.auth.UnknownJobLimiters.Add(fmt.Sprint("person/", i), nil)
 			}
@@ -591,11 +591,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var log bytes.Buffer
-			c, _ := owner(t)
+			c, _ := newLeadingController(t)
 			c.Observe()
 			c.bounds.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn}))
 			tc.meet(t, c)
-			wantMet(t, c, tc.bound)
+			expectCountedBounds(t, c, tc.bound)
 			c.bounds.Met(tc.bound, 1)
 			if n := strings.Count(log.String(), "bound="+tc.bound.String()); n != 1 {
 				t.Errorf("said %d times:\n%s", n, log.String())
@@ -604,12 +604,12 @@
 	}
 }
 
-// hears hands a controller what a part's owner tells its standby.
-func hears(t *testing.T, c *Controller, tale *peer.ReplicaUpdate) {
+// applyReplicaUpdate hands a controller what a part's owner tells its standby.
+func applyReplicaUpdate(t *testing.T, c *Controller, tale *peer.ReplicaUpdate) {
 	t.Helper()
 	raw, err := proto.Marshal(tale)
-	must(err)
-	stop := serveCalls(c)
+	panicOnError(err)
+	stop := serveEventLoop(c)
 	resp := c.replicator.HandleUpdate(nil, raw)
 	stop()
 	if resp.Status != 200 {
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -18,12 +18,12 @@
 	"micaspindle/internal/transport"
 )
 
-// gapWorld is one whose bound for answers is long, and whose work runs for longer than a
+// configureLongAnswerBound is one whose bound for answers is long, and whose work runs for longer than a
 // withdrawal has.
-func gapWorld(w *world) {
+func configureLongAnswerBound(w *simulatedCluster) {
 	w.cloud.Capacity = 30
-	w.set.Params.Teams[0].CPUsMax, w.set.Params.Teams[1].CPUsMax = 0, 0
-	w.set.Params.Workers.CancelS, w.set.Params.Workers.LeaseS = 43, 18
+	w.settings.Params.Teams[0].CPUsMax, w.settings.Params.Teams[1].CPUsMax = 0, 0
+	w.settings.Params.Workers.CancelS, w.settings.Params.Workers.LeaseS = 43, 18
 	w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
@@ -31,7 +31,7 @@
 // withdrawals, and then the service is down for everybody for longer than cancel_s, while
 // the workers go on reporting to the old owner. Every task must be gone within cancel_s of
 // the answer's arrival at its user (checked by the world, at every step of every machine).
-func TestWithdrawnBetweenARefusalAndAnOutage(t *testing.T) {
+func TestCancellationBetweenARefusalAndAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
@@ -59,7 +59,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 301, gapWorld, func(w *world) {
+			runConfiguredSimulation(t, 301, configureLongAnswerBound, func(w *simulatedCluster) {
 				time.Sleep(3 * time.Second)
 				// Withdrawals every 0.1 s, from 4 s before the refusal on.
 				const each, before = 56, 40
@@ -68,22 +68,22 @@
 					rounds = 2
 				}
 				for i := range each * rounds {
-					s := spec(fmt.Sprintf("job-%d", i), 1, "green")
+					s := newJobSpec(fmt.Sprintf("job-%d", i), 1, "green")
 					s.CPUs, s.EstimateS, s.DeadlineS = 2, 600, 0
 					w.submit(s)
 				}
 				time.Sleep(40 * time.Second)
 				part := 0
-				w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
+				w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
 				for round := range rounds {
-					w.gap(round*each, each, before, part, func(i int, owner string) {
+					w.cancelDuringRefusal(round*each, each, before, part, func(i int, owner string) {
 						switch i {
 						case 0:
 							w.mu.Lock()
-							w.noNotices, w.state.Stuck = tc.noNotices, tc.stuck
+							w.suppressNotices, w.state.Stuck = tc.noNotices, tc.stuck
 							w.mu.Unlock()
 						case before:
-							w.refuse(owner, true)
+							w.setStateServiceRefusal(owner, true)
 							if tc.cut {
 								w.mu.Lock()
 								w.cut = func(from, host string) bool {
@@ -94,25 +94,25 @@
 						}
 					}, tc.hang)
 					if tc.refusedFor == 0 {
-						w.awaitClaim(part)
+						w.waitForLeaseChange(part)
 					}
 					time.Sleep(tc.refusedFor - (each-before)*100*time.Millisecond)
-					w.outage(true)
+					w.setOutage(true)
 					time.Sleep(12 * time.Second)
 					for _, l := range []string{"n0", "n1", "n2"} {
-						w.refuse(l, false)
+						w.setStateServiceRefusal(l, false)
 					}
 					time.Sleep(45 * time.Second)
 					w.mu.Lock()
-					w.state.Stuck, w.cut, w.noNotices = false, nil, false
+					w.state.Stuck, w.cut, w.suppressNotices = false, nil, false
 					w.mu.Unlock()
-					w.outage(false)
+					w.setOutage(false)
 					time.Sleep(30 * time.Second)
 				}
 				w.mu.Lock()
 				for id, uj := range w.jobs {
-					if uj.ended == protocol.StatusWithdrawn && len(w.runs(id)) > 0 {
-						t.Errorf("%s runs on %v", id, w.runs(id))
+					if uj.finalStatus == protocol.StatusWithdrawn && len(w.machinesRunning(id)) > 0 {
+						t.Errorf("%s runs on %v", id, w.machinesRunning(id))
 					}
 				}
 				w.mu.Unlock()
@@ -121,30 +121,30 @@
 	}
 }
 
-// gap withdraws jobs from one number on at controllers that do not own their part, one
+// cancelDuringRefusal withdraws jobs from one number on at controllers that do not own their part, one
 // every 0.1 s, and lets something happen before each.
-func (w *world) gap(from, count, before, part int, happen func(i int, owner string), hang time.Duration) {
-	owner := w.owns(part)
+func (w *simulatedCluster) cancelDuringRefusal(from, count, before, part int, happen func(i int, owner string), hang time.Duration) {
+	owner := w.leaderOf(part)
 	if owner == "" {
 		w.t.Fatal("nobody owns the part")
 	}
-	others := w.others(owner)
+	others := w.otherControllers(owner)
 	confirmed, after, running := 0, 0, 0
 	for i := range count {
 		happen(i, owner)
 		job := fmt.Sprintf("job-%d", from+i)
 		w.mu.Lock()
-		on := w.runs(job)
+		on := w.machinesRunning(job)
 		w.mu.Unlock()
 		running += len(on)
-		if begun := time.Now(); w.withdrawAt(others[i%len(others)], job) {
+		if begun := time.Now(); w.cancelAt(others[i%len(others)], job) {
 			confirmed++
 			if i >= before {
 				after++
 			}
 			if hang > 0 && i%2 == 0 {
 				for _, m := range on {
-					w.hang(m, hang)
+					w.hangMachine(m, hang)
 				}
 			}
 			time.Sleep(100*time.Millisecond - time.Since(begun))
@@ -155,8 +155,8 @@
 	}
 }
 
-// awaitClaim waits until a part is claimed by another than now.
-func (w *world) awaitClaim(part int) {
+// waitForLeaseChange waits until a part is claimed by another than now.
+func (w *simulatedCluster) waitForLeaseChange(part int) {
 	key := storage.LeaseKey(part)
 	w.mu.Lock()
 	was := w.state.Items[key].Version
@@ -177,34 +177,34 @@
 // cancellation falls into the moment in which the successor reads its part's records: what
 // the cancelled job has on its machines counts against the team's limit until it is proven
 // over (6, 39, 47).
-func TestLimitHoldsForJobsThatEndWhileTheirPartIsRead(t *testing.T) {
+func TestTeamQuotaHoldsForJobsThatEndDuringATakeover(t *testing.T) {
 	t.Parallel()
-	prepare := func(w *world) {
-		gapWorld(w)
-		w.set.Params.Teams[0].CPUsMax = 32
+	prepare := func(w *simulatedCluster) {
+		configureLongAnswerBound(w)
+		w.settings.Params.Teams[0].CPUsMax = 32
 	}
-	simulatePrepared(t, 302, prepare, func(w *world) {
+	runConfiguredSimulation(t, 302, prepare, func(w *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		for _, id := range []string{"job-1", "job-2"} {
-			s := spec(id, 8, "red") // all of the limit
+			s := newJobSpec(id, 8, "red") // all of the limit
 			s.EstimateS, s.DeadlineS = 600, 0
 			w.submit(s)
 		}
 		time.Sleep(20 * time.Second)
 		part := 0
-		w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["red"]] })
-		owner := w.owns(part)
+		w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["red"]] })
+		owner := w.leaderOf(part)
 		claimed := make(chan struct{})
 		var late atomic.Bool
-		w.locked(func() {
-			if n := len(w.runs("job-1")); n != 8 {
+		w.withLock(func() {
+			if n := len(w.machinesRunning("job-1")); n != 8 {
 				t.Fatalf("%d tasks run", n)
 			}
-			out := w.machinesOf("job-1")
+			out := w.machinesRunningAnyOf("job-1")
 			w.cut = func(_, host string) bool { return out[host] }
 			// The shared records come late, so that the successor waits for them after it
 			// has read those of the part.
-			w.answered = func(_, _, target string, _ []byte, _ *transport.Response) bool {
+			w.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
 				for late.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
 					time.Sleep(time.Millisecond)
 				}
@@ -218,40 +218,40 @@
 				}
 			}
 		})
-		w.kill(owner)
+		w.killController(owner)
 		<-claimed
 		time.Sleep(200 * time.Millisecond)
 		heir := ""
-		for _, l := range w.others("") {
-			w.in(l, func(c *Controller) {
+		for _, l := range w.otherControllers("") {
+			w.onController(l, func(c *Controller) {
 				if c.Partitions[part].Held && !c.Partitions[part].Ready {
 					heir = l
 				}
 			})
 		}
-		if heir == "" || !w.withdrawAt(heir, "job-1") {
+		if heir == "" || !w.cancelAt(heir, "job-1") {
 			t.Fatalf("no withdrawal while %q reads", heir)
 		}
 		late.Store(false)
 		time.Sleep(10 * time.Second)
-		w.locked(func() {
-			if n := len(w.runs("job-1")); n != 8 {
+		w.withLock(func() {
+			if n := len(w.machinesRunning("job-1")); n != 8 {
 				t.Errorf("%d tasks of the cancelled job left: its machines were asked", n)
 			}
 		})
 		// Afterwards the others' turn comes, once the leases have run out (47).
 		time.Sleep(50 * time.Second)
-		w.locked(func() {
-			if n := len(w.runs("job-2")); n != 8 {
+		w.withLock(func() {
+			if n := len(w.machinesRunning("job-2")); n != 8 {
 				t.Errorf("%d tasks of the next job run", n)
 			}
 		})
 	})
 }
 
-// owning makes a controller whose loop never runs the informed owner of its first part,
+// leadFirstPartition makes a controller whose loop never runs the informed owner of its first part,
 // with the machine m-1, under a claim.
-func (c *Controller) owning(claim uint64) (*cluster.Partition, *cluster.Machine) {
+func (c *Controller) leadFirstPartition(claim uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
 	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
@@ -262,14 +262,14 @@
 
 // What an old copy of a report may and may not do at an owner: it wins no time for a
 // machine that says nothing any more, un-fences nothing and ends nothing (48).
-func TestOldReportsProveNothing(t *testing.T) {
+func TestStaleHeartbeatsAreIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
-		_, m := c.owning(5)
+		_, m := c.leadFirstPartition(5)
 		task := []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}}
-		j := &cluster.Job{Spec: spec("job-1", 1, "red")}
+		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
 		j.Load()
 		c.Jobs["job-1"] = j
 		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 2, State: cluster.AttemptCommitted}
@@ -315,7 +315,7 @@
 func TestDeletedMachinesStayDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		now := time.Now()
 		c.RecordsAsOf, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
@@ -335,7 +335,7 @@
 		if !failed["m-1"] || failed["m-2"] {
 			t.Errorf("to be given up: %v", failed)
 		}
-		waiting := &cluster.Job{Spec: spec("job-1", 6, "red"), SubmittedAt: now}
+		waiting := &cluster.Job{Spec: newJobSpec("job-1", 6, "red"), SubmittedAt: now}
 		waiting.Load()
 		c.Jobs["job-1"] = waiting
 		demands := func() (n uint32) {
@@ -362,10 +362,10 @@
 
 // A machine is deleted for what its owner knows to be withdrawn of late, not for what is left
 // of jobs that are done, or were withdrawn longer ago than a lease can last.
-func TestMachinesOfEndedJobsAreNotDeleted(t *testing.T) {
+func TestMachinesOfFinishedJobsAreNotDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		now := time.Now()
 		c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
@@ -377,7 +377,7 @@
 		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusWithdrawn, time.Second, false},
 			{protocol.StatusWithdrawn, 20 * time.Second, true}, {protocol.StatusWithdrawn, time.Hour, false}} {
 			id := fmt.Sprint("job-", i)
-			j := &cluster.Job{Spec: spec(id, 1, "red")}
+			j := &cluster.Job{Spec: newJobSpec(id, 1, "red")}
 			j.Load()
 			c.Jobs[id] = j
 			a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed}
@@ -401,7 +401,7 @@
 // A withdrawn task that can't be stopped has its machine deleted by its owner, without the
 // leader and without the state service, and before cancel_s is over; one whose lease
 // provably runs out in time has not.
-func TestMachinesOfWithdrawnTasksAreDeletedInTime(t *testing.T) {
+func TestMachinesOfCancelledTasksAreDeletedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
@@ -422,33 +422,33 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 303, gapWorld, func(w *world) {
+			runConfiguredSimulation(t, 303, configureLongAnswerBound, func(w *simulatedCluster) {
 				time.Sleep(3 * time.Second)
 				for i := range 4 {
-					s := spec(fmt.Sprintf("job-%d", i), 4, "green")
+					s := newJobSpec(fmt.Sprintf("job-%d", i), 4, "green")
 					s.EstimateS, s.DeadlineS = 600, 0
 					w.submit(s)
 				}
 				time.Sleep(20 * time.Second)
 				part := 0
-				w.in("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
-				owner := w.owns(part)
+				w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
+				owner := w.leaderOf(part)
 				var on []string
-				w.locked(func() {
-					if on = w.runs("job-1"); len(on) != 4 {
+				w.withLock(func() {
+					if on = w.machinesRunning("job-1"); len(on) != 4 {
 						t.Fatalf("%d tasks run", len(on))
 					}
-					out := w.machinesOf("job-1")
+					out := w.machinesRunningAnyOf("job-1")
 					if tc.cut {
 						w.cut = func(_, host string) bool { return out[host] }
 					}
 					if tc.deaf {
-						w.deaf = out
+						w.inboundLost = out
 					}
 				})
 				told := time.Now()
 				withdraw := func() {
-					if !w.withdrawAt(w.others(owner)[0], "job-1") {
+					if !w.cancelAt(w.otherControllers(owner)[0], "job-1") {
 						t.Fatal("not withdrawn")
 					}
 					told = time.Now()
@@ -457,10 +457,10 @@
 					withdraw()
 				}
 				if tc.taken {
-					w.kill(owner)
+					w.killController(owner)
 					for range 100 {
 						time.Sleep(100 * time.Millisecond)
-						if w.owns(part) != "" {
+						if w.leaderOf(part) != "" {
 							break
 						}
 					}
@@ -469,7 +469,7 @@
 					withdraw()
 				}
 				if tc.outage {
-					w.outage(true)
+					w.setOutage(true)
 				}
 				missing := func() (gone int) {
 					w.mu.Lock()
@@ -491,11 +491,11 @@
 				if tc.deleted && gone != len(on) || !tc.deleted && tc.outage && gone > 0 {
 					t.Errorf("%d of %d machines deleted within cancel_s", gone, len(on))
 				}
-				if w.owns(part) == "" && !tc.outage {
+				if w.leaderOf(part) == "" && !tc.outage {
 					t.Error("nobody owns the part")
 				}
-				w.locked(func() { w.cut, w.deaf = nil, nil })
-				w.outage(false)
+				w.withLock(func() { w.cut, w.inboundLost = nil, nil })
+				w.setOutage(false)
 				time.Sleep(30 * time.Second)
 			})
 		})
@@ -505,7 +505,7 @@
 // An owner that the state service refuses alone hears of withdrawals from the others and
 // stops what they concern at once; without that, a carrier that knows does so for the
 // machines that report to it (43). The bound is not needed for either.
-func TestNoticesAndCarriersStopWithdrawnTasks(t *testing.T) {
+func TestNoticesAndDelegatesStopCancelledTasks(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name      string
@@ -513,16 +513,16 @@
 	}{{"news", false}, {"a carrier knows", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			prepare := func(w *world) {
-				crowded(w)
+			prepare := func(w *simulatedCluster) {
+				configureFewSockets(w)
 				w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 			}
-			simulatePrepared(t, 304, prepare, func(w *world) {
-				part := w.flock(8)
-				owner := w.owns(part)
+			runConfiguredSimulation(t, 304, prepare, func(w *simulatedCluster) {
+				part := w.startDelegation(8)
+				owner := w.leaderOf(part)
 				var carried, kept int
 				count := func() (carried, kept int) {
-					w.each(func(wk *worker.Worker) {
+					w.forEachWorker(func(wk *worker.Worker) {
 						for _, task := range wk.Tasks {
 							if task.Job != "job-0" && task.Job != "job-1" || task.State == protocol.TaskEnded {
 							} else if wk.Homes[wk.Home] == owner {
@@ -534,18 +534,18 @@
 					})
 					return carried, kept
 				}
-				w.locked(func() { w.noNotices = tc.noNotices })
+				w.withLock(func() { w.suppressNotices = tc.noNotices })
 				if carried, kept = count(); carried == 0 || kept == 0 {
 					t.Fatalf("%d tasks on machines that others carry, %d on others", carried, kept)
 				}
-				w.refuse(owner, true)
+				w.setStateServiceRefusal(owner, true)
 				for _, id := range []string{"job-0", "job-1"} {
-					if !w.withdrawAt(w.others(owner)[0], id) {
+					if !w.cancelAt(w.otherControllers(owner)[0], id) {
 						t.Fatal("not withdrawn")
 					}
 				}
 				time.Sleep(1800 * time.Millisecond) // the owner's lease goes on
-				if w.owns(part) != owner {
+				if w.leaderOf(part) != owner {
 					t.Fatal("the part changed hands")
 				}
 				carriedNow, keptNow := count()
@@ -555,8 +555,8 @@
 				if tc.noNotices && keptNow == 0 {
 					t.Error("the owner knew without being told")
 				}
-				w.refuse(owner, false)
-				w.locked(func() { w.noNotices = false })
+				w.setStateServiceRefusal(owner, false)
+				w.withLock(func() { w.suppressNotices = false })
 				time.Sleep(25 * time.Second)
 			})
 		})
@@ -564,10 +564,10 @@
 }
 
 // News say for how long a job has been withdrawn, and are taken once.
-func TestCancellationNoticesBearTheirAge(t *testing.T) {
+func TestCancellationNoticesCarryTheirAge(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		begun := time.Now()
 		c.jobs.ApplyCancellationNotices(&peer.Summary{Cancelled: []*peer.CancelledJob{{Job: "job-1", AgeMs: 7000}, {Job: "not an id"}}}, begun)
@@ -593,14 +593,14 @@
 
 // The first report that a new owner sees may be an old copy: that it lacks a task does not
 // show that the task is not there, only one under the new token does (48).
-func TestAbsenceIsBelievedUnderTheNewTokenOnly(t *testing.T) {
+func TestMissingTaskCountsOnlyUnderTheNewToken(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		now := time.Now()
-		_, m := c.owning(9)
-		j := &cluster.Job{Spec: spec("job-1", 1, "red"), Ended: true}
+		_, m := c.leadFirstPartition(9)
+		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red"), Ended: true}
 		j.Load()
 		c.Jobs["job-1"], c.FinalStates["job-1"] = j, protocol.StatusWithdrawn
 		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true, Stopping: true, StopRequestedAt: now}
@@ -620,43 +620,43 @@
 // A withdrawal that the owner has not seen yet, since its watch brings nothing and nobody
 // tells it, still keeps what waits from being started: its record is in every start's
 // conditions (17).
-func TestNothingStartsAfterAWithdrawalThatItsOwnerHasNotSeen(t *testing.T) {
+func TestNoStartAfterACancellationUnseenByTheLeader(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 305, gapWorld, func(w *world) {
+	runConfiguredSimulation(t, 305, configureLongAnswerBound, func(w *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		w.locked(func() {
+		w.withLock(func() {
 			w.cloud.Capacity = 2 // four tasks at a time
 			w.cloud.Types = w.cloud.Types[:1]
 			w.runTime = func(string, int, string) time.Duration { return 20 * time.Second }
 		})
-		first, second := spec("job-1", 4, "green"), spec("job-2", 4, "green")
+		first, second := newJobSpec("job-1", 4, "green"), newJobSpec("job-2", 4, "green")
 		first.Urgency = protocol.High
 		w.submit(first)
 		w.submit(second)
 		time.Sleep(18 * time.Second)
-		part := w.partOf("green")
-		owner := w.owns(part)
-		w.locked(func() {
-			w.noNotices, w.state.Stuck = true, true
-			if len(w.runs("job-1")) != 4 || len(w.runs("job-2")) != 0 {
-				t.Fatalf("%d and %d tasks run", len(w.runs("job-1")), len(w.runs("job-2")))
+		part := w.partitionOf("green")
+		owner := w.leaderOf(part)
+		w.withLock(func() {
+			w.suppressNotices, w.state.Stuck = true, true
+			if len(w.machinesRunning("job-1")) != 4 || len(w.machinesRunning("job-2")) != 0 {
+				t.Fatalf("%d and %d tasks run", len(w.machinesRunning("job-1")), len(w.machinesRunning("job-2")))
 			}
 		})
-		if !w.withdrawAt(w.others(owner)[0], "job-2") {
+		if !w.cancelAt(w.otherControllers(owner)[0], "job-2") {
 			t.Fatal("not withdrawn")
 		}
 		unseen := false
 		for range 150 { // meanwhile the first job ends, and there is room
 			time.Sleep(100 * time.Millisecond)
-			w.in(owner, func(c *Controller) {
-				w.locked(func() {
+			w.onController(owner, func(c *Controller) {
+				w.withLock(func() {
 					if len(w.jobs["job-1"].tasksDone) == 0 { // up to the moment when there is
 						unseen = c.FinalStates["job-2"] == ""
 					}
 				})
 			})
-			w.locked(func() {
-				if n := len(w.runs("job-2")); n > 0 {
+			w.withLock(func() {
+				if n := len(w.machinesRunning("job-2")); n > 0 {
 					t.Fatalf("%d tasks of a withdrawn job started", n)
 				}
 			})
@@ -664,7 +664,7 @@
 		if !unseen {
 			t.Error("the owner knew of the withdrawal before there was room")
 		}
-		w.locked(func() { w.noNotices, w.state.Stuck = false, false })
+		w.withLock(func() { w.suppressNotices, w.state.Stuck = false, false })
 		time.Sleep(5 * time.Second)
 	})
 }
--- a/internal/coordination/odd_requests_test.go
+++ b/internal/coordination/odd_requests_test.go
@@ -14,22 +14,22 @@
 	"micaspindle/internal/transport"
 )
 
-// fields is a submission as a map, for spoiling.
-func fields(s *protocol.JobSpec) map[string]any {
+// submissionFields is a submission as a map, for spoiling.
+func submissionFields(s *protocol.JobSpec) map[string]any {
 	var m map[string]any
-	must(msgpack.Unmarshal(submission(s), &m))
+	panicOnError(msgpack.Unmarshal(encodeSubmission(s), &m))
 	return m
 }
 
-func encoded(m map[string]any) []byte {
+func encodeFields(m map[string]any) []byte {
 	b, err := msgpack.Marshal(m)
-	must(err)
+	panicOnError(err)
 	return b
 }
 
-// oddSubmissions are submissions of one id that must not be accepted, with the answer that
+// invalidSubmissions are submissions of one id that must not be accepted, with the answer that
 // each gets from a controller that knows the machine types.
-func oddSubmissions(id string) map[string]struct {
+func invalidSubmissions(id string) map[string]struct {
 	body []byte
 	want int
 } {
@@ -38,14 +38,14 @@
 		want int
 	}{}
 	add := func(name string, want int, change func(s *protocol.JobSpec, m map[string]any)) {
-		s := spec(id, 2, "red")
+		s := newJobSpec(id, 2, "red")
 		change(s, nil)
-		m := fields(s)
+		m := submissionFields(s)
 		change(s, m)
 		odd[name] = struct {
 			body []byte
 			want int
-		}{encoded(m), want}
+		}{encodeFields(m), want}
 	}
 	spoil := func(name, field string, value any) {
 		add(name+" "+field, 400, func(_ *protocol.JobSpec, m map[string]any) {
@@ -56,7 +56,7 @@
 	}
 	nullable := []string{"shapes_of_box", "locale", "due_s"}
 	amounts := []string{"vcpus", "gpus", "mem_gb", "image_gb", "guess_s", "snapshot_every_s", "snapshot_s"}
-	for field := range fields(spec(id, 2, "red")) {
+	for field := range submissionFields(newJobSpec(id, 2, "red")) {
 		if !slices.Contains(nullable, field) {
 			spoil("null", field, nil)
 			add("without "+field, 400, func(_ *protocol.JobSpec, m map[string]any) { delete(m, field) })
@@ -109,31 +109,31 @@
 // What can't run or is no submission is accepted by no controller, also while one of them
 // does not know the machine types yet or is cut off; of a job that is known, its state is
 // told whatever the body says (14).
-func TestOddSubmissions(t *testing.T) {
+func TestInvalidSubmissionsAreRefused(t *testing.T) {
 	t.Parallel()
-	simulate(t, 620, func(w *world) {
+	runSimulation(t, 620, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(spec("job-1", 1, "green"))
+		w.submit(newJobSpec("job-1", 1, "green"))
 		// A controller that starts while the cloud does not answer knows no types, if they
 		// were not on record.
-		w.locked(func() {
+		w.withLock(func() {
 			delete(w.state.Items, storage.CatalogKey)
 			w.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
 		})
-		w.kill("n2")
-		w.start("n2")
+		w.killController("n2")
+		w.startController("n2")
 		time.Sleep(3 * time.Second)
 		types := -1
-		w.in("n2", func(c *Controller) { types = len(c.Catalog) })
+		w.onController("n2", func(c *Controller) { types = len(c.Catalog) })
 		if types != 0 {
 			t.Fatalf("n2 knows %d machine types", types)
 		}
 		check := func(name, label string, body []byte, want ...int) {
-			if resp := w.ask(label, "POST", "/submissions", body); !slices.Contains(want, resp.Status) {
+			if resp := w.sendRequest(label, "POST", "/submissions", body); !slices.Contains(want, resp.Status) {
 				t.Errorf("%s at %s: %d, want %v", name, label, resp.Status, want)
 			}
 		}
-		odd, known := oddSubmissions("job-2"), oddSubmissions("job-1")
+		odd, known := invalidSubmissions("job-2"), invalidSubmissions("job-1")
 		for _, name := range slices.Sorted(maps.Keys(odd)) {
 			o := odd[name]
 			check(name, "n0", o.body, o.want)
@@ -150,44 +150,44 @@
 			}
 		}
 		// Nor while a controller is cut from the state service and the others.
-		w.locked(func() {
+		w.withLock(func() {
 			w.cut = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
 		})
 		for _, name := range []string{"without gpus", "larger than any type", "unknown team"} {
-			resp := w.ask("n1", "POST", "/submissions", odd[name].body)
+			resp := w.sendRequest("n1", "POST", "/submissions", odd[name].body)
 			if resp.Status == 200 || resp.Status == 201 {
 				t.Errorf("%s at a controller that is cut off: %d", name, resp.Status)
 			}
 		}
 		// A known job's repeat must not be refused there either.
 		body := known["without gpus"].body
-		if resp := w.ask("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
+		if resp := w.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
 			t.Errorf("repeat of a known job at a controller that is cut off: %d", resp.Status)
 		}
-		w.locked(func() { w.cut = nil })
+		w.withLock(func() { w.cut = nil })
 		time.Sleep(5 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			if resp := w.ask(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
+			if resp := w.sendRequest(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
 				t.Errorf("the odd job is known at %s: %d", label, resp.Status)
 			}
 		}
-		w.finish(time.Minute)
+		w.waitForAllJobs(time.Minute)
 	})
 }
 
 // Users repeat submissions of unfinished jobs, cancel those that are done and send what
 // can't run, at all controllers, while the leader ends and the state service answers late.
-func TestOddRequestsMeetTroubles(t *testing.T) {
+func TestInvalidRequestsUnderFaults(t *testing.T) {
 	t.Parallel()
-	simulate(t, 621, func(w *world) {
+	runSimulation(t, 621, func(w *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		odd := oddSubmissions("job-7")
+		odd := invalidSubmissions("job-7")
 		names := slices.Sorted(maps.Keys(odd))
-		part := w.partOf("green")
-		s := spec("job-1", 12, "green")
+		part := w.partitionOf("green")
+		s := newJobSpec("job-1", 12, "green")
 		s.DeadlineS = 0
 		w.submit(s)
-		done := spec("job-3", 1, "green")
+		done := newJobSpec("job-3", 1, "green")
 		w.submit(done)
 		for range 60 {
 			if time.Sleep(time.Second); w.poll("", done.ID) == protocol.StatusDone {
@@ -200,19 +200,19 @@
 			o := odd[names[i%len(names)]]
 			switch i {
 			case 20:
-				owner := w.owns(part)
-				w.group.Go(func() { w.crash(owner, time.Second) })
+				owner := w.leaderOf(part)
+				w.group.Go(func() { w.restartController(owner, time.Second) })
 			case 40:
-				w.locked(func() { w.lateWrites = 0.5 })
+				w.withLock(func() { w.lateTransactionShare = 0.5 })
 			case 60:
-				w.locked(func() { w.lateWrites = 0 })
-				w.outage(true)
+				w.withLock(func() { w.lateTransactionShare = 0 })
+				w.setOutage(true)
 			case 80:
-				w.outage(false)
+				w.setOutage(false)
 			}
 			for what, resp := range map[string]transport.Response{
-				"odd":    w.ask(label, "POST", "/submissions", o.body),
-				"repeat": w.ask(label, "POST", "/submissions", submission(s)),
+				"odd":    w.sendRequest(label, "POST", "/submissions", o.body),
+				"repeat": w.sendRequest(label, "POST", "/submissions", encodeSubmission(s)),
 			} {
 				if resp.Status == 0 {
 					continue
@@ -228,9 +228,9 @@
 					outcomes[what+" accepted"]++
 				}
 			}
-			if resp := w.ask(label, "POST", "/submissions/"+done.ID+"/withdraw", nil); resp.Status == 200 {
+			if resp := w.sendRequest(label, "POST", "/submissions/"+done.ID+"/withdraw", nil); resp.Status == 200 {
 				var st protocol.JobStatus
-				must(protocol.Decode(resp.Body, &st))
+				panicOnError(protocol.Decode(resp.Body, &st))
 				if st.Status != protocol.StatusDone {
 					t.Errorf("a done job is told %s", st.Status)
 				}
@@ -241,6 +241,6 @@
 		if outcomes["repeat accepted"] < 20 || outcomes["odd refused"] < 60 || outcomes["cancelled though done"] < 60 {
 			t.Errorf("asked too little: %v", outcomes)
 		}
-		w.finish(2 * time.Minute)
+		w.waitForAllJobs(2 * time.Minute)
 	})
 }
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -11,42 +11,42 @@
 	"micaspindle/internal/transport"
 )
 
-// operations asks a controller as an operator does.
-func (w *world) operations(who, label, path string) transport.Response {
+// requestOperations asks a controller as an operator does.
+func (w *simulatedCluster) requestOperations(who, label, path string) transport.Response {
 	w.mu.Lock()
-	n := w.nodes[label]
+	n := w.controllers[label]
 	w.mu.Unlock()
 	req := &transport.Request{Method: "GET", Path: path, From: "10.9.0.2:4000"}
 	if who != "" {
-		req.Authorization = w.ids.authorization(who)
+		req.Authorization = w.identities.authorization(who)
 	}
-	return n.ctl.ServeOperations(w.ctx, req)
+	return n.controller.ServeOperations(w.ctx, req)
 }
 
 // Sums over all queues are for those who may view all of them.
-func TestWhoMaySeeTheWhole(t *testing.T) {
+func TestOperationsRequireRightsOnAllQueues(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 5, func(w *world) {
-		w.expect(200, w.operations("person/root", "n0", "/overview"))
-		w.expect(200, w.operations("person/partner", "n0", "/metrics")) // a guest views everything
-		w.expect(403, w.operations("person/anna", "n0", "/overview"))   // one team's clerk
-		w.expect(403, w.operations("service/refunds", "n0", "/metrics"))
-		w.expect(401, w.operations("", "n0", "/overview"))
-		w.expect(404, w.operations("person/root", "n0", "/submissions"))
+	runSimulationWithIdentities(t, 5, func(w *simulatedCluster) {
+		w.expectStatus(200, w.requestOperations("person/root", "n0", "/overview"))
+		w.expectStatus(200, w.requestOperations("person/partner", "n0", "/metrics")) // a guest views everything
+		w.expectStatus(403, w.requestOperations("person/anna", "n0", "/overview"))   // one team's clerk
+		w.expectStatus(403, w.requestOperations("service/refunds", "n0", "/metrics"))
+		w.expectStatus(401, w.requestOperations("", "n0", "/overview"))
+		w.expectStatus(404, w.requestOperations("person/root", "n0", "/submissions"))
 	})
 }
 
 // What is told is what is: jobs, machines, who owns, how long it took.
-func TestTheOverviewIsTrue(t *testing.T) {
+func TestOverviewShowsTheClusterState(t *testing.T) {
 	t.Parallel()
-	simulatePrepared(t, 6, func(w *world) { w.op.Operations = &settings.Operations{} }, func(w *world) {
+	runConfiguredSimulation(t, 6, func(w *simulatedCluster) { w.operator.Operations = &settings.Operations{} }, func(w *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		w.submit(spec("job-1", 6, "green"))
+		w.submit(newJobSpec("job-1", 6, "green"))
 		time.Sleep(20 * time.Second)
 		var owned, tasks, machines int
-		for label := range w.nodes {
+		for label := range w.controllers {
 			var v overview.View
-			must(protocol.Decode(w.expect(200, w.operations("", label, "/overview")).Body, &v))
+			panicOnError(protocol.Decode(w.expectStatus(200, w.requestOperations("", label, "/overview")).Body, &v))
 			if v.Controller != label || !v.Ready {
 				t.Errorf("%+v", v)
 			}
@@ -57,12 +57,12 @@
 			}
 		}
 		w.mu.Lock()
-		parts := w.set.Params.Count
+		parts := w.settings.Params.Count
 		w.mu.Unlock()
 		if owned != parts || machines == 0 || tasks > 6 {
 			t.Errorf("%d parts of %d, %d machines, %d tasks", owned, parts, machines, tasks)
 		}
-		body := string(w.operations("", "n0", "/metrics").Body)
+		body := string(w.requestOperations("", "n0", "/metrics").Body)
 		for _, want := range []string{"micaspindle_wait_seconds_bucket{what=\"submission\"", "micaspindle_part_machines", "micaspindle_ready 1"} {
 			if !strings.Contains(body, want) {
 				t.Errorf("%s is not told", want)
--- a/internal/coordination/partition/partition_test.go
+++ b/internal/coordination/partition/partition_test.go
@@ -6,7 +6,7 @@
 	"micaspindle/internal/settings"
 )
 
-func TestTeamsAreBalancedOverParts(t *testing.T) {
+func TestTeamsAreBalancedOverPartitions(t *testing.T) {
 	teams := []settings.Team{{CPUs: 10}, {CPUs: 100}, {CPUs: 50}, {CPUs: 50}, {CPUs: 10}}
 	load := make([]float64, 2)
 	for i, p := range Assign(teams, 2) {
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -20,12 +20,12 @@
 	"micaspindle/internal/transport"
 )
 
-var update = flag.Bool("update", false, "write testdata/plans.txt anew")
+var updatePlans = flag.Bool("update", false, "write testdata/plans.txt anew")
 
-// nowhere is a network on which nothing answers.
-type nowhere struct{}
+// unresponsiveNetwork is a network on which nothing answers.
+type unresponsiveNetwork struct{}
 
-func (nowhere) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
+func (unresponsiveNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -33,15 +33,15 @@
 // The plans for some hundred random worlds, against those on record: order of work,
 // placement, preemption, moves, rentals, returns. Guards against a change of behaviour
 // where none is meant; one that is meant writes them anew: go test -run TestPlans -update
-func TestPlansStayTheSame(t *testing.T) {
+func TestSchedulingDecisionsMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	const file = "testdata/plans.txt"
 	var all strings.Builder
 	for seed := range uint64(120) {
 		fmt.Fprintf(&all, "seed %d\n", seed)
-		synctest.Test(t, func(t *testing.T) { all.WriteString(plansOf(t, seed)) })
+		synctest.Test(t, func(t *testing.T) { all.WriteString(describePlans(t, seed)) })
 	}
-	if *update {
+	if *updatePlans {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -72,15 +72,15 @@
 	}
 }
 
-// plansOf makes a world from a seed and tells what is planned for it. Idle machines
+// describePlans makes a world from a seed and tells what is planned for it. Idle machines
 // of a part are of one kind, so that the order among equals does not show.
-func plansOf(t *testing.T, seed uint64) string {
+func describePlans(t *testing.T, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	w := newWorld(t, 3)
-	w.set.Label = "n0"
+	w := newSimulatedCluster(t, 3)
+	w.settings.Label = "n0"
 	op := settings.DefaultOperator()
 	ctx, cancel := context.WithCancel(context.Background())
-	c := newTestController(ctx, &w.set, op)
+	c := newTestController(ctx, &w.settings, op)
 	defer func() {
 		cancel()
 		c.loop.Abandon()
@@ -110,10 +110,10 @@
 			m.Lost = rng.IntN(15) == 0
 		}
 	}
-	teams := w.set.Params.Teams
+	teams := w.settings.Params.Teams
 	add := func(n, from int) {
 		for i := range n {
-			s := spec(fmt.Sprintf("job-%d", from+i), 1+rng.IntN(12), teams[rng.IntN(len(teams))].Name)
+			s := newJobSpec(fmt.Sprintf("job-%d", from+i), 1+rng.IntN(12), teams[rng.IntN(len(teams))].Name)
 			s.Urgency = protocol.Urgency(rng.IntN(4))
 			s.CPUs, s.MemGB = float64(1+rng.IntN(6)), float64(1+rng.IntN(8))
 			s.EstimateS, s.DeadlineS = float64(2+rng.IntN(60)), float64(rng.IntN(3)*(10+rng.IntN(120)))
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -20,25 +20,25 @@
 	return []Team{{Guarantee: sixteen, Used: binpack.Compute{CPUs: 20}}, {Guarantee: sixteen, Used: binpack.Compute{CPUs: 8}}, {Used: binpack.Compute{CPUs: 4}}}
 }
 
-// must is a job that has to start now.
-func must(team int, u protocol.Urgency) Job {
+// testJob is a job that has to start now.
+func testJob(team int, u protocol.Urgency) Job {
 	return Job{Team: team, Urgency: u, Resources: binpack.Resources{CPUs: 4, MemGB: 4}, Constraints: binpack.Constraints{Spot: true}, Due: now.Add(15 * time.Second), EstimateS: 10, Waiting: 1}
 }
 
 // Who may be stopped for whom: PROTOCOL, "Preemption".
-func TestOnlyWhatTheProtocolAllows(t *testing.T) {
+func TestMayPreempt(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		job, victim Job
 		used        float64 // of red
 		want        bool
 	}{
-		{"lower urgency", must(red, protocol.High), must(blue, protocol.Standard), 20, true},
-		{"same urgency, not guaranteed", must(red, protocol.High), must(green, protocol.High), 20, false},
-		{"guaranteed, other team beyond its own", must(blue, protocol.Low), must(red, protocol.Production), 20, true},
-		{"guaranteed, other team without a guarantee", must(blue, protocol.Low), must(green, protocol.High), 20, true},
-		{"guaranteed, own team", must(blue, protocol.Low), must(blue, protocol.Low), 20, false},
-		{"guaranteed, other team within its own", must(blue, protocol.Low), must(red, protocol.Low), 16, false},
+		{"lower urgency", testJob(red, protocol.High), testJob(blue, protocol.Standard), 20, true},
+		{"same urgency, not guaranteed", testJob(red, protocol.High), testJob(green, protocol.High), 20, false},
+		{"guaranteed, other team beyond its own", testJob(blue, protocol.Low), testJob(red, protocol.Production), 20, true},
+		{"guaranteed, other team without a guarantee", testJob(blue, protocol.Low), testJob(green, protocol.High), 20, true},
+		{"guaranteed, own team", testJob(blue, protocol.Low), testJob(blue, protocol.Low), 20, false},
+		{"guaranteed, other team within its own", testJob(blue, protocol.Low), testJob(red, protocol.Low), 16, false},
 	} {
 		tc.victim.Waiting = 0
 		v := View{Now: now, Teams: teams(), Jobs: []Job{tc.job, tc.victim}, Tasks: []Task{{Job: 1, Name: "job-2/0", Loss: 1}},
@@ -53,7 +53,7 @@
 func TestDecide(t *testing.T) {
 	two := []Task{{Job: 1, Name: "a", Loss: 30}, {Job: 1, Name: "b", Loss: 5}}
 	each := []Machine{{Name: "m-1", Tasks: []int{0}}, {Name: "m-2", Tasks: []int{1}}}
-	low := must(blue, protocol.Low)
+	low := testJob(blue, protocol.Low)
 	low.Waiting = 0
 	for name, c := range map[string]struct {
 		change func(*View)
@@ -80,7 +80,7 @@
 			v.Teams[red].Limit.CPUs = 20
 		}, []Stop{{Task: 1, OwnLimit: true}}},
 	} {
-		v := View{Now: now, Teams: teams(), Jobs: []Job{must(red, protocol.High), low}, Tasks: append([]Task(nil), two...), Machines: each}
+		v := View{Now: now, Teams: teams(), Jobs: []Job{testJob(red, protocol.High), low}, Tasks: append([]Task(nil), two...), Machines: each}
 		c.change(&v)
 		if got := Decide(v); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -90,12 +90,12 @@
 
 // Random parts: the same view gives the same stops; nothing is stopped twice, that
 // stops already, or that the rule keeps.
-func TestStopsAreSound(t *testing.T) {
+func TestPreemptionsRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		v := View{Now: now, Teams: teams()}
 		for range 2 + rng.IntN(10) {
-			j := must(rng.IntN(3), protocol.Urgency(rng.IntN(4)))
+			j := testJob(rng.IntN(3), protocol.Urgency(rng.IntN(4)))
 			j.Waiting, j.Due = rng.IntN(4), now.Add(time.Duration(8+rng.IntN(12))*time.Second)
 			v.Jobs = append(v.Jobs, j)
 		}
--- a/internal/coordination/random_meetings_test.go
+++ b/internal/coordination/random_meetings_test.go
@@ -17,36 +17,36 @@
 	"micaspindle/internal/storage"
 )
 
-// meeting is one trouble of a plan. It begins at a time, or with the next write of a kind
+// plannedFault is one trouble of a plan. It begins at a time, or with the next write of a kind
 // after it, so that it falls into a step of a takeover, hand-over, commit or withdrawal.
-type meeting struct {
+type plannedFault struct {
 	At, For time.Duration
 	Kind    string
 	// Arg picks whom it befalls, Share of how many or how much.
 	Arg   int
 	Share float64
-	// With is the kind of the write that it waits for; "": none.
-	With string
+	// OnWrite is the kind of the write that it waits for; "": none.
+	OnWrite string
 }
 
-func (m meeting) String() string {
-	return fmt.Sprintf("{At: %d, For: %d, Kind: %q, Arg: %d, Share: %.2f, With: %q},", m.At, m.For, m.Kind, m.Arg, m.Share, m.With)
+func (m plannedFault) String() string {
+	return fmt.Sprintf("{At: %d, For: %d, Kind: %q, Arg: %d, Share: %.2f, With: %q},", m.At, m.For, m.Kind, m.Arg, m.Share, m.OnWrite)
 }
 
-var meetingKinds = []string{"late writes", "lost answers", "late reports", "old reports", "deaf", "mute", "refused", "cut from all but workers",
+var faultKinds = []string{"late writes", "lost answers", "late reports", "old reports", "deaf", "mute", "refused", "cut from all but workers",
 	"cut from workers", "cut off", "outage", "watches stuck", "crash", "crash of all", "away", "still", "hand-over", "hang", "die", "cancel now", "cancel at end",
 	"zone cut", "lost messages", "cloud down", "late commands", "late commands", "lost command answers", "slow links"}
 
-var meetingSteps = []string{"", "", "claim", "leader", "life", "final", "run", "machine"}
+var faultTriggers = []string{"", "", "claim", "leader", "life", "final", "run", "machine"}
 
-// drawMeetings draws troubles that overlap, two to four at a time.
-func drawMeetings(seed uint64) (plan []meeting) {
+// drawFaultPlan draws troubles that overlap, two to four at a time.
+func drawFaultPlan(seed uint64) (plan []plannedFault) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for pair := range 5 {
 		at := time.Duration(10+pair*22)*time.Second + time.Duration(rng.IntN(8000))*time.Millisecond
 		for range 2 + rng.IntN(3) {
-			m := meeting{Kind: meetingKinds[rng.IntN(len(meetingKinds))], At: at + time.Duration(rng.IntN(4000))*time.Millisecond,
-				Arg: rng.IntN(1000), Share: 0.1 + 0.6*rng.Float64(), With: meetingSteps[rng.IntN(len(meetingSteps))]}
+			m := plannedFault{Kind: faultKinds[rng.IntN(len(faultKinds))], At: at + time.Duration(rng.IntN(4000))*time.Millisecond,
+				Arg: rng.IntN(1000), Share: 0.1 + 0.6*rng.Float64(), OnWrite: faultTriggers[rng.IntN(len(faultTriggers))]}
 			m.For = time.Duration(500+rng.IntN(15_000)) * time.Millisecond
 			if rng.IntN(5) == 0 {
 				m.For *= 2
@@ -54,14 +54,14 @@
 			plan = append(plan, m)
 		}
 	}
-	slices.SortStableFunc(plan, func(a, b meeting) int { return int(a.At - b.At) })
+	slices.SortStableFunc(plan, func(a, b plannedFault) int { return int(a.At - b.At) })
 	return plan
 }
 
-// steps tells of writes to the state service by kind.
-type steps struct{ wait map[string]chan struct{} }
+// writeObserver tells of writes to the state service by kind.
+type writeObserver struct{ waiting map[string]chan struct{} }
 
-func stepOf(key string) string {
+func writeKind(key string) string {
 	switch kind, _ := storage.ParseKey(key); kind {
 	case storage.KindLease:
 		return "claim"
@@ -82,29 +82,29 @@
 	return ""
 }
 
-// follow makes the world tell of writes.
-func (s *steps) follow(w *world) {
-	s.wait = map[string]chan struct{}{}
+// observe makes the world tell of writes.
+func (s *writeObserver) observe(w *simulatedCluster) {
+	s.waiting = map[string]chan struct{}{}
 	check := w.state.BeforePut
 	w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 		check(c, old, exists)
-		if ch := s.wait[stepOf(c.Put)]; ch != nil {
+		if ch := s.waiting[writeKind(c.Put)]; ch != nil {
 			close(ch)
-			delete(s.wait, stepOf(c.Put))
+			delete(s.waiting, writeKind(c.Put))
 		}
 	}
 }
 
-// next is closed with the next write of a kind. The lock is held.
-func (s *steps) next(kind string) chan struct{} {
-	if s.wait[kind] == nil {
-		s.wait[kind] = make(chan struct{})
+// nextWrite is closed with the next write of a kind. The lock is held.
+func (s *writeObserver) nextWrite(kind string) chan struct{} {
+	if s.waiting[kind] == nil {
+		s.waiting[kind] = make(chan struct{})
 	}
-	return s.wait[kind]
+	return s.waiting[kind]
 }
 
-// some picks every nth of the machines that are up.
-func (w *world) some(m meeting) (names []string) {
+// selectMachines picks every nth of the machines that are up.
+func (w *simulatedCluster) selectMachines(m plannedFault) (names []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, name := range slices.Sorted(maps.Keys(w.workers)) {
@@ -115,18 +115,18 @@
 	return names
 }
 
-// locked runs something with the world's lock held.
-func (w *world) locked(f func()) {
+// withLock runs something with the world's lock held.
+func (w *simulatedCluster) withLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-// crash ends a controller and starts it again.
-func (w *world) crash(label string, away time.Duration) {
+// restartController ends a controller and starts it again.
+func (w *simulatedCluster) restartController(label string, away time.Duration) {
 	w.mu.Lock()
-	n := w.nodes[label]
-	delete(w.nodes, label)
+	n := w.controllers[label]
+	delete(w.controllers, label)
 	w.mu.Unlock()
 	if n == nil {
 		return
@@ -134,35 +134,35 @@
 	n.cancel()
 	<-n.done
 	time.Sleep(away)
-	w.start(label)
+	w.startController(label)
 }
 
-// bring waits for a trouble's moment, lets it happen and ends it.
-func (w *world) bring(m meeting, begun time.Time, patience time.Duration) {
+// injectAtTrigger waits for a trouble's moment, lets it happen and ends it.
+func (w *simulatedCluster) injectAtTrigger(m plannedFault, begun time.Time, patience time.Duration) {
 	time.Sleep(time.Until(begun.Add(m.At)))
-	if m.With != "" {
+	if m.OnWrite != "" {
 		var next chan struct{}
-		w.locked(func() { next = w.steps.next(m.With) })
+		w.withLock(func() { next = w.writes.nextWrite(m.OnWrite) })
 		select {
 		case <-next:
 		case <-time.After(patience):
 		}
 	}
-	w.befall(m)
+	w.inject(m)
 }
 
-// befall lets a trouble happen and ends it.
-func (w *world) befall(m meeting) {
+// inject lets a trouble happen and ends it.
+func (w *simulatedCluster) inject(m plannedFault) {
 	label := fmt.Sprint("n", m.Arg%3)
 	back := []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[m.Arg/3%3]
 	// during sets something for the trouble's time.
 	during := func(set func(on bool)) {
-		w.locked(func() { set(true) })
+		w.withLock(func() { set(true) })
 		time.Sleep(m.For)
-		w.locked(func() { set(false) })
+		w.withLock(func() { set(false) })
 	}
 	mark := func(marked *map[string]bool) {
-		names := w.some(m)
+		names := w.selectMachines(m)
 		during(func(on bool) {
 			if *marked == nil {
 				*marked = map[string]bool{}
@@ -181,35 +181,35 @@
 	switch m.Kind {
 	case "late writes", "lost answers":
 		during(func(on bool) {
-			w.lateWrites, w.atOnce = 0, false
+			w.lateTransactionShare, w.loseAnswersOnly = 0, false
 			if on {
-				w.lateWrites, w.atOnce = m.Share, m.Kind == "lost answers"
+				w.lateTransactionShare, w.loseAnswersOnly = m.Share, m.Kind == "lost answers"
 			}
 		})
 	case "late reports", "old reports":
 		during(func(on bool) {
-			w.lateReports, w.forNext = 0, false
+			w.duplicatedHeartbeatShare, w.keepForReplay = 0, false
 			if on {
-				w.lateReports, w.forNext = m.Share, m.Kind == "old reports"
+				w.duplicatedHeartbeatShare, w.keepForReplay = m.Share, m.Kind == "old reports"
 			}
 		})
 		if m.Kind == "old reports" {
 			var next chan struct{}
-			w.locked(func() { next = w.steps.next("claim") })
+			w.withLock(func() { next = w.writes.nextWrite("claim") })
 			select {
 			case <-next:
 			case <-time.After(15 * time.Second):
 			}
-			w.replay()
+			w.replayHeartbeats()
 		}
 	case "deaf":
-		mark(&w.deaf)
+		mark(&w.inboundLost)
 	case "mute":
-		mark(&w.mute)
+		mark(&w.outboundLost)
 	case "refused":
-		w.refuse(label, true)
+		w.setStateServiceRefusal(label, true)
 		time.Sleep(m.For)
-		w.refuse(label, false)
+		w.setStateServiceRefusal(label, false)
 	case "cut from all but workers":
 		cut(func(from, host string) bool {
 			return from == label && (host == "state" || node(host)) || host == label && node(from)
@@ -221,7 +221,7 @@
 	case "zone cut":
 		zone := []string{"a", "b"}[m.Arg%2]
 		inside := map[string]bool{}
-		w.locked(func() {
+		w.withLock(func() {
 			for name, wk := range w.workers {
 				inside[name] = wk.Zone == zone
 			}
@@ -230,43 +230,43 @@
 			return from != label && inside[host] || from == label && strings.HasPrefix(host, "m-") && !inside[host]
 		})
 	case "outage":
-		w.outage(true)
+		w.setOutage(true)
 		time.Sleep(m.For * 2)
-		w.outage(false)
+		w.setOutage(false)
 	case "watches stuck":
 		during(func(on bool) { w.state.Stuck = on })
 	case "crash":
-		w.crash(label, back)
+		w.restartController(label, back)
 	case "crash of all", "away":
 		if m.Kind == "away" {
-			back = time.Duration(w.set.Params.Workers.LeaseS+2) * time.Second
+			back = time.Duration(w.settings.Params.Workers.LeaseS+2) * time.Second
 		}
 		done := make(chan struct{}, 3)
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.group.Go(func() { w.crash(l, back); done <- struct{}{} })
+			w.group.Go(func() { w.restartController(l, back); done <- struct{}{} })
 		}
 		for range 3 {
 			<-done
 		}
 	case "still":
-		w.hold(label, min(m.For, 12*time.Second))
+		w.pauseController(label, min(m.For, 12*time.Second))
 	case "hand-over":
 		w.mu.Lock()
-		n := w.nodes[label]
+		n := w.controllers[label]
 		w.mu.Unlock()
 		if n != nil {
-			n.ctl.HandOver(w.ctx)
-			w.crash(label, back)
+			n.controller.HandOver(w.ctx)
+			w.restartController(label, back)
 		}
 	case "hang":
-		for _, name := range w.some(m) {
-			w.hang(name, m.For)
+		for _, name := range w.selectMachines(m) {
+			w.hangMachine(name, m.For)
 		}
 		time.Sleep(m.For)
 	case "die":
-		for i, name := range w.some(m) {
+		for i, name := range w.selectMachines(m) {
 			if i < 3 {
-				w.locked(func() {
+				w.withLock(func() {
 					if wk := w.workers[name]; wk != nil {
 						wk.Off()
 						delete(w.workers, name)
@@ -276,9 +276,9 @@
 		}
 	case "cancel now":
 		var ids []string
-		w.locked(func() {
+		w.withLock(func() {
 			for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-				if uj := w.jobs[id]; !uj.accepted.IsZero() && uj.ended == "" && !uj.asked && len(w.runs(id)) > 0 {
+				if uj := w.jobs[id]; !uj.acceptedAt.IsZero() && uj.finalStatus == "" && !uj.cancelRequested && len(w.machinesRunning(id)) > 0 {
 					ids = append(ids, id)
 				}
 			}
@@ -288,38 +288,38 @@
 				continue
 			}
 			var on []string
-			w.locked(func() { on = w.runs(id) })
-			w.group.Go(func() { w.insist(id, m.Arg+i) })
+			w.withLock(func() { on = w.machinesRunning(id) })
+			w.group.Go(func() { w.cancelUntilAnswered(id, m.Arg+i) })
 			if m.Arg%2 == 0 {
 				for _, name := range on {
-					w.hang(name, m.For)
+					w.hangMachine(name, m.For)
 				}
 			}
 		}
 	case "cancel at end":
 		during(func(on bool) {
-			w.atEnd = nil
+			w.cancelAtEnd = nil
 			if on {
-				w.atEnd = func(job string) bool { return len(job)%2 == m.Arg%2 }
+				w.cancelAtEnd = func(job string) bool { return len(job)%2 == m.Arg%2 }
 			}
 		})
 	case "lost messages":
 		during(func(on bool) {
-			w.trouble = 0
+			w.messageFaultRate = 0
 			if on {
-				w.trouble = 0.05
+				w.messageFaultRate = 0.05
 			}
 		})
 	case "late commands", "lost command answers":
 		during(func(on bool) {
-			if w.lateCommands = nil; on {
-				w.lateCommands = &lateCommands{share: m.Share, atOnce: m.Kind == "lost command answers"}
+			if w.delayedCommands = nil; on {
+				w.delayedCommands = &commandDelayFault{share: m.Share, loseAnswersOnly: m.Kind == "lost command answers"}
 			}
 		})
 	case "slow links":
 		during(func(on bool) {
-			if w.slowLinks = 0; on {
-				w.slowLinks = 700 * time.Millisecond
+			if w.linkDelayMax = 0; on {
+				w.linkDelayMax = 700 * time.Millisecond
 			}
 		})
 	case "cloud down":
@@ -329,10 +329,10 @@
 	}
 }
 
-// insist withdraws a job at one controller after another until it is answered.
-func (w *world) insist(id string, first int) {
+// cancelUntilAnswered withdraws a job at one controller after another until it is answered.
+func (w *simulatedCluster) cancelUntilAnswered(id string, first int) {
 	for i := range 120 {
-		if w.withdrawAt(fmt.Sprint("n", (first+i)%3), id) {
+		if w.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
 			return
 		}
 		select {
@@ -341,15 +341,15 @@
 			return
 		}
 	}
-	w.locked(func() { w.breakRule("withdrawal of %s was never answered", id) })
+	w.withLock(func() { w.recordViolation("withdrawal of %s was never answered", id) })
 }
 
-// meetAll plays a plan beside users who submit, ask and withdraw.
-func meetAll(w *world, seed uint64, plan []meeting) {
+// runFaultPlan plays a plan beside users who submit, ask and withdraw.
+func runFaultPlan(w *simulatedCluster, seed uint64, plan []plannedFault) {
 	rng := rand.New(rand.NewPCG(seed, 78))
 	time.Sleep(2 * time.Second)
-	w.locked(func() {
-		w.steps.follow(w)
+	w.withLock(func() {
+		w.writes.observe(w)
 		w.runTime = func(job string, task int, _ string) time.Duration {
 			return time.Duration(3+(len(job)*7+task*5+int(job[len(job)-1]))%30) * time.Second
 		}
@@ -359,13 +359,13 @@
 	for _, m := range plan {
 		w.group.Go(func() {
 			defer func() { over <- struct{}{} }()
-			w.bring(m, begun, 5*time.Second)
+			w.injectAtTrigger(m, begun, 5*time.Second)
 		})
 	}
 	var ids []string
 	for i := range 40 {
 		time.Sleep(time.Duration(500+rng.IntN(4500)) * time.Millisecond)
-		s := spec(fmt.Sprintf("job-%d", i), 1+rng.IntN(w.stormTasks), []string{"red", "blue", "green"}[rng.IntN(3)])
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+rng.IntN(w.jobTasksMax), []string{"red", "blue", "green"}[rng.IntN(3)])
 		s.Urgency = protocol.Urgency(rng.IntN(4))
 		switch rng.IntN(8) {
 		case 0:
@@ -384,32 +384,32 @@
 		late := rng.IntN(4) == 0
 		after := time.Duration(rng.IntN(9000)) * time.Millisecond
 		ids = append(ids, s.ID)
-		w.locked(func() { w.jobs[s.ID] = &userJob{spec: s, tasksDone: map[int]bool{}} })
+		w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
 		w.group.Go(func() {
-			w.offer(s, first)
+			w.submitUntilAccepted(s, first)
 			if late {
 				time.Sleep(after)
-				w.insist(s.ID, first+1)
+				w.cancelUntilAnswered(s.ID, first+1)
 			}
 		})
 	}
 	for range plan {
 		<-over
 	}
-	w.locked(func() {
-		w.lateWrites, w.lateReports, w.trouble, w.atEnd, w.lateCommands, w.slowLinks = 0, 0, 0, nil, nil, 0
+	w.withLock(func() {
+		w.lateTransactionShare, w.duplicatedHeartbeatShare, w.messageFaultRate, w.cancelAtEnd, w.delayedCommands, w.linkDelayMax = 0, 0, 0, nil, nil, 0
 	})
 	// More work may be waiting than five minutes take, behind a team's limit say; but as
 	// long as any waits, some of it must end.
 	for ended := -1; ; {
-		now := w.endedTasks()
+		now := w.countFinishedTasks()
 		if now == ended {
 			break
 		}
 		ended = now
-		time.Sleep(longestTask + startedWithin)
+		time.Sleep(longestTaskRunTime + startedWithin)
 	}
-	w.finish(time.Minute)
+	w.waitForAllJobs(time.Minute)
 	for _, id := range ids {
 		for _, l := range []string{"n0", "n1", "n2"} {
 			w.poll(l, id)
@@ -417,14 +417,14 @@
 	}
 }
 
-// longestTask is how long the longest tasks of random meetings run.
-const longestTask = 33 * time.Second
+// longestTaskRunTime is how long the longest tasks of random meetings run.
+const longestTaskRunTime = 33 * time.Second
 
-// endedTasks is how many tasks are done, or over with their cancelled jobs.
-func (w *world) endedTasks() (n int) {
-	w.locked(func() {
+// countFinishedTasks is how many tasks are done, or over with their cancelled jobs.
+func (w *simulatedCluster) countFinishedTasks() (n int) {
+	w.withLock(func() {
 		for _, uj := range w.jobs {
-			if n += len(uj.tasksDone); uj.ended == protocol.StatusWithdrawn {
+			if n += len(uj.tasksDone); uj.finalStatus == protocol.StatusWithdrawn {
 				n += uj.spec.Tasks - len(uj.tasksDone)
 			}
 		}
@@ -432,20 +432,20 @@
 	return n
 }
 
-// offer submits a job at one controller after another until it is accepted.
-func (w *world) offer(s *protocol.JobSpec, first int) {
+// submitUntilAccepted submits a job at one controller after another until it is accepted.
+func (w *simulatedCluster) submitUntilAccepted(s *protocol.JobSpec, first int) {
 	for i := range 120 {
-		resp := w.ask(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", submission(s))
+		resp := w.sendRequest(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", encodeSubmission(s))
 		switch resp.Status {
 		case 200, 201:
-			w.locked(func() {
-				if uj := w.jobs[s.ID]; uj.accepted.IsZero() {
-					uj.accepted = time.Now()
+			w.withLock(func() {
+				if uj := w.jobs[s.ID]; uj.acceptedAt.IsZero() {
+					uj.acceptedAt = time.Now()
 				}
 			})
 			return
 		case 400:
-			w.locked(func() { w.breakRule("submission of %s got 400", s.ID) })
+			w.withLock(func() { w.recordViolation("submission of %s got 400", s.ID) })
 			return
 		case 422: // what it depends on was never accepted yet
 		}
@@ -457,19 +457,19 @@
 	}
 }
 
-// cuts are the cuts that hold at a time.
-type cuts struct {
-	next int
-	all  map[int]func(from, host string) bool
+// networkCuts are the cuts that hold at a time.
+type networkCuts struct {
+	lastID int
+	active map[int]func(from, host string) bool
 }
 
-func (c *cuts) add(w *world, what func(from, host string) bool) int {
+func (c *networkCuts) add(w *simulatedCluster, what func(from, host string) bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if c.all == nil {
-		c.all = map[int]func(from, host string) bool{}
+	if c.active == nil {
+		c.active = map[int]func(from, host string) bool{}
 		w.cut = func(from, host string) bool {
-			for _, f := range c.all {
+			for _, f := range c.active {
 				if f(from, host) {
 					return true
 				}
@@ -477,20 +477,20 @@
 			return false
 		}
 	}
-	c.next++
-	c.all[c.next] = what
-	return c.next
+	c.lastID++
+	c.active[c.lastID] = what
+	return c.lastID
 }
 
-func (c *cuts) end(w *world, id int) {
+func (c *networkCuts) end(w *simulatedCluster, id int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(c.all, id)
+	delete(c.active, id)
 }
 
-// meetingsOf is how many plans to play: MICASPINDLE_MEETINGS says it, and from which seed
+// seedRange is how many plans to play: MICASPINDLE_MEETINGS says it, and from which seed
 // on MICASPINDLE_MEETINGS_FROM; CI plays a few.
-func meetingsOf(few int) (from, count uint64) {
+func seedRange(few int) (from, count uint64) {
 	count = uint64(few)
 	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_MEETINGS")); err == nil {
 		count = uint64(n)
@@ -501,34 +501,34 @@
 	return from, count
 }
 
-// ground is the world that a meeting takes place in: a small one, one whose owners let
+// clusterVariant is the world that a meeting takes place in: a small one, one whose owners let
 // others carry their machines' connections, one with many machines, and one in which a
 // controller is of a version that knows neither copies, shares nor cancellation notices.
-func ground(seed uint64) func(w *world) {
-	return func(w *world) {
-		announce(w)
-		w.cloud.Capacity, w.stormTasks = 16, 4
+func clusterVariant(seed uint64) func(w *simulatedCluster) {
+	return func(w *simulatedCluster) {
+		announceLowerLimits(w)
+		w.cloud.Capacity, w.jobTasksMax = 16, 4
 		switch seed % 4 {
 		case 1:
-			crowded(w)
-			w.stormTasks = 8
+			configureFewSockets(w)
+			w.jobTasksMax = 8
 		case 2:
-			w.cloud.Capacity, w.stormTasks = 90, 60
-			w.set.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 120}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
-			w.set.Params.State.RPS, w.set.Params.State.WriteRPS = 600, 200
+			w.cloud.Capacity, w.jobTasksMax = 90, 60
+			w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 120}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
+			w.settings.Params.State.RPS, w.settings.Params.State.WriteRPS = 600, 200
 		case 3:
-			w.old = map[string]bool{"n1": true}
+			w.oldVersions = map[string]bool{"n1": true}
 		}
 	}
 }
 
-// meetingsWithout are the numbers of the meetings that MICASPINDLE_MEETINGS_WITHOUT names.
-func meetingsWithout() []string {
+// excludedFaults are the numbers of the meetings that MICASPINDLE_MEETINGS_WITHOUT names.
+func excludedFaults() []string {
 	return strings.Split(os.Getenv("MICASPINDLE_MEETINGS_WITHOUT"), ",")
 }
 
-// leavingOut is a plan less the meetings that drop names by number.
-func leavingOut(plan []meeting, drop []string) (kept []meeting) {
+// withoutFaults is a plan less the meetings that drop names by number.
+func withoutFaults(plan []plannedFault, drop []string) (kept []plannedFault) {
 	for i, m := range plan {
 		if !slices.Contains(drop, strconv.Itoa(i)) {
 			kept = append(kept, m)
@@ -537,9 +537,9 @@
 	return kept
 }
 
-// shrunk is what is left of a failing plan if meetings are left out one by one, as long as
+// minimizePlan is what is left of a failing plan if meetings are left out one by one, as long as
 // the test still fails without them; each try is a run of its own.
-func shrunk(t *testing.T, plan []meeting) []meeting {
+func minimizePlan(t *testing.T, plan []plannedFault) []plannedFault {
 	var drop []string
 	for i := range plan {
 		try := strings.Join(append(slices.Clone(drop), strconv.Itoa(i)), ",")
@@ -549,23 +549,23 @@
 			drop = strings.Split(try, ",")
 		}
 	}
-	return leavingOut(plan, drop)
+	return withoutFaults(plan, drop)
 }
 
 // Random meetings: pairs of troubles drawn from a seed, while jobs are submitted, run and
 // are withdrawn. A plan that fails is printed as rows; with MICASPINDLE_MEETINGS_SHRINK set,
 // without those that it fails without.
-func TestRandomMeetings(t *testing.T) {
+func TestRandomConcurrentFaults(t *testing.T) {
 	t.Parallel()
-	from, count := meetingsOf(12)
+	from, count := seedRange(12)
 	for seed := from; seed < from+count; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			plan := leavingOut(drawMeetings(seed), meetingsWithout())
-			simulatePrepared(t, 20_000+seed, ground(seed), func(w *world) { meetAll(w, seed, plan) })
+			plan := withoutFaults(drawFaultPlan(seed), excludedFaults())
+			runConfiguredSimulation(t, 20_000+seed, clusterVariant(seed), func(w *simulatedCluster) { runFaultPlan(w, seed, plan) })
 			if t.Failed() {
 				if os.Getenv("MICASPINDLE_MEETINGS_SHRINK") != "" {
-					plan = shrunk(t, plan)
+					plan = minimizePlan(t, plan)
 				}
 				for _, m := range plan {
 					t.Log(m)
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -18,7 +18,7 @@
 		{Name: "small", CPUs: 8, MemGB: 16, Price: 1.2, SpotPrice: 0.2, BootS: 5, ZonesOffered: []string{"a"}}}
 )
 
-func world(parts int) View {
+func testView(parts int) View {
 	v := View{Now: now, Partitions: make([]Partition, parts), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
 		IdleSpot: time.Minute, IdleOrdinary: 20 * time.Second}
 	for i := range v.Partitions {
@@ -112,7 +112,7 @@
 			v.Unrecorded = []Unrecorded{{Name: "s"}}
 		}, Plan{AdoptLater: []string{"s"}}},
 	} {
-		v := world(2)
+		v := testView(2)
 		c.view(&v)
 		if got := Decide(v); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -122,11 +122,11 @@
 
 // Random views: the same view gives the same plan and is not changed; no machine is
 // given two orders; no part is rented more than its demands need one by one.
-func TestPlansAreSound(t *testing.T) {
+func TestPlansRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			v := world(1 + rng.IntN(5))
+			v := testView(1 + rng.IntN(5))
 			for i := range rng.IntN(40) {
 				m := v.machine(fmt.Sprintf("m-%02d", i), rng.IntN(len(v.Partitions)), rng.IntN(2), rng.IntN(2) == 0)
 				m.Idle, m.IdleS = rng.IntN(2) == 0, float64(rng.IntN(100))
--- a/internal/coordination/settled_test.go
+++ b/internal/coordination/settled_test.go
@@ -13,63 +13,63 @@
 // answered for, and none waits while a machine that fits has room and its team is under its
 // limit.
 const (
-	// knownWithin is how long no question about an accepted job may go unanswered.
-	knownWithin = 75 * time.Second
+	// answeredWithin is how long no question about an accepted job may go unanswered.
+	answeredWithin = 75 * time.Second
 	// startedWithin is how long a job may wait though there is room.
 	startedWithin = 90 * time.Second
 )
 
-// endTroubles ends whatever a test has left, and starts the controllers that are away.
-func (w *world) endTroubles() {
-	w.outage(false)
-	w.locked(func() {
+// clearFaults ends whatever a test has left, and starts the controllers that are away.
+func (w *simulatedCluster) clearFaults() {
+	w.setOutage(false)
+	w.withLock(func() {
 		w.state.Refused, w.state.Stuck = nil, false
-		w.cut, w.cuts, w.asked, w.answered, w.onOrders = nil, cuts{}, nil, nil, nil
-		w.trouble, w.lateWrites, w.lateReports, w.lateCommands, w.slowLinks = 0, 0, 0, nil, 0
-		w.deaf, w.mute, w.noNotices, w.atEnd = nil, nil, false, nil
+		w.cut, w.cuts, w.onRequest, w.onResponse, w.interceptCommands = nil, networkCuts{}, nil, nil, nil
+		w.messageFaultRate, w.lateTransactionShare, w.duplicatedHeartbeatShare, w.delayedCommands, w.linkDelayMax = 0, 0, 0, nil, 0
+		w.inboundLost, w.outboundLost, w.suppressNotices, w.cancelAtEnd = nil, nil, false, nil
 		for _, wk := range w.workers {
 			wk.Hung = false
 		}
 	})
-	w.startAway()
+	w.startMissingControllers()
 }
 
-// startAway starts the controllers that are away.
-func (w *world) startAway() {
+// startMissingControllers starts the controllers that are away.
+func (w *simulatedCluster) startMissingControllers() {
 	for _, l := range []string{"n0", "n1", "n2"} {
 		w.mu.Lock()
-		away := w.nodes[l] == nil
+		away := w.controllers[l] == nil
 		w.mu.Unlock()
 		if away {
-			w.start(l)
+			w.startController(l)
 		}
 	}
 }
 
-// checkSettled checks what must hold once the troubles are over.
-func (w *world) checkSettled() {
-	w.endTroubles()
+// checkLiveness checks what must hold once the troubles are over.
+func (w *simulatedCluster) checkLiveness() {
+	w.clearFaults()
 	begun := time.Now()
 	open := map[string]bool{}
-	if w.ids == nil { // else only those who may look are answered
-		for _, id := range w.accepted() {
+	if w.identities == nil { // else only those who may look are answered
+		for _, id := range w.acceptedJobs() {
 			open[id] = true
 		}
 	}
-	since := map[wait]time.Time{}
+	since := map[starvedJob]time.Time{}
 	for {
 		now := time.Now()
 		for _, id := range slices.Sorted(maps.Keys(open)) {
 			if w.poll("", id) != "" {
 				delete(open, id)
-			} else if now.Sub(begun) > knownWithin {
-				w.t.Errorf("forgotten: no question about %s is answered for %s", id, knownWithin)
+			} else if now.Sub(begun) > answeredWithin {
+				w.t.Errorf("forgotten: no question about %s is answered for %s", id, answeredWithin)
 				delete(open, id)
 			}
 		}
-		w.locked(func() {
-			still := w.waitingThoughRoom()
-			maps.DeleteFunc(since, func(wt wait, _ time.Time) bool { return !still[wt] })
+		w.withLock(func() {
+			still := w.jobsWaitingDespiteRoom()
+			maps.DeleteFunc(since, func(wt starvedJob, _ time.Time) bool { return !still[wt] })
 			for wt := range still {
 				if since[wt].IsZero() {
 					since[wt] = now
@@ -89,29 +89,29 @@
 	}
 }
 
-// accepted lists the jobs that were accepted.
-func (w *world) accepted() (ids []string) {
+// acceptedJobs lists the jobs that were accepted.
+func (w *simulatedCluster) acceptedJobs() (ids []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-		if !w.jobs[id].accepted.IsZero() {
+		if !w.jobs[id].acceptedAt.IsZero() {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// wait is a job that waits, having come so far, while a machine has room for a task of it;
+// starvedJob is a job that waits, having come so far, while a machine has room for a task of it;
 // of a gang, while machines have room for all.
-type wait struct {
+type starvedJob struct {
 	job     string
-	come    int
+	placed  int
 	machine string
 }
 
-// waitingThoughRoom lists what waits though there is room. The lock is held.
-func (w *world) waitingThoughRoom() map[wait]bool {
-	list := map[wait]bool{}
+// jobsWaitingDespiteRoom lists what waits though there is room. The lock is held.
+func (w *simulatedCluster) jobsWaitingDespiteRoom() map[starvedJob]bool {
+	list := map[starvedJob]bool{}
 	if w.fails != nil {
 		return list // who fails is held back
 	}
@@ -121,14 +121,14 @@
 	free := make([]resources, len(names))
 	for i, name := range names {
 		wk := w.workers[name]
-		free[i] = w.size(wk.Type)
+		free[i] = w.machineResources(wk.Type)
 		for _, t := range wk.Tasks {
 			if t.State == protocol.TaskEnded {
 				continue
 			}
 			s := w.jobs[t.Job].spec
 			used[s.Team] += s.CPUs
-			free[i].take(s)
+			free[i].subtract(s)
 			if perZone[t.Job] == nil {
 				perZone[t.Job] = map[string]int{}
 			}
@@ -141,28 +141,28 @@
 		for _, n := range perZone[id] {
 			come += n
 		}
-		if uj.accepted.IsZero() || uj.asked || uj.ended != "" || come >= s.Tasks || !w.mayRun(uj) || !w.underLimit(s, used[s.Team]) {
+		if uj.acceptedAt.IsZero() || uj.cancelRequested || uj.finalStatus != "" || come >= s.Tasks || !w.dependenciesDone(uj) || !w.withinTeamLimit(s, used[s.Team]) {
 			continue
 		}
 		places, machines := 0, ""
 		for i, name := range names {
-			n := placesOn(w.workers[name], free[i], s, perZone[id])
+			n := freeSlots(w.workers[name], free[i], s, perZone[id])
 			if places += n; n == 0 {
 				continue
 			}
 			if machines += name + " "; !s.Gang {
-				list[wait{id, come, name}] = true
+				list[starvedJob{id, come, name}] = true
 			}
 		}
 		if s.Gang && places >= s.Tasks {
-			list[wait{id, come, machines}] = true
+			list[starvedJob{id, come, machines}] = true
 		}
 	}
 	return list
 }
 
-// mayRun says whether all that a job needs is done. The lock is held.
-func (w *world) mayRun(uj *userJob) bool {
+// dependenciesDone says whether all that a job needs is done. The lock is held.
+func (w *simulatedCluster) dependenciesDone(uj *submittedJob) bool {
 	for _, dep := range uj.spec.Dependencies {
 		if dj := w.jobs[dep]; dj == nil || len(dj.tasksDone) < dj.spec.Tasks {
 			return false
@@ -171,14 +171,14 @@
 	return true
 }
 
-// underLimit says whether a team that uses so much has room for one more task, of a gang or
+// withinTeamLimit says whether a team that uses so much has room for one more task, of a gang or
 // a service for all.
-func (w *world) underLimit(s *protocol.JobSpec, used float64) bool {
+func (w *simulatedCluster) withinTeamLimit(s *protocol.JobSpec, used float64) bool {
 	tasks := 1
 	if s.Gang || s.Standing {
 		tasks = s.Tasks
 	}
-	for _, team := range w.set.Params.Teams {
+	for _, team := range w.settings.Params.Teams {
 		if team.Name == s.Team && team.CPUsMax > 0 && used+s.CPUs*float64(tasks) > team.CPUsMax {
 			return false
 		}
@@ -189,8 +189,8 @@
 // resources is what a machine has to give.
 type resources struct{ cpus, memGB, gpus float64 }
 
-// size is what a machine of a type has; nothing if there is no such type.
-func (w *world) size(machineType string) resources {
+// machineResources is what a machine of a type has; nothing if there is no such type.
+func (w *simulatedCluster) machineResources(machineType string) resources {
 	for _, mt := range w.cloud.Types {
 		if mt.Name == machineType {
 			return resources{mt.CPUs, mt.MemGB, mt.GPUs}
@@ -199,14 +199,14 @@
 	return resources{}
 }
 
-// take takes what one task of a job needs.
-func (r *resources) take(s *protocol.JobSpec) {
+// subtract takes what one task of a job needs.
+func (r *resources) subtract(s *protocol.JobSpec) {
 	r.cpus, r.memGB, r.gpus = r.cpus-s.CPUs, r.memGB-s.MemGB, r.gpus-s.GPUs
 }
 
-// placesOn is how many tasks of a job a machine has room for, of which so much is free;
+// freeSlots is how many tasks of a job a machine has room for, of which so much is free;
 // inZone is how many of the job's tasks are in each zone.
-func placesOn(wk *worker.Worker, free resources, s *protocol.JobSpec, inZone map[string]int) int {
+func freeSlots(wk *worker.Worker, free resources, s *protocol.JobSpec, inZone map[string]int) int {
 	if wk.Dead || wk.Hung || wk.Notice != nil || wk.Spot && !s.Spot || s.Zone != "" && s.Zone != wk.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, wk.Type) {
 		return 0
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -18,33 +18,33 @@
 	"micaspindle/internal/storage"
 )
 
-// busy fills the world's machines with long work of all teams.
-func busy(w *world) {
+// configureLongJobs fills the world's machines with long work of all teams.
+func configureLongJobs(w *simulatedCluster) {
 	w.cloud.Capacity = 30
-	w.set.Params.Teams[0].CPUsMax, w.set.Params.Teams[1].CPUsMax = 0, 0
+	w.settings.Params.Teams[0].CPUsMax, w.settings.Params.Teams[1].CPUsMax = 0, 0
 	w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
-// long submits work that keeps all machines, and waits until it runs.
-func (w *world) long() {
+// submitLongJobs submits work that keeps all machines, and waits until it runs.
+func (w *simulatedCluster) submitLongJobs() {
 	time.Sleep(2 * time.Second)
 	for i, team := range []string{"red", "blue", "green"} {
-		s := spec(fmt.Sprintf("job-%d", i), 16, team)
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 16, team)
 		s.EstimateS, s.DeadlineS, s.Spot = 600, 0, false
 		w.submit(s)
 	}
 	time.Sleep(30 * time.Second)
 }
 
-// owns tells which controller decides over a part with machines, "" if none does.
-func (w *world) owns(part int) string {
+// leaderOf tells which controller decides over a part with machines, "" if none does.
+func (w *simulatedCluster) leaderOf(part int) string {
 	for _, label := range []string{"n0", "n1", "n2"} {
 		w.mu.Lock()
-		n := w.nodes[label]
+		n := w.controllers[label]
 		w.mu.Unlock()
 		owner := false
 		if n != nil {
-			n.ctl.loop.Do(func() { owner = n.ctl.Partitions[part].Held && n.ctl.Partitions[part].Ready })
+			n.controller.loop.Do(func() { owner = n.controller.Partitions[part].Held && n.controller.Partitions[part].Ready })
 		}
 		if owner {
 			return label
@@ -55,27 +55,27 @@
 
 // An owner that ends is noticed by its workers' coming to others, not only when its
 // lease has run out.
-func TestLostOwnerIsSucceededBeforeItsLeaseRunsOut(t *testing.T) {
+func TestLostLeaderIsReplacedBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	var took []time.Duration
 	for seed := range uint64(8) {
-		simulatePrepared(t, 500+seed, busy, func(w *world) {
-			w.long()
+		runConfiguredSimulation(t, 500+seed, configureLongJobs, func(w *simulatedCluster) {
+			w.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 130 * time.Millisecond)
-			lost := w.owns(0)
+			lost := w.leaderOf(0)
 			begun := time.Now()
-			w.kill(lost)
-			for w.owns(0) == "" && time.Since(begun) < 10*time.Second {
+			w.killController(lost)
+			for w.leaderOf(0) == "" && time.Since(begun) < 10*time.Second {
 				time.Sleep(20 * time.Millisecond)
 			}
 			took = append(took, time.Since(begun))
 			time.Sleep(3 * time.Second)
-			w.start(lost)
+			w.startController(lost)
 			time.Sleep(5 * time.Second)
 			for i := range 3 {
-				w.withdraw(fmt.Sprintf("job-%d", i))
+				w.cancelJob(fmt.Sprintf("job-%d", i))
 			}
-			w.finish(time.Minute)
+			w.waitForAllJobs(time.Minute)
 		})
 	}
 	slices.Sort(took)
@@ -89,26 +89,26 @@
 // workers do, workers that lose their connections while the controllers hear it, a second
 // of standing still, a state service that answers thirty times as slowly, and packets that
 // are lost and come a second later.
-func TestLivingOwnersKeepTheirLeases(t *testing.T) {
+func TestLivingLeadersKeepTheirLeases(t *testing.T) {
 	t.Parallel()
 	node := func(host string) bool { return strings.HasPrefix(host, "n") }
 	for name, c := range map[string]struct {
 		cut  func(from, host string) bool
 		last time.Duration
-		late func(w *world, host string) time.Duration
+		late func(w *simulatedCluster, host string) time.Duration
 	}{
 		"peers refuse": {func(from, host string) bool { return node(host) }, 20 * time.Second, nil},
 		"its workers go astray": {func(from, host string) bool {
 			return from == "n0" && host < "m-000003" && strings.HasPrefix(host, "m-")
 		}, 8 * time.Second, nil},
 		"it stands still for 1 s": {func(from, host string) bool { return from == "n0" && !strings.HasPrefix(host, "m-") || host == "n0" }, time.Second, nil},
-		"the state service is slow": {nil, 20 * time.Second, func(_ *world, host string) time.Duration {
+		"the state service is slow": {nil, 20 * time.Second, func(_ *simulatedCluster, host string) time.Duration {
 			if host == "state" {
 				return 300 * time.Millisecond
 			}
 			return 0
 		}},
-		"packets are lost": {nil, 20 * time.Second, func(w *world, _ string) time.Duration {
+		"packets are lost": {nil, 20 * time.Second, func(w *simulatedCluster, _ string) time.Duration {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if w.rng.IntN(50) == 0 {
@@ -119,8 +119,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 520, busy, func(w *world) {
-				w.long()
+			runConfiguredSimulation(t, 520, configureLongJobs, func(w *simulatedCluster) {
+				w.submitLongJobs()
 				claims := func() string {
 					w.mu.Lock()
 					defer w.mu.Unlock()
@@ -134,7 +134,7 @@
 				w.mu.Lock()
 				w.cut = c.cut
 				if c.late != nil {
-					w.asked = func(_, host, _ string, _ []byte) bool {
+					w.onRequest = func(_, host, _ string, _ []byte) bool {
 						time.Sleep(c.late(w, host))
 						return false
 					}
@@ -142,16 +142,16 @@
 				w.mu.Unlock()
 				time.Sleep(c.last)
 				w.mu.Lock()
-				w.cut, w.asked = nil, nil
+				w.cut, w.onRequest = nil, nil
 				w.mu.Unlock()
 				time.Sleep(5 * time.Second)
 				if now := claims(); now != before {
 					t.Errorf("claims %s, then %s", before, now)
 				}
 				for i := range 3 {
-					w.withdraw(fmt.Sprintf("job-%d", i))
+					w.cancelJob(fmt.Sprintf("job-%d", i))
 				}
-				w.finish(time.Minute)
+				w.waitForAllJobs(time.Minute)
 			})
 		})
 	}
@@ -159,21 +159,21 @@
 
 // Machines that fall together with their owner are lost a lease after its new life has
 // spoken, not only after the time for which the old one might have gone on answering.
-func TestNewLifeProvesTheOldOneOver(t *testing.T) {
+func TestNewIncarnationEndsThePreviousOne(t *testing.T) {
 	t.Parallel()
 	for _, back := range []bool{true, false} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
 			t.Parallel()
-			simulatePrepared(t, 530, busy, func(w *world) {
-				w.long()
-				lost := w.owns(0)
+			runConfiguredSimulation(t, 530, configureLongJobs, func(w *simulatedCluster) {
+				w.submitLongJobs()
+				lost := w.leaderOf(0)
 				w.mu.Lock()
 				fallen := ""
 				for _, label := range []string{"n0", "n1", "n2"} {
-					if n := w.nodes[label]; label == lost {
+					if n := w.controllers[label]; label == lost {
 						w.mu.Unlock()
-						n.ctl.loop.Do(func() {
-							for name, m := range n.ctl.Machines {
+						n.controller.loop.Do(func() {
+							for name, m := range n.controller.Machines {
 								if m.Record.Partition == 0 && len(m.Attempts) > 0 && (fallen == "" || name < fallen) {
 									fallen = name
 								}
@@ -185,38 +185,38 @@
 				w.workers[fallen].Hung = true
 				w.mu.Unlock()
 				begun := time.Now()
-				w.kill(lost)
+				w.killController(lost)
 				time.Sleep(3 * time.Second)
 				if back {
-					w.start(lost)
+					w.startController(lost)
 				}
 				took := time.Duration(0)
 				for took == 0 && time.Since(begun) < time.Minute {
 					time.Sleep(100 * time.Millisecond)
-					label := w.owns(0)
+					label := w.leaderOf(0)
 					w.mu.Lock()
-					n := w.nodes[label]
+					n := w.controllers[label]
 					w.mu.Unlock()
 					if n != nil {
-						n.ctl.loop.Do(func() {
-							if m := n.ctl.Machines[fallen]; m == nil || m.Lost {
+						n.controller.loop.Do(func() {
+							if m := n.controller.Machines[fallen]; m == nil || m.Lost {
 								took = time.Since(begun)
 							}
 						})
 					}
 				}
-				lease, bound := w.set.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
+				lease, bound := w.settings.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
 				t.Logf("counted as lost after %s", took)
 				if s := took.Seconds(); s < lease || back && s > 3+lease+4 || !back && s < bound+lease {
 					t.Errorf("counted as lost after %s", took)
 				}
 				for i := range 3 {
-					w.withdraw(fmt.Sprintf("job-%d", i))
+					w.cancelJob(fmt.Sprintf("job-%d", i))
 				}
 				w.mu.Lock()
 				w.workers[fallen].Hung = false
 				w.mu.Unlock()
-				w.finish(time.Minute)
+				w.waitForAllJobs(time.Minute)
 			})
 		})
 	}
@@ -224,16 +224,16 @@
 
 // Lives follow one another by the stamps of their record: what an older life sent late
 // can't come after a newer one, and proves nothing.
-func TestRecordsOfLivesKeepTheirOrder(t *testing.T) {
+func TestIncarnationRecordsKeepTheirOrder(t *testing.T) {
 	t.Parallel()
-	simulate(t, 540, func(w *world) {
+	runSimulation(t, 540, func(w *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		key := storage.IncarnationKey("n1")
 		w.mu.Lock()
 		first := w.state.Items[key]
 		w.mu.Unlock()
-		w.kill("n1")
-		w.start("n1")
+		w.killController("n1")
+		w.startController("n1")
 		time.Sleep(3 * time.Second)
 		w.mu.Lock()
 		second := w.state.Items[key]
@@ -242,7 +242,7 @@
 		if storage.Decode(first.Value, &a) != nil || storage.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
 			t.Fatalf("lives %+v and %+v", a, b)
 		}
-		n0 := w.nodes["n0"].ctl
+		n0 := w.controllers["n0"].controller
 		over := func(nonce string) (is bool) {
 			n0.loop.Do(func() { is = !n0.leases.EndedIncarnations[lease.IncarnationID{Label: "n1", Nonce: nonce}].IsZero() })
 			return is
@@ -262,9 +262,9 @@
 	})
 }
 
-// unrun is the controller n0 of three, whose loop never runs, and how to end it.
-func unrun(t *testing.T) (c *Controller, end func()) {
-	set := newWorld(t, 1).set
+// newIdleController is the controller n0 of three, whose loop never runs, and how to end it.
+func newIdleController(t *testing.T) (c *Controller, end func()) {
+	set := newSimulatedCluster(t, 1).settings
 	set.Label, set.Others = "n0", []settings.Other{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
 	ctx, cancel := context.WithCancel(t.Context())
 	c = newTestController(ctx, &set, settings.DefaultOperator())
@@ -272,10 +272,10 @@
 }
 
 // Until when somebody else may have answered a part's machines, from what was followed.
-func TestUnseenAnswersAreCountedOn(t *testing.T) {
+func TestLastAnswerBoundCoversUnseenAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c, end := unrun(t)
+		c, end := newIdleController(t)
 		defer end()
 		p, bound := c.Partitions[0], c.AnswerBound()
 		put := func(key string, version uint64, v any) {
--- a/internal/coordination/test_network_test.go
+++ b/internal/coordination/test_network_test.go
@@ -17,7 +17,7 @@
 
 // newTestController makes a controller whose network answers nothing until setNetwork.
 func newTestController(ctx context.Context, set *settings.Settings, op settings.Operator) *Controller {
-	network := &testNetwork{nowhere{}}
+	network := &testNetwork{unresponsiveNetwork{}}
 	c := New(ctx, set, op, network, slog.New(slog.DiscardHandler))
 	testNetworks.Store(c, network)
 	return c
--- a/internal/coordination/troubles_test.go
+++ b/internal/coordination/troubles_test.go
@@ -13,54 +13,54 @@
 	"micaspindle/internal/settings"
 )
 
-// troubles are those that the world can bring about beyond lost messages, cuts, ends and
+// injectedFaults are those that the world can bring about beyond lost messages, cuts, ends and
 // standstills. Whoever looks into them holds the world's lock. met counts what has
 // happened, so that a test can tell whether its troubles met at all.
-type troubles struct {
-	// lateWrites is the share of transactions without an answer: carried out 2 to 12 s
+type injectedFaults struct {
+	// lateTransactionShare is the share of transactions without an answer: carried out 2 to 12 s
 	// later, after newer ones, or with atOnce at once.
-	lateWrites float64
-	atOnce     bool
-	// lateWhat is the kind of the first key written of the transactions that it befalls;
+	lateTransactionShare float64
+	loseAnswersOnly      bool
+	// lateTransactionKind is the kind of the first key written of the transactions that it befalls;
 	// "": all.
-	lateWhat string
-	// lateReports is the share of the workers' reports of which a copy arrives again, from
+	lateTransactionKind string
+	// duplicatedHeartbeatShare is the share of the workers' reports of which a copy arrives again, from
 	// 2 s to well over a lease later, or with forNext at every controller once asked for.
-	lateReports float64
-	forNext     bool
-	kept        []keptReport
-	// lateCommands says what becomes of direct commands; nil: they arrive.
-	lateCommands *lateCommands
-	// afterCancel are the starts of tasks whose job's user had been told that it is cancelled.
-	afterCancel []startAfterCancel
-	// slowLinks is by how much a message may be late on its way; 0: by milliseconds.
-	slowLinks time.Duration
-	// deaf machines' reports arrive, answers and orders to them are lost; mute ones reach
+	duplicatedHeartbeatShare float64
+	keepForReplay            bool
+	keptHeartbeats           []keptHeartbeat
+	// delayedCommands says what becomes of direct commands; nil: they arrive.
+	delayedCommands *commandDelayFault
+	// startsAfterCancel are the starts of tasks whose job's user had been told that it is cancelled.
+	startsAfterCancel []startAfterCancel
+	// linkDelayMax is by how much a message may be late on its way; 0: by milliseconds.
+	linkDelayMax time.Duration
+	// inboundLost machines' reports arrive, answers and orders to them are lost; mute ones reach
 	// nobody, orders reach them.
-	deaf, mute map[string]bool
-	// noNotices: no controller hears of withdrawals from another.
-	noNotices bool
-	// atEnd is asked whether a job is called off at the end of its last task.
-	atEnd func(job string) bool
-	// ended, if set, hears of the ends of jobs' last tasks.
-	ended func(job string)
-	// bootsIn is how soon machines are up; 0: within seconds.
-	bootsIn time.Duration
-	steps   steps
-	cuts    cuts
-	met     map[string]int
+	inboundLost, outboundLost map[string]bool
+	// suppressNotices: no controller hears of withdrawals from another.
+	suppressNotices bool
+	// cancelAtEnd is asked whether a job is called off at the end of its last task.
+	cancelAtEnd func(job string) bool
+	// onJobEnd, if set, hears of the ends of jobs' last tasks.
+	onJobEnd func(job string)
+	// bootDelay is how soon machines are up; 0: within seconds.
+	bootDelay   time.Duration
+	writes      writeObserver
+	cuts        networkCuts
+	faultCounts map[string]int
 }
 
-// lateCommands holds direct commands up: the sender gets no answer, and the worker carries
+// commandDelayFault holds direct commands up: the sender gets no answer, and the worker carries
 // them out once, 2 to 16 s later, if token and session still match then.
-type lateCommands struct {
+type commandDelayFault struct {
 	// share of the commands is held up, of those that hold the verb ("fence": no command at
 	// all; "": any).
 	share float64
-	verb  string
-	// after is how long; 0: drawn. atOnce: only the answer is lost.
-	after  time.Duration
-	atOnce bool
+	op    string
+	// delay is how long; 0: drawn. atOnce: only the answer is lost.
+	delay           time.Duration
+	loseAnswersOnly bool
 }
 
 // startAfterCancel is a task that started after its job's cancellation was confirmed.
@@ -70,51 +70,51 @@
 	after   time.Duration
 }
 
-// linkDelay is how long a message is on its way beyond the usual. The lock is held.
-func (w *world) linkDelay() time.Duration {
-	if w.slowLinks == 0 {
+// drawLinkDelay is how long a message is on its way beyond the usual. The lock is held.
+func (w *simulatedCluster) drawLinkDelay() time.Duration {
+	if w.linkDelayMax == 0 {
 		return 0
 	}
-	return time.Duration(w.rng.Int64N(int64(w.slowLinks)))
+	return time.Duration(w.rng.Int64N(int64(w.linkDelayMax)))
 }
 
-const fenceVerb = "fence"
+const fenceOp = "fence"
 
-// verbsOf lists the kinds of the commands of an order.
-func verbsOf(body []byte) (verbs map[string]bool) {
+// commandOps lists the kinds of the commands of an order.
+func commandOps(body []byte) (verbs map[string]bool) {
 	var orders protocol.Orders
-	must(protocol.Decode(body, &orders))
+	panicOnError(protocol.Decode(body, &orders))
 	verbs = map[string]bool{}
 	for _, command := range orders.Commands {
 		verbs[command.Op] = true
 	}
 	if len(orders.Commands) == 0 {
-		verbs[fenceVerb] = true
+		verbs[fenceOp] = true
 	}
 	return verbs
 }
 
-// heldUp says whether and for how long a message to a worker is held up. The lock is held.
-func (w *world) heldUp(target string, body []byte) (after time.Duration, held bool) {
-	late := w.lateCommands
+// drawCommandDelay says whether and for how long a message to a worker is held up. The lock is held.
+func (w *simulatedCluster) drawCommandDelay(target string, body []byte) (after time.Duration, held bool) {
+	late := w.delayedCommands
 	if late == nil || target != "/orders" || w.rng.Float64() >= late.share {
 		return 0, false
 	}
-	if late.verb != "" && !verbsOf(body)[late.verb] {
+	if late.op != "" && !commandOps(body)[late.op] {
 		return 0, false
 	}
 	switch {
-	case late.atOnce:
+	case late.loseAnswersOnly:
 		return time.Millisecond, true
-	case late.after > 0:
-		return late.after, true
+	case late.delay > 0:
+		return late.delay, true
 	}
 	return 2*time.Second + time.Duration(w.rng.Int64N(int64(14*time.Second))), true
 }
 
-// commandLate brings a command that nobody waits for any more to its worker. One that
+// deliverCommandLate brings a command that nobody waits for any more to its worker. One that
 // hangs carries it out when it goes on.
-func (w *world) commandLate(machine string, after time.Duration, body []byte) {
+func (w *simulatedCluster) deliverCommandLate(machine string, after time.Duration, body []byte) {
 	for wait := after; ; wait = 100 * time.Millisecond {
 		select {
 		case <-time.After(wait):
@@ -132,12 +132,12 @@
 			continue
 		}
 		resp := w.serveWorker(wk, "/orders", body)
-		w.locked(func() {
-			for verb := range verbsOf(body) {
+		w.withLock(func() {
+			for verb := range commandOps(body) {
 				if resp != nil && resp.Status == 200 {
-					w.meets("late " + verb + " done")
+					w.countFault("late " + verb + " done")
 				} else {
-					w.meets("late " + verb + " refused")
+					w.countFault("late " + verb + " refused")
 				}
 			}
 		})
@@ -145,64 +145,64 @@
 	}
 }
 
-type keptReport struct {
+type keptHeartbeat struct {
 	machine string
 	body    []byte
 }
 
-func (w *world) meets(what string) {
-	if w.met == nil {
-		w.met = map[string]int{}
+func (w *simulatedCluster) countFault(what string) {
+	if w.faultCounts == nil {
+		w.faultCounts = map[string]int{}
 	}
-	w.met[what]++
+	w.faultCounts[what]++
 }
 
-// lateWrite says whether a transaction gets no answer, and how long after it is carried
+// drawTransactionDelay says whether a transaction gets no answer, and how long after it is carried
 // out. The lock is held.
-func (w *world) lateWrite(host, target string, body []byte) (after time.Duration, lost bool) {
-	if host != "state" || target != "/commit" || w.lateWrites == 0 || w.rng.Float64() >= w.lateWrites {
+func (w *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (after time.Duration, lost bool) {
+	if host != "state" || target != "/commit" || w.lateTransactionShare == 0 || w.rng.Float64() >= w.lateTransactionShare {
 		return 0, false
 	}
-	if w.lateWhat != "" {
+	if w.lateTransactionKind != "" {
 		var txn protocol.Transaction
-		must(protocol.Decode(body, &txn))
-		if len(txn.Then) == 0 || stepOf(txn.Then[0].Put) != w.lateWhat {
+		panicOnError(protocol.Decode(body, &txn))
+		if len(txn.Then) == 0 || writeKind(txn.Then[0].Put) != w.lateTransactionKind {
 			return 0, false
 		}
 	}
-	if w.atOnce {
+	if w.loseAnswersOnly {
 		return time.Millisecond, true
 	}
 	return time.Duration(2000+w.rng.IntN(10_000)) * time.Millisecond, true
 }
 
-// writeLate carries a transaction out that nobody waits for any more.
-func (w *world) writeLate(from string, after time.Duration, body []byte) {
+// deliverTransactionLate carries a transaction out that nobody waits for any more.
+func (w *simulatedCluster) deliverTransactionLate(from string, after time.Duration, body []byte) {
 	time.Sleep(after)
 	resp := w.deliver(context.WithoutCancel(w.ctx), from, "state", "POST", "/commit", body)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var txn protocol.Transaction
-	must(protocol.Decode(body, &txn))
+	panicOnError(protocol.Decode(body, &txn))
 	switch {
 	case len(txn.Then) == 0:
 	case resp.Status == 200:
-		w.meets("late write done")
+		w.countFault("late write done")
 	case resp.Status == 409:
-		w.meets("late write refused")
+		w.countFault("late write refused")
 	}
 }
 
-// copyReport keeps a copy of a worker's report, for later. The lock is held.
-func (w *world) copyReport(machine, label string, report []byte) {
-	if w.lateReports == 0 || w.rng.Float64() >= w.lateReports {
+// duplicateHeartbeat keeps a copy of a worker's report, for later. The lock is held.
+func (w *simulatedCluster) duplicateHeartbeat(machine, label string, report []byte) {
+	if w.duplicatedHeartbeatShare == 0 || w.rng.Float64() >= w.duplicatedHeartbeatShare {
 		return
 	}
-	if w.forNext {
-		w.kept = append(w.kept, keptReport{machine, report})
+	if w.keepForReplay {
+		w.keptHeartbeats = append(w.keptHeartbeats, keptHeartbeat{machine, report})
 		return
 	}
-	lease := settings.Seconds(w.set.Params.Workers.LeaseS)
+	lease := settings.Seconds(w.settings.Params.Workers.LeaseS)
 	after := 2*time.Second + time.Duration(w.rng.Int64N(int64(lease+lease/2)))
 	w.group.Go(func() {
 		select {
@@ -210,39 +210,39 @@
 		case <-w.ctx.Done():
 			return
 		}
-		w.again(label, keptReport{machine, report})
+		w.redeliverHeartbeat(label, keptHeartbeat{machine, report})
 	})
 }
 
-// again brings a copy of an old report to a controller.
-func (w *world) again(label string, k keptReport) {
+// redeliverHeartbeat brings a copy of an old report to a controller.
+func (w *simulatedCluster) redeliverHeartbeat(label string, k keptHeartbeat) {
 	w.mu.Lock()
-	n := w.nodes[label]
+	n := w.controllers[label]
 	if n != nil {
-		w.meets("old report")
+		w.countFault("old report")
 	}
 	w.mu.Unlock()
 	if n != nil {
-		n.checkin(w, k.machine, k.body)
+		n.handleHeartbeat(w, k.machine, k.body)
 	}
 }
 
-// replay brings every kept report to every controller.
-func (w *world) replay() {
+// replayHeartbeats brings every kept report to every controller.
+func (w *simulatedCluster) replayHeartbeats() {
 	w.mu.Lock()
-	kept := w.kept
-	w.kept = nil
-	labels := slices.Sorted(maps.Keys(w.nodes))
+	kept := w.keptHeartbeats
+	w.keptHeartbeats = nil
+	labels := slices.Sorted(maps.Keys(w.controllers))
 	w.mu.Unlock()
 	for _, k := range kept {
 		for _, l := range labels {
-			w.again(l, k)
+			w.redeliverHeartbeat(l, k)
 		}
 	}
 }
 
-// refuse lets the state service refuse a controller alone, or serve it again.
-func (w *world) refuse(label string, on bool) {
+// setStateServiceRefusal lets the state service refuse a controller alone, or serve it again.
+func (w *simulatedCluster) setStateServiceRefusal(label string, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.state.Refused == nil {
@@ -251,8 +251,8 @@
 	w.state.Refused[label] = on
 }
 
-// hang lets a machine stand still for some time.
-func (w *world) hang(machine string, d time.Duration) {
+// hangMachine lets a machine stand still for some time.
+func (w *simulatedCluster) hangMachine(machine string, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	wk := w.workers[machine]
@@ -268,32 +268,32 @@
 	})
 }
 
-// withdrawAt asks one controller to withdraw a job, once, and notes its answer.
-func (w *world) withdrawAt(label, id string) bool {
+// cancelAt asks one controller to withdraw a job, once, and notes its answer.
+func (w *simulatedCluster) cancelAt(label, id string) bool {
 	w.mu.Lock()
-	w.jobs[id].asked = true
+	w.jobs[id].cancelRequested = true
 	w.mu.Unlock()
-	resp := w.ask(label, "POST", "/submissions/"+id+"/withdraw", nil)
+	resp := w.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
 	if resp.Status != 200 {
 		return false
 	}
 	var st protocol.JobStatus
-	must(protocol.Decode(resp.Body, &st))
+	panicOnError(protocol.Decode(resp.Body, &st))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	uj := w.jobs[id]
-	if uj.ended != "" && st.Status != uj.ended {
-		w.breakRule("went_back: %s was %s, is %s", id, uj.ended, st.Status)
+	if uj.finalStatus != "" && st.Status != uj.finalStatus {
+		w.recordViolation("went_back: %s was %s, is %s", id, uj.finalStatus, st.Status)
 	}
-	uj.ended = st.Status
-	if st.Status == protocol.StatusWithdrawn && uj.withdrawn.IsZero() {
-		uj.withdrawn = time.Now()
+	uj.finalStatus = st.Status
+	if st.Status == protocol.StatusWithdrawn && uj.cancelledAt.IsZero() {
+		uj.cancelledAt = time.Now()
 	}
 	return true
 }
 
-// runs lists where a job's tasks are, hung machines included. The lock is held.
-func (w *world) runs(id string) (machines []string) {
+// machinesRunning lists where a job's tasks are, hung machines included. The lock is held.
+func (w *simulatedCluster) machinesRunning(id string) (machines []string) {
 	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
 		for _, t := range w.workers[name].Tasks {
 			if t.Job == id && t.State != protocol.TaskEnded {
@@ -304,22 +304,22 @@
 	return machines
 }
 
-// machinesOf marks the machines that jobs' tasks are on. The lock is held.
-func (w *world) machinesOf(ids ...string) map[string]bool {
+// machinesRunningAnyOf marks the machines that jobs' tasks are on. The lock is held.
+func (w *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
 	marked := map[string]bool{}
 	for _, id := range ids {
-		for _, m := range w.runs(id) {
+		for _, m := range w.machinesRunning(id) {
 			marked[m] = true
 		}
 	}
 	return marked
 }
 
-// others are the controllers but one.
-func (w *world) others(label string) (list []string) {
+// otherControllers are the controllers but one.
+func (w *simulatedCluster) otherControllers(label string) (list []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, l := range slices.Sorted(maps.Keys(w.nodes)) {
+	for _, l := range slices.Sorted(maps.Keys(w.controllers)) {
 		if l != label {
 			list = append(list, l)
 		}
@@ -327,12 +327,12 @@
 	return list
 }
 
-// withoutNotices is a summary that tells no withdrawals.
-func withoutNotices(body []byte) []byte {
+// stripCancellationNotices is a summary that tells no withdrawals.
+func stripCancellationNotices(body []byte) []byte {
 	sum := new(peer.Summary)
-	must(proto.Unmarshal(body, sum))
+	panicOnError(proto.Unmarshal(body, sum))
 	sum.Cancelled = nil
 	body, err := proto.Marshal(sum)
-	must(err)
+	panicOnError(err)
 	return body
 }
--- a/internal/coordination/vouch_test.go
+++ b/internal/coordination/vouch_test.go
@@ -14,14 +14,14 @@
 // A service that vouches for a client does what that client may and no more; it
 // follows and ends by its own rights what it was allowed to begin; and the audit
 // says who asked for whom.
-func TestVouching(t *testing.T) {
+func TestRequestsOnBehalfOfClients(t *testing.T) {
 	t.Parallel()
-	simulateIdentities(t, 57, func(w *world) {
+	runSimulationWithIdentities(t, 57, func(w *simulatedCluster) {
 		change := rights.Change{Version: 1,
 			PutRoles: []rights.Role{{Name: "gate", Rules: []rights.Rule{{Verbs: []string{"vouch", "view", "withdraw"}, Team: "*", Class: "build"}}},
 				{Name: "everything", Rules: []rights.Rule{{Verbs: []string{"submit", "view", "withdraw"}, Team: "*", Class: "*"}}}},
 			PutIdentities: []rights.Identity{{Name: "service/gate-0", Roles: []string{"gate"}}, {Name: "service/other", Roles: []string{"everything"}}}}
-		w.expect(200, w.as("person/root", "n0", "POST", "/policy", change))
+		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", change))
 		time.Sleep(time.Second)
 		through := func(service, token, behalf, method, target string, body any) transport.Response {
 			var raw []byte
@@ -35,21 +35,21 @@
 			path, query, _ := strings.Cut(target, "?")
 			req := &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: "10.9.0.3:4000", OnBehalfOf: behalf}
 			if token != "" {
-				req.Authorization = w.ids.authorization(token)
+				req.Authorization = w.identities.authorization(token)
 			} else {
-				req.Peer = w.ids.certificate(service)
+				req.Peer = w.identities.certificate(service)
 			}
 			w.mu.Lock()
-			n := w.nodes["n0"]
+			n := w.controllers["n0"]
 			w.mu.Unlock()
-			return n.ctl.Serve(w.ctx, req)
+			return n.controller.Serve(w.ctx, req)
 		}
 		job := func(id, team, class string) any {
-			return submission(jobSpec(id, team, class))
+			return encodeSubmission(newJobSpecOfClass(id, team, class))
 		}
 		const gate = "service/gate-0"
-		w.expect(201, through(gate, "", "person/anna", "POST", "/submissions", job("job-1", "red", "build")))
-		w.expect(200, through(gate, "", "person/anna", "GET", "/may?verb=submit&team=red&class=build", nil))
+		w.expectStatus(201, through(gate, "", "person/anna", "POST", "/submissions", job("job-1", "red", "build")))
+		w.expectStatus(200, through(gate, "", "person/anna", "GET", "/may?verb=submit&team=red&class=build", nil))
 		for what, resp := range map[string]transport.Response{
 			"a queue that she has no right on":            through(gate, "", "person/anna", "POST", "/submissions", job("job-2", "blue", "build")),
 			"a class that the gate does not vouch for":    through(gate, "", "person/anna", "POST", "/submissions", job("job-3", "red", "match")),
@@ -70,22 +70,22 @@
 		}
 		// She is revoked: nothing new begins, and what was begun is followed and ended
 		// by the gate, on record for whom.
-		w.expect(200, w.as("person/root", "n0", "POST", "/policy", rights.Change{Version: 2,
+		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", rights.Change{Version: 2,
 			PutIdentities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}, Revoked: true}}}))
 		time.Sleep(4 * time.Second)
-		w.expect(403, through(gate, "", "person/anna", "POST", "/submissions", job("job-11", "red", "build")))
-		w.expect(200, through(gate, "", "person/anna", "GET", "/submissions/job-1", nil))
-		w.expect(200, through(gate, "", "person/anna", "POST", "/submissions/job-1/withdraw", map[string]any{}))
+		w.expectStatus(403, through(gate, "", "person/anna", "POST", "/submissions", job("job-11", "red", "build")))
+		w.expectStatus(200, through(gate, "", "person/anna", "GET", "/submissions/job-1", nil))
+		w.expectStatus(200, through(gate, "", "person/anna", "POST", "/submissions/job-1/withdraw", map[string]any{}))
 		time.Sleep(10 * time.Second)
 		read := w.readAudit("n0")
 		for verb, n := range map[string]int{"submit": 1, "withdraw": 1} {
-			if got := counted(read, func(r *audit.Record) bool {
+			if got := countRecords(read, func(r *audit.Record) bool {
 				return r.Verb == verb && r.Job == "job-1" && r.Who == "person/anna" && r.Outcome == audit.Allowed && strings.HasPrefix(r.How, "vouched for by service/gate-0, certificate ")
 			}); got != n {
 				t.Errorf("%d records of %s for her, want %d", got, verb, n)
 			}
 		}
-		if got := counted(read, func(r *audit.Record) bool {
+		if got := countRecords(read, func(r *audit.Record) bool {
 			return r.Outcome == audit.Denied && r.Who == "service/other" && strings.Contains(r.Reason, "vouches for person/anna")
 		}); got != 1 {
 			t.Errorf("%d records of the service that may not vouch", got)
