--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -235,16 +235,16 @@
 			each := []int{1, 20}[i/2] // arrays of one task, and as large as usual
 			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", kind, n.machines, n.machines*n.running, each), func(b *testing.B) {
 				c := newFleet(b, n.machines, n.running, each)
-				part := c.TeamPartition[c.TeamIndex["green"]]
+				partition := c.TeamPartition[c.TeamIndex["green"]]
 				var runs []protocol.Item
-				tale := &peer.ReplicaUpdate{From: "n1", Nonce: "x", LeaseRevision: 1, Through: 1}
+				update := &peer.ReplicaUpdate{From: "n1", Nonce: "x", LeaseRevision: 1, Through: 1}
 				for id, j := range c.Jobs {
 					for _, ch := range j.Chunks {
-						runs = append(runs, protocol.Item{Key: storage.RunKey(part, id, ch.Index), Version: 5,
+						runs = append(runs, protocol.Item{Key: storage.RunKey(partition, id, ch.Index), Version: 5,
 							Value: storage.Encode(j.RunRecord(ch))})
 					}
 					for task := range j.LiveAttempts {
-						tale.Attempts = append(tale.Attempts, &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: 1, RunningS: 3})
+						update.Attempts = append(update.Attempts, &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: 1, RunningS: 3})
 					}
 				}
 				for _, m := range c.Machines {
@@ -253,18 +253,18 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
-					fo := replication.NewReplica(part, time.Now())
+					replica := replication.NewReplica(partition, time.Now())
 					if kind == "warm" {
-						fo.StartFrom(c.log.Error, runs, 5, time.Now())
-						fo.Updates.Apply(tale, fo.Derived.NoteStart, time.Now())
+						replica.StartFrom(c.log.Error, runs, 5, time.Now())
+						replica.Updates.Apply(update, replica.Derived.NoteStart, time.Now())
 					}
-					c.leases.ClearPartition(c.Partitions[part]) // as at a controller that did not own it
-					runtime.GC()                                // the garbage of making them is none of the takeover's
+					c.leases.ClearPartition(c.Partitions[partition]) // as at a controller that did not own it
+					runtime.GC()                                     // the garbage of making them is none of the takeover's
 					b.StartTimer()
 					if kind == "cold" {
-						fo.StartFrom(c.log.Error, runs, 5, time.Now())
+						replica.StartFrom(c.log.Error, runs, 5, time.Now())
 					}
-					c.takeover.Install(c.Partitions[part], fo, nil, kind == "warm")
+					c.takeover.Install(c.Partitions[partition], replica, nil, kind == "warm")
 				}
 			})
 		}
@@ -273,17 +273,17 @@
 
 // BenchmarkApplyRecordChange: what a standby does with one change of a record of 64 tasks.
 func BenchmarkApplyRecordChange(b *testing.B) {
-	fo := replication.NewReplica(0, time.Now())
+	replica := replication.NewReplica(0, time.Now())
 	run := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
 	for t := 32; t < 64; t++ {
 		run.Live = append(run.Live, storage.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
 	}
 	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(run)
 	complain := slog.New(slog.DiscardHandler).Error
-	fo.StartFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
+	replica.StartFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
 	for at := uint64(1); b.Loop(); at++ {
-		if !fo.Apply(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
+		if !replica.Apply(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
 			b.Fatal("a gap")
 		}
 	}
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -26,49 +26,49 @@
 )
 
 // configureFewSockets makes controllers whose sockets hold six machines, of 14 that there may be.
-func configureFewSockets(w *simulatedCluster) {
-	w.cloud.Capacity = 14
-	w.cloud.Types = w.cloud.Types[:1]
-	w.settings.Params.MachineLimits.Sockets = 12
-	w.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
+func configureFewSockets(sim *simulatedCluster) {
+	sim.cloud.Capacity = 14
+	sim.cloud.Types = sim.cloud.Types[:1]
+	sim.settings.Params.MachineLimits.Sockets = 12
+	sim.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
 }
 
 // startDelegation gives one part, that of the free team, work for all machines, and waits until
 // its shares are spread.
-func (w *simulatedCluster) startDelegation(jobs int) (part int) {
+func (sim *simulatedCluster) startDelegation(jobs int) (partition int) {
 	time.Sleep(2 * time.Second)
 	for i := range jobs {
 		s := newJobSpec(fmt.Sprint("job-", i), 10, "green")
 		s.DeadlineS = 0
-		w.submit(s)
+		sim.submit(s)
 	}
-	w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
+	sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["green"]] })
 	time.Sleep(45 * time.Second)
-	return part
+	return partition
 }
 
 // connectedMachines is how many machines each controller has the connections of.
-func (w *simulatedCluster) connectedMachines() map[string]int {
+func (sim *simulatedCluster) connectedMachines() map[string]int {
 	n := map[string]int{}
 	for _, l := range []string{"n0", "n1", "n2"} {
-		w.onController(l, func(c *Controller) { n[l] = c.proxy.Load(time.Now()).Machines })
+		sim.onController(l, func(c *Controller) { n[l] = c.proxy.Load(time.Now()).Machines })
 	}
 	return n
 }
 
 // forEachWorker runs f for every machine that is up.
-func (w *simulatedCluster) forEachWorker(f func(wk *worker.Worker)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
-		f(w.workers[name])
+func (sim *simulatedCluster) forEachWorker(f func(agent *worker.Worker)) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
+		f(sim.workers[name])
 	}
 }
 
-func (w *simulatedCluster) delegateOf(part int) string {
-	owner := w.leaderOf(part)
-	for l, n := range w.connectedMachines() {
-		if l != owner && n > 0 {
+func (sim *simulatedCluster) delegateOf(partition int) string {
+	leader := sim.leaderOf(partition)
+	for l, n := range sim.connectedMachines() {
+		if l != leader && n > 0 {
 			return l
 		}
 	}
@@ -79,12 +79,12 @@
 // no session ends.
 func TestAgentsSendHeartbeatsToDelegates(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 700, configureFewSockets, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 700, configureFewSockets, func(sim *simulatedCluster) {
 		relayed, direct := map[string]int{}, 0
-		w.mu.Lock()
-		w.onRequest = func(from, host, target string, body []byte) bool {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+		sim.mu.Lock()
+		sim.onRequest = func(from, host, target string, body []byte) bool {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
 			if target == proxy.ForwardPath {
 				relayed[from]++
 			} else if target == "/orders" {
@@ -92,46 +92,46 @@
 			}
 			return false
 		}
-		w.mu.Unlock()
-		part := w.startDelegation(8)
-		owner, n := w.leaderOf(part), w.connectedMachines()
+		sim.mu.Unlock()
+		partition := sim.startDelegation(8)
+		leader, n := sim.leaderOf(partition), sim.connectedMachines()
 		total := 0
 		for l, k := range n {
 			if total += k; k < 3 || k > 6 {
-				t.Errorf("%s has %d machines' connections (owner %s): %v", l, k, owner, n)
+				t.Errorf("%s has %d machines' connections (owner %s): %v", l, k, leader, n)
 			}
 		}
 		if total < 9 {
 			t.Errorf("only %d machines report", total)
 		}
 		homes := map[string]int{}
-		w.forEachWorker(func(wk *worker.Worker) { homes[wk.Homes[wk.Home]]++ })
+		sim.forEachWorker(func(agent *worker.Worker) { homes[agent.Homes[agent.Home]]++ })
 		if len(homes) != 3 {
 			t.Errorf("workers report to %v, shares are spread as %v", homes, n)
 		}
-		w.onController(owner, func(c *Controller) {
+		sim.onController(leader, func(c *Controller) {
 			v := c.api.StateOverview(time.Now())
-			carried, moves := 0, len(v.Moves)
+			delegated, moves := 0, len(v.Moves)
 			for _, p := range v.Parts {
 				for _, k := range p.Carried {
-					if carried += k.Machines; !k.Active {
+					if delegated += k.Machines; !k.Active {
 						t.Errorf("%s does not ask: %+v", k.By, k)
 					}
 				}
 			}
-			if carried != total-n[owner] || moves == 0 || v.Connected != n[owner] || v.Room != 6 {
-				t.Errorf("%d machines carried, %d moves, %d of %d connected; spread %v", carried, moves, v.Connected, v.Room, n)
+			if delegated != total-n[leader] || moves == 0 || v.Connected != n[leader] || v.Room != 6 {
+				t.Errorf("%d machines carried, %d moves, %d of %d connected; spread %v", delegated, moves, v.Connected, v.Room, n)
 			}
 		})
-		w.mu.Lock()
-		if relayed[owner] == 0 {
+		sim.mu.Lock()
+		if relayed[leader] == 0 {
 			t.Error("no orders went by way of a carrier")
 		}
-		w.mu.Unlock()
-		w.waitForAllJobs(4 * time.Minute)
-		w.forEachWorker(func(wk *worker.Worker) {
-			if wk.Session != 1 {
-				t.Errorf("%s lost its lease: session %d", wk.Name, wk.Session)
+		sim.mu.Unlock()
+		sim.waitForAllJobs(4 * time.Minute)
+		sim.forEachWorker(func(agent *worker.Worker) {
+			if agent.Session != 1 {
+				t.Errorf("%s lost its lease: session %d", agent.Name, agent.Session)
 			}
 		})
 	})
@@ -145,80 +145,82 @@
 		return func(from, host string) bool { return from == a && host == b }
 	}
 	type fault struct {
-		do func(w *simulatedCluster, owner, carrier string)
+		do func(sim *simulatedCluster, leader, delegate string)
 		// kept: no worker's session may end; stays: nor may the owner lose the part.
 		kept, stays bool
 	}
 	faults := map[string]fault{
-		"the carrier is killed": {func(w *simulatedCluster, _, carrier string) {
-			w.killController(carrier)
+		"the carrier is killed": {func(sim *simulatedCluster, _, delegate string) {
+			sim.killController(delegate)
 			time.Sleep(300 * time.Millisecond)
-			w.startController(carrier)
+			sim.startController(delegate)
 		}, true, false},
-		"the owner is killed": {func(w *simulatedCluster, owner, _ string) {
-			w.killController(owner)
+		"the owner is killed": {func(sim *simulatedCluster, leader, _ string) {
+			sim.killController(leader)
 			time.Sleep(3 * time.Second)
-			w.startController(owner)
+			sim.startController(leader)
 		}, true, false},
-		"both are killed": {func(w *simulatedCluster, owner, carrier string) {
-			w.killController(owner)
-			w.killController(carrier)
+		"both are killed": {func(sim *simulatedCluster, leader, delegate string) {
+			sim.killController(leader)
+			sim.killController(delegate)
 			time.Sleep(300 * time.Millisecond)
-			w.startController(owner)
-			w.startController(carrier)
+			sim.startController(leader)
+			sim.startController(delegate)
 		}, true, false},
-		"the carrier stands still": {func(w *simulatedCluster, _, carrier string) { w.pauseController(carrier, 6*time.Second) }, true, false},
-		"the owner stands still":   {func(w *simulatedCluster, owner, _ string) { w.pauseController(owner, 2500*time.Millisecond) }, true, false},
-		"the owner's way is cut": {func(w *simulatedCluster, owner, carrier string) {
-			w.cutNetworkFor(between(owner, carrier), 12*time.Second)
+		"the carrier stands still": {func(sim *simulatedCluster, _, delegate string) { sim.pauseController(delegate, 6*time.Second) }, true, false},
+		"the owner stands still":   {func(sim *simulatedCluster, leader, _ string) { sim.pauseController(leader, 2500*time.Millisecond) }, true, false},
+		"the owner's way is cut": {func(sim *simulatedCluster, leader, delegate string) {
+			sim.cutNetworkFor(between(leader, delegate), 12*time.Second)
 		}, true, false},
-		"the carrier's way is cut": {func(w *simulatedCluster, owner, carrier string) {
-			w.cutNetworkFor(between(carrier, owner), 12*time.Second)
+		"the carrier's way is cut": {func(sim *simulatedCluster, leader, delegate string) {
+			sim.cutNetworkFor(between(delegate, leader), 12*time.Second)
 		}, true, false},
-		"the carrier without state": {func(w *simulatedCluster, _, carrier string) {
-			w.cutNetworkFor(between(carrier, "state"), 9*time.Second)
+		"the carrier without state": {func(sim *simulatedCluster, _, delegate string) {
+			sim.cutNetworkFor(between(delegate, "state"), 9*time.Second)
 		}, true, false},
-		"the owner without state": {func(w *simulatedCluster, owner, _ string) { w.cutNetworkFor(between(owner, "state"), 9*time.Second) }, false, false},
-		"the carrier without workers": {func(w *simulatedCluster, _, carrier string) {
-			w.cutNetworkFor(func(from, host string) bool { return from == carrier && strings.HasPrefix(host, "m-") }, 9*time.Second)
+		"the owner without state": {func(sim *simulatedCluster, leader, _ string) {
+			sim.cutNetworkFor(between(leader, "state"), 9*time.Second)
+		}, false, false},
+		"the carrier without workers": {func(sim *simulatedCluster, _, delegate string) {
+			sim.cutNetworkFor(func(from, host string) bool { return from == delegate && strings.HasPrefix(host, "m-") }, 9*time.Second)
 		}, true, false},
-		"controllers don't hear each other": {func(w *simulatedCluster, _, _ string) {
-			w.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
+		"controllers don't hear each other": {func(sim *simulatedCluster, _, _ string) {
+			sim.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
 		}, true, true},
 		// The carrier's workers come to others, while nobody hears the owner.
-		"the carrier is killed unheard": {func(w *simulatedCluster, _, carrier string) {
-			w.group.Go(func() {
+		"the carrier is killed unheard": {func(sim *simulatedCluster, _, delegate string) {
+			sim.group.Go(func() {
 				time.Sleep(time.Second)
-				w.killController(carrier)
+				sim.killController(delegate)
 			})
-			w.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
-			w.startController(carrier)
+			sim.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
+			sim.startController(delegate)
 		}, true, true},
-		"an outage": {func(w *simulatedCluster, _, _ string) {
-			w.setOutage(true)
+		"an outage": {func(sim *simulatedCluster, _, _ string) {
+			sim.setOutage(true)
 			time.Sleep(12 * time.Second)
-			w.setOutage(false)
+			sim.setOutage(false)
 		}, true, false},
-		"planned ends": {func(w *simulatedCluster, owner, carrier string) {
-			w.handOverAndRestart(carrier)
+		"planned ends": {func(sim *simulatedCluster, leader, delegate string) {
+			sim.handOverAndRestart(delegate)
 			time.Sleep(2 * time.Second)
-			w.handOverAndRestart(owner)
+			sim.handOverAndRestart(leader)
 		}, true, false},
-		"lost and late messages": {func(w *simulatedCluster, _, _ string) {
-			w.mu.Lock()
-			w.messageFaultRate = 0.05
-			w.mu.Unlock()
+		"lost and late messages": {func(sim *simulatedCluster, _, _ string) {
+			sim.mu.Lock()
+			sim.messageFaultRate = 0.05
+			sim.mu.Unlock()
 			time.Sleep(15 * time.Second)
-			w.mu.Lock()
-			w.messageFaultRate = 0
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.messageFaultRate = 0
+			sim.mu.Unlock()
 		}, false, false},
-		"machines hang": {func(w *simulatedCluster, _, _ string) {
+		"machines hang": {func(sim *simulatedCluster, _, _ string) {
 			hang := func(on bool) {
 				n := 0
-				w.forEachWorker(func(wk *worker.Worker) {
+				sim.forEachWorker(func(agent *worker.Worker) {
 					if n++; n%3 == 0 {
-						wk.Hung = on
+						agent.Hung = on
 					}
 				})
 			}
@@ -231,28 +233,28 @@
 		f := faults[name]
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 710+uint64(i), configureFewSockets, func(w *simulatedCluster) {
-				part := w.startDelegation(9)
-				owner, carrier := w.leaderOf(part), w.delegateOf(part)
-				if carrier == "" {
-					t.Fatalf("nothing is carried: %v", w.connectedMachines())
+			runConfiguredSimulation(t, 710+uint64(i), configureFewSockets, func(sim *simulatedCluster) {
+				partition := sim.startDelegation(9)
+				leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
+				if delegate == "" {
+					t.Fatalf("nothing is carried: %v", sim.connectedMachines())
 				}
-				var claim uint64
-				w.onController(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
-				f.do(w, owner, carrier)
-				w.onController(owner, func(c *Controller) {
-					if f.stays && c.Partitions[part].LeaseRevision != claim {
+				var lease uint64
+				sim.onController(leader, func(c *Controller) { lease = c.Partitions[partition].LeaseRevision })
+				f.do(sim, leader, delegate)
+				sim.onController(leader, func(c *Controller) {
+					if f.stays && c.Partitions[partition].LeaseRevision != lease {
 						t.Error("a living owner lost its part")
 					}
 				})
 				if time.Sleep(12 * time.Second); f.kept {
-					w.forEachWorker(func(wk *worker.Worker) {
-						if wk.Session != 1 {
-							t.Errorf("%s lost its lease: session %d", wk.Name, wk.Session)
+					sim.forEachWorker(func(agent *worker.Worker) {
+						if agent.Session != 1 {
+							t.Errorf("%s lost its lease: session %d", agent.Name, agent.Session)
 						}
 					})
 				}
-				w.waitForAllJobs(6 * time.Minute)
+				sim.waitForAllJobs(6 * time.Minute)
 			})
 		})
 	}
@@ -266,44 +268,44 @@
 	for _, what := range []string{"the carrier lives", "the carrier is killed", "the carrier is not heard"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 730, configureFewSockets, func(w *simulatedCluster) {
-				part := w.startDelegation(9)
-				owner, carrier := w.leaderOf(part), w.delegateOf(part)
+			runConfiguredSimulation(t, 730, configureFewSockets, func(sim *simulatedCluster) {
+				partition := sim.startDelegation(9)
+				leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
 				if what == "the carrier is not heard" {
-					w.group.Go(func() {
-						w.cutNetworkFor(func(from, host string) bool { return from == carrier && host == owner }, 30*time.Second)
+					sim.group.Go(func() {
+						sim.cutNetworkFor(func(from, host string) bool { return from == delegate && host == leader }, 30*time.Second)
 					})
 					time.Sleep(1900 * time.Millisecond) // its grants have just not ended
 				}
 				var silent *worker.Worker
-				w.forEachWorker(func(wk *worker.Worker) {
+				sim.forEachWorker(func(agent *worker.Worker) {
 					// The one that was answered last: its lease is the longest.
-					if wk.Homes[wk.Home] == carrier && len(wk.Tasks) > 0 && (silent == nil || wk.LeaseFrom.After(silent.LeaseFrom)) {
-						silent = wk
+					if agent.Homes[agent.Home] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseFrom.After(silent.LeaseFrom)) {
+						silent = agent
 					}
 				})
 				if silent == nil {
 					t.Fatal("no machine reports to the carrier")
 				}
-				w.mu.Lock()
+				sim.mu.Lock()
 				silent.Hung = true
 				name, from, lease := silent.Name, silent.LeaseFrom, silent.Lease
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				if what == "the carrier is killed" {
-					w.killController(carrier)
+					sim.killController(delegate)
 				}
 				gone := false
 				for begun := time.Now(); !gone && time.Since(begun) < time.Minute; time.Sleep(50 * time.Millisecond) {
-					w.onController(owner, func(c *Controller) { gone = c.Machines[name] == nil || c.Machines[name].Lost })
+					sim.onController(leader, func(c *Controller) { gone = c.Machines[name] == nil || c.Machines[name].Lost })
 				}
 				if took := time.Since(from); took <= lease || took > lease+7*time.Second {
 					t.Errorf("counts as lost %s after its lease began, which is %s", took, lease)
 				}
-				w.forEachWorker(func(wk *worker.Worker) { wk.Hung = false })
+				sim.forEachWorker(func(agent *worker.Worker) { agent.Hung = false })
 				if what == "the carrier is killed" {
-					w.startController(carrier)
+					sim.startController(delegate)
 				}
-				w.waitForAllJobs(6 * time.Minute)
+				sim.waitForAllJobs(6 * time.Minute)
 			})
 		})
 	}
@@ -313,21 +315,21 @@
 // late, makes no machine look alive.
 func TestGrantsEndWithinTheLeadersAnswerBound(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 780, configureFewSockets, func(w *simulatedCluster) {
-		part := w.startDelegation(9)
-		owner, carrier := w.leaderOf(part), w.delegateOf(part)
-		w.mu.Lock()
-		ctl := w.controllers[owner].controller
-		w.mu.Unlock()
+	runConfiguredSimulation(t, 780, configureFewSockets, func(sim *simulatedCluster) {
+		partition := sim.startDelegation(9)
+		leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
+		sim.mu.Lock()
+		ctl := sim.controllers[leader].controller
+		sim.mu.Unlock()
 		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
-			req := &peer.DelegationRequest{From: carrier, Nonce: "x", Partition: uint32(part), Heartbeats: reports}
+			req := &peer.DelegationRequest{From: delegate, Nonce: "x", Partition: uint32(partition), Heartbeats: reports}
 			ctl.loop.Do(func() {
-				req.LeaseRevision = ctl.Partitions[part].LeaseRevision
+				req.LeaseRevision = ctl.Partitions[partition].LeaseRevision
 				ctl.LeaseRenewedAt = time.Now().Add(-ago)
 			})
 			body, err := proto.Marshal(req)
 			panicOnError(err)
-			resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.DelegationPath, Body: body})
+			resp := ctl.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: proxy.DelegationPath, Body: body})
 			reply := new(peer.DelegationGrant)
 			if resp.Status == 200 {
 				panicOnError(proto.Unmarshal(resp.Body, reply))
@@ -346,10 +348,10 @@
 		}
 		var raw []byte
 		var name string
-		w.forEachWorker(func(wk *worker.Worker) {
-			if raw == nil && wk.Homes[wk.Home] == carrier {
-				name, raw = wk.Name, protocol.Encode(wk.Snapshot())
-				wk.Hung = true
+		sim.forEachWorker(func(agent *worker.Worker) {
+			if raw == nil && agent.Homes[agent.Home] == delegate {
+				name, raw = agent.Name, protocol.Encode(agent.Snapshot())
+				agent.Hung = true
 			}
 		})
 		ask(0, raw)
@@ -361,8 +363,8 @@
 				t.Errorf("heard %s ago, answered %s ago", heard, time.Since(m.AnsweredUntil))
 			}
 		})
-		w.forEachWorker(func(wk *worker.Worker) { wk.Hung = false })
-		w.waitForAllJobs(4 * time.Minute)
+		sim.forEachWorker(func(agent *worker.Worker) { agent.Hung = false })
+		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
@@ -370,14 +372,14 @@
 // some of them from its first moment on.
 func TestTakeoverDelegatesAtOnce(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 790, configureFewSockets, func(w *simulatedCluster) {
-		part := w.startDelegation(9)
-		lost := w.leaderOf(part)
+	runConfiguredSimulation(t, 790, configureFewSockets, func(sim *simulatedCluster) {
+		partition := sim.startDelegation(9)
+		lost := sim.leaderOf(partition)
 		direct, relayed := map[string]map[string]bool{}, 0
-		w.mu.Lock()
-		w.onRequest = func(from, host, target string, body []byte) bool {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+		sim.mu.Lock()
+		sim.onRequest = func(from, host, target string, body []byte) bool {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
 			switch target {
 			case "/orders":
 				if direct[from] == nil {
@@ -391,17 +393,17 @@
 			}
 			return false
 		}
-		w.mu.Unlock()
-		w.killController(lost)
-		heir := ""
-		for begun := time.Now(); heir == "" && time.Since(begun) < 10*time.Second; time.Sleep(time.Millisecond) {
-			heir = w.leaderOf(part)
+		sim.mu.Unlock()
+		sim.killController(lost)
+		successor := ""
+		for begun := time.Now(); successor == "" && time.Since(begun) < 10*time.Second; time.Sleep(time.Millisecond) {
+			successor = sim.leaderOf(partition)
 		}
 		time.Sleep(100 * time.Millisecond)
-		machines, fenced, carried := 0, 0, 0
-		w.onController(heir, func(c *Controller) {
+		machines, fenced, delegated := 0, 0, 0
+		sim.onController(successor, func(c *Controller) {
 			for _, m := range c.Machines {
-				if m.Record.Partition == part {
+				if m.Record.Partition == partition {
 					machines++
 					if m.Fenced {
 						fenced++
@@ -409,17 +411,17 @@
 				}
 			}
 			for _, l := range c.Labels {
-				carried += len(c.Partitions[part].Delegations.ShardsOf(l))
+				delegated += len(c.Partitions[partition].Delegations.ShardsOf(l))
 			}
 		})
-		w.mu.Lock()
-		own := len(direct[heir])
-		w.mu.Unlock()
-		if machines < 9 || fenced < machines || carried == 0 || relayed == 0 || own >= machines {
-			t.Errorf("%d machines, %d fenced, %d shares carried, %d orders relayed, %d machines fenced by %s itself", machines, fenced, carried, relayed, own, heir)
-		}
-		w.startController(lost)
-		w.waitForAllJobs(6 * time.Minute)
+		sim.mu.Lock()
+		own := len(direct[successor])
+		sim.mu.Unlock()
+		if machines < 9 || fenced < machines || delegated == 0 || relayed == 0 || own >= machines {
+			t.Errorf("%d machines, %d fenced, %d shares carried, %d orders relayed, %d machines fenced by %s itself", machines, fenced, delegated, relayed, own, successor)
+		}
+		sim.startController(lost)
+		sim.waitForAllJobs(6 * time.Minute)
 	})
 }
 
@@ -427,19 +429,19 @@
 // standstills: no task is started again, no session ends.
 func TestShardsMoveWhileTasksRun(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 740, func(w *simulatedCluster) {
-		configureFewSockets(w)
-		w.runTime = func(string, int, string) time.Duration { return 8 * time.Minute }
-	}, func(w *simulatedCluster) {
-		part := w.startDelegation(3)
-		owner := w.leaderOf(part)
+	runConfiguredSimulation(t, 740, func(sim *simulatedCluster) {
+		configureFewSockets(sim)
+		sim.runTime = func(string, int, string) time.Duration { return 8 * time.Minute }
+	}, func(sim *simulatedCluster) {
+		partition := sim.startDelegation(3)
+		leader := sim.leaderOf(partition)
 		starts := map[string]int{}
-		w.forEachWorker(func(wk *worker.Worker) { starts[wk.Name] = wk.Starts })
-		others := slices.DeleteFunc([]string{"n0", "n1", "n2"}, func(l string) bool { return l == owner })
+		sim.forEachWorker(func(agent *worker.Worker) { starts[agent.Name] = agent.Starts })
+		others := slices.DeleteFunc([]string{"n0", "n1", "n2"}, func(l string) bool { return l == leader })
 		moves := 0
 		for round := range 50 {
-			w.onController(owner, func(c *Controller) {
-				p := c.Partitions[part]
+			sim.onController(leader, func(c *Controller) {
+				p := c.Partitions[partition]
 				to := others[round%2]
 				for s := range 16 {
 					if s%4 == round%4 {
@@ -452,18 +454,18 @@
 			time.Sleep(1500 * time.Millisecond)
 			switch round % 10 {
 			case 3:
-				w.killController(others[0])
+				sim.killController(others[0])
 				time.Sleep(200 * time.Millisecond)
-				w.startController(others[0])
+				sim.startController(others[0])
 			case 6:
-				w.pauseController(others[1], 2*time.Second)
+				sim.pauseController(others[1], 2*time.Second)
 			case 9:
-				w.pauseController(owner, time.Second)
+				sim.pauseController(leader, time.Second)
 			}
 		}
-		w.forEachWorker(func(wk *worker.Worker) {
-			if wk.Session != 1 || wk.Starts != starts[wk.Name] {
-				t.Errorf("%s: session %d, %d starts more", wk.Name, wk.Session, wk.Starts-starts[wk.Name])
+		sim.forEachWorker(func(agent *worker.Worker) {
+			if agent.Session != 1 || agent.Starts != starts[agent.Name] {
+				t.Errorf("%s: session %d, %d starts more", agent.Name, agent.Session, agent.Starts-starts[agent.Name])
 			}
 		})
 		t.Logf("%d moves of shares", moves)
@@ -475,47 +477,47 @@
 // given away again.
 func TestOldVersionsAreNoDelegates(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 750, configureFewSockets, func(w *simulatedCluster) {
-		part := w.startDelegation(9)
-		owner := w.leaderOf(part)
-		carried := func() (shares []int) {
-			w.onController(owner, func(c *Controller) {
+	runConfiguredSimulation(t, 750, configureFewSockets, func(sim *simulatedCluster) {
+		partition := sim.startDelegation(9)
+		leader := sim.leaderOf(partition)
+		delegated := func() (shares []int) {
+			sim.onController(leader, func(c *Controller) {
 				for _, l := range c.Labels {
-					shares = append(shares, c.Partitions[part].Delegations.ShardsOf(l)...)
+					shares = append(shares, c.Partitions[partition].Delegations.ShardsOf(l)...)
 				}
 			})
 			return shares
 		}
-		if len(carried()) == 0 {
-			t.Errorf("nothing is carried: %v", w.connectedMachines())
+		if len(delegated()) == 0 {
+			t.Errorf("nothing is carried: %v", sim.connectedMachines())
 		}
 		for _, l := range []string{"n0", "n1", "n2"} {
-			if l != owner {
-				w.mu.Lock()
-				w.oldVersions = map[string]bool{l: true}
-				w.mu.Unlock()
+			if l != leader {
+				sim.mu.Lock()
+				sim.oldVersions = map[string]bool{l: true}
+				sim.mu.Unlock()
 				break
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if s := carried(); len(s) > 0 {
+		if s := delegated(); len(s) > 0 {
 			t.Errorf("shares %v are carried beside an old version", s)
 		}
 		time.Sleep(5 * time.Second)
-		if n := w.connectedMachines(); n[owner] < 9 {
-			t.Errorf("the owner has the connections of %d machines: %v", n[owner], n)
+		if n := sim.connectedMachines(); n[leader] < 9 {
+			t.Errorf("the owner has the connections of %d machines: %v", n[leader], n)
 		}
-		w.mu.Lock()
-		w.oldVersions = nil
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.oldVersions = nil
+		sim.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if len(carried()) == 0 {
+		if len(delegated()) == 0 {
 			t.Error("nothing is carried after the old version is gone")
 		}
-		w.waitForAllJobs(4 * time.Minute)
-		w.forEachWorker(func(wk *worker.Worker) {
-			if wk.Session != 1 {
-				t.Errorf("%s lost its lease: session %d", wk.Name, wk.Session)
+		sim.waitForAllJobs(4 * time.Minute)
+		sim.forEachWorker(func(agent *worker.Worker) {
+			if agent.Session != 1 {
+				t.Errorf("%s lost its lease: session %d", agent.Name, agent.Session)
 			}
 		})
 	})
@@ -525,16 +527,16 @@
 // of a former owner may send.
 func TestInvalidDelegationRequestsAreRefused(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 760, configureFewSockets, func(w *simulatedCluster) {
-		part := w.startDelegation(2)
-		owner := w.leaderOf(part)
-		var claim uint64
-		w.onController(owner, func(c *Controller) { claim = c.Partitions[part].LeaseRevision })
-		w.mu.Lock()
-		ctl := w.controllers[owner].controller
-		w.mu.Unlock()
+	runConfiguredSimulation(t, 760, configureFewSockets, func(sim *simulatedCluster) {
+		partition := sim.startDelegation(2)
+		leader := sim.leaderOf(partition)
+		var lease uint64
+		sim.onController(leader, func(c *Controller) { lease = c.Partitions[partition].LeaseRevision })
+		sim.mu.Lock()
+		ctl := sim.controllers[leader].controller
+		sim.mu.Unlock()
 		post := func(path string, body []byte) int {
-			return ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: path, Body: body}).Status
+			return ctl.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: path, Body: body}).Status
 		}
 		carry := func(r *peer.DelegationRequest) int {
 			body, err := proto.Marshal(r)
@@ -542,11 +544,11 @@
 			return post(proxy.DelegationPath, body)
 		}
 		for what, got := range map[string]int{
-			"another claim":   carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(part), LeaseRevision: claim - 1}) - 409,
-			"no such part":    carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: 99, LeaseRevision: claim}) - 409,
+			"another claim":   carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease - 1}) - 409,
+			"no such part":    carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: 99, LeaseRevision: lease}) - 409,
 			"no message":      post(proxy.DelegationPath, []byte{1, 2, 3}) - 400,
 			"no orders":       post(proxy.ForwardPath, []byte{1, 2, 3}) - 400,
-			"reports of none": carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(part), LeaseRevision: claim, Heartbeats: [][]byte{{1}, nil}}) - 200,
+			"reports of none": carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease, Heartbeats: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
 				t.Errorf("%s: status off by %d", what, got)
@@ -563,13 +565,13 @@
 		}
 		body, err = proto.Marshal(&peer.ForwardRequest{From: "n1", Commands: []*peer.ForwardedCommand{{Machine: "unheard of"}}})
 		panicOnError(err)
-		resp := ctl.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: proxy.ForwardPath, Body: body})
+		resp := ctl.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: proxy.ForwardPath, Body: body})
 		reply := new(peer.ForwardReply)
 		panicOnError(proto.Unmarshal(resp.Body, reply))
 		if len(reply.Results) != 1 || !reply.Results[0].Unsent {
 			t.Errorf("orders for a machine that nobody knows: %v", reply)
 		}
-		w.waitForAllJobs(4 * time.Minute)
+		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
@@ -584,20 +586,20 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			asked := 0
-			runConfiguredSimulation(t, 20_000+seed, func(w *simulatedCluster) {
-				announceLowerLimits(w)
-				w.settings.Params.MachineLimits.Sockets = 8
-				w.onRequest = func(_, _, target string, _ []byte) bool {
-					w.mu.Lock()
-					defer w.mu.Unlock()
+			runConfiguredSimulation(t, 20_000+seed, func(sim *simulatedCluster) {
+				announceLowerLimits(sim)
+				sim.settings.Params.MachineLimits.Sockets = 8
+				sim.onRequest = func(_, _, target string, _ []byte) bool {
+					sim.mu.Lock()
+					defer sim.mu.Unlock()
 					if target == proxy.DelegationPath {
 						asked++
 					}
 					return false
 				}
-			}, func(w *simulatedCluster) {
+			}, func(sim *simulatedCluster) {
 				time.Sleep(20 * time.Second) // until the others count as settled
-				runRandomFailovers(w)
+				runRandomFailovers(sim)
 			})
 			if asked == 0 {
 				t.Log("nothing was carried")
@@ -612,11 +614,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, end := newIdleController(t)
 		defer end()
-		claim := func(version uint64, label, nonce string) {
+		setLease := func(version uint64, label, nonce string) {
 			c.watcher.ApplyEvent(protocol.Event{Put: storage.LeaseKey(0), Value: storage.Encode(storage.Lease{Holder: label, Nonce: nonce}), Version: version})
 		}
 		c.watcher.ApplyListing(nil, 1)
-		claim(3, "n1", "x")
+		setLease(3, "n1", "x")
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
 		e, share := c.proxy.Assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
@@ -661,19 +663,19 @@
 		e.UnsentBytes = c.proxy.UnsentLimit
 		answers("too much is to be told", 503, 0)
 		grant()
-		claim(5, "n2", "y")
+		setLease(5, "n2", "y")
 		answers("another owner", 421, 0)
 		grant()
 		answers("granted by the other", 200, 5)
 		grant()
-		claim(6, "n2", "y")
+		setLease(6, "n2", "y")
 		answers("the same owner under another claim", 421, 0)
 		grant()
 		c.Draining = true
 		answers("about to end", 421, 0)
 		c.Draining = false
 		grant()
-		claim(7, "n0", c.Nonce)
+		setLease(7, "n0", c.Nonce)
 		if resp := c.agents.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.Unsent) > 0 {
 			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.Unsent))
 		}
@@ -684,16 +686,16 @@
 // machines have come.
 func TestUnacknowledgedHeartbeatsAreForwardedAgain(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 770, configureFewSockets, func(w *simulatedCluster) {
-		part := w.startDelegation(9)
-		carrier := w.delegateOf(part)
+	runConfiguredSimulation(t, 770, configureFewSockets, func(sim *simulatedCluster) {
+		partition := sim.startDelegation(9)
+		delegate := sim.delegateOf(partition)
 		var lost, again map[string]bool
 		var after uint64
-		w.mu.Lock()
-		w.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if from != carrier || target != proxy.DelegationPath || again != nil {
+		sim.mu.Lock()
+		sim.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
+			if from != delegate || target != proxy.DelegationPath || again != nil {
 				return false
 			}
 			req, told := new(peer.DelegationRequest), map[string]bool{}
@@ -707,7 +709,7 @@
 			case lost == nil && len(told) > 0:
 				lost, after = told, req.After
 				for name := range lost { // it says nothing more that could be told instead
-					w.workers[name].Hung = true
+					sim.workers[name].Hung = true
 				}
 				return true
 			case lost != nil:
@@ -717,19 +719,19 @@
 			}
 			return false
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		w.mu.Lock()
+		sim.mu.Lock()
 		if len(lost) == 0 || again == nil {
 			t.Errorf("lost %v, then %v", lost, again)
 		}
 		for name := range lost {
-			if w.workers[name].Hung = false; !again[name] {
+			if sim.workers[name].Hung = false; !again[name] {
 				t.Errorf("the report of %s is not told again", name)
 			}
 		}
-		w.mu.Unlock()
-		w.waitForAllJobs(4 * time.Minute)
+		sim.mu.Unlock()
+		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -24,17 +24,17 @@
 
 func TestJobsRunToCompletion(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 1, func(w *simulatedCluster) {
+	runSimulation(t, 1, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 10, "red"))
-		w.submit(newJobSpec("job-2", 20, "blue"))
-		w.submit(newJobSpec("job-3", 150, "green")) // more than one run record
-		w.waitForAllJobs(5 * time.Minute)
+		sim.submit(newJobSpec("job-1", 10, "red"))
+		sim.submit(newJobSpec("job-2", 20, "blue"))
+		sim.submit(newJobSpec("job-3", 150, "green")) // more than one run record
+		sim.waitForAllJobs(5 * time.Minute)
 		// Idle machines go back.
 		time.Sleep(2 * time.Minute)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if n := len(w.cloud.Machines); n > 0 {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if n := len(sim.cloud.Machines); n > 0 {
 			t.Errorf("%d machines still rented", n)
 		}
 	})
@@ -42,13 +42,13 @@
 
 func TestPlacementConstraintsHold(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 2, func(w *simulatedCluster) {
+	runSimulation(t, 2, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// First a machine that is free but not allowed: spot, small, zone a.
-		w.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
+		sim.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
 		first := newJobSpec("job-9", 1, "blue")
 		first.CPUs, first.Zone = 1, "a"
-		w.submit(first)
+		sim.submit(first)
 		time.Sleep(10 * time.Second)
 		a := newJobSpec("job-1", 6, "blue")
 		a.Zone, a.Spot = "b", false
@@ -56,46 +56,46 @@
 		b.Types = []string{"big"}
 		e := newJobSpec("job-5", 1, "blue")
 		e.Spot, e.CPUs = false, 1
-		w.submit(e)
+		sim.submit(e)
 		c := newJobSpec("job-3", 5, "green")
 		c.Spread = true
 		d := newJobSpec("job-4", 5, "green")
 		d.OneZone = true
 		for _, s := range []*protocol.JobSpec{a, b, c, d} {
-			w.submit(s)
+			sim.submit(s)
 		}
-		w.waitForAllJobs(4 * time.Minute)
+		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
 func TestTeamQuotaHoldsThroughFailover(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 3, func(w *simulatedCluster) {
+	runSimulation(t, 3, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// 32 CPUs at most, so 8 of 24 tasks at a time.
-		w.submit(newJobSpec("job-1", 24, "red"))
-		w.killController("n0")
+		sim.submit(newJobSpec("job-1", 24, "red"))
+		sim.killController("n0")
 		time.Sleep(10 * time.Second)
-		w.startController("n0")
-		w.waitForAllJobs(4 * time.Minute)
+		sim.startController("n0")
+		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
 func TestServiceRunsUntilCancelled(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 4, func(w *simulatedCluster) {
+	runSimulation(t, 4, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		s := newJobSpec("job-1", 2, "blue")
 		s.Standing, s.EstimateS, s.DeadlineS = true, 0, 0
-		w.runTime = func(string, int, string) time.Duration { return time.Hour }
-		w.submit(s)
+		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+		sim.submit(s)
 		time.Sleep(30 * time.Second)
-		if st := w.poll("", "job-1"); st != protocol.StatusRunning {
+		if st := sim.poll("", "job-1"); st != protocol.StatusRunning {
 			t.Errorf("standing job is %q", st)
 		}
-		w.cancelJob("job-1")
+		sim.cancelJob("job-1")
 		time.Sleep(30 * time.Second)
-		w.waitForAllJobs(time.Minute)
+		sim.waitForAllJobs(time.Minute)
 	})
 }
 
@@ -103,14 +103,14 @@
 // job was withdrawn: the owner raises the machine's token.
 func TestLateStartAfterCancellationIsFenced(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 5, func(w *simulatedCluster) {
+	runSimulation(t, 5, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 1, "blue")) // brings a machine up
-		w.waitForAllJobs(time.Minute)
-		w.mu.Lock()
+		sim.submit(newJobSpec("job-1", 1, "blue")) // brings a machine up
+		sim.waitForAllJobs(time.Minute)
+		sim.mu.Lock()
 		var held []protocol.Orders
 		var machine string
-		w.interceptCommands = func(name string, o *protocol.Orders) {
+		sim.interceptCommands = func(name string, o *protocol.Orders) {
 			for _, c := range o.Commands {
 				if c.Op == protocol.OpStart {
 					// The order hangs; the worker will see it minutes later.
@@ -121,29 +121,29 @@
 			}
 		}
 		// Reports don't get through either, so that nothing repairs it.
-		w.cut = func(_, host string) bool { return machine != "" && host == machine }
-		w.mu.Unlock()
-		w.mu.Lock()
-		w.runTime = func(string, int, string) time.Duration { return time.Hour }
-		w.mu.Unlock()
-		w.submit(newJobSpec("job-2", 1, "blue"))
+		sim.cut = func(_, host string) bool { return machine != "" && host == machine }
+		sim.mu.Unlock()
+		sim.mu.Lock()
+		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+		sim.mu.Unlock()
+		sim.submit(newJobSpec("job-2", 1, "blue"))
 		time.Sleep(3 * time.Second)
-		w.cancelJob("job-2")
-		w.mu.Lock()
-		w.cut, w.interceptCommands = nil, nil
+		sim.cancelJob("job-2")
+		sim.mu.Lock()
+		sim.cut, sim.interceptCommands = nil, nil
 		if len(held) == 0 {
 			t.Fatal("no start was held back")
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		time.Sleep(6 * time.Second)
-		w.mu.Lock()
-		wk := w.workers[machine]
-		if wk == nil {
-			w.mu.Unlock()
+		sim.mu.Lock()
+		agent := sim.workers[machine]
+		if agent == nil {
+			sim.mu.Unlock()
 			return // the machine was deleted: that keeps it out as well
 		}
-		w.mu.Unlock()
-		resp := w.serveWorker(wk, "/orders", protocol.Encode(held[0]))
+		sim.mu.Unlock()
+		resp := sim.serveWorker(agent, "/orders", protocol.Encode(held[0]))
 		if resp.Status == 200 {
 			t.Error("the late start was executed")
 		}
@@ -155,33 +155,33 @@
 // successor was heard: a takeover raises every machine's token.
 func TestCommandsOfAFormerLeaderAreRefused(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 13, func(w *simulatedCluster) {
+	runSimulation(t, 13, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		late := map[string]protocol.Orders{}
-		w.mu.Lock()
-		w.interceptCommands = func(name string, o *protocol.Orders) { late[name] = *o }
-		w.mu.Unlock()
-		w.mu.Lock()
-		w.runTime = func(string, int, string) time.Duration { return time.Minute }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.interceptCommands = func(name string, o *protocol.Orders) { late[name] = *o }
+		sim.mu.Unlock()
+		sim.mu.Lock()
+		sim.runTime = func(string, int, string) time.Duration { return time.Minute }
+		sim.mu.Unlock()
 		for i, team := range []string{"red", "blue", "green"} {
-			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
+			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
 		}
 		time.Sleep(15 * time.Second)
-		w.mu.Lock()
-		w.interceptCommands = nil
+		sim.mu.Lock()
+		sim.interceptCommands = nil
 		before := len(late)
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		if before == 0 {
 			t.Fatal("no orders were sent")
 		}
 		for _, label := range []string{"n0", "n1", "n2"} {
-			w.killController(label)
+			sim.killController(label)
 		}
-		w.startController("n1")
-		w.mu.Lock()
-		n := w.controllers["n1"].controller
-		w.mu.Unlock()
+		sim.startController("n1")
+		sim.mu.Lock()
+		n := sim.controllers["n1"].controller
+		sim.mu.Unlock()
 		// Until a worker has heard the successor, it knows no better.
 		for fenced := 0; fenced < len(late); time.Sleep(100 * time.Millisecond) {
 			fenced = 0
@@ -194,14 +194,14 @@
 			})
 		}
 		for name, o := range late {
-			w.mu.Lock()
-			wk := w.workers[name]
-			w.mu.Unlock()
-			if resp := w.serveWorker(wk, "/orders", protocol.Encode(o)); resp.Status == 200 {
+			sim.mu.Lock()
+			agent := sim.workers[name]
+			sim.mu.Unlock()
+			if resp := sim.serveWorker(agent, "/orders", protocol.Encode(o)); resp.Status == 200 {
 				t.Errorf("%s obeyed an order from before the takeover", name)
 			}
 		}
-		w.waitForAllJobs(3 * time.Minute)
+		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
@@ -209,15 +209,15 @@
 // told to come back.
 func TestSubmissionIsAcceptedOnlyWhenRecorded(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 14, func(w *simulatedCluster) {
+	runSimulation(t, 14, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.cut = func(from, host string) bool { return from == "n0" && host == "state" }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cut = func(from, host string) bool { return from == "n0" && host == "state" }
+		sim.mu.Unlock()
 		for _, wait := range []time.Duration{0, 3 * time.Second} {
 			time.Sleep(wait)
 			begun := time.Now()
-			resp := w.sendRequest("n0", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")))
+			resp := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")))
 			if resp.Status != 503 || resp.RetryAfter < 1 {
 				t.Errorf("submission without the state service: %d, Retry-After %d", resp.Status, resp.RetryAfter)
 			}
@@ -226,12 +226,12 @@
 			}
 		}
 		// The other controllers serve, so this one leaves the users to them.
-		if resp := w.sendRequest("n0", "GET", "/healthz", nil); resp.Status != 503 {
+		if resp := sim.sendRequest("n0", "GET", "/healthz", nil); resp.Status != 503 {
 			t.Errorf("health of a controller that alone is cut off: %d", resp.Status)
 		}
-		w.mu.Lock()
-		w.cut = nil
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cut = nil
+		sim.mu.Unlock()
 	})
 }
 
@@ -239,27 +239,27 @@
 // for so long that a task withdrawn through a successor outlives cancel_s.
 func TestLeaderAnswersHeartbeatsOnlyWithinItsBound(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 15, func(w *simulatedCluster) {
+	runSimulation(t, 15, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.runTime = func(string, int, string) time.Duration { return time.Hour }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+		sim.mu.Unlock()
 		for i, team := range []string{"red", "blue", "green"} {
-			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, team))
+			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, team))
 		}
 		time.Sleep(12 * time.Second)
-		w.setOutage(true)
+		sim.setOutage(true)
 		// cancel_s − lease_s and two seconds' margin: 25 − 8 − 2 = 15.
 		answered := func() (n int) {
 			for _, label := range []string{"n0", "n1", "n2"} {
-				w.mu.Lock()
+				sim.mu.Lock()
 				var reports []*protocol.Heartbeat
-				for _, wk := range w.workers {
-					reports = append(reports, wk.Snapshot())
+				for _, agent := range sim.workers {
+					reports = append(reports, agent.Snapshot())
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				for _, r := range reports {
-					if w.sendRequest(label, "POST", "/checkin", protocol.Encode(r)).Status == 200 {
+					if sim.sendRequest(label, "POST", "/checkin", protocol.Encode(r)).Status == 200 {
 						n++
 					}
 				}
@@ -274,7 +274,7 @@
 		if n := answered(); n > 0 {
 			t.Errorf("%d reports answered 17 s into the outage", n)
 		}
-		w.setOutage(false)
+		sim.setOutage(false)
 	})
 }
 
@@ -282,63 +282,63 @@
 // is rented twice; what turns up without a record is adopted.
 func TestScaleOutRetriesAreIdempotent(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 16, func(w *simulatedCluster) {
+	runSimulation(t, 16, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// Only answers to rentals are lost: what else is lost could ask for more
 		// machines by right, and did in one run of forty.
 		var lost atomic.Int32
-		w.mu.Lock()
-		w.onResponse = func(_, host, target string, _ []byte, _ *transport.Response) bool {
+		sim.mu.Lock()
+		sim.onResponse = func(_, host, target string, _ []byte, _ *transport.Response) bool {
 			if host != "cloud" || target != "/machines" {
 				return false
 			}
 			return lost.Add(1) <= 3
 		}
-		w.mu.Unlock()
-		w.submit(newJobSpec("job-1", 2, "blue"))
+		sim.mu.Unlock()
+		sim.submit(newJobSpec("job-1", 2, "blue"))
 		time.Sleep(40 * time.Second)
-		w.mu.Lock()
-		if lost.Load() < 3 || w.cloud.Rented > 2 {
-			t.Errorf("%d machines rented for two tasks, %d answers lost", w.cloud.Rented, lost.Load())
+		sim.mu.Lock()
+		if lost.Load() < 3 || sim.cloud.Rented > 2 {
+			t.Errorf("%d machines rented for two tasks, %d answers lost", sim.cloud.Rented, lost.Load())
 		}
-		w.mu.Unlock()
-		w.waitForAllJobs(2 * time.Minute)
+		sim.mu.Unlock()
+		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
 func TestStateStoreOutage(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 6, func(w *simulatedCluster) {
+	runSimulation(t, 6, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 8, "blue"))
+		sim.submit(newJobSpec("job-1", 8, "blue"))
 		time.Sleep(12 * time.Second)
-		w.setOutage(true)
+		sim.setOutage(true)
 		time.Sleep(3 * time.Second)
-		resp := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(newJobSpec("job-2", 1, "red")))
+		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(newJobSpec("job-2", 1, "red")))
 		if resp.Status != 503 || resp.RetryAfter == 0 {
 			t.Errorf("submission during the outage: %d, Retry-After %d", resp.Status, resp.RetryAfter)
 		}
-		if resp := w.sendRequest("n1", "GET", "/submissions/job-1", nil); resp.Status != 503 {
+		if resp := sim.sendRequest("n1", "GET", "/submissions/job-1", nil); resp.Status != 503 {
 			t.Errorf("poll of an unfinished job during the outage: %d", resp.Status)
 		}
 		time.Sleep(8 * time.Second)
-		w.mu.Lock()
-		for _, wk := range w.workers {
-			if wk.Session != 1 {
-				t.Errorf("%s lost its lease in the outage", wk.Name)
+		sim.mu.Lock()
+		for _, agent := range sim.workers {
+			if agent.Session != 1 {
+				t.Errorf("%s lost its lease in the outage", agent.Name)
 			}
 		}
-		w.mu.Unlock()
-		w.setOutage(false)
-		w.waitForAllJobs(2 * time.Minute)
+		sim.mu.Unlock()
+		sim.setOutage(false)
+		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
 func TestStatusCodesOfUserRequests(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 7, func(w *simulatedCluster) {
+	runSimulation(t, 7, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 1, "red"))
+		sim.submit(newJobSpec("job-1", 1, "red"))
 		bad := newJobSpec("job-1", 1, "red")
 		bad.Tasks = -4
 		unknownTeam := newJobSpec("job-9", 1, "nobody")
@@ -371,50 +371,50 @@
 			{"bad report", "POST", "/checkin", []byte{0x80}, 400},
 		} {
 			for _, label := range []string{"n0", "n1", "n2"} {
-				if resp := w.sendRequest(label, tc.method, tc.path, tc.body); resp.Status != tc.want {
+				if resp := sim.sendRequest(label, tc.method, tc.path, tc.body); resp.Status != tc.want {
 					t.Errorf("%s at %s: %d, want %d", tc.name, label, resp.Status, tc.want)
 				}
 			}
 		}
-		w.waitForAllJobs(time.Minute)
+		sim.waitForAllJobs(time.Minute)
 	})
 }
 
 // Done and withdrawn exclude each other, and what was said stays.
 func TestCancellationAndCompletionAreExclusive(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 8, func(w *simulatedCluster) {
+	runSimulation(t, 8, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 8 {
-			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, "green"))
+			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, "green"))
 		}
 		for i := range 8 {
 			time.Sleep(1500 * time.Millisecond)
 			id := fmt.Sprintf("job-%d", i)
-			w.cancelJob(id)
+			sim.cancelJob(id)
 			for _, label := range []string{"n0", "n1", "n2"} {
-				w.poll(label, id)
+				sim.poll(label, id)
 			}
 		}
-		w.waitForAllJobs(time.Minute)
+		sim.waitForAllJobs(time.Minute)
 	})
 }
 
 func TestAgentsAreRedirectedToTheirLeader(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 9, func(w *simulatedCluster) {
+	runSimulation(t, 9, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 4, "green"))
-		w.waitForAllJobs(time.Minute)
-		w.mu.Lock()
+		sim.submit(newJobSpec("job-1", 4, "green"))
+		sim.waitForAllJobs(time.Minute)
+		sim.mu.Lock()
 		var r *protocol.Heartbeat
-		for _, wk := range w.workers {
-			r = wk.Snapshot()
+		for _, agent := range sim.workers {
+			r = agent.Snapshot()
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		homes := map[string]bool{}
 		for _, label := range []string{"n0", "n1", "n2"} {
-			resp := w.sendRequest(label, "POST", "/checkin", protocol.Encode(r))
+			resp := sim.sendRequest(label, "POST", "/checkin", protocol.Encode(r))
 			if resp.Status == 421 {
 				var h protocol.Home
 				panicOnError(protocol.Decode(resp.Body, &h))
@@ -434,44 +434,44 @@
 // which different jobs fail is returned.
 func TestFailingJobsBackOffAndFaultyMachinesAreReplaced(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 10, func(w *simulatedCluster) {
+	runSimulation(t, 10, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.fails = func(job string, _ int, _ string) bool { return job == "job-13" }
-		w.mu.Unlock()
-		w.submit(newJobSpec("job-13", 2, "red"))
-		w.submit(newJobSpec("job-2", 4, "blue"))
+		sim.mu.Lock()
+		sim.fails = func(job string, _ int, _ string) bool { return job == "job-13" }
+		sim.mu.Unlock()
+		sim.submit(newJobSpec("job-13", 2, "red"))
+		sim.submit(newJobSpec("job-2", 4, "blue"))
 		time.Sleep(2 * time.Minute)
-		w.mu.Lock()
+		sim.mu.Lock()
 		starts := 0
-		for _, wk := range w.workers {
-			starts += wk.Starts
+		for _, agent := range sim.workers {
+			starts += agent.Starts
 		}
-		rented := w.cloud.Rented
-		w.mu.Unlock()
+		rented := sim.cloud.Rented
+		sim.mu.Unlock()
 		if rented > 10 || starts > 40 {
 			t.Errorf("%d machines rented, %d starts for a job that always fails", rented, starts)
 		}
-		w.cancelJob("job-13")
+		sim.cancelJob("job-13")
 
 		var sick string
-		w.mu.Lock()
-		w.fails = func(_ string, _ int, machine string) bool {
+		sim.mu.Lock()
+		sim.fails = func(_ string, _ int, machine string) bool {
 			if sick == "" {
 				sick = machine
 			}
 			return machine == sick
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		for i := range 6 {
-			w.submit(newJobSpec(fmt.Sprintf("job-10%d", i), 4, "green"))
+			sim.submit(newJobSpec(fmt.Sprintf("job-10%d", i), 4, "green"))
 		}
-		w.waitForAllJobs(4 * time.Minute)
+		sim.waitForAllJobs(4 * time.Minute)
 		time.Sleep(20 * time.Second)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if sick != "" && w.workers[sick] != nil && w.workers[sick].Starts > 8 {
-			t.Errorf("%s fails everything, was given %d tasks and is still there", sick, w.workers[sick].Starts)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if sick != "" && sim.workers[sick] != nil && sim.workers[sick].Starts > 8 {
+			t.Errorf("%s fails everything, was given %d tasks and is still there", sick, sim.workers[sick].Starts)
 		}
 	})
 }
@@ -480,45 +480,45 @@
 // out: they must not be started elsewhere before.
 func TestSilentMachineKeepsItsTasksUntilItsLeaseExpires(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 11, func(w *simulatedCluster) {
+	runSimulation(t, 11, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
-		w.submit(newJobSpec("job-1", 12, "blue"))
+		sim.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
+		sim.submit(newJobSpec("job-1", 12, "blue"))
 		time.Sleep(15 * time.Second)
-		w.mu.Lock()
+		sim.mu.Lock()
 		victim := ""
-		for name, wk := range w.workers {
-			if len(wk.Tasks) > 0 {
+		for name, agent := range sim.workers {
+			if len(agent.Tasks) > 0 {
 				victim = name
 			}
 		}
-		w.cut = func(_, host string) bool { return host == victim }
-		w.mu.Unlock()
+		sim.cut = func(_, host string) bool { return host == victim }
+		sim.mu.Unlock()
 		if victim == "" {
 			t.Fatal("no machine has work")
 		}
 		time.Sleep(20 * time.Second)
-		w.mu.Lock()
-		w.cut = nil
-		w.mu.Unlock()
-		w.waitForAllJobs(3 * time.Minute)
+		sim.mu.Lock()
+		sim.cut = nil
+		sim.mu.Unlock()
+		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
 func TestLeaderWithoutItsAgentsGivesUpItsPartition(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 12, func(w *simulatedCluster) {
+	runSimulation(t, 12, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 4, "red"))
-		w.submit(newJobSpec("job-2", 4, "blue"))
-		w.submit(newJobSpec("job-3", 4, "green"))
+		sim.submit(newJobSpec("job-1", 4, "red"))
+		sim.submit(newJobSpec("job-2", 4, "blue"))
+		sim.submit(newJobSpec("job-3", 4, "green"))
 		time.Sleep(10 * time.Second)
-		w.mu.Lock()
-		w.cut = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cut = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
+		sim.mu.Unlock()
 		time.Sleep(25 * time.Second)
 		owned := 0
-		n := w.controllers["n0"].controller
+		n := sim.controllers["n0"].controller
 		n.loop.Do(func() {
 			for _, p := range n.Partitions {
 				if p.Held {
@@ -531,10 +531,10 @@
 		if owned > 0 && machines > 0 {
 			t.Logf("n0 still owns %d parts with %d machines on record", owned, machines)
 		}
-		w.waitForAllJobs(2 * time.Minute)
-		w.mu.Lock()
-		w.cut = nil
-		w.mu.Unlock()
+		sim.waitForAllJobs(2 * time.Minute)
+		sim.mu.Lock()
+		sim.cut = nil
+		sim.mu.Unlock()
 	})
 }
 
@@ -556,56 +556,56 @@
 }
 
 // announceLowerLimits lets the state service's limits fall some time after the start.
-func announceLowerLimits(w *simulatedCluster) {
+func announceLowerLimits(sim *simulatedCluster) {
 	writes, kb, ops := 40.0, 2.0, 5
-	w.settings.Params.State.Next = settings.NextState{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
+	sim.settings.Params.State.Next = settings.NextState{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
 }
 
 // The same with hundreds of machines and jobs of up to a hundred tasks.
 func TestSafetyUnderRandomFaultsInALargeFleet(t *testing.T) {
 	t.Parallel()
-	prepare := func(w *simulatedCluster) {
-		w.cloud.Capacity, w.jobTasksMax = 250, 100
-		w.cloud.Types = w.cloud.Types[:1]
-		w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 160, CPUsMax: 320}, {Name: "blue", CPUs: 160, CPUsMax: 640}, {Name: "green"}}
-		w.settings.Params.State.RPS, w.settings.Params.State.WriteRPS = 600, 200
+	prepare := func(sim *simulatedCluster) {
+		sim.cloud.Capacity, sim.jobTasksMax = 250, 100
+		sim.cloud.Types = sim.cloud.Types[:1]
+		sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 160, CPUsMax: 320}, {Name: "blue", CPUs: 160, CPUsMax: 640}, {Name: "green"}}
+		sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 	}
-	runConfiguredSimulation(t, 200, prepare, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 200, prepare, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1000", 600, "green"))
-		runRandomFaults(w)
-		if w.cloud.Rented < 200 {
-			t.Errorf("only %d machines took part", w.cloud.Rented)
+		sim.submit(newJobSpec("job-1000", 600, "green"))
+		runRandomFaults(sim)
+		if sim.cloud.Rented < 200 {
+			t.Errorf("only %d machines took part", sim.cloud.Rented)
 		}
 	})
 }
 
-func runRandomFaults(w *simulatedCluster) {
+func runRandomFaults(sim *simulatedCluster) {
 	time.Sleep(2 * time.Second)
-	w.mu.Lock()
-	w.messageFaultRate = 0.03
-	w.runTime = func(job string, task int, _ string) time.Duration {
+	sim.mu.Lock()
+	sim.messageFaultRate = 0.03
+	sim.runTime = func(job string, task int, _ string) time.Duration {
 		return time.Duration(3+(len(job)*7+task*5)%15) * time.Second
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	teams := []string{"red", "blue", "green"}
 	dice := func(n int) int {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.rng.IntN(n)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		return sim.rng.IntN(n)
 	}
 	next := 0
 	for round := range 60 {
 		if round == 30 {
 			// What was announced comes into force.
-			w.mu.Lock()
-			w.state.Writes = rate.NewLimiter(rate.Limit(w.settings.Params.State.Lower().WriteRPS), int(w.settings.Params.State.Lower().WriteRPS))
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.state.Writes = rate.NewLimiter(rate.Limit(sim.settings.Params.State.Lower().WriteRPS), int(sim.settings.Params.State.Lower().WriteRPS))
+			sim.mu.Unlock()
 		}
 		time.Sleep(time.Duration(500+dice(3000)) * time.Millisecond)
 		switch dice(8) {
 		case 0, 1, 2:
-			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(w.jobTasksMax), teams[dice(3)])
+			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(sim.jobTasksMax), teams[dice(3)])
 			s.Spread, s.OneZone = dice(4) == 0, dice(6) == 0
 			s.Urgency = protocol.Urgency(dice(4))
 			// Some jobs wait for earlier ones, in whatever state those are.
@@ -615,53 +615,53 @@
 				}
 			}
 			next++
-			w.submit(s)
+			sim.submit(s)
 		case 3:
 			label := fmt.Sprintf("n%d", dice(3))
-			w.mu.Lock()
-			up := w.controllers[label] != nil
-			w.mu.Unlock()
+			sim.mu.Lock()
+			up := sim.controllers[label] != nil
+			sim.mu.Unlock()
 			if up {
-				w.killController(label)
+				sim.killController(label)
 				time.Sleep(time.Duration(dice(6000)) * time.Millisecond)
-				w.startController(label)
+				sim.startController(label)
 			}
 		case 4:
-			w.setOutage(true)
+			sim.setOutage(true)
 			time.Sleep(time.Duration(dice(9000)) * time.Millisecond)
-			w.setOutage(false)
+			sim.setOutage(false)
 		case 5:
 			// A machine hangs, for less or more than its lease, or for ever.
-			w.mu.Lock()
+			sim.mu.Lock()
 			var victim *worker.Worker
-			for _, wk := range w.workers {
-				victim = wk
+			for _, agent := range sim.workers {
+				victim = agent
 			}
 			if victim != nil {
 				victim.Hung = true
-				for6 := time.Duration(2000+w.rng.IntN(12000)) * time.Millisecond
-				w.group.Go(func() {
+				for6 := time.Duration(2000+sim.rng.IntN(12000)) * time.Millisecond
+				sim.group.Go(func() {
 					time.Sleep(for6)
-					w.mu.Lock()
+					sim.mu.Lock()
 					victim.Hung = false
-					w.mu.Unlock()
+					sim.mu.Unlock()
 				})
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 		case 6:
 			if next > 0 {
-				w.cancelJob(fmt.Sprintf("job-%d", dice(next)))
+				sim.cancelJob(fmt.Sprintf("job-%d", dice(next)))
 			}
 		case 7:
 			if next > 0 {
-				w.poll(fmt.Sprintf("n%d", dice(3)), fmt.Sprintf("job-%d", dice(next)))
+				sim.poll(fmt.Sprintf("n%d", dice(3)), fmt.Sprintf("job-%d", dice(next)))
 			}
 		}
 	}
-	w.mu.Lock()
-	w.messageFaultRate = 0
-	w.mu.Unlock()
-	w.waitForAllJobs(6 * time.Minute)
+	sim.mu.Lock()
+	sim.messageFaultRate = 0
+	sim.mu.Unlock()
+	sim.waitForAllJobs(6 * time.Minute)
 }
 
 // Serving what must be late first would make the next jobs late too; yet what
@@ -706,40 +706,40 @@
 
 func TestUrgentJobsPreemptLowerUrgency(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 17, func(w *simulatedCluster) {
-		w.mu.Lock()
-		w.cloud.Capacity = 1
-		w.cloud.Types = w.cloud.Types[:1]
-		w.mu.Unlock()
+	runSimulation(t, 17, func(sim *simulatedCluster) {
+		sim.mu.Lock()
+		sim.cloud.Capacity = 1
+		sim.cloud.Types = sim.cloud.Types[:1]
+		sim.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.runTime = func(job string, _ int, _ string) time.Duration {
+		sim.mu.Lock()
+		sim.runTime = func(job string, _ int, _ string) time.Duration {
 			if job == "job-1" {
 				return time.Hour
 			}
 			return 5 * time.Second
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		low := newJobSpec("job-1", 2, "blue") // fills the only machine
 		low.Standing, low.EstimateS, low.DeadlineS = true, 0, 0
-		w.submit(low)
+		sim.submit(low)
 		time.Sleep(20 * time.Second)
 		same := newJobSpec("job-2", 1, "blue")
 		same.DeadlineS = 30
-		w.submit(same)
+		sim.submit(same)
 		time.Sleep(40 * time.Second)
-		if st := w.poll("", "job-2"); st != protocol.StatusQueued {
+		if st := sim.poll("", "job-2"); st != protocol.StatusQueued {
 			t.Errorf("work of the same urgency is %q", st)
 		}
 		high := newJobSpec("job-3", 1, "blue")
 		high.Urgency, high.DeadlineS = protocol.High, 30
-		w.submit(high)
+		sim.submit(high)
 		time.Sleep(40 * time.Second)
-		if st := w.poll("", "job-3"); st != protocol.StatusDone {
+		if st := sim.poll("", "job-3"); st != protocol.StatusDone {
 			t.Errorf("urgent work is %q", st)
 		}
-		w.cancelJob("job-1")
-		w.waitForAllJobs(2 * time.Minute)
+		sim.cancelJob("job-1")
+		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
@@ -750,28 +750,28 @@
 	for _, slow := range []bool{true, false} {
 		t.Run(fmt.Sprint("slow ", slow), func(t *testing.T) {
 			t.Parallel()
-			runSimulation(t, 18, func(w *simulatedCluster) {
+			runSimulation(t, 18, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
-				w.mu.Lock()
-				w.runTime = func(_ string, _ int, machine string) time.Duration {
+				sim.mu.Lock()
+				sim.runTime = func(_ string, _ int, machine string) time.Duration {
 					if slow && machine == "m-000000" {
 						return 60 * time.Second
 					}
 					return 12 * time.Second // twice the estimate
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				for i := range 4 {
 					s := newJobSpec(fmt.Sprintf("job-%d", i), 16, "green")
 					s.DeadlineS = 600
-					w.submit(s)
+					sim.submit(s)
 				}
 				aside := map[string]bool{}
 				for range 300 {
 					time.Sleep(time.Second)
 					for _, label := range []string{"n0", "n1", "n2"} {
-						w.mu.Lock()
-						n := w.controllers[label]
-						w.mu.Unlock()
+						sim.mu.Lock()
+						n := sim.controllers[label]
+						sim.mu.Unlock()
 						n.controller.loop.Do(func() {
 							for _, m := range n.controller.Machines {
 								if m.Quarantined {
@@ -784,7 +784,7 @@
 				if len(aside) > 1 || aside["m-000000"] != slow {
 					t.Errorf("set aside: %v", aside)
 				}
-				w.waitForAllJobs(5 * time.Minute)
+				sim.waitForAllJobs(5 * time.Minute)
 			})
 		})
 	}
@@ -795,26 +795,26 @@
 // task for its whole run time.
 func TestTakeoverKeepsMachinesAndEstimates(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 19, func(w *simulatedCluster) {
+	runSimulation(t, 19, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.runTime = func(string, int, string) time.Duration { return 60 * time.Second }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.runTime = func(string, int, string) time.Duration { return 60 * time.Second }
+		sim.mu.Unlock()
 		for i, team := range []string{"red", "blue", "green"} {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 6, team)
 			s.EstimateS, s.DeadlineS = 60, 200
-			w.submit(s)
+			sim.submit(s)
 		}
 		time.Sleep(55 * time.Second) // longer than any boot may take
-		w.mu.Lock()
-		before := maps.Clone(w.cloud.Machines)
-		w.mu.Unlock()
+		sim.mu.Lock()
+		before := maps.Clone(sim.cloud.Machines)
+		sim.mu.Unlock()
 		// The leader lives on and has known the machines for long.
 		var leader *simulatedController
 		for _, label := range []string{"n0", "n1", "n2"} {
-			w.mu.Lock()
-			n := w.controllers[label]
-			w.mu.Unlock()
+			sim.mu.Lock()
+			n := sim.controllers[label]
+			sim.mu.Unlock()
 			n.controller.loop.Do(func() {
 				if n.controller.Leadership.Held {
 					leader = n
@@ -823,28 +823,28 @@
 		}
 		for _, label := range []string{"n0", "n1", "n2"} {
 			if label != leader.label {
-				w.killController(label)
-				w.startController(label)
+				sim.killController(label)
+				sim.startController(label)
 			}
 		}
 		// Their workers don't reach the new owners for a moment.
-		w.mu.Lock()
-		w.cut = func(from, host string) bool {
+		sim.mu.Lock()
+		sim.cut = func(from, host string) bool {
 			return from != leader.label && strings.HasPrefix(host, "m-")
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		w.mu.Lock()
-		w.cut = nil
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cut = nil
+		sim.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		w.mu.Lock()
+		sim.mu.Lock()
 		for name := range before {
-			if _, ok := w.cloud.Machines[name]; !ok {
+			if _, ok := sim.cloud.Machines[name]; !ok {
 				t.Errorf("%s was given up in the takeover", name)
 			}
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		if len(before) == 0 {
 			t.Error("no machines before the takeover")
 		}
@@ -853,9 +853,9 @@
 			if label == leader.label {
 				continue
 			}
-			w.mu.Lock()
-			n := w.controllers[label].controller
-			w.mu.Unlock()
+			sim.mu.Lock()
+			n := sim.controllers[label].controller
+			sim.mu.Unlock()
 			n.loop.Do(func() {
 				// What a former owner told of its attempts' beginnings teaches what they
 				// took; attempts that began nobody knows when teach nothing.
@@ -871,7 +871,7 @@
 				}
 			})
 		}
-		w.waitForAllJobs(3 * time.Minute)
+		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
@@ -905,10 +905,10 @@
 // first one taking all and doing all the work.
 func TestPartitionsAreSpreadAtStartup(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 20, func(w *simulatedCluster) {
+	runSimulation(t, 20, func(sim *simulatedCluster) {
 		time.Sleep(4 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			if owned := w.leaseCount(label); owned != 1 {
+			if owned := sim.leaseCount(label); owned != 1 {
 				t.Errorf("%s owns %d parts", label, owned)
 			}
 		}
@@ -916,10 +916,10 @@
 }
 
 // leaseCount counts a controller's parts.
-func (w *simulatedCluster) leaseCount(label string) int {
-	w.mu.Lock()
-	n := w.controllers[label].controller
-	w.mu.Unlock()
+func (sim *simulatedCluster) leaseCount(label string) int {
+	sim.mu.Lock()
+	n := sim.controllers[label].controller
+	sim.mu.Unlock()
 	owned := 0
 	n.loop.Do(func() {
 		for _, p := range n.Partitions {
@@ -935,32 +935,32 @@
 // one back must not cost what runs.
 func TestPartitionsAreHandedBack(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 22, func(w *simulatedCluster) {
-		w.runTime = func(string, int, string) time.Duration { return 90 * time.Second }
+	runSimulation(t, 22, func(sim *simulatedCluster) {
+		sim.runTime = func(string, int, string) time.Duration { return 90 * time.Second }
 		time.Sleep(4 * time.Second)
 		for i, team := range []string{"red", "blue", "green"} {
-			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 4, team))
+			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 4, team))
 		}
 		time.Sleep(25 * time.Second)
-		w.killController("n0")
+		sim.killController("n0")
 		time.Sleep(12 * time.Second)
-		if w.leaseCount("n1")+w.leaseCount("n2") != 3 {
+		if sim.leaseCount("n1")+sim.leaseCount("n2") != 3 {
 			t.Error("the dead controller's part was not taken over")
 		}
-		w.startController("n0")
+		sim.startController("n0")
 		time.Sleep(25 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			if n := w.leaseCount(label); n != 1 {
+			if n := sim.leaseCount(label); n != 1 {
 				t.Errorf("%s owns %d parts", label, n)
 			}
 		}
-		w.waitForAllJobs(3 * time.Minute)
-		w.mu.Lock()
+		sim.waitForAllJobs(3 * time.Minute)
+		sim.mu.Lock()
 		starts := 0
-		for _, wk := range w.workers {
-			starts += wk.Starts
+		for _, agent := range sim.workers {
+			starts += agent.Starts
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		if starts > 12 {
 			t.Errorf("%d starts of 12 tasks: what ran was lost", starts)
 		}
@@ -970,33 +970,33 @@
 // A gang starts together or not at all, and starts again together.
 func TestGangStartsTogether(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 21, func(w *simulatedCluster) {
+	runSimulation(t, 21, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.cloud.Capacity = 3 // room for six tasks of 4 CPUs on small machines
-		w.cloud.Types = w.cloud.Types[:1]
-		w.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cloud.Capacity = 3 // room for six tasks of 4 CPUs on small machines
+		sim.cloud.Types = sim.cloud.Types[:1]
+		sim.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
+		sim.mu.Unlock()
 		g := newJobSpec("job-1", 5, "blue")
 		g.Gang = true
-		w.submit(g)
+		sim.submit(g)
 		most := 0
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
-			w.mu.Lock()
+			sim.mu.Lock()
 			n := 0
-			for _, wk := range w.workers {
-				n += len(wk.Tasks)
+			for _, agent := range sim.workers {
+				n += len(agent.Tasks)
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 			if n > 0 && n < 5 && most < 5 {
 				time.Sleep(50 * time.Millisecond) // its orders go to several machines
-				w.mu.Lock()
+				sim.mu.Lock()
 				n = 0
-				for _, wk := range w.workers {
-					n += len(wk.Tasks)
+				for _, agent := range sim.workers {
+					n += len(agent.Tasks)
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				if n < 5 {
 					t.Fatalf("%d of 5 tasks were started", n)
 				}
@@ -1004,26 +1004,26 @@
 			most = max(most, n)
 			// Workers know a gang's tasks by their common attempt number.
 			numbers := map[uint64]bool{}
-			w.mu.Lock()
-			for _, wk := range w.workers {
-				for _, task := range wk.Tasks {
+			sim.mu.Lock()
+			for _, agent := range sim.workers {
+				for _, task := range agent.Tasks {
 					numbers[task.Attempt] = true
 				}
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 			if len(numbers) > 1 {
 				t.Fatalf("attempt numbers %v", numbers)
 			}
 		}
-		w.waitForAllJobs(2 * time.Minute)
+		sim.waitForAllJobs(2 * time.Minute)
 		big := newJobSpec("job-2", 9, "green") // more than there is room for
 		big.Gang = true
-		w.submit(big)
+		sim.submit(big)
 		time.Sleep(time.Minute)
-		if st := w.poll("", "job-2"); st != protocol.StatusQueued {
+		if st := sim.poll("", "job-2"); st != protocol.StatusQueued {
 			t.Errorf("a gang without room is %q", st)
 		}
-		w.cancelJob("job-2")
-		w.waitForAllJobs(time.Minute)
+		sim.cancelJob("job-2")
+		sim.waitForAllJobs(time.Minute)
 	})
 }
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -36,16 +36,16 @@
 
 func TestValidationOfDependencies(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 30, func(w *simulatedCluster) {
+	runSimulation(t, 30, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 1, "red"))
+		sim.submit(newJobSpec("job-1", 1, "red"))
 		service := newJobSpec("job-2", 1, "blue")
 		service.Standing, service.EstimateS, service.DeadlineS = true, 0, 0
-		w.submit(service)
+		sim.submit(service)
 		gone := newJobSpec("job-3", 1, "blue")
 		gone.Standing, gone.EstimateS, gone.DeadlineS = true, 0, 0
-		w.submit(gone)
-		w.cancelJob("job-3")
+		sim.submit(gone)
+		sim.cancelJob("job-3")
 		time.Sleep(2 * time.Second)
 		many := make([]string, 300)
 		for i := range many {
@@ -79,7 +79,7 @@
 				if tc.name == "itself" {
 					tc.value = []string{s.ID}
 				}
-				resp := w.sendRequest(label, "POST", "/submissions", submissionWithField(s, "waits_on", tc.value))
+				resp := sim.sendRequest(label, "POST", "/submissions", submissionWithField(s, "waits_on", tc.value))
 				if resp.Status != tc.want {
 					t.Errorf("%s at %s: %d %q, want %d", tc.name, label, resp.Status, resp.Body, tc.want)
 				}
@@ -88,7 +88,7 @@
 				}
 				// Of a known job, a repeat gets its state, whatever its body.
 				if tc.want != 201 {
-					if resp := w.sendRequest(label, "POST", "/submissions", submissionWithField(newJobSpec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
+					if resp := sim.sendRequest(label, "POST", "/submissions", submissionWithField(newJobSpec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
 						t.Errorf("repeat with %s at %s: %d", tc.name, label, resp.Status)
 					}
 				}
@@ -97,48 +97,48 @@
 		// Accepted by one a moment ago, named to another whose watch lags.
 		for i := range 6 {
 			a, b := fmt.Sprintf("job-5%d", i), fmt.Sprintf("job-6%d", i)
-			if r := w.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
+			if r := sim.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
 				t.Fatal(r.Status)
 			}
-			if r := w.sendRequest(allControllers[(i+1)%3], "POST", "/submissions", encodeSubmission(dependentJob(b, 1, "blue", a))); r.Status != 201 {
+			if r := sim.sendRequest(allControllers[(i+1)%3], "POST", "/submissions", encodeSubmission(dependentJob(b, 1, "blue", a))); r.Status != 201 {
 				t.Errorf("a job that names one accepted a moment ago: %d %q", r.Status, r.Body)
 			}
 		}
 		// What can't be looked up is no reason to refuse for good.
-		w.setOutage(true)
+		sim.setOutage(true)
 		begun := time.Now()
-		resp := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(dependentJob("job-70", 1, "red", "job-999")))
+		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(dependentJob("job-70", 1, "red", "job-999")))
 		if resp.Status != 503 || resp.RetryAfter == 0 || time.Since(begun) > time.Second {
 			t.Errorf("dependency that can't be read: %d, Retry-After %d, after %s", resp.Status, resp.RetryAfter, time.Since(begun))
 		}
-		w.setOutage(false)
-		w.cancelJob("job-2")
+		sim.setOutage(false)
+		sim.cancelJob("job-2")
 	})
 }
 
 // A pipeline over teams and parts runs in order, whatever owner dies.
 func TestDependenciesRunInOrderThroughFailovers(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 31, func(w *simulatedCluster) {
+	runSimulation(t, 31, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 6, "red"))
-		w.submit(dependentJob("job-2", 70, "green", "job-1"))
-		w.submit(dependentJob("job-3", 3, "blue", "job-1"))
-		w.submit(dependentJob("job-4", 2, "red", "job-2", "job-3"))
+		sim.submit(newJobSpec("job-1", 6, "red"))
+		sim.submit(dependentJob("job-2", 70, "green", "job-1"))
+		sim.submit(dependentJob("job-3", 3, "blue", "job-1"))
+		sim.submit(dependentJob("job-4", 2, "red", "job-2", "job-3"))
 		for i := range 40 {
 			time.Sleep(time.Second)
 			for _, id := range []string{"job-2", "job-4"} {
-				if st := w.poll(allControllers[i%3], id); st == protocol.StatusDone && id == "job-4" {
+				if st := sim.poll(allControllers[i%3], id); st == protocol.StatusDone && id == "job-4" {
 					break
 				}
 			}
 			if i == 8 || i == 20 {
-				w.killController(allControllers[i%3])
+				sim.killController(allControllers[i%3])
 				time.Sleep(3 * time.Second)
-				w.startController(allControllers[i%3])
+				sim.startController(allControllers[i%3])
 			}
 		}
-		w.waitForAllJobs(3 * time.Minute)
+		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
@@ -336,72 +336,72 @@
 	for _, trouble := range []string{"none", "owner dies", "all die", "outage", "low rate"} {
 		t.Run(trouble, func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 32, func(w *simulatedCluster) {
+			runConfiguredSimulation(t, 32, func(sim *simulatedCluster) {
 				if trouble == "low rate" {
 					writes := 12.0
-					w.settings.Params.State.Next.WriteRPS = &writes
+					sim.settings.Params.State.Next.WriteRPS = &writes
 				}
-			}, func(w *simulatedCluster) {
+			}, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
-				w.runTime = func(string, int, string) time.Duration { return time.Hour }
+				sim.runTime = func(string, int, string) time.Duration { return time.Hour }
 				teams := []string{"red", "blue", "green"}
-				w.submit(newJobSpec("job-0", 2, "red"))
-				w.submit(newJobSpec("job-500", 1, "blue")) // stays
+				sim.submit(newJobSpec("job-0", 2, "red"))
+				sim.submit(newJobSpec("job-500", 1, "blue")) // stays
 				n := 40
 				for i := 1; i < n; i++ {
 					s := dependentJob(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
 					if i%4 == 0 {
 						s.Dependencies = append(s.Dependencies, "job-0", "job-500")
 					}
-					w.submit(s)
+					sim.submit(s)
 				}
 				time.Sleep(10 * time.Second)
 				if trouble == "low rate" {
-					w.mu.Lock()
-					w.state.Writes = rate.NewLimiter(12, 12)
-					w.mu.Unlock()
+					sim.mu.Lock()
+					sim.state.Writes = rate.NewLimiter(12, 12)
+					sim.mu.Unlock()
 				}
-				w.cancelJob("job-0")
+				sim.cancelJob("job-0")
 				told := time.Now()
 				switch trouble {
 				case "owner dies":
-					w.killController("n1")
+					sim.killController("n1")
 				case "all die":
 					for _, label := range allControllers {
-						w.killController(label)
+						sim.killController(label)
 					}
 					time.Sleep(3 * time.Second)
 					for _, label := range allControllers {
-						w.startController(label)
+						sim.startController(label)
 					}
 				case "outage":
-					w.setOutage(true)
+					sim.setOutage(true)
 					time.Sleep(10 * time.Second)
-					w.setOutage(false)
+					sim.setOutage(false)
 				}
-				w.submit(dependentJob("job-600", 1, "blue", "job-39"))
+				sim.submit(dependentJob("job-600", 1, "blue", "job-39"))
 				// Unseen by any poll: the owners withdraw, not only who is asked.
 				// The reserve of 3 s is for the dead controllers' leases.
-				time.Sleep(time.Until(told.Add(settings.Seconds(w.settings.Params.Workers.CancelS - 3))))
-				w.mu.Lock()
+				time.Sleep(time.Until(told.Add(settings.Seconds(sim.settings.Params.Workers.CancelS - 3))))
+				sim.mu.Lock()
 				for i := 1; i < n; i++ {
-					if _, ok := w.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
+					if _, ok := sim.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
 						t.Errorf("job-%d is not withdrawn", i)
 					}
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				for i := 1; i < n; i++ {
-					if st := w.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusWithdrawn {
+					if st := sim.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusWithdrawn {
 						t.Errorf("job-%d is %q", i, st)
 					}
 				}
-				if st := w.poll("", "job-600"); st != protocol.StatusWithdrawn {
+				if st := sim.poll("", "job-600"); st != protocol.StatusWithdrawn {
 					t.Errorf("a job submitted later is %q", st)
 				}
-				if st := w.poll("", "job-500"); st == protocol.StatusWithdrawn {
+				if st := sim.poll("", "job-500"); st == protocol.StatusWithdrawn {
 					t.Error("a job before it is withdrawn too")
 				}
-				w.cancelJob("job-500")
+				sim.cancelJob("job-500")
 			})
 		})
 	}
@@ -411,24 +411,24 @@
 // its job: whichever wins, the jobs after it follow the answer.
 func TestCancellationRacesWithDependentJobs(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 33, func(w *simulatedCluster) {
+	runSimulation(t, 33, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 6 {
 			a, b, c := fmt.Sprintf("job-1%d", i), fmt.Sprintf("job-2%d", i), fmt.Sprintf("job-3%d", i)
-			w.submit(newJobSpec(a, 1, "red"))
-			w.submit(dependentJob(b, 1, "green", a))
+			sim.submit(newJobSpec(a, 1, "red"))
+			sim.submit(dependentJob(b, 1, "green", a))
 			time.Sleep(time.Duration(i) * 2500 * time.Millisecond)
-			w.group.Go(func() { w.submit(dependentJob(c, 1, "blue", a, b)) })
+			sim.group.Go(func() { sim.submit(dependentJob(c, 1, "blue", a, b)) })
 			time.Sleep(time.Duration(i) * time.Millisecond)
-			ended := w.cancelJob(a)
+			ended := sim.cancelJob(a)
 			time.Sleep(30 * time.Second)
 			for _, id := range []string{b, c} {
-				if st := w.poll("", id); st != ended {
+				if st := sim.poll("", id); st != ended {
 					t.Errorf("%s is %s, %s after it is %q", a, ended, id, st)
 				}
 			}
 		}
-		w.waitForAllJobs(2 * time.Minute)
+		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
@@ -437,33 +437,33 @@
 // queued that needs others.
 func TestStaleControllerRefusesStatusOfDependentJobs(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 34, func(w *simulatedCluster) {
+	runSimulation(t, 34, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.runTime = func(string, int, string) time.Duration { return time.Hour }
-		w.submit(newJobSpec("job-1", 1, "red"))
-		w.submit(dependentJob("job-2", 1, "blue", "job-1"))
+		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+		sim.submit(newJobSpec("job-1", 1, "red"))
+		sim.submit(dependentJob("job-2", 1, "blue", "job-1"))
 		time.Sleep(time.Second)
-		ask := func() int { return w.sendRequest("n0", "GET", "/submissions/job-2", nil).Status }
+		ask := func() int { return sim.sendRequest("n0", "GET", "/submissions/job-2", nil).Status }
 		if got := ask(); got != 200 {
 			t.Errorf("a poll gets %d", got)
 		}
-		n := w.controllers["n0"].controller
-		w.mu.Lock()
-		w.state.Stuck = true
-		w.mu.Unlock()
+		n := sim.controllers["n0"].controller
+		sim.mu.Lock()
+		sim.state.Stuck = true
+		sim.mu.Unlock()
 		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.StaleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a controller that is behind gets %d", got)
 		}
-		w.mu.Lock()
-		w.state.Stuck = false
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.state.Stuck = false
+		sim.mu.Unlock()
 		time.Sleep(15 * time.Second)
 		if got := ask(); got != 200 {
 			t.Errorf("a poll gets %d after the watch went on", got)
 		}
-		w.cancelJob("job-1")
-		w.waitForAllJobs(time.Minute)
+		sim.cancelJob("job-1")
+		sim.waitForAllJobs(time.Minute)
 	})
 }
 
@@ -471,17 +471,17 @@
 // attempts at a time, and all tasks run in the end.
 func TestRunRecordsStayBelowTheLowerLimit(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 35, func(w *simulatedCluster) {
-		announceLowerLimits(w)
-		w.cloud.Prefix = strings.Repeat("m", 180)
-		w.cloud.Capacity = 20
-	}, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 35, func(sim *simulatedCluster) {
+		announceLowerLimits(sim)
+		sim.cloud.Prefix = strings.Repeat("m", 180)
+		sim.cloud.Capacity = 20
+	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		s := newJobSpec("job-1", 64, "green")
 		s.CPUs = 1
-		w.submit(s)
-		w.waitForAllJobs(8 * time.Minute)
-		if most := w.state.Largest["r"]; most < 1500 {
+		sim.submit(s)
+		sim.waitForAllJobs(8 * time.Minute)
+		if most := sim.state.Largest["r"]; most < 1500 {
 			t.Errorf("the largest run record has %d bytes: nothing was tried", most)
 		}
 	})
@@ -491,20 +491,20 @@
 // does not block the rest.
 func TestUnannouncedLimitsShrinkBatches(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 36, func(w *simulatedCluster) {
+	runSimulation(t, 36, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.mu.Lock()
-		w.state.HiddenOps, w.state.HiddenValue = 2, 700
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.state.HiddenOps, sim.state.HiddenValue = 2, 700
+		sim.mu.Unlock()
 		for i := range 12 {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 40, "green")
 			s.CPUs, s.DeadlineS = 0.5, 600
-			w.submit(s)
+			sim.submit(s)
 		}
-		w.waitForAllJobs(8 * time.Minute)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if n := w.state.RefusedSize; n == 0 || n > 60 {
+		sim.waitForAllJobs(8 * time.Minute)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if n := sim.state.RefusedSize; n == 0 || n > 60 {
 			t.Errorf("%d transactions refused for their size", n)
 		}
 	})
@@ -514,60 +514,60 @@
 // all the same to a controller that has not heard of it.
 func TestRepeatedSubmissionAboveAnUnannouncedLimit(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 38, func(w *simulatedCluster) {
+	runSimulation(t, 38, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		s := newJobSpec("job-1", 1, "red")
 		s.Class = strings.Repeat("c", 190)
-		w.mu.Lock()
-		w.state.Stuck = true // the others' watches bring nothing
-		w.mu.Unlock()
-		if got := w.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
+		sim.mu.Lock()
+		sim.state.Stuck = true // the others' watches bring nothing
+		sim.mu.Unlock()
+		if got := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
 			t.Fatal(got)
 		}
-		w.mu.Lock()
-		w.state.HiddenValue = 300
-		w.mu.Unlock()
-		if got := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 200 {
+		sim.mu.Lock()
+		sim.state.HiddenValue = 300
+		sim.mu.Unlock()
+		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 200 {
 			t.Errorf("a repeat gets %d", got)
 		}
 		s.ID = "job-2"
-		if got := w.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
+		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
 			t.Errorf("another of its size gets %d", got)
 		}
-		w.mu.Lock()
-		w.state.Stuck, w.state.HiddenValue = false, 0
-		w.mu.Unlock()
-		w.mu.Lock()
-		w.jobs["job-1"] = &submittedJob{spec: newJobSpec("job-1", 1, "red"), tasksDone: map[int]bool{}}
-		w.mu.Unlock()
-		w.waitForAllJobs(2 * time.Minute)
+		sim.mu.Lock()
+		sim.state.Stuck, sim.state.HiddenValue = false, 0
+		sim.mu.Unlock()
+		sim.mu.Lock()
+		sim.jobs["job-1"] = &submittedJob{spec: newJobSpec("job-1", 1, "red"), tasksDone: map[int]bool{}}
+		sim.mu.Unlock()
+		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
 // The rate of changes falls without notice: few refusals, and all goes on.
 func TestWriteRateFollowsTheLowerLimit(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 37, func(w *simulatedCluster) {
-		w.settings.Params.State.WriteRPS = 40
+	runConfiguredSimulation(t, 37, func(sim *simulatedCluster) {
+		sim.settings.Params.State.WriteRPS = 40
 		writes := 15.0
-		w.settings.Params.State.Next.WriteRPS = &writes
-	}, func(w *simulatedCluster) {
+		sim.settings.Params.State.Next.WriteRPS = &writes
+	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
 			if i == 20 {
-				w.mu.Lock()
-				w.state.Writes = rate.NewLimiter(15, 15)
-				w.mu.Unlock()
+				sim.mu.Lock()
+				sim.state.Writes = rate.NewLimiter(15, 15)
+				sim.mu.Unlock()
 			}
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 3, "green")
 			s.DeadlineS = 600
-			w.submit(s)
+			sim.submit(s)
 		}
-		w.waitForAllJobs(5 * time.Minute)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if n := w.state.RefusedRate; n > 60 {
-			t.Errorf("%d of %d transactions refused", n, w.state.Changes)
+		sim.waitForAllJobs(5 * time.Minute)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if n := sim.state.RefusedRate; n > 60 {
+			t.Errorf("%d of %d transactions refused", n, sim.state.Changes)
 		}
 	})
 }
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -56,19 +56,19 @@
 	panicOnError(err)
 	key, err := pki.TokenKey(dir)
 	panicOnError(err)
-	k := &testIdentities{t: t, ca: ca, key: key, keyrings: map[string]*identity.Keyring{}, certs: map[string]*x509.Certificate{}, tokens: map[string]string{}}
+	identities := &testIdentities{t: t, ca: ca, key: key, keyrings: map[string]*identity.Keyring{}, certs: map[string]*x509.Certificate{}, tokens: map[string]string{}}
 	for _, label := range []string{"n0", "n1", "n2"} {
-		k.certificate("controller/" + label)
+		identities.certificate("controller/" + label)
 		ring, err := identity.Load(identity.Files{Own: ca.File(identity.Name{Kind: identity.Controller, ID: label}),
 			Roots: filepath.Join(dir, pki.RootFile), TokenKeys: filepath.Join(dir, pki.TokenKeysFile)})
 		panicOnError(err)
-		k.keyrings[label] = ring
+		identities.keyrings[label] = ring
 	}
-	return k
+	return identities
 }
 
-func (k *testIdentities) forController(label string) auth.Identities {
-	ring := k.keyrings[label]
+func (identities *testIdentities) forController(label string) auth.Identities {
+	ring := identities.keyrings[label]
 	return auth.Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
 		Signer: func() audit.Signer {
 			key, cert := ring.Signer()
@@ -77,22 +77,22 @@
 }
 
 // certificate is what somebody shows; nil where nobody asks.
-func (k *testIdentities) certificate(who string) *x509.Certificate {
-	if k == nil {
+func (identities *testIdentities) certificate(who string) *x509.Certificate {
+	if identities == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.certs[who] == nil {
-		k.certs[who] = k.issue(who, certificateLifetime)
+	identities.mu.Lock()
+	defer identities.mu.Unlock()
+	if identities.certs[who] == nil {
+		identities.certs[who] = identities.issue(who, certificateLifetime)
 	}
-	return k.certs[who]
+	return identities.certs[who]
 }
 
-func (k *testIdentities) issue(who string, life time.Duration) *x509.Certificate {
+func (identities *testIdentities) issue(who string, life time.Duration) *x509.Certificate {
 	name, err := identity.ParseName(who)
 	panicOnError(err)
-	issued, err := k.ca.Issue(name, time.Now(), life, false)
+	issued, err := identities.ca.Issue(name, time.Now(), life, false)
 	panicOnError(err)
 	data, err := os.ReadFile(issued.File)
 	panicOnError(err)
@@ -103,30 +103,30 @@
 
 // authorization is the header of somebody's requests; the world's own user is
 // the administrator.
-func (k *testIdentities) authorization(who string) string {
-	if k == nil {
+func (identities *testIdentities) authorization(who string) string {
+	if identities == nil {
 		return ""
 	}
 	if who == "" {
 		who = "person/root"
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.tokens[who] == "" {
+	identities.mu.Lock()
+	defer identities.mu.Unlock()
+	if identities.tokens[who] == "" {
 		name, err := identity.ParseName(who)
 		panicOnError(err)
-		token, err := identity.IssueToken(k.key, name, "test", time.Now(), certificateLifetime)
+		token, err := identity.IssueToken(identities.key, name, "test", time.Now(), certificateLifetime)
 		panicOnError(err)
-		k.tokens[who] = "Bearer " + token
+		identities.tokens[who] = "Bearer " + token
 	}
-	return k.tokens[who]
+	return identities.tokens[who]
 }
 
 // requestAs sends somebody's request to a controller.
-func (w *simulatedCluster) requestAs(who, label, method, target string, body any) transport.Response {
-	w.mu.Lock()
-	n := w.controllers[label]
-	w.mu.Unlock()
+func (sim *simulatedCluster) requestAs(who, label, method, target string, body any) transport.Response {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	sim.mu.Unlock()
 	var raw []byte
 	switch b := body.(type) {
 	case nil:
@@ -138,9 +138,9 @@
 	path, query, _ := strings.Cut(target, "?")
 	req := &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: "10.9.0.2:4000"}
 	if who != "" {
-		req.Authorization = w.identities.authorization(who)
+		req.Authorization = sim.identities.authorization(who)
 	}
-	return n.controller.Serve(w.ctx, req)
+	return n.controller.Serve(sim.ctx, req)
 }
 
 // testPolicy is the policy of the wish: a clerk of one office, the refund team and
@@ -160,56 +160,56 @@
 }
 
 // runSimulationWithIdentities is simulate with identities, the wish's policy in force.
-func runSimulationWithIdentities(t *testing.T, seed uint64, f func(w *simulatedCluster)) {
+func runSimulationWithIdentities(t *testing.T, seed uint64, f func(sim *simulatedCluster)) {
 	t.Helper()
-	runConfiguredSimulation(t, seed, func(w *simulatedCluster) {
-		w.identities = newTestIdentities(t)
-		w.settings.Params.State.TxnOps = 16
-	}, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, seed, func(sim *simulatedCluster) {
+		sim.identities = newTestIdentities(t)
+		sim.settings.Params.State.TxnOps = 16
+	}, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", testPolicy()))
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", testPolicy()))
 		time.Sleep(time.Second)
-		f(w)
+		f(sim)
 	})
 }
 
-func (w *simulatedCluster) expectStatus(status int, resp transport.Response) transport.Response {
-	w.t.Helper()
+func (sim *simulatedCluster) expectStatus(status int, resp transport.Response) transport.Response {
+	sim.t.Helper()
 	if resp.Status != status {
 		var p protocol.Problem
 		_ = protocol.Decode(resp.Body, &p)
-		w.t.Errorf("status %d, want %d: %s", resp.Status, status, p.Error)
+		sim.t.Errorf("status %d, want %d: %s", resp.Status, status, p.Error)
 	}
 	return resp
 }
 
 // readAudit exports the audit as an operator does, verifies it and returns what
 // it holds.
-func (w *simulatedCluster) readAudit(label string) []archive.ReadRecord {
-	w.t.Helper()
-	data := w.exportAudit(label)
+func (sim *simulatedCluster) readAudit(label string) []archive.ReadRecord {
+	sim.t.Helper()
+	data := sim.exportAudit(label)
 	roots := x509.NewCertPool()
-	roots.AddCert(w.identities.ca.Root())
+	roots.AddCert(sim.identities.ca.Root())
 	v, err := archive.Verify(bytes.NewReader(data), roots)
 	panicOnError(err)
 	for _, p := range v.Problems {
-		w.t.Errorf("audit: %s", p)
+		sim.t.Errorf("audit: %s", p)
 	}
 	return v.Read
 }
 
-func (w *simulatedCluster) exportAudit(label string) []byte {
-	w.t.Helper()
-	resp := w.requestAs("person/root", label, "GET", "/audit/seal", nil)
+func (sim *simulatedCluster) exportAudit(label string) []byte {
+	sim.t.Helper()
+	resp := sim.requestAs("person/root", label, "GET", "/audit/seal", nil)
 	for tries := 0; resp.Status != 200 && tries < 20; tries++ {
 		time.Sleep(time.Second)
-		resp = w.requestAs("person/root", label, "GET", "/audit/seal", nil)
+		resp = sim.requestAs("person/root", label, "GET", "/audit/seal", nil)
 	}
 	var seal audit.Seal
-	panicOnError(protocol.Decode(w.expectStatus(200, resp).Body, &seal))
+	panicOnError(protocol.Decode(sim.expectStatus(200, resp).Body, &seal))
 	var out bytes.Buffer
-	panicOnError(archive.Export(w.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
-		resp := w.requestAs("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
+	panicOnError(archive.Export(sim.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+		resp := sim.requestAs("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
 		if resp.Status != 200 {
 			return nil, errors.New("no answer")
 		}
@@ -243,59 +243,59 @@
 // whether the job exists or not, and each is in the audit, once or counted.
 func TestRolesLimitWhatIdentitiesMayDo(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 51, func(w *simulatedCluster) {
+	runSimulationWithIdentities(t, 51, func(sim *simulatedCluster) {
 		for _, s := range []*protocol.JobSpec{newJobSpecOfClass("job-1", "red", "match"), newJobSpecOfClass("job-2", "blue", "refund-batch"), newJobSpecOfClass("job-3", "blue", "price-check")} {
-			w.submit(s)
+			sim.submit(s)
 		}
 		asked := map[string]int{} // by identity, refusals
 		refused := func(who string, status int, resp transport.Response) {
 			t.Helper()
-			w.expectStatus(status, resp)
+			sim.expectStatus(status, resp)
 			if resp.Status == 401 || resp.Status == 403 {
 				asked[who]++
 			}
 		}
 		// The clerk moves another region's job, or one of its own there.
 		for _, label := range []string{"n0", "n1", "n2"} {
-			refused("person/anna", 403, w.requestAs("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
-			refused("person/anna", 403, w.requestAs("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
-			refused("person/anna", 403, w.requestAs("person/anna", label, "POST", "/submissions/job-77/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
+			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
+			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
+			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-77/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
 			// The refund team touches the price-check queue.
-			refused("service/refunds", 403, w.requestAs("service/refunds", label, "GET", "/submissions/job-3", nil))
-			refused("service/refunds", 403, w.requestAs("service/refunds", label, "POST", "/submissions/job-3/withdraw", nil))
-			refused("service/refunds", 403, w.requestAs("service/refunds", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-91", "blue", "price-check"))))
+			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "GET", "/submissions/job-3", nil))
+			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "POST", "/submissions/job-3/withdraw", nil))
+			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-91", "blue", "price-check"))))
 			// A guest partner looks for arguments wherever there might be some.
 			for _, path := range []string{"/submissions/job-1/arguments", "/submissions/job-77/arguments", "/audit/seal", "/audit/batches?chain=n0&after=0",
 				"/policy/roles", "/policy/identities"} {
-				refused("person/partner", 403, w.requestAs("person/partner", label, "GET", path, nil))
+				refused("person/partner", 403, sim.requestAs("person/partner", label, "GET", path, nil))
 			}
-			refused("person/partner", 403, w.requestAs("person/partner", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-1", "red", "match"))))
-			refused("person/partner", 403, w.requestAs("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
-			refused("person/partner", 403, w.requestAs("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
-			refused("", 401, w.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
-			refused("", 401, w.requestAs("", label, "GET", "/submissions/job-1", nil))
+			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-1", "red", "match"))))
+			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
+			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
+			refused("", 401, sim.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
+			refused("", 401, sim.requestAs("", label, "GET", "/submissions/job-1", nil))
 		}
 		// What a job and one that does not exist are answered does not differ.
-		a := w.requestAs("service/refunds", "n0", "GET", "/submissions/job-3", nil)
-		b := w.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
+		a := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-3", nil)
+		b := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
 		asked["service/refunds"] += 2
 		if a.Status != b.Status || !bytes.Equal(a.Body, b.Body) || a.RetryAfter != b.RetryAfter {
 			t.Errorf("a job of another queue gets %d %q, no job %d %q", a.Status, a.Body, b.Status, b.Body)
 		}
 		// What they may do, they may.
-		w.expectStatus(200, w.requestAs("person/anna", "n1", "GET", "/submissions/job-1", nil))
-		w.expectStatus(200, w.requestAs("service/refunds", "n1", "GET", "/submissions/job-2/arguments", nil))
-		w.expectStatus(200, w.requestAs("person/partner", "n1", "GET", "/submissions/job-3", nil))
-		w.expectStatus(201, w.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-4", "red", "verify"))))
-		w.expectStatus(404, w.requestAs("person/root", "n2", "GET", "/submissions/job-77", nil))
+		sim.expectStatus(200, sim.requestAs("person/anna", "n1", "GET", "/submissions/job-1", nil))
+		sim.expectStatus(200, sim.requestAs("service/refunds", "n1", "GET", "/submissions/job-2/arguments", nil))
+		sim.expectStatus(200, sim.requestAs("person/partner", "n1", "GET", "/submissions/job-3", nil))
+		sim.expectStatus(201, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-4", "red", "verify"))))
+		sim.expectStatus(404, sim.requestAs("person/root", "n2", "GET", "/submissions/job-77", nil))
 		// Nothing that a guest is told holds arguments.
 		for _, id := range []string{"job-1", "job-2"} {
-			if resp := w.requestAs("person/partner", "n0", "GET", "/submissions/"+id, nil); bytes.Contains(resp.Body, []byte("img")) {
+			if resp := sim.requestAs("person/partner", "n0", "GET", "/submissions/"+id, nil); bytes.Contains(resp.Body, []byte("img")) {
 				t.Errorf("the image of %s is told: %q", id, resp.Body)
 			}
 		}
 		time.Sleep(2 * audit.GatherFor)
-		read := w.readAudit("n1")
+		read := sim.readAudit("n1")
 		for who, n := range asked {
 			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == who }); got != n {
 				t.Errorf("%q was refused %d times, the audit has %d", who, n, got)
@@ -311,10 +311,10 @@
 				t.Errorf("the audit tells arguments or a token: %+v", r)
 			}
 		}
-		w.mu.Lock()
-		w.jobs["job-4"] = &submittedJob{spec: newJobSpecOfClass("job-4", "red", "verify"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		w.mu.Unlock()
-		w.waitForAllJobs(3 * time.Minute)
+		sim.mu.Lock()
+		sim.jobs["job-4"] = &submittedJob{spec: newJobSpecOfClass("job-4", "red", "verify"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
+		sim.mu.Unlock()
+		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
@@ -322,23 +322,23 @@
 // unknown jobs tells a job of another queue from one that does not exist.
 func TestJobsOfOtherQueuesAreIndistinguishableFromUnknown(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 50, func(w *simulatedCluster) {
-		w.submit(newJobSpecOfClass("job-3", "blue", "price-check"))
+	runSimulationWithIdentities(t, 50, func(sim *simulatedCluster) {
+		sim.submit(newJobSpecOfClass("job-3", "blue", "price-check"))
 		time.Sleep(10 * time.Second) // every controller knows it
 		seen := map[string]string{}
 		for _, id := range []string{"job-3", "job-77", "job-3/", "job-x"} {
 			time.Sleep(20 * time.Second) // the budget is whole again
-			w.mu.Lock()
-			before := w.state.Served
-			w.mu.Unlock()
+			sim.mu.Lock()
+			before := sim.state.Served
+			sim.mu.Unlock()
 			answers := ""
 			for range 3 * auth.UnknownJobBurst {
-				resp := w.requestAs("service/refunds", "n0", "GET", "/submissions/"+id, nil)
+				resp := sim.requestAs("service/refunds", "n0", "GET", "/submissions/"+id, nil)
 				answers += fmt.Sprintf("%d %q %d;", resp.Status, resp.Body, resp.RetryAfter)
 			}
-			w.mu.Lock()
-			read := w.state.Served - before
-			w.mu.Unlock()
+			sim.mu.Lock()
+			read := sim.state.Served - before
+			sim.mu.Unlock()
 			seen[id] = answers
 			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < auth.UnknownJobBurst) {
 				t.Errorf("%s: %d reads, %s", id, read, answers)
@@ -347,7 +347,7 @@
 		if seen["job-3"] != seen["job-77"] {
 			t.Errorf("another queue's job: %s\nno job: %s", seen["job-3"], seen["job-77"])
 		}
-		w.waitForAllJobs(time.Minute)
+		sim.waitForAllJobs(time.Minute)
 	})
 }
 
@@ -355,11 +355,11 @@
 // ask again: there is one job and one record of its acceptance.
 func TestControllerKilledBetweenCommitAndAnswer(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 52, func(w *simulatedCluster) {
+	runSimulationWithIdentities(t, 52, func(sim *simulatedCluster) {
 		s := newJobSpecOfClass("job-1", "red", "match")
 		killed := false
-		w.mu.Lock()
-		w.onResponse = func(from, host, target string, body []byte, resp *transport.Response) bool {
+		sim.mu.Lock()
+		sim.onResponse = func(from, host, target string, body []byte, resp *transport.Response) bool {
 			if host != "state" || target != "/commit" || killed || from != "n1" || !bytes.Contains(body, []byte(storage.JobKey(s.ID))) {
 				return false
 			}
@@ -367,29 +367,29 @@
 				t.Errorf("the commit got %d", resp.Status)
 			}
 			killed = true
-			go w.killController("n1")
+			go sim.killController("n1")
 			return true
 		}
-		w.mu.Unlock()
-		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
+		sim.mu.Unlock()
+		ctx, cancel := context.WithTimeout(sim.ctx, 5*time.Second)
 		defer cancel()
-		n := w.controllers["n1"]
-		resp := n.controller.Serve(ctx, &transport.Request{Method: "POST", Path: "/submissions", Body: encodeSubmission(s), Authorization: w.identities.authorization("person/anna")})
+		n := sim.controllers["n1"]
+		resp := n.controller.Serve(ctx, &transport.Request{Method: "POST", Path: "/submissions", Body: encodeSubmission(s), Authorization: sim.identities.authorization("person/anna")})
 		if resp.Status == 201 || resp.Status == 200 || !killed {
 			t.Fatalf("answered %d, killed %v", resp.Status, killed)
 		}
 		// Until the others' watches bring it, the record is all that tells.
-		w.expectStatus(200, w.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
-		w.expectStatus(200, w.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
-		w.startController("n1")
+		sim.expectStatus(200, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
+		sim.expectStatus(200, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
+		sim.startController("n1")
 		time.Sleep(2 * audit.GatherFor)
-		if n := countRecords(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
+		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
 			t.Errorf("%d records of one acceptance", n)
 		}
-		w.mu.Lock()
-		w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		w.mu.Unlock()
-		w.waitForAllJobs(3 * time.Minute)
+		sim.mu.Lock()
+		sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
+		sim.mu.Unlock()
+		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
@@ -397,48 +397,48 @@
 // told.
 func TestRevocationDuringANetworkPartition(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 53, func(w *simulatedCluster) {
-		w.mu.Lock()
-		w.runTime = func(string, int, string) time.Duration { return 40 * time.Second }
-		w.mu.Unlock()
+	runSimulationWithIdentities(t, 53, func(sim *simulatedCluster) {
+		sim.mu.Lock()
+		sim.runTime = func(string, int, string) time.Duration { return 40 * time.Second }
+		sim.mu.Unlock()
 		mine := newJobSpecOfClass("job-1", "red", "match")
-		w.mu.Lock()
-		w.jobs[mine.ID] = &submittedJob{spec: mine, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		w.mu.Unlock()
-		w.expectStatus(201, w.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(mine)))
+		sim.mu.Lock()
+		sim.jobs[mine.ID] = &submittedJob{spec: mine, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
+		sim.mu.Unlock()
+		sim.expectStatus(201, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(mine)))
 		time.Sleep(15 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			w.expectStatus(200, w.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
+			sim.expectStatus(200, sim.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
-		w.mu.Lock()
-		w.cut = func(from, to string) bool { return from == "n2" && to == "state" }
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cut = func(from, to string) bool { return from == "n2" && to == "state" }
+		sim.mu.Unlock()
 		revoke := &rights.Change{Version: 1, PutIdentities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}, Revoked: true}}}
-		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", revoke))
-		w.expectStatus(403, w.requestAs("person/anna", "n0", "GET", "/submissions/job-1", nil))
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", revoke))
+		sim.expectStatus(403, sim.requestAs("person/anna", "n0", "GET", "/submissions/job-1", nil))
 		time.Sleep(3 * time.Second)
-		w.expectStatus(403, w.requestAs("person/anna", "n1", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-2", "red", "match"))))
+		sim.expectStatus(403, sim.requestAs("person/anna", "n1", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-2", "red", "match"))))
 		for _, resp := range []transport.Response{
-			w.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-2", "red", "match"))),
-			w.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil), w.requestAs("person/anna", "n2", "POST", "/submissions/job-1/withdraw", nil),
-			w.requestAs("person/root", "n2", "POST", "/policy", revoke)} {
-			if w.expectStatus(503, resp).RetryAfter == 0 {
+			sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-2", "red", "match"))),
+			sim.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil), sim.requestAs("person/anna", "n2", "POST", "/submissions/job-1/withdraw", nil),
+			sim.requestAs("person/root", "n2", "POST", "/policy", revoke)} {
+			if sim.expectStatus(503, resp).RetryAfter == 0 {
 				t.Error("no Retry-After")
 			}
 		}
-		w.mu.Lock()
-		w.cut = nil
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.cut = nil
+		sim.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		w.expectStatus(403, w.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil))
+		sim.expectStatus(403, sim.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil))
 		// Her job goes on for its queue.
-		if st := w.poll("n1", "job-1"); st != protocol.StatusRunning {
+		if st := sim.poll("n1", "job-1"); st != protocol.StatusRunning {
 			t.Errorf("the revoked clerk's job is %q", st)
 		}
-		w.waitForAllJobs(3 * time.Minute)
+		sim.waitForAllJobs(3 * time.Minute)
 		for _, label := range []string{"n0", "n1", "n2"} {
 			// The others had the revocation at once, so that refusals are on all.
-			w.expectStatus(403, w.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
+			sim.expectStatus(403, sim.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
 	})
 }
@@ -447,20 +447,20 @@
 // else; it is allowed where the operator administers the queue.
 func TestCancellingAllJobsOfAnIdentity(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 54, func(w *simulatedCluster) {
-		w.mu.Lock()
-		w.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
-		w.mu.Unlock()
+	runSimulationWithIdentities(t, 54, func(sim *simulatedCluster) {
+		sim.mu.Lock()
+		sim.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
+		sim.mu.Unlock()
 		for i := range 40 {
 			s := newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match")
-			w.mu.Lock()
-			w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now(), cancelRequested: i%2 == 0}
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now(), cancelRequested: i%2 == 0}
+			sim.mu.Unlock()
 			who := "person/root"
 			if i%2 == 0 {
 				who = "person/anna"
 			}
-			for w.requestAs(who, "n0", "POST", "/submissions", encodeSubmission(s)).Status != 201 {
+			for sim.requestAs(who, "n0", "POST", "/submissions", encodeSubmission(s)).Status != 201 {
 				time.Sleep(time.Second)
 			}
 		}
@@ -468,8 +468,8 @@
 		withdrawn := 0
 		for tries := 0; ; tries++ {
 			var res protocol.SweepResult
-			resp := w.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
-			panicOnError(protocol.Decode(w.expectStatus(200, resp).Body, &res))
+			resp := sim.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
+			panicOnError(protocol.Decode(sim.expectStatus(200, resp).Body, &res))
 			withdrawn += res.Withdrawn
 			if res.Left == 0 || tries > 30 {
 				break
@@ -479,15 +479,15 @@
 		if withdrawn == 0 {
 			t.Error("nothing was withdrawn")
 		}
-		w.waitForAllJobs(10 * time.Minute)
+		sim.waitForAllJobs(10 * time.Minute)
 		for i := range 40 {
 			id := fmt.Sprintf("job-%d", i)
-			if st := w.poll("", id); i%2 == 1 && st != protocol.StatusDone {
+			if st := sim.poll("", id); i%2 == 1 && st != protocol.StatusDone {
 				t.Errorf("%s of somebody else is %s", id, st)
 			}
 		}
 		time.Sleep(2 * audit.GatherFor)
-		if n := countRecords(w.readAudit("n2"), func(r *audit.Record) bool {
+		if n := countRecords(sim.readAudit("n2"), func(r *audit.Record) bool {
 			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
 		}); n != withdrawn {
 			t.Errorf("%d withdrawals are recorded, %d were made", n, withdrawn)
@@ -498,16 +498,16 @@
 // Two administrators revoke each other at the same moment: one of them stays.
 func TestAdministratorsRevokeEachOther(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 55, func(w *simulatedCluster) {
+	runSimulationWithIdentities(t, 55, func(sim *simulatedCluster) {
 		second := rights.Identity{Name: "person/second", Roles: []string{"admin"}}
-		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{second}}))
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{second}}))
 		time.Sleep(time.Second)
 		var got [2]transport.Response
 		var wg sync.WaitGroup
 		for i, who := range []string{"person/root", "person/second"} {
 			wg.Go(func() {
 				other := []string{"person/second", "person/root"}[i]
-				got[i] = w.requestAs(who, []string{"n0", "n1"}[i], "POST", "/policy", &rights.Change{Version: 2,
+				got[i] = sim.requestAs(who, []string{"n0", "n1"}[i], "POST", "/policy", &rights.Change{Version: 2,
 					PutIdentities: []rights.Identity{{Name: other, Roles: []string{"admin"}, Revoked: true}}})
 			})
 		}
@@ -520,10 +520,10 @@
 			left, other = other, left
 		}
 		time.Sleep(time.Second)
-		w.expectStatus(403, w.requestAs(other, "n2", "GET", "/policy/roles", nil))
-		w.expectStatus(422, w.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, PutIdentities: []rights.Identity{{Name: left, Roles: []string{"admin"}, Revoked: true}}}))
-		w.expectStatus(409, w.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 2, DropIdentities: []string{other}}))
-		w.expectStatus(200, w.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, DropIdentities: []string{other}}))
+		sim.expectStatus(403, sim.requestAs(other, "n2", "GET", "/policy/roles", nil))
+		sim.expectStatus(422, sim.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, PutIdentities: []rights.Identity{{Name: left, Roles: []string{"admin"}, Revoked: true}}}))
+		sim.expectStatus(409, sim.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 2, DropIdentities: []string{other}}))
+		sim.expectStatus(200, sim.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, DropIdentities: []string{other}}))
 	})
 }
 
@@ -531,15 +531,15 @@
 // as it is.
 func TestRevokedTokensAreRefused(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 56, func(w *simulatedCluster) {
-		w.expectStatus(404, w.requestAs("person/partner", "n0", "GET", "/submissions/job-9", nil))
+	runSimulationWithIdentities(t, 56, func(sim *simulatedCluster) {
+		sim.expectStatus(404, sim.requestAs("person/partner", "n0", "GET", "/submissions/job-9", nil))
 		time.Sleep(2 * time.Second)
 		void := rights.Identity{Name: "person/partner", Roles: []string{"guest"}, TokensFromMS: time.Now().UnixMilli()}
-		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{void}}))
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{void}}))
 		time.Sleep(2 * time.Second)
-		w.expectStatus(401, w.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
-		delete(w.identities.tokens, "person/partner")
-		w.expectStatus(404, w.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
+		sim.expectStatus(401, sim.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
+		delete(sim.identities.tokens, "person/partner")
+		sim.expectStatus(404, sim.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
 	})
 }
 
@@ -547,16 +547,16 @@
 // step; one that has started stays.
 func TestReassignmentOfQueuedJobs(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 57, func(w *simulatedCluster) {
-		w.mu.Lock()
-		w.cloud.Capacity = 0
-		w.runTime = func(string, int, string) time.Duration { return 8 * time.Second }
-		w.mu.Unlock()
+	runSimulationWithIdentities(t, 57, func(sim *simulatedCluster) {
+		sim.mu.Lock()
+		sim.cloud.Capacity = 0
+		sim.runTime = func(string, int, string) time.Duration { return 8 * time.Second }
+		sim.mu.Unlock()
 		add := func(s *protocol.JobSpec) {
-			w.submit(s)
-			w.mu.Lock()
-			w.jobs[s.ID].cancelRequested = true
-			w.mu.Unlock()
+			sim.submit(s)
+			sim.mu.Lock()
+			sim.jobs[s.ID].cancelRequested = true
+			sim.mu.Unlock()
 		}
 		add(newJobSpecOfClass("job-1", "red", "match"))
 		add(newJobSpecOfClass("job-2", "red", "match"))
@@ -566,37 +566,37 @@
 		add(wait)
 		time.Sleep(time.Second)
 		move := func(id, as, team string) transport.Response {
-			return w.requestAs("person/root", "n1", "POST", "/submissions/"+id+"/reassign", protocol.Reassignment{As: as, Team: team})
+			return sim.requestAs("person/root", "n1", "POST", "/submissions/"+id+"/reassign", protocol.Reassignment{As: as, Team: team})
 		}
 		moved := newJobSpecOfClass("job-11", "blue", "match")
-		w.mu.Lock()
-		w.jobs["job-11"] = &submittedJob{spec: moved, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		w.mu.Unlock()
-		w.expectStatus(200, move("job-1", "job-11", "blue"))
-		w.expectStatus(200, move("job-1", "job-11", "blue")) // asked again, also elsewhere
-		w.expectStatus(200, w.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
-		w.expectStatus(409, move("job-1", "job-12", "blue"))
-		w.expectStatus(409, move("job-2", "job-11", "blue"))
-		w.expectStatus(422, move("job-2", "job-12", "nobody"))
-		w.expectStatus(422, move("job-3", "job-13", "blue")) // another waits for it
-		w.expectStatus(400, move("job-2", "job-2", "blue"))
-		w.expectStatus(400, move("job-2", "x", "blue"))
-		w.expectStatus(404, move("job-77", "job-14", "blue"))
-		w.mu.Lock()
-		w.cloud.Capacity = 12
-		w.mu.Unlock()
-		for w.poll("", "job-2") != protocol.StatusRunning {
+		sim.mu.Lock()
+		sim.jobs["job-11"] = &submittedJob{spec: moved, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
+		sim.mu.Unlock()
+		sim.expectStatus(200, move("job-1", "job-11", "blue"))
+		sim.expectStatus(200, move("job-1", "job-11", "blue")) // asked again, also elsewhere
+		sim.expectStatus(200, sim.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
+		sim.expectStatus(409, move("job-1", "job-12", "blue"))
+		sim.expectStatus(409, move("job-2", "job-11", "blue"))
+		sim.expectStatus(422, move("job-2", "job-12", "nobody"))
+		sim.expectStatus(422, move("job-3", "job-13", "blue")) // another waits for it
+		sim.expectStatus(400, move("job-2", "job-2", "blue"))
+		sim.expectStatus(400, move("job-2", "x", "blue"))
+		sim.expectStatus(404, move("job-77", "job-14", "blue"))
+		sim.mu.Lock()
+		sim.cloud.Capacity = 12
+		sim.mu.Unlock()
+		for sim.poll("", "job-2") != protocol.StatusRunning {
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.expectStatus(409, move("job-2", "job-12", "blue"))
-		if st := w.poll("n0", "job-1"); st != protocol.StatusWithdrawn {
+		sim.expectStatus(409, move("job-2", "job-12", "blue"))
+		if st := sim.poll("n0", "job-1"); st != protocol.StatusWithdrawn {
 			t.Errorf("the job that was moved is %s", st)
 		}
-		w.waitForAllJobs(3 * time.Minute)
-		if st := w.poll("n0", "job-11"); st != protocol.StatusDone {
+		sim.waitForAllJobs(3 * time.Minute)
+		if st := sim.poll("n0", "job-11"); st != protocol.StatusDone {
 			t.Errorf("its successor is %s", st)
 		}
-		if n := countRecords(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
+		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
 			t.Errorf("%d records of one reassignment", n)
 		}
 	})
@@ -607,43 +607,43 @@
 func TestReassignmentRacesWithTheFirstStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(60); seed < 64; seed++ {
-		runSimulationWithIdentities(t, seed, func(w *simulatedCluster) {
-			w.mu.Lock()
+		runSimulationWithIdentities(t, seed, func(sim *simulatedCluster) {
+			sim.mu.Lock()
 			rng := rand.New(rand.NewPCG(seed, 1))
-			w.runTime = func(string, int, string) time.Duration { return 2 * time.Second }
-			w.mu.Unlock()
+			sim.runTime = func(string, int, string) time.Duration { return 2 * time.Second }
+			sim.mu.Unlock()
 			first := newJobSpecOfClass("job-1000", "red", "match") // brings machines up
-			w.submit(first)
-			w.waitForAllJobs(time.Minute)
+			sim.submit(first)
+			sim.waitForAllJobs(time.Minute)
 			won, lost := 0, 0
 			for i := range 20 {
 				s := newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match")
-				w.submit(s)
+				sim.submit(s)
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 				as := fmt.Sprintf("job-%d", 100+i)
-				w.mu.Lock()
-				w.jobs[s.ID].cancelRequested = true
-				w.jobs[as] = &submittedJob{spec: newJobSpecOfClass(as, "blue", "match"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-				w.mu.Unlock()
-				resp := w.requestAs("person/root", fmt.Sprintf("n%d", i%3), "POST", "/submissions/"+s.ID+"/reassign", protocol.Reassignment{As: as, Team: "blue"})
-				w.mu.Lock()
+				sim.mu.Lock()
+				sim.jobs[s.ID].cancelRequested = true
+				sim.jobs[as] = &submittedJob{spec: newJobSpecOfClass(as, "blue", "match"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
+				sim.mu.Unlock()
+				resp := sim.requestAs("person/root", fmt.Sprintf("n%d", i%3), "POST", "/submissions/"+s.ID+"/reassign", protocol.Reassignment{As: as, Team: "blue"})
+				sim.mu.Lock()
 				switch resp.Status {
 				case 200:
 					won++
-					if len(w.jobs[s.ID].tasksDone) > 0 {
+					if len(sim.jobs[s.ID].tasksDone) > 0 {
 						t.Errorf("%s was moved after a task of it was done", s.ID)
 					}
 				case 409:
 					lost++
-					delete(w.jobs, as)
+					delete(sim.jobs, as)
 				default:
 					t.Errorf("reassignment got %d", resp.Status)
-					delete(w.jobs, as)
+					delete(sim.jobs, as)
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 			}
-			w.waitForAllJobs(3 * time.Minute)
+			sim.waitForAllJobs(3 * time.Minute)
 			t.Logf("seed %d: %d moved, %d had started", seed, won, lost)
 		})
 	}
@@ -653,25 +653,25 @@
 // of them is lost.
 func TestRefusalsAreAuditedAtABoundedWriteRate(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 58, func(w *simulatedCluster) {
+	runSimulationWithIdentities(t, 58, func(sim *simulatedCluster) {
 		time.Sleep(audit.GatherFor)
-		w.mu.Lock()
-		before := w.state.Changes
-		w.mu.Unlock()
+		sim.mu.Lock()
+		before := sim.state.Changes
+		sim.mu.Unlock()
 		flood := 20 * time.Second
 		refused := 0
 		for begun := time.Now(); time.Since(begun) < flood; time.Sleep(time.Millisecond) {
-			w.expectStatus(403, w.requestAs("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
+			sim.expectStatus(403, sim.requestAs("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
 			refused++
 		}
 		time.Sleep(2 * audit.GatherFor)
-		w.mu.Lock()
-		changes := w.state.Changes - before
-		w.mu.Unlock()
+		sim.mu.Lock()
+		changes := sim.state.Changes - before
+		sim.mu.Unlock()
 		if most := 2 * int(flood/time.Second); changes > most {
 			t.Errorf("%d refusals made %d changes in %s, want at most %d", refused, changes, flood, most)
 		}
-		if n := countRecords(w.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
+		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
 			t.Errorf("%d refusals, the audit counts %d", refused, n)
 		}
 	})
@@ -683,43 +683,43 @@
 func TestAuditIsCompleteUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(70); seed < 74; seed++ {
-		runSimulationWithIdentities(t, seed, func(w *simulatedCluster) {
-			w.jobTasksMax = 3
-			dice := func(n int) int { w.mu.Lock(); defer w.mu.Unlock(); return w.rng.IntN(n) }
+		runSimulationWithIdentities(t, seed, func(sim *simulatedCluster) {
+			sim.jobTasksMax = 3
+			dice := func(n int) int { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.rng.IntN(n) }
 			submitted := map[string]bool{}
-			w.mu.Lock()
-			w.messageFaultRate = 0.05
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.messageFaultRate = 0.05
+			sim.mu.Unlock()
 			for i := range 40 {
 				id := fmt.Sprintf("job-%d", i)
 				submitted[id] = true
-				w.submit(newJobSpecOfClass(id, []string{"red", "blue", "green"}[dice(3)], "match"))
+				sim.submit(newJobSpecOfClass(id, []string{"red", "blue", "green"}[dice(3)], "match"))
 				switch dice(6) {
 				case 0:
 					label := fmt.Sprintf("n%d", dice(3))
-					w.mu.Lock()
-					up := w.controllers[label] != nil && len(w.controllers) > 1
-					w.mu.Unlock()
+					sim.mu.Lock()
+					up := sim.controllers[label] != nil && len(sim.controllers) > 1
+					sim.mu.Unlock()
 					if up {
-						w.killController(label)
-						w.group.Go(func() { time.Sleep(2 * time.Second); w.startController(label) })
+						sim.killController(label)
+						sim.group.Go(func() { time.Sleep(2 * time.Second); sim.startController(label) })
 					}
 				case 1:
-					w.cancelJob(id)
+					sim.cancelJob(id)
 				case 2:
-					w.setOutage(true)
+					sim.setOutage(true)
 					time.Sleep(time.Duration(dice(4000)) * time.Millisecond)
-					w.setOutage(false)
+					sim.setOutage(false)
 				}
 				time.Sleep(time.Duration(dice(800)) * time.Millisecond)
 			}
-			w.mu.Lock()
-			w.messageFaultRate = 0
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.messageFaultRate = 0
+			sim.mu.Unlock()
 			time.Sleep(25 * time.Second) // what is late has come, and who was killed is back
-			w.waitForAllJobs(6 * time.Minute)
+			sim.waitForAllJobs(6 * time.Minute)
 			accepts, withdrawals := map[string]int{}, map[string]int{}
-			for _, r := range w.readAudit("n0") {
+			for _, r := range sim.readAudit("n0") {
 				if r.Outcome == audit.Allowed && r.Verb == "submit" {
 					accepts[r.Job]++
 				}
@@ -727,15 +727,15 @@
 					withdrawals[r.Job]++
 				}
 			}
-			w.mu.Lock()
-			defer w.mu.Unlock()
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
 			for id := range submitted {
-				_, exists := w.state.Items[storage.JobKey(id)]
+				_, exists := sim.state.Items[storage.JobKey(id)]
 				if !exists || accepts[id] != 1 {
 					t.Errorf("seed %d: %s: record of the job %v, of its acceptance %d", seed, id, exists, accepts[id])
 				}
 				var f storage.Final
-				it, over := w.state.Items[storage.FinalKey(id)]
+				it, over := sim.state.Items[storage.FinalKey(id)]
 				panicOnError(storage.Decode(it.Value, &f))
 				want := 0
 				if over && f.Status == protocol.StatusWithdrawn {
@@ -748,8 +748,8 @@
 			if len(accepts) != len(submitted) {
 				t.Errorf("seed %d: %d acceptances of %d jobs", seed, len(accepts), len(submitted))
 			}
-			for key := range w.state.Items {
-				if strings.HasPrefix(key, audit.Prefix) && w.state.Largest["a"] > int(w.settings.Params.State.ValueKB*1024) {
+			for key := range sim.state.Items {
+				if strings.HasPrefix(key, audit.Prefix) && sim.state.Largest["a"] > int(sim.settings.Params.State.ValueKB*1024) {
 					t.Fatalf("%s is too large", key)
 				}
 			}
@@ -761,15 +761,15 @@
 // names the place.
 func TestTamperedAuditBatchIsFound(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 59, func(w *simulatedCluster) {
+	runSimulationWithIdentities(t, 59, func(sim *simulatedCluster) {
 		for i := range 3 {
-			w.submit(newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match"))
+			sim.submit(newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match"))
 		}
-		w.waitForAllJobs(time.Minute)
+		sim.waitForAllJobs(time.Minute)
 		tamper := func(f func(s *state.Service)) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			f(w.state)
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
+			f(sim.state)
 		}
 		label := "n0"
 		find := func(s *state.Service) (string, protocol.Item) {
@@ -792,14 +792,14 @@
 			s.Items[key] = it
 		})
 		roots := x509.NewCertPool()
-		roots.AddCert(w.identities.ca.Root())
-		v, err := archive.Verify(bytes.NewReader(w.exportAudit("n2")), roots)
+		roots.AddCert(sim.identities.ca.Root())
+		v, err := archive.Verify(bytes.NewReader(sim.exportAudit("n2")), roots)
 		panicOnError(err)
 		if len(v.Problems) == 0 || v.Problems[0].Chain != label || v.Problems[0].Batch != 1 {
 			t.Errorf("an altered batch: %v", v.Problems)
 		}
 		tamper(func(s *state.Service) { s.Items[before.Key] = before })
-		w.readAudit("n2")
+		sim.readAudit("n2")
 	})
 }
 
@@ -830,16 +830,16 @@
 // Machines and controllers speak for themselves only.
 func TestCertificatesAuthenticateOnlyTheirOwnName(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 49, func(w *simulatedCluster) {
-		n := w.controllers["n0"].controller
+	runSimulationWithIdentities(t, 49, func(sim *simulatedCluster) {
+		n := sim.controllers["n0"].controller
 		report := func(cert, machine string) int {
-			return n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: w.identities.certificate(cert),
+			return n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: sim.identities.certificate(cert),
 				Body: protocol.Encode(&protocol.Heartbeat{Machine: machine, Epoch: 1})}).Status
 		}
 		summary := func(cert, from string) int {
 			body, err := proto.Marshal(&peer.Summary{From: from})
 			panicOnError(err)
-			return n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: w.identities.certificate(cert), Body: body}).Status
+			return n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: sim.identities.certificate(cert), Body: body}).Status
 		}
 		for what, tc := range map[string]struct{ got, refused int }{
 			"another machine":        {report("worker/m-9", "m-1"), 403},
@@ -848,9 +848,9 @@
 			"another controller":     {summary("controller/n1", "n2"), 403},
 			"a machine as a peer":    {summary("worker/any", "n1"), 403},
 			"a stranger as a peer":   {summary("controller/n9", "n9"), 403},
-			"nobody's report":        {n.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
-			"nobody's summary":       {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
-			"nobody's fleet request": {n.ServePeers(w.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
+			"nobody's report":        {n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
+			"nobody's summary":       {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
+			"nobody's fleet request": {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
 		} {
 			if tc.got != tc.refused {
 				t.Errorf("%s: %d, want %d", what, tc.got, tc.refused)
@@ -862,7 +862,7 @@
 			}
 		}
 		// A certificate that has ended counts no more, however old the connection.
-		w.identities.certs["worker/m-7"] = w.identities.issue("worker/m-7", time.Minute)
+		sim.identities.certs["worker/m-7"] = sim.identities.issue("worker/m-7", time.Minute)
 		if got := report("worker/m-7", "m-7"); got == 401 {
 			t.Error("refused before its end")
 		}
--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -40,8 +40,8 @@
 			t.Run(fmt.Sprint(step, " ", delay), func(t *testing.T) {
 				t.Parallel()
 				h := &requestHistory{jobs: map[string][]porcupine.Operation{}}
-				runSimulation(t, 640, func(w *simulatedCluster) {
-					w.runJobEndRace(h, step, delay)
+				runSimulation(t, 640, func(sim *simulatedCluster) {
+					sim.runJobEndRace(h, step, delay)
 				})
 				h.check(t)
 				if h.finals < 10 {
@@ -77,12 +77,12 @@
 }
 
 // runJobEndRace lets requests meet a step of the ends of jobs of one to three tasks.
-func (w *simulatedCluster) runJobEndRace(h *requestHistory, step string, delay time.Duration) {
+func (sim *simulatedCluster) runJobEndRace(h *requestHistory, step string, delay time.Duration) {
 	time.Sleep(2 * time.Second)
-	w.withLock(func() { w.runTime = func(string, int, string) time.Duration { return 3 * time.Second } })
+	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return 3 * time.Second } })
 	for i := range 3 {
 		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i, "green")
-		w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+		sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
 		var once synctestOnce
 		var asking sync.WaitGroup
 		ask := func() {
@@ -91,33 +91,33 @@
 					for n, q := range []requestKind{requestCancel, requestPoll, requestSubmit} {
 						asking.Go(func() {
 							time.Sleep(time.Duration((k+n)%3) * time.Millisecond)
-							h.request(w, l, q, s)
+							h.request(sim, l, q, s)
 						})
 					}
 				}
 				time.Sleep(delay)
 			})
 		}
-		w.withLock(func() {
-			w.onJobEnd = func(job string) {
+		sim.withLock(func() {
+			sim.onJobEnd = func(job string) {
 				h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
 				switch step {
 				case "the task ends":
-					w.group.Go(ask)
+					sim.group.Go(ask)
 				case "its end is reported":
-					w.group.Go(func() {
-						w.waitForCompletion(job)
+					sim.group.Go(func() {
+						sim.waitForCompletion(job)
 						ask()
 					})
 				}
 			}
-			w.onRequest = func(_, host, target string, body []byte) bool {
+			sim.onRequest = func(_, host, target string, body []byte) bool {
 				if step == "the commit is sent" && completesJob(host, target, body, s.ID) {
 					ask()
 				}
 				return false
 			}
-			w.onResponse = func(_, host, target string, body []byte, resp *transport.Response) bool {
+			sim.onResponse = func(_, host, target string, body []byte, resp *transport.Response) bool {
 				if resp.Status != 200 || !completesJob(host, target, body, s.ID) {
 					return false
 				}
@@ -127,46 +127,46 @@
 				return step == "its answer is lost"
 			}
 			if step == "the commit is late" {
-				w.lateTransactionShare, w.lateTransactionKind = 1, "final"
-				w.onRequest = nil
-				w.onJobEnd = func(job string) {
+				sim.lateTransactionShare, sim.lateTransactionKind = 1, "final"
+				sim.onRequest = nil
+				sim.onJobEnd = func(job string) {
 					h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
-					w.group.Go(func() {
-						w.waitForCompletion(job)
+					sim.group.Go(func() {
+						sim.waitForCompletion(job)
 						time.Sleep(time.Second)
 						ask()
-						w.withLock(func() { w.lateTransactionShare, w.lateTransactionKind = 0, "" })
+						sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 0, "" })
 					})
 				}
 			}
 		})
-		for h.request(w, "n0", requestSubmit, s) == "" {
+		for h.request(sim, "n0", requestSubmit, s) == "" {
 			time.Sleep(time.Second)
 		}
 		for range 90 {
 			time.Sleep(time.Second)
-			if st := h.request(w, "n1", requestPoll, s); st == protocol.StatusDone || st == protocol.StatusWithdrawn {
+			if st := h.request(sim, "n1", requestPoll, s); st == protocol.StatusDone || st == protocol.StatusWithdrawn {
 				break
 			}
 		}
 		asked := false
 		once.Do(func() { asked = true })
 		if asked {
-			w.t.Errorf("nobody asked as %s", step)
+			sim.t.Errorf("nobody asked as %s", step)
 		}
 		asking.Wait()
-		h.pollAllControllers(w, s, rand.New(rand.NewPCG(1, uint64(i))))
-		w.withLock(func() { w.onJobEnd, w.onRequest, w.onResponse = nil, nil, nil })
+		h.pollAllControllers(sim, s, rand.New(rand.NewPCG(1, uint64(i))))
+		sim.withLock(func() { sim.onJobEnd, sim.onRequest, sim.onResponse = nil, nil, nil })
 	}
 	time.Sleep(10 * time.Second)
 }
 
 // waitForCompletion waits until a job's owner knows that its last task has ended.
-func (w *simulatedCluster) waitForCompletion(job string) {
+func (sim *simulatedCluster) waitForCompletion(job string) {
 	for range 5000 {
 		known := false
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.onController(l, func(c *Controller) {
+			sim.onController(l, func(c *Controller) {
 				j := c.Jobs[job]
 				known = known || j != nil && j.Completing || c.FinalStates[job] != ""
 			})
@@ -187,26 +187,26 @@
 		for _, outage := range []bool{false, true} {
 			t.Run(fmt.Sprint(hang, " outage ", outage), func(t *testing.T) {
 				t.Parallel()
-				runConfiguredSimulation(t, 641, configureLongAnswerBound, func(w *simulatedCluster) {
+				runConfiguredSimulation(t, 641, configureLongAnswerBound, func(sim *simulatedCluster) {
 					time.Sleep(3 * time.Second)
 					for i := range 6 {
 						s := newJobSpec(fmt.Sprintf("job-%d", i), 2, "green")
 						s.EstimateS, s.DeadlineS = 600, 0
-						w.submit(s)
+						sim.submit(s)
 					}
 					time.Sleep(25 * time.Second)
-					part := w.partitionOf("green")
-					owner := w.leaderOf(part)
+					partition := sim.partitionOf("green")
+					leader := sim.leaderOf(partition)
 					var on []string
 					for i := range 4 {
 						var machines []string
 						id := fmt.Sprintf("job-%d", i)
-						w.withLock(func() { machines = w.machinesRunning(id) })
+						sim.withLock(func() { machines = sim.machinesRunning(id) })
 						for _, m := range machines {
-							w.hangMachine(m, hang)
+							sim.hangMachine(m, hang)
 						}
 						on = append(on, machines...)
-						if !w.cancelAt(w.otherControllers(owner)[i%2], id) {
+						if !sim.cancelAt(sim.otherControllers(leader)[i%2], id) {
 							t.Fatalf("%s is not cancelled", id)
 						}
 					}
@@ -215,20 +215,20 @@
 					}
 					if outage {
 						time.Sleep(time.Second)
-						w.setOutage(true)
+						sim.setOutage(true)
 					}
-					time.Sleep(settings.Seconds(w.settings.Params.Workers.CancelS))
-					w.withLock(func() {
-						for _, wk := range w.workers {
-							for _, task := range wk.Tasks {
-								uj := w.jobs[task.Job]
-								if task.Running && !uj.cancelledAt.IsZero() && time.Since(wk.LeaseFrom) <= wk.Lease {
-									t.Errorf("%s may go on on %s", task.Name, wk.Name)
+					time.Sleep(settings.Seconds(sim.settings.Params.Workers.CancelS))
+					sim.withLock(func() {
+						for _, agent := range sim.workers {
+							for _, task := range agent.Tasks {
+								submitted := sim.jobs[task.Job]
+								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseFrom) <= agent.Lease {
+									t.Errorf("%s may go on on %s", task.Name, agent.Name)
 								}
 							}
 						}
 					})
-					w.setOutage(false)
+					sim.setOutage(false)
 					time.Sleep(25 * time.Second)
 				})
 			})
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -24,29 +24,29 @@
 // time (docs/incidents/night-flood.md).
 func TestPollLoadDoesNotCostPartitionLeases(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 51, func(w *simulatedCluster) {
-		w.settings.Params.State.RPS = 60
-		w.state.Requests = rate.NewLimiter(60, 60)
-		w.cloud.Capacity = 0 // nothing runs
-	}, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 51, func(sim *simulatedCluster) {
+		sim.settings.Params.State.RPS = 60
+		sim.state.Requests = rate.NewLimiter(60, 60)
+		sim.cloud.Capacity = 0 // nothing runs
+	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		const jobs = 300
 		for i := range jobs {
-			w.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, "green"))
+			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, "green"))
 		}
-		claims := func() string {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			return fmt.Sprint(w.state.Items[storage.LeaseKey(0)].Version, w.state.Items[storage.LeaseKey(1)].Version,
-				w.state.Items[storage.LeaseKey(2)].Version, w.state.Items[storage.LeadershipKey].Version)
+		leaseVersions := func() string {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
+			return fmt.Sprint(sim.state.Items[storage.LeaseKey(0)].Version, sim.state.Items[storage.LeaseKey(1)].Version,
+				sim.state.Items[storage.LeaseKey(2)].Version, sim.state.Items[storage.LeadershipKey].Version)
 		}
-		before, answered, asked := claims(), 0, 0
+		before, answered, asked := leaseVersions(), 0, 0
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
 			for i := range jobs / 2 { // 150 a second, of 60 requests
-				w.group.Go(func() {
-					st := w.poll(fmt.Sprintf("n%d", i%3), fmt.Sprintf("job-%d", i))
-					w.mu.Lock()
-					defer w.mu.Unlock()
+				sim.group.Go(func() {
+					st := sim.poll(fmt.Sprintf("n%d", i%3), fmt.Sprintf("job-%d", i))
+					sim.mu.Lock()
+					defer sim.mu.Unlock()
 					if asked++; st == protocol.StatusQueued {
 						answered++
 					}
@@ -54,11 +54,11 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		if now := claims(); now != before {
+		if now := leaseVersions(); now != before {
 			t.Errorf("claims changed hands: %s, then %s", before, now)
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		if answered < asked*95/100 {
 			t.Errorf("%d of %d polls answered", answered, asked)
 		}
@@ -83,26 +83,26 @@
 
 // configureSurgeCluster is a fleet of which the large class's work fits one type only; about a
 // third of it is in use as long as nothing floods.
-func configureSurgeCluster(w *simulatedCluster) {
-	w.cloud.Capacity, w.cloud.ByType = 22, map[string]int{"small": 12, "big": 10}
-	w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
-	w.settings.Params.State.RPS, w.settings.Params.State.WriteRPS = 600, 200
+func configureSurgeCluster(sim *simulatedCluster) {
+	sim.cloud.Capacity, sim.cloud.ByType = 22, map[string]int{"small": 12, "big": 10}
+	sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
+	sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 }
 
 // runLoadSurge plays a flood of so long, with losses of owners in it, waits, and tells what
 // became of each class and team.
-func runLoadSurge(w *simulatedCluster, f loadSurge, lasts, wait int) map[string]*groupOutcome {
+func runLoadSurge(sim *simulatedCluster, f loadSurge, lasts, wait int) map[string]*groupOutcome {
 	groups := map[string]*groupOutcome{}
 	started := map[string]map[int]bool{}
-	w.mu.Lock()
-	w.runTime = func(job string, task int, _ string) time.Duration {
+	sim.mu.Lock()
+	sim.runTime = func(job string, task int, _ string) time.Duration {
 		if started[job] == nil {
 			started[job] = map[int]bool{}
 		}
 		started[job][task] = true
-		return settings.Seconds(w.jobs[job].spec.EstimateS)
+		return settings.Seconds(sim.jobs[job].spec.EstimateS)
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	time.Sleep(2 * time.Second)
 	next := 0
 	submit := func(class, team string) {
@@ -117,12 +117,12 @@
 			s.Urgency, s.CPUs, s.Tasks, s.DeadlineS, s.EstimateS = protocol.Low, 1, 4, 0, 5
 		}
 		next++
-		w.group.Go(func() { w.submit(s) })
+		sim.group.Go(func() { sim.submit(s) })
 	}
 	const begins = 20
 	for second := range begins + lasts {
 		for i, class := range []string{"urgent", "large", "small"} {
-			team := w.settings.Params.Teams[(second+i)%len(w.settings.Params.Teams)].Name
+			team := sim.settings.Params.Teams[(second+i)%len(sim.settings.Params.Teams)].Name
 			n := 1
 			if second >= begins {
 				n = f.factor(class, team)
@@ -135,30 +135,30 @@
 		}
 		switch second {
 		case 40, 70:
-			w.killController(fmt.Sprintf("n%d", second/40))
+			sim.killController(fmt.Sprintf("n%d", second/40))
 		case 43, 72:
-			w.startController(fmt.Sprintf("n%d", second/43))
+			sim.startController(fmt.Sprintf("n%d", second/43))
 		}
 		time.Sleep(time.Second)
 	}
 	time.Sleep(time.Duration(wait) * time.Second)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, uj := range w.jobs {
-		if uj.acceptedAt.IsZero() || time.Since(uj.acceptedAt) < 45*time.Second {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for id, submitted := range sim.jobs {
+		if submitted.acceptedAt.IsZero() || time.Since(submitted.acceptedAt) < 45*time.Second {
 			continue // nobody expects it to be under way
 		}
-		for _, group := range []string{"class " + uj.spec.Class, "team " + uj.spec.Team} {
+		for _, group := range []string{"class " + submitted.spec.Class, "team " + submitted.spec.Team} {
 			g := groups[group]
 			if g == nil {
 				g = &groupOutcome{}
 				groups[group] = g
 			}
 			g.jobs++
-			if len(started[id]) == uj.spec.Tasks {
+			if len(started[id]) == submitted.spec.Tasks {
 				g.started++
 			}
-			if len(uj.tasksDone) == uj.spec.Tasks {
+			if len(submitted.tasksDone) == submitted.spec.Tasks {
 				g.done++
 			}
 		}
@@ -173,8 +173,8 @@
 		{"small", "", 10}, {"small", "", 30}, {"", "red", 10}, {"", "green", 10}, {"", "green", 30}} {
 		t.Run(fmt.Sprintf("%s%s by %d, seed %d", f.class, f.team, f.times, seed), func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, uint64(300+seed), configureSurgeCluster, func(w *simulatedCluster) {
-				groups := runLoadSurge(w, f, 60, 180+6*f.times) // what a fleet as large needs for it
+			runConfiguredSimulation(t, uint64(300+seed), configureSurgeCluster, func(sim *simulatedCluster) {
+				groups := runLoadSurge(sim, f, 60, 180+6*f.times) // what a fleet as large needs for it
 				for _, name := range slices.Sorted(maps.Keys(groups)) {
 					g := groups[name]
 					t.Logf("%s: of %d jobs %.2f started, %.2f done", name, g.jobs, float64(g.started)/float64(g.jobs), float64(g.done)/float64(g.jobs))
@@ -202,15 +202,15 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			t.Parallel()
-			prepare := func(w *simulatedCluster) {
-				configureSurgeCluster(w)
-				w.settings.Params.Teams[0].CPUsMax = c.limit
+			prepare := func(sim *simulatedCluster) {
+				configureSurgeCluster(sim)
+				sim.settings.Params.Teams[0].CPUsMax = c.limit
 				if c.limit < 400 {
-					w.settings.Params.Teams = w.settings.Params.Teams[:1]
+					sim.settings.Params.Teams = sim.settings.Params.Teams[:1]
 				}
 			}
-			runConfiguredSimulation(t, uint64(400+seed), prepare, func(w *simulatedCluster) {
-				g := runLoadSurge(w, c.loadSurge, 150, 0)[c.needy]
+			runConfiguredSimulation(t, uint64(400+seed), prepare, func(sim *simulatedCluster) {
+				g := runLoadSurge(sim, c.loadSurge, 150, 0)[c.needy]
 				t.Logf("%s: of %d jobs %d started, %d done", c.needy, g.jobs, g.started, g.done)
 				if 2*g.started < g.jobs {
 					t.Errorf("%s: of %d jobs %d started", c.needy, g.jobs, g.started)
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -25,20 +25,20 @@
 )
 
 // onController runs something in a controller's loop.
-func (w *simulatedCluster) onController(label string, f func(c *Controller)) {
-	w.mu.Lock()
-	n := w.controllers[label]
-	w.mu.Unlock()
+func (sim *simulatedCluster) onController(label string, f func(c *Controller)) {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	sim.mu.Unlock()
 	if n != nil {
 		n.controller.loop.Do(func() { f(n.controller) })
 	}
 }
 
 // standbyOf is the controller that keeps a whole copy of a part, "" if none does.
-func (w *simulatedCluster) standbyOf(part int) (label string) {
+func (sim *simulatedCluster) standbyOf(partition int) (label string) {
 	for _, l := range []string{"n0", "n1", "n2"} {
-		w.onController(l, func(c *Controller) {
-			if fo := c.replicator.Replicas[part]; fo != nil && fo.Records.Revision() != 0 && c.NamedStandby(c.Partitions[part]) == l {
+		sim.onController(l, func(c *Controller) {
+			if replica := c.replicator.Replicas[partition]; replica != nil && replica.Records.Revision() != 0 && c.NamedStandby(c.Partitions[partition]) == l {
 				label = l
 			}
 		})
@@ -187,22 +187,22 @@
 func TestFailoverUsesTheStandbyReplica(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		runConfiguredSimulation(t, 600+seed, configureLongJobs, func(w *simulatedCluster) {
-			w.submitLongJobs()
+		runConfiguredSimulation(t, 600+seed, configureLongJobs, func(sim *simulatedCluster) {
+			sim.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 170 * time.Millisecond)
-			lost, next := w.leaderOf(0), w.standbyOf(0)
+			lost, next := sim.leaderOf(0), sim.standbyOf(0)
 			if next == "" || next == lost {
 				t.Fatalf("seed %d: the standby of %s is %q", seed, lost, next)
 			}
-			w.killController(lost)
-			for begun := time.Now(); w.leaderOf(0) == "" && time.Since(begun) < 10*time.Second; {
+			sim.killController(lost)
+			for begun := time.Now(); sim.leaderOf(0) == "" && time.Since(begun) < 10*time.Second; {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if now := w.leaderOf(0); now != next {
+			if now := sim.leaderOf(0); now != next {
 				t.Errorf("seed %d: %s follows, not %s", seed, now, next)
 			}
 			inherited, off := 0, time.Duration(0)
-			w.onController(next, func(c *Controller) {
+			sim.onController(next, func(c *Controller) {
 				p := c.Partitions[0]
 				if !p.WarmFailover {
 					t.Errorf("seed %d: the takeover was cold", seed)
@@ -212,16 +212,16 @@
 						if m.Record.Partition != 0 {
 							continue
 						}
-						w.mu.Lock()
+						sim.mu.Lock()
 						begun := time.Time{}
-						if wk := w.workers[m.Name]; wk != nil {
-							for _, task := range wk.Tasks {
+						if agent := sim.workers[m.Name]; agent != nil {
+							for _, task := range agent.Tasks {
 								if task.Name == a.TaskName() {
 									begun = task.Ends.Add(-10 * time.Minute)
 								}
 							}
 						}
-						w.mu.Unlock()
+						sim.mu.Unlock()
 						late := a.ReplicatedStart.Sub(begun)
 						if begun.IsZero() || late < -time.Second || late > 3*time.Second {
 							t.Errorf("seed %d: %s began %s late, as far as is known", seed, a.TaskName(), late)
@@ -235,32 +235,32 @@
 				t.Fatalf("seed %d: nothing was inherited", seed)
 			}
 			t.Logf("seed %d: beginnings of %d attempts are known within %s on average", seed, inherited, off/time.Duration(inherited))
-			w.mu.Lock()
+			sim.mu.Lock()
 			starts := 0
-			for _, wk := range w.workers {
-				starts += wk.Starts
+			for _, agent := range sim.workers {
+				starts += agent.Starts
 			}
-			w.mu.Unlock()
-			w.startController(lost)
+			sim.mu.Unlock()
+			sim.startController(lost)
 			time.Sleep(10 * time.Second)
-			w.mu.Lock()
-			for _, wk := range w.workers {
-				starts -= wk.Starts
+			sim.mu.Lock()
+			for _, agent := range sim.workers {
+				starts -= agent.Starts
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 			if starts != 0 {
 				t.Errorf("seed %d: %d tasks were started anew", seed, -starts)
 			}
-			w.cancelLongJobs()
+			sim.cancelLongJobs()
 		})
 	}
 }
 
-func (w *simulatedCluster) cancelLongJobs() {
+func (sim *simulatedCluster) cancelLongJobs() {
 	for i := range 3 {
-		w.cancelJob(fmt.Sprintf("job-%d", i))
+		sim.cancelJob(fmt.Sprintf("job-%d", i))
 	}
-	w.waitForAllJobs(time.Minute)
+	sim.waitForAllJobs(time.Minute)
 }
 
 // A planned end hands over first: hardly a moment without an owner, nothing lost, and the
@@ -268,41 +268,41 @@
 func TestPlannedShutdownHandsOverPartitions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		runConfiguredSimulation(t, 620+seed, configureLongJobs, func(w *simulatedCluster) {
-			w.submitLongJobs()
+		runConfiguredSimulation(t, 620+seed, configureLongJobs, func(sim *simulatedCluster) {
+			sim.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 130 * time.Millisecond)
 			label := fmt.Sprint("n", seed%3)
-			var parts []int
-			w.onController(label, func(c *Controller) {
+			var partitions []int
+			sim.onController(label, func(c *Controller) {
 				for _, p := range c.Partitions {
 					if p.Held {
-						parts = append(parts, p.Index)
+						partitions = append(partitions, p.Index)
 					}
 				}
 			})
 			longest := time.Duration(0)
 			ended := make(chan struct{})
-			w.mu.Lock()
-			n := w.controllers[label]
-			w.mu.Unlock()
+			sim.mu.Lock()
+			n := sim.controllers[label]
+			sim.mu.Unlock()
 			go func() {
 				defer close(ended)
-				ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+				ctx, cancel := context.WithTimeout(sim.ctx, time.Second)
 				defer cancel()
 				n.controller.HandOver(ctx)
 				time.Sleep(time.Duration(seed%2) * time.Second) // it may take a moment to end
-				for _, p := range parts {
-					if w.leaderOf(p) == label {
+				for _, p := range partitions {
+					if sim.leaderOf(p) == label {
 						t.Errorf("seed %d: %s owns part %d again", seed, label, p)
 					}
 				}
-				w.killController(label)
+				sim.killController(label)
 			}()
 			begun, last := time.Now(), time.Now()
 			for time.Since(begun) < 2*time.Second {
 				owned := true
-				for _, p := range parts {
-					owned = owned && w.leaderOf(p) != ""
+				for _, p := range partitions {
+					owned = owned && sim.leaderOf(p) != ""
 				}
 				if now := time.Now(); owned {
 					last = now
@@ -312,12 +312,12 @@
 				time.Sleep(2 * time.Millisecond)
 			}
 			<-ended
-			t.Logf("seed %d: %d parts, without an owner for %s", seed, len(parts), longest)
-			if len(parts) == 0 || longest > 200*time.Millisecond {
-				t.Errorf("seed %d: parts %v without an owner for %s", seed, parts, longest)
+			t.Logf("seed %d: %d parts, without an owner for %s", seed, len(partitions), longest)
+			if len(partitions) == 0 || longest > 200*time.Millisecond {
+				t.Errorf("seed %d: parts %v without an owner for %s", seed, partitions, longest)
 			}
-			for _, p := range parts {
-				w.onController(w.leaderOf(p), func(c *Controller) {
+			for _, p := range partitions {
+				sim.onController(sim.leaderOf(p), func(c *Controller) {
 					if !c.Partitions[p].WarmFailover {
 						t.Errorf("seed %d: part %d was taken over cold", seed, p)
 					}
@@ -328,19 +328,19 @@
 					}
 				})
 			}
-			w.startController(label)
+			sim.startController(label)
 			time.Sleep(40 * time.Second)
-			if back := w.leaseCount(label); back == 0 {
+			if back := sim.leaseCount(label); back == 0 {
 				t.Errorf("seed %d: %s has no part again", seed, label)
 			}
-			w.onController(label, func(c *Controller) {
+			sim.onController(label, func(c *Controller) {
 				for _, p := range c.Partitions {
 					if p.Held && !p.WarmFailover && len(c.Machines) > 0 {
 						t.Errorf("seed %d: part %d came back cold", seed, p.Index)
 					}
 				}
 			})
-			w.cancelLongJobs()
+			sim.cancelLongJobs()
 		})
 	}
 }
@@ -349,31 +349,31 @@
 // claims back.
 func TestPlannedShutdownOfTheLastController(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 630, configureLongJobs, func(w *simulatedCluster) {
-		w.submitLongJobs()
-		w.killController("n1")
-		w.killController("n2")
+	runConfiguredSimulation(t, 630, configureLongJobs, func(sim *simulatedCluster) {
+		sim.submitLongJobs()
+		sim.killController("n1")
+		sim.killController("n2")
 		time.Sleep(6 * time.Second)
-		w.mu.Lock()
-		n := w.controllers["n0"]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		n := sim.controllers["n0"]
+		sim.mu.Unlock()
 		begun := time.Now()
-		n.controller.HandOver(w.ctx)
+		n.controller.HandOver(sim.ctx)
 		if took := time.Since(begun); took > 10*time.Millisecond {
 			t.Errorf("the end took %s", took)
 		}
-		w.killController("n0")
+		sim.killController("n0")
 		time.Sleep(300 * time.Millisecond)
-		w.startController("n0")
-		for w.leaseCount("n0") < 3 && time.Since(begun) < 10*time.Second {
+		sim.startController("n0")
+		for sim.leaseCount("n0") < 3 && time.Since(begun) < 10*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(begun); took > time.Second {
 			t.Errorf("owned again only after %s", took)
 		}
-		w.startController("n1")
-		w.startController("n2")
-		w.cancelLongJobs()
+		sim.startController("n1")
+		sim.startController("n2")
+		sim.cancelLongJobs()
 	})
 }
 
@@ -381,18 +381,18 @@
 // when its attempts began.
 func TestRestartedLeaderRecoversReplicatedStarts(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 640, configureLongJobs, func(w *simulatedCluster) {
-		w.submitLongJobs()
-		lost := w.leaderOf(0)
-		w.killController(lost)
+	runConfiguredSimulation(t, 640, configureLongJobs, func(sim *simulatedCluster) {
+		sim.submitLongJobs()
+		lost := sim.leaderOf(0)
+		sim.killController(lost)
 		time.Sleep(300 * time.Millisecond)
-		w.startController(lost)
+		sim.startController(lost)
 		time.Sleep(1500 * time.Millisecond)
-		if now := w.leaderOf(0); now != lost {
+		if now := sim.leaderOf(0); now != lost {
 			t.Fatalf("%s owns what %s had", now, lost)
 		}
 		known, all := 0, 0
-		w.onController(lost, func(c *Controller) {
+		sim.onController(lost, func(c *Controller) {
 			for _, m := range c.Machines {
 				for _, a := range m.Attempts {
 					if m.Record.Partition == 0 {
@@ -407,7 +407,7 @@
 		if all == 0 || known < all {
 			t.Errorf("of %d attempts it is known of %d when they began", all, known)
 		}
-		w.cancelLongJobs()
+		sim.cancelLongJobs()
 	})
 }
 
@@ -415,62 +415,62 @@
 // it decides.
 func TestCorruptReplicaIsFoundBeforeFailover(t *testing.T) {
 	t.Parallel()
-	for i, spoil := range []func(fo *replication.Replica, key string){
-		func(fo *replication.Replica, key string) { // an attempt is missing
-			for k, r := range fo.Records.All {
+	for i, spoil := range []func(replica *replication.Replica, key string){
+		func(replica *replication.Replica, key string) { // an attempt is missing
+			for k, r := range replica.Records.All {
 				if k == key {
 					r.Value.Live = r.Value.Live[1:]
 				}
 			}
 		},
-		func(fo *replication.Replica, key string) { // a change got lost
-			for k, r := range fo.Records.All {
+		func(replica *replication.Replica, key string) { // a change got lost
+			for k, r := range replica.Records.All {
 				if k == key {
 					*r.Value = storage.RunRecord{Last: 1}
 				}
 			}
 		},
 	} {
-		runConfiguredSimulation(t, uint64(650+i), configureLongJobs, func(w *simulatedCluster) {
-			w.operator.Operations = nil
-			w.submitLongJobs()
-			lost, next := w.leaderOf(0), w.standbyOf(0)
+		runConfiguredSimulation(t, uint64(650+i), configureLongJobs, func(sim *simulatedCluster) {
+			sim.operator.Operations = nil
+			sim.submitLongJobs()
+			lost, next := sim.leaderOf(0), sim.standbyOf(0)
 			key := ""
-			w.onController(next, func(c *Controller) {
-				fo := c.replicator.Replicas[0]
-				for k, r := range fo.Records.All {
+			sim.onController(next, func(c *Controller) {
+				replica := c.replicator.Replicas[0]
+				for k, r := range replica.Records.All {
 					if len(r.Value.Live) > 0 {
 						key = k
 					}
 				}
-				spoil(fo, key)
+				spoil(replica, key)
 			})
 			if key == "" {
 				t.Fatal("no record to spoil")
 			}
 			time.Sleep(12 * time.Second) // two samples of this part
-			w.onController(next, func(c *Controller) {
-				fo := c.replicator.Replicas[0]
-				if c.replicator.Mismatches != 1 || fo == nil || fo.Records.Revision() == 0 {
+			sim.onController(next, func(c *Controller) {
+				replica := c.replicator.Replicas[0]
+				if c.replicator.Mismatches != 1 || replica == nil || replica.Records.Revision() == 0 {
 					t.Errorf("%d: found %d times", i, c.replicator.Mismatches)
 				}
 			})
-			w.killController(lost)
+			sim.killController(lost)
 			time.Sleep(4 * time.Second)
-			w.startController(lost)
-			w.cancelLongJobs()
+			sim.startController(lost)
+			sim.cancelLongJobs()
 		})
 	}
 }
 
 // pauseController keeps back what a controller sends and gets, as if its process stood still.
-func (w *simulatedCluster) pauseController(label string, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.pausedUntil == nil {
-		w.pausedUntil = map[string]time.Time{}
+func (sim *simulatedCluster) pauseController(label string, d time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.pausedUntil == nil {
+		sim.pausedUntil = map[string]time.Time{}
 	}
-	w.pausedUntil[label] = time.Now().Add(d)
+	sim.pausedUntil[label] = time.Now().Add(d)
 }
 
 // Each step of a takeover is cut by each fault, right before and right after it; the rules
@@ -489,31 +489,31 @@
 		"tale":         func(target string, _ []byte) bool { return target == replication.UpdatePath },
 		"life":         func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
 	}
-	faults := map[string]func(w *simulatedCluster, label string){
-		"killed": func(w *simulatedCluster, label string) {
-			w.killController(label)
+	faults := map[string]func(sim *simulatedCluster, label string){
+		"killed": func(sim *simulatedCluster, label string) {
+			sim.killController(label)
 			time.Sleep(300 * time.Millisecond)
-			w.startController(label)
+			sim.startController(label)
 		},
-		"stands still": func(w *simulatedCluster, label string) { w.pauseController(label, 4*time.Second) },
-		"without state": func(w *simulatedCluster, label string) {
-			w.cutNetworkFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
+		"stands still": func(sim *simulatedCluster, label string) { sim.pauseController(label, 4*time.Second) },
+		"without state": func(sim *simulatedCluster, label string) {
+			sim.cutNetworkFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
 		},
-		"without workers": func(w *simulatedCluster, label string) {
-			w.cutNetworkFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
+		"without workers": func(sim *simulatedCluster, label string) {
+			sim.cutNetworkFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
 		},
-		"without peers": func(w *simulatedCluster, label string) {
-			w.cutNetworkFor(func(from, host string) bool {
+		"without peers": func(sim *simulatedCluster, label string) {
+			sim.cutNetworkFor(func(from, host string) bool {
 				return (from == label || host == label) && strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n")
 			}, 6*time.Second)
 		},
-		"outage": func(w *simulatedCluster, label string) {
-			w.setOutage(true)
+		"outage": func(sim *simulatedCluster, label string) {
+			sim.setOutage(true)
 			time.Sleep(5 * time.Second)
-			w.setOutage(false)
+			sim.setOutage(false)
 		},
 		"answer lost": nil,
-		"planned end": func(w *simulatedCluster, label string) { w.handOverAndRestart(label) },
+		"planned end": func(sim *simulatedCluster, label string) { sim.handOverAndRestart(label) },
 	}
 	n := 0
 	for i, step := range slices.Sorted(maps.Keys(steps)) {
@@ -527,29 +527,29 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/after=%v", step, fault, after), func(t *testing.T) {
 					t.Parallel()
-					runConfiguredSimulation(t, 660, func(w *simulatedCluster) {
-						w.cloud.Capacity = 12
-						w.runTime = func(string, int, string) time.Duration { return 15 * time.Second }
-					}, func(w *simulatedCluster) {
+					runConfiguredSimulation(t, 660, func(sim *simulatedCluster) {
+						sim.cloud.Capacity = 12
+						sim.runTime = func(string, int, string) time.Duration { return 15 * time.Second }
+					}, func(sim *simulatedCluster) {
 						time.Sleep(2 * time.Second)
 						submitted := 0
 						submit := func() {
 							for _, team := range []string{"red", "blue", "green"} {
 								s := newJobSpec(fmt.Sprint("job-", submitted), 6, team)
 								s.DeadlineS = 0
-								w.submit(s)
+								sim.submit(s)
 								submitted++
 							}
 						}
 						submit()
 						time.Sleep(15 * time.Second)
-						lost := w.leaderOf(0)
+						lost := sim.leaderOf(0)
 						var cut string // whose step was cut
 						trigger := make(chan string, 1)
-						w.mu.Lock()
+						sim.mu.Lock()
 						seen := func(from, target string, body []byte) bool {
-							w.mu.Lock()
-							defer w.mu.Unlock()
+							sim.mu.Lock()
+							defer sim.mu.Unlock()
 							if cut != "" || from == lost && step != "life" || !steps[step](target, body) {
 								return false
 							}
@@ -558,7 +558,7 @@
 							return true
 						}
 						if after {
-							w.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
+							sim.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
 								hit := seen(from, target, body)
 								if hit && faults[fault] != nil {
 									time.Sleep(time.Millisecond) // the fault comes before the answer
@@ -566,7 +566,7 @@
 								return hit && faults[fault] == nil
 							}
 						} else {
-							w.onRequest = func(from, _, target string, body []byte) bool {
+							sim.onRequest = func(from, _, target string, body []byte) bool {
 								hit := seen(from, target, body)
 								if hit && faults[fault] != nil {
 									time.Sleep(time.Millisecond)
@@ -574,29 +574,29 @@
 								return hit && faults[fault] == nil
 							}
 						}
-						w.mu.Unlock()
-						w.group.Go(func() {
+						sim.mu.Unlock()
+						sim.group.Go(func() {
 							select {
 							case label := <-trigger:
 								if f := faults[fault]; f != nil {
-									f(w, label)
+									f(sim, label)
 								}
-							case <-w.ctx.Done():
+							case <-sim.ctx.Done():
 							}
 						})
-						w.killController(lost)
+						sim.killController(lost)
 						time.Sleep(4 * time.Second)
-						w.startController(lost)
+						sim.startController(lost)
 						time.Sleep(10 * time.Second)
 						submit()
-						w.mu.Lock()
-						w.onResponse, w.onRequest = nil, nil
+						sim.mu.Lock()
+						sim.onResponse, sim.onRequest = nil, nil
 						hit := cut != ""
-						w.mu.Unlock()
+						sim.mu.Unlock()
 						if !hit && step != "reading anew" {
 							t.Error("the step did not come")
 						}
-						w.waitForAllJobs(3 * time.Minute)
+						sim.waitForAllJobs(3 * time.Minute)
 					})
 				})
 			}
@@ -605,30 +605,30 @@
 }
 
 // cutNetworkFor cuts what a filter says for some time.
-func (w *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
-	w.mu.Lock()
-	w.cut = cut
-	w.mu.Unlock()
+func (sim *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
+	sim.mu.Lock()
+	sim.cut = cut
+	sim.mu.Unlock()
 	time.Sleep(d)
-	w.mu.Lock()
-	w.cut = nil
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.cut = nil
+	sim.mu.Unlock()
 }
 
 // handOverAndRestart ends a controller as planned and starts it again.
-func (w *simulatedCluster) handOverAndRestart(label string) {
-	w.mu.Lock()
-	n := w.controllers[label]
-	w.mu.Unlock()
+func (sim *simulatedCluster) handOverAndRestart(label string) {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	sim.mu.Unlock()
 	if n == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(sim.ctx, time.Second)
 	n.controller.HandOver(ctx)
 	cancel()
-	w.killController(label)
+	sim.killController(label)
 	time.Sleep(300 * time.Millisecond)
-	w.startController(label)
+	sim.startController(label)
 }
 
 // Random nights: owners are lost in every way, one after another and together, while work
@@ -648,36 +648,36 @@
 	}
 }
 
-func runRandomFailovers(w *simulatedCluster) {
+func runRandomFailovers(sim *simulatedCluster) {
 	time.Sleep(2 * time.Second)
-	w.mu.Lock()
-	w.cloud.Capacity = 16
-	w.messageFaultRate = []float64{0, 0.01, 0.03}[w.rng.IntN(3)]
-	w.runTime = func(job string, task int, _ string) time.Duration {
+	sim.mu.Lock()
+	sim.cloud.Capacity = 16
+	sim.messageFaultRate = []float64{0, 0.01, 0.03}[sim.rng.IntN(3)]
+	sim.runTime = func(job string, task int, _ string) time.Duration {
 		return time.Duration(4+(len(job)*7+task*5)%20) * time.Second
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	dice := func(n int) int {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.rng.IntN(n)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		return sim.rng.IntN(n)
 	}
 	some := func() string {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		labels := slices.Sorted(maps.Keys(w.controllers))
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		labels := slices.Sorted(maps.Keys(sim.controllers))
 		if len(labels) == 0 {
 			return ""
 		}
-		return labels[w.rng.IntN(len(labels))]
+		return labels[sim.rng.IntN(len(labels))]
 	}
 	lose := func(label string, pause time.Duration) {
 		if label == "" {
 			return
 		}
-		w.killController(label)
+		sim.killController(label)
 		time.Sleep(pause)
-		w.startController(label)
+		sim.startController(label)
 	}
 	next := 0
 	for range 40 {
@@ -689,97 +689,97 @@
 				s.Dependencies = []string{fmt.Sprintf("job-%d", dice(next))}
 			}
 			next++
-			w.submit(s)
+			sim.submit(s)
 		}
 		switch dice(10) {
 		case 0, 1:
 			lose(some(), []time.Duration{0, 300 * time.Millisecond, 3 * time.Second}[dice(3)])
 		case 2:
 			if label := some(); label != "" {
-				w.handOverAndRestart(label)
+				sim.handOverAndRestart(label)
 			}
 		case 3: // the owner, and its standby in the middle of taking over
-			part := dice(3)
-			lost, heir := w.leaderOf(part), w.standbyOf(part)
-			if lost != "" && heir != "" && lost != heir {
-				w.killController(lost)
+			partition := dice(3)
+			lost, successor := sim.leaderOf(partition), sim.standbyOf(partition)
+			if lost != "" && successor != "" && lost != successor {
+				sim.killController(lost)
 				time.Sleep(time.Duration(900+dice(700)) * time.Millisecond)
-				lose(heir, 300*time.Millisecond)
-				w.startController(lost)
+				lose(successor, 300*time.Millisecond)
+				sim.startController(lost)
 			}
 		case 4:
-			w.pauseController(some(), time.Duration(500+dice(6000))*time.Millisecond)
+			sim.pauseController(some(), time.Duration(500+dice(6000))*time.Millisecond)
 		case 5:
 			label, what := some(), []string{"state", "m-", "n"}[dice(3)]
-			w.cutNetworkFor(func(from, host string) bool {
+			sim.cutNetworkFor(func(from, host string) bool {
 				return from == label && strings.HasPrefix(host, what) || what == "n" && host == label && strings.HasPrefix(from, "n")
 			}, time.Duration(500+dice(9000))*time.Millisecond)
 		case 6: // all at once
-			w.mu.Lock()
-			labels := slices.Sorted(maps.Keys(w.controllers))
-			w.mu.Unlock()
+			sim.mu.Lock()
+			labels := slices.Sorted(maps.Keys(sim.controllers))
+			sim.mu.Unlock()
 			for _, l := range labels {
-				w.killController(l)
+				sim.killController(l)
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, l := range labels {
-				w.startController(l)
+				sim.startController(l)
 			}
 		case 7:
-			w.setOutage(true)
+			sim.setOutage(true)
 			time.Sleep(time.Duration(dice(9000)) * time.Millisecond)
-			w.setOutage(false)
+			sim.setOutage(false)
 		case 8:
 			if next > 0 {
-				w.cancelJob(fmt.Sprintf("job-%d", dice(next)))
+				sim.cancelJob(fmt.Sprintf("job-%d", dice(next)))
 			}
 		case 9:
-			w.mu.Lock()
-			names := slices.Sorted(maps.Keys(w.workers))
+			sim.mu.Lock()
+			names := slices.Sorted(maps.Keys(sim.workers))
 			if len(names) > 0 {
-				victim := w.workers[names[w.rng.IntN(len(names))]]
+				victim := sim.workers[names[sim.rng.IntN(len(names))]]
 				victim.Hung = true
-				d := time.Duration(2000+w.rng.IntN(12000)) * time.Millisecond
-				w.group.Go(func() {
+				d := time.Duration(2000+sim.rng.IntN(12000)) * time.Millisecond
+				sim.group.Go(func() {
 					time.Sleep(d)
-					w.mu.Lock()
+					sim.mu.Lock()
 					victim.Hung = false
-					w.mu.Unlock()
+					sim.mu.Unlock()
 				})
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 		}
 	}
-	w.mu.Lock()
-	w.messageFaultRate = 0
-	w.mu.Unlock()
-	w.waitForAllJobs(6 * time.Minute)
+	sim.mu.Lock()
+	sim.messageFaultRate = 0
+	sim.mu.Unlock()
+	sim.waitForAllJobs(6 * time.Minute)
 }
 
 // A controller of a version that keeps no copies neither follows nor is followed; takeovers
 // from it and by it go as they did.
 func TestOldVersionsAreNoStandbys(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 670, func(w *simulatedCluster) { configureLongJobs(w); w.oldVersions = map[string]bool{"n1": true} }, func(w *simulatedCluster) {
-		w.submitLongJobs()
-		for part := range 3 {
-			who, heir := w.leaderOf(part), w.standbyOf(part)
-			if heir == "n1" || who == "n1" && heir != "" {
-				t.Errorf("%q follows part %d of %s", heir, part, who)
+	runConfiguredSimulation(t, 670, func(sim *simulatedCluster) { configureLongJobs(sim); sim.oldVersions = map[string]bool{"n1": true} }, func(sim *simulatedCluster) {
+		sim.submitLongJobs()
+		for partition := range 3 {
+			who, successor := sim.leaderOf(partition), sim.standbyOf(partition)
+			if successor == "n1" || who == "n1" && successor != "" {
+				t.Errorf("%q follows part %d of %s", successor, partition, who)
 			}
 		}
 		for _, lost := range []string{"n1", "n0"} {
-			w.killController(lost)
+			sim.killController(lost)
 			time.Sleep(5 * time.Second)
-			for part := range 3 {
-				if w.leaderOf(part) == "" {
-					t.Errorf("nobody owns part %d without %s", part, lost)
+			for partition := range 3 {
+				if sim.leaderOf(partition) == "" {
+					t.Errorf("nobody owns part %d without %s", partition, lost)
 				}
 			}
-			w.startController(lost)
+			sim.startController(lost)
 			time.Sleep(20 * time.Second)
 		}
-		w.cancelLongJobs()
+		sim.cancelLongJobs()
 	})
 }
 
@@ -791,12 +791,12 @@
 	var h replication.ReceivedUpdates
 	began := map[replication.AttemptID]time.Time{}
 	told := func(k replication.AttemptID, at time.Time) { began[k] = at }
-	say := func(claim, since, upto uint64, job string) uint64 {
-		return h.Apply(&peer.ReplicaUpdate{From: "n0", Nonce: "x", LeaseRevision: claim, After: since, Through: upto,
+	say := func(lease, since, upto uint64, job string) uint64 {
+		return h.Apply(&peer.ReplicaUpdate{From: "n0", Nonce: "x", LeaseRevision: lease, After: since, Through: upto,
 			Attempts: []*peer.AttemptStart{{Job: job, Attempt: 1, RunningS: 2}}}, told, now)
 	}
 	for i, c := range []struct {
-		claim, since, upto, want uint64
+		lease, since, upto, want uint64
 		takes                    bool
 	}{
 		{5, 3, 4, 0, false}, // begins in the middle
@@ -809,7 +809,7 @@
 		{6, 0, 3, 3, true},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := say(c.claim, c.since, c.upto, job); got != c.want {
+		if got := say(c.lease, c.since, c.upto, job); got != c.want {
 			t.Errorf("%d: known up to %d, want %d", i, got, c.want)
 		}
 		if at, took := began[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
@@ -829,22 +829,22 @@
 		j.LiveAttempts[task].StartedAt = now
 	}
 	p.Standby = "n1"
-	fo, messages := replication.NewReplica(p.Index, now), 0
-	fo.Derived.Jobs["job-1"] = &replication.ReplicaJob{Live: map[int]*cluster.Attempt{}}
+	replica, messages := replication.NewReplica(p.Index, now), 0
+	replica.Derived.Jobs["job-1"] = &replication.ReplicaJob{Live: map[int]*cluster.Attempt{}}
 	for task := range tasks {
-		fo.Derived.Jobs["job-1"].Live[task] = &cluster.Attempt{TaskIndex: task, Number: 1}
+		replica.Derived.Jobs["job-1"].Live[task] = &cluster.Attempt{TaskIndex: task, Number: 1}
 	}
-	for ; fo.Derived.KnownStarts() < tasks && messages < 10; messages++ {
+	for ; replica.Derived.KnownStarts() < tasks && messages < 10; messages++ {
 		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
 		if err != nil || len(raw) > replication.UpdateBytesLimit+replication.EntryOverheadBytes {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		msg := new(peer.ReplicaUpdate)
 		panicOnError(proto.Unmarshal(raw, msg))
-		p.Replication.Acknowledged = fo.Updates.Apply(msg, fo.Derived.NoteStart, now)
+		p.Replication.Acknowledged = replica.Updates.Apply(msg, replica.Derived.NoteStart, now)
 	}
-	if messages != 3 || len(fo.Updates.Machines) != machines {
-		t.Errorf("%d messages told %d attempts and %d machines", messages, fo.Derived.KnownStarts(), len(fo.Updates.Machines))
+	if messages != 3 || len(replica.Updates.Machines) != machines {
+		t.Errorf("%d messages told %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
 	}
 	if again := c.replicator.PartitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
 		t.Errorf("told again: %d attempts, %d machines", len(again.Attempts), len(again.Machines))
@@ -856,26 +856,26 @@
 func TestInvalidReplicaUpdatesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		runConfiguredSimulation(t, 690+seed, func(w *simulatedCluster) {
-			announceLowerLimits(w)
-			w.alterReplicaUpdate = func(tale *peer.ReplicaUpdate) {
-				dice := func(n int) int { return w.rng.IntN(n) }
-				for _, a := range tale.Attempts {
+		runConfiguredSimulation(t, 690+seed, func(sim *simulatedCluster) {
+			announceLowerLimits(sim)
+			sim.alterReplicaUpdate = func(update *peer.ReplicaUpdate) {
+				dice := func(n int) int { return sim.rng.IntN(n) }
+				for _, a := range update.Attempts {
 					a.RunningS, a.Attempt = float64(dice(100000)), a.Attempt+uint64(dice(2))
 				}
 				for i := range 5 {
-					tale.Attempts = append(tale.Attempts, &peer.AttemptStart{Job: fmt.Sprint("job-", dice(9)), Task: uint32(dice(9)), Attempt: uint64(dice(4)), RunningS: float64(dice(90) - i)})
+					update.Attempts = append(update.Attempts, &peer.AttemptStart{Job: fmt.Sprint("job-", dice(9)), Task: uint32(dice(9)), Attempt: uint64(dice(4)), RunningS: float64(dice(90) - i)})
 				}
-				for _, m := range tale.Machines {
+				for _, m := range update.Machines {
 					m.Epoch, m.Images, m.SlowTasks = uint64(dice(5)), []string{"img", "other"}, uint32(dice(3))
 					if m.PreemptionNoticeS = -1; dice(4) == 0 {
 						m.PreemptionNoticeS = float64(dice(100))
 					}
 				}
-				for _, ct := range tale.Classes {
+				for _, ct := range update.Classes {
 					ct.Ratio = float64(dice(90)) - 5
 				}
-				if l := tale.Leader; l != nil {
+				if l := update.Leader; l != nil {
 					for _, r := range l.ScaleOuts {
 						r.Partition, r.Count = uint32(dice(5)), uint32(dice(60))
 					}
@@ -964,11 +964,11 @@
 // What the leader was about goes on under the next one: rentals under their own names.
 func TestNextClusterLeaderResumesScaleOuts(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 680, func(w *simulatedCluster) {
+	runSimulation(t, 680, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		leader := ""
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.onController(l, func(c *Controller) {
+			sim.onController(l, func(c *Controller) {
 				if c.Leadership.Held {
 					leader = l
 				}
@@ -976,46 +976,46 @@
 		}
 		// The cloud's answers are lost, so that the rental stays under way.
 		var names []string
-		w.mu.Lock()
-		w.onResponse = func(from, host, target string, body []byte, _ *transport.Response) bool {
+		sim.mu.Lock()
+		sim.onResponse = func(from, host, target string, body []byte, _ *transport.Response) bool {
 			if host != "cloud" || target != "/machines" {
 				return false
 			}
 			var r protocol.Rental
 			panicOnError(protocol.Decode(body, &r))
-			w.mu.Lock()
-			defer w.mu.Unlock()
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
 			names = append(names, r.Request)
 			return from == leader
 		}
-		w.mu.Unlock()
-		w.submit(newJobSpec("job-1", 6, "green"))
+		sim.mu.Unlock()
+		sim.submit(newJobSpec("job-1", 6, "green"))
 		time.Sleep(4 * time.Second)
-		w.mu.Lock()
+		sim.mu.Lock()
 		mine := slices.Compact(slices.Sorted(slices.Values(names)))
 		names = nil
-		rented := w.cloud.Rented
-		w.mu.Unlock()
+		rented := sim.cloud.Rented
+		sim.mu.Unlock()
 		if len(mine) == 0 || rented == 0 {
 			t.Fatalf("%d rentals under way, %d machines", len(mine), rented)
 		}
-		w.killController(leader)
+		sim.killController(leader)
 		time.Sleep(5 * time.Second)
-		w.mu.Lock()
+		sim.mu.Lock()
 		for _, name := range mine {
 			if !slices.Contains(names, name) {
 				t.Errorf("%s was not repeated, but %v", name, names)
 			}
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		recorded := 0
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.onController(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
+			sim.onController(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
 		}
 		if recorded < rented {
 			t.Errorf("%d of %d rented machines are on record", recorded, rented)
 		}
-		w.startController(leader)
-		w.waitForAllJobs(time.Minute)
+		sim.startController(leader)
+		sim.waitForAllJobs(time.Minute)
 	})
 }
--- a/internal/coordination/history_test.go
+++ b/internal/coordination/history_test.go
@@ -113,10 +113,10 @@
 
 // request sends one request to a controller and notes it. It says how the job is, "" if that
 // was not answered.
-func (h *requestHistory) request(w *simulatedCluster, label string, q requestKind, s *protocol.JobSpec) string {
-	w.mu.Lock()
-	n := w.controllers[label]
-	w.mu.Unlock()
+func (h *requestHistory) request(sim *simulatedCluster, label string, q requestKind, s *protocol.JobSpec) string {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	sim.mu.Unlock()
 	if n == nil {
 		return ""
 	}
@@ -128,7 +128,7 @@
 		method, path = "POST", path+"/withdraw"
 	}
 	op := porcupine.Operation{Input: q, Call: h.nextTime(), Return: math.MaxInt64}
-	resp := w.sendRequest(label, method, path, body)
+	resp := sim.sendRequest(label, method, path, body)
 	state := ""
 	switch resp.Status {
 	case 200, 201:
@@ -139,7 +139,7 @@
 	case 404:
 		op.Output, op.Return = userAnswer{status: 404}, h.nextTime()
 	case 400, 422:
-		w.withLock(func() { w.recordViolation("%s got %d", s.ID, resp.Status) })
+		sim.withLock(func() { sim.recordViolation("%s got %d", s.ID, resp.Status) })
 		return ""
 	default:
 		if q == requestPoll {
@@ -152,7 +152,7 @@
 
 // pollAllControllers asks all controllers at once, again and again within milliseconds, and repeats
 // the submission.
-func (h *requestHistory) pollAllControllers(w *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
+func (h *requestHistory) pollAllControllers(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	var all sync.WaitGroup
 	for range 2 {
 		for _, l := range []string{"n0", "n1", "n2"} {
@@ -160,7 +160,7 @@
 			if rng.IntN(5) == 0 {
 				q = requestSubmit
 			}
-			all.Go(func() { h.request(w, l, q, s) })
+			all.Go(func() { h.request(sim, l, q, s) })
 		}
 		time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond)
 	}
@@ -169,39 +169,39 @@
 
 // runJobLifecycle takes a job through its life: submitted at one controller after another, looked at
 // closely, perhaps called off, at once or later or at its end, until it is over.
-func (h *requestHistory) runJobLifecycle(w *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
+func (h *requestHistory) runJobLifecycle(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	pick := func() string { return fmt.Sprint("n", rng.IntN(3)) }
 	// insists repeats a request until it is answered, as users do.
 	insists := func(q requestKind) string {
 		for range 90 {
-			if st := h.request(w, pick(), q, s); st != "" {
+			if st := h.request(sim, pick(), q, s); st != "" {
 				return st
 			}
 			time.Sleep(time.Second)
 		}
-		w.withLock(func() { w.recordViolation("%s: request %v never answered", s.ID, q) })
+		sim.withLock(func() { sim.recordViolation("%s: request %v never answered", s.ID, q) })
 		return ""
 	}
 	insists(requestSubmit)
-	h.pollAllControllers(w, s, rng)
+	h.pollAllControllers(sim, s, rng)
 	if rng.IntN(2) == 0 {
 		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
 		insists(requestCancel)
-		h.pollAllControllers(w, s, rng)
+		h.pollAllControllers(sim, s, rng)
 	}
 	for range 120 {
-		st := h.request(w, pick(), requestPoll, s)
+		st := h.request(sim, pick(), requestPoll, s)
 		if st == protocol.StatusDone || st == protocol.StatusWithdrawn {
-			h.pollAllControllers(w, s, rng)
+			h.pollAllControllers(sim, s, rng)
 			if rng.IntN(2) == 0 {
 				insists(requestCancel) // of a job that is over
-				h.pollAllControllers(w, s, rng)
+				h.pollAllControllers(sim, s, rng)
 			}
 			return
 		}
 		time.Sleep(time.Duration(500+rng.IntN(2500)) * time.Millisecond)
 	}
-	w.withLock(func() { w.recordViolation("%s never ended", s.ID) })
+	sim.withLock(func() { sim.recordViolation("%s never ended", s.ID) })
 }
 
 // drawLinearizabilityFaults are those under which users ask: answers are lost while others read what
@@ -226,17 +226,17 @@
 			t.Parallel()
 			plan := drawLinearizabilityFaults(seed)
 			h := &requestHistory{jobs: map[string][]porcupine.Operation{}}
-			prepare := func(w *simulatedCluster) {
-				if announceLowerLimits(w); seed%3 == 2 {
-					w.oldVersions = map[string]bool{"n1": true}
+			prepare := func(sim *simulatedCluster) {
+				if announceLowerLimits(sim); seed%3 == 2 {
+					sim.oldVersions = map[string]bool{"n1": true}
 				}
 			}
-			runConfiguredSimulation(t, 30_000+seed, prepare, func(w *simulatedCluster) {
+			runConfiguredSimulation(t, 30_000+seed, prepare, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
-				w.withLock(func() {
-					w.cloud.Capacity = 16
-					w.writes.observe(w)
-					w.runTime = func(job string, _ int, _ string) time.Duration {
+				sim.withLock(func() {
+					sim.cloud.Capacity = 16
+					sim.writes.observe(sim)
+					sim.runTime = func(job string, _ int, _ string) time.Duration {
 						return time.Duration(2+int(job[len(job)-1])%9) * time.Second
 					}
 				})
@@ -245,28 +245,28 @@
 				for i := range 24 {
 					s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%3, []string{"red", "blue", "green"}[i%3])
 					specs[s.ID] = s
-					w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+					sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
 				}
-				w.withLock(func() {
-					w.onJobEnd = func(job string) {
+				sim.withLock(func() {
+					sim.onJobEnd = func(job string) {
 						h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
 						if len(job)%2 == 0 { // called off at the very end
-							w.group.Go(func() {
-								h.request(w, "n0", requestCancel, specs[job])
-								h.pollAllControllers(w, specs[job], rand.New(rand.NewPCG(seed, 80)))
+							sim.group.Go(func() {
+								h.request(sim, "n0", requestCancel, specs[job])
+								h.pollAllControllers(sim, specs[job], rand.New(rand.NewPCG(seed, 80)))
 							})
 						}
 					}
 				})
 				begun := time.Now()
 				for _, m := range plan {
-					w.group.Go(func() { w.injectAtTrigger(m, begun, 3*time.Second) })
+					sim.group.Go(func() { sim.injectAtTrigger(m, begun, 3*time.Second) })
 				}
 				for i := range 24 {
 					rng := rand.New(rand.NewPCG(seed, 81+uint64(i)))
 					users.Go(func() {
 						time.Sleep(time.Duration(i*2000+rng.IntN(1500)) * time.Millisecond)
-						h.runJobLifecycle(w, specs[fmt.Sprintf("job-%d", i)], rng)
+						h.runJobLifecycle(sim, specs[fmt.Sprintf("job-%d", i)], rng)
 					})
 				}
 				users.Wait()
