--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -29,7 +29,7 @@
 		takeover    bool
 		hang        time.Duration
 		outage      bool
-		carried     bool
+		delegated   bool
 		// mute machines reach no controller, so that only direct commands tell them the token.
 		mute bool
 		late time.Duration
@@ -41,86 +41,86 @@
 		{name: "machines reach nobody", cancelAfter: 100 * time.Millisecond, late: 2 * time.Second, mute: true},
 		{name: "takeover", cancelAfter: 100 * time.Millisecond, late: 9 * time.Second, takeover: true},
 		{name: "machines hang", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, hang: 4 * time.Second},
-		{name: "by way of carriers", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, carried: true},
+		{name: "by way of carriers", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, delegated: true},
 		{name: "outage", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, outage: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			prepare := func(w *simulatedCluster) {
-				w.cloud.Capacity = 16
-				if tc.carried {
-					configureFewSockets(w)
+			prepare := func(sim *simulatedCluster) {
+				sim.cloud.Capacity = 16
+				if tc.delegated {
+					configureFewSockets(sim)
 				}
 			}
-			runConfiguredSimulation(t, 501, prepare, func(w *simulatedCluster) {
-				if tc.carried {
-					w.startDelegation(8)
+			runConfiguredSimulation(t, 501, prepare, func(sim *simulatedCluster) {
+				if tc.delegated {
+					sim.startDelegation(8)
 				} else {
 					time.Sleep(2 * time.Second)
-					w.startLongJobs(3, 4, "green", 20*time.Second)
+					sim.startLongJobs(3, 4, "green", 20*time.Second)
 					time.Sleep(25 * time.Second) // machines are up and idle
 				}
-				part := w.partitionOf("green")
-				owner := w.leaderOf(part)
-				w.withLock(func() {
-					w.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
-					w.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStart, delay: tc.late}
+				partition := sim.partitionOf("green")
+				leader := sim.leaderOf(partition)
+				sim.withLock(func() {
+					sim.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
+					sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStart, delay: tc.late}
 				})
 				s := newJobSpec("job-900", 4, "green")
 				s.DeadlineS, s.CPUs, s.Urgency = 0, 2, protocol.Production
-				if tc.carried {
+				if tc.delegated {
 					s.Tasks = 40
 				}
-				w.submit(s)
-				sent := w.waitForStartsInFlight(owner, s.ID)
-				for tc.carried && w.faultCount("held up from "+w.otherControllers(owner)[0])+w.faultCount("held up from "+w.otherControllers(owner)[1]) == 0 {
+				sim.submit(s)
+				sent := sim.waitForStartsInFlight(leader, s.ID)
+				for tc.delegated && sim.faultCount("held up from "+sim.otherControllers(leader)[0])+sim.faultCount("held up from "+sim.otherControllers(leader)[1]) == 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
 				time.Sleep(tc.cancelAfter)
 				if tc.outage {
-					defer w.setOutage(false)
+					defer sim.setOutage(false)
 				}
 				if tc.mute {
-					w.withLock(func() {
-						w.outboundLost = map[string]bool{}
+					sim.withLock(func() {
+						sim.outboundLost = map[string]bool{}
 						for _, m := range sent {
-							w.outboundLost[m] = true
+							sim.outboundLost[m] = true
 						}
 					})
 				}
 				if tc.hang > 0 {
 					for _, m := range sent {
-						w.hangMachine(m, tc.hang)
+						sim.hangMachine(m, tc.hang)
 					}
 				}
-				w.withLock(func() {
-					if w.delayedCommands = nil; tc.fencesToo {
-						w.delayedCommands = &commandDelayFault{share: 0.5, op: fenceOp}
+				sim.withLock(func() {
+					if sim.delayedCommands = nil; tc.fencesToo {
+						sim.delayedCommands = &commandDelayFault{share: 0.5, op: fenceOp}
 					}
 				})
-				if !w.cancelAt(w.otherControllers(owner)[0], s.ID) {
+				if !sim.cancelAt(sim.otherControllers(leader)[0], s.ID) {
 					t.Fatal("not withdrawn")
 				}
 				if tc.outage {
-					w.setOutage(true)
+					sim.setOutage(true)
 				}
 				if tc.takeover {
-					w.killController(owner)
-					w.waitForNewLeader(part, owner)
+					sim.killController(leader)
+					sim.waitForNewLeader(partition, leader)
 				}
 				time.Sleep(tc.late + tc.hang + 3*time.Second)
-				w.withLock(func() {
-					refused, done := w.faultCounts["late start refused"], w.faultCounts["late start done"]
+				sim.withLock(func() {
+					refused, done := sim.faultCounts["late start refused"], sim.faultCounts["late start done"]
 					byOthers := 0
 					for _, l := range []string{"n0", "n1", "n2"} {
-						if l != owner {
-							byOthers += w.faultCounts["held up from "+l]
+						if l != leader {
+							byOthers += sim.faultCounts["held up from "+l]
 						}
 					}
-					if refused+done == 0 || tc.carried && byOthers == 0 {
+					if refused+done == 0 || tc.delegated && byOthers == 0 {
 						t.Errorf("%d starts came late, %d held up on the way from carriers", refused+done, byOthers)
 					}
-					for _, start := range w.startsAfterCancel {
+					for _, start := range sim.startsAfterCancel {
 						if !tc.outage {
 							t.Errorf("%s started on %s %s after its cancellation", start.task, start.machine, start.after)
 						}
@@ -128,7 +128,7 @@
 					if tc.outage && done == 0 {
 						t.Error("no start came that nothing could keep out")
 					}
-					if n := len(w.machinesRunning(s.ID)); n > 0 {
+					if n := len(sim.machinesRunning(s.ID)); n > 0 {
 						t.Errorf("%d of its tasks are left", n)
 					}
 				})
@@ -141,22 +141,22 @@
 // no report can bring them (54): their machines reach no controller.
 func TestDelayedStopsAreRepeated(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 502, func(w *simulatedCluster) {
-		ids := w.startLongJobs(2, 4, "green", 5*time.Minute)
-		owner := w.leaderOf(w.partitionOf("green"))
-		w.withLock(func() {
-			w.outboundLost = w.machinesRunningAnyOf(ids[0])
-			w.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStop, delay: 16 * time.Second}
+	runSimulation(t, 502, func(sim *simulatedCluster) {
+		ids := sim.startLongJobs(2, 4, "green", 5*time.Minute)
+		leader := sim.leaderOf(sim.partitionOf("green"))
+		sim.withLock(func() {
+			sim.outboundLost = sim.machinesRunningAnyOf(ids[0])
+			sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStop, delay: 16 * time.Second}
 		})
-		if !w.cancelAt(owner, ids[0]) {
+		if !sim.cancelAt(leader, ids[0]) {
 			t.Fatal("not withdrawn")
 		}
 		time.Sleep(300 * time.Millisecond)
-		held := w.faultCount("held up from " + owner)
-		w.withLock(func() { w.delayedCommands = nil })
+		held := sim.faultCount("held up from " + leader)
+		sim.withLock(func() { sim.delayedCommands = nil })
 		time.Sleep(700 * time.Millisecond)
-		w.withLock(func() {
-			if left := len(w.machinesRunning(ids[0])); left > 0 || held == 0 {
+		sim.withLock(func() {
+			if left := len(sim.machinesRunning(ids[0])); left > 0 || held == 0 {
 				t.Errorf("%d tasks are left a second after their cancellation, %d stops were held up", left, held)
 			}
 		})
@@ -249,10 +249,10 @@
 }
 
 // waitForStartsInFlight waits until starts of a job are under way, and says to which machines.
-func (w *simulatedCluster) waitForStartsInFlight(owner, job string) (machines []string) {
+func (sim *simulatedCluster) waitForStartsInFlight(leader, job string) (machines []string) {
 	for range 60_000 {
 		time.Sleep(time.Millisecond)
-		w.onController(owner, func(c *Controller) {
+		sim.onController(leader, func(c *Controller) {
 			if j := c.Jobs[job]; j != nil {
 				for _, a := range j.LiveAttempts {
 					if a.StartsInFlight > 0 {
@@ -265,6 +265,6 @@
 			return machines
 		}
 	}
-	w.t.Fatalf("no start of %s is under way", job)
+	sim.t.Fatalf("no start of %s is under way", job)
 	return nil
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -137,13 +137,13 @@
 			items = append(items, protocol.Item{Key: storage.RunKey(p.Index, id, ch.Index), Version: 5, Value: storage.Encode(j.RunRecord(ch))})
 		}
 	}
-	fo := replication.NewReplica(p.Index, time.Now())
-	fo.StartFrom(c.log.Error, items, 5, time.Now())
-	return fo
+	replica := replication.NewReplica(p.Index, time.Now())
+	replica.StartFrom(c.log.Error, items, 5, time.Now())
+	return replica
 }
 
 // updateStandby tells a standby all that there is of a part, and says in how many messages.
-func updateStandby(t *testing.T, c *Controller, p *cluster.Partition, fo *replication.Replica) (messages int) {
+func updateStandby(t *testing.T, c *Controller, p *cluster.Partition, replica *replication.Replica) (messages int) {
 	t.Helper()
 	for messages < 100 {
 		now := time.Now()
@@ -157,7 +157,7 @@
 			break
 		}
 		messages++
-		p.Replication.Acknowledged = fo.Updates.Apply(told, fo.Derived.NoteStart, now)
+		p.Replication.Acknowledged = replica.Updates.Apply(told, replica.Derived.NoteStart, now)
 	}
 	return messages
 }
@@ -273,23 +273,23 @@
 	}
 	attempts, machines := 0, 0
 	for _, p := range c.Partitions {
-		fo := replicaFromRecords(c, p)
-		if len(fo.Derived.Jobs) == 0 {
+		replica := replicaFromRecords(c, p)
+		if len(replica.Derived.Jobs) == 0 {
 			continue
 		}
-		messages := updateStandby(t, c, p, fo)
+		messages := updateStandby(t, c, p, replica)
 		if messages > standbyMessagesMax {
 			t.Errorf("part %d: %d messages, one a second", p.Index, messages)
 		}
-		attempts, machines = attempts+fo.Derived.KnownStarts(), machines+len(fo.Updates.Machines)
-		recalled, whole := fo.StateTransfer(time.Now())
+		attempts, machines = attempts+replica.Derived.KnownStarts(), machines+len(replica.Updates.Machines)
+		recalled, whole := replica.StateTransfer(time.Now())
 		raw, err := proto.Marshal(recalled)
-		if err != nil || !whole || len(raw) > replication.StateTransferBytesLimit || len(recalled.Attempts) != fo.Derived.KnownStarts() || len(recalled.Machines) != len(fo.Updates.Machines) {
+		if err != nil || !whole || len(raw) > replication.StateTransferBytesLimit || len(recalled.Attempts) != replica.Derived.KnownStarts() || len(recalled.Machines) != len(replica.Updates.Machines) {
 			t.Errorf("recalled in %d bytes, whole %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
 		}
-		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.Index, len(fo.Updates.Machines), messages, len(raw))
+		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
 		c.leases.ClearPartition(p) // the standby never owned it
-		c.takeover.Install(p, fo, nil, true)
+		c.takeover.Install(p, replica, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
 		t.Errorf("the standby knows %d starts and %d machines", attempts, machines)
@@ -308,14 +308,14 @@
 }
 
 func checkStartsAheadOfRecords(t *testing.T, c *Controller) {
-	fo := replication.NewReplica(0, time.Now())
+	replica := replication.NewReplica(0, time.Now())
 	for id, j := range c.Jobs {
 		for task := range j.LiveAttempts {
-			fo.Derived.NoteStart(replication.AttemptID{Job: id, Task: task, Number: 1}, time.Now())
+			replica.Derived.NoteStart(replication.AttemptID{Job: id, Task: task, Number: 1}, time.Now())
 		}
 	}
-	if len(fo.Derived.Starts) != largeTasks || fo.Derived.DroppedStarts != 0 {
-		t.Errorf("%d starts kept, %d dropped", len(fo.Derived.Starts), fo.Derived.DroppedStarts)
+	if len(replica.Derived.Starts) != largeTasks || replica.Derived.DroppedStarts != 0 {
+		t.Errorf("%d starts kept, %d dropped", len(replica.Derived.Starts), replica.Derived.DroppedStarts)
 	}
 }
 
@@ -503,38 +503,38 @@
 			}
 		}},
 		{"starts told to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
-			fo := replication.NewReplica(0, time.Now())
-			c.replicator.Replicas[0] = fo
+			replica := replication.NewReplica(0, time.Now())
+			c.replicator.Replicas[0] = replica
 			for i := range replication.PendingStartsLimit {
-				fo.Derived.Starts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
+				replica.Derived.Starts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
-			if len(fo.Derived.Starts) != replication.PendingStartsLimit {
-				t.Errorf("%d starts kept", len(fo.Derived.Starts))
+			if len(replica.Derived.Starts) != replication.PendingStartsLimit {
+				t.Errorf("%d starts kept", len(replica.Derived.Starts))
 			}
 		}},
 		{"machines told to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
-			fo := replication.NewReplica(0, time.Now())
-			c.replicator.Replicas[0] = fo
-			fo.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
+			replica := replication.NewReplica(0, time.Now())
+			c.replicator.Replicas[0] = replica
+			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range replication.ReplicaMachinesLimit {
-				fo.Updates.Machines[fmt.Sprint("m-", i)] = replication.MachineHints{}
+				replica.Updates.Machines[fmt.Sprint("m-", i)] = replication.MachineHints{}
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
-			if fo.Updates.Machines["m-1"].MachineHint == nil || len(fo.Updates.Machines) != replication.ReplicaMachinesLimit {
-				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
+			if replica.Updates.Machines["m-1"].MachineHint == nil || len(replica.Updates.Machines) != replication.ReplicaMachinesLimit {
+				t.Errorf("a machine that was known is not told anew, %d kept", len(replica.Updates.Machines))
 			}
 		}},
 		{"recalls", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
-			fo := replication.NewReplica(0, time.Now())
-			c.replicator.Replicas[0] = fo
-			fo.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
+			replica := replication.NewReplica(0, time.Now())
+			c.replicator.Replicas[0] = replica
+			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
 				mt := &peer.MachineHint{Name: largeMachine(i), PreemptionNoticeS: -1}
 				for k := range cluster.UpdateImagesLimit {
 					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
 				}
-				fo.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
+				replica.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
 			}
 			raw, err := proto.Marshal(&peer.StateTransferRequest{})
 			panicOnError(err)
@@ -543,7 +543,7 @@
 			stop()
 			told := new(peer.ReplicaUpdate)
 			panicOnError(proto.Unmarshal(resp.Body, told))
-			if len(resp.Body) > clientResponseLimit || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
+			if len(resp.Body) > clientResponseLimit || len(told.Machines) != largeMachines || len(replica.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
 			}
 		}},
@@ -605,9 +605,9 @@
 }
 
 // applyReplicaUpdate hands a controller what a part's owner tells its standby.
-func applyReplicaUpdate(t *testing.T, c *Controller, tale *peer.ReplicaUpdate) {
+func applyReplicaUpdate(t *testing.T, c *Controller, update *peer.ReplicaUpdate) {
 	t.Helper()
-	raw, err := proto.Marshal(tale)
+	raw, err := proto.Marshal(update)
 	panicOnError(err)
 	stop := serveEventLoop(c)
 	resp := c.replicator.HandleUpdate(nil, raw)
@@ -622,11 +622,11 @@
 func TestBoundsFollowTheSettings(t *testing.T) {
 	next := 400.0
 	for _, tc := range []struct {
-		name                         string
-		limits                       settings.Limits
-		state                        settings.State
-		cancelS                      time.Duration
-		peerBody, carried, cancelled int
+		name                           string
+		limits                         settings.Limits
+		state                          settings.State
+		cancelS                        time.Duration
+		peerBody, delegated, cancelled int
 	}{
 		{"a small deployment", settings.Limits{MemMB: 20}, settings.State{WriteRPS: 10}, 25 * time.Second, 1 << 20, 768 << 10, 500},
 		{"70 MB", settings.Limits{MemMB: 70}, settings.State{WriteRPS: 25}, 43 * time.Second, 1 << 20, 2_293_760, 1100},
@@ -635,8 +635,8 @@
 	} {
 		var n cluster.CancellationNotices
 		n.SetLimit(tc.cancelS, tc.state)
-		if body, carried := peerapi.MaxBody(tc.limits), proxy.UnsentBytesLimit(tc.limits); body != tc.peerBody || carried != tc.carried || n.Limit != tc.cancelled {
-			t.Errorf("%s: %d, %d, %d", tc.name, body, carried, n.Limit)
+		if body, delegated := peerapi.MaxBody(tc.limits), proxy.UnsentBytesLimit(tc.limits); body != tc.peerBody || delegated != tc.delegated || n.Limit != tc.cancelled {
+			t.Errorf("%s: %d, %d, %d", tc.name, body, delegated, n.Limit)
 		}
 	}
 	for machines, want := range map[int]int{0: 200, 800: 200, 4000: 1000} {
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -20,11 +20,11 @@
 
 // configureLongAnswerBound is one whose bound for answers is long, and whose work runs for longer than a
 // withdrawal has.
-func configureLongAnswerBound(w *simulatedCluster) {
-	w.cloud.Capacity = 30
-	w.settings.Params.Teams[0].CPUsMax, w.settings.Params.Teams[1].CPUsMax = 0, 0
-	w.settings.Params.Workers.CancelS, w.settings.Params.Workers.LeaseS = 43, 18
-	w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+func configureLongAnswerBound(sim *simulatedCluster) {
+	sim.cloud.Capacity = 30
+	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
+	sim.settings.Params.Workers.CancelS, sim.settings.Params.Workers.LeaseS = 43, 18
+	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
 // The gap: the state service refuses the leading controller alone, another confirms
@@ -59,7 +59,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 301, configureLongAnswerBound, func(w *simulatedCluster) {
+			runConfiguredSimulation(t, 301, configureLongAnswerBound, func(sim *simulatedCluster) {
 				time.Sleep(3 * time.Second)
 				// Withdrawals every 0.1 s, from 4 s before the refusal on.
 				const each, before = 56, 40
@@ -70,52 +70,52 @@
 				for i := range each * rounds {
 					s := newJobSpec(fmt.Sprintf("job-%d", i), 1, "green")
 					s.CPUs, s.EstimateS, s.DeadlineS = 2, 600, 0
-					w.submit(s)
+					sim.submit(s)
 				}
 				time.Sleep(40 * time.Second)
-				part := 0
-				w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
+				partition := 0
+				sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["green"]] })
 				for round := range rounds {
-					w.cancelDuringRefusal(round*each, each, before, part, func(i int, owner string) {
+					sim.cancelDuringRefusal(round*each, each, before, partition, func(i int, leader string) {
 						switch i {
 						case 0:
-							w.mu.Lock()
-							w.suppressNotices, w.state.Stuck = tc.noNotices, tc.stuck
-							w.mu.Unlock()
+							sim.mu.Lock()
+							sim.suppressNotices, sim.state.Stuck = tc.noNotices, tc.stuck
+							sim.mu.Unlock()
 						case before:
-							w.setStateServiceRefusal(owner, true)
+							sim.setStateServiceRefusal(leader, true)
 							if tc.cut {
-								w.mu.Lock()
-								w.cut = func(from, host string) bool {
-									return host == owner && from[0] == 'n' || from == owner && host[0] == 'n'
+								sim.mu.Lock()
+								sim.cut = func(from, host string) bool {
+									return host == leader && from[0] == 'n' || from == leader && host[0] == 'n'
 								}
-								w.mu.Unlock()
+								sim.mu.Unlock()
 							}
 						}
 					}, tc.hang)
 					if tc.refusedFor == 0 {
-						w.waitForLeaseChange(part)
+						sim.waitForLeaseChange(partition)
 					}
 					time.Sleep(tc.refusedFor - (each-before)*100*time.Millisecond)
-					w.setOutage(true)
+					sim.setOutage(true)
 					time.Sleep(12 * time.Second)
 					for _, l := range []string{"n0", "n1", "n2"} {
-						w.setStateServiceRefusal(l, false)
+						sim.setStateServiceRefusal(l, false)
 					}
 					time.Sleep(45 * time.Second)
-					w.mu.Lock()
-					w.state.Stuck, w.cut, w.suppressNotices = false, nil, false
-					w.mu.Unlock()
-					w.setOutage(false)
+					sim.mu.Lock()
+					sim.state.Stuck, sim.cut, sim.suppressNotices = false, nil, false
+					sim.mu.Unlock()
+					sim.setOutage(false)
 					time.Sleep(30 * time.Second)
 				}
-				w.mu.Lock()
-				for id, uj := range w.jobs {
-					if uj.finalStatus == protocol.StatusWithdrawn && len(w.machinesRunning(id)) > 0 {
-						t.Errorf("%s runs on %v", id, w.machinesRunning(id))
+				sim.mu.Lock()
+				for id, submitted := range sim.jobs {
+					if submitted.finalStatus == protocol.StatusWithdrawn && len(sim.machinesRunning(id)) > 0 {
+						t.Errorf("%s runs on %v", id, sim.machinesRunning(id))
 					}
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 			})
 		})
 	}
@@ -123,54 +123,54 @@
 
 // cancelDuringRefusal withdraws jobs from one number on at controllers that do not own their part, one
 // every 0.1 s, and lets something happen before each.
-func (w *simulatedCluster) cancelDuringRefusal(from, count, before, part int, happen func(i int, owner string), hang time.Duration) {
-	owner := w.leaderOf(part)
-	if owner == "" {
-		w.t.Fatal("nobody owns the part")
+func (sim *simulatedCluster) cancelDuringRefusal(from, count, before, partition int, happen func(i int, leader string), hang time.Duration) {
+	leader := sim.leaderOf(partition)
+	if leader == "" {
+		sim.t.Fatal("nobody owns the part")
 	}
-	others := w.otherControllers(owner)
+	others := sim.otherControllers(leader)
 	confirmed, after, running := 0, 0, 0
 	for i := range count {
-		happen(i, owner)
+		happen(i, leader)
 		job := fmt.Sprintf("job-%d", from+i)
-		w.mu.Lock()
-		on := w.machinesRunning(job)
-		w.mu.Unlock()
+		sim.mu.Lock()
+		on := sim.machinesRunning(job)
+		sim.mu.Unlock()
 		running += len(on)
-		if begun := time.Now(); w.cancelAt(others[i%len(others)], job) {
+		if begun := time.Now(); sim.cancelAt(others[i%len(others)], job) {
 			confirmed++
 			if i >= before {
 				after++
 			}
 			if hang > 0 && i%2 == 0 {
 				for _, m := range on {
-					w.hangMachine(m, hang)
+					sim.hangMachine(m, hang)
 				}
 			}
 			time.Sleep(100*time.Millisecond - time.Since(begun))
 		}
 	}
 	if running < count/2 || confirmed < count/2 || after < 5 {
-		w.t.Fatalf("%d of %d ran, %d withdrawals confirmed, %d of them after the refusal", running, count, confirmed, after)
+		sim.t.Fatalf("%d of %d ran, %d withdrawals confirmed, %d of them after the refusal", running, count, confirmed, after)
 	}
 }
 
 // waitForLeaseChange waits until a part is claimed by another than now.
-func (w *simulatedCluster) waitForLeaseChange(part int) {
-	key := storage.LeaseKey(part)
-	w.mu.Lock()
-	was := w.state.Items[key].Version
-	w.mu.Unlock()
+func (sim *simulatedCluster) waitForLeaseChange(partition int) {
+	key := storage.LeaseKey(partition)
+	sim.mu.Lock()
+	was := sim.state.Items[key].Version
+	sim.mu.Unlock()
 	for range 20_000 {
 		time.Sleep(time.Millisecond)
-		w.mu.Lock()
-		now := w.state.Items[key].Version
-		w.mu.Unlock()
+		sim.mu.Lock()
+		now := sim.state.Items[key].Version
+		sim.mu.Unlock()
 		if now != 0 && now != was {
 			return
 		}
 	}
-	w.t.Fatal("nobody claimed the part")
+	sim.t.Fatal("nobody claimed the part")
 }
 
 // Every team is at its limit when the leader changes, the machines can't be asked, and a
@@ -179,70 +179,70 @@
 // over (6, 39, 47).
 func TestTeamQuotaHoldsForJobsThatEndDuringATakeover(t *testing.T) {
 	t.Parallel()
-	prepare := func(w *simulatedCluster) {
-		configureLongAnswerBound(w)
-		w.settings.Params.Teams[0].CPUsMax = 32
+	prepare := func(sim *simulatedCluster) {
+		configureLongAnswerBound(sim)
+		sim.settings.Params.Teams[0].CPUsMax = 32
 	}
-	runConfiguredSimulation(t, 302, prepare, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 302, prepare, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		for _, id := range []string{"job-1", "job-2"} {
 			s := newJobSpec(id, 8, "red") // all of the limit
 			s.EstimateS, s.DeadlineS = 600, 0
-			w.submit(s)
+			sim.submit(s)
 		}
 		time.Sleep(20 * time.Second)
-		part := 0
-		w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["red"]] })
-		owner := w.leaderOf(part)
+		partition := 0
+		sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["red"]] })
+		leader := sim.leaderOf(partition)
 		claimed := make(chan struct{})
 		var late atomic.Bool
-		w.withLock(func() {
-			if n := len(w.machinesRunning("job-1")); n != 8 {
+		sim.withLock(func() {
+			if n := len(sim.machinesRunning("job-1")); n != 8 {
 				t.Fatalf("%d tasks run", n)
 			}
-			out := w.machinesRunningAnyOf("job-1")
-			w.cut = func(_, host string) bool { return out[host] }
+			out := sim.machinesRunningAnyOf("job-1")
+			sim.cut = func(_, host string) bool { return out[host] }
 			// The shared records come late, so that the successor waits for them after it
 			// has read those of the part.
-			w.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
+			sim.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
 				for late.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
 					time.Sleep(time.Millisecond)
 				}
 				return false
 			}
-			check := w.state.BeforePut
-			w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
+			check := sim.state.BeforePut
+			sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 				check(c, old, exists)
-				if c.Put == storage.LeaseKey(part) && !late.Swap(true) {
+				if c.Put == storage.LeaseKey(partition) && !late.Swap(true) {
 					close(claimed)
 				}
 			}
 		})
-		w.killController(owner)
+		sim.killController(leader)
 		<-claimed
 		time.Sleep(200 * time.Millisecond)
-		heir := ""
-		for _, l := range w.otherControllers("") {
-			w.onController(l, func(c *Controller) {
-				if c.Partitions[part].Held && !c.Partitions[part].Ready {
-					heir = l
+		successor := ""
+		for _, l := range sim.otherControllers("") {
+			sim.onController(l, func(c *Controller) {
+				if c.Partitions[partition].Held && !c.Partitions[partition].Ready {
+					successor = l
 				}
 			})
 		}
-		if heir == "" || !w.cancelAt(heir, "job-1") {
-			t.Fatalf("no withdrawal while %q reads", heir)
+		if successor == "" || !sim.cancelAt(successor, "job-1") {
+			t.Fatalf("no withdrawal while %q reads", successor)
 		}
 		late.Store(false)
 		time.Sleep(10 * time.Second)
-		w.withLock(func() {
-			if n := len(w.machinesRunning("job-1")); n != 8 {
+		sim.withLock(func() {
+			if n := len(sim.machinesRunning("job-1")); n != 8 {
 				t.Errorf("%d tasks of the cancelled job left: its machines were asked", n)
 			}
 		})
 		// Afterwards the others' turn comes, once the leases have run out (47).
 		time.Sleep(50 * time.Second)
-		w.withLock(func() {
-			if n := len(w.machinesRunning("job-2")); n != 8 {
+		sim.withLock(func() {
+			if n := len(sim.machinesRunning("job-2")); n != 8 {
 				t.Errorf("%d tasks of the next job run", n)
 			}
 		})
@@ -251,11 +251,11 @@
 
 // leadFirstPartition makes a controller whose loop never runs the informed owner of its first part,
 // with the machine m-1, under a claim.
-func (c *Controller) leadFirstPartition(claim uint64) (*cluster.Partition, *cluster.Machine) {
+func (c *Controller) leadFirstPartition(lease uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
 	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
-	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, claim, now
+	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, lease, now
 	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
 	return p, c.Machines["m-1"]
 }
@@ -422,33 +422,33 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 303, configureLongAnswerBound, func(w *simulatedCluster) {
+			runConfiguredSimulation(t, 303, configureLongAnswerBound, func(sim *simulatedCluster) {
 				time.Sleep(3 * time.Second)
 				for i := range 4 {
 					s := newJobSpec(fmt.Sprintf("job-%d", i), 4, "green")
 					s.EstimateS, s.DeadlineS = 600, 0
-					w.submit(s)
+					sim.submit(s)
 				}
 				time.Sleep(20 * time.Second)
-				part := 0
-				w.onController("n0", func(c *Controller) { part = c.TeamPartition[c.TeamIndex["green"]] })
-				owner := w.leaderOf(part)
+				partition := 0
+				sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["green"]] })
+				leader := sim.leaderOf(partition)
 				var on []string
-				w.withLock(func() {
-					if on = w.machinesRunning("job-1"); len(on) != 4 {
+				sim.withLock(func() {
+					if on = sim.machinesRunning("job-1"); len(on) != 4 {
 						t.Fatalf("%d tasks run", len(on))
 					}
-					out := w.machinesRunningAnyOf("job-1")
+					out := sim.machinesRunningAnyOf("job-1")
 					if tc.cut {
-						w.cut = func(_, host string) bool { return out[host] }
+						sim.cut = func(_, host string) bool { return out[host] }
 					}
 					if tc.deaf {
-						w.inboundLost = out
+						sim.inboundLost = out
 					}
 				})
 				told := time.Now()
 				withdraw := func() {
-					if !w.cancelAt(w.otherControllers(owner)[0], "job-1") {
+					if !sim.cancelAt(sim.otherControllers(leader)[0], "job-1") {
 						t.Fatal("not withdrawn")
 					}
 					told = time.Now()
@@ -457,10 +457,10 @@
 					withdraw()
 				}
 				if tc.taken {
-					w.killController(owner)
+					sim.killController(leader)
 					for range 100 {
 						time.Sleep(100 * time.Millisecond)
-						if w.leaderOf(part) != "" {
+						if sim.leaderOf(partition) != "" {
 							break
 						}
 					}
@@ -469,13 +469,13 @@
 					withdraw()
 				}
 				if tc.outage {
-					w.setOutage(true)
+					sim.setOutage(true)
 				}
 				missing := func() (gone int) {
-					w.mu.Lock()
-					defer w.mu.Unlock()
+					sim.mu.Lock()
+					defer sim.mu.Unlock()
 					for _, m := range on {
-						if w.cloud.Machines[m] == nil {
+						if sim.cloud.Machines[m] == nil {
 							gone++
 						}
 					}
@@ -491,11 +491,11 @@
 				if tc.deleted && gone != len(on) || !tc.deleted && tc.outage && gone > 0 {
 					t.Errorf("%d of %d machines deleted within cancel_s", gone, len(on))
 				}
-				if w.leaderOf(part) == "" && !tc.outage {
+				if sim.leaderOf(partition) == "" && !tc.outage {
 					t.Error("nobody owns the part")
 				}
-				w.withLock(func() { w.cut, w.inboundLost = nil, nil })
-				w.setOutage(false)
+				sim.withLock(func() { sim.cut, sim.inboundLost = nil, nil })
+				sim.setOutage(false)
 				time.Sleep(30 * time.Second)
 			})
 		})
@@ -513,50 +513,50 @@
 	}{{"news", false}, {"a carrier knows", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			prepare := func(w *simulatedCluster) {
-				configureFewSockets(w)
-				w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+			prepare := func(sim *simulatedCluster) {
+				configureFewSockets(sim)
+				sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 			}
-			runConfiguredSimulation(t, 304, prepare, func(w *simulatedCluster) {
-				part := w.startDelegation(8)
-				owner := w.leaderOf(part)
-				var carried, kept int
-				count := func() (carried, kept int) {
-					w.forEachWorker(func(wk *worker.Worker) {
-						for _, task := range wk.Tasks {
+			runConfiguredSimulation(t, 304, prepare, func(sim *simulatedCluster) {
+				partition := sim.startDelegation(8)
+				leader := sim.leaderOf(partition)
+				var delegated, kept int
+				count := func() (delegated, kept int) {
+					sim.forEachWorker(func(agent *worker.Worker) {
+						for _, task := range agent.Tasks {
 							if task.Job != "job-0" && task.Job != "job-1" || task.State == protocol.TaskEnded {
-							} else if wk.Homes[wk.Home] == owner {
+							} else if agent.Homes[agent.Home] == leader {
 								kept++
 							} else {
-								carried++
+								delegated++
 							}
 						}
 					})
-					return carried, kept
+					return delegated, kept
 				}
-				w.withLock(func() { w.suppressNotices = tc.noNotices })
-				if carried, kept = count(); carried == 0 || kept == 0 {
-					t.Fatalf("%d tasks on machines that others carry, %d on others", carried, kept)
+				sim.withLock(func() { sim.suppressNotices = tc.noNotices })
+				if delegated, kept = count(); delegated == 0 || kept == 0 {
+					t.Fatalf("%d tasks on machines that others carry, %d on others", delegated, kept)
 				}
-				w.setStateServiceRefusal(owner, true)
+				sim.setStateServiceRefusal(leader, true)
 				for _, id := range []string{"job-0", "job-1"} {
-					if !w.cancelAt(w.otherControllers(owner)[0], id) {
+					if !sim.cancelAt(sim.otherControllers(leader)[0], id) {
 						t.Fatal("not withdrawn")
 					}
 				}
 				time.Sleep(1800 * time.Millisecond) // the owner's lease goes on
-				if w.leaderOf(part) != owner {
+				if sim.leaderOf(partition) != leader {
 					t.Fatal("the part changed hands")
 				}
 				carriedNow, keptNow := count()
 				if carriedNow > 0 || !tc.noNotices && keptNow > 0 {
-					t.Errorf("%d and %d of %d and %d tasks left after 1.8 s", carriedNow, keptNow, carried, kept)
+					t.Errorf("%d and %d of %d and %d tasks left after 1.8 s", carriedNow, keptNow, delegated, kept)
 				}
 				if tc.noNotices && keptNow == 0 {
 					t.Error("the owner knew without being told")
 				}
-				w.setStateServiceRefusal(owner, false)
-				w.withLock(func() { w.suppressNotices = false })
+				sim.setStateServiceRefusal(leader, false)
+				sim.withLock(func() { sim.suppressNotices = false })
 				time.Sleep(25 * time.Second)
 			})
 		})
@@ -622,41 +622,41 @@
 // conditions (17).
 func TestNoStartAfterACancellationUnseenByTheLeader(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 305, configureLongAnswerBound, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 305, configureLongAnswerBound, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		w.withLock(func() {
-			w.cloud.Capacity = 2 // four tasks at a time
-			w.cloud.Types = w.cloud.Types[:1]
-			w.runTime = func(string, int, string) time.Duration { return 20 * time.Second }
+		sim.withLock(func() {
+			sim.cloud.Capacity = 2 // four tasks at a time
+			sim.cloud.Types = sim.cloud.Types[:1]
+			sim.runTime = func(string, int, string) time.Duration { return 20 * time.Second }
 		})
 		first, second := newJobSpec("job-1", 4, "green"), newJobSpec("job-2", 4, "green")
 		first.Urgency = protocol.High
-		w.submit(first)
-		w.submit(second)
+		sim.submit(first)
+		sim.submit(second)
 		time.Sleep(18 * time.Second)
-		part := w.partitionOf("green")
-		owner := w.leaderOf(part)
-		w.withLock(func() {
-			w.suppressNotices, w.state.Stuck = true, true
-			if len(w.machinesRunning("job-1")) != 4 || len(w.machinesRunning("job-2")) != 0 {
-				t.Fatalf("%d and %d tasks run", len(w.machinesRunning("job-1")), len(w.machinesRunning("job-2")))
+		partition := sim.partitionOf("green")
+		leader := sim.leaderOf(partition)
+		sim.withLock(func() {
+			sim.suppressNotices, sim.state.Stuck = true, true
+			if len(sim.machinesRunning("job-1")) != 4 || len(sim.machinesRunning("job-2")) != 0 {
+				t.Fatalf("%d and %d tasks run", len(sim.machinesRunning("job-1")), len(sim.machinesRunning("job-2")))
 			}
 		})
-		if !w.cancelAt(w.otherControllers(owner)[0], "job-2") {
+		if !sim.cancelAt(sim.otherControllers(leader)[0], "job-2") {
 			t.Fatal("not withdrawn")
 		}
 		unseen := false
 		for range 150 { // meanwhile the first job ends, and there is room
 			time.Sleep(100 * time.Millisecond)
-			w.onController(owner, func(c *Controller) {
-				w.withLock(func() {
-					if len(w.jobs["job-1"].tasksDone) == 0 { // up to the moment when there is
+			sim.onController(leader, func(c *Controller) {
+				sim.withLock(func() {
+					if len(sim.jobs["job-1"].tasksDone) == 0 { // up to the moment when there is
 						unseen = c.FinalStates["job-2"] == ""
 					}
 				})
 			})
-			w.withLock(func() {
-				if n := len(w.machinesRunning("job-2")); n > 0 {
+			sim.withLock(func() {
+				if n := len(sim.machinesRunning("job-2")); n > 0 {
 					t.Fatalf("%d tasks of a withdrawn job started", n)
 				}
 			})
@@ -664,7 +664,7 @@
 		if !unseen {
 			t.Error("the owner knew of the withdrawal before there was room")
 		}
-		w.withLock(func() { w.suppressNotices, w.state.Stuck = false, false })
+		sim.withLock(func() { sim.suppressNotices, sim.state.Stuck = false, false })
 		time.Sleep(5 * time.Second)
 	})
 }
--- a/internal/coordination/odd_requests_test.go
+++ b/internal/coordination/odd_requests_test.go
@@ -33,7 +33,7 @@
 	body []byte
 	want int
 } {
-	odd := map[string]struct {
+	invalid := map[string]struct {
 		body []byte
 		want int
 	}{}
@@ -42,7 +42,7 @@
 		change(s, nil)
 		m := submissionFields(s)
 		change(s, m)
-		odd[name] = struct {
+		invalid[name] = struct {
 			body []byte
 			want int
 		}{encodeFields(m), want}
@@ -103,7 +103,7 @@
 	can("a gang over the limit", func(s *protocol.JobSpec) { s.Gang, s.Tasks = true, 9 })
 	can("a gang apart in one zone", func(s *protocol.JobSpec) { s.Gang, s.OneZone, s.Spread = true, true, true })
 	can("a service apart in a named zone", func(s *protocol.JobSpec) { s.Standing, s.Zone, s.Spread = true, "a", true })
-	return odd
+	return invalid
 }
 
 // What can't run or is no submission is accepted by no controller, also while one of them
@@ -111,31 +111,31 @@
 // told whatever the body says (14).
 func TestInvalidSubmissionsAreRefused(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 620, func(w *simulatedCluster) {
+	runSimulation(t, 620, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		w.submit(newJobSpec("job-1", 1, "green"))
+		sim.submit(newJobSpec("job-1", 1, "green"))
 		// A controller that starts while the cloud does not answer knows no types, if they
 		// were not on record.
-		w.withLock(func() {
-			delete(w.state.Items, storage.CatalogKey)
-			w.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
+		sim.withLock(func() {
+			delete(sim.state.Items, storage.CatalogKey)
+			sim.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
 		})
-		w.killController("n2")
-		w.startController("n2")
+		sim.killController("n2")
+		sim.startController("n2")
 		time.Sleep(3 * time.Second)
 		types := -1
-		w.onController("n2", func(c *Controller) { types = len(c.Catalog) })
+		sim.onController("n2", func(c *Controller) { types = len(c.Catalog) })
 		if types != 0 {
 			t.Fatalf("n2 knows %d machine types", types)
 		}
 		check := func(name, label string, body []byte, want ...int) {
-			if resp := w.sendRequest(label, "POST", "/submissions", body); !slices.Contains(want, resp.Status) {
+			if resp := sim.sendRequest(label, "POST", "/submissions", body); !slices.Contains(want, resp.Status) {
 				t.Errorf("%s at %s: %d, want %v", name, label, resp.Status, want)
 			}
 		}
-		odd, known := invalidSubmissions("job-2"), invalidSubmissions("job-1")
-		for _, name := range slices.Sorted(maps.Keys(odd)) {
-			o := odd[name]
+		invalid, known := invalidSubmissions("job-2"), invalidSubmissions("job-1")
+		for _, name := range slices.Sorted(maps.Keys(invalid)) {
+			o := invalid[name]
 			check(name, "n0", o.body, o.want)
 			check(name, "n1", o.body, o.want)
 			// Without the types it can't say 422 for what fits none.
@@ -150,28 +150,28 @@
 			}
 		}
 		// Nor while a controller is cut from the state service and the others.
-		w.withLock(func() {
-			w.cut = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
+		sim.withLock(func() {
+			sim.cut = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
 		})
 		for _, name := range []string{"without gpus", "larger than any type", "unknown team"} {
-			resp := w.sendRequest("n1", "POST", "/submissions", odd[name].body)
+			resp := sim.sendRequest("n1", "POST", "/submissions", invalid[name].body)
 			if resp.Status == 200 || resp.Status == 201 {
 				t.Errorf("%s at a controller that is cut off: %d", name, resp.Status)
 			}
 		}
 		// A known job's repeat must not be refused there either.
 		body := known["without gpus"].body
-		if resp := w.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
+		if resp := sim.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
 			t.Errorf("repeat of a known job at a controller that is cut off: %d", resp.Status)
 		}
-		w.withLock(func() { w.cut = nil })
+		sim.withLock(func() { sim.cut = nil })
 		time.Sleep(5 * time.Second)
 		for _, label := range []string{"n0", "n1", "n2"} {
-			if resp := w.sendRequest(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
+			if resp := sim.sendRequest(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
 				t.Errorf("the odd job is known at %s: %d", label, resp.Status)
 			}
 		}
-		w.waitForAllJobs(time.Minute)
+		sim.waitForAllJobs(time.Minute)
 	})
 }
 
@@ -179,40 +179,40 @@
 // can't run, at all controllers, while the leader ends and the state service answers late.
 func TestInvalidRequestsUnderFaults(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 621, func(w *simulatedCluster) {
+	runSimulation(t, 621, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		odd := invalidSubmissions("job-7")
-		names := slices.Sorted(maps.Keys(odd))
-		part := w.partitionOf("green")
+		invalid := invalidSubmissions("job-7")
+		names := slices.Sorted(maps.Keys(invalid))
+		partition := sim.partitionOf("green")
 		s := newJobSpec("job-1", 12, "green")
 		s.DeadlineS = 0
-		w.submit(s)
+		sim.submit(s)
 		done := newJobSpec("job-3", 1, "green")
-		w.submit(done)
+		sim.submit(done)
 		for range 60 {
-			if time.Sleep(time.Second); w.poll("", done.ID) == protocol.StatusDone {
+			if time.Sleep(time.Second); sim.poll("", done.ID) == protocol.StatusDone {
 				break
 			}
 		}
 		outcomes := map[string]int{}
 		for i := range 120 {
 			label := []string{"n0", "n1", "n2"}[i%3]
-			o := odd[names[i%len(names)]]
+			o := invalid[names[i%len(names)]]
 			switch i {
 			case 20:
-				owner := w.leaderOf(part)
-				w.group.Go(func() { w.restartController(owner, time.Second) })
+				leader := sim.leaderOf(partition)
+				sim.group.Go(func() { sim.restartController(leader, time.Second) })
 			case 40:
-				w.withLock(func() { w.lateTransactionShare = 0.5 })
+				sim.withLock(func() { sim.lateTransactionShare = 0.5 })
 			case 60:
-				w.withLock(func() { w.lateTransactionShare = 0 })
-				w.setOutage(true)
+				sim.withLock(func() { sim.lateTransactionShare = 0 })
+				sim.setOutage(true)
 			case 80:
-				w.setOutage(false)
+				sim.setOutage(false)
 			}
 			for what, resp := range map[string]transport.Response{
-				"odd":    w.sendRequest(label, "POST", "/submissions", o.body),
-				"repeat": w.sendRequest(label, "POST", "/submissions", encodeSubmission(s)),
+				"odd":    sim.sendRequest(label, "POST", "/submissions", o.body),
+				"repeat": sim.sendRequest(label, "POST", "/submissions", encodeSubmission(s)),
 			} {
 				if resp.Status == 0 {
 					continue
@@ -228,7 +228,7 @@
 					outcomes[what+" accepted"]++
 				}
 			}
-			if resp := w.sendRequest(label, "POST", "/submissions/"+done.ID+"/withdraw", nil); resp.Status == 200 {
+			if resp := sim.sendRequest(label, "POST", "/submissions/"+done.ID+"/withdraw", nil); resp.Status == 200 {
 				var st protocol.JobStatus
 				panicOnError(protocol.Decode(resp.Body, &st))
 				if st.Status != protocol.StatusDone {
@@ -241,6 +241,6 @@
 		if outcomes["repeat accepted"] < 20 || outcomes["odd refused"] < 60 || outcomes["cancelled though done"] < 60 {
 			t.Errorf("asked too little: %v", outcomes)
 		}
-		w.waitForAllJobs(2 * time.Minute)
+		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -12,41 +12,41 @@
 )
 
 // requestOperations asks a controller as an operator does.
-func (w *simulatedCluster) requestOperations(who, label, path string) transport.Response {
-	w.mu.Lock()
-	n := w.controllers[label]
-	w.mu.Unlock()
+func (sim *simulatedCluster) requestOperations(who, label, path string) transport.Response {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	sim.mu.Unlock()
 	req := &transport.Request{Method: "GET", Path: path, From: "10.9.0.2:4000"}
 	if who != "" {
-		req.Authorization = w.identities.authorization(who)
+		req.Authorization = sim.identities.authorization(who)
 	}
-	return n.controller.ServeOperations(w.ctx, req)
+	return n.controller.ServeOperations(sim.ctx, req)
 }
 
 // Sums over all queues are for those who may view all of them.
 func TestOperationsRequireRightsOnAllQueues(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 5, func(w *simulatedCluster) {
-		w.expectStatus(200, w.requestOperations("person/root", "n0", "/overview"))
-		w.expectStatus(200, w.requestOperations("person/partner", "n0", "/metrics")) // a guest views everything
-		w.expectStatus(403, w.requestOperations("person/anna", "n0", "/overview"))   // one team's clerk
-		w.expectStatus(403, w.requestOperations("service/refunds", "n0", "/metrics"))
-		w.expectStatus(401, w.requestOperations("", "n0", "/overview"))
-		w.expectStatus(404, w.requestOperations("person/root", "n0", "/submissions"))
+	runSimulationWithIdentities(t, 5, func(sim *simulatedCluster) {
+		sim.expectStatus(200, sim.requestOperations("person/root", "n0", "/overview"))
+		sim.expectStatus(200, sim.requestOperations("person/partner", "n0", "/metrics")) // a guest views everything
+		sim.expectStatus(403, sim.requestOperations("person/anna", "n0", "/overview"))   // one team's clerk
+		sim.expectStatus(403, sim.requestOperations("service/refunds", "n0", "/metrics"))
+		sim.expectStatus(401, sim.requestOperations("", "n0", "/overview"))
+		sim.expectStatus(404, sim.requestOperations("person/root", "n0", "/submissions"))
 	})
 }
 
 // What is told is what is: jobs, machines, who owns, how long it took.
 func TestOverviewShowsTheClusterState(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 6, func(w *simulatedCluster) { w.operator.Operations = &settings.Operations{} }, func(w *simulatedCluster) {
+	runConfiguredSimulation(t, 6, func(sim *simulatedCluster) { sim.operator.Operations = &settings.Operations{} }, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		w.submit(newJobSpec("job-1", 6, "green"))
+		sim.submit(newJobSpec("job-1", 6, "green"))
 		time.Sleep(20 * time.Second)
 		var owned, tasks, machines int
-		for label := range w.controllers {
+		for label := range sim.controllers {
 			var v overview.View
-			panicOnError(protocol.Decode(w.expectStatus(200, w.requestOperations("", label, "/overview")).Body, &v))
+			panicOnError(protocol.Decode(sim.expectStatus(200, sim.requestOperations("", label, "/overview")).Body, &v))
 			if v.Controller != label || !v.Ready {
 				t.Errorf("%+v", v)
 			}
@@ -56,13 +56,13 @@
 				machines += p.Machines
 			}
 		}
-		w.mu.Lock()
-		parts := w.settings.Params.Count
-		w.mu.Unlock()
-		if owned != parts || machines == 0 || tasks > 6 {
-			t.Errorf("%d parts of %d, %d machines, %d tasks", owned, parts, machines, tasks)
+		sim.mu.Lock()
+		partitions := sim.settings.Params.Count
+		sim.mu.Unlock()
+		if owned != partitions || machines == 0 || tasks > 6 {
+			t.Errorf("%d parts of %d, %d machines, %d tasks", owned, partitions, machines, tasks)
 		}
-		body := string(w.requestOperations("", "n0", "/metrics").Body)
+		body := string(sim.requestOperations("", "n0", "/metrics").Body)
 		for _, want := range []string{"micaspindle_wait_seconds_bucket{what=\"submission\"", "micaspindle_part_machines", "micaspindle_ready 1"} {
 			if !strings.Contains(body, want) {
 				t.Errorf("%s is not told", want)
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -76,16 +76,16 @@
 // of a part are of one kind, so that the order among equals does not show.
 func describePlans(t *testing.T, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	w := newSimulatedCluster(t, 3)
-	w.settings.Label = "n0"
+	sim := newSimulatedCluster(t, 3)
+	sim.settings.Label = "n0"
 	op := settings.DefaultOperator()
 	ctx, cancel := context.WithCancel(context.Background())
-	c := newTestController(ctx, &w.settings, op)
+	c := newTestController(ctx, &sim.settings, op)
 	defer func() {
 		cancel()
 		c.loop.Abandon()
 	}()
-	c.SetCatalog(w.cloud.Types)
+	c.SetCatalog(sim.cloud.Types)
 	now := time.Now()
 	c.Synced, c.LeaseRenewedAt = true, now
 	for _, p := range c.Partitions {
@@ -110,7 +110,7 @@
 			m.Lost = rng.IntN(15) == 0
 		}
 	}
-	teams := w.settings.Params.Teams
+	teams := sim.settings.Params.Teams
 	add := func(n, from int) {
 		for i := range n {
 			s := newJobSpec(fmt.Sprintf("job-%d", from+i), 1+rng.IntN(12), teams[rng.IntN(len(teams))].Name)
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -14,10 +14,10 @@
 
 // newLeadingController makes a controller that owns every part, without a network.
 func newLeadingController(t testing.TB) (c *Controller, p *cluster.Partition) {
-	w := newSimulatedCluster(t, 1)
-	w.settings.Label = "n0"
-	c = newTestController(t.Context(), &w.settings, settings.DefaultOperator())
-	c.SetCatalog(w.cloud.Types)
+	sim := newSimulatedCluster(t, 1)
+	sim.settings.Label = "n0"
+	c = newTestController(t.Context(), &sim.settings, settings.DefaultOperator())
+	c.SetCatalog(sim.cloud.Types)
 	for _, p := range c.Partitions {
 		p.Leader, p.LeaseRevision, p.Held, p.Ready = "n0", 1, true, true
 	}
@@ -132,8 +132,8 @@
 // work saves and makes room.
 func TestPreemptionWithinATeamQuota(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 23, func(w *simulatedCluster) {
-		w.runTime = func(job string, _ int, _ string) time.Duration {
+	runSimulation(t, 23, func(sim *simulatedCluster) {
+		sim.runTime = func(job string, _ int, _ string) time.Duration {
 			if job == "job-1" {
 				return 2 * time.Minute
 			}
@@ -142,16 +142,16 @@
 		time.Sleep(2 * time.Second)
 		low := newJobSpec("job-1", 8, "red") // all of its 32 CPUs
 		low.EstimateS, low.DeadlineS, low.CheckpointS, low.SaveS = 120, 600, 5, 1
-		w.submit(low)
+		sim.submit(low)
 		time.Sleep(30 * time.Second)
 		high := newJobSpec("job-2", 2, "red")
 		high.Urgency, high.DeadlineS = protocol.High, 40
-		w.submit(high)
+		sim.submit(high)
 		time.Sleep(40 * time.Second)
-		if st := w.poll("", "job-2"); st != protocol.StatusDone {
+		if st := sim.poll("", "job-2"); st != protocol.StatusDone {
 			t.Errorf("urgent work is %q", st)
 		}
-		w.waitForAllJobs(10 * time.Minute)
+		sim.waitForAllJobs(10 * time.Minute)
 	})
 }
 
--- a/internal/coordination/random_meetings_test.go
+++ b/internal/coordination/random_meetings_test.go
@@ -83,10 +83,10 @@
 }
 
 // observe makes the world tell of writes.
-func (s *writeObserver) observe(w *simulatedCluster) {
+func (s *writeObserver) observe(sim *simulatedCluster) {
 	s.waiting = map[string]chan struct{}{}
-	check := w.state.BeforePut
-	w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
+	check := sim.state.BeforePut
+	sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 		check(c, old, exists)
 		if ch := s.waiting[writeKind(c.Put)]; ch != nil {
 			close(ch)
@@ -104,10 +104,10 @@
 }
 
 // selectMachines picks every nth of the machines that are up.
-func (w *simulatedCluster) selectMachines(m plannedFault) (names []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, name := range slices.Sorted(maps.Keys(w.workers)) {
+func (sim *simulatedCluster) selectMachines(m plannedFault) (names []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for i, name := range slices.Sorted(maps.Keys(sim.workers)) {
 		if float64((i*37+m.Arg)%100) < 100*m.Share {
 			names = append(names, name)
 		}
@@ -116,53 +116,53 @@
 }
 
 // withLock runs something with the world's lock held.
-func (w *simulatedCluster) withLock(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulatedCluster) withLock(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	f()
 }
 
 // restartController ends a controller and starts it again.
-func (w *simulatedCluster) restartController(label string, away time.Duration) {
-	w.mu.Lock()
-	n := w.controllers[label]
-	delete(w.controllers, label)
-	w.mu.Unlock()
+func (sim *simulatedCluster) restartController(label string, away time.Duration) {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	delete(sim.controllers, label)
+	sim.mu.Unlock()
 	if n == nil {
 		return
 	}
 	n.cancel()
 	<-n.done
 	time.Sleep(away)
-	w.startController(label)
+	sim.startController(label)
 }
 
 // injectAtTrigger waits for a trouble's moment, lets it happen and ends it.
-func (w *simulatedCluster) injectAtTrigger(m plannedFault, begun time.Time, patience time.Duration) {
+func (sim *simulatedCluster) injectAtTrigger(m plannedFault, begun time.Time, patience time.Duration) {
 	time.Sleep(time.Until(begun.Add(m.At)))
 	if m.OnWrite != "" {
 		var next chan struct{}
-		w.withLock(func() { next = w.writes.nextWrite(m.OnWrite) })
+		sim.withLock(func() { next = sim.writes.nextWrite(m.OnWrite) })
 		select {
 		case <-next:
 		case <-time.After(patience):
 		}
 	}
-	w.inject(m)
+	sim.inject(m)
 }
 
 // inject lets a trouble happen and ends it.
-func (w *simulatedCluster) inject(m plannedFault) {
+func (sim *simulatedCluster) inject(m plannedFault) {
 	label := fmt.Sprint("n", m.Arg%3)
 	back := []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[m.Arg/3%3]
 	// during sets something for the trouble's time.
 	during := func(set func(on bool)) {
-		w.withLock(func() { set(true) })
+		sim.withLock(func() { set(true) })
 		time.Sleep(m.For)
-		w.withLock(func() { set(false) })
+		sim.withLock(func() { set(false) })
 	}
 	mark := func(marked *map[string]bool) {
-		names := w.selectMachines(m)
+		names := sim.selectMachines(m)
 		during(func(on bool) {
 			if *marked == nil {
 				*marked = map[string]bool{}
@@ -173,43 +173,43 @@
 		})
 	}
 	cut := func(what func(from, host string) bool) {
-		id := w.cuts.add(w, what)
+		id := sim.cuts.add(sim, what)
 		time.Sleep(m.For)
-		w.cuts.end(w, id)
+		sim.cuts.end(sim, id)
 	}
 	node := func(s string) bool { return len(s) == 2 && s[0] == 'n' }
 	switch m.Kind {
 	case "late writes", "lost answers":
 		during(func(on bool) {
-			w.lateTransactionShare, w.loseAnswersOnly = 0, false
+			sim.lateTransactionShare, sim.loseAnswersOnly = 0, false
 			if on {
-				w.lateTransactionShare, w.loseAnswersOnly = m.Share, m.Kind == "lost answers"
+				sim.lateTransactionShare, sim.loseAnswersOnly = m.Share, m.Kind == "lost answers"
 			}
 		})
 	case "late reports", "old reports":
 		during(func(on bool) {
-			w.duplicatedHeartbeatShare, w.keepForReplay = 0, false
+			sim.duplicatedHeartbeatShare, sim.keepForReplay = 0, false
 			if on {
-				w.duplicatedHeartbeatShare, w.keepForReplay = m.Share, m.Kind == "old reports"
+				sim.duplicatedHeartbeatShare, sim.keepForReplay = m.Share, m.Kind == "old reports"
 			}
 		})
 		if m.Kind == "old reports" {
 			var next chan struct{}
-			w.withLock(func() { next = w.writes.nextWrite("claim") })
+			sim.withLock(func() { next = sim.writes.nextWrite("claim") })
 			select {
 			case <-next:
 			case <-time.After(15 * time.Second):
 			}
-			w.replayHeartbeats()
+			sim.replayHeartbeats()
 		}
 	case "deaf":
-		mark(&w.inboundLost)
+		mark(&sim.inboundLost)
 	case "mute":
-		mark(&w.outboundLost)
+		mark(&sim.outboundLost)
 	case "refused":
-		w.setStateServiceRefusal(label, true)
+		sim.setStateServiceRefusal(label, true)
 		time.Sleep(m.For)
-		w.setStateServiceRefusal(label, false)
+		sim.setStateServiceRefusal(label, false)
 	case "cut from all but workers":
 		cut(func(from, host string) bool {
 			return from == label && (host == "state" || node(host)) || host == label && node(from)
@@ -221,64 +221,64 @@
 	case "zone cut":
 		zone := []string{"a", "b"}[m.Arg%2]
 		inside := map[string]bool{}
-		w.withLock(func() {
-			for name, wk := range w.workers {
-				inside[name] = wk.Zone == zone
+		sim.withLock(func() {
+			for name, agent := range sim.workers {
+				inside[name] = agent.Zone == zone
 			}
 		})
 		cut(func(from, host string) bool {
 			return from != label && inside[host] || from == label && strings.HasPrefix(host, "m-") && !inside[host]
 		})
 	case "outage":
-		w.setOutage(true)
+		sim.setOutage(true)
 		time.Sleep(m.For * 2)
-		w.setOutage(false)
+		sim.setOutage(false)
 	case "watches stuck":
-		during(func(on bool) { w.state.Stuck = on })
+		during(func(on bool) { sim.state.Stuck = on })
 	case "crash":
-		w.restartController(label, back)
+		sim.restartController(label, back)
 	case "crash of all", "away":
 		if m.Kind == "away" {
-			back = time.Duration(w.settings.Params.Workers.LeaseS+2) * time.Second
+			back = time.Duration(sim.settings.Params.Workers.LeaseS+2) * time.Second
 		}
 		done := make(chan struct{}, 3)
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.group.Go(func() { w.restartController(l, back); done <- struct{}{} })
+			sim.group.Go(func() { sim.restartController(l, back); done <- struct{}{} })
 		}
 		for range 3 {
 			<-done
 		}
 	case "still":
-		w.pauseController(label, min(m.For, 12*time.Second))
+		sim.pauseController(label, min(m.For, 12*time.Second))
 	case "hand-over":
-		w.mu.Lock()
-		n := w.controllers[label]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		n := sim.controllers[label]
+		sim.mu.Unlock()
 		if n != nil {
-			n.controller.HandOver(w.ctx)
-			w.restartController(label, back)
+			n.controller.HandOver(sim.ctx)
+			sim.restartController(label, back)
 		}
 	case "hang":
-		for _, name := range w.selectMachines(m) {
-			w.hangMachine(name, m.For)
+		for _, name := range sim.selectMachines(m) {
+			sim.hangMachine(name, m.For)
 		}
 		time.Sleep(m.For)
 	case "die":
-		for i, name := range w.selectMachines(m) {
+		for i, name := range sim.selectMachines(m) {
 			if i < 3 {
-				w.withLock(func() {
-					if wk := w.workers[name]; wk != nil {
-						wk.Off()
-						delete(w.workers, name)
+				sim.withLock(func() {
+					if agent := sim.workers[name]; agent != nil {
+						agent.Off()
+						delete(sim.workers, name)
 					}
 				})
 			}
 		}
 	case "cancel now":
 		var ids []string
-		w.withLock(func() {
-			for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-				if uj := w.jobs[id]; !uj.acceptedAt.IsZero() && uj.finalStatus == "" && !uj.cancelRequested && len(w.machinesRunning(id)) > 0 {
+		sim.withLock(func() {
+			for _, id := range slices.Sorted(maps.Keys(sim.jobs)) {
+				if submitted := sim.jobs[id]; !submitted.acceptedAt.IsZero() && submitted.finalStatus == "" && !submitted.cancelRequested && len(sim.machinesRunning(id)) > 0 {
 					ids = append(ids, id)
 				}
 			}
@@ -288,38 +288,38 @@
 				continue
 			}
 			var on []string
-			w.withLock(func() { on = w.machinesRunning(id) })
-			w.group.Go(func() { w.cancelUntilAnswered(id, m.Arg+i) })
+			sim.withLock(func() { on = sim.machinesRunning(id) })
+			sim.group.Go(func() { sim.cancelUntilAnswered(id, m.Arg+i) })
 			if m.Arg%2 == 0 {
 				for _, name := range on {
-					w.hangMachine(name, m.For)
+					sim.hangMachine(name, m.For)
 				}
 			}
 		}
 	case "cancel at end":
 		during(func(on bool) {
-			w.cancelAtEnd = nil
+			sim.cancelAtEnd = nil
 			if on {
-				w.cancelAtEnd = func(job string) bool { return len(job)%2 == m.Arg%2 }
+				sim.cancelAtEnd = func(job string) bool { return len(job)%2 == m.Arg%2 }
 			}
 		})
 	case "lost messages":
 		during(func(on bool) {
-			w.messageFaultRate = 0
+			sim.messageFaultRate = 0
 			if on {
-				w.messageFaultRate = 0.05
+				sim.messageFaultRate = 0.05
 			}
 		})
 	case "late commands", "lost command answers":
 		during(func(on bool) {
-			if w.delayedCommands = nil; on {
-				w.delayedCommands = &commandDelayFault{share: m.Share, loseAnswersOnly: m.Kind == "lost command answers"}
+			if sim.delayedCommands = nil; on {
+				sim.delayedCommands = &commandDelayFault{share: m.Share, loseAnswersOnly: m.Kind == "lost command answers"}
 			}
 		})
 	case "slow links":
 		during(func(on bool) {
-			if w.linkDelayMax = 0; on {
-				w.linkDelayMax = 700 * time.Millisecond
+			if sim.linkDelayMax = 0; on {
+				sim.linkDelayMax = 700 * time.Millisecond
 			}
 		})
 	case "cloud down":
@@ -330,42 +330,42 @@
 }
 
 // cancelUntilAnswered withdraws a job at one controller after another until it is answered.
-func (w *simulatedCluster) cancelUntilAnswered(id string, first int) {
+func (sim *simulatedCluster) cancelUntilAnswered(id string, first int) {
 	for i := range 120 {
-		if w.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
+		if sim.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
 			return
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-w.ctx.Done():
+		case <-sim.ctx.Done():
 			return
 		}
 	}
-	w.withLock(func() { w.recordViolation("withdrawal of %s was never answered", id) })
+	sim.withLock(func() { sim.recordViolation("withdrawal of %s was never answered", id) })
 }
 
 // runFaultPlan plays a plan beside users who submit, ask and withdraw.
-func runFaultPlan(w *simulatedCluster, seed uint64, plan []plannedFault) {
+func runFaultPlan(sim *simulatedCluster, seed uint64, plan []plannedFault) {
 	rng := rand.New(rand.NewPCG(seed, 78))
 	time.Sleep(2 * time.Second)
-	w.withLock(func() {
-		w.writes.observe(w)
-		w.runTime = func(job string, task int, _ string) time.Duration {
+	sim.withLock(func() {
+		sim.writes.observe(sim)
+		sim.runTime = func(job string, task int, _ string) time.Duration {
 			return time.Duration(3+(len(job)*7+task*5+int(job[len(job)-1]))%30) * time.Second
 		}
 	})
 	begun := time.Now()
 	over := make(chan struct{}, len(plan))
 	for _, m := range plan {
-		w.group.Go(func() {
+		sim.group.Go(func() {
 			defer func() { over <- struct{}{} }()
-			w.injectAtTrigger(m, begun, 5*time.Second)
+			sim.injectAtTrigger(m, begun, 5*time.Second)
 		})
 	}
 	var ids []string
 	for i := range 40 {
 		time.Sleep(time.Duration(500+rng.IntN(4500)) * time.Millisecond)
-		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+rng.IntN(w.jobTasksMax), []string{"red", "blue", "green"}[rng.IntN(3)])
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+rng.IntN(sim.jobTasksMax), []string{"red", "blue", "green"}[rng.IntN(3)])
 		s.Urgency = protocol.Urgency(rng.IntN(4))
 		switch rng.IntN(8) {
 		case 0:
@@ -384,35 +384,35 @@
 		late := rng.IntN(4) == 0
 		after := time.Duration(rng.IntN(9000)) * time.Millisecond
 		ids = append(ids, s.ID)
-		w.withLock(func() { w.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
-		w.group.Go(func() {
-			w.submitUntilAccepted(s, first)
+		sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+		sim.group.Go(func() {
+			sim.submitUntilAccepted(s, first)
 			if late {
 				time.Sleep(after)
-				w.cancelUntilAnswered(s.ID, first+1)
+				sim.cancelUntilAnswered(s.ID, first+1)
 			}
 		})
 	}
 	for range plan {
 		<-over
 	}
-	w.withLock(func() {
-		w.lateTransactionShare, w.duplicatedHeartbeatShare, w.messageFaultRate, w.cancelAtEnd, w.delayedCommands, w.linkDelayMax = 0, 0, 0, nil, nil, 0
+	sim.withLock(func() {
+		sim.lateTransactionShare, sim.duplicatedHeartbeatShare, sim.messageFaultRate, sim.cancelAtEnd, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, nil, 0
 	})
 	// More work may be waiting than five minutes take, behind a team's limit say; but as
 	// long as any waits, some of it must end.
 	for ended := -1; ; {
-		now := w.countFinishedTasks()
+		now := sim.countFinishedTasks()
 		if now == ended {
 			break
 		}
 		ended = now
 		time.Sleep(longestTaskRunTime + startedWithin)
 	}
-	w.waitForAllJobs(time.Minute)
+	sim.waitForAllJobs(time.Minute)
 	for _, id := range ids {
 		for _, l := range []string{"n0", "n1", "n2"} {
-			w.poll(l, id)
+			sim.poll(l, id)
 		}
 	}
 }
@@ -421,11 +421,11 @@
 const longestTaskRunTime = 33 * time.Second
 
 // countFinishedTasks is how many tasks are done, or over with their cancelled jobs.
-func (w *simulatedCluster) countFinishedTasks() (n int) {
-	w.withLock(func() {
-		for _, uj := range w.jobs {
-			if n += len(uj.tasksDone); uj.finalStatus == protocol.StatusWithdrawn {
-				n += uj.spec.Tasks - len(uj.tasksDone)
+func (sim *simulatedCluster) countFinishedTasks() (n int) {
+	sim.withLock(func() {
+		for _, submitted := range sim.jobs {
+			if n += len(submitted.tasksDone); submitted.finalStatus == protocol.StatusWithdrawn {
+				n += submitted.spec.Tasks - len(submitted.tasksDone)
 			}
 		}
 	})
@@ -433,25 +433,25 @@
 }
 
 // submitUntilAccepted submits a job at one controller after another until it is accepted.
-func (w *simulatedCluster) submitUntilAccepted(s *protocol.JobSpec, first int) {
+func (sim *simulatedCluster) submitUntilAccepted(s *protocol.JobSpec, first int) {
 	for i := range 120 {
-		resp := w.sendRequest(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", encodeSubmission(s))
+		resp := sim.sendRequest(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", encodeSubmission(s))
 		switch resp.Status {
 		case 200, 201:
-			w.withLock(func() {
-				if uj := w.jobs[s.ID]; uj.acceptedAt.IsZero() {
-					uj.acceptedAt = time.Now()
+			sim.withLock(func() {
+				if submitted := sim.jobs[s.ID]; submitted.acceptedAt.IsZero() {
+					submitted.acceptedAt = time.Now()
 				}
 			})
 			return
 		case 400:
-			w.withLock(func() { w.recordViolation("submission of %s got 400", s.ID) })
+			sim.withLock(func() { sim.recordViolation("submission of %s got 400", s.ID) })
 			return
 		case 422: // what it depends on was never accepted yet
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-w.ctx.Done():
+		case <-sim.ctx.Done():
 			return
 		}
 	}
@@ -463,12 +463,12 @@
 	active map[int]func(from, host string) bool
 }
 
-func (c *networkCuts) add(w *simulatedCluster, what func(from, host string) bool) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *networkCuts) add(sim *simulatedCluster, what func(from, host string) bool) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	if c.active == nil {
 		c.active = map[int]func(from, host string) bool{}
-		w.cut = func(from, host string) bool {
+		sim.cut = func(from, host string) bool {
 			for _, f := range c.active {
 				if f(from, host) {
 					return true
@@ -482,9 +482,9 @@
 	return c.lastID
 }
 
-func (c *networkCuts) end(w *simulatedCluster, id int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *networkCuts) end(sim *simulatedCluster, id int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	delete(c.active, id)
 }
 
@@ -504,20 +504,20 @@
 // clusterVariant is the world that a meeting takes place in: a small one, one whose owners let
 // others carry their machines' connections, one with many machines, and one in which a
 // controller is of a version that knows neither copies, shares nor cancellation notices.
-func clusterVariant(seed uint64) func(w *simulatedCluster) {
-	return func(w *simulatedCluster) {
-		announceLowerLimits(w)
-		w.cloud.Capacity, w.jobTasksMax = 16, 4
+func clusterVariant(seed uint64) func(sim *simulatedCluster) {
+	return func(sim *simulatedCluster) {
+		announceLowerLimits(sim)
+		sim.cloud.Capacity, sim.jobTasksMax = 16, 4
 		switch seed % 4 {
 		case 1:
-			configureFewSockets(w)
-			w.jobTasksMax = 8
+			configureFewSockets(sim)
+			sim.jobTasksMax = 8
 		case 2:
-			w.cloud.Capacity, w.jobTasksMax = 90, 60
-			w.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 120}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
-			w.settings.Params.State.RPS, w.settings.Params.State.WriteRPS = 600, 200
+			sim.cloud.Capacity, sim.jobTasksMax = 90, 60
+			sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 120}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
+			sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 		case 3:
-			w.oldVersions = map[string]bool{"n1": true}
+			sim.oldVersions = map[string]bool{"n1": true}
 		}
 	}
 }
@@ -562,7 +562,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			plan := withoutFaults(drawFaultPlan(seed), excludedFaults())
-			runConfiguredSimulation(t, 20_000+seed, clusterVariant(seed), func(w *simulatedCluster) { runFaultPlan(w, seed, plan) })
+			runConfiguredSimulation(t, 20_000+seed, clusterVariant(seed), func(sim *simulatedCluster) { runFaultPlan(sim, seed, plan) })
 			if t.Failed() {
 				if os.Getenv("MICASPINDLE_MEETINGS_SHRINK") != "" {
 					plan = minimizePlan(t, plan)
--- a/internal/coordination/settled_test.go
+++ b/internal/coordination/settled_test.go
@@ -20,39 +20,39 @@
 )
 
 // clearFaults ends whatever a test has left, and starts the controllers that are away.
-func (w *simulatedCluster) clearFaults() {
-	w.setOutage(false)
-	w.withLock(func() {
-		w.state.Refused, w.state.Stuck = nil, false
-		w.cut, w.cuts, w.onRequest, w.onResponse, w.interceptCommands = nil, networkCuts{}, nil, nil, nil
-		w.messageFaultRate, w.lateTransactionShare, w.duplicatedHeartbeatShare, w.delayedCommands, w.linkDelayMax = 0, 0, 0, nil, 0
-		w.inboundLost, w.outboundLost, w.suppressNotices, w.cancelAtEnd = nil, nil, false, nil
-		for _, wk := range w.workers {
-			wk.Hung = false
+func (sim *simulatedCluster) clearFaults() {
+	sim.setOutage(false)
+	sim.withLock(func() {
+		sim.state.Refused, sim.state.Stuck = nil, false
+		sim.cut, sim.cuts, sim.onRequest, sim.onResponse, sim.interceptCommands = nil, networkCuts{}, nil, nil, nil
+		sim.messageFaultRate, sim.lateTransactionShare, sim.duplicatedHeartbeatShare, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, 0
+		sim.inboundLost, sim.outboundLost, sim.suppressNotices, sim.cancelAtEnd = nil, nil, false, nil
+		for _, agent := range sim.workers {
+			agent.Hung = false
 		}
 	})
-	w.startMissingControllers()
+	sim.startMissingControllers()
 }
 
 // startMissingControllers starts the controllers that are away.
-func (w *simulatedCluster) startMissingControllers() {
+func (sim *simulatedCluster) startMissingControllers() {
 	for _, l := range []string{"n0", "n1", "n2"} {
-		w.mu.Lock()
-		away := w.controllers[l] == nil
-		w.mu.Unlock()
+		sim.mu.Lock()
+		away := sim.controllers[l] == nil
+		sim.mu.Unlock()
 		if away {
-			w.startController(l)
+			sim.startController(l)
 		}
 	}
 }
 
 // checkLiveness checks what must hold once the troubles are over.
-func (w *simulatedCluster) checkLiveness() {
-	w.clearFaults()
+func (sim *simulatedCluster) checkLiveness() {
+	sim.clearFaults()
 	begun := time.Now()
 	open := map[string]bool{}
-	if w.identities == nil { // else only those who may look are answered
-		for _, id := range w.acceptedJobs() {
+	if sim.identities == nil { // else only those who may look are answered
+		for _, id := range sim.acceptedJobs() {
 			open[id] = true
 		}
 	}
@@ -60,15 +60,15 @@
 	for {
 		now := time.Now()
 		for _, id := range slices.Sorted(maps.Keys(open)) {
-			if w.poll("", id) != "" {
+			if sim.poll("", id) != "" {
 				delete(open, id)
 			} else if now.Sub(begun) > answeredWithin {
-				w.t.Errorf("forgotten: no question about %s is answered for %s", id, answeredWithin)
+				sim.t.Errorf("forgotten: no question about %s is answered for %s", id, answeredWithin)
 				delete(open, id)
 			}
 		}
-		w.withLock(func() {
-			still := w.jobsWaitingDespiteRoom()
+		sim.withLock(func() {
+			still := sim.jobsWaitingDespiteRoom()
 			maps.DeleteFunc(since, func(wt starvedJob, _ time.Time) bool { return !still[wt] })
 			for wt := range still {
 				if since[wt].IsZero() {
@@ -78,7 +78,7 @@
 		})
 		for wt, at := range since {
 			if now.Sub(at) > startedWithin {
-				w.t.Errorf("%s waits for %s while %s has room", wt.job, now.Sub(at), wt.machine)
+				sim.t.Errorf("%s waits for %s while %s has room", wt.job, now.Sub(at), wt.machine)
 				return
 			}
 		}
@@ -90,11 +90,11 @@
 }
 
 // acceptedJobs lists the jobs that were accepted.
-func (w *simulatedCluster) acceptedJobs() (ids []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-		if !w.jobs[id].acceptedAt.IsZero() {
+func (sim *simulatedCluster) acceptedJobs() (ids []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, id := range slices.Sorted(maps.Keys(sim.jobs)) {
+		if !sim.jobs[id].acceptedAt.IsZero() {
 			ids = append(ids, id)
 		}
 	}
@@ -110,43 +110,43 @@
 }
 
 // jobsWaitingDespiteRoom lists what waits though there is room. The lock is held.
-func (w *simulatedCluster) jobsWaitingDespiteRoom() map[starvedJob]bool {
+func (sim *simulatedCluster) jobsWaitingDespiteRoom() map[starvedJob]bool {
 	list := map[starvedJob]bool{}
-	if w.fails != nil {
+	if sim.fails != nil {
 		return list // who fails is held back
 	}
-	names := slices.Sorted(maps.Keys(w.workers))
+	names := slices.Sorted(maps.Keys(sim.workers))
 	used := map[string]float64{}
 	perZone := map[string]map[string]int{} // by job, how many of its tasks are in each zone
 	free := make([]resources, len(names))
 	for i, name := range names {
-		wk := w.workers[name]
-		free[i] = w.machineResources(wk.Type)
-		for _, t := range wk.Tasks {
+		agent := sim.workers[name]
+		free[i] = sim.machineResources(agent.Type)
+		for _, t := range agent.Tasks {
 			if t.State == protocol.TaskEnded {
 				continue
 			}
-			s := w.jobs[t.Job].spec
+			s := sim.jobs[t.Job].spec
 			used[s.Team] += s.CPUs
 			free[i].subtract(s)
 			if perZone[t.Job] == nil {
 				perZone[t.Job] = map[string]int{}
 			}
-			perZone[t.Job][wk.Zone]++
+			perZone[t.Job][agent.Zone]++
 		}
 	}
-	for id, uj := range w.jobs {
-		s := uj.spec
-		come := len(uj.tasksDone)
+	for id, submitted := range sim.jobs {
+		s := submitted.spec
+		come := len(submitted.tasksDone)
 		for _, n := range perZone[id] {
 			come += n
 		}
-		if uj.acceptedAt.IsZero() || uj.cancelRequested || uj.finalStatus != "" || come >= s.Tasks || !w.dependenciesDone(uj) || !w.withinTeamLimit(s, used[s.Team]) {
+		if submitted.acceptedAt.IsZero() || submitted.cancelRequested || submitted.finalStatus != "" || come >= s.Tasks || !sim.dependenciesDone(submitted) || !sim.withinTeamLimit(s, used[s.Team]) {
 			continue
 		}
 		places, machines := 0, ""
 		for i, name := range names {
-			n := freeSlots(w.workers[name], free[i], s, perZone[id])
+			n := freeSlots(sim.workers[name], free[i], s, perZone[id])
 			if places += n; n == 0 {
 				continue
 			}
@@ -162,9 +162,9 @@
 }
 
 // dependenciesDone says whether all that a job needs is done. The lock is held.
-func (w *simulatedCluster) dependenciesDone(uj *submittedJob) bool {
-	for _, dep := range uj.spec.Dependencies {
-		if dj := w.jobs[dep]; dj == nil || len(dj.tasksDone) < dj.spec.Tasks {
+func (sim *simulatedCluster) dependenciesDone(submitted *submittedJob) bool {
+	for _, dep := range submitted.spec.Dependencies {
+		if dependency := sim.jobs[dep]; dependency == nil || len(dependency.tasksDone) < dependency.spec.Tasks {
 			return false
 		}
 	}
@@ -173,12 +173,12 @@
 
 // withinTeamLimit says whether a team that uses so much has room for one more task, of a gang or
 // a service for all.
-func (w *simulatedCluster) withinTeamLimit(s *protocol.JobSpec, used float64) bool {
+func (sim *simulatedCluster) withinTeamLimit(s *protocol.JobSpec, used float64) bool {
 	tasks := 1
 	if s.Gang || s.Standing {
 		tasks = s.Tasks
 	}
-	for _, team := range w.settings.Params.Teams {
+	for _, team := range sim.settings.Params.Teams {
 		if team.Name == s.Team && team.CPUsMax > 0 && used+s.CPUs*float64(tasks) > team.CPUsMax {
 			return false
 		}
@@ -190,8 +190,8 @@
 type resources struct{ cpus, memGB, gpus float64 }
 
 // machineResources is what a machine of a type has; nothing if there is no such type.
-func (w *simulatedCluster) machineResources(machineType string) resources {
-	for _, mt := range w.cloud.Types {
+func (sim *simulatedCluster) machineResources(machineType string) resources {
+	for _, mt := range sim.cloud.Types {
 		if mt.Name == machineType {
 			return resources{mt.CPUs, mt.MemGB, mt.GPUs}
 		}
@@ -206,17 +206,17 @@
 
 // freeSlots is how many tasks of a job a machine has room for, of which so much is free;
 // inZone is how many of the job's tasks are in each zone.
-func freeSlots(wk *worker.Worker, free resources, s *protocol.JobSpec, inZone map[string]int) int {
-	if wk.Dead || wk.Hung || wk.Notice != nil || wk.Spot && !s.Spot || s.Zone != "" && s.Zone != wk.Zone ||
-		len(s.Types) > 0 && !slices.Contains(s.Types, wk.Type) {
+func freeSlots(agent *worker.Worker, free resources, s *protocol.JobSpec, inZone map[string]int) int {
+	if agent.Dead || agent.Hung || agent.Notice != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
+		len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) {
 		return 0
 	}
 	for zone := range inZone {
-		if s.OneZone && zone != wk.Zone {
+		if s.OneZone && zone != agent.Zone {
 			return 0
 		}
 	}
-	if s.Spread && inZone[wk.Zone] >= (s.Tasks+1)/2 {
+	if s.Spread && inZone[agent.Zone] >= (s.Tasks+1)/2 {
 		return 0
 	}
 	n := min(free.cpus/s.CPUs, free.memGB/s.MemGB)
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -19,34 +19,34 @@
 )
 
 // configureLongJobs fills the world's machines with long work of all teams.
-func configureLongJobs(w *simulatedCluster) {
-	w.cloud.Capacity = 30
-	w.settings.Params.Teams[0].CPUsMax, w.settings.Params.Teams[1].CPUsMax = 0, 0
-	w.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+func configureLongJobs(sim *simulatedCluster) {
+	sim.cloud.Capacity = 30
+	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
+	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
 // submitLongJobs submits work that keeps all machines, and waits until it runs.
-func (w *simulatedCluster) submitLongJobs() {
+func (sim *simulatedCluster) submitLongJobs() {
 	time.Sleep(2 * time.Second)
 	for i, team := range []string{"red", "blue", "green"} {
 		s := newJobSpec(fmt.Sprintf("job-%d", i), 16, team)
 		s.EstimateS, s.DeadlineS, s.Spot = 600, 0, false
-		w.submit(s)
+		sim.submit(s)
 	}
 	time.Sleep(30 * time.Second)
 }
 
 // leaderOf tells which controller decides over a part with machines, "" if none does.
-func (w *simulatedCluster) leaderOf(part int) string {
+func (sim *simulatedCluster) leaderOf(partition int) string {
 	for _, label := range []string{"n0", "n1", "n2"} {
-		w.mu.Lock()
-		n := w.controllers[label]
-		w.mu.Unlock()
-		owner := false
+		sim.mu.Lock()
+		n := sim.controllers[label]
+		sim.mu.Unlock()
+		leader := false
 		if n != nil {
-			n.controller.loop.Do(func() { owner = n.controller.Partitions[part].Held && n.controller.Partitions[part].Ready })
+			n.controller.loop.Do(func() { leader = n.controller.Partitions[partition].Held && n.controller.Partitions[partition].Ready })
 		}
-		if owner {
+		if leader {
 			return label
 		}
 	}
@@ -59,23 +59,23 @@
 	t.Parallel()
 	var took []time.Duration
 	for seed := range uint64(8) {
-		runConfiguredSimulation(t, 500+seed, configureLongJobs, func(w *simulatedCluster) {
-			w.submitLongJobs()
+		runConfiguredSimulation(t, 500+seed, configureLongJobs, func(sim *simulatedCluster) {
+			sim.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 130 * time.Millisecond)
-			lost := w.leaderOf(0)
+			lost := sim.leaderOf(0)
 			begun := time.Now()
-			w.killController(lost)
-			for w.leaderOf(0) == "" && time.Since(begun) < 10*time.Second {
+			sim.killController(lost)
+			for sim.leaderOf(0) == "" && time.Since(begun) < 10*time.Second {
 				time.Sleep(20 * time.Millisecond)
 			}
 			took = append(took, time.Since(begun))
 			time.Sleep(3 * time.Second)
-			w.startController(lost)
+			sim.startController(lost)
 			time.Sleep(5 * time.Second)
 			for i := range 3 {
-				w.cancelJob(fmt.Sprintf("job-%d", i))
+				sim.cancelJob(fmt.Sprintf("job-%d", i))
 			}
-			w.waitForAllJobs(time.Minute)
+			sim.waitForAllJobs(time.Minute)
 		})
 	}
 	slices.Sort(took)
@@ -95,7 +95,7 @@
 	for name, c := range map[string]struct {
 		cut  func(from, host string) bool
 		last time.Duration
-		late func(w *simulatedCluster, host string) time.Duration
+		late func(sim *simulatedCluster, host string) time.Duration
 	}{
 		"peers refuse": {func(from, host string) bool { return node(host) }, 20 * time.Second, nil},
 		"its workers go astray": {func(from, host string) bool {
@@ -108,10 +108,10 @@
 			}
 			return 0
 		}},
-		"packets are lost": {nil, 20 * time.Second, func(w *simulatedCluster, _ string) time.Duration {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if w.rng.IntN(50) == 0 {
+		"packets are lost": {nil, 20 * time.Second, func(sim *simulatedCluster, _ string) time.Duration {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
+			if sim.rng.IntN(50) == 0 {
 				return time.Second
 			}
 			return 0
@@ -119,39 +119,39 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 520, configureLongJobs, func(w *simulatedCluster) {
-				w.submitLongJobs()
-				claims := func() string {
-					w.mu.Lock()
-					defer w.mu.Unlock()
+			runConfiguredSimulation(t, 520, configureLongJobs, func(sim *simulatedCluster) {
+				sim.submitLongJobs()
+				leaseVersions := func() string {
+					sim.mu.Lock()
+					defer sim.mu.Unlock()
 					all := ""
 					for p := range 3 {
-						all += fmt.Sprint(w.state.Items[storage.LeaseKey(p)].Version, " ")
+						all += fmt.Sprint(sim.state.Items[storage.LeaseKey(p)].Version, " ")
 					}
 					return all
 				}
-				before := claims()
-				w.mu.Lock()
-				w.cut = c.cut
+				before := leaseVersions()
+				sim.mu.Lock()
+				sim.cut = c.cut
 				if c.late != nil {
-					w.onRequest = func(_, host, _ string, _ []byte) bool {
-						time.Sleep(c.late(w, host))
+					sim.onRequest = func(_, host, _ string, _ []byte) bool {
+						time.Sleep(c.late(sim, host))
 						return false
 					}
 				}
-				w.mu.Unlock()
+				sim.mu.Unlock()
 				time.Sleep(c.last)
-				w.mu.Lock()
-				w.cut, w.onRequest = nil, nil
-				w.mu.Unlock()
+				sim.mu.Lock()
+				sim.cut, sim.onRequest = nil, nil
+				sim.mu.Unlock()
 				time.Sleep(5 * time.Second)
-				if now := claims(); now != before {
+				if now := leaseVersions(); now != before {
 					t.Errorf("claims %s, then %s", before, now)
 				}
 				for i := range 3 {
-					w.cancelJob(fmt.Sprintf("job-%d", i))
+					sim.cancelJob(fmt.Sprintf("job-%d", i))
 				}
-				w.waitForAllJobs(time.Minute)
+				sim.waitForAllJobs(time.Minute)
 			})
 		})
 	}
@@ -164,14 +164,14 @@
 	for _, back := range []bool{true, false} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
 			t.Parallel()
-			runConfiguredSimulation(t, 530, configureLongJobs, func(w *simulatedCluster) {
-				w.submitLongJobs()
-				lost := w.leaderOf(0)
-				w.mu.Lock()
+			runConfiguredSimulation(t, 530, configureLongJobs, func(sim *simulatedCluster) {
+				sim.submitLongJobs()
+				lost := sim.leaderOf(0)
+				sim.mu.Lock()
 				fallen := ""
 				for _, label := range []string{"n0", "n1", "n2"} {
-					if n := w.controllers[label]; label == lost {
-						w.mu.Unlock()
+					if n := sim.controllers[label]; label == lost {
+						sim.mu.Unlock()
 						n.controller.loop.Do(func() {
 							for name, m := range n.controller.Machines {
 								if m.Record.Partition == 0 && len(m.Attempts) > 0 && (fallen == "" || name < fallen) {
@@ -179,24 +179,24 @@
 								}
 							}
 						})
-						w.mu.Lock()
+						sim.mu.Lock()
 					}
 				}
-				w.workers[fallen].Hung = true
-				w.mu.Unlock()
+				sim.workers[fallen].Hung = true
+				sim.mu.Unlock()
 				begun := time.Now()
-				w.killController(lost)
+				sim.killController(lost)
 				time.Sleep(3 * time.Second)
 				if back {
-					w.startController(lost)
+					sim.startController(lost)
 				}
 				took := time.Duration(0)
 				for took == 0 && time.Since(begun) < time.Minute {
 					time.Sleep(100 * time.Millisecond)
-					label := w.leaderOf(0)
-					w.mu.Lock()
-					n := w.controllers[label]
-					w.mu.Unlock()
+					label := sim.leaderOf(0)
+					sim.mu.Lock()
+					n := sim.controllers[label]
+					sim.mu.Unlock()
 					if n != nil {
 						n.controller.loop.Do(func() {
 							if m := n.controller.Machines[fallen]; m == nil || m.Lost {
@@ -205,18 +205,18 @@
 						})
 					}
 				}
-				lease, bound := w.settings.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
+				lease, bound := sim.settings.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
 				t.Logf("counted as lost after %s", took)
 				if s := took.Seconds(); s < lease || back && s > 3+lease+4 || !back && s < bound+lease {
 					t.Errorf("counted as lost after %s", took)
 				}
 				for i := range 3 {
-					w.cancelJob(fmt.Sprintf("job-%d", i))
+					sim.cancelJob(fmt.Sprintf("job-%d", i))
 				}
-				w.mu.Lock()
-				w.workers[fallen].Hung = false
-				w.mu.Unlock()
-				w.waitForAllJobs(time.Minute)
+				sim.mu.Lock()
+				sim.workers[fallen].Hung = false
+				sim.mu.Unlock()
+				sim.waitForAllJobs(time.Minute)
 			})
 		})
 	}
@@ -226,23 +226,23 @@
 // can't come after a newer one, and proves nothing.
 func TestIncarnationRecordsKeepTheirOrder(t *testing.T) {
 	t.Parallel()
-	runSimulation(t, 540, func(w *simulatedCluster) {
+	runSimulation(t, 540, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		key := storage.IncarnationKey("n1")
-		w.mu.Lock()
-		first := w.state.Items[key]
-		w.mu.Unlock()
-		w.killController("n1")
-		w.startController("n1")
+		sim.mu.Lock()
+		first := sim.state.Items[key]
+		sim.mu.Unlock()
+		sim.killController("n1")
+		sim.startController("n1")
 		time.Sleep(3 * time.Second)
-		w.mu.Lock()
-		second := w.state.Items[key]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		second := sim.state.Items[key]
+		sim.mu.Unlock()
 		var a, b storage.Incarnation
 		if storage.Decode(first.Value, &a) != nil || storage.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
 			t.Fatalf("lives %+v and %+v", a, b)
 		}
-		n0 := w.controllers["n0"].controller
+		n0 := sim.controllers["n0"].controller
 		over := func(nonce string) (is bool) {
 			n0.loop.Do(func() { is = !n0.leases.EndedIncarnations[lease.IncarnationID{Label: "n1", Nonce: nonce}].IsZero() })
 			return is
@@ -254,7 +254,7 @@
 			t.Errorf("over: the first life %v, the second %v", over(a.Nonce), over(b.Nonce))
 		}
 		// A write of the first life that comes now is refused by its stamp.
-		resp := w.state.Serve(w.ctx, "", "POST", "/commit", nil, protocol.Encode(&protocol.Transaction{
+		resp := sim.state.Serve(sim.ctx, "", "POST", "/commit", nil, protocol.Encode(&protocol.Transaction{
 			If: []protocol.Condition{{Key: key, Version: 0}}, Then: []protocol.Change{{Put: key, Value: first.Value}}}))
 		if resp.Status != 409 {
 			t.Errorf("a late write of the first life got %d", resp.Status)
@@ -281,7 +281,7 @@
 		put := func(key string, version uint64, v any) {
 			c.watcher.ApplyEvent(protocol.Event{Put: key, Value: storage.Encode(v), Version: version})
 		}
-		claim := func(version uint64, label, nonce string) {
+		setLease := func(version uint64, label, nonce string) {
 			put(storage.LeaseKey(0), version, storage.Lease{Holder: label, Nonce: nonce})
 		}
 		m := &cluster.Machine{}
@@ -296,8 +296,8 @@
 		check("owners before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
 		put(storage.IncarnationKey("n1"), 2, storage.Incarnation{Nonce: "x", Lease: 1})
-		claim(3, "n1", "x")
-		claim(4, "n2", "y")
+		setLease(3, "n1", "x")
+		setLease(4, "n2", "y")
 		check("an owner whose claim has ended", time.Now().Add(bound))
 		time.Sleep(time.Second)
 		put(storage.IncarnationKey("n1"), 5, storage.Incarnation{Nonce: "x", Lease: 2})
@@ -305,9 +305,9 @@
 		put(storage.IncarnationKey("n1"), 6, storage.Incarnation{Nonce: "z", Lease: 3})
 		check("its next life, and its carriers", time.Now().Add(delegation.GrantDuration))
 		time.Sleep(time.Minute)
-		claim(7, "n0", c.Nonce)
+		setLease(7, "n0", c.Nonce)
 		time.Sleep(time.Minute)
-		claim(8, "n2", "y")
+		setLease(8, "n2", "y")
 		check("this controller itself", time.Now())
 		time.Sleep(time.Minute)
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
@@ -316,7 +316,7 @@
 		check("the owner of the part that a machine came from", time.Now().Add(bound))
 		m = &cluster.Machine{}
 		time.Sleep(time.Minute)
-		claim(11, "n0", c.Nonce)
+		setLease(11, "n0", c.Nonce)
 		time.Sleep(time.Minute)
 		p.Delegations.Assign(0, "n1")
 		p.Delegations.Renew("n1", "x", 0, time.Minute, time.Now())
@@ -324,7 +324,7 @@
 		if left := time.Until(granted); left < delegation.GrantDuration {
 			t.Errorf("granted for %s", left)
 		}
-		claim(12, "n2", "y")
+		setLease(12, "n2", "y")
 		check("this controller, whose carriers go on", granted)
 
 		// Whose lease is ended: the one on which the claims hang.
@@ -337,7 +337,7 @@
 		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
 			t.Error("ended the lease of a life that holds no claim")
 		}
-		claim(14, "n2", "other")
+		setLease(14, "n2", "other")
 		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 7 {
 			t.Errorf("lease %d ended", ps.RevokedLease)
 		}
--- a/internal/coordination/troubles_test.go
+++ b/internal/coordination/troubles_test.go
@@ -71,11 +71,11 @@
 }
 
 // drawLinkDelay is how long a message is on its way beyond the usual. The lock is held.
-func (w *simulatedCluster) drawLinkDelay() time.Duration {
-	if w.linkDelayMax == 0 {
+func (sim *simulatedCluster) drawLinkDelay() time.Duration {
+	if sim.linkDelayMax == 0 {
 		return 0
 	}
-	return time.Duration(w.rng.Int64N(int64(w.linkDelayMax)))
+	return time.Duration(sim.rng.Int64N(int64(sim.linkDelayMax)))
 }
 
 const fenceOp = "fence"
@@ -95,9 +95,9 @@
 }
 
 // drawCommandDelay says whether and for how long a message to a worker is held up. The lock is held.
-func (w *simulatedCluster) drawCommandDelay(target string, body []byte) (after time.Duration, held bool) {
-	late := w.delayedCommands
-	if late == nil || target != "/orders" || w.rng.Float64() >= late.share {
+func (sim *simulatedCluster) drawCommandDelay(target string, body []byte) (after time.Duration, held bool) {
+	late := sim.delayedCommands
+	if late == nil || target != "/orders" || sim.rng.Float64() >= late.share {
 		return 0, false
 	}
 	if late.op != "" && !commandOps(body)[late.op] {
@@ -109,35 +109,35 @@
 	case late.delay > 0:
 		return late.delay, true
 	}
-	return 2*time.Second + time.Duration(w.rng.Int64N(int64(14*time.Second))), true
+	return 2*time.Second + time.Duration(sim.rng.Int64N(int64(14*time.Second))), true
 }
 
 // deliverCommandLate brings a command that nobody waits for any more to its worker. One that
 // hangs carries it out when it goes on.
-func (w *simulatedCluster) deliverCommandLate(machine string, after time.Duration, body []byte) {
+func (sim *simulatedCluster) deliverCommandLate(machine string, after time.Duration, body []byte) {
 	for wait := after; ; wait = 100 * time.Millisecond {
 		select {
 		case <-time.After(wait):
-		case <-w.ctx.Done():
+		case <-sim.ctx.Done():
 			return
 		}
-		w.mu.Lock()
-		wk := w.workers[machine]
-		hangs := wk != nil && wk.Hung
-		w.mu.Unlock()
-		if wk == nil {
+		sim.mu.Lock()
+		agent := sim.workers[machine]
+		hangs := agent != nil && agent.Hung
+		sim.mu.Unlock()
+		if agent == nil {
 			return
 		}
 		if hangs {
 			continue
 		}
-		resp := w.serveWorker(wk, "/orders", body)
-		w.withLock(func() {
+		resp := sim.serveWorker(agent, "/orders", body)
+		sim.withLock(func() {
 			for verb := range commandOps(body) {
 				if resp != nil && resp.Status == 200 {
-					w.countFault("late " + verb + " done")
+					sim.countFault("late " + verb + " done")
 				} else {
-					w.countFault("late " + verb + " refused")
+					sim.countFault("late " + verb + " refused")
 				}
 			}
 		})
@@ -150,152 +150,152 @@
 	body    []byte
 }
 
-func (w *simulatedCluster) countFault(what string) {
-	if w.faultCounts == nil {
-		w.faultCounts = map[string]int{}
+func (sim *simulatedCluster) countFault(what string) {
+	if sim.faultCounts == nil {
+		sim.faultCounts = map[string]int{}
 	}
-	w.faultCounts[what]++
+	sim.faultCounts[what]++
 }
 
 // drawTransactionDelay says whether a transaction gets no answer, and how long after it is carried
 // out. The lock is held.
-func (w *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (after time.Duration, lost bool) {
-	if host != "state" || target != "/commit" || w.lateTransactionShare == 0 || w.rng.Float64() >= w.lateTransactionShare {
+func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (after time.Duration, lost bool) {
+	if host != "state" || target != "/commit" || sim.lateTransactionShare == 0 || sim.rng.Float64() >= sim.lateTransactionShare {
 		return 0, false
 	}
-	if w.lateTransactionKind != "" {
+	if sim.lateTransactionKind != "" {
 		var txn protocol.Transaction
 		panicOnError(protocol.Decode(body, &txn))
-		if len(txn.Then) == 0 || writeKind(txn.Then[0].Put) != w.lateTransactionKind {
+		if len(txn.Then) == 0 || writeKind(txn.Then[0].Put) != sim.lateTransactionKind {
 			return 0, false
 		}
 	}
-	if w.loseAnswersOnly {
+	if sim.loseAnswersOnly {
 		return time.Millisecond, true
 	}
-	return time.Duration(2000+w.rng.IntN(10_000)) * time.Millisecond, true
+	return time.Duration(2000+sim.rng.IntN(10_000)) * time.Millisecond, true
 }
 
 // deliverTransactionLate carries a transaction out that nobody waits for any more.
-func (w *simulatedCluster) deliverTransactionLate(from string, after time.Duration, body []byte) {
+func (sim *simulatedCluster) deliverTransactionLate(from string, after time.Duration, body []byte) {
 	time.Sleep(after)
-	resp := w.deliver(context.WithoutCancel(w.ctx), from, "state", "POST", "/commit", body)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	resp := sim.deliver(context.WithoutCancel(sim.ctx), from, "state", "POST", "/commit", body)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	var txn protocol.Transaction
 	panicOnError(protocol.Decode(body, &txn))
 	switch {
 	case len(txn.Then) == 0:
 	case resp.Status == 200:
-		w.countFault("late write done")
+		sim.countFault("late write done")
 	case resp.Status == 409:
-		w.countFault("late write refused")
+		sim.countFault("late write refused")
 	}
 }
 
 // duplicateHeartbeat keeps a copy of a worker's report, for later. The lock is held.
-func (w *simulatedCluster) duplicateHeartbeat(machine, label string, report []byte) {
-	if w.duplicatedHeartbeatShare == 0 || w.rng.Float64() >= w.duplicatedHeartbeatShare {
+func (sim *simulatedCluster) duplicateHeartbeat(machine, label string, report []byte) {
+	if sim.duplicatedHeartbeatShare == 0 || sim.rng.Float64() >= sim.duplicatedHeartbeatShare {
 		return
 	}
-	if w.keepForReplay {
-		w.keptHeartbeats = append(w.keptHeartbeats, keptHeartbeat{machine, report})
+	if sim.keepForReplay {
+		sim.keptHeartbeats = append(sim.keptHeartbeats, keptHeartbeat{machine, report})
 		return
 	}
-	lease := settings.Seconds(w.settings.Params.Workers.LeaseS)
-	after := 2*time.Second + time.Duration(w.rng.Int64N(int64(lease+lease/2)))
-	w.group.Go(func() {
+	lease := settings.Seconds(sim.settings.Params.Workers.LeaseS)
+	after := 2*time.Second + time.Duration(sim.rng.Int64N(int64(lease+lease/2)))
+	sim.group.Go(func() {
 		select {
 		case <-time.After(after):
-		case <-w.ctx.Done():
+		case <-sim.ctx.Done():
 			return
 		}
-		w.redeliverHeartbeat(label, keptHeartbeat{machine, report})
+		sim.redeliverHeartbeat(label, keptHeartbeat{machine, report})
 	})
 }
 
 // redeliverHeartbeat brings a copy of an old report to a controller.
-func (w *simulatedCluster) redeliverHeartbeat(label string, k keptHeartbeat) {
-	w.mu.Lock()
-	n := w.controllers[label]
+func (sim *simulatedCluster) redeliverHeartbeat(label string, k keptHeartbeat) {
+	sim.mu.Lock()
+	n := sim.controllers[label]
 	if n != nil {
-		w.countFault("old report")
+		sim.countFault("old report")
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	if n != nil {
-		n.handleHeartbeat(w, k.machine, k.body)
+		n.handleHeartbeat(sim, k.machine, k.body)
 	}
 }
 
 // replayHeartbeats brings every kept report to every controller.
-func (w *simulatedCluster) replayHeartbeats() {
-	w.mu.Lock()
-	kept := w.keptHeartbeats
-	w.keptHeartbeats = nil
-	labels := slices.Sorted(maps.Keys(w.controllers))
-	w.mu.Unlock()
+func (sim *simulatedCluster) replayHeartbeats() {
+	sim.mu.Lock()
+	kept := sim.keptHeartbeats
+	sim.keptHeartbeats = nil
+	labels := slices.Sorted(maps.Keys(sim.controllers))
+	sim.mu.Unlock()
 	for _, k := range kept {
 		for _, l := range labels {
-			w.redeliverHeartbeat(l, k)
+			sim.redeliverHeartbeat(l, k)
 		}
 	}
 }
 
 // setStateServiceRefusal lets the state service refuse a controller alone, or serve it again.
-func (w *simulatedCluster) setStateServiceRefusal(label string, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.state.Refused == nil {
-		w.state.Refused = map[string]bool{}
+func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.state.Refused == nil {
+		sim.state.Refused = map[string]bool{}
 	}
-	w.state.Refused[label] = on
+	sim.state.Refused[label] = on
 }
 
 // hangMachine lets a machine stand still for some time.
-func (w *simulatedCluster) hangMachine(machine string, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	wk := w.workers[machine]
-	if wk == nil || wk.Hung {
+func (sim *simulatedCluster) hangMachine(machine string, d time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	agent := sim.workers[machine]
+	if agent == nil || agent.Hung {
 		return
 	}
-	wk.Hung = true
-	w.group.Go(func() {
+	agent.Hung = true
+	sim.group.Go(func() {
 		time.Sleep(d)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		wk.Hung = false
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		agent.Hung = false
 	})
 }
 
 // cancelAt asks one controller to withdraw a job, once, and notes its answer.
-func (w *simulatedCluster) cancelAt(label, id string) bool {
-	w.mu.Lock()
-	w.jobs[id].cancelRequested = true
-	w.mu.Unlock()
-	resp := w.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
+func (sim *simulatedCluster) cancelAt(label, id string) bool {
+	sim.mu.Lock()
+	sim.jobs[id].cancelRequested = true
+	sim.mu.Unlock()
+	resp := sim.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
 	if resp.Status != 200 {
 		return false
 	}
 	var st protocol.JobStatus
 	panicOnError(protocol.Decode(resp.Body, &st))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	uj := w.jobs[id]
-	if uj.finalStatus != "" && st.Status != uj.finalStatus {
-		w.recordViolation("went_back: %s was %s, is %s", id, uj.finalStatus, st.Status)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	submitted := sim.jobs[id]
+	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
+		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
 	}
-	uj.finalStatus = st.Status
-	if st.Status == protocol.StatusWithdrawn && uj.cancelledAt.IsZero() {
-		uj.cancelledAt = time.Now()
+	submitted.finalStatus = st.Status
+	if st.Status == protocol.StatusWithdrawn && submitted.cancelledAt.IsZero() {
+		submitted.cancelledAt = time.Now()
 	}
 	return true
 }
 
 // machinesRunning lists where a job's tasks are, hung machines included. The lock is held.
-func (w *simulatedCluster) machinesRunning(id string) (machines []string) {
-	for _, name := range slices.Sorted(maps.Keys(w.workers)) {
-		for _, t := range w.workers[name].Tasks {
+func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
+	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
+		for _, t := range sim.workers[name].Tasks {
 			if t.Job == id && t.State != protocol.TaskEnded {
 				machines = append(machines, name)
 			}
@@ -305,10 +305,10 @@
 }
 
 // machinesRunningAnyOf marks the machines that jobs' tasks are on. The lock is held.
-func (w *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
+func (sim *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
 	marked := map[string]bool{}
 	for _, id := range ids {
-		for _, m := range w.machinesRunning(id) {
+		for _, m := range sim.machinesRunning(id) {
 			marked[m] = true
 		}
 	}
@@ -316,10 +316,10 @@
 }
 
 // otherControllers are the controllers but one.
-func (w *simulatedCluster) otherControllers(label string) (list []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range slices.Sorted(maps.Keys(w.controllers)) {
+func (sim *simulatedCluster) otherControllers(label string) (list []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, l := range slices.Sorted(maps.Keys(sim.controllers)) {
 		if l != label {
 			list = append(list, l)
 		}
--- a/internal/coordination/vouch_test.go
+++ b/internal/coordination/vouch_test.go
@@ -16,12 +16,12 @@
 // says who asked for whom.
 func TestRequestsOnBehalfOfClients(t *testing.T) {
 	t.Parallel()
-	runSimulationWithIdentities(t, 57, func(w *simulatedCluster) {
+	runSimulationWithIdentities(t, 57, func(sim *simulatedCluster) {
 		change := rights.Change{Version: 1,
 			PutRoles: []rights.Role{{Name: "gate", Rules: []rights.Rule{{Verbs: []string{"vouch", "view", "withdraw"}, Team: "*", Class: "build"}}},
 				{Name: "everything", Rules: []rights.Rule{{Verbs: []string{"submit", "view", "withdraw"}, Team: "*", Class: "*"}}}},
 			PutIdentities: []rights.Identity{{Name: "service/gate-0", Roles: []string{"gate"}}, {Name: "service/other", Roles: []string{"everything"}}}}
-		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", change))
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", change))
 		time.Sleep(time.Second)
 		through := func(service, token, behalf, method, target string, body any) transport.Response {
 			var raw []byte
@@ -35,21 +35,21 @@
 			path, query, _ := strings.Cut(target, "?")
 			req := &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: "10.9.0.3:4000", OnBehalfOf: behalf}
 			if token != "" {
-				req.Authorization = w.identities.authorization(token)
+				req.Authorization = sim.identities.authorization(token)
 			} else {
-				req.Peer = w.identities.certificate(service)
+				req.Peer = sim.identities.certificate(service)
 			}
-			w.mu.Lock()
-			n := w.controllers["n0"]
-			w.mu.Unlock()
-			return n.controller.Serve(w.ctx, req)
+			sim.mu.Lock()
+			n := sim.controllers["n0"]
+			sim.mu.Unlock()
+			return n.controller.Serve(sim.ctx, req)
 		}
 		job := func(id, team, class string) any {
 			return encodeSubmission(newJobSpecOfClass(id, team, class))
 		}
 		const gate = "service/gate-0"
-		w.expectStatus(201, through(gate, "", "person/anna", "POST", "/submissions", job("job-1", "red", "build")))
-		w.expectStatus(200, through(gate, "", "person/anna", "GET", "/may?verb=submit&team=red&class=build", nil))
+		sim.expectStatus(201, through(gate, "", "person/anna", "POST", "/submissions", job("job-1", "red", "build")))
+		sim.expectStatus(200, through(gate, "", "person/anna", "GET", "/may?verb=submit&team=red&class=build", nil))
 		for what, resp := range map[string]transport.Response{
 			"a queue that she has no right on":            through(gate, "", "person/anna", "POST", "/submissions", job("job-2", "blue", "build")),
 			"a class that the gate does not vouch for":    through(gate, "", "person/anna", "POST", "/submissions", job("job-3", "red", "match")),
@@ -70,14 +70,14 @@
 		}
 		// She is revoked: nothing new begins, and what was begun is followed and ended
 		// by the gate, on record for whom.
-		w.expectStatus(200, w.requestAs("person/root", "n0", "POST", "/policy", rights.Change{Version: 2,
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", rights.Change{Version: 2,
 			PutIdentities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}, Revoked: true}}}))
 		time.Sleep(4 * time.Second)
-		w.expectStatus(403, through(gate, "", "person/anna", "POST", "/submissions", job("job-11", "red", "build")))
-		w.expectStatus(200, through(gate, "", "person/anna", "GET", "/submissions/job-1", nil))
-		w.expectStatus(200, through(gate, "", "person/anna", "POST", "/submissions/job-1/withdraw", map[string]any{}))
+		sim.expectStatus(403, through(gate, "", "person/anna", "POST", "/submissions", job("job-11", "red", "build")))
+		sim.expectStatus(200, through(gate, "", "person/anna", "GET", "/submissions/job-1", nil))
+		sim.expectStatus(200, through(gate, "", "person/anna", "POST", "/submissions/job-1/withdraw", map[string]any{}))
 		time.Sleep(10 * time.Second)
-		read := w.readAudit("n0")
+		read := sim.readAudit("n0")
 		for verb, n := range map[string]int{"submit": 1, "withdraw": 1} {
 			if got := countRecords(read, func(r *audit.Record) bool {
 				return r.Verb == verb && r.Job == "job-1" && r.Who == "person/anna" && r.Outcome == audit.Allowed && strings.HasPrefix(r.How, "vouched for by service/gate-0, certificate ")
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -92,72 +92,72 @@
 }
 
 func newSimulatedCluster(t testing.TB, seed uint64) *simulatedCluster {
-	w := &simulatedCluster{t: t, ctx: t.Context(), rng: rand.New(rand.NewPCG(seed, 7)), controllers: map[string]*simulatedController{},
+	sim := &simulatedCluster{t: t, ctx: t.Context(), rng: rand.New(rand.NewPCG(seed, 7)), controllers: map[string]*simulatedController{},
 		workers: map[string]*worker.Worker{}, jobs: map[string]*submittedJob{}, incarnations: map[lease.IncarnationID]bool{}, operator: settings.DefaultOperator(), jobTasksMax: 12}
-	w.settings.Params = settings.Params{Count: 3, Zones: []string{"a", "b"},
+	sim.settings.Params = settings.Params{Count: 3, Zones: []string{"a", "b"},
 		Teams:         []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
 		Workers:       settings.Workers{ReportS: 1, LeaseS: 8, CancelS: 25},
 		State:         settings.State{RPS: 300, WriteRPS: 60, ValueKB: 8, TxnOps: 12},
 		Cloud:         settings.Cloud{RPS: 10, ListLagS: 4},
 		MachineLimits: settings.Limits{CoreShare: 0.1, MemMB: 64, Sockets: 200}}
-	w.settings.Services = settings.Services{Cloud: "cloud:1", State: "state:1"}
-	w.state = state.New(&w.mu)
-	w.state.Page = 25
-	w.state.Oversized = func(what string) { w.recordViolation("%s", what) }
-	w.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
-		w.checkLeaseWrite(c, old, exists)
-		w.checkFinalStateWrite(c, exists)
-	}
-	w.cloud = cloud.New(&w.mu)
-	w.cloud.Capacity, w.cloud.ListLag = 12, settings.Seconds(w.settings.Params.Cloud.ListLagS)
-	w.cloud.Boot, w.cloud.Stop = w.bootMachine, w.stopMachine
-	w.cloud.Types = []protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3,
+	sim.settings.Services = settings.Services{Cloud: "cloud:1", State: "state:1"}
+	sim.state = state.New(&sim.mu)
+	sim.state.Page = 25
+	sim.state.Oversized = func(what string) { sim.recordViolation("%s", what) }
+	sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
+		sim.checkLeaseWrite(c, old, exists)
+		sim.checkFinalStateWrite(c, exists)
+	}
+	sim.cloud = cloud.New(&sim.mu)
+	sim.cloud.Capacity, sim.cloud.ListLag = 12, settings.Seconds(sim.settings.Params.Cloud.ListLagS)
+	sim.cloud.Boot, sim.cloud.Stop = sim.bootMachine, sim.stopMachine
+	sim.cloud.Types = []protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3,
 		BootS: 5, ZonesOffered: []string{"a", "b"}}, {Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, Price: 4,
 		SpotPrice: 1.2, BootS: 8, ZonesOffered: []string{"a"}}}
-	w.runTime = func(string, int, string) time.Duration { return 6 * time.Second }
-	return w
+	sim.runTime = func(string, int, string) time.Duration { return 6 * time.Second }
+	return sim
 }
 
 // runSimulation runs f in a bubble of fake time and ends everything afterwards.
-func runSimulation(t *testing.T, seed uint64, f func(w *simulatedCluster)) {
+func runSimulation(t *testing.T, seed uint64, f func(sim *simulatedCluster)) {
 	t.Helper()
 	runConfiguredSimulation(t, seed, func(*simulatedCluster) {}, f)
 }
 
 // runConfiguredSimulation lets prepare change the world before the controllers start.
-func runConfiguredSimulation(t *testing.T, seed uint64, prepare, f func(w *simulatedCluster)) {
+func runConfiguredSimulation(t *testing.T, seed uint64, prepare, f func(sim *simulatedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulatedCluster(t, seed)
-		prepare(w)
+		sim := newSimulatedCluster(t, seed)
+		prepare(sim)
 		// Whenever an announced limit comes into force, it must have been kept to.
-		limits := w.settings.Params.State.Lower()
-		w.state.TxnOps, w.state.ValueKB = limits.TxnOps, limits.ValueKB
+		limits := sim.settings.Params.State.Lower()
+		sim.state.TxnOps, sim.state.ValueKB = limits.TxnOps, limits.ValueKB
 		ctx, cancel := context.WithCancel(context.Background())
-		w.ctx = ctx
+		sim.ctx = ctx
 		for i := range 3 {
-			w.startController("n" + strconv.Itoa(i))
+			sim.startController("n" + strconv.Itoa(i))
 		}
-		f(w)
-		w.checkLiveness()
-		for _, n := range w.controllers {
+		f(sim)
+		sim.checkLiveness()
+		for _, n := range sim.controllers {
 			n.cancel()
 		}
 		cancel()
-		w.group.Wait()
-		for _, b := range w.violations {
+		sim.group.Wait()
+		for _, b := range sim.violations {
 			t.Error("rule broken:", b)
 		}
 	})
 }
 
-func (w *simulatedCluster) recordViolation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%s: ", time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)))+fmt.Sprintf(format, args...))
+func (sim *simulatedCluster) recordViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%s: ", time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)))+fmt.Sprintf(format, args...))
 }
 
 // startController starts a controller, as the platform does after an end.
-func (w *simulatedCluster) startController(label string) {
-	set := w.settings
+func (sim *simulatedCluster) startController(label string) {
+	set := sim.settings
 	set.Label, set.Zone = label, "a"
 	set.ServeOn, set.ClusterListen = label+":80", label+":81"
 	set.Others = nil
@@ -166,33 +166,33 @@
 			set.Others = append(set.Others, settings.Other{Label: other, PeerAddr: other + ":81"})
 		}
 	}
-	ctx, cancel := context.WithCancel(w.ctx)
+	ctx, cancel := context.WithCancel(sim.ctx)
 	n := &simulatedController{label: label, cancel: cancel, done: make(chan struct{})}
 	log := slog.New(slog.DiscardHandler)
 	if testing.Verbose() {
-		log = slog.New(slog.NewTextHandler(w.t.Output(), &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", label)
+		log = slog.New(slog.NewTextHandler(sim.t.Output(), &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", label)
 	}
-	n.controller = New(ctx, &set, w.operator, &controllerNetwork{w, n, ctx}, log)
-	if w.operator.Operations != nil {
+	n.controller = New(ctx, &set, sim.operator, &controllerNetwork{sim, n, ctx}, log)
+	if sim.operator.Operations != nil {
 		n.controller.Observe()
 	}
-	if w.identities != nil {
-		panicOnError(n.controller.Identify(w.identities.forController(label)))
+	if sim.identities != nil {
+		panicOnError(n.controller.Identify(sim.identities.forController(label)))
 	}
-	w.mu.Lock()
-	w.controllers[label] = n
-	w.mu.Unlock()
-	w.group.Go(func() {
+	sim.mu.Lock()
+	sim.controllers[label] = n
+	sim.mu.Unlock()
+	sim.group.Go(func() {
 		defer close(n.done)
 		n.controller.Run()
 	})
 }
 
-func (w *simulatedCluster) killController(label string) {
-	w.mu.Lock()
-	n := w.controllers[label]
-	delete(w.controllers, label)
-	w.mu.Unlock()
+func (sim *simulatedCluster) killController(label string) {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	delete(sim.controllers, label)
+	sim.mu.Unlock()
 	n.cancel()
 	<-n.done
 }
@@ -206,36 +206,36 @@
 
 // Do carries one message; it may be lost, its answer may be lost, or it may
 // arrive long after the sender gave up.
-func (nn *controllerNetwork) Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error) {
-	w := nn.cluster
+func (network *controllerNetwork) Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error) {
+	sim := network.cluster
 	host, _, _ := strings.Cut(addr, ":")
-	w.mu.Lock()
-	fate := w.rng.Float64()
-	delay := time.Duration(1+w.rng.IntN(4))*time.Millisecond + w.drawLinkDelay()
-	after := time.Duration(w.rng.IntN(20_000)) * time.Millisecond
-	trouble := w.messageFaultRate
-	cut := w.cut != nil && w.cut(nn.sender.label, host) || w.inboundLost[host]
-	asked := w.onRequest
-	late, lost := w.drawTransactionDelay(host, target, body)
+	sim.mu.Lock()
+	fate := sim.rng.Float64()
+	delay := time.Duration(1+sim.rng.IntN(4))*time.Millisecond + sim.drawLinkDelay()
+	after := time.Duration(sim.rng.IntN(20_000)) * time.Millisecond
+	trouble := sim.messageFaultRate
+	cut := sim.cut != nil && sim.cut(network.sender.label, host) || sim.inboundLost[host]
+	asked := sim.onRequest
+	late, lost := sim.drawTransactionDelay(host, target, body)
 	var heldFor time.Duration
 	held := false
-	if w.workers[host] != nil && !cut {
-		heldFor, held = w.drawCommandDelay(target, body)
+	if sim.workers[host] != nil && !cut {
+		heldFor, held = sim.drawCommandDelay(target, body)
 	}
-	w.mu.Unlock()
-	w.waitWhilePaused(nn.sender.label)
+	sim.mu.Unlock()
+	sim.waitWhilePaused(network.sender.label)
 	if lost {
-		w.group.Go(func() { w.deliverTransactionLate(nn.sender.label, late, body) })
+		sim.group.Go(func() { sim.deliverTransactionLate(network.sender.label, late, body) })
 		<-ctx.Done()
 		return nil, fmt.Errorf("no answer to a transaction: %w", ctx.Err())
 	}
 	if held {
-		w.withLock(func() { w.countFault("held up from " + nn.sender.label) })
-		w.group.Go(func() { w.deliverCommandLate(host, heldFor, body) })
+		sim.withLock(func() { sim.countFault("held up from " + network.sender.label) })
+		sim.group.Go(func() { sim.deliverCommandLate(host, heldFor, body) })
 		<-ctx.Done()
 		return nil, fmt.Errorf("held up: %w", ctx.Err())
 	}
-	if asked != nil && asked(nn.sender.label, host, target, body) {
+	if asked != nil && asked(network.sender.label, host, target, body) {
 		cut = true
 	}
 	if cut {
@@ -247,27 +247,27 @@
 		return nil, fmt.Errorf("request lost: %w", ctx.Err())
 	}
 	if fate < trouble*2/3 && ctx.Done() != nil {
-		w.group.Go(func() {
+		sim.group.Go(func() {
 			time.Sleep(after)
-			w.deliver(context.WithoutCancel(ctx), nn.sender.label, host, method, target, body)
+			sim.deliver(context.WithoutCancel(ctx), network.sender.label, host, method, target, body)
 		})
 		<-ctx.Done()
 		return nil, fmt.Errorf("late: %w", ctx.Err())
 	}
 	time.Sleep(delay)
-	w.waitWhilePaused(host)
-	if nn.ctx.Err() != nil {
+	sim.waitWhilePaused(host)
+	if network.ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: process ended", transport.ErrNotSent)
 	}
-	resp := w.deliver(ctx, nn.sender.label, host, method, target, body)
+	resp := sim.deliver(ctx, network.sender.label, host, method, target, body)
 	if resp == nil {
 		return nil, fmt.Errorf("%w: refused", transport.ErrNotSent)
 	}
-	w.waitWhilePaused(nn.sender.label)
-	w.mu.Lock()
-	answered := w.onResponse
-	w.mu.Unlock()
-	if answered != nil && answered(nn.sender.label, host, target, body, resp) {
+	sim.waitWhilePaused(network.sender.label)
+	sim.mu.Lock()
+	answered := sim.onResponse
+	sim.mu.Unlock()
+	if answered != nil && answered(network.sender.label, host, target, body, resp) {
 		<-ctx.Done()
 		return nil, fmt.Errorf("answer lost: %w", ctx.Err())
 	}
@@ -279,10 +279,10 @@
 }
 
 // waitWhilePaused waits while a controller stands still.
-func (w *simulatedCluster) waitWhilePaused(label string) {
-	w.mu.Lock()
-	until := w.pausedUntil[label]
-	w.mu.Unlock()
+func (sim *simulatedCluster) waitWhilePaused(label string) {
+	sim.mu.Lock()
+	until := sim.pausedUntil[label]
+	sim.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
@@ -302,66 +302,66 @@
 	return body
 }
 
-func (w *simulatedCluster) deliver(ctx context.Context, from, host, method, target string, body []byte) *transport.Response {
+func (sim *simulatedCluster) deliver(ctx context.Context, from, host, method, target string, body []byte) *transport.Response {
 	path, query, _ := strings.Cut(target, "?")
 	q, _ := url.ParseQuery(query)
 	switch host {
 	case "state":
-		return w.state.Serve(ctx, from, method, path, q, body)
+		return sim.state.Serve(ctx, from, method, path, q, body)
 	case "cloud":
-		return w.cloud.Serve(method, path, q, body)
+		return sim.cloud.Serve(method, path, q, body)
 	}
-	w.mu.Lock()
-	n, wk := w.controllers[host], w.workers[host]
-	w.mu.Unlock()
+	sim.mu.Lock()
+	n, agent := sim.controllers[host], sim.workers[host]
+	sim.mu.Unlock()
 	switch {
-	case n != nil && (w.oldVersions[host] || w.oldVersions[from]) && (path == replication.UpdatePath || path == replication.StateTransferPath || path == proxy.DelegationPath || path == proxy.ForwardPath):
+	case n != nil && (sim.oldVersions[host] || sim.oldVersions[from]) && (path == replication.UpdatePath || path == replication.StateTransferPath || path == proxy.DelegationPath || path == proxy.ForwardPath):
 		return &transport.Response{Status: 404}
 	case n != nil:
-		if w.oldVersions[from] {
+		if sim.oldVersions[from] {
 			body = downgradeSummary(path, body)
 		}
-		w.mu.Lock()
-		noNotices := w.suppressNotices
-		w.mu.Unlock()
+		sim.mu.Lock()
+		noNotices := sim.suppressNotices
+		sim.mu.Unlock()
 		if path == peering.SummaryPath && noNotices {
 			body = stripCancellationNotices(body)
 		}
-		if w.alterReplicaUpdate != nil && path == replication.UpdatePath {
-			tale := new(peer.ReplicaUpdate)
-			panicOnError(proto.Unmarshal(body, tale))
-			w.mu.Lock()
-			w.alterReplicaUpdate(tale)
-			w.mu.Unlock()
+		if sim.alterReplicaUpdate != nil && path == replication.UpdatePath {
+			update := new(peer.ReplicaUpdate)
+			panicOnError(proto.Unmarshal(body, update))
+			sim.mu.Lock()
+			sim.alterReplicaUpdate(update)
+			sim.mu.Unlock()
 			var err error
-			body, err = proto.Marshal(tale)
+			body, err = proto.Marshal(update)
 			panicOnError(err)
 		}
-		resp := n.controller.ServePeers(ctx, &transport.Request{Method: method, Path: path, Body: body, Peer: w.identities.certificate("controller/" + from)})
+		resp := n.controller.ServePeers(ctx, &transport.Request{Method: method, Path: path, Body: body, Peer: sim.identities.certificate("controller/" + from)})
 		return &resp
-	case wk != nil:
-		return w.serveWorker(wk, path, body)
+	case agent != nil:
+		return sim.serveWorker(agent, path, body)
 	}
 	return nil
 }
 
 // checkLeaseWrite sees that nobody takes a claim that another still holds: its owner
 // might go on answering workers for longer than its successor expects.
-func (w *simulatedCluster) checkLeaseWrite(c protocol.Change, old protocol.Item, held bool) {
-	var claim storage.Lease
-	if kind, _ := storage.ParseKey(c.Put); (kind == storage.KindLease || kind == storage.KindLeadership) && storage.Decode(c.Value, &claim) == nil {
+func (sim *simulatedCluster) checkLeaseWrite(c protocol.Change, old protocol.Item, held bool) {
+	var record storage.Lease
+	if kind, _ := storage.ParseKey(c.Put); (kind == storage.KindLease || kind == storage.KindLeadership) && storage.Decode(c.Value, &record) == nil {
 		// Not that the record is of this life still: a late claim of a process that ended
 		// may come after its next life's record, on a lease that has not run out yet (44).
-		if !w.incarnations[lease.IncarnationID{Label: claim.Holder, Nonce: claim.Nonce}] {
-			w.recordViolation("%s claimed before the record of its owner's life", c.Put)
+		if !sim.incarnations[lease.IncarnationID{Label: record.Holder, Nonce: record.Nonce}] {
+			sim.recordViolation("%s claimed before the record of its owner's life", c.Put)
 		}
 	}
 	kind, label := storage.ParseKey(c.Put)
 	if kind == storage.KindIncarnation {
-		var life storage.Incarnation
-		panicOnError(storage.Decode(c.Value, &life))
-		w.incarnations[lease.IncarnationID{Label: label, Nonce: life.Nonce}] = true
-		w.checkReleasedLeases(label, c.Value)
+		var incarnation storage.Incarnation
+		panicOnError(storage.Decode(c.Value, &incarnation))
+		sim.incarnations[lease.IncarnationID{Label: label, Nonce: incarnation.Nonce}] = true
+		sim.checkReleasedLeases(label, c.Value)
 	}
 	if !held || kind != storage.KindLease && kind != storage.KindLeadership {
 		return
@@ -370,39 +370,39 @@
 	panicOnError(storage.Decode(old.Value, &before))
 	panicOnError(storage.Decode(c.Value, &after))
 	if before.Holder != after.Holder {
-		w.recordViolation("claim %s of %s taken by %s", c.Put, before.Holder, after.Holder)
+		sim.recordViolation("claim %s of %s taken by %s", c.Put, before.Holder, after.Holder)
 	}
 }
 
 // checkFinalStateWrite sees that how a job ended is written once: controllers answer it from memory (15).
-func (w *simulatedCluster) checkFinalStateWrite(c protocol.Change, exists bool) {
+func (sim *simulatedCluster) checkFinalStateWrite(c protocol.Change, exists bool) {
 	if kind, job := storage.ParseKey(c.Put); kind == storage.KindFinal && exists {
-		w.recordViolation("the end of %s is written twice", job)
+		sim.recordViolation("the end of %s is written twice", job)
 	}
 }
 
 // checkReleasedLeases sees that whoever writes that it gave claims up acts under none of them.
-func (w *simulatedCluster) checkReleasedLeases(label string, value []byte) {
-	var life storage.Incarnation
-	panicOnError(storage.Decode(value, &life))
-	n := w.controllers[label]
-	if n == nil || n.controller.Nonce != life.Nonce {
+func (sim *simulatedCluster) checkReleasedLeases(label string, value []byte) {
+	var incarnation storage.Incarnation
+	panicOnError(storage.Decode(value, &incarnation))
+	n := sim.controllers[label]
+	if n == nil || n.controller.Nonce != incarnation.Nonce {
 		return
 	}
 	n.controller.loop.Do(func() {
-		for _, r := range life.Released {
+		for _, r := range incarnation.Released {
 			if p := n.controller.Partitions[r.Partition]; p.Held && p.LeaseRevision == r.LeaseRevision {
-				w.violations = append(w.violations, fmt.Sprintf("%s gives part %d up and acts for it", label, r.Partition))
+				sim.violations = append(sim.violations, fmt.Sprintf("%s gives part %d up and acts for it", label, r.Partition))
 			}
 		}
 	})
 }
 
 // setOutage starts or ends an outage of the state service.
-func (w *simulatedCluster) setOutage(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.state.Outage(on)
+func (sim *simulatedCluster) setOutage(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.state.Outage(on)
 }
 
 func panicOnError(err error) {
@@ -412,61 +412,61 @@
 }
 
 // bootMachine starts a rented machine a while later; it is called with the lock held.
-func (w *simulatedCluster) bootMachine(name string, m *cloud.Machine) {
-	home := w.rng.IntN(3)
-	delay := time.Duration(3000+w.rng.IntN(4000)) * time.Millisecond
-	if w.bootDelay > 0 {
-		delay = w.bootDelay
+func (sim *simulatedCluster) bootMachine(name string, m *cloud.Machine) {
+	home := sim.rng.IntN(3)
+	delay := time.Duration(3000+sim.rng.IntN(4000)) * time.Millisecond
+	if sim.bootDelay > 0 {
+		delay = sim.bootDelay
 	}
 	m.Addr = name + ":9000"
-	w.group.Go(func() {
+	sim.group.Go(func() {
 		select {
 		case <-time.After(delay):
-		case <-w.ctx.Done():
+		case <-sim.ctx.Done():
 			return
 		}
-		w.mu.Lock()
-		if w.cloud.Machines[name] == nil {
-			w.mu.Unlock()
+		sim.mu.Lock()
+		if sim.cloud.Machines[name] == nil {
+			sim.mu.Unlock()
 			return
 		}
-		wk := worker.New(&w.mu, w, w)
-		wk.Name, wk.Addr, wk.Type, wk.Zone, wk.Spot = name, m.Addr, m.Type, m.Zone, m.Spot
-		wk.Lease = settings.Seconds(w.settings.Params.Workers.LeaseS)
-		wk.Homes, wk.Home = []string{"n0", "n1", "n2"}, home
-		wk.Send = func(label string, report []byte) (int, []byte) { return w.sendHeartbeat(name, label, report) }
+		agent := worker.New(&sim.mu, sim, sim)
+		agent.Name, agent.Addr, agent.Type, agent.Zone, agent.Spot = name, m.Addr, m.Type, m.Zone, m.Spot
+		agent.Lease = settings.Seconds(sim.settings.Params.Workers.LeaseS)
+		agent.Homes, agent.Home = []string{"n0", "n1", "n2"}, home
+		agent.Send = func(label string, report []byte) (int, []byte) { return sim.sendHeartbeat(name, label, report) }
 		m.Up = true
-		w.workers[name] = wk
-		w.mu.Unlock()
-		wk.Run(w.ctx.Done())
+		sim.workers[name] = agent
+		sim.mu.Unlock()
+		agent.Run(sim.ctx.Done())
 	})
 }
 
 // stopMachine cuts a deleted machine's power.
-func (w *simulatedCluster) stopMachine(name string) {
-	if wk := w.workers[name]; wk != nil {
-		wk.Off()
-		delete(w.workers, name)
+func (sim *simulatedCluster) stopMachine(name string) {
+	if agent := sim.workers[name]; agent != nil {
+		agent.Off()
+		delete(sim.workers, name)
 	}
 }
 
 // sendHeartbeat carries a worker's report to a controller.
-func (w *simulatedCluster) sendHeartbeat(machine, label string, report []byte) (int, []byte) {
-	w.mu.Lock()
-	n := w.controllers[label]
-	lost := w.rng.Float64() < w.messageFaultRate || w.cut != nil && w.cut(label, machine) || w.outboundLost[machine]
-	deaf := w.inboundLost[machine]
-	there, back := w.drawLinkDelay(), w.drawLinkDelay()
+func (sim *simulatedCluster) sendHeartbeat(machine, label string, report []byte) (int, []byte) {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	lost := sim.rng.Float64() < sim.messageFaultRate || sim.cut != nil && sim.cut(label, machine) || sim.outboundLost[machine]
+	deaf := sim.inboundLost[machine]
+	there, back := sim.drawLinkDelay(), sim.drawLinkDelay()
 	if !lost {
-		w.duplicateHeartbeat(machine, label, report)
+		sim.duplicateHeartbeat(machine, label, report)
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	if n == nil || lost {
 		return 0, nil
 	}
 	time.Sleep(2*time.Millisecond + there)
-	w.waitWhilePaused(label)
-	resp := n.handleHeartbeat(w, machine, report)
+	sim.waitWhilePaused(label)
+	resp := n.handleHeartbeat(sim, machine, report)
 	if deaf {
 		return 0, nil
 	}
@@ -475,116 +475,116 @@
 }
 
 // handleHeartbeat brings a report to a controller.
-func (n *simulatedController) handleHeartbeat(w *simulatedCluster, machine string, report []byte) transport.Response {
-	return n.controller.Serve(w.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: w.identities.certificate("worker/" + machine)})
+func (n *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, report []byte) transport.Response {
+	return n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: sim.identities.certificate("worker/" + machine)})
 }
 
 // RunTime is how long a task runs; one that was done before ends at once.
-func (w *simulatedCluster) RunTime(job string, task int, machine string) (time.Duration, bool) {
-	uj := w.jobs[job]
-	if uj == nil {
+func (sim *simulatedCluster) RunTime(job string, task int, machine string) (time.Duration, bool) {
+	submitted := sim.jobs[job]
+	if submitted == nil {
 		return 0, false
 	}
-	if uj.tasksDone[task] {
+	if submitted.tasksDone[task] {
 		return 0, true
 	}
-	return w.runTime(job, task, machine), true
+	return sim.runTime(job, task, machine), true
 }
 
 // Fails says whether a task fails on a machine.
-func (w *simulatedCluster) Fails(job string, task int, machine string) bool {
-	return w.fails != nil && w.fails(job, task, machine)
+func (sim *simulatedCluster) Fails(job string, task int, machine string) bool {
+	return sim.fails != nil && sim.fails(job, task, machine)
 }
 
 // Obeying checks that a start was recorded before it was sent.
-func (w *simulatedCluster) Obeying(wk *worker.Worker, c protocol.Command) {
-	if !w.startRecorded(c, wk) {
-		w.recordViolation("start of %s on %s before its record", c.Task, wk.Name)
+func (sim *simulatedCluster) Obeying(agent *worker.Worker, c protocol.Command) {
+	if !sim.startRecorded(c, agent) {
+		sim.recordViolation("start of %s on %s before its record", c.Task, agent.Name)
 	}
 }
 
 // Ended notes a task's result.
-func (w *simulatedCluster) Ended(_ *worker.Worker, t *worker.Task) {
+func (sim *simulatedCluster) Ended(_ *worker.Worker, t *worker.Task) {
 	if t.Cause == protocol.CauseDone {
-		uj := w.jobs[t.Job]
-		uj.tasksDone[t.Index] = true
-		if len(uj.tasksDone) == uj.spec.Tasks && w.onJobEnd != nil {
-			w.onJobEnd(t.Job)
+		submitted := sim.jobs[t.Job]
+		submitted.tasksDone[t.Index] = true
+		if len(submitted.tasksDone) == submitted.spec.Tasks && sim.onJobEnd != nil {
+			sim.onJobEnd(t.Job)
 		}
-		if len(uj.tasksDone) == uj.spec.Tasks && w.cancelAtEnd != nil && w.cancelAtEnd(t.Job) && !uj.cancelRequested {
-			w.countFault("cancelled at the end")
-			w.group.Go(func() { w.cancelUntilAnswered(t.Job, len(uj.tasksDone)) })
+		if len(submitted.tasksDone) == submitted.spec.Tasks && sim.cancelAtEnd != nil && sim.cancelAtEnd(t.Job) && !submitted.cancelRequested {
+			sim.countFault("cancelled at the end")
+			sim.group.Go(func() { sim.cancelUntilAnswered(t.Job, len(submitted.tasksDone)) })
 		}
 	}
 }
 
 // Running checks that a withdrawn job's tasks go away in time.
-func (w *simulatedCluster) Running(wk *worker.Worker, t *worker.Task, now time.Time) {
-	uj := w.jobs[t.Job]
-	if !uj.cancelledAt.IsZero() && now.Sub(uj.cancelledAt) > settings.Seconds(w.settings.Params.Workers.CancelS) {
-		w.recordViolation("ran_cancelled: %s on %s", t.Name, wk.Name)
+func (sim *simulatedCluster) Running(agent *worker.Worker, t *worker.Task, now time.Time) {
+	submitted := sim.jobs[t.Job]
+	if !submitted.cancelledAt.IsZero() && now.Sub(submitted.cancelledAt) > settings.Seconds(sim.settings.Params.Workers.CancelS) {
+		sim.recordViolation("ran_cancelled: %s on %s", t.Name, agent.Name)
 	}
 }
 
 // Started checks the rules at the moment a task comes onto its machine.
-func (w *simulatedCluster) Started(wk *worker.Worker, t *worker.Task) {
-	uj, index := w.jobs[t.Job], t.Index
-	s := uj.spec
+func (sim *simulatedCluster) Started(agent *worker.Worker, t *worker.Task) {
+	submitted, index := sim.jobs[t.Job], t.Index
+	s := submitted.spec
 	for _, dep := range s.Dependencies {
-		if dj := w.jobs[dep]; len(dj.tasksDone) < dj.spec.Tasks {
-			w.recordViolation("too_early: %s started with %d of %d tasks of %s done", t.Name, len(dj.tasksDone), dj.spec.Tasks, dep)
+		if dependency := sim.jobs[dep]; len(dependency.tasksDone) < dependency.spec.Tasks {
+			sim.recordViolation("too_early: %s started with %d of %d tasks of %s done", t.Name, len(dependency.tasksDone), dependency.spec.Tasks, dep)
 		}
 	}
 	usage, zone := 0.0, 0
-	for _, other := range w.workers {
+	for _, other := range sim.workers {
 		// A machine that hung beyond its lease won't go on with its tasks; it
 		// forgets them when it wakes.
-		dead := time.Since(other.LeaseFrom).Seconds() > w.settings.Params.Workers.LeaseS
-		for _, ot := range other.Tasks {
-			if !ot.Running || dead {
+		dead := time.Since(other.LeaseFrom).Seconds() > sim.settings.Params.Workers.LeaseS
+		for _, otherTask := range other.Tasks {
+			if !otherTask.Running || dead {
 				continue
 			}
-			job, i := ot.Job, ot.Index
-			if job == s.ID && i == index && ot != t {
-				w.recordViolation("ran_twice: %s on %s and %s", t.Name, wk.Name, other.Name)
+			job, i := otherTask.Job, otherTask.Index
+			if job == s.ID && i == index && otherTask != t {
+				sim.recordViolation("ran_twice: %s on %s and %s", t.Name, agent.Name, other.Name)
 			}
-			oj := w.jobs[job]
-			if oj.spec.Team == s.Team {
-				usage += oj.spec.CPUs
+			otherJob := sim.jobs[job]
+			if otherJob.spec.Team == s.Team {
+				usage += otherJob.spec.CPUs
 			}
-			if job == s.ID && ot != t {
-				if s.OneZone && other.Zone != wk.Zone {
-					w.recordViolation("wrong_place: %s is in two zones", s.ID)
+			if job == s.ID && otherTask != t {
+				if s.OneZone && other.Zone != agent.Zone {
+					sim.recordViolation("wrong_place: %s is in two zones", s.ID)
 				}
 			}
-			if job == s.ID && other.Zone == wk.Zone {
+			if job == s.ID && other.Zone == agent.Zone {
 				zone++
 			}
 		}
 	}
-	for _, team := range w.settings.Params.Teams {
+	for _, team := range sim.settings.Params.Teams {
 		if team.Name == s.Team && team.CPUsMax > 0 && usage > team.CPUsMax+0.001 {
-			w.recordViolation("quota: team %s uses %v", s.Team, usage)
+			sim.recordViolation("quota: team %s uses %v", s.Team, usage)
 		}
 	}
-	if len(s.Types) > 0 && !slices.Contains(s.Types, wk.Type) || s.Zone != "" && s.Zone != wk.Zone || wk.Spot && !s.Spot ||
+	if len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) || s.Zone != "" && s.Zone != agent.Zone || agent.Spot && !s.Spot ||
 		s.Spread && zone > (s.Tasks+1)/2 {
-		w.recordViolation("wrong_place: %s on %s %s spot %v", t.Name, wk.Type, wk.Zone, wk.Spot)
+		sim.recordViolation("wrong_place: %s on %s %s spot %v", t.Name, agent.Type, agent.Zone, agent.Spot)
 	}
-	if !uj.cancelledAt.IsZero() {
-		after := time.Since(uj.cancelledAt)
-		w.startsAfterCancel = append(w.startsAfterCancel, startAfterCancel{t.Name, wk.Name, after})
-		if after > settings.Seconds(w.settings.Params.Workers.CancelS) {
-			w.recordViolation("ran_cancelled: %s started", t.Name)
+	if !submitted.cancelledAt.IsZero() {
+		after := time.Since(submitted.cancelledAt)
+		sim.startsAfterCancel = append(sim.startsAfterCancel, startAfterCancel{t.Name, agent.Name, after})
+		if after > settings.Seconds(sim.settings.Params.Workers.CancelS) {
+			sim.recordViolation("ran_cancelled: %s started", t.Name)
 		}
 	}
 }
 
 // startRecorded says whether a start stands in the state service, with the lock
 // held: no commit, no start.
-func (w *simulatedCluster) startRecorded(c protocol.Command, wk *worker.Worker) bool {
+func (sim *simulatedCluster) startRecorded(c protocol.Command, agent *worker.Worker) bool {
 	id, task, _ := protocol.ParseTask(c.Task)
-	for key, it := range w.state.Items {
+	for key, it := range sim.state.Items {
 		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
 			continue // without taking the key apart, as most are others'
 		}
@@ -593,7 +593,7 @@
 		}
 		var run storage.RunRecord
 		panicOnError(storage.Decode(it.Value, &run))
-		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: wk.Name, Epoch: wk.Session}) {
+		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: agent.Name, Epoch: agent.Session}) {
 			return true
 		}
 	}
@@ -601,25 +601,25 @@
 }
 
 // serveWorker carries a request to a worker.
-func (w *simulatedCluster) serveWorker(wk *worker.Worker, path string, body []byte) *transport.Response {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if wk.Dead {
+func (sim *simulatedCluster) serveWorker(agent *worker.Worker, path string, body []byte) *transport.Response {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if agent.Dead {
 		return nil
 	}
-	if wk.Hung {
+	if agent.Hung {
 		return &transport.Response{Status: 504, Body: protocol.Encode(map[string]any{})}
 	}
-	if path == "/orders" && w.interceptCommands != nil {
+	if path == "/orders" && sim.interceptCommands != nil {
 		var o protocol.Orders
 		panicOnError(protocol.Decode(body, &o))
-		w.interceptCommands(wk.Name, &o)
+		sim.interceptCommands(agent.Name, &o)
 		body = protocol.Encode(o)
 	}
-	resp := wk.Serve(path, body)
+	resp := agent.Serve(path, body)
 	if path == "/orders" && resp != nil && resp.Status == 409 {
 		for verb := range commandOps(body) {
-			w.countFault("refused " + verb)
+			sim.countFault("refused " + verb)
 		}
 	}
 	return resp
@@ -660,106 +660,106 @@
 }
 
 // sendRequest sends a user's request to a controller, or to any that runs.
-func (w *simulatedCluster) sendRequest(label, method, path string, body []byte) transport.Response {
-	w.mu.Lock()
-	n := w.controllers[label]
-	for _, other := range w.controllers {
+func (sim *simulatedCluster) sendRequest(label, method, path string, body []byte) transport.Response {
+	sim.mu.Lock()
+	n := sim.controllers[label]
+	for _, other := range sim.controllers {
 		if n == nil {
 			n = other
 		}
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	if n == nil {
 		return transport.Response{}
 	}
-	return n.controller.Serve(w.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: w.identities.authorization(""), From: "10.9.0.1:4000"})
+	return n.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"})
 }
 
 // submit submits until accepted.
-func (w *simulatedCluster) submit(s *protocol.JobSpec) {
-	w.mu.Lock()
-	uj := w.jobs[s.ID]
-	if uj == nil {
-		uj = &submittedJob{spec: s, tasksDone: map[int]bool{}}
-		w.jobs[s.ID] = uj
-	}
-	w.mu.Unlock()
+func (sim *simulatedCluster) submit(s *protocol.JobSpec) {
+	sim.mu.Lock()
+	submitted := sim.jobs[s.ID]
+	if submitted == nil {
+		submitted = &submittedJob{spec: s, tasksDone: map[int]bool{}}
+		sim.jobs[s.ID] = submitted
+	}
+	sim.mu.Unlock()
 	for range 60 {
-		resp := w.sendRequest("", "POST", "/submissions", encodeSubmission(s))
+		resp := sim.sendRequest("", "POST", "/submissions", encodeSubmission(s))
 		if resp.Status == 201 || resp.Status == 200 {
-			w.mu.Lock()
-			if uj.acceptedAt.IsZero() {
-				uj.acceptedAt = time.Now()
+			sim.mu.Lock()
+			if submitted.acceptedAt.IsZero() {
+				submitted.acceptedAt = time.Now()
 			}
-			w.mu.Unlock()
+			sim.mu.Unlock()
 			return
 		}
 		if resp.Status == 400 || resp.Status == 422 {
-			w.mu.Lock()
-			w.recordViolation("forgotten or refused: submission of %s got %d", s.ID, resp.Status)
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.recordViolation("forgotten or refused: submission of %s got %d", s.ID, resp.Status)
+			sim.mu.Unlock()
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	w.t.Errorf("%s was never accepted", s.ID)
+	sim.t.Errorf("%s was never accepted", s.ID)
 }
 
 // poll asks for a job's state and checks it against what was said before.
-func (w *simulatedCluster) poll(label, id string) string {
-	resp := w.sendRequest(label, "GET", "/submissions/"+id, nil)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	uj := w.jobs[id]
-	if resp.Status == 404 && uj != nil && !uj.acceptedAt.IsZero() {
-		w.recordViolation("forgotten: %s", id)
+func (sim *simulatedCluster) poll(label, id string) string {
+	resp := sim.sendRequest(label, "GET", "/submissions/"+id, nil)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	submitted := sim.jobs[id]
+	if resp.Status == 404 && submitted != nil && !submitted.acceptedAt.IsZero() {
+		sim.recordViolation("forgotten: %s", id)
 	}
 	if resp.Status != 200 {
 		return ""
 	}
 	var st protocol.JobStatus
 	panicOnError(protocol.Decode(resp.Body, &st))
-	if uj == nil {
-		w.recordViolation("invented: %s", id)
+	if submitted == nil {
+		sim.recordViolation("invented: %s", id)
 		return st.Status
 	}
-	if uj.finalStatus != "" && st.Status != uj.finalStatus {
-		w.recordViolation("went_back: %s was %s, is %s", id, uj.finalStatus, st.Status)
+	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
+		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
 	}
 	switch st.Status {
 	case protocol.StatusDone:
-		if len(uj.tasksDone) != uj.spec.Tasks {
-			w.recordViolation("not_done: %s has %d of %d", id, len(uj.tasksDone), uj.spec.Tasks)
+		if len(submitted.tasksDone) != submitted.spec.Tasks {
+			sim.recordViolation("not_done: %s has %d of %d", id, len(submitted.tasksDone), submitted.spec.Tasks)
 		}
-		uj.finalStatus = st.Status
+		submitted.finalStatus = st.Status
 	case protocol.StatusQueued, protocol.StatusRunning:
-		if at := w.dependencyCancelledAt(uj); !at.IsZero() && time.Since(at).Seconds() > w.settings.Params.Workers.CancelS {
-			w.recordViolation("orphaned: %s is %s %s after something that it needs was withdrawn", id, st.Status, time.Since(at))
+		if at := sim.dependencyCancelledAt(submitted); !at.IsZero() && time.Since(at).Seconds() > sim.settings.Params.Workers.CancelS {
+			sim.recordViolation("orphaned: %s is %s %s after something that it needs was withdrawn", id, st.Status, time.Since(at))
 		}
 	case protocol.StatusWithdrawn:
-		if uj.cancelledAt.IsZero() && uj.finalStatus == "" && !w.mayBeCancelled(uj) {
-			w.recordViolation("went_back: %s was not withdrawn by its user", id)
+		if submitted.cancelledAt.IsZero() && submitted.finalStatus == "" && !sim.mayBeCancelled(submitted) {
+			sim.recordViolation("went_back: %s was not withdrawn by its user", id)
 		}
-		uj.finalStatus = st.Status
+		submitted.finalStatus = st.Status
 	}
 	return st.Status
 }
 
 // dependencyCancelledAt is since when a job's user could expect it to be withdrawn, since
 // something that it needs is; zero if not. Called with the lock held.
-func (w *simulatedCluster) dependencyCancelledAt(uj *submittedJob) time.Time {
+func (sim *simulatedCluster) dependencyCancelledAt(submitted *submittedJob) time.Time {
 	first := time.Time{}
-	for _, dep := range uj.spec.Dependencies {
-		dj := w.jobs[dep]
-		at := dj.cancelledAt
+	for _, dep := range submitted.spec.Dependencies {
+		dependency := sim.jobs[dep]
+		at := dependency.cancelledAt
 		if at.IsZero() {
-			at = w.dependencyCancelledAt(dj)
+			at = sim.dependencyCancelledAt(dependency)
 		}
 		if at.IsZero() {
 			continue
 		}
-		if at.Before(uj.acceptedAt) {
-			at = uj.acceptedAt
+		if at.Before(submitted.acceptedAt) {
+			at = submitted.acceptedAt
 		}
 		if first.IsZero() || at.Before(first) {
 			first = at
@@ -770,48 +770,48 @@
 
 // mayBeCancelled says whether a user has asked to withdraw a job or something
 // that it needs. Called with the lock held.
-func (w *simulatedCluster) mayBeCancelled(uj *submittedJob) bool {
-	return uj.cancelRequested || slices.ContainsFunc(uj.spec.Dependencies, func(dep string) bool { return w.mayBeCancelled(w.jobs[dep]) })
+func (sim *simulatedCluster) mayBeCancelled(submitted *submittedJob) bool {
+	return submitted.cancelRequested || slices.ContainsFunc(submitted.spec.Dependencies, func(dep string) bool { return sim.mayBeCancelled(sim.jobs[dep]) })
 }
 
 // cancelJob cancels a job, repeating until answered.
-func (w *simulatedCluster) cancelJob(id string) string {
-	w.mu.Lock()
-	w.jobs[id].cancelRequested = true
-	w.mu.Unlock()
+func (sim *simulatedCluster) cancelJob(id string) string {
+	sim.mu.Lock()
+	sim.jobs[id].cancelRequested = true
+	sim.mu.Unlock()
 	for range 60 {
-		resp := w.sendRequest("", "POST", "/submissions/"+id+"/withdraw", nil)
+		resp := sim.sendRequest("", "POST", "/submissions/"+id+"/withdraw", nil)
 		if resp.Status == 200 {
 			var st protocol.JobStatus
 			panicOnError(protocol.Decode(resp.Body, &st))
-			w.mu.Lock()
+			sim.mu.Lock()
 			if st.Status == protocol.StatusWithdrawn {
-				w.jobs[id].cancelledAt = time.Now()
+				sim.jobs[id].cancelledAt = time.Now()
 			}
-			w.jobs[id].finalStatus = st.Status
-			w.mu.Unlock()
+			sim.jobs[id].finalStatus = st.Status
+			sim.mu.Unlock()
 			return st.Status
 		}
 		time.Sleep(time.Second)
 	}
-	w.t.Errorf("%s could not be withdrawn", id)
+	sim.t.Errorf("%s could not be withdrawn", id)
 	return ""
 }
 
 // waitForAllJobs waits until all jobs are over.
-func (w *simulatedCluster) waitForAllJobs(limit time.Duration) {
+func (sim *simulatedCluster) waitForAllJobs(limit time.Duration) {
 	end := time.Now().Add(limit)
 	for {
 		open := []string{}
-		w.mu.Lock()
-		ids := make([]string, 0, len(w.jobs))
-		for id := range w.jobs {
+		sim.mu.Lock()
+		ids := make([]string, 0, len(sim.jobs))
+		for id := range sim.jobs {
 			ids = append(ids, id)
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		slices.Sort(ids)
 		for _, id := range ids {
-			if st := w.poll("", id); st != protocol.StatusDone && st != protocol.StatusWithdrawn {
+			if st := sim.poll("", id); st != protocol.StatusDone && st != protocol.StatusWithdrawn {
 				open = append(open, id+"="+st)
 			}
 		}
@@ -819,7 +819,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Errorf("not over after %s: %v", limit, open)
+			sim.t.Errorf("not over after %s: %v", limit, open)
 			return
 		}
 		time.Sleep(2 * time.Second)
