--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -19,8 +19,7 @@
 	"micaspindle/internal/transport"
 )
 
-// readAudit exports the audit as an operator does, verifies it and returns what
-// it holds.
+// readAudit exports the audit log as an operator does, verifies it and returns its records.
 func (sim *simulatedCluster) readAudit(label string) []archive.ReadRecord {
 	sim.t.Helper()
 	data := sim.exportAudit(label)
@@ -47,7 +46,7 @@
 	panicOnError(archive.Export(sim.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
 		resp := sim.requestAs("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
 		if resp.Status != 200 {
-			return nil, errors.New("no answer")
+			return nil, errors.New("no response")
 		}
 		var page struct {
 			Batches []audit.Numbered `msgpack:"batches"`
@@ -58,7 +57,7 @@
 	return out.Bytes()
 }
 
-// countRecords adds up the records that match.
+// countRecords adds up the records that match; a record may stand for several refusals.
 func countRecords(read []archive.ReadRecord, match func(r *audit.Record) bool) int {
 	n := uint64(0)
 	for i := range read {
@@ -69,8 +68,8 @@
 	return int(n)
 }
 
-// A controller that ends between its commit and its answer leaves the user to
-// ask again: there is one job and one record of its acceptance.
+// A controller that is killed between its commit and its response leaves the user to retry:
+// there is one job and one audit record of its submission.
 func TestControllerKilledBetweenCommitAndAnswer(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 52, func(sim *simulatedCluster) {
@@ -96,23 +95,22 @@
 		if resp.Status == 201 || resp.Status == 200 || !killed {
 			t.Fatalf("answered %d, killed %v", resp.Status, killed)
 		}
-		// Until the others' watches bring it, the record is all that tells.
+		// Until the watches of the other controllers deliver the job record, only the state
+		// store knows the job.
 		sim.expectStatus(200, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
 		sim.expectStatus(200, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
 		sim.startController("n1")
 		time.Sleep(2 * audit.GatherFor)
 		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
-			t.Errorf("%d records of one acceptance", n)
+			t.Errorf("%d audit records of one submission", n)
 		}
-		sim.mu.Lock()
-		sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.jobs[s.ID] = newAcceptedJob(s) })
 		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
-// A flood of refusals takes hardly any of the state service's budget, and none
-// of them is lost.
+// A flood of refused requests uses hardly any of the state store's write budget, and every
+// refusal is audited.
 func TestRefusalsAreAuditedAtABoundedWriteRate(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 58, func(sim *simulatedCluster) {
@@ -120,9 +118,9 @@
 		sim.mu.Lock()
 		before := sim.state.Changes
 		sim.mu.Unlock()
-		flood := 20 * time.Second
+		duration := 20 * time.Second
 		refused := 0
-		for begun := time.Now(); time.Since(begun) < flood; time.Sleep(time.Millisecond) {
+		for begun := time.Now(); time.Since(begun) < duration; time.Sleep(time.Millisecond) {
 			sim.expectStatus(403, sim.requestAs("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
 			refused++
 		}
@@ -130,8 +128,8 @@
 		sim.mu.Lock()
 		changes := sim.state.Changes - before
 		sim.mu.Unlock()
-		if most := 2 * int(flood/time.Second); changes > most {
-			t.Errorf("%d refusals made %d changes in %s, want at most %d", refused, changes, flood, most)
+		if most := 2 * int(duration/time.Second); changes > most {
+			t.Errorf("%d refusals made %d changes in %s, want at most %d", refused, changes, duration, most)
 		}
 		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
 			t.Errorf("%d refusals, the audit counts %d", refused, n)
@@ -139,9 +137,9 @@
 	})
 }
 
-// Storms with identities: whatever is lost, late or killed, every accepted job
-// has one record of its acceptance, every such record has its job, and the
-// chains hold.
+// Random faults with identities: whatever is lost, late or killed, every accepted job has
+// exactly one audit record of its submission, every such record has its job, and the hash
+// chains verify.
 func TestAuditIsCompleteUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(70); seed < 74; seed++ {
@@ -149,13 +147,11 @@
 			sim.jobTasksMax = 3
 			dice := func(n int) int { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.rng.IntN(n) }
 			submitted := map[string]bool{}
-			sim.mu.Lock()
-			sim.messageFaultRate = 0.05
-			sim.mu.Unlock()
+			sim.setMessageFaultRate(0.05)
 			for i := range 40 {
 				id := fmt.Sprintf("job-%d", i)
 				submitted[id] = true
-				sim.submit(newJobSpecOfClass(id, []string{"red", "blue", "green"}[dice(3)], "match"))
+				sim.submit(newJobSpecOfClass(id, allTeams[dice(3)], "match"))
 				switch dice(6) {
 				case 0:
 					label := fmt.Sprintf("n%d", dice(3))
@@ -175,10 +171,8 @@
 				}
 				time.Sleep(time.Duration(dice(800)) * time.Millisecond)
 			}
-			sim.mu.Lock()
-			sim.messageFaultRate = 0
-			sim.mu.Unlock()
-			time.Sleep(25 * time.Second) // what is late has come, and who was killed is back
+			sim.setMessageFaultRate(0)
+			time.Sleep(25 * time.Second) // late messages have arrived, and killed controllers are back
 			sim.waitForAllJobs(6 * time.Minute)
 			accepts, withdrawals := map[string]int{}, map[string]int{}
 			for _, r := range sim.readAudit("n0") {
@@ -194,7 +188,7 @@
 			for id := range submitted {
 				_, exists := sim.state.Items[storage.JobKey(id)]
 				if !exists || accepts[id] != 1 {
-					t.Errorf("seed %d: %s: record of the job %v, of its acceptance %d", seed, id, exists, accepts[id])
+					t.Errorf("seed %d: %s: job record %v, audit records of its submission %d", seed, id, exists, accepts[id])
 				}
 				var f storage.Final
 				it, over := sim.state.Items[storage.FinalKey(id)]
@@ -204,11 +198,11 @@
 					want = 1
 				}
 				if withdrawals[id] != want {
-					t.Errorf("seed %d: %s is %s, with %d records of a withdrawal", seed, id, f.Status, withdrawals[id])
+					t.Errorf("seed %d: %s is %s, with %d audit records of a cancellation", seed, id, f.Status, withdrawals[id])
 				}
 			}
 			if len(accepts) != len(submitted) {
-				t.Errorf("seed %d: %d acceptances of %d jobs", seed, len(accepts), len(submitted))
+				t.Errorf("seed %d: %d submissions audited of %d jobs", seed, len(accepts), len(submitted))
 			}
 			for key := range sim.state.Items {
 				if strings.HasPrefix(key, audit.Prefix) && sim.state.Largest["a"] > int(sim.settings.Params.State.ValueKB*1024) {
@@ -219,8 +213,8 @@
 	}
 }
 
-// Somebody at the state service changes a batch that is stored: the verifier
-// names the place.
+// Somebody alters a stored audit batch in the state store: the verifier names the chain and the
+// batch.
 func TestTamperedAuditBatchIsFound(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 59, func(sim *simulatedCluster) {
@@ -258,7 +252,7 @@
 		v, err := archive.Verify(bytes.NewReader(sim.exportAudit("n2")), roots)
 		panicOnError(err)
 		if len(v.Problems) == 0 || v.Problems[0].Chain != label || v.Problems[0].Batch != 1 {
-			t.Errorf("an altered batch: %v", v.Problems)
+			t.Errorf("altered batch: %v", v.Problems)
 		}
 		tamper(func(s *state.Service) { s.Items[before.Key] = before })
 		sim.readAudit("n2")
--- a/internal/coordination/authorization_test.go
+++ b/internal/coordination/authorization_test.go
@@ -23,15 +23,15 @@
 	"micaspindle/internal/transport"
 )
 
-// The wish's three roles try what they must not do; each refusal is the same
-// whether the job exists or not, and each is in the audit, once or counted.
+// Identities of three roles try what they must not do; each refusal is the same whether the job
+// exists or not, and each is in the audit log, alone or counted.
 func TestRolesLimitWhatIdentitiesMayDo(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 51, func(sim *simulatedCluster) {
 		for _, s := range []*protocol.JobSpec{newJobSpecOfClass("job-1", "red", "match"), newJobSpecOfClass("job-2", "blue", "refund-batch"), newJobSpecOfClass("job-3", "blue", "price-check")} {
 			sim.submit(s)
 		}
-		asked := map[string]int{} // by identity, refusals
+		asked := map[string]int{} // refusals by identity
 		refused := func(who string, status int, resp transport.Response) {
 			t.Helper()
 			sim.expectStatus(status, resp)
@@ -39,16 +39,16 @@
 				asked[who]++
 			}
 		}
-		// The clerk moves another region's job, or one of its own there.
-		for _, label := range []string{"n0", "n1", "n2"} {
+		// The clerk reassigns another team's job, or moves one of its own to another team.
+		for _, label := range allControllers {
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-77/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
-			// The refund team touches the price-check queue.
+			// The refund team accesses the price-check queue.
 			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "GET", "/submissions/job-3", nil))
 			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "POST", "/submissions/job-3/withdraw", nil))
 			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-91", "blue", "price-check"))))
-			// A guest partner looks for arguments wherever there might be some.
+			// The guest asks for arguments at every path that might reveal them.
 			for _, path := range []string{"/submissions/job-1/arguments", "/submissions/job-77/arguments", "/audit/seal", "/audit/batches?chain=n0&after=0",
 				"/policy/roles", "/policy/identities"} {
 				refused("person/partner", 403, sim.requestAs("person/partner", label, "GET", path, nil))
@@ -59,23 +59,23 @@
 			refused("", 401, sim.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
 			refused("", 401, sim.requestAs("", label, "GET", "/submissions/job-1", nil))
 		}
-		// What a job and one that does not exist are answered does not differ.
+		// The response for a job of another queue does not differ from that for an unknown job.
 		a := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-3", nil)
 		b := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
 		asked["service/refunds"] += 2
 		if a.Status != b.Status || !bytes.Equal(a.Body, b.Body) || a.RetryAfter != b.RetryAfter {
 			t.Errorf("a job of another queue gets %d %q, no job %d %q", a.Status, a.Body, b.Status, b.Body)
 		}
-		// What they may do, they may.
+		// What their roles permit is allowed.
 		sim.expectStatus(200, sim.requestAs("person/anna", "n1", "GET", "/submissions/job-1", nil))
 		sim.expectStatus(200, sim.requestAs("service/refunds", "n1", "GET", "/submissions/job-2/arguments", nil))
 		sim.expectStatus(200, sim.requestAs("person/partner", "n1", "GET", "/submissions/job-3", nil))
 		sim.expectStatus(201, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-4", "red", "verify"))))
 		sim.expectStatus(404, sim.requestAs("person/root", "n2", "GET", "/submissions/job-77", nil))
-		// Nothing that a guest is told holds arguments.
+		// No response to the guest contains arguments.
 		for _, id := range []string{"job-1", "job-2"} {
 			if resp := sim.requestAs("person/partner", "n0", "GET", "/submissions/"+id, nil); bytes.Contains(resp.Body, []byte("img")) {
-				t.Errorf("the image of %s is told: %q", id, resp.Body)
+				t.Errorf("the response reveals the image of %s: %q", id, resp.Body)
 			}
 		}
 		time.Sleep(2 * audit.GatherFor)
@@ -88,22 +88,20 @@
 		if n := countRecords(read, func(r *audit.Record) bool {
 			return r.Verb == "view-arguments" && r.Who == "service/refunds" && r.Job == "job-2" && r.Outcome == audit.Allowed
 		}); n != 1 {
-			t.Errorf("looking at arguments is recorded %d times", n)
+			t.Errorf("viewing arguments is audited %d times", n)
 		}
 		for _, r := range read {
 			if strings.Contains(fmt.Sprint(r), "img") || strings.Contains(fmt.Sprint(r), "eyJ") {
-				t.Errorf("the audit tells arguments or a token: %+v", r)
+				t.Errorf("the audit reveals arguments or a token: %+v", r)
 			}
 		}
-		sim.mu.Lock()
-		sim.jobs["job-4"] = &submittedJob{spec: newJobSpecOfClass("job-4", "red", "verify"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.jobs["job-4"] = newAcceptedJob(newJobSpecOfClass("job-4", "red", "verify")) })
 		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
-// Neither the answer, nor how much the state service is asked, nor the budget for
-// unknown jobs tells a job of another queue from one that does not exist.
+// Neither the response, nor the number of state store requests, nor the rate limit for unknown
+// jobs distinguishes a job of another queue from one that does not exist.
 func TestJobsOfOtherQueuesAreIndistinguishableFromUnknown(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 50, func(sim *simulatedCluster) {
@@ -111,7 +109,7 @@
 		time.Sleep(10 * time.Second) // every controller knows it
 		seen := map[string]string{}
 		for _, id := range []string{"job-3", "job-77", "job-3/", "job-x"} {
-			time.Sleep(20 * time.Second) // the budget is whole again
+			time.Sleep(20 * time.Second) // the rate limiter has refilled
 			sim.mu.Lock()
 			before := sim.state.Served
 			sim.mu.Unlock()
@@ -135,26 +133,20 @@
 	})
 }
 
-// A revocation holds on every controller within 3 s, also on one that can't be
-// told.
+// A revocation takes effect on every controller within 3 s, also on one that cannot reach the
+// state store.
 func TestRevocationDuringANetworkPartition(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 53, func(sim *simulatedCluster) {
-		sim.mu.Lock()
-		sim.runTime = func(string, int, string) time.Duration { return 40 * time.Second }
-		sim.mu.Unlock()
+		sim.setRunTime(40 * time.Second)
 		mine := newJobSpecOfClass("job-1", "red", "match")
-		sim.mu.Lock()
-		sim.jobs[mine.ID] = &submittedJob{spec: mine, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.jobs[mine.ID] = newAcceptedJob(mine) })
 		sim.expectStatus(201, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(mine)))
 		time.Sleep(15 * time.Second)
-		for _, label := range []string{"n0", "n1", "n2"} {
+		for _, label := range allControllers {
 			sim.expectStatus(200, sim.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
-		sim.mu.Lock()
-		sim.cut = func(from, to string) bool { return from == "n2" && to == "state" }
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = func(from, to string) bool { return from == "n2" && to == "state" } })
 		revoke := &rights.Change{Version: 1, PutIdentities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}, Revoked: true}}}
 		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", revoke))
 		sim.expectStatus(403, sim.requestAs("person/anna", "n0", "GET", "/submissions/job-1", nil))
@@ -168,35 +160,32 @@
 				t.Error("no Retry-After")
 			}
 		}
-		sim.mu.Lock()
-		sim.cut = nil
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = nil })
 		time.Sleep(5 * time.Second)
 		sim.expectStatus(403, sim.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil))
-		// Her job goes on for its queue.
+		// The revoked identity's job keeps running.
 		if st := sim.poll("n1", "job-1"); st != protocol.StatusRunning {
 			t.Errorf("the revoked clerk's job is %q", st)
 		}
 		sim.waitForAllJobs(3 * time.Minute)
-		for _, label := range []string{"n0", "n1", "n2"} {
-			// The others had the revocation at once, so that refusals are on all.
+		for _, label := range allControllers {
+			// Every controller has applied the revocation.
 			sim.expectStatus(403, sim.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
 	})
 }
 
-// One command withdraws everything that somebody has submitted, and nothing
-// else; it is allowed where the operator administers the queue.
+// One command cancels all jobs that an identity has submitted, and no others; it requires the
+// right to administer the queue.
 func TestCancellingAllJobsOfAnIdentity(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 54, func(sim *simulatedCluster) {
-		sim.mu.Lock()
-		sim.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
-		sim.mu.Unlock()
+		sim.setRunTime(10 * time.Second)
 		for i := range 40 {
 			s := newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match")
 			sim.mu.Lock()
-			sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}, acceptedAt: time.Now(), cancelRequested: i%2 == 0}
+			sim.jobs[s.ID] = newAcceptedJob(s)
+			sim.jobs[s.ID].cancelRequested = i%2 == 0
 			sim.mu.Unlock()
 			who := "person/root"
 			if i%2 == 0 {
@@ -207,37 +196,37 @@
 			}
 		}
 		time.Sleep(time.Second)
-		withdrawn := 0
+		cancelled := 0
 		for tries := 0; ; tries++ {
 			var res protocol.SweepResult
 			resp := sim.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
 			panicOnError(protocol.Decode(sim.expectStatus(200, resp).Body, &res))
-			withdrawn += res.Withdrawn
+			cancelled += res.Withdrawn
 			if res.Left == 0 || tries > 30 {
 				break
 			}
 			time.Sleep(time.Second)
 		}
-		if withdrawn == 0 {
-			t.Error("nothing was withdrawn")
+		if cancelled == 0 {
+			t.Error("no job was cancelled")
 		}
 		sim.waitForAllJobs(10 * time.Minute)
 		for i := range 40 {
 			id := fmt.Sprintf("job-%d", i)
 			if st := sim.poll("", id); i%2 == 1 && st != protocol.StatusDone {
-				t.Errorf("%s of somebody else is %s", id, st)
+				t.Errorf("%s of another identity is %s", id, st)
 			}
 		}
 		time.Sleep(2 * audit.GatherFor)
 		if n := countRecords(sim.readAudit("n2"), func(r *audit.Record) bool {
 			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
-		}); n != withdrawn {
-			t.Errorf("%d withdrawals are recorded, %d were made", n, withdrawn)
+		}); n != cancelled {
+			t.Errorf("%d cancellations are audited, %d were made", n, cancelled)
 		}
 	})
 }
 
-// Two administrators revoke each other at the same moment: one of them stays.
+// Two administrators revoke each other at the same moment: exactly one of them remains.
 func TestAdministratorsRevokeEachOther(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 55, func(sim *simulatedCluster) {
@@ -269,8 +258,7 @@
 	})
 }
 
-// Tokens that were issued before a moment can be voided, with the identity left
-// as it is.
+// Tokens issued before a given time can be revoked while the identity stays valid.
 func TestRevokedTokensAreRefused(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 56, func(sim *simulatedCluster) {
@@ -309,48 +297,48 @@
 	}
 }
 
-// Machines and controllers speak for themselves only.
+// A machine or a controller may send messages only under the name in its own certificate.
 func TestCertificatesAuthenticateOnlyTheirOwnName(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 49, func(sim *simulatedCluster) {
 		n := sim.controllers["n0"].controller
-		report := func(cert, machine string) int {
+		sendHeartbeatAs := func(cert, machine string) int {
 			return n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: sim.identities.certificate(cert),
 				Body: protocol.Encode(&protocol.Heartbeat{Machine: machine, Epoch: 1})}).Status
 		}
-		summary := func(cert, from string) int {
+		sendSummaryAs := func(cert, from string) int {
 			body, err := proto.Marshal(&peer.Summary{From: from})
 			panicOnError(err)
 			return n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: sim.identities.certificate(cert), Body: body}).Status
 		}
-		for what, tc := range map[string]struct{ got, refused int }{
-			"another machine":        {report("worker/m-9", "m-1"), 403},
-			"a person as a machine":  {report("person/anna", "m-1"), 403},
-			"a controller as one":    {report("controller/n1", "m-1"), 403},
-			"another controller":     {summary("controller/n1", "n2"), 403},
-			"a machine as a peer":    {summary("worker/any", "n1"), 403},
-			"a stranger as a peer":   {summary("controller/n9", "n9"), 403},
-			"nobody's report":        {n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
-			"nobody's summary":       {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
-			"nobody's fleet request": {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
+		for name, tc := range map[string]struct{ got, refused int }{
+			"another machine's certificate":            {sendHeartbeatAs("worker/m-9", "m-1"), 403},
+			"a person's certificate for a machine":     {sendHeartbeatAs("person/anna", "m-1"), 403},
+			"a controller's certificate for a machine": {sendHeartbeatAs("controller/n1", "m-1"), 403},
+			"another controller's certificate":         {sendSummaryAs("controller/n1", "n2"), 403},
+			"a machine's certificate for a peer":       {sendSummaryAs("worker/any", "n1"), 403},
+			"an unknown controller":                    {sendSummaryAs("controller/n9", "n9"), 403},
+			"heartbeat without a certificate":          {n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
+			"summary without a certificate":            {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
+			"fleet request without a certificate":      {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
 		} {
 			if tc.got != tc.refused {
-				t.Errorf("%s: %d, want %d", what, tc.got, tc.refused)
+				t.Errorf("%s: %d, want %d", name, tc.got, tc.refused)
 			}
 		}
-		for what, got := range map[string]int{"its own": report("worker/m-1", "m-1"), "a shared certificate": report("worker/any", "m-2"), "a peer": summary("controller/n1", "n1")} {
+		for name, got := range map[string]int{"its own certificate": sendHeartbeatAs("worker/m-1", "m-1"), "a shared certificate": sendHeartbeatAs("worker/any", "m-2"), "a peer's own certificate": sendSummaryAs("controller/n1", "n1")} {
 			if got == 401 || got == 403 {
-				t.Errorf("%s: refused with %d", what, got)
+				t.Errorf("%s: refused with %d", name, got)
 			}
 		}
-		// A certificate that has ended counts no more, however old the connection.
+		// An expired certificate is refused, also on a connection that was opened before.
 		sim.identities.certs["worker/m-7"] = sim.identities.issue("worker/m-7", time.Minute)
-		if got := report("worker/m-7", "m-7"); got == 401 {
-			t.Error("refused before its end")
+		if got := sendHeartbeatAs("worker/m-7", "m-7"); got == 401 {
+			t.Error("refused before it expired")
 		}
 		time.Sleep(time.Minute)
-		if got := report("worker/m-7", "m-7"); got != 401 {
-			t.Errorf("an ended certificate: %d", got)
+		if got := sendHeartbeatAs("worker/m-7", "m-7"); got != 401 {
+			t.Errorf("expired certificate: %d", got)
 		}
 	})
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -17,15 +17,15 @@
 	"micaspindle/internal/transport"
 )
 
-// The benchmarks show how the cost of each duty grows with machines and tasks.
+// The benchmarks show how the cost of each operation grows with machines and tasks.
 
-// newFleet makes a controller that owns every part, with machines up and, on
-// each, running tasks.
+// newFleet makes a controller that leads every partition, with machines up and running tasks on
+// each of them.
 func newFleet(b *testing.B, machines, running, each int) *Controller {
 	b.Helper()
 	c, p := newLeadingController(b)
 	now := time.Now()
-	// An owner answers workers only while it holds its claims and has followed the records.
+	// A leader answers heartbeats only while it holds its leases and its records are current.
 	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
 	for _, p := range c.Partitions {
 		p.AcquiredAt = now
@@ -43,7 +43,7 @@
 		j.Pending = nil
 		a := j.LiveAttempts[task]
 		a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now, protocol.TaskRunning
-		for _, ch := range j.Chunks { // on record
+		for _, ch := range j.Chunks { // already written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
 		j.RecordsChanged = false
@@ -51,13 +51,12 @@
 	return c
 }
 
-// fleetSize is how many machines there are, with so many running tasks on each and so many
-// tasks that wait.
+// fleetSize is a number of machines, of running tasks on each, and of waiting tasks.
 type fleetSize struct{ machines, running, waiting int }
 
 var allFleetSizes = []fleetSize{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
 
-// fleetSizes are the sizes to measure; -short leaves the two largest out, so that a check
+// fleetSizes returns the sizes to measure; -short leaves the two largest out, so that a check
 // that only runs every benchmark once takes seconds.
 func fleetSizes() []fleetSize {
 	if testing.Short() {
@@ -66,26 +65,26 @@
 	return allFleetSizes
 }
 
-// BenchmarkPoll: what a user's poll costs without the connection, refused while the
-// state service is down, and answered from memory.
+// BenchmarkPoll measures a user's poll without its connection: refused while the state store is
+// down, and answered from memory.
 func BenchmarkPoll(b *testing.B) {
-	for _, what := range []string{"refused", "final"} {
-		b.Run(what, func(b *testing.B) {
+	for _, outcome := range []string{"refused", "final"} {
+		b.Run(outcome, func(b *testing.B) {
 			c, _ := newLeadingController(b)
 			c.Synced = true
 			c.addQueuedJob("job-1", 1)
 			ctx, stop := context.WithCancel(b.Context())
 			defer stop()
 			go c.loop.Serve(ctx, c.tick)
-			if what == "final" {
+			if outcome == "final" {
 				c.loop.Do(func() { c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now()) })
 			} else {
 				setNetwork(c, unavailableNetwork{})
-				time.Sleep(1600 * time.Millisecond) // until it counts as down
+				time.Sleep(1600 * time.Millisecond) // until the state store counts as down
 				_, _ = c.store.UserKeyAbsent(ctx, storage.FinalKey("job-1"))
 			}
 			req := &transport.Request{Method: "GET", Path: "/submissions/job-1"}
-			want := map[string]int{"refused": 503, "final": 200}[what]
+			want := map[string]int{"refused": 503, "final": 200}[outcome]
 			for b.Loop() {
 				if resp := c.Serve(ctx, req); resp.Status != want {
 					b.Fatalf("status %d", resp.Status)
@@ -95,42 +94,42 @@
 	}
 }
 
-// unavailableNetwork is a state service that is down.
+// unavailableNetwork is the network to a state store that is down.
 type unavailableNetwork struct{}
 
 func (unavailableNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	return &transport.Response{Status: 503}, nil
 }
 
-// BenchmarkHeartbeat: a report that changes nothing.
+// BenchmarkHeartbeat measures a heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, running := range []int{0, 4, 8} {
 		b.Run(fmt.Sprintf("tasks=%d", running), func(b *testing.B) {
 			c := newFleet(b, 200, running, 1)
-			reports := make([]*protocol.Heartbeat, 0, len(c.Machines))
+			heartbeats := make([]*protocol.Heartbeat, 0, len(c.Machines))
 			for _, m := range c.Machines {
 				r := &protocol.Heartbeat{Machine: m.Name, Type: "big", Zone: "a", Epoch: 1, Token: c.Token(m)}
 				for _, a := range m.Attempts {
 					r.Tasks = append(r.Tasks, protocol.TaskReport{Task: a.TaskName(), Attempt: a.Number, State: protocol.TaskRunning})
 				}
-				reports = append(reports, r)
+				heartbeats = append(heartbeats, r)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r := reports[i%len(reports)]
+				r := heartbeats[i%len(heartbeats)]
 				r.Sequence++
-				c.LeaseRenewedAt = time.Now() // however long this is measured
+				c.LeaseRenewedAt = time.Now() // however long the measurement takes
 				c.RecordsAsOf = c.LeaseRenewedAt
 				if resp := c.agents.HandleHeartbeat(r, nil); resp.Status != 200 {
-					b.Fatalf("report refused: status %d, %s", resp.Status, resp.Body)
+					b.Fatalf("heartbeat refused: status %d, %s", resp.Status, resp.Body)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkPlace: a round of placement over a full fleet with work waiting,
-// and the placing of one task.
+// BenchmarkPlace measures a round of placement over a full fleet with waiting work, and the
+// placement of one task.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range fleetSizes() {
 		name := fmt.Sprintf("machines=%d/waiting=%d", n.machines, n.waiting)
@@ -167,21 +166,22 @@
 	}
 }
 
-// benchmarkBySize measures a duty that needs nothing but a fleet at work.
-func benchmarkBySize(b *testing.B, duty func(c *Controller)) {
+// benchmarkBySize measures an operation that needs nothing but a busy fleet.
+func benchmarkBySize(b *testing.B, operation func(c *Controller)) {
+	b.Helper()
 	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
 			c := newFleet(b, n.machines, n.running, 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				duty(c)
+				operation(c)
 			}
 		})
 	}
 }
 
-// BenchmarkReconcileFleet: a round of the leader over a fleet at work, with demands that find
-// no room and nothing to rent for them.
+// BenchmarkReconcileFleet measures a round of the cluster leader over a busy fleet, with
+// demands that find no capacity and no machine to request for them.
 func BenchmarkReconcileFleet(b *testing.B) {
 	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
@@ -207,12 +207,12 @@
 	}
 }
 
-// BenchmarkTick: what a quarter of a second costs without any event.
+// BenchmarkTick measures a tick of the event loop (every 250 ms) without any event.
 func BenchmarkTick(b *testing.B) {
 	benchmarkBySize(b, func(c *Controller) { c.tick(time.Now()) })
 }
 
-// BenchmarkSummary: what an owner tells the others twice a second.
+// BenchmarkSummary measures the summary that a controller sends to its peers twice a second.
 func BenchmarkSummary(b *testing.B) {
 	benchmarkBySize(b, func(c *Controller) {
 		c.peering.SummaryCache.MarshalledAt = time.Time{}
@@ -220,12 +220,12 @@
 	})
 }
 
-// BenchmarkTakeover: from the answer that makes the copy of a part whole to the first
-// decision, cold (all records are read then) and warm (they were followed).
+// BenchmarkTakeover measures the time from a complete replica of a partition to the first
+// decision, cold (all records are read then) and warm (a replica followed them).
 func BenchmarkTakeover(b *testing.B) {
 	for _, n := range fleetSizes() {
 		for i, kind := range []string{"cold", "warm", "cold", "warm"} {
-			each := []int{1, 20}[i/2] // arrays of one task, and as large as usual
+			each := []int{1, 20}[i/2] // arrays of one task, and of the usual size
 			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", kind, n.machines, n.machines*n.running, each), func(b *testing.B) {
 				c := newFleet(b, n.machines, n.running, each)
 				partition := c.TeamPartition[c.TeamIndex["green"]]
@@ -241,7 +241,7 @@
 					}
 				}
 				for _, m := range c.Machines {
-					m.PendingCommands = 1 // nothing is sent here
+					m.PendingCommands = 1 // no command is sent
 				}
 				b.ReportAllocs()
 				for b.Loop() {
@@ -251,8 +251,8 @@
 						replica.StartFrom(c.log.Error, runs, 5, time.Now())
 						replica.Updates.Apply(update, replica.Derived.NoteStart, time.Now())
 					}
-					c.leases.ClearPartition(c.Partitions[partition]) // as at a controller that did not own it
-					runtime.GC()                                     // the garbage of making them is none of the takeover's
+					c.leases.ClearPartition(c.Partitions[partition]) // as at a controller that did not lead it
+					runtime.GC()                                     // the garbage of the set-up is not the takeover's
 					b.StartTimer()
 					if kind == "cold" {
 						replica.StartFrom(c.log.Error, runs, 5, time.Now())
@@ -264,7 +264,8 @@
 	}
 }
 
-// BenchmarkApplyRecordChange: what a standby does with one change of a record of 64 tasks.
+// BenchmarkApplyRecordChange measures a standby that applies one change of a record of 64
+// tasks.
 func BenchmarkApplyRecordChange(b *testing.B) {
 	replica := replication.NewReplica(0, time.Now())
 	run := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
@@ -272,18 +273,18 @@
 		run.Live = append(run.Live, storage.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
 	}
 	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(run)
-	complain := slog.New(slog.DiscardHandler).Error
-	replica.StartFrom(complain, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
+	logError := slog.New(slog.DiscardHandler).Error
+	replica.StartFrom(logError, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
 	for at := uint64(1); b.Loop(); at++ {
-		if !replica.Apply(complain, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
+		if !replica.Apply(logError, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
 			b.Fatal("a gap")
 		}
 	}
 }
 
-// newPipelines makes a controller that knows n jobs after one first job: each
-// after the one before, or all after the first.
+// newPipelines makes a controller that knows n jobs, the first included: each depends on the
+// one before, or all on the first.
 func newPipelines(b *testing.B, n int, deep bool) *Controller {
 	b.Helper()
 	c, _ := newLeadingController(b)
@@ -300,8 +301,8 @@
 	return c
 }
 
-// BenchmarkDependencyGraph: a submission at the end of a pipeline whose deadline reaches
-// back over all of it, the completion of what all wait for, and its withdrawal.
+// BenchmarkDependencyGraph measures a submission at the end of a pipeline whose deadline is
+// inherited by all of it, the completion of the job that all depend on, and its cancellation.
 func BenchmarkDependencyGraph(b *testing.B) {
 	for _, n := range []int{1000, 8000} {
 		for _, deep := range []bool{false, true} {
@@ -310,14 +311,14 @@
 				c := newPipelines(b, n, deep)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					// Each is needed a little sooner, so that all change.
+					// Each has a slightly earlier deadline, so that all jobs change.
 					last := dependentJob(fmt.Sprintf("job-1000000%d", i), 1, "green", fmt.Sprintf("job-%d", n-1))
 					last.DeadlineS = 1e6 - float64(i)/100
 					c.addJob(last)
 				}
 			})
 			if n > 1000 {
-				continue // a pipeline for each measurement takes minutes
+				continue // building a pipeline for each measurement takes minutes
 			}
 			for _, status := range []string{protocol.StatusDone, protocol.StatusWithdrawn} {
 				b.Run(status+name, func(b *testing.B) {
@@ -325,8 +326,8 @@
 					var c *Controller
 					next := n
 					for b.Loop() {
-						// One that ends the whole pipeline needs a new one each time; one that
-						// ends its first job goes on with the next.
+						// A status that ends the whole pipeline needs a new one each time; one
+						// that ends only its first job continues with the next.
 						if next == n {
 							b.StopTimer()
 							c, next = newPipelines(b, n, deep), 0
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -15,8 +15,8 @@
 	"micaspindle/internal/transport"
 )
 
-// configureLongAnswerBound is one whose bound for answers is long, and whose work runs for longer than a
-// withdrawal has.
+// configureLongAnswerBound gives leaders a long bound for answering heartbeats, and tasks a run
+// time longer than the cancellation bound.
 func configureLongAnswerBound(sim *simulatedCluster) {
 	sim.cloud.Capacity = 30
 	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
@@ -24,41 +24,43 @@
 	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
-// The gap: the state service refuses the leading controller alone, another confirms
-// withdrawals, and then the service is down for everybody for longer than cancel_s, while
-// the workers go on reporting to the old owner. Every task must be gone within cancel_s of
-// the answer's arrival at its user (checked by the world, at every step of every machine).
+// The state store refuses requests of the partition leader alone, another controller confirms
+// cancellations, and then the state store is down for everybody for longer than cancel_s, while
+// the agents keep sending heartbeats to the old leader. Every task must be gone within cancel_s
+// of the confirmation to its user (checked by the simulated cluster at every step of every
+// machine).
 func TestCancellationBetweenARefusalAndAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
 		// refusedFor is how long the refusal lasts before the outage begins; 0: until a
-		// successor has claimed the part, and not read its records.
+		// successor has acquired the lease but not read the partition's records.
 		refusedFor time.Duration
-		// noNotices: the controllers hear nothing of it from each other; cut: nor anything else.
+		// noNotices: no controller receives cancellation notices; cut: the leader is also cut
+		// off from its peers.
 		noNotices, cut bool
-		// stuck: the watches bring nothing from before the first withdrawal on.
+		// stuck: the watches deliver nothing from before the first cancellation on.
 		stuck bool
-		// hang is for how long machines of withdrawn jobs stand still.
+		// hang is how long machines of cancelled jobs hang.
 		hang  time.Duration
 		twice bool
 	}{
-		{name: "news", refusedFor: 2 * time.Second},
-		{name: "no news", refusedFor: 2 * time.Second, noNotices: true},
-		{name: "no news, twice", refusedFor: 1500 * time.Millisecond, noNotices: true, twice: true},
-		{name: "cut from the others too", refusedFor: 2 * time.Second, noNotices: true, cut: true},
-		{name: "watches bring nothing", refusedFor: 2 * time.Second, noNotices: true, stuck: true},
-		{name: "the lease ends first", refusedFor: 3600 * time.Millisecond, noNotices: true},
-		{name: "a successor has claimed", noNotices: true},
-		{name: "a successor decides", refusedFor: 6 * time.Second, noNotices: true},
+		{name: "notices", refusedFor: 2 * time.Second},
+		{name: "no notices", refusedFor: 2 * time.Second, noNotices: true},
+		{name: "no notices, twice", refusedFor: 1500 * time.Millisecond, noNotices: true, twice: true},
+		{name: "cut off from its peers as well", refusedFor: 2 * time.Second, noNotices: true, cut: true},
+		{name: "watches deliver nothing", refusedFor: 2 * time.Second, noNotices: true, stuck: true},
+		{name: "the lease expires first", refusedFor: 3600 * time.Millisecond, noNotices: true},
+		{name: "a successor holds the lease", noNotices: true},
+		{name: "a successor is ready", refusedFor: 6 * time.Second, noNotices: true},
 		{name: "machines hang", refusedFor: 2 * time.Second, noNotices: true, hang: 14 * time.Second},
-		{name: "machines hang, a successor has claimed", noNotices: true, hang: 14 * time.Second},
+		{name: "machines hang, a successor holds the lease", noNotices: true, hang: 14 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, 301, configureLongAnswerBound, func(sim *simulatedCluster) {
 				time.Sleep(3 * time.Second)
-				// Withdrawals every 0.1 s, from 4 s before the refusal on.
+				// Cancellations every 0.1 s, from 4 s before the refusal on.
 				const each, before = 56, 40
 				rounds := 1
 				if tc.twice {
@@ -76,9 +78,7 @@
 					sim.cancelDuringRefusal(round*each, each, before, partition, func(i int, leader string) {
 						switch i {
 						case 0:
-							sim.mu.Lock()
-							sim.suppressNotices, sim.state.Stuck = tc.noNotices, tc.stuck
-							sim.mu.Unlock()
+							sim.withLock(func() { sim.suppressNotices, sim.state.Stuck = tc.noNotices, tc.stuck })
 						case before:
 							sim.setStateServiceRefusal(leader, true)
 							if tc.cut {
@@ -96,13 +96,11 @@
 					time.Sleep(tc.refusedFor - (each-before)*100*time.Millisecond)
 					sim.setOutage(true)
 					time.Sleep(12 * time.Second)
-					for _, l := range []string{"n0", "n1", "n2"} {
+					for _, l := range allControllers {
 						sim.setStateServiceRefusal(l, false)
 					}
 					time.Sleep(45 * time.Second)
-					sim.mu.Lock()
-					sim.state.Stuck, sim.cut, sim.suppressNotices = false, nil, false
-					sim.mu.Unlock()
+					sim.withLock(func() { sim.state.Stuck, sim.cut, sim.suppressNotices = false, nil, false })
 					sim.setOutage(false)
 					time.Sleep(30 * time.Second)
 				}
@@ -118,17 +116,17 @@
 	}
 }
 
-// cancelDuringRefusal withdraws jobs from one number on at controllers that do not own their part, one
-// every 0.1 s, and lets something happen before each.
-func (sim *simulatedCluster) cancelDuringRefusal(from, count, before, partition int, happen func(i int, leader string), hang time.Duration) {
+// cancelDuringRefusal cancels the jobs numbered from..from+count at controllers that do not
+// lead their partition, one every 0.1 s, and calls happen before each.
+func (sim *simulatedCluster) cancelDuringRefusal(from, count, before, partition int, beforeCancel func(i int, leader string), hang time.Duration) {
 	leader := sim.leaderOf(partition)
 	if leader == "" {
-		sim.t.Fatal("nobody owns the part")
+		sim.t.Fatal("the partition has no leader")
 	}
 	others := sim.otherControllers(leader)
 	confirmed, after, running := 0, 0, 0
 	for i := range count {
-		happen(i, leader)
+		beforeCancel(i, leader)
 		job := fmt.Sprintf("job-%d", from+i)
 		sim.mu.Lock()
 		on := sim.machinesRunning(job)
@@ -148,14 +146,13 @@
 		}
 	}
 	if running < count/2 || confirmed < count/2 || after < 5 {
-		sim.t.Fatalf("%d of %d ran, %d withdrawals confirmed, %d of them after the refusal", running, count, confirmed, after)
+		sim.t.Fatalf("%d of %d ran, %d cancellations confirmed, %d of them after the refusal", running, count, confirmed, after)
 	}
 }
 
-// Every team is at its limit when the leader changes, the machines can't be asked, and a
-// cancellation falls into the moment in which the successor reads its part's records: what
-// the cancelled job has on its machines counts against the team's limit until it is proven
-// over (6, 39, 47).
+// Every team is at its quota when the leader changes, the machines cannot be reached, and a job
+// is cancelled while the successor reads the partition's records: the cancelled job's tasks
+// count against the team's quota until they are proven to be over (rules 6, 39, 47).
 func TestTeamQuotaHoldsForJobsThatEndDuringATakeover(t *testing.T) {
 	t.Parallel()
 	prepare := func(sim *simulatedCluster) {
@@ -165,7 +162,7 @@
 	runConfiguredSimulation(t, 302, prepare, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		for _, id := range []string{"job-1", "job-2"} {
-			s := newJobSpec(id, 8, "red") // all of the limit
+			s := newJobSpec(id, 8, "red") // the whole quota
 			s.EstimateS, s.DeadlineS = 600, 0
 			sim.submit(s)
 		}
@@ -181,8 +178,8 @@
 			}
 			out := sim.machinesRunningAnyOf("job-1")
 			sim.cut = func(_, host string) bool { return out[host] }
-			// The shared records come late, so that the successor waits for them after it
-			// has read those of the part.
+			// The shared records arrive late, so that the successor waits for them after it has
+			// read those of the partition.
 			sim.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
 				for late.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
 					time.Sleep(time.Millisecond)
@@ -209,16 +206,16 @@
 			})
 		}
 		if successor == "" || !sim.cancelAt(successor, "job-1") {
-			t.Fatalf("no withdrawal while %q reads", successor)
+			t.Fatalf("no cancellation while %q loads the partition", successor)
 		}
 		late.Store(false)
 		time.Sleep(10 * time.Second)
 		sim.withLock(func() {
 			if n := len(sim.machinesRunning("job-1")); n != 8 {
-				t.Errorf("%d tasks of the cancelled job left: its machines were asked", n)
+				t.Errorf("%d tasks of the cancelled job left: its machines were reached", n)
 			}
 		})
-		// Afterwards the others' turn comes, once the leases have run out (47).
+		// Afterwards the other jobs start, once the leases have expired (rule 47).
 		time.Sleep(50 * time.Second)
 		sim.withLock(func() {
 			if n := len(sim.machinesRunning("job-2")); n != 8 {
@@ -228,27 +225,28 @@
 	})
 }
 
-// A withdrawn task that can't be stopped has its machine deleted by its owner, without the
-// leader and without the state service, and before cancel_s is over; one whose lease
-// provably runs out in time has not.
+// The machine of a cancelled task that cannot be stopped is deleted by the partition leader,
+// without the cluster leader and without the state store, before cancel_s is over; a machine
+// whose lease provably expires in time is kept.
 func TestMachinesOfCancelledTasksAreDeletedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// taken: the owner is lost with the withdrawal, and its successor can't know whom
-		// it has answered; outage: the state service ends as well.
-		taken, outage bool
-		// later: the withdrawal comes after that, so that it is known whom nobody answers.
-		later     bool
-		deaf, cut bool
-		deleted   bool
+		// takeover: the leader is killed after the cancellation, and its successor cannot know
+		// which heartbeats it answered; outage: the state store goes down as well.
+		takeover, outage bool
+		// afterTakeover: the cancellation comes after the takeover, so that it is known which machines
+		// get no answers.
+		afterTakeover    bool
+		inboundLost, cut bool
+		deleted          bool
 	}{
-		{name: "silent under the same owner", cut: true},
-		{name: "silent under the same owner in an outage", cut: true, outage: true},
-		{name: "deaf under the same owner", deaf: true},
-		{name: "silent after a takeover", taken: true, cut: true, deleted: true},
-		{name: "silent after a takeover, then an outage", taken: true, cut: true, outage: true, deleted: true},
-		{name: "withdrawn after the takeover, then an outage", taken: true, later: true, cut: true, outage: true},
+		{name: "unreachable, same leader", cut: true},
+		{name: "unreachable, same leader, state store outage", cut: true, outage: true},
+		{name: "inbound messages lost, same leader", inboundLost: true},
+		{name: "unreachable after a takeover", takeover: true, cut: true, deleted: true},
+		{name: "unreachable after a takeover, then state store outage", takeover: true, cut: true, outage: true, deleted: true},
+		{name: "cancelled after the takeover, then state store outage", takeover: true, afterTakeover: true, cut: true, outage: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -272,21 +270,21 @@
 					if tc.cut {
 						sim.cut = func(_, host string) bool { return out[host] }
 					}
-					if tc.deaf {
+					if tc.inboundLost {
 						sim.inboundLost = out
 					}
 				})
-				told := time.Now()
-				withdraw := func() {
+				notices := time.Now()
+				cancelJob := func() {
 					if !sim.cancelAt(sim.otherControllers(leader)[0], "job-1") {
-						t.Fatal("not withdrawn")
+						t.Fatal("not cancelled")
 					}
-					told = time.Now()
+					notices = time.Now()
 				}
-				if !tc.later {
-					withdraw()
+				if !tc.afterTakeover {
+					cancelJob()
 				}
-				if tc.taken {
+				if tc.takeover {
 					sim.killController(leader)
 					for range 100 {
 						time.Sleep(100 * time.Millisecond)
@@ -295,34 +293,35 @@
 						}
 					}
 				}
-				if tc.later {
-					withdraw()
+				if tc.afterTakeover {
+					cancelJob()
 				}
 				if tc.outage {
 					sim.setOutage(true)
 				}
-				missing := func() (gone int) {
+				missing := func() (deletedCount int) {
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
 					for _, m := range on {
 						if sim.cloud.Machines[m] == nil {
-							gone++
+							deletedCount++
 						}
 					}
-					return gone
+					return deletedCount
 				}
-				time.Sleep(time.Until(told.Add(30 * time.Second)))
-				if gone := missing(); tc.taken && gone > 0 {
-					t.Errorf("%d machines deleted though there was time to stop what is on them", gone)
+				time.Sleep(time.Until(notices.Add(30 * time.Second)))
+				if deletedCount := missing(); tc.takeover && deletedCount > 0 {
+					t.Errorf("%d machines deleted though there was time to stop what is on them", deletedCount)
 				}
-				time.Sleep(time.Until(told.Add(43 * time.Second)))
-				gone := missing()
-				// Under the same owner the leader sends lost machines away by and by.
-				if tc.deleted && gone != len(on) || !tc.deleted && tc.outage && gone > 0 {
-					t.Errorf("%d of %d machines deleted within cancel_s", gone, len(on))
+				time.Sleep(time.Until(notices.Add(43 * time.Second)))
+				deletedCount := missing()
+				// Under the same partition leader the cluster leader deletes lost machines over
+				// time.
+				if tc.deleted && deletedCount != len(on) || !tc.deleted && tc.outage && deletedCount > 0 {
+					t.Errorf("%d of %d machines deleted within cancel_s", deletedCount, len(on))
 				}
 				if sim.leaderOf(partition) == "" && !tc.outage {
-					t.Error("nobody owns the part")
+					t.Error("the partition has no leader")
 				}
 				sim.withLock(func() { sim.cut, sim.inboundLost = nil, nil })
 				sim.setOutage(false)
@@ -332,15 +331,16 @@
 	}
 }
 
-// An owner that the state service refuses alone hears of withdrawals from the others and
-// stops what they concern at once; without that, a carrier that knows does so for the
-// machines that report to it (43). The bound is not needed for either.
+// A leader whose requests the state store refuses learns of cancellations from notices of its
+// peers and stops the tasks at once; without notices, a delegate that knows of the cancellation
+// does so for the machines that send their heartbeats to it (rule 43). The cancellation bound
+// is not needed for either.
 func TestNoticesAndDelegatesStopCancelledTasks(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name      string
 		noNotices bool
-	}{{"news", false}, {"a carrier knows", true}} {
+	}{{"notices", false}, {"only the delegate knows", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			prepare := func(sim *simulatedCluster) {
@@ -350,40 +350,40 @@
 			runConfiguredSimulation(t, 304, prepare, func(sim *simulatedCluster) {
 				partition := sim.startDelegation(8)
 				leader := sim.leaderOf(partition)
-				var delegated, kept int
-				count := func() (delegated, kept int) {
+				var delegated, direct int
+				count := func() (delegated, direct int) {
 					sim.forEachWorker(func(agent *worker.Worker) {
 						for _, task := range agent.Tasks {
 							if task.Job != "job-0" && task.Job != "job-1" || task.State == protocol.TaskEnded {
 							} else if agent.Homes[agent.Home] == leader {
-								kept++
+								direct++
 							} else {
 								delegated++
 							}
 						}
 					})
-					return delegated, kept
+					return delegated, direct
 				}
 				sim.withLock(func() { sim.suppressNotices = tc.noNotices })
-				if delegated, kept = count(); delegated == 0 || kept == 0 {
-					t.Fatalf("%d tasks on machines that others carry, %d on others", delegated, kept)
+				if delegated, direct = count(); delegated == 0 || direct == 0 {
+					t.Fatalf("%d tasks on delegated machines, %d on the leader's", delegated, direct)
 				}
 				sim.setStateServiceRefusal(leader, true)
 				for _, id := range []string{"job-0", "job-1"} {
 					if !sim.cancelAt(sim.otherControllers(leader)[0], id) {
-						t.Fatal("not withdrawn")
+						t.Fatal("not cancelled")
 					}
 				}
-				time.Sleep(1800 * time.Millisecond) // the owner's lease goes on
+				time.Sleep(1800 * time.Millisecond) // the leader's lease is still valid
 				if sim.leaderOf(partition) != leader {
-					t.Fatal("the part changed hands")
+					t.Fatal("the partition changed its leader")
 				}
-				carriedNow, keptNow := count()
-				if carriedNow > 0 || !tc.noNotices && keptNow > 0 {
-					t.Errorf("%d and %d of %d and %d tasks left after 1.8 s", carriedNow, keptNow, delegated, kept)
+				carriedNow, directNow := count()
+				if carriedNow > 0 || !tc.noNotices && directNow > 0 {
+					t.Errorf("%d and %d of %d and %d tasks left after 1.8 s", carriedNow, directNow, delegated, direct)
 				}
-				if tc.noNotices && keptNow == 0 {
-					t.Error("the owner knew without being told")
+				if tc.noNotices && directNow == 0 {
+					t.Error("the leader knew without a notice")
 				}
 				sim.setStateServiceRefusal(leader, false)
 				sim.withLock(func() { sim.suppressNotices = false })
@@ -393,7 +393,7 @@
 	}
 }
 
-// News say for how long a job has been withdrawn, and are taken once.
+// A cancellation notice carries how long the job has been cancelled, and is applied once.
 func TestCancellationNoticesCarryTheirAge(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -404,26 +404,26 @@
 		time.Sleep(3 * time.Second)
 		c.jobs.ApplyCancellationNotices(&peer.Summary{Cancelled: []*peer.CancelledJob{{Job: "job-1", AgeMs: 500}}}, time.Now())
 		if at := c.Cancellations.CancelledAt("job-1"); begun.Sub(at) != 7*time.Second || len(c.FinalStates) != 1 {
-			t.Errorf("withdrawn %s before it was heard, %d finals", begun.Sub(at), len(c.FinalStates))
+			t.Errorf("cancelled %s before the notice arrived, %d final states", begun.Sub(at), len(c.FinalStates))
 		}
-		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != 1 || told[0].AgeMs != 10_000 {
-			t.Errorf("told on: %v", told)
+		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != 1 || notices[0].AgeMs != 10_000 {
+			t.Errorf("notices passed on: %v", notices)
 		}
 		for i := range c.Cancellations.Limit + 10 {
 			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
 		}
-		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.Limit || told[0].Job != "job-1" {
-			t.Errorf("%d told at a time", len(told))
+		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != c.Cancellations.Limit || notices[0].Job != "job-1" {
+			t.Errorf("%d notices at a time", len(notices))
 		}
 		if time.Sleep(c.CancelBound + time.Second); len(c.Cancellations.Recent(time.Now(), c.CancelBound)) != 0 {
-			t.Error("news are told for ever")
+			t.Error("notices never expire")
 		}
 	})
 }
 
-// A withdrawal that the owner has not seen yet, since its watch brings nothing and nobody
-// tells it, still keeps what waits from being started: its record is in every start's
-// conditions (17).
+// A cancellation that the leader has not seen yet, since its watch delivers nothing and it
+// receives no notice, still prevents waiting tasks from being started: its record is a
+// condition of every start's transaction (rule 17).
 func TestNoStartAfterACancellationUnseenByTheLeader(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 305, configureLongAnswerBound, func(sim *simulatedCluster) {
@@ -447,26 +447,26 @@
 			}
 		})
 		if !sim.cancelAt(sim.otherControllers(leader)[0], "job-2") {
-			t.Fatal("not withdrawn")
+			t.Fatal("not cancelled")
 		}
 		unseen := false
-		for range 150 { // meanwhile the first job ends, and there is room
+		for range 150 { // meanwhile the first job ends and frees its machines
 			time.Sleep(100 * time.Millisecond)
 			sim.onController(leader, func(c *Controller) {
 				sim.withLock(func() {
-					if len(sim.jobs["job-1"].tasksDone) == 0 { // up to the moment when there is
+					if len(sim.jobs["job-1"].tasksDone) == 0 { // until the machines are free
 						unseen = c.FinalStates["job-2"] == ""
 					}
 				})
 			})
 			sim.withLock(func() {
 				if n := len(sim.machinesRunning("job-2")); n > 0 {
-					t.Fatalf("%d tasks of a withdrawn job started", n)
+					t.Fatalf("%d tasks of a cancelled job started", n)
 				}
 			})
 		}
 		if !unseen {
-			t.Error("the owner knew of the withdrawal before there was room")
+			t.Error("the leader knew of the cancellation before there was capacity")
 		}
 		sim.withLock(func() { sim.suppressNotices, sim.state.Stuck = false, false })
 		time.Sleep(5 * time.Second)
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -15,15 +15,17 @@
 	"micaspindle/internal/storage"
 )
 
-// capturedCommands is an order that a controller sent and that has not come yet.
+// capturedCommands is a message with commands that a controller sent and that has not been
+// delivered.
 type capturedCommands struct {
 	machine string
 	body    []byte
 }
 
-// captureCommands keeps every order with commands that a controller sends itself from now on.
-func (sim *simulatedCluster) captureCommands(from string) (kept *[]capturedCommands) {
-	kept = new([]capturedCommands)
+// captureCommands withholds from now on every message with commands that a controller sends
+// directly to an agent.
+func (sim *simulatedCluster) captureCommands(from string) (captured *[]capturedCommands) {
+	captured = new([]capturedCommands)
 	sim.withLock(func() {
 		sim.onRequest = func(sender, host, target string, body []byte) bool {
 			sim.mu.Lock()
@@ -31,14 +33,15 @@
 			if sender != from || target != "/orders" || sim.workers[host] == nil || commandOps(body)[fenceOp] {
 				return false
 			}
-			*kept = append(*kept, capturedCommands{host, body})
+			*captured = append(*captured, capturedCommands{host, body})
 			return true
 		}
 	})
-	return kept
+	return captured
 }
 
-// deliverCaptured brings kept orders to their workers.
+// deliverCaptured delivers captured messages to their agents and counts by operation how many
+// were applied and refused.
 func (sim *simulatedCluster) deliverCaptured(orders []capturedCommands) (done, refused map[string]int) {
 	done, refused = map[string]int{}, map[string]int{}
 	for _, k := range orders {
@@ -59,7 +62,8 @@
 	return done, refused
 }
 
-// everySecondMessage are the orders at even or odd places, so that both have all kinds.
+// everySecondMessage returns the messages at even (from 0) or odd (from 1) indexes, so that
+// both halves contain all operations.
 func everySecondMessage(orders []capturedCommands, from int) (list []capturedCommands) {
 	for i := from; i < len(orders); i += 2 {
 		list = append(list, orders[i])
@@ -67,7 +71,7 @@
 	return list
 }
 
-// hasStartsAndStops says whether orders hold starts and stops or reaps.
+// hasStartsAndStops reports whether the messages contain starts as well as stops or reaps.
 func hasStartsAndStops(orders []capturedCommands) bool {
 	verbs := map[string]bool{}
 	for _, k := range orders {
@@ -76,8 +80,8 @@
 	return verbs[protocol.OpStart] && (verbs[protocol.OpStop] || verbs[protocol.OpForget])
 }
 
-// sendCommandsOfAllKinds has an owner send starts, stops and reaps: jobs end, one is called off
-// and another is submitted.
+// sendCommandsOfAllKinds makes a leader send starts, stops and reaps: jobs end, one is
+// cancelled and others are submitted.
 func (sim *simulatedCluster) sendCommandsOfAllKinds(leader, cancelled string) error {
 	for i := range 4 {
 		s := newJobSpec(fmt.Sprintf("job-8%d", i), 4, "green")
@@ -91,14 +95,14 @@
 	return nil
 }
 
-// runWithStaleCommands plays an owner whose commands come after another has begun: some before its
-// first fencing orders, some after.
+// runWithStaleCommands replaces a leader whose commands arrive after its successor has begun:
+// half of them before the successor's first fence, half after it.
 func runWithStaleCommands(replace func(sim *simulatedCluster, partition int, leader string) (successor string)) func(sim *simulatedCluster) error {
 	return func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 9*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
-		kept := sim.captureCommands(leader)
+		captured := sim.captureCommands(leader)
 		time.Sleep(2500 * time.Millisecond)
 		if err := sim.sendCommandsOfAllKinds(leader, "job-101"); err != nil {
 			return err
@@ -106,7 +110,7 @@
 		var sent []capturedCommands
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
-			sim.withLock(func() { sent = slices.Clone(*kept) })
+			sim.withLock(func() { sent = slices.Clone(*captured) })
 			if hasStartsAndStops(everySecondMessage(sent, 0)) && hasStartsAndStops(everySecondMessage(sent, 1)) {
 				break
 			}
@@ -125,38 +129,39 @@
 		})
 		before := fencing
 		type outcome struct{ done, refused map[string]int }
-		brought := make(chan outcome, 1)
+		delivered := make(chan outcome, 1)
 		sim.group.Go(func() {
 			<-before
 			done, refused := sim.deliverCaptured(everySecondMessage(sent, 0))
-			brought <- outcome{done, refused}
+			delivered <- outcome{done, refused}
 		})
 		successor := replace(sim, partition, leader)
-		early := <-brought
+		early := <-delivered
 		time.Sleep(3 * time.Second)
 		_, refused := sim.deliverCaptured(everySecondMessage(sent, 1))
 		sim.startMissingControllers()
 		sim.withLock(func() { sim.onRequest = nil })
-		came := map[string]int{}
-		maps.Copy(came, early.refused)
-		maps.Copy(came, early.done)
-		if len(came) < 2 || len(early.done) == 0 || refused[protocol.OpStart] == 0 || refused[protocol.OpStop]+refused[protocol.OpForget] == 0 || successor == "" {
-			return fmt.Errorf("of %d orders came before the first fencing %v, refused after it %v, new owner %q", len(sent), early, refused, successor)
+		arrived := map[string]int{}
+		maps.Copy(arrived, early.refused)
+		maps.Copy(arrived, early.done)
+		if len(arrived) < 2 || len(early.done) == 0 || refused[protocol.OpStart] == 0 || refused[protocol.OpStop]+refused[protocol.OpForget] == 0 || successor == "" {
+			return fmt.Errorf("of %d commands, applied before the first fence %v, refused after it %v, new leader %q", len(sent), early, refused, successor)
 		}
 		return nil
 	}
 }
 
-// tokenRaiseShareMax is the share of the write budget that raised tokens may take in a second.
+// tokenRaiseShareMax is the share of the state store's write rate that raised tokens may use in
+// any second.
 const tokenRaiseShareMax = 0.5
 
 var commandFaultCombinations = []faultCombination{
-	{name: "an old owner's starts, stops and reaps come before and after the new one's first fencing",
+	{name: "starts, stops and reaps of a former leader arrive before and after its successor's first fence",
 		run: runWithStaleCommands(func(sim *simulatedCluster, partition int, leader string) string {
 			sim.killController(leader)
 			return sim.waitForNewLeader(partition, leader)
 		})},
-	{name: "those of a process that restarted as successor of itself",
+	{name: "starts, stops and reaps of a leader's previous incarnation arrive late",
 		run: runWithStaleCommands(func(sim *simulatedCluster, partition int, leader string) string {
 			for _, l := range sim.otherControllers(leader) {
 				sim.killController(l)
@@ -166,7 +171,7 @@
 			sim.startController(leader)
 			return sim.waitForNewLeader(partition, "")
 		})},
-	{name: "a process stands still between the check and the sending of a start, and the job is cancelled", run: func(sim *simulatedCluster) error {
+	{name: "a leader pauses between the check and the sending of a start, and the job is cancelled", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(2, 4, "green", 12*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
@@ -202,16 +207,16 @@
 			}
 		})
 		if refused := sim.faultCount("refused start"); successor == leader || refused == 0 {
-			return fmt.Errorf("new owner %s, %d old starts came and were refused", successor, refused)
+			return fmt.Errorf("new leader %s, %d stale starts arrived and were refused", successor, refused)
 		}
 		return nil
 	}},
-	{name: "commands are carried out at once and only their answers lost, while jobs are cancelled and the owner ends", run: func(sim *simulatedCluster) error {
+	{name: "responses to commands are lost while jobs are cancelled and the leader is killed", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 9*time.Second)
 		partition := sim.partitionOf("green")
 		sim.withLock(func() { sim.delayedCommands = &commandDelayFault{share: 0.7, loseAnswersOnly: true} })
 		met := func() (starts, stops, reaps int) {
-			return sim.faultCount("late start done"), sim.faultCount("late stop done"), sim.faultCount("late reap done")
+			return sim.faultCount("late start applied"), sim.faultCount("late stop applied"), sim.faultCount("late reap applied")
 		}
 		for i := range 60 {
 			if starts, stops, reaps := met(); i >= 20 && starts >= 5 && stops >= 2 && reaps >= 3 {
@@ -238,11 +243,11 @@
 		}
 		return nil
 	}},
-	{name: "half of the commands are held up for a minute while jobs are cancelled, preempted and drained", prepare: func(sim *simulatedCluster) {
+	{name: "half of the commands are delayed for a minute while jobs are cancelled, preempted and drained", prepare: func(sim *simulatedCluster) {
 		sim.cloud.Capacity = 40
 		sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 80}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
 	}, run: delayHalfOfCommands, finishWithin: 5 * time.Minute},
-	{name: "jobs are cancelled as their part changes hands, and their machines reach nobody", run: func(sim *simulatedCluster) error {
+	{name: "jobs are cancelled during a failover, and their machines cannot send", run: func(sim *simulatedCluster) error {
 		ids := sim.startLongJobs(3, 4, "green", 2*time.Minute)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
@@ -252,7 +257,7 @@
 		between := sim.leaderOf(partition) == ""
 		cancelled := sim.cancelAt(other, ids[0])
 		sim.waitForNewLeader(partition, leader)
-		time.Sleep(1500 * time.Millisecond) // far less than what is left of the lease
+		time.Sleep(1500 * time.Millisecond) // far less than the rest of the machine lease
 		left := 0
 		sim.withLock(func() {
 			left = len(sim.machinesRunning(ids[0]))
@@ -260,14 +265,14 @@
 		})
 		sim.startController(leader)
 		if left > 0 {
-			sim.t.Errorf("%d of its tasks go on though commands reach their machines", left)
+			sim.t.Errorf("%d of its tasks keep running though commands reach their machines", left)
 		}
 		if !between || !cancelled {
-			return fmt.Errorf("cancelled %v, while nobody owned the part %v", cancelled, between)
+			return fmt.Errorf("cancelled %v, while the partition had no leader %v", cancelled, between)
 		}
 		return nil
 	}},
-	{name: "more work than room, urgent and not, over slow links", run: func(sim *simulatedCluster) error {
+	{name: "more work than capacity at all urgencies over slow links", run: func(sim *simulatedCluster) error {
 		sim.withLock(func() { sim.linkDelayMax = 900 * time.Millisecond })
 		partition := sim.partitionOf("green")
 		waited := 0
@@ -275,7 +280,7 @@
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 4, "green")
 			s.Urgency, s.DeadlineS = protocol.Urgency(i%4), 0
 			sim.group.Go(func() { sim.submitUntilAccepted(s, i) })
-			sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+			sim.withLock(func() { sim.jobs[s.ID] = newSubmittedJob(s) })
 			if i%5 == 4 {
 				sim.group.Go(func() {
 					time.Sleep(6 * time.Second)
@@ -302,10 +307,10 @@
 		}
 		return nil
 	}, finishWithin: 5 * time.Minute},
-	{name: "jobs bound to a zone lose machines where it has no room, and the leader ends", prepare: func(sim *simulatedCluster) {
+	{name: "jobs bound to a zone lose machines at full capacity, and the leader is killed", prepare: func(sim *simulatedCluster) {
 		sim.cloud.Types[1].ZonesOffered = []string{"a"}
 	}, run: func(sim *simulatedCluster) error {
-		sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return 25 * time.Second } })
+		sim.setRunTime(25 * time.Second)
 		partition := sim.partitionOf("green")
 		bound := []string{"job-0", "job-1", "job-2"}
 		sim.submitPlacementBoundJobs(9, 6, 4)
@@ -318,13 +323,13 @@
 		sim.waitForNewLeader(partition, leader)
 		sim.startController(leader)
 		if hit < len(bound) {
-			return fmt.Errorf("%d of %d kinds of jobs lost machines while no room was left", hit, len(bound))
+			return fmt.Errorf("%d of %d kinds of jobs lost machines at full capacity", hit, len(bound))
 		}
 		return nil
 	}, finishWithin: 6 * time.Minute},
 }
 
-// delayHalfOfCommands holds half of the direct commands up for a minute.
+// delayHalfOfCommands delays half of the direct commands for a minute.
 func delayHalfOfCommands(sim *simulatedCluster) error {
 	sim.withLock(func() {
 		sim.runTime = func(job string, task int, _ string) time.Duration {
@@ -342,7 +347,7 @@
 			}
 		}
 	})
-	teams := []string{"red", "blue", "green"}
+	teams := allTeams
 	begun := time.Now()
 	for i := 0; time.Since(begun) < 75*time.Second; i++ {
 		if at := time.Since(begun); at > 10*time.Second && at < 70*time.Second {
@@ -379,7 +384,7 @@
 							sim.withLock(func() {
 								sim.stopMachine(name)
 								delete(sim.cloud.Machines, name)
-								sim.countFault("machines taken")
+								sim.countFault("machines preempted")
 							})
 						})
 					}
@@ -396,8 +401,8 @@
 	var late []string
 	sim.withLock(func() {
 		for _, start := range sim.startsAfterCancel {
-			// What was fetching as its job was cancelled is another matter than a start
-			// that came after it.
+			// A task that was fetching its image when its job was cancelled does not count:
+			// only a start that arrived after the cancellation does.
 			if start.after > time.Second+agents.CommandAnswerWait {
 				late = append(late, fmt.Sprintf("%s %s after", start.task, start.after))
 			}
@@ -409,15 +414,15 @@
 	if limit := tokenRaiseShareMax * sim.settings.Params.State.WriteRPS; float64(most) > limit {
 		sim.t.Errorf("%d records of machines written in a second, at most %v", most, limit)
 	}
-	done, refused, stops, taken := sim.faultCount("late start done"), sim.faultCount("late start refused"), sim.faultCount("late stop done"), sim.faultCount("machines taken")
+	done, refused, stops, taken := sim.faultCount("late start applied"), sim.faultCount("late start refused"), sim.faultCount("late stop applied"), sim.faultCount("machines preempted")
 	if done < 10 || refused < 3 || stops < 3 || taken < 1 || len(raised) == 0 {
-		return fmt.Errorf("%d late starts done, %d refused, %d late stops, %d machines taken, raises in %d seconds", done, refused, stops, taken, len(raised))
+		return fmt.Errorf("%d late starts applied, %d refused, %d late stops, %d machines preempted, tokens raised in %d seconds", done, refused, stops, taken, len(raised))
 	}
 	return nil
 }
 
-// Each meeting of commands that are late, of slow links and of zones without room breaks
-// no rule, and everything is over in time.
+// Combinations of late commands, slow links and zones without capacity violate no safety rule,
+// and all jobs end in time.
 func TestConcurrentCommandFaults(t *testing.T) {
 	t.Parallel()
 	runFaultCombinations(t, 600, commandFaultCombinations)
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -12,20 +12,20 @@
 	"micaspindle/internal/standin/worker"
 )
 
-// faultCombination is a meeting of two troubles, as docs/meetings.md lists them. Its play brings
-// both about and says, if they missed each other, how: a test in which the second trouble
-// missed the first shows nothing.
+// faultCombination is a combination of two faults listed in docs/meetings.md. Its run injects
+// both and returns an error if they did not coincide: such a test proves nothing.
 type faultCombination struct {
 	name    string
 	prepare func(sim *simulatedCluster)
 	run     func(sim *simulatedCluster) error
-	// finishWithin is how long everything may take once the troubles are over.
+	// finishWithin is how long all jobs may take to end once the faults are over; 0: three
+	// minutes.
 	finishWithin time.Duration
 }
 
-// startLongJobs submits jobs that run for a while, and waits until they do.
+// startLongJobs submits jobs that run for a while, and waits until all their tasks run.
 func (sim *simulatedCluster) startLongJobs(n, tasks int, team string, run time.Duration) (ids []string) {
-	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return run } })
+	sim.setRunTime(run)
 	for i := range n {
 		s := newJobSpec(fmt.Sprintf("job-%d", 100+i), tasks, team)
 		s.EstimateS, s.DeadlineS, s.CPUs = run.Seconds(), 0, 2
@@ -44,11 +44,12 @@
 			return ids
 		}
 	}
-	sim.t.Fatal("the long jobs don't run")
+	sim.t.Fatal("the long jobs do not run")
 	return nil
 }
 
-// submitPlacementBoundJobs submits jobs that are bound to a zone by name, to any one zone, or apart.
+// submitPlacementBoundJobs submits jobs that are bound to a named zone, to any single zone, or
+// spread over zones.
 func (sim *simulatedCluster) submitPlacementBoundJobs(count, tasks int, cpus float64) {
 	for i := range count {
 		s := newJobSpec(fmt.Sprintf("job-%d", i), tasks, "green")
@@ -65,9 +66,9 @@
 	}
 }
 
-// powerOffMachinesOf waits until all of some jobs run and something else holds, which is asked
-// with the lock held, and cuts the power of their machines. It says how many ran.
-func (sim *simulatedCluster) powerOffMachinesOf(jobs []string, holds func() bool) (hit int) {
+// powerOffMachinesOf waits until all of the jobs run and holds returns true (called with the
+// lock held), and powers off their machines. It returns how many jobs lost machines.
+func (sim *simulatedCluster) powerOffMachinesOf(jobs []string, condition func() bool) (hit int) {
 	ready := false
 	for range 160 {
 		time.Sleep(250 * time.Millisecond)
@@ -78,7 +79,7 @@
 					hit++
 				}
 			}
-			ready = hit == len(jobs) && holds()
+			ready = hit == len(jobs) && condition()
 		})
 		if ready {
 			break
@@ -88,25 +89,25 @@
 		return 0
 	}
 	sim.withLock(func() {
-		for m := range sim.machinesRunningAnyOf(jobs...) {
-			sim.workers[m].Off()
-			delete(sim.workers, m)
+		for machine := range sim.machinesRunningAnyOf(jobs...) {
+			sim.workers[machine].Off()
+			delete(sim.workers, machine)
 		}
 	})
 	return hit
 }
 
 var faultCombinations = []faultCombination{
-	{name: "old reports reach every controller as a new leader begins", run: func(sim *simulatedCluster) error {
+	{name: "replayed heartbeats reach every controller during a failover", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
 		sim.withLock(func() { sim.duplicatedHeartbeatShare, sim.keepForReplay = 1, true })
 		time.Sleep(3 * time.Second)
-		// One machine's session ends, so that some of them are of the one before.
-		var slept string
-		sim.withLock(func() { slept = sim.machinesRunning("job-100")[0] })
-		sim.hangMachine(slept, 10*time.Second)
+		// One machine loses its lease, so that some heartbeats are of its previous epoch.
+		var expired string
+		sim.withLock(func() { expired = sim.machinesRunning("job-100")[0] })
+		sim.hangMachine(expired, 10*time.Second)
 		time.Sleep(11 * time.Second)
 		sim.withLock(func() { sim.duplicatedHeartbeatShare = 0 })
 		sim.killController(leader)
@@ -115,12 +116,12 @@
 		successor := sim.waitForNewLeader(partition, leader)
 		sim.replayHeartbeats()
 		sim.startController(leader)
-		if n := sim.faultCount("old report"); n < 20 || successor == leader {
-			return fmt.Errorf("%d old reports, new owner %s", n, successor)
+		if n := sim.faultCount("replayed heartbeat"); n < 20 || successor == leader {
+			return fmt.Errorf("%d replayed heartbeats, new leader %s", n, successor)
 		}
 		return nil
 	}},
-	{name: "copies of reports come late while owners change", run: func(sim *simulatedCluster) error {
+	{name: "duplicated heartbeats arrive late during failovers", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(4, 4, "green", 30*time.Second)
 		partition := sim.partitionOf("green")
 		sim.withLock(func() { sim.duplicatedHeartbeatShare = 0.6 })
@@ -133,12 +134,12 @@
 		}
 		sim.withLock(func() { sim.duplicatedHeartbeatShare = 0 })
 		time.Sleep(14 * time.Second)
-		if n := sim.faultCount("old report"); n < 10 {
-			return fmt.Errorf("%d old reports", n)
+		if n := sim.faultCount("replayed heartbeat"); n < 10 {
+			return fmt.Errorf("%d replayed heartbeats", n)
 		}
 		return nil
 	}},
-	{name: "deaf machines with long tasks while the leader ends", run: func(sim *simulatedCluster) error {
+	{name: "machines with long tasks receive nothing while the leader is killed", run: func(sim *simulatedCluster) error {
 		ids := sim.startLongJobs(3, 4, "green", 60*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
@@ -155,16 +156,16 @@
 				}
 			}
 		})
-		withdrawn := sim.cancelAt(successor, ids[0])
+		cancelled := sim.cancelAt(successor, ids[0])
 		time.Sleep(12 * time.Second)
 		sim.withLock(func() { sim.inboundLost = nil })
 		sim.startController(leader)
-		if unfenced == 0 || !withdrawn {
-			return fmt.Errorf("%d machines not fenced, withdrawn %v", unfenced, withdrawn)
+		if unfenced == 0 || !cancelled {
+			return fmt.Errorf("%d machines not fenced, cancelled %v", unfenced, cancelled)
 		}
 		return nil
 	}},
-	{name: "mute machines while the leader ends", run: func(sim *simulatedCluster) error {
+	{name: "machines cannot send while the leader is killed", run: func(sim *simulatedCluster) error {
 		ids := sim.startLongJobs(3, 4, "green", 60*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
@@ -182,20 +183,20 @@
 				}
 			}
 		})
-		withdrawn := sim.cancelAt(successor, ids[0])
-		time.Sleep(20 * time.Second) // longer than the lease
+		cancelled := sim.cancelAt(successor, ids[0])
+		time.Sleep(20 * time.Second) // longer than the machine lease
 		left := 0
 		sim.withLock(func() {
 			left = len(sim.machinesRunning(ids[0]))
 			sim.outboundLost = nil
 		})
 		sim.startController(leader)
-		if fenced == 0 || !withdrawn || left > 0 {
-			return fmt.Errorf("%d machines fenced by orders, withdrawn %v, %d of its tasks left", fenced, withdrawn, left)
+		if fenced == 0 || !cancelled || left > 0 {
+			return fmt.Errorf("%d machines fenced by commands, cancelled %v, %d of its tasks left", fenced, cancelled, left)
 		}
 		return nil
 	}},
-	{name: "a zone with workers and the owner is cut off for longer than the lease", run: func(sim *simulatedCluster) error {
+	{name: "a zone with agents and the leader is cut off for longer than the lease", run: func(sim *simulatedCluster) error {
 		ids := sim.startLongJobs(4, 4, "green", 90*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
@@ -211,21 +212,21 @@
 			}
 		})
 		successor := sim.waitForNewLeader(partition, leader)
-		withdrawn := sim.cancelAt(successor, ids[0])
+		cancelled := sim.cancelAt(successor, ids[0])
 		time.Sleep(25 * time.Second)
 		sim.withLock(func() { sim.cut = nil })
-		if !withdrawn || len(inside) == 0 {
-			return fmt.Errorf("withdrawn %v, %d machines", withdrawn, len(inside))
+		if !cancelled || len(inside) == 0 {
+			return fmt.Errorf("cancelled %v, %d machines", cancelled, len(inside))
 		}
 		return nil
 	}},
-	{name: "late transactions of an owner that ends and comes back", run: func(sim *simulatedCluster) error {
+	{name: "late transactions of a leader that restarts", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
-		// Of one job all records are written late, of which the first that comes is done.
+		// All records of one job are written late; the first that arrives is applied.
 		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, "job" })
 		sim.group.Go(func() { sim.submit(newJobSpec("job-99", 3, "green")) })
 		for range 30 {
-			if time.Sleep(500 * time.Millisecond); sim.faultCount("late write done") > 0 {
+			if time.Sleep(500 * time.Millisecond); sim.faultCount("late transaction applied") > 0 {
 				break
 			}
 		}
@@ -244,12 +245,12 @@
 		time.Sleep(4 * time.Second)
 		sim.withLock(func() { sim.lateTransactionShare = 0 })
 		time.Sleep(13 * time.Second)
-		if done, refused := sim.faultCount("late write done"), sim.faultCount("late write refused"); done < 1 || refused < 3 {
-			return fmt.Errorf("%d late writes done, %d refused", done, refused)
+		if done, refused := sim.faultCount("late transaction applied"), sim.faultCount("late transaction refused"); done < 1 || refused < 3 {
+			return fmt.Errorf("%d late transactions applied, %d refused", done, refused)
 		}
 		return nil
 	}, finishWithin: 4 * time.Minute},
-	{name: "answers to releases and claims are lost in hand-overs, and jobs are called off between", run: func(sim *simulatedCluster) error {
+	{name: "responses to lease releases and acquisitions are lost in handovers while jobs are cancelled", run: func(sim *simulatedCluster) error {
 		ids := sim.startLongJobs(12, 1, "green", 60*time.Second)
 		partition := sim.partitionOf("green")
 		between, lost := 0, 0
@@ -274,15 +275,15 @@
 					}
 				}
 			}
-			sim.withLock(func() { lost += sim.faultCounts["late write done"] })
+			sim.withLock(func() { lost += sim.faultCounts["late transaction applied"] })
 			time.Sleep(8 * time.Second)
 		}
 		if between == 0 || lost == 0 {
-			return fmt.Errorf("%d withdrawals between two owners, %d answers lost", between, lost)
+			return fmt.Errorf("%d cancellations between two leaders, %d responses lost", between, lost)
 		}
 		return nil
 	}},
-	{name: "hand-over and back, all end, one returns within a second", run: func(sim *simulatedCluster) error {
+	{name: "handover and back, all controllers are killed, one restarts within a second", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 3, "green", 40*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
@@ -296,17 +297,17 @@
 		sim.startController(successor)
 		time.Sleep(8 * time.Second)
 		alone := sim.leaderOf(partition)
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			if l != successor {
 				sim.startController(l)
 			}
 		}
 		if alone != successor {
-			return fmt.Errorf("%q decides alone, want %s", alone, successor)
+			return fmt.Errorf("%q leads alone, want %s", alone, successor)
 		}
 		return nil
 	}},
-	{name: "all are away for longer than the lease, one is back a second before the others", run: func(sim *simulatedCluster) error {
+	{name: "all controllers are down for longer than the lease, one restarts a second before the others", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
 		sessions := func() (n uint64) {
 			sim.forEachWorker(func(agent *worker.Worker) { n += agent.Session })
@@ -322,11 +323,11 @@
 			time.Sleep(time.Second)
 		}
 		if after := sessions(); after <= before {
-			return fmt.Errorf("no session ended: %d, %d", before, after)
+			return fmt.Errorf("no epoch ended: %d, %d", before, after)
 		}
 		return nil
 	}},
-	{name: "machines are up at once while their records lag, and the leader ends", prepare: func(sim *simulatedCluster) { sim.bootDelay = 300 * time.Millisecond }, run: func(sim *simulatedCluster) error {
+	{name: "machines boot before their records are written, and the cluster leader is killed", prepare: func(sim *simulatedCluster) { sim.bootDelay = 300 * time.Millisecond }, run: func(sim *simulatedCluster) error {
 		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, "machine" })
 		for i := range 4 {
 			sim.group.Go(func() { sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 6, "green")) })
@@ -343,7 +344,7 @@
 			})
 		}
 		leader := ""
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			sim.onController(l, func(c *Controller) {
 				if c.Leadership.Held {
 					leader = l
@@ -359,11 +360,11 @@
 			sim.startController(leader)
 		}
 		if early == 0 || leader == "" {
-			return fmt.Errorf("machines seen up without a record %d times, leader %q", early, leader)
+			return fmt.Errorf("machines seen up without a record %d times, cluster leader %q", early, leader)
 		}
 		return nil
 	}, finishWithin: 4 * time.Minute},
-	{name: "jobs of two and three tasks end on both sides of two changes of owner", run: func(sim *simulatedCluster) error {
+	{name: "tasks of small jobs end before and after two failovers", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
 		sim.withLock(func() {
 			sim.runTime = func(_ string, task int, _ string) time.Duration { return time.Duration(6+14*task) * time.Second }
@@ -397,34 +398,34 @@
 				crossed++
 			}
 			leader := sim.leaderOf(partition)
-			sim.killController(leader) // the last ends may not be on record yet
+			sim.killController(leader) // the last task ends may not be recorded yet
 			sim.waitForNewLeader(partition, leader)
 			sim.startController(leader)
 			time.Sleep(8 * time.Second)
 		}
 		if crossed == 0 {
-			return fmt.Errorf("no job was half done at a change")
+			return fmt.Errorf("no job was half done at a failover")
 		}
 		return nil
 	}},
-	{name: "withdrawals meet the ends of last tasks", run: func(sim *simulatedCluster) error {
+	{name: "cancellations race with the ends of last tasks", run: func(sim *simulatedCluster) error {
 		sim.withLock(func() { sim.cancelAtEnd = func(string) bool { return true } })
 		for i := range 20 {
-			s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%3, []string{"red", "blue", "green"}[i%3])
+			s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%3, allTeams[i%3])
 			sim.submit(s)
 			time.Sleep(300 * time.Millisecond)
 		}
 		for range 90 {
-			if time.Sleep(time.Second); sim.faultCount("cancelled at the end") >= 10 {
+			if time.Sleep(time.Second); sim.faultCount("cancelled at job end") >= 10 {
 				break
 			}
 		}
-		if n := sim.faultCount("cancelled at the end"); n < 10 {
-			return fmt.Errorf("%d withdrawals at the end", n)
+		if n := sim.faultCount("cancelled at job end"); n < 10 {
+			return fmt.Errorf("%d cancellations at job end", n)
 		}
 		return nil
 	}},
-	{name: "owners change ten times in two minutes, also in an outage", run: func(sim *simulatedCluster) error {
+	{name: "ten failovers in two minutes, also in a state store outage", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 30*time.Second)
 		partition := sim.partitionOf("green")
 		changes := 0
@@ -448,14 +449,14 @@
 			}
 		}
 		if changes < 5 {
-			return fmt.Errorf("%d changes", changes)
+			return fmt.Errorf("%d failovers", changes)
 		}
 		return nil
 	}, finishWithin: 4 * time.Minute},
-	{name: "jobs bound to one zone, arrays too, lose machines", run: func(sim *simulatedCluster) error {
-		sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return 20 * time.Second } })
+	{name: "jobs bound to a zone, job arrays included, lose machines", run: func(sim *simulatedCluster) error {
+		sim.setRunTime(20 * time.Second)
 		sim.submitPlacementBoundJobs(6, 4, 2)
-		// One job of each kind loses all its machines, while its tasks run.
+		// One job of each kind loses all its machines while its tasks run.
 		bound := []string{"job-0", "job-2", "job-4"}
 		hit := sim.powerOffMachinesOf(bound, func() bool {
 			return !slices.ContainsFunc(bound, func(id string) bool { return len(sim.jobs[id].tasksDone) > 0 })
@@ -465,18 +466,18 @@
 		}
 		return nil
 	}},
-	{name: "one-task jobs four a second, a quarter of them called off, and the owner ends", prepare: func(sim *simulatedCluster) {
+	{name: "four one-task jobs a second, a quarter of them cancelled, and the leader is killed", prepare: func(sim *simulatedCluster) {
 		sim.cloud.Capacity = 40
 		sim.settings.Params.State = settings.State{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}
 	}, run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
-		called := 0
+		cancelled := 0
 		for i := range 160 {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 1, "green")
 			s.CPUs, s.DeadlineS = 1, 0
 			sim.group.Go(func() { sim.submit(s) })
 			if i >= 8 && i%4 == 0 {
-				called++
+				cancelled++
 				sim.group.Go(func() { sim.cancelUntilAnswered(fmt.Sprintf("job-%d", i-8), i) })
 			}
 			if i == 80 {
@@ -485,52 +486,52 @@
 			}
 			time.Sleep(250 * time.Millisecond)
 		}
-		if called < 30 {
-			return fmt.Errorf("%d called off", called)
+		if cancelled < 30 {
+			return fmt.Errorf("%d cancelled", cancelled)
 		}
 		return nil
 	}},
-	{name: "a chain of dependencies is called off at its root while its owner ends", run: func(sim *simulatedCluster) error {
+	{name: "a chain of dependencies is cancelled at its root while its leader is killed", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
 		sim.startLongJobs(1, 1, "green", 90*time.Second)
 		for i := range 6 {
-			on := fmt.Sprintf("job-%d", i-1)
+			dependency := fmt.Sprintf("job-%d", i-1)
 			if i == 0 {
-				on = "job-100"
+				dependency = "job-100"
 			}
-			sim.submit(dependentJob(fmt.Sprintf("job-%d", i), 1, "green", on))
+			sim.submit(dependentJob(fmt.Sprintf("job-%d", i), 1, "green", dependency))
 		}
 		leader := sim.leaderOf(partition)
 		other := sim.otherControllers(leader)[0]
 		if !sim.cancelAt(other, "job-100") {
-			return fmt.Errorf("not withdrawn")
+			return fmt.Errorf("not cancelled")
 		}
-		sim.killController(leader) // in the middle of the chain
-		cut := 0
+		sim.killController(leader) // while the cancellation spreads along the chain
+		pending := 0
 		sim.withLock(func() {
 			for i := range 6 {
 				if _, ok := sim.state.Items[fmt.Sprintf("w/j/job-%d/final", i)]; !ok {
-					cut++
+					pending++
 				}
 			}
 		})
 		sim.waitForNewLeader(partition, leader)
 		sim.startController(leader)
-		if cut == 0 {
-			return fmt.Errorf("the chain was through before")
+		if pending == 0 {
+			return fmt.Errorf("the whole chain was cancelled before the kill")
 		}
 		return nil
 	}},
-	{name: "a cut connection holds an order back, and the machine goes on under the next owner", run: func(sim *simulatedCluster) error {
+	{name: "delayed commands arrive after the machine has a new leader", run: func(sim *simulatedCluster) error {
 		ids := sim.startLongJobs(2, 3, "green", 40*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
-		held := map[string][]byte{}
+		withheld := map[string][]byte{}
 		sim.withLock(func() {
 			sim.interceptCommands = func(machine string, o *protocol.Orders) {
-				if len(o.Commands) > 0 && held[machine] == nil {
-					held[machine] = protocol.Encode(*o)
-					o.Token = 0 // executed later
+				if len(o.Commands) > 0 && withheld[machine] == nil {
+					withheld[machine] = protocol.Encode(*o)
+					o.Token = 0 // so that the agent does not execute it now
 				}
 			}
 		})
@@ -543,7 +544,7 @@
 		sim.waitForNewLeader(partition, leader)
 		time.Sleep(2 * time.Second)
 		late := 0
-		for machine, body := range held {
+		for machine, body := range withheld {
 			var agent *worker.Worker
 			sim.withLock(func() { agent = sim.workers[machine] })
 			if agent != nil {
@@ -554,40 +555,42 @@
 		}
 		sim.startController(leader)
 		if late == 0 {
-			return fmt.Errorf("%d orders held back, none came late", len(held))
+			return fmt.Errorf("%d commands held back, none arrived late", len(withheld))
 		}
 		return nil
 	}},
 }
 
-// Each meeting of docs/meetings.md breaks no rule, and everything is over in time.
+// Each combination of docs/meetings.md violates no safety rule, and all jobs end in time.
 func TestConcurrentFaults(t *testing.T) {
 	t.Parallel()
 	runFaultCombinations(t, 400, faultCombinations)
 }
 
-// runFaultCombinations plays each meeting in a world of its own, with seeds from one on.
-func runFaultCombinations(t *testing.T, seed uint64, meetings []faultCombination) {
-	for i, m := range meetings {
-		t.Run(strings.ReplaceAll(m.name, " ", "-"), func(t *testing.T) {
+// runFaultCombinations runs each combination in a simulated cluster of its own, with
+// consecutive seeds.
+func runFaultCombinations(t *testing.T, seed uint64, combinations []faultCombination) {
+	t.Helper()
+	for i, combination := range combinations {
+		t.Run(strings.ReplaceAll(combination.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			prepare := func(sim *simulatedCluster) {
 				sim.cloud.Capacity = 16
-				if m.prepare != nil {
-					m.prepare(sim)
+				if combination.prepare != nil {
+					combination.prepare(sim)
 				}
 			}
 			runConfiguredSimulation(t, seed+uint64(i), prepare, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
-				if err := m.run(sim); err != nil {
-					t.Errorf("the troubles did not meet: %v", err)
+				if err := combination.run(sim); err != nil {
+					t.Errorf("the faults did not coincide: %v", err)
 				}
 				sim.withLock(func() { sim.cancelAtEnd, sim.lateTransactionShare, sim.duplicatedHeartbeatShare = nil, 0, 0 })
-				over := m.finishWithin
-				if over == 0 {
-					over = 3 * time.Minute
+				limit := combination.finishWithin
+				if limit == 0 {
+					limit = 3 * time.Minute
 				}
-				sim.waitForAllJobs(over)
+				sim.waitForAllJobs(limit)
 			})
 		})
 	}
--- a/internal/coordination/contention/contention_test.go
+++ b/internal/coordination/contention/contention_test.go
@@ -5,8 +5,10 @@
 	"testing"
 )
 
+// h is the horizon of all predictions in these tests.
 var h = Horizon{MaxS: 1000, OverdueS: 3}
 
+// The predicted rest of a task, by its progress and its share u of the machine.
 func TestRemaining(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -18,8 +20,8 @@
 		{"alone", Task{ElapsedS: 10, EstimateS: 40}, 1, 30},
 		// Half of the machine's use doubles it: 0.4/0.5 × 75 = 60.
 		{"half the use", Task{ElapsedS: 10, EstimateS: 40}, 0.5, 60},
-		{"not begun", Task{EstimateS: 25}, 1, 25},
-		// Past the estimate: one more report period, whatever its share.
+		{"not started", Task{EstimateS: 25}, 1, 25},
+		// Beyond the estimate: one more heartbeat interval, whatever its share.
 		{"overdue", Task{ElapsedS: 50, EstimateS: 40}, 0.1, 3},
 		{"no estimate", Task{ElapsedS: 5}, 1, 3},
 		{"service", Task{Service: true, EstimateS: 5}, 1, 1000},
@@ -32,8 +34,8 @@
 	}
 }
 
-// slow sums algorithm 1 second by second, as the paper writes it.
-func slow(indicators []float64) float64 {
+// contentionBySeconds sums algorithm 1 second by second, as the paper states it.
+func contentionBySeconds(indicators []float64) float64 {
 	longest, sum := 0.0, 0.0
 	for _, i := range indicators {
 		longest = max(longest, i)
@@ -50,6 +52,7 @@
 	return sum
 }
 
+// Contention is the sum over time of the tasks that run beside another one.
 func TestContention(t *testing.T) {
 	// Uses 4 and 4, so u = 1/2 each.
 	// a: 0.1/0.5 × (100−0) = 20 s. b: 0.2/0.5 × (100−50) = 20 s.
@@ -85,12 +88,13 @@
 		for i, v := range ind {
 			scaled[i] = v * float64(len(ind))
 		}
-		if got, want := h.Contention(tasks), slow(scaled); math.Abs(got-want) > 1e-9 {
+		if got, want := h.Contention(tasks), contentionBySeconds(scaled); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%v: %v, the sum over seconds gives %v", ind, got, want)
 		}
 	}
 }
 
+// Which machine a new task is placed on, by contention.
 func TestChoose(t *testing.T) {
 	long := Task{EstimateS: 100, Use: 4}
 	short := Task{EstimateS: 10, Use: 4}
@@ -109,7 +113,7 @@
 		// None is under its limit. With the newcomer (10/0.5 = 20): beside the
 		// long task 200 and 20 → 20; beside two short 30, 30, 30 → 60.
 		{"even share", []*Machine{{Tasks: []Task{short, short}, Limit: 8}, {Tasks: []Task{long}, Limit: 4}}, 1},
-		{"ties go to the caller's favourite", []*Machine{{Tasks: []Task{long}, Limit: 16}, {Limit: 16}}, 0},
+		{"ties are broken by the caller", []*Machine{{Tasks: []Task{long}, Limit: 16}, {Limit: 16}}, 0},
 	} {
 		if got := h.Choose(tc.machines, newcomer, func(a, b int) bool { return a < b }); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -16,7 +16,7 @@
 		sim.submit(newJobSpec("job-2", 20, "blue"))
 		sim.submit(newJobSpec("job-3", 150, "green")) // more than one run record
 		sim.waitForAllJobs(5 * time.Minute)
-		// Idle machines go back.
+		// Idle machines are returned.
 		time.Sleep(2 * time.Minute)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
@@ -36,7 +36,7 @@
 		sim.submit(s)
 		time.Sleep(30 * time.Second)
 		if st := sim.poll("", "job-1"); st != protocol.StatusRunning {
-			t.Errorf("standing job is %q", st)
+			t.Errorf("service is %q", st)
 		}
 		sim.cancelJob("job-1")
 		time.Sleep(30 * time.Second)
@@ -44,39 +44,37 @@
 	})
 }
 
-// A start that was held back in the network must not begin a task after its
-// job was withdrawn: the owner raises the machine's token.
+// A start that was delayed in the network must not begin a task after its job was cancelled:
+// the leader raises the machine's fencing token.
 func TestLateStartAfterCancellationIsFenced(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 5, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.submit(newJobSpec("job-1", 1, "blue")) // brings a machine up
+		sim.submit(newJobSpec("job-1", 1, "blue")) // boots a machine
 		sim.waitForAllJobs(time.Minute)
 		sim.mu.Lock()
-		var held []protocol.Orders
+		var withheld []protocol.Orders
 		var machine string
 		sim.interceptCommands = func(name string, o *protocol.Orders) {
 			for _, c := range o.Commands {
 				if c.Op == protocol.OpStart {
-					// The order hangs; the worker will see it minutes later.
-					held = append(held, *o)
+					// The message is held; the agent will get it minutes later.
+					withheld = append(withheld, *o)
 					machine = name
 					o.Token = 0
 				}
 			}
 		}
-		// Reports don't get through either, so that nothing repairs it.
+		// Heartbeats do not get through either, so that they cannot repair it.
 		sim.cut = func(_, host string) bool { return machine != "" && host == machine }
 		sim.mu.Unlock()
-		sim.mu.Lock()
-		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
-		sim.mu.Unlock()
+		sim.setRunTime(time.Hour)
 		sim.submit(newJobSpec("job-2", 1, "blue"))
 		time.Sleep(3 * time.Second)
 		sim.cancelJob("job-2")
 		sim.mu.Lock()
 		sim.cut, sim.interceptCommands = nil, nil
-		if len(held) == 0 {
+		if len(withheld) == 0 {
 			t.Fatal("no start was held back")
 		}
 		sim.mu.Unlock()
@@ -85,10 +83,10 @@
 		agent := sim.workers[machine]
 		if agent == nil {
 			sim.mu.Unlock()
-			return // the machine was deleted: that keeps it out as well
+			return // the machine was deleted, which prevents the start as well
 		}
 		sim.mu.Unlock()
-		resp := sim.serveWorker(agent, "/orders", protocol.Encode(held[0]))
+		resp := sim.serveWorker(agent, "/orders", protocol.Encode(withheld[0]))
 		if resp.Status == 200 {
 			t.Error("the late start was executed")
 		}
@@ -96,15 +94,13 @@
 	})
 }
 
-// Accepted means recorded: while the record's fate is unknown, the user is
-// told to come back.
+// A submission is accepted only when it is recorded: while the outcome of the write is unknown,
+// the user gets 503 with Retry-After.
 func TestSubmissionIsAcceptedOnlyWhenRecorded(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 14, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.mu.Lock()
-		sim.cut = func(from, host string) bool { return from == "n0" && host == "state" }
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = func(from, host string) bool { return from == "n0" && host == "state" } })
 		for _, wait := range []time.Duration{0, 3 * time.Second} {
 			time.Sleep(wait)
 			begun := time.Now()
@@ -116,13 +112,12 @@
 				t.Errorf("refusal came after %s", time.Since(begun))
 			}
 		}
-		// The other controllers serve, so this one leaves the users to them.
+		// Its peers serve, so this controller reports itself unhealthy and leaves the users to
+		// them.
 		if resp := sim.sendRequest("n0", "GET", "/healthz", nil); resp.Status != 503 {
 			t.Errorf("health of a controller that alone is cut off: %d", resp.Status)
 		}
-		sim.mu.Lock()
-		sim.cut = nil
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = nil })
 	})
 }
 
@@ -155,14 +150,14 @@
 			{"more than the limit", "POST", "/submissions", encodeSubmission(overLimit), 422},
 			{"type not offered in the zone", "POST", "/submissions", encodeSubmission(oddZone), 422},
 			{"unknown job", "GET", "/submissions/job-77", nil, 404},
-			{"odd id", "GET", "/submissions/..", nil, 404},
-			{"withdrawal of an unknown job", "POST", "/submissions/job-77/withdraw", nil, 404},
+			{"malformed id", "GET", "/submissions/..", nil, 404},
+			{"cancellation of an unknown job", "POST", "/submissions/job-77/withdraw", nil, 404},
 			{"unknown path", "GET", "/nothing", nil, 404},
 			{"wrong method", "DELETE", "/submissions/job-1", nil, 405},
 			{"health", "GET", "/healthz", nil, 200},
-			{"bad report", "POST", "/checkin", []byte{0x80}, 400},
+			{"malformed heartbeat", "POST", "/checkin", []byte{0x80}, 400},
 		} {
-			for _, label := range []string{"n0", "n1", "n2"} {
+			for _, label := range allControllers {
 				if resp := sim.sendRequest(label, tc.method, tc.path, tc.body); resp.Status != tc.want {
 					t.Errorf("%s at %s: %d, want %d", tc.name, label, resp.Status, tc.want)
 				}
@@ -172,7 +167,7 @@
 	})
 }
 
-// Done and withdrawn exclude each other, and what was said stays.
+// A job is either done or cancelled, and a final state never changes.
 func TestCancellationAndCompletionAreExclusive(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 8, func(sim *simulatedCluster) {
@@ -184,7 +179,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			id := fmt.Sprintf("job-%d", i)
 			sim.cancelJob(id)
-			for _, label := range []string{"n0", "n1", "n2"} {
+			for _, label := range allControllers {
 				sim.poll(label, id)
 			}
 		}
--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An owner of everything with more machines than its sockets should hold: the shares
-// spread, nobody gets too full, nothing wanders, and the same view gives the same plan.
+// The leader of all partitions has more machines than its sockets allow: its shards are delegated,
+// no peer is overloaded, the moves come to an end, and the same view gives the same plan.
 func TestPlanBalancesAndConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -60,7 +60,7 @@
 				t.Fatalf("seed %d: %v comes to\n%+v, not\n%+v", seed, plan, v, again)
 			}
 			if moves++; moves > ShardCount {
-				t.Fatalf("seed %d: shares wander: %v", seed, plan)
+				t.Fatalf("seed %d: moves do not converge: %v", seed, plan)
 			}
 		}
 		v := view()
@@ -75,11 +75,12 @@
 			}
 		}
 		if v.Own.with(0) > full && least <= brim && least < v.Own.with(-largest) {
-			t.Errorf("seed %d: the owner keeps %d of %d though there is room", seed, v.Own.Machines, room)
+			t.Errorf("seed %d: the leader keeps %d of %d though a peer has capacity", seed, v.Own.Machines, room)
 		}
 	}
 }
 
+// Which shards are moved, case by case.
 func TestPlan(t *testing.T) {
 	fits := Peer{Label: "b", Load: Load{0, 100}, Available: true, Settled: true}
 	able := Peer{Label: "b", Load: Load{0, 100}, Available: true}
@@ -91,21 +92,21 @@
 		v    View
 		want []Move
 	}{
-		{"room", View{Own: Load{50, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, nil},
+		{"below capacity", View{Own: Load{50, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, nil},
 		{"full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, []Move{{0, 1, "b", "the owner is full"}}},
-		{"full, not rested", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}}, nil},
-		{"full, nobody fit", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{gone}, MayMove: true}, nil},
-		{"full, an old version is heard", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true, Unsupported: true}, nil},
-		{"the carrier goes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
-		// In an outage of the state service all carriers are cut off from it: were their
-		// shares to come home then, the owner's sockets would end.
-		{"the carrier lacks the state service", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{able}, MayMove: true}, nil},
-		{"the carrier is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
-		{"an old version comes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{fits}, Unsupported: true},
+		{"full, moved a moment ago", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}}, nil},
+		{"full, no peer available", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{gone}, MayMove: true}, nil},
+		{"full, a peer of an old version", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true, Unsupported: true}, nil},
+		{"the delegate becomes unavailable", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		// In an outage of the state store all delegates lack it: if their shards returned then,
+		// the leader would run out of sockets.
+		{"the delegate lacks the state store", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{able}, MayMove: true}, nil},
+		{"the delegate is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		{"a peer of an old version appears", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{fits}, Unsupported: true},
 			[]Move{{0, 1, "", "a controller does not know shares"}}},
-		{"room again", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, []Move{{0, 1, "", "the owner has room again"}}},
-		{"room again, too soon", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayMove: true}, nil},
-		{"some room", View{Own: Load{31, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, nil},
+		{"capacity again", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, []Move{{0, 1, "", "the owner has room again"}}},
+		{"capacity again, too soon", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayMove: true}, nil},
+		{"some capacity", View{Own: Load{31, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, nil},
 		{"the peer is as full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{{Label: "b", Load: Load{35, 100}, Available: true, Settled: true}}, MayMove: true}, nil},
 	} {
 		if got := PlanMoves(c.v); !reflect.DeepEqual(got, c.want) {
@@ -114,9 +115,9 @@
 	}
 }
 
-// Carriers answer, tell, are killed, stand still and lose requests and replies; shares
-// change hands. Whenever the book says that a lease has run out, it has: no answer that
-// was given up to then is younger.
+// Delegates answer heartbeats, forward them, are killed, pause and lose requests and replies;
+// shards move. Whenever the ledger says that a machine lease has expired, it has: no answer given
+// until then is more recent.
 func TestLedgerNeverEndsAnUnexpiredLease(t *testing.T) {
 	const lease = 6 * time.Second
 	ended := 0
@@ -124,110 +125,110 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		start := time.Unix(1000, 0)
 		type request struct {
-			from          int
-			nonce         string
-			after         uint64
-			told          map[int]bool
-			asked, comes  time.Time
-			answers, lost time.Time
-			granted       []int
-			d             time.Duration
-			serial        uint64
-			handled       bool
+			from           int
+			nonce          string
+			after          uint64
+			heartbeats     map[int]bool
+			asked, arrives time.Time
+			answers, lost  time.Time
+			granted        []int
+			d              time.Duration
+			serial         uint64
+			handled        bool
 		}
-		type carrier struct {
-			nonce   string
-			serial  uint64
-			until   time.Time
-			shares  map[int]bool
-			untold  map[int]bool
-			pending *request
-			still   time.Time
+		type delegate struct {
+			nonce       string
+			serial      uint64
+			until       time.Time
+			shards      map[int]bool
+			unsent      map[int]bool
+			pending     *request
+			pausedUntil time.Time
 		}
 		var l Ledger
-		carriers := make([]*carrier, 3)
-		for i := range carriers {
-			carriers[i] = &carrier{nonce: "a", untold: map[int]bool{}, shares: map[int]bool{}}
+		delegates := make([]*delegate, 3)
+		for i := range delegates {
+			delegates[i] = &delegate{nonce: "a", unsent: map[int]bool{}, shards: map[int]bool{}}
 		}
 		label := func(i int) string { return fmt.Sprint("c-", i) }
-		answers := make([][]time.Time, ShardCount) // given, in order
-		last := make([]time.Time, ShardCount)      // as the owner knows
+		answers := make([][]time.Time, ShardCount) // times of answers, in order
+		last := make([]time.Time, ShardCount)      // as the leader knows
 		for s := range last {
 			last[s] = start
 			answers[s] = []time.Time{start}
 		}
-		silent := make([]time.Time, ShardCount) // machines that don't report until then
-		var flying []*request
+		silent := make([]time.Time, ShardCount) // machines that send no heartbeats until then
+		var inFlight []*request
 		for ms := 0; ms < 60_000; ms += 50 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			if rng.IntN(40) == 0 {
 				to := ""
 				if rng.IntN(4) > 0 {
-					to = label(rng.IntN(len(carriers)))
+					to = label(rng.IntN(len(delegates)))
 				}
 				l.Assign(rng.IntN(ShardCount), to)
 			}
 			if rng.IntN(20) == 0 {
 				silent[rng.IntN(ShardCount)] = now.Add(time.Duration(rng.IntN(15_000)) * time.Millisecond)
 			}
-			for i, c := range carriers {
+			for i, c := range delegates {
 				switch rng.IntN(400) {
 				case 0:
-					*c = carrier{nonce: fmt.Sprint(ms), untold: map[int]bool{}, shares: map[int]bool{}}
+					*c = delegate{nonce: fmt.Sprint(ms), unsent: map[int]bool{}, shards: map[int]bool{}}
 				case 1:
-					c.still = now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
+					c.pausedUntil = now.Add(time.Duration(rng.IntN(4000)) * time.Millisecond)
 				}
-				if now.Before(c.still) {
+				if now.Before(c.pausedUntil) {
 					continue
 				}
-				for s := range c.shares {
+				for s := range c.shards {
 					if now.Before(c.until) && now.After(silent[s]) && rng.IntN(8) == 0 {
 						answers[s] = append(answers[s], now)
-						c.untold[s] = true
+						c.unsent[s] = true
 					}
 				}
 				if c.pending == nil && rng.IntN(5) == 0 {
-					r := &request{from: i, nonce: c.nonce, after: c.serial, told: c.untold, asked: now, comes: now.Add(time.Duration(rng.IntN(3)) * 50 * time.Millisecond)}
+					r := &request{from: i, nonce: c.nonce, after: c.serial, heartbeats: c.unsent, asked: now, arrives: now.Add(time.Duration(rng.IntN(3)) * 50 * time.Millisecond)}
 					switch rng.IntN(15) {
 					case 0:
-						r.comes = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
+						r.arrives = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
 					case 1:
-						r.comes = time.Time{} // never
+						r.arrives = time.Time{} // never
 					}
 					if rng.IntN(15) == 0 {
-						r.lost = now // its reply
+						r.lost = now // the reply is lost
 					}
-					c.pending, c.untold = r, map[int]bool{}
-					flying = append(flying, r)
+					c.pending, c.unsent = r, map[int]bool{}
+					inFlight = append(inFlight, r)
 				}
 				if r := c.pending; r != nil {
 					switch {
 					case r.handled && r.lost.IsZero() && !now.Before(r.answers):
-						c.serial, c.until, c.shares, c.pending = r.serial, r.asked.Add(r.d), map[int]bool{}, nil
+						c.serial, c.until, c.shards, c.pending = r.serial, r.asked.Add(r.d), map[int]bool{}, nil
 						for _, s := range r.granted {
-							c.shares[s] = true
+							c.shards[s] = true
 						}
 					case now.Sub(r.asked) > time.Second:
-						for s := range r.told {
-							c.untold[s] = true
+						for s := range r.heartbeats {
+							c.unsent[s] = true
 						}
 						c.pending = nil
 					}
 				}
 			}
-			for _, r := range flying {
-				if r.handled || r.comes.IsZero() || now.Before(r.comes) {
+			for _, r := range inFlight {
+				if r.handled || r.arrives.IsZero() || now.Before(r.arrives) {
 					continue
 				}
 				r.handled, r.answers = true, now.Add(50*time.Millisecond)
-				for s := range r.told {
+				for s := range r.heartbeats {
 					last[s] = now
 				}
 				r.granted, r.d, r.serial = l.Renew(label(r.from), r.nonce, r.after, time.Duration(rng.IntN(3000)-100)*time.Millisecond, now)
 				r.d = max(r.d, 0)
 			}
 			for s := range ShardCount {
-				// The owner itself answers only those that nobody carries.
+				// The leader itself answers only shards that are not delegated.
 				if l.Delegate(s) == "" && now.After(silent[s]) && rng.IntN(8) == 0 {
 					last[s] = now
 					answers[s] = append(answers[s], now)
@@ -240,22 +241,22 @@
 				for i := len(answers[s]) - 1; i >= 0; i-- {
 					if a := answers[s][i]; !a.After(known) {
 						if known.Sub(a) <= lease {
-							t.Fatalf("seed %d, %d ms: share %d of %q counts as silent for %s, but was answered %s before",
+							t.Fatalf("seed %d, %d ms: shard %d of %q counts as silent for %s, but was answered %s before",
 								seed, ms, s, l.Delegate(s), known.Sub(answered), known.Sub(a))
 						}
 						break
 					}
 				}
-				last[s] = now // another session begins
+				last[s] = now // another epoch begins
 			}
 		}
 	}
 	if ended < 1000 {
-		t.Errorf("only %d leases ran out: the test looks at nothing", ended)
+		t.Errorf("only %d leases expired: the test proves nothing", ended)
 	}
 }
 
-// What a share is can't change: two versions must agree on it.
+// The shard of a machine name must not change: two versions must agree on it.
 func TestShardOfNameIsStable(t *testing.T) {
 	counts := [ShardCount]int{}
 	for i := range 1600 {
@@ -263,42 +264,42 @@
 	}
 	for s, n := range counts {
 		if n < 60 || n > 140 {
-			t.Errorf("share %d holds %d of 1600 machines", s, n)
+			t.Errorf("shard %d holds %d of 1600 machines", s, n)
 		}
 	}
 	if got := [3]int{ShardOf("m-000001"), ShardOf("m-000231"), ShardOf("")}; got != [3]int{4, 9, 5} {
-		t.Errorf("shares %v", got)
+		t.Errorf("shards %v", got)
 	}
 }
 
-// No grant outlasts what its owner may do itself.
+// No grant outlasts the time for which its leader may answer heartbeats itself.
 func TestGrantsStayWithinTheLeadersBound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Ledger
 	l.Assign(3, "b")
 	if l.Active(3, now) || l.CommandRoute(3, now) != "" {
-		t.Error("a carrier that has not asked is sent workers or orders")
+		t.Error("a delegate without a grant gets agents or commands")
 	}
 	for _, c := range []struct {
 		most, want time.Duration
-		shares     int
+		shards     int
 	}{{time.Minute, GrantDuration, 1}, {time.Second, time.Second, 1}, {0, 0, 0}, {-time.Second, 0, 0}} {
 		granted, d, _ := l.Renew("b", "x", 0, c.most, now)
-		if d > max(0, c.want) || len(granted) != c.shares {
-			t.Errorf("with %s left: shares %v for %s", c.most, granted, d)
+		if d > max(0, c.want) || len(granted) != c.shards {
+			t.Errorf("with %s left: shards %v for %s", c.most, granted, d)
 		}
 	}
 	if by := l.CommandRoute(3, now); by != "b" {
-		t.Errorf("orders go by way of %q", by)
+		t.Errorf("commands are forwarded through %q", by)
 	}
 	l.MarkDown("b", now)
 	if by := l.CommandRoute(3, now.Add(time.Second/2)); by != "" || !l.Active(3, now.Add(time.Second/2)) {
-		t.Errorf("orders go by way of %q, which takes none", by)
+		t.Errorf("commands are forwarded through %q, which is down", by)
 	}
 	if l.Active(3, now.Add(GrantDuration)) {
-		t.Error("a carrier that is silent is sent workers")
+		t.Error("a silent delegate gets agents")
 	}
 	if granted, _, _ := l.Renew("c", "x", 0, time.Minute, now); len(granted) != 0 {
-		t.Errorf("%v granted to who carries nothing", granted)
+		t.Errorf("%v granted to a controller without shards", granted)
 	}
 }
--- a/internal/coordination/delegation_faults_test.go
+++ b/internal/coordination/delegation_faults_test.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"maps"
-	"os"
 	"slices"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -14,8 +12,8 @@
 	"micaspindle/internal/standin/worker"
 )
 
-// While work runs, each fault comes to the owner or to a carrier of it. The rules hold, all
-// ends, and where only a carrier is lost no lease is.
+// While work runs, each fault hits the leader or one of its delegates. The safety rules hold,
+// all jobs end, and a fault of a delegate alone costs no machine lease.
 func TestDelegationSurvivesFaults(t *testing.T) {
 	t.Parallel()
 	between := func(a, b string) func(from, host string) bool {
@@ -23,16 +21,17 @@
 	}
 	type fault struct {
 		do func(sim *simulatedCluster, leader, delegate string)
-		// kept: no worker's session may end; stays: nor may the owner lose the part.
-		kept, stays bool
+		// keepsEpochs: no agent's epoch may end; keepsLeader: the leader may not lose the
+		// partition.
+		keepsEpochs, keepsLeader bool
 	}
 	faults := map[string]fault{
-		"the carrier is killed": {func(sim *simulatedCluster, _, delegate string) {
+		"the delegate is killed": {func(sim *simulatedCluster, _, delegate string) {
 			sim.killController(delegate)
 			time.Sleep(300 * time.Millisecond)
 			sim.startController(delegate)
 		}, true, false},
-		"the owner is killed": {func(sim *simulatedCluster, leader, _ string) {
+		"the leader is killed": {func(sim *simulatedCluster, leader, _ string) {
 			sim.killController(leader)
 			time.Sleep(3 * time.Second)
 			sim.startController(leader)
@@ -44,28 +43,28 @@
 			sim.startController(leader)
 			sim.startController(delegate)
 		}, true, false},
-		"the carrier stands still": {func(sim *simulatedCluster, _, delegate string) { sim.pauseController(delegate, 6*time.Second) }, true, false},
-		"the owner stands still":   {func(sim *simulatedCluster, leader, _ string) { sim.pauseController(leader, 2500*time.Millisecond) }, true, false},
-		"the owner's way is cut": {func(sim *simulatedCluster, leader, delegate string) {
+		"the delegate pauses": {func(sim *simulatedCluster, _, delegate string) { sim.pauseController(delegate, 6*time.Second) }, true, false},
+		"the leader pauses":   {func(sim *simulatedCluster, leader, _ string) { sim.pauseController(leader, 2500*time.Millisecond) }, true, false},
+		"the leader's link to the delegate is cut": {func(sim *simulatedCluster, leader, delegate string) {
 			sim.cutNetworkFor(between(leader, delegate), 12*time.Second)
 		}, true, false},
-		"the carrier's way is cut": {func(sim *simulatedCluster, leader, delegate string) {
+		"the delegate's link to the leader is cut": {func(sim *simulatedCluster, leader, delegate string) {
 			sim.cutNetworkFor(between(delegate, leader), 12*time.Second)
 		}, true, false},
-		"the carrier without state": {func(sim *simulatedCluster, _, delegate string) {
+		"the delegate without state store": {func(sim *simulatedCluster, _, delegate string) {
 			sim.cutNetworkFor(between(delegate, "state"), 9*time.Second)
 		}, true, false},
-		"the owner without state": {func(sim *simulatedCluster, leader, _ string) {
+		"the leader without state store": {func(sim *simulatedCluster, leader, _ string) {
 			sim.cutNetworkFor(between(leader, "state"), 9*time.Second)
 		}, false, false},
-		"the carrier without workers": {func(sim *simulatedCluster, _, delegate string) {
+		"the delegate without the agents": {func(sim *simulatedCluster, _, delegate string) {
 			sim.cutNetworkFor(func(from, host string) bool { return from == delegate && strings.HasPrefix(host, "m-") }, 9*time.Second)
 		}, true, false},
-		"controllers don't hear each other": {func(sim *simulatedCluster, _, _ string) {
+		"controllers cannot reach each other": {func(sim *simulatedCluster, _, _ string) {
 			sim.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
 		}, true, true},
-		// The carrier's workers come to others, while nobody hears the owner.
-		"the carrier is killed unheard": {func(sim *simulatedCluster, _, delegate string) {
+		// The delegate's agents turn to other controllers while nobody can reach the leader.
+		"the delegate is killed while the leader is unreachable": {func(sim *simulatedCluster, _, delegate string) {
 			sim.group.Go(func() {
 				time.Sleep(time.Second)
 				sim.killController(delegate)
@@ -73,24 +72,20 @@
 			sim.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
 			sim.startController(delegate)
 		}, true, true},
-		"an outage": {func(sim *simulatedCluster, _, _ string) {
+		"an outage of the state store": {func(sim *simulatedCluster, _, _ string) {
 			sim.setOutage(true)
 			time.Sleep(12 * time.Second)
 			sim.setOutage(false)
 		}, true, false},
-		"planned ends": {func(sim *simulatedCluster, leader, delegate string) {
+		"planned shutdowns": {func(sim *simulatedCluster, leader, delegate string) {
 			sim.handOverAndRestart(delegate)
 			time.Sleep(2 * time.Second)
 			sim.handOverAndRestart(leader)
 		}, true, false},
 		"lost and late messages": {func(sim *simulatedCluster, _, _ string) {
-			sim.mu.Lock()
-			sim.messageFaultRate = 0.05
-			sim.mu.Unlock()
+			sim.setMessageFaultRate(0.05)
 			time.Sleep(15 * time.Second)
-			sim.mu.Lock()
-			sim.messageFaultRate = 0
-			sim.mu.Unlock()
+			sim.setMessageFaultRate(0)
 		}, false, false},
 		"machines hang": {func(sim *simulatedCluster, _, _ string) {
 			hang := func(on bool) {
@@ -114,20 +109,20 @@
 				partition := sim.startDelegation(9)
 				leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
 				if delegate == "" {
-					t.Fatalf("nothing is carried: %v", sim.connectedMachines())
+					t.Fatalf("no shards are delegated: %v", sim.connectedMachines())
 				}
 				var lease uint64
 				sim.onController(leader, func(c *Controller) { lease = c.Partitions[partition].LeaseRevision })
 				f.do(sim, leader, delegate)
 				sim.onController(leader, func(c *Controller) {
-					if f.stays && c.Partitions[partition].LeaseRevision != lease {
-						t.Error("a living owner lost its part")
+					if f.keepsLeader && c.Partitions[partition].LeaseRevision != lease {
+						t.Error("a living leader lost its partition")
 					}
 				})
-				if time.Sleep(12 * time.Second); f.kept {
+				if time.Sleep(12 * time.Second); f.keepsEpochs {
 					sim.forEachWorker(func(agent *worker.Worker) {
 						if agent.Session != 1 {
-							t.Errorf("%s lost its lease: session %d", agent.Name, agent.Session)
+							t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Session)
 						}
 					})
 				}
@@ -137,49 +132,49 @@
 	}
 }
 
-// A machine that goes silent while it is carried counts as lost no sooner than its lease has
-// run out, and not much later, whatever its carrier does: it lives, is killed, or goes on
-// answering for a while after it was last heard.
+// A delegated machine that goes silent counts as lost no sooner than its lease has expired, and
+// not much later, whatever its delegate does: it lives, is killed, or keeps answering for a
+// while after the leader last reached it.
 func TestSilentDelegatedMachinesAreLostInTime(t *testing.T) {
 	t.Parallel()
-	for _, what := range []string{"the carrier lives", "the carrier is killed", "the carrier is not heard"} {
-		t.Run(what, func(t *testing.T) {
+	for _, fate := range []string{"the delegate lives", "the delegate is killed", "the delegate is unreachable"} {
+		t.Run(fate, func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, 730, configureFewSockets, func(sim *simulatedCluster) {
 				partition := sim.startDelegation(9)
 				leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
-				if what == "the carrier is not heard" {
+				if fate == "the delegate is unreachable" {
 					sim.group.Go(func() {
 						sim.cutNetworkFor(func(from, host string) bool { return from == delegate && host == leader }, 30*time.Second)
 					})
-					time.Sleep(1900 * time.Millisecond) // its grants have just not ended
+					time.Sleep(1900 * time.Millisecond) // its grants are about to expire
 				}
 				var silent *worker.Worker
 				sim.forEachWorker(func(agent *worker.Worker) {
-					// The one that was answered last: its lease is the longest.
+					// The machine that was answered last has the longest lease.
 					if agent.Homes[agent.Home] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseFrom.After(silent.LeaseFrom)) {
 						silent = agent
 					}
 				})
 				if silent == nil {
-					t.Fatal("no machine reports to the carrier")
+					t.Fatal("no agent sends heartbeats to the delegate")
 				}
 				sim.mu.Lock()
 				silent.Hung = true
 				name, from, lease := silent.Name, silent.LeaseFrom, silent.Lease
 				sim.mu.Unlock()
-				if what == "the carrier is killed" {
+				if fate == "the delegate is killed" {
 					sim.killController(delegate)
 				}
-				gone := false
-				for begun := time.Now(); !gone && time.Since(begun) < time.Minute; time.Sleep(50 * time.Millisecond) {
-					sim.onController(leader, func(c *Controller) { gone = c.Machines[name] == nil || c.Machines[name].Lost })
+				lost := false
+				for begun := time.Now(); !lost && time.Since(begun) < time.Minute; time.Sleep(50 * time.Millisecond) {
+					sim.onController(leader, func(c *Controller) { lost = c.Machines[name] == nil || c.Machines[name].Lost })
 				}
 				if took := time.Since(from); took <= lease || took > lease+7*time.Second {
 					t.Errorf("counts as lost %s after its lease began, which is %s", took, lease)
 				}
 				sim.forEachWorker(func(agent *worker.Worker) { agent.Hung = false })
-				if what == "the carrier is killed" {
+				if fate == "the delegate is killed" {
 					sim.startController(delegate)
 				}
 				sim.waitForAllJobs(6 * time.Minute)
@@ -188,8 +183,8 @@
 	}
 }
 
-// A share goes back and forth fifty times while its tasks run, through kills and
-// standstills: no task is started again, no session ends.
+// Shards move back and forth fifty times while their tasks run, through kills and pauses: no
+// task is started again, no epoch ends.
 func TestShardsMoveWhileTasksRun(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 740, func(sim *simulatedCluster) {
@@ -228,16 +223,16 @@
 		}
 		sim.forEachWorker(func(agent *worker.Worker) {
 			if agent.Session != 1 || agent.Starts != starts[agent.Name] {
-				t.Errorf("%s: session %d, %d starts more", agent.Name, agent.Session, agent.Starts-starts[agent.Name])
+				t.Errorf("%s: epoch %d, %d starts more", agent.Name, agent.Session, agent.Starts-starts[agent.Name])
 			}
 		})
-		t.Logf("%d moves of shares", moves)
+		t.Logf("%d shard moves", moves)
 	})
 }
 
-// Where a controller of a version without shares is heard, nothing is carried: once it
-// comes, what was carried goes home, and no session ends; once it is gone, shares are
-// given away again.
+// While a controller of a version without delegation is present, nothing is delegated: once it
+// comes, delegated shards return to the leader, and no epoch ends; once it is gone, shards are
+// delegated again.
 func TestOldVersionsAreNoDelegates(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 750, configureFewSockets, func(sim *simulatedCluster) {
@@ -252,51 +247,43 @@
 			return shares
 		}
 		if len(delegated()) == 0 {
-			t.Errorf("nothing is carried: %v", sim.connectedMachines())
+			t.Errorf("no shards are delegated: %v", sim.connectedMachines())
 		}
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			if l != leader {
-				sim.mu.Lock()
-				sim.oldVersions = map[string]bool{l: true}
-				sim.mu.Unlock()
+				sim.withLock(func() { sim.oldVersions = map[string]bool{l: true} })
 				break
 			}
 		}
 		time.Sleep(3 * time.Second)
 		if s := delegated(); len(s) > 0 {
-			t.Errorf("shares %v are carried beside an old version", s)
+			t.Errorf("shards %v are delegated beside an old version", s)
 		}
 		time.Sleep(5 * time.Second)
 		if n := sim.connectedMachines(); n[leader] < 9 {
-			t.Errorf("the owner has the connections of %d machines: %v", n[leader], n)
+			t.Errorf("%d machines are connected to the leader: %v", n[leader], n)
 		}
-		sim.mu.Lock()
-		sim.oldVersions = nil
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.oldVersions = nil })
 		time.Sleep(10 * time.Second)
 		if len(delegated()) == 0 {
-			t.Error("nothing is carried after the old version is gone")
+			t.Error("no shards are delegated after the old version is gone")
 		}
 		sim.waitForAllJobs(4 * time.Minute)
 		sim.forEachWorker(func(agent *worker.Worker) {
 			if agent.Session != 1 {
-				t.Errorf("%s lost its lease: session %d", agent.Name, agent.Session)
+				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Session)
 			}
 		})
 	})
 }
 
-// Random nights of crowded controllers, whose shares move all the time.
+// Random failovers of controllers with few sockets, whose shards move all the time.
 func TestRandomFailoversWithDelegation(t *testing.T) {
 	t.Parallel()
-	nights := 3
-	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_NIGHTS")); err == nil {
-		nights = n
-	}
-	for seed := range uint64(nights) {
+	for seed := range numberFromEnvironment(failoversVariable, 3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			asked := 0
+			renewals := 0
 			runConfiguredSimulation(t, 20_000+seed, func(sim *simulatedCluster) {
 				announceLowerLimits(sim)
 				sim.settings.Params.MachineLimits.Sockets = 8
@@ -304,16 +291,16 @@
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
 					if target == proxy.DelegationPath {
-						asked++
+						renewals++
 					}
 					return false
 				}
 			}, func(sim *simulatedCluster) {
-				time.Sleep(20 * time.Second) // until the others count as settled
+				time.Sleep(20 * time.Second) // until the peers count as stable
 				runRandomFailovers(sim)
 			})
-			if asked == 0 {
-				t.Log("nothing was carried")
+			if renewals == 0 {
+				t.Log("nothing was delegated")
 			}
 		})
 	}
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -16,14 +16,14 @@
 	"micaspindle/internal/storage"
 )
 
-// dependentJob is a job that depends on others.
+// dependentJob returns a job that depends on others.
 func dependentJob(id string, tasks int, team string, dependencies ...string) *protocol.JobSpec {
 	s := newJobSpec(id, tasks, team)
 	s.Dependencies = dependencies
 	return s
 }
 
-// submissionWithField is a submission with one more field, or another value of one.
+// submissionWithField returns a submission with one field added or replaced.
 func submissionWithField(s *protocol.JobSpec, name string, value any) []byte {
 	var m map[string]any
 	panicOnError(protocol.Decode(encodeSubmission(s), &m))
@@ -31,8 +31,6 @@
 	return protocol.Encode(m)
 }
 
-var allControllers = []string{"n0", "n1", "n2"}
-
 func TestValidationOfDependencies(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 30, func(sim *simulatedCluster) {
@@ -41,9 +39,9 @@
 		service := newJobSpec("job-2", 1, "blue")
 		service.Standing, service.EstimateS, service.DeadlineS = true, 0, 0
 		sim.submit(service)
-		gone := newJobSpec("job-3", 1, "blue")
-		gone.Standing, gone.EstimateS, gone.DeadlineS = true, 0, 0
-		sim.submit(gone)
+		cancelled := newJobSpec("job-3", 1, "blue")
+		cancelled.Standing, cancelled.EstimateS, cancelled.DeadlineS = true, 0, 0
+		sim.submit(cancelled)
 		sim.cancelJob("job-3")
 		time.Sleep(2 * time.Second)
 		many := make([]string, 300)
@@ -69,7 +67,7 @@
 			{"empty name", []string{""}, 422},
 			{"itself", []string{"job-ITSELF"}, 422},
 			{"service", []string{"job-2"}, 422},
-			{"withdrawn service", []string{"job-3"}, 422},
+			{"cancelled service", []string{"job-3"}, 422},
 			{"too many to record", many, 422},
 		} {
 			for _, label := range allControllers {
@@ -85,7 +83,7 @@
 				if tc.name == "too many to record" && !strings.Contains(string(resp.Body), "8192") {
 					t.Errorf("the answer %q does not name the limit", resp.Body)
 				}
-				// Of a known job, a repeat gets its state, whatever its body.
+				// A repeated submission of a known job gets its status, whatever the body.
 				if tc.want != 201 {
 					if resp := sim.sendRequest(label, "POST", "/submissions", submissionWithField(newJobSpec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
 						t.Errorf("repeat with %s at %s: %d", tc.name, label, resp.Status)
@@ -93,7 +91,7 @@
 				}
 			}
 		}
-		// Accepted by one a moment ago, named to another whose watch lags.
+		// A job accepted by one controller a moment ago is named to another whose watch lags.
 		for i := range 6 {
 			a, b := fmt.Sprintf("job-5%d", i), fmt.Sprintf("job-6%d", i)
 			if r := sim.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
@@ -103,7 +101,7 @@
 				t.Errorf("a job that names one accepted a moment ago: %d %q", r.Status, r.Body)
 			}
 		}
-		// What can't be looked up is no reason to refuse for good.
+		// A dependency that cannot be looked up is no reason for a permanent refusal.
 		sim.setOutage(true)
 		begun := time.Now()
 		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(dependentJob("job-70", 1, "red", "job-999")))
@@ -115,7 +113,7 @@
 	})
 }
 
-// A pipeline over teams and parts runs in order, whatever owner dies.
+// A pipeline over several teams and partitions runs in order while leaders are killed.
 func TestDependenciesRunInOrderThroughFailovers(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 31, func(sim *simulatedCluster) {
@@ -141,7 +139,7 @@
 	})
 }
 
-// A job that waits for others asks for nothing.
+// A job that waits for its dependencies holds and demands nothing.
 func TestBlockedJobHoldsNoResources(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -164,19 +162,19 @@
 		t.Errorf("demands %v", d)
 	}
 	if s := c.scheduler.Scarcity(now); s.Contested("big", 2) {
-		t.Error("machines are kept for it")
+		t.Error("machines are reserved for it")
 	}
 	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	if j.Blocked || j.ReadySince().Before(now) {
 		t.Errorf("blocked %v, ready since %s", j.Blocked, j.ReadySince())
 	}
 	if list := c.scheduler.Queue(p); !slices.Contains(list, j) {
-		t.Error("not served when ready")
+		t.Error("not queued when ready")
 	}
 }
 
-// The deadline and urgency of the last job reach back over all that it needs,
-// and are lifted when it is withdrawn.
+// The deadline and urgency of the last job are inherited by all its dependencies, and dropped
+// when it is cancelled.
 func TestDeadlineAndUrgencyAreInheritedByDependencies(t *testing.T) {
 	t.Parallel()
 	c, _ := newLeadingController(t)
@@ -187,7 +185,7 @@
 	}
 	a, b := c.addJob(plain("job-1")), c.addJob(plain("job-2", "job-1"))
 	if _, ok := a.Deadline(); ok || a.Urgency() != protocol.Low {
-		t.Error("a need without anybody who needs it")
+		t.Error("an inherited deadline or urgency without a dependent job")
 	}
 	last := plain("job-3", "job-2")
 	last.DeadlineS, last.Urgency = 60, protocol.High
@@ -204,7 +202,7 @@
 	}
 	due(b, 54)
 	due(a, 48)
-	// One that comes late, when the first is over.
+	// One that comes after the first has ended.
 	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
@@ -214,7 +212,7 @@
 	due(b, 54)
 	c.jobs.SetFinal("job-3", protocol.StatusWithdrawn, time.Now())
 	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
-		t.Error("the need outlives the job")
+		t.Error("the inherited deadline or urgency outlives the dependent job")
 	}
 	c.jobs.SetFinal("job-2", protocol.StatusDone, time.Now())
 	if n := len(c.Dependencies.Index) + len(c.Dependencies.DoomedJobs); n > 0 || len(c.Dependencies.Free) != len(c.Dependencies.Nodes) {
@@ -222,7 +220,7 @@
 	}
 }
 
-// The graph, changed by steps in any order, agrees with what its words mean.
+// The dependency graph, changed by steps in any order, agrees with a direct computation.
 func TestDependencyGraphAgreesWithAModel(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -243,14 +241,14 @@
 			}
 			all[i] = &cluster.Job{Spec: s, SubmittedAt: now}
 		}
-		// A listing brings jobs in any order; endings come in between.
+		// A listing yields jobs in any order; final states come in between.
 		order := rng.Perm(n)
 		for len(order) > 0 || rng.IntN(20) > 0 {
 			if len(order) > 0 && rng.IntN(3) > 0 {
 				j := all[order[0]]
 				order = order[1:]
 				if finals[j.Spec.ID] != "" {
-					continue // ended jobs are not taken up
+					continue // ended jobs are not added
 				}
 				jobs[j.Spec.ID] = j
 				g.Add(j, func(id string) (string, time.Time) { return finals[id], time.Time{} })
@@ -311,7 +309,7 @@
 			t.Errorf("seed %d: %s raised to %d by %s, want %d %s", seed, id, j.InheritedUrgency, j.InheritedDeadline, raised[id], needed[id])
 		}
 		if doomed[id] {
-			continue // what is to be withdrawn needs nothing
+			continue // a job that will be cancelled passes nothing on
 		}
 		urgency := max(j.Spec.Urgency, raised[id])
 		due := needed[id]
@@ -327,25 +325,25 @@
 	}
 }
 
-// All jobs after a withdrawn one are withdrawn in time, however deep and over
-// whichever parts, with the death of an owner, an outage that ends or a low
-// rate of changes in between; so is one submitted later.
+// All dependents of a cancelled job are cancelled in time, however deep the chain and over
+// whichever partitions, through a killed leader, an outage that ends or a low write rate; so is
+// a dependent submitted later.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	t.Parallel()
-	for _, trouble := range []string{"none", "owner dies", "all die", "outage", "low rate"} {
-		t.Run(trouble, func(t *testing.T) {
+	for _, fault := range []string{"none", "leader killed", "all killed", "outage", "low write rate"} {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, 32, func(sim *simulatedCluster) {
-				if trouble == "low rate" {
+				if fault == "low write rate" {
 					writes := 12.0
 					sim.settings.Params.State.Next.WriteRPS = &writes
 				}
 			}, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
 				sim.runTime = func(string, int, string) time.Duration { return time.Hour }
-				teams := []string{"red", "blue", "green"}
+				teams := allTeams
 				sim.submit(newJobSpec("job-0", 2, "red"))
-				sim.submit(newJobSpec("job-500", 1, "blue")) // stays
+				sim.submit(newJobSpec("job-500", 1, "blue")) // not cancelled
 				n := 40
 				for i := 1; i < n; i++ {
 					s := dependentJob(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
@@ -355,17 +353,15 @@
 					sim.submit(s)
 				}
 				time.Sleep(10 * time.Second)
-				if trouble == "low rate" {
-					sim.mu.Lock()
-					sim.state.Writes = rate.NewLimiter(12, 12)
-					sim.mu.Unlock()
+				if fault == "low write rate" {
+					sim.withLock(func() { sim.state.Writes = rate.NewLimiter(12, 12) })
 				}
 				sim.cancelJob("job-0")
-				told := time.Now()
-				switch trouble {
-				case "owner dies":
+				confirmedAt := time.Now()
+				switch fault {
+				case "leader killed":
 					sim.killController("n1")
-				case "all die":
+				case "all killed":
 					for _, label := range allControllers {
 						sim.killController(label)
 					}
@@ -379,13 +375,13 @@
 					sim.setOutage(false)
 				}
 				sim.submit(dependentJob("job-600", 1, "blue", "job-39"))
-				// Unseen by any poll: the owners withdraw, not only who is asked.
-				// The reserve of 3 s is for the dead controllers' leases.
-				time.Sleep(time.Until(told.Add(settings.Seconds(sim.settings.Params.Workers.CancelS - 3))))
+				// Without any poll: the partition leaders cancel on their own. The margin of 3
+				// s is for the leases of the killed controllers.
+				time.Sleep(time.Until(confirmedAt.Add(settings.Seconds(sim.settings.Params.Workers.CancelS - 3))))
 				sim.mu.Lock()
 				for i := 1; i < n; i++ {
 					if _, ok := sim.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
-						t.Errorf("job-%d is not withdrawn", i)
+						t.Errorf("job-%d is not cancelled", i)
 					}
 				}
 				sim.mu.Unlock()
@@ -398,7 +394,7 @@
 					t.Errorf("a job submitted later is %q", st)
 				}
 				if st := sim.poll("", "job-500"); st == protocol.StatusWithdrawn {
-					t.Error("a job before it is withdrawn too")
+					t.Error("a dependency is cancelled too")
 				}
 				sim.cancelJob("job-500")
 			})
@@ -406,8 +402,8 @@
 	}
 }
 
-// A cancellation crosses a submission that names its job, or the completion of
-// its job: whichever wins, the jobs after it follow the answer.
+// A cancellation races with a submission that names its job, or with the completion of its job:
+// whichever wins, the dependents follow the answer.
 func TestCancellationRacesWithDependentJobs(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 33, func(sim *simulatedCluster) {
@@ -431,9 +427,8 @@
 	})
 }
 
-// A user may have been told of a withdrawal that this controller has not heard
-// of: when it has not followed the changes for too long, it does not call a job
-// queued that needs others.
+// A user may have seen a cancellation that this controller has not: a controller that has not
+// followed the records for too long does not report a dependent job as queued.
 func TestStaleControllerRefusesStatusOfDependentJobs(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 34, func(sim *simulatedCluster) {
@@ -447,16 +442,12 @@
 			t.Errorf("a poll gets %d", got)
 		}
 		n := sim.controllers["n0"].controller
-		sim.mu.Lock()
-		sim.state.Stuck = true
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.state.Stuck = true })
 		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.StaleLimit() - time.Second) })
 		if got := ask(); got != 503 {
-			t.Errorf("a poll of a controller that is behind gets %d", got)
+			t.Errorf("a poll of a stale controller gets %d", got)
 		}
-		sim.mu.Lock()
-		sim.state.Stuck = false
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.state.Stuck = false })
 		time.Sleep(15 * time.Second)
 		if got := ask(); got != 200 {
 			t.Errorf("a poll gets %d after the watch went on", got)
@@ -466,8 +457,8 @@
 	})
 }
 
-// Names may be long: a record that would outgrow the lower limit takes fewer
-// attempts at a time, and all tasks run in the end.
+// Machine names may be long: a record that would exceed the lower limit takes fewer attempts at
+// a time, and all tasks run in the end.
 func TestRunRecordsStayBelowTheLowerLimit(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 35, func(sim *simulatedCluster) {
@@ -486,15 +477,13 @@
 	})
 }
 
-// A limit that nobody announced makes batches smaller; what is too large alone
-// does not block the rest.
+// A limit that was not announced makes batches smaller; a write that is too large by itself
+// does not block the others.
 func TestUnannouncedLimitsShrinkBatches(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 36, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.mu.Lock()
-		sim.state.HiddenOps, sim.state.HiddenValue = 2, 700
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.state.HiddenOps, sim.state.HiddenValue = 2, 700 })
 		for i := range 12 {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 40, "green")
 			s.CPUs, s.DeadlineS = 0.5, 600
@@ -509,23 +498,20 @@
 	})
 }
 
-// A job that was accepted before a limit fell that nobody announced is known
-// all the same to a controller that has not heard of it.
+// A job accepted before an unannounced limit fell is still known to a controller that has not
+// seen its record.
 func TestRepeatedSubmissionAboveAnUnannouncedLimit(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 38, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		s := newJobSpec("job-1", 1, "red")
 		s.Class = strings.Repeat("c", 190)
-		sim.mu.Lock()
-		sim.state.Stuck = true // the others' watches bring nothing
-		sim.mu.Unlock()
+		// The watches of the other controllers deliver nothing.
+		sim.withLock(func() { sim.state.Stuck = true })
 		if got := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
 			t.Fatal(got)
 		}
-		sim.mu.Lock()
-		sim.state.HiddenValue = 300
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.state.HiddenValue = 300 })
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 200 {
 			t.Errorf("a repeat gets %d", got)
 		}
@@ -533,17 +519,13 @@
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
 			t.Errorf("another of its size gets %d", got)
 		}
-		sim.mu.Lock()
-		sim.state.Stuck, sim.state.HiddenValue = false, 0
-		sim.mu.Unlock()
-		sim.mu.Lock()
-		sim.jobs["job-1"] = &submittedJob{spec: newJobSpec("job-1", 1, "red"), tasksDone: map[int]bool{}}
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.state.Stuck, sim.state.HiddenValue = false, 0 })
+		sim.withLock(func() { sim.jobs["job-1"] = newSubmittedJob(newJobSpec("job-1", 1, "red")) })
 		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
-// The rate of changes falls without notice: few refusals, and all goes on.
+// The write rate limit falls: few transactions are refused, and all jobs end.
 func TestWriteRateFollowsTheLowerLimit(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 37, func(sim *simulatedCluster) {
@@ -554,9 +536,7 @@
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
 			if i == 20 {
-				sim.mu.Lock()
-				sim.state.Writes = rate.NewLimiter(15, 15)
-				sim.mu.Unlock()
+				sim.withLock(func() { sim.state.Writes = rate.NewLimiter(15, 15) })
 			}
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 3, "green")
 			s.DeadlineS = 600
@@ -571,8 +551,8 @@
 	})
 }
 
-// Fetches of all stages of a pipeline add up: there even a short one is saved
-// where a machine has the image.
+// The image fetches of all stages of a pipeline add up: there even a short fetch is avoided by
+// placing the job where a machine has the image.
 func TestPipelinesPreferMachinesWithTheImage(t *testing.T) {
 	t.Parallel()
 	for _, pipeline := range []bool{false, true} {
@@ -580,7 +560,7 @@
 		busy := c.addMachine(p, "m-1", "big")
 		busy.Images["img"] = time.Now()
 		c.addMachine(p, "m-2", "big")
-		// Two run there, so that its contention is the higher one.
+		// Two tasks run there, so that its contention is higher.
 		other := newJobSpec("job-1", 2, "green")
 		other.Image, other.EstimateS = "other", 600
 		running := c.addJob(other)
--- a/internal/coordination/failover/copy_test.go
+++ b/internal/coordination/failover/copy_test.go
@@ -8,15 +8,17 @@
 	"testing"
 )
 
+// same compares the values of two records.
 func same(a, b int) bool { return a == b }
 
-// store is what a copy is a copy of.
+// store is the state store that a replica follows.
 type store struct {
 	at      uint64
 	records map[string]Record[int]
 	log     []Change[int]
 }
 
+// step changes or deletes a random record.
 func (s *store) step(rng *rand.Rand) {
 	s.at++
 	if rng.IntN(4) == 0 {
@@ -32,6 +34,7 @@
 	s.log = append(s.log, Change[int]{Key: key, Version: s.at, Value: s.records[key].Value})
 }
 
+// after returns the changes after a revision.
 func (s *store) after(rev uint64) (out []Change[int]) {
 	for _, ch := range s.log {
 		if ch.Version > rev {
@@ -41,6 +44,7 @@
 	return out
 }
 
+// page returns a sample of records after a key.
 func (s *store) page(from string, size int) Sample[int] {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(s.records)), func(k string) bool { return k <= from })
 	p := Sample[int]{From: from, Revision: s.at}
@@ -53,9 +57,9 @@
 	return p
 }
 
-// A copy that follows comes to what the store holds: through listings whose pages were
-// read while it changed, changes that come twice, and answers that come late. A gap is
-// seen, samples agree, and each wrong record is found within one round of samples.
+// A replica that follows the records equals the store: through listings whose pages were read
+// while it changed, changes that arrive twice, and responses that arrive late. A gap is detected,
+// samples agree, and each wrong record is found within one round of samples.
 func TestReplicaFollowsTheRecords(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -65,7 +69,7 @@
 		}
 		var c Replica[int]
 		if c.Apply(0, s.at, s.log, func(Change[int]) {}) {
-			t.Fatalf("seed %d: an empty copy follows", seed)
+			t.Fatalf("seed %d: an empty replica accepts changes", seed)
 		}
 		// Two pages, with changes between them.
 		first, from := s.page("", 8), s.at
@@ -81,7 +85,7 @@
 		for _, ch := range all {
 			seen[ch.Key] = ch.Value
 		}
-		took := func(ch Change[int]) {
+		apply := func(ch Change[int]) {
 			if delete(seen, ch.Key); !ch.Deleted {
 				seen[ch.Key] = ch.Value
 			}
@@ -98,22 +102,22 @@
 			}
 			after := c.Revision()
 			switch rng.IntN(4) {
-			case 0: // an old answer once more
+			case 0: // an old response again
 				after = max(1, after-min(after-1, uint64(rng.IntN(5))))
 			case 1: // changes are missing
-				if c.Apply(after+1, s.at+9, s.after(after+1), took) {
-					t.Fatalf("seed %d: a gap was not seen", seed)
+				if c.Apply(after+1, s.at+9, s.after(after+1), apply) {
+					t.Fatalf("seed %d: a gap was not detected", seed)
 				}
 			}
-			if !c.Apply(after, s.at, s.after(after), took) {
-				t.Fatalf("seed %d: changes that join were refused", seed)
+			if !c.Apply(after, s.at, s.after(after), apply) {
+				t.Fatalf("seed %d: consecutive changes were refused", seed)
 			}
 			if !maps.Equal(c.records, s.records) || c.Revision() != s.at {
-				t.Fatalf("seed %d: the copy is %v at %d, the store %v at %d", seed, c.records, c.Revision(), s.records, s.at)
+				t.Fatalf("seed %d: the replica is %v at %d, the store %v at %d", seed, c.records, c.Revision(), s.records, s.at)
 			}
 			for k, r := range s.records {
 				if seen[k] != r.Value || len(seen) != len(s.records) {
-					t.Fatalf("seed %d: what was told of changes comes to %v", seed, seen)
+					t.Fatalf("seed %d: the reported changes add up to %v", seed, seen)
 				}
 			}
 			for range rng.IntN(3) {
@@ -126,7 +130,7 @@
 				sample = nil
 			}
 		}
-		c.Apply(c.Revision(), s.at, s.after(c.Revision()), took)
+		c.Apply(c.Revision(), s.at, s.after(c.Revision()), apply)
 		if len(s.records) == 0 {
 			continue
 		}
@@ -161,15 +165,16 @@
 	}
 }
 
+// The standby is kept unless another is far better.
 func TestKeep(t *testing.T) {
 	all := []Candidate{{"n1", "b", 100, 1}, {"n2", "b", 300, 1}, {"n3", "a", 10, 1}, {"n4", "b", 240, 1}}
 	for now, want := range map[string]string{
 		"":   "n1", // the best
-		"n4": "n4", // carries more, but not far more
-		"n2": "n1", // carries far more
-		"n3": "n1", // in the owner's zone
+		"n4": "n4", // leads more machines, but not far more
+		"n2": "n1", // leads far more machines
+		"n3": "n1", // in the leader's zone
 		"n9": "n1", // gone
-		"n0": "n1", // the owner itself
+		"n0": "n1", // the leader itself
 	} {
 		if got := KeepStandby(now, "n0", "a", all); got != want {
 			t.Errorf("%q named before: %q, want %q", now, got, want)
@@ -183,14 +188,15 @@
 	}
 }
 
+// Lag reports a replica that falls behind once, until it has caught up.
 func TestLag(t *testing.T) {
 	var l Lag
 	for i, c := range []struct {
-		s            float64
-		told, behind bool
+		s                float64
+		reported, behind bool
 	}{{1, false, false}, {5.1, true, true}, {9, false, true}, {4, false, true}, {2.5, true, false}, {4, false, false}, {6, true, true}} {
-		if told, behind := l.Changed(c.s, 5); told != c.told || behind != c.behind {
-			t.Errorf("%d: told %v behind %v", i, told, behind)
+		if reported, behind := l.Changed(c.s, 5); reported != c.reported || behind != c.behind {
+			t.Errorf("%d: reported %v behind %v", i, reported, behind)
 		}
 	}
 }
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -6,54 +6,56 @@
 	"time"
 )
 
+// Which controller becomes the standby of a partition.
 func TestChoose(t *testing.T) {
 	all := []Candidate{{"n0", "a", 9, 1}, {"n1", "a", 1, 1}, {"n2", "b", 5, 1}, {"n3", "b", 5, 2}, {"n4", "b", 2, 1}}
 	for name, c := range map[string]struct {
-		owner, zone string
-		all         []Candidate
-		want        string
+		leader, zone string
+		all          []Candidate
+		want         string
 	}{
-		"another zone, the least loaded":   {"n0", "a", all, "n4"},
-		"not the owner":                    {"n4", "b", all, "n1"},
-		"among equals fewer parts":         {"n0", "a", all[:4], "n2"},
-		"the same zone if there is none":   {"n0", "a", all[:2], "n1"},
-		"nobody":                           {"n0", "a", all[:1], ""},
-		"an owner whose zone is not known": {"n9", "", all, "n1"},
+		"another zone, the least loaded": {"n0", "a", all, "n4"},
+		"not the leader":                 {"n4", "b", all, "n1"},
+		"among equals fewer partitions":  {"n0", "a", all[:4], "n2"},
+		"the same zone if there is none": {"n0", "a", all[:2], "n1"},
+		"nobody":                         {"n0", "a", all[:1], ""},
+		"a leader whose zone is unknown": {"n9", "", all, "n1"},
 	} {
-		if got := ChooseStandby(c.owner, c.zone, c.all); got != c.want {
+		if got := ChooseStandby(c.leader, c.zone, c.all); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
-		turned := slices.Clone(c.all)
-		slices.Reverse(turned)
-		if got := ChooseStandby(c.owner, c.zone, turned); got != c.want {
+		reversed := slices.Clone(c.all)
+		slices.Reverse(reversed)
+		if got := ChooseStandby(c.leader, c.zone, reversed); got != c.want {
 			t.Errorf("%s: %q in another order", name, got)
 		}
 	}
 }
 
-// Only both together: silence alone is also that of refused connections between
-// controllers, visitors alone those of a worker that lost its connection.
+// A leader counts as dead only by silence together with diverted agents: silence alone may be due
+// to refused connections between controllers, diverted agents alone to their lost connections.
 func TestGone(t *testing.T) {
 	const period = 500 * time.Millisecond
 	for _, c := range []struct {
-		silent              time.Duration
-		reporting, visitors int
+		silence             time.Duration
+		reporting, diverted int
 		want                bool
 	}{
 		{1200 * time.Millisecond, 100, 3, true},
-		{1000 * time.Millisecond, 100, 50, false}, // it may have stood still for a second
+		{1000 * time.Millisecond, 100, 50, false}, // it may have paused for a second
 		{time.Minute, 100, 0, false},
 		{time.Minute, 100, 2, false},
 		{time.Minute, 2, 2, true},
-		{time.Minute, 1, 1, false}, // then its lease has to run out
+		{time.Minute, 1, 1, false}, // then its lease has to expire
 		{time.Minute, 0, 0, false},
 	} {
-		if got := (Evidence{c.silent, period, c.reporting, c.visitors}).Dead(); got != c.want {
+		if got := (Evidence{c.silence, period, c.reporting, c.diverted}).Dead(); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 }
 
+// Until when former leaders may have answered heartbeats, given the ends of their incarnations.
 func TestAnsweredUntil(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
 	all := []FormerLeader{{"n0", "x", 4, at(20)}, {"n1", "y", 7, at(23)}}
@@ -61,11 +63,11 @@
 		ended map[string]time.Time
 		want  time.Time
 	}{
-		"the latest of all":                   {nil, at(23)},
-		"but for one whose new life has come": {map[string]time.Time{"n1/y": at(3)}, at(20)},
-		"unless that came later still":        {map[string]time.Time{"n1/y": at(40)}, at(23)},
-		"all of them":                         {map[string]time.Time{"n1/y": at(3), "n0/x": at(2)}, at(3)},
-		"not another life of the same":        {map[string]time.Time{"n1/z": at(3)}, at(23)},
+		"the latest of all":                              {nil, at(23)},
+		"except one whose next incarnation has started":  {map[string]time.Time{"n1/y": at(3)}, at(20)},
+		"unless that started later still":                {map[string]time.Time{"n1/y": at(40)}, at(23)},
+		"all of them":                                    {map[string]time.Time{"n1/y": at(3), "n0/x": at(2)}, at(3)},
+		"not another incarnation of the same controller": {map[string]time.Time{"n1/z": at(3)}, at(23)},
 	} {
 		if got := AnsweredUntil(all, func(label, nonce string) time.Time { return c.ended[label+"/"+nonce] }); !got.Equal(c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -74,17 +76,18 @@
 	never := func(string, string) time.Time { return time.Time{} }
 	for _, r := range []FormerLeader{{Label: "n1", Nonce: "y", LeaseRevision: 6}, {Label: "n1", Nonce: "z", LeaseRevision: 7}, {Label: "n0", Nonce: "y", LeaseRevision: 7}} {
 		if NoteReleased(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
-			t.Errorf("%+v released another's claim", r)
+			t.Errorf("%+v released another's lease", r)
 		}
 	}
 	if NoteReleased(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
-		t.Error("a claim that was given up")
+		t.Error("a released lease still counts")
 	}
 	if got := AnsweredUntil(nil, nil); !got.IsZero() {
 		t.Errorf("nobody answered until %v", got)
 	}
 }
 
+// What a successor must know before it leads a partition.
 func TestMissing(t *testing.T) {
 	good := TakeoverCheck{LeaseRevision: 7, NewestLease: 7, SinceRenewal: time.Second, TTL: 3 * time.Second, RunRecords: 7, MachineRecords: 8, FinalStates: 9, Counted: true}
 	if m := good.Missing(); len(m) != 0 {
@@ -105,6 +108,6 @@
 		}
 	}
 	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest claim") {
-		t.Errorf("without a claim: %v", m)
+		t.Errorf("without a lease: %v", m)
 	}
 }
--- a/internal/coordination/failover_faults_test.go
+++ b/internal/coordination/failover_faults_test.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"maps"
-	"os"
 	"slices"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -17,21 +15,21 @@
 	"micaspindle/internal/transport"
 )
 
-// Each step of a takeover is cut by each fault, right before and right after it; the rules
-// hold, and everything ends.
+// Each step of a takeover is hit by each fault, right before and right after it; the safety
+// rules hold, and all jobs end.
 func TestFaultsAtEachStepOfATakeover(t *testing.T) {
 	t.Parallel()
 	steps := map[string]func(target string, body []byte) bool{
-		"claim": func(target string, body []byte) bool {
+		"claiming the lease": func(target string, body []byte) bool {
 			return target == "/commit" && strings.Contains(string(body), storage.LeaseKey(0)) && strings.Contains(string(body), "hold")
 		},
 		"catching up": func(target string, _ []byte) bool {
 			return strings.HasPrefix(target, "/changes?under=r/0/")
 		},
-		"reading anew": func(target string, _ []byte) bool { return strings.HasPrefix(target, "/store?") },
-		"fencing":      func(target string, _ []byte) bool { return target == "/orders" },
-		"tale":         func(target string, _ []byte) bool { return target == replication.UpdatePath },
-		"life":         func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
+		"reading records":      func(target string, _ []byte) bool { return strings.HasPrefix(target, "/store?") },
+		"fencing":              func(target string, _ []byte) bool { return target == "/orders" },
+		"updating the standby": func(target string, _ []byte) bool { return target == replication.UpdatePath },
+		"incarnation record":   func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
 	}
 	faults := map[string]func(sim *simulatedCluster, label string){
 		"killed": func(sim *simulatedCluster, label string) {
@@ -39,11 +37,11 @@
 			time.Sleep(300 * time.Millisecond)
 			sim.startController(label)
 		},
-		"stands still": func(sim *simulatedCluster, label string) { sim.pauseController(label, 4*time.Second) },
-		"without state": func(sim *simulatedCluster, label string) {
+		"process paused": func(sim *simulatedCluster, label string) { sim.pauseController(label, 4*time.Second) },
+		"without state store": func(sim *simulatedCluster, label string) {
 			sim.cutNetworkFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
 		},
-		"without workers": func(sim *simulatedCluster, label string) {
+		"without the agents": func(sim *simulatedCluster, label string) {
 			sim.cutNetworkFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
 		},
 		"without peers": func(sim *simulatedCluster, label string) {
@@ -56,8 +54,8 @@
 			time.Sleep(5 * time.Second)
 			sim.setOutage(false)
 		},
-		"answer lost": nil,
-		"planned end": func(sim *simulatedCluster, label string) { sim.handOverAndRestart(label) },
+		"answer lost":      nil,
+		"planned shutdown": func(sim *simulatedCluster, label string) { sim.handOverAndRestart(label) },
 	}
 	n := 0
 	for i, step := range slices.Sorted(maps.Keys(steps)) {
@@ -65,8 +63,8 @@
 		for k, fault := range slices.Sorted(maps.Keys(faults)) {
 			n += k % 2 // so that each fault comes before some steps and after others
 			for _, after := range []bool{false, true} {
-				// CI takes every third one; MICASPINDLE_NIGHTS all.
-				if n++; n%3 != 0 && os.Getenv("MICASPINDLE_NIGHTS") == "" {
+				// CI runs every third one; MICASPINDLE_FAILOVERS runs all.
+				if n++; n%3 != 0 && environment(failoversVariable) == "" {
 					continue
 				}
 				t.Run(fmt.Sprintf("%s/%s/after=%v", step, fault, after), func(t *testing.T) {
@@ -78,7 +76,7 @@
 						time.Sleep(2 * time.Second)
 						submitted := 0
 						submit := func() {
-							for _, team := range []string{"red", "blue", "green"} {
+							for _, team := range allTeams {
 								s := newJobSpec(fmt.Sprint("job-", submitted), 6, team)
 								s.DeadlineS = 0
 								sim.submit(s)
@@ -88,13 +86,13 @@
 						submit()
 						time.Sleep(15 * time.Second)
 						lost := sim.leaderOf(0)
-						var cut string // whose step was cut
+						var cut string // the controller whose step was hit
 						trigger := make(chan string, 1)
 						sim.mu.Lock()
 						seen := func(from, target string, body []byte) bool {
 							sim.mu.Lock()
 							defer sim.mu.Unlock()
-							if cut != "" || from == lost && step != "life" || !steps[step](target, body) {
+							if cut != "" || from == lost && step != "incarnation record" || !steps[step](target, body) {
 								return false
 							}
 							cut = from
@@ -105,7 +103,7 @@
 							sim.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
 								hit := seen(from, target, body)
 								if hit && faults[fault] != nil {
-									time.Sleep(time.Millisecond) // the fault comes before the answer
+									time.Sleep(time.Millisecond) // the fault comes before the response
 								}
 								return hit && faults[fault] == nil
 							}
@@ -137,8 +135,8 @@
 						sim.onResponse, sim.onRequest = nil, nil
 						hit := cut != ""
 						sim.mu.Unlock()
-						if !hit && step != "reading anew" {
-							t.Error("the step did not come")
+						if !hit && step != "reading records" {
+							t.Error("the step was not reached")
 						}
 						sim.waitForAllJobs(3 * time.Minute)
 					})
@@ -148,16 +146,12 @@
 	}
 }
 
-// Random nights: owners are lost in every way, one after another and together, while work
-// goes on; every start is checked against the stand-in's books. MICASPINDLE_NIGHTS says how
-// many; CI plays a few.
+// Random failovers: leaders are lost in every way, one after another and together, while jobs
+// run; every start is checked against the simulated cluster's own state. MICASPINDLE_FAILOVERS
+// sets the number of seeds; CI runs a few.
 func TestRandomFailovers(t *testing.T) {
 	t.Parallel()
-	nights := 4
-	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_NIGHTS")); err == nil {
-		nights = n
-	}
-	for seed := range uint64(nights) {
+	for seed := range numberFromEnvironment(failoversVariable, 4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, 10_000+seed, announceLowerLimits, runRandomFailovers)
@@ -200,7 +194,7 @@
 	for range 40 {
 		time.Sleep(time.Duration(300+dice(2500)) * time.Millisecond)
 		if next < 25 && dice(2) == 0 {
-			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(14), []string{"red", "blue", "green"}[dice(3)])
+			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(14), allTeams[dice(3)])
 			s.Spread, s.OneZone, s.Urgency = dice(4) == 0, dice(6) == 0, protocol.Urgency(dice(4))
 			if next > 2 && dice(3) == 0 {
 				s.Dependencies = []string{fmt.Sprintf("job-%d", dice(next))}
@@ -215,7 +209,7 @@
 			if label := some(); label != "" {
 				sim.handOverAndRestart(label)
 			}
-		case 3: // the owner, and its standby in the middle of taking over
+		case 3: // the leader, and its standby in the middle of the takeover
 			partition := dice(3)
 			lost, successor := sim.leaderOf(partition), sim.standbyOf(partition)
 			if lost != "" && successor != "" && lost != successor {
@@ -227,11 +221,11 @@
 		case 4:
 			sim.pauseController(some(), time.Duration(500+dice(6000))*time.Millisecond)
 		case 5:
-			label, what := some(), []string{"state", "m-", "n"}[dice(3)]
+			label, target := some(), []string{"state", "m-", "n"}[dice(3)]
 			sim.cutNetworkFor(func(from, host string) bool {
-				return from == label && strings.HasPrefix(host, what) || what == "n" && host == label && strings.HasPrefix(from, "n")
+				return from == label && strings.HasPrefix(host, target) || target == "n" && host == label && strings.HasPrefix(from, "n")
 			}, time.Duration(500+dice(9000))*time.Millisecond)
-		case 6: // all at once
+		case 6: // all controllers at once
 			sim.mu.Lock()
 			labels := slices.Sorted(maps.Keys(sim.controllers))
 			sim.mu.Unlock()
@@ -259,22 +253,18 @@
 				d := time.Duration(2000+sim.rng.IntN(12000)) * time.Millisecond
 				sim.group.Go(func() {
 					time.Sleep(d)
-					sim.mu.Lock()
-					victim.Hung = false
-					sim.mu.Unlock()
+					sim.withLock(func() { victim.Hung = false })
 				})
 			}
 			sim.mu.Unlock()
 		}
 	}
-	sim.mu.Lock()
-	sim.messageFaultRate = 0
-	sim.mu.Unlock()
+	sim.setMessageFaultRate(0)
 	sim.waitForAllJobs(6 * time.Minute)
 }
 
-// A controller of a version that keeps no copies neither follows nor is followed; takeovers
-// from it and by it go as they did.
+// A controller of a version without replication is no standby and has none; takeovers from it
+// and by it work as before.
 func TestOldVersionsAreNoStandbys(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 670, func(sim *simulatedCluster) { configureLongJobs(sim); sim.oldVersions = map[string]bool{"n1": true} }, func(sim *simulatedCluster) {
@@ -282,7 +272,7 @@
 		for partition := range 3 {
 			who, successor := sim.leaderOf(partition), sim.standbyOf(partition)
 			if successor == "n1" || who == "n1" && successor != "" {
-				t.Errorf("%q follows part %d of %s", successor, partition, who)
+				t.Errorf("%q is standby of partition %d of %s", successor, partition, who)
 			}
 		}
 		for _, lost := range []string{"n1", "n0"} {
@@ -290,7 +280,7 @@
 			time.Sleep(5 * time.Second)
 			for partition := range 3 {
 				if sim.leaderOf(partition) == "" {
-					t.Errorf("nobody owns part %d without %s", partition, lost)
+					t.Errorf("partition %d has no leader without %s", partition, lost)
 				}
 			}
 			sim.startController(lost)
@@ -300,8 +290,8 @@
 	})
 }
 
-// What is told beyond the records serves predictions only: owners that tell nonsense of
-// sessions, beginnings, notices and machines break no rule and lose nothing (33).
+// Replicated hints serve predictions only: leaders that send invalid epochs, starts, preemption
+// notices and machines violate no safety rule and lose no job (rule 33).
 func TestInvalidReplicaUpdatesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -16,8 +16,8 @@
 	"micaspindle/internal/transport"
 )
 
-// An owner that is lost is followed by its standby, from its copy, which knows when the
-// attempts began; what was under way goes on.
+// A killed leader is replaced by its standby, whose replica knows when the attempts started;
+// running tasks continue.
 func TestFailoverUsesTheStandbyReplica(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -33,7 +33,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if now := sim.leaderOf(0); now != next {
-				t.Errorf("seed %d: %s follows, not %s", seed, now, next)
+				t.Errorf("seed %d: %s took over, not %s", seed, now, next)
 			}
 			inherited, off := 0, time.Duration(0)
 			sim.onController(next, func(c *Controller) {
@@ -58,7 +58,7 @@
 						sim.mu.Unlock()
 						late := a.ReplicatedStart.Sub(begun)
 						if begun.IsZero() || late < -time.Second || late > 3*time.Second {
-							t.Errorf("seed %d: %s began %s late, as far as is known", seed, a.TaskName(), late)
+							t.Errorf("seed %d: the known start of %s is %s late", seed, a.TaskName(), late)
 						}
 						off += late.Abs()
 						inherited++
@@ -68,7 +68,7 @@
 			if inherited == 0 {
 				t.Fatalf("seed %d: nothing was inherited", seed)
 			}
-			t.Logf("seed %d: beginnings of %d attempts are known within %s on average", seed, inherited, off/time.Duration(inherited))
+			t.Logf("seed %d: starts of %d attempts are known within %s on average", seed, inherited, off/time.Duration(inherited))
 			sim.mu.Lock()
 			starts := 0
 			for _, agent := range sim.workers {
@@ -83,7 +83,7 @@
 			}
 			sim.mu.Unlock()
 			if starts != 0 {
-				t.Errorf("seed %d: %d tasks were started anew", seed, -starts)
+				t.Errorf("seed %d: %d tasks were restarted", seed, -starts)
 			}
 			sim.cancelLongJobs()
 		})
@@ -97,8 +97,9 @@
 	sim.waitForAllJobs(time.Minute)
 }
 
-// A planned end hands over first: hardly a moment without an owner, nothing lost, and the
-// machines' leases count from the hand-over. Who comes back gets its part back warm.
+// A planned shutdown hands its partitions over first: hardly a moment without a leader, no task
+// lost, and the machines' leases count from the handover. A controller that returns gets its
+// partition back with a warm takeover.
 func TestPlannedShutdownHandsOverPartitions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -116,29 +117,27 @@
 			})
 			longest := time.Duration(0)
 			ended := make(chan struct{})
-			sim.mu.Lock()
-			n := sim.controllers[label]
-			sim.mu.Unlock()
+			n := sim.processOf(label)
 			go func() {
 				defer close(ended)
 				ctx, cancel := context.WithTimeout(sim.ctx, time.Second)
 				defer cancel()
 				n.controller.HandOver(ctx)
-				time.Sleep(time.Duration(seed%2) * time.Second) // it may take a moment to end
+				time.Sleep(time.Duration(seed%2) * time.Second) // the process may take a moment to exit
 				for _, p := range partitions {
 					if sim.leaderOf(p) == label {
-						t.Errorf("seed %d: %s owns part %d again", seed, label, p)
+						t.Errorf("seed %d: %s leads partition %d again", seed, label, p)
 					}
 				}
 				sim.killController(label)
 			}()
 			begun, last := time.Now(), time.Now()
 			for time.Since(begun) < 2*time.Second {
-				owned := true
+				led := true
 				for _, p := range partitions {
-					owned = owned && sim.leaderOf(p) != ""
+					led = led && sim.leaderOf(p) != ""
 				}
-				if now := time.Now(); owned {
+				if now := time.Now(); led {
 					last = now
 				} else {
 					longest = max(longest, now.Sub(last))
@@ -146,18 +145,18 @@
 				time.Sleep(2 * time.Millisecond)
 			}
 			<-ended
-			t.Logf("seed %d: %d parts, without an owner for %s", seed, len(partitions), longest)
+			t.Logf("seed %d: %d partitions, without a leader for %s", seed, len(partitions), longest)
 			if len(partitions) == 0 || longest > 200*time.Millisecond {
-				t.Errorf("seed %d: parts %v without an owner for %s", seed, partitions, longest)
+				t.Errorf("seed %d: partitions %v without a leader for %s", seed, partitions, longest)
 			}
 			for _, p := range partitions {
 				sim.onController(sim.leaderOf(p), func(c *Controller) {
 					if !c.Partitions[p].WarmFailover {
-						t.Errorf("seed %d: part %d was taken over cold", seed, p)
+						t.Errorf("seed %d: takeover of partition %d was cold", seed, p)
 					}
 					for _, m := range c.Machines {
 						if m.Record.Partition == p && time.Until(m.AnsweredUntil) > delegation.GrantDuration {
-							t.Errorf("seed %d: %s counts as answered by others until %s from now", seed, m.Name, time.Until(m.AnsweredUntil))
+							t.Errorf("seed %d: %s counts as answered by others for %s more", seed, m.Name, time.Until(m.AnsweredUntil))
 						}
 					}
 				})
@@ -165,12 +164,12 @@
 			sim.startController(label)
 			time.Sleep(40 * time.Second)
 			if back := sim.leaseCount(label); back == 0 {
-				t.Errorf("seed %d: %s has no part again", seed, label)
+				t.Errorf("seed %d: %s got no partition back", seed, label)
 			}
 			sim.onController(label, func(c *Controller) {
 				for _, p := range c.Partitions {
 					if p.Held && !p.WarmFailover && len(c.Machines) > 0 {
-						t.Errorf("seed %d: part %d came back cold", seed, p.Index)
+						t.Errorf("seed %d: takeover of partition %d was cold on its return", seed, p.Index)
 					}
 				}
 			})
@@ -179,8 +178,8 @@
 	}
 }
 
-// Where nobody can take over, a planned end merely ends, and the next life takes its own
-// claims back.
+// Where no controller can take over, a planned shutdown just ends, and the next incarnation
+// acquires its own leases again.
 func TestPlannedShutdownOfTheLastController(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 630, configureLongJobs, func(sim *simulatedCluster) {
@@ -188,13 +187,11 @@
 		sim.killController("n1")
 		sim.killController("n2")
 		time.Sleep(6 * time.Second)
-		sim.mu.Lock()
-		n := sim.controllers["n0"]
-		sim.mu.Unlock()
+		n := sim.processOf("n0")
 		begun := time.Now()
 		n.controller.HandOver(sim.ctx)
 		if took := time.Since(begun); took > 10*time.Millisecond {
-			t.Errorf("the end took %s", took)
+			t.Errorf("the shutdown took %s", took)
 		}
 		sim.killController("n0")
 		time.Sleep(300 * time.Millisecond)
@@ -203,7 +200,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(begun); took > time.Second {
-			t.Errorf("owned again only after %s", took)
+			t.Errorf("partitions led again only after %s", took)
 		}
 		sim.startController("n1")
 		sim.startController("n2")
@@ -211,8 +208,8 @@
 	})
 }
 
-// A process that is back at once takes its claims back, and hears from who followed it
-// when its attempts began.
+// A controller that restarts at once reacquires its leases, and recovers the start times of its
+// attempts from its standby.
 func TestRestartedLeaderRecoversReplicatedStarts(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 640, configureLongJobs, func(sim *simulatedCluster) {
@@ -223,7 +220,7 @@
 		sim.startController(lost)
 		time.Sleep(1500 * time.Millisecond)
 		if now := sim.leaderOf(0); now != lost {
-			t.Fatalf("%s owns what %s had", now, lost)
+			t.Fatalf("%s leads the partition of %s", now, lost)
 		}
 		known, all := 0, 0
 		sim.onController(lost, func(c *Controller) {
@@ -239,17 +236,16 @@
 			}
 		})
 		if all == 0 || known < all {
-			t.Errorf("of %d attempts it is known of %d when they began", all, known)
+			t.Errorf("of %d attempts the starts of %d are known", all, known)
 		}
 		sim.cancelLongJobs()
 	})
 }
 
-// A copy that is wrong is found by its samples, said loudly, dropped and read anew before
-// it decides.
+// A corrupt replica is found by its samples, logged, dropped and read again before it is used.
 func TestCorruptReplicaIsFoundBeforeFailover(t *testing.T) {
 	t.Parallel()
-	for i, spoil := range []func(replica *replication.Replica, key string){
+	for i, corrupt := range []func(replica *replication.Replica, key string){
 		func(replica *replication.Replica, key string) { // an attempt is missing
 			for k, r := range replica.Records.All {
 				if k == key {
@@ -257,7 +253,7 @@
 				}
 			}
 		},
-		func(replica *replication.Replica, key string) { // a change got lost
+		func(replica *replication.Replica, key string) { // a change was lost
 			for k, r := range replica.Records.All {
 				if k == key {
 					*r.Value = storage.RunRecord{Last: 1}
@@ -277,16 +273,16 @@
 						key = k
 					}
 				}
-				spoil(replica, key)
+				corrupt(replica, key)
 			})
 			if key == "" {
-				t.Fatal("no record to spoil")
+				t.Fatal("no record to corrupt")
 			}
-			time.Sleep(12 * time.Second) // two samples of this part
+			time.Sleep(12 * time.Second) // two samples of this partition
 			sim.onController(next, func(c *Controller) {
 				replica := c.replicator.Replicas[0]
 				if c.replicator.Mismatches != 1 || replica == nil || replica.Records.Revision() == 0 {
-					t.Errorf("%d: found %d times", i, c.replicator.Mismatches)
+					t.Errorf("%d: mismatch found %d times", i, c.replicator.Mismatches)
 				}
 			})
 			sim.killController(lost)
@@ -297,14 +293,14 @@
 	}
 }
 
-// A lost part is its standby's, as long as that is there and has a copy; others leave it
-// alone for a moment, its home too.
+// A vacant partition is left to its standby for a moment, as long as that is present and has a
+// replica; other controllers wait, also the partition's home.
 func TestVacantPartitionIsLeftToItsStandby(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
-	told := func(named string, follows, copies bool) {
+	setPeers := func(named string, follows, copies bool) {
 		c.Peers["n1"] = &cluster.Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
 		c.Peers["n2"] = &cluster.Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
 		if follows {
@@ -328,11 +324,11 @@
 		{"n2", true, 700 * time.Millisecond, other, true, true},
 		{"n2", true, 0, p.Index, true, false}, // its home
 		{"n2", false, 0, p.Index, true, true},
-		{"n0", false, 0, other, true, true},  // it is this one
-		{"n0", false, 0, other, false, true}, // that has just started
-		{"", false, 0, other, false, false},  // nobody was named, and this one has just started
+		{"n0", false, 0, other, true, true},  // this controller is the standby
+		{"n0", false, 0, other, false, true}, // and has just started
+		{"", false, 0, other, false, false},  // no standby was named, and this controller has just started
 	} {
-		told(tc.named, tc.follows, true)
+		setPeers(tc.named, tc.follows, true)
 		c.SelfIndex, c.StartedAt = tc.self, now.Add(-time.Minute)
 		if !tc.started {
 			c.StartedAt = now.Add(-time.Second)
@@ -342,26 +338,26 @@
 		}
 	}
 	c.Draining = true
-	told("n0", false, true)
+	setPeers("n0", false, true)
 	if c.takeover.WantsPartition(p, now.Add(time.Hour)) {
-		t.Error("one that leaves wants a part")
+		t.Error("a draining controller wants a partition")
 	}
 }
 
-// What the leader was about goes on under the next one: rentals under their own names.
+// The next cluster leader resumes scale-outs in progress under their own request names.
 func TestNextClusterLeaderResumesScaleOuts(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 680, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		leader := ""
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			sim.onController(l, func(c *Controller) {
 				if c.Leadership.Held {
 					leader = l
 				}
 			})
 		}
-		// The cloud's answers are lost, so that the rental stays under way.
+		// The cloud's responses are lost, so that the scale-out stays in progress.
 		var names []string
 		sim.mu.Lock()
 		sim.onResponse = func(from, host, target string, body []byte, _ *transport.Response) bool {
@@ -384,19 +380,19 @@
 		rented := sim.cloud.Rented
 		sim.mu.Unlock()
 		if len(mine) == 0 || rented == 0 {
-			t.Fatalf("%d rentals under way, %d machines", len(mine), rented)
+			t.Fatalf("%d scale-outs in progress, %d machines", len(mine), rented)
 		}
 		sim.killController(leader)
 		time.Sleep(5 * time.Second)
 		sim.mu.Lock()
 		for _, name := range mine {
 			if !slices.Contains(names, name) {
-				t.Errorf("%s was not repeated, but %v", name, names)
+				t.Errorf("scale-out %s was not repeated, but %v", name, names)
 			}
 		}
 		sim.mu.Unlock()
 		recorded := 0
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			sim.onController(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
 		}
 		if recorded < rented {
@@ -407,17 +403,17 @@
 	})
 }
 
-// configureLongJobs fills the world's machines with long work of all teams.
+// configureLongJobs lets jobs of all teams fill the simulated machines with long tasks.
 func configureLongJobs(sim *simulatedCluster) {
 	sim.cloud.Capacity = 30
 	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
 	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
-// submitLongJobs submits work that keeps all machines, and waits until it runs.
+// submitLongJobs submits jobs that occupy the machines, and waits until they run.
 func (sim *simulatedCluster) submitLongJobs() {
 	time.Sleep(2 * time.Second)
-	for i, team := range []string{"red", "blue", "green"} {
+	for i, team := range allTeams {
 		s := newJobSpec(fmt.Sprintf("job-%d", i), 16, team)
 		s.EstimateS, s.DeadlineS, s.Spot = 600, 0, false
 		sim.submit(s)
--- a/internal/coordination/fairness_test.go
+++ b/internal/coordination/fairness_test.go
@@ -18,15 +18,15 @@
 	"micaspindle/internal/storage"
 )
 
-// Users who poll many waiting jobs used up every request that the state service
-// grants; renewals were refused with the rest, so that parts changed hands all the
-// time (docs/incidents/night-flood.md).
+// Users who polled many waiting jobs used up every request that the state store allows; lease
+// renewals were refused as well, so that partitions kept changing hands
+// (docs/incidents/night-flood.md).
 func TestPollLoadDoesNotCostPartitionLeases(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 51, func(sim *simulatedCluster) {
 		sim.settings.Params.State.RPS = 60
 		sim.state.Requests = rate.NewLimiter(60, 60)
-		sim.cloud.Capacity = 0 // nothing runs
+		sim.cloud.Capacity = 0 // no task runs
 	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		const jobs = 300
@@ -39,14 +39,14 @@
 			return fmt.Sprint(sim.state.Items[storage.LeaseKey(0)].Version, sim.state.Items[storage.LeaseKey(1)].Version,
 				sim.state.Items[storage.LeaseKey(2)].Version, sim.state.Items[storage.LeadershipKey].Version)
 		}
-		before, answered, asked := leaseVersions(), 0, 0
+		before, answered, polled := leaseVersions(), 0, 0
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
-			for i := range jobs / 2 { // 150 a second, of 60 requests
+			for i := range jobs / 2 { // 150 polls a second, of 60 requests allowed
 				sim.group.Go(func() {
 					st := sim.poll(fmt.Sprintf("n%d", i%3), fmt.Sprintf("job-%d", i))
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
-					if asked++; st == protocol.StatusQueued {
+					if polled++; st == protocol.StatusQueued {
 						answered++
 					}
 				})
@@ -54,17 +54,17 @@
 		}
 		time.Sleep(5 * time.Second)
 		if now := leaseVersions(); now != before {
-			t.Errorf("claims changed hands: %s, then %s", before, now)
+			t.Errorf("leases changed hands: %s, then %s", before, now)
 		}
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		if answered < asked*95/100 {
-			t.Errorf("%d of %d polls answered", answered, asked)
+		if answered < polled*95/100 {
+			t.Errorf("%d of %d polls answered", answered, polled)
 		}
 	})
 }
 
-// loadSurge is one kind of work coming so many times as often as else.
+// loadSurge is one class's or team's work arriving several times as often as the rest.
 type loadSurge struct {
 	class, team string // empty: any
 	times       int
@@ -77,20 +77,20 @@
 	return 1
 }
 
-// groupOutcome counts what became of a group's jobs.
+// groupOutcome counts the jobs of a class or team.
 type groupOutcome struct{ jobs, started, done int }
 
-// configureSurgeCluster is a fleet of which the large class's work fits one type only; about a
-// third of it is in use as long as nothing floods.
+// configureSurgeCluster sets up a fleet in which the large class fits one machine type only;
+// about a third of the fleet is in use without a surge.
 func configureSurgeCluster(sim *simulatedCluster) {
 	sim.cloud.Capacity, sim.cloud.ByType = 22, map[string]int{"small": 12, "big": 10}
 	sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
 	sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 }
 
-// runLoadSurge plays a flood of so long, with losses of owners in it, waits, and tells what
-// became of each class and team.
-func runLoadSurge(sim *simulatedCluster, f loadSurge, lasts, wait int) map[string]*groupOutcome {
+// runLoadSurge submits work with a surge for a number of seconds while leaders are killed,
+// waits, and returns the outcome of each class and team.
+func runLoadSurge(sim *simulatedCluster, f loadSurge, surgeS, waitS int) map[string]*groupOutcome {
 	groups := map[string]*groupOutcome{}
 	started := map[string]map[int]bool{}
 	sim.mu.Lock()
@@ -119,7 +119,7 @@
 		sim.group.Go(func() { sim.submit(s) })
 	}
 	const begins = 20
-	for second := range begins + lasts {
+	for second := range begins + surgeS {
 		for i, class := range []string{"urgent", "large", "small"} {
 			team := sim.settings.Params.Teams[(second+i)%len(sim.settings.Params.Teams)].Name
 			n := 1
@@ -140,12 +140,12 @@
 		}
 		time.Sleep(time.Second)
 	}
-	time.Sleep(time.Duration(wait) * time.Second)
+	time.Sleep(time.Duration(waitS) * time.Second)
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for id, submitted := range sim.jobs {
 		if submitted.acceptedAt.IsZero() || time.Since(submitted.acceptedAt) < 45*time.Second {
-			continue // nobody expects it to be under way
+			continue // too new to be expected to run
 		}
 		for _, group := range []string{"class " + submitted.spec.Class, "team " + submitted.spec.Team} {
 			g := groups[group]
@@ -165,7 +165,7 @@
 	return groups
 }
 
-// Half of every class and of every team is served, whatever floods.
+// Half of every class and of every team is served, whichever surges.
 func TestHalfOfEachGroupIsServedDuringALoadSurge(t *testing.T) {
 	t.Parallel()
 	for seed, f := range []loadSurge{{"urgent", "", 4}, {"urgent", "", 10}, {"urgent", "", 30}, {"large", "", 4}, {"large", "", 10},
@@ -173,7 +173,7 @@
 		t.Run(fmt.Sprintf("%s%s by %d, seed %d", f.class, f.team, f.times, seed), func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, uint64(300+seed), configureSurgeCluster, func(sim *simulatedCluster) {
-				groups := runLoadSurge(sim, f, 60, 180+6*f.times) // what a fleet as large needs for it
+				groups := runLoadSurge(sim, f, 60, 180+6*f.times) // the time that a fleet of this size needs for it
 				for _, name := range slices.Sorted(maps.Keys(groups)) {
 					g := groups[name]
 					t.Logf("%s: of %d jobs %.2f started, %.2f done", name, g.jobs, float64(g.started)/float64(g.jobs), float64(g.done)/float64(g.jobs))
@@ -186,13 +186,13 @@
 	}
 }
 
-// The same while the flood goes on: what it starves does not have to wait for its end.
+// The same while the surge lasts: starved groups do not have to wait for its end.
 func TestEndlessLoadSurgeLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
 	for seed, c := range []struct {
 		loadSurge
 		what  string
-		limit float64 // of team red
+		limit float64 // CPU quota of team red
 		needy string
 	}{
 		{loadSurge{"urgent", "", 30}, "machines", 400, "class large"},
@@ -219,8 +219,8 @@
 	}
 }
 
-// What was done counts from the records, so that a controller that starts, or that
-// listed them anew, counts as one that saw it; and each job once.
+// Completed jobs are counted from the records, once each, so that a controller that starts or
+// lists them again has the same counts as one that saw them end.
 func TestCompletedJobsAreCountedFromTheRecords(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -263,11 +263,11 @@
 	})
 }
 
-// The leader rents for what is told it first, and hears of a part of a long backlog
-// only: what is behind must be in it, yet not be all of it.
+// The cluster leader scales out for the first demands, and sees only the head of a long
+// backlog: starved groups must be in it, without filling it.
 func TestDemandsOfStarvedGroupsComeFirst(t *testing.T) {
 	t.Parallel()
-	behindMost := peering.DemandsMin / peering.StarvedDemandsShare
+	starvedMax := peering.DemandsMin / peering.StarvedDemandsShare
 	var list []*cluster.Job
 	for i := range 300 {
 		list = append(list, &cluster.Job{ClassGroup: 7, Pending: []int{i}})
@@ -276,17 +276,17 @@
 		list = append(list, &cluster.Job{ClassGroup: 8, Pending: []int{1}})
 	}
 	f := &cluster.FairShareState{}
-	if got := f.StarvedFirst(list, behindMost); !slices.Equal(got, list) {
-		t.Error("another order though nothing is behind")
+	if got := f.StarvedFirst(list, starvedMax); !slices.Equal(got, list) {
+		t.Error("reordered though no group is starved")
 	}
 	f.Shares = make([]float64, 9)
 	f.Shares[8] = 0.1
-	got := f.StarvedFirst(list, behindMost)
+	got := f.StarvedFirst(list, starvedMax)
 	if len(got) != len(list) {
 		t.Fatalf("%d jobs of %d", len(got), len(list))
 	}
 	for i, j := range got {
-		if i < 340 && (j.ClassGroup == 8) != (i < behindMost) {
+		if i < 340 && (j.ClassGroup == 8) != (i < starvedMax) {
 			t.Fatalf("class %d at %d", j.ClassGroup, i)
 		}
 	}
