--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -13,45 +13,46 @@
 	"micaspindle/internal/storage"
 )
 
-func (sim *simulatedCluster) faultCount(what string) (n int) {
-	sim.withLock(func() { n = sim.faultCounts[what] })
+func (sim *simulatedCluster) faultCount(filter string) (n int) {
+	sim.withLock(func() { n = sim.faultCounts[filter] })
 	return n
 }
 
-// plannedFault is one trouble of a plan. It begins at a time, or with the next write of a kind
-// after it, so that it falls into a step of a takeover, hand-over, commit or withdrawal.
+// plannedFault is one fault of a plan. It begins at a time, or with the next write of a kind
+// after it, so that it hits a step of a takeover, handover, commit or cancellation.
 type plannedFault struct {
 	At, For time.Duration
 	Kind    string
-	// Arg picks whom it befalls, Share of how many or how much.
+	// Arg selects the controller or machines to hit, Share the proportion of machines or
+	// messages.
 	Arg   int
 	Share float64
-	// OnWrite is the kind of the write that it waits for; "": none.
+	// OnWrite is the kind of write that triggers the fault; "": none.
 	OnWrite string
 }
 
 func (m plannedFault) String() string {
-	return fmt.Sprintf("{At: %d, For: %d, Kind: %q, Arg: %d, Share: %.2f, With: %q},", m.At, m.For, m.Kind, m.Arg, m.Share, m.OnWrite)
+	return fmt.Sprintf("{At: %d, For: %d, Kind: %q, Arg: %d, Share: %.2f, OnWrite: %q},", m.At, m.For, m.Kind, m.Arg, m.Share, m.OnWrite)
 }
 
-var faultKinds = []string{"late writes", "lost answers", "late reports", "old reports", "deaf", "mute", "refused", "cut from all but workers",
+var faultKinds = []string{"late transactions", "lost transaction answers", "late heartbeats", "replayed heartbeats", "inbound lost", "outbound lost", "refused", "cut from all but agents",
 
-	"cut from workers", "cut off", "outage", "watches stuck", "crash", "crash of all", "away", "still", "hand-over", "hang", "die", "cancel now", "cancel at end",
-	"zone cut", "lost messages", "cloud down", "late commands", "late commands", "lost command answers", "slow links"}
+	"cut from agents", "cut off", "outage", "watches stuck", "crash", "crash of all", "away", "pause", "handover", "hang", "power off", "cancel now", "cancel at end",
+	"zone cut", "lost messages", "cloud unreachable", "late commands", "late commands", "lost command answers", "slow links"}
 
-var faultTriggers = []string{"", "", "claim", "leader", "life", "final", "run", "machine"}
+var faultTriggers = []string{"", "", "lease", "leadership", "incarnation", "final", "run", "machine"}
 
-// writeObserver tells of writes to the state service by kind.
+// writeObserver signals writes to the state store by kind.
 type writeObserver struct{ waiting map[string]chan struct{} }
 
 func writeKind(key string) string {
 	switch kind, _ := storage.ParseKey(key); kind {
 	case storage.KindLease:
-		return "claim"
+		return "lease"
 	case storage.KindLeadership:
-		return "leader"
+		return "leadership"
 	case storage.KindIncarnation:
-		return "life"
+		return "incarnation"
 	case storage.KindFinal:
 		return "final"
 	case storage.KindMachine:
@@ -65,7 +66,7 @@
 	return ""
 }
 
-// observe makes the world tell of writes.
+// observe signals the writes of a simulated cluster from now on.
 func (s *writeObserver) observe(sim *simulatedCluster) {
 	s.waiting = map[string]chan struct{}{}
 	check := sim.state.BeforePut
@@ -78,7 +79,7 @@
 	}
 }
 
-// nextWrite is closed with the next write of a kind. The lock is held.
+// nextWrite returns a channel that is closed with the next write of a kind. The lock is held.
 func (s *writeObserver) nextWrite(kind string) chan struct{} {
 	if s.waiting[kind] == nil {
 		s.waiting[kind] = make(chan struct{})
@@ -86,7 +87,7 @@
 	return s.waiting[kind]
 }
 
-// selectMachines picks every nth of the machines that are up.
+// selectMachines returns the names of the proportion Share of the machines, as selected by Arg.
 func (sim *simulatedCluster) selectMachines(m plannedFault) (names []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -98,7 +99,8 @@
 	return names
 }
 
-// injectAtTrigger waits for a trouble's moment, lets it happen and ends it.
+// injectAtTrigger waits for a fault's time and trigger, injects it and ends it. Without a write
+// of the kind within patience the fault begins all the same.
 func (sim *simulatedCluster) injectAtTrigger(m plannedFault, begun time.Time, patience time.Duration) {
 	time.Sleep(time.Until(begun.Add(m.At)))
 	if m.OnWrite != "" {
@@ -112,11 +114,11 @@
 	sim.inject(m)
 }
 
-// inject lets a trouble happen and ends it.
+// inject injects a fault, waits for its duration and ends it.
 func (sim *simulatedCluster) inject(m plannedFault) {
 	label := fmt.Sprint("n", m.Arg%3)
 	back := []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[m.Arg/3%3]
-	// during sets something for the trouble's time.
+	// during applies a setting for the fault's duration.
 	during := func(set func(on bool)) {
 		sim.withLock(func() { set(true) })
 		time.Sleep(m.For)
@@ -133,49 +135,49 @@
 			}
 		})
 	}
-	cut := func(what func(from, host string) bool) {
-		id := sim.cuts.add(sim, what)
+	cut := func(filter func(from, host string) bool) {
+		id := sim.cuts.add(sim, filter)
 		time.Sleep(m.For)
 		sim.cuts.end(sim, id)
 	}
 	node := func(s string) bool { return len(s) == 2 && s[0] == 'n' }
 	switch m.Kind {
-	case "late writes", "lost answers":
+	case "late transactions", "lost transaction answers":
 		during(func(on bool) {
 			sim.lateTransactionShare, sim.loseAnswersOnly = 0, false
 			if on {
-				sim.lateTransactionShare, sim.loseAnswersOnly = m.Share, m.Kind == "lost answers"
+				sim.lateTransactionShare, sim.loseAnswersOnly = m.Share, m.Kind == "lost transaction answers"
 			}
 		})
-	case "late reports", "old reports":
+	case "late heartbeats", "replayed heartbeats":
 		during(func(on bool) {
 			sim.duplicatedHeartbeatShare, sim.keepForReplay = 0, false
 			if on {
-				sim.duplicatedHeartbeatShare, sim.keepForReplay = m.Share, m.Kind == "old reports"
+				sim.duplicatedHeartbeatShare, sim.keepForReplay = m.Share, m.Kind == "replayed heartbeats"
 			}
 		})
-		if m.Kind == "old reports" {
+		if m.Kind == "replayed heartbeats" {
 			var next chan struct{}
-			sim.withLock(func() { next = sim.writes.nextWrite("claim") })
+			sim.withLock(func() { next = sim.writes.nextWrite("lease") })
 			select {
 			case <-next:
 			case <-time.After(15 * time.Second):
 			}
 			sim.replayHeartbeats()
 		}
-	case "deaf":
+	case "inbound lost":
 		mark(&sim.inboundLost)
-	case "mute":
+	case "outbound lost":
 		mark(&sim.outboundLost)
 	case "refused":
 		sim.setStateServiceRefusal(label, true)
 		time.Sleep(m.For)
 		sim.setStateServiceRefusal(label, false)
-	case "cut from all but workers":
+	case "cut from all but agents":
 		cut(func(from, host string) bool {
 			return from == label && (host == "state" || node(host)) || host == label && node(from)
 		})
-	case "cut from workers":
+	case "cut from agents":
 		cut(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") })
 	case "cut off":
 		cut(func(from, host string) bool { return from == label || host == label })
@@ -203,18 +205,16 @@
 			back = time.Duration(sim.settings.Params.Workers.LeaseS+2) * time.Second
 		}
 		done := make(chan struct{}, 3)
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			sim.group.Go(func() { sim.restartController(l, back); done <- struct{}{} })
 		}
 		for range 3 {
 			<-done
 		}
-	case "still":
+	case "pause":
 		sim.pauseController(label, min(m.For, 12*time.Second))
-	case "hand-over":
-		sim.mu.Lock()
-		n := sim.controllers[label]
-		sim.mu.Unlock()
+	case "handover":
+		n := sim.processOf(label)
 		if n != nil {
 			n.controller.HandOver(sim.ctx)
 			sim.restartController(label, back)
@@ -224,7 +224,7 @@
 			sim.hangMachine(name, m.For)
 		}
 		time.Sleep(m.For)
-	case "die":
+	case "power off":
 		for i, name := range sim.selectMachines(m) {
 			if i < 3 {
 				sim.withLock(func() {
@@ -283,59 +283,61 @@
 				sim.linkDelayMax = 700 * time.Millisecond
 			}
 		})
-	case "cloud down":
+	case "cloud unreachable":
 		cut(func(_, host string) bool { return host == "cloud" })
 	default:
-		panic("no such trouble: " + m.Kind)
+		panic("no such fault: " + m.Kind)
 	}
 }
 
-// injectedFaults are those that the world can bring about beyond lost messages, cuts, ends and
-// standstills. Whoever looks into them holds the world's lock. met counts what has
-// happened, so that a test can tell whether its troubles met at all.
+// injectedFaults are the faults that can be injected beyond lost messages, network cuts, kills
+// and pauses. They are guarded by the simulated cluster's lock. faultCounts counts what
+// happened, so that a test can tell whether its faults coincided.
 type injectedFaults struct {
-	// lateTransactionShare is the share of transactions without an answer: carried out 2 to 12 s
-	// later, after newer ones, or with atOnce at once.
+	// lateTransactionShare is the share of transactions without a response: applied 2 to 12 s
+	// later, after newer ones, or with loseAnswersOnly at once.
 	lateTransactionShare float64
 	loseAnswersOnly      bool
-	// lateTransactionKind is the kind of the first key written of the transactions that it befalls;
-	// "": all.
+	// lateTransactionKind restricts this to transactions whose first write is of a kind; "":
+	// all.
 	lateTransactionKind string
-	// duplicatedHeartbeatShare is the share of the workers' reports of which a copy arrives again, from
-	// 2 s to well over a lease later, or with forNext at every controller once asked for.
+	// duplicatedHeartbeatShare is the share of heartbeats of which a copy arrives again, from 2
+	// s to well over a machine lease later, or with keepForReplay at every controller on
+	// request.
 	duplicatedHeartbeatShare float64
 	keepForReplay            bool
 	keptHeartbeats           []keptHeartbeat
-	// delayedCommands says what becomes of direct commands; nil: they arrive.
+	// delayedCommands delays direct commands; nil: they arrive.
 	delayedCommands *commandDelayFault
-	// startsAfterCancel are the starts of tasks whose job's user had been told that it is cancelled.
+	// startsAfterCancel are the starts of tasks after the cancellation of their job was
+	// confirmed to its user.
 	startsAfterCancel []startAfterCancel
-	// linkDelayMax is by how much a message may be late on its way; 0: by milliseconds.
+	// linkDelayMax is the longest additional delay of a message; 0: none.
 	linkDelayMax time.Duration
-	// inboundLost machines' reports arrive, answers and orders to them are lost; mute ones reach
-	// nobody, orders reach them.
+	// Heartbeats of inboundLost machines arrive, but responses and commands to them are lost;
+	// messages of outboundLost machines are lost, but commands reach them.
 	inboundLost, outboundLost map[string]bool
-	// suppressNotices: no controller hears of withdrawals from another.
+	// suppressNotices: no controller receives cancellation notices.
 	suppressNotices bool
-	// cancelAtEnd is asked whether a job is called off at the end of its last task.
+	// cancelAtEnd reports whether a job is cancelled at the end of its last task.
 	cancelAtEnd func(job string) bool
-	// onJobEnd, if set, hears of the ends of jobs' last tasks.
+	// onJobEnd, if set, is called at the end of a job's last task.
 	onJobEnd func(job string)
-	// bootDelay is how soon machines are up; 0: within seconds.
+	// bootDelay is how long machines take to boot; 0: a few seconds.
 	bootDelay   time.Duration
 	writes      writeObserver
 	cuts        networkCuts
 	faultCounts map[string]int
 }
 
-// commandDelayFault holds direct commands up: the sender gets no answer, and the worker carries
-// them out once, 2 to 16 s later, if token and session still match then.
+// commandDelayFault delays direct commands: the sender gets no response, and the agent executes
+// them once, 2 to 16 s later, if token and epoch still match then.
 type commandDelayFault struct {
-	// share of the commands is held up, of those that hold the verb ("fence": no command at
-	// all; "": any).
+	// share is the proportion delayed of the messages that contain the operation op ("fence":
+	// no command at all; "": any).
 	share float64
 	op    string
-	// delay is how long; 0: drawn. atOnce: only the answer is lost.
+	// delay is how long; 0: drawn at random. loseAnswersOnly: only the response is lost.
 	delay           time.Duration
 	loseAnswersOnly bool
 }
@@ -349,7 +351,7 @@
 
 const fenceOp = "fence"
 
-// commandOps lists the kinds of the commands of an order.
+// commandOps returns the operations in a message of commands.
 func commandOps(body []byte) (verbs map[string]bool) {
 	var orders protocol.Orders
 	panicOnError(protocol.Decode(body, &orders))
@@ -363,7 +365,8 @@
 	return verbs
 }
 
-// drawCommandDelay says whether and for how long a message to a worker is held up. The lock is held.
+// drawCommandDelay reports whether and for how long a message to an agent is delayed. The lock
+// is held.
 func (sim *simulatedCluster) drawCommandDelay(target string, body []byte) (after time.Duration, held bool) {
 	late := sim.delayedCommands
 	if late == nil || target != "/orders" || sim.rng.Float64() >= late.share {
@@ -381,8 +384,8 @@
 	return 2*time.Second + time.Duration(sim.rng.Int64N(int64(14*time.Second))), true
 }
 
-// deliverCommandLate brings a command that nobody waits for any more to its worker. One that
-// hangs carries it out when it goes on.
+// deliverCommandLate delivers commands whose sender no longer waits. An agent that hangs
+// executes them when it continues.
 func (sim *simulatedCluster) deliverCommandLate(machine string, after time.Duration, body []byte) {
 	for wait := after; ; wait = 100 * time.Millisecond {
 		select {
@@ -404,7 +407,7 @@
 		sim.withLock(func() {
 			for verb := range commandOps(body) {
 				if resp != nil && resp.Status == 200 {
-					sim.countFault("late " + verb + " done")
+					sim.countFault("late " + verb + " applied")
 				} else {
 					sim.countFault("late " + verb + " refused")
 				}
@@ -419,15 +422,15 @@
 	body    []byte
 }
 
-func (sim *simulatedCluster) countFault(what string) {
+func (sim *simulatedCluster) countFault(filter string) {
 	if sim.faultCounts == nil {
 		sim.faultCounts = map[string]int{}
 	}
-	sim.faultCounts[what]++
+	sim.faultCounts[filter]++
 }
 
-// drawTransactionDelay says whether a transaction gets no answer, and how long after it is carried
-// out. The lock is held.
+// drawTransactionDelay reports whether a transaction gets no response, and after which delay it
+// is applied. The lock is held.
 func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (after time.Duration, lost bool) {
 	if host != "state" || target != "/commit" || sim.lateTransactionShare == 0 || sim.rng.Float64() >= sim.lateTransactionShare {
 		return 0, false
@@ -445,7 +448,7 @@
 	return time.Duration(2000+sim.rng.IntN(10_000)) * time.Millisecond, true
 }
 
-// deliverTransactionLate carries a transaction out that nobody waits for any more.
+// deliverTransactionLate applies a transaction whose sender no longer waits.
 func (sim *simulatedCluster) deliverTransactionLate(from string, after time.Duration, body []byte) {
 	time.Sleep(after)
 	resp := sim.deliver(context.WithoutCancel(sim.ctx), from, "state", "POST", "/commit", body)
@@ -456,13 +459,13 @@
 	switch {
 	case len(txn.Then) == 0:
 	case resp.Status == 200:
-		sim.countFault("late write done")
+		sim.countFault("late transaction applied")
 	case resp.Status == 409:
-		sim.countFault("late write refused")
+		sim.countFault("late transaction refused")
 	}
 }
 
-// duplicateHeartbeat keeps a copy of a worker's report, for later. The lock is held.
+// duplicateHeartbeat keeps a copy of a heartbeat for later. The lock is held.
 func (sim *simulatedCluster) duplicateHeartbeat(machine, label string, report []byte) {
 	if sim.duplicatedHeartbeatShare == 0 || sim.rng.Float64() >= sim.duplicatedHeartbeatShare {
 		return
@@ -483,12 +486,12 @@
 	})
 }
 
-// redeliverHeartbeat brings a copy of an old report to a controller.
+// redeliverHeartbeat sends a copy of an old heartbeat to a controller.
 func (sim *simulatedCluster) redeliverHeartbeat(label string, k keptHeartbeat) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
 	if n != nil {
-		sim.countFault("old report")
+		sim.countFault("replayed heartbeat")
 	}
 	sim.mu.Unlock()
 	if n != nil {
@@ -496,7 +499,7 @@
 	}
 }
 
-// replayHeartbeats brings every kept report to every controller.
+// replayHeartbeats sends every kept heartbeat to every controller.
 func (sim *simulatedCluster) replayHeartbeats() {
 	sim.mu.Lock()
 	kept := sim.keptHeartbeats
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -12,7 +12,7 @@
 	"micaspindle/internal/transport"
 )
 
-// The paths between controllers stay as they are.
+// The paths between controllers are part of the wire protocol and must not change.
 func TestGoldenPeerPaths(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
 		{"summary", peering.SummaryPath, "/peer/summary"},
@@ -28,8 +28,8 @@
 	}
 }
 
-// The paths and methods of users, workers and operators stay as they are: a known path
-// refuses another method with 405, an unknown one is 404.
+// The paths and methods for users, agents and operators must not change: a known path refuses
+// another method with 405, an unknown one is 404.
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
 	ctx, c := t.Context(), newTestController(t.Context(), &newSimulatedCluster(t, 1).settings, settings.DefaultOperator())
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -12,8 +12,8 @@
 	"micaspindle/internal/storage"
 )
 
-// leadFirstPartition makes a controller whose loop never runs the informed owner of its first part,
-// with the machine m-1, under a claim.
+// leadFirstPartition makes a controller whose loop does not run the ready leader of its first
+// partition, with the machine m-1, under the given lease revision.
 func (c *Controller) leadFirstPartition(lease uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
 	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
@@ -23,8 +23,8 @@
 	return p, c.Machines["m-1"]
 }
 
-// What an old copy of a report may and may not do at an owner: it wins no time for a
-// machine that says nothing any more, un-fences nothing and ends nothing (48).
+// A stale copy of a heartbeat extends no lease of a silent machine, does not undo its fencing
+// and ends no attempt (rule 48).
 func TestStaleHeartbeatsAreIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,43 +38,44 @@
 		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 2, State: cluster.AttemptCommitted}
 		j.LiveAttempts[0], j.Pending = a, nil
 		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
-		report := func(session, sequence, token uint64, tasks []protocol.TaskReport) int {
+		send := func(epoch, sequence, token uint64, tasks []protocol.TaskReport) int {
 			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
-			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: session, Sequence: sequence, Token: token, Tasks: tasks}
+			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
-		if report(2, 40, 5, task) != 200 || !m.Fenced || a.State != cluster.AttemptConfirmed {
-			t.Fatal("the newest report was not taken in")
+		if send(2, 40, 5, task) != 200 || !m.Fenced || a.State != cluster.AttemptConfirmed {
+			t.Fatal("the newest heartbeat was not applied")
 		}
-		heard := time.Now()
+		receivedAt := time.Now()
 		for _, old := range []struct {
-			name                     string
-			session, sequence, token uint64
-		}{{"the same", 2, 40, 5}, {"older", 2, 12, 5}, {"of an owner before", 2, 39, 4}, {"of the session before", 1, 90, 5}} {
+			name                   string
+			epoch, sequence, token uint64
+		}{{"duplicate", 2, 40, 5}, {"older", 2, 12, 5}, {"under a former leader's token", 2, 39, 4}, {"of the previous epoch", 1, 90, 5}} {
 			time.Sleep(time.Second)
-			if status := report(old.session, old.sequence, old.token, nil); status == 200 {
+			if status := send(old.epoch, old.sequence, old.token, nil); status == 200 {
 				t.Errorf("%s: answered", old.name)
 			}
-			if !m.Fenced || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(heard) || !m.LastHeardAt.Equal(heard) {
-				t.Errorf("%s: fenced %v, session %d, live %v, answered %s and heard %s late", old.name, m.Fenced, m.Epoch, a.Live(),
-					m.AnsweredUntil.Sub(heard), m.LastHeardAt.Sub(heard))
+			if !m.Fenced || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeardAt.Equal(receivedAt) {
+				t.Errorf("%s: fenced %v, epoch %d, live %v, answered %s and heard %s late", old.name, m.Fenced, m.Epoch, a.Live(),
+					m.AnsweredUntil.Sub(receivedAt), m.LastHeardAt.Sub(receivedAt))
 			}
 		}
-		// A report that was under way while orders were answered is no copy.
+		// A heartbeat that was in flight while commands were answered is not stale.
 		c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
-		if report(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
-			t.Error("a report that orders overtook is not answered")
+		if send(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
+			t.Error("a heartbeat overtaken by commands is not answered")
 		}
 		time.Sleep(time.Duration(float64(c.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin + eventloop.TickInterval)
-		report(2, 41, 5, task)
+		send(2, 41, 5, task)
 		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
-			t.Error("old reports keep a machine that is gone")
+			t.Error("stale heartbeats keep a lost machine")
 		}
 	})
 }
 
-// A machine that was deleted, or whose record is written after its end by a late
-// transaction, is neither room to come nor comes back by a report that was on its way (44).
+// A machine that was deleted, or whose record is written by a late transaction after its
+// deletion, neither counts as coming capacity nor is revived by a heartbeat in flight (rule
+// 44).
 func TestDeletedMachinesStayDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -96,7 +97,7 @@
 			failed[m.Name] = m.Failed
 		}
 		if !failed["m-1"] || failed["m-2"] {
-			t.Errorf("to be given up: %v", failed)
+			t.Errorf("failed machines: %v", failed)
 		}
 		waiting := &cluster.Job{Spec: newJobSpec("job-1", 6, "red"), SubmittedAt: now}
 		waiting.Load()
@@ -108,23 +109,23 @@
 			}
 			return n
 		}
-		if n := demands(); n != 2 { // two tasks each on the two that boot
-			t.Errorf("%d tasks ask for machines", n)
+		if n := demands(); n != 2 { // two tasks on each of the two booting machines
+			t.Errorf("%d tasks demand machines", n)
 		}
 		m := c.Machines["m-3"]
 		m.DeleteConfirmed, m.Lost = true, true
 		r := &protocol.Heartbeat{Machine: "m-3", Addr: "m-3:1", Epoch: 1, Sequence: 9, Token: 12}
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
-			t.Errorf("a report of a deleted machine: %d, lost %v", resp.Status, m.Lost)
+			t.Errorf("heartbeat of a deleted machine: %d, lost %v", resp.Status, m.Lost)
 		}
 		if c.agents.ApplyReport(m, r, now); !m.Lost || m.HasReported {
-			t.Error("an answer of a deleted machine brought it back")
+			t.Error("a response of a deleted machine revived it")
 		}
 	})
 }
 
-// A machine is deleted for what its owner knows to be withdrawn of late, not for what is left
-// of jobs that are done, or were withdrawn longer ago than a lease can last.
+// A machine is deleted for jobs that its leader knows to be cancelled recently, not for remains
+// of jobs that are done, or were cancelled longer ago than a lease can last.
 func TestMachinesOfFinishedJobsAreNotDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -146,7 +147,7 @@
 			a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed}
 			j.LiveAttempts[0], j.Pending = a, nil
 			m.Attempts = map[string]*cluster.Attempt{cluster.AttemptKey(a.TaskName(), 1): a}
-			// As an owner that hears of it, and as one that finds it at a takeover.
+			// As a leader that learns of it, and as one that finds it at a takeover.
 			c.jobs.SetFinal(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
 				a.StopRequestedAt = now.Add(-time.Minute)
@@ -161,8 +162,8 @@
 	})
 }
 
-// The first report that a new owner sees may be an old copy: that it lacks a task does not
-// show that the task is not there, only one under the new token does (48).
+// The first heartbeat that a new leader receives may be a stale copy: a missing task proves
+// that the task is not running only in a heartbeat under the new token (rule 48).
 func TestMissingTaskCountsOnlyUnderTheNewToken(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -178,11 +179,11 @@
 		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
 		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
 		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
-			t.Errorf("a report under an old token that lacks the task: live %v, fenced %v", a.Live(), m.Fenced)
+			t.Errorf("heartbeat under an old token without the task: live %v, fenced %v", a.Live(), m.Fenced)
 		}
 		r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 11, Token: 9}
 		if c.agents.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.Fenced {
-			t.Errorf("a report under the new token: live %v, fenced %v", a.Live(), m.Fenced)
+			t.Errorf("heartbeat under the new token: live %v, fenced %v", a.Live(), m.Fenced)
 		}
 	})
 }
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -15,8 +15,8 @@
 	"micaspindle/internal/storage"
 )
 
-// An owner that ends is noticed by its workers' coming to others, not only when its
-// lease has run out.
+// A killed leader is noticed by its agents' turning to other controllers, not only when its
+// lease has expired.
 func TestLostLeaderIsReplacedBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	var took []time.Duration
@@ -41,29 +41,29 @@
 		})
 	}
 	slices.Sort(took)
-	t.Logf("without an owner: %v", took)
+	t.Logf("without a leader: %v", took)
 	if median, longest := took[len(took)/2], took[len(took)-1]; median > 1900*time.Millisecond || longest > 2400*time.Millisecond {
-		t.Errorf("without an owner for %s, at the longest %s; a claim takes 3 s to run out", median, longest)
+		t.Errorf("without a leader for %s (median), %s at most; a lease expires after 3 s", median, longest)
 	}
 }
 
-// What must not end an owner's lease: controllers that don't hear each other while their
-// workers do, workers that lose their connections while the controllers hear it, a second
-// of standing still, a state service that answers thirty times as slowly, and packets that
-// are lost and come a second later.
+// What must not end a living leader's lease: controllers that cannot reach each other while
+// their agents can, agents that lose their connections while the controllers reach the leader,
+// a pause of a second, a state store that answers thirty times as slowly, and packets that are
+// lost and retransmitted a second later.
 func TestLivingLeadersKeepTheirLeases(t *testing.T) {
 	t.Parallel()
 	node := func(host string) bool { return strings.HasPrefix(host, "n") }
 	for name, c := range map[string]struct {
-		cut  func(from, host string) bool
-		last time.Duration
-		late func(sim *simulatedCluster, host string) time.Duration
+		cut      func(from, host string) bool
+		duration time.Duration
+		delay    func(sim *simulatedCluster, host string) time.Duration
 	}{
-		"peers refuse": {func(from, host string) bool { return node(host) }, 20 * time.Second, nil},
-		"its workers go astray": {func(from, host string) bool {
+		"peers are unreachable": {func(from, host string) bool { return node(host) }, 20 * time.Second, nil},
+		"its agents turn to others": {func(from, host string) bool {
 			return from == "n0" && host < "m-000003" && strings.HasPrefix(host, "m-")
 		}, 8 * time.Second, nil},
-		"it stands still for 1 s": {func(from, host string) bool { return from == "n0" && !strings.HasPrefix(host, "m-") || host == "n0" }, time.Second, nil},
+		"it pauses for 1 s": {func(from, host string) bool { return from == "n0" && !strings.HasPrefix(host, "m-") || host == "n0" }, time.Second, nil},
 		"the state service is slow": {nil, 20 * time.Second, func(_ *simulatedCluster, host string) time.Duration {
 			if host == "state" {
 				return 300 * time.Millisecond
@@ -95,20 +95,18 @@
 				before := leaseVersions()
 				sim.mu.Lock()
 				sim.cut = c.cut
-				if c.late != nil {
+				if c.delay != nil {
 					sim.onRequest = func(_, host, _ string, _ []byte) bool {
-						time.Sleep(c.late(sim, host))
+						time.Sleep(c.delay(sim, host))
 						return false
 					}
 				}
 				sim.mu.Unlock()
-				time.Sleep(c.last)
-				sim.mu.Lock()
-				sim.cut, sim.onRequest = nil, nil
-				sim.mu.Unlock()
+				time.Sleep(c.duration)
+				sim.withLock(func() { sim.cut, sim.onRequest = nil, nil })
 				time.Sleep(5 * time.Second)
 				if now := leaseVersions(); now != before {
-					t.Errorf("claims %s, then %s", before, now)
+					t.Errorf("leases %s, then %s", before, now)
 				}
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -119,49 +117,48 @@
 	}
 }
 
-// Machines that fall together with their owner are lost a lease after its new life has
-// spoken, not only after the time for which the old one might have gone on answering.
+// Machines that fail together with their leader count as lost one lease after its new
+// incarnation has started, not only after the time for which the old one might have gone on
+// answering.
 func TestNewIncarnationEndsThePreviousOne(t *testing.T) {
 	t.Parallel()
-	for _, back := range []bool{true, false} {
-		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
+	for _, restarted := range []bool{true, false} {
+		t.Run(fmt.Sprint("restarted ", restarted), func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, 530, configureLongJobs, func(sim *simulatedCluster) {
 				sim.submitLongJobs()
 				lost := sim.leaderOf(0)
 				sim.mu.Lock()
-				fallen := ""
-				for _, label := range []string{"n0", "n1", "n2"} {
+				failed := ""
+				for _, label := range allControllers {
 					if n := sim.controllers[label]; label == lost {
 						sim.mu.Unlock()
 						n.controller.loop.Do(func() {
 							for name, m := range n.controller.Machines {
-								if m.Record.Partition == 0 && len(m.Attempts) > 0 && (fallen == "" || name < fallen) {
-									fallen = name
+								if m.Record.Partition == 0 && len(m.Attempts) > 0 && (failed == "" || name < failed) {
+									failed = name
 								}
 							}
 						})
 						sim.mu.Lock()
 					}
 				}
-				sim.workers[fallen].Hung = true
+				sim.workers[failed].Hung = true
 				sim.mu.Unlock()
 				begun := time.Now()
 				sim.killController(lost)
 				time.Sleep(3 * time.Second)
-				if back {
+				if restarted {
 					sim.startController(lost)
 				}
 				took := time.Duration(0)
 				for took == 0 && time.Since(begun) < time.Minute {
 					time.Sleep(100 * time.Millisecond)
 					label := sim.leaderOf(0)
-					sim.mu.Lock()
-					n := sim.controllers[label]
-					sim.mu.Unlock()
+					n := sim.processOf(label)
 					if n != nil {
 						n.controller.loop.Do(func() {
-							if m := n.controller.Machines[fallen]; m == nil || m.Lost {
+							if m := n.controller.Machines[failed]; m == nil || m.Lost {
 								took = time.Since(begun)
 							}
 						})
@@ -169,23 +166,21 @@
 				}
 				lease, bound := sim.settings.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
 				t.Logf("counted as lost after %s", took)
-				if s := took.Seconds(); s < lease || back && s > 3+lease+4 || !back && s < bound+lease {
+				if s := took.Seconds(); s < lease || restarted && s > 3+lease+4 || !restarted && s < bound+lease {
 					t.Errorf("counted as lost after %s", took)
 				}
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
 				}
-				sim.mu.Lock()
-				sim.workers[fallen].Hung = false
-				sim.mu.Unlock()
+				sim.withLock(func() { sim.workers[failed].Hung = false })
 				sim.waitForAllJobs(time.Minute)
 			})
 		})
 	}
 }
 
-// Lives follow one another by the stamps of their record: what an older life sent late
-// can't come after a newer one, and proves nothing.
+// Incarnations are ordered by the revision of their record: a late write of an older one cannot
+// follow a newer one, and proves nothing.
 func TestIncarnationRecordsKeepTheirOrder(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 540, func(sim *simulatedCluster) {
@@ -202,29 +197,30 @@
 		sim.mu.Unlock()
 		var a, b storage.Incarnation
 		if storage.Decode(first.Value, &a) != nil || storage.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
-			t.Fatalf("lives %+v and %+v", a, b)
+			t.Fatalf("incarnations %+v and %+v", a, b)
 		}
 		n0 := sim.controllers["n0"].controller
-		over := func(nonce string) (is bool) {
+		ended := func(nonce string) (is bool) {
 			n0.loop.Do(func() { is = !n0.leases.EndedIncarnations[lease.IncarnationID{Label: "n1", Nonce: nonce}].IsZero() })
 			return is
 		}
-		n0.loop.Do(func() { // the older record once more, late
+		n0.loop.Do(func() { // the older record again, late
 			n0.watcher.ApplyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
 		})
-		if !over(a.Nonce) || over(b.Nonce) {
-			t.Errorf("over: the first life %v, the second %v", over(a.Nonce), over(b.Nonce))
+		if !ended(a.Nonce) || ended(b.Nonce) {
+			t.Errorf("ended: first incarnation %v, second %v", ended(a.Nonce), ended(b.Nonce))
 		}
-		// A write of the first life that comes now is refused by its stamp.
+		// A late write of the first incarnation is refused by its revision.
 		resp := sim.state.Serve(sim.ctx, "", "POST", "/commit", nil, protocol.Encode(&protocol.Transaction{
 			If: []protocol.Condition{{Key: key, Version: 0}}, Then: []protocol.Change{{Put: key, Value: first.Value}}}))
 		if resp.Status != 409 {
-			t.Errorf("a late write of the first life got %d", resp.Status)
+			t.Errorf("a late write of the first incarnation got %d", resp.Status)
 		}
 	})
 }
 
-// Until when somebody else may have answered a part's machines, from what was followed.
+// The bound until which another controller may have answered a partition's machines, computed
+// from the records that were followed.
 func TestLastAnswerBoundCoversUnseenAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -246,17 +242,17 @@
 		}
 		start := time.Now()
 		c.watcher.ApplyListing(nil, 1)
-		check("owners before the first listing", start.Add(bound))
+		check("leaders before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
 		put(storage.IncarnationKey("n1"), 2, storage.Incarnation{Nonce: "x", Lease: 1})
 		setLease(3, "n1", "x")
 		setLease(4, "n2", "y")
-		check("an owner whose claim has ended", time.Now().Add(bound))
+		check("a leader whose lease has ended", time.Now().Add(bound))
 		time.Sleep(time.Second)
 		put(storage.IncarnationKey("n1"), 5, storage.Incarnation{Nonce: "x", Lease: 2})
-		check("the same life with another lease", time.Now().Add(bound-time.Second))
+		check("the same incarnation with another lease", time.Now().Add(bound-time.Second))
 		put(storage.IncarnationKey("n1"), 6, storage.Incarnation{Nonce: "z", Lease: 3})
-		check("its next life, and its carriers", time.Now().Add(delegation.GrantDuration))
+		check("its next incarnation, and its delegates", time.Now().Add(delegation.GrantDuration))
 		time.Sleep(time.Minute)
 		setLease(7, "n0", c.Nonce)
 		time.Sleep(time.Minute)
@@ -266,7 +262,7 @@
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
 		m = c.Machines["m-1"]
-		check("the owner of the part that a machine came from", time.Now().Add(bound))
+		check("the leader of the partition that a machine came from", time.Now().Add(bound))
 		m = &cluster.Machine{}
 		time.Sleep(time.Minute)
 		setLease(11, "n0", c.Nonce)
@@ -278,9 +274,9 @@
 			t.Errorf("granted for %s", left)
 		}
 		setLease(12, "n2", "y")
-		check("this controller, whose carriers go on", granted)
+		check("this controller, whose delegates go on answering", granted)
 
-		// Whose lease is ended: the one on which the claims hang.
+		// The lease that is revoked is the one that the partition leases depend on.
 		ps := c.Peers["n2"]
 		ps.HeardAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
 		c.Synced = true
@@ -288,19 +284,19 @@
 		time.Sleep(5 * time.Second)
 		c.LeaseRenewedAt = time.Now()
 		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
-			t.Error("ended the lease of a life that holds no claim")
+			t.Error("revoked the lease of an incarnation that leads no partition")
 		}
 		setLease(14, "n2", "other")
 		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 7 {
-			t.Errorf("lease %d ended", ps.RevokedLease)
+			t.Errorf("revoked lease %d", ps.RevokedLease)
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
 		if lacks := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
-			t.Errorf("lacks %v", lacks)
+			t.Errorf("missing evidence: %v", lacks)
 		}
 		if c.RecordsRevision = 20; len(c.takeover.MissingEvidence(p, 20, 20)) != 0 || len(c.takeover.MissingEvidence(p, 20, 19)) != 1 {
-			t.Error("what was read before the claim is not enough")
+			t.Error("records read before the lease was acquired are not enough")
 		}
 	})
 }
--- a/internal/coordination/invalid_requests_test.go
+++ b/internal/coordination/invalid_requests_test.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/transport"
 )
 
-// submissionFields is a submission as a map, for spoiling.
+// submissionFields returns a submission as a map, to be altered.
 func submissionFields(s *protocol.JobSpec) map[string]any {
 	var m map[string]any
 	panicOnError(msgpack.Unmarshal(encodeSubmission(s), &m))
@@ -27,8 +27,8 @@
 	return b
 }
 
-// invalidSubmissions are submissions of one id that must not be accepted, with the answer that
-// each gets from a controller that knows the machine types.
+// invalidSubmissions returns submissions of one id that must not be accepted, with the status
+// that a controller gives that knows the machine types.
 func invalidSubmissions(id string) map[string]struct {
 	body []byte
 	want int
@@ -48,7 +48,7 @@
 			want int
 		}{encodeFields(m), want}
 	}
-	spoil := func(name, field string, value any) {
+	alter := func(name, field string, value any) {
 		add(name+" "+field, 400, func(_ *protocol.JobSpec, m map[string]any) {
 			if m != nil {
 				m[field] = value
@@ -59,64 +59,64 @@
 	amounts := []string{"vcpus", "gpus", "mem_gb", "image_gb", "guess_s", "snapshot_every_s", "snapshot_s"}
 	for field := range submissionFields(newJobSpec(id, 2, "red")) {
 		if !slices.Contains(nullable, field) {
-			spoil("null", field, nil)
+			alter("null", field, nil)
 			add("without "+field, 400, func(_ *protocol.JobSpec, m map[string]any) { delete(m, field) })
 		}
-		spoil("a map for", field, map[string]any{"x": 1})
-		spoil("bytes for", field, []byte{1, 2})
+		alter("a map for", field, map[string]any{"x": 1})
+		alter("bytes for", field, []byte{1, 2})
 		if slices.Contains(amounts, field) || field == "due_s" || field == "pieces" {
-			spoil("text for", field, "4")
-			spoil("negative", field, -1.0)
+			alter("text for", field, "4")
+			alter("negative", field, -1.0)
 		} else {
-			spoil("a number for", field, 7)
+			alter("a number for", field, 7)
 		}
 		if slices.Contains(amounts, field) || field == "due_s" {
-			spoil("infinite", field, math.Inf(1))
-			spoil("no number for", field, math.NaN())
-			spoil("absurd", field, 1e30)
+			alter("infinite", field, math.Inf(1))
+			alter("no number for", field, math.NaN())
+			alter("absurd", field, 1e30)
 		}
 	}
-	spoil("no", "pieces", 0)
-	spoil("too many", "pieces", 100_001)
-	spoil("unknown", "shape", "round")
-	spoil("unknown", "urgency", "asap")
-	spoil("empty", "jobclass", "")
-	spoil("empty", "owner", "")
-	spoil("numbers in", "shapes_of_box", []int{1})
-	spoil("nothing in", "waits_on", []any{nil})
-	can := func(name string, change func(s *protocol.JobSpec)) {
+	alter("no", "pieces", 0)
+	alter("too many", "pieces", 100_001)
+	alter("unknown", "shape", "round")
+	alter("unknown", "urgency", "asap")
+	alter("empty", "jobclass", "")
+	alter("empty", "owner", "")
+	alter("numbers in", "shapes_of_box", []int{1})
+	alter("nothing in", "waits_on", []any{nil})
+	unrunnable := func(name string, change func(s *protocol.JobSpec)) {
 		add(name, 422, func(s *protocol.JobSpec, m map[string]any) {
 			if m == nil {
 				change(s)
 			}
 		})
 	}
-	can("unknown team", func(s *protocol.JobSpec) { s.Team = "nobody" })
-	can("larger than any type", func(s *protocol.JobSpec) { s.Team, s.CPUs = "green", 33 })
-	can("more memory than any type", func(s *protocol.JobSpec) { s.Team, s.MemGB = "green", 129 })
-	can("a device that no type has", func(s *protocol.JobSpec) { s.Team, s.GPUs = "green", 1 })
-	can("larger than the allowed type", func(s *protocol.JobSpec) { s.CPUs, s.Types = 9, []string{"small"} })
-	can("unknown type", func(s *protocol.JobSpec) { s.Types = []string{"huge"} })
-	can("unknown zone", func(s *protocol.JobSpec) { s.Zone = "z" })
-	can("type not in the zone", func(s *protocol.JobSpec) { s.Types, s.Zone = []string{"big"}, "b" })
-	can("one task over the limit", func(s *protocol.JobSpec) { s.Team, s.CPUs = "red", 32.5 })
-	can("a service over the limit", func(s *protocol.JobSpec) { s.Standing, s.Tasks = true, 9 })
-	can("a gang over the limit", func(s *protocol.JobSpec) { s.Gang, s.Tasks = true, 9 })
-	can("a gang apart in one zone", func(s *protocol.JobSpec) { s.Gang, s.OneZone, s.Spread = true, true, true })
-	can("a service apart in a named zone", func(s *protocol.JobSpec) { s.Standing, s.Zone, s.Spread = true, "a", true })
+	unrunnable("unknown team", func(s *protocol.JobSpec) { s.Team = "nobody" })
+	unrunnable("larger than any type", func(s *protocol.JobSpec) { s.Team, s.CPUs = "green", 33 })
+	unrunnable("more memory than any type", func(s *protocol.JobSpec) { s.Team, s.MemGB = "green", 129 })
+	unrunnable("a device that no type has", func(s *protocol.JobSpec) { s.Team, s.GPUs = "green", 1 })
+	unrunnable("larger than the allowed type", func(s *protocol.JobSpec) { s.CPUs, s.Types = 9, []string{"small"} })
+	unrunnable("unknown type", func(s *protocol.JobSpec) { s.Types = []string{"huge"} })
+	unrunnable("unknown zone", func(s *protocol.JobSpec) { s.Zone = "z" })
+	unrunnable("type not in the zone", func(s *protocol.JobSpec) { s.Types, s.Zone = []string{"big"}, "b" })
+	unrunnable("one task over the limit", func(s *protocol.JobSpec) { s.Team, s.CPUs = "red", 32.5 })
+	unrunnable("a service over the limit", func(s *protocol.JobSpec) { s.Standing, s.Tasks = true, 9 })
+	unrunnable("a gang over the limit", func(s *protocol.JobSpec) { s.Gang, s.Tasks = true, 9 })
+	unrunnable("a gang apart in one zone", func(s *protocol.JobSpec) { s.Gang, s.OneZone, s.Spread = true, true, true })
+	unrunnable("a service apart in a named zone", func(s *protocol.JobSpec) { s.Standing, s.Zone, s.Spread = true, "a", true })
 	return invalid
 }
 
-// What can't run or is no submission is accepted by no controller, also while one of them
-// does not know the machine types yet or is cut off; of a job that is known, its state is
-// told whatever the body says (14).
+// A submission that is invalid or cannot run is accepted by no controller, also while one of
+// them does not know the machine types yet or is cut off; a repeated submission of a known job
+// gets its status whatever the body (rule 14).
 func TestInvalidSubmissionsAreRefused(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 620, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		sim.submit(newJobSpec("job-1", 1, "green"))
-		// A controller that starts while the cloud does not answer knows no types, if they
-		// were not on record.
+		// A controller that starts while the cloud is unreachable and the catalogue is not
+		// recorded knows no machine types.
 		sim.withLock(func() {
 			delete(sim.state.Items, storage.CatalogKey)
 			sim.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
@@ -136,21 +136,21 @@
 		}
 		invalid, known := invalidSubmissions("job-2"), invalidSubmissions("job-1")
 		for _, name := range slices.Sorted(maps.Keys(invalid)) {
-			o := invalid[name]
-			check(name, "n0", o.body, o.want)
-			check(name, "n1", o.body, o.want)
-			// Without the types it can't say 422 for what fits none.
-			check(name, "n2", o.body, o.want, 503)
-			if o.want == 400 {
-				check(name, "n2", o.body, 400)
+			submission := invalid[name]
+			check(name, "n0", submission.body, submission.want)
+			check(name, "n1", submission.body, submission.want)
+			// Without the machine types it cannot refuse with 422 what fits none.
+			check(name, "n2", submission.body, submission.want, 503)
+			if submission.want == 400 {
+				check(name, "n2", submission.body, 400)
 			}
 			if id := protocol.SubmissionID(known[name].body); id != "" {
-				for _, label := range []string{"n0", "n1", "n2"} {
+				for _, label := range allControllers {
 					check(name+" of a known job", label, known[name].body, 200)
 				}
 			}
 		}
-		// Nor while a controller is cut from the state service and the others.
+		// Nor while a controller is cut off from the state store and its peers.
 		sim.withLock(func() {
 			sim.cut = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
 		})
@@ -160,24 +160,24 @@
 				t.Errorf("%s at a controller that is cut off: %d", name, resp.Status)
 			}
 		}
-		// A known job's repeat must not be refused there either.
+		// A repeated submission of a known job must not be refused there either.
 		body := known["without gpus"].body
 		if resp := sim.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
 			t.Errorf("repeat of a known job at a controller that is cut off: %d", resp.Status)
 		}
 		sim.withLock(func() { sim.cut = nil })
 		time.Sleep(5 * time.Second)
-		for _, label := range []string{"n0", "n1", "n2"} {
+		for _, label := range allControllers {
 			if resp := sim.sendRequest(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
-				t.Errorf("the odd job is known at %s: %d", label, resp.Status)
+				t.Errorf("the invalid job is known at %s: %d", label, resp.Status)
 			}
 		}
 		sim.waitForAllJobs(time.Minute)
 	})
 }
 
-// Users repeat submissions of unfinished jobs, cancel those that are done and send what
-// can't run, at all controllers, while the leader ends and the state service answers late.
+// Users repeat submissions of unfinished jobs, cancel jobs that are done and send invalid ones,
+// at all controllers, while the leader is killed and the state store answers late.
 func TestInvalidRequestsUnderFaults(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 621, func(sim *simulatedCluster) {
@@ -197,8 +197,8 @@
 		}
 		outcomes := map[string]int{}
 		for i := range 120 {
-			label := []string{"n0", "n1", "n2"}[i%3]
-			o := invalid[names[i%len(names)]]
+			label := allControllers[i%3]
+			submission := invalid[names[i%len(names)]]
 			switch i {
 			case 20:
 				leader := sim.leaderOf(partition)
@@ -211,36 +211,36 @@
 			case 80:
 				sim.setOutage(false)
 			}
-			for what, resp := range map[string]transport.Response{
-				"odd":    sim.sendRequest(label, "POST", "/submissions", o.body),
-				"repeat": sim.sendRequest(label, "POST", "/submissions", encodeSubmission(s)),
+			for kind, resp := range map[string]transport.Response{
+				"invalid": sim.sendRequest(label, "POST", "/submissions", submission.body),
+				"repeat":  sim.sendRequest(label, "POST", "/submissions", encodeSubmission(s)),
 			} {
 				if resp.Status == 0 {
 					continue
 				}
 				accepted := resp.Status == 200 || resp.Status == 201
-				if what == "odd" && accepted {
+				if kind == "invalid" && accepted {
 					t.Errorf("%s accepted at %s: %d", names[i%len(names)], label, resp.Status)
 				}
-				if what == "repeat" && (resp.Status == 400 || resp.Status == 422 || resp.Status == 404) {
+				if kind == "repeat" && (resp.Status == 400 || resp.Status == 422 || resp.Status == 404) {
 					t.Errorf("repeat at %s: %d", label, resp.Status)
 				}
-				if outcomes[what+" refused"]++; accepted {
-					outcomes[what+" accepted"]++
+				if outcomes[kind+" refused"]++; accepted {
+					outcomes[kind+" accepted"]++
 				}
 			}
 			if resp := sim.sendRequest(label, "POST", "/submissions/"+done.ID+"/withdraw", nil); resp.Status == 200 {
 				var st protocol.JobStatus
 				panicOnError(protocol.Decode(resp.Body, &st))
 				if st.Status != protocol.StatusDone {
-					t.Errorf("a done job is told %s", st.Status)
+					t.Errorf("a done job has status %s", st.Status)
 				}
 				outcomes["cancelled though done"]++
 			}
 			time.Sleep(150 * time.Millisecond)
 		}
-		if outcomes["repeat accepted"] < 20 || outcomes["odd refused"] < 60 || outcomes["cancelled though done"] < 60 {
-			t.Errorf("asked too little: %v", outcomes)
+		if outcomes["repeat accepted"] < 20 || outcomes["invalid refused"] < 60 || outcomes["cancelled though done"] < 60 {
+			t.Errorf("too few requests: %v", outcomes)
 		}
 		sim.waitForAllJobs(2 * time.Minute)
 	})
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -17,7 +17,8 @@
 	"micaspindle/internal/transport"
 )
 
-// completesJob says whether a message to the state service is the transaction that makes a job done.
+// completesJob reports whether a message to the state store is the transaction that records a
+// job as done.
 func completesJob(host, target string, body []byte, job string) bool {
 	if host != "state" || target != "/commit" {
 		return false
@@ -30,12 +31,12 @@
 	})
 }
 
-// A cancellation, a question and a repeated submission at every controller meet the end of
-// a job's last task, with no other trouble, at each step of the commit of that end: what
-// users are told is one life of the job (15, 16, 49).
+// A cancellation, a status request and a repeated submission at every controller race with the
+// end of a job's last task, without any other fault, at each step of its commit: the answers
+// are those of one linearizable job (rules 15, 16, 49).
 func TestRequestsRaceWithEachStepOfJobCompletion(t *testing.T) {
 	t.Parallel()
-	for _, step := range []string{"the task ends", "its end is reported", "the commit is sent", "the commit is done", "its answer is lost", "the commit is late"} {
+	for _, step := range []string{"the task ends", "its end is reported", "the commit is sent", "the commit is done", "its response is lost", "the commit is late"} {
 		for _, delay := range []time.Duration{0, 2 * time.Millisecond, 40 * time.Millisecond} {
 			t.Run(fmt.Sprint(step, " ", delay), func(t *testing.T) {
 				t.Parallel()
@@ -52,14 +53,14 @@
 	}
 }
 
-// synctestOnce is a sync.Once for functions that sleep: whoever waits for one lets the time
-// of the bubble go on, which who waits for a mutex does not.
+// synctestOnce is a sync.Once for functions that sleep: a goroutine that waits for one lets the
+// fake time of the bubble advance, which one that waits for a mutex does not.
 type synctestOnce struct {
 	mu   sync.Mutex
 	done chan struct{} // nil before the first call
 }
 
-// Do calls f the first time, and waits until that is over.
+// Do calls f the first time, and waits until that call is over.
 func (o *synctestOnce) Do(f func()) {
 	o.mu.Lock()
 	first := o.done == nil
@@ -76,18 +77,18 @@
 	f()
 }
 
-// runJobEndRace lets requests meet a step of the ends of jobs of one to three tasks.
+// runJobEndRace sends requests at a step of the completion of jobs of one to three tasks.
 func (sim *simulatedCluster) runJobEndRace(h *requestHistory, step string, delay time.Duration) {
 	time.Sleep(2 * time.Second)
-	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return 3 * time.Second } })
+	sim.setRunTime(3 * time.Second)
 	for i := range 3 {
 		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i, "green")
-		sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+		sim.withLock(func() { sim.jobs[s.ID] = newSubmittedJob(s) })
 		var once synctestOnce
 		var asking sync.WaitGroup
 		ask := func() {
 			once.Do(func() {
-				for k, l := range []string{"n0", "n1", "n2"} {
+				for k, l := range allControllers {
 					for n, q := range []requestKind{requestCancel, requestPoll, requestSubmit} {
 						asking.Go(func() {
 							time.Sleep(time.Duration((k+n)%3) * time.Millisecond)
@@ -121,10 +122,10 @@
 				if resp.Status != 200 || !completesJob(host, target, body, s.ID) {
 					return false
 				}
-				if step == "the commit is done" || step == "its answer is lost" {
+				if step == "the commit is done" || step == "its response is lost" {
 					ask()
 				}
-				return step == "its answer is lost"
+				return step == "its response is lost"
 			}
 			if step == "the commit is late" {
 				sim.lateTransactionShare, sim.lateTransactionKind = 1, "final"
@@ -149,10 +150,10 @@
 				break
 			}
 		}
-		asked := false
-		once.Do(func() { asked = true })
-		if asked {
-			sim.t.Errorf("nobody asked as %s", step)
+		unasked := false
+		once.Do(func() { unasked = true })
+		if unasked {
+			sim.t.Errorf("no request was sent at step %q", step)
 		}
 		asking.Wait()
 		h.pollAllControllers(sim, s, rand.New(rand.NewPCG(1, uint64(i))))
@@ -161,11 +162,11 @@
 	time.Sleep(10 * time.Second)
 }
 
-// waitForCompletion waits until a job's owner knows that its last task has ended.
+// waitForCompletion waits until a controller knows that a job's last task has ended.
 func (sim *simulatedCluster) waitForCompletion(job string) {
 	for range 5000 {
 		known := false
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			sim.onController(l, func(c *Controller) {
 				j := c.Jobs[job]
 				known = known || j != nil && j.Completing || c.FinalStates[job] != ""
@@ -178,9 +179,9 @@
 	}
 }
 
-// Jobs are cancelled as their machines hang, until just before or after the lease runs out,
-// the machine would be deleted, or everything must be gone; the state service is there or
-// out meanwhile. A machine that goes on must not go on with them (12, 46).
+// Jobs are cancelled as their machines hang, until just before or after the lease expires, the
+// machine would be deleted, or everything must be gone; the state store is up or down
+// meanwhile. A machine that continues must not continue their tasks (rules 12, 46).
 func TestCancelledTasksOfHungMachinesAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{17 * time.Second, 19 * time.Second, 33 * time.Second, 36 * time.Second, 42 * time.Second, 44 * time.Second, 60 * time.Second} {
@@ -223,7 +224,7 @@
 							for _, task := range agent.Tasks {
 								submitted := sim.jobs[task.Job]
 								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseFrom) <= agent.Lease {
-									t.Errorf("%s may go on on %s", task.Name, agent.Name)
+									t.Errorf("%s may continue on %s", task.Name, agent.Name)
 								}
 							}
 						}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -11,17 +11,17 @@
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
-	"micaspindle/internal/transport"
 )
 
-// A start that is held up while its job is cancelled: the token is raised before the start
-// comes, so that it is refused, whoever owns the part by then (9, 50, 51). Without the state
-// service no token can be raised; then the task is stopped as soon as it shows.
+// A start is delayed while its job is cancelled: the fencing token is raised before the start
+// arrives, so that it is refused, whichever controller leads the partition by then (rules 9,
+// 50, 51). Without the state store no token can be raised; then the task is stopped as soon as
+// it is reported.
 func TestLateStartsOfCancelledJobsAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// fencesToo: half of the orders that only tell the token are held up as well.
+		// fencesToo: half of the messages that only carry the token are delayed as well.
 		fencesToo bool
 		// cancelAfter is how long after the start was sent its job is cancelled.
 		cancelAfter time.Duration
@@ -29,18 +29,19 @@
 		hang        time.Duration
 		outage      bool
 		delegated   bool
-		// mute machines reach no controller, so that only direct commands tell them the token.
-		mute bool
-		late time.Duration
+		// outboundLost machines reach no controller, so that only direct commands carry the
+		// token to them.
+		outboundLost bool
+		late         time.Duration
 	}{
-		{name: "at once", cancelAfter: 50 * time.Millisecond, late: 2 * time.Second},
-		{name: "just before it comes", cancelAfter: 1500 * time.Millisecond, late: 2 * time.Second},
-		{name: "much later", cancelAfter: 200 * time.Millisecond, late: 16 * time.Second},
-		{name: "fences are held up too", cancelAfter: 100 * time.Millisecond, late: 2 * time.Second, fencesToo: true},
-		{name: "machines reach nobody", cancelAfter: 100 * time.Millisecond, late: 2 * time.Second, mute: true},
+		{name: "cancelled at once", cancelAfter: 50 * time.Millisecond, late: 2 * time.Second},
+		{name: "cancelled just before the start arrives", cancelAfter: 1500 * time.Millisecond, late: 2 * time.Second},
+		{name: "start much later", cancelAfter: 200 * time.Millisecond, late: 16 * time.Second},
+		{name: "fences are delayed too", cancelAfter: 100 * time.Millisecond, late: 2 * time.Second, fencesToo: true},
+		{name: "machines cannot send", cancelAfter: 100 * time.Millisecond, late: 2 * time.Second, outboundLost: true},
 		{name: "takeover", cancelAfter: 100 * time.Millisecond, late: 9 * time.Second, takeover: true},
 		{name: "machines hang", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, hang: 4 * time.Second},
-		{name: "by way of carriers", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, delegated: true},
+		{name: "through delegates", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, delegated: true},
 		{name: "outage", cancelAfter: 100 * time.Millisecond, late: 3 * time.Second, outage: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -72,14 +73,14 @@
 				}
 				sim.submit(s)
 				sent := sim.waitForStartsInFlight(leader, s.ID)
-				for tc.delegated && sim.faultCount("held up from "+sim.otherControllers(leader)[0])+sim.faultCount("held up from "+sim.otherControllers(leader)[1]) == 0 {
+				for tc.delegated && sim.faultCount("delayed from "+sim.otherControllers(leader)[0])+sim.faultCount("delayed from "+sim.otherControllers(leader)[1]) == 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
 				time.Sleep(tc.cancelAfter)
 				if tc.outage {
 					defer sim.setOutage(false)
 				}
-				if tc.mute {
+				if tc.outboundLost {
 					sim.withLock(func() {
 						sim.outboundLost = map[string]bool{}
 						for _, m := range sent {
@@ -98,7 +99,7 @@
 					}
 				})
 				if !sim.cancelAt(sim.otherControllers(leader)[0], s.ID) {
-					t.Fatal("not withdrawn")
+					t.Fatal("not cancelled")
 				}
 				if tc.outage {
 					sim.setOutage(true)
@@ -109,15 +110,15 @@
 				}
 				time.Sleep(tc.late + tc.hang + 3*time.Second)
 				sim.withLock(func() {
-					refused, done := sim.faultCounts["late start refused"], sim.faultCounts["late start done"]
+					refused, done := sim.faultCounts["late start refused"], sim.faultCounts["late start applied"]
 					byOthers := 0
-					for _, l := range []string{"n0", "n1", "n2"} {
+					for _, l := range allControllers {
 						if l != leader {
-							byOthers += sim.faultCounts["held up from "+l]
+							byOthers += sim.faultCounts["delayed from "+l]
 						}
 					}
 					if refused+done == 0 || tc.delegated && byOthers == 0 {
-						t.Errorf("%d starts came late, %d held up on the way from carriers", refused+done, byOthers)
+						t.Errorf("%d starts arrived late, %d delayed from delegates", refused+done, byOthers)
 					}
 					for _, start := range sim.startsAfterCancel {
 						if !tc.outage {
@@ -125,7 +126,7 @@
 						}
 					}
 					if tc.outage && done == 0 {
-						t.Error("no start came that nothing could keep out")
+						t.Error("no start arrived that could not be fenced")
 					}
 					if n := len(sim.machinesRunning(s.ID)); n > 0 {
 						t.Errorf("%d of its tasks are left", n)
@@ -136,8 +137,8 @@
 	}
 }
 
-// Stops of cancelled tasks that are held up are repeated before their answer is given up, if
-// no report can bring them (54): their machines reach no controller.
+// Delayed stops of cancelled tasks are repeated before their response has timed out, if no
+// heartbeat can fetch them (rule 54): their machines reach no controller.
 func TestDelayedStopsAreRepeated(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 502, func(sim *simulatedCluster) {
@@ -148,36 +149,28 @@
 			sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStop, delay: 16 * time.Second}
 		})
 		if !sim.cancelAt(leader, ids[0]) {
-			t.Fatal("not withdrawn")
+			t.Fatal("not cancelled")
 		}
 		time.Sleep(300 * time.Millisecond)
-		held := sim.faultCount("held up from " + leader)
+		held := sim.faultCount("delayed from " + leader)
 		sim.withLock(func() { sim.delayedCommands = nil })
 		time.Sleep(700 * time.Millisecond)
 		sim.withLock(func() {
 			if left := len(sim.machinesRunning(ids[0])); left > 0 || held == 0 {
-				t.Errorf("%d tasks are left a second after their cancellation, %d stops were held up", left, held)
+				t.Errorf("%d tasks are left a second after their cancellation, %d stops were delayed", left, held)
 			}
 		})
 	})
 }
 
-// silentNetwork answers nothing.
-type silentNetwork struct{}
-
-func (silentNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
-	<-ctx.Done()
-	return nil, ctx.Err()
-}
-
-// Where many machines with cancelled tasks are silent, repeated orders hold a bounded share
-// of the sockets, and none for ever.
+// Where many machines with cancelled tasks are silent, repeated commands use a bounded share of
+// the sockets, and none for ever.
 func TestRepeatedCommandsAreBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := newIdleController(t)
 		defer end()
-		setNetwork(c, silentNetwork{})
+		setNetwork(c, unresponsiveNetwork{})
 		loop, stop := context.WithCancel(t.Context())
 		go c.loop.Serve(loop, c.tick)
 		c.loop.Do(func() {
@@ -204,7 +197,7 @@
 					extra += max(0, m.PendingCommands-1)
 				}
 				if extra != c.agents.RepeatedCommands {
-					t.Errorf("%d orders beside others, counted %d", extra, c.agents.RepeatedCommands)
+					t.Errorf("%d repeated commands, counted %d", extra, c.agents.RepeatedCommands)
 				}
 				most = max(most, extra)
 			})
@@ -213,17 +206,17 @@
 		time.Sleep(2 * agents.CommandTimeout)
 		c.loop.Do(func() {
 			if c.agents.RepeatedCommands != 0 {
-				t.Errorf("%d repeats are left", c.agents.RepeatedCommands)
+				t.Errorf("%d repeated commands are left", c.agents.RepeatedCommands)
 			}
 		})
 		if limit := max(agents.RepeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/agents.RepeatedCommandsSocketShare); most != limit {
-			t.Errorf("at most %d orders beside others, want %d", most, limit)
+			t.Errorf("at most %d repeated commands, want %d", most, limit)
 		}
 		stop()
 	})
 }
 
-// Only an answer that refuses a command shows that it will not be carried out late (50).
+// Only a response that refuses a command proves that it will not be executed late (rule 50).
 func TestWhichResponsesRefuseACommand(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -233,13 +226,13 @@
 			setNetwork(c, fixedStatusNetwork{status})
 			r, sent, err := c.agents.PostCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
-				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
+				t.Errorf("%d: may have been executed: %v, heartbeat %v, error %v", status, sent, r, err)
 			}
 		}
 	})
 }
 
-// waitForStartsInFlight waits until starts of a job are under way, and says to which machines.
+// waitForStartsInFlight waits until starts of a job are in flight, and returns their machines.
 func (sim *simulatedCluster) waitForStartsInFlight(leader, job string) (machines []string) {
 	for range 60_000 {
 		time.Sleep(time.Millisecond)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -26,32 +26,32 @@
 	"micaspindle/internal/transport"
 )
 
-// The deployment that no fixed bound may stand below: one controller of several holds all
-// of its machines (docs/limits.md).
+// A large deployment, which every fixed bound must accommodate: one controller of several leads
+// all of its machines (docs/limits.md).
 const (
 	largeMachines        = 4000
-	largeTasksPerMachine = 16 // running tasks of a machine
+	largeTasksPerMachine = 16 // running tasks
 	largeTasks           = largeMachines * largeTasksPerMachine
-	// largeCancelsPerSecond is how many jobs are cancelled in a second: three times what the large
-	// deployments see.
+	// largeCancelsPerSecond is three times the rate of cancellations of the large deployments.
 	largeCancelsPerSecond = 36
 	largeCancelBound      = 43 * time.Second
-	// standbyMessagesMax is in how long a standby that knows nothing is told a part.
+	// standbyMessagesMax is how many messages, one a second, a new standby may need for a
+	// partition.
 	standbyMessagesMax = 10
-	// clientResponseLimit is what transport's client takes as a response.
+	// clientResponseLimit is the largest response that transport's client accepts.
 	clientResponseLimit = 8 << 20
 )
 
 var (
 	largeLimits = settings.Limits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
-	// onePartition and threeParts are teams whose parts the machines are in.
+	// onePartition and threePartitions are the teams whose partitions have machines.
 	onePartition    = []string{"green"}
-	threePartitions = []string{"red", "blue", "green"}
+	threePartitions = allTeams
 	largeState      = settings.State{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
 )
 
-// largeFleet makes a controller that holds every part, with all machines up and all tasks
-// running, in the parts of some teams.
+// largeFleet makes a controller that leads every partition, with all machines up and all tasks
+// running, in the partitions of some teams.
 func largeFleet(t testing.TB, teams []string) *Controller {
 	t.Helper()
 	c, _ := newLeadingController(t)
@@ -81,7 +81,7 @@
 			a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
 		}
 		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeTasksPerMachine, false
-		for _, ch := range j.Chunks { // on record
+		for _, ch := range j.Chunks { // already written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
 	}
@@ -90,7 +90,7 @@
 
 func largeMachine(i int) string { return fmt.Sprintf("machine-%06d", i) }
 
-// heartbeatOf is what a machine's worker reports.
+// heartbeatOf returns the heartbeat of a machine's agent.
 func heartbeatOf(c *Controller, m *cluster.Machine, sequence uint64) *protocol.Heartbeat {
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Record.Addr, Type: "big", Zone: "a", Epoch: 1, Sequence: sequence, Token: c.Token(m)}
 	for _, a := range m.Attempts {
@@ -99,7 +99,7 @@
 	return r
 }
 
-// countedBounds are the bounds that were met, with how often, as the metrics say.
+// countedBounds returns the metrics of the bounds that were met.
 func countedBounds(c *Controller) []string {
 	var out bytes.Buffer
 	c.metrics.Write(&out, nil)
@@ -121,11 +121,12 @@
 		}
 	}
 	if len(list) != len(bounds) {
-		t.Errorf("bounds met: %q, not %v", list, bounds)
+		t.Errorf("bounds counted: %q, not %v", list, bounds)
 	}
 }
 
-// replicaFromRecords is a standby's copy of a part's records, as read from the store.
+// replicaFromRecords returns a standby's replica of a partition's records, as read from the
+// store.
 func replicaFromRecords(c *Controller, p *cluster.Partition) *replication.Replica {
 	var items []protocol.Item
 	for id, j := range c.Jobs {
@@ -141,7 +142,8 @@
 	return replica
 }
 
-// updateStandby tells a standby all that there is of a part, and says in how many messages.
+// updateStandby sends all of a partition's hints to a standby, and returns the number of
+// messages.
 func updateStandby(t *testing.T, c *Controller, p *cluster.Partition, replica *replication.Replica) (messages int) {
 	t.Helper()
 	for messages < 100 {
@@ -150,18 +152,18 @@
 		if err != nil || len(raw) > peerapi.BodyMin {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
-		told := new(peer.ReplicaUpdate)
-		panicOnError(proto.Unmarshal(raw, told))
-		if len(told.Attempts)+len(told.Machines) == 0 {
+		sent := new(peer.ReplicaUpdate)
+		panicOnError(proto.Unmarshal(raw, sent))
+		if len(sent.Attempts)+len(sent.Machines) == 0 {
 			break
 		}
 		messages++
-		p.Replication.Acknowledged = replica.Updates.Apply(told, replica.Derived.NoteStart, now)
+		p.Replication.Acknowledged = replica.Updates.Apply(sent, replica.Derived.NoteStart, now)
 	}
 	return messages
 }
 
-// serveEventLoop stands in for the controller's loop, without its ticks, until stop.
+// serveEventLoop runs a controller's event loop, without its ticks, until stop is called.
 func serveEventLoop(c *Controller) (stop func()) {
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -172,8 +174,8 @@
 	return func() { end(); <-ended }
 }
 
-// What a controller keeps and tells of 4,000 machines with 64,000 running tasks passes
-// whole and within the limit of a message.
+// What a controller holds and sends of 4,000 machines with 64,000 running tasks is complete and
+// within the size limit of a message.
 func TestBoundsFitALargeFleet(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -182,12 +184,12 @@
 		met   []telemetry.Bound
 	}{
 		{"summary", onePartition, checkLargeSummary, nil},
-		// A standby that knows nothing is told in several messages.
-		{"replicated copy, recall and takeover of one part by the standby", onePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
-		{"the same of three parts", threePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
+		// A new standby is updated in several messages.
+		{"replica, state transfer and takeover of one partition", onePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
+		{"replica, state transfer and takeover of three partitions", threePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
 		{"replicated starts ahead of their records", onePartition, checkStartsAheadOfRecords, nil},
 		{"cancellation notices", onePartition, checkLargeCancellationNotices, nil},
-		{"carried reports that wait", onePartition, checkLargeDelegatedHeartbeats, nil},
+		{"delegated heartbeats that wait", onePartition, checkLargeDelegatedHeartbeats, nil},
 		{"one controller of several is left", threePartitions, checkSingleControllerLeft, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -199,6 +201,7 @@
 }
 
 func checkLargeSummary(t *testing.T, c *Controller) {
+	t.Helper()
 	now := time.Now()
 	waiting := 0
 	for i := range 700 {
@@ -216,7 +219,7 @@
 		c.UnregisteredMachines[name] = &peer.UnregisteredMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
 		c.DivertedMachines[name] = now
 	}
-	most := peerapi.MaxBody(largeLimits)
+	limit := peerapi.MaxBody(largeLimits)
 	body := c.peering.EncodeSummary(c.peering.OwnSummary(now))
 	sum := new(peer.Summary)
 	panicOnError(proto.Unmarshal(body, sum))
@@ -227,13 +230,13 @@
 	if machines != largeMachines || demands != waiting || len(sum.Jobs) != largeMachines || len(sum.Cancelled) != noted || len(sum.Unregistered) != largeMachines {
 		t.Errorf("%d machines, %d demands, %d jobs, %d cancelled, %d not on record", machines, demands, len(sum.Jobs), len(sum.Cancelled), len(sum.Unregistered))
 	}
-	if len(body) > most {
-		t.Errorf("%d bytes of %d", len(body), most)
+	if len(body) > limit {
+		t.Errorf("%d bytes of %d", len(body), limit)
 	}
-	t.Logf("summary: %d bytes of %d", len(body), most)
+	t.Logf("summary: %d bytes of %d", len(body), limit)
 }
 
-// A summary with the longest texts and everything at its bound still holds all of it.
+// A summary with the longest names and everything at its bound still contains all of it.
 func TestWorstCaseSummaryFits(t *testing.T) {
 	c, _ := newLeadingController(t)
 	c.Observe()
@@ -267,8 +270,9 @@
 }
 
 func checkLargeReplica(t *testing.T, c *Controller) {
+	t.Helper()
 	for _, m := range c.Machines {
-		m.PendingCommands = 1 // nothing is sent here
+		m.PendingCommands = 1 // no command is sent
 	}
 	attempts, machines := 0, 0
 	for _, p := range c.Partitions {
@@ -278,16 +282,16 @@
 		}
 		messages := updateStandby(t, c, p, replica)
 		if messages > standbyMessagesMax {
-			t.Errorf("part %d: %d messages, one a second", p.Index, messages)
+			t.Errorf("partition %d: %d messages, one a second", p.Index, messages)
 		}
 		attempts, machines = attempts+replica.Derived.KnownStarts(), machines+len(replica.Updates.Machines)
 		recalled, whole := replica.StateTransfer(time.Now())
 		raw, err := proto.Marshal(recalled)
 		if err != nil || !whole || len(raw) > replication.StateTransferBytesLimit || len(recalled.Attempts) != replica.Derived.KnownStarts() || len(recalled.Machines) != len(replica.Updates.Machines) {
-			t.Errorf("recalled in %d bytes, whole %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
+			t.Errorf("state transfer of %d bytes, complete %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
 		}
-		t.Logf("part %d: %d machines in %d messages, recalled in %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
-		c.leases.ClearPartition(p) // the standby never owned it
+		t.Logf("partition %d: %d machines in %d messages, state transfer of %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
+		c.leases.ClearPartition(p) // the standby never led it
 		c.takeover.Install(p, replica, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
@@ -307,6 +311,7 @@
 }
 
 func checkStartsAheadOfRecords(t *testing.T, c *Controller) {
+	t.Helper()
 	replica := replication.NewReplica(0, time.Now())
 	for id, j := range c.Jobs {
 		for task := range j.LiveAttempts {
@@ -319,19 +324,20 @@
 }
 
 func checkLargeCancellationNotices(t *testing.T, c *Controller) {
+	t.Helper()
 	now := time.Now()
 	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range noted {
 		age := largeCancelBound - time.Second - time.Duration(i)*(largeCancelBound-2*time.Second)/time.Duration(noted)
 		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
 	}
-	told := c.Cancellations.Recent(now, c.CancelBound)
-	if len(told) != noted || told[0].Job != "job-800000000" {
-		t.Errorf("%d of %d told, %s first", len(told), noted, told[0].Job)
+	sent := c.Cancellations.Recent(now, c.CancelBound)
+	if len(sent) != noted || sent[0].Job != "job-800000000" {
+		t.Errorf("%d of %d notices, %s first", len(sent), noted, sent[0].Job)
 	}
 }
 
-// delegatingLeader is the network of a carrier, on which the owner answers.
+// delegatingLeader is the network of a delegate, on which the partition leader answers.
 type delegatingLeader struct {
 	t            *testing.T
 	machines     map[string]bool
@@ -339,7 +345,7 @@
 	serial       uint64
 }
 
-// Do answers as the owner of the part.
+// Do answers as the partition leader.
 func (o *delegatingLeader) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
 	if len(body) > peerapi.BodyMin {
 		o.t.Errorf("a message of %d bytes", len(body))
@@ -358,6 +364,7 @@
 }
 
 func checkLargeDelegatedHeartbeats(t *testing.T, c *Controller) {
+	t.Helper()
 	p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 	p.Held, p.Leader = false, "n1"
 	net := &delegatingLeader{t: t, machines: map[string]bool{}}
@@ -377,12 +384,12 @@
 	}
 	size := e.UnsentBytes
 	stop := serveEventLoop(c)
-	asked := c.proxy.RenewAll(p, e)
+	renewed := c.proxy.RenewAll(p, e)
 	stop()
-	if !asked || len(net.machines) != largeMachines || e.UnsentBytes != 0 {
-		t.Errorf("%d reports told, %d bytes left", len(net.machines), e.UnsentBytes)
+	if !renewed || len(net.machines) != largeMachines || e.UnsentBytes != 0 {
+		t.Errorf("%d heartbeats forwarded, %d bytes left", len(net.machines), e.UnsentBytes)
 	}
-	// Only a request with all that is left may show that everything is known.
+	// Only a request with all remaining heartbeats may acknowledge that everything was sent.
 	for i, after := range net.acknowledged {
 		want := uint64(0)
 		if i == len(net.acknowledged)-1 {
@@ -392,10 +399,11 @@
 			t.Errorf("request %d of %d is after reply %d, not %d", i+1, len(net.acknowledged), after, want)
 		}
 	}
-	t.Logf("carried: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.acknowledged))
+	t.Logf("delegated heartbeats: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.acknowledged))
 }
 
 func checkSingleControllerLeft(t *testing.T, c *Controller) {
+	t.Helper()
 	for _, m := range c.Machines {
 		r := heartbeatOf(c, m, 1)
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
@@ -419,7 +427,7 @@
 	}
 }
 
-// What lies beyond a bound is counted, and said once; what is more urgent is kept.
+// Whatever exceeds a bound is counted, and logged once; the more urgent entries are kept.
 func TestExceededBoundsAreCounted(t *testing.T) {
 	small := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
 	for _, tc := range []struct {
@@ -434,22 +442,22 @@
 				sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: fmt.Sprintf("job-%032d", i), Done: 1})
 			}
 			sum.Partitions = append(sum.Partitions, &peer.PartitionSummary{Machines: []*peer.MachineStatus{{Name: "m-1"}}})
-			told := new(peer.Summary)
-			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
-			if len(told.Jobs) > 0 || len(told.Partitions) != 1 {
-				t.Errorf("%d jobs, %d parts told", len(told.Jobs), len(told.Partitions))
+			sent := new(peer.Summary)
+			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), sent))
+			if len(sent.Jobs) > 0 || len(sent.Partitions) != 1 {
+				t.Errorf("%d jobs, %d partitions in the summary", len(sent.Jobs), len(sent.Partitions))
 			}
 		}},
-		{"machines not on record too many", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
+		{"too many unregistered machines", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
 			small(c)
 			sum := &peer.Summary{From: "n0", Cancelled: []*peer.CancelledJob{{Job: "job-1"}}}
 			for i := range 40_000 {
 				sum.Unregistered = append(sum.Unregistered, &peer.UnregisteredMachine{Name: fmt.Sprintf("m-%032d", i)})
 			}
-			told := new(peer.Summary)
-			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), told))
-			if len(told.Unregistered) > 0 || len(told.Cancelled) != 1 {
-				t.Errorf("%d machines, %d cancelled told", len(told.Unregistered), len(told.Cancelled))
+			sent := new(peer.Summary)
+			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), sent))
+			if len(sent.Unregistered) > 0 || len(sent.Cancelled) != 1 {
+				t.Errorf("%d machines, %d cancelled jobs in the summary", len(sent.Unregistered), len(sent.Cancelled))
 			}
 		}},
 		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
@@ -458,7 +466,7 @@
 				c.Jobs[id] = &cluster.Job{Spec: newJobSpec(id, 1, "green"), Loaded: true, RunningCount: 1}
 			}
 			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != peering.JobProgressLimit {
-				t.Errorf("%d jobs told", n)
+				t.Errorf("%d jobs in the summary", n)
 			}
 		}},
 		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
@@ -466,18 +474,18 @@
 				c.addQueuedJob(fmt.Sprint("job-", i), 1)
 			}
 			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.DemandsMin {
-				t.Errorf("%d demands told", n)
+				t.Errorf("%d demands in the summary", n)
 			}
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
 			for i := range c.Cancellations.Limit + 1 {
 				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
 			}
-			if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.Limit || told[0].Job != "job-0" {
-				t.Errorf("%d told, %s first", len(told), told[0].Job)
+			if sent := c.Cancellations.Recent(time.Now(), c.CancelBound); len(sent) != c.Cancellations.Limit || sent[0].Job != "job-0" {
+				t.Errorf("%d notices, %s first", len(sent), sent[0].Job)
 			}
 		}},
-		{"carried reports", telemetry.CarriedReports, func(t *testing.T, c *Controller) {
+		{"delegated heartbeats", telemetry.CarriedReports, func(t *testing.T, c *Controller) {
 			p := c.Partitions[0]
 			m := c.addMachine(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
@@ -497,11 +505,11 @@
 				}
 				m = c.addMachine(p, fmt.Sprint("m-2", i), "big")
 			}
-			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.BodyMin || len(told.Machines) > 200 || told.Through >= p.Replication.Clock {
-				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
+			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.BodyMin || len(sent.Machines) > 200 || sent.Through >= p.Replication.Clock {
+				t.Errorf("%d bytes, %d machines", proto.Size(sent), len(sent.Machines))
 			}
 		}},
-		{"starts told to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
+		{"starts sent to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
 			for i := range replication.PendingStartsLimit {
@@ -512,7 +520,7 @@
 				t.Errorf("%d starts kept", len(replica.Derived.Starts))
 			}
 		}},
-		{"machines told to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
+		{"machines sent to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
 			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
@@ -521,10 +529,10 @@
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
 			if replica.Updates.Machines["m-1"].MachineHint == nil || len(replica.Updates.Machines) != replication.ReplicaMachinesLimit {
-				t.Errorf("a machine that was known is not told anew, %d kept", len(replica.Updates.Machines))
+				t.Errorf("a known machine is not updated, %d kept", len(replica.Updates.Machines))
 			}
 		}},
-		{"recalls", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
+		{"state transfers", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
 			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
@@ -540,10 +548,10 @@
 			stop := serveEventLoop(c)
 			resp := c.replicator.HandleStateTransfer(raw)
 			stop()
-			told := new(peer.ReplicaUpdate)
-			panicOnError(proto.Unmarshal(resp.Body, told))
-			if len(resp.Body) > clientResponseLimit || len(told.Machines) != largeMachines || len(replica.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
-				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
+			sent := new(peer.ReplicaUpdate)
+			panicOnError(proto.Unmarshal(resp.Body, sent))
+			if len(resp.Body) > clientResponseLimit || len(sent.Machines) != largeMachines || len(replica.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
+				t.Errorf("%d bytes, %d machines", len(resp.Body), len(sent.Machines))
 			}
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
@@ -559,14 +567,14 @@
 				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
 			if len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
-				t.Errorf("%d classes are learnt", len(c.scheduler.Corrections))
+				t.Errorf("%d classes are learned", len(c.scheduler.Corrections))
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
 			if c.scheduler.Corrections["class-0"].Count != 2 {
-				t.Error("a class that is known is not learnt on")
+				t.Error("a known class is not updated")
 			}
 		}},
-		{"estimates that are told", telemetry.Estimates, func(t *testing.T, c *Controller) {
+		{"replicated estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			h := replication.ReceivedUpdates{}
 			for i := range scheduler.ClassGroupsLimit + 1 {
 				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
@@ -583,7 +591,7 @@
 				c.auth.UnknownJobLimiters.Add(fmt.Sprint("person/", i), nil)
 			}
 			if n := c.auth.UnknownJobLimiters.Len(); n != auth.UnknownJobLimitersLimit {
-				t.Errorf("%d callers are counted for", n)
+				t.Errorf("%d callers are tracked", n)
 			}
 		}},
 		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.UsersFull() }},
@@ -597,13 +605,13 @@
 			expectCountedBounds(t, c, tc.bound)
 			c.bounds.Met(tc.bound, 1)
 			if n := strings.Count(log.String(), "bound="+tc.bound.String()); n != 1 {
-				t.Errorf("said %d times:\n%s", n, log.String())
+				t.Errorf("logged %d times:\n%s", n, log.String())
 			}
 		})
 	}
 }
 
-// applyReplicaUpdate hands a controller what a part's owner tells its standby.
+// applyReplicaUpdate hands a standby an update of a partition's leader.
 func applyReplicaUpdate(t *testing.T, c *Controller, update *peer.ReplicaUpdate) {
 	t.Helper()
 	raw, err := proto.Marshal(update)
@@ -616,8 +624,8 @@
 	}
 }
 
-// The bounds that are derived from the settings: never below what they were fixed at, and
-// enough for a large fleet.
+// The bounds derived from the settings are never below their former constants, and sufficient
+// for a large fleet.
 func TestBoundsFollowTheSettings(t *testing.T) {
 	next := 400.0
 	for _, tc := range []struct {
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -14,11 +14,11 @@
 	"micaspindle/internal/protocol"
 )
 
-// What users are told is checked as a history: the requests and answers of all controllers
-// for a job must be those of one job that is unknown, then accepted, then done or withdrawn
-// for good, each at some moment between its request and its answer (49).
+// The answers to users are checked as a history: the requests and answers of all controllers
+// for a job must be those of a single job that is unknown, then accepted, then done or
+// cancelled for good, each at some moment between request and answer (rule 49).
 
-// requestKind is what was asked about a job; the last task's end is asked by nobody.
+// requestKind is a user's request; the end of a job's last task is an event without a request.
 type requestKind int
 
 const (
@@ -28,13 +28,13 @@
 	jobCompletion
 )
 
-// userAnswer is what was answered.
+// userAnswer is a controller's answer.
 type userAnswer struct {
 	status    int
 	jobStatus string
 }
 
-// jobState is a job as its users may see it.
+// jobState is the state of a job as its users may see it.
 type jobState int
 
 const (
@@ -44,7 +44,7 @@
 	jobCancelled
 )
 
-// matches says whether an answer shows this state.
+// matches reports whether an answer fits the state.
 func (l jobState) matches(a userAnswer) bool {
 	if a.status == 404 {
 		return l == jobUnknown
@@ -58,7 +58,7 @@
 	return l == jobAccepted
 }
 
-// next is the state that a request leaves behind.
+// next is the state after a request.
 func (l jobState) next(q requestKind) jobState {
 	switch {
 	case q == requestSubmit && l == jobUnknown:
@@ -71,8 +71,8 @@
 	return l
 }
 
-// jobStateModel is the life of a job. A request without an answer may be carried out at any
-// later time, or never, which is at the end of time.
+// jobStateModel is the sequential specification of a job. A request without an answer may take
+// effect at any later time, or never, which is at the end of time.
 var jobStateModel = porcupine.Model{
 	Init: func() any { return jobUnknown },
 	Step: func(state, input, output any) (bool, any) {
@@ -83,12 +83,12 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " -> ", output) },
 }
 
-// requestHistory gathers what was asked and answered, in the order in which it happened.
+// requestHistory records requests and answers in the order in which they happened.
 type requestHistory struct {
 	mu   sync.Mutex
 	next int64
 	jobs map[string][]porcupine.Operation
-	// answers counts, so that a history that says nothing is not taken for a good one.
+	// answers and finals count, so that an empty history is not taken for a valid one.
 	answers, finals int
 }
 
@@ -111,12 +111,10 @@
 	}
 }
 
-// request sends one request to a controller and notes it. It says how the job is, "" if that
-// was not answered.
+// request sends one request to a controller and records it. It returns the job's status, "" if
+// there was no answer.
 func (h *requestHistory) request(sim *simulatedCluster, label string, q requestKind, s *protocol.JobSpec) string {
-	sim.mu.Lock()
-	n := sim.controllers[label]
-	sim.mu.Unlock()
+	n := sim.processOf(label)
 	if n == nil {
 		return ""
 	}
@@ -143,19 +141,19 @@
 		return ""
 	default:
 		if q == requestPoll {
-			return "" // asks for nothing and says nothing
+			return "" // requests and reveals nothing
 		}
 	}
 	h.record(s.ID, op)
 	return state
 }
 
-// pollAllControllers asks all controllers at once, again and again within milliseconds, and repeats
-// the submission.
+// pollAllControllers polls all controllers at once, twice within milliseconds, and repeats the
+// submission now and then.
 func (h *requestHistory) pollAllControllers(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	var all sync.WaitGroup
 	for range 2 {
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			q := requestPoll
 			if rng.IntN(5) == 0 {
 				q = requestSubmit
@@ -167,8 +165,8 @@
 	all.Wait()
 }
 
-// runJobLifecycle takes a job through its life: submitted at one controller after another, looked at
-// closely, perhaps called off, at once or later or at its end, until it is over.
+// runJobLifecycle submits a job, polls it at all controllers, perhaps cancels it, at once,
+// later or after its end, until it is final.
 func (h *requestHistory) runJobLifecycle(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	pick := func() string { return fmt.Sprint("n", rng.IntN(3)) }
 	// insists repeats a request until it is answered, as users do.
@@ -194,7 +192,7 @@
 		if st == protocol.StatusDone || st == protocol.StatusWithdrawn {
 			h.pollAllControllers(sim, s, rng)
 			if rng.IntN(2) == 0 {
-				insists(requestCancel) // of a job that is over
+				insists(requestCancel) // of a finished job
 				h.pollAllControllers(sim, s, rng)
 			}
 			return
@@ -204,16 +202,17 @@
 	sim.withLock(func() { sim.recordViolation("%s never ended", s.ID) })
 }
 
-// drawLinearizabilityFaults are those under which users ask: answers are lost while others read what
-// was written, transactions are late, controllers end or are cut off.
+// drawLinearizabilityFaults draws the faults during which users send requests: responses are
+// lost while others read what was written, transactions are late, controllers are killed or cut
+// off.
 func drawLinearizabilityFaults(seed uint64) []plannedFault {
-	kinds := []string{"lost answers", "lost answers", "late writes", "crash", "refused", "cut from all but workers", "outage", "hand-over", "still", "watches stuck", "crash of all", "late commands", "slow links"}
+	kinds := []string{"lost transaction answers", "lost transaction answers", "late transactions", "crash", "refused", "cut from all but agents", "outage", "handover", "pause", "watches stuck", "crash of all", "late commands", "slow links"}
 	rng := rand.New(rand.NewPCG(seed, 79))
-	plan := []plannedFault{{Kind: "late writes", At: 14 * time.Second, For: 10 * time.Second, Share: 0.5},
-		{Kind: "lost answers", At: 32 * time.Second, For: 10 * time.Second, Share: 0.5}}
+	plan := []plannedFault{{Kind: "late transactions", At: 14 * time.Second, For: 10 * time.Second, Share: 0.5},
+		{Kind: "lost transaction answers", At: 32 * time.Second, For: 10 * time.Second, Share: 0.5}}
 	for i := range 8 {
 		plan = append(plan, plannedFault{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(4+i*6)*time.Second + time.Duration(rng.IntN(5000))*time.Millisecond,
-			For: time.Duration(500+rng.IntN(6000)) * time.Millisecond, Arg: rng.IntN(1000), Share: 0.2 + 0.6*rng.Float64(), OnWrite: []string{"", "final", "claim", "run"}[rng.IntN(4)]})
+			For: time.Duration(500+rng.IntN(6000)) * time.Millisecond, Arg: rng.IntN(1000), Share: 0.2 + 0.6*rng.Float64(), OnWrite: []string{"", "final", "lease", "run"}[rng.IntN(4)]})
 	}
 	return plan
 }
@@ -243,14 +242,14 @@
 				specs := map[string]*protocol.JobSpec{}
 				var users sync.WaitGroup
 				for i := range 24 {
-					s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%3, []string{"red", "blue", "green"}[i%3])
+					s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i%3, allTeams[i%3])
 					specs[s.ID] = s
-					sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+					sim.withLock(func() { sim.jobs[s.ID] = newSubmittedJob(s) })
 				}
 				sim.withLock(func() {
 					sim.onJobEnd = func(job string) {
 						h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
-						if len(job)%2 == 0 { // called off at the very end
+						if len(job)%2 == 0 { // cancelled at the very end
 							sim.group.Go(func() {
 								h.request(sim, "n0", requestCancel, specs[job])
 								h.pollAllControllers(sim, specs[job], rand.New(rand.NewPCG(seed, 80)))
@@ -285,7 +284,7 @@
 	}
 }
 
-// check fails the test for each job of which users were told what no life of a job gives.
+// check fails the test for each job whose answers fit no sequential history.
 func (h *requestHistory) check(t *testing.T) {
 	t.Helper()
 	for job, ops := range h.jobs {
@@ -295,7 +294,7 @@
 		if porcupine.CheckOperations(jobStateModel, ops) {
 			continue
 		}
-		t.Errorf("%s: told what no job's life gives", job)
+		t.Errorf("%s: answers fit no history of one job", job)
 		slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 		for _, op := range ops {
 			t.Logf("%d-%d %s", op.Call, op.Return, jobStateModel.DescribeOperation(op.Input, op.Output))
@@ -303,10 +302,10 @@
 	}
 }
 
-// The checker itself must refuse what a user may not be told.
+// The checker itself must refuse invalid histories.
 func TestLinearizabilityCheckerRefusesInvalidHistories(t *testing.T) {
 	t.Parallel()
-	accepted, done, gone, unknown := userAnswer{201, "queued"}, userAnswer{200, "done"}, userAnswer{200, "withdrawn"}, userAnswer{status: 404}
+	accepted, done, cancelled, unknown := userAnswer{201, "queued"}, userAnswer{200, "done"}, userAnswer{200, "withdrawn"}, userAnswer{status: 404}
 	op := func(q requestKind, call, ret int64, out any) porcupine.Operation {
 		return porcupine.Operation{Input: q, Call: call, Return: ret, Output: out}
 	}
@@ -315,15 +314,15 @@
 		ops  []porcupine.Operation
 		ok   bool
 	}{
-		{"a life", []porcupine.Operation{op(requestPoll, 1, 2, unknown), op(requestSubmit, 3, 4, accepted), op(requestPoll, 5, 6, accepted), op(jobCompletion, 7, math.MaxInt64, nil), op(requestPoll, 8, 9, done)}, true},
+		{"valid history", []porcupine.Operation{op(requestPoll, 1, 2, unknown), op(requestSubmit, 3, 4, accepted), op(requestPoll, 5, 6, accepted), op(jobCompletion, 7, math.MaxInt64, nil), op(requestPoll, 8, 9, done)}, true},
 		{"404 after accepted", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, unknown)}, false},
-		{"queued after withdrawn", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 4, gone), op(requestPoll, 5, 6, accepted)}, false},
-		{"queued while it is withdrawn", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 6, gone), op(requestPoll, 4, 5, accepted)}, true},
-		{"queued after another was told withdrawn meanwhile", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 9, gone), op(requestPoll, 4, 5, gone), op(requestPoll, 6, 7, accepted)}, false},
-		{"done before its end", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, done), op(jobCompletion, 5, math.MaxInt64, nil)}, false},
-		{"withdrawn by nobody", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, gone)}, false},
-		{"withdrawn without an answer, later", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, math.MaxInt64, nil), op(requestPoll, 4, 5, accepted), op(requestPoll, 6, 7, gone)}, true},
-		{"queued again", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, math.MaxInt64, nil), op(requestPoll, 4, 5, gone), op(requestPoll, 6, 7, accepted)}, false},
+		{"queued after cancelled", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 4, cancelled), op(requestPoll, 5, 6, accepted)}, false},
+		{"queued during the cancellation", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 6, cancelled), op(requestPoll, 4, 5, accepted)}, true},
+		{"queued after another user saw cancelled", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, 9, cancelled), op(requestPoll, 4, 5, cancelled), op(requestPoll, 6, 7, accepted)}, false},
+		{"done before its last task ended", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, done), op(jobCompletion, 5, math.MaxInt64, nil)}, false},
+		{"cancelled by nobody", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestPoll, 3, 4, cancelled)}, false},
+		{"cancelled later by a request without an answer", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, math.MaxInt64, nil), op(requestPoll, 4, 5, accepted), op(requestPoll, 6, 7, cancelled)}, true},
+		{"queued again", []porcupine.Operation{op(requestSubmit, 1, 2, accepted), op(requestCancel, 3, math.MaxInt64, nil), op(requestPoll, 4, 5, cancelled), op(requestPoll, 6, 7, accepted)}, false},
 	} {
 		for i := range tc.ops {
 			tc.ops[i].ClientId = i
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -9,17 +9,17 @@
 	"micaspindle/internal/standin/worker"
 )
 
-// What must hold at the end of every test, once all troubles are over: each accepted job is
-// answered for, and none waits while a machine that fits has room and its team is under its
-// limit.
+// The liveness properties that must hold at the end of every test, once all faults are over:
+// the status of each accepted job is answered, and no job waits while a suitable machine has
+// free resources and its team is below its quota.
 const (
-	// answeredWithin is how long no question about an accepted job may go unanswered.
+	// answeredWithin is how long a status request of an accepted job may go unanswered.
 	answeredWithin = 75 * time.Second
-	// startedWithin is how long a job may wait though there is room.
+	// startedWithin is how long a job may wait although resources are free.
 	startedWithin = 90 * time.Second
 )
 
-// clearFaults ends whatever a test has left, and starts the controllers that are away.
+// clearFaults ends all faults that a test has left, and starts the controllers that are down.
 func (sim *simulatedCluster) clearFaults() {
 	sim.setOutage(false)
 	sim.withLock(func() {
@@ -34,9 +34,9 @@
 	sim.startMissingControllers()
 }
 
-// startMissingControllers starts the controllers that are away.
+// startMissingControllers starts the controllers that are down.
 func (sim *simulatedCluster) startMissingControllers() {
-	for _, l := range []string{"n0", "n1", "n2"} {
+	for _, l := range allControllers {
 		sim.mu.Lock()
 		away := sim.controllers[l] == nil
 		sim.mu.Unlock()
@@ -46,12 +46,12 @@
 	}
 }
 
-// checkLiveness checks what must hold once the troubles are over.
+// checkLiveness fails the test if a liveness property does not hold after the faults are over.
 func (sim *simulatedCluster) checkLiveness() {
 	sim.clearFaults()
 	begun := time.Now()
 	open := map[string]bool{}
-	if sim.identities == nil { // else only those who may look are answered
+	if sim.identities == nil { // with identities only those with the right to view are answered
 		for _, id := range sim.acceptedJobs() {
 			open[id] = true
 		}
@@ -63,7 +63,7 @@
 			if sim.poll("", id) != "" {
 				delete(open, id)
 			} else if now.Sub(begun) > answeredWithin {
-				sim.t.Errorf("forgotten: no question about %s is answered for %s", id, answeredWithin)
+				sim.t.Errorf("forgotten: no status request for %s is answered for %s", id, answeredWithin)
 				delete(open, id)
 			}
 		}
@@ -101,23 +101,23 @@
 	return ids
 }
 
-// starvedJob is a job that waits, having come so far, while a machine has room for a task of it;
-// of a gang, while machines have room for all.
+// starvedJob is a job that waits, with a number of tasks placed, while a machine has free
+// resources for a task of it, or, for a gang, while machines have them for all.
 type starvedJob struct {
 	job     string
 	placed  int
 	machine string
 }
 
-// jobsWaitingDespiteRoom lists what waits though there is room. The lock is held.
+// jobsWaitingDespiteRoom returns what waits although resources are free. The lock is held.
 func (sim *simulatedCluster) jobsWaitingDespiteRoom() map[starvedJob]bool {
 	list := map[starvedJob]bool{}
 	if sim.fails != nil {
-		return list // who fails is held back
+		return list // failing jobs back off
 	}
 	names := slices.Sorted(maps.Keys(sim.workers))
 	used := map[string]float64{}
-	perZone := map[string]map[string]int{} // by job, how many of its tasks are in each zone
+	perZone := map[string]map[string]int{} // by job, the number of its tasks in each zone
 	free := make([]resources, len(names))
 	for i, name := range names {
 		agent := sim.workers[name]
@@ -161,7 +161,7 @@
 	return list
 }
 
-// dependenciesDone says whether all that a job needs is done. The lock is held.
+// dependenciesDone reports whether all dependencies of a job are done. The lock is held.
 func (sim *simulatedCluster) dependenciesDone(submitted *submittedJob) bool {
 	for _, dep := range submitted.spec.Dependencies {
 		if dependency := sim.jobs[dep]; dependency == nil || len(dependency.tasksDone) < dependency.spec.Tasks {
@@ -171,8 +171,8 @@
 	return true
 }
 
-// withinTeamLimit says whether a team that uses so much has room for one more task, of a gang or
-// a service for all.
+// withinTeamLimit reports whether a team with the given usage has quota for one more task, or,
+// for a gang or a service, for all.
 func (sim *simulatedCluster) withinTeamLimit(s *protocol.JobSpec, used float64) bool {
 	tasks := 1
 	if s.Gang || s.Standing {
@@ -186,10 +186,10 @@
 	return true
 }
 
-// resources is what a machine has to give.
+// resources are the free resources of a machine.
 type resources struct{ cpus, memGB, gpus float64 }
 
-// machineResources is what a machine of a type has; nothing if there is no such type.
+// machineResources returns the resources of a machine type; none if there is no such type.
 func (sim *simulatedCluster) machineResources(machineType string) resources {
 	for _, mt := range sim.cloud.Types {
 		if mt.Name == machineType {
@@ -199,13 +199,13 @@
 	return resources{}
 }
 
-// subtract takes what one task of a job needs.
+// subtract takes the resources of one task of a job.
 func (r *resources) subtract(s *protocol.JobSpec) {
 	r.cpus, r.memGB, r.gpus = r.cpus-s.CPUs, r.memGB-s.MemGB, r.gpus-s.GPUs
 }
 
-// freeSlots is how many tasks of a job a machine has room for, of which so much is free;
-// inZone is how many of the job's tasks are in each zone.
+// freeSlots returns how many tasks of a job fit the free resources of a machine; inZone counts
+// the job's tasks in each zone.
 func freeSlots(agent *worker.Worker, free resources, s *protocol.JobSpec, inZone map[string]int) int {
 	if agent.Dead || agent.Hung || agent.Notice != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) {
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -11,11 +11,9 @@
 	"micaspindle/internal/transport"
 )
 
-// requestOperations asks a controller as an operator does.
+// requestOperations sends an operator's request to a controller.
 func (sim *simulatedCluster) requestOperations(who, label, path string) transport.Response {
-	sim.mu.Lock()
-	n := sim.controllers[label]
-	sim.mu.Unlock()
+	n := sim.processOf(label)
 	req := &transport.Request{Method: "GET", Path: path, From: "10.9.0.2:4000"}
 	if who != "" {
 		req.Authorization = sim.identities.authorization(who)
@@ -23,34 +21,35 @@
 	return n.controller.ServeOperations(sim.ctx, req)
 }
 
-// Sums over all queues are for those who may view all of them.
+// Figures over all queues require the right to view all of them.
 func TestOperationsRequireRightsOnAllQueues(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 5, func(sim *simulatedCluster) {
 		sim.expectStatus(200, sim.requestOperations("person/root", "n0", "/overview"))
-		sim.expectStatus(200, sim.requestOperations("person/partner", "n0", "/metrics")) // a guest views everything
-		sim.expectStatus(403, sim.requestOperations("person/anna", "n0", "/overview"))   // one team's clerk
+		sim.expectStatus(200, sim.requestOperations("person/partner", "n0", "/metrics")) // a guest may view everything
+		sim.expectStatus(403, sim.requestOperations("person/anna", "n0", "/overview"))   // a clerk of one team
 		sim.expectStatus(403, sim.requestOperations("service/refunds", "n0", "/metrics"))
 		sim.expectStatus(401, sim.requestOperations("", "n0", "/overview"))
 		sim.expectStatus(404, sim.requestOperations("person/root", "n0", "/submissions"))
 	})
 }
 
-// What is told is what is: jobs, machines, who owns, how long it took.
+// The overview and the metrics agree with the cluster: jobs, machines, partition leaders,
+// durations.
 func TestOverviewShowsTheClusterState(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 6, func(sim *simulatedCluster) { sim.operator.Operations = &settings.Operations{} }, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		sim.submit(newJobSpec("job-1", 6, "green"))
 		time.Sleep(20 * time.Second)
-		var owned, tasks, machines int
+		var led, tasks, machines int
 		for label := range sim.controllers {
 			var v overview.View
 			panicOnError(protocol.Decode(sim.expectStatus(200, sim.requestOperations("", label, "/overview")).Body, &v))
 			if v.Controller != label || !v.Ready {
 				t.Errorf("%+v", v)
 			}
-			owned += len(v.Parts)
+			led += len(v.Parts)
 			for _, p := range v.Parts {
 				tasks += p.Running + p.Waiting
 				machines += p.Machines
@@ -59,13 +58,13 @@
 		sim.mu.Lock()
 		partitions := sim.settings.Params.Count
 		sim.mu.Unlock()
-		if owned != partitions || machines == 0 || tasks > 6 {
-			t.Errorf("%d parts of %d, %d machines, %d tasks", owned, partitions, machines, tasks)
+		if led != partitions || machines == 0 || tasks > 6 {
+			t.Errorf("%d partitions of %d, %d machines, %d tasks", led, partitions, machines, tasks)
 		}
 		body := string(sim.requestOperations("", "n0", "/metrics").Body)
 		for _, want := range []string{"micaspindle_wait_seconds_bucket{what=\"submission\"", "micaspindle_part_machines", "micaspindle_ready 1"} {
 			if !strings.Contains(body, want) {
-				t.Errorf("%s is not told", want)
+				t.Errorf("metric %s is missing", want)
 			}
 		}
 	})
--- a/internal/coordination/partition/partition_test.go
+++ b/internal/coordination/partition/partition_test.go
@@ -6,6 +6,7 @@
 	"micaspindle/internal/settings"
 )
 
+// Guarantees are spread evenly over the partitions; teams without guarantee and limit share one.
 func TestTeamsAreBalancedOverPartitions(t *testing.T) {
 	teams := []settings.Team{{CPUs: 10}, {CPUs: 100}, {CPUs: 50}, {CPUs: 50}, {CPUs: 10}}
 	load := make([]float64, 2)
@@ -18,7 +19,7 @@
 	mixed := []settings.Team{{}, {CPUs: 10, CPUsMax: 20}, {}, {CPUsMax: 8}, {CPUs: 4}}
 	got := Assign(mixed, 3)
 	if got[0] != got[2] {
-		t.Errorf("teams with neither guarantee nor limit are apart: %v", got)
+		t.Errorf("teams with neither guarantee nor limit are in different partitions: %v", got)
 	}
 	if got[1] == got[4] || got[3] == got[1] || got[0] == got[1] {
 		t.Errorf("teams with a guarantee or a limit are not spread: %v", got)
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -14,84 +14,76 @@
 	"micaspindle/internal/storage"
 )
 
-// What an owner sent before it lost its part must not be obeyed after the
-// successor was heard: a takeover raises every machine's token.
+// Commands that a leader sent before it lost its partition must be refused after the successor
+// has reached the agent: a takeover raises every machine's fencing token.
 func TestCommandsOfAFormerLeaderAreRefused(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 13, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		late := map[string]protocol.Orders{}
-		sim.mu.Lock()
-		sim.interceptCommands = func(name string, o *protocol.Orders) { late[name] = *o }
-		sim.mu.Unlock()
-		sim.mu.Lock()
-		sim.runTime = func(string, int, string) time.Duration { return time.Minute }
-		sim.mu.Unlock()
-		for i, team := range []string{"red", "blue", "green"} {
+		sent := map[string]protocol.Orders{}
+		sim.withLock(func() { sim.interceptCommands = func(name string, o *protocol.Orders) { sent[name] = *o } })
+		sim.setRunTime(time.Minute)
+		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
 		}
 		time.Sleep(15 * time.Second)
 		sim.mu.Lock()
 		sim.interceptCommands = nil
-		before := len(late)
+		before := len(sent)
 		sim.mu.Unlock()
 		if before == 0 {
-			t.Fatal("no orders were sent")
+			t.Fatal("no commands were sent")
 		}
-		for _, label := range []string{"n0", "n1", "n2"} {
+		for _, label := range allControllers {
 			sim.killController(label)
 		}
 		sim.startController("n1")
-		sim.mu.Lock()
-		n := sim.controllers["n1"].controller
-		sim.mu.Unlock()
-		// Until a worker has heard the successor, it knows no better.
-		for fenced := 0; fenced < len(late); time.Sleep(100 * time.Millisecond) {
+		n := sim.controllerOf("n1")
+		// Until the successor has reached an agent, that accepts the former leader's token.
+		for fenced := 0; fenced < len(sent); time.Sleep(100 * time.Millisecond) {
 			fenced = 0
 			n.loop.Do(func() {
-				for name := range late {
+				for name := range sent {
 					if m := n.Machines[name]; m != nil && m.Fenced {
 						fenced++
 					}
 				}
 			})
 		}
-		for name, o := range late {
+		for name, o := range sent {
 			sim.mu.Lock()
 			agent := sim.workers[name]
 			sim.mu.Unlock()
 			if resp := sim.serveWorker(agent, "/orders", protocol.Encode(o)); resp.Status == 200 {
-				t.Errorf("%s obeyed an order from before the takeover", name)
+				t.Errorf("%s executed a command from before the takeover", name)
 			}
 		}
 		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
 
-// An owner without the state service keeps its workers' leases alive, but not
-// for so long that a task withdrawn through a successor outlives cancel_s.
+// A leader without the state store keeps its agents' leases alive, but not for so long that a
+// task cancelled through a successor outlives cancel_s.
 func TestLeaderAnswersHeartbeatsOnlyWithinItsBound(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 15, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.mu.Lock()
-		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
-		sim.mu.Unlock()
-		for i, team := range []string{"red", "blue", "green"} {
+		sim.setRunTime(time.Hour)
+		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 1, team))
 		}
 		time.Sleep(12 * time.Second)
 		sim.setOutage(true)
-		// cancel_s − lease_s and two seconds' margin: 25 − 8 − 2 = 15.
+		// cancel_s − lease_s and a margin of two seconds: 25 − 8 − 2 = 15.
 		answered := func() (n int) {
-			for _, label := range []string{"n0", "n1", "n2"} {
+			for _, label := range allControllers {
 				sim.mu.Lock()
-				var reports []*protocol.Heartbeat
+				var heartbeats []*protocol.Heartbeat
 				for _, agent := range sim.workers {
-					reports = append(reports, agent.Snapshot())
+					heartbeats = append(heartbeats, agent.Snapshot())
 				}
 				sim.mu.Unlock()
-				for _, r := range reports {
+				for _, r := range heartbeats {
 					if sim.sendRequest(label, "POST", "/checkin", protocol.Encode(r)).Status == 200 {
 						n++
 					}
@@ -101,11 +93,11 @@
 		}
 		time.Sleep(11 * time.Second)
 		if answered() == 0 {
-			t.Error("nobody answers the workers 11 s into the outage")
+			t.Error("no heartbeat is answered 11 s into the outage")
 		}
 		time.Sleep(6 * time.Second)
 		if n := answered(); n > 0 {
-			t.Errorf("%d reports answered 17 s into the outage", n)
+			t.Errorf("%d heartbeats answered 17 s into the outage", n)
 		}
 		sim.setOutage(false)
 	})
@@ -151,26 +143,26 @@
 			r = agent.Snapshot()
 		}
 		sim.mu.Unlock()
-		homes := map[string]bool{}
-		for _, label := range []string{"n0", "n1", "n2"} {
+		leaders := map[string]bool{}
+		for _, label := range allControllers {
 			resp := sim.sendRequest(label, "POST", "/checkin", protocol.Encode(r))
 			if resp.Status == 421 {
 				var h protocol.Home
 				panicOnError(protocol.Decode(resp.Body, &h))
-				homes[h.Home] = true
+				leaders[h.Home] = true
 				if h.Home == label {
-					t.Errorf("%s names itself", label)
+					t.Errorf("%s redirects to itself", label)
 				}
 			}
 		}
-		if len(homes) != 1 {
-			t.Errorf("homes named: %v", homes)
+		if len(leaders) != 1 {
+			t.Errorf("leaders named: %v", leaders)
 		}
 	})
 }
 
-// A machine that is cut off may still run its tasks until its lease has run
-// out: they must not be started elsewhere before.
+// A machine that is cut off may still run its tasks until its lease has expired: they must not
+// be started elsewhere before.
 func TestSilentMachineKeepsItsTasksUntilItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 11, func(sim *simulatedCluster) {
@@ -191,9 +183,7 @@
 			t.Fatal("no machine has work")
 		}
 		time.Sleep(20 * time.Second)
-		sim.mu.Lock()
-		sim.cut = nil
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = nil })
 		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
@@ -206,83 +196,74 @@
 		sim.submit(newJobSpec("job-2", 4, "blue"))
 		sim.submit(newJobSpec("job-3", 4, "green"))
 		time.Sleep(10 * time.Second)
-		sim.mu.Lock()
-		sim.cut = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
-		sim.mu.Unlock()
+		sim.withLock(func() {
+			sim.cut = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
+		})
 		time.Sleep(25 * time.Second)
-		owned := 0
+		led := 0
 		n := sim.controllers["n0"].controller
 		n.loop.Do(func() {
 			for _, p := range n.Partitions {
 				if p.Held {
-					owned++
+					led++
 				}
 			}
 		})
 		machines := 0
 		n.loop.Do(func() { machines = len(n.Machines) })
-		if owned > 0 && machines > 0 {
-			t.Logf("n0 still owns %d parts with %d machines on record", owned, machines)
+		if led > 0 && machines > 0 {
+			t.Logf("n0 still leads %d partitions with %d machines on record", led, machines)
 		}
 		sim.waitForAllJobs(2 * time.Minute)
-		sim.mu.Lock()
-		sim.cut = nil
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = nil })
 	})
 }
 
-// After a takeover the new owner has heard none of its machines yet: they must
-// not be taken for machines that never came up, nor the rest of an inherited
-// task for its whole run time.
+// After a takeover the new leader has not heard from its machines yet: they must not be taken
+// for machines that never booted, nor the rest of an inherited task for its whole run time.
 func TestTakeoverKeepsMachinesAndEstimates(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 19, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.mu.Lock()
-		sim.runTime = func(string, int, string) time.Duration { return 60 * time.Second }
-		sim.mu.Unlock()
-		for i, team := range []string{"red", "blue", "green"} {
+		sim.setRunTime(60 * time.Second)
+		for i, team := range allTeams {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 6, team)
 			s.EstimateS, s.DeadlineS = 60, 200
 			sim.submit(s)
 		}
-		time.Sleep(55 * time.Second) // longer than any boot may take
+		time.Sleep(55 * time.Second) // longer than any boot takes
 		sim.mu.Lock()
 		before := maps.Clone(sim.cloud.Machines)
 		sim.mu.Unlock()
-		// The leader lives on and has known the machines for long.
+		// The cluster leader stays and has known the machines for long.
 		var leader *simulatedController
-		for _, label := range []string{"n0", "n1", "n2"} {
-			sim.mu.Lock()
-			n := sim.controllers[label]
-			sim.mu.Unlock()
+		for _, label := range allControllers {
+			n := sim.processOf(label)
 			n.controller.loop.Do(func() {
 				if n.controller.Leadership.Held {
 					leader = n
 				}
 			})
 		}
-		for _, label := range []string{"n0", "n1", "n2"} {
+		for _, label := range allControllers {
 			if label != leader.label {
 				sim.killController(label)
 				sim.startController(label)
 			}
 		}
-		// Their workers don't reach the new owners for a moment.
+		// Their agents cannot reach the new leaders for a moment.
 		sim.mu.Lock()
 		sim.cut = func(from, host string) bool {
 			return from != leader.label && strings.HasPrefix(host, "m-")
 		}
 		sim.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		sim.mu.Lock()
-		sim.cut = nil
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cut = nil })
 		time.Sleep(3 * time.Second)
 		sim.mu.Lock()
 		for name := range before {
 			if _, ok := sim.cloud.Machines[name]; !ok {
-				t.Errorf("%s was given up in the takeover", name)
+				t.Errorf("%s was deleted during the takeover", name)
 			}
 		}
 		sim.mu.Unlock()
@@ -290,16 +271,14 @@
 			t.Error("no machines before the takeover")
 		}
 		time.Sleep(8 * time.Second)
-		for _, label := range []string{"n0", "n1", "n2"} {
+		for _, label := range allControllers {
 			if label == leader.label {
 				continue
 			}
-			sim.mu.Lock()
-			n := sim.controllers[label].controller
-			sim.mu.Unlock()
+			n := sim.controllerOf(label)
 			n.loop.Do(func() {
-				// What a former owner told of its attempts' beginnings teaches what they
-				// took; attempts that began nobody knows when teach nothing.
+				// Run times are learned from replicated start times; attempts with unknown
+				// start times teach nothing.
 				for class, b := range n.scheduler.Corrections {
 					if math.Abs(b.Ratio-1) > 0.01 {
 						t.Errorf("inherited tasks taught %s a ratio of %v", class, b.Ratio)
@@ -307,7 +286,7 @@
 				}
 				for _, m := range n.Machines {
 					if m.Quarantined {
-						t.Errorf("%s set aside", m.Name)
+						t.Errorf("%s quarantined", m.Name)
 					}
 				}
 			})
@@ -316,8 +295,8 @@
 	})
 }
 
-// An attempt of a session that had ended before the takeover must not hold its
-// task for ever, even if the new owner knew the later session already.
+// An attempt of an agent epoch that had ended before the takeover must not hold its task for
+// ever, even if the new leader knew the later epoch already.
 func TestInheritedAttemptOfAnOlderEpochIsOver(t *testing.T) {
 	t.Parallel()
 	set := newSimulatedCluster(t, 1).settings
@@ -342,41 +321,41 @@
 	}
 }
 
-// Controllers that start together must each get their part, instead of the
-// first one taking all and doing all the work.
+// Controllers that start together must each get one partition, instead of the first one
+// acquiring all of them.
 func TestPartitionsAreSpreadAtStartup(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 20, func(sim *simulatedCluster) {
 		time.Sleep(4 * time.Second)
-		for _, label := range []string{"n0", "n1", "n2"} {
-			if owned := sim.leaseCount(label); owned != 1 {
-				t.Errorf("%s owns %d parts", label, owned)
+		for _, label := range allControllers {
+			if led := sim.leaseCount(label); led != 1 {
+				t.Errorf("%s leads %d partitions", label, led)
 			}
 		}
 	})
 }
 
-// After a takeover one controller must not own two parts for ever, and giving
-// one back must not cost what runs.
+// After a takeover one controller must not lead two partitions for ever, and handing one back
+// must not cost running tasks.
 func TestPartitionsAreHandedBack(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 22, func(sim *simulatedCluster) {
 		sim.runTime = func(string, int, string) time.Duration { return 90 * time.Second }
 		time.Sleep(4 * time.Second)
-		for i, team := range []string{"red", "blue", "green"} {
+		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 4, team))
 		}
 		time.Sleep(25 * time.Second)
 		sim.killController("n0")
 		time.Sleep(12 * time.Second)
 		if sim.leaseCount("n1")+sim.leaseCount("n2") != 3 {
-			t.Error("the dead controller's part was not taken over")
+			t.Error("the killed controller's partition was not taken over")
 		}
 		sim.startController("n0")
 		time.Sleep(25 * time.Second)
-		for _, label := range []string{"n0", "n1", "n2"} {
+		for _, label := range allControllers {
 			if n := sim.leaseCount(label); n != 1 {
-				t.Errorf("%s owns %d parts", label, n)
+				t.Errorf("%s leads %d partitions", label, n)
 			}
 		}
 		sim.waitForAllJobs(3 * time.Minute)
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -11,15 +11,15 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// known answers from tables.
-type known struct {
+// tables is a view of machines whose answers are fixed.
+type tables struct {
 	running [][]contention.Task
 	images  []string // one on each machine
 }
 
-func (k known) HasImage(m int, image string) bool { return m < len(k.images) && k.images[m] == image }
+func (k tables) HasImage(m int, image string) bool { return m < len(k.images) && k.images[m] == image }
 
-func (k known) Running(m int) *contention.Machine {
+func (k tables) Running(m int) *contention.Machine {
 	p := &contention.Machine{Limit: 6.4}
 	if m < len(k.running) {
 		p.Tasks = k.running[m]
@@ -27,78 +27,81 @@
 	return p
 }
 
+// machine returns a free machine of type t.
 func machine(name, zone string, cpus float64, spot bool) Machine {
 	return Machine{Name: name, Kind: binpack.MachineKind{Type: "t", Zone: zone, Spot: spot}, Free: binpack.Resources{CPUs: cpus, MemGB: 100}, FetchGBPerS: 1}
 }
 
+// job returns a job with waiting tasks of so many CPUs.
 func job(waiting int, cpus float64) Job {
 	return Job{Waiting: waiting, Resources: binpack.Resources{CPUs: cpus, MemGB: 1}, Constraints: binpack.Constraints{Spot: true}, Types: 1, Image: "i", ImageGB: 1, LongS: 10,
 		Tasks: waiting, Prediction: contention.Task{EstimateS: 10, Use: cpus}}
 }
 
+// Which machine is chosen for a task, case by case.
 func TestDecide(t *testing.T) {
 	busy := []contention.Task{{EstimateS: 100, Use: 2}, {EstimateS: 100, Use: 2}}
 	for name, c := range map[string]struct {
-		view func(v *View, k *known)
+		view func(v *View, k *tables)
 		want Plan
 	}{
-		"the least contention":    {func(v *View, k *known) { k.running = [][]contention.Task{busy} }, Plan{Start: []Assignment{{0, 1}}}},
-		"the image among equals":  {func(v *View, k *known) { k.images = []string{"", "i"} }, Plan{Start: []Assignment{{0, 1}}}},
-		"the fuller among equals": {func(v *View, k *known) { v.Machines[1].Free.CPUs = 6 }, Plan{Start: []Assignment{{0, 1}}}},
-		"spot before ordinary":    {func(v *View, k *known) { v.Machines[0].Kind.Spot = false }, Plan{Start: []Assignment{{0, 1}}}},
-		"the image where fetching takes long": {func(v *View, k *known) {
+		"the least contention":    {func(v *View, k *tables) { k.running = [][]contention.Task{busy} }, Plan{Start: []Assignment{{0, 1}}}},
+		"the image among equals":  {func(v *View, k *tables) { k.images = []string{"", "i"} }, Plan{Start: []Assignment{{0, 1}}}},
+		"the fuller among equals": {func(v *View, k *tables) { v.Machines[1].Free.CPUs = 6 }, Plan{Start: []Assignment{{0, 1}}}},
+		"spot before ordinary":    {func(v *View, k *tables) { v.Machines[0].Kind.Spot = false }, Plan{Start: []Assignment{{0, 1}}}},
+		"the image where fetching takes long": {func(v *View, k *tables) {
 			k.running, k.images, v.Jobs[0].ImageGB = [][]contention.Task{busy}, []string{"i"}, 20
 		}, Plan{Start: []Assignment{{0, 0}}}},
-		"a type that choosier work needs comes last": {func(v *View, k *known) {
+		"a type that less flexible jobs need comes last": {func(v *View, k *tables) {
 			v.Machines[0].Kind.Type = "scarce"
 			v.Scarcity.Note("scarce", 1)
 			v.Jobs[0].Types = 3
 		}, Plan{Start: []Assignment{{0, 1}}}},
-		"not where it failed": {func(v *View, k *known) { v.Jobs[0].Failed = map[string]bool{"a": true} }, Plan{Start: []Assignment{{0, 1}}}},
-		"within the team's limit": {func(v *View, k *known) {
+		"not where it failed": {func(v *View, k *tables) { v.Jobs[0].Failed = map[string]bool{"a": true} }, Plan{Start: []Assignment{{0, 1}}}},
+		"within the team's quota": {func(v *View, k *tables) {
 			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 3.5}}
 		}, Plan{Start: []Assignment{{0, 0}, {0, 0}}}},
-		"apart": {func(v *View, k *known) {
+		"spread over zones": {func(v *View, k *tables) {
 			v.Jobs[0] = job(4, 1)
 			v.Jobs[0].Spread, v.Jobs[0].Zones = true, map[string]int{"x": 2}
 		}, Plan{Start: []Assignment{{0, 1}, {0, 1}}}},
-		"together": {func(v *View, k *known) {
+		"in one zone": {func(v *View, k *tables) {
 			v.Jobs[0] = job(2, 1)
 			v.Jobs[0].OneZone, v.Jobs[0].Zones = true, map[string]int{"y": 1}
 		}, Plan{Start: []Assignment{{0, 1}, {0, 1}}}},
-		"room that is given is gone": {func(v *View, k *known) { v.Jobs = []Job{job(5, 4)} }, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
-		"a gang, whole": {func(v *View, k *known) { v.Jobs = []Job{job(4, 4)}; v.Jobs[0].Gang = true },
+		"assigned resources are used up": {func(v *View, k *tables) { v.Jobs = []Job{job(5, 4)} }, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
+		"a whole gang": {func(v *View, k *tables) { v.Jobs = []Job{job(4, 4)}; v.Jobs[0].Gang = true },
 			Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}, {0, 1}}}},
-		"a gang without room, and who comes after it": {func(v *View, k *known) {
+		"a gang without capacity, and the job after it": {func(v *View, k *tables) {
 			v.Jobs = []Job{job(5, 4), job(1, 8)}
 			v.Jobs[0].Gang = true
 		}, Plan{Start: []Assignment{{1, 0}}, Wanted: []int{0, 0, 1, 1}}},
-		"a gang beyond its team's limit": {func(v *View, k *known) {
+		"a gang beyond its team's quota": {func(v *View, k *tables) {
 			v.Jobs = []Job{job(2, 4)}
 			v.Jobs[0].Gang, v.Teams[0].Limit.CPUs = true, 6
 		}, Plan{Wanted: []int{0}}},
-		"not where it is kept for others": {func(v *View, k *known) { v.Machines[0].ReservedFor, v.Jobs[0].Groups = 5, [2]int{1, 2} },
+		"not on a machine reserved for others": {func(v *View, k *tables) { v.Machines[0].ReservedFor, v.Jobs[0].Groups = 5, [2]int{1, 2} },
 			Plan{Start: []Assignment{{0, 1}}}},
-		"where it is kept for its class": {func(v *View, k *known) {
+		"on a machine reserved for its class": {func(v *View, k *tables) {
 			v.Machines[0].ReservedFor, v.Jobs[0].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
 		}, Plan{Start: []Assignment{{0, 0}}}},
-		"where it is kept, after others like it found no room": {func(v *View, k *known) {
+		"on a reserved machine, after a similar job found no capacity": {func(v *View, k *tables) {
 			v.Jobs = []Job{job(1, 2), job(1, 2)}
 			v.Machines[0].ReservedFor, v.Jobs[1].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
 		}, Plan{Start: []Assignment{{1, 0}}}},
-		"not into what is kept of the limit": {func(v *View, k *known) {
+		"not into the reserved part of the quota": {func(v *View, k *tables) {
 			v.Jobs[0].Waiting, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}}}},
-		"into it, and no further than the limit": {func(v *View, k *known) {
+		"into the part reserved for its class, up to the quota": {func(v *View, k *tables) {
 			v.Jobs[0].Waiting, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}, {0, 0}, {0, 1}}}},
-		"what was kept is used up": {func(v *View, k *known) {
+		"a reserved part of the quota is used up": {func(v *View, k *tables) {
 			v.Jobs = []Job{job(1, 3), job(2, 2)}
 			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
 		}, Plan{Start: []Assignment{{0, 0}, {1, 0}}}},
-		"no machine": {func(v *View, k *known) { v.Machines = nil }, Plan{}},
+		"no machine": {func(v *View, k *tables) { v.Machines = nil }, Plan{}},
 	} {
-		k := known{}
+		k := tables{}
 		v := View{Jobs: []Job{job(1, 2)}, Machines: []Machine{machine("a", "x", 8, true), machine("b", "y", 8, true)}, Teams: make([]Team, 1),
 			Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
 		c.view(&v, &k)
@@ -113,14 +116,14 @@
 	}
 }
 
-// Random parts: no machine gets more than its room, no team more than its limit, no
-// job what it does not want; gangs whole or not at all; what fits alone somewhere in
-// the end waits only for its team. The same view gives the same plan, unchanged.
+// Random partitions: no machine is overcommitted, no team exceeds its quota, no job violates its
+// constraints; gangs start whole or not at all; a task that still fits a machine waits only for
+// its team's quota. The same view gives the same plan and is not changed.
 func TestPlacementsRespectConstraints(t *testing.T) {
 	for seed := range uint64(400) {
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 2))
-			var k known
+			var k tables
 			v := View{Teams: []Team{{}, {Limit: binpack.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
 			for i := range rng.IntN(8) {
 				v.Machines = append(v.Machines, machine(fmt.Sprint("m-", i), fmt.Sprint(rng.IntN(3)), float64(rng.IntN(17)), rng.IntN(2) == 0))
@@ -188,7 +191,7 @@
 			}
 			for m := range v.Machines {
 				if free[m].Holds(j.Resources) && j.Constraints.Allows(v.Machines[m].Kind) {
-					t.Errorf("seed %d: job %d waits, machine %d has room", seed, i, m)
+					t.Errorf("seed %d: job %d waits, machine %d has capacity", seed, i, m)
 				}
 			}
 		}
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -19,7 +19,7 @@
 	"micaspindle/internal/transport"
 )
 
-// configureFewSockets makes controllers whose sockets hold six machines, of 14 that there may be.
+// configureFewSockets gives each controller sockets for six of up to 14 machines.
 func configureFewSockets(sim *simulatedCluster) {
 	sim.cloud.Capacity = 14
 	sim.cloud.Types = sim.cloud.Types[:1]
@@ -27,8 +27,8 @@
 	sim.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
 }
 
-// startDelegation gives one part, that of the free team, work for all machines, and waits until
-// its shares are spread.
+// startDelegation submits work for all machines to one partition, that of the team without a
+// quota, and waits until its shards are delegated.
 func (sim *simulatedCluster) startDelegation(jobs int) (partition int) {
 	time.Sleep(2 * time.Second)
 	for i := range jobs {
@@ -41,10 +41,10 @@
 	return partition
 }
 
-// connectedMachines is how many machines each controller has the connections of.
+// connectedMachines returns how many machines are connected to each controller.
 func (sim *simulatedCluster) connectedMachines() map[string]int {
 	n := map[string]int{}
-	for _, l := range []string{"n0", "n1", "n2"} {
+	for _, l := range allControllers {
 		sim.onController(l, func(c *Controller) { n[l] = c.proxy.Load(time.Now()).Machines })
 	}
 	return n
@@ -60,18 +60,18 @@
 	return ""
 }
 
-// The workers of an owner that is full report to others; its orders go by way of them, and
-// no session ends.
+// Agents of a leader without free sockets send their heartbeats to delegates; its commands are
+// forwarded through these, and no epoch ends.
 func TestAgentsSendHeartbeatsToDelegates(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 700, configureFewSockets, func(sim *simulatedCluster) {
-		relayed, direct := map[string]int{}, 0
+		forwarded, direct := map[string]int{}, 0
 		sim.mu.Lock()
 		sim.onRequest = func(from, host, target string, body []byte) bool {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
 			if target == proxy.ForwardPath {
-				relayed[from]++
+				forwarded[from]++
 			} else if target == "/orders" {
 				direct++
 			}
@@ -83,16 +83,16 @@
 		total := 0
 		for l, k := range n {
 			if total += k; k < 3 || k > 6 {
-				t.Errorf("%s has %d machines' connections (owner %s): %v", l, k, leader, n)
+				t.Errorf("%s has %d connected machines (leader %s): %v", l, k, leader, n)
 			}
 		}
 		if total < 9 {
-			t.Errorf("only %d machines report", total)
+			t.Errorf("only %d machines send heartbeats", total)
 		}
-		homes := map[string]int{}
-		sim.forEachWorker(func(agent *worker.Worker) { homes[agent.Homes[agent.Home]]++ })
-		if len(homes) != 3 {
-			t.Errorf("workers report to %v, shares are spread as %v", homes, n)
+		receivers := map[string]int{}
+		sim.forEachWorker(func(agent *worker.Worker) { receivers[agent.Homes[agent.Home]]++ })
+		if len(receivers) != 3 {
+			t.Errorf("agents send heartbeats to %v, connected machines %v", receivers, n)
 		}
 		sim.onController(leader, func(c *Controller) {
 			v := c.api.StateOverview(time.Now())
@@ -100,38 +100,36 @@
 			for _, p := range v.Parts {
 				for _, k := range p.Carried {
 					if delegated += k.Machines; !k.Active {
-						t.Errorf("%s does not ask: %+v", k.By, k)
+						t.Errorf("%s is not active: %+v", k.By, k)
 					}
 				}
 			}
 			if delegated != total-n[leader] || moves == 0 || v.Connected != n[leader] || v.Room != 6 {
-				t.Errorf("%d machines carried, %d moves, %d of %d connected; spread %v", delegated, moves, v.Connected, v.Room, n)
+				t.Errorf("%d machines delegated, %d moves, %d of %d connected; all connections %v", delegated, moves, v.Connected, v.Room, n)
 			}
 		})
 		sim.mu.Lock()
-		if relayed[leader] == 0 {
-			t.Error("no orders went by way of a carrier")
+		if forwarded[leader] == 0 {
+			t.Error("no commands were forwarded through a delegate")
 		}
 		sim.mu.Unlock()
 		sim.waitForAllJobs(4 * time.Minute)
 		sim.forEachWorker(func(agent *worker.Worker) {
 			if agent.Session != 1 {
-				t.Errorf("%s lost its lease: session %d", agent.Name, agent.Session)
+				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Session)
 			}
 		})
 	})
 }
 
-// An owner grants no longer than it may answer itself, and a report that comes twice, or
-// late, makes no machine look alive.
+// A leader's grants end no later than its own bound for answering, and a heartbeat that arrives
+// twice, or late, makes no machine look alive.
 func TestGrantsEndWithinTheLeadersAnswerBound(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 780, configureFewSockets, func(sim *simulatedCluster) {
 		partition := sim.startDelegation(9)
 		leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
-		sim.mu.Lock()
-		ctl := sim.controllers[leader].controller
-		sim.mu.Unlock()
+		ctl := sim.controllerOf(leader)
 		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
 			req := &peer.DelegationRequest{From: delegate, Nonce: "x", Partition: uint32(partition), Heartbeats: reports}
 			ctl.loop.Do(func() {
@@ -170,8 +168,8 @@
 		ask(0, raw)
 		ctl.loop.Do(func() {
 			m := ctl.Machines[name]
-			if heard := time.Since(m.LastHeardAt); heard < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
-				t.Errorf("heard %s ago, answered %s ago", heard, time.Since(m.AnsweredUntil))
+			if silent := time.Since(m.LastHeardAt); silent < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
+				t.Errorf("heard %s ago, answered %s ago", silent, time.Since(m.AnsweredUntil))
 			}
 		})
 		sim.forEachWorker(func(agent *worker.Worker) { agent.Hung = false })
@@ -179,14 +177,14 @@
 	})
 }
 
-// Whoever takes over more machines than its sockets should hold has others fence and carry
-// some of them from its first moment on.
+// A controller that takes over more machines than its sockets allow delegates fencing and
+// heartbeats of some of them from the first moment on.
 func TestTakeoverDelegatesAtOnce(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 790, configureFewSockets, func(sim *simulatedCluster) {
 		partition := sim.startDelegation(9)
 		lost := sim.leaderOf(partition)
-		direct, relayed := map[string]map[string]bool{}, 0
+		direct, forwarded := map[string]map[string]bool{}, 0
 		sim.mu.Lock()
 		sim.onRequest = func(from, host, target string, body []byte) bool {
 			sim.mu.Lock()
@@ -200,7 +198,7 @@
 			case proxy.ForwardPath:
 				req := new(peer.ForwardRequest)
 				panicOnError(proto.Unmarshal(body, req))
-				relayed += len(req.Commands)
+				forwarded += len(req.Commands)
 			}
 			return false
 		}
@@ -226,18 +224,18 @@
 			}
 		})
 		sim.mu.Lock()
-		own := len(direct[successor])
+		directCount := len(direct[successor])
 		sim.mu.Unlock()
-		if machines < 9 || fenced < machines || delegated == 0 || relayed == 0 || own >= machines {
-			t.Errorf("%d machines, %d fenced, %d shares carried, %d orders relayed, %d machines fenced by %s itself", machines, fenced, delegated, relayed, own, successor)
+		if machines < 9 || fenced < machines || delegated == 0 || forwarded == 0 || directCount >= machines {
+			t.Errorf("%d machines, %d fenced, %d shards delegated, %d commands forwarded, %d machines fenced by %s itself", machines, fenced, delegated, forwarded, directCount, successor)
 		}
 		sim.startController(lost)
 		sim.waitForAllJobs(6 * time.Minute)
 	})
 }
 
-// Messages that make no sense are refused, and those of another claim, which a carrier
-// of a former owner may send.
+// Malformed messages are refused, and those under another lease, which a delegate of a former
+// leader may send.
 func TestInvalidDelegationRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 760, configureFewSockets, func(sim *simulatedCluster) {
@@ -245,26 +243,24 @@
 		leader := sim.leaderOf(partition)
 		var lease uint64
 		sim.onController(leader, func(c *Controller) { lease = c.Partitions[partition].LeaseRevision })
-		sim.mu.Lock()
-		ctl := sim.controllers[leader].controller
-		sim.mu.Unlock()
+		ctl := sim.controllerOf(leader)
 		post := func(path string, body []byte) int {
 			return ctl.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: path, Body: body}).Status
 		}
-		carry := func(r *peer.DelegationRequest) int {
+		renew := func(r *peer.DelegationRequest) int {
 			body, err := proto.Marshal(r)
 			panicOnError(err)
 			return post(proxy.DelegationPath, body)
 		}
-		for what, got := range map[string]int{
-			"another claim":   carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease - 1}) - 409,
-			"no such part":    carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: 99, LeaseRevision: lease}) - 409,
-			"no message":      post(proxy.DelegationPath, []byte{1, 2, 3}) - 400,
-			"no orders":       post(proxy.ForwardPath, []byte{1, 2, 3}) - 400,
-			"reports of none": carry(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease, Heartbeats: [][]byte{{1}, nil}}) - 200,
+		for name, got := range map[string]int{
+			"another lease":                renew(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease - 1}) - 409,
+			"no such partition":            renew(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: 99, LeaseRevision: lease}) - 409,
+			"malformed delegation request": post(proxy.DelegationPath, []byte{1, 2, 3}) - 400,
+			"malformed forward request":    post(proxy.ForwardPath, []byte{1, 2, 3}) - 400,
+			"malformed heartbeats":         renew(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease, Heartbeats: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
-				t.Errorf("%s: status off by %d", what, got)
+				t.Errorf("%s: status off by %d", name, got)
 			}
 		}
 		many := &peer.ForwardRequest{From: "n1"}
@@ -274,7 +270,7 @@
 		body, err := proto.Marshal(many)
 		panicOnError(err)
 		if got := post(proxy.ForwardPath, body); got != 400 {
-			t.Errorf("too many orders: %d", got)
+			t.Errorf("too many commands: %d", got)
 		}
 		body, err = proto.Marshal(&peer.ForwardRequest{From: "n1", Commands: []*peer.ForwardedCommand{{Machine: "unheard of"}}})
 		panicOnError(err)
@@ -282,13 +278,13 @@
 		reply := new(peer.ForwardReply)
 		panicOnError(proto.Unmarshal(resp.Body, reply))
 		if len(reply.Results) != 1 || !reply.Results[0].Unsent {
-			t.Errorf("orders for a machine that nobody knows: %v", reply)
+			t.Errorf("commands for an unknown machine: %v", reply)
 		}
 		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
-// What a carrier may answer, and with what.
+// Which heartbeats a delegate may answer, and with which token.
 func TestGrantsEndWithThePartitionLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -307,15 +303,15 @@
 			clear(e.Unsent)
 		}
 		report := &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}
-		answers := func(what string, want int, token uint64) {
+		answers := func(name string, want int, token uint64) {
 			t.Helper()
 			resp := c.agents.HandleHeartbeat(report, []byte("body"))
 			var o protocol.Orders
 			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
-				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", what, resp.Status, o.Token, len(o.Commands), want, token)
+				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", name, resp.Status, o.Token, len(o.Commands), want, token)
 			}
-			if kept := string(e.Unsent["m-1"].Raw) == "body"; kept != (want == 200) {
-				t.Errorf("%s: answered %d, to be told %v", what, resp.Status, kept)
+			if unsent := string(e.Unsent["m-1"].Raw) == "body"; unsent != (want == 200) {
+				t.Errorf("%s: answered %d, kept to be forwarded %v", name, resp.Status, unsent)
 			}
 		}
 		answers("without a grant", 421, 0)
@@ -324,76 +320,76 @@
 		late := *report
 		report.Sequence = 9
 		c.agents.HandleHeartbeat(&late, []byte("late"))
-		answers("a newer report", 200, 3)
+		answers("a newer heartbeat", 200, 3)
 		late.Sequence = 8
 		if c.agents.HandleHeartbeat(&late, []byte("late")); string(e.Unsent["m-1"].Raw) != "body" || e.UnsentBytes != 4 {
-			t.Errorf("%q, %d bytes to be told", e.Unsent["m-1"].Raw, e.UnsentBytes)
+			t.Errorf("%q, %d bytes to be forwarded", e.Unsent["m-1"].Raw, e.UnsentBytes)
 		}
 		grant()
 		e.Shards[share], e.Shards[(share+1)%delegation.ShardCount] = false, true
-		answers("another share", 421, 0)
+		answers("another shard", 421, 0)
 		grant()
 		time.Sleep(time.Second)
-		answers("the grant is over", 421, 0)
+		answers("the grant has expired", 421, 0)
 		grant()
 		report.Token = 4
-		answers("the worker has seen a newer owner", 503, 0)
+		answers("the agent has seen a newer leader", 503, 0)
 		report.Token = 0
 		grant()
 		e.UnsentBytes = c.proxy.UnsentLimit
-		answers("too much is to be told", 503, 0)
+		answers("too many unsent bytes", 503, 0)
 		grant()
 		setLease(5, "n2", "y")
-		answers("another owner", 421, 0)
+		answers("another leader", 421, 0)
 		grant()
-		answers("granted by the other", 200, 5)
+		answers("granted by the other leader", 200, 5)
 		grant()
 		setLease(6, "n2", "y")
-		answers("the same owner under another claim", 421, 0)
+		answers("the same leader under another lease", 421, 0)
 		grant()
 		c.Draining = true
-		answers("about to end", 421, 0)
+		answers("draining", 421, 0)
 		c.Draining = false
 		grant()
 		setLease(7, "n0", c.Nonce)
 		if resp := c.agents.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.Unsent) > 0 {
-			t.Errorf("owned here: %d, %d reports to tell somebody", resp.Status, len(e.Unsent))
+			t.Errorf("led here: %d, %d heartbeats to forward", resp.Status, len(e.Unsent))
 		}
 	})
 }
 
-// Reports whose telling had no reply are told again, unless newer ones of the same
-// machines have come.
+// Heartbeats whose forwarding was not acknowledged are forwarded again, unless newer ones of
+// the same machines have arrived.
 func TestUnacknowledgedHeartbeatsAreForwardedAgain(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 770, configureFewSockets, func(sim *simulatedCluster) {
 		partition := sim.startDelegation(9)
 		delegate := sim.delegateOf(partition)
-		var lost, again map[string]bool
+		var lost, repeated map[string]bool
 		var after uint64
 		sim.mu.Lock()
 		sim.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			if from != delegate || target != proxy.DelegationPath || again != nil {
+			if from != delegate || target != proxy.DelegationPath || repeated != nil {
 				return false
 			}
-			req, told := new(peer.DelegationRequest), map[string]bool{}
+			req, forwarded := new(peer.DelegationRequest), map[string]bool{}
 			panicOnError(proto.Unmarshal(body, req))
 			for _, raw := range req.Heartbeats {
 				r := new(protocol.Heartbeat)
 				panicOnError(protocol.Decode(raw, r))
-				told[r.Machine] = true
+				forwarded[r.Machine] = true
 			}
 			switch {
-			case lost == nil && len(told) > 0:
-				lost, after = told, req.After
-				for name := range lost { // it says nothing more that could be told instead
+			case lost == nil && len(forwarded) > 0:
+				lost, after = forwarded, req.After
+				for name := range lost { // so that no newer heartbeat takes its place
 					sim.workers[name].Hung = true
 				}
 				return true
 			case lost != nil:
-				if again = told; req.After != after {
+				if repeated = forwarded; req.After != after {
 					t.Errorf("the next request follows reply %d, not %d", req.After, after)
 				}
 			}
@@ -402,12 +398,12 @@
 		sim.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		sim.mu.Lock()
-		if len(lost) == 0 || again == nil {
-			t.Errorf("lost %v, then %v", lost, again)
+		if len(lost) == 0 || repeated == nil {
+			t.Errorf("lost %v, then %v", lost, repeated)
 		}
 		for name := range lost {
-			if sim.workers[name].Hung = false; !again[name] {
-				t.Errorf("the report of %s is not told again", name)
+			if sim.workers[name].Hung = false; !repeated[name] {
+				t.Errorf("the heartbeat of %s is not forwarded again", name)
 			}
 		}
 		sim.mu.Unlock()
@@ -415,26 +411,26 @@
 	})
 }
 
-// A worker that is sent to its carrier before anybody has answered it holds its first
-// lease all the same: what was started on it is not over (6).
+// An agent that is redirected to its delegate before anybody has answered it holds its first
+// lease all the same: the attempts on it are not over (rule 6).
 func TestUnansweredAgentKeepsItsFirstLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := newIdleController(t)
 		defer end()
 		p, m := c.leadFirstPartition(5)
-		time.Sleep(time.Minute) // its boot
+		time.Sleep(time.Minute) // while it boots
 		now := time.Now()
 		c.RecordsAsOf, c.LeaseRenewedAt = now, now
 		p.Delegations.Assign(m.Shard, "n1")
-		// The carrier asks again and again, so that all that it answered is known.
+		// The delegate renews again and again, so that all that it answered is known.
 		for serial := range uint64(3) {
 			p.Delegations.Renew("n1", "x", serial, time.Minute, now.Add(-time.Second))
 		}
 		p.Delegations.Renew("n1", "x", 3, time.Minute, now)
 		report := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 1, Token: 5}
 		if resp := c.agents.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
-			t.Fatalf("status %d: not sent to its carrier", resp.Status)
+			t.Fatalf("status %d: not redirected to its delegate", resp.Status)
 		}
 		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
 		j.Load()
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -13,32 +13,34 @@
 
 var now = time.Unix(10_000, 0)
 
+// job returns a waiting job with a deadline and an estimated run time from now on, in seconds.
 func job(id string, dueS, runS float64) Job {
 	due := now.Add(time.Duration(dueS * float64(time.Second)))
 	return Job{ID: id, Urgency: protocol.Standard, Received: now, Due: due, Deadline: due, EstimateS: runS, Waiting: 1, Slots: 1, AtOnce: math.Inf(1)}
 }
 
+// Late jobs, starving jobs, urgencies and deadlines in the queue order.
 func TestOrder(t *testing.T) {
-	urgent, no, starving := job("urgent", 900, 5), job("no deadline", 50, 5), job("starving", -850, 50)
-	urgent.Urgency, no.Deadline = protocol.High, time.Time{}
+	urgent, noDeadline, starving := job("urgent", 900, 5), job("no deadline", 50, 5), job("starving", -850, 50)
+	urgent.Urgency, noDeadline.Deadline = protocol.High, time.Time{}
 	starving.Received = now.Add(-1000 * time.Second)
 	for name, c := range map[string]struct {
 		jobs []Job
 		want string
 	}{
-		"by deadline":                   {[]Job{job("b", 30, 5), job("a", 20, 5)}, "a b"},
-		"urgency first":                 {[]Job{job("a", 20, 5), urgent}, "urgent a"},
-		"the largest goes last":         {[]Job{job("large", 20, 18), job("small", 21, 6)}, "small large"},
-		"all can be in time":            {[]Job{job("large", 24, 18), job("small", 25, 6)}, "large small"},
-		"without a deadline by its due": {[]Job{job("a", 60, 5), no, job("b", 40, 5)}, "b no deadline a"},
-		"what starves is not passed by": {[]Job{job("a", 20, 5), starving}, "starving a"},
-		"equals by id":                  {[]Job{job("b", 20, 1), job("a", 20, 1)}, "a b"},
-		"no machine: by deadline": {func() []Job {
+		"by deadline":   {[]Job{job("b", 30, 5), job("a", 20, 5)}, "a b"},
+		"urgency first": {[]Job{job("a", 20, 5), urgent}, "urgent a"},
+		"the largest goes last if not all can be in time": {[]Job{job("large", 20, 18), job("small", 21, 6)}, "small large"},
+		"by deadline if all can be in time":               {[]Job{job("large", 24, 18), job("small", 25, 6)}, "large small"},
+		"without a deadline by its due time":              {[]Job{job("a", 60, 5), noDeadline, job("b", 40, 5)}, "b no deadline a"},
+		"a starving job goes first":                       {[]Job{job("a", 20, 5), starving}, "starving a"},
+		"equals by id":                                    {[]Job{job("b", 20, 1), job("a", 20, 1)}, "a b"},
+		"by deadline without machines": {func() []Job {
 			l := []Job{job("large", 20, 18), job("small", 21, 6)}
 			l[0].Slots, l[1].Slots = 0, 0
 			return l
 		}(), "large small"},
-		"the team's limit is a queue too": {func() []Job {
+		"the team's quota bounds parallel tasks": {func() []Job {
 			l := []Job{job("large", 20, 18), job("small", 21, 6)}
 			for i := range l {
 				l[i].Slots, l[i].AtOnce = math.Inf(1), 1
@@ -59,8 +61,8 @@
 	}
 }
 
-// Against all subsets of random jobs on one machine: as many are served first as can
-// be in time. The order does not hang on that of the list.
+// Compared with all subsets of random jobs on one machine, as many jobs are served first as can
+// meet their deadline. The result does not depend on the order of the input.
 func TestMostJobsMeetTheirDeadline(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -71,7 +73,7 @@
 			jobs = append(jobs, j)
 		}
 		list := Order(jobs, now)
-		most := 0
+		best := 0
 		for set := range 1 << len(jobs) {
 			var chosen []Job
 			for i := range jobs {
@@ -80,30 +82,30 @@
 				}
 			}
 			if n := inTime(chosen); n == len(chosen) {
-				most = max(most, n)
+				best = max(best, n)
 			}
 		}
 		var served []Job
 		for _, i := range list {
 			served = append(served, jobs[i])
 		}
-		if got := inTime(served[:most]); got != most {
-			t.Errorf("seed %d: %d of the first %d are in time", seed, got, most)
+		if got := inTime(served[:best]); got != best {
+			t.Errorf("seed %d: %d of the first %d are in time", seed, got, best)
 		}
 		swapped := append([]Job(nil), jobs...)
 		rng.Shuffle(len(swapped), func(a, b int) { swapped[a], swapped[b] = swapped[b], swapped[a] })
-		var again []string
+		var shuffledIDs []string
 		var first []string
 		for i, at := range Order(swapped, now) {
-			again, first = append(again, swapped[at].ID), append(first, served[i].ID)
+			shuffledIDs, first = append(shuffledIDs, swapped[at].ID), append(first, served[i].ID)
 		}
-		if !reflect.DeepEqual(first, again) {
-			t.Errorf("seed %d: %v of another list, %v before", seed, again, first)
+		if !reflect.DeepEqual(first, shuffledIDs) {
+			t.Errorf("seed %d: %v of another list, %v before", seed, shuffledIDs, first)
 		}
 	}
 }
 
-// inTime is how many of the jobs are in time, one after the other by deadline.
+// inTime returns how many of the jobs meet their deadline when run one after the other by deadline.
 func inTime(jobs []Job) int {
 	left := append([]Job(nil), jobs...)
 	at, n := 0.0, 0
--- a/internal/coordination/random_concurrent_faults_test.go
+++ b/internal/coordination/random_concurrent_faults_test.go
@@ -15,7 +15,7 @@
 	"micaspindle/internal/settings"
 )
 
-// drawFaultPlan draws troubles that overlap, two to four at a time.
+// drawFaultPlan draws faults that overlap, two to four at a time.
 func drawFaultPlan(seed uint64) (plan []plannedFault) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for pair := range 5 {
@@ -34,7 +34,7 @@
 	return plan
 }
 
-// runFaultPlan plays a plan beside users who submit, ask and withdraw.
+// runFaultPlan injects a plan's faults while users submit, poll and cancel jobs.
 func runFaultPlan(sim *simulatedCluster, seed uint64, plan []plannedFault) {
 	rng := rand.New(rand.NewPCG(seed, 78))
 	time.Sleep(2 * time.Second)
@@ -44,18 +44,18 @@
 			return time.Duration(3+(len(job)*7+task*5+int(job[len(job)-1]))%30) * time.Second
 		}
 	})
-	begun := time.Now()
-	over := make(chan struct{}, len(plan))
+	start := time.Now()
+	finished := make(chan struct{}, len(plan))
 	for _, m := range plan {
 		sim.group.Go(func() {
-			defer func() { over <- struct{}{} }()
-			sim.injectAtTrigger(m, begun, 5*time.Second)
+			defer func() { finished <- struct{}{} }()
+			sim.injectAtTrigger(m, start, 5*time.Second)
 		})
 	}
 	var ids []string
 	for i := range 40 {
 		time.Sleep(time.Duration(500+rng.IntN(4500)) * time.Millisecond)
-		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+rng.IntN(sim.jobTasksMax), []string{"red", "blue", "green"}[rng.IntN(3)])
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+rng.IntN(sim.jobTasksMax), allTeams[rng.IntN(3)])
 		s.Urgency = protocol.Urgency(rng.IntN(4))
 		switch rng.IntN(8) {
 		case 0:
@@ -74,7 +74,7 @@
 		late := rng.IntN(4) == 0
 		after := time.Duration(rng.IntN(9000)) * time.Millisecond
 		ids = append(ids, s.ID)
-		sim.withLock(func() { sim.jobs[s.ID] = &submittedJob{spec: s, tasksDone: map[int]bool{}} })
+		sim.withLock(func() { sim.jobs[s.ID] = newSubmittedJob(s) })
 		sim.group.Go(func() {
 			sim.submitUntilAccepted(s, first)
 			if late {
@@ -84,13 +84,13 @@
 		})
 	}
 	for range plan {
-		<-over
+		<-finished
 	}
 	sim.withLock(func() {
 		sim.lateTransactionShare, sim.duplicatedHeartbeatShare, sim.messageFaultRate, sim.cancelAtEnd, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, nil, 0
 	})
-	// More work may be waiting than five minutes take, behind a team's limit say; but as
-	// long as any waits, some of it must end.
+	// More work may be waiting than five minutes take, for example behind a team's quota; but
+	// as long as any waits, some of it must end.
 	for ended := -1; ; {
 		now := sim.countFinishedTasks()
 		if now == ended {
@@ -101,16 +101,16 @@
 	}
 	sim.waitForAllJobs(time.Minute)
 	for _, id := range ids {
-		for _, l := range []string{"n0", "n1", "n2"} {
+		for _, l := range allControllers {
 			sim.poll(l, id)
 		}
 	}
 }
 
-// longestTaskRunTime is how long the longest tasks of random meetings run.
+// longestTaskRunTime is the longest run time of a task in runFaultPlan.
 const longestTaskRunTime = 33 * time.Second
 
-// countFinishedTasks is how many tasks are done, or over with their cancelled jobs.
+// countFinishedTasks returns how many tasks are done, or over with their cancelled jobs.
 func (sim *simulatedCluster) countFinishedTasks() (n int) {
 	sim.withLock(func() {
 		for _, submitted := range sim.jobs {
@@ -122,22 +122,15 @@
 	return n
 }
 
-// seedRange is how many plans to play: MICASPINDLE_MEETINGS says it, and from which seed
-// on MICASPINDLE_MEETINGS_FROM; CI plays a few.
-func seedRange(few int) (from, count uint64) {
-	count = uint64(few)
-	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_MEETINGS")); err == nil {
-		count = uint64(n)
-	}
-	if n, err := strconv.Atoi(os.Getenv("MICASPINDLE_MEETINGS_FROM")); err == nil {
-		from = uint64(n)
-	}
-	return from, count
+// seedRange returns the first seed and the number of seeds to run: a few from 0 on, unless
+// MICASPINDLE_FAULT_PLANS and MICASPINDLE_FAULT_PLANS_FROM say otherwise.
+func seedRange(few uint64) (from, count uint64) {
+	return numberFromEnvironment(faultPlansFromVariable, 0), numberFromEnvironment(faultPlansVariable, few)
 }
 
-// clusterVariant is the world that a meeting takes place in: a small one, one whose owners let
-// others carry their machines' connections, one with many machines, and one in which a
-// controller is of a version that knows neither copies, shares nor cancellation notices.
+// clusterVariant returns the set-up for a seed: a small cluster, one whose leaders delegate
+// their machines, one with many machines, and one in which a controller is of a version without
+// replication, delegation and cancellation notices.
 func clusterVariant(seed uint64) func(sim *simulatedCluster) {
 	return func(sim *simulatedCluster) {
 		announceLowerLimits(sim)
@@ -156,12 +149,12 @@
 	}
 }
 
-// excludedFaults are the numbers of the meetings that MICASPINDLE_MEETINGS_WITHOUT names.
+// excludedFaults returns the indexes that MICASPINDLE_FAULT_PLANS_WITHOUT lists.
 func excludedFaults() []string {
-	return strings.Split(os.Getenv("MICASPINDLE_MEETINGS_WITHOUT"), ",")
+	return strings.Split(environment(faultPlansWithoutVariable), ",")
 }
 
-// withoutFaults is a plan less the meetings that drop names by number.
+// withoutFaults returns a plan less the faults at the listed indexes.
 func withoutFaults(plan []plannedFault, drop []string) (kept []plannedFault) {
 	for i, m := range plan {
 		if !slices.Contains(drop, strconv.Itoa(i)) {
@@ -171,14 +164,15 @@
 	return kept
 }
 
-// minimizePlan is what is left of a failing plan if meetings are left out one by one, as long as
-// the test still fails without them; each try is a run of its own.
+// minimizePlan leaves the faults of a failing plan out one by one, as long as the test still
+// fails without them; each try is a run of its own.
 func minimizePlan(t *testing.T, plan []plannedFault) []plannedFault {
+	t.Helper()
 	var drop []string
 	for i := range plan {
 		try := strings.Join(append(slices.Clone(drop), strconv.Itoa(i)), ",")
 		cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run", "^"+strings.ReplaceAll(t.Name(), "/", "$/^")+"$")
-		cmd.Env = append(os.Environ(), "MICASPINDLE_MEETINGS_WITHOUT="+try, "MICASPINDLE_MEETINGS_SHRINK=")
+		cmd.Env = append(os.Environ(), faultPlansWithoutVariable+"="+try, faultPlansMinimizeVariable+"=")
 		if cmd.Run() != nil {
 			drop = strings.Split(try, ",")
 		}
@@ -186,9 +180,9 @@
 	return withoutFaults(plan, drop)
 }
 
-// Random meetings: pairs of troubles drawn from a seed, while jobs are submitted, run and
-// are withdrawn. A plan that fails is printed as rows; with MICASPINDLE_MEETINGS_SHRINK set,
-// without those that it fails without.
+// Random plans of overlapping faults, drawn from a seed, while jobs are submitted, run and are
+// cancelled. A plan that fails is printed as rows; with MICASPINDLE_FAULT_PLANS_MINIMIZE set,
+// without the rows that it fails without.
 func TestRandomConcurrentFaults(t *testing.T) {
 	t.Parallel()
 	from, count := seedRange(12)
@@ -198,11 +192,11 @@
 			plan := withoutFaults(drawFaultPlan(seed), excludedFaults())
 			runConfiguredSimulation(t, 20_000+seed, clusterVariant(seed), func(sim *simulatedCluster) { runFaultPlan(sim, seed, plan) })
 			if t.Failed() {
-				if os.Getenv("MICASPINDLE_MEETINGS_SHRINK") != "" {
+				if environment(faultPlansMinimizeVariable) != "" {
 					plan = minimizePlan(t, plan)
 				}
-				for _, m := range plan {
-					t.Log(m)
+				for _, fault := range plan {
+					t.Log(fault)
 				}
 			}
 		})
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -13,9 +13,8 @@
 	"micaspindle/internal/standin/worker"
 )
 
-// The seeded storm: controllers are killed, messages lost, late or doubled,
-// the state service goes out, machines hang and vanish; no rule may break and
-// every job must end.
+// Random faults: controllers are killed, messages are lost, late or duplicated, the state store
+// goes down, machines hang and vanish; no safety rule may be violated and every job must end.
 func TestSafetyUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	seeds := 6
@@ -30,7 +29,7 @@
 	}
 }
 
-// announceLowerLimits lets the state service's limits fall some time after the start.
+// announceLowerLimits announces lower limits of the state store, which come into force later.
 func announceLowerLimits(sim *simulatedCluster) {
 	writes, kb, ops := 40.0, 2.0, 5
 	sim.settings.Params.State.Next = settings.NextState{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
@@ -50,7 +49,7 @@
 		sim.submit(newJobSpec("job-1000", 600, "green"))
 		runRandomFaults(sim)
 		if sim.cloud.Rented < 200 {
-			t.Errorf("only %d machines took part", sim.cloud.Rented)
+			t.Errorf("only %d machines were used", sim.cloud.Rented)
 		}
 	})
 }
@@ -63,7 +62,7 @@
 		return time.Duration(3+(len(job)*7+task*5)%15) * time.Second
 	}
 	sim.mu.Unlock()
-	teams := []string{"red", "blue", "green"}
+	teams := allTeams
 	dice := func(n int) int {
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
@@ -72,10 +71,10 @@
 	next := 0
 	for round := range 60 {
 		if round == 30 {
-			// What was announced comes into force.
-			sim.mu.Lock()
-			sim.state.Writes = rate.NewLimiter(rate.Limit(sim.settings.Params.State.Lower().WriteRPS), int(sim.settings.Params.State.Lower().WriteRPS))
-			sim.mu.Unlock()
+			// The announced limits come into force.
+			sim.withLock(func() {
+				sim.state.Writes = rate.NewLimiter(rate.Limit(sim.settings.Params.State.Lower().WriteRPS), int(sim.settings.Params.State.Lower().WriteRPS))
+			})
 		}
 		time.Sleep(time.Duration(500+dice(3000)) * time.Millisecond)
 		switch dice(8) {
@@ -83,7 +82,7 @@
 			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(sim.jobTasksMax), teams[dice(3)])
 			s.Spread, s.OneZone = dice(4) == 0, dice(6) == 0
 			s.Urgency = protocol.Urgency(dice(4))
-			// Some jobs wait for earlier ones, in whatever state those are.
+			// Some jobs depend on earlier ones, in whatever state those are.
 			for range dice(3) {
 				if id := fmt.Sprintf("job-%d", max(0, next-1-dice(6))); next > 0 && !slices.Contains(s.Dependencies, id) {
 					s.Dependencies = append(s.Dependencies, id)
@@ -106,7 +105,7 @@
 			time.Sleep(time.Duration(dice(9000)) * time.Millisecond)
 			sim.setOutage(false)
 		case 5:
-			// A machine hangs, for less or more than its lease, or for ever.
+			// A machine hangs, for less or more than its lease.
 			sim.mu.Lock()
 			var victim *worker.Worker
 			for _, agent := range sim.workers {
@@ -117,9 +116,7 @@
 				for6 := time.Duration(2000+sim.rng.IntN(12000)) * time.Millisecond
 				sim.group.Go(func() {
 					time.Sleep(for6)
-					sim.mu.Lock()
-					victim.Hung = false
-					sim.mu.Unlock()
+					sim.withLock(func() { victim.Hung = false })
 				})
 			}
 			sim.mu.Unlock()
@@ -133,8 +130,6 @@
 			}
 		}
 	}
-	sim.mu.Lock()
-	sim.messageFaultRate = 0
-	sim.mu.Unlock()
+	sim.setMessageFaultRate(0)
 	sim.waitForAllJobs(6 * time.Minute)
 }
--- a/internal/coordination/reassignment_test.go
+++ b/internal/coordination/reassignment_test.go
@@ -11,8 +11,8 @@
 	"micaspindle/internal/transport"
 )
 
-// A job that has not started goes on under another id in another queue, in one
-// step; one that has started stays.
+// A job that has not started is moved to another queue under another id, in one step; one that
+// has started stays.
 func TestReassignmentOfQueuedJobs(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 57, func(sim *simulatedCluster) {
@@ -22,9 +22,7 @@
 		sim.mu.Unlock()
 		add := func(s *protocol.JobSpec) {
 			sim.submit(s)
-			sim.mu.Lock()
-			sim.jobs[s.ID].cancelRequested = true
-			sim.mu.Unlock()
+			sim.withLock(func() { sim.jobs[s.ID].cancelRequested = true })
 		}
 		add(newJobSpecOfClass("job-1", "red", "match"))
 		add(newJobSpecOfClass("job-2", "red", "match"))
@@ -37,22 +35,18 @@
 			return sim.requestAs("person/root", "n1", "POST", "/submissions/"+id+"/reassign", protocol.Reassignment{As: as, Team: team})
 		}
 		moved := newJobSpecOfClass("job-11", "blue", "match")
-		sim.mu.Lock()
-		sim.jobs["job-11"] = &submittedJob{spec: moved, tasksDone: map[int]bool{}, acceptedAt: time.Now()}
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.jobs["job-11"] = newAcceptedJob(moved) })
 		sim.expectStatus(200, move("job-1", "job-11", "blue"))
-		sim.expectStatus(200, move("job-1", "job-11", "blue")) // asked again, also elsewhere
+		sim.expectStatus(200, move("job-1", "job-11", "blue")) // repeated, also at another controller
 		sim.expectStatus(200, sim.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
 		sim.expectStatus(409, move("job-1", "job-12", "blue"))
 		sim.expectStatus(409, move("job-2", "job-11", "blue"))
 		sim.expectStatus(422, move("job-2", "job-12", "nobody"))
-		sim.expectStatus(422, move("job-3", "job-13", "blue")) // another waits for it
+		sim.expectStatus(422, move("job-3", "job-13", "blue")) // another job depends on it
 		sim.expectStatus(400, move("job-2", "job-2", "blue"))
 		sim.expectStatus(400, move("job-2", "x", "blue"))
 		sim.expectStatus(404, move("job-77", "job-14", "blue"))
-		sim.mu.Lock()
-		sim.cloud.Capacity = 12
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.cloud.Capacity = 12 })
 		for sim.poll("", "job-2") != protocol.StatusRunning {
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -62,7 +56,7 @@
 		}
 		sim.waitForAllJobs(3 * time.Minute)
 		if st := sim.poll("n0", "job-11"); st != protocol.StatusDone {
-			t.Errorf("its successor is %s", st)
+			t.Errorf("the reassigned job is %s", st)
 		}
 		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
 			t.Errorf("%d records of one reassignment", n)
@@ -70,8 +64,8 @@
 	})
 }
 
-// A reassignment that crosses the job's first start: one of them wins, and no
-// task of a moved job ever starts. Started checks the queue's limits and places.
+// A reassignment races with the job's first start: one of them wins, and no task of a
+// reassigned job ever starts. Started checks quotas and placement constraints.
 func TestReassignmentRacesWithTheFirstStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(60); seed < 64; seed++ {
@@ -80,7 +74,7 @@
 			rng := rand.New(rand.NewPCG(seed, 1))
 			sim.runTime = func(string, int, string) time.Duration { return 2 * time.Second }
 			sim.mu.Unlock()
-			first := newJobSpecOfClass("job-1000", "red", "match") // brings machines up
+			first := newJobSpecOfClass("job-1000", "red", "match") // boots machines
 			sim.submit(first)
 			sim.waitForAllJobs(time.Minute)
 			won, lost := 0, 0
@@ -91,7 +85,7 @@
 				as := fmt.Sprintf("job-%d", 100+i)
 				sim.mu.Lock()
 				sim.jobs[s.ID].cancelRequested = true
-				sim.jobs[as] = &submittedJob{spec: newJobSpecOfClass(as, "blue", "match"), tasksDone: map[int]bool{}, acceptedAt: time.Now()}
+				sim.jobs[as] = newAcceptedJob(newJobSpecOfClass(as, "blue", "match"))
 				sim.mu.Unlock()
 				resp := sim.requestAs("person/root", fmt.Sprintf("n%d", i%3), "POST", "/submissions/"+s.ID+"/reassign", protocol.Reassignment{As: as, Team: "blue"})
 				sim.mu.Lock()
--- a/internal/coordination/replication_test.go
+++ b/internal/coordination/replication_test.go
@@ -17,9 +17,9 @@
 	"micaspindle/internal/storage"
 )
 
-// standbyOf is the controller that keeps a whole copy of a part, "" if none does.
+// standbyOf returns the controller that has a complete replica of a partition, "" if none has.
 func (sim *simulatedCluster) standbyOf(partition int) (label string) {
-	for _, l := range []string{"n0", "n1", "n2"} {
+	for _, l := range allControllers {
 		sim.onController(l, func(c *Controller) {
 			if replica := c.replicator.Replicas[partition]; replica != nil && replica.Records.Revision() != 0 && c.NamedStandby(c.Partitions[partition]) == l {
 				label = l
@@ -29,7 +29,7 @@
 	return label
 }
 
-// partitionSnapshot is what an owner holds of a part, for comparing.
+// partitionSnapshot returns a leader's state of a partition, for comparison.
 func (c *Controller) partitionSnapshot(p *cluster.Partition) map[string]string {
 	out := map[string]string{}
 	for id, j := range c.Jobs {
@@ -58,8 +58,8 @@
 	return out
 }
 
-// A copy that followed the records comes to the same state as reading them anew, whatever
-// the records, and whatever of jobs and machines is known when it is used.
+// A replica that followed the records yields the same state as reading them again, whatever the
+// records, and whichever jobs and machines are known when it is used.
 func TestReplicaEqualsAListing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -72,9 +72,9 @@
 		index := p[0].Index
 		for i := range 12 {
 			for k, c := range two {
-				if i == 0 { // moved elsewhere since
+				if i == 0 { // moved to another partition since
 					c.addMachine(c.Partitions[(index+1)%3], "m-0", "big")
-				} else if i < 11 { // the last is not on record any more
+				} else if i < 11 { // the last is no longer recorded
 					c.addMachine(p[k], fmt.Sprint("m-", i), "big")
 				}
 			}
@@ -84,7 +84,7 @@
 			id := fmt.Sprint("job-", i)
 			tasks[id] = 1 + rng.IntN(150)
 			for _, c := range two {
-				if i > 0 { // of the first only the record of its run is known
+				if i > 0 { // of the first only its run record is known
 					c.addQueuedJob(id, tasks[id])
 				}
 			}
@@ -120,24 +120,24 @@
 			}
 			return all
 		}
-		complain := func(what string, args ...any) { t.Error(what, args) }
+		logError := func(what string, args ...any) { t.Error(what, args) }
 		for range 20 {
 			write()
 		}
 		warm, cold := replication.NewReplica(index, time.Now()), replication.NewReplica(index, time.Now())
-		warm.StartFrom(complain, listing(), rev, time.Now())
+		warm.StartFrom(logError, listing(), rev, time.Now())
 		at := rev
 		for range 30 {
 			from := len(events)
 			for range rng.IntN(5) {
 				write()
 			}
-			if !warm.Apply(complain, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
+			if !warm.Apply(logError, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
 				t.Fatal("a gap")
 			}
 			at = rev
 		}
-		cold.StartFrom(complain, listing(), rev, time.Now())
+		cold.StartFrom(logError, listing(), rev, time.Now())
 		if seed%3 == 0 {
 			for _, c := range two {
 				c.jobs.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
@@ -145,7 +145,7 @@
 		}
 		for _, c := range two {
 			for _, m := range c.Machines {
-				m.PendingCommands = 1 // nothing is sent here
+				m.PendingCommands = 1 // no command is sent
 			}
 		}
 		two[0].takeover.Install(p[0], warm, nil, true)
@@ -153,11 +153,11 @@
 		a, b := two[0].partitionSnapshot(p[0]), two[1].partitionSnapshot(p[1])
 		for k := range b {
 			if a[k] != b[k] {
-				t.Fatalf("seed %d: %s is %s from the copy, %s from the listing", seed, k, a[k], b[k])
+				t.Fatalf("seed %d: %s is %s from the replica, %s from the listing", seed, k, a[k], b[k])
 			}
 		}
 		if a["miscounted"] != "" {
-			t.Fatalf("seed %d: room on %s", seed, a["miscounted"])
+			t.Fatalf("seed %d: wrong usage of %s", seed, a["miscounted"])
 		}
 		if len(a) != len(b) || len(a) < 20 {
 			t.Fatalf("seed %d: %d and %d entries", seed, len(a), len(b))
@@ -165,17 +165,18 @@
 	}
 }
 
-// What comes of the tale late, twice, out of order or from an owner of before changes
-// nothing; after a gap it goes on from what is known; its size is bounded.
+// Replica updates that arrive late, twice, out of order or from a former leader change nothing;
+// after a gap the sender continues from what was acknowledged; the size of a message is
+// bounded.
 func TestReplicaUpdatesApplyInOrder(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	var h replication.ReceivedUpdates
-	began := map[replication.AttemptID]time.Time{}
-	told := func(k replication.AttemptID, at time.Time) { began[k] = at }
-	say := func(lease, since, upto uint64, job string) uint64 {
+	starts := map[replication.AttemptID]time.Time{}
+	noteStart := func(k replication.AttemptID, at time.Time) { starts[k] = at }
+	apply := func(lease, since, upto uint64, job string) uint64 {
 		return h.Apply(&peer.ReplicaUpdate{From: "n0", Nonce: "x", LeaseRevision: lease, After: since, Through: upto,
-			Attempts: []*peer.AttemptStart{{Job: job, Attempt: 1, RunningS: 2}}}, told, now)
+			Attempts: []*peer.AttemptStart{{Job: job, Attempt: 1, RunningS: 2}}}, noteStart, now)
 	}
 	for i, c := range []struct {
 		lease, since, upto, want uint64
@@ -186,19 +187,19 @@
 		{5, 6, 8, 4, false}, // a gap
 		{5, 4, 8, 8, true},
 		{5, 0, 4, 8, false},  // late
-		{4, 0, 9, 0, false},  // an owner of before
-		{6, 8, 12, 0, false}, // a new claim begins anew
+		{4, 0, 9, 0, false},  // a former leader
+		{6, 8, 12, 0, false}, // a new lease starts over
 		{6, 0, 3, 3, true},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := say(c.lease, c.since, c.upto, job); got != c.want {
-			t.Errorf("%d: known up to %d, want %d", i, got, c.want)
+		if got := apply(c.lease, c.since, c.upto, job); got != c.want {
+			t.Errorf("%d: acknowledged %d, want %d", i, got, c.want)
 		}
-		if at, took := began[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
-			t.Errorf("%d: taken in %v, began %s ago", i, took, now.Sub(at))
+		if at, took := starts[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
+			t.Errorf("%d: applied %v, started %s ago", i, took, now.Sub(at))
 		}
 	}
-	// A message holds so much, and all of it comes in the end.
+	// A message is bounded, and everything is sent in the end.
 	const machines, tasks = 2000, 80_000
 	c, p := newLeadingController(t)
 	for i := range machines {
@@ -226,15 +227,15 @@
 		p.Replication.Acknowledged = replica.Updates.Apply(msg, replica.Derived.NoteStart, now)
 	}
 	if messages != 3 || len(replica.Updates.Machines) != machines {
-		t.Errorf("%d messages told %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
+		t.Errorf("%d messages with %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
 	}
 	if again := c.replicator.PartitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
-		t.Errorf("told again: %d attempts, %d machines", len(again.Attempts), len(again.Machines))
+		t.Errorf("sent again: %d attempts, %d machines", len(again.Attempts), len(again.Machines))
 	}
 }
 
-// That an attempt was told to have begun is no report of its running: it counts from then
-// on only once its machine says so.
+// A replicated start time is no report that the attempt runs: it counts from then on only once
+// its machine reports it.
 func TestReplicatedStartIsNoReportOfRunning(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -246,7 +247,7 @@
 	a := j.LiveAttempts[0]
 	a.State, a.Inherited = cluster.AttemptCommitted, true
 	if !c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 2}, now) {
-		t.Error("told of this attempt and of another")
+		t.Error("applied the start of this attempt and of another")
 	}
 	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunningS(now) != 20 {
 		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -17,15 +17,16 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%s: ", time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)))+fmt.Sprintf(format, args...))
 }
 
-// checkLeaseWrite sees that nobody takes a claim that another still holds: its owner
-// might go on answering workers for longer than its successor expects.
+// checkLeaseWrite checks that no controller acquires a lease that another still holds: its
+// leader might go on answering heartbeats for longer than its successor expects.
 func (sim *simulatedCluster) checkLeaseWrite(c protocol.Change, old protocol.Item, held bool) {
 	var record storage.Lease
 	if kind, _ := storage.ParseKey(c.Put); (kind == storage.KindLease || kind == storage.KindLeadership) && storage.Decode(c.Value, &record) == nil {
-		// Not that the record is of this life still: a late claim of a process that ended
-		// may come after its next life's record, on a lease that has not run out yet (44).
+		// The holder's incarnation need not be the latest: a late lease write of a process that
+		// ended may follow the record of its next incarnation, on a lease that has not expired
+		// yet (rule 44).
 		if !sim.incarnations[lease.IncarnationID{Label: record.Holder, Nonce: record.Nonce}] {
-			sim.recordViolation("%s claimed before the record of its owner's life", c.Put)
+			sim.recordViolation("%s acquired before its holder's incarnation record", c.Put)
 		}
 	}
 	kind, label := storage.ParseKey(c.Put)
@@ -42,18 +43,20 @@
 	panicOnError(storage.Decode(old.Value, &before))
 	panicOnError(storage.Decode(c.Value, &after))
 	if before.Holder != after.Holder {
-		sim.recordViolation("claim %s of %s taken by %s", c.Put, before.Holder, after.Holder)
+		sim.recordViolation("lease %s of %s taken by %s", c.Put, before.Holder, after.Holder)
 	}
 }
 
-// checkFinalStateWrite sees that how a job ended is written once: controllers answer it from memory (15).
+// checkFinalStateWrite checks that a job's final state is written once: controllers answer it
+// from memory (rule 15).
 func (sim *simulatedCluster) checkFinalStateWrite(c protocol.Change, exists bool) {
 	if kind, job := storage.ParseKey(c.Put); kind == storage.KindFinal && exists {
-		sim.recordViolation("the end of %s is written twice", job)
+		sim.recordViolation("the final state of %s is written twice", job)
 	}
 }
 
-// checkReleasedLeases sees that whoever writes that it gave claims up acts under none of them.
+// checkReleasedLeases checks that a controller that records released leases acts under none of
+// them.
 func (sim *simulatedCluster) checkReleasedLeases(label string, value []byte) {
 	var incarnation storage.Incarnation
 	panicOnError(storage.Decode(value, &incarnation))
@@ -64,7 +67,7 @@
 	n.controller.loop.Do(func() {
 		for _, r := range incarnation.Released {
 			if p := n.controller.Partitions[r.Partition]; p.Held && p.LeaseRevision == r.LeaseRevision {
-				sim.violations = append(sim.violations, fmt.Sprintf("%s gives part %d up and acts for it", label, r.Partition))
+				sim.violations = append(sim.violations, fmt.Sprintf("%s releases partition %d and still leads it", label, r.Partition))
 			}
 		}
 	})
@@ -77,7 +80,7 @@
 	}
 }
 
-// Running checks that a withdrawn job's tasks go away in time.
+// Running checks that a cancelled job's tasks are gone in time.
 func (sim *simulatedCluster) Running(agent *worker.Worker, t *worker.Task, now time.Time) {
 	submitted := sim.jobs[t.Job]
 	if !submitted.cancelledAt.IsZero() && now.Sub(submitted.cancelledAt) > settings.Seconds(sim.settings.Params.Workers.CancelS) {
@@ -85,7 +88,7 @@
 	}
 }
 
-// Started checks the rules at the moment a task comes onto its machine.
+// Started checks the safety rules at the moment a task starts on its machine.
 func (sim *simulatedCluster) Started(agent *worker.Worker, t *worker.Task) {
 	submitted, index := sim.jobs[t.Job], t.Index
 	s := submitted.spec
@@ -96,8 +99,8 @@
 	}
 	usage, zone := 0.0, 0
 	for _, other := range sim.workers {
-		// A machine that hung beyond its lease won't go on with its tasks; it
-		// forgets them when it wakes.
+		// A machine that hung beyond its lease will not continue its tasks; it drops them when
+		// it wakes.
 		dead := time.Since(other.LeaseFrom).Seconds() > sim.settings.Params.Workers.LeaseS
 		for _, otherTask := range other.Tasks {
 			if !otherTask.Running || dead {
@@ -139,13 +142,13 @@
 	}
 }
 
-// startRecorded says whether a start stands in the state service, with the lock
-// held: no commit, no start.
+// startRecorded reports whether a start is recorded in the state store: no commit, no start.
+// The lock is held.
 func (sim *simulatedCluster) startRecorded(c protocol.Command, agent *worker.Worker) bool {
 	id, task, _ := protocol.ParseTask(c.Task)
 	for key, it := range sim.state.Items {
 		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
-			continue // without taking the key apart, as most are others'
+			continue // without parsing the key, as most are of other jobs
 		}
 		if job, _, err := storage.ParseRunKey(key); err != nil || job != id {
 			continue
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -18,8 +18,9 @@
 		{Name: "small", CPUs: 8, MemGB: 16, Price: 1.2, SpotPrice: 0.2, BootS: 5, ZonesOffered: []string{"a"}}}
 )
 
-func testView(parts int) View {
-	v := View{Now: now, Partitions: make([]Partition, parts), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
+// testView returns the view of a cluster whose partitions are all known and have no demands.
+func testView(partitions int) View {
+	v := View{Now: now, Partitions: make([]Partition, partitions), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
 		IdleSpot: time.Minute, IdleOrdinary: 20 * time.Second}
 	for i := range v.Partitions {
 		v.Partitions[i].Known = true
@@ -27,15 +28,18 @@
 	return v
 }
 
-func (v *View) machine(name string, part, typ int, spot bool) *Machine {
-	v.Machines = append(v.Machines, Machine{Name: name, Partition: part, Kind: binpack.MachineKind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serving: true})
+// machine adds a machine to a partition.
+func (v *View) machine(name string, partition, typ int, spot bool) *Machine {
+	v.Machines = append(v.Machines, Machine{Name: name, Partition: partition, Kind: binpack.MachineKind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serving: true})
 	return &v.Machines[len(v.Machines)-1]
 }
 
+// demand returns a demand for tasks of so many CPUs, without urgency.
 func demand(count int, cpus float64) Demand {
 	return Demand{Constraints: binpack.Constraints{Spot: true}, Resources: binpack.Resources{CPUs: cpus, MemGB: 1}, Count: count, EstimateS: 10, SlackS: 1000}
 }
 
+// Moves, scale-outs, terminations and adoptions, case by case.
 func TestDecide(t *testing.T) {
 	spot := func(typ string) binpack.MachineKind { return binpack.MachineKind{Type: typ, Zone: "a", Spot: true} }
 	for name, c := range map[string]struct {
@@ -43,11 +47,11 @@
 		want Plan
 	}{
 		"nothing to do": {func(v *View) {}, Plan{}},
-		"an idle machine moves rather than one is rented": {func(v *View) {
+		"an idle machine is moved before a scale-out": {func(v *View) {
 			v.machine("m", 0, 1, true).Idle = true
 			v.Partitions[1].Demands = []Demand{demand(4, 2)}
 		}, Plan{Moves: []Move{{"m", 0, 1}}}},
-		"not to another part while its own has work for it": {func(v *View) {
+		"not to another partition while its own has work for it": {func(v *View) {
 			v.machine("m", 0, 1, true).Idle = true
 			v.Partitions[0].Demands, v.Partitions[1].Demands = []Demand{demand(4, 2)}, []Demand{demand(4, 2)}
 			v.ScalingOut[0], v.ScalingOut[1] = true, true
@@ -59,15 +63,15 @@
 		}, Plan{ScaleOuts: []ScaleOut{{spot("small"), 1, 1}}}},
 		"the cheapest for each task": {func(v *View) { v.Partitions[0].Demands = []Demand{demand(9, 4)} },
 			Plan{ScaleOuts: []ScaleOut{{spot("small"), 0, 5}}}},
-		"one request at a time for a part": {func(v *View) {
+		"one scale-out at a time for a partition": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(9, 4)}
 			v.ScalingOut[0] = true
 		}, Plan{}},
-		"what was refused is not asked for": {func(v *View) {
+		"a refused kind is not requested": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(2, 4)}
 			v.RefusedCapacity[spot("small")] = now.Add(time.Second)
 		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
-		"ordinary where there is no time to wait": {func(v *View) {
+		"on-demand where there is no time to wait for spot": {func(v *View) {
 			d := demand(1, 4)
 			d.SlackS = 12
 			v.Partitions[0].Demands = []Demand{d}
@@ -75,39 +79,39 @@
 				v.RefusedCapacity[k] = now.Add(time.Second)
 			}
 		}, Plan{ScaleOuts: []ScaleOut{{binpack.MachineKind{Type: "small", Zone: "a"}, 0, 1}}}},
-		"a type that choosier work needs comes last": {func(v *View) {
+		"a type that less flexible jobs need comes last": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(2, 4)}
 			v.Scarcity.Note("small", 1)
 		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
-		"given up, and not returned as well": {func(v *View) {
+		"terminated, and not scaled in as well": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
 			m.Idle, m.Quarantined, m.IdleS = true, true, 1000
 		}, Plan{Terminate: []Termination{{"m", "faulty"}}}},
-		"not twice": {func(v *View) {
+		"not terminated twice": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
 			m.Lost, m.DeletingSince = true, now.Add(-time.Second)
 		}, Plan{}},
-		"an ordinary machine is returned sooner": {func(v *View) {
+		"an on-demand machine is returned sooner": {func(v *View) {
 			for _, spot := range []bool{false, true} {
 				m := v.machine(fmt.Sprint("m ", spot), 0, 1, spot)
 				m.Idle, m.IdleS = true, 30
 			}
 		}, Plan{ScaleIns: []string{"m false"}}},
-		"none while a part is silent: it may want it": {func(v *View) {
+		"no scale-in while a partition is unknown": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
 			m.Idle, m.IdleS = true, 30
 			v.Partitions[1].Known = false
 		}, Plan{}},
-		"its first minute is paid": {func(v *View) {
+		"no scale-in within the first paid minute": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
 			m.Idle, m.IdleS, m.Recorded = true, 30, now.Add(-40*time.Second)
 		}, Plan{}},
-		"strays go where least is, work first": {func(v *View) {
+		"unrecorded machines go to the partition with work, then to the smallest": {func(v *View) {
 			v.machine("m", 0, 1, false)
 			v.Partitions = append(v.Partitions, Partition{Known: true, Demands: []Demand{{}}})
 			v.Unrecorded = []Unrecorded{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", Tried: now}}
 		}, Plan{Adopt: []Adoption{{"s-1", 2}, {"s-2", 1}}}},
-		"a stray waits while its rental may be unanswered": {func(v *View) {
+		"an unrecorded machine waits while a scale-out may be unanswered": {func(v *View) {
 			v.ScalingOut[0] = true
 			v.Unrecorded = []Unrecorded{{Name: "s"}}
 		}, Plan{AdoptLater: []string{"s"}}},
@@ -120,8 +124,8 @@
 	}
 }
 
-// Random views: the same view gives the same plan and is not changed; no machine is
-// given two orders; no part is rented more than its demands need one by one.
+// Random views: the same view gives the same plan and is not changed; no machine gets two
+// actions; no partition is scaled out by more machines than it has waiting tasks.
 func TestPlansRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		build := func() View {
@@ -152,19 +156,19 @@
 		if again := Decide(build()); !reflect.DeepEqual(plan, again) {
 			t.Fatalf("seed %d: another plan of the same view", seed)
 		}
-		orders := map[string]int{}
+		actions := map[string]int{}
 		for _, d := range plan.Terminate {
-			orders[d.Name]++
+			actions[d.Name]++
 		}
 		for _, m := range plan.Moves {
-			orders[m.Name]++
+			actions[m.Name]++
 		}
 		for _, name := range plan.ScaleIns {
-			orders[name]++
+			actions[name]++
 		}
-		for name, n := range orders {
+		for name, n := range actions {
 			if n > 1 {
-				t.Errorf("seed %d: %s has %d orders: %+v", seed, name, n, plan)
+				t.Errorf("seed %d: %s has %d actions: %+v", seed, name, n, plan)
 			}
 		}
 		for _, r := range plan.ScaleOuts {
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -20,9 +20,9 @@
 
 var updatePlans = flag.Bool("update", false, "write testdata/plans.txt anew")
 
-// The plans for some hundred random worlds, against those on record: order of work,
-// placement, preemption, moves, rentals, returns. Guards against a change of behaviour
-// where none is meant; one that is meant writes them anew: go test -run TestPlans -update
+// The decisions for 120 random clusters, compared with a golden file: queue order, placement,
+// preemption, moves, scale-outs, scale-ins. Guards against unintended changes of behaviour;
+// after an intended one, rewrite the file: go test -run TestSchedulingDecisions -update
 func TestSchedulingDecisionsMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	const file = "testdata/plans.txt"
@@ -62,9 +62,10 @@
 	}
 }
 
-// describePlans makes a world from a seed and tells what is planned for it. Idle machines
-// of a part are of one kind, so that the order among equals does not show.
+// describePlans makes a cluster from a seed and describes what is decided for it. Idle machines
+// of a partition are of one kind, so that the order among equals does not show.
 func describePlans(t *testing.T, seed uint64) string {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
 	sim := newSimulatedCluster(t, 3)
 	sim.settings.Label = "n0"
@@ -170,13 +171,13 @@
 	for p, n := range moved {
 		fleet = append(fleet, fmt.Sprintf("move %d from %d", n, p))
 	}
-	away := map[string]int{}
+	deleting := map[string]int{}
 	for name := range c.Leadership.Deleting {
 		m := c.Machines[name]
-		away[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
+		deleting[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
 	}
-	for what, n := range away {
-		fleet = append(fleet, fmt.Sprintf("give %d of %s", n, what))
+	for kind, n := range deleting {
+		fleet = append(fleet, fmt.Sprintf("give %d of %s", n, kind))
 	}
 	slices.Sort(fleet)
 	fmt.Fprintf(&out, " fleet: %s\n", strings.Join(fleet, ", "))
--- a/internal/coordination/scheduling_policy_test.go
+++ b/internal/coordination/scheduling_policy_test.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/storage"
 )
 
-// By deadline alone, a backlog makes every job late; the largest goes last.
+// By deadline alone, a backlog would make every job late; the largest job goes last.
 func TestBacklogQueuesTheLargestJobLast(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Small tasks must not fill the machines that waiting large ones need while
-// there is another place for them.
+// Small tasks must not fill the machines that waiting large ones need while other machines are
+// free for them.
 func TestScarceMachineTypesAreLeftToJobsThatNeedThem(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -59,8 +59,7 @@
 	}
 }
 
-// A machine that is long overdue may never come up: waiting work must not
-// count on it.
+// A machine that is long overdue may never boot: waiting jobs must not count on it.
 func TestOverdueMachinesDoNotCountAsCapacity(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -78,16 +77,16 @@
 			count += d.Count
 		}
 		if count != tc.want {
-			t.Errorf("rented %s ago: %d tasks find no room, want %d", tc.age, count, tc.want)
+			t.Errorf("requested %s ago: %d tasks find no capacity, want %d", tc.age, count, tc.want)
 		}
 	}
 }
 
-// Jobs of one team must not each claim all that its limit leaves.
+// Jobs of one team must not each demand all that its quota leaves.
 func TestDemandsShareTheTeamQuota(t *testing.T) {
 	t.Parallel()
 	c, _ := newLeadingController(t)
-	p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]] // limit 32: eight tasks
+	p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]] // quota 32: eight tasks
 	c.addJob(newJobSpec("job-1", 6, "red"))
 	c.addJob(newJobSpec("job-2", 6, "red"))
 	count := uint32(0)
@@ -99,8 +98,8 @@
 	}
 }
 
-// Where only the team's limit keeps urgent work waiting, the team's own lower
-// work saves and makes room.
+// Where only the team's quota keeps urgent jobs waiting, the team's own jobs of lower urgency
+// are checkpointed and preempted.
 func TestPreemptionWithinATeamQuota(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 23, func(sim *simulatedCluster) {
@@ -111,7 +110,7 @@
 			return 5 * time.Second
 		}
 		time.Sleep(2 * time.Second)
-		low := newJobSpec("job-1", 8, "red") // all of its 32 CPUs
+		low := newJobSpec("job-1", 8, "red") // the whole quota of 32 CPUs
 		low.EstimateS, low.DeadlineS, low.CheckpointS, low.SaveS = 120, 600, 5, 1
 		sim.submit(low)
 		time.Sleep(30 * time.Second)
@@ -126,27 +125,27 @@
 	})
 }
 
-// Guards against a fall of users' figures by 0.01: a job that came to want something
-// while the order was kept was served last, so that lower work took the room first, and
-// its ends, which free its team's room, went on record a batch later.
+// Guards against a measured loss of 0.01 in service quality: a job that was queued again while
+// the queue order was cached was served last, so that lower urgencies took the machines first,
+// and its ends, which free its team's quota, were recorded a batch later.
 func TestRequeuedJobKeepsItsQueuePosition(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
 	high, low := newJobSpec("job-1", 1, "green"), newJobSpec("job-2", 1, "green")
 	high.Urgency = protocol.High
 	first, second := c.addJob(high), c.addJob(low)
-	first.Pending, first.RecordsChanged = nil, false // all of it runs, and is on record
+	first.Pending, first.RecordsChanged = nil, false // all of it runs, and is recorded
 	if list := c.scheduler.Queue(p); len(list) != 1 || list[0] != second {
-		t.Fatalf("%d jobs want something", len(list))
+		t.Fatalf("%d jobs are queued", len(list))
 	}
 	first.Requeue(0)
 	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
-		t.Error("a task that waits again is served after lower work")
+		t.Error("a requeued task is served after lower urgency")
 	}
 	p.QueueOrder, first.Pending = nil, nil
 	c.scheduler.Queue(p)
 	first.MarkDirty(0, false, time.Now())
 	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
-		t.Error("a record that changed is written after lower work's")
+		t.Error("a changed record is written after lower urgency")
 	}
 }
