--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	runSimulation(t, 2, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		// First a machine that is free but not allowed: spot, small, zone a.
+		// First boot a machine that is free but not allowed: spot, small, zone a.
 		sim.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
 		first := newJobSpec("job-9", 1, "blue")
 		first.CPUs, first.Zone = 1, "a"
@@ -46,7 +46,7 @@
 	t.Parallel()
 	runSimulation(t, 3, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		// 32 CPUs at most, so 8 of 24 tasks at a time.
+		// The quota of 32 CPUs allows 8 of 24 tasks at a time.
 		sim.submit(newJobSpec("job-1", 24, "red"))
 		sim.killController("n0")
 		time.Sleep(10 * time.Second)
@@ -55,14 +55,14 @@
 	})
 }
 
-// A rental whose answer was lost is repeated under its name, so that nothing
-// is rented twice; what turns up without a record is adopted.
+// A scale-out whose response was lost is repeated under the same request name, so that no
+// machine is rented twice; machines without a record are adopted.
 func TestScaleOutRetriesAreIdempotent(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 16, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		// Only answers to rentals are lost: what else is lost could ask for more
-		// machines by right, and did in one run of forty.
+		// Only responses to scale-outs are lost: other losses could legitimately require more
+		// machines, as in one run of forty.
 		var lost atomic.Int32
 		sim.mu.Lock()
 		sim.onResponse = func(_, host, target string, _ []byte, _ *transport.Response) bool {
@@ -83,15 +83,13 @@
 	})
 }
 
-// A job that fails on every machine must not burn the fleet, and a machine on
-// which different jobs fail is returned.
+// A job that fails on every machine must not wear out the fleet, and a machine on which
+// different jobs fail is returned.
 func TestFailingJobsBackOffAndFaultyMachinesAreReplaced(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 10, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.mu.Lock()
-		sim.fails = func(job string, _ int, _ string) bool { return job == "job-13" }
-		sim.mu.Unlock()
+		sim.withLock(func() { sim.fails = func(job string, _ int, _ string) bool { return job == "job-13" } })
 		sim.submit(newJobSpec("job-13", 2, "red"))
 		sim.submit(newJobSpec("job-2", 4, "blue"))
 		time.Sleep(2 * time.Minute)
@@ -107,13 +105,13 @@
 		}
 		sim.cancelJob("job-13")
 
-		var sick string
+		var faulty string
 		sim.mu.Lock()
 		sim.fails = func(_ string, _ int, machine string) bool {
-			if sick == "" {
-				sick = machine
+			if faulty == "" {
+				faulty = machine
 			}
-			return machine == sick
+			return machine == faulty
 		}
 		sim.mu.Unlock()
 		for i := range 6 {
@@ -123,14 +121,14 @@
 		time.Sleep(20 * time.Second)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		if sick != "" && sim.workers[sick] != nil && sim.workers[sick].Starts > 8 {
-			t.Errorf("%s fails everything, was given %d tasks and is still there", sick, sim.workers[sick].Starts)
+		if faulty != "" && sim.workers[faulty] != nil && sim.workers[faulty].Starts > 8 {
+			t.Errorf("%s fails everything, was given %d tasks and is still there", faulty, sim.workers[faulty].Starts)
 		}
 	})
 }
 
-// Serving what must be late first would make the next jobs late too; yet what
-// has waited very long must not starve: for a quarter of the time it goes first.
+// Serving late jobs first would make the next ones late too; yet a job that has waited very
+// long must not starve: for a quarter of the time it goes first.
 func TestLateJobsQueueBehindJobsInTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -145,6 +143,7 @@
 }
 
 func queueOrderWithLateJobs(t *testing.T) string {
+	t.Helper()
 	set := newSimulatedCluster(t, 1).settings
 	set.Label = "n0"
 	c := New(t.Context(), &set, settings.DefaultOperator(), nil, nil)
@@ -156,8 +155,8 @@
 		j.Load()
 		c.Jobs[id] = j
 	}
-	add("late", 30, 20, protocol.Standard)          // over at 36 s of 20
-	add("a-little-late", 20, 20, protocol.Standard) // over at 26 s, within 1.5 times
+	add("late", 30, 20, protocol.Standard)          // done at 36 s, deadline 20 s
+	add("a-little-late", 20, 20, protocol.Standard) // done at 26 s, within 1.5 times the deadline
 	add("in-time", 1, 60, protocol.Standard)
 	add("sooner", 1, 20, protocol.Standard)
 	add("starving", 200, 20, protocol.Standard)
@@ -208,8 +207,8 @@
 	})
 }
 
-// Slow machines are found by comparison with their like; an estimate that is
-// wrong for the whole job must raise no alarm.
+// Slow machines are found by comparison with others of their type; an estimate that is wrong
+// for the whole job must not quarantine any.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []bool{true, false} {
@@ -230,24 +229,22 @@
 					s.DeadlineS = 600
 					sim.submit(s)
 				}
-				aside := map[string]bool{}
+				quarantined := map[string]bool{}
 				for range 300 {
 					time.Sleep(time.Second)
-					for _, label := range []string{"n0", "n1", "n2"} {
-						sim.mu.Lock()
-						n := sim.controllers[label]
-						sim.mu.Unlock()
+					for _, label := range allControllers {
+						n := sim.processOf(label)
 						n.controller.loop.Do(func() {
 							for _, m := range n.controller.Machines {
 								if m.Quarantined {
-									aside[m.Name] = true
+									quarantined[m.Name] = true
 								}
 							}
 						})
 					}
 				}
-				if len(aside) > 1 || aside["m-000000"] != slow {
-					t.Errorf("set aside: %v", aside)
+				if len(quarantined) > 1 || quarantined["m-000000"] != slow {
+					t.Errorf("quarantined: %v", quarantined)
 				}
 				sim.waitForAllJobs(5 * time.Minute)
 			})
@@ -255,7 +252,7 @@
 	}
 }
 
-// A gang starts together or not at all, and starts again together.
+// The tasks of a gang start together or not at all, and restart together.
 func TestGangStartsTogether(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 21, func(sim *simulatedCluster) {
@@ -278,7 +275,7 @@
 			}
 			sim.mu.Unlock()
 			if n > 0 && n < 5 && most < 5 {
-				time.Sleep(50 * time.Millisecond) // its orders go to several machines
+				time.Sleep(50 * time.Millisecond) // its commands go to several machines
 				sim.mu.Lock()
 				n = 0
 				for _, agent := range sim.workers {
@@ -290,7 +287,7 @@
 				}
 			}
 			most = max(most, n)
-			// Workers know a gang's tasks by their common attempt number.
+			// Agents know a gang's tasks by their common attempt number.
 			numbers := map[uint64]bool{}
 			sim.mu.Lock()
 			for _, agent := range sim.workers {
@@ -304,12 +301,12 @@
 			}
 		}
 		sim.waitForAllJobs(2 * time.Minute)
-		big := newJobSpec("job-2", 9, "green") // more than there is room for
+		big := newJobSpec("job-2", 9, "green") // more than fits the fleet
 		big.Gang = true
 		sim.submit(big)
 		time.Sleep(time.Minute)
 		if st := sim.poll("", "job-2"); st != protocol.StatusQueued {
-			t.Errorf("a gang without room is %q", st)
+			t.Errorf("a gang without capacity is %q", st)
 		}
 		sim.cancelJob("job-2")
 		sim.waitForAllJobs(time.Minute)
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -12,7 +12,7 @@
 	"micaspindle/internal/transport"
 )
 
-// forEachWorker runs f for every machine that is up.
+// forEachWorker calls f for every machine that is up.
 func (sim *simulatedCluster) forEachWorker(f func(agent *worker.Worker)) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// hangMachine lets a machine stand still for some time.
+// hangMachine lets a machine hang for a while.
 func (sim *simulatedCluster) hangMachine(machine string, d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -38,7 +38,8 @@
 	})
 }
 
-// machinesRunning lists where a job's tasks are, hung machines included. The lock is held.
+// machinesRunning returns the machines of a job's tasks, hung machines included. The lock is
+// held.
 func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
 	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
 		for _, t := range sim.workers[name].Tasks {
@@ -50,7 +51,7 @@
 	return machines
 }
 
-// machinesRunningAnyOf marks the machines that jobs' tasks are on. The lock is held.
+// machinesRunningAnyOf returns the set of machines of several jobs' tasks. The lock is held.
 func (sim *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
 	marked := map[string]bool{}
 	for _, id := range ids {
@@ -61,7 +62,7 @@
 	return marked
 }
 
-// bootMachine starts a rented machine a while later; it is called with the lock held.
+// bootMachine boots a rented machine after a while. The lock is held.
 func (sim *simulatedCluster) bootMachine(name string, m *cloud.Machine) {
 	home := sim.rng.IntN(3)
 	delay := time.Duration(3000+sim.rng.IntN(4000)) * time.Millisecond
@@ -92,7 +93,7 @@
 	})
 }
 
-// stopMachine cuts a deleted machine's power.
+// stopMachine powers a deleted machine off. The lock is held.
 func (sim *simulatedCluster) stopMachine(name string) {
 	if agent := sim.workers[name]; agent != nil {
 		agent.Off()
@@ -100,12 +101,12 @@
 	}
 }
 
-// sendHeartbeat carries a worker's report to a controller.
+// sendHeartbeat delivers an agent's heartbeat to a controller and returns its status and body.
 func (sim *simulatedCluster) sendHeartbeat(machine, label string, report []byte) (int, []byte) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
 	lost := sim.rng.Float64() < sim.messageFaultRate || sim.cut != nil && sim.cut(label, machine) || sim.outboundLost[machine]
-	deaf := sim.inboundLost[machine]
+	lostInbound := sim.inboundLost[machine]
 	there, back := sim.drawLinkDelay(), sim.drawLinkDelay()
 	if !lost {
 		sim.duplicateHeartbeat(machine, label, report)
@@ -117,19 +118,19 @@
 	time.Sleep(2*time.Millisecond + there)
 	sim.waitWhilePaused(label)
 	resp := n.handleHeartbeat(sim, machine, report)
-	if deaf {
+	if lostInbound {
 		return 0, nil
 	}
 	time.Sleep(back)
 	return resp.Status, resp.Body
 }
 
-// handleHeartbeat brings a report to a controller.
+// handleHeartbeat hands a heartbeat to a controller.
 func (n *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, report []byte) transport.Response {
 	return n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: sim.identities.certificate("worker/" + machine)})
 }
 
-// RunTime is how long a task runs; one that was done before ends at once.
+// RunTime returns how long a task runs; one that was done before ends at once.
 func (sim *simulatedCluster) RunTime(job string, task int, machine string) (time.Duration, bool) {
 	submitted := sim.jobs[job]
 	if submitted == nil {
@@ -141,12 +142,12 @@
 	return sim.runTime(job, task, machine), true
 }
 
-// Fails says whether a task fails on a machine.
+// Fails reports whether a task fails on a machine.
 func (sim *simulatedCluster) Fails(job string, task int, machine string) bool {
 	return sim.fails != nil && sim.fails(job, task, machine)
 }
 
-// Ended notes a task's result.
+// Ended records a task's result.
 func (sim *simulatedCluster) Ended(_ *worker.Worker, t *worker.Task) {
 	if t.Cause == protocol.CauseDone {
 		submitted := sim.jobs[t.Job]
@@ -155,13 +156,13 @@
 			sim.onJobEnd(t.Job)
 		}
 		if len(submitted.tasksDone) == submitted.spec.Tasks && sim.cancelAtEnd != nil && sim.cancelAtEnd(t.Job) && !submitted.cancelRequested {
-			sim.countFault("cancelled at the end")
+			sim.countFault("cancelled at job end")
 			sim.group.Go(func() { sim.cancelUntilAnswered(t.Job, len(submitted.tasksDone)) })
 		}
 	}
 }
 
-// serveWorker carries a request to a worker.
+// serveWorker delivers a request to an agent.
 func (sim *simulatedCluster) serveWorker(agent *worker.Worker, path string, body []byte) *transport.Response {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -23,33 +23,30 @@
 	"micaspindle/internal/transport"
 )
 
-// leaseCount counts a controller's parts.
+// leaseCount returns how many partition leases a controller holds.
 func (sim *simulatedCluster) leaseCount(label string) int {
-	sim.mu.Lock()
-	n := sim.controllers[label].controller
-	sim.mu.Unlock()
-	owned := 0
+	n := sim.controllerOf(label)
+	held := 0
 	n.loop.Do(func() {
 		for _, p := range n.Partitions {
 			if p.Held {
-				owned++
+				held++
 			}
 		}
 	})
-	return owned
+	return held
 }
 
-// onController runs something in a controller's loop.
+// onController runs f in a controller's event loop.
 func (sim *simulatedCluster) onController(label string, f func(c *Controller)) {
-	sim.mu.Lock()
-	n := sim.controllers[label]
-	sim.mu.Unlock()
+	n := sim.processOf(label)
 	if n != nil {
 		n.controller.loop.Do(func() { f(n.controller) })
 	}
 }
 
-// pauseController keeps back what a controller sends and gets, as if its process stood still.
+// pauseController withholds what a controller sends and receives, as if its process were
+// stopped.
 func (sim *simulatedCluster) pauseController(label string, d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -59,11 +56,9 @@
 	sim.pausedUntil[label] = time.Now().Add(d)
 }
 
-// handOverAndRestart ends a controller as planned and starts it again.
+// handOverAndRestart shuts a controller down as planned and starts it again.
 func (sim *simulatedCluster) handOverAndRestart(label string) {
-	sim.mu.Lock()
-	n := sim.controllers[label]
-	sim.mu.Unlock()
+	n := sim.processOf(label)
 	if n == nil {
 		return
 	}
@@ -80,7 +75,7 @@
 	return partition
 }
 
-// waitForNewLeader waits until a part is decided on by another than before.
+// waitForNewLeader waits until a partition has a ready leader other than before.
 func (sim *simulatedCluster) waitForNewLeader(partition int, before string) string {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
@@ -88,11 +83,11 @@
 			return l
 		}
 	}
-	sim.t.Fatalf("part %d has no new owner", partition)
+	sim.t.Fatalf("partition %d has no new leader", partition)
 	return ""
 }
 
-// waitForLeaseChange waits until a part is claimed by another than now.
+// waitForLeaseChange waits until a partition's lease is acquired anew.
 func (sim *simulatedCluster) waitForLeaseChange(partition int) {
 	key := storage.LeaseKey(partition)
 	sim.mu.Lock()
@@ -107,17 +102,17 @@
 			return
 		}
 	}
-	sim.t.Fatal("nobody claimed the part")
+	sim.t.Fatal("no controller acquired the lease")
 }
 
-// withLock runs something with the world's lock held.
+// withLock runs f with the simulated cluster's lock held.
 func (sim *simulatedCluster) withLock(f func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	f()
 }
 
-// restartController ends a controller and starts it again.
+// restartController kills a controller and starts it again after a while.
 func (sim *simulatedCluster) restartController(label string, away time.Duration) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
@@ -132,12 +127,11 @@
 	sim.startController(label)
 }
 
-// leaderOf tells which controller decides over a part with machines, "" if none does.
+// leaderOf returns the controller that leads a partition and has loaded it, "" if there is
+// none.
 func (sim *simulatedCluster) leaderOf(partition int) string {
-	for _, label := range []string{"n0", "n1", "n2"} {
-		sim.mu.Lock()
-		n := sim.controllers[label]
-		sim.mu.Unlock()
+	for _, label := range allControllers {
+		n := sim.processOf(label)
 		leader := false
 		if n != nil {
 			n.controller.loop.Do(func() { leader = n.controller.Partitions[partition].Held && n.controller.Partitions[partition].Ready })
@@ -149,7 +143,8 @@
 	return ""
 }
 
-// setStateServiceRefusal lets the state service refuse a controller alone, or serve it again.
+// setStateServiceRefusal makes the state store refuse the requests of one controller, or serve
+// it again.
 func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -159,7 +154,7 @@
 	sim.state.Refused[label] = on
 }
 
-// otherControllers are the controllers but one.
+// otherControllers returns the running controllers but one.
 func (sim *simulatedCluster) otherControllers(label string) (list []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -171,9 +166,9 @@
 	return list
 }
 
-// simulatedCluster is the stand-in for everything outside the controllers: state service,
-// cloud, workers and the network between them, as PROTOCOL describes them. It
-// notes each broken rule where the outside world would see it.
+// simulatedCluster simulates everything outside the controllers under a fake clock: state
+// store, cloud, agents and the network between them, as PROTOCOL describes them. It records
+// each violation of a safety rule where the outside would see it.
 type simulatedCluster struct {
 	t        testing.TB
 	ctx      context.Context
@@ -190,24 +185,25 @@
 	cut               func(from, to string) bool
 	runTime           func(job string, task int, machine string) time.Duration
 	fails             func(job string, task int, machine string) bool
-	interceptCommands func(machine string, o *protocol.Orders) // sees orders before they are executed
-	// onRequest sees what a controller sends, and may lose it.
+	interceptCommands func(machine string, o *protocol.Orders) // is called with commands before they are executed
+	// onRequest is called with each message of a controller, and may drop it.
 	onRequest func(from, host, target string, body []byte) (lost bool)
-	// pausedUntil is until when what a controller sends and gets is kept back.
+	// pausedUntil is by controller until when its messages are withheld.
 	pausedUntil map[string]time.Time
-	// alterReplicaUpdate changes what owners and the leader tell, with the lock held.
+	// alterReplicaUpdate changes the updates of partition leaders and the cluster leader. The
+	// lock is held.
 	alterReplicaUpdate func(*peer.ReplicaUpdate)
-	// oldVersions are controllers of a version that keeps no copies.
+	// oldVersions are the controllers of a version without replication and delegation.
 	oldVersions map[string]bool
-	// onResponse sees what a controller was answered, and may lose it.
+	// onResponse is called with each response to a controller, and may drop it.
 	onResponse func(from, host, target string, body []byte, resp *transport.Response) (lost bool)
-	// identities makes the controllers ask who comes; nil: they don't.
+	// identities makes the controllers authenticate their callers; nil: they do not.
 	identities *testIdentities
 	group      sync.WaitGroup
-	// incarnations are the lives of controllers of which a record was written.
+	// incarnations are the incarnations of controllers that were recorded.
 	incarnations map[lease.IncarnationID]bool
 	injectedFaults
-	// jobTasksMax is how many tasks a storm's jobs have at most.
+	// jobTasksMax is how many tasks a random job has at most.
 	jobTasksMax int
 
 	state *state.Service
@@ -223,14 +219,34 @@
 
 type submittedJob struct {
 	spec            *protocol.JobSpec
-	acceptedAt      time.Time // zero: not yet
-	cancelRequested bool      // its user has asked to withdraw it
+	acceptedAt      time.Time // zero: not accepted yet
+	cancelRequested bool      // its user has asked to cancel it
 	cancelledAt     time.Time
 	finalStatus     string
 	tasksDone       map[int]bool
 }
 
+// allControllers are the labels of the controllers; they are not to be changed.
+var allControllers = []string{"n0", "n1", "n2"}
+
+// allTeams are the teams of the default settings.
+var allTeams = []string{"red", "blue", "green"}
+
+// newSubmittedJob returns a job that was submitted but not accepted yet.
+func newSubmittedJob(spec *protocol.JobSpec) *submittedJob {
+	return &submittedJob{spec: spec, tasksDone: map[int]bool{}}
+}
+
+// newAcceptedJob returns a job that is accepted now.
+func newAcceptedJob(spec *protocol.JobSpec) *submittedJob {
+	job := newSubmittedJob(spec)
+	job.acceptedAt = time.Now()
+	return job
+}
+
+// newSimulatedCluster returns a simulated cluster in which no controller runs yet.
 func newSimulatedCluster(t testing.TB, seed uint64) *simulatedCluster {
+	t.Helper()
 	sim := &simulatedCluster{t: t, ctx: t.Context(), rng: rand.New(rand.NewPCG(seed, 7)), controllers: map[string]*simulatedController{},
 		workers: map[string]*worker.Worker{}, jobs: map[string]*submittedJob{}, incarnations: map[lease.IncarnationID]bool{}, operator: settings.DefaultOperator(), jobTasksMax: 12}
 	sim.settings.Params = settings.Params{Count: 3, Zones: []string{"a", "b"},
@@ -257,19 +273,21 @@
 	return sim
 }
 
-// runSimulation runs f in a bubble of fake time and ends everything afterwards.
+// runSimulation runs f in a bubble of fake time, checks safety and liveness and stops
+// everything afterwards.
 func runSimulation(t *testing.T, seed uint64, f func(sim *simulatedCluster)) {
 	t.Helper()
 	runConfiguredSimulation(t, seed, func(*simulatedCluster) {}, f)
 }
 
-// runConfiguredSimulation lets prepare change the world before the controllers start.
+// runConfiguredSimulation lets prepare change the simulated cluster before the controllers
+// start.
 func runConfiguredSimulation(t *testing.T, seed uint64, prepare, f func(sim *simulatedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulatedCluster(t, seed)
 		prepare(sim)
-		// Whenever an announced limit comes into force, it must have been kept to.
+		// Announced lower limits must have been kept by the time they come into force.
 		limits := sim.settings.Params.State.Lower()
 		sim.state.TxnOps, sim.state.ValueKB = limits.TxnOps, limits.ValueKB
 		ctx, cancel := context.WithCancel(context.Background())
@@ -290,7 +308,7 @@
 	})
 }
 
-// startController starts a controller, as the platform does after an end.
+// startController starts a controller, as the platform does after it has ended.
 func (sim *simulatedCluster) startController(label string) {
 	set := sim.settings
 	set.Label, set.Zone = label, "a"
@@ -314,9 +332,7 @@
 	if sim.identities != nil {
 		panicOnError(n.controller.Identify(sim.identities.forController(label)))
 	}
-	sim.mu.Lock()
-	sim.controllers[label] = n
-	sim.mu.Unlock()
+	sim.withLock(func() { sim.controllers[label] = n })
 	sim.group.Go(func() {
 		defer close(n.done)
 		n.controller.Run()
@@ -332,7 +348,7 @@
 	<-n.done
 }
 
-// setOutage starts or ends an outage of the state service.
+// setOutage starts or ends an outage of the state store.
 func (sim *simulatedCluster) setOutage(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -344,3 +360,25 @@
 		panic(err)
 	}
 }
+
+// processOf returns a controller's process, nil if it does not run.
+func (sim *simulatedCluster) processOf(label string) *simulatedController {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.controllers[label]
+}
+
+// controllerOf returns a controller that runs.
+func (sim *simulatedCluster) controllerOf(label string) *Controller {
+	return sim.processOf(label).controller
+}
+
+// setRunTime sets how long every task runs from now on.
+func (sim *simulatedCluster) setRunTime(d time.Duration) {
+	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return d } })
+}
+
+// setMessageFaultRate sets the share of messages that are lost or late from now on.
+func (sim *simulatedCluster) setMessageFaultRate(share float64) {
+	sim.withLock(func() { sim.messageFaultRate = share })
+}
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -16,24 +16,20 @@
 	"micaspindle/internal/transport"
 )
 
-// cutNetworkFor cuts what a filter says for some time.
+// cutNetworkFor drops the messages that the filter selects for some time.
 func (sim *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
-	sim.mu.Lock()
-	sim.cut = cut
-	sim.mu.Unlock()
+	sim.withLock(func() { sim.cut = cut })
 	time.Sleep(d)
-	sim.mu.Lock()
-	sim.cut = nil
-	sim.mu.Unlock()
+	sim.withLock(func() { sim.cut = nil })
 }
 
-// networkCuts are the cuts that hold at a time.
+// networkCuts are the message filters that are active at the same time.
 type networkCuts struct {
 	lastID int
 	active map[int]func(from, host string) bool
 }
 
-func (c *networkCuts) add(sim *simulatedCluster, what func(from, host string) bool) int {
+func (c *networkCuts) add(sim *simulatedCluster, filter func(from, host string) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if c.active == nil {
@@ -48,7 +44,7 @@
 		}
 	}
 	c.lastID++
-	c.active[c.lastID] = what
+	c.active[c.lastID] = filter
 	return c.lastID
 }
 
@@ -58,7 +54,7 @@
 	delete(c.active, id)
 }
 
-// drawLinkDelay is how long a message is on its way beyond the usual. The lock is held.
+// drawLinkDelay draws a message's delay beyond the usual. The lock is held.
 func (sim *simulatedCluster) drawLinkDelay() time.Duration {
 	if sim.linkDelayMax == 0 {
 		return 0
@@ -66,7 +62,7 @@
 	return time.Duration(sim.rng.Int64N(int64(sim.linkDelayMax)))
 }
 
-// stripCancellationNotices is a summary that tells no withdrawals.
+// stripCancellationNotices returns a summary without its cancellation notices.
 func stripCancellationNotices(body []byte) []byte {
 	sum := new(peer.Summary)
 	panicOnError(proto.Unmarshal(body, sum))
@@ -83,8 +79,8 @@
 	ctx     context.Context
 }
 
-// Do carries one message; it may be lost, its answer may be lost, or it may
-// arrive long after the sender gave up.
+// Do delivers one message; it may be lost, its response may be lost, or it may arrive long
+// after the sender has given up.
 func (network *controllerNetwork) Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error) {
 	sim := network.cluster
 	host, _, _ := strings.Cut(addr, ":")
@@ -92,9 +88,9 @@
 	fate := sim.rng.Float64()
 	delay := time.Duration(1+sim.rng.IntN(4))*time.Millisecond + sim.drawLinkDelay()
 	after := time.Duration(sim.rng.IntN(20_000)) * time.Millisecond
-	trouble := sim.messageFaultRate
+	faultRate := sim.messageFaultRate
 	cut := sim.cut != nil && sim.cut(network.sender.label, host) || sim.inboundLost[host]
-	asked := sim.onRequest
+	onRequest := sim.onRequest
 	late, lost := sim.drawTransactionDelay(host, target, body)
 	var heldFor time.Duration
 	held := false
@@ -109,29 +105,29 @@
 		return nil, fmt.Errorf("no answer to a transaction: %w", ctx.Err())
 	}
 	if held {
-		sim.withLock(func() { sim.countFault("held up from " + network.sender.label) })
+		sim.withLock(func() { sim.countFault("delayed from " + network.sender.label) })
 		sim.group.Go(func() { sim.deliverCommandLate(host, heldFor, body) })
 		<-ctx.Done()
-		return nil, fmt.Errorf("held up: %w", ctx.Err())
+		return nil, fmt.Errorf("delayed: %w", ctx.Err())
 	}
-	if asked != nil && asked(network.sender.label, host, target, body) {
+	if onRequest != nil && onRequest(network.sender.label, host, target, body) {
 		cut = true
 	}
 	if cut {
 		<-ctx.Done()
-		return nil, fmt.Errorf("cut: %w", ctx.Err())
+		return nil, fmt.Errorf("link cut: %w", ctx.Err())
 	}
-	if fate < trouble/3 {
+	if fate < faultRate/3 {
 		<-ctx.Done()
 		return nil, fmt.Errorf("request lost: %w", ctx.Err())
 	}
-	if fate < trouble*2/3 && ctx.Done() != nil {
+	if fate < faultRate*2/3 && ctx.Done() != nil {
 		sim.group.Go(func() {
 			time.Sleep(after)
 			sim.deliver(context.WithoutCancel(ctx), network.sender.label, host, method, target, body)
 		})
 		<-ctx.Done()
-		return nil, fmt.Errorf("late: %w", ctx.Err())
+		return nil, fmt.Errorf("delivered late: %w", ctx.Err())
 	}
 	time.Sleep(delay)
 	sim.waitWhilePaused(host)
@@ -144,20 +140,20 @@
 	}
 	sim.waitWhilePaused(network.sender.label)
 	sim.mu.Lock()
-	answered := sim.onResponse
+	onResponse := sim.onResponse
 	sim.mu.Unlock()
-	if answered != nil && answered(network.sender.label, host, target, body, resp) {
+	if onResponse != nil && onResponse(network.sender.label, host, target, body, resp) {
 		<-ctx.Done()
 		return nil, fmt.Errorf("answer lost: %w", ctx.Err())
 	}
-	if fate < trouble {
+	if fate < faultRate {
 		<-ctx.Done()
 		return nil, fmt.Errorf("answer lost: %w", ctx.Err())
 	}
 	return resp, nil
 }
 
-// waitWhilePaused waits while a controller stands still.
+// waitWhilePaused waits while a controller is paused.
 func (sim *simulatedCluster) waitWhilePaused(label string) {
 	sim.mu.Lock()
 	until := sim.pausedUntil[label]
@@ -165,7 +161,7 @@
 	time.Sleep(time.Until(until))
 }
 
-// downgradeSummary is a message of a controller that keeps no copies, without what it does not know.
+// downgradeSummary returns a summary as a controller of a version without replication sends it.
 func downgradeSummary(path string, body []byte) []byte {
 	if path != peering.SummaryPath {
 		return body
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -11,7 +11,7 @@
 	"micaspindle/internal/transport"
 )
 
-// cancelUntilAnswered withdraws a job at one controller after another until it is answered.
+// cancelUntilAnswered cancels a job at one controller after another until it is answered.
 func (sim *simulatedCluster) cancelUntilAnswered(id string, first int) {
 	for i := range 120 {
 		if sim.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
@@ -23,7 +23,7 @@
 			return
 		}
 	}
-	sim.withLock(func() { sim.recordViolation("withdrawal of %s was never answered", id) })
+	sim.withLock(func() { sim.recordViolation("cancellation of %s was never answered", id) })
 }
 
 // submitUntilAccepted submits a job at one controller after another until it is accepted.
@@ -41,7 +41,7 @@
 		case 400:
 			sim.withLock(func() { sim.recordViolation("submission of %s got 400", s.ID) })
 			return
-		case 422: // what it depends on was never accepted yet
+		case 422: // a dependency was not accepted yet
 		}
 		select {
 		case <-time.After(time.Second):
@@ -51,11 +51,10 @@
 	}
 }
 
-// cancelAt asks one controller to withdraw a job, once, and notes its answer.
+// cancelAt asks one controller once to cancel a job, records its answer and reports whether
+// there was one.
 func (sim *simulatedCluster) cancelAt(label, id string) bool {
-	sim.mu.Lock()
-	sim.jobs[id].cancelRequested = true
-	sim.mu.Unlock()
+	sim.withLock(func() { sim.jobs[id].cancelRequested = true })
 	resp := sim.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
 	if resp.Status != 200 {
 		return false
@@ -75,7 +74,7 @@
 	return true
 }
 
-// newJobSpec is a job that fits everywhere.
+// newJobSpec returns a job that fits every machine type.
 func newJobSpec(id string, tasks int, team string) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: id, Class: "c", Team: team, Urgency: protocol.Standard, Tasks: tasks, CPUs: 4, MemGB: 4,
 		Image: "img", ImageGB: 1, Spot: true, EstimateS: 6, DeadlineS: 60}
@@ -109,7 +108,7 @@
 	return b
 }
 
-// sendRequest sends a user's request to a controller, or to any that runs.
+// sendRequest sends a user's request to a controller, or to any other that runs.
 func (sim *simulatedCluster) sendRequest(label, method, path string, body []byte) transport.Response {
 	sim.mu.Lock()
 	n := sim.controllers[label]
@@ -125,12 +124,12 @@
 	return n.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"})
 }
 
-// submit submits until accepted.
+// submit repeats a submission until it is accepted.
 func (sim *simulatedCluster) submit(s *protocol.JobSpec) {
 	sim.mu.Lock()
 	submitted := sim.jobs[s.ID]
 	if submitted == nil {
-		submitted = &submittedJob{spec: s, tasksDone: map[int]bool{}}
+		submitted = newSubmittedJob(s)
 		sim.jobs[s.ID] = submitted
 	}
 	sim.mu.Unlock()
@@ -155,7 +154,7 @@
 	sim.t.Errorf("%s was never accepted", s.ID)
 }
 
-// poll asks for a job's state and checks it against what was said before.
+// poll requests a job's status and checks it against earlier answers.
 func (sim *simulatedCluster) poll(label, id string) string {
 	resp := sim.sendRequest(label, "GET", "/submissions/"+id, nil)
 	sim.mu.Lock()
@@ -184,19 +183,19 @@
 		submitted.finalStatus = st.Status
 	case protocol.StatusQueued, protocol.StatusRunning:
 		if at := sim.dependencyCancelledAt(submitted); !at.IsZero() && time.Since(at).Seconds() > sim.settings.Params.Workers.CancelS {
-			sim.recordViolation("orphaned: %s is %s %s after something that it needs was withdrawn", id, st.Status, time.Since(at))
+			sim.recordViolation("orphaned: %s is %s %s after a dependency was cancelled", id, st.Status, time.Since(at))
 		}
 	case protocol.StatusWithdrawn:
 		if submitted.cancelledAt.IsZero() && submitted.finalStatus == "" && !sim.mayBeCancelled(submitted) {
-			sim.recordViolation("went_back: %s was not withdrawn by its user", id)
+			sim.recordViolation("went_back: %s was not cancelled by its user", id)
 		}
 		submitted.finalStatus = st.Status
 	}
 	return st.Status
 }
 
-// dependencyCancelledAt is since when a job's user could expect it to be withdrawn, since
-// something that it needs is; zero if not. Called with the lock held.
+// dependencyCancelledAt returns since when a job must be cancelled because a dependency is;
+// zero if it need not be. The lock is held.
 func (sim *simulatedCluster) dependencyCancelledAt(submitted *submittedJob) time.Time {
 	first := time.Time{}
 	for _, dep := range submitted.spec.Dependencies {
@@ -218,17 +217,15 @@
 	return first
 }
 
-// mayBeCancelled says whether a user has asked to withdraw a job or something
-// that it needs. Called with the lock held.
+// mayBeCancelled reports whether a user has asked to cancel a job or one of its dependencies.
+// The lock is held.
 func (sim *simulatedCluster) mayBeCancelled(submitted *submittedJob) bool {
 	return submitted.cancelRequested || slices.ContainsFunc(submitted.spec.Dependencies, func(dep string) bool { return sim.mayBeCancelled(sim.jobs[dep]) })
 }
 
-// cancelJob cancels a job, repeating until answered.
+// cancelJob repeats a cancellation until it is answered, and returns the job's status.
 func (sim *simulatedCluster) cancelJob(id string) string {
-	sim.mu.Lock()
-	sim.jobs[id].cancelRequested = true
-	sim.mu.Unlock()
+	sim.withLock(func() { sim.jobs[id].cancelRequested = true })
 	for range 60 {
 		resp := sim.sendRequest("", "POST", "/submissions/"+id+"/withdraw", nil)
 		if resp.Status == 200 {
@@ -244,11 +241,11 @@
 		}
 		time.Sleep(time.Second)
 	}
-	sim.t.Errorf("%s could not be withdrawn", id)
+	sim.t.Errorf("%s could not be cancelled", id)
 	return ""
 }
 
-// waitForAllJobs waits until all jobs are over.
+// waitForAllJobs waits until all jobs are done or cancelled.
 func (sim *simulatedCluster) waitForAllJobs(limit time.Duration) {
 	end := time.Now().Add(limit)
 	for {
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -36,8 +36,9 @@
 	return nil, ctx.Err()
 }
 
-// newLeadingController makes a controller that owns every part, without a network.
+// newLeadingController makes a controller that leads every partition, without a network.
 func newLeadingController(t testing.TB) (c *Controller, p *cluster.Partition) {
+	t.Helper()
 	sim := newSimulatedCluster(t, 1)
 	sim.settings.Label = "n0"
 	c = newTestController(t.Context(), &sim.settings, settings.DefaultOperator())
@@ -48,7 +49,7 @@
 	return c, c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 }
 
-// addMachine puts a usable machine on record.
+// addMachine records a usable machine.
 func (c *Controller) addMachine(p *cluster.Partition, name, typ string) *cluster.Machine {
 	now := time.Now()
 	c.agents.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
@@ -63,8 +64,10 @@
 	return c.Jobs[s.ID]
 }
 
-// newIdleController is the controller n0 of three, whose loop never runs, and how to end it.
+// newIdleController makes the controller n0 of three, whose event loop does not run, and a
+// function to end it.
 func newIdleController(t *testing.T) (c *Controller, end func()) {
+	t.Helper()
 	set := newSimulatedCluster(t, 1).settings
 	set.Label, set.Others = "n0", []settings.Other{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -78,7 +81,8 @@
 // testNetworks are the networks by controller.
 var testNetworks sync.Map
 
-// newTestController makes a controller whose network answers nothing until setNetwork.
+// newTestController makes a controller whose network answers nothing until setNetwork is
+// called.
 func newTestController(ctx context.Context, set *settings.Settings, op settings.Operator) *Controller {
 	network := &testNetwork{unresponsiveNetwork{}}
 	c := New(ctx, set, op, network, slog.New(slog.DiscardHandler))
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -19,8 +19,8 @@
 	"micaspindle/internal/transport"
 )
 
-// testIdentities is the identities of a simulated world: an authority whose
-// certificates and tokens the world's messages carry, in the clear.
+// testIdentities issues the identities of a simulated cluster: a certificate authority whose
+// certificates and tokens are carried by the messages without encryption.
 type testIdentities struct {
 	t        *testing.T
 	ca       *pki.Authority
@@ -34,13 +34,14 @@
 const certificateLifetime = 24 * time.Hour
 
 func newTestIdentities(t *testing.T) *testIdentities {
+	t.Helper()
 	dir := t.TempDir()
 	ca, err := pki.Create(dir, "test", time.Now(), 100*certificateLifetime)
 	panicOnError(err)
 	key, err := pki.TokenKey(dir)
 	panicOnError(err)
 	identities := &testIdentities{t: t, ca: ca, key: key, keyrings: map[string]*identity.Keyring{}, certs: map[string]*x509.Certificate{}, tokens: map[string]string{}}
-	for _, label := range []string{"n0", "n1", "n2"} {
+	for _, label := range allControllers {
 		identities.certificate("controller/" + label)
 		ring, err := identity.Load(identity.Files{Own: ca.File(identity.Name{Kind: identity.Controller, ID: label}),
 			Roots: filepath.Join(dir, pki.RootFile), TokenKeys: filepath.Join(dir, pki.TokenKeysFile)})
@@ -59,7 +60,7 @@
 		}}
 }
 
-// certificate is what somebody shows; nil where nobody asks.
+// certificate returns the certificate of a name; nil without identities.
 func (identities *testIdentities) certificate(who string) *x509.Certificate {
 	if identities == nil {
 		return nil
@@ -84,8 +85,8 @@
 	return certs[0]
 }
 
-// authorization is the header of somebody's requests; the world's own user is
-// the administrator.
+// authorization returns the Authorization header of a name; the simulation's own user is the
+// administrator.
 func (identities *testIdentities) authorization(who string) string {
 	if identities == nil {
 		return ""
@@ -105,11 +106,9 @@
 	return identities.tokens[who]
 }
 
-// requestAs sends somebody's request to a controller.
+// requestAs sends a request of an identity to a controller.
 func (sim *simulatedCluster) requestAs(who, label, method, target string, body any) transport.Response {
-	sim.mu.Lock()
-	n := sim.controllers[label]
-	sim.mu.Unlock()
+	n := sim.processOf(label)
 	var raw []byte
 	switch b := body.(type) {
 	case nil:
@@ -126,8 +125,8 @@
 	return n.controller.Serve(sim.ctx, req)
 }
 
-// testPolicy is the policy of the wish: a clerk of one office, the refund team and
-// a guest partner, beside the administrator who may do everything.
+// testPolicy is the policy of a sample office: a clerk, the refund team and a guest partner,
+// besides the administrator who may do everything.
 func testPolicy() *rights.Change {
 	all := []string{"submit", "view", "view-arguments", "withdraw", "reassign", "administer"}
 	return &rights.Change{
@@ -142,7 +141,7 @@
 	}
 }
 
-// runSimulationWithIdentities is simulate with identities, the wish's policy in force.
+// runSimulationWithIdentities is runSimulation with identities and testPolicy in force.
 func runSimulationWithIdentities(t *testing.T, seed uint64, f func(sim *simulatedCluster)) {
 	t.Helper()
 	runConfiguredSimulation(t, seed, func(sim *simulatedCluster) {
