--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -16,6 +16,31 @@
 	"micaspindle/internal/transport"
 )
 
+// configureLongJobs lets jobs of all teams fill the simulated machines with long tasks.
+func configureLongJobs(sim *simulatedCluster) {
+	sim.cloud.Capacity = 30
+	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
+	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+}
+
+// submitLongJobs submits jobs that occupy the machines, and waits until they run.
+func (sim *simulatedCluster) submitLongJobs() {
+	time.Sleep(2 * time.Second)
+	for i, team := range allTeams {
+		s := newJobSpec(fmt.Sprintf("job-%d", i), 16, team)
+		s.EstimateS, s.DeadlineS, s.Spot = 600, 0, false
+		sim.submit(s)
+	}
+	time.Sleep(30 * time.Second)
+}
+
+func (sim *simulatedCluster) cancelLongJobs() {
+	for i := range 3 {
+		sim.cancelJob(fmt.Sprintf("job-%d", i))
+	}
+	sim.waitForAllJobs(time.Minute)
+}
+
 // A killed leader is replaced by its standby, whose replica knows when the attempts started;
 // running tasks continue.
 func TestFailoverUsesTheStandbyReplica(t *testing.T) {
@@ -90,13 +115,6 @@
 	}
 }
 
-func (sim *simulatedCluster) cancelLongJobs() {
-	for i := range 3 {
-		sim.cancelJob(fmt.Sprintf("job-%d", i))
-	}
-	sim.waitForAllJobs(time.Minute)
-}
-
 // A planned shutdown hands its partitions over first: hardly a moment without a leader, no task
 // lost, and the machines' leases count from the handover. A controller that returns gets its
 // partition back with a warm takeover.
@@ -402,21 +420,3 @@
 		sim.waitForAllJobs(time.Minute)
 	})
 }
-
-// configureLongJobs lets jobs of all teams fill the simulated machines with long tasks.
-func configureLongJobs(sim *simulatedCluster) {
-	sim.cloud.Capacity = 30
-	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
-	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
-}
-
-// submitLongJobs submits jobs that occupy the machines, and waits until they run.
-func (sim *simulatedCluster) submitLongJobs() {
-	time.Sleep(2 * time.Second)
-	for i, team := range allTeams {
-		s := newJobSpec(fmt.Sprintf("job-%d", i), 16, team)
-		s.EstimateS, s.DeadlineS, s.Spot = 600, 0, false
-		sim.submit(s)
-	}
-	time.Sleep(30 * time.Second)
-}
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -13,6 +13,77 @@
 	"micaspindle/internal/storage"
 )
 
+// injectedFaults are the faults that can be injected beyond lost messages, network cuts, kills
+// and pauses. They are guarded by the simulated cluster's lock. faultCounts counts what
+// happened, so that a test can tell whether its faults coincided.
+type injectedFaults struct {
+	// lateTransactionShare is the share of transactions without a response: applied 2 to 12 s
+	// later, after newer ones, or with loseAnswersOnly at once.
+	lateTransactionShare float64
+	loseAnswersOnly      bool
+	// lateTransactionKind restricts this to transactions whose first write is of a kind; "":
+	// all.
+	lateTransactionKind string
+	// duplicatedHeartbeatShare is the share of heartbeats of which a copy arrives again, from 2
+	// s to well over a machine lease later, or with keepForReplay at every controller on
+	// request.
+	duplicatedHeartbeatShare float64
+	keepForReplay            bool
+	keptHeartbeats           []keptHeartbeat
+	// delayedCommands delays direct commands; nil: they arrive.
+	delayedCommands *commandDelayFault
+	// startsAfterCancel are the starts of tasks after the cancellation of their job was
+	// confirmed to its user.
+	startsAfterCancel []startAfterCancel
+	// linkDelayMax is the longest additional delay of a message; 0: none.
+	linkDelayMax time.Duration
+	// Heartbeats of inboundLost machines arrive, but responses and commands to them are lost;
+	// messages of outboundLost machines are lost, but commands reach them.
+	inboundLost, outboundLost map[string]bool
+	// suppressNotices: no controller receives cancellation notices.
+	suppressNotices bool
+	// cancelAtEnd reports whether a job is cancelled at the end of its last task.
+	cancelAtEnd func(job string) bool
+	// onJobEnd, if set, is called at the end of a job's last task.
+	onJobEnd func(job string)
+	// bootDelay is how long machines take to boot; 0: a few seconds.
+	bootDelay   time.Duration
+	writes      writeObserver
+	cuts        networkCuts
+	faultCounts map[string]int
+}
+
+// commandDelayFault delays direct commands: the sender gets no response, and the agent executes
+// them once, 2 to 16 s later, if token and epoch still match then.
+type commandDelayFault struct {
+	// share is the proportion delayed of the messages that contain the operation op ("fence":
+	// no command at all; "": any).
+	share float64
+	op    string
+	// delay is how long; 0: drawn at random. loseAnswersOnly: only the response is lost.
+	delay           time.Duration
+	loseAnswersOnly bool
+}
+
+// startAfterCancel is a task that started after its job's cancellation was confirmed.
+type startAfterCancel struct {
+	task    string
+	machine string
+	after   time.Duration
+}
+
+type keptHeartbeat struct {
+	machine string
+	body    []byte
+}
+
+func (sim *simulatedCluster) countFault(filter string) {
+	if sim.faultCounts == nil {
+		sim.faultCounts = map[string]int{}
+	}
+	sim.faultCounts[filter]++
+}
+
 func (sim *simulatedCluster) faultCount(filter string) (n int) {
 	sim.withLock(func() { n = sim.faultCounts[filter] })
 	return n
@@ -87,18 +158,6 @@
 	return s.waiting[kind]
 }
 
-// selectMachines returns the names of the proportion Share of the machines, as selected by Arg.
-func (sim *simulatedCluster) selectMachines(m plannedFault) (names []string) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	for i, name := range slices.Sorted(maps.Keys(sim.workers)) {
-		if float64((i*37+m.Arg)%100) < 100*m.Share {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
 // injectAtTrigger waits for a fault's time and trigger, injects it and ends it. Without a write
 // of the kind within patience the fault begins all the same.
 func (sim *simulatedCluster) injectAtTrigger(m plannedFault, begun time.Time, patience time.Duration) {
@@ -290,63 +349,16 @@
 	}
 }
 
-// injectedFaults are the faults that can be injected beyond lost messages, network cuts, kills
-// and pauses. They are guarded by the simulated cluster's lock. faultCounts counts what
-// happened, so that a test can tell whether its faults coincided.
-type injectedFaults struct {
-	// lateTransactionShare is the share of transactions without a response: applied 2 to 12 s
-	// later, after newer ones, or with loseAnswersOnly at once.
-	lateTransactionShare float64
-	loseAnswersOnly      bool
-	// lateTransactionKind restricts this to transactions whose first write is of a kind; "":
-	// all.
-	lateTransactionKind string
-	// duplicatedHeartbeatShare is the share of heartbeats of which a copy arrives again, from 2
-	// s to well over a machine lease later, or with keepForReplay at every controller on
-	// request.
-	duplicatedHeartbeatShare float64
-	keepForReplay            bool
-	keptHeartbeats           []keptHeartbeat
-	// delayedCommands delays direct commands; nil: they arrive.
-	delayedCommands *commandDelayFault
-	// startsAfterCancel are the starts of tasks after the cancellation of their job was
-	// confirmed to its user.
-	startsAfterCancel []startAfterCancel
-	// linkDelayMax is the longest additional delay of a message; 0: none.
-	linkDelayMax time.Duration
-	// Heartbeats of inboundLost machines arrive, but responses and commands to them are lost;
-	// messages of outboundLost machines are lost, but commands reach them.
-	inboundLost, outboundLost map[string]bool
-	// suppressNotices: no controller receives cancellation notices.
-	suppressNotices bool
-	// cancelAtEnd reports whether a job is cancelled at the end of its last task.
-	cancelAtEnd func(job string) bool
-	// onJobEnd, if set, is called at the end of a job's last task.
-	onJobEnd func(job string)
-	// bootDelay is how long machines take to boot; 0: a few seconds.
-	bootDelay   time.Duration
-	writes      writeObserver
-	cuts        networkCuts
-	faultCounts map[string]int
-}
-
-// commandDelayFault delays direct commands: the sender gets no response, and the agent executes
-// them once, 2 to 16 s later, if token and epoch still match then.
-type commandDelayFault struct {
-	// share is the proportion delayed of the messages that contain the operation op ("fence":
-	// no command at all; "": any).
-	share float64
-	op    string
-	// delay is how long; 0: drawn at random. loseAnswersOnly: only the response is lost.
-	delay           time.Duration
-	loseAnswersOnly bool
-}
-
-// startAfterCancel is a task that started after its job's cancellation was confirmed.
-type startAfterCancel struct {
-	task    string
-	machine string
-	after   time.Duration
+// selectMachines returns the names of the proportion Share of the machines, as selected by Arg.
+func (sim *simulatedCluster) selectMachines(m plannedFault) (names []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for i, name := range slices.Sorted(maps.Keys(sim.workers)) {
+		if float64((i*37+m.Arg)%100) < 100*m.Share {
+			names = append(names, name)
+		}
+	}
+	return names
 }
 
 const fenceOp = "fence"
@@ -417,18 +429,6 @@
 	}
 }
 
-type keptHeartbeat struct {
-	machine string
-	body    []byte
-}
-
-func (sim *simulatedCluster) countFault(filter string) {
-	if sim.faultCounts == nil {
-		sim.faultCounts = map[string]int{}
-	}
-	sim.faultCounts[filter]++
-}
-
 // drawTransactionDelay reports whether a transaction gets no response, and after which delay it
 // is applied. The lock is held.
 func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (after time.Duration, lost bool) {
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -47,14 +47,6 @@
 	}
 }
 
-// checkFinalStateWrite checks that a job's final state is written once: controllers answer it
-// from memory (rule 15).
-func (sim *simulatedCluster) checkFinalStateWrite(c protocol.Change, exists bool) {
-	if kind, job := storage.ParseKey(c.Put); kind == storage.KindFinal && exists {
-		sim.recordViolation("the final state of %s is written twice", job)
-	}
-}
-
 // checkReleasedLeases checks that a controller that records released leases acts under none of
 // them.
 func (sim *simulatedCluster) checkReleasedLeases(label string, value []byte) {
@@ -73,6 +65,14 @@
 	})
 }
 
+// checkFinalStateWrite checks that a job's final state is written once: controllers answer it
+// from memory (rule 15).
+func (sim *simulatedCluster) checkFinalStateWrite(c protocol.Change, exists bool) {
+	if kind, job := storage.ParseKey(c.Put); kind == storage.KindFinal && exists {
+		sim.recordViolation("the final state of %s is written twice", job)
+	}
+}
+
 // Obeying checks that a start was recorded before it was sent.
 func (sim *simulatedCluster) Obeying(agent *worker.Worker, c protocol.Command) {
 	if !sim.startRecorded(c, agent) {
@@ -80,12 +80,24 @@
 	}
 }
 
-// Running checks that a cancelled job's tasks are gone in time.
-func (sim *simulatedCluster) Running(agent *worker.Worker, t *worker.Task, now time.Time) {
-	submitted := sim.jobs[t.Job]
-	if !submitted.cancelledAt.IsZero() && now.Sub(submitted.cancelledAt) > settings.Seconds(sim.settings.Params.Workers.CancelS) {
-		sim.recordViolation("ran_cancelled: %s on %s", t.Name, agent.Name)
+// startRecorded reports whether a start is recorded in the state store: no commit, no start.
+// The lock is held.
+func (sim *simulatedCluster) startRecorded(c protocol.Command, agent *worker.Worker) bool {
+	id, task, _ := protocol.ParseTask(c.Task)
+	for key, it := range sim.state.Items {
+		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
+			continue // without parsing the key, as most are of other jobs
+		}
+		if job, _, err := storage.ParseRunKey(key); err != nil || job != id {
+			continue
+		}
+		var run storage.RunRecord
+		panicOnError(storage.Decode(it.Value, &run))
+		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: agent.Name, Epoch: agent.Session}) {
+			return true
+		}
 	}
+	return false
 }
 
 // Started checks the safety rules at the moment a task starts on its machine.
@@ -142,22 +154,10 @@
 	}
 }
 
-// startRecorded reports whether a start is recorded in the state store: no commit, no start.
-// The lock is held.
-func (sim *simulatedCluster) startRecorded(c protocol.Command, agent *worker.Worker) bool {
-	id, task, _ := protocol.ParseTask(c.Task)
-	for key, it := range sim.state.Items {
-		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
-			continue // without parsing the key, as most are of other jobs
-		}
-		if job, _, err := storage.ParseRunKey(key); err != nil || job != id {
-			continue
-		}
-		var run storage.RunRecord
-		panicOnError(storage.Decode(it.Value, &run))
-		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: agent.Name, Epoch: agent.Session}) {
-			return true
-		}
+// Running checks that a cancelled job's tasks are gone in time.
+func (sim *simulatedCluster) Running(agent *worker.Worker, t *worker.Task, now time.Time) {
+	submitted := sim.jobs[t.Job]
+	if !submitted.cancelledAt.IsZero() && now.Sub(submitted.cancelledAt) > settings.Seconds(sim.settings.Params.Workers.CancelS) {
+		sim.recordViolation("ran_cancelled: %s on %s", t.Name, agent.Name)
 	}
-	return false
 }
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -12,56 +12,6 @@
 	"micaspindle/internal/transport"
 )
 
-// forEachWorker calls f for every machine that is up.
-func (sim *simulatedCluster) forEachWorker(f func(agent *worker.Worker)) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
-		f(sim.workers[name])
-	}
-}
-
-// hangMachine lets a machine hang for a while.
-func (sim *simulatedCluster) hangMachine(machine string, d time.Duration) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	agent := sim.workers[machine]
-	if agent == nil || agent.Hung {
-		return
-	}
-	agent.Hung = true
-	sim.group.Go(func() {
-		time.Sleep(d)
-		sim.mu.Lock()
-		defer sim.mu.Unlock()
-		agent.Hung = false
-	})
-}
-
-// machinesRunning returns the machines of a job's tasks, hung machines included. The lock is
-// held.
-func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
-	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
-		for _, t := range sim.workers[name].Tasks {
-			if t.Job == id && t.State != protocol.TaskEnded {
-				machines = append(machines, name)
-			}
-		}
-	}
-	return machines
-}
-
-// machinesRunningAnyOf returns the set of machines of several jobs' tasks. The lock is held.
-func (sim *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
-	marked := map[string]bool{}
-	for _, id := range ids {
-		for _, m := range sim.machinesRunning(id) {
-			marked[m] = true
-		}
-	}
-	return marked
-}
-
 // bootMachine boots a rented machine after a while. The lock is held.
 func (sim *simulatedCluster) bootMachine(name string, m *cloud.Machine) {
 	home := sim.rng.IntN(3)
@@ -101,6 +51,23 @@
 	}
 }
 
+// hangMachine lets a machine hang for a while.
+func (sim *simulatedCluster) hangMachine(machine string, d time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	agent := sim.workers[machine]
+	if agent == nil || agent.Hung {
+		return
+	}
+	agent.Hung = true
+	sim.group.Go(func() {
+		time.Sleep(d)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		agent.Hung = false
+	})
+}
+
 // sendHeartbeat delivers an agent's heartbeat to a controller and returns its status and body.
 func (sim *simulatedCluster) sendHeartbeat(machine, label string, report []byte) (int, []byte) {
 	sim.mu.Lock()
@@ -130,6 +97,31 @@
 	return n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: sim.identities.certificate("worker/" + machine)})
 }
 
+// serveWorker delivers a request to an agent.
+func (sim *simulatedCluster) serveWorker(agent *worker.Worker, path string, body []byte) *transport.Response {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if agent.Dead {
+		return nil
+	}
+	if agent.Hung {
+		return &transport.Response{Status: 504, Body: protocol.Encode(map[string]any{})}
+	}
+	if path == "/orders" && sim.interceptCommands != nil {
+		var o protocol.Orders
+		panicOnError(protocol.Decode(body, &o))
+		sim.interceptCommands(agent.Name, &o)
+		body = protocol.Encode(o)
+	}
+	resp := agent.Serve(path, body)
+	if path == "/orders" && resp != nil && resp.Status == 409 {
+		for verb := range commandOps(body) {
+			sim.countFault("refused " + verb)
+		}
+	}
+	return resp
+}
+
 // RunTime returns how long a task runs; one that was done before ends at once.
 func (sim *simulatedCluster) RunTime(job string, task int, machine string) (time.Duration, bool) {
 	submitted := sim.jobs[job]
@@ -162,27 +154,35 @@
 	}
 }
 
-// serveWorker delivers a request to an agent.
-func (sim *simulatedCluster) serveWorker(agent *worker.Worker, path string, body []byte) *transport.Response {
+// forEachWorker calls f for every machine that is up.
+func (sim *simulatedCluster) forEachWorker(f func(agent *worker.Worker)) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if agent.Dead {
-		return nil
-	}
-	if agent.Hung {
-		return &transport.Response{Status: 504, Body: protocol.Encode(map[string]any{})}
+	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
+		f(sim.workers[name])
 	}
-	if path == "/orders" && sim.interceptCommands != nil {
-		var o protocol.Orders
-		panicOnError(protocol.Decode(body, &o))
-		sim.interceptCommands(agent.Name, &o)
-		body = protocol.Encode(o)
+}
+
+// machinesRunning returns the machines of a job's tasks, hung machines included. The lock is
+// held.
+func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
+	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
+		for _, t := range sim.workers[name].Tasks {
+			if t.Job == id && t.State != protocol.TaskEnded {
+				machines = append(machines, name)
+			}
+		}
 	}
-	resp := agent.Serve(path, body)
-	if path == "/orders" && resp != nil && resp.Status == 409 {
-		for verb := range commandOps(body) {
-			sim.countFault("refused " + verb)
+	return machines
+}
+
+// machinesRunningAnyOf returns the set of machines of several jobs' tasks. The lock is held.
+func (sim *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
+	marked := map[string]bool{}
+	for _, id := range ids {
+		for _, m := range sim.machinesRunning(id) {
+			marked[m] = true
 		}
 	}
-	return resp
+	return marked
 }
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -23,149 +23,6 @@
 	"micaspindle/internal/transport"
 )
 
-// leaseCount returns how many partition leases a controller holds.
-func (sim *simulatedCluster) leaseCount(label string) int {
-	n := sim.controllerOf(label)
-	held := 0
-	n.loop.Do(func() {
-		for _, p := range n.Partitions {
-			if p.Held {
-				held++
-			}
-		}
-	})
-	return held
-}
-
-// onController runs f in a controller's event loop.
-func (sim *simulatedCluster) onController(label string, f func(c *Controller)) {
-	n := sim.processOf(label)
-	if n != nil {
-		n.controller.loop.Do(func() { f(n.controller) })
-	}
-}
-
-// pauseController withholds what a controller sends and receives, as if its process were
-// stopped.
-func (sim *simulatedCluster) pauseController(label string, d time.Duration) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	if sim.pausedUntil == nil {
-		sim.pausedUntil = map[string]time.Time{}
-	}
-	sim.pausedUntil[label] = time.Now().Add(d)
-}
-
-// handOverAndRestart shuts a controller down as planned and starts it again.
-func (sim *simulatedCluster) handOverAndRestart(label string) {
-	n := sim.processOf(label)
-	if n == nil {
-		return
-	}
-	ctx, cancel := context.WithTimeout(sim.ctx, time.Second)
-	n.controller.HandOver(ctx)
-	cancel()
-	sim.killController(label)
-	time.Sleep(300 * time.Millisecond)
-	sim.startController(label)
-}
-
-func (sim *simulatedCluster) partitionOf(team string) (partition int) {
-	sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex[team]] })
-	return partition
-}
-
-// waitForNewLeader waits until a partition has a ready leader other than before.
-func (sim *simulatedCluster) waitForNewLeader(partition int, before string) string {
-	for range 300 {
-		time.Sleep(100 * time.Millisecond)
-		if l := sim.leaderOf(partition); l != "" && l != before {
-			return l
-		}
-	}
-	sim.t.Fatalf("partition %d has no new leader", partition)
-	return ""
-}
-
-// waitForLeaseChange waits until a partition's lease is acquired anew.
-func (sim *simulatedCluster) waitForLeaseChange(partition int) {
-	key := storage.LeaseKey(partition)
-	sim.mu.Lock()
-	was := sim.state.Items[key].Version
-	sim.mu.Unlock()
-	for range 20_000 {
-		time.Sleep(time.Millisecond)
-		sim.mu.Lock()
-		now := sim.state.Items[key].Version
-		sim.mu.Unlock()
-		if now != 0 && now != was {
-			return
-		}
-	}
-	sim.t.Fatal("no controller acquired the lease")
-}
-
-// withLock runs f with the simulated cluster's lock held.
-func (sim *simulatedCluster) withLock(f func()) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	f()
-}
-
-// restartController kills a controller and starts it again after a while.
-func (sim *simulatedCluster) restartController(label string, away time.Duration) {
-	sim.mu.Lock()
-	n := sim.controllers[label]
-	delete(sim.controllers, label)
-	sim.mu.Unlock()
-	if n == nil {
-		return
-	}
-	n.cancel()
-	<-n.done
-	time.Sleep(away)
-	sim.startController(label)
-}
-
-// leaderOf returns the controller that leads a partition and has loaded it, "" if there is
-// none.
-func (sim *simulatedCluster) leaderOf(partition int) string {
-	for _, label := range allControllers {
-		n := sim.processOf(label)
-		leader := false
-		if n != nil {
-			n.controller.loop.Do(func() { leader = n.controller.Partitions[partition].Held && n.controller.Partitions[partition].Ready })
-		}
-		if leader {
-			return label
-		}
-	}
-	return ""
-}
-
-// setStateServiceRefusal makes the state store refuse the requests of one controller, or serve
-// it again.
-func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	if sim.state.Refused == nil {
-		sim.state.Refused = map[string]bool{}
-	}
-	sim.state.Refused[label] = on
-}
-
-// otherControllers returns the running controllers but one.
-func (sim *simulatedCluster) otherControllers(label string) (list []string) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	for _, l := range slices.Sorted(maps.Keys(sim.controllers)) {
-		if l != label {
-			list = append(list, l)
-		}
-	}
-	return list
-}
-
 // simulatedCluster simulates everything outside the controllers under a fake clock: state
 // store, cloud, agents and the network between them, as PROTOCOL describes them. It records
 // each violation of a safety rule where the outside would see it.
@@ -348,17 +205,51 @@
 	<-n.done
 }
 
-// setOutage starts or ends an outage of the state store.
-func (sim *simulatedCluster) setOutage(on bool) {
+// restartController kills a controller and starts it again after a while.
+func (sim *simulatedCluster) restartController(label string, away time.Duration) {
 	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	sim.state.Outage(on)
+	n := sim.controllers[label]
+	delete(sim.controllers, label)
+	sim.mu.Unlock()
+	if n == nil {
+		return
+	}
+	n.cancel()
+	<-n.done
+	time.Sleep(away)
+	sim.startController(label)
 }
 
-func panicOnError(err error) {
-	if err != nil {
-		panic(err)
+// handOverAndRestart shuts a controller down as planned and starts it again.
+func (sim *simulatedCluster) handOverAndRestart(label string) {
+	n := sim.processOf(label)
+	if n == nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(sim.ctx, time.Second)
+	n.controller.HandOver(ctx)
+	cancel()
+	sim.killController(label)
+	time.Sleep(300 * time.Millisecond)
+	sim.startController(label)
+}
+
+// pauseController withholds what a controller sends and receives, as if its process were
+// stopped.
+func (sim *simulatedCluster) pauseController(label string, d time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.pausedUntil == nil {
+		sim.pausedUntil = map[string]time.Time{}
 	}
+	sim.pausedUntil[label] = time.Now().Add(d)
+}
+
+// withLock runs f with the simulated cluster's lock held.
+func (sim *simulatedCluster) withLock(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	f()
 }
 
 // processOf returns a controller's process, nil if it does not run.
@@ -373,6 +264,91 @@
 	return sim.processOf(label).controller
 }
 
+// onController runs f in a controller's event loop.
+func (sim *simulatedCluster) onController(label string, f func(c *Controller)) {
+	n := sim.processOf(label)
+	if n != nil {
+		n.controller.loop.Do(func() { f(n.controller) })
+	}
+}
+
+// otherControllers returns the running controllers but one.
+func (sim *simulatedCluster) otherControllers(label string) (list []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, l := range slices.Sorted(maps.Keys(sim.controllers)) {
+		if l != label {
+			list = append(list, l)
+		}
+	}
+	return list
+}
+
+func (sim *simulatedCluster) partitionOf(team string) (partition int) {
+	sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex[team]] })
+	return partition
+}
+
+// leaderOf returns the controller that leads a partition and has loaded it, "" if there is
+// none.
+func (sim *simulatedCluster) leaderOf(partition int) string {
+	for _, label := range allControllers {
+		n := sim.processOf(label)
+		leader := false
+		if n != nil {
+			n.controller.loop.Do(func() { leader = n.controller.Partitions[partition].Held && n.controller.Partitions[partition].Ready })
+		}
+		if leader {
+			return label
+		}
+	}
+	return ""
+}
+
+// leaseCount returns how many partition leases a controller holds.
+func (sim *simulatedCluster) leaseCount(label string) int {
+	n := sim.controllerOf(label)
+	held := 0
+	n.loop.Do(func() {
+		for _, p := range n.Partitions {
+			if p.Held {
+				held++
+			}
+		}
+	})
+	return held
+}
+
+// waitForNewLeader waits until a partition has a ready leader other than before.
+func (sim *simulatedCluster) waitForNewLeader(partition int, before string) string {
+	for range 300 {
+		time.Sleep(100 * time.Millisecond)
+		if l := sim.leaderOf(partition); l != "" && l != before {
+			return l
+		}
+	}
+	sim.t.Fatalf("partition %d has no new leader", partition)
+	return ""
+}
+
+// waitForLeaseChange waits until a partition's lease is acquired anew.
+func (sim *simulatedCluster) waitForLeaseChange(partition int) {
+	key := storage.LeaseKey(partition)
+	sim.mu.Lock()
+	was := sim.state.Items[key].Version
+	sim.mu.Unlock()
+	for range 20_000 {
+		time.Sleep(time.Millisecond)
+		sim.mu.Lock()
+		now := sim.state.Items[key].Version
+		sim.mu.Unlock()
+		if now != 0 && now != was {
+			return
+		}
+	}
+	sim.t.Fatal("no controller acquired the lease")
+}
+
 // setRunTime sets how long every task runs from now on.
 func (sim *simulatedCluster) setRunTime(d time.Duration) {
 	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return d } })
@@ -382,3 +358,27 @@
 func (sim *simulatedCluster) setMessageFaultRate(share float64) {
 	sim.withLock(func() { sim.messageFaultRate = share })
 }
+
+// setOutage starts or ends an outage of the state store.
+func (sim *simulatedCluster) setOutage(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.state.Outage(on)
+}
+
+// setStateServiceRefusal makes the state store refuse the requests of one controller, or serve
+// it again.
+func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.state.Refused == nil {
+		sim.state.Refused = map[string]bool{}
+	}
+	sim.state.Refused[label] = on
+}
+
+func panicOnError(err error) {
+	if err != nil {
+		panic(err)
+	}
+}
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -16,62 +16,6 @@
 	"micaspindle/internal/transport"
 )
 
-// cutNetworkFor drops the messages that the filter selects for some time.
-func (sim *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
-	sim.withLock(func() { sim.cut = cut })
-	time.Sleep(d)
-	sim.withLock(func() { sim.cut = nil })
-}
-
-// networkCuts are the message filters that are active at the same time.
-type networkCuts struct {
-	lastID int
-	active map[int]func(from, host string) bool
-}
-
-func (c *networkCuts) add(sim *simulatedCluster, filter func(from, host string) bool) int {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	if c.active == nil {
-		c.active = map[int]func(from, host string) bool{}
-		sim.cut = func(from, host string) bool {
-			for _, f := range c.active {
-				if f(from, host) {
-					return true
-				}
-			}
-			return false
-		}
-	}
-	c.lastID++
-	c.active[c.lastID] = filter
-	return c.lastID
-}
-
-func (c *networkCuts) end(sim *simulatedCluster, id int) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	delete(c.active, id)
-}
-
-// drawLinkDelay draws a message's delay beyond the usual. The lock is held.
-func (sim *simulatedCluster) drawLinkDelay() time.Duration {
-	if sim.linkDelayMax == 0 {
-		return 0
-	}
-	return time.Duration(sim.rng.Int64N(int64(sim.linkDelayMax)))
-}
-
-// stripCancellationNotices returns a summary without its cancellation notices.
-func stripCancellationNotices(body []byte) []byte {
-	sum := new(peer.Summary)
-	panicOnError(proto.Unmarshal(body, sum))
-	sum.Cancelled = nil
-	body, err := proto.Marshal(sum)
-	panicOnError(err)
-	return body
-}
-
 // controllerNetwork is the network as one controller sees it.
 type controllerNetwork struct {
 	cluster *simulatedCluster
@@ -153,30 +97,6 @@
 	return resp, nil
 }
 
-// waitWhilePaused waits while a controller is paused.
-func (sim *simulatedCluster) waitWhilePaused(label string) {
-	sim.mu.Lock()
-	until := sim.pausedUntil[label]
-	sim.mu.Unlock()
-	time.Sleep(time.Until(until))
-}
-
-// downgradeSummary returns a summary as a controller of a version without replication sends it.
-func downgradeSummary(path string, body []byte) []byte {
-	if path != peering.SummaryPath {
-		return body
-	}
-	sum := new(peer.Summary)
-	panicOnError(proto.Unmarshal(body, sum))
-	sum.Replicas, sum.Draining, sum.Replicates, sum.Capacity, sum.Connected, sum.Cancelled = nil, false, false, 0, 0, nil
-	for _, p := range sum.Partitions {
-		p.Standby, p.Delegated = "", nil
-	}
-	body, err := proto.Marshal(sum)
-	panicOnError(err)
-	return body
-}
-
 func (sim *simulatedCluster) deliver(ctx context.Context, from, host, method, target string, body []byte) *transport.Response {
 	path, query, _ := strings.Cut(target, "?")
 	q, _ := url.ParseQuery(query)
@@ -219,3 +139,83 @@
 	}
 	return nil
 }
+
+// waitWhilePaused waits while a controller is paused.
+func (sim *simulatedCluster) waitWhilePaused(label string) {
+	sim.mu.Lock()
+	until := sim.pausedUntil[label]
+	sim.mu.Unlock()
+	time.Sleep(time.Until(until))
+}
+
+// drawLinkDelay draws a message's delay beyond the usual. The lock is held.
+func (sim *simulatedCluster) drawLinkDelay() time.Duration {
+	if sim.linkDelayMax == 0 {
+		return 0
+	}
+	return time.Duration(sim.rng.Int64N(int64(sim.linkDelayMax)))
+}
+
+// networkCuts are the message filters that are active at the same time.
+type networkCuts struct {
+	lastID int
+	active map[int]func(from, host string) bool
+}
+
+func (c *networkCuts) add(sim *simulatedCluster, filter func(from, host string) bool) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if c.active == nil {
+		c.active = map[int]func(from, host string) bool{}
+		sim.cut = func(from, host string) bool {
+			for _, f := range c.active {
+				if f(from, host) {
+					return true
+				}
+			}
+			return false
+		}
+	}
+	c.lastID++
+	c.active[c.lastID] = filter
+	return c.lastID
+}
+
+func (c *networkCuts) end(sim *simulatedCluster, id int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	delete(c.active, id)
+}
+
+// cutNetworkFor drops the messages that the filter selects for some time.
+func (sim *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
+	sim.withLock(func() { sim.cut = cut })
+	time.Sleep(d)
+	sim.withLock(func() { sim.cut = nil })
+}
+
+// downgradeSummary returns a summary as a controller of a version without replication sends it.
+func downgradeSummary(path string, body []byte) []byte {
+	if path != peering.SummaryPath {
+		return body
+	}
+	sum := new(peer.Summary)
+	panicOnError(proto.Unmarshal(body, sum))
+	sum.Replicas, sum.Draining, sum.Replicates, sum.Capacity, sum.Connected, sum.Cancelled = nil, false, false, 0, 0, nil
+	for _, p := range sum.Partitions {
+		p.Standby, p.Delegated = "", nil
+	}
+	body, err := proto.Marshal(sum)
+	panicOnError(err)
+	return body
+}
+
+// stripCancellationNotices returns a summary without its cancellation notices.
+func stripCancellationNotices(body []byte) []byte {
+	sum := new(peer.Summary)
+	panicOnError(proto.Unmarshal(body, sum))
+	sum.Cancelled = nil
+	body, err := proto.Marshal(sum)
+	panicOnError(err)
+	return body
+}
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -11,69 +11,6 @@
 	"micaspindle/internal/transport"
 )
 
-// cancelUntilAnswered cancels a job at one controller after another until it is answered.
-func (sim *simulatedCluster) cancelUntilAnswered(id string, first int) {
-	for i := range 120 {
-		if sim.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
-			return
-		}
-		select {
-		case <-time.After(time.Second):
-		case <-sim.ctx.Done():
-			return
-		}
-	}
-	sim.withLock(func() { sim.recordViolation("cancellation of %s was never answered", id) })
-}
-
-// submitUntilAccepted submits a job at one controller after another until it is accepted.
-func (sim *simulatedCluster) submitUntilAccepted(s *protocol.JobSpec, first int) {
-	for i := range 120 {
-		resp := sim.sendRequest(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", encodeSubmission(s))
-		switch resp.Status {
-		case 200, 201:
-			sim.withLock(func() {
-				if submitted := sim.jobs[s.ID]; submitted.acceptedAt.IsZero() {
-					submitted.acceptedAt = time.Now()
-				}
-			})
-			return
-		case 400:
-			sim.withLock(func() { sim.recordViolation("submission of %s got 400", s.ID) })
-			return
-		case 422: // a dependency was not accepted yet
-		}
-		select {
-		case <-time.After(time.Second):
-		case <-sim.ctx.Done():
-			return
-		}
-	}
-}
-
-// cancelAt asks one controller once to cancel a job, records its answer and reports whether
-// there was one.
-func (sim *simulatedCluster) cancelAt(label, id string) bool {
-	sim.withLock(func() { sim.jobs[id].cancelRequested = true })
-	resp := sim.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
-	if resp.Status != 200 {
-		return false
-	}
-	var st protocol.JobStatus
-	panicOnError(protocol.Decode(resp.Body, &st))
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	submitted := sim.jobs[id]
-	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
-		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
-	}
-	submitted.finalStatus = st.Status
-	if st.Status == protocol.StatusWithdrawn && submitted.cancelledAt.IsZero() {
-		submitted.cancelledAt = time.Now()
-	}
-	return true
-}
-
 // newJobSpec returns a job that fits every machine type.
 func newJobSpec(id string, tasks int, team string) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: id, Class: "c", Team: team, Urgency: protocol.Standard, Tasks: tasks, CPUs: 4, MemGB: 4,
@@ -154,6 +91,31 @@
 	sim.t.Errorf("%s was never accepted", s.ID)
 }
 
+// submitUntilAccepted submits a job at one controller after another until it is accepted.
+func (sim *simulatedCluster) submitUntilAccepted(s *protocol.JobSpec, first int) {
+	for i := range 120 {
+		resp := sim.sendRequest(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", encodeSubmission(s))
+		switch resp.Status {
+		case 200, 201:
+			sim.withLock(func() {
+				if submitted := sim.jobs[s.ID]; submitted.acceptedAt.IsZero() {
+					submitted.acceptedAt = time.Now()
+				}
+			})
+			return
+		case 400:
+			sim.withLock(func() { sim.recordViolation("submission of %s got 400", s.ID) })
+			return
+		case 422: // a dependency was not accepted yet
+		}
+		select {
+		case <-time.After(time.Second):
+		case <-sim.ctx.Done():
+			return
+		}
+	}
+}
+
 // poll requests a job's status and checks it against earlier answers.
 func (sim *simulatedCluster) poll(label, id string) string {
 	resp := sim.sendRequest(label, "GET", "/submissions/"+id, nil)
@@ -245,6 +207,44 @@
 	return ""
 }
 
+// cancelAt asks one controller once to cancel a job, records its answer and reports whether
+// there was one.
+func (sim *simulatedCluster) cancelAt(label, id string) bool {
+	sim.withLock(func() { sim.jobs[id].cancelRequested = true })
+	resp := sim.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
+	if resp.Status != 200 {
+		return false
+	}
+	var st protocol.JobStatus
+	panicOnError(protocol.Decode(resp.Body, &st))
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	submitted := sim.jobs[id]
+	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
+		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
+	}
+	submitted.finalStatus = st.Status
+	if st.Status == protocol.StatusWithdrawn && submitted.cancelledAt.IsZero() {
+		submitted.cancelledAt = time.Now()
+	}
+	return true
+}
+
+// cancelUntilAnswered cancels a job at one controller after another until it is answered.
+func (sim *simulatedCluster) cancelUntilAnswered(id string, first int) {
+	for i := range 120 {
+		if sim.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
+			return
+		}
+		select {
+		case <-time.After(time.Second):
+		case <-sim.ctx.Done():
+			return
+		}
+	}
+	sim.withLock(func() { sim.recordViolation("cancellation of %s was never answered", id) })
+}
+
 // waitForAllJobs waits until all jobs are done or cancelled.
 func (sim *simulatedCluster) waitForAllJobs(limit time.Duration) {
 	end := time.Now().Add(limit)
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -14,26 +14,36 @@
 	"micaspindle/internal/transport"
 )
 
-func (c *Controller) addQueuedJob(id string, tasks int) {
-	s := newJobSpec(id, tasks, "green")
-	s.SubmittedMS = time.Now().UnixMilli()
-	c.jobs.ApplyJobRecord(id, storage.Encode(s))
-}
+// testNetwork is the network of a controller under test, which a test may replace.
+type testNetwork struct{ storage.Requester }
 
-// fixedStatusNetwork answers every message with one status.
-type fixedStatusNetwork struct{ status int }
+// testNetworks are the networks by controller.
+var testNetworks sync.Map
 
-func (n fixedStatusNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
-	r := protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
-	return &transport.Response{Status: n.status, Body: protocol.Encode(r)}, nil
+// newTestController makes a controller whose network answers nothing until setNetwork is
+// called.
+func newTestController(ctx context.Context, set *settings.Settings, op settings.Operator) *Controller {
+	network := &testNetwork{unresponsiveNetwork{}}
+	c := New(ctx, set, op, network, slog.New(slog.DiscardHandler))
+	testNetworks.Store(c, network)
+	return c
 }
 
-// unresponsiveNetwork is a network on which nothing answers.
-type unresponsiveNetwork struct{}
+// setNetwork replaces the network of a controller that newTestController made.
+func setNetwork(c *Controller, network storage.Requester) {
+	known, _ := testNetworks.Load(c)
+	known.(*testNetwork).Requester = network
+}
 
-func (unresponsiveNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
-	<-ctx.Done()
-	return nil, ctx.Err()
+// newIdleController makes the controller n0 of three, whose event loop does not run, and a
+// function to end it.
+func newIdleController(t *testing.T) (c *Controller, end func()) {
+	t.Helper()
+	set := newSimulatedCluster(t, 1).settings
+	set.Label, set.Others = "n0", []settings.Other{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
+	ctx, cancel := context.WithCancel(t.Context())
+	c = newTestController(ctx, &set, settings.DefaultOperator())
+	return c, func() { cancel(); c.loop.Abandon() }
 }
 
 // newLeadingController makes a controller that leads every partition, without a network.
@@ -64,34 +74,24 @@
 	return c.Jobs[s.ID]
 }
 
-// newIdleController makes the controller n0 of three, whose event loop does not run, and a
-// function to end it.
-func newIdleController(t *testing.T) (c *Controller, end func()) {
-	t.Helper()
-	set := newSimulatedCluster(t, 1).settings
-	set.Label, set.Others = "n0", []settings.Other{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
-	ctx, cancel := context.WithCancel(t.Context())
-	c = newTestController(ctx, &set, settings.DefaultOperator())
-	return c, func() { cancel(); c.loop.Abandon() }
+func (c *Controller) addQueuedJob(id string, tasks int) {
+	s := newJobSpec(id, tasks, "green")
+	s.SubmittedMS = time.Now().UnixMilli()
+	c.jobs.ApplyJobRecord(id, storage.Encode(s))
 }
 
-// testNetwork is the network of a controller under test, which a test may replace.
-type testNetwork struct{ storage.Requester }
-
-// testNetworks are the networks by controller.
-var testNetworks sync.Map
+// unresponsiveNetwork is a network on which nothing answers.
+type unresponsiveNetwork struct{}
 
-// newTestController makes a controller whose network answers nothing until setNetwork is
-// called.
-func newTestController(ctx context.Context, set *settings.Settings, op settings.Operator) *Controller {
-	network := &testNetwork{unresponsiveNetwork{}}
-	c := New(ctx, set, op, network, slog.New(slog.DiscardHandler))
-	testNetworks.Store(c, network)
-	return c
+func (unresponsiveNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
+	<-ctx.Done()
+	return nil, ctx.Err()
 }
 
-// setNetwork replaces the network of a controller that newTestController made.
-func setNetwork(c *Controller, network storage.Requester) {
-	known, _ := testNetworks.Load(c)
-	known.(*testNetwork).Requester = network
+// fixedStatusNetwork answers every message with one status.
+type fixedStatusNetwork struct{ status int }
+
+func (n fixedStatusNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
+	r := protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
+	return &transport.Response{Status: n.status, Body: protocol.Encode(r)}, nil
 }
