--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -145,7 +145,7 @@
 	for seed := uint64(70); seed < 74; seed++ {
 		runSimulationWithIdentities(t, seed, func(sim *simulatedCluster) {
 			sim.jobTasksMax = 3
-			dice := func(n int) int { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.rng.IntN(n) }
+			dice := sim.randomInt
 			submitted := map[string]bool{}
 			sim.setMessageFaultRate(0.05)
 			for i := range 40 {
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -223,7 +223,7 @@
 	{name: "late transactions of a leader that restarts", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
 		// All records of one job are written late; the first that arrives is applied.
-		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, "job" })
+		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, writeOfJob })
 		sim.group.Go(func() { sim.submit(newJobSpec("job-99", 3, "green")) })
 		for range 30 {
 			if time.Sleep(500 * time.Millisecond); sim.faultCount("late transaction applied") > 0 {
@@ -328,7 +328,7 @@
 		return nil
 	}},
 	{name: "machines boot before their records are written, and the cluster leader is killed", prepare: func(sim *simulatedCluster) { sim.bootDelay = 300 * time.Millisecond }, run: func(sim *simulatedCluster) error {
-		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, "machine" })
+		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, writeOfMachine })
 		for i := range 4 {
 			sim.group.Go(func() { sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 6, "green")) })
 		}
--- a/internal/coordination/failover_faults_test.go
+++ b/internal/coordination/failover_faults_test.go
@@ -15,52 +15,58 @@
 	"micaspindle/internal/transport"
 )
 
+// takeoverSteps recognize the steps of a takeover of partition 0 by a controller's messages. Their
+// names are played in sorted order, which decides what CI runs.
+var takeoverSteps = map[string]func(target string, body []byte) bool{
+	"claiming the lease": func(target string, body []byte) bool {
+		return target == "/commit" && strings.Contains(string(body), storage.LeaseKey(0)) && strings.Contains(string(body), "hold")
+	},
+	"catching up": func(target string, _ []byte) bool {
+		return strings.HasPrefix(target, "/changes?under=r/0/")
+	},
+	"reading records":      func(target string, _ []byte) bool { return strings.HasPrefix(target, "/store?") },
+	"fencing":              func(target string, _ []byte) bool { return target == "/orders" },
+	"updating the standby": func(target string, _ []byte) bool { return target == replication.UpdatePath },
+	"incarnation record":   func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
+}
+
+// takeoverFaults inject a fault into the controller whose step was reached; nil: its message or
+// the response to it is lost. Their names are played in sorted order, which decides what CI runs.
+var takeoverFaults = map[string]func(sim *simulatedCluster, label string){
+	"killed": func(sim *simulatedCluster, label string) {
+		sim.killController(label)
+		time.Sleep(300 * time.Millisecond)
+		sim.startController(label)
+	},
+	"process paused": func(sim *simulatedCluster, label string) { sim.pauseController(label, 4*time.Second) },
+	"without state store": func(sim *simulatedCluster, label string) {
+		sim.cutNetworkFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
+	},
+	"without the agents": func(sim *simulatedCluster, label string) {
+		sim.cutNetworkFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
+	},
+	"without peers": func(sim *simulatedCluster, label string) {
+		sim.cutNetworkFor(func(from, host string) bool {
+			return (from == label || host == label) && strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n")
+		}, 6*time.Second)
+	},
+	"outage": func(sim *simulatedCluster, label string) {
+		sim.setOutage(true)
+		time.Sleep(5 * time.Second)
+		sim.setOutage(false)
+	},
+	"answer lost":      nil,
+	"planned shutdown": func(sim *simulatedCluster, label string) { sim.handOverAndRestart(label) },
+}
+
 // Each step of a takeover is hit by each fault, right before and right after it; the safety
 // rules hold, and all jobs end.
 func TestFaultsAtEachStepOfATakeover(t *testing.T) {
 	t.Parallel()
-	steps := map[string]func(target string, body []byte) bool{
-		"claiming the lease": func(target string, body []byte) bool {
-			return target == "/commit" && strings.Contains(string(body), storage.LeaseKey(0)) && strings.Contains(string(body), "hold")
-		},
-		"catching up": func(target string, _ []byte) bool {
-			return strings.HasPrefix(target, "/changes?under=r/0/")
-		},
-		"reading records":      func(target string, _ []byte) bool { return strings.HasPrefix(target, "/store?") },
-		"fencing":              func(target string, _ []byte) bool { return target == "/orders" },
-		"updating the standby": func(target string, _ []byte) bool { return target == replication.UpdatePath },
-		"incarnation record":   func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
-	}
-	faults := map[string]func(sim *simulatedCluster, label string){
-		"killed": func(sim *simulatedCluster, label string) {
-			sim.killController(label)
-			time.Sleep(300 * time.Millisecond)
-			sim.startController(label)
-		},
-		"process paused": func(sim *simulatedCluster, label string) { sim.pauseController(label, 4*time.Second) },
-		"without state store": func(sim *simulatedCluster, label string) {
-			sim.cutNetworkFor(func(from, host string) bool { return from == label && host == "state" }, 6*time.Second)
-		},
-		"without the agents": func(sim *simulatedCluster, label string) {
-			sim.cutNetworkFor(func(from, host string) bool { return from == label && strings.HasPrefix(host, "m-") }, 6*time.Second)
-		},
-		"without peers": func(sim *simulatedCluster, label string) {
-			sim.cutNetworkFor(func(from, host string) bool {
-				return (from == label || host == label) && strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n")
-			}, 6*time.Second)
-		},
-		"outage": func(sim *simulatedCluster, label string) {
-			sim.setOutage(true)
-			time.Sleep(5 * time.Second)
-			sim.setOutage(false)
-		},
-		"answer lost":      nil,
-		"planned shutdown": func(sim *simulatedCluster, label string) { sim.handOverAndRestart(label) },
-	}
 	n := 0
-	for i, step := range slices.Sorted(maps.Keys(steps)) {
+	for i, step := range slices.Sorted(maps.Keys(takeoverSteps)) {
 		n = i
-		for k, fault := range slices.Sorted(maps.Keys(faults)) {
+		for k, fault := range slices.Sorted(maps.Keys(takeoverFaults)) {
 			n += k % 2 // so that each fault comes before some steps and after others
 			for _, after := range []bool{false, true} {
 				// CI runs every third one; MICASPINDLE_FAILOVERS runs all.
@@ -69,76 +75,12 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/after=%v", step, fault, after), func(t *testing.T) {
 					t.Parallel()
-					runConfiguredSimulation(t, 660, func(sim *simulatedCluster) {
+					prepare := func(sim *simulatedCluster) {
 						sim.cloud.Capacity = 12
 						sim.runTime = func(string, int, string) time.Duration { return 15 * time.Second }
-					}, func(sim *simulatedCluster) {
-						time.Sleep(2 * time.Second)
-						submitted := 0
-						submit := func() {
-							for _, team := range allTeams {
-								s := newJobSpec(fmt.Sprint("job-", submitted), 6, team)
-								s.DeadlineS = 0
-								sim.submit(s)
-								submitted++
-							}
-						}
-						submit()
-						time.Sleep(15 * time.Second)
-						lost := sim.leaderOf(0)
-						var cut string // the controller whose step was hit
-						trigger := make(chan string, 1)
-						sim.mu.Lock()
-						seen := func(from, target string, body []byte) bool {
-							sim.mu.Lock()
-							defer sim.mu.Unlock()
-							if cut != "" || from == lost && step != "incarnation record" || !steps[step](target, body) {
-								return false
-							}
-							cut = from
-							trigger <- from
-							return true
-						}
-						if after {
-							sim.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
-								hit := seen(from, target, body)
-								if hit && faults[fault] != nil {
-									time.Sleep(time.Millisecond) // the fault comes before the response
-								}
-								return hit && faults[fault] == nil
-							}
-						} else {
-							sim.onRequest = func(from, _, target string, body []byte) bool {
-								hit := seen(from, target, body)
-								if hit && faults[fault] != nil {
-									time.Sleep(time.Millisecond)
-								}
-								return hit && faults[fault] == nil
-							}
-						}
-						sim.mu.Unlock()
-						sim.group.Go(func() {
-							select {
-							case label := <-trigger:
-								if f := faults[fault]; f != nil {
-									f(sim, label)
-								}
-							case <-sim.ctx.Done():
-							}
-						})
-						sim.killController(lost)
-						time.Sleep(4 * time.Second)
-						sim.startController(lost)
-						time.Sleep(10 * time.Second)
-						submit()
-						sim.mu.Lock()
-						sim.onResponse, sim.onRequest = nil, nil
-						hit := cut != ""
-						sim.mu.Unlock()
-						if !hit && step != "reading records" {
-							t.Error("the step was not reached")
-						}
-						sim.waitForAllJobs(3 * time.Minute)
+					}
+					runConfiguredSimulation(t, 660, prepare, func(sim *simulatedCluster) {
+						takeOverWithFault(t, sim, step, fault, after)
 					})
 				})
 			}
@@ -146,6 +88,85 @@
 	}
 }
 
+// takeOverWithFault kills the leader of partition 0 and injects a fault before or after a step of
+// the takeover, while jobs of all teams run.
+func takeOverWithFault(t *testing.T, sim *simulatedCluster, step, fault string, after bool) {
+	t.Helper()
+	time.Sleep(2 * time.Second)
+	submitted := 0
+	submit := func() {
+		for _, team := range allTeams {
+			s := newJobSpec(fmt.Sprint("job-", submitted), 6, team)
+			s.DeadlineS = 0
+			sim.submit(s)
+			submitted++
+		}
+	}
+	submit()
+	time.Sleep(15 * time.Second)
+	lost := sim.leaderOf(0)
+	reached := sim.injectAtStep(lost, step, takeoverFaults[fault], after)
+	sim.killController(lost)
+	time.Sleep(4 * time.Second)
+	sim.startController(lost)
+	time.Sleep(10 * time.Second)
+	submit()
+	sim.withLock(func() {
+		sim.onResponse, sim.onRequest = nil, nil
+		if !*reached && step != "reading records" {
+			t.Error("the step was not reached")
+		}
+	})
+	sim.waitForAllJobs(3 * time.Minute)
+}
+
+// injectAtStep injects a fault into the first controller that reaches a step of a takeover, before
+// or after its message. Whether it was reached may be read with the lock held.
+func (sim *simulatedCluster) injectAtStep(lost, step string, fault func(sim *simulatedCluster, label string), after bool) (reached *bool) {
+	reached = new(bool)
+	trigger := make(chan string, 1)
+	isFirst := func(from, target string, body []byte) bool {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if *reached || from == lost && step != "incarnation record" || !takeoverSteps[step](target, body) {
+			return false
+		}
+		*reached = true
+		trigger <- from
+		return true
+	}
+	hit := func(from, target string, body []byte) (lost bool) {
+		if !isFirst(from, target, body) {
+			return false
+		}
+		if fault != nil {
+			time.Sleep(time.Millisecond) // the fault comes before the message or response
+		}
+		return fault == nil
+	}
+	sim.withLock(func() {
+		if after {
+			sim.onResponse = func(from, _, target string, body []byte, _ *transport.Response) bool {
+				return hit(from, target, body)
+			}
+		} else {
+			sim.onRequest = func(from, _, target string, body []byte) bool {
+				return hit(from, target, body)
+			}
+		}
+	})
+	sim.group.Go(func() {
+		select {
+		case label := <-trigger:
+			if fault != nil {
+				fault(sim, label)
+			}
+		case <-sim.ctx.Done():
+		}
+	})
+	return reached
+}
+
 // Random failovers: leaders are lost in every way, one after another and together, while jobs
 // run; every start is checked against the simulated cluster's own state. MICASPINDLE_FAILOVERS
 // sets the number of seeds; CI runs a few.
@@ -159,6 +180,7 @@
 	}
 }
 
+// runRandomFailovers loses leaders and controllers in random ways while jobs are submitted.
 func runRandomFailovers(sim *simulatedCluster) {
 	time.Sleep(2 * time.Second)
 	sim.mu.Lock()
@@ -168,12 +190,8 @@
 		return time.Duration(4+(len(job)*7+task*5)%20) * time.Second
 	}
 	sim.mu.Unlock()
-	dice := func(n int) int {
-		sim.mu.Lock()
-		defer sim.mu.Unlock()
-		return sim.rng.IntN(n)
-	}
-	some := func() string {
+	dice := sim.randomInt
+	randomController := func() string {
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		labels := slices.Sorted(maps.Keys(sim.controllers))
@@ -182,14 +200,6 @@
 		}
 		return labels[sim.rng.IntN(len(labels))]
 	}
-	lose := func(label string, pause time.Duration) {
-		if label == "" {
-			return
-		}
-		sim.killController(label)
-		time.Sleep(pause)
-		sim.startController(label)
-	}
 	next := 0
 	for range 40 {
 		time.Sleep(time.Duration(300+dice(2500)) * time.Millisecond)
@@ -204,9 +214,9 @@
 		}
 		switch dice(10) {
 		case 0, 1:
-			lose(some(), []time.Duration{0, 300 * time.Millisecond, 3 * time.Second}[dice(3)])
+			sim.restartController(randomController(), []time.Duration{0, 300 * time.Millisecond, 3 * time.Second}[dice(3)])
 		case 2:
-			if label := some(); label != "" {
+			if label := randomController(); label != "" {
 				sim.handOverAndRestart(label)
 			}
 		case 3: // the leader, and its standby in the middle of the takeover
@@ -215,13 +225,13 @@
 			if lost != "" && successor != "" && lost != successor {
 				sim.killController(lost)
 				time.Sleep(time.Duration(900+dice(700)) * time.Millisecond)
-				lose(successor, 300*time.Millisecond)
+				sim.restartController(successor, 300*time.Millisecond)
 				sim.startController(lost)
 			}
 		case 4:
-			sim.pauseController(some(), time.Duration(500+dice(6000))*time.Millisecond)
+			sim.pauseController(randomController(), time.Duration(500+dice(6000))*time.Millisecond)
 		case 5:
-			label, target := some(), []string{"state", "m-", "n"}[dice(3)]
+			label, target := randomController(), []string{"state", "m-", "n"}[dice(3)]
 			sim.cutNetworkFor(func(from, host string) bool {
 				return from == label && strings.HasPrefix(host, target) || target == "n" && host == label && strings.HasPrefix(from, "n")
 			}, time.Duration(500+dice(9000))*time.Millisecond)
@@ -248,13 +258,8 @@
 			sim.mu.Lock()
 			names := slices.Sorted(maps.Keys(sim.workers))
 			if len(names) > 0 {
-				victim := sim.workers[names[sim.rng.IntN(len(names))]]
-				victim.Hung = true
-				d := time.Duration(2000+sim.rng.IntN(12000)) * time.Millisecond
-				sim.group.Go(func() {
-					time.Sleep(d)
-					sim.withLock(func() { victim.Hung = false })
-				})
+				agent := sim.workers[names[sim.rng.IntN(len(names))]]
+				sim.hang(agent, time.Duration(2000+sim.rng.IntN(12000))*time.Millisecond)
 			}
 			sim.mu.Unlock()
 		}
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -128,7 +128,7 @@
 				return step == "its response is lost"
 			}
 			if step == "the commit is late" {
-				sim.lateTransactionShare, sim.lateTransactionKind = 1, "final"
+				sim.lateTransactionShare, sim.lateTransactionKind = 1, writeOfFinal
 				sim.onRequest = nil
 				sim.onJobEnd = func(job string) {
 					h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -206,13 +206,24 @@
 // lost while others read what was written, transactions are late, controllers are killed or cut
 // off.
 func drawLinearizabilityFaults(seed uint64) []plannedFault {
-	kinds := []string{"lost transaction answers", "lost transaction answers", "late transactions", "crash", "refused", "cut from all but agents", "outage", "handover", "pause", "watches stuck", "crash of all", "late commands", "slow links"}
+	kinds := []faultKind{
+		faultLostTransactionAnswers, faultLostTransactionAnswers, faultLateTransactions, faultCrash, faultRefused,
+		faultCutFromAllButAgents, faultOutage, faultHandover, faultPause, faultWatchesStuck, faultCrashOfAll,
+		faultLateCommands, faultSlowLinks,
+	}
+	triggers := []string{"", writeOfFinal, writeOfLease, writeOfRun}
 	rng := rand.New(rand.NewPCG(seed, 79))
-	plan := []plannedFault{{Kind: "late transactions", At: 14 * time.Second, For: 10 * time.Second, Share: 0.5},
-		{Kind: "lost transaction answers", At: 32 * time.Second, For: 10 * time.Second, Share: 0.5}}
+	plan := []plannedFault{{Kind: faultLateTransactions, At: 14 * time.Second, For: 10 * time.Second, Share: 0.5},
+		{Kind: faultLostTransactionAnswers, At: 32 * time.Second, For: 10 * time.Second, Share: 0.5}}
 	for i := range 8 {
-		plan = append(plan, plannedFault{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(4+i*6)*time.Second + time.Duration(rng.IntN(5000))*time.Millisecond,
-			For: time.Duration(500+rng.IntN(6000)) * time.Millisecond, Arg: rng.IntN(1000), Share: 0.2 + 0.6*rng.Float64(), OnWrite: []string{"", "final", "lease", "run"}[rng.IntN(4)]})
+		plan = append(plan, plannedFault{
+			Kind:    kinds[rng.IntN(len(kinds))],
+			At:      time.Duration(4+i*6)*time.Second + time.Duration(rng.IntN(5000))*time.Millisecond,
+			For:     time.Duration(500+rng.IntN(6000)) * time.Millisecond,
+			Arg:     rng.IntN(1000),
+			Share:   0.2 + 0.6*rng.Float64(),
+			OnWrite: triggers[rng.IntN(len(triggers))],
+		})
 	}
 	return plan
 }
--- /dev/null
+++ b/internal/coordination/planned_faults_test.go
@@ -0,0 +1,428 @@
+package coordination
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
+)
+
+// plannedFault is one fault of a plan. It begins at a time, or with the next write of a kind
+// after it, so that it hits a step of a takeover, handover, commit or cancellation.
+type plannedFault struct {
+	At, For time.Duration
+	Kind    faultKind
+	// Arg selects the controller or machines to hit, Share the proportion of machines or
+	// messages.
+	Arg   int
+	Share float64
+	// OnWrite is the kind of write that triggers the fault; "": none.
+	OnWrite string
+}
+
+// String returns the fault as a row of a plan.
+func (fault plannedFault) String() string {
+	return fmt.Sprintf("{At: %d, For: %d, Kind: %q, Arg: %d, Share: %.2f, OnWrite: %q},", fault.At, fault.For, fault.Kind, fault.Arg, fault.Share, fault.OnWrite)
+}
+
+// faultKind is a kind of planned fault.
+type faultKind string
+
+const (
+	faultLateTransactions       faultKind = "late transactions"        // transactions get no response and are applied late
+	faultLostTransactionAnswers faultKind = "lost transaction answers" // transactions are applied at once, only their responses are lost
+	faultLateHeartbeats         faultKind = "late heartbeats"          // copies of heartbeats arrive again later
+	faultReplayedHeartbeats     faultKind = "replayed heartbeats"      // copies of heartbeats arrive as the next lease is written
+	faultInboundLost            faultKind = "inbound lost"             // machines receive no responses and commands
+	faultOutboundLost           faultKind = "outbound lost"            // messages of machines are lost
+	faultRefused                faultKind = "refused"                  // the state store refuses one controller
+	faultCutFromAllButAgents    faultKind = "cut from all but agents"
+	faultCutFromAgents          faultKind = "cut from agents"
+	faultCutOff                 faultKind = "cut off"
+	faultOutage                 faultKind = "outage"        // the state store is down
+	faultWatchesStuck           faultKind = "watches stuck" // watches deliver nothing
+	faultCrash                  faultKind = "crash"
+	faultCrashOfAll             faultKind = "crash of all"
+	faultAway                   faultKind = "away" // all controllers are down for longer than a machine lease
+	faultPause                  faultKind = "pause"
+	faultHandover               faultKind = "handover"      // a planned shutdown
+	faultHang                   faultKind = "hang"          // machines hang
+	faultPowerOff               faultKind = "power off"     // machines fail
+	faultCancelNow              faultKind = "cancel now"    // running jobs are cancelled
+	faultCancelAtEnd            faultKind = "cancel at end" // jobs are cancelled as their last task ends
+	faultZoneCut                faultKind = "zone cut"
+	faultLostMessages           faultKind = "lost messages"
+	faultCloudUnreachable       faultKind = "cloud unreachable"
+	faultLateCommands           faultKind = "late commands"
+	faultLostCommandAnswers     faultKind = "lost command answers"
+	faultSlowLinks              faultKind = "slow links"
+)
+
+// faultKinds are the kinds that random plans draw from; late commands are drawn twice as often.
+var faultKinds = []faultKind{
+	faultLateTransactions, faultLostTransactionAnswers, faultLateHeartbeats, faultReplayedHeartbeats,
+	faultInboundLost, faultOutboundLost, faultRefused, faultCutFromAllButAgents,
+	faultCutFromAgents, faultCutOff, faultOutage, faultWatchesStuck,
+	faultCrash, faultCrashOfAll, faultAway, faultPause,
+	faultHandover, faultHang, faultPowerOff, faultCancelNow,
+	faultCancelAtEnd, faultZoneCut, faultLostMessages, faultCloudUnreachable,
+	faultLateCommands, faultLateCommands, faultLostCommandAnswers, faultSlowLinks,
+}
+
+// The kinds of writes to the state store that can trigger a fault.
+const (
+	writeOfLease       = "lease"
+	writeOfLeadership  = "leadership"
+	writeOfIncarnation = "incarnation"
+	writeOfFinal       = "final"
+	writeOfMachine     = "machine"
+	writeOfJob         = "job"
+	writeOfRun         = "run"
+)
+
+// faultTriggers are the triggers that random plans draw from; "": none.
+var faultTriggers = []string{"", "", writeOfLease, writeOfLeadership, writeOfIncarnation, writeOfFinal, writeOfRun, writeOfMachine}
+
+// writeObserver signals writes to the state store by kind.
+type writeObserver struct{ waiting map[string]chan struct{} }
+
+// writeKind returns the kind of a key, "" for other keys.
+func writeKind(key string) string {
+	switch kind, _ := storage.ParseKey(key); kind {
+	case storage.KindLease:
+		return writeOfLease
+	case storage.KindLeadership:
+		return writeOfLeadership
+	case storage.KindIncarnation:
+		return writeOfIncarnation
+	case storage.KindFinal:
+		return writeOfFinal
+	case storage.KindMachine:
+		return writeOfMachine
+	case storage.KindJob:
+		return writeOfJob
+	}
+	if strings.HasPrefix(key, "r/") {
+		return writeOfRun
+	}
+	return ""
+}
+
+// observe signals the writes of a simulated cluster from now on.
+func (s *writeObserver) observe(sim *simulatedCluster) {
+	s.waiting = map[string]chan struct{}{}
+	check := sim.state.BeforePut
+	sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
+		check(c, old, exists)
+		if ch := s.waiting[writeKind(c.Put)]; ch != nil {
+			close(ch)
+			delete(s.waiting, writeKind(c.Put))
+		}
+	}
+}
+
+// nextWrite returns a channel that is closed with the next write of a kind. The lock is held.
+func (s *writeObserver) nextWrite(kind string) chan struct{} {
+	if s.waiting[kind] == nil {
+		s.waiting[kind] = make(chan struct{})
+	}
+	return s.waiting[kind]
+}
+
+// injectAtTrigger waits for a fault's time and trigger, injects it and ends it. Without a write
+// of the kind within patience the fault begins all the same.
+func (sim *simulatedCluster) injectAtTrigger(fault plannedFault, begun time.Time, patience time.Duration) {
+	time.Sleep(time.Until(begun.Add(fault.At)))
+	if fault.OnWrite != "" {
+		var next chan struct{}
+		sim.withLock(func() { next = sim.writes.nextWrite(fault.OnWrite) })
+		select {
+		case <-next:
+		case <-time.After(patience):
+		}
+	}
+	sim.inject(fault)
+}
+
+// selectMachines returns the names of the proportion Share of the machines, as selected by Arg.
+func (sim *simulatedCluster) selectMachines(fault plannedFault) (names []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for i, name := range slices.Sorted(maps.Keys(sim.workers)) {
+		if float64((i*37+fault.Arg)%100) < 100*fault.Share {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// faultInjectors injects a fault of each kind, waits for its duration and ends it.
+var faultInjectors = map[faultKind]func(sim *simulatedCluster, fault plannedFault){
+	faultLateTransactions:       (*simulatedCluster).injectLateTransactions,
+	faultLostTransactionAnswers: (*simulatedCluster).injectLateTransactions,
+	faultLateHeartbeats:         (*simulatedCluster).injectDuplicatedHeartbeats,
+	faultReplayedHeartbeats:     (*simulatedCluster).injectReplayedHeartbeats,
+	faultInboundLost: func(sim *simulatedCluster, fault plannedFault) {
+		sim.markMachinesDuring(fault, &sim.inboundLost)
+	},
+	faultOutboundLost: func(sim *simulatedCluster, fault plannedFault) {
+		sim.markMachinesDuring(fault, &sim.outboundLost)
+	},
+	faultRefused:             (*simulatedCluster).injectStateStoreRefusal,
+	faultCutFromAllButAgents: (*simulatedCluster).injectCut,
+	faultCutFromAgents:       (*simulatedCluster).injectCut,
+	faultCutOff:              (*simulatedCluster).injectCut,
+	faultCloudUnreachable:    (*simulatedCluster).injectCut,
+	faultZoneCut:             (*simulatedCluster).injectZoneCut,
+	faultOutage:              (*simulatedCluster).injectStateStoreOutage,
+	faultWatchesStuck: func(sim *simulatedCluster, fault plannedFault) {
+		sim.during(fault, func(on bool) { sim.state.Stuck = on })
+	},
+	faultCrash: func(sim *simulatedCluster, fault plannedFault) {
+		sim.restartController(fault.controller(), fault.downtime())
+	},
+	faultCrashOfAll: func(sim *simulatedCluster, fault plannedFault) {
+		sim.restartAllControllers(fault.downtime())
+	},
+	faultAway: func(sim *simulatedCluster, _ plannedFault) {
+		sim.restartAllControllers(time.Duration(sim.settings.Params.Workers.LeaseS+2) * time.Second)
+	},
+	faultPause: func(sim *simulatedCluster, fault plannedFault) {
+		sim.pauseController(fault.controller(), min(fault.For, 12*time.Second))
+	},
+	faultHandover:           (*simulatedCluster).injectHandover,
+	faultHang:               (*simulatedCluster).injectHangingMachines,
+	faultPowerOff:           (*simulatedCluster).injectMachineFailures,
+	faultCancelNow:          (*simulatedCluster).injectCancellations,
+	faultCancelAtEnd:        (*simulatedCluster).injectCancellationsAtEnd,
+	faultLostMessages:       (*simulatedCluster).injectLostMessages,
+	faultLateCommands:       (*simulatedCluster).injectLateCommands,
+	faultLostCommandAnswers: (*simulatedCluster).injectLateCommands,
+	faultSlowLinks:          (*simulatedCluster).injectSlowLinks,
+}
+
+// controller is the controller to hit.
+func (fault plannedFault) controller() string { return fmt.Sprint("n", fault.Arg%3) }
+
+// downtime is how long a killed controller stays down.
+func (fault plannedFault) downtime() time.Duration {
+	return []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[fault.Arg/3%3]
+}
+
+// inject injects a fault, waits for its duration and ends it.
+func (sim *simulatedCluster) inject(fault plannedFault) {
+	injector := faultInjectors[fault.Kind]
+	if injector == nil {
+		panic("no such fault: " + string(fault.Kind))
+	}
+	injector(sim, fault)
+}
+
+// during applies a setting for a fault's duration. It is set with the lock held.
+func (sim *simulatedCluster) during(fault plannedFault, set func(on bool)) {
+	sim.withLock(func() { set(true) })
+	time.Sleep(fault.For)
+	sim.withLock(func() { set(false) })
+}
+
+// markMachinesDuring marks the selected machines for a fault's duration.
+func (sim *simulatedCluster) markMachinesDuring(fault plannedFault, marked *map[string]bool) {
+	names := sim.selectMachines(fault)
+	sim.during(fault, func(on bool) {
+		if *marked == nil {
+			*marked = map[string]bool{}
+		}
+		for _, name := range names {
+			(*marked)[name] = on
+		}
+	})
+}
+
+// cutDuring drops the messages that the filter selects for a fault's duration.
+func (sim *simulatedCluster) cutDuring(fault plannedFault, filter func(from, host string) bool) {
+	id := sim.cuts.add(sim, filter)
+	time.Sleep(fault.For)
+	sim.cuts.end(sim, id)
+}
+
+func (sim *simulatedCluster) injectLateTransactions(fault plannedFault) {
+	sim.during(fault, func(on bool) {
+		sim.lateTransactionShare, sim.loseAnswersOnly = 0, false
+		if on {
+			sim.lateTransactionShare, sim.loseAnswersOnly = fault.Share, fault.Kind == faultLostTransactionAnswers
+		}
+	})
+}
+
+func (sim *simulatedCluster) injectDuplicatedHeartbeats(fault plannedFault) {
+	sim.during(fault, func(on bool) {
+		sim.duplicatedHeartbeatShare, sim.keepForReplay = 0, false
+		if on {
+			sim.duplicatedHeartbeatShare, sim.keepForReplay = fault.Share, fault.Kind == faultReplayedHeartbeats
+		}
+	})
+}
+
+// injectReplayedHeartbeats keeps copies of heartbeats and sends them as the next partition lease
+// is written, or after 15 s.
+func (sim *simulatedCluster) injectReplayedHeartbeats(fault plannedFault) {
+	sim.injectDuplicatedHeartbeats(fault)
+	var next chan struct{}
+	sim.withLock(func() { next = sim.writes.nextWrite(writeOfLease) })
+	select {
+	case <-next:
+	case <-time.After(15 * time.Second):
+	}
+	sim.replayHeartbeats()
+}
+
+func (sim *simulatedCluster) injectStateStoreRefusal(fault plannedFault) {
+	sim.setStateServiceRefusal(fault.controller(), true)
+	time.Sleep(fault.For)
+	sim.setStateServiceRefusal(fault.controller(), false)
+}
+
+func (sim *simulatedCluster) injectStateStoreOutage(fault plannedFault) {
+	sim.setOutage(true)
+	time.Sleep(fault.For * 2)
+	sim.setOutage(false)
+}
+
+// injectCut cuts links of a controller or of all of them to the cloud.
+func (sim *simulatedCluster) injectCut(fault plannedFault) {
+	label := fault.controller()
+	isController := func(host string) bool { return len(host) == 2 && host[0] == 'n' }
+	filters := map[faultKind]func(from, host string) bool{
+		faultCutFromAllButAgents: func(from, host string) bool {
+			return from == label && (host == "state" || isController(host)) || host == label && isController(from)
+		},
+		faultCutFromAgents: func(from, host string) bool {
+			return from == label && strings.HasPrefix(host, "m-")
+		},
+		faultCutOff:           func(from, host string) bool { return from == label || host == label },
+		faultCloudUnreachable: func(_, host string) bool { return host == "cloud" },
+	}
+	sim.cutDuring(fault, filters[fault.Kind])
+}
+
+// injectZoneCut leaves a controller the machines of one zone, and the other controllers the rest.
+func (sim *simulatedCluster) injectZoneCut(fault plannedFault) {
+	label := fault.controller()
+	zone := []string{"a", "b"}[fault.Arg%2]
+	inside := map[string]bool{}
+	sim.withLock(func() {
+		for name, agent := range sim.workers {
+			inside[name] = agent.Zone == zone
+		}
+	})
+	sim.cutDuring(fault, func(from, host string) bool {
+		return from != label && inside[host] || from == label && strings.HasPrefix(host, "m-") && !inside[host]
+	})
+}
+
+// restartAllControllers kills all controllers at once and starts them again after a while.
+func (sim *simulatedCluster) restartAllControllers(downtime time.Duration) {
+	done := make(chan struct{}, len(allControllers))
+	for _, label := range allControllers {
+		sim.group.Go(func() {
+			sim.restartController(label, downtime)
+			done <- struct{}{}
+		})
+	}
+	for range allControllers {
+		<-done
+	}
+}
+
+func (sim *simulatedCluster) injectHandover(fault plannedFault) {
+	if process := sim.processOf(fault.controller()); process != nil {
+		process.controller.HandOver(sim.ctx)
+		sim.restartController(fault.controller(), fault.downtime())
+	}
+}
+
+func (sim *simulatedCluster) injectHangingMachines(fault plannedFault) {
+	for _, name := range sim.selectMachines(fault) {
+		sim.hangMachine(name, fault.For)
+	}
+	time.Sleep(fault.For)
+}
+
+// injectMachineFailures powers at most three machines off.
+func (sim *simulatedCluster) injectMachineFailures(fault plannedFault) {
+	names := sim.selectMachines(fault)
+	for _, name := range names[:min(3, len(names))] {
+		sim.withLock(func() {
+			if agent := sim.workers[name]; agent != nil {
+				agent.Off()
+				delete(sim.workers, name)
+			}
+		})
+	}
+}
+
+// injectCancellations cancels every third running job, and may let its machines hang.
+func (sim *simulatedCluster) injectCancellations(fault plannedFault) {
+	var ids []string
+	sim.withLock(func() {
+		for _, id := range slices.Sorted(maps.Keys(sim.jobs)) {
+			job := sim.jobs[id]
+			if !job.acceptedAt.IsZero() && job.finalStatus == "" && !job.cancelRequested && len(sim.machinesRunning(id)) > 0 {
+				ids = append(ids, id)
+			}
+		}
+	})
+	for i, id := range ids {
+		if i%3 != fault.Arg%3 {
+			continue
+		}
+		var machines []string
+		sim.withLock(func() { machines = sim.machinesRunning(id) })
+		sim.group.Go(func() { sim.cancelUntilAnswered(id, fault.Arg+i) })
+		if fault.Arg%2 == 0 {
+			for _, name := range machines {
+				sim.hangMachine(name, fault.For)
+			}
+		}
+	}
+}
+
+func (sim *simulatedCluster) injectCancellationsAtEnd(fault plannedFault) {
+	sim.during(fault, func(on bool) {
+		sim.cancelAtEnd = nil
+		if on {
+			sim.cancelAtEnd = func(job string) bool { return len(job)%2 == fault.Arg%2 }
+		}
+	})
+}
+
+func (sim *simulatedCluster) injectLostMessages(fault plannedFault) {
+	sim.during(fault, func(on bool) {
+		sim.messageFaultRate = 0
+		if on {
+			sim.messageFaultRate = 0.05
+		}
+	})
+}
+
+func (sim *simulatedCluster) injectLateCommands(fault plannedFault) {
+	sim.during(fault, func(on bool) {
+		sim.delayedCommands = nil
+		if on {
+			sim.delayedCommands = &commandDelayFault{share: fault.Share, loseAnswersOnly: fault.Kind == faultLostCommandAnswers}
+		}
+	})
+}
+
+func (sim *simulatedCluster) injectSlowLinks(fault plannedFault) {
+	sim.during(fault, func(on bool) {
+		sim.linkDelayMax = 0
+		if on {
+			sim.linkDelayMax = 700 * time.Millisecond
+		}
+	})
+}
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -54,6 +54,7 @@
 	})
 }
 
+// runRandomFaults injects random faults while jobs are submitted, polled and cancelled.
 func runRandomFaults(sim *simulatedCluster) {
 	time.Sleep(2 * time.Second)
 	sim.mu.Lock()
@@ -62,24 +63,18 @@
 		return time.Duration(3+(len(job)*7+task*5)%15) * time.Second
 	}
 	sim.mu.Unlock()
-	teams := allTeams
-	dice := func(n int) int {
-		sim.mu.Lock()
-		defer sim.mu.Unlock()
-		return sim.rng.IntN(n)
-	}
+	dice := sim.randomInt
 	next := 0
 	for round := range 60 {
 		if round == 30 {
 			// The announced limits come into force.
-			sim.withLock(func() {
-				sim.state.Writes = rate.NewLimiter(rate.Limit(sim.settings.Params.State.Lower().WriteRPS), int(sim.settings.Params.State.Lower().WriteRPS))
-			})
+			limit := sim.settings.Params.State.Lower().WriteRPS
+			sim.withLock(func() { sim.state.Writes = rate.NewLimiter(rate.Limit(limit), int(limit)) })
 		}
 		time.Sleep(time.Duration(500+dice(3000)) * time.Millisecond)
 		switch dice(8) {
 		case 0, 1, 2:
-			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(sim.jobTasksMax), teams[dice(3)])
+			s := newJobSpec(fmt.Sprintf("job-%d", next), 1+dice(sim.jobTasksMax), allTeams[dice(3)])
 			s.Spread, s.OneZone = dice(4) == 0, dice(6) == 0
 			s.Urgency = protocol.Urgency(dice(4))
 			// Some jobs depend on earlier ones, in whatever state those are.
@@ -92,10 +87,7 @@
 			sim.submit(s)
 		case 3:
 			label := fmt.Sprintf("n%d", dice(3))
-			sim.mu.Lock()
-			up := sim.controllers[label] != nil
-			sim.mu.Unlock()
-			if up {
+			if sim.processOf(label) != nil {
 				sim.killController(label)
 				time.Sleep(time.Duration(dice(6000)) * time.Millisecond)
 				sim.startController(label)
@@ -107,17 +99,12 @@
 		case 5:
 			// A machine hangs, for less or more than its lease.
 			sim.mu.Lock()
-			var victim *worker.Worker
+			var last *worker.Worker
 			for _, agent := range sim.workers {
-				victim = agent
+				last = agent
 			}
-			if victim != nil {
-				victim.Hung = true
-				for6 := time.Duration(2000+sim.rng.IntN(12000)) * time.Millisecond
-				sim.group.Go(func() {
-					time.Sleep(for6)
-					sim.withLock(func() { victim.Hung = false })
-				})
+			if last != nil {
+				sim.hang(last, time.Duration(2000+sim.rng.IntN(12000))*time.Millisecond)
 			}
 			sim.mu.Unlock()
 		case 6:
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -59,12 +59,15 @@
 	if agent == nil || agent.Hung {
 		return
 	}
+	sim.hang(agent, d)
+}
+
+// hang lets an agent's machine hang for a while. The lock is held.
+func (sim *simulatedCluster) hang(agent *worker.Worker, d time.Duration) {
 	agent.Hung = true
 	sim.group.Go(func() {
 		time.Sleep(d)
-		sim.mu.Lock()
-		defer sim.mu.Unlock()
-		agent.Hung = false
+		sim.withLock(func() { agent.Hung = false })
 	})
 }
 
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -382,3 +382,10 @@
 		panic(err)
 	}
 }
+
+// randomInt draws a number below n.
+func (sim *simulatedCluster) randomInt(n int) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.rng.IntN(n)
+}
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -26,77 +26,93 @@
 // Do delivers one message; it may be lost, its response may be lost, or it may arrive long
 // after the sender has given up.
 func (network *controllerNetwork) Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error) {
-	sim := network.cluster
+	sim, sender := network.cluster, network.sender.label
 	host, _, _ := strings.Cut(addr, ":")
-	sim.mu.Lock()
-	fate := sim.rng.Float64()
-	delay := time.Duration(1+sim.rng.IntN(4))*time.Millisecond + sim.drawLinkDelay()
-	after := time.Duration(sim.rng.IntN(20_000)) * time.Millisecond
-	faultRate := sim.messageFaultRate
-	cut := sim.cut != nil && sim.cut(network.sender.label, host) || sim.inboundLost[host]
-	onRequest := sim.onRequest
-	late, lost := sim.drawTransactionDelay(host, target, body)
-	var heldFor time.Duration
-	held := false
-	if sim.workers[host] != nil && !cut {
-		heldFor, held = sim.drawCommandDelay(target, body)
-	}
-	sim.mu.Unlock()
-	sim.waitWhilePaused(network.sender.label)
-	if lost {
-		sim.group.Go(func() { sim.deliverTransactionLate(network.sender.label, late, body) })
-		<-ctx.Done()
-		return nil, fmt.Errorf("no answer to a transaction: %w", ctx.Err())
-	}
-	if held {
-		sim.withLock(func() { sim.countFault("delayed from " + network.sender.label) })
-		sim.group.Go(func() { sim.deliverCommandLate(host, heldFor, body) })
-		<-ctx.Done()
-		return nil, fmt.Errorf("delayed: %w", ctx.Err())
+	fate := sim.drawMessageFate(sender, host, target, body)
+	sim.waitWhilePaused(sender)
+	if fate.transactionLate {
+		sim.group.Go(func() { sim.deliverTransactionLate(sender, fate.transactionDelay, body) })
+		return lostMessage(ctx, "no answer to a transaction")
 	}
-	if onRequest != nil && onRequest(network.sender.label, host, target, body) {
-		cut = true
+	if fate.commandLate {
+		sim.withLock(func() { sim.countFault("delayed from " + sender) })
+		sim.group.Go(func() { sim.deliverCommandLate(host, fate.commandDelay, body) })
+		return lostMessage(ctx, "delayed")
 	}
-	if cut {
-		<-ctx.Done()
-		return nil, fmt.Errorf("link cut: %w", ctx.Err())
+	if fate.onRequest != nil && fate.onRequest(sender, host, target, body) || fate.cut {
+		return lostMessage(ctx, "link cut")
 	}
-	if fate < faultRate/3 {
-		<-ctx.Done()
-		return nil, fmt.Errorf("request lost: %w", ctx.Err())
+	if fate.requestLost {
+		return lostMessage(ctx, "request lost")
 	}
-	if fate < faultRate*2/3 && ctx.Done() != nil {
+	if fate.requestLate && ctx.Done() != nil {
 		sim.group.Go(func() {
-			time.Sleep(after)
-			sim.deliver(context.WithoutCancel(ctx), network.sender.label, host, method, target, body)
+			time.Sleep(fate.requestDelay)
+			sim.deliver(context.WithoutCancel(ctx), sender, host, method, target, body)
 		})
-		<-ctx.Done()
-		return nil, fmt.Errorf("delivered late: %w", ctx.Err())
+		return lostMessage(ctx, "delivered late")
 	}
-	time.Sleep(delay)
+	time.Sleep(fate.linkDelay)
 	sim.waitWhilePaused(host)
 	if network.ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: process ended", transport.ErrNotSent)
 	}
-	resp := sim.deliver(ctx, network.sender.label, host, method, target, body)
+	resp := sim.deliver(ctx, sender, host, method, target, body)
 	if resp == nil {
 		return nil, fmt.Errorf("%w: refused", transport.ErrNotSent)
 	}
-	sim.waitWhilePaused(network.sender.label)
+	sim.waitWhilePaused(sender)
 	sim.mu.Lock()
 	onResponse := sim.onResponse
 	sim.mu.Unlock()
-	if onResponse != nil && onResponse(network.sender.label, host, target, body, resp) {
-		<-ctx.Done()
-		return nil, fmt.Errorf("answer lost: %w", ctx.Err())
-	}
-	if fate < faultRate {
-		<-ctx.Done()
-		return nil, fmt.Errorf("answer lost: %w", ctx.Err())
+	if onResponse != nil && onResponse(sender, host, target, body, resp) || fate.responseLost {
+		return lostMessage(ctx, "answer lost")
 	}
 	return resp, nil
 }
 
+// messageFate is what becomes of one message of a controller, drawn when it is sent.
+type messageFate struct {
+	linkDelay    time.Duration
+	cut          bool
+	onRequest    func(from, host, target string, body []byte) (lost bool)
+	requestLost  bool
+	requestLate  bool
+	requestDelay time.Duration
+	responseLost bool
+
+	transactionLate  bool
+	transactionDelay time.Duration
+	commandLate      bool
+	commandDelay     time.Duration
+}
+
+// drawMessageFate draws the fate of a message. Equal seeds give equal fates only if the draws
+// keep their order.
+func (sim *simulatedCluster) drawMessageFate(sender, host, target string, body []byte) (fate messageFate) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	draw := sim.rng.Float64()
+	fate.linkDelay = time.Duration(1+sim.rng.IntN(4))*time.Millisecond + sim.drawLinkDelay()
+	fate.requestDelay = time.Duration(sim.rng.IntN(20_000)) * time.Millisecond
+	fate.requestLost = draw < sim.messageFaultRate/3
+	fate.requestLate = draw < sim.messageFaultRate*2/3
+	fate.responseLost = draw < sim.messageFaultRate
+	fate.cut = sim.cut != nil && sim.cut(sender, host) || sim.inboundLost[host]
+	fate.onRequest = sim.onRequest
+	fate.transactionDelay, fate.transactionLate = sim.drawTransactionDelay(host, target, body)
+	if sim.workers[host] != nil && !fate.cut {
+		fate.commandDelay, fate.commandLate = sim.drawCommandDelay(target, body)
+	}
+	return fate
+}
+
+// lostMessage waits until the sender gives up, and returns the error that it gets.
+func lostMessage(ctx context.Context, reason string) (*transport.Response, error) {
+	<-ctx.Done()
+	return nil, fmt.Errorf("%s: %w", reason, ctx.Err())
+}
+
 func (sim *simulatedCluster) deliver(ctx context.Context, from, host, method, target string, body []byte) *transport.Response {
 	path, query, _ := strings.Cut(target, "?")
 	q, _ := url.ParseQuery(query)
