--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -33,6 +33,8 @@
 	return v.Read
 }
 
+// exportAudit returns the audit archive that a controller exports; it is tried until it
+// succeeds.
 func (sim *simulatedCluster) exportAudit(label string) []byte {
 	sim.t.Helper()
 	resp := sim.requestAs("person/root", label, "GET", "/audit/seal", nil)
--- a/internal/coordination/authorization_test.go
+++ b/internal/coordination/authorization_test.go
@@ -31,12 +31,12 @@
 		for _, s := range []*protocol.JobSpec{newJobSpecOfClass("job-1", "red", "match"), newJobSpecOfClass("job-2", "blue", "refund-batch"), newJobSpecOfClass("job-3", "blue", "price-check")} {
 			sim.submit(s)
 		}
-		asked := map[string]int{} // refusals by identity
-		refused := func(who string, status int, resp transport.Response) {
+		refusals := map[string]int{} // refusals by identity
+		refused := func(identityName string, status int, resp transport.Response) {
 			t.Helper()
 			sim.expectStatus(status, resp)
 			if resp.Status == 401 || resp.Status == 403 {
-				asked[who]++
+				refusals[identityName]++
 			}
 		}
 		// The clerk reassigns another team's job, or moves one of its own to another team.
@@ -62,7 +62,7 @@
 		// The response for a job of another queue does not differ from that for an unknown job.
 		a := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-3", nil)
 		b := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
-		asked["service/refunds"] += 2
+		refusals["service/refunds"] += 2
 		if a.Status != b.Status || !bytes.Equal(a.Body, b.Body) || a.RetryAfter != b.RetryAfter {
 			t.Errorf("a job of another queue gets %d %q, no job %d %q", a.Status, a.Body, b.Status, b.Body)
 		}
@@ -80,9 +80,9 @@
 		}
 		time.Sleep(2 * audit.GatherFor)
 		read := sim.readAudit("n1")
-		for who, n := range asked {
-			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == who }); got != n {
-				t.Errorf("%q was refused %d times, the audit has %d", who, n, got)
+		for identityName, n := range refusals {
+			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == identityName }); got != n {
+				t.Errorf("%q was refused %d times, the audit has %d", identityName, n, got)
 			}
 		}
 		if n := countRecords(read, func(r *audit.Record) bool {
@@ -187,11 +187,11 @@
 			sim.jobs[s.ID] = newAcceptedJob(s)
 			sim.jobs[s.ID].cancelRequested = i%2 == 0
 			sim.mu.Unlock()
-			who := "person/root"
+			identityName := "person/root"
 			if i%2 == 0 {
-				who = "person/anna"
+				identityName = "person/anna"
 			}
-			for sim.requestAs(who, "n0", "POST", "/submissions", encodeSubmission(s)).Status != 201 {
+			for sim.requestAs(identityName, "n0", "POST", "/submissions", encodeSubmission(s)).Status != 201 {
 				time.Sleep(time.Second)
 			}
 		}
@@ -235,10 +235,10 @@
 		time.Sleep(time.Second)
 		var got [2]transport.Response
 		var wg sync.WaitGroup
-		for i, who := range []string{"person/root", "person/second"} {
+		for i, identityName := range []string{"person/root", "person/second"} {
 			wg.Go(func() {
 				other := []string{"person/second", "person/root"}[i]
-				got[i] = sim.requestAs(who, []string{"n0", "n1"}[i], "POST", "/policy", &rights.Change{Version: 2,
+				got[i] = sim.requestAs(identityName, []string{"n0", "n1"}[i], "POST", "/policy", &rights.Change{Version: 2,
 					PutIdentities: []rights.Identity{{Name: other, Roles: []string{"admin"}, Revoked: true}}})
 			})
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -54,6 +54,7 @@
 // fleetSize is a number of machines, of running tasks on each, and of waiting tasks.
 type fleetSize struct{ machines, running, waiting int }
 
+// allFleetSizes are the sizes to measure, ascending.
 var allFleetSizes = []fleetSize{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
 
 // fleetSizes returns the sizes to measure; -short leaves the two largest out, so that a check
@@ -97,6 +98,7 @@
 // unavailableNetwork is the network to a state store that is down.
 type unavailableNetwork struct{}
 
+// Do answers 503.
 func (unavailableNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	return &transport.Response{Status: 503}, nil
 }
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -170,7 +170,7 @@
 		partition := 0
 		sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["red"]] })
 		leader := sim.leaderOf(partition)
-		claimed := make(chan struct{})
+		acquired := make(chan struct{})
 		var late atomic.Bool
 		sim.withLock(func() {
 			if n := len(sim.machinesRunning("job-1")); n != 8 {
@@ -190,12 +190,12 @@
 			sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 				check(c, old, exists)
 				if c.Put == storage.LeaseKey(partition) && !late.Swap(true) {
-					close(claimed)
+					close(acquired)
 				}
 			}
 		})
 		sim.killController(leader)
-		<-claimed
+		<-acquired
 		time.Sleep(200 * time.Millisecond)
 		successor := ""
 		for _, l := range sim.otherControllers("") {
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -155,6 +155,8 @@
 // any second.
 const tokenRaiseShareMax = 0.5
 
+// commandFaultCombinations combine faults of commands, links and zones. Their indexes decide
+// their seeds.
 var commandFaultCombinations = []faultCombination{
 	{name: "starts, stops and reaps of a former leader arrive before and after its successor's first fence",
 		run: runWithStaleCommands(func(sim *simulatedCluster, partition int, leader string) string {
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -97,6 +97,7 @@
 	return hit
 }
 
+// faultCombinations are the combinations of docs/meetings.md. Their indexes decide their seeds.
 var faultCombinations = []faultCombination{
 	{name: "replayed heartbeats reach every controller during a failover", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
@@ -343,14 +344,7 @@
 				}
 			})
 		}
-		leader := ""
-		for _, l := range allControllers {
-			sim.onController(l, func(c *Controller) {
-				if c.Leadership.Held {
-					leader = l
-				}
-			})
-		}
+		leader := sim.clusterLeader()
 		if leader != "" {
 			sim.killController(leader)
 		}
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -282,6 +282,8 @@
 	}
 }
 
+// checkDependencyGraph compares what is blocked, doomed and inherited with a direct
+// computation.
 func checkDependencyGraph(t *testing.T, seed uint64, g *cluster.DependencyGraph, all []*cluster.Job, jobs map[string]*cluster.Job, finals map[string]string) {
 	t.Helper()
 	doomed, blocked := map[string]bool{}, map[string]bool{}
--- a/internal/coordination/failover_faults_test.go
+++ b/internal/coordination/failover_faults_test.go
@@ -275,9 +275,9 @@
 	runConfiguredSimulation(t, 670, func(sim *simulatedCluster) { configureLongJobs(sim); sim.oldVersions = map[string]bool{"n1": true} }, func(sim *simulatedCluster) {
 		sim.submitLongJobs()
 		for partition := range 3 {
-			who, successor := sim.leaderOf(partition), sim.standbyOf(partition)
-			if successor == "n1" || who == "n1" && successor != "" {
-				t.Errorf("%q is standby of partition %d of %s", successor, partition, who)
+			leader, successor := sim.leaderOf(partition), sim.standbyOf(partition)
+			if successor == "n1" || leader == "n1" && successor != "" {
+				t.Errorf("%q is standby of partition %d of %s", successor, partition, leader)
 			}
 		}
 		for _, lost := range []string{"n1", "n0"} {
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -34,6 +34,7 @@
 	time.Sleep(30 * time.Second)
 }
 
+// cancelLongJobs cancels the jobs of submitLongJobs and waits until they are gone.
 func (sim *simulatedCluster) cancelLongJobs() {
 	for i := range 3 {
 		sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -367,14 +368,7 @@
 	t.Parallel()
 	runSimulation(t, 680, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
-		leader := ""
-		for _, l := range allControllers {
-			sim.onController(l, func(c *Controller) {
-				if c.Leadership.Held {
-					leader = l
-				}
-			})
-		}
+		leader := sim.clusterLeader()
 		// The cloud's responses are lost, so that the scale-out stays in progress.
 		var names []string
 		sim.mu.Lock()
--- a/internal/coordination/fairness_test.go
+++ b/internal/coordination/fairness_test.go
@@ -70,6 +70,7 @@
 	times       int
 }
 
+// factor returns how many times as often the jobs of a class and team arrive.
 func (f loadSurge) factor(class, team string) int {
 	if (f.class == "" || f.class == class) && (f.team == "" || f.team == team) {
 		return f.times
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -69,23 +69,27 @@
 	after   time.Duration
 }
 
+// keptHeartbeat is a copy of a heartbeat to be sent again.
 type keptHeartbeat struct {
 	machine string
 	body    []byte
 }
 
-func (sim *simulatedCluster) countFault(filter string) {
+// countFault counts an event of a fault. The lock is held.
+func (sim *simulatedCluster) countFault(event string) {
 	if sim.faultCounts == nil {
 		sim.faultCounts = map[string]int{}
 	}
-	sim.faultCounts[filter]++
+	sim.faultCounts[event]++
 }
 
-func (sim *simulatedCluster) faultCount(filter string) (n int) {
-	sim.withLock(func() { n = sim.faultCounts[filter] })
+// faultCount returns how often an event was counted.
+func (sim *simulatedCluster) faultCount(event string) (n int) {
+	sim.withLock(func() { n = sim.faultCounts[event] })
 	return n
 }
 
+// fenceOp stands for a message without commands, which only raises the token.
 const fenceOp = "fence"
 
 // commandOps returns the operations in a message of commands.
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -32,12 +32,8 @@
 		defer end()
 		_, m := c.leadFirstPartition(5)
 		task := []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}}
-		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
-		j.Load()
-		c.Jobs["job-1"] = j
-		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 2, State: cluster.AttemptCommitted}
-		j.LiveAttempts[0], j.Pending = a, nil
-		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
+		j := c.addLoadedJob("job-1")
+		a := addLiveAttempt(j, m, 2, cluster.AttemptCommitted)
 		send := func(epoch, sequence, token uint64, tasks []protocol.TaskReport) int {
 			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
 			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
@@ -141,12 +137,9 @@
 		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusWithdrawn, time.Second, false},
 			{protocol.StatusWithdrawn, 20 * time.Second, true}, {protocol.StatusWithdrawn, time.Hour, false}} {
 			id := fmt.Sprint("job-", i)
-			j := &cluster.Job{Spec: newJobSpec(id, 1, "red")}
-			j.Load()
-			c.Jobs[id] = j
-			a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed}
-			j.LiveAttempts[0], j.Pending = a, nil
-			m.Attempts = map[string]*cluster.Attempt{cluster.AttemptKey(a.TaskName(), 1): a}
+			j := c.addLoadedJob(id)
+			clear(m.Attempts)
+			a := addLiveAttempt(j, m, 1, cluster.AttemptConfirmed)
 			// As a leader that learns of it, and as one that finds it at a takeover.
 			c.jobs.SetFinal(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
@@ -171,12 +164,10 @@
 		defer end()
 		now := time.Now()
 		_, m := c.leadFirstPartition(9)
-		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red"), Ended: true}
-		j.Load()
-		c.Jobs["job-1"], c.FinalStates["job-1"] = j, protocol.StatusWithdrawn
-		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true, Stopping: true, StopRequestedAt: now}
-		j.LiveAttempts[0], j.Pending = a, nil
-		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
+		j := c.addLoadedJob("job-1")
+		j.Ended, c.FinalStates["job-1"] = true, protocol.StatusWithdrawn
+		a := addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
+		a.Inherited, a.Stopping, a.StopRequestedAt = true, true, now
 		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
 		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
 			t.Errorf("heartbeat under an old token without the task: live %v, fenced %v", a.Live(), m.Fenced)
--- a/internal/coordination/invalid_requests_test.go
+++ b/internal/coordination/invalid_requests_test.go
@@ -21,6 +21,7 @@
 	return m
 }
 
+// encodeFields returns a submission with the given fields.
 func encodeFields(m map[string]any) []byte {
 	b, err := msgpack.Marshal(m)
 	panicOnError(err)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -42,6 +42,7 @@
 	clientResponseLimit = 8 << 20
 )
 
+// The limits and teams of large deployments.
 var (
 	largeLimits = settings.Limits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
 	// onePartition and threePartitions are the teams whose partitions have machines.
@@ -88,6 +89,7 @@
 	return c
 }
 
+// largeMachine returns the name of a machine.
 func largeMachine(i int) string { return fmt.Sprintf("machine-%06d", i) }
 
 // heartbeatOf returns the heartbeat of a machine's agent.
@@ -112,6 +114,7 @@
 	return list
 }
 
+// expectCountedBounds fails the test unless exactly the given bounds were met.
 func expectCountedBounds(t *testing.T, c *Controller, bounds ...telemetry.Bound) {
 	t.Helper()
 	list := countedBounds(c)
@@ -200,6 +203,8 @@
 	}
 }
 
+// checkLargeSummary checks that the summary of a large fleet is complete and below the limit of
+// a body.
 func checkLargeSummary(t *testing.T, c *Controller) {
 	t.Helper()
 	now := time.Now()
@@ -269,6 +274,8 @@
 	t.Logf("summary at its worst: %d bytes of %d", len(body), peerapi.MaxBody(largeLimits))
 }
 
+// checkLargeReplica updates a standby, transfers its state and lets it take the partitions
+// over.
 func checkLargeReplica(t *testing.T, c *Controller) {
 	t.Helper()
 	for _, m := range c.Machines {
@@ -310,6 +317,8 @@
 	}
 }
 
+// checkStartsAheadOfRecords checks that a standby keeps all starts whose records have not
+// arrived yet.
 func checkStartsAheadOfRecords(t *testing.T, c *Controller) {
 	t.Helper()
 	replica := replication.NewReplica(0, time.Now())
@@ -323,6 +332,7 @@
 	}
 }
 
+// checkLargeCancellationNotices checks that the notices of all recent cancellations are sent.
 func checkLargeCancellationNotices(t *testing.T, c *Controller) {
 	t.Helper()
 	now := time.Now()
@@ -363,6 +373,8 @@
 	return &resp, nil
 }
 
+// checkLargeDelegatedHeartbeats checks that a delegate keeps and forwards the heartbeats of all
+// machines.
 func checkLargeDelegatedHeartbeats(t *testing.T, c *Controller) {
 	t.Helper()
 	p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
@@ -402,6 +414,7 @@
 	t.Logf("delegated heartbeats: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.acknowledged))
 }
 
+// checkSingleControllerLeft checks that one controller handles the heartbeats of all machines.
 func checkSingleControllerLeft(t *testing.T, c *Controller) {
 	t.Helper()
 	for _, m := range c.Machines {
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -21,6 +21,7 @@
 // requestKind is a user's request; the end of a job's last task is an event without a request.
 type requestKind int
 
+// The kinds of requests.
 const (
 	requestSubmit requestKind = iota
 	requestPoll
@@ -37,6 +38,7 @@
 // jobState is the state of a job as its users may see it.
 type jobState int
 
+// The states of a job.
 const (
 	jobUnknown jobState = iota
 	jobAccepted
@@ -92,6 +94,7 @@
 	answers, finals int
 }
 
+// nextTime returns the next logical time.
 func (h *requestHistory) nextTime() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,6 +102,7 @@
 	return h.next
 }
 
+// record adds an operation to a job's history.
 func (h *requestHistory) record(job string, op porcupine.Operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -169,8 +173,8 @@
 // later or after its end, until it is final.
 func (h *requestHistory) runJobLifecycle(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	pick := func() string { return fmt.Sprint("n", rng.IntN(3)) }
-	// insists repeats a request until it is answered, as users do.
-	insists := func(q requestKind) string {
+	// retry repeats a request until it is answered, as users do.
+	retry := func(q requestKind) string {
 		for range 90 {
 			if st := h.request(sim, pick(), q, s); st != "" {
 				return st
@@ -180,11 +184,11 @@
 		sim.withLock(func() { sim.recordViolation("%s: request %v never answered", s.ID, q) })
 		return ""
 	}
-	insists(requestSubmit)
+	retry(requestSubmit)
 	h.pollAllControllers(sim, s, rng)
 	if rng.IntN(2) == 0 {
 		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
-		insists(requestCancel)
+		retry(requestCancel)
 		h.pollAllControllers(sim, s, rng)
 	}
 	for range 120 {
@@ -192,7 +196,7 @@
 		if st == protocol.StatusDone || st == protocol.StatusWithdrawn {
 			h.pollAllControllers(sim, s, rng)
 			if rng.IntN(2) == 0 {
-				insists(requestCancel) // of a finished job
+				retry(requestCancel) // of a finished job
 				h.pollAllControllers(sim, s, rng)
 			}
 			return
--- a/internal/coordination/on_behalf_of_test.go
+++ b/internal/coordination/on_behalf_of_test.go
@@ -24,16 +24,8 @@
 		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", change))
 		time.Sleep(time.Second)
 		requestThrough := func(service, token, behalf, method, target string, body any) transport.Response {
-			var raw []byte
-			switch b := body.(type) {
-			case nil:
-			case []byte:
-				raw = b
-			default:
-				raw = protocol.Encode(b)
-			}
-			path, query, _ := strings.Cut(target, "?")
-			req := &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: "10.9.0.3:4000", OnBehalfOf: behalf}
+			req := newRequest("10.9.0.3:4000", method, target, body)
+			req.OnBehalfOf = behalf
 			if token != "" {
 				req.Authorization = sim.identities.authorization(token)
 			} else {
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -12,11 +12,11 @@
 )
 
 // requestOperations sends an operator's request to a controller.
-func (sim *simulatedCluster) requestOperations(who, label, path string) transport.Response {
+func (sim *simulatedCluster) requestOperations(identityName, label, path string) transport.Response {
 	n := sim.processOf(label)
 	req := &transport.Request{Method: "GET", Path: path, From: "10.9.0.2:4000"}
-	if who != "" {
-		req.Authorization = sim.identities.authorization(who)
+	if identityName != "" {
+		req.Authorization = sim.identities.authorization(identityName)
 	}
 	return n.controller.ServeOperations(sim.ctx, req)
 }
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -236,17 +236,12 @@
 		before := maps.Clone(sim.cloud.Machines)
 		sim.mu.Unlock()
 		// The cluster leader stays and has known the machines for long.
-		var leader *simulatedController
-		for _, label := range allControllers {
-			n := sim.processOf(label)
-			n.controller.loop.Do(func() {
-				if n.controller.Leadership.Held {
-					leader = n
-				}
-			})
+		leader := sim.clusterLeader()
+		if leader == "" {
+			t.Fatal("no cluster leader")
 		}
 		for _, label := range allControllers {
-			if label != leader.label {
+			if label != leader {
 				sim.killController(label)
 				sim.startController(label)
 			}
@@ -254,7 +249,7 @@
 		// Their agents cannot reach the new leaders for a moment.
 		sim.mu.Lock()
 		sim.cut = func(from, host string) bool {
-			return from != leader.label && strings.HasPrefix(host, "m-")
+			return from != leader && strings.HasPrefix(host, "m-")
 		}
 		sim.mu.Unlock()
 		time.Sleep(3 * time.Second)
@@ -272,7 +267,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		for _, label := range allControllers {
-			if label == leader.label {
+			if label == leader {
 				continue
 			}
 			n := sim.controllerOf(label)
@@ -308,13 +303,9 @@
 	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 	m := c.Machines["m-1"]
 	m.Epoch, m.HasReported = 2, true
-	j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
-	j.Load()
-	j.Pending = nil
-	c.Jobs["job-1"] = j
-	a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true}
-	j.LiveAttempts[0] = a
-	m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
+	j := c.addLoadedJob("job-1")
+	a := addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
+	a.Inherited = true
 	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
 	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
 		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
--- a/internal/coordination/planned_faults_test.go
+++ b/internal/coordination/planned_faults_test.go
@@ -32,6 +32,7 @@
 // faultKind is a kind of planned fault.
 type faultKind string
 
+// The kinds of planned faults.
 const (
 	faultLateTransactions       faultKind = "late transactions"        // transactions get no response and are applied late
 	faultLostTransactionAnswers faultKind = "lost transaction answers" // transactions are applied at once, only their responses are lost
@@ -249,6 +250,7 @@
 	sim.cuts.end(sim, id)
 }
 
+// injectLateTransactions leaves a share of the transactions without a response.
 func (sim *simulatedCluster) injectLateTransactions(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.lateTransactionShare, sim.loseAnswersOnly = 0, false
@@ -258,6 +260,7 @@
 	})
 }
 
+// injectDuplicatedHeartbeats copies a share of the heartbeats.
 func (sim *simulatedCluster) injectDuplicatedHeartbeats(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.duplicatedHeartbeatShare, sim.keepForReplay = 0, false
@@ -280,12 +283,14 @@
 	sim.replayHeartbeats()
 }
 
+// injectStateStoreRefusal makes the state store refuse one controller.
 func (sim *simulatedCluster) injectStateStoreRefusal(fault plannedFault) {
 	sim.setStateServiceRefusal(fault.controller(), true)
 	time.Sleep(fault.For)
 	sim.setStateServiceRefusal(fault.controller(), false)
 }
 
+// injectStateStoreOutage takes the state store down for twice the fault's duration.
 func (sim *simulatedCluster) injectStateStoreOutage(fault plannedFault) {
 	sim.setOutage(true)
 	time.Sleep(fault.For * 2)
@@ -338,6 +343,7 @@
 	}
 }
 
+// injectHandover shuts a controller down as planned and starts it again.
 func (sim *simulatedCluster) injectHandover(fault plannedFault) {
 	if process := sim.processOf(fault.controller()); process != nil {
 		process.controller.HandOver(sim.ctx)
@@ -345,6 +351,7 @@
 	}
 }
 
+// injectHangingMachines lets the selected machines hang.
 func (sim *simulatedCluster) injectHangingMachines(fault plannedFault) {
 	for _, name := range sim.selectMachines(fault) {
 		sim.hangMachine(name, fault.For)
@@ -391,6 +398,7 @@
 	}
 }
 
+// injectCancellationsAtEnd cancels half of the jobs as their last task ends.
 func (sim *simulatedCluster) injectCancellationsAtEnd(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.cancelAtEnd = nil
@@ -400,6 +408,7 @@
 	})
 }
 
+// injectLostMessages loses or delays some of the controllers' messages.
 func (sim *simulatedCluster) injectLostMessages(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.messageFaultRate = 0
@@ -409,6 +418,7 @@
 	})
 }
 
+// injectLateCommands delays a share of the direct commands or loses the responses to them.
 func (sim *simulatedCluster) injectLateCommands(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.delayedCommands = nil
@@ -418,6 +428,7 @@
 	})
 }
 
+// injectSlowLinks delays all messages.
 func (sim *simulatedCluster) injectSlowLinks(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.linkDelayMax = 0
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -50,6 +50,7 @@
 	return n
 }
 
+// delegateOf returns a delegate of a partition's leader, "" if there is none.
 func (sim *simulatedCluster) delegateOf(partition int) string {
 	leader := sim.leaderOf(partition)
 	for l, n := range sim.connectedMachines() {
@@ -432,12 +433,8 @@
 		if resp := c.agents.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
 			t.Fatalf("status %d: not redirected to its delegate", resp.Status)
 		}
-		j := &cluster.Job{Spec: newJobSpec("job-1", 1, "red")}
-		j.Load()
-		c.Jobs["job-1"] = j
-		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted}
-		j.LiveAttempts[0], j.Pending = a, nil
-		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
+		j := c.addLoadedJob("job-1")
+		addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
 		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * cluster.ClockDrift)} {
 			time.Sleep(wait)
 			if c.agents.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -13,6 +13,8 @@
 	"micaspindle/internal/storage"
 )
 
+// recordViolation records a violation of a safety rule, with the time since the start. The lock
+// is held.
 func (sim *simulatedCluster) recordViolation(format string, args ...any) {
 	sim.violations = append(sim.violations, fmt.Sprintf("%s: ", time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)))+fmt.Sprintf(format, args...))
 }
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -18,6 +18,7 @@
 	"micaspindle/internal/storage"
 )
 
+// updatePlans has the golden file rewritten.
 var updatePlans = flag.Bool("update", false, "write testdata/plans.txt anew")
 
 // The decisions for 120 random clusters, compared with a golden file: queue order, placement,
--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -142,6 +142,7 @@
 	})
 }
 
+// queueOrderWithLateJobs returns the queue order of jobs that are late, starving or in time.
 func queueOrderWithLateJobs(t *testing.T) string {
 	t.Helper()
 	set := newSimulatedCluster(t, 1).settings
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -67,6 +67,7 @@
 	cloud *cloud.Service
 }
 
+// simulatedController is a process of a controller.
 type simulatedController struct {
 	label      string
 	controller *Controller
@@ -74,6 +75,7 @@
 	done       chan struct{}
 }
 
+// submittedJob is a job as its user knows it.
 type submittedJob struct {
 	spec            *protocol.JobSpec
 	acceptedAt      time.Time // zero: not accepted yet
@@ -196,6 +198,7 @@
 	})
 }
 
+// killController ends a controller's process at once.
 func (sim *simulatedCluster) killController(label string) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
@@ -284,6 +287,7 @@
 	return list
 }
 
+// partitionOf returns the partition of a team.
 func (sim *simulatedCluster) partitionOf(team string) (partition int) {
 	sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex[team]] })
 	return partition
@@ -305,6 +309,18 @@
 	return ""
 }
 
+// clusterLeader returns the controller that leads the cluster, "" if there is none.
+func (sim *simulatedCluster) clusterLeader() (leader string) {
+	for _, label := range allControllers {
+		sim.onController(label, func(c *Controller) {
+			if c.Leadership.Held {
+				leader = label
+			}
+		})
+	}
+	return leader
+}
+
 // leaseCount returns how many partition leases a controller holds.
 func (sim *simulatedCluster) leaseCount(label string) int {
 	n := sim.controllerOf(label)
@@ -377,6 +393,7 @@
 	sim.state.Refused[label] = on
 }
 
+// panicOnError ends the test process on an error that no test expects.
 func panicOnError(err error) {
 	if err != nil {
 		panic(err)
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -113,6 +113,7 @@
 	return nil, fmt.Errorf("%s: %w", reason, ctx.Err())
 }
 
+// deliver hands a message to its receiver; nil: there is none.
 func (sim *simulatedCluster) deliver(ctx context.Context, from, host, method, target string, body []byte) *transport.Response {
 	path, query, _ := strings.Cut(target, "?")
 	q, _ := url.ParseQuery(query)
@@ -178,6 +179,7 @@
 	active map[int]func(from, host string) bool
 }
 
+// add activates a filter and returns its id.
 func (c *networkCuts) add(sim *simulatedCluster, filter func(from, host string) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -197,6 +199,7 @@
 	return c.lastID
 }
 
+// end deactivates a filter.
 func (c *networkCuts) end(sim *simulatedCluster, id int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -17,8 +17,10 @@
 		Image: "img", ImageGB: 1, Spot: true, EstimateS: 6, DeadlineS: 60}
 }
 
+// urgencyNames are the wire names of the urgencies.
 var urgencyNames = []string{"low", "standard", "high", "production"}
 
+// encodeSubmission returns the body of a submission.
 func encodeSubmission(s *protocol.JobSpec) []byte {
 	shape := "batch"
 	if s.Standing {
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -68,12 +68,14 @@
 	return m
 }
 
+// addJob makes a submitted job known.
 func (c *Controller) addJob(s *protocol.JobSpec) *cluster.Job {
 	s.SubmittedMS = time.Now().UnixMilli()
 	c.jobs.ApplyJobRecord(s.ID, storage.Encode(s))
 	return c.Jobs[s.ID]
 }
 
+// addQueuedJob makes a job with waiting tasks of the team without a quota known.
 func (c *Controller) addQueuedJob(id string, tasks int) {
 	s := newJobSpec(id, tasks, "green")
 	s.SubmittedMS = time.Now().UnixMilli()
@@ -83,6 +85,7 @@
 // unresponsiveNetwork is a network on which nothing answers.
 type unresponsiveNetwork struct{}
 
+// Do waits until the sender gives up.
 func (unresponsiveNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -91,7 +94,24 @@
 // fixedStatusNetwork answers every message with one status.
 type fixedStatusNetwork struct{ status int }
 
+// Do answers with a heartbeat of the machine m-1.
 func (n fixedStatusNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	r := protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
 	return &transport.Response{Status: n.status, Body: protocol.Encode(r)}, nil
 }
+
+// addLoadedJob adds a job of one task whose records are loaded.
+func (c *Controller) addLoadedJob(id string) *cluster.Job {
+	j := &cluster.Job{Spec: newJobSpec(id, 1, "red")}
+	j.Load()
+	c.Jobs[id] = j
+	return j
+}
+
+// addLiveAttempt makes the only task of a job run on a machine, by its first attempt.
+func addLiveAttempt(j *cluster.Job, m *cluster.Machine, epoch uint64, state cluster.AttemptState) *cluster.Attempt {
+	a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: epoch, State: state}
+	j.LiveAttempts[0], j.Pending = a, nil
+	m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
+	return a
+}
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -31,8 +31,10 @@
 	tokens   map[string]string
 }
 
+// certificateLifetime is the lifetime of certificates and tokens.
 const certificateLifetime = 24 * time.Hour
 
+// newTestIdentities creates a certificate authority and the identities of the controllers.
 func newTestIdentities(t *testing.T) *testIdentities {
 	t.Helper()
 	dir := t.TempDir()
@@ -51,6 +53,7 @@
 	return identities
 }
 
+// forController returns the identities that a controller is set up with.
 func (identities *testIdentities) forController(label string) auth.Identities {
 	ring := identities.keyrings[label]
 	return auth.Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
@@ -61,22 +64,23 @@
 }
 
 // certificate returns the certificate of a name; nil without identities.
-func (identities *testIdentities) certificate(who string) *x509.Certificate {
+func (identities *testIdentities) certificate(identityName string) *x509.Certificate {
 	if identities == nil {
 		return nil
 	}
 	identities.mu.Lock()
 	defer identities.mu.Unlock()
-	if identities.certs[who] == nil {
-		identities.certs[who] = identities.issue(who, certificateLifetime)
+	if identities.certs[identityName] == nil {
+		identities.certs[identityName] = identities.issue(identityName, certificateLifetime)
 	}
-	return identities.certs[who]
+	return identities.certs[identityName]
 }
 
-func (identities *testIdentities) issue(who string, life time.Duration) *x509.Certificate {
-	name, err := identity.ParseName(who)
+// issue returns a new certificate of a name.
+func (identities *testIdentities) issue(identityName string, lifetime time.Duration) *x509.Certificate {
+	name, err := identity.ParseName(identityName)
 	panicOnError(err)
-	issued, err := identities.ca.Issue(name, time.Now(), life, false)
+	issued, err := identities.ca.Issue(name, time.Now(), lifetime, false)
 	panicOnError(err)
 	data, err := os.ReadFile(issued.File)
 	panicOnError(err)
@@ -87,28 +91,27 @@
 
 // authorization returns the Authorization header of a name; the simulation's own user is the
 // administrator.
-func (identities *testIdentities) authorization(who string) string {
+func (identities *testIdentities) authorization(identityName string) string {
 	if identities == nil {
 		return ""
 	}
-	if who == "" {
-		who = "person/root"
+	if identityName == "" {
+		identityName = "person/root"
 	}
 	identities.mu.Lock()
 	defer identities.mu.Unlock()
-	if identities.tokens[who] == "" {
-		name, err := identity.ParseName(who)
+	if identities.tokens[identityName] == "" {
+		name, err := identity.ParseName(identityName)
 		panicOnError(err)
 		token, err := identity.IssueToken(identities.key, name, "test", time.Now(), certificateLifetime)
 		panicOnError(err)
-		identities.tokens[who] = "Bearer " + token
+		identities.tokens[identityName] = "Bearer " + token
 	}
-	return identities.tokens[who]
+	return identities.tokens[identityName]
 }
 
-// requestAs sends a request of an identity to a controller.
-func (sim *simulatedCluster) requestAs(who, label, method, target string, body any) transport.Response {
-	n := sim.processOf(label)
+// newRequest returns a request; a body that is not encoded yet is encoded.
+func newRequest(from, method, target string, body any) *transport.Request {
 	var raw []byte
 	switch b := body.(type) {
 	case nil:
@@ -118,9 +121,15 @@
 		raw = protocol.Encode(b)
 	}
 	path, query, _ := strings.Cut(target, "?")
-	req := &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: "10.9.0.2:4000"}
-	if who != "" {
-		req.Authorization = sim.identities.authorization(who)
+	return &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: from}
+}
+
+// requestAs sends a request of an identity to a controller.
+func (sim *simulatedCluster) requestAs(identityName, label, method, target string, body any) transport.Response {
+	n := sim.processOf(label)
+	req := newRequest("10.9.0.2:4000", method, target, body)
+	if identityName != "" {
+		req.Authorization = sim.identities.authorization(identityName)
 	}
 	return n.controller.Serve(sim.ctx, req)
 }
@@ -155,6 +164,7 @@
 	})
 }
 
+// expectStatus fails the test unless a response has the status.
 func (sim *simulatedCluster) expectStatus(status int, resp transport.Response) transport.Response {
 	sim.t.Helper()
 	if resp.Status != status {
@@ -165,6 +175,7 @@
 	return resp
 }
 
+// newJobSpecOfClass returns a job of two tasks of a class.
 func newJobSpecOfClass(id, team, class string) *protocol.JobSpec {
 	s := newJobSpec(id, 2, team)
 	s.Class = class
