--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -61,21 +61,20 @@
 			runConfiguredSimulation(t, 301, configureLongAnswerBound, func(sim *simulatedCluster) {
 				time.Sleep(3 * time.Second)
 				// Cancellations every 0.1 s, from 4 s before the refusal on.
-				const each, before = 56, 40
+				const cancellations, before = 56, 40
 				rounds := 1
 				if tc.twice {
 					rounds = 2
 				}
-				for i := range each * rounds {
+				for i := range cancellations * rounds {
 					s := newJobSpec(fmt.Sprintf("job-%d", i), 1, "green")
 					s.CPUs, s.EstimateS, s.DeadlineS = 2, 600, 0
 					sim.submit(s)
 				}
 				time.Sleep(40 * time.Second)
-				partition := 0
-				sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["green"]] })
+				partition := sim.partitionOf("green")
 				for round := range rounds {
-					sim.cancelDuringRefusal(round*each, each, before, partition, func(i int, leader string) {
+					sim.cancelDuringRefusal(round*cancellations, cancellations, before, partition, func(i int, leader string) {
 						switch i {
 						case 0:
 							sim.withLock(func() { sim.suppressNotices, sim.state.Stuck = tc.noNotices, tc.stuck })
@@ -93,7 +92,7 @@
 					if tc.refusedFor == 0 {
 						sim.waitForLeaseChange(partition)
 					}
-					time.Sleep(tc.refusedFor - (each-before)*100*time.Millisecond)
+					time.Sleep(tc.refusedFor - (cancellations-before)*100*time.Millisecond)
 					sim.setOutage(true)
 					time.Sleep(12 * time.Second)
 					for _, l := range allControllers {
@@ -128,18 +127,17 @@
 	for i := range count {
 		beforeCancel(i, leader)
 		job := fmt.Sprintf("job-%d", from+i)
-		sim.mu.Lock()
-		on := sim.machinesRunning(job)
-		sim.mu.Unlock()
-		running += len(on)
+		var machines []string
+		sim.withLock(func() { machines = sim.machinesRunning(job) })
+		running += len(machines)
 		if begun := time.Now(); sim.cancelAt(others[i%len(others)], job) {
 			confirmed++
 			if i >= before {
 				after++
 			}
 			if hang > 0 && i%2 == 0 {
-				for _, m := range on {
-					sim.hangMachine(m, hang)
+				for _, machine := range machines {
+					sim.hangMachine(machine, hang)
 				}
 			}
 			time.Sleep(100*time.Millisecond - time.Since(begun))
@@ -167,8 +165,7 @@
 			sim.submit(s)
 		}
 		time.Sleep(20 * time.Second)
-		partition := 0
-		sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["red"]] })
+		partition := sim.partitionOf("red")
 		leader := sim.leaderOf(partition)
 		acquired := make(chan struct{})
 		var late atomic.Bool
@@ -258,8 +255,7 @@
 					sim.submit(s)
 				}
 				time.Sleep(20 * time.Second)
-				partition := 0
-				sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["green"]] })
+				partition := sim.partitionOf("green")
 				leader := sim.leaderOf(partition)
 				var on []string
 				sim.withLock(func() {
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -42,20 +42,20 @@
 
 // deliverCaptured delivers captured messages to their agents and counts by operation how many
 // were applied and refused.
-func (sim *simulatedCluster) deliverCaptured(orders []capturedCommands) (done, refused map[string]int) {
+func (sim *simulatedCluster) deliverCaptured(messages []capturedCommands) (done, refused map[string]int) {
 	done, refused = map[string]int{}, map[string]int{}
-	for _, k := range orders {
+	for _, message := range messages {
 		var agent *worker.Worker
-		sim.withLock(func() { agent = sim.workers[k.machine] })
+		sim.withLock(func() { agent = sim.workers[message.machine] })
 		if agent == nil {
 			continue
 		}
-		resp := sim.serveWorker(agent, "/orders", k.body)
-		for verb := range commandOps(k.body) {
+		resp := sim.serveWorker(agent, "/orders", message.body)
+		for op := range commandOps(message.body) {
 			if resp != nil && resp.Status == 200 {
-				done[verb]++
+				done[op]++
 			} else {
-				refused[verb]++
+				refused[op]++
 			}
 		}
 	}
@@ -64,20 +64,20 @@
 
 // everySecondMessage returns the messages at even (from 0) or odd (from 1) indexes, so that
 // both halves contain all operations.
-func everySecondMessage(orders []capturedCommands, from int) (list []capturedCommands) {
-	for i := from; i < len(orders); i += 2 {
-		list = append(list, orders[i])
+func everySecondMessage(messages []capturedCommands, from int) (list []capturedCommands) {
+	for i := from; i < len(messages); i += 2 {
+		list = append(list, messages[i])
 	}
 	return list
 }
 
 // hasStartsAndStops reports whether the messages contain starts as well as stops or reaps.
-func hasStartsAndStops(orders []capturedCommands) bool {
-	verbs := map[string]bool{}
-	for _, k := range orders {
-		maps.Copy(verbs, commandOps(k.body))
+func hasStartsAndStops(messages []capturedCommands) bool {
+	ops := map[string]bool{}
+	for _, message := range messages {
+		maps.Copy(ops, commandOps(message.body))
 	}
-	return verbs[protocol.OpStart] && (verbs[protocol.OpStop] || verbs[protocol.OpForget])
+	return ops[protocol.OpStart] && (ops[protocol.OpStop] || ops[protocol.OpForget])
 }
 
 // sendCommandsOfAllKinds makes a leader send starts, stops and reaps: jobs end, one is
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -93,17 +93,17 @@
 const fenceOp = "fence"
 
 // commandOps returns the operations in a message of commands.
-func commandOps(body []byte) (verbs map[string]bool) {
+func commandOps(body []byte) (ops map[string]bool) {
 	var orders protocol.Orders
 	panicOnError(protocol.Decode(body, &orders))
-	verbs = map[string]bool{}
+	ops = map[string]bool{}
 	for _, command := range orders.Commands {
-		verbs[command.Op] = true
+		ops[command.Op] = true
 	}
 	if len(orders.Commands) == 0 {
-		verbs[fenceOp] = true
+		ops[fenceOp] = true
 	}
-	return verbs
+	return ops
 }
 
 // drawCommandDelay reports whether and for how long a message to an agent is delayed. The lock
@@ -146,11 +146,11 @@
 		}
 		resp := sim.serveWorker(agent, "/orders", body)
 		sim.withLock(func() {
-			for verb := range commandOps(body) {
+			for op := range commandOps(body) {
 				if resp != nil && resp.Status == 200 {
-					sim.countFault("late " + verb + " applied")
+					sim.countFault("late " + op + " applied")
 				} else {
-					sim.countFault("late " + verb + " refused")
+					sim.countFault("late " + op + " refused")
 				}
 			}
 		})
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -36,7 +36,7 @@
 		s.DeadlineS = 0
 		sim.submit(s)
 	}
-	sim.onController("n0", func(c *Controller) { partition = c.TeamPartition[c.TeamIndex["green"]] })
+	partition = sim.partitionOf("green")
 	time.Sleep(45 * time.Second)
 	return partition
 }
@@ -80,11 +80,11 @@
 		}
 		sim.mu.Unlock()
 		partition := sim.startDelegation(8)
-		leader, n := sim.leaderOf(partition), sim.connectedMachines()
+		leader, connected := sim.leaderOf(partition), sim.connectedMachines()
 		total := 0
-		for l, k := range n {
-			if total += k; k < 3 || k > 6 {
-				t.Errorf("%s has %d connected machines (leader %s): %v", l, k, leader, n)
+		for label, machines := range connected {
+			if total += machines; machines < 3 || machines > 6 {
+				t.Errorf("%s has %d connected machines (leader %s): %v", label, machines, leader, connected)
 			}
 		}
 		if total < 9 {
@@ -93,7 +93,7 @@
 		receivers := map[string]int{}
 		sim.forEachWorker(func(agent *worker.Worker) { receivers[agent.Homes[agent.Home]]++ })
 		if len(receivers) != 3 {
-			t.Errorf("agents send heartbeats to %v, connected machines %v", receivers, n)
+			t.Errorf("agents send heartbeats to %v, connected machines %v", receivers, connected)
 		}
 		sim.onController(leader, func(c *Controller) {
 			v := c.api.StateOverview(time.Now())
@@ -105,8 +105,8 @@
 					}
 				}
 			}
-			if delegated != total-n[leader] || moves == 0 || v.Connected != n[leader] || v.Room != 6 {
-				t.Errorf("%d machines delegated, %d moves, %d of %d connected; all connections %v", delegated, moves, v.Connected, v.Room, n)
+			if delegated != total-connected[leader] || moves == 0 || v.Connected != connected[leader] || v.Room != 6 {
+				t.Errorf("%d machines delegated, %d moves, %d of %d connected; all connections %v", delegated, moves, v.Connected, v.Room, connected)
 			}
 		})
 		sim.mu.Lock()
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -118,8 +118,8 @@
 	}
 	resp := agent.Serve(path, body)
 	if path == "/orders" && resp != nil && resp.Status == 409 {
-		for verb := range commandOps(body) {
-			sim.countFault("refused " + verb)
+		for op := range commandOps(body) {
+			sim.countFault("refused " + op)
 		}
 	}
 	return resp
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -106,15 +106,40 @@
 // newSimulatedCluster returns a simulated cluster in which no controller runs yet.
 func newSimulatedCluster(t testing.TB, seed uint64) *simulatedCluster {
 	t.Helper()
-	sim := &simulatedCluster{t: t, ctx: t.Context(), rng: rand.New(rand.NewPCG(seed, 7)), controllers: map[string]*simulatedController{},
-		workers: map[string]*worker.Worker{}, jobs: map[string]*submittedJob{}, incarnations: map[lease.IncarnationID]bool{}, operator: settings.DefaultOperator(), jobTasksMax: 12}
-	sim.settings.Params = settings.Params{Count: 3, Zones: []string{"a", "b"},
+	sim := &simulatedCluster{
+		t:            t,
+		ctx:          t.Context(),
+		rng:          rand.New(rand.NewPCG(seed, 7)),
+		controllers:  map[string]*simulatedController{},
+		workers:      map[string]*worker.Worker{},
+		jobs:         map[string]*submittedJob{},
+		incarnations: map[lease.IncarnationID]bool{},
+		operator:     settings.DefaultOperator(),
+		jobTasksMax:  12,
+	}
+	sim.settings.Params = defaultParams()
+	sim.settings.Services = settings.Services{Cloud: "cloud:1", State: "state:1"}
+	sim.runTime = func(string, int, string) time.Duration { return 6 * time.Second }
+	sim.setUpState()
+	sim.setUpCloud()
+	return sim
+}
+
+// defaultParams returns the parameters that tests start from.
+func defaultParams() settings.Params {
+	return settings.Params{
+		Count:         3,
+		Zones:         []string{"a", "b"},
 		Teams:         []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
 		Workers:       settings.Workers{ReportS: 1, LeaseS: 8, CancelS: 25},
 		State:         settings.State{RPS: 300, WriteRPS: 60, ValueKB: 8, TxnOps: 12},
 		Cloud:         settings.Cloud{RPS: 10, ListLagS: 4},
-		MachineLimits: settings.Limits{CoreShare: 0.1, MemMB: 64, Sockets: 200}}
-	sim.settings.Services = settings.Services{Cloud: "cloud:1", State: "state:1"}
+		MachineLimits: settings.Limits{CoreShare: 0.1, MemMB: 64, Sockets: 200},
+	}
+}
+
+// setUpState sets the state store up, whose writes are checked for violations.
+func (sim *simulatedCluster) setUpState() {
 	sim.state = state.New(&sim.mu)
 	sim.state.Page = 25
 	sim.state.Oversized = func(what string) { sim.recordViolation("%s", what) }
@@ -122,14 +147,17 @@
 		sim.checkLeaseWrite(c, old, exists)
 		sim.checkFinalStateWrite(c, exists)
 	}
+}
+
+// setUpCloud sets the cloud up, which offers a small and a big machine type.
+func (sim *simulatedCluster) setUpCloud() {
 	sim.cloud = cloud.New(&sim.mu)
 	sim.cloud.Capacity, sim.cloud.ListLag = 12, settings.Seconds(sim.settings.Params.Cloud.ListLagS)
 	sim.cloud.Boot, sim.cloud.Stop = sim.bootMachine, sim.stopMachine
-	sim.cloud.Types = []protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3,
-		BootS: 5, ZonesOffered: []string{"a", "b"}}, {Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, Price: 4,
-		SpotPrice: 1.2, BootS: 8, ZonesOffered: []string{"a"}}}
-	sim.runTime = func(string, int, string) time.Duration { return 6 * time.Second }
-	return sim
+	sim.cloud.Types = []protocol.MachineType{
+		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, ZonesOffered: []string{"a", "b"}},
+		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, Price: 4, SpotPrice: 1.2, BootS: 8, ZonesOffered: []string{"a"}},
+	}
 }
 
 // runSimulation runs f in a bubble of fake time, checks safety and liveness and stops
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net/url"
+	"slices"
 	"strings"
 	"time"
 
@@ -124,39 +125,52 @@
 		return sim.cloud.Serve(method, path, q, body)
 	}
 	sim.mu.Lock()
-	n, agent := sim.controllers[host], sim.workers[host]
+	receiver, agent := sim.controllers[host], sim.workers[host]
 	sim.mu.Unlock()
 	switch {
-	case n != nil && (sim.oldVersions[host] || sim.oldVersions[from]) && (path == replication.UpdatePath || path == replication.StateTransferPath || path == proxy.DelegationPath || path == proxy.ForwardPath):
-		return &transport.Response{Status: 404}
-	case n != nil:
-		if sim.oldVersions[from] {
-			body = downgradeSummary(path, body)
-		}
-		sim.mu.Lock()
-		noNotices := sim.suppressNotices
-		sim.mu.Unlock()
-		if path == peering.SummaryPath && noNotices {
-			body = stripCancellationNotices(body)
-		}
-		if sim.alterReplicaUpdate != nil && path == replication.UpdatePath {
-			update := new(peer.ReplicaUpdate)
-			panicOnError(proto.Unmarshal(body, update))
-			sim.mu.Lock()
-			sim.alterReplicaUpdate(update)
-			sim.mu.Unlock()
-			var err error
-			body, err = proto.Marshal(update)
-			panicOnError(err)
-		}
-		resp := n.controller.ServePeers(ctx, &transport.Request{Method: method, Path: path, Body: body, Peer: sim.identities.certificate("controller/" + from)})
-		return &resp
+	case receiver != nil:
+		return sim.deliverToController(ctx, from, receiver, method, path, body)
 	case agent != nil:
 		return sim.serveWorker(agent, path, body)
 	}
 	return nil
 }
 
+// deliverToController hands a controller's message to another one.
+func (sim *simulatedCluster) deliverToController(ctx context.Context, from string, receiver *simulatedController, method, path string, body []byte) *transport.Response {
+	sim.mu.Lock()
+	fromOldVersion, toOldVersion := sim.oldVersions[from], sim.oldVersions[receiver.label]
+	suppressNotices, alterUpdate := sim.suppressNotices, sim.alterReplicaUpdate
+	sim.mu.Unlock()
+	if (fromOldVersion || toOldVersion) && slices.Contains(pathsOfNewVersions, path) {
+		return &transport.Response{Status: 404}
+	}
+	if fromOldVersion {
+		body = downgradeSummary(path, body)
+	}
+	if suppressNotices && path == peering.SummaryPath {
+		body = stripCancellationNotices(body)
+	}
+	if alterUpdate != nil && path == replication.UpdatePath {
+		update := new(peer.ReplicaUpdate)
+		panicOnError(proto.Unmarshal(body, update))
+		sim.withLock(func() { alterUpdate(update) })
+		var err error
+		body, err = proto.Marshal(update)
+		panicOnError(err)
+	}
+	resp := receiver.controller.ServePeers(ctx, &transport.Request{
+		Method: method,
+		Path:   path,
+		Body:   body,
+		Peer:   sim.identities.certificate("controller/" + from),
+	})
+	return &resp
+}
+
+// pathsOfNewVersions are the paths that versions without replication and delegation do not know.
+var pathsOfNewVersions = []string{replication.UpdatePath, replication.StateTransferPath, proxy.DelegationPath, proxy.ForwardPath}
+
 // waitWhilePaused waits while a controller is paused.
 func (sim *simulatedCluster) waitWhilePaused(label string) {
 	sim.mu.Lock()
