--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -60,8 +60,8 @@
 	return l.total * l.weights[team] / l.weightSum
 }
 
-// Take takes an amount and reports whether it could. What was taken is given back with Give.
-func (l *Ledger) Take(team, client string, amount float64) bool {
+// Acquire takes an amount and reports whether it could. What was taken is given back with Give.
+func (l *Ledger) Acquire(team, client string, amount float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := teamClient{team, client}
@@ -88,8 +88,8 @@
 	return l.total-l.held-amount >= unused*unborrowable
 }
 
-// Give gives back what was taken.
-func (l *Ledger) Give(team, client string, amount float64) {
+// Release gives back what was taken.
+func (l *Ledger) Release(team, client string, amount float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := teamClient{team, client}
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -9,14 +9,14 @@
 
 // Limits bound a queue.
 type Limits struct {
-	// AtOnce is how many are admitted at a time, PerSecond how much cost a second;
+	// Concurrency is how many are admitted at a time, PerSecond how much cost a second;
 	// 0 is no bound.
-	AtOnce    int
-	PerSecond float64
-	// Waiting is how many may wait in all, and Patience for how long each; a Patience of 0 is
+	Concurrency int
+	PerSecond   float64
+	// MaxWaiting is how many may wait in all, and Patience for how long each; a Patience of 0 is
 	// no bound.
-	Waiting  int
-	Patience time.Duration
+	MaxWaiting int
+	MaxWait    time.Duration
 	// Weights are the shares of teams; one that is not named has 1.
 	Weights map[string]float64
 }
@@ -24,13 +24,13 @@
 // Check says what is wrong with the limits.
 func (l *Limits) Check() error {
 	switch {
-	case l.AtOnce < 0:
+	case l.Concurrency < 0:
 		return errors.New("at_once: must not be below 0")
 	case l.PerSecond < 0 || math.IsNaN(l.PerSecond) || math.IsInf(l.PerSecond, 0):
 		return errors.New("per_second: must be a number and not below 0")
-	case l.Waiting < 0:
+	case l.MaxWaiting < 0:
 		return errors.New("waiting: must not be below 0")
-	case l.Patience < 0:
+	case l.MaxWait < 0:
 		return errors.New("patience: must not be below 0")
 	}
 	return checkWeights(l.Weights)
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -14,10 +14,10 @@
 // than its share takes the place of the last one of the team that is furthest
 // above its own: a flood fills the queue with itself only.
 func (q *Queue) makeRoom(w *waiter) bool {
-	if q.waiting < q.limits.Waiting {
+	if q.waiting < q.limits.MaxWaiting {
 		return true
 	}
-	if q.limits.Waiting == 0 {
+	if q.limits.MaxWaiting == 0 {
 		return false
 	}
 	own := q.teams[w.team]
@@ -101,6 +101,6 @@
 	}
 	weights = max(weights, own)
 	holdTime := max(q.holdTime, minHoldTime)
-	delay := time.Duration(waiting * float64(holdTime) / float64(max(1, q.limits.AtOnce)) * weights / own)
+	delay := time.Duration(waiting * float64(holdTime) / float64(max(1, q.limits.Concurrency)) * weights / own)
 	return min(maxRetryDelay, max(minRetryDelay, delay))
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -118,8 +118,8 @@
 // it did.
 func (q *Queue) wait(ctx context.Context, w *waiter) error {
 	var timeout <-chan time.Time
-	if q.limits.Patience > 0 {
-		timer := time.NewTimer(q.limits.Patience)
+	if q.limits.MaxWait > 0 {
+		timer := time.NewTimer(q.limits.MaxWait)
 		defer timer.Stop()
 		timeout = timer.C
 	}
@@ -170,8 +170,8 @@
 // Stats says how a queue stands.
 type Stats struct {
 	Inside, Waiting int
-	// Let is how many were admitted since the beginning, Refused how many were not.
-	Let, Refused int64
+	// Admitted is how many were admitted since the beginning, Refused how many were not.
+	Admitted, Refused int64
 	// ByTeam is how many wait, of each team that does.
 	ByTeam map[string]int
 }
@@ -180,7 +180,7 @@
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	stats := Stats{Inside: q.inside, Waiting: q.waiting, Let: q.admitted, Refused: q.refused, ByTeam: map[string]int{}}
+	stats := Stats{Inside: q.inside, Waiting: q.waiting, Admitted: q.admitted, Refused: q.refused, ByTeam: map[string]int{}}
 	for name, t := range q.teams {
 		if t.waiting > 0 {
 			stats.ByTeam[name] = t.waiting
--- a/internal/admission/serve.go
+++ b/internal/admission/serve.go
@@ -10,7 +10,7 @@
 const maxRemembered = 4096
 
 // hasPlace reports whether fewer callers are inside than may be.
-func (q *Queue) hasPlace() bool { return q.limits.AtOnce == 0 || q.inside < q.limits.AtOnce }
+func (q *Queue) hasPlace() bool { return q.limits.Concurrency == 0 || q.inside < q.limits.Concurrency }
 
 // free reports whether somebody could be admitted now.
 func (q *Queue) free(now time.Time) bool {
--- a/internal/audit/archive/export.go
+++ b/internal/audit/archive/export.go
@@ -14,7 +14,7 @@
 )
 
 // Fetch returns batches of a chain that come after a number.
-type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error)
+type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error)
 
 // Export writes everything up to a seal: a head, the signers, the batches of
 // each chain, and the seal at the end. progress is called with how many batches are done.
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (e *exporter) writeBatch(numbered *audit.Numbered) error {
+func (e *exporter) writeBatch(numbered *audit.NumberedBatch) error {
 	batch := &numbered.Batch
 	lines := make([]json.RawMessage, 0, len(batch.Lines))
 	for _, line := range batch.Lines {
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -138,12 +138,12 @@
 
 // Batches reads batches of a chain that come after a number, as many as an
 // answer of size bytes may hold, but one at least.
-func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]Numbered, error) {
+func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]NumberedBatch, error) {
 	list, err := l.store.Page(ctx, BatchPrefix(chain), BatchKey(chain, after), pageSize)
 	if err != nil {
 		return nil, err
 	}
-	var batches []Numbered
+	var batches []NumberedBatch
 	for _, item := range list.Items {
 		number, batch, err := decodeBatch(item.Key, item.Value)
 		if err != nil {
@@ -152,7 +152,7 @@
 		if size -= len(item.Value) + numberedOverhead; size < 0 && len(batches) > 0 {
 			break
 		}
-		batches = append(batches, Numbered{chain, number, *batch})
+		batches = append(batches, NumberedBatch{chain, number, *batch})
 	}
 	return batches, nil
 }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	// GatherFor is for how long denials and reads are gathered at the most before
+	// GatherInterval is for how long denials and reads are gathered at the most before
 	// they are written; a crash loses no more than these.
-	GatherFor = 5 * time.Second
+	GatherInterval = 5 * time.Second
 	// patience is how long a change may wait for its turn before it is refused.
 	patience = 400 * time.Millisecond
 	// maxLinger is for how long of that a change may wait for others.
@@ -218,7 +218,7 @@
 // writeGathered writes what was gathered, if it is due. The tally is drained only once the
 // last lot is written, so that a flood can't make more lines than the gathering allows.
 func (l *Log) writeGathered(ctx context.Context) {
-	if len(l.unwritten) == 0 && l.tally.oldest(time.Now()) >= GatherFor-4*pause {
+	if len(l.unwritten) == 0 && l.tally.oldest(time.Now()) >= GatherInterval-4*pause {
 		l.unwritten = l.tally.drain()
 	}
 	if len(l.unwritten) > 0 {
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -12,8 +12,8 @@
 	"micaspindle/internal/storage"
 )
 
-// Numbered is a batch with its place in the chains.
-type Numbered struct {
+// NumberedBatch is a batch with its place in the chains.
+type NumberedBatch struct {
 	Chain  string `msgpack:"chain"`
 	Number uint64 `msgpack:"number"`
 	Batch  Batch  `msgpack:"batch"`
--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -99,7 +99,7 @@
 	job.Failures++
 	machine.FailedJobs[job.Spec.ID] = true
 	machine.AvoidUntil = now.Add(failedBackoff)
-	a.metrics.Count(telemetry.Failed, 1)
+	a.metrics.Count(telemetry.AttemptFailed, 1)
 	a.log.Info("task failed", "task", attempt.TaskName(), "machine", machine.Name, "count", job.Failures)
 	if job.FailedMachines == nil {
 		job.FailedMachines = map[string]bool{}
--- a/internal/coordination/agents/command_delivery.go
+++ b/internal/coordination/agents/command_delivery.go
@@ -40,7 +40,7 @@
 	starts := startedBy(commands, machine)
 	machine.CommandAgain = false
 	a.commandsSent(machine, now)
-	orders := protocol.Orders{Token: a.Token(machine), Epoch: machine.Epoch, Commands: commands}
+	orders := protocol.CommandBatch{Token: a.Token(machine), Epoch: machine.Epoch, Commands: commands}
 	delegate := partition.Delegations.CommandRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
 	a.loop.Go(func() {
@@ -82,7 +82,7 @@
 		a.log.Debug("sending commands failed", "machine", machine.Name, "error", err)
 	}
 	if heartbeat != nil && a.leads(machine) {
-		a.ApplyReport(machine, heartbeat, time.Now())
+		a.ApplyHeartbeat(machine, heartbeat, time.Now())
 	}
 	if machine.CommandAgain && err == nil {
 		a.SendCommands(machine)
@@ -97,7 +97,7 @@
 // PostCommands sends commands, by way of the machine's delegate if there is one that takes them,
 // and returns the heartbeat that the agent answers with. sent is false if the commands can never
 // arrive or were certainly refused. It blocks, so it is called outside the event loop.
-func (a *Agents) PostCommands(delegate, machine, addr string, orders protocol.Orders) (heartbeat *protocol.Heartbeat, sent bool, err error) {
+func (a *Agents) PostCommands(delegate, machine, addr string, orders protocol.CommandBatch) (heartbeat *protocol.Heartbeat, sent bool, err error) {
 	response, err := a.deliverCommands(delegate, machine, addr, protocol.Encode(orders))
 	if err != nil {
 		return nil, !errors.Is(err, transport.ErrNotSent), err
@@ -148,7 +148,7 @@
 	}
 	now := time.Now()
 	a.commandsSent(machine, now)
-	orders := protocol.Orders{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.EpochHint, 1), Commands: []protocol.Command{}}
+	orders := protocol.CommandBatch{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.EpochHint, 1), Commands: []protocol.Command{}}
 	delegate := a.Partitions[machine.Record.Partition].Delegations.FenceRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
 	a.loop.Go(func() {
@@ -159,7 +159,7 @@
 
 // postFence sends a message that only fences, once more if the agent turns out to be in another
 // epoch.
-func (a *Agents) postFence(delegate, machine, addr string, orders protocol.Orders) (*protocol.Heartbeat, error) {
+func (a *Agents) postFence(delegate, machine, addr string, orders protocol.CommandBatch) (*protocol.Heartbeat, error) {
 	heartbeat, _, err := a.PostCommands(delegate, machine, addr, orders)
 	if heartbeat != nil && errors.Is(err, errStaleCommand) && heartbeat.Epoch != orders.Epoch {
 		orders.Epoch = heartbeat.Epoch
@@ -177,7 +177,7 @@
 	}
 	if a.leads(machine) && heartbeat.Machine == machine.Name {
 		machine.LastHeardAt = time.Now()
-		a.ApplyReport(machine, heartbeat, time.Now())
+		a.ApplyHeartbeat(machine, heartbeat, time.Now())
 		a.SendCommands(machine)
 	}
 }
--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -63,7 +63,7 @@
 		if a.Machines[machine.Name] != machine {
 			continue
 		}
-		a.metrics.Count(telemetry.MachineLost, 1)
+		a.metrics.Count(telemetry.MachineLeaseExpired, 1)
 		machine.DeleteConfirmed, machine.Lost, machine.Fenced = true, true, false
 		a.releaseAll(machine, "machine is deleted", now)
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -38,18 +38,18 @@
 	if heartbeat.Addr != "" {
 		machine.Record.Addr = heartbeat.Addr
 	}
-	a.ApplyReport(machine, heartbeat, now)
+	a.ApplyHeartbeat(machine, heartbeat, now)
 	machine.LastHeardAt = now
 	if delegate := a.proxy.RedirectTarget(partition, machine, now); delegate != "" {
 		return redirect(delegate)
 	}
 	// From here on the answer extends the machine lease.
 	machine.AnsweredUntil = now
-	orders := protocol.Orders{Token: token}
+	orders := protocol.CommandBatch{Token: token}
 	if partition.Ready && machine.Fenced {
 		orders.Commands = a.commandsFor(machine, now, true)
 	} else {
-		orders.Commands = a.StopsOfCancelled(heartbeat)
+		orders.Commands = a.StopsForCancelledJobs(heartbeat)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(orders)}
 }
@@ -82,28 +82,28 @@
 
 // redirect tells an agent to which controller it should send its heartbeats.
 func redirect(label string) transport.Response {
-	return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: label})}
+	return transport.Response{Status: 421, Body: protocol.Encode(protocol.AssignedController{Controller: label})}
 }
 
-// StopsOfCancelled returns the stops of the tasks of cancelled jobs that a heartbeat shows.
+// StopsForCancelledJobs returns the stops of the tasks of cancelled jobs that a heartbeat shows.
 // Whoever answers a heartbeat extends the lease under which its tasks run, so nobody may do so
 // for a task of a job that it knows to be cancelled: neither a leader that has not yet read its
 // partition's records nor a delegate, which both decide nothing else. A cancellation is final,
 // so the stop needs no token check.
-func (a *Agents) StopsOfCancelled(heartbeat *protocol.Heartbeat) []protocol.Command {
+func (a *Agents) StopsForCancelledJobs(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, task := range heartbeat.Tasks {
 		job, _, ok := protocol.ParseTask(task.Task)
-		if ok && task.State != protocol.TaskEnded && a.FinalStates[job] == protocol.StatusWithdrawn {
+		if ok && task.State != protocol.TaskEnded && a.FinalStates[job] == protocol.StatusCancelled {
 			commands = append(commands, protocol.Command{Op: protocol.OpStop, Task: task.Task, Attempt: task.Attempt})
 		}
 	}
 	return commands[:min(len(commands), commandsLimit)]
 }
 
-// ApplyReport takes in what a heartbeat says, whether it came directly, by way of a delegate or
+// ApplyHeartbeat takes in what a heartbeat says, whether it came directly, by way of a delegate or
 // as the answer to commands. Heartbeats that are not the newest of their machine are ignored.
-func (a *Agents) ApplyReport(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
+func (a *Agents) ApplyHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	partition := a.Partitions[machine.Record.Partition]
 	if !partition.Ready || machine.DeleteConfirmed || !machine.IsNewer(heartbeat) {
 		return
@@ -159,7 +159,7 @@
 	}
 	// Not only when the epoch changes: records read at a takeover may hold attempts of epochs
 	// that ended before.
-	if machine.HasAttemptBefore(heartbeat.Epoch) {
+	if machine.HasAttemptBeforeEpoch(heartbeat.Epoch) {
 		for _, attempt := range machine.SortedAttempts() {
 			if attempt.Epoch < heartbeat.Epoch {
 				a.ReleaseAttempt(attempt, "agent epoch ended", now)
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -102,7 +102,7 @@
 
 // machineLost takes in that a machine's lease has expired: its agent has stopped all tasks.
 func (a *Agents) machineLost(machine *cluster.Machine, now time.Time) {
-	a.metrics.Count(telemetry.MachineLost, 1)
+	a.metrics.Count(telemetry.MachineLeaseExpired, 1)
 	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeardAt), "count", len(machine.Attempts))
 	machine.Lost, machine.Fenced = true, false
 	a.releaseAll(machine, "machine lease expired", now)
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -56,7 +56,7 @@
 		}
 		attempt.Job.RunningCount++
 		if !attempt.Inherited {
-			a.metrics.Took(telemetry.Start, now.Sub(attempt.Job.ReadySince()), now)
+			a.metrics.RecordWait(telemetry.Start, now.Sub(attempt.Job.ReadySince()), now)
 		}
 	}
 	attempt.Machine.Images[attempt.Job.Spec.Image] = now
--- a/internal/coordination/api/audit.go
+++ b/internal/coordination/api/audit.go
@@ -17,7 +17,7 @@
 
 // auditBatches is the answer with batches of an audit chain.
 type auditBatches struct {
-	Batches []audit.Numbered `msgpack:"batches"`
+	Batches []audit.NumberedBatch `msgpack:"batches"`
 }
 
 // readAudit answers an administrator who reads the audit.
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -31,7 +31,7 @@
 
 // cancelJob cancels a job, unless it has ended already.
 func (s *Server) cancelJob(ctx context.Context, req request) (transport.Response, error) {
-	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.Withdraw, req.job)
+	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.Cancel, req.job)
 	if err != nil {
 		return transport.Response{}, err
 	}
@@ -57,8 +57,8 @@
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		s.loop.Do(func() { s.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
-		return protocol.StatusWithdrawn, nil
+		s.loop.Do(func() { s.jobs.SetFinal(id, protocol.StatusCancelled, time.Now()) })
+		return protocol.StatusCancelled, nil
 	case !errors.As(err, &conflict):
 		return "", err
 	}
@@ -87,14 +87,14 @@
 // caller administers their queues. It answers after a while with how many are left;
 // the caller asks again.
 func (s *Server) cancelAllOf(ctx context.Context, req request) (transport.Response, error) {
-	var body protocol.Sweep
+	var body protocol.CancelAll
 	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
 		return transport.Response{}, apierror.New(http.StatusBadRequest, "by: whose jobs are to be withdrawn")
 	}
 	unfinished := s.unfinishedJobsOf(body.By)
 	allowed := slices.DeleteFunc(unfinished, func(job queuedJob) bool { return !s.mayCancelAll(req.caller, job) })
 	// Of what is deleted, the elements are cleared and the length stays.
-	result := protocol.SweepResult{NotAllowed: len(unfinished) - len(allowed)}
+	result := protocol.CancelAllResult{NotAllowed: len(unfinished) - len(allowed)}
 	slices.SortFunc(allowed, func(a, b queuedJob) int { return strings.Compare(a.id, b.id) })
 	s.cancelJobs(ctx, req.caller, body.By, allowed, &result)
 	return success(http.StatusOK, result), nil
@@ -124,7 +124,7 @@
 
 // cancelJobs cancels jobs in their order, several at a time, within the limits of a request,
 // and counts them.
-func (s *Server) cancelJobs(ctx context.Context, caller *auth.Caller, submitter string, list []queuedJob, result *protocol.SweepResult) {
+func (s *Server) cancelJobs(ctx context.Context, caller *auth.Caller, submitter string, list []queuedJob, result *protocol.CancelAllResult) {
 	ctx, cancel := context.WithTimeout(ctx, cancelAllTimeout)
 	defer cancel()
 	var mu sync.Mutex // guards result
@@ -139,9 +139,9 @@
 				mu.Lock()
 				switch {
 				case err != nil:
-					result.Left++
-				case status == protocol.StatusWithdrawn:
-					result.Withdrawn++
+					result.Remaining++
+				case status == protocol.StatusCancelled:
+					result.Cancelled++
 				}
 				mu.Unlock()
 			}
@@ -154,5 +154,5 @@
 	}
 	close(work)
 	workers.Wait()
-	result.Left += len(list) - started
+	result.Remaining += len(list) - started
 }
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -62,7 +62,7 @@
 	NoteRead(caller *auth.Caller, verb string, queue rights.Queue, job string)
 	// AuditBatches reads the batches of an audit chain that come after a number, up to size
 	// bytes of them.
-	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error)
+	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.NumberedBatch, error)
 	// SealAudit signs what the audit holds now.
 	SealAudit(ctx context.Context) (*audit.Seal, error)
 
@@ -86,15 +86,15 @@
 	// Load is how many machines keep their connections here.
 	Load(now time.Time) delegation.Load
 	// Overview lists the controllers that have connections of a partition's machines.
-	Overview(p *cluster.Partition, now time.Time) (list []overview.Carried)
+	Overview(p *cluster.Partition, now time.Time) (list []overview.Delegate)
 	// RecentMoves lists the last moves of shards, with how long ago they were.
-	RecentMoves(now time.Time) []overview.Move
+	RecentMoves(now time.Time) []overview.ShardMove
 }
 
 // Replicator knows how far the replicas are that this controller keeps.
 type Replicator interface {
 	// Overview lists the replicas.
-	Overview(now time.Time) (list []overview.Follow)
+	Overview(now time.Time) (list []overview.Replica)
 }
 
 // Jobs applies the records of jobs. All of it runs in the loop.
--- a/internal/coordination/api/gauges.go
+++ b/internal/coordination/api/gauges.go
@@ -11,33 +11,33 @@
 // gauges are the overview for Prometheus.
 func gauges(view *overview.View) []telemetry.Gauge {
 	list := controllerGauges(view)
-	for i := range view.Follows {
-		list = append(list, replicaGauges(&view.Follows[i])...)
+	for i := range view.Replicas {
+		list = append(list, replicaGauges(&view.Replicas[i])...)
 	}
-	for i := range view.Parts {
-		list = append(list, partitionGauges(&view.Parts[i])...)
+	for i := range view.Partitions {
+		list = append(list, partitionGauges(&view.Partitions[i])...)
 	}
 	return list
 }
 
 func controllerGauges(view *overview.View) []telemetry.Gauge {
 	return []telemetry.Gauge{
-		{Name: "leads", Value: gaugeOf(view.Leads)},
+		{Name: "leads", Value: gaugeOf(view.ClusterLeader)},
 		{Name: "ready", Value: gaugeOf(view.Ready)},
 		{Name: "up_seconds", Value: view.UpS},
-		{Name: "state_silent_seconds", Value: view.StateSilentS},
+		{Name: "state_silent_seconds", Value: view.StateSilenceS},
 		{Name: "writes_wanted", Value: view.WritesWanted},
 		{Name: "writes_granted", Value: view.WritesGranted},
-		{Name: "cloud_rests", Value: gaugeOf(view.CloudRests)},
+		{Name: "cloud_rests", Value: gaugeOf(view.CloudUnavailable)},
 		{Name: "jobs", Value: float64(view.Jobs)},
-		{Name: "jobs_ended", Value: float64(view.Ended)},
-		{Name: "rentals_open", Value: float64(view.Renting)},
+		{Name: "jobs_ended", Value: float64(view.EndedJobs)},
+		{Name: "rentals_open", Value: float64(view.PendingScaleOut)},
 		{Name: "machines_connected", Value: float64(view.Connected)},
-		{Name: "machines_room", Value: float64(view.Room)},
+		{Name: "machines_room", Value: float64(view.Capacity)},
 	}
 }
 
-func replicaGauges(replica *overview.Follow) []telemetry.Gauge {
+func replicaGauges(replica *overview.Replica) []telemetry.Gauge {
 	labels := partitionLabels(replica.Part)
 	return []telemetry.Gauge{
 		{Name: "copy_behind_seconds", Labels: labels, Value: replica.BehindS},
@@ -45,9 +45,9 @@
 	}
 }
 
-func partitionGauges(partition *overview.Part) []telemetry.Gauge {
+func partitionGauges(partition *overview.Partition) []telemetry.Gauge {
 	delegated := 0
-	for _, delegation := range partition.Carried {
+	for _, delegation := range partition.Delegates {
 		delegated += delegation.Machines
 	}
 	labels := partitionLabels(partition.Part)
@@ -55,9 +55,9 @@
 		{Name: "part_machines_carried", Labels: labels, Value: float64(delegated)},
 		{Name: "part_machines", Labels: labels, Value: float64(partition.Machines)},
 		{Name: "part_machines_idle", Labels: labels, Value: float64(partition.Idle)},
-		{Name: "part_machines_coming", Labels: labels, Value: float64(partition.Coming)},
-		{Name: "part_machines_bad", Labels: labels, Value: float64(partition.Bad)},
-		{Name: "part_machines_kept", Labels: labels, Value: float64(partition.Kept)},
+		{Name: "part_machines_coming", Labels: labels, Value: float64(partition.Starting)},
+		{Name: "part_machines_bad", Labels: labels, Value: float64(partition.Unusable)},
+		{Name: "part_machines_kept", Labels: labels, Value: float64(partition.Reserved)},
 		{Name: "part_cpus_used_ratio", Labels: labels, Value: partition.Used},
 		{Name: "part_tasks_running", Labels: labels, Value: float64(partition.Running)},
 		{Name: "part_tasks_waiting", Labels: labels, Value: float64(partition.Waiting)},
--- a/internal/coordination/api/identity.go
+++ b/internal/coordination/api/identity.go
@@ -12,7 +12,7 @@
 )
 
 // allVerbs are the rights that a caller may hold, in the order of the answer.
-var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch}
+var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Cancel, rights.Reassign, rights.Administer, rights.Vouch}
 
 // whoAmI tells a caller as whom it is authenticated, and which rights it holds on some queue.
 func (s *Server) whoAmI(_ context.Context, req request) (transport.Response, error) {
--- a/internal/coordination/api/operations.go
+++ b/internal/coordination/api/operations.go
@@ -65,28 +65,28 @@
 func (s *Server) StateOverview(now time.Time) overview.View {
 	load := s.proxy.Load(now)
 	view := overview.View{
-		Controller:    s.Settings.Label,
-		Zone:          s.Settings.Zone,
-		AtMS:          now.UnixMilli(),
-		UpS:           now.Sub(s.StartedAt).Seconds(),
-		Leads:         s.Leadership.Held,
-		Ready:         s.Synced && len(s.Catalog) > 0,
-		StateSilentS:  s.store.SinceLastAnswer().Seconds(),
-		WritesWanted:  s.WriteDemand,
-		WritesGranted: s.store.GrantedWriteRate(),
-		CloudRests:    s.cloud.Unavailable(now),
-		Jobs:          len(s.Jobs),
-		Ended:         len(s.FinalStates),
-		Renting:       len(s.Leadership.PendingScaleOut),
-		Connected:     load.Machines,
-		Room:          load.Capacity,
-		Moves:         s.proxy.RecentMoves(now),
-		Follows:       s.replicator.Overview(now),
-		Teams:         s.teamOverviews(),
+		Controller:       s.Settings.Label,
+		Zone:             s.Settings.Zone,
+		AtMS:             now.UnixMilli(),
+		UpS:              now.Sub(s.StartedAt).Seconds(),
+		ClusterLeader:    s.Leadership.Held,
+		Ready:            s.Synced && len(s.Catalog) > 0,
+		StateSilenceS:    s.store.SinceLastAnswer().Seconds(),
+		WritesWanted:     s.WriteDemand,
+		WritesGranted:    s.store.GrantedWriteRate(),
+		CloudUnavailable: s.cloud.Unavailable(now),
+		Jobs:             len(s.Jobs),
+		EndedJobs:        len(s.FinalStates),
+		PendingScaleOut:  len(s.Leadership.PendingScaleOut),
+		Connected:        load.Machines,
+		Capacity:         load.Capacity,
+		Moves:            s.proxy.RecentMoves(now),
+		Replicas:         s.replicator.Overview(now),
+		Teams:            s.teamOverviews(),
 	}
 	for _, partition := range s.Partitions {
 		if partition.Held {
-			view.Parts = append(view.Parts, s.partitionOverview(partition, now))
+			view.Partitions = append(view.Partitions, s.partitionOverview(partition, now))
 		}
 	}
 	return view
@@ -110,15 +110,15 @@
 	return teams
 }
 
-func (s *Server) partitionOverview(partition *cluster.Partition, now time.Time) overview.Part {
-	view := overview.Part{Part: partition.Index, Ready: partition.Ready, Carried: s.proxy.Overview(partition, now)}
+func (s *Server) partitionOverview(partition *cluster.Partition, now time.Time) overview.Partition {
+	view := overview.Partition{Part: partition.Index, Ready: partition.Ready, Delegates: s.proxy.Overview(partition, now)}
 	s.addMachines(&view)
 	s.addJobs(&view, now)
 	return view
 }
 
 // addMachines counts a partition's machines.
-func (s *Server) addMachines(view *overview.Part) {
+func (s *Server) addMachines(view *overview.Partition) {
 	usedCPUs, allCPUs := 0.0, 0.0
 	for _, machine := range s.Machines {
 		if machine.Record.Partition != view.Part {
@@ -126,13 +126,13 @@
 		}
 		view.Machines++
 		if machine.ReservedFor != fairshare.NoGroup {
-			view.Kept++
+			view.Reserved++
 		}
 		switch {
 		case machine.Lost || machine.Quarantined:
-			view.Bad++
+			view.Unusable++
 		case !machine.HasReported:
-			view.Coming++
+			view.Starting++
 		case len(machine.Attempts) == 0 && len(machine.OrphanedTasks) == 0:
 			view.Idle++
 		}
@@ -147,7 +147,7 @@
 }
 
 // addJobs counts the tasks of a partition's jobs.
-func (s *Server) addJobs(view *overview.Part, now time.Time) {
+func (s *Server) addJobs(view *overview.Partition, now time.Time) {
 	for _, job := range s.Jobs {
 		if job.Partition != view.Part || !job.Loaded {
 			continue
--- a/internal/coordination/api/policy.go
+++ b/internal/coordination/api/policy.go
@@ -125,7 +125,7 @@
 		for _, change := range txn.Then {
 			s.watcher.ApplyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
 		}
-		s.auth.PublishPolicy(s.RecordsAsOf)
+		s.auth.PublishPolicy(s.RecordsCurrentAt)
 	})
 }
 
--- a/internal/coordination/api/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -59,7 +59,7 @@
 		return transport.Response{}, err
 	}
 	s.loop.Do(func() {
-		s.jobs.SetFinal(move.id, protocol.StatusWithdrawn, time.Now())
+		s.jobs.SetFinal(move.id, protocol.StatusCancelled, time.Now())
 		s.jobs.ApplyJobRecord(move.successor.ID, move.value)
 	})
 	return success(http.StatusOK, protocol.JobStatus{ID: move.successor.ID, Status: protocol.StatusQueued}), nil
@@ -144,7 +144,7 @@
 
 // transaction cancels the job and accepts its successor, if no task was started.
 func (r *reassignment) transaction(now time.Time) *protocol.Transaction {
-	final := storage.Final{Status: protocol.StatusWithdrawn, AtMS: now.UnixMilli(), Successor: r.successor.ID}
+	final := storage.Final{Status: protocol.StatusCancelled, AtMS: now.UnixMilli(), Successor: r.successor.ID}
 	txn := &protocol.Transaction{
 		If: []protocol.Condition{{Key: storage.FinalKey(r.id)}, {Key: storage.JobKey(r.successor.ID)}},
 		Then: []protocol.Change{
--- a/internal/coordination/api/routes_test.go
+++ b/internal/coordination/api/routes_test.go
@@ -46,11 +46,11 @@
 
 // TestBodies compares typed bodies with the maps that they are on the wire.
 func TestBodies(t *testing.T) {
-	batches := []audit.Numbered{{Chain: "spindle-0", Number: 7, Batch: audit.Batch{Prev: "p", Lines: []string{"{}"}, Signer: "k", Sig: "s"}}}
+	batches := []audit.NumberedBatch{{Chain: "spindle-0", Number: 7, Batch: audit.Batch{Prev: "p", Lines: []string{"{}"}, Signer: "k", Sig: "s"}}}
 	for _, tc := range []struct{ got, want any }{
 		{health{Status: "ok"}, map[string]any{"status": "ok"}},
 		{auditBatches{batches}, map[string]any{"batches": batches}},
-		{auditBatches{}, map[string]any{"batches": []audit.Numbered(nil)}},
+		{auditBatches{}, map[string]any{"batches": []audit.NumberedBatch(nil)}},
 	} {
 		if got, want := protocol.Encode(tc.got), protocol.Encode(tc.want); !bytes.Equal(got, want) {
 			t.Errorf("%+v: got %q, want %q", tc.got, got, want)
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -116,14 +116,14 @@
 	now := time.Now()
 	switch verb {
 	case verbSubmit:
-		s.metrics.Took(telemetry.Submission, now.Sub(begun), now)
+		s.metrics.RecordWait(telemetry.Submission, now.Sub(begun), now)
 	case verbView:
-		s.metrics.Took(telemetry.Poll, now.Sub(begun), now)
+		s.metrics.RecordWait(telemetry.Poll, now.Sub(begun), now)
 	case verbCancel:
-		s.metrics.Took(telemetry.Withdrawal, now.Sub(begun), now)
+		s.metrics.RecordWait(telemetry.Cancellation, now.Sub(begun), now)
 	}
 	if refused {
-		s.metrics.Count(telemetry.Refused, 1)
+		s.metrics.Count(telemetry.RequestRefused, 1)
 	}
 }
 
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -131,7 +131,7 @@
 	s.loop.Do(func() {
 		job := s.Jobs[status.ID]
 		doomed = s.Dependencies.DoomedJobs[status.ID] != nil
-		stale = job != nil && job.Blocked && (time.Since(s.RecordsAsOf) > s.StaleLimit() || s.Dependencies.HasUnseenDependency(status.ID))
+		stale = job != nil && job.Blocked && (time.Since(s.RecordsCurrentAt) > s.StaleLimit() || s.Dependencies.HasUnseenDependency(status.ID))
 	})
 	switch {
 	case doomed:
--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -45,13 +45,13 @@
 	var seal audit.Seal
 	panicOnError(protocol.Decode(sim.expectStatus(200, resp).Body, &seal))
 	var out bytes.Buffer
-	panicOnError(archive.Export(sim.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+	panicOnError(archive.Export(sim.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.NumberedBatch, error) {
 		resp := sim.requestAs("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
 		if resp.Status != 200 {
 			return nil, errors.New("no response")
 		}
 		var page struct {
-			Batches []audit.Numbered `msgpack:"batches"`
+			Batches []audit.NumberedBatch `msgpack:"batches"`
 		}
 		err := protocol.Decode(resp.Body, &page)
 		return page.Batches, err
@@ -102,7 +102,7 @@
 		sim.expectStatus(200, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
 		sim.expectStatus(200, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
 		sim.startController("n1")
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
 			t.Errorf("%d audit records of one submission", n)
 		}
@@ -116,7 +116,7 @@
 func TestRefusalsAreAuditedAtABoundedWriteRate(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 58, func(sim *simulatedCluster) {
-		time.Sleep(audit.GatherFor)
+		time.Sleep(audit.GatherInterval)
 		sim.mu.Lock()
 		before := sim.state.Changes
 		sim.mu.Unlock()
@@ -126,7 +126,7 @@
 			sim.expectStatus(403, sim.requestAs("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
 			refused++
 		}
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		sim.mu.Lock()
 		changes := sim.state.Changes - before
 		sim.mu.Unlock()
@@ -196,7 +196,7 @@
 				it, over := sim.state.Items[storage.FinalKey(id)]
 				panicOnError(storage.Decode(it.Value, &f))
 				want := 0
-				if over && f.Status == protocol.StatusWithdrawn {
+				if over && f.Status == protocol.StatusCancelled {
 					want = 1
 				}
 				if withdrawals[id] != want {
--- a/internal/coordination/auth/audit.go
+++ b/internal/coordination/auth/audit.go
@@ -28,7 +28,7 @@
 
 // AuditBatches reads the batches of an audit chain that come after a number, up to size
 // bytes of them.
-func (a *Auth) AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error) {
+func (a *Auth) AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.NumberedBatch, error) {
 	return a.auditLog.Batches(ctx, chain, after, size)
 }
 
--- a/internal/coordination/auth/authorization.go
+++ b/internal/coordination/auth/authorization.go
@@ -25,7 +25,7 @@
 // serviceOwnVerbs are the rights that a service may use of its own also where it acts on
 // behalf of somebody: it follows and ends what it was allowed to begin, whatever has become
 // of those for whom it did.
-const serviceOwnVerbs = rights.View | rights.Withdraw
+const serviceOwnVerbs = rights.View | rights.Cancel
 
 // errUnknownJobBudget refuses who asks too often for jobs that nobody knows.
 var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", storage.ErrBudget)
--- a/internal/coordination/authorization_test.go
+++ b/internal/coordination/authorization_test.go
@@ -55,7 +55,7 @@
 			}
 			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-1", "red", "match"))))
 			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
-			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
+			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/withdrawals", protocol.CancelAll{By: "person/root"}))
 			refused("", 401, sim.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
 			refused("", 401, sim.requestAs("", label, "GET", "/submissions/job-1", nil))
 		}
@@ -78,7 +78,7 @@
 				t.Errorf("the response reveals the image of %s: %q", id, resp.Body)
 			}
 		}
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		read := sim.readAudit("n1")
 		for identityName, n := range refusals {
 			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == identityName }); got != n {
@@ -198,11 +198,11 @@
 		time.Sleep(time.Second)
 		cancelled := 0
 		for tries := 0; ; tries++ {
-			var res protocol.SweepResult
-			resp := sim.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
+			var res protocol.CancelAllResult
+			resp := sim.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.CancelAll{By: "person/anna"})
 			panicOnError(protocol.Decode(sim.expectStatus(200, resp).Body, &res))
-			cancelled += res.Withdrawn
-			if res.Left == 0 || tries > 30 {
+			cancelled += res.Cancelled
+			if res.Remaining == 0 || tries > 30 {
 				break
 			}
 			time.Sleep(time.Second)
@@ -217,7 +217,7 @@
 				t.Errorf("%s of another identity is %s", id, st)
 			}
 		}
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		if n := countRecords(sim.readAudit("n2"), func(r *audit.Record) bool {
 			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
 		}); n != cancelled {
@@ -278,7 +278,7 @@
 	var before, after runtime.MemStats
 	for b.Loop() {
 		c := newTestController(b.Context(), &newSimulatedCluster(b, 1).settings, settings.DefaultOperator())
-		panicOnError(c.Identify(auth.Identities{}))
+		panicOnError(c.EnableAuth(auth.Identities{}))
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range 1000 {
--- a/internal/coordination/autoscaler/collaborators.go
+++ b/internal/coordination/autoscaler/collaborators.go
@@ -29,7 +29,7 @@
 	Machines() (map[string]protocol.ListedMachine, error)
 	// CreateMachines asks for machines and returns the names of those that the cloud gives,
 	// which may be fewer. A request that is repeated under its name creates no machine twice.
-	CreateMachines(req protocol.Rental) ([]string, error)
+	CreateMachines(req protocol.CreateMachinesRequest) ([]string, error)
 	// DeleteMachines deletes machines. Nothing runs on them once it has returned without an
 	// error.
 	DeleteMachines(names []string) error
--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -40,7 +40,7 @@
 // decide, and starts what the plan says. It does nothing while this controller's lease may
 // have expired.
 func (a *Autoscaler) ReconcileFleet(now time.Time) {
-	if !a.Leadership.Held || len(a.Catalog) == 0 || now.Sub(a.LeaseRenewedAt) > a.Operator.ClaimTTL {
+	if !a.Leadership.Held || len(a.Catalog) == 0 || now.Sub(a.LeaseRenewedAt) > a.Operator.LeaseTTL {
 		return
 	}
 	unrecorded := a.unrecordedMachines(now)
@@ -49,7 +49,7 @@
 		a.adopt(adoption, unrecorded[adoption.Name], now)
 	}
 	for _, name := range plan.AdoptLater {
-		a.Leadership.Adopting[name] = now.Add(-adoptLaterHeadStart)
+		a.Leadership.AdoptingSince[name] = now.Add(-adoptLaterHeadStart)
 	}
 	a.terminate(plan.Terminate, now)
 	for _, move := range plan.Moves {
@@ -66,7 +66,7 @@
 // adopt records an unrecorded machine as one of a partition.
 func (a *Autoscaler) adopt(adoption scaling.Adoption, record storage.Machine, now time.Time) {
 	record.Partition = adoption.Partition
-	a.Leadership.Adopting[adoption.Name] = now
+	a.Leadership.AdoptingSince[adoption.Name] = now
 	a.log.Info("machine adopted", "machine", adoption.Name, "type", record.Type, "zone", record.Zone, "partition", record.Partition)
 	a.loop.Go(func() { a.recordMachines([]string{adoption.Name}, record) })
 }
@@ -79,7 +79,7 @@
 	names := make([]string, len(terminations))
 	for i, termination := range terminations {
 		names[i] = termination.Name
-		a.Leadership.Deleting[termination.Name] = now
+		a.Leadership.DeletingSince[termination.Name] = now
 		a.log.Info("machine termination started", "machine", termination.Name, "reason", string(termination.Reason))
 	}
 	a.loop.Go(func() { a.deleteMachines(names) })
@@ -97,7 +97,7 @@
 
 // scaleIn asks the leader of a machine's partition to retire it, and then deletes it.
 func (a *Autoscaler) scaleIn(name string, now time.Time) {
-	a.Leadership.Deleting[name] = now
+	a.Leadership.DeletingSince[name] = now
 	record := a.Machines[name].Record
 	a.log.Info("scale-in started", "machine", name, "type", record.Type, "partition", record.Partition)
 	request := &peer.MachineRequest{Machine: name, Retire: true}
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -28,11 +28,11 @@
 // lease and a counter, so that no other request ever has it.
 func (a *Autoscaler) startScaleOut(plan scaling.ScaleOut) {
 	leadership := &a.Leadership
-	leadership.Requests++
-	name := fmt.Sprintf("r-%d-%d", leadership.Revision, leadership.Requests)
+	leadership.LastRequest++
+	name := fmt.Sprintf("r-%d-%d", leadership.Revision, leadership.LastRequest)
 	request := &cluster.ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, maxScaleOut)}
 	leadership.PendingScaleOut[name] = request
-	a.metrics.Count(telemetry.Rented, request.Count)
+	a.metrics.Count(telemetry.MachineRequested, request.Count)
 	a.log.Info("scale-out started", "request", name, "type", plan.Kind.Type, "zone", plan.Kind.Zone, "spot", plan.Kind.Spot, "count", request.Count, "wanted", plan.Count, "partition", request.Partition)
 	a.runScaleOut(name, request, leadership.Revision)
 }
@@ -46,7 +46,7 @@
 // longer leads under the lease of that revision; then the next leader goes on with it.
 func (a *Autoscaler) finishScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
 	kind := request.Kind
-	body := protocol.Rental{Request: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: request.Count}
+	body := protocol.CreateMachinesRequest{Request: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: request.Count}
 	retries := a.loop.Tries(name, scaleOutBackoff)
 	for {
 		machines, err := a.cloud.CreateMachines(body)
@@ -79,7 +79,7 @@
 		Type:      request.Kind.Type,
 		Zone:      request.Kind.Zone,
 		Spot:      request.Kind.Spot,
-		RentedMS:  time.Now().UnixMilli(),
+		CreatedMS: time.Now().UnixMilli(),
 	})
 	a.loop.Do(func() {
 		delete(a.Leadership.PendingScaleOut, name)
@@ -90,7 +90,7 @@
 // refuseScaleOut ends a request that the cloud refused, and has the capacity sought elsewhere
 // at once.
 func (a *Autoscaler) refuseScaleOut(name string, request *cluster.ScaleOutRequest, err error) {
-	a.metrics.Count(telemetry.RentRefused, 1)
+	a.metrics.Count(telemetry.MachineRequestRefused, 1)
 	a.log.Info("scale-out refused", "request", name, "type", request.Kind.Type, "zone", request.Kind.Zone, "spot", request.Kind.Spot, "error", err)
 	a.loop.Do(func() {
 		a.avoidCapacity(request)
--- a/internal/coordination/autoscaler/scaling_view.go
+++ b/internal/coordination/autoscaler/scaling_view.go
@@ -43,14 +43,14 @@
 		view.Unrecorded = append(view.Unrecorded, scaling.Unrecorded{
 			Name:    name,
 			Kind:    cluster.MachineKindOf(unrecorded[name]),
-			TriedAt: a.Leadership.Adopting[name],
+			TriedAt: a.Leadership.AdoptingSince[name],
 		})
 	}
 	statuses := map[string]*peer.MachineStatus{}
 	a.addSummary(&view, statuses, a.Settings.Label, a.peering.PartitionSummaries(now), now)
 	for label, controller := range a.Peers {
 		if controller.Alive(now) {
-			a.addSummary(&view, statuses, label, controller.Summary.Partitions, controller.HeardAt)
+			a.addSummary(&view, statuses, label, controller.Summary.Partitions, controller.LastHeardAt)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.Machines)) {
@@ -93,7 +93,7 @@
 		Failed:        leadership.Listed[name].State == protocol.MachineFailed || a.IsDeleted(name),
 		RecordedAt:    machine.RecordedAt,
 		MovedAt:       leadership.MovedAt[name],
-		DeletingSince: leadership.Deleting[name],
+		DeletingSince: leadership.DeletingSince[name],
 	}
 	if status != nil {
 		view.Idle, view.IdleS = status.Idle, status.IdleS
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -26,7 +26,7 @@
 	c, p := newLeadingController(b)
 	now := time.Now()
 	// A leader answers heartbeats only while it holds its leases and its records are current.
-	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
+	c.Synced, c.LeaseRenewedAt, c.RecordsCurrentAt = true, now, now
 	for _, p := range c.Partitions {
 		p.AcquiredAt = now
 	}
@@ -121,7 +121,7 @@
 				r := heartbeats[i%len(heartbeats)]
 				r.Sequence++
 				c.LeaseRenewedAt = time.Now() // however long the measurement takes
-				c.RecordsAsOf = c.LeaseRenewedAt
+				c.RecordsCurrentAt = c.LeaseRenewedAt
 				if resp := c.agents.HandleHeartbeat(r, nil); resp.Status != 200 {
 					b.Fatalf("heartbeat refused: status %d, %s", resp.Status, resp.Body)
 				}
@@ -322,7 +322,7 @@
 			if n > 1000 {
 				continue // building a pipeline for each measurement takes minutes
 			}
-			for _, status := range []string{protocol.StatusDone, protocol.StatusWithdrawn} {
+			for _, status := range []string{protocol.StatusDone, protocol.StatusCancelled} {
 				b.Run(status+name, func(b *testing.B) {
 					b.ReportAllocs()
 					var c *Controller
@@ -336,7 +336,7 @@
 							b.StartTimer()
 						}
 						c.jobs.SetFinal(fmt.Sprint("job-", next), status, time.Now())
-						if next++; !deep || status == protocol.StatusWithdrawn {
+						if next++; !deep || status == protocol.StatusCancelled {
 							next = n
 						}
 					}
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -105,7 +105,7 @@
 				}
 				sim.mu.Lock()
 				for id, submitted := range sim.jobs {
-					if submitted.finalStatus == protocol.StatusWithdrawn && len(sim.machinesRunning(id)) > 0 {
+					if submitted.finalStatus == protocol.StatusCancelled && len(sim.machinesRunning(id)) > 0 {
 						t.Errorf("%s runs on %v", id, sim.machinesRunning(id))
 					}
 				}
@@ -406,7 +406,7 @@
 			t.Errorf("notices passed on: %v", notices)
 		}
 		for i := range c.Cancellations.Limit + 10 {
-			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
+			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusCancelled, time.Now())
 		}
 		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != c.Cancellations.Limit || notices[0].Job != "job-1" {
 			t.Errorf("%d notices at a time", len(notices))
--- a/internal/coordination/cloudclient/requests.go
+++ b/internal/coordination/cloudclient/requests.go
@@ -72,7 +72,7 @@
 
 // CreateMachines asks for machines and returns the names of those that the cloud gives, which
 // may be fewer. A request that is repeated under its name creates no machine twice.
-func (c *Client) CreateMachines(req protocol.Rental) ([]string, error) {
+func (c *Client) CreateMachines(req protocol.CreateMachinesRequest) ([]string, error) {
 	var created protocol.MachineNames
 	if err := c.request("POST", "/machines", req, &created); err != nil {
 		return nil, err
--- a/internal/coordination/cloudclient/requests_test.go
+++ b/internal/coordination/cloudclient/requests_test.go
@@ -79,13 +79,13 @@
 		"no answer":       {answers{}, false},
 		"unreadable body": {answers{"POST /machines": {Status: 200, Body: []byte{0xc1}}}, false},
 	} {
-		names, err := newClient(t, c.network).CreateMachines(protocol.Rental{Request: "r-1-1", Count: 2})
+		names, err := newClient(t, c.network).CreateMachines(protocol.CreateMachinesRequest{Request: "r-1-1", Count: 2})
 		if err == nil || names != nil || CapacityRefused(err) != c.refused {
 			t.Errorf("%s: %v, %v", name, names, err)
 		}
 	}
 	granted := answers{"POST /machines": ok(protocol.MachineNames{Machines: []string{"m-1"}})}
-	if names, err := newClient(t, granted).CreateMachines(protocol.Rental{}); err != nil || !reflect.DeepEqual(names, []string{"m-1"}) {
+	if names, err := newClient(t, granted).CreateMachines(protocol.CreateMachinesRequest{}); err != nil || !reflect.DeepEqual(names, []string{"m-1"}) {
 		t.Errorf("%v, %v", names, err)
 	}
 }
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -119,7 +119,7 @@
 // mayCommit says whether this controller leads the partition and its lease may still hold.
 func (c *Committer) mayCommit(partition *cluster.Partition, now time.Time) bool {
 	return partition.Held && partition.Ready && !c.Draining &&
-		now.Sub(c.LeaseRenewedAt) <= c.Operator.ClaimTTL+leaseExpirySlack
+		now.Sub(c.LeaseRenewedAt) <= c.Operator.LeaseTTL+leaseExpirySlack
 }
 
 // addCancellations cancels the jobs that need a cancelled one. Users were told already that what
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -106,7 +106,7 @@
 	defer cancel()
 	begun := time.Now()
 	revision, err := c.commitWithin(ctx, b)
-	c.metrics.Took(telemetry.Commit, time.Since(begun), time.Now())
+	c.metrics.RecordWait(telemetry.Commit, time.Since(begun), time.Now())
 	c.loop.Do(func() {
 		partition.Committing = false
 		if err != nil {
@@ -142,7 +142,7 @@
 		}
 	}
 	for _, job := range b.cancellations {
-		c.jobs.SetFinal(job.Spec.ID, protocol.StatusWithdrawn, now)
+		c.jobs.SetFinal(job.Spec.ID, protocol.StatusCancelled, now)
 	}
 	for _, job := range b.completions {
 		c.jobDone(job, now)
@@ -187,9 +187,9 @@
 // jobDone takes in that a job is on record as done.
 func (c *Committer) jobDone(job *cluster.Job, now time.Time) {
 	after := now.Sub(job.SubmittedAt)
-	c.metrics.Took(telemetry.Finish, after, now)
+	c.metrics.RecordWait(telemetry.Finish, after, now)
 	if due, ok := job.Deadline(); ok && now.After(due) {
-		c.metrics.Count(telemetry.Late, 1)
+		c.metrics.Count(telemetry.JobLate, 1)
 	}
 	c.log.Info("job done", "job", job.Spec.ID, "class", job.Spec.Class, "count", job.Spec.Tasks, "after", after, "deadline_s", job.Spec.DeadlineS)
 	c.jobs.SetFinal(job.Spec.ID, protocol.StatusDone, now)
--- a/internal/coordination/commit/failures.go
+++ b/internal/coordination/commit/failures.go
@@ -33,7 +33,7 @@
 
 // batchConflicted takes in which conditions of a batch failed, and finds out about those keys.
 func (c *Committer) batchConflicted(partition *cluster.Partition, b *batch, conflict *storage.Conflict) {
-	c.metrics.Count(telemetry.Conflict, 1)
+	c.metrics.Count(telemetry.CommitConflict, 1)
 	for _, key := range conflict.Failed {
 		switch kind, id := storage.ParseKey(key); kind {
 		case storage.KindLease:
--- a/internal/coordination/commit/unanswered.go
+++ b/internal/coordination/commit/unanswered.go
@@ -19,7 +19,7 @@
 
 // batchUnanswered takes in that nobody knows whether a batch was applied or will be.
 func (c *Committer) batchUnanswered(partition *cluster.Partition, b *batch, err error) {
-	c.metrics.Count(telemetry.Unanswered, 1)
+	c.metrics.Count(telemetry.CommitUnanswered, 1)
 	c.log.Info("commit unanswered", "partition", partition.Index, "error", err)
 	for _, write := range b.chunks {
 		write.chunk.Unconfirmed, partition.Unconfirmed = true, true
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -522,7 +522,7 @@
 		leader := sim.leaderOf(partition)
 		withheld := map[string][]byte{}
 		sim.withLock(func() {
-			sim.interceptCommands = func(machine string, o *protocol.Orders) {
+			sim.interceptCommands = func(machine string, o *protocol.CommandBatch) {
 				if len(o.Commands) > 0 && withheld[machine] == nil {
 					withheld[machine] = protocol.Encode(*o)
 					o.Token = 0 // so that the agent does not execute it now
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -53,9 +53,9 @@
 		sim.submit(newJobSpec("job-1", 1, "blue")) // boots a machine
 		sim.waitForAllJobs(time.Minute)
 		sim.mu.Lock()
-		var withheld []protocol.Orders
+		var withheld []protocol.CommandBatch
 		var machine string
-		sim.interceptCommands = func(name string, o *protocol.Orders) {
+		sim.interceptCommands = func(name string, o *protocol.CommandBatch) {
 			for _, c := range o.Commands {
 				if c.Op == protocol.OpStart {
 					// The message is held; the agent will get it minutes later.
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -208,9 +208,9 @@
 	sooner.DeadlineS = 30
 	c.addJob(sooner)
 	due(b, 24)
-	c.jobs.SetFinal("job-4", protocol.StatusWithdrawn, time.Now())
+	c.jobs.SetFinal("job-4", protocol.StatusCancelled, time.Now())
 	due(b, 54)
-	c.jobs.SetFinal("job-3", protocol.StatusWithdrawn, time.Now())
+	c.jobs.SetFinal("job-3", protocol.StatusCancelled, time.Now())
 	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
 		t.Error("the inherited deadline or urgency outlives the dependent job")
 	}
@@ -261,13 +261,13 @@
 				done, doomed := true, false
 				for _, d := range all[i].Spec.Dependencies {
 					done = done && finals[d] == protocol.StatusDone
-					doomed = doomed || finals[d] == protocol.StatusWithdrawn
+					doomed = doomed || finals[d] == protocol.StatusCancelled
 				}
 				done = done && rng.IntN(3) > 0
 				if !done && !doomed && rng.IntN(3) > 0 {
 					continue
 				}
-				finals[id] = protocol.StatusWithdrawn
+				finals[id] = protocol.StatusCancelled
 				if done {
 					finals[id] = protocol.StatusDone
 				}
@@ -294,7 +294,7 @@
 		}
 		for _, d := range j.Spec.Dependencies {
 			blocked[id] = blocked[id] || finals[d] != protocol.StatusDone
-			doomed[id] = doomed[id] || finals[d] == protocol.StatusWithdrawn || doomed[d]
+			doomed[id] = doomed[id] || finals[d] == protocol.StatusCancelled || doomed[d]
 		}
 	}
 	raised, needed := map[string]protocol.Urgency{}, map[string]time.Time{}
@@ -388,14 +388,14 @@
 				}
 				sim.mu.Unlock()
 				for i := 1; i < n; i++ {
-					if st := sim.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusWithdrawn {
+					if st := sim.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusCancelled {
 						t.Errorf("job-%d is %q", i, st)
 					}
 				}
-				if st := sim.poll("", "job-600"); st != protocol.StatusWithdrawn {
+				if st := sim.poll("", "job-600"); st != protocol.StatusCancelled {
 					t.Errorf("a job submitted later is %q", st)
 				}
-				if st := sim.poll("", "job-500"); st == protocol.StatusWithdrawn {
+				if st := sim.poll("", "job-500"); st == protocol.StatusCancelled {
 					t.Error("a dependency is cancelled too")
 				}
 				sim.cancelJob("job-500")
@@ -445,7 +445,7 @@
 		}
 		n := sim.controllers["n0"].controller
 		sim.withLock(func() { sim.state.Stuck = true })
-		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.StaleLimit() - time.Second) })
+		n.loop.Do(func() { n.RecordsCurrentAt = time.Now().Add(-n.api.StaleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a stale controller gets %d", got)
 		}
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -94,7 +94,7 @@
 
 // commandOps returns the operations in a message of commands.
 func commandOps(body []byte) (ops map[string]bool) {
-	var orders protocol.Orders
+	var orders protocol.CommandBatch
 	panicOnError(protocol.Decode(body, &orders))
 	ops = map[string]bool{}
 	for _, command := range orders.Commands {
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -16,7 +16,7 @@
 // partition, with the machine m-1, under the given lease revision.
 func (c *Controller) leadFirstPartition(lease uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
-	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
+	c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, lease, now
 	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
@@ -35,7 +35,7 @@
 		j := c.addLoadedJob("job-1")
 		a := addLiveAttempt(j, m, 2, cluster.AttemptCommitted)
 		send := func(epoch, sequence, token uint64, tasks []protocol.TaskReport) int {
-			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
+			c.RecordsCurrentAt, c.LeaseRenewedAt = time.Now(), time.Now()
 			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
@@ -57,7 +57,7 @@
 			}
 		}
 		// A heartbeat that was in flight while commands were answered is not stale.
-		c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
+		c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
 		if send(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a heartbeat overtaken by commands is not answered")
 		}
@@ -78,7 +78,7 @@
 		c, end := newIdleController(t)
 		defer end()
 		now := time.Now()
-		c.RecordsAsOf, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
+		c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
 		c.SetCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, ZonesOffered: []string{"a"}}})
 		p := c.Partitions[0]
 		p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, 5, now
@@ -114,7 +114,7 @@
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
 			t.Errorf("heartbeat of a deleted machine: %d, lost %v", resp.Status, m.Lost)
 		}
-		if c.agents.ApplyReport(m, r, now); !m.Lost || m.HasReported {
+		if c.agents.ApplyHeartbeat(m, r, now); !m.Lost || m.HasReported {
 			t.Error("a response of a deleted machine revived it")
 		}
 	})
@@ -134,8 +134,8 @@
 			status string
 			ago    time.Duration
 			want   bool
-		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusWithdrawn, time.Second, false},
-			{protocol.StatusWithdrawn, 20 * time.Second, true}, {protocol.StatusWithdrawn, time.Hour, false}} {
+		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusCancelled, time.Second, false},
+			{protocol.StatusCancelled, 20 * time.Second, true}, {protocol.StatusCancelled, time.Hour, false}} {
 			id := fmt.Sprint("job-", i)
 			j := c.addLoadedJob(id)
 			clear(m.Attempts)
@@ -165,7 +165,7 @@
 		now := time.Now()
 		_, m := c.leadFirstPartition(9)
 		j := c.addLoadedJob("job-1")
-		j.Ended, c.FinalStates["job-1"] = true, protocol.StatusWithdrawn
+		j.Ended, c.FinalStates["job-1"] = true, protocol.StatusCancelled
 		a := addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
 		a.Inherited, a.Stopping, a.StopRequestedAt = true, true, now
 		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -146,7 +146,7 @@
 		}
 		for range 90 {
 			time.Sleep(time.Second)
-			if st := h.request(sim, "n1", requestPoll, s); st == protocol.StatusDone || st == protocol.StatusWithdrawn {
+			if st := h.request(sim, "n1", requestPoll, s); st == protocol.StatusDone || st == protocol.StatusCancelled {
 				break
 			}
 		}
--- a/internal/coordination/lease/answer_bounds.go
+++ b/internal/coordination/lease/answer_bounds.go
@@ -13,7 +13,7 @@
 // LastAnswerBound is the latest moment at which anybody but this controller may have answered a
 // machine of a partition.
 func (h *Holder) LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time {
-	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time {
+	until := failover.AnsweredUntil(p.FormerLeaders, func(label, nonce string) time.Time {
 		return h.EndedIncarnations[IncarnationID{Label: label, Nonce: nonce}]
 	})
 	if m.FormerLeaderBound.After(until) {
@@ -57,7 +57,7 @@
 	if record := h.incarnations[former.Label]; record.Nonce == former.Nonce && slices.Contains(record.Released, released) {
 		former.AnswersUntil = now.Add(delegation.GrantDuration)
 	}
-	p.FormerAnswerers = append(stillAnswering(p.FormerAnswerers, now), former)
+	p.FormerLeaders = append(stillAnswering(p.FormerLeaders, now), former)
 }
 
 // lastOwnAnswer is until when a partition that this controller led may be answered on its
@@ -75,8 +75,8 @@
 // NoteMissedLeaders notes that leaders may have come and gone unseen before a listing.
 func (h *Holder) NoteMissedLeaders(now time.Time) {
 	for _, p := range h.Partitions {
-		p.FormerAnswerers = slices.DeleteFunc(stillAnswering(p.FormerAnswerers, now), func(former failover.FormerLeader) bool { return former.Label == "" })
-		p.FormerAnswerers = append(p.FormerAnswerers, failover.FormerLeader{AnswersUntil: now.Add(h.AnswerBound())})
+		p.FormerLeaders = slices.DeleteFunc(stillAnswering(p.FormerLeaders, now), func(former failover.FormerLeader) bool { return former.Label == "" })
+		p.FormerLeaders = append(p.FormerLeaders, failover.FormerLeader{AnswersUntil: now.Add(h.AnswerBound())})
 	}
 }
 
--- a/internal/coordination/lease/dead_controllers.go
+++ b/internal/coordination/lease/dead_controllers.go
@@ -33,7 +33,7 @@
 // longer than after any end, and its successor counts on as much (rule 11).
 func (h *Holder) RevokeIfDead(label string, other *cluster.Peer, now time.Time) {
 	incarnation := h.incarnations[label]
-	evidence := failover.Evidence{Silent: now.Sub(other.HeardAt), Interval: peering.SummaryInterval,
+	evidence := failover.Evidence{Silent: now.Sub(other.LastHeardAt), Interval: peering.SummaryInterval,
 		Reporting: len(other.ReportingMachines), Diverted: len(other.DivertedMachines)}
 	if incarnation.Lease == 0 || incarnation.Lease == other.RevokedLease || !evidence.Dead() || !h.Synced || !h.leaseIsFresh(now) {
 		return
@@ -42,7 +42,7 @@
 		return
 	}
 	other.RevokedLease = incarnation.Lease
-	h.metrics.Count(telemetry.LeaseEnded, 1)
+	h.metrics.Count(telemetry.LeaseRevoked, 1)
 	h.log.Info("revoking the lease of a dead controller", "controller", label, "elapsed", evidence.Silent, "diverted", evidence.Diverted, "count", evidence.Reporting)
 	h.loop.Go(func() {
 		ctx, cancel := context.WithTimeout(h.loop.Context(), revokeTimeout)
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -42,7 +42,7 @@
 		if txn == nil || !h.releaseLeases(ctx, txn) {
 			return
 		}
-		h.metrics.Count(telemetry.HandedOver, count)
+		h.metrics.Count(telemetry.PartitionHandedOver, count)
 		h.log.Info("partition leases handed over", "count", count, "leadership", leadership != 0, "after", time.Since(begun))
 		released, leadership = released[count:], 0
 	}
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -55,5 +55,5 @@
 // leaseIsFresh says whether the controller lease was renewed so recently that it is worth
 // acquiring or revoking leases under it.
 func (h *Holder) leaseIsFresh(now time.Time) bool {
-	return now.Sub(h.LeaseRenewedAt) <= h.Operator.ClaimTTL/2
+	return now.Sub(h.LeaseRenewedAt) <= h.Operator.LeaseTTL/2
 }
--- a/internal/coordination/lease/incarnations.go
+++ b/internal/coordination/lease/incarnations.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		p := h.Partitions[released.Partition]
-		failover.NoteReleased(p.FormerAnswerers, label, record.Nonce, released.LeaseRevision, now.Add(delegation.GrantDuration))
+		failover.NoteReleased(p.FormerLeaders, label, record.Nonce, released.LeaseRevision, now.Add(delegation.GrantDuration))
 		if p.Held && p.Ready {
 			h.shortenBounds(p, now)
 		}
--- a/internal/coordination/lease/renewal.go
+++ b/internal/coordination/lease/renewal.go
@@ -23,7 +23,7 @@
 	var next time.Time
 	for {
 		if now := time.Now(); !now.Before(next) {
-			next = now.Add(h.Operator.ClaimTTL / renewalsPerTTL)
+			next = now.Add(h.Operator.LeaseTTL / renewalsPerTTL)
 			if !h.renew() {
 				next = now // waiting out the interval after each refusal would cost the leases
 			}
@@ -48,7 +48,7 @@
 	sent := time.Now()
 	var err error
 	if lease == 0 {
-		lease, err = h.store.GrantLease(h.loop.Context(), h.Operator.ClaimTTL)
+		lease, err = h.store.GrantLease(h.loop.Context(), h.Operator.LeaseTTL)
 	} else {
 		err = h.store.RenewLease(h.loop.Context(), lease, renewTimeout)
 	}
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -63,7 +63,7 @@
 	c.CancelBound = largeCancelBound
 	c.Cancellations.SetLimit(largeCancelBound, largeState)
 	now := time.Now()
-	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
+	c.Synced, c.LeaseRenewedAt, c.RecordsCurrentAt = true, now, now
 	for _, p := range c.Partitions {
 		p.AcquiredAt, p.Standby = now, "n1"
 	}
@@ -152,7 +152,7 @@
 	for messages < 100 {
 		now := time.Now()
 		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
-		if err != nil || len(raw) > peerapi.BodyMin {
+		if err != nil || len(raw) > peerapi.PortableBodyLimit {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		sent := new(peer.ReplicaUpdate)
@@ -188,8 +188,8 @@
 	}{
 		{"summary", onePartition, checkLargeSummary, nil},
 		// A new standby is updated in several messages.
-		{"replica, state transfer and takeover of one partition", onePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
-		{"replica, state transfer and takeover of three partitions", threePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaMessages}},
+		{"replica, state transfer and takeover of one partition", onePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaUpdates}},
+		{"replica, state transfer and takeover of three partitions", threePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaUpdates}},
 		{"replicated starts ahead of their records", onePartition, checkStartsAheadOfRecords, nil},
 		{"cancellation notices", onePartition, checkLargeCancellationNotices, nil},
 		{"delegated heartbeats that wait", onePartition, checkLargeDelegatedHeartbeats, nil},
@@ -217,7 +217,7 @@
 	}
 	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range noted {
-		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
+		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now)
 	}
 	for i := range largeMachines { // as after the start of all controllers
 		name := largeMachine(largeMachines + i)
@@ -339,7 +339,7 @@
 	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range noted {
 		age := largeCancelBound - time.Second - time.Duration(i)*(largeCancelBound-2*time.Second)/time.Duration(noted)
-		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
+		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now.Add(-age))
 	}
 	sent := c.Cancellations.Recent(now, c.CancelBound)
 	if len(sent) != noted || sent[0].Job != "job-800000000" {
@@ -357,7 +357,7 @@
 
 // Do answers as the partition leader.
 func (o *delegatingLeader) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
-	if len(body) > peerapi.BodyMin {
+	if len(body) > peerapi.PortableBodyLimit {
 		o.t.Errorf("a message of %d bytes", len(body))
 	}
 	req := new(peer.DelegationRequest)
@@ -381,7 +381,7 @@
 	p.Held, p.Leader = false, "n1"
 	net := &delegatingLeader{t: t, machines: map[string]bool{}}
 	setNetwork(c, net)
-	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
+	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", LastHeardAt: time.Now(), Summary: &peer.Summary{
 		Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Delegated: []*peer.DelegatedShards{{Delegate: c.Settings.Label}}}}}}
 	e := c.proxy.Assignments[p.Index]
 	e.Leader, e.Lease, e.Serial, e.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
@@ -492,13 +492,13 @@
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
 			for i := range c.Cancellations.Limit + 1 {
-				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
+				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusCancelled, time.Now())
 			}
 			if sent := c.Cancellations.Recent(time.Now(), c.CancelBound); len(sent) != c.Cancellations.Limit || sent[0].Job != "job-0" {
 				t.Errorf("%d notices, %s first", len(sent), sent[0].Job)
 			}
 		}},
-		{"delegated heartbeats", telemetry.CarriedReports, func(t *testing.T, c *Controller) {
+		{"delegated heartbeats", telemetry.ForwardedHeartbeats, func(t *testing.T, c *Controller) {
 			p := c.Partitions[0]
 			m := c.addMachine(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
@@ -510,15 +510,15 @@
 				t.Errorf("status %d", resp.Status)
 			}
 		}},
-		{"messages to a standby", telemetry.ReplicaMessages, func(t *testing.T, c *Controller) {
+		{"messages to a standby", telemetry.ReplicaUpdates, func(t *testing.T, c *Controller) {
 			p, m := c.Partitions[0], c.addMachine(c.Partitions[0], "m-1", "big")
 			for i := range 200 {
-				for k := range cluster.UpdateImagesLimit {
+				for k := range cluster.HintImagesLimit {
 					m.Images[fmt.Sprintf("%0190d", k)] = time.Now()
 				}
 				m = c.addMachine(p, fmt.Sprint("m-2", i), "big")
 			}
-			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.BodyMin || len(sent.Machines) > 200 || sent.Through >= p.Replication.Clock {
+			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.PortableBodyLimit || len(sent.Machines) > 200 || sent.Through >= p.Replication.Clock {
 				t.Errorf("%d bytes, %d machines", proto.Size(sent), len(sent.Machines))
 			}
 		}},
@@ -545,13 +545,13 @@
 				t.Errorf("a known machine is not updated, %d kept", len(replica.Updates.Machines))
 			}
 		}},
-		{"state transfers", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
+		{"state transfers", telemetry.StateTransferBytes, func(t *testing.T, c *Controller) {
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
 			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
 				mt := &peer.MachineHint{Name: largeMachine(i), PreemptionNoticeS: -1}
-				for k := range cluster.UpdateImagesLimit {
+				for k := range cluster.HintImagesLimit {
 					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
 				}
 				replica.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
@@ -563,12 +563,12 @@
 			stop()
 			sent := new(peer.ReplicaUpdate)
 			panicOnError(proto.Unmarshal(resp.Body, sent))
-			if len(resp.Body) > clientResponseLimit || len(sent.Machines) != largeMachines || len(replica.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
+			if len(resp.Body) > clientResponseLimit || len(sent.Machines) != largeMachines || len(replica.Updates.Machines[largeMachine(0)].Images) != cluster.HintImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(sent.Machines))
 			}
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
-			for i := range scheduler.ClassGroupsLimit {
+			for i := range scheduler.MaxClassGroups {
 				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
 			if countedBounds(c) != nil || c.scheduler.ClassGroup("another") != 0 {
@@ -576,10 +576,10 @@
 			}
 		}},
 		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
-			for i := range scheduler.ClassGroupsLimit + 1 {
+			for i := range scheduler.MaxClassGroups + 1 {
 				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
-			if len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
+			if len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
 				t.Errorf("%d classes are learned", len(c.scheduler.Corrections))
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
@@ -589,17 +589,17 @@
 		}},
 		{"replicated estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			h := replication.ReceivedUpdates{}
-			for i := range scheduler.ClassGroupsLimit + 1 {
+			for i := range scheduler.MaxClassGroups + 1 {
 				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
-			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
+			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
 				t.Errorf("%d classes are known", len(c.scheduler.Corrections))
 			}
 		}},
-		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
-		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.PeersFull() }},
+		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.OnPollRefused() }},
+		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.NotePeerConnectionRefused() }},
 		{"callers", telemetry.Callers, func(t *testing.T, c *Controller) {
-			panicOnError(c.Identify(auth.Identities{}))
+			panicOnError(c.EnableAuth(auth.Identities{}))
 			for i := range auth.UnknownJobLimitersLimit + 1 {
 				c.auth.UnknownJobLimiters.Add(fmt.Sprint("person/", i), nil)
 			}
@@ -607,7 +607,7 @@
 				t.Errorf("%d callers are tracked", n)
 			}
 		}},
-		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.UsersFull() }},
+		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.NoteUserConnectionRefused() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var log bytes.Buffer
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -54,7 +54,7 @@
 	switch a.jobStatus {
 	case protocol.StatusDone:
 		return l == jobDone
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		return l == jobCancelled
 	}
 	return l == jobAccepted
@@ -109,7 +109,7 @@
 	h.jobs[job] = append(h.jobs[job], op)
 	if a, ok := op.Output.(userAnswer); ok {
 		h.answers++
-		if a.jobStatus == protocol.StatusDone || a.jobStatus == protocol.StatusWithdrawn {
+		if a.jobStatus == protocol.StatusDone || a.jobStatus == protocol.StatusCancelled {
 			h.finals++
 		}
 	}
@@ -193,7 +193,7 @@
 	}
 	for range 120 {
 		st := h.request(sim, pick(), requestPoll, s)
-		if st == protocol.StatusDone || st == protocol.StatusWithdrawn {
+		if st == protocol.StatusDone || st == protocol.StatusCancelled {
 			h.pollAllControllers(sim, s, rng)
 			if rng.IntN(2) == 0 {
 				retry(requestCancel) // of a finished job
--- a/internal/coordination/on_behalf_of_test.go
+++ b/internal/coordination/on_behalf_of_test.go
@@ -50,7 +50,7 @@
 			"a token instead of the certificate":                    requestThrough("", gate, "person/anna", "POST", "/submissions", job("job-8", "red", "build")),
 			"a person who vouches":                                  requestThrough("person/root", "", "person/anna", "POST", "/submissions", job("job-9", "red", "build")),
 			"an administrator's change through the gate":            requestThrough(gate, "", "person/root", "POST", "/policy", rights.Change{Version: 2}),
-			"an administrator's bulk cancellation through the gate": requestThrough(gate, "", "person/root", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"}),
+			"an administrator's bulk cancellation through the gate": requestThrough(gate, "", "person/root", "POST", "/withdrawals", protocol.CancelAll{By: "person/anna"}),
 			"the gate itself, which may submit nothing":             requestThrough(gate, "", "", "POST", "/submissions", job("job-10", "red", "build")),
 			"a right check for an identity without the right":       requestThrough(gate, "", "person/partner", "GET", "/may?verb=submit&team=red&class=build", nil),
 		} {
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -49,8 +49,8 @@
 			if v.Controller != label || !v.Ready {
 				t.Errorf("%+v", v)
 			}
-			led += len(v.Parts)
-			for _, p := range v.Parts {
+			led += len(v.Partitions)
+			for _, p := range v.Partitions {
 				tasks += p.Running + p.Waiting
 				machines += p.Machines
 			}
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -20,8 +20,8 @@
 	t.Parallel()
 	runSimulation(t, 13, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sent := map[string]protocol.Orders{}
-		sim.withLock(func() { sim.interceptCommands = func(name string, o *protocol.Orders) { sent[name] = *o } })
+		sent := map[string]protocol.CommandBatch{}
+		sim.withLock(func() { sim.interceptCommands = func(name string, o *protocol.CommandBatch) { sent[name] = *o } })
 		sim.setRunTime(time.Minute)
 		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
@@ -147,10 +147,10 @@
 		for _, label := range allControllers {
 			resp := sim.sendRequest(label, "POST", "/checkin", protocol.Encode(r))
 			if resp.Status == 421 {
-				var h protocol.Home
+				var h protocol.AssignedController
 				panicOnError(protocol.Decode(resp.Body, &h))
-				leaders[h.Home] = true
-				if h.Home == label {
+				leaders[h.Controller] = true
+				if h.Controller == label {
 					t.Errorf("%s redirects to itself", label)
 				}
 			}
@@ -306,7 +306,7 @@
 	j := c.addLoadedJob("job-1")
 	a := addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
 	a.Inherited = true
-	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
+	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
 	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
 		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
 	}
--- a/internal/coordination/peerapi/bounds.go
+++ b/internal/coordination/peerapi/bounds.go
@@ -7,10 +7,10 @@
 // BytesPerMB is the size of the megabytes in which the settings state the memory.
 const BytesPerMB = 1 << 20
 
-// BodyMin is the size in bytes up to which every version of the controller takes a message.
+// PortableBodyLimit is the size in bytes up to which every version of the controller takes a message.
 // Messages that can be split are kept within it, so that a peer of an older version takes them
 // too.
-const BodyMin = 1 << 20
+const PortableBodyLimit = 1 << 20
 
 // bodyMax is the size in bytes that the summary of a controller with 4,000 machines needs.
 const bodyMax = 2 << 20
@@ -21,5 +21,5 @@
 
 // MaxBody is the size in bytes up to which a message of another controller is taken.
 func MaxBody(limits settings.Limits) int {
-	return min(bodyMax, max(BodyMin, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
+	return min(bodyMax, max(PortableBodyLimit, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
 }
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -73,9 +73,9 @@
 	}
 	now := time.Now()
 	if !sender.Alive(now) {
-		sender.HeardSince = now
+		sender.AliveSince = now
 	}
-	sender.HeardAt, sender.Summary = now, summary
+	sender.LastHeardAt, sender.Summary = now, summary
 	sender.NoteReporting()
 	e.jobs.ApplyCancellationNotices(summary, now)
 	e.proxy.SummaryReceived(summary)
--- a/internal/coordination/proxy/answering.go
+++ b/internal/coordination/proxy/answering.go
@@ -24,7 +24,7 @@
 		return respond.Refuse(503, "superseded", 1), true
 	}
 	if assigned.UnsentBytes+len(raw) > p.UnsentLimit {
-		p.bounds.Met(telemetry.CarriedReports, 1)
+		p.bounds.Met(telemetry.ForwardedHeartbeats, 1)
 		return respond.Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if heartbeat.Addr != "" {
@@ -32,6 +32,6 @@
 	}
 	assigned.add(machine.Name, answeredHeartbeat{bytes.Clone(raw), heartbeat.Epoch, heartbeat.Sequence})
 	eventloop.Signal(assigned.wakeup)
-	orders := protocol.Orders{Token: token, Commands: p.agents.StopsOfCancelled(heartbeat)}
+	orders := protocol.CommandBatch{Token: token, Commands: p.agents.StopsForCancelledJobs(heartbeat)}
 	return transport.Response{Status: 200, Body: protocol.Encode(orders)}, true
 }
--- a/internal/coordination/proxy/forwarding.go
+++ b/internal/coordination/proxy/forwarding.go
@@ -21,7 +21,7 @@
 	forwardGatherDelay = 3 * time.Millisecond
 	// forwardBytesLimit bounds the commands of one message, in bytes; a single one may be
 	// larger.
-	forwardBytesLimit = peerapi.BodyMin / 2
+	forwardBytesLimit = peerapi.PortableBodyLimit / 2
 )
 
 // errDelegateUnanswered: the delegate had no answer of the agent, which may have got the
--- a/internal/coordination/proxy/grants.go
+++ b/internal/coordination/proxy/grants.go
@@ -90,7 +90,7 @@
 	if heartbeat.Addr != "" {
 		machine.Record.Addr = heartbeat.Addr
 	}
-	p.agents.ApplyReport(machine, heartbeat, now)
+	p.agents.ApplyHeartbeat(machine, heartbeat, now)
 	machine.LastHeardAt, machine.DelegateHeardAt = now, now
 	if machine.Fenced && machine.NeedsCommands() {
 		p.agents.SendCommands(machine)
--- a/internal/coordination/proxy/overview.go
+++ b/internal/coordination/proxy/overview.go
@@ -12,7 +12,7 @@
 const recentMovesLimit = 16
 
 // recordMove stores a change of a shard's delegate and drops the oldest beyond the limit.
-func (p *Proxy) recordMove(move overview.Move, now time.Time) {
+func (p *Proxy) recordMove(move overview.ShardMove, now time.Time) {
 	p.moves, p.moveTimes = append(p.moves, move), append(p.moveTimes, now)
 	if excess := len(p.moves) - recentMovesLimit; excess > 0 {
 		p.moves, p.moveTimes = slices.Delete(p.moves, 0, excess), slices.Delete(p.moveTimes, 0, excess)
@@ -20,7 +20,7 @@
 }
 
 // RecentMoves lists the last changes of delegates, oldest first, with how long ago they were.
-func (p *Proxy) RecentMoves(now time.Time) []overview.Move {
+func (p *Proxy) RecentMoves(now time.Time) []overview.ShardMove {
 	list := slices.Clone(p.moves)
 	for i := range list {
 		list[i].AgoS = now.Sub(p.moveTimes[i]).Seconds()
@@ -29,7 +29,7 @@
 }
 
 // Overview lists the delegates of a partition that this controller leads.
-func (p *Proxy) Overview(partition *cluster.Partition, now time.Time) (list []overview.Carried) {
+func (p *Proxy) Overview(partition *cluster.Partition, now time.Time) (list []overview.Delegate) {
 	machines := map[string]int{}
 	for _, machine := range p.Machines {
 		if machine.Record.Partition == partition.Index && machine.HasReported && !machine.Lost {
@@ -40,11 +40,11 @@
 		active := slices.ContainsFunc(delegated.Shards, func(shard uint32) bool {
 			return partition.Delegations.Active(int(shard), now)
 		})
-		list = append(list, overview.Carried{
-			By:       delegated.Delegate,
-			Shares:   len(delegated.Shards),
-			Machines: machines[delegated.Delegate],
-			Active:   active,
+		list = append(list, overview.Delegate{
+			Controller: delegated.Delegate,
+			Shards:     len(delegated.Shards),
+			Machines:   machines[delegated.Delegate],
+			Active:     active,
 		})
 	}
 	return list
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -47,7 +47,7 @@
 	MovedAt    time.Time
 	balancedAt time.Time
 	// moves are the last changes of delegates, for operators; moveTimes is when each was.
-	moves     []overview.Move
+	moves     []overview.ShardMove
 	moveTimes []time.Time
 
 	mu     sync.Mutex
--- a/internal/coordination/proxy/rebalancing.go
+++ b/internal/coordination/proxy/rebalancing.go
@@ -85,8 +85,8 @@
 	partition := p.Partitions[move.Partition]
 	from := partition.Delegations.Delegate(move.Shard)
 	p.log.Info("shard delegate changed", "partition", move.Partition, "shard", move.Shard, "from", from, "to", move.To, "reason", move.Reason)
-	p.metrics.Count(telemetry.ShareMoved, 1)
-	p.recordMove(overview.Move{Part: move.Partition, Share: move.Shard, From: from, To: move.To, Reason: move.Reason}, now)
+	p.metrics.Count(telemetry.ShardMoved, 1)
+	p.recordMove(overview.ShardMove{Part: move.Partition, Shard: move.Shard, From: from, To: move.To, Reason: move.Reason}, now)
 	partition.Delegations.Assign(move.Shard, move.To)
 	p.MovedAt = now
 }
@@ -135,7 +135,7 @@
 			Label:     label,
 			Load:      delegation.Load{Machines: int(summary.Connected), Capacity: int(summary.Capacity)},
 			Available: other.Alive(now) && summary.Capacity > 0 && !summary.Draining,
-			Settled:   now.Sub(other.HeardSince) >= delegateSettleTime && summary.StateSilenceS < stateSilenceLimitS,
+			Settled:   now.Sub(other.AliveSince) >= delegateSettleTime && summary.StateSilenceS < stateSilenceLimitS,
 		})
 	}
 }
--- a/internal/coordination/proxy/renewal.go
+++ b/internal/coordination/proxy/renewal.go
@@ -21,7 +21,7 @@
 	// renewTimeout bounds the wait for the leader's reply.
 	renewTimeout = time.Second
 	// renewalBytesLimit is how many bytes of heartbeats one message holds; more go in several.
-	renewalBytesLimit = peerapi.BodyMin * 3 / 4
+	renewalBytesLimit = peerapi.PortableBodyLimit * 3 / 4
 )
 
 // renewal is one request to a partition's leader, and what is needed once its reply comes.
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -98,15 +98,15 @@
 		sim.onController(leader, func(c *Controller) {
 			v := c.api.StateOverview(time.Now())
 			delegated, moves := 0, len(v.Moves)
-			for _, p := range v.Parts {
-				for _, k := range p.Carried {
+			for _, p := range v.Partitions {
+				for _, k := range p.Delegates {
 					if delegated += k.Machines; !k.Active {
-						t.Errorf("%s is not active: %+v", k.By, k)
+						t.Errorf("%s is not active: %+v", k.Controller, k)
 					}
 				}
 			}
-			if delegated != total-connected[leader] || moves == 0 || v.Connected != connected[leader] || v.Room != 6 {
-				t.Errorf("%d machines delegated, %d moves, %d of %d connected; all connections %v", delegated, moves, v.Connected, v.Room, connected)
+			if delegated != total-connected[leader] || moves == 0 || v.Connected != connected[leader] || v.Capacity != 6 {
+				t.Errorf("%d machines delegated, %d moves, %d of %d connected; all connections %v", delegated, moves, v.Connected, v.Capacity, connected)
 			}
 		})
 		sim.mu.Lock()
@@ -307,7 +307,7 @@
 		answers := func(name string, want int, token uint64) {
 			t.Helper()
 			resp := c.agents.HandleHeartbeat(report, []byte("body"))
-			var o protocol.Orders
+			var o protocol.CommandBatch
 			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
 				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", name, resp.Status, o.Token, len(o.Commands), want, token)
 			}
@@ -422,7 +422,7 @@
 		p, m := c.leadFirstPartition(5)
 		time.Sleep(time.Minute) // while it boots
 		now := time.Now()
-		c.RecordsAsOf, c.LeaseRenewedAt = now, now
+		c.RecordsCurrentAt, c.LeaseRenewedAt = now, now
 		p.Delegations.Assign(m.Shard, "n1")
 		// The delegate renews again and again, so that all that it answered is known.
 		for serial := range uint64(3) {
--- a/internal/coordination/random_concurrent_faults_test.go
+++ b/internal/coordination/random_concurrent_faults_test.go
@@ -114,7 +114,7 @@
 func (sim *simulatedCluster) countFinishedTasks() (n int) {
 	sim.withLock(func() {
 		for _, submitted := range sim.jobs {
-			if n += len(submitted.tasksDone); submitted.finalStatus == protocol.StatusWithdrawn {
+			if n += len(submitted.tasksDone); submitted.finalStatus == protocol.StatusCancelled {
 				n += submitted.spec.Tasks - len(submitted.tasksDone)
 			}
 		}
--- a/internal/coordination/reassignment_test.go
+++ b/internal/coordination/reassignment_test.go
@@ -51,7 +51,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		sim.expectStatus(409, move("job-2", "job-12", "blue"))
-		if st := sim.poll("n0", "job-1"); st != protocol.StatusWithdrawn {
+		if st := sim.poll("n0", "job-1"); st != protocol.StatusCancelled {
 			t.Errorf("the job that was moved is %s", st)
 		}
 		sim.waitForAllJobs(3 * time.Minute)
--- a/internal/coordination/replication/follow.go
+++ b/internal/coordination/replication/follow.go
@@ -125,10 +125,10 @@
 // readChanges applies what has changed after a revision, or makes the replica begin anew.
 func (r *Replicator) readChanges(ctx context.Context, replica *Replica, after uint64) {
 	asked := time.Now()
-	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ChangePatience)
+	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ChangeTimeout)
 	r.ifCurrent(replica, func() {
 		switch {
-		case errors.Is(err, storage.ErrTooOld):
+		case errors.Is(err, storage.ErrCompacted):
 			replica.reset()
 		case err != nil:
 			r.log.Debug("standby replica not advanced", "partition", replica.partition, "error", err)
--- a/internal/coordination/replication/replicator.go
+++ b/internal/coordination/replication/replicator.go
@@ -68,11 +68,11 @@
 }
 
 // Overview is what operators are shown of the replicas.
-func (r *Replicator) Overview(now time.Time) (list []overview.Follow) {
+func (r *Replicator) Overview(now time.Time) (list []overview.Replica) {
 	for _, p := range r.Partitions {
 		if replica := r.Replicas[p.Index]; replica != nil {
-			list = append(list, overview.Follow{Part: p.Index, Owner: p.Leader, Records: replica.Records.Len(), Whole: replica.Records.Revision() != 0,
-				BehindS: replica.lag(now).Seconds(), Told: replica.Derived.KnownStarts()})
+			list = append(list, overview.Replica{Part: p.Index, Leader: p.Leader, Records: replica.Records.Len(), Complete: replica.Records.Revision() != 0,
+				BehindS: replica.lag(now).Seconds(), ConfirmedStarts: replica.Derived.KnownStarts()})
 		}
 	}
 	return list
--- a/internal/coordination/replication/sampling.go
+++ b/internal/coordination/replication/sampling.go
@@ -63,7 +63,7 @@
 	replica.sample = nil
 	maps.DeleteFunc(replica.Updates.Machines, func(name string, _ MachineHints) bool { return r.Machines[name] == nil })
 	if len(keys) > 0 {
-		r.metrics.Count(telemetry.CopyDiffers, 1)
+		r.metrics.Count(telemetry.ReplicaDiffers, 1)
 		r.Mismatches++
 		r.log.Error("standby replica differs from the state store", "partition", replica.partition, "keys", keys[:min(loggedKeys, len(keys))], "count", len(keys))
 		replica.reset()
--- a/internal/coordination/replication/send.go
+++ b/internal/coordination/replication/send.go
@@ -24,7 +24,7 @@
 	// UpdateBytesLimit is what one update holds at most; the rest follows with the next. That is
 	// some 26,000 attempts, or 500 machines with all their images: a standby that knows nothing
 	// has 4,000 machines and 64,000 attempts after some 10 s.
-	UpdateBytesLimit = peerapi.BodyMin * 3 / 4
+	UpdateBytesLimit = peerapi.PortableBodyLimit * 3 / 4
 	// EntryOverheadBytes is what an entry takes beside itself.
 	EntryOverheadBytes = 8
 )
@@ -118,7 +118,7 @@
 	changes := r.partitionChanges(p)
 	update.Through = progress.Clock
 	if !addChanges(update, changes, room, now) {
-		r.bounds.Met(telemetry.ReplicaMessages, 1)
+		r.bounds.Met(telemetry.ReplicaUpdates, 1)
 	}
 	return update
 }
@@ -153,7 +153,7 @@
 		if m.Record.Partition != p.Index || !m.HasReported {
 			continue
 		}
-		if facts := m.Facts(); m.ReplicationSeq == 0 || facts != m.Replicated {
+		if facts := m.ReplicatedFacts(); m.ReplicationSeq == 0 || facts != m.Replicated {
 			progress.Clock++
 			m.Replicated, m.ReplicationSeq = facts, progress.Clock
 		}
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -35,7 +35,7 @@
 		if replica := r.Replicas[int(request.Partition)]; replica != nil && replica.Updates.Acknowledged != 0 {
 			whole := false
 			if transfer, whole = replica.StateTransfer(time.Now()); !whole {
-				r.bounds.Met(telemetry.RecallBytes, 1)
+				r.bounds.Met(telemetry.StateTransferBytes, 1)
 			}
 		}
 	})
--- a/internal/coordination/replication_test.go
+++ b/internal/coordination/replication_test.go
@@ -140,7 +140,7 @@
 		cold.StartFrom(logError, listing(), rev, time.Now())
 		if seed%3 == 0 {
 			for _, c := range two {
-				c.jobs.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
+				c.jobs.SetFinal("job-2", protocol.StatusCancelled, time.Now())
 			}
 		}
 		for _, c := range two {
@@ -252,7 +252,7 @@
 	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunningS(now) != 20 {
 		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
 	}
-	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
+	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
 	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != cluster.AttemptConfirmed {
 		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -10,10 +10,10 @@
 	"micaspindle/internal/telemetry"
 )
 
-// ClassGroupsLimit bounds the classes that are distinguished, and those whose run times are
+// MaxClassGroups bounds the classes that are distinguished, and those whose run times are
 // learnt, since users make up their names. It does not grow with the machines; one class
 // takes up to 300 bytes.
-const ClassGroupsLimit = 1000
+const MaxClassGroups = 1000
 
 // ClassGroup returns the fair-share group of a class, and numbers a new class. It is
 // fairshare.NoGroup once there are ClassGroupsLimit classes.
@@ -21,7 +21,7 @@
 	if group, known := s.ClassGroups[class]; known {
 		return group
 	}
-	if len(s.ClassGroups) >= ClassGroupsLimit {
+	if len(s.ClassGroups) >= MaxClassGroups {
 		s.bounds.Met(telemetry.Classes, 1)
 		return fairshare.NoGroup
 	}
--- a/internal/coordination/scheduler/estimates.go
+++ b/internal/coordination/scheduler/estimates.go
@@ -51,7 +51,7 @@
 
 // mayLearnClass reports whether the run times of one more class may be learnt.
 func (s *Scheduler) mayLearnClass() bool {
-	if len(s.Corrections) < ClassGroupsLimit {
+	if len(s.Corrections) < MaxClassGroups {
 		return true
 	}
 	s.bounds.Met(telemetry.Estimates, 1)
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -99,7 +99,7 @@
 		teams[index] = placement.Team{
 			Limit:    cluster.TeamLimit(team),
 			Used:     p.Usage[index],
-			Reserved: p.FairShare.QuotaOf(index),
+			Reserved: p.FairShare.ReservedQuotasOf(index),
 		}
 	}
 	return teams
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -49,7 +49,7 @@
 		reason = preemptForQuota
 	}
 	s.log.Info("attempt preempted", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", attempt.Machine.Name, "preemptor", beneficiary.Spec.ID, "reason", reason)
-	s.metrics.Count(telemetry.Stopped, 1)
+	s.metrics.Count(telemetry.AttemptPreempted, 1)
 	s.agents.StopAttempt(attempt, attempt.Job.Spec.SaveS+stopGraceMarginS, now)
 }
 
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -19,7 +19,7 @@
 func (s *Scheduler) reserveQuota(p *cluster.Partition, now time.Time) {
 	uses := s.quotaWanted(p, now)
 	s.addQuotaUsed(uses)
-	p.FairShare.Quota = make([][]fairshare.ReservedQuota, len(p.Usage))
+	p.FairShare.ReservedQuotas = make([][]fairshare.ReservedQuota, len(p.Usage))
 	p.FairShare.WithinReserve = map[cluster.TeamClass]bool{}
 	for team := range p.Usage {
 		var classes []fairshare.ClassUse
@@ -29,7 +29,7 @@
 			}
 		}
 		limit := cluster.TeamLimit(s.Settings.Params.Teams[team])
-		p.FairShare.Quota[team] = fairshare.Quotas(p.FairShare.Shares, limit, classes)
+		p.FairShare.ReservedQuotas[team] = fairshare.Quotas(p.FairShare.Shares, limit, classes)
 		for _, class := range classes {
 			key := cluster.TeamClass{Team: team, ClassGroup: class.Class}
 			p.FairShare.WithinReserve[key] = class.Used.CPUs <= p.FairShare.Share(class.Class)*limit.CPUs
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -105,13 +105,13 @@
 // hasRecordRoom reports whether the record of a task's chunk has room for one more attempt.
 // It adds up what the chunk's tasks take now; as they end, that only falls.
 func (s *Scheduler) hasRecordRoom(job *cluster.Job, task int, number uint64, machine *cluster.Machine) bool {
-	size := storage.RunBase + storage.AttemptSize(number, machine.Name, machine.Epoch)
+	size := storage.RunBaseSize + storage.AttemptSize(number, machine.Name, machine.Epoch)
 	first := task / storage.ChunkTasks * storage.ChunkTasks
 	for t := first; t < min(first+storage.ChunkTasks, job.Spec.Tasks); t++ {
 		if attempt := job.LiveAttempts[t]; attempt != nil && attempt.Live() {
 			size += storage.AttemptSize(attempt.Number, attempt.Machine.Name, attempt.Epoch)
 		} else if job.TaskDone[t] && (t == first || !job.TaskDone[t-1]) {
-			size += storage.RangeSize
+			size += storage.DoneRangeSize
 		}
 	}
 	return size <= s.store.ValueBytes()
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -173,7 +173,7 @@
 		fleet = append(fleet, fmt.Sprintf("move %d from %d", n, p))
 	}
 	deleting := map[string]int{}
-	for name := range c.Leadership.Deleting {
+	for name := range c.Leadership.DeletingSince {
 		m := c.Machines[name]
 		deleting[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
 	}
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -111,7 +111,7 @@
 		return &transport.Response{Status: 504, Body: protocol.Encode(map[string]any{})}
 	}
 	if path == "/orders" && sim.interceptCommands != nil {
-		var o protocol.Orders
+		var o protocol.CommandBatch
 		panicOnError(protocol.Decode(body, &o))
 		sim.interceptCommands(agent.Name, &o)
 		body = protocol.Encode(o)
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -42,7 +42,7 @@
 	cut               func(from, to string) bool
 	runTime           func(job string, task int, machine string) time.Duration
 	fails             func(job string, task int, machine string) bool
-	interceptCommands func(machine string, o *protocol.Orders) // is called with commands before they are executed
+	interceptCommands func(machine string, o *protocol.CommandBatch) // is called with commands before they are executed
 	// onRequest is called with each message of a controller, and may drop it.
 	onRequest func(from, host, target string, body []byte) (lost bool)
 	// pausedUntil is by controller until when its messages are withheld.
@@ -217,7 +217,7 @@
 		n.controller.Observe()
 	}
 	if sim.identities != nil {
-		panicOnError(n.controller.Identify(sim.identities.forController(label)))
+		panicOnError(n.controller.EnableAuth(sim.identities.forController(label)))
 	}
 	sim.withLock(func() { sim.controllers[label] = n })
 	sim.group.Go(func() {
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -149,7 +149,7 @@
 		if at := sim.dependencyCancelledAt(submitted); !at.IsZero() && time.Since(at).Seconds() > sim.settings.Params.Workers.CancelS {
 			sim.recordViolation("orphaned: %s is %s %s after a dependency was cancelled", id, st.Status, time.Since(at))
 		}
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		if submitted.cancelledAt.IsZero() && submitted.finalStatus == "" && !sim.mayBeCancelled(submitted) {
 			sim.recordViolation("went_back: %s was not cancelled by its user", id)
 		}
@@ -196,7 +196,7 @@
 			var st protocol.JobStatus
 			panicOnError(protocol.Decode(resp.Body, &st))
 			sim.mu.Lock()
-			if st.Status == protocol.StatusWithdrawn {
+			if st.Status == protocol.StatusCancelled {
 				sim.jobs[id].cancelledAt = time.Now()
 			}
 			sim.jobs[id].finalStatus = st.Status
@@ -226,7 +226,7 @@
 		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
 	}
 	submitted.finalStatus = st.Status
-	if st.Status == protocol.StatusWithdrawn && submitted.cancelledAt.IsZero() {
+	if st.Status == protocol.StatusCancelled && submitted.cancelledAt.IsZero() {
 		submitted.cancelledAt = time.Now()
 	}
 	return true
@@ -260,7 +260,7 @@
 		sim.mu.Unlock()
 		slices.Sort(ids)
 		for _, id := range ids {
-			if st := sim.poll("", id); st != protocol.StatusDone && st != protocol.StatusWithdrawn {
+			if st := sim.poll("", id); st != protocol.StatusDone && st != protocol.StatusCancelled {
 				open = append(open, id+"="+st)
 			}
 		}
--- a/internal/coordination/takeover/handback.go
+++ b/internal/coordination/takeover/handback.go
@@ -38,7 +38,7 @@
 	}
 	label := t.Labels[p.Index]
 	preferred := t.Peers[label]
-	if preferred == nil || !preferred.Alive(now) || preferred.Summary.Draining || now.Sub(preferred.HeardSince) < lease.SettleTime {
+	if preferred == nil || !preferred.Alive(now) || preferred.Summary.Draining || now.Sub(preferred.AliveSince) < lease.SettleTime {
 		return ""
 	}
 	mine, theirs := 0, 0
--- a/internal/coordination/takeover/install.go
+++ b/internal/coordination/takeover/install.go
@@ -135,7 +135,7 @@
 	p.Ready, p.WarmFailover = true, warm
 	p.QueueOrder, p.Replication, p.HandbackSince = nil, cluster.ReplicationProgress{}, time.Time{}
 	p.Wake()
-	t.metrics.Took(telemetry.Takeover, now.Sub(p.AcquiredAt), now)
+	t.metrics.RecordWait(telemetry.Takeover, now.Sub(p.AcquiredAt), now)
 	kind := telemetry.TakeoverCold
 	if warm {
 		kind = telemetry.TakeoverWarm
--- a/internal/coordination/takeover/rebuild.go
+++ b/internal/coordination/takeover/rebuild.go
@@ -123,7 +123,7 @@
 func (t *Takeover) MissingEvidence(p *cluster.Partition, leaseRevision, runRecords uint64) []string {
 	check := failover.TakeoverCheck{
 		LeaseRevision: leaseRevision, NewestLease: p.LeaseRevision,
-		SinceRenewal: time.Since(t.LeaseRenewedAt), TTL: t.Operator.ClaimTTL,
+		SinceRenewal: time.Since(t.LeaseRenewedAt), TTL: t.Operator.LeaseTTL,
 		RunRecords: runRecords, MachineRecords: t.RecordsRevision, FinalStates: t.RecordsRevision,
 		Counted: true,
 	}
--- a/internal/devcluster/gates.go
+++ b/internal/devcluster/gates.go
@@ -111,7 +111,7 @@
 func (c *Cluster) dialGates(machine bool, token string) (*grpc.ClientConn, error) {
 	var secure *tls.Config
 	if h := c.opt.Hosted; h != nil {
-		if secure = h.worker.Client(gatesOnly); !machine {
+		if secure = h.worker.ClientConfig(gatesOnly); !machine {
 			secure.GetClientCertificate = nil
 		}
 	}
@@ -167,7 +167,7 @@
 func (c *Cluster) awaitGate(ctx context.Context, g *Gate) error {
 	var secure *tls.Config
 	if h := c.opt.Hosted; h != nil {
-		secure = h.worker.Client(gatesOnly)
+		secure = h.worker.ClientConfig(gatesOnly)
 	}
 	conn, err := buildtool.Dial([]string{g.Addr}, secure, "")
 	if err != nil {
--- a/internal/devcluster/hosted.go
+++ b/internal/devcluster/hosted.go
@@ -134,7 +134,7 @@
 	if h == nil {
 		return nil
 	}
-	return h.worker.Client(controllersOnly)
+	return h.worker.ClientConfig(controllersOnly)
 }
 
 // machines is how controllers speak to machines: nobody else is obeyed.
@@ -142,7 +142,7 @@
 	if h == nil {
 		return nil
 	}
-	config := h.worker.Server(true)
+	config := h.worker.ServerConfig(true)
 	config.VerifyConnection = func(cs tls.ConnectionState) error {
 		name, err := identity.FromCertificate(cs.PeerCertificates[0])
 		if err == nil && !controllersOnly(name) {
--- a/internal/devcluster/lab_test.go
+++ b/internal/devcluster/lab_test.go
@@ -235,7 +235,7 @@
 			}
 			connected[n] = v.Connected
 			all += v.Connected
-			for _, p := range v.Parts {
+			for _, p := range v.Partitions {
 				if p.Machines > 0 {
 					owner = n
 				}
@@ -323,7 +323,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := buildtool.Dial(c.GateAddrs(), ring.Client(gatesOnly), "")
+		conn, err := buildtool.Dial(c.GateAddrs(), ring.ClientConfig(gatesOnly), "")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -210,17 +210,17 @@
 	}
 	switch status {
 	case 200:
-		var o protocol.Orders
+		var o protocol.CommandBatch
 		if protocol.Decode(body, &o) == nil && o.Token >= w.Token && r.Epoch == w.Session {
 			w.Token, w.LeaseFrom = o.Token, sent
 			w.execute(o.Commands)
 		}
 		return true
 	case 421:
-		var h protocol.Home
+		var h protocol.AssignedController
 		if protocol.Decode(body, &h) == nil {
 			for i, label := range w.Homes {
-				if label == h.Home && i != w.Home {
+				if label == h.Controller && i != w.Home {
 					w.Home = i
 					return false
 				}
@@ -278,7 +278,7 @@
 	if path == "/show" {
 		return answer(200)
 	}
-	var o protocol.Orders
+	var o protocol.CommandBatch
 	if protocol.Decode(body, &o) != nil || o.Token == 0 && o.Epoch == 0 {
 		return answer(400)
 	}
--- a/internal/fake/cloud/cloud.go
+++ b/internal/fake/cloud/cloud.go
@@ -128,7 +128,7 @@
 }
 
 func (s *Service) rent(body []byte) *transport.Response {
-	var r protocol.Rental
+	var r protocol.CreateMachinesRequest
 	if err := protocol.Decode(body, &r); err != nil || r.Request == "" || r.Count < 1 || r.Count > 50 {
 		return malformed("not a rental")
 	}
--- a/internal/identity/proof.go
+++ b/internal/identity/proof.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Proof names the credentials of a program that people start and that reads them once. A
+// CredentialFiles names the credentials of a program that people start and that reads them once. A
 // token is read from a file only: a command line is seen by others.
-type Proof struct {
+type CredentialFiles struct {
 	// Roots are the authorities to trust; without them connections are in the clear.
 	Roots string
 	// Cert is the file of a certificate with its key.
@@ -21,7 +21,7 @@
 }
 
 // Load reads the files; the configuration is nil for connections in the clear.
-func (p *Proof) Load(accept func(Name) bool) (config *tls.Config, token string, err error) {
+func (p *CredentialFiles) Load(accept func(Name) bool) (config *tls.Config, token string, err error) {
 	if p.Roots == "" {
 		if p.Cert != "" || p.TokenFile != "" {
 			return nil, "", errors.New("a certificate or a token needs the roots to trust: a credential is never sent in the clear")
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -23,9 +23,9 @@
 	return err
 }
 
-// Server is the TLS configuration of a listener. required says whether a
+// ServerConfig is the TLS configuration of a listener. required says whether a
 // client must show a certificate; one that is shown must be good in any case.
-func (k *Keyring) Server(required bool) *tls.Config {
+func (k *Keyring) ServerConfig(required bool) *tls.Config {
 	current := k.current.Load()
 	config := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -41,11 +41,11 @@
 	return config
 }
 
-// Client is the TLS configuration for connections to servers whose name accept
+// ClientConfig is the TLS configuration for connections to servers whose name accept
 // takes. Addresses are reassigned, so the name in the certificate counts, not the
 // address. Each new connection uses what the files hold by then, however old the
 // configuration is.
-func (k *Keyring) Client(accept func(Name) bool) *tls.Config {
+func (k *Keyring) ClientConfig(accept func(Name) bool) *tls.Config {
 	config := clientConfig(func() *x509.CertPool { return k.current.Load().roots }, accept, k.now)
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.current.Load().own, nil }
 	return config
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -10,92 +10,92 @@
 	Zone       string  `msgpack:"zone" json:"zone"`
 	AtMS       int64   `msgpack:"at_ms" json:"at_ms"`
 	UpS        float64 `msgpack:"up_s" json:"up_s"`
-	// Leads: it is the cluster leader.
-	Leads bool `msgpack:"leads" json:"leads"`
+	// ClusterLeader: it is the cluster leader.
+	ClusterLeader bool `msgpack:"leads" json:"leads"`
 	// Ready: it has read the state store and knows the machine types.
 	Ready bool `msgpack:"ready" json:"ready"`
-	// StateSilentS is how long ago the state service answered last.
-	StateSilentS float64 `msgpack:"state_silent_s" json:"state_silent_s"`
+	// StateSilenceS is how long ago the state service answered last.
+	StateSilenceS float64 `msgpack:"state_silent_s" json:"state_silent_s"`
 	// WritesWanted is how many changes of the state store a second it wants, WritesGranted its
 	// part of the budget.
 	WritesWanted  float64 `msgpack:"writes_wanted" json:"writes_wanted"`
 	WritesGranted float64 `msgpack:"writes_granted" json:"writes_granted"`
-	// CloudRests: the cloud is not asked for now since it did not answer.
-	CloudRests bool `msgpack:"cloud_rests" json:"cloud_rests"`
+	// CloudUnavailable: the cloud is not asked for now since it did not answer.
+	CloudUnavailable bool `msgpack:"cloud_rests" json:"cloud_rests"`
 	// Jobs is how many jobs are unfinished, Ended how many have ended.
-	Jobs  int `msgpack:"jobs" json:"jobs"`
-	Ended int `msgpack:"ended" json:"ended"`
-	// Renting is how many scale-out requests are open.
-	Renting int `msgpack:"renting" json:"renting"`
+	Jobs      int `msgpack:"jobs" json:"jobs"`
+	EndedJobs int `msgpack:"ended" json:"ended"`
+	// PendingScaleOut is how many scale-out requests are open.
+	PendingScaleOut int `msgpack:"renting" json:"renting"`
 
 	// Connected is how many machines keep their connections with this controller, Room for how
 	// many it has sockets.
 	Connected int `msgpack:"connected" json:"connected"`
-	Room      int `msgpack:"room" json:"room"`
+	Capacity  int `msgpack:"room" json:"room"`
 	// Moves are the last moves of shards, the newest last.
-	Moves []Move `msgpack:"moves,omitempty" json:"moves,omitempty"`
+	Moves []ShardMove `msgpack:"moves,omitempty" json:"moves,omitempty"`
 
-	// Follows are the replicas that it has of other leaders' partitions, as their standby.
-	Follows []Follow `msgpack:"follows,omitempty" json:"follows,omitempty"`
+	// Replicas are the replicas that it has of other leaders' partitions, as their standby.
+	Replicas []Replica `msgpack:"follows,omitempty" json:"follows,omitempty"`
 
-	Parts []Part                `msgpack:"parts" json:"parts"`
-	Teams []Team                `msgpack:"teams" json:"teams"`
-	Waits []telemetry.Quantiles `msgpack:"waits" json:"waits"`
+	Partitions []Partition           `msgpack:"parts" json:"parts"`
+	Teams      []Team                `msgpack:"teams" json:"teams"`
+	Waits      []telemetry.Quantiles `msgpack:"waits" json:"waits"`
 }
 
-// Part is a partition that the controller leads.
-type Part struct {
+// Partition is a partition that the controller leads.
+type Partition struct {
 	Part int `msgpack:"part" json:"part"`
 	// Ready: the takeover is complete.
 	Ready    bool `msgpack:"ready" json:"ready"`
 	Machines int  `msgpack:"machines" json:"machines"`
 	Idle     int  `msgpack:"idle" json:"idle"`
-	// Coming machines have sent no heartbeat yet.
-	Coming int `msgpack:"coming" json:"coming"`
-	// Bad machines are lost or quarantined.
-	Bad int `msgpack:"bad" json:"bad"`
-	// Kept machines are reserved for classes or teams that are starved.
-	Kept int `msgpack:"kept,omitempty" json:"kept,omitempty"`
+	// Starting machines have sent no heartbeat yet.
+	Starting int `msgpack:"coming" json:"coming"`
+	// Unusable machines are lost or quarantined.
+	Unusable int `msgpack:"bad" json:"bad"`
+	// Reserved machines are reserved for classes or teams that are starved.
+	Reserved int `msgpack:"kept,omitempty" json:"kept,omitempty"`
 	// Running and Waiting are tasks; OldestS is how long a job has waited that could start.
 	Running int     `msgpack:"running" json:"running"`
 	Waiting int     `msgpack:"waiting" json:"waiting"`
 	OldestS float64 `msgpack:"oldest_s" json:"oldest_s"`
 	// Used is the fraction of the CPUs that is in use.
 	Used float64 `msgpack:"used" json:"used"`
-	// Carried are the delegates that have connections of its machines.
-	Carried []Carried `msgpack:"carried,omitempty" json:"carried,omitempty"`
+	// Delegates are the delegates that have connections of its machines.
+	Delegates []Delegate `msgpack:"carried,omitempty" json:"carried,omitempty"`
 }
 
-// Carried is what is delegated of a partition to another controller.
-type Carried struct {
-	// By is the delegate, Shares how many shards it has.
-	By       string `msgpack:"by" json:"by"`
-	Shares   int    `msgpack:"shares" json:"shares"`
-	Machines int    `msgpack:"machines" json:"machines"`
+// Delegate is what is delegated of a partition to another controller.
+type Delegate struct {
+	// Controller is the delegate, Shares how many shards it has.
+	Controller string `msgpack:"by" json:"by"`
+	Shards     int    `msgpack:"shares" json:"shares"`
+	Machines   int    `msgpack:"machines" json:"machines"`
 	// Active: it has renewed the delegation of late, so that agents are sent to it.
 	Active bool `msgpack:"active" json:"active"`
 }
 
-// Move is a shard that changed its delegate; From and To are empty for the partition leader.
-type Move struct {
+// ShardMove is a shard that changed its delegate; From and To are empty for the partition leader.
+type ShardMove struct {
 	Part   int     `msgpack:"part" json:"part"`
-	Share  int     `msgpack:"share" json:"share"`
+	Shard  int     `msgpack:"share" json:"share"`
 	From   string  `msgpack:"from" json:"from"`
 	To     string  `msgpack:"to" json:"to"`
 	Reason string  `msgpack:"reason" json:"reason"`
 	AgoS   float64 `msgpack:"ago_s" json:"ago_s"`
 }
 
-// Follow is a replica of a partition that another controller leads.
-type Follow struct {
-	Part  int    `msgpack:"part" json:"part"`
-	Owner string `msgpack:"owner" json:"owner"`
+// Replica is a replica of a partition that another controller leads.
+type Replica struct {
+	Part   int    `msgpack:"part" json:"part"`
+	Leader string `msgpack:"owner" json:"owner"`
 	// Records is how many run records it has, Told of how many attempts the leader has said when
 	// they began.
-	Records int `msgpack:"records" json:"records"`
-	Told    int `msgpack:"told" json:"told"`
-	// Whole: the state transfer is complete.
-	Whole bool `msgpack:"whole" json:"whole"`
+	Records         int `msgpack:"records" json:"records"`
+	ConfirmedStarts int `msgpack:"told" json:"told"`
+	// Complete: the state transfer is complete.
+	Complete bool `msgpack:"whole" json:"whole"`
 	// BehindS is how long ago the update was asked for that was applied last.
 	BehindS float64 `msgpack:"behind_s" json:"behind_s"`
 }
--- a/internal/overview/screen.go
+++ b/internal/overview/screen.go
@@ -37,7 +37,7 @@
 // clusterSummary is what the controllers that answer tell together.
 type clusterSummary struct {
 	// partitions are sorted by their numbers.
-	partitions []Part
+	partitions []Partition
 	// leaders and standbys are by partition; a standby comes with how far it is behind.
 	leaders, standbys map[int]string
 	// teams are sorted by what waits.
@@ -51,18 +51,18 @@
 		if row.View == nil {
 			continue
 		}
-		for _, partition := range row.View.Parts {
+		for _, partition := range row.View.Partitions {
 			c.partitions = append(c.partitions, partition)
 			c.leaders[partition.Part] = row.View.Controller
 		}
-		for i := range row.View.Follows {
-			replica := &row.View.Follows[i]
+		for i := range row.View.Replicas {
+			replica := &row.View.Replicas[i]
 			c.standbys[replica.Part] = describeStandby(row.View.Controller, replica)
 		}
 		c.teams = append(c.teams, row.View.Teams...)
 		c.waits = append(c.waits, row.View.Waits...)
 	}
-	slices.SortFunc(c.partitions, func(a, b Part) int { return cmp.Compare(a.Part, b.Part) })
+	slices.SortFunc(c.partitions, func(a, b Partition) int { return cmp.Compare(a.Part, b.Part) })
 	slices.SortFunc(c.teams, func(a, b Team) int {
 		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(b.CPUs, a.CPUs), cmp.Compare(a.Name, b.Name))
 	})
@@ -70,8 +70,8 @@
 	return c
 }
 
-func describeStandby(controller string, replica *Follow) string {
-	if !replica.Whole {
+func describeStandby(controller string, replica *Replica) string {
+	if !replica.Complete {
 		return clip(controller, nameWidth) + " reading"
 	}
 	return fmt.Sprintf("%s %s behind", clip(controller, nameWidth), formatShortSpan(replica.BehindS))
@@ -88,7 +88,7 @@
 		}
 		worst := &merged[i]
 		worst.Count += q.Count
-		worst.P50, worst.P99, worst.Most = max(worst.P50, q.P50), max(worst.P99, q.P99), max(worst.Most, q.Most)
+		worst.P50, worst.P99, worst.Max = max(worst.P50, q.P50), max(worst.P99, q.P99), max(worst.Max, q.Max)
 	}
 	return merged
 }
@@ -119,7 +119,7 @@
 			continue
 		}
 		answering++
-		if row.View.Leads {
+		if row.View.ClusterLeader {
 			leader = row.View.Controller
 		}
 	}
@@ -136,18 +136,18 @@
 			continue
 		}
 		s.add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", clip(view.Controller, nameWidth), clip(view.Zone, zoneWidth), formatSpan(view.UpS),
-			view.Jobs, view.Ended, view.Renting, view.WritesWanted, view.WritesGranted, view.state())
+			view.Jobs, view.EndedJobs, view.PendingScaleOut, view.WritesWanted, view.WritesGranted, view.state())
 	}
 }
 
 // state says in a word what is wrong, if something is.
 func (v *View) state() string {
 	switch {
-	case v.StateSilentS > maxStateSilenceS:
-		return "no state " + formatSpan(v.StateSilentS)
+	case v.StateSilenceS > maxStateSilenceS:
+		return "no state " + formatSpan(v.StateSilenceS)
 	case !v.Ready:
 		return "not ready"
-	case v.CloudRests:
+	case v.CloudUnavailable:
 		return "no cloud"
 	}
 	return "ok"
@@ -162,7 +162,7 @@
 		if !p.Ready {
 			leader += " (taking over)"
 		}
-		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(leader, nameWidth), p.Machines, p.Idle, p.Coming, p.Bad,
+		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(leader, nameWidth), p.Machines, p.Idle, p.Starting, p.Unusable,
 			100*p.Used, p.Running, p.Waiting, formatSpan(p.OldestS))
 	}
 	if len(c.partitions) == 0 {
@@ -187,8 +187,8 @@
 func (s *screen) addDelegates(c *clusterSummary) {
 	var items []string
 	for i := range c.partitions {
-		for _, delegate := range c.partitions[i].Carried {
-			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Part, delegate.Machines, clip(delegate.By, nameWidth)))
+		for _, delegate := range c.partitions[i].Delegates {
+			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Part, delegate.Machines, clip(delegate.Controller, nameWidth)))
 		}
 	}
 	if len(items) > 0 {
@@ -200,7 +200,7 @@
 	s.add("")
 	s.add("%-12s %8s %9s %9s %9s", "WAIT FOR", "COUNT", "HALF IN", "99% IN", "LONGEST")
 	for _, w := range waits {
-		s.add("%-12s %8d %9s %9s %9s", w.What, w.Count, formatShortSpan(w.P50), formatShortSpan(w.P99), formatShortSpan(w.Most))
+		s.add("%-12s %8d %9s %9s %9s", w.What, w.Count, formatShortSpan(w.P50), formatShortSpan(w.P99), formatShortSpan(w.Max))
 	}
 }
 
--- a/internal/overview/shares.go
+++ b/internal/overview/shares.go
@@ -10,8 +10,8 @@
 // wideName is how many characters of names Shares shows.
 const wideName = 16
 
-// Shares formats what all rows tell of who has the machines' connections.
-func Shares(rows []Row) string {
+// Delegations formats what all rows tell of who has the machines' connections.
+func Delegations(rows []Row) string {
 	l := new(listing)
 	l.addSockets(rows)
 	l.addDelegates(rows)
@@ -35,8 +35,8 @@
 			l.add("%-16s %s", clip(row.Addr, wideName), row.Err)
 			continue
 		}
-		percent := 100 * float64(view.Connected) / float64(max(1, view.Room))
-		l.add("%-16s %-12s %9d %6d %4.0f%%", clip(view.Controller, wideName), clip(view.Zone, nameWidth), view.Connected, view.Room, percent)
+		percent := 100 * float64(view.Connected) / float64(max(1, view.Capacity))
+		l.add("%-16s %-12s %9d %6d %4.0f%%", clip(view.Controller, wideName), clip(view.Zone, nameWidth), view.Connected, view.Capacity, percent)
 	}
 }
 
@@ -47,7 +47,7 @@
 		if row.View == nil {
 			continue
 		}
-		for _, replica := range row.View.Follows {
+		for _, replica := range row.View.Replicas {
 			standbys[replica.Part] = row.View.Controller
 		}
 	}
@@ -57,18 +57,18 @@
 		if row.View == nil {
 			continue
 		}
-		for i := range row.View.Parts {
-			p := &row.View.Parts[i]
+		for i := range row.View.Partitions {
+			p := &row.View.Partitions[i]
 			standby := cmp.Or(standbys[p.Part], "none")
 			l.add("%4d %-16s %-16s %9d  %s", p.Part, clip(row.View.Controller, wideName), clip(standby, wideName), p.Machines, describeDelegates(p))
 		}
 	}
 }
 
-func describeDelegates(p *Part) string {
+func describeDelegates(p *Partition) string {
 	var delegates []string
-	for _, d := range p.Carried {
-		text := fmt.Sprintf("%s: %d in %d shares", d.By, d.Machines, d.Shares)
+	for _, d := range p.Delegates {
+		text := fmt.Sprintf("%s: %d in %d shares", d.Controller, d.Machines, d.Shards)
 		if !d.Active {
 			text += " (has not asked yet)"
 		}
@@ -89,7 +89,7 @@
 		}
 		for _, move := range slices.Backward(row.View.Moves) {
 			moved = true
-			l.add("%7s %4d %5d  %s to %s: %s", formatSpan(move.AgoS), move.Part, move.Share, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
+			l.add("%7s %4d %5d  %s to %s: %s", formatSpan(move.AgoS), move.Part, move.Shard, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
 		}
 	}
 	if !moved {
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -83,15 +83,15 @@
 	OpForget = "reap"
 )
 
-// Orders carries commands to an agent under a fencing token: the answer to its heartbeat
+// CommandBatch carries commands to an agent under a fencing token: the answer to its heartbeat
 // (without an epoch) or the body of POST /orders.
-type Orders struct {
+type CommandBatch struct {
 	Token    uint64    `msgpack:"mandate"`
 	Epoch    uint64    `msgpack:"tenure,omitempty"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Home tells an agent which controller answers its heartbeats.
-type Home struct {
-	Home string `msgpack:"home,omitempty"`
+// AssignedController tells an agent which controller answers its heartbeats.
+type AssignedController struct {
+	Controller string `msgpack:"home,omitempty"`
 }
--- a/internal/protocol/api.go
+++ b/internal/protocol/api.go
@@ -13,16 +13,16 @@
 	Class string `msgpack:"jobclass"`
 }
 
-// Sweep is the body of POST /withdrawals: cancel all jobs that somebody has submitted.
-type Sweep struct {
+// CancelAll is the body of POST /withdrawals: cancel all jobs that somebody has submitted.
+type CancelAll struct {
 	By string `msgpack:"by"`
 }
 
-// SweepResult is the answer to a Sweep: how many jobs were cancelled, how many are left to be
+// CancelAllResult is the answer to a Sweep: how many jobs were cancelled, how many are left to be
 // cancelled by another request, and how many the caller may not cancel.
-type SweepResult struct {
-	Withdrawn  int `msgpack:"withdrawn"`
-	Left       int `msgpack:"left"`
+type CancelAllResult struct {
+	Cancelled  int `msgpack:"withdrawn"`
+	Remaining  int `msgpack:"left"`
 	NotAllowed int `msgpack:"not_allowed"`
 }
 
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -19,9 +19,9 @@
 	ZonesOffered []string `msgpack:"locales"`
 }
 
-// Rental is the body of the cloud's POST /machines. Request identifies it: a repeated one rents
+// CreateMachinesRequest is the body of the cloud's POST /machines. Request identifies it: a repeated one rents
 // nothing twice.
-type Rental struct {
+type CreateMachinesRequest struct {
 	Request string `msgpack:"rental"`
 	Type    string `msgpack:"box"`
 	Zone    string `msgpack:"locale"`
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -100,14 +100,14 @@
 }
 
 // Ended says whether the job is in a final state.
-func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusWithdrawn }
+func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusCancelled }
 
 // The states of a job as users see them. StatusWithdrawn is the protocol's word for cancelled.
 const (
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
 	StatusDone      = "done"
-	StatusWithdrawn = "withdrawn"
+	StatusCancelled = "withdrawn"
 )
 
 // Arguments is what a job was submitted with, for callers who may read it.
--- a/internal/reapi/admit.go
+++ b/internal/reapi/admit.go
@@ -20,7 +20,7 @@
 	Waiting                 *admission.Ledger
 	// Ahead is how many of a team's actions may wait for a machine in the cluster
 	// before further ones wait here, where its clients take turns.
-	Ahead admission.Ahead
+	Ahead admission.HandoffLimits
 }
 
 // callCost is how many bytes of a small call cost as much as the call itself.
--- a/internal/reapi/ahead.go
+++ b/internal/reapi/ahead.go
@@ -66,11 +66,11 @@
 	}
 	window := g.config.Shares.Ahead.Window(q.served.PerSecond(now), running)
 	for len(q.ready) > 0 {
-		waiting := make([]admission.Lot, len(q.ready))
+		waiting := make([]admission.Batch, len(q.ready))
 		for i, l := range q.ready {
-			waiting[i] = admission.Lot{Client: l.client(), Size: len(l.tasks)}
+			waiting[i] = admission.Batch{Client: l.client(), Size: len(l.tasks)}
 		}
-		i := admission.Next(window, ahead, waiting)
+		i := admission.NextBatch(window, ahead, waiting)
 		if i < 0 {
 			return
 		}
@@ -146,7 +146,7 @@
 	}
 	delete(g.gather.running, t.key())
 	if w := g.config.Shares.Waiting; w != nil {
-		w.Give(t.space, t.caller, 1)
+		w.Release(t.space, t.caller, 1)
 	}
 	if len(l.tasks) > 0 {
 		return true
--- a/internal/reapi/execute.go
+++ b/internal/reapi/execute.go
@@ -328,7 +328,7 @@
 	if v := visitOf(ctx); v != nil && v.who != "" {
 		caller = v.who
 	}
-	if w := g.config.Shares.Waiting; w != nil && !w.Take(space, caller, 1) {
+	if w := g.config.Shares.Waiting; w != nil && !w.Acquire(space, caller, 1) {
 		return nil, retryLater(codes.ResourceExhausted, time.Second, "too many actions wait to be submitted")
 	}
 	t = &task{entry: e, instance: instance, space: space, caller: caller, waiters: 1, queued: time.Now(), placed: make(chan struct{}), done: make(chan struct{})}
@@ -399,7 +399,7 @@
 	}
 	for i, t := range tasks {
 		if w := g.config.Shares.Waiting; w != nil {
-			w.Give(t.space, t.caller, 1)
+			w.Release(t.space, t.caller, 1)
 		}
 		t.job, t.index, t.err = id, i, err
 		if err != nil {
@@ -441,7 +441,7 @@
 	if err != nil || !st.Ended() {
 		return id, false, err
 	}
-	return id, st.Status == protocol.StatusWithdrawn || slices.ContainsFunc(tasks, func(t *task) bool {
+	return id, st.Status == protocol.StatusCancelled || slices.ContainsFunc(tasks, func(t *task) bool {
 		return g.anywhere(ctx, lk.instance, k.Space, blobstore.Digest{Hash: t.entry.Execution}) == nil
 	}), nil
 }
--- a/internal/reapi/execute_test.go
+++ b/internal/reapi/execute_test.go
@@ -70,7 +70,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.states[job] = protocol.StatusWithdrawn
+	j.states[job] = protocol.StatusCancelled
 	return nil
 }
 
@@ -123,7 +123,7 @@
 // is asked for again. Its job's id came from the same manifest, so that it was the ended
 // job for ever: a build that lost its gates at the wrong moment never ended.
 func TestActionsOfAnEndedJobAreSubmittedAnew(t *testing.T) {
-	for _, state := range []string{protocol.StatusWithdrawn, protocol.StatusDone} {
+	for _, state := range []string{protocol.StatusCancelled, protocol.StatusDone} {
 		b, g, jobs := startExecuting(t, oneTeam)
 		b = b.as("Bearer anna")
 		action := b.action("true")
--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -206,7 +206,7 @@
 		case errors.As(err, &r) && (r.Status == 401 || r.Status == 403):
 			return submitFailure(err)
 		case !known:
-		case st.Status == protocol.StatusWithdrawn:
+		case st.Status == protocol.StatusCancelled:
 			g.forgetTask(t)
 			return out.Send(completed(name, action, &repb.ExecuteResponse{Status: status.New(codes.Aborted, "its job was withdrawn").Proto()}))
 		case st.Status == protocol.StatusDone:
--- a/internal/reapi/inspect.go
+++ b/internal/reapi/inspect.go
@@ -167,7 +167,7 @@
 		reply.State, reply.WaitsFor = "running", fmt.Sprintf("its task, or a machine for it: %d tasks of its job run, %d are done", reply.JobRunning, reply.JobDone)
 	case protocol.StatusQueued:
 		reply.State, reply.WaitsFor = "queued", "a machine with room, in the order of urgency, within the team's limit"
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		reply.State, reply.WaitsFor = "withdrawn", "nothing: its job was withdrawn; execute it again"
 	case protocol.StatusDone:
 		if !reply.Cached {
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	return &Repairer{settings: settings, file: file, store: store, order: order, source: source, log: log,
-		pace: admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, Waiting: 1}), silent: map[string]time.Time{}}, nil
+		pace: admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, MaxWaiting: 1}), silent: map[string]time.Time{}}, nil
 }
 
 // batch is how many blobs other gates are asked about at a time.
--- a/internal/rights/verbs.go
+++ b/internal/rights/verbs.go
@@ -13,8 +13,8 @@
 	Submit Verb = 1 << iota
 	View
 	ViewArguments
-	// Withdraw is to cancel jobs.
-	Withdraw
+	// Cancel is to cancel jobs.
+	Cancel
 	Reassign
 	// Administer is to cancel all jobs of somebody in a queue; on every queue, it is also to
 	// change the policy and to read the audit.
@@ -32,7 +32,7 @@
 	{"submit", Submit},
 	{"view", View},
 	{"view-arguments", ViewArguments},
-	{"withdraw", Withdraw},
+	{"withdraw", Cancel},
 	{"reassign", Reassign},
 	{"administer", Administer},
 	{"vouch", Vouch},
--- a/internal/storage/absence.go
+++ b/internal/storage/absence.go
@@ -73,8 +73,8 @@
 	query := &absenceQuery{key: key, turn: make(chan struct{})}
 	hasTurn, admitted := s.absences.add(query)
 	if !admitted {
-		if s.PollsFull != nil {
-			s.PollsFull()
+		if s.OnPollRefused != nil {
+			s.OnPollRefused()
 		}
 		return false, ErrBudget
 	}
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -16,9 +16,9 @@
 	ErrUnknown = errors.New("state service did not answer")
 	// ErrNotFound means that the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrTooOld means that the state store no longer has the changes asked for: a watch must
+	// ErrCompacted means that the state store no longer has the changes asked for: a watch must
 	// start again from a listing.
-	ErrTooOld = errors.New("changes no longer kept")
+	ErrCompacted = errors.New("changes no longer kept")
 	// ErrLeaseGone means that a put named an expired lease.
 	ErrLeaseGone = errors.New("no such lease")
 	// ErrTooLarge means that a transaction is larger than the state store takes; the same one
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -39,8 +39,8 @@
 	Type      string `msgpack:"t"`
 	Zone      string `msgpack:"z"`
 	Spot      bool   `msgpack:"s"`
-	// RentedMS is the wall clock of the rental in milliseconds, 0 for adopted machines.
-	RentedMS int64 `msgpack:"r"`
+	// CreatedMS is the wall clock of the rental in milliseconds, 0 for adopted machines.
+	CreatedMS int64 `msgpack:"r"`
 }
 
 // Final makes a job done or cancelled.
--- a/internal/storage/run_record.go
+++ b/internal/storage/run_record.go
@@ -27,11 +27,11 @@
 // The sizes of what makes up a run record, as JSON. Size adds them up, so that a record's size is
 // known without making it.
 const (
-	// RunBase is what a run record takes without tasks: {"d": [], "l": [],
+	// RunBaseSize is what a run record takes without tasks: {"d": [], "l": [],
 	// "n": 18446744073709551615}.
-	RunBase = 48
-	// RangeSize is what a range of done tasks takes: [99999, 99999] and a comma.
-	RangeSize = 16
+	RunBaseSize = 48
+	// DoneRangeSize is what a range of done tasks takes: [99999, 99999] and a comma.
+	DoneRangeSize = 16
 	// attemptBase is what a live attempt takes beside its number, machine and epoch:
 	// [99999, , "", ] and a comma.
 	attemptBase = 17
@@ -41,7 +41,7 @@
 
 // Size bounds the size of a run record in the form in which the state store counts it, JSON.
 func (r *RunRecord) Size() int {
-	size := RunBase + len(r.Done)*RangeSize
+	size := RunBaseSize + len(r.Done)*DoneRangeSize
 	for i := range r.Live {
 		attempt := &r.Live[i]
 		size += AttemptSize(attempt.Number, attempt.Machine, attempt.Epoch)
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -40,8 +40,8 @@
 // else. It is safe for concurrent use, but for WriteDemand and ShareWriteRate, which one
 // goroutine calls.
 type Store struct {
-	// PollsFull, if set, is called when a user's query is refused since too many wait.
-	PollsFull func()
+	// OnPollRefused, if set, is called when a user's query is refused since too many wait.
+	OnPollRefused func()
 
 	network Requester
 	addr    string
--- a/internal/storage/watches.go
+++ b/internal/storage/watches.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// ChangePatience is how long an answer that is not to wait for a change may take.
-const ChangePatience = 3 * time.Second
+// ChangeTimeout is how long an answer that is not to wait for a change may take.
+const ChangeTimeout = 3 * time.Second
 
 // Watch waits for changes under prefix after a revision, for as long as wait. patience is how
 // long the answer may take beyond that: open watches go on through an outage. If the changes are
@@ -25,7 +25,7 @@
 // takeover waits for it.
 func (s *Store) CatchUp(ctx context.Context, prefix string, after uint64) (*protocol.Events, error) {
 	s.requests.Reserve()
-	return s.changes(ctx, prefix, after, 0, ChangePatience)
+	return s.changes(ctx, prefix, after, 0, ChangeTimeout)
 }
 
 // changes sends the request of Watch and CatchUp, without regard to the budget.
@@ -37,7 +37,7 @@
 	case err != nil:
 		return nil, err
 	case status == 410:
-		return nil, ErrTooOld
+		return nil, ErrCompacted
 	case status != 200:
 		return nil, fmt.Errorf("%w: status %d", ErrUnknown, status)
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -30,14 +30,14 @@
 
 // Client sends requests over pooled connections.
 type Client struct {
-	// Secure, if set, gives the TLS configuration for connections to an
+	// TLSConfig, if set, gives the TLS configuration for connections to an
 	// address; nil: in the clear.
-	Secure func(addr string) *tls.Config
-	// Crowded, if set, is from how many open connections of the process on, accepted ones
+	TLSConfig func(addr string) *tls.Config
+	// CrowdedConnections, if set, is from how many open connections of the process on, accepted ones
 	// among them, no connection waits for a next request: sockets that only wait would be
 	// missing for agents and users. Below it connections are reused, since dialling anew
 	// costs time and processor.
-	Crowded int
+	CrowdedConnections int
 
 	engine *Engine
 
@@ -93,10 +93,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Secure == nil {
+	if c.TLSConfig == nil {
 		return raw, nil
 	}
-	config := c.Secure(addr)
+	config := c.TLSConfig(addr)
 	if config == nil {
 		return raw, nil
 	}
@@ -161,7 +161,7 @@
 
 // crowded says whether the process is about to run out of sockets.
 func (c *Client) crowded() bool {
-	return c.Crowded > 0 && c.engine.open.Load() >= int64(c.Crowded)
+	return c.CrowdedConnections > 0 && c.engine.open.Load() >= int64(c.CrowdedConnections)
 }
 
 // SweepUntil closes connections that were not used for long, until ctx ends, and sooner where
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -23,11 +23,11 @@
 
 // serveAccepted serves one accepted connection, over TLS if the listener asks for it.
 func serveAccepted(ctx context.Context, raw *stream, l *Listener) {
-	if l.Secure == nil {
+	if l.TLSConfig == nil {
 		serveRequests(ctx, raw, l, nil)
 		return
 	}
-	s, err := startTLS(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.Secure()) })
+	s, err := startTLS(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.TLSConfig()) })
 	if err != nil {
 		slog.Debug("connection refused", "error", err, "from", raw.from())
 		raw.close()
