--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"testing"
 	"testing/synctest"
@@ -11,6 +12,7 @@
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
+	"micaspindle/internal/transport"
 )
 
 // A start is delayed while its job is cancelled: the fencing token is raised before the start
@@ -137,6 +139,61 @@
 	}
 }
 
+// A killed leader gives up the starts that wait for an answer as its context ends. A heartbeat
+// that its goroutines still serve would be answered with these starts: of a process that was
+// killed neither this answer nor a command may arrive anywhere.
+func TestKilledLeaderRepeatsNoStart(t *testing.T) {
+	t.Parallel()
+	runSimulation(t, 503, func(sim *simulatedCluster) {
+		sim.startLongJobs(1, 4, "green", 20*time.Second)
+		time.Sleep(25 * time.Second) // machines are up and idle
+		partition := sim.partitionOf("green")
+		leader := sim.leaderOf(partition)
+		sim.withLock(func() {
+			sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStart, delay: 9 * time.Second}
+		})
+		s := newJobSpec("job-900", 4, "green")
+		s.DeadlineS, s.CPUs = 0, 2
+		sim.submit(s)
+		machine := sim.waitForStartsInFlight(leader, s.ID)[0]
+
+		var process *simulatedController
+		var heartbeat []byte
+		sim.withLock(func() {
+			process = sim.controllers[leader]
+			heartbeat = protocol.Encode(sim.workers[machine].Snapshot())
+		})
+		// A task that returns late keeps the event loop serving.
+		process.controller.loop.Go(func() {
+			<-process.ctx.Done()
+			time.Sleep(10 * time.Millisecond)
+		})
+		ended := make(chan struct{})
+		go func() {
+			sim.killController(leader)
+			close(ended)
+		}()
+		synctest.Wait()
+		if resp := process.handleHeartbeat(sim, machine, heartbeat); resp.Status != 0 {
+			var commands protocol.CommandBatch
+			panicOnError(protocol.Decode(resp.Body, &commands))
+			t.Errorf("the killed leader answered a heartbeat with %d %v", resp.Status, commands.Commands)
+		}
+		before := sim.faultCount("delayed from " + leader)
+		start := protocol.CommandBatch{Token: 1, Epoch: 1, Commands: []protocol.Command{{Op: protocol.OpStart, Task: s.ID + "/0", Attempt: 1}}}
+		ctx, cancel := context.WithTimeout(sim.ctx, agents.CommandTimeout)
+		defer cancel()
+		_, err := (&controllerNetwork{sim, process}).Do(ctx, machine+":9000", "POST", "/orders", protocol.Encode(start))
+		if sent := sim.faultCount("delayed from "+leader) - before; !errors.Is(err, transport.ErrNotSent) || sent > 0 {
+			t.Errorf("the killed leader sent %d commands, error %v", sent, err)
+		}
+		<-ended
+		sim.withLock(func() { sim.delayedCommands = nil })
+		sim.waitForNewLeader(partition, leader)
+		sim.waitForAllJobs(time.Minute)
+	})
+}
+
 // Delayed stops of cancelled tasks are repeated before their response has timed out, if no
 // heartbeat can fetch them (rule 54): their machines reach no controller.
 func TestDelayedStopsAreRepeated(t *testing.T) {
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -97,7 +97,7 @@
 
 // handleHeartbeat hands a heartbeat to a controller.
 func (n *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, report []byte) transport.Response {
-	return n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: sim.identities.certificate("worker/" + machine)})
+	return n.unlessKilled(n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: sim.identities.certificate("worker/" + machine)}))
 }
 
 // serveWorker delivers a request to an agent.
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -71,8 +71,23 @@
 type simulatedController struct {
 	label      string
 	controller *Controller
-	cancel     context.CancelFunc
-	done       chan struct{}
+	// ctx ends when the process is killed. The controller's goroutines return only after that.
+	ctx    context.Context
+	cancel context.CancelFunc
+	done   chan struct{}
+}
+
+// killed reports whether the process was killed. What its goroutines still do then has no
+// effect outside: they send no message and answer no request.
+func (n *simulatedController) killed() bool { return n.ctx.Err() != nil }
+
+// unlessKilled is what arrives of a controller's response: nothing, with status 0, if the
+// process was killed before it answered.
+func (n *simulatedController) unlessKilled(resp transport.Response) transport.Response {
+	if n.killed() {
+		return transport.Response{}
+	}
+	return resp
 }
 
 // submittedJob is a job as its user knows it.
@@ -207,12 +222,12 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(sim.ctx)
-	n := &simulatedController{label: label, cancel: cancel, done: make(chan struct{})}
+	n := &simulatedController{label: label, ctx: ctx, cancel: cancel, done: make(chan struct{})}
 	log := slog.New(slog.DiscardHandler)
 	if testing.Verbose() {
 		log = slog.New(slog.NewTextHandler(sim.t.Output(), &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", label)
 	}
-	n.controller = New(ctx, &set, sim.operator, &controllerNetwork{sim, n, ctx}, log)
+	n.controller = New(ctx, &set, sim.operator, &controllerNetwork{sim, n}, log)
 	if sim.operator.Operations != nil {
 		n.controller.Observe()
 	}
@@ -226,7 +241,8 @@
 	})
 }
 
-// killController ends a controller's process at once.
+// killController ends a controller's process at once, and returns when its goroutines have
+// returned.
 func (sim *simulatedCluster) killController(label string) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -21,7 +21,6 @@
 type controllerNetwork struct {
 	cluster *simulatedCluster
 	sender  *simulatedController
-	ctx     context.Context
 }
 
 // Do delivers one message; it may be lost, its response may be lost, or it may arrive long
@@ -31,6 +30,9 @@
 	host, _, _ := strings.Cut(addr, ":")
 	fate := sim.drawMessageFate(sender, host, target, body)
 	sim.waitWhilePaused(sender)
+	if network.sender.killed() {
+		return nil, fmt.Errorf("%w: process was killed", transport.ErrNotSent)
+	}
 	if fate.transactionLate {
 		sim.group.Go(func() { sim.deliverTransactionLate(sender, fate.transactionDelay, body) })
 		return lostMessage(ctx, "no answer to a transaction")
@@ -55,13 +57,16 @@
 	}
 	time.Sleep(fate.linkDelay)
 	sim.waitWhilePaused(host)
-	if network.ctx.Err() != nil {
-		return nil, fmt.Errorf("%w: process ended", transport.ErrNotSent)
+	if network.sender.killed() {
+		return nil, fmt.Errorf("%w: process was killed", transport.ErrNotSent)
 	}
 	resp := sim.deliver(ctx, sender, host, method, target, body)
 	if resp == nil {
 		return nil, fmt.Errorf("%w: refused", transport.ErrNotSent)
 	}
+	if resp.Status == 0 {
+		return nil, fmt.Errorf("%s was killed before it answered", host)
+	}
 	sim.waitWhilePaused(sender)
 	sim.mu.Lock()
 	onResponse := sim.onResponse
@@ -159,12 +164,12 @@
 		body, err = proto.Marshal(update)
 		panicOnError(err)
 	}
-	resp := receiver.controller.ServePeers(ctx, &transport.Request{
+	resp := receiver.unlessKilled(receiver.controller.ServePeers(ctx, &transport.Request{
 		Method: method,
 		Path:   path,
 		Body:   body,
 		Peer:   sim.identities.certificate("controller/" + from),
-	})
+	}))
 	return &resp
 }
 
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -60,7 +60,7 @@
 	if n == nil {
 		return transport.Response{}
 	}
-	return n.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"})
+	return n.unlessKilled(n.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"}))
 }
 
 // submit repeats a submission until it is accepted.
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -131,7 +131,7 @@
 	if identityName != "" {
 		req.Authorization = sim.identities.authorization(identityName)
 	}
-	return n.controller.Serve(sim.ctx, req)
+	return n.unlessKilled(n.controller.Serve(sim.ctx, req))
 }
 
 // testPolicy is the policy of a sample office: a clerk, the refund team and a guest partner,
