--- a/internal/coordination/agents/machine_requests.go
+++ b/internal/coordination/agents/machine_requests.go
@@ -13,6 +13,13 @@
 // moveTimeout is how long the transaction that moves a machine may take.
 const moveTimeout = 2 * time.Second
 
+// Reasons for which a machine request is declined.
+const (
+	reasonStopping = "stopping"
+	reasonNotLed   = "not mine"
+	reasonInUse    = "in use"
+)
+
 // machineMove is the transaction that assigns a machine to another partition.
 type machineMove struct {
 	machine *cluster.Machine
@@ -27,7 +34,7 @@
 	var reply *peer.MachineReply
 	var move *machineMove
 	if !a.loop.Do(func() { reply, move = a.prepareMachineRequest(request, time.Now()) }) {
-		return &peer.MachineReply{Reason: "stopping"}
+		return &peer.MachineReply{Reason: reasonStopping}
 	}
 	if move == nil {
 		return reply
@@ -35,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(a.loop.Context(), moveTimeout)
 	defer cancel()
 	revision, err := a.store.Commit(ctx, move.txn)
-	reply = &peer.MachineReply{Reason: "stopping"}
+	reply = &peer.MachineReply{Reason: reasonStopping}
 	a.loop.Do(func() { reply = a.machineMoved(move, revision, err) })
 	return reply
 }
@@ -45,10 +52,10 @@
 func (a *Agents) prepareMachineRequest(request *peer.MachineRequest, now time.Time) (*peer.MachineReply, *machineMove) {
 	machine := a.Machines[request.Machine]
 	if machine == nil || !a.Partitions[machine.Record.Partition].Ready || int(request.ToPartition) >= len(a.Partitions) {
-		return &peer.MachineReply{Reason: "not mine"}, nil
+		return &peer.MachineReply{Reason: reasonNotLed}, nil
 	}
 	if mayHoldWork(machine) || !machine.HasReported && !request.Retire {
-		return &peer.MachineReply{Reason: "in use"}, nil
+		return &peer.MachineReply{Reason: reasonInUse}, nil
 	}
 	if request.Retire {
 		machine.RetiringSince = now
