--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -12,7 +12,7 @@
 	"micaspindle/internal/settings"
 )
 
-// faultCombination is a combination of two faults listed in docs/meetings.md. Its run injects
+// faultCombination is a combination of two faults listed in docs/concurrent-faults.md. Its run injects
 // both and returns an error if they did not coincide: such a test proves nothing.
 type faultCombination struct {
 	name    string
@@ -97,7 +97,7 @@
 	return hit
 }
 
-// faultCombinations are the combinations of docs/meetings.md. Their indexes decide their seeds.
+// faultCombinations are the combinations of docs/concurrent-faults.md. Their indexes decide their seeds.
 var faultCombinations = []faultCombination{
 	{name: "replayed heartbeats reach every controller during a failover", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
@@ -555,7 +555,7 @@
 	}},
 }
 
-// Each combination of docs/meetings.md violates no safety rule, and all jobs end in time.
+// Each combination of docs/concurrent-faults.md violates no safety rule, and all jobs end in time.
 func TestConcurrentFaults(t *testing.T) {
 	t.Parallel()
 	runFaultCombinations(t, 400, faultCombinations)
