--- /dev/null
+++ b/internal/reapi/actioncache.go
@@ -0,0 +1,173 @@
+package reapi
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/timestamppb"
+
+	"micaspindle/internal/blobstore"
+)
+
+// maxResultBytes bounds the encoding of an action result.
+const maxResultBytes = 1 << 20
+
+// GetActionResult returns the result of an action if every blob that it references is on
+// some front end, which pins these blobs for the promised time.
+func (f *FrontEnd) GetActionResult(ctx context.Context, req *repb.GetActionResultRequest) (*repb.ActionResult, error) {
+	function, err := functionOf(req.GetDigestFunction())
+	if err != nil {
+		return nil, err
+	}
+	space, err := f.space(ctx, req.GetInstanceName(), verbRead)
+	if err != nil {
+		return nil, err
+	}
+	action := digestIn(function, req.GetActionDigest())
+	result, err := f.localResult(space, action)
+	if f.fromPeer(ctx) {
+		return result, failure(err) // the peer checks that it is complete
+	}
+	if err == nil {
+		err = f.checkComplete(ctx, req.GetInstanceName(), space, function, result)
+	}
+	if errors.Is(err, blobstore.ErrNotFound) {
+		if copied := f.peerResult(ctx, req.GetInstanceName(), action); copied != nil && f.checkComplete(ctx, req.GetInstanceName(), space, function, copied) == nil {
+			return copied, nil
+		}
+	}
+	if err != nil {
+		return nil, failure(err)
+	}
+	return result, nil
+}
+
+// localResult reads a result from this front end's store.
+func (f *FrontEnd) localResult(space string, action blobstore.Digest) (*repb.ActionResult, error) {
+	raw, err := f.results.Get(space, action)
+	if err != nil {
+		return nil, err
+	}
+	result := new(repb.ActionResult)
+	if err := proto.Unmarshal(raw, result); err != nil {
+		return nil, blobstore.ErrNotFound
+	}
+	return result, nil
+}
+
+// findResult reads a result from this front end or else from a peer; nil if none has it.
+func (f *FrontEnd) findResult(ctx context.Context, instance, space string, key blobstore.Digest) *repb.ActionResult {
+	if result, err := f.localResult(space, key); err == nil {
+		return result
+	}
+	return f.peerResult(ctx, instance, key)
+}
+
+// UpdateActionResult stores a result: of a client that executed the action itself, of a
+// worker for one of its executions, or the copy of a peer. A complete result that is
+// stored already is not replaced by a client's.
+func (f *FrontEnd) UpdateActionResult(ctx context.Context, req *repb.UpdateActionResultRequest) (*repb.ActionResult, error) {
+	function, err := functionOf(req.GetDigestFunction())
+	if err != nil {
+		return nil, err
+	}
+	instance := req.GetInstanceName()
+	space, err := f.space(ctx, instance, verbWrite)
+	if err != nil {
+		return nil, err
+	}
+	md, _ := metadata.FromIncomingContext(ctx)
+	fromPeer := f.fromPeer(ctx)
+	if execution := md.Get(ExecutionMark); len(execution) == 1 && (fromPeer || f.fromWorker(ctx)) {
+		return f.recordExecution(ctx, req, space, execution[0])
+	}
+	if !f.config.ClientResults && !fromPeer {
+		return nil, status.Error(codes.PermissionDenied, "clients write no results here")
+	}
+	action := digestIn(function, req.GetActionDigest())
+	if err := action.Check(); err != nil {
+		return nil, failure(err)
+	}
+	if req.GetActionResult() == nil {
+		return nil, errResultMissing
+	}
+	raw, err := proto.Marshal(req.GetActionResult())
+	if err != nil || len(raw) > maxResultBytes {
+		return nil, status.Errorf(codes.InvalidArgument, "the result is larger than %d bytes", maxResultBytes)
+	}
+	replace := fromPeer && len(md.Get(replaceMark)) > 0
+	if first, err := f.localResult(space, action); err == nil && !replace && (fromPeer || f.checkComplete(ctx, instance, space, function, first) == nil) {
+		return first, nil
+	}
+	if !fromPeer { // a peer has checked the result that it copies
+		if err := f.checkUploaded(ctx, instance, space, function, req.GetActionResult()); err != nil {
+			return nil, err
+		}
+	}
+	if err := f.results.Put(space, action, raw); err != nil {
+		return nil, failure(err)
+	}
+	f.replicateResult(ctx, instance, action, req.GetActionResult())
+	return req.GetActionResult(), nil
+}
+
+// errResultMissing rejects an update without a result.
+var errResultMissing = status.Error(codes.InvalidArgument, "the result is missing")
+
+// checkUploaded is checkComplete for a result that a client is about to store. Its errors
+// are gRPC statuses.
+func (f *FrontEnd) checkUploaded(ctx context.Context, instance, space string, function blobstore.Function, result *repb.ActionResult) error {
+	err := f.checkComplete(ctx, instance, space, function, result)
+	if errors.Is(err, blobstore.ErrNotFound) {
+		return status.Errorf(codes.FailedPrecondition, "%v; upload them before the result", err)
+	}
+	return failure(err)
+}
+
+// recordExecution stores the result that a worker reports for an execution, on the front
+// end that is the execution's primary.
+func (f *FrontEnd) recordExecution(ctx context.Context, req *repb.UpdateActionResultRequest, space, execution string) (*repb.ActionResult, error) {
+	function, err := functionOf(req.GetDigestFunction())
+	if err != nil {
+		return nil, err
+	}
+	entry := entryOf(execution, digestIn(function, req.GetActionDigest()))
+	if err := errors.Join(entry.Action().Check(), (blobstore.Digest{Hash: execution}).Check()); err != nil {
+		return nil, failure(err)
+	}
+	if req.GetActionResult() == nil {
+		return nil, errResultMissing
+	}
+	if !f.fromPeer(ctx) {
+		if recorded, err := f.forwardToPrimary(ctx, req, execution); recorded != nil || err != nil {
+			return recorded, err
+		}
+	}
+	// The call itself is not forwarded again, but answering it may take calls to peers.
+	ctx = withoutPeerMark(ctx)
+	raw, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: entry.Action()}, maxTreeNode)
+	if err != nil {
+		return nil, failure(err)
+	}
+	action := new(repb.Action)
+	if err := proto.Unmarshal(raw, action); err != nil {
+		return nil, status.Error(codes.InvalidArgument, "that is no action")
+	}
+	if record := f.findStartRecord(ctx, req.GetInstanceName(), space, execution); record != nil && record.Queued > 0 && req.GetActionResult().GetExecutionMetadata() != nil {
+		req.ActionResult.ExecutionMetadata.QueuedTimestamp = timestamppb.New(time.UnixMilli(record.Queued))
+	}
+	first, err := f.RecordResult(ctx, req.GetInstanceName(), space, entry, req.GetActionResult(), !action.GetDoNotCache())
+	if err != nil {
+		return nil, failure(err)
+	}
+	if !first {
+		f.log.Info("late result discarded", "execution", execution, "count", f.discarded.Load())
+	}
+	return req.GetActionResult(), nil
+}
--- a/internal/reapi/bench_test.go
+++ b/internal/reapi/bench_test.go
@@ -18,8 +18,8 @@
 
 // Command: GATE_THROUGHPUT=1 go test -run TestThroughput -v ./internal/reapi
 //
-// Blobs up over gRPC on loopback against writing and syncing files, and down into
-// files against copying files, in one run; and results told a second.
+// TestThroughput measures uploads over gRPC on loopback against writing and syncing files,
+// downloads into files against copying files, and action results per second, in one run.
 func TestThroughput(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
@@ -62,7 +62,7 @@
 			t.Error(err)
 			return
 		}
-		defer out.Close() //nolint:errcheck // a copy that nobody needs
+		defer out.Close() //nolint:errcheck // a copy that is not used
 		if err := f(struct{ io.Writer }{out}); err != nil {
 			t.Error(err)
 		}
@@ -74,19 +74,19 @@
 				return err
 			}
 			defer f.Close() //nolint:errcheck // only read
-			_, err = io.CopyBuffer(w, struct{ io.Reader }{f}, make([]byte, chunk))
+			_, err = io.CopyBuffer(w, struct{ io.Reader }{f}, make([]byte, chunkSize))
 			return err
 		})
 	})
 	up := rate(func(i int) {
-		if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data[i]).String(), data[i], 0, chunk, true); err != nil {
+		if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data[i]).String(), data[i], 0, chunkSize, true); err != nil {
 			t.Error(err)
 		}
 	})
 	down := rate(func(i int) {
 		to(i, func(w io.Writer) error { return b.downloadTo(w, "blobs/"+blobstore.Of(data[i]).String(), 0, 0) })
 	})
-	action := wire(blobstore.Of([]byte("a")))
+	action := digestToProto(blobstore.Of([]byte("a")))
 	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: b.blob(random(100))}}}
 	if _, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result}); err != nil {
 		t.Fatal(err)
@@ -104,24 +104,24 @@
 
 // Command: GATE_THROUGHPUT=1 go test -run TestRepairSpeed -v ./internal/reapi
 //
-// Copying what a lost gate held to another one, unpaced, against a client writing
-// the same blobs to one gate.
+// TestRepairSpeed measures the copying of a lost front end's blobs to a peer, unthrottled,
+// against a client that writes the same blobs to one front end.
 func TestRepairSpeed(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
 	}
-	s := startSeveral(t, 2, 1)
+	s := startGroup(t, 2, 1)
 	a := s.clients[0]
 	const blobs, size = 30, 1 << 20
 	begun := time.Now()
 	for range blobs {
 		data := random(size)
-		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunk, true); err != nil {
+		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write := float64(blobs*size) / 1e6 / time.Since(begun).Seconds()
-	r, err := s.gates[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
+	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/reapi/admit_test.go
+++ b/internal/reapi/callslots_test.go
@@ -25,9 +25,9 @@
 	return 0
 }
 
-// A call takes its place only once it may be made, gives it back however it ends,
-// and is refused at once, with the time to come back, where there is none.
-func TestPlacesOfTransfers(t *testing.T) {
+// A call acquires its slot only once it is authorized, releases it however it ends, and is
+// refused at once, with a retry delay, if none is free.
+func TestTransferSlots(t *testing.T) {
 	config := oneTeam
 	q := admission.New(admission.Limits{AtOnce: 1, Waiting: 0})
 	config.Shares.Transfers = q
@@ -35,11 +35,11 @@
 	open, _ := start(t, config, rights, roomy)
 	b := open.as("anna")
 	data := random(8 << 20)
-	if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunk, true); err != nil {
+	if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 		t.Fatal(err)
 	}
 	name := "blobs/" + blobstore.Of(data).String()
-	// A client that does not read what it asked for holds the place.
+	// A client that does not read its stream occupies the slot.
 	ctx, cancel := context.WithCancel(b.ctx)
 	slow, err := b.bytes.Read(ctx, &bytestream.ReadRequest{ResourceName: name})
 	if err != nil {
@@ -53,7 +53,7 @@
 	if retryDelay(err) == 0 {
 		t.Errorf("the refusal does not say when to come back: %v", err)
 	}
-	_, err = open.as("ben").download(name, 0, 0) // no right: refused as such
+	_, err = open.as("ben").download(name, 0, 0) // no right: refused for that reason
 	open.code(err, codes.PermissionDenied)
 	if _, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{}); err != nil {
 		t.Errorf("a small call waits for transfers: %v", err)
@@ -69,8 +69,8 @@
 	}
 }
 
-// A rate of bytes is kept, and shared by weight between teams that both want it.
-func TestTheRateOfBytes(t *testing.T) {
+// The byte rate is enforced, and shared by weight between teams that both use it.
+func TestByteRate(t *testing.T) {
 	config := oneTeam
 	const rate = 16 << 20
 	config.Shares.Bytes = admission.New(admission.Limits{PerSecond: rate, Waiting: 100, Weights: map[string]float64{"blue": 3}})
@@ -78,7 +78,7 @@
 	data := random(4 << 20)
 	d := blobstore.Of(data).String()
 	for _, at := range []string{"", "a/b/"} {
-		if _, err := b.upload(at+"uploads/1/blobs/"+d, data, 0, chunk, true); err != nil {
+		if _, err := b.upload(at+"uploads/1/blobs/"+d, data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/reapi/conformance_test.go
+++ b/internal/reapi/conformance_test.go
@@ -17,12 +17,12 @@
 	"micaspindle/internal/blobstore"
 )
 
-// The calls of the API and what each answers, call by call and error by error.
+// The calls of the API with their responses and errors.
 func TestConformance(t *testing.T) {
 	b, g, _ := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
 	// Its first byte begins no protobuf message: now and then random ones are a directory.
-	present, absent := b.blob(append([]byte{0xff}, random(99)...)), wire(blobstore.Of(random(100)))
+	present, absent := b.blob(append([]byte{0xff}, random(99)...)), digestToProto(blobstore.Of(random(100)))
 	put := func(m proto.Message) *repb.Digest {
 		raw, err := proto.Marshal(m)
 		if err != nil {
@@ -69,12 +69,12 @@
 	}
 	read := func(name string, offset, limit int64) error { _, err := b.download(name, offset, limit); return err }
 	write := func(name string, data []byte, offset int64) error {
-		_, err := b.upload(name, data, offset, chunk, true)
+		_, err := b.upload(name, data, offset, chunkSize, true)
 		return err
 	}
 	get := func(req *repb.GetActionResultRequest) error { _, err := b.ac.GetActionResult(b.ctx, req); return err }
 	keep := func(r *repb.ActionResult) error {
-		_, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: wire(blobstore.Of(random(10))), ActionResult: r})
+		_, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: digestToProto(blobstore.Of(random(10))), ActionResult: r})
 		return err
 	}
 	execute := func(req *repb.ExecuteRequest) error {
@@ -101,7 +101,7 @@
 	caps := repb.NewCapabilitiesClient(b.conn)
 	other := blobstore.BLAKE3.Of([]byte("other"))
 	there := func(f repb.DigestFunction_Value) error { // the blob is there under one function and not under another
-		resp, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{DigestFunction: f, BlobDigests: []*repb.Digest{wire(other)}})
+		resp, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{DigestFunction: f, BlobDigests: []*repb.Digest{digestToProto(other)}})
 		if err == nil && len(resp.MissingBlobDigests) > 0 {
 			err = status.Error(codes.NotFound, "missing")
 		}
@@ -113,8 +113,8 @@
 		err  error
 		want codes.Code
 	}{
-		"GetCapabilities":                   {second(caps.GetCapabilities(b.ctx, &repb.GetCapabilitiesRequest{})), codes.OK},
-		"GetCapabilities: no such instance": {second(caps.GetCapabilities(b.ctx, &repb.GetCapabilitiesRequest{InstanceName: "none"})), codes.InvalidArgument},
+		"GetCapabilities":                   {errorOf(caps.GetCapabilities(b.ctx, &repb.GetCapabilitiesRequest{})), codes.OK},
+		"GetCapabilities: no such instance": {errorOf(caps.GetCapabilities(b.ctx, &repb.GetCapabilitiesRequest{InstanceName: "none"})), codes.InvalidArgument},
 
 		"FindMissingBlobs":                          {find(&repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{present, absent}}), codes.OK},
 		"FindMissingBlobs: none":                    {find(&repb.FindMissingBlobsRequest{}), codes.OK},
@@ -124,8 +124,8 @@
 		"FindMissingBlobs: too many":                {find(&repb.FindMissingBlobsRequest{BlobDigests: many}), codes.InvalidArgument},
 		"FindMissingBlobs: no such instance":        {find(&repb.FindMissingBlobsRequest{InstanceName: "none"}), codes.InvalidArgument},
 
-		"BatchUpdateBlobs":                        {one(&repb.BatchUpdateBlobsRequest_Request{Digest: wire(blobstore.Of([]byte("x"))), Data: []byte("x")}), codes.OK},
-		"BatchUpdateBlobs: nothing":               {one(&repb.BatchUpdateBlobsRequest_Request{Digest: wire(blobstore.Empty)}), codes.OK},
+		"BatchUpdateBlobs":                        {one(&repb.BatchUpdateBlobsRequest_Request{Digest: digestToProto(blobstore.Of([]byte("x"))), Data: []byte("x")}), codes.OK},
+		"BatchUpdateBlobs: nothing":               {one(&repb.BatchUpdateBlobsRequest_Request{Digest: digestToProto(blobstore.Empty)}), codes.OK},
 		"BatchUpdateBlobs: other bytes":           {one(&repb.BatchUpdateBlobsRequest_Request{Digest: absent, Data: []byte("x")}), codes.InvalidArgument},
 		"BatchUpdateBlobs: a digest that is none": {one(&repb.BatchUpdateBlobsRequest_Request{Digest: bad, Data: []byte("x")}), codes.InvalidArgument},
 		"BatchUpdateBlobs: an unknown compressor": {one(&repb.BatchUpdateBlobsRequest_Request{Digest: absent, Compressor: repb.Compressor_DEFLATE}), codes.InvalidArgument},
@@ -170,8 +170,8 @@
 		"FindMissingBlobs: BLAKE3's without its name": {there(repb.DigestFunction_UNKNOWN), codes.NotFound},
 		"Execute: by BLAKE3":                          {execute(&repb.ExecuteRequest{ActionDigest: blakeDone, DigestFunction: repb.DigestFunction_BLAKE3}), codes.OK},
 		"Execute: BLAKE3's without its name":          {execute(&repb.ExecuteRequest{ActionDigest: blakeDone}), codes.FailedPrecondition},
-		"QueryWriteStatus":                            {second(b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: "uploads/u7/blobs/" + a})), codes.OK},
-		"QueryWriteStatus: no name":                   {second(b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: "blobs/" + a})), codes.InvalidArgument},
+		"QueryWriteStatus":                            {errorOf(b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: "uploads/u7/blobs/" + a})), codes.OK},
+		"QueryWriteStatus: no name":                   {errorOf(b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: "blobs/" + a})), codes.InvalidArgument},
 
 		"GetActionResult":                                                  {get(&repb.GetActionResultRequest{ActionDigest: done}), codes.OK},
 		"GetActionResult: absent":                                          {get(&repb.GetActionResultRequest{ActionDigest: absent}), codes.NotFound},
@@ -222,14 +222,14 @@
 	}
 }
 
-// blake stores a message under its BLAKE3 digest.
+// blake uploads a message under its BLAKE3 digest.
 func (b *build) blake(t *testing.T, m proto.Message) *repb.Digest {
 	t.Helper()
 	raw, err := proto.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := wire(blobstore.BLAKE3.Of(raw))
+	d := digestToProto(blobstore.BLAKE3.Of(raw))
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{DigestFunction: repb.DigestFunction_BLAKE3, Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: d, Data: raw}}})
 	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
 		t.Fatal(err, resp)
@@ -237,5 +237,5 @@
 	return d
 }
 
-// second is the error of a call's two values.
-func second[T any](_ T, err error) error { return err }
+// errorOf returns the error of a call with two results.
+func errorOf[T any](_ T, err error) error { return err }
--- a/internal/reapi/plain_test.go
+++ b/internal/reapi/download_test.go
@@ -16,16 +16,15 @@
 	"micaspindle/internal/blobstore"
 )
 
-// plain is a gRPC stream of bytes from memory, with nothing else: the bound for
-// downloads over gRPC on this machine.
-type plain struct {
+// rawStream is a gRPC stream of bytes from memory, an upper bound for downloads over gRPC.
+type rawStream struct {
 	bytestream.UnimplementedByteStreamServer
 	data []byte
 }
 
-func (p *plain) Read(_ *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
-	for at := 0; at < len(p.data); at += chunk {
-		if err := out.Send(&bytestream.ReadResponse{Data: p.data[at:min(len(p.data), at+chunk)]}); err != nil {
+func (p *rawStream) Read(_ *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
+	for at := 0; at < len(p.data); at += chunkSize {
+		if err := out.Send(&bytestream.ReadResponse{Data: p.data[at:min(len(p.data), at+chunkSize)]}); err != nil {
 			return err
 		}
 	}
@@ -34,7 +33,8 @@
 
 // Command: GATE_THROUGHPUT=1 go test -run TestDownloads -v -count 3 ./internal/reapi
 //
-// Downloads of blobs against a plain gRPC stream of the same bytes, in one run.
+// TestDownloads measures downloads of blobs against a gRPC stream of the same bytes from
+// memory, in one run.
 func TestDownloads(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
@@ -46,7 +46,7 @@
 	for i := range blobs {
 		data[0] = byte(i)
 		name := blobstore.Of(data).String()
-		if _, err := b.upload("uploads/1/blobs/"+name, data, 0, chunk, true); err != nil {
+		if _, err := b.upload("uploads/1/blobs/"+name, data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 		names = append(names, "blobs/"+name)
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	server := grpc.NewServer()
-	bytestream.RegisterByteStreamServer(server, &plain{data: data})
+	bytestream.RegisterByteStreamServer(server, &rawStream{data: data})
 	go func() { _ = server.Serve(l) }()
 	defer server.Stop()
 	conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
--- a/internal/reapi/execute_test.go
+++ b/internal/reapi/execution_test.go
@@ -21,42 +21,42 @@
 	"micaspindle/internal/protocol"
 )
 
-// scriptedJobs are the controllers: credentials may end, and every call is kept.
+// scriptedJobs is a fake of the controllers. Credentials may expire; every call is recorded.
 type scriptedJobs struct {
 	mu        sync.Mutex
 	ended     map[string]bool // credentials
 	states    map[string]string
-	runs      map[string]int // tasks that run, by job
+	runs      map[string]int // running tasks, by job
 	calls     []string
 	submitted chan *protocol.Submission
 }
 
-func (j *scriptedJobs) call(what, cred, job string) error {
+func (j *scriptedJobs) call(what, credential, job string) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls = append(j.calls, what+" as "+cred)
-	if j.ended[cred] {
+	j.calls = append(j.calls, what+" as "+credential)
+	if j.ended[credential] {
 		return &client.Refusal{Status: 401}
 	}
 	return nil
 }
 
-func (j *scriptedJobs) Submit(_ context.Context, cred string, s *protocol.Submission) (protocol.JobStatus, error) {
-	if err := j.call("submit", cred, *s.ID); err != nil {
+func (j *scriptedJobs) Submit(_ context.Context, credential string, s *protocol.Submission) (protocol.JobStatus, error) {
+	if err := j.call("submit", credential, *s.ID); err != nil {
 		return protocol.JobStatus{}, err
 	}
 	j.mu.Lock()
 	if j.states[*s.ID] == "" {
 		j.states[*s.ID] = protocol.StatusRunning
 	}
-	st := protocol.JobStatus{ID: *s.ID, Status: j.states[*s.ID]}
+	jobStatus := protocol.JobStatus{ID: *s.ID, Status: j.states[*s.ID]}
 	j.mu.Unlock()
 	j.submitted <- s
-	return st, nil
+	return jobStatus, nil
 }
 
-func (j *scriptedJobs) Status(_ context.Context, cred, job string) (protocol.JobStatus, error) {
-	if err := j.call("status", cred, job); err != nil {
+func (j *scriptedJobs) Status(_ context.Context, credential, job string) (protocol.JobStatus, error) {
+	if err := j.call("status", credential, job); err != nil {
 		return protocol.JobStatus{}, err
 	}
 	j.mu.Lock()
@@ -64,8 +64,8 @@
 	return protocol.JobStatus{ID: job, Status: j.states[job], Running: j.runs[job]}, nil
 }
 
-func (j *scriptedJobs) Withdraw(_ context.Context, cred, job string) error {
-	if err := j.call("withdraw", cred, job); err != nil {
+func (j *scriptedJobs) Withdraw(_ context.Context, credential, job string) error {
+	if err := j.call("withdraw", credential, job); err != nil {
 		return err
 	}
 	j.mu.Lock()
@@ -74,10 +74,10 @@
 	return nil
 }
 
-func (j *scriptedJobs) end(cred string) {
+func (j *scriptedJobs) end(credential string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.ended[cred] = true
+	j.ended[credential] = true
 }
 
 func (j *scriptedJobs) called(what string) bool {
@@ -86,22 +86,22 @@
 	return slices.Contains(j.calls, what)
 }
 
-// everyone is an access that knows clients by their credential.
+// everyone is an Access that allows everything and derives names from credentials.
 type everyone struct{}
 
 func (everyone) Allows(_ context.Context, credential, _, _ string) (string, error) {
-	return "person/" + strings.TrimPrefix(strings.TrimPrefix(credential, "Bearer "), vouching+"person/"), nil
+	return "person/" + strings.TrimPrefix(strings.TrimPrefix(credential, "Bearer "), certificatePrefix+"person/"), nil
 }
 
-// startExecuting serves a gate whose jobs are scripted.
+// startExecuting serves a front end with scripted jobs.
 func startExecuting(t *testing.T, config Config) (*build, *FrontEnd, *scriptedJobs) {
 	t.Helper()
 	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
-	b, g := startWith(t, config, everyone{}, roomy, jobs)
-	return b, g, jobs
+	b, f := startWith(t, config, everyone{}, roomy, jobs)
+	return b, f, jobs
 }
 
-// action uploads an action that is like no other.
+// action uploads a unique action.
 func (b *build) action(script string) *repb.Digest {
 	b.t.Helper()
 	command, _ := proto.Marshal(&repb.Command{Arguments: []string{"/bin/sh", "-c", script}})
@@ -110,21 +110,21 @@
 	return b.blob(act)
 }
 
-// result records an execution's result as a worker does.
-func (g *FrontEnd) result(t *testing.T, action *repb.Digest) {
+// result records the result of an execution as a worker does.
+func (f *FrontEnd) result(t *testing.T, action *repb.Digest) {
 	t.Helper()
-	e := &ManifestEntry{Execution: executionKey(digestOf(action), ""), Hash: action.Hash, Size: action.SizeBytes}
-	if first, err := g.RecordResult(context.Background(), "", "red", e, &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{Worker: "m-1"}}, true); err != nil || !first {
+	entry := &ManifestEntry{Execution: executionKey(digestOf(action), ""), Hash: action.Hash, Size: action.SizeBytes}
+	if first, err := f.RecordResult(context.Background(), "", "red", entry, &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{Worker: "m-1"}}, true); err != nil || !first {
 		t.Fatalf("%v %v", first, err)
 	}
 }
 
-// An action whose job was withdrawn, or whose result went with a gate, runs again when it
-// is asked for again. Its job's id came from the same manifest, so that it was the ended
-// job for ever: a build that lost its gates at the wrong moment never ended.
-func TestActionsOfAnEndedJobAreSubmittedAnew(t *testing.T) {
+// An action whose job was withdrawn, or whose result was lost with a front end, is executed
+// again when it is requested again. Since the job's id derives from the manifest, it was
+// once taken for the ended job, and the build never ended.
+func TestResubmissionAfterJobEnded(t *testing.T) {
 	for _, state := range []string{protocol.StatusWithdrawn, protocol.StatusDone} {
-		b, g, jobs := startExecuting(t, oneTeam)
+		b, f, jobs := startExecuting(t, oneTeam)
 		b = b.as("Bearer anna")
 		action := b.action("true")
 		first := executeAt(t, b, action)
@@ -147,7 +147,7 @@
 				return false
 			}
 		})
-		g.result(t, action)
+		f.result(t, action)
 		for {
 			op, err := again.stream.Recv()
 			if err != nil {
@@ -160,11 +160,11 @@
 	}
 }
 
-// A client's token ends while its action runs, and another's while its job lingers:
-// the first is told its result, and the second's job is withdrawn, both by the
-// gate for whom it was.
-func TestTokensThatEnd(t *testing.T) {
-	b, g, jobs := startExecuting(t, oneTeam)
+// A client's token expires while its action runs, and another's while its job lingers: the
+// first gets its result, and the second's job is withdrawn, both by the front end's own
+// rights in the clients' names.
+func TestExpiredCredentials(t *testing.T) {
+	b, f, jobs := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
 	action := b.action("true")
 	s, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{ActionDigest: action})
@@ -180,7 +180,7 @@
 			t.Fatalf("called %q", jobs.calls)
 		}
 	}
-	time.Sleep(2 * statusEvery)
+	time.Sleep(2 * statusInterval)
 	jobs.mu.Lock()
 	shown := 0
 	for _, c := range jobs.calls {
@@ -190,9 +190,9 @@
 	}
 	jobs.mu.Unlock()
 	if shown > 1 {
-		t.Errorf("a token that has ended was shown %d times", shown)
+		t.Errorf("an expired token was used %d times", shown)
 	}
-	g.result(t, action)
+	f.result(t, action)
 	for {
 		op, err := s.Recv()
 		if err != nil {
@@ -202,7 +202,7 @@
 			break
 		}
 	}
-	// Another one goes, its token ends, and its job with it.
+	// Another client leaves and its token expires; its job is withdrawn.
 	ctx, cancel := context.WithCancel(b.ctx)
 	ben := (&build{b.t, ctx, b.cas, b.ac, b.bytes, b.conn}).as("Bearer ben")
 	ben.ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs("authorization", "Bearer ben"))
@@ -214,7 +214,7 @@
 	}
 	cancel()
 	jobs.end("Bearer ben")
-	go g.Sweep(b.ctx, 200*time.Millisecond)
+	go f.Sweep(b.ctx, 200*time.Millisecond)
 	for deadline := time.Now().Add(20 * time.Second); !jobs.called("withdraw as certificate person/ben"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("called %q", jobs.calls)
@@ -222,8 +222,8 @@
 	}
 }
 
-// What a client sends is never taken for a certificate that the gate has seen; one
-// that it has seen counts where there is no token.
+// A header that a client sends is never taken for a verified certificate; a verified
+// certificate counts if there is no token.
 func TestCredentials(t *testing.T) {
 	config := oneTeam
 	config.Certified = func(context.Context) string { return "person/carl" }
@@ -247,8 +247,8 @@
 	}
 }
 
-// A flood of one team's actions leaves places to another's, and is told when to
-// come back; nothing keeps a place once it has its job.
+// Many actions of one team leave room for another's, and are refused with a retry delay;
+// an action that has its job occupies no room.
 func TestWaitingActionsAreShared(t *testing.T) {
 	config := oneTeam
 	ledger, err := admission.NewLedger(100, 60, []string{"red", "blue"}, nil)
--- a/internal/reapi/gate_test.go
+++ b/internal/reapi/frontend_test.go
@@ -30,7 +30,7 @@
 	"micaspindle/internal/blobstore"
 )
 
-// rightsOf is an access by a table of credential, verb and team.
+// rightsOf is an Access by a table of credential, verb and team.
 type rightsOf map[string]bool
 
 func (r rightsOf) Allows(_ context.Context, credential, verb, team string) (string, error) {
@@ -43,7 +43,7 @@
 	return credential, nil
 }
 
-// build is a stand-in for a build tool.
+// build is a fake build tool.
 type build struct {
 	t     *testing.T
 	ctx   context.Context
@@ -53,14 +53,14 @@
 	conn  *grpc.ClientConn
 }
 
-// start serves a gate on loopback and returns a client of it.
+// start serves a front end on loopback and returns a client of it.
 func start(t *testing.T, config Config, access Access, opt blobstore.Options) (*build, *blobstore.Store) {
 	t.Helper()
-	b, g := startWith(t, config, access, opt, nil)
-	return b, g.store
+	b, f := startWith(t, config, access, opt, nil)
+	return b, f.store
 }
 
-// startWith is start with what actions become.
+// startWith is start with the controllers that execute actions.
 func startWith(t *testing.T, config Config, access Access, opt blobstore.Options, jobs Jobs) (*build, *FrontEnd) {
 	t.Helper()
 	dir := t.TempDir()
@@ -77,8 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := New(config, store, results, access, nil, jobs, slog.New(slog.DiscardHandler))
-	server := g.Server()
+	f := New(config, store, results, access, nil, jobs, slog.New(slog.DiscardHandler))
+	server := f.Server()
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { server.Stop(); _ = store.Close() })
 	conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -88,7 +88,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
-	return &build{t, ctx, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bytestream.NewByteStreamClient(conn), conn}, g
+	return &build{t, ctx, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bytestream.NewByteStreamClient(conn), conn}, f
 }
 
 func (b *build) as(credential string) *build {
@@ -115,7 +115,7 @@
 	}
 }
 
-// upload writes a blob by the byte stream in messages of a size.
+// upload writes a blob by the byte stream in messages of the given size.
 func (b *build) upload(name string, data []byte, offset int64, message int, finish bool) (int64, error) {
 	w, err := b.bytes.Write(b.ctx)
 	if err != nil {
@@ -129,7 +129,7 @@
 			req.ResourceName = name
 		}
 		if err := w.Send(req); err != nil {
-			break // the answer says why
+			break // the response has the reason
 		}
 		offset += int64(len(part))
 	}
@@ -174,7 +174,7 @@
 	if n, err := b.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil || n != d.Size {
 		t.Fatalf("%d %v", n, err)
 	}
-	// Again: it is there already, and the first message suffices.
+	// A second time: the blob exists, and the first message suffices.
 	if n, err := b.upload("uploads/2/blobs/"+d.String()+"/some/file.name", data, 0, 100_000, true); err != nil || n != d.Size {
 		t.Errorf("%d %v", n, err)
 	}
@@ -195,7 +195,7 @@
 	if got, err := dec.DecodeAll(packed, nil); err != nil || !bytes.Equal(got, data[1000:]) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	// Compressed up, plain down.
+	// Uploaded compressed, downloaded uncompressed.
 	other := bytes.Repeat([]byte("compile "), 50_000)
 	o := blobstore.Of(other)
 	if n, err := b.upload("a/b/uploads/3/compressed-blobs/zstd/"+o.String(), pack(other), 0, 1000, true); err != nil || n != int64(len(pack(other))) {
@@ -223,9 +223,9 @@
 	b.code(err, codes.InvalidArgument)
 }
 
-// A write that broke is gone on with where it stopped; one that lies is refused
-// and leaves nothing.
-func TestWritesThatBreakOrLie(t *testing.T) {
+// An interrupted write is resumed at its offset; one whose data does not match its digest
+// is rejected and leaves nothing.
+func TestInterruptedAndInvalidWrites(t *testing.T) {
 	b, store := start(t, oneTeam, Open{}, roomy)
 	for _, compressed := range []bool{false, true} {
 		data := random(900_000)
@@ -242,7 +242,7 @@
 			t.Fatalf("%v %v", st, err)
 		}
 		_, err = b.upload(name, sent[100:], 100, 64_000, true)
-		b.code(err, codes.InvalidArgument) // another offset than what has come
+		b.code(err, codes.InvalidArgument) // another offset than that of the bytes received
 		if n, err := b.upload(name, sent[300_000:], 300_000, 64_000, true); err != nil || n != int64(len(sent)) {
 			t.Fatalf("compressed %v: %d %v", compressed, n, err)
 		}
@@ -262,9 +262,9 @@
 		"uploads/l3/blobs/" + lie.String():                                    random(10),
 		"uploads/l4/compressed-blobs/zstd/" + lie.String():                    random(5000),
 		"uploads/l5/compressed-blobs/zstd/" + lie.String():                    pack(random(5000)),
-		"uploads/l6/compressed-blobs/zstd/" + lie.String():                    pack(make([]byte, 30<<20)), // a bomb
+		"uploads/l6/compressed-blobs/zstd/" + lie.String():                    pack(make([]byte, 30<<20)), // a decompression bomb
 		"uploads/l7/compressed-blobs/zstd/" + lie.String():                    pack(random(5000))[:2000],
-		"uploads/l8/blobs/" + blobstore.Of(nil).Hash[:63] + "0/" + "40000000": random(10), // larger than the store takes
+		"uploads/l8/blobs/" + blobstore.Of(nil).Hash[:63] + "0/" + "40000000": random(10), // larger than the store accepts
 	} {
 		_, err := b.upload(name, data, 0, 1000, true)
 		if status.Code(err) != codes.InvalidArgument {
@@ -282,11 +282,11 @@
 	b, _ := start(t, oneTeam, Open{}, roomy)
 	good, packed, lie := random(1000), bytes.Repeat([]byte("a"), 2000), random(10)
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{
-		{Digest: wire(blobstore.Of(good)), Data: good},
-		{Digest: wire(blobstore.Of(packed)), Data: pack(packed), Compressor: repb.Compressor_ZSTD},
-		{Digest: wire(blobstore.Of(lie)), Data: random(10)},
-		{Digest: wire(blobstore.Of(lie)), Data: pack(make([]byte, 20<<20)), Compressor: repb.Compressor_ZSTD},
-		{Digest: wire(blobstore.Of(lie)), Data: lie, Compressor: repb.Compressor_BROTLI},
+		{Digest: digestToProto(blobstore.Of(good)), Data: good},
+		{Digest: digestToProto(blobstore.Of(packed)), Data: pack(packed), Compressor: repb.Compressor_ZSTD},
+		{Digest: digestToProto(blobstore.Of(lie)), Data: random(10)},
+		{Digest: digestToProto(blobstore.Of(lie)), Data: pack(make([]byte, 20<<20)), Compressor: repb.Compressor_ZSTD},
+		{Digest: digestToProto(blobstore.Of(lie)), Data: lie, Compressor: repb.Compressor_BROTLI},
 		{Data: nil},
 	}})
 	if err != nil {
@@ -297,7 +297,7 @@
 			t.Errorf("%d: %s, want %s", i, got, want)
 		}
 	}
-	read, err := b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{wire(blobstore.Of(good)), wire(blobstore.Of(packed)), wire(blobstore.Of(lie)), wire(blobstore.Empty)}})
+	read, err := b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(packed)), digestToProto(blobstore.Of(lie)), digestToProto(blobstore.Empty)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -307,7 +307,7 @@
 			t.Errorf("%d: %v", i, r.GetStatus())
 		}
 	}
-	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{wire(blobstore.Of(good)), wire(blobstore.Of(lie)), wire(blobstore.Empty)}})
+	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(lie)), digestToProto(blobstore.Empty)}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != blobstore.Of(lie).Hash {
 		t.Errorf("%v %v", miss, err)
 	}
@@ -316,11 +316,11 @@
 	_, err = b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{DigestFunction: repb.DigestFunction_MD5})
 	b.code(err, codes.InvalidArgument)
 	big := random(maxMessage + 1)
-	_, err = b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: wire(blobstore.Of(big)), Data: big}}})
-	b.code(err, codes.ResourceExhausted) // gRPC's own bound on a message
+	_, err = b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: digestToProto(blobstore.Of(big)), Data: big}}})
+	b.code(err, codes.ResourceExhausted) // gRPC's own limit of a message
 }
 
-// store puts a message and returns its digest.
+// store uploads a message and returns its digest.
 func (b *build) store(m proto.Message) *repb.Digest {
 	b.t.Helper()
 	raw, err := proto.Marshal(m)
@@ -332,7 +332,7 @@
 
 func (b *build) blob(raw []byte) *repb.Digest {
 	b.t.Helper()
-	d := wire(blobstore.Of(raw))
+	d := digestToProto(blobstore.Of(raw))
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: d, Data: raw}}})
 	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
 		b.t.Fatalf("%v %v", resp, err)
@@ -385,7 +385,7 @@
 	}
 	_, _, err = walk(4, "x")
 	b.code(err, codes.InvalidArgument)
-	missing := b.store(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "x", Digest: wire(blobstore.Of(random(5)))}}})
+	missing := b.store(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "x", Digest: digestToProto(blobstore.Of(random(5)))}}})
 	s, err := b.cas.GetTree(b.ctx, &repb.GetTreeRequest{RootDigest: missing})
 	if err == nil {
 		for err == nil {
@@ -395,10 +395,10 @@
 	b.code(err, codes.NotFound)
 }
 
-// A result is told only with all that it names; the first one stays.
+// A result is returned only if all blobs that it references exist; the first one stays.
 func TestActionCache(t *testing.T) {
 	b, store := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 100_000, MaxBlob: 50_000})
-	action := wire(blobstore.Of([]byte("action")))
+	action := digestToProto(blobstore.Of([]byte("action")))
 	out, inTree := b.blob(random(3000)), b.blob(random(1000))
 	tree := b.store(&repb.Tree{Root: &repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: inTree}}}})
 	result := &repb.ActionResult{ExitCode: 3, OutputFiles: []*repb.OutputFile{{Path: "o", Digest: out}}, OutputDirectories: []*repb.OutputDirectory{{Path: "d", TreeDigest: tree}}}
@@ -410,7 +410,7 @@
 	}
 	_, err := get()
 	b.code(err, codes.NotFound)
-	_, err = update(&repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: wire(blobstore.Of(random(7)))}}})
+	_, err = update(&repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: digestToProto(blobstore.Of(random(7)))}}})
 	b.code(err, codes.FailedPrecondition)
 	_, err = update(nil)
 	b.code(err, codes.InvalidArgument)
@@ -425,7 +425,7 @@
 	}
 	_, err = b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{InstanceName: "a/b", ActionDigest: action})
 	b.code(err, codes.NotFound) // another team's
-	// The file in the tree is evicted: no result without it.
+	// The file in the tree is evicted, so there is no result.
 	for range 20 { // more than the store holds, while the others are in use
 		b.blob(random(10_000))
 		store.Missing("red", []blobstore.Digest{digestOf(out), digestOf(tree)})
@@ -446,7 +446,7 @@
 	}
 }
 
-// A full store refuses at once and says when to come back.
+// A full store refuses at once, with a retry delay.
 func TestFullStore(t *testing.T) {
 	b, _ := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Promise: 30 * time.Second})
 	b.blob(random(8000))
@@ -465,13 +465,12 @@
 	}
 }
 
-// Every call asks whether the caller may, and one team's blobs are nobody
-// else's.
+// Every call is authorized, and a team's blobs are not accessible to other teams.
 func TestRights(t *testing.T) {
 	rights := rightsOf{"anna submit red": true, "anna view-arguments red": true, "bob view-arguments red": true, "eve submit blue": true, "eve view-arguments blue": true}
 	b, _ := start(t, oneTeam, rights, roomy)
 	data := random(2000)
-	d := wire(blobstore.Of(data))
+	d := digestToProto(blobstore.Of(data))
 	b.as("anna").blob(data)
 	calls := map[string]func(c *build, instance string) error{
 		"find": func(c *build, i string) error {
@@ -524,7 +523,7 @@
 	}
 }
 
-// Many clients at a time, all with the same blobs.
+// Many clients upload and download the same blobs concurrently.
 func TestManyClients(t *testing.T) {
 	b, store := start(t, oneTeam, Open{}, roomy)
 	blobs := make([][]byte, 8)
@@ -563,5 +562,5 @@
 	})
 }
 
-// digestOf is a digest of the API that names no function.
+// digestOf converts a digest of the API in a call that names no digest function.
 func digestOf(d *repb.Digest) blobstore.Digest { return digestIn(blobstore.SHA256, d) }
--- a/internal/reapi/golden_test.go
+++ b/internal/reapi/golden_test.go
@@ -7,7 +7,7 @@
 	"micaspindle/internal/golden"
 )
 
-// A job's manifest stays as it is: the id of the job comes from the digest of its bytes.
+// The encoding of a manifest must not change: the job's id derives from its digest.
 func TestGoldenManifest(t *testing.T) {
 	golden.Check(t, "manifest", golden.Fill(&Manifest{}), golden.Codec{
 		Marshal:   func(value any) ([]byte, error) { return value.(*Manifest).Encode(), nil },
--- a/internal/reapi/inspection/golden_test.go
+++ b/internal/reapi/inspection/golden_test.go
@@ -6,5 +6,5 @@
 	"micaspindle/internal/golden"
 )
 
-// The messages to and between gates and the paths of their methods stay as they are on the wire.
+// The encoding of the messages and the names of the methods must not change.
 func TestGoldenMessages(t *testing.T) { golden.CheckProtobuf(t, "micaspindle.gate") }
--- a/internal/reapi/inspect_test.go
+++ b/internal/reapi/inspection_test.go
@@ -13,14 +13,14 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// Nobody sees of a gate what he may not view: not another team's numbers, nor the
-// sums that would tell them.
+// A caller sees neither the figures of teams that it may not view, nor totals from which
+// they could be derived.
 func TestInspectionShowsOwnTeamsOnly(t *testing.T) {
 	rights := rightsOf{"anna view red": true, "anna view-arguments red": true, "anna submit red": true, "root view red": true, "root view blue": true}
 	b, _ := start(t, oneTeam, rights, roomy)
 	anna := b.as("anna")
 	data := random(5000)
-	if _, err := anna.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunk, true); err != nil {
+	if _, err := anna.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 		t.Fatal(err)
 	}
 	see := func(c *build) (*inspection.StoreReply, error) {
@@ -40,9 +40,9 @@
 	b.code(err, codes.Unauthenticated)
 }
 
-// An action is told through all its states, by name and by digest.
+// The state of an action is reported in all its stages, by name and by digest.
 func TestInspectionOfActions(t *testing.T) {
-	b, g, jobs := startExecuting(t, oneTeam)
+	b, f, jobs := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
 	action := b.action("true")
 	see := func(req *inspection.ActionRequest) *inspection.ActionReply {
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	g.result(t, action)
+	f.result(t, action)
 	if r := see(byDigest); r.State != "done" || !r.Cached || r.Result.GetWorker() != "m-1" || r.WaitsFor != "" {
 		t.Errorf("after: %v", r)
 	}
--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -3,264 +3,239 @@
 import (
 	"context"
 	"errors"
+	"maps"
+	"slices"
 	"time"
 
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
-
 	"micaspindle/internal/client"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/reapi/inspection"
 )
 
-// Who waits for a job is known to the gate where they wait. So that a job ends with
-// its last one also when that gate does not live to see it, each gate tells some
-// others, by a lease that is told again for as long as somebody waits. A job that
-// nobody waits for is withdrawn once its linger is over: by the gate where they
-// were, or by one that was told. Before that, the others are asked.
-
-// interest is who waits for a job's actions here.
-type interest struct {
-	followers  int
-	credential string
-	who        string    // by name, if it is known
-	left       time.Time // when the last one went
-	// What the controllers last said of the job, and when they were asked.
-	status protocol.JobStatus
-	known  bool
-	asking bool
-	asked  time.Time
+// A front end knows which clients wait for a job through it. So that a job is withdrawn
+// after its last client has left even if that front end has died by then, each front end
+// sends interest leases to some peers and renews them while a client waits. A job that
+// nobody has waited for in the linger time is withdrawn, by the front end of its clients
+// or by a peer whose lease has expired. Before that, all peers are asked.
+
+// jobInterest is the interest of this front end's clients in a job.
+type jobInterest struct {
+	waiters    int
+	credential string    // of the client that came last
+	client     string    // its name, "" if not known
+	idleSince  time.Time // when the last client left
+	// status is what the controllers last reported of the job, if known is set;
+	// refreshedAt is when they were asked, refreshing says that they are being asked.
+	status      protocol.JobStatus
+	known       bool
+	refreshing  bool
+	refreshedAt time.Time
 }
 
-// lease is what another gate has told of a job.
-type lease struct {
-	who   string
-	until time.Time
+// interestLease is a peer's interest in a job.
+type interestLease struct {
+	client string // name, "" if not known
+	until  time.Time
 }
 
 // DefaultLinger is how long a job goes on that no client waits for.
 const DefaultLinger = time.Minute
 
 const (
-	// maxLeases bounds what others tell; beyond it a job of theirs runs to its end.
+	// maxLeases bounds the leases of peers; a job without a lease runs to its end if its
+	// front end dies.
 	maxLeases = 100_000
-	// askJobs is how many jobs are asked about in one call.
-	askJobs = 1000
+	// maxJobsPerCall is how many jobs one call between peers is about.
+	maxJobsPerCall = 1000
 )
 
-// join notes that a client waits for a job.
-func (g *FrontEnd) join(job, cred, who string) {
-	g.gather.mu.Lock()
-	defer g.gather.mu.Unlock()
-	w := g.gather.wanted[job]
-	if w == nil {
-		w = &interest{asked: time.Now()}
-		g.gather.wanted[job] = w
-	}
-	w.followers++
-	w.credential, w.who = cred, who
-	delete(g.gather.leases, job) // it is this gate's own matter now
+// addWaiter counts a client that waits for a job.
+func (f *FrontEnd) addWaiter(job, credential, client string) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	interest := f.executions.interests[job]
+	if interest == nil {
+		interest = &jobInterest{refreshedAt: time.Now()}
+		f.executions.interests[job] = interest
+	}
+	interest.waiters++
+	interest.credential, interest.client = credential, client
+	delete(f.executions.leases, job) // from now on this front end has an interest itself
 }
 
-// leave notes that a client waits no longer.
-func (g *FrontEnd) leave(job string) {
-	g.gather.mu.Lock()
-	defer g.gather.mu.Unlock()
-	if w := g.gather.wanted[job]; w != nil {
-		if w.followers--; w.followers == 0 {
-			w.left = time.Now()
+// removeWaiter counts a client that waits no longer.
+func (f *FrontEnd) removeWaiter(job string) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	if interest := f.executions.interests[job]; interest != nil {
+		if interest.waiters--; interest.waiters == 0 {
+			interest.idleSince = time.Now()
 		}
 	}
 }
 
-// ended forgets a job that is over.
-func (g *FrontEnd) ended(job string) {
-	g.gather.mu.Lock()
-	defer g.gather.mu.Unlock()
-	if w := g.gather.wanted[job]; w != nil && w.followers == 0 {
-		delete(g.gather.wanted, job)
+// forgetJob forgets a job that has ended.
+func (f *FrontEnd) forgetJob(job string) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	if interest := f.executions.interests[job]; interest != nil && interest.waiters == 0 {
+		delete(f.executions.interests, job)
 	}
-	delete(g.gather.leases, job)
-	g.notHanded(job)
+	delete(f.executions.leases, job)
+	f.untrackJob(job)
 }
 
-// neighbours serves the other gates.
-type neighbours struct {
-	inspection.UnimplementedNeighboursServer
-	g *FrontEnd
-}
-
-// Note takes leases.
-func (n neighbours) Note(ctx context.Context, req *inspection.NoteRequest) (*inspection.NoteReply, error) {
-	if !n.g.fromPeer(ctx) {
-		return nil, status.Error(codes.PermissionDenied, "gates ask this of each other only")
-	}
-	now := time.Now()
-	n.g.gather.mu.Lock()
-	defer n.g.gather.mu.Unlock()
-	for _, i := range req.GetInterests() {
-		_, here := n.g.gather.wanted[i.GetJob()]
-		_, known := n.g.gather.leases[i.GetJob()]
-		if here || !known && len(n.g.gather.leases) >= maxLeases {
-			continue
-		}
-		n.g.gather.leases[i.GetJob()] = lease{i.GetWho(), now.Add(time.Duration(i.GetForMs()) * time.Millisecond)}
-	}
-	return &inspection.NoteReply{}, nil
-}
-
-// Wanted says for which jobs somebody waits here.
-func (n neighbours) Wanted(ctx context.Context, req *inspection.WantedRequest) (*inspection.WantedReply, error) {
-	if !n.g.fromPeer(ctx) {
-		return nil, status.Error(codes.PermissionDenied, "gates ask this of each other only")
+// renewInterestLeases sends leases of the jobs that clients wait for to the peers that
+// come first in each job's order.
+func (f *FrontEnd) renewInterestLeases(ctx context.Context, linger time.Duration) {
+	if f.peers == nil || f.peers.Copies < 2 {
+		return
 	}
-	reply := &inspection.WantedReply{}
-	n.g.gather.mu.Lock()
-	defer n.g.gather.mu.Unlock()
-	for _, job := range req.GetJobs() {
-		if w := n.g.gather.wanted[job]; w != nil && w.followers > 0 {
-			reply.Jobs = append(reply.Jobs, job)
+	for p, leases := range f.interestLeases(linger) {
+		for some := range slices.Chunk(leases, maxJobsPerCall) {
+			err := p.call(ctx, peerTimeout, func(ctx context.Context) error {
+				_, err := p.service.Note(ctx, &inspection.NoteRequest{Interests: some})
+				return err
+			})
+			if err != nil {
+				f.log.Debug("renewal of interest leases failed", "peer", p.addr, "error", err)
+				break // the next renewal goes to another peer if this one's circuit is open
+			}
 		}
 	}
-	return reply, nil
 }
 
-// tellInterest renews what this gate has told the others.
-func (g *FrontEnd) tellInterest(ctx context.Context, linger time.Duration) {
-	if g.peers == nil || g.peers.Copies < 2 {
-		return
-	}
-	told := map[*peerGate][]*inspection.Interest{}
-	g.gather.mu.Lock()
-	for job, w := range g.gather.wanted {
-		if w.followers == 0 {
+// interestLeases returns the leases of the jobs that clients wait for, by peer.
+func (f *FrontEnd) interestLeases(linger time.Duration) map[*peer][]*inspection.Interest {
+	leases := map[*peer][]*inspection.Interest{}
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	for job, interest := range f.executions.interests {
+		if interest.waiters == 0 {
 			continue
 		}
-		i := &inspection.Interest{Job: job, Who: w.who, ForMs: linger.Milliseconds()}
-		for n, p := range g.peers.inOrder(job) {
-			if n == g.peers.Copies-1 {
+		lease := &inspection.Interest{Job: job, Who: interest.client, ForMs: linger.Milliseconds()}
+		for n, p := range f.peers.available(job) {
+			if n == f.peers.Copies-1 {
 				break
 			}
-			told[p] = append(told[p], i)
-		}
-	}
-	g.gather.mu.Unlock()
-	for p, list := range told {
-		for len(list) > 0 {
-			part := list[:min(len(list), askJobs)]
-			list = list[len(part):]
-			if err := p.call(ctx, peerTime, func(ctx context.Context) error {
-				_, err := p.mates.Note(ctx, &inspection.NoteRequest{Interests: part})
-				return err
-			}); err != nil {
-				g.log.Debug("interest not told", "peer", p.addr, "reason", err)
-				break // told again soon, to another one if this one rests
-			}
+			leases[p] = append(leases[p], lease)
 		}
 	}
+	return leases
 }
 
-// wantedElsewhere asks the other gates for which jobs somebody waits there. One that
-// does not answer has told its interest to others, as long as it lived.
-func (g *FrontEnd) wantedElsewhere(ctx context.Context, jobs []string) map[string]bool {
-	out := map[string]bool{}
-	if g.peers == nil {
-		return out
-	}
-	for _, p := range g.peers.inOrder("") {
-		for list := jobs; len(list) > 0; {
-			part := list[:min(len(list), askJobs)]
-			list = list[len(part):]
-			err := p.call(ctx, peerTime, func(ctx context.Context) error {
-				reply, err := p.mates.Wanted(ctx, &inspection.WantedRequest{Jobs: part})
+// wantedElsewhere asks the peers which of the jobs clients wait for there. A peer that
+// does not answer has sent leases to others, for as long as it lived.
+func (f *FrontEnd) wantedElsewhere(ctx context.Context, jobs []string) map[string]bool {
+	wanted := map[string]bool{}
+	if f.peers == nil {
+		return wanted
+	}
+	for _, p := range f.peers.available("") {
+		for some := range slices.Chunk(jobs, maxJobsPerCall) {
+			err := p.call(ctx, peerTimeout, func(ctx context.Context) error {
+				reply, err := p.service.Wanted(ctx, &inspection.WantedRequest{Jobs: some})
 				for _, job := range reply.GetJobs() {
-					out[job] = true
+					wanted[job] = true
 				}
 				return err
 			})
 			if err != nil {
-				g.log.Debug("interest not asked", "peer", p.addr, "reason", err)
+				f.log.Debug("query for interest at peer failed", "peer", p.addr, "error", err)
 				break
 			}
 		}
 	}
-	return out
+	return wanted
 }
 
-// unwanted are jobs that nobody has waited for in a while, as far as this gate
-// knows, with the credentials to end them.
-func (g *FrontEnd) unwanted(now time.Time, linger time.Duration) map[string]interest {
-	out := map[string]interest{}
-	g.gather.mu.Lock()
-	defer g.gather.mu.Unlock()
-	for job, w := range g.gather.wanted {
-		if w.followers == 0 && now.Sub(w.left) > linger {
-			out[job] = *w
+// abandonedJobs returns the jobs that nobody has waited for in the linger time, as far as
+// this front end knows, with the credentials to withdraw them.
+func (f *FrontEnd) abandonedJobs(now time.Time, linger time.Duration) map[string]jobInterest {
+	abandoned := map[string]jobInterest{}
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	for job, interest := range f.executions.interests {
+		if interest.waiters == 0 && now.Sub(interest.idleSince) > linger {
+			abandoned[job] = *interest
 		}
 	}
-	for job, l := range g.gather.leases {
-		if now.Sub(l.until) > linger {
-			cred := ""
-			if l.who != "" {
-				cred = vouching + l.who
+	for job, lease := range f.executions.leases {
+		if now.Sub(lease.until) > linger {
+			credential := ""
+			if lease.client != "" {
+				credential = certificatePrefix + lease.client
 			}
-			out[job] = interest{credential: cred, who: l.who}
+			abandoned[job] = jobInterest{credential: credential, client: lease.client}
 		}
 	}
-	return out
+	return abandoned
 }
 
-// withdrawUnwanted withdraws jobs that nobody has waited for in a while; those
+// cancelAbandonedJobs withdraws jobs that nobody has waited for in the linger time. Jobs
 // that have ended by then are only forgotten.
-func (g *FrontEnd) withdrawUnwanted(ctx context.Context, linger time.Duration) {
+func (f *FrontEnd) cancelAbandonedJobs(ctx context.Context, linger time.Duration) {
 	now := time.Now()
-	list := g.unwanted(now, linger)
-	if len(list) == 0 {
+	abandoned := f.abandonedJobs(now, linger)
+	if len(abandoned) == 0 {
 		return
 	}
-	var jobs []string
-	for job := range list {
-		jobs = append(jobs, job)
-	}
-	elsewhere := g.wantedElsewhere(ctx, jobs)
-	for job, w := range list {
-		if elsewhere[job] {
-			// That gate ends it, or tells of it.
-			g.gather.mu.Lock()
-			if own := g.gather.wanted[job]; own != nil && own.followers == 0 {
-				delete(g.gather.wanted, job)
-				g.gather.leases[job] = lease{w.who, now.Add(linger)}
-			} else if l, ok := g.gather.leases[job]; ok {
-				l.until = now.Add(linger)
-				g.gather.leases[job] = l
-			}
-			g.gather.mu.Unlock()
+	wanted := f.wantedElsewhere(ctx, slices.Collect(maps.Keys(abandoned)))
+	for job, interest := range abandoned {
+		if wanted[job] {
+			f.convertToLease(job, interest, now.Add(linger))
 			continue
 		}
-		g.gather.mu.Lock()
-		own := g.gather.wanted[job]
-		back := own != nil && own.followers > 0 // somebody came meanwhile
-		g.gather.mu.Unlock()
-		if back {
-			continue
-		}
-		// A job that is done stays done.
-		err := g.persist(&w.credential, w.who, func(cred string) error { return g.jobs.Withdraw(ctx, cred, job) })
-		var r *client.Refusal
-		if err != nil && !errors.As(err, &r) {
-			g.log.Info("unwanted job not withdrawn yet", "job", job, "reason", err)
-			continue // tried again
-		}
-		if err != nil {
-			g.log.Warn("unwanted job not withdrawn", "job", job, "reason", err)
+		if !f.hasWaiters(job) {
+			f.cancelAbandoned(ctx, job, interest)
 		}
-		g.ended(job)
-		g.gather.mu.Lock()
-		for key, t := range g.gather.running {
-			if t.job == job {
-				delete(g.gather.running, key)
-			}
+	}
+}
+
+// convertToLease keeps a job that clients of a peer wait for under a lease: the peer will
+// withdraw it, or renew the lease.
+func (f *FrontEnd) convertToLease(job string, interest jobInterest, until time.Time) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	if own := f.executions.interests[job]; own != nil && own.waiters == 0 {
+		delete(f.executions.interests, job)
+		f.executions.leases[job] = interestLease{interest.client, until}
+	} else if lease, ok := f.executions.leases[job]; ok {
+		lease.until = until
+		f.executions.leases[job] = lease
+	}
+}
+
+// hasWaiters reports whether a client waits for a job here.
+func (f *FrontEnd) hasWaiters(job string) bool {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	interest := f.executions.interests[job]
+	return interest != nil && interest.waiters > 0
+}
+
+// cancelAbandoned withdraws a job and forgets it. If the controllers can't be reached, it
+// is tried again at the next sweep; if they refuse, it is not.
+func (f *FrontEnd) cancelAbandoned(ctx context.Context, job string, interest jobInterest) {
+	// Withdrawing a job that is done does nothing.
+	err := f.withCredential(&interest.credential, interest.client, func(credential string) error {
+		return f.jobs.Withdraw(ctx, credential, job)
+	})
+	var refusal *client.Refusal
+	if err != nil && !errors.As(err, &refusal) {
+		f.log.Info("withdrawal of abandoned job failed, to be retried", "job", job, "error", err)
+		return
+	}
+	if err != nil {
+		f.log.Warn("withdrawal of abandoned job refused", "job", job, "error", err)
+	}
+	f.forgetJob(job)
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	for key, t := range f.executions.running {
+		if t.job == job {
+			delete(f.executions.running, key)
 		}
-		g.gather.mu.Unlock()
 	}
 }
--- /dev/null
+++ b/internal/reapi/operationstream.go
@@ -0,0 +1,212 @@
+package reapi
+
+import (
+	"context"
+	"time"
+
+	"cloud.google.com/go/longrunning/autogen/longrunningpb"
+	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"micaspindle/internal/blobstore"
+	"micaspindle/internal/protocol"
+)
+
+// Many calls wait at once for tasks of the same job. So the status of a job is requested
+// once for all of them, by whichever call finds it outdated first, and peers are asked in
+// one call about all executions whose results are awaited here.
+
+// statusInterval is how often the status of an awaited job is requested.
+const statusInterval = 2 * time.Second
+
+// jobStatus returns the last known status of an awaited job. The call that finds it
+// outdated requests it with its own credential; a refusal concerns that call only.
+func (f *FrontEnd) jobStatus(ctx context.Context, job string, credential *string, name string) (jobStatus protocol.JobStatus, known bool, err error) {
+	f.executions.mu.Lock()
+	interest := f.executions.interests[job]
+	if interest == nil || interest.refreshing || time.Since(interest.refreshedAt) < statusInterval {
+		if interest != nil {
+			jobStatus, known = interest.status, interest.known
+		}
+		f.executions.mu.Unlock()
+		return jobStatus, known, nil
+	}
+	interest.refreshing = true
+	f.executions.mu.Unlock()
+	err = f.withCredential(credential, name, func(credential string) (err error) {
+		jobStatus, err = f.jobs.Status(ctx, credential, job)
+		return err
+	})
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	interest.refreshing, interest.refreshedAt = false, time.Now()
+	if err != nil {
+		return jobStatus, false, err
+	}
+	interest.status, interest.known = jobStatus, true
+	f.updateJob(job, jobStatus)
+	return jobStatus, true, nil
+}
+
+// operationSender is the stream of an Execute or WaitExecution call.
+type operationSender interface {
+	Send(*longrunningpb.Operation) error
+}
+
+// operationStream sends a client the stages of a task, and finally its result.
+type operationStream struct {
+	frontEnd *FrontEnd
+	out      operationSender
+	task     *task
+	// credential and name are the client's.
+	credential, name string
+	stage            repb.ExecutionStage_Value
+	lookup           *resultLookup
+	ticker           *time.Ticker
+	// done is the task's; nil once it was closed and the result read.
+	done <-chan struct{}
+	// askPeers says that a peer may have the result.
+	askPeers bool
+}
+
+// streamStep is what a stream does next.
+type streamStep int
+
+const (
+	streamWaits  streamStep = iota // until something may have changed
+	streamReads                    // the result, which was stored meanwhile
+	streamClosed                   // the call ends
+)
+
+// follow streams the stages of a task to a client until it has the result.
+func (f *FrontEnd) follow(ctx context.Context, out operationSender, t *task) error {
+	s := &operationStream{frontEnd: f, out: out, task: t, credential: f.credential(ctx), done: t.done,
+		askPeers: true, // one may have stored the result before
+	}
+	if slot := callSlotOf(ctx); slot != nil {
+		s.name = knownName(slot.client)
+	}
+	f.addWaiter(t.job, s.credential, s.name)
+	defer f.removeWaiter(t.job)
+	s.lookup = f.startLookup(t)
+	defer func() { f.endLookup(s.lookup) }()
+	if err := s.sendStage(repb.ExecutionStage_QUEUED); err != nil {
+		return err
+	}
+	s.ticker = time.NewTicker(lookupInterval)
+	defer s.ticker.Stop()
+	for {
+		if result := s.readResult(ctx); result != nil {
+			return s.sendResult(ctx, result)
+		}
+		step, err := s.checkJob(ctx)
+		switch step {
+		case streamClosed:
+			return err
+		case streamReads:
+			continue
+		}
+		if err := s.wait(ctx); err != nil {
+			return err
+		}
+	}
+}
+
+// sendStage tells the client that the task has reached a stage.
+func (s *operationStream) sendStage(stage repb.ExecutionStage_Value) error {
+	s.stage = stage
+	return s.out.Send(operationAt(s.task.operation(), s.task.entry.Action(), stage, s.task.queued))
+}
+
+// sendCompleted tells the client that the task has ended.
+func (s *operationStream) sendCompleted(response *repb.ExecuteResponse) error {
+	return s.out.Send(completedOperation(s.task.operation(), s.task.entry.Action(), response))
+}
+
+// resultKey is the key under which the task's result is stored.
+func (s *operationStream) resultKey() blobstore.Digest {
+	return blobstore.Digest{Hash: s.task.entry.Execution}
+}
+
+// readResult returns the task's result, nil if there is none yet.
+func (s *operationStream) readResult(ctx context.Context) *repb.ActionResult {
+	askPeers := s.askPeers
+	s.askPeers = false
+	result, err := s.frontEnd.localResult(s.task.space, s.resultKey())
+	if err != nil && askPeers {
+		return s.frontEnd.findResult(ctx, s.task.instance, s.task.space, s.resultKey())
+	}
+	return result
+}
+
+// sendResult ends the operation with a result.
+func (s *operationStream) sendResult(ctx context.Context, result *repb.ActionResult) error {
+	s.frontEnd.forgetTask(s.task)
+	if err := s.frontEnd.checkComplete(ctx, s.task.instance, s.task.space, s.task.entry.Action().Function, result); err != nil {
+		return retryLater(codes.Unavailable, time.Second, "the result's outputs are gone; execute it again")
+	}
+	return s.sendCompleted(&repb.ExecuteResponse{Result: result, Status: failureStatus(result)})
+}
+
+// checkJob acts on the status of the task's job.
+func (s *operationStream) checkJob(ctx context.Context) (streamStep, error) {
+	jobStatus, known, err := s.frontEnd.jobStatus(ctx, s.task.job, &s.credential, s.name)
+	if denial := denied(err); denial != nil {
+		return streamClosed, denial
+	}
+	if !known {
+		return streamWaits, nil
+	}
+	switch jobStatus.Status {
+	case protocol.StatusWithdrawn:
+		s.frontEnd.forgetTask(s.task)
+		return streamClosed, s.sendCompleted(&repb.ExecuteResponse{Status: status.New(codes.Aborted, "its job was withdrawn").Proto()})
+	case protocol.StatusDone:
+		// A result is stored before its task ends, so some front end has it.
+		if s.frontEnd.findResult(ctx, s.task.instance, s.task.space, s.resultKey()) == nil {
+			s.frontEnd.forgetTask(s.task)
+			return streamClosed, retryLater(codes.Unavailable, time.Second, "its result was lost with a front end; execute it again")
+		}
+		return streamReads, nil
+	case protocol.StatusRunning:
+		if s.stage == repb.ExecutionStage_QUEUED {
+			if err := s.sendStage(repb.ExecutionStage_EXECUTING); err != nil {
+				return streamClosed, err
+			}
+		}
+	}
+	return streamWaits, nil
+}
+
+// wait returns once the result or the job's status may have changed.
+func (s *operationStream) wait(ctx context.Context) error {
+	select {
+	case <-s.done:
+		s.done = nil
+		return nil
+	case <-s.lookup.found:
+		s.frontEnd.endLookup(s.lookup)
+		s.lookup, s.askPeers = s.frontEnd.startLookup(s.task), true
+		// The result may be gone again by then, so it is read at the usual interval only.
+		select {
+		case <-s.ticker.C:
+			return nil
+		case <-ctx.Done():
+		}
+	case <-s.ticker.C:
+		return nil
+	case <-ctx.Done():
+	}
+	return failure(ctx.Err())
+}
+
+// forgetTask ends a task whose result was read, or will not come.
+func (f *FrontEnd) forgetTask(t *task) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	if f.executions.running[t.key()] == t {
+		delete(f.executions.running, t.key())
+		f.countResult(t.job, time.Now())
+	}
+}
--- a/internal/reapi/peers_test.go
+++ b/internal/reapi/peers_test.go
@@ -24,25 +24,25 @@
 	"micaspindle/internal/repair"
 )
 
-// several starts gates that know each other.
-type several struct {
-	clients []*build
-	stores  []*blobstore.Store
-	servers []*grpc.Server
-	peers   []*Peers
-	gates   []*FrontEnd
-	dirs    []string
+// group is a group of front ends that are peers.
+type group struct {
+	clients   []*build
+	stores    []*blobstore.Store
+	servers   []*grpc.Server
+	peers     []*Peers
+	frontEnds []*FrontEnd
+	dirs      []string
 }
 
-func startSeveral(t *testing.T, n, copies int) *several {
+func startGroup(t *testing.T, n, copies int) *group {
 	t.Helper()
-	return startSeveralWith(t, n, copies, nil)
+	return startGroupWith(t, n, copies, nil)
 }
 
-// startSeveralWith starts gates whose actions become the given jobs.
-func startSeveralWith(t *testing.T, n, copies int, jobs Jobs) *several {
+// startGroupWith starts a group whose actions are executed by the given controllers.
+func startGroupWith(t *testing.T, n, copies int, jobs Jobs) *group {
 	t.Helper()
-	var s several
+	var s group
 	var listeners []net.Listener
 	conns := map[string]*grpc.ClientConn{}
 	for range n {
@@ -81,9 +81,9 @@
 		config.Class, config.Self = "build", l.Addr().String()
 		config.IsPeer = func(context.Context) bool { return true }
 		peers := NewPeers(copies, others, slog.New(slog.DiscardHandler))
-		g := New(config, store, results, everyone{}, peers, jobs, slog.New(slog.DiscardHandler))
-		s.gates, s.dirs = append(s.gates, g), append(s.dirs, dir)
-		server := g.Server()
+		f := New(config, store, results, everyone{}, peers, jobs, slog.New(slog.DiscardHandler))
+		s.frontEnds, s.dirs = append(s.frontEnds, f), append(s.dirs, dir)
+		server := f.Server()
 		go func() { _ = server.Serve(listeners[i]) }()
 		t.Cleanup(func() { server.Stop(); _ = store.Close() })
 		conn := conns[l.Addr().String()]
@@ -93,9 +93,9 @@
 	return &s
 }
 
-// Any gate serves what was written to another one.
-func TestGatesReadThrough(t *testing.T) {
-	s := startSeveral(t, 3, 1)
+// Any front end serves what was written to a peer.
+func TestReadThroughPeers(t *testing.T) {
+	s := startGroup(t, 3, 1)
 	a, c := s.clients[0], s.clients[2]
 	small, large := random(1000), random(3_000_000)
 	d := a.blob(small)
@@ -105,16 +105,16 @@
 	if s.stores[2].Stats().Blobs != 0 {
 		t.Fatal("copied without being asked")
 	}
-	action := wire(blobstore.Of([]byte("action")))
-	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: d}, {Path: "p", Digest: wire(blobstore.Of(large))}}}
+	action := digestToProto(blobstore.Of([]byte("action")))
+	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: d}, {Path: "p", Digest: digestToProto(blobstore.Of(large))}}}
 	if _, err := a.ac.UpdateActionResult(a.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := c.ac.GetActionResult(c.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil || !proto.Equal(got, result) {
 		t.Errorf("%v %v", got, err)
 	}
-	nowhere := wire(blobstore.Of(random(10)))
-	miss, err := c.cas.FindMissingBlobs(c.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{d, wire(blobstore.Of(large)), nowhere}})
+	nowhere := digestToProto(blobstore.Of(random(10)))
+	miss, err := c.cas.FindMissingBlobs(c.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{d, digestToProto(blobstore.Of(large)), nowhere}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != nowhere.Hash {
 		t.Errorf("%v %v", miss, err)
 	}
@@ -126,16 +126,16 @@
 	}
 	_, err = c.download("blobs/"+digestOf(nowhere).String(), 0, 0)
 	c.code(err, codes.NotFound)
-	// A gate that calls itself one gets this gate's own only.
+	// A call marked as a peer's is answered from the front end's own store.
 	mark := &build{c.t, metadata.AppendToOutgoingContext(c.ctx, peerMark, "1"), c.cas, c.ac, c.bytes, c.conn}
 	_, err = mark.ac.GetActionResult(mark.ctx, &repb.GetActionResultRequest{ActionDigest: action})
 	mark.code(err, codes.NotFound)
 }
 
-// A blob outlives the loss of a gate; with more gone it is missing, and the
-// client's upload brings it back.
-func TestBlobsOutliveAGate(t *testing.T) {
-	s := startSeveral(t, 3, 2)
+// A blob survives the loss of one front end; with more lost it is missing, and a client's
+// upload restores it.
+func TestBlobsSurviveFrontEndLoss(t *testing.T) {
+	s := startGroup(t, 3, 2)
 	a := s.clients[0]
 	var digests []*repb.Digest
 	blobs := map[string][]byte{}
@@ -145,12 +145,12 @@
 		if _, err := a.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil {
 			t.Fatal(err)
 		}
-		digests, blobs[d.Hash] = append(digests, wire(d)), data
+		digests, blobs[d.Hash] = append(digests, digestToProto(d)), data
 	}
 	if n := s.stores[1].Stats().Blobs + s.stores[2].Stats().Blobs; n != 20 {
-		t.Errorf("%d copies on the other gates, want 20", n)
+		t.Errorf("%d copies on the peers, want 20", n)
 	}
-	action := wire(blobstore.Of([]byte("action")))
+	action := digestToProto(blobstore.Of([]byte("action")))
 	result := &repb.ActionResult{ExitCode: 7}
 	for _, d := range digests {
 		result.OutputFiles = append(result.OutputFiles, &repb.OutputFile{Path: d.Hash, Digest: d})
@@ -171,13 +171,14 @@
 			}
 		}
 		if got, err := b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil || !proto.Equal(got, result) {
-			t.Errorf("the result went with its gate: %v", err)
+			t.Errorf("the result was lost with its front end: %v", err)
 		}
 		if took := time.Since(begun); took > 10*time.Second {
-			t.Errorf("a gate that is gone held others up for %s", took)
+			t.Errorf("a lost front end delayed others for %s", took)
 		}
 	}
-	// Another gate goes, with what only it had; new blobs have one copy, counted.
+	// Another front end is lost, with the blobs that only it had; new blobs have one copy,
+	// which is counted.
 	b := s.clients[2]
 	data := random(5000)
 	s.servers[1].Stop()
@@ -186,7 +187,7 @@
 		t.Errorf("%d blobs with too few copies are counted", n)
 	}
 	lost := random(700)
-	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{wire(blobstore.Of(lost))}})
+	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(lost))}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 {
 		t.Errorf("%v %v", miss, err)
 	}
@@ -196,18 +197,18 @@
 	}
 }
 
-// Without peers nobody is believed to be one.
-func TestPeerMarkAloneOpensNothing(t *testing.T) {
+// Without peers no call is accepted as a peer's.
+func TestPeerMarkNeedsVerification(t *testing.T) {
 	b, _ := start(t, oneTeam, rightsOf{}, roomy)
 	b.ctx = metadata.AppendToOutgoingContext(b.ctx, peerMark, "1")
 	_, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{})
 	b.code(err, codes.Unauthenticated)
 }
 
-// A gate is gone for good: the others copy anew what it held, and also what was
-// changed on a disk comes back from another gate. Asking promises nothing.
-func TestRepairAfterALoss(t *testing.T) {
-	s := startSeveral(t, 3, 2)
+// After a front end is lost for good, the others make new copies of its blobs, and a blob
+// that is corrupted on disk is restored from a peer. Probing for blobs pins none.
+func TestRepairAfterFrontEndLoss(t *testing.T) {
+	s := startGroup(t, 3, 2)
 	a := s.clients[0]
 	blobs := map[string][]byte{}
 	var digests []*repb.Digest
@@ -217,9 +218,9 @@
 			t.Fatal(err)
 		}
 		blobs[blobstore.Of(data).Hash] = data
-		digests = append(digests, wire(blobstore.Of(data)))
+		digests = append(digests, digestToProto(blobstore.Of(data)))
 	}
-	action := wire(blobstore.Of([]byte("action")))
+	action := digestToProto(blobstore.Of([]byte("action")))
 	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: digests[0]}}}
 	if _, err := a.ac.UpdateActionResult(a.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result}); err != nil {
 		t.Fatal(err)
@@ -227,7 +228,7 @@
 	s.servers[0].Stop()
 	settings := repair.Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute}
 	for i := 1; i < 3; i++ {
-		r, err := s.gates[i].Repair(settings, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
+		r, err := s.frontEnds[i].Repair(settings, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -235,15 +236,15 @@
 			t.Fatal(err)
 		}
 		if p := r.Progress(); len(p.Gone) != 1 || p.Short != 0 {
-			t.Errorf("gate %d: %+v", i, p)
+			t.Errorf("front end %d: %+v", i, p)
 		}
 	}
 	for i := 1; i < 3; i++ {
 		if n := s.stores[i].Stats().Blobs; n != 30 {
-			t.Errorf("gate %d holds %d of 30 blobs", i, n)
+			t.Errorf("front end %d has %d of 30 blobs", i, n)
 		}
 	}
-	// One more goes; the last one has everything, results too.
+	// One more is lost; the last one has everything, results too.
 	s.servers[1].Stop()
 	c := s.clients[2]
 	for _, d := range digests {
@@ -252,18 +253,18 @@
 		}
 	}
 	if _, err := c.ac.GetActionResult(c.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil {
-		t.Errorf("the result went with its gates: %v", err)
+		t.Errorf("the result was lost with its front ends: %v", err)
 	}
 }
 
-// A flipped bit is found at rest and mended from a copy.
+// A flipped bit is found at rest and the blob restored from a copy.
 func TestRepairOfAFlippedBit(t *testing.T) {
-	s := startSeveral(t, 2, 2)
+	s := startGroup(t, 2, 2)
 	a := s.clients[0]
 	data := random(100_000)
 	d := a.blob(data)
-	file := spoil(t, s.dirs[0], d.Hash)
-	r, err := s.gates[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
+	file := flipBit(t, s.dirs[0], d.Hash)
+	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,8 +279,8 @@
 	}
 }
 
-// spoil flips a bit of a blob on disk, and says where.
-func spoil(t *testing.T, dir, hash string) (file string) {
+// flipBit flips a bit of a blob on disk and returns its file.
+func flipBit(t *testing.T, dir, hash string) (file string) {
 	t.Helper()
 	_ = filepath.WalkDir(dir, func(path string, _ fs.DirEntry, _ error) error {
 		if strings.Contains(path, hash) {
--- a/internal/reapi/repair.go
+++ b/internal/reapi/repair.go
@@ -6,126 +6,129 @@
 	"maps"
 	"slices"
 
-	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
 	"google.golang.org/grpc/metadata"
 
 	"micaspindle/internal/blobstore"
 	"micaspindle/internal/repair"
 )
 
-// Repair makes what keeps this gate's blobs whole and copied; file is where it
-// notes how far it is.
-func (g *FrontEnd) Repair(settings repair.Settings, file string, log *slog.Logger) (*repair.Repairer, error) {
+// Repair creates the repairer that verifies this front end's blobs, restores corrupt ones
+// and keeps enough copies; file is where it stores its progress.
+func (f *FrontEnd) Repair(settings repair.Settings, file string, log *slog.Logger) (*repair.Repairer, error) {
 	instances := map[string]string{} // by team
-	for _, name := range slices.Sorted(maps.Keys(g.config.Instances)) {
-		if team := g.config.Instances[name]; instances[team] == "" {
+	for _, name := range slices.Sorted(maps.Keys(f.config.Instances)) {
+		if team := f.config.Instances[name]; instances[team] == "" {
 			instances[team] = name
 		}
 	}
 	order := func(hash string) []repair.Gate {
-		if g.peers == nil {
+		if f.peers == nil {
 			return nil
 		}
-		var out []repair.Gate
-		for _, p := range g.peers.rank(hash) {
-			out = append(out, &otherGate{g, p, instances})
+		var peers []repair.Gate
+		for _, p := range f.peers.ranked(hash) {
+			peers = append(peers, &repairPeer{f, p, instances})
 		}
-		return out
+		return peers
 	}
-	source := func(ctx context.Context, k blobstore.Key) error {
-		r, err := g.open(ctx, instances[k.Space], k)
+	restore := func(ctx context.Context, key blobstore.Key) error {
+		blob, err := f.open(ctx, instances[key.Space], key)
 		if err != nil {
 			return err
 		}
-		return r.Close()
+		return blob.Close()
 	}
-	r, err := repair.New(settings, file, served{g.store, instances}, order, source, log)
+	repairer, err := repair.New(settings, file, servedStore{f.store, instances}, order, restore, log)
 	if err != nil {
 		return nil, err
 	}
-	r.Records = func(ctx context.Context, take func(context.Context, int64) error) (int, error) {
-		return g.repairRecords(ctx, settings.Copies, instances, take)
+	repairer.Records = func(ctx context.Context, take func(context.Context, int64) error) (int, error) {
+		return f.repairRecords(ctx, settings.Copies, instances, take)
 	}
-	g.repairer.Store(r)
-	return r, nil
+	f.repairer.Store(repairer)
+	return repairer, nil
 }
 
-// served are the blobs of teams that have an instance. Those of others have no
-// name here by which another gate could be asked, and would go to another team.
-type served struct {
+// servedStore is a store without the blobs of teams that have no instance. No instance
+// name stands for these in calls to peers.
+type servedStore struct {
 	*blobstore.Store
-	instances map[string]string
+	instances map[string]string // by team
 }
 
-// Keys are the blobs of served teams.
-func (s served) Keys() []blobstore.Key {
-	return slices.DeleteFunc(s.Store.Keys(), func(k blobstore.Key) bool { _, ok := s.instances[k.Space]; return !ok })
+// Keys returns the keys of the blobs of teams with an instance.
+func (s servedStore) Keys() []blobstore.Key {
+	return slices.DeleteFunc(s.Store.Keys(), func(key blobstore.Key) bool {
+		_, ok := s.instances[key.Space]
+		return !ok
+	})
 }
 
-// repairRecords tells results, and what executions became, to the gates that
-// should know them; the first record that a gate has stays.
-func (g *FrontEnd) repairRecords(ctx context.Context, copies int, instances map[string]string, take func(context.Context, int64) error) (int, error) {
-	told := 0
-	if g.peers == nil || copies < 2 {
+// repairRecords copies action results and start records to the peers that should have
+// them, and returns how many it copied. A peer's own record stays. take waits for the
+// share of the byte rate that a record may use.
+func (f *FrontEnd) repairRecords(ctx context.Context, copies int, instances map[string]string, take func(context.Context, int64) error) (int, error) {
+	copied := 0
+	if f.peers == nil || copies < 2 {
 		return 0, nil
 	}
-	for _, k := range g.results.Keys() {
-		instance, ok := instances[k.Space]
+	for _, key := range f.results.Keys() {
+		instance, ok := instances[key.Space]
 		if !ok {
 			continue
 		}
-		result, err := g.stored(k.Space, k.Digest)
+		result, err := f.localResult(key.Space, key.Digest)
 		if err != nil {
 			continue // gone meanwhile
 		}
 		if err := take(ctx, recordCost); err != nil {
-			return told, err
+			return copied, err
 		}
-		g.spreadResult(ctx, instance, k.Digest, result)
-		told++
+		f.replicateResult(ctx, instance, key.Digest, result)
+		copied++
 	}
-	return told, nil
+	return copied, nil
 }
 
-// recordCost is what telling a record costs beside bytes of blobs.
+// recordCost is how many bytes of blobs the copy of a record counts as.
 const recordCost = 4 << 10
 
-// otherGate is another gate as repair sees it.
-type otherGate struct {
-	g         *FrontEnd
-	p         *peerGate
-	instances map[string]string
+// repairPeer is a peer as the repairer sees it.
+type repairPeer struct {
+	frontEnd  *FrontEnd
+	peer      *peer
+	instances map[string]string // by team
 }
 
-// Name is its address.
-func (o *otherGate) Name() string { return o.p.addr }
+// Name returns the peer's address.
+func (r *repairPeer) Name() string { return r.peer.addr }
 
-// Lacks asks it, also while others leave it alone, and promises nothing.
-func (o *otherGate) Lacks(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
+// Lacks returns the digests whose blobs the peer does not have, without pinning the
+// others. It asks also while the peer's circuit is open.
+func (r *repairPeer) Lacks(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
+	ctx = metadata.AppendToOutgoingContext(ctx, probeMark, "1")
 	for _, function := range []blobstore.Function{blobstore.SHA256, blobstore.BLAKE3} {
-		req := &repb.FindMissingBlobsRequest{InstanceName: o.instances[space], DigestFunction: FunctionOnWire(function)}
-		for _, d := range digests {
-			if d.Function == function {
-				req.BlobDigests = append(req.BlobDigests, wire(d))
+		var asked []blobstore.Digest
+		for _, digest := range digests {
+			if digest.Function == function {
+				asked = append(asked, digest)
 			}
 		}
-		if len(req.BlobDigests) == 0 {
+		if len(asked) == 0 {
 			continue
 		}
-		if err := o.p.call(metadata.AppendToOutgoingContext(ctx, lookMark, "1"), peerTime, func(ctx context.Context) error {
-			resp, err := o.p.cas.FindMissingBlobs(ctx, req)
-			for _, d := range resp.GetMissingBlobDigests() {
-				missing = append(missing, digestIn(function, d))
-			}
-			return err
-		}); err != nil {
+		lacked, err := r.peer.findMissing(ctx, peerTimeout, r.instances[space], asked)
+		if err != nil {
 			return nil, err
 		}
+		missing = append(missing, lacked...)
 	}
 	return missing, nil
 }
 
-// Push copies a blob to it.
-func (o *otherGate) Push(ctx context.Context, k blobstore.Key) error {
-	return o.p.call(ctx, transferTime(k.Size), func(ctx context.Context) error { return o.g.push(ctx, o.p, o.instances[k.Space], k) })
+// Push copies a blob to the peer.
+func (r *repairPeer) Push(ctx context.Context, key blobstore.Key) error {
+	return r.peer.call(ctx, transferTime(key.Size), func(ctx context.Context) error {
+		return r.frontEnd.copyTo(ctx, r.peer, r.instances[key.Space], key)
+	})
 }
--- a/internal/reapi/kills_test.go
+++ b/internal/reapi/restarts_test.go
@@ -28,12 +28,11 @@
 	"micaspindle/internal/protocol"
 )
 
-// killed is some gates that are killed and started again under a build, before a
-// stand-in of the cluster: its controllers are killed too, now and then all at once,
-// with answers lost to what they had accepted; its machines lose tasks, run them
-// again, and tell late, or never, what the lost ones came to. No two attempts make the
-// same output.
-type killed struct {
+// faultyGroup is a group of front ends that are killed and restarted during builds, with a
+// fake of the cluster: its controllers are at times all down, and their responses get lost
+// after they accepted a job; its machines lose tasks, run them again, and report the
+// results of lost attempts late or never. No two attempts produce the same output.
+type faultyGroup struct {
 	t      *testing.T
 	ctx    context.Context
 	addrs  []string
@@ -42,30 +41,30 @@
 	rng    *rand.Rand
 	live   []*grpc.Server
 	stores []*blobstore.Store
-	jobs   map[string]*killedJob
+	jobs   map[string]*faultyJob
 	runs   int
-	// down is until when no controller answers; downs counts these times, lost the
-	// answers that were lost, gone the machines that never told.
+	// down is until when no controller answers; downs counts these times, lost the lost
+	// responses, gone the machines that never reported.
 	down              time.Time
 	downs, lost, gone int
 	sweeps            []context.CancelFunc
-	conn              *grpc.ClientConn // of machines, to any gate
+	conn              *grpc.ClientConn // of machines, to any front end
 	wg                sync.WaitGroup
 }
 
-type killedJob struct{ left, tasks int }
+type faultyJob struct{ left, tasks int }
 
-func (k *killed) random(n int) int {
+func (k *faultyGroup) random(n int) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.rng.IntN(n)
 }
 
-// Submit runs each task of a job that is not known yet.
-func (k *killed) Submit(_ context.Context, _ string, s *protocol.Submission) (st protocol.JobStatus, err error) {
+// Submit runs the tasks of a job, once.
+func (k *faultyGroup) Submit(_ context.Context, _ string, s *protocol.Submission) (jobStatus protocol.JobStatus, err error) {
 	away, lost := k.away(), k.random(8) == 0
 	if away {
-		return st, &client.Refusal{Status: 503}
+		return jobStatus, &client.Refusal{Status: 503}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -75,19 +74,19 @@
 	}
 	if j := k.jobs[*s.ID]; j != nil {
 		if j.left == 0 {
-			st.Status = protocol.StatusDone
+			jobStatus.Status = protocol.StatusDone
 		}
-		return st, nil
+		return jobStatus, nil
 	}
-	k.jobs[*s.ID] = &killedJob{int(*s.Tasks), int(*s.Tasks)}
+	k.jobs[*s.ID] = &faultyJob{int(*s.Tasks), int(*s.Tasks)}
 	for i := range int(*s.Tasks) {
 		k.wg.Go(func() { k.machine(*s.ID, *s.Image, i) })
 	}
-	return st, nil
+	return jobStatus, nil
 }
 
-// away says whether no controller answers, and now and then kills them all.
-func (k *killed) away() bool {
+// away reports whether no controller answers, and at random takes all of them down.
+func (k *faultyGroup) away() bool {
 	kill, down := k.random(12) == 0, time.Duration(50+k.random(350))*time.Millisecond
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,8 +97,8 @@
 	return time.Now().Before(k.down)
 }
 
-// Status tells how a job stands.
-func (k *killed) Status(_ context.Context, _, job string) (protocol.JobStatus, error) {
+// Status returns the status of a job.
+func (k *faultyGroup) Status(_ context.Context, _, job string) (protocol.JobStatus, error) {
 	if k.away() {
 		return protocol.JobStatus{}, &client.Refusal{Status: 503}
 	}
@@ -115,11 +114,11 @@
 	return protocol.JobStatus{ID: job, Status: protocol.StatusRunning}, nil
 }
 
-// Withdraw does nothing: no client of these goes for good.
-func (k *killed) Withdraw(context.Context, string, string) error { return nil }
+// Withdraw does nothing: no client of this test leaves for good.
+func (k *faultyGroup) Withdraw(context.Context, string, string) error { return nil }
 
-// machine runs a task, once or, when the first attempt is lost, again.
-func (k *killed) machine(job, image string, index int) {
+// machine runs a task, and again if the first attempt is lost.
+func (k *faultyGroup) machine(job, image string, index int) {
 	again := k.random(4) == 0
 	if again {
 		late := time.Duration(k.random(120)) * time.Millisecond
@@ -138,8 +137,9 @@
 	k.mu.Unlock()
 }
 
-// attempt does what a worker does, at whichever gate answers, until it is told.
-func (k *killed) attempt(image string, index int, which string, late time.Duration) {
+// attempt does what a worker does, at whichever front end answers, until the result is
+// recorded.
+func (k *faultyGroup) attempt(image string, index int, which string, late time.Duration) {
 	ctx := metadata.AppendToOutgoingContext(k.ctx, WorkerMark, "1")
 	cas, ac := repb.NewContentAddressableStorageClient(k.conn), repb.NewActionCacheClient(k.conn)
 	manifest, instance, _ := ParseImage(image)
@@ -152,9 +152,9 @@
 		}
 		return false
 	}
-	var e ManifestEntry
+	var entry ManifestEntry
 	if !persist(func() error {
-		resp, err := cas.BatchReadBlobs(ctx, &repb.BatchReadBlobsRequest{InstanceName: instance, Digests: []*repb.Digest{wire(manifest)}})
+		resp, err := cas.BatchReadBlobs(ctx, &repb.BatchReadBlobsRequest{InstanceName: instance, Digests: []*repb.Digest{digestToProto(manifest)}})
 		if err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 		}
 		m, err := ParseManifest(resp.Responses[0].Data)
 		if err == nil {
-			e = m.Tasks[index]
+			entry = m.Tasks[index]
 		}
 		return err
 	}) {
@@ -172,9 +172,9 @@
 	time.Sleep(time.Duration(k.random(30)) * time.Millisecond)
 	k.mu.Lock()
 	k.runs++
-	output := fmt.Appendf(nil, "%s %s of %s %d %d", e.Execution, which, image, index, k.runs)
+	output := fmt.Appendf(nil, "%s %s of %s %d %d", entry.Execution, which, image, index, k.runs)
 	k.mu.Unlock()
-	out := wire(blobstore.Of(output))
+	out := digestToProto(blobstore.Of(output))
 	persist(func() error {
 		resp, err := cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{InstanceName: instance,
 			Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: out, Data: output}}})
@@ -184,19 +184,19 @@
 		return status.ErrorProto(resp.Responses[0].Status)
 	})
 	time.Sleep(late)
-	ctx = metadata.AppendToOutgoingContext(ctx, ExecutionMark, e.Execution)
+	ctx = metadata.AppendToOutgoingContext(ctx, ExecutionMark, entry.Execution)
 	persist(func() error {
-		_, err := ac.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: instance, ActionDigest: &repb.Digest{Hash: e.Hash, SizeBytes: e.Size},
+		_, err := ac.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: instance, ActionDigest: &repb.Digest{Hash: entry.Hash, SizeBytes: entry.Size},
 			ActionResult: &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "out", Digest: out}}}})
 		return err
 	})
 }
 
-// begin starts a gate on what its folder holds.
-func (k *killed) begin(i int) {
+// begin starts a front end with the state in its directory.
+func (k *faultyGroup) begin(i int) {
 	var l net.Listener
 	var err error
-	for range 100 { // the port may still be held by the one before
+	for range 100 { // the process before may still hold the port
 		if l, err = net.Listen("tcp", k.addrs[i]); err == nil {
 			break
 		}
@@ -234,11 +234,11 @@
 	believe := func(context.Context) bool { return true }
 	config.IsPeer, config.IsWorker = believe, believe
 	quiet := slog.New(slog.DiscardHandler)
-	g := New(config, store, results, everyone{}, NewPeers(2, others, quiet), k, quiet)
-	server := g.Server(grpc.WaitForHandlers(true)) // a process leaves no calls behind
+	f := New(config, store, results, everyone{}, NewPeers(2, others, quiet), k, quiet)
+	server := f.Server(grpc.WaitForHandlers(true)) // a killed process leaves no calls behind
 	sweep, cancel := context.WithCancel(k.ctx)
 	over := make(chan struct{})
-	go func() { defer close(over); g.Sweep(sweep, time.Minute) }()
+	go func() { defer close(over); f.Sweep(sweep, time.Minute) }()
 	k.mu.Lock()
 	k.sweeps[i] = func() { cancel(); <-over }
 	k.live[i], k.stores[i] = server, store
@@ -246,17 +246,16 @@
 	go func() { _ = server.Serve(l) }()
 }
 
-func (k *killed) kill(i int) {
+func (k *faultyGroup) kill(i int) {
 	k.live[i].Stop()
 	k.sweeps[i]()
 	_ = k.stores[i].Close()
 }
 
-// Gates are killed at random moments while several clients build overlapping things.
-// Afterwards, by the public API only: every client was told the same result of the
-// same action, it is the one on record at every gate, its blobs are there, and the
-// other team sees none of it. More seeds: KILL_SEEDS=200 go test -run TestGatesThroughKills ./internal/reapi
-func TestGatesThroughKills(t *testing.T) {
+// Front ends are killed at random moments while several clients build overlapping sets of
+// actions. Afterwards, by the public API only: every client got the same result of the same
+// action, every front end has that result, its blobs exist, and the other team sees none. More seeds: KILL_SEEDS=200 go test -run TestGatesThroughKills ./internal/reapi
+func TestRestartsUnderBuilds(t *testing.T) {
 	seeds := 6
 	if text := os.Getenv("KILL_SEEDS"); text != "" {
 		var err error
@@ -267,18 +266,18 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			throughKills(t, uint64(seed))
+			testRestarts(t, uint64(seed))
 		})
 	}
 }
 
-func throughKills(t *testing.T, seed uint64) {
+func testRestarts(t *testing.T, seed uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	k := &killed{t: t, ctx: ctx, rng: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*killedJob{}, live: make([]*grpc.Server, 3), stores: make([]*blobstore.Store, 3), sweeps: make([]context.CancelFunc, 3)}
+	k := &faultyGroup{t: t, ctx: ctx, rng: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*faultyJob{}, live: make([]*grpc.Server, 3), stores: make([]*blobstore.Store, 3), sweeps: make([]context.CancelFunc, 3)}
 	for i := range 3 {
-		// An address of its own, so that no connection is given the port of a gate
-		// that is down.
+		// An address of its own, so that no connection gets the port of a front end that
+		// is down.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 10+seed/250, seed%250+1, i+1))
 		if err != nil {
 			t.Fatal(err)
@@ -341,7 +340,7 @@
 			}
 			defer conn.Close() //nolint:errcheck // the build is over
 			b := buildtool.New(conn, "")
-			for len(mine) > 0 { // in parts, so that builds overlap in time
+			for len(mine) > 0 { // in several builds, so that clients overlap in time
 				part := mine[:min(len(mine), 5)]
 				mine = mine[len(part):]
 				r, err := b.Build(ctx, part, nil)
@@ -366,7 +365,7 @@
 	if t.Failed() {
 		return
 	}
-	time.Sleep(1500 * time.Millisecond) // until the gates reach each other again
+	time.Sleep(1500 * time.Millisecond) // until the front ends reach each other again
 	told := map[string]*repb.Digest{}
 	for c, r := range reports {
 		if r == nil {
@@ -374,7 +373,7 @@
 		}
 		for name, d := range r.Outputs {
 			if told[name] != nil && !proto.Equal(told[name], d) {
-				t.Errorf("seed %d: client %d was told another result of action %s", seed, c, name)
+				t.Errorf("seed %d: client %d got another result of action %s", seed, c, name)
 			}
 			told[name] = d
 		}
@@ -397,10 +396,10 @@
 		}
 		for name, d := range told {
 			if !proto.Equal(r.Outputs[name], d) {
-				t.Errorf("seed %d: gate %d has another result of action %s on record than was told", seed, i, name)
+				t.Errorf("seed %d: front end %d has another result of action %s than a client got", seed, i, name)
 			}
 			if _, err := b.Read(ctx, d); err != nil {
-				t.Errorf("seed %d: the output of action %s at gate %d: %v", seed, name, i, err)
+				t.Errorf("seed %d: the output of action %s at front end %d: %v", seed, name, i, err)
 			}
 			resp, err := repb.NewContentAddressableStorageClient(conn).BatchReadBlobs(ctx, &repb.BatchReadBlobsRequest{InstanceName: "a/b", Digests: []*repb.Digest{d}})
 			if err != nil || codes.Code(resp.Responses[0].Status.GetCode()) != codes.NotFound {
@@ -408,9 +407,9 @@
 			}
 		}
 		if r.Cached != len(nodes) {
-			t.Errorf("seed %d: %d of %d actions come from the cache of gate %d", seed, r.Cached, len(nodes), i)
+			t.Errorf("seed %d: %d of %d actions come from the cache of front end %d", seed, r.Cached, len(nodes), i)
 		}
 	}
-	t.Logf("%d kills of gates, %d of all controllers, %d answers of theirs lost, %d machines gone for good, %d actions of %d clients, %d runs",
+	t.Logf("%d kills of front ends, %d of all controllers, %d responses of theirs lost, %d machines gone for good, %d actions of %d clients, %d runs",
 		kills, k.downs, k.lost, k.gone, len(told), len(reports), k.runs)
 }
--- /dev/null
+++ b/internal/reapi/resultlookup.go
@@ -0,0 +1,103 @@
+package reapi
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"micaspindle/internal/reapi/inspection"
+)
+
+const (
+	// lookupInterval is how often peers are asked for awaited results.
+	lookupInterval = 250 * time.Millisecond
+	// maxLookupsPerCall is how many executions are asked about in one call.
+	maxLookupsPerCall = 5000
+)
+
+// resultLookup is an execution whose result is awaited here.
+type resultLookup struct {
+	instance, execution string
+	waiting             int // calls
+	// found is closed once a peer said that it has the result.
+	found chan struct{}
+}
+
+// startLookup makes peers be asked for a task's result.
+func (f *FrontEnd) startLookup(t *task) *resultLookup {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	key := t.instance + "/" + t.entry.Execution
+	lookup := f.executions.lookups[key]
+	if lookup == nil {
+		lookup = &resultLookup{instance: t.instance, execution: t.entry.Execution, found: make(chan struct{})}
+		f.executions.lookups[key] = lookup
+	}
+	lookup.waiting++
+	return lookup
+}
+
+// endLookup ends the lookup for one of the calls that share it.
+func (f *FrontEnd) endLookup(lookup *resultLookup) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	key := lookup.instance + "/" + lookup.execution
+	if lookup.waiting--; lookup.waiting == 0 && f.executions.lookups[key] == lookup {
+		delete(f.executions.lookups, key)
+	}
+}
+
+// lookUpAtPeers asks the peers which of the results that are awaited here they have.
+func (f *FrontEnd) lookUpAtPeers(ctx context.Context) {
+	if f.peers == nil {
+		return
+	}
+	executions := map[string][]string{} // by instance
+	f.executions.mu.Lock()
+	for _, lookup := range f.executions.lookups {
+		executions[lookup.instance] = append(executions[lookup.instance], lookup.execution)
+	}
+	f.executions.mu.Unlock()
+	for _, p := range f.peers.available("") {
+		for _, instance := range slices.Sorted(maps.Keys(executions)) {
+			f.lookUpAt(ctx, p, instance, executions[instance])
+		}
+	}
+}
+
+// lookUpAt asks one peer for results and wakes the calls that wait for those it has. A
+// peer of a version without this call counts as having all: the calls ask it themselves.
+func (f *FrontEnd) lookUpAt(ctx context.Context, p *peer, instance string, executions []string) {
+	for some := range slices.Chunk(executions, maxLookupsPerCall) {
+		var reply *inspection.KnownReply
+		err := p.call(ctx, peerTimeout, func(ctx context.Context) (err error) {
+			reply, err = p.service.Known(ctx, &inspection.KnownRequest{Instance: instance, Executions: some})
+			return err
+		})
+		if status.Code(err) == codes.Unimplemented {
+			reply, err = &inspection.KnownReply{Executions: some}, nil
+		}
+		if err != nil {
+			f.log.Debug("lookup of results at peer failed", "peer", p.addr, "error", err)
+			return
+		}
+		f.wakeLookups(instance, reply.GetExecutions())
+	}
+}
+
+// wakeLookups wakes the calls that wait for executions whose results a peer has.
+func (f *FrontEnd) wakeLookups(instance string, executions []string) {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	for _, execution := range executions {
+		key := instance + "/" + execution
+		if lookup := f.executions.lookups[key]; lookup != nil {
+			delete(f.executions.lookups, key)
+			close(lookup.found)
+		}
+	}
+}
--- /dev/null
+++ b/internal/reapi/startrecord.go
@@ -0,0 +1,63 @@
+package reapi
+
+import (
+	"context"
+	"encoding/json"
+	"micaspindle/internal/blobstore"
+
+	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+)
+
+// startRecord says which task an execution became. It is stored like an action result,
+// so that every front end finds a running execution and does not start it again.
+type startRecord struct {
+	Job   string `json:"job"`
+	Index int    `json:"index"`
+	// Queued is when the action arrived, in Unix milliseconds.
+	Queued int64 `json:"queued,omitempty"`
+}
+
+// saveStartRecord stores which task an execution became, here and at peers.
+func (f *FrontEnd) saveStartRecord(ctx context.Context, t *task, record startRecord) error {
+	raw, err := json.Marshal(record)
+	if err != nil {
+		return err
+	}
+	note, err := anypb.New(wrapperspb.String(string(raw)))
+	if err != nil {
+		return err
+	}
+	r := &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{note}}}
+	body, err := proto.Marshal(r)
+	if err != nil {
+		return err
+	}
+	key := startRecordKey(t.entry.Execution)
+	if err := f.results.Put(t.space, key, body); err != nil {
+		return err
+	}
+	f.replicateResult(ctx, t.instance, key, r)
+	return nil
+}
+
+// findStartRecord returns which task an execution became, nil if no front end knows.
+func (f *FrontEnd) findStartRecord(ctx context.Context, instance, space, execution string) *startRecord {
+	key := startRecordKey(execution)
+	r := f.findResult(ctx, instance, space, key)
+	for _, a := range r.GetExecutionMetadata().GetAuxiliaryMetadata() {
+		var text wrapperspb.StringValue
+		var record startRecord
+		if a.UnmarshalTo(&text) == nil && json.Unmarshal([]byte(text.GetValue()), &record) == nil && record.Job != "" {
+			return &record
+		}
+	}
+	return nil
+}
+
+// startRecordKey is the key of an execution's start record in the store of results.
+func startRecordKey(execution string) blobstore.Digest {
+	return blobstore.Of([]byte("started\x00" + execution))
+}
--- /dev/null
+++ b/internal/reapi/submitqueue.go
@@ -0,0 +1,180 @@
+package reapi
+
+import (
+	"slices"
+	"time"
+
+	"micaspindle/internal/admission"
+	"micaspindle/internal/protocol"
+)
+
+// The cluster runs a team's jobs of one urgency in the order of submission, whoever
+// submitted them. So batches wait here once enough of the team's actions wait for a
+// machine there, and the team's clients take turns (admission.Next). The number of
+// actions that wait in the cluster is what was submitted, less the results received
+// and less what was running at the last status request.
+
+// queueKey identifies jobs that the cluster runs in their order of submission.
+type queueKey struct{ space, urgency string }
+
+// submitQueue holds the batches of one key that are ready to be submitted, oldest first.
+type submitQueue struct {
+	ready  []*batch
+	served admission.Meter
+}
+
+// submittedJob is a job in the cluster that this front end submitted.
+type submittedJob struct {
+	queue  queueKey
+	client string
+	// unfinished counts the tasks without a result; running counts those of them that
+	// were running at the last status request.
+	tasks, unfinished, running int
+}
+
+// enqueueBatch queues a batch that gathers no more actions. executions.mu is held.
+func (f *FrontEnd) enqueueBatch(b *batch) {
+	if b.queued {
+		return
+	}
+	b.queued = true
+	key := b.queueKey()
+	queue := f.executions.queues[key]
+	if queue == nil {
+		queue = new(submitQueue)
+		f.executions.queues[key] = queue
+	}
+	queue.ready = append(queue.ready, b)
+	f.submitReady(key, time.Now())
+}
+
+// submitReady submits the batches of a queue that the window admits now.
+// executions.mu is held.
+func (f *FrontEnd) submitReady(key queueKey, now time.Time) {
+	queue := f.executions.queues[key]
+	if queue == nil || len(queue.ready) == 0 {
+		return
+	}
+	ahead, running := f.executions.load(key)
+	window := f.config.Shares.Ahead.Window(queue.served.PerSecond(now), running)
+	for len(queue.ready) > 0 {
+		waiting := make([]admission.Lot, len(queue.ready))
+		for i, b := range queue.ready {
+			waiting[i] = admission.Lot{Client: b.client(), Size: len(b.tasks)}
+		}
+		next := admission.Next(window, ahead, waiting)
+		if next < 0 {
+			return
+		}
+		b := queue.ready[next]
+		queue.ready = append(queue.ready[:next:next], queue.ready[next+1:]...)
+		ahead[b.client()] += len(b.tasks)
+		if f.executions.batches[b.key] == b {
+			delete(f.executions.batches, b.key)
+		}
+		b.submitted = true
+		f.executions.submitting[b] = true
+		go f.submitBatch(b)
+	}
+}
+
+// load returns how many actions of a queue wait for a machine in the cluster, by client,
+// and how many run there. The lock is held.
+func (e *executions) load(key queueKey) (ahead map[string]int, running int) {
+	ahead = map[string]int{}
+	for _, job := range e.submitted {
+		if job.queue == key {
+			runningTasks := min(job.unfinished, job.running)
+			ahead[job.client] += job.unfinished - runningTasks
+			running += runningTasks
+		}
+	}
+	for b := range e.submitting {
+		if b.queueKey() == key {
+			ahead[b.client()] += len(b.tasks)
+		}
+	}
+	return ahead, running
+}
+
+// trackJob counts the job of a batch that is about to be submitted. executions.mu is held.
+func (f *FrontEnd) trackJob(job string, b *batch) {
+	delete(f.executions.submitting, b)
+	if f.executions.submitted[job] == nil {
+		f.executions.submitted[job] = &submittedJob{queue: b.queueKey(), client: b.client(), tasks: len(b.tasks), unfinished: len(b.tasks)}
+	}
+}
+
+// countResult counts a received result of a job. executions.mu is held.
+func (f *FrontEnd) countResult(id string, now time.Time) {
+	job := f.executions.submitted[id]
+	if job == nil {
+		return
+	}
+	if queue := f.executions.queues[job.queue]; queue != nil {
+		queue.served.Add(now, 1)
+	}
+	job.running = max(0, job.running-1)
+	if job.unfinished--; job.unfinished <= 0 {
+		delete(f.executions.submitted, id)
+	}
+	f.submitReady(job.queue, now)
+}
+
+// updateJob applies a job's status as the controllers report it. executions.mu is held.
+func (f *FrontEnd) updateJob(id string, jobStatus protocol.JobStatus) {
+	job := f.executions.submitted[id]
+	if job == nil {
+		return
+	}
+	job.running, job.unfinished = jobStatus.Running, min(job.unfinished, job.tasks-jobStatus.Done)
+	if jobStatus.Ended() {
+		delete(f.executions.submitted, id)
+	}
+	f.submitReady(job.queue, time.Now())
+}
+
+// untrackJob stops counting a job that is not in the cluster. executions.mu is held.
+func (f *FrontEnd) untrackJob(id string) {
+	if job := f.executions.submitted[id]; job != nil {
+		delete(f.executions.submitted, id)
+		f.submitReady(job.queue, time.Now())
+	}
+}
+
+// abandonTask removes a task that nobody waits for from its batch and reports whether
+// it could: not once the batch is being submitted. executions.mu is held.
+func (f *FrontEnd) abandonTask(t *task) bool {
+	b := t.batch
+	if b == nil || b.submitted {
+		return false
+	}
+	b.tasks = without(b.tasks, t)
+	delete(f.executions.running, t.key())
+	if ledger := f.config.Shares.Waiting; ledger != nil {
+		ledger.Give(t.space, t.client, 1)
+	}
+	if len(b.tasks) > 0 {
+		return true
+	}
+	b.submitted = true
+	b.timer.Stop()
+	if f.executions.batches[b.key] == b {
+		delete(f.executions.batches, b.key)
+	}
+	if queue := f.executions.queues[queueKey{t.space, b.key.requirements.urgency}]; queue != nil {
+		queue.ready = without(queue.ready, b)
+	}
+	return true
+}
+
+// without returns a list without one of its elements, in a new array.
+func without[T comparable](list []T, element T) []T {
+	if i := slices.Index(list, element); i >= 0 {
+		return append(list[:i:i], list[i+1:]...)
+	}
+	return list
+}
+
+func (b *batch) queueKey() queueKey { return queueKey{b.tasks[0].space, b.key.requirements.urgency} }
+func (b *batch) client() string     { return b.tasks[0].client }
--- a/internal/reapi/ahead_test.go
+++ b/internal/reapi/submitqueue_test.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// execution asks for an action and ends with its first answer or its context.
+// execution requests an action and returns with its first response or its context.
 func (b *build) execution(ctx context.Context, action *repb.Digest) (repb.Execution_ExecuteClient, error) {
 	s, err := repb.NewExecutionClient(b.conn).Execute(ctx, &repb.ExecuteRequest{ActionDigest: action})
 	if err != nil {
@@ -31,10 +31,10 @@
 	return out
 }
 
-// One client floods; another one of the team comes later, and his job is in the
-// cluster before all but a window of the flood. What the first gives up on meanwhile
-// never gets there.
-func TestAnotherClientOfTheTeam(t *testing.T) {
+// One client submits many actions. The job of another client of the team that comes later
+// is submitted before all but a window of these. Actions that the first client cancels
+// meanwhile are never submitted.
+func TestClientsOfTeamTakeTurns(t *testing.T) {
 	config := oneTeam
 	config.GatherMost = 10
 	ledger, err := admission.NewLedger(1000, 500, []string{"red", "blue"}, nil)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	config.Shares = Shares{Waiting: ledger, Ahead: admission.Ahead{Least: 30, For: time.Second}}
-	b, g, jobs := startExecuting(t, config)
+	b, f, jobs := startExecuting(t, config)
 	anna, bert := b.as("Bearer anna"), b.as("Bearer bert")
 	flood, end := context.WithCancel(anna.ctx)
 	defer end()
@@ -68,7 +68,7 @@
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
-	// Lots may be small where the machine is slow: the window is of tasks.
+	// Batches may be small on a slow machine: the window is of tasks.
 	sum := *next().Tasks
 	for waiting := true; waiting; {
 		select {
@@ -89,8 +89,8 @@
 		t.Errorf("a job of %d tasks instead", *s.Tasks)
 	}
 	quiet()
-	// His result is no place for the flood; one of the flood's is.
-	g.result(t, own)
+	// The second client's result admits no action of the first.
+	f.result(t, own)
 	if held := ledger.Held()["red"]; held != float64(200-sum) {
 		t.Errorf("%v actions wait, %d are submitted", held, sum)
 	}
@@ -98,23 +98,23 @@
 	wg.Wait()
 	for deadline := time.Now().Add(5 * time.Second); ledger.Held()["red"] > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%v actions that nobody waits for keep their places", ledger.Held()["red"])
+			t.Fatalf("%v actions that nobody waits for occupy the queue", ledger.Held()["red"])
 		}
 	}
 	quiet()
-	g.gather.mu.Lock()
-	defer g.gather.mu.Unlock()
-	if len(g.gather.lots) > 0 || len(g.gather.running) > int(sum)+1 {
-		t.Errorf("%d lots and %d tasks are left", len(g.gather.lots), len(g.gather.running))
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	if len(f.executions.batches) > 0 || len(f.executions.running) > int(sum)+1 {
+		t.Errorf("%d batches and %d tasks are left", len(f.executions.batches), len(f.executions.running))
 	}
 }
 
-// What was served makes room for what waits; what the controllers say runs does too.
-func TestTheWindowMoves(t *testing.T) {
+// Received results and running tasks both admit further actions.
+func TestSubmissionWindow(t *testing.T) {
 	config := oneTeam
-	config.GatherMost, config.GatherFor = 10, time.Hour // lots are full, however slow the machine
+	config.GatherMost, config.GatherFor = 10, time.Hour // batches are full, however slow the machine
 	config.Shares.Ahead = admission.Ahead{Least: 10, For: time.Millisecond}
-	b, g, jobs := startExecuting(t, config)
+	b, f, jobs := startExecuting(t, config)
 	b = b.as("Bearer anna")
 	actions := manyActions(b, "a", 40)
 	for _, a := range actions {
@@ -131,17 +131,17 @@
 		t.Fatal("the window is passed over")
 	case <-time.After(300 * time.Millisecond):
 	}
-	// All of the job's tasks run, which its status says within two seconds.
+	// All tasks of the job run, as its status shows within two seconds.
 	jobs.mu.Lock()
 	jobs.runs = map[string]int{*s.ID: 10}
 	jobs.mu.Unlock()
 	select {
 	case s = <-jobs.submitted:
-	case <-time.After(2*statusEvery + time.Second):
+	case <-time.After(2*statusInterval + time.Second):
 		t.Fatal("what runs is no room")
 	}
-	// Its results come.
-	raw, err := g.store.Read(manifestKey(t, s), maxTreeNode)
+	// Its results arrive.
+	raw, err := f.store.Read(manifestKey(t, s), maxTreeNode)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	for i := range m.Tasks {
-		if _, err := g.RecordResult(b.ctx, "", "red", &m.Tasks[i], &repb.ActionResult{}, true); err != nil {
+		if _, err := f.RecordResult(b.ctx, "", "red", &m.Tasks[i], &repb.ActionResult{}, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -161,8 +161,8 @@
 	}
 }
 
-// However many wait for a job's tasks, the controllers are asked once in a while.
-func TestManyWaitOneAsks(t *testing.T) {
+// However many calls wait for a job's tasks, its status is requested once per interval.
+func TestStatusIsRequestedOnce(t *testing.T) {
 	b, _, jobs := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
 	if _, err := b.execution(b.ctx, b.action("alone")); err != nil {
@@ -179,7 +179,7 @@
 		})
 	}
 	wg.Wait()
-	time.Sleep(2*statusEvery + statusEvery/2)
+	time.Sleep(2*statusInterval + statusInterval/2)
 	jobs.mu.Lock()
 	defer jobs.mu.Unlock()
 	asked := 0
@@ -188,12 +188,12 @@
 			asked++
 		}
 	}
-	if most := 2 * (int(time.Since(begun)/statusEvery) + 1); asked == 0 || asked > most {
+	if most := 2 * (int(time.Since(begun)/statusInterval) + 1); asked == 0 || asked > most {
 		t.Errorf("asked %d times for two jobs, at most %d", asked, most)
 	}
 }
 
-// manifestKey is where a job's manifest lies.
+// manifestKey returns the key of a job's manifest.
 func manifestKey(t *testing.T, s *protocol.Submission) blobstore.Key {
 	t.Helper()
 	d, _, ok := ParseImage(*s.Image)
@@ -203,15 +203,15 @@
 	return blobstore.Key{Space: "red", Digest: d}
 }
 
-// Who waits at a gate that keeps no copy of the result is told it within a moment:
-// the other gate is asked, in one call for all.
-func TestResultsOfOtherGatesAreFound(t *testing.T) {
+// A client that waits at a front end without a copy of the result gets it soon: the peer is
+// asked, in one call for all executions.
+func TestLookupOfPeerResults(t *testing.T) {
 	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
-	s := startSeveralWith(t, 2, 1, jobs)
+	s := startGroupWith(t, 2, 1, jobs)
 	ctx, cancel := context.WithCancel(s.clients[0].ctx)
 	defer cancel()
-	for _, g := range s.gates {
-		go g.Sweep(ctx, time.Minute)
+	for _, f := range s.frontEnds {
+		go f.Sweep(ctx, time.Minute)
 	}
 	b := s.clients[1].as("Bearer anna")
 	const n = 50
@@ -225,7 +225,7 @@
 		waits = append(waits, w)
 	}
 	for _, a := range actions {
-		s.gates[0].result(t, a)
+		s.frontEnds[0].result(t, a)
 	}
 	begun := time.Now()
 	for _, w := range waits {
@@ -242,9 +242,9 @@
 	if took := time.Since(begun); took > 3*time.Second {
 		t.Errorf("found after %s", took)
 	}
-	s.gates[1].gather.mu.Lock()
-	defer s.gates[1].gather.mu.Unlock()
-	if len(s.gates[1].gather.seekers) > 0 {
-		t.Errorf("%d are still sought", len(s.gates[1].gather.seekers))
+	s.frontEnds[1].executions.mu.Lock()
+	defer s.frontEnds[1].executions.mu.Unlock()
+	if len(s.frontEnds[1].executions.lookups) > 0 {
+		t.Errorf("%d lookups are left", len(s.frontEnds[1].executions.lookups))
 	}
 }
--- a/internal/reapi/uploads.go
+++ b/internal/reapi/uploads.go
@@ -16,85 +16,92 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// A write that broke may be gone on with: at this gate, also when it was killed and
-// started again meanwhile, or at another one, which then fetches what has come
-// here. What comes compressed is kept as it came, and unpacked at the end.
+// An interrupted write can be resumed: at this front end, also after a restart, or at a
+// peer, which then fetches what was received here. Compressed data is stored as it
+// arrives and decompressed at the end.
 
-// uploads are writes that may be resumed, by their team and resource names.
+// uploads are the writes in progress and the interrupted ones, by uploadKey.
 type uploads struct {
 	mu   sync.Mutex
-	open map[string]*partial
+	open map[string]*pendingUpload
 }
 
-// partial is a write that has begun. One call at a time has it.
-type partial struct {
+// pendingUpload is a write that has begun. One call at a time owns it.
+type pendingUpload struct {
 	busy bool
-	last time.Time
+	last time.Time // when a call last released it
 	key  blobstore.Key
-	// One of the two takes the bytes.
+	// One of the two receives the bytes: upload if they are the blob's, packed if they
+	// are compressed.
 	upload *blobstore.Upload
 	packed *blobstore.Spool
-	// received is how many bytes have come, compressed or not.
+	// received is how many bytes have arrived, compressed or not.
 	received atomic.Int64
 }
 
 const (
+	// maxUploads bounds the writes in progress and the interrupted ones.
 	maxUploads = 1024
-	// resumeFor is how long a broken write may be gone on with.
+	// resumeFor is how long an interrupted write can be resumed.
 	resumeFor = 5 * time.Minute
+	// expansionDivisor bounds how much compression may enlarge a blob: data that does not
+	// compress grows by a few bytes per block.
+	expansionDivisor = 128
 )
 
-// expire drops broken writes that nobody goes on with, with the lock held.
+// expire discards interrupted writes that were not resumed in time. The lock is held.
 func (u *uploads) expire(now time.Time) {
-	for n, p := range u.open {
-		if !p.busy && now.Sub(p.last) > resumeFor {
-			p.drop()
-			delete(u.open, n)
+	for name, upload := range u.open {
+		if !upload.busy && now.Sub(upload.last) > resumeFor {
+			upload.discard()
+			delete(u.open, name)
 		}
 	}
 }
 
+// sweep discards interrupted writes that were not resumed in time.
 func (u *uploads) sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.expire(now)
 }
 
-// take gives a write to a call, begun if there is none.
-func (u *uploads) take(name string, begin func() (*partial, error)) (*partial, error) {
+// take makes the caller the owner of a write, which begin opens if there is none.
+func (u *uploads) take(name string, begin func() (*pendingUpload, error)) (*pendingUpload, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.expire(time.Now())
-	p := u.open[name]
-	if p != nil && p.busy {
+	upload := u.open[name]
+	if upload != nil && upload.busy {
 		return nil, status.Error(codes.Aborted, "another call writes this upload")
 	}
-	if p == nil {
+	if upload == nil {
 		if len(u.open) >= maxUploads {
 			return nil, retryLater(codes.ResourceExhausted, time.Second, "%d uploads are under way", maxUploads)
 		}
 		var err error
-		if p, err = begin(); err != nil {
+		if upload, err = begin(); err != nil {
 			return nil, failure(err)
 		}
-		u.open[name] = p
+		u.open[name] = upload
 	}
-	p.busy = true
-	return p, nil
+	upload.busy = true
+	return upload, nil
 }
 
-// put back gives a write up; whether it may be resumed is for keep to say.
-func (u *uploads) putBack(name string, p *partial, keep bool) {
+// putBack ends the ownership of a write. keep says whether it can be resumed.
+func (u *uploads) putBack(name string, upload *pendingUpload, keep bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	p.busy, p.last = false, time.Now()
+	upload.busy, upload.last = false, time.Now()
 	if !keep {
-		p.drop()
+		upload.discard()
 		delete(u.open, name)
 	}
 }
 
-func (p *partial) drop() {
+// discard deletes what was received.
+func (p *pendingUpload) discard() {
 	if p.packed != nil {
 		p.packed.Drop()
 		return
@@ -102,32 +109,30 @@
 	p.upload.Abort()
 }
 
-// begin opens an upload under its name, or goes on with what a process before this
-// one has left of it.
-func (g *FrontEnd) begin(own string, k blobstore.Key, compressed bool) (*partial, error) {
-	p := &partial{key: k}
+// openUpload opens a write, with what an earlier process received of it.
+func (f *FrontEnd) openUpload(name string, key blobstore.Key, compressed bool) (*pendingUpload, error) {
+	upload := &pendingUpload{key: key}
 	var err error
 	if compressed {
-		// Data that does not shrink grows by a few bytes for each block of it.
-		if err := k.Check(); err != nil {
+		if err := key.Check(); err != nil {
 			return nil, err
 		}
-		if k.Size > g.config.MaxBlob {
+		if key.Size > f.config.MaxBlob {
 			return nil, blobstore.ErrTooLarge
 		}
-		if p.packed, err = g.store.Spool(own, k.Space, k.Size+k.Size/128+chunk); err == nil {
-			p.received.Store(p.packed.Size())
+		if upload.packed, err = f.store.Spool(name, key.Space, key.Size+key.Size/expansionDivisor+chunkSize); err == nil {
+			upload.received.Store(upload.packed.Size())
 		}
-		return p, err
+		return upload, err
 	}
-	if p.upload, err = g.store.Resume(own, k); err == nil {
-		p.received.Store(p.upload.Size())
+	if upload.upload, err = f.store.Resume(name, key); err == nil {
+		upload.received.Store(upload.upload.Size())
 	}
-	return p, err
+	return upload, err
 }
 
-// add takes bytes as they come.
-func (p *partial) add(data []byte) error {
+// add stores bytes as they arrive.
+func (p *pendingUpload) add(data []byte) error {
 	var to io.Writer = p.upload
 	if p.packed != nil {
 		to = p.packed
@@ -137,137 +142,108 @@
 	return err
 }
 
-// finish checks and commits. Without room to unpack in, the write may be finished
-// again later.
-func (p *partial) finish(store *blobstore.Store) error {
+// finish verifies the blob and commits it. If the store has no room to decompress it, the
+// write can be finished again later.
+func (p *pendingUpload) finish(store *blobstore.Store) error {
 	if p.packed == nil {
 		return p.upload.Commit()
 	}
-	u, err := store.Create(p.key)
+	upload, err := store.Create(p.key)
 	if err != nil {
 		return err
 	}
-	defer u.Abort()
-	dec, err := zstd.NewReader(p.packed.Reader(), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxWindow(maxWindow))
+	defer upload.Abort()
+	decoder, err := zstd.NewReader(p.packed.Reader(), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxWindow(maxWindow))
 	if err != nil {
 		return errors.Join(blobstore.ErrMismatch, err)
 	}
-	defer dec.Close()
-	if _, err := io.CopyBuffer(struct{ io.Writer }{u}, struct{ io.Reader }{dec}, make([]byte, chunk)); err != nil {
+	defer decoder.Close()
+	if err := copyChunks(upload, decoder); err != nil {
 		if !errors.Is(err, blobstore.ErrMismatch) {
 			err = errors.Join(blobstore.ErrMismatch, err)
 		}
 		return err
 	}
-	return u.Commit()
+	return upload.Commit()
 }
 
-// ownName is an upload's name among those of all teams.
-func ownName(space, resource string) string { return space + "\x00" + resource }
+// copyChunks copies with a buffer of chunkSize. It hides ReaderFrom and WriterTo, which
+// would choose chunks of their own.
+func copyChunks(to io.Writer, from io.Reader) error {
+	_, err := io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, chunkSize))
+	return err
+}
+
+// uploadKey is the key of a write among those of all teams.
+func uploadKey(space, resource string) string { return space + "\x00" + resource }
 
-// begun says how much of a write has come here.
-func (g *FrontEnd) begun(own string) int64 {
-	g.uploads.mu.Lock()
-	defer g.uploads.mu.Unlock()
-	if p := g.uploads.open[own]; p != nil {
-		if p.busy {
+// receivedHere returns how many bytes of a write were received here; 0 while a call is
+// writing it.
+func (f *FrontEnd) receivedHere(key string) int64 {
+	f.uploads.mu.Lock()
+	defer f.uploads.mu.Unlock()
+	if upload := f.uploads.open[key]; upload != nil {
+		if upload.busy {
 			return 0
 		}
-		return p.received.Load()
+		return upload.received.Load()
 	}
-	return g.store.Begun(own)
+	return f.store.Begun(key)
 }
 
-// begunElsewhere asks the other gates how much of a write has come there; nil:
-// nothing, at those that answer. sure says whether all did.
-func (g *FrontEnd) begunElsewhere(ctx context.Context, instance, resource string) (at *peerGate, size int64, sure bool) {
+// receivedElsewhere asks the peers how many bytes of a write they received and returns the
+// one with the most, nil if none has any. sure says that all peers answered.
+func (f *FrontEnd) receivedElsewhere(ctx context.Context, instance, resource string) (at *peer, size int64, sure bool) {
 	sure = true
-	if g.peers == nil || g.fromPeer(ctx) {
+	if f.peers == nil || f.fromPeer(ctx) {
 		return nil, 0, sure
 	}
-	for _, p := range g.peers.reach(resource) {
-		err := p.call(ctx, p.timeFor(peerTime), func(ctx context.Context) error {
-			s, err := p.mates.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Look: true})
+	for _, p := range f.peers.reachableFirst(resource) {
+		err := p.call(ctx, p.timeFor(peerTimeout), func(ctx context.Context) error {
+			stream, err := p.service.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Look: true})
 			if err != nil {
 				return err
 			}
-			first, err := s.Recv()
+			first, err := stream.Recv()
 			if err == nil && first.GetSize() > size {
 				at, size = p, first.GetSize()
 			}
 			return err
 		})
 		if err != nil {
-			g.log.Debug("peer not asked for a write", "peer", p.addr, "reason", err)
+			f.log.Debug("query for write at peer failed", "peer", p.addr, "error", err)
 			sure = false
 		}
 	}
 	return at, size, sure
 }
 
-// catchUp fetches from the gate where a write was begun what has come there, up to
-// where the client goes on with it here. If no gate has that much, the write's own
-// error will say so.
-func (g *FrontEnd) catchUp(ctx context.Context, instance, resource string, p *partial, to int64) error {
-	gone := retryLater(codes.Unavailable, time.Second, "the write was begun at a gate that does not answer now; ask how much of it has come")
-	from, size, sure := g.begunElsewhere(ctx, instance, resource)
-	if size < to {
+// fetchReceived fetches what a peer received of a write, up to the offset at which the
+// client resumes it here. If no peer received that much, it fetches nothing, and the
+// write fails by its offset.
+func (f *FrontEnd) fetchReceived(ctx context.Context, instance, resource string, upload *pendingUpload, offset int64) error {
+	unavailable := retryLater(codes.Unavailable, time.Second, "the write was begun at a front end that does not answer now; ask how much of it has come")
+	from, size, sure := f.receivedElsewhere(ctx, instance, resource)
+	if size < offset {
 		if sure {
 			return nil
 		}
-		return gone
-	}
-	err := from.call(ctx, transferTime(to), func(ctx context.Context) error {
-		s, err := from.mates.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Offset: p.received.Load()})
-		for err == nil && p.received.Load() < to {
-			var m *inspection.BegunReply
-			if m, err = s.Recv(); err == nil {
-				data := m.GetData()
-				err = p.add(data[:min(int64(len(data)), to-p.received.Load())])
+		return unavailable
+	}
+	err := from.call(ctx, transferTime(offset), func(ctx context.Context) error {
+		stream, err := from.service.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Offset: upload.received.Load()})
+		for err == nil && upload.received.Load() < offset {
+			var reply *inspection.BegunReply
+			if reply, err = stream.Recv(); err == nil {
+				data := reply.GetData()
+				err = upload.add(data[:min(int64(len(data)), offset-upload.received.Load())])
 			}
 		}
 		return err
 	})
 	if err != nil {
-		g.log.Info("write not gone on with", "peer", from.addr, "reason", err)
-		return gone
+		f.log.Info("resumption of write from peer failed", "peer", from.addr, "error", err)
+		return unavailable
 	}
 	return nil
 }
-
-// Begun tells another gate how much of a write has come here, and what.
-func (n neighbours) Begun(req *inspection.BegunRequest, out inspection.Neighbours_BegunServer) error {
-	ctx, g := out.Context(), n.g
-	if !g.fromPeer(ctx) {
-		return status.Error(codes.PermissionDenied, "gates ask this of each other only")
-	}
-	team, ok := g.config.Instances[req.GetInstance()]
-	if !ok || req.GetOffset() < 0 {
-		return status.Errorf(codes.InvalidArgument, "there is no instance %q, or the offset is below 0", clip(req.GetInstance()))
-	}
-	own := ownName(team, req.GetResource())
-	size := g.store.Begun(own)
-	if err := out.Send(&inspection.BegunReply{Size: size}); err != nil || req.GetLook() || size == 0 {
-		return err
-	}
-	r, err := g.store.ReadBegun(own, req.GetOffset())
-	if err != nil {
-		return failure(err)
-	}
-	defer r.Close() //nolint:errcheck // only read
-	buf := make([]byte, chunk)
-	for {
-		m, err := r.Read(buf)
-		if m > 0 {
-			if err := out.Send(&inspection.BegunReply{Size: size, Data: buf[:m]}); err != nil {
-				return err
-			}
-		}
-		if errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil {
-			return failure(err)
-		}
-	}
-}
--- a/internal/reapi/uploads_test.go
+++ b/internal/reapi/uploads_test.go
@@ -14,11 +14,11 @@
 	"micaspindle/internal/blobstore"
 )
 
-// kill ends a gate as kill -9 would and starts it again on what it has left, at its
-// address.
-func (s *several) kill(t *testing.T, i int) {
+// kill stops a front end as SIGKILL would and restarts it with the state that it left, at
+// the same address.
+func (s *group) kill(t *testing.T, i int) {
 	t.Helper()
-	old := s.gates[i]
+	old := s.frontEnds[i]
 	s.servers[i].Stop()
 	_ = s.stores[i].Close()
 	store, _, err := blobstore.Open(filepath.Join(s.dirs[i], "content"), roomy)
@@ -29,22 +29,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := New(old.config, store, results, everyone{}, old.peers, old.jobs, slog.New(slog.DiscardHandler))
+	f := New(old.config, store, results, everyone{}, old.peers, old.jobs, slog.New(slog.DiscardHandler))
 	l, err := net.Listen("tcp", old.config.Self)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := g.Server()
+	server := f.Server()
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { server.Stop(); _ = store.Close() })
-	s.gates[i], s.stores[i], s.servers[i] = g, store, server
+	s.frontEnds[i], s.stores[i], s.servers[i] = f, store, server
 }
 
-// A write that breaks is gone on with after its gate was killed, and at another
-// gate, compressed or not, with no byte sent twice.
-func TestWritesOutliveTheirGate(t *testing.T) {
+// An interrupted write is resumed after its front end was killed, and at a peer, compressed
+// or not, with no byte sent twice.
+func TestWritesSurviveRestart(t *testing.T) {
 	for _, compressed := range []bool{false, true} {
-		s := startSeveral(t, 2, 1)
+		s := startGroup(t, 2, 1)
 		data := random(2_500_000)
 		sent, kind := data, "blobs/"
 		if compressed {
@@ -60,11 +60,11 @@
 			return st.CommittedSize
 		}
 		a, b := s.clients[0], s.clients[1]
-		if _, err := a.upload(name, sent[:700_000], 0, chunk, false); err == nil {
+		if _, err := a.upload(name, sent[:700_000], 0, chunkSize, false); err == nil {
 			t.Fatal("an unfinished write was answered")
 		}
 		s.kill(t, 0)
-		for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // the connection comes back
+		for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // until the connection is back
 			if _, err := a.bytes.QueryWriteStatus(a.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name}); err == nil || time.Now().After(end) {
 				break
 			}
@@ -72,13 +72,13 @@
 		if n := status(a); n != 700_000 {
 			t.Fatalf("after a kill %d bytes are known", n)
 		}
-		if _, err := a.upload(name, sent[700_000:1_500_000], 700_000, chunk, false); err == nil {
+		if _, err := a.upload(name, sent[700_000:1_500_000], 700_000, chunkSize, false); err == nil {
 			t.Fatal("an unfinished write was answered")
 		}
 		if n := status(b); n != 1_500_000 {
-			t.Fatalf("another gate knows of %d bytes", n)
+			t.Fatalf("a peer knows of %d bytes", n)
 		}
-		if n, err := b.upload(name, sent[1_500_000:], 1_500_000, chunk, true); err != nil || n != int64(len(sent)) {
+		if n, err := b.upload(name, sent[1_500_000:], 1_500_000, chunkSize, true); err != nil || n != int64(len(sent)) {
 			t.Fatal(n, err)
 		}
 		got, err := a.download("blobs/"+blobstore.Of(data).String(), 0, 0)
@@ -88,22 +88,22 @@
 	}
 }
 
-// Who goes on at a gate while the one where he began is down is told to ask again;
-// with all gates there, an offset that nobody has is his own mistake.
-func TestAWriteWhoseGateIsDown(t *testing.T) {
-	s := startSeveral(t, 2, 1)
+// A client that resumes a write while the front end where it began is down is told to ask
+// for the offset again; with all front ends up, an offset that none has is its mistake.
+func TestResumptionWhileFrontEndIsDown(t *testing.T) {
+	s := startGroup(t, 2, 1)
 	data := random(1_000_000)
 	name := "uploads/u/blobs/" + blobstore.Of(data).String()
 	a, b := s.clients[0], s.clients[1]
-	if _, err := a.upload(name, data[:500_000], 0, chunk, false); err == nil {
+	if _, err := a.upload(name, data[:500_000], 0, chunkSize, false); err == nil {
 		t.Fatal("an unfinished write was answered")
 	}
-	_, err := b.upload(name, data[600_000:], 600_000, chunk, true)
+	_, err := b.upload(name, data[600_000:], 600_000, chunkSize, true)
 	b.code(err, codes.InvalidArgument)
 	s.servers[0].Stop()
-	_, err = b.upload(name, data[500_000:], 500_000, chunk, true)
+	_, err = b.upload(name, data[500_000:], 500_000, chunkSize, true)
 	b.code(err, codes.Unavailable)
-	if n, err := b.upload(name, data, 0, chunk, true); err != nil || n != int64(len(data)) {
+	if n, err := b.upload(name, data, 0, chunkSize, true); err != nil || n != int64(len(data)) {
 		t.Error(n, err)
 	}
 }
--- a/internal/reapi/waiting_test.go
+++ b/internal/reapi/waiting_test.go
@@ -20,43 +20,43 @@
 	"micaspindle/internal/protocol"
 )
 
-// instantJobs are controllers whose machines take no time: whoever submits a job
-// has its results at once. Accepting and ending a job are a change each.
+// instantJobs is a fake of the controllers whose machines take no time: a submitted job has
+// its results at once. Accepting and ending a job are one transaction each.
 type instantJobs struct {
 	scriptedJobs
 	g       *FrontEnd
 	changes *rate.Limiter
 }
 
-func (j *instantJobs) Submit(ctx context.Context, cred string, s *protocol.Submission) (st protocol.JobStatus, err error) {
+func (j *instantJobs) Submit(ctx context.Context, credential string, s *protocol.Submission) (jobStatus protocol.JobStatus, err error) {
 	if err := j.changes.WaitN(ctx, 2); err != nil {
-		return st, err
+		return jobStatus, err
 	}
 	manifest, instance, _ := ParseImage(*s.Image)
 	raw, err := j.g.store.Read(blobstore.Key{Space: "red", Digest: manifest}, maxTreeNode)
 	if err != nil {
-		return st, err
+		return jobStatus, err
 	}
 	m, err := ParseManifest(raw)
 	if err != nil {
-		return st, err
+		return jobStatus, err
 	}
 	go func() {
 		for i := range m.Tasks {
 			_, _ = j.g.RecordResult(context.Background(), instance, "red", &m.Tasks[i], &repb.ActionResult{}, false)
 		}
 	}()
-	return st, nil
+	return jobStatus, nil
 }
 
-// perConnection is how many waits a connection of the test carries.
+// perConnection is how many waiting calls a connection of the test carries.
 const perConnection = 2000
 
 // Command: GATE_THROUGHPUT=1 go test -run TestSmallActions -v ./internal/reapi
 //
-// The delay that a gate adds to a small action; actions a second under a budget of
-// changes, gathered and not, in one run; memory of waiting actions, of the gate and
-// its clients in one process.
+// TestSmallActions measures the delay that a front end adds to a small action; actions per
+// second under a budget of transactions, in batches and not, in one run; and the memory of
+// waiting actions, of the front end and its clients in one process.
 func TestSmallActions(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
@@ -77,8 +77,8 @@
 		}
 	}
 	instant := func(config Config, changes float64) *build {
-		b, g, _ := startExecuting(t, config)
-		g.jobs = &instantJobs{g: g, changes: rate.NewLimiter(rate.Limit(changes), 2)}
+		b, f, _ := startExecuting(t, config)
+		f.jobs = &instantJobs{g: f, changes: rate.NewLimiter(rate.Limit(changes), 2)}
 		return b.as("Bearer anna")
 	}
 	b := instant(oneTeam, 1e9)
@@ -159,7 +159,7 @@
 			})
 		}
 		open.Wait()
-		t.Logf("%d actions wait over %d connections, after %s: %.1f kB each, client and gate together", n, len(conns),
+		t.Logf("%d actions wait over %d connections, after %s: %.1f kB each, client and front end together", n, len(conns),
 			time.Since(begun).Round(time.Millisecond), float64(held()-before)/1000/float64(n))
 	}
 }
