--- /dev/null
+++ b/internal/blobstore/capacity.go
@@ -0,0 +1,100 @@
+package blobstore
+
+import (
+	"os"
+	"time"
+)
+
+const (
+	// minRetryDelay is the shortest delay that a full store asks callers to wait.
+	minRetryDelay = time.Second
+	// borrowableShare is the share of the other spaces' unused quotas that a space beyond
+	// its own quota may fill. The rest stays free for them, since retained blobs can't be
+	// evicted.
+	borrowableShare = 0.75
+)
+
+// reserve makes room for bytes of a space: first interrupted uploads go, then blobs of
+// spaces beyond their quotas, then the space's own; blobs of other spaces within their
+// quotas stay. s.mu is held, also while files are removed: the same blob may be written
+// again at once.
+func (s *Store) reserve(space string, bytes int64) error {
+	now := time.Now()
+	limit := s.limit(space, bytes)
+	for path, upload := range s.interrupted {
+		if s.used+bytes <= limit {
+			break
+		}
+		s.discardInterrupted(path, upload)
+	}
+	soonest := s.evict(now, limit-bytes, s.beyondQuota)
+	ownSoonest := s.evict(now, limit-bytes, func(e *entry) bool { return e.key.Space == space })
+	if !ownSoonest.IsZero() && (soonest.IsZero() || ownSoonest.Before(soonest)) {
+		soonest = ownSoonest
+	}
+	if s.used+bytes > limit {
+		delay := minRetryDelay
+		if !soonest.IsZero() {
+			delay = max(delay, soonest.Sub(now))
+		}
+		return &FullError{delay}
+	}
+	s.account(space, bytes)
+	return nil
+}
+
+// limit returns how many bytes the store may hold after a space has taken some more.
+func (s *Store) limit(space string, bytes int64) int64 {
+	if s.bySpace[space]+bytes <= s.options.Quotas[space] {
+		return s.options.MaxBytes
+	}
+	unused := int64(0)
+	for other, quota := range s.options.Quotas {
+		if other != space {
+			unused += max(0, quota-s.bySpace[other])
+		}
+	}
+	return s.options.MaxBytes - int64(float64(unused)*(1-borrowableShare))
+}
+
+// beyondQuota reports whether a blob's space fills its quota without the blob. Every blob
+// of a space without a quota is beyond it.
+func (s *Store) beyondQuota(e *entry) bool {
+	return s.bySpace[e.key.Space]-e.key.Size >= s.options.Quotas[e.key.Space]
+}
+
+// account adds to the bytes used by a space; a negative number frees them. s.mu is held.
+func (s *Store) account(space string, bytes int64) {
+	s.used += bytes
+	s.bySpace[space] += bytes
+}
+
+// release frees the bytes reserved for a blob.
+func (s *Store) release(key Key) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.account(key.Space, -key.Size)
+}
+
+// evict removes the least recently used of the blobs that may be evicted until at most
+// maxUsed bytes are used. It returns when the first retention of such a blob ends, zero if
+// none is retained. s.mu is held.
+func (s *Store) evict(now time.Time, maxUsed int64, evictable func(*entry) bool) (soonest time.Time) {
+	for element := s.order.Front(); element != nil && s.used > maxUsed; {
+		e := element.Value.(*entry)
+		element = element.Next()
+		if e.pins > 0 || !evictable(e) {
+			continue
+		}
+		if e.retainedUntil.After(now) {
+			if soonest.IsZero() || e.retainedUntil.Before(soonest) {
+				soonest = e.retainedUntil
+			}
+			continue
+		}
+		s.removeEntry(e)
+		s.evicted++
+		_ = os.Remove(s.path(e.key)) // a file that stays is found at the next start
+	}
+	return soonest
+}
--- a/internal/blobstore/digest.go
+++ b/internal/blobstore/digest.go
@@ -10,17 +10,17 @@
 	"lukechampine.com/blake3"
 )
 
-// Function is what a blob's digest is computed with. The zero value is SHA-256. A
-// blob under two functions is two blobs.
+// Function is a digest function. The zero value is SHA-256. The same bytes under two
+// functions are two blobs.
 type Function uint8
 
-// The functions that are served. Both have 32 bytes.
+// The supported functions. The digests of both have 32 bytes.
 const (
 	SHA256 Function = iota
 	BLAKE3
 )
 
-// String is the function's name as it stands in names of blobs.
+// String returns the function's name in resource names and file names.
 func (f Function) String() string {
 	if f == BLAKE3 {
 		return "blake3"
@@ -28,8 +28,8 @@
 	return "sha256"
 }
 
-// Named is the function of a name that stands before, or behind, a hash. SHA-256 has
-// none there.
+// Named returns the function with a name in resource names and file names, where SHA-256
+// is not named.
 func Named(name string) (f Function, ok bool) {
 	if name == BLAKE3.String() {
 		return BLAKE3, true
@@ -37,7 +37,7 @@
 	return SHA256, false
 }
 
-// New begins a digest.
+// New creates a hasher.
 func (f Function) New() hash.Hash {
 	if f == BLAKE3 {
 		return blake3.New(sha256.Size, nil)
@@ -45,7 +45,7 @@
 	return sha256.New()
 }
 
-// Of is the digest of data.
+// Of returns the digest of data.
 func (f Function) Of(data []byte) Digest {
 	var sum [sha256.Size]byte
 	if f == BLAKE3 {
@@ -56,15 +56,15 @@
 	return Digest{hex.EncodeToString(sum[:]), int64(len(data)), f}
 }
 
-// Digest is a blob's hash in hex and its size.
+// Digest identifies a blob by its hash, in lower-case hex, and its size in bytes.
 type Digest struct {
 	Hash     string
 	Size     int64
 	Function Function
 }
 
-// String is the digest as it stands in names of blobs: hash/size, with the function
-// before it unless that is SHA-256.
+// String returns the digest as in resource names: [FUNCTION/]HASH/SIZE. SHA-256 is not
+// named.
 func (d Digest) String() string {
 	s := d.Hash + "/" + strconv.FormatInt(d.Size, 10)
 	if d.Function != SHA256 {
@@ -73,7 +73,7 @@
 	return s
 }
 
-// Check says what is wrong with a digest.
+// Check checks that a digest is well-formed.
 func (d Digest) Check() error {
 	if len(d.Hash) != 2*sha256.Size || d.Size < 0 || d.Function > BLAKE3 {
 		return fmt.Errorf("%w: %q is no %s with a size", ErrInvalid, clip(d.String()), d.Function)
@@ -86,16 +86,20 @@
 	return nil
 }
 
-func clip(s string) string { return s[:min(len(s), 80)] }
+// maxClip bounds how much of a caller's text an error repeats, in bytes.
+const maxClip = 80
 
-// Of is the SHA-256 digest of data.
+// clip shortens a caller's text for an error.
+func clip(s string) string { return s[:min(len(s), maxClip)] }
+
+// Of returns the SHA-256 digest of data.
 func Of(data []byte) Digest { return SHA256.Of(data) }
 
-// empty are the digests of nothing, which is always there.
+// empty holds the digests of the empty blob, which every store has, by function.
 var empty = [...]Digest{SHA256.Of(nil), BLAKE3.Of(nil)}
 
-// Empty is the SHA-256 digest of nothing.
+// Empty is the SHA-256 digest of the empty blob.
 var Empty = empty[SHA256]
 
-// IsEmpty says whether a digest is that of nothing.
+// IsEmpty reports whether a digest is that of the empty blob.
 func (d Digest) IsEmpty() bool { return d.Function <= BLAKE3 && d == empty[d.Function] }
--- a/internal/blobstore/results.go
+++ b/internal/blobstore/results.go
@@ -5,7 +5,6 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"errors"
-	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -17,142 +16,163 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-func sortByTime[T any](v []T, at func(T) time.Time) {
-	slices.SortStableFunc(v, func(a, b T) int { return at(a).Compare(at(b)) })
+// storedFile is a file that was found in a store's directory.
+type storedFile struct {
+	key      Key
+	modified time.Time
 }
 
-// Results keeps small records by digest, on disk, at most so many. Unlike a
-// blob, a record is not what its name says, so each carries a checksum.
+// sortByTime sorts files by their modification, the oldest first.
+func sortByTime(files []storedFile) {
+	slices.SortStableFunc(files, func(a, b storedFile) int { return a.modified.Compare(b.modified) })
+}
+
+// Results is a store of small records by digest, on disk and bounded in number. Unlike a
+// blob's, a record's bytes can't be verified by its digest, so each carries a checksum. It
+// is safe for concurrent use.
 type Results struct {
-	dir   string
-	mu    sync.Mutex
-	known *lru.Cache[Key, struct{}]
+	dir  string
+	mu   sync.Mutex
+	keys *lru.Cache[Key, struct{}]
 }
 
-// OpenResults opens a folder of records; torn ones are removed.
-func OpenResults(dir string, most int) (*Results, error) {
+// OpenResults opens a directory of at most maxRecords records. Incomplete ones are removed.
+func OpenResults(dir string, maxRecords int) (*Results, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("content: %w", err)
+		return nil, wrap(err)
 	}
 	r := &Results{dir: dir}
 	var err error
-	if r.known, err = lru.NewWithEvict(most, func(k Key, _ struct{}) { _ = os.Remove(r.path(k)) }); err != nil {
-		return nil, fmt.Errorf("content: %w", err)
+	if r.keys, err = lru.NewWithEvict(maxRecords, func(key Key, _ struct{}) { _ = os.Remove(r.path(key)) }); err != nil {
+		return nil, wrap(err)
+	}
+	files, err := r.scan()
+	if err != nil {
+		return nil, err
 	}
-	type file struct {
-		key Key
-		at  time.Time
+	sortByTime(files)
+	for _, file := range files {
+		r.keys.Add(file.key, struct{}{})
 	}
-	var files []file
-	spaces, err := os.ReadDir(dir)
+	return r, nil
+}
+
+// scan finds the records in the directory and removes incomplete ones.
+func (r *Results) scan() ([]storedFile, error) {
+	var files []storedFile
+	spaces, err := os.ReadDir(r.dir)
 	if err != nil {
-		return nil, fmt.Errorf("content: %w", err)
+		return nil, wrap(err)
 	}
-	for _, sp := range spaces {
-		space, err := hex.DecodeString(sp.Name())
-		if err != nil || !sp.IsDir() {
+	for _, spaceDir := range spaces {
+		space, err := hex.DecodeString(spaceDir.Name())
+		if err != nil || !spaceDir.IsDir() {
 			continue
 		}
-		records, err := os.ReadDir(filepath.Join(dir, sp.Name()))
+		records, err := os.ReadDir(filepath.Join(r.dir, spaceDir.Name()))
 		if err != nil {
-			return nil, fmt.Errorf("content: %w", err)
+			return nil, wrap(err)
 		}
-		for _, e := range records {
-			k := Key{Space: string(space)}
+		for _, record := range records {
+			key := Key{Space: string(space)}
 			var function string
-			k.Hash, function, _ = strings.Cut(e.Name(), "-")
-			k.Function, _ = Named(function)
-			info, err := e.Info()
-			if err != nil || k.Check() != nil || r.path(k) != filepath.Join(dir, sp.Name(), e.Name()) {
-				_ = os.Remove(filepath.Join(dir, sp.Name(), e.Name())) // a record half written
+			key.Hash, function, _ = strings.Cut(record.Name(), "-")
+			key.Function, _ = Named(function)
+			path := filepath.Join(r.dir, spaceDir.Name(), record.Name())
+			info, err := record.Info()
+			if err != nil || key.Check() != nil || r.path(key) != path {
+				_ = os.Remove(path)
 				continue
 			}
-			files = append(files, file{k, info.ModTime()})
+			files = append(files, storedFile{key, info.ModTime()})
 		}
 	}
-	sortByTime(files, func(f file) time.Time { return f.at })
-	for _, f := range files {
-		r.known.Add(f.key, struct{}{})
-	}
-	return r, nil
+	return files, nil
 }
 
-func (r *Results) path(k Key) string {
-	name := k.Hash
-	if k.Function != SHA256 {
-		name += "-" + k.Function.String()
+// path returns the file of a record: SPACE/HASH[-FUNCTION], with the space in hex.
+func (r *Results) path(key Key) string {
+	name := key.Hash
+	if key.Function != SHA256 {
+		name += "-" + key.Function.String()
 	}
-	return filepath.Join(r.dir, hex.EncodeToString([]byte(k.Space)), name)
+	return filepath.Join(r.dir, hex.EncodeToString([]byte(key.Space)), name)
+}
+
+// recordKey is the key of a record: its digest's size does not matter.
+func recordKey(space string, digest Digest) Key {
+	return Key{space, Digest{Hash: digest.Hash, Function: digest.Function}}
 }
 
-// Keys are all records' keys.
+// Keys returns the keys of all records.
 func (r *Results) Keys() []Key {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known.Keys()
+	return r.keys.Keys()
 }
 
-// Has says whether there is a record.
-func (r *Results) Has(space string, d Digest) bool {
+// Has reports whether there is a record.
+func (r *Results) Has(space string, digest Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known.Contains(Key{space, Digest{Hash: d.Hash, Function: d.Function}})
+	return r.keys.Contains(recordKey(space, digest))
 }
 
-// Get reads a record; one whose checksum does not fit is removed and not here.
-func (r *Results) Get(space string, d Digest) ([]byte, error) {
-	k := Key{space, Digest{Hash: d.Hash, Function: d.Function}}
-	if err := k.Check(); err != nil {
+// Get reads a record. A corrupt one is removed, and ErrNotFound returned.
+func (r *Results) Get(space string, digest Digest) ([]byte, error) {
+	key := recordKey(space, digest)
+	if err := key.Check(); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.known.Get(k); !ok {
+	if _, ok := r.keys.Get(key); !ok {
 		return nil, ErrNotFound
 	}
-	data, err := os.ReadFile(r.path(k))
+	data, err := os.ReadFile(r.path(key))
 	if errors.Is(err, fs.ErrNotExist) || err == nil && len(data) < sha256.Size {
-		r.known.Remove(k)
+		r.keys.Remove(key)
 		return nil, ErrNotFound
 	}
 	if err != nil {
-		return nil, fmt.Errorf("content: %w", err)
+		return nil, wrap(err)
 	}
-	body, sum := data[sha256.Size:], [sha256.Size]byte(data[:sha256.Size])
-	if sha256.Sum256(body) != sum {
-		r.known.Remove(k)
+	body, checksum := data[sha256.Size:], [sha256.Size]byte(data[:sha256.Size])
+	if sha256.Sum256(body) != checksum {
+		r.keys.Remove(key)
 		return nil, ErrNotFound
 	}
 	return body, nil
 }
 
-// Put writes a record in place of any other, on disk before it returns.
-func (r *Results) Put(space string, d Digest, body []byte) error {
-	k := Key{space, Digest{Hash: d.Hash, Function: d.Function}}
-	if err := k.Check(); err != nil {
+// Put stores a record, replacing any other. The record is on disk when it returns.
+func (r *Results) Put(space string, digest Digest, body []byte) error {
+	key := recordKey(space, digest)
+	if err := key.Check(); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	dir := filepath.Dir(r.path(k))
+	path := r.path(key)
+	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("content: %w", err)
+		return wrap(err)
 	}
 	temp := filepath.Join(dir, "."+rand.Text())
-	f, err := os.OpenFile(temp, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(temp, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("content: %w", err)
+		return wrap(err)
 	}
-	sum := sha256.Sum256(body)
-	_, err = f.Write(append(sum[:], body...))
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	checksum := sha256.Sum256(body)
+	_, err = file.Write(append(checksum[:], body...))
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		_ = os.Remove(temp)
-		return fmt.Errorf("content: %w", err)
+		return wrap(err)
 	}
-	if err := os.Rename(temp, r.path(k)); err != nil {
+	if err := os.Rename(temp, path); err != nil {
 		_ = os.Remove(temp)
-		return fmt.Errorf("content: %w", err)
+		return wrap(err)
 	}
-	r.known.Add(k, struct{}{})
+	r.keys.Add(key, struct{}{})
 	return syncDir(dir)
 }
--- a/internal/blobstore/resume.go
+++ b/internal/blobstore/resume.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"errors"
-	"fmt"
 	"io"
 	"io/fs"
 	"os"
@@ -13,165 +12,168 @@
 	"time"
 )
 
-// An upload with a name can be gone on with after the process has ended: its bytes
-// so far lie under that name until it is finished, given up, or too old. Nothing
-// is believed of them before the whole blob has its digest.
+// A named upload can be resumed after the process has ended: its bytes stay in a file of
+// that name until it is committed, aborted or expired. They are verified with the whole
+// blob only.
 
-// keptPrefix begins the files of uploads with names.
-const keptPrefix = "kept-"
+// namedPrefix begins the names of the files of named uploads.
+const namedPrefix = "kept-"
 
-// keptUpload is what an earlier process has left of an upload. Whose space it was
-// is known again once somebody goes on with it.
-type keptUpload struct {
-	size int64
-	last time.Time
+// interruptedUpload is what an earlier process left of a named upload. Its space is not
+// known until it is resumed.
+type interruptedUpload struct {
+	size     int64
+	modified time.Time
 }
 
-func (s *Store) keptPath(name string) string {
+// namedPath returns the file of a named upload.
+
+func (s *Store) namedPath(name string) string {
 	sum := sha256.Sum256([]byte(name))
-	return filepath.Join(s.dir, tempDir, keptPrefix+hex.EncodeToString(sum[:]))
+	return filepath.Join(s.dir, tempDir, namedPrefix+hex.EncodeToString(sum[:]))
 }
 
-// Resume begins a blob's upload under a name, or goes on with it where an earlier
-// process, or an earlier try, has left it: Size tells where. One name has one
-// upload at a time, which is for the caller to see to.
-func (s *Store) Resume(name string, k Key) (*Upload, error) {
-	if err := s.takes(k); err != nil {
+// Resume begins a named upload, or resumes it where an earlier process or attempt left it,
+// which Size returns. The caller ensures that a name has one upload at a time.
+func (s *Store) Resume(name string, key Key) (*Upload, error) {
+	if err := s.checkUpload(key); err != nil {
 		return nil, err
 	}
-	return s.resume(name, k)
+	return s.resume(name, key)
 }
 
-func (s *Store) resume(name string, k Key) (*Upload, error) {
-	path := s.keptPath(name)
+// resume is Resume without a check of the digest.
+func (s *Store) resume(name string, key Key) (*Upload, error) {
+	path := s.namedPath(name)
 	s.mu.Lock()
-	err := s.reserve(k.Space, k.Size)
-	if left, ok := s.kept[path]; ok && err == nil {
-		s.used -= left.size
-		delete(s.kept, path)
+	err := s.reserve(key.Space, key.Size)
+	if interrupted, ok := s.interrupted[path]; ok && err == nil {
+		s.used -= interrupted.size
+		delete(s.interrupted, path)
 	}
 	s.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	u := &Upload{s: s, key: k, h: k.Function.New()}
-	if err := u.reopen(path); err != nil {
-		s.release(k)
-		return nil, fmt.Errorf("content: %w", err)
+	upload := &Upload{store: s, key: key, hasher: key.Function.New()}
+	if err := upload.reopen(path); err != nil {
+		s.release(key)
+		return nil, wrap(err)
 	}
-	return u, nil
+	return upload, nil
 }
 
-// reopen takes up what a file holds; more than there can be is nothing.
+// reopen opens the file and hashes what it holds. If that is more than the blob, the
+// upload starts over.
 func (u *Upload) reopen(path string) (err error) {
-	if u.f, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if u.file, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			_ = u.f.Close()
+			_ = u.file.Close()
 		}
 	}()
-	if u.size, err = io.Copy(u.h, u.f); err != nil {
+	if u.written, err = io.Copy(u.hasher, u.file); err != nil {
 		return err
 	}
-	if u.size > u.key.Size {
-		u.h.Reset()
-		u.size = 0
-		if err := u.f.Truncate(0); err != nil {
+	if u.written > u.key.Size {
+		u.hasher.Reset()
+		u.written = 0
+		if err := u.file.Truncate(0); err != nil {
 			return err
 		}
 	}
-	_, err = u.f.Seek(u.size, io.SeekStart)
+	_, err = u.file.Seek(u.written, io.SeekStart)
 	return err
 }
 
-// Spool is an upload whose bytes are not the blob's own, since they come
-// compressed.
-type Spool struct{ u *Upload }
+// Spool is a named upload of compressed bytes, which are not the blob's own.
+type Spool struct{ upload *Upload }
 
-// Spool begins a spool of at most so many bytes under a name, or goes on with it.
-func (s *Store) Spool(name, space string, most int64) (*Spool, error) {
-	u, err := s.resume(name, Key{Space: space, Digest: Digest{Size: most}})
+// Spool begins or resumes a spool of at most maxBytes.
+func (s *Store) Spool(name, space string, maxBytes int64) (*Spool, error) {
+	upload, err := s.resume(name, Key{Space: space, Digest: Digest{Size: maxBytes}})
 	if err != nil {
 		return nil, err
 	}
-	return &Spool{u}, nil
+	return &Spool{upload}, nil
 }
 
-// Write adds bytes; more than the spool's most are refused.
-func (s *Spool) Write(p []byte) (int, error) { return s.u.Write(p) }
+// Write adds bytes. It refuses more than the spool's maximum.
+func (s *Spool) Write(p []byte) (int, error) { return s.upload.Write(p) }
 
-// Size is how much was written.
-func (s *Spool) Size() int64 { return s.u.size }
+// Size returns how many bytes were written.
+func (s *Spool) Size() int64 { return s.upload.written }
 
-// Reader reads all that was written.
-func (s *Spool) Reader() io.Reader { return io.NewSectionReader(s.u.f, 0, s.u.size) }
+// Reader returns a reader of all bytes written.
+func (s *Spool) Reader() io.Reader { return io.NewSectionReader(s.upload.file, 0, s.upload.written) }
 
-// Drop ends the spool.
-func (s *Spool) Drop() { s.u.Abort() }
+// Drop discards the spool.
+func (s *Spool) Drop() { s.upload.Abort() }
 
-// Begun says how much of an upload with this name lies here.
+// Begun returns how many bytes of a named upload are stored.
 func (s *Store) Begun(name string) int64 {
-	info, err := os.Stat(s.keptPath(name))
+	info, err := os.Stat(s.namedPath(name))
 	if err != nil {
 		return 0
 	}
 	return info.Size()
 }
 
-// ReadBegun reads what lies here of an upload with this name, from an offset on.
+// ReadBegun reads the stored bytes of a named upload, from an offset on.
 func (s *Store) ReadBegun(name string, offset int64) (io.ReadCloser, error) {
-	f, err := os.Open(s.keptPath(name))
+	file, err := os.Open(s.namedPath(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, ErrNotFound
 	}
 	if err != nil {
-		return nil, fmt.Errorf("content: %w", err)
+		return nil, wrap(err)
 	}
-	if _, err := f.Seek(offset, io.SeekStart); err != nil {
-		_ = f.Close()
-		return nil, fmt.Errorf("content: %w", err)
+	if _, err := file.Seek(offset, io.SeekStart); err != nil {
+		_ = file.Close()
+		return nil, wrap(err)
 	}
-	return f, nil
+	return file, nil
 }
 
-// Expire drops what earlier processes have left of uploads that nobody has gone on
-// with since.
+// Expire discards uploads of earlier processes that were not resumed and last modified
+// before a time.
 func (s *Store) Expire(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for path, left := range s.kept {
-		if left.last.Before(before) {
-			s.dropKept(path, left)
+	for path, upload := range s.interrupted {
+		if upload.modified.Before(before) {
+			s.discardInterrupted(path, upload)
 		}
 	}
 }
 
-func (s *Store) dropKept(path string, left keptUpload) {
-	s.used -= left.size
-	delete(s.kept, path)
-	_ = os.Remove(path) // found again at the next start if it stays
+// discardInterrupted removes an interrupted upload. s.mu is held.
+func (s *Store) discardInterrupted(path string, upload interruptedUpload) {
+	s.used -= upload.size
+	delete(s.interrupted, path)
+	_ = os.Remove(path) // a file that stays is found at the next start
 }
 
-// scanUploads finds what was being written: what has a name stays for whoever goes
-// on with it, the rest goes.
+// scanUploads finds the files of uploads that did not end. Those of named uploads can be
+// resumed; the others are removed.
 func (s *Store) scanUploads(found *Opened) error {
-	temps, err := os.ReadDir(filepath.Join(s.dir, tempDir))
+	files, err := os.ReadDir(filepath.Join(s.dir, tempDir))
 	if err != nil {
 		return err
 	}
-	for _, t := range temps {
-		path := filepath.Join(s.dir, tempDir, t.Name())
-		info, err := t.Info()
+	for _, file := range files {
+		path := filepath.Join(s.dir, tempDir, file.Name())
+		info, err := file.Info()
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // removed by the end of what wrote it
+			continue // removed since the directory was read
 		}
 		if err != nil {
 			return err
 		}
-		if strings.HasPrefix(t.Name(), keptPrefix) && info.Mode().IsRegular() && info.Size() > 0 {
-			s.kept[path] = keptUpload{info.Size(), info.ModTime()}
+		if strings.HasPrefix(file.Name(), namedPrefix) && info.Mode().IsRegular() && info.Size() > 0 {
+			s.interrupted[path] = interruptedUpload{info.Size(), info.ModTime()}
 			found.Kept++
 			found.Bytes += info.Size()
 			continue
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -35,29 +35,29 @@
 
 func put(t *testing.T, s *Store, space string, data []byte) Key {
 	t.Helper()
-	k := Key{space, Of(data)}
-	if err := s.Put(k, data); err != nil {
+	key := Key{space, Of(data)}
+	if err := s.Put(key, data); err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return key
 }
 
-func TestBlobsAreWhatTheirDigestsSay(t *testing.T) {
+func TestDigestsAreVerified(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Promise: time.Minute})
 	data := blob(1, 5000)
-	k := put(t, s, "red", data)
-	if got, err := s.Read(k, 1<<16); err != nil || !bytes.Equal(got, data) {
+	key := put(t, s, "red", data)
+	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	// Another space does not see it.
-	if _, err := s.Read(Key{"blue", k.Digest}, 1<<16); !errors.Is(err, ErrNotFound) {
+	// It is not visible in another space.
+	if _, err := s.Read(Key{"blue", key.Digest}, 1<<16); !errors.Is(err, ErrNotFound) {
 		t.Errorf("another space: %v", err)
 	}
-	if m := s.Missing("blue", []Digest{k.Digest, Empty}); len(m) != 1 {
+	if m := s.Missing("blue", []Digest{key.Digest, Empty}); len(m) != 1 {
 		t.Errorf("another space misses %v", m)
 	}
 	for name, err := range map[string]error{
-		"other bytes":    s.Put(Key{"red", k.Digest}, blob(2, 5000)),
+		"other bytes":    s.Put(Key{"red", key.Digest}, blob(2, 5000)),
 		"other new":      s.Put(Key{"red", Of([]byte("x"))}, []byte("y")),
 		"shorter":        s.Put(Key{"red", Of(blob(3, 10))}, blob(3, 9)),
 		"not nothing":    s.Put(Key{"red", Empty}, []byte("x")),
@@ -67,7 +67,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for _, d := range []Digest{{Hash: "x", Size: 1}, {Hash: k.Hash, Size: -1}, {Hash: strings.ToUpper(k.Hash), Size: k.Size}, {Hash: "../../../../etc/passwd" + k.Hash[22:], Size: 4}, {}, {Hash: k.Hash, Size: k.Size, Function: 7}} {
+	for _, d := range []Digest{{Hash: "x", Size: 1}, {Hash: key.Hash, Size: -1}, {Hash: strings.ToUpper(key.Hash), Size: key.Size}, {Hash: "../../../../etc/passwd" + key.Hash[22:], Size: 4}, {}, {Hash: key.Hash, Size: key.Size, Function: 7}} {
 		if _, err := s.Create(Key{"red", d}); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%v: %v", d, err)
 		}
@@ -75,18 +75,18 @@
 			t.Errorf("%v: %v", d, err)
 		}
 	}
-	if _, err := s.Create(Key{"red", Digest{Hash: k.Hash, Size: 1<<16 + 1}}); !errors.Is(err, ErrTooLarge) {
+	if _, err := s.Create(Key{"red", Digest{Hash: key.Hash, Size: 1<<16 + 1}}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("too large: %v", err)
 	}
 	if st := s.Stats(); st.Bytes != 5000 || st.Blobs != 1 {
 		t.Errorf("%+v: what failed keeps room", st)
 	}
-	// Spaces whose names look like paths stay inside the folder.
+	// Spaces whose names look like paths stay inside the directory.
 	put(t, s, "../../out", data)
 }
 
-// What was promised, pinned or is being read is not evicted; the rest goes,
-// oldest first, and room comes back when promises end.
+// Retained, pinned and open blobs are not evicted; the others are, least recently used
+// first, and room is freed when retentions end.
 func TestEviction(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 10_000, MaxBlob: 10_000, Promise: 300 * time.Millisecond})
 	old, pinned, read := put(t, s, "a", blob(1, 3000)), put(t, s, "a", blob(2, 3000)), put(t, s, "a", blob(3, 3000))
@@ -114,7 +114,7 @@
 		t.Errorf("read %d bytes, %v", len(got), err)
 	}
 	unpin()
-	unpin() // twice does no harm
+	unpin() // a second call does nothing
 	if err := r.Close(); err != nil {
 		t.Error(err)
 	}
@@ -128,24 +128,24 @@
 	}
 }
 
-// After a kill the folder holds whole blobs only, and bytes that changed on disk
-// are not served.
-func TestWhatIsTornIsFound(t *testing.T) {
+// After a kill and restart the directory holds whole blobs only, and corrupt ones are not
+// served.
+func TestRestartAfterKill(t *testing.T) {
 	dir := t.TempDir()
 	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Promise: time.Minute}
 	s, _ := open(t, dir, opt)
 	good, short, flipped := put(t, s, "a", blob(1, 4000)), put(t, s, "a", blob(2, 4000)), put(t, s, "a", blob(3, 4000))
-	u, err := s.Create(Key{"a", Of(blob(4, 4000))})
+	upload, err := s.Create(Key{"a", Of(blob(4, 4000))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := u.Write(blob(4, 4000)[:1000]); err != nil {
+	if _, err := upload.Write(blob(4, 4000)[:1000]); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(dir, opt); err == nil {
 		t.Fatal("two processes have the folder")
 	}
-	if err := s.Close(); err != nil { // the upload is left as a kill leaves it
+	if err := s.Close(); err != nil { // the upload is left as by a kill
 		t.Fatal(err)
 	}
 	if err := os.Truncate(s.path(short), 3000); err != nil {
@@ -172,12 +172,12 @@
 	if s.Has(flipped) || s.Has(short) {
 		t.Error("what is torn is said to be here")
 	}
-	// It can be put again.
+	// It can be stored again.
 	put(t, s, "a", blob(3, 4000))
 	if st := s.Stats(); st.Corrupt != 1 || st.Bytes != 8000 {
 		t.Errorf("%+v", st)
 	}
-	// A file that goes while the process runs is not here either.
+	// A blob whose file is removed while the process runs is missing too.
 	if err := os.Remove(s.path(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -186,9 +186,8 @@
 	}
 }
 
-// A process is killed while it writes: whatever it said was written is there
-// afterwards, whole.
-func TestKilledWhileWriting(t *testing.T) {
+// A process is killed while it writes: every blob that it acknowledged is stored whole.
+func TestWritesSurviveKill(t *testing.T) {
 	if dir := os.Getenv("CONTENT_TEST_DIR"); dir != "" {
 		s, _, err := Open(dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Promise: time.Minute})
 		if err != nil {
@@ -206,7 +205,7 @@
 	}
 	dir := t.TempDir()
 	for seed := range 5 {
-		cmd := exec.Command(os.Args[0], "-test.run", "TestKilledWhileWriting")
+		cmd := exec.Command(os.Args[0], "-test.run", "TestWritesSurviveKill")
 		cmd.Env = append(os.Environ(), "CONTENT_TEST_DIR="+dir, fmt.Sprintf("CONTENT_TEST_SEED=%d", seed))
 		var out bytes.Buffer
 		cmd.Stdout = &out
@@ -218,7 +217,7 @@
 		_ = cmd.Wait()
 		s, found := open(t, dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Promise: time.Minute})
 		lines := strings.Split(out.String(), "\n")
-		told := len(lines) - 1 // the last may be cut short
+		told := len(lines) - 1 // the last line may be incomplete
 		for i := range told {
 			data := blob(seed*100_000+i, 1+i*37%50_000)
 			if got, err := s.Read(Key{"a", Of(data)}, 1<<20); err != nil || !bytes.Equal(got, data) {
@@ -232,21 +231,21 @@
 	}
 }
 
-// Many at a time, in a store that is too small for all: nothing is served that
-// is not what it should be, and the books add up.
-func TestManyAtATime(t *testing.T) {
+// Concurrent use of a store that is too small for all blobs: no wrong bytes are served, and
+// the accounts add up.
+func TestConcurrentUse(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 60_000, MaxBlob: 10_000})
 	var wg sync.WaitGroup
 	for w := range 8 {
 		wg.Go(func() {
 			for i := range 200 {
 				data := blob((w*7+i)%40, 1000+(w*7+i)%40*100)
-				k := Key{"a", Of(data)}
+				key := Key{"a", Of(data)}
 				var full *FullError
-				if err := s.Put(k, data); err != nil && !errors.As(err, &full) {
+				if err := s.Put(key, data); err != nil && !errors.As(err, &full) {
 					t.Errorf("put: %v", err)
 				}
-				if got, err := s.Read(k, 1<<20); err == nil && !bytes.Equal(got, data) {
+				if got, err := s.Read(key, 1<<20); err == nil && !bytes.Equal(got, data) {
 					t.Error("other bytes were read")
 				} else if err != nil && !errors.Is(err, ErrNotFound) {
 					t.Errorf("read: %v", err)
@@ -312,8 +311,8 @@
 	}
 }
 
-// A space fills the store while others leave it, but for a part of what they have
-// not used; what lies within their quotas stays when it wants more.
+// A space may fill the store but for a share of the unused quotas of others, and blobs
+// within their quotas stay when it takes more.
 func TestQuotas(t *testing.T) {
 	if _, _, err := Open(t.TempDir(), Options{MaxBytes: 100, MaxBlob: 10, Quotas: map[string]int64{"red": 60, "blue": 50}}); !errors.Is(err, ErrInvalid) {
 		t.Fatalf("quotas above the store pass: %v", err)
@@ -325,8 +324,8 @@
 	next := func(space string) (Key, error) {
 		seed++
 		data := blob(seed, 1000)
-		k := Key{space, Of(data)}
-		return k, s.Put(k, data)
+		key := Key{space, Of(data)}
+		return key, s.Put(key, data)
 	}
 	bytes := func(space string) int64 { return s.Stats().Spaces[space].Bytes }
 	for range 200 {
@@ -334,17 +333,17 @@
 			t.Fatal(err)
 		}
 	}
-	if got := bytes("red"); got != 90_000 { // a quarter of blue's 40,000 is left
+	if got := bytes("red"); got != 90_000 { // a quarter of blue's 40,000 stays free
 		t.Errorf("red holds %d", got)
 	}
 	var first Key
 	for i := range 60 {
-		k, err := next("blue")
+		key, err := next("blue")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if i == 20 {
-			first = k // its first 20 go as blue goes beyond its quota
+			first = key // its first 20 are evicted as blue goes beyond its quota
 		}
 	}
 	if r, b := bytes("red"), bytes("blue"); r < 40_000 || b < 40_000 || r+b > 100_000 {
@@ -361,7 +360,7 @@
 	if !s.Has(first) {
 		t.Error("a blob within blue's quota is gone")
 	}
-	// Promised blobs of a borrower can't be taken; its refusal says until when.
+	// Retained blobs of a space beyond its quota can't be evicted; the refusal says until when.
 	_ = s.Close()
 	opt.Promise = time.Minute
 	s, _ = open(t, t.TempDir(), opt)
@@ -386,24 +385,24 @@
 	}
 }
 
-// What a kill leaves of an upload with a name is gone on with, is not believed when
-// it changed on disk, takes room, makes room, and ends with its time.
-func TestUploadsAreGoneOnWith(t *testing.T) {
+// An interrupted named upload can be resumed after a kill, fails if its bytes changed on
+// disk, takes room, is evicted first, and expires.
+func TestResumption(t *testing.T) {
 	dir := t.TempDir()
 	opt := Options{MaxBytes: 10_000, MaxBlob: 9_000, Promise: time.Minute}
 	s, _ := open(t, dir, opt)
 	data := blob(1, 6000)
-	k := Key{"a", Of(data)}
-	begin := func(name string, k Key, data []byte) *Upload {
+	key := Key{"a", Of(data)}
+	begin := func(name string, key Key, data []byte) *Upload {
 		t.Helper()
-		u, err := s.Resume(name, k)
+		upload, err := s.Resume(name, key)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := u.Write(data); err != nil {
+		if _, err := upload.Write(data); err != nil {
 			t.Fatal(err)
 		}
-		return u
+		return upload
 	}
 	again := func() Opened {
 		t.Helper()
@@ -412,26 +411,26 @@
 		s, found = open(t, dir, opt)
 		return found
 	}
-	begin("one", k, data[:2000])
+	begin("one", key, data[:2000])
 	if found := again(); found.Kept != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.Begun("one") != 2000 || s.Begun("two") != 0 {
 		t.Fatalf("%+v", found)
 	}
-	u, err := s.Resume("one", k)
-	if err != nil || u.Size() != 2000 || s.Stats().Bytes != 6000 {
+	upload, err := s.Resume("one", key)
+	if err != nil || upload.Size() != 2000 || s.Stats().Bytes != 6000 {
 		t.Fatal(err, s.Stats())
 	}
-	if _, err := u.Write(data[2000:]); err != nil || u.Commit() != nil {
+	if _, err := upload.Write(data[2000:]); err != nil || upload.Commit() != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Read(k, 1<<16); err != nil || !bytes.Equal(got, data) || s.Begun("one") != 0 {
+	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) || s.Begun("one") != 0 {
 		t.Fatal(err)
 	}
 
-	// Bytes that changed at rest.
+	// Its bytes changed at rest.
 	other := blob(2, 3000)
 	begin("flipped", Key{"a", Of(other)}, other[:1500])
 	again()
-	file := s.keptPath("flipped")
+	file := s.namedPath("flipped")
 	bad := append([]byte(nil), other[:1500]...)
 	bad[7] ^= 1
 	if err := os.WriteFile(file, bad, 0o600); err != nil {
@@ -444,20 +443,20 @@
 		t.Error(err)
 	}
 
-	// What may never be gone on with goes before any blob does.
+	// Interrupted uploads are removed before blobs are evicted.
 	begin("left", Key{"a", Of(blob(3, 900))}, blob(3, 900)[:800])
 	again()
-	s.Missing("a", []Digest{k.Digest, Of(other)})
+	s.Missing("a", []Digest{key.Digest, Of(other)})
 	put(t, s, "a", blob(4, 900))
-	if !s.Has(k) || s.Begun("left") != 0 || s.Stats().Bytes != 9900 {
+	if !s.Has(key) || s.Begun("left") != 0 || s.Stats().Bytes != 9900 {
 		t.Errorf("%+v, left %d", s.Stats(), s.Begun("left"))
 	}
 
-	// More than the blob is nothing, and what is too old goes.
-	s.forget(k)
+	// A file larger than the blob is discarded, and old ones expire.
+	s.forget(key)
 	begin("long", Key{"a", Of(blob(5, 900))}, blob(5, 900))
 	again()
-	if u, err := s.Resume("long", Key{"a", Of(blob(6, 100))}); err != nil || u.Size() != 0 {
+	if upload, err := s.Resume("long", Key{"a", Of(blob(6, 100))}); err != nil || upload.Size() != 0 {
 		t.Error(err)
 	}
 	begin("old", Key{"a", Of(blob(7, 900))}, blob(7, 300))
@@ -467,13 +466,13 @@
 		t.Error("what is new has gone")
 	}
 	s.Expire(time.Now().Add(time.Second))
-	if s.Begun("old") != 0 || len(s.kept) != 0 {
+	if s.Begun("old") != 0 || len(s.interrupted) != 0 {
 		t.Error("what is old stays")
 	}
 }
 
-// One blob under two functions is two blobs, also after a restart.
-func TestFunctionsAreKeptApart(t *testing.T) {
+// The same bytes under two functions are two blobs, also after a restart.
+func TestDigestFunctions(t *testing.T) {
 	dir := t.TempDir()
 	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Promise: time.Minute}
 	s, _ := open(t, dir, opt)
