--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -1,291 +1,161 @@
-// Package agent is a model of the worker of PROTOCOL: reports, sessions,
-// leases, tokens and commands. Its tasks only take time. What a job is, and
-// what is noted of its tasks, is told by whoever owns the model.
+// Package agent is a fake of the worker agent that PROTOCOL describes: it sends heartbeats,
+// keeps a machine lease with a fencing token and an agent epoch, and executes commands. Its
+// tasks only take time. What a job is, and what is recorded of its tasks, is up to the
+// Jobs and the Watcher that it is given.
 package agent
 
 import (
-	"strconv"
 	"sync"
 	"time"
 
 	"micaspindle/internal/protocol"
-	"micaspindle/internal/transport"
 )
 
-// Jobs tells a worker what it would learn from the job's description.
+// Jobs tells an agent what a real one would learn from the job's description.
 type Jobs interface {
-	// RunTime says how long a task runs on a machine; false: no such task.
+	// RunTime returns how long a task runs on a machine; false: there is no such task.
 	RunTime(job string, task int, machine string) (time.Duration, bool)
-	// Fails says whether a task that has run its time fails.
+	// Fails reports whether a task fails when its run time is over.
 	Fails(job string, task int, machine string) bool
 }
 
-// Watcher sees what happens on a machine, with the lock held.
+// Watcher observes what happens on a machine. It is called with the lock held.
 type Watcher interface {
-	Obeying(w *Agent, c protocol.Command) // before a start that is new
-	Started(w *Agent, t *Task)
-	Ended(w *Agent, t *Task)
-	Running(w *Agent, t *Task, now time.Time) // at every step
+	Obeying(a *Agent, command protocol.Command) // before a start command that is new
+	Started(a *Agent, t *Task)
+	Ended(a *Agent, t *Task)
+	Running(a *Agent, t *Task, now time.Time) // at every step
 }
 
-// Agent is one machine's worker. Whoever looks into its fields holds the lock.
+// Agent is the agent of one machine. Callers that use its fields hold the lock.
 type Agent struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
-	ReportEvery, Lease     time.Duration
-	// Fetch is how long a task waits for its image.
+	// ReportEvery is the heartbeat interval, Lease the duration of the machine lease.
+	ReportEvery, Lease time.Duration
+	// Fetch is how long a task takes to fetch its image.
 	Fetch time.Duration
-	// Homes are the controllers' labels; Home is the one that gets the reports.
+	// Homes are the labels of the controllers; Home is the index of the one that gets the
+	// heartbeats.
 	Homes []string
 	Home  int
-	// Send carries a report to a controller, without the lock; status 0 means
-	// that no answer came.
+	// Send sends a heartbeat to a controller. It is called without the lock. Status 0 means
+	// that there was no answer.
 	Send func(home string, report []byte) (status int, answer []byte)
 
-	// Exec, if set, is asked at a task's start, with the lock held, whether it
-	// runs something; if it returns how to stop that, the task goes on until
-	// Finish.
+	// Exec, if set, is called with the lock held when a task starts. If it runs something
+	// for the task, it returns how to stop that, and the task runs until Finish.
 	Exec func(t *Task) (stop func())
 
-	Dead, Hung               bool
+	// Dead means that the machine is powered off, Hung that it does nothing.
+	Dead, Hung bool
+	// Session is the agent epoch, Sequence the number of the last heartbeat, Token the
+	// fencing token of the machine lease.
 	Session, Sequence, Token uint64
-	LeaseFrom                time.Time
-	Tasks                    map[string]*Task
-	Notice                   *time.Time
+	// LeaseFrom is when the machine lease was last renewed.
+	LeaseFrom time.Time
+	Tasks     map[string]*Task // by task and attempt
+	// Notice is when the machine is preempted, nil: no preemption notice was given.
+	Notice *time.Time
 	// Starts counts the tasks that began to run.
 	Starts int
 
 	lock    sync.Locker
 	jobs    Jobs
-	watch   Watcher
+	watcher Watcher
 	stopped chan struct{}
 }
 
-// Task is a task on the machine.
-type Task struct {
-	Name    string
-	Job     string
-	Index   int
-	Attempt uint64
-	State   string
-	Cause   string
-	Running bool
-	begun   time.Time
-	Ends    time.Time
-	stop    func()
-}
+const (
+	// stepInterval is how often a running agent advances its tasks.
+	stepInterval = 100 * time.Millisecond
+
+	defaultFetch             = 300 * time.Millisecond
+	defaultHeartbeatInterval = time.Second
+)
 
-// halt ends what the task runs.
-func (t *Task) halt() {
-	if t.stop != nil {
-		t.stop()
-		t.stop = nil
+// New creates the agent of a machine that has just booted. The lock guards its state. The
+// caller sets the remaining fields.
+func New(lock sync.Locker, jobs Jobs, watcher Watcher) *Agent {
+	return &Agent{
+		lock:        lock,
+		jobs:        jobs,
+		watcher:     watcher,
+		stopped:     make(chan struct{}),
+		Session:     1,
+		Tasks:       map[string]*Task{},
+		Fetch:       defaultFetch,
+		ReportEvery: defaultHeartbeatInterval,
+		LeaseFrom:   time.Now(),
 	}
 }
 
-// Finish ends a task that runs something, with the lock held. One that was
-// stopped before stays so.
-func (w *Agent) Finish(t *Task, cause string) {
-	if t.State != protocol.TaskRunning {
+// Off powers the machine off. The lock is held.
+func (a *Agent) Off() {
+	if a.Dead {
 		return
 	}
-	t.State, t.Running, t.Cause = protocol.TaskEnded, false, cause
-	w.watch.Ended(w, t)
-}
-
-// New makes a worker of a machine that has just come up, whose state the lock
-// guards; what it does not say is filled in by the caller.
-func New(lock sync.Locker, jobs Jobs, watch Watcher) *Agent {
-	return &Agent{lock: lock, jobs: jobs, watch: watch, stopped: make(chan struct{}), Session: 1, Tasks: map[string]*Task{},
-		Fetch: 300 * time.Millisecond, ReportEvery: time.Second, LeaseFrom: time.Now()}
-}
-
-// Off cuts the machine's power, with the lock held.
-func (w *Agent) Off() {
-	if !w.Dead {
-		w.Dead = true
-		for _, t := range w.Tasks {
-			t.halt()
-		}
-		close(w.stopped)
+	a.Dead = true
+	for _, t := range a.Tasks {
+		t.halt()
 	}
+	close(a.stopped)
 }
 
-const step = 100 * time.Millisecond
-
-// Run reports and runs tasks until the machine is off or done is closed.
-func (w *Agent) Run(done <-chan struct{}) {
-	next := time.Now()
+// Run sends heartbeats and advances the tasks until the machine is off or done is closed.
+func (a *Agent) Run(done <-chan struct{}) {
+	nextHeartbeat := time.Now()
 	for {
 		select {
-		case <-w.stopped:
+		case <-a.stopped:
 			return
 		case <-done:
 			return
-		case <-time.After(step):
+		case <-time.After(stepInterval):
 		}
-		w.lock.Lock()
-		if w.Hung {
-			w.lock.Unlock()
+		a.lock.Lock()
+		if a.Hung {
+			a.lock.Unlock()
 			continue
 		}
-		w.Advance(time.Now())
-		due := !time.Now().Before(next)
-		w.lock.Unlock()
+		a.Advance(time.Now())
+		due := !time.Now().Before(nextHeartbeat)
+		a.lock.Unlock()
 		if due {
-			next = time.Now().Add(w.ReportEvery)
-			if !w.report() {
-				next = time.Now().Add(w.ReportEvery)
+			nextHeartbeat = time.Now().Add(a.ReportEvery)
+			if !a.sendHeartbeat() {
+				nextHeartbeat = time.Now().Add(a.ReportEvery)
 			}
 		}
 	}
 }
 
-// Advance runs the machine up to now, with the lock held.
-func (w *Agent) Advance(now time.Time) {
-	if now.Sub(w.LeaseFrom) > w.Lease {
-		w.Session++
-		for _, t := range w.Tasks {
+// Advance runs the machine up to now: an expired lease ends all tasks and the agent epoch,
+// and tasks start and end when their time has come. The lock is held.
+func (a *Agent) Advance(now time.Time) {
+	if now.Sub(a.LeaseFrom) > a.Lease {
+		a.Session++
+		for _, t := range a.Tasks {
 			t.halt()
 		}
-		w.Tasks = map[string]*Task{}
-		w.LeaseFrom = now
+		a.Tasks = map[string]*Task{}
+		a.LeaseFrom = now
 	}
-	for _, t := range w.Tasks {
+	for _, t := range a.Tasks {
 		switch {
-		case t.State == protocol.TaskFetching && now.Sub(t.begun) > w.Fetch:
-			runs, ok := w.jobs.RunTime(t.Job, t.Index, w.Name)
-			if !ok {
-				t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknown
+		case t.State == protocol.TaskFetching && now.Sub(t.begun) > a.Fetch:
+			if !a.start(t, now) {
 				continue
 			}
-			t.State, t.Running = protocol.TaskRunning, true
-			t.Ends = now.Add(runs)
-			if w.Exec != nil {
-				t.stop = w.Exec(t)
-			}
-			w.Starts++
-			w.watch.Started(w, t)
 		case t.State == protocol.TaskRunning && t.stop == nil && !now.Before(t.Ends):
-			t.State, t.Running, t.Cause = protocol.TaskEnded, false, protocol.CauseDone
-			if w.jobs.Fails(t.Job, t.Index, w.Name) {
-				t.Cause = protocol.CauseError
+			cause := protocol.CauseDone
+			if a.jobs.Fails(t.Job, t.Index, a.Name) {
+				cause = protocol.CauseError
 			}
-			w.watch.Ended(w, t)
+			a.Finish(t, cause)
 		}
 		if t.Running {
-			w.watch.Running(w, t, now)
-		}
-	}
-}
-
-// Snapshot is the worker's report as of now, with the lock held.
-func (w *Agent) Snapshot() *protocol.Heartbeat {
-	w.Sequence++
-	r := &protocol.Heartbeat{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Epoch: w.Session, Sequence: w.Sequence, Token: w.Token, Tasks: []protocol.TaskReport{}}
-	if w.Notice != nil {
-		s := time.Until(*w.Notice).Seconds()
-		r.PreemptionNoticeS = &s
-	}
-	for _, t := range w.Tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Cause: t.Cause})
-	}
-	return r
-}
-
-// report sends one report and obeys the answer. It returns false if the worker
-// goes to the next controller.
-func (w *Agent) report() bool {
-	w.lock.Lock()
-	sent := time.Now()
-	r := w.Snapshot()
-	home := w.Homes[w.Home]
-	w.lock.Unlock()
-	status, body := w.Send(home, protocol.Encode(r))
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.Hung || w.Dead {
-		return true
-	}
-	switch status {
-	case 200:
-		var o protocol.Orders
-		if protocol.Decode(body, &o) == nil && o.Token >= w.Token && r.Epoch == w.Session {
-			w.Token, w.LeaseFrom = o.Token, sent
-			w.execute(o.Commands)
+			a.watcher.Running(a, t, now)
 		}
-		return true
-	case 421:
-		var h protocol.Home
-		if protocol.Decode(body, &h) == nil {
-			for i, label := range w.Homes {
-				if label == h.Home && i != w.Home {
-					w.Home = i
-					return false
-				}
-			}
-		}
-	}
-	w.Home = (w.Home + 1) % len(w.Homes)
-	return false
-}
-
-func (w *Agent) execute(cmds []protocol.Command) {
-	for _, c := range cmds {
-		key := c.Task + "#" + strconv.FormatUint(c.Attempt, 10)
-		t := w.Tasks[key]
-		switch c.Op {
-		case protocol.OpStart:
-			if t != nil {
-				continue
-			}
-			job, index, ok := protocol.ParseTask(c.Task)
-			w.watch.Obeying(w, c)
-			t = &Task{Name: c.Task, Job: job, Index: index, Attempt: c.Attempt, State: protocol.TaskFetching, begun: time.Now()}
-			if !ok {
-				t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknown
-			}
-			for _, o := range w.Tasks {
-				if o.Name == c.Task && o.State != protocol.TaskEnded {
-					t.State, t.Cause = protocol.TaskEnded, protocol.CauseInUse
-				}
-			}
-			w.Tasks[key] = t
-		case protocol.OpStop:
-			if t != nil && t.State != protocol.TaskEnded {
-				t.State, t.Cause, t.Running = protocol.TaskEnded, protocol.CauseStopped, false
-				t.halt()
-			}
-		case protocol.OpForget:
-			if t != nil && t.State == protocol.TaskEnded {
-				delete(w.Tasks, key)
-			}
-		}
-	}
-}
-
-// Serve answers one request to the worker's own address, with the lock held;
-// nil means that the machine says nothing.
-func (w *Agent) Serve(path string, body []byte) *transport.Response {
-	answer := func(status int) *transport.Response {
-		return &transport.Response{Status: status, Body: protocol.Encode(w.Snapshot())}
-	}
-	if w.Dead || w.Hung {
-		return nil
-	}
-	w.Advance(time.Now())
-	if path == "/show" {
-		return answer(200)
-	}
-	var o protocol.Orders
-	if protocol.Decode(body, &o) != nil || o.Token == 0 && o.Epoch == 0 {
-		return answer(400)
-	}
-	if o.Token < w.Token || o.Epoch != w.Session {
-		return answer(409)
 	}
-	w.Token = o.Token
-	w.execute(o.Commands)
-	return answer(200)
 }
--- /dev/null
+++ b/internal/fake/agent/heartbeat.go
@@ -0,0 +1,69 @@
+package agent
+
+import (
+	"net/http"
+	"time"
+
+	"micaspindle/internal/protocol"
+)
+
+// Snapshot returns the agent's next heartbeat. The lock is held.
+func (a *Agent) Snapshot() *protocol.Heartbeat {
+	a.Sequence++
+	heartbeat := &protocol.Heartbeat{
+		Machine:  a.Name,
+		Addr:     a.Addr,
+		Type:     a.Type,
+		Zone:     a.Zone,
+		Spot:     a.Spot,
+		Epoch:    a.Session,
+		Sequence: a.Sequence,
+		Token:    a.Token,
+		Tasks:    []protocol.TaskReport{},
+	}
+	if a.Notice != nil {
+		seconds := time.Until(*a.Notice).Seconds()
+		heartbeat.PreemptionNoticeS = &seconds
+	}
+	for _, t := range a.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Cause: t.Cause})
+	}
+	return heartbeat
+}
+
+// sendHeartbeat sends one heartbeat and executes the commands of the answer. It returns
+// false if the agent changes to another controller.
+func (a *Agent) sendHeartbeat() bool {
+	a.lock.Lock()
+	sent := time.Now()
+	heartbeat := a.Snapshot()
+	controller := a.Homes[a.Home]
+	a.lock.Unlock()
+	status, body := a.Send(controller, protocol.Encode(heartbeat))
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	if a.Hung || a.Dead {
+		return true
+	}
+	switch status {
+	case http.StatusOK:
+		var orders protocol.Orders
+		if protocol.Decode(body, &orders) == nil && orders.Token >= a.Token && heartbeat.Epoch == a.Session {
+			a.Token, a.LeaseFrom = orders.Token, sent
+			a.execute(orders.Commands)
+		}
+		return true
+	case http.StatusMisdirectedRequest:
+		var home protocol.Home
+		if protocol.Decode(body, &home) == nil {
+			for i, label := range a.Homes {
+				if label == home.Home && i != a.Home {
+					a.Home = i
+					return false
+				}
+			}
+		}
+	}
+	a.Home = (a.Home + 1) % len(a.Homes)
+	return false
+}
--- a/internal/fake/state/state_test.go
+++ b/internal/fake/state/service_test.go
@@ -20,7 +20,7 @@
 	return s.Serve(context.Background(), "", "POST", "/commit", nil, protocol.Encode(txn)).Status
 }
 
-func TestConditionsLeasesAndWatches(t *testing.T) {
+func TestTransactionsLeasesAndWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(new(sync.Mutex))
 		s.TxnOps, s.ValueKB = 2, 1
@@ -57,7 +57,7 @@
 		if resp := s.Serve(context.Background(), "", "GET", "/store/leased", nil, nil); resp.Status != 404 {
 			t.Error("a key outlived its lease")
 		}
-		// A watch waits for a change under its prefix, and gives up on time.
+		// A watch waits for a change under its prefix, and ends at its deadline.
 		go func() {
 			time.Sleep(time.Second)
 			commit(t, s, protocol.Transaction{Then: put("w/1", 0)})
@@ -69,7 +69,7 @@
 		if err := protocol.Decode(resp.Body, &ev); err != nil || len(ev.Events) != 1 || time.Since(begun) > 1200*time.Millisecond {
 			t.Errorf("%v, %d events after %s", err, len(ev.Events), time.Since(begun))
 		}
-		// Changes that are no longer kept are not passed over in silence.
+		// A watch from a revision whose events are dropped is an error.
 		for i := range keptEvents + 2*keptEvents/10 {
 			if commit(t, s, protocol.Transaction{Then: put(fmt.Sprintf("x/%d", i%10), 0)}) != 200 {
 				t.Fatal("put failed")
