--- a/internal/reapi/repair.go
+++ b/internal/reapi/repair.go
@@ -21,11 +21,11 @@
 			instances[team] = name
 		}
 	}
-	order := func(hash string) []repair.Gate {
+	order := func(hash string) []repair.Peer {
 		if f.peers == nil {
 			return nil
 		}
-		var peers []repair.Gate
+		var peers []repair.Peer
 		for _, p := range f.peers.ranked(hash) {
 			peers = append(peers, &repairPeer{f, p, instances})
 		}
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -1,20 +1,14 @@
-// Package repair keeps what a gate holds whole: it reads every blob at rest again
-// and sees that enough other gates have a copy, at a bounded pace, over and over.
-// A pass goes on where it was after a restart. It knows keys and other gates only
-// by what it can ask of them, and no protocol.
+// Package repair keeps the blobs of a front end intact and replicated: it verifies every
+// blob at rest and checks that enough peers have a copy, in endless passes at a bounded
+// rate. A pass resumes where it was after a restart. The package knows no protocol.
 package repair
 
 import (
-	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io/fs"
 	"log/slog"
 	"math"
-	"os"
-	"path/filepath"
 	"slices"
 	"sync"
 	"time"
@@ -23,44 +17,45 @@
 	"micaspindle/internal/blobstore"
 )
 
-// Store is the gate's own blobs.
+// Store is the front end's own store.
 type Store interface {
 	Keys() []blobstore.Key
-	// Verify reads a blob's bytes. One that is not what it should be is removed.
-	Verify(k blobstore.Key) error
+	// Verify reads a blob's bytes. A corrupt blob is removed, and blobstore.ErrMismatch
+	// returned.
+	Verify(key blobstore.Key) error
 }
 
-// Gate is another gate.
-type Gate interface {
+// Peer is another front end.
+type Peer interface {
 	Name() string
-	// Lacks says which blobs of a space the gate does not have; asking promises
-	// nothing.
+	// Lacks returns the digests whose blobs the peer does not have. It does not retain the
+	// others there.
 	Lacks(ctx context.Context, space string, digests []blobstore.Digest) ([]blobstore.Digest, error)
-	// Push copies a blob of this gate to it.
-	Push(ctx context.Context, k blobstore.Key) error
+	// Push copies a blob of this front end to the peer.
+	Push(ctx context.Context, key blobstore.Key) error
 }
 
-// Source brings back a blob that was found corrupt, from whichever gate has it.
-type Source func(ctx context.Context, k blobstore.Key) error
+// Restore fetches a blob that was found corrupt from any peer that has it.
+type Restore func(ctx context.Context, key blobstore.Key) error
 
-// Order puts the other gates in the order in which they should hold a blob; it is
-// the same on all gates.
-type Order func(hash string) []Gate
+// Order returns the peers in the order in which they should hold a blob. It is the same on
+// all front ends.
+type Order func(hash string) []Peer
 
-// Settings bound what repair takes.
+// Settings bound the repairer.
 type Settings struct {
-	// Copies is how many gates should hold a blob, this one among them.
+	// Copies is how many front ends should hold a blob, this one included.
 	Copies int
-	// BytesPerSecond is read and copied, at most.
+	// BytesPerSecond bounds what is read and copied.
 	BytesPerSecond float64
-	// Every is how long it rests between passes.
+	// Every is the time between passes.
 	Every time.Duration
-	// Grace is how long a gate that does not answer counts as holding what it
-	// should: it may only be restarting.
+	// Grace is how long a peer that does not answer counts as holding what it should: it
+	// may only be restarting.
 	Grace time.Duration
 }
 
-// Check says what must be mended.
+// Check validates the settings.
 func (s *Settings) Check() error {
 	switch {
 	case s.Copies < 1:
@@ -75,76 +70,71 @@
 	return nil
 }
 
-// Progress says how a pass stands.
+// Progress is the state of a repairer.
 type Progress struct {
-	// Pass counts the passes that were begun, Done and Of the blobs of this one.
+	// Pass counts the passes begun; Done and Of are blobs of the current one.
 	Pass, Done, Of int
-	// Since the beginning: blobs that were read, found corrupt, brought back and
-	// copied, and copies that could not be made.
+	// Counts since the process started: blobs read, found corrupt, restored, and copied, and
+	// blobs left with too few copies.
 	Read, Corrupt, Restored, Copied, Short int64
-	// Records were told to other gates, most of which knew them.
+	// Records counts the records that were sent to peers, most of which had them.
 	Records int64
-	// Gone are gates that have not answered for longer than the grace.
+	// Gone are peers that have not answered for longer than the grace period.
 	Gone []string
 }
 
-// Repairer works through a store.
+// Repairer repairs a store. Run or Pass may be called by one goroutine, Progress by any.
 type Repairer struct {
 	settings Settings
-	file     string
+	file     string // of the cursor
 	store    Store
 	order    Order
-	source   Source
+	restore  Restore
 	log      *slog.Logger
-	pace     *admission.Queue
-	// Records, if there is such a thing, sees to the copies of small records after
-	// each pass; take waits until so much may be moved.
+	rate     *admission.Queue
+	// Records, if set, copies small records to peers after each pass; take waits until so
+	// many bytes may be moved.
 	Records func(ctx context.Context, take func(context.Context, int64) error) (copied int, err error)
 
 	mu       sync.Mutex
 	progress Progress
-	silent   map[string]time.Time // since when a gate has not answered
+	silent   map[string]time.Time // since when a peer has not answered
 }
 
-// New makes one; file is where it notes how far it is.
-func New(settings Settings, file string, store Store, order Order, source Source, log *slog.Logger) (*Repairer, error) {
+// New creates a repairer; file is where it stores its cursor.
+func New(settings Settings, file string, store Store, order Order, restore Restore, log *slog.Logger) (*Repairer, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	return &Repairer{settings: settings, file: file, store: store, order: order, source: source, log: log,
-		pace: admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, Waiting: 1}), silent: map[string]time.Time{}}, nil
+	return &Repairer{
+		settings: settings,
+		file:     file,
+		store:    store,
+		order:    order,
+		restore:  restore,
+		log:      log,
+		rate:     admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, Waiting: 1}),
+		silent:   map[string]time.Time{},
+	}, nil
 }
 
-// batch is how many blobs other gates are asked about at a time.
-const batch = 500
-
-// cursor is how far a pass has come, as it is kept.
-type cursor struct {
-	Space string `json:"space"`
-	Hash  string `json:"hash"`
-	// Function is what the digest is computed with.
-	Function blobstore.Function `json:"function,omitempty"`
-	Size     int64              `json:"size"`
-}
-
-func compare(a, b blobstore.Key) int {
-	return cmp.Or(cmp.Compare(a.Space, b.Space), cmp.Compare(a.Hash, b.Hash), cmp.Compare(a.Size, b.Size), cmp.Compare(a.Function, b.Function))
-}
+// batchSize bounds the blobs that peers are asked about in one call.
+const batchSize = 500
 
 // Run makes passes until ctx ends.
 func (r *Repairer) Run(ctx context.Context) {
 	for {
-		begun := time.Now()
+		started := time.Now()
 		err := r.Pass(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		p := r.Progress()
+		progress := r.Progress()
 		if err != nil {
-			r.log.Warn("repair stopped short", "reason", err, "done", p.Done, "of", p.Of)
+			r.log.Warn("repair pass interrupted", "error", err, "done", progress.Done, "of", progress.Of)
 		} else {
-			r.log.Info("repair pass done", "blobs", p.Of, "took", time.Since(begun).Round(time.Millisecond), "corrupt", p.Corrupt,
-				"restored", p.Restored, "copied", p.Copied, "short", p.Short, "gone", p.Gone)
+			r.log.Info("repair pass done", "count", progress.Of, "elapsed", time.Since(started).Round(time.Millisecond), "corrupt", progress.Corrupt,
+				"restored", progress.Restored, "copied", progress.Copied, "short", progress.Short, "gone", progress.Gone)
 		}
 		select {
 		case <-time.After(r.settings.Every):
@@ -154,262 +144,110 @@
 	}
 }
 
-// Progress says how it stands.
+// Progress returns the state of the repairer.
 func (r *Repairer) Progress() Progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.progress
-	p.Gone = r.gone(time.Now())
-	return p
+	progress := r.progress
+	progress.Gone = r.gonePeers(time.Now())
+	return progress
 }
 
-func (r *Repairer) gone(now time.Time) []string {
-	var out []string
+// gonePeers returns the peers that have been silent for the grace period. r.mu is held.
+func (r *Repairer) gonePeers(now time.Time) []string {
+	var gone []string
 	for name, since := range r.silent {
 		if now.Sub(since) >= r.settings.Grace {
-			out = append(out, name)
+			gone = append(gone, name)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(gone)
+	return gone
 }
 
-func (r *Repairer) count(f func(*Progress)) {
+// count updates the progress.
+func (r *Repairer) count(update func(*Progress)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.progress)
+	update(&r.progress)
 }
 
-// Pass works through all blobs once, from where the last one stopped short.
+// Pass works through all blobs once, starting where the last pass was interrupted.
 func (r *Repairer) Pass(ctx context.Context) error {
 	keys := r.store.Keys()
-	slices.SortFunc(keys, compare)
-	done := 0
-	if at, err := r.resume(); err != nil {
-		r.log.Warn("repair begins anew", "reason", err)
-	} else if at != nil {
-		done, _ = slices.BinarySearchFunc(keys, *at, compare)
-		if done < len(keys) && keys[done] == *at {
-			done++
-		}
-	}
+	slices.SortFunc(keys, compareKeys)
+	done := r.resumeIndex(keys)
 	r.count(func(p *Progress) { p.Pass++; p.Done, p.Of = done, len(keys) })
 	for done < len(keys) {
-		// A batch is of one space, since others are asked space by space.
+		// A batch holds blobs of one space: peers are asked space by space.
 		end := done + 1
-		for end < len(keys) && end-done < batch && keys[end].Space == keys[done].Space {
+		for end < len(keys) && end-done < batchSize && keys[end].Space == keys[done].Space {
 			end++
 		}
-		if err := r.batch(ctx, keys[done:end]); err != nil {
+		if err := r.repairBatch(ctx, keys[done:end]); err != nil {
 			return err
 		}
 		done = end
 		r.count(func(p *Progress) { p.Done = done })
-		last := keys[done-1]
-		if err := r.note(&cursor{Space: last.Space, Hash: last.Hash, Size: last.Size, Function: last.Function}); err != nil {
+		if err := r.saveCursor(keys[done-1]); err != nil {
 			return err
 		}
 	}
 	if r.Records != nil {
-		n, err := r.Records(ctx, r.take)
-		r.count(func(p *Progress) { p.Records += int64(n) })
+		copied, err := r.Records(ctx, r.take)
+		r.count(func(p *Progress) { p.Records += int64(copied) })
 		if err != nil {
 			return err
 		}
 	}
-	return r.note(nil)
+	return r.removeCursor()
 }
 
-// batch reads some blobs and sees to their copies.
-func (r *Repairer) batch(ctx context.Context, keys []blobstore.Key) error {
-	var whole []blobstore.Key
-	for _, k := range keys {
-		if err := r.take(ctx, k.Size); err != nil {
+// repairBatch verifies some blobs of one space and makes their missing copies.
+func (r *Repairer) repairBatch(ctx context.Context, keys []blobstore.Key) error {
+	var intact []blobstore.Key
+	for _, key := range keys {
+		if err := r.take(ctx, key.Size); err != nil {
 			return err
 		}
-		err := r.store.Verify(k)
+		err := r.store.Verify(key)
 		switch {
 		case err == nil:
-			whole = append(whole, k)
+			intact = append(intact, key)
 			r.count(func(p *Progress) { p.Read++ })
 		case errors.Is(err, blobstore.ErrNotFound): // evicted meanwhile
 		case errors.Is(err, blobstore.ErrMismatch):
-			r.count(func(p *Progress) { p.Corrupt++ })
-			if serr := r.source(ctx, k); serr != nil {
-				r.log.Error("blob corrupt", "space", k.Space, "blob", k.Digest.String(), "brought_back", false, "reason", serr)
-				continue
+			if r.restoreCorrupt(ctx, key) {
+				intact = append(intact, key)
 			}
-			r.log.Warn("blob corrupt", "space", k.Space, "blob", k.Digest.String(), "brought_back", true)
-			r.count(func(p *Progress) { p.Restored++ })
-			whole = append(whole, k)
 		default:
-			return fmt.Errorf("read %s: %w", k.Digest, err)
+			return fmt.Errorf("read %s: %w", key.Digest, err)
 		}
 	}
-	if r.settings.Copies < 2 || len(whole) == 0 {
+	if r.settings.Copies < 2 || len(intact) == 0 {
 		return nil
 	}
-	return r.copies(ctx, whole)
-}
-
-// Has says how a gate stands to a blob.
-type Has int
-
-// A gate has a blob, lacks it, or does not answer: for a short while it may
-// only be restarting, later it is gone.
-const (
-	Holds Has = iota
-	Lacks
-	Silent
-	Gone
-)
-
-// Plan says which gates of an order should get a copy, so that with this gate so
-// many hold the blob. Those that are silent count as holding it where it should
-// lie with them; that is with the first of the order that are not gone.
-func Plan(order []Has, copies int) (targets []int, short int) {
-	have, place := 1, 1
-	for _, h := range order {
-		switch h {
-		case Holds:
-			have++
-		case Silent:
-			if place < copies {
-				have++
-			}
-		}
-		if h != Gone {
-			place++
-		}
-	}
-	for i, h := range order {
-		if have >= copies {
-			break
-		}
-		if h == Lacks {
-			targets = append(targets, i)
-			have++
-		}
-	}
-	return targets, max(0, copies-have)
+	return r.makeCopies(ctx, intact)
 }
 
-// copies sees that enough gates hold some blobs of one space.
-func (r *Repairer) copies(ctx context.Context, keys []blobstore.Key) error {
-	digests := make([]blobstore.Digest, len(keys))
-	for i, k := range keys {
-		digests[i] = k.Digest
-	}
-	// What each gate lacks; nil: it does not answer.
-	lacks := map[string]map[blobstore.Digest]bool{}
-	for _, g := range r.order(keys[0].Hash) {
-		missing, err := g.Lacks(ctx, keys[0].Space, digests)
-		if ctx.Err() != nil {
-			return context.Cause(ctx)
-		}
-		r.mu.Lock()
-		if err != nil {
-			if _, ok := r.silent[g.Name()]; !ok {
-				r.silent[g.Name()] = time.Now()
-			}
-		} else {
-			delete(r.silent, g.Name())
-			set := map[blobstore.Digest]bool{}
-			for _, d := range missing {
-				set[d] = true
-			}
-			lacks[g.Name()] = set
-		}
-		r.mu.Unlock()
+// restoreCorrupt restores a corrupt blob from a peer and reports whether it could.
+func (r *Repairer) restoreCorrupt(ctx context.Context, key blobstore.Key) bool {
+	r.count(func(p *Progress) { p.Corrupt++ })
+	if err := r.restore(ctx, key); err != nil {
+		r.log.Error("blob corrupt", "space", key.Space, "blob", key.Digest.String(), "brought_back", false, "error", err)
+		return false
 	}
-	for _, k := range keys {
-		order := r.order(k.Hash)
-		r.mu.Lock()
-		gone := r.gone(time.Now())
-		r.mu.Unlock()
-		stands := make([]Has, len(order))
-		for i, g := range order {
-			set, answered := lacks[g.Name()]
-			switch {
-			case answered && set[k.Digest]:
-				stands[i] = Lacks
-			case answered:
-				stands[i] = Holds
-			case slices.Contains(gone, g.Name()):
-				stands[i] = Gone
-			default:
-				stands[i] = Silent
-			}
-		}
-		for {
-			targets, short := Plan(stands, r.settings.Copies)
-			if len(targets) == 0 {
-				if short > 0 {
-					r.count(func(p *Progress) { p.Short++ })
-				}
-				break
-			}
-			if err := r.take(ctx, k.Size); err != nil {
-				return err
-			}
-			at := targets[0]
-			err := order[at].Push(ctx, k)
-			switch {
-			case err == nil:
-				stands[at] = Holds
-				r.count(func(p *Progress) { p.Copied++ })
-			case ctx.Err() != nil:
-				return context.Cause(ctx)
-			default: // full, or gone just now: the next one
-				r.log.Debug("blob not copied", "gate", order[at].Name(), "blob", k.Digest.String(), "reason", err)
-				stands[at] = Gone
-			}
-		}
-	}
-	return nil
+	r.log.Warn("blob corrupt", "space", key.Space, "blob", key.Digest.String(), "brought_back", true)
+	r.count(func(p *Progress) { p.Restored++ })
+	return true
 }
 
-// take waits until so much may be moved.
+// take waits until so many bytes may be moved.
 func (r *Repairer) take(ctx context.Context, bytes int64) error {
-	leave, err := r.pace.Enter(ctx, "", "", float64(bytes))
+	leave, err := r.rate.Enter(ctx, "", "", float64(bytes))
 	if err != nil {
 		return err
 	}
 	leave()
 	return nil
 }
-
-func (r *Repairer) resume() (*blobstore.Key, error) {
-	raw, err := os.ReadFile(r.file)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	var c cursor
-	if err := json.Unmarshal(raw, &c); err != nil {
-		return nil, fmt.Errorf("%s: %w", r.file, err)
-	}
-	return &blobstore.Key{Space: c.Space, Digest: blobstore.Digest{Hash: c.Hash, Size: c.Size, Function: c.Function}}, nil
-}
-
-// note keeps how far the pass is; nil: it is done. It may be lost: then a part of
-// the pass is made again.
-func (r *Repairer) note(c *cursor) error {
-	if c == nil {
-		if err := os.Remove(r.file); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return err
-		}
-		return nil
-	}
-	raw, err := json.Marshal(c)
-	if err != nil {
-		return err
-	}
-	temp := filepath.Join(filepath.Dir(r.file), "."+filepath.Base(r.file))
-	if err := os.WriteFile(temp, raw, 0o600); err != nil {
-		return err
-	}
-	return os.Rename(temp, r.file)
-}
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -16,16 +16,16 @@
 	"micaspindle/internal/blobstore"
 )
 
-// world is a gate's store and other gates, in memory.
+// world is a fake of a front end's store and of its peers.
 type world struct {
-	own   map[blobstore.Key]string // "", or what is wrong with it
-	gates []*fakeGate
+	own   map[blobstore.Key]string // "", "corrupt" or "evicted"
+	peers []*fakePeer
 	read  int
-	stop  func() // called after so many reads
+	stop  func() // called after the given number of reads
 	after int
 }
 
-type fakeGate struct {
+type fakePeer struct {
 	w      *world
 	name   string
 	has    map[blobstore.Key]bool
@@ -51,25 +51,25 @@
 	return nil
 }
 
-func (g *fakeGate) Name() string { return g.name }
+func (p *fakePeer) Name() string { return p.name }
 
-func (g *fakeGate) Lacks(_ context.Context, space string, digests []blobstore.Digest) (out []blobstore.Digest, err error) {
-	if g.down {
+func (p *fakePeer) Lacks(_ context.Context, space string, digests []blobstore.Digest) (out []blobstore.Digest, err error) {
+	if p.down {
 		return nil, errors.New("down")
 	}
 	for _, d := range digests {
-		if !g.has[blobstore.Key{Space: space, Digest: d}] {
+		if !p.has[blobstore.Key{Space: space, Digest: d}] {
 			out = append(out, d)
 		}
 	}
 	return out, nil
 }
 
-func (g *fakeGate) Push(_ context.Context, k blobstore.Key) error {
-	if g.down || g.full {
+func (p *fakePeer) Push(_ context.Context, k blobstore.Key) error {
+	if p.down || p.full {
 		return errors.New("no")
 	}
-	g.has[k], g.pushed = true, g.pushed+1
+	p.has[k], p.pushed = true, p.pushed+1
 	return nil
 }
 
@@ -79,33 +79,33 @@
 	return blobstore.Key{Space: []string{"red", "blue"}[i%2], Digest: d}
 }
 
-// newWorld holds so many blobs, each on `copies` gates in its order.
-func newWorld(blobs, gates, copies int) *world {
+// newWorld creates blobs with the given number of copies on the first peers in their order.
+func newWorld(blobs, peers, copies int) *world {
 	w := &world{own: map[blobstore.Key]string{}}
-	for i := range gates {
-		w.gates = append(w.gates, &fakeGate{w: w, name: fmt.Sprint("gate-", i), has: map[blobstore.Key]bool{}})
+	for i := range peers {
+		w.peers = append(w.peers, &fakePeer{w: w, name: fmt.Sprint("peer-", i), has: map[blobstore.Key]bool{}})
 	}
 	for i := range blobs {
 		k := key(i)
 		w.own[k] = ""
-		for _, g := range w.order(k.Hash)[:copies-1] {
-			g.(*fakeGate).has[k] = true
+		for _, p := range w.order(k.Hash)[:copies-1] {
+			p.(*fakePeer).has[k] = true
 		}
 	}
 	return w
 }
 
-func (w *world) order(hash string) []Gate {
-	var out []Gate
-	for i := range w.gates {
-		out = append(out, w.gates[(int(hash[0])+i)%len(w.gates)])
+func (w *world) order(hash string) []Peer {
+	var out []Peer
+	for i := range w.peers {
+		out = append(out, w.peers[(int(hash[0])+i)%len(w.peers)])
 	}
 	return out
 }
 
-func (w *world) source(_ context.Context, k blobstore.Key) error {
-	for _, g := range w.gates {
-		if !g.down && g.has[k] {
+func (w *world) restore(_ context.Context, k blobstore.Key) error {
+	for _, p := range w.peers {
+		if !p.down && p.has[k] {
 			w.own[k] = ""
 			return nil
 		}
@@ -115,8 +115,8 @@
 
 func (w *world) copies(k blobstore.Key) int {
 	n := 1
-	for _, g := range w.gates {
-		if !g.down && g.has[k] {
+	for _, p := range w.peers {
+		if !p.down && p.has[k] {
 			n++
 		}
 	}
@@ -125,7 +125,7 @@
 
 func (w *world) repairer(t *testing.T, s Settings, file string) *Repairer {
 	t.Helper()
-	r, err := New(s, file, w, w.order, w.source, slog.New(slog.DiscardHandler))
+	r, err := New(s, file, w, w.order, w.restore, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,9 +134,9 @@
 
 var fast = Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute, Grace: 2 * time.Minute}
 
-// A gate that is away for a moment costs nothing; one that is gone has its copies
-// made anew elsewhere, and nothing more is copied when it comes back.
-func TestCopiesAreMadeAnew(t *testing.T) {
+// A peer that is down for a moment causes no copies. The blobs of one that is gone are
+// copied to others, and nothing more is copied when it comes back.
+func TestCopiesOfLostPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1500, 3, 2)
 		r := w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
@@ -148,36 +148,36 @@
 			return r.Progress()
 		}
 		if p := pass(); p.Copied != 0 || p.Done != 1500 || p.Read != 1500 || len(p.Gone) != 0 {
-			t.Errorf("nothing was to do: %+v", p)
+			t.Errorf("nothing to do: %+v", p)
 		}
-		w.gates[1].down = true
+		w.peers[1].down = true
 		if p := pass(); p.Copied != 0 || len(p.Gone) != 0 {
-			t.Errorf("a gate that is away for a moment: %+v", p)
+			t.Errorf("a peer that is down for a moment: %+v", p)
 		}
 		time.Sleep(3 * time.Minute)
 		p := pass()
-		if p.Copied < 300 || p.Copied > 700 || !slices.Equal(p.Gone, []string{"gate-1"}) {
-			t.Errorf("a gate that is gone: %+v", p)
+		if p.Copied < 300 || p.Copied > 700 || !slices.Equal(p.Gone, []string{"peer-1"}) {
+			t.Errorf("a peer that is gone: %+v", p)
 		}
 		for k := range w.own {
 			if w.copies(k) < 2 {
 				t.Fatalf("%s has %d copies", k.Digest, w.copies(k))
 			}
 		}
-		w.gates[1].down = false
+		w.peers[1].down = false
 		if q := pass(); q.Copied != p.Copied || len(q.Gone) != 0 {
 			t.Errorf("it came back: %+v", q)
 		}
 	})
 }
 
-// What was changed on disk is found, brought back from another gate, or counted.
+// Corrupt blobs are found, and restored from a peer or counted.
 func TestBlobsAtRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(100, 2, 2)
 		w.own[key(3)], w.own[key(4)], w.own[key(5)] = "corrupt", "corrupt", "evicted"
-		for _, g := range w.gates {
-			delete(g.has, key(4))
+		for _, p := range w.peers {
+			delete(p.has, key(4))
 		}
 		r := w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
 		if err := r.Pass(context.Background()); err != nil {
@@ -187,25 +187,25 @@
 			t.Errorf("%+v", p)
 		}
 		if _, ok := w.own[key(3)]; !ok {
-			t.Error("it was not brought back")
+			t.Error("it was not restored")
 		}
 	})
 }
 
-// A full gate is passed over for the next; with none left the blob counts as short.
-func TestFullGates(t *testing.T) {
+// A full peer is passed over for the next one; with none left the blob counts as short.
+func TestFullPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(100, 3, 1)
-		w.gates[0].full = true
+		w.peers[0].full = true
 		r := w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if p := r.Progress(); p.Copied != 100 || p.Short != 0 || w.gates[0].pushed != 0 {
+		if p := r.Progress(); p.Copied != 100 || p.Short != 0 || w.peers[0].pushed != 0 {
 			t.Errorf("%+v", p)
 		}
 		w = newWorld(100, 2, 1)
-		w.gates[0].full, w.gates[1].full = true, true
+		w.peers[0].full, w.peers[1].full = true, true
 		r = w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
@@ -216,13 +216,13 @@
 	})
 }
 
-// A pass that was cut short goes on where it was, at a bounded pace.
-func TestAPassGoesOn(t *testing.T) {
+// An interrupted pass resumes where it was, at a bounded rate.
+func TestResumption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		file := filepath.Join(t.TempDir(), "at")
 		w := newWorld(3000, 2, 2)
 		slow := fast
-		slow.BytesPerSecond = 100_000 // a hundred blobs a second
+		slow.BytesPerSecond = 100_000 // a hundred blobs per second
 		ctx, cancel := context.WithCancel(context.Background())
 		w.stop, w.after = cancel, 2000
 		begun := time.Now()
@@ -237,22 +237,22 @@
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if w.read < 3000 || w.read > 3000+batch {
+		if w.read < 3000 || w.read > 3000+batchSize {
 			t.Errorf("%d blobs were read in both", w.read)
 		}
 		if err := r.Pass(context.Background()); err != nil || r.Progress().Read < 3000 {
-			t.Errorf("the next one begins anew: %+v %v", r.Progress(), err)
+			t.Errorf("the next pass starts over: %+v %v", r.Progress(), err)
 		}
 	})
 }
 
-// Whatever gates say, a plan makes neither too few copies nor more than needed.
+// In every state of the peers, a plan makes neither too few copies nor more than needed.
 func TestPlans(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20_000 {
-		order := make([]Has, rng.IntN(6))
+		order := make([]PeerState, rng.IntN(6))
 		for i := range order {
-			order[i] = Has(rng.IntN(4))
+			order[i] = PeerState(rng.IntN(4))
 		}
 		copies := 1 + rng.IntN(4)
 		targets, short := Plan(order, copies)
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestSettings(t *testing.T) {
 	for _, change := range []func(*Settings){func(s *Settings) { s.Copies = 0 }, func(s *Settings) { s.BytesPerSecond = 0 },
 		func(s *Settings) { s.Every = 0 }, func(s *Settings) { s.Grace = -1 }} {
 		s := fast
