--- a/internal/buildtool/buildtool_test.go
+++ b/internal/buildtool/buildtool_test.go
@@ -22,8 +22,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// scripted is a gate that runs nothing: it answers calls by a script, and keeps
-// what is uploaded.
+// scripted is a fake front end that responds by a script and stores what is uploaded.
 type scripted struct {
 	repb.UnimplementedContentAddressableStorageServer
 	repb.UnimplementedExecutionServer
@@ -31,7 +30,7 @@
 	mu    sync.Mutex
 	blobs map[string][]byte
 	calls []string
-	// run answers the n-th call for an operation.
+	// run responds to the n-th call for an operation.
 	run func(n int, name string, send func(name string, resp *repb.ExecuteResponse) error) error
 }
 
@@ -148,9 +147,9 @@
 	return st.Err()
 }
 
-// A call that breaks is gone on with by name; what is lost is begun anew; a gate
-// that says when to come back is not asked before.
-func TestWhateverBreaksIsTriedAgain(t *testing.T) {
+// An operation whose call fails is waited for by name, a lost one is executed again, and the
+// retry delay of a front end is respected.
+func TestRetries(t *testing.T) {
 	const op = "operations/job-7/0/x"
 	for name, c := range map[string]struct {
 		script []error // of the calls; the one after them succeeds
@@ -197,8 +196,8 @@
 	}
 }
 
-// What fails for good ends the build with the action's name.
-func TestFailuresEndTheBuild(t *testing.T) {
+// A permanent failure ends the build with the action's name.
+func TestPermanentFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes []Node
 		resp  *repb.ExecuteResponse
@@ -229,8 +228,7 @@
 	}
 }
 
-// Large files go up in pieces and come back whole; one that comes back otherwise
-// is noticed.
+// Large files are uploaded in chunks and read whole; a wrong digest is an error.
 func TestLargeFiles(t *testing.T) {
 	s, b := serve(t, func(_ int, _ string, send func(string, *repb.ExecuteResponse) error) error {
 		return send("operations/job-1/0", made("x"))
@@ -248,8 +246,8 @@
 	}
 }
 
-// A gate that is never reached is named when the time is over.
-func TestNobodyAnswers(t *testing.T) {
+// The error of a front end that is never reached is reported at the deadline.
+func TestUnreachableFrontEnd(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -273,7 +271,7 @@
 
 func TestSample(t *testing.T) {
 	nodes, last, want := Sample("s", 23, 0)
-	if len(nodes) != 23+3+1 || last != nodes[len(nodes)-1].Name || ordered(nodes) != nil {
+	if len(nodes) != 23+3+1 || last != nodes[len(nodes)-1].Name || checkGraph(nodes) != nil {
 		t.Errorf("%d nodes, last %q", len(nodes), last)
 	}
 	body := string(want[bytes.IndexByte(want, '\n')+1:])
--- a/internal/buildtool/dial.go
+++ b/internal/buildtool/dial.go
@@ -1,6 +1,3 @@
-// Package buildtool is a small build client of the Remote Execution API: it runs a
-// graph of actions through one or several gates, whatever ends meanwhile. It
-// knows the published protocol only, and nothing of the gate's own packages.
 package buildtool
 
 import (
@@ -10,6 +7,7 @@
 	"time"
 
 	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
@@ -17,43 +15,57 @@
 	"google.golang.org/grpc/resolver/manual"
 )
 
-// Dial connects to gates, one call at one, the next at another; calls go to those
-// that can be reached. Without a TLS configuration it speaks in the clear, and a
-// token is refused.
-func Dial(gates []string, secure *tls.Config, token string) (*grpc.ClientConn, error) {
-	if len(gates) == 0 {
-		return nil, errors.New("no gates")
+// resolverScheme is the scheme of the connection's target, which stands for all front ends.
+const resolverScheme = "frontends"
+
+// reconnect makes connections come back within a second.
+var reconnect = backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
+
+const (
+	minConnectTimeout = time.Second
+	keepaliveInterval = 20 * time.Second
+	keepaliveTimeout  = 5 * time.Second
+)
+
+// Dial connects to front ends, whose addresses take turns as long as they can be reached.
+// Without a TLS configuration the connection is not encrypted, and a token is refused.
+func Dial(frontEnds []string, tlsConfig *tls.Config, token string) (*grpc.ClientConn, error) {
+	if len(frontEnds) == 0 {
+		return nil, errors.New("no front ends")
 	}
 	transport := insecure.NewCredentials()
-	if secure != nil {
-		transport = credentials.NewTLS(secure)
+	if tlsConfig != nil {
+		transport = credentials.NewTLS(tlsConfig)
 	} else if token != "" {
 		return nil, errors.New("a token is never sent in the clear")
 	}
-	r := manual.NewBuilderWithScheme("gates")
+	addresses := manual.NewBuilderWithScheme(resolverScheme)
 	var state resolver.State
-	for _, g := range gates {
-		state.Endpoints = append(state.Endpoints, resolver.Endpoint{Addresses: []resolver.Address{{Addr: g}}})
+	for _, addr := range frontEnds {
+		state.Endpoints = append(state.Endpoints, resolver.Endpoint{Addresses: []resolver.Address{{Addr: addr}}})
 	}
-	r.InitialState(state)
-	opts := []grpc.DialOption{grpc.WithResolvers(r), grpc.WithTransportCredentials(transport),
+	addresses.InitialState(state)
+	opts := []grpc.DialOption{
+		grpc.WithResolvers(addresses),
+		grpc.WithTransportCredentials(transport),
 		grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"round_robin":{}}]}`),
 		grpc.WithDefaultCallOptions(grpc.WaitForReady(true)),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: time.Second}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 20 * time.Second, Timeout: 5 * time.Second})}
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: minConnectTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+	}
 	if token != "" {
 		opts = append(opts, grpc.WithPerRPCCredentials(bearer(token)))
 	}
-	return grpc.NewClient("gates:///", opts...)
+	return grpc.NewClient(resolverScheme+":///", opts...)
 }
 
-// bearer sends a token with every call.
+// bearer is a token that is sent with every call.
 type bearer string
 
-// GetRequestMetadata is the header.
+// GetRequestMetadata returns the authorization header.
 func (b bearer) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
 	return map[string]string{"authorization": "Bearer " + string(b)}, nil
 }
 
-// RequireTransportSecurity keeps it out of plain connections.
+// RequireTransportSecurity refuses connections that are not encrypted.
 func (bearer) RequireTransportSecurity() bool { return true }
