--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -25,20 +25,20 @@
 	"micaspindle/internal/overview"
 )
 
-// controllerBinary builds the controller once for the tests of this package.
+// controllerBinary builds the controller, once for all tests of this package.
 func controllerBinary(t *testing.T) string {
 	t.Helper()
 	return program(t, "micaspindle", "-ldflags=-linkmode=external")
 }
 
-// programs are those that the tests of this package have built, by name.
+// programs are the programs that tests of this package have built, by name.
 var programs struct {
 	mu    sync.Mutex
 	dir   string
 	built map[string]string
 }
 
-// program builds a program of the project, or takes the one that another test has built.
+// program builds a program of the project, unless another test has built it.
 func program(t *testing.T, name string, flags ...string) string {
 	t.Helper()
 	programs.mu.Lock()
@@ -55,9 +55,9 @@
 	return path
 }
 
-// clustersAtOnce is how many clusters of real processes run beside each other, unless
-// -parallel says it: their leases run in real time. A test that starts a gate on its old
-// address again, or compares times, runs alone.
+// clustersAtOnce is how many clusters of real processes run in parallel, unless -parallel
+// is given: their leases run in real time. A test that restarts a front end on its old
+// address, or compares times, runs alone.
 const clustersAtOnce = 3
 
 func TestMain(m *testing.M) {
@@ -81,8 +81,7 @@
 	os.Exit(code)
 }
 
-// The demo's cluster is of real processes; its leader is killed and every job
-// is still done.
+// In the demo, with real processes, the cluster leader is killed and every job is done.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
@@ -100,27 +99,27 @@
 		t.Fatal(err)
 	}
 	tasks := 0
-	for _, j := range res.Jobs {
-		tasks += j.Tasks
+	for _, job := range res.Jobs {
+		tasks += job.Tasks
 	}
 	if res.TasksDone != tasks || res.Killed == "" || res.Successor == "" || res.Successor == res.Killed {
 		t.Errorf("%d of %d tasks, %q led, then %q", res.TasksDone, tasks, res.Killed, res.Successor)
 	}
 	pids := []int{}
-	for _, n := range c.Nodes() {
-		pids = append(pids, n.Pid())
+	for _, node := range c.Nodes() {
+		pids = append(pids, node.Pid())
 	}
 	c.Stop()
-	for i, n := range c.Nodes() {
+	for i, node := range c.Nodes() {
 		select {
-		case <-n.Exited():
+		case <-node.Exited():
 		default:
 			t.Errorf("process %d still runs", pids[i])
 		}
 	}
 }
 
-// await waits until a job is over.
+// await waits until a job has ended.
 func await(ctx context.Context, t *testing.T, users *client.Client, id string) {
 	t.Helper()
 	for {
@@ -135,9 +134,9 @@
 	}
 }
 
-// A roll of restarts of real controllers: each hands its part to the one that follows it,
-// ends with code 0, and no task is run twice.
-func TestRollOfRestarts(t *testing.T) {
+// In a rolling restart of real controllers, each hands its partition over to the standby,
+// exits with code 0, and no task is run twice.
+func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
@@ -158,8 +157,8 @@
 		}
 		jobs = append(jobs, *s.ID)
 	}
-	says := func(n *Node, what string) int {
-		log, err := os.ReadFile(n.LogFile)
+	says := func(node *Node, what string) int {
+		log, err := os.ReadFile(node.LogFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,21 +170,21 @@
 		}
 		return n
 	}
-	for _, n := range c.Nodes() {
-		time.Sleep(3 * time.Second) // it is followed by then
+	for _, node := range c.Nodes() {
+		time.Sleep(3 * time.Second) // until it has a standby
 		before := warm()
-		if code, err := c.End(n); err != nil || code != 0 {
-			t.Fatalf("%s ended with %d, %v", n.Label, code, err)
+		if code, err := c.End(node); err != nil || code != 0 {
+			t.Fatalf("%s ended with %d, %v", node.Label, code, err)
 		}
-		if says(n, "handed over") == 0 || says(n, "stopped") == 0 {
-			t.Errorf("%s did not hand over", n.Label)
+		if says(node, "handed over") == 0 || says(node, "stopped") == 0 {
+			t.Errorf("%s did not hand over", node.Label)
 		}
 		for begun := time.Now(); warm() == before; time.Sleep(10 * time.Millisecond) {
 			if time.Since(begun) > 10*time.Second {
-				t.Fatalf("nobody took over from %s what it had", n.Label)
+				t.Fatalf("nobody took over from %s what it had", node.Label)
 			}
 		}
-		if err := c.Restart(n); err != nil {
+		if err := c.Restart(node); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -194,8 +193,8 @@
 	}
 	c.Workers(func(workers map[string]*agent.Agent) {
 		starts := 0
-		for _, w := range workers {
-			starts += w.Starts
+		for _, a := range workers {
+			starts += a.Starts
 		}
 		if starts != 24 {
 			t.Errorf("24 tasks were started %d times", starts)
@@ -203,9 +202,9 @@
 	})
 }
 
-// Real controllers whose sockets are few share the machines' connections, go on when a
-// carrier is killed, and start no task twice.
-func TestCrowdedControllersShare(t *testing.T) {
+// Real controllers with few sockets share the machines' connections through delegates,
+// continue when a delegate is killed, and start no task twice.
+func TestDelegationWithFewSockets(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
@@ -225,19 +224,19 @@
 	if _, err := users.Submit(ctx, &s); err != nil {
 		t.Fatal(err)
 	}
-	// spread is whose connections the machines are, and who owns them.
+	// spread returns which controllers hold the machines' connections, and which lead them.
 	spread := func() (connected map[*Node]int, owner *Node, all int) {
 		connected = map[*Node]int{}
-		for _, n := range c.Nodes() {
+		for _, node := range c.Nodes() {
 			v := new(overview.View)
-			if err := users.At(n.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
-				continue // killed just now
+			if err := users.At(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
+				continue // just killed
 			}
-			connected[n] = v.Connected
+			connected[node] = v.Connected
 			all += v.Connected
 			for _, p := range v.Parts {
 				if p.Machines > 0 {
-					owner = n
+					owner = node
 				}
 			}
 		}
@@ -247,9 +246,9 @@
 		t.Helper()
 		for {
 			connected, o, all := spread()
-			for n, k := range connected {
-				if n != o && k > 0 {
-					carrier = n
+			for node, k := range connected {
+				if node != o && k > 0 {
+					carrier = node
 				}
 			}
 			if all >= machines*9/10 && connected[o] <= sockets/4 && carrier != nil {
@@ -271,10 +270,10 @@
 	await(ctx, t, users, "job-1")
 	c.Workers(func(workers map[string]*agent.Agent) {
 		starts := 0
-		for _, w := range workers {
-			starts += w.Starts
-			if w.Session != 1 {
-				t.Errorf("%s lost its lease", w.Name)
+		for _, a := range workers {
+			starts += a.Starts
+			if a.Session != 1 {
+				t.Errorf("%s lost its lease", a.Name)
 			}
 		}
 		if starts != 2*machines {
@@ -283,8 +282,8 @@
 	})
 }
 
-// Real gates before real controllers, all asking who comes: a build goes on when a
-// gate is killed, comes out right, and is cached.
+// Real front ends and controllers with authentication: a build continues when a front end
+// is killed, its output is right, and it is cached.
 func TestDemoBuild(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
@@ -313,9 +312,9 @@
 	if first := reports[0].Report; first.Actions != 67 || first.Cached != 0 || first.Jobs == 0 || first.Jobs > 40 || c.Gates()[0].Kills != 1 {
 		t.Errorf("%+v", first)
 	}
-	// A certificate proves the same as a token, and gives no more.
+	// A certificate grants the same rights as a token, and no more.
 	for who, want := range map[string]codes.Code{Builder: codes.OK, "person/partner": codes.PermissionDenied} {
-		file, err := hosted.certificate(who)
+		file, err := hosted.issueCertificate(who)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -323,7 +322,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := buildtool.Dial(c.GateAddrs(), ring.Client(gatesOnly), "")
+		conn, err := buildtool.Dial(c.GateAddrs(), ring.Client(isService), "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -335,7 +334,7 @@
 			t.Errorf("%s by certificate: %v, want %s", who, err, want)
 		}
 	}
-	// Who has no right to builds is refused for good, at once.
+	// A client without the right to builds is refused at once, without a retry.
 	conn, err := c.BuildConn("person/partner")
 	if err != nil {
 		t.Fatal(err)
@@ -345,11 +344,11 @@
 		t.Errorf("a guest built: %v", err)
 	}
 	c.Stop()
-	for _, g := range c.Gates() {
+	for _, frontEnd := range c.Gates() {
 		select {
-		case <-g.Exited():
+		case <-frontEnd.Exited():
 		default:
-			t.Errorf("process %d still runs", g.Pid())
+			t.Errorf("process %d still runs", frontEnd.Pid())
 		}
 	}
 }
--- a/internal/devcluster/demo.go
+++ b/internal/devcluster/demo.go
@@ -11,7 +11,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// DemoJob is what became of one of the demo's jobs.
+// DemoJob is a job of the demo and its outcome.
 type DemoJob struct {
 	ID          string    `json:"id"`
 	Class       string    `json:"class"`
@@ -19,18 +19,18 @@
 	Tasks       int       `json:"tasks"`
 	After       []string  `json:"after,omitempty"`
 	State       string    `json:"state"`
-	AcceptedMS  int64     `json:"accepted_ms"` // from asking to being accepted
-	DoneMS      int64     `json:"done_ms"`     // from acceptance to being told that it is over
-	asked       time.Time `json:"-"`
+	AcceptedMS  int64     `json:"accepted_ms"` // from submission to acceptance
+	DoneMS      int64     `json:"done_ms"`     // from acceptance to the status that says it has ended
+	submitted   time.Time `json:"-"`
 	accepted    time.Time `json:"-"`
 	submission  protocol.Submission
-	pollFailure time.Duration
+	longestPoll time.Duration
 }
 
-// DemoResult is what a demo did.
+// DemoResult is the outcome of a demo.
 type DemoResult struct {
 	Jobs []*DemoJob `json:"jobs"`
-	// Killed is the leader that was killed, Successor who led afterwards.
+	// Killed is the cluster leader that was killed, Successor the next one.
 	Killed        string `json:"killed"`
 	Successor     string `json:"successor"`
 	LeaderlessMS  int64  `json:"leaderless_ms"`
@@ -40,20 +40,35 @@
 	Processes     int    `json:"processes"`
 }
 
-func ptr[T any](v T) *T { return &v }
-
-// NewSubmission fills in a job of the deployments' kind.
+// NewSubmission returns a batch job with the given figures; cpus, mem (in GB) and the
+// estimate (in seconds) are those of a task. It starts once the jobs in after are done.
 func NewSubmission(id, class, team, urgency string, tasks int, cpus, mem, estimateS float64, after ...string) protocol.Submission {
-	s := protocol.Submission{ID: &id, Class: &class, Team: &team, Shape: ptr("batch"), Urgency: &urgency, Tasks: ptr(int64(tasks)),
-		CPUs: &cpus, GPUs: ptr(0.0), MemGB: &mem, Image: ptr(class), ImageGB: ptr(1.0), OneZone: ptr(false), Spread: ptr(false),
-		Spot: ptr(true), EstimateS: &estimateS, CheckpointS: ptr(0.0), SaveS: ptr(0.0)}
-	for _, d := range after {
-		s.Dependencies = append(s.Dependencies, &d)
+	job := protocol.Submission{
+		ID:          &id,
+		Class:       &class,
+		Team:        &team,
+		Shape:       new("batch"),
+		Urgency:     &urgency,
+		Tasks:       new(int64(tasks)),
+		CPUs:        &cpus,
+		GPUs:        new(0.0),
+		MemGB:       &mem,
+		Image:       new(class),
+		ImageGB:     new(1.0),
+		OneZone:     new(false),
+		Spread:      new(false),
+		Spot:        new(true),
+		EstimateS:   &estimateS,
+		CheckpointS: new(0.0),
+		SaveS:       new(0.0),
+	}
+	for _, dependency := range after {
+		job.Dependencies = append(job.Dependencies, &dependency)
 	}
-	return s
+	return job
 }
 
-// demoJobs are jobs like both deployments' classes, two pipelines among them.
+// demoJobs returns the jobs of the demo, two pipelines among them.
 func demoJobs() []*DemoJob {
 	var jobs []*DemoJob
 	add := func(class, team, urgency string, tasks int, cpus, mem, s float64, after ...string) string {
@@ -77,94 +92,103 @@
 }
 
 const (
-	killAfter    = 4 * time.Second
-	restartIn    = 3 * time.Second
-	pollEvery    = 250 * time.Millisecond
-	demoPatience = 40 * time.Second
+	killDelay        = 4 * time.Second
+	restartDelay     = 3 * time.Second
+	pollInterval     = 250 * time.Millisecond
+	leaderInterval   = 50 * time.Millisecond
+	progressInterval = time.Second
+	demoTimeout      = 40 * time.Second
 )
 
-// Demo submits jobs, kills the leader while they run, starts it again, and
-// follows every job to its end. progress is told now and then how things are.
+// Demo submits jobs, kills the cluster leader while they run, restarts it, and waits for
+// the end of all jobs. progress is called with a line of text now and then.
 func (c *Cluster) Demo(ctx context.Context, users *client.Client, progress func(text string)) (*DemoResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, demoPatience)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	res := &DemoResult{Jobs: demoJobs(), Processes: len(c.nodes)}
-	for _, j := range res.Jobs {
-		j.asked = time.Now()
-		if _, err := users.Submit(ctx, &j.submission); err != nil {
-			return res, fmt.Errorf("submit %s: %w", j.ID, err)
+	result := &DemoResult{Jobs: demoJobs(), Processes: len(c.nodes)}
+	for _, job := range result.Jobs {
+		job.submitted = time.Now()
+		if _, err := users.Submit(ctx, &job.submission); err != nil {
+			return result, fmt.Errorf("submit %s: %w", job.ID, err)
 		}
-		j.accepted = time.Now()
-		j.AcceptedMS = j.accepted.Sub(j.asked).Milliseconds()
-		j.State = protocol.StatusQueued
+		job.accepted = time.Now()
+		job.AcceptedMS = job.accepted.Sub(job.submitted).Milliseconds()
+		job.State = protocol.StatusQueued
 	}
-	progress(fmt.Sprintf("%d jobs accepted", len(res.Jobs)))
+	progress(fmt.Sprintf("%d jobs accepted", len(result.Jobs)))
 
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	errs := make([]error, len(res.Jobs)+1)
-	for i, j := range res.Jobs {
-		wg.Go(func() { errs[i] = c.follow(ctx, users, j, &mu) })
+	errs := make([]error, len(result.Jobs)+1)
+	for i, job := range result.Jobs {
+		wg.Go(func() { errs[i] = c.follow(ctx, users, job, &mu) })
 	}
-	wg.Go(func() { errs[len(res.Jobs)] = c.killLeader(ctx, res, progress, &mu) })
+	wg.Go(func() { errs[len(result.Jobs)] = c.killLeader(ctx, result, progress, &mu) })
 	done := make(chan struct{})
 	go func() { wg.Wait(); close(done) }()
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for running := true; running; {
+	c.reportProgress(done, result.Jobs, progress, &mu)
+	for _, job := range result.Jobs {
+		result.LongestWaitMS = max(result.LongestWaitMS, job.longestPoll.Milliseconds())
+	}
+	c.mu.Lock()
+	result.TasksDone = len(c.results)
+	c.mu.Unlock()
+	_, result.MachinesUsed = c.Machines()
+	return result, errors.Join(errs...)
+}
+
+// reportProgress reports the states of the jobs every second until done is closed. mu guards
+// the jobs.
+func (c *Cluster) reportProgress(done <-chan struct{}, jobs []*DemoJob, progress func(string), mu *sync.Mutex) {
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for {
 		select {
 		case <-done:
-			running = false
-		case <-tick.C:
-			mu.Lock()
-			count := map[string]int{}
-			for _, j := range res.Jobs {
-				count[j.State]++
-			}
-			mu.Unlock()
-			now, _ := c.Machines()
-			progress(fmt.Sprintf("queued %d  running %d  done %d of %d  machines %d",
-				count[protocol.StatusQueued], count[protocol.StatusRunning], count[protocol.StatusDone], len(res.Jobs), now))
+			return
+		case <-ticker.C:
 		}
+		mu.Lock()
+		count := map[string]int{}
+		for _, job := range jobs {
+			count[job.State]++
+		}
+		mu.Unlock()
+		machines, _ := c.Machines()
+		progress(fmt.Sprintf("queued %d  running %d  done %d of %d  machines %d",
+			count[protocol.StatusQueued], count[protocol.StatusRunning], count[protocol.StatusDone], len(jobs), machines))
 	}
-	for _, j := range res.Jobs {
-		res.LongestWaitMS = max(res.LongestWaitMS, j.pollFailure.Milliseconds())
-	}
-	c.mu.Lock()
-	res.TasksDone = len(c.results)
-	c.mu.Unlock()
-	_, res.MachinesUsed = c.Machines()
-	return res, errors.Join(errs...)
 }
 
-// follow polls a job until it is over.
-func (c *Cluster) follow(ctx context.Context, users *client.Client, j *DemoJob, mu *sync.Mutex) error {
+// follow polls a job's status until it has ended. mu guards the job.
+func (c *Cluster) follow(ctx context.Context, users *client.Client, job *DemoJob, mu *sync.Mutex) error {
 	for {
 		asked := time.Now()
-		st, err := users.Status(ctx, j.ID)
+		st, err := users.Status(ctx, job.ID)
 		if err != nil {
-			return fmt.Errorf("follow %s: %w", j.ID, err)
+			return fmt.Errorf("follow %s: %w", job.ID, err)
 		}
 		mu.Lock()
-		j.State = st.Status
-		j.pollFailure = max(j.pollFailure, time.Since(asked))
-		j.DoneMS = time.Since(j.accepted).Milliseconds()
+		job.State = st.Status
+		job.longestPoll = max(job.longestPoll, time.Since(asked))
+		job.DoneMS = time.Since(job.accepted).Milliseconds()
 		mu.Unlock()
 		if st.Ended() {
 			if st.Status != protocol.StatusDone {
-				return fmt.Errorf("%s ended as %s", j.ID, st.Status)
+				return fmt.Errorf("%s ended as %s", job.ID, st.Status)
 			}
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is still %s: %w", j.ID, st.Status, ctx.Err())
-		case <-time.After(pollEvery):
+			return fmt.Errorf("%s is still %s: %w", job.ID, st.Status, ctx.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// killLeader kills the leader, waits for another, and starts the first again.
+// killLeader kills the cluster leader, waits for another one, and restarts the first. mu
+// guards the result.
 func (c *Cluster) killLeader(ctx context.Context, res *DemoResult, progress func(string), mu *sync.Mutex) error {
 	pause := func(d time.Duration) error {
 		select {
@@ -174,7 +198,7 @@
 			return nil
 		}
 	}
-	if err := pause(killAfter); err != nil {
+	if err := pause(killDelay); err != nil {
 		return err
 	}
 	old := c.Leader()
@@ -196,11 +220,11 @@
 			progress(fmt.Sprintf("%s leads, %.1f s later", now.Label, time.Since(killed).Seconds()))
 			break
 		}
-		if err := pause(50 * time.Millisecond); err != nil {
+		if err := pause(leaderInterval); err != nil {
 			return fmt.Errorf("nobody leads after %s: %w", time.Since(killed).Round(time.Millisecond), err)
 		}
 	}
-	if err := pause(time.Until(killed.Add(restartIn))); err != nil {
+	if err := pause(time.Until(killed.Add(restartDelay))); err != nil {
 		return err
 	}
 	progress(old.Label + " is back")
--- a/internal/devcluster/demo_build.go
+++ b/internal/devcluster/demo_build.go
@@ -10,22 +10,22 @@
 	"micaspindle/internal/buildtool"
 )
 
-// NamedReport is what a build came to.
+// NamedReport is the report of a build.
 type NamedReport struct {
 	Name   string
 	Report *buildtool.Report
 }
 
-// Build runs a sample build and sees that what it made is right.
+// Build runs a sample build and verifies its last output.
 func Build(ctx context.Context, b *buildtool.Builder, name string, sources int, seconds float64, say func(string)) (*buildtool.Report, error) {
 	nodes, last, want := buildtool.Sample(name, sources, seconds)
 	var mu sync.Mutex
-	var said time.Time
+	var lastReport time.Time
 	report, err := b.Build(ctx, nodes, func(p buildtool.Progress) {
 		mu.Lock()
 		defer mu.Unlock()
-		if time.Since(said) > time.Second || p.Done == p.Of {
-			said = time.Now()
+		if time.Since(lastReport) > progressInterval || p.Done == p.Of {
+			lastReport = time.Now()
 			say(fmt.Sprintf("%d of %d actions done, %d of them from the cache", p.Done, p.Of, p.Cached))
 		}
 	})
@@ -43,8 +43,15 @@
 	return report, nil
 }
 
-// DemoBuild builds, with a gate killed in the middle and started again, and builds
-// once more from the cache.
+const (
+	buildTimeout        = 5 * time.Minute
+	buildKillDelay      = 2 * time.Second
+	buildRestartDelay   = time.Second
+	frontEndWaitTimeout = 20 * time.Second
+)
+
+// DemoBuild builds while a front end is killed and restarted, and builds again from the
+// cache.
 func (c *Cluster) DemoBuild(ctx context.Context, sources int, seconds float64, say func(string)) ([]NamedReport, error) {
 	conn, err := c.BuildConn(Builder)
 	if err != nil {
@@ -52,34 +59,21 @@
 	}
 	defer conn.Close() //nolint:errcheck // the calls are over
 	b := buildtool.New(conn, "refunds")
-	build, cancel := context.WithTimeoutCause(ctx, 5*time.Minute, fmt.Errorf("the build took over 5 minutes"))
+	buildCtx, cancel := context.WithTimeoutCause(ctx, buildTimeout, fmt.Errorf("the build took over 5 minutes"))
 	defer cancel()
-	victim, killed := c.gates[0], make(chan error, 1)
-	go func() {
-		// Some actions run by then, others wait.
-		select {
-		case <-time.After(2 * time.Second):
-		case <-build.Done():
-		}
-		c.KillGate(victim)
-		say(victim.Label + " is killed")
-		select {
-		case <-time.After(time.Second):
-		case <-build.Done():
-		}
-		killed <- c.RestartGate(victim)
-	}()
-	first, err := Build(build, b, "demo", sources, seconds, say)
+	victim, restarted := c.frontEnds[0], make(chan error, 1)
+	go func() { restarted <- c.restartDuringBuild(buildCtx, victim, say) }()
+	first, err := Build(buildCtx, b, "demo", sources, seconds, say)
 	cancel()
-	if rerr := <-killed; rerr != nil && err == nil {
-		err = rerr
+	if restartErr := <-restarted; restartErr != nil && err == nil {
+		err = restartErr
 	}
 	if err != nil {
 		return nil, err
 	}
-	ready, done := context.WithTimeout(ctx, 20*time.Second)
-	defer done()
-	if err := c.awaitGate(ready, victim); err != nil {
+	readyCtx, cancelReady := context.WithTimeout(ctx, frontEndWaitTimeout)
+	defer cancelReady()
+	if err := c.awaitFrontEnd(readyCtx, victim); err != nil {
 		return nil, err
 	}
 	say(victim.Label + " is back; the same build again")
@@ -92,3 +86,19 @@
 	}
 	return []NamedReport{{"from clean", first}, {"again", second}}, nil
 }
+
+// restartDuringBuild kills a front end when some actions of a build run and others wait,
+// and restarts it. Both happen at once if the build ends before.
+func (c *Cluster) restartDuringBuild(build context.Context, victim *Gate, say func(string)) error {
+	pause := func(d time.Duration) {
+		select {
+		case <-time.After(d):
+		case <-build.Done():
+		}
+	}
+	pause(buildKillDelay)
+	c.KillGate(victim)
+	say(victim.Label + " is killed")
+	pause(buildRestartDelay)
+	return c.RestartGate(victim)
+}
--- a/internal/devcluster/frontends.go
+++ b/internal/devcluster/frontends.go
@@ -18,195 +18,261 @@
 	"micaspindle/internal/identity"
 )
 
-// Builder is who the laboratory's builds are of.
+// Builder is the identity of the cluster's build clients.
 const Builder = "service/builder"
 
-// Instances are the instance names of the laboratory's gates, and their teams.
+// Instances are the instance names of the cluster's front ends, and their teams.
 var Instances = map[string]string{"": "venues", "refunds": "payments", "placements": "placements-desk"}
 
-// Gate is one gate's process.
+// Figures of the front ends' settings.
+const (
+	maxCopies = 2
+	storeGB   = 2
+	maxBlobMB = 256
+	retention = "10m"
+)
+
+const (
+	healthTimeout  = time.Second
+	healthInterval = 20 * time.Millisecond
+)
+
+// Gate is the process of a front end.
 type Gate struct {
 	Label, Addr, LogFile string
-	// Kills counts how often it was killed.
-	Kills    int
-	settings string
-	cmd      *exec.Cmd
-	exited   <-chan struct{}
+	// Kills counts how often the process was killed.
+	Kills        int
+	settingsFile string
+	cmd          *exec.Cmd
+	exited       <-chan struct{}
 }
 
-// Exited tells when the gate's process has ended.
+// Exited returns a channel that is closed when the process has ended.
 func (g *Gate) Exited() <-chan struct{} { return g.exited }
 
-// Pid is the gate's process.
+// Pid returns the id of the process.
 func (g *Gate) Pid() int { return g.cmd.Process.Pid }
 
-// Gates returns the gates.
-func (c *Cluster) Gates() []*Gate { return c.gates }
+// identity returns the name of the front end's identity.
+func (g *Gate) identity() string { return "service/" + g.Label }
 
-// GateAddrs are the addresses that build clients speak to.
+// Gates returns the front ends.
+func (c *Cluster) Gates() []*Gate { return c.frontEnds }
+
+// GateAddrs returns the front ends' addresses for build clients.
 func (c *Cluster) GateAddrs() []string {
-	var out []string
-	for _, g := range c.gates {
-		out = append(out, g.Addr)
+	var addrs []string
+	for _, frontEnd := range c.frontEnds {
+		addrs = append(addrs, frontEnd.Addr)
 	}
-	return out
+	return addrs
 }
 
-func gatesOnly(n identity.Name) bool { return n.Kind == identity.Service }
+// isService accepts the identities of front ends.
+func isService(name identity.Name) bool { return name.Kind == identity.Service }
 
-// prepareGates gives the gates their addresses and settings, and machines their
-// connection to them. Gates are started once the controllers are.
-func (c *Cluster) prepareGates() error {
-	if c.opt.Gates == 0 {
+// prepareFrontEnds creates the front ends' addresses and settings, and the machines'
+// connection to them. Front ends are started after the controllers.
+func (c *Cluster) prepareFrontEnds() error {
+	if c.options.Gates == 0 {
 		return nil
 	}
-	for i := range c.opt.Gates {
-		g := &Gate{Label: fmt.Sprintf("gate-%d", i)}
+	for i := range c.options.Gates {
+		frontEnd := &Gate{Label: fmt.Sprintf("gate-%d", i)}
 		var err error
-		if g.Addr, err = c.freeAddr(); err != nil {
+		if frontEnd.Addr, err = c.reserveAddr(); err != nil {
 			return err
 		}
-		g.settings, g.LogFile = filepath.Join(c.opt.Dir, g.Label+".yaml"), filepath.Join(c.opt.Dir, g.Label+".log")
-		c.gates = append(c.gates, g)
-	}
-	for _, g := range c.gates {
-		peers := map[string]string{}
-		for _, o := range c.gates {
-			if o != g {
-				peers[o.Addr] = "service/" + o.Label
-			}
-		}
-		set := map[string]any{"listen": g.Addr, "controllers": c.Addrs(), "instances": Instances, "execute": true, "client_results": true,
-			"peers": peers, "copies": min(2, c.opt.Gates),
-			"store": map[string]any{"dir": filepath.Join(c.opt.Dir, g.Label), "max_gb": 2, "max_blob_mb": 256, "promise": "10m"}}
-		if h := c.opt.Hosted; h != nil {
-			own, err := h.certificate("service/" + g.Label)
-			if err != nil {
-				return err
-			}
-			set["identity"] = map[string]string{"own": own, "roots": h.Roots}
-		}
-		data, err := yaml.Marshal(set)
-		if err != nil {
-			return fmt.Errorf("lab: settings of %s: %w", g.Label, err)
-		}
-		if err := os.WriteFile(g.settings, data, 0o600); err != nil {
-			return fmt.Errorf("lab: settings: %w", err)
+		frontEnd.settingsFile = filepath.Join(c.options.Dir, frontEnd.Label+".yaml")
+		frontEnd.LogFile = filepath.Join(c.options.Dir, frontEnd.Label+".log")
+		c.frontEnds = append(c.frontEnds, frontEnd)
+	}
+	for _, frontEnd := range c.frontEnds {
+		if err := c.writeFrontEndSettings(frontEnd); err != nil {
+			return err
 		}
 	}
-	conn, err := c.dialGates(true, "")
+	conn, err := c.dialFrontEnds(true, "")
 	if err != nil {
-		return fmt.Errorf("lab: %w", err)
+		return fmt.Errorf("devcluster: %w", err)
 	}
 	c.group.Go(func() {
 		<-c.ctx.Done()
 		_ = conn.Close()
 	})
-	c.opt.Gate = conn
+	c.options.Gate = conn
+	return nil
+}
+
+// frontEndSettings is the settings file of a front end.
+type frontEndSettings struct {
+	Listen        string            `yaml:"listen"`
+	Controllers   []string          `yaml:"controllers"`
+	Instances     map[string]string `yaml:"instances"`
+	Execute       bool              `yaml:"execute"`
+	ClientResults bool              `yaml:"client_results"`
+	Peers         map[string]string `yaml:"peers"` // identities by address
+	Copies        int               `yaml:"copies"`
+	Store         storeSettings     `yaml:"store"`
+	Identity      *identityFiles    `yaml:"identity,omitempty"`
+}
+
+// storeSettings is the section of a front end's store.
+type storeSettings struct {
+	Dir       string `yaml:"dir"`
+	MaxGB     int    `yaml:"max_gb"`
+	MaxBlobMB int    `yaml:"max_blob_mb"`
+	Promise   string `yaml:"promise"`
+}
+
+// identityFiles is the section of a front end's certificates.
+type identityFiles struct {
+	Own   string `yaml:"own"`
+	Roots string `yaml:"roots"`
+}
+
+// writeFrontEndSettings writes the settings file of a front end.
+func (c *Cluster) writeFrontEndSettings(frontEnd *Gate) error {
+	config := frontEndSettings{
+		Listen:        frontEnd.Addr,
+		Controllers:   c.Addrs(),
+		Instances:     Instances,
+		Execute:       true,
+		ClientResults: true,
+		Peers:         map[string]string{},
+		Copies:        min(maxCopies, c.options.Gates),
+		Store: storeSettings{
+			Dir:       filepath.Join(c.options.Dir, frontEnd.Label),
+			MaxGB:     storeGB,
+			MaxBlobMB: maxBlobMB,
+			Promise:   retention,
+		},
+	}
+	for _, other := range c.frontEnds {
+		if other != frontEnd {
+			config.Peers[other.Addr] = other.identity()
+		}
+	}
+	if identities := c.options.Hosted; identities != nil {
+		own, err := identities.issueCertificate(frontEnd.identity())
+		if err != nil {
+			return err
+		}
+		config.Identity = &identityFiles{Own: own, Roots: identities.Roots}
+	}
+	data, err := yaml.Marshal(config)
+	if err != nil {
+		return fmt.Errorf("devcluster: settings of %s: %w", frontEnd.Label, err)
+	}
+	if err := os.WriteFile(frontEnd.settingsFile, data, 0o600); err != nil {
+		return fmt.Errorf("devcluster: settings: %w", err)
+	}
 	return nil
 }
 
-// dialGates connects to the gates: machines with their certificate, others with a
+// dialFrontEnds connects to the front ends: machines with their certificate, others with a
 // token.
-func (c *Cluster) dialGates(machine bool, token string) (*grpc.ClientConn, error) {
-	var secure *tls.Config
-	if h := c.opt.Hosted; h != nil {
-		if secure = h.worker.Client(gatesOnly); !machine {
-			secure.GetClientCertificate = nil
+func (c *Cluster) dialFrontEnds(machine bool, token string) (*grpc.ClientConn, error) {
+	var tlsConfig *tls.Config
+	if identities := c.options.Hosted; identities != nil {
+		if tlsConfig = identities.workerKeyring.Client(isService); !machine {
+			tlsConfig.GetClientCertificate = nil
 		}
 	}
-	return buildtool.Dial(c.GateAddrs(), secure, token)
+	return buildtool.Dial(c.GateAddrs(), tlsConfig, token)
 }
 
-// BuildConn is a connection of somebody's build client to the gates.
-func (c *Cluster) BuildConn(who string) (*grpc.ClientConn, error) {
+// BuildConn connects a build client to the front ends, with the token of an identity.
+func (c *Cluster) BuildConn(name string) (*grpc.ClientConn, error) {
 	token := ""
-	if h := c.opt.Hosted; h != nil {
+	if identities := c.options.Hosted; identities != nil {
 		var err error
-		if token, err = h.read(who); err != nil {
+		if token, err = identities.readToken(name); err != nil {
 			return nil, err
 		}
 	}
-	return c.dialGates(false, token)
+	return c.dialFrontEnds(false, token)
 }
 
-// RestartGate starts a gate that does not run.
-func (c *Cluster) RestartGate(g *Gate) error {
-	cmd := exec.Command(c.opt.GateBinary, "--config", g.settings)
-	c.release(g.Addr)
-	exited, err := c.spawn(g.Label, g.LogFile, cmd)
+// RestartGate starts a front end that does not run.
+func (c *Cluster) RestartGate(frontEnd *Gate) error {
+	cmd := exec.Command(c.options.GateBinary, "--config", frontEnd.settingsFile)
+	c.releaseAddr(frontEnd.Addr)
+	exited, err := c.startProcess(frontEnd.Label, frontEnd.LogFile, cmd)
 	if err != nil {
 		return err
 	}
-	g.cmd, g.exited = cmd, exited
+	frontEnd.cmd, frontEnd.exited = cmd, exited
 	return nil
 }
 
-// KillGate ends a gate as kill -9 does.
-func (c *Cluster) KillGate(g *Gate) {
-	_ = g.cmd.Process.Kill()
-	<-g.exited
-	g.Kills++
+// KillGate kills a front end with SIGKILL and waits for its end.
+func (c *Cluster) KillGate(frontEnd *Gate) {
+	_ = frontEnd.cmd.Process.Kill()
+	<-frontEnd.exited
+	frontEnd.Kills++
 }
 
-// startGates starts all gates and waits until they serve.
-func (c *Cluster) startGates(ctx context.Context) error {
-	for _, g := range c.gates {
-		if err := c.RestartGate(g); err != nil {
+// startFrontEnds starts all front ends and waits until they serve.
+func (c *Cluster) startFrontEnds(ctx context.Context) error {
+	for _, frontEnd := range c.frontEnds {
+		if err := c.RestartGate(frontEnd); err != nil {
 			return err
 		}
 	}
-	for _, g := range c.gates {
-		if err := c.awaitGate(ctx, g); err != nil {
+	for _, frontEnd := range c.frontEnds {
+		if err := c.awaitFrontEnd(ctx, frontEnd); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) awaitGate(ctx context.Context, g *Gate) error {
-	var secure *tls.Config
-	if h := c.opt.Hosted; h != nil {
-		secure = h.worker.Client(gatesOnly)
+// awaitFrontEnd waits until a front end serves.
+func (c *Cluster) awaitFrontEnd(ctx context.Context, frontEnd *Gate) error {
+	var tlsConfig *tls.Config
+	if identities := c.options.Hosted; identities != nil {
+		tlsConfig = identities.workerKeyring.Client(isService)
 	}
-	conn, err := buildtool.Dial([]string{g.Addr}, secure, "")
+	conn, err := buildtool.Dial([]string{frontEnd.Addr}, tlsConfig, "")
 	if err != nil {
-		return fmt.Errorf("lab: %w", err)
+		return fmt.Errorf("devcluster: %w", err)
 	}
-	defer conn.Close() //nolint:errcheck // only asked
+	defer conn.Close() //nolint:errcheck // only used for checks
 	for {
-		once, cancel := context.WithTimeout(ctx, time.Second)
-		resp, err := healthpb.NewHealthClient(conn).Check(once, &healthpb.HealthCheckRequest{})
+		checkCtx, cancel := context.WithTimeout(ctx, healthTimeout)
+		resp, err := healthpb.NewHealthClient(conn).Check(checkCtx, &healthpb.HealthCheckRequest{})
 		cancel()
 		if err == nil && resp.GetStatus() == healthpb.HealthCheckResponse_SERVING {
 			return nil
 		}
 		select {
-		case <-g.exited:
-			return fmt.Errorf("lab: %s ended while it started: %s", g.Label, lastLine(g.LogFile))
+		case <-frontEnd.exited:
+			return fmt.Errorf("devcluster: %s ended while it started: %s", frontEnd.Label, lastLine(frontEnd.LogFile))
 		case <-ctx.Done():
-			return fmt.Errorf("lab: %s did not become ready: %w; log: %s", g.Label, errors.Join(ctx.Err(), err), g.LogFile)
-		case <-time.After(20 * time.Millisecond):
+			return fmt.Errorf("devcluster: %s did not become ready: %w; log: %s", frontEnd.Label, errors.Join(ctx.Err(), err), frontEnd.LogFile)
+		case <-time.After(healthInterval):
 		}
 	}
 }
 
-// stopGates asks the gates to end and waits for them.
-func (c *Cluster) stopGates() {
-	for _, g := range c.gates {
-		if g.cmd != nil {
-			_ = g.cmd.Process.Signal(os.Interrupt)
+// stopFrontEnds interrupts all front ends and kills those that do not end: clients that
+// wait for results delay it.
+func (c *Cluster) stopFrontEnds() {
+	for _, frontEnd := range c.frontEnds {
+		if frontEnd.cmd != nil {
+			_ = frontEnd.cmd.Process.Signal(os.Interrupt)
 		}
 	}
-	for _, g := range c.gates {
-		if g.cmd == nil {
+	for _, frontEnd := range c.frontEnds {
+		if frontEnd.cmd == nil {
 			continue
 		}
 		select {
-		case <-g.exited:
-		case <-time.After(3 * time.Second): // clients that wait hold it up
-			_ = g.cmd.Process.Kill()
-			<-g.exited
+		case <-frontEnd.exited:
+		case <-time.After(stopGrace):
+			_ = frontEnd.cmd.Process.Kill()
+			<-frontEnd.exited
 		}
 	}
 }
--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -29,20 +29,20 @@
 	"micaspindle/internal/reapi"
 )
 
-// builder is a cluster with a gate in front, and a stand-in for a build tool.
+// builder is a cluster with a front end, and a fake build tool.
 type builder struct {
-	t       *testing.T
-	ctx     context.Context
-	c       *Cluster
-	dir     string
-	addr    string
-	conn    *grpc.ClientConn
-	mu      sync.Mutex
-	server  *grpc.Server
-	gate    *reapi.FrontEnd
-	store   *blobstore.Store
-	retries atomic.Int64
-	// instance is whose builds these are.
+	t        *testing.T
+	ctx      context.Context
+	c        *Cluster
+	dir      string
+	addr     string
+	conn     *grpc.ClientConn
+	mu       sync.Mutex
+	server   *grpc.Server
+	frontEnd *reapi.FrontEnd
+	store    *blobstore.Store
+	retries  atomic.Int64
+	// instance is the instance name of the builds.
 	instance string
 }
 
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = b.conn.Close() })
-	// Machines have a connection of their own: clients that wait must not keep them
-	// from fetching what they wait for.
+	// Machines have a connection of their own: waiting clients must not delay the fetching
+	// of what they wait for.
 	machines, err := grpc.NewClient("passthrough:///"+b.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.WaitForReady(true)), grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
 	if err != nil {
@@ -75,13 +75,13 @@
 	if err := b.c.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	b.startGate(l)
-	t.Cleanup(b.stopGate)
+	b.startFrontEnd(l)
+	t.Cleanup(b.stopFrontEnd)
 	return b
 }
 
-// startGate opens a gate on what the last one has left.
-func (b *builder) startGate(l net.Listener) {
+// startFrontEnd starts a front end with the state that the last one has left.
+func (b *builder) startFrontEnd(l net.Listener) {
 	b.t.Helper()
 	var err error
 	if l == nil {
@@ -99,23 +99,23 @@
 		b.t.Fatal(err)
 	}
 	believe := func(context.Context) bool { return true }
-	b.gate = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: believe},
+	b.frontEnd = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: believe},
 		b.store, results, reapi.Open{}, nil, reapi.Controllers{Client: client.New(b.c.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
-	b.server = b.gate.Server(grpc.WaitForHandlers(true)) // a process leaves no calls behind
+	b.server = b.frontEnd.Server(grpc.WaitForHandlers(true)) // a killed process leaves no calls behind
 	server := b.server
 	go func() { _ = server.Serve(l) }()
-	go b.gate.Sweep(b.ctx, 2*time.Second)
+	go b.frontEnd.Sweep(b.ctx, 2*time.Second)
 }
 
-// stopGate cuts a gate off in the middle of whatever it does.
-func (b *builder) stopGate() {
+// stopFrontEnd stops the front end as a kill does.
+func (b *builder) stopFrontEnd() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.server.Stop()
 	_ = b.store.Close()
 }
 
-// put uploads blobs until they are there.
+// put uploads blobs, with retries until they are stored.
 func (b *builder) put(blobs ...[]byte) error {
 	req := &repb.BatchUpdateBlobsRequest{InstanceName: b.instance}
 	for _, data := range blobs {
@@ -145,7 +145,7 @@
 	return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size}
 }
 
-// action is a command over input files, with one output "out".
+// action uploads an action: a command over input files, with one output "out".
 type action struct {
 	script  string
 	inputs  map[string]*repb.Digest
@@ -155,8 +155,7 @@
 	nodes   []string
 }
 
-// execute uploads an action and runs it as build tools do: whatever breaks is
-// tried again.
+// execute executes an action as build tools do, with retries of whatever fails.
 func (b *builder) execute(a action) (*repb.ExecuteResponse, error) {
 	root := &repb.Directory{}
 	for _, name := range sortedKeys(a.inputs) {
@@ -234,8 +233,8 @@
 	return string(resp.Responses[0].Data)
 }
 
-// build runs a graph: sources are compiled, groups of ten linked, all packed.
-// It returns the last output and how many actions came from the cache.
+// build builds a graph: sources are compiled, groups of ten linked, all packed. It returns
+// the last output and how many actions came from the cache.
 func (b *builder) build(sources int, pause string) (string, int) {
 	cached := atomic.Int64{}
 	run := func(a action) *repb.Digest {
@@ -294,7 +293,7 @@
 	return fmt.Sprintf("%d\n%s", len(all), all)
 }
 
-// A build of a few hundred real actions, from clean and then all from the cache.
+// A build of a few hundred real actions, first from clean and then all from the cache.
 func TestBuild(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
@@ -306,7 +305,7 @@
 	if got != wanted(sources) || cached != 0 {
 		t.Fatalf("%d cached, %q", cached, got[:min(len(got), 100)])
 	}
-	jobs, actions := b.gate.Gathered()
+	jobs, actions := b.frontEnd.Gathered()
 	t.Logf("%d actions as %d jobs in %s", actions, jobs, time.Since(begun).Round(time.Millisecond))
 	if actions != sources+sources/10+1 || jobs > 20 {
 		t.Errorf("%d actions became %d jobs", actions, jobs)
@@ -317,7 +316,7 @@
 		t.Errorf("%d of %d from the cache", cached, sources+sources/10+1)
 	}
 	t.Logf("again, from the cache, in %s", time.Since(begun).Round(time.Millisecond))
-	if n := b.gate.Discarded(); n != 0 {
+	if n := b.frontEnd.Discarded(); n != 0 {
 		t.Errorf("%d results were discarded", n)
 	}
 	resp, err := b.execute(action{script: "echo x >out; chmod 640 out; touch -d @1000000000 out", nodes: []string{"mtime", "unix_mode"}})
@@ -329,9 +328,9 @@
 	}
 }
 
-// What actions come to that fail, run too long, name what is not there or climb
-// out of their root.
-func TestActionsThatGoWrong(t *testing.T) {
+// The results of actions that fail, run too long, reference missing blobs or leave their
+// input root.
+func TestFailingActions(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
@@ -393,9 +392,9 @@
 	}
 }
 
-// Gates, controllers and machines end while a build runs: it ends with what it
-// should, and a build again finds every result.
-func TestBuildThroughKills(t *testing.T) {
+// Front ends, controllers and machines are killed during a build: its output is right, and
+// a second build finds every result in the cache.
+func TestBuildWithKills(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { buildThroughKills(t, seed) })
 	}
@@ -407,7 +406,7 @@
 	b := newBuilder(t, ctx)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	stop, done := make(chan struct{}), make(chan struct{})
-	gates, machines := 0, 0
+	frontEnds, machines := 0, 0
 	go func() {
 		defer close(done)
 		for i := 0; ; i++ {
@@ -418,15 +417,15 @@
 			}
 			switch rng.IntN(3) {
 			case 0:
-				b.stopGate()
+				b.stopFrontEnd()
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-				b.startGate(nil)
-				gates++
+				b.startFrontEnd(nil)
+				frontEnds++
 			case 1:
-				n := b.c.Nodes()[i%3]
-				b.c.Kill(n)
+				node := b.c.Nodes()[i%3]
+				b.c.Kill(node)
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-				if err := b.c.Restart(n); err != nil {
+				if err := b.c.Restart(node); err != nil {
 					t.Error(err)
 				}
 			case 2:
@@ -436,7 +435,7 @@
 			}
 		}
 	}()
-	// Also when the build fails, or the killing would outlast the test.
+	// Also when the build fails, or the kills would outlast the test.
 	endKills := sync.OnceFunc(func() { close(stop); <-done })
 	defer endKills()
 	const sources = 120
@@ -446,10 +445,10 @@
 		t.Fatalf("built %q", got[:min(len(got), 100)])
 	}
 	kills := 0
-	for _, n := range b.c.Nodes() {
-		kills += n.Kills
+	for _, node := range b.c.Nodes() {
+		kills += node.Kills
 	}
-	t.Logf("%d kills of controllers, %d of gates, %d of machines, %d tries again", kills, gates, machines, b.retries.Load())
+	t.Logf("%d kills of controllers, %d of front ends, %d of machines, %d retries", kills, frontEnds, machines, b.retries.Load())
 	if again, cached := b.build(sources, "sleep 0.5; "); again != got || cached != sources+sources/10+1 {
 		t.Errorf("%d of %d from the cache", cached, sources+sources/10+1)
 	}
@@ -458,9 +457,9 @@
 	}
 }
 
-// A flood of small actions runs while urgent refund work comes: it starts ahead of
-// them, about as soon as without them.
-func TestRefundsBesideAFlood(t *testing.T) {
+// Urgent jobs that arrive during a flood of small actions start ahead of them, about as soon
+// as without them.
+func TestUrgentJobsDuringFlood(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
 	b := newBuilder(t, ctx)
@@ -482,7 +481,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	refund("job-1") // brings machines up
+	refund("job-1") // boots machines
 	alone := refund("job-2")
 	var wg sync.WaitGroup
 	var ran atomic.Int64
@@ -511,7 +510,7 @@
 	}
 	end()
 	wg.Wait()
-	// Nobody waits for the flood any more: what is left of it is withdrawn.
+	// Nobody waits for the flood any more: its remaining jobs are withdrawn.
 	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		open := 0
 		b.c.State(func(s *state.Service) {
@@ -532,7 +531,7 @@
 	}
 }
 
-// shallow is the same builder with another context, for the refunds' own team.
+// shallow returns the builder with another context, for the team of the refunds.
 func (b *builder) shallow(ctx context.Context) *builder {
 	return &builder{t: b.t, ctx: ctx, c: b.c, conn: b.conn, instance: "refunds"}
 }
--- a/internal/devcluster/identities.go
+++ b/internal/devcluster/identities.go
@@ -1,115 +1,116 @@
 package devcluster
 
 import (
-	"context"
 	"crypto/tls"
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"time"
 
 	"micaspindle/internal/client"
 	"micaspindle/internal/identity"
 	"micaspindle/internal/pki"
-	"micaspindle/internal/rights"
-	"micaspindle/internal/rights/policyfile"
 	"micaspindle/internal/settings"
 )
 
-// Administrator is who writes the first policy.
+// Administrator is the identity that writes the initial policy.
 const Administrator = "person/root"
 
 const (
-	clusterName = "lab"
-	certLife    = 90 * 24 * time.Hour
-	tokenLife   = 24 * time.Hour
+	clusterName         = "lab"
+	authorityLifetime   = 365 * 24 * time.Hour
+	certificateLifetime = 90 * 24 * time.Hour
+	tokenLifetime       = 24 * time.Hour
 )
 
-// Hosted is the identities of a cluster: an authority in the cluster's folder,
-// certificates of controllers and machines, tokens of people.
+// Hosted holds the identities of a cluster: a certificate authority in the cluster's
+// directory, certificates of controllers and machines, and tokens of people and services.
 type Hosted struct {
-	Roots string
+	Roots string // file of the root certificates
 	CA    *pki.Authority
 	dir   string
-	// settings are the controllers' identity section.
-	settings settings.Identity
-	worker   *identity.Keyring
+	// settings is the identity section of the controllers' settings.
+	settings      settings.Identity
+	workerKeyring *identity.Keyring
 }
 
-// Prepare makes an authority and everything a cluster begins with.
+// Prepare creates the certificate authority, certificates and tokens of a cluster. An
+// authority that an earlier cluster has left in the directory is used again.
 func Prepare(dir string, controllers int) (*Hosted, error) {
-	h := &Hosted{dir: filepath.Join(dir, "pki")}
+	identities := &Hosted{dir: filepath.Join(dir, "pki")}
 	var err error
-	// A folder of an earlier cluster goes on with its authority.
-	if _, serr := os.Stat(filepath.Join(h.dir, pki.RootFile)); serr == nil {
-		h.CA, err = pki.Open(h.dir)
+	if _, statErr := os.Stat(filepath.Join(identities.dir, pki.RootFile)); statErr == nil {
+		identities.CA, err = pki.Open(identities.dir)
 	} else {
-		h.CA, err = pki.Create(h.dir, "spindlelab root", time.Now(), 365*24*time.Hour)
+		identities.CA, err = pki.Create(identities.dir, "spindlelab root", time.Now(), authorityLifetime)
 	}
 	if err != nil {
 		return nil, err
 	}
-	h.Roots = filepath.Join(h.dir, pki.RootFile)
+	identities.Roots = filepath.Join(identities.dir, pki.RootFile)
 	names := []string{"worker/any"}
 	for i := range controllers {
 		names = append(names, fmt.Sprintf("controller/spindle-%d", i))
 	}
-	for _, text := range names {
-		if _, err := h.certificate(text); err != nil {
+	for _, name := range names {
+		if _, err := identities.issueCertificate(name); err != nil {
 			return nil, err
 		}
 	}
-	if h.worker, err = identity.Load(identity.Files{Own: filepath.Join(h.dir, "worker-any.pem"), Roots: h.Roots}); err != nil {
+	if identities.workerKeyring, err = identity.Load(identity.Files{Own: filepath.Join(identities.dir, "worker-any.pem"), Roots: identities.Roots}); err != nil {
 		return nil, err
 	}
-	for _, who := range append(h.Others(), Administrator) {
-		if err := h.Token(who, tokenLife); err != nil {
+	for _, name := range append(identities.Others(), Administrator) {
+		if err := identities.Token(name, tokenLifetime); err != nil {
 			return nil, err
 		}
 	}
-	h.settings = settings.Identity{Own: filepath.Join(h.dir, "controller-{label}.pem"), Roots: h.Roots,
-		TokenKeys: filepath.Join(h.dir, pki.TokenKeysFile), Cluster: clusterName, Bootstrap: Administrator}
-	return h, nil
+	identities.settings = settings.Identity{
+		Own:       filepath.Join(identities.dir, "controller-{label}.pem"),
+		Roots:     identities.Roots,
+		TokenKeys: filepath.Join(identities.dir, pki.TokenKeysFile),
+		Cluster:   clusterName,
+		Bootstrap: Administrator,
+	}
+	return identities, nil
 }
 
-// certificate issues one, anew if there is one, and says where it lies.
-func (h *Hosted) certificate(who string) (string, error) {
-	name, err := identity.ParseName(who)
+// issueCertificate issues a certificate, replacing one that exists, and returns its file.
+func (h *Hosted) issueCertificate(text string) (string, error) {
+	name, err := identity.ParseName(text)
 	if err != nil {
 		return "", err
 	}
-	_, serr := os.Stat(h.CA.File(name))
-	if _, err := h.CA.Issue(name, time.Now(), certLife, serr == nil); err != nil {
+	_, statErr := os.Stat(h.CA.File(name))
+	if _, err := h.CA.Issue(name, time.Now(), certificateLifetime, statErr == nil); err != nil {
 		return "", err
 	}
 	return h.CA.File(name), nil
 }
 
-// read is somebody's token.
-func (h *Hosted) read(who string) (string, error) {
-	token, err := os.ReadFile(h.TokenFile(who))
+// readToken returns the token of an identity.
+func (h *Hosted) readToken(name string) (string, error) {
+	token, err := os.ReadFile(h.TokenFile(name))
 	if err != nil {
-		return "", fmt.Errorf("lab: %w", err)
+		return "", fmt.Errorf("devcluster: %w", err)
 	}
 	return strings.TrimSpace(string(token)), nil
 }
 
-// Others are the people of the policy that a cluster begins with.
+// Others returns the identities of the initial policy besides the administrator.
 func (h *Hosted) Others() []string {
 	return []string{"person/anna", "service/refunds", "person/partner", Builder}
 }
 
-// TokenFile is where somebody's token lies.
-func (h *Hosted) TokenFile(who string) string {
-	return filepath.Join(h.dir, strings.ReplaceAll(who, "/", "-")+".token")
+// TokenFile returns the file of an identity's token.
+func (h *Hosted) TokenFile(name string) string {
+	return filepath.Join(h.dir, strings.ReplaceAll(name, "/", "-")+".token")
 }
 
-// Token signs a token for somebody and keeps it.
-func (h *Hosted) Token(who string, life time.Duration) error {
-	name, err := identity.ParseName(who)
+// Token signs a token for an identity and stores it in its file.
+func (h *Hosted) Token(text string, lifetime time.Duration) error {
+	name, err := identity.ParseName(text)
 	if err != nil {
 		return err
 	}
@@ -117,35 +118,38 @@
 	if err != nil {
 		return err
 	}
-	token, err := identity.IssueToken(key, name, clusterName, time.Now(), life)
+	token, err := identity.IssueToken(key, name, clusterName, time.Now(), lifetime)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(h.TokenFile(who), []byte(token+"\n"), 0o600); err != nil {
-		return fmt.Errorf("lab: %w", err)
+	if err := os.WriteFile(h.TokenFile(text), []byte(token+"\n"), 0o600); err != nil {
+		return fmt.Errorf("devcluster: %w", err)
 	}
 	return nil
 }
 
-func controllersOnly(n identity.Name) bool { return n.Kind == identity.Controller }
+// isController accepts the identities of controllers.
+func isController(n identity.Name) bool { return n.Kind == identity.Controller }
 
-// reports is how machines speak to controllers.
-func (h *Hosted) reports() *tls.Config {
+// workerTLS returns the TLS configuration of machines as clients of controllers, nil without
+// identities.
+func (h *Hosted) workerTLS() *tls.Config {
 	if h == nil {
 		return nil
 	}
-	return h.worker.Client(controllersOnly)
+	return h.workerKeyring.Client(isController)
 }
 
-// machines is how controllers speak to machines: nobody else is obeyed.
-func (h *Hosted) machines() *tls.Config {
+// machineTLS returns the TLS configuration of machines as servers, nil without identities.
+// Only controllers may send commands.
+func (h *Hosted) machineTLS() *tls.Config {
 	if h == nil {
 		return nil
 	}
-	config := h.worker.Server(true)
+	config := h.workerKeyring.Server(true)
 	config.VerifyConnection = func(cs tls.ConnectionState) error {
 		name, err := identity.FromCertificate(cs.PeerCertificates[0])
-		if err == nil && !controllersOnly(name) {
+		if err == nil && !isController(name) {
 			err = fmt.Errorf("%s gives no orders", name)
 		}
 		return err
@@ -153,90 +157,17 @@
 	return config
 }
 
-// Client is somebody's client of the cluster.
-func (c *Cluster) Client(who string) (*client.Client, error) {
-	h := c.opt.Hosted
-	if h == nil {
+// Client returns a client of the controllers with the token of an identity.
+func (c *Cluster) Client(name string) (*client.Client, error) {
+	identities := c.options.Hosted
+	if identities == nil {
 		return client.New(c.Addrs(), nil, ""), nil
 	}
-	token, err := h.read(who)
+	token, err := identities.readToken(name)
 	if err != nil {
 		return nil, err
 	}
-	config := h.reports()
+	config := identities.workerTLS()
 	config.GetClientCertificate = nil
 	return client.New(c.Addrs(), config, token), nil
 }
-
-// beginning is the policy that a cluster of the laboratory begins with.
-func beginning(gates []*Gate) *rights.Document {
-	all := []string{"submit", "view", "view-arguments", "withdraw", "reassign", "administer"}
-	d := &rights.Document{
-		Roles: []rights.Role{
-			{Name: "administrator", Rules: []rights.Rule{{Verbs: all, Team: "*", Class: "*"}}},
-			{Name: "builder", Rules: []rights.Rule{{Verbs: all[:4], Team: "*", Class: "build"}}},
-			{Name: "gate", Rules: []rights.Rule{{Verbs: []string{"vouch", "view", "withdraw"}, Team: "*", Class: "build"}}},
-			{Name: "clerk", Rules: []rights.Rule{{Verbs: []string{"submit", "view", "withdraw", "reassign"}, Team: "placements-desk", Class: "*"}}},
-			{Name: "guest", Rules: []rights.Rule{{Verbs: []string{"view"}, Team: "*", Class: "*"}}},
-			{Name: "refunds", Rules: []rights.Rule{{Verbs: all[:4], Team: "payments", Class: "refund-batch"}}},
-		},
-		Identities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}}, {Name: "person/partner", Roles: []string{"guest"}},
-			{Name: Administrator, Roles: []string{"administrator"}}, {Name: Builder, Roles: []string{"builder"}}, {Name: "service/refunds", Roles: []string{"refunds"}}},
-	}
-	for _, g := range gates {
-		d.Identities = append(d.Identities, rights.Identity{Name: "service/" + g.Label, Roles: []string{"gate"}})
-	}
-	return d
-}
-
-// WritePolicy writes the first policy, from a file if one is named, and waits
-// until every controller follows it.
-func (c *Cluster) WritePolicy(ctx context.Context, file string) error {
-	doc := beginning(c.gates)
-	if file != "" {
-		data, err := os.ReadFile(file)
-		if err != nil {
-			return err
-		}
-		if doc, err = policyfile.Parse(data); err != nil {
-			return fmt.Errorf("%s: %w", file, err)
-		}
-		if !slices.ContainsFunc(doc.Identities, func(id rights.Identity) bool { return id.Name == Administrator }) {
-			return errors.New(file + ": does not name " + Administrator + ", who writes it here")
-		}
-	}
-	cl, err := c.Client(Administrator)
-	if err != nil {
-		return err
-	}
-	var page rights.Page
-	if err := cl.Do(ctx, "GET", "/policy/roles", nil, &page); err != nil {
-		return err
-	}
-	plan, err := policyfile.Plan(&rights.Document{}, doc, page.MaxChanges)
-	if err != nil {
-		return err
-	}
-	version := page.Version
-	for i := range plan {
-		plan[i].Version = version
-		var v rights.Version
-		if err := cl.Do(ctx, "POST", "/policy", &plan[i], &v); err != nil {
-			return err
-		}
-		version = v.Version
-	}
-	for _, n := range c.nodes {
-		one := cl.At(n.Addr)
-		for page.Version != version {
-			if err := one.Do(ctx, "GET", "/policy/roles", nil, &page); err != nil {
-				return err
-			}
-			if page.Version != version {
-				time.Sleep(50 * time.Millisecond)
-			}
-		}
-		page.Version = 0
-	}
-	return nil
-}
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -30,15 +30,15 @@
 	"micaspindle/internal/rights"
 )
 
-// hostedCluster is a cluster of real processes that asks who comes.
+// hostedCluster starts a cluster of real processes with authentication.
 func hostedCluster(t *testing.T, ctx context.Context) *Cluster {
 	t.Helper()
 	dir := t.TempDir()
-	h, err := Prepare(dir, 3)
+	identities, err := Prepare(dir, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, LogLevel: "info", WriteRPS: 100, RPS: 600, Hosted: h})
+	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, LogLevel: "info", WriteRPS: 100, RPS: 600, Hosted: identities})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	return c
 }
 
-// as is somebody's client.
+// as returns a client with the token of an identity.
 func (c *Cluster) as(t *testing.T, who string) *client.Client {
 	t.Helper()
 	cl, err := c.Client(who)
@@ -70,7 +70,7 @@
 	}
 }
 
-// exported is the audit, verified.
+// exported returns the audit log, verified.
 func (c *Cluster) exported(t *testing.T, ctx context.Context) []archive.ReadRecord {
 	t.Helper()
 	root := c.as(t, Administrator)
@@ -110,8 +110,8 @@
 	return n
 }
 
-// The wish's three roles against real processes over TLS: a clerk, the refund
-// team and a guest partner try what they must not do.
+// Three roles against real processes over TLS: a clerk, the refund team and a guest partner
+// attempt operations that they have no right to.
 func TestRolesOverTLS(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
@@ -149,9 +149,8 @@
 		try("person/partner", partner.Do(ctx, "GET", path, nil, nil))
 	}
 	try("person/partner", submit(partner, "job-1", "placement-match", "placements-desk"))
-	// The guest sees states, and in none of them an argument; nor do the logs
-	// and the audit tell one.
-	raw := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{TLSClientConfig: c.Hosted().reports()}}
+	// The guest sees states without arguments; logs and audit hold no arguments either.
+	raw := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{TLSClientConfig: c.Hosted().workerTLS()}}
 	token, err := os.ReadFile(c.Hosted().TokenFile("person/partner"))
 	if err != nil {
 		t.Fatal(err)
@@ -170,14 +169,14 @@
 	if resp.StatusCode != 200 || bytes.Contains(body, []byte(secret)) {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
-	for _, n := range c.Nodes() {
-		log, err := os.ReadFile(n.LogFile)
+	for _, node := range c.Nodes() {
+		log, err := os.ReadFile(node.LogFile)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for what, text := range map[string]string{"an argument": secret, "a token": strings.TrimSpace(string(token))} {
 			if bytes.Contains(log, []byte(text)) {
-				t.Errorf("the log of %s tells %s", n.Label, what)
+				t.Errorf("the log of %s tells %s", node.Label, what)
 			}
 		}
 	}
@@ -185,15 +184,15 @@
 	if err := refunds.Do(ctx, "GET", "/submissions/job-2/arguments", nil, &args); err != nil || args.Image != secret || args.By != Administrator {
 		t.Errorf("%+v %v", args, err)
 	}
-	// Nobody, somebody with a bad token, a machine that plays a user, and a user
-	// that plays a machine.
+	// A client without a credential, one with a bad token, a machine that acts as a user,
+	// and a user that acts as a machine.
 	none := client.New(c.Addrs(), c.Hosted().withoutOwn(), "")
 	_, err = none.Status(ctx, "job-1")
 	refused(t, err, 401)
 	bad := client.New(c.Addrs(), c.Hosted().withoutOwn(), strings.TrimSpace(string(token))+"x")
 	_, err = bad.Status(ctx, "job-1")
 	refused(t, err, 401)
-	machine := client.New(c.Addrs(), c.Hosted().reports(), "")
+	machine := client.New(c.Addrs(), c.Hosted().workerTLS(), "")
 	_, err = machine.Status(ctx, "job-1")
 	refused(t, err, 403)
 	refused(t, partner.Do(ctx, "POST", "/checkin", &protocol.Heartbeat{Machine: "m-1", Epoch: 1}, nil), 401)
@@ -216,15 +215,15 @@
 	}
 }
 
-// withoutOwn is the configuration of somebody without a certificate.
+// withoutOwn returns the TLS configuration of a client without a certificate.
 func (h *Hosted) withoutOwn() *tls.Config {
-	config := h.reports()
+	config := h.workerTLS()
 	config.GetClientCertificate = nil
 	return config
 }
 
-// Controllers are killed at any moment while users submit and ask again: each
-// job is there once, with one record of its acceptance.
+// Controllers are killed at any moment while users submit with retries: each job exists
+// once, with one audit record of its acceptance.
 func TestKillsUnderLoadWithAudit(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 120*time.Second)
 	defer cancel()
@@ -255,13 +254,13 @@
 				return
 			case <-time.After(time.Duration(200+rng.IntN(600)) * time.Millisecond):
 			}
-			n := c.Nodes()[kills%3]
-			c.Kill(n)
+			node := c.Nodes()[kills%3]
+			c.Kill(node)
 			select {
 			case <-stop:
 			case <-time.After(time.Duration(100+rng.IntN(400)) * time.Millisecond):
 			}
-			if err := c.Restart(n); err != nil {
+			if err := c.Restart(node); err != nil {
 				t.Error(err)
 			}
 		}
@@ -279,8 +278,8 @@
 		}
 	}
 	kills := 0
-	for _, n := range c.Nodes() {
-		kills += n.Kills
+	for _, node := range c.Nodes() {
+		kills += node.Kills
 	}
 	t.Logf("%d kills", kills)
 	for u := range users {
@@ -295,22 +294,22 @@
 	}
 }
 
-// A renewed certificate is taken by running controllers, a revoked clerk is out
-// on each of them at once, and a policy survives the end of all controllers.
+// Running controllers load a renewed certificate, a revoked clerk is refused by each of them
+// at once, and a policy survives the end of all controllers.
 func TestRotationRevocationAndRestart(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	c := hostedCluster(t, ctx)
 	root, anna := c.as(t, Administrator), c.as(t, "person/anna")
-	for _, n := range c.Nodes() {
-		name := identity.Name{Kind: identity.Controller, ID: n.Label}
-		if _, err := c.Hosted().CA.Issue(name, time.Now(), certLife, true); err != nil {
+	for _, node := range c.Nodes() {
+		name := identity.Name{Kind: identity.Controller, ID: node.Label}
+		if _, err := c.Hosted().CA.Issue(name, time.Now(), certificateLifetime, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, n := range c.Nodes() {
+	for _, node := range c.Nodes() {
 		for {
-			log, err := os.ReadFile(n.LogFile)
+			log, err := os.ReadFile(node.LogFile)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -318,7 +317,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				t.Fatalf("%s never took its new certificate", n.Label)
+				t.Fatalf("%s never took its new certificate", node.Label)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -338,23 +337,23 @@
 	if err := root.Do(ctx, "POST", "/policy", &ch, nil); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range c.Nodes() {
+	for _, node := range c.Nodes() {
 		for {
-			err := anna.At(n.Addr).Do(ctx, "GET", "/whoami", nil, nil)
+			err := anna.At(node.Addr).Do(ctx, "GET", "/whoami", nil, nil)
 			var r *client.Refusal
 			if errors.As(err, &r) && r.Status == 403 {
 				break
 			}
 			if time.Since(revoked) > 3*time.Second {
-				t.Fatalf("%s still takes her after 3 s: %v", n.Label, err)
+				t.Fatalf("%s still takes her after 3 s: %v", node.Label, err)
 			}
 		}
 	}
-	for _, n := range c.Nodes() {
-		c.Kill(n)
+	for _, node := range c.Nodes() {
+		c.Kill(node)
 	}
-	for _, n := range c.Nodes() {
-		if err := c.Restart(n); err != nil {
+	for _, node := range c.Nodes() {
+		if err := c.Restart(node); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -367,20 +366,20 @@
 	}
 }
 
-// The front door of build tools asks the controllers: who may, may; a refusal is
-// in their audit; a revocation holds there too.
-func TestGateAsksControllers(t *testing.T) {
+// The front end asks the controllers for rights: allowed clients are served, refusals are in
+// the controllers' audit, and a revocation takes effect at the front end too.
+func TestFrontEndAsksControllers(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	c := hostedCluster(t, ctx)
-	h := c.Hosted()
-	asker, err := reapi.NewAsker(client.New(c.Addrs(), h.withoutOwn(), ""), "refund-batch")
+	identities := c.Hosted()
+	asker, err := reapi.NewAsker(client.New(c.Addrs(), identities.withoutOwn(), ""), "refund-batch")
 	if err != nil {
 		t.Fatal(err)
 	}
 	token := func(who string) string {
-		data, err := os.ReadFile(h.TokenFile(who))
+		data, err := os.ReadFile(identities.TokenFile(who))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -428,14 +427,14 @@
 	if n := tally(read, func(r *audit.Record) bool {
 		return r.Who == "service/refunds" && r.Outcome == audit.Denied && r.Team == "venues"
 	}); n != 1 {
-		t.Errorf("one refusal at the gate, the audit has %d", n)
+		t.Errorf("one refusal at the front end, the audit has %d", n)
 	}
 	if n := tally(read, func(r *audit.Record) bool { return r.Who == "person/partner" && r.Outcome == audit.Denied }); n != 1 {
 		t.Errorf("one refusal of the guest, the audit has %d", n)
 	}
-	// Without controllers nobody is let in.
-	for _, n := range c.Nodes() {
-		c.Kill(n)
+	// Without controllers nobody is authorized.
+	for _, node := range c.Nodes() {
+		c.Kill(node)
 	}
 	time.Sleep(1100 * time.Millisecond)
 	ask(Administrator, "submit", "payments", codes.Unavailable)
--- a/internal/devcluster/process_test.go
+++ b/internal/devcluster/process_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-// Guards against a controller that found its address taken while it started: one
-// that a draw had hit twice, or that another laboratory had drawn meanwhile.
-func TestAnAddressIsHeldUntilItsProcessStarts(t *testing.T) {
-	c, other := &Cluster{given: map[string]int{}}, &Cluster{given: map[string]int{}}
+// An address is reserved for its process: it is neither given twice nor free for another
+// cluster until the process starts.
+func TestAddressIsReservedUntilProcessStarts(t *testing.T) {
+	c, other := &Cluster{addresses: map[string]int{}}, &Cluster{addresses: map[string]int{}}
 	seen := map[string]bool{}
 	for range 1500 { // each of the two draws some twice
 		for _, each := range []*Cluster{c, other} {
-			addr, err := each.freeAddr()
+			addr, err := each.reserveAddr()
 			if err != nil || seen[addr] {
 				t.Fatalf("%s, drawn before: %v; %v", addr, seen[addr], err)
 			}
 			seen[addr] = true
 			if each == c {
-				defer c.release(addr)
+				defer c.releaseAddr(addr)
 			} else {
-				defer other.release(addr)
+				defer other.releaseAddr(addr)
 			}
 		}
 	}
-	addr, err := c.freeAddr()
+	addr, err := c.reserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		_ = l.Close()
 		t.Error("an address that is held is given to another")
 	}
-	c.release(addr)
+	c.releaseAddr(addr)
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		t.Fatalf("the process of an address that was let go: %v", err)
