--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -217,14 +217,14 @@
 		_ = cmd.Wait()
 		s, found := open(t, dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Promise: time.Minute})
 		lines := strings.Split(out.String(), "\n")
-		told := len(lines) - 1 // the last line may be incomplete
-		for i := range told {
+		acknowledged := len(lines) - 1 // the last line may be incomplete
+		for i := range acknowledged {
 			data := blob(seed*100_000+i, 1+i*37%50_000)
 			if got, err := s.Read(Key{"a", Of(data)}, 1<<20); err != nil || !bytes.Equal(got, data) {
 				t.Errorf("seed %d: blob %d was written, yet %v", seed, i, err)
 			}
 		}
-		t.Logf("seed %d: %d written, %+v", seed, told, found)
+		t.Logf("seed %d: %d written, %+v", seed, acknowledged, found)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/buildtool/buildtool_test.go
+++ b/internal/buildtool/buildtool_test.go
@@ -181,13 +181,13 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
-			begun := time.Now()
+			started := time.Now()
 			report, err := b.Build(ctx, []Node{{Name: "one", Script: "true", Sources: map[string][]byte{"f": []byte("f")}}}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := strings.Join(s.calls, " "); got != c.want || report.Retries != len(c.script) || time.Since(begun) < c.least {
-				t.Errorf("called %q in %s with %d tries again, want %q", got, time.Since(begun), report.Retries, c.want)
+			if got := strings.Join(s.calls, " "); got != c.want || report.Retries != len(c.script) || time.Since(started) < c.least {
+				t.Errorf("called %q in %s with %d tries again, want %q", got, time.Since(started), report.Retries, c.want)
 			}
 			if report.Jobs != 1 || report.Actions != 1 || report.BytesUp == 0 {
 				t.Errorf("%+v", report)
--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -179,9 +179,9 @@
 		if says(node, "handed over") == 0 || says(node, "stopped") == 0 {
 			t.Errorf("%s did not hand over", node.Label)
 		}
-		for begun := time.Now(); warm() == before; time.Sleep(10 * time.Millisecond) {
-			if time.Since(begun) > 10*time.Second {
-				t.Fatalf("nobody took over from %s what it had", node.Label)
+		for started := time.Now(); warm() == before; time.Sleep(10 * time.Millisecond) {
+			if time.Since(started) > 10*time.Second {
+				t.Fatalf("no standby took over from %s", node.Label)
 			}
 		}
 		if err := c.Restart(node); err != nil {
--- a/internal/devcluster/demo.go
+++ b/internal/devcluster/demo.go
@@ -203,7 +203,7 @@
 	}
 	old := c.Leader()
 	if old == nil {
-		return errors.New("nobody leads")
+		return errors.New("there is no cluster leader")
 	}
 	c.Kill(old)
 	killed := time.Now()
@@ -221,7 +221,7 @@
 			break
 		}
 		if err := pause(leaderInterval); err != nil {
-			return fmt.Errorf("nobody leads after %s: %w", time.Since(killed).Round(time.Millisecond), err)
+			return fmt.Errorf("no cluster leader after %s: %w", time.Since(killed).Round(time.Millisecond), err)
 		}
 	}
 	if err := pause(time.Until(killed.Add(restartDelay))); err != nil {
--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -300,22 +300,22 @@
 	defer cancel()
 	b := newBuilder(t, ctx)
 	const sources = 200
-	begun := time.Now()
+	started := time.Now()
 	got, cached := b.build(sources, "")
 	if got != wanted(sources) || cached != 0 {
 		t.Fatalf("%d cached, %q", cached, got[:min(len(got), 100)])
 	}
 	jobs, actions := b.frontEnd.Gathered()
-	t.Logf("%d actions as %d jobs in %s", actions, jobs, time.Since(begun).Round(time.Millisecond))
+	t.Logf("%d actions as %d jobs in %s", actions, jobs, time.Since(started).Round(time.Millisecond))
 	if actions != sources+sources/10+1 || jobs > 20 {
 		t.Errorf("%d actions became %d jobs", actions, jobs)
 	}
-	begun = time.Now()
+	started = time.Now()
 	got, cached = b.build(sources, "")
 	if got != wanted(sources) || cached != sources+sources/10+1 {
 		t.Errorf("%d of %d from the cache", cached, sources+sources/10+1)
 	}
-	t.Logf("again, from the cache, in %s", time.Since(begun).Round(time.Millisecond))
+	t.Logf("again, from the cache, in %s", time.Since(started).Round(time.Millisecond))
 	if n := b.frontEnd.Discarded(); n != 0 {
 		t.Errorf("%d results were discarded", n)
 	}
@@ -366,7 +366,7 @@
 		}
 	}
 	if missing != 1 {
-		t.Errorf("the missing blob is not told: %v", status.Convert(err).Details())
+		t.Errorf("the missing blob is not named: %v", status.Convert(err).Details())
 	}
 	for what, tc := range map[string]struct {
 		a    action
@@ -466,7 +466,7 @@
 	users := client.New(b.c.Addrs(), nil, "")
 	refund := func(id string) time.Duration {
 		s := NewSubmission(id, "refund-batch", "payments", "high", 8, 4, 4, 1)
-		begun := time.Now()
+		started := time.Now()
 		if _, err := users.Submit(ctx, &s); err != nil {
 			t.Fatal(err)
 		}
@@ -476,7 +476,7 @@
 				t.Fatal(err)
 			}
 			if st.Ended() {
-				return time.Since(begun)
+				return time.Since(started)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -495,8 +495,8 @@
 			}
 		})
 	}
-	for begun := time.Now(); ran.Load() < 50; time.Sleep(20 * time.Millisecond) {
-		if time.Since(begun) > 30*time.Second {
+	for started := time.Now(); ran.Load() < 50; time.Sleep(20 * time.Millisecond) {
+		if time.Since(started) > 30*time.Second {
 			t.Fatalf("%d actions have run", ran.Load())
 		}
 	}
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -143,7 +143,7 @@
 	}
 	for _, t := range a.Tasks {
 		switch {
-		case t.State == protocol.TaskFetching && now.Sub(t.begun) > a.Fetch:
+		case t.State == protocol.TaskFetching && now.Sub(t.acceptedAt) > a.Fetch:
 			if !a.start(t, now) {
 				continue
 			}
--- a/internal/fake/agent/commands.go
+++ b/internal/fake/agent/commands.go
@@ -37,7 +37,7 @@
 func (a *Agent) accept(command protocol.Command) *Task {
 	job, index, ok := protocol.ParseTask(command.Task)
 	a.watcher.Obeying(a, command)
-	t := &Task{Name: command.Task, Job: job, Index: index, Attempt: command.Attempt, State: protocol.TaskFetching, begun: time.Now()}
+	t := &Task{Name: command.Task, Job: job, Index: index, Attempt: command.Attempt, State: protocol.TaskFetching, acceptedAt: time.Now()}
 	if !ok {
 		t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknown
 	}
--- a/internal/fake/agent/task.go
+++ b/internal/fake/agent/task.go
@@ -8,16 +8,16 @@
 
 // Task is an attempt of a task on the machine.
 type Task struct {
-	Name    string
-	Job     string
-	Index   int
-	Attempt uint64
-	State   string
-	Cause   string // why it ended
-	Running bool
-	begun   time.Time
-	Ends    time.Time
-	stop    func() // what Agent.Exec returned; nil once called
+	Name       string
+	Job        string
+	Index      int
+	Attempt    uint64
+	State      string
+	Cause      string // why it ended
+	Running    bool
+	acceptedAt time.Time
+	Ends       time.Time
+	stop       func() // what Agent.Exec returned; nil once called
 }
 
 // halt stops what Agent.Exec runs for the task.
--- a/internal/fake/state/service_test.go
+++ b/internal/fake/state/service_test.go
@@ -63,11 +63,11 @@
 			commit(t, s, protocol.Transaction{Then: put("w/1", 0)})
 		}()
 		var ev protocol.Events
-		begun := time.Now()
+		started := time.Now()
 		q := url.Values{"under": {"w/"}, "after": {"1"}, "wait_ms": {"5000"}}
 		resp = s.Serve(context.Background(), "", "GET", "/changes", q, nil)
-		if err := protocol.Decode(resp.Body, &ev); err != nil || len(ev.Events) != 1 || time.Since(begun) > 1200*time.Millisecond {
-			t.Errorf("%v, %d events after %s", err, len(ev.Events), time.Since(begun))
+		if err := protocol.Decode(resp.Body, &ev); err != nil || len(ev.Events) != 1 || time.Since(started) > 1200*time.Millisecond {
+			t.Errorf("%v, %d events after %s", err, len(ev.Events), time.Since(started))
 		}
 		// A watch from a revision whose events are dropped is an error.
 		for i := range keptEvents + 2*keptEvents/10 {
--- a/internal/reapi/batch.go
+++ b/internal/reapi/batch.go
@@ -180,7 +180,7 @@
 	return t
 }
 
-// submitBatch submits a batch as a job and tells its tasks the outcome.
+// submitBatch submits a batch as a job and hands its tasks the outcome.
 func (f *FrontEnd) submitBatch(b *batch) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -204,7 +204,7 @@
 	f.placeTasks(b.tasks, id, err)
 }
 
-// placeTasks tells the tasks of a batch their job, or why they have none.
+// placeTasks sets the job of the tasks of a batch, or the error why they have none.
 func (f *FrontEnd) placeTasks(tasks []*task, job string, err error) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
@@ -279,7 +279,7 @@
 
 // withCredential calls with a client's credential or, if the credential has expired since,
 // with the front end's own rights in the client's name: an execution that was accepted
-// goes on, and a job that nobody waits for is withdrawn. *credential is replaced then,
+// continues, and a job that nobody waits for is withdrawn. *credential is replaced then,
 // since each further use of the expired one would be audited as a refusal.
 func (f *FrontEnd) withCredential(credential *string, name string, call func(credential string) error) error {
 	err := call(*credential)
--- a/internal/reapi/bench_test.go
+++ b/internal/reapi/bench_test.go
@@ -31,7 +31,7 @@
 		data[i] = random(size)
 	}
 	rate := func(f func(i int)) float64 {
-		begun := time.Now()
+		started := time.Now()
 		var wg sync.WaitGroup
 		for w := range 4 {
 			wg.Go(func() {
@@ -41,7 +41,7 @@
 			})
 		}
 		wg.Wait()
-		return float64(blobs*size) / 1e6 / time.Since(begun).Seconds()
+		return float64(blobs*size) / 1e6 / time.Since(started).Seconds()
 	}
 	dir := t.TempDir()
 	path := func(i int) string { return filepath.Join(dir, fmt.Sprint(i)) }
@@ -91,15 +91,15 @@
 	if _, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result}); err != nil {
 		t.Fatal(err)
 	}
-	begun, hits := time.Now(), 0
-	for time.Since(begun) < 2*time.Second {
+	started, hits := time.Now(), 0
+	for time.Since(started) < 2*time.Second {
 		if _, err := b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil {
 			t.Fatal(err)
 		}
 		hits++
 	}
 	t.Logf("up %.0f MB/s, %.2f of writing files (%.0f); down %.0f MB/s, %.2f of copying files (%.0f); %.0f results a second to one client",
-		up, up/write, write, down, down/read, read, float64(hits)/time.Since(begun).Seconds())
+		up, up/write, write, down, down/read, read, float64(hits)/time.Since(started).Seconds())
 }
 
 // Command: GATE_THROUGHPUT=1 go test -run TestRepairSpeed -v ./internal/reapi
@@ -113,30 +113,30 @@
 	s := startGroup(t, 2, 1)
 	a := s.clients[0]
 	const blobs, size = 30, 1 << 20
-	begun := time.Now()
+	started := time.Now()
 	for range blobs {
 		data := random(size)
 		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write := float64(blobs*size) / 1e6 / time.Since(begun).Seconds()
+	write := float64(blobs*size) / 1e6 / time.Since(started).Seconds()
 	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun = time.Now()
+	started = time.Now()
 	if err := r.Pass(a.ctx); err != nil {
 		t.Fatal(err)
 	}
-	took := time.Since(begun).Seconds()
+	took := time.Since(started).Seconds()
 	if p := r.Progress(); p.Copied != blobs {
 		t.Fatalf("%+v", p)
 	}
-	begun = time.Now()
+	started = time.Now()
 	if err := r.Pass(a.ctx); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("copied at %.0f MB/s, %.2f of a client's writing (%.0f); read at rest at %.0f MB/s", float64(blobs*size)/1e6/took,
-		float64(blobs*size)/1e6/took/write, write, float64(blobs*size)/1e6/time.Since(begun).Seconds())
+		float64(blobs*size)/1e6/took/write, write, float64(blobs*size)/1e6/time.Since(started).Seconds())
 }
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -86,7 +86,7 @@
 	var mu sync.Mutex
 	got := map[string]int{}
 	var wg sync.WaitGroup
-	begun := time.Now()
+	started := time.Now()
 	for _, at := range []string{"", "a/b/"} {
 		for range 3 {
 			wg.Go(func() {
@@ -104,7 +104,7 @@
 		}
 	}
 	wg.Wait()
-	seconds := time.Since(begun).Seconds()
+	seconds := time.Since(started).Seconds()
 	all := float64(got[""] + got["a/b/"])
 	if all > 1.2*rate*seconds+8<<20 || all < 0.5*rate*seconds || float64(got["a/b/"]) < 1.5*float64(got[""]) {
 		t.Errorf("%d and %d bytes in %.1f s", got[""], got["a/b/"], seconds)
--- a/internal/reapi/download_test.go
+++ b/internal/reapi/download_test.go
@@ -66,7 +66,7 @@
 	defer conn.Close() //nolint:errcheck // the test ends
 	bound := &build{t: t, ctx: context.Background(), bytes: bytestream.NewByteStreamClient(conn)}
 	rate := func(c *build, streams int) float64 {
-		begun := time.Now()
+		started := time.Now()
 		var wg sync.WaitGroup
 		for w := range streams {
 			wg.Go(func() {
@@ -78,7 +78,7 @@
 			})
 		}
 		wg.Wait()
-		return 16 / float64(streams) * float64(streams) * size / 1e6 / time.Since(begun).Seconds()
+		return 16 / float64(streams) * float64(streams) * size / 1e6 / time.Since(started).Seconds()
 	}
 	for _, streams := range []int{1, 4} {
 		rate(bound, streams)
--- a/internal/reapi/frontend_test.go
+++ b/internal/reapi/frontend_test.go
@@ -451,17 +451,17 @@
 	b, _ := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Promise: 30 * time.Second})
 	b.blob(random(8000))
 	data := random(5000)
-	begun := time.Now()
+	started := time.Now()
 	_, err := b.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, 1000, true)
 	b.code(err, codes.ResourceExhausted)
-	told := time.Duration(0)
+	delay := time.Duration(0)
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
-			told = r.RetryDelay.AsDuration()
+			delay = r.RetryDelay.AsDuration()
 		}
 	}
-	if told < 20*time.Second || told > 31*time.Second || time.Since(begun) > 5*time.Second {
-		t.Errorf("told to come back in %s, after %s", told, time.Since(begun))
+	if delay < 20*time.Second || delay > 31*time.Second || time.Since(started) > 5*time.Second {
+		t.Errorf("retry delay of %s, after %s", delay, time.Since(started))
 	}
 }
 
@@ -516,7 +516,7 @@
 	}
 	got, err := b.as("eve").cas.FindMissingBlobs(b.as("eve").ctx, &repb.FindMissingBlobsRequest{InstanceName: "a/b", BlobDigests: []*repb.Digest{d}})
 	if err != nil || len(got.MissingBlobDigests) != 1 {
-		t.Errorf("another team's blob is told: %v %v", got, err)
+		t.Errorf("another team's blob is returned: %v %v", got, err)
 	}
 	if h, err := healthpb.NewHealthClient(b.conn).Check(b.ctx, &healthpb.HealthCheckRequest{}); err != nil || h.Status != healthpb.HealthCheckResponse_SERVING {
 		t.Errorf("health: %v %v", h, err)
--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -38,7 +38,7 @@
 	until  time.Time
 }
 
-// DefaultLinger is how long a job goes on that no client waits for.
+// DefaultLinger is how long a job continues that no client waits for.
 const DefaultLinger = time.Minute
 
 const (
--- a/internal/reapi/peers_test.go
+++ b/internal/reapi/peers_test.go
@@ -160,7 +160,7 @@
 	}
 	s.servers[0].Stop()
 	for _, b := range s.clients[1:] {
-		begun := time.Now()
+		started := time.Now()
 		miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: digests})
 		if err != nil || len(miss.MissingBlobDigests) > 0 {
 			t.Fatalf("%v %v", miss, err)
@@ -173,7 +173,7 @@
 		if got, err := b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil || !proto.Equal(got, result) {
 			t.Errorf("the result was lost with its front end: %v", err)
 		}
-		if took := time.Since(begun); took > 10*time.Second {
+		if took := time.Since(started); took > 10*time.Second {
 			t.Errorf("a lost front end delayed others for %s", took)
 		}
 	}
--- a/internal/reapi/restarts_test.go
+++ b/internal/reapi/restarts_test.go
@@ -366,16 +366,16 @@
 		return
 	}
 	time.Sleep(1500 * time.Millisecond) // until the front ends reach each other again
-	told := map[string]*repb.Digest{}
+	outputs := map[string]*repb.Digest{}
 	for c, r := range reports {
 		if r == nil {
 			continue
 		}
 		for name, d := range r.Outputs {
-			if told[name] != nil && !proto.Equal(told[name], d) {
+			if outputs[name] != nil && !proto.Equal(outputs[name], d) {
 				t.Errorf("seed %d: client %d got another result of action %s", seed, c, name)
 			}
-			told[name] = d
+			outputs[name] = d
 		}
 	}
 	for i, addr := range k.addrs {
@@ -386,7 +386,7 @@
 		defer conn.Close() //nolint:errcheck // the test ends
 		b := buildtool.New(conn, "")
 		var nodes []buildtool.Node
-		for name := range told {
+		for name := range outputs {
 			n, _ := strconv.Atoi(name)
 			nodes = append(nodes, node(n))
 		}
@@ -394,7 +394,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, d := range told {
+		for name, d := range outputs {
 			if !proto.Equal(r.Outputs[name], d) {
 				t.Errorf("seed %d: front end %d has another result of action %s than a client got", seed, i, name)
 			}
@@ -411,5 +411,5 @@
 		}
 	}
 	t.Logf("%d kills of front ends, %d of all controllers, %d responses of theirs lost, %d machines gone for good, %d actions of %d clients, %d runs",
-		kills, k.downs, k.lost, k.gone, len(told), len(reports), k.runs)
+		kills, k.downs, k.lost, k.gone, len(outputs), len(reports), k.runs)
 }
--- a/internal/reapi/submitqueue_test.go
+++ b/internal/reapi/submitqueue_test.go
@@ -168,7 +168,7 @@
 	if _, err := b.execution(b.ctx, b.action("alone")); err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
+	started := time.Now()
 	var wg sync.WaitGroup
 	a := b.action("shared")
 	for range 200 {
@@ -188,7 +188,7 @@
 			asked++
 		}
 	}
-	if most := 2 * (int(time.Since(begun)/statusInterval) + 1); asked == 0 || asked > most {
+	if most := 2 * (int(time.Since(started)/statusInterval) + 1); asked == 0 || asked > most {
 		t.Errorf("asked %d times for two jobs, at most %d", asked, most)
 	}
 }
@@ -227,7 +227,7 @@
 	for _, a := range actions {
 		s.frontEnds[0].result(t, a)
 	}
-	begun := time.Now()
+	started := time.Now()
 	for _, w := range waits {
 		for {
 			op, err := w.Recv()
@@ -239,7 +239,7 @@
 			}
 		}
 	}
-	if took := time.Since(begun); took > 3*time.Second {
+	if took := time.Since(started); took > 3*time.Second {
 		t.Errorf("found after %s", took)
 	}
 	s.frontEnds[1].executions.mu.Lock()
--- a/internal/reapi/waiting_test.go
+++ b/internal/reapi/waiting_test.go
@@ -85,9 +85,9 @@
 	var delays []time.Duration
 	for i := range 40 {
 		a := b.action(fmt.Sprint("delay ", i))
-		begun := time.Now()
+		started := time.Now()
 		run(b, a)
-		delays = append(delays, time.Since(begun))
+		delays = append(delays, time.Since(started))
 	}
 	slices.Sort(delays)
 	t.Logf("added delay of one small action: p50 %s, longest %s, of which %s are the gathering", delays[20].Round(time.Millisecond),
@@ -99,10 +99,10 @@
 		b := instant(config, changes)
 		var done atomic.Int64
 		var wg sync.WaitGroup
-		begun := time.Now()
+		started := time.Now()
 		for w := range clients {
 			wg.Go(func() {
-				for i := 0; time.Since(begun) < 6*time.Second; i++ {
+				for i := 0; time.Since(started) < 6*time.Second; i++ {
 					run(b, b.action(fmt.Sprint(most, w, i)))
 					done.Add(1)
 					if most == 1 && done.Load() > 60 {
@@ -111,13 +111,13 @@
 				}
 			})
 		}
-		for most == 1 && time.Since(begun) < 6*time.Second {
+		for most == 1 && time.Since(started) < 6*time.Second {
 			time.Sleep(50 * time.Millisecond)
 		}
-		n, took := done.Load(), time.Since(begun).Seconds()
+		n, took := done.Load(), time.Since(started).Seconds()
 		if most > 1 {
 			wg.Wait()
-			n, took = done.Load(), time.Since(begun).Seconds()
+			n, took = done.Load(), time.Since(started).Seconds()
 		}
 		return float64(n) / took
 	}
@@ -145,7 +145,7 @@
 			defer conn.Close() //nolint:errcheck // the test ends
 			conns = append(conns, conn)
 		}
-		before, begun := held(), time.Now()
+		before, started := held(), time.Now()
 		var open sync.WaitGroup
 		for i, a := range actions {
 			open.Go(func() {
@@ -160,6 +160,6 @@
 		}
 		open.Wait()
 		t.Logf("%d actions wait over %d connections, after %s: %.1f kB each, client and front end together", n, len(conns),
-			time.Since(begun).Round(time.Millisecond), float64(held()-before)/1000/float64(n))
+			time.Since(started).Round(time.Millisecond), float64(held()-before)/1000/float64(n))
 	}
 }
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -225,11 +225,11 @@
 		slow.BytesPerSecond = 100_000 // a hundred blobs per second
 		ctx, cancel := context.WithCancel(context.Background())
 		w.stop, w.after = cancel, 2000
-		begun := time.Now()
+		started := time.Now()
 		if err := w.repairer(t, slow, file).Pass(ctx); !errors.Is(err, context.Canceled) {
 			t.Fatalf("ended with %v", err)
 		}
-		if took := time.Since(begun); took < 19*time.Second || took > 21*time.Second {
+		if took := time.Since(started); took < 19*time.Second || took > 21*time.Second {
 			t.Errorf("2000 blobs took %s", took)
 		}
 		w.stop = nil
