--- a/cmd/micaspindle-devcluster/build.go
+++ b/cmd/micaspindle-devcluster/build.go
@@ -48,7 +48,7 @@
 	if b.Sources < 1 || b.Sources > maxSources || b.AtOnce < 1 || b.AtOnce > maxConcurrentActions || b.Seconds < 0 || b.Seconds > maxActionSeconds || b.Limit <= 0 {
 		return usageError{errors.New("--sources must lie between 1 and 50000, --at-once between 1 and 10000, --seconds between 0 and 3600, --limit above 0")}
 	}
-	proof := identity.Proof{Roots: b.Roots, Cert: b.Cert, TokenFile: b.TokenFile}
+	proof := identity.CredentialFiles{Roots: b.Roots, Cert: b.Cert, TokenFile: b.TokenFile}
 	secure, token, err := proof.Load(func(n identity.Name) bool { return n.Kind == identity.Service })
 	if err != nil {
 		return usageError{err}
--- a/cmd/micaspindle-reapi/authentication.go
+++ b/cmd/micaspindle-reapi/authentication.go
@@ -47,7 +47,7 @@
 		return nil, usageError{err}
 	}
 	go keys.Watch(ctx, log)
-	controllers := client.New(s.Controllers, keys.Client(isController), "")
+	controllers := client.New(s.Controllers, keys.ClientConfig(isController), "")
 	access, err := reapi.NewAsker(controllers, s.Class)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocolHTTP2},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			config := keys.Server(false)
+			config := keys.ServerConfig(false)
 			config.NextProtos = []string{protocolHTTP2}
 			return config, nil
 		},
@@ -94,7 +94,7 @@
 // peerCredentials accept the front end with a name only. The certificate of a new connection is
 // the latest.
 func peerCredentials(keys *identity.Keyring, name string) credentials.TransportCredentials {
-	return credentials.NewTLS(keys.Client(func(n identity.Name) bool { return n.String() == name }))
+	return credentials.NewTLS(keys.ClientConfig(func(n identity.Name) bool { return n.String() == name }))
 }
 
 // isController says whether a name is that of a controller.
--- a/cmd/micaspindle-reapi/sharing.go
+++ b/cmd/micaspindle-reapi/sharing.go
@@ -58,7 +58,7 @@
 
 // limits are those of one shared resource.
 func (s *sharingSettings) limits(atOnce int, perSecond float64) admission.Limits {
-	return admission.Limits{AtOnce: atOnce, PerSecond: perSecond, Waiting: s.Queue, Patience: s.Patience, Weights: s.Weights}
+	return admission.Limits{Concurrency: atOnce, PerSecond: perSecond, MaxWaiting: s.Queue, MaxWait: s.Patience, Weights: s.Weights}
 }
 
 // check finds the first value that can't be used.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return reapi.Shares{}, err
 	}
-	out := reapi.Shares{Waiting: waiting, Ahead: admission.Ahead{Least: s.Ahead, For: s.AheadFor}}
+	out := reapi.Shares{Waiting: waiting, Ahead: admission.HandoffLimits{Min: s.Ahead, MaxDuration: s.AheadFor}}
 	if s.Calls > 0 {
 		out.Calls = admission.New(s.limits(s.Calls, 0))
 	}
--- a/cmd/micaspindle/authentication.go
+++ b/cmd/micaspindle/authentication.go
@@ -25,9 +25,9 @@
 	if err := checkBootstrap(id.Bootstrap); err != nil {
 		return nil, err
 	}
-	client.Secure = clientTLS(set, keys)
+	client.TLSConfig = clientTLS(set, keys)
 	bound := time.Duration(set.Params.TimeBoundMS * float64(time.Millisecond))
-	err = ctl.Identify(auth.Identities{
+	err = ctl.EnableAuth(auth.Identities{
 		Tokens:     identity.NewTokens(keys, id.Cluster, bound),
 		Bootstrap:  id.Bootstrap,
 		ClockBound: bound,
@@ -79,7 +79,7 @@
 			return nil
 		}
 		label, isPeer := peers[addr]
-		return keys.Client(func(n identity.Name) bool {
+		return keys.ClientConfig(func(n identity.Name) bool {
 			if isPeer {
 				return n.Kind == identity.Controller && n.ID == label
 			}
--- a/cmd/micaspindle/serve.go
+++ b/cmd/micaspindle/serve.go
@@ -83,7 +83,7 @@
 			return usageError{err}
 		}
 	}
-	client.Crowded = userSockets(set.Params.MachineLimits.Sockets)
+	client.CrowdedConnections = userSockets(set.Params.MachineLimits.Sockets)
 	err := transport.Run(ctx, listeners(ctl, set, op, keys), func(e *transport.Engine) {
 		client.Attach(e)
 		log.Info("serving", "label", set.Label, "zone", set.Zone, "addr", set.ServeOn)
@@ -126,22 +126,22 @@
 func listeners(ctl *coordination.Controller, set *settings.Settings, op settings.Operator, keys *identity.Keyring) []*transport.Listener {
 	sockets := set.Params.MachineLimits.Sockets
 	users := &transport.Listener{
-		Addr:     set.ServeOn,
-		Handler:  ctl.Serve,
-		MaxBody:  maxUserBody,
-		MaxConns: max(minConnections, userSockets(sockets)),
-		Full:     ctl.UsersFull,
+		Addr:      set.ServeOn,
+		Handler:   ctl.Serve,
+		MaxBody:   maxUserBody,
+		MaxConns:  max(minConnections, userSockets(sockets)),
+		OnRefused: ctl.NoteUserConnectionRefused,
 	}
 	peers := &transport.Listener{
-		Addr:     set.ClusterListen,
-		Handler:  ctl.ServePeers,
-		MaxBody:  peerapi.MaxBody(set.Params.MachineLimits),
-		MaxConns: max(minConnections, sockets/20),
-		Full:     ctl.PeersFull,
+		Addr:      set.ClusterListen,
+		Handler:   ctl.ServePeers,
+		MaxBody:   peerapi.MaxBody(set.Params.MachineLimits),
+		MaxConns:  max(minConnections, sockets/20),
+		OnRefused: ctl.NotePeerConnectionRefused,
 	}
 	if keys != nil {
-		users.Secure = func() *tls.Config { return keys.Server(false) }
-		peers.Secure = func() *tls.Config { return keys.Server(true) }
+		users.TLSConfig = func() *tls.Config { return keys.ServerConfig(false) }
+		peers.TLSConfig = func() *tls.Config { return keys.ServerConfig(true) }
 	}
 	if op.Operations == nil {
 		return []*transport.Listener{users, peers}
@@ -154,7 +154,7 @@
 		MaxConns: maxOperationsConns,
 	}
 	if keys != nil {
-		operators.Secure = func() *tls.Config { return keys.Server(false) }
+		operators.TLSConfig = func() *tls.Config { return keys.ServerConfig(false) }
 	}
 	return []*transport.Listener{users, peers, operators}
 }
--- a/cmd/micaspindlectl/audit_export.go
+++ b/cmd/micaspindlectl/audit_export.go
@@ -28,9 +28,9 @@
 	if err := cl.Do(ctx, http.MethodGet, "/audit/seal", nil, &seal); err != nil {
 		return err
 	}
-	fetch := func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+	fetch := func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error) {
 		var page struct {
-			Batches []audit.Numbered `msgpack:"batches"`
+			Batches []audit.NumberedBatch `msgpack:"batches"`
 		}
 		query := "?chain=" + url.QueryEscape(chain) + "&after=" + strconv.FormatUint(after, 10)
 		err := cl.Do(ctx, http.MethodGet, "/audit/batches"+query, nil, &page)
--- a/cmd/micaspindlectl/cancel.go
+++ b/cmd/micaspindlectl/cancel.go
@@ -64,16 +64,16 @@
 	}
 	view := cancelAllView{By: k.By}
 	for {
-		var res protocol.SweepResult
-		if err := cl.Do(ctx, "POST", "/withdrawals", protocol.Sweep{By: k.By}, &res); err != nil {
+		var res protocol.CancelAllResult
+		if err := cl.Do(ctx, "POST", "/withdrawals", protocol.CancelAll{By: k.By}, &res); err != nil {
 			return err
 		}
-		view.Cancelled += res.Withdrawn
+		view.Cancelled += res.Cancelled
 		view.NotAllowed = res.NotAllowed
-		if res.Left == 0 {
+		if res.Remaining == 0 {
 			return c.print(view, "BY\tCANCELLED\tNOT ALLOWED", [][]any{{view.By, view.Cancelled, view.NotAllowed}})
 		}
-		fmt.Fprintf(os.Stderr, "%d cancelled, %d left\n", view.Cancelled, res.Left)
+		fmt.Fprintf(os.Stderr, "%d cancelled, %d left\n", view.Cancelled, res.Remaining)
 		if err := pause(ctx, pollInterval); err != nil {
 			return err
 		}
--- a/cmd/micaspindlectl/connection.go
+++ b/cmd/micaspindlectl/connection.go
@@ -38,8 +38,8 @@
 }
 
 // credentials are the files that prove who the caller is.
-func (c *Connection) credentials() *identity.Proof {
-	return &identity.Proof{Roots: c.Roots, Cert: c.Cert, TokenFile: c.TokenFile}
+func (c *Connection) credentials() *identity.CredentialFiles {
+	return &identity.CredentialFiles{Roots: c.Roots, Cert: c.Cert, TokenFile: c.TokenFile}
 }
 
 // readRoots reads CA certificates from a PEM file.
--- a/cmd/micaspindlectl/delegations.go
+++ b/cmd/micaspindlectl/delegations.go
@@ -34,7 +34,7 @@
 		return errors.Join(err, printJSON(rows))
 	}
 	if err == nil {
-		fmt.Print(overview.Shares(rows))
+		fmt.Print(overview.Delegations(rows))
 	}
 	return err
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -44,7 +44,7 @@
 // and callers each has; clients of one team share alike.
 func TestSharesFollowWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Limits{AtOnce: 4, Waiting: 1000, Weights: map[string]float64{"red": 3}})
+		q := New(Limits{Concurrency: 4, MaxWaiting: 1000, Weights: map[string]float64{"red": 3}})
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 		defer cancel()
 		var wg sync.WaitGroup
@@ -65,7 +65,7 @@
 // up what he did not ask for.
 func TestQuietOnesAreServedNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Limits{AtOnce: 2, Waiting: 100})
+		q := New(Limits{Concurrency: 2, MaxWaiting: 100})
 		// No deadline: how long the quiet one waits in all hangs on how the two places
 		// happen to be staggered, and is up to a second each time.
 		ctx, cancel := context.WithCancel(context.Background())
@@ -99,7 +99,7 @@
 // takes the place of one of those who flood it.
 func TestAFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Limits{AtOnce: 1, Waiting: 10})
+		q := New(Limits{Concurrency: 1, MaxWaiting: 10})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		first, err := q.Enter(ctx, "red", "r", 1)
@@ -154,7 +154,7 @@
 // Who gives up or has waited for too long leaves no place behind him.
 func TestGivingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Limits{AtOnce: 1, Waiting: 10, Patience: 3 * time.Second})
+		q := New(Limits{Concurrency: 1, MaxWaiting: 10, MaxWait: 3 * time.Second})
 		leave, err := q.Enter(context.Background(), "red", "r", 1)
 		if err != nil {
 			t.Fatal(err)
@@ -188,7 +188,7 @@
 // A rate is shared by cost: small pieces of one do not pass large ones of another.
 func TestARateIsShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Limits{PerSecond: 1000, Waiting: 100, Weights: map[string]float64{"blue": 4}})
+		q := New(Limits{PerSecond: 1000, MaxWaiting: 100, Weights: map[string]float64{"blue": 4}})
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 		defer cancel()
 		var mu sync.Mutex
@@ -223,7 +223,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 7))
 			most := 1 + rng.IntN(4)
-			q := New(Limits{AtOnce: most, Waiting: rng.IntN(20), Patience: time.Duration(rng.IntN(2)) * time.Second})
+			q := New(Limits{Concurrency: most, MaxWaiting: rng.IntN(20), MaxWait: time.Duration(rng.IntN(2)) * time.Second})
 			var mu sync.Mutex
 			inside := 0
 			var wg sync.WaitGroup
@@ -251,7 +251,7 @@
 				})
 			}
 			wg.Wait()
-			if s := q.Stats(); s.Inside != 0 || s.Waiting != 0 || s.Let+s.Refused > 200 {
+			if s := q.Stats(); s.Inside != 0 || s.Waiting != 0 || s.Admitted+s.Refused > 200 {
 				t.Errorf("seed %d: %+v", seed, s)
 			}
 		})
@@ -275,7 +275,7 @@
 		t.Fatalf("%v, quotas %v and %v", err, l.Quota("red"), l.Quota("blue"))
 	}
 	take := func(team, client string) (n int) {
-		for l.Take(team, client, 1) {
+		for l.Acquire(team, client, 1) {
 			n++
 		}
 		return n
@@ -290,7 +290,7 @@
 		t.Errorf("who came later found %d", n)
 	}
 	for range 60 {
-		l.Give("red", "r", 1)
+		l.Release("red", "r", 1)
 	}
 	if n := take("blue", "b"); n != 59 { // its own 75, and 3 of the 4 that red leaves
 		t.Errorf("blue took %d more", n)
@@ -298,13 +298,13 @@
 	if n := take("red", "r"); n != 1 {
 		t.Errorf("red took %d again", n)
 	}
-	if l.Held()["blue"] != 78 || l.Take("green", "g", 1) {
+	if l.Held()["blue"] != 78 || l.Acquire("green", "g", 1) {
 		t.Errorf("held %v", l.Held())
 	}
 }
 
 func TestLimitsAreChecked(t *testing.T) {
-	for _, l := range []Limits{{AtOnce: -1}, {PerSecond: math.NaN()}, {Waiting: -1}, {Patience: -1}, {Weights: map[string]float64{"a": 0}}} {
+	for _, l := range []Limits{{Concurrency: -1}, {PerSecond: math.NaN()}, {MaxWaiting: -1}, {MaxWait: -1}, {Weights: map[string]float64{"a": 0}}} {
 		if l.Check() == nil {
 			t.Errorf("%+v passes", l)
 		}
--- a/internal/admission/ahead.go
+++ b/internal/admission/ahead.go
@@ -9,34 +9,34 @@
 // comes later waits behind all of it. So only so much is handed on as keeps that
 // place busy for a while, and the rest waits here, where clients take turns.
 
-// Ahead says how much may wait at the place that serves it.
-type Ahead struct {
-	// Least may wait there however slowly it is served; 0: there is no bound.
-	Least int
-	// For is how long it may last at the rate at which it is served.
-	For time.Duration
+// HandoffLimits says how much may wait at the place that serves it.
+type HandoffLimits struct {
+	// Min may wait there however slowly it is served; 0: there is no bound.
+	Min int
+	// MaxDuration is how long it may last at the rate at which it is served.
+	MaxDuration time.Duration
 }
 
 // Window is how much that is at a rate, beside so many that are being served. As
 // many again may wait: a place that grows by what waits for it doubles each time.
-func (a Ahead) Window(perSecond float64, inService int) int {
-	if a.Least == 0 {
+func (a HandoffLimits) Window(perSecond float64, inService int) int {
+	if a.Min == 0 {
 		return math.MaxInt
 	}
-	return max(a.Least, inService, int(perSecond*a.For.Seconds()))
+	return max(a.Min, inService, int(perSecond*a.MaxDuration.Seconds()))
 }
 
-// Lot is something that waits to be handed on as a whole.
-type Lot struct {
+// Batch is something that waits to be handed on as a whole.
+type Batch struct {
 	Client string
 	Size   int
 }
 
-// Next says which of the lots that wait, the oldest first, is handed on next: that
+// NextBatch says which of the lots that wait, the oldest first, is handed on next: that
 // of the client who has the least ahead. -1: none, until some of what is ahead has
 // been served. A client has his part of the window also while others fill it, and
 // one lot in any case: he is not kept out by lots that are large.
-func Next(window int, ahead map[string]int, waiting []Lot) int {
+func NextBatch(window int, ahead map[string]int, waiting []Batch) int {
 	total, clients, best := 0, 0, -1
 	for _, n := range ahead {
 		if total += n; n > 0 {
--- a/internal/admission/ahead_test.go
+++ b/internal/admission/ahead_test.go
@@ -10,16 +10,16 @@
 // Of a team's clients, who has least ahead goes next, up to the window; who has
 // nothing there goes in any case.
 func TestNextIsWhoHasLeastAhead(t *testing.T) {
-	lots := func(of ...string) (out []Lot) {
+	lots := func(of ...string) (out []Batch) {
 		for _, c := range of {
-			out = append(out, Lot{c, 10})
+			out = append(out, Batch{c, 10})
 		}
 		return out
 	}
 	for name, c := range map[string]struct {
 		window int
 		ahead  map[string]int
-		lots   []Lot
+		lots   []Batch
 		want   int
 	}{
 		"nobody waits":                   {100, nil, nil, -1},
@@ -33,14 +33,14 @@
 		"a lot larger than the window":   {5, nil, lots("a"), 0},
 		"without bound":                  {math.MaxInt, map[string]int{"a": 1 << 40}, lots("a"), 0},
 	} {
-		if got := Next(c.window, c.ahead, c.lots); got != c.want {
+		if got := NextBatch(c.window, c.ahead, c.lots); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
-	if w := (Ahead{}).Window(1e9, 7); w != math.MaxInt {
+	if w := (HandoffLimits{}).Window(1e9, 7); w != math.MaxInt {
 		t.Errorf("without bound: %d", w)
 	}
-	a := Ahead{Least: 100, For: 2 * time.Second}
+	a := HandoffLimits{Min: 100, MaxDuration: 2 * time.Second}
 	if a.Window(0, 0) != 100 || a.Window(49, 99) != 100 || a.Window(500, 999) != 1000 || a.Window(0, 300) != 300 {
 		t.Error(a.Window(0, 0), a.Window(49, 99), a.Window(500, 999))
 	}
@@ -55,17 +55,17 @@
 		clients := []string{"a", "b", "c", "d"}[:1+rng.IntN(4)]
 		window, size := 20+rng.IntN(200), 1+rng.IntN(30)
 		ahead, order := map[string]int{}, []string{}
-		var waiting []Lot
+		var waiting []Batch
 		late := -1 // when the new client's lot came
 		for step := range 3000 {
 			if rng.IntN(size) == 0 || step < 500 {
-				waiting = append(waiting, Lot{clients[rng.IntN(len(clients))], size})
+				waiting = append(waiting, Batch{clients[rng.IntN(len(clients))], size})
 			}
 			if step == 1500 {
-				waiting, late = append(waiting, Lot{"new", size}), step
+				waiting, late = append(waiting, Batch{"new", size}), step
 			}
 			for {
-				i := Next(window, ahead, waiting)
+				i := NextBatch(window, ahead, waiting)
 				if i < 0 {
 					break
 				}
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -54,8 +54,8 @@
 	return l.most * l.weights[team] / l.sum
 }
 
-// Take takes an amount or says no. What was taken is given back with Give.
-func (l *Ledger) Take(team, client string, n float64) bool {
+// Acquire takes an amount or says no. What was taken is given back with Give.
+func (l *Ledger) Acquire(team, client string, n float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := [2]string{team, client}
@@ -79,8 +79,8 @@
 	return true
 }
 
-// Give gives back.
-func (l *Ledger) Give(team, client string, n float64) {
+// Release gives back.
+func (l *Ledger) Release(team, client string, n float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := [2]string{team, client}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -15,13 +15,13 @@
 
 // Limits bound a queue.
 type Limits struct {
-	// AtOnce is how many are let in at a time, PerSecond how much cost a second;
+	// Concurrency is how many are let in at a time, PerSecond how much cost a second;
 	// 0: without bound.
-	AtOnce    int
-	PerSecond float64
-	// Waiting is how many may wait in all, and Patience for how long each.
-	Waiting  int
-	Patience time.Duration
+	Concurrency int
+	PerSecond   float64
+	// MaxWaiting is how many may wait in all, and Patience for how long each.
+	MaxWaiting int
+	MaxWait    time.Duration
 	// Weights are the shares of teams; one that is not named has 1.
 	Weights map[string]float64
 }
@@ -29,13 +29,13 @@
 // Check says what must be mended.
 func (l *Limits) Check() error {
 	switch {
-	case l.AtOnce < 0:
+	case l.Concurrency < 0:
 		return errors.New("at_once: must not be below 0")
 	case l.PerSecond < 0 || math.IsNaN(l.PerSecond) || math.IsInf(l.PerSecond, 0):
 		return errors.New("per_second: must be a number and not below 0")
-	case l.Waiting < 0:
+	case l.MaxWaiting < 0:
 		return errors.New("waiting: must not be below 0")
-	case l.Patience < 0:
+	case l.MaxWait < 0:
 		return errors.New("patience: must not be below 0")
 	}
 	return checkWeights(l.Weights)
@@ -148,8 +148,8 @@
 	q.mu.Unlock()
 
 	var timeout <-chan time.Time
-	if q.limits.Patience > 0 {
-		t := time.NewTimer(q.limits.Patience)
+	if q.limits.MaxWait > 0 {
+		t := time.NewTimer(q.limits.MaxWait)
 		defer t.Stop()
 		timeout = t.C
 	}
@@ -202,17 +202,17 @@
 
 // free says whether somebody could be let in now.
 func (q *Queue) free(now time.Time) bool {
-	return (q.limits.AtOnce == 0 || q.inside < q.limits.AtOnce) && (q.limits.PerSecond == 0 || !q.paid.After(now))
+	return (q.limits.Concurrency == 0 || q.inside < q.limits.Concurrency) && (q.limits.PerSecond == 0 || !q.paid.After(now))
 }
 
 // room sees that one more may wait. In a full queue a team that waits with less
 // than its share takes the place of the last one of the team that is furthest
 // above its own: a flood fills the queue with itself only.
 func (q *Queue) room(w *waiter) bool {
-	if q.waiting < q.limits.Waiting {
+	if q.waiting < q.limits.MaxWaiting {
 		return true
 	}
-	if q.limits.Waiting == 0 {
+	if q.limits.MaxWaiting == 0 {
 		return false
 	}
 	mine := float64(1)
@@ -366,7 +366,7 @@
 		close(w.told)
 	}
 	// With a rate, the next one may enter without anybody leaving.
-	if q.waiting > 0 && q.limits.PerSecond > 0 && q.paid.After(now) && (q.limits.AtOnce == 0 || q.inside < q.limits.AtOnce) && q.timer == nil {
+	if q.waiting > 0 && q.limits.PerSecond > 0 && q.paid.After(now) && (q.limits.Concurrency == 0 || q.inside < q.limits.Concurrency) && q.timer == nil {
 		q.timer = time.AfterFunc(q.paid.Sub(now), func() {
 			q.mu.Lock()
 			defer q.mu.Unlock()
@@ -390,15 +390,15 @@
 	}
 	weights = max(weights, mine)
 	held := max(q.served, firstGuess)
-	wait := time.Duration(waiting * float64(held) / float64(max(1, q.limits.AtOnce)) * weights / mine)
+	wait := time.Duration(waiting * float64(held) / float64(max(1, q.limits.Concurrency)) * weights / mine)
 	return min(mostRetry, max(leastRetry, wait))
 }
 
 // Stats says how a queue stands.
 type Stats struct {
 	Inside, Waiting int
-	// Let and Refused count since the beginning.
-	Let, Refused int64
+	// Admitted and Refused count since the beginning.
+	Admitted, Refused int64
 	// ByTeam is who waits.
 	ByTeam map[string]int
 }
@@ -407,7 +407,7 @@
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s := Stats{Inside: q.inside, Waiting: q.waiting, Let: q.let, Refused: q.refused, ByTeam: map[string]int{}}
+	s := Stats{Inside: q.inside, Waiting: q.waiting, Admitted: q.let, Refused: q.refused, ByTeam: map[string]int{}}
 	for n, t := range q.teams {
 		if t.waiting > 0 {
 			s.ByTeam[n] = t.waiting
--- a/internal/audit/archive/archive.go
+++ b/internal/audit/archive/archive.go
@@ -50,7 +50,7 @@
 )
 
 // Fetch gets batches of a chain that come after a number.
-type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error)
+type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error)
 
 // Export writes everything up to a seal: a head, the signers, the batches of
 // each chain, and the seal at the end. progress is told how far it is.
--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -101,7 +101,7 @@
 	ctx := context.Background()
 	seal := must(l.Seal(ctx))
 	var out bytes.Buffer
-	if err := archive.Export(ctx, &out, seal, func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+	if err := archive.Export(ctx, &out, seal, func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error) {
 		return l.Batches(ctx, chain, after, 1000)
 	}, func(uint64, uint64) {}); err != nil {
 		f.t.Fatal(err)
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -18,7 +18,7 @@
 		{"batch", golden.Fill(&Batch{}), golden.MessagePack},
 		{"head", golden.Fill(&head{}), golden.MessagePack},
 		{"signer", golden.Fill(&signerRecord{}), golden.MessagePack},
-		{"numbered", golden.Fill(&Numbered{}), golden.MessagePack},
+		{"numbered", golden.Fill(&NumberedBatch{}), golden.MessagePack},
 		{"seal", golden.Fill(&Seal{}), golden.MessagePack},
 		{"line", golden.Fill(&Record{}), asJSON},
 		{"sealed", golden.Fill(&Sealed{}), asJSON},
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -27,9 +27,9 @@
 }
 
 const (
-	// GatherFor is how long refusals and looks are gathered at the most before
+	// GatherInterval is how long refusals and looks are gathered at the most before
 	// they are written; a kill loses no more than these.
-	GatherFor = 5 * time.Second
+	GatherInterval = 5 * time.Second
 	// patience is how long a change may wait for its turn before it is refused.
 	patience = 400 * time.Millisecond
 	// headEvery is after how many batches the chain's head is written anew.
@@ -175,7 +175,7 @@
 		case <-tick.C:
 			// What was gathered is taken out once the last lot is written, so that
 			// a flood can't make more lines than the gathering allows.
-			if len(l.left) == 0 && l.tally.oldest(time.Now()) >= GatherFor-4*pause {
+			if len(l.left) == 0 && l.tally.oldest(time.Now()) >= GatherInterval-4*pause {
 				l.left = l.tally.drain()
 			}
 			if len(l.left) > 0 {
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -13,8 +13,8 @@
 	"micaspindle/internal/storage"
 )
 
-// Numbered is a batch with its place.
-type Numbered struct {
+// NumberedBatch is a batch with its place.
+type NumberedBatch struct {
 	Chain  string `msgpack:"chain"`
 	Number uint64 `msgpack:"number"`
 	Batch  Batch  `msgpack:"batch"`
@@ -113,12 +113,12 @@
 
 // Batches reads batches of a chain that come after a number, as many as an
 // answer may hold.
-func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]Numbered, error) {
+func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]NumberedBatch, error) {
 	list, err := l.store.Page(ctx, BatchPrefix(chain), BatchKey(chain, after), 50)
 	if err != nil {
 		return nil, err
 	}
-	var out []Numbered
+	var out []NumberedBatch
 	for _, it := range list.Items {
 		var b Batch
 		_, number, ok := ParseBatchKey(it.Key)
@@ -128,7 +128,7 @@
 		if size -= len(it.Value) + 64; size < 0 && len(out) > 0 {
 			break
 		}
-		out = append(out, Numbered{chain, number, b})
+		out = append(out, NumberedBatch{chain, number, b})
 	}
 	return out, nil
 }
--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -84,7 +84,7 @@
 	j.Failures++
 	m.FailedJobs[j.Spec.ID] = true
 	m.AvoidUntil = now.Add(failedBackoff)
-	ag.metrics.Count(telemetry.Failed, 1)
+	ag.metrics.Count(telemetry.AttemptFailed, 1)
 	ag.log.Info("task failed", "task", a.TaskName(), "machine", m.Name, "failures", j.Failures)
 	if j.FailedMachines == nil {
 		j.FailedMachines = map[string]bool{}
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -84,7 +84,7 @@
 	}
 	m.CommandAgain = false
 	ag.commandsSent(m, now)
-	orders := protocol.Orders{Token: ag.Token(m), Epoch: m.Epoch, Commands: cmds}
+	orders := protocol.CommandBatch{Token: ag.Token(m), Epoch: m.Epoch, Commands: cmds}
 	via, name, addr := p.Delegations.CommandRoute(m.Shard, now), m.Name, m.Record.Addr
 	ag.loop.Go(func() {
 		r, sent, err := ag.PostCommands(via, name, addr, orders)
@@ -100,7 +100,7 @@
 				ag.log.Debug("orders failed", "machine", m.Name, "reason", err)
 			}
 			if r != nil && ag.Machines[m.Name] == m && ag.Partitions[m.Record.Partition].Held {
-				ag.ApplyReport(m, r, time.Now())
+				ag.ApplyHeartbeat(m, r, time.Now())
 			}
 			if m.CommandAgain && err == nil {
 				ag.SendCommands(m)
@@ -117,7 +117,7 @@
 // PostCommands sends orders, by way of the machine's carrier if there is one that takes
 // them, and returns the worker's report. sent is false if they can never arrive or were
 // certainly refused.
-func (ag *Agents) PostCommands(via, machine, addr string, orders protocol.Orders) (r *protocol.Heartbeat, sent bool, err error) {
+func (ag *Agents) PostCommands(via, machine, addr string, orders protocol.CommandBatch) (r *protocol.Heartbeat, sent bool, err error) {
 	body := protocol.Encode(orders)
 	var resp *transport.Response
 	if err = transport.ErrNotSent; via != "" {
@@ -160,7 +160,7 @@
 		return
 	}
 	ag.commandsSent(m, time.Now())
-	orders := protocol.Orders{Token: ag.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
+	orders := protocol.CommandBatch{Token: ag.Token(m), Epoch: max(m.Epoch, m.EpochHint, 1), Commands: []protocol.Command{}}
 	via, name, addr := ag.Partitions[m.Record.Partition].Delegations.FenceRoute(m.Shard, time.Now()), m.Name, m.Record.Addr
 	ag.loop.Go(func() {
 		r, _, err := ag.PostCommands(via, name, addr, orders)
@@ -176,7 +176,7 @@
 			}
 			if ag.Machines[m.Name] == m && ag.Partitions[m.Record.Partition].Held && r.Machine == m.Name {
 				m.LastHeardAt = time.Now()
-				ag.ApplyReport(m, r, time.Now())
+				ag.ApplyHeartbeat(m, r, time.Now())
 				ag.SendCommands(m)
 			}
 		})
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -37,7 +37,7 @@
 		if p.Leader != "" && p.Leader != ag.Settings.Label {
 			ag.DivertedMachines[r.Machine] = now
 			ag.leases.NoteDiverted(p.Leader, r.Machine, now)
-			return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: p.Leader})}
+			return transport.Response{Status: 421, Body: protocol.Encode(protocol.AssignedController{Controller: p.Leader})}
 		}
 		return respond.Refuse(503, "part has no owner here", 1)
 	}
@@ -53,37 +53,37 @@
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
 	}
-	ag.ApplyReport(m, r, now)
+	ag.ApplyHeartbeat(m, r, now)
 	m.LastHeardAt = now
 	if by := ag.proxy.RedirectTarget(p, m, now); by != "" {
-		return transport.Response{Status: 421, Body: protocol.Encode(protocol.Home{Home: by})}
+		return transport.Response{Status: 421, Body: protocol.Encode(protocol.AssignedController{Controller: by})}
 	}
 	m.AnsweredUntil = now
-	orders := protocol.Orders{Token: token}
+	orders := protocol.CommandBatch{Token: token}
 	if p.Ready && m.Fenced {
 		orders.Commands = ag.commandsFor(m, now, true)
 	} else {
-		orders.Commands = ag.StopsOfCancelled(r)
+		orders.Commands = ag.StopsForCancelledJobs(r)
 	}
 	return transport.Response{Status: 200, Body: protocol.Encode(orders)}
 }
 
-// StopsOfCancelled stops what a report shows of withdrawn jobs. Whoever answers a report keeps
+// StopsForCancelledJobs stops what a report shows of withdrawn jobs. Whoever answers a report keeps
 // what it shows alive, so that nobody may do so for a task that it knows to be withdrawn:
 // neither an owner that has not read its part's records yet nor a carrier, which both
 // decide nothing else. A withdrawal is on record for good, so that the stop needs none.
-func (ag *Agents) StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command {
+func (ag *Agents) StopsForCancelledJobs(r *protocol.Heartbeat) []protocol.Command {
 	cmds := []protocol.Command{}
 	for _, t := range r.Tasks {
-		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && ag.FinalStates[job] == protocol.StatusWithdrawn {
+		if job, _, ok := protocol.ParseTask(t.Task); ok && t.State != protocol.TaskEnded && ag.FinalStates[job] == protocol.StatusCancelled {
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	return cmds[:min(len(cmds), commandsLimit)]
 }
 
-// ApplyReport takes in a report, from whichever way it came.
-func (ag *Agents) ApplyReport(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
+// ApplyHeartbeat takes in a report, from whichever way it came.
+func (ag *Agents) ApplyHeartbeat(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
 	p := ag.Partitions[m.Record.Partition]
 	if !p.Ready || m.DeleteConfirmed || !m.IsNewer(r) {
 		return
@@ -109,7 +109,7 @@
 	}
 	// Not only when the session changes: records read at a takeover may hold
 	// attempts of sessions that ended before.
-	if m.HasAttemptBefore(r.Epoch) {
+	if m.HasAttemptBeforeEpoch(r.Epoch) {
 		for _, a := range m.SortedAttempts() {
 			if a.Epoch < r.Epoch {
 				ag.ReleaseAttempt(a, "session ended", now)
@@ -168,7 +168,7 @@
 				}
 				a.Job.RunningCount++
 				if !a.Inherited {
-					ag.metrics.Took(telemetry.Start, now.Sub(a.Job.ReadySince()), now)
+					ag.metrics.RecordWait(telemetry.Start, now.Sub(a.Job.ReadySince()), now)
 				}
 			}
 			m.Images[a.Job.Spec.Image] = now
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -103,7 +103,7 @@
 		}
 		known, answered := p.Delegations.AnswerBounds(m.Shard, m.AnsweredUntil, now)
 		if (m.HasReported || len(m.Attempts) > 0) && known.Sub(answered) > bound {
-			ag.metrics.Count(telemetry.MachineLost, 1)
+			ag.metrics.Count(telemetry.MachineLeaseExpired, 1)
 			ag.log.Info("machine lost", "machine", m.Name, "silent", now.Sub(m.LastHeardAt), "attempts", len(m.Attempts))
 			m.Lost, m.Fenced = true, false
 			for _, a := range m.SortedAttempts() {
@@ -181,7 +181,7 @@
 				if ag.Machines[m.Name] != m {
 					continue
 				}
-				ag.metrics.Count(telemetry.MachineLost, 1)
+				ag.metrics.Count(telemetry.MachineLeaseExpired, 1)
 				m.DeleteConfirmed, m.Lost, m.Fenced = true, true, false
 				for _, a := range m.SortedAttempts() {
 					ag.ReleaseAttempt(a, "machine is deleted", now)
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -30,7 +30,7 @@
 	// AllowsEverywhere says whether a caller holds a verb on every queue.
 	AllowsEverywhere(who *auth.Caller, v rights.Verb) bool
 	// AuditBatches reads batches of a chain of the audit, up to so many bytes.
-	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error)
+	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.NumberedBatch, error)
 	// AuditRecord begins the audit record of what a caller does; nil while nobody asks
 	// who comes.
 	AuditRecord(who *auth.Caller, verb string, q rights.Queue, job string) *audit.Record
@@ -84,15 +84,15 @@
 	// Load is how many machines keep their connections here.
 	Load(now time.Time) delegation.Load
 	// Overview says who carries what of a part.
-	Overview(p *cluster.Partition, now time.Time) (list []overview.Carried)
+	Overview(p *cluster.Partition, now time.Time) (list []overview.Delegate)
 	// RecentMoves is the last moves with how long ago they were.
-	RecentMoves(now time.Time) []overview.Move
+	RecentMoves(now time.Time) []overview.ShardMove
 }
 
 // Replicator is what Server asks of its collaborator.
 type Replicator interface {
 	// Overview is how the copies stand.
-	Overview(now time.Time) (list []overview.Follow)
+	Overview(now time.Time) (list []overview.Replica)
 }
 
 // Jobs is what Server asks of its collaborator.
--- a/internal/coordination/api/identity.go
+++ b/internal/coordination/api/identity.go
@@ -16,7 +16,7 @@
 func (srv *Server) whoami(who *auth.Caller) transport.Response {
 	view := srv.auth.Policy()
 	var held []string
-	for _, v := range []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Withdraw, rights.Reassign, rights.Administer, rights.Vouch} {
+	for _, v := range []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Cancel, rights.Reassign, rights.Administer, rights.Vouch} {
 		if srv.auth.HoldsAny(who, v) {
 			held = append(held, v.String())
 		}
--- a/internal/coordination/api/operations.go
+++ b/internal/coordination/api/operations.go
@@ -47,17 +47,17 @@
 
 // StateOverview is how this controller and its parts stand.
 func (srv *Server) StateOverview(now time.Time) overview.View {
-	v := overview.View{Controller: srv.Settings.Label, Zone: srv.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(srv.StartedAt).Seconds(), Leads: srv.Leadership.Held,
-		Ready: srv.Synced && len(srv.Catalog) > 0, StateSilentS: srv.store.SinceLastAnswer().Seconds(), WritesWanted: srv.WriteDemand, WritesGranted: srv.store.GrantedWriteRate(),
-		CloudRests: srv.cloud.Unavailable(now), Jobs: len(srv.Jobs), Ended: len(srv.FinalStates), Renting: len(srv.Leadership.PendingScaleOut)}
+	v := overview.View{Controller: srv.Settings.Label, Zone: srv.Settings.Zone, AtMS: now.UnixMilli(), UpS: now.Sub(srv.StartedAt).Seconds(), ClusterLeader: srv.Leadership.Held,
+		Ready: srv.Synced && len(srv.Catalog) > 0, StateSilenceS: srv.store.SinceLastAnswer().Seconds(), WritesWanted: srv.WriteDemand, WritesGranted: srv.store.GrantedWriteRate(),
+		CloudUnavailable: srv.cloud.Unavailable(now), Jobs: len(srv.Jobs), EndedJobs: len(srv.FinalStates), PendingScaleOut: len(srv.Leadership.PendingScaleOut)}
 	for _, p := range srv.Partitions {
 		if p.Held {
-			v.Parts = append(v.Parts, srv.partitionOverview(p, now))
+			v.Partitions = append(v.Partitions, srv.partitionOverview(p, now))
 		}
 	}
-	v.Follows = srv.replicator.Overview(now)
+	v.Replicas = srv.replicator.Overview(now)
 	load := srv.proxy.Load(now)
-	v.Connected, v.Room, v.Moves = load.Machines, load.Capacity, srv.proxy.RecentMoves(now)
+	v.Connected, v.Capacity, v.Moves = load.Machines, load.Capacity, srv.proxy.RecentMoves(now)
 	for team, t := range srv.Settings.Params.Teams {
 		if p := srv.Partitions[srv.TeamPartition[team]]; p.Held {
 			v.Teams = append(v.Teams, overview.Team{Name: t.Name, Part: p.Index, CPUs: p.Usage[team].CPUs, Guarantee: t.CPUs, Limit: t.CPUsMax})
@@ -74,8 +74,8 @@
 	return v
 }
 
-func (srv *Server) partitionOverview(p *cluster.Partition, now time.Time) overview.Part {
-	v := overview.Part{Part: p.Index, Ready: p.Ready}
+func (srv *Server) partitionOverview(p *cluster.Partition, now time.Time) overview.Partition {
+	v := overview.Partition{Part: p.Index, Ready: p.Ready}
 	used, all := 0.0, 0.0
 	for _, m := range srv.Machines {
 		if m.Record.Partition != p.Index {
@@ -83,13 +83,13 @@
 		}
 		v.Machines++
 		if m.ReservedFor != fairshare.NoGroup {
-			v.Kept++
+			v.Reserved++
 		}
 		switch {
 		case m.Lost || m.Quarantined:
-			v.Bad++
+			v.Unusable++
 		case !m.HasReported:
-			v.Coming++
+			v.Starting++
 		case len(m.Attempts) == 0 && len(m.OrphanedTasks) == 0:
 			v.Idle++
 		}
@@ -100,7 +100,7 @@
 	if all > 0 {
 		v.Used = used / all
 	}
-	v.Carried = srv.proxy.Overview(p, now)
+	v.Delegates = srv.proxy.Overview(p, now)
 	for _, j := range srv.Jobs {
 		if j.Partition != p.Index || !j.Loaded {
 			continue
@@ -117,28 +117,28 @@
 // gauges are the overview for Prometheus.
 func gauges(v *overview.View) []telemetry.Gauge {
 	yes := map[bool]float64{true: 1}
-	out := []telemetry.Gauge{{Name: "leads", Value: yes[v.Leads]}, {Name: "ready", Value: yes[v.Ready]}, {Name: "up_seconds", Value: v.UpS},
-		{Name: "state_silent_seconds", Value: v.StateSilentS}, {Name: "writes_wanted", Value: v.WritesWanted}, {Name: "writes_granted", Value: v.WritesGranted},
-		{Name: "cloud_rests", Value: yes[v.CloudRests]}, {Name: "jobs", Value: float64(v.Jobs)}, {Name: "jobs_ended", Value: float64(v.Ended)},
-		{Name: "rentals_open", Value: float64(v.Renting)}, {Name: "machines_connected", Value: float64(v.Connected)},
-		{Name: "machines_room", Value: float64(v.Room)}}
-	for _, f := range v.Follows {
+	out := []telemetry.Gauge{{Name: "leads", Value: yes[v.ClusterLeader]}, {Name: "ready", Value: yes[v.Ready]}, {Name: "up_seconds", Value: v.UpS},
+		{Name: "state_silent_seconds", Value: v.StateSilenceS}, {Name: "writes_wanted", Value: v.WritesWanted}, {Name: "writes_granted", Value: v.WritesGranted},
+		{Name: "cloud_rests", Value: yes[v.CloudUnavailable]}, {Name: "jobs", Value: float64(v.Jobs)}, {Name: "jobs_ended", Value: float64(v.EndedJobs)},
+		{Name: "rentals_open", Value: float64(v.PendingScaleOut)}, {Name: "machines_connected", Value: float64(v.Connected)},
+		{Name: "machines_room", Value: float64(v.Capacity)}}
+	for _, f := range v.Replicas {
 		labels := fmt.Sprintf("{part=%q}", fmt.Sprint(f.Part))
 		out = append(out, telemetry.Gauge{Name: "copy_behind_seconds", Labels: labels, Value: f.BehindS},
 			telemetry.Gauge{Name: "copy_records", Labels: labels, Value: float64(f.Records)})
 	}
-	for _, p := range v.Parts {
+	for _, p := range v.Partitions {
 		labels := fmt.Sprintf("{part=%q}", fmt.Sprint(p.Part))
 		carried := 0
-		for _, k := range p.Carried {
+		for _, k := range p.Delegates {
 			carried += k.Machines
 		}
 		out = append(out, telemetry.Gauge{Name: "part_machines_carried", Labels: labels, Value: float64(carried)},
 			telemetry.Gauge{Name: "part_machines", Labels: labels, Value: float64(p.Machines)},
 			telemetry.Gauge{Name: "part_machines_idle", Labels: labels, Value: float64(p.Idle)},
-			telemetry.Gauge{Name: "part_machines_coming", Labels: labels, Value: float64(p.Coming)},
-			telemetry.Gauge{Name: "part_machines_bad", Labels: labels, Value: float64(p.Bad)},
-			telemetry.Gauge{Name: "part_machines_kept", Labels: labels, Value: float64(p.Kept)},
+			telemetry.Gauge{Name: "part_machines_coming", Labels: labels, Value: float64(p.Starting)},
+			telemetry.Gauge{Name: "part_machines_bad", Labels: labels, Value: float64(p.Unusable)},
+			telemetry.Gauge{Name: "part_machines_kept", Labels: labels, Value: float64(p.Reserved)},
 			telemetry.Gauge{Name: "part_cpus_used_ratio", Labels: labels, Value: p.Used},
 			telemetry.Gauge{Name: "part_tasks_running", Labels: labels, Value: float64(p.Running)},
 			telemetry.Gauge{Name: "part_tasks_waiting", Labels: labels, Value: float64(p.Waiting)},
--- a/internal/coordination/api/policy.go
+++ b/internal/coordination/api/policy.go
@@ -79,7 +79,7 @@
 		for _, change := range txn.Then {
 			srv.watcher.ApplyEvent(protocol.Event{Put: change.Put, Delete: change.Delete, Value: change.Value, Version: revision})
 		}
-		srv.auth.PublishPolicy(srv.RecordsAsOf)
+		srv.auth.PublishPolicy(srv.RecordsCurrentAt)
 	})
 	return transport.Response{Status: 200, Body: protocol.Encode(rights.Version{Version: head.Version, MaxChanges: srv.policyChangeLimit()})}
 }
--- a/internal/coordination/api/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -74,7 +74,7 @@
 	if reason != "" {
 		return respond.Refuse(422, reason, 0)
 	}
-	final := storage.Final{Status: protocol.StatusWithdrawn, AtMS: time.Now().UnixMilli(), Successor: body.As}
+	final := storage.Final{Status: protocol.StatusCancelled, AtMS: time.Now().UnixMilli(), Successor: body.As}
 	value := storage.Encode(&next)
 	txn := &protocol.Transaction{
 		If: []protocol.Condition{{Key: storage.FinalKey(id)}, {Key: storage.JobKey(body.As)}},
@@ -96,7 +96,7 @@
 		return respond.Unavailable(err)
 	}
 	srv.loop.Do(func() {
-		srv.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now())
+		srv.jobs.SetFinal(id, protocol.StatusCancelled, time.Now())
 		srv.jobs.ApplyJobRecord(body.As, value)
 	})
 	return statusResponse(200, protocol.JobStatus{ID: body.As, Status: protocol.StatusQueued})
@@ -137,7 +137,7 @@
 // caller administers their queues. It answers after a while with what is left;
 // the caller asks again.
 func (srv *Server) cancelAllOf(ctx context.Context, who *auth.Caller, req *transport.Request) transport.Response {
-	var body protocol.Sweep
+	var body protocol.CancelAll
 	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
 		return respond.Refuse(400, "by: whose jobs are to be withdrawn", 0)
 	}
@@ -153,7 +153,7 @@
 			}
 		}
 	})
-	answer := protocol.SweepResult{}
+	answer := protocol.CancelAllResult{}
 	jobs = slices.DeleteFunc(jobs, func(f found) bool {
 		if who.Service == "" && srv.auth.Allows(who, rights.Administer, f.queue) {
 			return false
@@ -177,9 +177,9 @@
 				mu.Lock()
 				switch {
 				case err != nil:
-					answer.Left++
-				case status == protocol.StatusWithdrawn:
-					answer.Withdrawn++
+					answer.Remaining++
+				case status == protocol.StatusCancelled:
+					answer.Cancelled++
 				}
 				mu.Unlock()
 			}
@@ -188,7 +188,7 @@
 	for i, f := range jobs {
 		if i >= cancelAllLimit || ctx.Err() != nil {
 			mu.Lock()
-			answer.Left += len(jobs) - i
+			answer.Remaining += len(jobs) - i
 			mu.Unlock()
 			break
 		}
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -136,14 +136,14 @@
 	now := time.Now()
 	switch verb {
 	case "submit":
-		srv.metrics.Took(telemetry.Submission, now.Sub(begun), now)
+		srv.metrics.RecordWait(telemetry.Submission, now.Sub(begun), now)
 	case "view":
-		srv.metrics.Took(telemetry.Poll, now.Sub(begun), now)
+		srv.metrics.RecordWait(telemetry.Poll, now.Sub(begun), now)
 	case "withdraw":
-		srv.metrics.Took(telemetry.Withdrawal, now.Sub(begun), now)
+		srv.metrics.RecordWait(telemetry.Cancellation, now.Sub(begun), now)
 	}
 	if resp.Status >= 400 {
-		srv.metrics.Count(telemetry.Refused, 1)
+		srv.metrics.Count(telemetry.RequestRefused, 1)
 	}
 }
 
@@ -203,8 +203,8 @@
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		srv.loop.Do(func() { srv.jobs.SetFinal(id, protocol.StatusWithdrawn, time.Now()) })
-		return protocol.StatusWithdrawn, nil
+		srv.loop.Do(func() { srv.jobs.SetFinal(id, protocol.StatusCancelled, time.Now()) })
+		return protocol.StatusCancelled, nil
 	case !errors.As(err, &conflict):
 		return "", err
 	}
@@ -225,7 +225,7 @@
 
 // cancelJob cancels a job, unless it is done already.
 func (srv *Server) cancelJob(ctx context.Context, who *auth.Caller, id string) transport.Response {
-	q, refused := srv.auth.AuthorizeJob(ctx, who, rights.Withdraw, id)
+	q, refused := srv.auth.AuthorizeJob(ctx, who, rights.Cancel, id)
 	if refused != nil {
 		return *refused
 	}
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -85,7 +85,7 @@
 	srv.loop.Do(func() {
 		j := srv.Jobs[st.ID]
 		doomed = srv.Dependencies.DoomedJobs[st.ID] != nil
-		stale = j != nil && j.Blocked && (time.Since(srv.RecordsAsOf) > srv.StaleLimit() || srv.Dependencies.HasUnseenDependency(st.ID))
+		stale = j != nil && j.Blocked && (time.Since(srv.RecordsCurrentAt) > srv.StaleLimit() || srv.Dependencies.HasUnseenDependency(st.ID))
 	})
 	switch {
 	case doomed:
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -123,7 +123,7 @@
 func (au *Auth) SealAudit(ctx context.Context) (*audit.Seal, error) { return au.auditLog.Seal(ctx) }
 
 // AuditBatches reads batches of a chain of the audit, up to so many bytes.
-func (au *Auth) AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.Numbered, error) {
+func (au *Auth) AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.NumberedBatch, error) {
 	return au.auditLog.Batches(ctx, chain, after, size)
 }
 
@@ -293,7 +293,7 @@
 // serviceOwnVerbs are the rights that a service uses of its own even where it says
 // for whom: it follows and ends what it was allowed to begin, whatever has become
 // of those for whom it did.
-const serviceOwnVerbs = rights.View | rights.Withdraw
+const serviceOwnVerbs = rights.View | rights.Cancel
 
 // Allows says whether a caller holds a verb on a queue.
 func (au *Auth) Allows(who *Caller, v rights.Verb, q rights.Queue) bool {
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -200,7 +200,7 @@
 // decide, and does what that says.
 func (as *Autoscaler) ReconcileFleet(now time.Time) {
 	l := &as.Leadership
-	if !l.Held || len(as.Catalog) == 0 || now.Sub(as.LeaseRenewedAt) > as.Operator.ClaimTTL {
+	if !l.Held || len(as.Catalog) == 0 || now.Sub(as.LeaseRenewedAt) > as.Operator.LeaseTTL {
 		return
 	}
 	strays := as.unrecordedMachines(now)
@@ -208,17 +208,17 @@
 	for _, a := range plan.Adopt {
 		rec := strays[a.Name]
 		rec.Partition = a.Partition
-		l.Adopting[a.Name] = now
+		l.AdoptingSince[a.Name] = now
 		as.log.Info("machine adopted", "machine", a.Name, "type", rec.Type, "zone", rec.Zone, "part", rec.Partition)
 		as.loop.Go(func() { as.recordMachines([]string{a.Name}, rec) })
 	}
 	for _, name := range plan.AdoptLater {
-		l.Adopting[name] = now.Add(-3 * time.Second)
+		l.AdoptingSince[name] = now.Add(-3 * time.Second)
 	}
 	if len(plan.Terminate) > 0 {
 		var names []string
 		for _, d := range plan.Terminate {
-			l.Deleting[d.Name] = now
+			l.DeletingSince[d.Name] = now
 			names = append(names, d.Name)
 			as.log.Info("giving machine up", "machine", d.Name, "reason", d.Reason)
 		}
@@ -235,7 +235,7 @@
 		as.startScaleOut(r)
 	}
 	for _, name := range plan.ScaleIns {
-		l.Deleting[name] = now
+		l.DeletingSince[name] = now
 		m := as.Machines[name]
 		as.log.Info("returning machine", "machine", name, "type", m.Record.Type, "part", m.Record.Partition)
 		as.askPartitionLeader(as.Partitions[m.Record.Partition].Leader, &peer.MachineRequest{Machine: name, Retire: true}, func() { as.deleteMachines([]string{name}) })
@@ -252,7 +252,7 @@
 		v.ScalingOut[r.Partition] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(strays)) {
-		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: cluster.MachineKindOf(strays[name]), Tried: l.Adopting[name]})
+		v.Unrecorded = append(v.Unrecorded, scaling.Unrecorded{Name: name, Kind: cluster.MachineKindOf(strays[name]), Tried: l.AdoptingSince[name]})
 	}
 	states := map[string]*peer.MachineStatus{} // as the owner of the machine's part tells
 	take := func(owner string, sum *peer.Summary, heard time.Time) {
@@ -275,13 +275,13 @@
 	take(as.Settings.Label, &peer.Summary{Partitions: as.peering.PartitionSummaries(now)}, now)
 	for label, ps := range as.Peers {
 		if ps.Alive(now) {
-			take(label, ps.Summary, ps.HeardAt)
+			take(label, ps.Summary, ps.LastHeardAt)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(as.Machines)) {
 		m := as.Machines[name]
 		f := scaling.Machine{Name: name, Partition: m.Record.Partition, Kind: cluster.MachineKindOf(m.Record), Type: m.Type, Serving: !m.Lost && !m.Quarantined,
-			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.Deleting[name]}
+			Failed: l.Listed[name].State == protocol.MachineFailed || as.IsDeleted(name), Recorded: m.RecordedAt, Moved: l.MovedAt[name], DeletingSince: l.DeletingSince[name]}
 		if st := states[name]; st != nil {
 			f.Idle, f.Lost, f.Quarantined, f.NeverUp, f.Retiring, f.IdleS = st.Idle, st.Lost, st.Quarantined, st.NeverUp, st.Retiring, st.IdleS
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -27,7 +27,7 @@
 	c, p := owner(b)
 	now := time.Now()
 	// An owner answers workers only while it holds its claims and has followed the records.
-	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
+	c.Synced, c.LeaseRenewedAt, c.RecordsCurrentAt = true, now, now
 	for _, p := range c.Partitions {
 		p.AcquiredAt = now
 	}
@@ -127,7 +127,7 @@
 				r := reports[i%len(reports)]
 				r.Sequence++
 				c.LeaseRenewedAt = time.Now() // however long this is measured
-				c.RecordsAsOf = c.LeaseRenewedAt
+				c.RecordsCurrentAt = c.LeaseRenewedAt
 				if resp := c.agents.HandleHeartbeat(r, nil); resp.Status != 200 {
 					b.Fatalf("report refused: status %d, %s", resp.Status, resp.Body)
 				}
@@ -326,7 +326,7 @@
 			if n > 1000 {
 				continue // a pipeline for each measurement takes minutes
 			}
-			for _, status := range []string{protocol.StatusDone, protocol.StatusWithdrawn} {
+			for _, status := range []string{protocol.StatusDone, protocol.StatusCancelled} {
 				b.Run(status+name, func(b *testing.B) {
 					b.ReportAllocs()
 					var c *Controller
@@ -340,7 +340,7 @@
 							b.StartTimer()
 						}
 						c.jobs.SetFinal(fmt.Sprint("job-", next), status, time.Now())
-						if next++; !deep || status == protocol.StatusWithdrawn {
+						if next++; !deep || status == protocol.StatusCancelled {
 							next = n
 						}
 					}
--- a/internal/coordination/carry_test.go
+++ b/internal/coordination/carry_test.go
@@ -112,15 +112,15 @@
 		w.in(owner, func(c *Controller) {
 			v := c.api.StateOverview(time.Now())
 			carried, moves := 0, len(v.Moves)
-			for _, p := range v.Parts {
-				for _, k := range p.Carried {
+			for _, p := range v.Partitions {
+				for _, k := range p.Delegates {
 					if carried += k.Machines; !k.Active {
-						t.Errorf("%s does not ask: %+v", k.By, k)
+						t.Errorf("%s does not ask: %+v", k.Controller, k)
 					}
 				}
 			}
-			if carried != total-n[owner] || moves == 0 || v.Connected != n[owner] || v.Room != 6 {
-				t.Errorf("%d machines carried, %d moves, %d of %d connected; spread %v", carried, moves, v.Connected, v.Room, n)
+			if carried != total-n[owner] || moves == 0 || v.Connected != n[owner] || v.Capacity != 6 {
+				t.Errorf("%d machines carried, %d moves, %d of %d connected; spread %v", carried, moves, v.Connected, v.Capacity, n)
 			}
 		})
 		w.mu.Lock()
@@ -622,7 +622,7 @@
 		answers := func(what string, want int, token uint64) {
 			t.Helper()
 			resp := c.agents.HandleHeartbeat(report, []byte("body"))
-			var o protocol.Orders
+			var o protocol.CommandBatch
 			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
 				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", what, resp.Status, o.Token, len(o.Commands), want, token)
 			}
@@ -737,7 +737,7 @@
 		p, m := c.owning(5)
 		time.Sleep(time.Minute) // its boot
 		now := time.Now()
-		c.RecordsAsOf, c.LeaseRenewedAt = now, now
+		c.RecordsCurrentAt, c.LeaseRenewedAt = now, now
 		p.Delegations.Assign(m.Shard, "n1")
 		// The carrier asks again and again, so that all that it answered is known.
 		for serial := range uint64(3) {
--- a/internal/coordination/cluster/clock.go
+++ b/internal/coordination/cluster/clock.go
@@ -10,8 +10,8 @@
 	ClockDrift = 1.001
 )
 
-// SteadyTime is the moment on the monotonic clock at which a wall clock showed ms
+// MonotonicTime is the moment on the monotonic clock at which a wall clock showed ms
 // (milliseconds since the epoch), at the latest now: wall clocks differ.
-func SteadyTime(ms int64, now time.Time) time.Time {
+func MonotonicTime(ms int64, now time.Time) time.Time {
 	return now.Add(-time.Duration(max(0, now.UnixMilli()-ms)) * time.Millisecond)
 }
--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -121,7 +121,7 @@
 			if at.After(j.DependenciesDoneAt) {
 				j.DependenciesDoneAt = at
 			}
-		case protocol.StatusWithdrawn:
+		case protocol.StatusCancelled:
 			doomed = true
 		default:
 			// A doomed job dooms whatever names it, before its own end is on record.
--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -15,8 +15,8 @@
 	// Shares are the fractions of the machines that groups get, by group; nil: no group is
 	// starved.
 	Shares []float64
-	// Quota is what is reserved of the teams' limits, by team index; nil: nothing is.
-	Quota [][]fairshare.ReservedQuota
+	// ReservedQuotas is what is reserved of the teams' limits, by team index; nil: nothing is.
+	ReservedQuotas [][]fairshare.ReservedQuota
 	// WithinReserve are the classes of teams that run no more than what is reserved for
 	// them of the team's limit.
 	WithinReserve map[TeamClass]bool
@@ -38,12 +38,12 @@
 	return f.Share(j.ClassGroup) > 0 || f.Share(TeamGroup(j.Team)) > 0
 }
 
-// QuotaOf is what is reserved of a team's limit.
-func (f *FairShareState) QuotaOf(team int) []fairshare.ReservedQuota {
-	if f.Quota == nil {
+// ReservedQuotasOf is what is reserved of a team's limit.
+func (f *FairShareState) ReservedQuotasOf(team int) []fairshare.ReservedQuota {
+	if f.ReservedQuotas == nil {
 		return nil
 	}
-	return f.Quota[team]
+	return f.ReservedQuotas[team]
 }
 
 // ReservationOf is the group whose reservation an attempt runs in; fairshare.NoGroup: it
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -29,19 +29,19 @@
 
 	// Wakeup brings the next round of scaling forward.
 	Wakeup chan struct{}
-	// Requests counts the requests for machines that this process has made: a request's name
+	// LastRequest counts the requests for machines that this process has made: a request's name
 	// is made of Revision and this number.
-	Requests int
+	LastRequest int
 	// PendingScaleOut are the requests under way, by the request's name.
 	PendingScaleOut map[string]*ScaleOutRequest
 	// RefusedCapacity is until when machines of a kind are not asked for, since the cloud
 	// had none.
 	RefusedCapacity map[binpack.MachineKind]time.Time
-	// Deleting is when the deletion of a machine was last asked for, by name.
-	Deleting map[string]time.Time
-	// Adopting is when recording a machine without a record was last tried, by name; an
+	// DeletingSince is when the deletion of a machine was last asked for, by name.
+	DeletingSince map[string]time.Time
+	// AdoptingSince is when recording a machine without a record was last tried, by name; an
 	// earlier time stands for one that is to be tried soon.
-	Adopting map[string]time.Time
+	AdoptingSince map[string]time.Time
 	// MovedAt is when a machine was last moved between partitions, by name.
 	MovedAt map[string]time.Time
 	// AssignedAt is when a partition was last given a machine, by index: demand that its
@@ -54,7 +54,7 @@
 // Reset forgets what the cluster leader keeps in memory about machines.
 func (l *Leadership) Reset() {
 	l.PendingScaleOut, l.RefusedCapacity = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
-	l.Deleting, l.Adopting = map[string]time.Time{}, map[string]time.Time{}
+	l.DeletingSince, l.AdoptingSince = map[string]time.Time{}, map[string]time.Time{}
 	l.MovedAt, l.AssignedAt = map[string]time.Time{}, map[int]time.Time{}
 	l.Listed = map[string]protocol.ListedMachine{}
 }
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -174,10 +174,10 @@
 // that it is at least how long its leader has known it.
 func (m *Machine) Age(now time.Time) time.Duration {
 	known := now.Sub(m.LedSince)
-	if m.Record.RentedMS == 0 {
+	if m.Record.CreatedMS == 0 {
 		return known
 	}
-	return max(known, time.Duration(now.UnixMilli()-m.Record.RentedMS)*time.Millisecond)
+	return max(known, time.Duration(now.UnixMilli()-m.Record.CreatedMS)*time.Millisecond)
 }
 
 // RecountUsed recounts what the attempts on the machine take, after they have changed.
@@ -225,9 +225,9 @@
 	return heartbeat.Epoch > m.Epoch || heartbeat.Epoch == m.Epoch && heartbeat.Sequence > m.Sequence
 }
 
-// HasAttemptBefore says whether some attempt is of an agent epoch before the given one,
+// HasAttemptBeforeEpoch says whether some attempt is of an agent epoch before the given one,
 // which has therefore ended.
-func (m *Machine) HasAttemptBefore(epoch uint64) bool {
+func (m *Machine) HasAttemptBeforeEpoch(epoch uint64) bool {
 	for _, a := range m.Attempts {
 		if a.Epoch < epoch {
 			return true
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -31,8 +31,8 @@
 	LeaseRevision uint64
 	// VacantSince is since when nobody leads it.
 	VacantSince time.Time
-	// FormerAnswerers are earlier leaders that may still answer agents' heartbeats.
-	FormerAnswerers []failover.FormerLeader
+	// FormerLeaders are earlier leaders that may still answer agents' heartbeats.
+	FormerLeaders []failover.FormerLeader
 
 	// This controller's service of it.
 
--- a/internal/coordination/cluster/peer.go
+++ b/internal/coordination/cluster/peer.go
@@ -14,10 +14,10 @@
 	// Addr is its address for other controllers, from the settings.
 	Addr string
 	// Summary is the last that it sent, received at HeardAt; nil: none was.
-	Summary *peer.Summary
-	HeardAt time.Time
-	// HeardSince is since when its summaries have come without a gap.
-	HeardSince time.Time
+	Summary     *peer.Summary
+	LastHeardAt time.Time
+	// AliveSince is since when its summaries have come without a gap.
+	AliveSince time.Time
 	// ReportingMachines are the machines that report to it, by its Summary.
 	ReportingMachines map[string]bool
 	// DivertedMachines are those of them that have come to this controller since.
@@ -31,7 +31,7 @@
 
 // Alive says whether what the controller last sent still counts.
 func (p *Peer) Alive(now time.Time) bool {
-	return p.Summary != nil && now.Sub(p.HeardAt) <= peerSilenceLimit
+	return p.Summary != nil && now.Sub(p.LastHeardAt) <= peerSilenceLimit
 }
 
 // PartitionSummary is what the controller last sent of a partition as its leader; nil:
--- a/internal/coordination/cluster/replication.go
+++ b/internal/coordination/cluster/replication.go
@@ -9,8 +9,8 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// UpdateImagesLimit is how many images of a machine are replicated, the most recently used.
-const UpdateImagesLimit = 50
+// HintImagesLimit is how many images of a machine are replicated, the most recently used.
+const HintImagesLimit = 50
 
 // noPreemptionNotice stands in a hint's PreemptionNoticeS where the cloud gave no notice.
 const noPreemptionNotice = -1
@@ -38,8 +38,8 @@
 	Images int
 }
 
-// Facts are the machine's facts as they are now.
-func (m *Machine) Facts() MachineFacts {
+// ReplicatedFacts are the machine's facts as they are now.
+func (m *Machine) ReplicatedFacts() MachineFacts {
 	return MachineFacts{
 		Addr:              m.Record.Addr,
 		Epoch:             m.Epoch,
@@ -66,6 +66,6 @@
 	images := slices.SortedFunc(maps.Keys(m.Images), func(a, b string) int {
 		return cmp.Or(m.Images[b].Compare(m.Images[a]), cmp.Compare(a, b))
 	})
-	hint.Images = images[:min(len(images), UpdateImagesLimit)]
+	hint.Images = images[:min(len(images), HintImagesLimit)]
 	return hint
 }
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -52,10 +52,10 @@
 
 	// Synced: the shared records were listed at least once.
 	Synced bool
-	// RecordsAsOf is when the newest applied listing or watch was requested: every shared
+	// RecordsCurrentAt is when the newest applied listing or watch was requested: every shared
 	// record up to then is known. RecordsRevision is the revision of its answer.
-	RecordsAsOf     time.Time
-	RecordsRevision uint64
+	RecordsCurrentAt time.Time
+	RecordsRevision  uint64
 
 	// Partitions are indexed by Partition.Index.
 	Partitions []*Partition
@@ -194,8 +194,8 @@
 // that any user was told of, and held its leases. A lease renewal alone does not show the
 // first: it may succeed while the watch brings nothing (rule 42).
 func (s *State) InformedAt() time.Time {
-	if s.RecordsAsOf.Before(s.LeaseRenewedAt) {
-		return s.RecordsAsOf
+	if s.RecordsCurrentAt.Before(s.LeaseRenewedAt) {
+		return s.RecordsCurrentAt
 	}
 	return s.LeaseRenewedAt
 }
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -101,7 +101,7 @@
 			begun := time.Now()
 			rev, err := commit(ctx, &b.txn)
 			cancel()
-			co.metrics.Took(telemetry.Commit, time.Since(begun), time.Now())
+			co.metrics.RecordWait(telemetry.Commit, time.Since(begun), time.Now())
 			co.loop.Do(func() { co.batchCommitted(p, b, rev, err) })
 			if err == nil {
 				tries.Succeeded()
@@ -165,7 +165,7 @@
 
 // prepareBatch places waiting tasks and gathers what should be written now.
 func (co *Committer) prepareBatch(p *cluster.Partition, now time.Time) *commitBatch {
-	if !p.Held || !p.Ready || co.Draining || now.Sub(co.LeaseRenewedAt) > co.Operator.ClaimTTL+10*time.Second {
+	if !p.Held || !p.Ready || co.Draining || now.Sub(co.LeaseRenewedAt) > co.Operator.LeaseTTL+10*time.Second {
 		return nil
 	}
 	b := &commitBatch{}
@@ -342,12 +342,12 @@
 		}
 	}
 	for _, j := range b.cancellations {
-		co.jobs.SetFinal(j.Spec.ID, protocol.StatusWithdrawn, now)
+		co.jobs.SetFinal(j.Spec.ID, protocol.StatusCancelled, now)
 	}
 	for _, j := range b.completions {
-		co.metrics.Took(telemetry.Finish, now.Sub(j.SubmittedAt), now)
+		co.metrics.RecordWait(telemetry.Finish, now.Sub(j.SubmittedAt), now)
 		if due, ok := j.Deadline(); ok && now.After(due) {
-			co.metrics.Count(telemetry.Late, 1)
+			co.metrics.Count(telemetry.JobLate, 1)
 		}
 		co.log.Info("job done", "job", j.Spec.ID, "class", j.Spec.Class, "tasks", j.Spec.Tasks, "after", now.Sub(j.SubmittedAt),
 			"due_s", j.Spec.DeadlineS)
@@ -368,7 +368,7 @@
 		p.Unconfirmed = p.Unconfirmed || unknown
 	}
 	if unknown {
-		co.metrics.Count(telemetry.Unanswered, 1)
+		co.metrics.Count(telemetry.CommitUnanswered, 1)
 		co.log.Info("commit unanswered", "part", p.Index, "reason", err)
 		for _, m := range b.tokenRaises {
 			// The watch or the next report shows whether it was applied.
@@ -380,7 +380,7 @@
 		co.log.Debug("commit refused", "part", p.Index, "reason", err)
 		return
 	}
-	co.metrics.Count(telemetry.Conflict, 1)
+	co.metrics.Count(telemetry.CommitConflict, 1)
 	for _, key := range conflict.Failed {
 		switch kind, id := storage.ParseKey(key); kind {
 		case storage.KindLease:
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -68,7 +68,7 @@
 	loop := eventloop.New(ctx, set.Label)
 	store := storage.NewStore(network, set.Services.State, params.State, params.Count)
 	bounds := telemetry.NewBoundReporter(log)
-	store.PollsFull = func() { bounds.Met(telemetry.WaitingPolls, 1) }
+	store.OnPollRefused = func() { bounds.Met(telemetry.WaitingPolls, 1) }
 	c := &Controller{
 		State: state, loop: loop, store: store, log: log, bounds: bounds,
 		scheduler:  scheduler.New(state, store, log, bounds),
@@ -107,8 +107,8 @@
 	c.api.Connect(c.agents, c.auth, c.cloud, c.jobs, c.proxy, c.replicator, c.watcher)
 }
 
-// Identify makes the controller authenticate and authorize requests. It is called before Run.
-func (c *Controller) Identify(identities auth.Identities) error { return c.auth.Enable(identities) }
+// EnableAuth makes the controller authenticate and authorize requests. It is called before Run.
+func (c *Controller) EnableAuth(identities auth.Identities) error { return c.auth.Enable(identities) }
 
 // observer is a component that measures itself.
 type observer interface{ Observe(*telemetry.Metrics) }
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -108,9 +108,9 @@
 		w.submit(spec("job-1", 1, "blue")) // brings a machine up
 		w.finish(time.Minute)
 		w.mu.Lock()
-		var held []protocol.Orders
+		var held []protocol.CommandBatch
 		var machine string
-		w.onOrders = func(name string, o *protocol.Orders) {
+		w.onOrders = func(name string, o *protocol.CommandBatch) {
 			for _, c := range o.Commands {
 				if c.Op == protocol.OpStart {
 					// The order hangs; the worker will see it minutes later.
@@ -157,9 +157,9 @@
 	t.Parallel()
 	simulate(t, 13, func(w *world) {
 		time.Sleep(2 * time.Second)
-		late := map[string]protocol.Orders{}
+		late := map[string]protocol.CommandBatch{}
 		w.mu.Lock()
-		w.onOrders = func(name string, o *protocol.Orders) { late[name] = *o }
+		w.onOrders = func(name string, o *protocol.CommandBatch) { late[name] = *o }
 		w.mu.Unlock()
 		w.mu.Lock()
 		w.runTime = func(string, int, string) time.Duration { return time.Minute }
@@ -416,10 +416,10 @@
 		for _, label := range []string{"n0", "n1", "n2"} {
 			resp := w.ask(label, "POST", "/checkin", protocol.Encode(r))
 			if resp.Status == 421 {
-				var h protocol.Home
+				var h protocol.AssignedController
 				must(protocol.Decode(resp.Body, &h))
-				homes[h.Home] = true
-				if h.Home == label {
+				homes[h.Controller] = true
+				if h.Controller == label {
 					t.Errorf("%s names itself", label)
 				}
 			}
@@ -895,7 +895,7 @@
 	a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true}
 	j.LiveAttempts[0] = a
 	m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
-	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
+	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
 	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
 		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
 	}
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -211,9 +211,9 @@
 	sooner.DeadlineS = 30
 	c.take(sooner)
 	due(b, 24)
-	c.jobs.SetFinal("job-4", protocol.StatusWithdrawn, time.Now())
+	c.jobs.SetFinal("job-4", protocol.StatusCancelled, time.Now())
 	due(b, 54)
-	c.jobs.SetFinal("job-3", protocol.StatusWithdrawn, time.Now())
+	c.jobs.SetFinal("job-3", protocol.StatusCancelled, time.Now())
 	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
 		t.Error("the need outlives the job")
 	}
@@ -264,13 +264,13 @@
 				done, doomed := true, false
 				for _, d := range all[i].Spec.Dependencies {
 					done = done && finals[d] == protocol.StatusDone
-					doomed = doomed || finals[d] == protocol.StatusWithdrawn
+					doomed = doomed || finals[d] == protocol.StatusCancelled
 				}
 				done = done && rng.IntN(3) > 0
 				if !done && !doomed && rng.IntN(3) > 0 {
 					continue
 				}
-				finals[id] = protocol.StatusWithdrawn
+				finals[id] = protocol.StatusCancelled
 				if done {
 					finals[id] = protocol.StatusDone
 				}
@@ -295,7 +295,7 @@
 		}
 		for _, d := range j.Spec.Dependencies {
 			blocked[id] = blocked[id] || finals[d] != protocol.StatusDone
-			doomed[id] = doomed[id] || finals[d] == protocol.StatusWithdrawn || doomed[d]
+			doomed[id] = doomed[id] || finals[d] == protocol.StatusCancelled || doomed[d]
 		}
 	}
 	raised, needed := map[string]protocol.Urgency{}, map[string]time.Time{}
@@ -391,14 +391,14 @@
 				}
 				w.mu.Unlock()
 				for i := 1; i < n; i++ {
-					if st := w.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusWithdrawn {
+					if st := w.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusCancelled {
 						t.Errorf("job-%d is %q", i, st)
 					}
 				}
-				if st := w.poll("", "job-600"); st != protocol.StatusWithdrawn {
+				if st := w.poll("", "job-600"); st != protocol.StatusCancelled {
 					t.Errorf("a job submitted later is %q", st)
 				}
-				if st := w.poll("", "job-500"); st == protocol.StatusWithdrawn {
+				if st := w.poll("", "job-500"); st == protocol.StatusCancelled {
 					t.Error("a job before it is withdrawn too")
 				}
 				w.withdraw("job-500")
@@ -451,7 +451,7 @@
 		w.mu.Lock()
 		w.state.Stuck = true
 		w.mu.Unlock()
-		n.loop.Do(func() { n.RecordsAsOf = time.Now().Add(-n.api.StaleLimit() - time.Second) })
+		n.loop.Do(func() { n.RecordsCurrentAt = time.Now().Add(-n.api.StaleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a controller that is behind gets %d", got)
 		}
--- a/internal/coordination/door_test.go
+++ b/internal/coordination/door_test.go
@@ -208,13 +208,13 @@
 	var seal audit.Seal
 	must(protocol.Decode(w.expect(200, resp).Body, &seal))
 	var out bytes.Buffer
-	must(archive.Export(w.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+	must(archive.Export(w.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.NumberedBatch, error) {
 		resp := w.as("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
 		if resp.Status != 200 {
 			return nil, errors.New("no answer")
 		}
 		var page struct {
-			Batches []audit.Numbered `msgpack:"batches"`
+			Batches []audit.NumberedBatch `msgpack:"batches"`
 		}
 		err := protocol.Decode(resp.Body, &page)
 		return page.Batches, err
@@ -271,7 +271,7 @@
 			}
 			refused("person/partner", 403, w.as("person/partner", label, "POST", "/submissions", submission(jobSpec("job-1", "red", "match"))))
 			refused("person/partner", 403, w.as("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
-			refused("person/partner", 403, w.as("person/partner", label, "POST", "/withdrawals", protocol.Sweep{By: "person/root"}))
+			refused("person/partner", 403, w.as("person/partner", label, "POST", "/withdrawals", protocol.CancelAll{By: "person/root"}))
 			refused("", 401, w.as("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
 			refused("", 401, w.as("", label, "GET", "/submissions/job-1", nil))
 		}
@@ -294,7 +294,7 @@
 				t.Errorf("the image of %s is told: %q", id, resp.Body)
 			}
 		}
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		read := w.readAudit("n1")
 		for who, n := range asked {
 			if got := counted(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == who }); got != n {
@@ -382,7 +382,7 @@
 		w.expect(200, w.as("person/anna", "n2", "POST", "/submissions", submission(s)))
 		w.expect(200, w.as("person/anna", "n0", "POST", "/submissions", submission(s)))
 		w.start("n1")
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		if n := counted(w.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
 			t.Errorf("%d records of one acceptance", n)
 		}
@@ -467,11 +467,11 @@
 		time.Sleep(time.Second)
 		withdrawn := 0
 		for tries := 0; ; tries++ {
-			var res protocol.SweepResult
-			resp := w.as("person/root", "n1", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"})
+			var res protocol.CancelAllResult
+			resp := w.as("person/root", "n1", "POST", "/withdrawals", protocol.CancelAll{By: "person/anna"})
 			must(protocol.Decode(w.expect(200, resp).Body, &res))
-			withdrawn += res.Withdrawn
-			if res.Left == 0 || tries > 30 {
+			withdrawn += res.Cancelled
+			if res.Remaining == 0 || tries > 30 {
 				break
 			}
 			time.Sleep(time.Second)
@@ -486,7 +486,7 @@
 				t.Errorf("%s of somebody else is %s", id, st)
 			}
 		}
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		if n := counted(w.readAudit("n2"), func(r *audit.Record) bool {
 			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
 		}); n != withdrawn {
@@ -589,7 +589,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		w.expect(409, move("job-2", "job-12", "blue"))
-		if st := w.poll("n0", "job-1"); st != protocol.StatusWithdrawn {
+		if st := w.poll("n0", "job-1"); st != protocol.StatusCancelled {
 			t.Errorf("the job that was moved is %s", st)
 		}
 		w.finish(3 * time.Minute)
@@ -654,7 +654,7 @@
 func TestFloodOfRefusals(t *testing.T) {
 	t.Parallel()
 	simulateIdentities(t, 58, func(w *world) {
-		time.Sleep(audit.GatherFor)
+		time.Sleep(audit.GatherInterval)
 		w.mu.Lock()
 		before := w.state.Changes
 		w.mu.Unlock()
@@ -664,7 +664,7 @@
 			w.expect(403, w.as("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
 			refused++
 		}
-		time.Sleep(2 * audit.GatherFor)
+		time.Sleep(2 * audit.GatherInterval)
 		w.mu.Lock()
 		changes := w.state.Changes - before
 		w.mu.Unlock()
@@ -738,7 +738,7 @@
 				it, over := w.state.Items[storage.FinalKey(id)]
 				must(storage.Decode(it.Value, &f))
 				want := 0
-				if over && f.Status == protocol.StatusWithdrawn {
+				if over && f.Status == protocol.StatusCancelled {
 					want = 1
 				}
 				if withdrawals[id] != want {
@@ -808,7 +808,7 @@
 	var before, after runtime.MemStats
 	for b.Loop() {
 		c := newTestController(b.Context(), &newWorld(b, 1).set, settings.DefaultOperator())
-		must(c.Identify(auth.Identities{}))
+		must(c.EnableAuth(auth.Identities{}))
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range 1000 {
--- a/internal/coordination/ends_test.go
+++ b/internal/coordination/ends_test.go
@@ -145,7 +145,7 @@
 		}
 		for range 90 {
 			time.Sleep(time.Second)
-			if st := h.asks(w, "n1", polls, s); st == protocol.StatusDone || st == protocol.StatusWithdrawn {
+			if st := h.asks(w, "n1", polls, s); st == protocol.StatusDone || st == protocol.StatusCancelled {
 				break
 			}
 		}
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -241,7 +241,7 @@
 		}
 		add("job-1", protocol.StatusDone, 0)
 		add("job-2", protocol.StatusDone, 10*time.Minute)
-		add("job-3", protocol.StatusWithdrawn, 0)
+		add("job-3", protocol.StatusCancelled, 0)
 		add("job-4", "", 0)
 		check := func(what string, want float64) {
 			t.Helper()
--- a/internal/coordination/follow_test.go
+++ b/internal/coordination/follow_test.go
@@ -157,7 +157,7 @@
 		cold.StartFrom(complain, listing(), rev, time.Now())
 		if seed%3 == 0 {
 			for _, c := range two {
-				c.jobs.SetFinal("job-2", protocol.StatusWithdrawn, time.Now())
+				c.jobs.SetFinal("job-2", protocol.StatusCancelled, time.Now())
 			}
 		}
 		for _, c := range two {
@@ -893,8 +893,8 @@
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
 	told := func(named string, follows, copies bool) {
-		c.Peers["n1"] = &cluster.Peer{HeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
-		c.Peers["n2"] = &cluster.Peer{HeardAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
+		c.Peers["n1"] = &cluster.Peer{LastHeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
+		c.Peers["n2"] = &cluster.Peer{LastHeardAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
 		if follows {
 			c.Peers["n2"].Summary.Replicas = []*peer.ReplicaStatus{{Partition: uint32(p.Index), Revision: 4}}
 		}
@@ -954,7 +954,7 @@
 	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunningS(now) != 20 {
 		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
 	}
-	c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
+	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
 	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != cluster.AttemptConfirmed {
 		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
@@ -981,7 +981,7 @@
 			if host != "cloud" || target != "/machines" {
 				return false
 			}
-			var r protocol.Rental
+			var r protocol.CreateMachinesRequest
 			must(protocol.Decode(body, &r))
 			w.mu.Lock()
 			defer w.mu.Unlock()
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -34,7 +34,7 @@
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
 	ctx, c := t.Context(), newTestController(t.Context(), &newWorld(t, 1).set, settings.DefaultOperator())
-	must(c.Identify(auth.Identities{}))
+	must(c.EnableAuth(auth.Identities{}))
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
--- a/internal/coordination/history_test.go
+++ b/internal/coordination/history_test.go
@@ -52,7 +52,7 @@
 	switch a.state {
 	case protocol.StatusDone:
 		return l == lifeDone
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		return l == lifeWithdrawn
 	}
 	return l == lifeAccepted
@@ -105,7 +105,7 @@
 	h.jobs[job] = append(h.jobs[job], op)
 	if a, ok := op.Output.(told); ok {
 		h.answers++
-		if a.state == protocol.StatusDone || a.state == protocol.StatusWithdrawn {
+		if a.state == protocol.StatusDone || a.state == protocol.StatusCancelled {
 			h.finals++
 		}
 	}
@@ -191,7 +191,7 @@
 	}
 	for range 120 {
 		st := h.asks(w, pick(), polls, s)
-		if st == protocol.StatusDone || st == protocol.StatusWithdrawn {
+		if st == protocol.StatusDone || st == protocol.StatusCancelled {
 			h.closeLook(w, s, rng)
 			if rng.IntN(2) == 0 {
 				insists(withdraws) // of a job that is over
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -79,7 +79,7 @@
 		Partition:   t.TeamPartition[team],
 		Team:        team,
 		ClassGroup:  t.scheduler.ClassGroup(spec.Class),
-		SubmittedAt: cluster.SteadyTime(spec.SubmittedMS, time.Now()),
+		SubmittedAt: cluster.MonotonicTime(spec.SubmittedMS, time.Now()),
 	}
 	t.Jobs[id] = j
 	if p := t.Partitions[j.Partition]; p.Held && p.Ready {
@@ -103,11 +103,11 @@
 		return
 	}
 	if t.ListedEnds != nil {
-		t.ListedEnds[id] = cluster.SteadyTime(final.AtMS, time.Now())
+		t.ListedEnds[id] = cluster.MonotonicTime(final.AtMS, time.Now())
 	}
 	at := time.Now()
 	if final.AtMS > 0 {
-		at = cluster.SteadyTime(final.AtMS, at)
+		at = cluster.MonotonicTime(final.AtMS, at)
 	}
 	t.SetFinal(id, final.Status, at)
 }
@@ -119,7 +119,7 @@
 		return
 	}
 	t.FinalStates[id] = status
-	if status == protocol.StatusWithdrawn {
+	if status == protocol.StatusCancelled {
 		t.noteCancellation(id, at)
 	}
 	for _, dependent := range t.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
@@ -154,7 +154,7 @@
 func (t *Tracker) stop(j *cluster.Job, status string, at time.Time) {
 	j.Ended, j.Pending = true, nil
 	now := time.Now()
-	if status == protocol.StatusWithdrawn {
+	if status == protocol.StatusCancelled {
 		j.CancelledAt = at
 		t.log.Info("job cancelled", "job", j.Spec.ID, "count", len(j.LiveAttempts))
 	}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -240,7 +240,7 @@
 		defer end()
 		for status, mayCome := range map[int]bool{200: true, 400: false, 409: false, 500: true, 503: true, 504: true} {
 			setNetwork(c, answeringNet{status})
-			r, sent, err := c.agents.PostCommands("", "m-1", "m-1:1", protocol.Orders{Token: 5, Epoch: 1})
+			r, sent, err := c.agents.PostCommands("", "m-1", "m-1:1", protocol.CommandBatch{Token: 5, Epoch: 1})
 			if sent != mayCome || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
 				t.Errorf("%d: may have been carried out: %v, report %v, error %v", status, sent, r, err)
 			}
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -59,7 +59,7 @@
 		if txn == nil || !lh.releaseLeases(ctx, txn) {
 			return
 		}
-		lh.metrics.Count(telemetry.HandedOver, n)
+		lh.metrics.Count(telemetry.PartitionHandedOver, n)
 		lh.log.Info("handed over", "parts", n, "leader", leader != 0, "after", time.Since(begun))
 		letGo, leader = letGo[n:], 0
 	}
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -26,7 +26,7 @@
 	var next time.Time
 	for {
 		if now := time.Now(); !now.Before(next) {
-			next = now.Add(lh.Operator.ClaimTTL / 3)
+			next = now.Add(lh.Operator.LeaseTTL / 3)
 			if !lh.renew() {
 				next = now // a refused renewal costs the claims if a third of their time goes by each time
 			}
@@ -50,7 +50,7 @@
 	sent := time.Now()
 	var err error
 	if lease == 0 {
-		lease, err = lh.store.GrantLease(lh.loop.Context(), lh.Operator.ClaimTTL)
+		lease, err = lh.store.GrantLease(lh.loop.Context(), lh.Operator.LeaseTTL)
 	} else {
 		err = lh.store.RenewLease(lh.loop.Context(), lease, time.Second)
 	}
@@ -77,7 +77,7 @@
 	var lease uint64
 	lh.loop.Do(func() {
 		now, handed := time.Now(), false
-		if lease = lh.LeaseID; lease == 0 || now.Sub(lh.LeaseRenewedAt) > lh.Operator.ClaimTTL/2 {
+		if lease = lh.LeaseID; lease == 0 || now.Sub(lh.LeaseRenewedAt) > lh.Operator.LeaseTTL/2 {
 			return
 		}
 		for _, p := range lh.Partitions {
--- a/internal/coordination/lease/incarnations.go
+++ b/internal/coordination/lease/incarnations.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		p := lh.Partitions[r.Partition]
-		failover.NoteReleased(p.FormerAnswerers, label, rec.Nonce, r.LeaseRevision, now.Add(delegation.GrantDuration))
+		failover.NoteReleased(p.FormerLeaders, label, rec.Nonce, r.LeaseRevision, now.Add(delegation.GrantDuration))
 		if p.Held && p.Ready {
 			lh.shortenBounds(p, now)
 		}
@@ -178,7 +178,7 @@
 // LastAnswerBound is the latest moment at which anybody but this controller may have
 // answered a machine of a part.
 func (lh *Holder) LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time {
-	until := failover.AnsweredUntil(p.FormerAnswerers, func(label, nonce string) time.Time {
+	until := failover.AnsweredUntil(p.FormerLeaders, func(label, nonce string) time.Time {
 		return lh.EndedIncarnations[IncarnationID{Label: label, Nonce: nonce}]
 	})
 	if m.FormerLeaderBound.After(until) {
@@ -218,14 +218,14 @@
 	if l := lh.incarnations[a.Label]; l.Nonce == a.Nonce && slices.Contains(l.Released, storage.ReleasedLease{Partition: p.Index, LeaseRevision: a.LeaseRevision}) {
 		a.AnswersUntil = now.Add(delegation.GrantDuration)
 	}
-	p.FormerAnswerers = append(stillAnswering(p.FormerAnswerers, now), a)
+	p.FormerLeaders = append(stillAnswering(p.FormerLeaders, now), a)
 }
 
 // NoteMissedLeaders notes that owners may have come and gone unseen before a listing.
 func (lh *Holder) NoteMissedLeaders(now time.Time) {
 	for _, p := range lh.Partitions {
-		p.FormerAnswerers = slices.DeleteFunc(stillAnswering(p.FormerAnswerers, now), func(a failover.FormerLeader) bool { return a.Label == "" })
-		p.FormerAnswerers = append(p.FormerAnswerers, failover.FormerLeader{AnswersUntil: now.Add(lh.AnswerBound())})
+		p.FormerLeaders = slices.DeleteFunc(stillAnswering(p.FormerLeaders, now), func(a failover.FormerLeader) bool { return a.Label == "" })
+		p.FormerLeaders = append(p.FormerLeaders, failover.FormerLeader{AnswersUntil: now.Add(lh.AnswerBound())})
 	}
 }
 
@@ -260,8 +260,8 @@
 // answers workers no longer than after any end, and its successor counts on as much (11).
 func (lh *Holder) RevokeIfDead(label string, ps *cluster.Peer, now time.Time) {
 	l := lh.incarnations[label]
-	e := failover.Evidence{Silent: now.Sub(ps.HeardAt), Interval: peering.SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
-	if l.Lease == 0 || l.Lease == ps.RevokedLease || !e.Dead() || !lh.Synced || now.Sub(lh.LeaseRenewedAt) > lh.Operator.ClaimTTL/2 {
+	e := failover.Evidence{Silent: now.Sub(ps.LastHeardAt), Interval: peering.SummaryInterval, Reporting: len(ps.ReportingMachines), Diverted: len(ps.DivertedMachines)}
+	if l.Lease == 0 || l.Lease == ps.RevokedLease || !e.Dead() || !lh.Synced || now.Sub(lh.LeaseRenewedAt) > lh.Operator.LeaseTTL/2 {
 		return
 	}
 	owns := false
@@ -272,7 +272,7 @@
 		return
 	}
 	ps.RevokedLease = l.Lease
-	lh.metrics.Count(telemetry.LeaseEnded, 1)
+	lh.metrics.Count(telemetry.LeaseRevoked, 1)
 	lh.log.Info("ending the lease of a controller that is gone", "controller", label, "silent", e.Silent, "visitors", e.Diverted, "of", e.Reporting)
 	lh.loop.Go(func() {
 		ctx, cancel := context.WithTimeout(lh.loop.Context(), 2*time.Second)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -63,7 +63,7 @@
 	c.CancelBound = largeCancelS
 	c.Cancellations.SetLimit(largeCancelS, largeState)
 	now := time.Now()
-	c.Synced, c.LeaseRenewedAt, c.RecordsAsOf = true, now, now
+	c.Synced, c.LeaseRenewedAt, c.RecordsCurrentAt = true, now, now
 	for _, p := range c.Partitions {
 		p.AcquiredAt, p.Standby = now, "n1"
 	}
@@ -148,7 +148,7 @@
 	for messages < 100 {
 		now := time.Now()
 		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
-		if err != nil || len(raw) > peerapi.BodyMin {
+		if err != nil || len(raw) > peerapi.PortableBodyLimit {
 			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
 		}
 		told := new(peer.ReplicaUpdate)
@@ -184,8 +184,8 @@
 	}{
 		{"summary", onePart, summaryOfALargeFleet, nil},
 		// A standby that knows nothing is told in several messages.
-		{"replicated copy, recall and takeover of one part by the standby", onePart, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaMessages}},
-		{"the same of three parts", threeParts, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaMessages}},
+		{"replicated copy, recall and takeover of one part by the standby", onePart, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaUpdates}},
+		{"the same of three parts", threeParts, replicaOfALargeFleet, []telemetry.Bound{telemetry.ReplicaUpdates}},
 		{"replicated starts ahead of their records", onePart, startsAheadOfTheirRecords, nil},
 		{"cancellation notices", onePart, noticesOfALargeFleet, nil},
 		{"carried reports that wait", onePart, carriedReportsOfALargeFleet, nil},
@@ -210,7 +210,7 @@
 	}
 	noted := int(largeCancels * largeCancelS.Seconds())
 	for i := range noted {
-		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now)
+		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now)
 	}
 	for i := range largeMachines { // as after the start of all controllers
 		name := largeMachine(largeMachines + i)
@@ -324,7 +324,7 @@
 	noted := int(largeCancels * largeCancelS.Seconds())
 	for i := range noted {
 		age := largeCancelS - time.Second - time.Duration(i)*(largeCancelS-2*time.Second)/time.Duration(noted)
-		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusWithdrawn, now.Add(-age))
+		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now.Add(-age))
 	}
 	told := c.Cancellations.Recent(now, c.CancelBound)
 	if len(told) != noted || told[0].Job != "job-800000000" {
@@ -342,7 +342,7 @@
 
 // Do answers as the owner of the part.
 func (o *ownerOfCarried) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
-	if len(body) > peerapi.BodyMin {
+	if len(body) > peerapi.PortableBodyLimit {
 		o.t.Errorf("a message of %d bytes", len(body))
 	}
 	req := new(peer.DelegationRequest)
@@ -363,7 +363,7 @@
 	p.Held, p.Leader = false, "n1"
 	net := &ownerOfCarried{t: t, reports: map[string]bool{}}
 	setNetwork(c, net)
-	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", HeardAt: time.Now(), Summary: &peer.Summary{
+	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", LastHeardAt: time.Now(), Summary: &peer.Summary{
 		Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Delegated: []*peer.DelegatedShards{{Delegate: c.Settings.Label}}}}}}
 	e := c.proxy.Assignments[p.Index]
 	e.Leader, e.Lease, e.Serial, e.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
@@ -472,13 +472,13 @@
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
 			for i := range c.Cancellations.Limit + 1 {
-				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusWithdrawn, time.Now())
+				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusCancelled, time.Now())
 			}
 			if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.Limit || told[0].Job != "job-0" {
 				t.Errorf("%d told, %s first", len(told), told[0].Job)
 			}
 		}},
-		{"carried reports", telemetry.CarriedReports, func(t *testing.T, c *Controller) {
+		{"carried reports", telemetry.ForwardedHeartbeats, func(t *testing.T, c *Controller) {
 			p := c.Partitions[0]
 			m := c.up(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
@@ -490,15 +490,15 @@
 				t.Errorf("status %d", resp.Status)
 			}
 		}},
-		{"messages to a standby", telemetry.ReplicaMessages, func(t *testing.T, c *Controller) {
+		{"messages to a standby", telemetry.ReplicaUpdates, func(t *testing.T, c *Controller) {
 			p, m := c.Partitions[0], c.up(c.Partitions[0], "m-1", "big")
 			for i := range 200 {
-				for k := range cluster.UpdateImagesLimit {
+				for k := range cluster.HintImagesLimit {
 					m.Images[fmt.Sprintf("%0190d", k)] = time.Now()
 				}
 				m = c.up(p, fmt.Sprint("m-2", i), "big")
 			}
-			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.BodyMin || len(told.Machines) > 200 || told.Through >= p.Replication.Clock {
+			if told := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(told) > peerapi.PortableBodyLimit || len(told.Machines) > 200 || told.Through >= p.Replication.Clock {
 				t.Errorf("%d bytes, %d machines", proto.Size(told), len(told.Machines))
 			}
 		}},
@@ -525,13 +525,13 @@
 				t.Errorf("a machine that was known is not told anew, %d kept", len(fo.Updates.Machines))
 			}
 		}},
-		{"recalls", telemetry.RecallBytes, func(t *testing.T, c *Controller) {
+		{"recalls", telemetry.StateTransferBytes, func(t *testing.T, c *Controller) {
 			fo := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = fo
 			fo.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
 				mt := &peer.MachineHint{Name: largeMachine(i), PreemptionNoticeS: -1}
-				for k := range cluster.UpdateImagesLimit {
+				for k := range cluster.HintImagesLimit {
 					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
 				}
 				fo.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
@@ -543,12 +543,12 @@
 			stop()
 			told := new(peer.ReplicaUpdate)
 			must(proto.Unmarshal(resp.Body, told))
-			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.UpdateImagesLimit {
+			if len(resp.Body) > clientResponse || len(told.Machines) != largeMachines || len(fo.Updates.Machines[largeMachine(0)].Images) != cluster.HintImagesLimit {
 				t.Errorf("%d bytes, %d machines", len(resp.Body), len(told.Machines))
 			}
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
-			for i := range scheduler.ClassGroupsLimit {
+			for i := range scheduler.MaxClassGroups {
 				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
 			if met(c) != nil || c.scheduler.ClassGroup("another") != 0 {
@@ -556,10 +556,10 @@
 			}
 		}},
 		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
-			for i := range scheduler.ClassGroupsLimit + 1 {
+			for i := range scheduler.MaxClassGroups + 1 {
 				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
-			if len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
+			if len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
 				t.Errorf("%d classes are learnt", len(c.scheduler.Corrections))
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
@@ -569,17 +569,17 @@
 		}},
 		{"estimates that are told", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			h := replication.ReceivedUpdates{}
-			for i := range scheduler.ClassGroupsLimit + 1 {
+			for i := range scheduler.MaxClassGroups + 1 {
 				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
-			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.ClassGroupsLimit {
+			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
 				t.Errorf("%d classes are known", len(c.scheduler.Corrections))
 			}
 		}},
-		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.PollsFull() }},
-		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.PeersFull() }},
+		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.OnPollRefused() }},
+		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.NotePeerConnectionRefused() }},
 		{"callers", telemetry.Callers, func(t *testing.T, c *Controller) {
-			must(c.Identify(auth.Identities{}))
+			must(c.EnableAuth(auth.Identities{}))
 			for i := range auth.UnknownJobLimitersLimit + 1 {
 				c.auth.UnknownJobLimiters.Add(fmt.Sprint("person/", i), nil)
 			}
@@ -587,7 +587,7 @@
 				t.Errorf("%d callers are counted for", n)
 			}
 		}},
-		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.UsersFull() }},
+		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.NoteUserConnectionRefused() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var log bytes.Buffer
--- a/internal/coordination/meetings_table_test.go
+++ b/internal/coordination/meetings_table_test.go
@@ -549,7 +549,7 @@
 		owner := w.owns(part)
 		held := map[string][]byte{}
 		w.locked(func() {
-			w.onOrders = func(machine string, o *protocol.Orders) {
+			w.onOrders = func(machine string, o *protocol.CommandBatch) {
 				if len(o.Commands) > 0 && held[machine] == nil {
 					held[machine] = protocol.Encode(*o)
 					o.Token = 0 // executed later
--- a/internal/coordination/meetings_test.go
+++ b/internal/coordination/meetings_test.go
@@ -111,7 +111,7 @@
 				}
 				w.mu.Lock()
 				for id, uj := range w.jobs {
-					if uj.ended == protocol.StatusWithdrawn && len(w.runs(id)) > 0 {
+					if uj.ended == protocol.StatusCancelled && len(w.runs(id)) > 0 {
 						t.Errorf("%s runs on %v", id, w.runs(id))
 					}
 				}
@@ -253,7 +253,7 @@
 // with the machine m-1, under a claim.
 func (c *Controller) owning(claim uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
-	c.RecordsAsOf, c.LeaseRenewedAt, c.Synced = now, now, true
+	c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, claim, now
 	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
@@ -276,7 +276,7 @@
 		j.LiveAttempts[0], j.Pending = a, nil
 		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
 		report := func(session, sequence, token uint64, tasks []protocol.TaskReport) int {
-			c.RecordsAsOf, c.LeaseRenewedAt = time.Now(), time.Now()
+			c.RecordsCurrentAt, c.LeaseRenewedAt = time.Now(), time.Now()
 			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: session, Sequence: sequence, Token: token, Tasks: tasks}
 			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
@@ -298,7 +298,7 @@
 			}
 		}
 		// A report that was under way while orders were answered is no copy.
-		c.agents.ApplyReport(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
+		c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
 		if report(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a report that orders overtook is not answered")
 		}
@@ -318,7 +318,7 @@
 		c, end := unrun(t)
 		defer end()
 		now := time.Now()
-		c.RecordsAsOf, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
+		c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
 		c.SetCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, ZonesOffered: []string{"a"}}})
 		p := c.Partitions[0]
 		p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, 5, now
@@ -354,7 +354,7 @@
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
 			t.Errorf("a report of a deleted machine: %d, lost %v", resp.Status, m.Lost)
 		}
-		if c.agents.ApplyReport(m, r, now); !m.Lost || m.HasReported {
+		if c.agents.ApplyHeartbeat(m, r, now); !m.Lost || m.HasReported {
 			t.Error("an answer of a deleted machine brought it back")
 		}
 	})
@@ -374,8 +374,8 @@
 			status string
 			ago    time.Duration
 			want   bool
-		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusWithdrawn, time.Second, false},
-			{protocol.StatusWithdrawn, 20 * time.Second, true}, {protocol.StatusWithdrawn, time.Hour, false}} {
+		}{{protocol.StatusDone, 20 * time.Second, false}, {protocol.StatusCancelled, time.Second, false},
+			{protocol.StatusCancelled, 20 * time.Second, true}, {protocol.StatusCancelled, time.Hour, false}} {
 			id := fmt.Sprint("job-", i)
 			j := &cluster.Job{Spec: spec(id, 1, "red")}
 			j.Load()
@@ -580,7 +580,7 @@
 			t.Errorf("told on: %v", told)
 		}
 		for i := range c.Cancellations.Limit + 10 {
-			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusWithdrawn, time.Now())
+			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusCancelled, time.Now())
 		}
 		if told := c.Cancellations.Recent(time.Now(), c.CancelBound); len(told) != c.Cancellations.Limit || told[0].Job != "job-1" {
 			t.Errorf("%d told at a time", len(told))
@@ -602,7 +602,7 @@
 		_, m := c.owning(9)
 		j := &cluster.Job{Spec: spec("job-1", 1, "red"), Ended: true}
 		j.Load()
-		c.Jobs["job-1"], c.FinalStates["job-1"] = j, protocol.StatusWithdrawn
+		c.Jobs["job-1"], c.FinalStates["job-1"] = j, protocol.StatusCancelled
 		a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptCommitted, Inherited: true, Stopping: true, StopRequestedAt: now}
 		j.LiveAttempts[0], j.Pending = a, nil
 		m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -50,8 +50,8 @@
 			if v.Controller != label || !v.Ready {
 				t.Errorf("%+v", v)
 			}
-			owned += len(v.Parts)
-			for _, p := range v.Parts {
+			owned += len(v.Partitions)
+			for _, p := range v.Partitions {
 				tasks += p.Running + p.Waiting
 				machines += p.Machines
 			}
--- a/internal/coordination/peerapi/bounds.go
+++ b/internal/coordination/peerapi/bounds.go
@@ -4,9 +4,9 @@
 	"micaspindle/internal/settings"
 )
 
-// BodyMin is what every version of the controller takes as a message. Messages
+// PortableBodyLimit is what every version of the controller takes as a message. Messages
 // that can be cut keep to it, so that a peer of an older version takes them too.
-const BodyMin = 1 << 20
+const PortableBodyLimit = 1 << 20
 
 // bodyMax is what the summary of a controller that holds 4,000 machines needs.
 const bodyMax = 2 << 20
@@ -19,5 +19,5 @@
 
 // MaxBody bounds a message of another controller.
 func MaxBody(limits settings.Limits) int {
-	return min(bodyMax, max(BodyMin, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
+	return min(bodyMax, max(PortableBodyLimit, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
 }
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -54,9 +54,9 @@
 	}
 	now := time.Now()
 	if !ps.Alive(now) {
-		ps.HeardSince = now
+		ps.AliveSince = now
 	}
-	ps.HeardAt, ps.Summary = now, sum
+	ps.LastHeardAt, ps.Summary = now, sum
 	ps.NoteReporting()
 	ex.jobs.ApplyCancellationNotices(sum, now)
 	ex.proxy.SummaryReceived(sum)
--- a/internal/coordination/plans_test.go
+++ b/internal/coordination/plans_test.go
@@ -181,7 +181,7 @@
 		fleet = append(fleet, fmt.Sprintf("move %d from %d", n, p))
 	}
 	away := map[string]int{}
-	for name := range c.Leadership.Deleting {
+	for name := range c.Leadership.DeletingSince {
 		m := c.Machines[name]
 		away[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
 	}
--- a/internal/coordination/policy_test.go
+++ b/internal/coordination/policy_test.go
@@ -99,7 +99,7 @@
 		c, p := owner(t)
 		now := time.Now()
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
-			RentedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
+			CreatedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
 		c.Machines["m-1"].LedSince = now.Add(-tc.age)
 		c.take(spec("job-1", 9, "green"))
 		count := uint32(0)
--- a/internal/coordination/proxy/collaborators.go
+++ b/internal/coordination/proxy/collaborators.go
@@ -12,15 +12,15 @@
 
 // Agents is what Proxy asks of its collaborator.
 type Agents interface {
-	// ApplyReport takes in a report, from whichever way it came.
-	ApplyReport(m *cluster.Machine, r *protocol.Heartbeat, now time.Time)
+	// ApplyHeartbeat takes in a report, from whichever way it came.
+	ApplyHeartbeat(m *cluster.Machine, r *protocol.Heartbeat, now time.Time)
 	// SendCommands sends direct commands, one request at a time for each machine.
 	SendCommands(m *cluster.Machine)
-	// StopsOfCancelled stops what a report shows of withdrawn jobs. Whoever answers a report keeps
+	// StopsForCancelledJobs stops what a report shows of withdrawn jobs. Whoever answers a report keeps
 	// what it shows alive, so that nobody may do so for a task that it knows to be withdrawn:
 	// neither an owner that has not read its part's records yet nor a carrier, which both
 	// decide nothing else. A withdrawal is on record for good, so that the stop needs none.
-	StopsOfCancelled(r *protocol.Heartbeat) []protocol.Command
+	StopsForCancelledJobs(r *protocol.Heartbeat) []protocol.Command
 }
 
 // Auth is what Proxy asks of its collaborator.
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -57,7 +57,7 @@
 	// MovedAt is when a shard last changed its delegate.
 	MovedAt, balancedAt time.Time
 	// moves are the last ones, for operators, moveTimes when each of them was.
-	moves     []overview.Move
+	moves     []overview.ShardMove
 	moveTimes []time.Time
 
 	mu     sync.Mutex
@@ -96,7 +96,7 @@
 const renewTimeout = time.Second
 
 // renewalBytesLimit is how many bytes of reports one message holds; more go in several.
-const renewalBytesLimit = peerapi.BodyMin * 3 / 4
+const renewalBytesLimit = peerapi.PortableBodyLimit * 3 / 4
 
 // delegateSettleTime is how long a controller must have been heard before it is given shares.
 const delegateSettleTime = 5 * time.Second
@@ -107,7 +107,7 @@
 // how long a carrier waits for the workers' answers to them.
 const ForwardCommandsLimit = 64
 
-const forwardBytesLimit = peerapi.BodyMin / 2
+const forwardBytesLimit = peerapi.PortableBodyLimit / 2
 
 const forwardAnswerWait = 400 * time.Millisecond
 
@@ -166,7 +166,7 @@
 		return respond.Refuse(503, "superseded", 1), true
 	}
 	if e.UnsentBytes+len(raw) > px.UnsentLimit {
-		px.bounds.Met(telemetry.CarriedReports, 1)
+		px.bounds.Met(telemetry.ForwardedHeartbeats, 1)
 		return respond.Refuse(503, "the owner of the machine is behind", 1), true
 	}
 	if r.Addr != "" {
@@ -174,7 +174,7 @@
 	}
 	e.add(m.Name, answeredHeartbeat{bytes.Clone(raw), r.Epoch, r.Sequence})
 	eventloop.Signal(e.wakeup)
-	return transport.Response{Status: 200, Body: protocol.Encode(protocol.Orders{Token: token, Commands: px.agents.StopsOfCancelled(r)})}, true
+	return transport.Response{Status: 200, Body: protocol.Encode(protocol.CommandBatch{Token: token, Commands: px.agents.StopsForCancelledJobs(r)})}, true
 }
 
 // isDelegate says whether a part's owner wants this controller to carry something of it.
@@ -361,7 +361,7 @@
 	if r.Addr != "" {
 		m.Record.Addr = r.Addr
 	}
-	px.agents.ApplyReport(m, r, now)
+	px.agents.ApplyHeartbeat(m, r, now)
 	m.LastHeardAt, m.DelegateHeardAt = now, now
 	if m.Fenced && m.NeedsCommands() {
 		px.agents.SendCommands(m)
@@ -439,8 +439,8 @@
 	p := px.Partitions[mv.Partition]
 	from := p.Delegations.Delegate(mv.Shard)
 	px.log.Info("a share changes its carrier", "part", mv.Partition, "share", mv.Shard, "from", from, "to", mv.To, "reason", mv.Reason)
-	px.metrics.Count(telemetry.ShareMoved, 1)
-	px.recordMove(overview.Move{Part: mv.Partition, Share: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
+	px.metrics.Count(telemetry.ShardMoved, 1)
+	px.recordMove(overview.ShardMove{Part: mv.Partition, Shard: mv.Shard, From: from, To: mv.To, Reason: mv.Reason}, now)
 	p.Delegations.Assign(mv.Shard, mv.To)
 	px.MovedAt = now
 }
@@ -460,7 +460,7 @@
 		}
 		v.Peers = append(v.Peers, delegation.Peer{Label: label, Load: delegation.Load{Machines: int(sum.Connected), Capacity: int(sum.Capacity)},
 			Available: ps.Alive(now) && sum.Capacity > 0 && !sum.Draining,
-			Settled:   now.Sub(ps.HeardSince) >= delegateSettleTime && sum.StateSilenceS < 3})
+			Settled:   now.Sub(ps.AliveSince) >= delegateSettleTime && sum.StateSilenceS < 3})
 	}
 	counts := make(map[*cluster.Partition]*[delegation.ShardCount]int)
 	for _, m := range px.Machines {
@@ -489,7 +489,7 @@
 // recentMovesLimit is how many moves are kept for operators.
 const recentMovesLimit = 16
 
-func (px *Proxy) recordMove(mv overview.Move, now time.Time) {
+func (px *Proxy) recordMove(mv overview.ShardMove, now time.Time) {
 	px.moves, px.moveTimes = append(px.moves, mv), append(px.moveTimes, now)
 	if n := len(px.moves) - recentMovesLimit; n > 0 {
 		px.moves, px.moveTimes = slices.Delete(px.moves, 0, n), slices.Delete(px.moveTimes, 0, n)
@@ -497,7 +497,7 @@
 }
 
 // RecentMoves is the last moves with how long ago they were.
-func (px *Proxy) RecentMoves(now time.Time) []overview.Move {
+func (px *Proxy) RecentMoves(now time.Time) []overview.ShardMove {
 	list := slices.Clone(px.moves)
 	for i := range list {
 		list[i].AgoS = now.Sub(px.moveTimes[i]).Seconds()
@@ -506,7 +506,7 @@
 }
 
 // Overview says who carries what of a part.
-func (px *Proxy) Overview(p *cluster.Partition, now time.Time) (list []overview.Carried) {
+func (px *Proxy) Overview(p *cluster.Partition, now time.Time) (list []overview.Delegate) {
 	machines := map[string]int{}
 	for _, m := range px.Machines {
 		if m.Record.Partition == p.Index && m.HasReported && !m.Lost {
@@ -515,7 +515,7 @@
 	}
 	for _, k := range p.DelegationSummary(px.Labels) {
 		active := slices.ContainsFunc(k.Shards, func(s uint32) bool { return p.Delegations.Active(int(s), now) })
-		list = append(list, overview.Carried{By: k.Delegate, Shares: len(k.Shards), Machines: machines[k.Delegate], Active: active})
+		list = append(list, overview.Delegate{Controller: k.Delegate, Shards: len(k.Shards), Machines: machines[k.Delegate], Active: active})
 	}
 	return list
 }
--- a/internal/coordination/random_meetings_test.go
+++ b/internal/coordination/random_meetings_test.go
@@ -424,7 +424,7 @@
 func (w *world) endedTasks() (n int) {
 	w.locked(func() {
 		for _, uj := range w.jobs {
-			if n += len(uj.tasksDone); uj.ended == protocol.StatusWithdrawn {
+			if n += len(uj.tasksDone); uj.ended == protocol.StatusCancelled {
 				n += uj.spec.Tasks - len(uj.tasksDone)
 			}
 		}
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -92,9 +92,9 @@
 // newCursor is a cursor before everything. Watches are requested as often as the lease is
 // renewed: the older of the two bounds until when heartbeats are answered (rule 42).
 func (w *Watcher) newCursor() cursor {
-	at := cursor{wait: w.Operator.ClaimTTL / watchesPerLease, patience: watchOutagePatience}
+	at := cursor{wait: w.Operator.LeaseTTL / watchesPerLease, patience: watchOutagePatience}
 	if w.auth.Enabled() {
-		at.wait, at.patience = min(at.wait, auth.PolicyWatchWait), storage.ChangePatience
+		at.wait, at.patience = min(at.wait, auth.PolicyWatchWait), storage.ChangeTimeout
 	}
 	return at
 }
@@ -124,7 +124,7 @@
 	}
 	applied := w.loop.Do(func() {
 		w.ApplyListing(items, revision)
-		w.RecordsAsOf, w.RecordsRevision = asked, revision
+		w.RecordsCurrentAt, w.RecordsRevision = asked, revision
 		w.auth.PublishPolicy(asked)
 	})
 	if !applied {
@@ -149,7 +149,7 @@
 		for _, event := range changes.Events {
 			w.ApplyEvent(event)
 		}
-		w.RecordsAsOf, w.RecordsRevision = asked, max(w.RecordsRevision, changes.Revision)
+		w.RecordsCurrentAt, w.RecordsRevision = asked, max(w.RecordsRevision, changes.Revision)
 		w.auth.PublishPolicy(asked)
 	})
 	if !applied {
--- a/internal/coordination/replication/replicas.go
+++ b/internal/coordination/replication/replicas.go
@@ -176,10 +176,10 @@
 		}
 	}
 	asked := time.Now()
-	ev, err := rep.store.Watch(ctx, prefix, after, 0, storage.ChangePatience)
+	ev, err := rep.store.Watch(ctx, prefix, after, 0, storage.ChangeTimeout)
 	rep.ifCurrent(fo, func() {
 		switch {
-		case errors.Is(err, storage.ErrTooOld):
+		case errors.Is(err, storage.ErrCompacted):
 			fo.forget()
 		case err != nil:
 			rep.log.Debug("copy not followed", "part", fo.partition, "reason", err)
@@ -296,7 +296,7 @@
 	fo.sample = nil
 	maps.DeleteFunc(fo.Updates.Machines, func(name string, _ MachineHints) bool { return rep.Machines[name] == nil })
 	if len(keys) > 0 {
-		rep.metrics.Count(telemetry.CopyDiffers, 1)
+		rep.metrics.Count(telemetry.ReplicaDiffers, 1)
 		rep.Mismatches++
 		rep.log.Error("replica differs from the state store and is read anew", "partition", fo.partition, "keys", keys[:min(5, len(keys))], "of", len(keys))
 		fo.forget()
@@ -316,11 +316,11 @@
 }
 
 // Overview is how the copies stand.
-func (rep *Replicator) Overview(now time.Time) (list []overview.Follow) {
+func (rep *Replicator) Overview(now time.Time) (list []overview.Replica) {
 	for _, p := range rep.Partitions {
 		if fo := rep.Replicas[p.Index]; fo != nil {
-			list = append(list, overview.Follow{Part: p.Index, Owner: p.Leader, Records: fo.Records.Len(), Whole: fo.Records.Revision() != 0,
-				BehindS: fo.lagS(now), Told: fo.Derived.KnownStarts()})
+			list = append(list, overview.Replica{Part: p.Index, Leader: p.Leader, Records: fo.Records.Len(), Complete: fo.Records.Revision() != 0,
+				BehindS: fo.lagS(now), ConfirmedStarts: fo.Derived.KnownStarts()})
 		}
 	}
 	return list
--- a/internal/coordination/replication/updates.go
+++ b/internal/coordination/replication/updates.go
@@ -30,7 +30,7 @@
 // UpdateBytesLimit is what one message holds at most; the rest follows with the next. That is
 // some 26,000 attempts, or 500 machines with all their images: a standby that knows
 // nothing has 4,000 machines and 64,000 attempts after some 10 s.
-const UpdateBytesLimit = peerapi.BodyMin * 3 / 4
+const UpdateBytesLimit = peerapi.PortableBodyLimit * 3 / 4
 
 // EntryOverheadBytes is what an entry takes beside itself.
 const EntryOverheadBytes = 8
@@ -108,7 +108,7 @@
 	list := rep.partitionChanges(p)
 	tale.Through = t.Clock
 	if !addChanges(tale, list, room, now) {
-		rep.bounds.Met(telemetry.ReplicaMessages, 1)
+		rep.bounds.Met(telemetry.ReplicaUpdates, 1)
 	}
 	return tale
 }
@@ -142,7 +142,7 @@
 		if m.Record.Partition != p.Index || !m.HasReported {
 			continue
 		}
-		if tells := m.Facts(); m.ReplicationSeq == 0 || tells != m.Replicated {
+		if tells := m.ReplicatedFacts(); m.ReplicationSeq == 0 || tells != m.Replicated {
 			t.Clock++
 			m.Replicated, m.ReplicationSeq = tells, t.Clock
 		}
@@ -278,7 +278,7 @@
 		if fo := rep.Replicas[int(req.Partition)]; fo != nil && fo.Updates.Acknowledged != 0 {
 			whole := false
 			if tale, whole = fo.StateTransfer(time.Now()); !whole {
-				rep.bounds.Met(telemetry.RecallBytes, 1)
+				rep.bounds.Met(telemetry.StateTransferBytes, 1)
 			}
 		}
 	})
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -15,15 +15,15 @@
 // fairShareInterval is how often it is decided anew what is kept for groups that are behind.
 const fairShareInterval = time.Second
 
-// ClassGroupsLimit bounds the classes that are told apart, and those whose run times are learnt:
+// MaxClassGroups bounds the classes that are told apart, and those whose run times are learnt:
 // users make up their names. It does not grow with the machines; one takes up to 300 bytes.
-const ClassGroupsLimit = 1000
+const MaxClassGroups = 1000
 
 func (sched *Scheduler) ClassGroup(class string) int {
 	g, known := sched.ClassGroups[class]
 	switch {
 	case known:
-	case len(sched.ClassGroups) >= ClassGroupsLimit:
+	case len(sched.ClassGroups) >= MaxClassGroups:
 		sched.bounds.Met(telemetry.Classes, 1)
 		return fairshare.NoGroup
 	default:
@@ -197,7 +197,7 @@
 		}
 		uses[k] = u
 	}
-	p.FairShare.Quota, p.FairShare.WithinReserve = make([][]fairshare.ReservedQuota, len(p.Usage)), map[cluster.TeamClass]bool{}
+	p.FairShare.ReservedQuotas, p.FairShare.WithinReserve = make([][]fairshare.ReservedQuota, len(p.Usage)), map[cluster.TeamClass]bool{}
 	for team := range p.Usage {
 		var of []fairshare.ClassUse
 		for k, u := range uses {
@@ -206,7 +206,7 @@
 			}
 		}
 		limit := cluster.TeamLimit(sched.Settings.Params.Teams[team])
-		p.FairShare.Quota[team] = fairshare.Quotas(p.FairShare.Shares, limit, of)
+		p.FairShare.ReservedQuotas[team] = fairshare.Quotas(p.FairShare.Shares, limit, of)
 		for _, u := range of {
 			p.FairShare.WithinReserve[cluster.TeamClass{Team: team, ClassGroup: u.Class}] = u.Used.CPUs <= p.FairShare.Share(u.Class)*limit.CPUs
 		}
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -87,7 +87,7 @@
 	}
 	v.Of = usable
 	for team, t := range sched.Settings.Params.Teams {
-		v.Teams = append(v.Teams, placement.Team{Limit: cluster.TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.QuotaOf(team)})
+		v.Teams = append(v.Teams, placement.Team{Limit: cluster.TeamLimit(t), Used: p.Usage[team], Reserved: p.FairShare.ReservedQuotasOf(team)})
 	}
 	decided := placement.Decide(v)
 	for _, i := range decided.Wanted {
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -33,7 +33,7 @@
 			reason = "team's limit"
 		}
 		sched.log.Info("preempting", "task", a.TaskName(), "machine", a.Machine.Name, "for", j.Spec.ID, "reason", reason)
-		sched.metrics.Count(telemetry.Stopped, 1)
+		sched.metrics.Count(telemetry.AttemptPreempted, 1)
 		sched.agents.StopAttempt(a, a.Job.Spec.SaveS+1, now)
 	}
 }
--- a/internal/coordination/scheduler/run_times.go
+++ b/internal/coordination/scheduler/run_times.go
@@ -94,7 +94,7 @@
 
 // mayLearn says whether the run times of one more class may be learnt.
 func (sched *Scheduler) mayLearn() bool {
-	if len(sched.Corrections) < ClassGroupsLimit {
+	if len(sched.Corrections) < MaxClassGroups {
 		return true
 	}
 	sched.bounds.Met(telemetry.Estimates, 1)
--- a/internal/coordination/succession_test.go
+++ b/internal/coordination/succession_test.go
@@ -329,7 +329,7 @@
 
 		// Whose lease is ended: the one on which the claims hang.
 		ps := c.Peers["n2"]
-		ps.HeardAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
+		ps.LastHeardAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
 		c.Synced = true
 		put(storage.IncarnationKey("n2"), 11, storage.Incarnation{Nonce: "other", Lease: 7})
 		time.Sleep(5 * time.Second)
--- a/internal/coordination/takeover/takeover.go
+++ b/internal/coordination/takeover/takeover.go
@@ -103,7 +103,7 @@
 	}
 	label := to.Labels[p.Index]
 	home := to.Peers[label]
-	if home == nil || !home.Alive(now) || home.Summary.Draining || now.Sub(home.HeardSince) < lease.SettleTime {
+	if home == nil || !home.Alive(now) || home.Summary.Draining || now.Sub(home.AliveSince) < lease.SettleTime {
 		return ""
 	}
 	mine, theirs := 0, 0
@@ -205,7 +205,7 @@
 // are known up to a revision. Machines and ends of jobs come with the watch, in order.
 // Quotas are added up as the records are taken in.
 func (to *Takeover) MissingEvidence(p *cluster.Partition, claim, runs uint64) []string {
-	return failover.TakeoverCheck{LeaseRevision: claim, NewestLease: p.LeaseRevision, SinceRenewal: time.Since(to.LeaseRenewedAt), TTL: to.Operator.ClaimTTL,
+	return failover.TakeoverCheck{LeaseRevision: claim, NewestLease: p.LeaseRevision, SinceRenewal: time.Since(to.LeaseRenewedAt), TTL: to.Operator.LeaseTTL,
 		RunRecords: runs, MachineRecords: to.RecordsRevision, FinalStates: to.RecordsRevision, Counted: true}.Missing()
 }
 
@@ -295,7 +295,7 @@
 	}
 	p.Ready, p.WarmFailover, p.QueueOrder, p.Replication, p.HandbackSince = true, warm, nil, cluster.ReplicationProgress{}, time.Time{}
 	p.Wake()
-	to.metrics.Took(telemetry.Takeover, now.Sub(p.AcquiredAt), now)
+	to.metrics.RecordWait(telemetry.Takeover, now.Sub(p.AcquiredAt), now)
 	kind := telemetry.TakeoverCold
 	if warm {
 		kind = telemetry.TakeoverWarm
--- a/internal/coordination/troubles_test.go
+++ b/internal/coordination/troubles_test.go
@@ -82,7 +82,7 @@
 
 // verbsOf lists the kinds of the commands of an order.
 func verbsOf(body []byte) (verbs map[string]bool) {
-	var orders protocol.Orders
+	var orders protocol.CommandBatch
 	must(protocol.Decode(body, &orders))
 	verbs = map[string]bool{}
 	for _, command := range orders.Commands {
@@ -286,7 +286,7 @@
 		w.breakRule("went_back: %s was %s, is %s", id, uj.ended, st.Status)
 	}
 	uj.ended = st.Status
-	if st.Status == protocol.StatusWithdrawn && uj.withdrawn.IsZero() {
+	if st.Status == protocol.StatusCancelled && uj.withdrawn.IsZero() {
 		uj.withdrawn = time.Now()
 	}
 	return true
--- a/internal/coordination/vouch_test.go
+++ b/internal/coordination/vouch_test.go
@@ -60,7 +60,7 @@
 			"a token instead of the certificate":          through("", gate, "person/anna", "POST", "/submissions", job("job-8", "red", "build")),
 			"a person who vouches":                        through("person/root", "", "person/anna", "POST", "/submissions", job("job-9", "red", "build")),
 			"an administrator's change through the gate":  through(gate, "", "person/root", "POST", "/policy", rights.Change{Version: 2}),
-			"an administrator's withdrawals through it":   through(gate, "", "person/root", "POST", "/withdrawals", protocol.Sweep{By: "person/anna"}),
+			"an administrator's withdrawals through it":   through(gate, "", "person/root", "POST", "/withdrawals", protocol.CancelAll{By: "person/anna"}),
 			"the gate itself, which may submit nothing":   through(gate, "", "", "POST", "/submissions", job("job-10", "red", "build")),
 			"a right that she has on none, asked through": through(gate, "", "person/partner", "GET", "/may?verb=submit&team=red&class=build", nil),
 		} {
--- a/internal/coordination/world_test.go
+++ b/internal/coordination/world_test.go
@@ -51,7 +51,7 @@
 	cut      func(from, to string) bool
 	runTime  func(job string, task int, machine string) time.Duration
 	fails    func(job string, task int, machine string) bool
-	onOrders func(machine string, o *protocol.Orders) // sees orders before they are executed
+	onOrders func(machine string, o *protocol.CommandBatch) // sees orders before they are executed
 	// asked sees what a controller sends, and may lose it.
 	asked func(from, host, target string, body []byte) (lost bool)
 	// held is until when what a controller sends and gets is kept back.
@@ -177,7 +177,7 @@
 		n.ctl.Observe()
 	}
 	if w.ids != nil {
-		must(n.ctl.Identify(w.ids.identities(label)))
+		must(n.ctl.EnableAuth(w.ids.identities(label)))
 	}
 	w.mu.Lock()
 	w.nodes[label] = n
@@ -611,7 +611,7 @@
 		return &transport.Response{Status: 504, Body: protocol.Encode(map[string]any{})}
 	}
 	if path == "/orders" && w.onOrders != nil {
-		var o protocol.Orders
+		var o protocol.CommandBatch
 		must(protocol.Decode(body, &o))
 		w.onOrders(wk.Name, &o)
 		body = protocol.Encode(o)
@@ -736,7 +736,7 @@
 		if at := w.orphanedAt(uj); !at.IsZero() && time.Since(at).Seconds() > w.set.Params.Workers.CancelS {
 			w.breakRule("orphaned: %s is %s %s after something that it needs was withdrawn", id, st.Status, time.Since(at))
 		}
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		if uj.withdrawn.IsZero() && uj.ended == "" && !w.mayBeWithdrawn(uj) {
 			w.breakRule("went_back: %s was not withdrawn by its user", id)
 		}
@@ -785,7 +785,7 @@
 			var st protocol.JobStatus
 			must(protocol.Decode(resp.Body, &st))
 			w.mu.Lock()
-			if st.Status == protocol.StatusWithdrawn {
+			if st.Status == protocol.StatusCancelled {
 				w.jobs[id].withdrawn = time.Now()
 			}
 			w.jobs[id].ended = st.Status
@@ -811,7 +811,7 @@
 		w.mu.Unlock()
 		slices.Sort(ids)
 		for _, id := range ids {
-			if st := w.poll("", id); st != protocol.StatusDone && st != protocol.StatusWithdrawn {
+			if st := w.poll("", id); st != protocol.StatusDone && st != protocol.StatusCancelled {
 				open = append(open, id+"="+st)
 			}
 		}
--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -234,7 +234,7 @@
 			}
 			connected[node] = v.Connected
 			all += v.Connected
-			for _, p := range v.Parts {
+			for _, p := range v.Partitions {
 				if p.Machines > 0 {
 					owner = node
 				}
@@ -322,7 +322,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := buildtool.Dial(c.GateAddrs(), ring.Client(isService), "")
+		conn, err := buildtool.Dial(c.GateAddrs(), ring.ClientConfig(isService), "")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/devcluster/frontends.go
+++ b/internal/devcluster/frontends.go
@@ -175,7 +175,7 @@
 func (c *Cluster) dialFrontEnds(machine bool, token string) (*grpc.ClientConn, error) {
 	var tlsConfig *tls.Config
 	if identities := c.options.Hosted; identities != nil {
-		if tlsConfig = identities.workerKeyring.Client(isService); !machine {
+		if tlsConfig = identities.workerKeyring.ClientConfig(isService); !machine {
 			tlsConfig.GetClientCertificate = nil
 		}
 	}
@@ -232,7 +232,7 @@
 func (c *Cluster) awaitFrontEnd(ctx context.Context, frontEnd *Gate) error {
 	var tlsConfig *tls.Config
 	if identities := c.options.Hosted; identities != nil {
-		tlsConfig = identities.workerKeyring.Client(isService)
+		tlsConfig = identities.workerKeyring.ClientConfig(isService)
 	}
 	conn, err := buildtool.Dial([]string{frontEnd.Addr}, tlsConfig, "")
 	if err != nil {
--- a/internal/devcluster/identities.go
+++ b/internal/devcluster/identities.go
@@ -137,7 +137,7 @@
 	if h == nil {
 		return nil
 	}
-	return h.workerKeyring.Client(isController)
+	return h.workerKeyring.ClientConfig(isController)
 }
 
 // machineTLS returns the TLS configuration of machines as servers, nil without identities.
@@ -146,7 +146,7 @@
 	if h == nil {
 		return nil
 	}
-	config := h.workerKeyring.Server(true)
+	config := h.workerKeyring.ServerConfig(true)
 	config.VerifyConnection = func(cs tls.ConnectionState) error {
 		name, err := identity.FromCertificate(cs.PeerCertificates[0])
 		if err == nil && !isController(name) {
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -79,9 +79,9 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	err := archive.Export(ctx, &out, &seal, func(ctx context.Context, chain string, after uint64) ([]audit.Numbered, error) {
+	err := archive.Export(ctx, &out, &seal, func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error) {
 		var page struct {
-			Batches []audit.Numbered `msgpack:"batches"`
+			Batches []audit.NumberedBatch `msgpack:"batches"`
 		}
 		err := root.Do(ctx, "GET", "/audit/batches?chain="+url.QueryEscape(chain)+"&after="+strconv.FormatUint(after, 10), nil, &page)
 		return page.Batches, err
@@ -203,7 +203,7 @@
 			}
 		}
 	}
-	time.Sleep(audit.GatherFor + time.Second)
+	time.Sleep(audit.GatherInterval + time.Second)
 	read := c.exported(t, ctx)
 	for who, n := range denials {
 		if got := tally(read, func(r *audit.Record) bool { return r.Who == who && r.Outcome == audit.Denied }); got != n {
@@ -422,7 +422,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	time.Sleep(audit.GatherFor + time.Second)
+	time.Sleep(audit.GatherInterval + time.Second)
 	read := c.exported(t, ctx)
 	if n := tally(read, func(r *audit.Record) bool {
 		return r.Who == "service/refunds" && r.Outcome == audit.Denied && r.Team == "venues"
--- a/internal/fake/agent/commands.go
+++ b/internal/fake/agent/commands.go
@@ -62,7 +62,7 @@
 	if path == "/show" {
 		return answer(http.StatusOK)
 	}
-	var orders protocol.Orders
+	var orders protocol.CommandBatch
 	if protocol.Decode(body, &orders) != nil || orders.Token == 0 && orders.Epoch == 0 {
 		return answer(http.StatusBadRequest)
 	}
--- a/internal/fake/agent/heartbeat.go
+++ b/internal/fake/agent/heartbeat.go
@@ -47,17 +47,17 @@
 	}
 	switch status {
 	case http.StatusOK:
-		var orders protocol.Orders
+		var orders protocol.CommandBatch
 		if protocol.Decode(body, &orders) == nil && orders.Token >= a.Token && heartbeat.Epoch == a.Session {
 			a.Token, a.LeaseFrom = orders.Token, sent
 			a.execute(orders.Commands)
 		}
 		return true
 	case http.StatusMisdirectedRequest:
-		var home protocol.Home
+		var home protocol.AssignedController
 		if protocol.Decode(body, &home) == nil {
 			for i, label := range a.Homes {
-				if label == home.Home && i != a.Home {
+				if label == home.Controller && i != a.Home {
 					a.Home = i
 					return false
 				}
--- a/internal/fake/cloud/service.go
+++ b/internal/fake/cloud/service.go
@@ -155,7 +155,7 @@
 // rent rents as many of the machines asked for as there is capacity for. A repeated
 // request gets the machines of the first.
 func (s *Service) rent(body []byte) *transport.Response {
-	var rental protocol.Rental
+	var rental protocol.CreateMachinesRequest
 	if err := protocol.Decode(body, &rental); err != nil || rental.Request == "" || rental.Count < 1 || rental.Count > maxRentals {
 		return malformed("not a rental")
 	}
--- a/internal/identity/keyring.go
+++ b/internal/identity/keyring.go
@@ -241,9 +241,9 @@
 	return err
 }
 
-// Server is the TLS configuration of a listener. required says whether a
+// ServerConfig is the TLS configuration of a listener. required says whether a
 // client must show a certificate; one that is shown must be good in any case.
-func (k *Keyring) Server(required bool) *tls.Config {
+func (k *Keyring) ServerConfig(required bool) *tls.Config {
 	h := k.held.Load()
 	c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{h.own}, ClientCAs: h.roots,
 		ClientAuth: tls.VerifyClientCertIfGiven, SessionTicketsDisabled: true, Time: k.now}
@@ -253,19 +253,19 @@
 	return c
 }
 
-// Client is the TLS configuration for connections to somebody whom accept
+// ClientConfig is the TLS configuration for connections to somebody whom accept
 // takes. Addresses are numbers that change hands, so the name in the
 // certificate counts, not the address. It uses what the files hold at each new
 // connection, however old the configuration is.
-func (k *Keyring) Client(accept func(Name) bool) *tls.Config {
+func (k *Keyring) ClientConfig(accept func(Name) bool) *tls.Config {
 	c := clientConfig(func() *x509.CertPool { return k.held.Load().roots }, accept, k.now)
 	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.held.Load().own, nil }
 	return c
 }
 
-// Proof is the files of a program that says once who it is, as people start them. A
+// CredentialFiles is the files of a program that says once who it is, as people start them. A
 // token is read from a file only: a command line is seen by others.
-type Proof struct {
+type CredentialFiles struct {
 	// Roots are the authorities to trust; without them connections are in the clear.
 	Roots string
 	// Cert is a certificate with its key, TokenFile a token.
@@ -273,7 +273,7 @@
 }
 
 // Load reads the files; the configuration is nil for connections in the clear.
-func (p *Proof) Load(accept func(Name) bool) (secure *tls.Config, token string, err error) {
+func (p *CredentialFiles) Load(accept func(Name) bool) (secure *tls.Config, token string, err error) {
 	if p.Roots == "" {
 		if p.Cert != "" || p.TokenFile != "" {
 			return nil, "", errors.New("a certificate or a token needs the roots to trust: a credential is never sent in the clear")
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -14,83 +14,83 @@
 
 // View is what one controller says of itself and of the parts that it owns.
 type View struct {
-	Controller string  `msgpack:"controller" json:"controller"`
-	Zone       string  `msgpack:"zone" json:"zone"`
-	AtMS       int64   `msgpack:"at_ms" json:"at_ms"`
-	UpS        float64 `msgpack:"up_s" json:"up_s"`
-	Leads      bool    `msgpack:"leads" json:"leads"`
-	Ready      bool    `msgpack:"ready" json:"ready"`
-	// StateSilentS is how long ago the state service answered last.
-	StateSilentS float64 `msgpack:"state_silent_s" json:"state_silent_s"`
+	Controller    string  `msgpack:"controller" json:"controller"`
+	Zone          string  `msgpack:"zone" json:"zone"`
+	AtMS          int64   `msgpack:"at_ms" json:"at_ms"`
+	UpS           float64 `msgpack:"up_s" json:"up_s"`
+	ClusterLeader bool    `msgpack:"leads" json:"leads"`
+	Ready         bool    `msgpack:"ready" json:"ready"`
+	// StateSilenceS is how long ago the state service answered last.
+	StateSilenceS float64 `msgpack:"state_silent_s" json:"state_silent_s"`
 	// WritesWanted of WritesGranted changes a second.
-	WritesWanted  float64 `msgpack:"writes_wanted" json:"writes_wanted"`
-	WritesGranted float64 `msgpack:"writes_granted" json:"writes_granted"`
-	CloudRests    bool    `msgpack:"cloud_rests" json:"cloud_rests"`
-	Jobs          int     `msgpack:"jobs" json:"jobs"`
-	Ended         int     `msgpack:"ended" json:"ended"`
-	Renting       int     `msgpack:"renting" json:"renting"`
+	WritesWanted     float64 `msgpack:"writes_wanted" json:"writes_wanted"`
+	WritesGranted    float64 `msgpack:"writes_granted" json:"writes_granted"`
+	CloudUnavailable bool    `msgpack:"cloud_rests" json:"cloud_rests"`
+	Jobs             int     `msgpack:"jobs" json:"jobs"`
+	EndedJobs        int     `msgpack:"ended" json:"ended"`
+	PendingScaleOut  int     `msgpack:"renting" json:"renting"`
 
 	// Connected machines keep their connections with this controller, whose sockets have
 	// room for Room of them.
 	Connected int `msgpack:"connected" json:"connected"`
-	Room      int `msgpack:"room" json:"room"`
+	Capacity  int `msgpack:"room" json:"room"`
 	// Moves are the last shares that changed their carrier, the newest last.
-	Moves []Move `msgpack:"moves,omitempty" json:"moves,omitempty"`
+	Moves []ShardMove `msgpack:"moves,omitempty" json:"moves,omitempty"`
 
-	// Follows are parts of others of which it keeps a copy, as their standby.
-	Follows []Follow `msgpack:"follows,omitempty" json:"follows,omitempty"`
+	// Replicas are parts of others of which it keeps a copy, as their standby.
+	Replicas []Replica `msgpack:"follows,omitempty" json:"follows,omitempty"`
 
-	Parts []Part                `msgpack:"parts" json:"parts"`
-	Teams []Team                `msgpack:"teams" json:"teams"`
-	Waits []telemetry.Quantiles `msgpack:"waits" json:"waits"`
+	Partitions []Partition           `msgpack:"parts" json:"parts"`
+	Teams      []Team                `msgpack:"teams" json:"teams"`
+	Waits      []telemetry.Quantiles `msgpack:"waits" json:"waits"`
 }
 
-// Part is a part that the controller owns.
-type Part struct {
+// Partition is a part that the controller owns.
+type Partition struct {
 	Part     int  `msgpack:"part" json:"part"`
 	Ready    bool `msgpack:"ready" json:"ready"`
 	Machines int  `msgpack:"machines" json:"machines"`
 	Idle     int  `msgpack:"idle" json:"idle"`
-	Coming   int  `msgpack:"coming" json:"coming"`
-	Bad      int  `msgpack:"bad" json:"bad"` // lost or set aside
-	// Kept are kept for classes or teams that are behind.
-	Kept    int     `msgpack:"kept,omitempty" json:"kept,omitempty"`
-	Running int     `msgpack:"running" json:"running"`
-	Waiting int     `msgpack:"waiting" json:"waiting"`
-	OldestS float64 `msgpack:"oldest_s" json:"oldest_s"`
+	Starting int  `msgpack:"coming" json:"coming"`
+	Unusable int  `msgpack:"bad" json:"bad"` // lost or set aside
+	// Reserved are kept for classes or teams that are behind.
+	Reserved int     `msgpack:"kept,omitempty" json:"kept,omitempty"`
+	Running  int     `msgpack:"running" json:"running"`
+	Waiting  int     `msgpack:"waiting" json:"waiting"`
+	OldestS  float64 `msgpack:"oldest_s" json:"oldest_s"`
 	// Used is the part of the CPUs that is in use.
 	Used float64 `msgpack:"used" json:"used"`
-	// Carried are the shares of its machines whose connections others have.
-	Carried []Carried `msgpack:"carried,omitempty" json:"carried,omitempty"`
+	// Delegates are the shares of its machines whose connections others have.
+	Delegates []Delegate `msgpack:"carried,omitempty" json:"carried,omitempty"`
 }
 
-// Carried is what another controller carries of a part.
-type Carried struct {
-	By       string `msgpack:"by" json:"by"`
-	Shares   int    `msgpack:"shares" json:"shares"`
-	Machines int    `msgpack:"machines" json:"machines"`
+// Delegate is what another controller carries of a part.
+type Delegate struct {
+	Controller string `msgpack:"by" json:"by"`
+	Shards     int    `msgpack:"shares" json:"shares"`
+	Machines   int    `msgpack:"machines" json:"machines"`
 	// Active: it has asked to go on of late, so that workers are sent to it.
 	Active bool `msgpack:"active" json:"active"`
 }
 
-// Move is a share that changed its carrier; From and To "": the part's owner.
-type Move struct {
+// ShardMove is a share that changed its carrier; From and To "": the part's owner.
+type ShardMove struct {
 	Part   int     `msgpack:"part" json:"part"`
-	Share  int     `msgpack:"share" json:"share"`
+	Shard  int     `msgpack:"share" json:"share"`
 	From   string  `msgpack:"from" json:"from"`
 	To     string  `msgpack:"to" json:"to"`
 	Reason string  `msgpack:"reason" json:"reason"`
 	AgoS   float64 `msgpack:"ago_s" json:"ago_s"`
 }
 
-// Follow is a copy of a part that another controller owns.
-type Follow struct {
-	Part  int    `msgpack:"part" json:"part"`
-	Owner string `msgpack:"owner" json:"owner"`
+// Replica is a copy of a part that another controller owns.
+type Replica struct {
+	Part   int    `msgpack:"part" json:"part"`
+	Leader string `msgpack:"owner" json:"owner"`
 	// Records are run records, Told attempts of which the owner has said when they began.
-	Records int  `msgpack:"records" json:"records"`
-	Told    int  `msgpack:"told" json:"told"`
-	Whole   bool `msgpack:"whole" json:"whole"`
+	Records         int  `msgpack:"records" json:"records"`
+	ConfirmedStarts int  `msgpack:"told" json:"told"`
+	Complete        bool `msgpack:"whole" json:"whole"`
 	// BehindS is how long ago what was taken in last was asked for.
 	BehindS float64 `msgpack:"behind_s" json:"behind_s"`
 }
@@ -121,7 +121,7 @@
 	for _, r := range rows {
 		if r.View != nil {
 			up++
-			if r.View.Leads {
+			if r.View.ClusterLeader {
 				leader = r.View.Controller
 			}
 		}
@@ -135,9 +135,9 @@
 			add("%-22s %s", clip(r.Addr, 22), r.Err)
 			continue
 		}
-		add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", clip(v.Controller, 12), clip(v.Zone, 9), span(v.UpS), v.Jobs, v.Ended, v.Renting, v.WritesWanted, v.WritesGranted, v.state())
+		add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", clip(v.Controller, 12), clip(v.Zone, 9), span(v.UpS), v.Jobs, v.EndedJobs, v.PendingScaleOut, v.WritesWanted, v.WritesGranted, v.state())
 	}
-	var parts []Part
+	var parts []Partition
 	owner, next := map[int]string{}, map[int]string{}
 	var teams []Team
 	var waits []telemetry.Quantiles
@@ -145,20 +145,20 @@
 		if r.View == nil {
 			continue
 		}
-		for _, p := range r.View.Parts {
+		for _, p := range r.View.Partitions {
 			parts = append(parts, p)
 			owner[p.Part] = r.View.Controller
 		}
-		for _, f := range r.View.Follows {
+		for _, f := range r.View.Replicas {
 			next[f.Part] = fmt.Sprintf("%s %s behind", clip(r.View.Controller, 12), short(f.BehindS))
-			if !f.Whole {
+			if !f.Complete {
 				next[f.Part] = clip(r.View.Controller, 12) + " reading"
 			}
 		}
 		teams = append(teams, r.View.Teams...)
 		waits = append(waits, r.View.Waits...)
 	}
-	slices.SortFunc(parts, func(a, b Part) int { return cmp.Compare(a.Part, b.Part) })
+	slices.SortFunc(parts, func(a, b Partition) int { return cmp.Compare(a.Part, b.Part) })
 	add("")
 	add("%4s %-12s %8s %5s %6s %4s %5s %7s %7s %7s", "PART", "OWNER", "MACHINES", "IDLE", "COMING", "BAD", "CPUS", "RUNNING", "WAITING", "OLDEST")
 	for _, p := range parts {
@@ -166,7 +166,7 @@
 		if !p.Ready {
 			who += " (taking over)"
 		}
-		add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(who, 12), p.Machines, p.Idle, p.Coming, p.Bad, 100*p.Used, p.Running, p.Waiting, span(p.OldestS))
+		add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(who, 12), p.Machines, p.Idle, p.Starting, p.Unusable, 100*p.Used, p.Running, p.Waiting, span(p.OldestS))
 	}
 	lines = append(lines, standbys(parts, next, width)...)
 	lines = append(lines, carriers(parts, width)...)
@@ -177,7 +177,7 @@
 	add("")
 	add("%-12s %8s %9s %9s %9s", "WAIT FOR", "COUNT", "HALF IN", "99% IN", "LONGEST")
 	for _, w := range worst {
-		add("%-12s %8d %9s %9s %9s", w.What, w.Count, short(w.P50), short(w.P99), short(w.Most))
+		add("%-12s %8d %9s %9s %9s", w.What, w.Count, short(w.P50), short(w.P99), short(w.Max))
 	}
 	slices.SortFunc(teams, func(a, b Team) int {
 		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(b.CPUs, a.CPUs), cmp.Compare(a.Name, b.Name))
@@ -204,11 +204,11 @@
 // state says in a word what is wrong, if something is.
 func (v *View) state() string {
 	switch {
-	case v.StateSilentS > 2:
-		return "no state " + span(v.StateSilentS)
+	case v.StateSilenceS > 2:
+		return "no state " + span(v.StateSilenceS)
 	case !v.Ready:
 		return "not ready"
-	case v.CloudRests:
+	case v.CloudUnavailable:
 		return "no cloud"
 	}
 	return "ok"
@@ -224,7 +224,7 @@
 			continue
 		}
 		o := &out[i]
-		o.Count, o.P50, o.P99, o.Most = o.Count+q.Count, max(o.P50, q.P50), max(o.P99, q.P99), max(o.Most, q.Most)
+		o.Count, o.P50, o.P99, o.Max = o.Count+q.Count, max(o.P50, q.P50), max(o.P99, q.P99), max(o.Max, q.Max)
 	}
 	return out
 }
@@ -252,7 +252,7 @@
 
 // standbys tells who would take each part over, and how far behind it is, on as few
 // lines as the width allows.
-func standbys(parts []Part, next map[int]string, width int) (lines []string) {
+func standbys(parts []Partition, next map[int]string, width int) (lines []string) {
 	line := "STANDBYS"
 	for _, p := range parts {
 		one := fmt.Sprintf("  %d: %s", p.Part, cmp.Or(next[p.Part], "none"))
@@ -268,11 +268,11 @@
 }
 
 // carriers tells which machines' connections others have, if any.
-func carriers(parts []Part, width int) (lines []string) {
+func carriers(parts []Partition, width int) (lines []string) {
 	line := "CARRIED "
 	for _, p := range parts {
-		for _, k := range p.Carried {
-			one := fmt.Sprintf("  %d: %d by %s", p.Part, k.Machines, clip(k.By, 12))
+		for _, k := range p.Delegates {
+			one := fmt.Sprintf("  %d: %d by %s", p.Part, k.Machines, clip(k.Controller, 12))
 			if len([]rune(line+one)) > width && line != "" {
 				lines, line = append(lines, line), ""
 			}
@@ -285,8 +285,8 @@
 	return lines
 }
 
-// Shares is what all rows say of who has the machines' connections.
-func Shares(rows []Row) string {
+// Delegations is what all rows say of who has the machines' connections.
+func Delegations(rows []Row) string {
 	var out strings.Builder
 	add := func(format string, args ...any) {
 		fmt.Fprintln(&out, strings.TrimRight(fmt.Sprintf(format, args...), " "))
@@ -294,7 +294,7 @@
 	standby := map[int]string{}
 	for _, r := range rows {
 		if r.View != nil {
-			for _, f := range r.View.Follows {
+			for _, f := range r.View.Replicas {
 				standby[f.Part] = r.View.Controller
 			}
 		}
@@ -302,7 +302,7 @@
 	add("%-16s %-12s %9s %6s %5s", "CONTROLLER", "ZONE", "MACHINES", "ROOM", "FULL")
 	for _, r := range rows {
 		if v := r.View; v != nil {
-			add("%-16s %-12s %9d %6d %4.0f%%", clip(v.Controller, 16), clip(v.Zone, 12), v.Connected, v.Room, 100*float64(v.Connected)/float64(max(1, v.Room)))
+			add("%-16s %-12s %9d %6d %4.0f%%", clip(v.Controller, 16), clip(v.Zone, 12), v.Connected, v.Capacity, 100*float64(v.Connected)/float64(max(1, v.Capacity)))
 		} else {
 			add("%-16s %s", clip(r.Addr, 16), r.Err)
 		}
@@ -313,10 +313,10 @@
 		if r.View == nil {
 			continue
 		}
-		for _, p := range r.View.Parts {
+		for _, p := range r.View.Partitions {
 			var by []string
-			for _, k := range p.Carried {
-				one := fmt.Sprintf("%s: %d in %d shares", k.By, k.Machines, k.Shares)
+			for _, k := range p.Delegates {
+				one := fmt.Sprintf("%s: %d in %d shares", k.Controller, k.Machines, k.Shards)
 				if !k.Active {
 					one += " (has not asked yet)"
 				}
@@ -334,7 +334,7 @@
 		}
 		for _, m := range slices.Backward(r.View.Moves) {
 			moves++
-			add("%7s %4d %5d  %s to %s: %s", span(m.AgoS), m.Part, m.Share, cmp.Or(m.From, "its owner"), cmp.Or(m.To, "its owner"), m.Reason)
+			add("%7s %4d %5d  %s to %s: %s", span(m.AgoS), m.Part, m.Shard, cmp.Or(m.From, "its owner"), cmp.Or(m.To, "its owner"), m.Reason)
 		}
 	}
 	if moves == 0 {
--- a/internal/overview/overview_test.go
+++ b/internal/overview/overview_test.go
@@ -11,17 +11,17 @@
 )
 
 func view(i int) *View {
-	v := &View{Controller: fmt.Sprint("spindle-", i), Zone: "windhoek", UpS: 100_000, Ready: true, Leads: i == 1, Jobs: 40, Ended: 123_456, WritesWanted: 12.34, WritesGranted: 80}
-	v.Parts = []Part{{Part: i, Ready: true, Machines: 798, Idle: 12, Used: 0.876, Running: 12_345, Waiting: 99_999, OldestS: 4000}}
-	v.Follows = []Follow{{Part: 1 - i, Owner: "o", Whole: i == 1, BehindS: 0.4}}
+	v := &View{Controller: fmt.Sprint("spindle-", i), Zone: "windhoek", UpS: 100_000, Ready: true, ClusterLeader: i == 1, Jobs: 40, EndedJobs: 123_456, WritesWanted: 12.34, WritesGranted: 80}
+	v.Partitions = []Partition{{Part: i, Ready: true, Machines: 798, Idle: 12, Used: 0.876, Running: 12_345, Waiting: 99_999, OldestS: 4000}}
+	v.Replicas = []Replica{{Part: 1 - i, Leader: "o", Complete: i == 1, BehindS: 0.4}}
 	v.Teams = []Team{{Name: fmt.Sprint("placements-desk-", i), Part: i, CPUs: 1200, Guarantee: 100, Limit: 2000, Running: 40, Waiting: i}}
-	v.Waits = []telemetry.Quantiles{{What: "start", Count: 10, P50: float64(i), P99: 100, Most: 4000}}
+	v.Waits = []telemetry.Quantiles{{What: "start", Count: 10, P50: float64(i), P99: 100, Max: 4000}}
 	return v
 }
 
 func TestScreen(t *testing.T) {
 	rows := []Row{{Addr: "a:1", View: view(0)}, {Addr: "a:2", View: view(1)}, {Addr: "a:3", Err: "no controller answered"}}
-	rows[0].View.StateSilentS = 65
+	rows[0].View.StateSilenceS = 65
 	text := Screen(rows, time.Unix(0, 0), 80, 24)
 	for _, want := range []string{"2 of 3 controllers answer, spindle-1 leads", "no state 1m05s", "no controller answered",
 		"   1 spindle-1         798    12", "STANDBYS  0: spindle-1 0.4s behind  1: spindle-0 reading", "start              20        1s", "placements-desk-1           1      1200       100      2000      40       1"} {
@@ -30,7 +30,7 @@
 		}
 	}
 	rows = rows[:1]
-	rows[0].View.Follows = nil
+	rows[0].View.Replicas = nil
 	if text := Screen(rows, time.Unix(0, 0), 80, 24); !strings.Contains(text, "STANDBYS  0: none") {
 		t.Error(text)
 	}
@@ -41,10 +41,10 @@
 
 func TestShares(t *testing.T) {
 	rows := []Row{{Addr: "a:1", View: view(0)}, {Addr: "a:2", View: view(1)}, {Addr: "a:3", Err: "no controller answered"}}
-	rows[0].View.Connected, rows[0].View.Room = 600, 1100
-	rows[0].View.Parts[0].Carried = []Carried{{By: "spindle-1", Shares: 4, Machines: 198, Active: true}, {By: "spindle-2", Shares: 1, Machines: 40}}
-	rows[0].View.Moves = []Move{{Part: 0, Share: 3, To: "spindle-1", Reason: "the owner is full", AgoS: 75}, {Part: 0, Share: 4, From: "spindle-1", Reason: "its carrier can't go on", AgoS: 5}}
-	text := Shares(rows)
+	rows[0].View.Connected, rows[0].View.Capacity = 600, 1100
+	rows[0].View.Partitions[0].Delegates = []Delegate{{Controller: "spindle-1", Shards: 4, Machines: 198, Active: true}, {Controller: "spindle-2", Shards: 1, Machines: 40}}
+	rows[0].View.Moves = []ShardMove{{Part: 0, Shard: 3, To: "spindle-1", Reason: "the owner is full", AgoS: 75}, {Part: 0, Shard: 4, From: "spindle-1", Reason: "its carrier can't go on", AgoS: 5}}
+	text := Delegations(rows)
 	for _, want := range []string{"spindle-0        windhoek           600   1100   55%", "a:3              no controller answered",
 		"   0 spindle-0        spindle-1              798  spindle-1: 198 in 4 shares, spindle-2: 40 in 1 shares (has not asked yet)",
 		"   1 spindle-1        spindle-0              798  nobody else",
@@ -56,7 +56,7 @@
 	if text := Screen(rows, time.Unix(0, 0), 80, 24); !strings.Contains(text, "CARRIED   0: 198 by spindle-1  0: 40 by spindle-2") {
 		t.Error(text)
 	}
-	if text := Shares(rows[1:2]); !strings.Contains(text, "no share has moved") {
+	if text := Delegations(rows[1:2]); !strings.Contains(text, "no share has moved") {
 		t.Error(text)
 	}
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -15,13 +15,13 @@
 		"user-problem":       golden.Fill(&protocol.Problem{}),
 		"user-arguments":     golden.Fill(&protocol.Arguments{}),
 		"user-reassignment":  golden.Fill(&protocol.Reassignment{}),
-		"user-sweep":         golden.Fill(&protocol.Sweep{}),
-		"user-sweep-result":  golden.Fill(&protocol.SweepResult{}),
+		"user-sweep":         golden.Fill(&protocol.CancelAll{}),
+		"user-sweep-result":  golden.Fill(&protocol.CancelAllResult{}),
 		"user-whoami":        golden.Fill(&protocol.WhoAmI{}),
 		"worker-report":      golden.Fill(&protocol.Heartbeat{}),
-		"worker-home":        golden.Fill(&protocol.Home{}),
+		"worker-home":        golden.Fill(&protocol.AssignedController{}),
 		"cloud-catalog":      golden.Fill(&protocol.Catalog{}),
-		"cloud-rental":       golden.Fill(&protocol.Rental{}),
+		"cloud-rental":       golden.Fill(&protocol.CreateMachinesRequest{}),
 		"cloud-names":        golden.Fill(&protocol.MachineNames{}),
 		"cloud-list":         golden.Fill(&protocol.MachineList{}),
 		"state-item":         golden.Fill(&protocol.Item{}),
@@ -44,7 +44,7 @@
 		Marshal:   func(value any) ([]byte, error) { return golden.SortedKeys(protocol.Encode(value)) },
 		Unmarshal: protocol.Decode,
 	}
-	orders := golden.Fill(&protocol.Orders{})
+	orders := golden.Fill(&protocol.CommandBatch{})
 	for i := range orders.Commands {
 		orders.Commands[i].Op = protocol.OpStop
 	}
@@ -66,7 +66,7 @@
 		{"job queued", protocol.StatusQueued, "queued"},
 		{"job running", protocol.StatusRunning, "running"},
 		{"job done", protocol.StatusDone, "done"},
-		{"job withdrawn", protocol.StatusWithdrawn, "withdrawn"},
+		{"job withdrawn", protocol.StatusCancelled, "withdrawn"},
 		{"task fetching", protocol.TaskFetching, "fetching"},
 		{"task running", protocol.TaskRunning, "running"},
 		{"task saving", protocol.TaskSaving, "flushing"},
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -257,14 +257,14 @@
 }
 
 // Ended says whether the job is over, for good.
-func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusWithdrawn }
+func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusCancelled }
 
 // The states of a job as users see them.
 const (
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
 	StatusDone      = "done"
-	StatusWithdrawn = "withdrawn"
+	StatusCancelled = "withdrawn"
 )
 
 // Problem is the body of an answer that refuses.
@@ -361,17 +361,17 @@
 	OpForget = "reap"
 )
 
-// Orders carries commands to a worker: an answer to its report (without a
+// CommandBatch carries commands to a worker: an answer to its report (without a
 // session) or the body of POST /orders.
-type Orders struct {
+type CommandBatch struct {
 	Token    uint64    `msgpack:"mandate"`
 	Epoch    uint64    `msgpack:"tenure,omitempty"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Home tells a worker which controller answers its reports.
-type Home struct {
-	Home string `msgpack:"home,omitempty"`
+// AssignedController tells a worker which controller answers its reports.
+type AssignedController struct {
+	Controller string `msgpack:"home,omitempty"`
 }
 
 // Catalog is the answer of the cloud's GET /catalog.
@@ -393,8 +393,8 @@
 	ZonesOffered []string `msgpack:"locales"`
 }
 
-// Rental is the body of the cloud's POST /machines.
-type Rental struct {
+// CreateMachinesRequest is the body of the cloud's POST /machines.
+type CreateMachinesRequest struct {
 	Request string `msgpack:"rental"`
 	Type    string `msgpack:"box"`
 	Zone    string `msgpack:"locale"`
@@ -537,15 +537,15 @@
 	Class string `msgpack:"jobclass"`
 }
 
-// Sweep is the body of POST /withdrawals: withdraw what somebody has submitted.
-type Sweep struct {
+// CancelAll is the body of POST /withdrawals: withdraw what somebody has submitted.
+type CancelAll struct {
 	By string `msgpack:"by"`
 }
 
-// SweepResult is the answer to a sweep.
-type SweepResult struct {
-	Withdrawn  int `msgpack:"withdrawn"`
-	Left       int `msgpack:"left"`
+// CancelAllResult is the answer to a sweep.
+type CancelAllResult struct {
+	Cancelled  int `msgpack:"withdrawn"`
+	Remaining  int `msgpack:"left"`
 	NotAllowed int `msgpack:"not_allowed"`
 }
 
--- a/internal/reapi/batch.go
+++ b/internal/reapi/batch.go
@@ -124,7 +124,7 @@
 	if slot := callSlotOf(ctx); slot != nil && slot.client != "" {
 		client = slot.client
 	}
-	if ledger := f.config.Shares.Waiting; ledger != nil && !ledger.Take(space, client, 1) {
+	if ledger := f.config.Shares.Waiting; ledger != nil && !ledger.Acquire(space, client, 1) {
 		return nil, retryLater(codes.ResourceExhausted, time.Second, "too many actions wait to be submitted")
 	}
 	t := &task{entry: entry, instance: instance, space: space, client: client, waiters: 1, queued: time.Now(), placed: make(chan struct{}), done: make(chan struct{})}
@@ -213,7 +213,7 @@
 	}
 	for i, t := range tasks {
 		if ledger := f.config.Shares.Waiting; ledger != nil {
-			ledger.Give(t.space, t.client, 1)
+			ledger.Release(t.space, t.client, 1)
 		}
 		t.job, t.index, t.err = job, i, err
 		if err != nil {
@@ -257,7 +257,7 @@
 	if err != nil || !jobStatus.Ended() {
 		return id, false, err
 	}
-	return id, jobStatus.Status == protocol.StatusWithdrawn || slices.ContainsFunc(tasks, func(t *task) bool {
+	return id, jobStatus.Status == protocol.StatusCancelled || slices.ContainsFunc(tasks, func(t *task) bool {
 		return f.findResult(ctx, key.instance, blob.Space, blobstore.Digest{Hash: t.entry.Execution}) == nil
 	}), nil
 }
--- a/internal/reapi/callslots.go
+++ b/internal/reapi/callslots.go
@@ -21,7 +21,7 @@
 	Waiting                 *admission.Ledger
 	// Ahead bounds how many of a team's actions may wait for a machine in the cluster.
 	// Further ones wait here, where the team's clients take turns.
-	Ahead admission.Ahead
+	Ahead admission.HandoffLimits
 }
 
 const (
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -29,7 +29,7 @@
 // refused at once, with a retry delay, if none is free.
 func TestTransferSlots(t *testing.T) {
 	config := oneTeam
-	q := admission.New(admission.Limits{AtOnce: 1, Waiting: 0})
+	q := admission.New(admission.Limits{Concurrency: 1, MaxWaiting: 0})
 	config.Shares.Transfers = q
 	rights := rightsOf{"anna view-arguments red": true, "anna submit red": true, "ben view-arguments blue": true}
 	open, _ := start(t, config, rights, roomy)
@@ -73,7 +73,7 @@
 func TestByteRate(t *testing.T) {
 	config := oneTeam
 	const rate = 16 << 20
-	config.Shares.Bytes = admission.New(admission.Limits{PerSecond: rate, Waiting: 100, Weights: map[string]float64{"blue": 3}})
+	config.Shares.Bytes = admission.New(admission.Limits{PerSecond: rate, MaxWaiting: 100, Weights: map[string]float64{"blue": 3}})
 	b, _ := start(t, config, Open{}, roomy)
 	data := random(4 << 20)
 	d := blobstore.Of(data).String()
--- a/internal/reapi/execution_test.go
+++ b/internal/reapi/execution_test.go
@@ -70,7 +70,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.states[job] = protocol.StatusWithdrawn
+	j.states[job] = protocol.StatusCancelled
 	return nil
 }
 
@@ -123,7 +123,7 @@
 // again when it is requested again. Since the job's id derives from the manifest, it was
 // once taken for the ended job, and the build never ended.
 func TestResubmissionAfterJobEnded(t *testing.T) {
-	for _, state := range []string{protocol.StatusWithdrawn, protocol.StatusDone} {
+	for _, state := range []string{protocol.StatusCancelled, protocol.StatusDone} {
 		b, f, jobs := startExecuting(t, oneTeam)
 		b = b.as("Bearer anna")
 		action := b.action("true")
--- a/internal/reapi/inspection.go
+++ b/internal/reapi/inspection.go
@@ -247,7 +247,7 @@
 		reply.State, reply.WaitsFor = stateRunning, fmt.Sprintf("its task, or a machine for it: %d tasks of its job run, %d are done", reply.JobRunning, reply.JobDone)
 	case protocol.StatusQueued:
 		reply.State, reply.WaitsFor = stateQueued, "a machine with room, in the order of urgency, within the team's limit"
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		reply.State, reply.WaitsFor = stateWithdrawn, "nothing: its job was withdrawn; execute it again"
 	case protocol.StatusDone:
 		if !reply.Cached {
--- a/internal/reapi/inspection_test.go
+++ b/internal/reapi/inspection_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	job := *(<-jobs.submitted).ID
-	for state, want := range map[string]string{protocol.StatusQueued: "queued", protocol.StatusRunning: "running", protocol.StatusWithdrawn: "withdrawn", protocol.StatusDone: "unknown"} {
+	for state, want := range map[string]string{protocol.StatusQueued: "queued", protocol.StatusRunning: "running", protocol.StatusCancelled: "withdrawn", protocol.StatusDone: "unknown"} {
 		jobs.mu.Lock()
 		jobs.states[job] = state
 		jobs.mu.Unlock()
--- a/internal/reapi/interest_test.go
+++ b/internal/reapi/interest_test.go
@@ -55,7 +55,7 @@
 func (j *scriptedJobs) withdrawn(operation string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.states[strings.Split(operation, "/")[1]] == protocol.StatusWithdrawn
+	return j.states[strings.Split(operation, "/")[1]] == protocol.StatusCancelled
 }
 
 // eventually waits until a condition holds; never checks that it does not hold for a while.
--- a/internal/reapi/operationstream.go
+++ b/internal/reapi/operationstream.go
@@ -159,7 +159,7 @@
 		return streamWaits, nil
 	}
 	switch jobStatus.Status {
-	case protocol.StatusWithdrawn:
+	case protocol.StatusCancelled:
 		s.frontEnd.forgetTask(s.task)
 		return streamClosed, s.sendCompleted(&repb.ExecuteResponse{Status: status.New(codes.Aborted, "its job was withdrawn").Proto()})
 	case protocol.StatusDone:
--- a/internal/reapi/restarts_test.go
+++ b/internal/reapi/restarts_test.go
@@ -230,7 +230,7 @@
 	}
 	config := oneTeam
 	config.MaxBlob, config.Class, config.Self = roomy.MaxBlob, "build", k.addrs[i]
-	config.Shares.Ahead = admission.Ahead{Least: 16, For: 100 * time.Millisecond}
+	config.Shares.Ahead = admission.HandoffLimits{Min: 16, MaxDuration: 100 * time.Millisecond}
 	believe := func(context.Context) bool { return true }
 	config.IsPeer, config.IsWorker = believe, believe
 	quiet := slog.New(slog.DiscardHandler)
--- a/internal/reapi/submitqueue.go
+++ b/internal/reapi/submitqueue.go
@@ -58,11 +58,11 @@
 	ahead, running := f.executions.load(key)
 	window := f.config.Shares.Ahead.Window(queue.served.PerSecond(now), running)
 	for len(queue.ready) > 0 {
-		waiting := make([]admission.Lot, len(queue.ready))
+		waiting := make([]admission.Batch, len(queue.ready))
 		for i, b := range queue.ready {
-			waiting[i] = admission.Lot{Client: b.client(), Size: len(b.tasks)}
+			waiting[i] = admission.Batch{Client: b.client(), Size: len(b.tasks)}
 		}
-		next := admission.Next(window, ahead, waiting)
+		next := admission.NextBatch(window, ahead, waiting)
 		if next < 0 {
 			return
 		}
@@ -152,7 +152,7 @@
 	b.tasks = without(b.tasks, t)
 	delete(f.executions.running, t.key())
 	if ledger := f.config.Shares.Waiting; ledger != nil {
-		ledger.Give(t.space, t.client, 1)
+		ledger.Release(t.space, t.client, 1)
 	}
 	if len(b.tasks) > 0 {
 		return true
--- a/internal/reapi/submitqueue_test.go
+++ b/internal/reapi/submitqueue_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config.Shares = Shares{Waiting: ledger, Ahead: admission.Ahead{Least: 30, For: time.Second}}
+	config.Shares = Shares{Waiting: ledger, Ahead: admission.HandoffLimits{Min: 30, MaxDuration: time.Second}}
 	b, f, jobs := startExecuting(t, config)
 	anna, bert := b.as("Bearer anna"), b.as("Bearer bert")
 	flood, end := context.WithCancel(anna.ctx)
@@ -113,7 +113,7 @@
 func TestSubmissionWindow(t *testing.T) {
 	config := oneTeam
 	config.GatherMost, config.GatherFor = 10, time.Hour // batches are full, however slow the machine
-	config.Shares.Ahead = admission.Ahead{Least: 10, For: time.Millisecond}
+	config.Shares.Ahead = admission.HandoffLimits{Min: 10, MaxDuration: time.Millisecond}
 	b, f, jobs := startExecuting(t, config)
 	b = b.as("Bearer anna")
 	actions := manyActions(b, "a", 40)
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -113,7 +113,7 @@
 		order:    order,
 		restore:  restore,
 		log:      log,
-		rate:     admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, Waiting: 1}),
+		rate:     admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, MaxWaiting: 1}),
 		silent:   map[string]time.Time{},
 	}, nil
 }
--- a/internal/rights/golden_test.go
+++ b/internal/rights/golden_test.go
@@ -40,7 +40,7 @@
 // The verbs stay as policies name them.
 func TestGoldenVerbs(t *testing.T) {
 	for verb, want := range map[rights.Verb]string{
-		rights.Submit: "submit", rights.View: "view", rights.ViewArguments: "view-arguments", rights.Withdraw: "withdraw",
+		rights.Submit: "submit", rights.View: "view", rights.ViewArguments: "view-arguments", rights.Cancel: "withdraw",
 		rights.Reassign: "reassign", rights.Administer: "administer", rights.Vouch: "vouch",
 	} {
 		if got := verb.String(); got != want {
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -25,7 +25,7 @@
 	Submit Verb = 1 << iota
 	View
 	ViewArguments
-	Withdraw
+	Cancel
 	Reassign
 	Administer
 	// Vouch lets a service say for whom it asks, where it has seen that somebody's
@@ -37,7 +37,7 @@
 var verbs = []struct {
 	name string
 	verb Verb
-}{{"submit", Submit}, {"view", View}, {"view-arguments", ViewArguments}, {"withdraw", Withdraw}, {"reassign", Reassign}, {"administer", Administer}, {"vouch", Vouch}}
+}{{"submit", Submit}, {"view", View}, {"view-arguments", ViewArguments}, {"withdraw", Cancel}, {"reassign", Reassign}, {"administer", Administer}, {"vouch", Vouch}}
 
 func (v Verb) String() string {
 	var names []string
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -41,7 +41,7 @@
 func TestGoldenOperator(t *testing.T) {
 	want := golden.Fill(&Operator{})
 	want.LimitShare = 0.75
-	want.MovePeriod, want.IdleReturn, want.ClaimTTL = 2*time.Second, 20*time.Second, 4*time.Second
+	want.MovePeriod, want.IdleReturn, want.LeaseTTL = 2*time.Second, 20*time.Second, 4*time.Second
 	want.Operations.Listen = "127.0.0.1:1007"
 	golden.RequireFilled(t, want)
 	text, err := yaml.Marshal(want)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -244,8 +244,8 @@
 	MovePeriod time.Duration `yaml:"move_period"`
 	// IdleReturn is how long a machine may stand idle before it is returned.
 	IdleReturn time.Duration `yaml:"idle_return"`
-	// ClaimTTL is how long a claim outlives its last renewal.
-	ClaimTTL time.Duration `yaml:"claim_ttl"`
+	// LeaseTTL is how long a claim outlives its last renewal.
+	LeaseTTL time.Duration `yaml:"claim_ttl"`
 	// Identity makes the controller ask who comes; absent: everybody may do
 	// everything, over connections in the clear.
 	Identity *Identity `yaml:"identity"`
@@ -279,7 +279,7 @@
 		LimitShare: 0.8,
 		MovePeriod: time.Second,
 		IdleReturn: 15 * time.Second,
-		ClaimTTL:   3 * time.Second,
+		LeaseTTL:   3 * time.Second,
 	}
 }
 
@@ -306,7 +306,7 @@
 		return op, errors.New("operator settings: move_period: must be at least 100ms")
 	case op.IdleReturn < time.Second:
 		return op, errors.New("operator settings: idle_return: must be at least 1s")
-	case op.ClaimTTL < time.Second || op.ClaimTTL > 10*time.Minute:
+	case op.LeaseTTL < time.Second || op.LeaseTTL > 10*time.Minute:
 		return op, errors.New("operator settings: claim_ttl: must lie between 1s and 10m")
 	}
 	if o := op.Operations; o != nil {
--- a/internal/storage/absence.go
+++ b/internal/storage/absence.go
@@ -67,8 +67,8 @@
 	a.mu.Lock()
 	if len(a.waiting) >= a.capacity {
 		a.mu.Unlock()
-		if s.PollsFull != nil {
-			s.PollsFull()
+		if s.OnPollRefused != nil {
+			s.OnPollRefused()
 		}
 		return false, fmt.Errorf("%w: budget used up", ErrRefused)
 	}
--- a/internal/storage/absence_test.go
+++ b/internal/storage/absence_test.go
@@ -230,7 +230,7 @@
 	} {
 		s := NewStore(&comparer{}, "state:1", tc.limits, 5)
 		refused := 0
-		s.PollsFull = func() { refused++ }
+		s.OnPollRefused = func() { refused++ }
 		s.absences.asking = true // so that all wait
 		s.absences.waiting = make([]*absence, tc.room-1)
 		gone, leave := context.WithCancel(t.Context())
--- a/internal/storage/compat_test.go
+++ b/internal/storage/compat_test.go
@@ -95,11 +95,11 @@
 		},
 		"run-empty": {&RunRecord{Done: [][2]int{}, Live: []Attempt{}}, &oldRun{Done: [][2]int{}, Live: []oldAttempt{}}},
 		"machine": {
-			&Machine{Partition: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, RentedMS: 1764600000123},
+			&Machine{Partition: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, CreatedMS: 1764600000123},
 			&oldMachine{Part: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, RentedMS: 1764600000123},
 		},
 		"final-done": {&Final{Status: protocol.StatusDone, AtMS: 1764600000123}, &oldFinal{Status: "done", AtMS: 1764600000123}},
-		"final-withdrawn": {&Final{Status: protocol.StatusWithdrawn, AtMS: 1764600000124},
+		"final-withdrawn": {&Final{Status: protocol.StatusCancelled, AtMS: 1764600000124},
 			&oldFinal{Status: "withdrawn", AtMS: 1764600000124}},
 		"claim": {&Lease{Holder: "spindle-0", Nonce: "N0NCE"}, &oldClaim{Owner: "spindle-0", Nonce: "N0NCE"}},
 	}
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -151,8 +151,8 @@
 	Type      string `msgpack:"t"`
 	Zone      string `msgpack:"z"`
 	Spot      bool   `msgpack:"s"`
-	// RentedMS is the wall clock of the rental, 0 for adopted machines.
-	RentedMS int64 `msgpack:"r"`
+	// CreatedMS is the wall clock of the rental, 0 for adopted machines.
+	CreatedMS int64 `msgpack:"r"`
 }
 
 // Final makes a job done or withdrawn.
@@ -196,9 +196,9 @@
 // counts it, JSON. It is the sum of the sizes of its parts, so that it can be
 // worked out without making the record.
 func (r *RunRecord) Size() int {
-	size := RunBase
+	size := RunBaseSize
 	for range r.Done {
-		size += RangeSize
+		size += DoneRangeSize
 	}
 	for i := range r.Live {
 		a := &r.Live[i]
@@ -208,11 +208,11 @@
 }
 
 const (
-	// RunBase is what a run record takes without tasks: {"d": [], "l": [],
+	// RunBaseSize is what a run record takes without tasks: {"d": [], "l": [],
 	// "n": 18446744073709551615}.
-	RunBase = 48
-	// RangeSize is what a range of done tasks takes: [99999, 99999] and a comma.
-	RangeSize = 16
+	RunBaseSize = 48
+	// DoneRangeSize is what a range of done tasks takes: [99999, 99999] and a comma.
+	DoneRangeSize = 16
 )
 
 // AttemptSize bounds what a live attempt takes of a run record: [99999,
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -31,8 +31,8 @@
 	ErrUnknown = errors.New("state service did not answer")
 	// ErrNotFound means that the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrTooOld means that a watch must start again from a listing.
-	ErrTooOld = errors.New("changes no longer kept")
+	// ErrCompacted means that a watch must start again from a listing.
+	ErrCompacted = errors.New("changes no longer kept")
 	// ErrLeaseGone means that a put named an expired lease.
 	ErrLeaseGone = errors.New("no such lease")
 	// ErrTooLarge means that a transaction is more than the service takes; the
@@ -55,8 +55,8 @@
 // with the other controllers: claim renewals go unhindered, then submissions
 // and withdrawals, then everything else.
 type Store struct {
-	// PollsFull, if set, is called when a user's question is refused since too many wait.
-	PollsFull func()
+	// OnPollRefused, if set, is called when a user's question is refused since too many wait.
+	OnPollRefused func()
 
 	net      Requester
 	addr     string
@@ -438,8 +438,8 @@
 	return s.changes(ctx, prefix, after, wait, patience)
 }
 
-// ChangePatience is how long an answer that is not to wait for a change may take.
-const ChangePatience = 3 * time.Second
+// ChangeTimeout is how long an answer that is not to wait for a change may take.
+const ChangeTimeout = 3 * time.Second
 
 func (s *Store) changes(ctx context.Context, prefix string, after uint64, wait, patience time.Duration) (*protocol.Events, error) {
 	var ev protocol.Events
@@ -449,7 +449,7 @@
 	case err != nil:
 		return nil, err
 	case status == 410:
-		return nil, ErrTooOld
+		return nil, ErrCompacted
 	case status != 200:
 		return nil, fmt.Errorf("%w: status %d", ErrUnknown, status)
 	}
@@ -460,7 +460,7 @@
 // a takeover waits for it.
 func (s *Store) CatchUp(ctx context.Context, prefix string, after uint64) (*protocol.Events, error) {
 	s.requests.Reserve()
-	return s.changes(ctx, prefix, after, 0, ChangePatience)
+	return s.changes(ctx, prefix, after, 0, ChangeTimeout)
 }
 
 // RevokeLease ends a lease at once; if that fails, it ends by itself.
--- a/internal/telemetry/bound.go
+++ b/internal/telemetry/bound.go
@@ -8,21 +8,21 @@
 
 // The bounds.
 const (
-	SummaryBytes    Bound = iota // summaries too large for a message, sent without details
-	JobProgress                  // summaries that have the progress of some jobs only
-	Demands                      // summaries that have the first demands of a partition only
-	Cancellations                // cancellation notices that were not kept
-	CarriedReports               // heartbeats refused since too many wait to be forwarded
-	ReplicaMessages              // replica updates that leave something for the next one
-	ReplicaStarts                // starts replicated ahead of their records, not kept
-	ReplicaMachines              // replicated machines, not kept
-	RecallBytes                  // state transfers too large for a message, sent without details
-	Classes                      // jobs of classes beyond those that are told apart
-	Estimates                    // classes whose run times are not learnt
-	Callers                      // callers whose allowance of unknown jobs was forgotten
-	WaitingPolls                 // polls refused since too many wait
-	PeerConnections              // connections of other controllers closed on arrival
-	Connections                  // connections of agents and users closed on arrival
+	SummaryBytes        Bound = iota // summaries too large for a message, sent without details
+	JobProgress                      // summaries that have the progress of some jobs only
+	Demands                          // summaries that have the first demands of a partition only
+	Cancellations                    // cancellation notices that were not kept
+	ForwardedHeartbeats              // heartbeats refused since too many wait to be forwarded
+	ReplicaUpdates                   // replica updates that leave something for the next one
+	ReplicaStarts                    // starts replicated ahead of their records, not kept
+	ReplicaMachines                  // replicated machines, not kept
+	StateTransferBytes               // state transfers too large for a message, sent without details
+	Classes                          // jobs of classes beyond those that are told apart
+	Estimates                        // classes whose run times are not learnt
+	Callers                          // callers whose allowance of unknown jobs was forgotten
+	WaitingPolls                     // polls refused since too many wait
+	PeerConnections                  // connections of other controllers closed on arrival
+	Connections                      // connections of agents and users closed on arrival
 	boundCount
 )
 
--- a/internal/telemetry/event.go
+++ b/internal/telemetry/event.go
@@ -5,21 +5,21 @@
 
 // The events.
 const (
-	Refused      Event = iota // users' requests that were refused
-	Late                      // jobs that ended after their deadline
-	Failed                    // attempts that ended without a result
-	Stopped                   // attempts that were preempted
-	MachineLost               // machines whose lease expired
-	Rented                    // machines that were requested
-	RentRefused               // requests for machines that the cloud refused
-	Conflict                  // transactions that found a key changed
-	Unanswered                // transactions without an answer
-	LeaseEnded                // leases of controllers that were gone, revoked early
-	TakeoverWarm              // takeovers of a partition from a replica
-	TakeoverCold              // takeovers of a partition from the state store
-	CopyDiffers               // replicas that differed from the state store
-	HandedOver                // partitions handed over at a planned end
-	ShareMoved                // shards of machines that changed their delegate
+	RequestRefused        Event = iota // users' requests that were refused
+	JobLate                            // jobs that ended after their deadline
+	AttemptFailed                      // attempts that ended without a result
+	AttemptPreempted                   // attempts that were preempted
+	MachineLeaseExpired                // machines whose lease expired
+	MachineRequested                   // machines that were requested
+	MachineRequestRefused              // requests for machines that the cloud refused
+	CommitConflict                     // transactions that found a key changed
+	CommitUnanswered                   // transactions without an answer
+	LeaseRevoked                       // leases of controllers that were gone, revoked early
+	TakeoverWarm                       // takeovers of a partition from a replica
+	TakeoverCold                       // takeovers of a partition from the state store
+	ReplicaDiffers                     // replicas that differed from the state store
+	PartitionHandedOver                // partitions handed over at a planned end
+	ShardMoved                         // shards of machines that changed their delegate
 	eventCount
 )
 
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -47,8 +47,8 @@
 	return m
 }
 
-// Took notes a wait that ended now. A negative one, by a clock that was set, counts as none.
-func (m *Metrics) Took(w Wait, took time.Duration, now time.Time) {
+// RecordWait notes a wait that ended now. A negative one, by a clock that was set, counts as none.
+func (m *Metrics) RecordWait(w Wait, took time.Duration, now time.Time) {
 	if m == nil {
 		return
 	}
--- a/internal/telemetry/quantiles.go
+++ b/internal/telemetry/quantiles.go
@@ -22,9 +22,9 @@
 	What  string `msgpack:"what" json:"what"`
 	Count int64  `msgpack:"count" json:"count"`
 	// P50 is the median, P99 the 99th percentile, Most the longest.
-	P50  float64 `msgpack:"p50" json:"p50"`
-	P99  float64 `msgpack:"p99" json:"p99"`
-	Most float64 `msgpack:"most" json:"most"`
+	P50 float64 `msgpack:"p50" json:"p50"`
+	P99 float64 `msgpack:"p99" json:"p99"`
+	Max float64 `msgpack:"most" json:"most"`
 }
 
 // Quantiles gives those of each wait that there was.
@@ -41,7 +41,7 @@
 		h.Merge(m.present[w])
 		if n := h.TotalCount(); n > 0 {
 			out = append(out, Quantiles{What: w.String(), Count: n, P50: seconds(h.ValueAtQuantile(50)),
-				P99: seconds(h.ValueAtQuantile(99)), Most: seconds(h.Max())})
+				P99: seconds(h.ValueAtQuantile(99)), Max: seconds(h.Max())})
 		}
 	}
 	return out
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -9,22 +9,22 @@
 
 func TestMetrics(t *testing.T) {
 	var none *Metrics
-	none.Took(Start, time.Second, time.Now())
-	none.Count(Late, 1)
+	none.RecordWait(Start, time.Second, time.Now())
+	none.Count(JobLate, 1)
 	none.Met(Demands, 1)
 	if none.Quantiles() != nil {
 		t.Error("the nil value has measured something")
 	}
 	m, now := New(), time.Unix(1000, 0)
 	for i := range 100 {
-		m.Took(Start, time.Duration(i+1)*100*time.Millisecond, now)
+		m.RecordWait(Start, time.Duration(i+1)*100*time.Millisecond, now)
 	}
-	m.Took(Finish, -time.Second, now) // a clock that was set
-	m.Took(Finish, 1000*time.Hour, now)
-	m.Count(Late, 3)
-	m.Met(CarriedReports, 2)
+	m.RecordWait(Finish, -time.Second, now) // a clock that was set
+	m.RecordWait(Finish, 1000*time.Hour, now)
+	m.Count(JobLate, 3)
+	m.Met(ForwardedHeartbeats, 2)
 	q := m.Quantiles()
-	if len(q) != 2 || q[0].What != "start" || q[0].Count != 100 || q[0].P50 < 4.9 || q[0].P50 > 5.2 || q[0].P99 < 9.8 || q[0].Most > 10.2 {
+	if len(q) != 2 || q[0].What != "start" || q[0].Count != 100 || q[0].P50 < 4.9 || q[0].P50 > 5.2 || q[0].P99 < 9.8 || q[0].Max > 10.2 {
 		t.Errorf("%+v", q)
 	}
 	var out bytes.Buffer
@@ -37,11 +37,11 @@
 		}
 	}
 	// Quantiles forget, the counts stay.
-	m.Took(Start, time.Second, now.Add(window))
+	m.RecordWait(Start, time.Second, now.Add(window))
 	if q := m.Quantiles(); q[0].Count != 101 {
 		t.Errorf("after a window %+v", q)
 	}
-	m.Took(Start, time.Second, now.Add(2*window))
+	m.RecordWait(Start, time.Second, now.Add(2*window))
 	if q := m.Quantiles(); len(q) != 1 || q[0].Count != 2 {
 		t.Errorf("after two windows %+v", q)
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -25,14 +25,14 @@
 
 // Client sends requests over pooled connections.
 type Client struct {
-	// Secure, if set, gives the TLS configuration for connections to an
+	// TLSConfig, if set, gives the TLS configuration for connections to an
 	// address; nil: in the clear.
-	Secure func(addr string) *tls.Config
-	// Crowded, if set, is how many open connections of the process, accepted ones among
+	TLSConfig func(addr string) *tls.Config
+	// CrowdedConnections, if set, is how many open connections of the process, accepted ones among
 	// them, are so many that none is kept for a next request: sockets that only wait
 	// would be missing for workers and users. Below it connections are kept, since
 	// dialling anew costs time and processor.
-	Crowded int
+	CrowdedConnections int
 
 	engine *Engine
 
@@ -84,10 +84,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Secure == nil {
+	if c.TLSConfig == nil {
 		return raw, nil
 	}
-	config := c.Secure(addr)
+	config := c.TLSConfig(addr)
 	if config == nil {
 		return raw, nil
 	}
@@ -148,7 +148,7 @@
 
 // crowded says whether sockets run out.
 func (c *Client) crowded() bool {
-	return c.Crowded > 0 && c.engine.open.Load() >= int64(c.Crowded)
+	return c.CrowdedConnections > 0 && c.engine.open.Load() >= int64(c.CrowdedConnections)
 }
 
 // SweepUntil sweeps now and then until ctx ends, and soon where sockets run out.
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -37,12 +37,12 @@
 	// that a flood of users leaves sockets for workers and the state service.
 	MaxConns int
 	MaxBody  int
-	// Secure, if set, gives the TLS configuration for each new connection.
-	Secure func() *tls.Config
-	// Full, if set, is called for each connection that is closed on arrival since there
+	// TLSConfig, if set, gives the TLS configuration for each new connection.
+	TLSConfig func() *tls.Config
+	// OnRefused, if set, is called for each connection that is closed on arrival since there
 	// are too many.
-	Full func()
-	open atomic.Int64
+	OnRefused func()
+	open      atomic.Int64
 }
 
 // Engine carries every connection of the process: one gnet event loop for the
@@ -162,8 +162,8 @@
 	}
 	if l.open.Add(1) > int64(l.MaxConns) {
 		l.open.Add(-1)
-		if l.Full != nil {
-			l.Full()
+		if l.OnRefused != nil {
+			l.OnRefused()
 		}
 		slog.Debug("connection refused", "reason", "too many connections", "addr", l.Addr)
 		return nil, gnet.Close
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -116,7 +116,7 @@
 // A flood of connections must leave the process its sockets.
 func TestConnectionsPastTheBoundAreRefused(t *testing.T) {
 	var counted atomic.Int64
-	addr, _ := runListener(t, &Listener{Handler: echo, MaxConns: 2, Full: func() { counted.Add(1) }})
+	addr, _ := runListener(t, &Listener{Handler: echo, MaxConns: 2, OnRefused: func() { counted.Add(1) }})
 	var open []net.Conn
 	refused := 0
 	for range 6 {
@@ -164,13 +164,13 @@
 	ask()
 	ask()
 	settles(2) // one, at both of its ends
-	client.Crowded = 2
+	client.CrowdedConnections = 2
 	ask()
 	settles(0)
-	client.Crowded = 3
+	client.CrowdedConnections = 3
 	ask()
 	settles(2)
-	client.Crowded = 2
+	client.CrowdedConnections = 2
 	swept := make(chan struct{})
 	sweeping, stop := context.WithCancel(ctx)
 	go func() { defer close(swept); client.SweepUntil(sweeping) }()
--- a/internal/transport/secure_test.go
+++ b/internal/transport/secure_test.go
@@ -54,7 +54,7 @@
 func serveTLS(t *testing.T, server func() *tls.Config, clientSide func(string) *tls.Config) (string, *transport.Client) {
 	addr := freeAddr()
 	client := transport.NewClient()
-	client.Secure = clientSide
+	client.TLSConfig = clientSide
 	ctx, cancel := context.WithCancel(context.Background())
 	up, down := make(chan struct{}), make(chan error, 1)
 	handler := func(_ context.Context, r *transport.Request) transport.Response {
@@ -67,7 +67,7 @@
 		return transport.Response{Status: 200, Body: fmt.Appendf(nil, "%s %s %d", who, r.Authorization, len(r.Body))}
 	}
 	go func() {
-		down <- transport.Run(ctx, []*transport.Listener{{Addr: addr, Handler: handler, MaxConns: 50, MaxBody: 200_000, Secure: server}}, func(e *transport.Engine) {
+		down <- transport.Run(ctx, []*transport.Listener{{Addr: addr, Handler: handler, MaxConns: 50, MaxBody: 200_000, TLSConfig: server}}, func(e *transport.Engine) {
 			client.Attach(e)
 			close(up)
 			<-ctx.Done()
@@ -92,8 +92,8 @@
 func TestRequestsOverTLS(t *testing.T) {
 	a := newAuthority(t, time.Now())
 	server, client := a.ring("controller/n0", time.Now(), time.Hour), a.ring("controller/n1", time.Now(), time.Hour)
-	addr, c := serveTLS(t, func() *tls.Config { return server.Server(true) }, func(string) *tls.Config {
-		return client.Client(func(n identity.Name) bool { return n.String() == "controller/n0" })
+	addr, c := serveTLS(t, func() *tls.Config { return server.ServerConfig(true) }, func(string) *tls.Config {
+		return client.ClientConfig(func(n identity.Name) bool { return n.String() == "controller/n0" })
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -135,7 +135,7 @@
 		"server's is not valid yet": {a.ring("controller/n8", now.Add(time.Hour), time.Hour), a.ring("controller/n9", now, time.Hour), anybody},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, c := serveTLS(t, func() *tls.Config { return tc.server.Server(true) }, func(string) *tls.Config { return tc.client.Client(tc.accept) })
+			addr, c := serveTLS(t, func() *tls.Config { return tc.server.ServerConfig(true) }, func(string) *tls.Config { return tc.client.ClientConfig(tc.accept) })
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			if resp, err := c.Do(ctx, addr, "GET", "/", nil); err == nil {
@@ -144,7 +144,7 @@
 		})
 	}
 	t.Run("nobody's", func(t *testing.T) {
-		addr, _ := serveTLS(t, func() *tls.Config { return server.Server(true) }, nil)
+		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(true) }, nil)
 		conn, err := tls.Dial("tcp4", addr, &tls.Config{InsecureSkipVerify: true})
 		if err == nil {
 			_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
@@ -155,13 +155,13 @@
 		}
 	})
 	t.Run("an old TLS", func(t *testing.T) {
-		addr, _ := serveTLS(t, func() *tls.Config { return server.Server(false) }, nil)
+		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 		if _, err := tls.Dial("tcp4", addr, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}); err == nil {
 			t.Error("TLS 1.2 was taken")
 		}
 	})
 	t.Run("in the clear", func(t *testing.T) {
-		addr, _ := serveTLS(t, func() *tls.Config { return server.Server(false) }, nil)
+		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 		c := must(net.Dial("tcp4", addr))
 		_, _ = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -170,7 +170,7 @@
 		}
 	})
 	t.Run("a silent client", func(t *testing.T) {
-		addr, _ := serveTLS(t, func() *tls.Config { return server.Server(false) }, nil)
+		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 		c := must(net.Dial("tcp4", addr))
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		begun := time.Now()
@@ -189,7 +189,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go server.Watch(ctx, discard())
-	addr, _ := serveTLS(t, func() *tls.Config { return server.Server(false) }, nil)
+	addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 	roots := x509.NewCertPool()
 	roots.AddCert(a.ca.Root())
 	var serials sync.Map
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -18,11 +18,11 @@
 
 // accept serves one connection, over TLS if the listener asks for it.
 func accept(ctx context.Context, raw *stream, l *Listener) {
-	if l.Secure == nil {
+	if l.TLSConfig == nil {
 		serve(ctx, raw, l, nil)
 		return
 	}
-	s, err := secure(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.Secure()) })
+	s, err := secure(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.TLSConfig()) })
 	if err != nil {
 		slog.Debug("connection refused", "reason", err, "from", raw.from())
 		raw.close()
