--- /dev/null
+++ b/internal/blobstore/store.go
@@ -0,0 +1,299 @@
+// Package blobstore stores blobs on disk under their digests, bounded in size, for several
+// spaces that do not see each other's blobs. A blob is stored whole or not at all. Blobs
+// are evicted in the order of their last use, but not while they are pinned or retained.
+// The package also stores small records, the action results. It knows no protocol.
+package blobstore
+
+import (
+	"container/list"
+	"encoding/hex"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// Key identifies a blob in a space.
+type Key struct {
+	Space string
+	Digest
+}
+
+// Options bound a store.
+type Options struct {
+	// MaxBytes bounds all blobs and uploads, MaxBlob one blob.
+	MaxBytes int64
+	MaxBlob  int64
+	// Quotas are the bytes that spaces are guaranteed: blobs within the quota of their space
+	// are not evicted for other spaces. A space takes more while there is room. One that
+	// is not named has no quota.
+	Quotas map[string]int64
+	// Promise is the retention: how long a blob is not evicted after a caller was told
+	// that the store has it.
+	Promise time.Duration
+}
+
+// Opened says what was found in the store's directory.
+type Opened struct {
+	Blobs int
+	Bytes int64
+	// Torn counts incomplete files, which were removed; Kept counts interrupted uploads,
+	// which can be resumed.
+	Torn, Kept int
+}
+
+// Store is a store of blobs. It is safe for concurrent use; one process at a time owns its
+// directory.
+type Store struct {
+	dir     string
+	options Options
+	lock    *os.File
+
+	mu          sync.Mutex
+	entries     map[Key]*entry
+	order       list.List // of *entry, the least recently used first
+	used        int64     // bytes of blobs and interrupted uploads, and reserved for uploads
+	bySpace     map[string]int64
+	interrupted map[string]interruptedUpload // by path, of earlier processes
+	evicted     int64
+	corrupt     int64
+}
+
+// entry is a stored blob.
+type entry struct {
+	key           Key
+	element       *list.Element // in the store's order
+	retainedUntil time.Time
+	pins          int
+	// verified: its bytes were checked since the process started.
+	verified bool
+}
+
+// Names in the store's directory.
+const (
+	blobDir  = "blobs"
+	tempDir  = "uploads"
+	lockFile = "lock"
+)
+
+// Open opens the store in a directory, which is created if it does not exist. Files that a
+// killed process left incomplete are removed.
+func Open(dir string, options Options) (*Store, Opened, error) {
+	var found Opened
+	if err := options.check(); err != nil {
+		return nil, found, err
+	}
+	for _, d := range []string{filepath.Join(dir, blobDir), filepath.Join(dir, tempDir)} {
+		if err := os.MkdirAll(d, 0o700); err != nil {
+			return nil, found, wrap(err)
+		}
+	}
+	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, found, wrap(err)
+	}
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = lock.Close()
+		return nil, found, fmt.Errorf("content: %s is in use by another process", dir)
+	}
+	s := &Store{
+		dir:         dir,
+		options:     options,
+		lock:        lock,
+		entries:     map[Key]*entry{},
+		bySpace:     map[string]int64{},
+		interrupted: map[string]interruptedUpload{},
+	}
+	if err := s.scan(&found); err != nil {
+		_ = lock.Close()
+		return nil, found, err
+	}
+	return s, found, nil
+}
+
+// check validates the options.
+func (o Options) check() error {
+	quotas := int64(0)
+	for space, quota := range o.Quotas {
+		if quotas += quota; quota < 0 || quotas > o.MaxBytes {
+			return fmt.Errorf("%w: the quotas of the content store, at %q", ErrInvalid, space)
+		}
+	}
+	if o.MaxBytes <= 0 || o.MaxBlob <= 0 || o.MaxBlob > o.MaxBytes || o.Promise < 0 {
+		return fmt.Errorf("%w: bounds of the content store", ErrInvalid)
+	}
+	return nil
+}
+
+// Close releases the directory.
+func (s *Store) Close() error { return s.lock.Close() }
+
+// scan finds the blobs in the directory, in the order of their modification.
+func (s *Store) scan(found *Opened) error {
+	if err := s.scanUploads(found); err != nil {
+		return wrap(err)
+	}
+	var files []storedFile
+	err := filepath.WalkDir(filepath.Join(s.dir, blobDir), func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() {
+			return err
+		}
+		info, err := d.Info()
+		if err != nil {
+			return err
+		}
+		key, ok := s.parsePath(path)
+		if !ok || info.Size() != key.Size {
+			found.Torn++
+			return os.Remove(path)
+		}
+		files = append(files, storedFile{key, info.ModTime()})
+		return nil
+	})
+	if err != nil {
+		return wrap(err)
+	}
+	sortByTime(files)
+	for _, file := range files {
+		s.addEntry(file.key, false)
+		s.bySpace[file.key.Space] += file.key.Size
+		found.Blobs++
+		found.Bytes += file.key.Size
+	}
+	s.used = found.Bytes
+	return nil
+}
+
+// path returns the file of a blob: blobs/SPACE/HH/HASH-SIZE[-FUNCTION], with the space in hex.
+func (s *Store) path(key Key) string {
+	name := key.Hash + "-" + strconv.FormatInt(key.Size, 10)
+	if key.Function != SHA256 {
+		name += "-" + key.Function.String()
+	}
+	return filepath.Join(s.dir, blobDir, hex.EncodeToString([]byte(key.Space)), key.Hash[:2], name)
+}
+
+// parsePath returns the key of the blob in a file.
+func (s *Store) parsePath(path string) (Key, bool) {
+	relative, err := filepath.Rel(filepath.Join(s.dir, blobDir), path)
+	parts := strings.Split(relative, string(filepath.Separator))
+	if err != nil || len(parts) != 3 {
+		return Key{}, false
+	}
+	space, spaceErr := hex.DecodeString(parts[0])
+	hash, rest, _ := strings.Cut(parts[2], "-")
+	digits, function, _ := strings.Cut(rest, "-")
+	size, sizeErr := strconv.ParseInt(digits, 10, 64)
+	key := Key{string(space), Digest{Hash: hash, Size: size}}
+	key.Function, _ = Named(function)
+	return key, spaceErr == nil && sizeErr == nil && key.Check() == nil && s.path(key) == path
+}
+
+// addEntry adds a blob as the most recently used. s.mu is held.
+func (s *Store) addEntry(key Key, verified bool) *entry {
+	e := &entry{key: key, verified: verified}
+	e.element = s.order.PushBack(e)
+	s.entries[key] = e
+	return e
+}
+
+// removeEntry removes a blob from the index and frees its bytes. s.mu is held.
+func (s *Store) removeEntry(e *entry) {
+	s.order.Remove(e.element)
+	delete(s.entries, e.key)
+	s.account(e.key.Space, -e.key.Size)
+}
+
+// forget removes a blob whose file is gone or corrupt from the index.
+func (s *Store) forget(key Key) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if e := s.entries[key]; e != nil {
+		s.removeEntry(e)
+	}
+}
+
+// Missing returns the digests whose blobs are not in the store, and retains the others.
+func (s *Store) Missing(space string, digests []Digest) []Digest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	until := time.Now().Add(s.options.Promise)
+	var missing []Digest
+	for _, digest := range digests {
+		if digest.IsEmpty() {
+			continue
+		}
+		e := s.entries[Key{space, digest}]
+		if e == nil {
+			missing = append(missing, digest)
+			continue
+		}
+		e.retainedUntil = until
+		s.order.MoveToBack(e.element)
+	}
+	return missing
+}
+
+// Has reports whether a blob is in the store, and retains it if so.
+func (s *Store) Has(key Key) bool { return len(s.Missing(key.Space, []Digest{key.Digest})) == 0 }
+
+// Lacks returns the digests whose blobs are not in the store, without retaining the others.
+func (s *Store) Lacks(space string, digests []Digest) []Digest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var missing []Digest
+	for _, digest := range digests {
+		if !digest.IsEmpty() && s.entries[Key{space, digest}] == nil {
+			missing = append(missing, digest)
+		}
+	}
+	return missing
+}
+
+// Pin prevents the eviction of blobs until the returned function is called. If some are
+// missing, it returns these and pins none.
+func (s *Store) Pin(space string, digests []Digest) (unpin func(), missing []Digest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var pinned []*entry
+	for _, digest := range digests {
+		if digest.IsEmpty() {
+			continue
+		}
+		if e := s.entries[Key{space, digest}]; e != nil {
+			pinned = append(pinned, e)
+		} else {
+			missing = append(missing, digest)
+		}
+	}
+	if len(missing) > 0 {
+		return func() {}, missing
+	}
+	for _, e := range pinned {
+		e.pins++
+		s.order.MoveToBack(e.element)
+	}
+	return sync.OnceFunc(func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for _, e := range pinned {
+			e.pins--
+		}
+	}), nil
+}
+
+// Keys returns the keys of all blobs, in no order.
+func (s *Store) Keys() []Key {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	keys := make([]Key, 0, len(s.entries))
+	for key := range s.entries {
+		keys = append(keys, key)
+	}
+	return keys
+}
--- a/internal/reapi/bench_test.go
+++ b/internal/reapi/bench_test.go
@@ -18,8 +18,8 @@
 
 // Command: GATE_THROUGHPUT=1 go test -run TestThroughput -v ./internal/reapi
 //
-// Blobs up over gRPC on loopback against writing and syncing files, and down into
-// files against copying files, in one run; and results told a second.
+// TestThroughput measures uploads over gRPC on loopback against writing and syncing files,
+// downloads into files against copying files, and action results per second, in one run.
 func TestThroughput(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
@@ -31,7 +31,7 @@
 		data[i] = random(size)
 	}
 	rate := func(f func(i int)) float64 {
-		begun := time.Now()
+		started := time.Now()
 		var wg sync.WaitGroup
 		for w := range 4 {
 			wg.Go(func() {
@@ -41,7 +41,7 @@
 			})
 		}
 		wg.Wait()
-		return float64(blobs*size) / 1e6 / time.Since(begun).Seconds()
+		return float64(blobs*size) / 1e6 / time.Since(started).Seconds()
 	}
 	dir := t.TempDir()
 	path := func(i int) string { return filepath.Join(dir, fmt.Sprint(i)) }
@@ -62,7 +62,7 @@
 			t.Error(err)
 			return
 		}
-		defer out.Close() //nolint:errcheck // a copy that nobody needs
+		defer out.Close() //nolint:errcheck // a copy that is not used
 		if err := f(struct{ io.Writer }{out}); err != nil {
 			t.Error(err)
 		}
@@ -74,69 +74,69 @@
 				return err
 			}
 			defer f.Close() //nolint:errcheck // only read
-			_, err = io.CopyBuffer(w, struct{ io.Reader }{f}, make([]byte, chunk))
+			_, err = io.CopyBuffer(w, struct{ io.Reader }{f}, make([]byte, chunkSize))
 			return err
 		})
 	})
 	up := rate(func(i int) {
-		if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data[i]).String(), data[i], 0, chunk, true); err != nil {
+		if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data[i]).String(), data[i], 0, chunkSize, true); err != nil {
 			t.Error(err)
 		}
 	})
 	down := rate(func(i int) {
 		to(i, func(w io.Writer) error { return b.downloadTo(w, "blobs/"+blobstore.Of(data[i]).String(), 0, 0) })
 	})
-	action := wire(blobstore.Of([]byte("a")))
+	action := digestToProto(blobstore.Of([]byte("a")))
 	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: b.blob(random(100))}}}
 	if _, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result}); err != nil {
 		t.Fatal(err)
 	}
-	begun, hits := time.Now(), 0
-	for time.Since(begun) < 2*time.Second {
+	started, hits := time.Now(), 0
+	for time.Since(started) < 2*time.Second {
 		if _, err := b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil {
 			t.Fatal(err)
 		}
 		hits++
 	}
 	t.Logf("up %.0f MB/s, %.2f of writing files (%.0f); down %.0f MB/s, %.2f of copying files (%.0f); %.0f results a second to one client",
-		up, up/write, write, down, down/read, read, float64(hits)/time.Since(begun).Seconds())
+		up, up/write, write, down, down/read, read, float64(hits)/time.Since(started).Seconds())
 }
 
 // Command: GATE_THROUGHPUT=1 go test -run TestRepairSpeed -v ./internal/reapi
 //
-// Copying what a lost gate held to another one, unpaced, against a client writing
-// the same blobs to one gate.
+// TestRepairSpeed measures the copying of a lost front end's blobs to a peer, unthrottled,
+// against a client that writes the same blobs to one front end.
 func TestRepairSpeed(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
 	}
-	s := startSeveral(t, 2, 1)
+	s := startGroup(t, 2, 1)
 	a := s.clients[0]
 	const blobs, size = 30, 1 << 20
-	begun := time.Now()
+	started := time.Now()
 	for range blobs {
 		data := random(size)
-		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunk, true); err != nil {
+		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write := float64(blobs*size) / 1e6 / time.Since(begun).Seconds()
-	r, err := s.gates[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
+	write := float64(blobs*size) / 1e6 / time.Since(started).Seconds()
+	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun = time.Now()
+	started = time.Now()
 	if err := r.Pass(a.ctx); err != nil {
 		t.Fatal(err)
 	}
-	took := time.Since(begun).Seconds()
+	took := time.Since(started).Seconds()
 	if p := r.Progress(); p.Copied != blobs {
 		t.Fatalf("%+v", p)
 	}
-	begun = time.Now()
+	started = time.Now()
 	if err := r.Pass(a.ctx); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("copied at %.0f MB/s, %.2f of a client's writing (%.0f); read at rest at %.0f MB/s", float64(blobs*size)/1e6/took,
-		float64(blobs*size)/1e6/took/write, write, float64(blobs*size)/1e6/time.Since(begun).Seconds())
+		float64(blobs*size)/1e6/took/write, write, float64(blobs*size)/1e6/time.Since(started).Seconds())
 }
--- a/internal/reapi/waiting_test.go
+++ b/internal/reapi/waiting_test.go
@@ -20,43 +20,43 @@
 	"micaspindle/internal/protocol"
 )
 
-// instantJobs are controllers whose machines take no time: whoever submits a job
-// has its results at once. Accepting and ending a job are a change each.
+// instantJobs is a fake of the controllers whose machines take no time: a submitted job has
+// its results at once. Accepting and ending a job are one transaction each.
 type instantJobs struct {
 	scriptedJobs
 	g       *FrontEnd
 	changes *rate.Limiter
 }
 
-func (j *instantJobs) Submit(ctx context.Context, cred string, s *protocol.Submission) (st protocol.JobStatus, err error) {
+func (j *instantJobs) Submit(ctx context.Context, credential string, s *protocol.Submission) (jobStatus protocol.JobStatus, err error) {
 	if err := j.changes.WaitN(ctx, 2); err != nil {
-		return st, err
+		return jobStatus, err
 	}
 	manifest, instance, _ := ParseImage(*s.Image)
 	raw, err := j.g.store.Read(blobstore.Key{Space: "red", Digest: manifest}, maxTreeNode)
 	if err != nil {
-		return st, err
+		return jobStatus, err
 	}
 	m, err := ParseManifest(raw)
 	if err != nil {
-		return st, err
+		return jobStatus, err
 	}
 	go func() {
 		for i := range m.Tasks {
 			_, _ = j.g.RecordResult(context.Background(), instance, "red", &m.Tasks[i], &repb.ActionResult{}, false)
 		}
 	}()
-	return st, nil
+	return jobStatus, nil
 }
 
-// perConnection is how many waits a connection of the test carries.
+// perConnection is how many waiting calls a connection of the test carries.
 const perConnection = 2000
 
 // Command: GATE_THROUGHPUT=1 go test -run TestSmallActions -v ./internal/reapi
 //
-// The delay that a gate adds to a small action; actions a second under a budget of
-// changes, gathered and not, in one run; memory of waiting actions, of the gate and
-// its clients in one process.
+// TestSmallActions measures the delay that a front end adds to a small action; actions per
+// second under a budget of transactions, in batches and not, in one run; and the memory of
+// waiting actions, of the front end and its clients in one process.
 func TestSmallActions(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
@@ -77,17 +77,17 @@
 		}
 	}
 	instant := func(config Config, changes float64) *build {
-		b, g, _ := startExecuting(t, config)
-		g.jobs = &instantJobs{g: g, changes: rate.NewLimiter(rate.Limit(changes), 2)}
+		b, f, _ := startExecuting(t, config)
+		f.jobs = &instantJobs{g: f, changes: rate.NewLimiter(rate.Limit(changes), 2)}
 		return b.as("Bearer anna")
 	}
 	b := instant(oneTeam, 1e9)
 	var delays []time.Duration
 	for i := range 40 {
 		a := b.action(fmt.Sprint("delay ", i))
-		begun := time.Now()
+		started := time.Now()
 		run(b, a)
-		delays = append(delays, time.Since(begun))
+		delays = append(delays, time.Since(started))
 	}
 	slices.Sort(delays)
 	t.Logf("added delay of one small action: p50 %s, longest %s, of which %s are the gathering", delays[20].Round(time.Millisecond),
@@ -99,10 +99,10 @@
 		b := instant(config, changes)
 		var done atomic.Int64
 		var wg sync.WaitGroup
-		begun := time.Now()
+		started := time.Now()
 		for w := range clients {
 			wg.Go(func() {
-				for i := 0; time.Since(begun) < 6*time.Second; i++ {
+				for i := 0; time.Since(started) < 6*time.Second; i++ {
 					run(b, b.action(fmt.Sprint(most, w, i)))
 					done.Add(1)
 					if most == 1 && done.Load() > 60 {
@@ -111,13 +111,13 @@
 				}
 			})
 		}
-		for most == 1 && time.Since(begun) < 6*time.Second {
+		for most == 1 && time.Since(started) < 6*time.Second {
 			time.Sleep(50 * time.Millisecond)
 		}
-		n, took := done.Load(), time.Since(begun).Seconds()
+		n, took := done.Load(), time.Since(started).Seconds()
 		if most > 1 {
 			wg.Wait()
-			n, took = done.Load(), time.Since(begun).Seconds()
+			n, took = done.Load(), time.Since(started).Seconds()
 		}
 		return float64(n) / took
 	}
@@ -145,7 +145,7 @@
 			defer conn.Close() //nolint:errcheck // the test ends
 			conns = append(conns, conn)
 		}
-		before, begun := held(), time.Now()
+		before, started := held(), time.Now()
 		var open sync.WaitGroup
 		for i, a := range actions {
 			open.Go(func() {
@@ -159,7 +159,7 @@
 			})
 		}
 		open.Wait()
-		t.Logf("%d actions wait over %d connections, after %s: %.1f kB each, client and gate together", n, len(conns),
-			time.Since(begun).Round(time.Millisecond), float64(held()-before)/1000/float64(n))
+		t.Logf("%d actions wait over %d connections, after %s: %.1f kB each, client and front end together", n, len(conns),
+			time.Since(started).Round(time.Millisecond), float64(held()-before)/1000/float64(n))
 	}
 }
