--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 
 .PHONY: check build demo demo-build regress regress-full regress-scenarios regress-fault-search regress-night regress-hunt
 check: build ## what CI runs: build, formatter, linters, tests with the race detector, benchmarks once
-	test -z "$$(gofmt -l cmd internal)"
+	test -z "$$(gofmt -l cmd docs internal)"
 	go vet ./...
 	go tool staticcheck -checks all ./...
 	target/micaspindle-regress tests
--- a/cmd/micaspindle-devcluster/cluster.go
+++ b/cmd/micaspindle-devcluster/cluster.go
@@ -69,7 +69,7 @@
 	}
 	options.Dir = f.Dir
 	if f.Identities {
-		if options.Hosted, err = devcluster.Prepare(f.Dir, f.Controllers); err != nil {
+		if options.Identities, err = devcluster.Prepare(f.Dir, f.Controllers); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -109,7 +109,7 @@
 		RPS:         stateRequestsPerSecond,
 		Machines:    f.Machines,
 		Sockets:     f.Sockets,
-		Gates:       frontends.Frontends,
+		FrontEnds:   frontends.Frontends,
 	}
 	var err error
 	if options.Binary, err = devcluster.FindBinary(f.Binary, controllerProgram); err != nil {
@@ -118,7 +118,7 @@
 	if frontends.Frontends == 0 {
 		return options, nil
 	}
-	if options.GateBinary, err = devcluster.FindBinary(frontends.FrontendBinary, frontendProgram); err != nil {
+	if options.FrontEndBinary, err = devcluster.FindBinary(frontends.FrontendBinary, frontendProgram); err != nil {
 		return options, usageError{err}
 	}
 	return options, nil
--- a/cmd/micaspindle-devcluster/up.go
+++ b/cmd/micaspindle-devcluster/up.go
@@ -34,8 +34,8 @@
 	}
 	client, self := programPaths()
 	printClientHints(cluster, client)
-	if addresses := cluster.GateAddrs(); len(addresses) > 0 {
-		fmt.Print(buildHints(self, addresses, cluster.Hosted()))
+	if addresses := cluster.FrontEndAddrs(); len(addresses) > 0 {
+		fmt.Print(buildHints(self, addresses, cluster.Identities()))
 	}
 	fmt.Println("Ctrl-C stops the cluster.")
 	reportExits(ctx, cluster)
@@ -50,11 +50,11 @@
 	for _, n := range cluster.Nodes() {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", n.Label, n.Addr, n.Pid(), n.LogFile)
 	}
-	if err := w.Flush(); err != nil || len(cluster.Gates()) == 0 {
+	if err := w.Flush(); err != nil || len(cluster.FrontEnds()) == 0 {
 		return err
 	}
 	fmt.Fprintln(w, "\nFRONT END\tADDRESS\tPROCESS\tLOG")
-	for _, g := range cluster.Gates() {
+	for _, g := range cluster.FrontEnds() {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", g.Label, g.Addr, g.Pid(), g.LogFile)
 	}
 	return w.Flush()
@@ -77,7 +77,7 @@
 		operations = append(operations, n.Operations)
 	}
 	credentials := ""
-	if h := cluster.Hosted(); h != nil {
+	if h := cluster.Identities(); h != nil {
 		credentials = fmt.Sprintf("  export SPINDLE_ROOTS=%s\n  export SPINDLE_TOKEN_FILE=%s  # or of %s\n  %s whoami\n  %s policy show\n  %s audit list\n",
 			h.Roots, h.TokenFile(devcluster.Administrator), strings.Join(h.Others(), ", "), client, client, client)
 	}
@@ -95,8 +95,8 @@
 
 // reportExits reports processes that exit by themselves, until ctx ends.
 func reportExits(ctx context.Context, cluster *devcluster.Cluster) {
-	exited := make(chan string, len(cluster.Nodes())+len(cluster.Gates()))
-	for _, g := range cluster.Gates() {
+	exited := make(chan string, len(cluster.Nodes())+len(cluster.FrontEnds()))
+	for _, g := range cluster.FrontEnds() {
 		go func() {
 			<-g.Exited()
 			exited <- g.Label
@@ -121,7 +121,7 @@
 }
 
 // buildHints are the flags for a build tool and a command to try, ready to copy.
-func buildHints(self string, addresses []string, h *devcluster.Hosted) string {
+func buildHints(self string, addresses []string, h *devcluster.Identities) string {
 	scheme, toolFlags, ownFlags := "grpc", "", ""
 	if h != nil {
 		scheme = "grpcs"
--- a/cmd/micaspindle-reapi/authentication.go
+++ b/cmd/micaspindle-reapi/authentication.go
@@ -48,7 +48,7 @@
 	}
 	go keys.Watch(ctx, log)
 	controllers := client.New(s.Controllers, keys.ClientConfig(isController), "")
-	access, err := reapi.NewAsker(controllers, s.Class)
+	access, err := reapi.NewControllerAccess(controllers, s.Class)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 func unauthenticated(s *settings) *authentication {
 	believe := func(context.Context) bool { return true }
 	a := &authentication{
-		access:          reapi.Open{},
+		access:          reapi.OpenAccess{},
 		controllers:     client.New(s.Controllers, nil, ""),
 		peerCredentials: func(string) credentials.TransportCredentials { return insecure.NewCredentials() },
 		isWorker:        believe,
--- a/cmd/micaspindle-reapi/serve.go
+++ b/cmd/micaspindle-reapi/serve.go
@@ -67,16 +67,16 @@
 // openStore opens the content-addressed store, which is divided into quotas of teams.
 func openStore(s *settings, log *slog.Logger) (*blobstore.Store, error) {
 	options := blobstore.Options{
-		MaxBytes: s.Store.maxBytes(),
-		MaxBlob:  s.Store.maxBlobBytes(),
-		Promise:  s.Store.Promise,
-		Quotas:   s.Shares.quotas(s.Store.maxBytes(), s.teams()),
+		MaxBytes:  s.Store.maxBytes(),
+		MaxBlob:   s.Store.maxBlobBytes(),
+		Retention: s.Store.Promise,
+		Quotas:    s.Shares.quotas(s.Store.maxBytes(), s.teams()),
 	}
 	store, found, err := blobstore.Open(filepath.Join(s.Store.Dir, "content"), options)
 	if err != nil {
 		return nil, usageError{err}
 	}
-	log.Info("content store opened", "blobs", found.Blobs, "bytes", found.Bytes, "torn", found.Torn, "kept", found.Kept)
+	log.Info("content store opened", "blobs", found.Blobs, "bytes", found.Bytes, "torn", found.Incomplete, "kept", found.Interrupted)
 	return store, nil
 }
 
--- a/internal/blobstore/digest.go
+++ b/internal/blobstore/digest.go
@@ -28,9 +28,9 @@
 	return "sha256"
 }
 
-// Named returns the function with a name in resource names and file names, where SHA-256
+// FunctionNamed returns the function with a name in resource names and file names, where SHA-256
 // is not named.
-func Named(name string) (f Function, ok bool) {
+func FunctionNamed(name string) (f Function, ok bool) {
 	if name == BLAKE3.String() {
 		return BLAKE3, true
 	}
--- a/internal/blobstore/results.go
+++ b/internal/blobstore/results.go
@@ -77,7 +77,7 @@
 			key := Key{Space: string(space)}
 			var function string
 			key.Hash, function, _ = strings.Cut(record.Name(), "-")
-			key.Function, _ = Named(function)
+			key.Function, _ = FunctionNamed(function)
 			path := filepath.Join(r.dir, spaceDir.Name(), record.Name())
 			info, err := record.Info()
 			if err != nil || key.Check() != nil || r.path(key) != path {
--- a/internal/blobstore/resume.go
+++ b/internal/blobstore/resume.go
@@ -109,11 +109,11 @@
 // Reader returns a reader of all bytes written.
 func (s *Spool) Reader() io.Reader { return io.NewSectionReader(s.upload.file, 0, s.upload.written) }
 
-// Drop discards the spool.
-func (s *Spool) Drop() { s.upload.Abort() }
+// Abort discards the spool.
+func (s *Spool) Abort() { s.upload.Abort() }
 
-// Begun returns how many bytes of a named upload are stored.
-func (s *Store) Begun(name string) int64 {
+// Received returns how many bytes of a named upload are stored.
+func (s *Store) Received(name string) int64 {
 	info, err := os.Stat(s.namedPath(name))
 	if err != nil {
 		return 0
@@ -121,8 +121,8 @@
 	return info.Size()
 }
 
-// ReadBegun reads the stored bytes of a named upload, from an offset on.
-func (s *Store) ReadBegun(name string, offset int64) (io.ReadCloser, error) {
+// ReadReceived reads the stored bytes of a named upload, from an offset on.
+func (s *Store) ReadReceived(name string, offset int64) (io.ReadCloser, error) {
 	file, err := os.Open(s.namedPath(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, ErrNotFound
@@ -174,11 +174,11 @@
 		}
 		if strings.HasPrefix(file.Name(), namedPrefix) && info.Mode().IsRegular() && info.Size() > 0 {
 			s.interrupted[path] = interruptedUpload{info.Size(), info.ModTime()}
-			found.Kept++
+			found.Interrupted++
 			found.Bytes += info.Size()
 			continue
 		}
-		found.Torn++
+		found.Incomplete++
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
--- a/internal/blobstore/stats.go
+++ b/internal/blobstore/stats.go
@@ -13,7 +13,7 @@
 // or pinned and so can't be evicted now, and its quota.
 type SpaceStats struct {
 	Blobs                          int
-	Bytes, Promised, Pinned, Quota int64
+	Bytes, Retained, Pinned, Quota int64
 }
 
 // Stats returns the store's figures.
@@ -37,7 +37,7 @@
 		space.Blobs++
 		space.Bytes += key.Size
 		if e.retainedUntil.After(now) {
-			space.Promised += key.Size
+			space.Retained += key.Size
 		}
 		if e.pins > 0 {
 			space.Pinned += key.Size
--- a/internal/blobstore/store.go
+++ b/internal/blobstore/store.go
@@ -33,18 +33,18 @@
 	// are not evicted for other spaces. A space takes more while there is room. One that
 	// is not named has no quota.
 	Quotas map[string]int64
-	// Promise is the retention: how long a blob is not evicted after a caller was told
+	// Retention is the retention: how long a blob is not evicted after a caller was told
 	// that the store has it.
-	Promise time.Duration
+	Retention time.Duration
 }
 
 // Opened says what was found in the store's directory.
 type Opened struct {
 	Blobs int
 	Bytes int64
-	// Torn counts incomplete files, which were removed; Kept counts interrupted uploads,
+	// Incomplete counts incomplete files, which were removed; Kept counts interrupted uploads,
 	// which can be resumed.
-	Torn, Kept int
+	Incomplete, Interrupted int
 }
 
 // Store is a store of blobs. It is safe for concurrent use; one process at a time owns its
@@ -124,7 +124,7 @@
 			return fmt.Errorf("%w: the quotas of the content store, at %q", ErrInvalid, space)
 		}
 	}
-	if o.MaxBytes <= 0 || o.MaxBlob <= 0 || o.MaxBlob > o.MaxBytes || o.Promise < 0 {
+	if o.MaxBytes <= 0 || o.MaxBlob <= 0 || o.MaxBlob > o.MaxBytes || o.Retention < 0 {
 		return fmt.Errorf("%w: bounds of the content store", ErrInvalid)
 	}
 	return nil
@@ -149,7 +149,7 @@
 		}
 		key, ok := s.parsePath(path)
 		if !ok || info.Size() != key.Size {
-			found.Torn++
+			found.Incomplete++
 			return os.Remove(path)
 		}
 		files = append(files, storedFile{key, info.ModTime()})
@@ -190,7 +190,7 @@
 	digits, function, _ := strings.Cut(rest, "-")
 	size, sizeErr := strconv.ParseInt(digits, 10, 64)
 	key := Key{string(space), Digest{Hash: hash, Size: size}}
-	key.Function, _ = Named(function)
+	key.Function, _ = FunctionNamed(function)
 	return key, spaceErr == nil && sizeErr == nil && key.Check() == nil && s.path(key) == path
 }
 
@@ -222,7 +222,7 @@
 func (s *Store) Missing(space string, digests []Digest) []Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until := time.Now().Add(s.options.Promise)
+	until := time.Now().Add(s.options.Retention)
 	var missing []Digest
 	for _, digest := range digests {
 		if digest.IsEmpty() {
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestDigestsAreVerified(t *testing.T) {
-	s, _ := open(t, t.TempDir(), Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Promise: time.Minute})
+	s, _ := open(t, t.TempDir(), Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute})
 	data := blob(1, 5000)
 	key := put(t, s, "red", data)
 	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) {
@@ -88,7 +88,7 @@
 // Retained, pinned and open blobs are not evicted; the others are, least recently used
 // first, and room is freed when retentions end.
 func TestEviction(t *testing.T) {
-	s, _ := open(t, t.TempDir(), Options{MaxBytes: 10_000, MaxBlob: 10_000, Promise: 300 * time.Millisecond})
+	s, _ := open(t, t.TempDir(), Options{MaxBytes: 10_000, MaxBlob: 10_000, Retention: 300 * time.Millisecond})
 	old, pinned, read := put(t, s, "a", blob(1, 3000)), put(t, s, "a", blob(2, 3000)), put(t, s, "a", blob(3, 3000))
 	var full *FullError
 	if err := s.Put(Key{"a", Of(blob(4, 3000))}, blob(4, 3000)); !errors.As(err, &full) || full.RetryAfter < time.Second {
@@ -132,7 +132,7 @@
 // served.
 func TestRestartAfterKill(t *testing.T) {
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Promise: time.Minute}
+	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute}
 	s, _ := open(t, dir, opt)
 	good, short, flipped := put(t, s, "a", blob(1, 4000)), put(t, s, "a", blob(2, 4000)), put(t, s, "a", blob(3, 4000))
 	upload, err := s.Create(Key{"a", Of(blob(4, 4000))})
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	s, found := open(t, dir, opt)
-	if found.Torn != 3 || found.Blobs != 2 {
+	if found.Incomplete != 3 || found.Blobs != 2 {
 		t.Errorf("%+v", found)
 	}
 	if got, err := s.Read(good, 1<<16); err != nil || !bytes.Equal(got, blob(1, 4000)) {
@@ -189,7 +189,7 @@
 // A process is killed while it writes: every blob that it acknowledged is stored whole.
 func TestWritesSurviveKill(t *testing.T) {
 	if dir := os.Getenv("CONTENT_TEST_DIR"); dir != "" {
-		s, _, err := Open(dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Promise: time.Minute})
+		s, _, err := Open(dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Retention: time.Minute})
 		if err != nil {
 			panic(err)
 		}
@@ -215,7 +215,7 @@
 		time.Sleep(time.Duration(150+60*seed) * time.Millisecond)
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		s, found := open(t, dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Promise: time.Minute})
+		s, found := open(t, dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Retention: time.Minute})
 		lines := strings.Split(out.String(), "\n")
 		acknowledged := len(lines) - 1 // the last line may be incomplete
 		for i := range acknowledged {
@@ -362,7 +362,7 @@
 	}
 	// Retained blobs of a space beyond its quota can't be evicted; the refusal says until when.
 	_ = s.Close()
-	opt.Promise = time.Minute
+	opt.Retention = time.Minute
 	s, _ = open(t, t.TempDir(), opt)
 	defer s.Close() //nolint:errcheck // the test ends
 	var full *FullError
@@ -380,7 +380,7 @@
 		}
 	}
 	st := s.Stats()
-	if sp := st.Spaces["red"]; sp.Promised != sp.Bytes || sp.Quota != 40_000 || sp.Blobs != int(sp.Bytes/1000) || st.Bytes != sp.Bytes+st.Spaces["blue"].Bytes {
+	if sp := st.Spaces["red"]; sp.Retained != sp.Bytes || sp.Quota != 40_000 || sp.Blobs != int(sp.Bytes/1000) || st.Bytes != sp.Bytes+st.Spaces["blue"].Bytes {
 		t.Errorf("%+v", st)
 	}
 }
@@ -389,7 +389,7 @@
 // disk, takes room, is evicted first, and expires.
 func TestResumption(t *testing.T) {
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 10_000, MaxBlob: 9_000, Promise: time.Minute}
+	opt := Options{MaxBytes: 10_000, MaxBlob: 9_000, Retention: time.Minute}
 	s, _ := open(t, dir, opt)
 	data := blob(1, 6000)
 	key := Key{"a", Of(data)}
@@ -412,7 +412,7 @@
 		return found
 	}
 	begin("one", key, data[:2000])
-	if found := again(); found.Kept != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.Begun("one") != 2000 || s.Begun("two") != 0 {
+	if found := again(); found.Interrupted != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.Received("one") != 2000 || s.Received("two") != 0 {
 		t.Fatalf("%+v", found)
 	}
 	upload, err := s.Resume("one", key)
@@ -422,7 +422,7 @@
 	if _, err := upload.Write(data[2000:]); err != nil || upload.Commit() != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) || s.Begun("one") != 0 {
+	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) || s.Received("one") != 0 {
 		t.Fatal(err)
 	}
 
@@ -448,8 +448,8 @@
 	again()
 	s.Missing("a", []Digest{key.Digest, Of(other)})
 	put(t, s, "a", blob(4, 900))
-	if !s.Has(key) || s.Begun("left") != 0 || s.Stats().Bytes != 9900 {
-		t.Errorf("%+v, left %d", s.Stats(), s.Begun("left"))
+	if !s.Has(key) || s.Received("left") != 0 || s.Stats().Bytes != 9900 {
+		t.Errorf("%+v, left %d", s.Stats(), s.Received("left"))
 	}
 
 	// A file larger than the blob is discarded, and old ones expire.
@@ -462,11 +462,11 @@
 	begin("old", Key{"a", Of(blob(7, 900))}, blob(7, 300))
 	again()
 	s.Expire(time.Now().Add(-time.Minute))
-	if s.Begun("old") != 300 {
+	if s.Received("old") != 300 {
 		t.Error("what is new has gone")
 	}
 	s.Expire(time.Now().Add(time.Second))
-	if s.Begun("old") != 0 || len(s.interrupted) != 0 {
+	if s.Received("old") != 0 || len(s.interrupted) != 0 {
 		t.Error("what is old stays")
 	}
 }
@@ -474,7 +474,7 @@
 // The same bytes under two functions are two blobs, also after a restart.
 func TestDigestFunctions(t *testing.T) {
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Promise: time.Minute}
+	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute}
 	s, _ := open(t, dir, opt)
 	data := blob(1, 500)
 	for _, d := range []Digest{Of(data), BLAKE3.Of(data)} {
--- a/internal/blobstore/upload.go
+++ b/internal/blobstore/upload.go
@@ -98,7 +98,7 @@
 	}
 	u.store.mu.Lock()
 	defer u.store.mu.Unlock()
-	retainedUntil := time.Now().Add(u.store.options.Promise)
+	retainedUntil := time.Now().Add(u.store.options.Retention)
 	if e := u.store.entries[u.key]; e != nil { // a concurrent upload of the same blob was faster
 		e.retainedUntil = retainedUntil
 		u.store.order.MoveToBack(e.element)
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -77,7 +77,7 @@
 					sim.cancelDuringRefusal(round*cancellations, cancellations, before, partition, func(i int, leader string) {
 						switch i {
 						case 0:
-							sim.withLock(func() { sim.suppressNotices, sim.state.Stuck = tc.noNotices, tc.stuck })
+							sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = tc.noNotices, tc.stuck })
 						case before:
 							sim.setStateServiceRefusal(leader, true)
 							if tc.cut {
@@ -99,7 +99,7 @@
 						sim.setStateServiceRefusal(l, false)
 					}
 					time.Sleep(45 * time.Second)
-					sim.withLock(func() { sim.state.Stuck, sim.cut, sim.suppressNotices = false, nil, false })
+					sim.withLock(func() { sim.state.WatchesStuck, sim.cut, sim.suppressNotices = false, nil, false })
 					sim.setOutage(false)
 					time.Sleep(30 * time.Second)
 				}
@@ -351,7 +351,7 @@
 					sim.forEachWorker(func(agent *agent.Agent) {
 						for _, task := range agent.Tasks {
 							if task.Job != "job-0" && task.Job != "job-1" || task.State == protocol.TaskEnded {
-							} else if agent.Homes[agent.Home] == leader {
+							} else if agent.Controllers[agent.Controller] == leader {
 								direct++
 							} else {
 								delegated++
@@ -437,7 +437,7 @@
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
 		sim.withLock(func() {
-			sim.suppressNotices, sim.state.Stuck = true, true
+			sim.suppressNotices, sim.state.WatchesStuck = true, true
 			if len(sim.machinesRunning("job-1")) != 4 || len(sim.machinesRunning("job-2")) != 0 {
 				t.Fatalf("%d and %d tasks run", len(sim.machinesRunning("job-1")), len(sim.machinesRunning("job-2")))
 			}
@@ -464,7 +464,7 @@
 		if !unseen {
 			t.Error("the leader knew of the cancellation before there was capacity")
 		}
-		sim.withLock(func() { sim.suppressNotices, sim.state.Stuck = false, false })
+		sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = false, false })
 		time.Sleep(5 * time.Second)
 	})
 }
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -379,8 +379,8 @@
 				names := slices.Sorted(maps.Keys(sim.workers))
 				for _, name := range names[:len(names)/5] {
 					notice := time.Now().Add(15 * time.Second)
-					if agent := sim.workers[name]; agent.Notice == nil && agent.Spot {
-						agent.Notice = &notice
+					if agent := sim.workers[name]; agent.PreemptedAt == nil && agent.Spot {
+						agent.PreemptedAt = &notice
 						sim.group.Go(func() {
 							time.Sleep(15 * time.Second)
 							sim.withLock(func() {
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -90,7 +90,7 @@
 	}
 	sim.withLock(func() {
 		for machine := range sim.machinesRunningAnyOf(jobs...) {
-			sim.workers[machine].Off()
+			sim.workers[machine].PowerOff()
 			delete(sim.workers, machine)
 		}
 	})
@@ -311,7 +311,7 @@
 	{name: "all controllers are down for longer than the lease, one restarts a second before the others", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
 		sessions := func() (n uint64) {
-			sim.forEachWorker(func(agent *agent.Agent) { n += agent.Session })
+			sim.forEachWorker(func(agent *agent.Agent) { n += agent.Epoch })
 			return n
 		}
 		before := sessions()
--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -11,7 +11,7 @@
 // A leader of everything with more machines than its sockets should hold: the shards
 // spread, no delegate gets too full, no shard moves back and forth, and the same view gives the
 // same plan.
-func TestPlanSpreadsAndSettles(t *testing.T) {
+func TestPlanBalancesAndConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n, room := 2+rng.IntN(6), 100+rng.IntN(900)
@@ -118,7 +118,7 @@
 // Delegates answer, renew, are killed, stall and lose requests and replies; shards change
 // their delegates. Whenever the ledger says that a lease has run out, it has: no answer that
 // was given up to then is younger.
-func TestLedgerNeverEndsALivingLease(t *testing.T) {
+func TestLedgerNeverEndsAnUnexpiredLease(t *testing.T) {
 	const lease = 6 * time.Second
 	ended := 0
 	for seed := range uint64(400) {
@@ -257,7 +257,7 @@
 }
 
 // The shard of a machine can't change: two versions must agree on it.
-func TestSharesOfNamesStay(t *testing.T) {
+func TestShardOfNameIsStable(t *testing.T) {
 	counts := [ShardCount]int{}
 	for i := range 1600 {
 		counts[ShardOf(fmt.Sprintf("m-%06d", i))]++
@@ -273,7 +273,7 @@
 }
 
 // No grant lasts longer than the leader may answer itself.
-func TestGrantsKeepToTheOwnersBound(t *testing.T) {
+func TestGrantsStayWithinTheLeadersBound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Ledger
 	l.Assign(3, "b")
--- a/internal/coordination/delegation_faults_test.go
+++ b/internal/coordination/delegation_faults_test.go
@@ -121,8 +121,8 @@
 				})
 				if time.Sleep(12 * time.Second); f.keepsEpochs {
 					sim.forEachWorker(func(agent *agent.Agent) {
-						if agent.Session != 1 {
-							t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Session)
+						if agent.Epoch != 1 {
+							t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Epoch)
 						}
 					})
 				}
@@ -152,7 +152,7 @@
 				var silent *agent.Agent
 				sim.forEachWorker(func(agent *agent.Agent) {
 					// The machine that was answered last has the longest lease.
-					if agent.Homes[agent.Home] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseFrom.After(silent.LeaseFrom)) {
+					if agent.Controllers[agent.Controller] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseRenewedAt.After(silent.LeaseRenewedAt)) {
 						silent = agent
 					}
 				})
@@ -161,7 +161,7 @@
 				}
 				sim.mu.Lock()
 				silent.Hung = true
-				name, from, lease := silent.Name, silent.LeaseFrom, silent.Lease
+				name, from, lease := silent.Name, silent.LeaseRenewedAt, silent.Lease
 				sim.mu.Unlock()
 				if fate == "the delegate is killed" {
 					sim.killController(delegate)
@@ -222,8 +222,8 @@
 			}
 		}
 		sim.forEachWorker(func(agent *agent.Agent) {
-			if agent.Session != 1 || agent.Starts != starts[agent.Name] {
-				t.Errorf("%s: epoch %d, %d starts more", agent.Name, agent.Session, agent.Starts-starts[agent.Name])
+			if agent.Epoch != 1 || agent.Starts != starts[agent.Name] {
+				t.Errorf("%s: epoch %d, %d starts more", agent.Name, agent.Epoch, agent.Starts-starts[agent.Name])
 			}
 		})
 		t.Logf("%d shard moves", moves)
@@ -270,8 +270,8 @@
 		}
 		sim.waitForAllJobs(4 * time.Minute)
 		sim.forEachWorker(func(agent *agent.Agent) {
-			if agent.Session != 1 {
-				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Session)
+			if agent.Epoch != 1 {
+				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Epoch)
 			}
 		})
 	})
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -444,12 +444,12 @@
 			t.Errorf("a poll gets %d", got)
 		}
 		n := sim.controllers["n0"].controller
-		sim.withLock(func() { sim.state.Stuck = true })
+		sim.withLock(func() { sim.state.WatchesStuck = true })
 		n.loop.Do(func() { n.RecordsCurrentAt = time.Now().Add(-n.api.StaleLimit() - time.Second) })
 		if got := ask(); got != 503 {
 			t.Errorf("a poll of a stale controller gets %d", got)
 		}
-		sim.withLock(func() { sim.state.Stuck = false })
+		sim.withLock(func() { sim.state.WatchesStuck = false })
 		time.Sleep(15 * time.Second)
 		if got := ask(); got != 200 {
 			t.Errorf("a poll gets %d after the watch went on", got)
@@ -509,7 +509,7 @@
 		s := newJobSpec("job-1", 1, "red")
 		s.Class = strings.Repeat("c", 190)
 		// The watches of the other controllers deliver nothing.
-		sim.withLock(func() { sim.state.Stuck = true })
+		sim.withLock(func() { sim.state.WatchesStuck = true })
 		if got := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
 			t.Fatal(got)
 		}
@@ -521,7 +521,7 @@
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
 			t.Errorf("another of its size gets %d", got)
 		}
-		sim.withLock(func() { sim.state.Stuck, sim.state.HiddenValue = false, 0 })
+		sim.withLock(func() { sim.state.WatchesStuck, sim.state.HiddenValue = false, 0 })
 		sim.withLock(func() { sim.jobs["job-1"] = newSubmittedJob(newJobSpec("job-1", 1, "red")) })
 		sim.waitForAllJobs(2 * time.Minute)
 	})
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestAnsweredUntil(t *testing.T) {
+func TestAnswerBounds(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
 	all := []FormerLeader{{"n0", "x", 4, at(20)}, {"n1", "y", 7, at(23)}}
 	for name, c := range map[string]struct {
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -28,7 +28,7 @@
 	return v
 }
 
-func TestKeep(t *testing.T) {
+func TestReservations(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*View)
 		want   []int // machines that are kept for the large class; nil: as they are full, five
@@ -68,7 +68,7 @@
 // get their share. The teams that the flood is of are all as starved, so none of them
 // is beyond the others; kept for each, nothing was left for the class in need
 // (flood-urgent of seed 993: 0.18 of listing-sync done).
-func TestGroupsInNeedShareWhatIsKept(t *testing.T) {
+func TestStarvedGroupsShareReservations(t *testing.T) {
 	v := full()
 	v.Groups = append(v.Groups, Group{Open: 30, Starved: 30})
 	v.Jobs = append(v.Jobs, Job{Class: 3, Resources: binpack.Resources{CPUs: 1}, Pending: 70})
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestTallyForgets(t *testing.T) {
+func TestTallyDecays(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var tally Tally
 	for range 10 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestWhenAJobCountsAsBehind(t *testing.T) {
+func TestWhenAJobCountsAsStarved(t *testing.T) {
 	for span, want := range map[float64]float64{0: 60, 20: 30, 155: 77.5} {
 		if got := StarvationS(span); got != want {
 			t.Errorf("%v s to do it: after %v s, want %v", span, got, want)
@@ -147,7 +147,7 @@
 
 // Random partitions: never more than MaxReservedShare of a type, only for those that are starved and want
 // it, the same whatever the machines' order, and before long the same again and again.
-func TestWhatIsKeptIsSound(t *testing.T) {
+func TestReservationsRespectConstraints(t *testing.T) {
 	some := 0
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -223,7 +223,7 @@
 						for _, agent := range sim.workers {
 							for _, task := range agent.Tasks {
 								submitted := sim.jobs[task.Job]
-								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseFrom) <= agent.Lease {
+								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseRenewedAt) <= agent.Lease {
 									t.Errorf("%s may continue on %s", task.Name, agent.Name)
 								}
 							}
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -161,7 +161,7 @@
 		var heartbeat []byte
 		sim.withLock(func() {
 			process = sim.controllers[leader]
-			heartbeat = protocol.Encode(sim.workers[machine].Snapshot())
+			heartbeat = protocol.Encode(sim.workers[machine].Heartbeat())
 		})
 		// A task that returns late keeps the event loop serving.
 		process.controller.loop.Go(func() {
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -23,7 +23,7 @@
 func (sim *simulatedCluster) clearFaults() {
 	sim.setOutage(false)
 	sim.withLock(func() {
-		sim.state.Refused, sim.state.Stuck = nil, false
+		sim.state.RefusedClients, sim.state.WatchesStuck = nil, false
 		sim.cut, sim.cuts, sim.onRequest, sim.onResponse, sim.interceptCommands = nil, networkCuts{}, nil, nil, nil
 		sim.messageFaultRate, sim.lateTransactionShare, sim.duplicatedHeartbeatShare, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, 0
 		sim.inboundLost, sim.outboundLost, sim.suppressNotices, sim.cancelAtEnd = nil, nil, false, nil
@@ -207,7 +207,7 @@
 // freeSlots returns how many tasks of a job fit the free resources of a machine; inZone counts
 // the job's tasks in each zone.
 func freeSlots(agent *agent.Agent, free resources, s *protocol.JobSpec, inZone map[string]int) int {
-	if agent.Dead || agent.Hung || agent.Notice != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
+	if agent.PoweredOff || agent.Hung || agent.PreemptedAt != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) {
 		return 0
 	}
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -80,7 +80,7 @@
 				sim.mu.Lock()
 				var heartbeats []*protocol.Heartbeat
 				for _, agent := range sim.workers {
-					heartbeats = append(heartbeats, agent.Snapshot())
+					heartbeats = append(heartbeats, agent.Heartbeat())
 				}
 				sim.mu.Unlock()
 				for _, r := range heartbeats {
@@ -121,7 +121,7 @@
 		time.Sleep(8 * time.Second)
 		sim.mu.Lock()
 		for _, agent := range sim.workers {
-			if agent.Session != 1 {
+			if agent.Epoch != 1 {
 				t.Errorf("%s lost its lease in the outage", agent.Name)
 			}
 		}
@@ -140,7 +140,7 @@
 		sim.mu.Lock()
 		var r *protocol.Heartbeat
 		for _, agent := range sim.workers {
-			r = agent.Snapshot()
+			r = agent.Heartbeat()
 		}
 		sim.mu.Unlock()
 		leaders := map[string]bool{}
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -116,7 +116,7 @@
 // Random partitions: no machine gets more than its room, no team more than its limit, no
 // job what it does not want; gangs whole or not at all; what fits alone somewhere in
 // the end waits only for its team. The same view gives the same plan, unchanged.
-func TestPlansAreSound(t *testing.T) {
+func TestPlacementsRespectConstraints(t *testing.T) {
 	for seed := range uint64(400) {
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 2))
--- a/internal/coordination/planned_faults_test.go
+++ b/internal/coordination/planned_faults_test.go
@@ -181,7 +181,7 @@
 	faultZoneCut:             (*simulatedCluster).injectZoneCut,
 	faultOutage:              (*simulatedCluster).injectStateStoreOutage,
 	faultWatchesStuck: func(sim *simulatedCluster, fault plannedFault) {
-		sim.during(fault, func(on bool) { sim.state.Stuck = on })
+		sim.during(fault, func(on bool) { sim.state.WatchesStuck = on })
 	},
 	faultCrash: func(sim *simulatedCluster, fault plannedFault) {
 		sim.restartController(fault.controller(), fault.downtime())
@@ -365,7 +365,7 @@
 	for _, name := range names[:min(3, len(names))] {
 		sim.withLock(func() {
 			if agent := sim.workers[name]; agent != nil {
-				agent.Off()
+				agent.PowerOff()
 				delete(sim.workers, name)
 			}
 		})
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -26,7 +26,7 @@
 }
 
 // Who may be stopped for whom: PROTOCOL, "Preemption".
-func TestOnlyWhatTheProtocolAllows(t *testing.T) {
+func TestMayPreempt(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		job, victim Job
@@ -90,7 +90,7 @@
 
 // Random partitions: the same view gives the same stops; nothing is stopped twice, that
 // stops already, or that the rule keeps.
-func TestStopsAreSound(t *testing.T) {
+func TestPreemptionsRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		v := View{Now: now, Teams: teams()}
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -91,7 +91,7 @@
 			t.Errorf("only %d machines send heartbeats", total)
 		}
 		receivers := map[string]int{}
-		sim.forEachWorker(func(agent *agent.Agent) { receivers[agent.Homes[agent.Home]]++ })
+		sim.forEachWorker(func(agent *agent.Agent) { receivers[agent.Controllers[agent.Controller]]++ })
 		if len(receivers) != 3 {
 			t.Errorf("agents send heartbeats to %v, connected machines %v", receivers, connected)
 		}
@@ -116,8 +116,8 @@
 		sim.mu.Unlock()
 		sim.waitForAllJobs(4 * time.Minute)
 		sim.forEachWorker(func(agent *agent.Agent) {
-			if agent.Session != 1 {
-				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Session)
+			if agent.Epoch != 1 {
+				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Epoch)
 			}
 		})
 	})
@@ -159,8 +159,8 @@
 		var raw []byte
 		var name string
 		sim.forEachWorker(func(agent *agent.Agent) {
-			if raw == nil && agent.Homes[agent.Home] == delegate {
-				name, raw = agent.Name, protocol.Encode(agent.Snapshot())
+			if raw == nil && agent.Controllers[agent.Controller] == delegate {
+				name, raw = agent.Name, protocol.Encode(agent.Heartbeat())
 				agent.Hung = true
 			}
 		})
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -18,7 +18,7 @@
 	return Job{ID: id, Urgency: protocol.Standard, SubmittedAt: now, Due: due, Deadline: due, EstimateS: runS, Pending: 1, Slots: 1, Parallelism: math.Inf(1)}
 }
 
-func TestOf(t *testing.T) {
+func TestOrder(t *testing.T) {
 	urgent, no, starving := job("urgent", 900, 5), job("no deadline", 50, 5), job("starving", -850, 50)
 	urgent.Urgency, no.Deadline = protocol.High, time.Time{}
 	starving.SubmittedAt = now.Add(-1000 * time.Second)
@@ -61,7 +61,7 @@
 
 // Against all subsets of random jobs on one machine: as many are served first as can
 // be in time. The order does not hang on that of the list.
-func TestAsManyAsCanBeInTime(t *testing.T) {
+func TestMostJobsMeetTheirDeadline(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		var jobs []Job
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -56,7 +56,7 @@
 // A set that follows the store comes to what it holds: through listings whose pages were
 // read while it changed, changes that come twice, and answers that come late. A gap is
 // seen, samples agree, and each wrong record is found within one round of samples.
-func TestSetFollowsTheStore(t *testing.T) {
+func TestReplicaFollowsTheRecords(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		s := &store{records: map[string]Record[int]{}, at: 1}
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -95,7 +95,7 @@
 		}
 		var run storage.RunRecord
 		panicOnError(storage.Decode(it.Value, &run))
-		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: agent.Name, Epoch: agent.Session}) {
+		if slices.Contains(run.Live, storage.Attempt{Task: task, Number: c.Attempt, Machine: agent.Name, Epoch: agent.Epoch}) {
 			return true
 		}
 	}
@@ -115,7 +115,7 @@
 	for _, other := range sim.workers {
 		// A machine that hung beyond its lease will not continue its tasks; it drops them when
 		// it wakes.
-		dead := time.Since(other.LeaseFrom).Seconds() > sim.settings.Params.Workers.LeaseS
+		dead := time.Since(other.LeaseRenewedAt).Seconds() > sim.settings.Params.Workers.LeaseS
 		for _, otherTask := range other.Tasks {
 			if !otherTask.Running || dead {
 				continue
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -122,7 +122,7 @@
 
 // Random views: the same view gives the same plan and is not changed; no machine is
 // acted on twice; no partition scales out by more than its demands need one by one.
-func TestPlansAreSound(t *testing.T) {
+func TestPlansRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -34,7 +34,7 @@
 		agent := agent.New(&sim.mu, sim, sim)
 		agent.Name, agent.Addr, agent.Type, agent.Zone, agent.Spot = name, m.Addr, m.Type, m.Zone, m.Spot
 		agent.Lease = settings.Seconds(sim.settings.Params.Workers.LeaseS)
-		agent.Homes, agent.Home = []string{"n0", "n1", "n2"}, home
+		agent.Controllers, agent.Controller = []string{"n0", "n1", "n2"}, home
 		agent.Send = func(label string, report []byte) (int, []byte) { return sim.sendHeartbeat(name, label, report) }
 		m.Up = true
 		sim.workers[name] = agent
@@ -46,7 +46,7 @@
 // stopMachine powers a deleted machine off. The lock is held.
 func (sim *simulatedCluster) stopMachine(name string) {
 	if agent := sim.workers[name]; agent != nil {
-		agent.Off()
+		agent.PowerOff()
 		delete(sim.workers, name)
 	}
 }
@@ -104,7 +104,7 @@
 func (sim *simulatedCluster) serveWorker(agent *agent.Agent, path string, body []byte) *transport.Response {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if agent.Dead {
+	if agent.PoweredOff {
 		return nil
 	}
 	if agent.Hung {
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -423,7 +423,7 @@
 func (sim *simulatedCluster) setOutage(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.state.Outage(on)
+	sim.state.SetOutage(on)
 }
 
 // setStateServiceRefusal makes the state store refuse the requests of one controller, or serve
@@ -431,10 +431,10 @@
 func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if sim.state.Refused == nil {
-		sim.state.Refused = map[string]bool{}
+	if sim.state.RefusedClients == nil {
+		sim.state.RefusedClients = map[string]bool{}
 	}
-	sim.state.Refused[label] = on
+	sim.state.RefusedClients[label] = on
 }
 
 // panicOnError ends the test process on an error that no test expects.
--- a/internal/devcluster/cluster.go
+++ b/internal/devcluster/cluster.go
@@ -29,17 +29,17 @@
 	Binary string
 	// Dir holds settings, keys and logs.
 	Dir string
-	// Hosted are the cluster's identities; nil: no authentication, everything is allowed.
-	Hosted *Hosted
+	// Identities are the cluster's identities; nil: no authentication, everything is allowed.
+	Identities *Identities
 	// WriteRPS and RPS are the changes and requests per second that the state store allows.
 	WriteRPS, RPS float64
 	LogLevel      string
-	// Gate is where machines fetch build actions from; nil: from the cluster's own front
+	// FrontEndConn is where machines fetch build actions from; nil: from the cluster's own front
 	// ends, if it has any.
-	Gate grpc.ClientConnInterface
-	// Gates is the number of front ends, GateBinary their program.
-	Gates      int
-	GateBinary string
+	FrontEndConn grpc.ClientConnInterface
+	// FrontEnds is the number of front ends, GateBinary their program.
+	FrontEnds      int
+	FrontEndBinary string
 	// Machines bounds the rented machines, Sockets is the limit of sockets in the
 	// controllers' settings; 0: defaultMachines and defaultSockets.
 	Machines, Sockets int
@@ -75,7 +75,7 @@
 	results map[string]bool         // tasks that are done
 
 	nodes           []*Node
-	frontEnds       []*Gate
+	frontEnds       []*FrontEnd
 	heartbeatClient *http.Client
 	// addresses are those of processes, each with the socket that reserves it until its
 	// process starts, and addressReleased afterwards.
@@ -103,7 +103,7 @@
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.heartbeatClient = &http.Client{
 		Timeout:   heartbeatTimeout,
-		Transport: &http.Transport{TLSClientConfig: options.Hosted.workerTLS(), MaxIdleConnsPerHost: maxIdleHeartbeatConns},
+		Transport: &http.Transport{TLSClientConfig: options.Identities.workerTLS(), MaxIdleConnsPerHost: maxIdleHeartbeatConns},
 	}
 	c.state, c.cloud = state.New(&c.mu), cloud.New(&c.mu)
 	c.cloud.Types, c.cloud.Capacity, c.cloud.ListLag = types, cmp.Or(options.Machines, defaultMachines), listLag
@@ -155,8 +155,8 @@
 	return services, err
 }
 
-// Hosted returns the cluster's identities, nil if it has none.
-func (c *Cluster) Hosted() *Hosted { return c.options.Hosted }
+// Identities returns the cluster's identities, nil if it has none.
+func (c *Cluster) Identities() *Identities { return c.options.Identities }
 
 // State calls f with the state store, whose lock is held; f must not keep what it sees.
 func (c *Cluster) State(f func(*state.Service)) {
@@ -182,7 +182,7 @@
 	c.cancel()
 	c.mu.Lock()
 	for _, a := range c.agents {
-		a.Off()
+		a.PowerOff()
 	}
 	c.mu.Unlock()
 	c.group.Wait()
--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -173,7 +173,7 @@
 	for _, node := range c.Nodes() {
 		time.Sleep(3 * time.Second) // until it has a standby
 		before := warm()
-		if code, err := c.End(node); err != nil || code != 0 {
+		if code, err := c.Terminate(node); err != nil || code != 0 {
 			t.Fatalf("%s ended with %d, %v", node.Label, code, err)
 		}
 		if says(node, "handed over") == 0 || says(node, "stopped") == 0 {
@@ -191,7 +191,7 @@
 	for _, id := range jobs {
 		await(ctx, t, users, id)
 	}
-	c.Workers(func(workers map[string]*agent.Agent) {
+	c.Agents(func(workers map[string]*agent.Agent) {
 		starts := 0
 		for _, a := range workers {
 			starts += a.Starts
@@ -268,11 +268,11 @@
 	}
 	shared()
 	await(ctx, t, users, "job-1")
-	c.Workers(func(workers map[string]*agent.Agent) {
+	c.Agents(func(workers map[string]*agent.Agent) {
 		starts := 0
 		for _, a := range workers {
 			starts += a.Starts
-			if a.Session != 1 {
+			if a.Epoch != 1 {
 				t.Errorf("%s lost its lease", a.Name)
 			}
 		}
@@ -293,8 +293,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, Hosted: hosted, LogLevel: "info", WriteRPS: 60, RPS: 400,
-		Gates: 2, GateBinary: program(t, "micaspindle-reapi")})
+	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, Identities: hosted, LogLevel: "info", WriteRPS: 60, RPS: 400,
+		FrontEnds: 2, FrontEndBinary: program(t, "micaspindle-reapi")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -309,7 +309,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if first := reports[0].Report; first.Actions != 67 || first.Cached != 0 || first.Jobs == 0 || first.Jobs > 40 || c.Gates()[0].Kills != 1 {
+	if first := reports[0].Report; first.Actions != 67 || first.Cached != 0 || first.Jobs == 0 || first.Jobs > 40 || c.FrontEnds()[0].Kills != 1 {
 		t.Errorf("%+v", first)
 	}
 	// A certificate grants the same rights as a token, and no more.
@@ -322,7 +322,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := buildtool.Dial(c.GateAddrs(), ring.ClientConfig(isService), "")
+		conn, err := buildtool.Dial(c.FrontEndAddrs(), ring.ClientConfig(isService), "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -344,7 +344,7 @@
 		t.Errorf("a guest built: %v", err)
 	}
 	c.Stop()
-	for _, frontEnd := range c.Gates() {
+	for _, frontEnd := range c.FrontEnds() {
 		select {
 		case <-frontEnd.Exited():
 		default:
--- a/internal/devcluster/config.go
+++ b/internal/devcluster/config.go
@@ -86,7 +86,7 @@
 		return fmt.Errorf("devcluster: settings: %w", err)
 	}
 	operator := operatorSettings{Operations: settings.Operations{Listen: node.Operations}}
-	if identities := c.options.Hosted; identities != nil {
+	if identities := c.options.Identities; identities != nil {
 		operator.Identity = &identities.settings
 	}
 	if data, err = yaml.Marshal(operator); err != nil {
--- a/internal/devcluster/controllers.go
+++ b/internal/devcluster/controllers.go
@@ -90,8 +90,8 @@
 	node.Kills++
 }
 
-// End stops a controller with SIGTERM, waits for its end, and returns its exit code.
-func (c *Cluster) End(node *Node) (code int, err error) {
+// Terminate stops a controller with SIGTERM, waits for its end, and returns its exit code.
+func (c *Cluster) Terminate(node *Node) (code int, err error) {
 	if err := node.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return 0, fmt.Errorf("end %s: %w", node.Label, err)
 	}
@@ -142,7 +142,7 @@
 // AwaitReady waits until all controllers serve and one is the cluster leader, then starts
 // the front ends and waits for them.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
-	probe := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{TLSClientConfig: c.options.Hosted.workerTLS()}}
+	probe := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{TLSClientConfig: c.options.Identities.workerTLS()}}
 	defer probe.CloseIdleConnections()
 	for {
 		ready, err := c.countReady(ctx, probe)
--- a/internal/devcluster/demo_build.go
+++ b/internal/devcluster/demo_build.go
@@ -89,7 +89,7 @@
 
 // restartDuringBuild kills a front end when some actions of a build run and others wait,
 // and restarts it. Both happen at once if the build ends before.
-func (c *Cluster) restartDuringBuild(build context.Context, victim *Gate, say func(string)) error {
+func (c *Cluster) restartDuringBuild(build context.Context, victim *FrontEnd, say func(string)) error {
 	pause := func(d time.Duration) {
 		select {
 		case <-time.After(d):
@@ -97,8 +97,8 @@
 		}
 	}
 	pause(buildKillDelay)
-	c.KillGate(victim)
+	c.KillFrontEnd(victim)
 	say(victim.Label + " is killed")
 	pause(buildRestartDelay)
-	return c.RestartGate(victim)
+	return c.RestartFrontEnd(victim)
 }
--- a/internal/devcluster/frontends.go
+++ b/internal/devcluster/frontends.go
@@ -37,8 +37,8 @@
 	healthInterval = 20 * time.Millisecond
 )
 
-// Gate is the process of a front end.
-type Gate struct {
+// FrontEnd is the process of a front end.
+type FrontEnd struct {
 	Label, Addr, LogFile string
 	// Kills counts how often the process was killed.
 	Kills        int
@@ -48,19 +48,19 @@
 }
 
 // Exited returns a channel that is closed when the process has ended.
-func (g *Gate) Exited() <-chan struct{} { return g.exited }
+func (g *FrontEnd) Exited() <-chan struct{} { return g.exited }
 
 // Pid returns the id of the process.
-func (g *Gate) Pid() int { return g.cmd.Process.Pid }
+func (g *FrontEnd) Pid() int { return g.cmd.Process.Pid }
 
 // identity returns the name of the front end's identity.
-func (g *Gate) identity() string { return "service/" + g.Label }
+func (g *FrontEnd) identity() string { return "service/" + g.Label }
 
-// Gates returns the front ends.
-func (c *Cluster) Gates() []*Gate { return c.frontEnds }
+// FrontEnds returns the front ends.
+func (c *Cluster) FrontEnds() []*FrontEnd { return c.frontEnds }
 
-// GateAddrs returns the front ends' addresses for build clients.
-func (c *Cluster) GateAddrs() []string {
+// FrontEndAddrs returns the front ends' addresses for build clients.
+func (c *Cluster) FrontEndAddrs() []string {
 	var addrs []string
 	for _, frontEnd := range c.frontEnds {
 		addrs = append(addrs, frontEnd.Addr)
@@ -74,11 +74,11 @@
 // prepareFrontEnds creates the front ends' addresses and settings, and the machines'
 // connection to them. Front ends are started after the controllers.
 func (c *Cluster) prepareFrontEnds() error {
-	if c.options.Gates == 0 {
+	if c.options.FrontEnds == 0 {
 		return nil
 	}
-	for i := range c.options.Gates {
-		frontEnd := &Gate{Label: fmt.Sprintf("gate-%d", i)}
+	for i := range c.options.FrontEnds {
+		frontEnd := &FrontEnd{Label: fmt.Sprintf("gate-%d", i)}
 		var err error
 		if frontEnd.Addr, err = c.reserveAddr(); err != nil {
 			return err
@@ -100,7 +100,7 @@
 		<-c.ctx.Done()
 		_ = conn.Close()
 	})
-	c.options.Gate = conn
+	c.options.FrontEndConn = conn
 	return nil
 }
 
@@ -132,7 +132,7 @@
 }
 
 // writeFrontEndSettings writes the settings file of a front end.
-func (c *Cluster) writeFrontEndSettings(frontEnd *Gate) error {
+func (c *Cluster) writeFrontEndSettings(frontEnd *FrontEnd) error {
 	config := frontEndSettings{
 		Listen:        frontEnd.Addr,
 		Controllers:   c.Addrs(),
@@ -140,7 +140,7 @@
 		Execute:       true,
 		ClientResults: true,
 		Peers:         map[string]string{},
-		Copies:        min(maxCopies, c.options.Gates),
+		Copies:        min(maxCopies, c.options.FrontEnds),
 		Store: storeSettings{
 			Dir:       filepath.Join(c.options.Dir, frontEnd.Label),
 			MaxGB:     storeGB,
@@ -153,7 +153,7 @@
 			config.Peers[other.Addr] = other.identity()
 		}
 	}
-	if identities := c.options.Hosted; identities != nil {
+	if identities := c.options.Identities; identities != nil {
 		own, err := identities.issueCertificate(frontEnd.identity())
 		if err != nil {
 			return err
@@ -174,18 +174,18 @@
 // token.
 func (c *Cluster) dialFrontEnds(machine bool, token string) (*grpc.ClientConn, error) {
 	var tlsConfig *tls.Config
-	if identities := c.options.Hosted; identities != nil {
+	if identities := c.options.Identities; identities != nil {
 		if tlsConfig = identities.workerKeyring.ClientConfig(isService); !machine {
 			tlsConfig.GetClientCertificate = nil
 		}
 	}
-	return buildtool.Dial(c.GateAddrs(), tlsConfig, token)
+	return buildtool.Dial(c.FrontEndAddrs(), tlsConfig, token)
 }
 
 // BuildConn connects a build client to the front ends, with the token of an identity.
 func (c *Cluster) BuildConn(name string) (*grpc.ClientConn, error) {
 	token := ""
-	if identities := c.options.Hosted; identities != nil {
+	if identities := c.options.Identities; identities != nil {
 		var err error
 		if token, err = identities.readToken(name); err != nil {
 			return nil, err
@@ -194,9 +194,9 @@
 	return c.dialFrontEnds(false, token)
 }
 
-// RestartGate starts a front end that does not run.
-func (c *Cluster) RestartGate(frontEnd *Gate) error {
-	cmd := exec.Command(c.options.GateBinary, "--config", frontEnd.settingsFile)
+// RestartFrontEnd starts a front end that does not run.
+func (c *Cluster) RestartFrontEnd(frontEnd *FrontEnd) error {
+	cmd := exec.Command(c.options.FrontEndBinary, "--config", frontEnd.settingsFile)
 	c.releaseAddr(frontEnd.Addr)
 	exited, err := c.startProcess(frontEnd.Label, frontEnd.LogFile, cmd)
 	if err != nil {
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// KillGate kills a front end with SIGKILL and waits for its end.
-func (c *Cluster) KillGate(frontEnd *Gate) {
+// KillFrontEnd kills a front end with SIGKILL and waits for its end.
+func (c *Cluster) KillFrontEnd(frontEnd *FrontEnd) {
 	_ = frontEnd.cmd.Process.Kill()
 	<-frontEnd.exited
 	frontEnd.Kills++
@@ -216,7 +216,7 @@
 // startFrontEnds starts all front ends and waits until they serve.
 func (c *Cluster) startFrontEnds(ctx context.Context) error {
 	for _, frontEnd := range c.frontEnds {
-		if err := c.RestartGate(frontEnd); err != nil {
+		if err := c.RestartFrontEnd(frontEnd); err != nil {
 			return err
 		}
 	}
@@ -229,9 +229,9 @@
 }
 
 // awaitFrontEnd waits until a front end serves.
-func (c *Cluster) awaitFrontEnd(ctx context.Context, frontEnd *Gate) error {
+func (c *Cluster) awaitFrontEnd(ctx context.Context, frontEnd *FrontEnd) error {
 	var tlsConfig *tls.Config
-	if identities := c.options.Hosted; identities != nil {
+	if identities := c.options.Identities; identities != nil {
 		tlsConfig = identities.workerKeyring.ClientConfig(isService)
 	}
 	conn, err := buildtool.Dial([]string{frontEnd.Addr}, tlsConfig, "")
--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = machines.Close() })
-	b.c, err = Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: b.dir, LogLevel: "info", WriteRPS: 60, RPS: 400, Gate: machines})
+	b.c, err = Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: b.dir, LogLevel: "info", WriteRPS: 60, RPS: 400, FrontEndConn: machines})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.store, _, err = blobstore.Open(filepath.Join(b.dir, "content"), blobstore.Options{MaxBytes: 1 << 30, MaxBlob: 1 << 26, Promise: time.Minute}); err != nil {
+	if b.store, _, err = blobstore.Open(filepath.Join(b.dir, "content"), blobstore.Options{MaxBytes: 1 << 30, MaxBlob: 1 << 26, Retention: time.Minute}); err != nil {
 		b.t.Fatal(err)
 	}
 	results, err := blobstore.OpenResults(filepath.Join(b.dir, "results"), 100_000)
@@ -100,7 +100,7 @@
 	}
 	believe := func(context.Context) bool { return true }
 	b.frontEnd = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: believe},
-		b.store, results, reapi.Open{}, nil, reapi.Controllers{Client: client.New(b.c.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
+		b.store, results, reapi.OpenAccess{}, nil, reapi.Controllers{Client: client.New(b.c.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
 	b.server = b.frontEnd.Server(grpc.WaitForHandlers(true)) // a killed process leaves no calls behind
 	server := b.server
 	go func() { _ = server.Serve(l) }()
@@ -305,7 +305,7 @@
 	if got != wanted(sources) || cached != 0 {
 		t.Fatalf("%d cached, %q", cached, got[:min(len(got), 100)])
 	}
-	jobs, actions := b.frontEnd.Gathered()
+	jobs, actions := b.frontEnd.Submitted()
 	t.Logf("%d actions as %d jobs in %s", actions, jobs, time.Since(started).Round(time.Millisecond))
 	if actions != sources+sources/10+1 || jobs > 20 {
 		t.Errorf("%d actions became %d jobs", actions, jobs)
@@ -429,7 +429,7 @@
 					t.Error(err)
 				}
 			case 2:
-				if b.c.TakeMachine() {
+				if b.c.PreemptMachine() {
 					machines++
 				}
 			}
--- a/internal/devcluster/identities.go
+++ b/internal/devcluster/identities.go
@@ -24,9 +24,9 @@
 	tokenLifetime       = 24 * time.Hour
 )
 
-// Hosted holds the identities of a cluster: a certificate authority in the cluster's
+// Identities holds the identities of a cluster: a certificate authority in the cluster's
 // directory, certificates of controllers and machines, and tokens of people and services.
-type Hosted struct {
+type Identities struct {
 	Roots string // file of the root certificates
 	CA    *pki.Authority
 	dir   string
@@ -37,8 +37,8 @@
 
 // Prepare creates the certificate authority, certificates and tokens of a cluster. An
 // authority that an earlier cluster has left in the directory is used again.
-func Prepare(dir string, controllers int) (*Hosted, error) {
-	identities := &Hosted{dir: filepath.Join(dir, "pki")}
+func Prepare(dir string, controllers int) (*Identities, error) {
+	identities := &Identities{dir: filepath.Join(dir, "pki")}
 	var err error
 	if _, statErr := os.Stat(filepath.Join(identities.dir, pki.RootFile)); statErr == nil {
 		identities.CA, err = pki.Open(identities.dir)
@@ -77,7 +77,7 @@
 }
 
 // issueCertificate issues a certificate, replacing one that exists, and returns its file.
-func (h *Hosted) issueCertificate(text string) (string, error) {
+func (h *Identities) issueCertificate(text string) (string, error) {
 	name, err := identity.ParseName(text)
 	if err != nil {
 		return "", err
@@ -90,7 +90,7 @@
 }
 
 // readToken returns the token of an identity.
-func (h *Hosted) readToken(name string) (string, error) {
+func (h *Identities) readToken(name string) (string, error) {
 	token, err := os.ReadFile(h.TokenFile(name))
 	if err != nil {
 		return "", fmt.Errorf("devcluster: %w", err)
@@ -99,17 +99,17 @@
 }
 
 // Others returns the identities of the initial policy besides the administrator.
-func (h *Hosted) Others() []string {
+func (h *Identities) Others() []string {
 	return []string{"person/anna", "service/refunds", "person/partner", Builder}
 }
 
 // TokenFile returns the file of an identity's token.
-func (h *Hosted) TokenFile(name string) string {
+func (h *Identities) TokenFile(name string) string {
 	return filepath.Join(h.dir, strings.ReplaceAll(name, "/", "-")+".token")
 }
 
 // Token signs a token for an identity and stores it in its file.
-func (h *Hosted) Token(text string, lifetime time.Duration) error {
+func (h *Identities) Token(text string, lifetime time.Duration) error {
 	name, err := identity.ParseName(text)
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 
 // workerTLS returns the TLS configuration of machines as clients of controllers, nil without
 // identities.
-func (h *Hosted) workerTLS() *tls.Config {
+func (h *Identities) workerTLS() *tls.Config {
 	if h == nil {
 		return nil
 	}
@@ -142,7 +142,7 @@
 
 // machineTLS returns the TLS configuration of machines as servers, nil without identities.
 // Only controllers may send commands.
-func (h *Hosted) machineTLS() *tls.Config {
+func (h *Identities) machineTLS() *tls.Config {
 	if h == nil {
 		return nil
 	}
@@ -159,7 +159,7 @@
 
 // Client returns a client of the controllers with the token of an identity.
 func (c *Cluster) Client(name string) (*client.Client, error) {
-	identities := c.options.Hosted
+	identities := c.options.Identities
 	if identities == nil {
 		return client.New(c.Addrs(), nil, ""), nil
 	}
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, LogLevel: "info", WriteRPS: 100, RPS: 600, Hosted: identities})
+	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, LogLevel: "info", WriteRPS: 100, RPS: 600, Identities: identities})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	roots := x509.NewCertPool()
-	roots.AddCert(c.Hosted().CA.Root())
+	roots.AddCert(c.Identities().CA.Root())
 	v, err := archive.Verify(&out, roots)
 	if err != nil {
 		t.Fatal(err)
@@ -150,8 +150,8 @@
 	}
 	try("person/partner", submit(partner, "job-1", "placement-match", "placements-desk"))
 	// The guest sees states without arguments; logs and audit hold no arguments either.
-	raw := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{TLSClientConfig: c.Hosted().workerTLS()}}
-	token, err := os.ReadFile(c.Hosted().TokenFile("person/partner"))
+	raw := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{TLSClientConfig: c.Identities().workerTLS()}}
+	token, err := os.ReadFile(c.Identities().TokenFile("person/partner"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,13 +186,13 @@
 	}
 	// A client without a credential, one with a bad token, a machine that acts as a user,
 	// and a user that acts as a machine.
-	none := client.New(c.Addrs(), c.Hosted().withoutOwn(), "")
+	none := client.New(c.Addrs(), c.Identities().withoutOwn(), "")
 	_, err = none.Status(ctx, "job-1")
 	refused(t, err, 401)
-	bad := client.New(c.Addrs(), c.Hosted().withoutOwn(), strings.TrimSpace(string(token))+"x")
+	bad := client.New(c.Addrs(), c.Identities().withoutOwn(), strings.TrimSpace(string(token))+"x")
 	_, err = bad.Status(ctx, "job-1")
 	refused(t, err, 401)
-	machine := client.New(c.Addrs(), c.Hosted().workerTLS(), "")
+	machine := client.New(c.Addrs(), c.Identities().workerTLS(), "")
 	_, err = machine.Status(ctx, "job-1")
 	refused(t, err, 403)
 	refused(t, partner.Do(ctx, "POST", "/checkin", &protocol.Heartbeat{Machine: "m-1", Epoch: 1}, nil), 401)
@@ -216,7 +216,7 @@
 }
 
 // withoutOwn returns the TLS configuration of a client without a certificate.
-func (h *Hosted) withoutOwn() *tls.Config {
+func (h *Identities) withoutOwn() *tls.Config {
 	config := h.workerTLS()
 	config.GetClientCertificate = nil
 	return config
@@ -303,7 +303,7 @@
 	root, anna := c.as(t, Administrator), c.as(t, "person/anna")
 	for _, node := range c.Nodes() {
 		name := identity.Name{Kind: identity.Controller, ID: node.Label}
-		if _, err := c.Hosted().CA.Issue(name, time.Now(), certificateLifetime, true); err != nil {
+		if _, err := c.Identities().CA.Issue(name, time.Now(), certificateLifetime, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -373,8 +373,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	c := hostedCluster(t, ctx)
-	identities := c.Hosted()
-	asker, err := reapi.NewAsker(client.New(c.Addrs(), identities.withoutOwn(), ""), "refund-batch")
+	identities := c.Identities()
+	asker, err := reapi.NewControllerAccess(client.New(c.Addrs(), identities.withoutOwn(), ""), "refund-batch")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/devcluster/machines.go
+++ b/internal/devcluster/machines.go
@@ -67,7 +67,7 @@
 // controller is the index of the one that gets the first heartbeat.
 func (c *Cluster) runMachine(name string, machine *cloud.Machine, controller int) {
 	a := agent.New(&c.mu, c, c)
-	addr, err := c.serve(c.options.Hosted.machineTLS(), func(_ context.Context, r *http.Request, body []byte) *transport.Response {
+	addr, err := c.serve(c.options.Identities.machineTLS(), func(_ context.Context, r *http.Request, body []byte) *transport.Response {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return a.Serve(r.URL.Path, body)
@@ -77,13 +77,13 @@
 	}
 	c.mu.Lock()
 	a.Name, a.Addr, a.Type, a.Zone, a.Spot = name, addr, machine.Type, machine.Zone, machine.Spot
-	a.ReportEvery, a.Lease = heartbeatInterval, machineLease
-	a.Home = controller
+	a.HeartbeatInterval, a.Lease = heartbeatInterval, machineLease
+	a.Controller = controller
 	for _, node := range c.nodes {
-		a.Homes = append(a.Homes, node.Label)
+		a.Controllers = append(a.Controllers, node.Label)
 	}
 	a.Send = c.sendHeartbeat
-	if c.options.Gate != nil {
+	if c.options.FrontEndConn != nil {
 		a.Exec = func(t *agent.Task) func() { return c.execute(a, t) }
 	}
 	machine.Addr, machine.Up = addr, true
@@ -95,14 +95,14 @@
 // stopMachine powers a machine off. The lock is held.
 func (c *Cluster) stopMachine(name string) {
 	if a := c.agents[name]; a != nil {
-		a.Off()
+		a.PowerOff()
 		delete(c.agents, name)
 	}
 }
 
-// TakeMachine preempts a machine that runs a task, without notice. It returns false if
+// PreemptMachine preempts a machine that runs a task, without notice. It returns false if
 // there is none.
-func (c *Cluster) TakeMachine() bool {
+func (c *Cluster) PreemptMachine() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, a := range c.agents {
@@ -124,8 +124,8 @@
 	return len(c.cloud.Machines), c.cloud.Rented
 }
 
-// Workers calls f with the agents, by machine, with the lock held.
-func (c *Cluster) Workers(f func(map[string]*agent.Agent)) {
+// Agents calls f with the agents, by machine, with the lock held.
+func (c *Cluster) Agents(f func(map[string]*agent.Agent)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.agents)
@@ -196,7 +196,7 @@
 	c.group.Go(func() {
 		defer cancel()
 		dir := runner.Dir(filepath.Join(c.options.Dir, "work", a.Name), t.Name, t.Attempt)
-		err := runner.Run(ctx, c.options.Gate, a.Name, spec.Image, t.Index, dir)
+		err := runner.Run(ctx, c.options.FrontEndConn, a.Name, spec.Image, t.Index, dir)
 		_ = os.RemoveAll(dir)
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/devcluster/measure.go
+++ b/internal/devcluster/measure.go
@@ -69,7 +69,7 @@
 		RPS:         max(minStateRPS, requestsPerWrite*writes),
 	}
 	if hosted {
-		if options.Hosted, err = Prepare(dir, measuredControllers); err != nil {
+		if options.Identities, err = Prepare(dir, measuredControllers); err != nil {
 			remove()
 			return nil, nil, err
 		}
--- a/internal/devcluster/policy.go
+++ b/internal/devcluster/policy.go
@@ -18,7 +18,7 @@
 const policyInterval = 50 * time.Millisecond
 
 // initialPolicy returns the policy that a cluster with these front ends starts with.
-func initialPolicy(frontEnds []*Gate) *rights.Document {
+func initialPolicy(frontEnds []*FrontEnd) *rights.Document {
 	build := []string{"submit", "view", "view-arguments", "withdraw"}
 	all := append(slices.Clone(build), "reassign", "administer")
 	document := &rights.Document{
--- a/internal/devcluster/server.go
+++ b/internal/devcluster/server.go
@@ -57,7 +57,7 @@
 
 // scheme returns the URL scheme of the controllers.
 func (c *Cluster) scheme() string {
-	if c.options.Hosted != nil {
+	if c.options.Identities != nil {
 		return "https"
 	}
 	return "http"
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -31,14 +31,14 @@
 type Agent struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
-	// ReportEvery is the heartbeat interval, Lease the duration of the machine lease.
-	ReportEvery, Lease time.Duration
+	// HeartbeatInterval is the heartbeat interval, Lease the duration of the machine lease.
+	HeartbeatInterval, Lease time.Duration
 	// Fetch is how long a task takes to fetch its image.
 	Fetch time.Duration
-	// Homes are the labels of the controllers; Home is the index of the one that gets the
+	// Controllers are the labels of the controllers; Home is the index of the one that gets the
 	// heartbeats.
-	Homes []string
-	Home  int
+	Controllers []string
+	Controller  int
 	// Send sends a heartbeat to a controller. It is called without the lock. Status 0 means
 	// that there was no answer.
 	Send func(home string, report []byte) (status int, answer []byte)
@@ -47,16 +47,16 @@
 	// for the task, it returns how to stop that, and the task runs until Finish.
 	Exec func(t *Task) (stop func())
 
-	// Dead means that the machine is powered off, Hung that it does nothing.
-	Dead, Hung bool
-	// Session is the agent epoch, Sequence the number of the last heartbeat, Token the
+	// PoweredOff means that the machine is powered off, Hung that it does nothing.
+	PoweredOff, Hung bool
+	// Epoch is the agent epoch, Sequence the number of the last heartbeat, Token the
 	// fencing token of the machine lease.
-	Session, Sequence, Token uint64
-	// LeaseFrom is when the machine lease was last renewed.
-	LeaseFrom time.Time
-	Tasks     map[string]*Task // by task and attempt
-	// Notice is when the machine is preempted, nil: no preemption notice was given.
-	Notice *time.Time
+	Epoch, Sequence, Token uint64
+	// LeaseRenewedAt is when the machine lease was last renewed.
+	LeaseRenewedAt time.Time
+	Tasks          map[string]*Task // by task and attempt
+	// PreemptedAt is when the machine is preempted, nil: no preemption notice was given.
+	PreemptedAt *time.Time
 	// Starts counts the tasks that began to run.
 	Starts int
 
@@ -78,24 +78,24 @@
 // caller sets the remaining fields.
 func New(lock sync.Locker, jobs Jobs, watcher Watcher) *Agent {
 	return &Agent{
-		lock:        lock,
-		jobs:        jobs,
-		watcher:     watcher,
-		stopped:     make(chan struct{}),
-		Session:     1,
-		Tasks:       map[string]*Task{},
-		Fetch:       defaultFetch,
-		ReportEvery: defaultHeartbeatInterval,
-		LeaseFrom:   time.Now(),
+		lock:              lock,
+		jobs:              jobs,
+		watcher:           watcher,
+		stopped:           make(chan struct{}),
+		Epoch:             1,
+		Tasks:             map[string]*Task{},
+		Fetch:             defaultFetch,
+		HeartbeatInterval: defaultHeartbeatInterval,
+		LeaseRenewedAt:    time.Now(),
 	}
 }
 
-// Off powers the machine off. The lock is held.
-func (a *Agent) Off() {
-	if a.Dead {
+// PowerOff powers the machine off. The lock is held.
+func (a *Agent) PowerOff() {
+	if a.PoweredOff {
 		return
 	}
-	a.Dead = true
+	a.PoweredOff = true
 	for _, t := range a.Tasks {
 		t.halt()
 	}
@@ -122,9 +122,9 @@
 		due := !time.Now().Before(nextHeartbeat)
 		a.lock.Unlock()
 		if due {
-			nextHeartbeat = time.Now().Add(a.ReportEvery)
+			nextHeartbeat = time.Now().Add(a.HeartbeatInterval)
 			if !a.sendHeartbeat() {
-				nextHeartbeat = time.Now().Add(a.ReportEvery)
+				nextHeartbeat = time.Now().Add(a.HeartbeatInterval)
 			}
 		}
 	}
@@ -133,13 +133,13 @@
 // Advance runs the machine up to now: an expired lease ends all tasks and the agent epoch,
 // and tasks start and end when their time has come. The lock is held.
 func (a *Agent) Advance(now time.Time) {
-	if now.Sub(a.LeaseFrom) > a.Lease {
-		a.Session++
+	if now.Sub(a.LeaseRenewedAt) > a.Lease {
+		a.Epoch++
 		for _, t := range a.Tasks {
 			t.halt()
 		}
 		a.Tasks = map[string]*Task{}
-		a.LeaseFrom = now
+		a.LeaseRenewedAt = now
 	}
 	for _, t := range a.Tasks {
 		switch {
--- a/internal/fake/agent/commands.go
+++ b/internal/fake/agent/commands.go
@@ -53,9 +53,9 @@
 // answer. The lock is held.
 func (a *Agent) Serve(path string, body []byte) *transport.Response {
 	answer := func(status int) *transport.Response {
-		return &transport.Response{Status: status, Body: protocol.Encode(a.Snapshot())}
+		return &transport.Response{Status: status, Body: protocol.Encode(a.Heartbeat())}
 	}
-	if a.Dead || a.Hung {
+	if a.PoweredOff || a.Hung {
 		return nil
 	}
 	a.Advance(time.Now())
@@ -66,7 +66,7 @@
 	if protocol.Decode(body, &orders) != nil || orders.Token == 0 && orders.Epoch == 0 {
 		return answer(http.StatusBadRequest)
 	}
-	if orders.Token < a.Token || orders.Epoch != a.Session {
+	if orders.Token < a.Token || orders.Epoch != a.Epoch {
 		return answer(http.StatusConflict)
 	}
 	a.Token = orders.Token
--- a/internal/fake/agent/heartbeat.go
+++ b/internal/fake/agent/heartbeat.go
@@ -7,8 +7,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// Snapshot returns the agent's next heartbeat. The lock is held.
-func (a *Agent) Snapshot() *protocol.Heartbeat {
+// Heartbeat returns the agent's next heartbeat. The lock is held.
+func (a *Agent) Heartbeat() *protocol.Heartbeat {
 	a.Sequence++
 	heartbeat := &protocol.Heartbeat{
 		Machine:  a.Name,
@@ -16,13 +16,13 @@
 		Type:     a.Type,
 		Zone:     a.Zone,
 		Spot:     a.Spot,
-		Epoch:    a.Session,
+		Epoch:    a.Epoch,
 		Sequence: a.Sequence,
 		Token:    a.Token,
 		Tasks:    []protocol.TaskReport{},
 	}
-	if a.Notice != nil {
-		seconds := time.Until(*a.Notice).Seconds()
+	if a.PreemptedAt != nil {
+		seconds := time.Until(*a.PreemptedAt).Seconds()
 		heartbeat.PreemptionNoticeS = &seconds
 	}
 	for _, t := range a.Tasks {
@@ -36,34 +36,34 @@
 func (a *Agent) sendHeartbeat() bool {
 	a.lock.Lock()
 	sent := time.Now()
-	heartbeat := a.Snapshot()
-	controller := a.Homes[a.Home]
+	heartbeat := a.Heartbeat()
+	controller := a.Controllers[a.Controller]
 	a.lock.Unlock()
 	status, body := a.Send(controller, protocol.Encode(heartbeat))
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if a.Hung || a.Dead {
+	if a.Hung || a.PoweredOff {
 		return true
 	}
 	switch status {
 	case http.StatusOK:
 		var orders protocol.CommandBatch
-		if protocol.Decode(body, &orders) == nil && orders.Token >= a.Token && heartbeat.Epoch == a.Session {
-			a.Token, a.LeaseFrom = orders.Token, sent
+		if protocol.Decode(body, &orders) == nil && orders.Token >= a.Token && heartbeat.Epoch == a.Epoch {
+			a.Token, a.LeaseRenewedAt = orders.Token, sent
 			a.execute(orders.Commands)
 		}
 		return true
 	case http.StatusMisdirectedRequest:
 		var home protocol.AssignedController
 		if protocol.Decode(body, &home) == nil {
-			for i, label := range a.Homes {
-				if label == home.Controller && i != a.Home {
-					a.Home = i
+			for i, label := range a.Controllers {
+				if label == home.Controller && i != a.Controller {
+					a.Controller = i
 					return false
 				}
 			}
 		}
 	}
-	a.Home = (a.Home + 1) % len(a.Homes)
+	a.Controller = (a.Controller + 1) % len(a.Controllers)
 	return false
 }
--- a/internal/fake/cloud/service.go
+++ b/internal/fake/cloud/service.go
@@ -28,7 +28,7 @@
 type Machine struct {
 	Type, Zone string
 	Spot       bool
-	Since      time.Time // when it was rented
+	RentedAt   time.Time // when it was rented
 	Addr       string
 	Up         bool
 }
@@ -44,9 +44,9 @@
 	Prefix   string // of the machines' names
 	// ListLag is how far the machine list is behind.
 	ListLag time.Duration
-	// Out simulates an outage: every request fails.
-	Out      bool
-	Machines map[string]*Machine // by name
+	// Unavailable simulates an outage: every request fails.
+	Unavailable bool
+	Machines    map[string]*Machine // by name
 	// Rented counts machines rented so far.
 	Rented   int
 	next     int
@@ -76,7 +76,7 @@
 func (s *Service) Serve(method, path string, query url.Values, body []byte) *transport.Response {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.Out {
+	if s.Unavailable {
 		return answer(http.StatusServiceUnavailable, protocol.Problem{Error: "trouble"})
 	}
 	switch {
@@ -115,7 +115,7 @@
 	}
 	list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 	for name, machine := range s.Machines {
-		age := time.Since(machine.Since)
+		age := time.Since(machine.RentedAt)
 		if name <= query.Get("after") || age < s.ListLag {
 			continue
 		}
@@ -171,7 +171,7 @@
 		name := fmt.Sprintf("%s-%06d", s.Prefix, s.next)
 		s.next++
 		s.Rented++
-		machine := &Machine{Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Since: time.Now()}
+		machine := &Machine{Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, RentedAt: time.Now()}
 		s.Machines[name] = machine
 		names = append(names, name)
 		s.Boot(name, machine)
--- a/internal/fake/state/service.go
+++ b/internal/fake/state/service.go
@@ -56,11 +56,11 @@
 	// Requests and Writes bound requests and changes per second; nil: no bound.
 	Requests, Writes *rate.Limiter
 
-	// Out simulates an outage; Stuck means that watches return no events.
-	Out, Stuck bool
-	// Refused are clients whose requests fail while those of others succeed; their open
+	// Unavailable simulates an outage; Stuck means that watches return no events.
+	Unavailable, WatchesStuck bool
+	// RefusedClients are clients whose requests fail while those of others succeed; their open
 	// watches wait.
-	Refused map[string]bool
+	RefusedClients map[string]bool
 	// HiddenOps and HiddenValue are bounds like TxnOps and, in bytes, ValueKB that the
 	// store does not announce; 0: none.
 	HiddenOps, HiddenValue int
@@ -113,7 +113,7 @@
 	if path == "/changes" {
 		return s.watch(ctx, client, query)
 	}
-	if s.Out || s.Refused[client] {
+	if s.Unavailable || s.RefusedClients[client] {
 		return answer(http.StatusServiceUnavailable, emptyBody{})
 	}
 	s.expire()
@@ -170,13 +170,13 @@
 	return answer(http.StatusOK, list)
 }
 
-// Outage starts or ends an outage. At both, leases have their full time again, except for
+// SetOutage starts or ends an outage. At both, leases have their full time again, except for
 // those that had expired before. The lock is held.
-func (s *Service) Outage(on bool) {
-	if !s.Out {
+func (s *Service) SetOutage(on bool) {
+	if !s.Unavailable {
 		s.expire()
 	}
-	s.Out = on
+	s.Unavailable = on
 	for _, l := range s.leases {
 		l.ends = time.Now().Add(l.ttl)
 	}
--- a/internal/fake/state/watch.go
+++ b/internal/fake/state/watch.go
@@ -40,7 +40,7 @@
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
 	deadline := time.Now().Add(min(maxWait, time.Duration(wait)*time.Millisecond))
 	for {
-		if !s.Out && !s.Stuck && !s.Refused[client] {
+		if !s.Unavailable && !s.WatchesStuck && !s.RefusedClients[client] {
 			s.expire()
 			if after < s.dropped {
 				return answer(http.StatusGone, compacted{s.Revision})
--- a/internal/reapi/authorization.go
+++ b/internal/reapi/authorization.go
@@ -51,11 +51,11 @@
 	return c.With(token), ok
 }
 
-// Open is an Access that allows everything, for clusters without authentication.
-type Open struct{}
+// OpenAccess is an Access that allows everything, for clusters without authentication.
+type OpenAccess struct{}
 
 // Allows implements Access.
-func (Open) Allows(context.Context, string, string, string) (string, error) { return "", nil }
+func (OpenAccess) Allows(context.Context, string, string, string) (string, error) { return "", nil }
 
 const (
 	// answerTTL is how long an answer of the controllers is cached. A revocation
@@ -67,9 +67,9 @@
 	maxCachedAnswers = 8192
 )
 
-// Asker is an Access that asks the controllers with the client's own credential, so
+// ControllerAccess is an Access that asks the controllers with the client's own credential, so
 // that they decide and audit what was refused.
-type Asker struct {
+type ControllerAccess struct {
 	controllers *client.Client
 	class       string
 	answers     *lru.Cache[accessQuery, *accessAnswer]
@@ -95,17 +95,17 @@
 	return at != 0 && time.Since(time.UnixMilli(at)) > answerTTL
 }
 
-// NewAsker creates an Asker for jobs of a class.
-func NewAsker(controllers *client.Client, class string) (*Asker, error) {
+// NewControllerAccess creates an Asker for jobs of a class.
+func NewControllerAccess(controllers *client.Client, class string) (*ControllerAccess, error) {
 	answers, err := lru.New[accessQuery, *accessAnswer](maxCachedAnswers)
 	if err != nil {
 		return nil, err
 	}
-	return &Asker{controllers: controllers, class: class, answers: answers}, nil
+	return &ControllerAccess{controllers: controllers, class: class, answers: answers}, nil
 }
 
 // Allows implements Access, from the cache if an answer is fresh.
-func (a *Asker) Allows(ctx context.Context, credential, verb, team string) (string, error) {
+func (a *ControllerAccess) Allows(ctx context.Context, credential, verb, team string) (string, error) {
 	asker, ok := clientFor(a.controllers, credential)
 	if !ok {
 		return "", status.Error(codes.Unauthenticated, "send a token: authorization: Bearer ..., or show a certificate")
--- a/internal/reapi/batch.go
+++ b/internal/reapi/batch.go
@@ -290,7 +290,7 @@
 	return err
 }
 
-// Gathered returns how many jobs this process submitted, and of how many actions.
-func (f *FrontEnd) Gathered() (jobs, actions int64) {
+// Submitted returns how many jobs this process submitted, and of how many actions.
+func (f *FrontEnd) Submitted() (jobs, actions int64) {
 	return f.executions.jobs.Load(), f.executions.actions.Load()
 }
--- a/internal/reapi/bench_test.go
+++ b/internal/reapi/bench_test.go
@@ -24,7 +24,7 @@
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
 	}
-	b, _ := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
+	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
 	const blobs, size = 64, 8 << 20
 	data := make([][]byte, blobs)
 	for i := range data {
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -74,7 +74,7 @@
 	config := oneTeam
 	const rate = 16 << 20
 	config.Shares.Bytes = admission.New(admission.Limits{PerSecond: rate, MaxWaiting: 100, Weights: map[string]float64{"blue": 3}})
-	b, _ := start(t, config, Open{}, roomy)
+	b, _ := start(t, config, OpenAccess{}, roomy)
 	data := random(4 << 20)
 	d := blobstore.Of(data).String()
 	for _, at := range []string{"", "a/b/"} {
--- a/internal/reapi/download_test.go
+++ b/internal/reapi/download_test.go
@@ -39,7 +39,7 @@
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
 	}
-	b, _ := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
+	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
 	const size, blobs = 32 << 20, 4
 	data := random(size)
 	var names []string
--- a/internal/reapi/frontend_test.go
+++ b/internal/reapi/frontend_test.go
@@ -99,7 +99,7 @@
 
 var (
 	oneTeam = Config{Instances: map[string]string{"": "red", "a/b": "blue"}, ClientResults: true, GatherFor: 50 * time.Millisecond, GatherMost: 256}
-	roomy   = blobstore.Options{MaxBytes: 64 << 20, MaxBlob: 32 << 20, Promise: time.Minute}
+	roomy   = blobstore.Options{MaxBytes: 64 << 20, MaxBlob: 32 << 20, Retention: time.Minute}
 )
 
 func random(n int) []byte {
@@ -168,7 +168,7 @@
 }
 
 func TestByteStream(t *testing.T) {
-	b, _ := start(t, oneTeam, Open{}, roomy)
+	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
 	data := bytes.Repeat(random(1000), 3000)
 	d := blobstore.Of(data)
 	if n, err := b.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil || n != d.Size {
@@ -226,7 +226,7 @@
 // An interrupted write is resumed at its offset; one whose data does not match its digest
 // is rejected and leaves nothing.
 func TestInterruptedAndInvalidWrites(t *testing.T) {
-	b, store := start(t, oneTeam, Open{}, roomy)
+	b, store := start(t, oneTeam, OpenAccess{}, roomy)
 	for _, compressed := range []bool{false, true} {
 		data := random(900_000)
 		d := blobstore.Of(data)
@@ -279,7 +279,7 @@
 }
 
 func TestBatches(t *testing.T) {
-	b, _ := start(t, oneTeam, Open{}, roomy)
+	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
 	good, packed, lie := random(1000), bytes.Repeat([]byte("a"), 2000), random(10)
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{
 		{Digest: digestToProto(blobstore.Of(good)), Data: good},
@@ -341,7 +341,7 @@
 }
 
 func TestGetTree(t *testing.T) {
-	b, _ := start(t, oneTeam, Open{}, roomy)
+	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
 	leaf := b.store(&repb.Directory{Files: []*repb.FileNode{{Name: "f"}}})
 	var mids []*repb.DirectoryNode
 	for i := range 25 {
@@ -397,7 +397,7 @@
 
 // A result is returned only if all blobs that it references exist; the first one stays.
 func TestActionCache(t *testing.T) {
-	b, store := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 100_000, MaxBlob: 50_000})
+	b, store := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 100_000, MaxBlob: 50_000})
 	action := digestToProto(blobstore.Of([]byte("action")))
 	out, inTree := b.blob(random(3000)), b.blob(random(1000))
 	tree := b.store(&repb.Tree{Root: &repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: inTree}}}})
@@ -437,7 +437,7 @@
 	}
 	closed := oneTeam
 	closed.ClientResults = false
-	b2, _ := start(t, closed, Open{}, roomy)
+	b2, _ := start(t, closed, OpenAccess{}, roomy)
 	_, err = b2.ac.UpdateActionResult(b2.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result})
 	b2.code(err, codes.PermissionDenied)
 	caps, err := repb.NewCapabilitiesClient(b2.conn).GetCapabilities(b2.ctx, &repb.GetCapabilitiesRequest{})
@@ -448,7 +448,7 @@
 
 // A full store refuses at once, with a retry delay.
 func TestFullStore(t *testing.T) {
-	b, _ := start(t, oneTeam, Open{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Promise: 30 * time.Second})
+	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Retention: 30 * time.Second})
 	b.blob(random(8000))
 	data := random(5000)
 	started := time.Now()
@@ -525,7 +525,7 @@
 
 // Many clients upload and download the same blobs concurrently.
 func TestManyClients(t *testing.T) {
-	b, store := start(t, oneTeam, Open{}, roomy)
+	b, store := start(t, oneTeam, OpenAccess{}, roomy)
 	blobs := make([][]byte, 8)
 	for i := range blobs {
 		blobs[i] = random(50_000 * (i + 1))
--- a/internal/reapi/inspection.go
+++ b/internal/reapi/inspection.go
@@ -61,7 +61,7 @@
 			Instances:      instances[team],
 			Blobs:          int64(space.Blobs),
 			Bytes:          space.Bytes,
-			Promised:       space.Promised,
+			Promised:       space.Retained,
 			Pinned:         space.Pinned,
 			Quota:          space.Quota,
 			WaitingActions: int64(actions[team]),
@@ -79,7 +79,7 @@
 
 // totals returns the figures of the whole front end.
 func (f *FrontEnd) totals(stats blobstore.Stats, calls, transfers admission.Stats) *inspection.Totals {
-	jobs, actions := f.Gathered()
+	jobs, actions := f.Submitted()
 	totals := &inspection.Totals{
 		Blobs:            int64(stats.Blobs),
 		Bytes:            stats.Bytes,
@@ -185,7 +185,7 @@
 	}
 	digest := blobstore.Digest{Hash: req.GetHash(), Size: req.GetSizeBytes()}
 	if name, hash, _ := strings.Cut(digest.Hash, ":"); hash != "" {
-		if function, known := blobstore.Named(name); known {
+		if function, known := blobstore.FunctionNamed(name); known {
 			digest.Function, digest.Hash = function, hash
 		}
 	}
--- a/internal/reapi/manifest.go
+++ b/internal/reapi/manifest.go
@@ -51,7 +51,7 @@
 func (e *ManifestEntry) Action() blobstore.Digest {
 	digest := blobstore.Digest{Hash: e.Hash, Size: e.Size}
 	var known bool
-	if digest.Function, known = blobstore.Named(e.Function); !known && e.Function != "" {
+	if digest.Function, known = blobstore.FunctionNamed(e.Function); !known && e.Function != "" {
 		digest.Hash = "" // fails Check
 	}
 	return digest
--- a/internal/reapi/peerservice.go
+++ b/internal/reapi/peerservice.go
@@ -94,11 +94,11 @@
 		return status.Errorf(codes.InvalidArgument, "there is no instance %q, or the offset is below 0", clip(req.GetInstance()))
 	}
 	store, key := s.frontEnd.store, uploadKey(team, req.GetResource())
-	size := store.Begun(key)
+	size := store.Received(key)
 	if err := out.Send(&inspection.BegunReply{Size: size}); err != nil || req.GetLook() || size == 0 {
 		return err
 	}
-	received, err := store.ReadBegun(key, req.GetOffset())
+	received, err := store.ReadReceived(key, req.GetOffset())
 	if err != nil {
 		return failure(err)
 	}
--- a/internal/reapi/resourcename.go
+++ b/internal/reapi/resourcename.go
@@ -69,7 +69,7 @@
 func parseDigest(segments []string) (digest blobstore.Digest, length int, ok bool) {
 	digest.Function = blobstore.SHA256
 	if len(segments) > 0 {
-		if function, named := blobstore.Named(segments[0]); named {
+		if function, named := blobstore.FunctionNamed(segments[0]); named {
 			digest.Function = function
 			segments = segments[1:]
 			length++
--- a/internal/reapi/uploads.go
+++ b/internal/reapi/uploads.go
@@ -103,7 +103,7 @@
 // discard deletes what was received.
 func (p *pendingUpload) discard() {
 	if p.packed != nil {
-		p.packed.Drop()
+		p.packed.Abort()
 		return
 	}
 	p.upload.Abort()
@@ -188,7 +188,7 @@
 		}
 		return upload.received.Load()
 	}
-	return f.store.Begun(key)
+	return f.store.Received(key)
 }
 
 // receivedElsewhere asks the peers how many bytes of a write they received and returns the
