--- a/internal/devcluster/cluster.go
+++ b/internal/devcluster/cluster.go
@@ -77,9 +77,8 @@
 	nodes           []*Node
 	frontEnds       []*FrontEnd
 	heartbeatClient *http.Client
-	// addresses are those of processes, each with the socket that reserves it until its
-	// process starts, and addressReleased afterwards.
-	addresses map[string]int
+	// addresses are those of processes, with what reserves them.
+	addresses map[string]reservation
 }
 
 // Teams, zones and machine types, as in a small deployment.
@@ -98,7 +97,7 @@
 		rng:       rand.New(rand.NewPCG(1, 2)),
 		agents:    map[string]*agent.Agent{},
 		results:   map[string]bool{},
-		addresses: map[string]int{},
+		addresses: map[string]reservation{},
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.heartbeatClient = &http.Client{
@@ -175,9 +174,6 @@
 // Stop stops everything and waits for it.
 func (c *Cluster) Stop() {
 	c.stopFrontEnds()
-	for addr := range c.addresses {
-		c.releaseAddr(addr)
-	}
 	c.stopControllers()
 	c.cancel()
 	c.mu.Lock()
@@ -186,4 +182,5 @@
 	}
 	c.mu.Unlock()
 	c.group.Wait()
+	c.releaseAddrs()
 }
--- a/internal/devcluster/process.go
+++ b/internal/devcluster/process.go
@@ -20,8 +20,17 @@
 	portAttempts = 200
 )
 
-// addressReleased marks an address whose process was started.
-const addressReleased = -1
+// reservation is what keeps an address for a process of this cluster.
+type reservation struct {
+	// socket is bound to the address until its process starts; notHeld afterwards.
+	socket int
+	// claim is bound to a name that stands for the port until the cluster stops, so that no
+	// other cluster draws the port between the release of the socket and the start.
+	claim int
+}
+
+// notHeld is a closed socket of a reservation.
+const notHeld = -1
 
 // reserveAddr finds a free loopback address and reserves it until its process starts. The
 // address is bound but not listened on, so that connections are refused as if the process
@@ -33,26 +42,55 @@
 		if _, used := c.addresses[addr]; used {
 			continue
 		}
-		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+		claim, err := bindSocket(syscall.AF_UNIX, &syscall.SockaddrUnix{Name: "@micaspindle-devcluster/" + strconv.Itoa(port)})
+		if errors.Is(err, errNoSocket) {
+			return "", err
+		}
 		if err != nil {
-			return "", fmt.Errorf("devcluster: reserve an address: %w", err)
+			continue
 		}
-		if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-			_ = syscall.Close(fd)
+		socket, err := bindSocket(syscall.AF_INET, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
+		if err != nil {
+			_ = syscall.Close(claim)
 			continue
 		}
-		c.addresses[addr] = fd
+		c.addresses[addr] = reservation{socket, claim}
 		return addr, nil
 	}
 	return "", fmt.Errorf("devcluster: no free port between %d and %d", minPort, maxPort)
 }
 
+// errNoSocket says that the system gives no socket, for any address.
+var errNoSocket = errors.New("devcluster: reserve an address")
+
+// bindSocket returns a socket that is bound to an address.
+func bindSocket(family int, addr syscall.Sockaddr) (int, error) {
+	socket, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return notHeld, fmt.Errorf("%w: %w", errNoSocket, err)
+	}
+	if err := syscall.Bind(socket, addr); err != nil {
+		_ = syscall.Close(socket)
+		return notHeld, err
+	}
+	return socket, nil
+}
+
 // releaseAddr releases an address for its process.
 func (c *Cluster) releaseAddr(addr string) {
-	if fd, reserved := c.addresses[addr]; reserved && fd != addressReleased {
-		_ = syscall.Close(fd)
-		c.addresses[addr] = addressReleased
+	if r, reserved := c.addresses[addr]; reserved && r.socket != notHeld {
+		_ = syscall.Close(r.socket)
+		c.addresses[addr] = reservation{notHeld, r.claim}
+	}
+}
+
+// releaseAddrs gives up all addresses; the cluster's processes have ended.
+func (c *Cluster) releaseAddrs() {
+	for addr, r := range c.addresses {
+		c.releaseAddr(addr)
+		_ = syscall.Close(r.claim)
 	}
+	clear(c.addresses)
 }
 
 // startProcess starts a process of the cluster that logs to a file. The returned channel is
--- a/internal/devcluster/process_test.go
+++ b/internal/devcluster/process_test.go
@@ -3,13 +3,16 @@
 import (
 	"net"
 	"strconv"
+	"syscall"
 	"testing"
 )
 
 // An address is reserved for its process: it is neither given twice nor free for another
 // cluster until the process starts.
 func TestAddressIsReservedUntilProcessStarts(t *testing.T) {
-	c, other := &Cluster{addresses: map[string]int{}}, &Cluster{addresses: map[string]int{}}
+	c, other := &Cluster{addresses: map[string]reservation{}}, &Cluster{addresses: map[string]reservation{}}
+	defer c.releaseAddrs()
+	defer other.releaseAddrs()
 	seen := map[string]bool{}
 	for range 1500 { // each of the two draws some twice
 		for _, each := range []*Cluster{c, other} {
@@ -47,4 +50,12 @@
 		t.Errorf("port %s", port)
 	}
 	_ = l.Close()
+	for range 200 { // free for a listener, yet no other cluster may draw it
+		if drawn, err := other.reserveAddr(); err != nil || drawn == addr {
+			t.Fatalf("%s is drawn by another cluster while its process starts: %v", drawn, err)
+		}
+	}
+	if _, err := bindSocket(syscall.AF_UNIX, &syscall.SockaddrUnix{Name: "@micaspindle-devcluster/" + port}); err == nil {
+		t.Error("another cluster could draw an address whose process has started")
+	}
 }
