--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// attemptDone takes in that a task completed. The tasks of a standing job start again.
+// attemptDone takes in that a task completed. The tasks of a service start again.
 func (a *Agents) attemptDone(attempt *cluster.Attempt, now time.Time) {
 	job := attempt.Job
 	if job.Spec.Standing {
--- a/internal/coordination/agents/command_delivery.go
+++ b/internal/coordination/agents/command_delivery.go
@@ -40,11 +40,11 @@
 	starts := startedBy(commands, machine)
 	machine.CommandAgain = false
 	a.commandsSent(machine, now)
-	orders := protocol.CommandBatch{Token: a.Token(machine), Epoch: machine.Epoch, Commands: commands}
+	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: machine.Epoch, Commands: commands}
 	delegate := partition.Delegations.CommandRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
 	a.loop.Go(func() {
-		heartbeat, sent, err := a.PostCommands(delegate, name, addr, orders)
+		heartbeat, sent, err := a.PostCommands(delegate, name, addr, batch)
 		a.loop.Do(func() {
 			startsAnswered(starts, sent && heartbeat == nil)
 			a.applyCommandAnswer(machine, heartbeat, err)
@@ -97,8 +97,8 @@
 // PostCommands sends commands, by way of the machine's delegate if there is one that takes them,
 // and returns the heartbeat that the agent answers with. sent is false if the commands can never
 // arrive or were certainly refused. It blocks, so it is called outside the event loop.
-func (a *Agents) PostCommands(delegate, machine, addr string, orders protocol.CommandBatch) (heartbeat *protocol.Heartbeat, sent bool, err error) {
-	response, err := a.deliverCommands(delegate, machine, addr, protocol.Encode(orders))
+func (a *Agents) PostCommands(delegate, machine, addr string, batch protocol.CommandBatch) (heartbeat *protocol.Heartbeat, sent bool, err error) {
+	response, err := a.deliverCommands(delegate, machine, addr, protocol.Encode(batch))
 	if err != nil {
 		return nil, !errors.Is(err, transport.ErrNotSent), err
 	}
@@ -148,22 +148,22 @@
 	}
 	now := time.Now()
 	a.commandsSent(machine, now)
-	orders := protocol.CommandBatch{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.EpochHint, 1), Commands: []protocol.Command{}}
+	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.EpochHint, 1), Commands: []protocol.Command{}}
 	delegate := a.Partitions[machine.Record.Partition].Delegations.FenceRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
 	a.loop.Go(func() {
-		heartbeat, err := a.postFence(delegate, name, addr, orders)
+		heartbeat, err := a.postFence(delegate, name, addr, batch)
 		a.loop.Do(func() { a.applyFenceAnswer(machine, heartbeat, err) })
 	})
 }
 
 // postFence sends a message that only fences, once more if the agent turns out to be in another
 // epoch.
-func (a *Agents) postFence(delegate, machine, addr string, orders protocol.CommandBatch) (*protocol.Heartbeat, error) {
-	heartbeat, _, err := a.PostCommands(delegate, machine, addr, orders)
-	if heartbeat != nil && errors.Is(err, errStaleCommand) && heartbeat.Epoch != orders.Epoch {
-		orders.Epoch = heartbeat.Epoch
-		heartbeat, _, err = a.PostCommands(delegate, machine, addr, orders)
+func (a *Agents) postFence(delegate, machine, addr string, batch protocol.CommandBatch) (*protocol.Heartbeat, error) {
+	heartbeat, _, err := a.PostCommands(delegate, machine, addr, batch)
+	if heartbeat != nil && errors.Is(err, errStaleCommand) && heartbeat.Epoch != batch.Epoch {
+		batch.Epoch = heartbeat.Epoch
+		heartbeat, _, err = a.PostCommands(delegate, machine, addr, batch)
 	}
 	return heartbeat, err
 }
@@ -176,7 +176,7 @@
 		return
 	}
 	if a.leads(machine) && heartbeat.Machine == machine.Name {
-		machine.LastHeardAt = time.Now()
+		machine.LastHeartbeatAt = time.Now()
 		a.ApplyHeartbeat(machine, heartbeat, time.Now())
 		a.SendCommands(machine)
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -39,19 +39,19 @@
 		machine.Record.Addr = heartbeat.Addr
 	}
 	a.ApplyHeartbeat(machine, heartbeat, now)
-	machine.LastHeardAt = now
+	machine.LastHeartbeatAt = now
 	if delegate := a.proxy.RedirectTarget(partition, machine, now); delegate != "" {
 		return redirect(delegate)
 	}
 	// From here on the answer extends the machine lease.
 	machine.AnsweredUntil = now
-	orders := protocol.CommandBatch{Token: token}
+	batch := protocol.CommandBatch{Token: token}
 	if partition.Ready && machine.Fenced {
-		orders.Commands = a.commandsFor(machine, now, true)
+		batch.Commands = a.commandsFor(machine, now, true)
 	} else {
-		orders.Commands = a.StopsForCancelledJobs(heartbeat)
+		batch.Commands = a.StopsForCancelledJobs(heartbeat)
 	}
-	return transport.Response{Status: 200, Body: protocol.Encode(orders)}
+	return transport.Response{Status: 200, Body: protocol.Encode(batch)}
 }
 
 // noteUnregistered remembers a machine that is not on record, for the cluster leader to adopt.
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -50,15 +50,15 @@
 // newMachine returns a machine of which nothing but the name is known.
 func newMachine(name string, now time.Time) *cluster.Machine {
 	return &cluster.Machine{
-		Name:          name,
-		Shard:         delegation.ShardOf(name),
-		Attempts:      map[string]*cluster.Attempt{},
-		OrphanedTasks: map[string]protocol.TaskReport{},
-		FailedJobs:    map[string]bool{},
-		Images:        map[string]time.Time{},
-		RecordedAt:    now,
-		LedSince:      now,
-		LastHeardAt:   now,
+		Name:            name,
+		Shard:           delegation.ShardOf(name),
+		Attempts:        map[string]*cluster.Attempt{},
+		OrphanedTasks:   map[string]protocol.TaskReport{},
+		FailedJobs:      map[string]bool{},
+		Images:          map[string]time.Time{},
+		RecordedAt:      now,
+		LedSince:        now,
+		LastHeartbeatAt: now,
 	}
 }
 
@@ -103,7 +103,7 @@
 // machineLost takes in that a machine's lease has expired: its agent has stopped all tasks.
 func (a *Agents) machineLost(machine *cluster.Machine, now time.Time) {
 	a.metrics.Count(telemetry.MachineLeaseExpired, 1)
-	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeardAt), "count", len(machine.Attempts))
+	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeartbeatAt), "count", len(machine.Attempts))
 	machine.Lost, machine.Fenced = true, false
 	a.releaseAll(machine, "machine lease expired", now)
 }
--- a/internal/coordination/agents/tokens.go
+++ b/internal/coordination/agents/tokens.go
@@ -64,7 +64,7 @@
 
 // fenceOutStart has the token raised where a start of an attempt that is to stop may still
 // arrive. The answer to the start is waited for, but not for long if its job was cancelled: its
-// user was told so, and from then on nothing of it may start.
+// cancellation was confirmed to a user, and from then on nothing of it may start.
 func (a *Agents) fenceOutStart(attempt *cluster.Attempt, now time.Time) {
 	if !a.mayStillStart(attempt) {
 		return
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -83,7 +83,7 @@
 
 // Proxy knows which controllers have the machines' connections.
 type Proxy interface {
-	// Load is how many machines keep their connections here.
+	// Load is how many machines are connected here.
 	Load(now time.Time) delegation.Load
 	// Overview lists the controllers that have connections of a partition's machines.
 	Overview(p *cluster.Partition, now time.Time) (list []overview.Delegate)
@@ -91,7 +91,7 @@
 	RecentMoves(now time.Time) []overview.ShardMove
 }
 
-// Replicator knows how far the replicas are that this controller keeps.
+// Replicator knows how far the replicas are that this controller has.
 type Replicator interface {
 	// Overview lists the replicas.
 	Overview(now time.Time) (list []overview.Replica)
--- a/internal/coordination/api/workers.go
+++ b/internal/coordination/api/workers.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxStateSilence is for how long the state service may not answer this controller
-	// before it asks whether others fare better.
+	// before it checks whether other controllers reach the state store.
 	maxStateSilence = 2500 * time.Millisecond
 	// reachableStateSilenceS is how long the state service may not have answered another
 	// controller for that one to count as reaching it, in seconds.
--- a/internal/coordination/autoscaler/leadership.go
+++ b/internal/coordination/autoscaler/leadership.go
@@ -20,10 +20,10 @@
 	}
 	var lease storage.Lease
 	if err := storage.Decode(event.Value, &lease); err != nil {
-		a.log.Error("cluster leader record unreadable", "error", err)
+		a.log.Error("invalid cluster leadership record", "error", err)
 		return
 	}
-	a.DropLeadership("lease changed hands")
+	a.DropLeadership("another controller acquired the lease")
 	leadership.Holder, leadership.Revision = lease.Holder, event.Version
 	if lease.Holder == a.Settings.Label && lease.Nonce == a.Nonce {
 		leadership.Reset()
@@ -40,7 +40,7 @@
 		leadership.VacantSince = now
 	}
 	leadership.FormerHolder, leadership.Holder, leadership.Revision = leadership.Holder, "", 0
-	a.DropLeadership("lease ended")
+	a.DropLeadership("the lease ended")
 	eventloop.Signal(a.LeaseWakeup)
 }
 
--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -60,7 +60,7 @@
 // cloud's answer, since its end proves that no attempt runs there any more.
 func (a *Autoscaler) deleteMachines(names []string) {
 	if err := a.cloud.DeleteMachines(names); err != nil {
-		a.log.Info("machines not deleted", "machines", names, "error", err)
+		a.log.Info("machine deletion failed", "machines", names, "error", err)
 		return
 	}
 	for _, name := range names {
--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -88,7 +88,7 @@
 // move asks the leader of a machine's partition to move the machine to another one.
 func (a *Autoscaler) move(move scaling.Move, now time.Time) {
 	a.Leadership.MovedAt[move.Name] = now
-	a.log.Info("machine move started", "machine", move.Name, "from", move.From, "to", move.To)
+	a.log.Info("machine move started", "machine", move.Name, "partition", move.To, "former_partition", move.From)
 	request := &peer.MachineRequest{Machine: move.Name, ToPartition: uint32(move.To)}
 	a.askPartitionLeader(move.From, request, func() {
 		a.loop.Do(func() { a.Leadership.AssignedAt[move.To] = time.Now() })
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -99,7 +99,7 @@
 	eventloop.Signal(a.Leadership.Wakeup)
 }
 
-// avoidCapacity keeps requests of the same kind back for a while.
+// avoidCapacity makes the leader avoid requests of the same kind for a while.
 func (a *Autoscaler) avoidCapacity(request *cluster.ScaleOutRequest) {
 	a.Leadership.RefusedCapacity[request.Kind] = time.Now().Add(refusedCapacityTTL)
 }
--- a/internal/coordination/autoscaler/scaling_view.go
+++ b/internal/coordination/autoscaler/scaling_view.go
@@ -50,7 +50,7 @@
 	a.addSummary(&view, statuses, a.Settings.Label, a.peering.PartitionSummaries(now), now)
 	for label, controller := range a.Peers {
 		if controller.Alive(now) {
-			a.addSummary(&view, statuses, label, controller.Summary.Partitions, controller.LastHeardAt)
+			a.addSummary(&view, statuses, label, controller.Summary.Partitions, controller.LastSummaryAt)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.Machines)) {
--- a/internal/coordination/cluster/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -10,14 +10,14 @@
 )
 
 // CancellationNotices are the cancellations that became known here recently, for the other
-// controllers: one that only the state store refuses hears of them from nobody else, and
+// controllers: one that only the state store refuses learns of them from nobody else, and
 // its agents still come to it. A notice may be lost: what bounds how long a task may outlive
 // its job's cancellation is what its leader is informed of (rules 42 and 43). They belong to
 // the event loop.
 type CancellationNotices struct {
 	// list is in the order in which notices were added.
 	list []cancelledJob
-	// Limit is how many notices are kept.
+	// Limit is how many notices are stored.
 	Limit int
 	// retention is for how long a notice is of use.
 	retention time.Duration
@@ -32,7 +32,7 @@
 // cancellationNoticesMin is the least Limit, where the state store takes few writes.
 const cancellationNoticesMin = 500
 
-// SetLimit derives how many notices are kept: each is a write to the state store, so that
+// SetLimit derives how many notices are stored: each is a write to the state store, so that
 // within the cancel bound there can't be more than the store takes in that time and in one
 // burst. A notice takes some 20 bytes of a message, 44 at most, and 100 of memory.
 func (n *CancellationNotices) SetLimit(cancelBound time.Duration, state settings.State) {
@@ -72,7 +72,7 @@
 }
 
 // CancelledAt is when a job was cancelled, at the earliest; zero: longer ago than notices
-// are kept, or not at all.
+// are stored, or not at all.
 func (n *CancellationNotices) CancelledAt(job string) time.Time {
 	for _, c := range n.list {
 		if c.job == job {
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -40,7 +40,7 @@
 
 	// Ended: it is done or cancelled, and what is left of it is being stopped.
 	Ended bool
-	// CancelledAt is when its user was told that it is cancelled, at the earliest; zero: it
+	// CancelledAt is when its cancellation was confirmed to a user, at the earliest; zero: it
 	// is done, or that is longer ago than any task of it may still run.
 	CancelledAt time.Time
 
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -25,7 +25,7 @@
 	RecordedAt time.Time
 	// Type is the machine's type; nil: the catalog is not known or does not have it.
 	Type *protocol.MachineType
-	// LedSince is since when its partition's leader could have heard from it.
+	// LedSince is since when its partition's leader could have received a heartbeat.
 	LedSince time.Time
 
 	// Its agent's heartbeats.
@@ -40,16 +40,16 @@
 	NewestReceived struct{ Epoch, Sequence uint64 }
 	// EpochHint is the agent epoch as an earlier leader replicated it; 0: none did.
 	EpochHint uint64
-	// LastHeardAt is when a heartbeat last came here or to the machine's delegate.
-	LastHeardAt time.Time
+	// LastHeartbeatAt is when a heartbeat last came here or to the machine's delegate.
+	LastHeartbeatAt time.Time
 	// LastContactAt is when its agent last came here, whether it was answered or not.
 	LastContactAt time.Time
 	// DivertedSince is since when its agent reaches other controllers and not this one.
 	DivertedSince time.Time
-	// RedirectedAt is when its agent was last told to report to its delegate,
-	// DelegateHeardAt when the delegate last told of a heartbeat.
-	RedirectedAt    time.Time
-	DelegateHeardAt time.Time
+	// RedirectedAt is when its agent was last redirected to its delegate,
+	// DelegateHeartbeatAt when the delegate last forwarded a heartbeat.
+	RedirectedAt        time.Time
+	DelegateHeartbeatAt time.Time
 
 	// Its lease: its tasks run until that ends.
 
@@ -123,7 +123,7 @@
 	DeleteTriedAt   time.Time
 	DeleteConfirmed bool
 
-	// Replicated is what the standby was last told of it, ReplicationSeq the sequence number
+	// Replicated is what was last sent to the standby of it, ReplicationSeq the sequence number
 	// of that among the partition's replicated changes; 0: it has none yet.
 	Replicated     MachineFacts
 	ReplicationSeq uint64
@@ -160,7 +160,7 @@
 func (s *State) Usable(m *Machine, now time.Time) bool {
 	return m.Fenced && !m.Lost && !m.Moving && !m.Quarantined && m.Type != nil && m.Record.Addr != "" &&
 		m.RetiringSince.IsZero() && m.PreemptionAt.IsZero() && now.After(m.AvoidUntil) &&
-		now.Sub(m.LastHeardAt) < s.HeartbeatInterval*5/4+lateHeartbeatGrace
+		now.Sub(m.LastHeartbeatAt) < s.HeartbeatInterval*5/4+lateHeartbeatGrace
 }
 
 // IsDeleted says whether a machine is known to be gone though it is on record: the write of
--- a/internal/coordination/cluster/peer.go
+++ b/internal/coordination/cluster/peer.go
@@ -13,9 +13,9 @@
 type Peer struct {
 	// Addr is its address for other controllers, from the settings.
 	Addr string
-	// Summary is the last that it sent, received at HeardAt; nil: none was.
-	Summary     *peer.Summary
-	LastHeardAt time.Time
+	// Summary is the last that it sent, received at LastSummaryAt; nil: none was.
+	Summary       *peer.Summary
+	LastSummaryAt time.Time
 	// AliveSince is since when its summaries have come without a gap.
 	AliveSince time.Time
 	// ReportingMachines are the machines that report to it, by its Summary.
@@ -31,7 +31,7 @@
 
 // Alive says whether what the controller last sent still counts.
 func (p *Peer) Alive(now time.Time) bool {
-	return p.Summary != nil && now.Sub(p.LastHeardAt) <= peerSilenceLimit
+	return p.Summary != nil && now.Sub(p.LastSummaryAt) <= peerSilenceLimit
 }
 
 // PartitionSummary is what the controller last sent of a partition as its leader; nil:
@@ -63,7 +63,7 @@
 	clear(p.ReportingMachines)
 	clear(p.DivertedMachines)
 	for _, partition := range p.Summary.Partitions {
-		// Machines in delegated shards prove nothing: a delegate that does not hear the
+		// Machines in delegated shards prove nothing: a delegate that does not reach the
 		// leader redirects them, though the leader may serve all the others.
 		delegated := delegatedShards(partition)
 		for _, m := range partition.Machines {
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -88,7 +88,7 @@
 	// Peers are the other controllers, by label. The set never changes.
 	Peers map[string]*Peer
 
-	// This controller's leases, which package lease keeps.
+	// This controller's leases, which package lease maintains.
 
 	// LeaseID is the state store's lease that this controller's partition leases and its
 	// cluster leadership depend on; 0: none.
@@ -191,7 +191,7 @@
 }
 
 // InformedAt is the moment up to which this controller provably knows every cancellation
-// that any user was told of, and held its leases. A lease renewal alone does not show the
+// that was confirmed to any user, and held its leases. A lease renewal alone does not show the
 // first: it may succeed while the watch brings nothing (rule 42).
 func (s *State) InformedAt() time.Time {
 	if s.RecordsCurrentAt.Before(s.LeaseRenewedAt) {
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -122,7 +122,7 @@
 		now.Sub(c.LeaseRenewedAt) <= c.Operator.LeaseTTL+leaseExpirySlack
 }
 
-// addCancellations cancels the jobs that need a cancelled one. Users were told already that what
+// addCancellations cancels the jobs that need a cancelled one. It is confirmed to users that what
 // these jobs need is cancelled (rules 21, 22).
 func (c *Committer) addCancellations(b *batch, partition *cluster.Partition, now time.Time, ops int) {
 	for _, job := range c.Dependencies.DoomedJobs {
@@ -243,7 +243,7 @@
 	now := time.Now()
 	for _, attempt := range job.Attempts() {
 		if attempt.State == cluster.AttemptReserved && attempt.TaskIndex/storage.ChunkTasks == chunk.Index {
-			c.agents.ReleaseAttempt(attempt, "no room in the record", now)
+			c.agents.ReleaseAttempt(attempt, "its run record exceeds the value limit", now)
 		}
 	}
 }
--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -93,18 +93,18 @@
 		want []Move
 	}{
 		{"room", View{Own: Load{50, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, nil},
-		{"full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, []Move{{0, 1, "b", "the owner is full"}}},
+		{"full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true}, []Move{{0, 1, "b", "the leader is full"}}},
 		{"full, moved just now", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}}, nil},
 		{"full, nobody available", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{gone}, MayMove: true}, nil},
 		{"full, a version without delegation is there", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{fits}, MayMove: true, Unsupported: true}, nil},
-		{"the delegate drains", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		{"the delegate drains", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{gone}}, []Move{{0, 1, "", "its delegate can't go on"}}},
 		// In an outage of the state store all delegates are cut off from it: if their
 		// shards came back then, the leader would run out of sockets.
 		{"the delegate lacks the state store", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{able}, MayMove: true}, nil},
-		{"the delegate is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its carrier can't go on"}}},
+		{"the delegate is gone", View{Own: Load{61, 100}, Shards: away}, []Move{{0, 1, "", "its delegate can't go on"}}},
 		{"a version without delegation comes", View{Own: Load{61, 100}, Shards: away, Peers: []Peer{fits}, Unsupported: true},
-			[]Move{{0, 1, "", "a controller does not know shares"}}},
-		{"room again", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, []Move{{0, 1, "", "the owner has room again"}}},
+			[]Move{{0, 1, "", "a controller does not support delegation"}}},
+		{"room again", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, []Move{{0, 1, "", "the leader has capacity again"}}},
 		{"room again, too soon", View{Own: Load{30, 100}, Shards: away, Peers: []Peer{fits}, MayMove: true}, nil},
 		{"some room", View{Own: Load{31, 100}, Shards: away, Peers: []Peer{fits}, MayReturn: true}, nil},
 		{"the peer is as full", View{Own: Load{61, 100}, Shards: held, Peers: []Peer{{Label: "b", Load: Load{35, 100}, Available: true, Settled: true}}, MayMove: true}, nil},
--- a/internal/coordination/delegation/ledger.go
+++ b/internal/coordination/delegation/ledger.go
@@ -23,7 +23,7 @@
 	// until is the latest end of any grant of the present delegate.
 	until time.Time
 	// unknownUntil is until when a former delegate, or a former incarnation of the present
-	// one, may have given answers that the leader will never hear of.
+	// one, may have given answers that the leader will never learn of.
 	unknownUntil time.Time
 }
 
@@ -38,7 +38,7 @@
 	nonce  string // of the delegate's incarnation
 	serial uint64 // of the last reply
 	// repliedAt is when the last reply was given. Every answer of the delegate up to
-	// knownUntil has been heard of.
+	// knownUntil is known.
 	repliedAt, knownUntil time.Time
 	downUntil             time.Time // until when commands bypass the delegate
 }
@@ -123,7 +123,7 @@
 }
 
 // AnswerBounds bounds the answers that a machine of a shard may have had, if its last known
-// one was at lastAnswer: every answer up to known has been heard of, and none of these was
+// one was at lastAnswer: every answer up to known is known here, and none of these was
 // later than answered. Its lease has run out if it has between the two.
 func (l *Ledger) AnswerBounds(shard int, lastAnswer, now time.Time) (known, answered time.Time) {
 	grant := &l.shards[shard]
--- a/internal/coordination/delegation/plan.go
+++ b/internal/coordination/delegation/plan.go
@@ -26,7 +26,7 @@
 	returnFillLimit = 0.4
 )
 
-// Load is how many machines keep their connections with a controller, and how many its
+// Load is how many machines are connected to a controller, and how many its
 // sockets hold.
 type Load struct{ Machines, Capacity int }
 
@@ -39,10 +39,10 @@
 type Peer struct {
 	Label string
 	Load  Load
-	// Available: it is heard from, is not draining and knows delegation, so that it goes on
+	// Available: it is alive, is not draining and knows delegation, so that it goes on
 	// with the shards it has.
 	Available bool
-	// Settled: it has been heard from for a while and reaches the state store as well, so
+	// Settled: it has been alive for a while and reaches the state store as well, so
 	// that it may be given more shards.
 	Settled bool
 }
@@ -59,7 +59,7 @@
 	Own    Load
 	Shards []Shard
 	Peers  []Peer
-	// Unsupported: some controller that is heard from does not know delegation, so that
+	// Unsupported: some live controller does not know delegation, so that
 	// nothing may be delegated.
 	Unsupported bool
 	// MayMove: the last move is at least MoveInterval ago. MayReturn: it is at least
@@ -125,9 +125,9 @@
 		switch {
 		case shard.Delegate == "":
 		case v.Unsupported:
-			moves = append(moves, Move{shard.Partition, shard.Index, "", "a controller does not know shares"})
+			moves = append(moves, Move{shard.Partition, shard.Index, "", "a controller does not support delegation"})
 		case !available[shard.Delegate]:
-			moves = append(moves, Move{shard.Partition, shard.Index, "", "its carrier can't go on"})
+			moves = append(moves, Move{shard.Partition, shard.Index, "", "its delegate can't go on"})
 		}
 	}
 	return moves
@@ -150,7 +150,7 @@
 		}
 		for _, p := range leastFullFirst {
 			if p.fits(shard, v.Own) {
-				return Move{shard.Partition, shard.Index, p.Label, "the owner is full"}, true
+				return Move{shard.Partition, shard.Index, p.Label, "the leader is full"}, true
 			}
 		}
 	}
@@ -182,5 +182,5 @@
 	if smallest == nil || v.Own.with(smallest.Machines) > returnFillLimit {
 		return Move{}, false
 	}
-	return Move{smallest.Partition, smallest.Index, "", "the owner has room again"}, true
+	return Move{smallest.Partition, smallest.Index, "", "the leader has capacity again"}, true
 }
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -113,12 +113,12 @@
 		t.Errorf("missing %v", m)
 	}
 	for want, change := range map[string]func(*TakeoverCheck){
-		"the newest claim":                func(c *TakeoverCheck) { c.NewestLease = 8 },
-		"a fresh lease":                   func(c *TakeoverCheck) { c.SinceRenewal = 3 * time.Second },
-		"run records up to the claim":     func(c *TakeoverCheck) { c.RunRecords = 6 },
-		"machine records up to the claim": func(c *TakeoverCheck) { c.MachineRecords = 6 },
-		"ends of jobs up to the claim":    func(c *TakeoverCheck) { c.FinalStates = 6 },
-		"quotas from all live attempts":   func(c *TakeoverCheck) { c.Counted = false },
+		"the newest lease":                              func(c *TakeoverCheck) { c.NewestLease = 8 },
+		"a fresh lease":                                 func(c *TakeoverCheck) { c.SinceRenewal = 3 * time.Second },
+		"run records up to the lease revision":          func(c *TakeoverCheck) { c.RunRecords = 6 },
+		"machine records up to the lease revision":      func(c *TakeoverCheck) { c.MachineRecords = 6 },
+		"final states of jobs up to the lease revision": func(c *TakeoverCheck) { c.FinalStates = 6 },
+		"quotas from all live attempts":                 func(c *TakeoverCheck) { c.Counted = false },
 	} {
 		c := good
 		change(&c)
@@ -126,7 +126,7 @@
 			t.Errorf("%s: %v", want, m)
 		}
 	}
-	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest claim") {
+	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest lease") {
 		t.Errorf("without a lease: %v", m)
 	}
 }
--- a/internal/coordination/failover/takeover_check.go
+++ b/internal/coordination/failover/takeover_check.go
@@ -26,11 +26,11 @@
 			missing = append(missing, what)
 		}
 	}
-	require(c.LeaseRevision != 0 && c.LeaseRevision == c.NewestLease, "the newest claim")
+	require(c.LeaseRevision != 0 && c.LeaseRevision == c.NewestLease, "the newest lease")
 	require(c.SinceRenewal < c.TTL, "a fresh lease")
-	require(c.RunRecords >= c.LeaseRevision, "run records up to the claim")
-	require(c.MachineRecords >= c.LeaseRevision, "machine records up to the claim")
-	require(c.FinalStates >= c.LeaseRevision, "ends of jobs up to the claim")
+	require(c.RunRecords >= c.LeaseRevision, "run records up to the lease revision")
+	require(c.MachineRecords >= c.LeaseRevision, "machine records up to the lease revision")
+	require(c.FinalStates >= c.LeaseRevision, "final states of jobs up to the lease revision")
 	require(c.Counted, "quotas from all live attempts")
 	return missing
 }
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -320,8 +320,8 @@
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
 	setPeers := func(named string, follows, copies bool) {
-		c.Peers["n1"] = &cluster.Peer{LastHeardAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
-		c.Peers["n2"] = &cluster.Peer{LastHeardAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
+		c.Peers["n1"] = &cluster.Peer{LastSummaryAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
+		c.Peers["n2"] = &cluster.Peer{LastSummaryAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
 		if follows {
 			c.Peers["n2"].Summary.Replicas = []*peer.ReplicaStatus{{Partition: uint32(p.Index), Revision: 4}}
 		}
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -51,9 +51,9 @@
 			if status := send(old.epoch, old.sequence, old.token, nil); status == 200 {
 				t.Errorf("%s: answered", old.name)
 			}
-			if !m.Fenced || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeardAt.Equal(receivedAt) {
+			if !m.Fenced || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeartbeatAt.Equal(receivedAt) {
 				t.Errorf("%s: fenced %v, epoch %d, live %v, answered %s and heard %s late", old.name, m.Fenced, m.Epoch, a.Live(),
-					m.AnsweredUntil.Sub(receivedAt), m.LastHeardAt.Sub(receivedAt))
+					m.AnsweredUntil.Sub(receivedAt), m.LastHeartbeatAt.Sub(receivedAt))
 			}
 		}
 		// A heartbeat that was in flight while commands were answered is not stale.
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -278,7 +278,7 @@
 
 		// The lease that is revoked is the one that the partition leases depend on.
 		ps := c.Peers["n2"]
-		ps.LastHeardAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
+		ps.LastSummaryAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
 		c.Synced = true
 		put(storage.IncarnationKey("n2"), 11, storage.Incarnation{Nonce: "other", Lease: 7})
 		time.Sleep(5 * time.Second)
@@ -292,7 +292,7 @@
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
-		if lacks := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the claim", "ends of jobs up to the claim"}) {
+		if lacks := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the lease revision", "final states of jobs up to the lease revision"}) {
 			t.Errorf("missing evidence: %v", lacks)
 		}
 		if c.RecordsRevision = 20; len(c.takeover.MissingEvidence(p, 20, 20)) != 0 || len(c.takeover.MissingEvidence(p, 20, 19)) != 1 {
--- a/internal/coordination/jobs/collaborators.go
+++ b/internal/coordination/jobs/collaborators.go
@@ -13,7 +13,7 @@
 	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
 }
 
-// Auth keeps who may see which job.
+// Auth knows who may see which job.
 type Auth interface {
 	// NoteJob remembers the queue of an accepted job, from its record.
 	NoteJob(id string, record []byte)
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -1,5 +1,5 @@
 // Package jobs follows jobs from their record to their final state: it takes up accepted
-// jobs, keeps the graph of dependencies, and ends what was done or cancelled. Invariant: a
+// jobs, maintains the graph of dependencies, and ends what was done or cancelled. Invariant: a
 // final state never changes.
 package jobs
 
@@ -66,7 +66,7 @@
 		err = errNoTasks
 	}
 	if err != nil {
-		t.log.Error("bad job record", "job", id, "error", err)
+		t.log.Error("invalid job record", "job", id, "error", err)
 		return nil
 	}
 	team, ok := t.TeamIndex[spec.Team]
@@ -99,7 +99,7 @@
 func (t *Tracker) ApplyFinalRecord(id string, raw []byte) {
 	var final storage.Final
 	if err := storage.Decode(raw, &final); err != nil {
-		t.log.Error("bad final record", "job", id, "error", err)
+		t.log.Error("invalid final record", "job", id, "error", err)
 		return
 	}
 	if t.ListedEnds != nil {
@@ -142,7 +142,7 @@
 	t.stop(j, status, at)
 }
 
-// noteCancellation keeps a notice of a cancellation for the other controllers, unless every
+// noteCancellation stores a notice of a cancellation for the other controllers, unless every
 // task of the job has certainly ended.
 func (t *Tracker) noteCancellation(id string, at time.Time) {
 	if time.Since(at) < t.CancelBound && !t.Cancellations.Add(id, at) {
--- a/internal/coordination/lease/acquisition.go
+++ b/internal/coordination/lease/acquisition.go
@@ -85,7 +85,7 @@
 	}
 	if e.Delete != "" {
 		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
-		h.LosePartition(p, "the lease ended")
+		h.LosePartition(p, reasonLeaseEnded)
 		eventloop.Signal(h.LeaseWakeup)
 		return
 	}
@@ -94,7 +94,7 @@
 		h.log.Error("invalid lease record", "partition", p.Index, "error", err)
 		return
 	}
-	h.LosePartition(p, "the lease changed hands")
+	h.LosePartition(p, reasonLeaseReplaced)
 	p.Leader, p.LeaderNonce, p.LeaseRevision = record.Holder, record.Nonce, e.Version
 	if record.Holder == h.Settings.Label && record.Nonce == h.Nonce {
 		p.Held, p.Ready, p.AcquiredAt = true, false, now
--- a/internal/coordination/lease/answer_bounds.go
+++ b/internal/coordination/lease/answer_bounds.go
@@ -39,8 +39,8 @@
 		}
 		if until := h.LastAnswerBound(p, m); until.Before(m.AnsweredUntil) {
 			m.AnsweredUntil = until
-			if m.LastHeardAt.After(until) && m.HasReported {
-				m.AnsweredUntil = m.LastHeardAt
+			if m.LastHeartbeatAt.After(until) && m.HasReported {
+				m.AnsweredUntil = m.LastHeartbeatAt
 			}
 		}
 	}
@@ -83,11 +83,11 @@
 // stillAnswering drops, in place, the former leaders that answer nobody any more: their records
 // can prove nothing further.
 func stillAnswering(all []failover.FormerLeader, now time.Time) []failover.FormerLeader {
-	kept := all[:0]
+	answering := all[:0]
 	for _, former := range all {
 		if former.AnswersUntil.After(now) {
-			kept = append(kept, former)
+			answering = append(answering, former)
 		}
 	}
-	return kept
+	return answering
 }
--- a/internal/coordination/lease/dead_controllers.go
+++ b/internal/coordination/lease/dead_controllers.go
@@ -33,7 +33,7 @@
 // longer than after any end, and its successor counts on as much (rule 11).
 func (h *Holder) RevokeIfDead(label string, other *cluster.Peer, now time.Time) {
 	incarnation := h.incarnations[label]
-	evidence := failover.Evidence{Silent: now.Sub(other.LastHeardAt), Interval: peering.SummaryInterval,
+	evidence := failover.Evidence{Silent: now.Sub(other.LastSummaryAt), Interval: peering.SummaryInterval,
 		Reporting: len(other.ReportingMachines), Diverted: len(other.DivertedMachines)}
 	if incarnation.Lease == 0 || incarnation.Lease == other.RevokedLease || !evidence.Dead() || !h.Synced || !h.leaseIsFresh(now) {
 		return
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -29,7 +29,7 @@
 func (h *Holder) HandOver(ctx context.Context) {
 	begun := time.Now()
 	if !h.startDraining(begun) {
-		h.log.Info("ending without a handover", "reason", "no other controller is heard")
+		h.log.Info("ending without a handover", "reason", "no other controller is alive")
 		return
 	}
 	h.drain(ctx)
--- a/internal/coordination/lease/loss.go
+++ b/internal/coordination/lease/loss.go
@@ -5,8 +5,13 @@
 	"micaspindle/internal/coordination/delegation"
 )
 
-// reasonControllerLeaseEnded is why all leases are lost at once.
-const reasonControllerLeaseEnded = "the controller lease ended"
+// Why this controller stops acting under a lease.
+const (
+	reasonLeaseEnded    = "the lease ended"
+	reasonLeaseReplaced = "another controller acquired the lease"
+	// reasonControllerLeaseEnded: all leases are lost at once.
+	reasonControllerLeaseEnded = "the controller lease ended"
+)
 
 // LosePartition stops acting for a partition, if this controller does.
 func (h *Holder) LosePartition(p *cluster.Partition, reason string) {
--- a/internal/coordination/lease/reachability.go
+++ b/internal/coordination/lease/reachability.go
@@ -21,14 +21,14 @@
 	diverted bool
 }
 
-// cutOff says that this controller is cut off from all its agents while others hear them.
+// cutOff says that this controller is cut off from all its agents while their heartbeats reach others.
 func (r reachability) cutOff() bool {
 	return r.machines > 0 && r.silent == r.machines && r.diverted
 }
 
-// CheckReachability resigns if this controller can't serve its partitions: when none of its
-// agents has been heard for several heartbeat intervals while other controllers hear them, it
-// is cut off from the agents and must release its leases (rule 11).
+// CheckReachability resigns if this controller can't serve its partitions: when no
+// heartbeat has arrived for several intervals while other controllers receive them, it is cut
+// off from the agents and must release its leases (rule 11).
 func (h *Holder) CheckReachability(now time.Time) {
 	h.noteReportedDiversions(now)
 	silence := max(silentHeartbeats*h.HeartbeatInterval, silenceMin)
@@ -56,15 +56,15 @@
 func (h *Holder) measureReachability(now time.Time, silence time.Duration) (r reachability) {
 	for _, m := range h.Machines {
 		p := h.Partitions[m.Record.Partition]
-		heard := lastReachedAt(m)
-		if !p.Held || heard.After(m.DivertedSince) {
+		reachedAt := lastReachedAt(m)
+		if !p.Held || reachedAt.After(m.DivertedSince) {
 			m.DivertedSince = time.Time{}
 		}
 		if !p.Held || now.Sub(p.AcquiredAt) < silence {
 			continue
 		}
 		r.machines++
-		if now.Sub(heard) > silence {
+		if now.Sub(reachedAt) > silence {
 			r.silent++
 		}
 		// An agent that was just sent to this controller needs a moment to get here.
@@ -76,15 +76,15 @@
 // lastReachedAt is when the agent of a machine last reached this controller. One that comes and
 // can't be answered, in an outage of the state store say, reaches it all the same.
 func lastReachedAt(m *cluster.Machine) time.Time {
-	if m.LastContactAt.After(m.LastHeardAt) {
+	if m.LastContactAt.After(m.LastHeartbeatAt) {
 		return m.LastContactAt
 	}
-	return m.LastHeardAt
+	return m.LastHeartbeatAt
 }
 
 // resign stops acting under all leases and revokes the controller lease.
 func (h *Holder) resign(machines int, now time.Time) {
-	h.log.Info("controller resigned", "reason", "no agent heard while other controllers hear them", "count", machines)
+	h.log.Info("controller resigned", "reason", "no heartbeats arrive here while they reach other controllers", "count", machines)
 	h.ResignedAt = now
 	lease := h.LeaseID
 	h.loseAll("resigned")
--- a/internal/coordination/lease/release.go
+++ b/internal/coordination/lease/release.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// SettleTime is how long a controller must have been heard, and a partition have had its
+	// SettleTime is how long a controller must have been alive, and a partition have had its
 	// leader, before the partition is handed back: a rolling restart must not move it twice.
 	SettleTime = 15 * time.Second
 	// ReleaseTimeout is how long the end of a lease may take to show: longer than a request, so
@@ -49,8 +49,8 @@
 	key, own := storage.IncarnationKey(h.Settings.Label), h.incarnations[h.Settings.Label]
 	record := own.Incarnation
 	record.Released = append(slices.Clone(record.Released), released...)
-	kept := max(releasedLeasesLimit, len(released))
-	record.Released = record.Released[max(0, len(record.Released)-kept):]
+	limit := max(releasedLeasesLimit, len(released))
+	record.Released = record.Released[max(0, len(record.Released)-limit):]
 	txn.If = append(txn.If, protocol.Condition{Key: key, Version: own.revision})
 	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(record)})
 	return txn
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -381,7 +381,7 @@
 	p.Held, p.Leader = false, "n1"
 	net := &delegatingLeader{t: t, machines: map[string]bool{}}
 	setNetwork(c, net)
-	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", LastHeardAt: time.Now(), Summary: &peer.Summary{
+	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", LastSummaryAt: time.Now(), Summary: &peer.Summary{
 		Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Delegated: []*peer.DelegatedShards{{Delegate: c.Settings.Label}}}}}}
 	e := c.proxy.Assignments[p.Index]
 	e.Leader, e.Lease, e.Serial, e.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
--- a/internal/coordination/peering/collaborators.go
+++ b/internal/coordination/peering/collaborators.go
@@ -12,7 +12,7 @@
 // Proxy knows the load by heartbeats, and acts on the delegations in other controllers'
 // summaries.
 type Proxy interface {
-	// Load is how many machines keep their connections with this controller, and how many its
+	// Load is how many machines are connected to this controller, and how many its
 	// sockets hold.
 	Load(now time.Time) delegation.Load
 	// SummaryReceived checks whether a controller delegates shards of its partitions to this
--- a/internal/coordination/peering/demand.go
+++ b/internal/coordination/peering/demand.go
@@ -20,16 +20,16 @@
 // demands lists the waiting tasks of a partition that need machines which are not there or
 // expected yet, job by job and starved work first, up to a limit.
 func (e *Exchange) demands(partition *cluster.Partition, expected []expectedMachine, limit int, now time.Time) (list []*peer.Demand) {
-	claimed := make([]binpack.Compute, len(partition.Usage)) // by jobs before, by team
+	taken := make([]binpack.Compute, len(partition.Usage)) // by jobs before, by team
 	for _, job := range partition.FairShare.StarvedFirst(e.scheduler.Queue(partition), limit/StarvedDemandsShare) {
 		if len(job.Pending) == 0 || job.Ended || now.Before(job.BackoffUntil) {
 			continue
 		}
-		count := e.withinTeamLimit(partition, job, claimed[job.Team])
+		count := e.withinTeamLimit(partition, job, taken[job.Team])
 		if count <= 0 {
 			continue
 		}
-		claimed[job.Team].Add(cluster.ResourcesOf(job.Spec), float64(count))
+		taken[job.Team].Add(cluster.ResourcesOf(job.Spec), float64(count))
 		if count = placeOnExpected(expected, job.Spec, count); count <= 0 {
 			continue
 		}
@@ -43,15 +43,15 @@
 }
 
 // withinTeamLimit is how many waiting tasks of a job the team's limits allow to start, beside
-// what the team uses and what its other jobs claim.
-func (e *Exchange) withinTeamLimit(partition *cluster.Partition, job *cluster.Job, claimed binpack.Compute) int {
+// what the team uses and what the jobs before this one take.
+func (e *Exchange) withinTeamLimit(partition *cluster.Partition, job *cluster.Job, taken binpack.Compute) int {
 	count := len(job.Pending)
 	team, used := e.Settings.Params.Teams[job.Team], partition.Usage[job.Team]
 	if team.CPUsMax > 0 && job.Spec.CPUs > 0 {
-		count = min(count, int((team.CPUsMax-used.CPUs-claimed.CPUs+binpack.Epsilon)/job.Spec.CPUs))
+		count = min(count, int((team.CPUsMax-used.CPUs-taken.CPUs+binpack.Epsilon)/job.Spec.CPUs))
 	}
 	if team.GPUsMax > 0 && job.Spec.GPUs > 0 {
-		count = min(count, int((team.GPUsMax-used.GPUs-claimed.GPUs+binpack.Epsilon)/job.Spec.GPUs))
+		count = min(count, int((team.GPUsMax-used.GPUs-taken.GPUs+binpack.Epsilon)/job.Spec.GPUs))
 	}
 	return count
 }
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -75,7 +75,7 @@
 	if !sender.Alive(now) {
 		sender.AliveSince = now
 	}
-	sender.LastHeardAt, sender.Summary = now, summary
+	sender.LastSummaryAt, sender.Summary = now, summary
 	sender.NoteReporting()
 	e.jobs.ApplyCancellationNotices(summary, now)
 	e.proxy.SummaryReceived(summary)
--- a/internal/coordination/proxy/answering.go
+++ b/internal/coordination/proxy/answering.go
@@ -32,6 +32,6 @@
 	}
 	assigned.add(machine.Name, answeredHeartbeat{bytes.Clone(raw), heartbeat.Epoch, heartbeat.Sequence})
 	eventloop.Signal(assigned.wakeup)
-	orders := protocol.CommandBatch{Token: token, Commands: p.agents.StopsForCancelledJobs(heartbeat)}
-	return transport.Response{Status: 200, Body: protocol.Encode(orders)}, true
+	batch := protocol.CommandBatch{Token: token, Commands: p.agents.StopsForCancelledJobs(heartbeat)}
+	return transport.Response{Status: 200, Body: protocol.Encode(batch)}, true
 }
--- a/internal/coordination/proxy/grants.go
+++ b/internal/coordination/proxy/grants.go
@@ -91,7 +91,7 @@
 		machine.Record.Addr = heartbeat.Addr
 	}
 	p.agents.ApplyHeartbeat(machine, heartbeat, now)
-	machine.LastHeardAt, machine.DelegateHeardAt = now, now
+	machine.LastHeartbeatAt, machine.DelegateHeartbeatAt = now, now
 	if machine.Fenced && machine.NeedsCommands() {
 		p.agents.SendCommands(machine)
 	}
@@ -101,7 +101,7 @@
 // heartbeats; "": it is served here.
 func (p *Proxy) RedirectTarget(partition *cluster.Partition, machine *cluster.Machine, now time.Time) string {
 	pause := redirectInterval
-	if !machine.DelegateHeardAt.After(machine.RedirectedAt) {
+	if !machine.DelegateHeartbeatAt.After(machine.RedirectedAt) {
 		pause = redirectRetryInterval
 	}
 	switch {
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -81,7 +81,7 @@
 // Observe sets the metrics. It must be called before the event loop starts.
 func (p *Proxy) Observe(metrics *telemetry.Metrics) { p.metrics = metrics }
 
-// Load is how many machines keep their connections with this controller, and how many its
+// Load is how many machines are connected to this controller, and how many its
 // sockets hold: those of the own partitions that no delegate serves, and those of the shards
 // that are delegated to it.
 func (p *Proxy) Load(now time.Time) delegation.Load {
--- a/internal/coordination/proxy/rebalancing.go
+++ b/internal/coordination/proxy/rebalancing.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// delegateSettleTime is how long a controller must have been heard from without a gap
+	// delegateSettleTime is how long a controller must have been alive without a gap
 	// before shards are delegated to it.
 	delegateSettleTime = 5 * time.Second
 	// stateSilenceLimitS is for how many seconds the state store may have left a controller
@@ -74,7 +74,7 @@
 		}
 		for _, shard := range delegated.Shards {
 			if shard < delegation.ShardCount {
-				p.reassign(delegation.Move{Partition: partition.Index, Shard: int(shard), To: delegated.Delegate, Reason: "as under the owner before"}, now)
+				p.reassign(delegation.Move{Partition: partition.Index, Shard: int(shard), To: delegated.Delegate, Reason: "as under the former leader"}, now)
 			}
 		}
 	}
@@ -83,16 +83,16 @@
 // reassign lets a shard change its delegate.
 func (p *Proxy) reassign(move delegation.Move, now time.Time) {
 	partition := p.Partitions[move.Partition]
-	from := partition.Delegations.Delegate(move.Shard)
-	p.log.Info("shard delegate changed", "partition", move.Partition, "shard", move.Shard, "from", from, "to", move.To, "reason", move.Reason)
+	former := partition.Delegations.Delegate(move.Shard)
+	p.log.Info("shard delegate changed", "partition", move.Partition, "shard", move.Shard, "controller", move.To, "former_controller", former, "reason", move.Reason)
 	p.metrics.Count(telemetry.ShardMoved, 1)
-	p.recordMove(overview.ShardMove{Part: move.Partition, Shard: move.Shard, From: from, To: move.To, Reason: move.Reason}, now)
+	p.recordMove(overview.ShardMove{Part: move.Partition, Shard: move.Shard, From: former, To: move.To, Reason: move.Reason}, now)
 	partition.Delegations.Assign(move.Shard, move.To)
 	p.MovedAt = now
 }
 
 // view is what a plan of moves is made from. All machines of a partition that is just taken
-// over count, though none of them has been heard from yet; nil: there is none.
+// over count, though none of them has sent a heartbeat yet; nil: there is none.
 func (p *Proxy) view(now time.Time, taken *cluster.Partition) delegation.View {
 	view := delegation.View{Own: p.Load(now)}
 	p.addPeers(&view, now)
@@ -140,8 +140,8 @@
 	}
 }
 
-// countShards counts the machines of each shard of the own partitions: those that are heard
-// from, and all of the partition that is just taken over. Partitions without any are left out.
+// countShards counts the machines of each shard of the own partitions: those that send
+// heartbeats, and all of the partition that is just taken over. Partitions without any are left out.
 func (p *Proxy) countShards(taken *cluster.Partition) map[*cluster.Partition]*shardSizes {
 	sizes := make(map[*cluster.Partition]*shardSizes)
 	for _, machine := range p.Machines {
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -169,7 +169,7 @@
 		ask(0, raw)
 		ctl.loop.Do(func() {
 			m := ctl.Machines[name]
-			if silent := time.Since(m.LastHeardAt); silent < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
+			if silent := time.Since(m.LastHeartbeatAt); silent < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
 				t.Errorf("heard %s ago, answered %s ago", silent, time.Since(m.AnsweredUntil))
 			}
 		})
--- a/internal/coordination/records/apply.go
+++ b/internal/coordination/records/apply.go
@@ -146,7 +146,7 @@
 		err = fmt.Errorf("no partition %d", rec.Partition)
 	}
 	if err != nil {
-		w.log.Error("bad machine record", "machine", name, "error", err)
+		w.log.Error("invalid machine record", "machine", name, "error", err)
 		return
 	}
 	w.agents.MachineRecorded(name, rec, event.Version, now)
@@ -158,7 +158,7 @@
 		return
 	}
 	if err := w.auth.ApplyPolicyRecord(kind, name, event); err != nil {
-		w.log.Error("bad policy record", "key", event.Put+event.Delete, "error", err)
+		w.log.Error("invalid policy record", "key", event.Put+event.Delete, "error", err)
 	}
 }
 
--- a/internal/coordination/replication/complete.go
+++ b/internal/coordination/replication/complete.go
@@ -13,17 +13,17 @@
 // former leader is applied after the lease's revision, so that an answer that reaches it covers
 // everything (rule 32). It must not be called on the loop.
 func (r *Replicator) CompleteReplica(p *cluster.Partition, leaseRevision uint64) (replica *Replica, warm bool, err error) {
-	var kept *Replica
+	var existing *Replica
 	after := uint64(0)
 	r.loop.Do(func() {
-		if kept = r.Replicas[p.Index]; kept != nil {
-			after = kept.Records.Revision()
+		if existing = r.Replicas[p.Index]; existing != nil {
+			after = existing.Records.Revision()
 		}
 	})
 	if after != 0 {
-		complete, err := r.catchUp(kept, after, leaseRevision)
+		complete, err := r.catchUp(existing, after, leaseRevision)
 		if complete {
-			return kept, true, nil
+			return existing, true, nil
 		}
 		r.log.Info("standby replica not used", "partition", p.Index, "revision", after, "lease", leaseRevision, "error", err)
 	}
@@ -31,8 +31,8 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if kept != nil {
-		r.loop.Do(func() { cold.inherit(kept) })
+	if existing != nil {
+		r.loop.Do(func() { cold.inherit(existing) })
 	}
 	return cold, false, nil
 }
--- a/internal/coordination/replication/derived_state.go
+++ b/internal/coordination/replication/derived_state.go
@@ -33,7 +33,7 @@
 	AttemptsByMachine map[string]map[string]*cluster.Attempt
 	// Starts is when attempts began whose records have not come yet.
 	Starts map[AttemptID]time.Time
-	// DroppedStarts is for how many of these there was no room since that was last counted.
+	// DroppedStarts is for how many of these there was no space since that was last counted.
 	DroppedStarts int
 }
 
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -39,7 +39,7 @@
 	Acknowledged uint64
 	Machines     map[string]MachineHints
 	Classes      []*peer.RuntimeCorrection
-	// droppedMachines is for how many machines there was no room since that was last counted.
+	// droppedMachines is for how many machines there was no space since that was last counted.
 	droppedMachines int
 }
 
@@ -71,7 +71,7 @@
 	return u.Acknowledged
 }
 
-// noteMachine keeps what was received of a machine, if there is room for it.
+// noteMachine stores what was received of a machine, if there is space for it.
 func (u *ReceivedUpdates) noteMachine(hint *peer.MachineHint, now time.Time) {
 	if _, known := u.Machines[hint.Name]; !known && len(u.Machines) >= ReplicaMachinesLimit {
 		u.droppedMachines++
@@ -117,7 +117,7 @@
 	return peerapi.Reply(reply)
 }
 
-// reportDropped reports what a replica had no room for.
+// reportDropped reports what a replica had no space for.
 func (r *Replicator) reportDropped(replica *Replica) {
 	r.bounds.Met(telemetry.ReplicaMachines, replica.Updates.droppedMachines)
 	r.bounds.Met(telemetry.ReplicaStarts, replica.Derived.DroppedStarts)
--- a/internal/coordination/replication/replicator.go
+++ b/internal/coordination/replication/replicator.go
@@ -1,4 +1,4 @@
-// Package replication keeps replicas of the partitions that this controller is the standby
+// Package replication maintains replicas of the partitions that this controller is the standby
 // of, and sends the standbys of its own partitions what is not on record. A replica is a hint
 // until it is proven whole; nothing that a safety rule rests on comes from an update.
 //
@@ -20,7 +20,7 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Replicator keeps replicas of the partitions that this controller is the standby of, and sends
+// Replicator maintains replicas of the partitions that this controller is the standby of, and sends
 // updates to the standbys of its own partitions. Its fields belong to the event loop.
 type Replicator struct {
 	*cluster.State
@@ -35,7 +35,7 @@
 	autoscaler Autoscaler
 	scheduler  Scheduler
 
-	// Replicas has the replicas kept here, by partition.
+	// Replicas has the replicas held here, by partition.
 	Replicas map[int]*Replica
 	// Mismatches counts the replicas that differed from the state store.
 	Mismatches int
--- a/internal/coordination/replication/sampling.go
+++ b/internal/coordination/replication/sampling.go
@@ -34,7 +34,7 @@
 	r.ifCurrent(replica, func() { replica.takeSample(page, time.Now()) })
 }
 
-// takeSample keeps a page of the state store until the replica has come to its revision.
+// takeSample holds a page of the state store until the replica has come to its revision.
 func (r *Replica) takeSample(page *protocol.ItemList, now time.Time) {
 	sample := &recordset.Sample[*storage.RunRecord]{From: r.cursor, Revision: page.Revision}
 	unlogged := func(string, ...any) {} // logged when it came with the changes
--- a/internal/coordination/replication/send.go
+++ b/internal/coordination/replication/send.go
@@ -110,14 +110,14 @@
 		progress.Target, progress.Acknowledged = p.Standby, 0
 	}
 	update := &peer.ReplicaUpdate{From: r.Settings.Label, Nonce: r.Nonce, LeaseRevision: p.LeaseRevision, Partition: uint32(p.Index), After: progress.Acknowledged}
-	room := UpdateBytesLimit
+	budget := UpdateBytesLimit
 	for _, correction := range r.scheduler.RuntimeCorrections() {
 		update.Classes = append(update.Classes, correction)
-		room -= proto.Size(correction) + EntryOverheadBytes
+		budget -= proto.Size(correction) + EntryOverheadBytes
 	}
 	changes := r.partitionChanges(p)
 	update.Through = progress.Clock
-	if !addChanges(update, changes, room, now) {
+	if !addChanges(update, changes, budget, now) {
 		r.bounds.Met(telemetry.ReplicaUpdates, 1)
 	}
 	return update
@@ -165,20 +165,20 @@
 	return changes
 }
 
-// addChanges puts changes into an update, as many as there is room for but at least one, and says
+// addChanges puts changes into an update, as many as fit but at least one, and says
 // whether that was all: the others follow with the next.
-func addChanges(update *peer.ReplicaUpdate, changes []replicaChange, room int, now time.Time) bool {
+func addChanges(update *peer.ReplicaUpdate, changes []replicaChange, budget int, now time.Time) bool {
 	for i, change := range changes {
 		var start *peer.AttemptStart
 		var hint *peer.MachineHint
 		if a := change.attempt; a != nil {
 			start = &peer.AttemptStart{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RunningS: a.RunningS(now)}
-			room -= proto.Size(start) + EntryOverheadBytes
+			budget -= proto.Size(start) + EntryOverheadBytes
 		} else {
 			hint = change.machine.Hint(now)
-			room -= proto.Size(hint) + EntryOverheadBytes
+			budget -= proto.Size(hint) + EntryOverheadBytes
 		}
-		if room < 0 && i > 0 {
+		if budget < 0 && i > 0 {
 			update.Through = changes[i-1].seq
 			return false
 		}
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -48,29 +48,29 @@
 	updates := &r.Updates
 	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
 		Through: updates.Acknowledged, Classes: updates.Classes}
-	room := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
-	whole = r.addStarts(transfer, &room, now) && updates.addMachines(transfer, &room, now) && updates.addImages(transfer, &room)
+	budget := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
+	whole = r.addStarts(transfer, &budget, now) && updates.addMachines(transfer, &budget, now) && updates.addImages(transfer, &budget)
 	return transfer, whole
 }
 
 // byteBudget is how many bytes a message may still take.
 type byteBudget int
 
-// take takes the room of an entry, and says whether there was enough.
+// take deducts the size of an entry, and says whether there was enough.
 func (b *byteBudget) take(entry proto.Message) bool {
 	*b -= byteBudget(proto.Size(entry) + EntryOverheadBytes)
 	return *b >= 0
 }
 
-// addStarts adds when attempts began, and says whether there was room for all.
-func (r *Replica) addStarts(transfer *peer.ReplicaUpdate, room *byteBudget, now time.Time) bool {
+// addStarts adds when attempts began, and says whether all fit.
+func (r *Replica) addStarts(transfer *peer.ReplicaUpdate, budget *byteBudget, now time.Time) bool {
 	for id, job := range r.Derived.Jobs {
 		for task, a := range job.Live {
 			if a.ReplicatedStart.IsZero() {
 				continue
 			}
 			start := &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: a.Number, RunningS: now.Sub(a.ReplicatedStart).Seconds()}
-			if !room.take(start) {
+			if !budget.take(start) {
 				return false
 			}
 			transfer.Attempts = append(transfer.Attempts, start)
@@ -79,15 +79,15 @@
 	return true
 }
 
-// addMachines adds the machines without their images, and says whether there was room for all.
-func (u *ReceivedUpdates) addMachines(transfer *peer.ReplicaUpdate, room *byteBudget, now time.Time) bool {
+// addMachines adds the machines without their images, and says whether all fit.
+func (u *ReceivedUpdates) addMachines(transfer *peer.ReplicaUpdate, budget *byteBudget, now time.Time) bool {
 	for _, hints := range u.Machines {
 		hint := proto.CloneOf(hints.MachineHint)
 		hint.Images = nil
 		if !hints.PreemptionAt.IsZero() {
 			hint.PreemptionNoticeS = max(0, hints.PreemptionAt.Sub(now).Seconds())
 		}
-		if !room.take(hint) {
+		if !budget.take(hint) {
 			return false
 		}
 		transfer.Machines = append(transfer.Machines, hint)
@@ -95,11 +95,11 @@
 	return true
 }
 
-// addImages adds the images of the machines, and says whether there was room for all.
-func (u *ReceivedUpdates) addImages(transfer *peer.ReplicaUpdate, room *byteBudget) bool {
+// addImages adds the images of the machines, and says whether all fit.
+func (u *ReceivedUpdates) addImages(transfer *peer.ReplicaUpdate, budget *byteBudget) bool {
 	for _, hint := range transfer.Machines {
 		images := u.Machines[hint.Name].Images
-		if !room.take(&peer.MachineHint{Images: images}) {
+		if !budget.take(&peer.MachineHint{Images: images}) {
 			return false
 		}
 		hint.Images = images
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -93,7 +93,7 @@
 			name := fmt.Sprintf("m-%d-%d", p, i)
 			c.agents.MachineRecorded(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
 			m := c.Machines[name]
-			m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil, m.LastHeardAt = true, true, 1, now, now
+			m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil, m.LastHeartbeatAt = true, true, 1, now, now
 			m.RecordedAt, m.IdleSince = recorded, idle
 			if rng.IntN(4) == 0 {
 				m.Images["img-1"] = now
--- a/internal/coordination/takeover/collaborators.go
+++ b/internal/coordination/takeover/collaborators.go
@@ -34,7 +34,7 @@
 	SpreadShards(p *cluster.Partition, now time.Time)
 }
 
-// Replicator keeps the replicas that partitions are taken over from.
+// Replicator has the replicas that partitions are taken over from.
 type Replicator interface {
 	// ApplyHints applies what the former leader sent of machines and classes.
 	ApplyHints(p *cluster.Partition, updates *replication.ReceivedUpdates, now time.Time)
@@ -49,7 +49,7 @@
 	RequestStateTransfer(p *cluster.Partition, leaseRevision uint64)
 }
 
-// Jobs keeps the jobs of all partitions.
+// Jobs holds the jobs of all partitions.
 type Jobs interface {
 	// ApplyJobRecord makes an accepted job known. Records never change.
 	ApplyJobRecord(id string, raw []byte)
--- a/internal/coordination/takeover/install.go
+++ b/internal/coordination/takeover/install.go
@@ -112,7 +112,7 @@
 	for _, m := range t.Machines {
 		if m.Record.Partition == p.Index {
 			m.AnsweredUntil = t.leases.LastAnswerBound(p, m)
-			m.LastHeardAt, m.LedSince = now, now
+			m.LastHeartbeatAt, m.LedSince = now, now
 			t.agents.Fence(m)
 		}
 	}
--- a/internal/coordination/tick.go
+++ b/internal/coordination/tick.go
@@ -45,18 +45,18 @@
 }
 
 // shareWriteRate divides the state store's write rate by what the controllers want. One that
-// is not heard counts as wanting what the others want on average.
+// is not alive counts as wanting what the others want on average.
 func (c *Controller) shareWriteRate(now time.Time) {
 	c.WriteDemand = c.store.WriteDemand(now)
-	total, heard := c.WriteDemand, 1.0
+	total, alive := c.WriteDemand, 1.0
 	for _, p := range c.Peers {
 		if p.Alive(now) {
 			total += p.Summary.WriteDemand
-			heard++
+			alive++
 		}
 	}
 	controllers := float64(len(c.Peers) + 1)
-	c.store.ShareWriteRate(c.WriteDemand, total*controllers/heard)
+	c.store.ShareWriteRate(c.WriteDemand, total*controllers/alive)
 }
 
 // dropOlder drops the entries whose time is longer ago than maxAge.
