--- a/internal/coordination/agents/collaborators.go
+++ b/internal/coordination/agents/collaborators.go
@@ -10,9 +10,9 @@
 
 // Cloud is the client of the cloud's interface, by which machines are deleted.
 type Cloud interface {
-	// Call sends one request to the cloud within the request budget. It blocks, so it is
-	// called outside the event loop.
-	Call(method, target string, in, out any) (int, error)
+	// DeleteMachines deletes machines. Nothing runs on them once it has returned without an
+	// error. It blocks, so it is called outside the event loop.
+	DeleteMachines(names []string) error
 }
 
 // Leases judges whether the leaders of other partitions are still alive.
--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/protocol"
 	"micaspindle/internal/telemetry"
 )
 
@@ -48,9 +47,8 @@
 	}
 	a.log.Info("deleting machines", "machines", names, "reason", "cancelled tasks on them can't be stopped in time")
 	a.loop.Go(func() {
-		status, err := a.cloud.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
-		if err != nil || status != 200 {
-			a.log.Info("deleting machines failed", "machines", names, "status", status, "error", err)
+		if err := a.cloud.DeleteMachines(names); err != nil {
+			a.log.Info("machine deletion failed", "machines", names, "error", err)
 			return
 		}
 		a.loop.Do(func() { a.machinesDeleted(machines, time.Now()) })
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -3,20 +3,31 @@
 import (
 	"time"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/transport"
 )
 
+// Why a heartbeat is refused; the agent tries another controller, or this one again.
+var (
+	errNotOnRecord = apierror.NotReady("machine is not on record", 1)
+	// errSuperseded: the agent has seen a higher fencing token.
+	errSuperseded = apierror.NotReady("superseded", 1)
+	// errOldHeartbeat: answering it could not extend the machine's lease.
+	errOldHeartbeat = apierror.NotReady("a newer report has come, or the machine is gone", 1)
+	// errNoLeader: no other controller is known to lead the partition, and this one may not answer.
+	errNoLeader = apierror.NotReady("part has no owner here", 1)
+)
+
 // HandleHeartbeat answers an agent's heartbeat, of which raw is the body.
 func (a *Agents) HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response {
 	now := time.Now()
 	machine := a.Machines[heartbeat.Machine]
 	if machine == nil {
 		a.noteUnregistered(heartbeat)
-		return respond.Refuse(503, "machine is not on record", 1)
+		return apierror.Response(errNotOnRecord)
 	}
 	partition := a.Partitions[machine.Record.Partition]
 	if response, delegated := a.proxy.AnswerHeartbeat(machine, heartbeat, raw, now); delegated {
@@ -30,10 +41,10 @@
 	if heartbeat.Token > token {
 		// A newer leader commands this machine; its agent would drop an answer, which would
 		// only keep it coming here.
-		return respond.Refuse(503, "superseded", 1)
+		return apierror.Response(errSuperseded)
 	}
 	if machine.DeleteConfirmed || !machine.AcceptHeartbeat(heartbeat) {
-		return respond.Refuse(503, "a newer report has come, or the machine is gone", 1)
+		return apierror.Response(errOldHeartbeat)
 	}
 	if heartbeat.Addr != "" {
 		machine.Record.Addr = heartbeat.Addr
@@ -73,7 +84,7 @@
 // if there is another, and notes that it came here.
 func (a *Agents) redirectToLeader(partition *cluster.Partition, machine *cluster.Machine, now time.Time) transport.Response {
 	if partition.Leader == "" || partition.Leader == a.Settings.Label {
-		return respond.Refuse(503, "part has no owner here", 1)
+		return apierror.Response(errNoLeader)
 	}
 	a.DivertedMachines[machine.Name] = now
 	a.leases.NoteDiverted(partition.Leader, machine.Name, now)
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -38,7 +38,6 @@
 	if !attempt.Live() {
 		return
 	}
-	attempt.ReportedState = task.State
 	switch task.State {
 	case protocol.TaskRunning:
 		a.attemptRunning(attempt, now)
--- a/internal/coordination/apierror/apierror.go
+++ b/internal/coordination/apierror/apierror.go
@@ -1,16 +1,27 @@
 // Package apierror has the error with which a handler refuses a request: the status, the
-// message for the caller, and when to try again.
+// message for the caller, and when to try again. It also makes the response to an error.
 package apierror
 
 import (
 	"errors"
 	"fmt"
 	"net/http"
+	"strings"
 
-	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/protocol"
+	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
+// messageBytes is how much of an invalid request's error is shown, in bytes.
+const messageBytes = 200
+
+// The errors that stand for an answer which the state store did not give.
+var (
+	errOverBudget       = &Error{Status: http.StatusTooManyRequests, Message: "over budget", RetryAfter: 1}
+	errStoreUnavailable = &Error{Status: http.StatusServiceUnavailable, Message: "state service unavailable", RetryAfter: 1}
+)
+
 // Error refuses a request.
 type Error struct {
 	// Status is the HTTP status of the answer.
@@ -23,6 +34,11 @@
 
 func (e *Error) Error() string { return e.Message }
 
+// response is the answer that refuses the request.
+func (e *Error) response() transport.Response {
+	return transport.Response{Status: e.Status, Body: protocol.Encode(protocol.Problem{Error: e.Message}), RetryAfter: e.RetryAfter}
+}
+
 // New refuses a request that won't succeed by being repeated.
 func New(status int, message string) error {
 	return &Error{Status: status, Message: message}
@@ -34,9 +50,10 @@
 }
 
 // Invalid refuses a request with a status because of what err says of its content. The
-// message is the first line of it.
+// message is the first line of it, cut to messageBytes.
 func Invalid(status int, err error) error {
-	return New(status, respond.FirstLine(err))
+	line, _, _ := strings.Cut(err.Error(), "\n")
+	return New(status, line[:min(len(line), messageBytes)])
 }
 
 // NotReady refuses a request that this controller can't serve yet, or no more.
@@ -45,11 +62,15 @@
 }
 
 // Response is the answer that an error amounts to. An error that is no Error comes from the
-// state store, and the request may succeed later.
+// state store, and the request may succeed later: it is answered with 429 if this controller's
+// own budget refused it, and with 503 otherwise.
 func Response(err error) transport.Response {
 	var refusal *Error
-	if errors.As(err, &refusal) {
-		return respond.Refuse(refusal.Status, refusal.Message, refusal.RetryAfter)
+	switch {
+	case errors.As(err, &refusal):
+		return refusal.response()
+	case errors.Is(err, storage.ErrBudget):
+		return errOverBudget.response()
 	}
-	return respond.Unavailable(err)
+	return errStoreUnavailable.response()
 }
--- a/internal/coordination/apierror/apierror_test.go
+++ b/internal/coordination/apierror/apierror_test.go
@@ -1,33 +1,61 @@
 package apierror
 
 import (
+	"errors"
 	"fmt"
 	"reflect"
+	"strings"
 	"testing"
 
-	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/protocol"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
 
-// TestResponse compares the answers to errors with those that respond makes.
+// refused is the answer with a status, a message and when to try again.
+func refused(status int, message string, retryAfter int) transport.Response {
+	return transport.Response{Status: status, Body: protocol.Encode(protocol.Problem{Error: message}), RetryAfter: retryAfter}
+}
+
+// TestResponse compares the answers to errors, byte for byte.
 func TestResponse(t *testing.T) {
-	budget := fmt.Errorf("poll: %w", storage.ErrBudget)
 	for _, tc := range []struct {
 		err  error
 		want transport.Response
 	}{
-		{New(404, "no such job"), respond.Refuse(404, "no such job", 0)},
-		{Newf(409, "the job is %s already", "done"), respond.Refuse(409, "the job is done already", 0)},
-		{Invalid(400, fmt.Errorf("bad\nworse")), respond.Refuse(400, "bad", 0)},
-		{NotReady("stopping", 1), respond.Refuse(503, "stopping", 1)},
-		{fmt.Errorf("submit: %w", NotReady("stopping", 2)), respond.Refuse(503, "stopping", 2)},
-		{budget, respond.Refuse(429, "over budget", 1)},
-		{storage.ErrRefused, respond.Refuse(503, "state service unavailable", 1)},
-		{storage.ErrUnknown, respond.Refuse(503, "state service unavailable", 1)},
+		{New(404, "no such job"), refused(404, "no such job", 0)},
+		{Newf(409, "the job is %s already", "done"), refused(409, "the job is done already", 0)},
+		{Invalid(400, fmt.Errorf("bad\nworse")), refused(400, "bad", 0)},
+		{Invalid(400, errors.New(strings.Repeat("x", 300))), refused(400, strings.Repeat("x", 200), 0)},
+		{NotReady("stopping", 1), refused(503, "stopping", 1)},
+		{fmt.Errorf("submit: %w", NotReady("stopping", 2)), refused(503, "stopping", 2)},
+		{fmt.Errorf("poll: %w", storage.ErrBudget), refused(429, "over budget", 1)},
+		{storage.ErrRefused, refused(503, "state service unavailable", 1)},
+		{storage.ErrUnknown, refused(503, "state service unavailable", 1)},
 	} {
 		if got := Response(tc.err); !reflect.DeepEqual(got, tc.want) {
 			t.Errorf("%v: got %+v, want %+v", tc.err, got, tc.want)
 		}
 	}
 }
+
+// A refusal by the controller's own budget is told from one by the state store, whatever the
+// words of the error.
+func TestResponseTellsBudgetFromOutage(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		err    error
+		status int
+	}{
+		{"budget", storage.ErrBudget, 429},
+		{"wrapped budget", fmt.Errorf("reading: %w: late", storage.ErrBudget), 429},
+		{"refused", storage.ErrRefused, 503},
+		{"refused, with the word", fmt.Errorf("%w: job budget-report", storage.ErrRefused), 503},
+		{"unanswered", storage.ErrUnknown, 503},
+		{"joined", errors.Join(storage.ErrUnknown, storage.ErrNotFound), 503},
+	} {
+		if response := Response(tc.err); response.Status != tc.status || response.RetryAfter != 1 {
+			t.Errorf("%s: status %d, retry after %d, want %d and 1", tc.name, response.Status, response.RetryAfter, tc.status)
+		}
+	}
+}
--- a/internal/coordination/auth/authentication.go
+++ b/internal/coordination/auth/authentication.go
@@ -139,12 +139,11 @@
 	return a.authenticateMachine(req, verbHeartbeat, func(name identity.Name) bool { return name.Kind == identity.Worker })
 }
 
-// AuthenticatePeer returns which controller sends a message, or the answer that refuses it.
-func (a *Auth) AuthenticatePeer(req *transport.Request) (*Caller, *transport.Response) {
-	caller, err := a.authenticateMachine(req, verbPeer, func(name identity.Name) bool {
+// AuthenticatePeer returns which controller sends a message, or the error that refuses it.
+func (a *Auth) AuthenticatePeer(req *transport.Request) (*Caller, error) {
+	return a.authenticateMachine(req, verbPeer, func(name identity.Name) bool {
 		return name.Kind == identity.Controller && a.Peers[name.ID] != nil
 	})
-	return caller, refusal(err)
 }
 
 // authenticateMachine returns which worker or controller sends a message. Only a certificate
@@ -173,10 +172,9 @@
 	return a.checkSender(caller, verbHeartbeat, identity.Name{Kind: identity.Worker, ID: machine})
 }
 
-// CheckSender returns the answer that refuses a message which does not come from the
-// controller that it names; nil if it does.
-func (a *Auth) CheckSender(caller *Caller, verb string, named identity.Name) *transport.Response {
-	return refusal(a.checkSender(caller, verb, named))
+// CheckPeer refuses a message that does not come from the controller that it names.
+func (a *Auth) CheckPeer(caller *Caller, label string) error {
+	return a.checkSender(caller, verbPeer, identity.Name{Kind: identity.Controller, ID: label})
 }
 
 func (a *Auth) checkSender(caller *Caller, verb string, named identity.Name) error {
@@ -188,12 +186,3 @@
 
 // anyWorkerName is the name in the certificates that machines share.
 var anyWorkerName = identity.Name{Kind: identity.Worker, ID: AnyWorker}.String()
-
-// refusal is the answer to a controller whose message was refused; nil if it was not.
-func refusal(err error) *transport.Response {
-	if err == nil {
-		return nil
-	}
-	answer := apierror.Response(err)
-	return &answer
-}
--- a/internal/coordination/auth/budget_test.go
+++ b/internal/coordination/auth/budget_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/coordination/apierror"
 )
 
 // Who asks too often for unknown jobs is answered 429, not that the state store is unavailable.
 func TestRefusalForUnknownJobsIsOfTheBudget(t *testing.T) {
-	if status := respond.Unavailable(errUnknownJobBudget).Status; status != 429 {
+	if status := apierror.Response(errUnknownJobBudget).Status; status != 429 {
 		t.Errorf("status %d, want 429", status)
 	}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -42,7 +42,7 @@
 		c.scheduler.Reserve(p, j, task, 1, m, now)
 		j.Pending = nil
 		a := j.LiveAttempts[task]
-		a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now, protocol.TaskRunning
+		a.State, a.StartedAt = cluster.AttemptConfirmed, now
 		for _, ch := range j.Chunks { // already written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
--- a/internal/coordination/cloudclient/client.go
+++ b/internal/coordination/cloudclient/client.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// Call sends one request to the cloud, once the rate limit allows it, and returns the status
+// call sends one request to the cloud, once the rate limit allows it, and returns the status
 // of the answer. in, if any, is the body; an answer with status 200 is decoded into out, if
 // any. The error says that there was no answer, or none that can be read.
-func (c *Client) Call(method, target string, in, out any) (int, error) {
+func (c *Client) call(method, target string, in, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(c.loop.Context(), requestTimeout)
 	defer cancel()
 	if c.circuit.Open(time.Now()) {
--- a/internal/coordination/cloudclient/requests.go
+++ b/internal/coordination/cloudclient/requests.go
@@ -87,7 +87,7 @@
 
 // request sends a request; any status but 200 is a StatusError.
 func (c *Client) request(method, target string, in, out any) error {
-	status, err := c.Call(method, target, in, out)
+	status, err := c.call(method, target, in, out)
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -32,8 +32,6 @@
 
 	// What the agent has reported.
 
-	// ReportedState is the state in the newest heartbeat that named it; "": none did.
-	ReportedState string
 	// ExitCause is why it ended, as reported; "": it has not, or no cause was given.
 	ExitCause string
 	// StartedAt is when it was first seen running.
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -79,7 +79,7 @@
 		for task := range largeTasksPerMachine {
 			c.scheduler.Reserve(p, j, task, 1, m, now)
 			a := j.LiveAttempts[task]
-			a.State, a.StartedAt, a.ReportedState = cluster.AttemptConfirmed, now.Add(-time.Minute), protocol.TaskRunning
+			a.State, a.StartedAt = cluster.AttemptConfirmed, now.Add(-time.Minute)
 		}
 		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeTasksPerMachine, false
 		for _, ch := range j.Chunks { // already written
@@ -559,7 +559,7 @@
 			raw, err := proto.Marshal(&peer.StateTransferRequest{})
 			panicOnError(err)
 			stop := serveEventLoop(c)
-			resp := c.replicator.HandleStateTransfer(raw)
+			resp := servePeers(c, replication.StateTransferPath, raw)
 			stop()
 			sent := new(peer.ReplicaUpdate)
 			panicOnError(proto.Unmarshal(resp.Body, sent))
@@ -624,13 +624,18 @@
 	}
 }
 
+// servePeers has a controller answer a request of another one.
+func servePeers(c *Controller, path string, body []byte) transport.Response {
+	return c.ServePeers(context.Background(), &transport.Request{Method: "POST", Path: path, Body: body})
+}
+
 // applyReplicaUpdate hands a standby an update of a partition's leader.
 func applyReplicaUpdate(t *testing.T, c *Controller, update *peer.ReplicaUpdate) {
 	t.Helper()
 	raw, err := proto.Marshal(update)
 	panicOnError(err)
 	stop := serveEventLoop(c)
-	resp := c.replicator.HandleUpdate(nil, raw)
+	resp := servePeers(c, replication.UpdatePath, raw)
 	stop()
 	if resp.Status != 200 {
 		t.Fatalf("status %d, %s", resp.Status, resp.Body)
--- a/internal/coordination/peerapi/call.go
+++ b/internal/coordination/peerapi/call.go
@@ -5,11 +5,12 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	"micaspindle/internal/coordination/respond"
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
@@ -18,11 +19,14 @@
 // machines.
 const MachineRequestPath = "/peer/fleet"
 
+// errReplyFailed: a reply can't be encoded.
+var errReplyFailed = apierror.New(http.StatusInternalServerError, "reply failed")
+
 // Reply makes the response to another controller's request.
 func Reply(message proto.Message) transport.Response {
 	body, err := proto.Marshal(message)
 	if err != nil {
-		return respond.Refuse(500, "reply failed", 0)
+		return apierror.Response(errReplyFailed)
 	}
 	return transport.Response{Status: 200, Body: body}
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -6,33 +6,33 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/peerapi"
 	"micaspindle/internal/coordination/peering"
 	"micaspindle/internal/coordination/proxy"
 	"micaspindle/internal/coordination/replication"
-	"micaspindle/internal/coordination/respond"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/transport"
 )
 
-// peerHandler answers a request of another controller, the authenticated caller.
-type peerHandler func(c *Controller, caller *auth.Caller, body []byte) transport.Response
+// peerHandler serves a request of another controller, the authenticated caller. A nil reply is
+// an empty one.
+type peerHandler func(c *Controller, caller *auth.Caller, body []byte) (proto.Message, error)
 
 // peerHandlers are the requests that controllers send each other, by path. All are POSTs.
 var peerHandlers = map[string]peerHandler{
 	peering.SummaryPath: (*Controller).handleSummary,
-	replication.UpdatePath: func(c *Controller, caller *auth.Caller, body []byte) transport.Response {
+	replication.UpdatePath: func(c *Controller, caller *auth.Caller, body []byte) (proto.Message, error) {
 		return c.replicator.HandleUpdate(caller, body)
 	},
-	replication.StateTransferPath: func(c *Controller, _ *auth.Caller, body []byte) transport.Response {
+	replication.StateTransferPath: func(c *Controller, _ *auth.Caller, body []byte) (proto.Message, error) {
 		return c.replicator.HandleStateTransfer(body)
 	},
-	proxy.DelegationPath: func(c *Controller, caller *auth.Caller, body []byte) transport.Response {
+	proxy.DelegationPath: func(c *Controller, caller *auth.Caller, body []byte) (proto.Message, error) {
 		return c.proxy.HandleRenewal(caller, body)
 	},
-	proxy.ForwardPath: func(c *Controller, caller *auth.Caller, body []byte) transport.Response {
+	proxy.ForwardPath: func(c *Controller, caller *auth.Caller, body []byte) (proto.Message, error) {
 		return c.proxy.HandleForwarded(caller, body)
 	},
 	peerapi.MachineRequestPath: (*Controller).handleMachineRequest,
@@ -40,39 +40,50 @@
 
 // ServePeers answers the other controllers.
 func (c *Controller) ServePeers(_ context.Context, req *transport.Request) transport.Response {
-	caller, refusal := c.auth.AuthenticatePeer(req)
-	if refusal != nil {
-		return *refusal
+	reply, err := c.servePeer(req)
+	switch {
+	case err != nil:
+		return apierror.Response(err)
+	case reply == nil:
+		return transport.Response{Status: http.StatusOK}
+	}
+	return peerapi.Reply(reply)
+}
+
+// servePeer authenticates the sender of a request and has it handled.
+func (c *Controller) servePeer(req *transport.Request) (proto.Message, error) {
+	caller, err := c.auth.AuthenticatePeer(req)
+	if err != nil {
+		return nil, err
 	}
 	if req.Method != http.MethodPost {
-		return respond.Refuse(http.StatusMethodNotAllowed, "method not allowed", 0)
+		return nil, apierror.New(http.StatusMethodNotAllowed, "method not allowed")
 	}
 	handle := peerHandlers[req.Path]
 	if handle == nil {
-		return respond.Refuse(http.StatusNotFound, "no such path", 0)
+		return nil, apierror.New(http.StatusNotFound, "no such path")
 	}
 	return handle(c, caller, req.Body)
 }
 
 // handleSummary receives another controller's summary of itself.
-func (c *Controller) handleSummary(caller *auth.Caller, body []byte) transport.Response {
+func (c *Controller) handleSummary(caller *auth.Caller, body []byte) (proto.Message, error) {
 	summary := new(peer.Summary)
 	if err := proto.Unmarshal(body, summary); err != nil {
-		return respond.Refuse(http.StatusBadRequest, "bad summary", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad summary")
 	}
-	sender := identity.Name{Kind: identity.Controller, ID: summary.From}
-	if refusal := c.auth.CheckSender(caller, "peer", sender); refusal != nil {
-		return *refusal
+	if err := c.auth.CheckPeer(caller, summary.From); err != nil {
+		return nil, err
 	}
 	c.loop.Do(func() { c.peering.ReceiveSummary(summary) })
-	return transport.Response{Status: http.StatusOK}
+	return nil, nil
 }
 
-// handleMachineRequest answers what the cluster leader asks of a partition's leader.
-func (c *Controller) handleMachineRequest(_ *auth.Caller, body []byte) transport.Response {
+// handleMachineRequest passes on the cluster leader's request to a partition's leader.
+func (c *Controller) handleMachineRequest(_ *auth.Caller, body []byte) (proto.Message, error) {
 	request := new(peer.MachineRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
-		return respond.Refuse(http.StatusBadRequest, "bad request", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad request")
 	}
-	return peerapi.Reply(c.agents.HandleMachineRequest(request))
+	return c.agents.HandleMachineRequest(request), nil
 }
--- a/internal/coordination/proxy/answering.go
+++ b/internal/coordination/proxy/answering.go
@@ -4,14 +4,22 @@
 	"bytes"
 	"time"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/eventloop"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
 )
 
+// Why a delegate refuses a heartbeat.
+var (
+	// errSuperseded: the agent has seen a higher fencing token than this controller knows.
+	errSuperseded = apierror.NotReady("superseded", 1)
+	// errLeaderBehind: too many heartbeats wait to be sent to the partition's leader.
+	errLeaderBehind = apierror.NotReady("the owner of the machine is behind", 1)
+)
+
 // AnswerHeartbeat answers an agent's heartbeat on behalf of the partition's leader; false: no
 // grant allows it. The leader gets what was answered with the next renewal (rule 37).
 func (p *Proxy) AnswerHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
@@ -21,11 +29,11 @@
 	}
 	token := p.Token(machine)
 	if heartbeat.Token > token {
-		return respond.Refuse(503, "superseded", 1), true
+		return apierror.Response(errSuperseded), true
 	}
 	if assigned.UnsentBytes+len(raw) > p.UnsentLimit {
 		p.bounds.Met(telemetry.ForwardedHeartbeats, 1)
-		return respond.Refuse(503, "the owner of the machine is behind", 1), true
+		return apierror.Response(errLeaderBehind), true
 	}
 	if heartbeat.Addr != "" {
 		machine.Record.Addr = heartbeat.Addr
--- a/internal/coordination/proxy/collaborators.go
+++ b/internal/coordination/proxy/collaborators.go
@@ -5,9 +5,7 @@
 
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
-	"micaspindle/internal/transport"
 )
 
 // Agents applies heartbeats of agents and sends commands to them.
@@ -27,7 +25,6 @@
 
 // Auth checks who sent a message.
 type Auth interface {
-	// CheckSender checks that a message comes from the agent or controller that it names; it
-	// returns the refusal if not, otherwise nil.
-	CheckSender(caller *auth.Caller, verb string, named identity.Name) *transport.Response
+	// CheckPeer refuses a message that does not come from the controller that it names.
+	CheckPeer(caller *auth.Caller, label string) error
 }
--- a/internal/coordination/proxy/forwarded.go
+++ b/internal/coordination/proxy/forwarded.go
@@ -3,15 +3,14 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"micaspindle/internal/coordination/agents"
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
-	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/coordination/respond"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/transport"
 )
@@ -23,6 +22,9 @@
 // one message.
 const forwardAnswerWait = 400 * time.Millisecond
 
+// errStopping refuses commands once the event loop has ended.
+var errStopping = apierror.NotReady("stopping", 1)
+
 // agentResult is an agent's answer to the command with the given index in its message.
 type agentResult struct {
 	index  int
@@ -31,19 +33,19 @@
 
 // HandleForwarded forwards commands to agents as a delegate and replies with what they
 // answered in time. It decides nothing: agents obey or refuse commands by their fencing token.
-func (p *Proxy) HandleForwarded(caller *auth.Caller, body []byte) transport.Response {
+func (p *Proxy) HandleForwarded(caller *auth.Caller, body []byte) (*peer.ForwardReply, error) {
 	request := new(peer.ForwardRequest)
 	if err := proto.Unmarshal(body, request); err != nil || len(request.Commands) > ForwardCommandsLimit {
-		return respond.Refuse(400, "bad request", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad request")
 	}
-	if refusal := p.auth.CheckSender(caller, "peer", identity.Name{Kind: identity.Controller, ID: request.From}); refusal != nil {
-		return *refusal
+	if err := p.auth.CheckPeer(caller, request.From); err != nil {
+		return nil, err
 	}
 	addrs, ok := p.agentAddrs(request.Commands)
 	if !ok {
-		return respond.Refuse(503, "stopping", 1)
+		return nil, errStopping
 	}
-	return peerapi.Reply(p.sendToAgents(request.Commands, addrs))
+	return p.sendToAgents(request.Commands, addrs), nil
 }
 
 // agentAddrs is the address of each command's agent, "" where it is unknown; false: the event
--- a/internal/coordination/proxy/grants.go
+++ b/internal/coordination/proxy/grants.go
@@ -1,18 +1,16 @@
 package proxy
 
 import (
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/coordination/respond"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol"
 	"micaspindle/internal/protocol/peer"
-	"micaspindle/internal/transport"
 )
 
 const (
@@ -25,21 +23,21 @@
 
 // HandleRenewal answers a delegate's renewal as the partition's leader: it applies the
 // heartbeats that the delegate answered and grants it its shards.
-func (p *Proxy) HandleRenewal(caller *auth.Caller, body []byte) transport.Response {
+func (p *Proxy) HandleRenewal(caller *auth.Caller, body []byte) (*peer.DelegationGrant, error) {
 	request := new(peer.DelegationRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
-		return respond.Refuse(400, "bad request", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad request")
 	}
-	if refusal := p.auth.CheckSender(caller, "peer", identity.Name{Kind: identity.Controller, ID: request.From}); refusal != nil {
-		return *refusal
+	if err := p.auth.CheckPeer(caller, request.From); err != nil {
+		return nil, err
 	}
 	heartbeats := decodeHeartbeats(request.Heartbeats)
 	var grant *peer.DelegationGrant
 	p.loop.Do(func() { grant = p.renewGrant(request, heartbeats, time.Now()) })
 	if grant == nil {
-		return respond.Refuse(409, "not the owner under this claim", 0)
+		return nil, apierror.New(http.StatusConflict, "not the owner under this claim")
 	}
-	return peerapi.Reply(grant)
+	return grant, nil
 }
 
 // decodeHeartbeats decodes heartbeats as agents sent them, leaving out those that are invalid.
--- a/internal/coordination/replication/collaborators.go
+++ b/internal/coordination/replication/collaborators.go
@@ -4,16 +4,13 @@
 	"time"
 
 	"micaspindle/internal/coordination/auth"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol/peer"
-	"micaspindle/internal/transport"
 )
 
 // Auth checks who sends a request.
 type Auth interface {
-	// CheckSender refuses a message that does not come from the agent or controller that it
-	// names; nil: it does.
-	CheckSender(who *auth.Caller, verb string, named identity.Name) *transport.Response
+	// CheckPeer refuses a message that does not come from the controller that it names.
+	CheckPeer(caller *auth.Caller, label string) error
 }
 
 // Autoscaler does the work of the cluster leader.
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -1,18 +1,16 @@
 package replication
 
 import (
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/coordination/respond"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
-	"micaspindle/internal/transport"
 )
 
 const (
@@ -94,13 +92,13 @@
 }
 
 // HandleUpdate answers a partition leader's or the cluster leader's update.
-func (r *Replicator) HandleUpdate(who *auth.Caller, body []byte) transport.Response {
+func (r *Replicator) HandleUpdate(caller *auth.Caller, body []byte) (*peer.ReplicaUpdateReply, error) {
 	update := new(peer.ReplicaUpdate)
 	if err := proto.Unmarshal(body, update); err != nil {
-		return respond.Refuse(400, "bad replica update", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad replica update")
 	}
-	if refusal := r.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: update.From}); refusal != nil {
-		return *refusal
+	if err := r.auth.CheckPeer(caller, update.From); err != nil {
+		return nil, err
 	}
 	reply := new(peer.ReplicaUpdateReply)
 	r.loop.Do(func() {
@@ -114,7 +112,7 @@
 			r.reportDropped(replica)
 		}
 	})
-	return peerapi.Reply(reply)
+	return reply, nil
 }
 
 // reportDropped reports what a replica had no space for.
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
@@ -25,10 +26,10 @@
 
 // HandleStateTransfer answers a controller that was started anew with what its former incarnation
 // had sent here of a partition.
-func (r *Replicator) HandleStateTransfer(body []byte) transport.Response {
+func (r *Replicator) HandleStateTransfer(body []byte) (*peer.ReplicaUpdate, error) {
 	request := new(peer.StateTransferRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
-		return respond.Refuse(400, "bad request", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad request")
 	}
 	transfer := &peer.ReplicaUpdate{Partition: request.Partition}
 	r.loop.Do(func() {
@@ -39,7 +40,7 @@
 			}
 		}
 	})
-	return peerapi.Reply(transfer)
+	return transfer, nil
 }
 
 // StateTransfer is what was received of the replica's partition, for its new leader. whole is false
