--- a/cmd/micaspindle-regress/bench.go
+++ b/cmd/micaspindle-regress/bench.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	return slices.DeleteFunc(all, func(e regress.Entry) bool {
-		return e.Verb == singleRunVerb || slices.ContainsFunc(earlier, func(o regress.Entry) bool { return o.ID == e.ID && o.Begun.Equal(e.Begun) })
+		return e.Command == singleRunVerb || slices.ContainsFunc(earlier, func(o regress.Entry) bool { return o.ID == e.ID && o.Begun.Equal(e.Begun) })
 	}), nil
 }
 
--- a/cmd/micaspindle-regress/fault_search.go
+++ b/cmd/micaspindle-regress/fault_search.go
@@ -42,7 +42,7 @@
 	if f.SearchDays < 0 || len(f.Sizes) == 0 || slices.Min(f.Sizes) < minSize || slices.Max(f.Sizes) > maxSize {
 		return usageError{errors.New("--search-days must not be below 0, --sizes lie between 0.1 and 4")}
 	}
-	scenarios, err := f.pick(scenario.Meetings())
+	scenarios, err := f.pick(scenario.FaultScenarios())
 	if err != nil {
 		return err
 	}
@@ -58,8 +58,8 @@
 }
 
 // atSizes are the scenarios at each of the fleet sizes.
-func atSizes(scenarios []scenario.Day, sizes []float64) []scenario.Day {
-	var all []scenario.Day
+func atSizes(scenarios []scenario.Scenario, sizes []float64) []scenario.Scenario {
+	var all []scenario.Scenario
 	for _, scenario := range scenarios {
 		for _, size := range sizes {
 			sized := scenario
--- a/cmd/micaspindle-regress/run.go
+++ b/cmd/micaspindle-regress/run.go
@@ -139,7 +139,7 @@
 
 // fallenSites are the sites whose only fault is a score that fell, which may be by chance.
 func (s *scoring) fallenSites() []string {
-	doubtful := regress.Doubtful(s.compare())
+	doubtful := regress.FellOnly(s.compare())
 	var fallen []string
 	for _, site := range s.kit.sites {
 		if slices.Contains(doubtful, siteName(site)) {
--- a/cmd/micaspindle-regress/scenario_play.go
+++ b/cmd/micaspindle-regress/scenario_play.go
@@ -20,7 +20,7 @@
 // scenarioPlay is one scenario on one site with one seed, and its result.
 type scenarioPlay struct {
 	site         *scenario.Site
-	scenario     scenario.Day
+	scenario     scenario.Scenario
 	siteFile     string
 	scenarioFile string
 	reportFile   string
@@ -31,7 +31,7 @@
 }
 
 // preparePlays writes the site and scenario files of all plays into a directory.
-func preparePlays(directory string, siteFiles []string, scenarios []scenario.Day, seeds int) ([]*scenarioPlay, error) {
+func preparePlays(directory string, siteFiles []string, scenarios []scenario.Scenario, seeds int) ([]*scenarioPlay, error) {
 	var plays []*scenarioPlay
 	for _, file := range siteFiles {
 		text, err := os.ReadFile(file)
@@ -52,12 +52,12 @@
 }
 
 // preparePlay writes the files of one day on the site that siteText describes.
-func preparePlay(directory, siteFile string, siteText []byte, day scenario.Day) (*scenarioPlay, error) {
+func preparePlay(directory, siteFile string, siteText []byte, day scenario.Scenario) (*scenarioPlay, error) {
 	site, err := scenario.ReadSite(siteText)
 	if err != nil {
 		return nil, usageError{fmt.Errorf("%s: %w", siteFile, err)}
 	}
-	site.For(&day)
+	site.Apply(&day)
 	folder := filepath.Join(directory, site.Name(), day.Name)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	if err := writeEncoded(play.siteFile, site.File); err != nil {
 		return nil, err
 	}
-	if err := writeEncoded(play.scenarioFile, func() ([]byte, error) { return site.DayFile(&day) }); err != nil {
+	if err := writeEncoded(play.scenarioFile, func() ([]byte, error) { return site.ScenarioFile(&day) }); err != nil {
 		return nil, err
 	}
 	return play, copyWireFile(site, filepath.Dir(siteFile), folder)
@@ -165,9 +165,9 @@
 	}
 	p.result, err = p.site.Judge(p.scenario.Name, report, log)
 	if p.seed != p.scenario.Seed {
-		p.result.Day = fmt.Sprintf("%s/%d", p.scenario.Name, p.seed)
+		p.result.Scenario = fmt.Sprintf("%s/%d", p.scenario.Name, p.seed)
 	}
-	fmt.Fprintf(os.Stderr, "%s %s: played in %.0f s\n", p.site.Name(), p.result.Day, p.result.TookS)
+	fmt.Fprintf(os.Stderr, "%s %s: played in %.0f s\n", p.site.Name(), p.result.Scenario, p.result.ElapsedS)
 	return err
 }
 
--- a/cmd/micaspindle-regress/scenarios.go
+++ b/cmd/micaspindle-regress/scenarios.go
@@ -45,7 +45,7 @@
 
 // Run plays and judges the scenarios.
 func (s *scenariosCmd) Run(ctx context.Context, c *cli) error {
-	scenarios, err := s.pick(scenario.Days())
+	scenarios, err := s.pick(scenario.LoadScenarios())
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 }
 
 // pick selects the scenarios that the flags ask for: those of files, or the given ones.
-func (f *scenarioFlags) pick(scenarios []scenario.Day, err error) ([]scenario.Day, error) {
+func (f *scenarioFlags) pick(scenarios []scenario.Scenario, err error) ([]scenario.Scenario, error) {
 	if err == nil && len(f.File) > 0 {
 		if scenarios, err = readScenarios(f.File); err != nil {
 			return nil, usageError{err}
@@ -71,12 +71,12 @@
 			return nil, usageError{fmt.Errorf("--scenario: there is no scenario %q; there are %s", name, strings.Join(names, ", "))}
 		}
 	}
-	return slices.DeleteFunc(scenarios, func(d scenario.Day) bool { return !slices.Contains(f.Scenario, d.Name) }), nil
+	return slices.DeleteFunc(scenarios, func(d scenario.Scenario) bool { return !slices.Contains(f.Scenario, d.Name) }), nil
 }
 
 // readScenarios reads scenarios from files.
-func readScenarios(files []string) ([]scenario.Day, error) {
-	var scenarios []scenario.Day
+func readScenarios(files []string) ([]scenario.Scenario, error) {
+	var scenarios []scenario.Scenario
 	for _, file := range files {
 		data, err := os.ReadFile(file)
 		if err != nil {
@@ -92,7 +92,7 @@
 }
 
 // run plays and judges scenarios.
-func (f *scenarioFlags) run(ctx context.Context, c *cli, scenarios []scenario.Day) error {
+func (f *scenarioFlags) run(ctx context.Context, c *cli, scenarios []scenario.Scenario) error {
 	if f.Seeds < 1 || f.Jobs < 0 || f.Limit <= 0 {
 		return usageError{errors.New("--seeds must be at least 1, --jobs not below 0 and --limit above 0")}
 	}
--- a/cmd/micaspindle-regress/tests.go
+++ b/cmd/micaspindle-regress/tests.go
@@ -62,7 +62,7 @@
 }
 
 // printKnownFailures lists the tests that were not run.
-func printKnownFailures(out io.Writer, known []regress.KnownRed) {
+func printKnownFailures(out io.Writer, known []regress.KnownFailure) {
 	for _, r := range known {
 		fmt.Fprintln(out, "KNOWN RED, not run:", r.Line)
 	}
@@ -72,12 +72,12 @@
 }
 
 // knownFailures reads the list and checks that each line names an existing test.
-func (t *testsCmd) knownFailures(ctx context.Context) ([]regress.KnownRed, error) {
+func (t *testsCmd) knownFailures(ctx context.Context) ([]regress.KnownFailure, error) {
 	text, err := os.ReadFile(t.KnownRed)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	known, err := regress.ParseKnownRed(string(text))
+	known, err := regress.ParseKnownFailures(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path.Base(t.KnownRed), err)
 	}
--- a/internal/regress/journal.go
+++ b/internal/regress/journal.go
@@ -18,11 +18,11 @@
 
 // Entry is one journal entry: the days that a bench run played of one site.
 type Entry struct {
-	ID    string
-	Verb  string // score, hunt, run, ...
-	Quick bool
-	Why   string
-	Begun time.Time
+	ID      string
+	Command string // score, hunt, run, ...
+	Quick   bool
+	Why     string
+	Begun   time.Time
 	// Site is empty where the run ended before it had read one.
 	Site  string
 	Score float64
@@ -81,7 +81,7 @@
 	if err != nil {
 		return Entry{}, fmt.Errorf("at: %w", err)
 	}
-	e := Entry{ID: w.ID, Verb: w.Cmd, Quick: w.Mode == "quick", Why: w.Why, Begun: begun}
+	e := Entry{ID: w.ID, Command: w.Cmd, Quick: w.Mode == "quick", Why: w.Why, Begun: begun}
 	if w.Site != nil {
 		e.Site = *w.Site
 	}
--- a/internal/regress/knownred.go
+++ b/internal/regress/knownred.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// KnownRed is a test that fails for a fault that is known and not mended yet.
-type KnownRed struct {
+// KnownFailure is a test that fails for a fault that is known and not mended yet.
+type KnownFailure struct {
 	// Package is the test's folder, Test its name, with those of subtests after slashes.
 	Package, Test string
 	// Cause says what the fault is, Issue which issue mends it.
@@ -18,15 +18,15 @@
 	Line string
 }
 
-// KnownRedMost is how many there may be at a time.
-const KnownRedMost = 3
+// MaxKnownFailures is how many there may be at a time.
+const MaxKnownFailures = 3
 
 var knownRedLine = regexp.MustCompile(`^(\S+) (Test\w*(?:/\S+)?): (\S.*\S) \(issue (\d+)\)$`)
 
-// ParseKnownRed reads the list of tests that may fail: a line each, "PACKAGE TEST: CAUSE
+// ParseKnownFailures reads the list of tests that may fail: a line each, "PACKAGE TEST: CAUSE
 // (issue N)". An empty list passes over nothing.
-func ParseKnownRed(text string) ([]KnownRed, error) {
-	var list []KnownRed
+func ParseKnownFailures(text string) ([]KnownFailure, error) {
+	var list []KnownFailure
 	var bad []error
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
@@ -37,10 +37,10 @@
 			bad = append(bad, fmt.Errorf("line %d: want \"PACKAGE TEST: CAUSE (issue N)\", as in \"internal/reapi TestCopies: a copy is lost (issue 12)\", have %q", i+1, line))
 			continue
 		}
-		list = append(list, KnownRed{Package: m[1], Test: m[2], Cause: m[3], Issue: m[4], Line: line})
+		list = append(list, KnownFailure{Package: m[1], Test: m[2], Cause: m[3], Issue: m[4], Line: line})
 	}
-	if len(list)+len(bad) > KnownRedMost {
-		bad = append(bad, fmt.Errorf("%d lines: at most %d tests may be known to fail", len(list)+len(bad), KnownRedMost))
+	if len(list)+len(bad) > MaxKnownFailures {
+		bad = append(bad, fmt.Errorf("%d lines: at most %d tests may be known to fail", len(list)+len(bad), MaxKnownFailures))
 	}
 	return list, errors.Join(bad...)
 }
--- a/internal/regress/knownred_test.go
+++ b/internal/regress/knownred_test.go
@@ -23,7 +23,7 @@
 		"no package":     {"TestCopies: a copy is lost (issue 12)", "line 1", 0},
 		"three and junk": {strings.Repeat(good+"\n", 3) + "# why\n", "line 4", 0},
 	} {
-		list, err := ParseKnownRed(c.text)
+		list, err := ParseKnownFailures(c.text)
 		switch {
 		case c.says == "" && (err != nil || len(list) != c.count):
 			t.Errorf("%s: %d, %v", name, len(list), err)
--- a/internal/regress/regress_test.go
+++ b/internal/regress/regress_test.go
@@ -159,7 +159,7 @@
 		now  string
 		want int
 	}{{one, 0}, {entry("1", "08:00:00", "score", "quick", "a", 0.60, day("rough", 0.60, "")), 1}, {two, 0}} {
-		if got := Doubtful(Compare(history(t), parse(t, c.now))); len(got) != c.want {
+		if got := FellOnly(Compare(history(t), parse(t, c.now))); len(got) != c.want {
 			t.Errorf("%q are doubtful, not %d sites", got, c.want)
 		}
 	}
--- a/internal/regress/scenario/night_test.go
+++ b/internal/regress/scenario/scenario_test.go
@@ -54,18 +54,18 @@
 }
 
 func TestDaysOfTheProjectFitAnySite(t *testing.T) {
-	days, err := Days()
+	days, err := LoadScenarios()
 	if err != nil || len(days) < 5 {
 		t.Fatalf("%d days, %v", len(days), err)
 	}
-	meetings, err := Meetings()
+	meetings, err := FaultScenarios()
 	if err != nil || len(meetings) < 12 {
 		t.Fatalf("%d days of meetings, %v", len(meetings), err)
 	}
 	for _, d := range append(days, meetings...) {
 		s := site(t)
-		s.For(&d)
-		text, err := s.DayFile(&d)
+		s.Apply(&d)
+		text, err := s.ScenarioFile(&d)
 		if err != nil || strings.Count(string(text), "at_s") != len(d.Faults) {
 			t.Errorf("%s: %v\n%s", d.Name, err, text)
 		}
@@ -77,11 +77,11 @@
 
 // The days of 4,000 machines have five times those of the large deployments.
 func TestDaysOfALargeFleet(t *testing.T) {
-	days, err := Days()
+	days, err := LoadScenarios()
 	if err != nil {
 		t.Fatal(err)
 	}
-	meetings, err := Meetings()
+	meetings, err := FaultScenarios()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		}
 		found++
 		s := site(t)
-		s.For(&d)
+		s.Apply(&d)
 		if d.Machines != 5 || d.Arrivals != 3 || s.Machines() != 5*36 {
 			t.Errorf("%s: %v times the machines, %v times the arrivals, %d machines", d.Name, d.Machines, d.Arrivals, s.Machines())
 		}
@@ -112,7 +112,7 @@
 
 func TestSiteIsScaled(t *testing.T) {
 	s := site(t)
-	s.For(&Day{Machines: 1.5, Arrivals: 2, RestartS: 0.3, Faults: []Fault{{Kind: "job_burst", Class: "urgent", Team: true}}})
+	s.Apply(&Scenario{Machines: 1.5, Arrivals: 2, RestartS: 0.3, Faults: []Fault{{Kind: "job_burst", Class: "urgent", Team: true}}})
 	text, err := s.File()
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +178,7 @@
 	if err != nil || len(r.Failed) > 0 {
 		t.Fatalf("%v %v", r.Failed, err)
 	}
-	if r.Started != (Lowest{0.5, "big"}) || r.Told.Share != 0.5 || r.Team.Share != 0.5 || r.InTime.Share != 0.1 || r.Sockets != 0.5 || r.LateS != 1.5 || r.Refusals != 5 {
+	if r.Started != (LowestShare{0.5, "big"}) || r.Confirmed.Share != 0.5 || r.Team.Share != 0.5 || r.InTime.Share != 0.1 || r.Sockets != 0.5 || r.SubmitP99S != 1.5 || r.Refusals != 5 {
 		t.Errorf("%+v", r)
 	}
 	for change, says := range map[[2]string]string{
@@ -227,8 +227,8 @@
 			line(60, "n-1", one.lost+`1 reason="the lease ended"`) + line(62, "n-2", two.acquired+`1 token=12`) + line(64, "n-2", two.ready+`1 live=3 after=1ms`) +
 			line(70, "n-3", two.acquired+`1 token=20`) + line(71, "n-3", two.ready+`1 live=0 after=1ms`) // n-2 stood still; nothing ran
 		r, err := site(t).Judge("d", []byte(reportText), strings.NewReader(log))
-		if err != nil || r.OwnerlessS != 3.5+4 {
-			t.Errorf("%s: %v s, %v", name, r.OwnerlessS, err)
+		if err != nil || r.LeaderlessS != 3.5+4 {
+			t.Errorf("%s: %v s, %v", name, r.LeaderlessS, err)
 		}
 	}
 	for _, other := range []string{`msg="part ready" partition=1 live=7`, `msg="partition ready" part=1 live=7`, `msg="partition readyish" partition=1 live=7`,
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := site(t).DayFile(&d)
+	text, err := site(t).ScenarioFile(&d)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/regress/verdict.go
+++ b/internal/regress/verdict.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Fall is by how much a figure may be below what it was.
-const Fall = 0.03
+// MaxFall is by how much a figure may be below what it was.
+const MaxFall = 0.03
 
-// recent is how many earlier figures count. Their median is what a figure is
+// recentRuns is how many earlier figures count. Their median is what a figure is
 // compared with, so that neither one lucky run nor one unlucky one decides, and a
 // series of small falls shows.
-const recent = 5
+const recentRuns = 5
 
 // Row is a line of the comparison: a site, or one of its days.
 type Row struct {
@@ -42,9 +42,9 @@
 	counts := map[int]float64{}
 	for _, e := range entries {
 		at := slices.IndexFunc(out, func(o Entry) bool {
-			return o.Site == e.Site && o.Verb == e.Verb && o.Quick == e.Quick && (e.Site != "" || o.ID == e.ID)
+			return o.Site == e.Site && o.Command == e.Command && o.Quick == e.Quick && (e.Site != "" || o.ID == e.ID)
 		})
-		if at < 0 || e.Verb != "score" { // the days of hunts are others each time
+		if at < 0 || e.Command != "score" { // the days of hunts are others each time
 			e.Days = slices.Clone(e.Days)
 			out = append(out, e)
 			counts[len(out)-1] = 1
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Doubtful are the sites of which nothing but falls forbid to land.
-func Doubtful(rows []Row) []string {
+// FellOnly are the sites of which nothing but falls forbid to land.
+func FellOnly(rows []Row) []string {
 	worst := map[string]bool{} // site: something else forbids
 	for _, r := range rows {
 		if r.Failed != "" {
@@ -110,22 +110,22 @@
 		if row.Site == "" {
 			row.Site = "(no site)"
 		}
-		if e.Verb == "score" && e.Failure == "" {
+		if e.Command == "score" && e.Failure == "" {
 			var past []float64
 			for _, p := range earlier {
-				if p.Verb == e.Verb && p.Quick == e.Quick && p.Site == e.Site && p.Failure == "" && sameDays(p, e) {
+				if p.Command == e.Command && p.Quick == e.Quick && p.Site == e.Site && p.Failure == "" && sameStandardDays(p, e) {
 					past = append(past, p.Score)
 				}
 			}
-			row.against(past, 0)
+			row.compareWith(past, 0)
 		}
-		if e.Verb == "score" || row.Failed != "" { // the other verbs have days only
+		if e.Command == "score" || row.Failed != "" { // the other verbs have days only
 			rows = append(rows, row)
 		}
 		for _, d := range e.Days {
 			row := Row{Site: e.Site, Day: d.Name, Now: d.Score, Failed: d.failure()}
 			if row.Failed == "" {
-				row.against(figures(earlier, e.Site, d.Key), 2)
+				row.compareWith(earlierScores(earlier, e.Site, d.Key), 2)
 			}
 			rows = append(rows, row)
 		}
@@ -133,9 +133,9 @@
 	return rows
 }
 
-// sameDays tells whether two scores are made of the same standard days. A day
+// sameStandardDays tells whether two scores are made of the same standard days. A day
 // that was drawn just now is new each time and does not count.
-func sameDays(a, b Entry) bool {
+func sameStandardDays(a, b Entry) bool {
 	keys := func(e Entry) []string {
 		var k []string
 		for _, d := range e.Days {
@@ -149,12 +149,12 @@
 	return slices.Equal(keys(a), keys(b))
 }
 
-// figures are the earlier ones of a day, oldest first. Only scores count: single
+// earlierScores are the earlier ones of a day, oldest first. Only scores count: single
 // runs may be of other seeds, or without processor time.
-func figures(earlier []Entry, site, key string) []float64 {
+func earlierScores(earlier []Entry, site, key string) []float64 {
 	var all []float64
 	for _, e := range earlier {
-		if e.Verb != "score" || e.Site != site {
+		if e.Command != "score" || e.Site != site {
 			continue
 		}
 		for _, d := range e.Days {
@@ -182,10 +182,10 @@
 	return strings.Join(all, "; ")
 }
 
-// against fills in what is known from earlier figures. A fall counts if it
+// compareWith fills in what is known from earlier figures. A fall counts if it
 // exceeds Fall and so many times the noise.
-func (r *Row) against(past []float64, noises float64) {
-	past = past[max(0, len(past)-recent):]
+func (r *Row) compareWith(past []float64, noises float64) {
+	past = past[max(0, len(past)-recentRuns):]
 	r.Runs = len(past)
 	if r.Runs == 0 {
 		r.Note = "first figure"
@@ -194,9 +194,9 @@
 	r.Before, r.Noise = median(past), deviation(past)
 	fall := r.Before - r.Now
 	switch {
-	case fall > max(Fall, noises*r.Noise)+1e-9:
+	case fall > max(MaxFall, noises*r.Noise)+1e-9:
 		r.Failed, r.Fell = fmt.Sprintf("fell by %.3f", fall), true
-	case fall > Fall+1e-9:
+	case fall > MaxFall+1e-9:
 		r.Note = fmt.Sprintf("fell by %.3f, within its noise", fall)
 	}
 }
@@ -237,7 +237,7 @@
 func Latest(all []Entry, quick bool, sites []string) (earlier, now []Entry, err error) {
 	last := map[string]Entry{}
 	for _, e := range all {
-		if e.Verb == "score" && e.Quick == quick && e.Site != "" && (len(sites) == 0 || slices.Contains(sites, e.Site)) {
+		if e.Command == "score" && e.Quick == quick && e.Site != "" && (len(sites) == 0 || slices.Contains(sites, e.Site)) {
 			last[e.Site] = e
 		}
 	}
