--- a/cmd/micaspindle-regress/run.go
+++ b/cmd/micaspindle-regress/run.go
@@ -58,14 +58,14 @@
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, r.Limit, fmt.Errorf("over the limit of %v", r.Limit))
 	defer cancel()
-	session := &scoring{options: r, kit: kit, journal: c.Journal, earlier: earlier}
-	if err := session.playAll(ctx); err != nil {
+	run := &scoring{options: r, kit: kit, journal: c.Journal, earlier: earlier}
+	if err := run.playAll(ctx); err != nil {
 		return err
 	}
-	if len(session.played) < session.wanted {
-		session.fail(fmt.Errorf("the journal has %d new entries of %d", len(session.played), session.wanted))
+	if len(run.played) < run.wanted {
+		run.fail(fmt.Errorf("the journal has %d new entries of %d", len(run.played), run.wanted))
 	}
-	return verdict(c.Output, session.compare(), session.err)
+	return verdict(c.Output, run.compare(), run.err)
 }
 
 // scoring is one run of the standard days.
@@ -139,10 +139,10 @@
 
 // fallenSites are the sites whose only fault is a score that fell, which may be by chance.
 func (s *scoring) fallenSites() []string {
-	doubtful := regress.FellOnly(s.compare())
+	fellOnly := regress.FellOnly(s.compare())
 	var fallen []string
 	for _, site := range s.kit.sites {
-		if slices.Contains(doubtful, siteName(site)) {
+		if slices.Contains(fellOnly, siteName(site)) {
 			fallen = append(fallen, site)
 		}
 	}
--- a/cmd/micaspindle-regress/tests.go
+++ b/cmd/micaspindle-regress/tests.go
@@ -37,13 +37,13 @@
 		return usageError{err}
 	}
 	skip := map[string][]string{} // by import path
-	for _, r := range known {
-		path, err := output(ctx, "go", "list", "./"+r.Package)
+	for _, failure := range known {
+		path, err := output(ctx, "go", "list", "./"+failure.Package)
 		if err != nil {
 			return err
 		}
 		path = strings.TrimSpace(path)
-		skip[path] = append(skip[path], r.Test)
+		skip[path] = append(skip[path], failure.Test)
 	}
 	packages, err := output(ctx, "go", "list", "./...")
 	if err != nil {
@@ -63,8 +63,8 @@
 
 // printKnownFailures lists the tests that were not run.
 func printKnownFailures(out io.Writer, known []regress.KnownFailure) {
-	for _, r := range known {
-		fmt.Fprintln(out, "KNOWN RED, not run:", r.Line)
+	for _, failure := range known {
+		fmt.Fprintln(out, "KNOWN RED, not run:", failure.Line)
 	}
 	if len(known) == 0 {
 		fmt.Fprintln(out, "KNOWN RED: none")
@@ -81,14 +81,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path.Base(t.KnownRed), err)
 	}
-	for _, r := range known {
-		name, _, _ := strings.Cut(r.Test, "/")
-		listed, err := output(ctx, "go", "test", "-list", "^"+name+"$", "./"+r.Package)
+	for _, failure := range known {
+		name, _, _ := strings.Cut(failure.Test, "/")
+		listed, err := output(ctx, "go", "test", "-list", "^"+name+"$", "./"+failure.Package)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %s is no package with tests: %w", path.Base(t.KnownRed), r.Package, err)
+			return nil, fmt.Errorf("%s: %s is no package with tests: %w", path.Base(t.KnownRed), failure.Package, err)
 		}
 		if !slices.Contains(strings.Fields(listed), name) {
-			return nil, fmt.Errorf("%s: there is no test %s in %s", path.Base(t.KnownRed), name, r.Package)
+			return nil, fmt.Errorf("%s: there is no test %s in %s", path.Base(t.KnownRed), name, failure.Package)
 		}
 	}
 	return known, nil
--- a/internal/regress/journal.go
+++ b/internal/regress/journal.go
@@ -1,14 +1,15 @@
-// Package regress compares the bench's latest figures with those that its
-// journal holds, and decides whether a change may land.
+// Package regress compares the latest scores of the users' benchmark with those in its journal,
+// and decides whether a change may land.
 //
-// It owns the reading of journal entries and the verdict, which are pure; it
-// runs nothing and knows no site.
+// It owns the reading of journal entries (journal.go), the comparison (compare.go) and the list of
+// tests that are known to fail (known_failures.go). It runs nothing and depends on no site.
 package regress
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -16,17 +17,17 @@
 	"time"
 )
 
-// Entry is one journal entry: the days that a bench run played of one site.
+// Entry is one journal entry: the days that a run of the benchmark played of one site.
 type Entry struct {
 	ID      string
-	Command string // score, hunt, run, ...
+	Command string // the benchmark's command: score, hunt, run, ...
 	Quick   bool
 	Why     string
 	Begun   time.Time
 	// Site is empty where the run ended before it had read one.
 	Site  string
 	Score float64
-	// Failure says why the run has no figures; "" if it has.
+	// Failure says why the run has no scores that count; "": it has.
 	Failure string
 	Days    []Day
 }
@@ -42,24 +43,28 @@
 	Restarts float64 // processes that ended by themselves
 }
 
-// wireEntry is an entry as the bench writes it; what is not named is passed over.
-type wireEntry struct {
-	ID      string    `json:"id"`
-	At      []string  `json:"at"`
-	Cmd     string    `json:"cmd"`
-	Mode    string    `json:"mode"`
-	Why     string    `json:"why"`
-	Site    *string   `json:"site"`
-	SiteSHA *string   `json:"site_sha"`
-	OK      bool      `json:"ok"`
-	Error   *string   `json:"error"`
-	Score   *float64  `json:"score"`
-	Days    []wireDay `json:"days"`
-	Left    int       `json:"days_left_out"`
-	Edited  bool      `json:"edited_meanwhile"`
+// commandScore is the benchmark's command that plays the standard days of sites.
+const commandScore = "score"
+
+// journalEntry is an entry as the benchmark writes it; fields that are not named here are ignored.
+type journalEntry struct {
+	ID      string       `json:"id"`
+	At      []string     `json:"at"`
+	Command string       `json:"cmd"`
+	Mode    string       `json:"mode"`
+	Why     string       `json:"why"`
+	Site    string       `json:"site"`
+	SiteSHA string       `json:"site_sha"`
+	OK      bool         `json:"ok"`
+	Error   string       `json:"error"`
+	Score   *float64     `json:"score"`
+	Days    []journalDay `json:"days"`
+	LeftOut int          `json:"days_left_out"`
+	Edited  bool         `json:"edited_meanwhile"`
 }
 
-type wireDay struct {
+// journalDay is a day of an entry as the benchmark writes it.
+type journalDay struct {
 	Name     string          `json:"name"`
 	Day      string          `json:"day"`
 	Score    *float64        `json:"score"`
@@ -70,57 +75,68 @@
 
 // Parse reads one entry.
 func Parse(data []byte) (Entry, error) {
-	var w wireEntry
-	if err := json.Unmarshal(data, &w); err != nil {
+	var raw journalEntry
+	if err := json.Unmarshal(data, &raw); err != nil {
 		return Entry{}, err
 	}
-	if w.ID == "" || w.Cmd == "" || len(w.At) == 0 {
+	if raw.ID == "" || raw.Command == "" || len(raw.At) == 0 {
 		return Entry{}, errors.New("no journal entry: id, cmd or at is missing")
 	}
-	begun, err := time.Parse(time.RFC3339, w.At[0])
+	begun, err := time.Parse(time.RFC3339, raw.At[0])
 	if err != nil {
 		return Entry{}, fmt.Errorf("at: %w", err)
 	}
-	e := Entry{ID: w.ID, Command: w.Cmd, Quick: w.Mode == "quick", Why: w.Why, Begun: begun}
-	if w.Site != nil {
-		e.Site = *w.Site
+	entry := Entry{
+		ID:      raw.ID,
+		Command: raw.Command,
+		Quick:   raw.Mode == "quick",
+		Why:     raw.Why,
+		Begun:   begun,
+		Site:    raw.Site,
+		Failure: raw.failure(),
 	}
-	switch {
-	case w.Error != nil && *w.Error != "":
-		e.Failure = *w.Error
-	case !w.OK:
-		e.Failure = "the run failed"
-	case w.Cmd == "score" && w.Score == nil:
-		e.Failure = "the run has no score"
-	case w.Left > 0:
-		e.Failure = fmt.Sprintf("%d days were left out", w.Left)
-	case w.Edited:
-		e.Failure = "the sources changed during the run, so the figures may not be theirs"
+	if raw.Score != nil {
+		entry.Score = *raw.Score
+	}
+	for _, day := range raw.Days {
+		entry.Days = append(entry.Days, day.parse(raw.SiteSHA))
 	}
-	if w.Score != nil {
-		e.Score = *w.Score
+	return entry, nil
+}
+
+// failure says why the entry has no scores that count; "": it has.
+func (e *journalEntry) failure() string {
+	switch {
+	case e.Error != "":
+		return e.Error
+	case !e.OK:
+		return "the run failed"
+	case e.Command == commandScore && e.Score == nil:
+		return "the run has no score"
+	case e.LeftOut > 0:
+		return fmt.Sprintf("%d days were left out", e.LeftOut)
+	case e.Edited:
+		return "the sources changed during the run, so the figures may not be theirs"
 	}
-	sha := ""
-	if w.SiteSHA != nil {
-		sha = *w.SiteSHA
+	return ""
+}
+
+// parse makes a Day of one of the site whose file has a checksum.
+func (d *journalDay) parse(siteSHA string) Day {
+	day := Day{Name: d.Name, Key: siteSHA + "/" + d.Day, Broken: d.Rules, Restarts: d.Restarts}
+	if fault := strings.Trim(string(d.Fault), `"`); fault != "" && fault != "null" {
+		day.Failure = fault
 	}
-	for _, d := range w.Days {
-		day := Day{Name: d.Name, Key: sha + "/" + d.Day, Broken: d.Rules, Restarts: d.Restarts}
-		if fault := strings.Trim(string(d.Fault), `"`); fault != "" && fault != "null" {
-			day.Failure = fault
-		}
-		if d.Score != nil {
-			day.Score = *d.Score
-		} else if day.Failure == "" {
-			day.Failure = "the day has no score"
-		}
-		e.Days = append(e.Days, day)
+	if d.Score != nil {
+		day.Score = *d.Score
+	} else if day.Failure == "" {
+		day.Failure = "the day has no score"
 	}
-	return e, nil
+	return day
 }
 
-// Read reads the entries of a journal's folder, oldest first. What is no entry is
-// an error, since a figure that is passed over could hide a fall.
+// Read reads the entries of a journal's directory, oldest first. What is no entry is an error,
+// since a score that is ignored could hide a fall.
 func Read(dir string) ([]Entry, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -141,3 +157,28 @@
 	slices.SortStableFunc(all, func(a, b Entry) int { return a.Begun.Compare(b.Begun) })
 	return all, nil
 }
+
+// Latest splits a journal into the latest score of each site and what was played of that site
+// before. No sites means all.
+func Latest(all []Entry, quick bool, sites []string) (earlier, now []Entry, err error) {
+	last := map[string]Entry{}
+	for _, e := range all {
+		if e.Command == commandScore && e.Quick == quick && e.Site != "" && (len(sites) == 0 || slices.Contains(sites, e.Site)) {
+			last[e.Site] = e
+		}
+	}
+	for _, s := range sites {
+		if _, ok := last[s]; !ok {
+			return nil, nil, fmt.Errorf("the journal has no such score of %q", s)
+		}
+	}
+	for _, s := range slices.Sorted(maps.Keys(last)) {
+		now = append(now, last[s])
+	}
+	for _, e := range all {
+		if l, ok := last[e.Site]; ok && e.Begun.Before(l.Begun) {
+			earlier = append(earlier, e)
+		}
+	}
+	return earlier, now, nil
+}
--- /dev/null
+++ b/internal/regress/statistics.go
@@ -0,0 +1,28 @@
+package regress
+
+import (
+	"math"
+	"slices"
+)
+
+// median is the median of values, of which there must be one.
+func median(values []float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
+	n := len(sorted)
+	return (sorted[(n-1)/2] + sorted[n/2]) / 2
+}
+
+// deviation is the standard deviation of values; 0 of fewer than two.
+func deviation(values []float64) float64 {
+	if len(values) < 2 {
+		return 0
+	}
+	mean, squares := 0.0, 0.0
+	for _, v := range values {
+		mean += v / float64(len(values))
+	}
+	for _, v := range values {
+		squares += (v - mean) * (v - mean)
+	}
+	return math.Sqrt(squares / float64(len(values)-1))
+}
