--- /dev/null
+++ b/internal/settings/check.go
@@ -0,0 +1,135 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+)
+
+// check returns the first error in the settings, which names the field.
+func (s *Settings) check() error {
+	if s.Label == "" {
+		return errors.New("label: missing")
+	}
+	for _, check := range []func() error{s.checkAddresses, s.checkOthers, s.Params.checkTeams, s.Params.checkLimits} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAddresses checks the controller's own addresses and those of the services.
+func (s *Settings) checkAddresses() error {
+	for _, address := range []struct{ field, value string }{
+		{"serve_on", s.ServeOn},
+		{"cluster_listen", s.ClusterListen},
+		{"services.cloud", s.Services.Cloud},
+		{"services.state", s.Services.State},
+	} {
+		if err := checkAddress(address.field, address.value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAddress checks that a field is an address, HOST:PORT.
+func checkAddress(field, value string) error {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		return fmt.Errorf("%s: not an address: %q", field, value)
+	}
+	return nil
+}
+
+// checkOthers checks the other controllers, and that they are as many as are said.
+func (s *Settings) checkOthers() error {
+	labels := map[string]bool{s.Label: true}
+	for i, other := range s.Others {
+		if other.Label == "" || labels[other.Label] {
+			return fmt.Errorf("others[%d].label: missing or used twice", i)
+		}
+		labels[other.Label] = true
+		if err := checkAddress(fmt.Sprintf("others[%d].peer_addr", i), other.PeerAddr); err != nil {
+			return err
+		}
+	}
+	if s.Params.Count != len(s.Others)+1 {
+		return fmt.Errorf("params.count: %d, but others has %d entries", s.Params.Count, len(s.Others))
+	}
+	return nil
+}
+
+// checkTeams checks that there are teams with distinct names and sensible quotas.
+func (p *Params) checkTeams() error {
+	if len(p.Teams) == 0 {
+		return errors.New("params.teams: missing")
+	}
+	names := map[string]bool{}
+	for i, team := range p.Teams {
+		if team.Name == "" || names[team.Name] {
+			return fmt.Errorf("params.teams[%d].name: missing or used twice", i)
+		}
+		names[team.Name] = true
+		if min(team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax) < 0 {
+			return fmt.Errorf("params.teams[%d]: negative amount", i)
+		}
+		if team.CPUsMax > 0 && team.CPUs > team.CPUsMax || team.GPUsMax > 0 && team.GPUs > team.GPUsMax {
+			return fmt.Errorf("params.teams[%d]: guarantee above the limit", i)
+		}
+	}
+	return nil
+}
+
+// limit is a field that must be above 0.
+type limit struct {
+	field string
+	value float64
+}
+
+// checkLimits checks the times of agents and the limits of services and of this process.
+func (p *Params) checkLimits() error {
+	limits := []limit{
+		{"params.workers.report_s", p.Workers.ReportS},
+		{"params.workers.lease_s", p.Workers.LeaseS},
+		{"params.workers.cancel_s", p.Workers.CancelS},
+		{"params.state.rps", p.State.RPS},
+		{"params.state.write_rps", p.State.WriteRPS},
+		{"params.state.value_kb", p.State.ValueKB},
+		{"params.state.txn_ops", float64(p.State.TxnOps)},
+		{"params.cloud.rps", p.Cloud.RPS},
+		{"params.machine_limits.mem_mb", p.MachineLimits.MemMB},
+		{"params.machine_limits.sockets", float64(p.MachineLimits.Sockets)},
+	}
+	for _, limit := range append(limits, p.State.Next.limits()...) {
+		if !(limit.value > 0) || math.IsInf(limit.value, 0) {
+			return fmt.Errorf("%s: must be above 0", limit.field)
+		}
+	}
+	if p.Workers.LeaseS <= p.Workers.ReportS {
+		return errors.New("params.workers.lease_s: must be above report_s")
+	}
+	return nil
+}
+
+// limits lists the limits that are announced.
+func (n *NextState) limits() []limit {
+	var limits []limit
+	for _, next := range []struct {
+		field string
+		value *float64
+	}{
+		{"params.state.next.rps", n.RPS},
+		{"params.state.next.write_rps", n.WriteRPS},
+		{"params.state.next.value_kb", n.ValueKB},
+	} {
+		if next.value != nil {
+			limits = append(limits, limit{next.field, *next.value})
+		}
+	}
+	if n.TxnOps != nil {
+		limits = append(limits, limit{"params.state.next.txn_ops", float64(*n.TxnOps)})
+	}
+	return limits
+}
