--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	b := Budget{Part: 0.1, Most: 5}
+	b := Budget{Ratio: 0.1, Max: 5}
 	for i := range 5 {
 		if !b.Retry() {
 			t.Fatalf("retry %d is refused though nothing was tried yet", i)
