--- a/internal/golden/protobuf.go
+++ b/internal/golden/protobuf.go
@@ -27,6 +27,7 @@
 	})
 }
 
+// checkFile checks the messages and services of one proto file.
 func checkFile(t *testing.T, prefix string, file protoreflect.FileDescriptor) {
 	var schema strings.Builder
 	for i := range file.Messages().Len() {
@@ -46,6 +47,7 @@
 	Text(t, prefix+"-schema.txt", schema.String())
 }
 
+// checkMessage compares one message, with every field filled, with its golden file.
 func checkMessage(t *testing.T, name string, descriptor protoreflect.MessageDescriptor) {
 	kind, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
 	if err != nil {
@@ -80,6 +82,7 @@
 	}
 }
 
+// fieldsByNumber lists a message's fields in the order of their numbers.
 func fieldsByNumber(message protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
 	var fields []protoreflect.FieldDescriptor
 	for i := range message.Fields().Len() {
