--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -45,10 +45,10 @@
 	for _, machine := range machines {
 		names = append(names, machine.Name)
 	}
-	a.log.Info("deleting machines", "machines", names, "reason", "cancelled tasks on them can't be stopped in time")
+	a.log.Info("machine termination started", "machine", names, "reason", "cancelled tasks on them can't be stopped in time")
 	a.loop.Go(func() {
 		if err := a.cloud.DeleteMachines(names); err != nil {
-			a.log.Info("machine deletion failed", "machines", names, "error", err)
+			a.log.Info("machine deletion failed", "machine", names, "error", err)
 			return
 		}
 		a.loop.Do(func() { a.machinesDeleted(machines, time.Now()) })
--- a/internal/coordination/auth/policy.go
+++ b/internal/coordination/auth/policy.go
@@ -102,38 +102,33 @@
 	case storage.KindRole:
 		delete(p.roles, name)
 		if !deleted {
-			return p.putRole(name, e.Value)
+			return putRecord(p.roles, name, e.Value)
 		}
 	case storage.KindIdentity:
 		delete(p.identities, name)
 		if !deleted {
-			return p.putIdentity(name, e.Value)
+			return putRecord(p.identities, name, e.Value)
 		}
 	}
 	return nil
 }
 
-func (p *policyRecords) putRole(name string, value []byte) error {
-	var role rights.Role
-	if err := storage.Decode(value, &role); err != nil {
-		return err
-	}
-	if err := role.Check(); err != nil {
-		return err
-	}
-	p.roles[name] = role
-	return nil
+// checked is a record with a method that says what is wrong with it.
+type checked[T any] interface {
+	*T
+	Check() error
 }
 
-func (p *policyRecords) putIdentity(name string, value []byte) error {
-	var id rights.Identity
-	if err := storage.Decode(value, &id); err != nil {
+// putRecord decodes a record, checks it and stores it under its name.
+func putRecord[T any, P checked[T]](records map[string]T, name string, value []byte) error {
+	var record T
+	if err := storage.Decode(value, &record); err != nil {
 		return err
 	}
-	if err := id.Check(); err != nil {
+	if err := P(&record).Check(); err != nil {
 		return err
 	}
-	p.identities[name] = id
+	records[name] = record
 	return nil
 }
 
--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -38,7 +38,7 @@
 		if errors.As(err, &conflict) {
 			return // on record already, or no longer leading: the watch will say
 		}
-		a.log.Info("machines not recorded yet", "machines", batch, "error", err)
+		a.log.Info("machines not recorded yet", "machine", batch, "error", err)
 		if !a.loop.Sleep(retries.Failed()) {
 			return
 		}
@@ -60,7 +60,7 @@
 // cloud's answer, since its end proves that no attempt runs there any more.
 func (a *Autoscaler) deleteMachines(names []string) {
 	if err := a.cloud.DeleteMachines(names); err != nil {
-		a.log.Info("machine deletion failed", "machines", names, "error", err)
+		a.log.Info("machine deletion failed", "machine", names, "error", err)
 		return
 	}
 	for _, name := range names {
