--- a/internal/coordination/agents/evacuation.go
+++ b/internal/coordination/agents/evacuation.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// finishesInTime and outlastsNotice are shares of the time left before a preemption: work
+	// finishesInTime and outlastsNotice are fractions of the time left before a preemption: work
 	// with less than the first remaining counts as done before it, and work with more than
 	// the second as lost.
 	finishesInTime = 0.9
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -70,9 +70,9 @@
 	Policy() *auth.PolicyView
 	// PolicyRevision is the revision of the policy's head record. It is called in the loop.
 	PolicyRevision() uint64
-	// PublishPolicy gives the connections the policy as it is now. asked is when the listing
+	// PublishPolicy gives the connections the policy as it is now. requestedAt is when the listing
 	// or watch was sent that brought it. It is called in the loop.
-	PublishPolicy(asked time.Time)
+	PublishPolicy(requestedAt time.Time)
 }
 
 // Cloud knows how the cloud's interface does.
--- a/internal/coordination/auth/policy.go
+++ b/internal/coordination/auth/policy.go
@@ -51,9 +51,9 @@
 func (a *Auth) DropUnlistedPolicy(listed map[string]bool) { a.records.dropUnlisted(listed) }
 
 // PublishPolicy gives the connections the policy as it is now, once for all records that
-// came together. asked is when the listing or watch was sent that brought them. It is called
+// came together. requestedAt is when the listing or watch was sent that brought them. It is called
 // in the loop.
-func (a *Auth) PublishPolicy(asked time.Time) {
+func (a *Auth) PublishPolicy(requestedAt time.Time) {
 	if !a.enabled {
 		return
 	}
@@ -61,7 +61,7 @@
 		a.records.changed = false
 		a.publish(a.records.view())
 	}
-	a.freshSince.Store(int64(asked.Sub(a.enabledAt)))
+	a.freshSince.Store(int64(requestedAt.Sub(a.enabledAt)))
 }
 
 func (a *Auth) publish(view *PolicyView) {
--- a/internal/coordination/records/collaborators.go
+++ b/internal/coordination/records/collaborators.go
@@ -26,8 +26,8 @@
 	// DropUnlistedPolicy drops the policy's records whose keys are not in a listing.
 	DropUnlistedPolicy(listed map[string]bool)
 	// PublishPolicy makes the applied records of the policy effective, once for all that
-	// came together. asked is when the listing or watch that brought them was requested.
-	PublishPolicy(asked time.Time)
+	// came together. requestedAt is when the listing or watch that brought them was requested.
+	PublishPolicy(requestedAt time.Time)
 }
 
 // Autoscaler follows who is the cluster leader.
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -117,15 +117,15 @@
 
 // list applies a listing of all shared records.
 func (w *Watcher) list(at *cursor) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	items, revision, err := w.store.List(w.loop.Context(), storage.WatchPrefix)
 	if err != nil {
 		return err
 	}
 	applied := w.loop.Do(func() {
 		w.ApplyListing(items, revision)
-		w.RecordsCurrentAt, w.RecordsRevision = asked, revision
-		w.auth.PublishPolicy(asked)
+		w.RecordsCurrentAt, w.RecordsRevision = requestedAt, revision
+		w.auth.PublishPolicy(requestedAt)
 	})
 	if !applied {
 		return errLoopEnded
@@ -136,7 +136,7 @@
 
 // watchChanges waits for changes after the cursor and applies them.
 func (w *Watcher) watchChanges(at *cursor) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	wait := at.wait
 	if at.late {
 		wait = 0 // what was requested long ago, before an outage perhaps, informs of little
@@ -149,13 +149,13 @@
 		for _, event := range changes.Events {
 			w.ApplyEvent(event)
 		}
-		w.RecordsCurrentAt, w.RecordsRevision = asked, max(w.RecordsRevision, changes.Revision)
-		w.auth.PublishPolicy(asked)
+		w.RecordsCurrentAt, w.RecordsRevision = requestedAt, max(w.RecordsRevision, changes.Revision)
+		w.auth.PublishPolicy(requestedAt)
 	})
 	if !applied {
 		return errLoopEnded
 	}
 	at.revision = max(at.revision, changes.Revision)
-	at.late = time.Since(asked) > 2*at.wait
+	at.late = time.Since(requestedAt) > 2*at.wait
 	return nil
 }
--- a/internal/coordination/replication/complete.go
+++ b/internal/coordination/replication/complete.go
@@ -40,13 +40,13 @@
 // catchUp applies all changes after a revision, and says whether the replica has come to the lease
 // and agrees with its sample.
 func (r *Replicator) catchUp(replica *Replica, after, leaseRevision uint64) (complete bool, err error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	events, err := r.store.CatchUp(r.loop.Context(), storage.RunPrefix(replica.partition), after)
 	if err != nil {
 		return false, err
 	}
 	r.ifCurrent(replica, func() {
-		complete = replica.Apply(r.log.Error, after, events, asked) && replica.Records.Revision() >= leaseRevision
+		complete = replica.Apply(r.log.Error, after, events, requestedAt) && replica.Records.Revision() >= leaseRevision
 		if complete && replica.sample != nil {
 			r.compareSample(replica)
 			complete = replica.Records.Revision() != 0
@@ -57,12 +57,12 @@
 
 // readReplica makes a replica of the records as they are now.
 func (r *Replicator) readReplica(partition int) (*Replica, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	items, revision, err := r.store.List(r.loop.Context(), storage.RunPrefix(partition))
 	if err != nil {
 		return nil, fmt.Errorf("run records: %w", err)
 	}
-	replica := NewReplica(partition, asked)
-	replica.StartFrom(r.log.Error, items, revision, asked)
+	replica := NewReplica(partition, requestedAt)
+	replica.StartFrom(r.log.Error, items, revision, requestedAt)
 	return replica, nil
 }
--- a/internal/coordination/replication/follow.go
+++ b/internal/coordination/replication/follow.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// replicaRetention is how long a replica is kept by a controller that is not the standby any
+	// replicaRetention is how long a replica is held by a controller that is not the standby any
 	// more: it may be again.
 	replicaRetention = 30 * time.Second
-	// followRequestShare is which share of the state store's requests may go into following, for
+	// followRequestShare is which fraction of the state store's requests may go into following, for
 	// all partitions together.
 	followRequestShare = 0.04
 	// followIntervalMin is how often a replica asks for changes at most.
@@ -68,7 +68,7 @@
 	return !p.Held && r.Synced && !r.Draining && r.NamedStandby(p) == r.Settings.Label
 }
 
-// wantReplica begins a replica of a partition, or keeps the one that there is.
+// wantReplica begins a replica of a partition, unless there is one.
 func (r *Replicator) wantReplica(p *cluster.Partition, now time.Time) {
 	replica := r.Replicas[p.Index]
 	if replica == nil {
@@ -113,18 +113,18 @@
 
 // begin reads all run records of a replica's partition.
 func (r *Replicator) begin(ctx context.Context, replica *Replica) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	items, revision, err := r.store.List(ctx, storage.RunPrefix(replica.partition))
 	if err != nil {
 		r.log.Debug("standby replica not begun", "partition", replica.partition, "error", err)
 		return
 	}
-	r.ifCurrent(replica, func() { replica.StartFrom(r.log.Error, items, revision, asked) })
+	r.ifCurrent(replica, func() { replica.StartFrom(r.log.Error, items, revision, requestedAt) })
 }
 
 // readChanges applies what has changed after a revision, or makes the replica begin anew.
 func (r *Replicator) readChanges(ctx context.Context, replica *Replica, after uint64) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ChangeTimeout)
 	r.ifCurrent(replica, func() {
 		switch {
@@ -132,7 +132,7 @@
 			replica.reset()
 		case err != nil:
 			r.log.Debug("standby replica not advanced", "partition", replica.partition, "error", err)
-		case !replica.Apply(r.log.Error, after, events, asked):
+		case !replica.Apply(r.log.Error, after, events, requestedAt):
 			replica.reset()
 		default:
 			r.compareSample(replica)
@@ -140,7 +140,7 @@
 	})
 }
 
-// ifCurrent runs fn on the loop if the replica is still kept.
+// ifCurrent runs fn on the loop if the replica is still held.
 func (r *Replicator) ifCurrent(replica *Replica, fn func()) {
 	r.loop.Do(func() {
 		if r.Replicas[replica.partition] == replica {
--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -23,9 +23,9 @@
 	Updates   ReceivedUpdates
 	// wantedAt is when this controller was last named the partition's standby.
 	wantedAt time.Time
-	// asOf is when the last answer that was applied had been asked for.
+	// asOf is when the last answer that was applied had been requested.
 	asOf time.Time
-	// behind tells when the replica falls behind.
+	// behind notes when the replica falls behind.
 	behind recordset.Lag
 	// sampledAt is when a sample of the state store was last read, cursor where the next one
 	// begins, sample the one that the records have not come to yet.
@@ -44,7 +44,7 @@
 
 // StartFrom begins the replica with a listing of the run records that stands at a revision. Records
 // that can't be read are logged and left out.
-func (r *Replica) StartFrom(log logError, items []protocol.Item, revision uint64, asked time.Time) {
+func (r *Replica) StartFrom(log logError, items []protocol.Item, revision uint64, requestedAt time.Time) {
 	all := make([]runRecordChange, 0, len(items))
 	for _, item := range items {
 		if change, ok := parseChange(log, item.Key, item.Version, false, item.Value); ok {
@@ -56,11 +56,11 @@
 	for _, change := range all {
 		r.Derived.apply(change)
 	}
-	r.asOf = asked
+	r.asOf = requestedAt
 }
 
 // Apply applies the changes after a revision; false: they don't join what is known.
-func (r *Replica) Apply(log logError, after uint64, events *protocol.Events, asked time.Time) bool {
+func (r *Replica) Apply(log logError, after uint64, events *protocol.Events, requestedAt time.Time) bool {
 	changes := make([]runRecordChange, 0, len(events.Events))
 	for _, e := range events.Events {
 		if change, ok := parseChange(log, e.Put+e.Delete, e.Version, e.Delete != "", e.Value); ok {
@@ -70,8 +70,8 @@
 	if !r.Records.Apply(after, events.Revision, changes, r.Derived.apply) {
 		return false
 	}
-	if asked.After(r.asOf) {
-		r.asOf = asked
+	if requestedAt.After(r.asOf) {
+		r.asOf = requestedAt
 	}
 	return true
 }
