--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/protocol"
 	"micaspindle/internal/telemetry"
 )
 
@@ -46,11 +45,10 @@
 	for _, machine := range machines {
 		names = append(names, machine.Name)
 	}
-	a.log.Info("deleting machines", "machines", names, "reason", "cancelled tasks on them can't be stopped in time")
+	a.log.Info("machine termination started", "machine", names, "reason", "cancelled tasks on them can't be stopped in time")
 	a.loop.Go(func() {
-		status, err := a.cloud.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
-		if err != nil || status != 200 {
-			a.log.Info("deleting machines failed", "machines", names, "status", status, "error", err)
+		if err := a.cloud.DeleteMachines(names); err != nil {
+			a.log.Info("machine deletion failed", "machine", names, "error", err)
 			return
 		}
 		a.loop.Do(func() { a.machinesDeleted(machines, time.Now()) })
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -70,9 +70,9 @@
 	Policy() *auth.PolicyView
 	// PolicyRevision is the revision of the policy's head record. It is called in the loop.
 	PolicyRevision() uint64
-	// PublishPolicy gives the connections the policy as it is now. asked is when the listing
+	// PublishPolicy gives the connections the policy as it is now. requestedAt is when the listing
 	// or watch was sent that brought it. It is called in the loop.
-	PublishPolicy(asked time.Time)
+	PublishPolicy(requestedAt time.Time)
 }
 
 // Cloud knows how the cloud's interface does.
@@ -83,7 +83,7 @@
 
 // Proxy knows which controllers have the machines' connections.
 type Proxy interface {
-	// Load is how many machines keep their connections here.
+	// Load is how many machines are connected here.
 	Load(now time.Time) delegation.Load
 	// Overview lists the controllers that have connections of a partition's machines.
 	Overview(p *cluster.Partition, now time.Time) (list []overview.Delegate)
@@ -91,7 +91,7 @@
 	RecentMoves(now time.Time) []overview.ShardMove
 }
 
-// Replicator knows how far the replicas are that this controller keeps.
+// Replicator knows how far the replicas are that this controller has.
 type Replicator interface {
 	// Overview lists the replicas.
 	Overview(now time.Time) (list []overview.Replica)
--- a/internal/coordination/auth/policy.go
+++ b/internal/coordination/auth/policy.go
@@ -51,9 +51,9 @@
 func (a *Auth) DropUnlistedPolicy(listed map[string]bool) { a.records.dropUnlisted(listed) }
 
 // PublishPolicy gives the connections the policy as it is now, once for all records that
-// came together. asked is when the listing or watch was sent that brought them. It is called
+// came together. requestedAt is when the listing or watch was sent that brought them. It is called
 // in the loop.
-func (a *Auth) PublishPolicy(asked time.Time) {
+func (a *Auth) PublishPolicy(requestedAt time.Time) {
 	if !a.enabled {
 		return
 	}
@@ -61,7 +61,7 @@
 		a.records.changed = false
 		a.publish(a.records.view())
 	}
-	a.freshSince.Store(int64(asked.Sub(a.enabledAt)))
+	a.freshSince.Store(int64(requestedAt.Sub(a.enabledAt)))
 }
 
 func (a *Auth) publish(view *PolicyView) {
@@ -102,38 +102,33 @@
 	case storage.KindRole:
 		delete(p.roles, name)
 		if !deleted {
-			return p.putRole(name, e.Value)
+			return putRecord(p.roles, name, e.Value)
 		}
 	case storage.KindIdentity:
 		delete(p.identities, name)
 		if !deleted {
-			return p.putIdentity(name, e.Value)
+			return putRecord(p.identities, name, e.Value)
 		}
 	}
 	return nil
 }
 
-func (p *policyRecords) putRole(name string, value []byte) error {
-	var role rights.Role
-	if err := storage.Decode(value, &role); err != nil {
-		return err
-	}
-	if err := role.Check(); err != nil {
-		return err
-	}
-	p.roles[name] = role
-	return nil
+// checked is a record with a method that says what is wrong with it.
+type checked[T any] interface {
+	*T
+	Check() error
 }
 
-func (p *policyRecords) putIdentity(name string, value []byte) error {
-	var id rights.Identity
-	if err := storage.Decode(value, &id); err != nil {
+// putRecord decodes a record, checks it and stores it under its name.
+func putRecord[T any, P checked[T]](records map[string]T, name string, value []byte) error {
+	var record T
+	if err := storage.Decode(value, &record); err != nil {
 		return err
 	}
-	if err := id.Check(); err != nil {
+	if err := P(&record).Check(); err != nil {
 		return err
 	}
-	p.identities[name] = id
+	records[name] = record
 	return nil
 }
 
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -1,18 +1,16 @@
 package replication
 
 import (
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/auth"
 	"micaspindle/internal/coordination/cluster"
-	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/coordination/respond"
-	"micaspindle/internal/identity"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
-	"micaspindle/internal/transport"
 )
 
 const (
@@ -39,7 +37,7 @@
 	Acknowledged uint64
 	Machines     map[string]MachineHints
 	Classes      []*peer.RuntimeCorrection
-	// droppedMachines is for how many machines there was no room since that was last counted.
+	// droppedMachines is for how many machines there was no space since that was last counted.
 	droppedMachines int
 }
 
@@ -71,7 +69,7 @@
 	return u.Acknowledged
 }
 
-// noteMachine keeps what was received of a machine, if there is room for it.
+// noteMachine stores what was received of a machine, if there is space for it.
 func (u *ReceivedUpdates) noteMachine(hint *peer.MachineHint, now time.Time) {
 	if _, known := u.Machines[hint.Name]; !known && len(u.Machines) >= ReplicaMachinesLimit {
 		u.droppedMachines++
@@ -94,13 +92,13 @@
 }
 
 // HandleUpdate answers a partition leader's or the cluster leader's update.
-func (r *Replicator) HandleUpdate(who *auth.Caller, body []byte) transport.Response {
+func (r *Replicator) HandleUpdate(caller *auth.Caller, body []byte) (*peer.ReplicaUpdateReply, error) {
 	update := new(peer.ReplicaUpdate)
 	if err := proto.Unmarshal(body, update); err != nil {
-		return respond.Refuse(400, "bad replica update", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad replica update")
 	}
-	if refusal := r.auth.CheckSender(who, "peer", identity.Name{Kind: identity.Controller, ID: update.From}); refusal != nil {
-		return *refusal
+	if err := r.auth.CheckPeer(caller, update.From); err != nil {
+		return nil, err
 	}
 	reply := new(peer.ReplicaUpdateReply)
 	r.loop.Do(func() {
@@ -114,10 +112,10 @@
 			r.reportDropped(replica)
 		}
 	})
-	return peerapi.Reply(reply)
+	return reply, nil
 }
 
-// reportDropped reports what a replica had no room for.
+// reportDropped reports what a replica had no space for.
 func (r *Replicator) reportDropped(replica *Replica) {
 	r.bounds.Met(telemetry.ReplicaMachines, replica.Updates.droppedMachines)
 	r.bounds.Met(telemetry.ReplicaStarts, replica.Derived.DroppedStarts)
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"micaspindle/internal/coordination/apierror"
 	"micaspindle/internal/coordination/cluster"
 	"micaspindle/internal/coordination/peerapi"
-	"micaspindle/internal/coordination/respond"
 	"micaspindle/internal/protocol/peer"
 	"micaspindle/internal/telemetry"
 	"micaspindle/internal/transport"
@@ -25,10 +26,10 @@
 
 // HandleStateTransfer answers a controller that was started anew with what its former incarnation
 // had sent here of a partition.
-func (r *Replicator) HandleStateTransfer(body []byte) transport.Response {
+func (r *Replicator) HandleStateTransfer(body []byte) (*peer.ReplicaUpdate, error) {
 	request := new(peer.StateTransferRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
-		return respond.Refuse(400, "bad request", 0)
+		return nil, apierror.New(http.StatusBadRequest, "bad request")
 	}
 	transfer := &peer.ReplicaUpdate{Partition: request.Partition}
 	r.loop.Do(func() {
@@ -39,7 +40,7 @@
 			}
 		}
 	})
-	return peerapi.Reply(transfer)
+	return transfer, nil
 }
 
 // StateTransfer is what was received of the replica's partition, for its new leader. whole is false
@@ -48,29 +49,29 @@
 	updates := &r.Updates
 	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
 		Through: updates.Acknowledged, Classes: updates.Classes}
-	room := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
-	whole = r.addStarts(transfer, &room, now) && updates.addMachines(transfer, &room, now) && updates.addImages(transfer, &room)
+	budget := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
+	whole = r.addStarts(transfer, &budget, now) && updates.addMachines(transfer, &budget, now) && updates.addImages(transfer, &budget)
 	return transfer, whole
 }
 
 // byteBudget is how many bytes a message may still take.
 type byteBudget int
 
-// take takes the room of an entry, and says whether there was enough.
+// take deducts the size of an entry, and says whether there was enough.
 func (b *byteBudget) take(entry proto.Message) bool {
 	*b -= byteBudget(proto.Size(entry) + EntryOverheadBytes)
 	return *b >= 0
 }
 
-// addStarts adds when attempts began, and says whether there was room for all.
-func (r *Replica) addStarts(transfer *peer.ReplicaUpdate, room *byteBudget, now time.Time) bool {
+// addStarts adds when attempts began, and says whether all fit.
+func (r *Replica) addStarts(transfer *peer.ReplicaUpdate, budget *byteBudget, now time.Time) bool {
 	for id, job := range r.Derived.Jobs {
 		for task, a := range job.Live {
 			if a.ReplicatedStart.IsZero() {
 				continue
 			}
 			start := &peer.AttemptStart{Job: id, Task: uint32(task), Attempt: a.Number, RunningS: now.Sub(a.ReplicatedStart).Seconds()}
-			if !room.take(start) {
+			if !budget.take(start) {
 				return false
 			}
 			transfer.Attempts = append(transfer.Attempts, start)
@@ -79,15 +80,15 @@
 	return true
 }
 
-// addMachines adds the machines without their images, and says whether there was room for all.
-func (u *ReceivedUpdates) addMachines(transfer *peer.ReplicaUpdate, room *byteBudget, now time.Time) bool {
+// addMachines adds the machines without their images, and says whether all fit.
+func (u *ReceivedUpdates) addMachines(transfer *peer.ReplicaUpdate, budget *byteBudget, now time.Time) bool {
 	for _, hints := range u.Machines {
 		hint := proto.CloneOf(hints.MachineHint)
 		hint.Images = nil
 		if !hints.PreemptionAt.IsZero() {
 			hint.PreemptionNoticeS = max(0, hints.PreemptionAt.Sub(now).Seconds())
 		}
-		if !room.take(hint) {
+		if !budget.take(hint) {
 			return false
 		}
 		transfer.Machines = append(transfer.Machines, hint)
@@ -95,11 +96,11 @@
 	return true
 }
 
-// addImages adds the images of the machines, and says whether there was room for all.
-func (u *ReceivedUpdates) addImages(transfer *peer.ReplicaUpdate, room *byteBudget) bool {
+// addImages adds the images of the machines, and says whether all fit.
+func (u *ReceivedUpdates) addImages(transfer *peer.ReplicaUpdate, budget *byteBudget) bool {
 	for _, hint := range transfer.Machines {
 		images := u.Machines[hint.Name].Images
-		if !room.take(&peer.MachineHint{Images: images}) {
+		if !budget.take(&peer.MachineHint{Images: images}) {
 			return false
 		}
 		hint.Images = images
