--- a/cmd/micaspindlectl/cancel.go
+++ b/cmd/micaspindlectl/cancel.go
@@ -27,7 +27,7 @@
 	}
 	var jobs []protocol.JobStatus
 	for _, id := range k.IDs {
-		st, err := cl.Withdraw(ctx, id)
+		st, err := cl.Cancel(ctx, id)
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
--- a/cmd/micaspindlectl/overviews.go
+++ b/cmd/micaspindlectl/overviews.go
@@ -36,7 +36,7 @@
 		wg.Go(func() {
 			v := new(overview.View)
 			rows[i].Addr = addr
-			if errs[i] = cl.At(addr).Do(ctx, "GET", "/overview", nil, v); errs[i] != nil {
+			if errs[i] = cl.ForController(addr).Do(ctx, "GET", "/overview", nil, v); errs[i] != nil {
 				rows[i].Err = errs[i].Error()
 				return
 			}
--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -76,7 +76,7 @@
 
 // open starts the log of a controller; stop ends it as a signal does.
 func (f *fixture) open(label string) (l *audit.Log, stop func()) {
-	store := storage.NewStore(f.net, "state", settings.State{RPS: 10_000, WriteRPS: 10_000, ValueKB: 8, TxnOps: 12}, 2)
+	store := storage.NewStore(f.net, "state", settings.StateStoreLimits{RPS: 10_000, WriteRPS: 10_000, ValueKB: 8, TxnOps: 12}, 2)
 	l = audit.NewLog(store, label, func() audit.Signer {
 		key, cert := f.rings[label].Signer()
 		return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -70,22 +70,22 @@
 	return &Client{Controllers: c.Controllers, Patience: c.Patience, scheme: c.scheme, http: c.http, retries: c.retries}
 }
 
-// At is the same client, for one controller only.
-func (c *Client) At(addr string) *Client {
+// ForController is the same client, for one controller only.
+func (c *Client) ForController(addr string) *Client {
 	derived := c.derive()
 	derived.Controllers, derived.Token, derived.OnBehalfOf = []string{addr}, c.Token, c.OnBehalfOf
 	return derived
 }
 
-// With is the same client with another token.
-func (c *Client) With(token string) *Client {
+// WithToken is the same client with another token.
+func (c *Client) WithToken(token string) *Client {
 	derived := c.derive()
 	derived.Token = token
 	return derived
 }
 
-// For is the same client on behalf of an identity, with the process's own certificate.
-func (c *Client) For(name string) *Client {
+// OnBehalf is the same client on behalf of an identity, with the process's own certificate.
+func (c *Client) OnBehalf(name string) *Client {
 	derived := c.derive()
 	derived.OnBehalfOf = name
 	return derived
--- a/internal/client/jobs.go
+++ b/internal/client/jobs.go
@@ -25,8 +25,8 @@
 	return status, err
 }
 
-// Withdraw cancels a job.
-func (c *Client) Withdraw(ctx context.Context, id string) (status protocol.JobStatus, err error) {
+// Cancel cancels a job.
+func (c *Client) Cancel(ctx context.Context, id string) (status protocol.JobStatus, err error) {
 	err = c.Do(ctx, http.MethodPost, jobPath(id)+"/withdraw", map[string]any{}, &status)
 	return status, err
 }
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -24,7 +24,7 @@
 
 // roundBackoff is the pause after all controllers have failed: about a second, spread so that
 // clients that failed together do not come back together.
-var roundBackoff = retry.Backoff{First: time.Second, Most: 2 * time.Second}
+var roundBackoff = retry.Backoff{First: time.Second, Max: 2 * time.Second}
 
 // Do sends a request until there is a final answer, and decodes that into out unless out is nil. It
 // returns a Refusal if the request is refused for good, and an error that wraps ErrUnanswered if
--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -11,7 +11,7 @@
 )
 
 // recordBackoff is the pause before the records of new machines are written again.
-var recordBackoff = retry.Backoff{First: 666 * time.Millisecond, Most: 666 * time.Millisecond}
+var recordBackoff = retry.Backoff{First: 666 * time.Millisecond, Max: 666 * time.Millisecond}
 
 // recordMachines writes the same record for new machines, in as many transactions as it takes.
 // It retries until they are written, somebody else has written one, or this controller no
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -22,7 +22,7 @@
 )
 
 // scaleOutBackoff is the pause before a request without an answer is repeated.
-var scaleOutBackoff = retry.Backoff{First: 1333 * time.Millisecond, Most: 1333 * time.Millisecond}
+var scaleOutBackoff = retry.Backoff{First: 1333 * time.Millisecond, Max: 1333 * time.Millisecond}
 
 // startScaleOut starts a request for machines. Its name holds the revision of the leader's
 // lease and a counter, so that no other request ever has it.
--- a/internal/coordination/cloudclient/client.go
+++ b/internal/coordination/cloudclient/client.go
@@ -30,7 +30,7 @@
 )
 
 // circuitBackoff is how long the circuit stays open.
-var circuitBackoff = retry.Backoff{First: 600 * time.Millisecond, Most: 600 * time.Millisecond}
+var circuitBackoff = retry.Backoff{First: 600 * time.Millisecond, Max: 600 * time.Millisecond}
 
 // errCircuitOpen: the cloud's interface has not answered for a while.
 var errCircuitOpen = errors.New("the cloud's interface does not answer, the circuit is open")
@@ -43,7 +43,7 @@
 
 	limiter *rate.Limiter
 	// circuit refuses requests while the interface does not answer.
-	circuit retry.Circuit
+	circuit retry.CircuitBreaker
 }
 
 // New makes a client.
@@ -54,7 +54,7 @@
 		loop:     loop,
 		network:  network,
 		limiter:  rate.NewLimiter(rate.Limit(set.Params.Cloud.RPS*rateShare), rateBurst),
-		circuit:  retry.Circuit{After: failureLimit, Rest: circuitBackoff, Who: set.Label + " cloud"},
+		circuit:  retry.CircuitBreaker{After: failureLimit, OpenTime: circuitBackoff, Who: set.Label + " cloud"},
 	}
 }
 
--- a/internal/coordination/cluster/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -35,7 +35,7 @@
 // SetLimit derives how many notices are stored: each is a write to the state store, so that
 // within the cancel bound there can't be more than the store takes in that time and in one
 // burst. A notice takes some 20 bytes of a message, 44 at most, and 100 of memory.
-func (n *CancellationNotices) SetLimit(cancelBound time.Duration, state settings.State) {
+func (n *CancellationNotices) SetLimit(cancelBound time.Duration, state settings.StateStoreLimits) {
 	writesPerSecond := state.WriteRPS
 	if next := state.Next.WriteRPS; next != nil {
 		writesPerSecond = max(writesPerSecond, *next)
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -23,7 +23,7 @@
 
 // commitBackoff is the pause after a batch that failed. It doesn't grow: the budget of the state
 // store makes commits wait already, and growing pauses cost users what docs/retries.md says.
-var commitBackoff = retry.Backoff{First: 200 * time.Millisecond, Most: 200 * time.Millisecond}
+var commitBackoff = retry.Backoff{First: 200 * time.Millisecond, Max: 200 * time.Millisecond}
 
 // Committer writes the records of the partitions that this controller leads.
 type Committer struct {
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -462,7 +462,7 @@
 	}},
 	{name: "four one-task jobs a second, a quarter of them cancelled, and the leader is killed", prepare: func(sim *simulatedCluster) {
 		sim.cloud.Capacity = 40
-		sim.settings.Params.State = settings.State{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}
+		sim.settings.Params.State = settings.StateStoreLimits{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}
 	}, run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
 		cancelled := 0
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -44,11 +44,11 @@
 
 // The limits and teams of large deployments.
 var (
-	largeLimits = settings.Limits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
+	largeLimits = settings.ProcessLimits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
 	// onePartition and threePartitions are the teams whose partitions have machines.
 	onePartition    = []string{"green"}
 	threePartitions = allTeams
-	largeState      = settings.State{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
+	largeState      = settings.StateStoreLimits{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
 )
 
 // largeFleet makes a controller that leads every partition, with all machines up and all tasks
@@ -648,15 +648,15 @@
 	next := 400.0
 	for _, tc := range []struct {
 		name                           string
-		limits                         settings.Limits
-		state                          settings.State
+		limits                         settings.ProcessLimits
+		state                          settings.StateStoreLimits
 		cancelS                        time.Duration
 		peerBody, delegated, cancelled int
 	}{
-		{"a small deployment", settings.Limits{MemMB: 20}, settings.State{WriteRPS: 10}, 25 * time.Second, 1 << 20, 768 << 10, 500},
-		{"70 MB", settings.Limits{MemMB: 70}, settings.State{WriteRPS: 25}, 43 * time.Second, 1 << 20, 2_293_760, 1100},
-		{"a large deployment", settings.Limits{MemMB: 322}, settings.State{WriteRPS: 90}, 43 * time.Second, 2 << 20, 10_551_296, 3960},
-		{"a higher limit is announced", settings.Limits{MemMB: 322}, settings.State{WriteRPS: 90, Next: settings.NextState{WriteRPS: &next}}, 43 * time.Second, 2 << 20, 10_551_296, 17_600},
+		{"a small deployment", settings.ProcessLimits{MemMB: 20}, settings.StateStoreLimits{WriteRPS: 10}, 25 * time.Second, 1 << 20, 768 << 10, 500},
+		{"70 MB", settings.ProcessLimits{MemMB: 70}, settings.StateStoreLimits{WriteRPS: 25}, 43 * time.Second, 1 << 20, 2_293_760, 1100},
+		{"a large deployment", settings.ProcessLimits{MemMB: 322}, settings.StateStoreLimits{WriteRPS: 90}, 43 * time.Second, 2 << 20, 10_551_296, 3960},
+		{"a higher limit is announced", settings.ProcessLimits{MemMB: 322}, settings.StateStoreLimits{WriteRPS: 90, Next: settings.AnnouncedLimits{WriteRPS: &next}}, 43 * time.Second, 2 << 20, 10_551_296, 17_600},
 	} {
 		var n cluster.CancellationNotices
 		n.SetLimit(tc.cancelS, tc.state)
--- a/internal/coordination/peerapi/bounds.go
+++ b/internal/coordination/peerapi/bounds.go
@@ -20,6 +20,6 @@
 const bodyMemoryShare = 128
 
 // MaxBody is the size in bytes up to which a message of another controller is taken.
-func MaxBody(limits settings.Limits) int {
+func MaxBody(limits settings.ProcessLimits) int {
 	return min(bodyMax, max(PortableBodyLimit, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
 }
--- a/internal/coordination/proxy/bounds.go
+++ b/internal/coordination/proxy/bounds.go
@@ -15,6 +15,6 @@
 
 // UnsentBytesLimit bounds the answered heartbeats of a partition that are still to be sent to
 // its leader, in bytes.
-func UnsentBytesLimit(limits settings.Limits) int {
+func UnsentBytesLimit(limits settings.ProcessLimits) int {
 	return max(renewalBytesLimit, int(limits.MemMB*peerapi.BytesPerMB)/unsentMemoryShare)
 }
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -32,7 +32,7 @@
 // announceLowerLimits announces lower limits of the state store, which come into force later.
 func announceLowerLimits(sim *simulatedCluster) {
 	writes, kb, ops := 40.0, 2.0, 5
-	sim.settings.Params.State.Next = settings.NextState{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
+	sim.settings.Params.State.Next = settings.AnnouncedLimits{WriteRPS: &writes, ValueKB: &kb, TxnOps: &ops}
 }
 
 // The same with hundreds of machines and jobs of up to a hundred tasks.
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -27,7 +27,7 @@
 // watchBackoff is the pause after a failed listing or watch. It is spread and does not grow:
 // the state store's budget makes tasks wait already, and docs/retries.md says what growing
 // pauses cost users.
-var watchBackoff = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
+var watchBackoff = retry.Backoff{First: 266 * time.Millisecond, Max: 266 * time.Millisecond}
 
 // Watcher follows the shared records and hands each to the component that owns what it says.
 type Watcher struct {
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -146,10 +146,10 @@
 		Count:         3,
 		Zones:         []string{"a", "b"},
 		Teams:         []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
-		Workers:       settings.Workers{ReportS: 1, LeaseS: 8, CancelS: 25},
-		State:         settings.State{RPS: 300, WriteRPS: 60, ValueKB: 8, TxnOps: 12},
-		Cloud:         settings.Cloud{RPS: 10, ListLagS: 4},
-		MachineLimits: settings.Limits{CoreShare: 0.1, MemMB: 64, Sockets: 200},
+		Workers:       settings.AgentTimes{ReportS: 1, LeaseS: 8, CancelS: 25},
+		State:         settings.StateStoreLimits{RPS: 300, WriteRPS: 60, ValueKB: 8, TxnOps: 12},
+		Cloud:         settings.CloudLimits{RPS: 10, ListLagS: 4},
+		MachineLimits: settings.ProcessLimits{CoreShare: 0.1, MemMB: 64, Sockets: 200},
 	}
 }
 
@@ -218,7 +218,7 @@
 	set.Others = nil
 	for i := range 3 {
 		if other := "n" + strconv.Itoa(i); other != label {
-			set.Others = append(set.Others, settings.Other{Label: other, PeerAddr: other + ":81"})
+			set.Others = append(set.Others, settings.Peer{Label: other, PeerAddr: other + ":81"})
 		}
 	}
 	ctx, cancel := context.WithCancel(sim.ctx)
--- a/internal/coordination/takeover/rebuild.go
+++ b/internal/coordination/takeover/rebuild.go
@@ -24,7 +24,7 @@
 // rebuildBackoff spreads the pauses between attempts to rebuild a partition from 133 to 266 ms. They
 // don't grow: the budget of the state store makes tasks wait already, and growing pauses cost users
 // what docs/retries.md says.
-var rebuildBackoff = retry.Backoff{First: 266 * time.Millisecond, Most: 266 * time.Millisecond}
+var rebuildBackoff = retry.Backoff{First: 266 * time.Millisecond, Max: 266 * time.Millisecond}
 
 // TakeOver rebuilds the state of a partition from what its former leader recorded, until that
 // succeeds or the lease of this revision is lost. What the former leader still writes fails
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -40,7 +40,7 @@
 func newIdleController(t *testing.T) (c *Controller, end func()) {
 	t.Helper()
 	set := newSimulatedCluster(t, 1).settings
-	set.Label, set.Others = "n0", []settings.Other{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
+	set.Label, set.Others = "n0", []settings.Peer{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
 	ctx, cancel := context.WithCancel(t.Context())
 	c = newTestController(ctx, &set, settings.DefaultOperator())
 	return c, func() { cancel(); c.loop.Abandon() }
--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -229,7 +229,7 @@
 		connected = map[*Node]int{}
 		for _, node := range c.Nodes() {
 			v := new(overview.View)
-			if err := users.At(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
+			if err := users.ForController(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
 				continue // just killed
 			}
 			connected[node] = v.Connected
--- a/internal/devcluster/config.go
+++ b/internal/devcluster/config.go
@@ -32,14 +32,14 @@
 		Count: c.options.Controllers,
 		Zones: zones,
 		Teams: teams,
-		Workers: settings.Workers{
+		Workers: settings.AgentTimes{
 			ReportS: heartbeatInterval.Seconds(),
 			LeaseS:  machineLease.Seconds(),
 			CancelS: cancelBound.Seconds(),
 		},
-		State: settings.State{RPS: c.options.RPS, WriteRPS: c.options.WriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps},
-		Cloud: settings.Cloud{RPS: cloudRPS, ListLagS: c.cloud.ListLag.Seconds()},
-		MachineLimits: settings.Limits{
+		State: settings.StateStoreLimits{RPS: c.options.RPS, WriteRPS: c.options.WriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps},
+		Cloud: settings.CloudLimits{RPS: cloudRPS, ListLagS: c.cloud.ListLag.Seconds()},
+		MachineLimits: settings.ProcessLimits{
 			CoreShare: 1,
 			MemMB:     controllerMemMB,
 			Sockets:   cmp.Or(c.options.Sockets, defaultSockets),
@@ -49,7 +49,7 @@
 }
 
 // limitState makes the state store enforce the limits that the controllers are told.
-func (c *Cluster) limitState(limits settings.State) {
+func (c *Cluster) limitState(limits settings.StateStoreLimits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.TxnOps, c.state.ValueKB = limits.TxnOps, limits.ValueKB
@@ -75,7 +75,7 @@
 	}
 	for _, other := range c.nodes {
 		if other != node {
-			controller.Others = append(controller.Others, settings.Other{Label: other.Label, PeerAddr: other.Peer})
+			controller.Others = append(controller.Others, settings.Peer{Label: other.Label, PeerAddr: other.Peer})
 		}
 	}
 	data, err := json.MarshalIndent(controller, "", "  ")
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -142,7 +142,7 @@
 	for _, id := range []string{"job-1", "job-3", "job-99"} {
 		_, err := refunds.Status(ctx, id)
 		try("service/refunds", err)
-		_, err = refunds.Withdraw(ctx, id)
+		_, err = refunds.Cancel(ctx, id)
 		try("service/refunds", err)
 	}
 	for _, path := range []string{"/submissions/job-1/arguments", "/submissions/job-99/arguments", "/policy/roles", "/audit/seal", "/audit/batches?chain=spindle-0&after=0"} {
@@ -339,7 +339,7 @@
 	}
 	for _, node := range c.Nodes() {
 		for {
-			err := anna.At(node.Addr).Do(ctx, "GET", "/whoami", nil, nil)
+			err := anna.ForController(node.Addr).Do(ctx, "GET", "/whoami", nil, nil)
 			var r *client.Refusal
 			if errors.As(err, &r) && r.Status == 403 {
 				break
--- a/internal/devcluster/policy.go
+++ b/internal/devcluster/policy.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	for _, node := range c.nodes {
-		if err := awaitPolicy(ctx, administrator.At(node.Addr), version); err != nil {
+		if err := awaitPolicy(ctx, administrator.ForController(node.Addr), version); err != nil {
 			return err
 		}
 	}
--- a/internal/reapi/authorization.go
+++ b/internal/reapi/authorization.go
@@ -45,10 +45,10 @@
 // credential, and whether the credential is well-formed.
 func clientFor(c *client.Client, credential string) (*client.Client, bool) {
 	if name, ok := strings.CutPrefix(credential, certificatePrefix); ok {
-		return c.For(name), true
+		return c.OnBehalf(name), true
 	}
 	token, ok := bearer(credential)
-	return c.With(token), ok
+	return c.WithToken(token), ok
 }
 
 // OpenAccess is an Access that allows everything, for clusters without authentication.
--- a/internal/reapi/controllers.go
+++ b/internal/reapi/controllers.go
@@ -36,6 +36,6 @@
 func (c Controllers) Withdraw(ctx context.Context, credential, job string) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	_, err := c.clientFor(credential).Withdraw(ctx, job)
+	_, err := c.clientFor(credential).Cancel(ctx, job)
 	return err
 }
--- a/internal/reapi/peers.go
+++ b/internal/reapi/peers.go
@@ -42,7 +42,7 @@
 )
 
 // peerBackoff is how long the circuit of a peer that did not answer stays open.
-var peerBackoff = retry.Backoff{First: 3 * time.Second, Most: 6 * time.Second}
+var peerBackoff = retry.Backoff{First: 3 * time.Second, Max: 6 * time.Second}
 
 // Peers are the other front ends of a group. A blob is written to some of them before the
 // client is answered, and read from any that has it.
@@ -62,7 +62,7 @@
 	for addr, conn := range conns {
 		peers.peers = append(peers.peers, &peer{
 			addr:        addr,
-			circuit:     retry.Circuit{Rest: peerBackoff, Who: addr},
+			circuit:     retry.CircuitBreaker{OpenTime: peerBackoff, Who: addr},
 			cas:         repb.NewContentAddressableStorageClient(conn),
 			actionCache: repb.NewActionCacheClient(conn),
 			bytes:       bytestream.NewByteStreamClient(conn),
@@ -145,7 +145,7 @@
 	actionCache repb.ActionCacheClient
 	bytes       bytestream.ByteStreamClient
 	service     inspection.NeighboursClient
-	circuit     retry.Circuit
+	circuit     retry.CircuitBreaker
 	silence     silence
 }
 
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -9,13 +9,13 @@
 )
 
 // Backoff is the pauses between tries: each bound is twice the one before, from First up to Most.
-type Backoff struct{ First, Most time.Duration }
+type Backoff struct{ First, Max time.Duration }
 
 // Pause is how long to wait after so many failures in a row, the first being 1. It lies between
 // half of the bound and all of it, and depends on who waits and on the try alone: callers that
 // failed together do not come back together, and simulated runs repeat.
 func (b Backoff) Pause(who string, failures int) time.Duration {
-	bound := min(float64(b.Most), float64(b.First)*math.Pow(2, float64(max(0, failures-1))))
+	bound := min(float64(b.Max), float64(b.First)*math.Pow(2, float64(max(0, failures-1))))
 	return time.Duration(bound/2 + bound/2*jitter(who, failures))
 }
 
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Circuit is a circuit breaker: after so many failures in a row it opens for a time, after which
+// CircuitBreaker is a circuit breaker: after so many failures in a row it opens for a time, after which
 // one call probes whether there is an answer again; the time grows with each probe that fails. Its
 // zero value is closed. Several goroutines may use one.
-type Circuit struct {
+type CircuitBreaker struct {
 	// After is how many failures in a row open it; 0: one.
 	After int
-	// Rest is how long it stays open.
-	Rest Backoff
+	// OpenTime is how long it stays open.
+	OpenTime Backoff
 	// Who identifies what it protects, so that circuits don't close together.
 	Who string
 
@@ -25,14 +25,14 @@
 }
 
 // Open reports whether no call may be made now.
-func (c *Circuit) Open(now time.Time) bool {
+func (c *CircuitBreaker) Open(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.openUntil)
 }
 
 // Allow reports whether a call may be made. The outcome of each allowed call goes to Done.
-func (c *Circuit) Allow(now time.Time) bool {
+func (c *CircuitBreaker) Allow(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -42,7 +42,7 @@
 		return false
 	}
 	// One probe at a time, and another one if the outcome of the last is missing.
-	if !c.probedAt.IsZero() && now.Sub(c.probedAt) < c.Rest.Most {
+	if !c.probedAt.IsZero() && now.Sub(c.probedAt) < c.OpenTime.Max {
 		return false
 	}
 	c.probedAt = now
@@ -50,7 +50,7 @@
 }
 
 // Done takes in the outcome of a call.
-func (c *Circuit) Done(now time.Time, answered bool) {
+func (c *CircuitBreaker) Done(now time.Time, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.probedAt = time.Time{}
@@ -60,6 +60,6 @@
 	}
 	c.failures++
 	if limit := max(1, c.After); c.failures >= limit {
-		c.openUntil = now.Add(c.Rest.Pause(c.Who, c.failures-limit+1))
+		c.openUntil = now.Add(c.OpenTime.Pause(c.Who, c.failures-limit+1))
 	}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -77,7 +77,7 @@
 }
 
 func TestCircuit(t *testing.T) {
-	c := Circuit{After: 2, Rest: Backoff{time.Second, 4 * time.Second}}
+	c := CircuitBreaker{After: 2, OpenTime: Backoff{time.Second, 4 * time.Second}}
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	if !c.Allow(now) || c.Open(now) {
 		t.Error("a new one is open")
@@ -107,7 +107,7 @@
 		}
 	}
 	// The zero value opens at once and rests not at all: callers give both.
-	var zero Circuit
+	var zero CircuitBreaker
 	zero.Done(now, false)
 	if !zero.Allow(now) {
 		t.Error("the zero value rests")
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -114,7 +114,7 @@
 }
 
 // limits lists the limits that are announced.
-func (n *NextState) limits() []limit {
+func (n *AnnouncedLimits) limits() []limit {
 	var limits []limit
 	for _, next := range []struct {
 		field string
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -19,7 +19,7 @@
 	s.Others[0].PeerAddr, s.Others[1].PeerAddr = "10.0.0.2:1003", "10.0.0.3:1004"
 	s.Services = Services{Cloud: "10.0.0.4:1005", State: "10.0.0.5:1006"}
 	s.Params.Count = len(s.Others) + 1
-	s.Params.Workers = Workers{ReportS: 1.25, LeaseS: 10.25, CancelS: 30.25}
+	s.Params.Workers = AgentTimes{ReportS: 1.25, LeaseS: 10.25, CancelS: 30.25}
 	return s
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,13 +19,13 @@
 	// controllers.
 	ServeOn       string   `json:"serve_on"`
 	ClusterListen string   `json:"cluster_listen"`
-	Others        []Other  `json:"others"`
+	Others        []Peer   `json:"others"`
 	Services      Services `json:"services"`
 	Params        Params   `json:"params"`
 }
 
-// Other is another controller.
-type Other struct {
+// Peer is another controller.
+type Peer struct {
 	Label    string `json:"label"`
 	Zone     string `json:"zone"`
 	PeerAddr string `json:"peer_addr"`
@@ -40,14 +40,14 @@
 // Params describes the deployment.
 type Params struct {
 	// Count is how many controllers and partitions there are.
-	Count         int         `json:"count"`
-	Zones         []string    `json:"zones"`
-	Teams         []Team      `json:"teams"`
-	Objectives    []Objective `json:"objectives"`
-	Workers       Workers     `json:"workers"`
-	State         State       `json:"state"`
-	Cloud         Cloud       `json:"cloud"`
-	MachineLimits Limits      `json:"machine_limits"`
+	Count         int              `json:"count"`
+	Zones         []string         `json:"zones"`
+	Teams         []Team           `json:"teams"`
+	Objectives    []Objective      `json:"objectives"`
+	Workers       AgentTimes       `json:"workers"`
+	State         StateStoreLimits `json:"state"`
+	Cloud         CloudLimits      `json:"cloud"`
+	MachineLimits ProcessLimits    `json:"machine_limits"`
 	// TimeBoundMS is by how much clocks may differ, in milliseconds.
 	TimeBoundMS float64 `json:"time_bound_ms"`
 }
@@ -70,27 +70,27 @@
 	WithinS float64 `json:"within_s"`
 }
 
-// Workers are the times that the agents keep to, in seconds: the interval of heartbeats, the
+// AgentTimes are the times that the agents keep to, in seconds: the interval of heartbeats, the
 // machine lease, and for how long a task may outlive its job's cancellation.
-type Workers struct {
+type AgentTimes struct {
 	ReportS float64 `json:"report_s"`
 	LeaseS  float64 `json:"lease_s"`
 	CancelS float64 `json:"cancel_s"`
 }
 
-// State are the limits of the state store: requests and writes a second, the size of a value, and
+// StateStoreLimits are the limits of the state store: requests and writes a second, the size of a value, and
 // the operations of a transaction.
-type State struct {
+type StateStoreLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
 	TxnOps   int     `json:"txn_ops"`
 	// Next are announced limits, which hold from a moment on that is not known.
-	Next NextState `json:"next"`
+	Next AnnouncedLimits `json:"next"`
 }
 
-// NextState are announced limits of the state store; nil: the limit stays as it is.
-type NextState struct {
+// AnnouncedLimits are announced limits of the state store; nil: the limit stays as it is.
+type AnnouncedLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
 	ValueKB  *float64 `json:"value_kb"`
@@ -99,8 +99,8 @@
 
 // Lower returns, for each limit, the lower of the present and the announced one, so that it holds
 // before and after the change.
-func (s State) Lower() State {
-	return State{
+func (s StateStoreLimits) Lower() StateStoreLimits {
+	return StateStoreLimits{
 		RPS:      lowerLimit(s.RPS, s.Next.RPS),
 		WriteRPS: lowerLimit(s.WriteRPS, s.Next.WriteRPS),
 		ValueKB:  lowerLimit(s.ValueKB, s.Next.ValueKB),
@@ -116,16 +116,16 @@
 	return min(present, *next)
 }
 
-// Cloud are the limits of the cloud's interface: requests a second, and by how many seconds its
+// CloudLimits are the limits of the cloud's interface: requests a second, and by how many seconds its
 // list of machines lags behind.
-type Cloud struct {
+type CloudLimits struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Limits are the resources of one controller process: the fraction of a core, the memory, and the
+// ProcessLimits are the resources of one controller process: the fraction of a core, the memory, and the
 // open sockets.
-type Limits struct {
+type ProcessLimits struct {
 	CoreShare float64 `json:"core_share"`
 	MemMB     float64 `json:"mem_mb"`
 	Sockets   int     `json:"sockets"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 
 // What is announced may be absent, partial, or more than there is.
 func TestAnnouncedLimits(t *testing.T) {
-	for next, want := range map[string]State{
+	for next, want := range map[string]StateStoreLimits{
 		``:                               {RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12},
 		`,"next":null`:                   {RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12},
 		`,"next":{}`:                     {RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12},
--- a/internal/storage/absence_test.go
+++ b/internal/storage/absence_test.go
@@ -85,7 +85,7 @@
 	for _, i := range present {
 		c.present[fmt.Sprintf("w/j/job-%d/final", i)] = true
 	}
-	return c, NewStore(c, "state:1", settings.State{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}, 5)
+	return c, NewStore(c, "state:1", settings.StateStoreLimits{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}, 5)
 }
 
 // A thousand users who poll at once took as many requests, which were those that keep
@@ -221,12 +221,12 @@
 func TestWaitingPollsAreBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		limits settings.State
+		limits settings.StateStoreLimits
 		room   int
 	}{
-		{"a slow service", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 2048},
-		{"a large deployment", settings.State{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}, 2880},
-		{"three times its arrivals", settings.State{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}, 8640},
+		{"a slow service", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 2048},
+		{"a large deployment", settings.StateStoreLimits{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}, 2880},
+		{"three times its arrivals", settings.StateStoreLimits{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}, 8640},
 	} {
 		s := NewStore(&comparer{}, "state:1", tc.limits, 5)
 		refused := 0
--- a/internal/storage/budget.go
+++ b/internal/storage/budget.go
@@ -50,7 +50,7 @@
 	demandWanted int64     // wanted as of then
 }
 
-func (b *writeBudget) init(limits settings.State, count int) {
+func (b *writeBudget) init(limits settings.StateStoreLimits, count int) {
 	b.limit, b.granted, b.controllers = limits.WriteRPS, limits.WriteRPS, float64(count)
 	b.minGranted = minGrantedShare * limits.WriteRPS
 	if next := limits.Next.WriteRPS; next != nil {
--- a/internal/storage/budget_test.go
+++ b/internal/storage/budget_test.go
@@ -11,7 +11,7 @@
 // The budget must follow the load: where one controller has all of it, a fixed
 // fifth keeps its starts waiting while the rest goes unused.
 func TestWritesAreSharedByDemand(t *testing.T) {
-	s := NewStore(nil, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+	s := NewStore(nil, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	for _, tc := range []struct{ own, total, want float64 }{
 		{1, 5, 25 * 1.1 / 5}, // even
 		{10, 10, 25 * 0.78},  // all of it
@@ -29,7 +29,7 @@
 }
 
 func TestDemandFollowsWhatIsAskedFor(t *testing.T) {
-	s := NewStore(nil, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+	s := NewStore(nil, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	now := time.Now()
 	s.WriteDemand(now)
 	for range 40 {
@@ -50,7 +50,7 @@
 // what refusals leave after, but not less than was announced.
 func TestRateFollowsRefusals(t *testing.T) {
 	next := 15.0
-	limits := settings.State{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12, Next: settings.NextState{WriteRPS: &next}}
+	limits := settings.StateStoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12, Next: settings.AnnouncedLimits{WriteRPS: &next}}
 	s := NewStore(nil, "state:1", limits, 3)
 	now := time.Now()
 	for range 100 {
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -86,7 +86,7 @@
 // The requests to the state service stay as they are.
 func TestGoldenStateRequests(t *testing.T) {
 	last := &recorder{}
-	store := storage.NewStore(last, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+	store := storage.NewStore(last, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	ctx := t.Context()
 	for _, tc := range []struct {
 		name, method, target string
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -62,13 +62,13 @@
 
 	// limits are what holds both before and after an announced change. txnOps and valueBytes
 	// fall below them if the state store refuses what they allow.
-	limits     settings.State
+	limits     settings.StateStoreLimits
 	txnOps     atomic.Int64
 	valueBytes atomic.Int64
 }
 
 // NewStore makes a client for one of count controllers.
-func NewStore(network Requester, addr string, limits settings.State, count int) *Store {
+func NewStore(network Requester, addr string, limits settings.StateStoreLimits, count int) *Store {
 	lower := limits.Lower()
 	limiter := func(perSecond float64, burst int) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(perSecond), max(burst, lower.TxnOps))
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -38,7 +38,7 @@
 		err     error
 	}{{[]transport.Response{over, over, done}, nil}, {[]transport.Response{over}, ErrRefused}} {
 		synctest.Test(t, func(t *testing.T) {
-			s := NewStore(&script{answers: tc.answers}, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+			s := NewStore(&script{answers: tc.answers}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 			begun := time.Now()
 			_, err := s.UserCommit(t.Context(), &protocol.Transaction{Then: []protocol.Change{put("w/j/job-1/spec", 9)}})
 			if !errors.Is(err, tc.err) || time.Since(begun) > userWaitLimit {
@@ -52,7 +52,7 @@
 // batches shrink, until a change alone shows that its value is too large.
 func TestRefusalsForSizeShrinkBatches(t *testing.T) {
 	tooLarge := transport.Response{Status: 400, Body: protocol.Encode(protocol.Problem{Error: "too large"})}
-	s := NewStore(&script{answers: []transport.Response{tooLarge}}, "state:1", settings.State{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+	s := NewStore(&script{answers: []transport.Response{tooLarge}}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	for _, n := range []int{12, 6, 3, 2} {
 		if s.TxnOps() != n {
 			t.Errorf("%d changes at a time, want %d", s.TxnOps(), n)
--- a/internal/storage/user_requests_test.go
+++ b/internal/storage/user_requests_test.go
@@ -11,7 +11,7 @@
 
 // A refusal by this controller's budget is an ErrBudget; one by the state store is not.
 func TestRefusalsByTheBudgetAreTyped(t *testing.T) {
-	limits := settings.State{RPS: 10, WriteRPS: 5, ValueKB: 8, TxnOps: 2}
+	limits := settings.StateStoreLimits{RPS: 10, WriteRPS: 5, ValueKB: 8, TxnOps: 2}
 	done := transport.Response{Status: 200, Body: protocol.Encode(protocol.TransactionResult{Revision: 7})}
 	s := NewStore(&script{answers: []transport.Response{done}}, "state:1", limits, 5)
 	txn := &protocol.Transaction{Then: []protocol.Change{put("w/j/job-1/spec", 9)}}
