--- a/cmd/spindlelab/build.go
+++ b/cmd/micaspindle-devcluster/build.go
@@ -52,7 +52,7 @@
 
 // Help shows examples.
 func (buildCmd) Help() string {
-	return "Examples:\n  spindlelab build --gates 127.0.0.1:8980\n  spindlelab build --gates 127.0.0.1:8980,127.0.0.1:8981 --instance refunds --sources 1000 --output json\n\n" +
+	return "Examples:\n  micaspindle-devcluster build --gates 127.0.0.1:8980\n  micaspindle-devcluster build --gates 127.0.0.1:8980,127.0.0.1:8981 --instance refunds --sources 1000 --output json\n\n" +
 		"Exit codes: 0 built right, 1 an action failed or the output is wrong, 2 wrong arguments."
 }
 
@@ -89,7 +89,7 @@
 type demoBuildCmd struct {
 	clusterFlags
 	Gates      int     `default:"2" help:"How many gates (2 to 5)."`
-	GateBinary string  `type:"path" help:"The gate's program; default: spindlegate beside this one."`
+	GateBinary string  `type:"path" help:"The gate's program; default: micaspindle-reapi beside this one."`
 	Sources    int     `default:"100" help:"How many files are compiled."`
 	Seconds    float64 `default:"0.2" help:"How long each action takes."`
 	Output     string  `default:"table" enum:"table,json" help:"How the result is printed."`
@@ -97,7 +97,7 @@
 
 // Help shows examples.
 func (demoBuildCmd) Help() string {
-	return "Examples:\n  spindlelab demo-build\n  spindlelab demo-build --gates 3 --identities --sources 300\n\n" +
+	return "Examples:\n  micaspindle-devcluster demo-build\n  micaspindle-devcluster demo-build --gates 3 --identities --sources 300\n\n" +
 		"Exit codes: 0 built right both times, 1 something failed, 2 wrong arguments."
 }
 
@@ -153,7 +153,7 @@
 		fmt.Printf("\nWaits of %s, from asking to having the result:\n", r.Name)
 		bars(os.Stdout, r.Report.Waits)
 		if r.Report.SlowestName != "" {
-			fmt.Printf("The slowest was %s: spindlectl action %s\n", r.Report.Slowest, r.Report.SlowestName)
+			fmt.Printf("The slowest was %s: micaspindlectl action %s\n", r.Report.Slowest, r.Report.SlowestName)
 		}
 	}
 	return nil
--- a/cmd/spindlelab/main.go
+++ b/cmd/micaspindle-devcluster/main.go
@@ -1,4 +1,4 @@
-// Command spindlelab runs a whole cluster on loopback: stand-ins of the state
+// Command micaspindle-devcluster runs a whole cluster on loopback: stand-ins of the state
 // service, the cloud and the workers, and real controllers beside them.
 package main
 
@@ -45,7 +45,7 @@
 // gateFlags say how many gates stand before the cluster.
 type gateFlags struct {
 	Gates      int    `default:"${gates}" help:"How many gates for build tools (0 to 5)."`
-	GateBinary string `type:"path" help:"The gate's program; default: spindlegate beside this one."`
+	GateBinary string `type:"path" help:"The gate's program; default: micaspindle-reapi beside this one."`
 }
 
 // usageError marks what the caller must mend; it ends the process with code 2.
@@ -59,7 +59,7 @@
 	gateBinary := ""
 	if gates.Gates > 0 {
 		var err error
-		if gateBinary, err = lab.FindBinary(gates.GateBinary, "spindlegate"); err != nil {
+		if gateBinary, err = lab.FindBinary(gates.GateBinary, "micaspindle-reapi"); err != nil {
 			return nil, nil, usageError{err}
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	remove := func() {}
 	if f.Dir == "" {
-		if f.Dir, err = os.MkdirTemp("", "spindlelab-"); err != nil {
+		if f.Dir, err = os.MkdirTemp("", "micaspindle-devcluster-"); err != nil {
 			return nil, nil, err
 		}
 		remove = func() { _ = os.RemoveAll(f.Dir) }
@@ -119,7 +119,7 @@
 
 // Help shows examples.
 func (demoCmd) Help() string {
-	return "Examples:\n  spindlelab demo\n  spindlelab demo --controllers 5 --output json\n\nExit codes: 0 all jobs done, 1 something failed, 2 wrong arguments."
+	return "Examples:\n  micaspindle-devcluster demo\n  micaspindle-devcluster demo --controllers 5 --output json\n\nExit codes: 0 all jobs done, 1 something failed, 2 wrong arguments."
 }
 
 // Run runs the demo.
@@ -165,7 +165,7 @@
 
 // Help shows examples.
 func (upCmd) Help() string {
-	return "Examples:\n  spindlelab up\n  spindlelab up --gates 2 --identities\n  spindlelab up --controllers 5 --dir /tmp/cluster --log-level debug\n  spindlelab up --machines 60 --sockets 120"
+	return "Examples:\n  micaspindle-devcluster up\n  micaspindle-devcluster up --gates 2 --identities\n  micaspindle-devcluster up --controllers 5 --dir /tmp/cluster --log-level debug\n  micaspindle-devcluster up --machines 60 --sockets 120"
 }
 
 // Run keeps a cluster up until it is told to stop.
@@ -193,7 +193,7 @@
 		}
 		_ = w.Flush()
 	}
-	ctl, self := "spindlectl", "spindlelab"
+	ctl, self := "micaspindlectl", "micaspindle-devcluster"
 	if path, err := os.Executable(); err == nil {
 		ctl, self = filepath.Join(filepath.Dir(path), ctl), path
 	}
@@ -251,7 +251,7 @@
 
 // Help shows examples.
 func (measureCmd) Help() string {
-	return "Takes a few minutes. Only the ratios mean something, and only on a quiet machine.\n\nExample:\n  spindlelab measure --against /tmp/micaspindle.before"
+	return "Takes a few minutes. Only the ratios mean something, and only on a quiet machine.\n\nExample:\n  micaspindle-devcluster measure --against /tmp/micaspindle.before"
 }
 
 // Run measures.
@@ -263,7 +263,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	dir, err := os.MkdirTemp("", "spindlelab-")
+	dir, err := os.MkdirTemp("", "micaspindle-devcluster-")
 	if err != nil {
 		return err
 	}
@@ -317,15 +317,15 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var c cli
-	parser := kong.Must(&c, kong.Vars{"gates": "0"}, kong.Name("spindlelab"), kong.Description("A cluster on loopback, with stand-ins of everything outside the controllers."),
+	parser := kong.Must(&c, kong.Vars{"gates": "0"}, kong.Name("micaspindle-devcluster"), kong.Description("A cluster on loopback, with stand-ins of everything outside the controllers."),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	k, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "spindlelab:", err)
+		fmt.Fprintln(os.Stderr, "micaspindle-devcluster:", err)
 		os.Exit(2)
 	}
 	if err := k.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "spindlelab:", err)
+		fmt.Fprintln(os.Stderr, "micaspindle-devcluster:", err)
 		if errors.As(err, new(usageError)) {
 			os.Exit(2)
 		}
--- a/cmd/spindlegate/main.go
+++ b/cmd/micaspindle-reapi/main.go
@@ -1,4 +1,4 @@
-// Command spindlegate is the front door for build tools: the Remote Execution API,
+// Command micaspindle-reapi is the front door for build tools: the Remote Execution API,
 // for the queues whose rights the controllers decide.
 package main
 
@@ -39,7 +39,7 @@
 
 // Help shows examples.
 func (cli) Help() string {
-	return "Examples:\n  spindlegate --config deploy/gate.yaml --check\n  spindlegate --config /etc/micaspindle/gate.yaml\n\n" +
+	return "Examples:\n  micaspindle-reapi --config deploy/gate.yaml --check\n  micaspindle-reapi --config /etc/micaspindle/gate.yaml\n\n" +
 		"Exit codes: 0 after a signal, 1 when serving failed, 2 for settings that can't be used."
 }
 
@@ -296,7 +296,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var c cli
-	parser := kong.Must(&c, kong.Name("spindlegate"), kong.Description("The Remote Execution API for build tools, on the cluster and with its rights."))
+	parser := kong.Must(&c, kong.Name("micaspindle-reapi"), kong.Description("The Remote Execution API for build tools, on the cluster and with its rights."))
 	_, err := parser.Parse(os.Args[1:])
 	var s *settings
 	if err == nil {
@@ -305,7 +305,7 @@
 		}
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "spindlegate:", err)
+		fmt.Fprintln(os.Stderr, "micaspindle-reapi:", err)
 		os.Exit(2)
 	}
 	if c.Check {
@@ -317,7 +317,7 @@
 		_ = level.UnmarshalText([]byte(text))
 	}
 	if err := serve(ctx, s, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))); err != nil {
-		fmt.Fprintln(os.Stderr, "spindlegate:", err)
+		fmt.Fprintln(os.Stderr, "micaspindle-reapi:", err)
 		if errors.As(err, new(usageError)) {
 			os.Exit(2)
 		}
--- a/cmd/spindleregress/hunt.go
+++ b/cmd/micaspindle-regress/hunt.go
@@ -26,8 +26,8 @@
 team or a class's largest jobs.
 
 Examples:
-  spindleregress hunt --kit ../given/kit more/hunt/one.toml more/hunt/two.toml
-  spindleregress hunt --kit ../given/kit --day gap --seeds 20 --sizes 1 --hunt 0 more/hunt/one.toml`
+  micaspindle-regress hunt --kit ../given/kit more/hunt/one.toml more/hunt/two.toml
+  micaspindle-regress hunt --kit ../given/kit --day gap --seeds 20 --sizes 1 --hunt 0 more/hunt/one.toml`
 }
 
 // Run plays the days, then the hunts.
--- a/cmd/spindleregress/main.go
+++ b/cmd/micaspindle-regress/main.go
@@ -1,4 +1,4 @@
-// Command spindleregress runs the users' bench before a landing and says whether
+// Command micaspindle-regress runs the users' bench before a landing and says whether
 // the change may land. It needs the kit, which is not part of the repository.
 package main
 
@@ -62,7 +62,7 @@
 
 // Help shows an example.
 func (runCmd) Help() string {
-	return "Example:\n  spindleregress run --kit ../given/kit --why \"Summaries are deltas: expect the same figures\" sites/one.toml sites/two.toml"
+	return "Example:\n  micaspindle-regress run --kit ../given/kit --why \"Summaries are deltas: expect the same figures\" sites/one.toml sites/two.toml"
 }
 
 // check finds what the caller must mend before anything is played.
@@ -206,7 +206,7 @@
 
 // Help shows examples.
 func (compareCmd) Help() string {
-	return "Examples:\n  spindleregress compare\n  spindleregress compare --no-quick --output json"
+	return "Examples:\n  micaspindle-regress compare\n  micaspindle-regress compare --no-quick --output json"
 }
 
 // Run compares the latest score of each site.
@@ -274,7 +274,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var c cli
-	parser := kong.Must(&c, kong.Name("spindleregress"), kong.Description(description), kong.BindTo(ctx, (*context.Context)(nil)))
+	parser := kong.Must(&c, kong.Name("micaspindle-regress"), kong.Description(description), kong.BindTo(ctx, (*context.Context)(nil)))
 	k, err := parser.Parse(os.Args[1:])
 	if err == nil {
 		err = k.Run(&c)
@@ -284,7 +284,7 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "spindleregress:", err)
+	fmt.Fprintln(os.Stderr, "micaspindle-regress:", err)
 	switch {
 	case errors.Is(err, errMayNotLand):
 		os.Exit(1)
--- a/cmd/spindleregress/night.go
+++ b/cmd/micaspindle-regress/night.go
@@ -44,8 +44,8 @@
 than half of any class or team is served.
 
 Examples:
-  spindleregress night --kit ../given/kit more/fleet/one.toml more/fleet/two.toml
-  spindleregress night --kit ../given/kit --day flood-urgent --seeds 3 --keep /tmp/night -o json more/fleet/one.toml`
+  micaspindle-regress night --kit ../given/kit more/fleet/one.toml more/fleet/two.toml
+  micaspindle-regress night --kit ../given/kit --day flood-urgent --seeds 3 --keep /tmp/night -o json more/fleet/one.toml`
 }
 
 // nightPlay is one day on one site.
--- a/cmd/spindlectl/audit.go
+++ b/cmd/micaspindlectl/audit.go
@@ -71,7 +71,7 @@
 
 // Help shows examples.
 func (auditExportCmd) Help() string {
-	return "Keep exports where those who run the cluster can't change them: they also show later\nwhether the cluster's own records were cut off.\n\nExample:\n  spindlectl audit export 2027-01.jsonl.zst"
+	return "Keep exports where those who run the cluster can't change them: they also show later\nwhether the cluster's own records were cut off.\n\nExample:\n  micaspindlectl audit export 2027-01.jsonl.zst"
 }
 
 // Run exports the audit. The file appears whole or not at all.
@@ -114,7 +114,7 @@
 
 // Help shows examples.
 func (auditVerifyCmd) Help() string {
-	return "Needs --roots, the authority's certificates; speaks to no controller. Exit code 1 means\nthat something was altered, removed, reordered or cut off.\n\nExample:\n  spindlectl audit verify 2027-01.jsonl.zst --roots root.pem"
+	return "Needs --roots, the authority's certificates; speaks to no controller. Exit code 1 means\nthat something was altered, removed, reordered or cut off.\n\nExample:\n  micaspindlectl audit verify 2027-01.jsonl.zst --roots root.pem"
 }
 
 func (c *cli) verify(file string) (*archive.Verified, error) {
@@ -176,7 +176,7 @@
 
 // Help shows examples.
 func (auditListCmd) Help() string {
-	return "Examples:\n  spindlectl audit list --who person/anna --since 24h\n  spindlectl audit list --job job-17 -o json\n  spindlectl audit list --file 2027-01.jsonl.zst --denied"
+	return "Examples:\n  micaspindlectl audit list --who person/anna --since 24h\n  micaspindlectl audit list --job job-17 -o json\n  micaspindlectl audit list --file 2027-01.jsonl.zst --denied"
 }
 
 // Run lists records. They are listed also where the verifier finds problems,
--- a/cmd/spindlectl/gates.go
+++ b/cmd/micaspindlectl/gates.go
@@ -68,7 +68,7 @@
 // Help shows examples.
 func (cacheCmd) Help() string {
 	return "What gates hold: of the teams that you may view, and of a gate as a whole if these are all.\n\n" +
-		"Examples:\n  spindlectl cache --gates 10.0.0.7:8980,10.0.0.8:8980\n  spindlectl cache -o json"
+		"Examples:\n  micaspindlectl cache --gates 10.0.0.7:8980,10.0.0.8:8980\n  micaspindlectl cache -o json"
 }
 
 // gateView is a gate as JSON.
@@ -169,7 +169,7 @@
 // Help shows examples.
 func (actionCmd) Help() string {
 	return "What an action waits for, its job and task, and its result.\n\n" +
-		"Examples:\n  spindlectl action operations/job-.../0/...\n  spindlectl action --instance refunds 44136fa3.../148 -o json"
+		"Examples:\n  micaspindlectl action operations/job-.../0/...\n  micaspindlectl action --instance refunds 44136fa3.../148 -o json"
 }
 
 type actionView struct {
--- a/cmd/spindlectl/jobs.go
+++ b/cmd/micaspindlectl/jobs.go
@@ -80,8 +80,8 @@
 
 // Help shows examples.
 func (submitCmd) Help() string {
-	return "Examples:\n  spindlectl submit --team payments --class refund-batch --urgency high --tasks 8 --estimate 5s\n" +
-		"  spindlectl submit --team payments --class payout-send --after job-17 --after job-18 -o json"
+	return "Examples:\n  micaspindlectl submit --team payments --class refund-batch --urgency high --tasks 8 --estimate 5s\n" +
+		"  micaspindlectl submit --team payments --class payout-send --after job-17 --after job-18 -o json"
 }
 
 func (s *submitCmd) submission() (*protocol.Submission, error) {
@@ -135,7 +135,7 @@
 
 // Help shows examples.
 func (statusCmd) Help() string {
-	return "Examples:\n  spindlectl status job-17\n  spindlectl status job-17 job-18 --wait -o json"
+	return "Examples:\n  micaspindlectl status job-17\n  micaspindlectl status job-17 job-18 --wait -o json"
 }
 
 const pollEvery = time.Second
@@ -186,7 +186,7 @@
 
 // Help shows examples.
 func (withdrawCmd) Help() string {
-	return "A job that is done already stays done.\n\nExample:\n  spindlectl withdraw job-17 job-18"
+	return "A job that is done already stays done.\n\nExample:\n  micaspindlectl withdraw job-17 job-18"
 }
 
 // Run withdraws the jobs.
@@ -212,7 +212,7 @@
 
 // Help shows examples.
 func (argumentsCmd) Help() string {
-	return "Needs the right view-arguments on the job's queue; each look is recorded.\n\nExample:\n  spindlectl arguments job-17 -o json"
+	return "Needs the right view-arguments on the job's queue; each look is recorded.\n\nExample:\n  micaspindlectl arguments job-17 -o json"
 }
 
 // Run shows what a job was submitted with.
@@ -248,7 +248,7 @@
 
 // Help shows examples.
 func (reassignCmd) Help() string {
-	return "In one step the job is withdrawn and its successor accepted in the other queue; it\nkeeps its submission time. Needs the right reassign on both queues.\n\nExample:\n  spindlectl reassign job-17 --as job-1017 --team payments"
+	return "In one step the job is withdrawn and its successor accepted in the other queue; it\nkeeps its submission time. Needs the right reassign on both queues.\n\nExample:\n  micaspindlectl reassign job-17 --as job-1017 --team payments"
 }
 
 // Run moves a job to another queue.
@@ -271,7 +271,7 @@
 
 // Help shows examples.
 func (withdrawAllCmd) Help() string {
-	return "Withdraws every unfinished job that somebody has submitted, as far as you administer\nits queue. Jobs of a revoked identity go on until then.\n\nExample:\n  spindlectl withdraw-all --by person/anna"
+	return "Withdraws every unfinished job that somebody has submitted, as far as you administer\nits queue. Jobs of a revoked identity go on until then.\n\nExample:\n  micaspindlectl withdraw-all --by person/anna"
 }
 
 type sweepView struct {
--- a/cmd/spindlectl/main.go
+++ b/cmd/micaspindlectl/main.go
@@ -1,4 +1,4 @@
-// Command spindlectl is the command line of users and operators.
+// Command micaspindlectl is the command line of users and operators.
 package main
 
 import (
@@ -69,7 +69,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var c cli
-	parser := kong.Must(&c, kong.Name("spindlectl"), kong.Description(description),
+	parser := kong.Must(&c, kong.Name("micaspindlectl"), kong.Description(description),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.BindTo(ctx, (*context.Context)(nil)))
 	k, err := parser.Parse(os.Args[1:])
 	if err == nil {
@@ -78,7 +78,7 @@
 		err = usageError{err}
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "spindlectl:", err)
+		fmt.Fprintln(os.Stderr, "micaspindlectl:", err)
 		os.Exit(exitCode(err))
 	}
 }
--- a/cmd/spindlectl/pki.go
+++ b/cmd/micaspindlectl/pki.go
@@ -34,7 +34,7 @@
 
 // Help shows examples.
 func (pkiInitCmd) Help() string {
-	return "Example:\n  spindlectl pki init --dir pki --name 'Ombili root'"
+	return "Example:\n  micaspindlectl pki init --dir pki --name 'Ombili root'"
 }
 
 // Run makes an authority.
@@ -56,7 +56,7 @@
 
 // Help shows examples.
 func (pkiIssueCmd) Help() string {
-	return "A controller's id is its label; machines whose names the cloud hands out share worker/any.\n\nExample:\n  spindlectl pki issue controller/spindle-0 worker/any person/anna"
+	return "A controller's id is its label; machines whose names the cloud hands out share worker/any.\n\nExample:\n  micaspindlectl pki issue controller/spindle-0 worker/any person/anna"
 }
 
 // Run issues certificates.
@@ -155,7 +155,7 @@
 
 // Help shows examples.
 func (tokenCmd) Help() string {
-	return "Who holds the token is taken for its owner until it ends.\n\nExample:\n  spindlectl token person/anna --cluster hosted --for 8h --out anna.token"
+	return "Who holds the token is taken for its owner until it ends.\n\nExample:\n  micaspindlectl token person/anna --cluster hosted --for 8h --out anna.token"
 }
 
 // Run signs a token.
--- a/cmd/spindlectl/policy.go
+++ b/cmd/micaspindlectl/policy.go
@@ -95,7 +95,7 @@
 
 // Help shows examples.
 func (policyApplyCmd) Help() string {
-	return "A large difference goes in steps, each of which leaves a policy that holds; if it is cut\nshort, apply it again.\n\nExample:\n  spindlectl policy apply policy.yaml --dry-run"
+	return "A large difference goes in steps, each of which leaves a policy that holds; if it is cut\nshort, apply it again.\n\nExample:\n  micaspindlectl policy apply policy.yaml --dry-run"
 }
 
 // Run applies a policy file.
@@ -215,7 +215,7 @@
 
 // Help shows examples.
 func (policyRevokeCmd) Help() string {
-	return "Jobs that they have submitted go on for their queue; 'spindlectl withdraw-all' ends them.\nThe last administrator can't be revoked.\n\nExample:\n  spindlectl policy revoke person/anna"
+	return "Jobs that they have submitted go on for their queue; 'micaspindlectl withdraw-all' ends them.\nThe last administrator can't be revoked.\n\nExample:\n  micaspindlectl policy revoke person/anna"
 }
 
 // Run revokes identities.
--- a/cmd/spindlectl/top.go
+++ b/cmd/micaspindlectl/top.go
@@ -24,7 +24,7 @@
 
 // Help shows examples.
 func (topCmd) Help() string {
-	return "Examples:\n\n    spindlectl top --operations 10.0.0.1:9090,10.0.0.2:9090\n    spindlectl top --once -o json | jq .\n\n" +
+	return "Examples:\n\n    micaspindlectl top --operations 10.0.0.1:9090,10.0.0.2:9090\n    micaspindlectl top --once -o json | jq .\n\n" +
 		"Keys: q ends it. Waits are of the last two to four minutes, the slowest of all controllers.\nWith identities it takes the right to view every queue.\n\n" +
 		"Exit codes: 0 shown, 2 wrong arguments, 3 not allowed, 5 no controller answered."
 }
@@ -66,7 +66,7 @@
 
 // Help shows examples.
 func (sharesCmd) Help() string {
-	return "Examples:\n\n    spindlectl shares --operations 10.0.0.1:9090,10.0.0.2:9090\n    spindlectl shares -o json | jq '.[].view.moves'\n\n" +
+	return "Examples:\n\n    micaspindlectl shares --operations 10.0.0.1:9090,10.0.0.2:9090\n    micaspindlectl shares -o json | jq '.[].view.moves'\n\n" +
 		"MACHINES are those whose connections a controller has, ROOM as many as its sockets hold.\n" +
 		"Shares move by themselves (docs/shares.md); nothing is to be done.\n" +
 		"With identities it takes the right to view every queue.\n\n" +
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -1,5 +1,5 @@
 // Package observe counts what a controller does and measures the waits that people
-// notice, for Prometheus and for `spindlectl top`. Its nil value measures nothing. It
+// notice, for Prometheus and for `micaspindlectl top`. Its nil value measures nothing. It
 // knows no job, team or caller: no label tells one from another.
 package observe
 
