--- a/cmd/micaspindle-devcluster/build.go
+++ b/cmd/micaspindle-devcluster/build.go
@@ -10,8 +10,8 @@
 
 	"micaspindle/internal/buildtool"
 	"micaspindle/internal/client"
+	"micaspindle/internal/devcluster"
 	"micaspindle/internal/identity"
-	"micaspindle/internal/lab"
 )
 
 // buildCmd runs a sample build through front ends that are running.
@@ -65,9 +65,9 @@
 	if b.Digest == "blake3" {
 		tool.Function = repb.DigestFunction_BLAKE3
 	}
-	report, err := lab.Build(ctx, tool, b.Name, b.Sources, b.Seconds, progress())
+	report, err := devcluster.Build(ctx, tool, b.Name, b.Sources, b.Seconds, progress())
 	if err != nil {
 		return err
 	}
-	return printBuilds(b.Output, []lab.NamedReport{{Name: b.Name, Report: report}})
+	return printBuilds(b.Output, []devcluster.NamedReport{{Name: b.Name, Report: report}})
 }
--- a/cmd/micaspindle-devcluster/build_report.go
+++ b/cmd/micaspindle-devcluster/build_report.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"micaspindle/internal/buildtool"
-	"micaspindle/internal/lab"
+	"micaspindle/internal/devcluster"
 )
 
 // buildView is a build as JSON.
@@ -24,7 +24,7 @@
 }
 
 // buildViews are the reports as JSON shows them.
-func buildViews(reports []lab.NamedReport) []buildView {
+func buildViews(reports []devcluster.NamedReport) []buildView {
 	var views []buildView
 	for _, r := range reports {
 		waits := r.Report.Waits
@@ -34,7 +34,7 @@
 }
 
 // printBuilds shows one build a row, then a histogram of the waits of each.
-func printBuilds(output string, reports []lab.NamedReport) error {
+func printBuilds(output string, reports []devcluster.NamedReport) error {
 	if output == outputJSON {
 		return printJSON(buildViews(reports))
 	}
--- a/cmd/micaspindle-devcluster/cluster.go
+++ b/cmd/micaspindle-devcluster/cluster.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"micaspindle/internal/lab"
+	"micaspindle/internal/devcluster"
 )
 
 // The names of the programs that a cluster is made of.
@@ -55,7 +55,7 @@
 }
 
 // start starts the cluster, waits until it is ready and returns what takes it down again.
-func (f *clusterFlags) start(ctx context.Context, frontends frontendFlags) (*lab.Cluster, func(), error) {
+func (f *clusterFlags) start(ctx context.Context, frontends frontendFlags) (*devcluster.Cluster, func(), error) {
 	if err := f.check(frontends); err != nil {
 		return nil, nil, err
 	}
@@ -69,11 +69,11 @@
 	}
 	options.Dir = f.Dir
 	if f.Identities {
-		if options.Hosted, err = lab.Prepare(f.Dir, f.Controllers); err != nil {
+		if options.Hosted, err = devcluster.Prepare(f.Dir, f.Controllers); err != nil {
 			return nil, nil, err
 		}
 	}
-	cluster, err := lab.Start(ctx, options)
+	cluster, err := devcluster.Start(ctx, options)
 	if err != nil {
 		removeDirectory()
 		return nil, nil, err
@@ -101,8 +101,8 @@
 }
 
 // options are the cluster's, but for its directory; the programs are found.
-func (f *clusterFlags) options(frontends frontendFlags) (lab.Options, error) {
-	options := lab.Options{
+func (f *clusterFlags) options(frontends frontendFlags) (devcluster.Options, error) {
+	options := devcluster.Options{
 		Controllers: f.Controllers,
 		LogLevel:    f.LogLevel,
 		WriteRPS:    stateWritesPerSecond,
@@ -112,13 +112,13 @@
 		Gates:       frontends.Frontends,
 	}
 	var err error
-	if options.Binary, err = lab.FindBinary(f.Binary, controllerProgram); err != nil {
+	if options.Binary, err = devcluster.FindBinary(f.Binary, controllerProgram); err != nil {
 		return options, usageError{err}
 	}
 	if frontends.Frontends == 0 {
 		return options, nil
 	}
-	if options.GateBinary, err = lab.FindBinary(frontends.FrontendBinary, frontendProgram); err != nil {
+	if options.GateBinary, err = devcluster.FindBinary(frontends.FrontendBinary, frontendProgram); err != nil {
 		return options, usageError{err}
 	}
 	return options, nil
@@ -142,7 +142,7 @@
 func temporaryDirectory() (string, error) { return os.MkdirTemp("", ownProgram+"-") }
 
 // awaitReady waits until the cluster serves, and gives it its access policy.
-func (f *clusterFlags) awaitReady(ctx context.Context, cluster *lab.Cluster) error {
+func (f *clusterFlags) awaitReady(ctx context.Context, cluster *devcluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := cluster.AwaitReady(ctx); err != nil {
--- a/cmd/micaspindle-devcluster/demo.go
+++ b/cmd/micaspindle-devcluster/demo.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"micaspindle/internal/lab"
+	"micaspindle/internal/devcluster"
 )
 
 // demoCmd runs jobs on a cluster whose leader is killed.
@@ -33,7 +33,7 @@
 	}
 	defer stop()
 	report(fmt.Sprintf("%d controllers are ready", d.Controllers))
-	users, err := cluster.Client(lab.Administrator)
+	users, err := cluster.Client(devcluster.Administrator)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 }
 
 // printDemo shows the jobs in a table, then the waits.
-func printDemo(result *lab.DemoResult, took time.Duration) error {
+func printDemo(result *devcluster.DemoResult, took time.Duration) error {
 	fmt.Println()
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "JOB\tCLASS\tURGENCY\tTASKS\tAFTER\tSTATE\tACCEPTED IN\tCOMPLETED IN")
--- a/cmd/micaspindle-devcluster/measure.go
+++ b/cmd/micaspindle-devcluster/measure.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"micaspindle/internal/lab"
+	"micaspindle/internal/devcluster"
 )
 
 // measureCmd compares a cluster with authentication and audit to one without.
@@ -30,7 +30,7 @@
 	if m.Rounds < 1 || m.For < time.Second {
 		return usageError{errors.New("--rounds must be at least 1 and --for at least 1s")}
 	}
-	binary, err := lab.FindBinary(m.Binary, controllerProgram)
+	binary, err := devcluster.FindBinary(m.Binary, controllerProgram)
 	if err != nil {
 		return usageError{err}
 	}
@@ -39,7 +39,7 @@
 		return err
 	}
 	defer os.RemoveAll(directory) //nolint:errcheck // a temporary directory
-	measurement := lab.Measurement{Binary: binary, Against: m.Against, Dir: directory, For: m.For, Rounds: m.Rounds}
+	measurement := devcluster.Measurement{Binary: binary, Against: m.Against, Dir: directory, For: m.For, Rounds: m.Rounds}
 	figures, err := measureAll(ctx, &measurement)
 	if err != nil {
 		return err
@@ -52,13 +52,13 @@
 
 // measureAll runs every part of the measurement, that of the program's footprint only if there
 // is another version to compare with.
-func measureAll(ctx context.Context, measurement *lab.Measurement) ([]lab.Figure, error) {
-	parts := []func(context.Context, func(string)) ([]lab.Figure, error){measurement.Throughput, measurement.Flood}
+func measureAll(ctx context.Context, measurement *devcluster.Measurement) ([]devcluster.Figure, error) {
+	parts := []func(context.Context, func(string)) ([]devcluster.Figure, error){measurement.Throughput, measurement.Flood}
 	if measurement.Against != "" {
 		parts = append(parts, measurement.Footprint)
 	}
 	report := progress()
-	var all []lab.Figure
+	var all []devcluster.Figure
 	for _, part := range parts {
 		figures, err := part(ctx, report)
 		if err != nil {
@@ -70,7 +70,7 @@
 }
 
 // printFigures shows one figure a row.
-func printFigures(figures []lab.Figure) error {
+func printFigures(figures []devcluster.Figure) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEASURE\tBEFORE\tAFTER\tUNIT\tRATIO\tTARGET")
 	for _, f := range figures {
--- a/cmd/micaspindle-devcluster/up.go
+++ b/cmd/micaspindle-devcluster/up.go
@@ -8,7 +8,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"micaspindle/internal/lab"
+	"micaspindle/internal/devcluster"
 )
 
 // upCmd runs a cluster until it is interrupted.
@@ -44,7 +44,7 @@
 }
 
 // printProcesses shows the addresses, process ids and logs of controllers and front ends.
-func printProcesses(cluster *lab.Cluster) error {
+func printProcesses(cluster *devcluster.Cluster) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTROLLER\tADDRESS\tPROCESS\tLOG")
 	for _, n := range cluster.Nodes() {
@@ -71,7 +71,7 @@
 }
 
 // printClientHints prints commands to try, ready to copy.
-func printClientHints(cluster *lab.Cluster, client string) {
+func printClientHints(cluster *devcluster.Cluster, client string) {
 	var operations []string
 	for _, n := range cluster.Nodes() {
 		operations = append(operations, n.Operations)
@@ -79,7 +79,7 @@
 	credentials := ""
 	if h := cluster.Hosted(); h != nil {
 		credentials = fmt.Sprintf("  export SPINDLE_ROOTS=%s\n  export SPINDLE_TOKEN_FILE=%s  # or of %s\n  %s whoami\n  %s policy show\n  %s audit list\n",
-			h.Roots, h.TokenFile(lab.Administrator), strings.Join(h.Others(), ", "), client, client, client)
+			h.Roots, h.TokenFile(devcluster.Administrator), strings.Join(h.Others(), ", "), client, client, client)
 	}
 	fmt.Printf(`
 Teams: placements-desk, payments, venues. To try, in another terminal:
@@ -94,7 +94,7 @@
 }
 
 // reportExits reports processes that exit by themselves, until ctx ends.
-func reportExits(ctx context.Context, cluster *lab.Cluster) {
+func reportExits(ctx context.Context, cluster *devcluster.Cluster) {
 	exited := make(chan string, len(cluster.Nodes())+len(cluster.Gates()))
 	for _, g := range cluster.Gates() {
 		go func() {
@@ -121,12 +121,12 @@
 }
 
 // buildHints are the flags for a build tool and a command to try, ready to copy.
-func buildHints(self string, addresses []string, h *lab.Hosted) string {
+func buildHints(self string, addresses []string, h *devcluster.Hosted) string {
 	scheme, toolFlags, ownFlags := "grpc", "", ""
 	if h != nil {
 		scheme = "grpcs"
-		toolFlags = fmt.Sprintf(" --tls_certificate=%s --remote_header=\"authorization=Bearer $(cat %s)\"", h.Roots, h.TokenFile(lab.Builder))
-		ownFlags = fmt.Sprintf(" --roots %s --token-file %s", h.Roots, h.TokenFile(lab.Builder))
+		toolFlags = fmt.Sprintf(" --tls_certificate=%s --remote_header=\"authorization=Bearer $(cat %s)\"", h.Roots, h.TokenFile(devcluster.Builder))
+		ownFlags = fmt.Sprintf(" --roots %s --token-file %s", h.Roots, h.TokenFile(devcluster.Builder))
 	}
 	return fmt.Sprintf(`Instances: "" is venues', "refunds" payments', "placements" placements-desk's. Flags for a build tool:
   --remote_executor=%s://%s --remote_instance_name=refunds%s
--- a/cmd/micaspindle-reapi/authentication.go
+++ b/cmd/micaspindle-reapi/authentication.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/peer"
 
 	"micaspindle/internal/client"
-	"micaspindle/internal/gate"
 	"micaspindle/internal/identity"
+	"micaspindle/internal/reapi"
 )
 
 // protocolHTTP2 is what gRPC negotiates in the TLS handshake.
@@ -23,7 +23,7 @@
 // authentication says who callers are, what they may do, and how this front end proves itself
 // to controllers and other front ends.
 type authentication struct {
-	access          gate.Access
+	access          reapi.Access
 	controllers     *client.Client
 	serverOptions   []grpc.ServerOption
 	peerCredentials func(name string) credentials.TransportCredentials
@@ -33,7 +33,7 @@
 }
 
 // apply tells the service how callers are recognized.
-func (a *authentication) apply(config *gate.Config) {
+func (a *authentication) apply(config *reapi.Config) {
 	config.IsPeer, config.IsWorker, config.Certified = a.isPeer, a.isWorker, a.certified
 }
 
@@ -48,7 +48,7 @@
 	}
 	go keys.Watch(ctx, log)
 	controllers := client.New(s.Controllers, keys.Client(isController), "")
-	access, err := gate.NewAsker(controllers, s.Class)
+	access, err := reapi.NewAsker(controllers, s.Class)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 func unauthenticated(s *settings) *authentication {
 	believe := func(context.Context) bool { return true }
 	a := &authentication{
-		access:          gate.Open{},
+		access:          reapi.Open{},
 		controllers:     client.New(s.Controllers, nil, ""),
 		peerCredentials: func(string) credentials.TransportCredentials { return insecure.NewCredentials() },
 		isWorker:        believe,
--- a/cmd/micaspindle-reapi/serve.go
+++ b/cmd/micaspindle-reapi/serve.go
@@ -10,8 +10,8 @@
 
 	"google.golang.org/grpc"
 
-	"micaspindle/internal/content"
-	"micaspindle/internal/gate"
+	"micaspindle/internal/blobstore"
+	"micaspindle/internal/reapi"
 )
 
 // drainTimeout is how long calls in progress may take to complete after a signal.
@@ -24,7 +24,7 @@
 		return err
 	}
 	defer store.Close() //nolint:errcheck // the process ends
-	results, err := content.OpenResults(filepath.Join(s.Store.Dir, "results"), s.Store.Results)
+	results, err := blobstore.OpenResults(filepath.Join(s.Store.Dir, "results"), s.Store.Results)
 	if err != nil {
 		return usageError{err}
 	}
@@ -46,9 +46,9 @@
 	if err != nil {
 		return err
 	}
-	service := gate.New(*config, store, results, auth.access, gate.NewPeers(s.Copies, peers, log), jobsOf(s, auth), log)
+	service := reapi.New(*config, store, results, auth.access, reapi.NewPeers(s.Copies, peers, log), jobsOf(s, auth), log)
 	server := service.Server(auth.serverOptions...)
-	go service.Sweep(ctx, gate.DefaultLinger)
+	go service.Sweep(ctx, reapi.DefaultLinger)
 	repairer, err := service.Repair(s.repair(), filepath.Join(s.Store.Dir, "repair.json"), log)
 	if err != nil {
 		return usageError{err}
@@ -65,14 +65,14 @@
 }
 
 // openStore opens the content-addressed store, which is divided into quotas of teams.
-func openStore(s *settings, log *slog.Logger) (*content.Store, error) {
-	options := content.Options{
+func openStore(s *settings, log *slog.Logger) (*blobstore.Store, error) {
+	options := blobstore.Options{
 		MaxBytes: s.Store.maxBytes(),
 		MaxBlob:  s.Store.maxBlobBytes(),
 		Promise:  s.Store.Promise,
 		Quotas:   s.Shares.quotas(s.Store.maxBytes(), s.teams()),
 	}
-	store, found, err := content.Open(filepath.Join(s.Store.Dir, "content"), options)
+	store, found, err := blobstore.Open(filepath.Join(s.Store.Dir, "content"), options)
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -81,12 +81,12 @@
 }
 
 // serviceConfig is the configuration of the service, but for authentication.
-func serviceConfig(s *settings) (*gate.Config, error) {
+func serviceConfig(s *settings) (*reapi.Config, error) {
 	shares, err := s.Shares.open(s.teams())
 	if err != nil {
 		return nil, usageError{err}
 	}
-	return &gate.Config{
+	return &reapi.Config{
 		Instances:     s.Instances,
 		ClientResults: s.ClientResults,
 		Class:         s.Class,
@@ -100,11 +100,11 @@
 }
 
 // jobsOf is where actions are submitted as jobs; nil if they are not run.
-func jobsOf(s *settings, auth *authentication) gate.Jobs {
+func jobsOf(s *settings, auth *authentication) reapi.Jobs {
 	if !s.Execute {
 		return nil
 	}
-	return gate.Controllers{Client: auth.controllers}
+	return reapi.Controllers{Client: auth.controllers}
 }
 
 // dialPeers opens connections to the other front ends, and returns what closes them.
@@ -116,7 +116,7 @@
 		}
 	}
 	for address, name := range s.Peers {
-		conn, err := gate.DialPeer(address, auth.peerCredentials(name))
+		conn, err := reapi.DialPeer(address, auth.peerCredentials(name))
 		if err != nil {
 			return conns, closeAll, fmt.Errorf("peer %s: %w", address, err)
 		}
--- a/cmd/micaspindle-reapi/sharing.go
+++ b/cmd/micaspindle-reapi/sharing.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"micaspindle/internal/admission"
-	"micaspindle/internal/gate"
+	"micaspindle/internal/reapi"
 )
 
 // sharingSettings are the resources that teams share by weight.
@@ -111,12 +111,12 @@
 }
 
 // open creates the queues and quotas of the shared resources.
-func (s *sharingSettings) open(teams []string) (gate.Shares, error) {
+func (s *sharingSettings) open(teams []string) (reapi.Shares, error) {
 	waiting, err := admission.NewLedger(float64(s.Actions), float64(s.ActionsClient), teams, s.Weights)
 	if err != nil {
-		return gate.Shares{}, err
+		return reapi.Shares{}, err
 	}
-	out := gate.Shares{Waiting: waiting, Ahead: admission.Ahead{Least: s.Ahead, For: s.AheadFor}}
+	out := reapi.Shares{Waiting: waiting, Ahead: admission.Ahead{Least: s.Ahead, For: s.AheadFor}}
 	if s.Calls > 0 {
 		out.Calls = admission.New(s.limits(s.Calls, 0))
 	}
--- a/cmd/micaspindle-regress/fault_search.go
+++ b/cmd/micaspindle-regress/fault_search.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"micaspindle/internal/regress"
-	"micaspindle/internal/regress/night"
+	"micaspindle/internal/regress/scenario"
 )
 
 // faultSearchCmd plays scenarios of coinciding faults, then has the benchmark search for
@@ -21,7 +21,7 @@
 
 // Help shows examples.
 func (faultSearchCmd) Help() string {
-	return `Plays the scenarios of internal/regress/night/meetings, in which two faults coincide, with the
+	return `Plays the scenarios of internal/regress/scenario/meetings, in which two faults coincide, with the
 machines of the site files and with half as many again, then has the benchmark search each site at
 random. It fails on violated rules, failed scenarios, processes that exited by themselves, and if
 less than half of a class, a team or a class's largest jobs are served.
@@ -42,7 +42,7 @@
 	if f.SearchDays < 0 || len(f.Sizes) == 0 || slices.Min(f.Sizes) < minSize || slices.Max(f.Sizes) > maxSize {
 		return usageError{errors.New("--search-days must not be below 0, --sizes lie between 0.1 and 4")}
 	}
-	scenarios, err := f.pick(night.Meetings())
+	scenarios, err := f.pick(scenario.Meetings())
 	if err != nil {
 		return err
 	}
@@ -58,8 +58,8 @@
 }
 
 // atSizes are the scenarios at each of the fleet sizes.
-func atSizes(scenarios []night.Day, sizes []float64) []night.Day {
-	var all []night.Day
+func atSizes(scenarios []scenario.Day, sizes []float64) []scenario.Day {
+	var all []scenario.Day
 	for _, scenario := range scenarios {
 		for _, size := range sizes {
 			sized := scenario
--- a/cmd/micaspindlectl/action.go
+++ b/cmd/micaspindlectl/action.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"micaspindle/internal/gate/inspection"
+	"micaspindle/internal/reapi/inspection"
 )
 
 // actionCmd shows the state of one build action.
--- a/cmd/micaspindlectl/cache.go
+++ b/cmd/micaspindlectl/cache.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/grpc/status"
 
-	"micaspindle/internal/gate/inspection"
+	"micaspindle/internal/reapi/inspection"
 )
 
 // cacheCmd shows what front ends hold in their caches.
--- a/internal/content/content.go
+++ b/internal/blobstore/content.go
@@ -1,7 +1,7 @@
-// Package content keeps blobs on disk under their digests, bounded, for several
+// Package blobstore keeps blobs on disk under their digests, bounded, for several
 // spaces that do not see each other. A blob is there whole or not at all; what
 // was promised or is in use is never evicted. It knows no protocol.
-package content
+package blobstore
 
 import (
 	"container/list"
--- a/internal/content/digest.go
+++ b/internal/blobstore/digest.go
@@ -1,4 +1,4 @@
-package content
+package blobstore
 
 import (
 	"crypto/sha256"
--- a/internal/lab/lab.go
+++ b/internal/devcluster/devcluster.go
@@ -1,8 +1,8 @@
-// Package lab runs a cluster on loopback: the models of state service, cloud
+// Package devcluster runs a cluster on loopback: the models of state service, cloud
 // and workers as small HTTP servers, and real controller processes beside them.
 // Nothing of it listens anywhere but on 127.0.0.1, and all of it ends with its
 // context.
-package lab
+package devcluster
 
 import (
 	"bytes"
@@ -30,13 +30,13 @@
 	"golang.org/x/time/rate"
 	"google.golang.org/grpc"
 
-	"micaspindle/internal/gate"
+	"micaspindle/internal/fake/agent"
+	"micaspindle/internal/fake/cloud"
+	"micaspindle/internal/fake/runner"
+	"micaspindle/internal/fake/state"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/reapi"
 	"micaspindle/internal/settings"
-	"micaspindle/internal/standin/cloud"
-	"micaspindle/internal/standin/runner"
-	"micaspindle/internal/standin/state"
-	"micaspindle/internal/standin/worker"
 	"micaspindle/internal/storage"
 	"micaspindle/internal/transport"
 )
@@ -75,7 +75,7 @@
 	rng     *rand.Rand
 	state   *state.Service
 	cloud   *cloud.Service
-	workers map[string]*worker.Worker
+	workers map[string]*agent.Agent
 	results map[string]bool // tasks with a result
 	nodes   []*Node
 	gates   []*Gate
@@ -107,7 +107,7 @@
 
 // Start starts a cluster that lives until Stop is called or ctx ends.
 func Start(ctx context.Context, opt Options) (*Cluster, error) {
-	c := &Cluster{opt: opt, rng: rand.New(rand.NewPCG(1, 2)), workers: map[string]*worker.Worker{}, results: map[string]bool{}, given: map[string]int{}}
+	c := &Cluster{opt: opt, rng: rand.New(rand.NewPCG(1, 2)), workers: map[string]*agent.Agent{}, results: map[string]bool{}, given: map[string]int{}}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.reports = &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{TLSClientConfig: opt.Hosted.reports(), MaxIdleConnsPerHost: 64}}
 	c.state, c.cloud = state.New(&c.mu), cloud.New(&c.mu)
@@ -370,7 +370,7 @@
 }
 
 // Workers lets a test look at the machines' workers.
-func (c *Cluster) Workers(f func(map[string]*worker.Worker)) {
+func (c *Cluster) Workers(f func(map[string]*agent.Agent)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.workers)
@@ -501,7 +501,7 @@
 }
 
 func (c *Cluster) runMachine(name string, m *cloud.Machine, home int) {
-	w := worker.New(&c.mu, c, c)
+	w := agent.New(&c.mu, c, c)
 	addr, err := c.serve(c.opt.Hosted.machines(), func(_ context.Context, r *http.Request, body []byte) *transport.Response {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -519,7 +519,7 @@
 	}
 	w.Send = c.report
 	if c.opt.Gate != nil {
-		w.Exec = func(t *worker.Task) func() { return c.execute(w, t) }
+		w.Exec = func(t *agent.Task) func() { return c.execute(w, t) }
 	}
 	m.Addr, m.Up = addr, true
 	c.workers[name] = w
@@ -581,10 +581,10 @@
 
 // execute runs a task that is a build action; other tasks only take time. It is
 // called with the lock held.
-func (c *Cluster) execute(w *worker.Worker, t *worker.Task) func() {
+func (c *Cluster) execute(w *agent.Agent, t *agent.Task) func() {
 	it := c.state.Items[storage.JobKey(t.Job)]
 	var spec protocol.JobSpec
-	if storage.Decode(it.Value, &spec) != nil || !strings.HasPrefix(spec.Image, gate.ImagePrefix) || c.results[t.Name] {
+	if storage.Decode(it.Value, &spec) != nil || !strings.HasPrefix(spec.Image, reapi.ImagePrefix) || c.results[t.Name] {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -608,16 +608,16 @@
 func (c *Cluster) Fails(string, int, string) bool { return false }
 
 // Obeying sees a start.
-func (c *Cluster) Obeying(*worker.Worker, protocol.Command) {}
+func (c *Cluster) Obeying(*agent.Agent, protocol.Command) {}
 
 // Started sees a task begin.
-func (c *Cluster) Started(*worker.Worker, *worker.Task) {}
+func (c *Cluster) Started(*agent.Agent, *agent.Task) {}
 
 // Running sees a task run.
-func (c *Cluster) Running(*worker.Worker, *worker.Task, time.Time) {}
+func (c *Cluster) Running(*agent.Agent, *agent.Task, time.Time) {}
 
 // Ended keeps a task's result.
-func (c *Cluster) Ended(_ *worker.Worker, t *worker.Task) {
+func (c *Cluster) Ended(_ *agent.Agent, t *agent.Task) {
 	if t.Cause == protocol.CauseDone {
 		c.results[t.Name] = true
 	}
--- a/internal/lab/hosted.go
+++ b/internal/devcluster/hosted.go
@@ -1,4 +1,4 @@
-package lab
+package devcluster
 
 import (
 	"context"
--- a/internal/gate/access.go
+++ b/internal/reapi/access.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 const vouching = "certificate "
 
 // credential is the client's token, as it came, or else what its certificate says.
-func (g *Gate) credential(ctx context.Context) string {
+func (g *FrontEnd) credential(ctx context.Context) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	switch v := md.Get("authorization"); {
 	case len(v) == 1 && !strings.HasPrefix(v[0], vouching):
--- a/internal/gate/admit.go
+++ b/internal/reapi/admit.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -46,7 +46,7 @@
 }
 
 // visits gives a unary call its visit.
-func (g *Gate) visits(ctx context.Context, req any) (context.Context, *visit) {
+func (g *FrontEnd) visits(ctx context.Context, req any) (context.Context, *visit) {
 	v := &visit{queue: g.config.Shares.Calls, cost: 1}
 	if m, ok := req.(proto.Message); ok {
 		v.cost += float64(proto.Size(m)) / callCost
@@ -56,7 +56,7 @@
 
 // visitStream gives a stream its visit. An execution counts as a small call for as
 // long as it is looked at, and takes no place while it is waited for.
-func (g *Gate) visitStream(ss grpc.ServerStream, method string) (grpc.ServerStream, *visit) {
+func (g *FrontEnd) visitStream(ss grpc.ServerStream, method string) (grpc.ServerStream, *visit) {
 	v := &visit{queue: g.config.Shares.Transfers, cost: 1}
 	if strings.HasPrefix(method, "/build.bazel.remote.execution.v2.Execution/") {
 		v.queue = g.config.Shares.Calls
@@ -73,7 +73,7 @@
 func (s *visitedStream) Context() context.Context { return s.ctx }
 
 // enter takes a place for a call that may be made.
-func (g *Gate) enter(ctx context.Context, team, who string) error {
+func (g *FrontEnd) enter(ctx context.Context, team, who string) error {
 	v := visitOf(ctx)
 	if v == nil || v.team != "" {
 		return nil
@@ -127,7 +127,7 @@
 
 // pace waits for a transfer's share of the rate. Calls between gates and of
 // machines are not paced: the client's own was, and machines work for all teams.
-func (g *Gate) pace(ctx context.Context, bytes int) error {
+func (g *FrontEnd) pace(ctx context.Context, bytes int) error {
 	v := visitOf(ctx)
 	if g.config.Shares.Bytes == nil || v == nil || v.team == "" || bytes == 0 {
 		return nil
--- a/internal/gate/ahead.go
+++ b/internal/reapi/ahead.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"time"
@@ -30,7 +30,7 @@
 }
 
 // ready queues a lot whose time to gather is over, with the lock held.
-func (g *Gate) ready(l *lot) {
+func (g *FrontEnd) ready(l *lot) {
 	if l.queued {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // pump submits what may go of a line, with the lock held.
-func (g *Gate) pump(k line, now time.Time) {
+func (g *FrontEnd) pump(k line, now time.Time) {
 	q := g.gather.queues[k]
 	if q == nil || len(q.ready) == 0 {
 		return
@@ -87,7 +87,7 @@
 }
 
 // handOn notes the job of a lot that is about to be submitted, with the lock held.
-func (g *Gate) handOn(job string, l *lot) {
+func (g *FrontEnd) handOn(job string, l *lot) {
 	delete(g.gather.leaving, l)
 	if g.gather.handed[job] == nil {
 		g.gather.handed[job] = &handed{line: l.line(), client: l.client(), tasks: len(l.tasks), left: len(l.tasks)}
@@ -95,7 +95,7 @@
 }
 
 // served notes a result of a job, with the lock held.
-func (g *Gate) served(job string, now time.Time) {
+func (g *FrontEnd) served(job string, now time.Time) {
 	h := g.gather.handed[job]
 	if h == nil {
 		return
@@ -111,7 +111,7 @@
 }
 
 // stands notes what the controllers say of a job, with the lock held.
-func (g *Gate) stands(job string, st protocol.JobStatus) {
+func (g *FrontEnd) stands(job string, st protocol.JobStatus) {
 	h := g.gather.handed[job]
 	if h == nil {
 		return
@@ -124,7 +124,7 @@
 }
 
 // notHanded takes a job back that is not in the cluster, with the lock held.
-func (g *Gate) notHanded(job string) {
+func (g *FrontEnd) notHanded(job string) {
 	if h := g.gather.handed[job]; h != nil {
 		delete(g.gather.handed, job)
 		g.pump(h.line, time.Now())
@@ -133,7 +133,7 @@
 
 // quit takes a task out that nobody waits for, unless it is in a job or about to
 // be; with the lock held.
-func (g *Gate) quit(t *task) bool {
+func (g *FrontEnd) quit(t *task) bool {
 	l := t.lot
 	if l == nil || l.gone {
 		return false
--- a/internal/gate/execute.go
+++ b/internal/reapi/execute.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -24,8 +24,8 @@
 	"google.golang.org/protobuf/types/known/timestamppb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
+	"micaspindle/internal/blobstore"
 	"micaspindle/internal/client"
-	"micaspindle/internal/content"
 	"micaspindle/internal/protocol"
 )
 
@@ -58,7 +58,7 @@
 // ends, by this gate's own rights.
 // The credential that has ended is not shown again: each time would be a refusal on
 // record.
-func (g *Gate) persist(cred *string, who string, f func(cred string) error) error {
+func (g *FrontEnd) persist(cred *string, who string, f func(cred string) error) error {
 	err := f(*cred)
 	var r *client.Refusal
 	if who != "" && *cred != vouching+who && errors.As(err, &r) && (r.Status == 401 || r.Status == 403) {
@@ -116,7 +116,7 @@
 }
 
 // PreconditionFailure says which blobs are missing, as the API wants it told.
-func missingBlobs(missing []content.Digest) error {
+func missingBlobs(missing []blobstore.Digest) error {
 	st := status.New(codes.FailedPrecondition, fmt.Sprintf("%d blobs are missing, %s first", len(missing), missing[0]))
 	pf := &errdetails.PreconditionFailure{}
 	for _, d := range missing {
@@ -130,15 +130,15 @@
 
 // load reads an action with its command and sees that all of its inputs are
 // somewhere, promised, and stay inside their root.
-func (g *Gate) load(ctx context.Context, instance, space string, d content.Digest) (*repb.Action, *repb.Command, error) {
+func (g *FrontEnd) load(ctx context.Context, instance, space string, d blobstore.Digest) (*repb.Action, *repb.Command, error) {
 	if err := d.Check(); err != nil {
 		return nil, nil, failure(err)
 	}
 	function := d.Function
-	get := func(d content.Digest, m proto.Message) error {
-		raw, err := g.read(ctx, instance, content.Key{Space: space, Digest: d}, maxTreeNode)
-		if errors.Is(err, content.ErrNotFound) {
-			return missingBlobs([]content.Digest{d})
+	get := func(d blobstore.Digest, m proto.Message) error {
+		raw, err := g.read(ctx, instance, blobstore.Key{Space: space, Digest: d}, maxTreeNode)
+		if errors.Is(err, blobstore.ErrNotFound) {
+			return missingBlobs([]blobstore.Digest{d})
 		}
 		if err != nil {
 			return failure(err)
@@ -158,8 +158,8 @@
 	if err := checkCommand(command); err != nil {
 		return nil, nil, err
 	}
-	var files, missing []content.Digest
-	if err := g.walk(ctx, instance, space, digestIn(function, action.GetInputRootDigest()), func(_ content.Digest, dir *repb.Directory) error {
+	var files, missing []blobstore.Digest
+	if err := g.walk(ctx, instance, space, digestIn(function, action.GetInputRootDigest()), func(_ blobstore.Digest, dir *repb.Directory) error {
 		for _, f := range dir.GetFiles() {
 			files = append(files, digestIn(function, f.GetDigest()))
 		}
@@ -167,7 +167,7 @@
 			return status.Errorf(codes.InvalidArgument, "the input root has more than %d files", maxDigests)
 		}
 		return checkDirectory(dir)
-	}, func(lost content.Digest) { missing = append(missing, lost) }); err != nil {
+	}, func(lost blobstore.Digest) { missing = append(missing, lost) }); err != nil {
 		return nil, nil, failure(err)
 	}
 	missing = append(missing, g.missing(ctx, instance, space, files)...)
@@ -194,12 +194,12 @@
 		}
 	}
 	for _, f := range d.GetFiles() {
-		if err := errors.Join(name(f.GetName()), digestIn(content.SHA256, f.GetDigest()).Check()); err != nil {
+		if err := errors.Join(name(f.GetName()), digestIn(blobstore.SHA256, f.GetDigest()).Check()); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
 	for _, s := range d.GetDirectories() {
-		if err := errors.Join(name(s.GetName()), digestIn(content.SHA256, s.GetDigest()).Check()); err != nil {
+		if err := errors.Join(name(s.GetName()), digestIn(blobstore.SHA256, s.GetDigest()).Check()); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
@@ -227,7 +227,7 @@
 }
 
 // Execute runs an action, or tells its result if that is known.
-func (g *Gate) Execute(req *repb.ExecuteRequest, out repb.Execution_ExecuteServer) error {
+func (g *FrontEnd) Execute(req *repb.ExecuteRequest, out repb.Execution_ExecuteServer) error {
 	ctx := out.Context()
 	if g.jobs == nil {
 		return status.Error(codes.Unimplemented, "this gate runs nothing")
@@ -300,7 +300,7 @@
 
 // enlist finds the task of an execution that is under way, here or at another
 // gate, or makes one that gathers with others.
-func (g *Gate) enlist(ctx context.Context, instance, space, cred string, n needs, e ManifestEntry) (*task, error) {
+func (g *FrontEnd) enlist(ctx context.Context, instance, space, cred string, n needs, e ManifestEntry) (*task, error) {
 	key := space + "/" + e.Execution
 	g.gather.mu.Lock()
 	t := g.gather.running[key]
@@ -357,7 +357,7 @@
 }
 
 // adopt follows a task that was begun elsewhere.
-func (g *Gate) adopt(key, instance, space string, e ManifestEntry, s *started) *task {
+func (g *FrontEnd) adopt(key, instance, space string, e ManifestEntry, s *started) *task {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	if t := g.gather.running[key]; t != nil {
@@ -372,7 +372,7 @@
 // dispatch makes a job of a lot and submits it. The manifest, and what became of
 // each action, are written before: a gate that ends in between leaves a job that
 // nobody has submitted, which the next try submits under the same id.
-func (g *Gate) dispatch(l *lot) {
+func (g *FrontEnd) dispatch(l *lot) {
 	tasks := l.tasks // nothing changes a lot that is gone
 	ctx, cancel := context.WithTimeout(context.Background(), callTime)
 	defer cancel()
@@ -412,14 +412,14 @@
 
 // submitLot submits a lot's job and says whether that has ended already, without the
 // results that are wanted of it. again tells it from earlier jobs of the same actions.
-func (g *Gate) submitLot(ctx context.Context, l *lot, again string) (id string, over bool, err error) {
+func (g *FrontEnd) submitLot(ctx context.Context, l *lot, again string) (id string, over bool, err error) {
 	lk, tasks, cred := l.key, l.tasks, l.cred
 	m := Manifest{Instance: lk.instance, Again: again}
 	for _, t := range tasks {
 		m.Tasks = append(m.Tasks, t.entry)
 	}
 	raw := m.Encode()
-	k := content.Key{Space: tasks[0].space, Digest: content.Of(raw)}
+	k := blobstore.Key{Space: tasks[0].space, Digest: blobstore.Of(raw)}
 	id = jobID(k.Digest)
 	g.gather.mu.Lock()
 	g.handOn(id, l)
@@ -427,7 +427,7 @@
 	if err := g.store.Put(k, raw); err != nil {
 		return id, false, err
 	}
-	g.spread(ctx, lk.instance, k.Space, []content.Digest{k.Digest})
+	g.spread(ctx, lk.instance, k.Space, []blobstore.Digest{k.Digest})
 	for i, t := range tasks {
 		if err := g.noteStarted(ctx, t, started{id, i, t.queued.UnixMilli()}); err != nil {
 			return id, false, err
@@ -442,7 +442,7 @@
 		return id, false, err
 	}
 	return id, st.Status == protocol.StatusWithdrawn || slices.ContainsFunc(tasks, func(t *task) bool {
-		return g.anywhere(ctx, lk.instance, k.Space, content.Digest{Hash: t.entry.Execution}) == nil
+		return g.anywhere(ctx, lk.instance, k.Space, blobstore.Digest{Hash: t.entry.Execution}) == nil
 	}), nil
 }
 
@@ -466,7 +466,7 @@
 }
 
 // noteStarted writes down which task an execution became.
-func (g *Gate) noteStarted(ctx context.Context, t *task, s started) error {
+func (g *FrontEnd) noteStarted(ctx context.Context, t *task, s started) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -489,7 +489,7 @@
 }
 
 // startedBefore reads which task an execution became, here or at another gate.
-func (g *Gate) startedBefore(ctx context.Context, instance, space, execution string) *started {
+func (g *FrontEnd) startedBefore(ctx context.Context, instance, space, execution string) *started {
 	key := startedKey(execution)
 	r := g.anywhere(ctx, instance, space, key)
 	for _, a := range r.GetExecutionMetadata().GetAuxiliaryMetadata() {
@@ -504,7 +504,7 @@
 
 // anywhere reads a record of this gate or, if it has none, of another; nil: none
 // is found.
-func (g *Gate) anywhere(ctx context.Context, instance, space string, key content.Digest) *repb.ActionResult {
+func (g *FrontEnd) anywhere(ctx context.Context, instance, space string, key blobstore.Digest) *repb.ActionResult {
 	if r, err := g.stored(space, key); err == nil {
 		return r
 	}
@@ -516,7 +516,7 @@
 func (t *task) operation() string {
 	a := t.entry.Action()
 	hash := a.Hash
-	if a.Function != content.SHA256 {
+	if a.Function != blobstore.SHA256 {
 		hash = a.Function.String() + ":" + hash
 	}
 	return strings.Join([]string{"operations", t.job, fmt.Sprint(t.index), t.entry.Execution, hash, fmt.Sprint(a.Size), t.instance}, "/")
@@ -535,7 +535,7 @@
 		t.entry.Function, t.entry.Hash = function, hash
 	}
 	if _, err := fmt.Sscan(parts[2]+" "+parts[5], &t.index, &t.entry.Size); err != nil || t.entry.Action().Check() != nil ||
-		(content.Digest{Hash: t.entry.Execution}).Check() != nil || t.operation() != name {
+		(blobstore.Digest{Hash: t.entry.Execution}).Check() != nil || t.operation() != name {
 		return nil, bad
 	}
 	return t, nil
@@ -554,7 +554,7 @@
 }
 
 // WaitExecution follows an operation, whichever gate began it.
-func (g *Gate) WaitExecution(req *repb.WaitExecutionRequest, out repb.Execution_WaitExecutionServer) error {
+func (g *FrontEnd) WaitExecution(req *repb.WaitExecutionRequest, out repb.Execution_WaitExecutionServer) error {
 	ctx := out.Context()
 	if g.jobs == nil {
 		return status.Error(codes.Unimplemented, "this gate runs nothing")
@@ -575,7 +575,7 @@
 	return g.follow(ctx, out, t)
 }
 
-func staged(name string, action content.Digest, stage repb.ExecutionStage_Value, queued time.Time) *longrunningpb.Operation {
+func staged(name string, action blobstore.Digest, stage repb.ExecutionStage_Value, queued time.Time) *longrunningpb.Operation {
 	op := &longrunningpb.Operation{Name: name}
 	m := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: wire(action), DigestFunction: FunctionOnWire(action.Function)}
 	if queued.UnixMilli() > 0 {
@@ -587,7 +587,7 @@
 	return op
 }
 
-func completed(name string, action content.Digest, resp *repb.ExecuteResponse) *longrunningpb.Operation {
+func completed(name string, action blobstore.Digest, resp *repb.ExecuteResponse) *longrunningpb.Operation {
 	op := staged(name, action, repb.ExecutionStage_COMPLETED, time.Time{})
 	op.Done = true
 	if packed, err := anypb.New(resp); err == nil {
@@ -597,9 +597,9 @@
 }
 
 // Gathered says how many actions became how many jobs since the gate began.
-func (g *Gate) Gathered() (jobs, actions int64) {
+func (g *FrontEnd) Gathered() (jobs, actions int64) {
 	return g.gather.jobs.Load(), g.gather.actions.Load()
 }
 
 // Discarded counts results that came when there was one already.
-func (g *Gate) Discarded() int64 { return g.discarded.Load() }
+func (g *FrontEnd) Discarded() int64 { return g.discarded.Load() }
--- a/internal/gate/follow.go
+++ b/internal/reapi/follow.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"micaspindle/internal/blobstore"
 	"micaspindle/internal/client"
-	"micaspindle/internal/content"
-	"micaspindle/internal/gate/inspection"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/reapi/inspection"
 )
 
 // Many wait at once. So a job is asked about once for all that wait for its tasks,
@@ -40,7 +40,7 @@
 }
 
 // seek begins to look for a result.
-func (g *Gate) seek(t *task) *seeker {
+func (g *FrontEnd) seek(t *task) *seeker {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	key := t.instance + "/" + t.entry.Execution
@@ -54,7 +54,7 @@
 }
 
 // seen ends it.
-func (g *Gate) seen(s *seeker) {
+func (g *FrontEnd) seen(s *seeker) {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	key := s.instance + "/" + s.execution
@@ -65,7 +65,7 @@
 
 // lookAround asks the other gates what they have of what is waited for here. One
 // of a version that does not know the call has its followers ask it themselves.
-func (g *Gate) lookAround(ctx context.Context) {
+func (g *FrontEnd) lookAround(ctx context.Context) {
 	if g.peers == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // find wakes those who wait for executions that another gate has.
-func (g *Gate) find(instance string, executions []string) {
+func (g *FrontEnd) find(instance string, executions []string) {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	for _, e := range executions {
@@ -126,7 +126,7 @@
 	}
 	reply := &inspection.KnownReply{}
 	for _, e := range req.GetExecutions() {
-		if g.results.Has(team, content.Digest{Hash: e}) {
+		if g.results.Has(team, blobstore.Digest{Hash: e}) {
 			reply.Executions = append(reply.Executions, e)
 		}
 	}
@@ -135,7 +135,7 @@
 
 // standing says what the controllers last said of a job that is waited for. Whoever
 // finds that too old asks, with what proves who he is; a refusal is his own.
-func (g *Gate) standing(ctx context.Context, job string, cred *string, who string) (st protocol.JobStatus, known bool, err error) {
+func (g *FrontEnd) standing(ctx context.Context, job string, cred *string, who string) (st protocol.JobStatus, known bool, err error) {
 	g.gather.mu.Lock()
 	w := g.gather.wanted[job]
 	if w == nil || w.asking || time.Since(w.asked) < statusEvery {
@@ -168,7 +168,7 @@
 }
 
 // follow tells a client how its task stands until it has its result.
-func (g *Gate) follow(ctx context.Context, out operationSender, t *task) error {
+func (g *FrontEnd) follow(ctx context.Context, out operationSender, t *task) error {
 	cred, who := g.credential(ctx), ""
 	if v := visitOf(ctx); v != nil {
 		who = knownName(v.who)
@@ -184,7 +184,7 @@
 	}
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
-	key := content.Digest{Hash: t.entry.Execution}
+	key := blobstore.Digest{Hash: t.entry.Execution}
 	done := t.done
 	around := true // other gates may have it from before
 	for {
@@ -242,7 +242,7 @@
 }
 
 // forgetTask ends a task whose result was seen, or won't come.
-func (g *Gate) forgetTask(t *task) {
+func (g *FrontEnd) forgetTask(t *task) {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	if g.gather.running[t.key()] == t {
--- a/internal/gate/gate.go
+++ b/internal/reapi/frontend.go
@@ -1,8 +1,8 @@
-// Package gate is the front door for build tools: the Remote
+// Package reapi is the front door for build tools: the Remote
 // Execution API, version 2, over gRPC. It stores blobs and results for queues
 // whose rights the controllers decide; it schedules nothing, and no rule of the
 // cluster depends on it.
-package gate
+package reapi
 
 import (
 	"context"
@@ -31,8 +31,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"micaspindle/internal/admission"
-	"micaspindle/internal/content"
-	"micaspindle/internal/gate/inspection"
+	"micaspindle/internal/blobstore"
+	"micaspindle/internal/reapi/inspection"
 	"micaspindle/internal/repair"
 )
 
@@ -90,8 +90,8 @@
 	IsWorker func(ctx context.Context) bool
 }
 
-// Gate serves the API.
-type Gate struct {
+// FrontEnd serves the API.
+type FrontEnd struct {
 	repb.UnimplementedContentAddressableStorageServer
 	repb.UnimplementedActionCacheServer
 	repb.UnimplementedCapabilitiesServer
@@ -99,8 +99,8 @@
 	bytestream.UnimplementedByteStreamServer
 
 	config  Config
-	store   *content.Store
-	results *content.Results
+	store   *blobstore.Store
+	results *blobstore.Results
 	access  Access
 	log     *slog.Logger
 	uploads uploads
@@ -119,15 +119,15 @@
 
 // New makes a gate; peers are the other gates, nil: there are none. jobs are what
 // actions become, nil: nothing is run.
-func New(config Config, store *content.Store, results *content.Results, access Access, peers *Peers, jobs Jobs, log *slog.Logger) *Gate {
-	return &Gate{config: config, store: store, results: results, access: access, peers: peers, jobs: jobs, log: log, uploads: uploads{open: map[string]*partial{}},
+func New(config Config, store *blobstore.Store, results *blobstore.Results, access Access, peers *Peers, jobs Jobs, log *slog.Logger) *FrontEnd {
+	return &FrontEnd{config: config, store: store, results: results, access: access, peers: peers, jobs: jobs, log: log, uploads: uploads{open: map[string]*partial{}},
 		gather: gatherer{lots: map[lotKey]*lot{}, queues: map[line]*queue{}, leaving: map[*lot]bool{}, handed: map[string]*handed{}, seekers: map[string]*seeker{}, running: map[string]*task{}, wanted: map[string]*interest{}, leases: map[string]lease{}}}
 }
 
 func randomName() string { return rand.Text() }
 
 // Server makes the gRPC server with all services; opts carry the credentials.
-func (g *Gate) Server(opts ...grpc.ServerOption) *grpc.Server {
+func (g *FrontEnd) Server(opts ...grpc.ServerOption) *grpc.Server {
 	opts = append(opts, grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxStreams),
 		grpc.ConnectionTimeout(10*time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 20 * time.Second}),
@@ -149,7 +149,7 @@
 }
 
 // unary bounds a call's time and turns faults into errors.
-func (g *Gate) unary(ctx context.Context, req any, info *grpc.UnaryServerInfo, h grpc.UnaryHandler) (resp any, err error) {
+func (g *FrontEnd) unary(ctx context.Context, req any, info *grpc.UnaryServerInfo, h grpc.UnaryHandler) (resp any, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	ctx, v := g.visits(ctx, req)
@@ -158,14 +158,14 @@
 	return h(ctx, req)
 }
 
-func (g *Gate) stream(srv any, ss grpc.ServerStream, info *grpc.StreamServerInfo, h grpc.StreamHandler) (err error) {
+func (g *FrontEnd) stream(srv any, ss grpc.ServerStream, info *grpc.StreamServerInfo, h grpc.StreamHandler) (err error) {
 	ss, v := g.visitStream(ss, info.FullMethod)
 	defer v.over()
 	defer g.recovered(info.FullMethod, &err)
 	return h(srv, ss)
 }
 
-func (g *Gate) recovered(method string, err *error) {
+func (g *FrontEnd) recovered(method string, err *error) {
 	if r := recover(); r != nil {
 		g.log.Error("call failed", "method", method, "reason", r)
 		*err = status.Error(codes.Internal, "the call failed here; the log says why")
@@ -173,7 +173,7 @@
 }
 
 // space admits a call: the space of an instance's blobs, which is its team.
-func (g *Gate) space(ctx context.Context, instance, verb string) (string, error) {
+func (g *FrontEnd) space(ctx context.Context, instance, verb string) (string, error) {
 	team, ok := g.config.Instances[instance]
 	if !ok {
 		return "", status.Errorf(codes.InvalidArgument, "there is no instance %q", clip(instance))
@@ -196,7 +196,7 @@
 )
 
 // fromWorker says whether a call comes from a machine that runs tasks.
-func (g *Gate) fromWorker(ctx context.Context) bool {
+func (g *FrontEnd) fromWorker(ctx context.Context) bool {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return len(md.Get(WorkerMark)) > 0 && g.config.IsWorker != nil && g.config.IsWorker(ctx)
 }
@@ -211,7 +211,7 @@
 
 // failure is the status of an error of the store.
 func failure(err error) error {
-	var full *content.FullError
+	var full *blobstore.FullError
 	var busy *admission.BusyError
 	switch {
 	case err == nil:
@@ -220,9 +220,9 @@
 		return retryLater(codes.ResourceExhausted, busy.RetryAfter, "%v", busy)
 	case errors.As(err, &full):
 		return retryLater(codes.ResourceExhausted, full.RetryAfter, "%v", full)
-	case errors.Is(err, content.ErrNotFound):
+	case errors.Is(err, blobstore.ErrNotFound):
 		return status.Error(codes.NotFound, err.Error())
-	case errors.Is(err, content.ErrInvalid), errors.Is(err, content.ErrMismatch), errors.Is(err, content.ErrTooLarge):
+	case errors.Is(err, blobstore.ErrInvalid), errors.Is(err, blobstore.ErrMismatch), errors.Is(err, blobstore.ErrTooLarge):
 		return status.Error(codes.InvalidArgument, err.Error())
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		return status.FromContextError(err).Err()
@@ -243,34 +243,34 @@
 }
 
 // digestIn is a digest of the API, which says beside it what it is computed with.
-func digestIn(f content.Function, d *repb.Digest) content.Digest {
-	return content.Digest{Hash: d.GetHash(), Size: d.GetSizeBytes(), Function: f}
+func digestIn(f blobstore.Function, d *repb.Digest) blobstore.Digest {
+	return blobstore.Digest{Hash: d.GetHash(), Size: d.GetSizeBytes(), Function: f}
 }
 
-func wire(d content.Digest) *repb.Digest { return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size} }
+func wire(d blobstore.Digest) *repb.Digest { return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size} }
 
 // functionOf is a call's digest function, or refuses one that is not served. Who
 // names none means SHA-256: the length of a BLAKE3 hash is the same.
-func functionOf(f repb.DigestFunction_Value) (content.Function, error) {
+func functionOf(f repb.DigestFunction_Value) (blobstore.Function, error) {
 	switch f {
 	case repb.DigestFunction_UNKNOWN, repb.DigestFunction_SHA256:
-		return content.SHA256, nil
+		return blobstore.SHA256, nil
 	case repb.DigestFunction_BLAKE3:
-		return content.BLAKE3, nil
+		return blobstore.BLAKE3, nil
 	}
 	return 0, status.Errorf(codes.InvalidArgument, "digest function %s is not served; SHA256 and BLAKE3 are", f)
 }
 
 // FunctionOnWire is a digest function as the API names it.
-func FunctionOnWire(f content.Function) repb.DigestFunction_Value {
-	if f == content.BLAKE3 {
+func FunctionOnWire(f blobstore.Function) repb.DigestFunction_Value {
+	if f == blobstore.BLAKE3 {
 		return repb.DigestFunction_BLAKE3
 	}
 	return repb.DigestFunction_SHA256
 }
 
 // GetCapabilities says what is served.
-func (g *Gate) GetCapabilities(ctx context.Context, req *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
+func (g *FrontEnd) GetCapabilities(ctx context.Context, req *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
 	if _, ok := g.config.Instances[req.GetInstanceName()]; !ok {
 		return nil, status.Errorf(codes.InvalidArgument, "there is no instance %q", clip(req.GetInstanceName()))
 	}
@@ -295,7 +295,7 @@
 
 // Sweep drops broken writes that nobody goes on with, and withdraws jobs that
 // nobody has waited for in a while, until ctx ends.
-func (g *Gate) Sweep(ctx context.Context, linger time.Duration) {
+func (g *FrontEnd) Sweep(ctx context.Context, linger time.Duration) {
 	tick := time.NewTicker(max(100*time.Millisecond, linger/4))
 	defer tick.Stop()
 	look := time.NewTicker(lookEvery)
@@ -322,7 +322,7 @@
 // resource is a parsed name of the byte stream.
 type resource struct {
 	instance   string
-	digest     content.Digest
+	digest     blobstore.Digest
 	compressed bool
 }
 
@@ -360,10 +360,10 @@
 	default:
 		return resource{}, bad
 	}
-	function := content.SHA256
+	function := blobstore.SHA256
 	if len(rest) > 0 {
 		var named bool
-		if function, named = content.Named(rest[0]); named {
+		if function, named = blobstore.Named(rest[0]); named {
 			rest = rest[1:]
 		}
 	}
@@ -375,7 +375,7 @@
 	if _, err := fmt.Sscanf(rest[1], "%d", &size); err != nil || fmt.Sprint(size) != rest[1] {
 		return resource{}, bad
 	}
-	r.digest = content.Digest{Hash: rest[0], Size: size, Function: function}
+	r.digest = blobstore.Digest{Hash: rest[0], Size: size, Function: function}
 	if err := r.digest.Check(); err != nil {
 		return resource{}, failure(err)
 	}
--- a/internal/gate/inspect.go
+++ b/internal/reapi/inspect.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/types/known/timestamppb"
 
 	"micaspindle/internal/admission"
+	"micaspindle/internal/blobstore"
 	"micaspindle/internal/client"
-	"micaspindle/internal/content"
-	"micaspindle/internal/gate/inspection"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/reapi/inspection"
 )
 
 // verbLook is what it takes to see how a team's builds stand.
@@ -27,7 +27,7 @@
 // inspector serves what operators and users may see.
 type inspector struct {
 	inspection.UnimplementedInspectionServer
-	g *Gate
+	g *FrontEnd
 }
 
 // GetStore says what the gate holds, of the teams that the caller may view.
@@ -101,9 +101,9 @@
 			return nil, err
 		}
 	} else {
-		d := content.Digest{Hash: req.GetHash(), Size: req.GetSizeBytes()}
+		d := blobstore.Digest{Hash: req.GetHash(), Size: req.GetSizeBytes()}
 		if name, hash, _ := strings.Cut(d.Hash, ":"); hash != "" {
-			if function, known := content.Named(name); known {
+			if function, known := blobstore.Named(name); known {
 				d.Function, d.Hash = function, hash
 			}
 		}
@@ -158,7 +158,7 @@
 	default:
 		reply.JobState, reply.JobDone, reply.JobRunning = st.Status, int64(st.Done), int64(st.Running)
 	}
-	if result := g.anywhere(ctx, t.instance, t.space, content.Digest{Hash: t.entry.Execution}); result != nil {
+	if result := g.anywhere(ctx, t.instance, t.space, blobstore.Digest{Hash: t.entry.Execution}); result != nil {
 		reply.State, reply.WaitsFor, reply.Result = "done", "", resultView(result)
 		return reply, nil
 	}
--- a/internal/gate/interest.go
+++ b/internal/reapi/interest.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc/status"
 
 	"micaspindle/internal/client"
-	"micaspindle/internal/gate/inspection"
 	"micaspindle/internal/protocol"
+	"micaspindle/internal/reapi/inspection"
 )
 
 // Who waits for a job is known to the gate where they wait. So that a job ends with
@@ -49,7 +49,7 @@
 )
 
 // join notes that a client waits for a job.
-func (g *Gate) join(job, cred, who string) {
+func (g *FrontEnd) join(job, cred, who string) {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	w := g.gather.wanted[job]
@@ -63,7 +63,7 @@
 }
 
 // leave notes that a client waits no longer.
-func (g *Gate) leave(job string) {
+func (g *FrontEnd) leave(job string) {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	if w := g.gather.wanted[job]; w != nil {
@@ -74,7 +74,7 @@
 }
 
 // ended forgets a job that is over.
-func (g *Gate) ended(job string) {
+func (g *FrontEnd) ended(job string) {
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
 	if w := g.gather.wanted[job]; w != nil && w.followers == 0 {
@@ -87,7 +87,7 @@
 // neighbours serves the other gates.
 type neighbours struct {
 	inspection.UnimplementedNeighboursServer
-	g *Gate
+	g *FrontEnd
 }
 
 // Note takes leases.
@@ -126,7 +126,7 @@
 }
 
 // tellInterest renews what this gate has told the others.
-func (g *Gate) tellInterest(ctx context.Context, linger time.Duration) {
+func (g *FrontEnd) tellInterest(ctx context.Context, linger time.Duration) {
 	if g.peers == nil || g.peers.Copies < 2 {
 		return
 	}
@@ -162,7 +162,7 @@
 
 // wantedElsewhere asks the other gates for which jobs somebody waits there. One that
 // does not answer has told its interest to others, as long as it lived.
-func (g *Gate) wantedElsewhere(ctx context.Context, jobs []string) map[string]bool {
+func (g *FrontEnd) wantedElsewhere(ctx context.Context, jobs []string) map[string]bool {
 	out := map[string]bool{}
 	if g.peers == nil {
 		return out
@@ -189,7 +189,7 @@
 
 // unwanted are jobs that nobody has waited for in a while, as far as this gate
 // knows, with the credentials to end them.
-func (g *Gate) unwanted(now time.Time, linger time.Duration) map[string]interest {
+func (g *FrontEnd) unwanted(now time.Time, linger time.Duration) map[string]interest {
 	out := map[string]interest{}
 	g.gather.mu.Lock()
 	defer g.gather.mu.Unlock()
@@ -212,7 +212,7 @@
 
 // withdrawUnwanted withdraws jobs that nobody has waited for in a while; those
 // that have ended by then are only forgotten.
-func (g *Gate) withdrawUnwanted(ctx context.Context, linger time.Duration) {
+func (g *FrontEnd) withdrawUnwanted(ctx context.Context, linger time.Duration) {
 	now := time.Now()
 	list := g.unwanted(now, linger)
 	if len(list) == 0 {
--- a/internal/gate/jobs.go
+++ b/internal/reapi/jobs.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
--- a/internal/gate/peers.go
+++ b/internal/reapi/peers.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"cmp"
@@ -21,8 +21,8 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"micaspindle/internal/content"
-	"micaspindle/internal/gate/inspection"
+	"micaspindle/internal/blobstore"
+	"micaspindle/internal/reapi/inspection"
 	"micaspindle/internal/retry"
 )
 
@@ -101,7 +101,7 @@
 }
 
 // grace is how long a gate may be silent before it counts as gone.
-func (g *Gate) grace() time.Duration {
+func (g *FrontEnd) grace() time.Duration {
 	if g.config.Grace > 0 {
 		return g.config.Grace
 	}
@@ -205,14 +205,14 @@
 }
 
 // fromPeer says whether a call comes from another gate.
-func (g *Gate) fromPeer(ctx context.Context) bool {
+func (g *FrontEnd) fromPeer(ctx context.Context) bool {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return len(md.Get(peerMark)) > 0 && g.config.IsPeer != nil && g.config.IsPeer(ctx)
 }
 
 // missing says which blobs neither this gate nor another one has. Whoever has
 // one promises it.
-func (g *Gate) missing(ctx context.Context, instance, space string, digests []content.Digest) []content.Digest {
+func (g *FrontEnd) missing(ctx context.Context, instance, space string, digests []blobstore.Digest) []blobstore.Digest {
 	if g.fromPeer(ctx) {
 		if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(lookMark)) > 0 {
 			return g.store.Lacks(space, digests)
@@ -248,9 +248,9 @@
 }
 
 // open opens a blob, fetched from another gate if it is not here.
-func (g *Gate) open(ctx context.Context, instance string, k content.Key) (*content.Reader, error) {
+func (g *FrontEnd) open(ctx context.Context, instance string, k blobstore.Key) (*blobstore.Reader, error) {
 	r, err := g.store.Open(k)
-	if !errors.Is(err, content.ErrNotFound) || g.fromPeer(ctx) {
+	if !errors.Is(err, blobstore.ErrNotFound) || g.fromPeer(ctx) {
 		return r, err
 	}
 	for _, p := range g.peers.reach(k.Hash) {
@@ -258,7 +258,7 @@
 		if ferr == nil {
 			return g.store.Open(k)
 		}
-		var full *content.FullError
+		var full *blobstore.FullError
 		if errors.As(ferr, &full) {
 			return nil, ferr
 		}
@@ -270,7 +270,7 @@
 }
 
 // read reads a whole blob, fetched from another gate if it is not here.
-func (g *Gate) read(ctx context.Context, instance string, k content.Key, limit int64) ([]byte, error) {
+func (g *FrontEnd) read(ctx context.Context, instance string, k blobstore.Key, limit int64) ([]byte, error) {
 	if k.Size > limit {
 		return g.store.Read(k, limit) // says so
 	}
@@ -283,7 +283,7 @@
 }
 
 // fetch copies a blob from another gate.
-func (g *Gate) fetch(ctx context.Context, p *peerGate, instance string, k content.Key) error {
+func (g *FrontEnd) fetch(ctx context.Context, p *peerGate, instance string, k blobstore.Key) error {
 	from, err := p.bytes.Read(ctx, &bytestream.ReadRequest{ResourceName: within(instance, "blobs/"+k.Digest.String())})
 	if err != nil {
 		return err
@@ -320,7 +320,7 @@
 // spread writes blobs that are here to as many other gates as there should be
 // copies. A gate that can't be reached is passed over for the next one; if too
 // few are left, the blobs stay with fewer copies, which is counted and logged.
-func (g *Gate) spread(ctx context.Context, instance, space string, digests []content.Digest) {
+func (g *FrontEnd) spread(ctx context.Context, instance, space string, digests []blobstore.Digest) {
 	if g.peers == nil || g.peers.Copies < 2 || g.fromPeer(ctx) {
 		return
 	}
@@ -334,7 +334,7 @@
 				break
 			}
 			err := p.call(ctx, transferTime(d.Size), func(ctx context.Context) error {
-				return g.push(ctx, p, instance, content.Key{Space: space, Digest: d})
+				return g.push(ctx, p, instance, blobstore.Key{Space: space, Digest: d})
 			})
 			if err != nil {
 				g.log.Debug("blob not copied", "peer", p.addr, "reason", err)
@@ -351,7 +351,7 @@
 }
 
 // push writes a blob to another gate.
-func (g *Gate) push(ctx context.Context, p *peerGate, instance string, k content.Key) error {
+func (g *FrontEnd) push(ctx context.Context, p *peerGate, instance string, k blobstore.Key) error {
 	r, err := g.store.Open(k)
 	if err != nil {
 		return err
@@ -390,7 +390,7 @@
 }
 
 // peerResult asks the other gates for an action's result.
-func (g *Gate) peerResult(ctx context.Context, instance string, action content.Digest) *repb.ActionResult {
+func (g *FrontEnd) peerResult(ctx context.Context, instance string, action blobstore.Digest) *repb.ActionResult {
 	for _, p := range g.peers.reach(action.Hash) {
 		var result *repb.ActionResult
 		err := p.call(ctx, p.timeFor(peerTime), func(ctx context.Context) (err error) {
@@ -405,12 +405,12 @@
 }
 
 // spreadResult writes a result to as many other gates as there should be copies.
-func (g *Gate) spreadResult(ctx context.Context, instance string, action content.Digest, result *repb.ActionResult) {
+func (g *FrontEnd) spreadResult(ctx context.Context, instance string, action blobstore.Digest, result *repb.ActionResult) {
 	g.spreadRecord(ctx, instance, action, result, false)
 }
 
 // spreadRecord is spreadResult; replace says that what the others have is lost.
-func (g *Gate) spreadRecord(ctx context.Context, instance string, action content.Digest, result *repb.ActionResult, replace bool) {
+func (g *FrontEnd) spreadRecord(ctx context.Context, instance string, action blobstore.Digest, result *repb.ActionResult, replace bool) {
 	if replace {
 		ctx = metadata.AppendToOutgoingContext(ctx, replaceMark, "1")
 	}
--- a/internal/gate/plan.go
+++ b/internal/reapi/plan.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"crypto/sha256"
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"micaspindle/internal/content"
+	"micaspindle/internal/blobstore"
 	"micaspindle/internal/protocol"
 )
 
@@ -45,19 +45,19 @@
 }
 
 // entryOf is the entry of an execution of an action.
-func entryOf(execution string, action content.Digest) *ManifestEntry {
+func entryOf(execution string, action blobstore.Digest) *ManifestEntry {
 	e := &ManifestEntry{Execution: execution, Hash: action.Hash, Size: action.Size}
-	if action.Function != content.SHA256 {
+	if action.Function != blobstore.SHA256 {
 		e.Function = action.Function.String()
 	}
 	return e
 }
 
 // Action is the entry's action.
-func (e *ManifestEntry) Action() content.Digest {
-	d := content.Digest{Hash: e.Hash, Size: e.Size}
+func (e *ManifestEntry) Action() blobstore.Digest {
+	d := blobstore.Digest{Hash: e.Hash, Size: e.Size}
 	var known bool
-	if d.Function, known = content.Named(e.Function); !known && e.Function != "" {
+	if d.Function, known = blobstore.Named(e.Function); !known && e.Function != "" {
 		d.Hash = "" // of a gate that knows more functions: checked, it is none
 	}
 	return d
@@ -85,23 +85,23 @@
 }
 
 // ParseImage reads a manifest's digest and its instance from a job's image.
-func ParseImage(image string) (manifest content.Digest, instance string, ok bool) {
+func ParseImage(image string) (manifest blobstore.Digest, instance string, ok bool) {
 	rest, ok := strings.CutPrefix(image, ImagePrefix)
 	parts := strings.SplitN(rest, "/", 3)
 	if !ok || len(parts) != 3 {
-		return content.Digest{}, "", false
+		return blobstore.Digest{}, "", false
 	}
 	size, err := strconv.ParseInt(parts[1], 10, 64)
-	d := content.Digest{Hash: parts[0], Size: size}
+	d := blobstore.Digest{Hash: parts[0], Size: size}
 	return d, parts[2], err == nil && d.Check() == nil
 }
 
-func imageOf(manifest content.Digest, instance string) string {
+func imageOf(manifest blobstore.Digest, instance string) string {
 	return ImagePrefix + manifest.String() + "/" + instance
 }
 
 // jobID is the id of a manifest's job.
-func jobID(manifest content.Digest) string {
+func jobID(manifest blobstore.Digest) string {
 	raw, err := hex.DecodeString(manifest.Hash)
 	if err != nil {
 		panic(err) // a digest that was checked
@@ -112,14 +112,14 @@
 
 // executionKey is the key of an execution: the action's own, and of one that must
 // not be merged with others its salt too.
-func executionKey(action content.Digest, salt string) string {
+func executionKey(action blobstore.Digest, salt string) string {
 	sum := sha256.Sum256([]byte("execution\x00" + action.String() + "\x00" + salt))
 	return hex.EncodeToString(sum[:])
 }
 
 // startedKey is where it is noted which task an execution became.
-func startedKey(execution string) content.Digest {
-	return content.Of([]byte("started\x00" + execution))
+func startedKey(execution string) blobstore.Digest {
+	return blobstore.Of([]byte("started\x00" + execution))
 }
 
 // needs are what an action's task takes of a machine; what is equal gathers.
--- a/internal/gate/repair.go
+++ b/internal/reapi/repair.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
 	"google.golang.org/grpc/metadata"
 
-	"micaspindle/internal/content"
+	"micaspindle/internal/blobstore"
 	"micaspindle/internal/repair"
 )
 
 // Repair makes what keeps this gate's blobs whole and copied; file is where it
 // notes how far it is.
-func (g *Gate) Repair(settings repair.Settings, file string, log *slog.Logger) (*repair.Repairer, error) {
+func (g *FrontEnd) Repair(settings repair.Settings, file string, log *slog.Logger) (*repair.Repairer, error) {
 	instances := map[string]string{} // by team
 	for _, name := range slices.Sorted(maps.Keys(g.config.Instances)) {
 		if team := g.config.Instances[name]; instances[team] == "" {
@@ -32,7 +32,7 @@
 		}
 		return out
 	}
-	source := func(ctx context.Context, k content.Key) error {
+	source := func(ctx context.Context, k blobstore.Key) error {
 		r, err := g.open(ctx, instances[k.Space], k)
 		if err != nil {
 			return err
@@ -53,18 +53,18 @@
 // served are the blobs of teams that have an instance. Those of others have no
 // name here by which another gate could be asked, and would go to another team.
 type served struct {
-	*content.Store
+	*blobstore.Store
 	instances map[string]string
 }
 
 // Keys are the blobs of served teams.
-func (s served) Keys() []content.Key {
-	return slices.DeleteFunc(s.Store.Keys(), func(k content.Key) bool { _, ok := s.instances[k.Space]; return !ok })
+func (s served) Keys() []blobstore.Key {
+	return slices.DeleteFunc(s.Store.Keys(), func(k blobstore.Key) bool { _, ok := s.instances[k.Space]; return !ok })
 }
 
 // repairRecords tells results, and what executions became, to the gates that
 // should know them; the first record that a gate has stays.
-func (g *Gate) repairRecords(ctx context.Context, copies int, instances map[string]string, take func(context.Context, int64) error) (int, error) {
+func (g *FrontEnd) repairRecords(ctx context.Context, copies int, instances map[string]string, take func(context.Context, int64) error) (int, error) {
 	told := 0
 	if g.peers == nil || copies < 2 {
 		return 0, nil
@@ -92,7 +92,7 @@
 
 // otherGate is another gate as repair sees it.
 type otherGate struct {
-	g         *Gate
+	g         *FrontEnd
 	p         *peerGate
 	instances map[string]string
 }
@@ -101,8 +101,8 @@
 func (o *otherGate) Name() string { return o.p.addr }
 
 // Lacks asks it, also while others leave it alone, and promises nothing.
-func (o *otherGate) Lacks(ctx context.Context, space string, digests []content.Digest) (missing []content.Digest, err error) {
-	for _, function := range []content.Function{content.SHA256, content.BLAKE3} {
+func (o *otherGate) Lacks(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
+	for _, function := range []blobstore.Function{blobstore.SHA256, blobstore.BLAKE3} {
 		req := &repb.FindMissingBlobsRequest{InstanceName: o.instances[space], DigestFunction: FunctionOnWire(function)}
 		for _, d := range digests {
 			if d.Function == function {
@@ -126,6 +126,6 @@
 }
 
 // Push copies a blob to it.
-func (o *otherGate) Push(ctx context.Context, k content.Key) error {
+func (o *otherGate) Push(ctx context.Context, k blobstore.Key) error {
 	return o.p.call(ctx, transferTime(k.Size), func(ctx context.Context) error { return o.g.push(ctx, o.p, o.instances[k.Space], k) })
 }
--- a/internal/gate/stream.go
+++ b/internal/reapi/stream.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"micaspindle/internal/content"
+	"micaspindle/internal/blobstore"
 )
 
 // transferTime is how long a transfer of so many bytes may take.
@@ -20,7 +20,7 @@
 }
 
 // Read sends a blob, or a part of it, compressed if the name asks for it.
-func (g *Gate) Read(req *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
+func (g *FrontEnd) Read(req *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
 	r, err := parseResource(req.GetResourceName(), false)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	case r.compressed && req.GetReadLimit() != 0:
 		return status.Error(codes.InvalidArgument, "a compressed read has no limit")
 	}
-	blob, err := g.open(ctx, r.instance, content.Key{Space: space, Digest: r.digest})
+	blob, err := g.open(ctx, r.instance, blobstore.Key{Space: space, Digest: r.digest})
 	if err != nil {
 		return failure(err)
 	}
@@ -98,7 +98,7 @@
 
 // Write receives a blob. A broken write can be gone on with under the same name
 // at the offset that QueryWriteStatus tells, here or at another gate.
-func (g *Gate) Write(in bytestream.ByteStream_WriteServer) error {
+func (g *FrontEnd) Write(in bytestream.ByteStream_WriteServer) error {
 	first, err := in.Recv()
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	key := content.Key{Space: space, Digest: r.digest}
+	key := blobstore.Key{Space: space, Digest: r.digest}
 	if r.digest.IsEmpty() || g.store.Has(key) {
 		// There already: the client need not go on. The size told is that of the
 		// whole blob, or -1 where it came compressed.
@@ -147,18 +147,18 @@
 	}
 	size := p.received.Load()
 	err = p.finish(g.store)
-	var full *content.FullError
+	var full *blobstore.FullError
 	g.uploads.putBack(own, p, errors.As(err, &full))
 	if err != nil {
 		return failure(err)
 	}
-	g.spread(in.Context(), r.instance, space, []content.Digest{r.digest})
+	g.spread(in.Context(), r.instance, space, []blobstore.Digest{r.digest})
 	return in.SendAndClose(&bytestream.WriteResponse{CommittedSize: size})
 }
 
 // receive takes messages until the client finishes the write; keep says whether
 // it may be gone on with after an error.
-func (g *Gate) receive(in bytestream.ByteStream_WriteServer, msg *bytestream.WriteRequest, p *partial, r resource) (keep bool, err error) {
+func (g *FrontEnd) receive(in bytestream.ByteStream_WriteServer, msg *bytestream.WriteRequest, p *partial, r resource) (keep bool, err error) {
 	end := time.Now().Add(transferTime(r.digest.Size))
 	name := msg.GetResourceName()
 	for {
@@ -190,7 +190,7 @@
 }
 
 // QueryWriteStatus says how much of a write has come.
-func (g *Gate) QueryWriteStatus(ctx context.Context, req *bytestream.QueryWriteStatusRequest) (*bytestream.QueryWriteStatusResponse, error) {
+func (g *FrontEnd) QueryWriteStatus(ctx context.Context, req *bytestream.QueryWriteStatusRequest) (*bytestream.QueryWriteStatusResponse, error) {
 	r, err := parseResource(req.GetResourceName(), true)
 	if err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.digest.IsEmpty() || g.store.Has(content.Key{Space: space, Digest: r.digest}) {
+	if r.digest.IsEmpty() || g.store.Has(blobstore.Key{Space: space, Digest: r.digest}) {
 		return &bytestream.QueryWriteStatusResponse{CommittedSize: r.digest.Size, Complete: true}, nil
 	}
 	size := g.begun(ownName(space, req.GetResourceName()))
--- a/internal/gate/uploads.go
+++ b/internal/reapi/uploads.go
@@ -1,4 +1,4 @@
-package gate
+package reapi
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"micaspindle/internal/content"
-	"micaspindle/internal/gate/inspection"
+	"micaspindle/internal/blobstore"
+	"micaspindle/internal/reapi/inspection"
 )
 
 // A write that broke may be gone on with: at this gate, also when it was killed and
@@ -30,10 +30,10 @@
 type partial struct {
 	busy bool
 	last time.Time
-	key  content.Key
+	key  blobstore.Key
 	// One of the two takes the bytes.
-	upload *content.Upload
-	packed *content.Spool
+	upload *blobstore.Upload
+	packed *blobstore.Spool
 	// received is how many bytes have come, compressed or not.
 	received atomic.Int64
 }
@@ -104,7 +104,7 @@
 
 // begin opens an upload under its name, or goes on with what a process before this
 // one has left of it.
-func (g *Gate) begin(own string, k content.Key, compressed bool) (*partial, error) {
+func (g *FrontEnd) begin(own string, k blobstore.Key, compressed bool) (*partial, error) {
 	p := &partial{key: k}
 	var err error
 	if compressed {
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 		if k.Size > g.config.MaxBlob {
-			return nil, content.ErrTooLarge
+			return nil, blobstore.ErrTooLarge
 		}
 		if p.packed, err = g.store.Spool(own, k.Space, k.Size+k.Size/128+chunk); err == nil {
 			p.received.Store(p.packed.Size())
@@ -139,7 +139,7 @@
 
 // finish checks and commits. Without room to unpack in, the write may be finished
 // again later.
-func (p *partial) finish(store *content.Store) error {
+func (p *partial) finish(store *blobstore.Store) error {
 	if p.packed == nil {
 		return p.upload.Commit()
 	}
@@ -150,12 +150,12 @@
 	defer u.Abort()
 	dec, err := zstd.NewReader(p.packed.Reader(), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxWindow(maxWindow))
 	if err != nil {
-		return errors.Join(content.ErrMismatch, err)
+		return errors.Join(blobstore.ErrMismatch, err)
 	}
 	defer dec.Close()
 	if _, err := io.CopyBuffer(struct{ io.Writer }{u}, struct{ io.Reader }{dec}, make([]byte, chunk)); err != nil {
-		if !errors.Is(err, content.ErrMismatch) {
-			err = errors.Join(content.ErrMismatch, err)
+		if !errors.Is(err, blobstore.ErrMismatch) {
+			err = errors.Join(blobstore.ErrMismatch, err)
 		}
 		return err
 	}
@@ -166,7 +166,7 @@
 func ownName(space, resource string) string { return space + "\x00" + resource }
 
 // begun says how much of a write has come here.
-func (g *Gate) begun(own string) int64 {
+func (g *FrontEnd) begun(own string) int64 {
 	g.uploads.mu.Lock()
 	defer g.uploads.mu.Unlock()
 	if p := g.uploads.open[own]; p != nil {
@@ -180,7 +180,7 @@
 
 // begunElsewhere asks the other gates how much of a write has come there; nil:
 // nothing, at those that answer. sure says whether all did.
-func (g *Gate) begunElsewhere(ctx context.Context, instance, resource string) (at *peerGate, size int64, sure bool) {
+func (g *FrontEnd) begunElsewhere(ctx context.Context, instance, resource string) (at *peerGate, size int64, sure bool) {
 	sure = true
 	if g.peers == nil || g.fromPeer(ctx) {
 		return nil, 0, sure
@@ -208,7 +208,7 @@
 // catchUp fetches from the gate where a write was begun what has come there, up to
 // where the client goes on with it here. If no gate has that much, the write's own
 // error will say so.
-func (g *Gate) catchUp(ctx context.Context, instance, resource string, p *partial, to int64) error {
+func (g *FrontEnd) catchUp(ctx context.Context, instance, resource string, p *partial, to int64) error {
 	gone := retryLater(codes.Unavailable, time.Second, "the write was begun at a gate that does not answer now; ask how much of it has come")
 	from, size, sure := g.begunElsewhere(ctx, instance, resource)
 	if size < to {
--- a/internal/regress/night/night.go
+++ b/internal/regress/scenario/night.go
@@ -1,10 +1,10 @@
-// Package night makes the project's own hard days out of any deployment of the users'
+// Package scenario makes the project's own hard days out of any deployment of the users'
 // kit, and judges what came of them: is every class of jobs and every team served by
 // half, and did no rule break and no process end by itself.
 //
 // It owns the days, the site files that it writes for them, and the verdict, all of
 // them pure; it runs nothing and knows no site.
-package night
+package scenario
 
 import (
 	"bytes"
--- a/internal/regress/night/site.go
+++ b/internal/regress/scenario/site.go
@@ -1,4 +1,4 @@
-package night
+package scenario
 
 import (
 	"bytes"
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -20,14 +20,14 @@
 	"time"
 
 	"micaspindle/internal/admission"
-	"micaspindle/internal/content"
+	"micaspindle/internal/blobstore"
 )
 
 // Store is the gate's own blobs.
 type Store interface {
-	Keys() []content.Key
+	Keys() []blobstore.Key
 	// Verify reads a blob's bytes. One that is not what it should be is removed.
-	Verify(k content.Key) error
+	Verify(k blobstore.Key) error
 }
 
 // Gate is another gate.
@@ -35,13 +35,13 @@
 	Name() string
 	// Lacks says which blobs of a space the gate does not have; asking promises
 	// nothing.
-	Lacks(ctx context.Context, space string, digests []content.Digest) ([]content.Digest, error)
+	Lacks(ctx context.Context, space string, digests []blobstore.Digest) ([]blobstore.Digest, error)
 	// Push copies a blob of this gate to it.
-	Push(ctx context.Context, k content.Key) error
+	Push(ctx context.Context, k blobstore.Key) error
 }
 
 // Source brings back a blob that was found corrupt, from whichever gate has it.
-type Source func(ctx context.Context, k content.Key) error
+type Source func(ctx context.Context, k blobstore.Key) error
 
 // Order puts the other gates in the order in which they should hold a blob; it is
 // the same on all gates.
@@ -123,11 +123,11 @@
 	Space string `json:"space"`
 	Hash  string `json:"hash"`
 	// Function is what the digest is computed with.
-	Function content.Function `json:"function,omitempty"`
-	Size     int64            `json:"size"`
+	Function blobstore.Function `json:"function,omitempty"`
+	Size     int64              `json:"size"`
 }
 
-func compare(a, b content.Key) int {
+func compare(a, b blobstore.Key) int {
 	return cmp.Or(cmp.Compare(a.Space, b.Space), cmp.Compare(a.Hash, b.Hash), cmp.Compare(a.Size, b.Size), cmp.Compare(a.Function, b.Function))
 }
 
@@ -221,8 +221,8 @@
 }
 
 // batch reads some blobs and sees to their copies.
-func (r *Repairer) batch(ctx context.Context, keys []content.Key) error {
-	var whole []content.Key
+func (r *Repairer) batch(ctx context.Context, keys []blobstore.Key) error {
+	var whole []blobstore.Key
 	for _, k := range keys {
 		if err := r.take(ctx, k.Size); err != nil {
 			return err
@@ -232,8 +232,8 @@
 		case err == nil:
 			whole = append(whole, k)
 			r.count(func(p *Progress) { p.Read++ })
-		case errors.Is(err, content.ErrNotFound): // evicted meanwhile
-		case errors.Is(err, content.ErrMismatch):
+		case errors.Is(err, blobstore.ErrNotFound): // evicted meanwhile
+		case errors.Is(err, blobstore.ErrMismatch):
 			r.count(func(p *Progress) { p.Corrupt++ })
 			if serr := r.source(ctx, k); serr != nil {
 				r.log.Error("blob corrupt", "space", k.Space, "blob", k.Digest.String(), "brought_back", false, "reason", serr)
@@ -295,13 +295,13 @@
 }
 
 // copies sees that enough gates hold some blobs of one space.
-func (r *Repairer) copies(ctx context.Context, keys []content.Key) error {
-	digests := make([]content.Digest, len(keys))
+func (r *Repairer) copies(ctx context.Context, keys []blobstore.Key) error {
+	digests := make([]blobstore.Digest, len(keys))
 	for i, k := range keys {
 		digests[i] = k.Digest
 	}
 	// What each gate lacks; nil: it does not answer.
-	lacks := map[string]map[content.Digest]bool{}
+	lacks := map[string]map[blobstore.Digest]bool{}
 	for _, g := range r.order(keys[0].Hash) {
 		missing, err := g.Lacks(ctx, keys[0].Space, digests)
 		if ctx.Err() != nil {
@@ -314,7 +314,7 @@
 			}
 		} else {
 			delete(r.silent, g.Name())
-			set := map[content.Digest]bool{}
+			set := map[blobstore.Digest]bool{}
 			for _, d := range missing {
 				set[d] = true
 			}
@@ -379,7 +379,7 @@
 	return nil
 }
 
-func (r *Repairer) resume() (*content.Key, error) {
+func (r *Repairer) resume() (*blobstore.Key, error) {
 	raw, err := os.ReadFile(r.file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -391,7 +391,7 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return nil, fmt.Errorf("%s: %w", r.file, err)
 	}
-	return &content.Key{Space: c.Space, Digest: content.Digest{Hash: c.Hash, Size: c.Size, Function: c.Function}}, nil
+	return &blobstore.Key{Space: c.Space, Digest: blobstore.Digest{Hash: c.Hash, Size: c.Size, Function: c.Function}}, nil
 }
 
 // note keeps how far the pass is; nil: it is done. It may be lost: then a part of
