--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -66,7 +66,7 @@
 		job.Requeue(attempt.TaskIndex)
 		return
 	}
-	if !attempt.StartedAt.IsZero() && !attempt.StartUnknown() {
+	if !attempt.StartedAt.IsZero() && !attempt.StartTimeUnknown() {
 		a.recordRunTime(attempt, now.Sub(attempt.StartedAt).Seconds())
 	}
 	job.Failures = 0
@@ -197,7 +197,7 @@
 	case cluster.AttemptReserved:
 		return true
 	case cluster.AttemptCommitted:
-		return attempt.StartToken == 0 && attempt.StartsInFlight == 0 && attempt.Machine.Fenced
+		return attempt.StartToken == 0 && attempt.StartsInFlight == 0 && attempt.Machine.TokenConfirmed
 	}
 	return false
 }
--- a/internal/coordination/agents/command_delivery.go
+++ b/internal/coordination/agents/command_delivery.go
@@ -19,8 +19,8 @@
 
 // SendCommands sends what a machine's agent should do, one request at a time for each machine.
 func (a *Agents) SendCommands(machine *cluster.Machine) {
-	if machine.PendingCommands > 0 {
-		machine.CommandAgain = true
+	if machine.CommandRequestsInFlight > 0 {
+		machine.CommandsDeferred = true
 		return
 	}
 	a.sendCommandsNow(machine)
@@ -29,7 +29,7 @@
 // sendCommandsNow sends what a machine's agent should do, whatever other requests are under way.
 func (a *Agents) sendCommandsNow(machine *cluster.Machine) {
 	partition := a.Partitions[machine.Record.Partition]
-	if !partition.Ready || !machine.Fenced || machine.Lost || machine.Record.Addr == "" {
+	if !partition.Ready || !machine.TokenConfirmed || machine.Lost || machine.Record.Addr == "" {
 		return
 	}
 	now := time.Now()
@@ -38,7 +38,7 @@
 		return
 	}
 	starts := startedBy(commands, machine)
-	machine.CommandAgain = false
+	machine.CommandsDeferred = false
 	a.commandsSent(machine, now)
 	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: machine.Epoch, Commands: commands}
 	delegate := partition.Delegations.CommandRoute(machine.Shard, now)
@@ -84,7 +84,7 @@
 	if heartbeat != nil && a.leads(machine) {
 		a.ApplyHeartbeat(machine, heartbeat, time.Now())
 	}
-	if machine.CommandAgain && err == nil {
+	if machine.CommandsDeferred && err == nil {
 		a.SendCommands(machine)
 	}
 }
@@ -137,18 +137,18 @@
 // without waiting for its next heartbeat, so that no earlier leader commands it any more
 // (rule 7).
 func (a *Agents) Fence(machine *cluster.Machine) {
-	machine.Fenced = false
+	machine.TokenConfirmed = false
 	if machine.Record.Addr == "" || machine.Lost {
 		return
 	}
 	// The answer to a command that is held up is not waited for where a cancelled task
 	// depends on it.
-	if machine.PendingCommands > 0 && !a.mayRepeat(machine) {
+	if machine.CommandRequestsInFlight > 0 && !a.mayRepeat(machine) {
 		return
 	}
 	now := time.Now()
 	a.commandsSent(machine, now)
-	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.EpochHint, 1), Commands: []protocol.Command{}}
+	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.ReplicatedEpoch, 1), Commands: []protocol.Command{}}
 	delegate := a.Partitions[machine.Record.Partition].Delegations.FenceRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
 	a.loop.Go(func() {
--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		a.metrics.Count(telemetry.MachineLeaseExpired, 1)
-		machine.DeleteConfirmed, machine.Lost, machine.Fenced = true, true, false
+		machine.DeleteConfirmed, machine.Lost, machine.TokenConfirmed = true, true, false
 		a.releaseAll(machine, "machine is deleted", now)
 	}
 }
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -34,7 +34,7 @@
 		return response
 	}
 	machine.LastContactAt = now
-	if !a.MayAnswer(partition, now) {
+	if !a.MayAnswerHeartbeats(partition, now) {
 		return a.redirectToLeader(partition, machine, now)
 	}
 	token := a.Token(machine)
@@ -57,7 +57,7 @@
 	// From here on the answer extends the machine lease.
 	machine.AnsweredUntil = now
 	batch := protocol.CommandBatch{Token: token}
-	if partition.Ready && machine.Fenced {
+	if partition.Ready && machine.TokenConfirmed {
 		batch.Commands = a.commandsFor(machine, now, true)
 	} else {
 		batch.Commands = a.StopsForCancelledJobs(heartbeat)
@@ -132,8 +132,8 @@
 		a.Fence(machine)
 		return
 	}
-	if !machine.Fenced {
-		machine.Fenced = true
+	if !machine.TokenConfirmed {
+		machine.TokenConfirmed = true
 		partition.Wake()
 		a.log.Debug("machine fenced", "machine", machine.Name, "token", heartbeat.Token)
 	}
--- a/internal/coordination/agents/machine_requests.go
+++ b/internal/coordination/agents/machine_requests.go
@@ -68,7 +68,7 @@
 // commands under way, or is about to be moved.
 func mayHoldWork(machine *cluster.Machine) bool {
 	return machine.HasReported && !machine.Lost &&
-		(len(machine.Attempts) > 0 || len(machine.OrphanedTasks) > 0 || machine.PendingCommands > 0 || machine.Moving || !machine.Fenced)
+		(len(machine.Attempts) > 0 || len(machine.OrphanedTasks) > 0 || machine.CommandRequestsInFlight > 0 || machine.Moving || !machine.TokenConfirmed)
 }
 
 // startMove keeps work off a machine and returns its move to another partition. All commands to
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -35,12 +35,12 @@
 	}
 	if moved {
 		machine.Record = record
-		machine.Reset()
-		machine.AnsweredUntil, machine.LedSince = now.Add(a.AnswerBound()), now
-		machine.FormerLeaderBound = machine.AnsweredUntil
+		machine.ResetLeaderState()
+		machine.AnsweredUntil, machine.HeartbeatsExpectedSince = now.Add(a.AnswerBound()), now
+		machine.FormerLeaderAnswersUntil = machine.AnsweredUntil
 	}
 	machine.Record, machine.Revision, machine.Type = record, revision, a.MachineTypes[record.Type]
-	machine.Moving, machine.Fenced, machine.TokenRaiseBy = false, false, time.Time{}
+	machine.Moving, machine.TokenConfirmed, machine.TokenRaiseBy = false, false, time.Time{}
 	partition := a.Partitions[record.Partition]
 	if partition.Held && partition.Ready && (moved || machine.HasReported) {
 		a.Fence(machine)
@@ -50,15 +50,15 @@
 // newMachine returns a machine of which nothing but the name is known.
 func newMachine(name string, now time.Time) *cluster.Machine {
 	return &cluster.Machine{
-		Name:            name,
-		Shard:           delegation.ShardOf(name),
-		Attempts:        map[string]*cluster.Attempt{},
-		OrphanedTasks:   map[string]protocol.TaskReport{},
-		FailedJobs:      map[string]bool{},
-		Images:          map[string]time.Time{},
-		RecordedAt:      now,
-		LedSince:        now,
-		LastHeartbeatAt: now,
+		Name:                    name,
+		Shard:                   delegation.ShardOf(name),
+		Attempts:                map[string]*cluster.Attempt{},
+		OrphanedTasks:           map[string]protocol.TaskReport{},
+		FailedJobs:              map[string]bool{},
+		Images:                  map[string]time.Time{},
+		RecordedAt:              now,
+		HeartbeatsExpectedSince: now,
+		LastHeartbeatAt:         now,
 	}
 }
 
@@ -77,7 +77,7 @@
 // CheckMachines finds the machines whose lease must have expired, and does what has become due
 // for the others.
 func (a *Agents) CheckMachines(now time.Time) {
-	bound := time.Duration(float64(a.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin
+	bound := time.Duration(float64(a.AgentLease)*cluster.ClockDriftFactor) + cluster.ClockMargin
 	var overdue []*cluster.Machine
 	for _, machine := range a.Machines {
 		partition := a.Partitions[machine.Record.Partition]
@@ -104,7 +104,7 @@
 func (a *Agents) machineLost(machine *cluster.Machine, now time.Time) {
 	a.metrics.Count(telemetry.MachineLeaseExpired, 1)
 	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeartbeatAt), "count", len(machine.Attempts))
-	machine.Lost, machine.Fenced = true, false
+	machine.Lost, machine.TokenConfirmed = true, false
 	a.releaseAll(machine, "machine lease expired", now)
 }
 
@@ -115,16 +115,16 @@
 	if !machine.RetiringSince.IsZero() && now.Sub(machine.RetiringSince) > retirementTimeout {
 		machine.RetiringSince = time.Time{}
 	}
-	if !machine.PreemptionAt.IsZero() && machine.Fenced {
+	if !machine.PreemptionAt.IsZero() && machine.TokenConfirmed {
 		a.evacuate(machine, now)
 	}
 	for _, attempt := range machine.Attempts {
 		a.fenceOutStart(attempt, now)
 	}
-	if now.Sub(machine.CommandedAt) > CommandAnswerWait && a.mayRepeat(machine) {
+	if now.Sub(machine.CommandsSentAt) > CommandAnswerWait && a.mayRepeat(machine) {
 		a.repeatCommands(machine)
 	}
-	retryDue := machine.Fenced && machine.PendingCommands == 0 && now.Sub(machine.CommandsRetriedAt) > commandRetryInterval
+	retryDue := machine.TokenConfirmed && machine.CommandRequestsInFlight == 0 && now.Sub(machine.CommandsRetriedAt) > commandRetryInterval
 	if retryDue && machine.HasUnsentCommands() {
 		machine.CommandsRetriedAt = now
 		a.SendCommands(machine)
--- a/internal/coordination/agents/slow_machines.go
+++ b/internal/coordination/agents/slow_machines.go
@@ -19,7 +19,7 @@
 // alarm costs little, since work that runs goes on; only no new work comes, and the machine is
 // returned once idle.
 func (a *Agents) detectSlowMachine(attempt *cluster.Attempt, ran float64) {
-	if attempt.Slow || attempt.StartUnknown() {
+	if attempt.Slow || attempt.StartTimeUnknown() {
 		return
 	}
 	sum, count := runTimesElsewhere(attempt)
--- a/internal/coordination/agents/tokens.go
+++ b/internal/coordination/agents/tokens.go
@@ -34,17 +34,17 @@
 
 // commandsSent notes that a request with commands is sent to a machine.
 func (a *Agents) commandsSent(machine *cluster.Machine, now time.Time) {
-	if machine.PendingCommands > 0 {
+	if machine.CommandRequestsInFlight > 0 {
 		a.RepeatedCommands++
 	}
-	machine.PendingCommands++
-	machine.CommandedAt = now
+	machine.CommandRequestsInFlight++
+	machine.CommandsSentAt = now
 }
 
 // commandsAnswered notes that the answer to a request with commands has come or been given up.
 func (a *Agents) commandsAnswered(machine *cluster.Machine) {
-	machine.PendingCommands--
-	if machine.PendingCommands > 0 {
+	machine.CommandRequestsInFlight--
+	if machine.CommandRequestsInFlight > 0 {
 		a.RepeatedCommands--
 	}
 }
@@ -53,7 +53,7 @@
 // task of a cancelled job depends on them, and there are sockets left.
 func (a *Agents) mayRepeat(machine *cluster.Machine) bool {
 	limit := max(RepeatedCommandsMin, a.Settings.Params.MachineLimits.Sockets/RepeatedCommandsSocketShare)
-	return machine.HasCancelledTask() && machine.PendingCommands < pendingCommandsLimit && a.RepeatedCommands < limit
+	return machine.HasCancelledTask() && machine.CommandRequestsInFlight < pendingCommandsLimit && a.RepeatedCommands < limit
 }
 
 // mayStillStart says whether a start of an attempt was sent that may arrive at any time.
@@ -80,7 +80,7 @@
 
 // repeatCommands sends what a machine's agent should do beside commands that are held up.
 func (a *Agents) repeatCommands(machine *cluster.Machine) {
-	if machine.Fenced {
+	if machine.TokenConfirmed {
 		a.sendCommandsNow(machine)
 	} else {
 		a.Fence(machine)
--- a/internal/coordination/api/operations.go
+++ b/internal/coordination/api/operations.go
@@ -77,7 +77,7 @@
 		CloudUnavailable: s.cloud.Unavailable(now),
 		Jobs:             len(s.Jobs),
 		EndedJobs:        len(s.FinalStates),
-		PendingScaleOut:  len(s.Leadership.PendingScaleOut),
+		PendingScaleOut:  len(s.Leadership.PendingScaleOuts),
 		Connected:        load.Machines,
 		Capacity:         load.Capacity,
 		Moves:            s.proxy.RecentMoves(now),
@@ -101,7 +101,7 @@
 	}
 	for _, job := range s.Jobs {
 		for i := range teams {
-			if team := &teams[i]; job.Loaded && team.Name == job.Spec.Team {
+			if team := &teams[i]; job.HasRunState && team.Name == job.Spec.Team {
 				team.Running += len(job.LiveAttempts)
 				team.Waiting += len(job.Pending)
 			}
@@ -149,7 +149,7 @@
 // addJobs counts the tasks of a partition's jobs.
 func (s *Server) addJobs(view *overview.Partition, now time.Time) {
 	for _, job := range s.Jobs {
-		if job.Partition != view.Part || !job.Loaded {
+		if job.Partition != view.Part || !job.HasRunState {
 			continue
 		}
 		view.Running += len(job.LiveAttempts)
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -130,7 +130,7 @@
 	doomed, stale := false, false
 	s.loop.Do(func() {
 		job := s.Jobs[status.ID]
-		doomed = s.Dependencies.DoomedJobs[status.ID] != nil
+		doomed = s.Dependencies.JobsToCancel[status.ID] != nil
 		stale = job != nil && job.Blocked && (time.Since(s.RecordsCurrentAt) > s.StaleLimit() || s.Dependencies.HasUnseenDependency(status.ID))
 	})
 	switch {
@@ -155,7 +155,7 @@
 		return false
 	}
 	status.Done, status.Running = job.DoneCount, job.RunningCount
-	if !job.Loaded {
+	if !job.HasRunState {
 		s.describeFromPeers(status)
 	}
 	status.Status = protocol.StatusQueued
--- a/internal/coordination/autoscaler/leadership_update.go
+++ b/internal/coordination/autoscaler/leadership_update.go
@@ -28,8 +28,8 @@
 func (a *Autoscaler) LeaderUpdate(now time.Time) *peer.ReplicaUpdate {
 	leadership := &a.Leadership
 	update := &peer.LeaderUpdate{}
-	for _, name := range slices.Sorted(maps.Keys(leadership.PendingScaleOut)) {
-		request := leadership.PendingScaleOut[name]
+	for _, name := range slices.Sorted(maps.Keys(leadership.PendingScaleOuts)) {
+		request := leadership.PendingScaleOuts[name]
 		update.ScaleOuts = append(update.ScaleOuts, &peer.ScaleOutRequest{
 			Name:      name,
 			Type:      request.Kind.Type,
@@ -39,7 +39,7 @@
 			Partition: uint32(request.Partition),
 		})
 	}
-	for kind, until := range leadership.RefusedCapacity {
+	for kind, until := range leadership.CapacityRefusedUntil {
 		if until.After(now) {
 			update.Refusals = append(update.Refusals, &peer.CapacityRefusal{Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, ForS: until.Sub(now).Seconds()})
 		}
@@ -63,7 +63,7 @@
 	for _, refusal := range last.Update.Refusals {
 		if refusal.ForS > 0 && refusal.ForS < maxRefusalS {
 			kind := binpack.MachineKind{Type: refusal.Type, Zone: refusal.Zone, Spot: refusal.Spot}
-			leadership.RefusedCapacity[kind] = last.ReceivedAt.Add(settings.Seconds(refusal.ForS))
+			leadership.CapacityRefusedUntil[kind] = last.ReceivedAt.Add(settings.Seconds(refusal.ForS))
 		}
 	}
 	for _, move := range last.Update.Moves {
@@ -77,7 +77,7 @@
 // resumeScaleOut goes on with a request of the former leader, if it is valid and not known yet.
 func (a *Autoscaler) resumeScaleOut(received *peer.ScaleOutRequest) {
 	leadership := &a.Leadership
-	if int(received.Partition) >= len(a.Partitions) || received.Count == 0 || received.Count > maxScaleOut || leadership.PendingScaleOut[received.Name] != nil {
+	if int(received.Partition) >= len(a.Partitions) || received.Count == 0 || received.Count > maxScaleOut || leadership.PendingScaleOuts[received.Name] != nil {
 		return
 	}
 	request := &cluster.ScaleOutRequest{
@@ -85,7 +85,7 @@
 		Partition: int(received.Partition),
 		Count:     int(received.Count),
 	}
-	leadership.PendingScaleOut[received.Name] = request
+	leadership.PendingScaleOuts[received.Name] = request
 	a.log.Info("scale-out resumed", "request", received.Name, "type", received.Type, "count", received.Count)
 	a.runScaleOut(received.Name, request, leadership.Revision)
 }
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -37,7 +37,7 @@
 		return
 	}
 	a.loop.Do(func() {
-		a.Leadership.Listed = listed
+		a.Leadership.ListedMachines = listed
 		for name, inList := range listed {
 			if machine := a.Machines[name]; machine != nil && machine.Record.Addr == "" {
 				machine.Record.Addr = inList.Addr
@@ -64,7 +64,7 @@
 	}
 	if now.Sub(a.StartedAt) > unrecordedDelay {
 		minAgeS := unrecordedAgeS + unrecordedLags*a.Settings.Params.Cloud.ListLagS
-		for name, listed := range a.Leadership.Listed {
+		for name, listed := range a.Leadership.ListedMachines {
 			if listed.State != protocol.MachineFailed && listed.AgeS > minAgeS {
 				unrecorded[name] = storage.Machine{Addr: listed.Addr, Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}
 			}
--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -49,7 +49,7 @@
 		a.adopt(adoption, unrecorded[adoption.Name], now)
 	}
 	for _, name := range plan.AdoptLater {
-		a.Leadership.AdoptingSince[name] = now.Add(-adoptLaterHeadStart)
+		a.Leadership.AdoptionTriedAt[name] = now.Add(-adoptLaterHeadStart)
 	}
 	a.terminate(plan.Terminate, now)
 	for _, move := range plan.Moves {
@@ -66,7 +66,7 @@
 // adopt records an unrecorded machine as one of a partition.
 func (a *Autoscaler) adopt(adoption scaling.Adoption, record storage.Machine, now time.Time) {
 	record.Partition = adoption.Partition
-	a.Leadership.AdoptingSince[adoption.Name] = now
+	a.Leadership.AdoptionTriedAt[adoption.Name] = now
 	a.log.Info("machine adopted", "machine", adoption.Name, "type", record.Type, "zone", record.Zone, "partition", record.Partition)
 	a.loop.Go(func() { a.recordMachines([]string{adoption.Name}, record) })
 }
@@ -79,7 +79,7 @@
 	names := make([]string, len(terminations))
 	for i, termination := range terminations {
 		names[i] = termination.Name
-		a.Leadership.DeletingSince[termination.Name] = now
+		a.Leadership.DeletionRequestedAt[termination.Name] = now
 		a.log.Info("machine termination started", "machine", termination.Name, "reason", string(termination.Reason))
 	}
 	a.loop.Go(func() { a.deleteMachines(names) })
@@ -91,13 +91,13 @@
 	a.log.Info("machine move started", "machine", move.Name, "partition", move.To, "former_partition", move.From)
 	request := &peer.MachineRequest{Machine: move.Name, ToPartition: uint32(move.To)}
 	a.askPartitionLeader(move.From, request, func() {
-		a.loop.Do(func() { a.Leadership.AssignedAt[move.To] = time.Now() })
+		a.loop.Do(func() { a.Leadership.MachineAssignedAt[move.To] = time.Now() })
 	})
 }
 
 // scaleIn asks the leader of a machine's partition to retire it, and then deletes it.
 func (a *Autoscaler) scaleIn(name string, now time.Time) {
-	a.Leadership.DeletingSince[name] = now
+	a.Leadership.DeletionRequestedAt[name] = now
 	record := a.Machines[name].Record
 	a.log.Info("scale-in started", "machine", name, "type", record.Type, "partition", record.Partition)
 	request := &peer.MachineRequest{Machine: name, Retire: true}
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -28,10 +28,10 @@
 // lease and a counter, so that no other request ever has it.
 func (a *Autoscaler) startScaleOut(plan scaling.ScaleOut) {
 	leadership := &a.Leadership
-	leadership.LastRequest++
-	name := fmt.Sprintf("r-%d-%d", leadership.Revision, leadership.LastRequest)
+	leadership.RequestCount++
+	name := fmt.Sprintf("r-%d-%d", leadership.Revision, leadership.RequestCount)
 	request := &cluster.ScaleOutRequest{Kind: plan.Kind, Partition: plan.Partition, Count: min(plan.Count, maxScaleOut)}
-	leadership.PendingScaleOut[name] = request
+	leadership.PendingScaleOuts[name] = request
 	a.metrics.Count(telemetry.MachineRequested, request.Count)
 	a.log.Info("scale-out started", "request", name, "type", plan.Kind.Type, "zone", plan.Kind.Zone, "spot", plan.Kind.Spot, "count", request.Count, "wanted", plan.Count, "partition", request.Partition)
 	a.runScaleOut(name, request, leadership.Revision)
@@ -82,8 +82,8 @@
 		CreatedMS: time.Now().UnixMilli(),
 	})
 	a.loop.Do(func() {
-		delete(a.Leadership.PendingScaleOut, name)
-		a.Leadership.AssignedAt[request.Partition] = time.Now()
+		delete(a.Leadership.PendingScaleOuts, name)
+		a.Leadership.MachineAssignedAt[request.Partition] = time.Now()
 	})
 }
 
@@ -94,12 +94,12 @@
 	a.log.Info("scale-out refused", "request", name, "type", request.Kind.Type, "zone", request.Kind.Zone, "spot", request.Kind.Spot, "error", err)
 	a.loop.Do(func() {
 		a.avoidCapacity(request)
-		delete(a.Leadership.PendingScaleOut, name)
+		delete(a.Leadership.PendingScaleOuts, name)
 	})
 	eventloop.Signal(a.Leadership.Wakeup)
 }
 
 // avoidCapacity makes the leader avoid requests of the same kind for a while.
 func (a *Autoscaler) avoidCapacity(request *cluster.ScaleOutRequest) {
-	a.Leadership.RefusedCapacity[request.Kind] = time.Now().Add(refusedCapacityTTL)
+	a.Leadership.CapacityRefusedUntil[request.Kind] = time.Now().Add(refusedCapacityTTL)
 }
--- a/internal/coordination/autoscaler/scaling_view.go
+++ b/internal/coordination/autoscaler/scaling_view.go
@@ -31,19 +31,19 @@
 		Machines:        make([]scaling.Machine, 0, len(a.Machines)),
 		Catalog:         a.Catalog,
 		Scarcity:        a.scheduler.Scarcity(now),
-		RefusedCapacity: a.Leadership.RefusedCapacity,
+		RefusedCapacity: a.Leadership.CapacityRefusedUntil,
 		ScalingOut:      map[int]bool{},
 		IdleSpot:        a.Operator.IdleReturn,
 		IdleOrdinary:    a.Operator.IdleReturn / ordinaryIdleDivisor,
 	}
-	for _, request := range a.Leadership.PendingScaleOut {
+	for _, request := range a.Leadership.PendingScaleOuts {
 		view.ScalingOut[request.Partition] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(unrecorded)) {
 		view.Unrecorded = append(view.Unrecorded, scaling.Unrecorded{
 			Name:    name,
 			Kind:    cluster.MachineKindOf(unrecorded[name]),
-			TriedAt: a.Leadership.AdoptingSince[name],
+			TriedAt: a.Leadership.AdoptionTriedAt[name],
 		})
 	}
 	statuses := map[string]*peer.MachineStatus{}
@@ -74,7 +74,7 @@
 			}
 		}
 		// Demands from before a machine was assigned must not bring another one.
-		if heardAt.Sub(a.Leadership.AssignedAt[index]) >= assignmentLag {
+		if heardAt.Sub(a.Leadership.MachineAssignedAt[index]) >= assignmentLag {
 			view.Partitions[index].Demands = scalingDemands(summary.Demands)
 		}
 	}
@@ -90,10 +90,10 @@
 		Kind:          cluster.MachineKindOf(machine.Record),
 		Type:          machine.Type,
 		Serving:       !machine.Lost && !machine.Quarantined,
-		Failed:        leadership.Listed[name].State == protocol.MachineFailed || a.IsDeleted(name),
+		Failed:        leadership.ListedMachines[name].State == protocol.MachineFailed || a.IsDeleted(name),
 		RecordedAt:    machine.RecordedAt,
 		MovedAt:       leadership.MovedAt[name],
-		DeletingSince: leadership.DeletingSince[name],
+		DeletingSince: leadership.DeletionRequestedAt[name],
 	}
 	if status != nil {
 		view.Idle, view.IdleS = status.Idle, status.IdleS
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -46,7 +46,7 @@
 		for _, ch := range j.Chunks { // already written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
-		j.RecordsChanged = false
+		j.MayHaveDirtyChunk = false
 	}
 	return c
 }
@@ -196,7 +196,7 @@
 			for i := range c.Catalog {
 				for _, zone := range c.Catalog[i].ZonesOffered {
 					for _, spot := range []bool{true, false} {
-						c.Leadership.RefusedCapacity[binpack.MachineKind{Type: c.Catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
+						c.Leadership.CapacityRefusedUntil[binpack.MachineKind{Type: c.Catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
 					}
 				}
 			}
@@ -243,7 +243,7 @@
 					}
 				}
 				for _, m := range c.Machines {
-					m.PendingCommands = 1 // no command is sent
+					m.CommandRequestsInFlight = 1 // no command is sent
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -74,8 +74,8 @@
 // TaskName is the task's name on the wire.
 func (a *Attempt) TaskName() string { return protocol.TaskName(a.Job.Spec.ID, a.TaskIndex) }
 
-// RunningS is for how many seconds it has run, as far as is known here.
-func (a *Attempt) RunningS(now time.Time) float64 {
+// RunTimeS is for how many seconds it has run, as far as is known here.
+func (a *Attempt) RunTimeS(now time.Time) float64 {
 	begun := a.StartedAt
 	if begun.IsZero() {
 		begun = a.ReplicatedStart
@@ -86,8 +86,8 @@
 	return now.Sub(begun).Seconds()
 }
 
-// StartUnknown says that nobody here knows when it began.
-func (a *Attempt) StartUnknown() bool { return a.Inherited && a.ReplicatedStart.IsZero() }
+// StartTimeUnknown says that nobody here knows when it began.
+func (a *Attempt) StartTimeUnknown() bool { return a.Inherited && a.ReplicatedStart.IsZero() }
 
 // Live says that the attempt may still be running on its machine, or come to.
 func (a *Attempt) Live() bool { return a.State < AttemptExited }
--- a/internal/coordination/cluster/clock.go
+++ b/internal/coordination/cluster/clock.go
@@ -5,9 +5,9 @@
 const (
 	// ClockMargin is added to every bound that must hold on another machine's clock.
 	ClockMargin = time.Second
-	// ClockDrift is the factor by which the rates of two monotonic clocks may differ, with
+	// ClockDriftFactor is the factor by which the rates of two monotonic clocks may differ, with
 	// room to spare.
-	ClockDrift = 1.001
+	ClockDriftFactor = 1.001
 )
 
 // MonotonicTime is the moment on the monotonic clock at which a wall clock showed ms
--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -17,13 +17,13 @@
 // A job can name accepted jobs only, so the graph has no cycle. Its depth is set by users,
 // so nothing here recurses.
 type DependencyGraph struct {
-	// Index gives the node of a job by its id.
-	Index map[string]int32
+	// NodeByJob gives the node of a job by its id.
+	NodeByJob map[string]int32
 	// Nodes are all nodes, those in Free unused.
-	Nodes []graphNode
-	Free  []int32
-	// DoomedJobs are the doomed jobs that have not ended and whose records were seen, by id.
-	DoomedJobs map[string]*Job
+	Nodes     []graphNode
+	FreeNodes []int32
+	// JobsToCancel are the doomed jobs that have not ended and whose records were seen, by id.
+	JobsToCancel map[string]*Job
 	// jobs are all unfinished jobs by id, the State's map.
 	jobs map[string]*Job
 	// runTime predicts a job's run time.
@@ -42,36 +42,36 @@
 
 // Init sets the unfinished jobs, which stay the caller's, and how to predict run times.
 func (g *DependencyGraph) Init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
-	g.Index, g.DoomedJobs, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
+	g.NodeByJob, g.JobsToCancel, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
 }
 
 // nodeOf returns a job's node, made if there is none.
 func (g *DependencyGraph) nodeOf(id string) int32 {
-	n, ok := g.Index[id]
+	n, ok := g.NodeByJob[id]
 	if ok {
 		return n
 	}
-	if last := len(g.Free) - 1; last >= 0 {
-		n, g.Free = g.Free[last], g.Free[:last]
+	if last := len(g.FreeNodes) - 1; last >= 0 {
+		n, g.FreeNodes = g.FreeNodes[last], g.FreeNodes[:last]
 	} else {
 		n = int32(len(g.Nodes))
 		g.Nodes = append(g.Nodes, graphNode{})
 	}
-	g.Index[id] = n
+	g.NodeByJob[id] = n
 	g.Nodes[n] = graphNode{id: id, job: g.jobs[id]}
 	return n
 }
 
 // release frees a node.
 func (g *DependencyGraph) release(n int32) {
-	delete(g.Index, g.Nodes[n].id)
+	delete(g.NodeByJob, g.Nodes[n].id)
 	g.Nodes[n] = graphNode{}
-	g.Free = append(g.Free, n)
+	g.FreeNodes = append(g.FreeNodes, n)
 }
 
 // HasDependents says whether unfinished jobs need a job.
 func (g *DependencyGraph) HasDependents(id string) bool {
-	n, ok := g.Index[id]
+	n, ok := g.NodeByJob[id]
 	return ok && len(g.Nodes[n].dependents) > 0
 }
 
@@ -86,7 +86,7 @@
 // none is known, and when it ended, zero if that is not known.
 func (g *DependencyGraph) Add(j *Job, final func(id string) (status string, at time.Time)) {
 	id := j.Spec.ID
-	n, known := g.Index[id]
+	n, known := g.NodeByJob[id]
 	if len(j.Spec.Dependencies) == 0 && !known {
 		return
 	}
@@ -125,7 +125,7 @@
 			doomed = true
 		default:
 			// A doomed job dooms whatever names it, before its own end is on record.
-			if d, ok := g.Index[dependency]; ok && g.Nodes[d].doomed {
+			if d, ok := g.NodeByJob[dependency]; ok && g.Nodes[d].doomed {
 				doomed = true
 			}
 			open = append(open, dependency)
@@ -136,8 +136,8 @@
 
 // JobEnded notes that a job is done or cancelled, and returns the jobs that are ready now.
 func (g *DependencyGraph) JobEnded(id string, done bool, now time.Time) []*Job {
-	delete(g.DoomedJobs, id)
-	n, ok := g.Index[id]
+	delete(g.JobsToCancel, id)
+	n, ok := g.NodeByJob[id]
 	if !ok {
 		return nil
 	}
@@ -180,7 +180,7 @@
 		node.doomed = true
 		if node.job != nil {
 			node.job.Blocked = true
-			g.DoomedJobs[node.id] = node.job
+			g.JobsToCancel[node.id] = node.job
 		}
 		stack = append(stack, node.dependents...)
 	}
@@ -189,7 +189,7 @@
 // HasUnseenDependency says whether a job needs one whose own record was not seen yet, so
 // that it is not known here what that one needs.
 func (g *DependencyGraph) HasUnseenDependency(id string) bool {
-	n, ok := g.Index[id]
+	n, ok := g.NodeByJob[id]
 	return ok && slices.ContainsFunc(g.Nodes[n].dependencies, func(d int32) bool { return g.Nodes[d].job == nil })
 }
 
--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -17,9 +17,9 @@
 	Shares []float64
 	// ReservedQuotas is what is reserved of the teams' limits, by team index; nil: nothing is.
 	ReservedQuotas [][]fairshare.ReservedQuota
-	// WithinReserve are the classes of teams that run no more than what is reserved for
+	// WithinReservation are the classes of teams that run no more than what is reserved for
 	// them of the team's limit.
-	WithinReserve map[TeamClass]bool
+	WithinReservation map[TeamClass]bool
 }
 
 // TeamClass is the work of one class in one team: the team's index and the class's group.
@@ -55,7 +55,7 @@
 		return fairshare.NoGroup
 	case reservedFor != fairshare.NoGroup && (reservedFor == j.ClassGroup || reservedFor == TeamGroup(j.Team)):
 		return reservedFor
-	case f.WithinReserve[TeamClass{Team: j.Team, ClassGroup: j.ClassGroup}]:
+	case f.WithinReservation[TeamClass{Team: j.Team, ClassGroup: j.ClassGroup}]:
 		return j.ClassGroup
 	}
 	return fairshare.NoGroup
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -46,7 +46,7 @@
 
 	// Run state, valid while Loaded; only the partition's leader has it.
 
-	Loaded bool
+	HasRunState bool
 	// TaskDone says of each task whether it is done; DoneCount counts them.
 	TaskDone  []bool
 	DoneCount int
@@ -60,8 +60,8 @@
 	RunningCount int
 	// Chunks are its run records, by index.
 	Chunks map[int]*RunChunk
-	// RecordsChanged: some run record has changed since none was last found Dirty.
-	RecordsChanged bool
+	// MayHaveDirtyChunk: some run record has changed since none was last found Dirty.
+	MayHaveDirtyChunk bool
 	// Failures counts failed attempts since a task was last done; until BackoffUntil no
 	// task is placed.
 	Failures     int
@@ -75,9 +75,9 @@
 // queueHorizon is the deadline by which a job without one queues, from when it was ready.
 const queueHorizon = time.Hour
 
-// Load prepares a job for its partition's leader, with all tasks pending.
-func (j *Job) Load() {
-	j.Loaded = true
+// InitRunState prepares a job for its partition's leader, with all tasks pending.
+func (j *Job) InitRunState() {
+	j.HasRunState = true
 	j.TaskDone = make([]bool, j.Spec.Tasks)
 	j.DoneCount, j.RunningCount, j.Completing = 0, 0, false
 	j.LiveAttempts, j.Chunks, j.FailedMachines, j.RunTimesS = map[int]*Attempt{}, map[int]*RunChunk{}, nil, nil
@@ -87,17 +87,17 @@
 	}
 }
 
-// Unload forgets what only the partition's leader knows.
-func (j *Job) Unload() {
-	j.Loaded, j.TaskDone, j.LiveAttempts, j.Chunks, j.Pending = false, nil, nil, nil, nil
+// DropRunState forgets what only the partition's leader knows.
+func (j *Job) DropRunState() {
+	j.HasRunState, j.TaskDone, j.LiveAttempts, j.Chunks, j.Pending = false, nil, nil, nil, nil
 	j.Completing, j.RunningCount, j.DoneCount = false, 0, 0
 }
 
 // Requeue makes a task pending, ahead of the others.
 func (j *Job) Requeue(task int) { j.Pending = slices.Insert(j.Pending, 0, task) }
 
-// RequeueAll makes exactly those tasks pending that are neither done nor held by an attempt.
-func (j *Job) RequeueAll() {
+// RebuildPending makes exactly those tasks pending that are neither done nor held by an attempt.
+func (j *Job) RebuildPending() {
 	j.Pending = j.Pending[:0]
 	if waiting := j.Spec.Tasks - j.DoneCount - len(j.LiveAttempts); cap(j.Pending) < waiting {
 		j.Pending = make([]int, 0, waiting)
@@ -119,7 +119,7 @@
 }
 
 // HasWork says whether the job needs something done by its partition's leader.
-func (j *Job) HasWork() bool { return len(j.Pending) > 0 || j.Completing || j.RecordsChanged }
+func (j *Job) HasWork() bool { return len(j.Pending) > 0 || j.Completing || j.MayHaveDirtyChunk }
 
 // Urgency is the highest among the job and those that need it.
 func (j *Job) Urgency() protocol.Urgency { return max(j.Spec.Urgency, j.InheritedUrgency) }
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -29,34 +29,34 @@
 
 	// Wakeup brings the next round of scaling forward.
 	Wakeup chan struct{}
-	// LastRequest counts the requests for machines that this process has made: a request's name
+	// RequestCount counts the requests for machines that this process has made: a request's name
 	// is made of Revision and this number.
-	LastRequest int
-	// PendingScaleOut are the requests under way, by the request's name.
-	PendingScaleOut map[string]*ScaleOutRequest
-	// RefusedCapacity is until when machines of a kind are not asked for, since the cloud
+	RequestCount int
+	// PendingScaleOuts are the requests under way, by the request's name.
+	PendingScaleOuts map[string]*ScaleOutRequest
+	// CapacityRefusedUntil is until when machines of a kind are not asked for, since the cloud
 	// had none.
-	RefusedCapacity map[binpack.MachineKind]time.Time
-	// DeletingSince is when the deletion of a machine was last asked for, by name.
-	DeletingSince map[string]time.Time
-	// AdoptingSince is when recording a machine without a record was last tried, by name; an
+	CapacityRefusedUntil map[binpack.MachineKind]time.Time
+	// DeletionRequestedAt is when the deletion of a machine was last asked for, by name.
+	DeletionRequestedAt map[string]time.Time
+	// AdoptionTriedAt is when recording a machine without a record was last tried, by name; an
 	// earlier time stands for one that is to be tried soon.
-	AdoptingSince map[string]time.Time
+	AdoptionTriedAt map[string]time.Time
 	// MovedAt is when a machine was last moved between partitions, by name.
 	MovedAt map[string]time.Time
-	// AssignedAt is when a partition was last given a machine, by index: demand that its
+	// MachineAssignedAt is when a partition was last given a machine, by index: demand that its
 	// leader sent before it noticed must not bring another one.
-	AssignedAt map[int]time.Time
-	// Listed are the machines in the cloud's last listing, by name.
-	Listed map[string]protocol.ListedMachine
+	MachineAssignedAt map[int]time.Time
+	// ListedMachines are the machines in the cloud's last listing, by name.
+	ListedMachines map[string]protocol.ListedMachine
 }
 
 // Reset forgets what the cluster leader keeps in memory about machines.
 func (l *Leadership) Reset() {
-	l.PendingScaleOut, l.RefusedCapacity = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
-	l.DeletingSince, l.AdoptingSince = map[string]time.Time{}, map[string]time.Time{}
-	l.MovedAt, l.AssignedAt = map[string]time.Time{}, map[int]time.Time{}
-	l.Listed = map[string]protocol.ListedMachine{}
+	l.PendingScaleOuts, l.CapacityRefusedUntil = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
+	l.DeletionRequestedAt, l.AdoptionTriedAt = map[string]time.Time{}, map[string]time.Time{}
+	l.MovedAt, l.MachineAssignedAt = map[string]time.Time{}, map[int]time.Time{}
+	l.ListedMachines = map[string]protocol.ListedMachine{}
 }
 
 // ScaleOutRequest is a request for machines that is under way.
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -25,8 +25,8 @@
 	RecordedAt time.Time
 	// Type is the machine's type; nil: the catalog is not known or does not have it.
 	Type *protocol.MachineType
-	// LedSince is since when its partition's leader could have received a heartbeat.
-	LedSince time.Time
+	// HeartbeatsExpectedSince is since when its partition's leader could have received a heartbeat.
+	HeartbeatsExpectedSince time.Time
 
 	// Its agent's heartbeats.
 
@@ -35,11 +35,11 @@
 	// Epoch and Sequence are those of the newest heartbeat that was applied; 0: none was.
 	Epoch    uint64
 	Sequence uint64
-	// NewestReceived is the newest heartbeat that came as a request of its own, and not as
+	// NewestHeartbeatRequest is the newest heartbeat that came as a request of its own, and not as
 	// the answer to commands.
-	NewestReceived struct{ Epoch, Sequence uint64 }
-	// EpochHint is the agent epoch as an earlier leader replicated it; 0: none did.
-	EpochHint uint64
+	NewestHeartbeatRequest struct{ Epoch, Sequence uint64 }
+	// ReplicatedEpoch is the agent epoch as an earlier leader replicated it; 0: none did.
+	ReplicatedEpoch uint64
 	// LastHeartbeatAt is when a heartbeat last came here or to the machine's delegate.
 	LastHeartbeatAt time.Time
 	// LastContactAt is when its agent last came here, whether it was answered or not.
@@ -55,27 +55,27 @@
 
 	// AnsweredUntil is the last moment at which anybody may have answered a heartbeat.
 	AnsweredUntil time.Time
-	// FormerLeaderBound is until when the leader of the partition that it was moved from
+	// FormerLeaderAnswersUntil is until when the leader of the partition that it was moved from
 	// may answer it.
-	FormerLeaderBound time.Time
+	FormerLeaderAnswersUntil time.Time
 	// Lost: its lease has expired, so that nothing runs on it.
 	Lost bool
 
 	// Its fencing token.
 
 	// Fenced: a heartbeat under the present leader's token has come.
-	Fenced bool
+	TokenConfirmed bool
 	// TokenRaiseBy is by when its token is to be raised; zero: it need not be.
 	TokenRaiseBy time.Time
 
 	// Commands to its agent.
 
-	// PendingCommands counts the requests under way that carry commands; the newest was
-	// sent at CommandedAt.
-	PendingCommands int
-	CommandedAt     time.Time
-	// CommandAgain: there is more to command once those are answered.
-	CommandAgain bool
+	// CommandRequestsInFlight counts the requests under way that carry commands; the newest was
+	// sent at CommandsSentAt.
+	CommandRequestsInFlight int
+	CommandsSentAt          time.Time
+	// CommandsDeferred: there is more to command once those are answered.
+	CommandsDeferred bool
 	// CommandsRetriedAt is when commands were last repeated since none was under way.
 	CommandsRetriedAt time.Time
 
@@ -123,9 +123,9 @@
 	DeleteTriedAt   time.Time
 	DeleteConfirmed bool
 
-	// Replicated is what was last sent to the standby of it, ReplicationSeq the sequence number
+	// LastReplicated is what was last sent to the standby of it, ReplicationSeq the sequence number
 	// of that among the partition's replicated changes; 0: it has none yet.
-	Replicated     MachineFacts
+	LastReplicated ReplicatedMachineState
 	ReplicationSeq uint64
 }
 
@@ -133,12 +133,12 @@
 // until no new work goes to the machine.
 const lateHeartbeatGrace = 1500 * time.Millisecond
 
-// Reset forgets what only the leader of the machine's partition may believe.
-func (m *Machine) Reset() {
+// ResetLeaderState forgets what only the leader of the machine's partition may believe.
+func (m *Machine) ResetLeaderState() {
 	if len(m.Attempts) > 0 || len(m.OrphanedTasks) > 0 {
 		m.Attempts, m.OrphanedTasks = map[string]*Attempt{}, map[string]protocol.TaskReport{}
 	}
-	m.Fenced, m.Lost, m.Moving, m.HasReported, m.TokenRaiseBy = false, false, false, false, time.Time{}
+	m.TokenConfirmed, m.Lost, m.Moving, m.HasReported, m.TokenRaiseBy = false, false, false, false, time.Time{}
 	m.RetiringSince, m.ReservedFor, m.ReplicationSeq = time.Time{}, fairshare.NoGroup, 0
 	m.RecountUsed()
 }
@@ -156,9 +156,9 @@
 	}
 }
 
-// Usable says whether new work may go to a machine.
-func (s *State) Usable(m *Machine, now time.Time) bool {
-	return m.Fenced && !m.Lost && !m.Moving && !m.Quarantined && m.Type != nil && m.Record.Addr != "" &&
+// Schedulable says whether new work may go to a machine.
+func (s *State) Schedulable(m *Machine, now time.Time) bool {
+	return m.TokenConfirmed && !m.Lost && !m.Moving && !m.Quarantined && m.Type != nil && m.Record.Addr != "" &&
 		m.RetiringSince.IsZero() && m.PreemptionAt.IsZero() && now.After(m.AvoidUntil) &&
 		now.Sub(m.LastHeartbeatAt) < s.HeartbeatInterval*5/4+lateHeartbeatGrace
 }
@@ -173,7 +173,7 @@
 // Age is how long ago a machine was rented. A record may not say it, and clocks differ, so
 // that it is at least how long its leader has known it.
 func (m *Machine) Age(now time.Time) time.Duration {
-	known := now.Sub(m.LedSince)
+	known := now.Sub(m.HeartbeatsExpectedSince)
 	if m.Record.CreatedMS == 0 {
 		return known
 	}
@@ -212,7 +212,7 @@
 // any more for an answer to an older one, or to one that comes twice: answering it could
 // not extend the machine's lease (rule 48).
 func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
-	newest := &m.NewestReceived
+	newest := &m.NewestHeartbeatRequest
 	if heartbeat.Epoch < newest.Epoch || heartbeat.Epoch == newest.Epoch && heartbeat.Sequence <= newest.Sequence {
 		return false
 	}
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -44,13 +44,13 @@
 	// WarmFailover: that was from a replica.
 	WarmFailover bool
 	// Cleared: nothing is kept in memory that only the partition's leader may believe.
-	Cleared bool
+	LeaderStateCleared bool
 	// Wakeup brings the next turn of the partition's work forward.
 	Wakeup chan struct{}
 	// Committing: a transaction is under way.
 	Committing bool
 	// Unconfirmed: some run record's last write went unanswered.
-	Unconfirmed bool
+	HasUnconfirmedChunk bool
 
 	// Scheduling, on the leader.
 
@@ -62,8 +62,8 @@
 	QueueOrder     []*Job
 	IdleJobs       []*Job
 	QueueOrderedAt time.Time
-	// PreemptedAt is when work was last considered for preemption.
-	PreemptedAt time.Time
+	// PreemptionCheckedAt is when work was last considered for preemption.
+	PreemptionCheckedAt time.Time
 	// DoneTallies count the jobs that were done recently, by fair-share group.
 	DoneTallies map[int]*fairshare.Tally
 	FairShare   FairShareState
--- a/internal/coordination/cluster/peer.go
+++ b/internal/coordination/cluster/peer.go
@@ -22,8 +22,8 @@
 	ReportingMachines map[string]bool
 	// DivertedMachines are those of them that have come to this controller since.
 	DivertedMachines map[string]bool
-	// RevokedLease is the id of its lease that was revoked from here; 0: none was.
-	RevokedLease uint64
+	// RevokedLeaseID is the id of its lease that was revoked from here; 0: none was.
+	RevokedLeaseID uint64
 }
 
 // peerSilenceLimit is how old a peer's last summary may be for the peer to be alive.
@@ -55,8 +55,8 @@
 	})
 }
 
-// NoteReporting sets ReportingMachines from a Summary that has just come.
-func (p *Peer) NoteReporting() {
+// UpdateReportingMachines sets ReportingMachines from a Summary that has just come.
+func (p *Peer) UpdateReportingMachines() {
 	if p.ReportingMachines == nil {
 		p.ReportingMachines = map[string]bool{}
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// NamedStandby is which controller a partition's leader has chosen as its standby; "": none,
+// AnnouncedStandby is which controller a partition's leader has chosen as its standby; "": none,
 // or the leader is of a version that chooses none.
-func (s *State) NamedStandby(partition *Partition) string {
+func (s *State) AnnouncedStandby(partition *Partition) string {
 	leader := partition.Leader
 	if leader == "" {
 		leader = partition.FormerLeader
@@ -97,8 +97,8 @@
 	return ""
 }
 
-// Candidates are the controllers that could take something over now.
-func (s *State) Candidates(now time.Time) []failover.Candidate {
+// FailoverCandidates are the controllers that could take something over now.
+func (s *State) FailoverCandidates(now time.Time) []failover.Candidate {
 	var all []failover.Candidate
 	if !s.Draining {
 		all = append(all, s.ownCandidacy())
--- a/internal/coordination/cluster/replication.go
+++ b/internal/coordination/cluster/replication.go
@@ -21,14 +21,14 @@
 type ReplicationProgress struct {
 	// Target is the standby that they are sent to; "": nobody.
 	Target string
-	// Clock is the number of the newest change, Acknowledged that up to which the standby
+	// NewestSeq is the number of the newest change, AcknowledgedSeq that up to which the standby
 	// has confirmed them all.
-	Clock        uint64
-	Acknowledged uint64
+	NewestSeq       uint64
+	AcknowledgedSeq uint64
 }
 
-// MachineFacts are the facts of a machine of which each change is replicated.
-type MachineFacts struct {
+// ReplicatedMachineState are the facts of a machine of which each change is replicated.
+type ReplicatedMachineState struct {
 	Addr              string
 	Epoch             uint64
 	Quarantined       bool
@@ -38,9 +38,9 @@
 	Images int
 }
 
-// ReplicatedFacts are the machine's facts as they are now.
-func (m *Machine) ReplicatedFacts() MachineFacts {
-	return MachineFacts{
+// ReplicatedState are the machine's facts as they are now.
+func (m *Machine) ReplicatedState() ReplicatedMachineState {
+	return ReplicatedMachineState{
 		Addr:              m.Record.Addr,
 		Epoch:             m.Epoch,
 		Quarantined:       m.Quarantined,
--- a/internal/coordination/cluster/run_chunk.go
+++ b/internal/coordination/cluster/run_chunk.go
@@ -41,7 +41,7 @@
 
 // MarkDirty notes that a task's run record is to be written, at once if urgent.
 func (j *Job) MarkDirty(task int, urgent bool, now time.Time) {
-	j.RecordsChanged = true
+	j.MayHaveDirtyChunk = true
 	chunk := j.Chunk(task)
 	if !chunk.Dirty {
 		chunk.Dirty, chunk.DirtySince = true, now
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -65,10 +65,10 @@
 	Jobs map[string]*Job
 	// FinalStates are the statuses of ended jobs, by id. An entry never changes.
 	FinalStates map[string]string
-	// ListedEnds is when jobs ended, by id; nil except while a listing is applied.
-	ListedEnds    map[string]time.Time
-	Dependencies  DependencyGraph
-	Cancellations CancellationNotices
+	// ListedEndTimes is when jobs ended, by id; nil except while a listing is applied.
+	ListedEndTimes map[string]time.Time
+	Dependencies   DependencyGraph
+	Cancellations  CancellationNotices
 
 	// Machines are all machines on record, by name.
 	Machines map[string]*Machine
@@ -184,24 +184,24 @@
 }
 
 // AnswerBound is for how long a controller goes on answering its agents' heartbeats after
-// InformedAt, so that their tasks survive an outage of the state store, yet a task whose
+// UpToDateAt, so that their tasks survive an outage of the state store, yet a task whose
 // job is cancelled elsewhere has ended within CancelBound (rules 12 and 42).
 func (s *State) AnswerBound() time.Duration {
 	return max(0, s.CancelBound-s.AgentLease-2*ClockMargin)
 }
 
-// InformedAt is the moment up to which this controller provably knows every cancellation
+// UpToDateAt is the moment up to which this controller provably knows every cancellation
 // that was confirmed to any user, and held its leases. A lease renewal alone does not show the
 // first: it may succeed while the watch brings nothing (rule 42).
-func (s *State) InformedAt() time.Time {
+func (s *State) UpToDateAt() time.Time {
 	if s.RecordsCurrentAt.Before(s.LeaseRenewedAt) {
 		return s.RecordsCurrentAt
 	}
 	return s.LeaseRenewedAt
 }
 
-// MayAnswer says whether this controller may answer heartbeats of a partition's agents as
+// MayAnswerHeartbeats says whether this controller may answer heartbeats of a partition's agents as
 // the partition's leader.
-func (s *State) MayAnswer(p *Partition, now time.Time) bool {
-	return p.Held && now.Sub(s.InformedAt()) < s.AnswerBound()
+func (s *State) MayAnswerHeartbeats(p *Partition, now time.Time) bool {
+	return p.Held && now.Sub(s.UpToDateAt()) < s.AnswerBound()
 }
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -125,7 +125,7 @@
 // addCancellations cancels the jobs that need a cancelled one. It is confirmed to users that what
 // these jobs need is cancelled (rules 21, 22).
 func (c *Committer) addCancellations(b *batch, partition *cluster.Partition, now time.Time, ops int) {
-	for _, job := range c.Dependencies.DoomedJobs {
+	for _, job := range c.Dependencies.JobsToCancel {
 		if len(b.txn.Then) == ops {
 			return
 		}
@@ -143,7 +143,7 @@
 		if len(b.txn.Then) >= ops {
 			return due[i:]
 		}
-		if machine.PendingCommands > 0 && now.Sub(machine.CommandedAt) < agents.CommandAnswerWait {
+		if machine.CommandRequestsInFlight > 0 && now.Sub(machine.CommandsSentAt) < agents.CommandAnswerWait {
 			continue // the answer may make it needless
 		}
 		b.put(storage.MachineKey(machine.Name), machine.Revision, machine.Record)
--- a/internal/coordination/commit/failures.go
+++ b/internal/coordination/commit/failures.go
@@ -27,7 +27,7 @@
 func (b *batch) putBack() {
 	for _, write := range b.chunks {
 		write.chunk.Exited = append(write.exited, write.chunk.Exited...)
-		write.chunk.Dirty, write.job.RecordsChanged = true, true
+		write.chunk.Dirty, write.job.MayHaveDirtyChunk = true, true
 	}
 }
 
@@ -54,7 +54,7 @@
 func (b *batch) markUnconfirmed(partition *cluster.Partition, key string) {
 	for _, write := range b.chunks {
 		if storage.RunKey(partition.Index, write.job.Spec.ID, write.chunk.Index) == key {
-			write.chunk.Unconfirmed, partition.Unconfirmed = true, true
+			write.chunk.Unconfirmed, partition.HasUnconfirmedChunk = true, true
 		}
 	}
 }
--- a/internal/coordination/commit/unanswered.go
+++ b/internal/coordination/commit/unanswered.go
@@ -22,7 +22,7 @@
 	c.metrics.Count(telemetry.CommitUnanswered, 1)
 	c.log.Info("commit unanswered", "partition", partition.Index, "error", err)
 	for _, write := range b.chunks {
-		write.chunk.Unconfirmed, partition.Unconfirmed = true, true
+		write.chunk.Unconfirmed, partition.HasUnconfirmedChunk = true, true
 	}
 	for _, machine := range b.tokenRaises {
 		// The watch or the next heartbeat shows whether it was applied.
@@ -32,12 +32,12 @@
 
 // unconfirmedChunks lists chunks whose last write went unanswered.
 func (c *Committer) unconfirmedChunks(partition *cluster.Partition) []chunkRef {
-	if !partition.Held || !partition.Ready || !partition.Unconfirmed {
+	if !partition.Held || !partition.Ready || !partition.HasUnconfirmedChunk {
 		return nil
 	}
 	var list []chunkRef
 	for _, job := range c.Jobs {
-		if job.Partition != partition.Index || !job.Loaded {
+		if job.Partition != partition.Index || !job.HasRunState {
 			continue
 		}
 		for _, chunk := range job.Chunks {
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	partition.Unconfirmed = len(list) > 0
+	partition.HasUnconfirmedChunk = len(list) > 0
 	return list
 }
 
@@ -80,7 +80,7 @@
 // chunkReread takes in the records of a chunk and of its job's end, nil where absent.
 func (c *Committer) chunkReread(partition *cluster.Partition, ref chunkRef, run, final *protocol.Item) {
 	id := ref.job.Spec.ID
-	if c.Jobs[id] != ref.job || !ref.job.Loaded || !partition.Held {
+	if c.Jobs[id] != ref.job || !ref.job.HasRunState || !partition.Held {
 		return // the partition was lost meanwhile
 	}
 	ref.chunk.Unconfirmed = false
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -152,7 +152,7 @@
 		unfenced := 0
 		sim.onController(successor, func(c *Controller) {
 			for _, m := range c.Machines {
-				if m.Record.Partition == partition && !m.Fenced && len(m.Attempts) > 0 {
+				if m.Record.Partition == partition && !m.TokenConfirmed && len(m.Attempts) > 0 {
 					unfenced++
 				}
 			}
@@ -179,7 +179,7 @@
 		fenced := 0
 		sim.onController(successor, func(c *Controller) {
 			for _, m := range c.Machines {
-				if m.Record.Partition == partition && m.Fenced {
+				if m.Record.Partition == partition && m.TokenConfirmed {
 					fenced++
 				}
 			}
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -215,7 +215,7 @@
 		t.Error("the inherited deadline or urgency outlives the dependent job")
 	}
 	c.jobs.SetFinal("job-2", protocol.StatusDone, time.Now())
-	if n := len(c.Dependencies.Index) + len(c.Dependencies.DoomedJobs); n > 0 || len(c.Dependencies.Free) != len(c.Dependencies.Nodes) {
+	if n := len(c.Dependencies.NodeByJob) + len(c.Dependencies.JobsToCancel); n > 0 || len(c.Dependencies.FreeNodes) != len(c.Dependencies.Nodes) {
 		t.Errorf("%d jobs are left in the graph", n)
 	}
 }
@@ -304,8 +304,8 @@
 		if jobs[id] == nil {
 			continue
 		}
-		if j.Blocked != blocked[id] || (g.DoomedJobs[id] != nil) != doomed[id] {
-			t.Errorf("seed %d: %s blocked %v doomed %v, want %v %v", seed, id, j.Blocked, g.DoomedJobs[id] != nil, blocked[id], doomed[id])
+		if j.Blocked != blocked[id] || (g.JobsToCancel[id] != nil) != doomed[id] {
+			t.Errorf("seed %d: %s blocked %v doomed %v, want %v %v", seed, id, j.Blocked, g.JobsToCancel[id] != nil, blocked[id], doomed[id])
 		}
 		if !doomed[id] && (j.InheritedUrgency < raised[id] || !needed[id].IsZero() && (j.InheritedDeadline.IsZero() || j.InheritedDeadline.After(needed[id]))) {
 			t.Errorf("seed %d: %s raised to %d by %s, want %d %s", seed, id, j.InheritedUrgency, j.InheritedDeadline, raised[id], needed[id])
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -247,7 +247,7 @@
 				for _, a := range m.Attempts {
 					if m.Record.Partition == 0 {
 						all++
-						if !a.StartUnknown() {
+						if !a.StartTimeUnknown() {
 							known++
 						}
 					}
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -39,7 +39,7 @@
 			r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
-		if send(2, 40, 5, task) != 200 || !m.Fenced || a.State != cluster.AttemptConfirmed {
+		if send(2, 40, 5, task) != 200 || !m.TokenConfirmed || a.State != cluster.AttemptConfirmed {
 			t.Fatal("the newest heartbeat was not applied")
 		}
 		receivedAt := time.Now()
@@ -51,8 +51,8 @@
 			if status := send(old.epoch, old.sequence, old.token, nil); status == 200 {
 				t.Errorf("%s: answered", old.name)
 			}
-			if !m.Fenced || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeartbeatAt.Equal(receivedAt) {
-				t.Errorf("%s: fenced %v, epoch %d, live %v, answered %s and heard %s late", old.name, m.Fenced, m.Epoch, a.Live(),
+			if !m.TokenConfirmed || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeartbeatAt.Equal(receivedAt) {
+				t.Errorf("%s: fenced %v, epoch %d, live %v, answered %s and heard %s late", old.name, m.TokenConfirmed, m.Epoch, a.Live(),
 					m.AnsweredUntil.Sub(receivedAt), m.LastHeartbeatAt.Sub(receivedAt))
 			}
 		}
@@ -61,7 +61,7 @@
 		if send(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a heartbeat overtaken by commands is not answered")
 		}
-		time.Sleep(time.Duration(float64(c.AgentLease)*cluster.ClockDrift) + cluster.ClockMargin + eventloop.TickInterval)
+		time.Sleep(time.Duration(float64(c.AgentLease)*cluster.ClockDriftFactor) + cluster.ClockMargin + eventloop.TickInterval)
 		send(2, 41, 5, task)
 		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
 			t.Error("stale heartbeats keep a lost machine")
@@ -96,7 +96,7 @@
 			t.Errorf("failed machines: %v", failed)
 		}
 		waiting := &cluster.Job{Spec: newJobSpec("job-1", 6, "red"), SubmittedAt: now}
-		waiting.Load()
+		waiting.InitRunState()
 		c.Jobs["job-1"] = waiting
 		demands := func() (n uint32) {
 			p.QueueOrder = nil
@@ -169,12 +169,12 @@
 		a := addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
 		a.Inherited, a.Stopping, a.StopRequestedAt = true, true, now
 		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
-		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.Fenced {
-			t.Errorf("heartbeat under an old token without the task: live %v, fenced %v", a.Live(), m.Fenced)
+		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.TokenConfirmed {
+			t.Errorf("heartbeat under an old token without the task: live %v, fenced %v", a.Live(), m.TokenConfirmed)
 		}
 		r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 11, Token: 9}
-		if c.agents.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.Fenced {
-			t.Errorf("heartbeat under the new token: live %v, fenced %v", a.Live(), m.Fenced)
+		if c.agents.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.TokenConfirmed {
+			t.Errorf("heartbeat under the new token: live %v, fenced %v", a.Live(), m.TokenConfirmed)
 		}
 	})
 }
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -283,12 +283,12 @@
 		put(storage.IncarnationKey("n2"), 11, storage.Incarnation{Nonce: "other", Lease: 7})
 		time.Sleep(5 * time.Second)
 		c.LeaseRenewedAt = time.Now()
-		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 0 {
+		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLeaseID != 0 {
 			t.Error("revoked the lease of an incarnation that leads no partition")
 		}
 		setLease(14, "n2", "other")
-		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLease != 7 {
-			t.Errorf("revoked lease %d", ps.RevokedLease)
+		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLeaseID != 7 {
+			t.Errorf("revoked lease %d", ps.RevokedLeaseID)
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -54,7 +54,7 @@
 
 // finalOf is a job's final status, and when it ended where a listing has just shown it.
 func (t *Tracker) finalOf(id string) (string, time.Time) {
-	return t.FinalStates[id], t.ListedEnds[id]
+	return t.FinalStates[id], t.ListedEndTimes[id]
 }
 
 // LoadJobRecord makes a job of its record and adds it to the unfinished jobs, without its
@@ -83,7 +83,7 @@
 	}
 	t.Jobs[id] = j
 	if p := t.Partitions[j.Partition]; p.Held && p.Ready {
-		j.Load()
+		j.InitRunState()
 		requeue(p)
 	}
 	return j
@@ -102,8 +102,8 @@
 		t.log.Error("invalid final record", "job", id, "error", err)
 		return
 	}
-	if t.ListedEnds != nil {
-		t.ListedEnds[id] = cluster.MonotonicTime(final.AtMS, time.Now())
+	if t.ListedEndTimes != nil {
+		t.ListedEndTimes[id] = cluster.MonotonicTime(final.AtMS, time.Now())
 	}
 	at := time.Now()
 	if final.AtMS > 0 {
@@ -135,7 +135,7 @@
 	if status == protocol.StatusDone {
 		t.scheduler.CountDone(j.Partition, j.Groups(), time.Now())
 	}
-	if !j.Loaded {
+	if !j.HasRunState {
 		delete(t.Jobs, id)
 		return
 	}
@@ -167,7 +167,7 @@
 
 // wakeForDoomedJobs lets the partitions' leaders cancel the jobs that are doomed.
 func (t *Tracker) wakeForDoomedJobs() {
-	if len(t.Dependencies.DoomedJobs) > 0 {
+	if len(t.Dependencies.JobsToCancel) > 0 {
 		for _, p := range t.Partitions {
 			p.Wake()
 		}
@@ -201,7 +201,7 @@
 		}
 		left = true
 		if !chunk.Dirty {
-			chunk.Dirty, chunk.DirtySince, j.RecordsChanged = true, now, true
+			chunk.Dirty, chunk.DirtySince, j.MayHaveDirtyChunk = true, now, true
 		}
 	}
 	return left
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -236,9 +236,9 @@
 				name := fmt.Sprintf("m-%d", 100+i)
 				c.agents.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
 				m := c.Machines[name]
-				m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
+				m.HasReported, m.TokenConfirmed, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
 				j := &cluster.Job{Spec: newJobSpec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
-				j.Load()
+				j.InitRunState()
 				a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: 1, State: cluster.AttemptConfirmed, Stopping: true, StopRequestedAt: time.Now()}
 				j.LiveAttempts[0] = a
 				m.Attempts[cluster.AttemptKey(a.TaskName(), 1)] = a
@@ -251,7 +251,7 @@
 			c.loop.Do(func() {
 				extra = 0
 				for _, m := range c.Machines {
-					extra += max(0, m.PendingCommands-1)
+					extra += max(0, m.CommandRequestsInFlight-1)
 				}
 				if extra != c.agents.RepeatedCommands {
 					t.Errorf("%d repeated commands, counted %d", extra, c.agents.RepeatedCommands)
--- a/internal/coordination/lease/answer_bounds.go
+++ b/internal/coordination/lease/answer_bounds.go
@@ -16,8 +16,8 @@
 	until := failover.AnsweredUntil(p.FormerLeaders, func(label, nonce string) time.Time {
 		return h.EndedIncarnations[IncarnationID{Label: label, Nonce: nonce}]
 	})
-	if m.FormerLeaderBound.After(until) {
-		until = m.FormerLeaderBound
+	if m.FormerLeaderAnswersUntil.After(until) {
+		until = m.FormerLeaderAnswersUntil
 	}
 	return until
 }
--- a/internal/coordination/lease/dead_controllers.go
+++ b/internal/coordination/lease/dead_controllers.go
@@ -35,13 +35,13 @@
 	incarnation := h.incarnations[label]
 	evidence := failover.Evidence{Silent: now.Sub(other.LastSummaryAt), Interval: peering.SummaryInterval,
 		Reporting: len(other.ReportingMachines), Diverted: len(other.DivertedMachines)}
-	if incarnation.Lease == 0 || incarnation.Lease == other.RevokedLease || !evidence.Dead() || !h.Synced || !h.leaseIsFresh(now) {
+	if incarnation.Lease == 0 || incarnation.Lease == other.RevokedLeaseID || !evidence.Dead() || !h.Synced || !h.leaseIsFresh(now) {
 		return
 	}
 	if !h.leadsAny(IncarnationID{Label: label, Nonce: incarnation.Nonce}) {
 		return
 	}
-	other.RevokedLease = incarnation.Lease
+	other.RevokedLeaseID = incarnation.Lease
 	h.metrics.Count(telemetry.LeaseRevoked, 1)
 	h.log.Info("revoking the lease of a dead controller", "controller", label, "elapsed", evidence.Silent, "diverted", evidence.Diverted, "count", evidence.Reporting)
 	h.loop.Go(func() {
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -52,7 +52,7 @@
 func (h *Holder) startDraining(now time.Time) (successor bool) {
 	h.loop.Do(func() {
 		h.Draining = true
-		successor = failover.ChooseStandby(h.Settings.Label, h.Settings.Zone, h.Candidates(now)) != ""
+		successor = failover.ChooseStandby(h.Settings.Label, h.Settings.Zone, h.FailoverCandidates(now)) != ""
 	})
 	return successor
 }
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, m := range h.Machines {
-		if m.PendingCommands > 0 && h.Partitions[m.Record.Partition].Held {
+		if m.CommandRequestsInFlight > 0 && h.Partitions[m.Record.Partition].Held {
 			return true
 		}
 	}
--- a/internal/coordination/lease/loss.go
+++ b/internal/coordination/lease/loss.go
@@ -27,19 +27,19 @@
 // ClearPartition forgets what only the leader of a partition may believe of its jobs and
 // machines.
 func (h *Holder) ClearPartition(p *cluster.Partition) {
-	p.Cleared = true
+	p.LeaderStateCleared = true
 	clear(p.Usage)
 	for id, j := range h.Jobs {
 		if j.Partition != p.Index {
 			continue
 		}
-		if j.Unload(); h.FinalStates[id] != "" {
+		if j.DropRunState(); h.FinalStates[id] != "" {
 			delete(h.Jobs, id)
 		}
 	}
 	for _, m := range h.Machines {
 		if m.Record.Partition == p.Index {
-			m.Reset()
+			m.ResetLeaderState()
 		}
 	}
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -81,7 +81,7 @@
 			a := j.LiveAttempts[task]
 			a.State, a.StartedAt = cluster.AttemptConfirmed, now.Add(-time.Minute)
 		}
-		j.Pending, j.RunningCount, j.RecordsChanged = nil, largeTasksPerMachine, false
+		j.Pending, j.RunningCount, j.MayHaveDirtyChunk = nil, largeTasksPerMachine, false
 		for _, ch := range j.Chunks { // already written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
@@ -161,7 +161,7 @@
 			break
 		}
 		messages++
-		p.Replication.Acknowledged = replica.Updates.Apply(sent, replica.Derived.NoteStart, now)
+		p.Replication.AcknowledgedSeq = replica.Updates.Apply(sent, replica.Derived.NoteStart, now)
 	}
 	return messages
 }
@@ -279,7 +279,7 @@
 func checkLargeReplica(t *testing.T, c *Controller) {
 	t.Helper()
 	for _, m := range c.Machines {
-		m.PendingCommands = 1 // no command is sent
+		m.CommandRequestsInFlight = 1 // no command is sent
 	}
 	attempts, machines := 0, 0
 	for _, p := range c.Partitions {
@@ -476,7 +476,7 @@
 		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
 			for i := range peering.JobProgressLimit + 1 {
 				id := fmt.Sprint("job-", i)
-				c.Jobs[id] = &cluster.Job{Spec: newJobSpec(id, 1, "green"), Loaded: true, RunningCount: 1}
+				c.Jobs[id] = &cluster.Job{Spec: newJobSpec(id, 1, "green"), HasRunState: true, RunningCount: 1}
 			}
 			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != peering.JobProgressLimit {
 				t.Errorf("%d jobs in the summary", n)
@@ -518,7 +518,7 @@
 				}
 				m = c.addMachine(p, fmt.Sprint("m-2", i), "big")
 			}
-			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.PortableBodyLimit || len(sent.Machines) > 200 || sent.Through >= p.Replication.Clock {
+			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.PortableBodyLimit || len(sent.Machines) > 200 || sent.Through >= p.Replication.NewestSeq {
 				t.Errorf("%d bytes, %d machines", proto.Size(sent), len(sent.Machines))
 			}
 		}},
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -44,7 +44,7 @@
 			fenced = 0
 			n.loop.Do(func() {
 				for name := range sent {
-					if m := n.Machines[name]; m != nil && m.Fenced {
+					if m := n.Machines[name]; m != nil && m.TokenConfirmed {
 						fenced++
 					}
 				}
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -76,7 +76,7 @@
 		sender.AliveSince = now
 	}
 	sender.LastSummaryAt, sender.Summary = now, summary
-	sender.NoteReporting()
+	sender.UpdateReportingMachines()
 	e.jobs.ApplyCancellationNotices(summary, now)
 	e.proxy.SummaryReceived(summary)
 	e.learnAddresses(summary)
--- a/internal/coordination/peering/partition_summary.go
+++ b/internal/coordination/peering/partition_summary.go
@@ -57,7 +57,7 @@
 
 // machineStatus describes a machine.
 func machineStatus(machine *cluster.Machine, now time.Time) *peer.MachineStatus {
-	idle := len(machine.Attempts) == 0 && len(machine.OrphanedTasks) == 0 && machine.Fenced && machine.PendingCommands == 0
+	idle := len(machine.Attempts) == 0 && len(machine.OrphanedTasks) == 0 && machine.TokenConfirmed && machine.CommandRequestsInFlight == 0
 	status := &peer.MachineStatus{
 		Name:        machine.Name,
 		Reported:    machine.HasReported,
@@ -77,7 +77,7 @@
 // isNeverUp says whether a machine has been waited for far longer than it takes to boot.
 func isNeverUp(machine *cluster.Machine, now time.Time) bool {
 	return !machine.HasReported && len(machine.Attempts) == 0 && machine.Type != nil &&
-		now.Sub(machine.LedSince) > neverUpGrace && machine.Age(now) > bootTimeout(machine.Type)
+		now.Sub(machine.HeartbeatsExpectedSince) > neverUpGrace && machine.Age(now) > bootTimeout(machine.Type)
 }
 
 // isExpected says whether a machine that still boots, or was just moved here, will run some of
@@ -86,12 +86,12 @@
 	if machine.Type == nil || machine.Lost || machine.Quarantined || e.IsDeleted(machine.Name) || !machine.RetiringSince.IsZero() {
 		return false
 	}
-	unfenced := !machine.Fenced && machine.PreemptionAt.IsZero()
+	unfenced := !machine.TokenConfirmed && machine.PreemptionAt.IsZero()
 	if machine.HasReported && !unfenced {
 		return false
 	}
 	return machine.Age(now) < usualBootTime(machine.Type) ||
-		now.Sub(machine.LedSince) < e.HeartbeatInterval+firstHeartbeatMargin
+		now.Sub(machine.HeartbeatsExpectedSince) < e.HeartbeatInterval+firstHeartbeatMargin
 }
 
 // bootTimeout is how long a machine may take to come up before it is given up.
--- a/internal/coordination/peering/summary.go
+++ b/internal/coordination/peering/summary.go
@@ -38,7 +38,7 @@
 // jobProgress counts the done and running tasks of jobs that have any, up to a bound.
 func (e *Exchange) jobProgress() (list []*peer.JobProgress) {
 	for _, job := range e.Jobs {
-		if !job.Loaded || job.DoneCount == 0 && job.RunningCount == 0 {
+		if !job.HasRunState || job.DoneCount == 0 && job.RunningCount == 0 {
 			continue
 		}
 		if len(list) >= JobProgressLimit {
--- a/internal/coordination/proxy/grants.go
+++ b/internal/coordination/proxy/grants.go
@@ -59,13 +59,13 @@
 		return nil
 	}
 	partition := p.Partitions[request.Partition]
-	if !p.MayAnswer(partition, now) || !partition.Ready || partition.LeaseRevision != request.LeaseRevision || p.Draining {
+	if !p.MayAnswerHeartbeats(partition, now) || !partition.Ready || partition.LeaseRevision != request.LeaseRevision || p.Draining {
 		return nil
 	}
 	for _, heartbeat := range heartbeats {
 		p.applyHeartbeat(partition, heartbeat, now)
 	}
-	longest := p.AnswerBound() - now.Sub(p.InformedAt())
+	longest := p.AnswerBound() - now.Sub(p.UpToDateAt())
 	shards, duration, serial := partition.Delegations.Renew(request.From, request.Nonce, request.After, longest, now)
 	grant := &peer.DelegationGrant{GrantMs: uint32(duration.Milliseconds()), Serial: serial}
 	for _, shard := range shards {
@@ -90,7 +90,7 @@
 	}
 	p.agents.ApplyHeartbeat(machine, heartbeat, now)
 	machine.LastHeartbeatAt, machine.DelegateHeartbeatAt = now, now
-	if machine.Fenced && machine.NeedsCommands() {
+	if machine.TokenConfirmed && machine.NeedsCommands() {
 		p.agents.SendCommands(machine)
 	}
 }
@@ -103,7 +103,7 @@
 		pause = redirectRetryInterval
 	}
 	switch {
-	case !partition.Ready || !machine.Fenced:
+	case !partition.Ready || !machine.TokenConfirmed:
 		return ""
 	case !machine.RedirectedAt.IsZero() && now.Sub(machine.RedirectedAt) < pause:
 		return ""
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -215,7 +215,7 @@
 			for _, m := range c.Machines {
 				if m.Record.Partition == partition {
 					machines++
-					if m.Fenced {
+					if m.TokenConfirmed {
 						fenced++
 					}
 				}
@@ -435,7 +435,7 @@
 		}
 		j := c.addLoadedJob("job-1")
 		addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
-		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * cluster.ClockDrift)} {
+		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * cluster.ClockDriftFactor)} {
 			time.Sleep(wait)
 			if c.agents.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
 				t.Fatalf("lost %s into its first lease", time.Since(now))
--- a/internal/coordination/records/apply.go
+++ b/internal/coordination/records/apply.go
@@ -18,8 +18,8 @@
 // ApplyListing replaces what is known of the shared records by a listing at a revision.
 func (w *Watcher) ApplyListing(items []protocol.Item, revision uint64) {
 	now := time.Now()
-	w.ListedEnds = map[string]time.Time{}
-	defer func() { w.ListedEnds = nil }()
+	w.ListedEndTimes = map[string]time.Time{}
+	defer func() { w.ListedEndTimes = nil }()
 	// Final records go first, so that ended jobs are not taken up.
 	w.applyListedFinals(items)
 	w.leases.NoteMissedLeaders(now)
--- a/internal/coordination/replication/follow.go
+++ b/internal/coordination/replication/follow.go
@@ -65,7 +65,7 @@
 
 // isStandbyOf says whether this controller should have a replica of a partition.
 func (r *Replicator) isStandbyOf(p *cluster.Partition) bool {
-	return !p.Held && r.Synced && !r.Draining && r.NamedStandby(p) == r.Settings.Label
+	return !p.Held && r.Synced && !r.Draining && r.AnnouncedStandby(p) == r.Settings.Label
 }
 
 // wantReplica begins a replica of a partition, unless there is one.
--- a/internal/coordination/replication/hints.go
+++ b/internal/coordination/replication/hints.go
@@ -10,11 +10,11 @@
 // whether that was not known before.
 func (r *Replicator) ApplyStart(p *cluster.Partition, id AttemptID, at time.Time) bool {
 	job := r.Jobs[id.Job]
-	if job == nil || job.Partition != p.Index || !job.Loaded {
+	if job == nil || job.Partition != p.Index || !job.HasRunState {
 		return false
 	}
 	a := job.LiveAttempts[id.Task]
-	if a == nil || a.Number != id.Number || !a.StartUnknown() {
+	if a == nil || a.Number != id.Number || !a.StartTimeUnknown() {
 		return false
 	}
 	if a.ReplicatedStart = at; !a.StartedAt.IsZero() {
@@ -48,7 +48,7 @@
 	}
 	m.Quarantined = m.Quarantined || hints.Quarantined
 	m.SlowTasks = max(m.SlowTasks, int(hints.SlowTasks))
-	m.EpochHint = max(m.EpochHint, hints.Epoch)
+	m.ReplicatedEpoch = max(m.ReplicatedEpoch, hints.Epoch)
 	if m.PreemptionAt.IsZero() {
 		m.PreemptionAt = hints.PreemptionAt
 	}
--- a/internal/coordination/replication/replica_job.go
+++ b/internal/coordination/replication/replica_job.go
@@ -20,7 +20,7 @@
 // Bind makes the records' state that of the job, for the partition's new leader, and returns how
 // many attempts are live. The job owns the state from then on.
 func (j *ReplicaJob) Bind(job *cluster.Job, now time.Time) (live int) {
-	job.Loaded, job.RunningCount, job.Completing, job.FailedMachines, job.RunTimesS = true, 0, false, nil, nil
+	job.HasRunState, job.RunningCount, job.Completing, job.FailedMachines, job.RunTimesS = true, 0, false, nil, nil
 	job.LiveAttempts, job.Chunks, job.Pending = j.Live, j.chunks, nil
 	j.bindDoneTasks(job)
 	j.bindAttempts(job, now)
--- a/internal/coordination/replication/send.go
+++ b/internal/coordination/replication/send.go
@@ -98,7 +98,7 @@
 	r.loop.Do(func() {
 		progress := &u.partition.Replication
 		if progress.Target == u.label && u.partition.LeaseRevision == u.update.LeaseRevision {
-			progress.Acknowledged = min(reply.Acknowledged, progress.Clock)
+			progress.AcknowledgedSeq = min(reply.Acknowledged, progress.NewestSeq)
 		}
 	})
 }
@@ -107,16 +107,16 @@
 func (r *Replicator) PartitionUpdate(p *cluster.Partition, now time.Time) *peer.ReplicaUpdate {
 	progress := &p.Replication
 	if progress.Target != p.Standby {
-		progress.Target, progress.Acknowledged = p.Standby, 0
+		progress.Target, progress.AcknowledgedSeq = p.Standby, 0
 	}
-	update := &peer.ReplicaUpdate{From: r.Settings.Label, Nonce: r.Nonce, LeaseRevision: p.LeaseRevision, Partition: uint32(p.Index), After: progress.Acknowledged}
+	update := &peer.ReplicaUpdate{From: r.Settings.Label, Nonce: r.Nonce, LeaseRevision: p.LeaseRevision, Partition: uint32(p.Index), After: progress.AcknowledgedSeq}
 	budget := UpdateBytesLimit
 	for _, correction := range r.scheduler.RuntimeCorrections() {
 		update.Classes = append(update.Classes, correction)
 		budget -= proto.Size(correction) + EntryOverheadBytes
 	}
 	changes := r.partitionChanges(p)
-	update.Through = progress.Clock
+	update.Through = progress.NewestSeq
 	if !addChanges(update, changes, budget, now) {
 		r.bounds.Met(telemetry.ReplicaUpdates, 1)
 	}
@@ -136,15 +136,15 @@
 func (r *Replicator) partitionChanges(p *cluster.Partition) (changes []replicaChange) {
 	progress := &p.Replication
 	for _, job := range r.Jobs {
-		if job.Partition != p.Index || !job.Loaded {
+		if job.Partition != p.Index || !job.HasRunState {
 			continue
 		}
 		for _, a := range job.LiveAttempts {
 			if a.ReplicationSeq == 0 && !a.StartedAt.IsZero() && (!a.Inherited || !a.ReplicatedStart.IsZero()) {
-				progress.Clock++
-				a.ReplicationSeq = progress.Clock
+				progress.NewestSeq++
+				a.ReplicationSeq = progress.NewestSeq
 			}
-			if a.ReplicationSeq > progress.Acknowledged {
+			if a.ReplicationSeq > progress.AcknowledgedSeq {
 				changes = append(changes, replicaChange{seq: a.ReplicationSeq, attempt: a})
 			}
 		}
@@ -153,11 +153,11 @@
 		if m.Record.Partition != p.Index || !m.HasReported {
 			continue
 		}
-		if facts := m.ReplicatedFacts(); m.ReplicationSeq == 0 || facts != m.Replicated {
-			progress.Clock++
-			m.Replicated, m.ReplicationSeq = facts, progress.Clock
+		if facts := m.ReplicatedState(); m.ReplicationSeq == 0 || facts != m.LastReplicated {
+			progress.NewestSeq++
+			m.LastReplicated, m.ReplicationSeq = facts, progress.NewestSeq
 		}
-		if m.ReplicationSeq > progress.Acknowledged {
+		if m.ReplicationSeq > progress.AcknowledgedSeq {
 			changes = append(changes, replicaChange{seq: m.ReplicationSeq, machine: m})
 		}
 	}
@@ -172,7 +172,7 @@
 		var start *peer.AttemptStart
 		var hint *peer.MachineHint
 		if a := change.attempt; a != nil {
-			start = &peer.AttemptStart{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RunningS: a.RunningS(now)}
+			start = &peer.AttemptStart{Job: a.Job.Spec.ID, Task: uint32(a.TaskIndex), Attempt: a.Number, RunningS: a.RunTimeS(now)}
 			budget -= proto.Size(start) + EntryOverheadBytes
 		} else {
 			hint = change.machine.Hint(now)
--- a/internal/coordination/replication_test.go
+++ b/internal/coordination/replication_test.go
@@ -21,7 +21,7 @@
 func (sim *simulatedCluster) standbyOf(partition int) (label string) {
 	for _, l := range allControllers {
 		sim.onController(l, func(c *Controller) {
-			if replica := c.replicator.Replicas[partition]; replica != nil && replica.Records.Revision() != 0 && c.NamedStandby(c.Partitions[partition]) == l {
+			if replica := c.replicator.Replicas[partition]; replica != nil && replica.Records.Revision() != 0 && c.AnnouncedStandby(c.Partitions[partition]) == l {
 				label = l
 			}
 		})
@@ -40,9 +40,9 @@
 			out[a.TaskName()] = fmt.Sprint("live ", a.Number, a.Machine.Name, a.Epoch, a.State, a.Machine.Attempts[cluster.AttemptKey(a.TaskName(), a.Number)] == a, a.Job == j, t == a.TaskIndex)
 		}
 		for i, ch := range j.Chunks {
-			out[fmt.Sprint(id, " chunk ", i)] = fmt.Sprint(ch.Index, ch.Revision, ch.LastNumber, ch.Dirty, j.RecordsChanged)
+			out[fmt.Sprint(id, " chunk ", i)] = fmt.Sprint(ch.Index, ch.Revision, ch.LastNumber, ch.Dirty, j.MayHaveDirtyChunk)
 		}
-		out[id] = fmt.Sprint(j.Loaded, j.TaskDone, j.DoneCount, j.Pending, j.Ended, j.Completing)
+		out[id] = fmt.Sprint(j.HasRunState, j.TaskDone, j.DoneCount, j.Pending, j.Ended, j.Completing)
 	}
 	for name, m := range c.Machines {
 		if m.Record.Partition == p.Index {
@@ -145,7 +145,7 @@
 		}
 		for _, c := range two {
 			for _, m := range c.Machines {
-				m.PendingCommands = 1 // no command is sent
+				m.CommandRequestsInFlight = 1 // no command is sent
 			}
 		}
 		two[0].takeover.Install(p[0], warm, nil, true)
@@ -224,7 +224,7 @@
 		}
 		msg := new(peer.ReplicaUpdate)
 		panicOnError(proto.Unmarshal(raw, msg))
-		p.Replication.Acknowledged = replica.Updates.Apply(msg, replica.Derived.NoteStart, now)
+		p.Replication.AcknowledgedSeq = replica.Updates.Apply(msg, replica.Derived.NoteStart, now)
 	}
 	if messages != 3 || len(replica.Updates.Machines) != machines {
 		t.Errorf("%d messages with %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
@@ -240,7 +240,7 @@
 	t.Parallel()
 	c, p := newLeadingController(t)
 	m := c.addMachine(p, "m-1", "big")
-	m.Fenced = true
+	m.TokenConfirmed = true
 	c.addQueuedJob("job-1", 1)
 	j, now := c.Jobs["job-1"], time.Now()
 	c.scheduler.Reserve(p, j, 0, 1, m, now)
@@ -249,8 +249,8 @@
 	if !c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 2}, now) {
 		t.Error("applied the start of this attempt and of another")
 	}
-	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunningS(now) != 20 {
-		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunningS(now))
+	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunTimeS(now) != 20 {
+		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunTimeS(now))
 	}
 	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -98,7 +98,7 @@
 	}
 	scarcity := binpack.Scarcity{}
 	for id, job := range s.Jobs {
-		if job.Ended || job.Blocked || s.FinalStates[id] != "" || job.Loaded && len(job.Pending) == 0 {
+		if job.Ended || job.Blocked || s.FinalStates[id] != "" || job.HasRunState && len(job.Pending) == 0 {
 			continue
 		}
 		constraints, need := cluster.ConstraintsOf(job.Spec), cluster.ResourcesOf(job.Spec)
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -67,5 +67,5 @@
 		return
 	}
 	groups := [2]int{cluster.TeamGroup(team), s.ClassGroup(spec.Class)}
-	s.CountDone(s.TeamPartition[team], groups, s.ListedEnds[id])
+	s.CountDone(s.TeamPartition[team], groups, s.ListedEndTimes[id])
 }
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -88,7 +88,7 @@
 // limit, or within what is reserved of that for the job's class.
 func (s *Scheduler) withinQuota(p *cluster.Partition, job *cluster.Job) bool {
 	limit := cluster.TeamLimit(s.Settings.Params.Teams[job.Team])
-	return limit.Allows(p.Usage[job.Team], cluster.ResourcesOf(job.Spec)) || p.FairShare.WithinReserve[teamClass(job)]
+	return limit.Allows(p.Usage[job.Team], cluster.ResourcesOf(job.Spec)) || p.FairShare.WithinReservation[teamClass(job)]
 }
 
 // fairShareMachine is what the reservation of a machine depends on.
@@ -120,7 +120,7 @@
 	teamCount := len(s.Settings.Params.Teams)
 	groups := make([]fairshare.Group, teamCount+len(s.ClassGroups)+1)
 	for id, job := range s.Jobs {
-		if job.Partition != p.Index || !job.Loaded || job.Blocked || job.Ended || s.FinalStates[id] != "" {
+		if job.Partition != p.Index || !job.HasRunState || job.Blocked || job.Ended || s.FinalStates[id] != "" {
 			continue
 		}
 		late := lateShare(job, now)
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -51,7 +51,7 @@
 	var tasks []contention.Task
 	for _, attempt := range machine.Attempts {
 		if attempt.Live() {
-			tasks = append(tasks, s.predictTask(attempt.Job.Spec, attempt.RunningS(now)))
+			tasks = append(tasks, s.predictTask(attempt.Job.Spec, attempt.RunTimeS(now)))
 		}
 	}
 	return tasks
@@ -67,5 +67,5 @@
 	if a.Job.Spec.Standing {
 		return predictionHorizonS
 	}
-	return max(s.EstimateS(a.Job.Spec)-a.RunningS(now), s.HeartbeatInterval.Seconds())
+	return max(s.EstimateS(a.Job.Spec)-a.RunTimeS(now), s.HeartbeatInterval.Seconds())
 }
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -26,10 +26,10 @@
 // Preempt stops running attempts for jobs of a partition that must start now and find no
 // room.
 func (s *Scheduler) Preempt(p *cluster.Partition, now time.Time) {
-	if now.Sub(p.PreemptedAt) < preemptInterval {
+	if now.Sub(p.PreemptionCheckedAt) < preemptInterval {
 		return
 	}
-	p.PreemptedAt = now
+	p.PreemptionCheckedAt = now
 	jobs := s.Queue(p)
 	// Gathering the view is costly, and most of the time nothing must start at once.
 	if !slices.ContainsFunc(jobs, func(job *cluster.Job) bool { return s.mustStart(p, job, now) }) {
--- a/internal/coordination/scheduler/preemption_view.go
+++ b/internal/coordination/scheduler/preemption_view.go
@@ -169,7 +169,7 @@
 	spec := attempt.Job.Spec
 	lostS := 0.0
 	if !spec.Standing {
-		lostS = attempt.RunningS(now)
+		lostS = attempt.RunTimeS(now)
 	}
 	if spec.CheckpointS > 0 {
 		lostS = min(lostS, spec.SaveS)
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -35,7 +35,7 @@
 
 // unloaded reports whether a job is no longer scheduled by this controller.
 func (s *Scheduler) unloaded(job *cluster.Job) bool {
-	return !job.Loaded || s.Jobs[job.Spec.ID] != job
+	return !job.HasRunState || s.Jobs[job.Spec.ID] != job
 }
 
 // needsService reports whether a job belongs in the queue.
@@ -49,9 +49,9 @@
 	p.QueueOrder, p.IdleJobs, p.QueueOrderedAt = []*cluster.Job{}, p.IdleJobs[:0], now
 	for _, job := range s.Jobs {
 		switch {
-		case job.Partition != p.Index || !job.Loaded || job.Blocked:
+		case job.Partition != p.Index || !job.HasRunState || job.Blocked:
 		case job.HasWork():
-			job.RecordsChanged = job.HasDirtyChunk()
+			job.MayHaveDirtyChunk = job.HasDirtyChunk()
 			jobs, views = append(jobs, job), append(views, queueView(job))
 		default:
 			p.IdleJobs = append(p.IdleJobs, job)
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -20,7 +20,7 @@
 	uses := s.quotaWanted(p, now)
 	s.addQuotaUsed(uses)
 	p.FairShare.ReservedQuotas = make([][]fairshare.ReservedQuota, len(p.Usage))
-	p.FairShare.WithinReserve = map[cluster.TeamClass]bool{}
+	p.FairShare.WithinReservation = map[cluster.TeamClass]bool{}
 	for team := range p.Usage {
 		var classes []fairshare.ClassUse
 		for key, use := range uses {
@@ -32,7 +32,7 @@
 		p.FairShare.ReservedQuotas[team] = fairshare.Quotas(p.FairShare.Shares, limit, classes)
 		for _, class := range classes {
 			key := cluster.TeamClass{Team: team, ClassGroup: class.Class}
-			p.FairShare.WithinReserve[key] = class.Used.CPUs <= p.FairShare.Share(class.Class)*limit.CPUs
+			p.FairShare.WithinReservation[key] = class.Used.CPUs <= p.FairShare.Share(class.Class)*limit.CPUs
 		}
 	}
 }
@@ -86,7 +86,7 @@
 func (s *Scheduler) addQuotaUsed(uses map[cluster.TeamClass]fairshare.ClassUse) {
 	for _, job := range s.Jobs {
 		use, counted := uses[teamClass(job)]
-		if !counted || !job.Loaded {
+		if !counted || !job.HasRunState {
 			continue
 		}
 		for _, attempt := range job.LiveAttempts {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -59,5 +59,5 @@
 
 // usableIn reports whether a machine belongs to a partition and may get tasks.
 func (s *Scheduler) usableIn(p *cluster.Partition, machine *cluster.Machine, now time.Time) bool {
-	return machine.Record.Partition == p.Index && s.Usable(machine, now)
+	return machine.Record.Partition == p.Index && s.Schedulable(machine, now)
 }
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -93,7 +93,7 @@
 			name := fmt.Sprintf("m-%d-%d", p, i)
 			c.agents.MachineRecorded(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
 			m := c.Machines[name]
-			m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil, m.LastHeartbeatAt = true, true, 1, now, now
+			m.HasReported, m.TokenConfirmed, m.Epoch, m.AnsweredUntil, m.LastHeartbeatAt = true, true, 1, now, now
 			m.RecordedAt, m.IdleSince = recorded, idle
 			if rng.IntN(4) == 0 {
 				m.Images["img-1"] = now
@@ -162,7 +162,7 @@
 	fmt.Fprintf(&out, " stopped: %s\n", strings.Join(stopped, " "))
 	c.autoscaler.ReconcileFleet(now)
 	var fleet []string
-	for _, r := range c.Leadership.PendingScaleOut {
+	for _, r := range c.Leadership.PendingScaleOuts {
 		fleet = append(fleet, fmt.Sprintf("rent %d %s %s %v for %d", r.Count, r.Kind.Type, r.Kind.Zone, r.Kind.Spot, r.Partition))
 	}
 	moved := map[int]int{}
@@ -173,7 +173,7 @@
 		fleet = append(fleet, fmt.Sprintf("move %d from %d", n, p))
 	}
 	deleting := map[string]int{}
-	for name := range c.Leadership.DeletingSince {
+	for name := range c.Leadership.DeletionRequestedAt {
 		m := c.Machines[name]
 		deleting[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
 	}
--- a/internal/coordination/scheduling_policy_test.go
+++ b/internal/coordination/scheduling_policy_test.go
@@ -70,7 +70,7 @@
 		now := time.Now()
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
 			CreatedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
-		c.Machines["m-1"].LedSince = now.Add(-tc.age)
+		c.Machines["m-1"].HeartbeatsExpectedSince = now.Add(-tc.age)
 		c.addJob(newJobSpec("job-1", 9, "green"))
 		count := uint32(0)
 		for _, d := range c.peering.PartitionSummary(p, now).Demands {
@@ -134,7 +134,7 @@
 	high, low := newJobSpec("job-1", 1, "green"), newJobSpec("job-2", 1, "green")
 	high.Urgency = protocol.High
 	first, second := c.addJob(high), c.addJob(low)
-	first.Pending, first.RecordsChanged = nil, false // all of it runs, and is recorded
+	first.Pending, first.MayHaveDirtyChunk = nil, false // all of it runs, and is recorded
 	if list := c.scheduler.Queue(p); len(list) != 1 || list[0] != second {
 		t.Fatalf("%d jobs are queued", len(list))
 	}
--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -153,7 +153,7 @@
 		s := newJobSpec(id, 1, "red") // runs 6 s
 		s.DeadlineS, s.Urgency = deadline, urgency
 		j := &cluster.Job{Spec: s, SubmittedAt: now.Add(-settings.Seconds(age))}
-		j.Load()
+		j.InitRunState()
 		c.Jobs[id] = j
 	}
 	add("late", 30, 20, protocol.Standard)          // done at 36 s, deadline 20 s
--- a/internal/coordination/takeover/install.go
+++ b/internal/coordination/takeover/install.go
@@ -29,10 +29,10 @@
 
 // clear forgets what was believed of a partition when it was led here before.
 func (t *Takeover) clear(p *cluster.Partition) {
-	if !p.Cleared {
+	if !p.LeaderStateCleared {
 		t.leases.ClearPartition(p)
 	}
-	p.Cleared = false
+	p.LeaderStateCleared = false
 }
 
 // loadJobRecords makes the jobs known whose records were read.
@@ -81,9 +81,9 @@
 			bound++
 			p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), float64(len(j.LiveAttempts)))
 		} else {
-			j.Load()
+			j.InitRunState()
 		}
-		j.RequeueAll()
+		j.RebuildPending()
 		if t.FinalStates[id] != "" {
 			j.Ended, j.CancelledAt, j.Pending = true, t.Cancellations.CancelledAt(id), nil
 		} else if j.DoneCount == j.Spec.Tasks && !j.Spec.Standing {
@@ -112,7 +112,7 @@
 	for _, m := range t.Machines {
 		if m.Record.Partition == p.Index {
 			m.AnsweredUntil = t.leases.LastAnswerBound(p, m)
-			m.LastHeartbeatAt, m.LedSince = now, now
+			m.LastHeartbeatAt, m.HeartbeatsExpectedSince = now, now
 			t.agents.Fence(m)
 		}
 	}
--- a/internal/coordination/takeover/standby.go
+++ b/internal/coordination/takeover/standby.go
@@ -15,7 +15,7 @@
 		p.Standby = preferred
 		return
 	}
-	able := slices.DeleteFunc(t.Candidates(now), func(c failover.Candidate) bool {
+	able := slices.DeleteFunc(t.FailoverCandidates(now), func(c failover.Candidate) bool {
 		other := t.Peers[c.Label]
 		return other != nil && !other.Summary.Replicates
 	})
@@ -29,7 +29,7 @@
 	if former == "" || named != t.Settings.Label && now.Sub(t.StartedAt) < startSettleTime {
 		return false
 	}
-	all := t.Candidates(now)
+	all := t.FailoverCandidates(now)
 	if named == "" || !slices.ContainsFunc(all, func(c failover.Candidate) bool { return c.Label == named }) {
 		named = failover.ChooseStandby(former, t.ZoneOf(former), all)
 	}
@@ -39,6 +39,6 @@
 // liveStandby says whether another controller is there that was named the standby of a vacant
 // partition and has a replica of it.
 func (t *Takeover) liveStandby(p *cluster.Partition, now time.Time) bool {
-	named := t.Peers[t.NamedStandby(p)]
+	named := t.Peers[t.AnnouncedStandby(p)]
 	return named != nil && named.Alive(now) && !named.Summary.Draining && named.HasReplicaOf(p.Index)
 }
--- a/internal/coordination/takeover/wanted.go
+++ b/internal/coordination/takeover/wanted.go
@@ -36,7 +36,7 @@
 		// Held by a former incarnation, or its release is not on record yet.
 		return p.Leader == t.Settings.Label && now.Sub(p.AcquiredAt) > lease.ReleaseTimeout
 	}
-	if t.isStandbyFor(p.FormerLeader, t.NamedStandby(p), now) {
+	if t.isStandbyFor(p.FormerLeader, t.AnnouncedStandby(p), now) {
 		return true
 	}
 	if t.liveStandby(p, now) && now.Sub(p.VacantSince) < standbyHeadStart {
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -64,7 +64,7 @@
 	now := time.Now()
 	c.agents.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
 	m := c.Machines[name]
-	m.HasReported, m.Fenced, m.Epoch, m.AnsweredUntil = true, true, 1, now
+	m.HasReported, m.TokenConfirmed, m.Epoch, m.AnsweredUntil = true, true, 1, now
 	return m
 }
 
@@ -103,7 +103,7 @@
 // addLoadedJob adds a job of one task whose records are loaded.
 func (c *Controller) addLoadedJob(id string) *cluster.Job {
 	j := &cluster.Job{Spec: newJobSpec(id, 1, "red")}
-	j.Load()
+	j.InitRunState()
 	c.Jobs[id] = j
 	return j
 }
