--- a/internal/coordination/delegation/delegation.go
+++ b/internal/coordination/delegation/delegation.go
@@ -1,9 +1,9 @@
 // Package delegation divides the machines of a partition into shards, which the partition's
-// leader may delegate to other controllers: a delegate holds the agents' connections, answers
-// their heartbeats under a grant of the leader and forwards heartbeats and commands, while
-// the leader alone decides. The package knows which shard a machine is in, which controller
-// should serve which shard (PlanMoves) and what may have been answered under grants (Ledger).
-// It is pure: it knows no controller, and nothing of how messages travel.
+// leader may delegate to other controllers. A delegate holds the agents' connections, answers
+// their heartbeats under a time-limited grant, and forwards heartbeats and commands; all
+// decisions remain with the leader. The package maps machines to shards (ShardOf), plans which
+// controller serves which shard (PlanMoves), and bounds the answers that delegates may have given
+// (Ledger). It sends no messages.
 package delegation
 
 import (
@@ -11,17 +11,16 @@
 	"time"
 )
 
-// ShardCount is how many shards a partition's machines are in: several for each controller,
-// and few enough to be named one by one in messages.
+// ShardCount is the number of shards of a partition: several for each controller, but few enough
+// to be listed in messages.
 const ShardCount = 16
 
-// GrantDuration is how long a delegate may answer after it has asked, at the most. Whoever
-// concludes that a former leader has stopped answering adds it, since its delegates may not
-// have stopped.
+// GrantDuration is the longest time for which a delegate may answer after it has requested a
+// grant. Once a former leader has stopped answering, its delegates may go on for as long.
 const GrantDuration = 2 * time.Second
 
-// ShardOf is the index of the shard that a machine is in. It is the same on all controllers
-// and in all versions.
+// ShardOf returns the index of a machine's shard. It must be the same on all controllers and in all
+// versions.
 func ShardOf(machine string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(machine))
--- a/internal/coordination/delegation/ledger.go
+++ b/internal/coordination/delegation/ledger.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// downDuration is for how long a delegate that took no commands is bypassed.
+// downDuration is the time for which commands bypass a delegate that failed to forward one.
 const downDuration = 5 * time.Second
 
-// driftAllowance is the divisor by which a grant is counted longer than it is, since the
-// delegate's clock may run slower than the leader's: one percent.
-const driftAllowance = 100
+// driftDivisor is the divisor for the part of a grant's duration that the leader adds to it,
+// since the delegate's clock may run slower: one percent.
+const driftDivisor = 100
 
-// Ledger is a leader's record of the delegations of one partition: which controller has which
-// shard, until when it may answer, and up to when all its answers are known. It ends with the
-// leader's partition lease.
+// Ledger is a leader's record of the delegations of one partition: which controller serves which
+// shard, until when it may answer agents, and up to when all its answers are known. It is valid
+// for one term of the partition lease.
 type Ledger struct {
 	shards [ShardCount]shardGrant
 	links  map[string]*delegateLink
 }
 
-// shardGrant is what the ledger knows of one shard.
+// shardGrant is the delegation of one shard.
 type shardGrant struct {
 	delegate string
-	// until is the latest end of any grant of the present delegate.
+	// until is the latest end of any grant to the current delegate.
 	until time.Time
-	// unknownUntil is until when a former delegate, or a former incarnation of the present
-	// one, may have given answers that the leader will never learn of.
+	// unknownUntil is the latest time at which a former delegate, or a former incarnation of
+	// the current one, may have given answers that the leader will never learn of.
 	unknownUntil time.Time
 }
 
-// forgetGrants counts the grants so far as those of a former delegate.
-func (g *shardGrant) forgetGrants() {
+// supersedeGrants records that the grants so far were given to a former delegate or incarnation.
+func (g *shardGrant) supersedeGrants() {
 	g.unknownUntil = later(g.unknownUntil, g.until)
 	g.until = time.Time{}
 }
 
-// delegateLink is the exchange of renewals with one delegate.
+// delegateLink is the state of the grant renewals with one delegate.
 type delegateLink struct {
-	nonce  string // of the delegate's incarnation
-	serial uint64 // of the last reply
-	// repliedAt is when the last reply was given. Every answer of the delegate up to
-	// knownUntil is known.
+	nonce  string // identifies the delegate's incarnation
+	serial uint64 // number of the last reply
+	// repliedAt is the time of the last reply. All answers of the delegate up to knownUntil
+	// are known.
 	repliedAt, knownUntil time.Time
-	downUntil             time.Time // until when commands bypass the delegate
+	downUntil             time.Time // commands bypass the delegate until then
 }
 
-// Delegate is which controller has a shard; "": none but the leader.
+// Delegate returns the delegate of a shard, or "" if the leader serves it.
 func (l *Ledger) Delegate(shard int) string { return l.shards[shard].delegate }
 
-// Assign delegates a shard, or gives it back to the leader (""). Grants of the former delegate
-// run out by themselves.
+// Assign delegates a shard, or returns it to the leader if to is "". Grants to the former delegate
+// stay valid until they expire.
 func (l *Ledger) Assign(shard int, to string) {
 	grant := &l.shards[shard]
 	if grant.delegate == to {
 		return
 	}
-	grant.forgetGrants()
+	grant.supersedeGrants()
 	grant.delegate = to
 }
 
-// ShardsOf lists the shards that are delegated to a controller.
+// ShardsOf returns the shards that are delegated to a controller.
 func (l *Ledger) ShardsOf(delegate string) []int {
 	var list []int
 	for shard := range l.shards {
@@ -68,14 +68,14 @@
 	return list
 }
 
-// Renew records a delegate's request to renew its grant; with the request it has sent every
-// heartbeat that it answered before. nonce tells its incarnation, after is the serial of the
-// last reply that it had then, and longest bounds the grant. Renew returns the shards, for how
-// long after its request the delegate may answer, and the reply's serial.
+// Renew handles a delegate's request to renew its grant. nonce identifies the delegate's
+// incarnation, after is the serial number of the last reply that it had received, and longest
+// bounds the grant. Renew returns the granted shards, the time after sending the request for which
+// the delegate may answer, and the serial number of the reply.
 //
-// A delegate stores the heartbeats to be sent until a reply comes, and sends one request at a
-// time. So if it had the last reply, it sent its request after that reply was given, and all
-// that it answered up to then is in this request or was in one before.
+// With each request, a delegate forwards the heartbeats that it has answered; it keeps them until
+// they are acknowledged by a reply, and has one request at a time under way. So if it has received
+// the last reply, it has forwarded all heartbeats that it answered before that reply was given.
 func (l *Ledger) Renew(delegate, nonce string, after uint64, longest time.Duration, now time.Time) (granted []int, duration time.Duration, serial uint64) {
 	link := l.linkOf(delegate, nonce)
 	if link.serial != 0 && after == link.serial {
@@ -88,22 +88,22 @@
 	}
 	granted = l.ShardsOf(delegate)
 	for _, shard := range granted {
-		// By the leader's clock the request was sent before now; clocks drift a little.
-		until := now.Add(duration + duration/driftAllowance)
+		// The grant counts from when the request was sent, which was before now.
+		until := now.Add(duration + duration/driftDivisor)
 		l.shards[shard].until = later(l.shards[shard].until, until)
 	}
 	return granted, duration, link.serial
 }
 
-// linkOf is the link with a delegate's incarnation. A new incarnation begins a new one: what
-// the former one answered last was never sent.
+// linkOf returns the link to a delegate's incarnation. For a new incarnation it creates a new link:
+// the former one never forwards the heartbeats that it answered last.
 func (l *Ledger) linkOf(delegate, nonce string) *delegateLink {
 	if link := l.links[delegate]; link != nil && link.nonce == nonce {
 		return link
 	}
 	for shard := range l.shards {
 		if grant := &l.shards[shard]; grant.delegate == delegate {
-			grant.forgetGrants()
+			grant.supersedeGrants()
 		}
 	}
 	if l.links == nil {
@@ -114,17 +114,17 @@
 	return link
 }
 
-// Active says whether a shard's agents should send their heartbeats to its delegate: it has a
-// grant and has renewed it of late.
+// Active reports whether a shard's agents should send their heartbeats to its delegate: its grant
+// is valid and was renewed recently.
 func (l *Ledger) Active(shard int, now time.Time) bool {
 	grant := &l.shards[shard]
 	link := l.links[grant.delegate]
 	return link != nil && now.Sub(link.repliedAt) < GrantDuration/2 && grant.until.After(now)
 }
 
-// AnswerBounds bounds the answers that a machine of a shard may have had, if its last known
-// one was at lastAnswer: every answer up to known is known here, and none of these was
-// later than answered. Its lease has run out if it has between the two.
+// AnswerBounds bounds the time of the last answer to a machine of a shard whose last known answer
+// was at lastAnswer: no answer was given after answered and up to known. The machine's lease has
+// expired if the time between the two exceeds it.
 func (l *Ledger) AnswerBounds(shard int, lastAnswer, now time.Time) (known, answered time.Time) {
 	grant := &l.shards[shard]
 	answered = later(lastAnswer, grant.unknownUntil)
@@ -141,17 +141,17 @@
 	return now, answered
 }
 
-// MarkDown records that a delegate takes no commands; for a while they go straight to the
-// agents.
+// MarkDown records that a delegate failed to forward a command. For a while, commands go directly
+// to the agents.
 func (l *Ledger) MarkDown(delegate string, now time.Time) {
 	if link := l.links[delegate]; link != nil {
 		link.downUntil = now.Add(downDuration)
 	}
 }
 
-// FenceRoute is the controller that has a shard, even if it has not asked for its grant yet;
-// "": none, or one that takes no commands. It serves commands that only raise the fencing
-// token, which may go any way.
+// FenceRoute returns the delegate that forwards commands that only raise the fencing token, or "" if
+// they go directly to the agents. It may be a delegate without a grant, since these commands are
+// safe on any route.
 func (l *Ledger) FenceRoute(shard int, now time.Time) string {
 	delegate := l.shards[shard].delegate
 	if link := l.links[delegate]; link != nil && !now.After(link.downUntil) {
@@ -160,8 +160,8 @@
 	return delegate
 }
 
-// CommandRoute is the delegate that forwards a shard's commands; "": they go straight to the
-// agents.
+// CommandRoute returns the delegate that forwards a shard's commands, or "" if they go directly to
+// the agents.
 func (l *Ledger) CommandRoute(shard int, now time.Time) string {
 	if !l.Active(shard, now) {
 		return ""
@@ -169,8 +169,8 @@
 	return l.FenceRoute(shard, now)
 }
 
-// LatestGrantEnd is the latest moment at which anybody may answer under a grant given here;
-// zero: there was no grant.
+// LatestGrantEnd returns the latest time at which a delegate may answer under a grant of this ledger,
+// or zero if there was none.
 func (l *Ledger) LatestGrantEnd() time.Time {
 	last := time.Time{}
 	for shard := range l.shards {
@@ -179,7 +179,7 @@
 	return last
 }
 
-// later is the later of two moments.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/coordination/delegation/plan.go
+++ b/internal/coordination/delegation/plan.go
@@ -7,90 +7,90 @@
 )
 
 const (
-	// MoveInterval is the least time between two shards that are delegated.
+	// MoveInterval is the minimum time from a move until another shard is delegated.
 	MoveInterval = time.Second
-	// ReturnInterval is the least time between two shards that are taken back from delegates
-	// that are well.
+	// ReturnInterval is the minimum time from a move until a shard is taken back from an
+	// available delegate.
 	ReturnInterval = 10 * time.Second
 )
 
 // Fractions of a controller's capacity that are in use.
 const (
-	// delegateAbove is beyond which a leader begins to delegate shards.
+	// delegateAbove is the fraction above which a leader delegates shards.
 	delegateAbove = 0.5
-	// delegateFillLimit is up to which a delegate is given shards.
+	// delegateFillLimit is the fraction up to which a delegate may be filled.
 	delegateFillLimit = 0.75
-	// returnBelow is up to which a leader takes shards back, as long as that does not lead
-	// beyond returnFillLimit.
+	// returnBelow is the fraction up to which a leader takes shards back, provided that this
+	// does not fill it beyond returnFillLimit.
 	returnBelow     = 0.3
 	returnFillLimit = 0.4
 )
 
-// Load is how many machines are connected to a controller, and how many its
-// sockets hold.
+// Load is the number of machines that are connected to a controller, and the number for which it
+// has sockets.
 type Load struct{ Machines, Capacity int }
 
-// with is the fraction of the capacity in use with so many more machines.
-func (l Load) with(more int) float64 {
+// utilizationWith returns the fraction of the capacity in use after adding machines.
+func (l Load) utilizationWith(more int) float64 {
 	return float64(l.Machines+more) / float64(max(1, l.Capacity))
 }
 
-// Peer is another controller as a possible delegate.
+// Peer is another controller that may become a delegate.
 type Peer struct {
 	Label string
 	Load  Load
-	// Available: it is alive, is not draining and knows delegation, so that it goes on
-	// with the shards it has.
+	// Available is true if it is alive, is not draining and supports delegation. It then keeps
+	// the shards that it has.
 	Available bool
-	// Settled: it has been alive for a while and reaches the state store as well, so
-	// that it may be given more shards.
+	// Settled is true if it has been alive for a while and reaches the state store. If it is
+	// available too, it may get more shards.
 	Settled bool
 }
 
-// Shard is one shard of a partition that the planning controller leads.
+// Shard is a shard of a partition that the planning controller leads.
 type Shard struct {
 	Partition, Index, Machines int
-	Delegate                   string // "": the leader itself
+	Delegate                   string // "" if the leader serves it
 }
 
-// View is what a plan is made from.
+// View is the snapshot from which a plan is made.
 type View struct {
-	// Own counts the machines whose connections are here, also those of other leaders' shards.
+	// Own is the load of the planning controller, including shards delegated to it.
 	Own    Load
 	Shards []Shard
 	Peers  []Peer
-	// Unsupported: some live controller does not know delegation, so that
-	// nothing may be delegated.
+	// Unsupported is true if some live controller does not support delegation. Then nothing
+	// may be delegated.
 	Unsupported bool
-	// MayMove: the last move is at least MoveInterval ago. MayReturn: it is at least
-	// ReturnInterval ago, so that a shard may come back though its delegate is well.
+	// MayMove is true if the last move was at least MoveInterval ago, MayReturn if it was at
+	// least ReturnInterval ago.
 	MayMove, MayReturn bool
 }
 
-// Move is a change of a shard's delegate; To "": back to the leader. Reason is shown to
-// operators.
+// Move is a change of a shard's delegate.
 type Move struct {
 	Partition, Shard int
-	To               string
-	Reason           string
+	To               string // the new delegate, or "" to return the shard to the leader
+	Reason           string // shown to operators
 }
 
-// PlanMoves says which shards change their delegates now. Those whose delegate can't go on
-// come back at once; otherwise at most one moves. The same view gives the same plan.
+// PlanMoves returns the shards whose delegates are to change now. All shards whose delegates are not
+// available return to the leader at once; otherwise, at most one shard moves. The plan is
+// deterministic.
 func PlanMoves(v View) []Move {
-	if moves := recall(v); len(moves) > 0 || v.Unsupported {
+	if moves := reclaimShards(v); len(moves) > 0 || v.Unsupported {
 		return moves
 	}
 	if move, ok := delegateShard(v); ok {
 		return []Move{move}
 	}
-	if move, ok := takeBack(v); ok {
+	if move, ok := returnShard(v); ok {
 		return []Move{move}
 	}
 	return nil
 }
 
-// Apply changes the view to what it will be once a move is done.
+// Apply updates the view as if a move had been made.
 func (v *View) Apply(move Move) {
 	for i := range v.Shards {
 		shard := &v.Shards[i]
@@ -103,7 +103,8 @@
 	}
 }
 
-// addMachines adds machines to the load of a controller; "" is the planning one.
+// addMachines adds machines to the load of a controller, or of the planning controller if label is
+// "".
 func (v *View) addMachines(label string, machines int) {
 	if label == "" {
 		v.Own.Machines += machines
@@ -115,8 +116,8 @@
 	}
 }
 
-// recall takes back all shards whose delegate can't go on.
-func recall(v View) (moves []Move) {
+// reclaimShards returns all shards to the leader whose delegates may not keep them.
+func reclaimShards(v View) (moves []Move) {
 	available := map[string]bool{}
 	for _, p := range v.Peers {
 		available[p.Label] = p.Available
@@ -133,23 +134,23 @@
 	return moves
 }
 
-// delegateShard moves the largest shard that fits to the controller that is least full.
+// delegateShard moves the largest shard that fits to the least loaded controller that can take it.
 func delegateShard(v View) (Move, bool) {
-	if !v.MayMove || v.Own.with(0) <= delegateAbove {
+	if !v.MayMove || v.Own.utilizationWith(0) <= delegateAbove {
 		return Move{}, false
 	}
 	largestFirst := slices.Clone(v.Shards)
 	slices.SortStableFunc(largestFirst, func(a, b Shard) int { return b.Machines - a.Machines })
-	leastFullFirst := slices.Clone(v.Peers)
-	slices.SortFunc(leastFullFirst, func(a, b Peer) int {
-		return cmp.Or(cmp.Compare(a.Load.with(0), b.Load.with(0)), cmp.Compare(a.Label, b.Label))
+	leastLoadedFirst := slices.Clone(v.Peers)
+	slices.SortFunc(leastLoadedFirst, func(a, b Peer) int {
+		return cmp.Or(cmp.Compare(a.Load.utilizationWith(0), b.Load.utilizationWith(0)), cmp.Compare(a.Label, b.Label))
 	})
 	for _, shard := range largestFirst {
 		if shard.Delegate != "" || shard.Machines == 0 {
 			continue
 		}
-		for _, p := range leastFullFirst {
-			if p.fits(shard, v.Own) {
+		for _, p := range leastLoadedFirst {
+			if p.canTake(shard, v.Own) {
 				return Move{shard.Partition, shard.Index, p.Label, "the leader is full"}, true
 			}
 		}
@@ -157,19 +158,19 @@
 	return Move{}, false
 }
 
-// fits says whether a shard may be delegated to the controller. It must stay less full than
-// the leader, or the shard would move back and forth.
-func (p Peer) fits(shard Shard, leader Load) bool {
+// canTake reports whether a shard may be delegated to the controller. The controller must remain less
+// loaded than the leader, or the shard would move back and forth.
+func (p Peer) canTake(shard Shard, leader Load) bool {
 	if !p.Available || !p.Settled {
 		return false
 	}
-	filled := p.Load.with(shard.Machines)
-	return filled <= delegateFillLimit && filled < leader.with(-shard.Machines)
+	filled := p.Load.utilizationWith(shard.Machines)
+	return filled <= delegateFillLimit && filled < leader.utilizationWith(-shard.Machines)
 }
 
-// takeBack moves the smallest delegated shard back to a leader with plenty of free capacity.
-func takeBack(v View) (Move, bool) {
-	if !v.MayReturn || v.Own.with(0) > returnBelow {
+// returnShard returns the smallest delegated shard to a leader with a low load.
+func returnShard(v View) (Move, bool) {
+	if !v.MayReturn || v.Own.utilizationWith(0) > returnBelow {
 		return Move{}, false
 	}
 	var smallest *Shard
@@ -179,7 +180,7 @@
 			smallest = shard
 		}
 	}
-	if smallest == nil || v.Own.with(smallest.Machines) > returnFillLimit {
+	if smallest == nil || v.Own.utilizationWith(smallest.Machines) > returnFillLimit {
 		return Move{}, false
 	}
 	return Move{smallest.Partition, smallest.Index, "", "the leader has capacity again"}, true
--- a/internal/coordination/failover/answer_bounds.go
+++ b/internal/coordination/failover/answer_bounds.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// FormerLeader is an incarnation of a controller that may have answered agents of a partition; a
-// process begins and ends with its nonce.
+// FormerLeader is an incarnation of a controller that may have answered agents of a partition.
 type FormerLeader struct {
+	// Label names the controller, Nonce the run of its process. Both are empty for leaders that
+	// may have been missed.
 	Label, Nonce string
-	// LeaseRevision is the revision of the lease under which it did.
+	// LeaseRevision is the revision of the partition lease under which it may have answered.
 	LeaseRevision uint64
-	// AnswersUntil is the latest moment at which it did, if nothing more is known of it.
+	// AnswersUntil is the latest time at which it may have answered.
 	AnswersUntil time.Time
 }
 
-// NoteReleased shortens, in place, the bound of a former leader that has recorded that it had
-// stopped before it released a lease: it may have answered until then at most.
+// NoteReleased lowers, in place, AnswersUntil of a former leader whose record says that it stopped
+// answering before it released the lease.
 func NoteReleased(all []FormerLeader, label, nonce string, leaseRevision uint64, until time.Time) {
 	for i := range all {
 		former := &all[i]
@@ -23,9 +24,9 @@
 	}
 }
 
-// AnsweredUntil is the latest moment at which any of them may have answered. ended tells when an
-// incarnation was proven to be over, by the record of a later one of the same label; zero: it was
-// not.
+// AnsweredUntil returns the latest time at which any of the former leaders may have answered. ended
+// returns the time at which the record of a newer incarnation proved an incarnation to be over, or
+// zero if none has.
 func AnsweredUntil(all []FormerLeader, ended func(label, nonce string) time.Time) time.Time {
 	last := time.Time{}
 	for _, former := range all {
--- a/internal/coordination/failover/evidence.go
+++ b/internal/coordination/failover/evidence.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// divertedEnough is how many machines' agents must have come to another controller: so many
-	// show that it is not one agent's fault. Of very few machines divertedMin must do.
-	divertedEnough = 3
-	divertedMin    = 2
-	// silentIntervals is for how many intervals a leader must have been silent; to allow for late
-	// messages, one more is added, divided by lateDivisor.
-	silentIntervals = 2
-	lateDivisor     = 5
+	// maxRequiredDiverted is the number of diverted machines that shows that not just one agent
+	// is at fault. If fewer machines report to the leader, all of them must be diverted, and at
+	// least minRequiredDiverted.
+	maxRequiredDiverted = 3
+	minRequiredDiverted = 2
+	// silentIntervals is the number of summary intervals for which a leader must have been
+	// silent. The interval divided by silenceMarginDivisor is added for delayed messages.
+	silentIntervals      = 2
+	silenceMarginDivisor = 5
 )
 
-// Evidence is what shows that a leader is dead.
+// Evidence is what is known of a leader that may be dead.
 type Evidence struct {
-	// Silent is for how long it has sent no summary, Interval how often it should.
+	// Silent is the time since the last summary, Interval the time between two summaries.
 	Silent, Interval time.Duration
-	// Reporting is how many machines it last said report to it, Diverted how many of those came
-	// to this controller since: their agent got no answer there.
+	// Reporting is the number of machines in its last summary that report to it, Diverted the
+	// number of these whose agents have since turned to this controller for lack of an answer.
 	Reporting, Diverted int
 }
 
-// Dead says that the leader's lease may be revoked: neither controllers nor agents reach it, so
-// that it is of no use as a leader, whether its process has ended or not. Silence alone is not
-// enough (connections between controllers may be refused alone), nor are diverted machines (an
-// agent may lose its connection): each has been seen without the other.
+// Dead reports whether the leader's lease may be revoked: neither controllers nor agents reach it,
+// so it can't act as leader, even if its process still runs. Silence alone is no proof, since only
+// the connections between controllers may fail; nor are diverted machines, since agents may lose
+// their connections.
 func (e Evidence) Dead() bool {
-	silent := e.Silent > silentIntervals*e.Interval+e.Interval/lateDivisor
-	return silent && e.Diverted >= max(divertedMin, min(divertedEnough, e.Reporting))
+	silent := e.Silent > silentIntervals*e.Interval+e.Interval/silenceMarginDivisor
+	return silent && e.Diverted >= max(minRequiredDiverted, min(maxRequiredDiverted, e.Reporting))
 }
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -13,48 +13,48 @@
 		all          []Candidate
 		want         string
 	}{
-		"another zone, the least loaded":   {"n0", "a", all, "n4"},
-		"not the leader":                   {"n4", "b", all, "n1"},
-		"among equals fewer partitions":    {"n0", "a", all[:4], "n2"},
-		"the same zone if there is none":   {"n0", "a", all[:2], "n1"},
-		"nobody":                           {"n0", "a", all[:1], ""},
-		"a leader whose zone is not known": {"n9", "", all, "n1"},
+		"least loaded in another zone":        {"n0", "a", all, "n4"},
+		"not the leader":                      {"n4", "b", all, "n1"},
+		"fewest partitions of equally loaded": {"n0", "a", all[:4], "n2"},
+		"same zone without another":           {"n0", "a", all[:2], "n1"},
+		"no candidate":                        {"n0", "a", all[:1], ""},
+		"leader in an unknown zone":           {"n9", "", all, "n1"},
 	} {
 		if got := ChooseStandby(c.leader, c.zone, c.all); got != c.want {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("%s: standby %q, want %q", name, got, c.want)
 		}
 		reversed := slices.Clone(c.all)
 		slices.Reverse(reversed)
 		if got := ChooseStandby(c.leader, c.zone, reversed); got != c.want {
-			t.Errorf("%s: %q in another order", name, got)
+			t.Errorf("%s: standby %q for the candidates in reverse order", name, got)
 		}
 	}
 }
 
 func TestKeepStandby(t *testing.T) {
 	all := []Candidate{{"n1", "b", 100, 1}, {"n2", "b", 300, 1}, {"n3", "a", 10, 1}, {"n4", "b", 240, 1}}
-	for present, want := range map[string]string{
-		"":   "n1", // the best
-		"n4": "n4", // leads more, but not far more
-		"n2": "n1", // leads far more
+	for current, want := range map[string]string{
+		"":   "n1", // the best candidate
+		"n4": "n4", // leads more machines, but within the tolerance
+		"n2": "n1", // leads more machines than the tolerance allows
 		"n3": "n1", // in the leader's zone
-		"n9": "n1", // gone
+		"n9": "n1", // no candidate
 		"n0": "n1", // the leader itself
 	} {
-		if got := KeepStandby(present, "n0", "a", all); got != want {
-			t.Errorf("%q named before: %q, want %q", present, got, want)
+		if got := KeepStandby(current, "n0", "a", all); got != want {
+			t.Errorf("current standby %q: chose %q, want %q", current, got, want)
 		}
 	}
 	if got := KeepStandby("n3", "n0", "a", all[2:3]); got != "n3" {
-		t.Errorf("the only one: %q", got)
+		t.Errorf("a current standby that is the only candidate: chose %q", got)
 	}
 	if got := KeepStandby("n1", "n0", "a", nil); got != "" {
-		t.Errorf("nobody: %q", got)
+		t.Errorf("no candidate: chose %q", got)
 	}
 }
 
-// Only both together: silence alone is also that of refused connections between
-// controllers, diverted machines alone those of an agent that lost its connection.
+// A leader is dead only if it is silent and machines are diverted: silence alone may come from
+// failed connections between controllers, diverted machines from agents that lost a connection.
 func TestDead(t *testing.T) {
 	const interval = 500 * time.Millisecond
 	for _, c := range []struct {
@@ -63,15 +63,15 @@
 		want                bool
 	}{
 		{1200 * time.Millisecond, 100, 3, true},
-		{1000 * time.Millisecond, 100, 50, false}, // it may have stood still for a second
+		{1000 * time.Millisecond, 100, 50, false}, // it may have been stalled for a second
 		{time.Minute, 100, 0, false},
 		{time.Minute, 100, 2, false},
 		{time.Minute, 2, 2, true},
-		{time.Minute, 1, 1, false}, // then its lease has to run out
+		{time.Minute, 1, 1, false}, // too few machines: its lease has to expire
 		{time.Minute, 0, 0, false},
 	} {
 		if got := (Evidence{c.silent, interval, c.reporting, c.diverted}).Dead(); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("evidence %+v: dead is %v", c, got)
 		}
 	}
 }
@@ -83,34 +83,34 @@
 		ended map[string]time.Time
 		want  time.Time
 	}{
-		"the latest of all":                          {nil, at(23)},
-		"but for one whose new incarnation has come": {map[string]time.Time{"n1/y": at(3)}, at(20)},
-		"unless that came later still":               {map[string]time.Time{"n1/y": at(40)}, at(23)},
-		"all of them":                                {map[string]time.Time{"n1/y": at(3), "n0/x": at(2)}, at(3)},
-		"not another incarnation of the same":        {map[string]time.Time{"n1/z": at(3)}, at(23)},
+		"the latest of all former leaders":                 {nil, at(23)},
+		"an incarnation ended earlier":                     {map[string]time.Time{"n1/y": at(3)}, at(20)},
+		"an incarnation ended after its bound":             {map[string]time.Time{"n1/y": at(40)}, at(23)},
+		"all incarnations ended":                           {map[string]time.Time{"n1/y": at(3), "n0/x": at(2)}, at(3)},
+		"another incarnation of the same controller ended": {map[string]time.Time{"n1/z": at(3)}, at(23)},
 	} {
 		if got := AnsweredUntil(all, func(label, nonce string) time.Time { return c.ended[label+"/"+nonce] }); !got.Equal(c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: answers until %v, want %v", name, got, c.want)
 		}
 	}
 	never := func(string, string) time.Time { return time.Time{} }
 	for _, r := range []FormerLeader{{Label: "n1", Nonce: "y", LeaseRevision: 6}, {Label: "n1", Nonce: "z", LeaseRevision: 7}, {Label: "n0", Nonce: "y", LeaseRevision: 7}} {
 		if NoteReleased(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
-			t.Errorf("%+v released another's lease", r)
+			t.Errorf("the release by %+v lowered the bound of another former leader", r)
 		}
 	}
 	if NoteReleased(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
-		t.Error("a lease that was released")
+		t.Error("the release of a lease did not lower the bound of its former leader")
 	}
 	if got := AnsweredUntil(nil, nil); !got.IsZero() {
-		t.Errorf("nobody answered until %v", got)
+		t.Errorf("answers until %v without former leaders", got)
 	}
 }
 
 func TestMissing(t *testing.T) {
 	good := TakeoverCheck{LeaseRevision: 7, NewestLease: 7, SinceRenewal: time.Second, TTL: 3 * time.Second, RunRecords: 7, MachineRecords: 8, FinalStates: 9, Counted: true}
 	if m := good.Missing(); len(m) != 0 {
-		t.Errorf("missing %v", m)
+		t.Errorf("a complete check misses %v", m)
 	}
 	for want, change := range map[string]func(*TakeoverCheck){
 		"the newest lease":                              func(c *TakeoverCheck) { c.NewestLease = 8 },
@@ -123,10 +123,10 @@
 		c := good
 		change(&c)
 		if m := c.Missing(); !slices.Equal(m, []string{want}) {
-			t.Errorf("%s: %v", want, m)
+			t.Errorf("missing %v, want only %s", m, want)
 		}
 	}
 	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest lease") {
-		t.Errorf("without a lease: %v", m)
+		t.Errorf("without a lease: missing %v, want the newest lease among it", m)
 	}
 }
--- a/internal/coordination/failover/standby.go
+++ b/internal/coordination/failover/standby.go
@@ -1,7 +1,7 @@
-// Package failover makes the decisions of a failover: which controller is the standby of a
-// partition, when a leader counts as dead before its lease has run out, until when a former leader
-// may have answered agents, and what is still to be checked before the first decision. All of it
-// is pure; it knows no record's meaning, no connection and no controller.
+// Package failover makes the decisions of a failover: which controller is a partition's standby,
+// when a leader counts as dead before its lease expires, until when former leaders may have
+// answered agents, and what a new leader lacks before its first decision. All functions are pure;
+// they neither read records nor use connections.
 package failover
 
 import (
@@ -9,21 +9,21 @@
 	"slices"
 )
 
-// machineTolerance is how many machines more than twice the least loaded controller's a standby
-// may lead before another is named: a new replica costs requests, and the failover would be cold
-// meanwhile.
+// machineTolerance is the number of machines by which a standby may exceed twice the load of the best
+// candidate before it is replaced. A new standby must first read its replica; until then, a failover
+// finds none.
 const machineTolerance = 50
 
-// Candidate is a controller that could take a partition over.
+// Candidate is a controller that could take over a partition.
 type Candidate struct {
 	Label, Zone string
-	// Machines and Partitions are how many it leads.
+	// Machines and Partitions are the numbers of machines and partitions that it leads.
 	Machines, Partitions int
 }
 
-// ChooseStandby names the standby of what a leader leads: a controller in another zone, since
-// zones fail as one, and there the least loaded. All that know the same choose the same. Empty:
-// there is none. zone is the leader's; empty: it is not known.
+// ChooseStandby returns the label of the standby for a leader's partitions, or "" if there is no
+// candidate. It prefers controllers outside the leader's zone, since a whole zone may fail, and of
+// these the least loaded. The choice is deterministic. zone is the leader's zone, or "" if unknown.
 func ChooseStandby(leader, zone string, all []Candidate) string {
 	all = slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return c.Label == leader })
 	if len(all) == 0 {
@@ -40,18 +40,18 @@
 	}).Label
 }
 
-// KeepStandby chooses like ChooseStandby, but the present standby, which has a replica already,
-// stays as long as it is there, is in as good a zone as the best, and does not lead far more
-// machines.
-func KeepStandby(present, leader, zone string, all []Candidate) string {
+// KeepStandby chooses like ChooseStandby, but keeps the current standby, which already has a replica,
+// as long as it is a candidate, its zone is no worse than that of the best candidate, and it does
+// not lead far more machines.
+func KeepStandby(current, leader, zone string, all []Candidate) string {
 	best := ChooseStandby(leader, zone, all)
-	if present == "" || present == best || present == leader {
+	if current == "" || current == best || current == leader {
 		return best
 	}
 	indexOf := func(label string) int {
 		return slices.IndexFunc(all, func(c Candidate) bool { return c.Label == label })
 	}
-	i, k := indexOf(present), indexOf(best)
+	i, k := indexOf(current), indexOf(best)
 	if i < 0 || k < 0 {
 		return best
 	}
@@ -59,5 +59,5 @@
 	if worseZone || all[i].Machines > 2*all[k].Machines+machineTolerance {
 		return best
 	}
-	return present
+	return current
 }
--- a/internal/coordination/failover/takeover_check.go
+++ b/internal/coordination/failover/takeover_check.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// TakeoverCheck is what a new leader must know before its first decision on a partition.
+// TakeoverCheck holds what a new leader must know before its first decision on a partition.
 type TakeoverCheck struct {
-	// LeaseRevision is the revision of its lease, NewestLease that of the newest one seen.
+	// LeaseRevision is the revision of its partition lease, NewestLease that of the newest lease
+	// seen for the partition.
 	LeaseRevision, NewestLease uint64
-	// SinceRenewal is how long ago its controller lease was certainly renewed, TTL how long that
-	// holds.
+	// SinceRenewal is the time since the last certain renewal of its controller lease, TTL the
+	// time to live of that lease.
 	SinceRenewal, TTL time.Duration
-	// RunRecords and MachineRecords are the revisions up to which the partition's records were
-	// read, by answers asked for after the lease was acquired; FinalStates that up to which final
-	// states of jobs were followed.
+	// RunRecords and MachineRecords are the revisions up to which the partition's records are
+	// known from reads that began after the lease was acquired; FinalStates is the revision up to
+	// which the final states of jobs are known.
 	RunRecords, MachineRecords, FinalStates uint64
-	// Counted: quotas are counted from all live attempts.
+	// Counted is true if the use of quotas was counted from all live attempts.
 	Counted bool
 }
 
-// Missing says what is not known yet; nothing: the leader may decide. What may change between this
-// and a decision's write is a condition of the write as well (docs/design.md, rules 32 to 36).
+// Missing returns what is not known yet; if that is nothing, the leader may decide. What may change
+// before a decision is written is also a condition of that write (docs/design.md, rules 32 to 36).
 func (c TakeoverCheck) Missing() []string {
 	var missing []string
-	require := func(known bool, what string) {
+	require := func(known bool, description string) {
 		if !known {
-			missing = append(missing, what)
+			missing = append(missing, description)
 		}
 	}
 	require(c.LeaseRevision != 0 && c.LeaseRevision == c.NewestLease, "the newest lease")
--- a/internal/coordination/fairshare/fairshare.go
+++ b/internal/coordination/fairshare/fairshare.go
@@ -1,10 +1,10 @@
-// Package fairshare decides what is reserved for classes of jobs, and for teams, that are
-// starved: a bounded share of the machines that their work fits, against any urgency and any
-// flood of others. It is a pure function of a view of one partition.
+// Package fairshare decides which machines, and how much of the teams' limits, are reserved for
+// starved classes of jobs and starved teams. Other work may not use what is reserved, however
+// urgent or plentiful it is. All decisions are pure functions of a snapshot of one partition.
 //
-// A group is a class or a team; a job belongs to one of each. How starved a group is follows
-// from how much of what was accepted of it still waits though it has waited long, so it is
-// counted from the records and survives a failover.
+// A group is a class or a team; each job belongs to one class and one team. A group is starved
+// to the extent that its accepted jobs have waited too long. That is counted from the stored
+// records, so it survives a failover.
 package fairshare
 
 import (
@@ -12,50 +12,52 @@
 	"time"
 )
 
-// NoGroup is no group; groups are numbered from 1.
+// NoGroup stands for the absence of a group; groups are numbered from 1.
 const NoGroup = 0
 
 const (
-	// MaxReservedShare is the share of the machines of a type, and of a team's limit, that
-	// may be reserved, for all groups together.
+	// MaxReservedShare is the maximum share of the machines of a type, and of a team's limit,
+	// that may be reserved for all groups together.
 	MaxReservedShare = 0.5
-	// minStarvedShare is how much of a group may be starved without anything being reserved
-	// for it.
+	// minStarvedShare is the starved share up to which nothing is reserved for a group.
 	minStarvedShare = 0.05
-	// fullStarvedShare is from where on a group gets all that it may: what half of
-	// everything being served asks for, with as much to spare.
+	// fullStarvedShare is the starved share from which a group gets MaxReservedShare. It is well
+	// below one half, since at least half of a group's jobs should be served.
 	fullStarvedShare = 0.25
 )
 
 const (
-	// minStarvation is the least time that a job with a deadline waits until it is starved.
-	minStarvation = 30 * time.Second
-	// starvationWithoutDeadline is the same for a job without a deadline.
-	starvationWithoutDeadline = 2 * minStarvation
-	// starvationShare is the share of the time that a job has, after which it is starved.
-	starvationShare = 0.5
+	// minStarvationTime is the shortest time after which a job with a deadline counts as starved.
+	minStarvationTime = 30 * time.Second
+	// noDeadlineStarvationTime is the time after which a job without a deadline counts as
+	// starved.
+	noDeadlineStarvationTime = 2 * minStarvationTime
+	// starvationFraction is the share of the time from submission to deadline after which a job
+	// counts as starved.
+	starvationFraction = 0.5
 )
 
-// StarvationS is how many seconds a job waits until it is starved. allowedS is how many it has
-// from its submission until it should be done, 0: it has no deadline.
+// StarvationS returns the time in seconds after which a waiting job counts as starved. allowedS
+// is the time in seconds from its submission to its deadline, or 0 if it has no deadline.
 func StarvationS(allowedS float64) float64 {
 	if allowedS <= 0 {
-		return starvationWithoutDeadline.Seconds()
+		return noDeadlineStarvationTime.Seconds()
 	}
-	return max(minStarvation.Seconds(), starvationShare*allowedS)
+	return max(minStarvationTime.Seconds(), starvationFraction*allowedS)
 }
 
 // Group counts the jobs of a class or a team.
 type Group struct {
-	// Open is how many unfinished jobs it has.
+	// Open is the number of unfinished jobs.
 	Open float64
-	// Starved is how many of these are starved: of each, the share of its tasks that wait.
+	// Starved is the number of starved jobs among these, each weighted by the share of its
+	// tasks that wait.
 	Starved float64
-	// Done is how many were done lately, see Tally.
+	// Done is the number of recently completed jobs; see Tally.
 	Done float64
 }
 
-// StarvedShare is the share of a group's jobs that are starved.
+// StarvedShare returns the share of the group's open and recently completed jobs that is starved.
 func (g Group) StarvedShare() float64 {
 	if g.Starved <= 0 {
 		return 0
@@ -63,20 +65,22 @@
 	return g.Starved / max(g.Starved, g.Open+g.Done)
 }
 
-// BeyondAverage is a group with only as much starved as exceeds the average of all: what hits
-// every team alike is no reason to reserve machines for each of them.
+// BeyondAverage returns the group with only those starved jobs that exceed the average share of
+// all groups: an overload that affects every team alike is no reason to reserve machines for
+// each of them.
 func (g Group) BeyondAverage(all Group) Group {
 	g.Starved = max(0, g.Starved-all.StarvedShare()*(g.Open+g.Done))
 	return g
 }
 
-// reservedShare is the share of the machines that the group may get.
+// reservedShare returns the share of the machines that may be reserved for the group.
 func (g Group) reservedShare() float64 {
 	excess := (g.StarvedShare() - minStarvedShare) / (fullStarvedShare - minStarvedShare)
 	return MaxReservedShare * min(1, max(0, excess))
 }
 
-// ReservedShares are the shares of the machines that groups may get, nil if none is starved.
+// ReservedShares returns the share of the machines that may be reserved for each group, or nil if
+// nothing may be reserved.
 func ReservedShares(groups []Group) []float64 {
 	if !slices.ContainsFunc(groups, func(g Group) bool { return g.reservedShare() > 0 }) {
 		return nil
--- a/internal/coordination/fairshare/quota.go
+++ b/internal/coordination/fairshare/quota.go
@@ -7,22 +7,23 @@
 	"micaspindle/internal/coordination/binpack"
 )
 
-// ClassUse is what a class uses of its team's limit, and what its pending tasks want of it.
+// ClassUse is what a class's running tasks use of its team's limit, and what its pending tasks
+// need of it.
 type ClassUse struct {
 	Class        int
 	Used, Wanted binpack.Compute
 }
 
-// ReservedQuota is what is reserved of a team's limit for a class.
+// ReservedQuota is the part of a team's limit that is reserved for a class.
 type ReservedQuota struct {
 	Class    int
 	Reserved binpack.Compute
 }
 
-// Quotas says how much of a team's limit is reserved for each starved class: no other work of
-// the team may start into it. shares are by group. As with machines, classes that want least
-// go first, one that uses most of the limit needs no help, and at most MaxReservedShare of it
-// is reserved.
+// Quotas returns the part of a team's limit that is reserved for each starved class; the team's
+// other work may not start in it. shares are the groups' ReservedShares. Classes that want the
+// least are served first. Nothing is reserved for a class that already uses MaxReservedShare of
+// the limit, and no more than that is reserved in all.
 func Quotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
 	uses = slices.Clone(uses)
 	slices.SortFunc(uses, func(a, b ClassUse) int {
@@ -46,14 +47,15 @@
 	return quotas
 }
 
-// quotaPool is what may be reserved of one resource of a team's limit.
+// quotaPool tracks how much of one resource of a team's limit may still be reserved.
 type quotaPool struct{ limit, left float64 }
 
 func newQuotaPool(limit float64) quotaPool {
 	return quotaPool{limit: limit, left: MaxReservedShare * limit}
 }
 
-// reserve takes what is reserved for a class out of the pool, beside what it uses already.
+// reserve returns the reservation for a class. It takes the reservation and what the class already
+// uses out of the pool.
 func (p *quotaPool) reserve(share, used, wanted float64) float64 {
 	if used >= MaxReservedShare*p.limit {
 		return 0
--- a/internal/coordination/fairshare/reserve.go
+++ b/internal/coordination/fairshare/reserve.go
@@ -7,38 +7,39 @@
 	"micaspindle/internal/coordination/binpack"
 )
 
-// View is the state of one partition.
+// View is a snapshot of one partition.
 type View struct {
-	Groups   []Group // by number; the first is that of NoGroup and empty
+	Groups   []Group // by number; the entry of NoGroup is empty
 	Jobs     []Job
 	Machines []Machine
 }
 
-// Job is a job with pending tasks that may start as far as teams' limits go.
+// Job is a job with pending tasks that quotas allow to start.
 type Job struct {
-	Class, Team int // groups
+	Class, Team int // group numbers
 	Resources   binpack.Resources
 	Constraints binpack.Constraints
 	Pending     int
 }
 
-// Machine is a machine that may get tasks.
+// Machine is a machine on which tasks may be placed.
 type Machine struct {
 	Name string
 	Kind binpack.MachineKind
-	// Size is all of it, Free what is not in use.
+	// Size is the total capacity, Free the unused part.
 	Size, Free binpack.Resources
-	// UsedCPUs is what groups use of it.
+	// UsedCPUs is the number of CPUs in use, by group.
 	UsedCPUs map[int]float64
-	// ReservedFor is the group that it was reserved for until now, or NoGroup.
+	// ReservedFor is the group for which the machine was reserved last, or NoGroup.
 	ReservedFor int
 }
 
-// Reserve says of each machine for which group it is reserved, NoGroup if for none. Only that
-// group's tasks start there; what runs there goes on. What may be reserved is divided among
-// the groups by max-min fairness: no group gets more than it wants, nor more than an equal
-// share as long as others want theirs. A group that uses most of what its work fits, as in a
-// flood, needs no help. Of no machine type is more than MaxReservedShare reserved.
+// Reserve returns, for each machine, the group for which it is reserved, or NoGroup. Only that
+// group's tasks may start there; tasks that already run there continue. The machines are divided
+// among the groups by max-min fairness: no group gets more than it wants, nor more than an equal
+// share while others want theirs. Nothing is reserved for a group that already uses
+// MaxReservedShare of the machines that fit its tasks, and no more than that share of any machine
+// type is reserved.
 func Reserve(v View) []int {
 	a := allocation{View: v, groups: make([]int, len(v.Machines)), leftCPUs: map[string]float64{}}
 	for i := range v.Machines {
@@ -56,17 +57,17 @@
 	return a.groups
 }
 
-// demand is what a group wants of the machines that its pending work fits.
+// demand is what a group wants of the machines that fit its pending tasks.
 type demand struct {
 	group    int
-	machines []int
-	// totalCPUs are those of these machines, usedCPUs what the group uses of them,
-	// wantedCPUs that and what its pending tasks need.
+	machines []int // indexes into View.Machines
+	// totalCPUs is the capacity of these machines, usedCPUs what the group uses of it, and
+	// wantedCPUs the sum of usedCPUs and the CPUs that its pending tasks need.
 	totalCPUs, usedCPUs, wantedCPUs float64
 }
 
-// demands lists those of the groups that something is to be reserved for, the one that wants
-// the least share of its machines first.
+// demands returns the demands of the groups for which machines are to be reserved, in order of
+// the share of their machines that they want, smallest first.
 func (v *View) demands() []demand {
 	var demands []demand
 	for group, share := range ReservedShares(v.Groups) {
@@ -83,6 +84,7 @@
 	return demands
 }
 
+// demand returns what a group wants of the machines that fit its pending tasks.
 func (v *View) demand(group int) demand {
 	d := demand{group: group}
 	var jobs []*Job
@@ -108,16 +110,16 @@
 	return d
 }
 
-// allocation is the state of one call of Reserve.
+// allocation is the working state of Reserve.
 type allocation struct {
 	View
-	// groups is for which group each machine is reserved.
+	// groups is the group for which each machine is reserved, or NoGroup.
 	groups []int
-	// leftCPUs is what may still be reserved, by machine type.
+	// leftCPUs is the number of CPUs that may still be reserved, by machine type.
 	leftCPUs map[string]float64
 }
 
-// reserve reserves machines for a group until it has so many CPUs or all that it wants.
+// reserve reserves machines for a group until they have shareCPUs, or as many CPUs as it wants.
 func (a *allocation) reserve(d demand, shareCPUs float64) {
 	slices.SortFunc(d.machines, func(x, y int) int { return compareMachines(&a.Machines[x], &a.Machines[y], d.group) })
 	wantedCPUs := d.wantedCPUs
@@ -136,8 +138,9 @@
 	}
 }
 
-// compareMachines orders machines for a group: those first that were reserved for it before,
-// so that they empty, then those where most of it runs already, then the emptiest.
+// compareMachines orders machines for a group: first those already reserved for it, since no other
+// work has started there meanwhile, then those on which the group uses most CPUs, then those with
+// most free CPUs.
 func compareMachines(a, b *Machine, group int) int {
 	if reservedA, reservedB := a.ReservedFor == group, b.ReservedFor == group; reservedA != reservedB {
 		if reservedA {
--- a/internal/coordination/fairshare/tally.go
+++ b/internal/coordination/fairshare/tally.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// tallyDecay is after how long what was done counts less by a factor of e.
+// tallyDecay is the time after which a completed job counts 1/e.
 const tallyDecay = 10 * time.Minute
 
-// Tally counts the jobs of a group that were done lately, with exponential decay. Its zero
-// value is none.
+// Tally counts the recently completed jobs of a group, with exponential decay. Its zero value
+// counts none.
 type Tally struct {
 	sum float64
 	at  time.Time
 }
 
-// Add counts a job that was done at a moment.
-func (t *Tally) Add(done, now time.Time) {
-	t.sum, t.at = t.Value(now)+decay(now.Sub(done)), now
+// Add counts a job that was completed at the given time.
+func (t *Tally) Add(completedAt, now time.Time) {
+	t.sum, t.at = t.Value(now)+decay(now.Sub(completedAt)), now
 }
 
-// Value is the decayed count.
+// Value returns the decayed count at the given time.
 func (t *Tally) Value(now time.Time) float64 { return t.sum * decay(now.Sub(t.at)) }
 
+// decay returns the weight of a job that was completed so long ago.
 func decay(age time.Duration) float64 {
 	return math.Exp(-max(0, age).Seconds() / tallyDecay.Seconds())
 }
--- a/internal/coordination/partition/partition.go
+++ b/internal/coordination/partition/partition.go
@@ -1,5 +1,5 @@
-// Package partition decides which partition each team's work is in. It is a pure function of
-// the settings, so that all controllers agree without exchanging a message.
+// Package partition assigns teams to partitions. The assignment is a pure function of the settings,
+// so that all controllers agree without exchanging messages.
 package partition
 
 import (
@@ -9,33 +9,33 @@
 	"micaspindle/internal/settings"
 )
 
-// cpusPerGPU is how many CPUs a GPU counts for where guarantees are balanced.
+// cpusPerGPU is the number of CPUs that a GPU counts as when guarantees are balanced.
 const cpusPerGPU = 16
 
-// Assign gives the partition of each team, of as many as there are controllers, balanced by
-// the teams' guarantees. Teams with neither a guarantee nor a limit stay together in the
-// partition that is left lightest: no quota needs them apart, and splitting what they all
-// borrow only leaves machines half empty (docs/design.md).
+// Assign returns the partition of each team, from 0 to count-1. Partitions are balanced by the
+// teams' guarantees. All teams with neither a guarantee nor a limit go to the partition with the
+// smallest load: no quota requires that they are separate, and spreading them over partitions
+// would leave machines half empty (docs/design.md).
 func Assign(teams []settings.Team, count int) []int {
 	load := make([]float64, count)
 	lightest := func() int { return slices.Index(load, slices.Min(load)) }
 	partitions := make([]int, len(teams))
-	var unbounded []int
+	var withoutQuota []int
 	for _, i := range byWeight(teams) {
 		if hasNoQuota(teams[i]) {
-			unbounded = append(unbounded, i)
+			withoutQuota = append(withoutQuota, i)
 			continue
 		}
 		partitions[i] = lightest()
-		load[partitions[i]] += weight(teams[i]) + 1 // so that teams without a guarantee spread too
+		load[partitions[i]] += weight(teams[i]) + 1 // so that teams without a guarantee are spread too
 	}
-	for _, i := range unbounded {
+	for _, i := range withoutQuota {
 		partitions[i] = lightest()
 	}
 	return partitions
 }
 
-// byWeight lists the teams' indices, the heaviest first.
+// byWeight returns the teams' indexes in order of weight, heaviest first.
 func byWeight(teams []settings.Team) []int {
 	order := make([]int, len(teams))
 	for i := range order {
@@ -45,10 +45,10 @@
 	return order
 }
 
-// weight is a team's guarantee in CPUs.
+// weight returns a team's guarantee in CPUs.
 func weight(team settings.Team) float64 { return team.CPUs + cpusPerGPU*team.GPUs }
 
-// hasNoQuota says whether a team has neither a guarantee nor a limit.
+// hasNoQuota reports whether a team has neither a guarantee nor a limit.
 func hasNoQuota(team settings.Team) bool {
 	return team.CPUs == 0 && team.GPUs == 0 && team.CPUsMax == 0 && team.GPUsMax == 0
 }
--- a/internal/coordination/partition/partition_test.go
+++ b/internal/coordination/partition/partition_test.go
@@ -13,12 +13,12 @@
 		load[p] += teams[i].CPUs
 	}
 	if load[0] != 110 || load[1] != 110 {
-		t.Errorf("load %v", load)
+		t.Errorf("guaranteed CPUs by partition: %v, want 110 each", load)
 	}
 	mixed := []settings.Team{{}, {CPUs: 10, CPUsMax: 20}, {}, {CPUsMax: 8}, {CPUs: 4}}
 	got := Assign(mixed, 3)
 	if got[0] != got[2] {
-		t.Errorf("teams with neither guarantee nor limit are apart: %v", got)
+		t.Errorf("teams with neither a guarantee nor a limit are in different partitions: %v", got)
 	}
 	if got[1] == got[4] || got[3] == got[1] || got[0] == got[1] {
 		t.Errorf("teams with a guarantee or a limit are not spread: %v", got)
--- a/internal/coordination/queue/grades.go
+++ b/internal/coordination/queue/grades.go
@@ -8,65 +8,69 @@
 	"micaspindle/internal/protocol"
 )
 
-// grade says how far a job can still be in time. Lower grades are served first.
+// grade classifies jobs by whether they can still meet their deadlines. Lower grades are served
+// first.
 type grade int
 
 const (
-	// gradeStarved is that of starved jobs while it is their turn.
+	// gradeStarved is the grade of starved jobs in the seconds in which they go first.
 	gradeStarved grade = iota - 1
-	// gradeInTime is that of jobs that can be done by their deadline, or need not be.
+	// gradeInTime is the grade of jobs that can meet their deadline, that have none, or that have
+	// no pending tasks.
 	gradeInTime
-	// gradeLate is that of jobs that can be done within lateFactor times their deadline.
+	// gradeLate is the grade of jobs that can be done within lateFactor times their allowed time.
 	gradeLate
-	// gradeHopeless is that of jobs that can not.
-	gradeHopeless
+	// gradeVeryLate is the grade of jobs that can't be done even then, and of starved jobs in the
+	// other seconds.
+	gradeVeryLate
 )
 
 const (
-	// lateFactor is how many times its deadline a job may take until it counts as hopeless.
+	// lateFactor is the multiple of its allowed time beyond which a late job counts as very late.
 	lateFactor = 1.5
-	// starvationFactor is how many times its deadline a job may wait until it is starved and
-	// gets turns of its own.
+	// starvationFactor is the multiple of its allowed time after which a waiting job counts as
+	// starved.
 	starvationFactor = 5
-	// turnSeconds is the length of a cycle, in one second of which starved jobs go first.
-	// Were that so always, a long backlog would make everything late that can still be in
-	// time.
-	turnSeconds = 4
+	// starvedCycleS is the length in seconds of a cycle. Starved jobs go first in one second of
+	// it; if they always did, a long backlog would delay jobs that can still meet their
+	// deadlines.
+	starvedCycleS = 4
 )
 
-// deadlineGrades are the multiples of its deadline that a job is tried against, with its grade
-// if it can't be done by then. Each is tried with the jobs that failed the one before.
+// deadlineGrades lists the multiples of the allowed time within which jobs are scheduled, with the
+// grade of the jobs that don't fit. Each step schedules only those that did not fit in the previous
+// one.
 var deadlineGrades = [...]struct {
 	factor float64
 	missed grade
-}{{1, gradeLate}, {lateFactor, gradeHopeless}}
+}{{1, gradeLate}, {lateFactor, gradeVeryLate}}
 
-// contenders identifies jobs that compete for the same machines: those of one urgency that
-// fit the same set of machine types.
-type contenders struct {
+// contentionKey is the key of a group of jobs that compete for the same machines: they have the same
+// urgency and fit the same set of machine types.
+type contentionKey struct {
 	urgency protocol.Urgency
 	types   uint64
 }
 
-// gradeJobs says of each job whether it will be late whatever is done. By deadline alone, a
-// backlog would make every job late; the largest jobs go last instead, which keeps most jobs
-// in time (Moore and Hodgson's rule, with the partition's machines as one fast machine).
-// order holds the indexes of the jobs in order of deadlines.
+// gradeJobs returns the grade of each job. Ordered by deadline alone, a backlog would make every
+// job late. Instead, the largest jobs are postponed, so that as many jobs as possible meet their
+// deadlines: the Moore-Hodgson algorithm, with the partition's machines as a single fast machine.
+// order holds the indexes of the jobs in order of their due times.
 func gradeJobs(jobs []Job, order []int, now time.Time) []grade {
 	grades := make([]grade, len(jobs))
-	groups := map[contenders][]int{}
+	groups := map[contentionKey][]int{}
 	for _, i := range order {
 		job := &jobs[i]
 		switch {
 		case job.Deadline.IsZero() || job.Pending == 0:
 			grades[i] = gradeInTime
 		case job.waitedS(now) < starvationFactor*job.allowedS():
-			key := contenders{job.Urgency, job.Types}
+			key := contentionKey{job.Urgency, job.Types}
 			groups[key] = append(groups[key], i)
-		case now.Unix()%turnSeconds == 0:
+		case now.Unix()%starvedCycleS == 0:
 			grades[i] = gradeStarved
 		default:
-			grades[i] = gradeHopeless
+			grades[i] = gradeVeryLate
 		}
 	}
 	for _, group := range groups {
@@ -81,8 +85,8 @@
 	return grades
 }
 
-// lateJobs returns those jobs of a group that can't be done within factor times their
-// deadlines, in the order in which they are found. group holds the jobs' indexes.
+// lateJobs returns the jobs of a group that can't be done within factor times their allowed times,
+// in the order in which they were postponed. group holds the indexes of the jobs.
 func lateJobs(jobs []Job, group []int, factor float64, now time.Time) []int {
 	s := schedule{jobs: jobs, teams: map[int]*backlog{}}
 	for _, i := range group {
@@ -92,17 +96,17 @@
 	return s.late
 }
 
-// schedule tries to serve jobs one after the other. They queue for the partition's machines,
-// and for what their teams' limits allow.
+// schedule is a trial schedule of jobs that are served one after the other. Each job queues for
+// the partition's machines and for its team's limit.
 type schedule struct {
 	jobs     []Job
 	machines backlog
 	teams    map[int]*backlog
-	// late are the jobs that were dropped, so that the others can be in time.
+	// late holds the jobs that were postponed so that the others can meet their deadlines.
 	late []int
 }
 
-// add schedules a job that has so many seconds left.
+// add schedules a job with leftS seconds left until its deadline.
 func (s *schedule) add(i int, leftS float64) {
 	job := &s.jobs[i]
 	aloneS := job.EstimateS * Rounds(job.Pending, job.Parallelism)
@@ -120,15 +124,16 @@
 	}
 }
 
-// enqueue adds a job to a backlog that is served by so many slots. If that makes the job late,
-// the largest job of the backlog is dropped. It reports whether the job is still scheduled.
+// enqueue adds a job to a backlog that is served by the given number of slots. If the job would
+// miss its deadline, the largest job of the backlog is postponed. It reports whether the job is
+// still scheduled.
 func (s *schedule) enqueue(b *backlog, i int, slots, aloneS, leftS float64) bool {
 	if math.IsInf(slots, 1) || slots == 0 {
 		return true
 	}
 	workS := s.jobs[i].EstimateS * float64(s.jobs[i].Pending) / slots
 	b.add(i, workS)
-	// The job's last task starts before all of its work is done.
+	// workS assumes that tasks can be divided; the job itself takes at least aloneS.
 	if b.totalS-workS+max(workS, aloneS) <= leftS {
 		return true
 	}
@@ -139,24 +144,23 @@
 	return largest != i
 }
 
-// backlog is work that queues for one resource: indexes of jobs, and how many seconds each
-// takes with all of the resource.
+// backlog is the work that is queued for one resource.
 type backlog struct {
-	jobs   []int
-	workS  []float64
-	totalS float64
+	jobs   []int     // indexes of the queued jobs
+	workS  []float64 // seconds that each job takes with all of the resource
+	totalS float64   // sum of workS
 }
 
 func (b *backlog) add(job int, workS float64) {
 	b.jobs, b.workS, b.totalS = append(b.jobs, job), append(b.workS, workS), b.totalS+workS
 }
 
-// largest is the job that takes longest, the first of several.
+// largest returns the job that takes longest, or the first of several.
 func (b *backlog) largest() int {
 	return b.jobs[slices.Index(b.workS, slices.Max(b.workS))]
 }
 
-// remove takes a job out, if it is in the backlog.
+// remove removes a job if it is in the backlog.
 func (b *backlog) remove(job int) {
 	i := slices.Index(b.jobs, job)
 	if i < 0 {
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue decides in which order the jobs of a partition are served: by urgency, then
-// those first that can still be done in time, then by deadline, then by ID. It is a pure
-// function of a view of the jobs.
+// Package queue orders the jobs of a partition: by urgency, then by whether they can still meet
+// their deadlines, then by due time, then by ID. The order is a pure function of a snapshot of the
+// jobs.
 package queue
 
 import (
@@ -16,59 +16,59 @@
 // minTotalRunTimeS keeps response ratios finite.
 const minTotalRunTimeS = 1e-3
 
-// Job is what the order depends on.
+// Job holds what the order depends on.
 type Job struct {
 	ID          string
 	Urgency     protocol.Urgency
 	SubmittedAt time.Time
-	// Due is when the job should be done or, without a deadline, by when it is to be served.
+	// Due is the deadline or, for a job without one, the time by which it should be served.
 	Due time.Time
-	// Deadline is when the job should be done; zero: it has no deadline.
+	// Deadline is the time by which the job should be done, or zero if it has no deadline.
 	Deadline time.Time
-	// Pending is how many tasks wait to be placed.
+	// Pending is the number of tasks that wait to be placed.
 	Pending int
 	Team    int
 
-	// The fields below count only for jobs that have pending tasks and a deadline.
+	// The fields below matter only for jobs that have pending tasks and a deadline.
 
-	// EstimateS is how many seconds a task runs.
+	// EstimateS is the estimated run time of a task in seconds.
 	EstimateS float64
-	// Types is the set of machine types that its tasks fit.
+	// Types is the set of machine types that fit its tasks, as bits.
 	Types uint64
-	// Slots is how many of its tasks the partition's machines run at once.
+	// Slots is the number of its tasks that the partition's machines can run at once.
 	Slots float64
-	// Parallelism is how many of its tasks its team's limit lets run at once.
+	// Parallelism is the number of its tasks that its team's limit allows to run at once.
 	Parallelism float64
 }
 
-// Rounds is how many run times so many tasks take if only parallelism of them run at once.
+// Rounds returns how many times the run time of one task it takes to run the given number of
+// tasks, parallelism of them at once.
 func Rounds(tasks int, parallelism float64) float64 {
 	return max(1, math.Ceil(float64(tasks)/parallelism))
 }
 
-// allowedS is how many seconds a job has from its submission until it should be done. It is
-// at least the job's run time: a job that others wait for may be submitted when it is too
-// late.
+// allowedS returns the allowed time of a job, from submission to deadline, in seconds. It is at
+// least the run time of one task, since a dependency may be submitted too late for its deadline.
 func (j *Job) allowedS() float64 {
 	return max(j.Deadline.Sub(j.SubmittedAt).Seconds(), j.EstimateS)
 }
 
-// waitedS is how many seconds ago a job was submitted.
+// waitedS returns the time in seconds since the job was submitted.
 func (j *Job) waitedS(now time.Time) float64 { return now.Sub(j.SubmittedAt).Seconds() }
 
-// totalRunTimeS is how many seconds the pending tasks take on all machines that they fit.
+// totalRunTimeS returns how many seconds the pending tasks take on all machines that fit them.
 func (j *Job) totalRunTimeS() float64 {
 	return max(j.EstimateS*float64(j.Pending)/max(1, j.Slots), minTotalRunTimeS)
 }
 
-// responseRatio is how long a job has waited over how long it takes: the response ratio of
-// HRRN (highest response ratio next), less one.
+// responseRatio returns the ratio of a job's waiting time to its run time: the response ratio of
+// highest response ratio next (HRRN) scheduling, less one.
 func (j *Job) responseRatio(now time.Time) float64 {
 	return j.waitedS(now) / j.totalRunTimeS()
 }
 
-// Order returns the indexes of jobs in the order in which they are served. It does not
-// depend on the order of the list.
+// Order returns the indexes of the jobs in the order in which they are to be served. The order of
+// the argument does not matter.
 func Order(jobs []Job, now time.Time) []int {
 	order := make([]int, len(jobs))
 	for i := range order {
@@ -93,14 +93,14 @@
 	return order
 }
 
-// compareWithinGrade orders two jobs of one grade; 0 leaves them in order of deadlines.
+// compareWithinGrade orders two jobs of one grade; 0 leaves them in order of their due times.
 //
-// Of the jobs that will be late whatever is done, those that take least go first: by
-// deadline, a few large jobs would hold up many small ones, and in a flood most would never
-// start. Starved jobs go by their response ratio, the highest first.
+// Of the very late jobs, the shortest go first: in order of deadlines, a few large jobs would delay
+// many small ones, and under a load surge most would never start. Starved jobs are ordered by
+// response ratio, highest first.
 func compareWithinGrade(a, b *Job, g grade, now time.Time) int {
 	switch g {
-	case gradeHopeless:
+	case gradeVeryLate:
 		return cmp.Compare(a.totalRunTimeS(), b.totalRunTimeS())
 	case gradeStarved:
 		return cmp.Compare(b.responseRatio(now), a.responseRatio(now))
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -19,26 +19,26 @@
 }
 
 func TestOrder(t *testing.T) {
-	urgent, no, starving := job("urgent", 900, 5), job("no deadline", 50, 5), job("starving", -850, 50)
-	urgent.Urgency, no.Deadline = protocol.High, time.Time{}
-	starving.SubmittedAt = now.Add(-1000 * time.Second)
+	urgent, noDeadline, starved := job("urgent", 900, 5), job("no deadline", 50, 5), job("starved", -850, 50)
+	urgent.Urgency, noDeadline.Deadline = protocol.High, time.Time{}
+	starved.SubmittedAt = now.Add(-1000 * time.Second)
 	for name, c := range map[string]struct {
 		jobs []Job
 		want string
 	}{
-		"by deadline":                   {[]Job{job("b", 30, 5), job("a", 20, 5)}, "a b"},
-		"urgency first":                 {[]Job{job("a", 20, 5), urgent}, "urgent a"},
-		"the largest goes last":         {[]Job{job("large", 20, 18), job("small", 21, 6)}, "small large"},
-		"all can be in time":            {[]Job{job("large", 24, 18), job("small", 25, 6)}, "large small"},
-		"without a deadline by its due": {[]Job{job("a", 60, 5), no, job("b", 40, 5)}, "b no deadline a"},
-		"what starves is not passed by": {[]Job{job("a", 20, 5), starving}, "starving a"},
-		"equals by id":                  {[]Job{job("b", 20, 1), job("a", 20, 1)}, "a b"},
-		"no machine: by deadline": {func() []Job {
+		"by deadline":                    {[]Job{job("b", 30, 5), job("a", 20, 5)}, "a b"},
+		"urgency first":                  {[]Job{job("a", 20, 5), urgent}, "urgent a"},
+		"the largest is postponed":       {[]Job{job("large", 20, 18), job("small", 21, 6)}, "small large"},
+		"all can meet their deadlines":   {[]Job{job("large", 24, 18), job("small", 25, 6)}, "large small"},
+		"without a deadline by due time": {[]Job{job("a", 60, 5), noDeadline, job("b", 40, 5)}, "b no deadline a"},
+		"starved jobs get a turn":        {[]Job{job("a", 20, 5), starved}, "starved a"},
+		"equal due times by ID":          {[]Job{job("b", 20, 1), job("a", 20, 1)}, "a b"},
+		"without machines by deadline": {func() []Job {
 			l := []Job{job("large", 20, 18), job("small", 21, 6)}
 			l[0].Slots, l[1].Slots = 0, 0
 			return l
 		}(), "large small"},
-		"the team's limit is a queue too": {func() []Job {
+		"jobs queue for the team's limit too": {func() []Job {
 			l := []Job{job("large", 20, 18), job("small", 21, 6)}
 			for i := range l {
 				l[i].Slots, l[i].Parallelism = math.Inf(1), 1
@@ -47,20 +47,20 @@
 		}(), "small large"},
 	} {
 		got := ""
-		for i, at := range Order(c.jobs, now) {
+		for i, index := range Order(c.jobs, now) {
 			if i > 0 {
 				got += " "
 			}
-			got += c.jobs[at].ID
+			got += c.jobs[index].ID
 		}
 		if got != c.want {
-			t.Errorf("%s: %s, want %s", name, got, c.want)
+			t.Errorf("%s: order %s, want %s", name, got, c.want)
 		}
 	}
 }
 
-// Against all subsets of random jobs on one machine: as many are served first as can
-// be in time. The order does not hang on that of the list.
+// Of random jobs on one machine, the largest subset that can meet its deadlines is served first.
+// The order of the argument does not matter.
 func TestMostJobsMeetTheirDeadline(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -70,12 +70,12 @@
 			j := job(fmt.Sprint(i), run+float64(rng.IntN(40)), run)
 			jobs = append(jobs, j)
 		}
-		list := Order(jobs, now)
+		order := Order(jobs, now)
 		most := 0
-		for set := range 1 << len(jobs) {
+		for subset := range 1 << len(jobs) {
 			var chosen []Job
 			for i := range jobs {
-				if set>>i&1 == 1 {
+				if subset>>i&1 == 1 {
 					chosen = append(chosen, jobs[i])
 				}
 			}
@@ -84,26 +84,27 @@
 			}
 		}
 		var served []Job
-		for _, i := range list {
+		for _, i := range order {
 			served = append(served, jobs[i])
 		}
 		if got := inTime(served[:most]); got != most {
-			t.Errorf("seed %d: %d of the first %d are in time", seed, got, most)
+			t.Errorf("seed %d: only %d of the first %d jobs meet their deadlines", seed, got, most)
 		}
-		swapped := append([]Job(nil), jobs...)
-		rng.Shuffle(len(swapped), func(a, b int) { swapped[a], swapped[b] = swapped[b], swapped[a] })
+		shuffled := append([]Job(nil), jobs...)
+		rng.Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
 		var again []string
 		var first []string
-		for i, at := range Order(swapped, now) {
-			again, first = append(again, swapped[at].ID), append(first, served[i].ID)
+		for i, index := range Order(shuffled, now) {
+			again, first = append(again, shuffled[index].ID), append(first, served[i].ID)
 		}
 		if !reflect.DeepEqual(first, again) {
-			t.Errorf("seed %d: %v of another list, %v before", seed, again, first)
+			t.Errorf("seed %d: order %v after a shuffle, %v before", seed, again, first)
 		}
 	}
 }
 
-// inTime is how many of the jobs are in time, one after the other by deadline.
+// inTime returns how many jobs meet their deadlines if they run one after the other in order of
+// deadlines.
 func inTime(jobs []Job) int {
 	left := append([]Job(nil), jobs...)
 	at, n := 0.0, 0
--- a/internal/coordination/recordset/lag.go
+++ b/internal/coordination/recordset/lag.go
@@ -1,11 +1,12 @@
 package recordset
 
-// Lag tells when a set falls behind the store and when it has caught up, once each. Its zero value
-// is not behind.
+// Lag detects when a set falls behind the store and when it has caught up. Its zero value is not
+// behind.
 type Lag struct{ behind bool }
 
-// Changed takes in for how many seconds the set has been behind. changed says that it has fallen
-// behind, at more than the limit, or caught up, at half of it, since the last call.
+// Changed updates the state with the number of seconds by which the set lags. The set falls behind
+// when it exceeds the limit, and has caught up at half the limit or less. changed reports whether
+// the state has changed since the last call; behind is the new state.
 func (l *Lag) Changed(behindS, limitS float64) (changed, behind bool) {
 	switch {
 	case !l.behind && behindS > limitS:
--- a/internal/coordination/recordset/set.go
+++ b/internal/coordination/recordset/set.go
@@ -1,6 +1,6 @@
-// Package recordset holds the records that the state store has under a prefix, up to a revision:
-// begun from a listing, brought up to date by changes, and compared with samples of the store. It
-// knows no record's meaning and makes no requests.
+// Package recordset holds a copy of the records that the state store has under a prefix. The copy
+// starts from a listing, follows changes, and can be compared with samples of the store. The
+// package does not interpret the records and makes no requests.
 package recordset
 
 import (
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// Record is one record as a set holds it.
+// Record is the version and value of a record in a set.
 type Record[V any] struct {
 	Version uint64
 	Value   V
 }
 
-// Change is a record that was written, or deleted.
+// Change is a write or a deletion of a record.
 type Change[V any] struct {
 	Key     string
 	Version uint64
@@ -22,31 +22,30 @@
 	Value   V
 }
 
-// Set is what the state store holds under a prefix, up to a revision. It is a hint until that
-// revision has reached the lease's under which it is used: nothing that the former leader writes
-// is applied after that (rule 1). Its zero value knows nothing.
+// Set is a copy of the records under a prefix of the state store, as of a revision. A new leader may
+// rely on it once that revision has reached the revision of its lease: no writes of the former
+// leader take effect after that (docs/design.md, rule 1). The zero value holds no records.
 type Set[V any] struct {
 	revision uint64
 	records  map[string]Record[V]
-	// deleted has the revisions at which records were deleted, as far back as a sample may be
-	// compared.
+	// deleted holds the revisions at which records were deleted after the last sample.
 	deleted map[string]uint64
 }
 
-// Revision is the revision up to which everything is known; 0: nothing is.
+// Revision returns the revision up to which all changes are applied, or 0 before StartFrom.
 func (s *Set[V]) Revision() uint64 { return s.revision }
 
-// Len is how many records there are.
+// Len returns the number of records.
 func (s *Set[V]) Len() int { return len(s.records) }
 
-// All yields the records by key, in no order.
+// All yields the keys and records in no particular order.
 func (s *Set[V]) All(yield func(string, Record[V]) bool) { maps.All(s.records)(yield) }
 
-// Reset makes the set know nothing.
+// Reset returns the set to its zero value.
 func (s *Set[V]) Reset() { *s = Set[V]{} }
 
-// StartFrom begins with a listing that stands at a revision or later: what was written while its
-// pages were read comes again with the changes.
+// StartFrom replaces the set by a listing. revision is that of the listing's first page: later pages
+// may hold newer records, whose changes Apply then skips.
 func (s *Set[V]) StartFrom(all []Change[V], revision uint64) {
 	*s = Set[V]{revision: revision, records: make(map[string]Record[V], len(all)), deleted: map[string]uint64{}}
 	for _, change := range all {
@@ -54,14 +53,15 @@
 	}
 }
 
-// Apply applies the changes after one revision and up to another, and says whether they join what
-// is known. Changes that are known already do nothing. applied is called with each that is new.
+// Apply applies the changes after one revision and up to another. It returns false, and applies
+// nothing, if the set has no listing yet or does not hold all changes up to after. Changes that the
+// set already holds are skipped; applied is called with each of the others.
 func (s *Set[V]) Apply(after, upTo uint64, changes []Change[V], applied func(Change[V])) bool {
 	if s.revision == 0 || after > s.revision {
-		return false // something between is missing
+		return false
 	}
 	for _, change := range changes {
-		// A listing may already hold what was written after its first page.
+		// A listing may already hold records written after its first page was read.
 		if change.Version <= s.revision || change.Version <= s.records[change.Key].Version || change.Version <= s.deleted[change.Key] {
 			continue
 		}
@@ -77,17 +77,17 @@
 	return true
 }
 
-// Sample is a page of the store: the records with keys after From and up to Last, all of them, as
-// they stood at a revision. Last is empty where the page was the last one.
+// Sample is a page of the store at a revision: all records with keys after From, up to and including
+// Last. Last is empty for the last page.
 type Sample[V any] struct {
 	From, Last string
 	Revision   uint64
 	Records    []Change[V]
 }
 
-// Mismatches names the keys whose records differ between the set and a sample, though neither says
-// that they were changed since. The set must have come to the sample's revision; ok is false while
-// it has not.
+// Mismatches returns the keys, in order, of the records that differ between the set and a sample,
+// except those that changed after the sample. ok is false if the set has not yet reached the
+// sample's revision.
 func (s *Set[V]) Mismatches(sample Sample[V], equal func(a, b V) bool) (keys []string, ok bool) {
 	if s.revision < sample.Revision {
 		return nil, false
@@ -98,7 +98,7 @@
 		own, known := s.records[record.Key]
 		switch {
 		case !known && s.deleted[record.Key] > sample.Revision, known && own.Version > sample.Revision:
-			// Changed since the sample.
+			// Changed after the sample.
 		case !known || own.Version != record.Version || !equal(own.Value, record.Value):
 			keys = append(keys, record.Key)
 		}
@@ -113,7 +113,7 @@
 	return keys, true
 }
 
-// covers says whether a record with this key would be in the sample.
+// covers reports whether the sample would contain a record with the key.
 func (s *Sample[V]) covers(key string) bool {
 	return key > s.From && (s.Last == "" || key <= s.Last)
 }
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -10,26 +10,26 @@
 
 func equal(a, b int) bool { return a == b }
 
-// store is what a set is a copy of.
+// store is the state store that a set copies.
 type store struct {
-	at      uint64
-	records map[string]Record[int]
-	log     []Change[int]
+	revision uint64
+	records  map[string]Record[int]
+	log      []Change[int]
 }
 
 func (s *store) step(rng *rand.Rand) {
-	s.at++
+	s.revision++
 	if rng.IntN(4) == 0 {
-		s.at += uint64(rng.IntN(3)) // changes under other prefixes
+		s.revision += uint64(rng.IntN(3)) // changes under other prefixes
 	}
 	key := fmt.Sprintf("k%02d", rng.IntN(30))
 	if _, have := s.records[key]; have && rng.IntN(3) == 0 {
 		delete(s.records, key)
-		s.log = append(s.log, Change[int]{Key: key, Version: s.at, Deleted: true})
+		s.log = append(s.log, Change[int]{Key: key, Version: s.revision, Deleted: true})
 		return
 	}
-	s.records[key] = Record[int]{s.at, rng.IntN(1000)}
-	s.log = append(s.log, Change[int]{Key: key, Version: s.at, Value: s.records[key].Value})
+	s.records[key] = Record[int]{s.revision, rng.IntN(1000)}
+	s.log = append(s.log, Change[int]{Key: key, Version: s.revision, Value: s.records[key].Value})
 }
 
 func (s *store) after(rev uint64) (out []Change[int]) {
@@ -43,7 +43,7 @@
 
 func (s *store) page(from string, size int) Sample[int] {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(s.records)), func(k string) bool { return k <= from })
-	p := Sample[int]{From: from, Revision: s.at}
+	p := Sample[int]{From: from, Revision: s.revision}
 	for _, k := range keys[:min(size, len(keys))] {
 		p.Records = append(p.Records, Change[int]{Key: k, Version: s.records[k].Version, Value: s.records[k].Value})
 	}
@@ -53,22 +53,22 @@
 	return p
 }
 
-// A set that follows the store comes to what it holds: through listings whose pages were
-// read while it changed, changes that come twice, and answers that come late. A gap is
-// seen, samples agree, and each wrong record is found within one round of samples.
+// A set stays equal to the store although the store changes between the pages of a listing and
+// although changes arrive twice or late. Gaps are detected, samples agree with the set, and one
+// round of samples finds a wrong record.
 func TestReplicaFollowsTheRecords(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		s := &store{records: map[string]Record[int]{}, at: 1}
+		s := &store{records: map[string]Record[int]{}, revision: 1}
 		for range rng.IntN(60) {
 			s.step(rng)
 		}
 		var set Set[int]
-		if set.Apply(0, s.at, s.log, func(Change[int]) {}) {
-			t.Fatalf("seed %d: an empty set follows", seed)
+		if set.Apply(0, s.revision, s.log, func(Change[int]) {}) {
+			t.Fatalf("seed %d: changes were applied to a set without a listing", seed)
 		}
 		// Two pages, with changes between them.
-		first, from := s.page("", 8), s.at
+		first, from := s.page("", 8), s.revision
 		for range rng.IntN(10) {
 			s.step(rng)
 		}
@@ -98,22 +98,22 @@
 			}
 			after := set.Revision()
 			switch rng.IntN(4) {
-			case 0: // an old answer once more
+			case 0: // repeated changes
 				after = max(1, after-min(after-1, uint64(rng.IntN(5))))
-			case 1: // changes are missing
-				if set.Apply(after+1, s.at+9, s.after(after+1), applied) {
-					t.Fatalf("seed %d: a gap was not seen", seed)
+			case 1: // a gap before the changes
+				if set.Apply(after+1, s.revision+9, s.after(after+1), applied) {
+					t.Fatalf("seed %d: changes after a gap were applied", seed)
 				}
 			}
-			if !set.Apply(after, s.at, s.after(after), applied) {
-				t.Fatalf("seed %d: changes that join were refused", seed)
+			if !set.Apply(after, s.revision, s.after(after), applied) {
+				t.Fatalf("seed %d: changes without a gap were refused", seed)
 			}
-			if !maps.Equal(set.records, s.records) || set.Revision() != s.at {
-				t.Fatalf("seed %d: the set is %v at %d, the store %v at %d", seed, set.records, set.Revision(), s.records, s.at)
+			if !maps.Equal(set.records, s.records) || set.Revision() != s.revision {
+				t.Fatalf("seed %d: the set is %v at %d, the store %v at %d", seed, set.records, set.Revision(), s.records, s.revision)
 			}
 			for k, r := range s.records {
 				if seen[k] != r.Value || len(seen) != len(s.records) {
-					t.Fatalf("seed %d: the changes applied come to %v", seed, seen)
+					t.Fatalf("seed %d: the changes passed to the callback add up to %v", seed, seen)
 				}
 			}
 			for range rng.IntN(3) {
@@ -121,16 +121,16 @@
 			}
 			if sample != nil && rng.IntN(2) == 0 {
 				if keys, ok := set.Mismatches(*sample, equal); !ok || len(keys) > 0 {
-					t.Fatalf("seed %d: %v differ (%v)", seed, keys, ok)
+					t.Fatalf("seed %d: mismatches %v against a correct set (compared: %v)", seed, keys, ok)
 				}
 				sample = nil
 			}
 		}
-		set.Apply(set.Revision(), s.at, s.after(set.Revision()), applied)
+		set.Apply(set.Revision(), s.revision, s.after(set.Revision()), applied)
 		if len(s.records) == 0 {
 			continue
 		}
-		// One record wrong: another value, another version, missing, or too many.
+		// One record is wrong: another value, another version, missing, or extra.
 		key := slices.Sorted(maps.Keys(s.records))[rng.IntN(len(s.records))]
 		switch r := set.records[key]; rng.IntN(4) {
 		case 0:
@@ -146,8 +146,8 @@
 		found, last := []string{}, ""
 		for {
 			p := s.page(last, 5)
-			if _, ok := (&Set[int]{revision: s.at - 1}).Mismatches(p, equal); ok {
-				t.Fatalf("seed %d: compared before the sample's revision", seed)
+			if _, ok := (&Set[int]{revision: s.revision - 1}).Mismatches(p, equal); ok {
+				t.Fatalf("seed %d: a set older than the sample was compared", seed)
 			}
 			keys, _ := set.Mismatches(p, equal)
 			found = append(found, keys...)
@@ -156,7 +156,7 @@
 			}
 		}
 		if !slices.Equal(found, []string{key}) {
-			t.Fatalf("seed %d: %s is wrong, %v were found", seed, key, found)
+			t.Fatalf("seed %d: record %s is wrong, but the samples found %v", seed, key, found)
 		}
 	}
 }
