--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -285,7 +285,7 @@
 	}{{time.Minute, GrantDuration, 1}, {time.Second, time.Second, 1}, {0, 0, 0}, {-time.Second, 0, 0}} {
 		granted, d, _ := l.Renew("b", "x", 0, c.longest, now)
 		if d > max(0, c.want) || len(granted) != c.shards {
-			t.Errorf("with a bound of %s: granted shards %v for %s", c.longest, granted, d)
+			t.Errorf("renewal with a bound of %s: shards %v granted for %s", c.longest, granted, d)
 		}
 	}
 	if delegate := l.CommandRoute(3, now); delegate != "b" {
@@ -293,7 +293,7 @@
 	}
 	l.MarkDown("b", now)
 	if delegate := l.CommandRoute(3, now.Add(time.Second/2)); delegate != "" || !l.Active(3, now.Add(time.Second/2)) {
-		t.Errorf("after MarkDown, commands are routed through %q, or the delegate is not active", delegate)
+		t.Errorf("after MarkDown, commands are routed through %q, want none; the delegate should stay active", delegate)
 	}
 	if l.Active(3, now.Add(GrantDuration)) {
 		t.Error("a delegate is active after its grant expired")
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -46,10 +46,10 @@
 		}
 	}
 	if got := KeepStandby("n3", "n0", "a", all[2:3]); got != "n3" {
-		t.Errorf("a current standby that is the only candidate: chose %q", got)
+		t.Errorf("current standby n3 is the only candidate: chose %q, want n3", got)
 	}
 	if got := KeepStandby("n1", "n0", "a", nil); got != "" {
-		t.Errorf("no candidate: chose %q", got)
+		t.Errorf("no candidate: chose %q, want none", got)
 	}
 }
 
@@ -71,7 +71,7 @@
 		{time.Minute, 0, 0, false},
 	} {
 		if got := (Evidence{c.silent, interval, c.reporting, c.diverted}).Dead(); got != c.want {
-			t.Errorf("evidence %+v: dead is %v", c, got)
+			t.Errorf("case %+v: Dead returns %v", c, got)
 		}
 	}
 }
@@ -127,6 +127,6 @@
 		}
 	}
 	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest lease") {
-		t.Errorf("without a lease: missing %v, want the newest lease among it", m)
+		t.Errorf("without a lease: missing %v, should include the newest lease", m)
 	}
 }
--- a/internal/coordination/failover/standby.go
+++ b/internal/coordination/failover/standby.go
@@ -1,7 +1,7 @@
 // Package failover makes the decisions of a failover: which controller is a partition's standby,
 // when a leader counts as dead before its lease expires, until when former leaders may have
-// answered agents, and what a new leader lacks before its first decision. All functions are pure;
-// they neither read records nor use connections.
+// answered agents, and what a new leader must still learn before its first decision. The functions
+// read no records and use no connections.
 package failover
 
 import (
--- a/internal/coordination/queue/grades.go
+++ b/internal/coordination/queue/grades.go
@@ -13,15 +13,15 @@
 type grade int
 
 const (
-	// gradeStarved is the grade of starved jobs in the seconds in which they go first.
+	// gradeStarved is the grade of starved jobs while they go first; see starvedCycleS.
 	gradeStarved grade = iota - 1
 	// gradeInTime is the grade of jobs that can meet their deadline, that have none, or that have
 	// no pending tasks.
 	gradeInTime
 	// gradeLate is the grade of jobs that can be done within lateFactor times their allowed time.
 	gradeLate
-	// gradeVeryLate is the grade of jobs that can't be done even then, and of starved jobs in the
-	// other seconds.
+	// gradeVeryLate is the grade of jobs that can't be done within lateFactor times their allowed
+	// time, and of starved jobs while they do not go first.
 	gradeVeryLate
 )
 
@@ -32,13 +32,13 @@
 	// starved.
 	starvationFactor = 5
 	// starvedCycleS is the length in seconds of a cycle. Starved jobs go first in one second of
-	// it; if they always did, a long backlog would delay jobs that can still meet their
-	// deadlines.
+	// it; if they always went first, a long backlog of them would delay jobs that can still
+	// meet their deadlines.
 	starvedCycleS = 4
 )
 
-// deadlineGrades lists the multiples of the allowed time within which jobs are scheduled, with the
-// grade of the jobs that don't fit. Each step schedules only those that did not fit in the previous
+// deadlineGrades lists the multiples of a job's allowed time that are tried as its deadline, with the
+// grade of the jobs that miss it. Each multiple is tried only with the jobs that missed the previous
 // one.
 var deadlineGrades = [...]struct {
 	factor float64
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -121,7 +121,7 @@
 			}
 			if sample != nil && rng.IntN(2) == 0 {
 				if keys, ok := set.Mismatches(*sample, equal); !ok || len(keys) > 0 {
-					t.Fatalf("seed %d: mismatches %v against a correct set (compared: %v)", seed, keys, ok)
+					t.Fatalf("seed %d: a correct set has mismatches %v (compared: %v)", seed, keys, ok)
 				}
 				sample = nil
 			}
