--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -2,42 +2,41 @@
 
 import "sync"
 
-// Budget bounds retries to a fraction of the calls: while few calls fail all may be retried, and
-// when all fail the load does not multiply. Its zero value allows none. Several goroutines may use
-// one.
+// Budget limits retries to a fraction of the calls, so that retries do not multiply the load when
+// most calls fail. It is a token bucket that starts full: each call adds Ratio tokens and each retry
+// takes one. Its zero value allows no retries. It is safe for concurrent use.
 type Budget struct {
-	// Ratio is what each call saves of a retry. At most Max retries are saved; as many are there at
-	// the beginning.
+	// Ratio is the number of tokens that a call adds, Max the capacity of the bucket.
 	Ratio, Max float64
 
 	mu      sync.Mutex
 	started bool
-	saved   float64
+	tokens  float64
 }
 
-// Call counts a first try.
+// Call counts the first attempt of a call.
 func (b *Budget) Call() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.start()
-	b.saved = min(b.Max, b.saved+b.Ratio)
+	b.fill()
+	b.tokens = min(b.Max, b.tokens+b.Ratio)
 }
 
-// Retry reports whether a retry may follow at once, and takes it from what is saved.
+// Retry takes a token for an immediate retry and reports whether there was one.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.start()
-	if b.saved < 1 {
+	b.fill()
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// start fills the budget at its first use.
-func (b *Budget) start() {
+// fill fills the bucket at the first use.
+func (b *Budget) fill() {
 	if !b.started {
-		b.started, b.saved = true, b.Max
+		b.started, b.tokens = true, b.Max
 	}
 }
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// CircuitBreaker is a circuit breaker: after so many failures in a row it opens for a time, after which
-// one call probes whether there is an answer again; the time grows with each probe that fails. Its
-// zero value is closed. Several goroutines may use one.
+// CircuitBreaker blocks calls to a target that does not answer. After a number of consecutive failures
+// it opens for a time; then it is half-open and allows one call as a probe. It closes if the probe
+// is answered, and opens for longer if not. Its zero value is closed. It is safe for concurrent use.
 type CircuitBreaker struct {
-	// After is how many failures in a row open it; 0: one.
+	// After is the number of consecutive failures that opens the circuit; 0 means 1.
 	After int
-	// OpenTime is how long it stays open.
+	// OpenTime is how long the circuit stays open.
 	OpenTime Backoff
-	// Who identifies what it protects, so that circuits don't close together.
+	// Who identifies the target. It is the input of the jitter of OpenTime, so that different
+	// circuits do not become half-open at the same time.
 	Who string
 
 	mu       sync.Mutex
 	failures int
-	// openUntil is when a probe may be made; zero: it is closed.
+	// openUntil is the time from which a probe is allowed. It is zero if the circuit is closed.
 	openUntil time.Time
-	// probedAt is when the one probe was let through; zero: none is under way.
+	// probedAt is the time at which the last probe was allowed. It is zero if none is in flight.
 	probedAt time.Time
 }
 
-// Open reports whether no call may be made now.
+// Open reports whether the circuit is open, so that no calls are allowed.
 func (c *CircuitBreaker) Open(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.openUntil)
 }
 
-// Allow reports whether a call may be made. The outcome of each allowed call goes to Done.
+// Allow reports whether a call may be made. The caller must pass the outcome of an allowed call to
+// Done.
 func (c *CircuitBreaker) Allow(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +43,8 @@
 	case now.Before(c.openUntil):
 		return false
 	}
-	// One probe at a time, and another one if the outcome of the last is missing.
+	// One probe at a time. If the outcome of the last one is missing for OpenTime.Max, another is
+	// allowed.
 	if !c.probedAt.IsZero() && now.Sub(c.probedAt) < c.OpenTime.Max {
 		return false
 	}
@@ -49,7 +52,7 @@
 	return true
 }
 
-// Done takes in the outcome of a call.
+// Done records the outcome of a call that was allowed.
 func (c *CircuitBreaker) Done(now time.Time, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -1,4 +1,4 @@
-// Package retry decides when what failed is tried again: pauses that grow and are spread
-// (backoff.go), budgets that keep retries from multiplying a load (budget.go), and circuit
-// breakers for what does not answer (circuit.go). It makes no calls and reads no clock.
+// Package retry provides policies for retries: exponential backoff with jitter (backoff.go), budgets
+// that limit the load from retries (budget.go), and circuit breakers for targets that do not answer
+// (circuit.go). It makes no calls and reads no clock.
 package retry
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,12 +7,12 @@
 	"net"
 )
 
-// check returns the first error in the settings, which names the field.
+// check returns an error that names the first invalid field.
 func (s *Settings) check() error {
 	if s.Label == "" {
 		return errors.New("label: missing")
 	}
-	for _, check := range []func() error{s.checkAddresses, s.checkOthers, s.Params.checkTeams, s.Params.checkLimits} {
+	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.Params.checkTeams, s.Params.checkLimits} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// checkAddresses checks the controller's own addresses and those of the services.
+// checkAddresses checks the controller's listen addresses and the addresses of the services.
 func (s *Settings) checkAddresses() error {
 	for _, address := range []struct{ field, value string }{
 		{"serve_on", s.ServeOn},
@@ -35,20 +35,20 @@
 	return nil
 }
 
-// checkAddress checks that a field is an address, HOST:PORT.
+// checkAddress checks that a field is an address of the form HOST:PORT.
 func checkAddress(field, value string) error {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		return fmt.Errorf("%s: not an address: %q", field, value)
+		return fmt.Errorf("%s: %q is not an address of the form HOST:PORT", field, value)
 	}
 	return nil
 }
 
-// checkOthers checks the other controllers, and that they are as many as are said.
-func (s *Settings) checkOthers() error {
+// checkPeers checks the other controllers, and that their number matches params.count.
+func (s *Settings) checkPeers() error {
 	labels := map[string]bool{s.Label: true}
 	for i, other := range s.Others {
 		if other.Label == "" || labels[other.Label] {
-			return fmt.Errorf("others[%d].label: missing or used twice", i)
+			return fmt.Errorf("others[%d].label: missing or duplicate", i)
 		}
 		labels[other.Label] = true
 		if err := checkAddress(fmt.Sprintf("others[%d].peer_addr", i), other.PeerAddr); err != nil {
@@ -56,12 +56,13 @@
 		}
 	}
 	if s.Params.Count != len(s.Others)+1 {
-		return fmt.Errorf("params.count: %d, but others has %d entries", s.Params.Count, len(s.Others))
+		return fmt.Errorf("params.count: %d does not match the %d entries of others; it must be one more", s.Params.Count, len(s.Others))
 	}
 	return nil
 }
 
-// checkTeams checks that there are teams with distinct names and sensible quotas.
+// checkTeams checks that there are teams, that their names are distinct, and that guarantees are not
+// above limits.
 func (p *Params) checkTeams() error {
 	if len(p.Teams) == 0 {
 		return errors.New("params.teams: missing")
@@ -69,26 +70,26 @@
 	names := map[string]bool{}
 	for i, team := range p.Teams {
 		if team.Name == "" || names[team.Name] {
-			return fmt.Errorf("params.teams[%d].name: missing or used twice", i)
+			return fmt.Errorf("params.teams[%d].name: missing or duplicate", i)
 		}
 		names[team.Name] = true
 		if min(team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax) < 0 {
-			return fmt.Errorf("params.teams[%d]: negative amount", i)
+			return fmt.Errorf("params.teams[%d]: guarantees and limits must not be negative", i)
 		}
 		if team.CPUsMax > 0 && team.CPUs > team.CPUsMax || team.GPUsMax > 0 && team.GPUs > team.GPUsMax {
-			return fmt.Errorf("params.teams[%d]: guarantee above the limit", i)
+			return fmt.Errorf("params.teams[%d]: guarantee exceeds the limit", i)
 		}
 	}
 	return nil
 }
 
-// limit is a field that must be above 0.
+// limit is a setting that must be positive and finite.
 type limit struct {
 	field string
 	value float64
 }
 
-// checkLimits checks the times of agents and the limits of services and of this process.
+// checkLimits checks the timing of agents and the limits of the services and of this process.
 func (p *Params) checkLimits() error {
 	limits := []limit{
 		{"params.workers.report_s", p.Workers.ReportS},
@@ -104,16 +105,16 @@
 	}
 	for _, limit := range append(limits, p.State.Next.limits()...) {
 		if !(limit.value > 0) || math.IsInf(limit.value, 0) {
-			return fmt.Errorf("%s: must be above 0", limit.field)
+			return fmt.Errorf("%s: must be positive and finite", limit.field)
 		}
 	}
 	if p.Workers.LeaseS <= p.Workers.ReportS {
-		return errors.New("params.workers.lease_s: must be above report_s")
+		return errors.New("params.workers.lease_s: must be greater than report_s")
 	}
 	return nil
 }
 
-// limits lists the limits that are announced.
+// limits returns the announced limits that are set.
 func (n *AnnouncedLimits) limits() []limit {
 	var limits []limit
 	for _, next := range []struct {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -12,7 +12,7 @@
 	"micaspindle/internal/golden"
 )
 
-// goldenPlatform has every field of the platform's settings, with values that are allowed.
+// goldenPlatform returns platform settings in which every field is set to a valid value.
 func goldenPlatform() *Settings {
 	s := golden.Fill(&Settings{})
 	s.ServeOn, s.ClusterListen = "10.0.0.1:1001", "10.0.0.1:1002"
@@ -23,7 +23,7 @@
 	return s
 }
 
-// The platform's settings are read as they are handed over.
+// Guards against changes in how the platform's settings file is read.
 func TestGoldenPlatform(t *testing.T) {
 	want := goldenPlatform()
 	golden.RequireFilled(t, want)
@@ -37,7 +37,7 @@
 	}
 }
 
-// The operators' settings are read as they write them.
+// Guards against changes in how the operators' settings file is read.
 func TestGoldenOperator(t *testing.T) {
 	want := golden.Fill(&Operator{})
 	want.LimitShare = 0.75
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -12,7 +12,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Bounds of the operators' settings.
+// Bounds of the operator settings.
 const (
 	minMovePeriod = 100 * time.Millisecond
 	minIdleReturn = time.Second
@@ -20,10 +20,9 @@
 	maxLeaseTTL   = 10 * time.Minute
 )
 
-// Operator are the operators' own settings, all optional.
+// Operator has the settings of the operators' file. All are optional.
 type Operator struct {
-	// LimitShare is the fraction of a machine's CPUs in use below which the machine counts as
-	// under its limit.
+	// LimitShare is the use limit of a machine, as a fraction of its CPUs.
 	LimitShare float64 `yaml:"limit_share"`
 	// MovePeriod is how often the cluster leader moves idle machines between partitions.
 	MovePeriod time.Duration `yaml:"move_period"`
@@ -31,24 +30,26 @@
 	IdleReturn time.Duration `yaml:"idle_return"`
 	// LeaseTTL is the time to live of a controller's lease after its last renewal.
 	LeaseTTL time.Duration `yaml:"claim_ttl"`
-	// Identity makes the controller authenticate callers; nil: everybody may do everything,
-	// over connections without TLS.
+	// Identity configures authentication. If it is nil, callers are not authenticated, every
+	// request is allowed, and connections do not use TLS.
 	Identity *Identity `yaml:"identity"`
-	// Operations serves metrics and the overview to operators; nil: nothing is measured.
+	// Operations configures the listener for metrics and the overview. If it is nil, no metrics
+	// are recorded.
 	Operations *Operations `yaml:"operations"`
 }
 
-// Operations is the operators' listener.
+// Operations configures the listener for operators.
 type Operations struct {
-	// Listen is an address, HOST:PORT.
+	// Listen is the address (HOST:PORT) to listen on.
 	Listen string `yaml:"listen"`
 }
 
-// Identity names the files of a controller's credentials and of the roots that it trusts.
+// Identity names the files with a controller's credentials and with the certificates and keys that it
+// trusts.
 type Identity struct {
-	// Own has the controller's certificate and key, Roots the trusted root certificates,
-	// TokenKeys the public keys of tokens. "{label}" in a name stands for the controller's
-	// label.
+	// Own is the file with the controller's certificate and key, Roots the one with the trusted
+	// root certificates, and TokenKeys the one with the public keys of tokens. "{label}" in a
+	// file name is replaced by the controller's label.
 	Own       string `yaml:"own"`
 	Roots     string `yaml:"roots"`
 	TokenKeys string `yaml:"token_keys"`
@@ -58,7 +59,7 @@
 	Bootstrap string `yaml:"bootstrap"`
 }
 
-// DefaultOperator returns the settings that hold without an operators' file.
+// DefaultOperator returns the settings that apply without an operators' file.
 func DefaultOperator() Operator {
 	return Operator{
 		LimitShare: 0.8,
@@ -68,8 +69,8 @@
 	}
 }
 
-// LoadOperator reads and checks the operators' file; unknown fields are errors. An empty path gives
-// the defaults.
+// LoadOperator reads and checks the operators' file. Unknown fields are errors. If path is empty, it
+// returns the defaults.
 func LoadOperator(path string) (Operator, error) {
 	operator := DefaultOperator()
 	if path == "" {
@@ -90,17 +91,17 @@
 	return operator, nil
 }
 
-// check returns the first error in the settings, which names the field.
+// check returns an error that names the first invalid field.
 func (o *Operator) check() error {
 	switch {
 	case !(o.LimitShare >= 0 && o.LimitShare <= 1):
-		return errors.New("limit_share: must lie between 0 and 1")
+		return errors.New("limit_share: must be between 0 and 1")
 	case o.MovePeriod < minMovePeriod:
 		return errors.New("move_period: must be at least 100ms")
 	case o.IdleReturn < minIdleReturn:
 		return errors.New("idle_return: must be at least 1s")
 	case o.LeaseTTL < minLeaseTTL || o.LeaseTTL > maxLeaseTTL:
-		return errors.New("claim_ttl: must lie between 1s and 10m")
+		return errors.New("claim_ttl: must be between 1s and 10m")
 	}
 	if o.Operations != nil {
 		if err := o.Operations.check(o.Identity != nil); err != nil {
@@ -113,28 +114,27 @@
 	return nil
 }
 
-// check returns what is wrong with the listener. Where callers are not authenticated it must be on
-// loopback.
+// check checks the listen address. It must be a loopback address if callers are not authenticated.
 func (o *Operations) check(authenticated bool) error {
 	host, _, err := net.SplitHostPort(o.Listen)
 	if err != nil {
-		return fmt.Errorf("operations.listen: %q is no HOST:PORT", o.Listen)
+		return fmt.Errorf("operations.listen: %q is not an address of the form HOST:PORT", o.Listen)
 	}
 	if ip := net.ParseIP(host); !authenticated && (ip == nil || !ip.IsLoopback()) {
-		return fmt.Errorf("operations.listen: %s: without identities only a loopback address may tell", o.Listen)
+		return fmt.Errorf("operations.listen: %s is not a loopback address, which is required without the identity settings", o.Listen)
 	}
 	return nil
 }
 
-// check returns which file or name is missing.
+// check returns an error that names the first missing field.
 func (i *Identity) check() error {
 	switch {
 	case i.Own == "":
-		return errors.New("identity.own: missing; it names the file with this controller's certificate and key")
+		return errors.New("identity.own: missing file name of this controller's certificate and key")
 	case i.Roots == "":
-		return errors.New("identity.roots: missing; it names the file with the certificates to trust")
+		return errors.New("identity.roots: missing file name of the trusted root certificates")
 	case i.TokenKeys != "" && i.Cluster == "":
-		return errors.New("identity.cluster: missing; tokens are issued for a cluster by name")
+		return errors.New("identity.cluster: missing cluster name, which is required with token_keys")
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the platform's settings file (JSON) and the operators' own,
-// which is optional (YAML). Neither changes while a process runs.
+// Package settings reads and validates the platform's settings file (JSON) and the optional settings
+// file of the operators (YAML). Settings are read at startup and do not change while a process runs.
 package settings
 
 import (
@@ -12,11 +12,11 @@
 
 // Settings is the platform's configuration of a controller.
 type Settings struct {
-	// Label identifies the controller in the cluster; Zone is where it runs.
+	// Label identifies the controller in the cluster. Zone is the zone in which it runs.
 	Label string `json:"label"`
 	Zone  string `json:"zone"`
-	// ServeOn is the address (HOST:PORT) for users and agents, ClusterListen that for other
-	// controllers.
+	// ServeOn is the listen address (HOST:PORT) for users and agents, ClusterListen the one for
+	// other controllers.
 	ServeOn       string   `json:"serve_on"`
 	ClusterListen string   `json:"cluster_listen"`
 	Others        []Peer   `json:"others"`
@@ -31,7 +31,7 @@
 	PeerAddr string `json:"peer_addr"`
 }
 
-// Services are the addresses (HOST:PORT) of the cloud and the state store.
+// Services has the addresses (HOST:PORT) of the cloud and of the state store.
 type Services struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
@@ -39,7 +39,7 @@
 
 // Params describes the deployment.
 type Params struct {
-	// Count is how many controllers and partitions there are.
+	// Count is the number of controllers, which is also the number of partitions.
 	Count         int              `json:"count"`
 	Zones         []string         `json:"zones"`
 	Teams         []Team           `json:"teams"`
@@ -48,11 +48,12 @@
 	State         StateStoreLimits `json:"state"`
 	Cloud         CloudLimits      `json:"cloud"`
 	MachineLimits ProcessLimits    `json:"machine_limits"`
-	// TimeBoundMS is by how much clocks may differ, in milliseconds.
+	// TimeBoundMS is the maximum difference between clocks, in milliseconds.
 	TimeBoundMS float64 `json:"time_bound_ms"`
 }
 
-// Team is a team with its guarantee and its limit; 0 means none.
+// Team has the quotas of a team: the guarantees CPUs and GPUs, and the limits CPUsMax and GPUsMax.
+// 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -61,7 +62,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective of the users.
+// Objective is a service-level objective.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -70,26 +71,26 @@
 	WithinS float64 `json:"within_s"`
 }
 
-// AgentTimes are the times that the agents keep to, in seconds: the interval of heartbeats, the
-// machine lease, and for how long a task may outlive its job's cancellation.
+// AgentTimes has the timing of agents, in seconds: the heartbeat interval, the duration of a machine
+// lease, and how long a task may keep running after its job is cancelled.
 type AgentTimes struct {
 	ReportS float64 `json:"report_s"`
 	LeaseS  float64 `json:"lease_s"`
 	CancelS float64 `json:"cancel_s"`
 }
 
-// StateStoreLimits are the limits of the state store: requests and writes a second, the size of a value, and
-// the operations of a transaction.
+// StateStoreLimits has the limits of the state store: requests and writes per second, the size of a
+// value, and the operations in a transaction.
 type StateStoreLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
 	TxnOps   int     `json:"txn_ops"`
-	// Next are announced limits, which hold from a moment on that is not known.
+	// Next has the announced limits. They take effect at an unknown time.
 	Next AnnouncedLimits `json:"next"`
 }
 
-// AnnouncedLimits are announced limits of the state store; nil: the limit stays as it is.
+// AnnouncedLimits has future limits of the state store. A limit that is nil does not change.
 type AnnouncedLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -97,7 +98,7 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lower returns, for each limit, the lower of the present and the announced one, so that it holds
+// Lower returns the lower of the present and the announced value of each limit, which is safe both
 // before and after the change.
 func (s StateStoreLimits) Lower() StateStoreLimits {
 	return StateStoreLimits{
@@ -108,7 +109,7 @@
 	}
 }
 
-// lowerLimit is the lower of a limit and the announced one, nil: none is announced.
+// lowerLimit returns the lower of a limit and the announced one, which is nil if there is none.
 func lowerLimit[T int | float64](present T, next *T) T {
 	if next == nil {
 		return present
@@ -116,14 +117,14 @@
 	return min(present, *next)
 }
 
-// CloudLimits are the limits of the cloud's interface: requests a second, and by how many seconds its
-// list of machines lags behind.
+// CloudLimits has the limits of the cloud's API: requests per second, and the lag of its list of
+// machines in seconds.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// ProcessLimits are the resources of one controller process: the fraction of a core, the memory, and the
+// ProcessLimits has the resource limits of a controller process: a fraction of a core, memory, and
 // open sockets.
 type ProcessLimits struct {
 	CoreShare float64 `json:"core_share"`
@@ -131,10 +132,10 @@
 	Sockets   int     `json:"sockets"`
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks the platform's settings file.
+// Load reads and validates the platform's settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -143,13 +144,13 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings; unknown fields are ignored.
+// Parse decodes and validates the platform's settings. Unknown fields are ignored.
 func Parse(data []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(data, &s); err != nil {
 		var wrongType *json.UnmarshalTypeError
 		if errors.As(err, &wrongType) {
-			return nil, fmt.Errorf("settings: %s: wrong type, %s given", wrongType.Field, wrongType.Value)
+			return nil, fmt.Errorf("settings: %s: unexpected JSON %s", wrongType.Field, wrongType.Value)
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-const good = `{"label":"s-0","zone":"a","serve_on":"127.0.0.1:1","cluster_listen":"127.0.0.1:2","future":{"x":1},
+const validSettings = `{"label":"s-0","zone":"a","serve_on":"127.0.0.1:1","cluster_listen":"127.0.0.1:2","future":{"x":1},
 "others":[{"label":"s-1","zone":"b","peer_addr":"127.0.0.1:3"}],"services":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
 "params":{"count":2,"zones":["a","b"],"teams":[{"name":"t","cpus":8.0,"cpus_max":16,"gpus":0,"gpus_max":0}],"objectives":[],
 "workers":{"report_s":1,"lease_s":10.0,"cancel_s":30.0},"state":{"rps":100,"write_rps":20,"value_kb":8,"txn_ops":12},
 "cloud":{"rps":4,"list_lag_s":6},"machine_limits":{"core_share":0.1,"mem_mb":70,"sockets":600},"time_bound_ms":5}}`
 
 func TestParse(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
-	// Each change must be refused in one line that names the field.
+	// Each change must cause a one-line error that names the field.
 	for _, tc := range []struct{ path, value, field string }{
 		{"label", `""`, "label"},
 		{"serve_on", `"nowhere"`, "serve_on"},
@@ -41,7 +41,7 @@
 		{"services.state", `""`, "services.state"},
 	} {
 		var m map[string]any
-		if err := json.Unmarshal([]byte(good), &m); err != nil {
+		if err := json.Unmarshal([]byte(validSettings), &m); err != nil {
 			t.Fatal(err)
 		}
 		at := m
@@ -56,12 +56,12 @@
 		}
 		_, err = Parse(data)
 		if err == nil || !strings.Contains(err.Error(), tc.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s = %s: %v", tc.path, tc.value, err)
+			t.Errorf("%s = %s: error %v, want one line that names the field", tc.path, tc.value, err)
 		}
 	}
 }
 
-// What is announced may be absent, partial, or more than there is.
+// Announced limits may be absent, partial, or higher than the present ones, and have unknown fields.
 func TestAnnouncedLimits(t *testing.T) {
 	for next, want := range map[string]StateStoreLimits{
 		``:                               {RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12},
@@ -70,11 +70,11 @@
 		`,"next":{"value_kb":2,"odd":1}`: {RPS: 100, WriteRPS: 20, ValueKB: 2, TxnOps: 12},
 		`,"next":{"txn_ops":5,"write_rps":15.0,"value_kb":16,"rps":300}`: {RPS: 100, WriteRPS: 15, ValueKB: 8, TxnOps: 5},
 	} {
-		s, err := Parse([]byte(strings.Replace(good, `"txn_ops":12`, `"txn_ops":12`+next, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12`+next, 1)))
 		if err != nil {
 			t.Errorf("%s: %v", next, err)
 		} else if got := s.Params.State.Lower(); got != want {
-			t.Errorf("%s: %+v, want %+v", next, got, want)
+			t.Errorf("limits with %s: %+v, want %+v", next, got, want)
 		}
 	}
 }
@@ -88,17 +88,17 @@
 		return path
 	}
 	if op, err := LoadOperator(""); err != nil || op != DefaultOperator() {
-		t.Errorf("without a file: %+v, %v", op, err)
+		t.Errorf("LoadOperator without a file = %+v, %v, want the defaults", op, err)
 	}
 	if op, err := LoadOperator(write("limit_share: 0.5\nmove_period: 2s\n")); err != nil || op.LimitShare != 0.5 || op.MovePeriod != 2*time.Second {
-		t.Errorf("%+v, %v", op, err)
+		t.Errorf("LoadOperator = %+v, %v, want limit_share 0.5 and move_period 2s", op, err)
 	}
 	if _, err := LoadOperator(write("")); err != nil {
 		t.Errorf("empty file: %v", err)
 	}
 	for _, bad := range []string{"limit_shar: 1", "limit_share: 2", "limit_share: .nan", "claim_ttl: 1ms", "idle_return: soon", "[]"} {
 		if _, err := LoadOperator(write(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("LoadOperator accepted the invalid %q", bad)
 		}
 	}
 }
--- a/internal/storage/absence.go
+++ b/internal/storage/absence.go
@@ -14,46 +14,47 @@
 )
 
 const (
-	// pollShare is the part of the state store's requests that absence queries may take.
-	pollShare = 0.5
-	// conditionsPerOp is how many conditions a transaction may hold for each change that it
-	// may.
+	// absenceShare is the fraction of the state store's request rate that the absence queries of all
+	// controllers may use.
+	absenceShare = 0.5
+	// conditionsPerOp is the ratio of a transaction's condition limit to its change limit.
 	conditionsPerOp = 4
-	// keyBytesLimit bounds the keys of one comparison, in bytes: the body's limit is 64 KiB.
+	// keyBytesLimit bounds the total size of the keys in one batch, in bytes. It leaves room for
+	// the encoding within the request body limit of 64 KiB.
 	keyBytesLimit = 32 << 10
-	// absenceQueueSeconds is for how many seconds queries may wait at the pace at which they
-	// are sent: more would be answered too late.
+	// absenceQueueSeconds sets the queue capacity to the number of queries that can be sent in
+	// this many seconds. A longer queue would delay the answers too much.
 	absenceQueueSeconds = 2
-	// absenceQueueMin is how many queries may wait at any pace. One takes some 200 bytes beside
-	// its user's connection.
+	// absenceQueueMin is the smallest queue capacity, in queries. A queued query uses about
+	// 200 bytes.
 	absenceQueueMin = 2048
 )
 
-// absenceQueue asks for many users at once whether keys are absent. A transaction that only
-// compares reads as many keys as it may have conditions, for one request; asked one by one, the
-// polls of some 1,500 waiting jobs take every request that the state store grants, those that
-// renew the controllers' leases among them (docs/incidents/night-flood.md).
+// absenceQueue batches users' queries whether keys are absent. One transaction without changes
+// checks as many keys as it may have conditions, in a single request. Sent one by one, the polls
+// of about 1,500 waiting jobs exhaust the state store's request limit and starve the renewals of
+// the controllers' leases (docs/incidents/night-flood.md).
 //
-// One user's query at a time has the turn: its goroutine asks for itself and for those that wait,
-// and then passes the turn on.
+// One query at a time is the sender: its goroutine sends a batch for itself and for the queries
+// in the queue, and then makes the oldest remaining query the next sender.
 type absenceQueue struct {
 	mu      sync.Mutex
 	waiting []*absenceQuery
-	// asking says that some query has the turn.
-	asking bool
-	// requests bounds the requests that queries take.
+	// sending is true while some query is the sender.
+	sending bool
+	// requests limits the rate of batches.
 	requests *rate.Limiter
-	// capacity is how many queries may wait.
+	// capacity is the maximum length of waiting.
 	capacity int
-	// conditionsLimit is how many keys a comparison may hold.
+	// conditionsLimit is the maximum number of keys in a batch.
 	conditionsLimit atomic.Int64
 }
 
-// absenceQuery is a user's query whether a key is absent, and its answer.
+// absenceQuery is a user's query whether a key is absent, and its result.
 type absenceQuery struct {
 	key string
-	// turn is closed when the query is answered, or when it gets the turn.
-	turn     chan struct{}
+	// ready is closed when the query has a result or becomes the sender.
+	ready    chan struct{}
 	answered bool
 	present  bool
 	err      error
@@ -61,86 +62,87 @@
 
 func (q *absenceQueue) init(rps float64, txnOps, controllers int) {
 	q.conditionsLimit.Store(int64(conditionsPerOp * txnOps))
-	share := pollShare * rps / float64(controllers)
+	share := absenceShare * rps / float64(controllers)
 	q.capacity = max(absenceQueueMin, int(absenceQueueSeconds*share*conditionsPerOp*float64(txnOps)))
 	q.requests = rate.NewLimiter(rate.Limit(share), max(2, int(share/2)))
 }
 
-// UserKeyAbsent reads for a user whether a key is absent. Users who ask while another comparison
-// is under way are asked for together by the next one: it is sent after they came, so that its
-// answer is no older than their query.
+// UserKeyAbsent reports whether a key is absent, for a user's request. Queries that arrive while
+// a batch is in flight are sent in the next one, so that no result is older than its query. If
+// too many queries are waiting, the error is ErrBudget.
 func (s *Store) UserKeyAbsent(ctx context.Context, key string) (bool, error) {
-	query := &absenceQuery{key: key, turn: make(chan struct{})}
-	hasTurn, admitted := s.absences.add(query)
+	query := &absenceQuery{key: key, ready: make(chan struct{})}
+	isSender, admitted := s.absences.add(query)
 	if !admitted {
 		if s.OnPollRefused != nil {
 			s.OnPollRefused()
 		}
 		return false, ErrBudget
 	}
-	if !hasTurn {
-		if err := s.absences.awaitTurn(ctx, query); err != nil {
+	if !isSender {
+		if err := s.absences.await(ctx, query); err != nil {
 			return false, err
 		}
 	}
 	if !query.answered {
-		s.askAbsences(ctx, query)
+		s.sendAbsenceBatch(ctx, query)
 	}
 	return !query.present, query.err
 }
 
-// add has a query wait, unless too many do, and says whether it has the turn at once.
-func (q *absenceQueue) add(query *absenceQuery) (hasTurn, admitted bool) {
+// add appends a query unless the queue is full, and reports whether the query is the sender.
+func (q *absenceQueue) add(query *absenceQuery) (isSender, admitted bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) >= q.capacity {
 		return false, false
 	}
 	q.waiting = append(q.waiting, query)
-	hasTurn = !q.asking
-	q.asking = true
-	return hasTurn, true
+	isSender = !q.sending
+	q.sending = true
+	return isSender, true
 }
 
-// awaitTurn waits until a query is answered or has the turn, or its user goes away.
-func (q *absenceQueue) awaitTurn(ctx context.Context, query *absenceQuery) error {
+// await waits until a query has a result or is the sender. If ctx ends first, it removes the query
+// from the queue and returns an error, unless the query is already in a batch or is the sender.
+func (q *absenceQueue) await(ctx context.Context, query *absenceQuery) error {
 	select {
-	case <-query.turn:
+	case <-query.ready:
 		return nil
 	case <-ctx.Done():
 	}
 	if q.remove(query) {
 		return fmt.Errorf("%w: %w", ErrRefused, ctx.Err())
 	}
-	<-query.turn // it is being asked for, or has the turn
+	<-query.ready // the query is in a batch or is the sender
 	return nil
 }
 
-// remove takes back a query that nobody has begun to ask, and says whether it could.
+// remove deletes a query from the queue and reports whether it did. A query that is in a batch or
+// is the sender stays.
 func (q *absenceQueue) remove(query *absenceQuery) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	i := slices.Index(q.waiting, query)
-	if i < 0 || query.hasTurn() {
+	if i < 0 || query.isSender() {
 		return false
 	}
 	q.waiting = slices.Delete(q.waiting, i, i+1)
 	return true
 }
 
-// hasTurn says whether a waiting query has the turn. The queue's lock is held.
-func (q *absenceQuery) hasTurn() bool {
+// isSender reports whether a waiting query is the sender. The caller holds the queue's lock.
+func (q *absenceQuery) isSender() bool {
 	select {
-	case <-q.turn:
+	case <-q.ready:
 		return true
 	default:
 		return false
 	}
 }
 
-// take removes and returns as many queries, the oldest first, as one request of askAbsences
-// serves.
-func (q *absenceQueue) take() []*absenceQuery {
+// takeBatch removes the oldest queries, up to the size of one batch, and returns them.
+func (q *absenceQueue) takeBatch() []*absenceQuery {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	count, bytes := 0, 0
@@ -148,31 +150,31 @@
 		bytes += len(q.waiting[count].key)
 		count++
 	}
-	taken := slices.Clone(q.waiting[:count])
+	batch := slices.Clone(q.waiting[:count])
 	q.waiting = slices.Delete(q.waiting, 0, count)
-	return taken
+	return batch
 }
 
-// passTurn gives the turn to the oldest query that waits, if any.
-func (q *absenceQueue) passTurn() {
+// appointNextSender makes the oldest waiting query the next sender, if there is one.
+func (q *absenceQueue) appointNextSender() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) == 0 {
-		q.asking = false
+		q.sending = false
 		return
 	}
-	close(q.waiting[0].turn)
+	close(q.waiting[0].ready)
 }
 
-// askAbsences asks for the queries that wait, the one that has the turn among them, and passes
-// the turn on.
-func (s *Store) askAbsences(ctx context.Context, own *absenceQuery) {
-	// The user who has the turn may go away; the others must not pay for that.
+// sendAbsenceBatch sends a batch of waiting queries, including the sender's own, stores the results,
+// and appoints the next sender.
+func (s *Store) sendAbsenceBatch(ctx context.Context, own *absenceQuery) {
+	// Cancellation of the sender's request must not fail the other queries in the batch.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
-	err := s.admitAbsences(ctx)
-	// Its own query is the oldest: it found the queue empty, or got the turn as the first.
-	queries := s.absences.take()
+	err := s.admitAbsenceBatch(ctx)
+	// The sender's own query is the oldest one, so the batch includes it.
+	queries := s.absences.takeBatch()
 	var present map[string]bool
 	if err == nil {
 		present, err = s.presentKeys(ctx, queries)
@@ -180,14 +182,14 @@
 	for _, query := range queries {
 		query.answered, query.present, query.err = true, present[query.key], err
 		if query != own {
-			close(query.turn)
+			close(query.ready)
 		}
 	}
-	s.absences.passTurn()
+	s.absences.appointNextSender()
 }
 
-// admitAbsences waits until the budget grants a comparison.
-func (s *Store) admitAbsences(ctx context.Context) error {
+// admitAbsenceBatch waits until the budget allows one batch.
+func (s *Store) admitAbsenceBatch(ctx context.Context) error {
 	if err := s.absences.requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrBudget, err)
 	}
@@ -195,9 +197,9 @@
 	return err
 }
 
-// presentKeys says which keys of queries are there. A refused comparison need not name every key
-// that is there, so the others are compared again; after one that was too large, they are
-// smaller from then on.
+// presentKeys returns the queried keys that exist. A conflict need not name every existing key, so
+// the remaining keys are compared again. If the state store refuses a batch for its size, later
+// batches have at most half as many keys.
 func (s *Store) presentKeys(ctx context.Context, queries []*absenceQuery) (map[string]bool, error) {
 	present := map[string]bool{}
 	var keys []string
@@ -222,7 +224,7 @@
 				return failed
 			})
 			if len(keys) == before {
-				return nil, fmt.Errorf("%w: refused a comparison without saying why", ErrUnknown)
+				return nil, fmt.Errorf("%w: the conflict names none of the compared keys", ErrUnknown)
 			}
 		case errors.Is(err, ErrTooLarge) && len(compared) > 1:
 			s.absences.conditionsLimit.Store(int64(len(compared)+1) / 2)
@@ -233,7 +235,7 @@
 	return present, nil
 }
 
-// compareAbsent succeeds if all keys are absent.
+// compareAbsent returns nil if all keys are absent, and a *Conflict if some exist.
 func (s *Store) compareAbsent(ctx context.Context, keys []string) error {
 	txn := &protocol.Transaction{}
 	for _, key := range keys {
--- a/internal/storage/budget.go
+++ b/internal/storage/budget.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// minGrantedShare of the limit is still tried when the limit falls unannounced.
+	// minGrantedShare is the fraction of the limit below which refusals do not lower the granted
+	// rate, if no limit is announced.
 	minGrantedShare = 0.25
-	// refusalFactor is what a refusal leaves of the rate; recoveryRate is the share of the
-	// limit that comes back each second without one.
+	// refusalFactor multiplies the granted rate after a refusal. Without refusals, the rate
+	// recovers by recoveryRate, a fraction of the limit, each second.
 	refusalFactor = 0.9
 	recoveryRate  = 0.01
-	// equalShare of the limit is split evenly, demandShare by demand. Together they exceed the
-	// limit a little, since hardly ever all of it is used; the state store refuses what is
-	// too much.
+	// equalShare is the fraction of the limit that is divided evenly among the controllers,
+	// demandShare the fraction that is divided in proportion to demand. Their sum is above 1
+	// since controllers rarely use their whole shares; the state store refuses the excess.
 	equalShare  = 0.4
 	demandShare = 0.7
-	// recordShare is the part of the budget that records of leaders may use, so that users
-	// always find some left.
+	// recordShare is the fraction of a controller's write rate that the records of leaders may
+	// use. The rest is left for user requests.
 	recordShare = 0.8
-	// demandMemory is how long past demand counts.
-	demandMemory = 2 * time.Second
+	// demandPeriod is the averaging period of the demand.
+	demandPeriod = 2 * time.Second
 )
 
-// writeBudget is this controller's share of the changes that the state store takes each second.
-// The load may lie on one controller alone, so the share follows what each of them wants; an
-// equal part is left to everybody, which does not depend on what others say.
+// writeBudget is this controller's share of the state store's write rate. Most of the rate is
+// divided by demand, since the load may be concentrated on one controller. The rest is divided
+// evenly, so that each controller has a minimum that does not depend on reports of the others.
 type writeBudget struct {
-	limit       float64 // changes a second
+	limit       float64 // changes per second
 	controllers float64
-	// minGranted is what the limit is taken for at the least, however much the state store
-	// refuses: the announced limit, or a share of the present one.
+	// minGranted is the lower bound of granted: the lower of the present and the announced limit,
+	// or a fraction of the present limit if none is announced.
 	minGranted float64
-	wanted     atomic.Int64 // changes asked for so far
-	waiting    atomic.Int64 // changes that wait for budget now
-	refused    atomic.Int64 // transactions refused for their number so far
+	requested  atomic.Int64 // total of changes requested
+	waiting    atomic.Int64 // changes that are waiting for budget
+	refused    atomic.Int64 // total of transactions refused by the state store's rate limit
 
-	// Used by whoever calls WriteDemand and ShareWriteRate.
-	granted      float64   // changes a second that the state store seems to take, up to the limit
-	grantedAt    time.Time // when granted was last adapted
-	refusedSeen  int64     // refused as of then
-	demand       float64   // changes a second
-	demandAt     time.Time // when demand was last adapted
-	demandWanted int64     // wanted as of then
+	// The fields below belong to the goroutine that calls WriteDemand and ShareWriteRate.
+	granted       float64   // estimated write rate that the state store accepts, in changes per second
+	grantedAt     time.Time // time of the last update of granted
+	refusedSeen   int64     // refused at grantedAt
+	demand        float64   // average of the requested changes per second
+	demandAt      time.Time // time of the last update of demand
+	requestedSeen int64     // requested at demandAt
 }
 
 func (b *writeBudget) init(limits settings.StateStoreLimits, count int) {
@@ -58,28 +59,29 @@
 	}
 }
 
-// GrantedWriteRate is how many changes a second this controller may write now.
+// GrantedWriteRate returns this controller's current share of the write rate, in changes per second.
 func (s *Store) GrantedWriteRate() float64 { return float64(s.writes.Limit()) }
 
-// WriteDemand is how many changes a second this controller wants: what it asked for of late, and
-// what waits. One goroutine calls it, several times a second.
+// WriteDemand returns this controller's demand for writes in changes per second: the recent average
+// of requested changes, plus those that are waiting for budget. It must be called by a single
+// goroutine, several times a second.
 func (s *Store) WriteDemand(now time.Time) float64 {
 	b := &s.budget
 	if b.demandAt.IsZero() {
 		b.demandAt = now
 	}
 	if elapsed := now.Sub(b.demandAt); elapsed > 0 {
-		wanted := b.wanted.Load()
-		weight := min(1, elapsed.Seconds()/demandMemory.Seconds())
-		b.demand += weight * (float64(wanted-b.demandWanted)/elapsed.Seconds() - b.demand)
-		b.demandWanted, b.demandAt = wanted, now
+		requested := b.requested.Load()
+		weight := min(1, elapsed.Seconds()/demandPeriod.Seconds())
+		b.demand += weight * (float64(requested-b.requestedSeen)/elapsed.Seconds() - b.demand)
+		b.requestedSeen, b.demandAt = requested, now
 	}
 	return b.demand + float64(b.waiting.Load())
 }
 
-// follow adapts the rate to what the state store takes: the limit may fall at any moment,
-// announced or not, and only refusals show it.
-func (b *writeBudget) follow(now time.Time) {
+// adaptRate adapts the granted rate to refusals: the state store's limit may fall at any time,
+// announced or not, and only refusals reveal it.
+func (b *writeBudget) adaptRate(now time.Time) {
 	switch refused := b.refused.Load(); {
 	case refused != b.refusedSeen:
 		b.granted = max(b.minGranted, b.granted*refusalFactor)
@@ -90,10 +92,11 @@
 	b.grantedAt = now
 }
 
-// ShareWriteRate sets the share of a controller that wants own of total changes a second.
+// ShareWriteRate sets this controller's share of the write rate. own is its demand and total that of
+// all controllers, both in changes per second.
 func (s *Store) ShareWriteRate(own, total float64) {
 	b := &s.budget
-	b.follow(time.Now())
+	b.adaptRate(time.Now())
 	share := equalShare / b.controllers
 	if total > 0 {
 		share += demandShare * own / total
--- a/internal/storage/compat_test.go
+++ b/internal/storage/compat_test.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// The record types as the version before pipelines has them, frozen: both
-// versions work on each other's records during an upgrade.
+// Frozen copies of the record types of the version before job dependencies. Both versions read and
+// write each other's records during an upgrade.
 type (
 	oldJobSpec struct {
 		ID          string   `msgpack:"id"`
@@ -68,8 +68,8 @@
 	}
 )
 
-// kinds are the stored kinds, each as both versions write it.
-func kinds() map[string]struct{ now, old any } {
+// sampleRecords returns sample records, each in the types of both versions.
+func sampleRecords() map[string]struct{ now, old any } {
 	return map[string]struct{ now, old any }{
 		"job": {
 			&protocol.JobSpec{ID: "job-000412", Class: "train", Team: "vision", Urgency: protocol.High, Tasks: 160, CPUs: 8, GPUs: 1,
@@ -105,54 +105,54 @@
 	}
 }
 
-// What the version in production stores must be read, and written byte for
-// byte the same, as long as nothing new is in it.
-func TestRecordsAreThoseOfTheVersionInProduction(t *testing.T) {
-	for name, k := range kinds() {
+// Records without new fields must be read from, and written as, the exact bytes of the version in
+// production.
+func TestRecordsMatchTheVersionInProduction(t *testing.T) {
+	for name, k := range sampleRecords() {
 		golden, err := os.ReadFile(filepath.Join("testdata", name+".msgpack"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := Encode(k.now); !bytes.Equal(got, golden) {
-			t.Errorf("%s is written as %x, production writes %x", name, got, golden)
+			t.Errorf("%s is encoded as %x, want production's %x", name, got, golden)
 		}
 		for _, want := range []any{k.now, k.old} {
 			got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 			if err := Decode(golden, got); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("%s is read as %+v (%v), want %+v", name, got, err, want)
+				t.Errorf("%s is decoded as %+v (%v), want %+v", name, got, err, want)
 			}
 		}
 	}
 }
 
-// What is new in a record is passed over by the version in production, which
-// finds the same meaning in the rest; records that it rewrites hold nothing new.
+// The version in production must ignore new fields of a job and read the others unchanged. Run
+// records, which it rewrites, have no new fields to lose.
 func TestVersionInProductionReadsJobsWithDependencies(t *testing.T) {
-	k := kinds()["job"]
+	k := sampleRecords()["job"]
 	now, want := *k.now.(*protocol.JobSpec), k.old
 	now.Dependencies = []string{"job-1", "job-000398"}
 	raw := Encode(&now)
 	got := new(oldJobSpec)
 	if err := Decode(raw, got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v (%v), want %+v", got, err, want)
+		t.Errorf("production decodes %+v (%v), want %+v", got, err, want)
 	}
 	again := new(protocol.JobSpec)
 	if err := Decode(raw, again); err != nil || !reflect.DeepEqual(again, &now) {
-		t.Errorf("read again as %+v (%v)", again, err)
+		t.Errorf("this version decodes %+v (%v), want the encoded job", again, err)
 	}
-	// The run record, written by one, rewritten by the other, read by the first.
+	// A run record written by this version and rewritten by the one in production.
 	run := new(oldRun)
-	if err := Decode(Encode(kinds()["run"].now), run); err != nil {
+	if err := Decode(Encode(sampleRecords()["run"].now), run); err != nil {
 		t.Fatal(err)
 	}
 	run.Done, run.Live = append(run.Done, [2]int{12, 13}), run.Live[:1]
 	back := new(RunRecord)
 	if err := Decode(Encode(run), back); err != nil || len(back.Done) != 3 || len(back.Live) != 1 || back.Live[0].Machine != "m-000231" {
-		t.Errorf("rewritten and read back: %+v (%v)", back, err)
+		t.Errorf("rewritten run record is decoded as %+v (%v)", back, err)
 	}
 }
 
-// The sizes that placement counts with are never below what the service counts.
+// Size must never be below the size that the state store computes for a record.
 func TestRunSizeBoundsTheRecord(t *testing.T) {
 	long := "m-" + string(bytes.Repeat([]byte("0"), 180))
 	for _, name := range []string{"m", "m-000231", long, `odd"\<&>:,é`} {
@@ -170,11 +170,11 @@
 				}
 			}
 			if size, real := run.Size(), protocol.JSONSize(Encode(run))-32; size < real {
-				t.Errorf("%.10s big %v: counted with %d bytes, takes %d", name, big, size, real)
+				t.Errorf("%.10s big %v: Size is %d bytes, the record takes %d", name, big, size, real)
 			}
-			// What the operators announce holds 64 attempts with usual names.
+			// 64 attempts with usual names fit a value at the announced limit of 2 KiB.
 			if name == "m-000231" && !big && run.Size() > 2048 {
-				t.Errorf("64 usual attempts take %d bytes", run.Size())
+				t.Errorf("64 attempts with usual names take %d bytes, want at most 2048", run.Size())
 			}
 		}
 	}
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -5,33 +5,34 @@
 	"fmt"
 )
 
-// Outcomes of a request that did not succeed.
+// Errors of requests to the state store.
 var (
-	// ErrRefused means that the request was certainly not executed.
+	// ErrRefused means that the request was not executed and won't be.
 	ErrRefused = errors.New("state service refused")
-	// ErrBudget is an ErrRefused by this controller's own budget: the state store was not
-	// asked, and the same request may succeed soon.
+	// ErrBudget is an ErrRefused from this controller's own rate limits: the request was not
+	// sent, and a retry may soon succeed.
 	ErrBudget = fmt.Errorf("%w: budget used up", ErrRefused)
-	// ErrUnknown means that the request may have been executed, or may be later.
+	// ErrUnknown means that the outcome is unknown: the request may have been executed, or may
+	// still be.
 	ErrUnknown = errors.New("state service did not answer")
 	// ErrNotFound means that the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrCompacted means that the state store no longer has the changes asked for: a watch must
-	// start again from a listing.
-	ErrCompacted = errors.New("changes no longer kept")
-	// ErrLeaseGone means that a put named an expired lease.
+	// ErrCompacted means that the state store has discarded the requested changes. The caller
+	// must list the keys again and watch from the new revision.
+	ErrCompacted = errors.New("requested changes have been compacted")
+	// ErrLeaseGone means that a change refers to a lease that has expired.
 	ErrLeaseGone = errors.New("no such lease")
-	// ErrTooLarge means that a transaction is larger than the state store takes; the same one
-	// must not be repeated.
+	// ErrTooLarge means that a transaction exceeds the state store's size limits. It must not be
+	// retried unchanged.
 	ErrTooLarge = errors.New("state service takes no transaction of this size")
 )
 
-// errOverLimit is a refusal by the state store for the number of requests or changes.
-var errOverLimit = fmt.Errorf("%w: over its limit", ErrRefused)
+// errRateLimited is a refusal by the state store's rate limit for requests or changes.
+var errRateLimited = fmt.Errorf("%w: over its limit", ErrRefused)
 
-// Conflict says which conditions of a transaction failed. The transaction was not applied.
+// Conflict is the error of a transaction whose conditions failed. The transaction was not applied.
 type Conflict struct {
-	// Failed are keys that have another revision; it need not name all.
+	// Failed has keys whose revision differs from the condition's. It may be incomplete.
 	Failed []string
 }
 
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -20,13 +20,13 @@
 	Unmarshal: func(data []byte, pointer any) error { return storage.Decode(data, pointer) },
 }
 
-// Every kind of record that controllers share through the state service stays as it is.
+// Guards against changes in the encoding of the records in the state store.
 func TestGoldenRecords(t *testing.T) {
 	for name, record := range map[string]any{
 		"job":         golden.Fill(&protocol.JobSpec{}),
 		"final":       golden.Fill(&storage.Final{}),
 		"run":         golden.Fill(&storage.RunRecord{}),
-		"claim":       golden.Fill(&storage.Lease{}), // of a part and of the leader
+		"claim":       golden.Fill(&storage.Lease{}), // of a partition and of the cluster leader
 		"life":        golden.Fill(&storage.Incarnation{}),
 		"machine":     golden.Fill(&storage.Machine{}),
 		"catalog":     golden.Fill(&protocol.Catalog{}),
@@ -38,7 +38,7 @@
 	}
 }
 
-// Keys stay as they are, and each is recognised as what it holds.
+// Guards against changes of the keys, and checks that ParseKey recognises each.
 func TestGoldenKeys(t *testing.T) {
 	for _, tc := range []struct {
 		name, key, want string
@@ -56,8 +56,8 @@
 		{"role", storage.RoleKey("owners"), "w/a/role/owners", storage.KindRole, "owners"},
 		{"identity", storage.IdentityKey("user:eva"), "w/a/id/user:eva", storage.KindIdentity, "user:eva"},
 		{"run", storage.RunKey(3, "job-000412", 2), "r/3/job-000412/2", storage.KindOther, ""},
-		{"watched", storage.WatchPrefix, "w/", storage.KindOther, ""},
-		{"runs of a part", storage.RunPrefix(3), "r/3/", storage.KindOther, ""},
+		{"watched keys", storage.WatchPrefix, "w/", storage.KindOther, ""},
+		{"run records of a partition", storage.RunPrefix(3), "r/3/", storage.KindOther, ""},
 		{"records of a job", storage.JobPrefix("job-7"), "w/j/job-7/", storage.KindOther, ""},
 	} {
 		if tc.key != tc.want {
@@ -68,14 +68,14 @@
 		}
 	}
 	if id, chunk, err := storage.ParseRunKey("r/3/job-000412/2"); err != nil || id != "job-000412" || chunk != 2 {
-		t.Errorf("run key is chunk %d of %q (%v)", chunk, id, err)
+		t.Errorf("run key is parsed as chunk %d of job %q (%v), want chunk 2 of job-000412", chunk, id, err)
 	}
 	if storage.ChunkTasks != 64 {
 		t.Errorf("a run record holds %d tasks, want 64", storage.ChunkTasks)
 	}
 }
 
-// recorder keeps the last request and answers each with an empty map.
+// recorder records the last request and answers each with an empty map.
 type recorder struct{ method, target string }
 
 func (r *recorder) Do(_ context.Context, _, method, target string, _ []byte) (*transport.Response, error) {
@@ -83,7 +83,7 @@
 	return &transport.Response{Status: 200, Body: protocol.Encode(map[string]any{})}, nil
 }
 
-// The requests to the state service stay as they are.
+// Guards against changes of the requests to the state store.
 func TestGoldenStateRequests(t *testing.T) {
 	last := &recorder{}
 	store := storage.NewStore(last, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
@@ -107,12 +107,12 @@
 			t.Errorf("%s: %v", tc.name, err)
 		}
 		if target := orderQuery(last.target); last.method != tc.method || target != tc.target {
-			t.Errorf("%s: asked %s %s, want %s %s", tc.name, last.method, target, tc.method, tc.target)
+			t.Errorf("%s: sent %s %s, want %s %s", tc.name, last.method, target, tc.method, tc.target)
 		}
 	}
 }
 
-// orderQuery sorts the parameters of a request's query, whose order is open.
+// orderQuery sorts the parameters of a request's query, since their order is unspecified.
 func orderQuery(target string) string {
 	path, query, found := strings.Cut(target, "?")
 	if !found {
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Keys and their prefixes. Everything that every controller follows lies under WatchPrefix, so
-// that one watch serves; what only the leader of a partition reads lies elsewhere.
+// Keys and their prefixes. The keys that all controllers watch are under WatchPrefix, so that each
+// needs a single watch. Keys that only a partition's leader and its replicas read are elsewhere.
 const (
 	WatchPrefix       = "w/"
 	leasePrefix       = "w/c/"
@@ -15,13 +15,13 @@
 	jobPrefix         = "w/j/"
 	incarnationPrefix = "w/l/"
 	runPrefix         = "r/"
-	// LeadershipKey names the lease of the cluster leader.
+	// LeadershipKey is the key of the cluster leader's lease.
 	LeadershipKey = leasePrefix + "leader"
-	// CatalogKey names the record of the machine types on offer.
+	// CatalogKey is the key of the record of available machine types.
 	CatalogKey = "w/catalog"
 
 	policyPrefix = "w/a/"
-	// PolicyHeadKey names the record that is written with every change of the policy.
+	// PolicyHeadKey is the key of the record that is written with every change of the policy.
 	PolicyHeadKey  = policyPrefix + "head"
 	rolePrefix     = policyPrefix + "role/"
 	identityPrefix = policyPrefix + "id/"
@@ -30,7 +30,7 @@
 	finalRecord = "final"
 )
 
-// Kind says what a watched key holds.
+// Kind is the kind of record that a watched key holds.
 type Kind int
 
 // The kinds of watched keys.
@@ -48,40 +48,40 @@
 	KindIncarnation
 )
 
-// LeaseKey names the lease of a partition.
+// LeaseKey returns the key of a partition's lease.
 func LeaseKey(partition int) string { return leasePrefix + strconv.Itoa(partition) }
 
-// MachineKey names the assignment record of a machine.
+// MachineKey returns the key of a machine's assignment record.
 func MachineKey(name string) string { return machinePrefix + name }
 
-// IncarnationKey names the record of a controller's present incarnation.
+// IncarnationKey returns the key of the record of a controller's present incarnation.
 func IncarnationKey(label string) string { return incarnationPrefix + label }
 
-// JobPrefix holds both records of a job.
+// JobPrefix returns the prefix of a job's specification and final record.
 func JobPrefix(id string) string { return jobPrefix + id + "/" }
 
-// JobKey names the record of an accepted job.
+// JobKey returns the key of an accepted job's specification.
 func JobKey(id string) string { return JobPrefix(id) + jobRecord }
 
-// FinalKey names the record that makes a job done or cancelled. There is one for both, so that
-// each excludes the other.
+// FinalKey returns the key of a job's final record. Completion and cancellation write the same key,
+// so that only one of them can succeed.
 func FinalKey(id string) string { return JobPrefix(id) + finalRecord }
 
-// RoleKey names the record of a role of the policy.
+// RoleKey returns the key of a policy role.
 func RoleKey(name string) string { return rolePrefix + name }
 
-// IdentityKey names the record of an identity of the policy.
+// IdentityKey returns the key of a policy identity.
 func IdentityKey(name string) string { return identityPrefix + name }
 
-// RunPrefix holds the run records of a partition.
+// RunPrefix returns the prefix of a partition's run records.
 func RunPrefix(partition int) string { return runPrefix + strconv.Itoa(partition) + "/" }
 
-// RunKey names one chunk of a job's run record.
+// RunKey returns the key of one chunk of a job's run record.
 func RunKey(partition int, id string, chunk int) string {
 	return RunPrefix(partition) + id + "/" + strconv.Itoa(chunk)
 }
 
-// ParseKey tells what a watched key holds, and the name or partition that it is about.
+// ParseKey returns the kind of a watched key, and the name or partition in it, if any.
 func ParseKey(key string) (Kind, string) {
 	switch {
 	case key == LeadershipKey:
@@ -106,7 +106,7 @@
 	return KindOther, ""
 }
 
-// parseJobKey tells what a key holds that follows jobPrefix.
+// parseJobKey returns the kind and the job of a key, given the part after jobPrefix.
 func parseJobKey(rest string) (Kind, string) {
 	id, record, _ := strings.Cut(rest, "/")
 	switch record {
@@ -118,14 +118,14 @@
 	return KindOther, ""
 }
 
-// runKeyFields is how many fields the key of a run record has: prefix, partition, job and chunk.
+// runKeyFields is the number of fields in the key of a run record: prefix, partition, job and chunk.
 const runKeyFields = 4
 
-// ParseRunKey splits the key of a run record.
+// ParseRunKey returns the job and the chunk in the key of a run record.
 func ParseRunKey(key string) (id string, chunk int, err error) {
 	fields := strings.Split(key, "/")
 	if len(fields) != runKeyFields {
-		return "", 0, fmt.Errorf("storage: run key %q", key)
+		return "", 0, fmt.Errorf("storage: invalid run record key %q", key)
 	}
 	chunk, err = strconv.Atoi(fields[3])
 	return fields[2], chunk, err
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -9,13 +9,13 @@
 	"micaspindle/internal/protocol"
 )
 
-// Requests about leases of the state store go unhindered by the budget: whoever can't renew its
-// lease loses everything that hangs on it.
+// Requests for leases of the state store count against the budget but never wait for it, since a
+// controller that can't renew its lease loses its partitions.
 
 // renewRequest is the empty body of a renewal.
 type renewRequest struct{}
 
-// GrantLease opens a lease that expires unless it is renewed.
+// GrantLease creates a lease that expires ttl after its last renewal.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (id uint64, err error) {
 	var lease protocol.Lease
 	s.requests.Reserve()
@@ -36,7 +36,7 @@
 	return err
 }
 
-// RevokeLease ends a lease at once; if that fails, it expires by itself.
+// RevokeLease ends a lease at once. Errors are ignored, since an unrevoked lease expires.
 func (s *Store) RevokeLease(ctx context.Context, id uint64) {
 	s.requests.Reserve()
 	_, _ = s.do(ctx, requestTimeout, "DELETE", leasePath(id), nil, nil)
--- a/internal/storage/limits.go
+++ b/internal/storage/limits.go
@@ -4,26 +4,26 @@
 	"micaspindle/internal/protocol"
 )
 
-// shrinkFloor is the size of values, in bytes as JSON, that no refusal lowers the limit below: a
-// refused lease may be malformed in some other way.
-const shrinkFloor = 256
+// minValueLimit is the lower bound of the value size limit after refusals, in bytes as JSON. A smaller
+// value was probably refused for a reason other than its size.
+const minValueLimit = 256
 
-// TxnOps is how many changes a transaction may hold.
+// TxnOps returns the maximum number of changes in a transaction.
 func (s *Store) TxnOps() int { return int(s.txnOps.Load()) }
 
-// ValueBytes is how large a value may be, counted as JSON.
+// ValueBytes returns the maximum size of a value, in bytes as JSON.
 func (s *Store) ValueBytes() int { return int(s.valueBytes.Load()) }
 
-// shrink takes in that the state store found a transaction too large, under a limit that nobody
-// had announced: fewer changes next time, until one alone is refused, which shows that its value
-// is too large.
-func (s *Store) shrink(txn *protocol.Transaction) {
+// lowerSizeLimits lowers the limits after the state store refused a transaction for an unannounced
+// size limit. It first halves the number of changes. When a single change is refused, its value must
+// be too large: the value size limit is lowered and the number of changes restored.
+func (s *Store) lowerSizeLimits(txn *protocol.Transaction) {
 	if n := int64(len(txn.Then)); n > 1 {
 		s.txnOps.Store(min(s.txnOps.Load(), (n+1)/2))
 		return
 	}
 	for _, change := range txn.Then {
-		if size := int64(protocol.JSONSize(change.Value)); change.Put != "" && size > shrinkFloor {
+		if size := int64(protocol.JSONSize(change.Value)); change.Put != "" && size > minValueLimit {
 			s.valueBytes.Store(min(s.valueBytes.Load(), size-1))
 			s.txnOps.Store(int64(s.limits.TxnOps))
 		}
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -7,8 +7,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// listPage is how many keys a listing reads at a time.
-const listPage = 500
+// listPageSize is the page size of a listing, in keys.
+const listPageSize = 500
 
 // Get reads a key. If it is absent, the error is ErrNotFound.
 func (s *Store) Get(ctx context.Context, key string) (*protocol.Item, error) {
@@ -30,17 +30,18 @@
 	return &item, nil
 }
 
-// List reads all keys under a prefix and the revision from which to watch.
+// List reads all keys under a prefix. It returns the revision from which to watch them.
 func (s *Store) List(ctx context.Context, prefix string) ([]protocol.Item, uint64, error) {
 	var items []protocol.Item
 	var revision uint64
 	after := ""
 	for {
-		page, err := s.Page(ctx, prefix, after, listPage)
+		page, err := s.Page(ctx, prefix, after, listPageSize)
 		if err != nil {
 			return nil, 0, err
 		}
-		// Changes made between two pages must come again from the watch.
+		// The revision of the first page, so that a watch from it includes the changes made
+		// while the later pages were read.
 		if revision == 0 {
 			revision = page.Revision
 		}
@@ -52,7 +53,7 @@
 	}
 }
 
-// Page reads up to size keys under a prefix that come after a key.
+// Page reads up to size keys under a prefix, starting after the key after.
 func (s *Store) Page(ctx context.Context, prefix, after string, size int) (*protocol.ItemList, error) {
 	if err := s.awaitRequest(ctx); err != nil {
 		return nil, err
@@ -60,7 +61,8 @@
 	return s.page(ctx, prefix, after, size)
 }
 
-// page sends the request of Page. The state store takes keys without escapes.
+// page is Page without waiting for the budget. Keys in the query are not escaped, as the state
+// store expects.
 func (s *Store) page(ctx context.Context, prefix, after string, size int) (*protocol.ItemList, error) {
 	target := "/store?under=" + prefix + "&page=" + strconv.Itoa(size)
 	if after != "" {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -8,51 +8,54 @@
 	"micaspindle/internal/protocol"
 )
 
-// Incarnation says which process a controller is now, and on which lease of the state store its
-// partition leases hang. The key stays, so that its revisions order a controller's incarnations.
+// Incarnation identifies the present process of a controller. Its key is never deleted, so that the
+// revisions of the key order the incarnations of a controller.
 type Incarnation struct {
 	Nonce string `msgpack:"n"`
+	// Lease is the lease of the state store to which the controller's partition leases are
+	// attached.
 	Lease uint64 `msgpack:"l"`
-	// Released are partition leases that this incarnation gave up by itself, after it had
-	// stopped acting under them; the last few.
+	// Released has the most recent partition leases that this incarnation gave up voluntarily,
+	// after it had stopped acting under them.
 	Released []ReleasedLease `msgpack:"r,omitempty"`
 }
 
-// ReleasedLease names a partition lease that was given up, by its revision.
+// ReleasedLease identifies a released partition lease by its revision.
 type ReleasedLease struct {
 	Partition     int    `msgpack:"p"`
 	LeaseRevision uint64 `msgpack:"c"`
 }
 
-// Lease says who leads a partition or the cluster.
+// Lease records the leader of a partition or of the cluster.
 type Lease struct {
 	Holder string `msgpack:"o"`
-	// Nonce differs with each start of the process, so that a restarted controller does not
-	// take the lease of its former incarnation for its own.
+	// Nonce is unique to each process, so that a restarted controller does not mistake the lease
+	// of its former incarnation for its own.
 	Nonce string `msgpack:"n"`
 }
 
-// Machine is the assignment record of a machine.
+// Machine records a machine and the partition that it is assigned to.
 type Machine struct {
 	Partition int    `msgpack:"p"`
 	Addr      string `msgpack:"a"`
 	Type      string `msgpack:"t"`
 	Zone      string `msgpack:"z"`
 	Spot      bool   `msgpack:"s"`
-	// CreatedMS is the wall clock of the rental in milliseconds, 0 for adopted machines.
+	// CreatedMS is the time at which the machine was requested from the cloud, in Unix
+	// milliseconds. It is 0 if the machine was found without a record.
 	CreatedMS int64 `msgpack:"r"`
 }
 
-// Final makes a job done or cancelled.
+// Final records that a job is done or cancelled.
 type Final struct {
 	Status string `msgpack:"s"`
-	// AtMS is the wall clock of the end in milliseconds; 0: not known.
+	// AtMS is the time at which the job ended, in Unix milliseconds; 0 means unknown.
 	AtMS int64 `msgpack:"at"`
-	// Successor is the job that a reassigned one became.
+	// Successor is the job that replaces a reassigned job.
 	Successor string `msgpack:"sc,omitempty"`
 }
 
-// PolicyHead is written with every change of the policy; its revision orders them.
+// PolicyHead is written with every change of the policy, so that its revisions order the changes.
 type PolicyHead struct {
 	Version uint64 `msgpack:"v"`
 }
@@ -63,7 +66,7 @@
 // Decode decodes a record.
 func Decode(raw msgpack.RawMessage, record any) error {
 	if err := protocol.Decode(raw, record); err != nil {
-		return fmt.Errorf("storage: record: %w", err)
+		return fmt.Errorf("storage: decoding record: %w", err)
 	}
 	return nil
 }
--- a/internal/storage/run_record.go
+++ b/internal/storage/run_record.go
@@ -1,20 +1,20 @@
 package storage
 
-// ChunkTasks is how many tasks share one run record, so that a record stays within the size of a
-// value.
+// ChunkTasks is the number of tasks in one run record. It keeps a record within the state store's
+// limit for the size of a value.
 const ChunkTasks = 64
 
 // RunRecord is one chunk of a job's run record.
 type RunRecord struct {
 	// Done holds ranges of done tasks, both ends included.
 	Done [][2]int `msgpack:"d"`
-	// Live holds the attempts that are not proven over.
+	// Live holds the attempts that may still be running.
 	Live []Attempt `msgpack:"l"`
 	// Last is the highest attempt number used in the chunk.
 	Last uint64 `msgpack:"n"`
 }
 
-// Attempt is a recorded attempt of a task in an agent epoch of a machine.
+// Attempt is a recorded attempt to run a task on a machine, in one epoch of the machine's agent.
 type Attempt struct {
 	//lint:ignore U1000 tells the encoder to write a list
 	_msgpack struct{} `msgpack:",as_array"`
@@ -24,22 +24,23 @@
 	Epoch    uint64
 }
 
-// The sizes of what makes up a run record, as JSON. Size adds them up, so that a record's size is
-// known without making it.
+// Sizes of the parts of a run record, in bytes as JSON. With them the size of a record is known
+// without encoding it.
 const (
-	// RunBaseSize is what a run record takes without tasks: {"d": [], "l": [],
+	// RunBaseSize is the size of a run record without tasks: {"d": [], "l": [],
 	// "n": 18446744073709551615}.
 	RunBaseSize = 48
-	// DoneRangeSize is what a range of done tasks takes: [99999, 99999] and a comma.
+	// DoneRangeSize is the size of a range of done tasks: [99999, 99999] and a comma.
 	DoneRangeSize = 16
-	// attemptBase is what a live attempt takes beside its number, machine and epoch:
+	// attemptBaseSize is the size of a live attempt without its number, machine and epoch:
 	// [99999, , "", ] and a comma.
-	attemptBase = 17
-	// escapeSize is what an escape takes more than the byte that it stands for.
+	attemptBaseSize = 17
+	// escapeSize is by how much an escape sequence is longer than the byte that it encodes.
 	escapeSize = 5
 )
 
-// Size bounds the size of a run record in the form in which the state store counts it, JSON.
+// Size returns an upper bound of a run record's size in bytes as JSON, in which the state store
+// measures values.
 func (r *RunRecord) Size() int {
 	size := RunBaseSize + len(r.Done)*DoneRangeSize
 	for i := range r.Live {
@@ -49,10 +50,10 @@
 	return size
 }
 
-// AttemptSize bounds what a live attempt takes of a run record: [99999, NUMBER, "MACHINE", EPOCH]
-// and a comma.
+// AttemptSize returns an upper bound of a live attempt's size in a run record, in bytes as JSON:
+// [99999, NUMBER, "MACHINE", EPOCH] and a comma.
 func AttemptSize(number uint64, machine string, epoch uint64) int {
-	size := attemptBase + digits(number) + digits(epoch) + len(machine)
+	size := attemptBaseSize + digits(number) + digits(epoch) + len(machine)
 	for i := range len(machine) {
 		if mayBeEscaped(machine[i]) {
 			size += escapeSize
@@ -61,8 +62,8 @@
 	return size
 }
 
-// mayBeEscaped says whether JSON may show a byte as an escape, or protocol.JSONSize counts it as
-// more than one: it takes every colon and comma for one that a space may follow.
+// mayBeEscaped reports whether protocol.JSONSize may count more than one byte for c. That is so for
+// bytes that JSON may escape, and for colons and commas, after which it counts a space.
 func mayBeEscaped(c byte) bool {
 	switch c {
 	case '"', '\\', '<', '>', '&', ':', ',':
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,9 +1,9 @@
-// Package storage is the client of the state store and defines what the controllers keep in it:
-// the keys and records of jobs, attempts, machines, leases and the policy.
+// Package storage is the client of the state store and defines the keys and records that the
+// controllers keep in it: jobs, attempts, machines, leases and the policy.
 //
-// Store keeps within the state store's limits, which the controllers share: each has a budget of
-// requests and changes, and says which requests go first. Every failure is either certain
-// (ErrRefused) or open (ErrUnknown).
+// The controllers share the state store's rate limits. Each Store has a budget of requests and
+// changes, and prioritizes its requests within it. A request that fails was either not executed
+// (ErrRefused) or has an unknown outcome (ErrUnknown).
 package storage
 
 import (
@@ -21,53 +21,55 @@
 )
 
 const (
-	// requestTimeout is how long an answer that is not waited for on purpose may take.
+	// requestTimeout is the timeout of requests other than watches and renewals.
 	requestTimeout = 2 * time.Second
-	// downAfter is how long the state store must not have answered to count as down.
+	// downAfter is the time without a response after which the state store counts as down.
 	downAfter = 1500 * time.Millisecond
-	// overcommit lets the controllers together ask for a little more than the limits: hardly
-	// ever do all use their shares at once, and the state store refuses what is too much.
+	// overcommit is the sum of the controllers' request budgets relative to the state store's
+	// limit. It is above 1 since they rarely use their whole budgets at the same time; the state
+	// store refuses the excess.
 	overcommit = 1.2
 )
 
-// Requester sends one request; transport.Client is the real one.
+// Requester sends requests. It is implemented by transport.Client.
 type Requester interface {
 	Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error)
 }
 
-// Store is the client of the state store. It shares the store's limits with the other
-// controllers: lease renewals go unhindered, then submissions and cancellations, then everything
-// else. It is safe for concurrent use, but for WriteDemand and ShareWriteRate, which one
-// goroutine calls.
+// Store is the client of the state store. Requests for leases never wait for the budget;
+// submissions and cancellations have priority over all other requests. It is safe for concurrent
+// use, except for WriteDemand and ShareWriteRate, which must be called by a single goroutine.
 type Store struct {
-	// OnPollRefused, if set, is called when a user's query is refused since too many wait.
+	// OnPollRefused, if set, is called when UserKeyAbsent refuses a query since too many are
+	// waiting.
 	OnPollRefused func()
 
 	network Requester
 	addr    string
 
 	requests *rate.Limiter
-	// writes bounds all changes, records those that no user waits for, so that submissions
-	// always find some budget left.
+	// writes limits the rate of all changes. records is a stricter limit for changes that no
+	// user waits for, so that some budget is left for submissions.
 	writes  *rate.Limiter
 	records *rate.Limiter
 	budget  writeBudget
-	// absences are the users' queries whether keys are absent.
+	// absences batches the queries of UserKeyAbsent.
 	absences absenceQueue
 
-	// lastAnswer and lastFailure are moments, as durations since start.
-	start       time.Time
+	start time.Time
+	// lastAnswer and lastFailure are the times of the last response and of the last failed
+	// request, as durations since start.
 	lastAnswer  atomic.Int64
 	lastFailure atomic.Int64
 
-	// limits are what holds both before and after an announced change. txnOps and valueBytes
-	// fall below them if the state store refuses what they allow.
+	// limits are the lower of the present and the announced limits. txnOps and valueBytes fall
+	// below them if the state store refuses transactions of that size.
 	limits     settings.StateStoreLimits
 	txnOps     atomic.Int64
 	valueBytes atomic.Int64
 }
 
-// NewStore makes a client for one of count controllers.
+// NewStore returns a client for one of count controllers.
 func NewStore(network Requester, addr string, limits settings.StateStoreLimits, count int) *Store {
 	lower := limits.Lower()
 	limiter := func(perSecond float64, burst int) *rate.Limiter {
@@ -77,8 +79,8 @@
 	s := &Store{
 		network: network, addr: addr, start: time.Now(), limits: lower,
 		requests: limiter(lower.RPS*share, int(lower.RPS*share/2)),
-		// Users come in bursts, at any one controller: one may take a second's worth of all,
-		// which the state store allows. Averages are far below.
+		// User requests may arrive in bursts at a single controller, so each controller's burst
+		// is the state store's limit for one second.
 		writes:  limiter(0, int(lower.WriteRPS)),
 		records: limiter(0, int(lower.WriteRPS*share)),
 	}
@@ -90,17 +92,19 @@
 	return s
 }
 
-// SinceLastAnswer is how long ago the state store last answered a request properly.
+// SinceLastAnswer returns the time since the last response of the state store, other than server
+// errors and refusals by its rate limit.
 func (s *Store) SinceLastAnswer() time.Duration {
 	return time.Since(s.start) - time.Duration(s.lastAnswer.Load())
 }
 
-// Down says that a request failed lately and none was answered since.
+// Down reports whether the state store is unavailable: the most recent request failed, and there was
+// no response for longer than downAfter.
 func (s *Store) Down() bool {
 	return s.lastFailure.Load() > s.lastAnswer.Load() && s.SinceLastAnswer() > downAfter
 }
 
-// awaitRequest waits until the budget grants a request.
+// awaitRequest waits until the budget allows a request.
 func (s *Store) awaitRequest(ctx context.Context) error {
 	if err := s.requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
@@ -108,8 +112,9 @@
 	return nil
 }
 
-// do sends a request with the encoding of in, if any, and decodes the answer to out, if any. An
-// answer with a status that says no more than that the request failed is an error.
+// do sends a request with the encoding of in as its body, unless in is nil, and decodes the response
+// into out, unless out is nil. Statuses that checkStatus rejects are errors; the caller handles the
+// others.
 func (s *Store) do(ctx context.Context, timeout time.Duration, method, target string, in, out any) (status int, err error) {
 	response, err := s.send(ctx, timeout, method, target, in)
 	if err != nil {
@@ -121,7 +126,7 @@
 	return response.Status, decodeAnswer(response, out)
 }
 
-// send sends a request and returns the answer, whatever its status.
+// send sends a request and returns the response, whatever its status.
 func (s *Store) send(ctx context.Context, timeout time.Duration, method, target string, in any) (*transport.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -142,21 +147,21 @@
 	return nil, err
 }
 
-// checkStatus notes whether the state store answered properly. A refusal for the number of
-// requests says neither that it did nor that it failed.
+// checkStatus returns an error for statuses that mean a server error or a rate limit, and records
+// whether the state store is responding. A refusal by its rate limit counts as neither.
 func (s *Store) checkStatus(status int) error {
 	switch status {
 	case 200, 400, 404, 409, 410:
 		s.lastAnswer.Store(int64(time.Since(s.start)))
 		return nil
 	case 429:
-		return errOverLimit
+		return errRateLimited
 	}
 	s.lastFailure.Store(int64(time.Since(s.start)))
 	return fmt.Errorf("%w: status %d", ErrRefused, status)
 }
 
-// decodeAnswer decodes the body of an answer to out, if it has one.
+// decodeAnswer decodes the body of a response into out, unless out is nil.
 func decodeAnswer(response *transport.Response, out any) error {
 	if out == nil {
 		return nil
@@ -168,7 +173,7 @@
 		}
 	case 400:
 		if result, ok := out.(*protocol.TransactionResult); ok {
-			// A refusal without a readable reason is one all the same.
+			// The reason is optional, so a body that can't be decoded is ignored.
 			_ = protocol.Decode(response.Body, result)
 		}
 	}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -12,15 +12,15 @@
 	"micaspindle/internal/transport"
 )
 
-// script answers one request after the other, the last one for ever.
-type script struct {
-	answers []transport.Response
-	asked   int
+// scriptedStore is a fake state store that gives its answers in order and then repeats the last one.
+type scriptedStore struct {
+	answers  []transport.Response
+	requests int
 }
 
-func (s *script) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
-	a := s.answers[min(s.asked, len(s.answers)-1)]
-	s.asked++
+func (s *scriptedStore) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
+	a := s.answers[min(s.requests, len(s.answers)-1)]
+	s.requests++
 	return &a, nil
 }
 
@@ -28,9 +28,9 @@
 	return protocol.Change{Put: key, Value: Encode(map[string]string{"x": string(make([]byte, size))})}
 }
 
-// Other controllers may use the budget up for a moment: a user does not have to
-// come back for that, but is not kept waiting either.
-func TestUsersOutlastAMomentOverTheLimit(t *testing.T) {
+// Other controllers may briefly exhaust the state store's rate limit: a user's commit is retried,
+// but for no longer than userWaitLimit.
+func TestUserCommitIsRetriedAfterRateLimiting(t *testing.T) {
 	over := transport.Response{Status: 429, Body: protocol.Encode(map[string]any{})}
 	done := transport.Response{Status: 200, Body: protocol.Encode(protocol.TransactionResult{Revision: 7})}
 	for _, tc := range []struct {
@@ -38,43 +38,43 @@
 		err     error
 	}{{[]transport.Response{over, over, done}, nil}, {[]transport.Response{over}, ErrRefused}} {
 		synctest.Test(t, func(t *testing.T) {
-			s := NewStore(&script{answers: tc.answers}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+			s := NewStore(&scriptedStore{answers: tc.answers}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 			begun := time.Now()
 			_, err := s.UserCommit(t.Context(), &protocol.Transaction{Then: []protocol.Change{put("w/j/job-1/spec", 9)}})
 			if !errors.Is(err, tc.err) || time.Since(begun) > userWaitLimit {
-				t.Errorf("%v after %s, want %v", err, time.Since(begun), tc.err)
+				t.Errorf("error %v after %s, want %v within userWaitLimit", err, time.Since(begun), tc.err)
 			}
 		})
 	}
 }
 
-// A transaction that the service finds too large is not repeated unchanged:
-// batches shrink, until a change alone shows that its value is too large.
+// A transaction that the state store refuses for its size must not be retried unchanged: batches
+// shrink until the refusal of a single change shows that its value is too large.
 func TestRefusalsForSizeShrinkBatches(t *testing.T) {
 	tooLarge := transport.Response{Status: 400, Body: protocol.Encode(protocol.Problem{Error: "too large"})}
-	s := NewStore(&script{answers: []transport.Response{tooLarge}}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
+	s := NewStore(&scriptedStore{answers: []transport.Response{tooLarge}}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	for _, n := range []int{12, 6, 3, 2} {
 		if s.TxnOps() != n {
-			t.Errorf("%d changes at a time, want %d", s.TxnOps(), n)
+			t.Errorf("at most %d changes in a transaction, want %d", s.TxnOps(), n)
 		}
 		txn := &protocol.Transaction{}
 		for range n {
 			txn.Then = append(txn.Then, put("r/0/job-1/0", 20))
 		}
 		if _, err := s.CommitLease(t.Context(), txn); !errors.Is(err, ErrTooLarge) {
-			t.Errorf("%v", err)
+			t.Errorf("several changes: error %v, want ErrTooLarge", err)
 		}
 	}
 	value := put("r/0/job-1/0", 200)
 	if _, err := s.CommitLease(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("%v", err)
+		t.Errorf("single large change: error %v, want ErrTooLarge", err)
 	}
 	if size := protocol.JSONSize(value.Value); s.TxnOps() != 12 || s.ValueBytes() != size-1 {
-		t.Errorf("%d changes of %d bytes, after one of %d was refused alone", s.TxnOps(), s.ValueBytes(), size)
+		t.Errorf("limits are %d changes of %d bytes after a single change of %d bytes was refused, want 12 of one byte less", s.TxnOps(), s.ValueBytes(), size)
 	}
 	gone := transport.Response{Status: 400, Body: protocol.Encode(protocol.Problem{Error: "no such lease"})}
-	s.network = &script{answers: []transport.Response{gone}}
+	s.network = &scriptedStore{answers: []transport.Response{gone}}
 	if _, err := s.CommitLease(t.Context(), &protocol.Transaction{Then: []protocol.Change{value}}); !errors.Is(err, ErrLeaseGone) || s.TxnOps() != 12 {
-		t.Errorf("%v, %d changes", err, s.TxnOps())
+		t.Errorf("expired lease: error %v, limit of %d changes, want ErrLeaseGone and 12", err, s.TxnOps())
 	}
 }
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -10,11 +10,11 @@
 	"micaspindle/internal/protocol"
 )
 
-// leaseGoneReason is the state store's reason where a put names an expired lease.
+// leaseGoneReason is the state store's error text for a change that refers to an expired lease.
 const leaseGoneReason = "no such lease"
 
-// Commit commits records of a partition leader or the cluster leader, once the budget grants
-// that. It returns the revision of the changes. If conditions fail, the error is a *Conflict.
+// Commit commits records of a partition leader or the cluster leader, after waiting for the budget
+// for records. It returns the revision of the changes. If conditions fail, the error is a *Conflict.
 func (s *Store) Commit(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
 	if n := len(txn.Then); n > 0 {
 		if err := s.awaitWrites(ctx, s.records, n); err != nil {
@@ -26,7 +26,7 @@
 	return s.commit(ctx, txn)
 }
 
-// CommitAhead is a Commit of what users wait for, ahead of other records.
+// CommitAhead is like Commit for records that users wait for. They have priority over other records.
 func (s *Store) CommitAhead(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
 	if err := s.awaitWrites(ctx, s.writes, len(txn.Then)); err != nil {
 		return 0, err
@@ -35,17 +35,17 @@
 	return s.commit(ctx, txn)
 }
 
-// CommitLease is a Commit of a partition lease or the cluster leadership, ahead of everything
-// else.
+// CommitLease is like Commit for partition leases and the cluster leadership. It counts against the
+// budget but does not wait for it.
 func (s *Store) CommitLease(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
 	s.requests.Reserve()
 	s.writes.ReserveN(time.Now(), len(txn.Then))
 	return s.commit(ctx, txn)
 }
 
-// awaitWrites waits until a limiter grants n changes. They count as demand meanwhile.
+// awaitWrites waits until a limiter allows n changes. Until then they are part of WriteDemand.
 func (s *Store) awaitWrites(ctx context.Context, limiter *rate.Limiter, n int) error {
-	s.budget.wanted.Add(int64(n))
+	s.budget.requested.Add(int64(n))
 	s.budget.waiting.Add(int64(n))
 	defer s.budget.waiting.Add(-int64(n))
 	if err := limiter.WaitN(ctx, n); err != nil {
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// commit sends a transaction, without regard to the budget.
+// commit sends a transaction without waiting for the budget.
 func (s *Store) commit(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
-	// Lists that are nil would be sent as nil, not as empty.
+	// A nil slice would be encoded as nil instead of as an empty list.
 	if txn.If == nil {
 		txn.If = []protocol.Condition{}
 	}
@@ -76,7 +76,7 @@
 	case status == 409:
 		return 0, &Conflict{Failed: result.Failed}
 	case status == 400 && result.Error != leaseGoneReason:
-		s.shrink(txn)
+		s.lowerSizeLimits(txn)
 		return 0, fmt.Errorf("%w: %s", ErrTooLarge, result.Error)
 	}
 	return 0, ErrLeaseGone
--- a/internal/storage/user_requests.go
+++ b/internal/storage/user_requests.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	// userWaitLimit is how long a user's request may wait for budget before it is refused with
-	// Retry-After.
+	// userWaitLimit is the longest time that a user's request waits for budget.
 	userWaitLimit = 400 * time.Millisecond
-	// userRetryInterval is how long a user's transaction that the state store refused for its
-	// limit waits before it is tried again.
+	// userRetryInterval is the pause before UserCommit retries a transaction that the state
+	// store's rate limit refused.
 	userRetryInterval = 100 * time.Millisecond
 )
 
-// UserGet reads a key for a user.
+// UserGet reads a key for a user's request.
 func (s *Store) UserGet(ctx context.Context, key string) (*protocol.Item, error) {
 	if err := s.admitUser(ctx, 0); err != nil {
 		return nil, err
@@ -28,17 +27,16 @@
 	return s.get(ctx, key)
 }
 
-// UserList lists the first keys under a prefix for a user.
+// UserList reads the first page of keys under a prefix for a user's request.
 func (s *Store) UserList(ctx context.Context, prefix string) (*protocol.ItemList, error) {
 	if err := s.admitUser(ctx, 0); err != nil {
 		return nil, err
 	}
-	return s.page(ctx, prefix, "", listPage)
+	return s.page(ctx, prefix, "", listPageSize)
 }
 
-// UserCommit commits a submission or a cancellation. Other controllers may have used the limit of
-// the state store up for a moment: what it refused for that is tried again for as long as a
-// user's request may wait for budget.
+// UserCommit commits a submission or a cancellation. Other controllers may briefly exhaust the state
+// store's rate limit, so refusals by it are retried within userWaitLimit.
 func (s *Store) UserCommit(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
 	if err := s.admitUser(ctx, len(txn.Then)); err != nil {
 		return 0, err
@@ -46,7 +44,7 @@
 	begun := time.Now()
 	for {
 		revision, err = s.commit(ctx, txn)
-		if !errors.Is(err, errOverLimit) || time.Since(begun) > userWaitLimit-userRetryInterval {
+		if !errors.Is(err, errRateLimited) || time.Since(begun) > userWaitLimit-userRetryInterval {
 			return revision, err
 		}
 		if !sleep(ctx, userRetryInterval) {
@@ -55,7 +53,7 @@
 	}
 }
 
-// BudgetIn is how long it takes until a user's n changes find budget, as things stand.
+// BudgetIn returns the time until the budget allows n changes of a user, at the current rate.
 func (s *Store) BudgetIn(n int) time.Duration {
 	missing := float64(n) - s.writes.Tokens()
 	if missing <= 0 {
@@ -64,12 +62,12 @@
 	return time.Duration(missing / max(1e-9, float64(s.writes.Limit())) * float64(time.Second))
 }
 
-// admitUser waits until the budget grants a user's request with so many changes, but not for
-// long: it refuses the request with ErrBudget instead.
+// admitUser waits until the budget allows a user's request with that many changes. If that takes
+// longer than userWaitLimit, it returns ErrBudget at once.
 func (s *Store) admitUser(ctx context.Context, writes int) error {
 	wait, err := reserveForUser(s.requests, 1)
 	if err == nil && writes > 0 {
-		s.budget.wanted.Add(int64(writes))
+		s.budget.requested.Add(int64(writes))
 		var writeWait time.Duration
 		writeWait, err = reserveForUser(s.writes, writes)
 		wait = max(wait, writeWait)
@@ -83,8 +81,8 @@
 	return nil
 }
 
-// reserveForUser takes n of a limiter for a user, if that has to wait for them no longer than
-// users may, and returns how long it has to.
+// reserveForUser reserves n tokens of a limiter and returns how long to wait before using them. If
+// that is longer than userWaitLimit, it reserves none and returns ErrBudget.
 func reserveForUser(limiter *rate.Limiter, n int) (time.Duration, error) {
 	reservation := limiter.ReserveN(time.Now(), n)
 	wait := reservation.Delay()
@@ -95,7 +93,7 @@
 	return wait, nil
 }
 
-// sleep waits and reports whether the context is still alive.
+// sleep waits for d and returns true, or returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/storage/watches.go
+++ b/internal/storage/watches.go
@@ -8,31 +8,31 @@
 	"micaspindle/internal/protocol"
 )
 
-// ChangeTimeout is how long an answer that is not to wait for a change may take.
+// ChangeTimeout is the timeout of a watch request that does not wait for changes.
 const ChangeTimeout = 3 * time.Second
 
-// Watch waits for changes under prefix after a revision, for as long as wait. patience is how
-// long the answer may take beyond that: open watches go on through an outage. If the changes are
-// no longer kept, the error is ErrTooOld.
-func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait, patience time.Duration) (*protocol.Events, error) {
+// Watch returns the changes under prefix after a revision. It waits up to wait for the first of them.
+// grace is how much longer the response may take, so that an open watch outlasts a short outage. If
+// the state store no longer has the changes, the error is ErrCompacted.
+func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait, grace time.Duration) (*protocol.Events, error) {
 	if err := s.awaitRequest(ctx); err != nil {
 		return nil, err
 	}
-	return s.changes(ctx, prefix, after, wait, patience)
+	return s.changes(ctx, prefix, after, wait, grace)
 }
 
-// CatchUp reads what has changed under prefix after a revision, ahead of everything else: a
-// takeover waits for it.
+// CatchUp returns the changes under prefix after a revision. It waits neither for new changes nor for
+// the budget, since a takeover depends on it.
 func (s *Store) CatchUp(ctx context.Context, prefix string, after uint64) (*protocol.Events, error) {
 	s.requests.Reserve()
 	return s.changes(ctx, prefix, after, 0, ChangeTimeout)
 }
 
-// changes sends the request of Watch and CatchUp, without regard to the budget.
-func (s *Store) changes(ctx context.Context, prefix string, after uint64, wait, patience time.Duration) (*protocol.Events, error) {
+// changes is Watch without waiting for the budget.
+func (s *Store) changes(ctx context.Context, prefix string, after uint64, wait, grace time.Duration) (*protocol.Events, error) {
 	var events protocol.Events
 	target := fmt.Sprintf("/changes?under=%s&after=%d&wait_ms=%d", prefix, after, wait.Milliseconds())
-	status, err := s.do(ctx, wait+patience, "GET", target, nil, &events)
+	status, err := s.do(ctx, wait+grace, "GET", target, nil, &events)
 	switch {
 	case err != nil:
 		return nil, err
