--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -22,7 +22,7 @@
 
 // jitter returns a number in [0, 1) that is a function of who and try.
 func jitter(who string, try int) float64 {
-	const float64Bits = 53 // of precision
+	const float64Bits = 53 // precision of a float64
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, who+" "+strconv.Itoa(try))
 	bits := hash.Sum64()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -72,7 +72,7 @@
 	} {
 		s, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12`+next, 1)))
 		if err != nil {
-			t.Errorf("%s: %v", next, err)
+			t.Errorf("Parse with limits %s: %v", next, err)
 		} else if got := s.Params.State.Lower(); got != want {
 			t.Errorf("limits with %s: %+v, want %+v", next, got, want)
 		}
--- a/internal/storage/absence_test.go
+++ b/internal/storage/absence_test.go
@@ -72,7 +72,7 @@
 			if err != nil {
 				failed++
 			} else if absent == c.present[key] {
-				t.Errorf("UserKeyAbsent(%s) = %v, want the opposite", key, absent)
+				t.Errorf("UserKeyAbsent of %s = %v, want the opposite", key, absent)
 			}
 		})
 	}
@@ -92,9 +92,9 @@
 // (docs/incidents/night-flood.md).
 func TestManyPollsTakeFewRequests(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*fakeStore)
-		most   int // requests
-		within time.Duration
+		change      func(*fakeStore)
+		maxRequests int
+		maxTime     time.Duration
 	}{
 		"no faults":                      {func(*fakeStore) {}, 40, 2 * time.Second},
 		"one key named in each conflict": {func(c *fakeStore) { c.maxFailed = 1 }, 60, 2 * time.Second},
@@ -105,7 +105,7 @@
 				svc, s := newFakeStore(3, 400, 401, 402, 999)
 				c.change(svc)
 				begun := time.Now()
-				if failed := pollConcurrently(t, s, svc, 1000); failed > 0 || svc.requests > c.most || time.Since(begun) > c.within {
+				if failed := pollConcurrently(t, s, svc, 1000); failed > 0 || svc.requests > c.maxRequests || time.Since(begun) > c.maxTime {
 					t.Errorf("%d polls failed, %d requests sent in %s, want no failures and the bounds of the case", failed, svc.requests, time.Since(begun))
 				}
 			})
@@ -121,7 +121,7 @@
 		for range 200 {
 			wg.Go(func() {
 				if absent, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); err != nil || !absent {
-					t.Errorf("absent key: got %v, %v, want true, nil", absent, err)
+					t.Errorf("UserKeyAbsent of an absent key = %v, %v, want true, nil", absent, err)
 				}
 			})
 		}
@@ -132,7 +132,7 @@
 		svc.present["w/j/job-2/final"] = true
 		svc.mu.Unlock()
 		if absent, err := s.UserKeyAbsent(t.Context(), "w/j/job-2/final"); err != nil || absent {
-			t.Errorf("key written before the query: absent is %v, %v, want false, nil", absent, err)
+			t.Errorf("UserKeyAbsent of a key written before the query = %v, %v, want false, nil", absent, err)
 		}
 		wg.Wait()
 	})
@@ -153,7 +153,7 @@
 			}
 			wg.Go(func() {
 				if absent, err := s.UserKeyAbsent(c, fmt.Sprintf("w/j/job-%d/final", i)); err == nil && absent == (i == 5) || err != nil && c != ctx {
-					t.Errorf("query %d: absent is %v, %v", i, absent, err)
+					t.Errorf("query %d: UserKeyAbsent = %v, %v", i, absent, err)
 				}
 			})
 			if i == 150 {
@@ -221,9 +221,9 @@
 // counted.
 func TestWaitingPollsAreBounded(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		limits settings.StateStoreLimits
-		room   int
+		name     string
+		limits   settings.StateStoreLimits
+		capacity int
 	}{
 		{"low request rate", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 2048},
 		{"large deployment", settings.StateStoreLimits{RPS: 300, WriteRPS: 90, ValueKB: 8, TxnOps: 12}, 2880},
@@ -233,13 +233,13 @@
 		refused := 0
 		s.OnPollRefused = func() { refused++ }
 		s.absences.sending = true // so that the query waits
-		s.absences.waiting = make([]*absenceQuery, tc.room-1)
+		s.absences.waiting = make([]*absenceQuery, tc.capacity-1)
 		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := s.UserKeyAbsent(cancelled, "w/j/job-1/final"); !errors.Is(err, context.Canceled) || refused != 0 {
 			t.Errorf("%s: query within the capacity: %v, %d refused, want it to wait", tc.name, err, refused)
 		}
-		s.absences.waiting = make([]*absenceQuery, tc.room)
+		s.absences.waiting = make([]*absenceQuery, tc.capacity)
 		if _, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrBudget) || !errors.Is(err, ErrRefused) || refused != 1 {
 			t.Errorf("%s: query beyond the capacity: %v, %d refused, want ErrBudget and 1", tc.name, err, refused)
 		}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("single large change: error %v, want ErrTooLarge", err)
 	}
 	if size := protocol.JSONSize(value.Value); s.TxnOps() != 12 || s.ValueBytes() != size-1 {
-		t.Errorf("limits are %d changes of %d bytes after a single change of %d bytes was refused, want 12 of one byte less", s.TxnOps(), s.ValueBytes(), size)
+		t.Errorf("limits are %d changes and %d bytes, want 12 and one below the refused %d bytes", s.TxnOps(), s.ValueBytes(), size)
 	}
 	gone := transport.Response{Status: 400, Body: protocol.Encode(protocol.Problem{Error: "no such lease"})}
 	s.network = &scriptedStore{answers: []transport.Response{gone}}
