--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -1,6 +1,6 @@
-// Package binpack says what fits where: resources that tasks need against those that machines
-// have, and tasks' constraints against kinds of machines. It knows no job, machine or
-// controller.
+// Package binpack checks which tasks fit on which machines: it compares the resources that tasks
+// need with those that machines have, and the tasks' constraints with machine kinds. It does not
+// depend on the types that represent jobs and machines elsewhere.
 package binpack
 
 import (
@@ -12,18 +12,19 @@
 // Epsilon is the tolerance for rounding errors in sums of resources.
 const Epsilon = 1e-6
 
-// UnboundedSlots bounds how many tasks that need nothing a machine is taken to hold.
+// UnboundedSlots is the slot limit for callers that need none of their own. It keeps the result
+// finite for tasks that need no resources.
 const UnboundedSlots = 1000
 
-// Resources are what a task needs or a machine has.
+// Resources are the resources that a task needs or a machine has.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
-// Holds reports whether these resources suffice for a need.
+// Holds reports whether r is enough for need.
 func (r Resources) Holds(need Resources) bool {
 	return need.CPUs <= r.CPUs+Epsilon && need.GPUs <= r.GPUs+Epsilon && need.MemGB <= r.MemGB+Epsilon
 }
 
-// Plus adds another amount so many times; negative times subtract.
+// Plus returns r + times × other.
 func (r Resources) Plus(other Resources, times float64) Resources {
 	return Resources{
 		CPUs:  r.CPUs + times*other.CPUs,
@@ -32,54 +33,55 @@
 	}
 }
 
-// Slots is how many tasks with a need these resources hold, at most limit.
+// Slots returns how many tasks that each need these resources fit into r, at most limit.
 func (r Resources) Slots(need Resources, limit int) int {
 	slots := limit
-	for _, resource := range [...]struct{ need, room float64 }{{need.CPUs, r.CPUs}, {need.GPUs, r.GPUs}, {need.MemGB, r.MemGB}} {
+	for _, resource := range [...]struct{ need, available float64 }{{need.CPUs, r.CPUs}, {need.GPUs, r.GPUs}, {need.MemGB, r.MemGB}} {
 		if resource.need > 0 {
-			slots = min(slots, int((resource.room+Epsilon)/resource.need))
+			slots = min(slots, int((resource.available+Epsilon)/resource.need))
 		}
 	}
 	return max(slots, 0)
 }
 
-// Compute is what a team uses, or may use: the resources that are divided among teams.
+// Compute is the usage or the limit of a team, in the resources that team limits apply to.
 type Compute struct{ CPUs, GPUs float64 }
 
-// Add adds a need so many times; negative times subtract.
+// Add adds times × need.
 func (c *Compute) Add(need Resources, times float64) {
 	c.CPUs += times * need.CPUs
 	c.GPUs += times * need.GPUs
 }
 
-// Allows reports whether one more task keeps a team within this limit. A limit of 0 is none.
+// Allows reports whether a team stays within the limit c when it starts one more task in addition to
+// its present usage. A limit of 0 means no limit.
 func (c Compute) Allows(used Compute, need Resources) bool {
 	return (c.CPUs <= 0 || used.CPUs+need.CPUs <= c.CPUs+Epsilon) &&
 		(c.GPUs <= 0 || used.GPUs+need.GPUs <= c.GPUs+Epsilon)
 }
 
-// Size is what an empty machine of a type has.
+// Size returns the resources of an empty machine of a type.
 func Size(t *protocol.MachineType) Resources {
 	return Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
 }
 
-// MachineKind is what the cloud distinguishes machines by.
+// MachineKind is the combination of properties by which machines are requested from the cloud.
 type MachineKind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Constraints are what a task demands of a machine's kind.
+// Constraints restrict the machine kinds on which a task may run.
 type Constraints struct {
-	// Types are the machine types that will do; empty: any.
+	// Types are the allowed machine types; empty allows all.
 	Types []string
-	// Zone is the zone that will do; empty: any.
+	// Zone is the allowed zone; empty allows all.
 	Zone string
-	// Spot: spot machines will do, too.
+	// Spot allows spot machines in addition to ordinary ones.
 	Spot bool
 }
 
-// Allows reports whether a machine of a kind will do. Agents don't check it.
+// Allows reports whether a task may run on a machine of a kind. Agents don't check this.
 func (c Constraints) Allows(kind MachineKind) bool {
 	return c.allowsType(kind.Type) && (c.Zone == "" || c.Zone == kind.Zone) && (!kind.Spot || c.Spot)
 }
@@ -88,13 +90,13 @@
 	return len(c.Types) == 0 || slices.Contains(c.Types, name)
 }
 
-// FitsType reports whether a task fits an empty machine of a type, in any zone.
+// FitsType reports whether a task fits on an empty machine of a type, whatever its zone.
 func FitsType(c Constraints, need Resources, t *protocol.MachineType) bool {
 	return c.allowsType(t.Name) && Size(t).Holds(need)
 }
 
-// FitsOffered reports whether a task fits an empty machine of a type, in a zone where the cloud
-// offers it.
+// FitsOffered reports whether a task fits on an empty machine of a type and the cloud offers that
+// type in the task's zone.
 func FitsOffered(c Constraints, need Resources, t *protocol.MachineType) bool {
 	offered := c.Zone == "" || len(t.ZonesOffered) == 0 || slices.Contains(t.ZonesOffered, c.Zone)
 	return offered && FitsType(c, need, t)
--- a/internal/coordination/binpack/types.go
+++ b/internal/coordination/binpack/types.go
@@ -6,11 +6,12 @@
 	"micaspindle/internal/protocol"
 )
 
-// TypeSetSize is how many types of a catalog a TypeSet distinguishes: the first so many.
+// TypeSetSize is the maximum number of machine types in a TypeSet. Further types of the catalog
+// are ignored.
 const TypeSetSize = 64
 
-// TypeSet is the set of machine types that a task fits, as bits by their places in the
-// catalog.
+// TypeSet returns the set of machine types that a task fits, as a bit mask: bit i is the type at
+// index i of the catalog.
 func TypeSet(c Constraints, need Resources, catalog []protocol.MachineType) uint64 {
 	set := uint64(0)
 	for i := range min(len(catalog), TypeSetSize) {
@@ -21,22 +22,22 @@
 	return set
 }
 
-// TypeCount is how many types are in a set.
+// TypeCount returns the number of types in a set.
 func TypeCount(set uint64) int { return bits.OnesCount64(set) }
 
-// Scarcity says, for each machine type, on how few types the unfinished work can run that fits
-// it and has the fewest choices.
+// Scarcity maps each machine type to the smallest TypeCount among the unfinished jobs that fit it:
+// how many types the job with the fewest alternatives can run on.
 type Scarcity map[string]int
 
-// Note takes in work that fits a type, and as many types as breadth in all.
-func (s Scarcity) Note(machineType string, breadth int) {
-	if least := s[machineType]; least == 0 || breadth < least {
-		s[machineType] = breadth
+// Note records that a job fits a machine type, and typeCount types in total.
+func (s Scarcity) Note(machineType string, typeCount int) {
+	if least := s[machineType]; least == 0 || typeCount < least {
+		s[machineType] = typeCount
 	}
 }
 
-// Contested reports whether work with fewer choices than breadth needs a type.
-func (s Scarcity) Contested(machineType string, breadth int) bool {
+// Contested reports whether a machine type is needed by a job that fits fewer than typeCount types.
+func (s Scarcity) Contested(machineType string, typeCount int) bool {
 	least, needed := s[machineType]
-	return needed && least < breadth
+	return needed && least < typeCount
 }
--- a/internal/coordination/contention/contention.go
+++ b/internal/coordination/contention/contention.go
@@ -1,53 +1,55 @@
 // Package contention computes the contention rate by which progress-based placement compares
-// machines: the expected number of co-running tasks, summed over seconds. It follows ProCon
+// machines: the expected number of co-running tasks, summed over seconds. It implements ProCon
 // (Fu et al., "Progress-based Container Scheduling for Short-lived Applications in a
-// Kubernetes Cluster"), whose equations and algorithms the comments name. It is pure, so that
-// it can be checked against values worked out by hand.
+// Kubernetes Cluster"). The comments refer to the equations and algorithms of that paper.
 package contention
 
 import "math"
 
 const (
-	// maxProgress is MAX of equation 3: the progress of a task that has ended, in percent.
+	// maxProgress is MAX in equation 3: the progress of a finished task, in percent.
 	maxProgress = 100
-	// roundingTolerance keeps 30.000000000000004 from counting as 31 seconds.
+	// roundingTolerance prevents rounding errors from adding a second: 30.000000000000004 seconds
+	// count as 30.
 	roundingTolerance = 1e-9
 )
 
-// Task is a running task as the prediction sees it.
+// Task is the input of the prediction for one running task.
 type Task struct {
 	ElapsedS  float64
 	EstimateS float64
-	// Use is R of equation 2: the amount of resources that the task takes on its machine.
+	// Use is R in equation 2: the amount of resources that the task uses on its machine.
 	Use float64
-	// Service: the task runs until the horizon ends.
+	// Service marks a task that runs until it is stopped, and so until the end of the horizon.
 	Service bool
 }
 
-// Machine is a candidate with its running tasks, which must not change once it was compared.
+// Machine is a candidate with its running tasks. They must not change after the first call of
+// Choose, since results are cached.
 type Machine struct {
 	Tasks []Task
-	// UseLimit is the use below which the machine counts as under its limit.
+	// UseLimit is the total use below which Choose prefers the machine.
 	UseLimit float64
 
-	// The contention of the machine as it is does not depend on the newcomer. It is computed
-	// once, so that many tasks can be placed against it.
+	// Total use and contention rate of the running tasks. They don't depend on the new task, so
+	// they are computed only once.
 	computed        bool
 	use, contention float64
 }
 
 // Horizon bounds predictions.
 type Horizon struct {
-	// MaxS is how many seconds services count as running; no prediction goes beyond it.
+	// MaxS is the length of the horizon in seconds. It limits every prediction, and services are
+	// predicted to run for all of it.
 	MaxS float64
-	// OverdueS is how many seconds a task past its estimate is expected to run: one
-	// heartbeat interval.
+	// OverdueS is the predicted remaining time, in seconds, of a task that has reached its
+	// estimate: one heartbeat interval.
 	OverdueS float64
 }
 
-// Remaining is the remaining-time indicator of equation 3, i = f / u × (MAX − P), in seconds.
-// share is u of equation 2. Agents report no progress, so the progress P is the elapsed time
-// over the estimate in percent, and f, the time that a percent takes, the estimate over 100.
+// Remaining returns the remaining-time indicator of equation 3, i = f / u × (MAX − P), in seconds.
+// share is u in equation 2. Agents don't report progress, so P is the elapsed time as a percentage
+// of the estimate, and f, the time for one percent of progress, is a hundredth of the estimate.
 func (h Horizon) Remaining(t Task, share float64) float64 {
 	switch {
 	case t.Service:
@@ -62,14 +64,15 @@
 	return min(f/share*(maxProgress-progress), h.MaxS)
 }
 
-// expectedSeconds is in how many of the seconds of algorithm 1 a task is expected to run.
+// expectedSeconds returns the number of one-second steps of algorithm 1 during which a task is
+// expected to run.
 func (h Horizon) expectedSeconds(t Task, share float64) float64 {
 	return math.Ceil(h.Remaining(t, share) - roundingTolerance)
 }
 
-// Contention is the contention rate of equation 4, computed as in algorithm 1: the sum, over
-// each second until the largest indicator, of the expected running tasks minus one. A task
-// with indicator i runs in ceil(i) of these seconds, so the sum needs no loop over seconds.
+// Contention returns the contention rate of equation 4 as defined by algorithm 1: for each second
+// up to the largest indicator, the expected number of running tasks minus one, summed up. A task
+// with indicator i counts for ceil(i) seconds, so the sum is computed without a loop over seconds.
 func (h Horizon) Contention(tasks []Task) float64 {
 	total := totalUse(tasks)
 	var sum, longest float64
@@ -81,8 +84,8 @@
 	return sum - longest
 }
 
-// EvenContention is the contention rate as algorithm 2 updates it where no machine is under
-// its limit: as if newcomer had joined, and each task got 1/(running tasks + 1).
+// EvenContention returns the contention rate that algorithm 2 uses if no machine is under its
+// use limit: the rate with newcomer added, where each task gets an equal share of the machine.
 func (h Horizon) EvenContention(tasks []Task, newcomer Task) float64 {
 	share := 1 / float64(len(tasks)+1)
 	own := h.expectedSeconds(newcomer, share)
@@ -95,7 +98,7 @@
 	return sum - longest
 }
 
-// totalUse is the summed use of tasks.
+// totalUse returns the sum of the tasks' use.
 func totalUse(tasks []Task) float64 {
 	var sum float64
 	for _, task := range tasks {
@@ -104,17 +107,17 @@
 	return sum
 }
 
-// compute computes what does not depend on a newcomer, once.
+// compute caches total use and contention rate of the running tasks.
 func (m *Machine) compute(h Horizon) {
 	if !m.computed {
 		m.computed, m.use, m.contention = true, totalUse(m.Tasks), h.Contention(m.Tasks)
 	}
 }
 
-// Choose is algorithm 2: the index of the machine to place newcomer on, or -1 without
-// candidates. Machines under their limit go first, by their contention as it is; if there is
-// none, all compete by even-share contention. before says whether candidate a goes before b
-// where both are equal.
+// Choose implements algorithm 2: it returns the index of the machine on which to place newcomer, or
+// -1 if there are no machines. Among machines under their use limits it chooses the one with the
+// lowest contention rate of its running tasks. If there are none, it chooses among all machines by
+// EvenContention. before breaks ties: it reports whether machine a is preferred to machine b.
 func (h Horizon) Choose(machines []*Machine, newcomer Task, before func(a, b int) bool) int {
 	best, least := -1, math.Inf(1)
 	consider := func(i int, rate float64) {
--- a/internal/coordination/contention/contention_test.go
+++ b/internal/coordination/contention/contention_test.go
@@ -16,24 +16,24 @@
 	}{
 		// f = 40/100 = 0.4, P = 10/40 = 25%: 0.4/1 × 75 = 30.
 		{"alone", Task{ElapsedS: 10, EstimateS: 40}, 1, 30},
-		// Half of the machine's use doubles it: 0.4/0.5 × 75 = 60.
-		{"half the use", Task{ElapsedS: 10, EstimateS: 40}, 0.5, 60},
-		{"not begun", Task{EstimateS: 25}, 1, 25},
-		// Past the estimate: one more report period, whatever its share.
+		// With half of the machine it takes twice as long: 0.4/0.5 × 75 = 60.
+		{"half of the machine", Task{ElapsedS: 10, EstimateS: 40}, 0.5, 60},
+		{"not started", Task{EstimateS: 25}, 1, 25},
+		// Past the estimate: one heartbeat interval, whatever the share.
 		{"overdue", Task{ElapsedS: 50, EstimateS: 40}, 0.1, 3},
 		{"no estimate", Task{ElapsedS: 5}, 1, 3},
 		{"service", Task{Service: true, EstimateS: 5}, 1, 1000},
-		// 100/0.01 × ... = 0.4/0.01 × 100 = 4000, beyond the horizon.
-		{"cut at the horizon", Task{EstimateS: 40}, 0.01, 1000},
+		// 0.4/0.01 × 100 = 4000, beyond the horizon.
+		{"limited by the horizon", Task{EstimateS: 40}, 0.01, 1000},
 	} {
 		if got := h.Remaining(tc.task, tc.u); math.Abs(got-tc.want) > 1e-9 {
-			t.Errorf("%s: remaining %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: %v s remaining, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// slow sums algorithm 1 second by second, as the paper writes it.
-func slow(indicators []float64) float64 {
+// contentionBySecond computes algorithm 1 second by second, as written in the paper.
+func contentionBySecond(indicators []float64) float64 {
 	longest, sum := 0.0, 0.0
 	for _, i := range indicators {
 		longest = max(longest, i)
@@ -56,37 +56,37 @@
 	// Both run for 20 seconds: 20 × (2−1) = 20.
 	two := []Task{{EstimateS: 10, Use: 4}, {ElapsedS: 10, EstimateS: 20, Use: 4}}
 	if got := h.Contention(two); got != 20 {
-		t.Errorf("two tasks: %v, want 20", got)
+		t.Errorf("two tasks of equal use: contention %v, want 20", got)
 	}
 	// Uses 8 and 4: u = 2/3 and 1/3.
 	// a: 0.12/(2/3) × 100 = 18. b: 0.1/(1/3) × 100 = 30.
 	// 18 seconds with two tasks, 12 with one: 18.
 	uneven := []Task{{EstimateS: 12, Use: 8}, {EstimateS: 10, Use: 4}}
 	if got := h.Contention(uneven); got != 18 {
-		t.Errorf("uneven: %v, want 18", got)
+		t.Errorf("two tasks of different use: contention %v, want 18", got)
 	}
 	if got := h.Contention(nil); got != 0 {
-		t.Errorf("empty: %v", got)
+		t.Errorf("no tasks: contention %v, want 0", got)
 	}
 	if got := h.Contention(two[:1]); got != 0 {
-		t.Errorf("one task alone: %v", got)
+		t.Errorf("one task: contention %v, want 0", got)
 	}
-	// Joined by a third, each gets 1/3: 30, 0.2×3×50 = 30, and 5×3 = 15.
+	// With a third task, each gets 1/3: 0.1×3×100 = 30, 0.2×3×50 = 30, and 0.05×3×100 = 15.
 	// 15 seconds with three tasks, 15 with two: 15×2 + 15×1 = 45.
 	if got := h.EvenContention(two, Task{EstimateS: 5, Use: 4}); got != 45 {
-		t.Errorf("even share: %v, want 45", got)
+		t.Errorf("even shares: contention %v, want 45", got)
 	}
-	for _, ind := range [][]float64{{3, 3, 7.5}, {0.2}, {10, 4.4, 4.6, 1}} {
-		tasks := make([]Task, len(ind))
-		for i, v := range ind {
-			tasks[i] = Task{EstimateS: v, Use: 1}
+	for _, estimates := range [][]float64{{3, 3, 7.5}, {0.2}, {10, 4.4, 4.6, 1}} {
+		tasks := make([]Task, len(estimates))
+		for i, estimate := range estimates {
+			tasks[i] = Task{EstimateS: estimate, Use: 1}
 		}
-		scaled := make([]float64, len(ind))
-		for i, v := range ind {
-			scaled[i] = v * float64(len(ind))
+		indicators := make([]float64, len(estimates))
+		for i, estimate := range estimates {
+			indicators[i] = estimate * float64(len(estimates))
 		}
-		if got, want := h.Contention(tasks), slow(scaled); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v: %v, the sum over seconds gives %v", ind, got, want)
+		if got, want := h.Contention(tasks), contentionBySecond(indicators); math.Abs(got-want) > 1e-9 {
+			t.Errorf("estimates %v: contention %v, but %v when summed second by second", estimates, got, want)
 		}
 	}
 }
@@ -100,19 +100,19 @@
 		machines []*Machine
 		want     int
 	}{
-		{"none", nil, -1},
-		// Two tasks about to end contend less than two that stay: the paper's
-		// first example. 2×(10/0.5)→20 against 200.
-		{"soon free", []*Machine{{Tasks: []Task{long, long}, UseLimit: 16}, {Tasks: []Task{short, short}, UseLimit: 16}}, 1},
-		// Under the limit goes first, whatever its contention.
-		{"under limit first", []*Machine{{Tasks: []Task{short}, UseLimit: 4}, {Tasks: []Task{long, long, long}, UseLimit: 16}}, 1},
-		// None is under its limit. With the newcomer (10/0.5 = 20): beside the
-		// long task 200 and 20 → 20; beside two short 30, 30, 30 → 60.
-		{"even share", []*Machine{{Tasks: []Task{short, short}, UseLimit: 8}, {Tasks: []Task{long}, UseLimit: 4}}, 1},
-		{"ties go to the caller's favourite", []*Machine{{Tasks: []Task{long}, UseLimit: 16}, {UseLimit: 16}}, 0},
+		{"no machines", nil, -1},
+		// Two short tasks against two long ones, the paper's first example:
+		// 10/0.5 = 20 each, contention 20, against 100/0.5 = 200 each, contention 200.
+		{"lower contention", []*Machine{{Tasks: []Task{long, long}, UseLimit: 16}, {Tasks: []Task{short, short}, UseLimit: 16}}, 1},
+		// A machine under its use limit is preferred, whatever its contention.
+		{"under the use limit", []*Machine{{Tasks: []Task{short}, UseLimit: 4}, {Tasks: []Task{long, long, long}, UseLimit: 16}}, 1},
+		// No machine is under its use limit. The newcomer with the long task: indicators
+		// 20 and 200, contention 20. With the two short tasks: 30, 30 and 30, contention 60.
+		{"even shares", []*Machine{{Tasks: []Task{short, short}, UseLimit: 8}, {Tasks: []Task{long}, UseLimit: 4}}, 1},
+		{"tie broken by the caller", []*Machine{{Tasks: []Task{long}, UseLimit: 16}, {UseLimit: 16}}, 0},
 	} {
 		if got := h.Choose(tc.machines, newcomer, func(a, b int) bool { return a < b }); got != tc.want {
-			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+			t.Errorf("%s: chose machine %d, want %d", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/coordination/placement/choose.go
+++ b/internal/coordination/placement/choose.go
@@ -8,10 +8,11 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// noMachine is the result of choose if no machine fits.
+// noMachine is the result of choose if the task fits on no machine.
 const noMachine = -1
 
-// choose picks the machine of least contention among those that a task of a job fits.
+// choose returns the machine for the next task of a job: the one with the lowest contention rate
+// among the preferred machines that the task fits on.
 func (r *round) choose(job *Job, zones map[string]int) int {
 	r.fitting = r.fitting[:0]
 	for i := range r.Machines {
@@ -33,7 +34,7 @@
 	return machines[best]
 }
 
-// fits reports whether a task of a job may start on a machine.
+// fits reports whether a task of a job may start on a machine. zones are the job's zoneCounts.
 func (r *round) fits(machine int, job *Job, zones map[string]int) bool {
 	m := &r.Machines[machine]
 	return r.free(machine).Holds(job.Resources) &&
@@ -43,24 +44,26 @@
 		(m.ReservedFor == fairshare.NoGroup || slices.Contains(job.Groups[:], m.ReservedFor))
 }
 
-// preferred narrows a list of machines down by the three exceptions to least contention of
-// docs/design.md. It changes the list.
+// preferred filters machines by the three preferences that take precedence over contention
+// (docs/design.md). It reuses the slice.
 func (r *round) preferred(machines []int, job *Job) []int {
-	// Types that pending work of fewer choices needs are left to it.
-	breadth := binpack.TypeCount(job.Types)
+	// Leave machine types that other jobs depend on to the jobs that fit fewer types.
+	typeCount := binpack.TypeCount(job.Types)
 	machines = prefer(machines, func(machine int) bool {
-		return !r.Scarcity.Contested(r.Machines[machine].Kind.Type, breadth)
+		return !r.Scarcity.Contested(r.Machines[machine].Kind.Type, typeCount)
 	})
-	// The dearer ordinary machines are left alone, so that they empty and can be scaled in.
+	// Prefer spot machines, so that the more expensive ordinary ones become idle and can be
+	// scaled in.
 	machines = prefer(machines, func(machine int) bool { return r.Machines[machine].Kind.Spot })
-	// Where a fetch is long, machines that have the image go first, since simultaneous
-	// fetches share their rate.
+	// If fetching the image takes long, prefer machines that have it: concurrent fetches
+	// share the machine's bandwidth.
 	return prefer(machines, func(machine int) bool {
 		return job.ImageGB <= job.LongFetchS*r.Machines[machine].FetchGBPerS || r.hasImage(machine, job.Image)
 	})
 }
 
-// prefer narrows a list down to the machines with a property, unless none has it.
+// prefer returns the machines that have a property, or all of them if none has it. It reuses the
+// slice.
 func prefer(machines []int, has func(machine int) bool) []int {
 	if !slices.ContainsFunc(machines, has) {
 		return machines
@@ -68,8 +71,8 @@
 	return slices.DeleteFunc(machines, func(machine int) bool { return !has(machine) })
 }
 
-// before breaks ties between machines of equal contention: one that has the image goes first,
-// then the fuller one, so that idle machines can be scaled in.
+// before breaks ties between machines of equal contention. It prefers machines that have the image,
+// then those with fewer free CPUs, so that other machines become idle and can be scaled in.
 func (r *round) before(a, b int, image string) bool {
 	if hasA, hasB := r.hasImage(a, image), r.hasImage(b, image); hasA != hasB {
 		return hasA
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement decides which pending tasks start on which machines of a partition: where
-// contention is least (ProCon), within the teams' limits. It is a pure function of a view;
-// details that are costly to gather are asked for as they are needed.
+// Package placement decides which pending tasks of a partition start on which machines. It places
+// each task where contention is lowest (ProCon), within the limits of the teams. It works on a
+// snapshot; details that are expensive to collect are queried on demand.
 package placement
 
 import (
@@ -11,7 +11,7 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// View is the state of one partition.
+// View is a snapshot of one partition.
 type View struct {
 	// Jobs are in queue order.
 	Jobs     []Job
@@ -22,11 +22,11 @@
 	Details  MachineDetails
 }
 
-// Machine is a machine that may get tasks.
+// Machine is a machine on which tasks may start.
 type Machine struct {
 	Name string
 	Kind binpack.MachineKind
-	// Free is what is not in use of the machine.
+	// Free are the resources that are not in use.
 	Free        binpack.Resources
 	FetchGBPerS float64
 	// ReservedFor is the fair-share group that the machine is reserved for, or
@@ -34,58 +34,62 @@
 	ReservedFor int
 }
 
-// MachineDetails answers what is only asked of few machines. Machines are identified by their
-// indexes in the view.
+// MachineDetails provides details that are needed for few machines only. Machines are identified by
+// their indexes in the view.
 type MachineDetails interface {
-	// HasImage reports whether a machine has an image or is fetching it already.
+	// HasImage reports whether a machine has an image or is already fetching it.
 	HasImage(machine int, image string) bool
-	// Running is what runs on a machine, as prediction sees it. It is not changed.
+	// Running returns a machine with its running tasks as input of the contention
+	// prediction. The caller does not modify the tasks.
 	Running(machine int) *contention.Machine
 }
 
 // Job is a job with pending tasks.
 type Job struct {
+	// Pending is the number of pending tasks.
 	Pending int
-	// Gang: all pending tasks start or none.
+	// Gang requires that all pending tasks start together.
 	Gang bool
+	// Team is an index in the view.
 	Team int
-	// Groups are its fair-share groups, Class the one of them that is its class.
+	// Groups are the job's fair-share groups. Class is the one that represents its class.
 	Groups      [2]int
 	Class       int
 	Resources   binpack.Resources
 	Constraints binpack.Constraints
-	// Types is the set of machine types that its tasks fit.
+	// Types is the binpack.TypeSet of the tasks.
 	Types   uint64
 	Image   string
 	ImageGB float64
-	// LongFetchS is how many seconds fetching its image may take; where it takes longer,
-	// machines that have the image are preferred.
+	// LongFetchS is a duration in seconds. If fetching the image takes longer, machines that
+	// have the image are preferred.
 	LongFetchS float64
-	// OneZone: its tasks must all run in one zone. Spread: no zone may have more than
-	// SpreadLimit of them.
+	// OneZone requires that all tasks run in the same zone. Spread requires that no zone has
+	// more than SpreadLimit of them.
 	OneZone, Spread bool
-	// Tasks is how many tasks it has in all.
+	// Tasks is the total number of tasks.
 	Tasks int
-	// Zones counts its running tasks by zone; needed only with OneZone or Spread.
+	// Zones counts the running tasks by zone. It is only used with OneZone or Spread.
 	Zones map[string]int
-	// FailedMachines are those on which it failed; its tasks don't start there again.
+	// FailedMachines are the names of machines on which the job failed. Its tasks don't start
+	// there again.
 	FailedMachines map[string]bool
-	// Prediction is one of its tasks as it starts.
+	// Prediction is a newly started task of the job as input of the contention prediction.
 	Prediction contention.Task
 }
 
-// zoneBound reports whether it matters in which zones the tasks run.
-func (j *Job) zoneBound() bool { return j.OneZone || j.Spread }
+// zoneConstrained reports whether the zones of the job's other tasks restrict where a task may run.
+func (j *Job) zoneConstrained() bool { return j.OneZone || j.Spread }
 
-// Team is a team's limit, what it uses, and what of the limit is reserved for starved classes.
-// A limit of 0 is none.
+// Team is a team's limit, its usage, and the parts of the limit that are reserved for starved
+// classes. A limit of 0 means no limit.
 type Team struct {
 	Limit, Used binpack.Compute
 	Reserved    []fairshare.ReservedQuota
 }
 
-// allows reports whether one more task of a job may start: within the limit, less what is
-// reserved for other classes.
+// allows reports whether one more task of a job may start: whether it fits into the part of the
+// limit that is neither used nor reserved for other classes.
 func (t *Team) allows(job *Job) bool {
 	used := t.Used
 	for _, quota := range t.Reserved {
@@ -97,8 +101,9 @@
 	return t.Limit.Allows(used, job.Resources)
 }
 
-// use counts a task of a job that starts; it uses up what is reserved for its class.
-func (t *Team) use(job *Job) {
+// charge adds a started task of a job to the team's usage and deducts it from the reservation of
+// the job's class.
+func (t *Team) charge(job *Job) {
 	t.Used.Add(job.Resources, 1)
 	for i := range t.Reserved {
 		if quota := &t.Reserved[i]; quota.Class == job.Class {
@@ -113,20 +118,20 @@
 	return t
 }
 
-// Plan is what is decided.
+// Plan is the result of Decide.
 type Plan struct {
-	// Assignments are in queue order, so those of one job are consecutive.
+	// Assignments are in queue order; those of one job are consecutive.
 	Assignments []Assignment
-	// WantedByGangs are machines that a gang would use which found no room for all of its
-	// tasks. It waits for more room, so they don't count as idle. A machine may be listed
-	// more than once.
+	// WantedByGangs are the machines that fit a part of a gang that could not be placed as a
+	// whole. The gang waits for additional machines, so these don't count as idle. A machine
+	// may be listed more than once.
 	WantedByGangs []int
 }
 
-// Assignment starts the next pending task of a job on a machine. Both are indexes in the view.
+// Assignment starts the next pending task of a job on a machine. The fields are indexes in the view.
 type Assignment struct{ Job, Machine int }
 
-// Decide places pending tasks, job by job, while there is room. The view is not changed.
+// Decide places as many pending tasks as possible, job by job. It does not modify the view.
 func Decide(v View) Plan {
 	r := newRound(v)
 	for i := range v.Jobs {
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -9,49 +9,52 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// round is the state of one call of Decide.
+// round is the working state of one call of Decide.
 type round struct {
 	View
-	// placed is by machine, and nil until the first task is placed.
-	placed []placed
-	teams  []Team
-	// full holds the shapes of tasks that found no room. Room only shrinks, but for gangs
-	// that are taken back, which leave it as it was before them.
-	full map[taskShape]bool
-	// reservations: some machine is reserved for a group.
-	reservations bool
-	plan         Plan
+	// machineStates has one entry for each machine. It is nil until the first task is placed.
+	machineStates []machineState
+	teams         []Team
+	// unplaceable holds the shapes of tasks that fit on no machine. They stay unplaceable for
+	// the rest of the round, since free resources never grow: undoing the placement of a gang
+	// only restores what was free before it.
+	unplaceable map[taskShape]bool
+	// hasReservations reports whether any machine is reserved for a group.
+	hasReservations bool
+	plan            Plan
 
-	// Scratch space of choose.
+	// Buffers of choose.
 	fitting    []int
 	candidates []*contention.Machine
 }
 
-// placed is what a machine got in this round.
-type placed struct {
-	free   binpack.Resources
+// machineState is the state of a machine after the placements of this round.
+type machineState struct {
+	free binpack.Resources
+	// tasks and images are those of the tasks placed in this round.
 	tasks  []contention.Task
 	images []string
-	// prediction is the machine with these tasks; nil: not computed yet.
+	// prediction caches the result of round.prediction; nil if not computed yet.
 	prediction *contention.Machine
 }
 
-// taskShape is what decides where a task fits, if neither zones nor failures matter.
+// taskShape holds all properties that determine on which machines a task fits, for jobs without
+// zone constraints and failed machines.
 type taskShape struct {
-	need  binpack.Resources
-	zone  string
-	spot  bool
-	types uint64
-	// groups are set only if there are reservations.
+	resources binpack.Resources
+	zone      string
+	spot      bool
+	types     uint64
+	// groups are only set if there are reservations.
 	groups [2]int
 }
 
 func newRound(v View) round {
 	r := round{
-		View:  v,
-		teams: slices.Clone(v.Teams),
-		full:  map[taskShape]bool{},
-		reservations: slices.ContainsFunc(v.Machines, func(m Machine) bool {
+		View:        v,
+		teams:       slices.Clone(v.Teams),
+		unplaceable: map[taskShape]bool{},
+		hasReservations: slices.ContainsFunc(v.Machines, func(m Machine) bool {
 			return m.ReservedFor != fairshare.NoGroup
 		}),
 	}
@@ -61,12 +64,12 @@
 	return r
 }
 
-// placeTasks places pending tasks of a job while there is room.
+// placeTasks places as many pending tasks of a job as possible.
 func (r *round) placeTasks(jobIndex int) {
 	job := &r.Jobs[jobIndex]
 	shape := r.shape(job)
-	byShape := !job.zoneBound() && len(job.FailedMachines) == 0
-	if byShape && r.full[shape] {
+	shapeSuffices := !job.zoneConstrained() && len(job.FailedMachines) == 0
+	if shapeSuffices && r.unplaceable[shape] {
 		return
 	}
 	zones := zoneCounts(job)
@@ -76,8 +79,8 @@
 		}
 		machine := r.choose(job, zones)
 		if machine == noMachine {
-			if byShape {
-				r.full[shape] = true
+			if shapeSuffices {
+				r.unplaceable[shape] = true
 			}
 			return
 		}
@@ -86,20 +89,20 @@
 }
 
 func (r *round) shape(job *Job) taskShape {
-	shape := taskShape{need: job.Resources, zone: job.Constraints.Zone, spot: job.Constraints.Spot, types: job.Types}
-	if r.reservations {
+	shape := taskShape{resources: job.Resources, zone: job.Constraints.Zone, spot: job.Constraints.Spot, types: job.Types}
+	if r.hasReservations {
 		shape.groups = job.Groups
 	}
 	return shape
 }
 
-// placeGang places all pending tasks of a gang, or none: half a gang would only wait for the
-// rest on machines that are paid for.
+// placeGang places all pending tasks of a gang, or none: a part of the gang would occupy machines
+// without making progress.
 func (r *round) placeGang(jobIndex int) {
 	job := &r.Jobs[jobIndex]
 	zones := zoneCounts(job)
 	first := len(r.plan.Assignments)
-	placedBefore, teamBefore := slices.Clone(r.placed), r.teams[job.Team].clone()
+	statesBefore, teamBefore := slices.Clone(r.machineStates), r.teams[job.Team].clone()
 	for range job.Pending {
 		machine := noMachine
 		if r.teams[job.Team].allows(job) {
@@ -110,67 +113,69 @@
 				r.plan.WantedByGangs = append(r.plan.WantedByGangs, assignment.Machine)
 			}
 			r.plan.Assignments = r.plan.Assignments[:first]
-			r.placed, r.teams[job.Team] = placedBefore, teamBefore
+			r.machineStates, r.teams[job.Team] = statesBefore, teamBefore
 			return
 		}
 		r.assign(jobIndex, machine, zones)
 	}
 }
 
-// assign places a task of a job on a machine.
+// assign places a task of a job on a machine, and counts it in zones unless that is nil.
 func (r *round) assign(jobIndex, machine int, zones map[string]int) {
-	if r.placed == nil {
-		r.placed = make([]placed, len(r.Machines))
+	if r.machineStates == nil {
+		r.machineStates = make([]machineState, len(r.Machines))
 		for i := range r.Machines {
-			r.placed[i].free = r.Machines[i].Free
+			r.machineStates[i].free = r.Machines[i].Free
 		}
 	}
-	job, onMachine := &r.Jobs[jobIndex], &r.placed[machine]
-	onMachine.free = onMachine.free.Plus(job.Resources, -1)
-	// Clipped, since placeGang may go back to the slices as they were.
-	onMachine.tasks = append(slices.Clip(onMachine.tasks), job.Prediction)
-	onMachine.images = append(slices.Clip(onMachine.images), job.Image)
-	onMachine.prediction = nil
-	r.teams[job.Team].use(job)
+	job, state := &r.Jobs[jobIndex], &r.machineStates[machine]
+	state.free = state.free.Plus(job.Resources, -1)
+	// Clip makes append copy the slices, since placeGang may restore the previous ones.
+	state.tasks = append(slices.Clip(state.tasks), job.Prediction)
+	state.images = append(slices.Clip(state.images), job.Image)
+	state.prediction = nil
+	r.teams[job.Team].charge(job)
 	if zones != nil {
 		zones[r.Machines[machine].Kind.Zone]++
 	}
 	r.plan.Assignments = append(r.plan.Assignments, Assignment{Job: jobIndex, Machine: machine})
 }
 
-// free is what is not in use of a machine.
+// free returns the resources of a machine that are not in use.
 func (r *round) free(machine int) binpack.Resources {
-	if r.placed == nil {
+	if r.machineStates == nil {
 		return r.Machines[machine].Free
 	}
-	return r.placed[machine].free
+	return r.machineStates[machine].free
 }
 
-// hasImage reports whether a machine has an image, or will fetch it for a task of this round.
+// hasImage reports whether a machine has an image, is fetching it, or will fetch it for a task that
+// was placed in this round.
 func (r *round) hasImage(machine int, image string) bool {
-	return r.placed != nil && slices.Contains(r.placed[machine].images, image) || r.Details.HasImage(machine, image)
+	return r.machineStates != nil && slices.Contains(r.machineStates[machine].images, image) || r.Details.HasImage(machine, image)
 }
 
-// prediction is what runs on a machine, with what it got in this round.
+// prediction returns a machine with its running tasks and those placed in this round, as input of
+// the contention prediction.
 func (r *round) prediction(machine int) *contention.Machine {
-	if r.placed == nil || len(r.placed[machine].tasks) == 0 {
+	if r.machineStates == nil || len(r.machineStates[machine].tasks) == 0 {
 		return r.Details.Running(machine)
 	}
-	onMachine := &r.placed[machine]
-	if onMachine.prediction == nil {
+	state := &r.machineStates[machine]
+	if state.prediction == nil {
 		running := r.Details.Running(machine)
-		onMachine.prediction = &contention.Machine{
-			Tasks:    slices.Concat(running.Tasks, onMachine.tasks),
+		state.prediction = &contention.Machine{
+			Tasks:    slices.Concat(running.Tasks, state.tasks),
 			UseLimit: running.UseLimit,
 		}
 	}
-	return onMachine.prediction
+	return state.prediction
 }
 
-// zoneCounts returns a copy of a job's counts by zone, to which placed tasks are added; nil:
-// zones don't matter.
+// zoneCounts returns a copy of a job's running tasks by zone, to which placed tasks are added. It
+// returns nil if the job has no zone constraints.
 func zoneCounts(job *Job) map[string]int {
-	if !job.zoneBound() {
+	if !job.zoneConstrained() {
 		return nil
 	}
 	counts := make(map[string]int, len(job.Zones)+1)
--- a/internal/coordination/placement/zones.go
+++ b/internal/coordination/placement/zones.go
@@ -1,10 +1,10 @@
 package placement
 
-// spreadZones is over how many zones the tasks of a job with Spread run at least.
-const spreadZones = 2
+// minSpreadZones is the minimum number of zones for the tasks of a job with Spread.
+const minSpreadZones = 2
 
-// ZoneOpen reports whether one more of so many tasks may start in a zone, given how many of
-// the others run in which zones.
+// ZoneOpen reports whether a further task of a job may start in a zone. tasks is the job's total
+// number of tasks; running counts those that run already by zone.
 func ZoneOpen(oneZone, spread bool, tasks int, running map[string]int, zone string) bool {
 	if oneZone {
 		for other, count := range running {
@@ -16,5 +16,5 @@
 	return !spread || running[zone] < SpreadLimit(tasks)
 }
 
-// SpreadLimit is how many of so many tasks may be in one zone when they are to be spread.
-func SpreadLimit(tasks int) int { return (tasks + spreadZones - 1) / spreadZones }
+// SpreadLimit returns how many of a job's tasks may run in the same zone if the job has Spread.
+func SpreadLimit(tasks int) int { return (tasks + minSpreadZones - 1) / minSpreadZones }
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -1,7 +1,7 @@
-// Package preemption decides which running tasks are stopped for jobs that must start now and
-// find no room, as PROTOCOL allows: only work of lower urgency, and what another team runs
-// beyond its guarantee while the job's team is within its own. It is a pure function of a view
-// of one partition.
+// Package preemption decides which running tasks of a partition are preempted for jobs that must
+// start now but fit on no machine. The protocol allows preemption of tasks of lower urgency, and of
+// tasks of teams that exceed their guarantees for jobs of teams that stay within theirs. The package
+// works on a snapshot.
 package preemption
 
 import (
@@ -14,20 +14,20 @@
 )
 
 const (
-	// startMargin is how close to being late a job must be before running work is stopped
-	// for it: stopping wastes work, and room may still come free.
+	// startMargin is the time before a job's latest start at which it may begin to preempt.
+	// Until then machines may become free without loss of work.
 	startMargin = 8 * time.Second
-	// quotaMargin is the same where the team's limit is in the way: its own work of lower
-	// urgency has to save its state and end first.
+	// quotaMargin replaces startMargin for jobs that the team limit keeps from starting. It is
+	// longer since the preempted tasks must save their checkpoints and end first.
 	quotaMargin = 20 * time.Second
-	// maxWait is how long jobs without a deadline wait before running work is stopped for
-	// them.
+	// maxWait is how long jobs without a deadline wait before they may preempt.
 	maxWait = 15 * time.Second
-	// maxStops is after how many stops no more are decided on in one round.
-	maxStops = 8
+	// maxPreemptions bounds the preemptions of a round. It is checked between machines, so the
+	// last set of victims may exceed it.
+	maxPreemptions = 8
 )
 
-// View is the state of one partition.
+// View is a snapshot of one partition.
 type View struct {
 	Now   time.Time
 	Teams []Team
@@ -37,31 +37,34 @@
 	Machines []Machine
 }
 
-// Team is a team's rights and use. A limit or guarantee of 0 is none.
+// Team is a team's guarantee, limit and usage. A guarantee or limit of 0 means none.
 type Team struct{ Guarantee, Limit, Used binpack.Compute }
 
-// Job is a job that has pending tasks, or whose running tasks may be stopped.
+// Job is a job with pending tasks, or with running tasks that may be preempted.
 type Job struct {
+	// Team is an index in the view.
 	Team        int
 	Urgency     protocol.Urgency
 	Resources   binpack.Resources
 	Constraints binpack.Constraints
-	// ReadyAt is when it could first have started.
+	// ReadyAt is the earliest time at which the job could have started.
 	ReadyAt time.Time
-	// Deadline is when it should be done; zero: it has no deadline.
+	// Deadline is when the job should be done; zero means no deadline.
 	Deadline time.Time
-	// EstimateS is how many seconds a task runs.
+	// EstimateS is the estimated run time of a task in seconds.
 	EstimateS float64
-	Pending   int
-	// Service: it runs until it is stopped, and its run time is no measure of its worth.
+	// Pending is the number of pending tasks.
+	Pending int
+	// Service marks a job that runs until it is stopped. Its preemptions are not limited by
+	// maxLostWork, since it has no run time to compare with.
 	Service bool
-	// NonPreempting: nothing is stopped for it, as for gangs.
+	// NonPreempting marks jobs that never preempt, such as gangs.
 	NonPreempting bool
-	// ClosedZones are zones where no further task of it may start.
+	// ClosedZones are the zones where no further task of the job may start.
 	ClosedZones map[string]bool
-	// FailedMachines are those on which it failed.
+	// FailedMachines are the names of machines on which the job failed.
 	FailedMachines map[string]bool
-	// Groups are its fair-share groups.
+	// Groups are the job's fair-share groups.
 	Groups [2]int
 }
 
@@ -70,38 +73,40 @@
 	// Job is the index of its job in the view.
 	Job  int
 	Name string
-	// LostWork is the work that stopping it throws away, in CPU seconds.
+	// LostWork is the work that is lost if the task is preempted, in CPU seconds.
 	LostWork float64
+	// Stopping marks a task that has already been told to stop.
 	Stopping bool
-	// ReservedFor is the fair-share group for which the room that it runs in is reserved,
-	// or fairshare.NoGroup. It is stopped only for others of the group.
+	// ReservedFor is the fair-share group for which the task's resources are reserved, or
+	// fairshare.NoGroup. The task is only preempted for jobs of that group.
 	ReservedFor int
 }
 
-// protectedFrom reports whether a task must not be stopped for a job, since that would undo
-// what is reserved for starved groups.
+// protectedFrom reports whether a task must not be preempted for a job because it uses resources
+// that are reserved for a fair-share group to which the job does not belong.
 func (t *Task) protectedFrom(job *Job) bool {
 	return t.ReservedFor != fairshare.NoGroup && !slices.Contains(job.Groups[:], t.ReservedFor)
 }
 
-// Machine is a usable machine. The machines of a view are in order of their names.
+// Machine is a usable machine. The machines of a view are sorted by name.
 type Machine struct {
 	Name string
 	Kind binpack.MachineKind
 	Free binpack.Resources
-	// Tasks are indexes of the tasks that run on it.
+	// Tasks are the running tasks, as indexes in the view.
 	Tasks []int
 }
 
-// Stop is a task that is to be stopped for a job. Both are indexes in the view.
-type Stop struct {
+// Preemption says that a task is stopped for a job. Both are indexes in the view.
+type Preemption struct {
 	Task, Job int
-	// TeamLimit: the limit of the job's team is in the way, not a lack of room.
+	// TeamLimit is set if the job is kept from starting by its team's limit and not by a lack
+	// of free machines.
 	TeamLimit bool
 }
 
-// MustStart reports whether a pending job can't wait any longer: it would be late if it did,
-// but is in time if it starts now.
+// MustStart reports whether a pending job may preempt now: whether it can still meet its deadline
+// but would soon miss it, or, without a deadline, has waited longer than maxWait.
 func MustStart(job *Job, team *Team, now time.Time) bool {
 	if job.Deadline.IsZero() {
 		return now.Sub(job.ReadyAt) > maxWait
@@ -114,7 +119,8 @@
 	return spare >= 0 && spare < margin
 }
 
-// withinGuarantee reports whether one more task of a job keeps the team within its guarantee.
+// withinGuarantee reports whether the team stays within its guarantee when one more task of a job
+// starts.
 func (t *Team) withinGuarantee(job *Job) bool {
 	if t.Guarantee.CPUs <= 0 && t.Guarantee.GPUs <= 0 {
 		return false
@@ -128,12 +134,12 @@
 	return t.Used.CPUs > t.Guarantee.CPUs+binpack.Epsilon || t.Used.GPUs > t.Guarantee.GPUs+binpack.Epsilon
 }
 
-// worth is how much work a task of a job brings that takes so many CPUs, in CPU seconds:
-// throwing away more than that helps nobody.
-func (j *Job) worth(cpus float64) float64 { return j.EstimateS * max(cpus, 1) }
+// maxLostWork returns how much work may be lost to start a task of a job, in CPU seconds: no more
+// than the task itself does if it uses that many CPUs.
+func (j *Job) maxLostWork(cpus float64) float64 { return j.EstimateS * max(cpus, 1) }
 
-// Decide says which tasks are stopped for which jobs. The view is not changed.
-func Decide(v View) []Stop {
+// Decide returns which tasks are preempted for which jobs. It does not modify the view.
+func Decide(v View) []Preemption {
 	r := newRound(v)
 	for i := range v.Jobs {
 		job := &v.Jobs[i]
@@ -146,5 +152,5 @@
 			r.freeMachines(i)
 		}
 	}
-	return r.stops
+	return r.preemptions
 }
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -13,89 +13,90 @@
 
 var now = time.Unix(1000, 0)
 
-const red, blue, green = 0, 1, 2 // red beyond its 16, blue within its, green has none
+// Teams: red exceeds its guarantee, blue is within its guarantee, green has none.
+const red, blue, green = 0, 1, 2
 
 func teams() []Team {
-	sixteen := binpack.Compute{CPUs: 16}
-	return []Team{{Guarantee: sixteen, Used: binpack.Compute{CPUs: 20}}, {Guarantee: sixteen, Used: binpack.Compute{CPUs: 8}}, {Used: binpack.Compute{CPUs: 4}}}
+	guarantee := binpack.Compute{CPUs: 16}
+	return []Team{{Guarantee: guarantee, Used: binpack.Compute{CPUs: 20}}, {Guarantee: guarantee, Used: binpack.Compute{CPUs: 8}}, {Used: binpack.Compute{CPUs: 4}}}
 }
 
-// must is a job that has to start now.
-func must(team int, u protocol.Urgency) Job {
+// urgentJob returns a job with one pending task that must start now.
+func urgentJob(team int, u protocol.Urgency) Job {
 	return Job{Team: team, Urgency: u, Resources: binpack.Resources{CPUs: 4, MemGB: 4}, Constraints: binpack.Constraints{Spot: true}, Deadline: now.Add(15 * time.Second), EstimateS: 10, Pending: 1}
 }
 
-// Who may be stopped for whom: PROTOCOL, "Preemption".
+// Checks the protocol's rule for which tasks may be preempted for which jobs.
 func TestMayPreempt(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		job, victim Job
-		used        float64 // of red
+		redUsedCPUs float64
 		want        bool
 	}{
-		{"lower urgency", must(red, protocol.High), must(blue, protocol.Standard), 20, true},
-		{"same urgency, not guaranteed", must(red, protocol.High), must(green, protocol.High), 20, false},
-		{"guaranteed, other team beyond its own", must(blue, protocol.Low), must(red, protocol.Production), 20, true},
-		{"guaranteed, other team without a guarantee", must(blue, protocol.Low), must(green, protocol.High), 20, true},
-		{"guaranteed, own team", must(blue, protocol.Low), must(blue, protocol.Low), 20, false},
-		{"guaranteed, other team within its own", must(blue, protocol.Low), must(red, protocol.Low), 16, false},
+		{"lower urgency", urgentJob(red, protocol.High), urgentJob(blue, protocol.Standard), 20, true},
+		{"same urgency, beyond the guarantee", urgentJob(red, protocol.High), urgentJob(green, protocol.High), 20, false},
+		{"within the guarantee, other team beyond its own", urgentJob(blue, protocol.Low), urgentJob(red, protocol.Production), 20, true},
+		{"within the guarantee, other team without one", urgentJob(blue, protocol.Low), urgentJob(green, protocol.High), 20, true},
+		{"within the guarantee, same team", urgentJob(blue, protocol.Low), urgentJob(blue, protocol.Low), 20, false},
+		{"within the guarantee, other team within its own", urgentJob(blue, protocol.Low), urgentJob(red, protocol.Low), 16, false},
 	} {
 		tc.victim.Pending = 0
 		v := View{Now: now, Teams: teams(), Jobs: []Job{tc.job, tc.victim}, Tasks: []Task{{Job: 1, Name: "job-2/0", LostWork: 1}},
 			Machines: []Machine{{Name: "m", Tasks: []int{0}}}}
-		v.Teams[red].Used.CPUs = tc.used
+		v.Teams[red].Used.CPUs = tc.redUsedCPUs
 		if got := len(Decide(v)) == 1; got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: preempted = %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
 func TestDecide(t *testing.T) {
-	two := []Task{{Job: 1, Name: "a", LostWork: 30}, {Job: 1, Name: "b", LostWork: 5}}
-	each := []Machine{{Name: "m-1", Tasks: []int{0}}, {Name: "m-2", Tasks: []int{1}}}
-	low := must(blue, protocol.Low)
+	tasks := []Task{{Job: 1, Name: "a", LostWork: 30}, {Job: 1, Name: "b", LostWork: 5}}
+	machines := []Machine{{Name: "m-1", Tasks: []int{0}}, {Name: "m-2", Tasks: []int{1}}}
+	low := urgentJob(blue, protocol.Low)
 	low.Pending = 0
 	for name, c := range map[string]struct {
 		change func(*View)
-		want   []Stop
+		want   []Preemption
 	}{
-		"where it costs least":                  {func(v *View) {}, []Stop{{Task: 1}}},
-		"not while there is time":               {func(v *View) { v.Jobs[0].Deadline = now.Add(time.Minute) }, nil},
-		"not when it is too late":               {func(v *View) { v.Jobs[0].Deadline = now.Add(9 * time.Second) }, nil},
-		"without a deadline after some seconds": {func(v *View) { v.Jobs[0].Deadline, v.Jobs[0].ReadyAt = time.Time{}, now.Add(-16*time.Second) }, []Stop{{Task: 1}}},
-		"not for a gang":                        {func(v *View) { v.Jobs[0].NonPreempting = true }, nil},
-		"not where it failed":                   {func(v *View) { v.Jobs[0].FailedMachines = map[string]bool{"m-2": true} }, []Stop{{Task: 0}}},
-		"not in a closed zone":                  {func(v *View) { v.Jobs[0].ClosedZones = map[string]bool{"": true} }, nil},
-		"not what costs more than it brings":    {func(v *View) { v.Tasks[0].LostWork, v.Tasks[1].LostWork = 41, 41 }, nil},
-		"what stops already is enough":          {func(v *View) { v.Tasks[1].Stopping = true }, nil},
-		"each machine once":                     {func(v *View) { v.Jobs[0].Pending = 3 }, []Stop{{Task: 1}, {Task: 0}}},
-		"not what runs in what is kept":         {func(v *View) { v.Tasks[1].ReservedFor = 7 }, []Stop{{Task: 0}}},
-		"but for others that it is kept for":    {func(v *View) { v.Tasks[1].ReservedFor, v.Jobs[0].Groups[1] = 7, 7 }, []Stop{{Task: 1}}},
-		"not what is kept of the limit": {func(v *View) {
+		"least lost work":                             {func(v *View) {}, []Preemption{{Task: 1}}},
+		"job that can still wait":                     {func(v *View) { v.Jobs[0].Deadline = now.Add(time.Minute) }, nil},
+		"job that is already late":                    {func(v *View) { v.Jobs[0].Deadline = now.Add(9 * time.Second) }, nil},
+		"job without a deadline after maxWait":        {func(v *View) { v.Jobs[0].Deadline, v.Jobs[0].ReadyAt = time.Time{}, now.Add(-16*time.Second) }, []Preemption{{Task: 1}}},
+		"gang":                                        {func(v *View) { v.Jobs[0].NonPreempting = true }, nil},
+		"machine where the job failed":                {func(v *View) { v.Jobs[0].FailedMachines = map[string]bool{"m-2": true} }, []Preemption{{Task: 0}}},
+		"closed zone":                                 {func(v *View) { v.Jobs[0].ClosedZones = map[string]bool{"": true} }, nil},
+		"lost work above the maximum":                 {func(v *View) { v.Tasks[0].LostWork, v.Tasks[1].LostWork = 41, 41 }, nil},
+		"stopping task suffices":                      {func(v *View) { v.Tasks[1].Stopping = true }, nil},
+		"one pending task on each machine":            {func(v *View) { v.Jobs[0].Pending = 3 }, []Preemption{{Task: 1}, {Task: 0}}},
+		"task protected by a reservation":             {func(v *View) { v.Tasks[1].ReservedFor = 7 }, []Preemption{{Task: 0}}},
+		"task with a reservation for the job's group": {func(v *View) { v.Tasks[1].ReservedFor, v.Jobs[0].Groups[1] = 7, 7 }, []Preemption{{Task: 1}}},
+		"team limit: task protected by a reservation": {func(v *View) {
 			v.Jobs[1].Team, v.Tasks[1].ReservedFor = red, 7
 			v.Teams[red].Limit.CPUs = 20
-		}, []Stop{{Task: 0, TeamLimit: true}}},
-		"the team's own lower work, where its limit is in the way": {func(v *View) {
+		}, []Preemption{{Task: 0, TeamLimit: true}}},
+		"team limit: task of lower urgency of the same team": {func(v *View) {
 			v.Jobs[1].Team = red
 			v.Teams[red].Limit.CPUs = 20
-		}, []Stop{{Task: 1, TeamLimit: true}}},
+		}, []Preemption{{Task: 1, TeamLimit: true}}},
 	} {
-		v := View{Now: now, Teams: teams(), Jobs: []Job{must(red, protocol.High), low}, Tasks: append([]Task(nil), two...), Machines: each}
+		v := View{Now: now, Teams: teams(), Jobs: []Job{urgentJob(red, protocol.High), low}, Tasks: append([]Task(nil), tasks...), Machines: machines}
 		c.change(&v)
 		if got := Decide(v); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+			t.Errorf("%s: Decide() = %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-// Random partitions: the same view gives the same stops; nothing is stopped twice, that
-// stops already, or that the rule keeps.
+// Checks on random views that Decide is deterministic, exceeds maxPreemptions by at most one machine's tasks, and preempts each
+// task at most once, no stopping tasks, and only tasks that the protocol's rule allows.
 func TestPreemptionsRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		v := View{Now: now, Teams: teams()}
 		for range 2 + rng.IntN(10) {
-			j := must(rng.IntN(3), protocol.Urgency(rng.IntN(4)))
+			j := urgentJob(rng.IntN(3), protocol.Urgency(rng.IntN(4)))
 			j.Pending, j.Deadline = rng.IntN(4), now.Add(time.Duration(8+rng.IntN(12))*time.Second)
 			v.Jobs = append(v.Jobs, j)
 		}
@@ -107,18 +108,18 @@
 			}
 			v.Machines = append(v.Machines, m)
 		}
-		stops := Decide(v)
-		if again := Decide(v); !reflect.DeepEqual(stops, again) {
-			t.Fatalf("seed %d: other stops of the same view", seed)
+		preemptions := Decide(v)
+		if again := Decide(v); !reflect.DeepEqual(preemptions, again) {
+			t.Fatalf("seed %d: Decide returned different preemptions for the same view", seed)
 		}
 		seen := map[int]bool{}
-		for _, s := range stops {
-			j, victim := v.Jobs[s.Job], v.Jobs[v.Tasks[s.Task].Job]
+		for _, p := range preemptions {
+			j, victim := v.Jobs[p.Job], v.Jobs[v.Tasks[p.Task].Job]
 			allowed := victim.Urgency < j.Urgency || v.Teams[j.Team].withinGuarantee(&j) && victim.Team != j.Team && v.Teams[victim.Team].beyondGuarantee()
-			if seen[s.Task] || v.Tasks[s.Task].Stopping || !allowed || len(stops) > maxStops+4 {
-				t.Errorf("seed %d: %+v of %+v", seed, s, stops)
+			if seen[p.Task] || v.Tasks[p.Task].Stopping || !allowed || len(preemptions) > maxPreemptions+4 {
+				t.Errorf("seed %d: invalid preemption %+v, or too many: %+v", seed, p, preemptions)
 			}
-			seen[s.Task] = true
+			seen[p.Task] = true
 		}
 	}
 }
--- a/internal/coordination/scaling/membership.go
+++ b/internal/coordination/scaling/membership.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// adopt assigns unrecorded machines to the partitions that have the fewest, of these to the
-// last one with pending work.
+// adopt assigns unrecorded machines to partitions. While a scale-out is in progress, the first attempt
+// for a machine is put off, since the machine may belong to the scale-out.
 func (r *round) adopt() {
 	counts := make([]int, len(r.Partitions))
 	for i := range r.Machines {
 		counts[r.Machines[i].Partition]++
 	}
 	for _, machine := range r.Unrecorded {
-		if r.recently(machine.TriedAt, retryRest) {
+		if r.recently(machine.TriedAt, retryInterval) {
 			continue
 		}
-		if len(r.ScalingOut) > 0 && r.Now.Sub(machine.TriedAt) > adoptionMemory {
+		if len(r.ScalingOut) > 0 && r.Now.Sub(machine.TriedAt) > adoptionAttemptTTL {
 			r.plan.AdoptLater = append(r.plan.AdoptLater, machine.Name)
 			continue
 		}
-		partition := r.neediest(counts)
+		partition := r.smallestPartition(counts)
 		counts[partition]++
 		r.plan.Adopt = append(r.plan.Adopt, Adoption{Name: machine.Name, Partition: partition})
 	}
 }
 
-// neediest picks a partition by its count of machines.
-func (r *round) neediest(counts []int) int {
+// smallestPartition returns a partition with the fewest machines. If several have as few, it returns
+// the last of them with demands, or else the first.
+func (r *round) smallestPartition(counts []int) int {
 	fewest := slices.Min(counts)
 	best := slices.Index(counts, fewest)
 	for i, count := range counts {
@@ -35,12 +36,12 @@
 	return best
 }
 
-// terminate gives up machines that are unhealthy.
+// terminate plans the termination of unhealthy machines.
 func (r *round) terminate() {
 	for i := range r.Machines {
 		machine := &r.Machines[i]
 		reason, unhealthy := machine.unhealthy()
-		if !unhealthy || r.recently(machine.DeletingSince, retryRest) {
+		if !unhealthy || r.recently(machine.DeletingSince, retryInterval) {
 			continue
 		}
 		r.terminated[i] = true
@@ -48,8 +49,8 @@
 	}
 }
 
-// unhealthy reports whether a machine is to be terminated, and why. A quarantined one may
-// finish its tasks before.
+// unhealthy reports whether a machine is to be terminated, and why. A quarantined machine may finish
+// its tasks first.
 func (m *Machine) unhealthy() (TerminationReason, bool) {
 	switch {
 	case m.Lost:
--- a/internal/coordination/scaling/move.go
+++ b/internal/coordination/scaling/move.go
@@ -7,8 +7,8 @@
 	"micaspindle/internal/coordination/binpack"
 )
 
-// move moves idle machines from partitions without fitting work to others, whose tasks have
-// waited longest first.
+// move moves idle machines from partitions that have no tasks for them to partitions with demands,
+// beginning with the partition whose tasks have waited longest.
 func (r *round) move() {
 	for i := range r.Machines {
 		if r.mayMove(i) {
@@ -16,7 +16,7 @@
 			r.movable[partition] = append(r.movable[partition], i)
 		}
 	}
-	for _, to := range r.needy() {
+	for _, to := range r.partitionsByWait() {
 		for i := range r.demands[to] {
 			for from := range r.Partitions {
 				if from != to && r.Partitions[from].Known {
@@ -32,11 +32,11 @@
 	machine := &r.Machines[i]
 	return machine.Type != nil && machine.Idle &&
 		!machine.Retiring && !machine.Quarantined && !machine.Lost && !r.terminated[i] &&
-		!r.recently(machine.MovedAt, moveRest) && !r.recently(machine.DeletingSince, retryRest)
+		!r.recently(machine.MovedAt, moveCooldown) && !r.recently(machine.DeletingSince, retryInterval)
 }
 
-// needy lists the partitions with demands, by their longest wait.
-func (r *round) needy() []int {
+// partitionsByWait returns the partitions with demands, sorted by the longest wait of their tasks, descending.
+func (r *round) partitionsByWait() []int {
 	var partitions []int
 	longestS := make([]float64, len(r.Partitions))
 	for i, demands := range r.demands {
@@ -51,7 +51,8 @@
 	return partitions
 }
 
-// moveFrom moves machines from one partition to another until they serve a demand there.
+// moveFrom moves machines from one partition to another until a demand there is met or no suitable
+// machine is left.
 func (r *round) moveFrom(from, to int, demand *Demand) {
 	r.movable[from] = slices.DeleteFunc(r.movable[from], func(i int) bool {
 		machine := &r.Machines[i]
@@ -59,7 +60,7 @@
 			return false
 		}
 		slots := binpack.Size(machine.Type).Slots(demand.Resources, demand.Count)
-		if slots == 0 || r.wants(from, machine) {
+		if slots == 0 || r.hasDemandFor(from, machine) {
 			return false
 		}
 		demand.Count -= slots
--- a/internal/coordination/scaling/scale_in.go
+++ b/internal/coordination/scaling/scale_in.go
@@ -1,16 +1,16 @@
 package scaling
 
-// scaleIn gives back machines that have been idle for long and that no partition wants, unless
-// their first minute is not over.
+// scaleIn plans the release of machines that have been idle for long and that no partition needs.
 func (r *round) scaleIn() {
 	for i := range r.Machines {
-		if r.mayScaleIn(i) && !r.wantedAnywhere(&r.Machines[i]) {
+		if r.mayScaleIn(i) && !r.mayBeNeeded(&r.Machines[i]) {
 			r.plan.ScaleIns = append(r.plan.ScaleIns, r.Machines[i].Name)
 		}
 	}
 }
 
-// mayScaleIn reports whether a machine has been idle for long and nothing else is done with it.
+// mayScaleIn reports whether a machine has been idle for long, is older than minLifetime, and is
+// affected neither by the rest of the plan nor by a recent move or deletion.
 func (r *round) mayScaleIn(i int) bool {
 	machine := &r.Machines[i]
 	maxIdle := r.IdleOrdinary
@@ -20,14 +20,14 @@
 	return machine.Type != nil && machine.Idle && machine.IdleS >= maxIdle.Seconds() &&
 		!r.moved[i] && !r.terminated[i] &&
 		!r.recently(machine.RecordedAt, minLifetime) &&
-		!r.recently(machine.MovedAt, moveRest) && !r.recently(machine.DeletingSince, retryRest)
+		!r.recently(machine.MovedAt, moveCooldown) && !r.recently(machine.DeletingSince, retryInterval)
 }
 
-// wantedAnywhere reports whether a partition wants a machine, or may want it since its leader
-// has said nothing lately.
-func (r *round) wantedAnywhere(machine *Machine) bool {
+// mayBeNeeded reports whether some partition has demand for a machine, or may have it because its
+// leader has not reported recently.
+func (r *round) mayBeNeeded(machine *Machine) bool {
 	for partition := range r.Partitions {
-		if !r.Partitions[partition].Known || r.wants(partition, machine) {
+		if !r.Partitions[partition].Known || r.hasDemandFor(partition, machine) {
 			return true
 		}
 	}
--- a/internal/coordination/scaling/scale_out.go
+++ b/internal/coordination/scaling/scale_out.go
@@ -8,9 +8,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// scaleOut asks the cloud for machines for the demands that no idle machine serves. Partitions
-// for which a scale-out is under way are left out, since their demands don't reflect yet what
-// it brings.
+// scaleOut plans requests to the cloud for the demands that moved machines don't meet. Partitions
+// with a scale-out in progress are skipped, since their demands don't account for its machines yet.
 func (r *round) scaleOut() {
 	for partition := range r.Partitions {
 		if r.Partitions[partition].Known && !r.ScalingOut[partition] {
@@ -19,12 +18,12 @@
 	}
 }
 
-// scaleOutPartition asks for machines for a partition, demand by demand.
+// scaleOutPartition plans scale-outs for the demands of a partition, in queue order.
 func (r *round) scaleOutPartition(partition int) {
 	fleet := r.fleet(partition)
-	wanted := map[binpack.MachineKind]int{}
-	var kinds []binpack.MachineKind // in the order in which they are first wanted
-	ahead := 0.0                    // tasks of earlier demands
+	requested := map[binpack.MachineKind]int{}
+	var kinds []binpack.MachineKind // keys of requested, in order of insertion
+	ahead := 0.0                    // number of tasks of earlier demands
 	demands := r.demands[partition]
 	for i := range demands {
 		demand := &demands[i]
@@ -35,21 +34,21 @@
 			if !found {
 				break
 			}
-			if wanted[kind] == 0 {
+			if requested[kind] == 0 {
 				kinds = append(kinds, kind)
 			}
-			wanted[kind]++
+			requested[kind]++
 			fleet[kind]++
-			r.serve(kind, demands)
+			r.allocate(kind, demands)
 		}
 		ahead += count
 	}
 	for _, kind := range kinds {
-		r.plan.ScaleOuts = append(r.plan.ScaleOuts, ScaleOut{Kind: kind, Partition: partition, Count: wanted[kind]})
+		r.plan.ScaleOuts = append(r.plan.ScaleOuts, ScaleOut{Kind: kind, Partition: partition, Count: requested[kind]})
 	}
 }
 
-// fleet counts the machines of a partition by kind.
+// fleet counts the serving machines of a partition by kind.
 func (r *round) fleet(partition int) map[binpack.MachineKind]int {
 	counts := map[binpack.MachineKind]int{}
 	for i := range r.Machines {
@@ -61,7 +60,7 @@
 	return counts
 }
 
-// machineType finds a type in the catalog, nil if it is not there.
+// machineType returns a machine type of the catalog, or nil if there is none of that name.
 func (r *round) machineType(name string) *protocol.MachineType {
 	for i := range r.Catalog {
 		if r.Catalog[i].Name == name {
@@ -71,41 +70,42 @@
 	return nil
 }
 
-// fleetSlots is how many tasks like a demand's a fleet runs at once, on machines that no work
-// of fewer choices needs.
+// fleetSlots returns how many of a demand's tasks a fleet can run at once, without the machine types
+// that are needed by jobs that fit fewer types.
 func (r *round) fleetSlots(demand *Demand, fleet map[binpack.MachineKind]int) float64 {
-	slots, breadth := 0, r.breadth(demand)
+	slots, typeCount := 0, r.eligibleTypes(demand)
 	for kind, count := range fleet {
 		machineType := r.machineType(kind.Type)
-		if machineType != nil && !r.Scarcity.Contested(kind.Type, breadth) && demand.Constraints.Allows(kind) {
+		if machineType != nil && !r.Scarcity.Contested(kind.Type, typeCount) && demand.Constraints.Allows(kind) {
 			slots += count * binpack.Size(machineType).Slots(demand.Resources, binpack.UnboundedSlots)
 		}
 	}
 	return float64(slots)
 }
 
-// breadth is how many machine types a demand's tasks fit.
-func (r *round) breadth(demand *Demand) int {
-	breadth := 0
+// eligibleTypes returns the number of machine types that a demand's tasks fit.
+func (r *round) eligibleTypes(demand *Demand) int {
+	count := 0
 	for i := range r.Catalog {
 		if binpack.FitsType(demand.Constraints, demand.Resources, &r.Catalog[i]) {
-			breadth++
+			count++
 		}
 	}
-	return breadth
+	return count
 }
 
-// offer is a kind of machine that would serve a demand.
+// offer is a machine kind that can be requested for a demand.
 type offer struct {
 	kind binpack.MachineKind
-	// taskPrice is the machine's price over how many of the demand's tasks it holds.
+	// taskPrice is the machine's price divided by the number of the demand's tasks that fit on
+	// it.
 	taskPrice float64
-	// contested: work of fewer choices needs the type.
+	// contested is set if jobs that fit fewer machine types need this type.
 	contested bool
 }
 
-// betterThan reports whether an offer is uncontested where the other is not or, as to that
-// equal, cheaper.
+// betterThan reports whether an offer is preferred to another: uncontested types first, then the
+// lower price.
 func (o offer) betterThan(other offer) bool {
 	if o.contested != other.contested {
 		return !o.contested
@@ -113,26 +113,26 @@
 	return o.taskPrice < other.taskPrice-binpack.Epsilon
 }
 
-// cheapestKind picks the kind of machine that serves a demand at the least price for each of
-// its tasks, the first of several. Types that work of fewer choices needs come last. waitS is
-// how many seconds the demand's last task would wait for the machines that there are.
+// cheapestKind returns the best offer for a demand: the machine kind with the lowest price per task,
+// where contested types come last and the first kind wins a tie. waitS is how many seconds the last
+// task of the demand would wait for the existing machines.
 func (r *round) cheapestKind(demand *Demand, waitS float64) (binpack.MachineKind, bool) {
 	best := offer{taskPrice: math.Inf(1), contested: true}
 	found := false
-	breadth := r.breadth(demand)
+	typeCount := r.eligibleTypes(demand)
 	for i := range r.Catalog {
 		machineType := &r.Catalog[i]
 		slots := binpack.Size(machineType).Slots(demand.Resources, demand.Count)
 		if slots == 0 {
 			continue
 		}
-		contested := r.Scarcity.Contested(machineType.Name, breadth)
+		contested := r.Scarcity.Contested(machineType.Name, typeCount)
 		zones := slices.Clone(machineType.ZonesOffered)
 		slices.Sort(zones)
 		for _, zone := range zones {
 			for _, spot := range []bool{true, false} {
 				kind := binpack.MachineKind{Type: machineType.Name, Zone: zone, Spot: spot}
-				if !r.mayAskFor(kind, machineType, demand, waitS) {
+				if !r.mayRequest(kind, machineType, demand, waitS) {
 					continue
 				}
 				candidate := offer{kind: kind, taskPrice: price(machineType, spot) / float64(slots), contested: contested}
@@ -145,13 +145,14 @@
 	return best.kind, found
 }
 
-// mayAskFor reports whether a kind of machine will do for a demand and may be had. Ordinary
-// machines are not asked for while the demand has time to wait for a spot machine.
-func (r *round) mayAskFor(kind binpack.MachineKind, machineType *protocol.MachineType, demand *Demand, waitS float64) bool {
+// mayRequest reports whether a machine kind may be requested for a demand. Kinds that the cloud
+// recently refused are excluded, and so are ordinary machines while the demand has time to wait for
+// spot capacity.
+func (r *round) mayRequest(kind binpack.MachineKind, machineType *protocol.MachineType, demand *Demand, waitS float64) bool {
 	if !demand.Constraints.Allows(kind) || r.Now.Before(r.RefusedCapacity[kind]) {
 		return false
 	}
-	mayWait := !kind.Spot && demand.Constraints.Spot && demand.SlackS-demand.EstimateS-machineType.BootS-waitS > spotSlackS
+	mayWait := !kind.Spot && demand.Constraints.Spot && demand.SlackS-demand.EstimateS-machineType.BootS-waitS > minSpotSlackS
 	return !mayWait
 }
 
@@ -162,16 +163,16 @@
 	return machineType.Price
 }
 
-// serve takes off the demands what a machine of a kind would run.
-func (r *round) serve(kind binpack.MachineKind, demands []Demand) {
-	room := binpack.Size(r.machineType(kind.Type))
+// allocate subtracts from the demands the tasks that a new machine of a kind would run.
+func (r *round) allocate(kind binpack.MachineKind, demands []Demand) {
+	free := binpack.Size(r.machineType(kind.Type))
 	for i := range demands {
 		demand := &demands[i]
 		if !demand.Constraints.Allows(kind) {
 			continue
 		}
-		slots := room.Slots(demand.Resources, demand.Count)
+		slots := free.Slots(demand.Resources, demand.Count)
 		demand.Count -= slots
-		room = room.Plus(demand.Resources, -float64(slots))
+		free = free.Plus(demand.Resources, -float64(slots))
 	}
 }
--- a/internal/coordination/scaling/scaling.go
+++ b/internal/coordination/scaling/scaling.go
@@ -1,6 +1,6 @@
-// Package scaling decides, for the cluster's leader, on the machines of all partitions: which
-// are adopted, terminated and moved, and how the fleet scales out and in. It is a pure function
-// of a view; the leader gathers that, and does what the plan says.
+// Package scaling plans the changes of the fleet for the cluster leader: which machines are adopted,
+// terminated or moved between partitions, and how the fleet scales out and in. It works on a
+// snapshot; the leader collects the snapshot and executes the plan.
 package scaling
 
 import (
@@ -12,73 +12,76 @@
 )
 
 const (
-	// moveRest is how long a machine that was moved is left alone.
-	moveRest = 3 * time.Second
-	// retryRest is how long after an adoption or a termination was started the same is not
-	// started again.
-	retryRest = 5 * time.Second
-	// adoptionMemory is beyond how long ago an adoption that was tried counts as never tried.
-	adoptionMemory = time.Hour
-	// minLifetime is how long a machine is kept in any case: its first minute is paid.
+	// moveCooldown is the time after a move during which a machine is neither moved again nor
+	// scaled in.
+	moveCooldown = 3 * time.Second
+	// retryInterval is the minimum time between attempts to adopt or to delete the same machine.
+	retryInterval = 5 * time.Second
+	// adoptionAttemptTTL is the age from which an adoption attempt is ignored.
+	adoptionAttemptTTL = time.Hour
+	// minLifetime is the age before which machines are not scaled in: the cloud bills the first
+	// minute in any case.
 	minLifetime = 55 * time.Second
-	// spotSlackS is how many seconds a task must have left, beyond its run and the boot, to
-	// wait for spot capacity instead of paying the ordinary price.
-	spotSlackS = 10.0
+	// minSpotSlackS is the slack in seconds, after waiting, boot and run time, above which a task
+	// waits for spot capacity and does not use ordinary machines.
+	minSpotSlackS = 10.0
 )
 
-// View is all that the decisions depend on.
+// View is a snapshot of the cluster.
 type View struct {
 	Now time.Time
-	// Partitions are by their numbers.
+	// Partitions are indexed by partition number.
 	Partitions []Partition
-	// Machines are those on record, by name.
+	// Machines are the machines with a record, sorted by name.
 	Machines []Machine
 	Catalog  []protocol.MachineType
 	Scarcity binpack.Scarcity
-	// RefusedCapacity says until when what the cloud refused is not asked for.
+	// RefusedCapacity holds the machine kinds that the cloud refused, and until when they are
+	// not requested again.
 	RefusedCapacity map[binpack.MachineKind]time.Time
-	// ScalingOut are the partitions for which a scale-out is under way.
+	// ScalingOut holds the partitions with a scale-out in progress.
 	ScalingOut map[int]bool
 	Unrecorded []Unrecorded
-	// IdleSpot and IdleOrdinary are how long machines may be idle before they are scaled in.
+	// IdleSpot and IdleOrdinary are the idle times after which spot and ordinary machines are
+	// scaled in.
 	IdleSpot, IdleOrdinary time.Duration
 }
 
-// Partition is what the leader of a partition last said of it.
+// Partition is the last report of a partition's leader.
 type Partition struct {
-	// Known: it has said something lately.
+	// Known is set if the leader has reported recently.
 	Known bool
-	// Demands are the pending tasks that find no room, in queue order.
+	// Demands are the pending tasks that need additional machines, in queue order.
 	Demands []Demand
 }
 
-// Demand is a number of pending tasks that are alike.
+// Demand is a group of pending tasks of the same job.
 type Demand struct {
 	Constraints binpack.Constraints
 	Resources   binpack.Resources
 	Count       int
-	// EstimateS is how many seconds a task runs, SlackS in how many it should be done, and
-	// WaitedS for how many it has waited.
+	// EstimateS is the estimated run time of a task, SlackS the time left until it should be
+	// done, and WaitedS the time that it has waited, all in seconds.
 	EstimateS, SlackS, WaitedS float64
 }
 
-// Machine is a machine on record.
+// Machine is a machine with a record.
 type Machine struct {
 	Name      string
 	Partition int
 	Kind      binpack.MachineKind
-	Type      *protocol.MachineType // nil: not in the catalog
-	// Serving: it is neither lost nor quarantined, for all that the cluster's leader itself
-	// knows.
+	Type      *protocol.MachineType // nil if not in the catalog
+	// Serving is set if the cluster leader itself does not consider the machine lost or
+	// quarantined.
 	Serving bool
-	// What the leader of its partition says of it. NeverUp: it has sent no heartbeat for
-	// longer than it takes to boot. Retiring: it gets no more tasks.
+	// Status reported by the partition's leader. NeverUp: no first heartbeat within the expected
+	// boot time. Retiring: the machine gets no further tasks.
 	Idle, Lost, Quarantined, NeverUp, Retiring bool
-	// IdleS is for how many seconds it has been idle.
+	// IdleS is how many seconds the machine has been idle.
 	IdleS float64
-	// Failed is what the cloud says of it.
+	// Failed is set if the cloud reports the machine as failed.
 	Failed bool
-	// RecordedAt is when it came on record, MovedAt when it was last moved, and
+	// RecordedAt is when the record was created, MovedAt when the machine was last moved, and
 	// DeletingSince when its deletion was last started.
 	RecordedAt, MovedAt, DeletingSince time.Time
 }
@@ -87,19 +90,20 @@
 type Unrecorded struct {
 	Name string
 	Kind binpack.MachineKind
-	// TriedAt is when its adoption was last started.
+	// TriedAt is the time of the last adoption attempt, including one that was put off.
 	TriedAt time.Time
 }
 
-// Plan is what is to be done.
+// Plan is the result of Decide.
 type Plan struct {
 	Adopt []Adoption
-	// AdoptLater are unrecorded machines that may be the answer to a scale-out under way.
+	// AdoptLater are the names of unrecorded machines that may belong to a scale-out in
+	// progress. Their adoption is put off.
 	AdoptLater []string
 	Terminate  []Termination
 	Moves      []Move
 	ScaleOuts  []ScaleOut
-	// ScaleIns are names of machines.
+	// ScaleIns are the names of the machines to release.
 	ScaleIns []string
 }
 
@@ -115,10 +119,9 @@
 	Reason TerminationReason
 }
 
-// TerminationReason says why a machine is terminated.
+// TerminationReason is the reason for terminating a machine.
 type TerminationReason string
 
-// Reasons of terminations.
 const (
 	reasonLost        TerminationReason = "lost"
 	reasonQuarantined TerminationReason = "faulty"
@@ -126,20 +129,20 @@
 	reasonNeverUp     TerminationReason = "never came up"
 )
 
-// Move moves an idle machine between partitions.
+// Move moves an idle machine from one partition to another.
 type Move struct {
 	Name     string
 	From, To int
 }
 
-// ScaleOut is a request for machines of one kind.
+// ScaleOut requests new machines of one kind for a partition.
 type ScaleOut struct {
 	Kind      binpack.MachineKind
 	Partition int
 	Count     int
 }
 
-// Decide makes a plan. The view is not changed.
+// Decide plans the changes of the fleet. It does not modify the view.
 func Decide(v View) Plan {
 	r := newRound(v)
 	r.adopt()
@@ -150,14 +153,14 @@
 	return r.plan
 }
 
-// round is the state of one call of Decide.
+// round is the working state of one call of Decide.
 type round struct {
 	View
-	// demands are those of the partitions. They shrink as they are served.
+	// demands are the unmet demands by partition. Their counts shrink as the plan grows.
 	demands [][]Demand
-	// movable are the idle machines that may be moved, by partition.
+	// movable holds the idle machines that may be moved, by partition.
 	movable [][]int
-	// moved and terminated are machines that the plan has something for.
+	// moved and terminated are the machines that the plan moves or terminates.
 	moved, terminated map[int]bool
 	plan              Plan
 }
@@ -176,11 +179,11 @@
 	return r
 }
 
-// recently reports whether a moment lies less than a duration back.
+// recently reports whether a time is less than a duration ago.
 func (r *round) recently(at time.Time, within time.Duration) bool { return r.Now.Sub(at) < within }
 
-// wants reports whether a partition has pending work for a machine.
-func (r *round) wants(partition int, machine *Machine) bool {
+// hasDemandFor reports whether a partition has an unmet demand that a machine could serve.
+func (r *round) hasDemandFor(partition int, machine *Machine) bool {
 	return slices.ContainsFunc(r.demands[partition], func(d Demand) bool {
 		return d.Count > 0 && d.Constraints.Allows(machine.Kind) && binpack.Size(machine.Type).Slots(d.Resources, d.Count) > 0
 	})
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -18,8 +18,9 @@
 		{Name: "small", CPUs: 8, MemGB: 16, Price: 1.2, SpotPrice: 0.2, BootS: 5, ZonesOffered: []string{"a"}}}
 )
 
-func world(parts int) View {
-	v := View{Now: now, Partitions: make([]Partition, parts), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
+// newView returns a view of partitions without demands or machines.
+func newView(partitions int) View {
+	v := View{Now: now, Partitions: make([]Partition, partitions), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
 		IdleSpot: time.Minute, IdleOrdinary: 20 * time.Second}
 	for i := range v.Partitions {
 		v.Partitions[i].Known = true
@@ -27,8 +28,8 @@
 	return v
 }
 
-func (v *View) machine(name string, part, typ int, spot bool) *Machine {
-	v.Machines = append(v.Machines, Machine{Name: name, Partition: part, Kind: binpack.MachineKind{Type: catalog[typ].Name, Zone: "a", Spot: spot}, Type: &catalog[typ], Serving: true})
+func (v *View) machine(name string, partition, typeIndex int, spot bool) *Machine {
+	v.Machines = append(v.Machines, Machine{Name: name, Partition: partition, Kind: binpack.MachineKind{Type: catalog[typeIndex].Name, Zone: "a", Spot: spot}, Type: &catalog[typeIndex], Serving: true})
 	return &v.Machines[len(v.Machines)-1]
 }
 
@@ -37,37 +38,39 @@
 }
 
 func TestDecide(t *testing.T) {
-	spot := func(typ string) binpack.MachineKind { return binpack.MachineKind{Type: typ, Zone: "a", Spot: true} }
+	spot := func(machineType string) binpack.MachineKind {
+		return binpack.MachineKind{Type: machineType, Zone: "a", Spot: true}
+	}
 	for name, c := range map[string]struct {
 		view func(*View)
 		want Plan
 	}{
 		"nothing to do": {func(v *View) {}, Plan{}},
-		"an idle machine moves rather than one is rented": {func(v *View) {
+		"idle machine is moved instead of a scale-out": {func(v *View) {
 			v.machine("m", 0, 1, true).Idle = true
 			v.Partitions[1].Demands = []Demand{demand(4, 2)}
 		}, Plan{Moves: []Move{{"m", 0, 1}}}},
-		"not to another part while its own has work for it": {func(v *View) {
+		"machine stays while its own partition has demand for it": {func(v *View) {
 			v.machine("m", 0, 1, true).Idle = true
 			v.Partitions[0].Demands, v.Partitions[1].Demands = []Demand{demand(4, 2)}, []Demand{demand(4, 2)}
 			v.ScalingOut[0], v.ScalingOut[1] = true, true
 		}, Plan{}},
-		"not a machine that was just moved": {func(v *View) {
+		"machine that was just moved": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
 			m.Idle, m.MovedAt = true, now.Add(-time.Second)
 			v.Partitions[1].Demands = []Demand{demand(4, 2)}
 		}, Plan{ScaleOuts: []ScaleOut{{spot("small"), 1, 1}}}},
-		"the cheapest for each task": {func(v *View) { v.Partitions[0].Demands = []Demand{demand(9, 4)} },
+		"lowest price per task": {func(v *View) { v.Partitions[0].Demands = []Demand{demand(9, 4)} },
 			Plan{ScaleOuts: []ScaleOut{{spot("small"), 0, 5}}}},
-		"one request at a time for a part": {func(v *View) {
+		"scale-out in progress": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(9, 4)}
 			v.ScalingOut[0] = true
 		}, Plan{}},
-		"what was refused is not asked for": {func(v *View) {
+		"refused machine kind": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(2, 4)}
 			v.RefusedCapacity[spot("small")] = now.Add(time.Second)
 		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
-		"ordinary where there is no time to wait": {func(v *View) {
+		"ordinary machine if there is no time to wait for spot": {func(v *View) {
 			d := demand(1, 4)
 			d.SlackS = 12
 			v.Partitions[0].Demands = []Demand{d}
@@ -75,58 +78,58 @@
 				v.RefusedCapacity[k] = now.Add(time.Second)
 			}
 		}, Plan{ScaleOuts: []ScaleOut{{binpack.MachineKind{Type: "small", Zone: "a"}, 0, 1}}}},
-		"a type that choosier work needs comes last": {func(v *View) {
+		"type that a more constrained job needs is avoided": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(2, 4)}
 			v.Scarcity.Note("small", 1)
 		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
-		"given up, and not returned as well": {func(v *View) {
+		"terminated machine is not scaled in as well": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
 			m.Idle, m.Quarantined, m.IdleS = true, true, 1000
 		}, Plan{Terminate: []Termination{{"m", "faulty"}}}},
-		"not twice": {func(v *View) {
+		"termination is not repeated at once": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
 			m.Lost, m.DeletingSince = true, now.Add(-time.Second)
 		}, Plan{}},
-		"an ordinary machine is returned sooner": {func(v *View) {
+		"ordinary machine is scaled in before spot": {func(v *View) {
 			for _, spot := range []bool{false, true} {
 				m := v.machine(fmt.Sprint("m ", spot), 0, 1, spot)
 				m.Idle, m.IdleS = true, 30
 			}
 		}, Plan{ScaleIns: []string{"m false"}}},
-		"none while a part is silent: it may want it": {func(v *View) {
+		"no scale-in while a partition does not report": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
 			m.Idle, m.IdleS = true, 30
 			v.Partitions[1].Known = false
 		}, Plan{}},
-		"its first minute is paid": {func(v *View) {
+		"no scale-in before the minimum lifetime": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
 			m.Idle, m.IdleS, m.RecordedAt = true, 30, now.Add(-40*time.Second)
 		}, Plan{}},
-		"strays go where least is, work first": {func(v *View) {
+		"unrecorded machines go to the smallest partition, with demand first": {func(v *View) {
 			v.machine("m", 0, 1, false)
 			v.Partitions = append(v.Partitions, Partition{Known: true, Demands: []Demand{{}}})
 			v.Unrecorded = []Unrecorded{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", TriedAt: now}}
 		}, Plan{Adopt: []Adoption{{"s-1", 2}, {"s-2", 1}}}},
-		"a stray waits while its rental may be unanswered": {func(v *View) {
+		"unrecorded machine is not adopted during a scale-out": {func(v *View) {
 			v.ScalingOut[0] = true
 			v.Unrecorded = []Unrecorded{{Name: "s"}}
 		}, Plan{AdoptLater: []string{"s"}}},
 	} {
-		v := world(2)
+		v := newView(2)
 		c.view(&v)
 		if got := Decide(v); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+			t.Errorf("%s: Decide() = %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-// Random views: the same view gives the same plan and is not changed; no machine is
-// acted on twice; no partition scales out by more than its demands need one by one.
+// Checks on random views that no machine is in the plan twice, and that no partition gets more new
+// machines than it has pending tasks. Decide must be deterministic and not modify the view.
 func TestPlansRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			v := world(1 + rng.IntN(5))
+			v := newView(1 + rng.IntN(5))
 			for i := range rng.IntN(40) {
 				m := v.machine(fmt.Sprintf("m-%02d", i), rng.IntN(len(v.Partitions)), rng.IntN(2), rng.IntN(2) == 0)
 				m.Idle, m.IdleS = rng.IntN(2) == 0, float64(rng.IntN(100))
@@ -147,24 +150,24 @@
 		v := build()
 		plan := Decide(v)
 		if !reflect.DeepEqual(v, build()) {
-			t.Fatalf("seed %d: the view was changed", seed)
+			t.Fatalf("seed %d: Decide modified the view", seed)
 		}
 		if again := Decide(build()); !reflect.DeepEqual(plan, again) {
-			t.Fatalf("seed %d: another plan of the same view", seed)
+			t.Fatalf("seed %d: Decide returned different plans for the same view", seed)
 		}
-		orders := map[string]int{}
+		changes := map[string]int{}
 		for _, d := range plan.Terminate {
-			orders[d.Name]++
+			changes[d.Name]++
 		}
 		for _, m := range plan.Moves {
-			orders[m.Name]++
+			changes[m.Name]++
 		}
 		for _, name := range plan.ScaleIns {
-			orders[name]++
+			changes[name]++
 		}
-		for name, n := range orders {
+		for name, n := range changes {
 			if n > 1 {
-				t.Errorf("seed %d: %s has %d orders: %+v", seed, name, n, plan)
+				t.Errorf("seed %d: machine %s is in the plan %d times: %+v", seed, name, n, plan)
 			}
 		}
 		for _, r := range plan.ScaleOuts {
@@ -173,7 +176,7 @@
 				tasks += d.Count
 			}
 			if r.Count > tasks || v.ScalingOut[r.Partition] || !v.Partitions[r.Partition].Known {
-				t.Errorf("seed %d: %+v for %d tasks", seed, r, tasks)
+				t.Errorf("seed %d: unexpected scale-out %+v for %d pending tasks", seed, r, tasks)
 			}
 		}
 	}
