--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -1,6 +1,6 @@
 // Package binpack checks which tasks fit on which machines: it compares the resources that tasks
-// need with those that machines have, and the tasks' constraints with machine kinds. It does not
-// depend on the types that represent jobs and machines elsewhere.
+// need with those that machines have, and the tasks' constraints with machine kinds. It is
+// independent of the data types for jobs and machines.
 package binpack
 
 import (
@@ -12,7 +12,7 @@
 // Epsilon is the tolerance for rounding errors in sums of resources.
 const Epsilon = 1e-6
 
-// UnboundedSlots is the slot limit for callers that need none of their own. It keeps the result
+// UnboundedSlots is the limit to pass to Slots if the number of tasks is unknown. It keeps the result
 // finite for tasks that need no resources.
 const UnboundedSlots = 1000
 
--- a/internal/coordination/binpack/binpack_test.go
+++ b/internal/coordination/binpack/binpack_test.go
@@ -36,6 +36,6 @@
 	s.Note("big", 2)
 	s.Note("big", 5)
 	if !s.Contested("big", 3) || s.Contested("big", 2) || s.Contested("small", 9) {
-		t.Error("only big is contested, and only for more than 2 types; scarcity:", s)
+		t.Error("want big contested for more than 2 types, and small not contested; scarcity:", s)
 	}
 }
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -39,7 +39,7 @@
 }
 
 // taskShape holds all properties that determine on which machines a task fits, for jobs without
-// zone constraints and failed machines.
+// zone constraints or failed machines.
 type taskShape struct {
 	resources binpack.Resources
 	zone      string
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -105,8 +105,8 @@
 	TeamLimit bool
 }
 
-// MustStart reports whether a pending job may preempt now: whether it can still meet its deadline
-// but would soon miss it, or, without a deadline, has waited longer than maxWait.
+// MustStart reports whether a pending job must start now: it would miss its deadline if it waited
+// longer than a margin, but not yet; or it has no deadline and has waited longer than maxWait.
 func MustStart(job *Job, team *Team, now time.Time) bool {
 	if job.Deadline.IsZero() {
 		return now.Sub(job.ReadyAt) > maxWait
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// Checks on random views that Decide is deterministic, exceeds maxPreemptions by at most one machine's tasks, and preempts each
-// task at most once, no stopping tasks, and only tasks that the protocol's rule allows.
+// Checks on random views that Decide is deterministic, exceeds maxPreemptions by no more than the
+// tasks of one machine, and preempts each task only once, if it isn't already stopping and the
+// protocol's rule allows it.
 func TestPreemptionsRespectConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -38,9 +38,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	spot := func(machineType string) binpack.MachineKind {
-		return binpack.MachineKind{Type: machineType, Zone: "a", Spot: true}
-	}
+	spot := func(name string) binpack.MachineKind { return binpack.MachineKind{Type: name, Zone: "a", Spot: true} }
 	for name, c := range map[string]struct {
 		view func(*View)
 		want Plan
