--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -8,73 +8,79 @@
 	"micaspindle/internal/protocol"
 )
 
-// AttemptState is how far an attempt has come. It only grows.
+// AttemptState is how far an attempt has progressed. It only ever increases.
 type AttemptState int
 
 const (
-	AttemptReserved  AttemptState = iota // in memory, not yet on record
+	AttemptReserved  AttemptState = iota // planned in memory, not on record yet
 	AttemptCommitted                     // on record: its start may be sent
 	AttemptConfirmed                     // the agent has reported it
-	AttemptExited                        // the agent has reported its end
-	AttemptReleased                      // proven over: to be dropped from the record
+	AttemptExited                        // the agent has reported that it ended
+	AttemptReleased                      // certainly over: to be removed from the record
 )
 
-// Attempt is one try of a task in one epoch of a machine's agent.
+// Attempt is one execution of a task on a machine, within one epoch of the machine's agent.
 type Attempt struct {
 	Job       *Job
 	TaskIndex int
-	// Number is the attempt number, unique and growing within a run record (rule 52).
+	// Number is the attempt number: unique and increasing within a run record (rule 52).
 	Number  uint64
 	Machine *Machine
-	// Epoch is the agent epoch for which it was committed.
+	// Epoch is the agent epoch that the attempt was committed for.
 	Epoch uint64
 	State AttemptState
 
-	// What the agent has reported.
+	// Reported by the agent.
 
-	// ExitCause is why it ended, as reported; "": it has not, or no cause was given.
+	// ExitCause is the reported reason for its end, or "" if it has not ended or no cause
+	// was given.
 	ExitCause string
 	// StartedAt is when it was first seen running.
 	StartedAt time.Time
-	// Slow: it has run far longer than the job's tasks on other machines.
+	// Slow is set if it has run far longer than the job's tasks did on other machines.
 	Slow bool
 
 	// The start command.
 
 	CommittedAt time.Time
-	// StartToken is the highest fencing token under which a start was sent; 0: none was.
+	// StartToken is the highest fencing token under which its start command was sent, or 0
+	// if none was.
 	StartToken uint64
-	// StartSentAt is when a start was last sent.
+	// StartSentAt is when its start command was last sent.
 	StartSentAt time.Time
-	// StartsInFlight counts the requests under way that carry its start.
+	// StartsInFlight counts the requests in flight that carry its start command.
 	StartsInFlight int
-	// StartUnanswered: a start was sent and nobody knows whether it arrived. It may still
-	// arrive, so the attempt must not be reaped under StartToken (rule 9).
+	// StartUnanswered is set if a start command was sent and may or may not have arrived.
+	// It may still arrive, so while StartToken is the machine's token the agent must not
+	// forget the attempt (rule 9).
 	StartUnanswered bool
 
 	// The stop command.
 
-	// Stopping: it is to end.
+	// Stopping is set once it is to be stopped.
 	Stopping bool
-	// StopGraceS is how many seconds its process has between the signal and the kill.
+	// StopGraceS is the time in seconds between the stop signal and the kill of its
+	// process.
 	StopGraceS      float64
 	StopRequestedAt time.Time
 
 	// Failover.
 
-	// Inherited: it began under an earlier partition leader.
+	// Inherited is set if it was committed under an earlier partition leader.
 	Inherited bool
-	// ReplicatedStart is when an Inherited attempt began, if its leader had replicated that.
+	// ReplicatedStart is when an Inherited attempt started, if the earlier leader had
+	// replicated that.
 	ReplicatedStart time.Time
-	// ReplicationSeq is the sequence number of its beginning among the partition's
-	// replicated changes; 0: it has none yet.
+	// ReplicationSeq is the sequence number of its start among the partition's replicated
+	// changes, or 0 if it has none yet.
 	ReplicationSeq uint64
 }
 
-// TaskName is the task's name on the wire.
+// TaskName returns the task's name on the wire.
 func (a *Attempt) TaskName() string { return protocol.TaskName(a.Job.Spec.ID, a.TaskIndex) }
 
-// RunTimeS is for how many seconds it has run, as far as is known here.
+// RunTimeS returns for how many seconds the attempt has run, or 0 if its start is not known
+// here.
 func (a *Attempt) RunTimeS(now time.Time) float64 {
 	begun := a.StartedAt
 	if begun.IsZero() {
@@ -86,18 +92,19 @@
 	return now.Sub(begun).Seconds()
 }
 
-// StartTimeUnknown says that nobody here knows when it began.
+// StartTimeUnknown reports whether an earlier leader committed the attempt and did not
+// replicate when it started.
 func (a *Attempt) StartTimeUnknown() bool { return a.Inherited && a.ReplicatedStart.IsZero() }
 
-// Live says that the attempt may still be running on its machine, or come to.
+// Live reports whether the attempt may be running on its machine, or may still start there.
 func (a *Attempt) Live() bool { return a.State < AttemptExited }
 
-// maxDecimalDigits is the length of the largest uint64.
+// maxDecimalDigits is the number of decimal digits of the largest uint64.
 const maxDecimalDigits = 20
 
-// AttemptKey identifies an attempt on a machine: the task's wire name and the attempt
-// number. It is written out since it is made for each task of each heartbeat, and this
-// costs one allocation.
+// AttemptKey identifies an attempt on a machine by the task's wire name and the attempt
+// number. It is called for each task in each heartbeat, so it formats the number itself to
+// need only one allocation.
 func AttemptKey(task string, number uint64) string {
 	var buf [maxDecimalDigits]byte
 	i := len(buf)
@@ -111,7 +118,7 @@
 	return task + "#" + string(buf[i:])
 }
 
-// compareAttempts orders attempts by job id, then task.
+// compareAttempts orders attempts by job id, then by task index.
 func compareAttempts(a, b *Attempt) int {
 	if a.Job != b.Job {
 		return cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID)
@@ -119,7 +126,7 @@
 	return a.TaskIndex - b.TaskIndex
 }
 
-// SortedAttempts lists the attempts on a machine by job id and task.
+// SortedAttempts returns the attempts on a machine, ordered by job id and task index.
 func (m *Machine) SortedAttempts() []*Attempt {
 	list := make([]*Attempt, 0, len(m.Attempts))
 	for _, a := range m.Attempts {
--- a/internal/coordination/cluster/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -9,43 +9,47 @@
 	"micaspindle/internal/settings"
 )
 
-// CancellationNotices are the cancellations that became known here recently, for the other
-// controllers: one that only the state store refuses learns of them from nobody else, and
-// its agents still come to it. A notice may be lost: what bounds how long a task may outlive
-// its job's cancellation is what its leader is informed of (rules 42 and 43). They belong to
+// CancellationNotices are the recent cancellations known to this controller, to be sent to
+// the other controllers. A controller that has lost only its connection to the state store
+// still receives heartbeats from its agents and learns of cancellations in no other way. A
+// notice may be lost: the bound on how long a task may outlive its job's cancellation does
+// not depend on notices but on State.UpToDateAt (rules 42 and 43). The notices belong to
 // the event loop.
 type CancellationNotices struct {
-	// list is in the order in which notices were added.
+	// list is in the order in which the notices were added.
 	list []cancelledJob
-	// Limit is how many notices are stored.
+	// Limit is the maximum number of notices.
 	Limit int
-	// retention is for how long a notice is of use.
+	// retention is how long a notice is of use.
 	retention time.Duration
 }
 
-// cancelledJob is a cancelled job's id and when it was cancelled, at the earliest.
+// cancelledJob is the id of a cancelled job and the earliest time at which it may have been
+// cancelled.
 type cancelledJob struct {
 	job string
 	at  time.Time
 }
 
-// cancellationNoticesMin is the least Limit, where the state store takes few writes.
-const cancellationNoticesMin = 500
+// minCancellationNotices is the lowest Limit, used where the state store accepts few
+// writes.
+const minCancellationNotices = 500
 
-// SetLimit derives how many notices are stored: each is a write to the state store, so that
-// within the cancel bound there can't be more than the store takes in that time and in one
-// burst. A notice takes some 20 bytes of a message, 44 at most, and 100 of memory.
+// SetLimit computes how many notices are kept. Each cancellation is a write to the state
+// store, so within the cancel bound there can't be more of them than the store accepts in
+// that time and in one burst. A notice takes about 20 bytes of a message, at most 44, and
+// 100 bytes of memory.
 func (n *CancellationNotices) SetLimit(cancelBound time.Duration, state settings.StateStoreLimits) {
 	writesPerSecond := state.WriteRPS
 	if next := state.Next.WriteRPS; next != nil {
 		writesPerSecond = max(writesPerSecond, *next)
 	}
 	n.retention = cancelBound
-	n.Limit = max(cancellationNoticesMin, int(math.Ceil(writesPerSecond*(cancelBound.Seconds()+1))))
+	n.Limit = max(minCancellationNotices, int(math.Ceil(writesPerSecond*(cancelBound.Seconds()+1))))
 }
 
-// Add adds a notice and says whether there was room: those that are there already are more
-// urgent than a newer one.
+// Add adds a notice and reports whether there was room. A full list keeps its notices,
+// since they are more urgent than a newer one.
 func (n *CancellationNotices) Add(job string, at time.Time) bool {
 	if len(n.list) >= n.Limit {
 		now := time.Now()
@@ -58,7 +62,7 @@
 	return true
 }
 
-// Recent are the notices of the last maxAge; older ones are dropped.
+// Recent drops the notices that are older than maxAge and returns the others.
 func (n *CancellationNotices) Recent(now time.Time, maxAge time.Duration) (recent []*peer.CancelledJob) {
 	old := 0
 	for old < len(n.list) && now.Sub(n.list[old].at) > maxAge {
@@ -71,8 +75,8 @@
 	return recent
 }
 
-// CancelledAt is when a job was cancelled, at the earliest; zero: longer ago than notices
-// are stored, or not at all.
+// CancelledAt returns the earliest time at which a job may have been cancelled, or zero if
+// there is no notice of it.
 func (n *CancellationNotices) CancelledAt(job string) time.Time {
 	for _, c := range n.list {
 		if c.job == job {
--- a/internal/coordination/cluster/clock.go
+++ b/internal/coordination/cluster/clock.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// ClockMargin is added to every bound that must hold on another machine's clock.
+	// ClockMargin is added to every time bound that must also hold by another machine's
+	// clock.
 	ClockMargin = time.Second
-	// ClockDriftFactor is the factor by which the rates of two monotonic clocks may differ, with
-	// room to spare.
+	// ClockDriftFactor is an upper bound on the ratio of the rates of two monotonic clocks.
 	ClockDriftFactor = 1.001
 )
 
-// MonotonicTime is the moment on the monotonic clock at which a wall clock showed ms
-// (milliseconds since the epoch), at the latest now: wall clocks differ.
+// MonotonicTime converts a wall-clock time, in milliseconds since the Unix epoch, to the
+// monotonic clock. Wall clocks differ, so a time in the future is taken as now.
 func MonotonicTime(ms int64, now time.Time) time.Time {
 	return now.Add(-time.Duration(max(0, now.UnixMilli()-ms)) * time.Millisecond)
 }
--- a/internal/coordination/cluster/delegations.go
+++ b/internal/coordination/cluster/delegations.go
@@ -5,8 +5,8 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// DelegationSummary lists the partition's delegates and their shards for the other
-// controllers, in the order of the labels.
+// DelegationSummary returns the partition's delegates and their shards for the other
+// controllers, in the order of labels.
 func (p *Partition) DelegationSummary(labels []string) (list []*peer.DelegatedShards) {
 	for _, label := range labels {
 		shards := p.Delegations.ShardsOf(label)
@@ -22,7 +22,7 @@
 	return list
 }
 
-// delegatedShards says of each shard whether a summary names a delegate for it.
+// delegatedShards returns, for each shard, whether a summary names a delegate for it.
 func delegatedShards(summary *peer.PartitionSummary) (delegated [delegation.ShardCount]bool) {
 	for _, d := range summary.Delegated {
 		for _, shard := range d.Shards {
--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -7,45 +7,49 @@
 	"micaspindle/internal/protocol"
 )
 
-// DependencyGraph holds which unfinished jobs need which, over dense indices. Every
-// controller follows all of it, since jobs need jobs of other partitions. A job without open
-// dependencies that no other job needs has no node.
+// DependencyGraph holds the dependencies between unfinished jobs. Its nodes have dense
+// indices. Every controller has the whole graph, since jobs may depend on jobs of other
+// partitions. A job has no node if it has no unfinished dependencies and no other job
+// depends on it.
 //
-// A job is doomed once something that it needs, directly or through others, is cancelled: it
-// is to be cancelled too.
+// A job must be cancelled once a job that it depends on, directly or indirectly, is
+// cancelled.
 //
-// A job can name accepted jobs only, so the graph has no cycle. Its depth is set by users,
-// so nothing here recurses.
+// A job can depend only on jobs that were accepted before it, so the graph has no cycle.
+// Users determine its depth, so the traversals use an explicit stack instead of recursion.
 type DependencyGraph struct {
-	// NodeByJob gives the node of a job by its id.
+	// NodeByJob maps job ids to node indices.
 	NodeByJob map[string]int32
-	// Nodes are all nodes, those in Free unused.
+	// Nodes are all nodes. Those whose indices are in FreeNodes are unused.
 	Nodes     []graphNode
 	FreeNodes []int32
-	// JobsToCancel are the doomed jobs that have not ended and whose records were seen, by id.
+	// JobsToCancel are the unfinished jobs that must be cancelled because of a dependency,
+	// by id. Jobs whose records were not seen yet are left out.
 	JobsToCancel map[string]*Job
-	// jobs are all unfinished jobs by id, the State's map.
+	// jobs are the jobs by id, in the map that was passed to Init.
 	jobs map[string]*Job
-	// runTime predicts a job's run time.
+	// runTime predicts the run time of a job.
 	runTime func(*Job) time.Duration
 }
 
-// graphNode is a job that needs others or is needed.
+// graphNode is a job that has unfinished dependencies or dependents.
 type graphNode struct {
 	id  string
-	job *Job // nil until its record is seen: a listing is not in order of age
-	// dependencies and dependents are the nodes that it needs and those that need it.
+	job *Job // nil until its record is seen: listings are not ordered by age
+	// dependencies are the nodes that the job depends on, dependents those that depend on
+	// it.
 	dependencies []int32
 	dependents   []int32
-	doomed       bool
+	mustCancel   bool
 }
 
-// Init sets the unfinished jobs, which stay the caller's, and how to predict run times.
+// Init sets the unfinished jobs, a map that the caller keeps up to date, and the predictor
+// of run times.
 func (g *DependencyGraph) Init(jobs map[string]*Job, runTime func(*Job) time.Duration) {
 	g.NodeByJob, g.JobsToCancel, g.jobs, g.runTime = map[string]int32{}, map[string]*Job{}, jobs, runTime
 }
 
-// nodeOf returns a job's node, made if there is none.
+// nodeOf returns a job's node and adds it if there is none.
 func (g *DependencyGraph) nodeOf(id string) int32 {
 	n, ok := g.NodeByJob[id]
 	if ok {
@@ -62,28 +66,29 @@
 	return n
 }
 
-// release frees a node.
+// release removes a node; its index is reused.
 func (g *DependencyGraph) release(n int32) {
 	delete(g.NodeByJob, g.Nodes[n].id)
 	g.Nodes[n] = graphNode{}
 	g.FreeNodes = append(g.FreeNodes, n)
 }
 
-// HasDependents says whether unfinished jobs need a job.
+// HasDependents reports whether unfinished jobs depend on a job.
 func (g *DependencyGraph) HasDependents(id string) bool {
 	n, ok := g.NodeByJob[id]
 	return ok && len(g.Nodes[n].dependents) > 0
 }
 
-// releaseIfIdle frees a node that neither needs others nor is needed.
-func (g *DependencyGraph) releaseIfIdle(n int32) {
-	if node := &g.Nodes[n]; len(node.dependencies) == 0 && len(node.dependents) == 0 && !node.doomed {
+// releaseIfUnused removes a node that has neither dependencies nor dependents, unless its job
+// must be cancelled.
+func (g *DependencyGraph) releaseIfUnused(n int32) {
+	if node := &g.Nodes[n]; len(node.dependencies) == 0 && len(node.dependents) == 0 && !node.mustCancel {
 		g.release(n)
 	}
 }
 
-// Add adds a job whose record was seen. final gives the final status of another job, "" if
-// none is known, and when it ended, zero if that is not known.
+// Add adds a job whose record was seen. final returns the final status of another job, or
+// "" if none is known, and when that job ended, or zero if that is not known.
 func (g *DependencyGraph) Add(j *Job, final func(id string) (status string, at time.Time)) {
 	id := j.Spec.ID
 	n, known := g.NodeByJob[id]
@@ -94,12 +99,12 @@
 		n = g.nodeOf(id)
 	}
 	g.Nodes[n].job = j
-	open, doomed := g.openDependencies(j, final)
-	doomed = doomed || g.Nodes[n].doomed
-	j.Blocked = doomed || len(open) > 0
-	if doomed {
-		g.Nodes[n].doomed = false // so that markDoomed adds its job
-		g.markDoomed(n)
+	open, mustCancel := g.openDependencies(j, final)
+	mustCancel = mustCancel || g.Nodes[n].mustCancel
+	j.Blocked = mustCancel || len(open) > 0
+	if mustCancel {
+		g.Nodes[n].mustCancel = false // so that markToCancel adds it to JobsToCancel
+		g.markToCancel(n)
 		return
 	}
 	for _, dependency := range open {
@@ -107,14 +112,14 @@
 		g.Nodes[n].dependencies = append(g.Nodes[n].dependencies, d)
 		g.Nodes[d].dependents = append(g.Nodes[d].dependents, n)
 	}
-	g.recomputeNeeds(n)
-	g.propagateNeeds(n)
-	g.releaseIfIdle(n)
+	g.recomputeInherited(n)
+	g.propagateRequirements(n)
+	g.releaseIfUnused(n)
 }
 
-// openDependencies lists the dependencies of a job that have not ended, notes when the last
-// of the others was done, and says whether some dependency dooms the job.
-func (g *DependencyGraph) openDependencies(j *Job, final func(id string) (status string, at time.Time)) (open []string, doomed bool) {
+// openDependencies returns the unfinished dependencies of a job and whether the job must be
+// cancelled because of a dependency. It also sets the job's DependenciesDoneAt.
+func (g *DependencyGraph) openDependencies(j *Job, final func(id string) (status string, at time.Time)) (open []string, mustCancel bool) {
 	for _, dependency := range j.Spec.Dependencies {
 		switch status, at := final(dependency); status {
 		case protocol.StatusDone:
@@ -122,19 +127,20 @@
 				j.DependenciesDoneAt = at
 			}
 		case protocol.StatusCancelled:
-			doomed = true
+			mustCancel = true
 		default:
-			// A doomed job dooms whatever names it, before its own end is on record.
-			if d, ok := g.NodeByJob[dependency]; ok && g.Nodes[d].doomed {
-				doomed = true
+			// The dependency may have to be cancelled itself, and not be on record as cancelled yet.
+			if d, ok := g.NodeByJob[dependency]; ok && g.Nodes[d].mustCancel {
+				mustCancel = true
 			}
 			open = append(open, dependency)
 		}
 	}
-	return open, doomed
+	return open, mustCancel
 }
 
-// JobEnded notes that a job is done or cancelled, and returns the jobs that are ready now.
+// JobEnded removes a job that is done or cancelled, and returns the jobs that become ready
+// by that.
 func (g *DependencyGraph) JobEnded(id string, done bool, now time.Time) []*Job {
 	delete(g.JobsToCancel, id)
 	n, ok := g.NodeByJob[id]
@@ -147,11 +153,11 @@
 		node.dependencies = removeIndex(node.dependencies, n)
 		switch {
 		case !done:
-			g.markDoomed(d)
-		case len(node.dependencies) == 0 && !node.doomed && node.job != nil:
+			g.markToCancel(d)
+		case len(node.dependencies) == 0 && !node.mustCancel && node.job != nil:
 			node.job.Blocked, node.job.DependenciesDoneAt = false, now
 			ready = append(ready, node.job)
-			g.releaseIfIdle(d)
+			g.releaseIfUnused(d)
 		}
 	}
 	dependencies := g.Nodes[n].dependencies
@@ -159,25 +165,25 @@
 	for _, d := range dependencies {
 		g.Nodes[d].dependents = removeIndex(g.Nodes[d].dependents, n)
 	}
-	// What the job needed is now needed by one job less.
-	g.relaxNeeds(dependencies)
+	// The job's dependencies may have inherited from it.
+	g.recomputeInheritedOf(dependencies)
 	for _, d := range dependencies {
-		g.releaseIfIdle(d)
+		g.releaseIfUnused(d)
 	}
 	return ready
 }
 
-// markDoomed dooms a job and all that need it, directly or through others.
-func (g *DependencyGraph) markDoomed(n int32) {
+// markToCancel marks a job and its direct and indirect dependents as to be cancelled.
+func (g *DependencyGraph) markToCancel(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		node := &g.Nodes[n]
-		if node.doomed {
+		if node.mustCancel {
 			continue
 		}
-		node.doomed = true
+		node.mustCancel = true
 		if node.job != nil {
 			node.job.Blocked = true
 			g.JobsToCancel[node.id] = node.job
@@ -186,16 +192,16 @@
 	}
 }
 
-// HasUnseenDependency says whether a job needs one whose own record was not seen yet, so
-// that it is not known here what that one needs.
+// HasUnseenDependency reports whether a job depends on one whose record was not seen yet,
+// so that the dependencies of that one are not known here.
 func (g *DependencyGraph) HasUnseenDependency(id string) bool {
 	n, ok := g.NodeByJob[id]
 	return ok && slices.ContainsFunc(g.Nodes[n].dependencies, func(d int32) bool { return g.Nodes[d].job == nil })
 }
 
-// needOf is what a job asks of its dependencies: its urgency, and by when they must be
-// done; zero: at any time.
-func (g *DependencyGraph) needOf(j *Job) (protocol.Urgency, time.Time) {
+// requirementOf returns what a job requires of its dependencies: its urgency, and the time by
+// which they must be done, or zero if there is none.
+func (g *DependencyGraph) requirementOf(j *Job) (protocol.Urgency, time.Time) {
 	due, ok := j.Deadline()
 	if !ok {
 		return j.Urgency(), time.Time{}
@@ -203,9 +209,9 @@
 	return j.Urgency(), due.Add(-g.runTime(j))
 }
 
-// propagateNeeds passes a job's need on to all that it depends on, as far as that changes
-// something.
-func (g *DependencyGraph) propagateNeeds(n int32) {
+// propagateRequirements passes the urgency and deadline of a job on to its direct and indirect
+// dependencies, as far as that changes anything.
+func (g *DependencyGraph) propagateRequirements(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
 		node := &g.Nodes[stack[len(stack)-1]]
@@ -213,44 +219,44 @@
 		if node.job == nil {
 			continue
 		}
-		urgency, by := g.needOf(node.job)
+		urgency, by := g.requirementOf(node.job)
 		for _, d := range node.dependencies {
-			if j := g.Nodes[d].job; j != nil && j.inheritNeed(urgency, by) {
+			if j := g.Nodes[d].job; j != nil && j.inheritRequirement(urgency, by) {
 				stack = append(stack, d)
 			}
 		}
 	}
 }
 
-// recomputeNeeds computes anew what a job inherits from those that need it, and says whether
-// that changed it.
-func (g *DependencyGraph) recomputeNeeds(n int32) bool {
+// recomputeInherited recomputes what a job inherits from its dependents, and reports whether
+// that has changed.
+func (g *DependencyGraph) recomputeInherited(n int32) bool {
 	node := &g.Nodes[n]
 	j := node.job
 	urgency, deadline := j.InheritedUrgency, j.InheritedDeadline
 	j.InheritedUrgency, j.InheritedDeadline = protocol.Low, time.Time{}
 	for _, d := range node.dependents {
-		if g.Nodes[d].job != nil && !g.Nodes[d].doomed {
-			j.inheritNeed(g.needOf(g.Nodes[d].job))
+		if g.Nodes[d].job != nil && !g.Nodes[d].mustCancel {
+			j.inheritRequirement(g.requirementOf(g.Nodes[d].job))
 		}
 	}
 	return urgency != j.InheritedUrgency || !deadline.Equal(j.InheritedDeadline)
 }
 
-// relaxNeeds computes anew what jobs inherit, and all that they depend on, as far as that
-// changes something.
-func (g *DependencyGraph) relaxNeeds(list []int32) {
+// recomputeInheritedOf recomputes what jobs inherit and, where that has changed, also what their
+// dependencies inherit.
+func (g *DependencyGraph) recomputeInheritedOf(list []int32) {
 	stack := slices.Clone(list)
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if g.Nodes[n].job != nil && g.recomputeNeeds(n) {
+		if g.Nodes[n].job != nil && g.recomputeInherited(n) {
 			stack = append(stack, g.Nodes[n].dependencies...)
 		}
 	}
 }
 
-// removeIndex removes an index from a list whose order does not matter.
+// removeIndex removes an element from a list whose order does not matter.
 func removeIndex(list []int32, n int32) []int32 {
 	if i := slices.Index(list, n); i >= 0 {
 		list[i] = list[len(list)-1]
--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -6,26 +6,29 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// FairShareState is what is reserved for the groups of a partition's jobs that are starved.
-// A group is a team or a class; groups are numbered from 1, the teams first, then the
-// classes as they are met.
+// FairShareState holds the reservations for the starved fair-share groups of a partition. A
+// group is a team or a class. Groups are numbered from 1: first the teams, in the order of
+// the settings, then the classes, in the order in which this controller first saw them.
 type FairShareState struct {
-	// DecidedAt is when the reservations were last decided.
+	// DecidedAt is when the reservations were last computed.
 	DecidedAt time.Time
-	// Shares are the fractions of the machines that groups get, by group; nil: no group is
-	// starved.
+	// Shares are the fractions of the machines that are reserved for groups, by group; nil
+	// if no group is starved.
 	Shares []float64
-	// ReservedQuotas is what is reserved of the teams' limits, by team index; nil: nothing is.
+	// ReservedQuotas are the reserved parts of the teams' limits, by team index; nil if
+	// nothing is reserved.
 	ReservedQuotas [][]fairshare.ReservedQuota
-	// WithinReservation are the classes of teams that run no more than what is reserved for
+	// WithinReservation are the classes of teams that use no more than what is reserved for
 	// them of the team's limit.
 	WithinReservation map[TeamClass]bool
 }
 
-// TeamClass is the work of one class in one team: the team's index and the class's group.
+// TeamClass identifies the jobs of one class in one team, by the team's index and the
+// class's group.
 type TeamClass struct{ Team, ClassGroup int }
 
-// Share is the fraction of the machines that a group gets; 0: it is not starved.
+// Share returns the fraction of the machines that is reserved for a group, or 0 if it is
+// not starved.
 func (f *FairShareState) Share(group int) float64 {
 	if group >= len(f.Shares) {
 		return 0
@@ -33,12 +36,12 @@
 	return f.Shares[group]
 }
 
-// Starved says whether something is reserved for one of a job's groups.
+// Starved reports whether one of a job's groups is starved.
 func (f *FairShareState) Starved(j *Job) bool {
 	return f.Share(j.ClassGroup) > 0 || f.Share(TeamGroup(j.Team)) > 0
 }
 
-// ReservedQuotasOf is what is reserved of a team's limit.
+// ReservedQuotasOf returns the reserved parts of a team's limit.
 func (f *FairShareState) ReservedQuotasOf(team int) []fairshare.ReservedQuota {
 	if f.ReservedQuotas == nil {
 		return nil
@@ -46,8 +49,8 @@
 	return f.ReservedQuotas[team]
 }
 
-// ReservationOf is the group whose reservation an attempt runs in; fairshare.NoGroup: it
-// runs in none.
+// ReservationOf returns the group in whose reservation an attempt runs, or
+// fairshare.NoGroup if it runs in none.
 func (f *FairShareState) ReservationOf(a *Attempt) int {
 	j := a.Job
 	switch reservedFor := a.Machine.ReservedFor; {
@@ -61,7 +64,8 @@
 	return fairshare.NoGroup
 }
 
-// StarvedFirst puts at most limit jobs of starved groups ahead of the others.
+// StarvedFirst moves the jobs of starved groups that have pending tasks to the front of a
+// list, at most limit of them.
 func (f *FairShareState) StarvedFirst(list []*Job, limit int) []*Job {
 	if f.Shares == nil {
 		return list
@@ -77,8 +81,8 @@
 	return append(starved, others...)
 }
 
-// TeamGroup is the fair-share group of a team.
+// TeamGroup returns the fair-share group of a team.
 func TeamGroup(team int) int { return team + 1 }
 
-// Groups are the fair-share groups of a job: its team's and its class's.
+// Groups returns the fair-share groups of a job: its team's and its class's.
 func (j *Job) Groups() [2]int { return [2]int{TeamGroup(j.Team), j.ClassGroup} }
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -8,11 +8,11 @@
 	"micaspindle/internal/settings"
 )
 
-// Job is an accepted job that has not ended, or whose remains are still to be cleared away.
-// Every controller knows its record and dependencies; only its partition's leader knows its
-// run state.
+// Job is an accepted job that has not ended, or has ended but still has attempts or run
+// records to be cleaned up. Every controller has its record and dependencies; only its
+// partition's leader has its run state.
 type Job struct {
-	// From the job's record; none of it changes.
+	// From the job's record; does not change.
 
 	Spec      *protocol.JobSpec
 	Partition int
@@ -20,62 +20,67 @@
 	// class.
 	Team       int
 	ClassGroup int
-	// SubmittedAt is its submission on the monotonic clock, as well as that is known.
+	// SubmittedAt is when it was submitted, converted to the monotonic clock.
 	SubmittedAt time.Time
 
-	// From the graph of dependencies, on every controller.
+	// From the dependency graph, on every controller.
 
-	// Blocked: some dependency is not done.
+	// Blocked is set while some dependency is not done.
 	Blocked bool
-	// DependenciesDoneAt is when the last done dependency was done, as far as that is known;
-	// zero: none is done.
+	// DependenciesDoneAt is when the last of the completed dependencies was done, as far as
+	// that is known; zero if none is done.
 	DependenciesDoneAt time.Time
-	// InheritedUrgency is the highest among the jobs that need it.
+	// InheritedUrgency is the highest urgency among its dependents.
 	InheritedUrgency protocol.Urgency
-	// InheritedDeadline is when it must be done for the jobs that need it to be in time;
-	// zero: none of them has a deadline.
+	// InheritedDeadline is when it must be done for its dependents to meet their deadlines;
+	// zero if none of them has a deadline.
 	InheritedDeadline time.Time
 
-	// Its end.
+	// The job's end.
 
-	// Ended: it is done or cancelled, and what is left of it is being stopped.
+	// Ended is set once it is done or cancelled. Its remaining attempts are then being
+	// stopped.
 	Ended bool
-	// CancelledAt is when its cancellation was confirmed to a user, at the earliest; zero: it
-	// is done, or that is longer ago than any task of it may still run.
+	// CancelledAt is the earliest time at which its cancellation may have been confirmed to
+	// a user; zero if it is done, or was cancelled so long ago that none of its tasks can
+	// still run.
 	CancelledAt time.Time
 
-	// Run state, valid while Loaded; only the partition's leader has it.
+	// Run state, valid while HasRunState is set; only the partition's leader has it.
 
 	HasRunState bool
-	// TaskDone says of each task whether it is done; DoneCount counts them.
+	// TaskDone tells which tasks are done, by task index; DoneCount is their number.
 	TaskDone  []bool
 	DoneCount int
-	// Completing: all tasks are done and its final record is to be written.
+	// Completing is set once all tasks are done: the final record is to be written.
 	Completing bool
 	// Pending are the tasks that wait for a machine, in the order in which they are placed.
 	Pending []int
-	// LiveAttempts are the attempts that hold a task, by task; RunningCount counts those
-	// that were seen running.
+	// LiveAttempts are the attempts that occupy a task, by task index; RunningCount is how
+	// many of them were seen running.
 	LiveAttempts map[int]*Attempt
 	RunningCount int
 	// Chunks are its run records, by index.
 	Chunks map[int]*RunChunk
-	// MayHaveDirtyChunk: some run record has changed since none was last found Dirty.
+	// MayHaveDirtyChunk is set when a chunk becomes dirty, and cleared when HasDirtyChunk
+	// finds none.
 	MayHaveDirtyChunk bool
-	// Failures counts failed attempts since a task was last done; until BackoffUntil no
-	// task is placed.
+	// Failures counts the failed attempts since a task was last done. No task is placed
+	// until BackoffUntil.
 	Failures     int
 	BackoffUntil time.Time
-	// FailedMachines are the machines on which attempts failed; nil: none.
+	// FailedMachines are the machines on which attempts failed; nil if there are none.
 	FailedMachines map[string]bool
-	// RunTimesS are the run times of done tasks in seconds, by machine; nil: none is done.
+	// RunTimesS are the run times of done tasks in seconds, by machine; nil if no task is
+	// done.
 	RunTimesS map[string][]float64
 }
 
-// queueHorizon is the deadline by which a job without one queues, from when it was ready.
-const queueHorizon = time.Hour
+// defaultTimeToDue is the time, from when a job without a deadline became ready, after which
+// the queue treats it as due.
+const defaultTimeToDue = time.Hour
 
-// InitRunState prepares a job for its partition's leader, with all tasks pending.
+// InitRunState creates the run state for the partition's leader, with all tasks pending.
 func (j *Job) InitRunState() {
 	j.HasRunState = true
 	j.TaskDone = make([]bool, j.Spec.Tasks)
@@ -87,16 +92,17 @@
 	}
 }
 
-// DropRunState forgets what only the partition's leader knows.
+// DropRunState drops the run state, which only the partition's leader has.
 func (j *Job) DropRunState() {
 	j.HasRunState, j.TaskDone, j.LiveAttempts, j.Chunks, j.Pending = false, nil, nil, nil, nil
 	j.Completing, j.RunningCount, j.DoneCount = false, 0, 0
 }
 
-// Requeue makes a task pending, ahead of the others.
+// Requeue puts a task at the front of the pending tasks.
 func (j *Job) Requeue(task int) { j.Pending = slices.Insert(j.Pending, 0, task) }
 
-// RebuildPending makes exactly those tasks pending that are neither done nor held by an attempt.
+// RebuildPending makes exactly those tasks pending that are neither done nor occupied by an
+// attempt.
 func (j *Job) RebuildPending() {
 	j.Pending = j.Pending[:0]
 	if waiting := j.Spec.Tasks - j.DoneCount - len(j.LiveAttempts); cap(j.Pending) < waiting {
@@ -109,7 +115,7 @@
 	}
 }
 
-// Attempts lists the attempts that hold a task of the job, in no order.
+// Attempts returns the attempts that occupy a task of the job, in no particular order.
 func (j *Job) Attempts() []*Attempt {
 	list := make([]*Attempt, 0, len(j.LiveAttempts))
 	for _, a := range j.LiveAttempts {
@@ -118,13 +124,13 @@
 	return list
 }
 
-// HasWork says whether the job needs something done by its partition's leader.
+// HasWork reports whether the partition's leader has something to do for the job.
 func (j *Job) HasWork() bool { return len(j.Pending) > 0 || j.Completing || j.MayHaveDirtyChunk }
 
-// Urgency is the highest among the job and those that need it.
+// Urgency returns the highest urgency among the job and its dependents.
 func (j *Job) Urgency() protocol.Urgency { return max(j.Spec.Urgency, j.InheritedUrgency) }
 
-// ReadySince is when the job could first have started.
+// ReadySince returns the earliest time at which the job could have started.
 func (j *Job) ReadySince() time.Time {
 	if j.DependenciesDoneAt.After(j.SubmittedAt) {
 		return j.DependenciesDoneAt
@@ -132,8 +138,8 @@
 	return j.SubmittedAt
 }
 
-// Deadline is the latest finish at which the job and those that need it can still be in
-// time, if any of them has a deadline.
+// Deadline returns the latest time at which the job can finish so that it and its
+// dependents meet their deadlines, and whether any of them has a deadline.
 func (j *Job) Deadline() (time.Time, bool) {
 	if j.Spec.DeadlineS <= 0 {
 		return j.InheritedDeadline, !j.InheritedDeadline.IsZero()
@@ -145,18 +151,18 @@
 	return own, true
 }
 
-// Due is when the job should be done; one without a deadline queues as if it had a distant
-// one.
+// Due returns when the job should be done: at its deadline or, without one, at a default
+// time that gives it a place in the queue.
 func (j *Job) Due() time.Time {
 	if at, ok := j.Deadline(); ok {
 		return at
 	}
-	return j.ReadySince().Add(queueHorizon)
+	return j.ReadySince().Add(defaultTimeToDue)
 }
 
-// inheritNeed raises the job's inherited urgency and moves its inherited deadline forward
-// to what a job that needs it asks for, and says whether that changed anything.
-func (j *Job) inheritNeed(urgency protocol.Urgency, by time.Time) bool {
+// inheritRequirement raises the inherited urgency and moves the inherited deadline forward to what
+// a dependent requires, and reports whether either has changed.
+func (j *Job) inheritRequirement(urgency protocol.Urgency, by time.Time) bool {
 	changed := false
 	if urgency > j.InheritedUrgency {
 		j.InheritedUrgency, changed = urgency, true
@@ -167,7 +173,7 @@
 	return changed
 }
 
-// ZoneCounts counts the job's attempts by the zones of their machines.
+// ZoneCounts returns the number of the job's attempts in each zone.
 func (j *Job) ZoneCounts() map[string]int {
 	zones := map[string]int{}
 	for _, a := range j.LiveAttempts {
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -8,50 +8,52 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Leadership is who leads the cluster, on every controller, and what the cluster leader
-// keeps in memory to scale it. All of the latter may be lost: names of requests never
-// repeat, and machines without a record are adopted.
+// Leadership is the cluster leadership as every controller knows it, and what the cluster
+// leader keeps in memory for scaling. The latter may be lost: the names of scale-out
+// requests are never reused, and machines without a record are adopted.
 type Leadership struct {
-	// From the leadership's record.
+	// From the leadership record.
 
-	// Held: this controller is the cluster leader.
+	// Held is set while this controller is the cluster leader.
 	Held bool
-	// Holder is the cluster leader's label; "": there is none.
+	// Holder is the cluster leader's label, or "" if there is none.
 	Holder string
-	// FormerHolder is who led last, for while nobody does.
+	// FormerHolder is the label of the last cluster leader, used while there is none.
 	FormerHolder string
-	// Revision is the record's in the state store; 0: there is none.
+	// Revision is the revision of the leadership record in the state store, or 0 if there
+	// is none.
 	Revision uint64
-	// VacantSince is since when nobody leads.
+	// VacantSince is since when there has been no cluster leader.
 	VacantSince time.Time
 
-	// The cluster leader's memory.
+	// Kept in memory by the cluster leader.
 
-	// Wakeup brings the next round of scaling forward.
+	// Wakeup triggers the next round of scaling early.
 	Wakeup chan struct{}
-	// RequestCount counts the requests for machines that this process has made: a request's name
-	// is made of Revision and this number.
+	// RequestCount counts the scale-out requests that this process has made. The name of a
+	// request contains Revision and this number.
 	RequestCount int
-	// PendingScaleOuts are the requests under way, by the request's name.
+	// PendingScaleOuts are the scale-out requests in progress, by name.
 	PendingScaleOuts map[string]*ScaleOutRequest
-	// CapacityRefusedUntil is until when machines of a kind are not asked for, since the cloud
-	// had none.
+	// CapacityRefusedUntil is until when no machines of a kind are requested because the
+	// cloud had none.
 	CapacityRefusedUntil map[binpack.MachineKind]time.Time
-	// DeletionRequestedAt is when the deletion of a machine was last asked for, by name.
+	// DeletionRequestedAt is when the deletion of a machine was last requested, by name.
 	DeletionRequestedAt map[string]time.Time
-	// AdoptionTriedAt is when recording a machine without a record was last tried, by name; an
-	// earlier time stands for one that is to be tried soon.
+	// AdoptionTriedAt is when the last attempt was made to record a machine that has no
+	// record, by name. An earlier time is stored to make the next attempt sooner.
 	AdoptionTriedAt map[string]time.Time
 	// MovedAt is when a machine was last moved between partitions, by name.
 	MovedAt map[string]time.Time
-	// MachineAssignedAt is when a partition was last given a machine, by index: demand that its
-	// leader sent before it noticed must not bring another one.
+	// MachineAssignedAt is when a partition was last given a machine, by partition index.
+	// Demand that the partition's leader reported before it noticed that machine must not
+	// bring another one.
 	MachineAssignedAt map[int]time.Time
 	// ListedMachines are the machines in the cloud's last listing, by name.
 	ListedMachines map[string]protocol.ListedMachine
 }
 
-// Reset forgets what the cluster leader keeps in memory about machines.
+// Reset clears what the cluster leader keeps in memory about machines.
 func (l *Leadership) Reset() {
 	l.PendingScaleOuts, l.CapacityRefusedUntil = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
 	l.DeletionRequestedAt, l.AdoptionTriedAt = map[string]time.Time{}, map[string]time.Time{}
@@ -59,19 +61,19 @@
 	l.ListedMachines = map[string]protocol.ListedMachine{}
 }
 
-// ScaleOutRequest is a request for machines that is under way.
+// ScaleOutRequest is a request for machines that is in progress.
 type ScaleOutRequest struct {
 	Kind binpack.MachineKind
-	// Partition is the index of the one that the machines are for.
+	// Partition is the index of the partition that the machines are for.
 	Partition int
-	// Count is how many machines were asked for.
+	// Count is the number of machines requested.
 	Count int
 }
 
-// LeaderUpdate is what a cluster leader last sent of its memory, so that whoever leads next
-// resumes from there.
+// LeaderUpdate is the part of its memory that a cluster leader last sent, from which the
+// next cluster leader resumes.
 type LeaderUpdate struct {
-	// From is the sender's label; "": no update was received.
+	// From is the sender's label, or "" if no update was received.
 	From       string
 	ReceivedAt time.Time
 	Update     *peer.LeaderUpdate
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -10,59 +10,62 @@
 	"micaspindle/internal/eventloop"
 )
 
-// Partition is the work of some of the teams, with the machines for it. One controller, its
-// leader, serves it.
+// Partition is the work of some of the teams, together with the machines for it. It is
+// served by one controller, its leader.
 type Partition struct {
-	// From the settings; none of it changes.
+	// From the settings; does not change.
 
 	Index int
-	// HasTeams: some team's work is in it.
+	// HasTeams is set if some team's work belongs to the partition.
 	HasTeams bool
 
 	// The lease, from its record.
 
-	// Leader is the label of the controller that holds the lease and LeaderNonce that
-	// process's incarnation; "": nobody does.
+	// Leader is the label of the controller that holds the lease, and LeaderNonce the nonce
+	// of that controller's process; both are "" if nobody holds it.
 	Leader      string
 	LeaderNonce string
-	// FormerLeader is who led last, for while nobody does; "": nobody has yet.
+	// FormerLeader is the label of the last leader, used while there is none, or "" if
+	// there never was one.
 	FormerLeader string
-	// LeaseRevision is the revision of the lease's record; 0: there is none.
+	// LeaseRevision is the revision of the lease's record in the state store, or 0 if there
+	// is none.
 	LeaseRevision uint64
-	// VacantSince is since when nobody leads it.
+	// VacantSince is since when the partition has had no leader.
 	VacantSince time.Time
 	// FormerLeaders are earlier leaders that may still answer agents' heartbeats.
 	FormerLeaders []failover.FormerLeader
 
-	// This controller's service of it.
+	// This controller's leadership of the partition.
 
-	// Held: this controller holds the lease. It does so since AcquiredAt.
+	// Held is set while this controller holds the lease, which it acquired at AcquiredAt.
 	Held       bool
 	AcquiredAt time.Time
-	// Ready: the partition's run state was read after the lease was acquired.
+	// Ready is set once the partition's run state was read after the lease was acquired.
 	Ready bool
-	// WarmFailover: that was from a replica.
+	// WarmFailover is set if that run state came from a replica.
 	WarmFailover bool
-	// Cleared: nothing is kept in memory that only the partition's leader may believe.
+	// LeaderStateCleared is set if no state is left in memory that is valid only on the
+	// partition's leader.
 	LeaderStateCleared bool
-	// Wakeup brings the next turn of the partition's work forward.
+	// Wakeup triggers the next round of the partition's work early.
 	Wakeup chan struct{}
-	// Committing: a transaction is under way.
+	// Committing is set while a transaction is in flight.
 	Committing bool
-	// Unconfirmed: some run record's last write went unanswered.
+	// HasUnconfirmedChunk is set if the last write of some run record went unanswered.
 	HasUnconfirmedChunk bool
 
 	// Scheduling, on the leader.
 
-	// Usage is what live attempts use, by team index.
+	// Usage is what the live attempts use, by team index.
 	Usage []binpack.Compute
-	// QueueOrder are the jobs that need something done, in the order in which they are
-	// served, as of QueueOrderedAt; nil: to be computed. IdleJobs are the other loaded jobs
-	// that are not blocked.
+	// QueueOrder are the jobs that need service, in the order in which they are served,
+	// computed at QueueOrderedAt; nil if it must be recomputed. IdleJobs are the other jobs
+	// that have run state and are not blocked.
 	QueueOrder     []*Job
 	IdleJobs       []*Job
 	QueueOrderedAt time.Time
-	// PreemptionCheckedAt is when work was last considered for preemption.
+	// PreemptionCheckedAt is when preemption was last considered.
 	PreemptionCheckedAt time.Time
 	// DoneTallies count the jobs that were done recently, by fair-share group.
 	DoneTallies map[int]*fairshare.Tally
@@ -70,21 +73,23 @@
 
 	// Replication, handback and delegation, on the leader.
 
-	// Standby is the controller that was chosen to take over; "": none.
+	// Standby is the label of the controller that was chosen to take over, or "" if there
+	// is none.
 	Standby string
-	// Replication is how far the standby's replica has come.
+	// Replication is how far the standby's replica has followed.
 	Replication ReplicationProgress
-	// HandbackSince is since when it is to go back to its preferred leader; zero: it is not.
+	// HandbackSince is since when the partition is to be handed back to its preferred
+	// leader; zero if it is not.
 	HandbackSince time.Time
-	// Delegations are the shards whose agents' connections other controllers serve.
+	// Delegations are the shards whose agents are connected to other controllers.
 	Delegations delegation.Ledger
-	// DelegatedUntil is the latest end of any grant that was given before this controller
+	// DelegatedUntil is the latest end of the grants that were given before this controller
 	// last lost the partition.
 	DelegatedUntil time.Time
 }
 
-// QueueOrderTTL is for how long a computed QueueOrder is used.
+// QueueOrderTTL is how long a computed QueueOrder is used.
 const QueueOrderTTL = 200 * time.Millisecond
 
-// Wake brings the next turn of the partition's work forward.
+// Wake triggers the next round of the partition's work early.
 func (p *Partition) Wake() { eventloop.Signal(p.Wakeup) }
--- a/internal/coordination/cluster/peer.go
+++ b/internal/coordination/cluster/peer.go
@@ -9,33 +9,39 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Peer is another controller, as its summaries show it.
+// Peer is another controller, as known from its summaries.
 type Peer struct {
 	// Addr is its address for other controllers, from the settings.
 	Addr string
-	// Summary is the last that it sent, received at LastSummaryAt; nil: none was.
+	// Summary is the last summary that it sent, received at LastSummaryAt; nil if there was
+	// none.
 	Summary       *peer.Summary
 	LastSummaryAt time.Time
 	// AliveSince is since when its summaries have come without a gap.
 	AliveSince time.Time
-	// ReportingMachines are the machines that report to it, by its Summary.
+	// ReportingMachines are the machines that send their heartbeats to it, according to
+	// Summary.
 	ReportingMachines map[string]bool
-	// DivertedMachines are those of them that have come to this controller since.
+	// DivertedMachines are those of them that have contacted this controller since that
+	// summary.
 	DivertedMachines map[string]bool
-	// RevokedLeaseID is the id of its lease that was revoked from here; 0: none was.
+	// RevokedLeaseID is the id of its lease that this controller revoked, or 0 if it
+	// revoked none.
 	RevokedLeaseID uint64
 }
 
-// peerSilenceLimit is how old a peer's last summary may be for the peer to be alive.
+// peerSilenceLimit is the maximum age of a peer's last summary for the peer to count as
+// alive.
 const peerSilenceLimit = 2 * time.Second
 
-// Alive says whether what the controller last sent still counts.
+// Alive reports whether the peer's last summary is recent enough for the peer to count as
+// alive.
 func (p *Peer) Alive(now time.Time) bool {
 	return p.Summary != nil && now.Sub(p.LastSummaryAt) <= peerSilenceLimit
 }
 
-// PartitionSummary is what the controller last sent of a partition as its leader; nil:
-// nothing. It may be called on a nil Peer.
+// PartitionSummary returns what the peer last sent about a partition as its leader, or nil
+// if it sent nothing. It may be called on a nil Peer.
 func (p *Peer) PartitionSummary(partition *Partition) *peer.PartitionSummary {
 	if p == nil || p.Summary == nil {
 		return nil
@@ -48,14 +54,14 @@
 	return nil
 }
 
-// HasReplicaOf says whether the controller has a complete replica of a partition.
+// HasReplicaOf reports whether the peer has a complete replica of a partition.
 func (p *Peer) HasReplicaOf(partition int) bool {
 	return slices.ContainsFunc(p.Summary.GetReplicas(), func(replica *peer.ReplicaStatus) bool {
 		return int(replica.Partition) == partition && replica.Revision > 0
 	})
 }
 
-// UpdateReportingMachines sets ReportingMachines from a Summary that has just come.
+// UpdateReportingMachines sets ReportingMachines from a new Summary.
 func (p *Peer) UpdateReportingMachines() {
 	if p.ReportingMachines == nil {
 		p.ReportingMachines = map[string]bool{}
@@ -63,8 +69,9 @@
 	clear(p.ReportingMachines)
 	clear(p.DivertedMachines)
 	for _, partition := range p.Summary.Partitions {
-		// Machines in delegated shards prove nothing: a delegate that does not reach the
-		// leader redirects them, though the leader may serve all the others.
+		// Machines in delegated shards are no evidence that the leader is unreachable: a
+		// delegate that cannot reach the leader redirects them, while the leader may still
+		// serve all others.
 		delegated := delegatedShards(partition)
 		for _, m := range partition.Machines {
 			if m.Reported && (len(partition.Delegated) == 0 || !delegated[delegation.ShardOf(m.Name)]) {
@@ -74,8 +81,8 @@
 	}
 }
 
-// AnnouncedStandby is which controller a partition's leader has chosen as its standby; "": none,
-// or the leader is of a version that chooses none.
+// AnnouncedStandby returns the label of the standby that a partition's leader has
+// announced, or "" if it announced none. Leaders of old versions never announce one.
 func (s *State) AnnouncedStandby(partition *Partition) string {
 	leader := partition.Leader
 	if leader == "" {
@@ -84,7 +91,7 @@
 	return s.Peers[leader].PartitionSummary(partition).GetStandby()
 }
 
-// ZoneOf is a controller's zone, from the settings; "": it is not in them.
+// ZoneOf returns a controller's zone, or "" if the controller is not in the settings.
 func (s *State) ZoneOf(label string) string {
 	if label == s.Settings.Label {
 		return s.Settings.Zone
@@ -97,11 +104,11 @@
 	return ""
 }
 
-// FailoverCandidates are the controllers that could take something over now.
+// FailoverCandidates returns the controllers that could take over a partition now.
 func (s *State) FailoverCandidates(now time.Time) []failover.Candidate {
 	var all []failover.Candidate
 	if !s.Draining {
-		all = append(all, s.ownCandidacy())
+		all = append(all, s.ownCandidate())
 	}
 	for label, p := range s.Peers {
 		if !p.Alive(now) || p.Summary.Draining {
@@ -116,8 +123,8 @@
 	return all
 }
 
-// ownCandidacy is this controller with what it leads.
-func (s *State) ownCandidacy() failover.Candidate {
+// ownCandidate returns the candidate entry of this controller.
+func (s *State) ownCandidate() failover.Candidate {
 	candidate := failover.Candidate{Label: s.Settings.Label, Zone: s.Settings.Zone}
 	for _, m := range s.Machines {
 		if s.Partitions[m.Record.Partition].Held {
--- a/internal/coordination/cluster/replication.go
+++ b/internal/coordination/cluster/replication.go
@@ -9,36 +9,39 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// HintImagesLimit is how many images of a machine are replicated, the most recently used.
+// HintImagesLimit is the maximum number of images that are replicated for a machine; the
+// most recently used ones are.
 const HintImagesLimit = 50
 
-// noPreemptionNotice stands in a hint's PreemptionNoticeS where the cloud gave no notice.
+// noPreemptionNotice is the PreemptionNoticeS of a hint if the cloud gave no notice.
 const noPreemptionNotice = -1
 
-// ReplicationProgress is how far a partition's standby has followed the changes that are
-// beyond the records. Changes are numbered, each attempt's and machine's by its
-// ReplicationSeq.
+// ReplicationProgress is how far a partition's standby has received the changes that are
+// not in the records. Each change has a sequence number, the ReplicationSeq of its attempt
+// or machine.
 type ReplicationProgress struct {
-	// Target is the standby that they are sent to; "": nobody.
+	// Target is the label of the standby that the changes are sent to, or "" if there is
+	// none.
 	Target string
-	// NewestSeq is the number of the newest change, AcknowledgedSeq that up to which the standby
-	// has confirmed them all.
+	// NewestSeq is the sequence number of the newest change. The standby has confirmed all
+	// changes up to AcknowledgedSeq.
 	NewestSeq       uint64
 	AcknowledgedSeq uint64
 }
 
-// ReplicatedMachineState are the facts of a machine of which each change is replicated.
+// ReplicatedMachineState is the part of a machine's state of which every change is
+// replicated.
 type ReplicatedMachineState struct {
 	Addr              string
 	Epoch             uint64
 	Quarantined       bool
 	SlowTasks         int
 	PreemptionNoticed bool
-	// Images counts its images.
+	// Images is the number of images on the machine.
 	Images int
 }
 
-// ReplicatedState are the machine's facts as they are now.
+// ReplicatedState returns the replicated part of the machine's present state.
 func (m *Machine) ReplicatedState() ReplicatedMachineState {
 	return ReplicatedMachineState{
 		Addr:              m.Record.Addr,
@@ -50,7 +53,7 @@
 	}
 }
 
-// Hint is what is known of a machine beyond its record, for the standby.
+// Hint returns what the standby needs to know of the machine beyond its record.
 func (m *Machine) Hint(now time.Time) *peer.MachineHint {
 	hint := &peer.MachineHint{
 		Name:              m.Name,
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -7,22 +7,22 @@
 	"micaspindle/internal/storage"
 )
 
-// ResourcesOf is what one task of a job takes of a machine.
+// ResourcesOf returns the resources that one task of a job takes.
 func ResourcesOf(spec *protocol.JobSpec) binpack.Resources {
 	return binpack.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemGB: spec.MemGB}
 }
 
-// ConstraintsOf is which machines a job's tasks may run on.
+// ConstraintsOf returns the constraints on the machines on which a job's tasks may run.
 func ConstraintsOf(spec *protocol.JobSpec) binpack.Constraints {
 	return binpack.Constraints{Types: spec.Types, Zone: spec.Zone, Spot: spec.Spot}
 }
 
-// TeamLimit is the most that a team may use at a time.
+// TeamLimit returns the most that a team may use at a time.
 func TeamLimit(team settings.Team) binpack.Compute {
 	return binpack.Compute{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 }
 
-// MachineKindOf is the kind of a machine on record.
+// MachineKindOf returns the kind of a machine on record.
 func MachineKindOf(rec storage.Machine) binpack.MachineKind {
 	return binpack.MachineKind{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}
 }
--- a/internal/coordination/cluster/run_chunk.go
+++ b/internal/coordination/cluster/run_chunk.go
@@ -6,29 +6,34 @@
 	"micaspindle/internal/storage"
 )
 
-// RunChunk is one run record of a job: the state of storage.ChunkTasks of its tasks.
+// RunChunk is the state of storage.ChunkTasks consecutive tasks of a job, which are stored
+// in one run record.
 type RunChunk struct {
 	Index int
-	// Revision is the record's in the state store; 0: there is none.
+	// Revision is the record's revision in the state store, or 0 if there is no record.
 	Revision uint64
 	// LastNumber is the highest attempt number ever given in the chunk (rule 52).
 	LastNumber uint64
-	// Dirty: it differs from its record, since DirtySince.
+	// Dirty is set if the chunk differs from its record, which it has done since
+	// DirtySince.
 	Dirty      bool
 	DirtySince time.Time
-	// Urgent: starts wait for the record, so it is written at once.
+	// Urgent is set if starts wait for the record, which is then written at once.
 	Urgent bool
-	// Oversized: it exceeds the state store's size limit until tasks end.
+	// Oversized is set while the record is larger than the state store allows. It fits
+	// again once tasks have ended.
 	Oversized bool
-	// Unconfirmed: a commit went unanswered, so the key is read before it is written again.
+	// Unconfirmed is set if a commit went unanswered. The record is then read before it is
+	// written again.
 	Unconfirmed bool
-	// Generation counts changes: a commit compares it to see what it has missed.
+	// Generation counts the changes to the chunk, so that a commit detects those made while
+	// it was in flight.
 	Generation uint64
-	// Exited are attempts whose end the record does not show yet.
+	// Exited are the attempts whose end is not in the record yet.
 	Exited []*Attempt
 }
 
-// Chunk is the run record that a task belongs to, made if there is none.
+// Chunk returns the chunk that a task belongs to, and adds it if there is none.
 func (j *Job) Chunk(task int) *RunChunk {
 	i := task / storage.ChunkTasks
 	chunk := j.Chunks[i]
@@ -39,7 +44,7 @@
 	return chunk
 }
 
-// MarkDirty notes that a task's run record is to be written, at once if urgent.
+// MarkDirty marks a task's run record to be written, at once if urgent.
 func (j *Job) MarkDirty(task int, urgent bool, now time.Time) {
 	j.MayHaveDirtyChunk = true
 	chunk := j.Chunk(task)
@@ -50,7 +55,7 @@
 	chunk.Urgent = chunk.Urgent || urgent
 }
 
-// HasDirtyChunk says whether a run record of the job waits to be written.
+// HasDirtyChunk reports whether a run record of the job is waiting to be written.
 func (j *Job) HasDirtyChunk() bool {
 	for _, chunk := range j.Chunks {
 		if chunk.Dirty {
@@ -60,7 +65,7 @@
 	return false
 }
 
-// RunRecord is the chunk as it should stand in the state store.
+// RunRecord returns the record of a chunk as it should be in the state store.
 func (j *Job) RunRecord(chunk *RunChunk) storage.RunRecord {
 	run := storage.RunRecord{Last: chunk.LastNumber, Done: [][2]int{}, Live: []storage.Attempt{}}
 	first := chunk.Index * storage.ChunkTasks
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -1,11 +1,11 @@
-// Package cluster is the state that a controller's event loop owns: partitions, jobs,
-// attempts, machines, peers and the graph of dependencies. It holds data and what follows
-// from it by itself. The components around it change it, each the fields that it owns, and
-// only in the loop.
+// Package cluster holds the state that a controller's event loop owns: partitions, jobs,
+// attempts, machines, peers and the dependency graph. It contains data and what can be
+// computed from it. Other components change the data, each of them only the fields that it
+// owns, and only in the loop.
 //
-// A time.Time that is zero means that the event has not happened, unless the field's
-// comment says otherwise. Durations and times without a unit suffix are Go's own; a suffix
-// S is seconds, MS milliseconds.
+// A zero time.Time means that the event has not happened, unless the field's comment says
+// otherwise. In names of plain numbers, the suffix S stands for seconds and MS for
+// milliseconds.
 package cluster
 
 import (
@@ -21,66 +21,70 @@
 	"micaspindle/internal/settings"
 )
 
-// State is what the components of a controller share. It belongs to the event loop: only
-// functions that run in it touch it.
+// State is what the components of a controller share. It belongs to the event loop and may
+// be accessed only by functions that run in the loop.
 type State struct {
-	// The process and its configuration; none of it changes after NewState.
+	// The process and its configuration, which do not change after NewState.
 
 	Settings *settings.Settings
 	Operator settings.Operator
-	// Nonce tells this process's incarnation from earlier ones of the same label.
+	// Nonce distinguishes this process from earlier ones with the same label.
 	Nonce     string
 	StartedAt time.Time
 
 	// Derived from the settings by NewState.
 
-	// TeamIndex gives a team's index in the settings by its name.
+	// TeamIndex maps a team's name to its index in the settings.
 	TeamIndex map[string]int
-	// TeamPartition gives the partition of each team, by team index.
+	// TeamPartition is the partition of each team, by team index.
 	TeamPartition []int
-	// Labels are those of all controllers, sorted; SelfIndex is this controller's own.
+	// Labels are the labels of all controllers, sorted; SelfIndex is the index of this
+	// controller's label.
 	Labels    []string
 	SelfIndex int
 	// AgentLease is how long an agent lets its tasks run after its last answered heartbeat.
 	AgentLease time.Duration
-	// CancelBound is for how long a task may outlive its job's cancellation.
+	// CancelBound is the longest time for which a task may outlive its job's cancellation.
 	CancelBound time.Duration
 	// HeartbeatInterval is the time between two heartbeats of an agent.
 	HeartbeatInterval time.Duration
 
-	// The shared records, which package records follows.
+	// The shared records, which package records keeps up to date.
 
-	// Synced: the shared records were listed at least once.
+	// Synced is set once the shared records were listed.
 	Synced bool
-	// RecordsCurrentAt is when the newest applied listing or watch was requested: every shared
-	// record up to then is known. RecordsRevision is the revision of its answer.
+	// RecordsCurrentAt is when the newest applied listing or watch was requested: all
+	// shared records written before are known. RecordsRevision is the revision of its
+	// answer.
 	RecordsCurrentAt time.Time
 	RecordsRevision  uint64
 
 	// Partitions are indexed by Partition.Index.
 	Partitions []*Partition
 
-	// Jobs, by id: the unfinished ones, and ended ones whose attempts or run records are
-	// still to be cleared away.
+	// Jobs are the unfinished jobs, and the ended ones whose attempts or run records are
+	// still to be cleaned up, by id.
 	Jobs map[string]*Job
-	// FinalStates are the statuses of ended jobs, by id. An entry never changes.
+	// FinalStates are the final statuses of ended jobs, by id. An entry never changes.
 	FinalStates map[string]string
-	// ListedEndTimes is when jobs ended, by id; nil except while a listing is applied.
+	// ListedEndTimes is when jobs ended, by id. It is nil except while a listing is
+	// applied.
 	ListedEndTimes map[string]time.Time
 	Dependencies   DependencyGraph
 	Cancellations  CancellationNotices
 
 	// Machines are all machines on record, by name.
 	Machines map[string]*Machine
-	// DeletedMachines is when machines were deleted, by name: late heartbeats of them are
-	// recognized for a while.
+	// DeletedMachines is when machines were deleted, by name. Entries are kept for a while,
+	// to recognize late heartbeats.
 	DeletedMachines map[string]time.Time
-	// UnregisteredMachines have sent heartbeats without being on record.
+	// UnregisteredMachines are machines that have sent heartbeats without being on record,
+	// by name.
 	UnregisteredMachines map[string]*peer.UnregisteredMachine
-	// DivertedMachines is when machines that another controller leads last sent a heartbeat
-	// to this one, by name.
+	// DivertedMachines are machines of partitions that other controllers lead, with when
+	// each last sent a heartbeat to this controller, by name.
 	DivertedMachines map[string]time.Time
-	// Catalog is the cloud's list of machine types, MachineTypes the same by name; both are
+	// Catalog is the cloud's list of machine types, MachineTypes the same by name. Both are
 	// empty until the catalog is known.
 	Catalog      []protocol.MachineType
 	MachineTypes map[string]*protocol.MachineType
@@ -90,26 +94,27 @@
 
 	// This controller's leases, which package lease maintains.
 
-	// LeaseID is the state store's lease that this controller's partition leases and its
-	// cluster leadership depend on; 0: none.
+	// LeaseID is the state store's lease on which this controller's partition leases and
+	// cluster leadership depend, or 0 if there is none.
 	LeaseID uint64
-	// LeaseRenewedAt is when the last confirmed renewal of it was sent.
+	// LeaseRenewedAt is when the last confirmed renewal of that lease was sent.
 	LeaseRenewedAt time.Time
-	// ResignedAt is when this controller last gave its lease up because no agent reached it.
+	// ResignedAt is when this controller last gave up its lease because no agent reached
+	// it.
 	ResignedAt time.Time
-	// LeaseWakeup lets wanted leases be acquired ahead of the next turn.
+	// LeaseWakeup triggers the acquisition of wanted leases early.
 	LeaseWakeup chan struct{}
 
 	Leadership Leadership
-	// LastLeaderUpdate is what the cluster leader sent last.
+	// LastLeaderUpdate is the last update received from a cluster leader.
 	LastLeaderUpdate LeaderUpdate
-	// Draining: this controller is about to end and hands over what it leads.
+	// Draining is set while this controller hands over what it leads before it exits.
 	Draining bool
-	// WriteDemand is how many writes a second to the state store this controller wants.
+	// WriteDemand is how many writes per second to the state store this controller wants.
 	WriteDemand float64
 }
 
-// NewState makes the state of a controller that knows nothing yet.
+// NewState returns the state of a controller that has not read any records yet.
 func NewState(set *settings.Settings, operator settings.Operator) *State {
 	workers := set.Params.Workers
 	s := &State{
@@ -145,7 +150,7 @@
 	return s
 }
 
-// addControllers makes the list of all controllers and a peer for each other one.
+// addControllers sets the labels of all controllers and adds a peer for each other one.
 func (s *State) addControllers() {
 	s.Labels = append(s.Labels, s.Settings.Label)
 	for _, other := range s.Settings.Others {
@@ -156,7 +161,7 @@
 	s.SelfIndex = slices.Index(s.Labels, s.Settings.Label)
 }
 
-// addPartitions makes the partitions, as many as there are controllers.
+// addPartitions adds the partitions, one for each controller.
 func (s *State) addPartitions() {
 	for i := range s.Settings.Params.Count {
 		s.Partitions = append(s.Partitions, &Partition{
@@ -171,7 +176,7 @@
 	}
 }
 
-// SetCatalog sets the machine types, also those of the machines that are known already.
+// SetCatalog sets the machine types, and the Type of all known machines.
 func (s *State) SetCatalog(types []protocol.MachineType) {
 	s.Catalog = types
 	s.MachineTypes = map[string]*protocol.MachineType{}
@@ -183,16 +188,17 @@
 	}
 }
 
-// AnswerBound is for how long a controller goes on answering its agents' heartbeats after
-// UpToDateAt, so that their tasks survive an outage of the state store, yet a task whose
-// job is cancelled elsewhere has ended within CancelBound (rules 12 and 42).
+// AnswerBound returns how long after UpToDateAt a controller may still answer its agents'
+// heartbeats. Tasks thereby survive an outage of the state store, and yet a task whose job
+// is cancelled elsewhere ends within CancelBound (rules 12 and 42).
 func (s *State) AnswerBound() time.Duration {
 	return max(0, s.CancelBound-s.AgentLease-2*ClockMargin)
 }
 
-// UpToDateAt is the moment up to which this controller provably knows every cancellation
-// that was confirmed to any user, and held its leases. A lease renewal alone does not show the
-// first: it may succeed while the watch brings nothing (rule 42).
+// UpToDateAt returns the latest time up to which this controller provably knows every
+// cancellation that was confirmed to a user, and held its leases. A lease renewal alone
+// does not prove the former, since it may succeed while the watch delivers nothing (rule
+// 42).
 func (s *State) UpToDateAt() time.Time {
 	if s.RecordsCurrentAt.Before(s.LeaseRenewedAt) {
 		return s.RecordsCurrentAt
@@ -200,8 +206,8 @@
 	return s.LeaseRenewedAt
 }
 
-// MayAnswerHeartbeats says whether this controller may answer heartbeats of a partition's agents as
-// the partition's leader.
+// MayAnswerHeartbeats reports whether this controller may answer the heartbeats of a
+// partition's agents as the partition's leader.
 func (s *State) MayAnswerHeartbeats(p *Partition, now time.Time) bool {
 	return p.Held && now.Sub(s.UpToDateAt()) < s.AnswerBound()
 }
