--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -18,8 +18,8 @@
 	// ReservedQuotas are the reserved parts of the teams' limits, by team index; nil if
 	// nothing is reserved.
 	ReservedQuotas [][]fairshare.ReservedQuota
-	// WithinReservation are the classes of teams that use no more than what is reserved for
-	// them of the team's limit.
+	// WithinReservation are the classes of teams that use no more of their team's limit
+	// than is reserved for them.
 	WithinReservation map[TeamClass]bool
 }
 
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -23,7 +23,7 @@
 	// Revision is the revision of the leadership record in the state store, or 0 if there
 	// is none.
 	Revision uint64
-	// VacantSince is since when there has been no cluster leader.
+	// VacantSince is the time since which there has been no cluster leader.
 	VacantSince time.Time
 
 	// Kept in memory by the cluster leader.
@@ -35,8 +35,8 @@
 	RequestCount int
 	// PendingScaleOuts are the scale-out requests in progress, by name.
 	PendingScaleOuts map[string]*ScaleOutRequest
-	// CapacityRefusedUntil is until when no machines of a kind are requested because the
-	// cloud had none.
+	// CapacityRefusedUntil is the time until which no machines of a kind are requested
+	// because the cloud had none.
 	CapacityRefusedUntil map[binpack.MachineKind]time.Time
 	// DeletionRequestedAt is when the deletion of a machine was last requested, by name.
 	DeletionRequestedAt map[string]time.Time
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -27,8 +27,8 @@
 	// Type is the machine's type, or nil if the catalog is not known or does not contain
 	// it.
 	Type *protocol.MachineType
-	// HeartbeatsExpectedSince is since when its partition's leader could have received a
-	// heartbeat.
+	// HeartbeatsExpectedSince is the time since which the leader of its partition can have
+	// received heartbeats from it.
 	HeartbeatsExpectedSince time.Time
 
 	// The agent's heartbeats.
@@ -51,7 +51,8 @@
 	// LastContactAt is when its agent last contacted this controller, whether it was
 	// answered or not.
 	LastContactAt time.Time
-	// DivertedSince is since when its agent has reached other controllers but not this one.
+	// DivertedSince is the time since which its agent has reached other controllers but not
+	// this one.
 	DivertedSince time.Time
 	// RedirectedAt is when its agent was last redirected to its delegate,
 	// DelegateHeartbeatAt when the delegate last forwarded a heartbeat.
@@ -60,19 +61,20 @@
 
 	// The machine's lease; its tasks may run until it expires.
 
-	// AnsweredUntil is the last moment at which anybody may have answered a heartbeat.
+	// AnsweredUntil is the latest time at which any controller may have answered a
+	// heartbeat.
 	AnsweredUntil time.Time
-	// FormerLeaderAnswersUntil is until when the leader of the partition that the machine
-	// was moved from may answer its heartbeats.
+	// FormerLeaderAnswersUntil is the time until which the leader of the partition that the
+	// machine was moved from may answer its heartbeats.
 	FormerLeaderAnswersUntil time.Time
 	// Lost is set once the lease has expired, so that nothing runs on the machine.
 	Lost bool
 
 	// The fencing token.
 
-	// TokenConfirmed is set once a heartbeat under the present leader's token was received.
+	// TokenConfirmed is set once a heartbeat with the present fencing token was received.
 	TokenConfirmed bool
-	// TokenRaiseBy is by when its token must be raised; zero if it need not be.
+	// TokenRaiseBy is the time by which its token must be raised; zero if it need not be.
 	TokenRaiseBy time.Time
 
 	// Commands to the agent.
@@ -115,7 +117,7 @@
 	SlowTasks int
 	// Quarantined is set if the machine is considered faulty. It then gets no new work.
 	Quarantined bool
-	// AvoidUntil is until when the machine gets no new work after a failure.
+	// AvoidUntil is the time until which the machine gets no new work after a failure.
 	AvoidUntil time.Time
 
 	// Reservation, preemption and removal.
@@ -125,8 +127,8 @@
 	ReservedFor int
 	// PreemptionAt is when the cloud takes the machine away; zero if no notice was given.
 	PreemptionAt time.Time
-	// RetiringSince is since when the machine has been prepared for its deletion; zero if
-	// it is not.
+	// RetiringSince is the time since which the machine has been prepared for its deletion;
+	// zero if it is not.
 	RetiringSince time.Time
 	// Moving is set while the record of its move to another partition is being written.
 	Moving bool
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -31,7 +31,7 @@
 	// LeaseRevision is the revision of the lease's record in the state store, or 0 if there
 	// is none.
 	LeaseRevision uint64
-	// VacantSince is since when the partition has had no leader.
+	// VacantSince is the time since which the partition has had no leader.
 	VacantSince time.Time
 	// FormerLeaders are earlier leaders that may still answer agents' heartbeats.
 	FormerLeaders []failover.FormerLeader
@@ -78,8 +78,8 @@
 	Standby string
 	// Replication is how far the standby's replica has followed.
 	Replication ReplicationProgress
-	// HandbackSince is since when the partition is to be handed back to its preferred
-	// leader; zero if it is not.
+	// HandbackSince is the time since which the partition is to be handed back to its
+	// preferred leader; zero if it is not.
 	HandbackSince time.Time
 	// Delegations are the shards whose agents are connected to other controllers.
 	Delegations delegation.Ledger
--- a/internal/coordination/cluster/peer.go
+++ b/internal/coordination/cluster/peer.go
@@ -17,7 +17,7 @@
 	// none.
 	Summary       *peer.Summary
 	LastSummaryAt time.Time
-	// AliveSince is since when its summaries have come without a gap.
+	// AliveSince is the time since which its summaries have come without a gap.
 	AliveSince time.Time
 	// ReportingMachines are the machines that send their heartbeats to it, according to
 	// Summary.
--- a/internal/coordination/cluster/replication.go
+++ b/internal/coordination/cluster/replication.go
@@ -9,8 +9,8 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// HintImagesLimit is the maximum number of images that are replicated for a machine; the
-// most recently used ones are.
+// HintImagesLimit is the maximum number of images that are replicated for a machine: the
+// most recently used ones.
 const HintImagesLimit = 50
 
 // noPreemptionNotice is the PreemptionNoticeS of a hint if the cloud gave no notice.
--- a/internal/coordination/cluster/run_chunk.go
+++ b/internal/coordination/cluster/run_chunk.go
@@ -14,8 +14,7 @@
 	Revision uint64
 	// LastNumber is the highest attempt number ever given in the chunk (rule 52).
 	LastNumber uint64
-	// Dirty is set if the chunk differs from its record, which it has done since
-	// DirtySince.
+	// Dirty is set if the chunk differs from its record; it has differed since DirtySince.
 	Dirty      bool
 	DirtySince time.Time
 	// Urgent is set if starts wait for the record, which is then written at once.
