--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -6,9 +6,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Heartbeat is an agent's description of its machine: the body of POST /checkin and of the
-// answers of /orders and /show. Epoch is the agent's epoch, Sequence counts its heartbeats, and
-// Token is the highest fencing token that it has seen.
+// Heartbeat is an agent's report on its machine: the body of POST /checkin and of the responses to
+// /orders and /show. Epoch identifies the agent's incarnation, Sequence numbers its heartbeats,
+// and Token is the highest fencing token that it has seen.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"endpoint"`
@@ -22,7 +22,7 @@
 	Tasks             []TaskReport `msgpack:"pieces"`
 }
 
-// TaskReport is one attempt of a task in a heartbeat.
+// TaskReport is the state of one attempt in a heartbeat.
 type TaskReport struct {
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"try"`
@@ -46,20 +46,20 @@
 	CauseUnknown = "unknown"
 )
 
-// Check says what is wrong with a heartbeat; nil: nothing.
+// Check returns an error that names the first invalid field, nil if the heartbeat is valid.
 func (h *Heartbeat) Check() error {
 	switch {
 	case h.Machine == "" || len(h.Machine) > maxText || strings.ContainsAny(h.Machine, " /"):
 		return invalid("host")
 	case h.Epoch == 0:
 		return missing("tenure")
-	case h.PreemptionNoticeS != nil && !finite(*h.PreemptionNoticeS):
+	case h.PreemptionNoticeS != nil && !isFinite(*h.PreemptionNoticeS):
 		return invalid("warning_s")
 	}
 	return nil
 }
 
-// Command is one command to an agent, about one attempt.
+// Command tells an agent what to do with one attempt.
 type Command struct {
 	Op      string  `msgpack:"verb"`
 	Task    string  `msgpack:"piece"`
@@ -67,7 +67,7 @@
 	GraceS  float64 `msgpack:"wind_down_s"`
 }
 
-// EncodeMsgpack leaves the grace period out of commands other than stops.
+// EncodeMsgpack encodes the grace period only if the command is a stop.
 func (c *Command) EncodeMsgpack(enc *msgpack.Encoder) error {
 	fields := map[string]any{"verb": c.Op, "piece": c.Task, "try": c.Attempt}
 	if c.Op == OpStop {
@@ -76,15 +76,15 @@
 	return enc.EncodeMap(fields)
 }
 
-// The commands that agents know. OpForget drops an ended attempt from the heartbeats.
+// The operations of commands. OpForget removes an ended attempt from the agent's heartbeats.
 const (
 	OpStart  = "start"
 	OpStop   = "stop"
 	OpForget = "reap"
 )
 
-// CommandBatch carries commands to an agent under a fencing token: the answer to its heartbeat
-// (without an epoch) or the body of POST /orders.
+// CommandBatch carries commands to an agent under a fencing token. It is the response to a
+// heartbeat, without an epoch, or the body of POST /orders.
 type CommandBatch struct {
 	Token    uint64    `msgpack:"mandate"`
 	Epoch    uint64    `msgpack:"tenure,omitempty"`
--- a/internal/protocol/api.go
+++ b/internal/protocol/api.go
@@ -5,28 +5,28 @@
 	Error string `msgpack:"error"`
 }
 
-// Reassignment is the body of POST /submissions/{id}/reassign: submit the job anew under another
-// id, team or class.
+// Reassignment is the body of POST /submissions/{id}/reassign, which submits the job again under
+// another id, team or class.
 type Reassignment struct {
 	As    string `msgpack:"as"`
 	Team  string `msgpack:"owner"`
 	Class string `msgpack:"jobclass"`
 }
 
-// CancelAll is the body of POST /withdrawals: cancel all jobs that somebody has submitted.
+// CancelAll is the body of POST /withdrawals, which cancels all jobs that one user has submitted.
 type CancelAll struct {
 	By string `msgpack:"by"`
 }
 
-// CancelAllResult is the answer to a Sweep: how many jobs were cancelled, how many are left to be
-// cancelled by another request, and how many the caller may not cancel.
+// CancelAllResult is the response to a CancelAll: how many jobs were cancelled, how many remain for
+// the next request, and how many the caller may not cancel.
 type CancelAllResult struct {
 	Cancelled  int `msgpack:"withdrawn"`
 	Remaining  int `msgpack:"left"`
 	NotAllowed int `msgpack:"not_allowed"`
 }
 
-// WhoAmI tells a caller its name, how it was authenticated and what it may do.
+// WhoAmI tells callers their name, how they were authenticated and what they may do.
 type WhoAmI struct {
 	Name          string   `msgpack:"name"`
 	How           string   `msgpack:"how"`
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,11 +1,11 @@
 package protocol
 
-// Catalog is the answer of the cloud's GET /catalog.
+// Catalog is the response to the cloud's GET /catalog.
 type Catalog struct {
 	Types []MachineType `msgpack:"shapes_of_box"`
 }
 
-// MachineType is a type of machine that the cloud rents out.
+// MachineType is a machine type that the cloud offers.
 type MachineType struct {
 	Name         string   `msgpack:"label"`
 	CPUs         float64  `msgpack:"vcpus"`
@@ -19,8 +19,8 @@
 	ZonesOffered []string `msgpack:"locales"`
 }
 
-// CreateMachinesRequest is the body of the cloud's POST /machines. Request identifies it: a repeated one rents
-// nothing twice.
+// CreateMachinesRequest is the body of the cloud's POST /machines. Request is an idempotency key:
+// repeating a request creates no more machines.
 type CreateMachinesRequest struct {
 	Request string `msgpack:"rental"`
 	Type    string `msgpack:"box"`
@@ -29,18 +29,19 @@
 	Count   int    `msgpack:"count"`
 }
 
-// MachineNames is the answer to a rental and the body of a deletion.
+// MachineNames is the response to a CreateMachinesRequest and the body of POST /machines/delete.
 type MachineNames struct {
 	Machines []string `msgpack:"hosts"`
 }
 
-// MachineList is the answer of the cloud's GET /machines.
+// MachineList is one page of the response to the cloud's GET /machines; More says that it is not
+// the last one.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"hosts"`
 	More     bool            `msgpack:"more"`
 }
 
-// ListedMachine is one machine in the cloud's list.
+// ListedMachine is a machine in a MachineList.
 type ListedMachine struct {
 	Name  string  `msgpack:"name_id"`
 	Addr  string  `msgpack:"endpoint"`
@@ -51,7 +52,7 @@
 	AgeS  float64 `msgpack:"held_s"`
 }
 
-// The states of a listed machine.
+// The states of a ListedMachine.
 const (
 	MachineStarting = "starting"
 	MachineRunning  = "running"
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,6 +1,7 @@
-// Package protocol holds the messages that cross the process's boundary: the MessagePack
-// bodies of users (submission.go, job.go, api.go), agents, the cloud and the state store, with
-// the names that these use on the wire. Package peer has the messages between controllers.
+// Package protocol holds the MessagePack messages that controllers exchange with users
+// (submission.go, job.go, api.go), agents (agent.go), the cloud (cloud.go) and the state store
+// (statestore.go). Struct tags are the field names on the wire. Package peer has the messages
+// between controllers.
 package protocol
 
 import (
@@ -13,10 +14,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrMalformed marks a body that the protocol does not allow.
+// ErrMalformed marks a body that violates the protocol.
 var ErrMalformed = errors.New("malformed body")
 
-// Decode scans body and decodes it into v. Its errors wrap ErrMalformed.
+// Decode validates body with Scan and decodes it into v. Its errors wrap ErrMalformed.
 func Decode(body []byte, v any) error {
 	if err := Scan(body); err != nil {
 		return err
@@ -27,7 +28,8 @@
 	return nil
 }
 
-// Encode encodes v; the types of this package can always be encoded.
+// Encode encodes v, which must be of a type that MessagePack can encode, as all types of this
+// package are.
 func Encode(v any) []byte {
 	var buf bytes.Buffer
 	enc := msgpack.GetEncoder()
@@ -40,8 +42,8 @@
 	return buf.Bytes()
 }
 
-// JSONSize bounds the size of an encoded value in the form in which the
-// protocol counts sizes, JSON, however it is spaced and escaped.
+// JSONSize returns an upper bound of the size that an encoded value has as JSON, however that is
+// spaced and escaped. The size limits of the protocol refer to JSON.
 func JSONSize(raw []byte) int {
 	var v any
 	if err := msgpack.Unmarshal(raw, &v); err != nil {
@@ -51,16 +53,16 @@
 	if err != nil {
 		return len(raw)
 	}
-	size := len(text) + 32 // whole amounts may be written with ".0"
+	size := len(text) + 32 // whole numbers may be written with a trailing ".0"
 	for _, c := range text {
 		switch {
 		case c == ',' || c == ':':
 			size++
 		case c >= 0x80:
-			size += 2 // as an escape
+			size += 2 // non-ASCII text may be written as \u escapes
 		}
 	}
 	return size
 }
 
-func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
+func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -7,7 +7,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// The messages to and from users, workers, the cloud and the state service stay as they are.
+// Guards the encoding of messages exchanged with users, agents, the cloud and the state store.
 func TestGoldenMessages(t *testing.T) {
 	for name, message := range map[string]any{
 		"user-submission":    golden.Fill(&protocol.Submission{}),
@@ -38,31 +38,32 @@
 	}
 }
 
-// Orders are maps in any order; a start has no grace, so that each verb has its own file.
-func TestGoldenOrders(t *testing.T) {
+// Guards the encoding of commands. They are maps, whose keys are sorted for the comparison. Only
+// stops have a grace period, so the other operations have golden files of their own.
+func TestGoldenCommands(t *testing.T) {
 	sorted := golden.Codec{
 		Marshal:   func(value any) ([]byte, error) { return golden.SortedKeys(protocol.Encode(value)) },
 		Unmarshal: protocol.Decode,
 	}
-	orders := golden.Fill(&protocol.CommandBatch{})
-	for i := range orders.Commands {
-		orders.Commands[i].Op = protocol.OpStop
+	batch := golden.Fill(&protocol.CommandBatch{})
+	for i := range batch.Commands {
+		batch.Commands[i].Op = protocol.OpStop
 	}
-	golden.Check(t, "worker-orders", orders, sorted)
-	for _, verb := range []string{protocol.OpStart, protocol.OpForget} {
+	golden.Check(t, "worker-orders", batch, sorted)
+	for _, op := range []string{protocol.OpStart, protocol.OpForget} {
 		command := golden.Fill(&protocol.Command{})
-		command.Op = verb
+		command.Op = op
 		encoded, err := sorted.Marshal(command)
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Bytes(t, "worker-command-"+verb, encoded)
+		golden.Bytes(t, "worker-command-"+op, encoded)
 	}
 }
 
-// The words that fields hold are part of the protocol as their names are.
-func TestGoldenWords(t *testing.T) {
-	for _, word := range []struct{ name, got, want string }{
+// Guards the values of string constants on the wire.
+func TestWireConstants(t *testing.T) {
+	for _, constant := range []struct{ name, got, want string }{
 		{"job queued", protocol.StatusQueued, "queued"},
 		{"job running", protocol.StatusRunning, "running"},
 		{"job done", protocol.StatusDone, "done"},
@@ -85,15 +86,15 @@
 		{"machine failed", protocol.MachineFailed, "failed"},
 		{"task name", protocol.TaskName("job-7", 3), "job-7/3"},
 	} {
-		if word.got != word.want {
-			t.Errorf("%s is %q, want %q", word.name, word.got, word.want)
+		if constant.got != constant.want {
+			t.Errorf("%s is %q, want %q", constant.name, constant.got, constant.want)
 		}
 	}
-	for word, want := range map[string]protocol.Urgency{"low": 0, "standard": 1, "high": 2, "production": 3} {
+	for name, want := range map[string]protocol.Urgency{"low": 0, "standard": 1, "high": 2, "production": 3} {
 		submission := golden.Fill(&protocol.Submission{})
-		*submission.ID, *submission.Shape, *submission.Urgency = "job-7", "batch", word
+		*submission.ID, *submission.Shape, *submission.Urgency = "job-7", "batch", name
 		if spec, err := submission.Check(); err != nil || spec.Urgency != want {
-			t.Errorf("urgency %q is stored as %+v (%v), want %d", word, spec, err, want)
+			t.Errorf("urgency %q is decoded as %+v (error %v), want %d", name, spec, err, want)
 		}
 	}
 }
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Urgency orders jobs; higher goes first.
+// Urgency is the priority of a job; higher values go first.
 type Urgency int
 
-// The urgencies of the protocol.
+// The urgencies, from lowest to highest.
 const (
 	Low Urgency = iota
 	Standard
@@ -16,18 +16,18 @@
 	Production
 )
 
-// urgencies are the urgencies by their names on the wire.
+// urgencies maps names on the wire to urgencies.
 var urgencies = map[string]Urgency{"low": Low, "standard": Standard, "high": High, "production": Production}
 
-// JobSpec is a checked submission. It is also what the job's record holds, so that fields and
-// their order stay.
+// JobSpec is a validated submission. It is also the stored record of the job, so the tags and the
+// order of its fields must not change.
 type JobSpec struct {
 	ID    string `msgpack:"id"`
 	Class string `msgpack:"cl"`
 	Team  string `msgpack:"tm"`
-	// Standing tasks run until they are stopped.
+	// Standing marks a service, whose tasks run until they are stopped.
 	Standing bool `msgpack:"st,omitempty"`
-	// Gang tasks start together or not at all.
+	// Gang marks a job whose tasks start together or not at all.
 	Gang        bool     `msgpack:"ga,omitempty"`
 	Urgency     Urgency  `msgpack:"ur"`
 	Tasks       int      `msgpack:"n"`
@@ -45,26 +45,26 @@
 	CheckpointS float64  `msgpack:"ck,omitempty"`
 	SaveS       float64  `msgpack:"sv,omitempty"`
 	DeadlineS   float64  `msgpack:"d,omitempty"`
-	// SubmittedMS is the wall clock at acceptance.
+	// SubmittedMS is the Unix time in milliseconds at which the job was accepted.
 	SubmittedMS int64 `msgpack:"at"`
-	// Dependencies are the jobs that must be done first, each named once.
+	// Dependencies are the ids of the jobs that must be done first, without duplicates.
 	Dependencies []string `msgpack:"dp,omitempty"`
-	// By is who submitted it, where callers are identified.
+	// By is the user that submitted the job, if callers are authenticated.
 	By string `msgpack:"by,omitempty"`
-	// Replaces is the job that was reassigned to become this one.
+	// Replaces is the id of the job that this one was reassigned from.
 	Replaces string `msgpack:"rp,omitempty"`
 }
 
-// JobKind is the little of a JobSpec that is read of jobs in a final state.
+// JobKind holds the only fields of a JobSpec that are read once its job is in a final state.
 type JobKind struct {
 	Class string `msgpack:"cl"`
 	Team  string `msgpack:"tm"`
 }
 
-// maxIDDigits is how many digits a job id may have.
+// maxIDDigits bounds the digits of a job id.
 const maxIDDigits = 32
 
-// ValidID says whether id has the form of a job id.
+// ValidID reports whether id has the form of a job id.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "job-")
 	if !ok || digits == "" || len(digits) > maxIDDigits {
@@ -78,10 +78,10 @@
 	return true
 }
 
-// TaskName is the name of a job's task on the wire.
+// TaskName returns the name that a job's task has on the wire.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTask splits a task's name into its job's id and its index.
+// ParseTask splits the name of a task into the id of its job and its index in the job.
 func ParseTask(name string) (job string, index int, ok bool) {
 	job, number, ok := strings.Cut(name, "/")
 	if !ok {
@@ -91,7 +91,7 @@
 	return job, index, err == nil && index >= 0 && index < maxTasks
 }
 
-// JobStatus is the answer to a user who asks for a job.
+// JobStatus is the response to a user who asks for the status of a job.
 type JobStatus struct {
 	ID      string `msgpack:"name_id"`
 	Status  string `msgpack:"status"`
@@ -99,10 +99,10 @@
 	Running int    `msgpack:"running"`
 }
 
-// Ended says whether the job is in a final state.
+// Ended reports whether the job is in a final state.
 func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusCancelled }
 
-// The states of a job as users see them. StatusWithdrawn is the protocol's word for cancelled.
+// The states of a job as users see them. A cancelled job is called withdrawn on the wire.
 const (
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
@@ -110,7 +110,7 @@
 	StatusCancelled = "withdrawn"
 )
 
-// Arguments is what a job was submitted with, for callers who may read it.
+// Arguments are the values that a job was submitted with, for callers who may read them.
 type Arguments struct {
 	ID           string   `msgpack:"name_id"`
 	Class        string   `msgpack:"jobclass"`
@@ -130,7 +130,7 @@
 	Dependencies []string `msgpack:"waits_on"`
 }
 
-// Arguments returns what the job was submitted with.
+// Arguments returns the values that the job was submitted with.
 func (j *JobSpec) Arguments() Arguments {
 	arguments := Arguments{
 		ID:           j.ID,
--- a/internal/protocol/peer/compat_test.go
+++ b/internal/protocol/peer/compat_test.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What the version in production says to its neighbours must be understood,
-// and said in the same bytes, as long as nothing new is in it.
-func TestMessagesAreThoseOfTheVersionInProduction(t *testing.T) {
+// Guards compatibility with the version in production during an upgrade: messages without newer
+// fields are decoded from its bytes and encoded to the same bytes.
+func TestEncodingMatchesProduction(t *testing.T) {
 	for name, want := range map[string]proto.Message{
 		"summary": &Summary{From: "spindle-1", StateSilenceS: 0.25, WriteDemand: 4.5, Diverted: []string{"m-000009"},
 			Partitions: []*PartitionSummary{{Partition: 1,
@@ -30,11 +30,11 @@
 			t.Fatal(err)
 		}
 		if got, err := (proto.MarshalOptions{Deterministic: true}).Marshal(want); err != nil || !bytes.Equal(got, golden) {
-			t.Errorf("%s is said as %x (%v), production says %x", name, got, err, golden)
+			t.Errorf("%s is encoded as %x (error %v), in production as %x", name, got, err, golden)
 		}
 		got := want.ProtoReflect().New().Interface()
 		if err := proto.Unmarshal(golden, got); err != nil || !proto.Equal(got, want) {
-			t.Errorf("%s is read as %v (%v)", name, got, err)
+			t.Errorf("%s is decoded as %v (error %v), want %v", name, got, err, want)
 		}
 	}
 }
--- a/internal/protocol/peer/golden_test.go
+++ b/internal/protocol/peer/golden_test.go
@@ -6,5 +6,5 @@
 	"micaspindle/internal/golden"
 )
 
-// The messages between controllers stay as they are on the wire, whatever they are called.
+// Guards the encoding of the messages between controllers, whatever their names in the sources.
 func TestGoldenMessages(t *testing.T) { golden.CheckProtobuf(t, "micaspindle.peer") }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Bounds of what a message may hold.
+// Bounds on the fields of messages.
 const (
 	maxTasks  = 100_000
 	maxTypes  = 64
@@ -13,8 +13,8 @@
 	maxText   = 200 // bytes
 )
 
-// Submission is the body of POST /submissions: a job as a user asks for it. Whatever may not be
-// null is a pointer, so that what was left out is noticed.
+// Submission is the body of POST /submissions, the description of a job. Scalar fields are
+// pointers, to tell an omitted field from a zero value.
 type Submission struct {
 	ID          *string  `msgpack:"name_id"`
 	Class       *string  `msgpack:"jobclass"`
@@ -36,13 +36,12 @@
 	CheckpointS *float64 `msgpack:"snapshot_every_s"`
 	SaveS       *float64 `msgpack:"snapshot_s"`
 	DeadlineS   *float64 `msgpack:"due_s"`
-	// Dependencies are the ids of jobs that must be done before a task of this one
-	// starts.
+	// Dependencies are the ids of jobs that must be done before a task of this job starts.
 	Dependencies []*string `msgpack:"waits_on"`
 }
 
-// SubmissionID finds the job id in a body that may not be a valid submission; "": there is
-// none.
+// SubmissionID returns the job id of a submission whose other fields may be invalid, "" if body
+// has no valid id.
 func SubmissionID(body []byte) string {
 	var s struct {
 		ID string `msgpack:"name_id"`
@@ -53,7 +52,7 @@
 	return s.ID
 }
 
-// submissionChecks are the steps of Check: each checks some fields and copies them to the job.
+// submissionChecks are the steps of Check. Each validates some fields and copies them to the job.
 var submissionChecks = []func(*Submission, *JobSpec) error{
 	(*Submission).checkTexts,
 	(*Submission).checkAmounts,
@@ -65,8 +64,8 @@
 	(*Submission).checkDependencies,
 }
 
-// Check turns a submission into a job, or says in one line what is wrong. Only what may be
-// null may be left out.
+// Check validates a submission and returns its job. The error is one line on the first invalid
+// field. Only nullable fields may be omitted.
 func (s *Submission) Check() (*JobSpec, error) {
 	var spec JobSpec
 	for _, check := range submissionChecks {
@@ -83,10 +82,10 @@
 		from, to *string
 		rule     presence
 	}{
-		{"name_id", s.ID, &spec.ID, filled},
-		{"jobclass", s.Class, &spec.Class, filled},
-		{"owner", s.Team, &spec.Team, filled},
-		{"bundle", s.Image, &spec.Image, present},
+		{"name_id", s.ID, &spec.ID, nonEmpty},
+		{"jobclass", s.Class, &spec.Class, nonEmpty},
+		{"owner", s.Team, &spec.Team, nonEmpty},
+		{"bundle", s.Image, &spec.Image, required},
 		{"locale", s.Zone, &spec.Zone, nullable},
 	} {
 		if err := checkText(field.name, field.from, field.to, field.rule); err != nil {
@@ -105,13 +104,13 @@
 		from, to *float64
 		rule     presence
 	}{
-		{"vcpus", s.CPUs, &spec.CPUs, present},
-		{"gpus", s.GPUs, &spec.GPUs, present},
-		{"mem_gb", s.MemGB, &spec.MemGB, present},
-		{"image_gb", s.ImageGB, &spec.ImageGB, present},
-		{"guess_s", s.EstimateS, &spec.EstimateS, present},
-		{"snapshot_every_s", s.CheckpointS, &spec.CheckpointS, present},
-		{"snapshot_s", s.SaveS, &spec.SaveS, present},
+		{"vcpus", s.CPUs, &spec.CPUs, required},
+		{"gpus", s.GPUs, &spec.GPUs, required},
+		{"mem_gb", s.MemGB, &spec.MemGB, required},
+		{"image_gb", s.ImageGB, &spec.ImageGB, required},
+		{"guess_s", s.EstimateS, &spec.EstimateS, required},
+		{"snapshot_every_s", s.CheckpointS, &spec.CheckpointS, required},
+		{"snapshot_s", s.SaveS, &spec.SaveS, required},
 		{"due_s", s.DeadlineS, &spec.DeadlineS, nullable},
 	} {
 		if err := checkAmount(field.name, field.from, field.to, field.rule); err != nil {
@@ -190,8 +189,8 @@
 	return nil
 }
 
-// checkDependencies does not ask whether the jobs named were ever accepted: that is not a
-// matter of form, and even a name that can't be a job's is text.
+// checkDependencies removes duplicates. It allows any id, even one that is not a valid job id:
+// whether the jobs exist is checked against the records later.
 func (s *Submission) checkDependencies(spec *JobSpec) error {
 	for _, id := range s.Dependencies {
 		if id == nil {
@@ -204,13 +203,13 @@
 	return nil
 }
 
-// presence says what a field of a submission must hold.
+// presence says whether a field of a submission may be omitted or empty.
 type presence int
 
 const (
-	nullable presence = iota // it may be null or left out
-	present                  // it must be there
-	filled                   // it must be there and not be empty
+	nullable presence = iota // may be null or omitted
+	required                 // must be there
+	nonEmpty                 // must be there and not empty
 )
 
 func missing(name string) error { return fmt.Errorf("%w: %s is missing", ErrMalformed, name) }
@@ -225,7 +224,7 @@
 		return nil
 	case from == nil:
 		return missing(name)
-	case len(*from) > maxText || *from == "" && rule == filled:
+	case len(*from) > maxText || *from == "" && rule == nonEmpty:
 		return invalid(name)
 	}
 	*to = *from
@@ -238,7 +237,7 @@
 		return nil
 	case from == nil:
 		return missing(name)
-	case !finite(*from) || *from < 0 || *from > maxAmount:
+	case !isFinite(*from) || *from < 0 || *from > maxAmount:
 		return outOfRange(name)
 	}
 	*to = *from
