--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -5,115 +5,115 @@
 	"time"
 )
 
-// maxRemembered is from how many teams, or clients of a team, on those that want nothing are
-// forgotten.
-const maxRemembered = 4096
+// pruneThreshold is the number of teams, or of a team's clients, from which on idle ones are
+// removed.
+const pruneThreshold = 4096
 
-// hasPlace reports whether fewer callers are inside than may be.
-func (q *Queue) hasPlace() bool { return q.limits.Concurrency == 0 || q.inside < q.limits.Concurrency }
+// hasSlot reports whether the concurrency limit allows another caller.
+func (q *Queue) hasSlot() bool { return q.limits.Concurrency == 0 || q.active < q.limits.Concurrency }
 
-// free reports whether somebody could be admitted now.
-func (q *Queue) free(now time.Time) bool {
-	return q.hasPlace() && (q.limits.PerSecond == 0 || !q.paidUntil.After(now))
+// canAdmit reports whether the limits allow another caller now.
+func (q *Queue) canAdmit(now time.Time) bool {
+	return q.hasSlot() && (q.limits.PerSecond == 0 || !q.rateUsedUntil.After(now))
 }
 
-// serve admits whoever is next for as long as there is room.
-func (q *Queue) serve(now time.Time) {
-	for q.waiting > 0 && q.free(now) {
+// dispatch admits waiting callers in their fair order for as long as the limits allow.
+func (q *Queue) dispatch(now time.Time) {
+	for q.waiting > 0 && q.canAdmit(now) {
 		t := q.nextTeam()
 		c := t.nextClient()
-		q.clock = max(q.clock, t.tag)
-		t.clock = max(t.clock, c.tag)
+		q.virtualTime = max(q.virtualTime, t.finishTag)
+		t.virtualTime = max(t.virtualTime, c.finishTag)
 		w := c.queue[0]
 		c.queue = c.queue[1:]
 		t.waiting--
 		q.waiting--
-		c.tag += w.cost
-		t.tag += w.cost / t.weight
-		q.pay(now, w.cost)
-		q.inside++
+		c.finishTag += w.cost
+		t.finishTag += w.cost / t.weight
+		q.chargeRate(now, w.cost)
+		q.active++
 		q.admitted++
 		w.admitted = true
 		close(w.decided)
 	}
-	q.scheduleServe(now)
+	q.scheduleDispatch(now)
 }
 
-// nextTeam returns the team that has had least for its weight, of those that wait.
+// nextTeam returns the team with the lowest finish tag of those with waiting callers.
 func (q *Queue) nextTeam() *team {
 	var next *team
 	for _, t := range q.teams {
-		if t.waiting > 0 && (next == nil || t.tag < next.tag || t.tag == next.tag && t.name < next.name) {
+		if t.waiting > 0 && (next == nil || t.finishTag < next.finishTag || t.finishTag == next.finishTag && t.name < next.name) {
 			next = t
 		}
 	}
 	return next
 }
 
-// nextClient returns the client that has had least, of those that wait.
+// nextClient returns the client with the lowest finish tag of those with waiting callers.
 func (t *team) nextClient() *client {
 	nextName, next := "", (*client)(nil)
 	for name, c := range t.clients {
-		if len(c.queue) > 0 && (next == nil || c.tag < next.tag || c.tag == next.tag && name < nextName) {
+		if len(c.queue) > 0 && (next == nil || c.finishTag < next.finishTag || c.finishTag == next.finishTag && name < nextName) {
 			nextName, next = name, c
 		}
 	}
 	return next
 }
 
-// pay uses up the rate for a cost.
-func (q *Queue) pay(now time.Time, cost float64) {
+// chargeRate takes a cost out of the rate.
+func (q *Queue) chargeRate(now time.Time, cost float64) {
 	if q.limits.PerSecond == 0 {
 		return
 	}
-	if q.paidUntil.Before(now) {
-		q.paidUntil = now
+	if q.rateUsedUntil.Before(now) {
+		q.rateUsedUntil = now
 	}
-	q.paidUntil = q.paidUntil.Add(time.Duration(cost / q.limits.PerSecond * float64(time.Second)))
+	q.rateUsedUntil = q.rateUsedUntil.Add(time.Duration(cost / q.limits.PerSecond * float64(time.Second)))
 }
 
-// scheduleServe lets the next caller be admitted once the rate allows for it: that is without
-// anybody leaving.
-func (q *Queue) scheduleServe(now time.Time) {
-	waitsForRate := q.waiting > 0 && q.limits.PerSecond > 0 && q.paidUntil.After(now) && q.hasPlace()
+// scheduleDispatch sets a timer if callers wait for the rate while slots are free: then the release
+// of a slot need not come to dispatch them.
+func (q *Queue) scheduleDispatch(now time.Time) {
+	waitsForRate := q.waiting > 0 && q.limits.PerSecond > 0 && q.rateUsedUntil.After(now) && q.hasSlot()
 	if !waitsForRate || q.timer != nil {
 		return
 	}
-	q.timer = time.AfterFunc(q.paidUntil.Sub(now), func() {
+	q.timer = time.AfterFunc(q.rateUsedUntil.Sub(now), func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		q.timer = nil
-		q.serve(time.Now())
+		q.dispatch(time.Now())
 	})
 }
 
-// add puts a caller behind those of its client. Time in which a team or a client wanted
-// nothing is not saved up.
+// add appends a caller to its client's queue. An idle team or client starts at the current
+// virtual time, so that idle time earns no credit.
 func (q *Queue) add(w *waiter) {
 	t := q.teams[w.team]
 	if t == nil {
-		q.forgetTeams()
+		q.pruneTeams()
 		t = &team{name: w.team, weight: weight(q.limits.Weights, w.team), clients: map[string]*client{}}
 		q.teams[w.team] = t
 	}
 	if t.waiting == 0 {
-		t.tag = max(t.tag, q.clock)
+		t.finishTag = max(t.finishTag, q.virtualTime)
 	}
 	c := t.clients[w.client]
 	if c == nil {
-		t.forgetClients()
+		t.pruneClients()
 		c = new(client)
 		t.clients[w.client] = c
 	}
 	if len(c.queue) == 0 {
-		c.tag = max(c.tag, t.clock)
+		c.finishTag = max(c.finishTag, t.virtualTime)
 	}
 	c.queue = append(c.queue, w)
 	t.waiting++
 	q.waiting++
 }
 
-// remove takes a caller out that was not admitted.
+// remove takes a waiting caller out of the queue.
 func (q *Queue) remove(w *waiter) {
 	t := q.teams[w.team]
 	c := t.clients[w.client]
@@ -124,26 +124,26 @@
 	}
 }
 
-// forgetTeams drops teams that want nothing and have had no more than the others, if there
-// are many.
-func (q *Queue) forgetTeams() {
-	if len(q.teams) < maxRemembered {
+// pruneTeams removes idle teams from a map that has grown large. It keeps teams ahead
+// of the virtual time, since without their tags they would get more than their share.
+func (q *Queue) pruneTeams() {
+	if len(q.teams) < pruneThreshold {
 		return
 	}
 	for name, t := range q.teams {
-		if t.waiting == 0 && t.tag <= q.clock {
+		if t.waiting == 0 && t.finishTag <= q.virtualTime {
 			delete(q.teams, name)
 		}
 	}
 }
 
-// forgetClients does the same with the clients of a team.
-func (t *team) forgetClients() {
-	if len(t.clients) < maxRemembered {
+// pruneClients does the same for the clients of a team.
+func (t *team) pruneClients() {
+	if len(t.clients) < pruneThreshold {
 		return
 	}
 	for name, c := range t.clients {
-		if len(c.queue) == 0 && c.tag <= t.clock {
+		if len(c.queue) == 0 && c.finishTag <= t.virtualTime {
 			delete(t.clients, name)
 		}
 	}
--- a/internal/admission/handoff.go
+++ b/internal/admission/handoff.go
@@ -5,70 +5,69 @@
 	"time"
 )
 
-// Work that is handed on to a server that serves it in order is out of reach: who
-// comes later waits behind all of it. So only so much is handed on as keeps that
-// server busy for a while, and the rest waits here, where clients take turns.
-
-// HandoffLimits bounds how much may wait at the server it was handed on to.
+// HandoffLimits bound the work that waits at another server, which serves it in the order of
+// arrival: everything that arrives later waits behind it. Only enough work is handed off to keep
+// that server busy; the rest waits here, where clients take turns.
 type HandoffLimits struct {
-	// Min may wait there however slowly it is served; 0 is no bound.
+	// Min may wait at the server however slowly it works; 0 removes all bounds.
 	Min int
-	// MaxDuration is how long it may last at the rate at which it is served.
+	// MaxDuration bounds how long the server needs for the waiting work at its current rate.
 	MaxDuration time.Duration
 }
 
-// Window is how much may wait at a rate, while inService are being served. As
-// many again may wait: a server that grows by what waits for it doubles each time.
-func (a HandoffLimits) Window(perSecond float64, inService int) int {
-	if a.Min == 0 {
+// Window returns how much work may wait at a server that completes perSecond and has inService
+// under way. It is at least inService, so that a server that scales with its queue can double.
+func (l HandoffLimits) Window(perSecond float64, inService int) int {
+	if l.Min == 0 {
 		return math.MaxInt
 	}
-	return max(a.Min, inService, int(perSecond*a.MaxDuration.Seconds()))
+	return max(l.Min, inService, int(perSecond*l.MaxDuration.Seconds()))
 }
 
-// Batch is something that waits to be handed on as a whole.
+// Batch is work of one client that is handed off as a whole.
 type Batch struct {
 	Client string
 	Size   int
 }
 
-// NextBatch returns the index of the waiting lot, the oldest first, that is handed on next: that
-// of the client who has the least ahead. -1: none, until some of what is ahead has
-// been served. A client has its part of the window also while others fill it, and
-// one lot in any case: it is not kept out by lots that are large.
-func NextBatch(window int, ahead map[string]int, waiting []Batch) int {
+// NextBatch returns the index of the waiting batch to hand off next, or -1 if none may be until
+// the server has completed some work. Batches are in order of arrival, and outstanding is the
+// work of each client that waits at the server. The client with the least outstanding work goes
+// first. A client may use its equal part of the window even while others fill the window, and may
+// always have one batch outstanding, whatever its size.
+func NextBatch(window int, outstanding map[string]int, waiting []Batch) int {
 	if len(waiting) == 0 {
 		return -1
 	}
 	best := 0
-	for i, lot := range waiting {
-		if ahead[lot.Client] < ahead[waiting[best].Client] {
+	for i, batch := range waiting {
+		if outstanding[batch.Client] < outstanding[waiting[best].Client] {
 			best = i
 		}
 	}
 	total := 0
-	for _, size := range ahead {
+	for _, size := range outstanding {
 		total += size
 	}
-	own, size := ahead[waiting[best].Client], waiting[best].Size
-	if own == 0 || own+size <= window/countClients(ahead, waiting) || total+size <= window {
+	own, size := outstanding[waiting[best].Client], waiting[best].Size
+	if own == 0 || own+size <= window/countClients(outstanding, waiting) || total+size <= window {
 		return best
 	}
 	return -1
 }
 
-// countClients counts the clients that have something ahead or waiting.
-func countClients(ahead map[string]int, waiting []Batch) int {
+// countClients counts the clients with outstanding or waiting work.
+func countClients(outstanding map[string]int, waiting []Batch) int {
 	clients := 0
-	for _, size := range ahead {
+	for _, size := range outstanding {
 		if size > 0 {
 			clients++
 		}
 	}
 	seen := map[string]bool{}
-	for _, lot := range waiting {
-		if ahead[lot.Client] == 0 && !seen[lot.Client] {
-			seen[lot.Client] = true
+	for _, batch := range waiting {
+		if outstanding[batch.Client] == 0 && !seen[batch.Client] {
+			seen[batch.Client] = true
 			clients++
 		}
 	}
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -6,15 +6,14 @@
 	"sync"
 )
 
-// Ledger shares an amount that is held for a while: places of waiting actions, say.
-// Each team has a quota by its weight. Beyond it a team borrows what others leave,
-// down to a part of what they have not used of theirs, so that who comes later
-// finds some of his own at once.
+// Ledger shares a fixed amount of a resource among teams, for example the slots of waiting
+// actions. Each team has a quota in proportion to its weight and may borrow what others do not
+// use. A part of their unused quota is never lent, so that a team finds some of its own at once.
 type Ledger struct {
 	total float64
-	// perClient is the most that a client may hold; 0 is no bound.
-	perClient float64
-	// weights are those of all teams that there are, weightSum their sum.
+	// clientLimit bounds what one client holds; 0 is no bound.
+	clientLimit float64
+	// weights are the weights of all teams, weightSum their sum.
 	weights   map[string]float64
 	weightSum float64
 
@@ -27,22 +26,22 @@
 // teamClient is a client of a team.
 type teamClient struct{ team, client string }
 
-// unborrowable is the part of what others have not used that nobody borrows.
-const unborrowable = 0.25
+// unborrowableShare is the part of the other teams' unused quota that a team cannot borrow.
+const unborrowableShare = 0.25
 
-// NewLedger makes one of a total amount and a most for each client. Teams are all
-// that there are.
+// NewLedger creates a ledger of a total amount; perClient bounds what one client holds, 0 is no
+// bound. Only the teams given have a quota.
 func NewLedger(total, perClient float64, teams []string, weights map[string]float64) (*Ledger, error) {
 	switch {
 	case !(total > 0):
-		return nil, errors.New("the amount must be above 0")
+		return nil, errors.New("total amount must be above 0")
 	case perClient < 0:
-		return nil, errors.New("the most of a client must not be below 0")
+		return nil, errors.New("limit per client must not be below 0")
 	}
 	if err := checkWeights(weights); err != nil {
 		return nil, err
 	}
-	l := &Ledger{total: total, perClient: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
+	l := &Ledger{total: total, clientLimit: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
 	for _, team := range teams {
 		if _, known := l.weights[team]; !known {
 			l.weights[team] = weight(weights, team)
@@ -52,7 +51,7 @@
 	return l, nil
 }
 
-// Quota is what a team has without borrowing.
+// Quota returns what a team may hold without borrowing.
 func (l *Ledger) Quota(team string) float64 {
 	if l.weightSum == 0 {
 		return 0
@@ -60,12 +59,13 @@
 	return l.total * l.weights[team] / l.weightSum
 }
 
-// Acquire takes an amount and reports whether it could. What was taken is given back with Give.
+// Acquire takes an amount if that is within the limits, and reports whether it did. The caller
+// returns the amount with Release.
 func (l *Ledger) Acquire(team, client string, amount float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := teamClient{team, client}
-	if l.held+amount > l.total || l.perClient > 0 && l.byClient[key]+amount > l.perClient {
+	if l.held+amount > l.total || l.clientLimit > 0 && l.byClient[key]+amount > l.clientLimit {
 		return false
 	}
 	if l.byTeam[team]+amount > l.Quota(team) && !l.mayBorrow(team, amount) {
@@ -77,7 +77,8 @@
 	return true
 }
 
-// mayBorrow reports whether enough is left for the other teams if a team takes an amount.
+// mayBorrow reports whether taking the amount leaves the other teams the part of their unused
+// quota that is never lent.
 func (l *Ledger) mayBorrow(team string, amount float64) bool {
 	unused := 0.0
 	for other := range l.weights {
@@ -85,10 +86,10 @@
 			unused += max(0, l.Quota(other)-l.byTeam[other])
 		}
 	}
-	return l.total-l.held-amount >= unused*unborrowable
+	return l.total-l.held-amount >= unused*unborrowableShare
 }
 
-// Release gives back what was taken.
+// Release returns an amount taken with Acquire.
 func (l *Ledger) Release(team, client string, amount float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// Held is what each team holds.
+// Held returns what each team holds.
 func (l *Ledger) Held() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Limits bound a queue.
+// Limits are the bounds and the weights of a Queue.
 type Limits struct {
-	// Concurrency is how many are admitted at a time, PerSecond how much cost a second;
+	// Concurrency bounds the callers admitted at a time, PerSecond the cost admitted per second;
 	// 0 is no bound.
 	Concurrency int
 	PerSecond   float64
-	// MaxWaiting is how many may wait in all, and Patience for how long each; a Patience of 0 is
+	// MaxWaiting bounds the callers that wait, MaxWait the time that each waits; a MaxWait of 0 is
 	// no bound.
 	MaxWaiting int
 	MaxWait    time.Duration
-	// Weights are the shares of teams; one that is not named has 1.
+	// Weights are the relative shares of teams, 1 for a team that is not listed.
 	Weights map[string]float64
 }
 
-// Check says what is wrong with the limits.
+// Check returns an error that names the first invalid setting.
 func (l *Limits) Check() error {
 	switch {
 	case l.Concurrency < 0:
@@ -39,13 +39,13 @@
 func checkWeights(weights map[string]float64) error {
 	for team, w := range weights {
 		if !(w > 0) || math.IsInf(w, 0) {
-			return fmt.Errorf("weights.%s: %v is no weight; write a number above 0", team, w)
+			return fmt.Errorf("weights.%s: %v is not a finite number above 0", team, w)
 		}
 	}
 	return nil
 }
 
-// weight is that of a team; 1 if it is not named.
+// weight returns the weight of a team, 1 if it is not listed.
 func weight(weights map[string]float64, team string) float64 {
 	if w, ok := weights[team]; ok {
 		return w
@@ -53,9 +53,9 @@
 	return 1
 }
 
-// BusyError refuses a caller.
+// BusyError is the error of a caller that was refused because of load.
 type BusyError struct {
-	// RetryAfter is about how long it takes until the caller would be served.
+	// RetryAfter estimates the time until the caller would have been admitted.
 	RetryAfter time.Duration
 	Reason     string
 }
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Meter measures a rate over some seconds. Its zero value has measured nothing.
+// Meter measures a rate of events as an exponentially decaying average. Its zero value is ready
+// for use.
 type Meter struct {
 	last time.Time
-	// rate is that at the time last.
+	// rate is the rate at the time last.
 	rate float64
 }
 
-// meterMemory is the time constant by which a meter forgets.
-const meterMemory = 5 * time.Second
+// meterTimeConstant is the time constant of the decay.
+const meterTimeConstant = 5 * time.Second
 
-// Add counts so many at a time.
+// Add counts n events at the time now.
 func (m *Meter) Add(now time.Time, n int) {
-	m.rate = m.PerSecond(now) + float64(n)/meterMemory.Seconds()
+	m.rate = m.PerSecond(now) + float64(n)/meterTimeConstant.Seconds()
 	m.last = now
 }
 
-// PerSecond is the rate.
+// PerSecond returns the rate at the time now, 0 before the first event.
 func (m *Meter) PerSecond(now time.Time) float64 {
 	if m.last.IsZero() {
 		return 0
 	}
-	return m.rate * math.Exp(-max(0, now.Sub(m.last).Seconds())/meterMemory.Seconds())
+	return m.rate * math.Exp(-max(0, now.Sub(m.last).Seconds())/meterTimeConstant.Seconds())
 }
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -6,13 +6,13 @@
 	// minRetryDelay and maxRetryDelay bound the retry delays of refusals.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 30 * time.Second
-	// minHoldTime is the least that a caller counts as being inside, also until one has left.
+	// minHoldTime is the least hold time that retry delays assume, also before any was measured.
 	minHoldTime = 10 * time.Millisecond
 )
 
-// makeRoom reports whether one more may wait. In a full queue a team that waits with less
-// than its share takes the place of the last one of the team that is furthest
-// above its own: a flood fills the queue with itself only.
+// makeRoom reports whether one more caller may wait. If the queue is full, it evicts a waiter of
+// the team with the highest load, provided that the caller's team has a lower one, and otherwise
+// tries makeRoomWithin. A team that floods the queue thus keeps out only its own callers.
 func (q *Queue) makeRoom(w *waiter) bool {
 	if q.waiting < q.limits.MaxWaiting {
 		return true
@@ -21,18 +21,19 @@
 		return false
 	}
 	own := q.teams[w.team]
-	largest := q.largestTeam()
+	largest := q.mostLoadedTeam()
 	if largest == nil || largest.name == w.team || largest.load() <= q.loadWith(own, w) {
 		return q.makeRoomWithin(own, w)
 	}
-	q.drop(largest)
+	q.evict(largest)
 	return true
 }
 
-// load is how many of a team wait, for its weight.
+// load returns the number of the team's waiting callers divided by its weight.
 func (t *team) load() float64 { return float64(t.waiting) / t.weight }
 
-// loadWith is the load of a caller's team, nil if it is not known, if the caller waits too.
+// loadWith returns the load that the caller's team would have if the caller waited too. own is
+// nil if the queue does not know the team.
 func (q *Queue) loadWith(own *team, w *waiter) float64 {
 	waiting := 1.0
 	if own != nil {
@@ -41,8 +42,8 @@
 	return waiting / weight(q.limits.Weights, w.team)
 }
 
-// largestTeam returns the team with the largest load, nil if nobody waits.
-func (q *Queue) largestTeam() *team {
+// mostLoadedTeam returns the team with the highest load, nil if nobody waits.
+func (q *Queue) mostLoadedTeam() *team {
 	var largest *team
 	for _, t := range q.teams {
 		if t.waiting > 0 && (largest == nil || t.load() > largest.load() || t.load() == largest.load() && t.name < largest.name) {
@@ -52,28 +53,28 @@
 	return largest
 }
 
-// makeRoomWithin makes room within a team, whose client that waits with most gives a place
-// to one that waits with less.
+// makeRoomWithin is makeRoom among the clients of one team: it evicts the last waiter of the
+// client with the most waiters, if the caller's client would have fewer even with the caller.
 func (q *Queue) makeRoomWithin(t *team, w *waiter) bool {
 	if t == nil {
 		return false
 	}
-	own, most := 0, 0
+	own, largest := 0, 0
 	for name, c := range t.clients {
 		if name == w.client {
 			own = len(c.queue)
 		}
-		most = max(most, len(c.queue))
+		largest = max(largest, len(c.queue))
 	}
-	if most <= own+1 {
+	if largest <= own+1 {
 		return false
 	}
-	q.drop(t)
+	q.evict(t)
 	return true
 }
 
-// drop refuses the last caller of the team's client that waits with most.
-func (q *Queue) drop(t *team) {
+// evict refuses the last waiter of the team's client with the most waiters.
+func (q *Queue) evict(t *team) {
 	largestName, largest := "", (*client)(nil)
 	for name, c := range t.clients {
 		if len(c.queue) > 0 && (largest == nil || len(c.queue) > len(largest.queue) || len(c.queue) == len(largest.queue) && name < largestName) {
@@ -87,8 +88,8 @@
 	close(last.decided)
 }
 
-// retryAfter is about how long it takes until those of a team who wait now have
-// been served, at the team's share of the places.
+// retryAfter estimates the time until the team's waiting callers have been admitted, given the
+// team's share of the slots.
 func (q *Queue) retryAfter(name string) time.Duration {
 	waiting, own, weights := 1.0, weight(q.limits.Weights, name), 0.0
 	for _, t := range q.teams {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,7 +1,7 @@
-// Package admission shares what a server has among teams by weight, and within a
-// team among its clients: places of work, a rate of bytes, amounts that are held.
-// Whoever asks for more than fits waits in a bounded queue or is refused at once
-// with the time to retry. It knows names and numbers only, no protocol.
+// Package admission shares the resources of a server among teams by weight, and equally among
+// the clients of a team: concurrent calls, bandwidth and held amounts. A caller that finds no free
+// capacity waits in a bounded queue or is refused with a retry delay. The package is independent
+// of any protocol.
 package admission
 
 import (
@@ -11,71 +11,72 @@
 	"time"
 )
 
-// Queue admits callers, by start-time fair queueing on two levels: the team that
-// has had least for its weight goes first, in it the client that has had least,
-// and each client's callers in the order of their coming. The zero value admits
-// everybody.
+// Queue admits callers by start-time fair queueing on two levels: first the team with the lowest
+// weighted usage, in it the client with the lowest usage, and the callers of a client in order of
+// arrival. The zero value admits everybody.
 type Queue struct {
 	limits Limits
 
 	mu      sync.Mutex
-	inside  int
+	active  int
 	waiting int
-	// clock is virtual: the start tag of the team that was served last.
-	clock float64
-	teams map[string]*team
-	// paidUntil is until when the rate is used up.
-	paidUntil time.Time
-	// timer admits the next caller then; nil if none waits for the rate.
+	// virtualTime is the start tag of the team that was admitted last.
+	virtualTime float64
+	teams       map[string]*team
+	// rateUsedUntil is the time until which the admitted cost uses up the rate.
+	rateUsedUntil time.Time
+	// timer dispatches at rateUsedUntil; nil if no caller waits for the rate.
 	timer *time.Timer
-	// holdTime smooths for how long callers are inside, for the retry delays.
+	// holdTime is the moving average of how long callers hold a slot, for the retry delays.
 	holdTime time.Duration
 	admitted int64
 	refused  int64
 }
 
-// team is what a queue has of a team.
+// team is the state of a team in a queue.
 type team struct {
 	name   string
 	weight float64
-	// tag is the virtual time up to which the team has been served, clock that of its clients.
-	tag     float64
-	clock   float64
-	waiting int
-	clients map[string]*client
+	// finishTag is the virtual time up to which the team has been served, virtualTime the clock
+	// for the tags of its clients.
+	finishTag   float64
+	virtualTime float64
+	waiting     int
+	clients     map[string]*client
 }
 
-// client is what a queue has of a client of a team.
+// client is the state of a client in its team.
 type client struct {
-	// tag is the virtual time up to which the client has been served.
-	tag   float64
-	queue []*waiter
+	// finishTag is the virtual time up to which the client has been served.
+	finishTag float64
+	queue     []*waiter
 }
 
-// waiter is a caller that waits.
+// waiter is a waiting caller.
 type waiter struct {
 	team, client string
 	cost         float64
-	// decided is closed once err is set or the caller was admitted.
+	// decided is closed once admitted or err is set.
 	decided  chan struct{}
 	err      error
 	admitted bool
 }
 
-// holdTimeWeight is how many earlier callers the smoothed hold time rests on.
+// holdTimeWeight is the number of callers over which the average of the hold time is taken.
 const holdTimeWeight = 8
 
-// New makes a queue.
+// New creates a queue.
 func New(limits Limits) *Queue { return &Queue{limits: limits, teams: map[string]*team{}} }
 
-// Enter admits a caller or says why not: with a BusyError or the error of ctx. What it returns
-// must be called when the caller is done; it may be called again.
-func (q *Queue) Enter(ctx context.Context, teamName, clientName string, cost float64) (leave func(), err error) {
+// Enter waits until the caller is admitted, and returns a function that releases the caller's
+// slot; calling it more than once has no effect. If the caller is not admitted, the error is a
+// BusyError or that of ctx.
+func (q *Queue) Enter(ctx context.Context, teamName, clientName string, cost float64) (release func(), err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	w := &waiter{team: teamName, client: clientName, cost: max(cost, 0), decided: make(chan struct{})}
-	if err := q.join(w); err != nil {
+	if err := q.enqueue(w); err != nil {
 		return nil, err
 	}
 	gaveUp := q.wait(ctx, w)
@@ -83,7 +84,7 @@
 	defer q.mu.Unlock()
 	switch {
 	case w.admitted:
-		return q.enterAdmitted(ctx, gaveUp)
+		return q.grantSlot(ctx, gaveUp)
 	case w.err != nil:
 		return nil, w.err
 	}
@@ -96,26 +97,26 @@
 	return nil, gaveUp
 }
 
-// join lets a caller wait, and admits whoever can be; it refuses the caller if too many wait.
-func (q *Queue) join(w *waiter) error {
+// enqueue adds a caller to the queue, or refuses it if too many wait, and dispatches.
+func (q *Queue) enqueue(w *waiter) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.teams == nil {
 		q.teams = map[string]*team{}
 	}
 	now := time.Now()
-	atOnce := q.waiting == 0 && q.free(now)
-	if !atOnce && !q.makeRoom(w) {
+	immediate := q.waiting == 0 && q.canAdmit(now)
+	if !immediate && !q.makeRoom(w) {
 		q.refused++
 		return &BusyError{q.retryAfter(w.team), "too many wait"}
 	}
 	q.add(w)
-	q.serve(now)
+	q.dispatch(now)
 	return nil
 }
 
-// wait waits until it is decided on a caller, and returns why the caller gave up before, if
-// it did.
+// wait waits for the decision on a caller. It returns an error if ctx ends or MaxWait passes
+// before that.
 func (q *Queue) wait(ctx context.Context, w *waiter) error {
 	var timeout <-chan time.Time
 	if q.limits.MaxWait > 0 {
@@ -133,54 +134,55 @@
 	}
 }
 
-// enterAdmitted returns how an admitted caller leaves. One that gave up in the same moment
-// enters all the same, unless its context has ended.
-func (q *Queue) enterAdmitted(ctx context.Context, gaveUp error) (leave func(), err error) {
-	v := &visit{begun: time.Now()}
+// grantSlot returns the release function of an admitted caller. A caller whose wait timed out at
+// the moment of its admission keeps the slot; one whose context has ended releases it.
+func (q *Queue) grantSlot(ctx context.Context, gaveUp error) (release func(), err error) {
+	s := &slot{acquired: time.Now()}
 	if gaveUp != nil && ctx.Err() != nil {
-		q.end(v)
+		q.releaseSlot(s)
 		return nil, ctx.Err()
 	}
-	leave = func() {
+	release = func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		q.end(v)
+		q.releaseSlot(s)
 	}
-	return leave, nil
+	return release, nil
 }
 
-// visit is the time that a caller is inside.
-type visit struct {
-	begun time.Time
-	ended bool
+// slot is held by an admitted caller until it is released.
+type slot struct {
+	acquired time.Time
+	released bool
 }
 
-// end ends a visit once, and admits who is next.
-func (q *Queue) end(v *visit) {
-	if v.ended {
+// releaseSlot releases a slot, unless that was done before, and dispatches.
+func (q *Queue) releaseSlot(s *slot) {
+	if s.released {
 		return
 	}
-	v.ended = true
+	s.released = true
 	now := time.Now()
-	q.inside--
-	q.holdTime += (now.Sub(v.begun) - q.holdTime) / holdTimeWeight
-	q.serve(now)
+	q.active--
+	q.holdTime += (now.Sub(s.acquired) - q.holdTime) / holdTimeWeight
+	q.dispatch(now)
 }
 
-// Stats says how a queue stands.
+// Stats is the state of a queue.
 type Stats struct {
+	// Inside counts the admitted callers that have not left, Waiting those in the queue.
 	Inside, Waiting int
-	// Admitted is how many were admitted since the beginning, Refused how many were not.
+	// Admitted and Refused count callers since the queue was created.
 	Admitted, Refused int64
-	// ByTeam is how many wait, of each team that does.
+	// ByTeam counts the waiting callers of each team that has any.
 	ByTeam map[string]int
 }
 
-// Stats says how the queue stands.
+// Stats returns the state of the queue.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	stats := Stats{Inside: q.inside, Waiting: q.waiting, Admitted: q.admitted, Refused: q.refused, ByTeam: map[string]int{}}
+	stats := Stats{Inside: q.active, Waiting: q.waiting, Admitted: q.admitted, Refused: q.refused, ByTeam: map[string]int{}}
 	for name, t := range q.teams {
 		if t.waiting > 0 {
 			stats.ByTeam[name] = t.waiting
