--- a/internal/repair/copies.go
+++ b/internal/repair/copies.go
@@ -8,29 +8,28 @@
 	"micaspindle/internal/blobstore"
 )
 
-// PeerState is the state of a peer with regard to a blob.
+// PeerState says whether a peer has a copy of a blob.
 type PeerState int
 
-// A peer holds a blob or lacks it, or it does not answer: within the grace period it is
-// Silent and may only be restarting, after it Gone.
+// The states of a peer.
 const (
-	Holds PeerState = iota
-	Lacks
-	Silent
-	Gone
+	Holds        PeerState = iota // it has a copy
+	Lacks                         // it has none
+	Unresponsive                  // it does not answer, perhaps because it restarts
+	Gone                          // it has not answered for longer than the grace period
 )
 
-// Plan returns the indexes of the peers that should get a copy, so that the given number of
-// front ends hold the blob, this one included; short is how many copies are then missing.
-// A silent peer counts as holding the blob if it should: if it is among the first peers of
-// the order that are not gone.
-func Plan(order []PeerState, copies int) (targets []int, short int) {
+// PlanCopies returns the indexes of the peers that should get a copy, so that the given number of
+// front ends hold the blob, this one included. short is how many copies are still missing then.
+// An unresponsive peer counts as holding the blob if it is among the first copies-1 peers of the
+// order, not counting those that are gone.
+func PlanCopies(order []PeerState, copies int) (targets []int, short int) {
 	have, place := 1, 1
 	for _, state := range order {
 		switch state {
 		case Holds:
 			have++
-		case Silent:
+		case Unresponsive:
 			if place < copies {
 				have++
 			}
@@ -51,11 +50,11 @@
 	return targets, max(0, copies-have)
 }
 
-// inventory is what each peer lacks of a batch of blobs, by its name. Peers that do not
-// answer are not in it.
+// inventory holds, by the name of the peer, which blobs of a batch a peer lacks. Peers that did not
+// answer have no entry.
 type inventory map[string]map[blobstore.Digest]bool
 
-// state returns the state of a peer with regard to a blob, given the peers that are gone.
+// state returns the state of a peer for a blob; gone are the peers past the grace period.
 func (i inventory) state(peer string, digest blobstore.Digest, gone []string) PeerState {
 	lacked, answered := i[peer]
 	switch {
@@ -66,12 +65,12 @@
 	case slices.Contains(gone, peer):
 		return Gone
 	}
-	return Silent
+	return Unresponsive
 }
 
-// makeCopies makes the missing copies of some blobs of one space.
+// makeCopies copies the blobs, which are of one space, to peers until there are enough copies.
 func (r *Repairer) makeCopies(ctx context.Context, keys []blobstore.Key) error {
-	inventory, err := r.askPeers(ctx, keys)
+	inventory, err := r.findMissing(ctx, keys)
 	if err != nil {
 		return err
 	}
@@ -83,8 +82,8 @@
 	return nil
 }
 
-// askPeers asks all peers which of the blobs they lack, and notes which peers are silent.
-func (r *Repairer) askPeers(ctx context.Context, keys []blobstore.Key) (inventory, error) {
+// findMissing asks all peers which of the blobs they lack, and records which peers answered.
+func (r *Repairer) findMissing(ctx context.Context, keys []blobstore.Key) (inventory, error) {
 	digests := make([]blobstore.Digest, len(keys))
 	for i, key := range keys {
 		digests[i] = key.Digest
@@ -95,7 +94,7 @@
 		if ctx.Err() != nil {
 			return nil, context.Cause(ctx)
 		}
-		r.noteAnswer(peer.Name(), err == nil)
+		r.recordAnswer(peer.Name(), err == nil)
 		if err != nil {
 			continue
 		}
@@ -108,19 +107,19 @@
 	return answers, nil
 }
 
-// noteAnswer notes whether a peer has answered.
-func (r *Repairer) noteAnswer(peer string, answered bool) {
+// recordAnswer records whether a peer has answered.
+func (r *Repairer) recordAnswer(peer string, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if answered {
-		delete(r.silent, peer)
-	} else if _, silent := r.silent[peer]; !silent {
-		r.silent[peer] = time.Now()
+		delete(r.unresponsiveSince, peer)
+	} else if _, silent := r.unresponsiveSince[peer]; !silent {
+		r.unresponsiveSince[peer] = time.Now()
 	}
 }
 
-// copyBlob copies a blob to peers until there are enough copies. A peer that can't take it
-// is passed over for the next one.
+// copyBlob copies a blob to peers until there are enough copies. If a copy fails, it tries the next
+// peer.
 func (r *Repairer) copyBlob(ctx context.Context, key blobstore.Key, inventory inventory) error {
 	peers := r.order(key.Hash)
 	r.mu.Lock()
@@ -131,14 +130,14 @@
 		states[i] = inventory.state(peer.Name(), key.Digest, gone)
 	}
 	for {
-		targets, short := Plan(states, r.settings.Copies)
+		targets, short := PlanCopies(states, r.settings.Copies)
 		if len(targets) == 0 {
 			if short > 0 {
 				r.count(func(p *Progress) { p.Short++ })
 			}
 			return nil
 		}
-		if err := r.take(ctx, key.Size); err != nil {
+		if err := r.throttle(ctx, key.Size); err != nil {
 			return err
 		}
 		target := targets[0]
@@ -149,7 +148,7 @@
 			r.count(func(p *Progress) { p.Copied++ })
 		case ctx.Err() != nil:
 			return context.Cause(ctx)
-		default: // it is full, or has just died
+		default: // the peer is full or has just failed
 			r.log.Debug("copy of blob to peer failed", "peer", peers[target].Name(), "blob", key.Digest.String(), "error", err)
 			states[target] = Gone
 		}
--- a/internal/repair/cursor.go
+++ b/internal/repair/cursor.go
@@ -13,7 +13,7 @@
 	"micaspindle/internal/blobstore"
 )
 
-// cursor is the stored position of a pass: the last blob that is done.
+// cursor is the stored position of a pass: the last blob that was processed.
 type cursor struct {
 	Space string `json:"space"`
 	Hash  string `json:"hash"`
@@ -22,16 +22,16 @@
 	Size     int64              `json:"size"`
 }
 
-// compareKeys is the order of a pass.
+// compareKeys orders the blobs of a pass.
 func compareKeys(a, b blobstore.Key) int {
 	return cmp.Or(cmp.Compare(a.Space, b.Space), cmp.Compare(a.Hash, b.Hash), cmp.Compare(a.Size, b.Size), cmp.Compare(a.Function, b.Function))
 }
 
-// resumeIndex returns the index of the first blob that the last pass has not done.
+// resumeIndex returns the index of the first blob that an interrupted pass has not processed.
 func (r *Repairer) resumeIndex(keys []blobstore.Key) int {
 	last, err := r.loadCursor()
 	if err != nil {
-		r.log.Warn("repair pass starts over", "error", err)
+		r.log.Warn("cannot load cursor, repair pass starts over", "error", err)
 		return 0
 	}
 	if last == nil {
@@ -44,10 +44,10 @@
 	return index
 }
 
-// loadCursor returns the last blob that an interrupted pass has done, nil if the last pass
-// was finished.
+// loadCursor returns the last blob that an interrupted pass has processed, nil if the last pass
+// was completed.
 func (r *Repairer) loadCursor() (*blobstore.Key, error) {
-	raw, err := os.ReadFile(r.file)
+	raw, err := os.ReadFile(r.cursorFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -56,28 +56,28 @@
 	}
 	var c cursor
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return nil, fmt.Errorf("%s: %w", r.file, err)
+		return nil, fmt.Errorf("%s: %w", r.cursorFile, err)
 	}
 	return &blobstore.Key{Space: c.Space, Digest: blobstore.Digest{Hash: c.Hash, Size: c.Size, Function: c.Function}}, nil
 }
 
-// saveCursor stores the last blob that is done. It is not synced: if it is lost, a part of
-// the pass is repeated.
+// saveCursor stores the last blob that was processed. The file is not synced: if a crash loses the
+// write, part of the pass is repeated.
 func (r *Repairer) saveCursor(last blobstore.Key) error {
 	raw, err := json.Marshal(&cursor{Space: last.Space, Hash: last.Hash, Size: last.Size, Function: last.Function})
 	if err != nil {
 		return err
 	}
-	temp := filepath.Join(filepath.Dir(r.file), "."+filepath.Base(r.file))
+	temp := filepath.Join(filepath.Dir(r.cursorFile), "."+filepath.Base(r.cursorFile))
 	if err := os.WriteFile(temp, raw, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(temp, r.file)
+	return os.Rename(temp, r.cursorFile)
 }
 
-// removeCursor ends a pass.
+// removeCursor marks a pass as completed.
 func (r *Repairer) removeCursor() error {
-	if err := os.Remove(r.file); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(r.cursorFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -1,6 +1,6 @@
-// Package repair keeps the blobs of a front end intact and replicated: it verifies every
-// blob at rest and checks that enough peers have a copy, in endless passes at a bounded
-// rate. A pass resumes where it was after a restart. The package knows no protocol.
+// Package repair scrubs the blobs of a front end: in repeated passes at a bounded rate it verifies
+// every stored blob, restores corrupt ones and copies blobs to peers if there are too few copies.
+// After a restart it resumes an interrupted pass. The package is independent of any protocol.
 package repair
 
 import (
@@ -20,38 +20,38 @@
 // Store is the front end's own store.
 type Store interface {
 	Keys() []blobstore.Key
-	// Verify reads a blob's bytes. A corrupt blob is removed, and blobstore.ErrMismatch
-	// returned.
+	// Verify compares a blob's bytes with its digest. It removes a corrupt blob and returns
+	// blobstore.ErrMismatch.
 	Verify(key blobstore.Key) error
 }
 
 // Peer is another front end.
 type Peer interface {
 	Name() string
-	// Lacks returns the digests whose blobs the peer does not have. It does not retain the
-	// others there.
+	// Lacks returns the digests whose blobs the peer does not have. The request does not extend
+	// the lifetime of the others in the peer's store.
 	Lacks(ctx context.Context, space string, digests []blobstore.Digest) ([]blobstore.Digest, error)
 	// Push copies a blob of this front end to the peer.
 	Push(ctx context.Context, key blobstore.Key) error
 }
 
-// Restore fetches a blob that was found corrupt from any peer that has it.
+// Restore fetches a corrupt blob from any peer that has it.
 type Restore func(ctx context.Context, key blobstore.Key) error
 
-// Order returns the peers in the order in which they should hold a blob. It is the same on
+// PeerOrder returns the peers in the order in which they should hold a blob. It is the same on
 // all front ends.
-type Order func(hash string) []Peer
+type PeerOrder func(hash string) []Peer
 
-// Settings bound the repairer.
+// Settings configure a Repairer.
 type Settings struct {
 	// Copies is how many front ends should hold a blob, this one included.
 	Copies int
-	// BytesPerSecond bounds what is read and copied.
+	// BytesPerSecond bounds the rate at which blobs are read and copied.
 	BytesPerSecond float64
-	// Every is the time between passes.
+	// Every is the pause between passes.
 	Every time.Duration
-	// Grace is how long a peer that does not answer counts as holding what it should: it
-	// may only be restarting.
+	// Grace is how long an unresponsive peer, which may only be restarting, counts as holding the
+	// blobs that it should hold.
 	Grace time.Duration
 }
 
@@ -70,56 +70,58 @@
 	return nil
 }
 
-// Progress is the state of a repairer.
+// Progress is the progress of a Repairer.
 type Progress struct {
-	// Pass counts the passes begun; Done and Of are blobs of the current one.
+	// Pass counts the passes begun. Done is how many blobs of the current one are processed, Of
+	// how many it has.
 	Pass, Done, Of int
-	// Counts since the process started: blobs read, found corrupt, restored, and copied, and
-	// blobs left with too few copies.
+	// Counts since the process started: blobs found intact, found corrupt and restored, copies
+	// made, and blobs left with too few copies.
 	Read, Corrupt, Restored, Copied, Short int64
-	// Records counts the records that were sent to peers, most of which had them.
+	// Records counts the records sent to peers, including those that the peers had already.
 	Records int64
-	// Gone are peers that have not answered for longer than the grace period.
+	// Gone are the peers that have not answered for longer than the grace period.
 	Gone []string
 }
 
-// Repairer repairs a store. Run or Pass may be called by one goroutine, Progress by any.
+// Repairer repairs the blobs of a store. Only one goroutine at a time may call Run or Pass; any
+// may call Progress.
 type Repairer struct {
-	settings Settings
-	file     string // of the cursor
-	store    Store
-	order    Order
-	restore  Restore
-	log      *slog.Logger
-	rate     *admission.Queue
-	// Records, if set, copies small records to peers after each pass; take waits until so
-	// many bytes may be moved.
-	Records func(ctx context.Context, take func(context.Context, int64) error) (copied int, err error)
-
-	mu       sync.Mutex
-	progress Progress
-	silent   map[string]time.Time // since when a peer has not answered
+	settings   Settings
+	cursorFile string
+	store      Store
+	order      PeerOrder
+	restore    Restore
+	log        *slog.Logger
+	rate       *admission.Queue
+	// Records, if set, copies small records to peers after each pass. Before it sends some bytes
+	// it calls throttle with their number.
+	Records func(ctx context.Context, throttle func(context.Context, int64) error) (copied int, err error)
+
+	mu                sync.Mutex
+	progress          Progress
+	unresponsiveSince map[string]time.Time // by name of the peer
 }
 
-// New creates a repairer; file is where it stores its cursor.
-func New(settings Settings, file string, store Store, order Order, restore Restore, log *slog.Logger) (*Repairer, error) {
+// New creates a repairer that stores its position in file.
+func New(settings Settings, file string, store Store, order PeerOrder, restore Restore, log *slog.Logger) (*Repairer, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	return &Repairer{
-		settings: settings,
-		file:     file,
-		store:    store,
-		order:    order,
-		restore:  restore,
-		log:      log,
-		rate:     admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, MaxWaiting: 1}),
-		silent:   map[string]time.Time{},
+		settings:          settings,
+		cursorFile:        file,
+		store:             store,
+		order:             order,
+		restore:           restore,
+		log:               log,
+		rate:              admission.New(admission.Limits{PerSecond: settings.BytesPerSecond, MaxWaiting: 1}),
+		unresponsiveSince: map[string]time.Time{},
 	}, nil
 }
 
-// batchSize bounds the blobs that peers are asked about in one call.
-const batchSize = 500
+// maxBatchSize bounds the blobs that a peer is asked about in one call.
+const maxBatchSize = 500
 
 // Run makes passes until ctx ends.
 func (r *Repairer) Run(ctx context.Context) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// Progress returns the state of the repairer.
+// Progress returns the progress of the repairer.
 func (r *Repairer) Progress() Progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,10 +155,10 @@
 	return progress
 }
 
-// gonePeers returns the peers that have been silent for the grace period. r.mu is held.
+// gonePeers returns the peers that have not answered for the grace period. The caller holds r.mu.
 func (r *Repairer) gonePeers(now time.Time) []string {
 	var gone []string
-	for name, since := range r.silent {
+	for name, since := range r.unresponsiveSince {
 		if now.Sub(since) >= r.settings.Grace {
 			gone = append(gone, name)
 		}
@@ -172,16 +174,16 @@
 	update(&r.progress)
 }
 
-// Pass works through all blobs once, starting where the last pass was interrupted.
+// Pass processes all blobs once, or resumes an interrupted pass.
 func (r *Repairer) Pass(ctx context.Context) error {
 	keys := r.store.Keys()
 	slices.SortFunc(keys, compareKeys)
 	done := r.resumeIndex(keys)
 	r.count(func(p *Progress) { p.Pass++; p.Done, p.Of = done, len(keys) })
 	for done < len(keys) {
-		// A batch holds blobs of one space: peers are asked space by space.
+		// The blobs of a batch are of one space, as are those in one call to a peer.
 		end := done + 1
-		for end < len(keys) && end-done < batchSize && keys[end].Space == keys[done].Space {
+		for end < len(keys) && end-done < maxBatchSize && keys[end].Space == keys[done].Space {
 			end++
 		}
 		if err := r.repairBatch(ctx, keys[done:end]); err != nil {
@@ -194,7 +196,7 @@
 		}
 	}
 	if r.Records != nil {
-		copied, err := r.Records(ctx, r.take)
+		copied, err := r.Records(ctx, r.throttle)
 		r.count(func(p *Progress) { p.Records += int64(copied) })
 		if err != nil {
 			return err
@@ -203,11 +205,11 @@
 	return r.removeCursor()
 }
 
-// repairBatch verifies some blobs of one space and makes their missing copies.
+// repairBatch verifies blobs of one space and makes their missing copies.
 func (r *Repairer) repairBatch(ctx context.Context, keys []blobstore.Key) error {
 	var intact []blobstore.Key
 	for _, key := range keys {
-		if err := r.take(ctx, key.Size); err != nil {
+		if err := r.throttle(ctx, key.Size); err != nil {
 			return err
 		}
 		err := r.store.Verify(key)
@@ -230,7 +232,7 @@
 	return r.makeCopies(ctx, intact)
 }
 
-// restoreCorrupt restores a corrupt blob from a peer and reports whether it could.
+// restoreCorrupt restores a corrupt blob from a peer and reports whether that succeeded.
 func (r *Repairer) restoreCorrupt(ctx context.Context, key blobstore.Key) bool {
 	r.count(func(p *Progress) { p.Corrupt++ })
 	if err := r.restore(ctx, key); err != nil {
@@ -242,12 +244,12 @@
 	return true
 }
 
-// take waits until so many bytes may be moved.
-func (r *Repairer) take(ctx context.Context, bytes int64) error {
-	leave, err := r.rate.Enter(ctx, "", "", float64(bytes))
+// throttle waits until the rate allows reading or copying that many bytes.
+func (r *Repairer) throttle(ctx context.Context, bytes int64) error {
+	release, err := r.rate.Enter(ctx, "", "", float64(bytes))
 	if err != nil {
 		return err
 	}
-	leave()
+	release()
 	return nil
 }
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -16,36 +16,36 @@
 	"micaspindle/internal/blobstore"
 )
 
-// world is a fake of a front end's store and of its peers.
-type world struct {
-	own   map[blobstore.Key]string // "", "corrupt" or "evicted"
-	peers []*fakePeer
-	read  int
-	stop  func() // called after the given number of reads
-	after int
+// fakeCluster is a fake of a front end's store and its peers.
+type fakeCluster struct {
+	blobs       map[blobstore.Key]string // state: "" (intact), "corrupt" or "evicted"
+	peers       []*fakePeer
+	reads       int
+	onRead      func() // if set, called after onReadCount reads
+	onReadCount int
 }
 
 type fakePeer struct {
-	w      *world
-	name   string
-	has    map[blobstore.Key]bool
-	down   bool
-	full   bool
-	pushed int
+	cluster *fakeCluster
+	name    string
+	has     map[blobstore.Key]bool
+	down    bool
+	full    bool
+	pushed  int
 }
 
-func (w *world) Keys() []blobstore.Key { return slices.Collect(maps.Keys(w.own)) }
+func (cluster *fakeCluster) Keys() []blobstore.Key { return slices.Collect(maps.Keys(cluster.blobs)) }
 
-func (w *world) Verify(k blobstore.Key) error {
-	if w.read++; w.stop != nil && w.read == w.after {
-		w.stop()
+func (cluster *fakeCluster) Verify(k blobstore.Key) error {
+	if cluster.reads++; cluster.onRead != nil && cluster.reads == cluster.onReadCount {
+		cluster.onRead()
 	}
-	switch w.own[k] {
+	switch cluster.blobs[k] {
 	case "corrupt":
-		delete(w.own, k)
+		delete(cluster.blobs, k)
 		return blobstore.ErrMismatch
 	case "evicted":
-		delete(w.own, k)
+		delete(cluster.blobs, k)
 		return blobstore.ErrNotFound
 	}
 	return nil
@@ -67,7 +67,7 @@
 
 func (p *fakePeer) Push(_ context.Context, k blobstore.Key) error {
 	if p.down || p.full {
-		return errors.New("no")
+		return errors.New("down or full")
 	}
 	p.has[k], p.pushed = true, p.pushed+1
 	return nil
@@ -79,43 +79,44 @@
 	return blobstore.Key{Space: []string{"red", "blue"}[i%2], Digest: d}
 }
 
-// newWorld creates blobs with the given number of copies on the first peers in their order.
-func newWorld(blobs, peers, copies int) *world {
-	w := &world{own: map[blobstore.Key]string{}}
+// newFakeCluster creates blobs that have the given number of copies, on this front end and the
+// first peers of their order.
+func newFakeCluster(blobs, peers, copies int) *fakeCluster {
+	cluster := &fakeCluster{blobs: map[blobstore.Key]string{}}
 	for i := range peers {
-		w.peers = append(w.peers, &fakePeer{w: w, name: fmt.Sprint("peer-", i), has: map[blobstore.Key]bool{}})
+		cluster.peers = append(cluster.peers, &fakePeer{cluster: cluster, name: fmt.Sprint("peer-", i), has: map[blobstore.Key]bool{}})
 	}
 	for i := range blobs {
 		k := key(i)
-		w.own[k] = ""
-		for _, p := range w.order(k.Hash)[:copies-1] {
+		cluster.blobs[k] = ""
+		for _, p := range cluster.order(k.Hash)[:copies-1] {
 			p.(*fakePeer).has[k] = true
 		}
 	}
-	return w
+	return cluster
 }
 
-func (w *world) order(hash string) []Peer {
+func (cluster *fakeCluster) order(hash string) []Peer {
 	var out []Peer
-	for i := range w.peers {
-		out = append(out, w.peers[(int(hash[0])+i)%len(w.peers)])
+	for i := range cluster.peers {
+		out = append(out, cluster.peers[(int(hash[0])+i)%len(cluster.peers)])
 	}
 	return out
 }
 
-func (w *world) restore(_ context.Context, k blobstore.Key) error {
-	for _, p := range w.peers {
+func (cluster *fakeCluster) restore(_ context.Context, k blobstore.Key) error {
+	for _, p := range cluster.peers {
 		if !p.down && p.has[k] {
-			w.own[k] = ""
+			cluster.blobs[k] = ""
 			return nil
 		}
 	}
 	return blobstore.ErrNotFound
 }
 
-func (w *world) copies(k blobstore.Key) int {
+func (cluster *fakeCluster) copies(k blobstore.Key) int {
 	n := 1
-	for _, p := range w.peers {
+	for _, p := range cluster.peers {
 		if !p.down && p.has[k] {
 			n++
 		}
@@ -123,23 +124,23 @@
 	return n
 }
 
-func (w *world) repairer(t *testing.T, s Settings, file string) *Repairer {
+func (cluster *fakeCluster) repairer(t *testing.T, s Settings, file string) *Repairer {
 	t.Helper()
-	r, err := New(s, file, w, w.order, w.restore, slog.New(slog.DiscardHandler))
+	r, err := New(s, file, cluster, cluster.order, cluster.restore, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-var fast = Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute, Grace: 2 * time.Minute}
+var fastSettings = Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute, Grace: 2 * time.Minute}
 
-// A peer that is down for a moment causes no copies. The blobs of one that is gone are
-// copied to others, and nothing more is copied when it comes back.
+// A peer that is down for less than the grace period causes no copies. The blobs of one that is
+// gone are copied to others, and nothing more is copied when it returns.
 func TestCopiesOfLostPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1500, 3, 2)
-		r := w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
+		cluster := newFakeCluster(1500, 3, 2)
+		r := cluster.repairer(t, fastSettings, filepath.Join(t.TempDir(), "cursor"))
 		ctx := context.Background()
 		pass := func() Progress {
 			if err := r.Pass(ctx); err != nil {
@@ -148,106 +149,106 @@
 			return r.Progress()
 		}
 		if p := pass(); p.Copied != 0 || p.Done != 1500 || p.Read != 1500 || len(p.Gone) != 0 {
-			t.Errorf("nothing to do: %+v", p)
+			t.Errorf("pass with enough copies: %+v, want 1500 blobs read and none copied", p)
 		}
-		w.peers[1].down = true
+		cluster.peers[1].down = true
 		if p := pass(); p.Copied != 0 || len(p.Gone) != 0 {
-			t.Errorf("a peer that is down for a moment: %+v", p)
+			t.Errorf("pass within the grace period of a peer: %+v, want no copies and no peer gone", p)
 		}
 		time.Sleep(3 * time.Minute)
 		p := pass()
 		if p.Copied < 300 || p.Copied > 700 || !slices.Equal(p.Gone, []string{"peer-1"}) {
-			t.Errorf("a peer that is gone: %+v", p)
+			t.Errorf("pass after the grace period of peer-1: %+v, want 300 to 700 copies and peer-1 gone", p)
 		}
-		for k := range w.own {
-			if w.copies(k) < 2 {
-				t.Fatalf("%s has %d copies", k.Digest, w.copies(k))
+		for k := range cluster.blobs {
+			if cluster.copies(k) < 2 {
+				t.Fatalf("%s has %d copies, want at least 2", k.Digest, cluster.copies(k))
 			}
 		}
-		w.peers[1].down = false
+		cluster.peers[1].down = false
 		if q := pass(); q.Copied != p.Copied || len(q.Gone) != 0 {
-			t.Errorf("it came back: %+v", q)
+			t.Errorf("pass after the return of peer-1: %+v, want no more copies and no peer gone", q)
 		}
 	})
 }
 
-// Corrupt blobs are found, and restored from a peer or counted.
-func TestBlobsAtRest(t *testing.T) {
+// Corrupt blobs are detected, and restored if a peer has a copy.
+func TestCorruptBlobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(100, 2, 2)
-		w.own[key(3)], w.own[key(4)], w.own[key(5)] = "corrupt", "corrupt", "evicted"
-		for _, p := range w.peers {
+		cluster := newFakeCluster(100, 2, 2)
+		cluster.blobs[key(3)], cluster.blobs[key(4)], cluster.blobs[key(5)] = "corrupt", "corrupt", "evicted"
+		for _, p := range cluster.peers {
 			delete(p.has, key(4))
 		}
-		r := w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
+		r := cluster.repairer(t, fastSettings, filepath.Join(t.TempDir(), "cursor"))
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if p := r.Progress(); p.Corrupt != 2 || p.Restored != 1 || p.Read != 97 || p.Copied != 0 {
-			t.Errorf("%+v", p)
+			t.Errorf("%+v, want 97 blobs read, 2 corrupt, 1 restored and none copied", p)
 		}
-		if _, ok := w.own[key(3)]; !ok {
-			t.Error("it was not restored")
+		if _, ok := cluster.blobs[key(3)]; !ok {
+			t.Error("corrupt blob with a copy was not restored")
 		}
 	})
 }
 
-// A full peer is passed over for the next one; with none left the blob counts as short.
+// If a peer is full, blobs are copied to the next one; if all are, the blob counts as short.
 func TestFullPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(100, 3, 1)
-		w.peers[0].full = true
-		r := w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
+		cluster := newFakeCluster(100, 3, 1)
+		cluster.peers[0].full = true
+		r := cluster.repairer(t, fastSettings, filepath.Join(t.TempDir(), "cursor"))
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if p := r.Progress(); p.Copied != 100 || p.Short != 0 || w.peers[0].pushed != 0 {
-			t.Errorf("%+v", p)
+		if p := r.Progress(); p.Copied != 100 || p.Short != 0 || cluster.peers[0].pushed != 0 {
+			t.Errorf("one peer full: %+v, want 100 blobs copied and none short", p)
 		}
-		w = newWorld(100, 2, 1)
-		w.peers[0].full, w.peers[1].full = true, true
-		r = w.repairer(t, fast, filepath.Join(t.TempDir(), "at"))
+		cluster = newFakeCluster(100, 2, 1)
+		cluster.peers[0].full, cluster.peers[1].full = true, true
+		r = cluster.repairer(t, fastSettings, filepath.Join(t.TempDir(), "cursor"))
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if p := r.Progress(); p.Copied != 0 || p.Short != 100 {
-			t.Errorf("%+v", p)
+			t.Errorf("all peers full: %+v, want none copied and 100 blobs short", p)
 		}
 	})
 }
 
-// An interrupted pass resumes where it was, at a bounded rate.
-func TestResumption(t *testing.T) {
+// A pass keeps to the bounded rate, and resumes where it was interrupted.
+func TestInterruptedPassResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		file := filepath.Join(t.TempDir(), "at")
-		w := newWorld(3000, 2, 2)
-		slow := fast
-		slow.BytesPerSecond = 100_000 // a hundred blobs per second
+		file := filepath.Join(t.TempDir(), "cursor")
+		cluster := newFakeCluster(3000, 2, 2)
+		slow := fastSettings
+		slow.BytesPerSecond = 100_000 // 100 blobs per second
 		ctx, cancel := context.WithCancel(context.Background())
-		w.stop, w.after = cancel, 2000
+		cluster.onRead, cluster.onReadCount = cancel, 2000
 		started := time.Now()
-		if err := w.repairer(t, slow, file).Pass(ctx); !errors.Is(err, context.Canceled) {
-			t.Fatalf("ended with %v", err)
+		if err := cluster.repairer(t, slow, file).Pass(ctx); !errors.Is(err, context.Canceled) {
+			t.Fatalf("interrupted pass ended with error %v, want Canceled", err)
 		}
 		if took := time.Since(started); took < 19*time.Second || took > 21*time.Second {
-			t.Errorf("2000 blobs took %s", took)
+			t.Errorf("2000 blobs took %s, want 20 s", took)
 		}
-		w.stop = nil
-		r := w.repairer(t, slow, file)
+		cluster.onRead = nil
+		r := cluster.repairer(t, slow, file)
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if w.read < 3000 || w.read > 3000+batchSize {
-			t.Errorf("%d blobs were read in both", w.read)
+		if cluster.reads < 3000 || cluster.reads > 3000+maxBatchSize {
+			t.Errorf("both parts of the pass read %d blobs, want 3000 and at most one batch twice", cluster.reads)
 		}
 		if err := r.Pass(context.Background()); err != nil || r.Progress().Read < 3000 {
-			t.Errorf("the next pass starts over: %+v %v", r.Progress(), err)
+			t.Errorf("next pass: %+v, error %v, want all 3000 blobs read", r.Progress(), err)
 		}
 	})
 }
 
-// In every state of the peers, a plan makes neither too few copies nor more than needed.
-func TestPlans(t *testing.T) {
+// For random states of the peers, a plan makes neither too few copies nor too many.
+func TestPlanCopies(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20_000 {
 		order := make([]PeerState, rng.IntN(6))
@@ -255,42 +256,42 @@
 			order[i] = PeerState(rng.IntN(4))
 		}
 		copies := 1 + rng.IntN(4)
-		targets, short := Plan(order, copies)
+		targets, short := PlanCopies(order, copies)
 		hold, lack, silent, before := 1, 0, 0, 0
-		for _, h := range order {
-			switch h {
+		for _, state := range order {
+			switch state {
 			case Holds:
 				hold++
 			case Lacks:
 				lack++
-			case Silent:
+			case Unresponsive:
 				if before < copies-1 {
 					silent++
 				}
 			}
-			if h != Gone {
+			if state != Gone {
 				before++
 			}
 		}
 		want := min(lack, max(0, copies-hold-silent))
 		if len(targets) != want || short != max(0, copies-hold-silent-want) {
-			t.Fatalf("%v for %d copies: targets %v, short %d", order, copies, targets, short)
+			t.Fatalf("%v for %d copies: targets %v, short %d, want %d targets", order, copies, targets, short, want)
 		}
 		for i, at := range targets {
 			if order[at] != Lacks || i > 0 && targets[i-1] >= at {
-				t.Fatalf("%v: targets %v", order, targets)
+				t.Fatalf("%v: targets %v, want peers that lack the blob, in order", order, targets)
 			}
 		}
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, change := range []func(*Settings){func(s *Settings) { s.Copies = 0 }, func(s *Settings) { s.BytesPerSecond = 0 },
 		func(s *Settings) { s.Every = 0 }, func(s *Settings) { s.Grace = -1 }} {
-		s := fast
+		s := fastSettings
 		change(&s)
 		if s.Check() == nil {
-			t.Errorf("%+v passes", s)
+			t.Errorf("invalid settings %+v are accepted", s)
 		}
 	}
 }
