--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pruneThreshold is the number of teams, or of a team's clients, from which on idle ones are
-// removed.
+// pruneThreshold is the number of teams, or of clients of one team, at which idle ones are removed
+// from memory.
 const pruneThreshold = 4096
 
 // hasSlot reports whether the concurrency limit allows another caller.
@@ -61,7 +61,7 @@
 	return next
 }
 
-// chargeRate takes a cost out of the rate.
+// chargeRate counts an admitted cost against the rate.
 func (q *Queue) chargeRate(now time.Time, cost float64) {
 	if q.limits.PerSecond == 0 {
 		return
@@ -72,8 +72,8 @@
 	q.rateUsedUntil = q.rateUsedUntil.Add(time.Duration(cost / q.limits.PerSecond * float64(time.Second)))
 }
 
-// scheduleDispatch sets a timer if callers wait for the rate while slots are free: then the release
-// of a slot need not come to dispatch them.
+// scheduleDispatch sets a timer for the time at which the rate allows the next caller. It does so
+// only while slots are free; otherwise the release of a slot dispatches.
 func (q *Queue) scheduleDispatch(now time.Time) {
 	waitsForRate := q.waiting > 0 && q.limits.PerSecond > 0 && q.rateUsedUntil.After(now) && q.hasSlot()
 	if !waitsForRate || q.timer != nil {
@@ -124,8 +124,8 @@
 	}
 }
 
-// pruneTeams removes idle teams from a map that has grown large. It keeps teams ahead
-// of the virtual time, since without their tags they would get more than their share.
+// pruneTeams removes idle teams once many are known. It keeps those whose finish tag is ahead of
+// the virtual time: without the tag they would get more than their share.
 func (q *Queue) pruneTeams() {
 	if len(q.teams) < pruneThreshold {
 		return
--- a/internal/admission/handoff.go
+++ b/internal/admission/handoff.go
@@ -15,8 +15,8 @@
 	MaxDuration time.Duration
 }
 
-// Window returns how much work may wait at a server that completes perSecond and has inService
-// under way. It is at least inService, so that a server that scales with its queue can double.
+// Window returns how much work may wait at a server that completes perSecond and is working on
+// inService. It is at least inService, so that a server that scales out by its queue can double.
 func (l HandoffLimits) Window(perSecond float64, inService int) int {
 	if l.Min == 0 {
 		return math.MaxInt
--- a/internal/admission/handoff_test.go
+++ b/internal/admission/handoff_test.go
@@ -48,7 +48,7 @@
 
 // With random clients, a server that works in order of arrival is never idle while batches wait,
 // the outstanding work is at most the window plus one batch for each client, and the batch of a
-// new client is completed within the time that the server needs for that much.
+// new client is completed in the time that the server needs for that much work.
 func TestClientsTakeTurns(t *testing.T) {
 	for seed := range uint64(15) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -77,8 +77,8 @@
 	return true
 }
 
-// mayBorrow reports whether taking the amount leaves the other teams the part of their unused
-// quota that is never lent.
+// mayBorrow reports whether a team may take an amount beyond its quota: enough of the other teams'
+// unused quota must remain.
 func (l *Ledger) mayBorrow(team string, amount float64) bool {
 	unused := 0.0
 	for other := range l.weights {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -37,8 +37,8 @@
 type team struct {
 	name   string
 	weight float64
-	// finishTag is the virtual time up to which the team has been served, virtualTime the clock
-	// for the tags of its clients.
+	// finishTag is the virtual time up to which the team has been served, virtualTime the
+	// start tag of its client that was admitted last.
 	finishTag   float64
 	virtualTime float64
 	waiting     int
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -31,7 +31,7 @@
 func TestSubmissionCheck(t *testing.T) {
 	j, err := checkSubmission(validSubmission())
 	if err != nil || j.Tasks != 16 || j.Urgency != High || !j.OneZone || !j.Spot || j.Types[0] != "g8" {
-		t.Fatalf("valid submission gave %+v, %v", j, err)
+		t.Fatalf("valid submission was decoded as %+v, error %v", j, err)
 	}
 	for name, change := range map[string]func(map[string]any){
 		"integer amounts":         func(m map[string]any) { m["vcpus"], m["due_s"] = 8, 900 },
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -75,8 +75,8 @@
 	// Pass counts the passes begun. Done is how many blobs of the current one are processed, Of
 	// how many it has.
 	Pass, Done, Of int
-	// Counts since the process started: blobs found intact, found corrupt and restored, copies
-	// made, and blobs left with too few copies.
+	// Counts since the process started: blobs found intact, blobs found corrupt, corrupt blobs
+	// restored, copies made, and blobs left with too few copies.
 	Read, Corrupt, Restored, Copied, Short int64
 	// Records counts the records sent to peers, including those that the peers had already.
 	Records int64
@@ -181,7 +181,7 @@
 	done := r.resumeIndex(keys)
 	r.count(func(p *Progress) { p.Pass++; p.Done, p.Of = done, len(keys) })
 	for done < len(keys) {
-		// The blobs of a batch are of one space, as are those in one call to a peer.
+		// A batch holds blobs of one space, since a call to a peer asks about one space.
 		end := done + 1
 		for end < len(keys) && end-done < maxBatchSize && keys[end].Space == keys[done].Space {
 			end++
