--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -29,7 +29,7 @@
 // unborrowableShare is the part of the other teams' unused quota that a team cannot borrow.
 const unborrowableShare = 0.25
 
-// NewLedger creates a ledger of a total amount; perClient bounds what one client holds, 0 is no
+// NewLedger shares a total amount among teams; perClient bounds what one client holds, 0 is no
 // bound. Only the teams given have a quota.
 func NewLedger(total, perClient float64, teams []string, weights map[string]float64) (*Ledger, error) {
 	switch {
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -25,7 +25,7 @@
 	ID    string `msgpack:"id"`
 	Class string `msgpack:"cl"`
 	Team  string `msgpack:"tm"`
-	// Standing marks a service, whose tasks run until they are stopped.
+	// The tasks of a service run until they are stopped.
 	Standing bool `msgpack:"st,omitempty"`
 	// Gang marks a job whose tasks start together or not at all.
 	Gang        bool     `msgpack:"ga,omitempty"`
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -72,8 +72,8 @@
 
 // Progress is the progress of a Repairer.
 type Progress struct {
-	// Pass counts the passes begun. Done is how many blobs of the current one are processed, Of
-	// how many it has.
+	// Pass counts the passes begun. The others are how many blobs of the current pass are
+	// processed, and how many it has.
 	Pass, Done, Of int
 	// Counts since the process started: blobs found intact, blobs found corrupt, corrupt blobs
 	// restored, copies made, and blobs left with too few copies.
@@ -94,8 +94,8 @@
 	restore    Restore
 	log        *slog.Logger
 	rate       *admission.Queue
-	// Records, if set, copies small records to peers after each pass. Before it sends some bytes
-	// it calls throttle with their number.
+	// This optional function copies small records to peers after each pass. Before it sends some
+	// bytes it calls throttle with their number.
 	Records func(ctx context.Context, throttle func(context.Context, int64) error) (copied int, err error)
 
 	mu                sync.Mutex
