--- a/internal/coordination/records/apply.go
+++ b/internal/coordination/records/apply.go
@@ -8,32 +8,32 @@
 	"micaspindle/internal/storage"
 )
 
-// listing is which keys a listing has, of the records that can be deleted.
-type listing struct {
-	machines map[string]bool // by the machine's name
-	leases   map[string]bool // by key; the cluster leadership too
+// listedKeys holds the keys and names in a listing, for the kinds of records that can be deleted.
+type listedKeys struct {
+	machines map[string]bool // by machine name
+	leases   map[string]bool // by key, including the cluster leadership
 	policy   map[string]bool // by key
 }
 
-// ApplyListing replaces what is known of the shared records by a listing at a revision.
+// ApplyListing replaces the known shared records by a listing at a revision.
 func (w *Watcher) ApplyListing(items []protocol.Item, revision uint64) {
 	now := time.Now()
 	w.ListedEndTimes = map[string]time.Time{}
 	defer func() { w.ListedEndTimes = nil }()
-	// Final records go first, so that ended jobs are not taken up.
-	w.applyListedFinals(items)
+	// Final records are applied first, so that ended jobs are not added.
+	w.applyListedFinalRecords(items)
 	w.leases.NoteMissedLeaders(now)
 	w.scheduler.ResetDoneCounts()
 	listed := w.applyListedRecords(items)
 	w.dropUnlisted(listed, revision, now)
 	if !w.Synced {
 		w.Synced = true
-		w.log.Info("records read", "jobs", len(w.Jobs), "final", len(w.FinalStates), "machines", len(w.Machines))
+		w.log.Info("shared records listed", "jobs", len(w.Jobs), "final", len(w.FinalStates), "machines", len(w.Machines))
 	}
 }
 
-// applyListedFinals applies the final records of a listing.
-func (w *Watcher) applyListedFinals(items []protocol.Item) {
+// applyListedFinalRecords applies the final records of a listing.
+func (w *Watcher) applyListedFinalRecords(items []protocol.Item) {
 	for _, item := range items {
 		if kind, id := storage.ParseKey(item.Key); kind == storage.KindFinal {
 			w.jobs.ApplyFinalRecord(id, item.Value)
@@ -41,9 +41,9 @@
 	}
 }
 
-// applyListedRecords applies all other records of a listing, and says which keys it has.
-func (w *Watcher) applyListedRecords(items []protocol.Item) listing {
-	listed := listing{machines: map[string]bool{}, leases: map[string]bool{}, policy: map[string]bool{}}
+// applyListedRecords applies all other records of a listing and returns the keys in it.
+func (w *Watcher) applyListedRecords(items []protocol.Item) listedKeys {
+	listed := listedKeys{machines: map[string]bool{}, leases: map[string]bool{}, policy: map[string]bool{}}
 	for _, item := range items {
 		switch kind, name := storage.ParseKey(item.Key); kind {
 		case storage.KindJob:
@@ -62,9 +62,9 @@
 	return listed
 }
 
-// dropUnlisted applies the deletion of what a listing at a revision does not have. What was
-// written after the listing began is not in it, yet not gone (rule 4).
-func (w *Watcher) dropUnlisted(listed listing, revision uint64, now time.Time) {
+// dropUnlisted deletes records that are not in a listing at a revision. It keeps machine records that
+// were written after that revision, since the listing may lack them (rule 4).
+func (w *Watcher) dropUnlisted(listed listedKeys, revision uint64, now time.Time) {
 	for name, m := range w.Machines {
 		if !listed.machines[name] && m.Revision <= revision {
 			w.agents.MachineDeleted(name, now)
@@ -76,8 +76,8 @@
 		}
 	}
 	for _, p := range w.Partitions {
-		// A partition that nobody was ever seen to lead is vacant from now on, so that its
-		// preferred leader has the time to start.
+		// A partition for which no leader has ever been seen counts as vacant from now on, which
+		// gives its preferred leader time to start.
 		if p.LeaseRevision == 0 && p.VacantSince.IsZero() {
 			p.VacantSince = now
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-// ApplyEvent hands one changed record to the component that owns what it says.
+// ApplyEvent passes a changed or deleted record to the component that owns this kind of record.
 func (w *Watcher) ApplyEvent(event protocol.Event) {
 	now := time.Now()
 	key := event.Put + event.Delete // one of the two is empty
@@ -122,7 +122,7 @@
 	}
 }
 
-// applyLease applies a change of some partition's lease.
+// applyLease applies a change of a partition's lease record.
 func (w *Watcher) applyLease(key string, event protocol.Event, now time.Time) {
 	for _, p := range w.Partitions {
 		if storage.LeaseKey(p.Index) == key {
@@ -131,8 +131,8 @@
 	}
 }
 
-// applyMachine applies a change of a machine's record. A deletion that is older than the
-// record does nothing.
+// applyMachine applies a change of a machine's record. A deletion that is older than the known record
+// is ignored.
 func (w *Watcher) applyMachine(name string, event protocol.Event, now time.Time) {
 	if event.Delete != "" {
 		if m := w.Machines[name]; m != nil && event.Version >= m.Revision {
@@ -143,7 +143,7 @@
 	var rec storage.Machine
 	err := storage.Decode(event.Value, &rec)
 	if err == nil && (rec.Partition < 0 || rec.Partition >= len(w.Partitions)) {
-		err = fmt.Errorf("no partition %d", rec.Partition)
+		err = fmt.Errorf("partition %d does not exist", rec.Partition)
 	}
 	if err != nil {
 		w.log.Error("invalid machine record", "machine", name, "error", err)
@@ -152,7 +152,7 @@
 	w.agents.MachineRecorded(name, rec, event.Version, now)
 }
 
-// applyPolicy applies a change of one of the access policy's records.
+// applyPolicy applies a change of a record of the access policy.
 func (w *Watcher) applyPolicy(kind storage.Kind, name string, event protocol.Event) {
 	if !w.auth.Enabled() {
 		return
@@ -162,8 +162,8 @@
 	}
 }
 
-// applyCatalog sets the machine types, unless they are known: each controller asks the cloud
-// itself, and the record serves one that has had no answer yet.
+// applyCatalog sets the machine types from the catalog record if none are known. Each controller also
+// reads them from the cloud; the record serves those that have not received a response yet.
 func (w *Watcher) applyCatalog(raw []byte) {
 	var catalog protocol.Catalog
 	if err := storage.Decode(raw, &catalog); err == nil && len(w.Catalog) == 0 {
--- a/internal/coordination/records/collaborators.go
+++ b/internal/coordination/records/collaborators.go
@@ -8,56 +8,58 @@
 	"micaspindle/internal/storage"
 )
 
-// Agents follows the machines on record.
+// Agents tracks the recorded machines.
 type Agents interface {
-	// MachineDeleted follows the deletion of a machine's record, which the cluster leader
-	// does only after the machine is certainly gone.
+	// MachineDeleted handles the deletion of a machine's record. The cluster leader deletes it only
+	// after the machine certainly no longer exists.
 	MachineDeleted(name string, now time.Time)
-	// MachineRecorded follows a machine's record, which says whose machine it is.
+	// MachineRecorded handles a new or changed machine record, which assigns the machine to a
+	// partition.
 	MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time)
 }
 
-// Auth follows the records of the access policy.
+// Auth maintains the access policy from its records.
 type Auth interface {
-	// Enabled says whether requests need an identity; if not, no policy is followed.
+	// Enabled reports whether requests are authenticated. If not, policy records are ignored.
 	Enabled() bool
-	// ApplyPolicyRecord applies one record of the policy.
+	// ApplyPolicyRecord applies a change of one policy record.
 	ApplyPolicyRecord(kind storage.Kind, name string, event protocol.Event) error
-	// DropUnlistedPolicy drops the policy's records whose keys are not in a listing.
+	// DropUnlistedPolicy removes policy records whose keys are not in a listing.
 	DropUnlistedPolicy(listed map[string]bool)
-	// PublishPolicy makes the applied records of the policy effective, once for all that
-	// came together. requestedAt is when the listing or watch that brought them was requested.
+	// PublishPolicy makes all policy records applied since the last call effective at once.
+	// requestedAt is when the listing or watch that returned them was requested.
 	PublishPolicy(requestedAt time.Time)
 }
 
-// Autoscaler follows who is the cluster leader.
+// Autoscaler tracks the cluster leader.
 type Autoscaler interface {
-	// ApplyLeadership follows the record of the cluster leadership.
+	// ApplyLeadership applies a change of the cluster leadership record.
 	ApplyLeadership(event protocol.Event, now time.Time)
 }
 
-// Leases follows who leads which partition.
+// Leases tracks the leaders of the partitions.
 type Leases interface {
-	// ApplyIncarnation follows the record of a controller's incarnation.
+	// ApplyIncarnation applies a change of a controller's incarnation record.
 	ApplyIncarnation(label string, event protocol.Event)
-	// ApplyLease follows the record of a partition's lease.
+	// ApplyLease applies a change of a partition's lease record.
 	ApplyLease(p *cluster.Partition, event protocol.Event, now time.Time)
-	// NoteMissedLeaders notes that leaders may have come and gone unseen before a listing.
+	// NoteMissedLeaders records that leadership may have changed unobserved before a listing.
 	NoteMissedLeaders(now time.Time)
 }
 
-// Scheduler counts the jobs that were done.
+// Scheduler counts completed jobs.
 type Scheduler interface {
-	// CountListedJob counts a listed job if it is done: a controller that was away missed it.
+	// CountListedJob counts a listed job if it has completed, since this controller may have missed
+	// the change.
 	CountListedJob(id string, raw []byte)
-	// ResetDoneCounts begins the counts anew, before a listing is applied.
+	// ResetDoneCounts resets the counts before a listing is applied.
 	ResetDoneCounts()
 }
 
-// Jobs follows jobs and their ends.
+// Jobs tracks jobs from their records.
 type Jobs interface {
-	// ApplyFinalRecord ends a job as its final record says.
+	// ApplyFinalRecord ends a job with the state in its final record.
 	ApplyFinalRecord(id string, raw []byte)
-	// ApplyJobRecord takes up an accepted job. Such records never change.
+	// ApplyJobRecord adds an accepted job from its record, which never changes.
 	ApplyJobRecord(id string, raw []byte)
 }
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -1,5 +1,5 @@
-// Package records follows the shared records of the state store, by a listing and the changes
-// after it, and hands each to the component that owns what it says.
+// Package records watches the shared records in the state store: it lists them, then watches for
+// changes, and passes each record to the component that owns its kind.
 package records
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// watchOutagePatience is how long a watch may go on through an outage: after one that is
-	// given up everything is listed.
-	watchOutagePatience = 12 * time.Second
-	// watchesPerLease is how often the state store is watched anew within the TTL of a lease,
-	// which is as often as the lease is renewed.
-	watchesPerLease = 3
+	// watchOutageTimeout is how long a watch request stays open during an outage, beyond its wait
+	// time. After a watch that was given up, all records are listed again.
+	watchOutageTimeout = 12 * time.Second
+	// watchesPerLeaseTTL is the number of watch requests per lease TTL, which equals the number of
+	// lease renewals.
+	watchesPerLeaseTTL = 3
 )
 
-// watchBackoff is the pause after a failed listing or watch. It is spread and does not grow:
-// the state store's budget makes tasks wait already, and docs/retries.md says what growing
+// watchBackoff is the pause after a failed listing or watch, with jitter. It does not grow, since the
+// request budget of the state store already limits the rate; docs/retries.md describes what growing
 // pauses cost users.
 var watchBackoff = retry.Backoff{First: 266 * time.Millisecond, Max: 266 * time.Millisecond}
 
-// Watcher follows the shared records and hands each to the component that owns what it says.
+// Watcher watches the shared records and passes each to the component that owns its kind.
 type Watcher struct {
 	*cluster.State
 	loop  *eventloop.Loop
@@ -44,37 +44,37 @@
 	scheduler  Scheduler
 }
 
-// New makes a watcher without collaborators.
+// New creates a watcher. Connect must be called before it is used.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Watcher {
 	return &Watcher{State: state, loop: loop, store: store, log: log}
 }
 
-// Connect sets the collaborators, before the loop starts.
+// Connect sets the collaborators. It is called once, before the event loop starts.
 func (w *Watcher) Connect(agents Agents, auth Auth, autoscaler Autoscaler, jobs Jobs, leases Leases, scheduler Scheduler) {
 	w.agents, w.auth, w.autoscaler, w.jobs, w.leases, w.scheduler = agents, auth, autoscaler, jobs, leases, scheduler
 }
 
-// errLoopEnded says that the event loop takes no calls any more.
+// errLoopEnded means that the event loop no longer accepts calls.
 var errLoopEnded = errors.New("event loop ended")
 
-// cursor is how far Watch has come.
+// cursor is the progress of Watch.
 type cursor struct {
-	// revision is that up to which all changes were applied; 0: everything is to be listed.
+	// revision is the revision up to which all changes were applied; 0 if all records are to be
+	// listed.
 	revision uint64
-	// late: the last watch was answered late.
-	late bool
-	// wait is how long a watch waits for a change, patience how long it may go on beyond
-	// that, through an outage.
-	wait, patience time.Duration
+	// lastAnswerLate is true if the last watch took more than twice its wait time.
+	lastAnswerLate bool
+	// wait is how long a watch waits for a change. extraTimeout is how long its response may take
+	// beyond that, for example during an outage.
+	wait, extraTimeout time.Duration
 }
 
-// Watch follows the shared records until the loop's context ends: a listing, then the changes
-// from there.
+// Watch lists the shared records and then watches for changes, until the event loop's context ends.
 func (w *Watcher) Watch() {
 	tries := w.loop.Tries("watch", watchBackoff)
 	at := w.newCursor()
 	for {
-		err := w.follow(&at)
+		err := w.syncOnce(&at)
 		if err == nil {
 			tries.Succeeded()
 			continue
@@ -82,33 +82,33 @@
 		if w.loop.Context().Err() != nil || errors.Is(err, errLoopEnded) {
 			return
 		}
-		w.log.Debug("watching records failed", "error", err)
+		w.log.Debug("watching shared records failed", "error", err)
 		if !w.loop.Sleep(tries.Failed()) {
 			return
 		}
 	}
 }
 
-// newCursor is a cursor before everything. Watches are requested as often as the lease is
-// renewed: the older of the two bounds until when heartbeats are answered (rule 42).
+// newCursor returns the initial cursor. Watches are requested as often as the lease is renewed, since
+// the time until which heartbeats may be answered depends on the older of the two (rule 42).
 func (w *Watcher) newCursor() cursor {
-	at := cursor{wait: w.Operator.LeaseTTL / watchesPerLease, patience: watchOutagePatience}
+	at := cursor{wait: w.Operator.LeaseTTL / watchesPerLeaseTTL, extraTimeout: watchOutageTimeout}
 	if w.auth.Enabled() {
-		at.wait, at.patience = min(at.wait, auth.PolicyWatchWait), storage.ChangeTimeout
+		at.wait, at.extraTimeout = min(at.wait, auth.PolicyWatchWait), storage.ChangeTimeout
 	}
 	return at
 }
 
-// follow applies the changes after the cursor, and a listing before them where one is due.
-func (w *Watcher) follow(at *cursor) error {
+// syncOnce lists the records if a listing is due, then waits for the next changes and applies them.
+func (w *Watcher) syncOnce(at *cursor) error {
 	if at.revision == 0 {
 		if err := w.list(at); err != nil {
-			return fmt.Errorf("listing: %w", err)
+			return fmt.Errorf("listing shared records: %w", err)
 		}
 	}
 	if err := w.watchChanges(at); err != nil {
-		// A watch that ended without an answer, or that answers 410, may have missed
-		// changes; a fresh listing never does (rule 4).
+		// Changes may be lost after a watch that failed or that returned status 410 (Gone). A new
+		// listing includes them (rule 4).
 		at.revision = 0
 		return fmt.Errorf("watch: %w", err)
 	}
@@ -138,10 +138,10 @@
 func (w *Watcher) watchChanges(at *cursor) error {
 	requestedAt := time.Now()
 	wait := at.wait
-	if at.late {
-		wait = 0 // what was requested long ago, before an outage perhaps, informs of little
+	if at.lastAnswerLate {
+		wait = 0 // return at once, since the records are only known up to the time of the last, slow request
 	}
-	changes, err := w.store.Watch(w.loop.Context(), storage.WatchPrefix, at.revision, wait, at.patience)
+	changes, err := w.store.Watch(w.loop.Context(), storage.WatchPrefix, at.revision, wait, at.extraTimeout)
 	if err != nil {
 		return err
 	}
@@ -156,6 +156,6 @@
 		return errLoopEnded
 	}
 	at.revision = max(at.revision, changes.Revision)
-	at.late = time.Since(requestedAt) > 2*at.wait
+	at.lastAnswerLate = time.Since(requestedAt) > 2*at.wait
 	return nil
 }
--- a/internal/coordination/replication/collaborators.go
+++ b/internal/coordination/replication/collaborators.go
@@ -7,23 +7,23 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Auth checks who sends a request.
+// Auth authenticates the senders of peer requests.
 type Auth interface {
-	// CheckPeer refuses a message that does not come from the controller that it names.
+	// CheckPeer returns an error if the caller is not the controller with this label.
 	CheckPeer(caller *auth.Caller, label string) error
 }
 
-// Autoscaler does the work of the cluster leader.
+// Autoscaler holds the cluster leader's state.
 type Autoscaler interface {
-	// LeaderUpdate is what the next cluster leader should know of this one's work.
+	// LeaderUpdate returns the cluster leader's state that its successor needs.
 	LeaderUpdate(now time.Time) *peer.ReplicaUpdate
 }
 
-// Scheduler learns how estimates of run times are to be corrected.
+// Scheduler holds the correction factors for run time estimates.
 type Scheduler interface {
-	// AdoptCorrection adopts the correction of a class from another controller, if it rests on
-	// more jobs than the one known here.
+	// AdoptCorrection replaces the correction of a job class by one from another controller, if
+	// that one is based on more jobs.
 	AdoptCorrection(correction *peer.RuntimeCorrection)
-	// RuntimeCorrections lists the corrections of all classes, by name.
+	// RuntimeCorrections returns the corrections of all job classes, sorted by class name.
 	RuntimeCorrections() []*peer.RuntimeCorrection
 }
--- a/internal/coordination/replication/derived_state.go
+++ b/internal/coordination/replication/derived_state.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// PendingStartsLimit is how many attempts' starts may be known before their records have
-	// come: those that were committed a moment ago, or all 64,000 of 4,000 machines while the
-	// replica is begun. One takes some 130 bytes, all 10 MB.
+	// PendingStartsLimit is the maximum number of start times held for attempts whose run records
+	// have not arrived: those committed a moment ago, or all 64,000 attempts of 4,000 machines
+	// while the replica is first read. An entry takes about 130 bytes, all entries 10 MB.
 	PendingStartsLimit = 80_000
-	// pendingStartAge is how old an attempt may be whose record has not come.
+	// pendingStartAge is the time since its start after which an attempt is dropped from the
+	// pending starts.
 	pendingStartAge = time.Minute
 )
 
-// AttemptID names an attempt.
+// AttemptID identifies an attempt of a task.
 type AttemptID struct {
 	Job    string
 	Task   int
 	Number uint64
 }
 
-// DerivedState is the state that a partition's run records derive, made ahead of a takeover:
-// attempts by job and by machine, without the jobs and machines themselves.
+// DerivedState is the in-memory state that is derived from a partition's run records before a
+// takeover: the attempts by job and by machine, not yet linked to the jobs and machines.
 type DerivedState struct {
 	Jobs map[string]*ReplicaJob
-	// AttemptsByMachine has the attempts by the machine's name, then as cluster.Machine.Attempts.
+	// AttemptsByMachine maps machine names to maps keyed like cluster.Machine.Attempts.
 	AttemptsByMachine map[string]map[string]*cluster.Attempt
-	// Starts is when attempts began whose records have not come yet.
+	// Starts holds the start times of attempts whose run records have not arrived yet.
 	Starts map[AttemptID]time.Time
-	// DroppedStarts is for how many of these there was no space since that was last counted.
+	// DroppedStarts counts the start times dropped at PendingStartsLimit since the last report.
 	DroppedStarts int
 }
 
@@ -41,7 +42,7 @@
 	return DerivedState{Jobs: map[string]*ReplicaJob{}, AttemptsByMachine: map[string]map[string]*cluster.Attempt{}, Starts: map[AttemptID]time.Time{}}
 }
 
-// apply brings the state in line with a change of a run record, whose key is valid.
+// apply updates the state for a changed or deleted run record. The record's key must be valid.
 func (s *DerivedState) apply(change runRecordChange) {
 	id, index, _ := storage.ParseRunKey(change.Key)
 	job := s.Jobs[id]
@@ -64,7 +65,7 @@
 	}
 }
 
-// removeAttempts takes the live attempts of a record away, and returns them by task.
+// removeAttempts removes the live attempts of a run record and returns them by task.
 func (s *DerivedState) removeAttempts(id string, job *ReplicaJob, record *storage.RunRecord) map[int]*cluster.Attempt {
 	if record == nil {
 		return nil
@@ -81,8 +82,8 @@
 	return removed
 }
 
-// addAttempt adds a live attempt of a record. before is the task's attempt until now, nil if it had
-// none: of the same attempt the start stays known.
+// addAttempt adds a live attempt of a run record. before is the task's previous attempt, or nil; if
+// it has the same number, its start time is kept.
 func (s *DerivedState) addAttempt(id string, job *ReplicaJob, recorded storage.Attempt, before *cluster.Attempt) {
 	a := &cluster.Attempt{TaskIndex: recorded.Task, Number: recorded.Number, Epoch: recorded.Epoch, State: cluster.AttemptCommitted, Inherited: true}
 	key := AttemptID{Job: id, Task: recorded.Task, Number: recorded.Number}
@@ -101,7 +102,7 @@
 	attempts[cluster.AttemptKey(protocol.TaskName(id, recorded.Task), recorded.Number)] = a
 }
 
-// NoteStart notes when an attempt began, as its leader's update says.
+// NoteStart stores an attempt's start time, as received from the partition's leader.
 func (s *DerivedState) NoteStart(key AttemptID, at time.Time) {
 	if job := s.Jobs[key.Job]; job != nil {
 		if a := job.Live[key.Task]; a != nil && a.Number >= key.Number {
@@ -118,12 +119,12 @@
 	s.Starts[key] = at
 }
 
-// pruneStarts forgets the starts of attempts whose records have not come and won't.
+// pruneStarts drops old start times of attempts whose run records have not arrived.
 func (s *DerivedState) pruneStarts(now time.Time) {
 	maps.DeleteFunc(s.Starts, func(_ AttemptID, at time.Time) bool { return now.Sub(at) > pendingStartAge })
 }
 
-// KnownStarts is of how many live attempts the start is known.
+// KnownStarts returns the number of live attempts whose start time is known.
 func (s *DerivedState) KnownStarts() (count int) {
 	for _, job := range s.Jobs {
 		for _, a := range job.Live {
@@ -135,9 +136,8 @@
 	return count
 }
 
-// UnknownJobs lists jobs that the records name and that are neither known here nor among the job
-// records read: final ones whose attempts are not all proven over, and those whose own record has
-// not come yet.
+// UnknownJobs returns the ids of jobs with run records that are neither in known nor in read. These
+// are finished jobs with attempts that may still run, and jobs whose own records have not arrived.
 func (s *DerivedState) UnknownJobs(known map[string]*cluster.Job, read map[string]*protocol.Item) (ids []string) {
 	for id := range s.Jobs {
 		if known[id] == nil && read[id] == nil {
--- a/internal/coordination/replication/follow.go
+++ b/internal/coordination/replication/follow.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// replicaRetention is how long a replica is held by a controller that is not the standby any
-	// more: it may be again.
+	// replicaRetention is how long a controller keeps a replica after it was last the partition's
+	// standby, since it may become the standby again.
 	replicaRetention = 30 * time.Second
-	// followRequestShare is which fraction of the state store's requests may go into following, for
-	// all partitions together.
-	followRequestShare = 0.04
-	// followIntervalMin is how often a replica asks for changes at most.
-	followIntervalMin = 500 * time.Millisecond
-	// advanceTimeout bounds the requests that bring one replica up to date.
+	// followRateShare is the fraction of the state store's request rate that replicas of all
+	// partitions together may use to read changes.
+	followRateShare = 0.04
+	// minFollowInterval is the minimum time between a replica's requests for changes.
+	minFollowInterval = 500 * time.Millisecond
+	// advanceTimeout limits the requests of one update of a replica.
 	advanceTimeout = 4 * time.Second
-	// lagLimitS is after how many seconds without changes a replica counts as behind.
+	// lagLimitS is the lag in seconds above which a replica is logged as behind.
 	lagLimitS = 5
 )
 
-// followInterval is how often a replica asks what has changed.
+// followInterval returns the time between a replica's requests for changes.
 func (r *Replicator) followInterval() time.Duration {
 	params := r.Settings.Params
-	requestRate := followRequestShare * params.State.Lower().RPS
-	return max(followIntervalMin, time.Duration(float64(params.Count)/requestRate*float64(time.Second)))
+	requestRate := followRateShare * params.State.Lower().RPS
+	return max(minFollowInterval, time.Duration(float64(params.Count)/requestRate*float64(time.Second)))
 }
 
-// FollowLoop keeps the replicas up to date until the controller ends.
+// FollowLoop keeps the replicas up to date until the controller shuts down.
 func (r *Replicator) FollowLoop() {
 	interval := r.followInterval()
 	for r.loop.Sleep(interval) {
@@ -43,11 +43,12 @@
 	}
 }
 
-// dueReplicas lists the replicas to bring up to date, after beginning and dropping some.
+// dueReplicas creates replicas that are needed, drops those that are not, and returns the rest,
+// which are to be brought up to date.
 func (r *Replicator) dueReplicas(now time.Time) (due []*Replica) {
 	for _, p := range r.Partitions {
 		if r.isStandbyOf(p) {
-			r.wantReplica(p, now)
+			r.ensureReplica(p, now)
 		}
 		replica := r.Replicas[p.Index]
 		if replica == nil {
@@ -63,31 +64,31 @@
 	return due
 }
 
-// isStandbyOf says whether this controller should have a replica of a partition.
+// isStandbyOf reports whether this controller is a partition's standby and should have a replica.
 func (r *Replicator) isStandbyOf(p *cluster.Partition) bool {
 	return !p.Held && r.Synced && !r.Draining && r.AnnouncedStandby(p) == r.Settings.Label
 }
 
-// wantReplica begins a replica of a partition, unless there is one.
-func (r *Replicator) wantReplica(p *cluster.Partition, now time.Time) {
+// ensureReplica creates a replica of a partition if there is none, and records that it is needed.
+func (r *Replicator) ensureReplica(p *cluster.Partition, now time.Time) {
 	replica := r.Replicas[p.Index]
 	if replica == nil {
 		replica = NewReplica(p.Index, now)
 		r.Replicas[p.Index] = replica
-		r.log.Info("standby replica begun", "partition", p.Index, "controller", p.Leader)
+		r.log.Info("standby replica created", "partition", p.Index, "controller", p.Leader)
 	}
 	replica.wantedAt = now
 }
 
-// logLag logs when a replica falls behind and when it has caught up.
+// logLag logs when a replica falls behind and when it has caught up again.
 func (r *Replicator) logLag(p *cluster.Partition, replica *Replica, now time.Time) {
 	lag := replica.lag(now)
-	changed, behind := replica.behind.Changed(lag.Seconds(), lagLimitS)
+	changed, behind := replica.lagState.Changed(lag.Seconds(), lagLimitS)
 	switch {
 	case changed && behind:
-		r.log.Info("standby replica behind", "partition", p.Index, "elapsed", lag)
+		r.log.Info("standby replica is behind", "partition", p.Index, "elapsed", lag)
 	case changed:
-		r.log.Info("standby replica caught up", "partition", p.Index)
+		r.log.Info("standby replica has caught up", "partition", p.Index)
 	}
 }
 
@@ -98,31 +99,32 @@
 	after, sampling, cursor := uint64(0), false, ""
 	r.loop.Do(func() {
 		after = replica.Records.Revision()
-		sampling, cursor = replica.sampleDue(time.Now()), replica.cursor
+		sampling, cursor = replica.sampleDue(time.Now()), replica.sampleCursor
 	})
 	if after == 0 {
-		r.begin(ctx, replica)
+		r.loadRecords(ctx, replica)
 		return
 	}
 	if sampling {
-		// Before the changes, so that the replica comes to the sample's revision.
+		// The sample is read first, so that the changes bring the replica to the sample's revision.
 		r.readSample(ctx, replica, cursor)
 	}
 	r.readChanges(ctx, replica, after)
 }
 
-// begin reads all run records of a replica's partition.
-func (r *Replicator) begin(ctx context.Context, replica *Replica) {
+// loadRecords initializes a replica from a listing of its partition's run records.
+func (r *Replicator) loadRecords(ctx context.Context, replica *Replica) {
 	requestedAt := time.Now()
 	items, revision, err := r.store.List(ctx, storage.RunPrefix(replica.partition))
 	if err != nil {
-		r.log.Debug("standby replica not begun", "partition", replica.partition, "error", err)
+		r.log.Debug("listing run records for standby replica failed", "partition", replica.partition, "error", err)
 		return
 	}
 	r.ifCurrent(replica, func() { replica.StartFrom(r.log.Error, items, revision, requestedAt) })
 }
 
-// readChanges applies what has changed after a revision, or makes the replica begin anew.
+// readChanges applies the changes after a revision. If they are no longer available or do not
+// connect to the replica's revision, the replica is reset and listed again.
 func (r *Replicator) readChanges(ctx context.Context, replica *Replica, after uint64) {
 	requestedAt := time.Now()
 	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ChangeTimeout)
@@ -131,7 +133,7 @@
 		case errors.Is(err, storage.ErrCompacted):
 			replica.reset()
 		case err != nil:
-			r.log.Debug("standby replica not advanced", "partition", replica.partition, "error", err)
+			r.log.Debug("reading changes for standby replica failed", "partition", replica.partition, "error", err)
 		case !replica.Apply(r.log.Error, after, events, requestedAt):
 			replica.reset()
 		default:
@@ -140,7 +142,7 @@
 	})
 }
 
-// ifCurrent runs fn on the loop if the replica is still held.
+// ifCurrent runs fn on the event loop, unless the replica has been dropped or replaced.
 func (r *Replicator) ifCurrent(replica *Replica, fn func()) {
 	r.loop.Do(func() {
 		if r.Replicas[replica.partition] == replica {
--- a/internal/coordination/replication/hints.go
+++ b/internal/coordination/replication/hints.go
@@ -6,8 +6,8 @@
 	"micaspindle/internal/coordination/cluster"
 )
 
-// ApplyStart sets when an inherited attempt began, as its former leader had sent it, and says
-// whether that was not known before.
+// ApplyStart sets the start time of an inherited attempt to the one sent by the former leader. It
+// returns false if there is no such live attempt or its start time is already known.
 func (r *Replicator) ApplyStart(p *cluster.Partition, id AttemptID, at time.Time) bool {
 	job := r.Jobs[id.Job]
 	if job == nil || job.Partition != p.Index || !job.HasRunState {
@@ -24,7 +24,7 @@
 	return true
 }
 
-// ApplyHints adds what the former leader sent of machines and classes to what is known now.
+// ApplyHints merges the former leader's hints on machines and job classes into the current state.
 func (r *Replicator) ApplyHints(p *cluster.Partition, updates *ReceivedUpdates, now time.Time) {
 	for name, hints := range updates.Machines {
 		if m := r.Machines[name]; m != nil && m.Record.Partition == p.Index {
@@ -36,7 +36,8 @@
 	}
 }
 
-// applyMachineHints adds what was received of a machine; what is known here comes first.
+// applyMachineHints merges received hints into a machine. An address or preemption time that is
+// already known here is kept.
 func applyMachineHints(m *cluster.Machine, hints MachineHints, now time.Time) {
 	for _, image := range hints.Images {
 		if _, known := m.Images[image]; !known {
--- a/internal/coordination/replication/complete.go
+++ b/internal/coordination/replication/prepare.go
@@ -8,11 +8,11 @@
 	"micaspindle/internal/storage"
 )
 
-// CompleteReplica brings the replica of a partition to the lease under which it is to be used, or
-// reads the records anew if there is none that can be; warm says that it did not. Nothing of the
-// former leader is applied after the lease's revision, so that an answer that reaches it covers
-// everything (rule 32). It must not be called on the loop.
-func (r *Replicator) CompleteReplica(p *cluster.Partition, leaseRevision uint64) (replica *Replica, warm bool, err error) {
+// PrepareReplica returns a replica of a partition that is current as of the revision of the newly
+// acquired lease. It catches up the existing replica (warm), or reads all run records if there is
+// none or it cannot be used (not warm). The former leader's writes fail after the lease's revision,
+// so a replica at that revision has all of them (rule 32). It must not be called on the event loop.
+func (r *Replicator) PrepareReplica(p *cluster.Partition, leaseRevision uint64) (replica *Replica, warm bool, err error) {
 	var existing *Replica
 	after := uint64(0)
 	r.loop.Do(func() {
@@ -25,20 +25,20 @@
 		if complete {
 			return existing, true, nil
 		}
-		r.log.Info("standby replica not used", "partition", p.Index, "revision", after, "lease", leaseRevision, "error", err)
+		r.log.Info("standby replica cannot be used, reading all run records", "partition", p.Index, "revision", after, "lease", leaseRevision, "error", err)
 	}
 	cold, err := r.readReplica(p.Index)
 	if err != nil {
 		return nil, false, err
 	}
 	if existing != nil {
-		r.loop.Do(func() { cold.inherit(existing) })
+		r.loop.Do(func() { cold.adoptUpdates(existing) })
 	}
 	return cold, false, nil
 }
 
-// catchUp applies all changes after a revision, and says whether the replica has come to the lease
-// and agrees with its sample.
+// catchUp applies all changes after a revision. It returns true if the replica has then reached the
+// lease's revision and matches its pending sample, if any.
 func (r *Replicator) catchUp(replica *Replica, after, leaseRevision uint64) (complete bool, err error) {
 	requestedAt := time.Now()
 	events, err := r.store.CatchUp(r.loop.Context(), storage.RunPrefix(replica.partition), after)
@@ -55,12 +55,12 @@
 	return complete, nil
 }
 
-// readReplica makes a replica of the records as they are now.
+// readReplica creates a replica from a listing of the partition's run records.
 func (r *Replicator) readReplica(partition int) (*Replica, error) {
 	requestedAt := time.Now()
 	items, revision, err := r.store.List(r.loop.Context(), storage.RunPrefix(partition))
 	if err != nil {
-		return nil, fmt.Errorf("run records: %w", err)
+		return nil, fmt.Errorf("listing run records: %w", err)
 	}
 	replica := NewReplica(partition, requestedAt)
 	replica.StartFrom(r.log.Error, items, revision, requestedAt)
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// ReplicaMachinesLimit is how many machines the updates of a partition may hold: more than any
-	// partition has, so that only a faulty sender is bounded by it.
+	// ReplicaMachinesLimit is the maximum number of machines kept from a partition's updates. No
+	// partition has as many, so only a faulty sender reaches it.
 	ReplicaMachinesLimit = 100_000
-	// secondsLimit bounds the seconds that a sender may name: beyond it a duration could overflow.
+	// secondsLimit is the upper limit of a received number of seconds: larger ones could overflow a
+	// time.Duration.
 	secondsLimit = 1e9
 )
 
-// MachineHints is what was received of a machine.
+// MachineHints is a machine's hint as received, with its preemption time converted to local time.
 type MachineHints struct {
 	*peer.MachineHint
-	// PreemptionAt is when the cloud takes it away; zero: that was not announced.
+	// PreemptionAt is when the cloud will preempt the machine; zero if no notice was given.
 	PreemptionAt time.Time
 }
 
-// ReceivedUpdates is what the leader of a partition has sent of it.
+// ReceivedUpdates is the accumulated content of the updates from a partition's leader.
 type ReceivedUpdates struct {
-	// Sender, nonce and Lease are the incarnation that sent it, and the revision of its lease.
+	// Sender and nonce identify the incarnation of the sending controller, Lease is the revision of
+	// its partition lease.
 	Sender, nonce string
 	Lease         uint64
-	// Acknowledged is up to where the updates are known; 0: nothing is.
+	// Acknowledged is the sequence number up to which all updates were received; 0 if none were.
 	Acknowledged uint64
 	Machines     map[string]MachineHints
 	Classes      []*peer.RuntimeCorrection
-	// droppedMachines is for how many machines there was no space since that was last counted.
+	// droppedMachines counts the machines dropped at ReplicaMachinesLimit since the last report.
 	droppedMachines int
 }
 
-// Apply applies an update and returns up to where the updates are known. What comes twice or late
-// does nothing; after a gap the sender goes on from what is known. noteStart is called with each
-// attempt's start.
+// Apply applies an update and returns the sequence number up to which all updates were received.
+// Duplicate and late updates are ignored, as are those after a gap: the sender then continues from
+// the returned number. noteStart is called with each attempt's start time.
 func (u *ReceivedUpdates) Apply(update *peer.ReplicaUpdate, noteStart func(AttemptID, time.Time), now time.Time) uint64 {
 	if update.LeaseRevision < u.Lease {
 		return 0 // from a former leader
@@ -63,14 +65,14 @@
 		u.Machines = map[string]MachineHints{}
 	}
 	for _, hint := range update.Machines {
-		u.noteMachine(hint, now)
+		u.storeMachineHint(hint, now)
 	}
 	u.Acknowledged, u.Classes = update.Through, update.Classes
 	return u.Acknowledged
 }
 
-// noteMachine stores what was received of a machine, if there is space for it.
-func (u *ReceivedUpdates) noteMachine(hint *peer.MachineHint, now time.Time) {
+// storeMachineHint stores the hint on a machine, unless ReplicaMachinesLimit is reached.
+func (u *ReceivedUpdates) storeMachineHint(hint *peer.MachineHint, now time.Time) {
 	if _, known := u.Machines[hint.Name]; !known && len(u.Machines) >= ReplicaMachinesLimit {
 		u.droppedMachines++
 		return
@@ -82,8 +84,8 @@
 	u.Machines[hint.Name] = hints
 }
 
-// parseSeconds reads seconds that a sender named; ok is false if they are negative, which says that
-// there are none, or beyond all bounds.
+// parseSeconds converts a received number of seconds. ok is false if it is negative, which means
+// that there is no value, or not below secondsLimit.
 func parseSeconds(seconds float64) (d time.Duration, ok bool) {
 	if seconds >= 0 && seconds < secondsLimit {
 		return time.Duration(seconds * float64(time.Second)), true
@@ -91,7 +93,7 @@
 	return 0, false
 }
 
-// HandleUpdate answers a partition leader's or the cluster leader's update.
+// HandleUpdate handles an update from a partition leader or the cluster leader.
 func (r *Replicator) HandleUpdate(caller *auth.Caller, body []byte) (*peer.ReplicaUpdateReply, error) {
 	update := new(peer.ReplicaUpdate)
 	if err := proto.Unmarshal(body, update); err != nil {
@@ -115,7 +117,7 @@
 	return reply, nil
 }
 
-// reportDropped reports what a replica had no space for.
+// reportDropped reports the entries that a replica dropped at its limits, and resets the counts.
 func (r *Replicator) reportDropped(replica *Replica) {
 	r.bounds.Met(telemetry.ReplicaMachines, replica.Updates.droppedMachines)
 	r.bounds.Met(telemetry.ReplicaStarts, replica.Derived.DroppedStarts)
--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -8,42 +8,44 @@
 	"micaspindle/internal/storage"
 )
 
-// runRecordChange is a change of a partition's run records.
+// runRecordChange is a change of one run record.
 type runRecordChange = recordset.Change[*storage.RunRecord]
 
 // logError logs an error with attributes, as slog.Logger.Error does.
 type logError = func(message string, attributes ...any)
 
-// Replica is a copy of one partition's run records, with the state that they derive, ready to be
-// taken over.
+// Replica is a copy of one partition's run records with the state derived from them, kept for a
+// takeover of the partition.
 type Replica struct {
 	partition int
 	Records   recordset.Set[*storage.RunRecord]
 	Derived   DerivedState
 	Updates   ReceivedUpdates
-	// wantedAt is when this controller was last named the partition's standby.
+	// wantedAt is when this controller was last seen to be the partition's standby.
 	wantedAt time.Time
-	// asOf is when the last answer that was applied had been requested.
+	// asOf is the request time of the newest applied response: the replica has all earlier changes.
+	// Until the first response, it is the creation time of the replica.
 	asOf time.Time
-	// behind notes when the replica falls behind.
-	behind recordset.Lag
-	// sampledAt is when a sample of the state store was last read, cursor where the next one
-	// begins, sample the one that the records have not come to yet.
-	sampledAt time.Time
-	cursor    string
-	sample    *recordset.Sample[*storage.RunRecord]
+	// lagState tells whether the replica was last logged as behind.
+	lagState recordset.Lag
+	// sampledAt is when a sample of the state store was last read. sampleCursor is the key after
+	// which the next one begins. sample is the one to compare once the records have reached its
+	// revision.
+	sampledAt    time.Time
+	sampleCursor string
+	sample       *recordset.Sample[*storage.RunRecord]
 }
 
-// NewReplica makes a replica of a partition that knows nothing yet.
+// NewReplica creates an empty replica of a partition.
 func NewReplica(partition int, now time.Time) *Replica {
 	return &Replica{partition: partition, Derived: newDerivedState(), wantedAt: now, asOf: now, sampledAt: now}
 }
 
-// lag is for how long nothing of the state store was applied.
+// lag returns the age of the replica's newest applied state.
 func (r *Replica) lag(now time.Time) time.Duration { return now.Sub(r.asOf) }
 
-// StartFrom begins the replica with a listing of the run records that stands at a revision. Records
-// that can't be read are logged and left out.
+// StartFrom replaces the replica's contents by a listing of the run records at a revision. Records
+// that cannot be decoded are logged and skipped.
 func (r *Replica) StartFrom(log logError, items []protocol.Item, revision uint64, requestedAt time.Time) {
 	all := make([]runRecordChange, 0, len(items))
 	for _, item := range items {
@@ -59,7 +61,8 @@
 	r.asOf = requestedAt
 }
 
-// Apply applies the changes after a revision; false: they don't join what is known.
+// Apply applies the changes after a revision. It returns false if changes between the replica's
+// revision and the given one are missing.
 func (r *Replica) Apply(log logError, after uint64, events *protocol.Events, requestedAt time.Time) bool {
 	changes := make([]runRecordChange, 0, len(events.Events))
 	for _, e := range events.Events {
@@ -76,15 +79,16 @@
 	return true
 }
 
-// reset forgets the records, so that they are read anew.
+// reset clears the replica, so that the records are listed again.
 func (r *Replica) reset() {
 	r.Records.Reset()
 	r.Derived, r.sample = newDerivedState(), nil
-	r.Updates.Acknowledged = 0 // what was sent of attempts went with their records
+	r.Updates.Acknowledged = 0 // the received start times were dropped with the derived state
 }
 
-// inherit takes the received updates from a replica that can't be used itself.
-func (r *Replica) inherit(from *Replica) {
+// adoptUpdates copies the received updates, with the attempts' start times, from a replica whose
+// records cannot be used.
+func (r *Replica) adoptUpdates(from *Replica) {
 	r.Updates = from.Updates
 	for id, job := range from.Derived.Jobs {
 		for task, a := range job.Live {
@@ -95,8 +99,8 @@
 	}
 }
 
-// parseChange reads a run record as it comes from the state store; ok is false, after logging, if
-// it can't be read.
+// parseChange decodes a run record's change as returned by the state store. If that fails, it logs
+// the error and returns false.
 func parseChange(log logError, key string, version uint64, deleted bool, value []byte) (change runRecordChange, ok bool) {
 	change = runRecordChange{Key: key, Version: version, Deleted: deleted}
 	if _, _, err := storage.ParseRunKey(key); err != nil {
--- a/internal/coordination/replication/replica_job.go
+++ b/internal/coordination/replication/replica_job.go
@@ -8,27 +8,28 @@
 	"micaspindle/internal/storage"
 )
 
-// ReplicaJob is what the run records say of one job.
+// ReplicaJob is the state derived from the run records of one job.
 type ReplicaJob struct {
-	// Records are the run records by their index, chunks their revisions.
+	// Records holds the run records by chunk index, chunks the revision and the last attempt number
+	// of each.
 	Records map[int]*storage.RunRecord
 	chunks  map[int]*cluster.RunChunk
-	// Live are the live attempts by task.
+	// Live holds the live attempts by task index.
 	Live map[int]*cluster.Attempt
 }
 
-// Bind makes the records' state that of the job, for the partition's new leader, and returns how
-// many attempts are live. The job owns the state from then on.
-func (j *ReplicaJob) Bind(job *cluster.Job, now time.Time) (live int) {
+// AttachTo sets the job's run state to the recorded one, for the partition's new leader, and returns
+// the number of live attempts. The job owns the state from then on.
+func (j *ReplicaJob) AttachTo(job *cluster.Job, now time.Time) (live int) {
 	job.HasRunState, job.RunningCount, job.Completing, job.FailedMachines, job.RunTimesS = true, 0, false, nil, nil
 	job.LiveAttempts, job.Chunks, job.Pending = j.Live, j.chunks, nil
-	j.bindDoneTasks(job)
-	j.bindAttempts(job, now)
+	j.setDoneTasks(job)
+	j.attachAttempts(job, now)
 	return len(job.LiveAttempts)
 }
 
-// bindDoneTasks marks the tasks that are done.
-func (j *ReplicaJob) bindDoneTasks(job *cluster.Job) {
+// setDoneTasks marks and counts the job's completed tasks.
+func (j *ReplicaJob) setDoneTasks(job *cluster.Job) {
 	job.TaskDone, job.DoneCount = make([]bool, job.Spec.Tasks), 0
 	for _, record := range j.Records {
 		for _, done := range record.Done {
@@ -42,9 +43,10 @@
 	}
 }
 
-// bindAttempts counts the live attempts on their machines. Those without a machine, or of a task
-// that the job does not have, are dropped, and their records written anew.
-func (j *ReplicaJob) bindAttempts(job *cluster.Job, now time.Time) {
+// attachAttempts links the live attempts to the job and adds their resources to the usage of their
+// machines. Attempts without a machine, or of a task that the job does not have, are dropped, and
+// their run records are marked for rewriting.
+func (j *ReplicaJob) attachAttempts(job *cluster.Job, now time.Time) {
 	need := cluster.ResourcesOf(job.Spec)
 	for task, a := range job.LiveAttempts {
 		a.Job = job
@@ -60,9 +62,9 @@
 	}
 }
 
-// Unbind takes the attempts of an unknown job off their machines, whose heartbeats then show them
-// as nobody's.
-func (j *ReplicaJob) Unbind(id string) {
+// DetachAttempts removes the attempts of an unknown job from their machines. If these still run,
+// heartbeats report them as tasks without an attempt on record.
+func (j *ReplicaJob) DetachAttempts(id string) {
 	for task, a := range j.Live {
 		if a.Machine != nil {
 			delete(a.Machine.Attempts, cluster.AttemptKey(protocol.TaskName(id, task), a.Number))
--- a/internal/coordination/replication/replicator.go
+++ b/internal/coordination/replication/replicator.go
@@ -1,11 +1,12 @@
-// Package replication maintains replicas of the partitions that this controller is the standby
-// of, and sends the standbys of its own partitions what is not on record. A replica is a hint
-// until it is proven whole; nothing that a safety rule rests on comes from an update.
+// Package replication maintains replicas of the partitions for which this controller is the
+// standby, and sends updates to the standbys of the partitions that it leads. A replica is used
+// only after it has been checked for completeness, and no safety rule depends on an update.
 //
-// What a leader knows beyond the records, and sends in its updates, is when attempts began, which
-// machines are slow, quarantined or about to be preempted, which images they hold, how far
-// estimates are off, and what the cluster leader is about. An update holds what has changed since
-// what the other has, bounded in size and rate. It serves predictions only (rule 33).
+// Updates carry state that is not in the state store: the start times of attempts; which machines
+// are slow, quarantined or about to be preempted; the images cached on machines; the corrections of
+// run time estimates; and the cluster leader's operations in progress. An update contains the
+// changes since the last acknowledged one, limited in size and rate. Its contents are used for
+// predictions only (rule 33).
 package replication
 
 import (
@@ -20,8 +21,9 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Replicator maintains replicas of the partitions that this controller is the standby of, and sends
-// updates to the standbys of its own partitions. Its fields belong to the event loop.
+// Replicator maintains replicas of the partitions for which this controller is the standby, and
+// sends updates to the standbys of the partitions that it leads. Its fields may be accessed only on
+// the event loop.
 type Replicator struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -35,31 +37,31 @@
 	autoscaler Autoscaler
 	scheduler  Scheduler
 
-	// Replicas has the replicas held here, by partition.
+	// Replicas holds this controller's replicas by partition index.
 	Replicas map[int]*Replica
-	// Mismatches counts the replicas that differed from the state store.
+	// Mismatches counts the samples in which a replica differed from the state store.
 	Mismatches int
 }
 
-// New makes a replicator; Connect gives it its collaborators.
+// New creates a replicator. Connect must be called before it is used.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Replicator {
 	return &Replicator{State: state, loop: loop, network: network, store: store, log: log, bounds: bounds,
 		Replicas: map[int]*Replica{}}
 }
 
-// Connect sets the collaborators. It is called once, before the loop starts.
+// Connect sets the collaborators. It is called once, before the event loop starts.
 func (r *Replicator) Connect(auth Auth, autoscaler Autoscaler, scheduler Scheduler) {
 	r.auth, r.autoscaler, r.scheduler = auth, autoscaler, scheduler
 }
 
-// Observe sets the metrics. It is called before the loop starts.
+// Observe sets the metrics. It is called before the event loop starts.
 func (r *Replicator) Observe(m *telemetry.Metrics) { r.metrics = m }
 
-// DropReplica forgets the replica of a partition: what it holds belongs to the partition from then
-// on.
+// DropReplica removes the replica of a partition. It is called when a takeover transfers the
+// replica's contents to the partition.
 func (r *Replicator) DropReplica(partition int) { delete(r.Replicas, partition) }
 
-// Summaries is what this controller's summary says of its replicas.
+// Summaries returns the status of each replica for this controller's summary to its peers.
 func (r *Replicator) Summaries() (list []*peer.ReplicaStatus) {
 	for partition, replica := range r.Replicas {
 		list = append(list, &peer.ReplicaStatus{Partition: uint32(partition), Revision: replica.Records.Revision()})
@@ -67,7 +69,7 @@
 	return list
 }
 
-// Overview is what operators are shown of the replicas.
+// Overview returns the status of each replica for the operators' overview.
 func (r *Replicator) Overview(now time.Time) (list []overview.Replica) {
 	for _, p := range r.Partitions {
 		if replica := r.Replicas[p.Index]; replica != nil {
--- a/internal/coordination/replication/sampling.go
+++ b/internal/coordination/replication/sampling.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// sampleInterval is how often a sample of sampleSize records is compared.
+	// sampleInterval is the minimum time between two samples of sampleSize records.
 	sampleInterval = 5 * time.Second
 	sampleSize     = 20
-	// loggedKeys is how many of the keys that differ are logged.
-	loggedKeys = 5
+	// maxLoggedKeys is the maximum number of differing keys in a log line.
+	maxLoggedKeys = 5
 )
 
-// sampleDue says whether to read the next sample: not before the last one was compared.
+// sampleDue reports whether the next sample is to be read. There is at most one sample that waits
+// to be compared.
 func (r *Replica) sampleDue(now time.Time) bool {
 	return r.Records.Revision() != 0 && r.sample == nil && now.Sub(r.sampledAt) >= sampleInterval
 }
 
-// readSample reads the page of the state store after the cursor.
+// readSample reads the page of run records after the cursor and stores it for comparison.
 func (r *Replicator) readSample(ctx context.Context, replica *Replica, cursor string) {
 	page, err := r.store.Page(ctx, storage.RunPrefix(replica.partition), cursor, sampleSize)
 	if err != nil {
-		return // the next turn reads it
+		return // it is read with the next update of the replica
 	}
-	r.ifCurrent(replica, func() { replica.takeSample(page, time.Now()) })
+	r.ifCurrent(replica, func() { replica.storeSample(page, time.Now()) })
 }
 
-// takeSample holds a page of the state store until the replica has come to its revision.
-func (r *Replica) takeSample(page *protocol.ItemList, now time.Time) {
-	sample := &recordset.Sample[*storage.RunRecord]{From: r.cursor, Revision: page.Revision}
-	unlogged := func(string, ...any) {} // logged when it came with the changes
+// storeSample keeps a page of run records until the replica has reached the page's revision.
+func (r *Replica) storeSample(page *protocol.ItemList, now time.Time) {
+	sample := &recordset.Sample[*storage.RunRecord]{From: r.sampleCursor, Revision: page.Revision}
+	unlogged := func(string, ...any) {} // invalid records were logged when they were first read
 	for _, item := range page.Items {
 		if change, ok := parseChange(unlogged, item.Key, item.Version, false, item.Value); ok {
 			sample.Records = append(sample.Records, change)
@@ -46,12 +47,12 @@
 	if page.More && len(page.Items) > 0 {
 		sample.Last = page.Items[len(page.Items)-1].Key
 	}
-	r.sample, r.sampledAt, r.cursor = sample, now, sample.Last
+	r.sample, r.sampledAt, r.sampleCursor = sample, now, sample.Last
 	r.Derived.pruneStarts(now)
 }
 
-// compareSample compares the sample with the records once these have come to its revision, and
-// makes the replica begin anew if they differ.
+// compareSample compares the sample with the replica's records, once these have reached the sample's
+// revision, and resets the replica if they differ.
 func (r *Replicator) compareSample(replica *Replica) {
 	if replica.sample == nil {
 		return
@@ -65,7 +66,7 @@
 	if len(keys) > 0 {
 		r.metrics.Count(telemetry.ReplicaDiffers, 1)
 		r.Mismatches++
-		r.log.Error("standby replica differs from the state store", "partition", replica.partition, "keys", keys[:min(loggedKeys, len(keys))], "count", len(keys))
+		r.log.Error("standby replica differs from the state store", "partition", replica.partition, "keys", keys[:min(maxLoggedKeys, len(keys))], "count", len(keys))
 		replica.reset()
 	}
 }
--- a/internal/coordination/replication/send.go
+++ b/internal/coordination/replication/send.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// UpdatePath is where a controller receives replica updates.
+	// UpdatePath is the path at which a controller receives replica updates.
 	UpdatePath = "/peer/tale"
-	// updateInterval is how often updates are sent.
+	// updateInterval is the time between two rounds of updates.
 	updateInterval = time.Second
-	// updateTimeout bounds a message and its answer.
+	// updateTimeout is the timeout of a replication request to a peer.
 	updateTimeout = time.Second
-	// UpdateBytesLimit is what one update holds at most; the rest follows with the next. That is
-	// some 26,000 attempts, or 500 machines with all their images: a standby that knows nothing
-	// has 4,000 machines and 64,000 attempts after some 10 s.
+	// UpdateBytesLimit is the maximum size of an update; the remaining changes follow in the next
+	// ones. An update holds about 26,000 attempts, or 500 machines with all their images, so a new
+	// standby receives 4,000 machines and 64,000 attempts in about 10 s.
 	UpdateBytesLimit = peerapi.PortableBodyLimit * 3 / 4
-	// EntryOverheadBytes is what an entry takes beside itself.
+	// EntryOverheadBytes is the assumed encoding overhead of a list entry.
 	EntryOverheadBytes = 8
 )
 
-// outgoingUpdate is an update and whom it is sent to.
+// outgoingUpdate is an update with the controller to which it is sent.
 type outgoingUpdate struct {
 	label, addr string
 	// partition is nil for the cluster leader's update.
@@ -37,16 +37,16 @@
 	update    *peer.ReplicaUpdate
 }
 
-// ReplicateLoop sends updates to each partition's standby, and to the cluster leader's peers, until
-// the controller ends.
+// ReplicateLoop sends updates until the controller shuts down: to the standbys of the partitions led
+// here and, from the cluster leader, to all other controllers.
 func (r *Replicator) ReplicateLoop() {
 	for r.loop.Sleep(updateInterval) {
 		r.SendUpdates(r.loop.Context())
 	}
 }
 
-// SendUpdates sends all pending updates at the same time, and returns once they are answered or ctx
-// ends.
+// SendUpdates sends all pending updates concurrently. It returns when each has been answered or has
+// failed, or when ctx ends.
 func (r *Replicator) SendUpdates(ctx context.Context) {
 	var updates []outgoingUpdate
 	r.loop.Do(func() { updates = r.pendingUpdates(time.Now()) })
@@ -66,7 +66,7 @@
 	}
 }
 
-// pendingUpdates makes the updates to send now.
+// pendingUpdates returns the updates to send now.
 func (r *Replicator) pendingUpdates(now time.Time) (updates []outgoingUpdate) {
 	for _, p := range r.Partitions {
 		if standby := r.Peers[p.Standby]; p.Held && p.Ready && standby != nil && standby.Alive(now) {
@@ -85,11 +85,11 @@
 	return updates
 }
 
-// sendUpdate sends one update, and notes up to where the standby has it.
+// sendUpdate sends one update and stores the sequence number that the standby acknowledges.
 func (r *Replicator) sendUpdate(ctx context.Context, u outgoingUpdate) {
 	reply := new(peer.ReplicaUpdateReply)
 	if err := peerapi.Call(ctx, r.network, updateTimeout, u.addr, UpdatePath, u.update, reply); err != nil {
-		r.log.Debug("replica update not sent", "controller", u.label, "error", err)
+		r.log.Debug("replica update failed", "controller", u.label, "error", err)
 		return
 	}
 	if u.partition == nil {
@@ -103,7 +103,8 @@
 	})
 }
 
-// PartitionUpdate is what has changed of a partition since what its standby has acknowledged.
+// PartitionUpdate returns an update with all corrections of run time estimates, and with a
+// partition's changes since the sequence number that its standby has acknowledged.
 func (r *Replicator) PartitionUpdate(p *cluster.Partition, now time.Time) *peer.ReplicaUpdate {
 	progress := &p.Replication
 	if progress.Target != p.Standby {
@@ -123,16 +124,16 @@
 	return update
 }
 
-// replicaChange is an attempt or a machine of which something changed.
+// replicaChange is an attempt or a machine whose replicated state has changed.
 type replicaChange struct {
-	// seq is the place of the change among all of the partition.
+	// seq is the sequence number of the change within the partition.
 	seq     uint64
 	attempt *cluster.Attempt
 	machine *cluster.Machine
 }
 
-// partitionChanges lists what has changed since what the partition's standby has acknowledged, in
-// order.
+// partitionChanges returns a partition's changes since the sequence number that its standby has
+// acknowledged, in order. It assigns sequence numbers to new changes.
 func (r *Replicator) partitionChanges(p *cluster.Partition) (changes []replicaChange) {
 	progress := &p.Replication
 	for _, job := range r.Jobs {
@@ -165,8 +166,8 @@
 	return changes
 }
 
-// addChanges puts changes into an update, as many as fit but at least one, and says
-// whether that was all: the others follow with the next.
+// addChanges adds changes to an update, at least one and otherwise as many as fit into the budget of
+// bytes. It reports whether all fit; the others follow in the next update.
 func addChanges(update *peer.ReplicaUpdate, changes []replicaChange, budget int, now time.Time) bool {
 	for i, change := range changes {
 		var start *peer.AttemptStart
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// StateTransferPath is where a controller answers with the updates that it has received of a
-	// partition.
+	// StateTransferPath is the path at which a controller returns the updates that it has received
+	// for a partition.
 	StateTransferPath = "/peer/recall"
-	// StateTransferBytesLimit is what a state transfer holds at most, below what a client takes as
-	// a response: 64,000 attempts take some 2 MB, 4,000 machines 0.4 MB, their images the rest.
+	// StateTransferBytesLimit is the maximum size of a state transfer, below the size at which a
+	// client refuses a response. 64,000 attempts take about 2 MB and 4,000 machines 0.4 MB; the
+	// rest is for their images.
 	StateTransferBytesLimit = 6 << 20
 )
 
-// HandleStateTransfer answers a controller that was started anew with what its former incarnation
-// had sent here of a partition.
+// HandleStateTransfer returns the updates of a partition that were received here, for a new leader
+// without them. It is usually a restarted controller whose earlier incarnation sent them.
 func (r *Replicator) HandleStateTransfer(body []byte) (*peer.ReplicaUpdate, error) {
 	request := new(peer.StateTransferRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
@@ -34,8 +35,8 @@
 	transfer := &peer.ReplicaUpdate{Partition: request.Partition}
 	r.loop.Do(func() {
 		if replica := r.Replicas[int(request.Partition)]; replica != nil && replica.Updates.Acknowledged != 0 {
-			whole := false
-			if transfer, whole = replica.StateTransfer(time.Now()); !whole {
+			complete := false
+			if transfer, complete = replica.StateTransfer(time.Now()); !complete {
 				r.bounds.Met(telemetry.StateTransferBytes, 1)
 			}
 		}
@@ -43,27 +44,28 @@
 	return transfer, nil
 }
 
-// StateTransfer is what was received of the replica's partition, for its new leader. whole is false
-// if it was too large: it lacks images then, which only tell where a start is quick, or even more.
-func (r *Replica) StateTransfer(now time.Time) (transfer *peer.ReplicaUpdate, whole bool) {
+// StateTransfer returns the received updates of the replica's partition, for its new leader. complete
+// is false if they exceed StateTransferBytesLimit. Images, which are only used to predict which
+// machines start a task fast, are then left out first, then machines, then start times.
+func (r *Replica) StateTransfer(now time.Time) (transfer *peer.ReplicaUpdate, complete bool) {
 	updates := &r.Updates
 	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
 		Through: updates.Acknowledged, Classes: updates.Classes}
 	budget := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
-	whole = r.addStarts(transfer, &budget, now) && updates.addMachines(transfer, &budget, now) && updates.addImages(transfer, &budget)
-	return transfer, whole
+	complete = r.addStarts(transfer, &budget, now) && updates.addMachines(transfer, &budget, now) && updates.addImages(transfer, &budget)
+	return transfer, complete
 }
 
-// byteBudget is how many bytes a message may still take.
+// byteBudget is the number of bytes that can still be added to a message.
 type byteBudget int
 
-// take deducts the size of an entry, and says whether there was enough.
+// take subtracts the size of an entry and reports whether the entry fits.
 func (b *byteBudget) take(entry proto.Message) bool {
 	*b -= byteBudget(proto.Size(entry) + EntryOverheadBytes)
 	return *b >= 0
 }
 
-// addStarts adds when attempts began, and says whether all fit.
+// addStarts adds the start times of attempts and reports whether all fit.
 func (r *Replica) addStarts(transfer *peer.ReplicaUpdate, budget *byteBudget, now time.Time) bool {
 	for id, job := range r.Derived.Jobs {
 		for task, a := range job.Live {
@@ -80,7 +82,7 @@
 	return true
 }
 
-// addMachines adds the machines without their images, and says whether all fit.
+// addMachines adds the machines without their images and reports whether all fit.
 func (u *ReceivedUpdates) addMachines(transfer *peer.ReplicaUpdate, budget *byteBudget, now time.Time) bool {
 	for _, hints := range u.Machines {
 		hint := proto.CloneOf(hints.MachineHint)
@@ -96,7 +98,7 @@
 	return true
 }
 
-// addImages adds the images of the machines, and says whether all fit.
+// addImages adds the images of the added machines and reports whether all fit.
 func (u *ReceivedUpdates) addImages(transfer *peer.ReplicaUpdate, budget *byteBudget) bool {
 	for _, hint := range transfer.Machines {
 		images := u.Machines[hint.Name].Images
@@ -108,8 +110,8 @@
 	return true
 }
 
-// RequestStateTransfer asks the other controllers for the updates of a partition that this one has
-// just taken over without having received any: its former incarnation's, above all.
+// RequestStateTransfer requests the updates of a partition from all other controllers. It is called
+// after a takeover by a controller that has received no updates, usually because it was restarted.
 func (r *Replicator) RequestStateTransfer(p *cluster.Partition, leaseRevision uint64) {
 	for label, other := range r.Peers {
 		r.loop.Go(func() {
@@ -127,8 +129,8 @@
 	}
 }
 
-// applyStateTransfer applies what another controller had received of a partition, if it is still
-// led under the lease of this revision.
+// applyStateTransfer applies a state transfer from another controller, if this controller still
+// leads the partition under the lease with this revision.
 func (r *Replicator) applyStateTransfer(p *cluster.Partition, leaseRevision uint64, transfer *peer.ReplicaUpdate) {
 	if !p.Held || !p.Ready || p.LeaseRevision != leaseRevision {
 		return
--- a/internal/coordination/takeover/collaborators.go
+++ b/internal/coordination/takeover/collaborators.go
@@ -7,54 +7,56 @@
 	"micaspindle/internal/coordination/replication"
 )
 
-// Agents stops attempts and sends commands to agents.
+// Agents sends commands to agents.
 type Agents interface {
-	// Fence raises a machine's fencing token with empty commands, without waiting for its next
-	// heartbeat, so that no former leader commands it any more (rule 7).
+	// Fence sends a machine the new fencing token with an empty list of commands, without waiting
+	// for its next heartbeat. The machine then refuses commands of former leaders (rule 7).
 	Fence(m *cluster.Machine)
-	// StopAttempt stops an attempt, with so many seconds of grace.
+	// StopAttempt stops an attempt, with a grace period in seconds.
 	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
 }
 
-// Leases knows what this controller, or others before it, may still do under a lease.
+// Leases holds the partition leases and the bounds on what former leaders may still do.
 type Leases interface {
-	// ClearPartition forgets what only the leader of a partition may believe.
+	// ClearPartition drops the state of a partition that is valid only on its leader.
 	ClearPartition(p *cluster.Partition)
-	// LastAnswerBound is the latest moment at which anybody but this controller may have
-	// answered a machine of a partition.
+	// LastAnswerBound returns the latest time at which another controller may have answered a
+	// heartbeat of a machine of a partition.
 	LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time
 }
 
 // Proxy delegates shards of a partition's machines to other controllers.
 type Proxy interface {
-	// SpreadShards delegates shards of a partition that was just taken over at once, as many as
-	// its machines ask for: all of them must be fenced and will send heartbeats, and a leader
-	// that is alone with that may run out of sockets. Delegates of the former leader keep what
-	// they have, so that the agents' connections stay.
+	// SpreadShards immediately delegates shards of a partition that was just taken over, as many
+	// as its number of machines requires. All machines are fenced and send heartbeats at once,
+	// which could use up the sockets of the leader alone. Delegates of the former leader keep
+	// their shards, and so their connections to agents.
 	SpreadShards(p *cluster.Partition, now time.Time)
 }
 
-// Replicator has the replicas that partitions are taken over from.
+// Replicator maintains the replicas from which partitions are taken over.
 type Replicator interface {
-	// ApplyHints applies what the former leader sent of machines and classes.
+	// ApplyHints merges the former leader's hints on machines and job classes into the state.
 	ApplyHints(p *cluster.Partition, updates *replication.ReceivedUpdates, now time.Time)
-	// CompleteReplica brings the replica of a partition to the lease under which it is to be
-	// used, or reads the records anew if there is none that can be; warm says that it did not.
-	CompleteReplica(p *cluster.Partition, leaseRevision uint64) (replica *replication.Replica, warm bool, err error)
-	// DropReplica forgets the replica of a partition: what it holds belongs to the partition
-	// from then on.
+	// PrepareReplica returns a replica of a partition that is current as of the revision of the
+	// newly acquired lease. It catches up the existing replica (warm), or reads all run records
+	// if there is none or it cannot be used (not warm).
+	PrepareReplica(p *cluster.Partition, leaseRevision uint64) (replica *replication.Replica, warm bool, err error)
+	// DropReplica removes the replica of a partition, whose contents are transferred to the
+	// partition.
 	DropReplica(partition int)
-	// RequestStateTransfer asks the other controllers for the updates of a partition that this
-	// one has just taken over without having received any: its former incarnation's, above all.
+	// RequestStateTransfer requests the updates of a partition from all other controllers. It is
+	// called after a takeover by a controller that has received no updates, usually because it
+	// was restarted.
 	RequestStateTransfer(p *cluster.Partition, leaseRevision uint64)
 }
 
 // Jobs holds the jobs of all partitions.
 type Jobs interface {
-	// ApplyJobRecord makes an accepted job known. Records never change.
+	// ApplyJobRecord adds an accepted job from its record, which never changes.
 	ApplyJobRecord(id string, raw []byte)
-	// DropIfReleased forgets a job that has ended and holds nothing any more.
+	// DropIfReleased removes a job that has ended and holds no resources any more.
 	DropIfReleased(j *cluster.Job)
-	// LoadJobRecord makes a job of its record.
+	// LoadJobRecord creates a job from its record.
 	LoadJobRecord(id string, raw []byte) *cluster.Job
 }
--- a/internal/coordination/takeover/handback.go
+++ b/internal/coordination/takeover/handback.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// handbackWarmUp is how long a partition that is to be handed back waits for its preferred
-	// leader to have a replica of it.
+	// handbackWarmUp is the maximum time for which the handback of a partition is delayed until its
+	// preferred leader has a replica of it.
 	handbackWarmUp = 10 * time.Second
-	// handbackImbalance is by how many partitions with teams this controller must lead more than
-	// the preferred leader of one for that to be handed back.
+	// handbackImbalance is the number of partitions with teams that this controller must lead beyond
+	// those of the preferred leader before it hands one back.
 	handbackImbalance = 2
 )
 
-// ShouldHandBack says whether to release a partition now, for its preferred leader.
+// ShouldHandBack reports whether to release a partition now to its preferred leader.
 func (t *Takeover) ShouldHandBack(p *cluster.Partition, now time.Time) bool {
 	label := t.preferredLeader(p, now)
 	if label == "" {
@@ -30,8 +30,9 @@
 	return !preferred.Summary.Replicates || preferred.HasReplicaOf(p.Index) || now.Sub(p.HandbackSince) > handbackWarmUp
 }
 
-// preferredLeader is the controller whose own a partition is and to which it is handed back now
-// that it is there again; empty: it stays. That is done only where it evens the load out.
+// preferredLeader returns the preferred leader of a partition led here, if the partition is to be
+// handed back to it, else "". A partition is handed back only if that controller has been alive for
+// long enough and leads at least handbackImbalance fewer partitions with teams than this one.
 func (t *Takeover) preferredLeader(p *cluster.Partition, now time.Time) string {
 	if !p.Held || !p.Ready || !p.HasTeams || p.Index == t.SelfIndex || p.Index >= len(t.Labels) || now.Sub(p.AcquiredAt) < lease.SettleTime {
 		return ""
--- a/internal/coordination/takeover/install.go
+++ b/internal/coordination/takeover/install.go
@@ -10,14 +10,14 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Install makes a replica the state of a partition's jobs and machines. specs are the records of
-// jobs that were not known here. What the replica holds belongs to the partition from then on.
-// It runs on the loop.
-func (t *Takeover) Install(p *cluster.Partition, replica *replication.Replica, specs map[string]*protocol.Item, warm bool) {
+// Install sets the state of a partition's jobs and machines from a replica and marks the partition
+// ready. jobRecords are the records of jobs that were not known here. The partition owns the
+// replica's contents from then on. It runs on the event loop.
+func (t *Takeover) Install(p *cluster.Partition, replica *replication.Replica, jobRecords map[string]*protocol.Item, warm bool) {
 	now := time.Now()
 	t.replicator.DropReplica(p.Index)
-	t.clear(p)
-	t.loadJobRecords(specs)
+	t.clearLeaderState(p)
+	t.loadJobRecords(jobRecords)
 	t.installMachines(p, &replica.Derived, now)
 	live := t.installJobs(p, &replica.Derived, now)
 	t.replicator.ApplyHints(p, &replica.Updates, now)
@@ -27,33 +27,33 @@
 	t.markReady(p, live, warm, now)
 }
 
-// clear forgets what was believed of a partition when it was led here before.
-func (t *Takeover) clear(p *cluster.Partition) {
+// clearLeaderState drops the state from an earlier time at which this controller led the partition.
+func (t *Takeover) clearLeaderState(p *cluster.Partition) {
 	if !p.LeaderStateCleared {
 		t.leases.ClearPartition(p)
 	}
 	p.LeaderStateCleared = false
 }
 
-// loadJobRecords makes the jobs known whose records were read.
-func (t *Takeover) loadJobRecords(specs map[string]*protocol.Item) {
-	for id, item := range specs {
+// loadJobRecords adds jobs from the records that were read for the takeover.
+func (t *Takeover) loadJobRecords(jobRecords map[string]*protocol.Item) {
+	for id, item := range jobRecords {
 		if t.FinalStates[id] == "" {
 			t.jobs.ApplyJobRecord(id, item.Value)
 		} else if t.Jobs[id] == nil {
-			// A final job whose attempts are not all proven over.
+			// The job has ended, but some of its attempts are not proven to have ended.
 			t.jobs.LoadJobRecord(id, item.Value)
 		}
 	}
 }
 
-// installMachines gives the partition's machines the attempts that the records place on them.
+// installMachines adds the recorded attempts to the partition's machines.
 func (t *Takeover) installMachines(p *cluster.Partition, derived *replication.DerivedState, now time.Time) {
 	for name, attempts := range derived.AttemptsByMachine {
 		m := t.Machines[name]
 		if m == nil || m.Record.Partition != p.Index {
-			// The record of a machine goes only after the machine, and a machine moves only
-			// when it is empty: these attempts are over.
+			// These attempts have ended: a machine's record is deleted only after the machine,
+			// and a machine is moved to another partition only when it is empty.
 			continue
 		}
 		m.Attempts = attempts
@@ -68,17 +68,17 @@
 	}
 }
 
-// installJobs gives the partition's jobs the state that the records derive, and returns how many
-// attempts are live.
+// installJobs sets the run state of the partition's jobs to the recorded one, and returns the number
+// of live attempts.
 func (t *Takeover) installJobs(p *cluster.Partition, derived *replication.DerivedState, now time.Time) (live int) {
-	bound := 0
+	attached := 0
 	for id, j := range t.Jobs {
 		if j.Partition != p.Index {
 			continue
 		}
 		if recorded := derived.Jobs[id]; recorded != nil {
-			live += recorded.Bind(j, now)
-			bound++
+			live += recorded.AttachTo(j, now)
+			attached++
 			p.Usage[j.Team].Add(cluster.ResourcesOf(j.Spec), float64(len(j.LiveAttempts)))
 		} else {
 			j.InitRunState()
@@ -90,24 +90,26 @@
 			j.Completing = true
 		}
 	}
-	if bound < len(derived.Jobs) {
-		t.unbindUnknownJobs(p, derived)
+	if attached < len(derived.Jobs) {
+		t.detachUnknownJobs(p, derived)
 	}
 	return live
 }
 
-// unbindUnknownJobs takes the attempts of jobs that are not the partition's off their machines.
-func (t *Takeover) unbindUnknownJobs(p *cluster.Partition, derived *replication.DerivedState) {
+// detachUnknownJobs removes the attempts of unknown jobs, and of jobs of other partitions, from their
+// machines.
+func (t *Takeover) detachUnknownJobs(p *cluster.Partition, derived *replication.DerivedState) {
 	for id, recorded := range derived.Jobs {
 		if t.Jobs[id] == nil || t.Jobs[id].Partition != p.Index {
-			t.log.Error("run records of an unknown job", "job", id, "count", len(recorded.Records))
-			recorded.Unbind(id)
+			t.log.Error("run records belong to no job of the partition", "job", id, "count", len(recorded.Records))
+			recorded.DetachAttempts(id)
 		}
 	}
 }
 
-// fenceMachines begins the machine leases of the partition and raises its fencing tokens. Former
-// leaders may have gone on answering until their bound (rules 8, 12, 34).
+// fenceMachines starts the leases of the partition's machines and sends the machines the new fencing
+// token. The leases start at the last time at which a former leader may have answered a heartbeat
+// (rules 8, 12, 34).
 func (t *Takeover) fenceMachines(p *cluster.Partition, now time.Time) {
 	for _, m := range t.Machines {
 		if m.Record.Partition == p.Index {
@@ -118,7 +120,7 @@
 	}
 }
 
-// stopEndedJobs stops the attempts of jobs that have a final state.
+// stopEndedJobs stops the remaining attempts of the partition's ended jobs.
 func (t *Takeover) stopEndedJobs(p *cluster.Partition, now time.Time) {
 	for id, j := range t.Jobs {
 		if j.Partition == p.Index && t.FinalStates[id] != "" {
@@ -130,7 +132,7 @@
 	}
 }
 
-// markReady lets decisions on the partition begin.
+// markReady marks the partition ready, which allows scheduling decisions on it.
 func (t *Takeover) markReady(p *cluster.Partition, live int, warm bool, now time.Time) {
 	p.Ready, p.WarmFailover = true, warm
 	p.QueueOrder, p.Replication, p.HandbackSince = nil, cluster.ReplicationProgress{}, time.Time{}
--- a/internal/coordination/takeover/rebuild.go
+++ b/internal/coordination/takeover/rebuild.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// catchUpTimeout is how long a new leader waits for missing evidence before it completes the
-	// replica anew, catchUpPollInterval how often it looks.
+	// catchUpTimeout is how long a new leader waits for the preconditions of a takeover before it
+	// prepares the replica again. catchUpPollInterval is the time between two checks of them.
 	catchUpTimeout      = 2 * time.Second
 	catchUpPollInterval = 10 * time.Millisecond
 )
 
-// rebuildBackoff spreads the pauses between attempts to rebuild a partition from 133 to 266 ms. They
-// don't grow: the budget of the state store makes tasks wait already, and growing pauses cost users
-// what docs/retries.md says.
+// rebuildBackoff spreads the pauses between attempts to rebuild a partition over 133 to 266 ms. They
+// do not grow, since the request budget of the state store already limits the rate; docs/retries.md
+// describes what growing pauses cost users.
 var rebuildBackoff = retry.Backoff{First: 266 * time.Millisecond, Max: 266 * time.Millisecond}
 
-// TakeOver rebuilds the state of a partition from what its former leader recorded, until that
-// succeeds or the lease of this revision is lost. What the former leader still writes fails
-// from now on, since it is conditional on the lease before.
+// TakeOver rebuilds the state of a partition from the records of its former leader. It retries until
+// that succeeds or the lease with this revision is lost. Later writes of the former leader fail,
+// since they are conditional on the previous lease.
 func (t *Takeover) TakeOver(p *cluster.Partition, revision uint64) {
 	tries := t.loop.Tries("rebuild "+strconv.Itoa(p.Index), rebuildBackoff)
-	for t.holds(p, revision) {
+	for t.holdsLease(p, revision) {
 		err := t.rebuild(p, revision)
 		if err == nil {
 			return
@@ -43,33 +43,33 @@
 	}
 }
 
-// holds says whether this controller holds the lease of a partition, at this revision. It must
-// not be called on the loop.
-func (t *Takeover) holds(p *cluster.Partition, revision uint64) (held bool) {
+// holdsLease reports whether this controller holds the lease of a partition with this revision. It
+// must not be called on the event loop.
+func (t *Takeover) holdsLease(p *cluster.Partition, revision uint64) (held bool) {
 	return t.loop.Do(func() { held = p.Held && p.LeaseRevision == revision }) && held
 }
 
-// rebuild completes the partition's replica and installs it as soon as all evidence is there.
+// rebuild prepares the partition's replica and installs it once all preconditions are met.
 func (t *Takeover) rebuild(p *cluster.Partition, revision uint64) error {
-	replica, warm, err := t.replicator.CompleteReplica(p, revision)
+	replica, warm, err := t.replicator.PrepareReplica(p, revision)
 	if err != nil {
 		return err
 	}
-	specs := map[string]*protocol.Item{}
+	jobRecords := map[string]*protocol.Item{}
 	for begun := time.Now(); ; {
-		var outcome installation
-		t.loop.Do(func() { outcome = t.installIfComplete(p, revision, replica, specs, warm) })
+		var result installResult
+		t.loop.Do(func() { result = t.installIfComplete(p, revision, replica, jobRecords, warm) })
 		switch {
-		case len(outcome.unknownJobs) > 0:
-			if err := t.readJobRecords(outcome.unknownJobs, specs); err != nil {
+		case len(result.unknownJobs) > 0:
+			if err := t.readJobRecords(result.unknownJobs, jobRecords); err != nil {
 				return err
 			}
-		case len(outcome.missing) > 0:
+		case len(result.missing) > 0:
 			if time.Since(begun) > catchUpTimeout || !t.loop.Sleep(catchUpPollInterval) {
-				return fmt.Errorf("partition not installed: missing %s", strings.Join(outcome.missing, ", "))
+				return fmt.Errorf("partition not installed: missing %s", strings.Join(result.missing, ", "))
 			}
 		default:
-			if outcome.withoutUpdates {
+			if result.withoutUpdates {
 				t.replicator.RequestStateTransfer(p, revision)
 			}
 			return nil
@@ -77,49 +77,49 @@
 	}
 }
 
-// installation is the outcome of one attempt to install a replica. Its zero value says that
-// nothing is left to do.
-type installation struct {
-	// unknownJobs are jobs whose records must be read first.
+// installResult is the result of one attempt to install a replica. In its zero value nothing is left
+// to do.
+type installResult struct {
+	// unknownJobs are the ids of jobs whose records must be read first.
 	unknownJobs []string
-	// missing is the evidence that has not come yet.
+	// missing lists the preconditions that are not met yet.
 	missing []string
-	// withoutUpdates: it was installed, but the former leader had sent no updates.
+	// withoutUpdates is true if the replica was installed without updates from the former leader.
 	withoutUpdates bool
 }
 
-// installIfComplete installs a replica if nothing is missing. It runs on the loop.
-func (t *Takeover) installIfComplete(p *cluster.Partition, revision uint64, replica *replication.Replica, specs map[string]*protocol.Item, warm bool) installation {
+// installIfComplete installs a replica if all preconditions are met. It runs on the event loop.
+func (t *Takeover) installIfComplete(p *cluster.Partition, revision uint64, replica *replication.Replica, jobRecords map[string]*protocol.Item, warm bool) installResult {
 	if !p.Held || p.LeaseRevision != revision {
-		return installation{} // lost meanwhile: nothing to wait for
+		return installResult{} // the lease was lost, so there is nothing to install
 	}
-	// Asked in the same turn as the rest: a job that ends meanwhile is not known any more, yet
-	// its attempts hold their team's quota until they are over.
-	if unknown := replica.Derived.UnknownJobs(t.Jobs, specs); len(unknown) > 0 {
-		return installation{unknownJobs: unknown}
+	// Unknown jobs are determined in the same call on the event loop as the installation: a job that
+	// ends in between is dropped, but its attempts use their team's quota until they end.
+	if unknown := replica.Derived.UnknownJobs(t.Jobs, jobRecords); len(unknown) > 0 {
+		return installResult{unknownJobs: unknown}
 	}
 	if missing := t.MissingEvidence(p, revision, replica.Records.Revision()); len(missing) > 0 {
-		return installation{missing: missing}
+		return installResult{missing: missing}
 	}
-	t.Install(p, replica, specs, warm)
-	return installation{withoutUpdates: replica.Updates.Acknowledged == 0}
+	t.Install(p, replica, jobRecords, warm)
+	return installResult{withoutUpdates: replica.Updates.Acknowledged == 0}
 }
 
-// readJobRecords reads the records of jobs from the state store.
-func (t *Takeover) readJobRecords(ids []string, specs map[string]*protocol.Item) error {
+// readJobRecords reads job records from the state store into jobRecords.
+func (t *Takeover) readJobRecords(ids []string, jobRecords map[string]*protocol.Item) error {
 	for _, id := range ids {
 		item, err := t.store.Get(t.loop.Context(), storage.JobKey(id))
 		if err != nil {
-			return fmt.Errorf("record of job %s: %w", id, err)
+			return fmt.Errorf("reading the record of job %s: %w", id, err)
 		}
-		specs[id] = item
+		jobRecords[id] = item
 	}
 	return nil
 }
 
-// MissingEvidence says what is still missing before the first decision on a partition whose run
-// records are known up to a revision. Machines and final states come with the watch, in order.
-// Quotas are counted as the records are installed.
+// MissingEvidence lists the unmet preconditions of the first scheduling decision on a partition.
+// runRecords is the revision up to which its run records are known. Machine records and final
+// records arrive in order through the watch. Quota usage is counted when the replica is installed.
 func (t *Takeover) MissingEvidence(p *cluster.Partition, leaseRevision, runRecords uint64) []string {
 	check := failover.TakeoverCheck{
 		LeaseRevision: leaseRevision, NewestLease: p.LeaseRevision,
--- a/internal/coordination/takeover/standby.go
+++ b/internal/coordination/takeover/standby.go
@@ -8,37 +8,39 @@
 	"micaspindle/internal/coordination/failover"
 )
 
-// ChooseStandby names the standby of a partition led here: the controller that it is to be
-// handed back to, or the one that was named before, while that one is as good as any.
+// ChooseStandby sets the standby of a partition led here: the controller to which the partition is to
+// be handed back, or else the best candidate. The current standby is kept unless another candidate
+// is clearly better.
 func (t *Takeover) ChooseStandby(p *cluster.Partition, now time.Time) {
 	if preferred := t.preferredLeader(p, now); preferred != "" && t.Peers[preferred].Summary.Replicates {
 		p.Standby = preferred
 		return
 	}
-	able := slices.DeleteFunc(t.FailoverCandidates(now), func(c failover.Candidate) bool {
+	candidates := slices.DeleteFunc(t.FailoverCandidates(now), func(c failover.Candidate) bool {
 		other := t.Peers[c.Label]
 		return other != nil && !other.Summary.Replicates
 	})
-	p.Standby = failover.KeepStandby(p.Standby, t.Settings.Label, t.Settings.Zone, able)
+	p.Standby = failover.KeepStandby(p.Standby, t.Settings.Label, t.Settings.Zone, candidates)
 }
 
-// isStandbyFor says whether this controller is the standby of what a former leader led: the one
-// that it had named, as long as that one is there, else the one that all would choose. A
-// controller that has just started knows too little to be chosen, but not to be named.
-func (t *Takeover) isStandbyFor(former, named string, now time.Time) bool {
-	if former == "" || named != t.Settings.Label && now.Sub(t.StartedAt) < startSettleTime {
+// isStandbyFor reports whether this controller is the standby for a former leader. That is the
+// announced standby while it is a candidate, and otherwise the one that every controller chooses in
+// the same way. A controller that has just started cannot be chosen yet, since it knows too little
+// of the others, but it can be the announced one.
+func (t *Takeover) isStandbyFor(former, standby string, now time.Time) bool {
+	if former == "" || standby != t.Settings.Label && now.Sub(t.StartedAt) < startupSettleTime {
 		return false
 	}
-	all := t.FailoverCandidates(now)
-	if named == "" || !slices.ContainsFunc(all, func(c failover.Candidate) bool { return c.Label == named }) {
-		named = failover.ChooseStandby(former, t.ZoneOf(former), all)
+	candidates := t.FailoverCandidates(now)
+	if standby == "" || !slices.ContainsFunc(candidates, func(c failover.Candidate) bool { return c.Label == standby }) {
+		standby = failover.ChooseStandby(former, t.ZoneOf(former), candidates)
 	}
-	return named == t.Settings.Label
+	return standby == t.Settings.Label
 }
 
-// liveStandby says whether another controller is there that was named the standby of a vacant
-// partition and has a replica of it.
-func (t *Takeover) liveStandby(p *cluster.Partition, now time.Time) bool {
-	named := t.Peers[t.AnnouncedStandby(p)]
-	return named != nil && named.Alive(now) && !named.Summary.Draining && named.HasReplicaOf(p.Index)
+// hasLiveStandby reports whether the announced standby of a vacant partition is another controller
+// that is alive, not draining, and has a complete replica of it.
+func (t *Takeover) hasLiveStandby(p *cluster.Partition, now time.Time) bool {
+	standby := t.Peers[t.AnnouncedStandby(p)]
+	return standby != nil && standby.Alive(now) && !standby.Summary.Draining && standby.HasReplicaOf(p.Index)
 }
--- a/internal/coordination/takeover/takeover.go
+++ b/internal/coordination/takeover/takeover.go
@@ -1,6 +1,6 @@
-// Package takeover decides which partitions this controller should lead, and rebuilds the
-// state of one that it has acquired from a replica or from the state store. Invariant: nothing
-// is placed before the records are known up to the lease's revision.
+// Package takeover decides which partitions this controller should lead. It rebuilds the state of an
+// acquired partition from a replica or from the state store. Invariant: no task of a partition is
+// placed before the partition's records are known up to the revision of its lease.
 package takeover
 
 import (
@@ -12,7 +12,7 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Takeover decides which partitions to take over, and rebuilds their state.
+// Takeover decides which partitions to take over and rebuilds their state.
 type Takeover struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -27,15 +27,15 @@
 	replicator Replicator
 }
 
-// New makes a Takeover; Connect gives it its collaborators.
+// New creates a Takeover. Connect must be called before it is used.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Takeover {
 	return &Takeover{State: state, loop: loop, store: store, log: log}
 }
 
-// Connect sets the collaborators. It is called once, before the loop starts.
+// Connect sets the collaborators. It is called once, before the event loop starts.
 func (t *Takeover) Connect(agents Agents, jobs Jobs, leases Leases, proxy Proxy, replicator Replicator) {
 	t.agents, t.jobs, t.leases, t.proxy, t.replicator = agents, jobs, leases, proxy, replicator
 }
 
-// Observe sets the metrics. It is called before the loop starts.
+// Observe sets the metrics. It is called before the event loop starts.
 func (t *Takeover) Observe(m *telemetry.Metrics) { t.metrics = m }
