--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -45,8 +45,8 @@
 
 // Apply applies an update and returns the sequence number up to which all updates were received.
 // Duplicate and late updates are ignored, as are those after a gap: the sender then continues from
-// the returned number. noteStart is called with each attempt's start time.
-func (u *ReceivedUpdates) Apply(update *peer.ReplicaUpdate, noteStart func(AttemptID, time.Time), now time.Time) uint64 {
+// the returned number. storeStart is called with each attempt's start time.
+func (u *ReceivedUpdates) Apply(update *peer.ReplicaUpdate, storeStart func(AttemptID, time.Time), now time.Time) uint64 {
 	if update.LeaseRevision < u.Lease {
 		return 0 // from a former leader
 	}
@@ -58,7 +58,7 @@
 	}
 	for _, start := range update.Attempts {
 		if running, ok := parseSeconds(start.RunningS); ok {
-			noteStart(AttemptID{Job: start.Job, Task: int(start.Task), Number: start.Attempt}, now.Add(-running))
+			storeStart(AttemptID{Job: start.Job, Task: int(start.Task), Number: start.Attempt}, now.Add(-running))
 		}
 	}
 	if u.Machines == nil {
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -25,8 +25,8 @@
 	StateTransferBytesLimit = 6 << 20
 )
 
-// HandleStateTransfer returns the updates of a partition that were received here, for a new leader
-// without them. It is usually a restarted controller whose earlier incarnation sent them.
+// HandleStateTransfer returns the received updates of a partition to its new leader, usually a
+// restarted controller whose earlier incarnation sent them.
 func (r *Replicator) HandleStateTransfer(body []byte) (*peer.ReplicaUpdate, error) {
 	request := new(peer.StateTransferRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
@@ -45,8 +45,8 @@
 }
 
 // StateTransfer returns the received updates of the replica's partition, for its new leader. complete
-// is false if they exceed StateTransferBytesLimit. Images, which are only used to predict which
-// machines start a task fast, are then left out first, then machines, then start times.
+// is false if they exceed StateTransferBytesLimit. Then images are left out first, since they only
+// serve to predict which machines start a task fast, then machines, then start times.
 func (r *Replica) StateTransfer(now time.Time) (transfer *peer.ReplicaUpdate, complete bool) {
 	updates := &r.Updates
 	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
