--- a/internal/coordination/api/audit.go
+++ b/internal/coordination/api/audit.go
@@ -12,15 +12,15 @@
 	"micaspindle/internal/transport"
 )
 
-// maxAuditBody bounds the batches of the audit in an answer, in bytes.
-const maxAuditBody = 32 << 10
+// maxAuditBodyBytes is the maximum size of the audit batches in a response.
+const maxAuditBodyBytes = 32 << 10
 
-// auditBatches is the answer with batches of an audit chain.
+// auditBatches is the response body with batches of an audit chain.
 type auditBatches struct {
 	Batches []audit.NumberedBatch `msgpack:"batches"`
 }
 
-// readAudit answers an administrator who reads the audit.
+// readAudit serves the audit log to administrators.
 func (s *Server) readAudit(ctx context.Context, req request) (transport.Response, error) {
 	query, err := url.ParseQuery(req.Query)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return transport.Response{}, err
 	}
-	s.auth.NoteRead(req.caller, verbReadAudit, rights.Queue{}, "")
+	s.auth.AuditRead(req.caller, verbReadAudit, rights.Queue{}, "")
 	return success(http.StatusOK, seal), nil
 }
 
@@ -50,7 +50,7 @@
 	if err != nil || chain == "" {
 		return transport.Response{}, apierror.New(http.StatusBadRequest, "chain and after are needed")
 	}
-	batches, err := s.auth.AuditBatches(ctx, chain, after, maxAuditBody)
+	batches, err := s.auth.AuditBatches(ctx, chain, after, maxAuditBodyBytes)
 	if err != nil {
 		return transport.Response{}, err
 	}
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// cancelAllLimit is how many jobs a request to cancel all of somebody's jobs cancels.
+	// cancelAllLimit is the maximum number of jobs that a cancel-all request cancels.
 	cancelAllLimit = 200
-	// cancelAllWorkers is how many of them are cancelled at a time.
+	// cancelAllWorkers is the number of goroutines that cancel the jobs of a request.
 	cancelAllWorkers = 8
-	// cancelAllTimeout is how long it may take.
+	// cancelAllTimeout is the time limit of a cancel-all request.
 	cancelAllTimeout = 3 * time.Second
 )
 
-// cancelJob cancels a job, unless it has ended already.
+// cancelJob cancels a job, unless it has already ended.
 func (s *Server) cancelJob(ctx context.Context, req request) (transport.Response, error) {
 	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.Cancel, req.job)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return transport.Response{}, err
 	}
 	if !status.Ended() {
-		status.Status, err = s.cancelNow(ctx, req.job, s.auth.AuditRecord(req.caller, verbCancel, queue, req.job))
+		status.Status, err = s.commitCancellation(ctx, req.job, s.auth.AuditRecord(req.caller, verbCancel, queue, req.job))
 		if err != nil {
 			return transport.Response{}, err
 		}
@@ -48,9 +48,9 @@
 	return success(http.StatusOK, protocol.JobStatus{ID: req.job, Status: status.Status}), nil
 }
 
-// cancelNow cancels a job for somebody who waits for the answer, and returns the final state
-// of the job, which is another one if it ended before.
-func (s *Server) cancelNow(ctx context.Context, id string, record *audit.Record) (string, error) {
+// commitCancellation commits the cancellation of a job and returns the job's final state. If the
+// job had already ended, that is the state in its final record.
+func (s *Server) commitCancellation(ctx context.Context, id string, record *audit.Record) (string, error) {
 	var txn protocol.Transaction
 	jobs.AddCancellation(&txn, id, time.Now())
 	_, err := s.auth.Commit(ctx, &txn, record)
@@ -72,49 +72,49 @@
 		status = s.FinalStates[id]
 	})
 	if status == "" {
-		return "", fmt.Errorf("%w: final record can't be read", storage.ErrUnknown)
+		return "", fmt.Errorf("%w: invalid final record", storage.ErrUnknown)
 	}
 	return status, nil
 }
 
-// queuedJob is a job with its queue.
-type queuedJob struct {
+// jobInQueue is a job's id and queue.
+type jobInQueue struct {
 	id    string
 	queue rights.Queue
 }
 
-// cancelAllOf cancels the unfinished jobs that somebody has submitted, as far as the
-// caller administers their queues. It answers after a while with how many are left;
-// the caller asks again.
-func (s *Server) cancelAllOf(ctx context.Context, req request) (transport.Response, error) {
+// cancelAll cancels the unfinished jobs of one submitter in the queues that the caller
+// administers. A request cancels a limited number of jobs in a limited time. The response has
+// the number of remaining jobs; the caller repeats the request until none is left.
+func (s *Server) cancelAll(ctx context.Context, req request) (transport.Response, error) {
 	var body protocol.CancelAll
 	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
 		return transport.Response{}, apierror.New(http.StatusBadRequest, "by: whose jobs are to be withdrawn")
 	}
 	unfinished := s.unfinishedJobsOf(body.By)
-	allowed := slices.DeleteFunc(unfinished, func(job queuedJob) bool { return !s.mayCancelAll(req.caller, job) })
-	// Of what is deleted, the elements are cleared and the length stays.
+	allowed := slices.DeleteFunc(unfinished, func(job jobInQueue) bool { return !s.mayAdministerJob(req.caller, job) })
+	// DeleteFunc zeroes the deleted elements, but unfinished keeps its length.
 	result := protocol.CancelAllResult{NotAllowed: len(unfinished) - len(allowed)}
-	slices.SortFunc(allowed, func(a, b queuedJob) int { return strings.Compare(a.id, b.id) })
+	slices.SortFunc(allowed, func(a, b jobInQueue) int { return strings.Compare(a.id, b.id) })
 	s.cancelJobs(ctx, req.caller, body.By, allowed, &result)
 	return success(http.StatusOK, result), nil
 }
 
-// unfinishedJobsOf lists the unfinished jobs that somebody has submitted.
-func (s *Server) unfinishedJobsOf(submitter string) (list []queuedJob) {
+// unfinishedJobsOf returns the unfinished jobs of a submitter.
+func (s *Server) unfinishedJobsOf(submitter string) (list []jobInQueue) {
 	s.loop.Do(func() {
 		for id, job := range s.Jobs {
 			if job.Spec.By == submitter && s.FinalStates[id] == "" {
-				list = append(list, queuedJob{id, rights.Queue{Team: job.Spec.Team, Class: job.Spec.Class}})
+				list = append(list, jobInQueue{id, rights.Queue{Team: job.Spec.Team, Class: job.Spec.Class}})
 			}
 		}
 	})
 	return list
 }
 
-// mayCancelAll reports whether a caller may cancel a job as one of somebody's, and audits it
-// if not.
-func (s *Server) mayCancelAll(caller *auth.Caller, job queuedJob) bool {
+// mayAdministerJob reports whether a caller administers a job's queue and doesn't act through a
+// service. If not, it records the denial in the audit log.
+func (s *Server) mayAdministerJob(caller *auth.Caller, job jobInQueue) bool {
 	if caller.Service == "" && s.auth.Allows(caller, rights.Administer, job.queue) {
 		return true
 	}
@@ -122,20 +122,20 @@
 	return false
 }
 
-// cancelJobs cancels jobs in their order, several at a time, within the limits of a request,
-// and counts them.
-func (s *Server) cancelJobs(ctx context.Context, caller *auth.Caller, submitter string, list []queuedJob, result *protocol.CancelAllResult) {
+// cancelJobs cancels jobs concurrently, in the order of the list and within the limits of a
+// cancel-all request, and counts them in result.
+func (s *Server) cancelJobs(ctx context.Context, caller *auth.Caller, submitter string, list []jobInQueue, result *protocol.CancelAllResult) {
 	ctx, cancel := context.WithTimeout(ctx, cancelAllTimeout)
 	defer cancel()
 	var mu sync.Mutex // guards result
 	var workers sync.WaitGroup
-	work := make(chan queuedJob)
+	work := make(chan jobInQueue)
 	for range cancelAllWorkers {
 		workers.Go(func() {
 			for job := range work {
 				record := s.auth.AuditRecord(caller, verbCancelAll, job.queue, job.id)
-				record.Detail = "submitted by " + auth.Clip(submitter)
-				status, err := s.cancelNow(ctx, job.id, record)
+				record.Detail = "submitted by " + auth.TruncateForAudit(submitter)
+				status, err := s.commitCancellation(ctx, job.id, record)
 				mu.Lock()
 				switch {
 				case err != nil:
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -14,102 +14,103 @@
 	"micaspindle/internal/transport"
 )
 
-// Agents takes the heartbeats of the workers' agents.
+// Agents handles the heartbeats of agents on worker machines.
 type Agents interface {
-	// HandleHeartbeat answers a heartbeat, of which raw is the encoded body. It runs in the
-	// loop.
+	// HandleHeartbeat returns the response to a heartbeat; raw is its encoded body. It must be
+	// called in the event loop.
 	HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response
 }
 
-// Auth authenticates and authorizes callers and audits what they do.
+// Auth authenticates callers, authorizes their requests and records these in the audit log.
 type Auth interface {
-	// Enabled reports whether requests need an identity.
+	// Enabled reports whether authentication is enabled.
 	Enabled() bool
 
-	// Authenticate returns who sends a request, or the error that refuses it.
+	// Authenticate returns the caller of a request, or the error that rejects the request. The
+	// caller is nil if authentication is disabled.
 	Authenticate(req *transport.Request, verb string) (*auth.Caller, error)
-	// AuthenticateWorker returns which worker sends a heartbeat, or the error that refuses it.
+	// AuthenticateWorker returns the worker that sent a heartbeat, or the error that rejects it.
 	AuthenticateWorker(req *transport.Request) (*auth.Caller, error)
-	// CheckWorker refuses a heartbeat that does not come from the machine that it names.
+	// CheckWorker rejects a heartbeat whose sender isn't the machine named in it.
 	CheckWorker(caller *auth.Caller, machine string) error
 
-	// Allows reports whether a caller holds a verb on a queue.
+	// Allows reports whether a caller has a permission on a queue.
 	Allows(caller *auth.Caller, verb rights.Verb, queue rights.Queue) bool
-	// AllowsEverywhere reports whether a caller holds a verb on every queue.
+	// AllowsEverywhere reports whether a caller has a permission on every queue.
 	AllowsEverywhere(caller *auth.Caller, verb rights.Verb) bool
-	// HoldsAny reports whether a caller holds a verb on some queue.
+	// HoldsAny reports whether a caller has a permission on at least one queue.
 	HoldsAny(caller *auth.Caller, verb rights.Verb) bool
-	// Administers reports whether a caller may change the policy and read the audit.
-	Administers(caller *auth.Caller) bool
-	// AuthorizeJob returns the queue of a job if a caller holds a verb on it, or the error
-	// that refuses the request, which is the same whether the job exists or not.
+	// IsAdministrator reports whether a caller may change the policy and read the audit log.
+	IsAdministrator(caller *auth.Caller) bool
+	// AuthorizeJob returns the queue of a job if a caller has a permission on that queue. The
+	// error for a caller without it doesn't reveal whether the job exists.
 	AuthorizeJob(ctx context.Context, caller *auth.Caller, verb rights.Verb, id string) (rights.Queue, error)
-	// JobQueue returns the queue of a job, and whether this controller knows the job. It runs
-	// in the loop.
+	// JobQueue returns the queue of a job, and whether this controller knows the job. It must
+	// be called in the event loop.
 	JobQueue(id string) (queue rights.Queue, known bool)
 	// ReadSpec reads a job's record from the state store.
 	ReadSpec(ctx context.Context, id string) (*protocol.JobSpec, error)
 
-	// AuditRecord returns the audit record of what a caller does, as allowed; nil while
-	// requests need no identity.
+	// AuditRecord returns the audit record of an allowed request, or nil if authentication is
+	// disabled.
 	AuditRecord(caller *auth.Caller, verb string, queue rights.Queue, job string) *audit.Record
-	// Commit commits a caller's transaction, and its audit record with it unless that is nil.
+	// Commit commits a caller's transaction together with its audit record, if that isn't nil.
 	Commit(ctx context.Context, txn *protocol.Transaction, record *audit.Record) (uint64, error)
-	// Deny audits that a caller was not allowed to do something, and returns the error that
-	// refuses the request.
+	// Deny records a denied request in the audit log and returns an error with status 403.
 	Deny(caller *auth.Caller, verb string, queue rights.Queue, job, reason string) error
-	// NoteRead audits that a caller has read something.
-	NoteRead(caller *auth.Caller, verb string, queue rights.Queue, job string)
-	// AuditBatches reads the batches of an audit chain that come after a number, up to size
-	// bytes of them.
+	// AuditRead records an allowed read in the audit log, unless authentication is disabled.
+	AuditRead(caller *auth.Caller, verb string, queue rights.Queue, job string)
+	// AuditBatches returns the batches of an audit chain whose numbers are greater than after,
+	// up to size bytes in total.
 	AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.NumberedBatch, error)
-	// SealAudit signs what the audit holds now.
+	// SealAudit returns a signed statement of the current end of each audit chain.
 	SealAudit(ctx context.Context) (*audit.Seal, error)
 
-	// Policy is the policy as it was last published; nil before it was read.
+	// Policy returns the policy published last; nil until the policy was read.
 	Policy() *auth.PolicyView
-	// PolicyRevision is the revision of the policy's head record. It is called in the loop.
+	// PolicyRevision returns the revision of the policy's head record; 0 if there is none. It
+	// must be called in the event loop.
 	PolicyRevision() uint64
-	// PublishPolicy gives the connections the policy as it is now. requestedAt is when the listing
-	// or watch was sent that brought it. It is called in the loop.
+	// PublishPolicy makes the applied policy records effective. requestedAt is when the listing
+	// or watch that delivered them was requested. It must be called in the event loop.
 	PublishPolicy(requestedAt time.Time)
 }
 
-// Cloud knows how the cloud's interface does.
+// Cloud reports the state of the cloud provider's API.
 type Cloud interface {
-	// Unavailable reports whether the cloud is not asked for now since it did not answer.
+	// Unavailable reports whether requests to the cloud are suspended after it failed to answer.
 	Unavailable(now time.Time) bool
 }
 
-// Proxy knows which controllers have the machines' connections.
+// Proxy reports which controllers the machines are connected to.
 type Proxy interface {
-	// Load is how many machines are connected here.
+	// Load returns the number of machines connected to this controller and its capacity.
 	Load(now time.Time) delegation.Load
-	// Overview lists the controllers that have connections of a partition's machines.
+	// Overview lists the delegates of a partition that this controller leads.
 	Overview(p *cluster.Partition, now time.Time) (list []overview.Delegate)
-	// RecentMoves lists the last moves of shards, with how long ago they were.
+	// RecentMoves lists the last moves of shards between delegates, with their ages.
 	RecentMoves(now time.Time) []overview.ShardMove
 }
 
-// Replicator knows how far the replicas are that this controller has.
+// Replicator reports the progress of the replicas that this controller holds.
 type Replicator interface {
 	// Overview lists the replicas.
 	Overview(now time.Time) (list []overview.Replica)
 }
 
-// Jobs applies the records of jobs. All of it runs in the loop.
+// Jobs applies the records of jobs. Its methods must be called in the event loop.
 type Jobs interface {
-	// ApplyFinalRecord applies the record of a job's final state.
+	// ApplyFinalRecord applies the record with a job's final state.
 	ApplyFinalRecord(id string, raw []byte)
-	// ApplyJobRecord applies the record of an accepted job, which never changes.
+	// ApplyJobRecord applies the record of an accepted job. The record is immutable.
 	ApplyJobRecord(id string, raw []byte)
-	// SetFinal sets that a job is done or cancelled, for good, and when it was at the
-	// earliest.
+	// SetFinal marks a job as done or cancelled. at is the earliest time at which that may have
+	// happened.
 	SetFinal(id, status string, at time.Time)
 }
 
-// Records applies events of the state store before the watch delivers them.
-type Records interface {
-	// ApplyEvent applies an event. It runs in the loop.
+// EventApplier applies changes of this controller before the watch delivers them.
+type EventApplier interface {
+	// ApplyEvent applies a state store event. It must be called in the event loop.
 	ApplyEvent(e protocol.Event)
 }
--- a/internal/coordination/api/feasibility.go
+++ b/internal/coordination/api/feasibility.go
@@ -12,30 +12,31 @@
 	"micaspindle/internal/storage"
 )
 
-// dependencyLookupTimeout bounds how long a submission's dependencies are looked up.
+// dependencyLookupTimeout is the time limit for looking up the dependencies of a submission.
 const dependencyLookupTimeout = 3 * time.Second
 
-// neverAccepted refuses dependencies on unknown jobs.
-const neverAccepted = "depends on a job that was never accepted"
+// unknownDependency is the reason for rejecting a job that depends on an unknown job.
+const unknownDependency = "depends on a job that was never accepted"
 
-func tooLarge(size, limit int) string {
+// tooLargeReason returns the reason for rejecting a job whose record exceeds the size limit.
+func tooLargeReason(size, limit int) string {
 	return fmt.Sprintf("job is too large to record: %d bytes of at most %d", size, limit)
 }
 
-// checkDependencies returns why a job can't depend on what it names, "" if it can. Being
-// accepted is final, so memory proves it; what memory lacks is read, since
-// another controller may have accepted it a moment ago (rule 20).
+// checkDependencies returns the reason why a job's dependencies are invalid, or "" if they are
+// valid. An accepted job stays accepted, so a job in memory need not be read. Other jobs are
+// read from the state store, since another controller may have just accepted them (rule 20).
 func (s *Server) checkDependencies(ctx context.Context, spec *protocol.JobSpec) (reason string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dependencyLookupTimeout)
 	defer cancel()
 	for _, id := range spec.Dependencies {
 		if id == spec.ID || !protocol.ValidID(id) {
-			return neverAccepted, nil
+			return unknownDependency, nil
 		}
 		service, err := s.isService(ctx, id)
 		switch {
 		case errors.Is(err, storage.ErrNotFound):
-			return neverAccepted, nil
+			return unknownDependency, nil
 		case err != nil:
 			return "", err
 		case service:
@@ -45,13 +46,13 @@
 	return "", nil
 }
 
-// isService reports whether an accepted job is a service; storage.ErrNotFound if there is no
-// such job.
+// isService reports whether an accepted job is a service. The error is storage.ErrNotFound if
+// there is no such job.
 func (s *Server) isService(ctx context.Context, id string) (bool, error) {
 	known, service := false, false
 	s.loop.Do(func() {
 		job := s.Jobs[id]
-		// Of a cancelled job, the record tells whether it was a service.
+		// A service is never done. For a cancelled job, only its record says whether it was one.
 		known = job != nil || s.FinalStates[id] == protocol.StatusDone
 		service = job != nil && job.Spec.Standing
 	})
@@ -72,14 +73,15 @@
 	return spec.Standing, nil
 }
 
-// checkFeasible returns why a job can never run, "" if it can. It runs in the loop.
+// checkFeasible returns the reason why a job can never run, or "" if it can. It must be called
+// in the event loop.
 func (s *Server) checkFeasible(spec *protocol.JobSpec) string {
 	team, ok := s.TeamIndex[spec.Team]
 	if !ok {
 		return "unknown team"
 	}
 	limits := s.Settings.Params.Teams[team]
-	// The tasks of services and gangs run at the same time.
+	// All tasks of a service or a gang run at the same time.
 	together := spec.Standing || spec.Gang
 	concurrent := 1.0
 	if together {
@@ -103,5 +105,5 @@
 	return "a task fits no allowed machine type"
 }
 
-// exceeds reports whether an amount is above a limit; a limit of 0 is none.
+// exceeds reports whether an amount is above a limit; 0 means no limit.
 func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+binpack.Epsilon }
--- a/internal/coordination/api/gauges.go
+++ b/internal/coordination/api/gauges.go
@@ -8,7 +8,7 @@
 	"micaspindle/internal/telemetry"
 )
 
-// gauges are the overview for Prometheus.
+// gauges returns the overview as Prometheus gauges.
 func gauges(view *overview.View) []telemetry.Gauge {
 	list := controllerGauges(view)
 	for i := range view.Replicas {
@@ -22,13 +22,13 @@
 
 func controllerGauges(view *overview.View) []telemetry.Gauge {
 	return []telemetry.Gauge{
-		{Name: "leads", Value: gaugeOf(view.ClusterLeader)},
-		{Name: "ready", Value: gaugeOf(view.Ready)},
+		{Name: "leads", Value: boolGauge(view.ClusterLeader)},
+		{Name: "ready", Value: boolGauge(view.Ready)},
 		{Name: "up_seconds", Value: view.UpS},
 		{Name: "state_silent_seconds", Value: view.StateSilenceS},
 		{Name: "writes_wanted", Value: view.WritesWanted},
 		{Name: "writes_granted", Value: view.WritesGranted},
-		{Name: "cloud_rests", Value: gaugeOf(view.CloudUnavailable)},
+		{Name: "cloud_rests", Value: boolGauge(view.CloudUnavailable)},
 		{Name: "jobs", Value: float64(view.Jobs)},
 		{Name: "jobs_ended", Value: float64(view.EndedJobs)},
 		{Name: "rentals_open", Value: float64(view.PendingScaleOut)},
@@ -67,8 +67,8 @@
 
 func partitionLabels(partition int) string { return fmt.Sprintf("{part=%q}", strconv.Itoa(partition)) }
 
-// gaugeOf is 1 if a condition holds, and 0 if not.
-func gaugeOf(condition bool) float64 {
+// boolGauge returns 1 if the condition is true, and 0 otherwise.
+func boolGauge(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/coordination/api/identity.go
+++ b/internal/coordination/api/identity.go
@@ -11,10 +11,10 @@
 	"micaspindle/internal/transport"
 )
 
-// allVerbs are the rights that a caller may hold, in the order of the answer.
+// allVerbs are all permissions, in the order in which whoAmI lists them.
 var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Cancel, rights.Reassign, rights.Administer, rights.Vouch}
 
-// whoAmI tells a caller as whom it is authenticated, and which rights it holds on some queue.
+// whoAmI returns the caller's identity and its permissions on at least one queue.
 func (s *Server) whoAmI(_ context.Context, req request) (transport.Response, error) {
 	var held []string
 	for _, verb := range allVerbs {
@@ -25,10 +25,10 @@
 	return s.describeCaller(req, held), nil
 }
 
-// may tells a caller whether it holds a right on a queue. Gateways ask it for their clients,
-// with the client's own credential, so that there is one place that decides and one record
-// of what was refused.
-func (s *Server) may(_ context.Context, req request) (transport.Response, error) {
+// checkPermission checks whether the caller has a permission on a queue. Gateways send this
+// request with the credential of their client, so that controllers make all decisions and record
+// all denials.
+func (s *Server) checkPermission(_ context.Context, req request) (transport.Response, error) {
 	query, err := url.ParseQuery(req.Query)
 	if err != nil {
 		return transport.Response{}, errBadQuery
@@ -44,10 +44,11 @@
 	if !s.auth.Allows(req.caller, verb, queue) {
 		return transport.Response{}, s.auth.Deny(req.caller, verb.String(), queue, "", "asked through a front door")
 	}
-	s.auth.NoteRead(req.caller, verb.String()+"-asked", queue, "")
+	s.auth.AuditRead(req.caller, verb.String()+"-asked", queue, "")
 	return s.describeCaller(req, []string{verb.String()}), nil
 }
 
+// describeCaller returns a response with the caller's identity and the given permissions.
 func (s *Server) describeCaller(req request, verbs []string) transport.Response {
 	return success(http.StatusOK, protocol.WhoAmI{Name: req.caller.Name, How: req.caller.Credential, Verbs: verbs,
 		PolicyVersion: s.auth.Policy().Version})
--- a/internal/coordination/api/operations.go
+++ b/internal/coordination/api/operations.go
@@ -14,17 +14,17 @@
 	"micaspindle/internal/transport"
 )
 
-// Paths of operators.
+// Paths of the operators' requests.
 const (
 	metricsPath  = "/metrics"
 	overviewPath = "/overview"
 )
 
-// prometheusText is the content type of the metrics.
+// prometheusText is the content type of the Prometheus text format.
 const prometheusText = "text/plain; version=0.0.4"
 
-// ServeOperations answers operators: /metrics and /overview. With identities they
-// must be allowed to view every queue, since the sums are over all of them.
+// ServeOperations serves /metrics and /overview to operators. If authentication is enabled, the
+// caller needs the View permission on every queue, since the totals cover all queues.
 func (s *Server) ServeOperations(_ context.Context, req *transport.Request) transport.Response {
 	response, err := s.serveOperations(req)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return transport.Response{Status: http.StatusOK, Type: prometheusText, Body: body.Bytes()}, nil
 }
 
-// StateOverview is how this controller and the partitions that it leads stand. It runs in
-// the loop.
+// StateOverview returns the state of this controller and of the partitions that it leads. It
+// must be called in the event loop.
 func (s *Server) StateOverview(now time.Time) overview.View {
 	load := s.proxy.Load(now)
 	view := overview.View{
@@ -92,7 +92,7 @@
 	return view
 }
 
-// teamOverviews lists the teams of the partitions that this controller leads.
+// teamOverviews returns the teams whose partitions this controller leads.
 func (s *Server) teamOverviews() (teams []overview.Team) {
 	for index, team := range s.Settings.Params.Teams {
 		if partition := s.Partitions[s.TeamPartition[index]]; partition.Held {
@@ -112,13 +112,13 @@
 
 func (s *Server) partitionOverview(partition *cluster.Partition, now time.Time) overview.Partition {
 	view := overview.Partition{Part: partition.Index, Ready: partition.Ready, Delegates: s.proxy.Overview(partition, now)}
-	s.addMachines(&view)
-	s.addJobs(&view, now)
+	s.countMachines(&view)
+	s.countTasks(&view, now)
 	return view
 }
 
-// addMachines counts a partition's machines.
-func (s *Server) addMachines(view *overview.Partition) {
+// countMachines fills in the counts of a partition's machines and their CPU utilization.
+func (s *Server) countMachines(view *overview.Partition) {
 	usedCPUs, allCPUs := 0.0, 0.0
 	for _, machine := range s.Machines {
 		if machine.Record.Partition != view.Part {
@@ -146,8 +146,8 @@
 	}
 }
 
-// addJobs counts the tasks of a partition's jobs.
-func (s *Server) addJobs(view *overview.Partition, now time.Time) {
+// countTasks fills in the counts of a partition's tasks and the longest wait.
+func (s *Server) countTasks(view *overview.Partition, now time.Time) {
 	for _, job := range s.Jobs {
 		if job.Partition != view.Part || !job.HasRunState {
 			continue
--- a/internal/coordination/api/policy.go
+++ b/internal/coordination/api/policy.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// maxPolicyRecords bounds the records in an answer with a page of the policy.
+	// maxPolicyRecords is the maximum number of records in a page of the policy.
 	maxPolicyRecords = 200
-	// maxPolicyBody bounds the size of such an answer, in bytes.
-	maxPolicyBody = 48 << 10
-	// maxDetailNames is how many names of a kind the audit has of a change of the policy.
+	// maxPolicyBodyBytes is the maximum size of a page, without its first record.
+	maxPolicyBodyBytes = 48 << 10
+	// maxDetailNames is the maximum number of names in each list of changeDetail.
 	maxDetailNames = 12
-	// maxDetail bounds what the audit has of such a change, in bytes.
-	maxDetail = 500
+	// maxDetailBytes is the maximum size of the text of changeDetail.
+	maxDetailBytes = 500
 )
 
-// policyChangeLimit is how many records one change of the policy may touch: the head
-// and the audit's own are in the same transaction.
+// policyChangeLimit returns the maximum number of records in one policy change. The same
+// transaction also changes the policy's head and the records of the audit log.
 func (s *Server) policyChangeLimit() int { return max(1, s.store.TxnOps()-1-auth.AuditChanges) }
 
-// changePolicy makes an administrator's change of the policy.
+// changePolicy applies a policy change requested by an administrator.
 func (s *Server) changePolicy(ctx context.Context, req request) (transport.Response, error) {
 	var change rights.Change
 	if err := protocol.Decode(req.Body, &change); err != nil {
@@ -62,7 +62,8 @@
 	return success(http.StatusOK, rights.Version{Version: next.Version, MaxChanges: s.policyChangeLimit()}), nil
 }
 
-// checkPolicyChange refuses a change that does not fit the policy as it is.
+// checkPolicyChange rejects a change that is too large, invalid, or based on another version of
+// the policy.
 func (s *Server) checkPolicyChange(view *auth.PolicyView, change *rights.Change) error {
 	if change.Version != view.Version {
 		return apierror.Newf(http.StatusConflict, "the policy is at version %d, the change is for version %d; look at it again", view.Version, change.Version)
@@ -76,9 +77,8 @@
 	return nil
 }
 
-// policyTransaction is the transaction of a change of the policy. Every change is conditional
-// on the head's revision and writes the head, so no other change of any of these records,
-// late or from elsewhere, can come between.
+// policyTransaction returns the transaction for a policy change. Every policy change writes the
+// head and is conditional on the head's revision, so concurrent or delayed changes conflict.
 func policyTransaction(view *auth.PolicyView, next storage.PolicyHead, change *rights.Change) *protocol.Transaction {
 	txn := &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.PolicyHeadKey, Version: view.HeadRevision}},
@@ -101,7 +101,7 @@
 	return txn
 }
 
-// checkPolicyRecordSizes refuses records that are larger than the state service takes.
+// checkPolicyRecordSizes rejects records that exceed the state store's size limit.
 func (s *Server) checkPolicyRecordSizes(txn *protocol.Transaction) error {
 	for _, change := range txn.Then {
 		if len(change.Value) == 0 {
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// applyPolicyChange applies a committed change of the policy, unless the watch has brought
-// it already.
+// applyPolicyChange applies a committed policy change, unless the watch has already delivered
+// it.
 func (s *Server) applyPolicyChange(txn *protocol.Transaction, revision uint64) {
 	s.loop.Do(func() {
 		if revision <= s.auth.PolicyRevision() {
@@ -129,7 +129,7 @@
 	})
 }
 
-// changeDetail is the text that the audit has of a change of the policy.
+// changeDetail returns the description of a policy change for the audit log.
 func changeDetail(change *rights.Change, version uint64) string {
 	var roles, identities, revoked, voided []string
 	for _, role := range change.PutRoles {
@@ -159,15 +159,15 @@
 		{"dropped", change.DropIdentities},
 	} {
 		if len(list.names) > 0 {
-			details = append(details, list.action+" "+joinSome(list.names))
+			details = append(details, list.action+" "+joinTruncated(list.names))
 		}
 	}
 	detail := strings.Join(details, "; ")
-	return detail[:min(len(detail), maxDetail)]
+	return detail[:min(len(detail), maxDetailBytes)]
 }
 
-// joinSome lists the first names, and says how many more there are.
-func joinSome(names []string) string {
+// joinTruncated joins up to maxDetailNames names and adds the number of the omitted ones.
+func joinTruncated(names []string) string {
 	text := strings.Join(names[:min(len(names), maxDetailNames)], " ")
 	if len(names) > maxDetailNames {
 		text += fmt.Sprintf(" and %d more", len(names)-maxDetailNames)
@@ -175,7 +175,7 @@
 	return text
 }
 
-// showPolicy answers with a page of the policy, of the records that come after a name.
+// showPolicy returns a page of the policy's roles or identities, beginning after a name.
 func (s *Server) showPolicy(_ context.Context, req request) (transport.Response, error) {
 	query, err := url.ParseQuery(req.Query)
 	if err != nil {
@@ -191,13 +191,13 @@
 	default:
 		return transport.Response{}, errNoSuchPath
 	}
-	s.auth.NoteRead(req.caller, verbReadPolicy, rights.Queue{}, "")
+	s.auth.AuditRead(req.caller, verbReadPolicy, rights.Queue{}, "")
 	return success(http.StatusOK, page), nil
 }
 
-// pageOf returns as many of the records that come after a name as an answer may hold, at
-// least one, and whether there are more. Records are sorted by name. The first record of a
-// page does not count against the size.
+// pageOf returns the records whose names are greater than after, as many as fit into a page, and
+// whether there are more. The records must be sorted by name. The first record of a page does
+// not count toward the size limit, so that a page is never empty while there are more.
 func pageOf[Record any](records []Record, after string, name func(*Record) string) (page []Record, more bool) {
 	size := 0
 	for i := range records {
@@ -208,7 +208,7 @@
 			if len(page) >= maxPolicyRecords {
 				return page, true
 			}
-			if size += protocol.JSONSize(protocol.Encode(records[i])); size > maxPolicyBody {
+			if size += protocol.JSONSize(protocol.Encode(records[i])); size > maxPolicyBodyBytes {
 				return page, true
 			}
 		}
--- a/internal/coordination/api/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -16,38 +16,37 @@
 )
 
 const (
-	// conditionsPerChange is how many conditions a transaction may have for each change that
-	// it may have.
+	// conditionsPerChange is the ratio of the maximum number of conditions in a transaction to
+	// the maximum number of changes.
 	conditionsPerChange = 4
-	// otherReassignConditions are the conditions of a reassignment that are not on run
-	// records: the final record, the successor's record, and the audit's batch.
+	// otherReassignConditions is the number of conditions of a reassignment apart from those on
+	// run records: one each on the final record, the successor's record and the audit batch.
 	otherReassignConditions = 3
 )
 
-// reassignment is a job that is about to be moved to another queue.
+// reassignment is the move of a job to another queue.
 type reassignment struct {
 	id       string
 	from, to rights.Queue
-	// partition has the job's run records.
+	// partition is the partition that holds the job's run records.
 	partition int
-	// spec is the job's, successor that of the job which replaces it.
+	// spec is the specification of the job, successor that of the job that replaces it.
 	spec, successor *protocol.JobSpec
-	// value is the successor's record.
+	// value is the encoded record of the successor.
 	value []byte
 }
 
-// reassign moves a job that has not started to another queue. A job's record is
-// never rewritten, and a controller of the former version must not run it where
-// it was: so in one transaction the job is cancelled and its successor, under a
-// new id, is accepted. That none of its tasks was started is a condition on its
-// run records: every start is written there first.
+// reassign moves a job that has not started to another queue. Job records are immutable, and a
+// controller of an older version must not run the job in its former queue. So one transaction
+// cancels the job and accepts a successor with a new id. Every start of a task is first written
+// to a run record, so the transaction is conditional on the absence of run records.
 func (s *Server) reassign(ctx context.Context, req request) (transport.Response, error) {
 	move, err := s.prepareReassignment(ctx, req)
 	if err != nil {
 		return transport.Response{}, err
 	}
 	record := s.auth.AuditRecord(req.caller, verbReassign, move.from, move.id)
-	record.Detail = fmt.Sprintf("to team %s, class %s as %s", auth.Clip(move.to.Team), auth.Clip(move.to.Class), move.successor.ID)
+	record.Detail = fmt.Sprintf("to team %s, class %s as %s", auth.TruncateForAudit(move.to.Team), auth.TruncateForAudit(move.to.Class), move.successor.ID)
 	_, err = s.auth.Commit(ctx, move.transaction(time.Now()), record)
 	var conflict *storage.Conflict
 	switch {
@@ -65,8 +64,8 @@
 	return success(http.StatusOK, protocol.JobStatus{ID: move.successor.ID, Status: protocol.StatusQueued}), nil
 }
 
-// prepareReassignment checks everything of a reassignment that can be checked before the
-// transaction.
+// prepareReassignment authorizes and validates a reassignment, as far as that is possible before
+// the transaction.
 func (s *Server) prepareReassignment(ctx context.Context, req request) (*reassignment, error) {
 	from, err := s.auth.AuthorizeJob(ctx, req.caller, rights.Reassign, req.job)
 	if err != nil {
@@ -94,8 +93,8 @@
 	return move, nil
 }
 
-// decodeReassignment reads the body of a reassignment. The class is the job's own unless
-// another one is named.
+// decodeReassignment decodes and validates the body of a reassignment. Without a class in the
+// body, the job keeps its class.
 func decodeReassignment(req request, from rights.Queue) (*protocol.Reassignment, error) {
 	body := new(protocol.Reassignment)
 	if err := protocol.Decode(req.Body, body); err != nil {
@@ -113,8 +112,8 @@
 	return body, nil
 }
 
-// checkReassignable returns why a job can't be moved, "" if it can, and fills in its
-// partition.
+// checkReassignable returns the reason why a job can't be moved, or "" if it can. It sets the
+// partition of move.
 func (s *Server) checkReassignable(move *reassignment) (reason string) {
 	s.loop.Do(func() {
 		team, ok := s.TeamIndex[move.spec.Team]
@@ -137,12 +136,13 @@
 	return ""
 }
 
-// chunks is how many run records the job may have.
+// chunks returns the maximum number of run records of the job.
 func (r *reassignment) chunks() int {
 	return (r.spec.Tasks + storage.ChunkTasks - 1) / storage.ChunkTasks
 }
 
-// transaction cancels the job and accepts its successor, if no task was started.
+// transaction returns the transaction that cancels the job and accepts its successor, on
+// condition that no task was started.
 func (r *reassignment) transaction(now time.Time) *protocol.Transaction {
 	final := storage.Final{Status: protocol.StatusCancelled, AtMS: now.UnixMilli(), Successor: r.successor.ID}
 	txn := &protocol.Transaction{
@@ -158,7 +158,8 @@
 	return txn
 }
 
-// answerConflictingReassignment says why a job could not be moved, or that it was already.
+// answerConflictingReassignment returns the reason for a conflict of a reassignment. If the job
+// was already moved to the same successor, it returns the state of the successor.
 func (s *Server) answerConflictingReassignment(ctx context.Context, id, successor string) (transport.Response, error) {
 	item, err := s.store.UserGet(ctx, storage.FinalKey(id))
 	if errors.Is(err, storage.ErrNotFound) {
@@ -184,8 +185,8 @@
 	return success(http.StatusOK, status), nil
 }
 
-// arguments answers with what a job was submitted with.
-func (s *Server) arguments(ctx context.Context, req request) (transport.Response, error) {
+// showArguments returns the arguments with which a job was submitted.
+func (s *Server) showArguments(ctx context.Context, req request) (transport.Response, error) {
 	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.ViewArguments, req.job)
 	if err != nil {
 		return transport.Response{}, err
@@ -194,7 +195,7 @@
 	if err != nil {
 		return transport.Response{}, err
 	}
-	// Reading arguments is rare and matters: each time has an audit record of its own.
+	// Arguments may be sensitive and are rarely read, so each read commits its own audit record.
 	record := s.auth.AuditRecord(req.caller, verbViewArguments, queue, req.job)
 	if _, err := s.auth.Commit(ctx, &protocol.Transaction{}, record); err != nil {
 		return transport.Response{}, err
@@ -202,7 +203,7 @@
 	return success(http.StatusOK, spec.Arguments()), nil
 }
 
-// readSpec reads the record of a job that a caller names.
+// readSpec reads a job's record. The error is errNoSuchJob if there is none.
 func (s *Server) readSpec(ctx context.Context, id string) (*protocol.JobSpec, error) {
 	spec, err := s.auth.ReadSpec(ctx, id)
 	if errors.Is(err, storage.ErrNotFound) {
--- a/internal/coordination/api/routes.go
+++ b/internal/coordination/api/routes.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/transport"
 )
 
-// Verbs of requests, as the audit and the metrics have them.
+// Verbs of requests, for audit records and for choosing the metrics to update.
 const (
 	verbSubmit        = "submit"
 	verbView          = "view"
@@ -24,64 +24,65 @@
 	verbReadPolicy    = "read-policy"
 	verbReadAudit     = "read-audit"
 	verbObserve       = "observe"
-	// verbRepeat: a known job was submitted once more.
+	// verbRepeat is the verb of a repeated submission of a known job.
 	verbRepeat = "repeat"
 )
 
-// request is a request as its handler gets it.
+// request is the argument of a handler.
 type request struct {
 	*transport.Request
-	// caller is who sends it; nil while requests need no identity.
+	// caller is the authenticated sender; nil if authentication is disabled.
 	caller *auth.Caller
-	// job is the job id in the path, "" if its route has none.
+	// job is the job id in the path; "" if the route has none.
 	job string
 }
 
-// route says who answers the requests for a path.
+// route describes how requests for a path are handled.
 type route struct {
 	method string
-	// verb names the request; empty if the handler itself finds out who sends it.
+	// verb is the request's verb in audit records; empty if the request is not from a user, so
+	// that its handler authenticates the sender if necessary.
 	verb string
-	// needsIdentities: the path exists only while requests need an identity.
-	needsIdentities bool
-	// authorize refuses a caller before the handler runs; nil if the handler does it.
+	// requiresAuth is set if the path exists only while authentication is enabled.
+	requiresAuth bool
+	// authorize authorizes the caller before the handler runs; nil if the handler does so.
 	authorize func(s *Server, caller *auth.Caller, verb string) error
 	handle    func(s *Server, ctx context.Context, req request) (transport.Response, error)
 }
 
-// routes are the paths that stand for themselves.
+// routes maps fixed paths to their routes.
 var routes = map[string]*route{
 	"/checkin":     {method: http.MethodPost, handle: (*Server).handleHeartbeat},
 	"/healthz":     {method: http.MethodGet, handle: (*Server).checkHealth},
 	"/submissions": {method: http.MethodPost, verb: verbSubmit, handle: (*Server).submit},
-	"/whoami":      {method: http.MethodGet, verb: verbWhoAmI, needsIdentities: true, handle: (*Server).whoAmI},
-	"/may":         {method: http.MethodGet, verb: verbMay, needsIdentities: true, handle: (*Server).may},
-	"/withdrawals": {method: http.MethodPost, verb: verbCancelAll, needsIdentities: true, authorize: (*Server).authorizeCancelAll, handle: (*Server).cancelAllOf},
-	"/policy":      {method: http.MethodPost, verb: verbChangePolicy, needsIdentities: true, authorize: (*Server).authorizeAdministration, handle: (*Server).changePolicy},
+	"/whoami":      {method: http.MethodGet, verb: verbWhoAmI, requiresAuth: true, handle: (*Server).whoAmI},
+	"/may":         {method: http.MethodGet, verb: verbMay, requiresAuth: true, handle: (*Server).checkPermission},
+	"/withdrawals": {method: http.MethodPost, verb: verbCancelAll, requiresAuth: true, authorize: (*Server).authorizeCancelAll, handle: (*Server).cancelAll},
+	"/policy":      {method: http.MethodPost, verb: verbChangePolicy, requiresAuth: true, authorize: (*Server).authorizeAdministration, handle: (*Server).changePolicy},
 }
 
-// jobPrefix is before the id in the paths of a job.
+// jobPrefix precedes the job id in the paths of a job.
 const jobPrefix = "/submissions/"
 
-// jobRoutes are the paths of a job, by what comes after its id.
+// jobRoutes maps the rest of a job's path, after the job id, to its route.
 var jobRoutes = map[string]*route{
 	"":           {method: http.MethodGet, verb: verbView, handle: (*Server).poll},
 	"/withdraw":  {method: http.MethodPost, verb: verbCancel, handle: (*Server).cancelJob},
-	"/arguments": {method: http.MethodGet, verb: verbViewArguments, needsIdentities: true, handle: (*Server).arguments},
-	"/reassign":  {method: http.MethodPost, verb: verbReassign, needsIdentities: true, handle: (*Server).reassign},
+	"/arguments": {method: http.MethodGet, verb: verbViewArguments, requiresAuth: true, handle: (*Server).showArguments},
+	"/reassign":  {method: http.MethodPost, verb: verbReassign, requiresAuth: true, handle: (*Server).reassign},
 }
 
-// prefixRoutes answer every path under a prefix.
+// prefixRoutes are the routes that handle all paths with a prefix.
 var prefixRoutes = []struct {
 	prefix string
 	route  *route
 }{
-	{"/policy/", &route{method: http.MethodGet, verb: verbReadPolicy, needsIdentities: true, authorize: (*Server).authorizeAdministration, handle: (*Server).showPolicy}},
-	{"/audit/", &route{method: http.MethodGet, verb: verbReadAudit, needsIdentities: true, authorize: (*Server).authorizeAdministration, handle: (*Server).readAudit}},
+	{"/policy/", &route{method: http.MethodGet, verb: verbReadPolicy, requiresAuth: true, authorize: (*Server).authorizeAdministration, handle: (*Server).showPolicy}},
+	{"/audit/", &route{method: http.MethodGet, verb: verbReadAudit, requiresAuth: true, authorize: (*Server).authorizeAdministration, handle: (*Server).readAudit}},
 }
 
-// findRoute returns the route of a path, and the job id in it. There is none if the route is
-// nil.
+// findRoute returns the route of a path and the job id in the path. The route is nil if there is
+// none for the path.
 func findRoute(path string) (found *route, job string) {
 	if rest, ok := strings.CutPrefix(path, jobPrefix); ok {
 		action := ""
@@ -101,15 +102,17 @@
 	return nil, ""
 }
 
-// authorizeAdministration lets administrators of every queue pass.
+// authorizeAdministration denies the request unless the caller is an administrator of every
+// queue or may write the first policy.
 func (s *Server) authorizeAdministration(caller *auth.Caller, verb string) error {
-	if s.auth.Administers(caller) {
+	if s.auth.IsAdministrator(caller) {
 		return nil
 	}
 	return s.auth.Deny(caller, verb, rights.Queue{}, "", "does not administer every queue")
 }
 
-// authorizeCancelAll lets administrators of some queue pass, unless a service asks for them.
+// authorizeCancelAll denies the request unless the caller administers at least one queue and
+// doesn't act through a service.
 func (s *Server) authorizeCancelAll(caller *auth.Caller, verb string) error {
 	if caller.Service == "" && s.auth.HoldsAny(caller, rights.Administer) {
 		return nil
--- a/internal/coordination/api/routes_test.go
+++ b/internal/coordination/api/routes_test.go
@@ -8,6 +8,8 @@
 	"micaspindle/internal/protocol"
 )
 
+// TestFindRoute checks the method, the verb and the job id of each path. A path without a
+// method has no route.
 func TestFindRoute(t *testing.T) {
 	for _, tc := range []struct{ path, method, verb, job string }{
 		{"/checkin", "POST", "", ""},
@@ -39,12 +41,12 @@
 			found = &route{}
 		}
 		if found.method != tc.method || found.verb != tc.verb || job != tc.job {
-			t.Errorf("%q: got method %q, verb %q, job %q; want %q, %q, %q", tc.path, found.method, found.verb, job, tc.method, tc.verb, tc.job)
+			t.Errorf("path %q: got method %q, verb %q, job %q; want %q, %q, %q", tc.path, found.method, found.verb, job, tc.method, tc.verb, tc.job)
 		}
 	}
 }
 
-// TestBodies compares typed bodies with the maps that they are on the wire.
+// TestBodies checks that response types are encoded like maps with the names on the wire.
 func TestBodies(t *testing.T) {
 	batches := []audit.NumberedBatch{{Chain: "spindle-0", Number: 7, Batch: audit.Batch{Prev: "p", Lines: []string{"{}"}, Signer: "k", Sig: "s"}}}
 	for _, tc := range []struct{ got, want any }{
@@ -53,7 +55,7 @@
 		{auditBatches{}, map[string]any{"batches": []audit.NumberedBatch(nil)}},
 	} {
 		if got, want := protocol.Encode(tc.got), protocol.Encode(tc.want); !bytes.Equal(got, want) {
-			t.Errorf("%+v: got %q, want %q", tc.got, got, want)
+			t.Errorf("encoding of %+v: got %q, want %q", tc.got, got, want)
 		}
 	}
 }
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -1,9 +1,11 @@
-// Package api answers users, workers and operators: submissions, polls, cancellations, the
-// policy, the audit and the metrics. It decides nothing about placement; what it tells a user
-// rests on the state store or on a final state, which never changes.
+// Package api serves the HTTP API for users, workers and operators: submissions, polls,
+// cancellations, the policy, the audit log and the metrics. Job states in responses to users are
+// read from the state store, except for final states, which never change.
 //
-// A handler returns the answer, or an error that says why there is none: an apierror.Error,
-// or an error of the state store. Serve turns errors into answers.
+// A handler returns a response or an error, which is an apierror.Error or an error of the state
+// store. Serve and ServeOperations convert errors to responses.
+//
+// The numbers of rules in comments refer to docs/design.md.
 package api
 
 import (
@@ -20,13 +22,13 @@
 	"micaspindle/internal/transport"
 )
 
-// Server answers users, workers and operators. It has no state of its own: it reads the
-// cluster's in the event loop.
+// Server serves the HTTP API. It has no state of its own; it reads the cluster's state in the
+// event loop.
 type Server struct {
 	*cluster.State
 	loop  *eventloop.Loop
 	store *storage.Store
-	// metrics is nil if nothing is measured.
+	// metrics is nil if no metrics are collected.
 	metrics *telemetry.Metrics
 
 	agents     Agents
@@ -35,29 +37,29 @@
 	jobs       Jobs
 	proxy      Proxy
 	replicator Replicator
-	watcher    Records
+	watcher    EventApplier
 }
 
-// New returns a Server without collaborators; Connect gives them to it.
+// New returns a Server without collaborators; Connect sets them.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store) *Server {
 	return &Server{State: state, loop: loop, store: store}
 }
 
-// Connect sets the collaborators, before the loop starts.
-func (s *Server) Connect(agents Agents, auth Auth, cloud Cloud, jobs Jobs, proxy Proxy, replicator Replicator, watcher Records) {
+// Connect sets the collaborators. It must be called before the event loop starts.
+func (s *Server) Connect(agents Agents, auth Auth, cloud Cloud, jobs Jobs, proxy Proxy, replicator Replicator, watcher EventApplier) {
 	s.agents, s.auth, s.cloud, s.jobs, s.proxy, s.replicator, s.watcher = agents, auth, cloud, jobs, proxy, replicator, watcher
 }
 
-// Observe sets the metrics, before the loop starts.
+// Observe sets the metrics to update. It must be called before the event loop starts.
 func (s *Server) Observe(metrics *telemetry.Metrics) { s.metrics = metrics }
 
-// Retry delays of refusals, in seconds.
+// Values of the Retry-After header, in seconds.
 const (
-	retrySoon        = 1
-	retryTypesListed = 2
+	retrySoon         = 1
+	retryMachineTypes = 2
 )
 
-// What several handlers refuse with.
+// Errors used by several handlers.
 var (
 	errNoSuchPath     = apierror.New(http.StatusNotFound, "no such path")
 	errNoSuchJob      = apierror.New(http.StatusNotFound, "no such job")
@@ -68,7 +70,7 @@
 	errStateStoreDown = apierror.NotReady("state service unavailable", retrySoon)
 )
 
-// Serve answers users, workers and health checks.
+// Serve handles the requests of users and workers, and health checks.
 func (s *Server) Serve(ctx context.Context, req *transport.Request) transport.Response {
 	response, err := s.serve(ctx, req)
 	if err != nil {
@@ -79,7 +81,7 @@
 
 func (s *Server) serve(ctx context.Context, req *transport.Request) (transport.Response, error) {
 	route, job := findRoute(req.Path)
-	if route == nil || route.needsIdentities && !s.auth.Enabled() {
+	if route == nil || route.requiresAuth && !s.auth.Enabled() {
 		return transport.Response{}, errNoSuchPath
 	}
 	if req.Method != route.method {
@@ -91,13 +93,14 @@
 	if s.metrics == nil {
 		return s.serveCaller(ctx, route, req, job)
 	}
-	begun := time.Now()
+	start := time.Now()
 	response, err := s.serveCaller(ctx, route, req, job)
-	s.observeRequest(route.verb, begun, err != nil)
+	s.recordRequest(route.verb, start, err != nil)
 	return response, err
 }
 
-// serveCaller answers a request for which its sender must show who it is.
+// serveCaller authenticates the caller, authorizes the request if its route says so, and runs
+// the handler.
 func (s *Server) serveCaller(ctx context.Context, route *route, req *transport.Request, job string) (transport.Response, error) {
 	caller, err := s.auth.Authenticate(req, route.verb)
 	if err != nil {
@@ -111,23 +114,23 @@
 	return route.handle(s, ctx, request{Request: req, caller: caller, job: job})
 }
 
-// observeRequest measures a user's request.
-func (s *Server) observeRequest(verb string, begun time.Time, refused bool) {
+// recordRequest updates the metrics of user requests.
+func (s *Server) recordRequest(verb string, start time.Time, rejected bool) {
 	now := time.Now()
 	switch verb {
 	case verbSubmit:
-		s.metrics.RecordWait(telemetry.Submission, now.Sub(begun), now)
+		s.metrics.RecordWait(telemetry.Submission, now.Sub(start), now)
 	case verbView:
-		s.metrics.RecordWait(telemetry.Poll, now.Sub(begun), now)
+		s.metrics.RecordWait(telemetry.Poll, now.Sub(start), now)
 	case verbCancel:
-		s.metrics.RecordWait(telemetry.Cancellation, now.Sub(begun), now)
+		s.metrics.RecordWait(telemetry.Cancellation, now.Sub(start), now)
 	}
-	if refused {
+	if rejected {
 		s.metrics.Count(telemetry.RequestRefused, 1)
 	}
 }
 
-// success is an answer with a body.
+// success returns a response with an encoded body.
 func success(status int, body any) transport.Response {
 	return transport.Response{Status: status, Body: protocol.Encode(body)}
 }
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -13,10 +13,10 @@
 	"micaspindle/internal/transport"
 )
 
-// minStaleLimit is the least that StaleLimit is.
+// minStaleLimit is the lower bound of StaleLimit.
 const minStaleLimit = 3 * time.Second
 
-// poll answers with a job's state.
+// poll returns a job's state.
 func (s *Server) poll(ctx context.Context, req request) (transport.Response, error) {
 	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.View, req.job)
 	if err != nil {
@@ -26,12 +26,11 @@
 	if err != nil {
 		return transport.Response{}, err
 	}
-	s.auth.NoteRead(req.caller, verbView, queue, "")
+	s.auth.AuditRead(req.caller, verbView, queue, "")
 	return success(http.StatusOK, status), nil
 }
 
-// lookUpJob returns the state of the job that a caller names, or the error that refuses the
-// request.
+// lookUpJob returns the state of a job. The error is errNoSuchJob if there is no such job.
 func (s *Server) lookUpJob(ctx context.Context, id string) (protocol.JobStatus, error) {
 	if !protocol.ValidID(id) {
 		return protocol.JobStatus{}, errNoSuchJob
@@ -46,13 +45,13 @@
 	return status, nil
 }
 
-// jobStatus returns a job's state and whether there is such a job. Final states come from
-// memory; anything else is read from the state store, since another controller may have answered
-// the user with more.
+// jobStatus returns a job's state and whether there is such a job. Final states are taken from
+// memory. Otherwise the state store is read, since another controller may have already reported
+// a newer state to the user.
 func (s *Server) jobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
 	status.ID = id
 	known := false
-	s.loop.Do(func() { known = s.describe(&status) })
+	s.loop.Do(func() { known = s.fillStatus(&status) })
 	switch {
 	case status.Ended():
 		return status, true, nil
@@ -64,7 +63,8 @@
 	return s.unknownJobStatus(ctx, status)
 }
 
-// knownJobStatus reads whether a job that memory has as unfinished has ended.
+// knownJobStatus returns the state of a job that is unfinished in memory, after reading from the
+// state store whether it has ended.
 func (s *Server) knownJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	finalKey := storage.FinalKey(status.ID)
 	unfinished, err := s.store.UserKeyAbsent(ctx, finalKey)
@@ -80,12 +80,13 @@
 	}
 	s.loop.Do(func() {
 		s.jobs.ApplyFinalRecord(status.ID, item.Value)
-		s.describe(&status)
+		s.fillStatus(&status)
 	})
 	return status, true, nil
 }
 
-// unknownJobStatus reads the records of a job that memory does not have, and applies them.
+// unknownJobStatus returns the state of a job that is not in memory, after reading its records
+// and applying them.
 func (s *Server) unknownJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	list, err := s.store.UserList(ctx, storage.JobPrefix(status.ID))
 	if err != nil || len(list.Items) == 0 {
@@ -94,7 +95,7 @@
 	known := false
 	s.loop.Do(func() {
 		s.applyJobRecords(status.ID, list.Items)
-		known = s.describe(&status)
+		known = s.fillStatus(&status)
 	})
 	if known && !status.Ended() {
 		return s.unfinishedJobStatus(ctx, status)
@@ -102,7 +103,8 @@
 	return status, known, nil
 }
 
-// applyJobRecords applies the records of a job, the final one first. It runs in the loop.
+// applyJobRecords applies the records of a job, the final one first. It must be called in the
+// event loop.
 func (s *Server) applyJobRecords(id string, items []protocol.Item) {
 	for _, item := range items {
 		if item.Key == storage.FinalKey(id) {
@@ -116,36 +118,36 @@
 	}
 }
 
-// StaleLimit is how old what this controller knows may be for it to call a job
-// with unfinished dependencies queued: the user of one of them may have been
-// answered since that it is cancelled (rule 22).
+// StaleLimit returns the maximum age of this controller's records for reporting a job with
+// unfinished dependencies as queued. Another controller may have reported since then that one
+// of the dependencies is cancelled (rule 22).
 func (s *Server) StaleLimit() time.Duration {
 	return max(minStaleLimit, s.CancelBound-2*cluster.ClockMargin)
 }
 
-// unfinishedJobStatus returns the state of a job that has no final record. One that is to
-// be cancelled, since something that it depends on was, is cancelled first: the
-// answer must come from a record, not from what only this controller knows (rule 23).
+// unfinishedJobStatus returns the state of a job without a final record. If the job must be
+// cancelled because of a cancelled dependency, that is committed first: a job is reported as
+// cancelled only after its final record was written (rule 23).
 func (s *Server) unfinishedJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
-	doomed, stale := false, false
+	mustCancel, stale := false, false
 	s.loop.Do(func() {
 		job := s.Jobs[status.ID]
-		doomed = s.Dependencies.JobsToCancel[status.ID] != nil
+		mustCancel = s.Dependencies.JobsToCancel[status.ID] != nil
 		stale = job != nil && job.Blocked && (time.Since(s.RecordsCurrentAt) > s.StaleLimit() || s.Dependencies.HasUnseenDependency(status.ID))
 	})
 	switch {
-	case doomed:
-		final, err := s.cancelNow(ctx, status.ID, nil)
+	case mustCancel:
+		final, err := s.commitCancellation(ctx, status.ID, nil)
 		return protocol.JobStatus{ID: status.ID, Status: final}, err == nil, err
 	case stale:
-		return status, false, fmt.Errorf("%w: changes not followed", storage.ErrRefused)
+		return status, false, fmt.Errorf("%w: cached records are too old", storage.ErrRefused)
 	}
 	return status, true, nil
 }
 
-// describe fills in what memory has of a job, and reports whether it has the job. It runs in
-// the loop.
-func (s *Server) describe(status *protocol.JobStatus) bool {
+// fillStatus fills in a job's state from memory and reports whether the job is known. It must be
+// called in the event loop.
+func (s *Server) fillStatus(status *protocol.JobStatus) bool {
 	if final := s.FinalStates[status.ID]; final != "" {
 		status.Status = final
 		return true
@@ -156,7 +158,7 @@
 	}
 	status.Done, status.Running = job.DoneCount, job.RunningCount
 	if !job.HasRunState {
-		s.describeFromPeers(status)
+		s.fillStatusFromPeers(status)
 	}
 	status.Status = protocol.StatusQueued
 	if status.Running > 0 {
@@ -165,8 +167,9 @@
 	return true
 }
 
-// describeFromPeers fills in what another controller's summary has of a job.
-func (s *Server) describeFromPeers(status *protocol.JobStatus) {
+// fillStatusFromPeers fills in a job's task counts from the summary of the controller that
+// reports it.
+func (s *Server) fillStatusFromPeers(status *protocol.JobStatus) {
 	for _, peer := range s.Peers {
 		if peer.Summary == nil {
 			continue
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/transport"
 )
 
-// submit accepts a job once its record is committed.
+// submit validates a submission and commits the job's record, which accepts the job.
 func (s *Server) submit(ctx context.Context, req request) (transport.Response, error) {
 	var submission protocol.Submission
 	malformed := protocol.Decode(req.Body, &submission)
@@ -34,8 +34,8 @@
 	}
 	check := submissionCheck{malformed: malformed}
 	s.checkSubmission(ctx, &check, req.caller, id, spec)
-	// A known id is looked up before anything else is said about the body, so
-	// that a repeat of an accepted job never gets 400 or 422.
+	// Before a submission is rejected, the job is looked up: a repeated submission of an
+	// accepted job must never get status 400 or 422.
 	if refusal := check.refusal(); check.known || refusal != nil {
 		status, found, err := s.jobStatus(ctx, id)
 		switch {
@@ -47,8 +47,8 @@
 			return transport.Response{}, refusal
 		}
 	}
-	if !check.typesKnown {
-		return transport.Response{}, errTypesUnknown
+	if !check.machineTypesKnown {
+		return transport.Response{}, errMachineTypesUnknown
 	}
 	if s.store.Down() {
 		return transport.Response{}, errStateStoreDown
@@ -56,28 +56,27 @@
 	return s.commitSubmission(ctx, req.caller, queue, id, check.record)
 }
 
-// errTypesUnknown refuses submissions while it is unknown whether they can ever run.
-var errTypesUnknown = apierror.NotReady("machine types are not known yet", retryTypesListed)
+// errMachineTypesUnknown rejects submissions until the machine types are known, since these
+// determine whether a job can run.
+var errMachineTypesUnknown = apierror.NotReady("machine types are not known yet", retryMachineTypes)
 
-// submissionCheck is what a submission's body, memory, and reads of what it depends on say
-// of it.
+// submissionCheck is the result of validating a submission.
 type submissionCheck struct {
-	// malformed is what is wrong with the body.
+	// malformed is the error in the body, nil if the body is valid.
 	malformed error
-	// known: the job was accepted before.
+	// known is set if the job was accepted before.
 	known bool
-	// typesKnown: so are the machine types, without which nothing is accepted.
-	typesKnown bool
-	// infeasible is why the job can never run, "" if it can; readErr is why that is
-	// unknown.
+	// machineTypesKnown is set if the machine types are known. No job is accepted before.
+	machineTypesKnown bool
+	// infeasible is the reason why the job can't be accepted, "" if it can.
 	infeasible string
-	readErr    error
-	// record is what accepts the job.
+	// readErr is the error of looking up the dependencies.
+	readErr error
+	// record is the encoded record of the job.
 	record []byte
 }
 
-// refusal is the error that refuses a submission of a new job, nil if nothing speaks
-// against it.
+// refusal returns the error that rejects the submission if its job is new, or nil.
 func (c *submissionCheck) refusal() error {
 	switch {
 	case c.malformed != nil:
@@ -88,12 +87,12 @@
 	return c.readErr
 }
 
-// checkSubmission fills in what memory and the state store say of a submission; spec is nil
-// if its body is malformed.
+// checkSubmission validates a submission against memory and the state store, and fills in
+// check. spec is nil if the body is malformed.
 func (s *Server) checkSubmission(ctx context.Context, check *submissionCheck, caller *auth.Caller, id string, spec *protocol.JobSpec) {
 	s.loop.Do(func() {
 		check.known = s.Jobs[id] != nil || s.FinalStates[id] != ""
-		check.typesKnown = len(s.Catalog) > 0
+		check.machineTypesKnown = len(s.Catalog) > 0
 		if spec != nil {
 			check.infeasible = s.checkFeasible(spec)
 		}
@@ -107,13 +106,13 @@
 	}
 	check.record = storage.Encode(spec)
 	if size, limit := protocol.JSONSize(check.record), s.store.ValueBytes(); size > limit {
-		check.infeasible = tooLarge(size, limit)
-	} else if check.typesKnown {
+		check.infeasible = tooLargeReason(size, limit)
+	} else if check.machineTypesKnown {
 		check.infeasible, check.readErr = s.checkDependencies(ctx, spec)
 	}
 }
 
-// commitSubmission commits a job's record, and answers by what became of that.
+// commitSubmission commits a job's record and returns the response.
 func (s *Server) commitSubmission(ctx context.Context, caller *auth.Caller, queue rights.Queue, id string, record []byte) (transport.Response, error) {
 	_, err := s.auth.Commit(ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.JobKey(id), Version: 0}},
@@ -124,9 +123,9 @@
 	case errors.As(err, &conflict):
 		return s.answerUncommitted(ctx, caller, id, storage.ErrUnknown)
 	case errors.Is(err, storage.ErrTooLarge):
-		// The service may look at the size before it looks whether the job is
-		// known: an accepted one must not be refused.
-		refusal := apierror.New(http.StatusUnprocessableEntity, tooLarge(protocol.JSONSize(record), s.store.ValueBytes()))
+		// The state store may check the size before the condition, so the job may already be
+		// accepted. A repeated submission must not be rejected.
+		refusal := apierror.New(http.StatusUnprocessableEntity, tooLargeReason(protocol.JSONSize(record), s.store.ValueBytes()))
 		return s.answerUncommitted(ctx, caller, id, refusal)
 	case err != nil:
 		return transport.Response{}, err
@@ -135,8 +134,8 @@
 	return success(http.StatusCreated, protocol.JobStatus{ID: id, Status: protocol.StatusQueued}), nil
 }
 
-// answerUncommitted answers a submission whose record was not committed: with the state of
-// the job if it was accepted before, and with an error if not.
+// answerUncommitted responds to a submission whose record was not committed. It returns the
+// state of the job if it was accepted before, and the error notFound if not.
 func (s *Server) answerUncommitted(ctx context.Context, caller *auth.Caller, id string, notFound error) (transport.Response, error) {
 	status, found, err := s.jobStatus(ctx, id)
 	switch {
@@ -148,8 +147,8 @@
 	return s.answerRepeated(ctx, caller, status)
 }
 
-// authorizeSubmission returns the queue that a submission names if a caller may submit to
-// it. One that names none passes if the caller may submit to any queue at all.
+// authorizeSubmission returns the queue of a submission if the caller may submit to it. If the
+// submission lacks a team or class, the caller must be able to submit to at least one queue.
 func (s *Server) authorizeSubmission(caller *auth.Caller, submission *protocol.Submission) (rights.Queue, error) {
 	if !s.auth.Enabled() {
 		return rights.Queue{}, nil
@@ -171,9 +170,9 @@
 	return queue, nil
 }
 
-// answerRepeated answers a submission of a known job with its state, to those who may
-// submit to its queue or view it. Ids are one name space for all queues, so the id of
-// somebody else's job looks like one that is taken.
+// answerRepeated responds to a submission of a known job with the job's state. The caller needs
+// the Submit or View permission on the job's queue. Job ids are unique across all queues, so the
+// job may be one of another queue with the same id.
 func (s *Server) answerRepeated(ctx context.Context, caller *auth.Caller, status protocol.JobStatus) (transport.Response, error) {
 	if s.auth.Enabled() {
 		queue, err := s.queueOf(ctx, status.ID)
@@ -183,7 +182,7 @@
 		if !s.auth.Allows(caller, rights.Submit, queue) && !s.auth.Allows(caller, rights.View, queue) {
 			return transport.Response{}, s.auth.Deny(caller, verbSubmit, queue, status.ID, "the id is another queue's")
 		}
-		s.auth.NoteRead(caller, verbRepeat, queue, "")
+		s.auth.AuditRead(caller, verbRepeat, queue, "")
 	}
 	return success(http.StatusOK, status), nil
 }
@@ -196,7 +195,7 @@
 	if known {
 		return queue, nil
 	}
-	// The job ended before this controller knew of it.
+	// The index lacks jobs that ended before this controller saw their records.
 	spec, err := s.auth.ReadSpec(ctx, id)
 	if err != nil {
 		return rights.Queue{}, err
--- a/internal/coordination/api/workers.go
+++ b/internal/coordination/api/workers.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxStateSilence is for how long the state service may not answer this controller
-	// before it checks whether other controllers reach the state store.
+	// maxStateSilence is the maximum time without an answer from the state store before this
+	// controller's health depends on whether other controllers reach it.
 	maxStateSilence = 2500 * time.Millisecond
-	// reachableStateSilenceS is how long the state service may not have answered another
-	// controller for that one to count as reaching it, in seconds.
+	// reachableStateSilenceS is the time since the state store's last answer, in seconds, below
+	// which another controller counts as reaching it.
 	reachableStateSilenceS = 1.5
 )
 
-// handleHeartbeat answers a worker's heartbeat.
+// handleHeartbeat handles a worker's heartbeat.
 func (s *Server) handleHeartbeat(_ context.Context, req request) (transport.Response, error) {
 	caller, err := s.auth.AuthenticateWorker(req.Request)
 	if err != nil {
@@ -42,26 +42,26 @@
 	return response, nil
 }
 
-// health is the body of the answer to a health check that passes.
+// health is the response body of a successful health check.
 type health struct {
 	Status string `msgpack:"status"`
 }
 
-// checkHealth says whether requests can be taken. While the state service fails
-// everybody, all controllers stay in, since leaving would only delay their
-// return; one that alone can't reach it leaves the users to the others.
+// checkHealth reports whether this controller can serve requests. A controller is unhealthy if
+// it can't reach the state store but others can, so that users are sent to those. If no
+// controller reaches it, all stay healthy: becoming unhealthy would only delay the recovery.
 func (s *Server) checkHealth(context.Context, request) (transport.Response, error) {
 	healthy := false
-	s.loop.Do(func() { healthy = s.Synced && !s.aloneWithoutState(time.Now()) })
+	s.loop.Do(func() { healthy = s.Synced && !s.isolatedFromStateStore(time.Now()) })
 	if !healthy {
 		return transport.Response{}, errNotReady
 	}
 	return success(http.StatusOK, health{Status: "ok"}), nil
 }
 
-// aloneWithoutState reports whether the state service answers another controller but not
-// this one.
-func (s *Server) aloneWithoutState(now time.Time) bool {
+// isolatedFromStateStore reports whether the state store answers another controller but not this
+// one.
+func (s *Server) isolatedFromStateStore(now time.Time) bool {
 	if s.store.SinceLastAnswer() <= maxStateSilence {
 		return false
 	}
--- a/internal/coordination/apierror/apierror_test.go
+++ b/internal/coordination/apierror/apierror_test.go
@@ -12,35 +12,34 @@
 	"micaspindle/internal/transport"
 )
 
-// refused is the answer with a status, a message and when to try again.
-func refused(status int, message string, retryAfter int) transport.Response {
+// errorResponse returns the expected response to an error.
+func errorResponse(status int, message string, retryAfter int) transport.Response {
 	return transport.Response{Status: status, Body: protocol.Encode(protocol.Problem{Error: message}), RetryAfter: retryAfter}
 }
 
-// TestResponse compares the answers to errors, byte for byte.
+// TestResponse compares the responses to errors byte for byte.
 func TestResponse(t *testing.T) {
 	for _, tc := range []struct {
 		err  error
 		want transport.Response
 	}{
-		{New(404, "no such job"), refused(404, "no such job", 0)},
-		{Newf(409, "the job is %s already", "done"), refused(409, "the job is done already", 0)},
-		{Invalid(400, fmt.Errorf("bad\nworse")), refused(400, "bad", 0)},
-		{Invalid(400, errors.New(strings.Repeat("x", 300))), refused(400, strings.Repeat("x", 200), 0)},
-		{NotReady("stopping", 1), refused(503, "stopping", 1)},
-		{fmt.Errorf("submit: %w", NotReady("stopping", 2)), refused(503, "stopping", 2)},
-		{fmt.Errorf("poll: %w", storage.ErrBudget), refused(429, "over budget", 1)},
-		{storage.ErrRefused, refused(503, "state service unavailable", 1)},
-		{storage.ErrUnknown, refused(503, "state service unavailable", 1)},
+		{New(404, "no such job"), errorResponse(404, "no such job", 0)},
+		{Newf(409, "the job is %s already", "done"), errorResponse(409, "the job is done already", 0)},
+		{Invalid(400, fmt.Errorf("bad\nworse")), errorResponse(400, "bad", 0)},
+		{Invalid(400, errors.New(strings.Repeat("x", 300))), errorResponse(400, strings.Repeat("x", 200), 0)},
+		{NotReady("stopping", 1), errorResponse(503, "stopping", 1)},
+		{fmt.Errorf("submit: %w", NotReady("stopping", 2)), errorResponse(503, "stopping", 2)},
+		{fmt.Errorf("poll: %w", storage.ErrBudget), errorResponse(429, "over budget", 1)},
+		{storage.ErrRefused, errorResponse(503, "state service unavailable", 1)},
+		{storage.ErrUnknown, errorResponse(503, "state service unavailable", 1)},
 	} {
 		if got := Response(tc.err); !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%v: got %+v, want %+v", tc.err, got, tc.want)
+			t.Errorf("Response(%v): got %+v, want %+v", tc.err, got, tc.want)
 		}
 	}
 }
 
-// A refusal by the controller's own budget is told from one by the state store, whatever the
-// words of the error.
+// Only errors that wrap storage.ErrBudget get status 429, whatever the text of the error says.
 func TestResponseTellsBudgetFromOutage(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -55,7 +54,7 @@
 		{"joined", errors.Join(storage.ErrUnknown, storage.ErrNotFound), 503},
 	} {
 		if response := Response(tc.err); response.Status != tc.status || response.RetryAfter != 1 {
-			t.Errorf("%s: status %d, retry after %d, want %d and 1", tc.name, response.Status, response.RetryAfter, tc.status)
+			t.Errorf("%s: got status %d and Retry-After %d, want %d and 1", tc.name, response.Status, response.RetryAfter, tc.status)
 		}
 	}
 }
--- a/internal/coordination/auth/audit.go
+++ b/internal/coordination/auth/audit.go
@@ -11,73 +11,72 @@
 	"micaspindle/internal/rights"
 )
 
-// maxAuditText bounds what a caller's text takes of an audit record, in bytes.
-const maxAuditText = 100
+// maxAuditTextBytes is the maximum size of each caller-supplied text in an audit record.
+const maxAuditTextBytes = 100
 
-// The answers to callers say no more than this; the audit has the reason.
+// The responses give no further detail; the reason is only in the audit record.
 var (
 	errBadCredential = apierror.New(http.StatusUnauthorized, "no good credential")
 	errNotAllowed    = apierror.New(http.StatusForbidden, "not allowed")
 )
 
-// RunAudit writes the audit until ctx ends.
+// RunAudit runs the audit log until ctx is done.
 func (a *Auth) RunAudit(ctx context.Context) { a.auditLog.Run(ctx) }
 
-// SealAudit signs what the audit holds now.
+// SealAudit returns a signed statement of the current end of each audit chain.
 func (a *Auth) SealAudit(ctx context.Context) (*audit.Seal, error) { return a.auditLog.Seal(ctx) }
 
-// AuditBatches reads the batches of an audit chain that come after a number, up to size
-// bytes of them.
+// AuditBatches returns the batches of an audit chain whose numbers are greater than after, up
+// to size bytes in total.
 func (a *Auth) AuditBatches(ctx context.Context, chain string, after uint64, size int) ([]audit.NumberedBatch, error) {
 	return a.auditLog.Batches(ctx, chain, after, size)
 }
 
-// AuditRecord returns the audit record of what a caller does, as allowed; nil while requests
-// need no identity.
+// AuditRecord returns the audit record of an allowed request, or nil if authentication is
+// disabled.
 func (a *Auth) AuditRecord(caller *Caller, verb string, queue rights.Queue, job string) *audit.Record {
 	if !a.enabled {
 		return nil
 	}
 	record := &audit.Record{At: time.Now().UTC(), BoundMS: float64(a.clockBound) / float64(time.Millisecond), Verb: verb,
-		Team: Clip(queue.Team), Class: Clip(queue.Class), Job: Clip(job), Outcome: audit.Allowed}
+		Team: TruncateForAudit(queue.Team), Class: TruncateForAudit(queue.Class), Job: TruncateForAudit(job), Outcome: audit.Allowed}
 	if caller != nil {
 		record.Who, record.How, record.From = caller.Name, caller.Credential, caller.RemoteAddr
 	}
 	return record
 }
 
-// Clip bounds what a caller's text takes of an audit record.
-func Clip(text string) string { return text[:min(len(text), maxAuditText)] }
+// TruncateForAudit truncates a text supplied by a caller to maxAuditTextBytes.
+func TruncateForAudit(text string) string { return text[:min(len(text), maxAuditTextBytes)] }
 
-// Deny audits that a caller was not allowed to do something, and returns the error that
-// refuses the request.
+// Deny records a denied request in the audit log and returns an error with status 403.
 func (a *Auth) Deny(caller *Caller, verb string, queue rights.Queue, job, reason string) error {
-	a.noteDenied(caller, verb, queue, job, reason)
+	a.auditDenial(caller, verb, queue, job, reason)
 	return errNotAllowed
 }
 
-// rejectCredential audits that a request proved no identity, and returns the error that
-// refuses it.
+// rejectCredential records in the audit log that a request had no valid credential, and
+// returns an error with status 401.
 func (a *Auth) rejectCredential(caller *Caller, verb, reason string) error {
-	a.noteDenied(caller, verb, rights.Queue{}, "", reason)
+	a.auditDenial(caller, verb, rights.Queue{}, "", reason)
 	return errBadCredential
 }
 
-// noteDenied audits that a caller was not allowed to do something.
-func (a *Auth) noteDenied(caller *Caller, verb string, queue rights.Queue, job, reason string) {
+// auditDenial records a denied request in the audit log.
+func (a *Auth) auditDenial(caller *Caller, verb string, queue rights.Queue, job, reason string) {
 	record := a.AuditRecord(caller, verb, queue, job)
 	record.Outcome, record.Reason = audit.Denied, reason
 	a.auditLog.Note(*record)
 }
 
-// NoteRead audits that a caller has read something.
-func (a *Auth) NoteRead(caller *Caller, verb string, queue rights.Queue, job string) {
+// AuditRead records an allowed read in the audit log, unless authentication is disabled.
+func (a *Auth) AuditRead(caller *Caller, verb string, queue rights.Queue, job string) {
 	if a.enabled {
 		a.auditLog.Note(*a.AuditRecord(caller, verb, queue, job))
 	}
 }
 
-// Commit commits a caller's transaction, and its audit record with it unless that is nil.
+// Commit commits a caller's transaction together with its audit record, if that isn't nil.
 func (a *Auth) Commit(ctx context.Context, txn *protocol.Transaction, record *audit.Record) (uint64, error) {
 	if record == nil {
 		return a.store.UserCommit(ctx, txn)
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -1,6 +1,7 @@
-// Package auth knows who sends a request and what they may do: identities, the policy as the
-// watch has delivered it, and the audit of what was allowed and denied. It owns the policy's
-// records and the queue of each known job. Until Enable, everybody may do everything.
+// Package auth authenticates the senders of requests, authorizes the requests by the access
+// policy, and records the decisions in the audit log. It caches the policy's records, as
+// delivered by the state store's watch, and the queue of each known job. Until Enable is
+// called, every request is allowed.
 package auth
 
 import (
@@ -20,9 +21,9 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Auth authenticates callers and authorizes what they ask for. The event loop applies the
-// policy's records and publishes them as a PolicyView, which the connections' goroutines
-// read. Until Enable, everybody may do everything.
+// Auth authenticates callers and authorizes their requests. The event loop applies the policy's
+// records and publishes them as an immutable PolicyView, which the goroutines that serve
+// connections read.
 type Auth struct {
 	*cluster.State
 	loop   *eventloop.Loop
@@ -31,20 +32,20 @@
 	bounds *telemetry.BoundReporter
 
 	// Set by Enable, before the loop starts.
-	enabled    bool
-	enabledAt  time.Time
-	tokens     *identity.Tokens
-	bootstrap  string
-	clockBound time.Duration
-	auditLog   *audit.Log
+	enabled           bool
+	enabledAt         time.Time
+	tokens            *identity.Tokens
+	bootstrapIdentity string
+	clockBound        time.Duration
+	auditLog          *audit.Log
 
-	// policy is what was published last; nil before the policy was read.
+	// policy is the view published last; nil until the policy was read.
 	policy atomic.Pointer[PolicyView]
-	// freshSince is when the policy was last known to be up to date, in nanoseconds since
-	// enabledAt.
-	freshSince atomic.Int64
-	// UnknownJobLimiters bounds how often an identity may make this controller look for jobs
-	// that it does not know, by the identity's name.
+	// policyCurrentAt is the last time at which the published policy was known to be up to
+	// date, in nanoseconds since enabledAt.
+	policyCurrentAt atomic.Int64
+	// UnknownJobLimiters limits, by identity name, how often this controller reads jobs from
+	// the state store that it does not know.
 	UnknownJobLimiters *lru.Cache[string, *rate.Limiter]
 
 	// Owned by the event loop.
@@ -57,54 +58,55 @@
 	return &Auth{State: state, loop: loop, store: store, log: log, bounds: bounds}
 }
 
-// Identities is what a controller needs to authenticate callers, to limit what they may do,
-// and to audit it. Without it everybody may do everything.
+// Identities configures authentication, authorization and the audit log.
 type Identities struct {
-	// Tokens checks the tokens that callers present.
+	// Tokens verifies the callers' bearer tokens.
 	Tokens *identity.Tokens
-	// Signer returns the key that signs the audit, as it is at that moment.
+	// Signer returns the current key for signing the audit log.
 	Signer func() audit.Signer
-	// Bootstrap names who may write the first policy.
+	// Bootstrap is the name of the identity that may write the first policy.
 	Bootstrap string
-	// ClockBound is how far off this process's clock may be.
+	// ClockBound is the maximum error of this machine's clock.
 	ClockBound time.Duration
 }
 
-// Caller is who sends a request.
+// Caller is the authenticated sender of a request, or the user on whose behalf a service sent it.
 type Caller struct {
-	Name       string
+	Name string
+	// Credential describes the credential for the audit log.
 	Credential string
 	RemoteAddr string
-	// Service is the service that vouches for the caller; empty if the caller asks itself.
+	// Service is the service that acts on behalf of the caller; empty for a direct request.
 	Service string
 }
 
 const (
-	// AuditChanges is how many changes the audit may add to a transaction: a batch, its
-	// chain's head and its signer's certificate.
+	// AuditChanges is the maximum number of changes that the audit log adds to a transaction:
+	// a batch, the head of its chain and the signer's certificate.
 	AuditChanges = 3
-	// minTransactionChanges is the largest transaction of users, a reassignment, with these.
+	// minTransactionChanges is the number of changes in the largest transaction of a user
+	// request, a reassignment, with AuditChanges.
 	minTransactionChanges = 2 + AuditChanges
 )
 
-// Enable makes the controller authenticate who sends a request. It is called before the
-// loop starts.
+// Enable turns on authentication, authorization and the audit log. It must be called before
+// the event loop starts.
 func (a *Auth) Enable(ids Identities) error {
 	if changes := a.Settings.Params.State.Lower().TxnOps; changes < minTransactionChanges {
-		return fmt.Errorf("identities need transactions of %d changes; params.state allows %d", minTransactionChanges, changes)
+		return fmt.Errorf("authentication needs transactions of up to %d changes, but params.state allows only %d", minTransactionChanges, changes)
 	}
 	limiters, err := lru.NewWithEvict(UnknownJobLimitersLimit, func(string, *rate.Limiter) { a.bounds.Met(telemetry.Callers, 1) })
 	if err != nil {
 		return err
 	}
 	a.enabled, a.enabledAt, a.UnknownJobLimiters = true, time.Now(), limiters
-	a.tokens, a.bootstrap, a.clockBound = ids.Tokens, ids.Bootstrap, ids.ClockBound
+	a.tokens, a.bootstrapIdentity, a.clockBound = ids.Tokens, ids.Bootstrap, ids.ClockBound
 	a.auditLog = audit.NewLog(a.store, a.Settings.Label, ids.Signer, a.log)
-	a.freshSince.Store(-int64(neverFresh))
+	a.policyCurrentAt.Store(-int64(initialPolicyAge))
 	a.records.init()
 	a.jobQueues.init()
 	return nil
 }
 
-// Enabled reports whether requests need an identity.
+// Enabled reports whether authentication is enabled.
 func (a *Auth) Enabled() bool { return a.enabled }
--- a/internal/coordination/auth/authentication.go
+++ b/internal/coordination/auth/authentication.go
@@ -11,32 +11,32 @@
 	"micaspindle/internal/transport"
 )
 
-// AnyWorker is the id in certificates that machines share, where the cloud chooses machine
-// names only when it rents them out.
-const AnyWorker = "any"
+// sharedWorkerID is the worker id in a certificate that is shared by many machines, for clouds
+// that choose a machine's name only when the machine is created.
+const sharedWorkerID = "any"
 
-// The verbs under which the audit has the messages of workers and of controllers.
+// The verbs of heartbeats and of messages between controllers in audit records.
 const (
 	verbHeartbeat = "report"
 	verbPeer      = "peer"
 )
 
-// errPolicyStale refuses requests while the policy may lack a revocation.
+// errPolicyStale rejects requests while the cached policy may lack a recent revocation.
 var errPolicyStale = apierror.NotReady("policy is not up to date here", 1)
 
-// credential is what a request proves.
+// credential is the verified identity of a request's sender.
 type credential struct {
 	name identity.Name
-	// issued is when the token was issued; zero for a certificate.
+	// issued is the time at which the token was issued; zero for a certificate.
 	issued time.Time
-	// description tells the credential from others, in the audit.
+	// description identifies the credential in audit records.
 	description string
 }
 
 func (c *credential) isCertificate() bool { return c.issued.IsZero() }
 
-// Authenticate returns who sends a request, or the error that refuses it. The caller is nil
-// while requests need no identity.
+// Authenticate returns the caller of a request, or the error that rejects the request. The
+// caller is nil if authentication is disabled.
 func (a *Auth) Authenticate(req *transport.Request, verb string) (*Caller, error) {
 	if !a.enabled {
 		return nil, nil
@@ -59,8 +59,8 @@
 	return caller, nil
 }
 
-// checkCredential checks the token of a request, or if it has none the certificate of its
-// connection.
+// checkCredential verifies the request's token or, if there is none, the client certificate of
+// its connection.
 func (a *Auth) checkCredential(req *transport.Request) (credential, error) {
 	switch {
 	case req.Authorization != "":
@@ -83,8 +83,8 @@
 	return credential{name: token.Name, issued: token.Issued, description: "token " + token.ID}, nil
 }
 
-// checkCertificate reads the name in a certificate that the handshake has verified. The
-// connection may have been open for longer than the certificate is valid.
+// checkCertificate returns the identity in a client certificate. The TLS handshake has verified
+// the certificate, but it may have expired since.
 func (a *Auth) checkCertificate(req *transport.Request) (credential, error) {
 	if now := time.Now().Add(a.clockBound); !now.Before(req.Peer.NotAfter) {
 		return credential{}, errors.New("certificate expired")
@@ -96,7 +96,8 @@
 	return credential{name: name, description: "certificate " + identity.Fingerprint(req.Peer)}, nil
 }
 
-// checkCaller refuses who may send no request at all by the policy.
+// checkCaller rejects identities that may not send user requests: machines and controllers,
+// identities with a voided token, and those that are revoked or missing from the policy.
 func (a *Auth) checkCaller(caller *Caller, proven *credential, verb string) error {
 	if !proven.name.Caller() {
 		return a.Deny(caller, verb, rights.Queue{}, "", "a "+string(proven.name.Kind)+" sends no users' requests")
@@ -108,47 +109,47 @@
 	if !proven.isCertificate() && view.Rights.Voids(caller.Name, proven.issued) {
 		return a.rejectCredential(caller, verb, "token was issued before it was voided")
 	}
-	if !view.Rights.Known(caller.Name) && !a.isBootstrap(view, caller.Name) {
+	if !view.Rights.Known(caller.Name) && !a.mayBootstrapPolicy(view, caller.Name) {
 		return a.Deny(caller, verb, rights.Queue{}, "", "not in the policy, or revoked")
 	}
 	return nil
 }
 
-// actOnBehalf makes a service's request that of the caller it names. The service must have
-// shown its certificate and hold the right to vouch; what may be done is decided by the
-// rights of the one who is named.
+// actOnBehalf turns a service's request into one of the user that it names in On-Behalf-Of. The
+// service must authenticate with a certificate and have the Vouch permission. The request is
+// then authorized by the permissions of the user.
 func (a *Auth) actOnBehalf(caller *Caller, proven *credential, onBehalfOf, verb string) error {
 	view := a.policy.Load()
 	if view == nil || !a.policyFresh() {
 		return errPolicyStale
 	}
 	if !proven.isCertificate() || proven.name.Kind != identity.Service || !view.Rights.HoldsAny(caller.Name, rights.Vouch) {
-		return a.Deny(caller, verb, rights.Queue{}, "", "vouches for "+Clip(onBehalfOf)+", which it may not")
+		return a.Deny(caller, verb, rights.Queue{}, "", "vouches for "+TruncateForAudit(onBehalfOf)+", which it may not")
 	}
 	name, err := identity.ParseName(onBehalfOf)
 	if err != nil || !name.Caller() {
-		return a.Deny(caller, verb, rights.Queue{}, "", "vouches for "+Clip(onBehalfOf)+", who can be no caller")
+		return a.Deny(caller, verb, rights.Queue{}, "", "vouches for "+TruncateForAudit(onBehalfOf)+", who can be no caller")
 	}
 	caller.Service, caller.Name = caller.Name, name.String()
 	caller.Credential = "vouched for by " + caller.Service + ", " + caller.Credential
 	return nil
 }
 
-// AuthenticateWorker returns which worker sends a heartbeat, or the error that refuses it.
+// AuthenticateWorker returns the worker that sent a heartbeat, or the error that rejects it.
 func (a *Auth) AuthenticateWorker(req *transport.Request) (*Caller, error) {
-	return a.authenticateMachine(req, verbHeartbeat, func(name identity.Name) bool { return name.Kind == identity.Worker })
+	return a.authenticateByCertificate(req, verbHeartbeat, func(name identity.Name) bool { return name.Kind == identity.Worker })
 }
 
-// AuthenticatePeer returns which controller sends a message, or the error that refuses it.
+// AuthenticatePeer returns the controller that sent a message, or the error that rejects it.
 func (a *Auth) AuthenticatePeer(req *transport.Request) (*Caller, error) {
-	return a.authenticateMachine(req, verbPeer, func(name identity.Name) bool {
+	return a.authenticateByCertificate(req, verbPeer, func(name identity.Name) bool {
 		return name.Kind == identity.Controller && a.Peers[name.ID] != nil
 	})
 }
 
-// authenticateMachine returns which worker or controller sends a message. Only a certificate
-// proves that, and only one whose name accept takes.
-func (a *Auth) authenticateMachine(req *transport.Request, verb string, accept func(identity.Name) bool) (*Caller, error) {
+// authenticateByCertificate returns the worker or controller that sent a message. It rejects
+// messages without a client certificate, and certificates whose name accept does not allow.
+func (a *Auth) authenticateByCertificate(req *transport.Request, verb string, accept func(identity.Name) bool) (*Caller, error) {
 	if !a.enabled {
 		return nil, nil
 	}
@@ -167,22 +168,24 @@
 	return caller, nil
 }
 
-// CheckWorker refuses a heartbeat that does not come from the machine that it names.
+// CheckWorker rejects a heartbeat whose sender isn't the machine named in it.
 func (a *Auth) CheckWorker(caller *Caller, machine string) error {
 	return a.checkSender(caller, verbHeartbeat, identity.Name{Kind: identity.Worker, ID: machine})
 }
 
-// CheckPeer refuses a message that does not come from the controller that it names.
+// CheckPeer rejects a message whose sender isn't the controller named in it.
 func (a *Auth) CheckPeer(caller *Caller, label string) error {
 	return a.checkSender(caller, verbPeer, identity.Name{Kind: identity.Controller, ID: label})
 }
 
+// checkSender rejects a message whose sender is neither the identity named in it nor the holder
+// of a shared worker certificate.
 func (a *Auth) checkSender(caller *Caller, verb string, named identity.Name) error {
-	if !a.enabled || caller.Name == named.String() || caller.Name == anyWorkerName {
+	if !a.enabled || caller.Name == named.String() || caller.Name == sharedWorkerName {
 		return nil
 	}
-	return a.Deny(caller, verb, rights.Queue{}, "", "speaks for "+Clip(named.String()))
+	return a.Deny(caller, verb, rights.Queue{}, "", "speaks for "+TruncateForAudit(named.String()))
 }
 
-// anyWorkerName is the name in the certificates that machines share.
-var anyWorkerName = identity.Name{Kind: identity.Worker, ID: AnyWorker}.String()
+// sharedWorkerName is the identity name in a shared worker certificate.
+var sharedWorkerName = identity.Name{Kind: identity.Worker, ID: sharedWorkerID}.String()
--- a/internal/coordination/auth/authorization.go
+++ b/internal/coordination/auth/authorization.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// unknownJobRate is how many unknown jobs an identity may ask for a second.
+	// unknownJobRate limits an identity's lookups of unknown jobs, per second.
 	unknownJobRate = 5
-	// UnknownJobBurst is how many it may ask for at once.
+	// UnknownJobBurst is the burst size of that limit.
 	UnknownJobBurst = 20
-	// UnknownJobLimitersLimit is for how many identities that is counted, some 300 bytes
-	// each.
+	// UnknownJobLimitersLimit is the maximum number of identities with a limiter, of about
+	// 300 bytes each.
 	UnknownJobLimitersLimit = 4096
 )
 
-// serviceOwnVerbs are the rights that a service may use of its own also where it acts on
-// behalf of somebody: it follows and ends what it was allowed to begin, whatever has become
-// of those for whom it did.
+// serviceOwnVerbs are the permissions of its own that a service may use in requests on behalf of
+// a user. With them it can still view and cancel the jobs that it submitted for a user who has
+// lost these permissions since.
 const serviceOwnVerbs = rights.View | rights.Cancel
 
-// errUnknownJobBudget refuses who asks too often for jobs that nobody knows.
-var errUnknownJobBudget = fmt.Errorf("%w: over the budget for unknown jobs", storage.ErrBudget)
+// errUnknownJobBudget rejects a caller that exceeds the rate limit for unknown jobs.
+var errUnknownJobBudget = fmt.Errorf("%w: rate limit for unknown jobs exceeded", storage.ErrBudget)
 
-// Allows reports whether a caller holds a verb on a queue.
+// Allows reports whether a caller has a permission on a queue.
 func (a *Auth) Allows(caller *Caller, verb rights.Verb, queue rights.Queue) bool {
 	policy := a.policy.Load().Rights
 	allowed := policy.Allows(caller.Name, verb, queue)
@@ -40,33 +40,34 @@
 	return allowed && policy.Allows(caller.Service, rights.Vouch, queue) || verb&serviceOwnVerbs != 0 && policy.Allows(caller.Service, verb, queue)
 }
 
-// HoldsAny reports whether a caller holds a verb on some queue.
+// HoldsAny reports whether a caller has a permission on at least one queue.
 func (a *Auth) HoldsAny(caller *Caller, verb rights.Verb) bool {
 	policy := a.policy.Load().Rights
 	return policy.HoldsAny(caller.Name, verb) || caller.Service != "" && verb&serviceOwnVerbs != 0 && policy.HoldsAny(caller.Service, verb)
 }
 
-// AllowsEverywhere reports whether a caller holds a verb on every queue.
+// AllowsEverywhere reports whether a caller has a permission on every queue.
 func (a *Auth) AllowsEverywhere(caller *Caller, verb rights.Verb) bool {
 	policy := a.policy.Load().Rights
 	return policy.AllowsEverywhere(caller.Name, verb) && (caller.Service == "" || policy.AllowsEverywhere(caller.Service, rights.Vouch))
 }
 
-// Administers reports whether a caller may change the policy and read the audit. Nobody
-// administers through a service.
-func (a *Auth) Administers(caller *Caller) bool {
+// IsAdministrator reports whether a caller may change the policy and read the audit log. A
+// request that a service sends on behalf of a user never may.
+func (a *Auth) IsAdministrator(caller *Caller) bool {
 	view := a.policy.Load()
-	return caller.Service == "" && (view.Rights.AllowsEverywhere(caller.Name, rights.Administer) || a.isBootstrap(view, caller.Name))
+	return caller.Service == "" && (view.Rights.AllowsEverywhere(caller.Name, rights.Administer) || a.mayBootstrapPolicy(view, caller.Name))
 }
 
-// isBootstrap reports whether somebody may write the first policy.
-func (a *Auth) isBootstrap(view *PolicyView, name string) bool {
-	return view.Version == 0 && a.bootstrap != "" && name == a.bootstrap
+// mayBootstrapPolicy reports whether there is no policy yet and an identity may write the first.
+func (a *Auth) mayBootstrapPolicy(view *PolicyView, name string) bool {
+	return view.Version == 0 && a.bootstrapIdentity != "" && name == a.bootstrapIdentity
 }
 
-// AuthorizeJob returns the queue of a job if a caller holds a verb on it. It refuses with the
-// same message, after the same reads, whether the job exists or not; only who holds the
-// verb on every queue passes for a job that does not exist, with no queue.
+// AuthorizeJob returns the queue of a job if a caller has a permission on that queue. A denial
+// doesn't reveal whether the job exists: the message and the reads before it are the same in
+// both cases. For a job that doesn't exist, a caller with the permission on every queue gets a
+// zero queue and no error.
 func (a *Auth) AuthorizeJob(ctx context.Context, caller *Caller, verb rights.Verb, id string) (rights.Queue, error) {
 	if !a.enabled {
 		return rights.Queue{}, nil
@@ -81,15 +82,15 @@
 	if known && a.Allows(caller, verb, queue) {
 		return queue, nil
 	}
-	// Somebody else's job is read like one that this controller does not know,
-	// so that neither the time nor the budget for unknown jobs tells them apart.
+	// A known job on whose queue the caller lacks the permission is read like an unknown one,
+	// so that neither the response time nor the rate limit tells them apart.
 	spec, err := a.readUnknownJob(ctx, caller, id)
 	switch {
 	case errors.Is(err, storage.ErrNotFound) && everywhere:
 		return queue, nil
 	case errors.Is(err, storage.ErrNotFound):
 	case errors.Is(err, errUnknownJobBudget):
-		a.noteDenied(caller, verb.String(), rights.Queue{}, id, "asks too often for jobs that are not in its queues")
+		a.auditDenial(caller, verb.String(), rights.Queue{}, id, "asks too often for jobs that are not in its queues")
 		return queue, err
 	case err != nil:
 		return queue, err
@@ -102,19 +103,20 @@
 	return queue, a.Deny(caller, verb.String(), queue, id, "no such job in a queue of this right")
 }
 
-// readUnknownJob reads a job's record within the caller's budget for unknown jobs.
+// readUnknownJob reads a job's record within the caller's rate limit for unknown jobs.
 func (a *Auth) readUnknownJob(ctx context.Context, caller *Caller, id string) (*protocol.JobSpec, error) {
 	if !protocol.ValidID(id) {
 		return nil, storage.ErrNotFound
 	}
-	if !a.takeUnknownJobBudget(caller.Name) {
+	if !a.allowUnknownJobLookup(caller.Name) {
 		return nil, errUnknownJobBudget
 	}
 	return a.ReadSpec(ctx, id)
 }
 
-// takeUnknownJobBudget reports whether an identity may ask for one more unknown job now.
-func (a *Auth) takeUnknownJobBudget(name string) bool {
+// allowUnknownJobLookup takes a token from an identity's rate limiter for unknown jobs, and
+// reports whether there was one.
+func (a *Auth) allowUnknownJobLookup(name string) bool {
 	limiter, ok := a.UnknownJobLimiters.Get(name)
 	if !ok {
 		limiter = rate.NewLimiter(unknownJobRate, UnknownJobBurst)
--- a/internal/coordination/auth/budget_test.go
+++ b/internal/coordination/auth/budget_test.go
@@ -6,9 +6,9 @@
 	"micaspindle/internal/coordination/apierror"
 )
 
-// Who asks too often for unknown jobs is answered 429, not that the state store is unavailable.
-func TestRefusalForUnknownJobsIsOfTheBudget(t *testing.T) {
+// A caller that exceeds the rate limit for unknown jobs gets 429, not 503.
+func TestUnknownJobLimitIsAnsweredWith429(t *testing.T) {
 	if status := apierror.Response(errUnknownJobBudget).Status; status != 429 {
-		t.Errorf("status %d, want 429", status)
+		t.Errorf("response to errUnknownJobBudget: got status %d, want 429", status)
 	}
 }
--- a/internal/coordination/auth/jobqueues.go
+++ b/internal/coordination/auth/jobqueues.go
@@ -6,7 +6,8 @@
 	"micaspindle/internal/storage"
 )
 
-// NoteJob remembers the queue of an accepted job, from its record. It runs in the loop.
+// NoteJob adds the queue of an accepted job to the index, from the job's record. It must be
+// called in the event loop.
 func (a *Auth) NoteJob(id string, record []byte) {
 	if !a.enabled {
 		return
@@ -20,36 +21,37 @@
 	}
 }
 
-// JobQueue returns the queue of a job, and whether this controller knows the job. It runs
-// in the loop.
+// JobQueue returns the queue of a job, and whether this controller knows the job. It must be
+// called in the event loop.
 func (a *Auth) JobQueue(id string) (queue rights.Queue, known bool) { return a.jobQueues.queueOf(id) }
 
-// jobQueueIndex remembers the queue of every job, ended ones too. Jobs are many and queues
-// are few, so a job has the number of its queue only. It belongs to the loop.
+// jobQueueIndex holds the queue of every job, including finished jobs. Since there are many
+// jobs and few queues, it stores an index into queues for each job. It is owned by the event
+// loop.
 type jobQueueIndex struct {
-	queues  []rights.Queue
-	numbers map[rights.Queue]uint32 // indices into queues
-	jobs    map[string]uint32       // the same, by job id
+	queues     []rights.Queue
+	indices    map[rights.Queue]uint32 // index into queues, by queue
+	indexByJob map[string]uint32       // index into queues, by job id
 }
 
 func (x *jobQueueIndex) init() {
-	x.numbers, x.jobs = map[rights.Queue]uint32{}, map[string]uint32{}
+	x.indices, x.indexByJob = map[rights.Queue]uint32{}, map[string]uint32{}
 }
 
-// add remembers a job's queue.
+// add stores a job's queue.
 func (x *jobQueueIndex) add(spec *protocol.JobSpec) {
 	queue := rights.Queue{Team: spec.Team, Class: spec.Class}
-	number, ok := x.numbers[queue]
+	number, ok := x.indices[queue]
 	if !ok {
 		number = uint32(len(x.queues))
-		x.numbers[queue] = number
+		x.indices[queue] = number
 		x.queues = append(x.queues, queue)
 	}
-	x.jobs[spec.ID] = number
+	x.indexByJob[spec.ID] = number
 }
 
 func (x *jobQueueIndex) queueOf(id string) (queue rights.Queue, known bool) {
-	number, known := x.jobs[id]
+	number, known := x.indexByJob[id]
 	if !known {
 		return rights.Queue{}, false
 	}
--- a/internal/coordination/auth/policy.go
+++ b/internal/coordination/auth/policy.go
@@ -11,48 +11,51 @@
 )
 
 const (
-	// policyMaxAge is how old the policy may be for anything to be allowed by it: a
-	// revocation must hold everywhere within 3 s.
-	policyMaxAge = 2500 * time.Millisecond
-	// PolicyWatchWait is how long a watch waits where the policy must be fresh.
+	// maxPolicyAge is the maximum age of the cached policy for a request to be allowed. A
+	// revocation must be effective on all controllers within 3 s.
+	maxPolicyAge = 2500 * time.Millisecond
+	// PolicyWatchWait is the maximum time that a watch request waits for changes while
+	// authentication is enabled, so that the cached policy stays within maxPolicyAge.
 	PolicyWatchWait = 500 * time.Millisecond
-	// neverFresh is how long before Enable the policy counts as read, so that it is too old
-	// until it is read.
-	neverFresh = time.Hour
+	// initialPolicyAge is the assumed age of the policy at Enable. It exceeds maxPolicyAge, so
+	// that no request is allowed until the policy was read.
+	initialPolicyAge = time.Hour
 )
 
-// PolicyView is the policy at one version; it does not change.
+// PolicyView is an immutable snapshot of the policy.
 type PolicyView struct {
 	Version uint64
-	// HeadRevision is the revision of the head record.
+	// HeadRevision is the revision of the policy's head record in the state store.
 	HeadRevision uint64
 	Document     *rights.Document
 	Rights       *rights.Policy
 }
 
-// Policy is the policy as it was last published; nil before it was read.
+// Policy returns the policy published last; nil until the policy was read.
 func (a *Auth) Policy() *PolicyView { return a.policy.Load() }
 
-// policyFresh reports whether the policy is fresh enough to allow anything by.
+// policyFresh reports whether the published policy is recent enough to allow requests.
 func (a *Auth) policyFresh() bool {
-	return time.Since(a.enabledAt)-time.Duration(a.freshSince.Load()) <= policyMaxAge
+	return time.Since(a.enabledAt)-time.Duration(a.policyCurrentAt.Load()) <= maxPolicyAge
 }
 
-// PolicyRevision is the revision of the policy's head record. It is called in the loop.
+// PolicyRevision returns the revision of the policy's head record; 0 if there is none. It must
+// be called in the event loop.
 func (a *Auth) PolicyRevision() uint64 { return a.records.headRevision }
 
-// ApplyPolicyRecord applies an event of a policy record. It is called in the loop.
+// ApplyPolicyRecord applies a watch event of a policy record. It must be called in the event
+// loop.
 func (a *Auth) ApplyPolicyRecord(kind storage.Kind, name string, e protocol.Event) error {
 	return a.records.apply(kind, name, e)
 }
 
-// DropUnlistedPolicy drops the policy's records that a listing no longer holds. It is called
-// in the loop.
+// DropUnlistedPolicy removes the policy records whose keys are missing from a listing. It must
+// be called in the event loop.
 func (a *Auth) DropUnlistedPolicy(listed map[string]bool) { a.records.dropUnlisted(listed) }
 
-// PublishPolicy gives the connections the policy as it is now, once for all records that
-// came together. requestedAt is when the listing or watch was sent that brought them. It is called
-// in the loop.
+// PublishPolicy publishes the applied records as the new PolicyView, once for all records that
+// arrived together. requestedAt is when the listing or watch that delivered them was requested.
+// It must be called in the event loop.
 func (a *Auth) PublishPolicy(requestedAt time.Time) {
 	if !a.enabled {
 		return
@@ -61,7 +64,7 @@
 		a.records.changed = false
 		a.publish(a.records.view())
 	}
-	a.freshSince.Store(int64(requestedAt.Sub(a.enabledAt)))
+	a.policyCurrentAt.Store(int64(requestedAt.Sub(a.enabledAt)))
 }
 
 func (a *Auth) publish(view *PolicyView) {
@@ -71,15 +74,15 @@
 	}
 }
 
-// policyRecords is the policy as the watch has delivered it: one record for each role and
-// identity, and a head. Every change is conditional on the head's revision, so that changes
-// come one after the other. It belongs to the loop.
+// policyRecords holds the policy's records as delivered by the watch: one for each role and
+// identity, and a head. Every change of the policy is conditional on the head's revision, which
+// serializes the changes. policyRecords is owned by the event loop.
 type policyRecords struct {
 	head         storage.PolicyHead
 	headRevision uint64
 	roles        map[string]rights.Role
 	identities   map[string]rights.Identity
-	// changed: something is not published yet.
+	// changed is set if there are changes that were not published yet.
 	changed bool
 }
 
@@ -87,8 +90,8 @@
 	p.roles, p.identities, p.changed = map[string]rights.Role{}, map[string]rights.Identity{}, true
 }
 
-// apply applies an event of a record. A record that can't be read is dropped, with the rights
-// that it might have given.
+// apply applies a watch event of a record. A record that can't be decoded or is invalid is
+// removed, so that it grants no permissions.
 func (p *policyRecords) apply(kind storage.Kind, name string, e protocol.Event) error {
 	p.changed = true
 	deleted := e.Delete != ""
@@ -113,14 +116,14 @@
 	return nil
 }
 
-// checked is a record with a method that says what is wrong with it.
-type checked[T any] interface {
+// checker constrains a pointer to a record type that can validate itself.
+type checker[T any] interface {
 	*T
 	Check() error
 }
 
-// putRecord decodes a record, checks it and stores it under its name.
-func putRecord[T any, P checked[T]](records map[string]T, name string, value []byte) error {
+// putRecord decodes a record, validates it and stores it under its name.
+func putRecord[T any, P checker[T]](records map[string]T, name string, value []byte) error {
 	var record T
 	if err := storage.Decode(value, &record); err != nil {
 		return err
@@ -132,7 +135,7 @@
 	return nil
 }
 
-// dropUnlisted drops what a fresh listing no longer holds.
+// dropUnlisted removes the records whose keys are missing from a listing.
 func (p *policyRecords) dropUnlisted(listed map[string]bool) {
 	for name := range p.roles {
 		if !listed[storage.RoleKey(name)] {
@@ -151,7 +154,7 @@
 	}
 }
 
-// view compiles the records.
+// view compiles the records into a PolicyView.
 func (p *policyRecords) view() *PolicyView {
 	document := &rights.Document{}
 	for _, name := range slices.Sorted(maps.Keys(p.roles)) {
