--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -21,7 +21,7 @@
 	HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response
 }
 
-// Auth authenticates callers, authorizes their requests and records these in the audit log.
+// Auth authenticates callers, authorizes their requests and writes the audit log.
 type Auth interface {
 	// Enabled reports whether authentication is enabled.
 	Enabled() bool
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -140,7 +140,7 @@
 		final, err := s.commitCancellation(ctx, status.ID, nil)
 		return protocol.JobStatus{ID: status.ID, Status: final}, err == nil, err
 	case stale:
-		return status, false, fmt.Errorf("%w: cached records are too old", storage.ErrRefused)
+		return status, false, fmt.Errorf("%w: cached records are too old or incomplete", storage.ErrRefused)
 	}
 	return status, true, nil
 }
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -62,7 +62,7 @@
 
 // submissionCheck is the result of validating a submission.
 type submissionCheck struct {
-	// malformed is the error in the body, nil if the body is valid.
+	// malformed is the error from decoding or validating the body, or nil.
 	malformed error
 	// known is set if the job was accepted before.
 	known bool
@@ -171,8 +171,8 @@
 }
 
 // answerRepeated responds to a submission of a known job with the job's state. The caller needs
-// the Submit or View permission on the job's queue. Job ids are unique across all queues, so the
-// job may be one of another queue with the same id.
+// the Submit or View permission on the job's queue. All queues share one namespace of job ids, so
+// the id may belong to a job in another queue.
 func (s *Server) answerRepeated(ctx context.Context, caller *auth.Caller, status protocol.JobStatus) (transport.Response, error) {
 	if s.auth.Enabled() {
 		queue, err := s.queueOf(ctx, status.ID)
--- a/internal/coordination/apierror/apierror_test.go
+++ b/internal/coordination/apierror/apierror_test.go
@@ -49,7 +49,7 @@
 		{"budget", storage.ErrBudget, 429},
 		{"wrapped budget", fmt.Errorf("reading: %w: late", storage.ErrBudget), 429},
 		{"refused", storage.ErrRefused, 503},
-		{"refused, with the word", fmt.Errorf("%w: job budget-report", storage.ErrRefused), 503},
+		{"refused, message contains budget", fmt.Errorf("%w: job budget-report", storage.ErrRefused), 503},
 		{"unanswered", storage.ErrUnknown, 503},
 		{"joined", errors.Join(storage.ErrUnknown, storage.ErrNotFound), 503},
 	} {
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -44,8 +44,8 @@
 	// policyCurrentAt is the last time at which the published policy was known to be up to
 	// date, in nanoseconds since enabledAt.
 	policyCurrentAt atomic.Int64
-	// UnknownJobLimiters limits, by identity name, how often this controller reads jobs from
-	// the state store that it does not know.
+	// UnknownJobLimiters limits, by identity name, the lookups of jobs that are unknown to this
+	// controller.
 	UnknownJobLimiters *lru.Cache[string, *rate.Limiter]
 
 	// Owned by the event loop.
