--- a/internal/coordination/lease/acquisition.go
+++ b/internal/coordination/lease/acquisition.go
@@ -10,15 +10,16 @@
 	"micaspindle/internal/storage"
 )
 
-// wantedLease is a lease that this controller should hold, and the revision of its record that
-// it was decided on; 0: there was none.
+// wantedLease is a lease that this controller should hold. revision is the revision of the lease's
+// record when that was decided, 0 if there was no record.
 type wantedLease struct {
 	key      string
 	revision uint64
 }
 
-// acquireWanted acquires the leases that this controller should hold, while its own is fresh.
-func (h *Holder) acquireWanted() {
+// acquireWantedLeases acquires the leases that this controller should hold, while its controller
+// lease is fresh.
+func (h *Holder) acquireWantedLeases() {
 	var wanted []wantedLease
 	var lease uint64
 	h.loop.Do(func() {
@@ -36,13 +37,13 @@
 	}
 }
 
-// wantedLeases lists the leases to acquire now, and hands a partition back to its preferred
-// leader if one is due.
+// wantedLeases lists the leases to acquire now. It also hands a partition back to its preferred
+// leader if that is due.
 func (h *Holder) wantedLeases(now time.Time) (wanted []wantedLease) {
 	handedBack := false
 	for _, p := range h.Partitions {
 		if !handedBack && h.takeover.ShouldHandBack(p, now) {
-			handedBack = true // one at a time: each goes into the record of this incarnation
+			handedBack = true // one at a time, since each rewrites this incarnation's record
 			h.handBack(p, now)
 			continue
 		}
@@ -57,7 +58,8 @@
 }
 
 // acquireLease tries to acquire a lease that is free or held by this controller's former
-// incarnation. An unanswered attempt shows in the watch, where it is known by its nonce.
+// incarnation. If the request succeeds but its answer is lost, the watch brings the new record,
+// which has this incarnation's nonce.
 func (h *Holder) acquireLease(key string, revision, lease uint64) {
 	value := storage.Encode(storage.Lease{Holder: h.Settings.Label, Nonce: h.Nonce})
 	acquired, err := h.store.CommitLease(h.loop.Context(), &protocol.Transaction{
@@ -65,7 +67,7 @@
 		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
 	})
 	if errors.Is(err, storage.ErrLeaseGone) {
-		h.loop.Do(func() { h.loseAll(reasonControllerLeaseEnded) })
+		h.loop.Do(func() { h.loseAllLeases(reasonControllerLeaseEnded) })
 		return
 	}
 	if err != nil {
@@ -81,7 +83,7 @@
 		return
 	}
 	if p.LeaseRevision != 0 {
-		h.noteFormerLeader(p, now)
+		h.addFormerLeader(p, now)
 	}
 	if e.Delete != "" {
 		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
--- a/internal/coordination/lease/answer_bounds.go
+++ b/internal/coordination/lease/answer_bounds.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// LastAnswerBound is the latest moment at which anybody but this controller may have answered a
-// machine of a partition.
+// LastAnswerBound is the latest moment at which a former leader of a machine, or a delegate of one,
+// may have answered the machine's heartbeats. p is the machine's partition.
 func (h *Holder) LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time {
 	until := failover.AnsweredUntil(p.FormerLeaders, func(label, nonce string) time.Time {
 		return h.EndedIncarnations[IncarnationID{Label: label, Nonce: nonce}]
@@ -22,7 +22,8 @@
 	return until
 }
 
-// shortenAllBounds shortens the bounds of all partitions that are ready here.
+// shortenAllBounds shortens the answer bounds of machines in all partitions that this controller
+// leads and that are ready.
 func (h *Holder) shortenAllBounds(now time.Time) {
 	for _, p := range h.Partitions {
 		if p.Held && p.Ready {
@@ -31,7 +32,8 @@
 	}
 }
 
-// shortenBounds counts the machine leases of silent machines from what is proven by now.
+// shortenBounds lowers AnsweredUntil of a partition's machines if it is proven by now that former
+// leaders stopped answering earlier. The leases of silent machines then expire sooner.
 func (h *Holder) shortenBounds(p *cluster.Partition, now time.Time) {
 	for _, m := range h.Machines {
 		if m.Record.Partition != p.Index || !m.AnsweredUntil.After(now) {
@@ -46,9 +48,9 @@
 	}
 }
 
-// noteFormerLeader notes that a partition's leader does not lead it any more: it may go on
-// answering agents for as long after its last renewal as rule 12 lets it.
-func (h *Holder) noteFormerLeader(p *cluster.Partition, now time.Time) {
+// addFormerLeader adds the holder of a partition's lease to its former leaders when the lease ends or
+// changes hands. It may go on answering heartbeats until its answer bound (rule 12).
+func (h *Holder) addFormerLeader(p *cluster.Partition, now time.Time) {
 	former := failover.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(h.AnswerBound())}
 	if former.Label == h.Settings.Label && former.Nonce == h.Nonce {
 		former.AnswersUntil = lastOwnAnswer(p, now)
@@ -60,8 +62,9 @@
 	p.FormerLeaders = append(stillAnswering(p.FormerLeaders, now), former)
 }
 
-// lastOwnAnswer is until when a partition that this controller led may be answered on its
-// behalf: it stopped when it lost the lease, its delegates when their grants end.
+// lastOwnAnswer is the latest moment at which this controller or one of its delegates may answer
+// heartbeats of a partition that it led. The controller itself stopped when it lost the lease; its
+// delegates stop when their grants end.
 func lastOwnAnswer(p *cluster.Partition, now time.Time) time.Time {
 	last := now
 	for _, end := range []time.Time{p.DelegatedUntil, p.Delegations.LatestGrantEnd()} {
@@ -72,7 +75,8 @@
 	return last
 }
 
-// NoteMissedLeaders notes that leaders may have come and gone unseen before a listing.
+// NoteMissedLeaders adds an unknown former leader to each partition before a listing is applied:
+// leaders may have come and gone while this controller was not watching.
 func (h *Holder) NoteMissedLeaders(now time.Time) {
 	for _, p := range h.Partitions {
 		p.FormerLeaders = slices.DeleteFunc(stillAnswering(p.FormerLeaders, now), func(former failover.FormerLeader) bool { return former.Label == "" })
@@ -80,8 +84,7 @@
 	}
 }
 
-// stillAnswering drops, in place, the former leaders that answer nobody any more: their records
-// can prove nothing further.
+// stillAnswering keeps, in place, the former leaders that may still answer heartbeats.
 func stillAnswering(all []failover.FormerLeader, now time.Time) []failover.FormerLeader {
 	answering := all[:0]
 	for _, former := range all {
--- a/internal/coordination/lease/collaborators.go
+++ b/internal/coordination/lease/collaborators.go
@@ -14,9 +14,10 @@
 	DropLeadership(reason string)
 }
 
-// Replicator sends the standbys of the partitions led here what is not on record.
+// Replicator sends the standbys of the partitions led here the state that is not in the state
+// store's records.
 type Replicator interface {
-	// SendUpdates sends all pending replica updates at the same time and returns once they are
+	// SendUpdates sends all pending replica updates concurrently and returns once they are
 	// answered or ctx ends.
 	SendUpdates(ctx context.Context)
 }
@@ -26,8 +27,8 @@
 type Takeover interface {
 	// ShouldHandBack says whether to release a partition now, for its preferred leader.
 	ShouldHandBack(p *cluster.Partition, now time.Time) bool
-	// TakeOver rebuilds the state of a partition from what its former leader recorded; revision
-	// is that of the partition's lease.
+	// TakeOver rebuilds the state of a partition from its former leader's records. revision is
+	// the revision of the partition's lease.
 	TakeOver(p *cluster.Partition, revision uint64)
 	// WantsLeadership says whether to acquire the cluster leadership now.
 	WantsLeadership(now time.Time) bool
@@ -35,8 +36,8 @@
 	WantsPartition(p *cluster.Partition, now time.Time) bool
 }
 
-// Records applies the state store's changes to what this controller knows.
+// Records applies changes of the state store's records to this controller's state.
 type Records interface {
-	// ApplyEvent applies one change. It runs on the event loop.
+	// ApplyEvent applies one change. It runs in the event loop.
 	ApplyEvent(e protocol.Event)
 }
--- a/internal/coordination/lease/dead_controllers.go
+++ b/internal/coordination/lease/dead_controllers.go
@@ -13,8 +13,9 @@
 // revokeTimeout bounds the revocation of another controller's lease.
 const revokeTimeout = 2 * time.Second
 
-// NoteDiverted notes that a machine's agent came here though another controller leads it: with
-// other such machines, and with the leader's silence, it shows that the leader is dead.
+// NoteDiverted records in memory that the agent of a machine, which another controller leads, has
+// sent a heartbeat here. Enough such machines, together with the leader's silence, show that the
+// leader is dead.
 func (h *Holder) NoteDiverted(leader, machine string, now time.Time) {
 	other := h.Peers[leader]
 	if other == nil || !other.ReportingMachines[machine] {
@@ -27,10 +28,10 @@
 	h.RevokeIfDead(leader, other, now)
 }
 
-// RevokeIfDead revokes the lease of a controller that neither controllers nor agents reach, so
-// that its leases end at once and not when their time to live is over. That is an earlier end
-// of the lease and nothing else: what it still writes fails on its leases, it answers agents no
-// longer than after any end, and its successor counts on as much (rule 11).
+// RevokeIfDead revokes the lease of a controller that neither controllers nor agents can reach, so
+// that its leases end at once and not only when their TTL is over. This is as safe as any other end
+// of the lease: the former leader's writes fail, since they are conditional on its leases, and it
+// answers heartbeats no longer than its successor allows for (rule 11).
 func (h *Holder) RevokeIfDead(label string, other *cluster.Peer, now time.Time) {
 	incarnation := h.incarnations[label]
 	evidence := failover.Evidence{Silent: now.Sub(other.LastSummaryAt), Interval: peering.SummaryInterval,
@@ -38,7 +39,7 @@
 	if incarnation.Lease == 0 || incarnation.Lease == other.RevokedLeaseID || !evidence.Dead() || !h.Synced || !h.leaseIsFresh(now) {
 		return
 	}
-	if !h.leadsAny(IncarnationID{Label: label, Nonce: incarnation.Nonce}) {
+	if !h.leadsAnyPartition(IncarnationID{Label: label, Nonce: incarnation.Nonce}) {
 		return
 	}
 	other.RevokedLeaseID = incarnation.Lease
@@ -51,8 +52,8 @@
 	})
 }
 
-// leadsAny says whether an incarnation leads any partition.
-func (h *Holder) leadsAny(id IncarnationID) bool {
+// leadsAnyPartition says whether an incarnation leads any partition.
+func (h *Holder) leadsAnyPartition(id IncarnationID) bool {
 	for _, p := range h.Partitions {
 		if p.Leader == id.Label && p.LeaderNonce == id.Nonce {
 			return true
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// drainTimeout is how long a planned end waits for replica updates, and for the answers to
-	// commands and commits.
+	// drainTimeout bounds how long a planned shutdown waits for replica updates and for the
+	// answers to commands and commits.
 	drainTimeout = 150 * time.Millisecond
-	// drainPollInterval is how often it looks whether these answers have come.
+	// drainPollInterval is the time between two checks for whether these answers have come.
 	drainPollInterval = 5 * time.Millisecond
-	// releaseOverhead is how many operations of a release are not a partition's: the end of the
-	// leadership's lease and the incarnation record.
+	// releaseOverhead is how many operations of a release transaction are not for a partition's
+	// lease: the deletion of the leadership lease and the update of the incarnation record.
 	releaseOverhead = 2
 )
 
-// HandOver hands the leases of this controller over to its standbys, ahead of a planned end: it
-// starts nothing more, has commands and commits answered, answers no agent any more, and only
-// then releases its leases, in this order (rule 36). Each step is bounded, and to end in the
-// middle of it is a loss like any other. Where nobody can take over it merely ends: its next
-// incarnation acquires its leases at once.
+// HandOver hands the leases of this controller over to standbys before a planned shutdown. It stops
+// new work, waits for the answers to commands and commits, stops answering heartbeats, and only then
+// releases its leases, in this order (rule 36). Each step is bounded in time; a process that ends
+// between them is replaced like one that crashes. If no other controller can take over, no lease is
+// released, and this controller's next incarnation acquires them at once.
 func (h *Holder) HandOver(ctx context.Context) {
 	begun := time.Now()
 	if !h.startDraining(begun) {
-		h.log.Info("ending without a handover", "reason", "no other controller is alive")
+		h.log.Info("shutting down without a handover", "reason", "no other controller is alive")
 		return
 	}
 	h.drain(ctx)
-	released, leadership := h.stopActing()
+	released, leadership := h.stepDown()
 	batch := max(1, h.store.TxnOps()-releaseOverhead)
 	for len(released) > 0 || leadership != 0 {
 		count := min(batch, len(released))
@@ -57,7 +57,7 @@
 	return successor
 }
 
-// drain sends the last replica updates, and waits until commands and commits are answered or
+// drain sends the last replica updates, and waits until all commands and commits are answered or
 // drainTimeout is over.
 func (h *Holder) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
@@ -68,9 +68,9 @@
 	}
 }
 
-// stopActing stops acting under all leases, and returns those to release; leadership is the
-// revision of the leadership's lease, 0 if it was not held.
-func (h *Holder) stopActing() (released []storage.ReleasedLease, leadership uint64) {
+// stepDown stops acting as the leader of all partitions and of the cluster, and returns the leases to
+// release. leadership is the revision of the leadership lease, 0 if this controller did not hold it.
+func (h *Holder) stepDown() (released []storage.ReleasedLease, leadership uint64) {
 	const reason = "handed over"
 	h.loop.Do(func() {
 		for _, p := range h.Partitions {
@@ -87,7 +87,7 @@
 	return released, leadership
 }
 
-// Busy says whether answers to commands or commits of the partitions led here are outstanding.
+// Busy says whether commands or commits of the partitions led here are still unanswered.
 func (h *Holder) Busy() bool {
 	for _, p := range h.Partitions {
 		if p.Held && p.Committing {
--- a/internal/coordination/lease/incarnations.go
+++ b/internal/coordination/lease/incarnations.go
@@ -10,12 +10,12 @@
 	"micaspindle/internal/storage"
 )
 
-// endedIncarnationRetention is how long it is remembered that an incarnation is over: whoever it
-// answered is long free of it by then.
+// endedIncarnationRetention is how long ended incarnations are kept in memory. The leases of machines
+// whose heartbeats they answered have long expired by then.
 const endedIncarnationRetention = time.Hour
 
-// IncarnationID names one run of a controller's process: its label, and the nonce that it drew
-// at its start.
+// IncarnationID identifies one run of a controller process by the controller's label and the random
+// nonce that the process chose at its start.
 type IncarnationID struct{ Label, Nonce string }
 
 // incarnationRecord is the newest incarnation record of a controller.
@@ -24,10 +24,10 @@
 	revision uint64
 }
 
-// announceIncarnation records this incarnation with its controller lease, and says whether the
-// record names that lease. It must come before any lease is acquired: incarnation records follow
-// one another by their revisions, so that one with another nonce proves that the incarnation
-// before is over (rule 34).
+// announceIncarnation records this incarnation with its controller lease in the state store, and says
+// whether the record names that lease. It must precede the acquisition of any other lease. Since
+// incarnation records are ordered by revision, a record with another nonce proves that the previous
+// incarnation is over (rule 34).
 func (h *Holder) announceIncarnation(lease uint64) bool {
 	var txn *protocol.Transaction
 	announced := false
@@ -46,7 +46,7 @@
 	case err == nil:
 		h.applyOwnIncarnation(protocol.Event{Put: put.Put, Value: put.Value, Version: revision})
 	case errors.As(err, &conflict) || errors.Is(err, storage.ErrUnknown):
-		// Written by the former incarnation, or by this one without an answer.
+		// The former incarnation wrote the record, or this one did in a request that went unanswered.
 		if item, readErr := h.store.Get(h.loop.Context(), put.Put); readErr == nil {
 			h.applyOwnIncarnation(protocol.Event{Put: put.Put, Value: item.Value, Version: item.Version})
 		}
@@ -57,7 +57,7 @@
 	return announced
 }
 
-// incarnationTransaction records this incarnation with a controller lease.
+// incarnationTransaction is the transaction that records this incarnation with a controller lease.
 func (h *Holder) incarnationTransaction(lease uint64) *protocol.Transaction {
 	key, own := storage.IncarnationKey(h.Settings.Label), h.incarnations[h.Settings.Label]
 	record := storage.Incarnation{Nonce: h.Nonce, Lease: lease}
@@ -76,8 +76,8 @@
 
 // ApplyIncarnation applies a change of a controller's incarnation record.
 func (h *Holder) ApplyIncarnation(label string, e protocol.Event) {
-	before := h.incarnations[label]
-	if e.Delete != "" || e.Version <= before.revision {
+	previous := h.incarnations[label]
+	if e.Delete != "" || e.Version <= previous.revision {
 		return
 	}
 	var record storage.Incarnation
@@ -90,14 +90,15 @@
 		h.announcedLease = record.Lease
 	}
 	now := time.Now()
-	h.noteReleasedLeases(label, record, now)
-	if before.Nonce != "" && before.Nonce != record.Nonce {
-		h.noteEndedIncarnation(IncarnationID{Label: label, Nonce: before.Nonce}, now)
+	h.applyReleasedLeases(label, record, now)
+	if previous.Nonce != "" && previous.Nonce != record.Nonce {
+		h.markIncarnationEnded(IncarnationID{Label: label, Nonce: previous.Nonce}, now)
 	}
 }
 
-// noteReleasedLeases notes that a controller had stopped acting under leases that it released.
-func (h *Holder) noteReleasedLeases(label string, record storage.Incarnation, now time.Time) {
+// applyReleasedLeases shortens the answer bounds for the leases that a controller's record says it has
+// released, since it had stopped answering heartbeats under them before.
+func (h *Holder) applyReleasedLeases(label string, record storage.Incarnation, now time.Time) {
 	for _, released := range record.Released {
 		if released.Partition < 0 || released.Partition >= len(h.Partitions) {
 			continue
@@ -110,9 +111,9 @@
 	}
 }
 
-// noteEndedIncarnation notes that an incarnation is over. Its delegates may go on answering until
-// their grants end.
-func (h *Holder) noteEndedIncarnation(id IncarnationID, now time.Time) {
+// markIncarnationEnded adds an incarnation to those that are over. Its delegates may go on answering
+// heartbeats until their grants end.
+func (h *Holder) markIncarnationEnded(id IncarnationID, now time.Time) {
 	for other, at := range h.EndedIncarnations {
 		if now.Sub(at) > endedIncarnationRetention {
 			delete(h.EndedIncarnations, other)
--- a/internal/coordination/lease/loss.go
+++ b/internal/coordination/lease/loss.go
@@ -5,7 +5,7 @@
 	"micaspindle/internal/coordination/delegation"
 )
 
-// Why this controller stops acting under a lease.
+// Reasons for this controller to stop acting under a lease, as logged.
 const (
 	reasonLeaseEnded    = "the lease ended"
 	reasonLeaseReplaced = "another controller acquired the lease"
@@ -13,7 +13,7 @@
 	reasonControllerLeaseEnded = "the controller lease ended"
 )
 
-// LosePartition stops acting for a partition, if this controller does.
+// LosePartition stops acting as the leader of a partition, if this controller is its leader.
 func (h *Holder) LosePartition(p *cluster.Partition, reason string) {
 	if !p.Held {
 		return
@@ -24,8 +24,8 @@
 	h.ClearPartition(p)
 }
 
-// ClearPartition forgets what only the leader of a partition may believe of its jobs and
-// machines.
+// ClearPartition drops the state of a partition's jobs and machines that is valid only on the
+// partition's leader.
 func (h *Holder) ClearPartition(p *cluster.Partition) {
 	p.LeaderStateCleared = true
 	clear(p.Usage)
@@ -44,8 +44,8 @@
 	}
 }
 
-// loseAll stops acting for all partitions and as the cluster leader.
-func (h *Holder) loseAll(reason string) {
+// loseAllLeases stops acting as the leader of all partitions and of the cluster.
+func (h *Holder) loseAllLeases(reason string) {
 	h.LeaseID = 0
 	for _, p := range h.Partitions {
 		h.LosePartition(p, reason)
--- a/internal/coordination/lease/reachability.go
+++ b/internal/coordination/lease/reachability.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// silentHeartbeats is after how many missed heartbeats a machine counts as silent, and
-	// silenceMin the least time after which it does.
-	silentHeartbeats = 3
-	silenceMin       = 4 * time.Second
+	// A machine counts as silent after silentAfterMissed missed heartbeats, but not before
+	// minSilence.
+	silentAfterMissed = 3
+	minSilence        = 4 * time.Second
 )
 
-// reachability counts the machines of the partitions led here.
+// reachability counts the machines of the partitions led here, and the silent ones of them.
 type reachability struct {
 	machines, silent int
-	// diverted: some machine has reported to other controllers, and not here, for so long that
-	// it was not merely on its way back.
+	// diverted: some machine has sent its heartbeats to other controllers and not here, for longer
+	// than an agent takes to move here.
 	diverted bool
 }
 
-// cutOff says that this controller is cut off from all its agents while their heartbeats reach others.
-func (r reachability) cutOff() bool {
+// isolated says whether no agent reaches this controller while some agents reach other controllers.
+func (r reachability) isolated() bool {
 	return r.machines > 0 && r.silent == r.machines && r.diverted
 }
 
-// CheckReachability resigns if this controller can't serve its partitions: when no
-// heartbeat has arrived for several intervals while other controllers receive them, it is cut
-// off from the agents and must release its leases (rule 11).
+// CheckReachability makes this controller resign if it can't serve its partitions: if it has received
+// no heartbeat for several intervals while other controllers receive them, it is isolated from the
+// agents and must give up its leases (rule 11).
 func (h *Holder) CheckReachability(now time.Time) {
-	h.noteReportedDiversions(now)
-	silence := max(silentHeartbeats*h.HeartbeatInterval, silenceMin)
-	if reached := h.measureReachability(now, silence); reached.cutOff() {
+	h.applyReportedDiversions(now)
+	silence := max(silentAfterMissed*h.HeartbeatInterval, minSilence)
+	if reached := h.measureReachability(now, silence); reached.isolated() {
 		h.resign(reached.machines, now)
 	}
 }
 
-// noteReportedDiversions notes which machines other controllers say have come to them.
-func (h *Holder) noteReportedDiversions(now time.Time) {
+// applyReportedDiversions marks the machines that have sent heartbeats to other controllers, as the
+// summaries of those controllers say.
+func (h *Holder) applyReportedDiversions(now time.Time) {
 	for _, other := range h.Peers {
 		if !other.Alive(now) {
 			continue
@@ -51,8 +52,9 @@
 	}
 }
 
-// measureReachability counts the machines led here for at least the silence after which one
-// counts as silent, and ends the diversion of machines that have come back.
+// measureReachability counts the machines of partitions that were acquired at least the given silence
+// ago, and how many of them have been silent for longer. It clears the diversion of machines that
+// have come back.
 func (h *Holder) measureReachability(now time.Time, silence time.Duration) (r reachability) {
 	for _, m := range h.Machines {
 		p := h.Partitions[m.Record.Partition]
@@ -67,14 +69,14 @@
 		if now.Sub(reachedAt) > silence {
 			r.silent++
 		}
-		// An agent that was just sent to this controller needs a moment to get here.
+		// An agent that was just redirected to this controller takes a moment to move here.
 		r.diverted = r.diverted || !m.DivertedSince.IsZero() && now.Sub(m.DivertedSince) > silence
 	}
 	return r
 }
 
-// lastReachedAt is when the agent of a machine last reached this controller. One that comes and
-// can't be answered, in an outage of the state store say, reaches it all the same.
+// lastReachedAt is when the agent of a machine last reached this controller, even if it could not be
+// answered, for example in an outage of the state store.
 func lastReachedAt(m *cluster.Machine) time.Time {
 	if m.LastContactAt.After(m.LastHeartbeatAt) {
 		return m.LastContactAt
@@ -87,6 +89,6 @@
 	h.log.Info("controller resigned", "reason", "no heartbeats arrive here while they reach other controllers", "count", machines)
 	h.ResignedAt = now
 	lease := h.LeaseID
-	h.loseAll("resigned")
+	h.loseAllLeases("resigned")
 	h.loop.Go(func() { h.store.RevokeLease(h.loop.Context(), lease) })
 }
--- a/internal/coordination/lease/release.go
+++ b/internal/coordination/lease/release.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// SettleTime is how long a controller must have been alive, and a partition have had its
-	// leader, before the partition is handed back: a rolling restart must not move it twice.
+	// SettleTime is how long a controller must have been alive, and a partition must have had its
+	// leader, before the partition is handed back to that controller. It keeps a rolling restart
+	// from moving a partition twice.
 	SettleTime = 15 * time.Second
-	// ReleaseTimeout is how long the end of a lease may take to show: longer than a request, so
-	// that a partition is not acquired again while its release is on its way.
+	// ReleaseTimeout is how long the release of a lease may take to appear in the watch. It is
+	// longer than a request may take, so that a partition is not acquired again while its release
+	// is under way.
 	ReleaseTimeout = 4 * time.Second
-	// releasedLeasesLimit is how many released leases an incarnation's record names, unless one
-	// transaction releases more.
+	// releasedLeasesLimit is how many released leases an incarnation record names at most, unless
+	// one transaction releases more.
 	releasedLeasesLimit = 8
 )
 
@@ -31,9 +33,9 @@
 	h.loop.Go(func() { h.releaseLeases(h.loop.Context(), txn) })
 }
 
-// releaseTransaction is the transaction by which this controller releases leases after it has
-// stopped acting under them: with it, the record of its incarnation says so. leadership is the
-// revision of its lease of the leadership if that is released too, else 0.
+// releaseTransaction is the transaction that releases leases under which this controller has stopped
+// acting, and that names them in its incarnation record. leadership is the revision of the leadership
+// lease if that is released too, else 0.
 func (h *Holder) releaseTransaction(released []storage.ReleasedLease, leadership uint64) *protocol.Transaction {
 	txn := &protocol.Transaction{}
 	release := func(key string, revision uint64) {
@@ -56,11 +58,10 @@
 	return txn
 }
 
-// releaseLeases ends leases that this controller has stopped acting under, and says whether
-// that is on record. Only a leader that has stopped may do so: were the lease replaced while
-// it still answers agents, its answers would outlast the bound that the next leader counts on
-// (rules 8, 12). If the end goes unrecorded, the partition is acquired again like one of a
-// former incarnation.
+// releaseLeases commits a release transaction and says whether that succeeded. The controller must
+// have stopped acting under the leases before: if a lease changed hands while it still answered
+// heartbeats, it could answer later than the next leader allows for (rules 8, 12). If the release
+// fails, this controller acquires the partition again, as it would after a restart.
 func (h *Holder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
 	revision, err := h.store.CommitLease(ctx, txn)
 	if err != nil {
--- a/internal/coordination/lease/renewal.go
+++ b/internal/coordination/lease/renewal.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// acquireInterval is how often a controller looks whether there is a lease to acquire, so
-	// that a vacant partition waits for its delay and not for a renewal.
+	// acquireInterval is the time between two checks for leases to acquire. It is shorter than the
+	// renewal interval, so that a vacant partition doesn't wait for the next renewal.
 	acquireInterval = 250 * time.Millisecond
-	// renewalsPerTTL is how often the controller lease is renewed in its time to live.
+	// renewalsPerTTL is how many times the controller lease is renewed within its TTL.
 	renewalsPerTTL = 3
 	// renewTimeout bounds one renewal.
 	renewTimeout = time.Second
 )
 
-// RenewLoop renews the controller lease, which all leases of this process hang on, and acquires
-// the leases that it should hold, until the controller ends.
+// RenewLoop renews the controller lease, on which all leases of this process depend, and acquires the
+// leases that this controller should hold, until the controller ends.
 func (h *Holder) RenewLoop() {
 	var next time.Time
 	for {
 		if now := time.Now(); !now.Before(next) {
 			next = now.Add(h.Operator.LeaseTTL / renewalsPerTTL)
 			if !h.renew() {
-				next = now // waiting out the interval after each refusal would cost the leases
+				next = now // the leases would expire if each refusal cost a whole interval
 			}
 		}
-		h.acquireWanted()
+		h.acquireWantedLeases()
 		select {
 		case <-time.After(acquireInterval):
 		case <-h.LeaseWakeup:
@@ -38,8 +38,8 @@
 	}
 }
 
-// renew grants or renews the controller lease. It says whether the state store took the
-// request; if not, it is repeated soon.
+// renew grants or renews the controller lease. It returns false if the state store refused the
+// request, which is then to be repeated soon.
 func (h *Holder) renew() bool {
 	var lease uint64
 	if !h.loop.Do(func() { lease = h.LeaseID }) {
@@ -55,7 +55,7 @@
 	h.loop.Do(func() {
 		switch {
 		case errors.Is(err, storage.ErrNotFound):
-			h.loseAll(reasonControllerLeaseEnded)
+			h.loseAllLeases(reasonControllerLeaseEnded)
 		case err != nil:
 			h.log.Debug("controller lease renewal failed", "error", err)
 		default:
