--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -11,18 +11,19 @@
 	"micaspindle/internal/settings"
 )
 
-// slotsKey identifies jobs that the same machines run equally many tasks of.
+// slotsKey identifies jobs whose tasks need the same resources and fit the same machine types, so
+// that they have the same number of slots.
 type slotsKey struct {
 	need  binpack.Resources
 	types uint64
 }
 
-// addEstimates completes the views of those jobs that have pending tasks and a deadline; the
-// order depends on it for these only. It estimates how long they run, on which types, and how
-// many tasks the partition's machines and the team's limit let run at once.
+// addEstimates fills in the fields of views that only count for jobs with pending tasks and a
+// deadline: the estimated run time of a task, the machine types that it fits, and how many tasks
+// can run at once on the partition's machines and within the team's limit.
 func (s *Scheduler) addEstimates(p *cluster.Partition, jobs []*cluster.Job, views []queue.Job) {
 	machines := s.machinesByType(p)
-	// Beyond that many types a set does not tell them all apart.
+	// A type set leaves out the types beyond its size, so equal keys may then have unequal slots.
 	cacheable := len(s.Catalog) <= binpack.TypeSetSize
 	cache := map[slotsKey]float64{}
 	for index, job := range jobs {
@@ -36,7 +37,7 @@
 		key := slotsKey{cluster.ResourcesOf(job.Spec), view.Types}
 		slots, cached := cache[key]
 		if !cached {
-			slots = s.fleetSlots(machines, job.Spec)
+			slots = s.partitionSlots(machines, job.Spec)
 			if cacheable {
 				cache[key] = slots
 			}
@@ -56,14 +57,15 @@
 	return counts
 }
 
-// JobRunTime predicts how long a job takes from its first start to its end.
+// JobRunTime predicts how long a job takes from the start of its first task to the end of its last.
 func (s *Scheduler) JobRunTime(job *cluster.Job) time.Duration {
 	rounds := queue.Rounds(job.Spec.Tasks, s.teamParallelism(job))
 	return settings.Seconds(s.EstimateS(job.Spec) * rounds)
 }
 
-// fleetSlots is how many tasks of a job run at once on machines that are counted by type.
-func (s *Scheduler) fleetSlots(machines map[string]int, spec *protocol.JobSpec) float64 {
+// partitionSlots is how many tasks of a job can run at once if nothing else runs on the machines,
+// which are counted by type.
+func (s *Scheduler) partitionSlots(machines map[string]int, spec *protocol.JobSpec) float64 {
 	constraints, need := cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec)
 	slots := 0
 	for index := range s.Catalog {
@@ -75,7 +77,7 @@
 	return float64(slots)
 }
 
-// teamParallelism is how many tasks of a job its team's limit lets run at once.
+// teamParallelism is how many tasks of a job can run at once within its team's limit.
 func (s *Scheduler) teamParallelism(job *cluster.Job) float64 {
 	team := s.Settings.Params.Teams[job.Team]
 	if team.CPUsMax <= 0 || job.Spec.CPUs <= 0 {
@@ -84,14 +86,14 @@
 	return max(1, math.Floor((team.CPUsMax+binpack.Epsilon)/job.Spec.CPUs))
 }
 
-// typeSet is the set of machine types that a job's tasks fit, as bits.
+// typeSet is the set of machine types that a job's tasks fit, as a bit set.
 func (s *Scheduler) typeSet(spec *protocol.JobSpec) uint64 {
 	return binpack.TypeSet(cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec), s.Catalog)
 }
 
-// Scarcity says of each machine type how few choices the unfinished jobs have that need it.
-// It looks at the jobs of all partitions, since machines move between them, and is cached for
-// cluster.QueueOrderTTL.
+// Scarcity gives, for each machine type that unfinished jobs fit, the smallest number of types
+// that one of these jobs can choose from. It covers the jobs of all partitions, since machines move
+// between them, and is cached for cluster.QueueOrderTTL.
 func (s *Scheduler) Scarcity(now time.Time) binpack.Scarcity {
 	if s.ScarcityCache != nil && now.Sub(s.scarcityAt) < cluster.QueueOrderTTL {
 		return s.ScarcityCache
@@ -102,10 +104,10 @@
 			continue
 		}
 		constraints, need := cluster.ConstraintsOf(job.Spec), cluster.ResourcesOf(job.Spec)
-		breadth := binpack.TypeCount(s.typeSet(job.Spec))
+		typeCount := binpack.TypeCount(s.typeSet(job.Spec))
 		for index := range s.Catalog {
 			if machineType := &s.Catalog[index]; binpack.FitsOffered(constraints, need, machineType) {
-				scarcity.Note(machineType.Name, breadth)
+				scarcity.Note(machineType.Name, typeCount)
 			}
 		}
 	}
--- a/internal/coordination/scheduler/collaborators.go
+++ b/internal/coordination/scheduler/collaborators.go
@@ -9,6 +9,6 @@
 // Agents stops attempts on behalf of the scheduler.
 type Agents interface {
 	// StopAttempt sends the agent of an attempt's machine the command to stop it. The task
-	// gets grace seconds to save its state.
-	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
+	// gets graceS seconds to save a checkpoint.
+	StopAttempt(a *cluster.Attempt, graceS float64, now time.Time)
 }
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -10,13 +10,12 @@
 	"micaspindle/internal/telemetry"
 )
 
-// MaxClassGroups bounds the classes that are distinguished, and those whose run times are
-// learnt, since users make up their names. It does not grow with the machines; one class
-// takes up to 300 bytes.
+// MaxClassGroups bounds how many classes get a fair-share group, and how many get a correction of
+// their run times, since users choose class names freely. A class takes up to 300 bytes of memory.
 const MaxClassGroups = 1000
 
-// ClassGroup returns the fair-share group of a class, and numbers a new class. It is
-// fairshare.NoGroup once there are ClassGroupsLimit classes.
+// ClassGroup returns the fair-share group of a class. A new class gets the next number, or
+// fairshare.NoGroup once there are MaxClassGroups classes.
 func (s *Scheduler) ClassGroup(class string) int {
 	if group, known := s.ClassGroups[class]; known {
 		return group
@@ -30,7 +29,7 @@
 	return group
 }
 
-// CountDone counts a job of a partition that was done at a moment, for both of its groups.
+// CountDone adds a job that was done at the given time to the tallies of its two groups.
 func (s *Scheduler) CountDone(partition int, groups [2]int, at time.Time) {
 	now := time.Now()
 	tallies := s.Partitions[partition].DoneTallies
@@ -44,8 +43,8 @@
 	}
 }
 
-// ResetDoneCounts forgets the counts of all partitions, before those of a fresh listing of
-// the records are taken in.
+// ResetDoneCounts clears the counts of all partitions, before the done jobs of a new listing of the
+// records are counted.
 func (s *Scheduler) ResetDoneCounts() {
 	for _, partition := range s.Partitions {
 		clear(partition.DoneTallies)
@@ -53,7 +52,7 @@
 }
 
 // CountListedJob counts a job of a listing if it is done, since it may have ended while this
-// controller was not watching. raw is the job's record.
+// controller was not watching the records. raw is the job's record.
 func (s *Scheduler) CountListedJob(id string, raw []byte) {
 	if s.FinalStates[id] != protocol.StatusDone {
 		return
--- a/internal/coordination/scheduler/estimates.go
+++ b/internal/coordination/scheduler/estimates.go
@@ -12,28 +12,29 @@
 const (
 	// minRunTimeRatio and maxRunTimeRatio bound the ratio of a run time to its estimate.
 	minRunTimeRatio, maxRunTimeRatio = 0.25, 4
-	// minLearningWeight is the weight of a new run time once many were learnt.
+	// minLearningWeight is the least weight of a new run time in the average.
 	minLearningWeight = 0.02
-	// priorCount is how many run times the initial ratio of 1 stands for.
+	// priorCount is how many run times the initial ratio of 1 counts for.
 	priorCount = 5
 )
 
-// runtimeCorrection is how run times of a class compare with their estimates.
+// runtimeCorrection is the factor by which run times of a class differ from their estimates.
 type runtimeCorrection struct {
-	// Ratio is the run time over the estimate, averaged over Count tasks.
+	// Ratio is the average ratio of run time to estimate, over Count tasks.
 	Ratio float64
 	Count int
 }
 
-// learn takes in the ratio of one more task. The average follows slowly, since single
-// estimates are often wrong by half.
+// learn adds the ratio of one more task to the moving average. A single ratio has a low weight,
+// since single estimates are often wrong by half.
 func (c *runtimeCorrection) learn(ratio float64) {
 	c.Count++
 	weight := max(minLearningWeight, 1/float64(c.Count+priorCount))
 	c.Ratio += weight * (min(maxRunTimeRatio, max(minRunTimeRatio, ratio)) - c.Ratio)
 }
 
-// LearnRunTime takes in a completed task: how many seconds it ran, and was estimated to run.
+// LearnRunTime updates the correction of a class with a completed task, which ran for ranS seconds
+// and was estimated to run for estimateS.
 func (s *Scheduler) LearnRunTime(class string, ranS, estimateS float64) {
 	if estimateS <= 0 || ranS <= 0 {
 		return
@@ -49,7 +50,8 @@
 	correction.learn(ranS / estimateS)
 }
 
-// mayLearnClass reports whether the run times of one more class may be learnt.
+// mayLearnClass reports whether one more class may get a correction. If not, it counts the exceeded
+// bound.
 func (s *Scheduler) mayLearnClass() bool {
 	if len(s.Corrections) < MaxClassGroups {
 		return true
@@ -58,8 +60,8 @@
 	return false
 }
 
-// EstimateS is the submitter's estimate of a task's run time in seconds, corrected by what
-// was learnt of the job's class.
+// EstimateS is the submitter's estimate of a task's run time in seconds, times the correction for
+// the job's class.
 func (s *Scheduler) EstimateS(spec *protocol.JobSpec) float64 {
 	if correction := s.Corrections[spec.Class]; correction != nil {
 		return spec.EstimateS * correction.Ratio
@@ -67,7 +69,7 @@
 	return spec.EstimateS
 }
 
-// RuntimeCorrections lists what was learnt of all classes, by name.
+// RuntimeCorrections lists the corrections of all classes, sorted by class name.
 func (s *Scheduler) RuntimeCorrections() []*peer.RuntimeCorrection {
 	var corrections []*peer.RuntimeCorrection
 	for _, class := range slices.Sorted(maps.Keys(s.Corrections)) {
@@ -77,8 +79,8 @@
 	return corrections
 }
 
-// AdoptCorrection takes over what another controller has learnt of a class, if it has learnt
-// from more tasks than this one.
+// AdoptCorrection adopts another controller's correction of a class if that is based on more tasks
+// than this controller's own.
 func (s *Scheduler) AdoptCorrection(received *peer.RuntimeCorrection) {
 	own := s.Corrections[received.Class]
 	if own != nil && own.Count >= int(received.Count) || received.Ratio <= 0 || received.Ratio > maxRunTimeRatio {
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -9,11 +9,11 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// fairShareInterval is the least time between two decisions on what is reserved for starved
-// groups.
+// fairShareInterval is the minimum time between two updates of a partition's fair-share
+// reservations.
 const fairShareInterval = time.Second
 
-// updateFairShare decides which machines of a partition, and what of the teams' limits, are
+// updateFairShare decides which machines of a partition, and which parts of the teams' limits, are
 // reserved for starved groups.
 func (s *Scheduler) updateFairShare(p *cluster.Partition, now time.Time) {
 	if now.Sub(p.FairShare.DecidedAt) < fairShareInterval {
@@ -46,8 +46,8 @@
 	}
 }
 
-// reserveMachines decides anew for which group each usable machine of a partition is
-// reserved. It returns how many are, and how many machines are usable.
+// reserveMachines reserves each usable machine of a partition for a starved group, or for none. It
+// returns how many machines are reserved and how many are usable.
 func (s *Scheduler) reserveMachines(p *cluster.Partition, groups []fairshare.Group, now time.Time) (reserved, usable int) {
 	view := fairshare.View{Groups: groups, Jobs: s.starvedJobs(p, now)}
 	var machines []*cluster.Machine
@@ -66,7 +66,7 @@
 	return reserved, len(machines)
 }
 
-// starvedJobs lists the jobs of starved groups that could start if there were room for them.
+// starvedJobs lists the jobs of starved groups that lack nothing but free machines to start.
 func (s *Scheduler) starvedJobs(p *cluster.Partition, now time.Time) []fairshare.Job {
 	var jobs []fairshare.Job
 	for _, job := range s.Queue(p) {
@@ -84,14 +84,14 @@
 	return jobs
 }
 
-// withinQuota reports whether a job's team may start one more task of it: within the team's
-// limit, or within what is reserved of that for the job's class.
+// withinQuota reports whether one more task of a job is within its team's limit, or the job's class
+// within the part of that limit that is reserved for it.
 func (s *Scheduler) withinQuota(p *cluster.Partition, job *cluster.Job) bool {
 	limit := cluster.TeamLimit(s.Settings.Params.Teams[job.Team])
 	return limit.Allows(p.Usage[job.Team], cluster.ResourcesOf(job.Spec)) || p.FairShare.WithinReservation[teamClass(job)]
 }
 
-// fairShareMachine is what the reservation of a machine depends on.
+// fairShareMachine is the view of a machine that decides for which group it is reserved.
 func fairShareMachine(p *cluster.Partition, machine *cluster.Machine) fairshare.Machine {
 	view := fairshare.Machine{
 		Name:        machine.Name,
@@ -114,8 +114,8 @@
 	return view
 }
 
-// countGroups counts the jobs of a partition by group. What of a team is starved counts only
-// beyond the average of all teams.
+// countGroups counts the open, starved and recently done jobs of a partition by group. Of a team's
+// starved jobs, only the excess over the average of all teams is counted.
 func (s *Scheduler) countGroups(p *cluster.Partition, now time.Time) []fairshare.Group {
 	teamCount := len(s.Settings.Params.Teams)
 	groups := make([]fairshare.Group, teamCount+len(s.ClassGroups)+1)
@@ -123,10 +123,10 @@
 		if job.Partition != p.Index || !job.HasRunState || job.Blocked || job.Ended || s.FinalStates[id] != "" {
 			continue
 		}
-		late := lateShare(job, now)
+		starved := starvedFraction(job, now)
 		for _, group := range job.Groups() {
 			groups[group].Open++
-			groups[group].Starved += late
+			groups[group].Starved += starved
 		}
 	}
 	for group, tally := range p.DoneTallies {
@@ -146,15 +146,16 @@
 	return groups
 }
 
-// lateShare is the share of a job's tasks that are pending though the job has waited long.
-func lateShare(job *cluster.Job, now time.Time) float64 {
+// starvedFraction is the fraction of a job's tasks that are pending if the job has waited long
+// enough to be starved, else 0.
+func starvedFraction(job *cluster.Job, now time.Time) float64 {
 	if len(job.Pending) == 0 || now.Sub(job.ReadySince()).Seconds() <= fairshare.StarvationS(job.Spec.DeadlineS) {
 		return 0
 	}
 	return float64(len(job.Pending)) / float64(job.Spec.Tasks)
 }
 
-// starvedGroupNames names the groups for which something is reserved.
+// starvedGroupNames lists the names of the groups that get reservations.
 func (s *Scheduler) starvedGroupNames(p *cluster.Partition) []string {
 	var names []string
 	for index, team := range s.Settings.Params.Teams {
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -7,12 +7,11 @@
 	"micaspindle/internal/coordination/placement"
 )
 
-// longFetchShare is the share of a task's run time from which on fetching its image counts
-// as long.
+// longFetchShare is the share of a task's run time above which fetching its image counts as long.
 const longFetchShare = 0.15
 
-// placementBuffers are the slices that Place fills, reused from one round to the next. jobs
-// and jobViews, and machines and machineViews, have the same indexes.
+// placementBuffers are the slices that Place fills, reused from one round to the next. jobViews[i]
+// is the view of jobs[i], and machineViews[i] that of machines[i].
 type placementBuffers struct {
 	jobs         []*cluster.Job
 	jobViews     []placement.Job
@@ -20,7 +19,7 @@
 	machineViews []placement.Machine
 }
 
-// release empties the buffers, so that they don't keep jobs and machines that end alive.
+// release empties the buffers, so that they don't keep ended jobs and deleted machines in memory.
 func (b *placementBuffers) release() {
 	clear(b.jobs)
 	clear(b.jobViews)
@@ -29,8 +28,8 @@
 	b.machines, b.machineViews = b.machines[:0], b.machineViews[:0]
 }
 
-// Place assigns pending tasks of a partition to machines, by least contention, and reserves
-// an attempt for each.
+// Place assigns pending tasks of a partition to the machines with the least contention, and
+// reserves an attempt for each.
 func (s *Scheduler) Place(p *cluster.Partition, now time.Time) {
 	buffers := &s.placementBuffers
 	defer buffers.release()
@@ -50,7 +49,7 @@
 		Teams:    s.placementTeams(p),
 		Scarcity: scarcity,
 		Horizon:  s.horizon(),
-		Details:  usableMachines{scheduler: s, machines: buffers.machines, now: now},
+		Details:  machineDetails{scheduler: s, machines: buffers.machines, now: now},
 	})
 	for _, index := range plan.WantedByGangs {
 		buffers.machines[index].IdleSince = now
@@ -67,7 +66,7 @@
 			continue
 		}
 		if job.Spec.Gang && len(job.LiveAttempts) > 0 {
-			continue // attempts of the last try are still on their machines
+			continue // the gang's previous attempts are still on their machines
 		}
 		buffers.jobs = append(buffers.jobs, job)
 		buffers.jobViews = append(buffers.jobViews, s.placementView(job))
@@ -92,7 +91,7 @@
 	}
 }
 
-// placementTeams lists the teams' limits and what they use of them in a partition.
+// placementTeams lists the limit, the usage and the reserved quotas of each team in a partition.
 func (s *Scheduler) placementTeams(p *cluster.Partition) []placement.Team {
 	teams := make([]placement.Team, len(s.Settings.Params.Teams))
 	for index, team := range s.Settings.Params.Teams {
@@ -105,7 +104,7 @@
 	return teams
 }
 
-// placementView is what the placement of a job's tasks depends on.
+// placementView is the view of a job that decides where its tasks are placed.
 func (s *Scheduler) placementView(job *cluster.Job) placement.Job {
 	spec := job.Spec
 	view := placement.Job{
@@ -124,7 +123,7 @@
 		Spread:         spec.Spread,
 		Tasks:          spec.Tasks,
 		FailedMachines: job.FailedMachines,
-		Prediction:     s.predictTask(spec, 0),
+		Prediction:     s.contentionTask(spec, 0),
 	}
 	if spec.OneZone || spec.Spread {
 		view.Zones = job.ZoneCounts()
@@ -132,8 +131,9 @@
 	return view
 }
 
-// longFetchS is how many seconds fetching a job's image may take before machines that have
-// it are preferred. In a pipeline fetches add up, so there every fetch counts as long.
+// longFetchS is how many seconds fetching a job's image may take before machines that already have
+// the image are preferred. In a pipeline the fetches of its jobs add up, so every fetch counts as
+// long.
 func (s *Scheduler) longFetchS(job *cluster.Job) float64 {
 	if inPipeline(job) {
 		return 0
@@ -141,7 +141,7 @@
 	return longFetchShare * s.EstimateS(job.Spec)
 }
 
-// inPipeline reports whether a job waits for others or others wait for it.
+// inPipeline reports whether a job depends on other jobs or other jobs depend on it.
 func inPipeline(job *cluster.Job) bool {
 	return len(job.Spec.Dependencies) > 0 || !job.InheritedDeadline.IsZero()
 }
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -11,58 +11,58 @@
 // predictionHorizonS is how many seconds ahead contention is predicted.
 const predictionHorizonS = 3600
 
-// usableMachines gives placement the details of machines that it asks for few of them only.
-// It implements placement.Machines.
-type usableMachines struct {
+// machineDetails implements placement.MachineDetails: details that placement needs of few machines
+// only, and that are determined when it asks for them.
+type machineDetails struct {
 	scheduler *Scheduler
 	machines  []*cluster.Machine
 	now       time.Time
 }
 
 // HasImage reports whether a machine has an image or is fetching it already.
-func (u usableMachines) HasImage(index int, image string) bool {
-	return u.machines[index].HasImage(image)
+func (d machineDetails) HasImage(index int, image string) bool {
+	return d.machines[index].HasImage(image)
 }
 
-// Running is the prediction of a machine's running tasks. It is cached until the machine's
-// attempts change or it has grown old, so that placing a task does not predict every other
-// one anew.
-func (u usableMachines) Running(index int) *contention.Machine {
-	machine := u.machines[index]
-	if machine.Prediction == nil || u.now.Sub(machine.PredictedAt) >= cluster.QueueOrderTTL {
-		machine.Prediction = u.scheduler.predictMachine(machine, u.now)
-		machine.PredictedAt = u.now
+// Running is the contention on a machine from its running tasks. It is cached until the machine's
+// attempts change or cluster.QueueOrderTTL is over, so that placing a task does not recompute it for
+// all machines.
+func (d machineDetails) Running(index int) *contention.Machine {
+	machine := d.machines[index]
+	if machine.Prediction == nil || d.now.Sub(machine.PredictedAt) >= cluster.QueueOrderTTL {
+		machine.Prediction = d.scheduler.contentionMachine(machine, d.now)
+		machine.PredictedAt = d.now
 	}
 	return machine.Prediction
 }
 
-// horizon bounds the predictions of contention.
+// horizon limits how far ahead contention is predicted.
 func (s *Scheduler) horizon() contention.Horizon {
 	return contention.Horizon{MaxS: predictionHorizonS, OverdueS: s.HeartbeatInterval.Seconds()}
 }
 
-// predictMachine predicts the contention on a machine from its running tasks.
-func (s *Scheduler) predictMachine(machine *cluster.Machine, now time.Time) *contention.Machine {
-	return &contention.Machine{Tasks: s.predictTasks(machine, now), UseLimit: s.Operator.LimitShare * machine.Type.CPUs}
+// contentionMachine describes a machine and its running tasks for the contention prediction.
+func (s *Scheduler) contentionMachine(machine *cluster.Machine, now time.Time) *contention.Machine {
+	return &contention.Machine{Tasks: s.contentionTasks(machine, now), UseLimit: s.Operator.LimitShare * machine.Type.CPUs}
 }
 
-// predictTasks describes the running tasks of a machine.
-func (s *Scheduler) predictTasks(machine *cluster.Machine, now time.Time) []contention.Task {
+// contentionTasks describes the running tasks of a machine for the contention prediction.
+func (s *Scheduler) contentionTasks(machine *cluster.Machine, now time.Time) []contention.Task {
 	var tasks []contention.Task
 	for _, attempt := range machine.Attempts {
 		if attempt.Live() {
-			tasks = append(tasks, s.predictTask(attempt.Job.Spec, attempt.RunTimeS(now)))
+			tasks = append(tasks, s.contentionTask(attempt.Job.Spec, attempt.RunTimeS(now)))
 		}
 	}
 	return tasks
 }
 
-// predictTask describes a task of a job that has run for so many seconds.
-func (s *Scheduler) predictTask(spec *protocol.JobSpec, elapsedS float64) contention.Task {
+// contentionTask describes a task that has run for elapsedS seconds for the contention prediction.
+func (s *Scheduler) contentionTask(spec *protocol.JobSpec, elapsedS float64) contention.Task {
 	return contention.Task{ElapsedS: elapsedS, EstimateS: s.EstimateS(spec), Use: spec.CPUs, Service: spec.Standing}
 }
 
-// RemainingS predicts how many seconds an attempt still runs.
+// RemainingS predicts for how many more seconds an attempt runs.
 func (s *Scheduler) RemainingS(a *cluster.Attempt, now time.Time) float64 {
 	if a.Job.Spec.Standing {
 		return predictionHorizonS
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -10,50 +10,52 @@
 )
 
 const (
-	// preemptInterval is the least time between two rounds of preemption in a partition.
+	// preemptInterval is the minimum time between two rounds of preemption in a partition.
 	preemptInterval = time.Second
-	// stopGraceMarginS is how many seconds a preempted task gets beyond what it needs to
-	// save its state.
+	// stopGraceMarginS is how many seconds a preempted task gets in addition to the time that
+	// it needs to save a checkpoint.
 	stopGraceMarginS = 1
 )
 
-// Why an attempt is preempted.
+// Reasons for preempting an attempt, as logged.
 const (
 	preemptForStart = "job must start now"
 	preemptForQuota = "team limit reached"
 )
 
-// Preempt stops running attempts for jobs of a partition that must start now and find no
-// room.
+// Preempt stops running attempts for jobs of a partition that must start now and for which no
+// machine has free capacity, or whose team has reached its limit.
 func (s *Scheduler) Preempt(p *cluster.Partition, now time.Time) {
 	if now.Sub(p.PreemptionCheckedAt) < preemptInterval {
 		return
 	}
 	p.PreemptionCheckedAt = now
 	jobs := s.Queue(p)
-	// Gathering the view is costly, and most of the time nothing must start at once.
+	// Building the view is expensive, and mostly no job has to start now.
 	if !slices.ContainsFunc(jobs, func(job *cluster.Job) bool { return s.mustStart(p, job, now) }) {
 		return
 	}
-	jobs = append(jobs, p.IdleJobs...) // they have running attempts that may be stopped
+	jobs = append(jobs, p.IdleJobs...) // their running attempts may be preempted
 	view, attempts := s.preemptionView(p, jobs, now)
 	for _, stop := range preemption.Decide(view) {
 		s.preempt(attempts[stop.Task], jobs[stop.Job], stop.TeamLimit, now)
 	}
 }
 
-// preempt stops an attempt for another job.
-func (s *Scheduler) preempt(attempt *cluster.Attempt, beneficiary *cluster.Job, ownLimit bool, now time.Time) {
+// preempt stops an attempt for another job, the preemptor. atTeamLimit says that the preemptor waits
+// for its team's limit and not for free capacity.
+func (s *Scheduler) preempt(attempt *cluster.Attempt, preemptor *cluster.Job, atTeamLimit bool, now time.Time) {
 	reason := preemptForStart
-	if ownLimit {
+	if atTeamLimit {
 		reason = preemptForQuota
 	}
-	s.log.Info("attempt preempted", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", attempt.Machine.Name, "preemptor", beneficiary.Spec.ID, "reason", reason)
+	s.log.Info("attempt preempted", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", attempt.Machine.Name, "preemptor", preemptor.Spec.ID, "reason", reason)
 	s.metrics.Count(telemetry.AttemptPreempted, 1)
 	s.agents.StopAttempt(attempt, attempt.Job.Spec.SaveS+stopGraceMarginS, now)
 }
 
-// mustStart reports whether a job has to start now, so that others may be preempted for it.
+// mustStart reports whether a job has to start now, so that attempts of other jobs may be preempted
+// for it.
 func (s *Scheduler) mustStart(p *cluster.Partition, job *cluster.Job, now time.Time) bool {
 	if len(job.Pending) == 0 || !mayPreempt(job, now) {
 		return false
@@ -62,7 +64,7 @@
 	return preemption.MustStart(&view, &team, now)
 }
 
-// mayPreempt reports whether other work may be preempted for a job at all.
+// mayPreempt reports whether attempts of other jobs may be preempted for a job at all.
 func mayPreempt(job *cluster.Job, now time.Time) bool {
 	return !job.Spec.Gang && !job.Ended && !now.Before(job.BackoffUntil)
 }
--- a/internal/coordination/scheduler/preemption_view.go
+++ b/internal/coordination/scheduler/preemption_view.go
@@ -11,8 +11,8 @@
 	"micaspindle/internal/coordination/preemption"
 )
 
-// preemptionViewBuilder gathers what preemption in a partition depends on. Jobs and attempts
-// get an index in the view when they are first met.
+// preemptionViewBuilder builds the view from which preemption in a partition is decided. Jobs and
+// attempts get their index in the view when they are first added.
 type preemptionViewBuilder struct {
 	scheduler *Scheduler
 	partition *cluster.Partition
@@ -24,9 +24,9 @@
 	attemptIndex map[*cluster.Attempt]int
 }
 
-// preemptionView gathers the given jobs of a partition, and all that runs on its usable
-// machines. The jobs keep their indexes; the attempts are those of the view's tasks.
-func (s *Scheduler) preemptionView(p *cluster.Partition, jobs []*cluster.Job, now time.Time) (preemption.View, []*cluster.Attempt) {
+// preemptionView builds the view of the given jobs of a partition and of the attempts on its usable
+// machines. The view starts with the given jobs in the same order, and attempts[i] is its task i.
+func (s *Scheduler) preemptionView(p *cluster.Partition, jobs []*cluster.Job, now time.Time) (view preemption.View, attempts []*cluster.Attempt) {
 	builder := &preemptionViewBuilder{
 		scheduler:    s,
 		partition:    p,
@@ -51,26 +51,26 @@
 func (b *preemptionViewBuilder) addJobs(jobs []*cluster.Job) {
 	zones := b.scheduler.machineZones()
 	for _, job := range jobs {
-		index := b.job(job)
+		index := b.ensureJob(job)
 		if len(job.Pending) > 0 && (job.Spec.OneZone || job.Spec.Spread) {
 			b.view.Jobs[index].ClosedZones = closedZones(job, zones)
 		}
 	}
 }
 
-// addAttempts adds the live attempts of jobs, also those on machines that are not usable:
+// addAttempts adds the live attempts of jobs, also those on machines that are not usable, since
 // they count against their teams' limits.
 func (b *preemptionViewBuilder) addAttempts(jobs []*cluster.Job) {
 	for _, job := range jobs {
 		for _, attempt := range job.Attempts() {
 			if attempt.Live() {
-				b.attempt(attempt)
+				b.ensureAttempt(attempt)
 			}
 		}
 	}
 }
 
-// addMachines adds the usable machines of the partition, by name.
+// addMachines adds the usable machines of the partition, sorted by name.
 func (b *preemptionViewBuilder) addMachines() {
 	for _, machine := range b.scheduler.Machines {
 		if !b.scheduler.usableIn(b.partition, machine, b.now) {
@@ -79,7 +79,7 @@
 		view := preemption.Machine{Name: machine.Name, Kind: cluster.MachineKindOf(machine.Record), Free: machine.Free()}
 		for _, attempt := range machine.SortedAttempts() {
 			if attempt.Live() {
-				view.Tasks = append(view.Tasks, b.attempt(attempt))
+				view.Tasks = append(view.Tasks, b.ensureAttempt(attempt))
 			}
 		}
 		b.view.Machines = append(b.view.Machines, view)
@@ -87,8 +87,8 @@
 	slices.SortFunc(b.view.Machines, func(x, y preemption.Machine) int { return cmp.Compare(x.Name, y.Name) })
 }
 
-// job returns the index of a job, which it adds if need be.
-func (b *preemptionViewBuilder) job(job *cluster.Job) int {
+// ensureJob returns the index of a job in the view, and adds the job if it is missing.
+func (b *preemptionViewBuilder) ensureJob(job *cluster.Job) int {
 	index, known := b.jobIndex[job]
 	if !known {
 		index = len(b.view.Jobs)
@@ -98,15 +98,15 @@
 	return index
 }
 
-// attempt returns the index of an attempt, which it adds if need be.
-func (b *preemptionViewBuilder) attempt(attempt *cluster.Attempt) int {
+// ensureAttempt returns the index of an attempt in the view, and adds the attempt if it is missing.
+func (b *preemptionViewBuilder) ensureAttempt(attempt *cluster.Attempt) int {
 	index, known := b.attemptIndex[attempt]
 	if !known {
 		index = len(b.attempts)
 		b.attemptIndex[attempt] = index
 		b.attempts = append(b.attempts, attempt)
 		b.view.Tasks = append(b.view.Tasks, preemption.Task{
-			Job:         b.job(attempt.Job),
+			Job:         b.ensureJob(attempt.Job),
 			Name:        attempt.TaskName(),
 			LostWork:    lostWork(attempt, b.now),
 			Stopping:    attempt.Stopping,
@@ -116,7 +116,7 @@
 	return index
 }
 
-// preemptionJob is what preemption depends on of a job, but for its closed zones.
+// preemptionJob is the view of a job for preemption, without its closed zones.
 func (s *Scheduler) preemptionJob(job *cluster.Job, now time.Time) preemption.Job {
 	deadline, _ := job.Deadline()
 	return preemption.Job{
@@ -135,7 +135,7 @@
 	}
 }
 
-// preemptionTeam is a team's guarantee, limit and use in a partition.
+// preemptionTeam is a team's guarantee, limit and usage in a partition.
 func (s *Scheduler) preemptionTeam(p *cluster.Partition, index int) preemption.Team {
 	team := s.Settings.Params.Teams[index]
 	return preemption.Team{
@@ -154,7 +154,7 @@
 	return zones
 }
 
-// closedZones says of each zone whether no further task of a job may start there.
+// closedZones reports for each zone whether it is closed to further tasks of a job.
 func closedZones(job *cluster.Job, zones map[string]bool) map[string]bool {
 	closed, running := map[string]bool{}, job.ZoneCounts()
 	for zone := range zones {
@@ -163,8 +163,8 @@
 	return closed
 }
 
-// lostWork is the work that stopping an attempt throws away, in CPU seconds. A service loses
-// nothing: what its replicas have run has been of use.
+// lostWork is the work that preempting an attempt discards, in CPU seconds. A service loses none,
+// since its replicas have no result to complete.
 func lostWork(attempt *cluster.Attempt, now time.Time) float64 {
 	spec := attempt.Job.Spec
 	lostS := 0.0
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -8,42 +8,42 @@
 	"micaspindle/internal/coordination/queue"
 )
 
-// queueBuffers are the slices that Queue sorts in, reused from one call to the next. They
-// have the same indexes.
+// queueBuffers are the slices that Queue sorts in, reused from one call to the next. views[i] is the
+// view of jobs[i].
 type queueBuffers struct {
 	jobs  []*cluster.Job
 	views []queue.Job
 }
 
-// Queue lists the jobs of a partition that need the scheduler or the committer, in the order
-// in which they are served: those with pending tasks, with records to write, or at their end.
-// The caller owns the list.
+// Queue lists the jobs of a partition that need the scheduler or the committer, in the order in
+// which they are served: those that have pending tasks or records to write, or that are completing.
+// The caller may modify the list.
 //
-// The order is cached for cluster.QueueOrderTTL, so that events do not each sort all jobs
-// again, unless a job that was idle comes to need something: were it served last, its tasks
-// would find the room taken, and its end would be recorded, and its team's room be free, a
-// batch later.
+// The order is cached for cluster.QueueOrderTTL, so that not every event sorts all jobs again. It is
+// recomputed at once when an idle job gets work. Otherwise the job would be served last: its tasks
+// would find no free capacity, and its completion would be recorded, and its team's quota released,
+// one batch late.
 func (s *Scheduler) Queue(p *cluster.Partition) []*cluster.Job {
 	now := time.Now()
-	if p.QueueOrder == nil || now.Sub(p.QueueOrderedAt) >= cluster.QueueOrderTTL || slices.ContainsFunc(p.IdleJobs, s.needsService) {
+	if p.QueueOrder == nil || now.Sub(p.QueueOrderedAt) >= cluster.QueueOrderTTL || slices.ContainsFunc(p.IdleJobs, s.belongsInQueue) {
 		s.sortQueue(p, now)
 	} else {
-		p.QueueOrder = slices.DeleteFunc(p.QueueOrder, s.unloaded)
+		p.QueueOrder = slices.DeleteFunc(p.QueueOrder, s.noLongerScheduled)
 	}
 	return slices.Clone(p.QueueOrder)
 }
 
-// unloaded reports whether a job is no longer scheduled by this controller.
-func (s *Scheduler) unloaded(job *cluster.Job) bool {
+// noLongerScheduled reports whether a job is no longer scheduled by this controller.
+func (s *Scheduler) noLongerScheduled(job *cluster.Job) bool {
 	return !job.HasRunState || s.Jobs[job.Spec.ID] != job
 }
 
-// needsService reports whether a job belongs in the queue.
-func (s *Scheduler) needsService(job *cluster.Job) bool {
-	return job.HasWork() && !s.unloaded(job)
+// belongsInQueue reports whether a job has work and is still scheduled by this controller.
+func (s *Scheduler) belongsInQueue(job *cluster.Job) bool {
+	return job.HasWork() && !s.noLongerScheduled(job)
 }
 
-// sortQueue sorts the queue of a partition anew.
+// sortQueue recomputes the queue order and the idle jobs of a partition.
 func (s *Scheduler) sortQueue(p *cluster.Partition, now time.Time) {
 	jobs, views := s.queueBuffers.jobs[:0], s.queueBuffers.views[:0]
 	p.QueueOrder, p.IdleJobs, p.QueueOrderedAt = []*cluster.Job{}, p.IdleJobs[:0], now
@@ -62,10 +62,10 @@
 	for _, index := range queue.Order(views, now) {
 		p.QueueOrder = append(p.QueueOrder, jobs[index])
 	}
-	clear(jobs) // so that the buffer does not keep jobs that end alive
+	clear(jobs) // so that the buffer does not keep ended jobs in memory
 }
 
-// queueView is what the order depends on of every job.
+// queueView is the view of a job for the queue order, without the fields that addEstimates sets.
 func queueView(job *cluster.Job) queue.Job {
 	deadline, _ := job.Deadline()
 	return queue.Job{
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -8,14 +8,14 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// teamClass identifies the jobs that share a team and a class with this one.
+// teamClass is the team and the class of a job.
 func teamClass(job *cluster.Job) cluster.TeamClass {
 	return cluster.TeamClass{Team: job.Team, ClassGroup: job.ClassGroup}
 }
 
-// reserveQuota reserves a share of the teams' limits for their starved classes, as far as
-// machines have room for their tasks now: where a class waits for room, the limit is of more
-// use to others.
+// reserveQuota reserves parts of the teams' limits for their starved classes, but only for tasks for
+// which machines have free capacity now. While a class waits for machines, other classes can make
+// better use of the limit.
 func (s *Scheduler) reserveQuota(p *cluster.Partition, now time.Time) {
 	uses := s.quotaWanted(p, now)
 	s.addQuotaUsed(uses)
@@ -37,8 +37,8 @@
 	}
 }
 
-// quotaWanted adds up, for the starved classes of teams that have a limit, the tasks that
-// machines of a partition have room for.
+// quotaWanted adds up the pending tasks for which machines of a partition have free capacity, by
+// starved class of the teams that have a limit.
 func (s *Scheduler) quotaWanted(p *cluster.Partition, now time.Time) map[cluster.TeamClass]fairshare.ClassUse {
 	wanted := map[cluster.TeamClass]fairshare.ClassUse{}
 	free := map[*cluster.Machine]binpack.Resources{}
@@ -55,15 +55,15 @@
 		}
 		use := wanted[teamClass(job)]
 		use.Class = job.ClassGroup
-		use.Wanted.Add(cluster.ResourcesOf(job.Spec), float64(takeSlots(job, machines, free)))
+		use.Wanted.Add(cluster.ResourcesOf(job.Spec), float64(allocateSlots(job, machines, free)))
 		wanted[teamClass(job)] = use
 	}
 	return wanted
 }
 
-// takeSlots returns how many pending tasks of a job machines have room for, and takes that
-// room off what is free.
-func takeSlots(job *cluster.Job, machines []*cluster.Machine, free map[*cluster.Machine]binpack.Resources) int {
+// allocateSlots returns how many pending tasks of a job fit on machines, and subtracts the resources
+// of these tasks from free.
+func allocateSlots(job *cluster.Job, machines []*cluster.Machine, free map[*cluster.Machine]binpack.Resources) int {
 	taken, need, constraints := 0, cluster.ResourcesOf(job.Spec), cluster.ConstraintsOf(job.Spec)
 	for _, machine := range machines {
 		if reservedForOthers(machine, job) || !constraints.Allows(cluster.MachineKindOf(machine.Record)) {
@@ -76,13 +76,13 @@
 	return taken
 }
 
-// reservedForOthers reports whether a machine is reserved for a group that a job is not of.
+// reservedForOthers reports whether a machine is reserved for a group to which a job doesn't belong.
 func reservedForOthers(machine *cluster.Machine, job *cluster.Job) bool {
 	group := machine.ReservedFor
 	return group != fairshare.NoGroup && group != job.ClassGroup && group != cluster.TeamGroup(job.Team)
 }
 
-// addQuotaUsed adds up what the classes in uses take of their teams' limits.
+// addQuotaUsed adds to uses what the live attempts of each class in it take of their team's limit.
 func (s *Scheduler) addQuotaUsed(uses map[cluster.TeamClass]fairshare.ClassUse) {
 	for _, job := range s.Jobs {
 		use, counted := uses[teamClass(job)]
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/storage"
 )
 
-// reservePlan reserves attempts for all assignments of a plan, in which those of a job are
-// consecutive. Indexes refer to the placement buffers.
+// reservePlan reserves attempts for all assignments of a plan, which has the assignments of a job
+// next to each other. The plan refers to jobs and machines by their indexes in the placement buffers.
 func (s *Scheduler) reservePlan(p *cluster.Partition, plan []placement.Assignment, now time.Time) {
 	for len(plan) > 0 {
 		job, count := plan[0].Job, 1
@@ -21,9 +21,8 @@
 	}
 }
 
-// reserveJob reserves the attempts that were planned for a job, as far as its records have
-// room for them; tasks without room wait for the next round. Of a gang all are reserved or
-// none.
+// reserveJob reserves the attempts that were planned for a job. Attempts that don't fit into the
+// job's records are left to the next round. Of a gang, either all attempts are reserved or none.
 func (s *Scheduler) reserveJob(p *cluster.Partition, job *cluster.Job, plan []placement.Assignment, now time.Time) {
 	if job.Spec.Gang {
 		s.reserveGang(p, job, plan, now)
@@ -33,7 +32,7 @@
 	for _, assignment := range plan {
 		task, machine := job.Pending[reserved], s.placementBuffers.machines[assignment.Machine]
 		number := job.Chunk(task).LastNumber + 1
-		if !s.hasRecordRoom(job, task, number, machine) {
+		if !s.hasRecordSpace(job, task, number, machine) {
 			break
 		}
 		s.Reserve(p, job, task, number, machine, now)
@@ -42,19 +41,19 @@
 	dropPending(job, reserved)
 }
 
-// reserveGang reserves attempts for all tasks of a gang, or none if its records lack room.
-// All attempts of a gang share one attempt number, by which agents know their peers.
+// reserveGang reserves attempts for all tasks of a gang, or none if they don't fit into its records.
+// All attempts share one attempt number, by which agents know that they belong together.
 func (s *Scheduler) reserveGang(p *cluster.Partition, job *cluster.Job, plan []placement.Assignment, now time.Time) {
 	number := uint64(1)
-	before := map[int]cluster.RunChunk{}
+	previous := map[int]cluster.RunChunk{}
 	for index, chunk := range job.Chunks {
-		before[index] = *chunk
+		previous[index] = *chunk
 		number = max(number, chunk.LastNumber+1)
 	}
 	for index, assignment := range plan {
 		task, machine := job.Pending[index], s.placementBuffers.machines[assignment.Machine]
-		if !s.hasRecordRoom(job, task, number, machine) {
-			s.unreserveGang(p, job, before)
+		if !s.hasRecordSpace(job, task, number, machine) {
+			s.unreserveGang(p, job, previous)
 			return
 		}
 		s.Reserve(p, job, task, number, machine, now)
@@ -62,16 +61,17 @@
 	dropPending(job, len(plan))
 }
 
-// dropPending removes the first pending tasks of a job, which have attempts now.
+// dropPending removes the first count tasks from a job's pending tasks, since they have attempts now.
 func dropPending(job *cluster.Job, count int) {
 	job.Pending = job.Pending[count:]
 	if len(job.Pending) == 0 {
-		job.Pending = nil // lets go of the array
+		job.Pending = nil // frees the backing array
 	}
 }
 
-// unreserveGang undoes the reservations for a gang. before holds its chunks as they were.
-func (s *Scheduler) unreserveGang(p *cluster.Partition, job *cluster.Job, before map[int]cluster.RunChunk) {
+// unreserveGang undoes the reservations for a gang. previous has copies of its chunks from before
+// the first reservation.
+func (s *Scheduler) unreserveGang(p *cluster.Partition, job *cluster.Job, previous map[int]cluster.RunChunk) {
 	for _, attempt := range job.LiveAttempts {
 		delete(attempt.Machine.Attempts, cluster.AttemptKey(attempt.TaskName(), attempt.Number))
 		attempt.Machine.RecountUsed()
@@ -79,7 +79,7 @@
 	}
 	clear(job.LiveAttempts)
 	for index, chunk := range job.Chunks {
-		old, existed := before[index]
+		old, existed := previous[index]
 		if !existed {
 			delete(job.Chunks, index)
 			continue
@@ -88,8 +88,8 @@
 	}
 }
 
-// Reserve makes an attempt of a task on a machine, counts its resources there and for its
-// team, and marks its chunk of the job's records as changed.
+// Reserve makes an attempt of a task on a machine, adds its resources to the usage of the machine and
+// of the team, and marks the task's chunk of the job's records as changed.
 func (s *Scheduler) Reserve(p *cluster.Partition, job *cluster.Job, task int, number uint64, machine *cluster.Machine, now time.Time) {
 	chunk := job.Chunk(task)
 	chunk.LastNumber = max(chunk.LastNumber, number)
@@ -102,9 +102,9 @@
 	job.MarkDirty(task, true, now)
 }
 
-// hasRecordRoom reports whether the record of a task's chunk has room for one more attempt.
-// It adds up what the chunk's tasks take now; as they end, that only falls.
-func (s *Scheduler) hasRecordRoom(job *cluster.Job, task int, number uint64, machine *cluster.Machine) bool {
+// hasRecordSpace reports whether the record of a task's chunk has space for one more attempt. It
+// adds up the space that the chunk's tasks take now, which only shrinks as they end.
+func (s *Scheduler) hasRecordSpace(job *cluster.Job, task int, number uint64, machine *cluster.Machine) bool {
 	size := storage.RunBaseSize + storage.AttemptSize(number, machine.Name, machine.Epoch)
 	first := task / storage.ChunkTasks * storage.ChunkTasks
 	for t := first; t < min(first+storage.ChunkTasks, job.Spec.Tasks); t++ {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduler decides which tasks of a partition run where. It gathers views of the
-// state, has the pure packages queue, placement, preemption, fairshare and contention decide,
-// and applies their plans: it reserves attempts on machines and preempts running ones. It owns
-// the corrections of run-time estimates and the reservations of the fair share.
+// Package scheduler decides which tasks of a partition run where. It builds views of the state,
+// passes them to the pure packages queue, placement, preemption, fairshare and contention, and
+// carries out their decisions: it reserves attempts on machines and preempts running ones. It owns
+// the corrections of run-time estimates and the fair-share reservations.
 //
 // All methods run in the event loop, and only the leader of a partition schedules it.
 package scheduler
@@ -27,12 +27,12 @@
 
 	agents Agents
 
-	// Corrections hold, by class, how run times compare with their estimates.
+	// Corrections are those of run-time estimates, by class.
 	Corrections map[string]*runtimeCorrection
-	// ScarcityCache is the last result of Scarcity, computed at scarcityAt; nil: none.
+	// ScarcityCache is the last result of Scarcity, computed at scarcityAt; nil if there is none.
 	ScarcityCache binpack.Scarcity
 	scarcityAt    time.Time
-	// ClassGroups numbers the classes as groups of the fair share, after the teams.
+	// ClassGroups has the fair-share group of each class; the numbers follow those of the teams.
 	ClassGroups map[string]int
 
 	queueBuffers     queueBuffers
