--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	h.replicator.SendUpdates(ctx)
 	for busy := true; busy && ctx.Err() == nil; time.Sleep(drainPollInterval) {
-		h.loop.Do(func() { busy = h.Busy() })
+		h.loop.Do(func() { busy = h.hasUnansweredRequests() })
 	}
 }
 
@@ -87,8 +87,8 @@
 	return released, leadership
 }
 
-// Busy says whether commands or commits of the partitions led here are still unanswered.
-func (h *Holder) Busy() bool {
+// hasUnansweredRequests says whether commands or commits of the partitions led here are still unanswered.
+func (h *Holder) hasUnansweredRequests() bool {
 	for _, p := range h.Partitions {
 		if p.Held && p.Committing {
 			return true
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// ResetDoneCounts clears the counts of all partitions, before the done jobs of a new listing of the
-// records are counted.
+// ResetDoneCounts clears the counts of all partitions, before the done jobs of a new listing are
+// counted.
 func (s *Scheduler) ResetDoneCounts() {
 	for _, partition := range s.Partitions {
 		clear(partition.DoneTallies)
--- a/internal/coordination/scheduler/estimates.go
+++ b/internal/coordination/scheduler/estimates.go
@@ -79,7 +79,7 @@
 	return corrections
 }
 
-// AdoptCorrection adopts another controller's correction of a class if that is based on more tasks
+// AdoptCorrection adopts another controller's correction of a class if it is based on more tasks
 // than this controller's own.
 func (s *Scheduler) AdoptCorrection(received *peer.RuntimeCorrection) {
 	own := s.Corrections[received.Class]
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -66,7 +66,7 @@
 	return reserved, len(machines)
 }
 
-// starvedJobs lists the jobs of starved groups that lack nothing but free machines to start.
+// starvedJobs lists the jobs of starved groups that need only free machines to start.
 func (s *Scheduler) starvedJobs(p *cluster.Partition, now time.Time) []fairshare.Job {
 	var jobs []fairshare.Job
 	for _, job := range s.Queue(p) {
@@ -84,14 +84,14 @@
 	return jobs
 }
 
-// withinQuota reports whether one more task of a job is within its team's limit, or the job's class
-// within the part of that limit that is reserved for it.
+// withinQuota reports whether one more task of a job fits into its team's limit, or whether the job's
+// class stays within the part of that limit that is reserved for it.
 func (s *Scheduler) withinQuota(p *cluster.Partition, job *cluster.Job) bool {
 	limit := cluster.TeamLimit(s.Settings.Params.Teams[job.Team])
 	return limit.Allows(p.Usage[job.Team], cluster.ResourcesOf(job.Spec)) || p.FairShare.WithinReservation[teamClass(job)]
 }
 
-// fairShareMachine is the view of a machine that decides for which group it is reserved.
+// fairShareMachine is the view of a machine for the fair-share reservations.
 func fairShareMachine(p *cluster.Partition, machine *cluster.Machine) fairshare.Machine {
 	view := fairshare.Machine{
 		Name:        machine.Name,
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -104,7 +104,7 @@
 	return teams
 }
 
-// placementView is the view of a job that decides where its tasks are placed.
+// placementView is the view of a job for placement.
 func (s *Scheduler) placementView(job *cluster.Job) placement.Job {
 	spec := job.Spec
 	view := placement.Job{
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -11,8 +11,8 @@
 // predictionHorizonS is how many seconds ahead contention is predicted.
 const predictionHorizonS = 3600
 
-// machineDetails implements placement.MachineDetails: details that placement needs of few machines
-// only, and that are determined when it asks for them.
+// machineDetails implements placement.MachineDetails. It determines details of a machine only when
+// placement asks for them, which it does for few machines.
 type machineDetails struct {
 	scheduler *Scheduler
 	machines  []*cluster.Machine
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -31,7 +31,7 @@
 	}
 	p.PreemptionCheckedAt = now
 	jobs := s.Queue(p)
-	// Building the view is expensive, and mostly no job has to start now.
+	// Building the view is expensive, and usually no job has to start now.
 	if !slices.ContainsFunc(jobs, func(job *cluster.Job) bool { return s.mustStart(p, job, now) }) {
 		return
 	}
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -33,7 +33,8 @@
 	return slices.Clone(p.QueueOrder)
 }
 
-// noLongerScheduled reports whether a job is no longer scheduled by this controller.
+// noLongerScheduled reports whether this controller has dropped a job, or the job's run state, and so
+// no longer schedules it.
 func (s *Scheduler) noLongerScheduled(job *cluster.Job) bool {
 	return !job.HasRunState || s.Jobs[job.Spec.ID] != job
 }
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// quotaWanted adds up the pending tasks for which machines of a partition have free capacity, by
-// starved class of the teams that have a limit.
+// quotaWanted adds up, by team and starved class, the resources of the pending tasks for which
+// machines of a partition have free capacity. Teams without a limit are left out.
 func (s *Scheduler) quotaWanted(p *cluster.Partition, now time.Time) map[cluster.TeamClass]fairshare.ClassUse {
 	wanted := map[cluster.TeamClass]fairshare.ClassUse{}
 	free := map[*cluster.Machine]binpack.Resources{}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -27,7 +27,7 @@
 
 	agents Agents
 
-	// Corrections are those of run-time estimates, by class.
+	// Corrections are the corrections of run-time estimates, by class.
 	Corrections map[string]*runtimeCorrection
 	// ScarcityCache is the last result of Scarcity, computed at scarcityAt; nil if there is none.
 	ScarcityCache binpack.Scarcity
