--- a/internal/coordination/autoscaler/catalog.go
+++ b/internal/coordination/autoscaler/catalog.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// catalogCheckInterval is how often it is checked whether the catalog is to be fetched.
+	// catalogCheckInterval is how often CatalogLoop checks whether it must fetch the catalog.
 	catalogCheckInterval = time.Second
-	// catalogRefreshInterval is how often the leader fetches the catalog.
+	// catalogRefreshInterval is how often the cluster leader fetches the catalog.
 	catalogRefreshInterval = 20 * time.Second
 )
 
-// CatalogLoop fetches the cloud's machine types until the event loop's context ends. Only the
-// leader fetches them again and again, for the prices; the others do until they know them.
+// CatalogLoop fetches the cloud's catalog of machine types until the event loop's context ends. The
+// cluster leader fetches it periodically, because prices change. The other controllers fetch it
+// only until they have one.
 func (a *Autoscaler) CatalogLoop() {
 	pause := time.Duration(0)
 	for a.loop.Sleep(pause) {
 		pause = catalogCheckInterval
-		wanted, leading := false, false
+		needed, leading := false, false
 		a.loop.Do(func() {
 			leading = a.Leadership.Held
-			wanted = len(a.Catalog) == 0 || leading
+			needed = len(a.Catalog) == 0 || leading
 		})
-		if !wanted {
+		if !needed {
 			continue
 		}
 		catalog, err := a.cloud.Catalog()
 		if err != nil {
-			a.log.Debug("catalog not available", "error", err)
+			a.log.Debug("catalog fetch failed", "error", err)
 			continue
 		}
 		a.loop.Do(func() { a.SetCatalog(catalog.Types) })
@@ -42,8 +43,8 @@
 	}
 }
 
-// recordCatalog records the machine types, if they are not on record yet, for controllers that
-// start while the cloud's interface is down.
+// recordCatalog writes the catalog to the state store, if it is not there yet, for controllers that
+// start while the cloud API is unavailable.
 func (a *Autoscaler) recordCatalog(catalog protocol.Catalog) {
 	ctx := a.loop.Context()
 	if _, err := a.store.Get(ctx, storage.CatalogKey); !errors.Is(err, storage.ErrNotFound) {
@@ -51,13 +52,13 @@
 	}
 	value := storage.Encode(catalog)
 	if protocol.JSONSize(value) > a.store.ValueBytes() {
-		return // the record only helps while the cloud is down
+		return // too large for the state store, and only needed while the cloud API is unavailable
 	}
 	_, err := a.store.Commit(ctx, &protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.CatalogKey, Version: 0}},
 		Then: []protocol.Change{{Put: storage.CatalogKey, Value: value}},
 	})
 	if err != nil {
-		a.log.Debug("catalog not recorded", "error", err)
+		a.log.Debug("catalog record write failed", "error", err)
 	}
 }
--- a/internal/coordination/autoscaler/leadership.go
+++ b/internal/coordination/autoscaler/leadership.go
@@ -8,11 +8,11 @@
 	"micaspindle/internal/storage"
 )
 
-// ApplyLeadership follows a change of the cluster leader's record.
+// ApplyLeadership applies a change of the leadership record.
 func (a *Autoscaler) ApplyLeadership(event protocol.Event, now time.Time) {
 	leadership := &a.Leadership
 	if event.Version < leadership.Revision || event.Put != "" && event.Version == leadership.Revision {
-		return // known already
+		return // already applied
 	}
 	if event.Delete != "" {
 		a.applyVacancy(now)
@@ -29,11 +29,12 @@
 		leadership.Reset()
 		leadership.Held = true
 		a.ResumeLeadership(a.LastLeaderUpdate, now)
-		a.log.Info("cluster leadership gained", "token", leadership.Revision)
+		a.log.Info("cluster leadership acquired", "token", leadership.Revision)
 	}
 }
 
-// applyVacancy notes that the cluster has no leader, and has the lease acquired at once.
+// applyVacancy records that the cluster has no leader, and triggers an attempt to acquire the
+// lease.
 func (a *Autoscaler) applyVacancy(now time.Time) {
 	leadership := &a.Leadership
 	if leadership.Revision != 0 || leadership.VacantSince.IsZero() {
@@ -44,7 +45,7 @@
 	eventloop.Signal(a.LeaseWakeup)
 }
 
-// DropLeadership ends this controller's leadership of the cluster, if it has it.
+// DropLeadership ends this controller's leadership of the cluster, if it is the leader.
 func (a *Autoscaler) DropLeadership(reason string) {
 	if a.Leadership.Held {
 		a.log.Info("cluster leadership lost", "reason", reason)
@@ -52,8 +53,8 @@
 	}
 }
 
-// leads reports, to tasks beside the event loop, whether this controller is the cluster's
-// leader, and the revision of its lease.
+// leads returns the revision of the cluster leader's lease and whether this controller is the
+// leader. It must be called outside the event loop.
 func (a *Autoscaler) leads() (revision uint64, leading bool) {
 	a.loop.Do(func() { revision, leading = a.Leadership.Revision, a.Leadership.Held })
 	return revision, leading
--- a/internal/coordination/autoscaler/leadership_update.go
+++ b/internal/coordination/autoscaler/leadership_update.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// maxReplicatedMoves bounds the recently moved machines of an update.
+	// maxReplicatedMoves is the maximum number of machine moves in an update.
 	maxReplicatedMoves = 4000
-	// replicatedMoveAge is how long ago a machine may have been moved to be in an update.
+	// replicatedMoveAge is the age up to which a machine move is included in an update.
 	replicatedMoveAge = 2 * time.Minute
-	// maxRefusalS is beneath how many seconds a refusal of another leader must last to be
-	// believed.
+	// maxRefusalS is the limit on the remaining seconds of a capacity refusal in an update. A
+	// refusal with a longer remaining time is ignored.
 	maxRefusalS = 60
-	// leaderUpdateTTL is how long an update counts after it was received.
+	// leaderUpdateTTL is how long after its receipt an update may be used.
 	leaderUpdateTTL = 10 * time.Second
 )
 
-// LeaderUpdate is what the next leader of the cluster needs to go on: the requests to the cloud
-// under way, refused capacity, and which machines were moved lately.
+// LeaderUpdate returns what the next cluster leader needs to continue: the scale-out requests in
+// progress, the capacity refused by the cloud, and the recent machine moves.
 func (a *Autoscaler) LeaderUpdate(now time.Time) *peer.ReplicaUpdate {
 	leadership := &a.Leadership
 	update := &peer.LeaderUpdate{}
@@ -52,9 +52,9 @@
 	return &peer.ReplicaUpdate{From: a.Settings.Label, Nonce: a.Nonce, LeaseRevision: leadership.Revision, Leader: update}
 }
 
-// ResumeLeadership goes on where the former leader stopped, as its last update has it. Requests
-// to the cloud without an answer are repeated under their own names, so that they create no
-// machine twice (rule 18).
+// ResumeLeadership continues the work of the former leader from its last update. Unanswered
+// requests to the cloud are repeated under their own names, so that no machine is created twice
+// (rule 18).
 func (a *Autoscaler) ResumeLeadership(last cluster.LeaderUpdate, now time.Time) {
 	if last.Update == nil || now.Sub(last.ReceivedAt) > leaderUpdateTTL || last.From == a.Settings.Label {
 		return
@@ -74,7 +74,8 @@
 	}
 }
 
-// resumeScaleOut goes on with a request of the former leader, if it is valid and not known yet.
+// resumeScaleOut continues a scale-out request of the former leader, if it is valid and not already
+// in progress.
 func (a *Autoscaler) resumeScaleOut(received *peer.ScaleOutRequest) {
 	leadership := &a.Leadership
 	if int(received.Partition) >= len(a.Partitions) || received.Count == 0 || received.Count > maxScaleOut || leadership.PendingScaleOuts[received.Name] != nil {
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// minListInterval is the least time between two listings of the cloud's machines.
+	// minListInterval is the minimum time between two listings of the cloud's machines.
 	minListInterval = 2 * time.Second
-	// listsPerLag is how often the machines are listed within the lag of the list.
+	// listsPerLag is how often the machines are listed during the time by which the cloud's list
+	// may lag.
 	listsPerLag = 3
-	// unrecordedAgeS and unrecordedLags, the latter times the lag of the list, is how many
-	// seconds old a listed machine without a record must be until it counts as unrecorded:
-	// the record of a machine that was just created is on its way.
-	unrecordedAgeS, unrecordedLags = 4, 2
-	// unrecordedDelay is how long after its start a controller takes listed machines for
-	// unrecorded.
-	unrecordedDelay = 5 * time.Second
+	// A listed machine without a record counts as unrecorded if it is older, in seconds, than
+	// unrecordedMinAgeS plus unrecordedMinLags times the lag of the list. The record of a younger
+	// one may still be about to be written.
+	unrecordedMinAgeS, unrecordedMinLags = 4, 2
+	// listedAdoptionDelay is the time after the start of this controller during which the cloud's
+	// list is not searched for unrecorded machines.
+	listedAdoptionDelay = 5 * time.Second
 )
 
-// listInterval is how often the leader lists the cloud's machines.
+// listInterval returns how often the cluster leader lists the cloud's machines.
 func (a *Autoscaler) listInterval() time.Duration {
 	return max(minListInterval, settings.Seconds(a.Settings.Params.Cloud.ListLagS/listsPerLag))
 }
 
-// listMachines lists the cloud's machines, and learns the addresses of those on record.
+// listMachines fetches the cloud's list of machines, and stores the addresses of machines whose
+// records have none.
 func (a *Autoscaler) listMachines() {
 	listed, err := a.cloud.Machines()
 	if err != nil {
-		a.log.Debug("machines not listed", "error", err)
+		a.log.Debug("machine listing failed", "error", err)
 		return
 	}
 	a.loop.Do(func() {
@@ -46,8 +48,8 @@
 	})
 }
 
-// unrecordedMachines are the machines without a record, as the records that they are to get:
-// those that are there from the start, and those of scale-outs whose answer was lost. They
+// unrecordedMachines returns the machines that have no record, with the records to write for them.
+// They were there before the cluster started, or belong to scale-outs whose answer was lost. They
 // have sent heartbeats or are in the cloud's list.
 func (a *Autoscaler) unrecordedMachines(now time.Time) map[string]storage.Machine {
 	unrecorded := map[string]storage.Machine{}
@@ -62,8 +64,8 @@
 			unrecorded[machine.Name] = recordOfUnregistered(machine)
 		}
 	}
-	if now.Sub(a.StartedAt) > unrecordedDelay {
-		minAgeS := unrecordedAgeS + unrecordedLags*a.Settings.Params.Cloud.ListLagS
+	if now.Sub(a.StartedAt) > listedAdoptionDelay {
+		minAgeS := unrecordedMinAgeS + unrecordedMinLags*a.Settings.Params.Cloud.ListLagS
 		for name, listed := range a.Leadership.ListedMachines {
 			if listed.State != protocol.MachineFailed && listed.AgeS > minAgeS {
 				unrecorded[name] = storage.Machine{Addr: listed.Addr, Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}
--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -10,12 +10,12 @@
 	"micaspindle/internal/storage"
 )
 
-// recordBackoff is the pause before the records of new machines are written again.
+// recordBackoff is the pause, before jitter, until the records of new machines are written again.
 var recordBackoff = retry.Backoff{First: 666 * time.Millisecond, Max: 666 * time.Millisecond}
 
-// recordMachines writes the same record for new machines, in as many transactions as it takes.
-// It retries until they are written, somebody else has written one, or this controller no
-// longer leads; then the next leader adopts the rest.
+// recordMachines writes the same record for each of several new machines, in one or more
+// transactions. It retries until all are written, another writer has written one of them, or this
+// controller is no longer the leader. Machines that remain without a record are adopted later.
 func (a *Autoscaler) recordMachines(names []string, record storage.Machine) {
 	retries := a.loop.Tries("records", recordBackoff)
 	for len(names) > 0 {
@@ -36,16 +36,17 @@
 		}
 		var conflict *storage.Conflict
 		if errors.As(err, &conflict) {
-			return // on record already, or no longer leading: the watch will say
+			return // a record exists or leadership was lost: the watch delivers the change
 		}
-		a.log.Info("machines not recorded yet", "machine", batch, "error", err)
+		a.log.Info("machine records write failed, retrying", "machine", batch, "error", err)
 		if !a.loop.Sleep(retries.Failed()) {
 			return
 		}
 	}
 }
 
-// commitRecords writes the records of machines that have none, if this controller still leads.
+// commitRecords writes the records of machines that have none, if this controller is still the
+// leader.
 func (a *Autoscaler) commitRecords(names []string, record storage.Machine, leaseRevision uint64) (uint64, error) {
 	txn := &protocol.Transaction{If: []protocol.Condition{{Key: storage.LeadershipKey, Version: leaseRevision}}}
 	for _, name := range names {
@@ -56,8 +57,9 @@
 	return a.commit(txn)
 }
 
-// deleteMachines deletes machines and then their records. A record is deleted only after the
-// cloud's answer, since its end proves that no attempt runs there any more.
+// deleteMachines deletes machines and then their records. A record is deleted only once the cloud
+// has confirmed the deletion, because the deletion of the record means that no attempt runs on the
+// machine any more.
 func (a *Autoscaler) deleteMachines(names []string) {
 	if err := a.cloud.DeleteMachines(names); err != nil {
 		a.log.Info("machine deletion failed", "machine", names, "error", err)
@@ -68,7 +70,7 @@
 	}
 }
 
-// deleteRecord deletes the record of a machine that is gone, if this controller still leads.
+// deleteRecord deletes the record of a deleted machine, if this controller is still the leader.
 func (a *Autoscaler) deleteRecord(name string) {
 	var txn *protocol.Transaction
 	a.loop.Do(func() {
@@ -89,13 +91,13 @@
 		return
 	}
 	if _, err := a.commit(txn); err != nil {
-		a.log.Info("machine record not deleted yet", "machine", name, "error", err)
+		a.log.Info("machine record deletion failed", "machine", name, "error", err)
 		return
 	}
 	a.loop.Do(func() { a.agents.MachineDeleted(name, time.Now()) })
 }
 
-// commit commits a transaction on records of machines and returns its revision.
+// commit commits a transaction on machine records and returns its revision.
 func (a *Autoscaler) commit(txn *protocol.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(a.loop.Context(), recordTimeout)
 	defer cancel()
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -8,20 +8,21 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// machineRequestTimeout bounds a request to another controller.
+// machineRequestTimeout limits a request to another controller.
 const machineRequestTimeout = 3 * time.Second
 
-// askPartitionLeader starts a task that sends a request to the leader of a partition about one
-// of its machines, and calls then if the leader agrees. It is called in the event loop.
-func (a *Autoscaler) askPartitionLeader(partition int, request *peer.MachineRequest, then func()) {
+// askPartitionLeader sends the leader of a partition a request about one of its machines, and calls
+// onAccepted if the leader accepts it. Both happen in a new goroutine. It must be called in the
+// event loop.
+func (a *Autoscaler) askPartitionLeader(partition int, request *peer.MachineRequest, onAccepted func()) {
 	leader := a.Partitions[partition].Leader
 	a.loop.Go(func() {
 		reply, err := a.sendMachineRequest(leader, request)
 		if err != nil || !reply.Ok {
-			a.log.Debug("machine request declined", "machine", request.Machine, "controller", leader, "reason", reply.GetReason(), "error", err)
+			a.log.Debug("machine request failed or refused", "machine", request.Machine, "controller", leader, "reason", reply.GetReason(), "error", err)
 			return
 		}
-		then()
+		onAccepted()
 	})
 }
 
@@ -31,7 +32,7 @@
 	}
 	target := a.Peers[controller]
 	if target == nil {
-		return nil, fmt.Errorf("no such controller %q", controller)
+		return nil, fmt.Errorf("unknown controller %q", controller)
 	}
 	reply := new(peer.MachineReply)
 	err := peerapi.Call(a.loop.Context(), a.network, machineRequestTimeout, target.Addr, peerapi.MachineRequestPath, request, reply)
--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -8,12 +8,12 @@
 	"micaspindle/internal/storage"
 )
 
-// adoptLaterHeadStart is how much sooner an unrecorded machine is looked at again that may be
-// the answer to a scale-out under way, than one whose adoption failed.
-const adoptLaterHeadStart = 3 * time.Second
+// adoptLaterBackdate is how much sooner a machine whose adoption was put off is considered again
+// than one whose adoption failed.
+const adoptLaterBackdate = 3 * time.Second
 
-// LeaderLoop lists the cloud's machines and reconciles the fleet while this controller is the
-// cluster's leader. It returns when the event loop's context ends.
+// LeaderLoop periodically lists the cloud's machines and reconciles the fleet while this controller
+// is the cluster leader. It returns when the event loop's context ends.
 func (a *Autoscaler) LeaderLoop() {
 	listedAt := time.Time{}
 	listInterval := a.listInterval()
@@ -21,7 +21,7 @@
 		select {
 		case <-time.After(a.Operator.MovePeriod):
 		case <-a.Leadership.Wakeup:
-			// Capacity that was refused is sought elsewhere at once.
+			// The cloud refused a scale-out: request other capacity at once.
 		case <-a.loop.Context().Done():
 			return
 		}
@@ -36,9 +36,9 @@
 	}
 }
 
-// ReconcileFleet is one round of the leader: it gathers what is known, has package scaling
-// decide, and starts what the plan says. It does nothing while this controller's lease may
-// have expired.
+// ReconcileFleet runs one round of scaling: it gathers the input, calls scaling.Decide and starts
+// the actions of the plan. It does nothing if this controller is not the cluster leader, if its
+// lease may have expired, or if it has no catalog.
 func (a *Autoscaler) ReconcileFleet(now time.Time) {
 	if !a.Leadership.Held || len(a.Catalog) == 0 || now.Sub(a.LeaseRenewedAt) > a.Operator.LeaseTTL {
 		return
@@ -49,7 +49,7 @@
 		a.adopt(adoption, unrecorded[adoption.Name], now)
 	}
 	for _, name := range plan.AdoptLater {
-		a.Leadership.AdoptionTriedAt[name] = now.Add(-adoptLaterHeadStart)
+		a.Leadership.AdoptionTriedAt[name] = now.Add(-adoptLaterBackdate)
 	}
 	a.terminate(plan.Terminate, now)
 	for _, move := range plan.Moves {
@@ -63,7 +63,7 @@
 	}
 }
 
-// adopt records an unrecorded machine as one of a partition.
+// adopt writes a record that assigns an unrecorded machine to a partition.
 func (a *Autoscaler) adopt(adoption scaling.Adoption, record storage.Machine, now time.Time) {
 	record.Partition = adoption.Partition
 	a.Leadership.AdoptionTriedAt[adoption.Name] = now
@@ -85,7 +85,7 @@
 	a.loop.Go(func() { a.deleteMachines(names) })
 }
 
-// move asks the leader of a machine's partition to move the machine to another one.
+// move asks the leader of a machine's partition to move the machine to another partition.
 func (a *Autoscaler) move(move scaling.Move, now time.Time) {
 	a.Leadership.MovedAt[move.Name] = now
 	a.log.Info("machine move started", "machine", move.Name, "partition", move.To, "former_partition", move.From)
@@ -95,7 +95,7 @@
 	})
 }
 
-// scaleIn asks the leader of a machine's partition to retire it, and then deletes it.
+// scaleIn asks the leader of a machine's partition to retire the machine, and then deletes it.
 func (a *Autoscaler) scaleIn(name string, now time.Time) {
 	a.Leadership.DeletionRequestedAt[name] = now
 	record := a.Machines[name].Record
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// maxScaleOut is how many machines one request may ask for.
+	// maxScaleOut is the maximum number of machines in one request.
 	maxScaleOut = 50
-	// refusedCapacityTTL is how long capacity that the cloud refused is not asked for.
+	// refusedCapacityTTL is how long capacity that the cloud refused is not requested again.
 	refusedCapacityTTL = 15 * time.Second
 )
 
-// scaleOutBackoff is the pause before a request without an answer is repeated.
+// scaleOutBackoff is the pause, before jitter, until an unanswered request is repeated.
 var scaleOutBackoff = retry.Backoff{First: 1333 * time.Millisecond, Max: 1333 * time.Millisecond}
 
-// startScaleOut starts a request for machines. Its name holds the revision of the leader's
-// lease and a counter, so that no other request ever has it.
+// startScaleOut starts a request for machines. Its name consists of the revision of the leader's
+// lease and a counter, so that it is unique.
 func (a *Autoscaler) startScaleOut(plan scaling.ScaleOut) {
 	leadership := &a.Leadership
 	leadership.RequestCount++
@@ -37,13 +37,13 @@
 	a.runScaleOut(name, request, leadership.Revision)
 }
 
-// runScaleOut starts the task that finishes a request.
+// runScaleOut starts a goroutine that completes a scale-out request.
 func (a *Autoscaler) runScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
 	a.loop.Go(func() { a.finishScaleOut(name, request, leaseRevision) })
 }
 
-// finishScaleOut repeats a request under its name until it is answered, or this controller no
-// longer leads under the lease of that revision; then the next leader goes on with it.
+// finishScaleOut repeats a request under its name until it is answered or this controller no longer
+// leads under the given lease revision. In the latter case the next leader continues it.
 func (a *Autoscaler) finishScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
 	kind := request.Kind
 	body := protocol.CreateMachinesRequest{Request: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: request.Count}
@@ -55,10 +55,10 @@
 			return
 		}
 		if cloudclient.CapacityRefused(err) {
-			a.refuseScaleOut(name, request, err)
+			a.handleRefusal(name, request, err)
 			return
 		}
-		a.log.Debug("scale-out unanswered", "request", name, "error", err)
+		a.log.Debug("scale-out request unanswered", "request", name, "error", err)
 		if revision, leading := a.leads(); !leading || revision != leaseRevision {
 			return
 		}
@@ -68,11 +68,11 @@
 	}
 }
 
-// completeScaleOut records the machines that the cloud gave.
+// completeScaleOut writes the records of the machines that the cloud has created.
 func (a *Autoscaler) completeScaleOut(name string, request *cluster.ScaleOutRequest, machines []string) {
 	if len(machines) < request.Count {
 		a.loop.Do(func() { a.avoidCapacity(request) })
-		a.log.Info("scale-out partly filled", "request", name, "count", len(machines), "wanted", request.Count)
+		a.log.Info("scale-out partly fulfilled", "request", name, "count", len(machines), "wanted", request.Count)
 	}
 	a.recordMachines(machines, storage.Machine{
 		Partition: request.Partition,
@@ -87,9 +87,9 @@
 	})
 }
 
-// refuseScaleOut ends a request that the cloud refused, and has the capacity sought elsewhere
-// at once.
-func (a *Autoscaler) refuseScaleOut(name string, request *cluster.ScaleOutRequest, err error) {
+// handleRefusal ends a request that the cloud refused, and triggers a round of scaling to request
+// other capacity.
+func (a *Autoscaler) handleRefusal(name string, request *cluster.ScaleOutRequest, err error) {
 	a.metrics.Count(telemetry.MachineRequestRefused, 1)
 	a.log.Info("scale-out refused", "request", name, "type", request.Kind.Type, "zone", request.Kind.Zone, "spot", request.Kind.Spot, "error", err)
 	a.loop.Do(func() {
@@ -99,7 +99,7 @@
 	eventloop.Signal(a.Leadership.Wakeup)
 }
 
-// avoidCapacity makes the leader avoid requests of the same kind for a while.
+// avoidCapacity excludes the kind of machine of a request from scale-outs for a while.
 func (a *Autoscaler) avoidCapacity(request *cluster.ScaleOutRequest) {
 	a.Leadership.CapacityRefusedUntil[request.Kind] = time.Now().Add(refusedCapacityTTL)
 }
--- a/internal/coordination/autoscaler/scaling_view.go
+++ b/internal/coordination/autoscaler/scaling_view.go
@@ -14,16 +14,15 @@
 )
 
 const (
-	// assignmentLag is how long a new machine's record takes to show in the summary of its
+	// assignmentLag is the time until a new machine's record is reflected in the summaries of its
 	// partition's leader.
 	assignmentLag = 300 * time.Millisecond
-	// ordinaryIdleDivisor is by how much sooner an idle ordinary machine is scaled in than a
-	// spot machine, since it is dearer.
+	// ordinaryIdleDivisor is the idle time of spot machines before scale-in, divided by that of
+	// ordinary machines, which are more expensive.
 	ordinaryIdleDivisor = 3
 )
 
-// ScalingView gathers what the leader's decisions depend on. unrecorded are the machines
-// without a record.
+// ScalingView returns the input of scaling.Decide. unrecorded are the machines without a record.
 func (a *Autoscaler) ScalingView(unrecorded map[string]storage.Machine, now time.Time) scaling.View {
 	view := scaling.View{
 		Now:             now,
@@ -59,9 +58,9 @@
 	return view
 }
 
-// addSummary takes in what a controller, at a moment, said of the partitions that it leads:
-// their demands, and the statuses of their machines.
-func (a *Autoscaler) addSummary(view *scaling.View, statuses map[string]*peer.MachineStatus, controller string, partitions []*peer.PartitionSummary, heardAt time.Time) {
+// addSummary adds a controller's summaries of its partitions, received at the given time, to a
+// view: the demands to the partitions, and the machines' statuses to statuses.
+func (a *Autoscaler) addSummary(view *scaling.View, statuses map[string]*peer.MachineStatus, controller string, partitions []*peer.PartitionSummary, receivedAt time.Time) {
 	for _, summary := range partitions {
 		index := int(summary.Partition)
 		if index >= len(view.Partitions) || a.Partitions[index].Leader != controller {
@@ -73,15 +72,15 @@
 				statuses[status.Name] = status
 			}
 		}
-		// Demands from before a machine was assigned must not bring another one.
-		if heardAt.Sub(a.Leadership.MachineAssignedAt[index]) >= assignmentLag {
+		// A demand reported before a machine was assigned must not cause another scale-out.
+		if receivedAt.Sub(a.Leadership.MachineAssignedAt[index]) >= assignmentLag {
 			view.Partitions[index].Demands = scalingDemands(summary.Demands)
 		}
 	}
 }
 
-// scalingMachine describes a machine on record. status is what its partition's leader said of
-// it, nil: nothing.
+// scalingMachine describes a machine that has a record. status is its status from the partition's
+// leader, or nil if there is none.
 func (a *Autoscaler) scalingMachine(name string, status *peer.MachineStatus) scaling.Machine {
 	leadership, machine := &a.Leadership, a.Machines[name]
 	view := scaling.Machine{
--- a/internal/coordination/cloudclient/client.go
+++ b/internal/coordination/cloudclient/client.go
@@ -1,5 +1,5 @@
-// Package cloudclient sends requests to the cloud's interface, within this controller's share
-// of the rate limit, behind a circuit breaker.
+// Package cloudclient is a client of the cloud API. It stays below the API's rate limit and has a
+// circuit breaker.
 package cloudclient
 
 import (
@@ -19,48 +19,49 @@
 )
 
 const (
-	// requestTimeout bounds a request, with the wait for the rate limit.
+	// requestTimeout limits a request, including the wait for the rate limiter.
 	requestTimeout = 5 * time.Second
-	// rateShare is the share of the cloud's rate limit that is used.
-	rateShare = 0.8
-	// rateBurst is how many requests may be sent at once.
+	// rateLimitFraction is the fraction of the cloud API's rate limit that is used.
+	rateLimitFraction = 0.8
+	// rateBurst is the burst size of the rate limiter, in requests.
 	rateBurst = 2
-	// failureLimit is how many unanswered requests in a row open the circuit.
-	failureLimit = 10
+	// failureThreshold is the number of consecutive unanswered requests that opens the circuit.
+	failureThreshold = 10
 )
 
-// circuitBackoff is how long the circuit stays open.
-var circuitBackoff = retry.Backoff{First: 600 * time.Millisecond, Max: 600 * time.Millisecond}
+// circuitOpenTime is how long the circuit stays open, before jitter.
+var circuitOpenTime = retry.Backoff{First: 600 * time.Millisecond, Max: 600 * time.Millisecond}
 
-// errCircuitOpen: the cloud's interface has not answered for a while.
-var errCircuitOpen = errors.New("the cloud's interface does not answer, the circuit is open")
+// errCircuitOpen is returned while the circuit is open because the cloud API does not answer.
+var errCircuitOpen = errors.New("cloud API unavailable: circuit open")
 
-// Client sends requests to the cloud's interface. Several goroutines may use it.
+// Client sends requests to the cloud API. It is safe for concurrent use.
 type Client struct {
 	settings *settings.Settings
 	loop     *eventloop.Loop
 	network  storage.Requester
 
 	limiter *rate.Limiter
-	// circuit refuses requests while the interface does not answer.
+	// circuit blocks requests while the cloud API does not answer.
 	circuit retry.CircuitBreaker
 }
 
-// New makes a client.
+// New returns a Client.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester) *Client {
 	set := state.Settings
 	return &Client{
 		settings: set,
 		loop:     loop,
 		network:  network,
-		limiter:  rate.NewLimiter(rate.Limit(set.Params.Cloud.RPS*rateShare), rateBurst),
-		circuit:  retry.CircuitBreaker{After: failureLimit, OpenTime: circuitBackoff, Who: set.Label + " cloud"},
+		limiter:  rate.NewLimiter(rate.Limit(set.Params.Cloud.RPS*rateLimitFraction), rateBurst),
+		circuit:  retry.CircuitBreaker{After: failureThreshold, OpenTime: circuitOpenTime, Who: set.Label + " cloud"},
 	}
 }
 
-// call sends one request to the cloud, once the rate limit allows it, and returns the status
-// of the answer. in, if any, is the body; an answer with status 200 is decoded into out, if
-// any. The error says that there was no answer, or none that can be read.
+// call sends one request to the cloud API, subject to the rate limit and the circuit breaker, and
+// returns the status of the response. in is encoded as the body unless it is nil. A response with
+// status 200 is decoded into out unless that is nil. The error is not nil if there was no response,
+// or if the response can't be decoded.
 func (c *Client) call(method, target string, in, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(c.loop.Context(), requestTimeout)
 	defer cancel()
@@ -68,29 +69,28 @@
 		return 0, errCircuitOpen
 	}
 	if err := c.limiter.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("cloud rate limit: %w", err)
+		return 0, fmt.Errorf("wait for cloud rate limit: %w", err)
 	}
 	var body []byte
 	if in != nil {
 		body = protocol.Encode(in)
 	}
-	// The circuit may have opened during the wait.
+	// The circuit may have opened during the wait for the rate limiter.
 	if !c.circuit.Allow(time.Now()) {
 		return 0, errCircuitOpen
 	}
 	resp, err := c.network.Do(ctx, c.settings.Services.Cloud, method, target, body)
 	c.circuit.Done(time.Now(), err == nil)
 	if err != nil {
-		return 0, fmt.Errorf("cloud: %w", err)
+		return 0, fmt.Errorf("cloud request: %w", err)
 	}
 	if out != nil && resp.Status == statusOK {
 		if err := protocol.Decode(resp.Body, out); err != nil {
-			return 0, fmt.Errorf("cloud: %w", err)
+			return 0, fmt.Errorf("decode cloud response: %w", err)
 		}
 	}
 	return resp.Status, nil
 }
 
-// Unavailable reports whether requests are refused since the cloud's interface does not
-// answer.
+// Unavailable reports whether the circuit is open because the cloud API does not answer.
 func (c *Client) Unavailable(now time.Time) bool { return c.circuit.Open(now) }
--- a/internal/coordination/cloudclient/requests.go
+++ b/internal/coordination/cloudclient/requests.go
@@ -7,20 +7,20 @@
 	"micaspindle/internal/protocol"
 )
 
-// Statuses of answers.
+// Status codes of responses.
 const (
 	statusOK          = 200
 	statusBadRequest  = 400
 	statusUnavailable = 503
 )
 
-// machinesPageSize is how many machines are asked for in one page of the list.
+// machinesPageSize is the number of machines requested in one page of the list.
 const machinesPageSize = 500
 
-// errEmptyCatalog: the cloud answered with a catalog without machine types.
+// errEmptyCatalog is returned if the cloud's catalog contains no machine types.
 var errEmptyCatalog = errors.New("the cloud's catalog is empty")
 
-// StatusError is an answer of the cloud other than 200.
+// StatusError is a response of the cloud API with a status other than 200.
 type StatusError struct {
 	Method, Target string
 	Status         int
@@ -30,14 +30,14 @@
 	return fmt.Sprintf("cloud: %s %s: status %d", e.Method, e.Target, e.Status)
 }
 
-// CapacityRefused reports whether an error is the cloud's refusal of a request for machines,
-// which repeating would not change: it lacks capacity, or does not offer the kind.
+// CapacityRefused reports whether err is the cloud's refusal of a request for machines, because it
+// has no capacity or does not offer the kind of machine. It would refuse the same request again.
 func CapacityRefused(err error) bool {
 	var answer *StatusError
 	return errors.As(err, &answer) && (answer.Status == statusUnavailable || answer.Status == statusBadRequest)
 }
 
-// Catalog gets the machine types that the cloud offers, at least one.
+// Catalog returns the machine types that the cloud offers, at least one.
 func (c *Client) Catalog() (protocol.Catalog, error) {
 	var catalog protocol.Catalog
 	if err := c.request("GET", "/catalog", nil, &catalog); err != nil {
@@ -49,8 +49,8 @@
 	return catalog, nil
 }
 
-// Machines lists all machines of the cluster that the cloud knows, by name. The list lags
-// behind.
+// Machines returns all machines of the cluster that the cloud lists, by name. The list may be out
+// of date.
 func (c *Client) Machines() (map[string]protocol.ListedMachine, error) {
 	machines := map[string]protocol.ListedMachine{}
 	after := ""
@@ -70,8 +70,8 @@
 	}
 }
 
-// CreateMachines asks for machines and returns the names of those that the cloud gives, which
-// may be fewer. A request that is repeated under its name creates no machine twice.
+// CreateMachines requests machines and returns the names of those that were created, which may be
+// fewer. Repeating a request under the same name creates no further machines.
 func (c *Client) CreateMachines(req protocol.CreateMachinesRequest) ([]string, error) {
 	var created protocol.MachineNames
 	if err := c.request("POST", "/machines", req, &created); err != nil {
@@ -80,12 +80,12 @@
 	return created.Machines, nil
 }
 
-// DeleteMachines deletes machines. Nothing runs on them once it has returned without an error.
+// DeleteMachines deletes machines. If it returns no error, nothing runs on them any more.
 func (c *Client) DeleteMachines(names []string) error {
 	return c.request("POST", "/machines/delete", protocol.MachineNames{Machines: names}, nil)
 }
 
-// request sends a request; any status but 200 is a StatusError.
+// request sends a request and returns a StatusError for any status other than 200.
 func (c *Client) request(method, target string, in, out any) error {
 	status, err := c.call(method, target, in, out)
 	if err != nil {
--- a/internal/coordination/peerapi/bounds.go
+++ b/internal/coordination/peerapi/bounds.go
@@ -4,22 +4,22 @@
 	"micaspindle/internal/settings"
 )
 
-// BytesPerMB is the size of the megabytes in which the settings state the memory.
+// BytesPerMB is the number of bytes in a megabyte of the memory limit in the settings.
 const BytesPerMB = 1 << 20
 
-// PortableBodyLimit is the size in bytes up to which every version of the controller takes a message.
-// Messages that can be split are kept within it, so that a peer of an older version takes them
-// too.
+// PortableBodyLimit is the size in bytes of the largest message that all versions of the controller
+// accept. Messages that can be split are kept within it, so that older versions accept them.
 const PortableBodyLimit = 1 << 20
 
-// bodyMax is the size in bytes that the summary of a controller with 4,000 machines needs.
-const bodyMax = 2 << 20
+// maxSummaryBytes is the size in bytes of the summary of a controller with 4,000 machines.
+const maxSummaryBytes = 2 << 20
 
-// bodyMemoryShare is the fraction of the memory, as a divisor, that one message may take: the
-// messages on all of the cluster's connections may be in memory at a time.
-const bodyMemoryShare = 128
+// bodyMemoryDivisor limits the size of a message to the memory of the process divided by it:
+// messages on all connections between controllers may be in memory at the same time.
+const bodyMemoryDivisor = 128
 
-// MaxBody is the size in bytes up to which a message of another controller is taken.
+// MaxBody returns the size in bytes of the largest message that is accepted from another
+// controller.
 func MaxBody(limits settings.ProcessLimits) int {
-	return min(bodyMax, max(PortableBodyLimit, int(limits.MemMB*BytesPerMB)/bodyMemoryShare))
+	return min(maxSummaryBytes, max(PortableBodyLimit, int(limits.MemMB*BytesPerMB)/bodyMemoryDivisor))
 }
--- a/internal/coordination/peerapi/call.go
+++ b/internal/coordination/peerapi/call.go
@@ -1,5 +1,5 @@
-// Package peerapi is how controllers call each other: protobuf messages over HTTP, bounded in
-// size.
+// Package peerapi implements calls between controllers: protobuf messages of limited size over
+// HTTP.
 package peerapi
 
 import (
@@ -15,14 +15,14 @@
 	"micaspindle/internal/transport"
 )
 
-// MachineRequestPath is where a partition leader takes the cluster leader's requests about its
-// machines.
+// MachineRequestPath is the path at which partition leaders accept the cluster leader's requests
+// about their machines.
 const MachineRequestPath = "/peer/fleet"
 
-// errReplyFailed: a reply can't be encoded.
+// errReplyFailed is returned if a reply can't be encoded.
 var errReplyFailed = apierror.New(http.StatusInternalServerError, "reply failed")
 
-// Reply makes the response to another controller's request.
+// Reply returns the response to another controller's request.
 func Reply(message proto.Message) transport.Response {
 	body, err := proto.Marshal(message)
 	if err != nil {
@@ -31,22 +31,22 @@
 	return transport.Response{Status: 200, Body: body}
 }
 
-// Call sends another controller a request and decodes its reply, within the timeout. A version
-// that does not know the path replies with status 404, which is an error as any but 200. An
-// error that wraps transport.ErrNotSent proves that the request never arrives.
+// Call sends a request to another controller and decodes the reply. Any status other than 200 is an
+// error; 404 means that the other controller's version does not know the path. If the error wraps
+// transport.ErrNotSent, the request was not sent and will never arrive.
 func Call(ctx context.Context, network storage.Requester, timeout time.Duration, addr, path string, request, reply proto.Message) error {
 	body, err := proto.Marshal(request)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("encode request to %s: %w", path, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := network.Do(ctx, addr, "POST", path, body)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("request to %s: %w", path, err)
 	}
 	if response.Status != 200 {
-		return fmt.Errorf("%s: status %d", path, response.Status)
+		return fmt.Errorf("request to %s: status %d", path, response.Status)
 	}
 	return proto.Unmarshal(response.Body, reply)
 }
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -1,20 +1,23 @@
 package peering
 
-// JobProgressLimit is how many jobs' progress a summary has, for users who ask another
-// controller: 64,000 running tasks in arrays of eight. One takes some 24 bytes of a message
-// and 100 of memory.
+// JobProgressLimit is the maximum number of jobs whose progress a summary contains. It suffices for
+// 64,000 running tasks in arrays of eight. An entry takes about 24 bytes in the message and 100 in
+// memory.
 const JobProgressLimit = 8000
 
-// DemandsMin is up to how many demands of a partition a summary has in any case.
+// DemandsMin is the maximum number of demands in the summary of a small partition. For a larger
+// one, the maximum grows with the number of machines.
 const DemandsMin = 200
 
-// machinesPerDemand is for how many machines of a large partition a summary may have one
-// demand more: the queue grows with the machines.
+// machinesPerDemand is the number of machines of a large partition for each demand that its summary
+// may contain.
 const machinesPerDemand = 4
 
-// StarvedDemandsShare is the fraction, as a divisor, of the demands in a summary which the
-// work of starved groups may take ahead of all other, so that machines are rented for it too.
+// StarvedDemandsShare limits the demands of starved groups that precede the demands of all other
+// jobs in a summary, to the maximum number of demands divided by it. Without them, the fleet might
+// not be scaled out for starved groups.
 const StarvedDemandsShare = 5
 
-// DemandsLimit is how many demands a summary has of a partition with so many machines.
+// DemandsLimit returns the maximum number of demands in the summary of a partition with a number of
+// machines.
 func DemandsLimit(machines int) int { return max(DemandsMin, machines/machinesPerDemand) }
--- a/internal/coordination/peering/collaborators.go
+++ b/internal/coordination/peering/collaborators.go
@@ -9,37 +9,34 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Proxy knows the load by heartbeats, and acts on the delegations in other controllers'
-// summaries.
+// Proxy knows how many machines this controller serves, and serves shards as a delegate.
 type Proxy interface {
-	// Load is how many machines are connected to this controller, and how many its
-	// sockets hold.
+	// Load returns how many machines this controller serves, and for how many its sockets suffice.
 	Load(now time.Time) delegation.Load
-	// SummaryReceived checks whether a controller delegates shards of its partitions to this
-	// one.
+	// SummaryReceived handles a summary in which a leader may delegate shards to this controller.
 	SummaryReceived(summary *peer.Summary)
 }
 
-// Replicator knows the replicas that this controller holds.
+// Replicator holds replicas of other leaders' partitions.
 type Replicator interface {
-	// Summaries describes the replicas that this controller holds of other leaders' partitions.
+	// Summaries returns the status of each replica that this controller holds.
 	Summaries() []*peer.ReplicaStatus
 }
 
-// Scheduler knows the queue and the run times that it expects.
+// Scheduler provides the job queues and the estimates of run times.
 type Scheduler interface {
-	// EstimateS is the submitter's estimate of a task's run time in seconds, corrected by what
-	// the job's class has shown.
+	// EstimateS returns the submitter's estimate of a task's run time in seconds, corrected by the
+	// observed run times of the job's class.
 	EstimateS(spec *protocol.JobSpec) float64
-	// Queue lists the jobs of a partition that need anything, in the order in which they are
-	// served: those with waiting tasks, with records to write, or at their end.
+	// Queue returns the jobs of a partition that need attention, in scheduling order: jobs with
+	// waiting tasks or with records to write, and jobs that are about to end.
 	Queue(partition *cluster.Partition) []*cluster.Job
 }
 
-// Jobs tracks the jobs and their cancellations.
+// Jobs tracks jobs and their cancellations.
 type Jobs interface {
-	// ApplyCancellationNotices applies the cancellations that another controller has seen
-	// committed. Such a record never changes, so a notice is as good as the record, however
-	// late it comes.
+	// ApplyCancellationNotices applies the cancellations in another controller's summary, which
+	// that controller has seen committed. A cancellation record never changes, so a notice is valid
+	// however late it arrives.
 	ApplyCancellationNotices(summary *peer.Summary, now time.Time)
 }
--- a/internal/coordination/peering/demand.go
+++ b/internal/coordination/peering/demand.go
@@ -10,22 +10,22 @@
 	"micaspindle/internal/telemetry"
 )
 
-// expectedMachine is a machine that will soon run waiting tasks, with the resources that are
-// still free on it.
+// expectedMachine is a machine that will soon be able to run waiting tasks, with its free
+// resources.
 type expectedMachine struct {
 	machine *cluster.Machine
 	free    binpack.Resources
 }
 
-// demands lists the waiting tasks of a partition that need machines which are not there or
-// expected yet, job by job and starved work first, up to a limit.
+// demands returns the demand of a partition's waiting tasks for machines beyond the expected ones:
+// one entry for each job, starved groups first, up to the limit.
 func (e *Exchange) demands(partition *cluster.Partition, expected []expectedMachine, limit int, now time.Time) (list []*peer.Demand) {
-	taken := make([]binpack.Compute, len(partition.Usage)) // by jobs before, by team
+	taken := make([]binpack.Compute, len(partition.Usage)) // by the jobs handled so far, per team
 	for _, job := range partition.FairShare.StarvedFirst(e.scheduler.Queue(partition), limit/StarvedDemandsShare) {
 		if len(job.Pending) == 0 || job.Ended || now.Before(job.BackoffUntil) {
 			continue
 		}
-		count := e.withinTeamLimit(partition, job, taken[job.Team])
+		count := e.countWithinTeamLimit(partition, job, taken[job.Team])
 		if count <= 0 {
 			continue
 		}
@@ -37,14 +37,14 @@
 			e.bounds.Met(telemetry.Demands, 1)
 			break
 		}
-		list = append(list, e.demand(job, count, now))
+		list = append(list, e.newDemand(job, count, now))
 	}
 	return list
 }
 
-// withinTeamLimit is how many waiting tasks of a job the team's limits allow to start, beside
-// what the team uses and what the jobs before this one take.
-func (e *Exchange) withinTeamLimit(partition *cluster.Partition, job *cluster.Job, taken binpack.Compute) int {
+// countWithinTeamLimit returns how many waiting tasks of a job may start within the team's limits,
+// given what the team uses and what the jobs handled before have taken.
+func (e *Exchange) countWithinTeamLimit(partition *cluster.Partition, job *cluster.Job, taken binpack.Compute) int {
 	count := len(job.Pending)
 	team, used := e.Settings.Params.Teams[job.Team], partition.Usage[job.Team]
 	if team.CPUsMax > 0 && job.Spec.CPUs > 0 {
@@ -56,8 +56,8 @@
 	return count
 }
 
-// placeOnExpected takes the resources for a job's tasks from expected machines and returns how
-// many of the tasks are left over.
+// placeOnExpected takes the resources for tasks of a job from expected machines, and returns the
+// number of tasks left over.
 func placeOnExpected(expected []expectedMachine, spec *protocol.JobSpec, count int) int {
 	constraints, needed := cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec)
 	for i := range expected {
@@ -76,8 +76,8 @@
 	return count
 }
 
-// demand describes so many waiting tasks of a job.
-func (e *Exchange) demand(job *cluster.Job, count int, now time.Time) *peer.Demand {
+// newDemand returns the demand of a number of waiting tasks of a job.
+func (e *Exchange) newDemand(job *cluster.Job, count int, now time.Time) *peer.Demand {
 	spec := job.Spec
 	return &peer.Demand{
 		Cpus:      spec.CPUs,
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -1,5 +1,5 @@
 // Package peering sends the other controllers a summary of this one's state several times a
-// second, and applies the summaries that they send. It owns what is known of each peer.
+// second, and applies the summaries that they send. It maintains the state of each peer.
 //
 // A summary describes this controller (summary.go), the partitions that it leads
 // (partition_summary.go) and the demand of their waiting tasks for machines (demand.go).
@@ -17,22 +17,22 @@
 	"micaspindle/internal/telemetry"
 )
 
-// SummaryPath is where controllers take each other's summaries.
+// SummaryPath is the path at which controllers accept summaries from each other.
 const SummaryPath = "/peer/summary"
 
-// SummaryInterval is how often each other controller is sent a summary.
+// SummaryInterval is the interval at which each other controller is sent a summary.
 const SummaryInterval = 500 * time.Millisecond
 
 const (
-	// summaryTimeout bounds one attempt to send a summary.
+	// summaryTimeout limits one request with a summary.
 	summaryTimeout = time.Second
-	// summaryMaxAge is how long a summary serves: a little less than the interval, so that
-	// each round has a new one.
+	// summaryMaxAge is how long a cached summary is sent. It is a little shorter than the interval,
+	// so that each round of requests sends a new one.
 	summaryMaxAge = SummaryInterval * 4 / 5
 )
 
-// Exchange sends the other controllers summaries of this one's state and applies theirs. It
-// belongs to the event loop, but for PeerLoop.
+// Exchange sends the other controllers summaries of this one's state and applies theirs. Except for
+// PeerLoop, it must be used only in the event loop.
 type Exchange struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -49,13 +49,13 @@
 	SummaryCache cachedSummary
 }
 
-// cachedSummary is the last summary as it is sent: one serves all other controllers.
+// cachedSummary is the last encoded summary, which is sent to all other controllers.
 type cachedSummary struct {
 	body         []byte
 	MarshalledAt time.Time
 }
 
-// New makes an Exchange without collaborators.
+// New returns an Exchange. Connect must be called before it is used.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Exchange {
 	return &Exchange{State: state, loop: loop, network: network, store: store, log: log, bounds: bounds}
 }
@@ -65,7 +65,8 @@
 	e.jobs, e.proxy, e.replicator, e.scheduler = jobs, proxy, replicator, scheduler
 }
 
-// ReceiveSummary applies a summary that another controller has sent. Its sender was checked.
+// ReceiveSummary applies a summary from another controller. The caller must have authenticated the
+// sender.
 func (e *Exchange) ReceiveSummary(summary *peer.Summary) {
 	sender := e.Peers[summary.From]
 	if sender == nil {
@@ -82,8 +83,8 @@
 	e.learnAddresses(summary)
 }
 
-// learnAddresses stores the addresses of machines that are known to others only, so that a new
-// partition leader can fence them at once.
+// learnAddresses stores the addresses of machines that have sent heartbeats only to other
+// controllers. A new partition leader needs them to fence the machines at once.
 func (e *Exchange) learnAddresses(summary *peer.Summary) {
 	for _, partition := range summary.Partitions {
 		for _, status := range partition.Machines {
@@ -95,7 +96,7 @@
 	}
 }
 
-// PeerLoop sends one other controller the summary, again and again, until the event loop ends.
+// PeerLoop sends one other controller summaries until the event loop's context ends.
 func (e *Exchange) PeerLoop(label string) {
 	addr := e.Peers[label].Addr
 	for e.loop.Sleep(SummaryInterval) {
@@ -107,7 +108,7 @@
 	}
 }
 
-// sendSummary sends a summary once; a failure is made good by the next one.
+// sendSummary sends a summary without retries: the next one replaces it.
 func (e *Exchange) sendSummary(label, addr string, body []byte) {
 	ctx, cancel := context.WithTimeout(e.loop.Context(), summaryTimeout)
 	defer cancel()
@@ -120,8 +121,8 @@
 	}
 }
 
-// MarshalledSummary is the summary as it is sent, made anew if the cached one is old; nil
-// before the shared records were read.
+// MarshalledSummary returns the encoded summary, which it renews if the cached one is too old. It
+// returns nil until the shared records have been read.
 func (e *Exchange) MarshalledSummary(now time.Time) []byte {
 	cached := &e.SummaryCache
 	if e.Synced && (cached.body == nil || now.Sub(cached.MarshalledAt) >= summaryMaxAge) {
--- a/internal/coordination/peering/partition_summary.go
+++ b/internal/coordination/peering/partition_summary.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// neverUpGrace is how long a new leader waits for a machine that should have been up long
-	// ago.
+	// neverUpGrace is how long a new leader waits for the first heartbeat of a machine whose boot
+	// timeout has passed.
 	neverUpGrace = 10 * time.Second
-	// firstHeartbeatMargin is how long after the interval of heartbeats a machine that was
-	// just moved here may still send its first one.
+	// firstHeartbeatMargin is added to the heartbeat interval in the wait for the first heartbeat
+	// of a machine that was just moved to this partition.
 	firstHeartbeatMargin = time.Second
 )
 
-// Boot times as multiples of the one that a machine type's catalog entry states, plus seconds.
+// Boot times are calculated from BootS of the machine type in the catalog: BootS times a factor,
+// plus a number of seconds.
 const (
 	bootTimeoutFactor, bootTimeoutExtraS = 3, 15
 	usualBootFactor, usualBootExtraS     = 1.6, 2
 )
 
-// PartitionSummaries describes the partitions that this controller leads.
+// PartitionSummaries returns the summaries of the partitions that this controller leads.
 func (e *Exchange) PartitionSummaries(now time.Time) (list []*peer.PartitionSummary) {
 	for _, partition := range e.Partitions {
 		if partition.Held && partition.Ready {
@@ -33,8 +34,8 @@
 	return list
 }
 
-// PartitionSummary describes one partition: its machines, its delegates and the demand of its
-// waiting tasks for more machines.
+// PartitionSummary returns the summary of a partition: its machines, its delegates and the demand
+// of its waiting tasks for more machines.
 func (e *Exchange) PartitionSummary(partition *cluster.Partition, now time.Time) *peer.PartitionSummary {
 	summary := &peer.PartitionSummary{
 		Partition: uint32(partition.Index),
@@ -55,7 +56,7 @@
 	return summary
 }
 
-// machineStatus describes a machine.
+// machineStatus returns the status of a machine.
 func machineStatus(machine *cluster.Machine, now time.Time) *peer.MachineStatus {
 	idle := len(machine.Attempts) == 0 && len(machine.OrphanedTasks) == 0 && machine.TokenConfirmed && machine.CommandRequestsInFlight == 0
 	status := &peer.MachineStatus{
@@ -74,14 +75,14 @@
 	return status
 }
 
-// isNeverUp says whether a machine has been waited for far longer than it takes to boot.
+// isNeverUp reports whether a machine has sent no heartbeat although its boot timeout has passed.
 func isNeverUp(machine *cluster.Machine, now time.Time) bool {
 	return !machine.HasReported && len(machine.Attempts) == 0 && machine.Type != nil &&
 		now.Sub(machine.HeartbeatsExpectedSince) > neverUpGrace && machine.Age(now) > bootTimeout(machine.Type)
 }
 
-// isExpected says whether a machine that still boots, or was just moved here, will run some of
-// the waiting tasks.
+// isExpected reports whether a machine is expected to run waiting tasks soon: it is booting or was
+// just moved to this partition, and it has sent no heartbeat or is not fenced yet.
 func (e *Exchange) isExpected(machine *cluster.Machine, now time.Time) bool {
 	if machine.Type == nil || machine.Lost || machine.Quarantined || e.IsDeleted(machine.Name) || !machine.RetiringSince.IsZero() {
 		return false
@@ -94,13 +95,13 @@
 		now.Sub(machine.HeartbeatsExpectedSince) < e.HeartbeatInterval+firstHeartbeatMargin
 }
 
-// bootTimeout is how long a machine may take to come up before it is given up.
+// bootTimeout is the time after which a machine that has not come up is given up.
 func bootTimeout(machineType *protocol.MachineType) time.Duration {
 	return time.Duration((bootTimeoutFactor*machineType.BootS + bootTimeoutExtraS) * float64(time.Second))
 }
 
-// usualBootTime is how long most machines take to come up. One that takes longer may never do
-// so, and waiting tasks no longer count on it.
+// usualBootTime is the time within which most machines come up. Waiting tasks do not count on a
+// machine that takes longer, because it may never come up.
 func usualBootTime(machineType *protocol.MachineType) time.Duration {
 	return time.Duration((usualBootFactor*machineType.BootS + usualBootExtraS) * float64(time.Second))
 }
--- a/internal/coordination/peering/summary.go
+++ b/internal/coordination/peering/summary.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/telemetry"
 )
 
-// OwnSummary describes this controller and the partitions that it leads.
+// OwnSummary returns the summary of this controller and of the partitions that it leads.
 func (e *Exchange) OwnSummary(now time.Time) *peer.Summary {
 	load := e.proxy.Load(now)
 	summary := &peer.Summary{
@@ -35,7 +35,8 @@
 	return summary
 }
 
-// jobProgress counts the done and running tasks of jobs that have any, up to a bound.
+// jobProgress returns the numbers of done and running tasks of each job that has any, for a limited
+// number of jobs.
 func (e *Exchange) jobProgress() (list []*peer.JobProgress) {
 	for _, job := range e.Jobs {
 		if !job.HasRunState || job.DoneCount == 0 && job.RunningCount == 0 {
@@ -50,12 +51,12 @@
 	return list
 }
 
-// EncodeSummary encodes a summary. One that is too large goes without what is least needed:
-// first the jobs' progress, which only informs users, then machines that are not on record,
-// which send heartbeats again.
+// EncodeSummary encodes a summary. If it is too large, EncodeSummary first removes the progress of
+// jobs, which is only shown to users, and then the unregistered and diverted machines, which will
+// send heartbeats again.
 func (e *Exchange) EncodeSummary(summary *peer.Summary) []byte {
 	limit := peerapi.MaxBody(e.Settings.Params.MachineLimits)
-	// A summary always marshals: its texts were checked when they came in.
+	// Marshalling fails only for invalid UTF-8, and all strings were validated on input.
 	body, _ := proto.Marshal(summary)
 	if len(body) <= limit {
 		return body
--- a/internal/coordination/proxy/answering.go
+++ b/internal/coordination/proxy/answering.go
@@ -12,16 +12,19 @@
 	"micaspindle/internal/transport"
 )
 
-// Why a delegate refuses a heartbeat.
+// Responses with which a delegate refuses a heartbeat.
 var (
-	// errSuperseded: the agent has seen a higher fencing token than this controller knows.
+	// errSuperseded is returned if the agent has seen a higher fencing token than this controller
+	// knows.
 	errSuperseded = apierror.NotReady("superseded", 1)
-	// errLeaderBehind: too many heartbeats wait to be sent to the partition's leader.
+	// errLeaderBehind is returned if too many answered heartbeats wait to be sent to the
+	// partition's leader.
 	errLeaderBehind = apierror.NotReady("the owner of the machine is behind", 1)
 )
 
-// AnswerHeartbeat answers an agent's heartbeat on behalf of the partition's leader; false: no
-// grant allows it. The leader gets what was answered with the next renewal (rule 37).
+// AnswerHeartbeat answers an agent's heartbeat on behalf of the partition's leader. It returns
+// false if no grant allows this. The heartbeat is sent to the leader with the next renewal (rule
+// 37).
 func (p *Proxy) AnswerHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
 	partition, assigned := p.Partitions[machine.Record.Partition], p.Assignments[machine.Record.Partition]
 	if p.Draining || partition.Held || !assigned.allows(partition, machine, now) {
--- a/internal/coordination/proxy/assignment.go
+++ b/internal/coordination/proxy/assignment.go
@@ -8,26 +8,28 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// assignment is what this controller does as a delegate for the leader of one partition. It
-// belongs to the event loop.
+// assignment is the state of this controller as a delegate of one partition's leader. It must be
+// used only in the event loop.
 type assignment struct {
-	// Leader and Lease (the revision of its partition lease) tell for whom it is.
+	// Leader is the label of the partition's leader, and Lease the revision of its partition lease,
+	// under which the shards are delegated.
 	Leader string
 	Lease  uint64
-	// Shards are those whose heartbeats may be answered here until GrantedUntil, by the local
-	// clock.
+	// Shards are the delegated shards. Until GrantedUntil, by the local clock, this controller may
+	// answer the heartbeats of their machines.
 	Shards       [delegation.ShardCount]bool
 	GrantedUntil time.Time
-	// Serial is that of the last grant that came; 0: none yet.
+	// Serial is the serial number of the last grant received, or 0 if there is none.
 	Serial uint64
-	// Unsent are the heartbeats that were answered and not yet sent to the leader, the newest
-	// of each machine. UnsentBytes is the size of them and of those on their way.
+	// Unsent holds, by machine, the newest heartbeat that was answered and not yet sent to the
+	// leader. UnsentBytes is the size of these heartbeats and of those in a request in flight.
 	Unsent      map[string]answeredHeartbeat
 	UnsentBytes int
-	wakeup      chan struct{}
+	// wakeup makes RenewLoop send a renewal.
+	wakeup chan struct{}
 }
 
-// answeredHeartbeat is a heartbeat that was answered here, as it came.
+// answeredHeartbeat is a heartbeat that this controller has answered, as received from the agent.
 type answeredHeartbeat struct {
 	Raw             []byte
 	epoch, sequence uint64
@@ -37,7 +39,7 @@
 	return &assignment{Unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)}
 }
 
-// olderThan says whether the machine sent the heartbeat before another one.
+// olderThan reports whether the machine sent h before the other heartbeat.
 func (h answeredHeartbeat) olderThan(other answeredHeartbeat) bool {
 	if h.epoch != other.epoch {
 		return h.epoch < other.epoch
@@ -45,8 +47,8 @@
 	return h.sequence < other.sequence
 }
 
-// add stores a heartbeat to be sent, unless a newer one of its machine already waits:
-// heartbeats may arrive late.
+// add stores a heartbeat that is to be sent to the leader, unless a newer one of the machine is
+// stored: heartbeats may arrive out of order.
 func (a *assignment) add(machine string, heartbeat answeredHeartbeat) {
 	if stored, ok := a.Unsent[machine]; ok {
 		if heartbeat.olderThan(stored) {
@@ -58,8 +60,8 @@
 	a.Unsent[machine] = heartbeat
 }
 
-// takeUnsent removes as many heartbeats as one message holds and returns them with their size
-// in bytes. It takes at least one if there is any.
+// takeUnsent removes as many unsent heartbeats as fit into one request, at least one if there are
+// any, and returns them with their size in bytes.
 func (a *assignment) takeUnsent() (taken map[string]answeredHeartbeat, size int) {
 	taken = map[string]answeredHeartbeat{}
 	for machine, heartbeat := range a.Unsent {
@@ -73,37 +75,36 @@
 	return taken, size
 }
 
-// allows says whether the grant allows an answer to a machine of the partition now.
+// allows reports whether the grant allows this controller to answer a machine of the partition now.
 func (a *assignment) allows(partition *cluster.Partition, machine *cluster.Machine, now time.Time) bool {
-	return a.Shards[machine.Shard] && now.Before(a.GrantedUntil) && a.isUnder(partition)
+	return a.Shards[machine.Shard] && now.Before(a.GrantedUntil) && a.isCurrent(partition)
 }
 
-// isUnder says whether the assignment is for the partition's present leader and lease.
-func (a *assignment) isUnder(partition *cluster.Partition) bool {
+// isCurrent reports whether the assignment is under the partition's current leader and lease.
+func (a *assignment) isCurrent(partition *cluster.Partition) bool {
 	return a.Leader == partition.Leader && a.Lease == partition.LeaseRevision
 }
 
-// restart begins anew under the partition's present leader and lease. Heartbeats that were
-// answered for the former leader are dropped: finding out what they said is up to its
-// successor.
-func (a *assignment) restart(partition *cluster.Partition) {
+// reset clears the assignment and sets the partition's current leader and lease. Unsent heartbeats
+// are dropped: the new leader determines the state of the machines itself.
+func (a *assignment) reset(partition *cluster.Partition) {
 	a.Leader, a.Lease = partition.Leader, partition.LeaseRevision
 	a.Serial, a.GrantedUntil, a.UnsentBytes = 0, time.Time{}, 0
 	a.Shards = [delegation.ShardCount]bool{}
 	clear(a.Unsent)
 }
 
-// applyGrant takes over a grant that was asked for at the given time, and says whether it
-// changes the shards.
+// applyGrant stores a grant that was requested at the given time, and reports whether the delegated
+// shards changed.
 func (a *assignment) applyGrant(grant *peer.DelegationGrant, requestedAt time.Time) (changed bool) {
 	a.Serial = grant.Serial
 	a.GrantedUntil = requestedAt.Add(time.Duration(grant.GrantMs) * time.Millisecond)
-	former := a.Shards
+	previous := a.Shards
 	a.Shards = [delegation.ShardCount]bool{}
 	for _, shard := range grant.Shards {
 		if shard < delegation.ShardCount {
 			a.Shards[shard] = true
 		}
 	}
-	return former != a.Shards
+	return previous != a.Shards
 }
--- a/internal/coordination/proxy/bounds.go
+++ b/internal/coordination/proxy/bounds.go
@@ -5,16 +5,16 @@
 	"micaspindle/internal/settings"
 )
 
-// socketsPerMachine is how many connections a machine keeps with the controller that answers
-// its heartbeats: one for heartbeats and one for commands.
+// socketsPerMachine is the number of connections that a controller needs for each machine that it
+// serves: one for heartbeats and one for commands.
 const socketsPerMachine = 2
 
-// unsentMemoryShare is the fraction of the memory, as a divisor, that heartbeats which are
-// still to be sent to the partition's leader may take.
-const unsentMemoryShare = 32
+// unsentMemoryDivisor limits the unsent heartbeats of one partition to the memory of the process
+// divided by it.
+const unsentMemoryDivisor = 32
 
-// UnsentBytesLimit bounds the answered heartbeats of a partition that are still to be sent to
-// its leader, in bytes.
+// UnsentBytesLimit returns the limit, in bytes, on the heartbeats of one partition that were
+// answered and not yet sent to its leader.
 func UnsentBytesLimit(limits settings.ProcessLimits) int {
-	return max(renewalBytesLimit, int(limits.MemMB*peerapi.BytesPerMB)/unsentMemoryShare)
+	return max(renewalBytesLimit, int(limits.MemMB*peerapi.BytesPerMB)/unsentMemoryDivisor)
 }
--- a/internal/coordination/proxy/collaborators.go
+++ b/internal/coordination/proxy/collaborators.go
@@ -8,23 +8,24 @@
 	"micaspindle/internal/protocol"
 )
 
-// Agents applies heartbeats of agents and sends commands to them.
+// Agents applies heartbeats from agents and sends them commands.
 type Agents interface {
-	// ApplyHeartbeat applies a machine's heartbeat to the state, whichever way it came.
+	// ApplyHeartbeat applies a machine's heartbeat to the state, whether it came from the agent or
+	// from a delegate.
 	ApplyHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time)
-	// SendCommands sends a machine's commands to its agent, one request at a time for each
-	// machine.
+	// SendCommands sends the agent of a machine its commands. A machine has at most one such
+	// request in flight.
 	SendCommands(machine *cluster.Machine)
-	// StopsForCancelledJobs makes stop commands for the attempts of cancelled jobs that a heartbeat
-	// shows. Whoever answers a heartbeat renews the lease of every attempt in it, so nobody may
-	// do so for a task that it knows to be cancelled: neither a leader that has not read its
-	// partition's records yet nor a delegate, which both decide nothing else. A cancellation
-	// is on record for good, so the stop needs no record of its own.
+	// StopsForCancelledJobs returns stop commands for the attempts of cancelled jobs in a
+	// heartbeat. An answer to a heartbeat renews the leases of all attempts in it, so it must stop
+	// the tasks that are known to be cancelled. This holds for delegates, and for a leader that has
+	// not yet read the partition's records, although neither makes any other decision. A
+	// cancellation is permanent, so the stop command needs no record of its own.
 	StopsForCancelledJobs(heartbeat *protocol.Heartbeat) []protocol.Command
 }
 
-// Auth checks who sent a message.
+// Auth authenticates the senders of messages.
 type Auth interface {
-	// CheckPeer refuses a message that does not come from the controller that it names.
+	// CheckPeer returns an error unless the caller is the controller with the given label.
 	CheckPeer(caller *auth.Caller, label string) error
 }
--- a/internal/coordination/proxy/forwarded.go
+++ b/internal/coordination/proxy/command_delivery.go
@@ -15,24 +15,25 @@
 	"micaspindle/internal/transport"
 )
 
-// commandsPath is where agents take commands.
+// commandsPath is the path at which agents accept commands.
 const commandsPath = "/orders"
 
-// forwardAnswerWait is how long a delegate waits for the agents' answers to the commands of
-// one message.
+// forwardAnswerWait is how long a delegate waits for the agents' answers to the commands in one
+// request.
 const forwardAnswerWait = 400 * time.Millisecond
 
-// errStopping refuses commands once the event loop has ended.
+// errStopping is returned for commands that arrive after the event loop has ended.
 var errStopping = apierror.NotReady("stopping", 1)
 
-// agentResult is an agent's answer to the command with the given index in its message.
+// agentResult is an agent's answer to the command at an index in the request.
 type agentResult struct {
 	index  int
 	result *peer.ForwardResult
 }
 
-// HandleForwarded forwards commands to agents as a delegate and replies with what they
-// answered in time. It decides nothing: agents obey or refuse commands by their fencing token.
+// HandleForwarded forwards commands to agents on behalf of a partition's leader and returns the
+// answers received in time. It need not check whether the sender still leads the partition: agents
+// refuse commands with an old fencing token.
 func (p *Proxy) HandleForwarded(caller *auth.Caller, body []byte) (*peer.ForwardReply, error) {
 	request := new(peer.ForwardRequest)
 	if err := proto.Unmarshal(body, request); err != nil || len(request.Commands) > ForwardCommandsLimit {
@@ -48,8 +49,8 @@
 	return p.sendToAgents(request.Commands, addrs), nil
 }
 
-// agentAddrs is the address of each command's agent, "" where it is unknown; false: the event
-// loop has ended.
+// agentAddrs returns the address of the agent of each command, or "" if it is unknown. It returns
+// false if the event loop has ended.
 func (p *Proxy) agentAddrs(commands []*peer.ForwardedCommand) (addrs []string, ok bool) {
 	addrs = make([]string, len(commands))
 	ok = p.loop.Do(func() {
@@ -62,8 +63,8 @@
 	return addrs, ok
 }
 
-// sendToAgents sends all commands at once and gathers the answers that come in time. The
-// others have status 0: they may still arrive, and count as unanswered.
+// sendToAgents sends all commands concurrently and returns the answers received in time. The other
+// results have status 0, which means unanswered: these commands may still arrive.
 func (p *Proxy) sendToAgents(commands []*peer.ForwardedCommand, addrs []string) *peer.ForwardReply {
 	answers := make(chan agentResult, len(addrs))
 	reply := &peer.ForwardReply{}
@@ -89,7 +90,7 @@
 	return reply
 }
 
-// sendToAgent sends one agent its commands and waits for its answer.
+// sendToAgent sends commands to one agent and waits for its answer.
 func (p *Proxy) sendToAgent(addr string, body []byte) *peer.ForwardResult {
 	ctx, cancel := context.WithTimeout(p.loop.Context(), agents.CommandTimeout)
 	defer cancel()
--- a/internal/coordination/proxy/forwarding.go
+++ b/internal/coordination/proxy/command_forwarding.go
@@ -10,38 +10,41 @@
 	"micaspindle/internal/transport"
 )
 
-// ForwardPath is where a delegate takes commands to be forwarded to agents.
+// ForwardPath is the path at which delegates accept commands to forward to agents.
 const ForwardPath = "/peer/relay"
 
-// ForwardCommandsLimit is how many machines' commands one message to a delegate holds.
+// ForwardCommandsLimit is the maximum number of machines whose commands are sent to a delegate in
+// one request.
 const ForwardCommandsLimit = 64
 
 const (
-	// forwardGatherDelay is for how long commands are gathered after the first.
-	forwardGatherDelay = 3 * time.Millisecond
-	// forwardBytesLimit bounds the commands of one message, in bytes; a single one may be
-	// larger.
+	// forwardBatchDelay is how long commands to a delegate are collected, from the first one on,
+	// before they are sent together.
+	forwardBatchDelay = 3 * time.Millisecond
+	// forwardBytesLimit is the maximum size of the commands in one request, in bytes. A single
+	// larger command is sent in a request of its own.
 	forwardBytesLimit = peerapi.PortableBodyLimit / 2
 )
 
-// errDelegateUnanswered: the delegate had no answer of the agent, which may have got the
-// commands or may still get them.
-var errDelegateUnanswered = errors.New("the delegate had no answer of the agent")
+// errDelegateUnanswered is returned if the delegate received no answer from the agent. The agent
+// may have received the commands, or may still receive them.
+var errDelegateUnanswered = errors.New("no answer from the agent")
 
-// forwardedCommand is the commands for one machine's agent that go through its delegate.
+// forwardedCommand holds the encoded commands for one machine's agent, which are sent through a
+// delegate, and receives the result.
 type forwardedCommand struct {
 	machine string
 	body    []byte
 	result  chan *peer.ForwardResult
 }
 
-// ForwardCommands sends a machine's commands through its delegate and waits for the agent's
-// answer. An error that wraps transport.ErrNotSent proves that they can never arrive.
+// ForwardCommands sends a machine's commands through its delegate and waits for the agent's answer.
+// If the error wraps transport.ErrNotSent, the commands were not sent and will never arrive.
 func (p *Proxy) ForwardCommands(delegate, machine string, body []byte) (*transport.Response, error) {
 	command := &forwardedCommand{machine: machine, body: body, result: make(chan *peer.ForwardResult, 1)}
 	p.mu.Lock()
-	first := len(p.queued[delegate]) == 0
-	p.queued[delegate] = append(p.queued[delegate], command)
+	first := len(p.queuedCommands[delegate]) == 0
+	p.queuedCommands[delegate] = append(p.queuedCommands[delegate], command)
 	p.mu.Unlock()
 	if first {
 		p.loop.Go(func() { p.flush(delegate) })
@@ -49,19 +52,19 @@
 	result := <-command.result
 	switch {
 	case result.Unsent:
-		return nil, fmt.Errorf("%w: through %s", transport.ErrNotSent, delegate)
+		return nil, fmt.Errorf("forward through delegate %s: %w", delegate, transport.ErrNotSent)
 	case result.Status == 0:
-		return nil, fmt.Errorf("%w: %s", errDelegateUnanswered, delegate)
+		return nil, fmt.Errorf("forward through delegate %s: %w", delegate, errDelegateUnanswered)
 	}
 	return &transport.Response{Status: int(result.Status), Body: result.Body}, nil
 }
 
-// flush sends a delegate the commands that were gathered, in messages of bounded size.
+// flush sends a delegate its queued commands, in requests of limited size.
 func (p *Proxy) flush(delegate string) {
-	p.loop.Sleep(forwardGatherDelay)
+	p.loop.Sleep(forwardBatchDelay)
 	p.mu.Lock()
-	queued := p.queued[delegate]
-	delete(p.queued, delegate)
+	queued := p.queuedCommands[delegate]
+	delete(p.queuedCommands, delegate)
 	p.mu.Unlock()
 	for len(queued) > 0 {
 		n := batchLen(queued)
@@ -71,7 +74,7 @@
 	}
 }
 
-// batchLen is how many of the first commands fit into one message, at least one.
+// batchLen returns how many of the first queued commands fit into one request, at least one.
 func batchLen(queued []*forwardedCommand) int {
 	n, size := 0, 0
 	for n < len(queued) && n < ForwardCommandsLimit && (n == 0 || size+len(queued[n].body) <= forwardBytesLimit) {
@@ -81,19 +84,19 @@
 	return n
 }
 
-// forward sends one message to a delegate and hands the results to those who wait for them.
+// forward sends a delegate one request and passes the results to the waiting callers.
 func (p *Proxy) forward(delegate string, batch []*forwardedCommand) {
 	request := &peer.ForwardRequest{From: p.Settings.Label}
 	for _, command := range batch {
 		request.Commands = append(request.Commands, &peer.ForwardedCommand{Machine: command.machine, Body: command.body})
 	}
 	reply := new(peer.ForwardReply)
-	err := peerapi.Call(p.loop.Context(), p.network, renewTimeout, p.Peers[delegate].Addr, ForwardPath, request, reply)
+	err := peerapi.Call(p.loop.Context(), p.network, peerCallTimeout, p.Peers[delegate].Addr, ForwardPath, request, reply)
 	if err == nil && len(reply.Results) != len(batch) {
-		err = fmt.Errorf("%d results for %d commands", len(reply.Results), len(batch))
+		err = fmt.Errorf("reply has %d results for %d commands", len(reply.Results), len(batch))
 	}
 	if err != nil {
-		p.log.Debug("commands not forwarded", "controller", delegate, "error", err)
+		p.log.Debug("command forwarding failed", "controller", delegate, "error", err)
 		p.markDown(delegate)
 	}
 	for i, command := range batch {
--- a/internal/coordination/proxy/grants.go
+++ b/internal/coordination/proxy/grants.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// redirectInterval is how long an agent that was redirected to its delegate and came back
-	// is served by the leader before it is redirected again.
+	// redirectInterval is the minimum time between two redirects of an agent that reached its
+	// delegate and came back to the leader.
 	redirectInterval = 3 * time.Second
-	// redirectRetryInterval is the same for an agent that did not reach the delegate at all.
+	// redirectRetryInterval is the minimum time between two redirects of an agent that never
+	// reached its delegate.
 	redirectRetryInterval = 30 * time.Second
 )
 
-// HandleRenewal answers a delegate's renewal as the partition's leader: it applies the
-// heartbeats that the delegate answered and grants it its shards.
+// HandleRenewal handles a delegate's renewal request as the partition's leader: it applies the
+// heartbeats that the delegate answered, and renews its grant.
 func (p *Proxy) HandleRenewal(caller *auth.Caller, body []byte) (*peer.DelegationGrant, error) {
 	request := new(peer.DelegationRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
@@ -40,7 +41,7 @@
 	return grant, nil
 }
 
-// decodeHeartbeats decodes heartbeats as agents sent them, leaving out those that are invalid.
+// decodeHeartbeats decodes heartbeats as sent by agents and drops invalid ones.
 func decodeHeartbeats(encoded [][]byte) []*protocol.Heartbeat {
 	heartbeats := make([]*protocol.Heartbeat, 0, len(encoded))
 	for _, raw := range encoded {
@@ -52,8 +53,9 @@
 	return heartbeats
 }
 
-// renewGrant applies the heartbeats of a renewal and renews the delegate's grant; nil: this
-// controller does not lead the partition under the lease that the request names.
+// renewGrant applies the heartbeats in a renewal request and renews the delegate's grant. It
+// returns nil if this controller may not answer heartbeats as the partition's leader, or not under
+// the lease in the request.
 func (p *Proxy) renewGrant(request *peer.DelegationRequest, heartbeats []*protocol.Heartbeat, now time.Time) *peer.DelegationGrant {
 	if int(request.Partition) >= len(p.Partitions) {
 		return nil
@@ -81,9 +83,9 @@
 		return
 	}
 	machine.AcceptHeartbeat(heartbeat)
-	machine.AnsweredUntil = now // the delegate answered before now, so this is an upper bound
+	machine.AnsweredUntil = now // an upper bound, as the delegate answered before now
 	if heartbeat.Token > p.Token(machine) || !machine.IsNewer(heartbeat) {
-		return // late, or older than one that came another way
+		return // out of order, or older than one received directly or through another delegate
 	}
 	if heartbeat.Addr != "" {
 		machine.Record.Addr = heartbeat.Addr
@@ -95,8 +97,8 @@
 	}
 }
 
-// RedirectTarget names the delegate to which an agent that came here should send its
-// heartbeats; "": it is served here.
+// RedirectTarget returns the delegate to which an agent that has sent this leader a heartbeat
+// should send its heartbeats, or "" if the leader serves the agent itself.
 func (p *Proxy) RedirectTarget(partition *cluster.Partition, machine *cluster.Machine, now time.Time) string {
 	pause := redirectInterval
 	if !machine.DelegateHeartbeatAt.After(machine.RedirectedAt) {
--- a/internal/coordination/proxy/overview.go
+++ b/internal/coordination/proxy/overview.go
@@ -8,27 +8,27 @@
 	"micaspindle/internal/overview"
 )
 
-// recentMovesLimit is how many changes of delegates are stored for operators.
+// recentMovesLimit is how many recent shard moves are kept for operators.
 const recentMovesLimit = 16
 
-// recordMove stores a change of a shard's delegate and drops the oldest beyond the limit.
+// recordMove stores a shard move and drops the oldest ones beyond the limit.
 func (p *Proxy) recordMove(move overview.ShardMove, now time.Time) {
-	p.moves, p.moveTimes = append(p.moves, move), append(p.moveTimes, now)
-	if excess := len(p.moves) - recentMovesLimit; excess > 0 {
-		p.moves, p.moveTimes = slices.Delete(p.moves, 0, excess), slices.Delete(p.moveTimes, 0, excess)
+	p.recentMoves, p.recentMoveTimes = append(p.recentMoves, move), append(p.recentMoveTimes, now)
+	if excess := len(p.recentMoves) - recentMovesLimit; excess > 0 {
+		p.recentMoves, p.recentMoveTimes = slices.Delete(p.recentMoves, 0, excess), slices.Delete(p.recentMoveTimes, 0, excess)
 	}
 }
 
-// RecentMoves lists the last changes of delegates, oldest first, with how long ago they were.
+// RecentMoves returns the recent shard moves, oldest first, with their ages.
 func (p *Proxy) RecentMoves(now time.Time) []overview.ShardMove {
-	list := slices.Clone(p.moves)
+	list := slices.Clone(p.recentMoves)
 	for i := range list {
-		list[i].AgoS = now.Sub(p.moveTimes[i]).Seconds()
+		list[i].AgoS = now.Sub(p.recentMoveTimes[i]).Seconds()
 	}
 	return list
 }
 
-// Overview lists the delegates of a partition that this controller leads.
+// Overview returns the delegates of a partition that this controller leads.
 func (p *Proxy) Overview(partition *cluster.Partition, now time.Time) (list []overview.Delegate) {
 	machines := map[string]int{}
 	for _, machine := range p.Machines {
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -1,10 +1,10 @@
-// Package proxy delegates heartbeats: where a partition's leader runs out of sockets, other
-// controllers answer the heartbeats of some shards of its machines under short grants, and
-// forward its commands. The leader alone decides. It owns the assignments of this controller
-// as a delegate, and the delegations of the partitions that it leads.
+// Package proxy delegates the heartbeats of agents. A partition's leader that runs out of sockets
+// delegates some shards of the partition's machines to other controllers. A delegate answers the
+// heartbeats of its shards under time-limited grants and forwards the leader's commands. Only the
+// leader makes decisions.
 //
-// The delegate's side is in assignment.go, answering.go, renewal.go and forwarded.go, the
-// leader's in grants.go, rebalancing.go and forwarding.go.
+// The code of delegates is in assignment.go, answering.go, renewal.go and command_delivery.go, that
+// of leaders in grants.go, rebalancing.go and command_forwarding.go.
 package proxy
 
 import (
@@ -20,9 +20,9 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Proxy answers heartbeats and forwards commands for leaders of other partitions, and
-// delegates shards of the own partitions to others. It belongs to the event loop, but for
-// the queued commands.
+// Proxy serves shards of other leaders' partitions as a delegate, and delegates shards of the
+// partitions that this controller leads. Except for queuedCommands, its state must be used only in
+// the event loop.
 type Proxy struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -34,38 +34,38 @@
 	agents Agents
 	auth   Auth
 
-	// capacity is how many machines' connections the sockets hold: one for heartbeats and one
-	// for commands each.
+	// capacity is how many machines the sockets suffice for.
 	capacity int
-	// UnsentLimit bounds the heartbeats of a partition that were answered here and are still
-	// to be sent to its leader, in bytes: 10 MiB at 322 MB of memory, while those of 4,000
-	// machines with 16 tasks each have 3.9 MB.
+	// UnsentLimit is the limit, in bytes, on the heartbeats of one partition that were answered
+	// here and not yet sent to its leader.
 	UnsentLimit int
-	// Assignments are what this controller does as a delegate, by partition.
+	// Assignments holds this controller's assignment as a delegate for each partition, by partition
+	// index.
 	Assignments []*assignment
-	// MovedAt is when a shard last changed its delegate.
-	MovedAt    time.Time
+	// MovedAt is when a shard was last moved.
+	MovedAt time.Time
+	// balancedAt is when Rebalance last ran.
 	balancedAt time.Time
-	// moves are the last changes of delegates, for operators; moveTimes is when each was.
-	moves     []overview.ShardMove
-	moveTimes []time.Time
+	// recentMoves are the last shard moves, for operators, and recentMoveTimes their times.
+	recentMoves     []overview.ShardMove
+	recentMoveTimes []time.Time
 
-	mu     sync.Mutex
-	queued map[string][]*forwardedCommand // commands that wait to be forwarded, by delegate
+	mu             sync.Mutex
+	queuedCommands map[string][]*forwardedCommand // commands not yet sent, by delegate
 }
 
-// New makes a Proxy without collaborators.
+// New returns a Proxy. Connect must be called before it is used.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, log *slog.Logger, bounds *telemetry.BoundReporter) *Proxy {
 	limits := state.Settings.Params.MachineLimits
 	p := &Proxy{
-		State:       state,
-		loop:        loop,
-		network:     network,
-		log:         log,
-		bounds:      bounds,
-		capacity:    limits.Sockets / socketsPerMachine,
-		UnsentLimit: UnsentBytesLimit(limits),
-		queued:      map[string][]*forwardedCommand{},
+		State:          state,
+		loop:           loop,
+		network:        network,
+		log:            log,
+		bounds:         bounds,
+		capacity:       limits.Sockets / socketsPerMachine,
+		UnsentLimit:    UnsentBytesLimit(limits),
+		queuedCommands: map[string][]*forwardedCommand{},
 	}
 	for range state.Partitions {
 		p.Assignments = append(p.Assignments, newAssignment())
@@ -81,9 +81,9 @@
 // Observe sets the metrics. It must be called before the event loop starts.
 func (p *Proxy) Observe(metrics *telemetry.Metrics) { p.metrics = metrics }
 
-// Load is how many machines are connected to this controller, and how many its
-// sockets hold: those of the own partitions that no delegate serves, and those of the shards
-// that are delegated to it.
+// Load returns how many machines this controller serves and for how many its sockets suffice. It
+// serves the machines of its own partitions in shards without a delegate, and those of the shards
+// delegated to it.
 func (p *Proxy) Load(now time.Time) delegation.Load {
 	load := delegation.Load{Capacity: p.capacity}
 	for _, machine := range p.Machines {
--- a/internal/coordination/proxy/rebalancing.go
+++ b/internal/coordination/proxy/rebalancing.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// delegateSettleTime is how long a controller must have been alive without a gap
-	// before shards are delegated to it.
+	// delegateSettleTime is how long a controller must have been alive without interruption before
+	// shards are delegated to it.
 	delegateSettleTime = 5 * time.Second
-	// stateSilenceLimitS is for how many seconds the state store may have left a controller
-	// without an answer for it to be given shards.
+	// stateSilenceLimitS is the number of seconds without an answer from the state store after
+	// which a controller gets no more shards.
 	stateSilenceLimitS = 3
 )
 
-// shardSizes counts a partition's machines by shard.
+// shardSizes holds the number of machines in each shard of a partition.
 type shardSizes [delegation.ShardCount]int
 
-// Rebalance moves shards of this controller's partitions between it and its delegates, so
-// that the connections are spread evenly.
+// Rebalance moves shards of this controller's partitions between it and its delegates, to balance
+// the connections among the controllers.
 func (p *Proxy) Rebalance(now time.Time) {
 	if now.Sub(p.balancedAt) < delegation.MoveInterval {
 		return
 	}
 	p.balancedAt = now
-	view := p.view(now, nil)
+	view := p.balancingView(now, nil)
 	view.MayMove = now.Sub(p.MovedAt) >= delegation.MoveInterval
 	view.MayReturn = now.Sub(p.MovedAt) >= delegation.ReturnInterval
 	for _, move := range delegation.PlanMoves(view) {
@@ -37,14 +37,14 @@
 	}
 }
 
-// SpreadShards delegates shards of a partition that was just taken over at once, as many as
-// its machines ask for: they must all be fenced and will all send heartbeats, and a leader
-// that is alone with that may run out of sockets. Delegates of the former leader keep their
-// shards, so that the agents' connections stay.
+// SpreadShards delegates shards of a partition that was just taken over, without waiting between
+// the moves. All its machines must be fenced and will send heartbeats, for which the leader's own
+// sockets may not suffice. Delegates of the former leader keep their shards, so that agents need
+// not reconnect.
 func (p *Proxy) SpreadShards(partition *cluster.Partition, now time.Time) {
 	p.adoptDelegates(partition, now)
-	// The loads in the delegates' summaries count the shards adopted above already.
-	view := p.view(now, partition)
+	// The loads in the delegates' summaries already include the adopted shards.
+	view := p.balancingView(now, partition)
 	view.MayMove = true
 	for range delegation.ShardCount {
 		moves := delegation.PlanMoves(view)
@@ -58,10 +58,10 @@
 	}
 }
 
-// adoptDelegates lets the delegates of a partition's former leader go on with their shards, as
-// far as they are able to.
+// adoptDelegates assigns the shards of a partition to the delegates that the former leader had
+// assigned, if these are able to serve them.
 func (p *Proxy) adoptDelegates(partition *cluster.Partition, now time.Time) {
-	view := p.view(now, partition)
+	view := p.balancingView(now, partition)
 	if view.Unsupported {
 		return
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// reassign lets a shard change its delegate.
+// reassign changes the delegate of a shard.
 func (p *Proxy) reassign(move delegation.Move, now time.Time) {
 	partition := p.Partitions[move.Partition]
 	former := partition.Delegations.Delegate(move.Shard)
@@ -91,15 +91,16 @@
 	p.MovedAt = now
 }
 
-// view is what a plan of moves is made from. All machines of a partition that is just taken
-// over count, though none of them has sent a heartbeat yet; nil: there is none.
-func (p *Proxy) view(now time.Time, taken *cluster.Partition) delegation.View {
+// balancingView returns the input of delegation.PlanMoves. If takenOver is not nil, it is a
+// partition that is being taken over, and all its machines count although none has sent this
+// controller a heartbeat yet.
+func (p *Proxy) balancingView(now time.Time, takenOver *cluster.Partition) delegation.View {
 	view := delegation.View{Own: p.Load(now)}
 	p.addPeers(&view, now)
-	sizes := p.countShards(taken)
-	if taken != nil && sizes[taken] != nil {
-		for shard, machines := range sizes[taken] {
-			if taken.Delegations.Delegate(shard) == "" {
+	sizes := p.countShards(takenOver)
+	if takenOver != nil && sizes[takenOver] != nil {
+		for shard, machines := range sizes[takenOver] {
+			if takenOver.Delegations.Delegate(shard) == "" {
 				view.Own.Machines += machines
 			}
 		}
@@ -120,7 +121,7 @@
 	return view
 }
 
-// addPeers adds the other controllers to a view, as far as their summaries are known.
+// addPeers adds the other controllers that have sent summaries to a view.
 func (p *Proxy) addPeers(view *delegation.View, now time.Time) {
 	for _, label := range p.Labels {
 		other := p.Peers[label]
@@ -140,13 +141,14 @@
 	}
 }
 
-// countShards counts the machines of each shard of the own partitions: those that send
-// heartbeats, and all of the partition that is just taken over. Partitions without any are left out.
-func (p *Proxy) countShards(taken *cluster.Partition) map[*cluster.Partition]*shardSizes {
+// countShards counts the machines in each shard of this controller's partitions. Machines count if
+// they send heartbeats or belong to takenOver, the partition that is being taken over. Partitions
+// without such machines are left out.
+func (p *Proxy) countShards(takenOver *cluster.Partition) map[*cluster.Partition]*shardSizes {
 	sizes := make(map[*cluster.Partition]*shardSizes)
 	for _, machine := range p.Machines {
 		partition := p.Partitions[machine.Record.Partition]
-		if partition != taken && (!partition.Held || !partition.Ready || !machine.HasReported || machine.Lost) {
+		if partition != takenOver && (!partition.Held || !partition.Ready || !machine.HasReported || machine.Lost) {
 			continue
 		}
 		if sizes[partition] == nil {
--- a/internal/coordination/proxy/renewal.go
+++ b/internal/coordination/proxy/renewal.go
@@ -10,55 +10,57 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// DelegationPath is where a leader answers the renewals of its delegates.
+// DelegationPath is the path at which leaders accept renewal requests from their delegates.
 const DelegationPath = "/peer/carry"
 
 const (
-	// renewInterval is how often a delegate asks the leader to renew its grant.
+	// renewInterval is how often a delegate renews its grant.
 	renewInterval = 300 * time.Millisecond
-	// gatherDelay is for how long heartbeats are gathered after one has come.
-	gatherDelay = 50 * time.Millisecond
-	// renewTimeout bounds the wait for the leader's reply.
-	renewTimeout = time.Second
-	// renewalBytesLimit is how many bytes of heartbeats one message holds; more go in several.
+	// renewalBatchDelay is how long answered heartbeats are collected, from the first one on,
+	// before they are sent together.
+	renewalBatchDelay = 50 * time.Millisecond
+	// peerCallTimeout limits a renewal request to a leader, or a forwarding request to a delegate.
+	peerCallTimeout = time.Second
+	// renewalBytesLimit is the maximum size of the heartbeats in one request, in bytes. A single
+	// larger heartbeat is sent in a request of its own.
 	renewalBytesLimit = peerapi.PortableBodyLimit * 3 / 4
 )
 
-// renewal is one request to a partition's leader, and what is needed once its reply comes.
+// renewal is a renewal request to a partition's leader, with what is needed to handle the reply.
 type renewal struct {
 	request   *peer.DelegationRequest
 	addr      string
 	startedAt time.Time
 	sent      map[string]answeredHeartbeat
 	sentBytes int
-	// remaining: more heartbeats wait than the message holds.
-	remaining bool
+	// moreUnsent is set if some unsent heartbeats did not fit into the request.
+	moreUnsent bool
 }
 
-// RenewLoop asks a partition's leader to renew the grant, and sends it the heartbeats that
-// were answered, until the event loop's context ends. It sleeps while the leader delegates
-// nothing to this controller.
+// RenewLoop renews this controller's grant for a partition and sends its leader the answered
+// heartbeats, until the event loop's context ends. It sleeps while the leader delegates nothing to
+// this controller.
 func (p *Proxy) RenewLoop(partition *cluster.Partition) {
 	assigned := p.Assignments[partition.Index]
 	for active := false; ; active = p.RenewAll(partition, assigned) {
-		var again <-chan time.Time
+		var timer <-chan time.Time
 		if active {
-			again = time.After(renewInterval)
+			timer = time.After(renewInterval)
 		}
 		select {
 		case <-assigned.wakeup:
-			if !p.loop.Sleep(gatherDelay) {
+			if !p.loop.Sleep(renewalBatchDelay) {
 				return
 			}
-		case <-again:
+		case <-timer:
 		case <-p.loop.Context().Done():
 			return
 		}
 	}
 }
 
-// SummaryReceived wakes the renewals of the partitions whose leader, in its summary, delegates
-// shards to this controller.
+// SummaryReceived wakes the renewal loops of the partitions that, according to a leader's summary,
+// have shards delegated to this controller.
 func (p *Proxy) SummaryReceived(summary *peer.Summary) {
 	for _, partition := range summary.Partitions {
 		for _, delegated := range partition.Delegated {
@@ -69,8 +71,8 @@
 	}
 }
 
-// RenewAll sends renewals, one at a time, until all answered heartbeats are sent or one
-// renewal had no reply. It says whether there was anything to ask.
+// RenewAll sends renewal requests, one at a time, until all answered heartbeats are sent or a
+// request fails. It reports whether any request was necessary.
 func (p *Proxy) RenewAll(partition *cluster.Partition, assigned *assignment) bool {
 	asked, more := p.renew(partition, assigned)
 	for more && p.loop.Context().Err() == nil {
@@ -79,9 +81,8 @@
 	return asked
 }
 
-// renew sends one renewal with the heartbeats that were answered since the last one that had
-// a reply, as many as a message holds. It says whether there was anything to ask, and whether
-// there is more to send.
+// renew sends one renewal request with as many unsent heartbeats as fit. It reports whether a
+// request was necessary, and whether more heartbeats remain to be sent.
 func (p *Proxy) renew(partition *cluster.Partition, assigned *assignment) (asked, more bool) {
 	var next *renewal
 	p.loop.Do(func() { next = p.prepareRenewal(partition, assigned, time.Now()) })
@@ -89,7 +90,7 @@
 		return false, false
 	}
 	grant := new(peer.DelegationGrant)
-	err := peerapi.Call(p.loop.Context(), p.network, renewTimeout, next.addr, DelegationPath, next.request, grant)
+	err := peerapi.Call(p.loop.Context(), p.network, peerCallTimeout, next.addr, DelegationPath, next.request, grant)
 	p.loop.Do(func() {
 		if err != nil {
 			p.restoreUnsent(partition, assigned, next, err)
@@ -100,10 +101,10 @@
 	return true, more
 }
 
-// prepareRenewal makes the next renewal; nil: there is nothing to ask.
+// prepareRenewal returns the next renewal, or nil if none is necessary.
 func (p *Proxy) prepareRenewal(partition *cluster.Partition, assigned *assignment, now time.Time) *renewal {
-	if !assigned.isUnder(partition) {
-		assigned.restart(partition)
+	if !assigned.isCurrent(partition) {
+		assigned.reset(partition)
 	}
 	leader := p.Peers[partition.Leader]
 	if leader == nil || !p.isDelegate(partition, now) && len(assigned.Unsent) == 0 {
@@ -117,10 +118,11 @@
 		LeaseRevision: assigned.Lease,
 	}
 	next.sent, next.sentBytes = assigned.takeUnsent()
-	next.remaining = len(assigned.Unsent) > 0
-	if !next.remaining {
-		// Only a request with all heartbeats shows that the leader knows every answer up to
-		// the last reply (rule 39).
+	next.moreUnsent = len(assigned.Unsent) > 0
+	if !next.moreUnsent {
+		// After acknowledges the last reply. It shows the leader that it has received all
+		// heartbeats answered before that reply, so it is set only if this request
+		// contains all unsent ones (rule 39).
 		next.request.After = assigned.Serial
 	}
 	for _, heartbeat := range next.sent {
@@ -129,9 +131,9 @@
 	return next
 }
 
-// restoreUnsent puts the heartbeats of a failed renewal back, to be sent again.
+// restoreUnsent puts the heartbeats of a failed renewal back, so that they are sent again.
 func (p *Proxy) restoreUnsent(partition *cluster.Partition, assigned *assignment, failed *renewal, err error) {
-	if !assigned.continues(partition, failed) {
+	if !assigned.matches(partition, failed) {
 		return
 	}
 	assigned.UnsentBytes -= failed.sentBytes
@@ -141,25 +143,25 @@
 	}
 }
 
-// finishRenewal applies the leader's reply and says whether there is more to send.
+// finishRenewal applies the leader's reply and reports whether more heartbeats remain to be sent.
 func (p *Proxy) finishRenewal(partition *cluster.Partition, assigned *assignment, done *renewal, grant *peer.DelegationGrant) (more bool) {
-	if !assigned.continues(partition, done) {
+	if !assigned.matches(partition, done) {
 		return false
 	}
 	assigned.UnsentBytes -= done.sentBytes
 	if assigned.applyGrant(grant, done.startedAt) {
-		p.log.Info("delegated shards changed", "partition", partition.Index, "controller", assigned.Leader, "shard", grant.Shards)
+		p.log.Info("shards delegated to this controller changed", "partition", partition.Index, "controller", assigned.Leader, "shard", grant.Shards)
 	}
-	return done.remaining
+	return done.moreUnsent
 }
 
-// continues says whether a renewal's reply still concerns the assignment: neither the leader
-// nor its lease has changed since the renewal was made.
-func (a *assignment) continues(partition *cluster.Partition, sent *renewal) bool {
+// matches reports whether the leader and its lease are still those under which a renewal was
+// prepared.
+func (a *assignment) matches(partition *cluster.Partition, sent *renewal) bool {
 	return a.Leader == partition.Leader && a.Lease == sent.request.LeaseRevision
 }
 
-// isDelegate says whether a partition's leader wants to delegate any shard to this controller.
+// isDelegate reports whether a partition's leader wants to delegate any shard to this controller.
 func (p *Proxy) isDelegate(partition *cluster.Partition, now time.Time) bool {
 	leader := p.Peers[partition.Leader]
 	if partition.Held || leader == nil || !leader.Alive(now) || p.Draining {
