--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -38,7 +38,7 @@
 		if errors.As(err, &conflict) {
 			return // a record exists or leadership was lost: the watch delivers the change
 		}
-		a.log.Info("machine records write failed, retrying", "machine", batch, "error", err)
+		a.log.Info("machine record write failed, retrying", "machine", batch, "error", err)
 		if !a.loop.Sleep(retries.Failed()) {
 			return
 		}
--- a/internal/coordination/cloudclient/requests.go
+++ b/internal/coordination/cloudclient/requests.go
@@ -27,7 +27,7 @@
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("cloud: %s %s: status %d", e.Method, e.Target, e.Status)
+	return fmt.Sprintf("cloud request %s %s: status %d", e.Method, e.Target, e.Status)
 }
 
 // CapacityRefused reports whether err is the cloud's refusal of a request for machines, because it
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -14,8 +14,8 @@
 const machinesPerDemand = 4
 
 // StarvedDemandsShare limits the demands of starved groups that precede the demands of all other
-// jobs in a summary, to the maximum number of demands divided by it. Without them, the fleet might
-// not be scaled out for starved groups.
+// jobs in a summary: there may be as many as the maximum number of demands divided by
+// StarvedDemandsShare. Without them, the fleet might not be scaled out for starved groups.
 const StarvedDemandsShare = 5
 
 // DemandsLimit returns the maximum number of demands in the summary of a partition with a number of
--- a/internal/coordination/peering/partition_summary.go
+++ b/internal/coordination/peering/partition_summary.go
@@ -95,13 +95,14 @@
 		now.Sub(machine.HeartbeatsExpectedSince) < e.HeartbeatInterval+firstHeartbeatMargin
 }
 
-// bootTimeout is the time after which a machine that has not come up is given up.
+// bootTimeout is the time after which a machine that has sent no heartbeat is assumed never to
+// boot.
 func bootTimeout(machineType *protocol.MachineType) time.Duration {
 	return time.Duration((bootTimeoutFactor*machineType.BootS + bootTimeoutExtraS) * float64(time.Second))
 }
 
-// usualBootTime is the time within which most machines come up. Waiting tasks do not count on a
-// machine that takes longer, because it may never come up.
+// usualBootTime is the time within which most machines boot. Waiting tasks are not assigned to a
+// machine that takes longer, because it may never boot.
 func usualBootTime(machineType *protocol.MachineType) time.Duration {
 	return time.Duration((usualBootFactor*machineType.BootS + usualBootExtraS) * float64(time.Second))
 }
--- a/internal/coordination/proxy/command_forwarding.go
+++ b/internal/coordination/proxy/command_forwarding.go
@@ -30,8 +30,8 @@
 // may have received the commands, or may still receive them.
 var errDelegateUnanswered = errors.New("no answer from the agent")
 
-// forwardedCommand holds the encoded commands for one machine's agent, which are sent through a
-// delegate, and receives the result.
+// forwardedCommand is the encoded commands for one machine's agent, which are sent through a
+// delegate, with the channel for the result.
 type forwardedCommand struct {
 	machine string
 	body    []byte
