--- a/internal/coordination/peering/partition_summary.go
+++ b/internal/coordination/peering/partition_summary.go
@@ -101,8 +101,8 @@
 	return time.Duration((bootTimeoutFactor*machineType.BootS + bootTimeoutExtraS) * float64(time.Second))
 }
 
-// usualBootTime is the time within which most machines boot. Waiting tasks are not assigned to a
-// machine that takes longer, because it may never boot.
+// usualBootTime is the time within which most machines boot. A machine that takes longer may never
+// boot, so it no longer reduces the demand for machines.
 func usualBootTime(machineType *protocol.MachineType) time.Duration {
 	return time.Duration((usualBootFactor*machineType.BootS + usualBootExtraS) * float64(time.Second))
 }
