--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -1,10 +1,10 @@
-// Package agents commands the agents of the machines in the partitions that this controller
-// leads and takes in what they report: heartbeats, commands, fencing tokens, agent epochs,
-// attempts and machine leases.
+// Package agents sends commands to the agents of the machines in the partitions that this
+// controller leads, and processes their heartbeats. It tracks fencing tokens, agent epochs,
+// machine leases and the attempts on each machine.
 //
-// It owns the attempts on machines. Invariant: an attempt holds its resources until it is
-// proven over, by a heartbeat under the current fencing token, a later agent epoch, a confirmed
-// deletion of the machine, or a machine lease that must have expired.
+// Invariant: an attempt holds its resources until it has provably ended. The proof is a heartbeat
+// under the current fencing token, a later agent epoch, a confirmed deletion of the machine, or
+// the certain expiry of the machine lease.
 package agents
 
 import (
@@ -16,9 +16,9 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Agents commands the agents of the partitions that this controller leads, and takes in what
-// they report. Its methods run in the event loop, but for PostCommands and
-// HandleMachineRequest, which wait for answers.
+// Agents sends commands to the agents of the partitions that this controller leads, and processes
+// their heartbeats. Its methods run in the event loop, except for PostCommands and
+// HandleMachineRequest, which block.
 type Agents struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -33,11 +33,12 @@
 	proxy     Proxy
 	scheduler Scheduler
 
-	// RepeatedCommands counts the requests under way beside earlier ones to the same machine.
+	// RepeatedCommands counts the requests in flight to machines to which an earlier request is
+	// still in flight.
 	RepeatedCommands int
 }
 
-// New returns an Agents without collaborators; Connect must follow.
+// New returns an Agents without collaborators. The caller must call Connect before using it.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger) *Agents {
 	return &Agents{State: state, loop: loop, network: network, store: store, log: log}
 }
@@ -47,5 +48,6 @@
 	a.cloud, a.jobs, a.leases, a.proxy, a.scheduler = cloud, jobs, leases, proxy, scheduler
 }
 
-// Observe sets the metrics, before the loop starts. Without it nothing is measured.
+// Observe sets the metrics. It is called before the loop starts; without it, no metrics are
+// recorded.
 func (a *Agents) Observe(metrics *telemetry.Metrics) { a.metrics = metrics }
--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -9,34 +9,38 @@
 )
 
 const (
-	// refusedBackoff is how long a machine that refused a start gets no other.
-	refusedBackoff = time.Second
-	// unknownJobBackoff is how long a job that an agent does not know waits.
+	// startRefusedBackoff is how long no task is started on a machine whose agent refused a
+	// start.
+	startRefusedBackoff = time.Second
+	// unknownJobBackoff is how long a job is not scheduled after an agent reported it as
+	// unknown.
 	unknownJobBackoff = 2 * time.Second
-	// failedBackoff is how long a machine on which a task failed gets no start.
-	failedBackoff = 10 * time.Second
-	// failureBackoff is how long a job waits that fails on several machines; it doubles with
-	// each failure, up to failureBackoffMax.
-	failureBackoff    = time.Second
-	failureBackoffMax = time.Minute
-	// failureDoublingsLimit keeps the doubled backoff within its type.
+	// failedMachineBackoff is how long no task is started on a machine after a task failed on
+	// it.
+	failedMachineBackoff = 10 * time.Second
+	// failingJobBackoff is how long a job that failed on several machines is not scheduled. It
+	// doubles with each failure, up to failingJobBackoffMax.
+	failingJobBackoff    = time.Second
+	failingJobBackoffMax = time.Minute
+	// failureDoublingsLimit bounds the doublings, so that the backoff does not overflow.
 	failureDoublingsLimit = 6
-	// failedMachinesLimit is on how many machines a job fails before the job itself counts as
-	// faulty.
+	// failedMachinesLimit is the number of machines on which a job may fail before the job
+	// itself is considered faulty.
 	failedMachinesLimit = 2
-	// failedJobsLimit is how many jobs fail on a machine before it is quarantined.
+	// failedJobsLimit is the number of different jobs that may fail on a machine before it is
+	// quarantined.
 	failedJobsLimit = 2
-	// saveSlackS is for how many seconds more than its job needs to save an attempt may go
-	// on after a stop.
+	// saveSlackS, in seconds, plus the time that a job needs to save its progress is the grace
+	// period of a stop.
 	saveSlackS = 1
 )
 
-// attemptExited takes in the end of an attempt that its agent reported.
-func (a *Agents) attemptExited(attempt *cluster.Attempt, task protocol.TaskReport, now time.Time) {
+// handleAttemptExit processes the end of an attempt, as reported by its agent.
+func (a *Agents) handleAttemptExit(attempt *cluster.Attempt, task protocol.TaskReport, now time.Time) {
 	job := attempt.Job
 	attempt.ExitCause = task.Cause
 	attempt.State = cluster.AttemptExited
-	a.release(attempt, now)
+	a.freeResources(attempt, now)
 	chunk := job.Chunk(attempt.TaskIndex)
 	chunk.Exited = append(chunk.Exited, attempt)
 	if job.Ended {
@@ -45,22 +49,22 @@
 	}
 	switch task.Cause {
 	case protocol.CauseDone:
-		a.attemptDone(attempt, now)
+		a.handleTaskDone(attempt, now)
 	case protocol.CauseError:
-		a.attemptFailed(attempt, now)
+		a.handleTaskFailure(attempt, now)
 	case protocol.CauseFull, protocol.CauseInUse:
-		attempt.Machine.AvoidUntil = now.Add(refusedBackoff)
-		a.startRefused(attempt)
+		attempt.Machine.AvoidUntil = now.Add(startRefusedBackoff)
+		a.handleStartRefusal(attempt)
 	case protocol.CauseUnknown:
 		job.BackoffUntil = now.Add(unknownJobBackoff)
-		a.startRefused(attempt)
+		a.handleStartRefusal(attempt)
 	default:
 		job.Requeue(attempt.TaskIndex)
 	}
 }
 
-// attemptDone takes in that a task completed. The tasks of a service start again.
-func (a *Agents) attemptDone(attempt *cluster.Attempt, now time.Time) {
+// handleTaskDone processes the completion of a task. The tasks of a service are started again.
+func (a *Agents) handleTaskDone(attempt *cluster.Attempt, now time.Time) {
 	job := attempt.Job
 	if job.Spec.Standing {
 		job.Requeue(attempt.TaskIndex)
@@ -78,27 +82,27 @@
 	job.Completing = job.DoneCount == job.Spec.Tasks
 }
 
-// recordRunTime takes in for how many seconds a completed task ran.
-func (a *Agents) recordRunTime(attempt *cluster.Attempt, ran float64) {
+// recordRunTime records how long a completed task ran, in seconds.
+func (a *Agents) recordRunTime(attempt *cluster.Attempt, runTimeS float64) {
 	job, machine := attempt.Job, attempt.Machine
-	a.scheduler.LearnRunTime(job.Spec.Class, ran, job.Spec.EstimateS)
-	a.detectSlowMachine(attempt, ran)
+	a.scheduler.LearnRunTime(job.Spec.Class, runTimeS, job.Spec.EstimateS)
+	a.detectSlowMachine(attempt, runTimeS)
 	if !attempt.Slow {
 		machine.SlowTasks = 0
 	}
 	if job.RunTimesS == nil {
 		job.RunTimesS = map[string][]float64{}
 	}
-	job.RunTimesS[machine.Name] = append(job.RunTimesS[machine.Name], ran)
+	job.RunTimesS[machine.Name] = append(job.RunTimesS[machine.Name], runTimeS)
 }
 
-// attemptFailed takes in that a task failed. Its machine may be at fault, or its job.
-func (a *Agents) attemptFailed(attempt *cluster.Attempt, now time.Time) {
+// handleTaskFailure processes the failure of a task. The cause may be the machine or the job.
+func (a *Agents) handleTaskFailure(attempt *cluster.Attempt, now time.Time) {
 	job, machine := attempt.Job, attempt.Machine
 	job.Requeue(attempt.TaskIndex)
 	job.Failures++
 	machine.FailedJobs[job.Spec.ID] = true
-	machine.AvoidUntil = now.Add(failedBackoff)
+	machine.AvoidUntil = now.Add(failedMachineBackoff)
 	a.metrics.Count(telemetry.AttemptFailed, 1)
 	a.log.Info("task failed", "task", attempt.TaskName(), "machine", machine.Name, "count", job.Failures)
 	if job.FailedMachines == nil {
@@ -106,8 +110,8 @@
 	}
 	job.FailedMachines[machine.Name] = true
 	if len(job.FailedMachines) >= failedMachinesLimit {
-		// The job may be at fault, so it must not occupy the fleet.
-		job.BackoffUntil = now.Add(min(failureBackoffMax, failureBackoff<<min(job.Failures, failureDoublingsLimit)))
+		// The job is probably faulty and must not keep occupying machines.
+		job.BackoffUntil = now.Add(min(failingJobBackoffMax, failingJobBackoff<<min(job.Failures, failureDoublingsLimit)))
 	}
 	if len(machine.FailedJobs) >= failedJobsLimit && !machine.Quarantined {
 		a.quarantine(machine, "different jobs fail on it")
@@ -117,20 +121,20 @@
 	}
 }
 
-// quarantine keeps new work off a machine. It is returned to the cloud once it is idle.
+// quarantine excludes a machine from scheduling. It is returned to the cloud once it is idle.
 func (a *Agents) quarantine(machine *cluster.Machine, reason string) {
 	machine.Quarantined = true
 	a.log.Info("machine quarantined", "machine", machine.Name, "reason", reason)
 }
 
-// startRefused takes in that the agent refused to start an attempt.
-func (a *Agents) startRefused(attempt *cluster.Attempt) {
+// handleStartRefusal requeues the task of an attempt that the agent refused to start.
+func (a *Agents) handleStartRefusal(attempt *cluster.Attempt) {
 	attempt.Job.Requeue(attempt.TaskIndex)
 	a.log.Info("start refused", "task", attempt.TaskName(), "machine", attempt.Machine.Name, "reason", attempt.ExitCause)
 }
 
-// ReleaseAttempt ends an attempt that is proven over without a result, and has its task start
-// again.
+// ReleaseAttempt releases an attempt that has provably ended without a result, and requeues its
+// task.
 func (a *Agents) ReleaseAttempt(attempt *cluster.Attempt, reason string, now time.Time) {
 	machine, job := attempt.Machine, attempt.Job
 	delete(machine.Attempts, cluster.AttemptKey(attempt.TaskName(), attempt.Number))
@@ -139,7 +143,7 @@
 	}
 	a.log.Info("attempt released", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", machine.Name, "reason", reason)
 	attempt.State = cluster.AttemptReleased
-	a.release(attempt, now)
+	a.freeResources(attempt, now)
 	machine.RecountUsed()
 	if job.Ended {
 		a.jobs.DropIfReleased(job)
@@ -148,15 +152,16 @@
 	job.Requeue(attempt.TaskIndex)
 }
 
-// releaseAll ends all attempts on a machine without a result.
+// releaseAll releases all attempts on a machine.
 func (a *Agents) releaseAll(machine *cluster.Machine, reason string, now time.Time) {
 	for _, attempt := range machine.SortedAttempts() {
 		a.ReleaseAttempt(attempt, reason, now)
 	}
 }
 
-// release frees what an attempt held.
-func (a *Agents) release(attempt *cluster.Attempt, now time.Time) {
+// freeResources returns the resources of an attempt that has ended. If the job is gang-scheduled
+// and the attempt was not successful, it also stops the job's other attempts.
+func (a *Agents) freeResources(attempt *cluster.Attempt, now time.Time) {
 	job := attempt.Job
 	delete(job.LiveAttempts, attempt.TaskIndex)
 	if !attempt.StartedAt.IsZero() {
@@ -165,7 +170,7 @@
 	partition := a.Partitions[job.Partition]
 	partition.Usage[job.Team].Add(cluster.ResourcesOf(job.Spec), -1)
 	if job.Spec.Gang && attempt.ExitCause != protocol.CauseDone {
-		// Without one task the others of a gang can't go on: all start again together.
+		// A gang can't run without one of its tasks, so all of them are restarted together.
 		for _, other := range job.Attempts() {
 			a.StopAttempt(other, job.Spec.SaveS+saveSlackS, now)
 		}
@@ -174,25 +179,25 @@
 	partition.Wake()
 }
 
-// StopAttempt has an attempt stopped with so many seconds of grace. An earlier stop stands
-// unless its grace was longer.
+// StopAttempt stops an attempt with a grace period in seconds. If a stop was requested before, the
+// shorter grace period applies.
 func (a *Agents) StopAttempt(attempt *cluster.Attempt, graceS float64, now time.Time) {
 	if !attempt.Live() || attempt.Stopping && attempt.StopGraceS <= graceS {
 		return
 	}
-	if neverSent(attempt) {
-		// Nothing was sent, so nothing can arrive.
-		a.ReleaseAttempt(attempt, "stopped before its start", now)
+	if startNeverSent(attempt) {
+		// No start was sent, so none can arrive later.
+		a.ReleaseAttempt(attempt, "stopped before its start was sent", now)
 		return
 	}
 	attempt.Stopping, attempt.StopGraceS, attempt.StopRequestedAt = true, graceS, now
-	a.fenceOutStart(attempt, now)
+	a.fencePendingStart(attempt, now)
 	a.SendCommands(attempt.Machine)
 }
 
-// neverSent says whether no start of an attempt was sent, by this controller or, as its fenced
-// machine shows, by an earlier leader.
-func neverSent(attempt *cluster.Attempt) bool {
+// startNeverSent reports whether no start of an attempt was sent that may still be executed. Starts
+// sent by earlier leaders are ruled out once the machine has confirmed the current fencing token.
+func startNeverSent(attempt *cluster.Attempt) bool {
 	switch attempt.State {
 	case cluster.AttemptReserved:
 		return true
--- a/internal/coordination/agents/command_delivery.go
+++ b/internal/coordination/agents/command_delivery.go
@@ -10,14 +10,15 @@
 	"micaspindle/internal/transport"
 )
 
-// CommandTimeout is how long an agent's answer to commands is waited for.
+// CommandTimeout is the timeout of a request that sends commands to an agent.
 const CommandTimeout = 2500 * time.Millisecond
 
-// errStaleCommand says that an agent refused commands, since it has seen a higher token or is
-// in another epoch.
-var errStaleCommand = errors.New("agent refused the commands: stale token or epoch")
+// errStaleCommands is returned if an agent refused commands because it has seen a higher fencing
+// token or is in another epoch.
+var errStaleCommands = errors.New("agent refused the commands: stale fencing token or epoch")
 
-// SendCommands sends what a machine's agent should do, one request at a time for each machine.
+// SendCommands sends the pending commands to a machine's agent. While a request to the machine is
+// in flight, sending is deferred until its answer.
 func (a *Agents) SendCommands(machine *cluster.Machine) {
 	if machine.CommandRequestsInFlight > 0 {
 		machine.CommandsDeferred = true
@@ -26,7 +27,8 @@
 	a.sendCommandsNow(machine)
 }
 
-// sendCommandsNow sends what a machine's agent should do, whatever other requests are under way.
+// sendCommandsNow sends the pending commands to a machine's agent, even if another request to it is
+// in flight.
 func (a *Agents) sendCommandsNow(machine *cluster.Machine) {
 	partition := a.Partitions[machine.Record.Partition]
 	if !partition.Ready || !machine.TokenConfirmed || machine.Lost || machine.Record.Addr == "" {
@@ -37,23 +39,23 @@
 	if len(commands) == 0 {
 		return
 	}
-	starts := startedBy(commands, machine)
+	starts := recordStartsSent(commands, machine)
 	machine.CommandsDeferred = false
-	a.commandsSent(machine, now)
+	a.recordCommandsSent(machine, now)
 	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: machine.Epoch, Commands: commands}
 	delegate := partition.Delegations.CommandRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
 	a.loop.Go(func() {
 		heartbeat, sent, err := a.PostCommands(delegate, name, addr, batch)
 		a.loop.Do(func() {
-			startsAnswered(starts, sent && heartbeat == nil)
+			recordStartsAnswered(starts, sent && heartbeat == nil)
 			a.applyCommandAnswer(machine, heartbeat, err)
 		})
 	})
 }
 
-// startedBy lists the attempts that commands start, and notes that their starts are under way.
-func startedBy(commands []protocol.Command, machine *cluster.Machine) (starts []*cluster.Attempt) {
+// recordStartsSent returns the attempts that commands start, and counts their starts as in flight.
+func recordStartsSent(commands []protocol.Command, machine *cluster.Machine) (starts []*cluster.Attempt) {
 	for _, command := range commands {
 		if command.Op == protocol.OpStart {
 			attempt := machine.Attempts[cluster.AttemptKey(command.Task, command.Attempt)]
@@ -64,9 +66,9 @@
 	return starts
 }
 
-// startsAnswered notes that starts are under way no more. If nobody knows whether they arrived,
-// they still may.
-func startsAnswered(starts []*cluster.Attempt, unanswered bool) {
+// recordStartsAnswered records that a request with starts is no longer in flight. If it was not
+// answered, the starts may still arrive.
+func recordStartsAnswered(starts []*cluster.Attempt, unanswered bool) {
 	for _, attempt := range starts {
 		attempt.StartsInFlight--
 		if unanswered {
@@ -75,13 +77,13 @@
 	}
 }
 
-// applyCommandAnswer takes in the answer to commands, and sends what has come up meanwhile.
+// applyCommandAnswer processes the answer to commands, and sends the commands that were deferred.
 func (a *Agents) applyCommandAnswer(machine *cluster.Machine, heartbeat *protocol.Heartbeat, err error) {
-	a.commandsAnswered(machine)
+	a.recordCommandsAnswered(machine)
 	if err != nil {
-		a.log.Debug("sending commands failed", "machine", machine.Name, "error", err)
+		a.log.Debug("failed to send commands", "machine", machine.Name, "error", err)
 	}
-	if heartbeat != nil && a.leads(machine) {
+	if heartbeat != nil && a.isLedHere(machine) {
 		a.ApplyHeartbeat(machine, heartbeat, time.Now())
 	}
 	if machine.CommandsDeferred && err == nil {
@@ -89,22 +91,23 @@
 	}
 }
 
-// leads says whether a machine is still on record, in a partition that this controller holds.
-func (a *Agents) leads(machine *cluster.Machine) bool {
+// isLedHere reports whether a machine is still registered, in a partition that this controller
+// leads.
+func (a *Agents) isLedHere(machine *cluster.Machine) bool {
 	return a.Machines[machine.Name] == machine && a.Partitions[machine.Record.Partition].Held
 }
 
-// PostCommands sends commands, by way of the machine's delegate if there is one that takes them,
-// and returns the heartbeat that the agent answers with. sent is false if the commands can never
-// arrive or were certainly refused. It blocks, so it is called outside the event loop.
+// PostCommands sends commands, through the machine's delegate if there is one that accepts them,
+// and returns the heartbeat in the agent's answer. sent is false if the commands were certainly
+// refused or can never arrive. It blocks, so it is called outside the event loop.
 func (a *Agents) PostCommands(delegate, machine, addr string, batch protocol.CommandBatch) (heartbeat *protocol.Heartbeat, sent bool, err error) {
 	response, err := a.deliverCommands(delegate, machine, addr, protocol.Encode(batch))
 	if err != nil {
 		return nil, !errors.Is(err, transport.ErrNotSent), err
 	}
 	if response.Status != 200 && response.Status != 409 {
-		// Only a refusal shows that they will never be carried out.
-		return nil, response.Status >= 500, errStaleCommand
+		// After a server error, the commands may still be executed.
+		return nil, response.Status >= 500, errStaleCommands
 	}
 	heartbeat = new(protocol.Heartbeat)
 	if err := protocol.Decode(response.Body, heartbeat); err != nil {
@@ -114,13 +117,13 @@
 		return nil, true, err
 	}
 	if response.Status == 409 {
-		return heartbeat, false, errStaleCommand
+		return heartbeat, false, errStaleCommands
 	}
 	return heartbeat, true, nil
 }
 
-// deliverCommands sends encoded commands to the machine's delegate, and to the agent itself if
-// there is none or it certainly did not get them.
+// deliverCommands sends encoded commands to the machine's delegate, or directly to the agent if
+// there is no delegate or it certainly did not receive them.
 func (a *Agents) deliverCommands(delegate, machine, addr string, body []byte) (*transport.Response, error) {
 	if delegate != "" {
 		response, err := a.proxy.ForwardCommands(delegate, machine, body)
@@ -133,21 +136,21 @@
 	return a.network.Do(ctx, addr, "POST", "/orders", body)
 }
 
-// Fence raises the token that a machine's agent has seen, by a message without commands and
-// without waiting for its next heartbeat, so that no earlier leader commands it any more
-// (rule 7).
+// Fence sends the current fencing token to a machine's agent in a message without commands, instead
+// of waiting for the agent's next heartbeat. From then on, the agent refuses commands of earlier
+// leaders (rule 7).
 func (a *Agents) Fence(machine *cluster.Machine) {
 	machine.TokenConfirmed = false
 	if machine.Record.Addr == "" || machine.Lost {
 		return
 	}
-	// The answer to a command that is held up is not waited for where a cancelled task
-	// depends on it.
+	// If a cancelled task is waiting, the message is sent even though an earlier request has
+	// not been answered.
 	if machine.CommandRequestsInFlight > 0 && !a.mayRepeat(machine) {
 		return
 	}
 	now := time.Now()
-	a.commandsSent(machine, now)
+	a.recordCommandsSent(machine, now)
 	batch := protocol.CommandBatch{Token: a.Token(machine), Epoch: max(machine.Epoch, machine.ReplicatedEpoch, 1), Commands: []protocol.Command{}}
 	delegate := a.Partitions[machine.Record.Partition].Delegations.FenceRoute(machine.Shard, now)
 	name, addr := machine.Name, machine.Record.Addr
@@ -157,25 +160,25 @@
 	})
 }
 
-// postFence sends a message that only fences, once more if the agent turns out to be in another
+// postFence sends a batch without commands, and repeats it once if the agent answers with another
 // epoch.
 func (a *Agents) postFence(delegate, machine, addr string, batch protocol.CommandBatch) (*protocol.Heartbeat, error) {
 	heartbeat, _, err := a.PostCommands(delegate, machine, addr, batch)
-	if heartbeat != nil && errors.Is(err, errStaleCommand) && heartbeat.Epoch != batch.Epoch {
+	if heartbeat != nil && errors.Is(err, errStaleCommands) && heartbeat.Epoch != batch.Epoch {
 		batch.Epoch = heartbeat.Epoch
 		heartbeat, _, err = a.PostCommands(delegate, machine, addr, batch)
 	}
 	return heartbeat, err
 }
 
-// applyFenceAnswer takes in the answer to a message that only fenced.
+// applyFenceAnswer processes the answer to a fencing message.
 func (a *Agents) applyFenceAnswer(machine *cluster.Machine, heartbeat *protocol.Heartbeat, err error) {
-	a.commandsAnswered(machine)
+	a.recordCommandsAnswered(machine)
 	if err != nil {
-		a.log.Debug("fencing failed", "machine", machine.Name, "error", err)
+		a.log.Debug("failed to fence machine", "machine", machine.Name, "error", err)
 		return
 	}
-	if a.leads(machine) && heartbeat.Machine == machine.Name {
+	if a.isLedHere(machine) && heartbeat.Machine == machine.Name {
 		machine.LastHeartbeatAt = time.Now()
 		a.ApplyHeartbeat(machine, heartbeat, time.Now())
 		a.SendCommands(machine)
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// commandsLimit is how many commands one message holds. It keeps an answer to an agent
-	// far below 64 KiB.
+	// commandsLimit is the maximum number of commands in one message. It keeps an answer to an
+	// agent well below 64 KiB.
 	commandsLimit = 300
-	// directStartWait is how long the first start of an attempt is left to direct commands
-	// before the answer to a heartbeat carries it.
-	directStartWait = 500 * time.Millisecond
-	// stopGraceSlackS is for how many seconds beyond its grace a stop is repeated with grace;
-	// afterwards it is sent without.
+	// directStartDelay is how long the first start of an attempt is sent only by direct
+	// requests. After that, answers to heartbeats include it too.
+	directStartDelay = 500 * time.Millisecond
+	// A stop is repeated with its grace period until stopGraceSlackS seconds after that period
+	// has ended, and without grace afterwards.
 	stopGraceSlackS = 2
 )
 
-// commandsFor lists what an agent should do, in order. The answer to a heartbeat repeats what
-// direct commands may have failed to bring; repeated says that the list is for one.
-func (a *Agents) commandsFor(machine *cluster.Machine, now time.Time, repeated bool) []protocol.Command {
+// commandsFor returns the pending commands for a machine's agent, in order. forHeartbeat says
+// whether they go into the answer to a heartbeat, which repeats commands whose direct request may
+// have been lost.
+func (a *Agents) commandsFor(machine *cluster.Machine, now time.Time, forHeartbeat bool) []protocol.Command {
 	commands := []protocol.Command{}
 	if !machine.NeedsCommands() {
 		return commands
 	}
 	token := a.Token(machine)
 	for _, attempt := range machine.SortedAttempts() {
-		if op, graceS := opForAttempt(attempt, token, now, repeated); op != "" {
+		if op, graceS := opForAttempt(attempt, token, now, forHeartbeat); op != "" {
 			commands = append(commands, protocol.Command{Op: op, Task: attempt.TaskName(), Attempt: attempt.Number, GraceS: graceS})
 		}
 	}
@@ -38,12 +39,12 @@
 	return commands[:min(len(commands), commandsLimit)]
 }
 
-// opForAttempt returns what an agent should do about an attempt, "" if nothing, and with how many
-// seconds of grace. It notes that a start is sent.
-func opForAttempt(attempt *cluster.Attempt, token uint64, now time.Time, repeated bool) (op string, graceS float64) {
+// opForAttempt returns the operation of the pending command for an attempt, or "" if there is none,
+// and its grace period in seconds. If it returns a start, it records that the start is sent.
+func opForAttempt(attempt *cluster.Attempt, token uint64, now time.Time, forHeartbeat bool) (op string, graceS float64) {
 	switch {
 	case attempt.State == cluster.AttemptCommitted && !attempt.Stopping && !attempt.Job.Ended && attempt.Epoch == attempt.Machine.Epoch:
-		if attempt.StartsInFlight > 0 || repeated && attempt.StartToken == 0 && now.Sub(attempt.CommittedAt) < directStartWait {
+		if attempt.StartsInFlight > 0 || forHeartbeat && attempt.StartToken == 0 && now.Sub(attempt.CommittedAt) < directStartDelay {
 			return "", 0
 		}
 		attempt.StartToken, attempt.StartSentAt = token, now
@@ -55,7 +56,7 @@
 		return protocol.OpStop, attempt.StopGraceS
 	case attempt.State == cluster.AttemptReleased && attempt.StartsInFlight == 0:
 		if attempt.StartUnanswered && attempt.StartToken >= token {
-			// A repeated start may still arrive (rule 9).
+			// A start that was not answered may still arrive (rule 9).
 			attempt.Machine.RaiseTokenBy(now.Add(forgetDelay))
 			return "", 0
 		}
@@ -64,8 +65,8 @@
 	return "", 0
 }
 
-// commandForOrphan returns what an agent should do about a task that is on no record: stop it,
-// then forget it.
+// commandForOrphan returns the command for a task that matches no known attempt: a stop or, once
+// the task has ended, a forget.
 func commandForOrphan(task protocol.TaskReport) protocol.Command {
 	command := protocol.Command{Op: protocol.OpStop, Task: task.Task, Attempt: task.Attempt}
 	if task.State == protocol.TaskEnded {
--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// deleteLead is how long before a cancelled task must be gone its machine is deleted, if
-	// the task could not be stopped.
+	// deleteLead is how long before the end of the cancellation bound a machine is deleted if a
+	// cancelled task on it could not be stopped.
 	deleteLead = 8 * time.Second
-	// stopGraceBeforeDelete is the least time that a stop is given before that.
+	// stopGraceBeforeDelete is the minimum time between a stop and the deletion of the machine.
 	stopGraceBeforeDelete = 3 * time.Second
-	// deleteRetryInterval is how long a machine's deletion waits for the next try.
+	// deleteRetryInterval is the interval between attempts to delete a machine.
 	deleteRetryInterval = 2 * time.Second
-	// deleteBatchLimit is how many machines one request to the cloud names.
+	// deleteBatchLimit is the maximum number of machines in one deletion request to the cloud.
 	deleteBatchLimit = 100
 )
 
-// OutlastsCancelBound says whether a task of a cancelled job may be on a machine for longer than
-// the setting cancel_s allows: it was not stopped, and the machine's lease, which may go on
-// until leaseEnd, does not provably expire in time (rule 46). A machine that is merely silent is
-// left alone.
+// OutlastsCancelBound reports whether a task of a cancelled job may run on a machine for longer
+// than the setting cancel_s allows: it was not stopped, and the machine's lease, which may be valid
+// until leaseEnd, does not provably expire in time (rule 46). It is false for a machine that is
+// silent but whose lease expires in time.
 func (a *Agents) OutlastsCancelBound(machine *cluster.Machine, leaseEnd, now time.Time) bool {
 	for _, attempt := range machine.Attempts {
 		if !attempt.Live() || !attempt.Stopping || attempt.Job.CancelledAt.IsZero() || now.Sub(attempt.StopRequestedAt) < stopGraceBeforeDelete {
 			continue
 		}
-		due := attempt.Job.CancelledAt.Add(a.CancelBound)
-		if now.After(due.Add(-deleteLead)) && leaseEnd.After(due.Add(-cluster.ClockMargin)) {
+		deadline := attempt.Job.CancelledAt.Add(a.CancelBound)
+		if now.After(deadline.Add(-deleteLead)) && leaseEnd.After(deadline.Add(-cluster.ClockMargin)) {
 			return true
 		}
 	}
 	return false
 }
 
-// deleteMachinesInTime has the cloud delete machines on which tasks of cancelled jobs may go on.
-// The partition leader does so itself: the cluster leader needs the state store, which the same
-// failure that keeps a task from being stopped may have cut off. The records are removed later,
-// as those of lost machines are.
-func (a *Agents) deleteMachinesInTime(machines []*cluster.Machine) {
+// deleteOverdueMachines requests the deletion of machines on which tasks of cancelled jobs may
+// still be running. The partition leader requests it itself, because the cluster leader depends on
+// the state store, which may be unreachable due to the same failure that prevents the stop. The
+// machine records are removed later, like those of lost machines.
+func (a *Agents) deleteOverdueMachines(machines []*cluster.Machine) {
 	names := make([]string, 0, len(machines))
 	for _, machine := range machines {
 		names = append(names, machine.Name)
@@ -51,18 +51,18 @@
 			a.log.Info("machine deletion failed", "machine", names, "error", err)
 			return
 		}
-		a.loop.Do(func() { a.machinesDeleted(machines, time.Now()) })
+		a.loop.Do(func() { a.handleMachinesDeleted(machines, time.Now()) })
 	})
 }
 
-// machinesDeleted takes in that the cloud has deleted machines.
-func (a *Agents) machinesDeleted(machines []*cluster.Machine, now time.Time) {
+// handleMachinesDeleted releases the attempts on machines that the cloud has deleted.
+func (a *Agents) handleMachinesDeleted(machines []*cluster.Machine, now time.Time) {
 	for _, machine := range machines {
 		if a.Machines[machine.Name] != machine {
 			continue
 		}
 		a.metrics.Count(telemetry.MachineLeaseExpired, 1)
 		machine.DeleteConfirmed, machine.Lost, machine.TokenConfirmed = true, true, false
-		a.releaseAll(machine, "machine is deleted", now)
+		a.releaseAll(machine, "machine deleted", now)
 	}
 }
--- a/internal/coordination/agents/evacuation.go
+++ b/internal/coordination/agents/evacuation.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// finishesInTime and outlastsNotice are fractions of the time left before a preemption: work
-	// with less than the first remaining counts as done before it, and work with more than
-	// the second as lost.
-	finishesInTime = 0.9
-	outlastsNotice = 1.2
-	// saveLeadS and saveLeadHeartbeats are how much earlier than a task needs to save it is
-	// stopped, in seconds and heartbeat intervals: the stop may take that long to arrive.
+	// likelyDoneFraction and likelyLostFraction are fractions of the time until a preemption. A
+	// task whose remaining run time is below the first is expected to finish before the
+	// preemption, and one whose remaining run time is above the second is expected not to.
+	likelyDoneFraction = 0.9
+	likelyLostFraction = 1.2
+	// saveLeadS and saveLeadHeartbeats, in seconds and heartbeat intervals, allow for the time
+	// until a stop arrives: a task that saves its progress is stopped that much earlier.
 	saveLeadS          = 2
 	saveLeadHeartbeats = 1.5
 )
 
-// evacuate moves work off a machine that the cloud is going to take away: what is done in time
-// goes on, what can save does so at the last moment, and what would be lost anyway is started
-// elsewhere now.
+// evacuate moves work off a machine that is going to be preempted. Tasks that are expected to
+// finish in time continue, and tasks with checkpoints are stopped just in time to save. Tasks that
+// have not started or would be lost are stopped at once, to be restarted elsewhere.
 func (a *Agents) evacuate(machine *cluster.Machine, now time.Time) {
-	left := machine.PreemptionAt.Sub(now).Seconds()
+	untilPreemptionS := machine.PreemptionAt.Sub(now).Seconds()
 	for _, attempt := range machine.SortedAttempts() {
 		if attempt.Live() && !attempt.Stopping {
-			a.evacuateAttempt(attempt, left, now)
+			a.evacuateAttempt(attempt, untilPreemptionS, now)
 		}
 	}
 }
 
-// evacuateAttempt stops an attempt on a machine that has so many seconds left, if that is to be
-// done now.
-func (a *Agents) evacuateAttempt(attempt *cluster.Attempt, left float64, now time.Time) {
+// evacuateAttempt stops an attempt on a machine that is preempted in untilPreemptionS seconds, if
+// it has to be stopped now.
+func (a *Agents) evacuateAttempt(attempt *cluster.Attempt, untilPreemptionS float64, now time.Time) {
 	spec := attempt.Job.Spec
-	remaining := a.scheduler.RemainingS(attempt, now)
+	remainingS := a.scheduler.RemainingS(attempt, now)
 	switch {
 	case attempt.StartedAt.IsZero():
 		a.StopAttempt(attempt, 0, now)
-	case remaining < left*finishesInTime:
-		// It is done before the machine goes.
+	case remainingS < untilPreemptionS*likelyDoneFraction:
+		// It is expected to finish before the preemption.
 	case spec.CheckpointS > 0:
-		if left < spec.SaveS+saveLeadS+saveLeadHeartbeats*a.HeartbeatInterval.Seconds() {
+		if untilPreemptionS < spec.SaveS+saveLeadS+saveLeadHeartbeats*a.HeartbeatInterval.Seconds() {
 			a.StopAttempt(attempt, spec.SaveS+saveSlackS, now)
 		}
-	case remaining > left*outlastsNotice:
+	case remainingS > untilPreemptionS*likelyLostFraction:
 		a.StopAttempt(attempt, 0, now)
 	}
 }
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -10,24 +10,26 @@
 	"micaspindle/internal/transport"
 )
 
-// Why a heartbeat is refused; the agent tries another controller, or this one again.
+// Errors with which a heartbeat is refused. The agent retries with this or another controller.
 var (
-	errNotOnRecord = apierror.NotReady("machine is not on record", 1)
-	// errSuperseded: the agent has seen a higher fencing token.
+	errUnregisteredMachine = apierror.NotReady("machine is not on record", 1)
+	// errSuperseded means that the agent has seen a higher fencing token.
 	errSuperseded = apierror.NotReady("superseded", 1)
-	// errOldHeartbeat: answering it could not extend the machine's lease.
-	errOldHeartbeat = apierror.NotReady("a newer report has come, or the machine is gone", 1)
-	// errNoLeader: no other controller is known to lead the partition, and this one may not answer.
+	// errStaleHeartbeat means that a newer heartbeat was received or the machine is deleted, so
+	// an answer must not extend its lease.
+	errStaleHeartbeat = apierror.NotReady("a newer report has come, or the machine is gone", 1)
+	// errNoLeader means that this controller may not answer and knows of no other leader of the
+	// partition.
 	errNoLeader = apierror.NotReady("part has no owner here", 1)
 )
 
-// HandleHeartbeat answers an agent's heartbeat, of which raw is the body.
+// HandleHeartbeat answers an agent's heartbeat. raw is its encoded form.
 func (a *Agents) HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response {
 	now := time.Now()
 	machine := a.Machines[heartbeat.Machine]
 	if machine == nil {
-		a.noteUnregistered(heartbeat)
-		return apierror.Response(errNotOnRecord)
+		a.recordUnregistered(heartbeat)
+		return apierror.Response(errUnregisteredMachine)
 	}
 	partition := a.Partitions[machine.Record.Partition]
 	if response, delegated := a.proxy.AnswerHeartbeat(machine, heartbeat, raw, now); delegated {
@@ -39,12 +41,12 @@
 	}
 	token := a.Token(machine)
 	if heartbeat.Token > token {
-		// A newer leader commands this machine; its agent would drop an answer, which would
-		// only keep it coming here.
+		// The machine has a newer leader. Its agent would discard an answer of this
+		// controller, but go on sending heartbeats here.
 		return apierror.Response(errSuperseded)
 	}
 	if machine.DeleteConfirmed || !machine.AcceptHeartbeat(heartbeat) {
-		return apierror.Response(errOldHeartbeat)
+		return apierror.Response(errStaleHeartbeat)
 	}
 	if heartbeat.Addr != "" {
 		machine.Record.Addr = heartbeat.Addr
@@ -54,7 +56,7 @@
 	if delegate := a.proxy.RedirectTarget(partition, machine, now); delegate != "" {
 		return redirect(delegate)
 	}
-	// From here on the answer extends the machine lease.
+	// The agent extends the machine lease when it receives this answer.
 	machine.AnsweredUntil = now
 	batch := protocol.CommandBatch{Token: token}
 	if partition.Ready && machine.TokenConfirmed {
@@ -65,9 +67,10 @@
 	return transport.Response{Status: 200, Body: protocol.Encode(batch)}
 }
 
-// noteUnregistered remembers a machine that is not on record, for the cluster leader to adopt.
-// Machines whose record was just deleted and records not yet read are no reason for that.
-func (a *Agents) noteUnregistered(heartbeat *protocol.Heartbeat) {
+// recordUnregistered records a machine that has no record, so that the cluster leader can adopt it.
+// It ignores machines whose record was recently deleted, and all machines until this controller has
+// read the records.
+func (a *Agents) recordUnregistered(heartbeat *protocol.Heartbeat) {
 	if _, deleted := a.DeletedMachines[heartbeat.Machine]; deleted || !a.Synced {
 		return
 	}
@@ -80,8 +83,8 @@
 	}
 }
 
-// redirectToLeader sends an agent that this controller may not answer to its partition leader,
-// if there is another, and notes that it came here.
+// redirectToLeader redirects an agent that this controller may not answer to its partition leader,
+// if that is another controller, and records that the agent contacted this one.
 func (a *Agents) redirectToLeader(partition *cluster.Partition, machine *cluster.Machine, now time.Time) transport.Response {
 	if partition.Leader == "" || partition.Leader == a.Settings.Label {
 		return apierror.Response(errNoLeader)
@@ -91,16 +94,16 @@
 	return redirect(partition.Leader)
 }
 
-// redirect tells an agent to which controller it should send its heartbeats.
+// redirect returns a response that tells an agent to send its heartbeats to another controller.
 func redirect(label string) transport.Response {
 	return transport.Response{Status: 421, Body: protocol.Encode(protocol.AssignedController{Controller: label})}
 }
 
-// StopsForCancelledJobs returns the stops of the tasks of cancelled jobs that a heartbeat shows.
-// Whoever answers a heartbeat extends the lease under which its tasks run, so nobody may do so
-// for a task of a job that it knows to be cancelled: neither a leader that has not yet read its
-// partition's records nor a delegate, which both decide nothing else. A cancellation is final,
-// so the stop needs no token check.
+// StopsForCancelledJobs returns stop commands for the tasks in a heartbeat whose jobs are
+// cancelled. An answer to a heartbeat extends the lease under which the machine's tasks run, so it
+// must stop the tasks of jobs that are known to be cancelled. This holds even for a delegate and
+// for a leader that has not yet read its partition's records, which send no other commands. A
+// cancellation is final, so a stop needs no check of the fencing token.
 func (a *Agents) StopsForCancelledJobs(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, task := range heartbeat.Tasks {
@@ -112,20 +115,21 @@
 	return commands[:min(len(commands), commandsLimit)]
 }
 
-// ApplyHeartbeat takes in what a heartbeat says, whether it came directly, by way of a delegate or
-// as the answer to commands. Heartbeats that are not the newest of their machine are ignored.
+// ApplyHeartbeat updates the state of a machine from a heartbeat, which may have been received
+// directly, through a delegate or as the answer to commands. Heartbeats older than the last one
+// applied are ignored.
 func (a *Agents) ApplyHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	partition := a.Partitions[machine.Record.Partition]
 	if !partition.Ready || machine.DeleteConfirmed || !machine.IsNewer(heartbeat) {
 		return
 	}
 	if (!machine.HasReported || heartbeat.Epoch > machine.Epoch) && machine.AnsweredUntil.Before(now) {
-		// The lease of an agent epoch counts from its beginning, which lies before its first
-		// heartbeat, until a heartbeat is answered: one that was redirected to a delegate
-		// was not.
+		// The agent's lease runs from the beginning of its epoch until a heartbeat is
+		// answered. The epoch began before its first heartbeat, and a redirect to a
+		// delegate is not an answer.
 		machine.AnsweredUntil = now
 	}
-	a.noteReporting(machine, heartbeat, now)
+	a.recordReporting(machine, heartbeat, now)
 	a.applyEpoch(machine, heartbeat, now)
 	a.applyPreemptionNotice(machine, heartbeat, now)
 	if heartbeat.Token != a.Token(machine) {
@@ -146,9 +150,9 @@
 	}
 }
 
-// noteReporting notes that a machine reports for the first time, or again after its lease
+// recordReporting updates a machine that sent its first heartbeat, or the first one after its lease
 // expired.
-func (a *Agents) noteReporting(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
+func (a *Agents) recordReporting(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	if !machine.HasReported {
 		machine.HasReported, machine.IdleSince = true, now
 		a.log.Info("machine reporting", "machine", machine.Name, "type", machine.Record.Type, "zone", machine.Record.Zone, "spot", machine.Record.Spot)
@@ -159,8 +163,8 @@
 	}
 }
 
-// applyEpoch takes in the agent epoch and sequence number of a heartbeat. The attempts of
-// earlier epochs ended with those.
+// applyEpoch records the agent epoch and sequence number of a heartbeat, and releases the attempts
+// of earlier epochs, since they ended with their epoch.
 func (a *Agents) applyEpoch(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	if heartbeat.Epoch > machine.Epoch {
 		if machine.Epoch != 0 {
@@ -168,8 +172,8 @@
 		}
 		clear(machine.OrphanedTasks)
 	}
-	// Not only when the epoch changes: records read at a takeover may hold attempts of epochs
-	// that ended before.
+	// This is checked even if the epoch has not changed: run records read at a takeover may
+	// contain attempts of earlier epochs.
 	if machine.HasAttemptBeforeEpoch(heartbeat.Epoch) {
 		for _, attempt := range machine.SortedAttempts() {
 			if attempt.Epoch < heartbeat.Epoch {
@@ -180,7 +184,7 @@
 	machine.Epoch, machine.Sequence = heartbeat.Epoch, heartbeat.Sequence
 }
 
-// applyPreemptionNotice takes in that the cloud is going to take a spot machine away.
+// applyPreemptionNotice records when the cloud is going to preempt a spot machine.
 func (a *Agents) applyPreemptionNotice(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	if heartbeat.PreemptionNoticeS == nil {
 		return
--- a/internal/coordination/agents/machine_requests.go
+++ b/internal/coordination/agents/machine_requests.go
@@ -10,26 +10,26 @@
 	"micaspindle/internal/storage"
 )
 
-// moveTimeout is how long the transaction that moves a machine may take.
+// moveTimeout is the timeout of the transaction that moves a machine.
 const moveTimeout = 2 * time.Second
 
-// Reasons for which a machine request is declined.
+// Reasons for refusing a machine request.
 const (
 	reasonStopping = "stopping"
 	reasonNotLed   = "not mine"
 	reasonInUse    = "in use"
 )
 
-// machineMove is the transaction that assigns a machine to another partition.
+// machineMove is the assignment of a machine to another partition.
 type machineMove struct {
 	machine *cluster.Machine
 	record  storage.Machine
 	txn     *protocol.Transaction
 }
 
-// HandleMachineRequest does what the cluster leader asks about a machine of a partition that
-// this controller leads: it lets the machine be retired, or moves it to another partition. It
-// blocks, so it is called outside the event loop.
+// HandleMachineRequest handles a request of the cluster leader to retire a machine of a partition
+// that this controller leads, or to move it to another partition. It blocks, so it is called
+// outside the event loop.
 func (a *Agents) HandleMachineRequest(request *peer.MachineRequest) *peer.MachineReply {
 	var reply *peer.MachineReply
 	var move *machineMove
@@ -43,12 +43,12 @@
 	defer cancel()
 	revision, err := a.store.Commit(ctx, move.txn)
 	reply = &peer.MachineReply{Reason: reasonStopping}
-	a.loop.Do(func() { reply = a.machineMoved(move, revision, err) })
+	a.loop.Do(func() { reply = a.handleMoveResult(move, revision, err) })
 	return reply
 }
 
-// prepareMachineRequest answers the cluster leader's request, or returns the move that it asks
-// for.
+// prepareMachineRequest returns the reply to a machine request or, if a machine is to be moved, the
+// move to commit.
 func (a *Agents) prepareMachineRequest(request *peer.MachineRequest, now time.Time) (*peer.MachineReply, *machineMove) {
 	machine := a.Machines[request.Machine]
 	if machine == nil || !a.Partitions[machine.Record.Partition].Ready || int(request.ToPartition) >= len(a.Partitions) {
@@ -64,19 +64,20 @@
 	return nil, a.startMove(machine, int(request.ToPartition))
 }
 
-// mayHoldWork says whether a machine that is not lost holds work, may come to hold some by
-// commands under way, or is about to be moved.
+// mayHoldWork reports whether a machine that is not lost has tasks, may receive some through
+// commands in flight, or is being moved.
 func mayHoldWork(machine *cluster.Machine) bool {
 	return machine.HasReported && !machine.Lost &&
 		(len(machine.Attempts) > 0 || len(machine.OrphanedTasks) > 0 || machine.CommandRequestsInFlight > 0 || machine.Moving || !machine.TokenConfirmed)
 }
 
-// startMove keeps work off a machine and returns its move to another partition. All commands to
-// it are answered and its newest heartbeat shows no task (rule 10).
-func (a *Agents) startMove(machine *cluster.Machine, to int) *machineMove {
+// startMove excludes a machine from scheduling and returns its move to another partition. The
+// caller has checked that all commands to the machine are answered and that its newest heartbeat
+// contains no task (rule 10).
+func (a *Agents) startMove(machine *cluster.Machine, toPartition int) *machineMove {
 	machine.Moving = true
 	record := machine.Record
-	record.Partition = to
+	record.Partition = toPartition
 	partition := a.Partitions[machine.Record.Partition]
 	return &machineMove{machine: machine, record: record, txn: &protocol.Transaction{
 		If: []protocol.Condition{
@@ -87,11 +88,12 @@
 	}}
 }
 
-// machineMoved takes in the outcome of a move.
-func (a *Agents) machineMoved(move *machineMove, revision uint64, err error) *peer.MachineReply {
+// handleMoveResult processes the result of the transaction of a move.
+func (a *Agents) handleMoveResult(move *machineMove, revision uint64, err error) *peer.MachineReply {
 	if err != nil {
-		// An unanswered move may still be applied. Until the record shows, the machine stays
-		// out of use for a while; then a raised token settles who commands it.
+		// A move that was not answered may still be committed. The machine stays excluded
+		// from scheduling until its record is seen. Writing the record again, to raise the
+		// fencing token, settles which partition it belongs to.
 		move.machine.RaiseTokenBy(time.Now())
 		return &peer.MachineReply{Reason: err.Error()}
 	}
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// retirementTimeout is how long a machine waits for the cluster leader to retire it before
-	// it gets work again.
+	// retirementTimeout is how long a machine stays excluded from scheduling if the cluster
+	// leader does not complete its retirement.
 	retirementTimeout = 30 * time.Second
-	// commandRetryInterval is how often commands that did not arrive are sent again.
+	// commandRetryInterval is the interval at which unsent commands are retried.
 	commandRetryInterval = time.Second
 )
 
-// MachineRecorded takes in the assignment record of a machine, as of a revision. Records older
-// than the one known are ignored.
+// MachineRecorded applies a revision of a machine's record, which assigns the machine to a
+// partition. Revisions that are not newer than the last one applied are ignored.
 func (a *Agents) MachineRecorded(name string, record storage.Machine, revision uint64, now time.Time) {
 	delete(a.UnregisteredMachines, name)
 	machine := a.Machines[name]
@@ -47,7 +47,7 @@
 	}
 }
 
-// newMachine returns a machine of which nothing but the name is known.
+// newMachine returns a machine whose record and heartbeats have not been seen yet.
 func newMachine(name string, now time.Time) *cluster.Machine {
 	return &cluster.Machine{
 		Name:                    name,
@@ -62,55 +62,56 @@
 	}
 }
 
-// MachineDeleted takes in that a machine's record is gone. The cluster leader removes it only
-// after the machine certainly is.
+// MachineDeleted applies the deletion of a machine's record. The cluster leader deletes the record
+// only after the machine itself has certainly been deleted.
 func (a *Agents) MachineDeleted(name string, now time.Time) {
 	machine := a.Machines[name]
 	if machine == nil {
 		return
 	}
-	a.releaseAll(machine, "machine is gone", now)
+	a.releaseAll(machine, "machine record deleted", now)
 	delete(a.Machines, name)
 	a.DeletedMachines[name] = now
 }
 
-// CheckMachines finds the machines whose lease must have expired, and does what has become due
-// for the others.
+// CheckMachines handles expired machine leases, and performs the periodic work for the other
+// machines.
 func (a *Agents) CheckMachines(now time.Time) {
-	bound := time.Duration(float64(a.AgentLease)*cluster.ClockDriftFactor) + cluster.ClockMargin
-	var overdue []*cluster.Machine
+	leaseBound := time.Duration(float64(a.AgentLease)*cluster.ClockDriftFactor) + cluster.ClockMargin
+	var toDelete []*cluster.Machine
 	for _, machine := range a.Machines {
 		partition := a.Partitions[machine.Record.Partition]
 		if !partition.Held || !partition.Ready || machine.Lost {
 			continue
 		}
-		known, answered := partition.Delegations.AnswerBounds(machine.Shard, machine.AnsweredUntil, now)
-		if (machine.HasReported || len(machine.Attempts) > 0) && known.Sub(answered) > bound {
-			a.machineLost(machine, now)
+		knownUntil, lastAnswer := partition.Delegations.AnswerBounds(machine.Shard, machine.AnsweredUntil, now)
+		if (machine.HasReported || len(machine.Attempts) > 0) && knownUntil.Sub(lastAnswer) > leaseBound {
+			a.handleLeaseExpiry(machine, now)
 			continue
 		}
-		if a.OutlastsCancelBound(machine, answered.Add(bound), now) && now.Sub(machine.DeleteTriedAt) > deleteRetryInterval {
+		if a.OutlastsCancelBound(machine, lastAnswer.Add(leaseBound), now) && now.Sub(machine.DeleteTriedAt) > deleteRetryInterval {
 			machine.DeleteTriedAt = now
-			overdue = append(overdue, machine)
+			toDelete = append(toDelete, machine)
 		}
 		a.checkMachine(machine, now)
 	}
-	if len(overdue) > 0 {
-		a.deleteMachinesInTime(overdue[:min(len(overdue), deleteBatchLimit)])
+	if len(toDelete) > 0 {
+		a.deleteOverdueMachines(toDelete[:min(len(toDelete), deleteBatchLimit)])
 	}
 }
 
-// machineLost takes in that a machine's lease has expired: its agent has stopped all tasks.
-func (a *Agents) machineLost(machine *cluster.Machine, now time.Time) {
+// handleLeaseExpiry marks a machine whose lease has expired as lost and releases its attempts: its
+// agent has stopped all tasks.
+func (a *Agents) handleLeaseExpiry(machine *cluster.Machine, now time.Time) {
 	a.metrics.Count(telemetry.MachineLeaseExpired, 1)
 	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeartbeatAt), "count", len(machine.Attempts))
 	machine.Lost, machine.TokenConfirmed = true, false
 	a.releaseAll(machine, "machine lease expired", now)
 }
 
-// checkMachine does what has become due for a machine whose lease may still run: a retirement
-// that did not happen is given up, work leaves a machine that goes away, and commands without
-// an answer are repeated.
+// checkMachine performs the periodic work for a machine whose lease may still be valid: it abandons
+// a retirement that was not completed, evacuates a machine that is going to be preempted, and
+// repeats commands that were not answered.
 func (a *Agents) checkMachine(machine *cluster.Machine, now time.Time) {
 	if !machine.RetiringSince.IsZero() && now.Sub(machine.RetiringSince) > retirementTimeout {
 		machine.RetiringSince = time.Time{}
@@ -119,7 +120,7 @@
 		a.evacuate(machine, now)
 	}
 	for _, attempt := range machine.Attempts {
-		a.fenceOutStart(attempt, now)
+		a.fencePendingStart(attempt, now)
 	}
 	if now.Sub(machine.CommandsSentAt) > CommandAnswerWait && a.mayRepeat(machine) {
 		a.repeatCommands(machine)
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/telemetry"
 )
 
-// reconcile compares the tasks in a heartbeat under the current fencing token with the attempts
-// that should be on the machine.
+// reconcile updates the attempts on a machine from the tasks in a heartbeat under the current
+// fencing token.
 func (a *Agents) reconcile(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	reported := make(map[string]bool, len(heartbeat.Tasks))
 	clear(machine.OrphanedTasks)
@@ -30,7 +30,7 @@
 	machine.RecountUsed()
 }
 
-// applyTaskReport takes in what the agent says of an attempt.
+// applyTaskReport updates an attempt from its entry in a heartbeat.
 func (a *Agents) applyTaskReport(attempt *cluster.Attempt, task protocol.TaskReport, now time.Time) {
 	if attempt.State <= cluster.AttemptCommitted {
 		attempt.State = cluster.AttemptConfirmed
@@ -40,14 +40,14 @@
 	}
 	switch task.State {
 	case protocol.TaskRunning:
-		a.attemptRunning(attempt, now)
+		a.handleAttemptRunning(attempt, now)
 	case protocol.TaskEnded:
-		a.attemptExited(attempt, task, now)
+		a.handleAttemptExit(attempt, task, now)
 	}
 }
 
-// attemptRunning takes in that an attempt runs.
-func (a *Agents) attemptRunning(attempt *cluster.Attempt, now time.Time) {
+// handleAttemptRunning processes the report that an attempt is running.
+func (a *Agents) handleAttemptRunning(attempt *cluster.Attempt, now time.Time) {
 	if attempt.StartedAt.IsZero() {
 		attempt.StartedAt = now
 		if !attempt.ReplicatedStart.IsZero() {
@@ -62,18 +62,19 @@
 	a.detectSlowMachine(attempt, now.Sub(attempt.StartedAt).Seconds())
 }
 
-// applyAbsence takes in that a heartbeat under a token does not show an attempt.
+// applyAbsence updates an attempt that is missing from a heartbeat under a fencing token.
 func (a *Agents) applyAbsence(key string, attempt *cluster.Attempt, token uint64, now time.Time) {
 	switch attempt.State {
 	case cluster.AttemptReleased:
 		// The agent has forgotten it.
 		delete(attempt.Machine.Attempts, key)
 	case cluster.AttemptExited:
-		// It stays until its end is on record.
+		// It is kept until its end is committed.
 	case cluster.AttemptConfirmed:
-		a.ReleaseAttempt(attempt, "vanished", now)
+		a.ReleaseAttempt(attempt, "missing from heartbeat", now)
 	case cluster.AttemptCommitted:
-		// No start of this controller can still arrive under the token, also none under way.
+		// The agent refuses a start with an earlier token, even one that is still in
+		// flight.
 		if attempt.Stopping && attempt.StartToken < token {
 			a.ReleaseAttempt(attempt, "never started", now)
 		}
--- a/internal/coordination/agents/slow_machines.go
+++ b/internal/coordination/agents/slow_machines.go
@@ -5,44 +5,46 @@
 )
 
 const (
-	// slowFactor is how many times as long as the same job's tasks elsewhere a task takes
-	// before it counts as slow.
+	// A task is slow if it runs at least slowFactor times the mean run time of the same job's
+	// tasks on other machines.
 	slowFactor = 3
-	// slowTasksLimit is how many slow tasks in a row quarantine a machine.
+	// slowTasksLimit is the number of consecutive slow tasks after which a machine is
+	// quarantined.
 	slowTasksLimit = 2
-	// slowSampleSize is how many tasks of the job must be done elsewhere, to compare.
+	// slowSampleSize is the minimum number of tasks completed on other machines for a
+	// comparison.
 	slowSampleSize = 3
 )
 
-// detectSlowMachine judges a machine by a task's run time, in seconds, against those of the same
-// job on other machines: their estimates share one error, so the estimate says nothing. A false
-// alarm costs little, since work that runs goes on; only no new work comes, and the machine is
-// returned once idle.
-func (a *Agents) detectSlowMachine(attempt *cluster.Attempt, ran float64) {
+// detectSlowMachine quarantines a machine on which tasks take far longer than those of the same job
+// on other machines. runTimeS is the run time of an attempt so far, in seconds. The user's estimate
+// is not used, since it may be wrong for all tasks of the job. A false positive is cheap: running
+// tasks continue, and the machine is returned to the cloud once it is idle.
+func (a *Agents) detectSlowMachine(attempt *cluster.Attempt, runTimeS float64) {
 	if attempt.Slow || attempt.StartTimeUnknown() {
 		return
 	}
 	sum, count := runTimesElsewhere(attempt)
-	if count < slowSampleSize || ran < slowFactor*sum/float64(count) {
+	if count < slowSampleSize || runTimeS < slowFactor*sum/float64(count) {
 		return
 	}
 	attempt.Slow = true
 	machine := attempt.Machine
 	machine.SlowTasks++
 	if machine.SlowTasks >= slowTasksLimit && !machine.Quarantined {
-		a.quarantine(machine, "tasks take far longer than elsewhere")
+		a.quarantine(machine, "tasks take far longer than on other machines")
 	}
 }
 
-// runTimesElsewhere is the sum of the run times, in seconds, of the tasks of an attempt's job
-// that were done on other machines, and how many those are.
+// runTimesElsewhere returns the sum of the run times, in seconds, of the tasks of an attempt's job
+// that were completed on other machines, and their number.
 func runTimesElsewhere(attempt *cluster.Attempt) (sum float64, count int) {
 	for name, times := range attempt.Job.RunTimesS {
 		if name == attempt.Machine.Name {
 			continue
 		}
-		for _, ran := range times {
-			sum += ran
+		for _, runTimeS := range times {
+			sum += runTimeS
 		}
 		count += len(times)
 	}
--- a/internal/coordination/agents/tokens.go
+++ b/internal/coordination/agents/tokens.go
@@ -8,32 +8,33 @@
 	"micaspindle/internal/coordination/cluster"
 )
 
-// A command without an answer may be carried out at any later time, until its agent has seen a
-// higher fencing token (rule 50). So where a start must not come any more, the token of its
-// machine is raised: the record of the machine is written again, and the agent is fenced.
+// A command that was not answered may be executed at any later time, until its agent has seen a
+// higher fencing token (rule 50). To prevent a start from being executed late, the machine's token
+// is raised: the machine record is written again, and the new token is sent to the agent.
 
 const (
-	// CommandAnswerWait is how long the answer to a command is waited for before the command
-	// counts as held up, where a task of a cancelled job depends on it. It is as long as an
-	// agent takes to report a change.
+	// CommandAnswerWait is how long the controller waits for the answer to a command on which
+	// the cancellation of a task depends, before it repeats the command or raises the token. It
+	// equals the time in which an agent reports a change.
 	CommandAnswerWait = 500 * time.Millisecond
-	// stopAnswerWait is the same where no job was cancelled.
+	// stopAnswerWait is how long it waits if the job was not cancelled.
 	stopAnswerWait = time.Second
-	// forgetDelay is how long a released attempt whose start may still arrive stays with its
-	// agent, so that one raise of the token serves many. It holds neither room nor quota.
+	// forgetDelay delays the token raise that lets an agent forget a released attempt whose
+	// start may still arrive, so that one raise serves many attempts. Meanwhile the attempt
+	// uses neither resources nor quota.
 	forgetDelay = 5 * time.Second
-	// pendingCommandsLimit bounds the requests to a machine that wait for an answer.
-	pendingCommandsLimit = 4
+	// commandRequestsInFlightLimit is the maximum number of requests in flight to one machine.
+	commandRequestsInFlightLimit = 4
 
-	// One in RepeatedCommandsSocketShare of the sockets, and RepeatedCommandsMin at least, may
-	// serve requests beside earlier ones to the same machine: where many machines are cut off,
-	// agents and users need the others.
+	// Requests to machines to which an earlier request is still in flight may use one in
+	// RepeatedCommandsSocketShare of the sockets, but at least RepeatedCommandsMin. The other
+	// sockets are kept for agents and users if many machines are unreachable.
 	RepeatedCommandsSocketShare = 32
 	RepeatedCommandsMin         = 8
 )
 
-// commandsSent notes that a request with commands is sent to a machine.
-func (a *Agents) commandsSent(machine *cluster.Machine, now time.Time) {
+// recordCommandsSent records that a request with commands to a machine is in flight.
+func (a *Agents) recordCommandsSent(machine *cluster.Machine, now time.Time) {
 	if machine.CommandRequestsInFlight > 0 {
 		a.RepeatedCommands++
 	}
@@ -41,44 +42,47 @@
 	machine.CommandsSentAt = now
 }
 
-// commandsAnswered notes that the answer to a request with commands has come or been given up.
-func (a *Agents) commandsAnswered(machine *cluster.Machine) {
+// recordCommandsAnswered records that a request with commands was answered or failed.
+func (a *Agents) recordCommandsAnswered(machine *cluster.Machine) {
 	machine.CommandRequestsInFlight--
 	if machine.CommandRequestsInFlight > 0 {
 		a.RepeatedCommands--
 	}
 }
 
-// mayRepeat says whether commands may be sent to a machine beside those that are under way: a
-// task of a cancelled job depends on them, and there are sockets left.
+// mayRepeat reports whether commands may be sent to a machine while other requests to it are in
+// flight. This requires that the machine has a task of a cancelled job and that the limits on
+// requests are not reached.
 func (a *Agents) mayRepeat(machine *cluster.Machine) bool {
 	limit := max(RepeatedCommandsMin, a.Settings.Params.MachineLimits.Sockets/RepeatedCommandsSocketShare)
-	return machine.HasCancelledTask() && machine.CommandRequestsInFlight < pendingCommandsLimit && a.RepeatedCommands < limit
+	return machine.HasCancelledTask() && machine.CommandRequestsInFlight < commandRequestsInFlightLimit && a.RepeatedCommands < limit
 }
 
-// mayStillStart says whether a start of an attempt was sent that may arrive at any time.
-func (a *Agents) mayStillStart(attempt *cluster.Attempt) bool {
+// startMayStillArrive reports whether a start was sent for an attempt that is being stopped, and
+// the agent may still accept it.
+func (a *Agents) startMayStillArrive(attempt *cluster.Attempt) bool {
 	return attempt.State == cluster.AttemptCommitted && attempt.Stopping && attempt.StartToken != 0 &&
 		attempt.StartToken >= a.Token(attempt.Machine)
 }
 
-// fenceOutStart has the token raised where a start of an attempt that is to stop may still
-// arrive. The answer to the start is waited for, but not for long if its job was cancelled: its
-// cancellation was confirmed to a user, and from then on nothing of it may start.
-func (a *Agents) fenceOutStart(attempt *cluster.Attempt, now time.Time) {
-	if !a.mayStillStart(attempt) {
+// fencePendingStart requests a higher fencing token if a start of an attempt that is being stopped
+// may still arrive. It first waits for the answer to the start. The wait is short if the job has
+// ended, because no task may start after its cancellation was confirmed to a user.
+func (a *Agents) fencePendingStart(attempt *cluster.Attempt, now time.Time) {
+	if !a.startMayStillArrive(attempt) {
 		return
 	}
-	cancelledWaitOver := attempt.Job.Ended && now.Sub(attempt.StartSentAt) > CommandAnswerWait
+	endedJobWaitOver := attempt.Job.Ended && now.Sub(attempt.StartSentAt) > CommandAnswerWait
 	stopWaitOver := attempt.StartsInFlight == 0 && now.Sub(attempt.StopRequestedAt) > stopAnswerWait
-	if !cancelledWaitOver && !stopWaitOver {
+	if !endedJobWaitOver && !stopWaitOver {
 		return
 	}
 	attempt.Machine.RaiseTokenBy(now)
 	a.Partitions[attempt.Machine.Record.Partition].Wake()
 }
 
-// repeatCommands sends what a machine's agent should do beside commands that are held up.
+// repeatCommands sends the pending commands or the fencing token again, although earlier requests
+// to the machine were not answered.
 func (a *Agents) repeatCommands(machine *cluster.Machine) {
 	if machine.TokenConfirmed {
 		a.sendCommandsNow(machine)
@@ -87,9 +91,9 @@
 	}
 }
 
-// TokensDue lists the machines of a partition whose tokens are due to be raised, those that are
-// due the longest first.
-func (a *Agents) TokensDue(partition *cluster.Partition, now time.Time) (due []*cluster.Machine) {
+// MachinesDueForNewToken returns the machines of a partition whose fencing tokens are due to be
+// raised, longest overdue first.
+func (a *Agents) MachinesDueForNewToken(partition *cluster.Partition, now time.Time) (due []*cluster.Machine) {
 	for _, machine := range a.Machines {
 		if machine.Record.Partition == partition.Index && !machine.TokenRaiseBy.IsZero() && !machine.TokenRaiseBy.After(now) {
 			due = append(due, machine)
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// lazyRecordDelay is how long a record that no start and no user waits for may gather
-	// further changes before it is written.
+	// lazyRecordDelay is how long a record that is not urgent collects changes before it is
+	// written.
 	lazyRecordDelay = 2 * time.Second
-	// leaseExpirySlack is for how long beyond the lease's time to live, counted from its last
-	// confirmed renewal, batches are still tried.
+	// leaseExpirySlack is how long batches are still sent after the lease's time to live has
+	// passed since its last confirmed renewal.
 	leaseExpirySlack = 10 * time.Second
-	// batchBytesLimit bounds the records in a batch, in bytes.
+	// batchBytesLimit is the size in bytes above which no run record is added to a batch.
 	batchBytesLimit = 40 << 10
-	// deletionBytes is what a deletion counts as.
+	// deletionBytes is the size in bytes that a deletion counts as in a batch.
 	deletionBytes = 100
-	// recordBytesFactor is how many bytes of a batch each byte of a record counts as: the
-	// message may hold it in a longer form.
+	// recordBytesFactor allows for the encoding of a record in a message, which may be longer
+	// than the record.
 	recordBytesFactor = 2
 )
 
-// batch is one transaction of a partition leader and what it stands for.
+// batch is a transaction of a partition leader, with the state changes to apply once it is
+// committed.
 type batch struct {
 	txn         protocol.Transaction
 	chunks      []chunkWrite
 	completions []*cluster.Job
 	tokenRaises []*cluster.Machine
 	starts      []*cluster.Attempt
-	// cancellations are the jobs that the batch cancels; it then holds nothing else.
+	// cancellations are the jobs that the batch cancels. If there are any, it contains nothing
+	// else.
 	cancellations []*cluster.Job
 }
 
-// chunkRef names one run record of a job.
+// chunkRef identifies a run record of a job.
 type chunkRef struct {
 	job   *cluster.Job
 	chunk *cluster.RunChunk
@@ -46,44 +48,47 @@
 // chunkWrite is the write or deletion of a run record.
 type chunkWrite struct {
 	chunkRef
-	// generation is that of the chunk when the record was made.
+	// generation is the chunk's generation at which the record was encoded.
 	generation uint64
-	// exited are the attempts whose ends the write puts on record.
+	// exited are the attempts whose ends are committed with the write.
 	exited  []*cluster.Attempt
 	deleted bool
 }
 
-// newBatch makes a batch that is conditional on the partition lease.
+// newBatch returns an empty batch that is conditional on the partition lease.
 func newBatch(partition *cluster.Partition) *batch {
 	b := &batch{}
-	b.require(storage.LeaseKey(partition.Index), partition.LeaseRevision)
+	b.addCondition(storage.LeaseKey(partition.Index), partition.LeaseRevision)
 	return b
 }
 
-// leaseRevision is the revision of the partition lease on which the batch is conditional.
+// leaseRevision returns the revision of the partition lease on which the batch is conditional.
 func (b *batch) leaseRevision() uint64 { return b.txn.If[0].Version }
 
-// require makes the batch conditional on the revision of a key; 0: that it is absent.
-func (b *batch) require(key string, revision uint64) {
+// addCondition makes the batch conditional on the revision of a key. Revision 0 means that the key
+// does not exist.
+func (b *batch) addCondition(key string, revision uint64) {
 	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Version: revision})
 }
 
-// put writes a key, if it still has a revision.
+// put adds the write of a key, on condition that the key is still at a revision. It returns the
+// size of the encoded record.
 func (b *batch) put(key string, revision uint64, record any) (bytes int) {
 	value := storage.Encode(record)
-	b.require(key, revision)
+	b.addCondition(key, revision)
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: value})
 	return len(value)
 }
 
-// delete removes a key, if it still has a revision.
+// delete adds the deletion of a key, on condition that the key is still at a revision.
 func (b *batch) delete(key string, revision uint64) {
-	b.require(key, revision)
+	b.addCondition(key, revision)
 	b.txn.Then = append(b.txn.Then, protocol.Change{Delete: key})
 }
 
-// takeChunk notes that the batch writes a chunk's record, with the ends of its exited attempts.
-func (b *batch) takeChunk(job *cluster.Job, chunk *cluster.RunChunk, deleted bool) {
+// recordChunkWrite records that the batch writes or deletes a chunk's run record, and moves the
+// chunk's exited attempts to the batch.
+func (b *batch) recordChunkWrite(job *cluster.Job, chunk *cluster.RunChunk, deleted bool) {
 	b.chunks = append(b.chunks, chunkWrite{
 		chunkRef:   chunkRef{job: job, chunk: chunk},
 		generation: chunk.Generation,
@@ -93,40 +98,40 @@
 	chunk.Exited = nil
 }
 
-// prepareBatch places waiting tasks and gathers what should be written now; nil: nothing. Up to
-// half of the batch raises tokens that are due; the other half is for records, and what they
-// leave of it for further tokens.
+// prepareBatch places waiting tasks and collects the changes that are due to be written. It returns
+// nil if there are none. Token raises may use up to half of the batch. Records use the rest, and
+// further token raises any space that they leave.
 func (c *Committer) prepareBatch(partition *cluster.Partition, now time.Time) *batch {
 	if !c.mayCommit(partition, now) {
 		return nil
 	}
-	ops := c.store.TxnOps()
+	opsLimit := c.store.TxnOps()
 	b := newBatch(partition)
-	if c.addCancellations(b, partition, now, ops); len(b.cancellations) > 0 {
+	if c.addCancellations(b, partition, now, opsLimit); len(b.cancellations) > 0 {
 		return b
 	}
-	due := addTokenRaises(b, c.agents.TokensDue(partition, now), now, ops/2)
+	remaining := addTokenRaises(b, c.agents.MachinesDueForNewToken(partition, now), now, opsLimit/2)
 	c.scheduler.Place(partition, now)
 	c.scheduler.Preempt(partition, now)
-	c.addRecords(b, partition, now, ops)
-	addTokenRaises(b, due, now, ops)
+	c.addRecords(b, partition, now, opsLimit)
+	addTokenRaises(b, remaining, now, opsLimit)
 	if len(b.txn.Then) == 0 {
 		return nil
 	}
 	return b
 }
 
-// mayCommit says whether this controller leads the partition and its lease may still hold.
+// mayCommit reports whether this controller leads the partition and its lease may still be valid.
 func (c *Committer) mayCommit(partition *cluster.Partition, now time.Time) bool {
 	return partition.Held && partition.Ready && !c.Draining &&
 		now.Sub(c.LeaseRenewedAt) <= c.Operator.LeaseTTL+leaseExpirySlack
 }
 
-// addCancellations cancels the jobs that need a cancelled one. It is confirmed to users that what
-// these jobs need is cancelled (rules 21, 22).
-func (c *Committer) addCancellations(b *batch, partition *cluster.Partition, now time.Time, ops int) {
+// addCancellations cancels the jobs that depend on a cancelled job. The cancellation of that job is
+// already confirmed to users (rules 21, 22).
+func (c *Committer) addCancellations(b *batch, partition *cluster.Partition, now time.Time, opsLimit int) {
 	for _, job := range c.Dependencies.JobsToCancel {
-		if len(b.txn.Then) == ops {
+		if len(b.txn.Then) == opsLimit {
 			return
 		}
 		if job.Partition == partition.Index {
@@ -136,15 +141,15 @@
 	}
 }
 
-// addTokenRaises adds the records of machines to a batch, each of which raises its machine's
-// fencing token, until the batch has so many changes. It returns the machines that are left.
-func addTokenRaises(b *batch, due []*cluster.Machine, now time.Time, ops int) (left []*cluster.Machine) {
+// addTokenRaises adds writes of machine records to a batch, each of which raises its machine's
+// fencing token, until the batch has opsLimit changes. It returns the remaining machines.
+func addTokenRaises(b *batch, due []*cluster.Machine, now time.Time, opsLimit int) (remaining []*cluster.Machine) {
 	for i, machine := range due {
-		if len(b.txn.Then) >= ops {
+		if len(b.txn.Then) >= opsLimit {
 			return due[i:]
 		}
 		if machine.CommandRequestsInFlight > 0 && now.Sub(machine.CommandsSentAt) < agents.CommandAnswerWait {
-			continue // the answer may make it needless
+			continue // the answer may make a new token unnecessary
 		}
 		b.put(storage.MachineKey(machine.Name), machine.Revision, machine.Record)
 		b.tokenRaises = append(b.tokenRaises, machine)
@@ -152,25 +157,25 @@
 	return nil
 }
 
-// addRecords adds the ends of jobs and the run records that should be written now.
-func (c *Committer) addRecords(b *batch, partition *cluster.Partition, now time.Time, ops int) {
+// addRecords adds the completions of jobs and the run records that are due to be written.
+func (c *Committer) addRecords(b *batch, partition *cluster.Partition, now time.Time, opsLimit int) {
 	bytes := 0
 	for _, job := range c.scheduler.Queue(partition) {
 		if job.Completing && c.FinalStates[job.Spec.ID] == "" {
-			c.addCompletion(b, partition, job, now, ops)
+			c.addCompletion(b, partition, job, now, opsLimit)
 			continue
 		}
 		for _, chunk := range job.Chunks {
 			due := chunk.Urgent || now.Sub(chunk.DirtySince) > lazyRecordDelay
-			if chunk.Dirty && !chunk.Unconfirmed && due && len(b.txn.Then) < ops && bytes <= batchBytesLimit {
+			if chunk.Dirty && !chunk.Unconfirmed && due && len(b.txn.Then) < opsLimit && bytes <= batchBytesLimit {
 				bytes += c.addChunk(b, partition, job, chunk)
 			}
 		}
 	}
 }
 
-// addChunk adds the record of a chunk, or its deletion if its job has ended and nothing of it is
-// live. It returns how many bytes that counts as.
+// addChunk adds the run record of a chunk, or the deletion of the record if the job has ended and
+// the chunk has no live attempt. It returns the size that it adds to the batch.
 func (c *Committer) addChunk(b *batch, partition *cluster.Partition, job *cluster.Job, chunk *cluster.RunChunk) (bytes int) {
 	run, fits := c.runRecordWithinLimit(job, chunk)
 	if !fits {
@@ -182,33 +187,33 @@
 		return c.addChunkDeletion(b, key, job, chunk)
 	}
 	bytes = b.put(key, chunk.Revision, run)
-	starts := len(b.starts)
+	startsBefore := len(b.starts)
 	for _, live := range run.Live {
 		if attempt := job.LiveAttempts[live.Task]; attempt.State == cluster.AttemptReserved {
 			b.starts = append(b.starts, attempt)
 		}
 	}
-	if len(b.starts) > starts {
-		// No start after a cancellation (rule 17).
-		b.require(storage.FinalKey(id), 0)
+	if len(b.starts) > startsBefore {
+		// A task must not start after its job was cancelled (rule 17).
+		b.addCondition(storage.FinalKey(id), 0)
 	}
-	b.takeChunk(job, chunk, false)
+	b.recordChunkWrite(job, chunk, false)
 	return recordBytesFactor * bytes
 }
 
-// addChunkDeletion adds the deletion of a chunk's record, if there is one. It returns how many
-// bytes that counts as.
+// addChunkDeletion adds the deletion of a chunk's run record, if there is one. It returns the size
+// that it adds to the batch.
 func (c *Committer) addChunkDeletion(b *batch, key string, job *cluster.Job, chunk *cluster.RunChunk) (bytes int) {
 	if chunk.Revision == 0 {
 		c.dropChunk(job, chunk)
 		return 0
 	}
 	b.delete(key, chunk.Revision)
-	b.takeChunk(job, chunk, true)
+	b.recordChunkWrite(job, chunk, true)
 	return deletionBytes
 }
 
-// dropChunk forgets a chunk of an ended job that is not on record.
+// dropChunk forgets a chunk of an ended job that has no run record.
 func (c *Committer) dropChunk(job *cluster.Job, chunk *cluster.RunChunk) {
 	chunk.Dirty = false
 	for _, attempt := range chunk.Exited {
@@ -219,10 +224,10 @@
 	c.jobs.DropIfReleased(job)
 }
 
-// runRecordWithinLimit returns the record of a chunk, if the state store takes one of its size. A
-// record is too large if it was written under higher limits, or if the store takes less than it
-// said. Attempts that only wait for the record can wait elsewhere; the rest is written when
-// enough of its tasks have ended.
+// runRecordWithinLimit returns the run record of a chunk, and whether its size is within the state
+// store's limit on values. It may be too large because the limit was higher before, or because the
+// store accepts less than it announced. In that case, attempts that are only reserved are released;
+// if that is not enough, the record is not written until enough tasks of the chunk have ended.
 func (c *Committer) runRecordWithinLimit(job *cluster.Job, chunk *cluster.RunChunk) (run storage.RunRecord, fits bool) {
 	run = job.RunRecord(chunk)
 	limit := c.store.ValueBytes()
@@ -238,7 +243,7 @@
 	return run, fits
 }
 
-// unreserveChunk gives up the attempts of a chunk that are not on record.
+// unreserveChunk releases the attempts of a chunk that are only reserved.
 func (c *Committer) unreserveChunk(job *cluster.Job, chunk *cluster.RunChunk) {
 	now := time.Now()
 	for _, attempt := range job.Attempts() {
@@ -248,21 +253,22 @@
 	}
 }
 
-// addCompletion makes a job done and removes its run records, as many as fit in.
-func (c *Committer) addCompletion(b *batch, partition *cluster.Partition, job *cluster.Job, now time.Time, ops int) {
-	if len(b.txn.Then) >= ops {
+// addCompletion adds the final record of a completed job, and the deletion of as many of its run
+// records as fit into the batch.
+func (c *Committer) addCompletion(b *batch, partition *cluster.Partition, job *cluster.Job, now time.Time, opsLimit int) {
+	if len(b.txn.Then) >= opsLimit {
 		return
 	}
 	id := job.Spec.ID
 	b.put(storage.FinalKey(id), 0, storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})
 	b.completions = append(b.completions, job)
 	for _, chunk := range job.Chunks {
-		if chunk.Unconfirmed || len(b.txn.Then) >= ops {
+		if chunk.Unconfirmed || len(b.txn.Then) >= opsLimit {
 			continue
 		}
 		if chunk.Revision != 0 {
 			b.delete(storage.RunKey(partition.Index, id, chunk.Index), chunk.Revision)
 		}
-		b.takeChunk(job, chunk, true)
+		b.recordChunkWrite(job, chunk, true)
 	}
 }
--- a/internal/coordination/commit/collaborators.go
+++ b/internal/coordination/commit/collaborators.go
@@ -9,41 +9,41 @@
 
 // Agents sends commands to agents and owns the attempts on machines.
 type Agents interface {
-	// MachineRecorded takes in the assignment record of a machine, as of a revision.
+	// MachineRecorded applies a revision of a machine's record.
 	MachineRecorded(name string, record storage.Machine, revision uint64, now time.Time)
-	// ReleaseAttempt ends an attempt that is proven over without a result.
+	// ReleaseAttempt releases an attempt that has provably ended without a result.
 	ReleaseAttempt(attempt *cluster.Attempt, reason string, now time.Time)
-	// SendCommands sends what a machine's agent should do, one request at a time for each
-	// machine.
+	// SendCommands sends the pending commands to a machine's agent, one request at a time.
 	SendCommands(machine *cluster.Machine)
-	// TokensDue lists the machines of a partition whose fencing tokens are due to be raised,
-	// those that are due the longest first.
-	TokensDue(partition *cluster.Partition, now time.Time) (due []*cluster.Machine)
+	// MachinesDueForNewToken returns the machines of a partition whose fencing tokens are due
+	// to be raised, longest overdue first.
+	MachinesDueForNewToken(partition *cluster.Partition, now time.Time) (due []*cluster.Machine)
 }
 
 // Leases holds the partition leases of this controller.
 type Leases interface {
-	// LosePartition stops acting as the leader of a partition.
+	// LosePartition gives up the leadership of a partition.
 	LosePartition(partition *cluster.Partition, reason string)
 }
 
-// Scheduler decides which tasks start where.
+// Scheduler places tasks on machines.
 type Scheduler interface {
 	// Place reserves machines for waiting tasks.
 	Place(partition *cluster.Partition, now time.Time)
-	// Preempt stops running tasks for jobs that must start now and find no room.
+	// Preempt stops running tasks to make room for jobs that have to start now.
 	Preempt(partition *cluster.Partition, now time.Time)
-	// Queue lists the jobs of a partition that have waiting tasks, records to write or their
-	// end to record, in the order in which they are served.
+	// Queue returns the jobs of a partition that have waiting tasks, run records to write or a
+	// completion to commit, in scheduling order.
 	Queue(partition *cluster.Partition) []*cluster.Job
 }
 
-// Jobs holds the jobs that are not finished, and how the others ended.
+// Jobs tracks the unfinished jobs and the final states of the others.
 type Jobs interface {
-	// ApplyFinalRecord takes in the record of how a job ended.
+	// ApplyFinalRecord sets the final state of a job from its final record.
 	ApplyFinalRecord(id string, raw []byte)
-	// DropIfReleased forgets a job that has ended and holds nothing any more.
+	// DropIfReleased forgets a job that has ended, once it holds no resources and no records.
 	DropIfReleased(job *cluster.Job)
-	// SetFinal notes that a job is done or cancelled, for good, and since when at the earliest.
+	// SetFinal sets the final state of a job. at is the earliest time at which it may have
+	// ended.
 	SetFinal(id, status string, at time.Time)
 }
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -1,7 +1,8 @@
-// Package commit writes the run records and final states of the partitions that this
-// controller leads, in batches of compare-and-swap transactions, one at a time for each
-// partition. Invariant: every transaction is conditional on the partition lease and on the
-// revision of each key that it changes; one without an answer is read back before the next.
+// Package commit writes the run records and final states of the partitions that this controller
+// leads. It batches them into compare-and-swap transactions, one at a time for each partition.
+// Invariant: every transaction is conditional on the partition lease and on the revision of each
+// key that it changes. After a transaction without an answer, its keys are read back before the
+// next one.
 package commit
 
 import (
@@ -18,11 +19,12 @@
 	"micaspindle/internal/telemetry"
 )
 
-// commitTimeout is how long a batch may wait for the write budget and its answer.
+// commitTimeout is the timeout of a batch, including its wait for the write budget.
 const commitTimeout = 10 * time.Second
 
-// commitBackoff is the pause after a batch that failed. It doesn't grow: the budget of the state
-// store makes commits wait already, and growing pauses cost users what docs/retries.md says.
+// commitBackoff is the pause after a failed batch. It does not grow, since the write budget of the
+// state store already limits the rate of commits, and longer pauses delay users (see
+// docs/retries.md).
 var commitBackoff = retry.Backoff{First: 200 * time.Millisecond, Max: 200 * time.Millisecond}
 
 // Committer writes the records of the partitions that this controller leads.
@@ -39,7 +41,7 @@
 	scheduler Scheduler
 }
 
-// New returns a Committer without collaborators; Connect must follow.
+// New returns a Committer without collaborators. The caller must call Connect before using it.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Committer {
 	return &Committer{State: state, loop: loop, store: store, log: log}
 }
@@ -49,7 +51,8 @@
 	c.agents, c.jobs, c.leases, c.scheduler = agents, jobs, leases, scheduler
 }
 
-// Observe sets the metrics, before the loop starts. Without it nothing is measured.
+// Observe sets the metrics. It is called before the loop starts; without it, no metrics are
+// recorded.
 func (c *Committer) Observe(metrics *telemetry.Metrics) { c.metrics = metrics }
 
 // CommitLoop writes a partition's records, one transaction at a time, until the loop's context
@@ -68,8 +71,8 @@
 	}
 }
 
-// commitPending writes batches until there is nothing more to write, and reads back what went
-// unanswered. It reports whether the loop's context is still alive.
+// commitPending writes batches until there is nothing more to write, and reads back the run records
+// whose writes were not answered. It returns false if the loop's context ends.
 func (c *Committer) commitPending(partition *cluster.Partition, tries *retry.Tries) bool {
 	for {
 		next, unconfirmed := c.nextBatch(partition)
@@ -87,8 +90,8 @@
 	}
 }
 
-// nextBatch returns the chunks that must be read back first or, if there are none, the next
-// batch; nil: there is nothing to write now.
+// nextBatch returns the chunks that must be read back before the next batch or, if there are none,
+// the next batch. The batch is nil if there is nothing to write.
 func (c *Committer) nextBatch(partition *cluster.Partition) (next *batch, unconfirmed []chunkRef) {
 	c.loop.Do(func() {
 		unconfirmed = c.unconfirmedChunks(partition)
@@ -100,40 +103,40 @@
 	return next, unconfirmed
 }
 
-// commitBatch writes a batch and takes in its outcome.
+// commitBatch commits a batch and applies the result.
 func (c *Committer) commitBatch(partition *cluster.Partition, b *batch) error {
 	ctx, cancel := context.WithTimeout(c.loop.Context(), commitTimeout)
 	defer cancel()
-	begun := time.Now()
-	revision, err := c.commitWithin(ctx, b)
-	c.metrics.RecordWait(telemetry.Commit, time.Since(begun), time.Now())
+	startedAt := time.Now()
+	revision, err := c.sendBatch(ctx, b)
+	c.metrics.RecordWait(telemetry.Commit, time.Since(startedAt), time.Now())
 	c.loop.Do(func() {
 		partition.Committing = false
 		if err != nil {
-			c.batchFailed(partition, b, err)
+			c.handleBatchFailure(partition, b, err)
 		} else {
-			c.batchCommitted(partition, b, revision, time.Now())
+			c.handleBatchCommitted(partition, b, revision, time.Now())
 		}
 	})
 	return err
 }
 
-// commitWithin sends a batch to the state store. Cancellations go ahead of other records: users
-// wait for them.
-func (c *Committer) commitWithin(ctx context.Context, b *batch) (revision uint64, err error) {
+// sendBatch sends a batch to the state store. Cancellations are sent ahead of other records,
+// because users are waiting for them.
+func (c *Committer) sendBatch(ctx context.Context, b *batch) (revision uint64, err error) {
 	if len(b.cancellations) > 0 {
 		return c.store.CommitAhead(ctx, &b.txn)
 	}
 	return c.store.Commit(ctx, &b.txn)
 }
 
-// batchCommitted takes in that a batch was written, as of a revision.
-func (c *Committer) batchCommitted(partition *cluster.Partition, b *batch, revision uint64, now time.Time) {
+// handleBatchCommitted applies the state changes of a batch that was committed at a revision.
+func (c *Committer) handleBatchCommitted(partition *cluster.Partition, b *batch, revision uint64, now time.Time) {
 	if !partition.Held || b.leaseRevision() != partition.LeaseRevision {
 		return
 	}
 	for i := range b.chunks {
-		b.chunks[i].committed(revision, now)
+		b.chunks[i].recordCommitted(revision, now)
 	}
 	c.sendStarts(b.starts, now)
 	for _, machine := range b.tokenRaises {
@@ -145,15 +148,15 @@
 		c.jobs.SetFinal(job.Spec.ID, protocol.StatusCancelled, now)
 	}
 	for _, job := range b.completions {
-		c.jobDone(job, now)
+		c.handleJobDone(job, now)
 	}
 	for _, write := range b.chunks {
 		c.jobs.DropIfReleased(write.job)
 	}
 }
 
-// committed takes in that a chunk's record was written, as of a revision.
-func (w *chunkWrite) committed(revision uint64, now time.Time) {
+// recordCommitted updates a chunk whose run record was written or deleted at a revision.
+func (w *chunkWrite) recordCommitted(revision uint64, now time.Time) {
 	chunk := w.chunk
 	chunk.Revision = revision
 	if chunk.Generation == w.generation {
@@ -170,7 +173,7 @@
 	}
 }
 
-// sendStarts has attempts that are on record now started.
+// sendStarts sends the starts of attempts that are now committed.
 func (c *Committer) sendStarts(starts []*cluster.Attempt, now time.Time) {
 	machines := map[*cluster.Machine]bool{}
 	for _, attempt := range starts {
@@ -184,11 +187,11 @@
 	}
 }
 
-// jobDone takes in that a job is on record as done.
-func (c *Committer) jobDone(job *cluster.Job, now time.Time) {
+// handleJobDone processes a job whose completion was committed.
+func (c *Committer) handleJobDone(job *cluster.Job, now time.Time) {
 	after := now.Sub(job.SubmittedAt)
 	c.metrics.RecordWait(telemetry.Finish, after, now)
-	if due, ok := job.Deadline(); ok && now.After(due) {
+	if deadline, ok := job.Deadline(); ok && now.After(deadline) {
 		c.metrics.Count(telemetry.JobLate, 1)
 	}
 	c.log.Info("job done", "job", job.Spec.ID, "class", job.Spec.Class, "count", job.Spec.Tasks, "after", after, "deadline_s", job.Spec.DeadlineS)
--- a/internal/coordination/commit/failures.go
+++ b/internal/coordination/commit/failures.go
@@ -8,49 +8,51 @@
 	"micaspindle/internal/telemetry"
 )
 
-// batchFailed takes in that a batch was refused or went unanswered. Its chunks are to be written
+// handleBatchFailure processes a batch that was refused or not answered. Its chunks are written
 // again.
-func (c *Committer) batchFailed(partition *cluster.Partition, b *batch, err error) {
-	b.putBack()
+func (c *Committer) handleBatchFailure(partition *cluster.Partition, b *batch, err error) {
+	b.restoreChunks()
 	var conflict *storage.Conflict
 	switch {
 	case errors.Is(err, storage.ErrUnknown):
-		c.batchUnanswered(partition, b, err)
+		c.handleUnansweredBatch(partition, b, err)
 	case errors.As(err, &conflict):
-		c.batchConflicted(partition, b, conflict)
+		c.handleConflict(partition, b, conflict)
 	default:
 		c.log.Debug("commit refused", "partition", partition.Index, "error", err)
 	}
 }
 
-// putBack marks the chunks of a batch for the next one, with the ends of their attempts.
-func (b *batch) putBack() {
+// restoreChunks marks the chunks of a failed batch as dirty, and moves their exited attempts back
+// to them.
+func (b *batch) restoreChunks() {
 	for _, write := range b.chunks {
 		write.chunk.Exited = append(write.exited, write.chunk.Exited...)
 		write.chunk.Dirty, write.job.MayHaveDirtyChunk = true, true
 	}
 }
 
-// batchConflicted takes in which conditions of a batch failed, and finds out about those keys.
-func (c *Committer) batchConflicted(partition *cluster.Partition, b *batch, conflict *storage.Conflict) {
+// handleConflict processes the failed conditions of a batch, and has the affected keys read.
+func (c *Committer) handleConflict(partition *cluster.Partition, b *batch, conflict *storage.Conflict) {
 	c.metrics.Count(telemetry.CommitConflict, 1)
 	for _, key := range conflict.Failed {
 		switch kind, id := storage.ParseKey(key); kind {
 		case storage.KindLease:
 			if b.leaseRevision() == partition.LeaseRevision {
-				c.leases.LosePartition(partition, "a commit found the lease gone")
+				c.leases.LosePartition(partition, "lease revision changed")
 			}
 		case storage.KindFinal:
 			c.loop.Go(func() { c.readFinal(id) })
 		case storage.KindMachine:
-			// The watch brings the newer record.
+			// The watch delivers the newer record.
 		default:
 			b.markUnconfirmed(partition, key)
 		}
 	}
 }
 
-// markUnconfirmed has the chunk whose record is under a key read before it is written again.
+// markUnconfirmed marks the chunk whose run record is stored under a key to be read back before it
+// is written again.
 func (b *batch) markUnconfirmed(partition *cluster.Partition, key string) {
 	for _, write := range b.chunks {
 		if storage.RunKey(partition.Index, write.job.Spec.ID, write.chunk.Index) == key {
@@ -59,7 +61,7 @@
 	}
 }
 
-// readFinal reads how a job ended, after a commit found that it has.
+// readFinal reads and applies the final record of a job, after a commit found that there is one.
 func (c *Committer) readFinal(id string) {
 	item, err := c.store.Get(c.loop.Context(), storage.FinalKey(id))
 	if err != nil {
--- a/internal/coordination/commit/unanswered.go
+++ b/internal/coordination/commit/unanswered.go
@@ -10,50 +10,51 @@
 	"micaspindle/internal/telemetry"
 )
 
-// A transaction without an answer may have been applied, or may be at any later time. Its keys
-// are read back, and the next write is conditional on the revisions seen, so that the late
-// transaction and its repetition exclude each other (rule 2).
+// A transaction without an answer may have been committed, or may be committed at any later time.
+// Its keys are read back, and the next write is conditional on the revisions read, so that at most
+// one of the late transaction and its retry is committed (rule 2).
 
-// rereadLimit is how many chunks are read back at a time.
+// rereadLimit is the maximum number of chunks that are read back at a time.
 const rereadLimit = 8
 
-// batchUnanswered takes in that nobody knows whether a batch was applied or will be.
-func (c *Committer) batchUnanswered(partition *cluster.Partition, b *batch, err error) {
+// handleUnansweredBatch processes a batch that may or may not be committed. Its chunks are marked
+// to be read back, and its token raises are requested again.
+func (c *Committer) handleUnansweredBatch(partition *cluster.Partition, b *batch, err error) {
 	c.metrics.Count(telemetry.CommitUnanswered, 1)
 	c.log.Info("commit unanswered", "partition", partition.Index, "error", err)
 	for _, write := range b.chunks {
 		write.chunk.Unconfirmed, partition.HasUnconfirmedChunk = true, true
 	}
 	for _, machine := range b.tokenRaises {
-		// The watch or the next heartbeat shows whether it was applied.
+		// If the record was written, the watch or the next heartbeat shows it.
 		machine.RaiseTokenBy(time.Now())
 	}
 }
 
-// unconfirmedChunks lists chunks whose last write went unanswered.
+// unconfirmedChunks returns chunks whose last write was not answered, up to rereadLimit.
 func (c *Committer) unconfirmedChunks(partition *cluster.Partition) []chunkRef {
 	if !partition.Held || !partition.Ready || !partition.HasUnconfirmedChunk {
 		return nil
 	}
-	var list []chunkRef
+	var chunks []chunkRef
 	for _, job := range c.Jobs {
 		if job.Partition != partition.Index || !job.HasRunState {
 			continue
 		}
 		for _, chunk := range job.Chunks {
-			if chunk.Unconfirmed && len(list) < rereadLimit {
-				list = append(list, chunkRef{job: job, chunk: chunk})
+			if chunk.Unconfirmed && len(chunks) < rereadLimit {
+				chunks = append(chunks, chunkRef{job: job, chunk: chunk})
 			}
 		}
 	}
-	partition.HasUnconfirmedChunk = len(list) > 0
-	return list
+	partition.HasUnconfirmedChunk = len(chunks) > 0
+	return chunks
 }
 
-// rereadChunks reads back the records of chunks whose write went unanswered, and whether their
-// jobs have ended. It reports whether all could be read.
-func (c *Committer) rereadChunks(partition *cluster.Partition, list []chunkRef) bool {
-	for _, ref := range list {
+// rereadChunks reads back the run records of chunks whose last write was not answered, and the
+// final records of their jobs. It returns false if a read fails.
+func (c *Committer) rereadChunks(partition *cluster.Partition, chunks []chunkRef) bool {
+	for _, ref := range chunks {
 		id := ref.job.Spec.ID
 		run, err := c.getIfPresent(storage.RunKey(partition.Index, id, ref.chunk.Index))
 		if err != nil {
@@ -63,12 +64,12 @@
 		if err != nil {
 			return false
 		}
-		c.loop.Do(func() { c.chunkReread(partition, ref, run, final) })
+		c.loop.Do(func() { c.applyRereadChunk(partition, ref, run, final) })
 	}
 	return true
 }
 
-// getIfPresent reads a key; nil: it is absent.
+// getIfPresent reads a key. It returns nil if the key does not exist.
 func (c *Committer) getIfPresent(key string) (*protocol.Item, error) {
 	item, err := c.store.Get(c.loop.Context(), key)
 	if errors.Is(err, storage.ErrNotFound) {
@@ -77,11 +78,12 @@
 	return item, err
 }
 
-// chunkReread takes in the records of a chunk and of its job's end, nil where absent.
-func (c *Committer) chunkReread(partition *cluster.Partition, ref chunkRef, run, final *protocol.Item) {
+// applyRereadChunk updates a chunk from its run record and its job's final record, which are nil if
+// they do not exist.
+func (c *Committer) applyRereadChunk(partition *cluster.Partition, ref chunkRef, run, final *protocol.Item) {
 	id := ref.job.Spec.ID
 	if c.Jobs[id] != ref.job || !ref.job.HasRunState || !partition.Held {
-		return // the partition was lost meanwhile
+		return // the partition was lost in the meantime
 	}
 	ref.chunk.Unconfirmed = false
 	ref.chunk.Revision = 0
--- a/internal/coordination/jobs/cancellation.go
+++ b/internal/coordination/jobs/cancellation.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/storage"
 )
 
-// AddCancellation adds to a transaction what makes a job cancelled, on condition that it has
-// no final record yet.
+// AddCancellation adds the cancellation of a job to a transaction, on condition that the job has no
+// final record yet.
 func AddCancellation(txn *protocol.Transaction, id string, now time.Time) {
 	key := storage.FinalKey(id)
 	final := storage.Final{Status: protocol.StatusCancelled, AtMS: now.UnixMilli()}
@@ -17,9 +17,9 @@
 	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(final)})
 }
 
-// ApplyCancellationNotices applies the cancellations that another controller has seen
-// committed. A final record never changes, so that a notice is as good as the record,
-// however late it comes (rule 43).
+// ApplyCancellationNotices applies the cancellations that another controller knows to be committed.
+// A final record never changes, so a notice can be trusted like the record itself, however late it
+// arrives (rule 43).
 func (t *Tracker) ApplyCancellationNotices(summary *peer.Summary, now time.Time) {
 	for _, notice := range summary.Cancelled {
 		if protocol.ValidID(notice.Job) {
--- a/internal/coordination/jobs/collaborators.go
+++ b/internal/coordination/jobs/collaborators.go
@@ -8,21 +8,21 @@
 
 // Agents stops attempts on machines.
 type Agents interface {
-	// StopAttempt has an attempt stopped; its process gets grace seconds between the signal
-	// and the kill.
-	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
+	// StopAttempt stops an attempt. Its process is killed if it has not exited graceS seconds
+	// after the signal.
+	StopAttempt(attempt *cluster.Attempt, graceS float64, now time.Time)
 }
 
-// Auth knows who may see which job.
+// Auth decides which users may access a job.
 type Auth interface {
-	// NoteJob remembers the queue of an accepted job, from its record.
+	// NoteJob records the queue of an accepted job from its record.
 	NoteJob(id string, record []byte)
 }
 
-// Scheduler groups jobs for fair shares and counts what each group got done.
+// Scheduler assigns jobs to fair-share groups and counts the completed jobs of each group.
 type Scheduler interface {
-	// ClassGroup gives the fair-share group of a class.
+	// ClassGroup returns the fair-share group of a class.
 	ClassGroup(class string) int
-	// CountDone counts a done job of a partition for its groups.
+	// CountDone counts a completed job of a partition for its fair-share groups.
 	CountDone(partition int, groups [2]int, at time.Time)
 }
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -1,5 +1,5 @@
-// Package jobs follows jobs from their record to their final state: it takes up accepted
-// jobs, maintains the graph of dependencies, and ends what was done or cancelled. Invariant: a
+// Package jobs tracks jobs from acceptance to their final state. It loads the records of accepted
+// jobs, maintains the dependency graph, and stops jobs that are done or cancelled. Invariant: a
 // final state never changes.
 package jobs
 
@@ -14,11 +14,10 @@
 	"micaspindle/internal/telemetry"
 )
 
-// errNoTasks is what is wrong with a job record that decodes but has no task.
-var errNoTasks = errors.New("no tasks")
+// errNoTasks is returned for a job record without tasks.
+var errNoTasks = errors.New("job has no tasks")
 
-// Tracker follows jobs from their record to their final state. Its methods run in the event
-// loop.
+// Tracker tracks jobs from acceptance to their final state. Its methods run in the event loop.
 type Tracker struct {
 	*cluster.State
 	log    *slog.Logger
@@ -29,18 +28,18 @@
 	scheduler Scheduler
 }
 
-// New makes a tracker without collaborators.
+// New returns a Tracker without collaborators. The caller must call Connect before using it.
 func New(state *cluster.State, log *slog.Logger, bounds *telemetry.BoundReporter) *Tracker {
 	return &Tracker{State: state, log: log, bounds: bounds}
 }
 
-// Connect sets the collaborators, before the loop starts.
+// Connect sets the collaborators. It is called once, before the loop starts.
 func (t *Tracker) Connect(agents Agents, auth Auth, scheduler Scheduler) {
 	t.agents, t.auth, t.scheduler = agents, auth, scheduler
 }
 
-// ApplyJobRecord takes up an accepted job. Records of jobs never change, so one that is
-// known already does nothing.
+// ApplyJobRecord loads an accepted job. Job records never change, so it does nothing if the job is
+// already known.
 func (t *Tracker) ApplyJobRecord(id string, raw []byte) {
 	t.auth.NoteJob(id, raw)
 	if t.Jobs[id] != nil || t.FinalStates[id] != "" {
@@ -48,17 +47,18 @@
 	}
 	if j := t.LoadJobRecord(id, raw); j != nil {
 		t.Dependencies.Add(j, t.finalOf)
-		t.wakeForDoomedJobs()
+		t.wakeForJobsToCancel()
 	}
 }
 
-// finalOf is a job's final status, and when it ended where a listing has just shown it.
+// finalOf returns a job's final status, or "" if it has none, and the time at which it ended if a
+// listing of the records is in progress.
 func (t *Tracker) finalOf(id string) (string, time.Time) {
 	return t.FinalStates[id], t.ListedEndTimes[id]
 }
 
-// LoadJobRecord makes a job of its record and adds it to the unfinished jobs, without its
-// dependencies; nil: the record can't be used.
+// LoadJobRecord decodes a job record and adds the job to the unfinished jobs, without its
+// dependencies. It returns nil if the record is invalid.
 func (t *Tracker) LoadJobRecord(id string, raw []byte) *cluster.Job {
 	spec := new(protocol.JobSpec)
 	err := storage.Decode(raw, spec)
@@ -71,7 +71,7 @@
 	}
 	team, ok := t.TeamIndex[spec.Team]
 	if !ok {
-		t.log.Error("job of a team that is not in the settings", "job", id, "team", spec.Team)
+		t.log.Error("team of job is not in the settings", "job", id, "team", spec.Team)
 		return nil
 	}
 	j := &cluster.Job{
@@ -89,13 +89,13 @@
 	return j
 }
 
-// requeue has a partition's queue computed anew, at once.
+// requeue makes a partition's leader recompute its queue at once.
 func requeue(p *cluster.Partition) {
 	p.QueueOrder = nil
 	p.Wake()
 }
 
-// ApplyFinalRecord ends a job as its final record says.
+// ApplyFinalRecord sets the final state of a job from its final record.
 func (t *Tracker) ApplyFinalRecord(id string, raw []byte) {
 	var final storage.Final
 	if err := storage.Decode(raw, &final); err != nil {
@@ -112,22 +112,22 @@
 	t.SetFinal(id, final.Status, at)
 }
 
-// SetFinal notes that a job is done or cancelled, for good, and when it was at the earliest.
-// A job that has ended already stays as it is.
+// SetFinal sets the final state of a job, done or cancelled. at is the earliest time at which it
+// may have ended. It does nothing if the job already has a final state.
 func (t *Tracker) SetFinal(id, status string, at time.Time) {
 	if t.FinalStates[id] != "" {
 		return
 	}
 	t.FinalStates[id] = status
 	if status == protocol.StatusCancelled {
-		t.noteCancellation(id, at)
+		t.recordCancellation(id, at)
 	}
 	for _, dependent := range t.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
 		if p := t.Partitions[dependent.Partition]; p.Held && p.Ready {
 			requeue(p)
 		}
 	}
-	t.wakeForDoomedJobs()
+	t.wakeForJobsToCancel()
 	j := t.Jobs[id]
 	if j == nil {
 		return
@@ -139,19 +139,19 @@
 		delete(t.Jobs, id)
 		return
 	}
-	t.stop(j, status, at)
+	t.stopJob(j, status, at)
 }
 
-// noteCancellation stores a notice of a cancellation for the other controllers, unless every
-// task of the job has certainly ended.
-func (t *Tracker) noteCancellation(id string, at time.Time) {
+// recordCancellation stores a notice of a cancellation to be sent to the other controllers, unless
+// all tasks of the job have certainly ended.
+func (t *Tracker) recordCancellation(id string, at time.Time) {
 	if time.Since(at) < t.CancelBound && !t.Cancellations.Add(id, at) {
 		t.bounds.Met(telemetry.Cancellations, 1)
 	}
 }
 
-// stop ends what still runs of a loaded job that has ended.
-func (t *Tracker) stop(j *cluster.Job, status string, at time.Time) {
+// stopJob stops the live attempts of a job that has ended.
+func (t *Tracker) stopJob(j *cluster.Job, status string, at time.Time) {
 	j.Ended, j.Pending = true, nil
 	now := time.Now()
 	if status == protocol.StatusCancelled {
@@ -165,8 +165,9 @@
 	t.DropIfReleased(j)
 }
 
-// wakeForDoomedJobs lets the partitions' leaders cancel the jobs that are doomed.
-func (t *Tracker) wakeForDoomedJobs() {
+// wakeForJobsToCancel wakes the partitions if there are jobs to cancel because a dependency was
+// cancelled.
+func (t *Tracker) wakeForJobsToCancel() {
 	if len(t.Dependencies.JobsToCancel) > 0 {
 		for _, p := range t.Partitions {
 			p.Wake()
@@ -174,13 +175,13 @@
 	}
 }
 
-// DropIfReleased forgets a job that has ended once none of its attempts holds a task and its
-// run records are gone; it has those that are left written.
+// DropIfReleased forgets a job that has ended, once it has no live attempt and its run records are
+// deleted. It marks the remaining run records for deletion.
 func (t *Tracker) DropIfReleased(j *cluster.Job) {
 	if t.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
 		return
 	}
-	if hasRunRecords(j, time.Now()) {
+	if markRunRecordsForDeletion(j, time.Now()) {
 		return
 	}
 	for _, chunk := range j.Chunks {
@@ -191,18 +192,19 @@
 	delete(t.Jobs, j.Spec.ID)
 }
 
-// hasRunRecords says whether run records of a job are or may be in the state store, and marks
-// them to be written, which drops those of a job that has ended.
-func hasRunRecords(j *cluster.Job, now time.Time) bool {
-	left := false
+// markRunRecordsForDeletion marks the chunks of an ended job whose run records are or may be in the
+// state store as dirty, so that the next commit deletes the records. It reports whether there are
+// any.
+func markRunRecordsForDeletion(j *cluster.Job, now time.Time) bool {
+	found := false
 	for _, chunk := range j.Chunks {
 		if chunk.Revision == 0 && !chunk.Unconfirmed {
 			continue
 		}
-		left = true
+		found = true
 		if !chunk.Dirty {
 			chunk.Dirty, chunk.DirtySince, j.MayHaveDirtyChunk = true, now, true
 		}
 	}
-	return left
+	return found
 }
