--- a/internal/coordination/connections.go
+++ b/internal/coordination/connections.go
@@ -4,10 +4,10 @@
 	"micaspindle/internal/telemetry"
 )
 
-// NotePeerConnectionRefused notes that a connection of another controller was closed on arrival, since there
-// are too many.
+// NotePeerConnectionRefused records that a connection from another controller was closed on
+// arrival because there are too many connections.
 func (c *Controller) NotePeerConnectionRefused() { c.bounds.Met(telemetry.PeerConnections, 1) }
 
-// NoteUserConnectionRefused notes that a connection of an agent or a user was closed on arrival, since there
-// are too many.
+// NoteUserConnectionRefused records that a connection from an agent or a user was closed on
+// arrival because there are too many connections.
 func (c *Controller) NoteUserConnectionRefused() { c.bounds.Met(telemetry.Connections, 1) }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,8 +1,9 @@
-// Package coordination puts a controller together: it makes the state that the event loop
-// owns, the components that work on it, and gives each component its collaborators. It runs
-// their tasks and ticks and routes the requests of other controllers. Nothing is decided here.
+// Package coordination assembles a controller. It creates the state that the event loop owns
+// and the components that work on it, and gives each component its collaborators. It runs the
+// background tasks and periodic work of the components and routes requests from other
+// controllers. It makes no decisions of its own.
 //
-// docs/architecture.md has the picture of the packages and says who owns which state.
+// docs/architecture.md shows the packages and which of them owns which state.
 package coordination
 
 import (
@@ -31,18 +32,18 @@
 	"micaspindle/internal/transport"
 )
 
-// Controller is one controller process: the state of its loop, and the components that run
-// on it. It wires them and decides nothing itself.
+// Controller is one controller process: the state that its event loop owns, and the components
+// that work on it. It only connects them; the components make the decisions.
 type Controller struct {
 	*cluster.State
 	loop  *eventloop.Loop
 	store *storage.Store
 	log   *slog.Logger
-	// metrics is set by Observe; nil: nothing is measured.
+	// metrics is set by Observe; nil disables metrics.
 	metrics *telemetry.Metrics
 	bounds  *telemetry.BoundReporter
 
-	// The components; each package's comment says what it owns.
+	// The components. The package comment of each describes what it owns.
 
 	scheduler  *scheduler.Scheduler
 	agents     *agents.Agents
@@ -60,8 +61,8 @@
 	api        *api.Server
 }
 
-// New makes a controller that lives until ctx ends. Run starts its tasks, but requests may
-// come before.
+// New returns a controller that runs until ctx ends. Run starts its background tasks; it may
+// receive requests before that.
 func New(ctx context.Context, set *settings.Settings, operator settings.Operator, network storage.Requester, log *slog.Logger) *Controller {
 	params := set.Params
 	state := cluster.NewState(set, operator)
@@ -110,10 +111,10 @@
 // EnableAuth makes the controller authenticate and authorize requests. It is called before Run.
 func (c *Controller) EnableAuth(identities auth.Identities) error { return c.auth.Enable(identities) }
 
-// observer is a component that measures itself.
+// observer is a component that has metrics.
 type observer interface{ Observe(*telemetry.Metrics) }
 
-// Observe makes the controller measure itself. It is called before Run.
+// Observe turns on the metrics of the controller and its components. It is called before Run.
 func (c *Controller) Observe() {
 	c.metrics = telemetry.New()
 	c.bounds.Metrics = c.metrics
@@ -122,21 +123,23 @@
 	}
 }
 
-// Serve answers users, agents and health checks.
+// Serve handles requests from users and agents, and health checks.
 func (c *Controller) Serve(ctx context.Context, req *transport.Request) transport.Response {
 	return c.api.Serve(ctx, req)
 }
 
-// ServeOperations answers operators: /metrics and /overview.
+// ServeOperations handles requests from operators: /metrics and /overview.
 func (c *Controller) ServeOperations(ctx context.Context, req *transport.Request) transport.Response {
 	return c.api.ServeOperations(ctx, req)
 }
 
-// HandOver hands this controller's partitions and leadership over to others, ahead of a
-// planned end. It returns when that is done, given up or ctx has ended.
+// HandOver hands this controller's partitions and the cluster leadership over to other
+// controllers before a planned shutdown. It returns when the handover is complete or has been
+// abandoned, or when ctx ends.
 func (c *Controller) HandOver(ctx context.Context) { c.leases.HandOver(ctx) }
 
-// Run serves until the controller's context ends, and returns when every task has returned.
+// Run runs the event loop and the background tasks until the controller's context ends, and
+// returns when all of them have returned.
 func (c *Controller) Run() {
 	c.loop.Start(c.tick)
 	c.loop.Go(c.watcher.Watch)
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -16,12 +16,12 @@
 		sim.submit(newJobSpec("job-2", 20, "blue"))
 		sim.submit(newJobSpec("job-3", 150, "green")) // more than one run record
 		sim.waitForAllJobs(5 * time.Minute)
-		// Idle machines are returned.
+		// Idle machines are released.
 		time.Sleep(2 * time.Minute)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if n := len(sim.cloud.Machines); n > 0 {
-			t.Errorf("%d machines still rented", n)
+			t.Errorf("%d machines were not released after the jobs ended", n)
 		}
 	})
 }
@@ -36,7 +36,7 @@
 		sim.submit(s)
 		time.Sleep(30 * time.Second)
 		if st := sim.poll("", "job-1"); st != protocol.StatusRunning {
-			t.Errorf("service is %q", st)
+			t.Errorf("service has status %q, want running", st)
 		}
 		sim.cancelJob("job-1")
 		time.Sleep(30 * time.Second)
@@ -50,22 +50,22 @@
 	t.Parallel()
 	runSimulation(t, 5, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.submit(newJobSpec("job-1", 1, "blue")) // boots a machine
+		sim.submit(newJobSpec("job-1", 1, "blue")) // makes a machine boot
 		sim.waitForAllJobs(time.Minute)
 		sim.mu.Lock()
 		var withheld []protocol.CommandBatch
 		var machine string
-		sim.interceptCommands = func(name string, o *protocol.CommandBatch) {
-			for _, c := range o.Commands {
+		sim.interceptCommands = func(name string, batch *protocol.CommandBatch) {
+			for _, c := range batch.Commands {
 				if c.Op == protocol.OpStart {
-					// The message is held; the agent will get it minutes later.
-					withheld = append(withheld, *o)
+					// Keep the batch for later, and make the agent refuse it now.
+					withheld = append(withheld, *batch)
 					machine = name
-					o.Token = 0
+					batch.Token = 0
 				}
 			}
 		}
-		// Heartbeats do not get through either, so that they cannot repair it.
+		// Heartbeats are lost as well, so that they do not reveal that the task did not start.
 		sim.cut = func(_, host string) bool { return machine != "" && host == machine }
 		sim.mu.Unlock()
 		sim.setRunTime(time.Hour)
@@ -75,7 +75,7 @@
 		sim.mu.Lock()
 		sim.cut, sim.interceptCommands = nil, nil
 		if len(withheld) == 0 {
-			t.Fatal("no start was held back")
+			t.Fatal("no start command was withheld")
 		}
 		sim.mu.Unlock()
 		time.Sleep(6 * time.Second)
@@ -83,18 +83,18 @@
 		agent := sim.workers[machine]
 		if agent == nil {
 			sim.mu.Unlock()
-			return // the machine was deleted, which prevents the start as well
+			return // the machine was deleted, which also prevents the start
 		}
 		sim.mu.Unlock()
 		resp := sim.serveWorker(agent, "/orders", protocol.Encode(withheld[0]))
 		if resp.Status == 200 {
-			t.Error("the late start was executed")
+			t.Error("the agent executed the late start of a cancelled job")
 		}
 		time.Sleep(40 * time.Second)
 	})
 }
 
-// A submission is accepted only when it is recorded: while the outcome of the write is unknown,
+// A submission is accepted only once it is recorded. While the outcome of the write is unknown,
 // the user gets 503 with Retry-After.
 func TestSubmissionIsAcceptedOnlyWhenRecorded(t *testing.T) {
 	t.Parallel()
@@ -103,19 +103,18 @@
 		sim.withLock(func() { sim.cut = func(from, host string) bool { return from == "n0" && host == "state" } })
 		for _, wait := range []time.Duration{0, 3 * time.Second} {
 			time.Sleep(wait)
-			begun := time.Now()
+			start := time.Now()
 			resp := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")))
 			if resp.Status != 503 || resp.RetryAfter < 1 {
-				t.Errorf("submission without the state service: %d, Retry-After %d", resp.Status, resp.RetryAfter)
+				t.Errorf("submission without the state store: status %d, Retry-After %d; want 503 with Retry-After", resp.Status, resp.RetryAfter)
 			}
-			if wait > 0 && time.Since(begun) > 100*time.Millisecond {
-				t.Errorf("refusal came after %s", time.Since(begun))
+			if wait > 0 && time.Since(start) > 100*time.Millisecond {
+				t.Errorf("refusal took %s, want at most 100ms", time.Since(start))
 			}
 		}
-		// Its peers serve, so this controller reports itself unhealthy and leaves the users to
-		// them.
+		// The other controllers serve users, so this one reports itself unhealthy.
 		if resp := sim.sendRequest("n0", "GET", "/healthz", nil); resp.Status != 503 {
-			t.Errorf("health of a controller that alone is cut off: %d", resp.Status)
+			t.Errorf("health check of the only controller cut off from the state store: status %d, want 503", resp.Status)
 		}
 		sim.withLock(func() { sim.cut = nil })
 	})
@@ -140,26 +139,26 @@
 			body               []byte
 			want               int
 		}{
-			{"repeat", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")), 200},
-			{"invalid repeat of a known job", "POST", "/submissions", encodeSubmission(bad), 200},
+			{"repeated submission", "POST", "/submissions", encodeSubmission(newJobSpec("job-1", 1, "red")), 200},
+			{"repeated submission of a known job with invalid fields", "POST", "/submissions", encodeSubmission(bad), 200},
 			{"not MessagePack", "POST", "/submissions", []byte("{}"), 400},
 			{"not a map", "POST", "/submissions", []byte{0x93, 1, 2, 3}, 400},
-			{"invalid", "POST", "/submissions", []byte{0x81, 0xa7, 'n', 'a', 'm', 'e', '_', 'i', 'd', 0xa5, 'j', 'o', 'b', '-', '7'}, 400},
+			{"missing fields", "POST", "/submissions", []byte{0x81, 0xa7, 'n', 'a', 'm', 'e', '_', 'i', 'd', 0xa5, 'j', 'o', 'b', '-', '7'}, 400},
 			{"unknown team", "POST", "/submissions", encodeSubmission(unknownTeam), 422},
-			{"fits no type", "POST", "/submissions", encodeSubmission(tooLarge), 422},
-			{"more than the limit", "POST", "/submissions", encodeSubmission(overLimit), 422},
-			{"type not offered in the zone", "POST", "/submissions", encodeSubmission(oddZone), 422},
+			{"fits no machine type", "POST", "/submissions", encodeSubmission(tooLarge), 422},
+			{"above the team's limit", "POST", "/submissions", encodeSubmission(overLimit), 422},
+			{"machine type not offered in the zone", "POST", "/submissions", encodeSubmission(oddZone), 422},
 			{"unknown job", "GET", "/submissions/job-77", nil, 404},
 			{"malformed id", "GET", "/submissions/..", nil, 404},
 			{"cancellation of an unknown job", "POST", "/submissions/job-77/withdraw", nil, 404},
 			{"unknown path", "GET", "/nothing", nil, 404},
 			{"wrong method", "DELETE", "/submissions/job-1", nil, 405},
-			{"health", "GET", "/healthz", nil, 200},
+			{"health check", "GET", "/healthz", nil, 200},
 			{"malformed heartbeat", "POST", "/checkin", []byte{0x80}, 400},
 		} {
 			for _, label := range allControllers {
 				if resp := sim.sendRequest(label, tc.method, tc.path, tc.body); resp.Status != tc.want {
-					t.Errorf("%s at %s: %d, want %d", tc.name, label, resp.Status, tc.want)
+					t.Errorf("%s at %s: status %d, want %d", tc.name, label, resp.Status, tc.want)
 				}
 			}
 		}
@@ -167,7 +166,7 @@
 	})
 }
 
-// A job is either done or cancelled, and a final state never changes.
+// A job ends either as done or as cancelled, and its final state never changes.
 func TestCancellationAndCompletionAreExclusive(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 8, func(sim *simulatedCluster) {
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -10,54 +10,55 @@
 	"micaspindle/internal/settings"
 )
 
-// injectedFaults are the faults that can be injected beyond lost messages, network cuts, kills
-// and pauses. They are guarded by the simulated cluster's lock. faultCounts counts what
-// happened, so that a test can tell whether its faults coincided.
+// injectedFaults are the faults that can be injected besides lost messages, network cuts, kills
+// and pauses. They are guarded by the simulated cluster's lock.
 type injectedFaults struct {
-	// lateTransactionShare is the share of transactions without a response: applied 2 to 12 s
-	// later, after newer ones, or with loseAnswersOnly at once.
+	// lateTransactionShare is the proportion of transactions that get no response. They are
+	// applied 2 to 12 s later, after newer ones, or at once with loseAnswersOnly.
 	lateTransactionShare float64
 	loseAnswersOnly      bool
-	// lateTransactionKind restricts this to transactions whose first write is of a kind; "":
-	// all.
+	// lateTransactionKind, if not empty, restricts this to transactions whose first write is of
+	// this kind.
 	lateTransactionKind string
-	// duplicatedHeartbeatShare is the share of heartbeats of which a copy arrives again, from 2
-	// s to well over a machine lease later, or with keepForReplay at every controller on
-	// request.
+	// duplicatedHeartbeatShare is the proportion of heartbeats that are delivered again, between
+	// 2 s and 2 s plus 1.5 machine leases later. With keepForReplay they are instead delivered to
+	// every controller when replayHeartbeats is called.
 	duplicatedHeartbeatShare float64
 	keepForReplay            bool
 	keptHeartbeats           []keptHeartbeat
-	// delayedCommands delays direct commands; nil: they arrive.
+	// delayedCommands, if set, delays direct commands.
 	delayedCommands *commandDelayFault
-	// startsAfterCancel are the starts of tasks after the cancellation of their job was
-	// confirmed to its user.
+	// startsAfterCancel are the tasks that started after the user had received confirmation of
+	// their job's cancellation.
 	startsAfterCancel []startAfterCancel
-	// linkDelayMax is the longest additional delay of a message; 0: none.
+	// linkDelayMax is the maximum additional delay of a message; 0 means no delay.
 	linkDelayMax time.Duration
-	// Heartbeats of inboundLost machines arrive, but responses and commands to them are lost;
-	// messages of outboundLost machines are lost, but commands reach them.
+	// Heartbeats from inboundLost machines arrive, but responses and commands to them are lost.
+	// Heartbeats from outboundLost machines are lost, but commands reach them.
 	inboundLost, outboundLost map[string]bool
-	// suppressNotices: no controller receives cancellation notices.
+	// suppressNotices removes the cancellation notices from summaries between controllers.
 	suppressNotices bool
-	// cancelAtEnd reports whether a job is cancelled at the end of its last task.
+	// cancelAtEnd, if set, reports whether a job is to be cancelled when its last task ends.
 	cancelAtEnd func(job string) bool
-	// onJobEnd, if set, is called at the end of a job's last task.
+	// onJobEnd, if set, is called when a job's last task ends.
 	onJobEnd func(job string)
-	// bootDelay is how long machines take to boot; 0: a few seconds.
-	bootDelay   time.Duration
-	writes      writeObserver
-	cuts        networkCuts
+	// bootDelay is how long machines take to boot; 0 means 3 to 7 seconds at random.
+	bootDelay time.Duration
+	writes    writeObserver
+	cuts      networkCuts
+	// faultCounts counts events by name, so that a test can check that its faults took effect.
 	faultCounts map[string]int
 }
 
-// commandDelayFault delays direct commands: the sender gets no response, and the agent executes
-// them once, 2 to 16 s later, if token and epoch still match then.
+// commandDelayFault delays direct commands. The sender gets no response, and the agent receives
+// the commands once, 2 to 16 s later; it executes them if token and epoch still match then.
 type commandDelayFault struct {
-	// share is the proportion delayed of the messages that contain the operation op ("fence":
-	// no command at all; "": any).
+	// share is the proportion of messages that are delayed, among those that contain the
+	// operation op. An empty op selects all messages, fenceOp those without commands.
 	share float64
 	op    string
-	// delay is how long; 0: drawn at random. loseAnswersOnly: only the response is lost.
+	// delay is the delay; 0 means a random one. With loseAnswersOnly the commands arrive at once
+	// and only the response is lost.
 	delay           time.Duration
 	loseAnswersOnly bool
 }
@@ -66,7 +67,7 @@
 type startAfterCancel struct {
 	task    string
 	machine string
-	after   time.Duration
+	after   time.Duration // time between the confirmation and the start
 }
 
 // keptHeartbeat is a copy of a heartbeat to be sent again.
@@ -75,7 +76,7 @@
 	body    []byte
 }
 
-// countFault counts an event of a fault. The lock is held.
+// countFault counts one occurrence of an event. The lock is held.
 func (sim *simulatedCluster) countFault(event string) {
 	if sim.faultCounts == nil {
 		sim.faultCounts = map[string]int{}
@@ -92,15 +93,15 @@
 // fenceOp stands for a message without commands, which only raises the token.
 const fenceOp = "fence"
 
-// commandOps returns the operations in a message of commands.
+// commandOps returns the operations in a command batch.
 func commandOps(body []byte) (ops map[string]bool) {
-	var orders protocol.CommandBatch
-	panicOnError(protocol.Decode(body, &orders))
+	var batch protocol.CommandBatch
+	panicOnError(protocol.Decode(body, &batch))
 	ops = map[string]bool{}
-	for _, command := range orders.Commands {
+	for _, command := range batch.Commands {
 		ops[command.Op] = true
 	}
-	if len(orders.Commands) == 0 {
+	if len(batch.Commands) == 0 {
 		ops[fenceOp] = true
 	}
 	return ops
@@ -108,27 +109,27 @@
 
 // drawCommandDelay reports whether and for how long a message to an agent is delayed. The lock
 // is held.
-func (sim *simulatedCluster) drawCommandDelay(target string, body []byte) (after time.Duration, held bool) {
-	late := sim.delayedCommands
-	if late == nil || target != "/orders" || sim.rng.Float64() >= late.share {
+func (sim *simulatedCluster) drawCommandDelay(target string, body []byte) (delay time.Duration, delayed bool) {
+	fault := sim.delayedCommands
+	if fault == nil || target != "/orders" || sim.rng.Float64() >= fault.share {
 		return 0, false
 	}
-	if late.op != "" && !commandOps(body)[late.op] {
+	if fault.op != "" && !commandOps(body)[fault.op] {
 		return 0, false
 	}
 	switch {
-	case late.loseAnswersOnly:
+	case fault.loseAnswersOnly:
 		return time.Millisecond, true
-	case late.delay > 0:
-		return late.delay, true
+	case fault.delay > 0:
+		return fault.delay, true
 	}
 	return 2*time.Second + time.Duration(sim.rng.Int64N(int64(14*time.Second))), true
 }
 
-// deliverCommandLate delivers commands whose sender no longer waits. An agent that hangs
-// executes them when it continues.
-func (sim *simulatedCluster) deliverCommandLate(machine string, after time.Duration, body []byte) {
-	for wait := after; ; wait = 100 * time.Millisecond {
+// deliverCommandLate delivers commands after a delay, without returning the response to the
+// sender. An agent that hangs receives them when it resumes.
+func (sim *simulatedCluster) deliverCommandLate(machine string, delay time.Duration, body []byte) {
+	for wait := delay; ; wait = 100 * time.Millisecond {
 		select {
 		case <-time.After(wait):
 		case <-sim.ctx.Done():
@@ -158,9 +159,9 @@
 	}
 }
 
-// drawTransactionDelay reports whether a transaction gets no response, and after which delay it
+// drawTransactionDelay reports whether a transaction gets no response, and after what delay it
 // is applied. The lock is held.
-func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (after time.Duration, lost bool) {
+func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (delay time.Duration, late bool) {
 	if host != "state" || target != "/commit" || sim.lateTransactionShare == 0 || sim.rng.Float64() >= sim.lateTransactionShare {
 		return 0, false
 	}
@@ -177,9 +178,10 @@
 	return time.Duration(2000+sim.rng.IntN(10_000)) * time.Millisecond, true
 }
 
-// deliverTransactionLate applies a transaction whose sender no longer waits.
-func (sim *simulatedCluster) deliverTransactionLate(from string, after time.Duration, body []byte) {
-	time.Sleep(after)
+// deliverTransactionLate applies a transaction after a delay, without returning the response to
+// the sender.
+func (sim *simulatedCluster) deliverTransactionLate(from string, delay time.Duration, body []byte) {
+	time.Sleep(delay)
 	resp := sim.deliver(context.WithoutCancel(sim.ctx), from, "state", "POST", "/commit", body)
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -194,28 +196,29 @@
 	}
 }
 
-// duplicateHeartbeat keeps a copy of a heartbeat for later. The lock is held.
-func (sim *simulatedCluster) duplicateHeartbeat(machine, label string, report []byte) {
+// duplicateHeartbeat schedules a second delivery of a heartbeat, or keeps a copy for
+// replayHeartbeats, with the configured probability. The lock is held.
+func (sim *simulatedCluster) duplicateHeartbeat(machine, label string, heartbeat []byte) {
 	if sim.duplicatedHeartbeatShare == 0 || sim.rng.Float64() >= sim.duplicatedHeartbeatShare {
 		return
 	}
 	if sim.keepForReplay {
-		sim.keptHeartbeats = append(sim.keptHeartbeats, keptHeartbeat{machine, report})
+		sim.keptHeartbeats = append(sim.keptHeartbeats, keptHeartbeat{machine, heartbeat})
 		return
 	}
 	lease := settings.Seconds(sim.settings.Params.Workers.LeaseS)
-	after := 2*time.Second + time.Duration(sim.rng.Int64N(int64(lease+lease/2)))
+	delay := 2*time.Second + time.Duration(sim.rng.Int64N(int64(lease+lease/2)))
 	sim.group.Go(func() {
 		select {
-		case <-time.After(after):
+		case <-time.After(delay):
 		case <-sim.ctx.Done():
 			return
 		}
-		sim.redeliverHeartbeat(label, keptHeartbeat{machine, report})
+		sim.redeliverHeartbeat(label, keptHeartbeat{machine, heartbeat})
 	})
 }
 
-// redeliverHeartbeat sends a copy of an old heartbeat to a controller.
+// redeliverHeartbeat sends a copy of an earlier heartbeat to a controller.
 func (sim *simulatedCluster) redeliverHeartbeat(label string, k keptHeartbeat) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
@@ -228,7 +231,7 @@
 	}
 }
 
-// replayHeartbeats sends every kept heartbeat to every controller.
+// replayHeartbeats sends every kept heartbeat to every controller that is running.
 func (sim *simulatedCluster) replayHeartbeats() {
 	sim.mu.Lock()
 	kept := sim.keptHeartbeats
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -16,11 +16,11 @@
 func TestGoldenPeerPaths(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
 		{"summary", peering.SummaryPath, "/peer/summary"},
-		{"fleet request", peerapi.MachineRequestPath, "/peer/fleet"},
-		{"tale", replication.UpdatePath, "/peer/tale"},
-		{"recall", replication.StateTransferPath, "/peer/recall"},
-		{"carry", proxy.DelegationPath, "/peer/carry"},
-		{"relay", proxy.ForwardPath, "/peer/relay"},
+		{"machine request", peerapi.MachineRequestPath, "/peer/fleet"},
+		{"replica update", replication.UpdatePath, "/peer/tale"},
+		{"state transfer", replication.StateTransferPath, "/peer/recall"},
+		{"delegation", proxy.DelegationPath, "/peer/carry"},
+		{"forwarding", proxy.ForwardPath, "/peer/relay"},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: path %q, want %q", tc.name, tc.got, tc.want)
@@ -28,8 +28,8 @@
 	}
 }
 
-// The paths and methods for users, agents and operators must not change: a known path refuses
-// another method with 405, an unknown one is 404.
+// The paths and methods for users, agents and operators must not change. A known path responds
+// to any other method with 405, an unknown path with 404.
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
 	ctx, c := t.Context(), newTestController(t.Context(), &newSimulatedCluster(t, 1).settings, settings.DefaultOperator())
@@ -52,15 +52,15 @@
 		"/audit/batches":               "GET",
 	} {
 		if resp := c.Serve(ctx, &transport.Request{Method: other[method], Path: path}); resp.Status != 405 {
-			t.Errorf("%s %s: %d, want 405", other[method], path, resp.Status)
+			t.Errorf("%s %s: status %d, want 405", other[method], path, resp.Status)
 		}
 	}
 	if resp := c.Serve(ctx, &transport.Request{Method: "GET", Path: "/unknown"}); resp.Status != 404 {
-		t.Errorf("an unknown path: %d, want 404", resp.Status)
+		t.Errorf("unknown path: status %d, want 404", resp.Status)
 	}
 	for _, path := range []string{"/metrics", "/overview"} {
 		if resp := c.ServeOperations(ctx, &transport.Request{Method: "POST", Path: path}); resp.Status != 405 {
-			t.Errorf("POST %s: %d, want 405", path, resp.Status)
+			t.Errorf("POST %s: status %d, want 405", path, resp.Status)
 		}
 	}
 }
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -14,14 +14,14 @@
 	"micaspindle/internal/protocol"
 )
 
-// The answers to users are checked as a history: the requests and answers of all controllers
-// for a job must be those of a single job that is unknown, then accepted, then done or
-// cancelled for good, each at some moment between request and answer (rule 49).
+// The answers to users are checked for linearizability. Each request for a job must appear to
+// take effect at some moment between request and answer, whichever controller answers it, on a
+// single job that is first unknown, then accepted, then done or cancelled for good (rule 49).
 
-// requestKind is a user's request; the end of a job's last task is an event without a request.
+// requestKind is the kind of an operation in a job's history.
 type requestKind int
 
-// The kinds of requests.
+// The kinds of operations: the requests of users, and the end of a job's last task.
 const (
 	requestSubmit requestKind = iota
 	requestPoll
@@ -29,13 +29,13 @@
 	jobCompletion
 )
 
-// userAnswer is a controller's answer.
+// userAnswer is a controller's answer to a user's request.
 type userAnswer struct {
 	status    int
 	jobStatus string
 }
 
-// jobState is the state of a job as its users may see it.
+// jobState is the state of a job as users see it.
 type jobState int
 
 // The states of a job.
@@ -46,7 +46,7 @@
 	jobCancelled
 )
 
-// matches reports whether an answer fits the state.
+// matches reports whether an answer is correct for the state.
 func (l jobState) matches(a userAnswer) bool {
 	if a.status == 404 {
 		return l == jobUnknown
@@ -60,7 +60,7 @@
 	return l == jobAccepted
 }
 
-// next is the state after a request.
+// next returns the state after an operation.
 func (l jobState) next(q requestKind) jobState {
 	switch {
 	case q == requestSubmit && l == jobUnknown:
@@ -74,7 +74,7 @@
 }
 
 // jobStateModel is the sequential specification of a job. A request without an answer may take
-// effect at any later time, or never, which is at the end of time.
+// effect at any later time, or never.
 var jobStateModel = porcupine.Model{
 	Init: func() any { return jobUnknown },
 	Step: func(state, input, output any) (bool, any) {
@@ -85,12 +85,13 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " -> ", output) },
 }
 
-// requestHistory records requests and answers in the order in which they happened.
+// requestHistory records requests and answers in the order in which they occurred.
 type requestHistory struct {
 	mu   sync.Mutex
 	next int64
 	jobs map[string][]porcupine.Operation
-	// answers and finals count, so that an empty history is not taken for a valid one.
+	// answers counts the answers, and finals those with a final state, so that a test can check
+	// that its history is not trivial.
 	answers, finals int
 }
 
@@ -115,8 +116,8 @@
 	}
 }
 
-// request sends one request to a controller and records it. It returns the job's status, "" if
-// there was no answer.
+// request sends one request to a controller and records it. It returns the job's status, or ""
+// if the answer had none.
 func (h *requestHistory) request(sim *simulatedCluster, label string, q requestKind, s *protocol.JobSpec) string {
 	n := sim.processOf(label)
 	if n == nil {
@@ -141,19 +142,19 @@
 	case 404:
 		op.Output, op.Return = userAnswer{status: 404}, h.nextTime()
 	case 400, 422:
-		sim.withLock(func() { sim.recordViolation("%s got %d", s.ID, resp.Status) })
+		sim.withLock(func() { sim.recordViolation("request for %s was refused with status %d", s.ID, resp.Status) })
 		return ""
 	default:
 		if q == requestPoll {
-			return "" // requests and reveals nothing
+			return "" // changes nothing and tells the user nothing
 		}
 	}
 	h.record(s.ID, op)
 	return state
 }
 
-// pollAllControllers polls all controllers at once, twice within milliseconds, and repeats the
-// submission now and then.
+// pollAllControllers polls all controllers concurrently, twice within milliseconds. Some of the
+// polls are replaced by repeated submissions.
 func (h *requestHistory) pollAllControllers(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	var all sync.WaitGroup
 	for range 2 {
@@ -169,19 +170,19 @@
 	all.Wait()
 }
 
-// runJobLifecycle submits a job, polls it at all controllers, perhaps cancels it, at once,
-// later or after its end, until it is final.
+// runJobLifecycle submits a job and polls it until it is done or cancelled. At random it cancels
+// the job within 5 s, after its end, or both.
 func (h *requestHistory) runJobLifecycle(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
-	pick := func() string { return fmt.Sprint("n", rng.IntN(3)) }
+	randomController := func() string { return fmt.Sprint("n", rng.IntN(3)) }
 	// retry repeats a request until it is answered, as users do.
 	retry := func(q requestKind) string {
 		for range 90 {
-			if st := h.request(sim, pick(), q, s); st != "" {
+			if st := h.request(sim, randomController(), q, s); st != "" {
 				return st
 			}
 			time.Sleep(time.Second)
 		}
-		sim.withLock(func() { sim.recordViolation("%s: request %v never answered", s.ID, q) })
+		sim.withLock(func() { sim.recordViolation("%s: request of kind %v was not answered after 90 tries", s.ID, q) })
 		return ""
 	}
 	retry(requestSubmit)
@@ -192,23 +193,23 @@
 		h.pollAllControllers(sim, s, rng)
 	}
 	for range 120 {
-		st := h.request(sim, pick(), requestPoll, s)
+		st := h.request(sim, randomController(), requestPoll, s)
 		if st == protocol.StatusDone || st == protocol.StatusCancelled {
 			h.pollAllControllers(sim, s, rng)
 			if rng.IntN(2) == 0 {
-				retry(requestCancel) // of a finished job
+				retry(requestCancel) // on a finished job
 				h.pollAllControllers(sim, s, rng)
 			}
 			return
 		}
 		time.Sleep(time.Duration(500+rng.IntN(2500)) * time.Millisecond)
 	}
-	sim.withLock(func() { sim.recordViolation("%s never ended", s.ID) })
+	sim.withLock(func() { sim.recordViolation("%s was neither done nor cancelled after 120 polls", s.ID) })
 }
 
-// drawLinearizabilityFaults draws the faults during which users send requests: responses are
-// lost while others read what was written, transactions are late, controllers are killed or cut
-// off.
+// drawLinearizabilityFaults returns a random plan of faults that are injected while users send
+// requests, such as lost responses to transactions, late transactions, and controllers that are
+// killed or cut off.
 func drawLinearizabilityFaults(seed uint64) []plannedFault {
 	kinds := []faultKind{
 		faultLostTransactionAnswers, faultLostTransactionAnswers, faultLateTransactions, faultCrash, faultRefused,
@@ -264,7 +265,7 @@
 				sim.withLock(func() {
 					sim.onJobEnd = func(job string) {
 						h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
-						if len(job)%2 == 0 { // cancelled at the very end
+						if len(job)%2 == 0 { // cancel while the job ends
 							sim.group.Go(func() {
 								h.request(sim, "n0", requestCancel, specs[job])
 								h.pollAllControllers(sim, specs[job], rand.New(rand.NewPCG(seed, 80)))
@@ -272,9 +273,9 @@
 						}
 					}
 				})
-				begun := time.Now()
-				for _, m := range plan {
-					sim.group.Go(func() { sim.injectAtTrigger(m, begun, 3*time.Second) })
+				start := time.Now()
+				for _, fault := range plan {
+					sim.group.Go(func() { sim.injectAtTrigger(fault, start, 3*time.Second) })
 				}
 				for i := range 24 {
 					rng := rand.New(rand.NewPCG(seed, 81+uint64(i)))
@@ -287,19 +288,19 @@
 				time.Sleep(20 * time.Second)
 			})
 			if h.answers < 24*15 || h.finals < 24*4 {
-				t.Errorf("only %d answers, %d of them final", h.answers, h.finals)
+				t.Errorf("too few answers: %d, of which %d with a final state", h.answers, h.finals)
 			}
 			h.check(t)
 			if t.Failed() {
-				for _, m := range plan {
-					t.Log(m)
+				for _, fault := range plan {
+					t.Log(fault)
 				}
 			}
 		})
 	}
 }
 
-// check fails the test for each job whose answers fit no sequential history.
+// check fails the test for each job whose history is not linearizable.
 func (h *requestHistory) check(t *testing.T) {
 	t.Helper()
 	for job, ops := range h.jobs {
@@ -309,7 +310,7 @@
 		if porcupine.CheckOperations(jobStateModel, ops) {
 			continue
 		}
-		t.Errorf("%s: answers fit no history of one job", job)
+		t.Errorf("%s: history is not linearizable", job)
 		slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 		for _, op := range ops {
 			t.Logf("%d-%d %s", op.Call, op.Return, jobStateModel.DescribeOperation(op.Input, op.Output))
@@ -317,7 +318,7 @@
 	}
 }
 
-// The checker itself must refuse invalid histories.
+// The checker itself must reject invalid histories.
 func TestLinearizabilityCheckerRefusesInvalidHistories(t *testing.T) {
 	t.Parallel()
 	accepted, done, cancelled, unknown := userAnswer{201, "queued"}, userAnswer{200, "done"}, userAnswer{200, "withdrawn"}, userAnswer{status: 404}
@@ -343,7 +344,7 @@
 			tc.ops[i].ClientId = i
 		}
 		if got := porcupine.CheckOperations(jobStateModel, tc.ops); got != tc.ok {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: history accepted: %v", tc.name, got)
 		}
 	}
 }
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -9,17 +9,17 @@
 	"micaspindle/internal/protocol"
 )
 
-// The liveness properties that must hold at the end of every test, once all faults are over:
-// the status of each accepted job is answered, and no job waits while a suitable machine has
+// The liveness properties that must hold at the end of every test, after all faults have ended:
+// status requests for accepted jobs are answered, and no job waits while a suitable machine has
 // free resources and its team is below its quota.
 const (
-	// answeredWithin is how long a status request of an accepted job may go unanswered.
-	answeredWithin = 75 * time.Second
-	// startedWithin is how long a job may wait although resources are free.
+	// maxAnswerDelay is how long status requests for an accepted job may go unanswered.
+	maxAnswerDelay = 75 * time.Second
+	// startedWithin is how long a job may wait while resources are free.
 	startedWithin = 90 * time.Second
 )
 
-// clearFaults ends all faults that a test has left, and starts the controllers that are down.
+// clearFaults ends all faults that are still active, and starts the controllers that are down.
 func (sim *simulatedCluster) clearFaults() {
 	sim.setOutage(false)
 	sim.withLock(func() {
@@ -38,58 +38,58 @@
 func (sim *simulatedCluster) startMissingControllers() {
 	for _, l := range allControllers {
 		sim.mu.Lock()
-		away := sim.controllers[l] == nil
+		down := sim.controllers[l] == nil
 		sim.mu.Unlock()
-		if away {
+		if down {
 			sim.startController(l)
 		}
 	}
 }
 
-// checkLiveness fails the test if a liveness property does not hold after the faults are over.
+// checkLiveness ends all faults and fails the test if a liveness property does not hold then.
 func (sim *simulatedCluster) checkLiveness() {
 	sim.clearFaults()
-	begun := time.Now()
-	open := map[string]bool{}
-	if sim.identities == nil { // with identities only those with the right to view are answered
+	start := time.Now()
+	unanswered := map[string]bool{}
+	if sim.identities == nil { // otherwise the user may lack the right to view the job
 		for _, id := range sim.acceptedJobs() {
-			open[id] = true
+			unanswered[id] = true
 		}
 	}
 	since := map[starvedJob]time.Time{}
 	for {
 		now := time.Now()
-		for _, id := range slices.Sorted(maps.Keys(open)) {
+		for _, id := range slices.Sorted(maps.Keys(unanswered)) {
 			if sim.poll("", id) != "" {
-				delete(open, id)
-			} else if now.Sub(begun) > answeredWithin {
-				sim.t.Errorf("forgotten: no status request for %s is answered for %s", id, answeredWithin)
-				delete(open, id)
+				delete(unanswered, id)
+			} else if now.Sub(start) > maxAnswerDelay {
+				sim.t.Errorf("forgotten: status requests for %s were not answered for %s", id, maxAnswerDelay)
+				delete(unanswered, id)
 			}
 		}
 		sim.withLock(func() {
-			still := sim.jobsWaitingDespiteRoom()
-			maps.DeleteFunc(since, func(wt starvedJob, _ time.Time) bool { return !still[wt] })
-			for wt := range still {
-				if since[wt].IsZero() {
-					since[wt] = now
+			starved := sim.starvedJobs()
+			maps.DeleteFunc(since, func(job starvedJob, _ time.Time) bool { return !starved[job] })
+			for job := range starved {
+				if since[job].IsZero() {
+					since[job] = now
 				}
 			}
 		})
-		for wt, at := range since {
+		for job, at := range since {
 			if now.Sub(at) > startedWithin {
-				sim.t.Errorf("%s waits for %s while %s has room", wt.job, now.Sub(at), wt.machine)
+				sim.t.Errorf("%s has waited for %s although %s has free resources", job.job, now.Sub(at), job.machine)
 				return
 			}
 		}
-		if len(open) == 0 && len(since) == 0 {
+		if len(unanswered) == 0 && len(since) == 0 {
 			return
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// acceptedJobs lists the jobs that were accepted.
+// acceptedJobs returns the IDs of the accepted jobs.
 func (sim *simulatedCluster) acceptedJobs() (ids []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -101,23 +101,23 @@
 	return ids
 }
 
-// starvedJob is a job that waits, with a number of tasks placed, while a machine has free
-// resources for a task of it, or, for a gang, while machines have them for all.
+// starvedJob is a job that waits although a machine has free resources for one of its tasks, or,
+// for a gang, although several machines have them for all its tasks.
 type starvedJob struct {
 	job     string
-	placed  int
-	machine string
+	placed  int    // number of its tasks that are done or on a machine
+	machine string // for a gang, several names
 }
 
-// jobsWaitingDespiteRoom returns what waits although resources are free. The lock is held.
-func (sim *simulatedCluster) jobsWaitingDespiteRoom() map[starvedJob]bool {
-	list := map[starvedJob]bool{}
+// starvedJobs returns the jobs that wait although resources are free. The lock is held.
+func (sim *simulatedCluster) starvedJobs() map[starvedJob]bool {
+	starved := map[starvedJob]bool{}
 	if sim.fails != nil {
-		return list // failing jobs back off
+		return starved // jobs with failed tasks wait because of their backoff
 	}
 	names := slices.Sorted(maps.Keys(sim.workers))
 	used := map[string]float64{}
-	perZone := map[string]map[string]int{} // by job, the number of its tasks in each zone
+	perZone := map[string]map[string]int{} // number of tasks by job and zone
 	free := make([]resources, len(names))
 	for i, name := range names {
 		agent := sim.workers[name]
@@ -137,28 +137,28 @@
 	}
 	for id, submitted := range sim.jobs {
 		s := submitted.spec
-		come := len(submitted.tasksDone)
+		placed := len(submitted.tasksDone)
 		for _, n := range perZone[id] {
-			come += n
+			placed += n
 		}
-		if submitted.acceptedAt.IsZero() || submitted.cancelRequested || submitted.finalStatus != "" || come >= s.Tasks || !sim.dependenciesDone(submitted) || !sim.withinTeamLimit(s, used[s.Team]) {
+		if submitted.acceptedAt.IsZero() || submitted.cancelRequested || submitted.finalStatus != "" || placed >= s.Tasks || !sim.dependenciesDone(submitted) || !sim.withinTeamLimit(s, used[s.Team]) {
 			continue
 		}
-		places, machines := 0, ""
+		slots, machines := 0, ""
 		for i, name := range names {
 			n := freeSlots(sim.workers[name], free[i], s, perZone[id])
-			if places += n; n == 0 {
+			if slots += n; n == 0 {
 				continue
 			}
 			if machines += name + " "; !s.Gang {
-				list[starvedJob{id, come, name}] = true
+				starved[starvedJob{id, placed, name}] = true
 			}
 		}
-		if s.Gang && places >= s.Tasks {
-			list[starvedJob{id, come, machines}] = true
+		if s.Gang && slots >= s.Tasks {
+			starved[starvedJob{id, placed, machines}] = true
 		}
 	}
-	return list
+	return starved
 }
 
 // dependenciesDone reports whether all dependencies of a job are done. The lock is held.
@@ -171,8 +171,8 @@
 	return true
 }
 
-// withinTeamLimit reports whether a team with the given usage has quota for one more task, or,
-// for a gang or a service, for all.
+// withinTeamLimit reports whether a team that uses the given number of CPUs has quota for one
+// more task of a job, or, if the job is a gang or a service, for all its tasks.
 func (sim *simulatedCluster) withinTeamLimit(s *protocol.JobSpec, used float64) bool {
 	tasks := 1
 	if s.Gang || s.Standing {
@@ -189,7 +189,7 @@
 // resources are the free resources of a machine.
 type resources struct{ cpus, memGB, gpus float64 }
 
-// machineResources returns the resources of a machine type; none if there is no such type.
+// machineResources returns the resources of a machine type, or none if there is no such type.
 func (sim *simulatedCluster) machineResources(machineType string) resources {
 	for _, mt := range sim.cloud.Types {
 		if mt.Name == machineType {
@@ -199,13 +199,13 @@
 	return resources{}
 }
 
-// subtract takes the resources of one task of a job.
+// subtract subtracts the resources of one task of a job.
 func (r *resources) subtract(s *protocol.JobSpec) {
 	r.cpus, r.memGB, r.gpus = r.cpus-s.CPUs, r.memGB-s.MemGB, r.gpus-s.GPUs
 }
 
-// freeSlots returns how many tasks of a job fit the free resources of a machine; inZone counts
-// the job's tasks in each zone.
+// freeSlots returns how many tasks of a job a machine with the given free resources can take.
+// inZone is the number of the job's tasks in each zone.
 func freeSlots(agent *agent.Agent, free resources, s *protocol.JobSpec, inZone map[string]int) int {
 	if agent.PoweredOff || agent.Hung || agent.PreemptedAt != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) {
--- a/internal/coordination/main_test.go
+++ b/internal/coordination/main_test.go
@@ -8,18 +8,17 @@
 	"testing"
 )
 
-// clustersAtOnce is how many simulated clusters run beside each other, unless -parallel
-// says it. It is more than there are cores, so that the longest begin early: each is
-// mostly one goroutine at a time. Twelve of them had at most 1,606 goroutines; the race
-// detector allows 8,128.
-const clustersAtOnce = 24
+// defaultParallelism is how many simulated clusters run in parallel unless -parallel is given.
+// It exceeds the number of cores, so that the longest tests start early, but must keep the
+// process below the race detector's limit of 8,128 goroutines.
+const defaultParallelism = 24
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
 	if !given {
-		if err := flag.Set("test.parallel", strconv.Itoa(clustersAtOnce)); err != nil {
+		if err := flag.Set("test.parallel", strconv.Itoa(defaultParallelism)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -16,11 +16,11 @@
 	"micaspindle/internal/transport"
 )
 
-// peerHandler serves a request of another controller, the authenticated caller. A nil reply is
-// an empty one.
+// peerHandler handles a request from another controller, which is the authenticated caller. A
+// nil message stands for an empty response body.
 type peerHandler func(c *Controller, caller *auth.Caller, body []byte) (proto.Message, error)
 
-// peerHandlers are the requests that controllers send each other, by path. All are POSTs.
+// peerHandlers are the handlers of the requests between controllers, by path. All use POST.
 var peerHandlers = map[string]peerHandler{
 	peering.SummaryPath: (*Controller).handleSummary,
 	replication.UpdatePath: func(c *Controller, caller *auth.Caller, body []byte) (proto.Message, error) {
@@ -38,7 +38,7 @@
 	peerapi.MachineRequestPath: (*Controller).handleMachineRequest,
 }
 
-// ServePeers answers the other controllers.
+// ServePeers handles requests from other controllers.
 func (c *Controller) ServePeers(_ context.Context, req *transport.Request) transport.Response {
 	reply, err := c.servePeer(req)
 	switch {
@@ -50,7 +50,7 @@
 	return peerapi.Reply(reply)
 }
 
-// servePeer authenticates the sender of a request and has it handled.
+// servePeer authenticates the sender of a request and calls the handler of its path.
 func (c *Controller) servePeer(req *transport.Request) (proto.Message, error) {
 	caller, err := c.auth.AuthenticatePeer(req)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return handle(c, caller, req.Body)
 }
 
-// handleSummary receives another controller's summary of itself.
+// handleSummary receives the summary that another controller sends about itself.
 func (c *Controller) handleSummary(caller *auth.Caller, body []byte) (proto.Message, error) {
 	summary := new(peer.Summary)
 	if err := proto.Unmarshal(body, summary); err != nil {
@@ -79,7 +79,8 @@
 	return nil, nil
 }
 
-// handleMachineRequest passes on the cluster leader's request to a partition's leader.
+// handleMachineRequest passes a request of the cluster leader about a partition's machines to
+// the agents component.
 func (c *Controller) handleMachineRequest(_ *auth.Caller, body []byte) (proto.Message, error) {
 	request := new(peer.MachineRequest)
 	if err := proto.Unmarshal(body, request); err != nil {
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -12,7 +12,7 @@
 	"micaspindle/internal/transport"
 )
 
-// bootMachine boots a rented machine after a while. The lock is held.
+// bootMachine boots a rented machine in the background, after its boot time. The lock is held.
 func (sim *simulatedCluster) bootMachine(name string, m *cloud.Machine) {
 	home := sim.rng.IntN(3)
 	delay := time.Duration(3000+sim.rng.IntN(4000)) * time.Millisecond
@@ -35,7 +35,7 @@
 		agent.Name, agent.Addr, agent.Type, agent.Zone, agent.Spot = name, m.Addr, m.Type, m.Zone, m.Spot
 		agent.Lease = settings.Seconds(sim.settings.Params.Workers.LeaseS)
 		agent.Controllers, agent.Controller = []string{"n0", "n1", "n2"}, home
-		agent.Send = func(label string, report []byte) (int, []byte) { return sim.sendHeartbeat(name, label, report) }
+		agent.Send = func(label string, heartbeat []byte) (int, []byte) { return sim.sendHeartbeat(name, label, heartbeat) }
 		m.Up = true
 		sim.workers[name] = agent
 		sim.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// hangMachine lets a machine hang for a while.
+// hangMachine makes a machine hang for the duration d, unless it already hangs.
 func (sim *simulatedCluster) hangMachine(machine string, d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -62,7 +62,7 @@
 	sim.hang(agent, d)
 }
 
-// hang lets an agent's machine hang for a while. The lock is held.
+// hang makes an agent's machine hang for the duration d. The lock is held.
 func (sim *simulatedCluster) hang(agent *agent.Agent, d time.Duration) {
 	agent.Hung = true
 	sim.group.Go(func() {
@@ -71,33 +71,34 @@
 	})
 }
 
-// sendHeartbeat delivers an agent's heartbeat to a controller and returns its status and body.
-func (sim *simulatedCluster) sendHeartbeat(machine, label string, report []byte) (int, []byte) {
+// sendHeartbeat delivers an agent's heartbeat to a controller and returns the status and body
+// of the response, or status 0 if there is none.
+func (sim *simulatedCluster) sendHeartbeat(machine, label string, heartbeat []byte) (int, []byte) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
 	lost := sim.rng.Float64() < sim.messageFaultRate || sim.cut != nil && sim.cut(label, machine) || sim.outboundLost[machine]
 	lostInbound := sim.inboundLost[machine]
-	there, back := sim.drawLinkDelay(), sim.drawLinkDelay()
+	requestDelay, responseDelay := sim.drawLinkDelay(), sim.drawLinkDelay()
 	if !lost {
-		sim.duplicateHeartbeat(machine, label, report)
+		sim.duplicateHeartbeat(machine, label, heartbeat)
 	}
 	sim.mu.Unlock()
 	if n == nil || lost {
 		return 0, nil
 	}
-	time.Sleep(2*time.Millisecond + there)
+	time.Sleep(2*time.Millisecond + requestDelay)
 	sim.waitWhilePaused(label)
-	resp := n.handleHeartbeat(sim, machine, report)
+	resp := n.handleHeartbeat(sim, machine, heartbeat)
 	if lostInbound {
 		return 0, nil
 	}
-	time.Sleep(back)
+	time.Sleep(responseDelay)
 	return resp.Status, resp.Body
 }
 
-// handleHeartbeat hands a heartbeat to a controller.
-func (n *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, report []byte) transport.Response {
-	return n.unlessKilled(n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: report, Peer: sim.identities.certificate("worker/" + machine)}))
+// handleHeartbeat passes a heartbeat to the controller and returns the response.
+func (n *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, heartbeat []byte) transport.Response {
+	return n.unlessKilled(n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: heartbeat, Peer: sim.identities.certificate("worker/" + machine)}))
 }
 
 // serveWorker delivers a request to an agent.
@@ -111,10 +112,10 @@
 		return &transport.Response{Status: 504, Body: protocol.Encode(map[string]any{})}
 	}
 	if path == "/orders" && sim.interceptCommands != nil {
-		var o protocol.CommandBatch
-		panicOnError(protocol.Decode(body, &o))
-		sim.interceptCommands(agent.Name, &o)
-		body = protocol.Encode(o)
+		var batch protocol.CommandBatch
+		panicOnError(protocol.Decode(body, &batch))
+		sim.interceptCommands(agent.Name, &batch)
+		body = protocol.Encode(batch)
 	}
 	resp := agent.Serve(path, body)
 	if path == "/orders" && resp != nil && resp.Status == 409 {
@@ -125,7 +126,7 @@
 	return resp
 }
 
-// RunTime returns how long a task runs; one that was done before ends at once.
+// RunTime returns how long a task runs. A task that was done before ends at once.
 func (sim *simulatedCluster) RunTime(job string, task int, machine string) (time.Duration, bool) {
 	submitted := sim.jobs[job]
 	if submitted == nil {
@@ -142,7 +143,7 @@
 	return sim.fails != nil && sim.fails(job, task, machine)
 }
 
-// Ended records a task's result.
+// Ended records that a task is done, and cancels its job if the test asks for that.
 func (sim *simulatedCluster) Ended(_ *agent.Agent, t *agent.Task) {
 	if t.Cause == protocol.CauseDone {
 		submitted := sim.jobs[t.Job]
@@ -157,7 +158,8 @@
 	}
 }
 
-// forEachWorker calls f for every machine that is up.
+// forEachWorker calls f for the agent of each machine that is up. The lock is held during the
+// calls.
 func (sim *simulatedCluster) forEachWorker(f func(agent *agent.Agent)) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -166,8 +168,8 @@
 	}
 }
 
-// machinesRunning returns the machines of a job's tasks, hung machines included. The lock is
-// held.
+// machinesRunning returns the machines that have tasks of a job which have not ended, including
+// machines that hang. The lock is held.
 func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
 	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
 		for _, t := range sim.workers[name].Tasks {
@@ -179,13 +181,14 @@
 	return machines
 }
 
-// machinesRunningAnyOf returns the set of machines of several jobs' tasks. The lock is held.
+// machinesRunningAnyOf returns the set of machines that have tasks of any of the jobs which have
+// not ended. The lock is held.
 func (sim *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
-	marked := map[string]bool{}
+	machines := map[string]bool{}
 	for _, id := range ids {
 		for _, m := range sim.machinesRunning(id) {
-			marked[m] = true
+			machines[m] = true
 		}
 	}
-	return marked
+	return machines
 }
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -23,9 +23,9 @@
 	"micaspindle/internal/transport"
 )
 
-// simulatedCluster simulates everything outside the controllers under a fake clock: state
-// store, cloud, agents and the network between them, as PROTOCOL describes them. It records
-// each violation of a safety rule where the outside would see it.
+// simulatedCluster simulates everything outside the controllers under a fake clock: the state
+// store, the cloud, the agents and the network between them, as PROTOCOL describes them. It
+// records each violation of a safety rule that an outside observer could see.
 type simulatedCluster struct {
 	t        testing.TB
 	ctx      context.Context
@@ -38,36 +38,36 @@
 	workers           map[string]*agent.Agent
 	violations        []string
 	jobs              map[string]*submittedJob
-	messageFaultRate  float64 // share of messages lost or late
+	messageFaultRate  float64 // proportion of messages that are lost or late
 	cut               func(from, to string) bool
 	runTime           func(job string, task int, machine string) time.Duration
 	fails             func(job string, task int, machine string) bool
-	interceptCommands func(machine string, o *protocol.CommandBatch) // is called with commands before they are executed
-	// onRequest is called with each message of a controller, and may drop it.
+	interceptCommands func(machine string, batch *protocol.CommandBatch) // is called with commands before they are executed
+	// onRequest is called with each request that a controller sends, and may drop it.
 	onRequest func(from, host, target string, body []byte) (lost bool)
-	// pausedUntil is by controller until when its messages are withheld.
+	// pausedUntil is the time until which a controller's messages are withheld, by controller.
 	pausedUntil map[string]time.Time
-	// alterReplicaUpdate changes the updates of partition leaders and the cluster leader. The
-	// lock is held.
+	// alterReplicaUpdate changes the replica updates of partition leaders and the cluster
+	// leader before they arrive. It is called with the lock held.
 	alterReplicaUpdate func(*peer.ReplicaUpdate)
-	// oldVersions are the controllers of a version without replication and delegation.
+	// oldVersions are the controllers that run a version without replication and delegation.
 	oldVersions map[string]bool
-	// onResponse is called with each response to a controller, and may drop it.
+	// onResponse is called with each response that a controller receives, and may drop it.
 	onResponse func(from, host, target string, body []byte, resp *transport.Response) (lost bool)
-	// identities makes the controllers authenticate their callers; nil: they do not.
+	// identities, if set, makes the controllers authenticate their callers.
 	identities *testIdentities
 	group      sync.WaitGroup
-	// incarnations are the incarnations of controllers that were recorded.
+	// incarnations are the controller incarnations that are recorded in the state store.
 	incarnations map[lease.IncarnationID]bool
 	injectedFaults
-	// jobTasksMax is how many tasks a random job has at most.
+	// jobTasksMax is the maximum number of tasks of a random job.
 	jobTasksMax int
 
 	state *state.Service
 	cloud *cloud.Service
 }
 
-// simulatedController is a process of a controller.
+// simulatedController is one controller process.
 type simulatedController struct {
 	label      string
 	controller *Controller
@@ -77,12 +77,12 @@
 	done   chan struct{}
 }
 
-// killed reports whether the process was killed. What its goroutines still do then has no
-// effect outside: they send no message and answer no request.
+// killed reports whether the process was killed. Its goroutines may still run for a moment,
+// but they no longer send messages or answer requests.
 func (n *simulatedController) killed() bool { return n.ctx.Err() != nil }
 
-// unlessKilled is what arrives of a controller's response: nothing, with status 0, if the
-// process was killed before it answered.
+// unlessKilled returns the controller's response, or an empty one with status 0 if the process
+// was killed before it answered.
 func (n *simulatedController) unlessKilled(resp transport.Response) transport.Response {
 	if n.killed() {
 		return transport.Response{}
@@ -94,24 +94,24 @@
 type submittedJob struct {
 	spec            *protocol.JobSpec
 	acceptedAt      time.Time // zero: not accepted yet
-	cancelRequested bool      // its user has asked to cancel it
+	cancelRequested bool      // the user has asked to cancel it
 	cancelledAt     time.Time
 	finalStatus     string
 	tasksDone       map[int]bool
 }
 
-// allControllers are the labels of the controllers; they are not to be changed.
+// allControllers are the labels of the controllers. The slice must not be modified.
 var allControllers = []string{"n0", "n1", "n2"}
 
 // allTeams are the teams of the default settings.
 var allTeams = []string{"red", "blue", "green"}
 
-// newSubmittedJob returns a job that was submitted but not accepted yet.
+// newSubmittedJob returns a job that has not been accepted yet.
 func newSubmittedJob(spec *protocol.JobSpec) *submittedJob {
 	return &submittedJob{spec: spec, tasksDone: map[int]bool{}}
 }
 
-// newAcceptedJob returns a job that is accepted now.
+// newAcceptedJob returns a job that was accepted just now.
 func newAcceptedJob(spec *protocol.JobSpec) *submittedJob {
 	job := newSubmittedJob(spec)
 	job.acceptedAt = time.Now()
@@ -153,7 +153,7 @@
 	}
 }
 
-// setUpState sets the state store up, whose writes are checked for violations.
+// setUpState sets up the state store and the safety checks on its writes.
 func (sim *simulatedCluster) setUpState() {
 	sim.state = state.New(&sim.mu)
 	sim.state.Page = 25
@@ -164,7 +164,7 @@
 	}
 }
 
-// setUpCloud sets the cloud up, which offers a small and a big machine type.
+// setUpCloud sets up the cloud, which offers a small and a big machine type.
 func (sim *simulatedCluster) setUpCloud() {
 	sim.cloud = cloud.New(&sim.mu)
 	sim.cloud.Capacity, sim.cloud.ListLag = 12, settings.Seconds(sim.settings.Params.Cloud.ListLagS)
@@ -175,21 +175,22 @@
 	}
 }
 
-// runSimulation runs f in a bubble of fake time, checks safety and liveness and stops
-// everything afterwards.
+// runSimulation runs f with a simulated cluster under a fake clock. Afterwards it checks safety
+// and liveness and stops everything.
 func runSimulation(t *testing.T, seed uint64, f func(sim *simulatedCluster)) {
 	t.Helper()
 	runConfiguredSimulation(t, seed, func(*simulatedCluster) {}, f)
 }
 
-// runConfiguredSimulation lets prepare change the simulated cluster before the controllers
-// start.
+// runConfiguredSimulation is runSimulation with a function that configures the simulated
+// cluster before the controllers start.
 func runConfiguredSimulation(t *testing.T, seed uint64, prepare, f func(sim *simulatedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulatedCluster(t, seed)
 		prepare(sim)
-		// Announced lower limits must have been kept by the time they come into force.
+		// The state store enforces announced lower limits from the start: the controllers must
+		// already keep to them.
 		limits := sim.settings.Params.State.Lower()
 		sim.state.TxnOps, sim.state.ValueKB = limits.TxnOps, limits.ValueKB
 		ctx, cancel := context.WithCancel(context.Background())
@@ -204,13 +205,13 @@
 		}
 		cancel()
 		sim.group.Wait()
-		for _, b := range sim.violations {
-			t.Error("rule broken:", b)
+		for _, violation := range sim.violations {
+			t.Error("safety violation:", violation)
 		}
 	})
 }
 
-// startController starts a controller, as the platform does after it has ended.
+// startController starts a controller process, as the platform does when one has exited.
 func (sim *simulatedCluster) startController(label string) {
 	set := sim.settings
 	set.Label, set.Zone = label, "a"
@@ -241,8 +242,7 @@
 	})
 }
 
-// killController ends a controller's process at once, and returns when its goroutines have
-// returned.
+// killController kills a controller's process and waits until its goroutines have returned.
 func (sim *simulatedCluster) killController(label string) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
@@ -252,8 +252,8 @@
 	<-n.done
 }
 
-// restartController kills a controller and starts it again after a while.
-func (sim *simulatedCluster) restartController(label string, away time.Duration) {
+// restartController kills a controller and starts it again after the downtime.
+func (sim *simulatedCluster) restartController(label string, downtime time.Duration) {
 	sim.mu.Lock()
 	n := sim.controllers[label]
 	delete(sim.controllers, label)
@@ -263,11 +263,11 @@
 	}
 	n.cancel()
 	<-n.done
-	time.Sleep(away)
+	time.Sleep(downtime)
 	sim.startController(label)
 }
 
-// handOverAndRestart shuts a controller down as planned and starts it again.
+// handOverAndRestart shuts a controller down after a handover and starts it again.
 func (sim *simulatedCluster) handOverAndRestart(label string) {
 	n := sim.processOf(label)
 	if n == nil {
@@ -299,19 +299,19 @@
 	f()
 }
 
-// processOf returns a controller's process, nil if it does not run.
+// processOf returns a controller's process, or nil if it is not running.
 func (sim *simulatedCluster) processOf(label string) *simulatedController {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.controllers[label]
 }
 
-// controllerOf returns a controller that runs.
+// controllerOf returns a controller, which must be running.
 func (sim *simulatedCluster) controllerOf(label string) *Controller {
 	return sim.processOf(label).controller
 }
 
-// onController runs f in a controller's event loop.
+// onController runs f in a controller's event loop, if the controller is running.
 func (sim *simulatedCluster) onController(label string, f func(c *Controller)) {
 	n := sim.processOf(label)
 	if n != nil {
@@ -319,7 +319,7 @@
 	}
 }
 
-// otherControllers returns the running controllers but one.
+// otherControllers returns the running controllers except the given one.
 func (sim *simulatedCluster) otherControllers(label string) (list []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -337,8 +337,8 @@
 	return partition
 }
 
-// leaderOf returns the controller that leads a partition and has loaded it, "" if there is
-// none.
+// leaderOf returns the controller that leads a partition and has loaded its run state, or "" if
+// there is none.
 func (sim *simulatedCluster) leaderOf(partition int) string {
 	for _, label := range allControllers {
 		n := sim.processOf(label)
@@ -353,7 +353,7 @@
 	return ""
 }
 
-// clusterLeader returns the controller that leads the cluster, "" if there is none.
+// clusterLeader returns the controller that leads the cluster, or "" if there is none.
 func (sim *simulatedCluster) clusterLeader() (leader string) {
 	for _, label := range allControllers {
 		sim.onController(label, func(c *Controller) {
@@ -365,7 +365,7 @@
 	return leader
 }
 
-// leaseCount returns how many partition leases a controller holds.
+// leaseCount returns the number of partition leases that a controller holds.
 func (sim *simulatedCluster) leaseCount(label string) int {
 	n := sim.controllerOf(label)
 	held := 0
@@ -387,26 +387,26 @@
 			return l
 		}
 	}
-	sim.t.Fatalf("partition %d has no new leader", partition)
+	sim.t.Fatalf("partition %d got no new leader within 30 s", partition)
 	return ""
 }
 
-// waitForLeaseChange waits until a partition's lease is acquired anew.
+// waitForLeaseChange waits until a partition's lease is acquired again.
 func (sim *simulatedCluster) waitForLeaseChange(partition int) {
 	key := storage.LeaseKey(partition)
 	sim.mu.Lock()
-	was := sim.state.Items[key].Version
+	before := sim.state.Items[key].Version
 	sim.mu.Unlock()
 	for range 20_000 {
 		time.Sleep(time.Millisecond)
 		sim.mu.Lock()
 		now := sim.state.Items[key].Version
 		sim.mu.Unlock()
-		if now != 0 && now != was {
+		if now != 0 && now != before {
 			return
 		}
 	}
-	sim.t.Fatal("no controller acquired the lease")
+	sim.t.Fatal("no controller acquired the partition's lease within 20 s")
 }
 
 // setRunTime sets how long every task runs from now on.
@@ -414,9 +414,9 @@
 	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return d } })
 }
 
-// setMessageFaultRate sets the share of messages that are lost or late from now on.
-func (sim *simulatedCluster) setMessageFaultRate(share float64) {
-	sim.withLock(func() { sim.messageFaultRate = share })
+// setMessageFaultRate sets the proportion of messages that are lost or late from now on.
+func (sim *simulatedCluster) setMessageFaultRate(rate float64) {
+	sim.withLock(func() { sim.messageFaultRate = rate })
 }
 
 // setOutage starts or ends an outage of the state store.
@@ -426,8 +426,8 @@
 	sim.state.SetOutage(on)
 }
 
-// setStateServiceRefusal makes the state store refuse the requests of one controller, or serve
-// it again.
+// setStateServiceRefusal makes the state store refuse the requests of one controller, or accept
+// them again.
 func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -437,14 +437,14 @@
 	sim.state.RefusedClients[label] = on
 }
 
-// panicOnError ends the test process on an error that no test expects.
+// panicOnError panics on an error that no test expects.
 func panicOnError(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// randomInt draws a number below n.
+// randomInt returns a random number below n.
 func (sim *simulatedCluster) randomInt(n int) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -23,62 +23,63 @@
 	sender  *simulatedController
 }
 
-// Do delivers one message; it may be lost, its response may be lost, or it may arrive long
-// after the sender has given up.
+// Do delivers one message. The message or its response may be lost, or the message may arrive
+// long after the sender has given up.
 func (network *controllerNetwork) Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error) {
 	sim, sender := network.cluster, network.sender.label
 	host, _, _ := strings.Cut(addr, ":")
-	fate := sim.drawMessageFate(sender, host, target, body)
+	faults := sim.drawMessageFaults(sender, host, target, body)
 	sim.waitWhilePaused(sender)
 	if network.sender.killed() {
 		return nil, fmt.Errorf("%w: process was killed", transport.ErrNotSent)
 	}
-	if fate.transactionLate {
-		sim.group.Go(func() { sim.deliverTransactionLate(sender, fate.transactionDelay, body) })
-		return lostMessage(ctx, "no answer to a transaction")
+	if faults.transactionLate {
+		sim.group.Go(func() { sim.deliverTransactionLate(sender, faults.transactionDelay, body) })
+		return lostMessage(ctx, "no response to a transaction")
 	}
-	if fate.commandLate {
+	if faults.commandLate {
 		sim.withLock(func() { sim.countFault("delayed from " + sender) })
-		sim.group.Go(func() { sim.deliverCommandLate(host, fate.commandDelay, body) })
-		return lostMessage(ctx, "delayed")
+		sim.group.Go(func() { sim.deliverCommandLate(host, faults.commandDelay, body) })
+		return lostMessage(ctx, "command delayed")
 	}
-	if fate.onRequest != nil && fate.onRequest(sender, host, target, body) || fate.cut {
+	if faults.onRequest != nil && faults.onRequest(sender, host, target, body) || faults.cut {
 		return lostMessage(ctx, "link cut")
 	}
-	if fate.requestLost {
+	if faults.requestLost {
 		return lostMessage(ctx, "request lost")
 	}
-	if fate.requestLate && ctx.Done() != nil {
+	if faults.requestLate && ctx.Done() != nil {
 		sim.group.Go(func() {
-			time.Sleep(fate.requestDelay)
+			time.Sleep(faults.requestDelay)
 			sim.deliver(context.WithoutCancel(ctx), sender, host, method, target, body)
 		})
-		return lostMessage(ctx, "delivered late")
+		return lostMessage(ctx, "request delayed")
 	}
-	time.Sleep(fate.linkDelay)
+	time.Sleep(faults.linkDelay)
 	sim.waitWhilePaused(host)
 	if network.sender.killed() {
 		return nil, fmt.Errorf("%w: process was killed", transport.ErrNotSent)
 	}
 	resp := sim.deliver(ctx, sender, host, method, target, body)
 	if resp == nil {
-		return nil, fmt.Errorf("%w: refused", transport.ErrNotSent)
+		return nil, fmt.Errorf("%w: connection refused", transport.ErrNotSent)
 	}
 	if resp.Status == 0 {
-		return nil, fmt.Errorf("%s was killed before it answered", host)
+		return nil, fmt.Errorf("%s was killed before it responded", host)
 	}
 	sim.waitWhilePaused(sender)
 	sim.mu.Lock()
 	onResponse := sim.onResponse
 	sim.mu.Unlock()
-	if onResponse != nil && onResponse(sender, host, target, body, resp) || fate.responseLost {
-		return lostMessage(ctx, "answer lost")
+	if onResponse != nil && onResponse(sender, host, target, body, resp) || faults.responseLost {
+		return lostMessage(ctx, "response lost")
 	}
 	return resp, nil
 }
 
-// messageFate is what becomes of one message of a controller, drawn when it is sent.
-type messageFate struct {
+// messageFaults are the delay and the faults of one message of a controller, drawn when it is
+// sent.
+type messageFaults struct {
 	linkDelay    time.Duration
 	cut          bool
 	onRequest    func(from, host, target string, body []byte) (lost bool)
@@ -93,33 +94,33 @@
 	commandDelay     time.Duration
 }
 
-// drawMessageFate draws the fate of a message. Equal seeds give equal fates only if the draws
-// keep their order.
-func (sim *simulatedCluster) drawMessageFate(sender, host, target string, body []byte) (fate messageFate) {
+// drawMessageFaults draws the faults of a message. The order of the draws must not change, so
+// that a seed gives the same faults each time.
+func (sim *simulatedCluster) drawMessageFaults(sender, host, target string, body []byte) (faults messageFaults) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	draw := sim.rng.Float64()
-	fate.linkDelay = time.Duration(1+sim.rng.IntN(4))*time.Millisecond + sim.drawLinkDelay()
-	fate.requestDelay = time.Duration(sim.rng.IntN(20_000)) * time.Millisecond
-	fate.requestLost = draw < sim.messageFaultRate/3
-	fate.requestLate = draw < sim.messageFaultRate*2/3
-	fate.responseLost = draw < sim.messageFaultRate
-	fate.cut = sim.cut != nil && sim.cut(sender, host) || sim.inboundLost[host]
-	fate.onRequest = sim.onRequest
-	fate.transactionDelay, fate.transactionLate = sim.drawTransactionDelay(host, target, body)
-	if sim.workers[host] != nil && !fate.cut {
-		fate.commandDelay, fate.commandLate = sim.drawCommandDelay(target, body)
+	faults.linkDelay = time.Duration(1+sim.rng.IntN(4))*time.Millisecond + sim.drawLinkDelay()
+	faults.requestDelay = time.Duration(sim.rng.IntN(20_000)) * time.Millisecond
+	faults.requestLost = draw < sim.messageFaultRate/3
+	faults.requestLate = draw < sim.messageFaultRate*2/3
+	faults.responseLost = draw < sim.messageFaultRate
+	faults.cut = sim.cut != nil && sim.cut(sender, host) || sim.inboundLost[host]
+	faults.onRequest = sim.onRequest
+	faults.transactionDelay, faults.transactionLate = sim.drawTransactionDelay(host, target, body)
+	if sim.workers[host] != nil && !faults.cut {
+		faults.commandDelay, faults.commandLate = sim.drawCommandDelay(target, body)
 	}
-	return fate
+	return faults
 }
 
-// lostMessage waits until the sender gives up, and returns the error that it gets.
+// lostMessage waits until the sender gives up, and returns the error that the sender gets.
 func lostMessage(ctx context.Context, reason string) (*transport.Response, error) {
 	<-ctx.Done()
 	return nil, fmt.Errorf("%s: %w", reason, ctx.Err())
 }
 
-// deliver hands a message to its receiver; nil: there is none.
+// deliver delivers a message and returns the response, or nil if there is no such receiver.
 func (sim *simulatedCluster) deliver(ctx context.Context, from, host, method, target string, body []byte) *transport.Response {
 	path, query, _ := strings.Cut(target, "?")
 	q, _ := url.ParseQuery(query)
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// deliverToController hands a controller's message to another one.
+// deliverToController delivers a message from one controller to another.
 func (sim *simulatedCluster) deliverToController(ctx context.Context, from string, receiver *simulatedController, method, path string, body []byte) *transport.Response {
 	sim.mu.Lock()
 	fromOldVersion, toOldVersion := sim.oldVersions[from], sim.oldVersions[receiver.label]
@@ -173,7 +174,7 @@
 	return &resp
 }
 
-// pathsOfNewVersions are the paths that versions without replication and delegation do not know.
+// pathsOfNewVersions are the paths that versions without replication and delegation lack.
 var pathsOfNewVersions = []string{replication.UpdatePath, replication.StateTransferPath, proxy.DelegationPath, proxy.ForwardPath}
 
 // waitWhilePaused waits while a controller is paused.
@@ -184,7 +185,7 @@
 	time.Sleep(time.Until(until))
 }
 
-// drawLinkDelay draws a message's delay beyond the usual. The lock is held.
+// drawLinkDelay draws the additional delay of a message. The lock is held.
 func (sim *simulatedCluster) drawLinkDelay() time.Duration {
 	if sim.linkDelayMax == 0 {
 		return 0
@@ -192,13 +193,13 @@
 	return time.Duration(sim.rng.Int64N(int64(sim.linkDelayMax)))
 }
 
-// networkCuts are the message filters that are active at the same time.
+// networkCuts are the active message filters. A message is dropped if any of them selects it.
 type networkCuts struct {
 	lastID int
 	active map[int]func(from, host string) bool
 }
 
-// add activates a filter and returns its id.
+// add activates a filter and returns its ID.
 func (c *networkCuts) add(sim *simulatedCluster, filter func(from, host string) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -225,14 +226,15 @@
 	delete(c.active, id)
 }
 
-// cutNetworkFor drops the messages that the filter selects for some time.
-func (sim *simulatedCluster) cutNetworkFor(cut func(from, host string) bool, d time.Duration) {
-	sim.withLock(func() { sim.cut = cut })
+// cutNetworkFor drops the messages that the filter selects, for the duration d.
+func (sim *simulatedCluster) cutNetworkFor(filter func(from, host string) bool, d time.Duration) {
+	sim.withLock(func() { sim.cut = filter })
 	time.Sleep(d)
 	sim.withLock(func() { sim.cut = nil })
 }
 
-// downgradeSummary returns a summary as a controller of a version without replication sends it.
+// downgradeSummary returns a summary as a controller without replication and delegation would
+// send it. Other messages stay as they are.
 func downgradeSummary(path string, body []byte) []byte {
 	if path != peering.SummaryPath {
 		return body
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -17,10 +17,10 @@
 		Image: "img", ImageGB: 1, Spot: true, EstimateS: 6, DeadlineS: 60}
 }
 
-// urgencyNames are the wire names of the urgencies.
+// urgencyNames are the names of the urgencies on the wire.
 var urgencyNames = []string{"low", "standard", "high", "production"}
 
-// encodeSubmission returns the body of a submission.
+// encodeSubmission returns the request body of a submission.
 func encodeSubmission(s *protocol.JobSpec) []byte {
 	shape := "batch"
 	if s.Standing {
@@ -47,7 +47,7 @@
 	return b
 }
 
-// sendRequest sends a user's request to a controller, or to any other that runs.
+// sendRequest sends a user's request to a controller, or to another one if it is not running.
 func (sim *simulatedCluster) sendRequest(label, method, path string, body []byte) transport.Response {
 	sim.mu.Lock()
 	n := sim.controllers[label]
@@ -84,16 +84,16 @@
 		}
 		if resp.Status == 400 || resp.Status == 422 {
 			sim.mu.Lock()
-			sim.recordViolation("forgotten or refused: submission of %s got %d", s.ID, resp.Status)
+			sim.recordViolation("submission of %s was refused with status %d", s.ID, resp.Status)
 			sim.mu.Unlock()
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	sim.t.Errorf("%s was never accepted", s.ID)
+	sim.t.Errorf("submission of %s was not accepted after 60 tries", s.ID)
 }
 
-// submitUntilAccepted submits a job at one controller after another until it is accepted.
+// submitUntilAccepted sends a submission to one controller after another until it is accepted.
 func (sim *simulatedCluster) submitUntilAccepted(s *protocol.JobSpec, first int) {
 	for i := range 120 {
 		resp := sim.sendRequest(fmt.Sprint("n", (first+i)%3), "POST", "/submissions", encodeSubmission(s))
@@ -106,7 +106,7 @@
 			})
 			return
 		case 400:
-			sim.withLock(func() { sim.recordViolation("submission of %s got 400", s.ID) })
+			sim.withLock(func() { sim.recordViolation("submission of %s was refused with status 400", s.ID) })
 			return
 		case 422: // a dependency was not accepted yet
 		}
@@ -118,14 +118,15 @@
 	}
 }
 
-// poll requests a job's status and checks it against earlier answers.
+// poll requests a job's status, checks it against earlier responses and returns it, or "" if
+// the request failed.
 func (sim *simulatedCluster) poll(label, id string) string {
 	resp := sim.sendRequest(label, "GET", "/submissions/"+id, nil)
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	submitted := sim.jobs[id]
 	if resp.Status == 404 && submitted != nil && !submitted.acceptedAt.IsZero() {
-		sim.recordViolation("forgotten: %s", id)
+		sim.recordViolation("forgotten: accepted job %s is unknown", id)
 	}
 	if resp.Status != 200 {
 		return ""
@@ -133,7 +134,7 @@
 	var st protocol.JobStatus
 	panicOnError(protocol.Decode(resp.Body, &st))
 	if submitted == nil {
-		sim.recordViolation("invented: %s", id)
+		sim.recordViolation("invented: %s was never submitted but has a status", id)
 		return st.Status
 	}
 	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
@@ -142,24 +143,24 @@
 	switch st.Status {
 	case protocol.StatusDone:
 		if len(submitted.tasksDone) != submitted.spec.Tasks {
-			sim.recordViolation("not_done: %s has %d of %d", id, len(submitted.tasksDone), submitted.spec.Tasks)
+			sim.recordViolation("not_done: %s is reported done with %d of %d tasks done", id, len(submitted.tasksDone), submitted.spec.Tasks)
 		}
 		submitted.finalStatus = st.Status
 	case protocol.StatusQueued, protocol.StatusRunning:
 		if at := sim.dependencyCancelledAt(submitted); !at.IsZero() && time.Since(at).Seconds() > sim.settings.Params.Workers.CancelS {
-			sim.recordViolation("orphaned: %s is %s %s after a dependency was cancelled", id, st.Status, time.Since(at))
+			sim.recordViolation("orphaned: %s is still %s %s after a dependency was cancelled", id, st.Status, time.Since(at))
 		}
 	case protocol.StatusCancelled:
 		if submitted.cancelledAt.IsZero() && submitted.finalStatus == "" && !sim.mayBeCancelled(submitted) {
-			sim.recordViolation("went_back: %s was not cancelled by its user", id)
+			sim.recordViolation("went_back: %s is cancelled, but no user asked for it", id)
 		}
 		submitted.finalStatus = st.Status
 	}
 	return st.Status
 }
 
-// dependencyCancelledAt returns since when a job must be cancelled because a dependency is;
-// zero if it need not be. The lock is held.
+// dependencyCancelledAt returns the time from which a job must be cancelled because one of its
+// dependencies was cancelled, or the zero time if none was. The lock is held.
 func (sim *simulatedCluster) dependencyCancelledAt(submitted *submittedJob) time.Time {
 	first := time.Time{}
 	for _, dep := range submitted.spec.Dependencies {
@@ -187,7 +188,7 @@
 	return submitted.cancelRequested || slices.ContainsFunc(submitted.spec.Dependencies, func(dep string) bool { return sim.mayBeCancelled(sim.jobs[dep]) })
 }
 
-// cancelJob repeats a cancellation until it is answered, and returns the job's status.
+// cancelJob repeats a cancellation request until it succeeds, and returns the job's status.
 func (sim *simulatedCluster) cancelJob(id string) string {
 	sim.withLock(func() { sim.jobs[id].cancelRequested = true })
 	for range 60 {
@@ -205,12 +206,12 @@
 		}
 		time.Sleep(time.Second)
 	}
-	sim.t.Errorf("%s could not be cancelled", id)
+	sim.t.Errorf("cancellation of %s did not succeed after 60 tries", id)
 	return ""
 }
 
-// cancelAt asks one controller once to cancel a job, records its answer and reports whether
-// there was one.
+// cancelAt sends one cancellation request to one controller, checks and records the response,
+// and reports whether the request succeeded.
 func (sim *simulatedCluster) cancelAt(label, id string) bool {
 	sim.withLock(func() { sim.jobs[id].cancelRequested = true })
 	resp := sim.sendRequest(label, "POST", "/submissions/"+id+"/withdraw", nil)
@@ -232,7 +233,8 @@
 	return true
 }
 
-// cancelUntilAnswered cancels a job at one controller after another until it is answered.
+// cancelUntilAnswered sends a cancellation request to one controller after another until one
+// succeeds.
 func (sim *simulatedCluster) cancelUntilAnswered(id string, first int) {
 	for i := range 120 {
 		if sim.cancelAt(fmt.Sprint("n", (first+i)%3), id) {
@@ -244,14 +246,14 @@
 			return
 		}
 	}
-	sim.withLock(func() { sim.recordViolation("cancellation of %s was never answered", id) })
+	sim.withLock(func() { sim.recordViolation("cancellation of %s did not succeed after 120 tries", id) })
 }
 
 // waitForAllJobs waits until all jobs are done or cancelled.
 func (sim *simulatedCluster) waitForAllJobs(limit time.Duration) {
 	end := time.Now().Add(limit)
 	for {
-		open := []string{}
+		unfinished := []string{}
 		sim.mu.Lock()
 		ids := make([]string, 0, len(sim.jobs))
 		for id := range sim.jobs {
@@ -261,14 +263,14 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			if st := sim.poll("", id); st != protocol.StatusDone && st != protocol.StatusCancelled {
-				open = append(open, id+"="+st)
+				unfinished = append(unfinished, id+"="+st)
 			}
 		}
-		if len(open) == 0 {
+		if len(unfinished) == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			sim.t.Errorf("not over after %s: %v", limit, open)
+			sim.t.Errorf("jobs neither done nor cancelled after %s: %v", limit, unfinished)
 			return
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -14,14 +14,14 @@
 	"micaspindle/internal/transport"
 )
 
-// testNetwork is the network of a controller under test, which a test may replace.
+// testNetwork is the network of a controller under test. A test may replace it.
 type testNetwork struct{ storage.Requester }
 
 // testNetworks are the networks by controller.
 var testNetworks sync.Map
 
-// newTestController makes a controller whose network answers nothing until setNetwork is
-// called.
+// newTestController returns a controller whose network does not answer until setNetwork
+// replaces it.
 func newTestController(ctx context.Context, set *settings.Settings, op settings.Operator) *Controller {
 	network := &testNetwork{unresponsiveNetwork{}}
 	c := New(ctx, set, op, network, slog.New(slog.DiscardHandler))
@@ -29,14 +29,14 @@
 	return c
 }
 
-// setNetwork replaces the network of a controller that newTestController made.
+// setNetwork replaces the network of a controller that newTestController returned.
 func setNetwork(c *Controller, network storage.Requester) {
 	known, _ := testNetworks.Load(c)
 	known.(*testNetwork).Requester = network
 }
 
-// newIdleController makes the controller n0 of three, whose event loop does not run, and a
-// function to end it.
+// newIdleController returns the controller n0 of three, whose event loop does not run, and a
+// function that stops it.
 func newIdleController(t *testing.T) (c *Controller, end func()) {
 	t.Helper()
 	set := newSimulatedCluster(t, 1).settings
@@ -46,7 +46,8 @@
 	return c, func() { cancel(); c.loop.Abandon() }
 }
 
-// newLeadingController makes a controller that leads every partition, without a network.
+// newLeadingController returns a controller that leads every partition and whose network does
+// not answer, and the partition of the team green.
 func newLeadingController(t testing.TB) (c *Controller, p *cluster.Partition) {
 	t.Helper()
 	sim := newSimulatedCluster(t, 1)
@@ -59,7 +60,7 @@
 	return c, c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 }
 
-// addMachine records a usable machine.
+// addMachine adds a usable machine to a partition.
 func (c *Controller) addMachine(p *cluster.Partition, name, typ string) *cluster.Machine {
 	now := time.Now()
 	c.agents.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
@@ -68,21 +69,21 @@
 	return m
 }
 
-// addJob makes a submitted job known.
+// addJob adds a submitted job.
 func (c *Controller) addJob(s *protocol.JobSpec) *cluster.Job {
 	s.SubmittedMS = time.Now().UnixMilli()
 	c.jobs.ApplyJobRecord(s.ID, storage.Encode(s))
 	return c.Jobs[s.ID]
 }
 
-// addQueuedJob makes a job with waiting tasks of the team without a quota known.
+// addQueuedJob adds a job with waiting tasks of the team green, which has no quota.
 func (c *Controller) addQueuedJob(id string, tasks int) {
 	s := newJobSpec(id, tasks, "green")
 	s.SubmittedMS = time.Now().UnixMilli()
 	c.jobs.ApplyJobRecord(id, storage.Encode(s))
 }
 
-// unresponsiveNetwork is a network on which nothing answers.
+// unresponsiveNetwork is a network that never answers.
 type unresponsiveNetwork struct{}
 
 // Do waits until the sender gives up.
@@ -91,16 +92,16 @@
 	return nil, ctx.Err()
 }
 
-// fixedStatusNetwork answers every message with one status.
+// fixedStatusNetwork answers every message with the same status.
 type fixedStatusNetwork struct{ status int }
 
-// Do answers with a heartbeat of the machine m-1.
+// Do returns a response with a heartbeat of the machine m-1.
 func (n fixedStatusNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	r := protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: 5, Tasks: []protocol.TaskReport{}}
 	return &transport.Response{Status: n.status, Body: protocol.Encode(r)}, nil
 }
 
-// addLoadedJob adds a job of one task whose records are loaded.
+// addLoadedJob adds a job of one task with its run state loaded.
 func (c *Controller) addLoadedJob(id string) *cluster.Job {
 	j := &cluster.Job{Spec: newJobSpec(id, 1, "red")}
 	j.InitRunState()
@@ -108,7 +109,7 @@
 	return j
 }
 
-// addLiveAttempt makes the only task of a job run on a machine, by its first attempt.
+// addLiveAttempt adds a first attempt of a job's only task on a machine.
 func addLiveAttempt(j *cluster.Job, m *cluster.Machine, epoch uint64, state cluster.AttemptState) *cluster.Attempt {
 	a := &cluster.Attempt{Job: j, Number: 1, Machine: m, Epoch: epoch, State: state}
 	j.LiveAttempts[0], j.Pending = a, nil
--- a/internal/coordination/test_environment_test.go
+++ b/internal/coordination/test_environment_test.go
@@ -7,8 +7,8 @@
 
 // The environment variables that tune the random tests.
 const (
-	// failoversVariable is the number of seeds of the random failovers; if set, every fault at
-	// every step of a takeover is played as well.
+	// failoversVariable is the number of seeds of the random failover tests. If it is set, the
+	// takeover tests also inject every fault at every step.
 	failoversVariable = "MICASPINDLE_FAILOVERS"
 	// faultPlansVariable is the number of random fault plans.
 	faultPlansVariable = "MICASPINDLE_FAULT_PLANS"
@@ -16,11 +16,11 @@
 	faultPlansFromVariable = "MICASPINDLE_FAULT_PLANS_FROM"
 	// faultPlansWithoutVariable lists the indexes of faults to leave out, separated by commas.
 	faultPlansWithoutVariable = "MICASPINDLE_FAULT_PLANS_WITHOUT"
-	// faultPlansMinimizeVariable, if not empty, has a failing plan minimized.
+	// faultPlansMinimizeVariable, if not empty, makes the test minimize a failing plan.
 	faultPlansMinimizeVariable = "MICASPINDLE_FAULT_PLANS_MINIMIZE"
 )
 
-// formerVariables are the former names of variables, which still work.
+// formerVariables are the former names of the variables, which are still accepted.
 var formerVariables = map[string]string{
 	failoversVariable:          "MICASPINDLE_NIGHTS",
 	faultPlansVariable:         "MICASPINDLE_MEETINGS",
@@ -29,7 +29,7 @@
 	faultPlansMinimizeVariable: "MICASPINDLE_MEETINGS_SHRINK",
 }
 
-// environment returns the value of a variable, also one that is set under its former name.
+// environment returns the value of a variable. If it is not set, its former name is used.
 func environment(variable string) string {
 	if value, set := os.LookupEnv(variable); set {
 		return value
@@ -37,7 +37,7 @@
 	return os.Getenv(formerVariables[variable])
 }
 
-// numberFromEnvironment returns the number in a variable, or fallback without one.
+// numberFromEnvironment returns the number in a variable, or fallback if it holds none.
 func numberFromEnvironment(variable string, fallback uint64) uint64 {
 	if n, err := strconv.Atoi(environment(variable)); err == nil {
 		return uint64(n)
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -19,8 +19,8 @@
 	"micaspindle/internal/transport"
 )
 
-// testIdentities issues the identities of a simulated cluster: a certificate authority whose
-// certificates and tokens are carried by the messages without encryption.
+// testIdentities issues the identities of a simulated cluster. Messages carry its certificates
+// and tokens directly, without TLS.
 type testIdentities struct {
 	t        *testing.T
 	ca       *pki.Authority
@@ -53,7 +53,7 @@
 	return identities
 }
 
-// forController returns the identities that a controller is set up with.
+// forController returns the identities that a controller is configured with.
 func (identities *testIdentities) forController(label string) auth.Identities {
 	ring := identities.keyrings[label]
 	return auth.Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
@@ -63,7 +63,7 @@
 		}}
 }
 
-// certificate returns the certificate of a name; nil without identities.
+// certificate returns the certificate of an identity, or nil if the cluster has no identities.
 func (identities *testIdentities) certificate(identityName string) *x509.Certificate {
 	if identities == nil {
 		return nil
@@ -76,7 +76,7 @@
 	return identities.certs[identityName]
 }
 
-// issue returns a new certificate of a name.
+// issue returns a new certificate for an identity.
 func (identities *testIdentities) issue(identityName string, lifetime time.Duration) *x509.Certificate {
 	name, err := identity.ParseName(identityName)
 	panicOnError(err)
@@ -89,8 +89,8 @@
 	return certs[0]
 }
 
-// authorization returns the Authorization header of a name; the simulation's own user is the
-// administrator.
+// authorization returns the Authorization header of an identity, by default that of the
+// administrator, or "" if the cluster has no identities.
 func (identities *testIdentities) authorization(identityName string) string {
 	if identities == nil {
 		return ""
@@ -110,7 +110,7 @@
 	return identities.tokens[identityName]
 }
 
-// newRequest returns a request; a body that is not encoded yet is encoded.
+// newRequest returns a request. A body that is not a byte slice is encoded.
 func newRequest(from, method, target string, body any) *transport.Request {
 	var raw []byte
 	switch b := body.(type) {
@@ -124,7 +124,8 @@
 	return &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: from}
 }
 
-// requestAs sends a request of an identity to a controller.
+// requestAs sends a request to a controller as an identity, or without authorization if its
+// name is empty.
 func (sim *simulatedCluster) requestAs(identityName, label, method, target string, body any) transport.Response {
 	n := sim.processOf(label)
 	req := newRequest("10.9.0.2:4000", method, target, body)
@@ -134,8 +135,8 @@
 	return n.unlessKilled(n.controller.Serve(sim.ctx, req))
 }
 
-// testPolicy is the policy of a sample office: a clerk, the refund team and a guest partner,
-// besides the administrator who may do everything.
+// testPolicy returns a policy with an administrator who may do everything, a clerk, a refund
+// service and a guest.
 func testPolicy() *rights.Change {
 	all := []string{"submit", "view", "view-arguments", "withdraw", "reassign", "administer"}
 	return &rights.Change{
@@ -150,7 +151,7 @@
 	}
 }
 
-// runSimulationWithIdentities is runSimulation with identities and testPolicy in force.
+// runSimulationWithIdentities is runSimulation with authentication, and with testPolicy applied.
 func runSimulationWithIdentities(t *testing.T, seed uint64, f func(sim *simulatedCluster)) {
 	t.Helper()
 	runConfiguredSimulation(t, seed, func(sim *simulatedCluster) {
@@ -164,18 +165,18 @@
 	})
 }
 
-// expectStatus fails the test unless a response has the status.
+// expectStatus fails the test unless the response has the status, and returns the response.
 func (sim *simulatedCluster) expectStatus(status int, resp transport.Response) transport.Response {
 	sim.t.Helper()
 	if resp.Status != status {
 		var p protocol.Problem
 		_ = protocol.Decode(resp.Body, &p)
-		sim.t.Errorf("status %d, want %d: %s", resp.Status, status, p.Error)
+		sim.t.Errorf("response status %d, want %d; error: %s", resp.Status, status, p.Error)
 	}
 	return resp
 }
 
-// newJobSpecOfClass returns a job of two tasks of a class.
+// newJobSpecOfClass returns a job of the class with two tasks.
 func newJobSpecOfClass(id, team, class string) *protocol.JobSpec {
 	s := newJobSpec(id, 2, team)
 	s.Class = class
--- a/internal/coordination/tick.go
+++ b/internal/coordination/tick.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// deletedMachineRetention is for how long late heartbeats of a deleted machine are
-	// recognized.
+	// deletedMachineRetention is how long a deleted machine is remembered, to recognize its
+	// late heartbeats.
 	deletedMachineRetention = 10 * time.Minute
-	// divertedMachineRetention is for how long a machine counts as diverted after it last
-	// sent a heartbeat to this controller.
+	// divertedMachineRetention is how long a machine of another controller's partition counts
+	// as diverted to this controller after its last heartbeat here.
 	divertedMachineRetention = 5 * time.Second
 )
 
-// tick does what is due by time, every eventloop.TickInterval, in the loop.
+// tick does the periodic work of the components. It runs in the event loop every
+// eventloop.TickInterval.
 func (c *Controller) tick(now time.Time) {
 	c.agents.CheckMachines(now)
 	c.leases.CheckReachability(now)
@@ -26,15 +27,15 @@
 	dropOlder(c.DivertedMachines, now, divertedMachineRetention)
 }
 
-// revokeDeadPeers revokes the leases of controllers that are dead, ahead of their expiry.
+// revokeDeadPeers revokes the leases of dead controllers before they expire.
 func (c *Controller) revokeDeadPeers(now time.Time) {
 	for label, p := range c.Peers {
 		c.leases.RevokeIfDead(label, p, now)
 	}
 }
 
-// servePartitions chooses standbys for the partitions that this controller serves, and
-// brings their work forward.
+// servePartitions chooses the standbys of the partitions that this controller leads, and
+// triggers their next round of work.
 func (c *Controller) servePartitions(now time.Time) {
 	for _, p := range c.Partitions {
 		if p.Held && p.Ready {
@@ -44,8 +45,9 @@
 	}
 }
 
-// shareWriteRate divides the state store's write rate by what the controllers want. One that
-// is not alive counts as wanting what the others want on average.
+// shareWriteRate sets this controller's share of the state store's write rate in proportion to
+// the write demands of the controllers. A controller that is not alive is assumed to have the
+// average demand of the others.
 func (c *Controller) shareWriteRate(now time.Time) {
 	c.WriteDemand = c.store.WriteDemand(now)
 	total, alive := c.WriteDemand, 1.0
@@ -59,7 +61,7 @@
 	c.store.ShareWriteRate(c.WriteDemand, total*controllers/alive)
 }
 
-// dropOlder drops the entries whose time is longer ago than maxAge.
+// dropOlder deletes the entries that are older than maxAge.
 func dropOlder(times map[string]time.Time, now time.Time, maxAge time.Duration) {
 	maps.DeleteFunc(times, func(_ string, at time.Time) bool { return now.Sub(at) > maxAge })
 }
