--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -219,15 +219,15 @@
 }
 
 // redeliverHeartbeat sends a copy of an earlier heartbeat to a controller.
-func (sim *simulatedCluster) redeliverHeartbeat(label string, k keptHeartbeat) {
+func (sim *simulatedCluster) redeliverHeartbeat(label string, heartbeat keptHeartbeat) {
 	sim.mu.Lock()
-	n := sim.controllers[label]
-	if n != nil {
+	process := sim.controllers[label]
+	if process != nil {
 		sim.countFault("replayed heartbeat")
 	}
 	sim.mu.Unlock()
-	if n != nil {
-		n.handleHeartbeat(sim, k.machine, k.body)
+	if process != nil {
+		process.handleHeartbeat(sim, heartbeat.machine, heartbeat.body)
 	}
 }
 
@@ -238,9 +238,9 @@
 	sim.keptHeartbeats = nil
 	labels := slices.Sorted(maps.Keys(sim.controllers))
 	sim.mu.Unlock()
-	for _, k := range kept {
-		for _, l := range labels {
-			sim.redeliverHeartbeat(l, k)
+	for _, heartbeat := range kept {
+		for _, label := range labels {
+			sim.redeliverHeartbeat(label, heartbeat)
 		}
 	}
 }
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -47,30 +47,30 @@
 )
 
 // matches reports whether an answer is correct for the state.
-func (l jobState) matches(a userAnswer) bool {
+func (s jobState) matches(a userAnswer) bool {
 	if a.status == 404 {
-		return l == jobUnknown
+		return s == jobUnknown
 	}
 	switch a.jobStatus {
 	case protocol.StatusDone:
-		return l == jobDone
+		return s == jobDone
 	case protocol.StatusCancelled:
-		return l == jobCancelled
+		return s == jobCancelled
 	}
-	return l == jobAccepted
+	return s == jobAccepted
 }
 
 // next returns the state after an operation.
-func (l jobState) next(q requestKind) jobState {
+func (s jobState) next(q requestKind) jobState {
 	switch {
-	case q == requestSubmit && l == jobUnknown:
+	case q == requestSubmit && s == jobUnknown:
 		return jobAccepted
-	case q == requestCancel && l == jobAccepted:
+	case q == requestCancel && s == jobAccepted:
 		return jobCancelled
-	case q == jobCompletion && l == jobAccepted:
+	case q == jobCompletion && s == jobAccepted:
 		return jobDone
 	}
-	return l
+	return s
 }
 
 // jobStateModel is the sequential specification of a job. A request without an answer may take
@@ -119,8 +119,8 @@
 // request sends one request to a controller and records it. It returns the job's status, or ""
 // if the answer had none.
 func (h *requestHistory) request(sim *simulatedCluster, label string, q requestKind, s *protocol.JobSpec) string {
-	n := sim.processOf(label)
-	if n == nil {
+	process := sim.processOf(label)
+	if process == nil {
 		return ""
 	}
 	method, path, body := "GET", "/submissions/"+s.ID, []byte(nil)
@@ -158,12 +158,12 @@
 func (h *requestHistory) pollAllControllers(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	var all sync.WaitGroup
 	for range 2 {
-		for _, l := range allControllers {
+		for _, label := range allControllers {
 			q := requestPoll
 			if rng.IntN(5) == 0 {
 				q = requestSubmit
 			}
-			all.Go(func() { h.request(sim, l, q, s) })
+			all.Go(func() { h.request(sim, label, q, s) })
 		}
 		time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond)
 	}
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -36,12 +36,12 @@
 
 // startMissingControllers starts the controllers that are down.
 func (sim *simulatedCluster) startMissingControllers() {
-	for _, l := range allControllers {
+	for _, label := range allControllers {
 		sim.mu.Lock()
-		down := sim.controllers[l] == nil
+		down := sim.controllers[label] == nil
 		sim.mu.Unlock()
 		if down {
-			sim.startController(l)
+			sim.startController(label)
 		}
 	}
 }
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -108,7 +108,7 @@
 	s := submitted.spec
 	for _, dep := range s.Dependencies {
 		if dependency := sim.jobs[dep]; len(dependency.tasksDone) < dependency.spec.Tasks {
-			sim.recordViolation("too_early: %s started with %d of %d tasks of %s done", t.Name, len(dependency.tasksDone), dependency.spec.Tasks, dep)
+			sim.recordViolation("too_early: %s started when only %d of %d tasks of %s were done", t.Name, len(dependency.tasksDone), dependency.spec.Tasks, dep)
 		}
 	}
 	teamCPUs, tasksInZone := 0.0, 0
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -75,7 +75,7 @@
 // of the response, or status 0 if there is none.
 func (sim *simulatedCluster) sendHeartbeat(machine, label string, heartbeat []byte) (int, []byte) {
 	sim.mu.Lock()
-	n := sim.controllers[label]
+	process := sim.controllers[label]
 	lost := sim.rng.Float64() < sim.messageFaultRate || sim.cut != nil && sim.cut(label, machine) || sim.outboundLost[machine]
 	lostInbound := sim.inboundLost[machine]
 	requestDelay, responseDelay := sim.drawLinkDelay(), sim.drawLinkDelay()
@@ -83,12 +83,12 @@
 		sim.duplicateHeartbeat(machine, label, heartbeat)
 	}
 	sim.mu.Unlock()
-	if n == nil || lost {
+	if process == nil || lost {
 		return 0, nil
 	}
 	time.Sleep(2*time.Millisecond + requestDelay)
 	sim.waitWhilePaused(label)
-	resp := n.handleHeartbeat(sim, machine, heartbeat)
+	resp := process.handleHeartbeat(sim, machine, heartbeat)
 	if lostInbound {
 		return 0, nil
 	}
@@ -97,8 +97,8 @@
 }
 
 // handleHeartbeat passes a heartbeat to the controller and returns the response.
-func (n *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, heartbeat []byte) transport.Response {
-	return n.unlessKilled(n.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: heartbeat, Peer: sim.identities.certificate("worker/" + machine)}))
+func (process *simulatedController) handleHeartbeat(sim *simulatedCluster, machine string, heartbeat []byte) transport.Response {
+	return process.unlessKilled(process.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: heartbeat, Peer: sim.identities.certificate("worker/" + machine)}))
 }
 
 // serveWorker delivers a request to an agent.
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -71,7 +71,7 @@
 type simulatedController struct {
 	label      string
 	controller *Controller
-	// ctx ends when the process is killed. The controller's goroutines return only after that.
+	// ctx ends when the process is killed. The controller's goroutines return soon after that.
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -79,12 +79,12 @@
 
 // killed reports whether the process was killed. Its goroutines may still run for a moment,
 // but they no longer send messages or answer requests.
-func (n *simulatedController) killed() bool { return n.ctx.Err() != nil }
+func (process *simulatedController) killed() bool { return process.ctx.Err() != nil }
 
 // unlessKilled returns the controller's response, or an empty one with status 0 if the process
 // was killed before it answered.
-func (n *simulatedController) unlessKilled(resp transport.Response) transport.Response {
-	if n.killed() {
+func (process *simulatedController) unlessKilled(resp transport.Response) transport.Response {
+	if process.killed() {
 		return transport.Response{}
 	}
 	return resp
@@ -200,8 +200,8 @@
 		}
 		f(sim)
 		sim.checkLiveness()
-		for _, n := range sim.controllers {
-			n.cancel()
+		for _, process := range sim.controllers {
+			process.cancel()
 		}
 		cancel()
 		sim.group.Wait()
@@ -223,58 +223,58 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(sim.ctx)
-	n := &simulatedController{label: label, ctx: ctx, cancel: cancel, done: make(chan struct{})}
+	process := &simulatedController{label: label, ctx: ctx, cancel: cancel, done: make(chan struct{})}
 	log := slog.New(slog.DiscardHandler)
 	if testing.Verbose() {
 		log = slog.New(slog.NewTextHandler(sim.t.Output(), &slog.HandlerOptions{Level: slog.LevelInfo})).With("node", label)
 	}
-	n.controller = New(ctx, &set, sim.operator, &controllerNetwork{sim, n}, log)
+	process.controller = New(ctx, &set, sim.operator, &controllerNetwork{sim, process}, log)
 	if sim.operator.Operations != nil {
-		n.controller.Observe()
+		process.controller.Observe()
 	}
 	if sim.identities != nil {
-		panicOnError(n.controller.EnableAuth(sim.identities.forController(label)))
+		panicOnError(process.controller.EnableAuth(sim.identities.forController(label)))
 	}
-	sim.withLock(func() { sim.controllers[label] = n })
+	sim.withLock(func() { sim.controllers[label] = process })
 	sim.group.Go(func() {
-		defer close(n.done)
-		n.controller.Run()
+		defer close(process.done)
+		process.controller.Run()
 	})
 }
 
 // killController kills a controller's process and waits until its goroutines have returned.
 func (sim *simulatedCluster) killController(label string) {
 	sim.mu.Lock()
-	n := sim.controllers[label]
+	process := sim.controllers[label]
 	delete(sim.controllers, label)
 	sim.mu.Unlock()
-	n.cancel()
-	<-n.done
+	process.cancel()
+	<-process.done
 }
 
 // restartController kills a controller and starts it again after the downtime.
 func (sim *simulatedCluster) restartController(label string, downtime time.Duration) {
 	sim.mu.Lock()
-	n := sim.controllers[label]
+	process := sim.controllers[label]
 	delete(sim.controllers, label)
 	sim.mu.Unlock()
-	if n == nil {
+	if process == nil {
 		return
 	}
-	n.cancel()
-	<-n.done
+	process.cancel()
+	<-process.done
 	time.Sleep(downtime)
 	sim.startController(label)
 }
 
 // handOverAndRestart shuts a controller down after a handover and starts it again.
 func (sim *simulatedCluster) handOverAndRestart(label string) {
-	n := sim.processOf(label)
-	if n == nil {
+	process := sim.processOf(label)
+	if process == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(sim.ctx, time.Second)
-	n.controller.HandOver(ctx)
+	process.controller.HandOver(ctx)
 	cancel()
 	sim.killController(label)
 	time.Sleep(300 * time.Millisecond)
@@ -313,9 +313,9 @@
 
 // onController runs f in a controller's event loop, if the controller is running.
 func (sim *simulatedCluster) onController(label string, f func(c *Controller)) {
-	n := sim.processOf(label)
-	if n != nil {
-		n.controller.loop.Do(func() { f(n.controller) })
+	process := sim.processOf(label)
+	if process != nil {
+		process.controller.loop.Do(func() { f(process.controller) })
 	}
 }
 
@@ -323,9 +323,9 @@
 func (sim *simulatedCluster) otherControllers(label string) (list []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, l := range slices.Sorted(maps.Keys(sim.controllers)) {
-		if l != label {
-			list = append(list, l)
+	for _, other := range slices.Sorted(maps.Keys(sim.controllers)) {
+		if other != label {
+			list = append(list, other)
 		}
 	}
 	return list
@@ -341,10 +341,12 @@
 // there is none.
 func (sim *simulatedCluster) leaderOf(partition int) string {
 	for _, label := range allControllers {
-		n := sim.processOf(label)
+		process := sim.processOf(label)
 		leader := false
-		if n != nil {
-			n.controller.loop.Do(func() { leader = n.controller.Partitions[partition].Held && n.controller.Partitions[partition].Ready })
+		if process != nil {
+			process.controller.loop.Do(func() {
+				leader = process.controller.Partitions[partition].Held && process.controller.Partitions[partition].Ready
+			})
 		}
 		if leader {
 			return label
@@ -367,10 +369,10 @@
 
 // leaseCount returns the number of partition leases that a controller holds.
 func (sim *simulatedCluster) leaseCount(label string) int {
-	n := sim.controllerOf(label)
+	c := sim.controllerOf(label)
 	held := 0
-	n.loop.Do(func() {
-		for _, p := range n.Partitions {
+	c.loop.Do(func() {
+		for _, p := range c.Partitions {
 			if p.Held {
 				held++
 			}
@@ -383,8 +385,8 @@
 func (sim *simulatedCluster) waitForNewLeader(partition int, before string) string {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
-		if l := sim.leaderOf(partition); l != "" && l != before {
-			return l
+		if leader := sim.leaderOf(partition); leader != "" && leader != before {
+			return leader
 		}
 	}
 	sim.t.Fatalf("partition %d got no new leader within 30 s", partition)
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -50,17 +50,17 @@
 // sendRequest sends a user's request to a controller, or to another one if it is not running.
 func (sim *simulatedCluster) sendRequest(label, method, path string, body []byte) transport.Response {
 	sim.mu.Lock()
-	n := sim.controllers[label]
+	process := sim.controllers[label]
 	for _, other := range sim.controllers {
-		if n == nil {
-			n = other
+		if process == nil {
+			process = other
 		}
 	}
 	sim.mu.Unlock()
-	if n == nil {
+	if process == nil {
 		return transport.Response{}
 	}
-	return n.unlessKilled(n.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"}))
+	return process.unlessKilled(process.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"}))
 }
 
 // submit repeats a submission until it is accepted.
@@ -138,7 +138,7 @@
 		return st.Status
 	}
 	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
-		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
+		sim.recordViolation("went_back: status of %s changed from %s to %s", id, submitted.finalStatus, st.Status)
 	}
 	switch st.Status {
 	case protocol.StatusDone:
@@ -224,7 +224,7 @@
 	defer sim.mu.Unlock()
 	submitted := sim.jobs[id]
 	if submitted.finalStatus != "" && st.Status != submitted.finalStatus {
-		sim.recordViolation("went_back: %s was %s, is %s", id, submitted.finalStatus, st.Status)
+		sim.recordViolation("went_back: status of %s changed from %s to %s", id, submitted.finalStatus, st.Status)
 	}
 	submitted.finalStatus = st.Status
 	if st.Status == protocol.StatusCancelled && submitted.cancelledAt.IsZero() {
--- a/internal/coordination/test_environment_test.go
+++ b/internal/coordination/test_environment_test.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// The environment variables that tune the random tests.
+// The environment variables that configure the random tests.
 const (
 	// failoversVariable is the number of seeds of the random failover tests. If it is set, the
 	// takeover tests also inject every fault at every step.
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -127,12 +127,12 @@
 // requestAs sends a request to a controller as an identity, or without authorization if its
 // name is empty.
 func (sim *simulatedCluster) requestAs(identityName, label, method, target string, body any) transport.Response {
-	n := sim.processOf(label)
+	process := sim.processOf(label)
 	req := newRequest("10.9.0.2:4000", method, target, body)
 	if identityName != "" {
 		req.Authorization = sim.identities.authorization(identityName)
 	}
-	return n.unlessKilled(n.controller.Serve(sim.ctx, req))
+	return process.unlessKilled(process.controller.Serve(sim.ctx, req))
 }
 
 // testPolicy returns a policy with an administrator who may do everything, a clerk, a refund
