--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"crypto/x509"
-	"errors"
 	"fmt"
 	"net/url"
 	"strings"
@@ -28,13 +27,13 @@
 	v, err := archive.Verify(bytes.NewReader(data), roots)
 	panicOnError(err)
 	for _, p := range v.Problems {
-		sim.t.Errorf("audit: %s", p)
+		sim.t.Errorf("verification of the audit log: %s", p)
 	}
 	return v.Read
 }
 
-// exportAudit returns the audit archive that a controller exports; it is tried until it
-// succeeds.
+// exportAudit returns the audit archive that a controller exports. It retries the request for the
+// seal until it succeeds.
 func (sim *simulatedCluster) exportAudit(label string) []byte {
 	sim.t.Helper()
 	resp := sim.requestAs("person/root", label, "GET", "/audit/seal", nil)
@@ -48,7 +47,7 @@
 	panicOnError(archive.Export(sim.ctx, &out, &seal, func(_ context.Context, chain string, after uint64) ([]audit.NumberedBatch, error) {
 		resp := sim.requestAs("person/root", label, "GET", fmt.Sprintf("/audit/batches?chain=%s&after=%d", url.QueryEscape(chain), after), nil)
 		if resp.Status != 200 {
-			return nil, errors.New("no response")
+			return nil, fmt.Errorf("reading audit batches: status %d", resp.Status)
 		}
 		var page struct {
 			Batches []audit.NumberedBatch `msgpack:"batches"`
@@ -59,7 +58,7 @@
 	return out.Bytes()
 }
 
-// countRecords adds up the records that match; a record may stand for several refusals.
+// countRecords counts the matching requests; one audit record may stand for several refusals.
 func countRecords(read []archive.ReadRecord, match func(r *audit.Record) bool) int {
 	n := uint64(0)
 	for i := range read {
@@ -70,8 +69,8 @@
 	return int(n)
 }
 
-// A controller that is killed between its commit and its response leaves the user to retry:
-// there is one job and one audit record of its submission.
+// A controller is killed between its commit and its response, and the user retries: there must be
+// only one job and one audit record of its submission.
 func TestControllerKilledBetweenCommitAndAnswer(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 52, func(sim *simulatedCluster) {
@@ -83,7 +82,7 @@
 				return false
 			}
 			if resp.Status != 200 {
-				t.Errorf("the commit got %d", resp.Status)
+				t.Errorf("the commit got status %d, want 200", resp.Status)
 			}
 			killed = true
 			go sim.killController("n1")
@@ -92,10 +91,10 @@
 		sim.mu.Unlock()
 		ctx, cancel := context.WithTimeout(sim.ctx, 5*time.Second)
 		defer cancel()
-		n := sim.controllers["n1"]
-		resp := n.controller.Serve(ctx, &transport.Request{Method: "POST", Path: "/submissions", Body: encodeSubmission(s), Authorization: sim.identities.authorization("person/anna")})
+		process := sim.controllers["n1"]
+		resp := process.controller.Serve(ctx, &transport.Request{Method: "POST", Path: "/submissions", Body: encodeSubmission(s), Authorization: sim.identities.authorization("person/anna")})
 		if resp.Status == 201 || resp.Status == 200 || !killed {
-			t.Fatalf("answered %d, killed %v", resp.Status, killed)
+			t.Fatalf("the submission got status %d, controller killed: %v; want a kill and no success", resp.Status, killed)
 		}
 		// Until the watches of the other controllers deliver the job record, only the state
 		// store knows the job.
@@ -104,7 +103,7 @@
 		sim.startController("n1")
 		time.Sleep(2 * audit.GatherInterval)
 		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
-			t.Errorf("%d audit records of one submission", n)
+			t.Errorf("%d audit records of one submission, want 1", n)
 		}
 		sim.withLock(func() { sim.jobs[s.ID] = newAcceptedJob(s) })
 		sim.waitForAllJobs(3 * time.Minute)
@@ -131,32 +130,32 @@
 		changes := sim.state.Changes - before
 		sim.mu.Unlock()
 		if most := 2 * int(duration/time.Second); changes > most {
-			t.Errorf("%d refusals made %d changes in %s, want at most %d", refused, changes, duration, most)
+			t.Errorf("%d refusals caused %d state store changes in %s, want at most %d", refused, changes, duration, most)
 		}
 		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
-			t.Errorf("%d refusals, the audit counts %d", refused, n)
+			t.Errorf("%d requests were refused, the audit log counts %d", refused, n)
 		}
 	})
 }
 
-// Random faults with identities: whatever is lost, late or killed, every accepted job has
-// exactly one audit record of its submission, every such record has its job, and the hash
+// Under random faults, every accepted job has exactly one audit record of its submission, every
+// such record has its job, every cancelled job has one record of its cancellation, and the hash
 // chains verify.
 func TestAuditIsCompleteUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(70); seed < 74; seed++ {
 		runSimulationWithIdentities(t, seed, func(sim *simulatedCluster) {
 			sim.jobTasksMax = 3
-			dice := sim.randomInt
+			randomInt := sim.randomInt
 			submitted := map[string]bool{}
 			sim.setMessageFaultRate(0.05)
 			for i := range 40 {
 				id := fmt.Sprintf("job-%d", i)
 				submitted[id] = true
-				sim.submit(newJobSpecOfClass(id, allTeams[dice(3)], "match"))
-				switch dice(6) {
+				sim.submit(newJobSpecOfClass(id, allTeams[randomInt(3)], "match"))
+				switch randomInt(6) {
 				case 0:
-					label := fmt.Sprintf("n%d", dice(3))
+					label := fmt.Sprintf("n%d", randomInt(3))
 					sim.mu.Lock()
 					up := sim.controllers[label] != nil && len(sim.controllers) > 1
 					sim.mu.Unlock()
@@ -168,55 +167,55 @@
 					sim.cancelJob(id)
 				case 2:
 					sim.setOutage(true)
-					time.Sleep(time.Duration(dice(4000)) * time.Millisecond)
+					time.Sleep(time.Duration(randomInt(4000)) * time.Millisecond)
 					sim.setOutage(false)
 				}
-				time.Sleep(time.Duration(dice(800)) * time.Millisecond)
+				time.Sleep(time.Duration(randomInt(800)) * time.Millisecond)
 			}
 			sim.setMessageFaultRate(0)
-			time.Sleep(25 * time.Second) // late messages have arrived, and killed controllers are back
+			time.Sleep(25 * time.Second) // until late messages have arrived and killed controllers run again
 			sim.waitForAllJobs(6 * time.Minute)
-			accepts, withdrawals := map[string]int{}, map[string]int{}
+			submissions, cancellations := map[string]int{}, map[string]int{}
 			for _, r := range sim.readAudit("n0") {
 				if r.Outcome == audit.Allowed && r.Verb == "submit" {
-					accepts[r.Job]++
+					submissions[r.Job]++
 				}
 				if r.Outcome == audit.Allowed && r.Verb == "withdraw" {
-					withdrawals[r.Job]++
+					cancellations[r.Job]++
 				}
 			}
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
 			for id := range submitted {
 				_, exists := sim.state.Items[storage.JobKey(id)]
-				if !exists || accepts[id] != 1 {
-					t.Errorf("seed %d: %s: job record %v, audit records of its submission %d", seed, id, exists, accepts[id])
+				if !exists || submissions[id] != 1 {
+					t.Errorf("seed %d: %s: job record exists: %v, %d audit records of its submission, want 1", seed, id, exists, submissions[id])
 				}
-				var f storage.Final
-				it, over := sim.state.Items[storage.FinalKey(id)]
-				panicOnError(storage.Decode(it.Value, &f))
+				var final storage.Final
+				it, ended := sim.state.Items[storage.FinalKey(id)]
+				panicOnError(storage.Decode(it.Value, &final))
 				want := 0
-				if over && f.Status == protocol.StatusCancelled {
+				if ended && final.Status == protocol.StatusCancelled {
 					want = 1
 				}
-				if withdrawals[id] != want {
-					t.Errorf("seed %d: %s is %s, with %d audit records of a cancellation", seed, id, f.Status, withdrawals[id])
+				if cancellations[id] != want {
+					t.Errorf("seed %d: %s has status %s, but %d audit records of its cancellation", seed, id, final.Status, cancellations[id])
 				}
 			}
-			if len(accepts) != len(submitted) {
-				t.Errorf("seed %d: %d submissions audited of %d jobs", seed, len(accepts), len(submitted))
+			if len(submissions) != len(submitted) {
+				t.Errorf("seed %d: the audit log has submissions of %d jobs, want %d", seed, len(submissions), len(submitted))
 			}
 			for key := range sim.state.Items {
 				if strings.HasPrefix(key, audit.Prefix) && sim.state.Largest["a"] > int(sim.settings.Params.State.ValueKB*1024) {
-					t.Fatalf("%s is too large", key)
+					t.Fatalf("the largest audit record exceeds the value limit; one of the keys is %s", key)
 				}
 			}
 		})
 	}
 }
 
-// Somebody alters a stored audit batch in the state store: the verifier names the chain and the
-// batch.
+// When a stored audit batch is altered in the state store, verification reports its chain and
+// number.
 func TestTamperedAuditBatchIsFound(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 59, func(sim *simulatedCluster) {
@@ -224,25 +223,25 @@
 			sim.submit(newJobSpecOfClass(fmt.Sprintf("job-%d", i), "red", "match"))
 		}
 		sim.waitForAllJobs(time.Minute)
-		tamper := func(f func(s *state.Service)) {
+		withState := func(f func(s *state.Service)) {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
 			f(sim.state)
 		}
 		label := "n0"
-		find := func(s *state.Service) (string, protocol.Item) {
+		findFirstBatch := func(s *state.Service) (string, protocol.Item) {
 			for key, it := range s.Items {
 				if chain, n, ok := audit.ParseBatchKey(key); ok && chain == label && n == 1 {
 					return key, it
 				}
 			}
-			t.Fatal("no batch")
+			t.Fatal("the state store has no first audit batch of the chain")
 			return "", protocol.Item{}
 		}
-		var before protocol.Item
-		tamper(func(s *state.Service) {
-			key, it := find(s)
-			before = it
+		var original protocol.Item
+		withState(func(s *state.Service) {
+			key, it := findFirstBatch(s)
+			original = it
 			var b audit.Batch
 			panicOnError(storage.Decode(it.Value, &b))
 			b.Lines[0] = strings.Replace(b.Lines[0], "person/root", "person/anna", 1)
@@ -254,9 +253,9 @@
 		v, err := archive.Verify(bytes.NewReader(sim.exportAudit("n2")), roots)
 		panicOnError(err)
 		if len(v.Problems) == 0 || v.Problems[0].Chain != label || v.Problems[0].Batch != 1 {
-			t.Errorf("altered batch: %v", v.Problems)
+			t.Errorf("problems reported for an altered batch: %v, want the batch first", v.Problems)
 		}
-		tamper(func(s *state.Service) { s.Items[before.Key] = before })
+		withState(func(s *state.Service) { s.Items[original.Key] = original })
 		sim.readAudit("n2")
 	})
 }
--- a/internal/coordination/authorization_test.go
+++ b/internal/coordination/authorization_test.go
@@ -23,8 +23,8 @@
 	"micaspindle/internal/transport"
 )
 
-// Identities of three roles try what they must not do; each refusal is the same whether the job
-// exists or not, and each is in the audit log, alone or counted.
+// Identities of three roles must not exceed their rights. A refusal does not reveal whether the
+// job exists, and the audit log contains every refusal, in a record of its own or counted in one.
 func TestRolesLimitWhatIdentitiesMayDo(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 51, func(sim *simulatedCluster) {
@@ -39,16 +39,16 @@
 				refusals[identityName]++
 			}
 		}
-		// The clerk reassigns another team's job, or moves one of its own to another team.
+		// The clerk tries to reassign another team's job, and one of its own to another team.
 		for _, label := range allControllers {
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-77/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
-			// The refund team accesses the price-check queue.
+			// The refund service tries to access the price-check queue.
 			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "GET", "/submissions/job-3", nil))
 			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "POST", "/submissions/job-3/withdraw", nil))
 			refused("service/refunds", 403, sim.requestAs("service/refunds", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-91", "blue", "price-check"))))
-			// The guest asks for arguments at every path that might reveal them.
+			// The guest requests every path that might reveal arguments.
 			for _, path := range []string{"/submissions/job-1/arguments", "/submissions/job-77/arguments", "/audit/seal", "/audit/batches?chain=n0&after=0",
 				"/policy/roles", "/policy/identities"} {
 				refused("person/partner", 403, sim.requestAs("person/partner", label, "GET", path, nil))
@@ -64,7 +64,7 @@
 		b := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
 		refusals["service/refunds"] += 2
 		if a.Status != b.Status || !bytes.Equal(a.Body, b.Body) || a.RetryAfter != b.RetryAfter {
-			t.Errorf("a job of another queue gets %d %q, no job %d %q", a.Status, a.Body, b.Status, b.Body)
+			t.Errorf("a job of another queue gets %d %q, an unknown job gets %d %q", a.Status, a.Body, b.Status, b.Body)
 		}
 		// What their roles permit is allowed.
 		sim.expectStatus(200, sim.requestAs("person/anna", "n1", "GET", "/submissions/job-1", nil))
@@ -82,17 +82,17 @@
 		read := sim.readAudit("n1")
 		for identityName, n := range refusals {
 			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == identityName }); got != n {
-				t.Errorf("%q was refused %d times, the audit has %d", identityName, n, got)
+				t.Errorf("%q was refused %d times, the audit log has %d refusals", identityName, n, got)
 			}
 		}
 		if n := countRecords(read, func(r *audit.Record) bool {
 			return r.Verb == "view-arguments" && r.Who == "service/refunds" && r.Job == "job-2" && r.Outcome == audit.Allowed
 		}); n != 1 {
-			t.Errorf("viewing arguments is audited %d times", n)
+			t.Errorf("the audit log has %d records of viewing arguments, want 1", n)
 		}
 		for _, r := range read {
 			if strings.Contains(fmt.Sprint(r), "img") || strings.Contains(fmt.Sprint(r), "eyJ") {
-				t.Errorf("the audit reveals arguments or a token: %+v", r)
+				t.Errorf("the audit log reveals arguments or a token: %+v", r)
 			}
 		}
 		sim.withLock(func() { sim.jobs["job-4"] = newAcceptedJob(newJobSpecOfClass("job-4", "red", "verify")) })
@@ -106,10 +106,10 @@
 	t.Parallel()
 	runSimulationWithIdentities(t, 50, func(sim *simulatedCluster) {
 		sim.submit(newJobSpecOfClass("job-3", "blue", "price-check"))
-		time.Sleep(10 * time.Second) // every controller knows it
+		time.Sleep(10 * time.Second) // until every controller knows the job
 		seen := map[string]string{}
 		for _, id := range []string{"job-3", "job-77", "job-3/", "job-x"} {
-			time.Sleep(20 * time.Second) // the rate limiter has refilled
+			time.Sleep(20 * time.Second) // until the rate limiter has refilled
 			sim.mu.Lock()
 			before := sim.state.Served
 			sim.mu.Unlock()
@@ -123,11 +123,11 @@
 			sim.mu.Unlock()
 			seen[id] = answers
 			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < auth.UnknownJobBurst) {
-				t.Errorf("%s: %d reads, %s", id, read, answers)
+				t.Errorf("%s: %d state store requests, responses %s", id, read, answers)
 			}
 		}
 		if seen["job-3"] != seen["job-77"] {
-			t.Errorf("another queue's job: %s\nno job: %s", seen["job-3"], seen["job-77"])
+			t.Errorf("responses for another queue's job: %s\nfor an unknown job: %s", seen["job-3"], seen["job-77"])
 		}
 		sim.waitForAllJobs(time.Minute)
 	})
@@ -139,9 +139,9 @@
 	t.Parallel()
 	runSimulationWithIdentities(t, 53, func(sim *simulatedCluster) {
 		sim.setRunTime(40 * time.Second)
-		mine := newJobSpecOfClass("job-1", "red", "match")
-		sim.withLock(func() { sim.jobs[mine.ID] = newAcceptedJob(mine) })
-		sim.expectStatus(201, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(mine)))
+		s := newJobSpecOfClass("job-1", "red", "match")
+		sim.withLock(func() { sim.jobs[s.ID] = newAcceptedJob(s) })
+		sim.expectStatus(201, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
 		time.Sleep(15 * time.Second)
 		for _, label := range allControllers {
 			sim.expectStatus(200, sim.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
@@ -157,7 +157,7 @@
 			sim.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil), sim.requestAs("person/anna", "n2", "POST", "/submissions/job-1/withdraw", nil),
 			sim.requestAs("person/root", "n2", "POST", "/policy", revoke)} {
 			if sim.expectStatus(503, resp).RetryAfter == 0 {
-				t.Error("no Retry-After")
+				t.Error("a 503 response has no Retry-After")
 			}
 		}
 		sim.withLock(func() { sim.cut = nil })
@@ -165,7 +165,7 @@
 		sim.expectStatus(403, sim.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil))
 		// The revoked identity's job keeps running.
 		if st := sim.poll("n1", "job-1"); st != protocol.StatusRunning {
-			t.Errorf("the revoked clerk's job is %q", st)
+			t.Errorf("the job of the revoked clerk has status %q, want running", st)
 		}
 		sim.waitForAllJobs(3 * time.Minute)
 		for _, label := range allControllers {
@@ -175,7 +175,7 @@
 	})
 }
 
-// One command cancels all jobs that an identity has submitted, and no others; it requires the
+// One command cancels all jobs that an identity has submitted, and no others. It requires the
 // right to administer the queue.
 func TestCancellingAllJobsOfAnIdentity(t *testing.T) {
 	t.Parallel()
@@ -214,14 +214,14 @@
 		for i := range 40 {
 			id := fmt.Sprintf("job-%d", i)
 			if st := sim.poll("", id); i%2 == 1 && st != protocol.StatusDone {
-				t.Errorf("%s of another identity is %s", id, st)
+				t.Errorf("%s, submitted by another identity, has status %s, want done", id, st)
 			}
 		}
 		time.Sleep(2 * audit.GatherInterval)
 		if n := countRecords(sim.readAudit("n2"), func(r *audit.Record) bool {
 			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
 		}); n != cancelled {
-			t.Errorf("%d cancellations are audited, %d were made", n, cancelled)
+			t.Errorf("the audit log has %d cancellations, %d were made", n, cancelled)
 		}
 	})
 }
@@ -244,17 +244,17 @@
 		}
 		wg.Wait()
 		if a, b := got[0].Status, got[1].Status; a+b != 200+409 {
-			t.Fatalf("answers %d and %d", a, b)
+			t.Fatalf("the revocations got status %d and %d, want one 200 and one 409", a, b)
 		}
-		left, other := "person/root", "person/second"
+		remaining, revoked := "person/root", "person/second"
 		if got[0].Status != 200 {
-			left, other = other, left
+			remaining, revoked = revoked, remaining
 		}
 		time.Sleep(time.Second)
-		sim.expectStatus(403, sim.requestAs(other, "n2", "GET", "/policy/roles", nil))
-		sim.expectStatus(422, sim.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, PutIdentities: []rights.Identity{{Name: left, Roles: []string{"admin"}, Revoked: true}}}))
-		sim.expectStatus(409, sim.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 2, DropIdentities: []string{other}}))
-		sim.expectStatus(200, sim.requestAs(left, "n2", "POST", "/policy", &rights.Change{Version: 3, DropIdentities: []string{other}}))
+		sim.expectStatus(403, sim.requestAs(revoked, "n2", "GET", "/policy/roles", nil))
+		sim.expectStatus(422, sim.requestAs(remaining, "n2", "POST", "/policy", &rights.Change{Version: 3, PutIdentities: []rights.Identity{{Name: remaining, Roles: []string{"admin"}, Revoked: true}}}))
+		sim.expectStatus(409, sim.requestAs(remaining, "n2", "POST", "/policy", &rights.Change{Version: 2, DropIdentities: []string{revoked}}))
+		sim.expectStatus(200, sim.requestAs(remaining, "n2", "POST", "/policy", &rights.Change{Version: 3, DropIdentities: []string{revoked}}))
 	})
 }
 
@@ -264,8 +264,8 @@
 	runSimulationWithIdentities(t, 56, func(sim *simulatedCluster) {
 		sim.expectStatus(404, sim.requestAs("person/partner", "n0", "GET", "/submissions/job-9", nil))
 		time.Sleep(2 * time.Second)
-		void := rights.Identity{Name: "person/partner", Roles: []string{"guest"}, TokensFromMS: time.Now().UnixMilli()}
-		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{void}}))
+		partner := rights.Identity{Name: "person/partner", Roles: []string{"guest"}, TokensFromMS: time.Now().UnixMilli()}
+		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{partner}}))
 		time.Sleep(2 * time.Second)
 		sim.expectStatus(401, sim.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
 		delete(sim.identities.tokens, "person/partner")
@@ -273,7 +273,7 @@
 	})
 }
 
-// Command: go test -run XXX -bench Policy ./internal/coordination
+// BenchmarkPolicyOf10000Identities measures the memory that the policy takes in a controller.
 func BenchmarkPolicyOf10000Identities(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -301,44 +301,44 @@
 func TestCertificatesAuthenticateOnlyTheirOwnName(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 49, func(sim *simulatedCluster) {
-		n := sim.controllers["n0"].controller
+		c := sim.controllers["n0"].controller
 		sendHeartbeatAs := func(cert, machine string) int {
-			return n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: sim.identities.certificate(cert),
+			return c.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Peer: sim.identities.certificate(cert),
 				Body: protocol.Encode(&protocol.Heartbeat{Machine: machine, Epoch: 1})}).Status
 		}
 		sendSummaryAs := func(cert, from string) int {
 			body, err := proto.Marshal(&peer.Summary{From: from})
 			panicOnError(err)
-			return n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: sim.identities.certificate(cert), Body: body}).Status
+			return c.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath, Peer: sim.identities.certificate(cert), Body: body}).Status
 		}
 		for name, tc := range map[string]struct{ got, refused int }{
 			"another machine's certificate":            {sendHeartbeatAs("worker/m-9", "m-1"), 403},
 			"a person's certificate for a machine":     {sendHeartbeatAs("person/anna", "m-1"), 403},
 			"a controller's certificate for a machine": {sendHeartbeatAs("controller/n1", "m-1"), 403},
 			"another controller's certificate":         {sendSummaryAs("controller/n1", "n2"), 403},
-			"a machine's certificate for a peer":       {sendSummaryAs("worker/any", "n1"), 403},
+			"a machine's certificate for a controller": {sendSummaryAs("worker/any", "n1"), 403},
 			"an unknown controller":                    {sendSummaryAs("controller/n9", "n9"), 403},
-			"heartbeat without a certificate":          {n.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
-			"summary without a certificate":            {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
-			"fleet request without a certificate":      {n.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
+			"heartbeat without a certificate":          {c.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin"}).Status, 401},
+			"summary without a certificate":            {c.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peering.SummaryPath}).Status, 401},
+			"machine request without a certificate":    {c.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: peerapi.MachineRequestPath}).Status, 401},
 		} {
 			if tc.got != tc.refused {
-				t.Errorf("%s: %d, want %d", name, tc.got, tc.refused)
+				t.Errorf("%s: status %d, want %d", name, tc.got, tc.refused)
 			}
 		}
-		for name, got := range map[string]int{"its own certificate": sendHeartbeatAs("worker/m-1", "m-1"), "a shared certificate": sendHeartbeatAs("worker/any", "m-2"), "a peer's own certificate": sendSummaryAs("controller/n1", "n1")} {
+		for name, got := range map[string]int{"its own certificate": sendHeartbeatAs("worker/m-1", "m-1"), "a shared certificate": sendHeartbeatAs("worker/any", "m-2"), "a controller's own certificate": sendSummaryAs("controller/n1", "n1")} {
 			if got == 401 || got == 403 {
-				t.Errorf("%s: refused with %d", name, got)
+				t.Errorf("%s: refused with status %d", name, got)
 			}
 		}
 		// An expired certificate is refused, also on a connection that was opened before.
 		sim.identities.certs["worker/m-7"] = sim.identities.issue("worker/m-7", time.Minute)
 		if got := sendHeartbeatAs("worker/m-7", "m-7"); got == 401 {
-			t.Error("refused before it expired")
+			t.Error("the certificate was refused before it expired")
 		}
 		time.Sleep(time.Minute)
 		if got := sendHeartbeatAs("worker/m-7", "m-7"); got != 401 {
-			t.Errorf("expired certificate: %d", got)
+			t.Errorf("an expired certificate got status %d, want 401", got)
 		}
 	})
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -19,9 +19,9 @@
 
 // The benchmarks show how the cost of each operation grows with machines and tasks.
 
-// newFleet makes a controller that leads every partition, with machines up and running tasks on
-// each of them.
-func newFleet(b *testing.B, machines, running, each int) *Controller {
+// newControllerWithFleet returns a controller that leads every partition and whose machines run
+// tasks.
+func newControllerWithFleet(b *testing.B, machines, tasksPerMachine, tasksPerJob int) *Controller {
 	b.Helper()
 	c, p := newLeadingController(b)
 	now := time.Now()
@@ -33,17 +33,17 @@
 	for i := range machines {
 		c.addMachine(p, fmt.Sprintf("m-%06d", i), "big")
 	}
-	for i := range machines * running {
-		id, task := fmt.Sprintf("job-%d", i/each), i%each
+	for i := range machines * tasksPerMachine {
+		id, task := fmt.Sprintf("job-%d", i/tasksPerJob), i%tasksPerJob
 		if task == 0 {
-			c.addQueuedJob(id, each)
+			c.addQueuedJob(id, tasksPerJob)
 		}
 		j, m := c.Jobs[id], c.Machines[fmt.Sprintf("m-%06d", i%machines)]
 		c.scheduler.Reserve(p, j, task, 1, m, now)
 		j.Pending = nil
 		a := j.LiveAttempts[task]
 		a.State, a.StartedAt = cluster.AttemptConfirmed, now
-		for _, ch := range j.Chunks { // already written
+		for _, ch := range j.Chunks { // as if the records were written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
 		j.MayHaveDirtyChunk = false
@@ -52,13 +52,13 @@
 }
 
 // fleetSize is a number of machines, of running tasks on each, and of waiting tasks.
-type fleetSize struct{ machines, running, waiting int }
+type fleetSize struct{ machines, tasksPerMachine, waitingTasks int }
 
 // allFleetSizes are the sizes to measure, ascending.
 var allFleetSizes = []fleetSize{{50, 4, 500}, {200, 4, 500}, {200, 4, 4000}, {800, 4, 4000}, {3200, 4, 4000}, {10000, 4, 4000}}
 
-// fleetSizes returns the sizes to measure; -short leaves the two largest out, so that a check
-// that only runs every benchmark once takes seconds.
+// fleetSizes returns the sizes to measure. With -short it leaves out the two largest, so that
+// running every benchmark once takes seconds.
 func fleetSizes() []fleetSize {
 	if testing.Short() {
 		return allFleetSizes[:len(allFleetSizes)-2]
@@ -66,7 +66,7 @@
 	return allFleetSizes
 }
 
-// BenchmarkPoll measures a user's poll without its connection: refused while the state store is
+// BenchmarkPoll measures a user's poll without the network: refused while the state store is
 // down, and answered from memory.
 func BenchmarkPoll(b *testing.B) {
 	for _, outcome := range []string{"refused", "final"} {
@@ -95,19 +95,19 @@
 	}
 }
 
-// unavailableNetwork is the network to a state store that is down.
+// unavailableNetwork simulates a state store that is down.
 type unavailableNetwork struct{}
 
-// Do answers 503.
+// Do answers every request with status 503.
 func (unavailableNetwork) Do(context.Context, string, string, string, []byte) (*transport.Response, error) {
 	return &transport.Response{Status: 503}, nil
 }
 
 // BenchmarkHeartbeat measures a heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
-	for _, running := range []int{0, 4, 8} {
-		b.Run(fmt.Sprintf("tasks=%d", running), func(b *testing.B) {
-			c := newFleet(b, 200, running, 1)
+	for _, tasksPerMachine := range []int{0, 4, 8} {
+		b.Run(fmt.Sprintf("tasks=%d", tasksPerMachine), func(b *testing.B) {
+			c := newControllerWithFleet(b, 200, tasksPerMachine, 1)
 			heartbeats := make([]*protocol.Heartbeat, 0, len(c.Machines))
 			for _, m := range c.Machines {
 				r := &protocol.Heartbeat{Machine: m.Name, Type: "big", Zone: "a", Epoch: 1, Token: c.Token(m)}
@@ -120,7 +120,7 @@
 			for i := 0; b.Loop(); i++ {
 				r := heartbeats[i%len(heartbeats)]
 				r.Sequence++
-				c.LeaseRenewedAt = time.Now() // however long the measurement takes
+				c.LeaseRenewedAt = time.Now() // so that the leases do not expire during the measurement
 				c.RecordsCurrentAt = c.LeaseRenewedAt
 				if resp := c.agents.HandleHeartbeat(r, nil); resp.Status != 200 {
 					b.Fatalf("heartbeat refused: status %d, %s", resp.Status, resp.Body)
@@ -130,14 +130,14 @@
 	}
 }
 
-// BenchmarkPlace measures a round of placement over a full fleet with waiting work, and the
+// BenchmarkPlace measures a round of placement on a full fleet with waiting tasks, and the
 // placement of one task.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range fleetSizes() {
-		name := fmt.Sprintf("machines=%d/waiting=%d", n.machines, n.waiting)
+		name := fmt.Sprintf("machines=%d/waiting=%d", n.machines, n.waitingTasks)
 		b.Run("full/"+name, func(b *testing.B) {
-			c := newFleet(b, n.machines, 8, 1)
-			for i := range n.waiting / 20 {
+			c := newControllerWithFleet(b, n.machines, 8, 1)
+			for i := range n.waitingTasks / 20 {
 				c.addQueuedJob(fmt.Sprintf("job-9%d", i), 20)
 			}
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
@@ -147,14 +147,14 @@
 			}
 		})
 		b.Run("task/"+name, func(b *testing.B) {
-			c := newFleet(b, n.machines, n.running, 1)
+			c := newControllerWithFleet(b, n.machines, n.tasksPerMachine, 1)
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 			placed, next := 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				if placed == 0 {
 					b.StopTimer()
-					c = newFleet(b, n.machines, n.running, 1)
+					c = newControllerWithFleet(b, n.machines, n.tasksPerMachine, 1)
 					p = c.Partitions[c.TeamPartition[c.TeamIndex["green"]]]
 					placed = n.machines * 2
 					b.StartTimer()
@@ -168,12 +168,12 @@
 	}
 }
 
-// benchmarkBySize measures an operation that needs nothing but a busy fleet.
-func benchmarkBySize(b *testing.B, operation func(c *Controller)) {
+// benchmarkByFleetSize measures an operation on busy fleets of all sizes.
+func benchmarkByFleetSize(b *testing.B, operation func(c *Controller)) {
 	b.Helper()
 	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
-			c := newFleet(b, n.machines, n.running, 1)
+			c := newControllerWithFleet(b, n.machines, n.tasksPerMachine, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				operation(c)
@@ -182,13 +182,13 @@
 	}
 }
 
-// BenchmarkReconcileFleet measures a round of the cluster leader over a busy fleet, with
-// demands that find no capacity and no machine to request for them.
+// BenchmarkReconcileFleet measures a reconciliation by the cluster leader of a full fleet with
+// waiting tasks, when the cloud has refused capacity for every kind of machine.
 func BenchmarkReconcileFleet(b *testing.B) {
 	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprintf("machines=%d", n.machines), func(b *testing.B) {
-			c := newFleet(b, n.machines, 8, 1)
-			for i := range n.waiting / 20 {
+			c := newControllerWithFleet(b, n.machines, 8, 1)
+			for i := range n.waitingTasks / 20 {
 				c.addQueuedJob(fmt.Sprintf("job-9%d", i), 20)
 			}
 			now := time.Now()
@@ -211,25 +211,25 @@
 
 // BenchmarkTick measures a tick of the event loop (every 250 ms) without any event.
 func BenchmarkTick(b *testing.B) {
-	benchmarkBySize(b, func(c *Controller) { c.tick(time.Now()) })
+	benchmarkByFleetSize(b, func(c *Controller) { c.tick(time.Now()) })
 }
 
 // BenchmarkSummary measures the summary that a controller sends to its peers twice a second.
 func BenchmarkSummary(b *testing.B) {
-	benchmarkBySize(b, func(c *Controller) {
+	benchmarkByFleetSize(b, func(c *Controller) {
 		c.peering.SummaryCache.MarshalledAt = time.Time{}
 		c.peering.MarshalledSummary(time.Now())
 	})
 }
 
-// BenchmarkTakeover measures the time from a complete replica of a partition to the first
-// decision, cold (all records are read then) and warm (a replica followed them).
+// BenchmarkTakeover measures the takeover of a partition from records in memory: cold, where the
+// replica is first built from all of them, and warm, where a standby has followed them.
 func BenchmarkTakeover(b *testing.B) {
 	for _, n := range fleetSizes() {
-		for i, kind := range []string{"cold", "warm", "cold", "warm"} {
-			each := []int{1, 20}[i/2] // arrays of one task, and of the usual size
-			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", kind, n.machines, n.machines*n.running, each), func(b *testing.B) {
-				c := newFleet(b, n.machines, n.running, each)
+		for i, mode := range []string{"cold", "warm", "cold", "warm"} {
+			tasksPerJob := []int{1, 20}[i/2] // job arrays of one task, and of the usual size
+			b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d/each=%d", mode, n.machines, n.machines*n.tasksPerMachine, tasksPerJob), func(b *testing.B) {
+				c := newControllerWithFleet(b, n.machines, n.tasksPerMachine, tasksPerJob)
 				partition := c.TeamPartition[c.TeamIndex["green"]]
 				var runs []protocol.Item
 				update := &peer.ReplicaUpdate{From: "n1", Nonce: "x", LeaseRevision: 1, Through: 1}
@@ -243,23 +243,23 @@
 					}
 				}
 				for _, m := range c.Machines {
-					m.CommandRequestsInFlight = 1 // no command is sent
+					m.CommandRequestsInFlight = 1 // so that no command is sent
 				}
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
 					replica := replication.NewReplica(partition, time.Now())
-					if kind == "warm" {
+					if mode == "warm" {
 						replica.StartFrom(c.log.Error, runs, 5, time.Now())
 						replica.Updates.Apply(update, replica.Derived.NoteStart, time.Now())
 					}
-					c.leases.ClearPartition(c.Partitions[partition]) // as at a controller that did not lead it
-					runtime.GC()                                     // the garbage of the set-up is not the takeover's
+					c.leases.ClearPartition(c.Partitions[partition]) // as on a controller that did not lead it
+					runtime.GC()                                     // so that the takeover does not pay for the set-up
 					b.StartTimer()
-					if kind == "cold" {
+					if mode == "cold" {
 						replica.StartFrom(c.log.Error, runs, 5, time.Now())
 					}
-					c.takeover.Install(c.Partitions[partition], replica, nil, kind == "warm")
+					c.takeover.Install(c.Partitions[partition], replica, nil, mode == "warm")
 				}
 			})
 		}
@@ -270,24 +270,24 @@
 // tasks.
 func BenchmarkApplyRecordChange(b *testing.B) {
 	replica := replication.NewReplica(0, time.Now())
-	run := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
+	record := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
 	for t := 32; t < 64; t++ {
-		run.Live = append(run.Live, storage.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
+		record.Live = append(record.Live, storage.Attempt{Task: t, Number: 1, Machine: fmt.Sprintf("m-%06d", t), Epoch: 1})
 	}
-	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(run)
+	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(record)
 	logError := slog.New(slog.DiscardHandler).Error
 	replica.StartFrom(logError, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
 	for at := uint64(1); b.Loop(); at++ {
 		if !replica.Apply(logError, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
-			b.Fatal("a gap")
+			b.Fatal("the replica did not apply the change")
 		}
 	}
 }
 
-// newPipelines makes a controller that knows n jobs, the first included: each depends on the
-// one before, or all on the first.
-func newPipelines(b *testing.B, n int, deep bool) *Controller {
+// newControllerWithPipeline returns a controller with n jobs. If deep, each depends on the one
+// before; otherwise all others depend on the first.
+func newControllerWithPipeline(b *testing.B, n int, deep bool) *Controller {
 	b.Helper()
 	c, _ := newLeadingController(b)
 	c.addJob(newJobSpec("job-0", 1, "green"))
@@ -303,14 +303,14 @@
 	return c
 }
 
-// BenchmarkDependencyGraph measures a submission at the end of a pipeline whose deadline is
-// inherited by all of it, the completion of the job that all depend on, and its cancellation.
+// BenchmarkDependencyGraph measures a submission at the end of a pipeline, whose deadline the
+// jobs before it inherit, and the completion and cancellation of the first unfinished job.
 func BenchmarkDependencyGraph(b *testing.B) {
 	for _, n := range []int{1000, 8000} {
 		for _, deep := range []bool{false, true} {
 			name := fmt.Sprintf("/jobs=%d/deep=%v", n, deep)
 			b.Run("submission"+name, func(b *testing.B) {
-				c := newPipelines(b, n, deep)
+				c := newControllerWithPipeline(b, n, deep)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					// Each has a slightly earlier deadline, so that all jobs change.
@@ -320,7 +320,7 @@
 				}
 			})
 			if n > 1000 {
-				continue // building a pipeline for each measurement takes minutes
+				continue // building larger pipelines for each iteration takes minutes
 			}
 			for _, status := range []string{protocol.StatusDone, protocol.StatusCancelled} {
 				b.Run(status+name, func(b *testing.B) {
@@ -328,11 +328,11 @@
 					var c *Controller
 					next := n
 					for b.Loop() {
-						// A status that ends the whole pipeline needs a new one each time; one
-						// that ends only its first job continues with the next.
+						// If the status ends the whole pipeline, each iteration needs a new
+						// pipeline. If it ends only one job, the next iteration ends the next job.
 						if next == n {
 							b.StopTimer()
-							c, next = newPipelines(b, n, deep), 0
+							c, next = newControllerWithPipeline(b, n, deep), 0
 							b.StartTimer()
 						}
 						c.jobs.SetFinal(fmt.Sprint("job-", next), status, time.Now())
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -15,8 +15,8 @@
 	"micaspindle/internal/transport"
 )
 
-// configureLongAnswerBound gives leaders a long bound for answering heartbeats, and tasks a run
-// time longer than the cancellation bound.
+// configureLongAnswerBound configures a long bound for the leaders' answers to heartbeats, and a
+// run time of tasks that exceeds the cancellation bound.
 func configureLongAnswerBound(sim *simulatedCluster) {
 	sim.cloud.Capacity = 30
 	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
@@ -24,32 +24,32 @@
 	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
-// The state store refuses requests of the partition leader alone, another controller confirms
-// cancellations, and then the state store is down for everybody for longer than cancel_s, while
-// the agents keep sending heartbeats to the old leader. Every task must be gone within cancel_s
-// of the confirmation to its user (checked by the simulated cluster at every step of every
-// machine).
+// The state store refuses the requests of the partition leader only, so that other controllers
+// confirm cancellations; then it is down for longer than cancel_s, while agents still send
+// heartbeats to the old leader. Each task must stop within cancel_s of the confirmation, which
+// the simulated cluster checks at every step of every machine.
 func TestCancellationBetweenARefusalAndAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// refusedFor is how long the refusal lasts before the outage begins; 0: until a
-		// successor has acquired the lease but not read the partition's records.
+		// refusedFor is how long the refusal lasts before the outage begins. If 0, the outage
+		// begins when a successor has acquired the lease but not read the partition's records.
 		refusedFor time.Duration
 		// noNotices: no controller receives cancellation notices; cut: the leader is also cut
 		// off from its peers.
 		noNotices, cut bool
-		// stuck: the watches deliver nothing from before the first cancellation on.
-		stuck bool
-		// hang is how long machines of cancelled jobs hang.
-		hang  time.Duration
+		// watchesStuck: the watches deliver nothing, starting before the first cancellation.
+		watchesStuck bool
+		// hang is how long half of the machines of cancelled jobs hang.
+		hang time.Duration
+		// twice: refusal and outage happen twice.
 		twice bool
 	}{
 		{name: "notices", refusedFor: 2 * time.Second},
 		{name: "no notices", refusedFor: 2 * time.Second, noNotices: true},
 		{name: "no notices, twice", refusedFor: 1500 * time.Millisecond, noNotices: true, twice: true},
 		{name: "cut off from its peers as well", refusedFor: 2 * time.Second, noNotices: true, cut: true},
-		{name: "watches deliver nothing", refusedFor: 2 * time.Second, noNotices: true, stuck: true},
+		{name: "watches deliver nothing", refusedFor: 2 * time.Second, noNotices: true, watchesStuck: true},
 		{name: "the lease expires first", refusedFor: 3600 * time.Millisecond, noNotices: true},
 		{name: "a successor holds the lease", noNotices: true},
 		{name: "a successor is ready", refusedFor: 6 * time.Second, noNotices: true},
@@ -60,8 +60,8 @@
 			t.Parallel()
 			runConfiguredSimulation(t, 301, configureLongAnswerBound, func(sim *simulatedCluster) {
 				time.Sleep(3 * time.Second)
-				// Cancellations every 0.1 s, from 4 s before the refusal on.
-				const cancellations, before = 56, 40
+				// Cancellations begin 4 s before the refusal and continue every 0.1 s.
+				const cancellations, beforeRefusal = 56, 40
 				rounds := 1
 				if tc.twice {
 					rounds = 2
@@ -74,11 +74,11 @@
 				time.Sleep(40 * time.Second)
 				partition := sim.partitionOf("green")
 				for round := range rounds {
-					sim.cancelDuringRefusal(round*cancellations, cancellations, before, partition, func(i int, leader string) {
+					sim.cancelDuringRefusal(round*cancellations, cancellations, beforeRefusal, partition, func(i int, leader string) {
 						switch i {
 						case 0:
-							sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = tc.noNotices, tc.stuck })
-						case before:
+							sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = tc.noNotices, tc.watchesStuck })
+						case beforeRefusal:
 							sim.setStateServiceRefusal(leader, true)
 							if tc.cut {
 								sim.mu.Lock()
@@ -92,7 +92,7 @@
 					if tc.refusedFor == 0 {
 						sim.waitForLeaseChange(partition)
 					}
-					time.Sleep(tc.refusedFor - (cancellations-before)*100*time.Millisecond)
+					time.Sleep(tc.refusedFor - (cancellations-beforeRefusal)*100*time.Millisecond)
 					sim.setOutage(true)
 					time.Sleep(12 * time.Second)
 					for _, l := range allControllers {
@@ -106,7 +106,7 @@
 				sim.mu.Lock()
 				for id, submitted := range sim.jobs {
 					if submitted.finalStatus == protocol.StatusCancelled && len(sim.machinesRunning(id)) > 0 {
-						t.Errorf("%s runs on %v", id, sim.machinesRunning(id))
+						t.Errorf("the cancelled job %s still runs on %v", id, sim.machinesRunning(id))
 					}
 				}
 				sim.mu.Unlock()
@@ -115,25 +115,27 @@
 	}
 }
 
-// cancelDuringRefusal cancels the jobs numbered from..from+count at controllers that do not
-// lead their partition, one every 0.1 s, and calls happen before each.
-func (sim *simulatedCluster) cancelDuringRefusal(from, count, before, partition int, beforeCancel func(i int, leader string), hang time.Duration) {
+// cancelDuringRefusal cancels count jobs at controllers that do not lead their partition, one every
+// 0.1 s, beginning with the job numbered first. It calls beforeCancel before each. beforeRefusal is
+// how many it cancels before the refusal begins. If hang is not 0, the machines of every second
+// job hang for that long.
+func (sim *simulatedCluster) cancelDuringRefusal(first, count, beforeRefusal, partition int, beforeCancel func(i int, leader string), hang time.Duration) {
 	leader := sim.leaderOf(partition)
 	if leader == "" {
 		sim.t.Fatal("the partition has no leader")
 	}
 	others := sim.otherControllers(leader)
-	confirmed, after, running := 0, 0, 0
+	confirmed, confirmedAfter, runningTasks := 0, 0, 0
 	for i := range count {
 		beforeCancel(i, leader)
-		job := fmt.Sprintf("job-%d", from+i)
+		job := fmt.Sprintf("job-%d", first+i)
 		var machines []string
 		sim.withLock(func() { machines = sim.machinesRunning(job) })
-		running += len(machines)
+		runningTasks += len(machines)
 		if begun := time.Now(); sim.cancelAt(others[i%len(others)], job) {
 			confirmed++
-			if i >= before {
-				after++
+			if i >= beforeRefusal {
+				confirmedAfter++
 			}
 			if hang > 0 && i%2 == 0 {
 				for _, machine := range machines {
@@ -143,14 +145,14 @@
 			time.Sleep(100*time.Millisecond - time.Since(begun))
 		}
 	}
-	if running < count/2 || confirmed < count/2 || after < 5 {
-		sim.t.Fatalf("%d of %d ran, %d cancellations confirmed, %d of them after the refusal", running, count, confirmed, after)
+	if runningTasks < count/2 || confirmed < count/2 || confirmedAfter < 5 {
+		sim.t.Fatalf("%d tasks of %d jobs ran, %d cancellations were confirmed, %d of them after the refusal began", runningTasks, count, confirmed, confirmedAfter)
 	}
 }
 
-// Every team is at its quota when the leader changes, the machines cannot be reached, and a job
-// is cancelled while the successor reads the partition's records: the cancelled job's tasks
-// count against the team's quota until they are proven to be over (rules 6, 39, 47).
+// A team is at its quota, and a job on unreachable machines is cancelled while a new leader reads
+// the partition's records: the job's tasks count against the team's quota until they have
+// provably ended (rules 6, 39, 47).
 func TestTeamQuotaHoldsForJobsThatEndDuringATakeover(t *testing.T) {
 	t.Parallel()
 	prepare := func(sim *simulatedCluster) {
@@ -160,7 +162,7 @@
 	runConfiguredSimulation(t, 302, prepare, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		for _, id := range []string{"job-1", "job-2"} {
-			s := newJobSpec(id, 8, "red") // the whole quota
+			s := newJobSpec(id, 8, "red") // uses the whole quota
 			s.EstimateS, s.DeadlineS = 600, 0
 			sim.submit(s)
 		}
@@ -168,25 +170,25 @@
 		partition := sim.partitionOf("red")
 		leader := sim.leaderOf(partition)
 		acquired := make(chan struct{})
-		var late atomic.Bool
+		var delayRecords atomic.Bool
 		sim.withLock(func() {
 			if n := len(sim.machinesRunning("job-1")); n != 8 {
-				t.Fatalf("%d tasks run", n)
+				t.Fatalf("%d tasks of job-1 run, want 8", n)
 			}
-			out := sim.machinesRunningAnyOf("job-1")
-			sim.cut = func(_, host string) bool { return out[host] }
-			// The shared records arrive late, so that the successor waits for them after it has
-			// read those of the partition.
+			unreachable := sim.machinesRunningAnyOf("job-1")
+			sim.cut = func(_, host string) bool { return unreachable[host] }
+			// After the successor has acquired the lease, the shared records are delayed, so that
+			// it still waits for them when it has read those of the partition.
 			sim.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
-				for late.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
+				for delayRecords.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
 					time.Sleep(time.Millisecond)
 				}
 				return false
 			}
-			check := sim.state.BeforePut
+			previous := sim.state.BeforePut
 			sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
-				check(c, old, exists)
-				if c.Put == storage.LeaseKey(partition) && !late.Swap(true) {
+				previous(c, old, exists)
+				if c.Put == storage.LeaseKey(partition) && !delayRecords.Swap(true) {
 					close(acquired)
 				}
 			}
@@ -203,40 +205,43 @@
 			})
 		}
 		if successor == "" || !sim.cancelAt(successor, "job-1") {
-			t.Fatalf("no cancellation while %q loads the partition", successor)
+			t.Fatalf("no cancellation was confirmed while %q read the partition's records", successor)
 		}
-		late.Store(false)
+		delayRecords.Store(false)
 		time.Sleep(10 * time.Second)
 		sim.withLock(func() {
 			if n := len(sim.machinesRunning("job-1")); n != 8 {
-				t.Errorf("%d tasks of the cancelled job left: its machines were reached", n)
+				t.Errorf("%d tasks of the cancelled job are left, want 8: its machines were reached", n)
 			}
 		})
-		// Afterwards the other jobs start, once the leases have expired (rule 47).
+		// The other job starts once the machine leases have expired (rule 47).
 		time.Sleep(50 * time.Second)
 		sim.withLock(func() {
 			if n := len(sim.machinesRunning("job-2")); n != 8 {
-				t.Errorf("%d tasks of the next job run", n)
+				t.Errorf("%d tasks of the next job run, want 8", n)
 			}
 		})
 	})
 }
 
-// The machine of a cancelled task that cannot be stopped is deleted by the partition leader,
-// without the cluster leader and without the state store, before cancel_s is over; a machine
-// whose lease provably expires in time is kept.
+// If a cancelled task cannot be stopped, the partition leader deletes its machine within cancel_s,
+// without the cluster leader and the state store. A machine whose lease provably expires in time
+// is kept.
 func TestMachinesOfCancelledTasksAreDeletedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// takeover: the leader is killed after the cancellation, and its successor cannot know
-		// which heartbeats it answered; outage: the state store goes down as well.
+		// takeover: the leader is killed, and its successor cannot know which heartbeats it
+		// answered; outage: the state store goes down as well.
 		takeover, outage bool
-		// afterTakeover: the cancellation comes after the takeover, so that it is known which machines
-		// get no answers.
-		afterTakeover    bool
+		// afterTakeover: the cancellation follows the takeover, so that the leader knows which
+		// machines get no answers. Otherwise it precedes it.
+		afterTakeover bool
+		// inboundLost: messages to the machines are lost, but not those from them; cut: the
+		// machines cannot be reached.
 		inboundLost, cut bool
-		deleted          bool
+		// deleted: the machines must be deleted.
+		deleted bool
 	}{
 		{name: "unreachable, same leader", cut: true},
 		{name: "unreachable, same leader, state store outage", cut: true, outage: true},
@@ -257,25 +262,25 @@
 				time.Sleep(20 * time.Second)
 				partition := sim.partitionOf("green")
 				leader := sim.leaderOf(partition)
-				var on []string
+				var machines []string
 				sim.withLock(func() {
-					if on = sim.machinesRunning("job-1"); len(on) != 4 {
-						t.Fatalf("%d tasks run", len(on))
+					if machines = sim.machinesRunning("job-1"); len(machines) != 4 {
+						t.Fatalf("%d tasks of job-1 run, want 4", len(machines))
 					}
-					out := sim.machinesRunningAnyOf("job-1")
+					unreachable := sim.machinesRunningAnyOf("job-1")
 					if tc.cut {
-						sim.cut = func(_, host string) bool { return out[host] }
+						sim.cut = func(_, host string) bool { return unreachable[host] }
 					}
 					if tc.inboundLost {
-						sim.inboundLost = out
+						sim.inboundLost = unreachable
 					}
 				})
-				notices := time.Now()
+				cancelledAt := time.Now()
 				cancelJob := func() {
 					if !sim.cancelAt(sim.otherControllers(leader)[0], "job-1") {
-						t.Fatal("not cancelled")
+						t.Fatal("the cancellation of job-1 was not confirmed")
 					}
-					notices = time.Now()
+					cancelledAt = time.Now()
 				}
 				if !tc.afterTakeover {
 					cancelJob()
@@ -295,26 +300,26 @@
 				if tc.outage {
 					sim.setOutage(true)
 				}
-				missing := func() (deletedCount int) {
+				countDeleted := func() (deletedCount int) {
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
-					for _, m := range on {
+					for _, m := range machines {
 						if sim.cloud.Machines[m] == nil {
 							deletedCount++
 						}
 					}
 					return deletedCount
 				}
-				time.Sleep(time.Until(notices.Add(30 * time.Second)))
-				if deletedCount := missing(); tc.takeover && deletedCount > 0 {
-					t.Errorf("%d machines deleted though there was time to stop what is on them", deletedCount)
+				time.Sleep(time.Until(cancelledAt.Add(30 * time.Second)))
+				if deletedCount := countDeleted(); tc.takeover && deletedCount > 0 {
+					t.Errorf("%d machines were deleted while there was time to stop their tasks", deletedCount)
 				}
-				time.Sleep(time.Until(notices.Add(43 * time.Second)))
-				deletedCount := missing()
-				// Under the same partition leader the cluster leader deletes lost machines over
-				// time.
-				if tc.deleted && deletedCount != len(on) || !tc.deleted && tc.outage && deletedCount > 0 {
-					t.Errorf("%d of %d machines deleted within cancel_s", deletedCount, len(on))
+				time.Sleep(time.Until(cancelledAt.Add(43 * time.Second)))
+				deletedCount := countDeleted()
+				// Without an outage, the cluster leader may have deleted lost machines, also
+				// where the partition leader keeps them.
+				if tc.deleted && deletedCount != len(machines) || !tc.deleted && tc.outage && deletedCount > 0 {
+					t.Errorf("%d of %d machines were deleted within cancel_s", deletedCount, len(machines))
 				}
 				if sim.leaderOf(partition) == "" && !tc.outage {
 					t.Error("the partition has no leader")
@@ -327,10 +332,10 @@
 	}
 }
 
-// A leader whose requests the state store refuses learns of cancellations from notices of its
-// peers and stops the tasks at once; without notices, a delegate that knows of the cancellation
-// does so for the machines that send their heartbeats to it (rule 43). The cancellation bound
-// is not needed for either.
+// A leader whose requests the state store refuses learns of cancellations from its peers' notices
+// and stops the tasks at once. Without notices, a delegate that knows of the cancellation stops
+// the tasks of the machines that send their heartbeats to it (rule 43). Neither waits for the
+// cancellation bound.
 func TestNoticesAndDelegatesStopCancelledTasks(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -362,24 +367,24 @@
 				}
 				sim.withLock(func() { sim.suppressNotices = tc.noNotices })
 				if delegated, direct = count(); delegated == 0 || direct == 0 {
-					t.Fatalf("%d tasks on delegated machines, %d on the leader's", delegated, direct)
+					t.Fatalf("%d tasks on delegated machines, %d on the leader's, want some on both", delegated, direct)
 				}
 				sim.setStateServiceRefusal(leader, true)
 				for _, id := range []string{"job-0", "job-1"} {
 					if !sim.cancelAt(sim.otherControllers(leader)[0], id) {
-						t.Fatal("not cancelled")
+						t.Fatalf("the cancellation of %s was not confirmed", id)
 					}
 				}
-				time.Sleep(1800 * time.Millisecond) // the leader's lease is still valid
+				time.Sleep(1800 * time.Millisecond) // the leader's lease remains valid
 				if sim.leaderOf(partition) != leader {
-					t.Fatal("the partition changed its leader")
+					t.Fatal("the partition leader changed")
 				}
-				carriedNow, directNow := count()
-				if carriedNow > 0 || !tc.noNotices && directNow > 0 {
-					t.Errorf("%d and %d of %d and %d tasks left after 1.8 s", carriedNow, directNow, delegated, direct)
+				delegatedLeft, directLeft := count()
+				if delegatedLeft > 0 || !tc.noNotices && directLeft > 0 {
+					t.Errorf("tasks left after 1.8 s: %d on delegated machines, %d on the leader's; before: %d and %d", delegatedLeft, directLeft, delegated, direct)
 				}
-				if tc.noNotices && directNow == 0 {
-					t.Error("the leader knew without a notice")
+				if tc.noNotices && directLeft == 0 {
+					t.Error("the leader stopped its tasks without a notice")
 				}
 				sim.setStateServiceRefusal(leader, false)
 				sim.withLock(func() { sim.suppressNotices = false })
@@ -389,7 +394,8 @@
 	}
 }
 
-// A cancellation notice carries how long the job has been cancelled, and is applied once.
+// A cancellation notice says how long ago the job was cancelled. Later notices about the same job
+// change nothing.
 func TestCancellationNoticesCarryTheirAge(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -400,16 +406,16 @@
 		time.Sleep(3 * time.Second)
 		c.jobs.ApplyCancellationNotices(&peer.Summary{Cancelled: []*peer.CancelledJob{{Job: "job-1", AgeMs: 500}}}, time.Now())
 		if at := c.Cancellations.CancelledAt("job-1"); begun.Sub(at) != 7*time.Second || len(c.FinalStates) != 1 {
-			t.Errorf("cancelled %s before the notice arrived, %d final states", begun.Sub(at), len(c.FinalStates))
+			t.Errorf("cancelled %s before the notice arrived, %d final states; want 7 s and 1", begun.Sub(at), len(c.FinalStates))
 		}
 		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != 1 || notices[0].AgeMs != 10_000 {
-			t.Errorf("notices passed on: %v", notices)
+			t.Errorf("notices to pass on: %v, want one with an age of 10 s", notices)
 		}
 		for i := range c.Cancellations.Limit + 10 {
 			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusCancelled, time.Now())
 		}
 		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != c.Cancellations.Limit || notices[0].Job != "job-1" {
-			t.Errorf("%d notices at a time", len(notices))
+			t.Errorf("%d notices to pass on, want as many as the limit, job-1 first", len(notices))
 		}
 		if time.Sleep(c.CancelBound + time.Second); len(c.Cancellations.Recent(time.Now(), c.CancelBound)) != 0 {
 			t.Error("notices never expire")
@@ -417,15 +423,15 @@
 	})
 }
 
-// A cancellation that the leader has not seen yet, since its watch delivers nothing and it
-// receives no notice, still prevents waiting tasks from being started: its record is a
-// condition of every start's transaction (rule 17).
+// A cancellation prevents waiting tasks from starting even if the leader has not seen it, since
+// its watch delivers nothing and it receives no notice: every transaction that starts a task
+// requires that no cancellation is recorded (rule 17).
 func TestNoStartAfterACancellationUnseenByTheLeader(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 305, configureLongAnswerBound, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		sim.withLock(func() {
-			sim.cloud.Capacity = 2 // four tasks at a time
+			sim.cloud.Capacity = 2 // for four tasks at a time
 			sim.cloud.Types = sim.cloud.Types[:1]
 			sim.runTime = func(string, int, string) time.Duration { return 20 * time.Second }
 		})
@@ -439,30 +445,30 @@
 		sim.withLock(func() {
 			sim.suppressNotices, sim.state.WatchesStuck = true, true
 			if len(sim.machinesRunning("job-1")) != 4 || len(sim.machinesRunning("job-2")) != 0 {
-				t.Fatalf("%d and %d tasks run", len(sim.machinesRunning("job-1")), len(sim.machinesRunning("job-2")))
+				t.Fatalf("%d tasks of job-1 and %d of job-2 run, want 4 and 0", len(sim.machinesRunning("job-1")), len(sim.machinesRunning("job-2")))
 			}
 		})
 		if !sim.cancelAt(sim.otherControllers(leader)[0], "job-2") {
-			t.Fatal("not cancelled")
+			t.Fatal("the cancellation of job-2 was not confirmed")
 		}
 		unseen := false
-		for range 150 { // meanwhile the first job ends and frees its machines
+		for range 150 { // 15 s, in which the first job ends and frees its machines
 			time.Sleep(100 * time.Millisecond)
 			sim.onController(leader, func(c *Controller) {
 				sim.withLock(func() {
-					if len(sim.jobs["job-1"].tasksDone) == 0 { // until the machines are free
+					if len(sim.jobs["job-1"].tasksDone) == 0 { // the machines are not free yet
 						unseen = c.FinalStates["job-2"] == ""
 					}
 				})
 			})
 			sim.withLock(func() {
 				if n := len(sim.machinesRunning("job-2")); n > 0 {
-					t.Fatalf("%d tasks of a cancelled job started", n)
+					t.Fatalf("%d tasks of the cancelled job started", n)
 				}
 			})
 		}
 		if !unseen {
-			t.Error("the leader knew of the cancellation before there was capacity")
+			t.Error("the leader knew of the cancellation before a machine was free")
 		}
 		sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = false, false })
 		time.Sleep(5 * time.Second)
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -31,6 +31,8 @@
 	return protocol.Encode(m)
 }
 
+// A submission with invalid dependencies is refused by every controller; one with valid
+// dependencies is accepted.
 func TestValidationOfDependencies(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 30, func(sim *simulatedCluster) {
@@ -78,7 +80,7 @@
 				}
 				resp := sim.sendRequest(label, "POST", "/submissions", submissionWithField(s, "waits_on", tc.value))
 				if resp.Status != tc.want {
-					t.Errorf("%s at %s: %d %q, want %d", tc.name, label, resp.Status, resp.Body, tc.want)
+					t.Errorf("dependencies %s at %s: status %d %q, want %d", tc.name, label, resp.Status, resp.Body, tc.want)
 				}
 				if tc.name == "too many to record" && !strings.Contains(string(resp.Body), "8192") {
 					t.Errorf("the answer %q does not name the limit", resp.Body)
@@ -86,27 +88,28 @@
 				// A repeated submission of a known job gets its status, whatever the body.
 				if tc.want != 201 {
 					if resp := sim.sendRequest(label, "POST", "/submissions", submissionWithField(newJobSpec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
-						t.Errorf("repeat with %s at %s: %d", tc.name, label, resp.Status)
+						t.Errorf("repeated submission with dependencies %s at %s: status %d, want 200", tc.name, label, resp.Status)
 					}
 				}
 			}
 		}
-		// A job accepted by one controller a moment ago is named to another whose watch lags.
+		// A job that one controller has just accepted is named as a dependency at another
+		// controller, whose watch lags.
 		for i := range 6 {
 			a, b := fmt.Sprintf("job-5%d", i), fmt.Sprintf("job-6%d", i)
 			if r := sim.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
-				t.Fatal(r.Status)
+				t.Fatalf("the submission of the dependency got status %d, want 201", r.Status)
 			}
 			if r := sim.sendRequest(allControllers[(i+1)%3], "POST", "/submissions", encodeSubmission(dependentJob(b, 1, "blue", a))); r.Status != 201 {
-				t.Errorf("a job that names one accepted a moment ago: %d %q", r.Status, r.Body)
+				t.Errorf("a dependency on a job that was just accepted: status %d %q, want 201", r.Status, r.Body)
 			}
 		}
-		// A dependency that cannot be looked up is no reason for a permanent refusal.
+		// If a dependency cannot be looked up, the refusal is temporary.
 		sim.setOutage(true)
 		begun := time.Now()
 		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(dependentJob("job-70", 1, "red", "job-999")))
 		if resp.Status != 503 || resp.RetryAfter == 0 || time.Since(begun) > time.Second {
-			t.Errorf("dependency that can't be read: %d, Retry-After %d, after %s", resp.Status, resp.RetryAfter, time.Since(begun))
+			t.Errorf("a dependency that cannot be looked up: status %d, Retry-After %d, after %s; want 503 with Retry-After within 1 s", resp.Status, resp.RetryAfter, time.Since(begun))
 		}
 		sim.setOutage(false)
 		sim.cancelJob("job-2")
@@ -156,20 +159,20 @@
 	c.scheduler.Place(p, now)
 	c.scheduler.Preempt(p, now)
 	if len(j.LiveAttempts) > 0 || p.Usage[j.Team].CPUs != first.Spec.CPUs {
-		t.Errorf("%d attempts, usage %v", len(j.LiveAttempts), p.Usage[j.Team])
+		t.Errorf("the blocked job has %d attempts, its team uses %v", len(j.LiveAttempts), p.Usage[j.Team])
 	}
 	if d := c.peering.PartitionSummary(p, now).Demands; len(d) > 0 {
-		t.Errorf("demands %v", d)
+		t.Errorf("the summary has demands of a blocked job: %v", d)
 	}
 	if s := c.scheduler.Scarcity(now); s.Contested("big", 2) {
-		t.Error("machines are reserved for it")
+		t.Error("a machine type counts as contested for a blocked job")
 	}
 	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	if j.Blocked || j.ReadySince().Before(now) {
-		t.Errorf("blocked %v, ready since %s", j.Blocked, j.ReadySince())
+		t.Errorf("after its dependency is done, the job is blocked: %v, ready since %s", j.Blocked, j.ReadySince())
 	}
 	if list := c.scheduler.Queue(p); !slices.Contains(list, j) {
-		t.Error("not queued when ready")
+		t.Error("the ready job is not queued")
 	}
 }
 
@@ -185,34 +188,34 @@
 	}
 	a, b := c.addJob(plain("job-1")), c.addJob(plain("job-2", "job-1"))
 	if _, ok := a.Deadline(); ok || a.Urgency() != protocol.Low {
-		t.Error("an inherited deadline or urgency without a dependent job")
+		t.Error("a deadline or urgency is inherited from a job that has none")
 	}
 	last := plain("job-3", "job-2")
 	last.DeadlineS, last.Urgency = 60, protocol.High
 	l := c.addJob(last)
-	due := func(j *cluster.Job, left float64) {
+	expectDeadline := func(j *cluster.Job, wantS float64) {
 		t.Helper()
 		at, ok := j.Deadline()
-		if d := at.Sub(l.SubmittedAt).Seconds(); !ok || d < left-0.1 || d > left+0.1 {
-			t.Errorf("%s is needed after %v s (%v), want %v", j.Spec.ID, d, ok, left)
+		if d := at.Sub(l.SubmittedAt).Seconds(); !ok || d < wantS-0.1 || d > wantS+0.1 {
+			t.Errorf("%s has its deadline after %v s (set: %v), want %v s", j.Spec.ID, d, ok, wantS)
 		}
 		if j.Urgency() != protocol.High {
 			t.Errorf("%s has urgency %d", j.Spec.ID, j.Urgency())
 		}
 	}
-	due(b, 54)
-	due(a, 48)
-	// One that comes after the first has ended.
+	expectDeadline(b, 54)
+	expectDeadline(a, 48)
+	// A dependent job is added after one of its dependencies has ended.
 	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
 	c.addJob(sooner)
-	due(b, 24)
+	expectDeadline(b, 24)
 	c.jobs.SetFinal("job-4", protocol.StatusCancelled, time.Now())
-	due(b, 54)
+	expectDeadline(b, 54)
 	c.jobs.SetFinal("job-3", protocol.StatusCancelled, time.Now())
 	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
-		t.Error("the inherited deadline or urgency outlives the dependent job")
+		t.Error("an inherited deadline or urgency remains after the dependent job is cancelled")
 	}
 	c.jobs.SetFinal("job-2", protocol.StatusDone, time.Now())
 	if n := len(c.Dependencies.NodeByJob) + len(c.Dependencies.JobsToCancel); n > 0 || len(c.Dependencies.FreeNodes) != len(c.Dependencies.Nodes) {
@@ -220,7 +223,8 @@
 	}
 }
 
-// The dependency graph, changed by steps in any order, agrees with a direct computation.
+// The dependency graph, to which jobs and their ends are added in random order, agrees with a
+// direct computation.
 func TestDependencyGraphAgreesWithAModel(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -241,7 +245,7 @@
 			}
 			all[i] = &cluster.Job{Spec: s, SubmittedAt: now}
 		}
-		// A listing yields jobs in any order; final states come in between.
+		// A listing yields jobs in any order; final states arrive in between.
 		order := rng.Perm(n)
 		for len(order) > 0 || rng.IntN(20) > 0 {
 			if len(order) > 0 && rng.IntN(3) > 0 {
@@ -258,13 +262,13 @@
 				if finals[id] != "" {
 					continue
 				}
-				done, doomed := true, false
+				done, mustCancel := true, false
 				for _, d := range all[i].Spec.Dependencies {
 					done = done && finals[d] == protocol.StatusDone
-					doomed = doomed || finals[d] == protocol.StatusCancelled
+					mustCancel = mustCancel || finals[d] == protocol.StatusCancelled
 				}
 				done = done && rng.IntN(3) > 0
-				if !done && !doomed && rng.IntN(3) > 0 {
+				if !done && !mustCancel && rng.IntN(3) > 0 {
 					continue
 				}
 				finals[id] = protocol.StatusCancelled
@@ -282,11 +286,11 @@
 	}
 }
 
-// checkDependencyGraph compares what is blocked, doomed and inherited with a direct
-// computation.
+// checkDependencyGraph compares the blocked jobs, the jobs to cancel and the inherited urgencies
+// and deadlines with a direct computation.
 func checkDependencyGraph(t *testing.T, seed uint64, g *cluster.DependencyGraph, all []*cluster.Job, jobs map[string]*cluster.Job, finals map[string]string) {
 	t.Helper()
-	doomed, blocked := map[string]bool{}, map[string]bool{}
+	mustCancel, blocked := map[string]bool{}, map[string]bool{}
 	for _, j := range all { // dependencies come before dependents
 		id := j.Spec.ID
 		if jobs[id] == nil {
@@ -294,42 +298,42 @@
 		}
 		for _, d := range j.Spec.Dependencies {
 			blocked[id] = blocked[id] || finals[d] != protocol.StatusDone
-			doomed[id] = doomed[id] || finals[d] == protocol.StatusCancelled || doomed[d]
+			mustCancel[id] = mustCancel[id] || finals[d] == protocol.StatusCancelled || mustCancel[d]
 		}
 	}
-	raised, needed := map[string]protocol.Urgency{}, map[string]time.Time{}
+	inheritedUrgency, inheritedDeadline := map[string]protocol.Urgency{}, map[string]time.Time{}
 	for i := len(all) - 1; i >= 0; i-- {
 		j := all[i]
 		id := j.Spec.ID
 		if jobs[id] == nil {
 			continue
 		}
-		if j.Blocked != blocked[id] || (g.JobsToCancel[id] != nil) != doomed[id] {
-			t.Errorf("seed %d: %s blocked %v doomed %v, want %v %v", seed, id, j.Blocked, g.JobsToCancel[id] != nil, blocked[id], doomed[id])
+		if j.Blocked != blocked[id] || (g.JobsToCancel[id] != nil) != mustCancel[id] {
+			t.Errorf("seed %d: %s is blocked: %v, to be cancelled: %v, want %v and %v", seed, id, j.Blocked, g.JobsToCancel[id] != nil, blocked[id], mustCancel[id])
 		}
-		if !doomed[id] && (j.InheritedUrgency < raised[id] || !needed[id].IsZero() && (j.InheritedDeadline.IsZero() || j.InheritedDeadline.After(needed[id]))) {
-			t.Errorf("seed %d: %s raised to %d by %s, want %d %s", seed, id, j.InheritedUrgency, j.InheritedDeadline, raised[id], needed[id])
+		if !mustCancel[id] && (j.InheritedUrgency < inheritedUrgency[id] || !inheritedDeadline[id].IsZero() && (j.InheritedDeadline.IsZero() || j.InheritedDeadline.After(inheritedDeadline[id]))) {
+			t.Errorf("seed %d: %s inherits urgency %d and deadline %s, want at least %d and at latest %s", seed, id, j.InheritedUrgency, j.InheritedDeadline, inheritedUrgency[id], inheritedDeadline[id])
 		}
-		if doomed[id] {
+		if mustCancel[id] {
 			continue // a job that will be cancelled passes nothing on
 		}
-		urgency := max(j.Spec.Urgency, raised[id])
-		due := needed[id]
-		if own := j.SubmittedAt.Add(settings.Seconds(j.Spec.DeadlineS)); j.Spec.DeadlineS > 0 && (due.IsZero() || own.Before(due)) {
-			due = own
+		urgency := max(j.Spec.Urgency, inheritedUrgency[id])
+		deadline := inheritedDeadline[id]
+		if own := j.SubmittedAt.Add(settings.Seconds(j.Spec.DeadlineS)); j.Spec.DeadlineS > 0 && (deadline.IsZero() || own.Before(deadline)) {
+			deadline = own
 		}
 		for _, d := range j.Spec.Dependencies {
-			raised[d] = max(raised[d], urgency)
-			if by := due.Add(-settings.Seconds(j.Spec.EstimateS)); !due.IsZero() && (needed[d].IsZero() || by.Before(needed[d])) {
-				needed[d] = by
+			inheritedUrgency[d] = max(inheritedUrgency[d], urgency)
+			if by := deadline.Add(-settings.Seconds(j.Spec.EstimateS)); !deadline.IsZero() && (inheritedDeadline[d].IsZero() || by.Before(inheritedDeadline[d])) {
+				inheritedDeadline[d] = by
 			}
 		}
 	}
 }
 
-// All dependents of a cancelled job are cancelled in time, however deep the chain and over
-// whichever partitions, through a killed leader, an outage that ends or a low write rate; so is
-// a dependent submitted later.
+// All direct and indirect dependents of a cancelled job, in all partitions, are cancelled in
+// time, also when leaders are killed, the state store is down for a while or its write rate is
+// low. A dependent submitted later is cancelled as well.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"none", "leader killed", "all killed", "outage", "low write rate"} {
@@ -337,15 +341,15 @@
 			t.Parallel()
 			runConfiguredSimulation(t, 32, func(sim *simulatedCluster) {
 				if fault == "low write rate" {
-					writes := 12.0
-					sim.settings.Params.State.Next.WriteRPS = &writes
+					writeRate := 12.0
+					sim.settings.Params.State.Next.WriteRPS = &writeRate
 				}
 			}, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
 				sim.runTime = func(string, int, string) time.Duration { return time.Hour }
 				teams := allTeams
 				sim.submit(newJobSpec("job-0", 2, "red"))
-				sim.submit(newJobSpec("job-500", 1, "blue")) // not cancelled
+				sim.submit(newJobSpec("job-500", 1, "blue")) // a dependency that is not cancelled
 				n := 40
 				for i := 1; i < n; i++ {
 					s := dependentJob(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
@@ -377,26 +381,26 @@
 					sim.setOutage(false)
 				}
 				sim.submit(dependentJob("job-600", 1, "blue", "job-39"))
-				// Without any poll: the partition leaders cancel on their own. The margin of 3
-				// s is for the leases of the killed controllers.
+				// The partition leaders cancel the dependents without any poll. The margin of
+				// 3 s is for the leases of the killed controllers.
 				time.Sleep(time.Until(confirmedAt.Add(settings.Seconds(sim.settings.Params.Workers.CancelS - 3))))
 				sim.mu.Lock()
 				for i := 1; i < n; i++ {
 					if _, ok := sim.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
-						t.Errorf("job-%d is not cancelled", i)
+						t.Errorf("the final state of job-%d is not recorded in time", i)
 					}
 				}
 				sim.mu.Unlock()
 				for i := 1; i < n; i++ {
 					if st := sim.poll("", fmt.Sprintf("job-%d", i)); st != protocol.StatusCancelled {
-						t.Errorf("job-%d is %q", i, st)
+						t.Errorf("job-%d has status %q, want cancelled", i, st)
 					}
 				}
 				if st := sim.poll("", "job-600"); st != protocol.StatusCancelled {
-					t.Errorf("a job submitted later is %q", st)
+					t.Errorf("a dependent submitted later has status %q, want cancelled", st)
 				}
 				if st := sim.poll("", "job-500"); st == protocol.StatusCancelled {
-					t.Error("a dependency is cancelled too")
+					t.Error("another dependency of the cancelled jobs is cancelled too")
 				}
 				sim.cancelJob("job-500")
 			})
@@ -404,24 +408,24 @@
 	}
 }
 
-// A cancellation races with a submission that names its job, or with the completion of its job:
-// whichever wins, the dependents follow the answer.
+// The cancellation of a job races with the submission of a dependent job or with the completion
+// of the job: the dependents must end in the status that the cancellation was answered with.
 func TestCancellationRacesWithDependentJobs(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 33, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 6 {
-			a, b, c := fmt.Sprintf("job-1%d", i), fmt.Sprintf("job-2%d", i), fmt.Sprintf("job-3%d", i)
-			sim.submit(newJobSpec(a, 1, "red"))
-			sim.submit(dependentJob(b, 1, "green", a))
+			first, earlyDependent, racingDependent := fmt.Sprintf("job-1%d", i), fmt.Sprintf("job-2%d", i), fmt.Sprintf("job-3%d", i)
+			sim.submit(newJobSpec(first, 1, "red"))
+			sim.submit(dependentJob(earlyDependent, 1, "green", first))
 			time.Sleep(time.Duration(i) * 2500 * time.Millisecond)
-			sim.group.Go(func() { sim.submit(dependentJob(c, 1, "blue", a, b)) })
+			sim.group.Go(func() { sim.submit(dependentJob(racingDependent, 1, "blue", first, earlyDependent)) })
 			time.Sleep(time.Duration(i) * time.Millisecond)
-			ended := sim.cancelJob(a)
+			answer := sim.cancelJob(first)
 			time.Sleep(30 * time.Second)
-			for _, id := range []string{b, c} {
-				if st := sim.poll("", id); st != ended {
-					t.Errorf("%s is %s, %s after it is %q", a, ended, id, st)
+			for _, id := range []string{earlyDependent, racingDependent} {
+				if st := sim.poll("", id); st != answer {
+					t.Errorf("the cancellation of %s was answered with %s, but its dependent %s has status %q", first, answer, id, st)
 				}
 			}
 		}
@@ -429,8 +433,8 @@
 	})
 }
 
-// A user may have seen a cancellation that this controller has not: a controller that has not
-// followed the records for too long does not report a dependent job as queued.
+// A controller whose records are stale does not report a dependent job as queued: the user may
+// have seen a cancellation that this controller has not.
 func TestStaleControllerRefusesStatusOfDependentJobs(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 34, func(sim *simulatedCluster) {
@@ -439,28 +443,28 @@
 		sim.submit(newJobSpec("job-1", 1, "red"))
 		sim.submit(dependentJob("job-2", 1, "blue", "job-1"))
 		time.Sleep(time.Second)
-		ask := func() int { return sim.sendRequest("n0", "GET", "/submissions/job-2", nil).Status }
-		if got := ask(); got != 200 {
-			t.Errorf("a poll gets %d", got)
+		poll := func() int { return sim.sendRequest("n0", "GET", "/submissions/job-2", nil).Status }
+		if got := poll(); got != 200 {
+			t.Errorf("a poll gets status %d, want 200", got)
 		}
-		n := sim.controllers["n0"].controller
+		c := sim.controllers["n0"].controller
 		sim.withLock(func() { sim.state.WatchesStuck = true })
-		n.loop.Do(func() { n.RecordsCurrentAt = time.Now().Add(-n.api.StaleLimit() - time.Second) })
-		if got := ask(); got != 503 {
-			t.Errorf("a poll of a stale controller gets %d", got)
+		c.loop.Do(func() { c.RecordsCurrentAt = time.Now().Add(-c.api.StaleLimit() - time.Second) })
+		if got := poll(); got != 503 {
+			t.Errorf("a poll at a stale controller gets status %d, want 503", got)
 		}
 		sim.withLock(func() { sim.state.WatchesStuck = false })
 		time.Sleep(15 * time.Second)
-		if got := ask(); got != 200 {
-			t.Errorf("a poll gets %d after the watch went on", got)
+		if got := poll(); got != 200 {
+			t.Errorf("a poll gets status %d after the watch resumed, want 200", got)
 		}
 		sim.cancelJob("job-1")
 		sim.waitForAllJobs(time.Minute)
 	})
 }
 
-// Machine names may be long: a record that would exceed the lower limit takes fewer attempts at
-// a time, and all tasks run in the end.
+// With long machine names, a run record that would exceed the lower value limit holds fewer
+// attempts at a time, and all tasks still run.
 func TestRunRecordsStayBelowTheLowerLimit(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 35, func(sim *simulatedCluster) {
@@ -473,14 +477,14 @@
 		s.CPUs = 1
 		sim.submit(s)
 		sim.waitForAllJobs(8 * time.Minute)
-		if most := sim.state.Largest["r"]; most < 1500 {
-			t.Errorf("the largest run record has %d bytes: nothing was tried", most)
+		if largest := sim.state.Largest["r"]; largest < 1500 {
+			t.Errorf("the largest run record has %d bytes, too few to come near the limit", largest)
 		}
 	})
 }
 
-// A limit that was not announced makes batches smaller; a write that is too large by itself
-// does not block the others.
+// When the state store applies lower limits without announcing them, batches become smaller, and
+// a write that is too large by itself does not block the others.
 func TestUnannouncedLimitsShrinkBatches(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 36, func(sim *simulatedCluster) {
@@ -495,13 +499,13 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if n := sim.state.RefusedSize; n == 0 || n > 60 {
-			t.Errorf("%d transactions refused for their size", n)
+			t.Errorf("%d transactions were refused for their size, want 1 to 60", n)
 		}
 	})
 }
 
-// A job accepted before an unannounced limit fell is still known to a controller that has not
-// seen its record.
+// A repeated submission of a job that exceeds a value limit lowered since is still recognized by
+// a controller that has not seen its record.
 func TestRepeatedSubmissionAboveAnUnannouncedLimit(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 38, func(sim *simulatedCluster) {
@@ -511,15 +515,15 @@
 		// The watches of the other controllers deliver nothing.
 		sim.withLock(func() { sim.state.WatchesStuck = true })
 		if got := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
-			t.Fatal(got)
+			t.Fatalf("the first submission gets status %d, want 201", got)
 		}
 		sim.withLock(func() { sim.state.HiddenValue = 300 })
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 200 {
-			t.Errorf("a repeat gets %d", got)
+			t.Errorf("the repeated submission gets status %d, want 200", got)
 		}
 		s.ID = "job-2"
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
-			t.Errorf("another of its size gets %d", got)
+			t.Errorf("another job of its size gets status %d, want 422", got)
 		}
 		sim.withLock(func() { sim.state.WatchesStuck, sim.state.HiddenValue = false, 0 })
 		sim.withLock(func() { sim.jobs["job-1"] = newSubmittedJob(newJobSpec("job-1", 1, "red")) })
@@ -527,13 +531,13 @@
 	})
 }
 
-// The write rate limit falls: few transactions are refused, and all jobs end.
+// When the write rate limit falls, few transactions are refused and all jobs end.
 func TestWriteRateFollowsTheLowerLimit(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 37, func(sim *simulatedCluster) {
 		sim.settings.Params.State.WriteRPS = 40
-		writes := 15.0
-		sim.settings.Params.State.Next.WriteRPS = &writes
+		writeRate := 15.0
+		sim.settings.Params.State.Next.WriteRPS = &writeRate
 	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
@@ -548,13 +552,13 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if n := sim.state.RefusedRate; n > 60 {
-			t.Errorf("%d of %d transactions refused", n, sim.state.Changes)
+			t.Errorf("%d transactions were refused for the write rate, want at most 60 (%d changes were within it)", n, sim.state.Changes)
 		}
 	})
 }
 
-// The image fetches of all stages of a pipeline add up: there even a short fetch is avoided by
-// placing the job where a machine has the image.
+// Image fetches add up over the stages of a pipeline, so a job of a pipeline is placed on a
+// machine that has its image even if the fetch would be short.
 func TestPipelinesPreferMachinesWithTheImage(t *testing.T) {
 	t.Parallel()
 	for _, pipeline := range []bool{false, true} {
@@ -562,7 +566,7 @@
 		busy := c.addMachine(p, "m-1", "big")
 		busy.Images["img"] = time.Now()
 		c.addMachine(p, "m-2", "big")
-		// Two tasks run there, so that its contention is higher.
+		// Two tasks run on m-1, so that its contention is higher.
 		other := newJobSpec("job-1", 2, "green")
 		other.Image, other.EstimateS = "other", 600
 		running := c.addJob(other)
--- a/internal/coordination/fairness_test.go
+++ b/internal/coordination/fairness_test.go
@@ -18,9 +18,8 @@
 	"micaspindle/internal/storage"
 )
 
-// Users who polled many waiting jobs used up every request that the state store allows; lease
-// renewals were refused as well, so that partitions kept changing hands
-// (docs/incidents/night-flood.md).
+// Polls of many waiting jobs must not use up the request limit of the state store: lease renewals
+// would be refused, and partitions would change leaders (docs/incidents/night-flood.md).
 func TestPollLoadDoesNotCostPartitionLeases(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 51, func(sim *simulatedCluster) {
@@ -41,7 +40,7 @@
 		}
 		before, answered, polled := leaseVersions(), 0, 0
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
-			for i := range jobs / 2 { // 150 polls a second, of 60 requests allowed
+			for i := range jobs / 2 { // 150 polls a second, where 60 requests are allowed
 				sim.group.Go(func() {
 					st := sim.poll(fmt.Sprintf("n%d", i%3), fmt.Sprintf("job-%d", i))
 					sim.mu.Lock()
@@ -54,44 +53,45 @@
 		}
 		time.Sleep(5 * time.Second)
 		if now := leaseVersions(); now != before {
-			t.Errorf("leases changed hands: %s, then %s", before, now)
+			t.Errorf("leases were acquired anew: versions %s, then %s", before, now)
 		}
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if answered < polled*95/100 {
-			t.Errorf("%d of %d polls answered", answered, polled)
+			t.Errorf("%d of %d polls were answered, want at least 95%%", answered, polled)
 		}
 	})
 }
 
-// loadSurge is one class's or team's work arriving several times as often as the rest.
+// loadSurge makes the jobs of one class or team arrive several times as often as usual.
 type loadSurge struct {
 	class, team string // empty: any
-	times       int
+	multiplier  int
 }
 
 // factor returns how many times as often the jobs of a class and team arrive.
-func (f loadSurge) factor(class, team string) int {
-	if (f.class == "" || f.class == class) && (f.team == "" || f.team == team) {
-		return f.times
+func (surge loadSurge) factor(class, team string) int {
+	if (surge.class == "" || surge.class == class) && (surge.team == "" || surge.team == team) {
+		return surge.multiplier
 	}
 	return 1
 }
 
-// groupOutcome counts the jobs of a class or team.
+// groupOutcome counts the jobs of a class or team, and those of which all tasks have started or
+// are done.
 type groupOutcome struct{ jobs, started, done int }
 
-// configureSurgeCluster sets up a fleet in which the large class fits one machine type only;
-// about a third of the fleet is in use without a surge.
+// configureSurgeCluster configures a fleet in which the large class fits only one machine type.
+// Without a surge, about a third of the fleet is in use.
 func configureSurgeCluster(sim *simulatedCluster) {
 	sim.cloud.Capacity, sim.cloud.ByType = 22, map[string]int{"small": 12, "big": 10}
 	sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
 	sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 }
 
-// runLoadSurge submits work with a surge for a number of seconds while leaders are killed,
-// waits, and returns the outcome of each class and team.
-func runLoadSurge(sim *simulatedCluster, f loadSurge, surgeS, waitS int) map[string]*groupOutcome {
+// runLoadSurge submits jobs with a surge of surgeS seconds while leaders are killed, waits for
+// waitS seconds, and returns the outcome of each class and team.
+func runLoadSurge(sim *simulatedCluster, surge loadSurge, surgeS, waitS int) map[string]*groupOutcome {
 	groups := map[string]*groupOutcome{}
 	started := map[string]map[int]bool{}
 	sim.mu.Lock()
@@ -104,9 +104,9 @@
 	}
 	sim.mu.Unlock()
 	time.Sleep(2 * time.Second)
-	next := 0
+	nextJob := 0
 	submit := func(class, team string) {
-		s := newJobSpec(fmt.Sprintf("job-%d", next), 8, team)
+		s := newJobSpec(fmt.Sprintf("job-%d", nextJob), 8, team)
 		s.Class, s.MemGB, s.Image = class, 1, "img-"+class
 		switch class {
 		case "urgent":
@@ -116,16 +116,16 @@
 		case "small":
 			s.Urgency, s.CPUs, s.Tasks, s.DeadlineS, s.EstimateS = protocol.Low, 1, 4, 0, 5
 		}
-		next++
+		nextJob++
 		sim.group.Go(func() { sim.submit(s) })
 	}
-	const begins = 20
-	for second := range begins + surgeS {
+	const surgeStartS = 20
+	for second := range surgeStartS + surgeS {
 		for i, class := range []string{"urgent", "large", "small"} {
 			team := sim.settings.Params.Teams[(second+i)%len(sim.settings.Params.Teams)].Name
 			n := 1
-			if second >= begins {
-				n = f.factor(class, team)
+			if second >= surgeStartS {
+				n = surge.factor(class, team)
 			}
 			if second%2 == 0 {
 				for range n {
@@ -146,7 +146,7 @@
 	defer sim.mu.Unlock()
 	for id, submitted := range sim.jobs {
 		if submitted.acceptedAt.IsZero() || time.Since(submitted.acceptedAt) < 45*time.Second {
-			continue // too new to be expected to run
+			continue // accepted too recently to be expected to run
 		}
 		for _, group := range []string{"class " + submitted.spec.Class, "team " + submitted.spec.Team} {
 			g := groups[group]
@@ -166,20 +166,21 @@
 	return groups
 }
 
-// Half of every class and of every team is served, whichever surges.
+// After a load surge of any class or team, at least half of the jobs of each class and team have
+// run.
 func TestHalfOfEachGroupIsServedDuringALoadSurge(t *testing.T) {
 	t.Parallel()
-	for seed, f := range []loadSurge{{"urgent", "", 4}, {"urgent", "", 10}, {"urgent", "", 30}, {"large", "", 4}, {"large", "", 10},
+	for seed, surge := range []loadSurge{{"urgent", "", 4}, {"urgent", "", 10}, {"urgent", "", 30}, {"large", "", 4}, {"large", "", 10},
 		{"small", "", 10}, {"small", "", 30}, {"", "red", 10}, {"", "green", 10}, {"", "green", 30}} {
-		t.Run(fmt.Sprintf("%s%s by %d, seed %d", f.class, f.team, f.times, seed), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s%s by %d, seed %d", surge.class, surge.team, surge.multiplier, seed), func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, uint64(300+seed), configureSurgeCluster, func(sim *simulatedCluster) {
-				groups := runLoadSurge(sim, f, 60, 180+6*f.times) // the time that a fleet of this size needs for it
+				groups := runLoadSurge(sim, surge, 60, 180+6*surge.multiplier) // long enough for the fleet to run the jobs
 				for _, name := range slices.Sorted(maps.Keys(groups)) {
 					g := groups[name]
-					t.Logf("%s: of %d jobs %.2f started, %.2f done", name, g.jobs, float64(g.started)/float64(g.jobs), float64(g.done)/float64(g.jobs))
+					t.Logf("%s: %d jobs, a share of %.2f started, %.2f done", name, g.jobs, float64(g.started)/float64(g.jobs), float64(g.done)/float64(g.jobs))
 					if 2*g.started < g.jobs || 2*g.done < g.jobs {
-						t.Errorf("%s: of %d jobs %d started, %d done", name, g.jobs, g.started, g.done)
+						t.Errorf("%s: of %d jobs, %d started and %d are done, want at least half of each", name, g.jobs, g.started, g.done)
 					}
 				}
 			})
@@ -187,41 +188,42 @@
 	}
 }
 
-// The same while the surge lasts: starved groups do not have to wait for its end.
+// While a load surge lasts, at least half of the jobs of a starved group start: they do not wait
+// for the end of the surge.
 func TestEndlessLoadSurgeLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
-	for seed, c := range []struct {
+	for seed, tc := range []struct {
 		loadSurge
-		what  string
-		limit float64 // CPU quota of team red
-		needy string
+		name         string
+		quota        float64 // CPU quota of team red
+		starvedGroup string
 	}{
 		{loadSurge{"urgent", "", 30}, "machines", 400, "class large"},
 		{loadSurge{"urgent", "red", 60}, "a team's limit", 256, "class large"},
 		{loadSurge{"", "green", 30}, "one team", 400, "team blue"},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			prepare := func(sim *simulatedCluster) {
 				configureSurgeCluster(sim)
-				sim.settings.Params.Teams[0].CPUsMax = c.limit
-				if c.limit < 400 {
+				sim.settings.Params.Teams[0].CPUsMax = tc.quota
+				if tc.quota < 400 {
 					sim.settings.Params.Teams = sim.settings.Params.Teams[:1]
 				}
 			}
 			runConfiguredSimulation(t, uint64(400+seed), prepare, func(sim *simulatedCluster) {
-				g := runLoadSurge(sim, c.loadSurge, 150, 0)[c.needy]
-				t.Logf("%s: of %d jobs %d started, %d done", c.needy, g.jobs, g.started, g.done)
+				g := runLoadSurge(sim, tc.loadSurge, 150, 0)[tc.starvedGroup]
+				t.Logf("%s: of %d jobs, %d started and %d are done", tc.starvedGroup, g.jobs, g.started, g.done)
 				if 2*g.started < g.jobs {
-					t.Errorf("%s: of %d jobs %d started", c.needy, g.jobs, g.started)
+					t.Errorf("%s: of %d jobs, %d started, want at least half", tc.starvedGroup, g.jobs, g.started)
 				}
 			})
 		})
 	}
 }
 
-// Completed jobs are counted from the records, once each, so that a controller that starts or
-// lists them again has the same counts as one that saw them end.
+// Completed jobs are counted from the records, each once, so that a controller that starts later
+// or lists the records again has the same counts as one that saw the jobs end.
 func TestCompletedJobsAreCountedFromTheRecords(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -248,7 +250,7 @@
 			p := c.Partitions[c.TeamPartition[c.TeamIndex["red"]]]
 			for _, g := range []int{cluster.TeamGroup(c.TeamIndex["red"]), c.scheduler.ClassGroups["c"]} {
 				if got := p.DoneTallies[g].Value(now); math.Abs(got-want) > 0.01 {
-					t.Errorf("%s: %v of group %d done, want %v", what, got, g, want)
+					t.Errorf("%s: %v completed jobs of group %d, want %v", what, got, g, want)
 				}
 			}
 		}
@@ -264,8 +266,8 @@
 	})
 }
 
-// The cluster leader scales out for the first demands, and sees only the head of a long
-// backlog: starved groups must be in it, without filling it.
+// The cluster leader sees only the first demands of a long backlog and scales out for these: they
+// must include demands of starved groups, but not only those.
 func TestDemandsOfStarvedGroupsComeFirst(t *testing.T) {
 	t.Parallel()
 	starvedMax := peering.DemandsMin / peering.StarvedDemandsShare
@@ -276,19 +278,19 @@
 	for range 100 {
 		list = append(list, &cluster.Job{ClassGroup: 8, Pending: []int{1}})
 	}
-	f := &cluster.FairShareState{}
-	if got := f.StarvedFirst(list, starvedMax); !slices.Equal(got, list) {
-		t.Error("reordered though no group is starved")
+	state := &cluster.FairShareState{}
+	if got := state.StarvedFirst(list, starvedMax); !slices.Equal(got, list) {
+		t.Error("jobs are reordered though no group is starved")
 	}
-	f.Shares = make([]float64, 9)
-	f.Shares[8] = 0.1
-	got := f.StarvedFirst(list, starvedMax)
+	state.Shares = make([]float64, 9)
+	state.Shares[8] = 0.1
+	got := state.StarvedFirst(list, starvedMax)
 	if len(got) != len(list) {
-		t.Fatalf("%d jobs of %d", len(got), len(list))
+		t.Fatalf("%d of %d jobs are returned", len(got), len(list))
 	}
 	for i, j := range got {
 		if i < 340 && (j.ClassGroup == 8) != (i < starvedMax) {
-			t.Fatalf("class %d at %d", j.ClassGroup, i)
+			t.Fatalf("a job of class group %d is at position %d", j.ClassGroup, i)
 		}
 	}
 }
--- a/internal/coordination/invalid_requests_test.go
+++ b/internal/coordination/invalid_requests_test.go
@@ -14,31 +14,32 @@
 	"micaspindle/internal/transport"
 )
 
-// submissionFields returns a submission as a map, to be altered.
+// submissionFields returns the fields of an encoded submission.
 func submissionFields(s *protocol.JobSpec) map[string]any {
 	var m map[string]any
 	panicOnError(msgpack.Unmarshal(encodeSubmission(s), &m))
 	return m
 }
 
-// encodeFields returns a submission with the given fields.
+// encodeFields encodes a submission with the given fields.
 func encodeFields(m map[string]any) []byte {
 	b, err := msgpack.Marshal(m)
 	panicOnError(err)
 	return b
 }
 
-// invalidSubmissions returns submissions of one id that must not be accepted, with the status
-// that a controller gives that knows the machine types.
+// invalidSubmissions returns, by description, submissions of a job that must not be accepted, and
+// the status with which a controller that knows the machine types refuses them.
 func invalidSubmissions(id string) map[string]struct {
 	body []byte
 	want int
 } {
-
 	invalid := map[string]struct {
 		body []byte
 		want int
 	}{}
+	// add adds a submission. It calls change twice: with a nil map before the job is encoded, and
+	// with the encoded fields.
 	add := func(name string, want int, change func(s *protocol.JobSpec, m map[string]any)) {
 		s := newJobSpec(id, 2, "red")
 		change(s, nil)
@@ -108,16 +109,16 @@
 	return invalid
 }
 
-// A submission that is invalid or cannot run is accepted by no controller, also while one of
-// them does not know the machine types yet or is cut off; a repeated submission of a known job
-// gets its status whatever the body (rule 14).
+// No controller accepts a submission that is invalid or that no machine can run, also while the
+// controller does not know the machine types yet or is cut off. A repeated submission of a known
+// job gets its status, whatever the body (rule 14).
 func TestInvalidSubmissionsAreRefused(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 620, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		sim.submit(newJobSpec("job-1", 1, "green"))
-		// A controller that starts while the cloud is unreachable and the catalogue is not
-		// recorded knows no machine types.
+		// A controller that starts while the cloud is unreachable and no catalog of machine types
+		// is recorded knows no machine types.
 		sim.withLock(func() {
 			delete(sim.state.Items, storage.CatalogKey)
 			sim.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
@@ -128,11 +129,11 @@
 		types := -1
 		sim.onController("n2", func(c *Controller) { types = len(c.Catalog) })
 		if types != 0 {
-			t.Fatalf("n2 knows %d machine types", types)
+			t.Fatalf("n2 knows %d machine types, want 0", types)
 		}
 		check := func(name, label string, body []byte, want ...int) {
 			if resp := sim.sendRequest(label, "POST", "/submissions", body); !slices.Contains(want, resp.Status) {
-				t.Errorf("%s at %s: %d, want %v", name, label, resp.Status, want)
+				t.Errorf("%s at %s: status %d, want %v", name, label, resp.Status, want)
 			}
 		}
 		invalid, known := invalidSubmissions("job-2"), invalidSubmissions("job-1")
@@ -140,7 +141,7 @@
 			submission := invalid[name]
 			check(name, "n0", submission.body, submission.want)
 			check(name, "n1", submission.body, submission.want)
-			// Without the machine types it cannot refuse with 422 what fits none.
+			// Without the machine types it may answer 503 to a job that fits none of them.
 			check(name, "n2", submission.body, submission.want, 503)
 			if submission.want == 400 {
 				check(name, "n2", submission.body, 400)
@@ -151,34 +152,34 @@
 				}
 			}
 		}
-		// Nor while a controller is cut off from the state store and its peers.
+		// A controller that is cut off from the state store and its peers accepts none either.
 		sim.withLock(func() {
 			sim.cut = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
 		})
 		for _, name := range []string{"without gpus", "larger than any type", "unknown team"} {
 			resp := sim.sendRequest("n1", "POST", "/submissions", invalid[name].body)
 			if resp.Status == 200 || resp.Status == 201 {
-				t.Errorf("%s at a controller that is cut off: %d", name, resp.Status)
+				t.Errorf("%s accepted at a controller that is cut off: status %d", name, resp.Status)
 			}
 		}
-		// A repeated submission of a known job must not be refused there either.
+		// That controller must not refuse a repeated submission of a known job as invalid.
 		body := known["without gpus"].body
 		if resp := sim.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
-			t.Errorf("repeat of a known job at a controller that is cut off: %d", resp.Status)
+			t.Errorf("repeated submission refused at a controller that is cut off: status %d", resp.Status)
 		}
 		sim.withLock(func() { sim.cut = nil })
 		time.Sleep(5 * time.Second)
 		for _, label := range allControllers {
 			if resp := sim.sendRequest(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
-				t.Errorf("the invalid job is known at %s: %d", label, resp.Status)
+				t.Errorf("the invalid job is known at %s: status %d, want 404", label, resp.Status)
 			}
 		}
 		sim.waitForAllJobs(time.Minute)
 	})
 }
 
-// Users repeat submissions of unfinished jobs, cancel jobs that are done and send invalid ones,
-// at all controllers, while the leader is killed and the state store answers late.
+// Users repeat the submission of an unfinished job, cancel a done job and send invalid submissions
+// at all controllers, while the leader is killed and the state store answers late or is down.
 func TestInvalidRequestsUnderFaults(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 621, func(sim *simulatedCluster) {
@@ -221,12 +222,12 @@
 				}
 				accepted := resp.Status == 200 || resp.Status == 201
 				if kind == "invalid" && accepted {
-					t.Errorf("%s accepted at %s: %d", names[i%len(names)], label, resp.Status)
+					t.Errorf("%s accepted at %s: status %d", names[i%len(names)], label, resp.Status)
 				}
 				if kind == "repeat" && (resp.Status == 400 || resp.Status == 422 || resp.Status == 404) {
-					t.Errorf("repeat at %s: %d", label, resp.Status)
+					t.Errorf("repeated submission refused at %s: status %d", label, resp.Status)
 				}
-				if outcomes[kind+" refused"]++; accepted {
+				if outcomes[kind+" answered"]++; accepted {
 					outcomes[kind+" accepted"]++
 				}
 			}
@@ -234,14 +235,14 @@
 				var st protocol.JobStatus
 				panicOnError(protocol.Decode(resp.Body, &st))
 				if st.Status != protocol.StatusDone {
-					t.Errorf("a done job has status %s", st.Status)
+					t.Errorf("the cancellation of a done job is answered with status %s", st.Status)
 				}
-				outcomes["cancelled though done"]++
+				outcomes["cancellation of a done job answered"]++
 			}
 			time.Sleep(150 * time.Millisecond)
 		}
-		if outcomes["repeat accepted"] < 20 || outcomes["invalid refused"] < 60 || outcomes["cancelled though done"] < 60 {
-			t.Errorf("too few requests: %v", outcomes)
+		if outcomes["repeat accepted"] < 20 || outcomes["invalid answered"] < 60 || outcomes["cancellation of a done job answered"] < 60 {
+			t.Errorf("too few requests were answered: %v", outcomes)
 		}
 		sim.waitForAllJobs(2 * time.Minute)
 	})
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -17,8 +17,8 @@
 	"micaspindle/internal/transport"
 )
 
-// completesJob reports whether a message to the state store is the transaction that records a
-// job as done.
+// completesJob reports whether a request to the state store is the transaction that records a job
+// as done.
 func completesJob(host, target string, body []byte, job string) bool {
 	if host != "state" || target != "/commit" {
 		return false
@@ -31,9 +31,8 @@
 	})
 }
 
-// A cancellation, a status request and a repeated submission at every controller race with the
-// end of a job's last task, without any other fault, at each step of its commit: the answers
-// are those of one linearizable job (rules 15, 16, 49).
+// Cancellations, polls and repeated submissions at every controller race with each step of a job's
+// completion, without other faults: the answers must be linearizable (rules 15, 16, 49).
 func TestRequestsRaceWithEachStepOfJobCompletion(t *testing.T) {
 	t.Parallel()
 	for _, step := range []string{"the task ends", "its end is reported", "the commit is sent", "the commit is done", "its response is lost", "the commit is late"} {
@@ -42,25 +41,26 @@
 				t.Parallel()
 				h := &requestHistory{jobs: map[string][]porcupine.Operation{}}
 				runSimulation(t, 640, func(sim *simulatedCluster) {
-					sim.runJobEndRace(h, step, delay)
+					sim.runCompletionRace(h, step, delay)
 				})
 				h.check(t)
 				if h.finals < 10 {
-					t.Errorf("only %d final answers", h.finals)
+					t.Errorf("%d answers with a final status, want at least 10", h.finals)
 				}
 			})
 		}
 	}
 }
 
-// synctestOnce is a sync.Once for functions that sleep: a goroutine that waits for one lets the
-// fake time of the bubble advance, which one that waits for a mutex does not.
+// synctestOnce is a sync.Once for functions that sleep in a synctest bubble. Its waiting callers
+// block on a channel, so that the bubble's fake time advances; it would not while they wait for a
+// mutex.
 type synctestOnce struct {
 	mu   sync.Mutex
 	done chan struct{} // nil before the first call
 }
 
-// Do calls f the first time, and waits until that call is over.
+// Do calls f if it is the first call, and otherwise waits until the first call has returned.
 func (o *synctestOnce) Do(f func()) {
 	o.mu.Lock()
 	first := o.done == nil
@@ -77,22 +77,22 @@
 	f()
 }
 
-// runJobEndRace sends requests at a step of the completion of jobs of one to three tasks.
-func (sim *simulatedCluster) runJobEndRace(h *requestHistory, step string, delay time.Duration) {
+// runCompletionRace sends requests at a step of the completion of jobs of one to three tasks.
+func (sim *simulatedCluster) runCompletionRace(h *requestHistory, step string, delay time.Duration) {
 	time.Sleep(2 * time.Second)
 	sim.setRunTime(3 * time.Second)
 	for i := range 3 {
 		s := newJobSpec(fmt.Sprintf("job-%d", i), 1+i, "green")
 		sim.withLock(func() { sim.jobs[s.ID] = newSubmittedJob(s) })
 		var once synctestOnce
-		var asking sync.WaitGroup
-		ask := func() {
+		var requests sync.WaitGroup
+		sendRequests := func() {
 			once.Do(func() {
-				for k, l := range allControllers {
-					for n, q := range []requestKind{requestCancel, requestPoll, requestSubmit} {
-						asking.Go(func() {
+				for k, label := range allControllers {
+					for n, kind := range []requestKind{requestCancel, requestPoll, requestSubmit} {
+						requests.Go(func() {
 							time.Sleep(time.Duration((k+n)%3) * time.Millisecond)
-							h.request(sim, l, q, s)
+							h.request(sim, label, kind, s)
 						})
 					}
 				}
@@ -104,17 +104,17 @@
 				h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
 				switch step {
 				case "the task ends":
-					sim.group.Go(ask)
+					sim.group.Go(sendRequests)
 				case "its end is reported":
 					sim.group.Go(func() {
 						sim.waitForCompletion(job)
-						ask()
+						sendRequests()
 					})
 				}
 			}
 			sim.onRequest = func(_, host, target string, body []byte) bool {
 				if step == "the commit is sent" && completesJob(host, target, body, s.ID) {
-					ask()
+					sendRequests()
 				}
 				return false
 			}
@@ -123,7 +123,7 @@
 					return false
 				}
 				if step == "the commit is done" || step == "its response is lost" {
-					ask()
+					sendRequests()
 				}
 				return step == "its response is lost"
 			}
@@ -135,7 +135,7 @@
 					sim.group.Go(func() {
 						sim.waitForCompletion(job)
 						time.Sleep(time.Second)
-						ask()
+						sendRequests()
 						sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 0, "" })
 					})
 				}
@@ -150,19 +150,19 @@
 				break
 			}
 		}
-		unasked := false
-		once.Do(func() { unasked = true })
-		if unasked {
+		notSent := false
+		once.Do(func() { notSent = true })
+		if notSent {
 			sim.t.Errorf("no request was sent at step %q", step)
 		}
-		asking.Wait()
+		requests.Wait()
 		h.pollAllControllers(sim, s, rand.New(rand.NewPCG(1, uint64(i))))
 		sim.withLock(func() { sim.onJobEnd, sim.onRequest, sim.onResponse = nil, nil, nil })
 	}
 	time.Sleep(10 * time.Second)
 }
 
-// waitForCompletion waits until a controller knows that a job's last task has ended.
+// waitForCompletion waits until a controller knows that a job's last task has ended, or for 5 s.
 func (sim *simulatedCluster) waitForCompletion(job string) {
 	for range 5000 {
 		known := false
@@ -179,9 +179,9 @@
 	}
 }
 
-// Jobs are cancelled as their machines hang, until just before or after the lease expires, the
-// machine would be deleted, or everything must be gone; the state store is up or down
-// meanwhile. A machine that continues must not continue their tasks (rules 12, 46).
+// Jobs are cancelled while their machines hang. The machines resume just before or after their
+// leases expire, they would be deleted, or cancel_s is over, with the state store up or down. They
+// must not resume the cancelled tasks (rules 12, 46).
 func TestCancelledTasksOfHungMachinesAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{17 * time.Second, 19 * time.Second, 33 * time.Second, 36 * time.Second, 42 * time.Second, 44 * time.Second, 60 * time.Second} {
@@ -198,7 +198,7 @@
 					time.Sleep(25 * time.Second)
 					partition := sim.partitionOf("green")
 					leader := sim.leaderOf(partition)
-					var on []string
+					var hung []string
 					for i := range 4 {
 						var machines []string
 						id := fmt.Sprintf("job-%d", i)
@@ -206,13 +206,13 @@
 						for _, m := range machines {
 							sim.hangMachine(m, hang)
 						}
-						on = append(on, machines...)
+						hung = append(hung, machines...)
 						if !sim.cancelAt(sim.otherControllers(leader)[i%2], id) {
-							t.Fatalf("%s is not cancelled", id)
+							t.Fatalf("the cancellation of %s was not confirmed", id)
 						}
 					}
-					if len(on) < 8 {
-						t.Errorf("%d machines of cancelled tasks hang", len(on))
+					if len(hung) < 8 {
+						t.Errorf("%d machines of cancelled tasks hang, want at least 8", len(hung))
 					}
 					if outage {
 						time.Sleep(time.Second)
@@ -224,7 +224,7 @@
 							for _, task := range agent.Tasks {
 								submitted := sim.jobs[task.Job]
 								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseRenewedAt) <= agent.Lease {
-									t.Errorf("%s may continue on %s", task.Name, agent.Name)
+									t.Errorf("cancelled task %s may resume on %s", task.Name, agent.Name)
 								}
 							}
 						}
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -11,17 +11,17 @@
 	"micaspindle/internal/transport"
 )
 
-// requestOperations sends an operator's request to a controller.
+// requestOperations sends a GET request to a controller as an operator does.
 func (sim *simulatedCluster) requestOperations(identityName, label, path string) transport.Response {
-	n := sim.processOf(label)
+	process := sim.processOf(label)
 	req := &transport.Request{Method: "GET", Path: path, From: "10.9.0.2:4000"}
 	if identityName != "" {
 		req.Authorization = sim.identities.authorization(identityName)
 	}
-	return n.controller.ServeOperations(sim.ctx, req)
+	return process.controller.ServeOperations(sim.ctx, req)
 }
 
-// Figures over all queues require the right to view all of them.
+// The overview and the metrics cover all queues, so they require the right to view all of them.
 func TestOperationsRequireRightsOnAllQueues(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 5, func(sim *simulatedCluster) {
@@ -34,8 +34,8 @@
 	})
 }
 
-// The overview and the metrics agree with the cluster: jobs, machines, partition leaders,
-// durations.
+// The overviews of all controllers together show every partition, its machines and its tasks, and
+// the metrics are present.
 func TestOverviewShowsTheClusterState(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 6, func(sim *simulatedCluster) { sim.operator.Operations = &settings.Operations{} }, func(sim *simulatedCluster) {
@@ -47,7 +47,7 @@
 			var v overview.View
 			panicOnError(protocol.Decode(sim.expectStatus(200, sim.requestOperations("", label, "/overview")).Body, &v))
 			if v.Controller != label || !v.Ready {
-				t.Errorf("%+v", v)
+				t.Errorf("the overview is of another controller or not ready: %+v", v)
 			}
 			led += len(v.Partitions)
 			for _, p := range v.Partitions {
@@ -59,7 +59,7 @@
 		partitions := sim.settings.Params.Count
 		sim.mu.Unlock()
 		if led != partitions || machines == 0 || tasks > 6 {
-			t.Errorf("%d partitions of %d, %d machines, %d tasks", led, partitions, machines, tasks)
+			t.Errorf("the overviews show %d partitions of %d, %d machines, %d tasks; want all partitions, some machines, at most 6 tasks", led, partitions, machines, tasks)
 		}
 		body := string(sim.requestOperations("", "n0", "/metrics").Body)
 		for _, want := range []string{"micaspindle_wait_seconds_bucket{what=\"submission\"", "micaspindle_part_machines", "micaspindle_ready 1"} {
