--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -207,7 +207,7 @@
 			}
 			for key := range sim.state.Items {
 				if strings.HasPrefix(key, audit.Prefix) && sim.state.Largest["a"] > int(sim.settings.Params.State.ValueKB*1024) {
-					t.Fatalf("the largest audit record exceeds the value limit; one of the keys is %s", key)
+					t.Fatalf("%s or another audit record exceeds the value limit", key)
 				}
 			}
 		})
@@ -253,7 +253,7 @@
 		v, err := archive.Verify(bytes.NewReader(sim.exportAudit("n2")), roots)
 		panicOnError(err)
 		if len(v.Problems) == 0 || v.Problems[0].Chain != label || v.Problems[0].Batch != 1 {
-			t.Errorf("problems reported for an altered batch: %v, want the batch first", v.Problems)
+			t.Errorf("verification with an altered batch found %v, want a problem of that batch first", v.Problems)
 		}
 		withState(func(s *state.Service) { s.Items[original.Key] = original })
 		sim.readAudit("n2")
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -169,7 +169,7 @@
 	}
 	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
 	if j.Blocked || j.ReadySince().Before(now) {
-		t.Errorf("after its dependency is done, the job is blocked: %v, ready since %s", j.Blocked, j.ReadySince())
+		t.Errorf("with its dependency done, the job has blocked = %v and is ready since %s", j.Blocked, j.ReadySince())
 	}
 	if list := c.scheduler.Queue(p); !slices.Contains(list, j) {
 		t.Error("the ready job is not queued")
@@ -223,8 +223,8 @@
 	}
 }
 
-// The dependency graph, to which jobs and their ends are added in random order, agrees with a
-// direct computation.
+// A dependency graph to which jobs and final states are added in random order agrees with a direct
+// computation.
 func TestDependencyGraphAgreesWithAModel(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -504,8 +504,8 @@
 	})
 }
 
-// A repeated submission of a job that exceeds a value limit lowered since is still recognized by
-// a controller that has not seen its record.
+// The value limit falls unannounced. A repeated submission of an accepted job that now exceeds it
+// is still recognized by a controller that has not seen the job's record.
 func TestRepeatedSubmissionAboveAnUnannouncedLimit(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 38, func(sim *simulatedCluster) {
@@ -552,7 +552,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if n := sim.state.RefusedRate; n > 60 {
-			t.Errorf("%d transactions were refused for the write rate, want at most 60 (%d changes were within it)", n, sim.state.Changes)
+			t.Errorf("%d transactions were refused for the write rate (%d changes were not), want at most 60", n, sim.state.Changes)
 		}
 	})
 }
