--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -42,30 +42,30 @@
 	sim.waitForAllJobs(time.Minute)
 }
 
-// A killed leader is replaced by its standby, whose replica knows when the attempts started;
-// running tasks continue.
+// A killed leader is replaced by its standby, whose replica contains the start times of the
+// attempts; running tasks continue.
 func TestFailoverUsesTheStandbyReplica(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		runConfiguredSimulation(t, 600+seed, configureLongJobs, func(sim *simulatedCluster) {
 			sim.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 170 * time.Millisecond)
-			lost, next := sim.leaderOf(0), sim.standbyOf(0)
-			if next == "" || next == lost {
-				t.Fatalf("seed %d: the standby of %s is %q", seed, lost, next)
+			killed, standby := sim.leaderOf(0), sim.standbyOf(0)
+			if standby == "" || standby == killed {
+				t.Fatalf("seed %d: the standby of the partition led by %s is %q", seed, killed, standby)
 			}
-			sim.killController(lost)
-			for begun := time.Now(); sim.leaderOf(0) == "" && time.Since(begun) < 10*time.Second; {
+			sim.killController(killed)
+			for killedAt := time.Now(); sim.leaderOf(0) == "" && time.Since(killedAt) < 10*time.Second; {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if now := sim.leaderOf(0); now != next {
-				t.Errorf("seed %d: %s took over, not %s", seed, now, next)
+			if leader := sim.leaderOf(0); leader != standby {
+				t.Errorf("seed %d: %s took over, want the standby %s", seed, leader, standby)
 			}
-			inherited, off := 0, time.Duration(0)
-			sim.onController(next, func(c *Controller) {
+			inherited, totalError := 0, time.Duration(0)
+			sim.onController(standby, func(c *Controller) {
 				p := c.Partitions[0]
 				if !p.WarmFailover {
-					t.Errorf("seed %d: the takeover was cold", seed)
+					t.Errorf("seed %d: the takeover did not use the standby's replica", seed)
 				}
 				for _, m := range c.Machines {
 					for _, a := range m.Attempts {
@@ -73,35 +73,35 @@
 							continue
 						}
 						sim.mu.Lock()
-						begun := time.Time{}
+						startedAt := time.Time{}
 						if agent := sim.workers[m.Name]; agent != nil {
 							for _, task := range agent.Tasks {
 								if task.Name == a.TaskName() {
-									begun = task.Ends.Add(-10 * time.Minute)
+									startedAt = task.Ends.Add(-10 * time.Minute)
 								}
 							}
 						}
 						sim.mu.Unlock()
-						late := a.ReplicatedStart.Sub(begun)
-						if begun.IsZero() || late < -time.Second || late > 3*time.Second {
-							t.Errorf("seed %d: the known start of %s is %s late", seed, a.TaskName(), late)
+						offset := a.ReplicatedStart.Sub(startedAt)
+						if startedAt.IsZero() || offset < -time.Second || offset > 3*time.Second {
+							t.Errorf("seed %d: the replicated start time of %s is %s late", seed, a.TaskName(), offset)
 						}
-						off += late.Abs()
+						totalError += offset.Abs()
 						inherited++
 					}
 				}
 			})
 			if inherited == 0 {
-				t.Fatalf("seed %d: nothing was inherited", seed)
+				t.Fatalf("seed %d: the new leader inherited no attempts", seed)
 			}
-			t.Logf("seed %d: starts of %d attempts are known within %s on average", seed, inherited, off/time.Duration(inherited))
+			t.Logf("seed %d: the replicated start times of %d attempts are off by %s on average", seed, inherited, totalError/time.Duration(inherited))
 			sim.mu.Lock()
 			starts := 0
 			for _, agent := range sim.workers {
 				starts += agent.Starts
 			}
 			sim.mu.Unlock()
-			sim.startController(lost)
+			sim.startController(killed)
 			time.Sleep(10 * time.Second)
 			sim.mu.Lock()
 			for _, agent := range sim.workers {
@@ -109,16 +109,16 @@
 			}
 			sim.mu.Unlock()
 			if starts != 0 {
-				t.Errorf("seed %d: %d tasks were restarted", seed, -starts)
+				t.Errorf("seed %d: %d tasks were started again after the takeover", seed, -starts)
 			}
 			sim.cancelLongJobs()
 		})
 	}
 }
 
-// A planned shutdown hands its partitions over first: hardly a moment without a leader, no task
-// lost, and the machines' leases count from the handover. A controller that returns gets its
-// partition back with a warm takeover.
+// A planned shutdown hands its partitions over first: they have no leader for 200 ms at most,
+// and the new leaders need not assume that the old one still answers heartbeats. A controller
+// that returns gets a partition back by a warm takeover.
 func TestPlannedShutdownHandsOverPartitions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -145,37 +145,37 @@
 				time.Sleep(time.Duration(seed%2) * time.Second) // the process may take a moment to exit
 				for _, p := range partitions {
 					if sim.leaderOf(p) == label {
-						t.Errorf("seed %d: %s leads partition %d again", seed, label, p)
+						t.Errorf("seed %d: %s acquired partition %d again while it shut down", seed, label, p)
 					}
 				}
 				sim.killController(label)
 			}()
-			begun, last := time.Now(), time.Now()
-			for time.Since(begun) < 2*time.Second {
-				led := true
+			shutdownAt, lastLed := time.Now(), time.Now()
+			for time.Since(shutdownAt) < 2*time.Second {
+				allLed := true
 				for _, p := range partitions {
-					led = led && sim.leaderOf(p) != ""
+					allLed = allLed && sim.leaderOf(p) != ""
 				}
-				if now := time.Now(); led {
-					last = now
+				if now := time.Now(); allLed {
+					lastLed = now
 				} else {
-					longest = max(longest, now.Sub(last))
+					longest = max(longest, now.Sub(lastLed))
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
 			<-ended
-			t.Logf("seed %d: %d partitions, without a leader for %s", seed, len(partitions), longest)
+			t.Logf("seed %d: %d partitions handed over, without a leader for at most %s", seed, len(partitions), longest)
 			if len(partitions) == 0 || longest > 200*time.Millisecond {
-				t.Errorf("seed %d: partitions %v without a leader for %s", seed, partitions, longest)
+				t.Errorf("seed %d: partitions %v were handed over, without a leader for up to %s", seed, partitions, longest)
 			}
 			for _, p := range partitions {
 				sim.onController(sim.leaderOf(p), func(c *Controller) {
 					if !c.Partitions[p].WarmFailover {
-						t.Errorf("seed %d: takeover of partition %d was cold", seed, p)
+						t.Errorf("seed %d: the takeover of partition %d did not use a replica", seed, p)
 					}
 					for _, m := range c.Machines {
 						if m.Record.Partition == p && time.Until(m.AnsweredUntil) > delegation.GrantDuration {
-							t.Errorf("seed %d: %s counts as answered by others for %s more", seed, m.Name, time.Until(m.AnsweredUntil))
+							t.Errorf("seed %d: other controllers may answer heartbeats of %s for another %s", seed, m.Name, time.Until(m.AnsweredUntil))
 						}
 					}
 				})
@@ -183,12 +183,12 @@
 			sim.startController(label)
 			time.Sleep(40 * time.Second)
 			if back := sim.leaseCount(label); back == 0 {
-				t.Errorf("seed %d: %s got no partition back", seed, label)
+				t.Errorf("seed %d: the restarted %s got no partition back", seed, label)
 			}
 			sim.onController(label, func(c *Controller) {
 				for _, p := range c.Partitions {
 					if p.Held && !p.WarmFailover && len(c.Machines) > 0 {
-						t.Errorf("seed %d: takeover of partition %d was cold on its return", seed, p.Index)
+						t.Errorf("seed %d: the restarted controller took over partition %d without a replica", seed, p.Index)
 					}
 				}
 			})
@@ -197,8 +197,8 @@
 	}
 }
 
-// Where no controller can take over, a planned shutdown just ends, and the next incarnation
-// acquires its own leases again.
+// If no other controller can take over, a planned shutdown ends at once, and the next
+// incarnation of the controller reacquires its partition leases.
 func TestPlannedShutdownOfTheLastController(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 630, configureLongJobs, func(sim *simulatedCluster) {
@@ -207,19 +207,19 @@
 		sim.killController("n2")
 		time.Sleep(6 * time.Second)
 		n := sim.processOf("n0")
-		begun := time.Now()
+		shutdownAt := time.Now()
 		n.controller.HandOver(sim.ctx)
-		if took := time.Since(begun); took > 10*time.Millisecond {
-			t.Errorf("the shutdown took %s", took)
+		if took := time.Since(shutdownAt); took > 10*time.Millisecond {
+			t.Errorf("the handover took %s though no other controller is running", took)
 		}
 		sim.killController("n0")
 		time.Sleep(300 * time.Millisecond)
 		sim.startController("n0")
-		for sim.leaseCount("n0") < 3 && time.Since(begun) < 10*time.Second {
+		for sim.leaseCount("n0") < 3 && time.Since(shutdownAt) < 10*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if took := time.Since(begun); took > time.Second {
-			t.Errorf("partitions led again only after %s", took)
+		if took := time.Since(shutdownAt); took > time.Second {
+			t.Errorf("the restarted controller reacquired its partitions only after %s", took)
 		}
 		sim.startController("n1")
 		sim.startController("n2")
@@ -233,16 +233,16 @@
 	t.Parallel()
 	runConfiguredSimulation(t, 640, configureLongJobs, func(sim *simulatedCluster) {
 		sim.submitLongJobs()
-		lost := sim.leaderOf(0)
-		sim.killController(lost)
+		killed := sim.leaderOf(0)
+		sim.killController(killed)
 		time.Sleep(300 * time.Millisecond)
-		sim.startController(lost)
+		sim.startController(killed)
 		time.Sleep(1500 * time.Millisecond)
-		if now := sim.leaderOf(0); now != lost {
-			t.Fatalf("%s leads the partition of %s", now, lost)
+		if leader := sim.leaderOf(0); leader != killed {
+			t.Fatalf("%s leads partition 0, want the restarted %s", leader, killed)
 		}
 		known, all := 0, 0
-		sim.onController(lost, func(c *Controller) {
+		sim.onController(killed, func(c *Controller) {
 			for _, m := range c.Machines {
 				for _, a := range m.Attempts {
 					if m.Record.Partition == 0 {
@@ -255,13 +255,14 @@
 			}
 		})
 		if all == 0 || known < all {
-			t.Errorf("of %d attempts the starts of %d are known", all, known)
+			t.Errorf("the start times of %d of %d attempts are known", known, all)
 		}
 		sim.cancelLongJobs()
 	})
 }
 
-// A corrupt replica is found by its samples, logged, dropped and read again before it is used.
+// A corrupt replica is detected by comparing samples with the records; it is dropped and read
+// again before a failover uses it.
 func TestCorruptReplicaIsFoundBeforeFailover(t *testing.T) {
 	t.Parallel()
 	for i, corrupt := range []func(replica *replication.Replica, key string){
@@ -283,9 +284,9 @@
 		runConfiguredSimulation(t, uint64(650+i), configureLongJobs, func(sim *simulatedCluster) {
 			sim.operator.Operations = nil
 			sim.submitLongJobs()
-			lost, next := sim.leaderOf(0), sim.standbyOf(0)
+			leader, standby := sim.leaderOf(0), sim.standbyOf(0)
 			key := ""
-			sim.onController(next, func(c *Controller) {
+			sim.onController(standby, func(c *Controller) {
 				replica := c.replicator.Replicas[0]
 				for k, r := range replica.Records.All {
 					if len(r.Value.Live) > 0 {
@@ -295,34 +296,34 @@
 				corrupt(replica, key)
 			})
 			if key == "" {
-				t.Fatal("no record to corrupt")
+				t.Fatal("no run record with live attempts to corrupt")
 			}
-			time.Sleep(12 * time.Second) // two samples of this partition
-			sim.onController(next, func(c *Controller) {
+			time.Sleep(12 * time.Second) // in which this partition is sampled twice
+			sim.onController(standby, func(c *Controller) {
 				replica := c.replicator.Replicas[0]
 				if c.replicator.Mismatches != 1 || replica == nil || replica.Records.Revision() == 0 {
-					t.Errorf("%d: mismatch found %d times", i, c.replicator.Mismatches)
+					t.Errorf("case %d: %d mismatches counted, want 1 and a new replica", i, c.replicator.Mismatches)
 				}
 			})
-			sim.killController(lost)
+			sim.killController(leader)
 			time.Sleep(4 * time.Second)
-			sim.startController(lost)
+			sim.startController(leader)
 			sim.cancelLongJobs()
 		})
 	}
 }
 
-// A vacant partition is left to its standby for a moment, as long as that is present and has a
-// replica; other controllers wait, also the partition's home.
+// A live standby with a replica has a head start in acquiring a vacant partition; other
+// controllers wait, including the partition's preferred leader.
 func TestVacantPartitionIsLeftToItsStandby(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
 	now := time.Now()
 	c.Synced, c.StartedAt = true, now.Add(-time.Minute)
-	setPeers := func(named string, follows, copies bool) {
-		c.Peers["n1"] = &cluster.Peer{LastSummaryAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: named}}}}
-		c.Peers["n2"] = &cluster.Peer{LastSummaryAt: now, Summary: &peer.Summary{From: "n2", Replicates: copies}}
-		if follows {
+	setPeers := func(standby string, hasReplica, replicates bool) {
+		c.Peers["n1"] = &cluster.Peer{LastSummaryAt: now.Add(-3 * time.Second), Summary: &peer.Summary{From: "n1", Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Standby: standby}}}}
+		c.Peers["n2"] = &cluster.Peer{LastSummaryAt: now, Summary: &peer.Summary{From: "n2", Replicates: replicates}}
+		if hasReplica {
 			c.Peers["n2"].Summary.Replicas = []*peer.ReplicaStatus{{Partition: uint32(p.Index), Revision: 4}}
 		}
 	}
@@ -332,45 +333,45 @@
 	p.Leader, p.LeaseRevision, p.FormerLeader, p.VacantSince = "", 0, "n1", now
 	other := (p.Index + 1) % len(c.Partitions)
 	for i, tc := range []struct {
-		named           string
-		follows         bool
-		after           time.Duration
-		self            int
-		started, wanted bool
+		standby         string
+		hasReplica      bool
+		vacantFor       time.Duration
+		selfIndex       int
+		upForLong, want bool
 	}{
 		{"n2", true, 0, other, true, false},
 		{"n2", true, 500 * time.Millisecond, other, true, false},
 		{"n2", true, 700 * time.Millisecond, other, true, true},
-		{"n2", true, 0, p.Index, true, false}, // its home
+		{"n2", true, 0, p.Index, true, false}, // this controller is the preferred leader
 		{"n2", false, 0, p.Index, true, true},
 		{"n0", false, 0, other, true, true},  // this controller is the standby
-		{"n0", false, 0, other, false, true}, // and has just started
-		{"", false, 0, other, false, false},  // no standby was named, and this controller has just started
+		{"n0", false, 0, other, false, true}, // this controller is the standby and has just started
+		{"", false, 0, other, false, false},  // no standby was announced, and this controller has just started
 	} {
-		setPeers(tc.named, tc.follows, true)
-		c.SelfIndex, c.StartedAt = tc.self, now.Add(-time.Minute)
-		if !tc.started {
+		setPeers(tc.standby, tc.hasReplica, true)
+		c.SelfIndex, c.StartedAt = tc.selfIndex, now.Add(-time.Minute)
+		if !tc.upForLong {
 			c.StartedAt = now.Add(-time.Second)
 		}
-		if got := c.takeover.WantsPartition(p, now.Add(tc.after)); got != tc.wanted {
-			t.Errorf("%d: wanted %v", i, got)
+		if got := c.takeover.WantsPartition(p, now.Add(tc.vacantFor)); got != tc.want {
+			t.Errorf("case %d: the decision to acquire the partition is %v", i, got)
 		}
 	}
 	c.Draining = true
 	setPeers("n0", false, true)
 	if c.takeover.WantsPartition(p, now.Add(time.Hour)) {
-		t.Error("a draining controller wants a partition")
+		t.Error("a draining controller would acquire a partition")
 	}
 }
 
-// The next cluster leader resumes scale-outs in progress under their own request names.
+// The next cluster leader resumes scale-outs in progress under their original request names.
 func TestNextClusterLeaderResumesScaleOuts(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 680, func(sim *simulatedCluster) {
 		time.Sleep(3 * time.Second)
 		leader := sim.clusterLeader()
 		// The cloud's responses are lost, so that the scale-out stays in progress.
-		var names []string
+		var requestNames []string
 		sim.mu.Lock()
 		sim.onResponse = func(from, host, target string, body []byte, _ *transport.Response) bool {
 			if host != "cloud" || target != "/machines" {
@@ -380,26 +381,26 @@
 			panicOnError(protocol.Decode(body, &r))
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			names = append(names, r.Request)
+			requestNames = append(requestNames, r.Request)
 			return from == leader
 		}
 		sim.mu.Unlock()
 		sim.submit(newJobSpec("job-1", 6, "green"))
 		time.Sleep(4 * time.Second)
 		sim.mu.Lock()
-		mine := slices.Compact(slices.Sorted(slices.Values(names)))
-		names = nil
+		inProgress := slices.Compact(slices.Sorted(slices.Values(requestNames)))
+		requestNames = nil
 		rented := sim.cloud.Rented
 		sim.mu.Unlock()
-		if len(mine) == 0 || rented == 0 {
-			t.Fatalf("%d scale-outs in progress, %d machines", len(mine), rented)
+		if len(inProgress) == 0 || rented == 0 {
+			t.Fatalf("%d scale-outs in progress and %d machines rented, want at least one of each", len(inProgress), rented)
 		}
 		sim.killController(leader)
 		time.Sleep(5 * time.Second)
 		sim.mu.Lock()
-		for _, name := range mine {
-			if !slices.Contains(names, name) {
-				t.Errorf("scale-out %s was not repeated, but %v", name, names)
+		for _, name := range inProgress {
+			if !slices.Contains(requestNames, name) {
+				t.Errorf("the next leader did not repeat scale-out %s, its requests are %v", name, requestNames)
 			}
 		}
 		sim.mu.Unlock()
@@ -408,7 +409,7 @@
 			sim.onController(l, func(c *Controller) { recorded = max(recorded, len(c.Machines)) })
 		}
 		if recorded < rented {
-			t.Errorf("%d of %d rented machines are on record", recorded, rented)
+			t.Errorf("%d of %d rented machines have a record", recorded, rented)
 		}
 		sim.startController(leader)
 		sim.waitForAllJobs(time.Minute)
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -12,8 +12,8 @@
 	"micaspindle/internal/storage"
 )
 
-// leadFirstPartition makes a controller whose loop does not run the ready leader of its first
-// partition, with the machine m-1, under the given lease revision.
+// leadFirstPartition makes a controller without a running event loop the ready leader of its
+// first partition, under the given lease revision, and records the machine m-1 in it.
 func (c *Controller) leadFirstPartition(lease uint64) (*cluster.Partition, *cluster.Machine) {
 	now := time.Now()
 	c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced = now, now, true
@@ -23,8 +23,8 @@
 	return p, c.Machines["m-1"]
 }
 
-// A stale copy of a heartbeat extends no lease of a silent machine, does not undo its fencing
-// and ends no attempt (rule 48).
+// A stale copy of a heartbeat does not extend a silent machine's lease, undo the confirmation
+// of its token or end an attempt (rule 48).
 func TestStaleHeartbeatsAreIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,38 +40,37 @@
 			return c.agents.HandleHeartbeat(r, protocol.Encode(r)).Status
 		}
 		if send(2, 40, 5, task) != 200 || !m.TokenConfirmed || a.State != cluster.AttemptConfirmed {
-			t.Fatal("the newest heartbeat was not applied")
+			t.Fatal("the first heartbeat was not applied")
 		}
 		receivedAt := time.Now()
-		for _, old := range []struct {
+		for _, stale := range []struct {
 			name                   string
 			epoch, sequence, token uint64
 		}{{"duplicate", 2, 40, 5}, {"older", 2, 12, 5}, {"under a former leader's token", 2, 39, 4}, {"of the previous epoch", 1, 90, 5}} {
 			time.Sleep(time.Second)
-			if status := send(old.epoch, old.sequence, old.token, nil); status == 200 {
-				t.Errorf("%s: answered", old.name)
+			if status := send(stale.epoch, stale.sequence, stale.token, nil); status == 200 {
+				t.Errorf("stale heartbeat (%s) was answered", stale.name)
 			}
 			if !m.TokenConfirmed || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeartbeatAt.Equal(receivedAt) {
-				t.Errorf("%s: fenced %v, epoch %d, live %v, answered %s and heard %s late", old.name, m.TokenConfirmed, m.Epoch, a.Live(),
+				t.Errorf("stale heartbeat (%s): token confirmed %v, epoch %d, attempt live %v; times of the last answer and heartbeat moved by %s and %s", stale.name, m.TokenConfirmed, m.Epoch, a.Live(),
 					m.AnsweredUntil.Sub(receivedAt), m.LastHeartbeatAt.Sub(receivedAt))
 			}
 		}
-		// A heartbeat that was in flight while commands were answered is not stale.
+		// A heartbeat that the agent's reply to later commands overtook is still answered.
 		c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
 		if send(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
-			t.Error("a heartbeat overtaken by commands is not answered")
+			t.Error("a heartbeat overtaken by a reply to commands was not answered")
 		}
 		time.Sleep(time.Duration(float64(c.AgentLease)*cluster.ClockDriftFactor) + cluster.ClockMargin + eventloop.TickInterval)
 		send(2, 41, 5, task)
 		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
-			t.Error("stale heartbeats keep a lost machine")
+			t.Error("a stale heartbeat kept a silent machine from being lost")
 		}
 	})
 }
 
-// A machine that was deleted, or whose record is written by a late transaction after its
-// deletion, neither counts as coming capacity nor is revived by a heartbeat in flight (rule
-// 44).
+// A deleted machine does not count as future capacity and is not revived by a heartbeat in
+// flight, even if a late transaction writes its record after the deletion (rule 44).
 func TestDeletedMachinesStayDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -93,7 +92,7 @@
 			failed[m.Name] = m.Failed
 		}
 		if !failed["m-1"] || failed["m-2"] {
-			t.Errorf("failed machines: %v", failed)
+			t.Errorf("machines by whether they failed: %v, want m-1 failed and m-2 not", failed)
 		}
 		waiting := &cluster.Job{Spec: newJobSpec("job-1", 6, "red"), SubmittedAt: now}
 		waiting.InitRunState()
@@ -106,22 +105,23 @@
 			return n
 		}
 		if n := demands(); n != 2 { // two tasks on each of the two booting machines
-			t.Errorf("%d tasks demand machines", n)
+			t.Errorf("demands for %d tasks, want 2", n)
 		}
 		m := c.Machines["m-3"]
 		m.DeleteConfirmed, m.Lost = true, true
 		r := &protocol.Heartbeat{Machine: "m-3", Addr: "m-3:1", Epoch: 1, Sequence: 9, Token: 12}
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status == 200 || !m.Lost || m.HasReported {
-			t.Errorf("heartbeat of a deleted machine: %d, lost %v", resp.Status, m.Lost)
+			t.Errorf("heartbeat of a deleted machine: status %d, machine lost %v", resp.Status, m.Lost)
 		}
 		if c.agents.ApplyHeartbeat(m, r, now); !m.Lost || m.HasReported {
-			t.Error("a response of a deleted machine revived it")
+			t.Error("an agent's reply to commands revived its deleted machine")
 		}
 	})
 }
 
-// A machine is deleted for jobs that its leader knows to be cancelled recently, not for remains
-// of jobs that are done, or were cancelled longer ago than a lease can last.
+// A machine is deleted because of unstopped tasks only if their job was cancelled recently.
+// Tasks of jobs that are done, or that were cancelled longer ago than a machine lease can last,
+// are no reason to delete it.
 func TestMachinesOfFinishedJobsAreNotDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -140,23 +140,23 @@
 			j := c.addLoadedJob(id)
 			clear(m.Attempts)
 			a := addLiveAttempt(j, m, 1, cluster.AttemptConfirmed)
-			// As a leader that learns of it, and as one that finds it at a takeover.
+			// First as a leader that saw the job end, then as one that finds it ended at a takeover.
 			c.jobs.SetFinal(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
 				a.StopRequestedAt = now.Add(-time.Minute)
 				if got := c.agents.OutlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
-					t.Errorf("%s %s ago: %v", tc.status, tc.ago, got)
+					t.Errorf("%s job, ended %s ago: its machine is to be deleted: %v", tc.status, tc.ago, got)
 				}
 				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.OutlastsCancelBound(m, now.Add(time.Hour), now) {
-					t.Errorf("%s %s ago, found at a takeover", tc.status, tc.ago)
+					t.Errorf("%s job, ended %s ago: its machine is to be deleted after a takeover", tc.status, tc.ago)
 				}
 			}
 		}
 	})
 }
 
-// The first heartbeat that a new leader receives may be a stale copy: a missing task proves
-// that the task is not running only in a heartbeat under the new token (rule 48).
+// The first heartbeat that a new leader receives may be a stale copy: a task missing from it
+// counts as ended only if the heartbeat carries the new token (rule 48).
 func TestMissingTaskCountsOnlyUnderTheNewToken(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -168,13 +168,13 @@
 		j.Ended, c.FinalStates["job-1"] = true, protocol.StatusCancelled
 		a := addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
 		a.Inherited, a.Stopping, a.StopRequestedAt = true, true, now
-		old := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
-		if c.agents.HandleHeartbeat(old, protocol.Encode(old)); !a.Live() || m.TokenConfirmed {
-			t.Errorf("heartbeat under an old token without the task: live %v, fenced %v", a.Live(), m.TokenConfirmed)
+		stale := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
+		if c.agents.HandleHeartbeat(stale, protocol.Encode(stale)); !a.Live() || m.TokenConfirmed {
+			t.Errorf("heartbeat under an old token without the task: attempt live %v, token confirmed %v", a.Live(), m.TokenConfirmed)
 		}
 		r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 11, Token: 9}
 		if c.agents.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.TokenConfirmed {
-			t.Errorf("heartbeat under the new token: live %v, fenced %v", a.Live(), m.TokenConfirmed)
+			t.Errorf("heartbeat under the new token without the task: attempt live %v, token confirmed %v", a.Live(), m.TokenConfirmed)
 		}
 	})
 }
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -15,24 +15,24 @@
 	"micaspindle/internal/storage"
 )
 
-// A killed leader is noticed by its agents' turning to other controllers, not only when its
-// lease has expired.
+// A killed leader is detected by its agents turning to other controllers, and is replaced
+// before its lease expires.
 func TestLostLeaderIsReplacedBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
-	var took []time.Duration
+	var leaderless []time.Duration
 	for seed := range uint64(8) {
 		runConfiguredSimulation(t, 500+seed, configureLongJobs, func(sim *simulatedCluster) {
 			sim.submitLongJobs()
 			time.Sleep(time.Duration(seed) * 130 * time.Millisecond)
-			lost := sim.leaderOf(0)
-			begun := time.Now()
-			sim.killController(lost)
-			for sim.leaderOf(0) == "" && time.Since(begun) < 10*time.Second {
+			killed := sim.leaderOf(0)
+			killedAt := time.Now()
+			sim.killController(killed)
+			for sim.leaderOf(0) == "" && time.Since(killedAt) < 10*time.Second {
 				time.Sleep(20 * time.Millisecond)
 			}
-			took = append(took, time.Since(begun))
+			leaderless = append(leaderless, time.Since(killedAt))
 			time.Sleep(3 * time.Second)
-			sim.startController(lost)
+			sim.startController(killed)
 			time.Sleep(5 * time.Second)
 			for i := range 3 {
 				sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -40,37 +40,37 @@
 			sim.waitForAllJobs(time.Minute)
 		})
 	}
-	slices.Sort(took)
-	t.Logf("without a leader: %v", took)
-	if median, longest := took[len(took)/2], took[len(took)-1]; median > 1900*time.Millisecond || longest > 2400*time.Millisecond {
-		t.Errorf("without a leader for %s (median), %s at most; a lease expires after 3 s", median, longest)
+	slices.Sort(leaderless)
+	t.Logf("sorted times without a leader: %v", leaderless)
+	if median, longest := leaderless[len(leaderless)/2], leaderless[len(leaderless)-1]; median > 1900*time.Millisecond || longest > 2400*time.Millisecond {
+		t.Errorf("partition without a leader for %s (median) and up to %s; a lease expires after 3 s", median, longest)
 	}
 }
 
-// What must not end a living leader's lease: controllers that cannot reach each other while
-// their agents can, agents that lose their connections while the controllers reach the leader,
-// a pause of a second, a state store that answers thirty times as slowly, and packets that are
-// lost and retransmitted a second later.
+// A live leader keeps its leases when controllers cannot reach each other but their agents can,
+// when agents lose their connections to it but controllers do not, during a pause of one
+// second, with a state store that takes 300 ms to answer, and when packets are lost and
+// retransmitted a second later.
 func TestLivingLeadersKeepTheirLeases(t *testing.T) {
 	t.Parallel()
-	node := func(host string) bool { return strings.HasPrefix(host, "n") }
-	for name, c := range map[string]struct {
+	isController := func(host string) bool { return strings.HasPrefix(host, "n") }
+	for name, tc := range map[string]struct {
 		cut      func(from, host string) bool
 		duration time.Duration
 		delay    func(sim *simulatedCluster, host string) time.Duration
 	}{
-		"peers are unreachable": {func(from, host string) bool { return node(host) }, 20 * time.Second, nil},
-		"its agents turn to others": {func(from, host string) bool {
+		"controllers cannot reach each other": {func(from, host string) bool { return isController(host) }, 20 * time.Second, nil},
+		"some agents cannot reach their leader": {func(from, host string) bool {
 			return from == "n0" && host < "m-000003" && strings.HasPrefix(host, "m-")
 		}, 8 * time.Second, nil},
-		"it pauses for 1 s": {func(from, host string) bool { return from == "n0" && !strings.HasPrefix(host, "m-") || host == "n0" }, time.Second, nil},
-		"the state service is slow": {nil, 20 * time.Second, func(_ *simulatedCluster, host string) time.Duration {
+		"leader pauses for 1 s": {func(from, host string) bool { return from == "n0" && !strings.HasPrefix(host, "m-") || host == "n0" }, time.Second, nil},
+		"state store is slow": {nil, 20 * time.Second, func(_ *simulatedCluster, host string) time.Duration {
 			if host == "state" {
 				return 300 * time.Millisecond
 			}
 			return 0
 		}},
-		"packets are lost": {nil, 20 * time.Second, func(sim *simulatedCluster, _ string) time.Duration {
+		"packets are retransmitted": {nil, 20 * time.Second, func(sim *simulatedCluster, _ string) time.Duration {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
 			if sim.rng.IntN(50) == 0 {
@@ -86,27 +86,27 @@
 				leaseVersions := func() string {
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
-					all := ""
+					versions := ""
 					for p := range 3 {
-						all += fmt.Sprint(sim.state.Items[storage.LeaseKey(p)].Version, " ")
+						versions += fmt.Sprint(sim.state.Items[storage.LeaseKey(p)].Version, " ")
 					}
-					return all
+					return versions
 				}
 				before := leaseVersions()
 				sim.mu.Lock()
-				sim.cut = c.cut
-				if c.delay != nil {
+				sim.cut = tc.cut
+				if tc.delay != nil {
 					sim.onRequest = func(_, host, _ string, _ []byte) bool {
-						time.Sleep(c.delay(sim, host))
+						time.Sleep(tc.delay(sim, host))
 						return false
 					}
 				}
 				sim.mu.Unlock()
-				time.Sleep(c.duration)
+				time.Sleep(tc.duration)
 				sim.withLock(func() { sim.cut, sim.onRequest = nil, nil })
 				time.Sleep(5 * time.Second)
 				if now := leaseVersions(); now != before {
-					t.Errorf("leases %s, then %s", before, now)
+					t.Errorf("lease versions changed from %s to %s", before, now)
 				}
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -117,9 +117,9 @@
 	}
 }
 
-// Machines that fail together with their leader count as lost one lease after its new
-// incarnation has started, not only after the time for which the old one might have gone on
-// answering.
+// Machines that fail together with their leader are lost one machine lease after the leader's
+// next incarnation starts. Without a next incarnation they are lost only after the time for
+// which the old one may have continued to answer them.
 func TestNewIncarnationEndsThePreviousOne(t *testing.T) {
 	t.Parallel()
 	for _, restarted := range []bool{true, false} {
@@ -127,11 +127,11 @@
 			t.Parallel()
 			runConfiguredSimulation(t, 530, configureLongJobs, func(sim *simulatedCluster) {
 				sim.submitLongJobs()
-				lost := sim.leaderOf(0)
+				killed := sim.leaderOf(0)
 				sim.mu.Lock()
 				failed := ""
 				for _, label := range allControllers {
-					if n := sim.controllers[label]; label == lost {
+					if n := sim.controllers[label]; label == killed {
 						sim.mu.Unlock()
 						n.controller.loop.Do(func() {
 							for name, m := range n.controller.Machines {
@@ -145,29 +145,29 @@
 				}
 				sim.workers[failed].Hung = true
 				sim.mu.Unlock()
-				begun := time.Now()
-				sim.killController(lost)
+				killedAt := time.Now()
+				sim.killController(killed)
 				time.Sleep(3 * time.Second)
 				if restarted {
-					sim.startController(lost)
+					sim.startController(killed)
 				}
-				took := time.Duration(0)
-				for took == 0 && time.Since(begun) < time.Minute {
+				lostAfter := time.Duration(0)
+				for lostAfter == 0 && time.Since(killedAt) < time.Minute {
 					time.Sleep(100 * time.Millisecond)
 					label := sim.leaderOf(0)
 					n := sim.processOf(label)
 					if n != nil {
 						n.controller.loop.Do(func() {
 							if m := n.controller.Machines[failed]; m == nil || m.Lost {
-								took = time.Since(begun)
+								lostAfter = time.Since(killedAt)
 							}
 						})
 					}
 				}
 				lease, bound := sim.settings.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
-				t.Logf("counted as lost after %s", took)
-				if s := took.Seconds(); s < lease || restarted && s > 3+lease+4 || !restarted && s < bound+lease {
-					t.Errorf("counted as lost after %s", took)
+				t.Logf("failed machine was lost after %s", lostAfter)
+				if s := lostAfter.Seconds(); s < lease || restarted && s > 3+lease+4 || !restarted && s < bound+lease {
+					t.Errorf("failed machine was lost after %s", lostAfter)
 				}
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -179,8 +179,9 @@
 	}
 }
 
-// Incarnations are ordered by the revision of their record: a late write of an older one cannot
-// follow a newer one, and proves nothing.
+// Incarnations are ordered by the revision of their record: a late write of an older
+// incarnation's record is refused, and seeing the older record again does not end the newer
+// incarnation.
 func TestIncarnationRecordsKeepTheirOrder(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 540, func(sim *simulatedCluster) {
@@ -197,30 +198,30 @@
 		sim.mu.Unlock()
 		var a, b storage.Incarnation
 		if storage.Decode(first.Value, &a) != nil || storage.Decode(second.Value, &b) != nil || a.Nonce == b.Nonce || second.Version <= first.Version {
-			t.Fatalf("incarnations %+v and %+v", a, b)
+			t.Fatalf("incarnation records %+v and %+v, want different nonces and increasing versions", a, b)
 		}
 		n0 := sim.controllers["n0"].controller
 		ended := func(nonce string) (is bool) {
 			n0.loop.Do(func() { is = !n0.leases.EndedIncarnations[lease.IncarnationID{Label: "n1", Nonce: nonce}].IsZero() })
 			return is
 		}
-		n0.loop.Do(func() { // the older record again, late
+		n0.loop.Do(func() { // the event of the older record arrives again
 			n0.watcher.ApplyEvent(protocol.Event{Put: key, Value: first.Value, Version: first.Version})
 		})
 		if !ended(a.Nonce) || ended(b.Nonce) {
-			t.Errorf("ended: first incarnation %v, second %v", ended(a.Nonce), ended(b.Nonce))
+			t.Errorf("first incarnation ended: %v, second: %v; want only the first ended", ended(a.Nonce), ended(b.Nonce))
 		}
 		// A late write of the first incarnation is refused by its revision.
 		resp := sim.state.Serve(sim.ctx, "", "POST", "/commit", nil, protocol.Encode(&protocol.Transaction{
 			If: []protocol.Condition{{Key: key, Version: 0}}, Then: []protocol.Change{{Put: key, Value: first.Value}}}))
 		if resp.Status != 409 {
-			t.Errorf("a late write of the first incarnation got %d", resp.Status)
+			t.Errorf("a late write of the first incarnation got status %d, want 409", resp.Status)
 		}
 	})
 }
 
-// The bound until which another controller may have answered a partition's machines, computed
-// from the records that were followed.
+// The computed bound on the last answer covers every answer that another controller may have
+// given to a partition's machines, as far as the observed records allow.
 func TestLastAnswerBoundCoversUnseenAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -234,49 +235,49 @@
 			put(storage.LeaseKey(0), version, storage.Lease{Holder: label, Nonce: nonce})
 		}
 		m := &cluster.Machine{}
-		check := func(what string, want time.Time) {
+		check := func(name string, want time.Time) {
 			t.Helper()
 			if got := c.leases.LastAnswerBound(p, m); !got.Equal(want) {
-				t.Errorf("%s: until %s, want %s", what, got, want)
+				t.Errorf("%s: the last answer may have been given until %s, want %s", name, got, want)
 			}
 		}
 		start := time.Now()
 		c.watcher.ApplyListing(nil, 1)
-		check("leaders before the first listing", start.Add(bound))
+		check("unknown leaders before the first listing", start.Add(bound))
 		time.Sleep(time.Minute)
 		put(storage.IncarnationKey("n1"), 2, storage.Incarnation{Nonce: "x", Lease: 1})
 		setLease(3, "n1", "x")
 		setLease(4, "n2", "y")
-		check("a leader whose lease has ended", time.Now().Add(bound))
+		check("former leader whose lease ended", time.Now().Add(bound))
 		time.Sleep(time.Second)
 		put(storage.IncarnationKey("n1"), 5, storage.Incarnation{Nonce: "x", Lease: 2})
-		check("the same incarnation with another lease", time.Now().Add(bound-time.Second))
+		check("former leader, same incarnation under another lease", time.Now().Add(bound-time.Second))
 		put(storage.IncarnationKey("n1"), 6, storage.Incarnation{Nonce: "z", Lease: 3})
-		check("its next incarnation, and its delegates", time.Now().Add(delegation.GrantDuration))
+		check("former leader with a new incarnation, whose delegates may still answer", time.Now().Add(delegation.GrantDuration))
 		time.Sleep(time.Minute)
 		setLease(7, "n0", c.Nonce)
 		time.Sleep(time.Minute)
 		setLease(8, "n2", "y")
-		check("this controller itself", time.Now())
+		check("this controller as the former leader", time.Now())
 		time.Sleep(time.Minute)
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
 		m = c.Machines["m-1"]
-		check("the leader of the partition that a machine came from", time.Now().Add(bound))
+		check("leader of the machine's previous partition", time.Now().Add(bound))
 		m = &cluster.Machine{}
 		time.Sleep(time.Minute)
 		setLease(11, "n0", c.Nonce)
 		time.Sleep(time.Minute)
 		p.Delegations.Assign(0, "n1")
 		p.Delegations.Renew("n1", "x", 0, time.Minute, time.Now())
-		granted := p.Delegations.LatestGrantEnd()
-		if left := time.Until(granted); left < delegation.GrantDuration {
-			t.Errorf("granted for %s", left)
+		grantEnd := p.Delegations.LatestGrantEnd()
+		if left := time.Until(grantEnd); left < delegation.GrantDuration {
+			t.Errorf("the grant lasts another %s, want at least the full duration", left)
 		}
 		setLease(12, "n2", "y")
-		check("this controller, whose delegates go on answering", granted)
+		check("this controller as the former leader, whose delegates may still answer", grantEnd)
 
-		// The lease that is revoked is the one that the partition leases depend on.
+		// Only a lease that partition leases depend on is revoked.
 		ps := c.Peers["n2"]
 		ps.LastSummaryAt, ps.ReportingMachines, ps.DivertedMachines = time.Now(), map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{"a": true, "b": true, "c": true}
 		c.Synced = true
@@ -288,15 +289,15 @@
 		}
 		setLease(14, "n2", "other")
 		if c.leases.RevokeIfDead("n2", ps, time.Now()); ps.RevokedLeaseID != 7 {
-			t.Errorf("revoked lease %d", ps.RevokedLeaseID)
+			t.Errorf("revoked lease %d, want 7", ps.RevokedLeaseID)
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
-		if lacks := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(lacks, []string{"machine records up to the lease revision", "final states of jobs up to the lease revision"}) {
-			t.Errorf("missing evidence: %v", lacks)
+		if unmet := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(unmet, []string{"machine records up to the lease revision", "final states of jobs up to the lease revision"}) {
+			t.Errorf("unmet preconditions: %v", unmet)
 		}
 		if c.RecordsRevision = 20; len(c.takeover.MissingEvidence(p, 20, 20)) != 0 || len(c.takeover.MissingEvidence(p, 20, 19)) != 1 {
-			t.Error("records read before the lease was acquired are not enough")
+			t.Error("want no unmet precondition with records up to the lease revision, and one with older run records")
 		}
 	})
 }
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -26,42 +26,41 @@
 	"micaspindle/internal/transport"
 )
 
-// A large deployment, which every fixed bound must accommodate: one controller of several leads
-// all of its machines (docs/limits.md).
+// The size of a large deployment, all of whose machines one controller can lead. Every fixed
+// bound must accommodate it (docs/limits.md).
 const (
 	largeMachines        = 4000
 	largeTasksPerMachine = 16 // running tasks
 	largeTasks           = largeMachines * largeTasksPerMachine
-	// largeCancelsPerSecond is three times the rate of cancellations of the large deployments.
+	// largeCancelsPerSecond is three times the cancellation rate of large deployments.
 	largeCancelsPerSecond = 36
 	largeCancelBound      = 43 * time.Second
-	// standbyMessagesMax is how many messages, one a second, a new standby may need for a
-	// partition.
+	// standbyMessagesMax is the largest number of update messages, sent one a second, that a new
+	// standby of a partition may need.
 	standbyMessagesMax = 10
 	// clientResponseLimit is the largest response that transport's client accepts.
 	clientResponseLimit = 8 << 20
 )
 
-// The limits and teams of large deployments.
+// The limits of a large deployment, and the teams whose partitions have machines.
 var (
-	largeLimits = settings.ProcessLimits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
-	// onePartition and threePartitions are the teams whose partitions have machines.
-	onePartition    = []string{"green"}
-	threePartitions = allTeams
-	largeState      = settings.StateStoreLimits{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
+	largeProcessLimits     = settings.ProcessLimits{CoreShare: 0.312, MemMB: 322, Sockets: 2289}
+	teamsInOnePartition    = []string{"green"}
+	teamsInThreePartitions = allTeams
+	largeStateStoreLimits  = settings.StateStoreLimits{RPS: 900, WriteRPS: 270, ValueKB: 8, TxnOps: 12}
 )
 
-// largeFleet makes a controller that leads every partition, with all machines up and all tasks
-// running, in the partitions of some teams.
-func largeFleet(t testing.TB, teams []string) *Controller {
+// newLargeFleetController returns a controller that leads every partition. All machines are up,
+// all tasks run, and both are spread over the partitions of the given teams.
+func newLargeFleetController(t testing.TB, teams []string) *Controller {
 	t.Helper()
 	c, _ := newLeadingController(t)
 	c.Observe()
 	setNetwork(c, unresponsiveNetwork{})
-	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeLimits, largeState
-	c.proxy.UnsentLimit = proxy.UnsentBytesLimit(largeLimits)
+	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeProcessLimits, largeStateStoreLimits
+	c.proxy.UnsentLimit = proxy.UnsentBytesLimit(largeProcessLimits)
 	c.CancelBound = largeCancelBound
-	c.Cancellations.SetLimit(largeCancelBound, largeState)
+	c.Cancellations.SetLimit(largeCancelBound, largeStateStoreLimits)
 	now := time.Now()
 	c.Synced, c.LeaseRenewedAt, c.RecordsCurrentAt = true, now, now
 	for _, p := range c.Partitions {
@@ -70,7 +69,7 @@
 	for i := range largeMachines {
 		team := teams[i%len(teams)]
 		p := c.Partitions[c.TeamPartition[c.TeamIndex[team]]]
-		m := c.addMachine(p, largeMachine(i), "big")
+		m := c.addMachine(p, largeMachineName(i), "big")
 		m.Record.Addr = fmt.Sprintf("10.0.%d.%d:10000", i/250, i%250)
 		for k := range 20 {
 			m.Images[fmt.Sprintf("registry/team-%d/image-%d:v%d", k, i%50, k)] = now
@@ -82,15 +81,15 @@
 			a.State, a.StartedAt = cluster.AttemptConfirmed, now.Add(-time.Minute)
 		}
 		j.Pending, j.RunningCount, j.MayHaveDirtyChunk = nil, largeTasksPerMachine, false
-		for _, ch := range j.Chunks { // already written
+		for _, ch := range j.Chunks { // as if already written
 			ch.Dirty, ch.Urgent, ch.Revision = false, false, 3
 		}
 	}
 	return c
 }
 
-// largeMachine returns the name of a machine.
-func largeMachine(i int) string { return fmt.Sprintf("machine-%06d", i) }
+// largeMachineName returns the name of the i-th machine of the large deployment.
+func largeMachineName(i int) string { return fmt.Sprintf("machine-%06d", i) }
 
 // heartbeatOf returns the heartbeat of a machine's agent.
 func heartbeatOf(c *Controller, m *cluster.Machine, sequence uint64) *protocol.Heartbeat {
@@ -101,7 +100,7 @@
 	return r
 }
 
-// countedBounds returns the metrics of the bounds that were met.
+// countedBounds returns the metrics lines of the bounds that were met at least once.
 func countedBounds(c *Controller) []string {
 	var out bytes.Buffer
 	c.metrics.Write(&out, nil)
@@ -120,11 +119,11 @@
 	list := countedBounds(c)
 	for _, b := range bounds {
 		if !strings.Contains(strings.Join(list, "\n"), fmt.Sprintf("%q", b.String())) {
-			t.Errorf("%s was not counted: %q", b, list)
+			t.Errorf("bound %s was not counted; bounds counted: %q", b, list)
 		}
 	}
 	if len(list) != len(bounds) {
-		t.Errorf("bounds counted: %q, not %v", list, bounds)
+		t.Errorf("bounds counted: %q, want %v", list, bounds)
 	}
 }
 
@@ -145,15 +144,15 @@
 	return replica
 }
 
-// updateStandby sends all of a partition's hints to a standby, and returns the number of
-// messages.
+// updateStandby sends all of a partition's replication hints to a standby and returns the
+// number of messages.
 func updateStandby(t *testing.T, c *Controller, p *cluster.Partition, replica *replication.Replica) (messages int) {
 	t.Helper()
 	for messages < 100 {
 		now := time.Now()
 		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
 		if err != nil || len(raw) > peerapi.PortableBodyLimit {
-			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
+			t.Fatalf("replica update of %d bytes is too large or failed to encode (%v)", len(raw), err)
 		}
 		sent := new(peer.ReplicaUpdate)
 		panicOnError(proto.Unmarshal(raw, sent))
@@ -177,8 +176,8 @@
 	return func() { end(); <-ended }
 }
 
-// What a controller holds and sends of 4,000 machines with 64,000 running tasks is complete and
-// within the size limit of a message.
+// A controller keeps and sends the whole state of 4,000 machines with 64,000 running tasks, in
+// messages within the size limit.
 func TestBoundsFitALargeFleet(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -186,45 +185,45 @@
 		run   func(t *testing.T, c *Controller)
 		met   []telemetry.Bound
 	}{
-		{"summary", onePartition, checkLargeSummary, nil},
+		{"summary", teamsInOnePartition, checkLargeSummary, nil},
 		// A new standby is updated in several messages.
-		{"replica, state transfer and takeover of one partition", onePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaUpdates}},
-		{"replica, state transfer and takeover of three partitions", threePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaUpdates}},
-		{"replicated starts ahead of their records", onePartition, checkStartsAheadOfRecords, nil},
-		{"cancellation notices", onePartition, checkLargeCancellationNotices, nil},
-		{"delegated heartbeats that wait", onePartition, checkLargeDelegatedHeartbeats, nil},
-		{"one controller of several is left", threePartitions, checkSingleControllerLeft, nil},
+		{"replica, state transfer and takeover of one partition", teamsInOnePartition, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaUpdates}},
+		{"replica, state transfer and takeover of three partitions", teamsInThreePartitions, checkLargeReplica, []telemetry.Bound{telemetry.ReplicaUpdates}},
+		{"replicated starts ahead of their records", teamsInOnePartition, checkStartsAheadOfRecords, nil},
+		{"cancellation notices", teamsInOnePartition, checkLargeCancellationNotices, nil},
+		{"unsent delegated heartbeats", teamsInOnePartition, checkLargeDelegatedHeartbeats, nil},
+		{"heartbeats of all machines to one controller", teamsInThreePartitions, checkSingleControllerLeft, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := largeFleet(t, tc.teams)
+			c := newLargeFleetController(t, tc.teams)
 			tc.run(t, c)
 			expectCountedBounds(t, c, tc.met...)
 		})
 	}
 }
 
-// checkLargeSummary checks that the summary of a large fleet is complete and below the limit of
-// a body.
+// checkLargeSummary checks that the summary of a large fleet is complete and within the size
+// limit of a request body.
 func checkLargeSummary(t *testing.T, c *Controller) {
 	t.Helper()
 	now := time.Now()
-	waiting := 0
+	waitingJobs := 0
 	for i := range 700 {
 		s := newJobSpec(fmt.Sprintf("job-9%05d", i), largeTasksPerMachine, "green")
 		s.DeadlineS = 0
 		c.addJob(s)
-		waiting++
+		waitingJobs++
 	}
-	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
-	for i := range noted {
+	cancelled := int(largeCancelsPerSecond * largeCancelBound.Seconds())
+	for i := range cancelled {
 		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now)
 	}
-	for i := range largeMachines { // as after the start of all controllers
-		name := largeMachine(largeMachines + i)
+	for i := range largeMachines { // as after a start of all controllers at once
+		name := largeMachineName(largeMachines + i)
 		c.UnregisteredMachines[name] = &peer.UnregisteredMachine{Name: name, Addr: "10.0.0.1:10000", Type: "big", Zone: "a"}
 		c.DivertedMachines[name] = now
 	}
-	limit := peerapi.MaxBody(largeLimits)
+	limit := peerapi.MaxBody(largeProcessLimits)
 	body := c.peering.EncodeSummary(c.peering.OwnSummary(now))
 	sum := new(peer.Summary)
 	panicOnError(proto.Unmarshal(body, sum))
@@ -232,21 +231,21 @@
 	for _, ps := range sum.Partitions {
 		machines, demands = machines+len(ps.Machines), demands+len(ps.Demands)
 	}
-	if machines != largeMachines || demands != waiting || len(sum.Jobs) != largeMachines || len(sum.Cancelled) != noted || len(sum.Unregistered) != largeMachines {
-		t.Errorf("%d machines, %d demands, %d jobs, %d cancelled, %d not on record", machines, demands, len(sum.Jobs), len(sum.Cancelled), len(sum.Unregistered))
+	if machines != largeMachines || demands != waitingJobs || len(sum.Jobs) != largeMachines || len(sum.Cancelled) != cancelled || len(sum.Unregistered) != largeMachines {
+		t.Errorf("incomplete summary: %d machines, %d demands, %d jobs, %d cancelled jobs, %d unregistered machines", machines, demands, len(sum.Jobs), len(sum.Cancelled), len(sum.Unregistered))
 	}
 	if len(body) > limit {
-		t.Errorf("%d bytes of %d", len(body), limit)
+		t.Errorf("the summary has %d bytes, limit %d", len(body), limit)
 	}
-	t.Logf("summary: %d bytes of %d", len(body), limit)
+	t.Logf("the summary has %d bytes, limit %d", len(body), limit)
 }
 
-// A summary with the longest names and everything at its bound still contains all of it.
+// A summary with the longest names, and with each list at its limit, is sent completely.
 func TestWorstCaseSummaryFits(t *testing.T) {
 	c, _ := newLeadingController(t)
 	c.Observe()
-	c.Settings.Params.MachineLimits = largeLimits
-	c.Cancellations.SetLimit(largeCancelBound, largeState)
+	c.Settings.Params.MachineLimits = largeProcessLimits
+	c.Cancellations.SetLimit(largeCancelBound, largeStateStoreLimits)
 	longID := func(i int) string { return fmt.Sprintf("job-%032d", i) }
 	longName := func(i int) string { return fmt.Sprintf("%064d", i) }
 	sum := &peer.Summary{From: "n0"}
@@ -267,15 +266,15 @@
 	}
 	sum.Partitions = append(sum.Partitions, ps)
 	body := c.peering.EncodeSummary(sum)
-	if len(body) > peerapi.MaxBody(largeLimits) || len(sum.Jobs) != peering.JobProgressLimit {
-		t.Errorf("%d bytes of %d, %d jobs", len(body), peerapi.MaxBody(largeLimits), len(sum.Jobs))
+	if len(body) > peerapi.MaxBody(largeProcessLimits) || len(sum.Jobs) != peering.JobProgressLimit {
+		t.Errorf("the summary has %d bytes, limit %d, and %d jobs", len(body), peerapi.MaxBody(largeProcessLimits), len(sum.Jobs))
 	}
 	expectCountedBounds(t, c)
-	t.Logf("summary at its worst: %d bytes of %d", len(body), peerapi.MaxBody(largeLimits))
+	t.Logf("the worst-case summary has %d bytes, limit %d", len(body), peerapi.MaxBody(largeProcessLimits))
 }
 
-// checkLargeReplica updates a standby, transfers its state and lets it take the partitions
-// over.
+// checkLargeReplica checks that standbys receive the replication hints of all tasks and
+// machines, that state transfers contain them, and that takeovers apply them.
 func checkLargeReplica(t *testing.T, c *Controller) {
 	t.Helper()
 	for _, m := range c.Machines {
@@ -289,20 +288,20 @@
 		}
 		messages := updateStandby(t, c, p, replica)
 		if messages > standbyMessagesMax {
-			t.Errorf("partition %d: %d messages, one a second", p.Index, messages)
+			t.Errorf("partition %d: its new standby needed %d messages, sent one a second", p.Index, messages)
 		}
 		attempts, machines = attempts+replica.Derived.KnownStarts(), machines+len(replica.Updates.Machines)
-		recalled, whole := replica.StateTransfer(time.Now())
-		raw, err := proto.Marshal(recalled)
-		if err != nil || !whole || len(raw) > replication.StateTransferBytesLimit || len(recalled.Attempts) != replica.Derived.KnownStarts() || len(recalled.Machines) != len(replica.Updates.Machines) {
-			t.Errorf("state transfer of %d bytes, complete %v: %d attempts, %d machines (%v)", len(raw), whole, len(recalled.Attempts), len(recalled.Machines), err)
+		transfer, complete := replica.StateTransfer(time.Now())
+		raw, err := proto.Marshal(transfer)
+		if err != nil || !complete || len(raw) > replication.StateTransferBytesLimit || len(transfer.Attempts) != replica.Derived.KnownStarts() || len(transfer.Machines) != len(replica.Updates.Machines) {
+			t.Errorf("state transfer of %d bytes, complete %v, has %d attempts and %d machines (%v)", len(raw), complete, len(transfer.Attempts), len(transfer.Machines), err)
 		}
-		t.Logf("partition %d: %d machines in %d messages, state transfer of %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
-		c.leases.ClearPartition(p) // the standby never led it
+		t.Logf("partition %d: standby updated on %d machines in %d messages, state transfer of %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
+		c.leases.ClearPartition(p) // a standby has no leader's state
 		c.takeover.Install(p, replica, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
-		t.Errorf("the standby knows %d starts and %d machines", attempts, machines)
+		t.Errorf("the standbys know %d start times and %d machines", attempts, machines)
 	}
 	live := 0
 	for _, j := range c.Jobs {
@@ -313,12 +312,12 @@
 		}
 	}
 	if live != largeTasks {
-		t.Errorf("%d tasks live on after the takeover, with their starts", live)
+		t.Errorf("%d tasks are live with a replicated start time after the takeover", live)
 	}
 }
 
-// checkStartsAheadOfRecords checks that a standby keeps all starts whose records have not
-// arrived yet.
+// checkStartsAheadOfRecords checks that a standby keeps all start times that arrive before the
+// run records of their attempts.
 func checkStartsAheadOfRecords(t *testing.T, c *Controller) {
 	t.Helper()
 	replica := replication.NewReplica(0, time.Now())
@@ -328,7 +327,7 @@
 		}
 	}
 	if len(replica.Derived.Starts) != largeTasks || replica.Derived.DroppedStarts != 0 {
-		t.Errorf("%d starts kept, %d dropped", len(replica.Derived.Starts), replica.Derived.DroppedStarts)
+		t.Errorf("%d start times kept, %d dropped", len(replica.Derived.Starts), replica.Derived.DroppedStarts)
 	}
 }
 
@@ -336,18 +335,19 @@
 func checkLargeCancellationNotices(t *testing.T, c *Controller) {
 	t.Helper()
 	now := time.Now()
-	noted := int(largeCancelsPerSecond * largeCancelBound.Seconds())
-	for i := range noted {
-		age := largeCancelBound - time.Second - time.Duration(i)*(largeCancelBound-2*time.Second)/time.Duration(noted)
+	cancelled := int(largeCancelsPerSecond * largeCancelBound.Seconds())
+	for i := range cancelled {
+		age := largeCancelBound - time.Second - time.Duration(i)*(largeCancelBound-2*time.Second)/time.Duration(cancelled)
 		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now.Add(-age))
 	}
-	sent := c.Cancellations.Recent(now, c.CancelBound)
-	if len(sent) != noted || sent[0].Job != "job-800000000" {
-		t.Errorf("%d of %d notices, %s first", len(sent), noted, sent[0].Job)
+	notices := c.Cancellations.Recent(now, c.CancelBound)
+	if len(notices) != cancelled || notices[0].Job != "job-800000000" {
+		t.Errorf("%d of %d cancellation notices sent, the first for %s", len(notices), cancelled, notices[0].Job)
 	}
 }
 
-// delegatingLeader is the network of a delegate, on which the partition leader answers.
+// delegatingLeader is the network of a delegate. It answers every request as the partition's
+// leader.
 type delegatingLeader struct {
 	t            *testing.T
 	machines     map[string]bool
@@ -355,10 +355,10 @@
 	serial       uint64
 }
 
-// Do answers as the partition leader.
+// Do records the heartbeats of a delegation request and renews the grant.
 func (o *delegatingLeader) Do(_ context.Context, _, _, _ string, body []byte) (*transport.Response, error) {
 	if len(body) > peerapi.PortableBodyLimit {
-		o.t.Errorf("a message of %d bytes", len(body))
+		o.t.Errorf("delegation request of %d bytes is too large", len(body))
 	}
 	req := new(peer.DelegationRequest)
 	panicOnError(proto.Unmarshal(body, req))
@@ -383,35 +383,35 @@
 	setNetwork(c, net)
 	c.Peers["n1"] = &cluster.Peer{Addr: "n1:2", LastSummaryAt: time.Now(), Summary: &peer.Summary{
 		Partitions: []*peer.PartitionSummary{{Partition: uint32(p.Index), Delegated: []*peer.DelegatedShards{{Delegate: c.Settings.Label}}}}}}
-	e := c.proxy.Assignments[p.Index]
-	e.Leader, e.Lease, e.Serial, e.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
-	for s := range e.Shards {
-		e.Shards[s] = true
+	assignment := c.proxy.Assignments[p.Index]
+	assignment.Leader, assignment.Lease, assignment.Serial, assignment.GrantedUntil = p.Leader, p.LeaseRevision, 0, time.Now().Add(time.Hour)
+	for s := range assignment.Shards {
+		assignment.Shards[s] = true
 	}
 	for _, m := range c.Machines {
 		r := heartbeatOf(c, m, 1)
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
-			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
+			t.Fatalf("heartbeat of %s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
-	size := e.UnsentBytes
+	unsentBytes := assignment.UnsentBytes
 	stop := serveEventLoop(c)
-	renewed := c.proxy.RenewAll(p, e)
+	renewed := c.proxy.RenewAll(p, assignment)
 	stop()
-	if !renewed || len(net.machines) != largeMachines || e.UnsentBytes != 0 {
-		t.Errorf("%d heartbeats forwarded, %d bytes left", len(net.machines), e.UnsentBytes)
+	if !renewed || len(net.machines) != largeMachines || assignment.UnsentBytes != 0 {
+		t.Errorf("heartbeats of %d machines forwarded, %d bytes unsent", len(net.machines), assignment.UnsentBytes)
 	}
-	// Only a request with all remaining heartbeats may acknowledge that everything was sent.
+	// Only a request that contains all remaining heartbeats acknowledges the previous reply.
 	for i, after := range net.acknowledged {
 		want := uint64(0)
 		if i == len(net.acknowledged)-1 {
 			want = uint64(i)
 		}
 		if after != want {
-			t.Errorf("request %d of %d is after reply %d, not %d", i+1, len(net.acknowledged), after, want)
+			t.Errorf("request %d of %d acknowledges reply %d, want %d", i+1, len(net.acknowledged), after, want)
 		}
 	}
-	t.Logf("delegated heartbeats: %d bytes of %d in %d messages", size, c.proxy.UnsentLimit, len(net.acknowledged))
+	t.Logf("delegated heartbeats of %d bytes, limit %d, sent in %d messages", unsentBytes, c.proxy.UnsentLimit, len(net.acknowledged))
 }
 
 // checkSingleControllerLeft checks that one controller handles the heartbeats of all machines.
@@ -420,36 +420,37 @@
 	for _, m := range c.Machines {
 		r := heartbeatOf(c, m, 1)
 		if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 200 {
-			t.Fatalf("%s: status %d, %s", m.Name, resp.Status, resp.Body)
+			t.Fatalf("heartbeat of %s: status %d, %s", m.Name, resp.Status, resp.Body)
 		}
 	}
 	c.tick(time.Now())
-	seen, machines := 0, 0
+	tasks, machines := 0, 0
 	for _, m := range c.Machines {
 		if m.HasReported && !m.Lost {
 			machines++
 		}
 		for _, a := range m.Attempts {
 			if a.Live() && a.State == cluster.AttemptConfirmed {
-				seen++
+				tasks++
 			}
 		}
 	}
-	if seen != largeTasks || machines != largeMachines {
-		t.Errorf("%d tasks on %d machines", seen, machines)
+	if tasks != largeTasks || machines != largeMachines {
+		t.Errorf("%d running tasks on %d machines are known", tasks, machines)
 	}
 }
 
-// Whatever exceeds a bound is counted, and logged once; the more urgent entries are kept.
+// Exceeding a bound is counted in the metrics and logged once; the more urgent entries are
+// kept.
 func TestExceededBoundsAreCounted(t *testing.T) {
-	small := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
+	limitMemory := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
 	for _, tc := range []struct {
-		name  string
-		bound telemetry.Bound
-		meet  func(t *testing.T, c *Controller)
+		name   string
+		bound  telemetry.Bound
+		exceed func(t *testing.T, c *Controller)
 	}{
-		{"a summary too large", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
-			small(c)
+		{"summary size, many jobs", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
+			limitMemory(c)
 			sum := &peer.Summary{From: "n0", Jobs: make([]*peer.JobProgress, 0, 40_000)}
 			for i := range 40_000 {
 				sum.Jobs = append(sum.Jobs, &peer.JobProgress{Id: fmt.Sprintf("job-%032d", i), Done: 1})
@@ -458,11 +459,11 @@
 			sent := new(peer.Summary)
 			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), sent))
 			if len(sent.Jobs) > 0 || len(sent.Partitions) != 1 {
-				t.Errorf("%d jobs, %d partitions in the summary", len(sent.Jobs), len(sent.Partitions))
+				t.Errorf("%d jobs and %d partitions in the summary", len(sent.Jobs), len(sent.Partitions))
 			}
 		}},
-		{"too many unregistered machines", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
-			small(c)
+		{"summary size, many unregistered machines", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
+			limitMemory(c)
 			sum := &peer.Summary{From: "n0", Cancelled: []*peer.CancelledJob{{Job: "job-1"}}}
 			for i := range 40_000 {
 				sum.Unregistered = append(sum.Unregistered, &peer.UnregisteredMachine{Name: fmt.Sprintf("m-%032d", i)})
@@ -470,10 +471,10 @@
 			sent := new(peer.Summary)
 			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), sent))
 			if len(sent.Unregistered) > 0 || len(sent.Cancelled) != 1 {
-				t.Errorf("%d machines, %d cancelled jobs in the summary", len(sent.Unregistered), len(sent.Cancelled))
+				t.Errorf("%d unregistered machines and %d cancelled jobs in the summary", len(sent.Unregistered), len(sent.Cancelled))
 			}
 		}},
-		{"progress of jobs", telemetry.JobProgress, func(t *testing.T, c *Controller) {
+		{"job progress", telemetry.JobProgress, func(t *testing.T, c *Controller) {
 			for i := range peering.JobProgressLimit + 1 {
 				id := fmt.Sprint("job-", i)
 				c.Jobs[id] = &cluster.Job{Spec: newJobSpec(id, 1, "green"), HasRunState: true, RunningCount: 1}
@@ -495,19 +496,19 @@
 				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusCancelled, time.Now())
 			}
 			if sent := c.Cancellations.Recent(time.Now(), c.CancelBound); len(sent) != c.Cancellations.Limit || sent[0].Job != "job-0" {
-				t.Errorf("%d notices, %s first", len(sent), sent[0].Job)
+				t.Errorf("%d cancellation notices, the first for %s", len(sent), sent[0].Job)
 			}
 		}},
 		{"delegated heartbeats", telemetry.ForwardedHeartbeats, func(t *testing.T, c *Controller) {
 			p := c.Partitions[0]
 			m := c.addMachine(p, "m-1", "big")
 			p.Held, p.Leader = false, "n1"
-			e := c.proxy.Assignments[0]
-			e.Leader, e.Lease, e.GrantedUntil, e.UnsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.UnsentLimit
-			e.Shards[m.Shard] = true
+			assignment := c.proxy.Assignments[0]
+			assignment.Leader, assignment.Lease, assignment.GrantedUntil, assignment.UnsentBytes = "n1", p.LeaseRevision, time.Now().Add(time.Hour), c.proxy.UnsentLimit
+			assignment.Shards[m.Shard] = true
 			r := heartbeatOf(c, m, 1)
 			if resp := c.agents.HandleHeartbeat(r, protocol.Encode(r)); resp.Status != 503 {
-				t.Errorf("status %d", resp.Status)
+				t.Errorf("heartbeat got status %d, want 503", resp.Status)
 			}
 		}},
 		{"messages to a standby", telemetry.ReplicaUpdates, func(t *testing.T, c *Controller) {
@@ -519,7 +520,7 @@
 				m = c.addMachine(p, fmt.Sprint("m-2", i), "big")
 			}
 			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.PortableBodyLimit || len(sent.Machines) > 200 || sent.Through >= p.Replication.NewestSeq {
-				t.Errorf("%d bytes, %d machines", proto.Size(sent), len(sent.Machines))
+				t.Errorf("replica update of %d bytes with %d machines", proto.Size(sent), len(sent.Machines))
 			}
 		}},
 		{"starts sent to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
@@ -530,7 +531,7 @@
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
 			if len(replica.Derived.Starts) != replication.PendingStartsLimit {
-				t.Errorf("%d starts kept", len(replica.Derived.Starts))
+				t.Errorf("%d start times kept", len(replica.Derived.Starts))
 			}
 		}},
 		{"machines sent to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
@@ -542,7 +543,7 @@
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
 			if replica.Updates.Machines["m-1"].MachineHint == nil || len(replica.Updates.Machines) != replication.ReplicaMachinesLimit {
-				t.Errorf("a known machine is not updated, %d kept", len(replica.Updates.Machines))
+				t.Errorf("known machine not updated, or wrong number of machines kept: %d", len(replica.Updates.Machines))
 			}
 		}},
 		{"state transfers", telemetry.StateTransferBytes, func(t *testing.T, c *Controller) {
@@ -550,11 +551,11 @@
 			c.replicator.Replicas[0] = replica
 			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
-				mt := &peer.MachineHint{Name: largeMachine(i), PreemptionNoticeS: -1}
+				hint := &peer.MachineHint{Name: largeMachineName(i), PreemptionNoticeS: -1}
 				for k := range cluster.HintImagesLimit {
-					mt.Images = append(mt.Images, fmt.Sprintf("%0200d", k))
+					hint.Images = append(hint.Images, fmt.Sprintf("%0200d", k))
 				}
-				replica.Updates.Machines[mt.Name] = replication.MachineHints{MachineHint: mt}
+				replica.Updates.Machines[hint.Name] = replication.MachineHints{MachineHint: hint}
 			}
 			raw, err := proto.Marshal(&peer.StateTransferRequest{})
 			panicOnError(err)
@@ -563,8 +564,8 @@
 			stop()
 			sent := new(peer.ReplicaUpdate)
 			panicOnError(proto.Unmarshal(resp.Body, sent))
-			if len(resp.Body) > clientResponseLimit || len(sent.Machines) != largeMachines || len(replica.Updates.Machines[largeMachine(0)].Images) != cluster.HintImagesLimit {
-				t.Errorf("%d bytes, %d machines", len(resp.Body), len(sent.Machines))
+			if len(resp.Body) > clientResponseLimit || len(sent.Machines) != largeMachines || len(replica.Updates.Machines[largeMachineName(0)].Images) != cluster.HintImagesLimit {
+				t.Errorf("state transfer of %d bytes with %d machines", len(resp.Body), len(sent.Machines))
 			}
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
@@ -572,7 +573,7 @@
 				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
 			if countedBounds(c) != nil || c.scheduler.ClassGroup("another") != 0 {
-				t.Error("too soon, or not at all")
+				t.Error("bound met by the last allowed class, or not enforced for the next one")
 			}
 		}},
 		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
@@ -580,11 +581,11 @@
 				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
 			if len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
-				t.Errorf("%d classes are learned", len(c.scheduler.Corrections))
+				t.Errorf("run times of %d classes are kept", len(c.scheduler.Corrections))
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
 			if c.scheduler.Corrections["class-0"].Count != 2 {
-				t.Error("a known class is not updated")
+				t.Error("run time of a known class not updated at the bound")
 			}
 		}},
 		{"replicated estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
@@ -593,7 +594,7 @@
 				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
 			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
-				t.Errorf("%d classes are known", len(c.scheduler.Corrections))
+				t.Errorf("run times of %d classes are kept", len(c.scheduler.Corrections))
 			}
 		}},
 		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.OnPollRefused() }},
@@ -614,22 +615,22 @@
 			c, _ := newLeadingController(t)
 			c.Observe()
 			c.bounds.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn}))
-			tc.meet(t, c)
+			tc.exceed(t, c)
 			expectCountedBounds(t, c, tc.bound)
 			c.bounds.Met(tc.bound, 1)
 			if n := strings.Count(log.String(), "bound="+tc.bound.String()); n != 1 {
-				t.Errorf("logged %d times:\n%s", n, log.String())
+				t.Errorf("bound logged %d times, want once:\n%s", n, log.String())
 			}
 		})
 	}
 }
 
-// servePeers has a controller answer a request of another one.
+// servePeers passes a request of another controller to a controller and returns the response.
 func servePeers(c *Controller, path string, body []byte) transport.Response {
 	return c.ServePeers(context.Background(), &transport.Request{Method: "POST", Path: path, Body: body})
 }
 
-// applyReplicaUpdate hands a standby an update of a partition's leader.
+// applyReplicaUpdate passes a replica update from a partition's leader to a standby.
 func applyReplicaUpdate(t *testing.T, c *Controller, update *peer.ReplicaUpdate) {
 	t.Helper()
 	raw, err := proto.Marshal(update)
@@ -638,35 +639,35 @@
 	resp := servePeers(c, replication.UpdatePath, raw)
 	stop()
 	if resp.Status != 200 {
-		t.Fatalf("status %d, %s", resp.Status, resp.Body)
+		t.Fatalf("replica update got status %d, %s", resp.Status, resp.Body)
 	}
 }
 
-// The bounds derived from the settings are never below their former constants, and sufficient
-// for a large fleet.
+// Bounds that depend on the settings have a minimum and grow with the limits in the settings,
+// so that they are sufficient for a large fleet.
 func TestBoundsFollowTheSettings(t *testing.T) {
-	next := 400.0
+	announcedWriteRPS := 400.0
 	for _, tc := range []struct {
-		name                           string
-		limits                         settings.ProcessLimits
-		state                          settings.StateStoreLimits
-		cancelS                        time.Duration
-		peerBody, delegated, cancelled int
+		name                                  string
+		limits                                settings.ProcessLimits
+		state                                 settings.StateStoreLimits
+		cancelBound                           time.Duration
+		bodyBytes, unsentBytes, cancellations int
 	}{
 		{"a small deployment", settings.ProcessLimits{MemMB: 20}, settings.StateStoreLimits{WriteRPS: 10}, 25 * time.Second, 1 << 20, 768 << 10, 500},
 		{"70 MB", settings.ProcessLimits{MemMB: 70}, settings.StateStoreLimits{WriteRPS: 25}, 43 * time.Second, 1 << 20, 2_293_760, 1100},
 		{"a large deployment", settings.ProcessLimits{MemMB: 322}, settings.StateStoreLimits{WriteRPS: 90}, 43 * time.Second, 2 << 20, 10_551_296, 3960},
-		{"a higher limit is announced", settings.ProcessLimits{MemMB: 322}, settings.StateStoreLimits{WriteRPS: 90, Next: settings.AnnouncedLimits{WriteRPS: &next}}, 43 * time.Second, 2 << 20, 10_551_296, 17_600},
+		{"a higher limit is announced", settings.ProcessLimits{MemMB: 322}, settings.StateStoreLimits{WriteRPS: 90, Next: settings.AnnouncedLimits{WriteRPS: &announcedWriteRPS}}, 43 * time.Second, 2 << 20, 10_551_296, 17_600},
 	} {
-		var n cluster.CancellationNotices
-		n.SetLimit(tc.cancelS, tc.state)
-		if body, delegated := peerapi.MaxBody(tc.limits), proxy.UnsentBytesLimit(tc.limits); body != tc.peerBody || delegated != tc.delegated || n.Limit != tc.cancelled {
-			t.Errorf("%s: %d, %d, %d", tc.name, body, delegated, n.Limit)
+		var notices cluster.CancellationNotices
+		notices.SetLimit(tc.cancelBound, tc.state)
+		if body, unsent := peerapi.MaxBody(tc.limits), proxy.UnsentBytesLimit(tc.limits); body != tc.bodyBytes || unsent != tc.unsentBytes || notices.Limit != tc.cancellations {
+			t.Errorf("%s: limits of %d bytes for a body, %d unsent bytes, %d cancellation notices", tc.name, body, unsent, notices.Limit)
 		}
 	}
 	for machines, want := range map[int]int{0: 200, 800: 200, 4000: 1000} {
 		if got := peering.DemandsLimit(machines); got != want {
-			t.Errorf("%d demands of %d machines", got, machines)
+			t.Errorf("limit of %d demands for %d machines", got, machines)
 		}
 	}
 }
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -21,7 +21,9 @@
 	runSimulation(t, 13, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		sent := map[string]protocol.CommandBatch{}
-		sim.withLock(func() { sim.interceptCommands = func(name string, o *protocol.CommandBatch) { sent[name] = *o } })
+		sim.withLock(func() {
+			sim.interceptCommands = func(name string, batch *protocol.CommandBatch) { sent[name] = *batch }
+		})
 		sim.setRunTime(time.Minute)
 		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
@@ -29,9 +31,9 @@
 		time.Sleep(15 * time.Second)
 		sim.mu.Lock()
 		sim.interceptCommands = nil
-		before := len(sent)
+		machines := len(sent)
 		sim.mu.Unlock()
-		if before == 0 {
+		if machines == 0 {
 			t.Fatal("no commands were sent")
 		}
 		for _, label := range allControllers {
@@ -39,7 +41,7 @@
 		}
 		sim.startController("n1")
 		n := sim.controllerOf("n1")
-		// Until the successor has reached an agent, that accepts the former leader's token.
+		// An agent accepts the former leader's token until the successor has reached it.
 		for fenced := 0; fenced < len(sent); time.Sleep(100 * time.Millisecond) {
 			fenced = 0
 			n.loop.Do(func() {
@@ -50,11 +52,11 @@
 				}
 			})
 		}
-		for name, o := range sent {
+		for name, batch := range sent {
 			sim.mu.Lock()
 			agent := sim.workers[name]
 			sim.mu.Unlock()
-			if resp := sim.serveWorker(agent, "/orders", protocol.Encode(o)); resp.Status == 200 {
+			if resp := sim.serveWorker(agent, "/orders", protocol.Encode(batch)); resp.Status == 200 {
 				t.Errorf("%s executed a command from before the takeover", name)
 			}
 		}
@@ -62,8 +64,9 @@
 	})
 }
 
-// A leader without the state store keeps its agents' leases alive, but not for so long that a
-// task cancelled through a successor outlives cancel_s.
+// A leader that cannot reach the state store continues to answer heartbeats, so that its
+// agents' leases do not expire, but stops early enough for a task cancelled through a successor
+// to end within cancel_s.
 func TestLeaderAnswersHeartbeatsOnlyWithinItsBound(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 15, func(sim *simulatedCluster) {
@@ -74,7 +77,7 @@
 		}
 		time.Sleep(12 * time.Second)
 		sim.setOutage(true)
-		// cancel_s − lease_s and a margin of two seconds: 25 − 8 − 2 = 15.
+		// The bound is cancel_s − lease_s less a margin of two seconds: 25 − 8 − 2 = 15.
 		answered := func() (n int) {
 			for _, label := range allControllers {
 				sim.mu.Lock()
@@ -93,11 +96,11 @@
 		}
 		time.Sleep(11 * time.Second)
 		if answered() == 0 {
-			t.Error("no heartbeat is answered 11 s into the outage")
+			t.Error("no heartbeat was answered 11 s into the outage")
 		}
 		time.Sleep(6 * time.Second)
 		if n := answered(); n > 0 {
-			t.Errorf("%d heartbeats answered 17 s into the outage", n)
+			t.Errorf("%d heartbeats were answered 17 s into the outage, want none", n)
 		}
 		sim.setOutage(false)
 	})
@@ -113,16 +116,16 @@
 		time.Sleep(3 * time.Second)
 		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(newJobSpec("job-2", 1, "red")))
 		if resp.Status != 503 || resp.RetryAfter == 0 {
-			t.Errorf("submission during the outage: %d, Retry-After %d", resp.Status, resp.RetryAfter)
+			t.Errorf("submission during the outage: status %d, Retry-After %d", resp.Status, resp.RetryAfter)
 		}
 		if resp := sim.sendRequest("n1", "GET", "/submissions/job-1", nil); resp.Status != 503 {
-			t.Errorf("poll of an unfinished job during the outage: %d", resp.Status)
+			t.Errorf("poll of an unfinished job during the outage: status %d, want 503", resp.Status)
 		}
 		time.Sleep(8 * time.Second)
 		sim.mu.Lock()
 		for _, agent := range sim.workers {
 			if agent.Epoch != 1 {
-				t.Errorf("%s lost its lease in the outage", agent.Name)
+				t.Errorf("%s lost its lease during the outage", agent.Name)
 			}
 		}
 		sim.mu.Unlock()
@@ -151,18 +154,18 @@
 				panicOnError(protocol.Decode(resp.Body, &h))
 				leaders[h.Controller] = true
 				if h.Controller == label {
-					t.Errorf("%s redirects to itself", label)
+					t.Errorf("%s redirects the agent to itself", label)
 				}
 			}
 		}
 		if len(leaders) != 1 {
-			t.Errorf("leaders named: %v", leaders)
+			t.Errorf("the agent is redirected to %v, want one leader", leaders)
 		}
 	})
 }
 
-// A machine that is cut off may still run its tasks until its lease has expired: they must not
-// be started elsewhere before.
+// An unreachable machine may still run its tasks until its lease expires; they must not be
+// started elsewhere before.
 func TestSilentMachineKeepsItsTasksUntilItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 11, func(sim *simulatedCluster) {
@@ -171,16 +174,16 @@
 		sim.submit(newJobSpec("job-1", 12, "blue"))
 		time.Sleep(15 * time.Second)
 		sim.mu.Lock()
-		victim := ""
+		unreachable := ""
 		for name, agent := range sim.workers {
 			if len(agent.Tasks) > 0 {
-				victim = name
+				unreachable = name
 			}
 		}
-		sim.cut = func(_, host string) bool { return host == victim }
+		sim.cut = func(_, host string) bool { return host == unreachable }
 		sim.mu.Unlock()
-		if victim == "" {
-			t.Fatal("no machine has work")
+		if unreachable == "" {
+			t.Fatal("no machine runs a task")
 		}
 		time.Sleep(20 * time.Second)
 		sim.withLock(func() { sim.cut = nil })
@@ -212,15 +215,16 @@
 		machines := 0
 		n.loop.Do(func() { machines = len(n.Machines) })
 		if led > 0 && machines > 0 {
-			t.Logf("n0 still leads %d partitions with %d machines on record", led, machines)
+			t.Logf("n0 still leads %d partitions and has %d machine records", led, machines)
 		}
 		sim.waitForAllJobs(2 * time.Minute)
 		sim.withLock(func() { sim.cut = nil })
 	})
 }
 
-// After a takeover the new leader has not heard from its machines yet: they must not be taken
-// for machines that never booted, nor the rest of an inherited task for its whole run time.
+// A new leader has not received heartbeats of its machines yet. It must not delete them as
+// machines that never booted, nor learn run times from the part of an inherited task that ran
+// after the takeover.
 func TestTakeoverKeepsMachinesAndEstimates(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 19, func(sim *simulatedCluster) {
@@ -235,7 +239,7 @@
 		sim.mu.Lock()
 		before := maps.Clone(sim.cloud.Machines)
 		sim.mu.Unlock()
-		// The cluster leader stays and has known the machines for long.
+		// The cluster leader is not restarted: it recorded the machines long ago.
 		leader := sim.clusterLeader()
 		if leader == "" {
 			t.Fatal("no cluster leader")
@@ -246,7 +250,7 @@
 				sim.startController(label)
 			}
 		}
-		// Their agents cannot reach the new leaders for a moment.
+		// For a moment, the new leaders and their agents cannot reach each other.
 		sim.mu.Lock()
 		sim.cut = func(from, host string) bool {
 			return from != leader && strings.HasPrefix(host, "m-")
@@ -273,15 +277,15 @@
 			n := sim.controllerOf(label)
 			n.loop.Do(func() {
 				// Run times are learned from replicated start times; attempts with unknown
-				// start times teach nothing.
-				for class, b := range n.scheduler.Corrections {
-					if math.Abs(b.Ratio-1) > 0.01 {
-						t.Errorf("inherited tasks taught %s a ratio of %v", class, b.Ratio)
+				// start times are ignored.
+				for class, correction := range n.scheduler.Corrections {
+					if math.Abs(correction.Ratio-1) > 0.01 {
+						t.Errorf("class %s has a run-time correction of %v after inherited tasks, want 1", class, correction.Ratio)
 					}
 				}
 				for _, m := range n.Machines {
 					if m.Quarantined {
-						t.Errorf("%s quarantined", m.Name)
+						t.Errorf("%s was quarantined", m.Name)
 					}
 				}
 			})
@@ -290,8 +294,8 @@
 	})
 }
 
-// An attempt of an agent epoch that had ended before the takeover must not hold its task for
-// ever, even if the new leader knew the later epoch already.
+// An inherited attempt whose agent epoch ended before the takeover must not block its task
+// forever, even if the new leader already knew the later epoch.
 func TestInheritedAttemptOfAnOlderEpochIsOver(t *testing.T) {
 	t.Parallel()
 	set := newSimulatedCluster(t, 1).settings
@@ -308,11 +312,11 @@
 	a.Inherited = true
 	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 9, Token: 5}, now)
 	if len(j.LiveAttempts) != 0 || len(j.Pending) != 1 {
-		t.Errorf("live %v, queue %v", j.LiveAttempts, j.Pending)
+		t.Errorf("live attempts %v, pending tasks %v; want the task pending again", j.LiveAttempts, j.Pending)
 	}
 }
 
-// Controllers that start together must each get one partition, instead of the first one
+// Controllers that start together each acquire one partition, instead of the first one
 // acquiring all of them.
 func TestPartitionsAreSpreadAtStartup(t *testing.T) {
 	t.Parallel()
@@ -320,14 +324,14 @@
 		time.Sleep(4 * time.Second)
 		for _, label := range allControllers {
 			if led := sim.leaseCount(label); led != 1 {
-				t.Errorf("%s leads %d partitions", label, led)
+				t.Errorf("%s leads %d partitions, want 1", label, led)
 			}
 		}
 	})
 }
 
-// After a takeover one controller must not lead two partitions for ever, and handing one back
-// must not cost running tasks.
+// After a takeover a controller must not keep leading two partitions, and handing one back must
+// not restart running tasks.
 func TestPartitionsAreHandedBack(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 22, func(sim *simulatedCluster) {
@@ -346,7 +350,7 @@
 		time.Sleep(25 * time.Second)
 		for _, label := range allControllers {
 			if n := sim.leaseCount(label); n != 1 {
-				t.Errorf("%s leads %d partitions", label, n)
+				t.Errorf("%s leads %d partitions, want 1", label, n)
 			}
 		}
 		sim.waitForAllJobs(3 * time.Minute)
@@ -357,7 +361,7 @@
 		}
 		sim.mu.Unlock()
 		if starts > 12 {
-			t.Errorf("%d starts of 12 tasks: what ran was lost", starts)
+			t.Errorf("%d starts of 12 tasks: running tasks were restarted", starts)
 		}
 	})
 }
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -61,8 +61,8 @@
 	return ""
 }
 
-// Agents of a leader without free sockets send their heartbeats to delegates; its commands are
-// forwarded through these, and no epoch ends.
+// If a leader has no free sockets, agents send their heartbeats to delegates, which also
+// forward the leader's commands. No agent loses its lease.
 func TestAgentsSendHeartbeatsToDelegates(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 700, configureFewSockets, func(sim *simulatedCluster) {
@@ -84,34 +84,34 @@
 		total := 0
 		for label, machines := range connected {
 			if total += machines; machines < 3 || machines > 6 {
-				t.Errorf("%s has %d connected machines (leader %s): %v", label, machines, leader, connected)
+				t.Errorf("%s has %d connected machines, want 3 to 6 (leader %s, connected machines %v)", label, machines, leader, connected)
 			}
 		}
 		if total < 9 {
-			t.Errorf("only %d machines send heartbeats", total)
+			t.Errorf("only %d machines are connected", total)
 		}
 		receivers := map[string]int{}
 		sim.forEachWorker(func(agent *agent.Agent) { receivers[agent.Controllers[agent.Controller]]++ })
 		if len(receivers) != 3 {
-			t.Errorf("agents send heartbeats to %v, connected machines %v", receivers, connected)
+			t.Errorf("agents by receiver of their heartbeats: %v, want three receivers; connected machines %v", receivers, connected)
 		}
 		sim.onController(leader, func(c *Controller) {
-			v := c.api.StateOverview(time.Now())
-			delegated, moves := 0, len(v.Moves)
-			for _, p := range v.Partitions {
-				for _, k := range p.Delegates {
-					if delegated += k.Machines; !k.Active {
-						t.Errorf("%s is not active: %+v", k.Controller, k)
+			overview := c.api.StateOverview(time.Now())
+			delegated, moves := 0, len(overview.Moves)
+			for _, p := range overview.Partitions {
+				for _, delegate := range p.Delegates {
+					if delegated += delegate.Machines; !delegate.Active {
+						t.Errorf("delegate %s is not active: %+v", delegate.Controller, delegate)
 					}
 				}
 			}
-			if delegated != total-connected[leader] || moves == 0 || v.Connected != connected[leader] || v.Capacity != 6 {
-				t.Errorf("%d machines delegated, %d moves, %d of %d connected; all connections %v", delegated, moves, v.Connected, v.Capacity, connected)
+			if delegated != total-connected[leader] || moves == 0 || overview.Connected != connected[leader] || overview.Capacity != 6 {
+				t.Errorf("overview shows %d delegated machines, %d moves, %d of %d connections used; connected machines %v", delegated, moves, overview.Connected, overview.Capacity, connected)
 			}
 		})
 		sim.mu.Lock()
 		if forwarded[leader] == 0 {
-			t.Error("no commands were forwarded through a delegate")
+			t.Error("the leader forwarded no commands through a delegate")
 		}
 		sim.mu.Unlock()
 		sim.waitForAllJobs(4 * time.Minute)
@@ -123,19 +123,19 @@
 	})
 }
 
-// A leader's grants end no later than its own bound for answering, and a heartbeat that arrives
-// twice, or late, makes no machine look alive.
+// A delegate's grant ends no later than the leader's own bound for answering heartbeats. A
+// forwarded heartbeat that arrives twice or late does not make its machine look alive.
 func TestGrantsEndWithinTheLeadersAnswerBound(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 780, configureFewSockets, func(sim *simulatedCluster) {
 		partition := sim.startDelegation(9)
 		leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
 		ctl := sim.controllerOf(leader)
-		ask := func(ago time.Duration, reports ...[]byte) (status int, granted time.Duration) {
-			req := &peer.DelegationRequest{From: delegate, Nonce: "x", Partition: uint32(partition), Heartbeats: reports}
+		requestGrant := func(sinceRenewal time.Duration, heartbeats ...[]byte) (status int, granted time.Duration) {
+			req := &peer.DelegationRequest{From: delegate, Nonce: "x", Partition: uint32(partition), Heartbeats: heartbeats}
 			ctl.loop.Do(func() {
 				req.LeaseRevision = ctl.Partitions[partition].LeaseRevision
-				ctl.LeaseRenewedAt = time.Now().Add(-ago)
+				ctl.LeaseRenewedAt = time.Now().Add(-sinceRenewal)
 			})
 			body, err := proto.Marshal(req)
 			panicOnError(err)
@@ -147,14 +147,14 @@
 			return resp.Status, time.Duration(reply.GrantMs) * time.Millisecond
 		}
 		bound := ctl.AnswerBound()
-		if status, d := ask(0); status != 200 || d != delegation.GrantDuration {
-			t.Errorf("%d, %s", status, d)
+		if status, grant := requestGrant(0); status != 200 || grant != delegation.GrantDuration {
+			t.Errorf("right after a lease renewal: status %d, granted for %s", status, grant)
 		}
-		if status, d := ask(bound - time.Second); status != 200 || d > time.Second || d < 900*time.Millisecond {
-			t.Errorf("a second before its bound: %d, %s", status, d)
+		if status, grant := requestGrant(bound - time.Second); status != 200 || grant > time.Second || grant < 900*time.Millisecond {
+			t.Errorf("a second before the answer bound: status %d, granted for %s", status, grant)
 		}
-		if status, _ := ask(bound); status != 409 {
-			t.Errorf("at its bound: %d", status)
+		if status, _ := requestGrant(bound); status != 409 {
+			t.Errorf("at the answer bound: status %d, want 409", status)
 		}
 		var raw []byte
 		var name string
@@ -164,13 +164,13 @@
 				agent.Hung = true
 			}
 		})
-		ask(0, raw)
+		requestGrant(0, raw)
 		time.Sleep(3 * time.Second)
-		ask(0, raw)
+		requestGrant(0, raw)
 		ctl.loop.Do(func() {
 			m := ctl.Machines[name]
 			if silent := time.Since(m.LastHeartbeatAt); silent < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
-				t.Errorf("heard %s ago, answered %s ago", silent, time.Since(m.AnsweredUntil))
+				t.Errorf("after a repeated heartbeat: last new heartbeat %s ago, last possible answer %s ago", silent, time.Since(m.AnsweredUntil))
 			}
 		})
 		sim.forEachWorker(func(agent *agent.Agent) { agent.Hung = false })
@@ -178,13 +178,13 @@
 	})
 }
 
-// A controller that takes over more machines than its sockets allow delegates fencing and
-// heartbeats of some of them from the first moment on.
+// A controller that takes over more machines than it has sockets for delegates some of them at
+// once, including the commands that raise their fencing tokens.
 func TestTakeoverDelegatesAtOnce(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 790, configureFewSockets, func(sim *simulatedCluster) {
 		partition := sim.startDelegation(9)
-		lost := sim.leaderOf(partition)
+		killed := sim.leaderOf(partition)
 		direct, forwarded := map[string]map[string]bool{}, 0
 		sim.mu.Lock()
 		sim.onRequest = func(from, host, target string, body []byte) bool {
@@ -204,19 +204,19 @@
 			return false
 		}
 		sim.mu.Unlock()
-		sim.killController(lost)
+		sim.killController(killed)
 		successor := ""
-		for begun := time.Now(); successor == "" && time.Since(begun) < 10*time.Second; time.Sleep(time.Millisecond) {
+		for killedAt := time.Now(); successor == "" && time.Since(killedAt) < 10*time.Second; time.Sleep(time.Millisecond) {
 			successor = sim.leaderOf(partition)
 		}
 		time.Sleep(100 * time.Millisecond)
-		machines, fenced, delegated := 0, 0, 0
+		machines, confirmed, delegated := 0, 0, 0
 		sim.onController(successor, func(c *Controller) {
 			for _, m := range c.Machines {
 				if m.Record.Partition == partition {
 					machines++
 					if m.TokenConfirmed {
-						fenced++
+						confirmed++
 					}
 				}
 			}
@@ -227,16 +227,16 @@
 		sim.mu.Lock()
 		directCount := len(direct[successor])
 		sim.mu.Unlock()
-		if machines < 9 || fenced < machines || delegated == 0 || forwarded == 0 || directCount >= machines {
-			t.Errorf("%d machines, %d fenced, %d shards delegated, %d commands forwarded, %d machines fenced by %s itself", machines, fenced, delegated, forwarded, directCount, successor)
+		if machines < 9 || confirmed < machines || delegated == 0 || forwarded == 0 || directCount >= machines {
+			t.Errorf("%d machines, %d with a confirmed token; %d shards delegated, %d commands forwarded, %d machines sent commands by %s directly", machines, confirmed, delegated, forwarded, directCount, successor)
 		}
-		sim.startController(lost)
+		sim.startController(killed)
 		sim.waitForAllJobs(6 * time.Minute)
 	})
 }
 
-// Malformed messages are refused, and those under another lease, which a delegate of a former
-// leader may send.
+// Malformed requests are refused, and so are requests under another lease, which a delegate of
+// a former leader may send.
 func TestInvalidDelegationRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 760, configureFewSockets, func(sim *simulatedCluster) {
@@ -261,7 +261,7 @@
 			"malformed heartbeats":         renew(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease, Heartbeats: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
-				t.Errorf("%s: status off by %d", name, got)
+				t.Errorf("%s: status differs by %d from the expected one", name, got)
 			}
 		}
 		many := &peer.ForwardRequest{From: "n1"}
@@ -271,21 +271,22 @@
 		body, err := proto.Marshal(many)
 		panicOnError(err)
 		if got := post(proxy.ForwardPath, body); got != 400 {
-			t.Errorf("too many commands: %d", got)
+			t.Errorf("request with too many commands: status %d, want 400", got)
 		}
-		body, err = proto.Marshal(&peer.ForwardRequest{From: "n1", Commands: []*peer.ForwardedCommand{{Machine: "unheard of"}}})
+		body, err = proto.Marshal(&peer.ForwardRequest{From: "n1", Commands: []*peer.ForwardedCommand{{Machine: "unknown"}}})
 		panicOnError(err)
 		resp := ctl.ServePeers(sim.ctx, &transport.Request{Method: "POST", Path: proxy.ForwardPath, Body: body})
 		reply := new(peer.ForwardReply)
 		panicOnError(proto.Unmarshal(resp.Body, reply))
 		if len(reply.Results) != 1 || !reply.Results[0].Unsent {
-			t.Errorf("commands for an unknown machine: %v", reply)
+			t.Errorf("command for an unknown machine: reply %v, want one unsent command", reply)
 		}
 		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
 
-// Which heartbeats a delegate may answer, and with which token.
+// A delegate answers a heartbeat only under a valid grant for the current partition lease, and
+// with that lease's token.
 func TestGrantsEndWithThePartitionLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -297,64 +298,64 @@
 		c.watcher.ApplyListing(nil, 1)
 		setLease(3, "n1", "x")
 		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
-		e, share := c.proxy.Assignments[0], c.Machines["m-1"].Shard
+		assignment, shard := c.proxy.Assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
-			e.Leader, e.Lease, e.GrantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
-			e.Shards[share], e.UnsentBytes = true, 0
-			clear(e.Unsent)
+			assignment.Leader, assignment.Lease, assignment.GrantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
+			assignment.Shards[shard], assignment.UnsentBytes = true, 0
+			clear(assignment.Unsent)
 		}
-		report := &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}
-		answers := func(name string, want int, token uint64) {
+		heartbeat := &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}
+		expectAnswer := func(name string, want int, token uint64) {
 			t.Helper()
-			resp := c.agents.HandleHeartbeat(report, []byte("body"))
-			var o protocol.CommandBatch
-			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &o) != nil || o.Token != token || len(o.Commands) > 0) {
-				t.Errorf("%s: %d with token %d and %d commands, want %d with %d", name, resp.Status, o.Token, len(o.Commands), want, token)
+			resp := c.agents.HandleHeartbeat(heartbeat, []byte("body"))
+			var commands protocol.CommandBatch
+			if resp.Status != want || want == 200 && (protocol.Decode(resp.Body, &commands) != nil || commands.Token != token || len(commands.Commands) > 0) {
+				t.Errorf("%s: status %d with token %d and %d commands, want status %d with token %d and no commands", name, resp.Status, commands.Token, len(commands.Commands), want, token)
 			}
-			if unsent := string(e.Unsent["m-1"].Raw) == "body"; unsent != (want == 200) {
-				t.Errorf("%s: answered %d, kept to be forwarded %v", name, resp.Status, unsent)
+			if unsent := string(assignment.Unsent["m-1"].Raw) == "body"; unsent != (want == 200) {
+				t.Errorf("%s: status %d, heartbeat kept for forwarding %v", name, resp.Status, unsent)
 			}
 		}
-		answers("without a grant", 421, 0)
+		expectAnswer("without a grant", 421, 0)
 		grant()
-		answers("granted", 200, 3)
-		late := *report
-		report.Sequence = 9
+		expectAnswer("granted", 200, 3)
+		late := *heartbeat
+		heartbeat.Sequence = 9
 		c.agents.HandleHeartbeat(&late, []byte("late"))
-		answers("a newer heartbeat", 200, 3)
+		expectAnswer("a newer heartbeat", 200, 3)
 		late.Sequence = 8
-		if c.agents.HandleHeartbeat(&late, []byte("late")); string(e.Unsent["m-1"].Raw) != "body" || e.UnsentBytes != 4 {
-			t.Errorf("%q, %d bytes to be forwarded", e.Unsent["m-1"].Raw, e.UnsentBytes)
+		if c.agents.HandleHeartbeat(&late, []byte("late")); string(assignment.Unsent["m-1"].Raw) != "body" || assignment.UnsentBytes != 4 {
+			t.Errorf("after a late heartbeat %q is kept for forwarding, in all %d bytes; want the newer one only", assignment.Unsent["m-1"].Raw, assignment.UnsentBytes)
 		}
 		grant()
-		e.Shards[share], e.Shards[(share+1)%delegation.ShardCount] = false, true
-		answers("another shard", 421, 0)
+		assignment.Shards[shard], assignment.Shards[(shard+1)%delegation.ShardCount] = false, true
+		expectAnswer("granted another shard only", 421, 0)
 		grant()
 		time.Sleep(time.Second)
-		answers("the grant has expired", 421, 0)
+		expectAnswer("the grant has expired", 421, 0)
 		grant()
-		report.Token = 4
-		answers("the agent has seen a newer leader", 503, 0)
-		report.Token = 0
+		heartbeat.Token = 4
+		expectAnswer("the agent has seen a newer leader", 503, 0)
+		heartbeat.Token = 0
 		grant()
-		e.UnsentBytes = c.proxy.UnsentLimit
-		answers("too many unsent bytes", 503, 0)
+		assignment.UnsentBytes = c.proxy.UnsentLimit
+		expectAnswer("too many unsent bytes", 503, 0)
 		grant()
 		setLease(5, "n2", "y")
-		answers("another leader", 421, 0)
+		expectAnswer("another leader", 421, 0)
 		grant()
-		answers("granted by the other leader", 200, 5)
+		expectAnswer("granted by the new leader", 200, 5)
 		grant()
 		setLease(6, "n2", "y")
-		answers("the same leader under another lease", 421, 0)
+		expectAnswer("the same leader under another lease", 421, 0)
 		grant()
 		c.Draining = true
-		answers("draining", 421, 0)
+		expectAnswer("draining", 421, 0)
 		c.Draining = false
 		grant()
 		setLease(7, "n0", c.Nonce)
-		if resp := c.agents.HandleHeartbeat(report, nil); resp.Status != 503 && resp.Status != 200 || len(e.Unsent) > 0 {
-			t.Errorf("led here: %d, %d heartbeats to forward", resp.Status, len(e.Unsent))
+		if resp := c.agents.HandleHeartbeat(heartbeat, nil); resp.Status != 503 && resp.Status != 200 || len(assignment.Unsent) > 0 {
+			t.Errorf("as the partition's leader: status %d, %d heartbeats kept for forwarding", resp.Status, len(assignment.Unsent))
 		}
 	})
 }
@@ -385,13 +386,13 @@
 			switch {
 			case lost == nil && len(forwarded) > 0:
 				lost, after = forwarded, req.After
-				for name := range lost { // so that no newer heartbeat takes its place
+				for name := range lost { // so that no newer heartbeat replaces the lost one
 					sim.workers[name].Hung = true
 				}
 				return true
 			case lost != nil:
 				if repeated = forwarded; req.After != after {
-					t.Errorf("the next request follows reply %d, not %d", req.After, after)
+					t.Errorf("the next request acknowledges reply %d, want %d", req.After, after)
 				}
 			}
 			return false
@@ -400,11 +401,11 @@
 		time.Sleep(5 * time.Second)
 		sim.mu.Lock()
 		if len(lost) == 0 || repeated == nil {
-			t.Errorf("lost %v, then %v", lost, repeated)
+			t.Errorf("machines with a lost heartbeat: %v, in the next request: %v", lost, repeated)
 		}
 		for name := range lost {
 			if sim.workers[name].Hung = false; !repeated[name] {
-				t.Errorf("the heartbeat of %s is not forwarded again", name)
+				t.Errorf("the heartbeat of %s was not forwarded again", name)
 			}
 		}
 		sim.mu.Unlock()
@@ -412,38 +413,38 @@
 	})
 }
 
-// An agent that is redirected to its delegate before anybody has answered it holds its first
-// lease all the same: the attempts on it are not over (rule 6).
+// An agent that is redirected to a delegate before any controller has answered it still holds
+// its first lease: attempts on it must not be taken to have ended (rule 6).
 func TestUnansweredAgentKeepsItsFirstLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, end := newIdleController(t)
 		defer end()
 		p, m := c.leadFirstPartition(5)
-		time.Sleep(time.Minute) // while it boots
+		time.Sleep(time.Minute) // while the machine boots
 		now := time.Now()
 		c.RecordsCurrentAt, c.LeaseRenewedAt = now, now
 		p.Delegations.Assign(m.Shard, "n1")
-		// The delegate renews again and again, so that all that it answered is known.
+		// The delegate renews its grant repeatedly, so that all of its answers are known.
 		for serial := range uint64(3) {
 			p.Delegations.Renew("n1", "x", serial, time.Minute, now.Add(-time.Second))
 		}
 		p.Delegations.Renew("n1", "x", 3, time.Minute, now)
-		report := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 1, Token: 5}
-		if resp := c.agents.HandleHeartbeat(report, protocol.Encode(report)); resp.Status != 421 {
-			t.Fatalf("status %d: not redirected to its delegate", resp.Status)
+		heartbeat := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 1, Token: 5}
+		if resp := c.agents.HandleHeartbeat(heartbeat, protocol.Encode(heartbeat)); resp.Status != 421 {
+			t.Fatalf("heartbeat got status %d, want 421 with a redirect to the delegate", resp.Status)
 		}
 		j := c.addLoadedJob("job-1")
 		addLiveAttempt(j, m, 1, cluster.AttemptCommitted)
 		for _, wait := range []time.Duration{eventloop.TickInterval, time.Duration(float64(c.AgentLease) * cluster.ClockDriftFactor)} {
 			time.Sleep(wait)
 			if c.agents.CheckMachines(time.Now()); m.Lost || len(j.LiveAttempts) == 0 {
-				t.Fatalf("lost %s into its first lease", time.Since(now))
+				t.Fatalf("machine lost %s after its first heartbeat, within its first lease", time.Since(now))
 			}
 		}
 		time.Sleep(2*cluster.ClockMargin + delegation.GrantDuration)
 		if c.agents.CheckMachines(time.Now()); !m.Lost || len(j.LiveAttempts) != 0 {
-			t.Error("not lost after its first lease")
+			t.Error("machine not lost after its first lease expired")
 		}
 	})
 }
--- a/internal/coordination/replication_test.go
+++ b/internal/coordination/replication_test.go
@@ -29,7 +29,8 @@
 	return label
 }
 
-// partitionSnapshot returns a leader's state of a partition, for comparison.
+// partitionSnapshot describes a leader's state of a partition by task, chunk, job and machine,
+// for comparison.
 func (c *Controller) partitionSnapshot(p *cluster.Partition) map[string]string {
 	out := map[string]string{}
 	for id, j := range c.Jobs {
@@ -58,23 +59,23 @@
 	return out
 }
 
-// A replica that followed the records yields the same state as reading them again, whatever the
-// records, and whichever jobs and machines are known when it is used.
+// A replica kept up to date by changes of the records yields the same state as a new listing,
+// for random records and for jobs and machines that are not all known when it is used.
 func TestReplicaEqualsAListing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		var two [2]*Controller
+		var controllers [2]*Controller
 		var p [2]*cluster.Partition
-		for i := range two {
-			two[i], p[i] = newLeadingController(t)
+		for i := range controllers {
+			controllers[i], p[i] = newLeadingController(t)
 		}
 		index := p[0].Index
 		for i := range 12 {
-			for k, c := range two {
-				if i == 0 { // moved to another partition since
+			for k, c := range controllers {
+				if i == 0 { // m-0 has moved to another partition
 					c.addMachine(c.Partitions[(index+1)%3], "m-0", "big")
-				} else if i < 11 { // the last is no longer recorded
+				} else if i < 11 { // m-11 has no record any more
 					c.addMachine(p[k], fmt.Sprint("m-", i), "big")
 				}
 			}
@@ -83,36 +84,36 @@
 		for i := range 8 {
 			id := fmt.Sprint("job-", i)
 			tasks[id] = 1 + rng.IntN(150)
-			for _, c := range two {
-				if i > 0 { // of the first only its run record is known
+			for _, c := range controllers {
+				if i > 0 { // job-0 has only run records
 					c.addQueuedJob(id, tasks[id])
 				}
 			}
 		}
-		store, rev := map[string]protocol.Item{}, uint64(10)
+		store, revision := map[string]protocol.Item{}, uint64(10)
 		var events []protocol.Event
 		write := func() {
-			rev += 1 + uint64(rng.IntN(2))
+			revision += 1 + uint64(rng.IntN(2))
 			id := fmt.Sprint("job-", rng.IntN(8))
 			chunk := rng.IntN((tasks[id] + storage.ChunkTasks - 1) / storage.ChunkTasks)
 			key := storage.RunKey(index, id, chunk)
-			if _, have := store[key]; have && rng.IntN(6) == 0 {
+			if _, exists := store[key]; exists && rng.IntN(6) == 0 {
 				delete(store, key)
-				events = append(events, protocol.Event{Delete: key, Version: rev})
+				events = append(events, protocol.Event{Delete: key, Version: revision})
 				return
 			}
-			run := storage.RunRecord{Last: rev}
+			run := storage.RunRecord{Last: revision}
 			for task := chunk * storage.ChunkTasks; task < min((chunk+1)*storage.ChunkTasks, tasks[id]); task++ {
 				switch rng.IntN(4) {
 				case 0:
 					run.Done = append(run.Done, [2]int{task, task})
 				case 1:
-					run.Live = append(run.Live, storage.Attempt{Task: task, Number: 1 + rev/8, Machine: fmt.Sprint("m-", rng.IntN(12)), Epoch: 1})
+					run.Live = append(run.Live, storage.Attempt{Task: task, Number: 1 + revision/8, Machine: fmt.Sprint("m-", rng.IntN(12)), Epoch: 1})
 				}
 			}
-			it := protocol.Item{Key: key, Version: rev, Value: storage.Encode(run)}
-			store[key] = it
-			events = append(events, protocol.Event{Put: key, Version: rev, Value: it.Value})
+			item := protocol.Item{Key: key, Version: revision, Value: storage.Encode(run)}
+			store[key] = item
+			events = append(events, protocol.Event{Put: key, Version: revision, Value: item.Value})
 		}
 		listing := func() (all []protocol.Item) {
 			for _, k := range slices.Sorted(maps.Keys(store)) {
@@ -125,81 +126,81 @@
 			write()
 		}
 		warm, cold := replication.NewReplica(index, time.Now()), replication.NewReplica(index, time.Now())
-		warm.StartFrom(logError, listing(), rev, time.Now())
-		at := rev
+		warm.StartFrom(logError, listing(), revision, time.Now())
+		appliedRevision := revision
 		for range 30 {
 			from := len(events)
 			for range rng.IntN(5) {
 				write()
 			}
-			if !warm.Apply(logError, at, &protocol.Events{Revision: rev, Events: events[from:]}, time.Now()) {
-				t.Fatal("a gap")
+			if !warm.Apply(logError, appliedRevision, &protocol.Events{Revision: revision, Events: events[from:]}, time.Now()) {
+				t.Fatal("the replica found a gap in the changes")
 			}
-			at = rev
+			appliedRevision = revision
 		}
-		cold.StartFrom(logError, listing(), rev, time.Now())
+		cold.StartFrom(logError, listing(), revision, time.Now())
 		if seed%3 == 0 {
-			for _, c := range two {
+			for _, c := range controllers {
 				c.jobs.SetFinal("job-2", protocol.StatusCancelled, time.Now())
 			}
 		}
-		for _, c := range two {
+		for _, c := range controllers {
 			for _, m := range c.Machines {
 				m.CommandRequestsInFlight = 1 // no command is sent
 			}
 		}
-		two[0].takeover.Install(p[0], warm, nil, true)
-		two[1].takeover.Install(p[1], cold, nil, false)
-		a, b := two[0].partitionSnapshot(p[0]), two[1].partitionSnapshot(p[1])
+		controllers[0].takeover.Install(p[0], warm, nil, true)
+		controllers[1].takeover.Install(p[1], cold, nil, false)
+		a, b := controllers[0].partitionSnapshot(p[0]), controllers[1].partitionSnapshot(p[1])
 		for k := range b {
 			if a[k] != b[k] {
 				t.Fatalf("seed %d: %s is %s from the replica, %s from the listing", seed, k, a[k], b[k])
 			}
 		}
 		if a["miscounted"] != "" {
-			t.Fatalf("seed %d: wrong usage of %s", seed, a["miscounted"])
+			t.Fatalf("seed %d: machine with its counted and actual usage: %s", seed, a["miscounted"])
 		}
 		if len(a) != len(b) || len(a) < 20 {
-			t.Fatalf("seed %d: %d and %d entries", seed, len(a), len(b))
+			t.Fatalf("seed %d: snapshots have %d and %d entries, want equal numbers of at least 20", seed, len(a), len(b))
 		}
 	}
 }
 
-// Replica updates that arrive late, twice, out of order or from a former leader change nothing;
-// after a gap the sender continues from what was acknowledged; the size of a message is
+// Replica updates that arrive late, twice, out of order or from a former leader change nothing.
+// After a gap the sender continues from the last acknowledged update. The size of a message is
 // bounded.
 func TestReplicaUpdatesApplyInOrder(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	var h replication.ReceivedUpdates
+	var received replication.ReceivedUpdates
 	starts := map[replication.AttemptID]time.Time{}
 	noteStart := func(k replication.AttemptID, at time.Time) { starts[k] = at }
-	apply := func(lease, since, upto uint64, job string) uint64 {
-		return h.Apply(&peer.ReplicaUpdate{From: "n0", Nonce: "x", LeaseRevision: lease, After: since, Through: upto,
+	apply := func(lease, after, through uint64, job string) uint64 {
+		return received.Apply(&peer.ReplicaUpdate{From: "n0", Nonce: "x", LeaseRevision: lease, After: after, Through: through,
 			Attempts: []*peer.AttemptStart{{Job: job, Attempt: 1, RunningS: 2}}}, noteStart, now)
 	}
 	for i, c := range []struct {
-		lease, since, upto, want uint64
-		takes                    bool
+		lease, after, through, want uint64
+		applied                     bool
 	}{
-		{5, 3, 4, 0, false}, // begins in the middle
+		{5, 3, 4, 0, false}, // the first update must start at 0
 		{5, 0, 4, 4, true},
 		{5, 6, 8, 4, false}, // a gap
 		{5, 4, 8, 8, true},
-		{5, 0, 4, 8, false},  // late
+		{5, 0, 4, 8, false},  // an update that was applied before
 		{4, 0, 9, 0, false},  // a former leader
-		{6, 8, 12, 0, false}, // a new lease starts over
+		{6, 8, 12, 0, false}, // updates under a new lease start at 0 again
 		{6, 0, 3, 3, true},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := apply(c.lease, c.since, c.upto, job); got != c.want {
-			t.Errorf("%d: acknowledged %d, want %d", i, got, c.want)
+		if got := apply(c.lease, c.after, c.through, job); got != c.want {
+			t.Errorf("update %d: acknowledged %d, want %d", i, got, c.want)
 		}
-		if at, took := starts[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.takes || took && !at.Equal(now.Add(-2*time.Second)) {
-			t.Errorf("%d: applied %v, started %s ago", i, took, now.Sub(at))
+		if at, took := starts[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.applied || took && !at.Equal(now.Add(-2*time.Second)) {
+			t.Errorf("update %d: applied %v, start time %s ago", i, took, now.Sub(at))
 		}
 	}
-	// A message is bounded, and everything is sent in the end.
+	// The size of a message is bounded; what is left out is sent in the next ones.
 	const machines, tasks = 2000, 80_000
 	c, p := newLeadingController(t)
 	for i := range machines {
@@ -220,22 +221,22 @@
 	for ; replica.Derived.KnownStarts() < tasks && messages < 10; messages++ {
 		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
 		if err != nil || len(raw) > replication.UpdateBytesLimit+replication.EntryOverheadBytes {
-			t.Fatalf("a message of %d bytes (%v)", len(raw), err)
+			t.Fatalf("replica update of %d bytes is too large or failed to encode (%v)", len(raw), err)
 		}
 		msg := new(peer.ReplicaUpdate)
 		panicOnError(proto.Unmarshal(raw, msg))
 		p.Replication.AcknowledgedSeq = replica.Updates.Apply(msg, replica.Derived.NoteStart, now)
 	}
 	if messages != 3 || len(replica.Updates.Machines) != machines {
-		t.Errorf("%d messages with %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
+		t.Errorf("sent %d messages with %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
 	}
 	if again := c.replicator.PartitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
-		t.Errorf("sent again: %d attempts, %d machines", len(again.Attempts), len(again.Machines))
+		t.Errorf("acknowledged hints of %d attempts and %d machines were sent again", len(again.Attempts), len(again.Machines))
 	}
 }
 
-// A replicated start time is no report that the attempt runs: it counts from then on only once
-// its machine reports it.
+// A replicated start time does not show that the attempt still runs: the attempt counts as
+// running since that time only once its machine reports it.
 func TestReplicatedStartIsNoReportOfRunning(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -247,14 +248,14 @@
 	a := j.LiveAttempts[0]
 	a.State, a.Inherited = cluster.AttemptCommitted, true
 	if !c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 2}, now) {
-		t.Error("applied the start of this attempt and of another")
+		t.Error("want the start time of the attempt applied and that of an unknown attempt ignored")
 	}
 	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunTimeS(now) != 20 {
-		t.Errorf("started %s, %d running, state %d, ran %v s", a.StartedAt, j.RunningCount, a.State, a.RunTimeS(now))
+		t.Errorf("before a heartbeat: started at %s, %d tasks running, attempt state %d, run time %v s", a.StartedAt, j.RunningCount, a.State, a.RunTimeS(now))
 	}
 	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
 	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != cluster.AttemptConfirmed {
-		t.Errorf("started %s ago, %d running, state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
+		t.Errorf("after a heartbeat: started %s ago, %d tasks running, attempt state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
 	}
 }
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -18,12 +18,12 @@
 	"micaspindle/internal/storage"
 )
 
-// updatePlans has the golden file rewritten.
-var updatePlans = flag.Bool("update", false, "write testdata/plans.txt anew")
+// updatePlans makes the test rewrite its golden file.
+var updatePlans = flag.Bool("update", false, "rewrite testdata/plans.txt")
 
-// The decisions for 120 random clusters, compared with a golden file: queue order, placement,
-// preemption, moves, scale-outs, scale-ins. Guards against unintended changes of behaviour;
-// after an intended one, rewrite the file: go test -run TestSchedulingDecisions -update
+// Queue order, placement, preemption, moves, scale-outs and scale-ins for 120 random clusters
+// are compared with a golden file, so that no change alters them unintentionally. After an
+// intended change, rewrite the file: go test -run TestSchedulingDecisions -update
 func TestSchedulingDecisionsMatchGoldenFile(t *testing.T) {
 	t.Parallel()
 	const file = "testdata/plans.txt"
@@ -44,27 +44,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, on := strings.Split(all.String(), "\n"), strings.Split(string(want), "\n")
+	gotLines, wantLines := strings.Split(all.String(), "\n"), strings.Split(string(want), "\n")
 	seed := ""
-	for i := range max(len(got), len(on)) {
+	for i := range max(len(gotLines), len(wantLines)) {
 		g, w := "", ""
-		if i < len(got) {
-			g = got[i]
+		if i < len(gotLines) {
+			g = gotLines[i]
 		}
-		if i < len(on) {
-			w = on[i]
+		if i < len(wantLines) {
+			w = wantLines[i]
 		}
 		if strings.HasPrefix(g, "seed") {
 			seed = g
 		}
 		if g != w {
-			t.Fatalf("%s, line %d: now %q, on record %q", seed, i+1, g, w)
+			t.Fatalf("%s, line %d: got %q, want %q", seed, i+1, g, w)
 		}
 	}
 }
 
-// describePlans makes a cluster from a seed and describes what is decided for it. Idle machines
-// of a partition are of one kind, so that the order among equals does not show.
+// describePlans generates a cluster from a seed and describes the scheduling decisions for it.
+// The machines of a partition are alike, so that it does not matter which of them is chosen.
 func describePlans(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
@@ -103,9 +103,9 @@
 		}
 	}
 	teams := sim.settings.Params.Teams
-	add := func(n, from int) {
-		for i := range n {
-			s := newJobSpec(fmt.Sprintf("job-%d", from+i), 1+rng.IntN(12), teams[rng.IntN(len(teams))].Name)
+	addJobs := func(count, firstID int) {
+		for i := range count {
+			s := newJobSpec(fmt.Sprintf("job-%d", firstID+i), 1+rng.IntN(12), teams[rng.IntN(len(teams))].Name)
 			s.Urgency = protocol.Urgency(rng.IntN(4))
 			s.CPUs, s.MemGB = float64(1+rng.IntN(6)), float64(1+rng.IntN(8))
 			s.EstimateS, s.DeadlineS = float64(2+rng.IntN(60)), float64(rng.IntN(3)*(10+rng.IntN(120)))
@@ -120,7 +120,7 @@
 		}
 	}
 	var out strings.Builder
-	orders := func() {
+	writeQueueOrders := func() {
 		for _, p := range c.Partitions {
 			p.QueueOrder = nil
 			var ids []string
@@ -130,8 +130,8 @@
 			fmt.Fprintf(&out, " order %d: %s\n", p.Index, strings.Join(ids, " "))
 		}
 	}
-	add(3+rng.IntN(8), 0)
-	orders()
+	addJobs(3+rng.IntN(8), 0)
+	writeQueueOrders()
 	for _, p := range c.Partitions {
 		c.scheduler.Place(p, now)
 	}
@@ -145,8 +145,8 @@
 	slices.Sort(placed)
 	fmt.Fprintf(&out, " placed: %s\n", strings.Join(placed, " "))
 	c.scheduler.ScarcityCache = nil
-	add(4+rng.IntN(10), 100)
-	orders()
+	addJobs(4+rng.IntN(10), 100)
+	writeQueueOrders()
 	for _, p := range c.Partitions {
 		c.scheduler.Preempt(p, now)
 	}
@@ -169,16 +169,16 @@
 	for name := range c.Leadership.MovedAt {
 		moved[c.Machines[name].Record.Partition]++
 	}
-	for p, n := range moved {
-		fleet = append(fleet, fmt.Sprintf("move %d from %d", n, p))
+	for p, count := range moved {
+		fleet = append(fleet, fmt.Sprintf("move %d from %d", count, p))
 	}
 	deleting := map[string]int{}
 	for name := range c.Leadership.DeletionRequestedAt {
 		m := c.Machines[name]
 		deleting[fmt.Sprintf("%d lost %v faulty %v", m.Record.Partition, m.Lost, m.Quarantined)]++
 	}
-	for kind, n := range deleting {
-		fleet = append(fleet, fmt.Sprintf("give %d of %s", n, kind))
+	for kind, count := range deleting {
+		fleet = append(fleet, fmt.Sprintf("give %d of %s", count, kind))
 	}
 	slices.Sort(fleet)
 	fmt.Fprintf(&out, " fleet: %s\n", strings.Join(fleet, ", "))
--- a/internal/coordination/scheduling_policy_test.go
+++ b/internal/coordination/scheduling_policy_test.go
@@ -10,7 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// By deadline alone, a backlog would make every job late; the largest job goes last.
+// In a backlog, ordering by deadline alone could make every job late; the largest job goes last
+// instead.
 func TestBacklogQueuesTheLargestJobLast(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -24,38 +25,38 @@
 		got = append(got, j.Spec.ID)
 	}
 	if strings.Join(got, " ") != "job-2 job-1" {
-		t.Errorf("order %v: 24 s of work can't all be over in 21 s", got)
+		t.Errorf("queue order %v, want job-2 first: 24 s of work cannot finish in 21 s", got)
 	}
 	c.addMachine(p, "m-2", "big")
 	p.QueueOrder = nil
 	if first := c.scheduler.Queue(p)[0].Spec.ID; first != "job-1" {
-		t.Errorf("%s goes first though both can be in time", first)
+		t.Errorf("%s goes first, want job-1: both jobs can meet their deadlines", first)
 	}
 }
 
-// Small tasks must not fill the machines that waiting large ones need while other machines are
-// free for them.
+// Small tasks must not fill the machines that waiting large tasks need while machines of other
+// types are free.
 func TestScarceMachineTypesAreLeftToJobsThatNeedThem(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
 	small, big := c.addMachine(p, "m-1", "small"), c.addMachine(p, "m-2", "big")
-	big.Images["img"] = time.Now() // it would win the tie
+	big.Images["img"] = time.Now() // the cached image favours this machine among equals
 	s := newJobSpec("job-1", 3, "green")
 	s.Urgency = protocol.High
-	easy := c.addJob(s)
+	smallJob := c.addJob(s)
 	s = newJobSpec("job-2", 2, "green")
 	s.CPUs = 16 // fits big machines only
-	choosy := c.addJob(s)
+	largeJob := c.addJob(s)
 	c.scheduler.Place(p, time.Now())
-	on := map[*cluster.Machine]int{}
-	for _, a := range easy.LiveAttempts {
-		on[a.Machine]++
+	placed := map[*cluster.Machine]int{}
+	for _, a := range smallJob.LiveAttempts {
+		placed[a.Machine]++
 	}
-	if on[small] != 2 || on[big] != 1 {
-		t.Errorf("small tasks on small %d and big %d machines, want 2 and 1", on[small], on[big])
+	if placed[small] != 2 || placed[big] != 1 {
+		t.Errorf("small tasks placed on the small machine: %d, on the big one: %d, want 2 and 1", placed[small], placed[big])
 	}
-	if len(choosy.LiveAttempts) != 1 {
-		t.Errorf("%d large tasks placed", len(choosy.LiveAttempts))
+	if len(largeJob.LiveAttempts) != 1 {
+		t.Errorf("%d large tasks placed, want 1", len(largeJob.LiveAttempts))
 	}
 }
 
@@ -77,12 +78,12 @@
 			count += d.Count
 		}
 		if count != tc.want {
-			t.Errorf("requested %s ago: %d tasks find no capacity, want %d", tc.age, count, tc.want)
+			t.Errorf("machine requested %s ago: demands for %d tasks, want %d", tc.age, count, tc.want)
 		}
 	}
 }
 
-// Jobs of one team must not each demand all that its quota leaves.
+// The demands of a team's jobs must together fit into its remaining quota.
 func TestDemandsShareTheTeamQuota(t *testing.T) {
 	t.Parallel()
 	c, _ := newLeadingController(t)
@@ -98,8 +99,8 @@
 	}
 }
 
-// Where only the team's quota keeps urgent jobs waiting, the team's own jobs of lower urgency
-// are checkpointed and preempted.
+// If only the team's quota keeps urgent jobs waiting, the team's own jobs of lower urgency are
+// checkpointed and preempted.
 func TestPreemptionWithinATeamQuota(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 23, func(sim *simulatedCluster) {
@@ -119,33 +120,33 @@
 		sim.submit(high)
 		time.Sleep(40 * time.Second)
 		if st := sim.poll("", "job-2"); st != protocol.StatusDone {
-			t.Errorf("urgent work is %q", st)
+			t.Errorf("the urgent job is %q, want done", st)
 		}
 		sim.waitForAllJobs(10 * time.Minute)
 	})
 }
 
-// Guards against a measured loss of 0.01 in service quality: a job that was queued again while
-// the queue order was cached was served last, so that lower urgencies took the machines first,
-// and its ends, which free its team's quota, were recorded a batch later.
+// A job that is requeued, or whose record changes, while the queue order is cached must be
+// inserted by its urgency. At the end of the queue, its tasks would find the machines taken by
+// lower urgencies, and its ended tasks, which free quota, would be recorded later.
 func TestRequeuedJobKeepsItsQueuePosition(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
 	high, low := newJobSpec("job-1", 1, "green"), newJobSpec("job-2", 1, "green")
 	high.Urgency = protocol.High
 	first, second := c.addJob(high), c.addJob(low)
-	first.Pending, first.MayHaveDirtyChunk = nil, false // all of it runs, and is recorded
+	first.Pending, first.MayHaveDirtyChunk = nil, false // all its tasks run and are recorded
 	if list := c.scheduler.Queue(p); len(list) != 1 || list[0] != second {
-		t.Fatalf("%d jobs are queued", len(list))
+		t.Fatalf("%d jobs are queued, want job-2 only", len(list))
 	}
 	first.Requeue(0)
 	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
-		t.Error("a requeued task is served after lower urgency")
+		t.Error("a job with a requeued task is queued after one of lower urgency")
 	}
 	p.QueueOrder, first.Pending = nil, nil
 	c.scheduler.Queue(p)
 	first.MarkDirty(0, false, time.Now())
 	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
-		t.Error("a changed record is written after lower urgency")
+		t.Error("a job with a changed record is queued after one of lower urgency")
 	}
 }
--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	runSimulation(t, 2, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		// First boot a machine that is free but not allowed: spot, small, zone a.
+		// First boot a machine that is free but that the constraints exclude: spot, small, zone a.
 		sim.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
 		first := newJobSpec("job-9", 1, "blue")
 		first.CPUs, first.Zone = 1, "a"
@@ -56,13 +56,12 @@
 }
 
 // A scale-out whose response was lost is repeated under the same request name, so that no
-// machine is rented twice; machines without a record are adopted.
+// machine is rented twice. Machines without a record are adopted.
 func TestScaleOutRetriesAreIdempotent(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 16, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		// Only responses to scale-outs are lost: other losses could legitimately require more
-		// machines, as in one run of forty.
+		// Only responses to scale-outs are lost: after other losses more machines may be needed.
 		var lost atomic.Int32
 		sim.mu.Lock()
 		sim.onResponse = func(_, host, target string, _ []byte, _ *transport.Response) bool {
@@ -76,15 +75,15 @@
 		time.Sleep(40 * time.Second)
 		sim.mu.Lock()
 		if lost.Load() < 3 || sim.cloud.Rented > 2 {
-			t.Errorf("%d machines rented for two tasks, %d answers lost", sim.cloud.Rented, lost.Load())
+			t.Errorf("%d machines rented for two tasks, %d responses lost", sim.cloud.Rented, lost.Load())
 		}
 		sim.mu.Unlock()
 		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
-// A job that fails on every machine must not wear out the fleet, and a machine on which
-// different jobs fail is returned.
+// A job that fails on every machine is retried with a backoff and without replacing machines. A
+// machine on which different jobs fail is deleted.
 func TestFailingJobsBackOffAndFaultyMachinesAreReplaced(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 10, func(sim *simulatedCluster) {
@@ -101,7 +100,7 @@
 		rented := sim.cloud.Rented
 		sim.mu.Unlock()
 		if rented > 10 || starts > 40 {
-			t.Errorf("%d machines rented, %d starts for a job that always fails", rented, starts)
+			t.Errorf("%d machines rented and %d tasks started, with a job that always fails", rented, starts)
 		}
 		sim.cancelJob("job-13")
 
@@ -122,22 +121,23 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if faulty != "" && sim.workers[faulty] != nil && sim.workers[faulty].Starts > 8 {
-			t.Errorf("%s fails everything, was given %d tasks and is still there", faulty, sim.workers[faulty].Starts)
+			t.Errorf("%s, on which every task fails, was given %d tasks and was not deleted", faulty, sim.workers[faulty].Starts)
 		}
 	})
 }
 
-// Serving late jobs first would make the next ones late too; yet a job that has waited very
-// long must not starve: for a quarter of the time it goes first.
+// Late jobs queue behind jobs that can meet their deadlines, which serving them first would
+// make late too. A job that has waited very long must not starve: it goes first a quarter of
+// the time.
 func TestLateJobsQueueBehindJobsInTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		if got, want := queueOrderWithLateJobs(t), "urgent-late starving sooner in-time a-little-late late"; got != want {
-			t.Errorf("order %s, want %s, at a whole minute", got, want)
+			t.Errorf("queue order at a whole minute: %s, want %s", got, want)
 		}
 		time.Sleep(time.Second)
 		if got, want := queueOrderWithLateJobs(t), "urgent-late sooner in-time a-little-late starving late"; got != want {
-			t.Errorf("order %s, want %s", got, want)
+			t.Errorf("queue order a second after a whole minute: %s, want %s", got, want)
 		}
 	})
 }
@@ -194,22 +194,22 @@
 		sim.submit(same)
 		time.Sleep(40 * time.Second)
 		if st := sim.poll("", "job-2"); st != protocol.StatusQueued {
-			t.Errorf("work of the same urgency is %q", st)
+			t.Errorf("a job of the same urgency is %q, want queued", st)
 		}
 		high := newJobSpec("job-3", 1, "blue")
 		high.Urgency, high.DeadlineS = protocol.High, 30
 		sim.submit(high)
 		time.Sleep(40 * time.Second)
 		if st := sim.poll("", "job-3"); st != protocol.StatusDone {
-			t.Errorf("urgent work is %q", st)
+			t.Errorf("the urgent job is %q, want done", st)
 		}
 		sim.cancelJob("job-1")
 		sim.waitForAllJobs(2 * time.Minute)
 	})
 }
 
-// Slow machines are found by comparison with others of their type; an estimate that is wrong
-// for the whole job must not quarantine any.
+// A slow machine is detected by comparison with others of its type. A job whose estimate is
+// wrong on all machines must not quarantine any.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []bool{true, false} {
@@ -245,7 +245,7 @@
 					}
 				}
 				if len(quarantined) > 1 || quarantined["m-000000"] != slow {
-					t.Errorf("quarantined: %v", quarantined)
+					t.Errorf("machines quarantined: %v", quarantined)
 				}
 				sim.waitForAllJobs(5 * time.Minute)
 			})
@@ -263,31 +263,31 @@
 		sim.cloud.Types = sim.cloud.Types[:1]
 		sim.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
 		sim.mu.Unlock()
-		g := newJobSpec("job-1", 5, "blue")
-		g.Gang = true
-		sim.submit(g)
-		most := 0
+		gang := newJobSpec("job-1", 5, "blue")
+		gang.Gang = true
+		sim.submit(gang)
+		maxRunning := 0
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
 			sim.mu.Lock()
-			n := 0
+			running := 0
 			for _, agent := range sim.workers {
-				n += len(agent.Tasks)
+				running += len(agent.Tasks)
 			}
 			sim.mu.Unlock()
-			if n > 0 && n < 5 && most < 5 {
-				time.Sleep(50 * time.Millisecond) // its commands go to several machines
+			if running > 0 && running < 5 && maxRunning < 5 {
+				time.Sleep(50 * time.Millisecond) // the commands go to several machines and do not all arrive at once
 				sim.mu.Lock()
-				n = 0
+				running = 0
 				for _, agent := range sim.workers {
-					n += len(agent.Tasks)
+					running += len(agent.Tasks)
 				}
 				sim.mu.Unlock()
-				if n < 5 {
-					t.Fatalf("%d of 5 tasks were started", n)
+				if running < 5 {
+					t.Fatalf("only %d of the gang's 5 tasks run", running)
 				}
 			}
-			most = max(most, n)
+			maxRunning = max(maxRunning, running)
 			// Agents know a gang's tasks by their common attempt number.
 			numbers := map[uint64]bool{}
 			sim.mu.Lock()
@@ -298,16 +298,16 @@
 			}
 			sim.mu.Unlock()
 			if len(numbers) > 1 {
-				t.Fatalf("attempt numbers %v", numbers)
+				t.Fatalf("tasks of a gang have different attempt numbers: %v", numbers)
 			}
 		}
 		sim.waitForAllJobs(2 * time.Minute)
-		big := newJobSpec("job-2", 9, "green") // more than fits the fleet
-		big.Gang = true
-		sim.submit(big)
+		tooLarge := newJobSpec("job-2", 9, "green") // more tasks than the machines have room for
+		tooLarge.Gang = true
+		sim.submit(tooLarge)
 		time.Sleep(time.Minute)
 		if st := sim.poll("", "job-2"); st != protocol.StatusQueued {
-			t.Errorf("a gang without capacity is %q", st)
+			t.Errorf("a gang that lacks capacity is %q, want queued", st)
 		}
 		sim.cancelJob("job-2")
 		sim.waitForAllJobs(time.Minute)
