--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -117,8 +117,8 @@
 }
 
 // A planned shutdown hands its partitions over first: they have no leader for 200 ms at most,
-// and the new leaders need not assume that the old one still answers heartbeats. A controller
-// that returns gets a partition back by a warm takeover.
+// and the new leaders need not assume that the old one still answers heartbeats. A restarted
+// controller gets a partition back by a warm takeover.
 func TestPlannedShutdownHandsOverPartitions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -56,7 +56,7 @@
 					m.AnsweredUntil.Sub(receivedAt), m.LastHeartbeatAt.Sub(receivedAt))
 			}
 		}
-		// A heartbeat that the agent's reply to later commands overtook is still answered.
+		// A heartbeat is still answered if the agent's reply to later commands arrived before it.
 		c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
 		if send(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a heartbeat overtaken by a reply to commands was not answered")
@@ -92,7 +92,7 @@
 			failed[m.Name] = m.Failed
 		}
 		if !failed["m-1"] || failed["m-2"] {
-			t.Errorf("machines by whether they failed: %v, want m-1 failed and m-2 not", failed)
+			t.Errorf("failed machines: %v, want m-1 but not m-2", failed)
 		}
 		waiting := &cluster.Job{Spec: newJobSpec("job-1", 6, "red"), SubmittedAt: now}
 		waiting.InitRunState()
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -220,8 +220,8 @@
 	})
 }
 
-// The computed bound on the last answer covers every answer that another controller may have
-// given to a partition's machines, as far as the observed records allow.
+// The latest time of an answer, as computed from the observed records, must not be earlier than
+// any answer that another controller may have given to a partition's machines.
 func TestLastAnswerBoundCoversUnseenAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -297,7 +297,7 @@
 			t.Errorf("state transfer of %d bytes, complete %v, has %d attempts and %d machines (%v)", len(raw), complete, len(transfer.Attempts), len(transfer.Machines), err)
 		}
 		t.Logf("partition %d: standby updated on %d machines in %d messages, state transfer of %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
-		c.leases.ClearPartition(p) // a standby has no leader's state
+		c.leases.ClearPartition(p) // a standby does not hold a leader's state
 		c.takeover.Install(p, replica, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -21,9 +21,7 @@
 	runSimulation(t, 13, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		sent := map[string]protocol.CommandBatch{}
-		sim.withLock(func() {
-			sim.interceptCommands = func(name string, batch *protocol.CommandBatch) { sent[name] = *batch }
-		})
+		sim.withLock(func() { sim.interceptCommands = func(name string, b *protocol.CommandBatch) { sent[name] = *b } })
 		sim.setRunTime(time.Minute)
 		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 2, team))
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// A controller that takes over more machines than it has sockets for delegates some of them at
-// once, including the commands that raise their fencing tokens.
+// If a controller takes over more machines than it has sockets for, it delegates some of them
+// at once, including the commands that raise their fencing tokens.
 func TestTakeoverDelegatesAtOnce(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 790, configureFewSockets, func(sim *simulatedCluster) {
--- a/internal/coordination/reassignment_test.go
+++ b/internal/coordination/reassignment_test.go
@@ -37,8 +37,9 @@
 		reassigned := newJobSpecOfClass("job-11", "blue", "match")
 		sim.withLock(func() { sim.jobs["job-11"] = newAcceptedJob(reassigned) })
 		sim.expectStatus(200, reassign("job-1", "job-11", "blue"))
-		sim.expectStatus(200, reassign("job-1", "job-11", "blue"))                                                                                          // repeated at the same controller
-		sim.expectStatus(200, sim.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"})) // repeated at another controller
+		// Repeated at the same controller and at another one.
+		sim.expectStatus(200, reassign("job-1", "job-11", "blue"))
+		sim.expectStatus(200, sim.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
 		sim.expectStatus(409, reassign("job-1", "job-12", "blue"))
 		sim.expectStatus(409, reassign("job-2", "job-11", "blue"))
 		sim.expectStatus(422, reassign("job-2", "job-12", "nobody"))
--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -126,9 +126,9 @@
 	})
 }
 
-// Late jobs queue behind jobs that can meet their deadlines, which serving them first would
-// make late too. A job that has waited very long must not starve: it goes first a quarter of
-// the time.
+// Late jobs queue behind jobs that can still meet their deadlines; served first, they would
+// make those late too. A job that has waited very long must not starve: it goes first a quarter
+// of the time.
 func TestLateJobsQueueBehindJobsInTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
