--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -82,8 +82,8 @@
 	})
 }
 
-// A job that fails on every machine is retried with a backoff and without replacing machines. A
-// machine on which different jobs fail is deleted.
+// A job that fails on every machine is retried with a backoff, so that it causes few task
+// starts and few new machines. A machine on which different jobs fail is deleted.
 func TestFailingJobsBackOffAndFaultyMachinesAreReplaced(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 10, func(sim *simulatedCluster) {
