--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,5 @@
-// Package client sends requests of users and operators to the controllers of a cluster: to any of
-// them, and again until there is a final answer or the time is over. It knows the messages and
-// nothing of how controllers decide.
+// Package client sends requests of users and operators to the controllers of a cluster. It tries one
+// controller after another until there is a final response or the time is up.
 package client
 
 import (
@@ -16,39 +15,39 @@
 const (
 	// requestTimeout bounds one request to one controller.
 	requestTimeout = 5 * time.Second
-	// defaultPatience is how long a request is tried again, unless Patience is set.
-	defaultPatience = time.Minute
-	// maxIdleConnections is how many connections to each controller stay open, for
-	// idleConnectionTimeout.
+	// defaultRetryTimeout is the initial value of Patience.
+	defaultRetryTimeout = time.Minute
+	// maxIdleConnections is the maximum number of idle connections per controller. They are closed
+	// after idleConnectionTimeout.
 	maxIdleConnections    = 16
 	idleConnectionTimeout = 20 * time.Second
-	// retryRatio is how many retries at once each request allows, retriesMax how many may follow
-	// one another.
+	// retryRatio and retryBurst configure the budget of immediate retries: each request adds
+	// retryRatio tokens, up to retryBurst, and each immediate retry takes one.
 	retryRatio = 0.2
-	retriesMax = 50
+	retryBurst = 50
 )
 
-// Client sends requests to a cluster. Several goroutines may use it.
+// Client sends requests to a cluster. It is safe for concurrent use.
 type Client struct {
-	// Controllers are addresses, HOST:PORT.
+	// Controllers are the addresses of the controllers, as HOST:PORT.
 	Controllers []string
-	// Token is sent with every request; "": none.
+	// Token is the bearer token of every request; empty means none.
 	Token string
-	// OnBehalfOf is the identity that a service asks for; "": the client's own. The controllers
-	// check that the service may.
+	// OnBehalfOf is the identity for which a service sends its requests; empty means its own. The
+	// controllers check that the service may act for it.
 	OnBehalfOf string
-	// Patience is how long a request is tried again.
+	// Patience is the time limit of a request including its retries.
 	Patience time.Duration
 
 	scheme string
 	http   *http.Client
-	// next counts requests, which go to the controllers in turn.
+	// next counts the requests that were sent. They go to the controllers in turn.
 	next atomic.Uint32
-	// retries is shared by all clients that derive from one.
-	retries *retry.Budget
+	// retryBudget limits immediate retries. Clients that are derived from one another share it.
+	retryBudget *retry.Budget
 }
 
-// New makes a client; nil as the TLS configuration means plain HTTP.
+// New returns a client. If the TLS configuration is nil, it uses plain HTTP.
 func New(controllers []string, secure *tls.Config, token string) *Client {
 	scheme := "http"
 	if secure != nil {
@@ -58,33 +57,35 @@
 	return &Client{
 		Controllers: controllers,
 		Token:       token,
-		Patience:    defaultPatience,
+		Patience:    defaultRetryTimeout,
 		scheme:      scheme,
 		http:        &http.Client{Transport: transport, Timeout: requestTimeout},
-		retries:     &retry.Budget{Ratio: retryRatio, Max: retriesMax},
+		retryBudget: &retry.Budget{Ratio: retryRatio, Max: retryBurst},
 	}
 }
 
-// derive is a client of the same cluster, with the same connections and retries and no identity.
+// derive returns a client for the same cluster that shares connections and retry budget, without Token
+// and OnBehalfOf.
 func (c *Client) derive() *Client {
-	return &Client{Controllers: c.Controllers, Patience: c.Patience, scheme: c.scheme, http: c.http, retries: c.retries}
+	return &Client{Controllers: c.Controllers, Patience: c.Patience, scheme: c.scheme, http: c.http, retryBudget: c.retryBudget}
 }
 
-// ForController is the same client, for one controller only.
+// ForController returns a client for only one controller, with the same credentials.
 func (c *Client) ForController(addr string) *Client {
 	derived := c.derive()
 	derived.Controllers, derived.Token, derived.OnBehalfOf = []string{addr}, c.Token, c.OnBehalfOf
 	return derived
 }
 
-// WithToken is the same client with another token.
+// WithToken returns a client with the given token and without OnBehalfOf.
 func (c *Client) WithToken(token string) *Client {
 	derived := c.derive()
 	derived.Token = token
 	return derived
 }
 
-// OnBehalf is the same client on behalf of an identity, with the process's own certificate.
+// OnBehalf returns a client that sends requests on behalf of an identity and without a token. It
+// authenticates with the process's certificate.
 func (c *Client) OnBehalf(name string) *Client {
 	derived := c.derive()
 	derived.OnBehalfOf = name
--- a/internal/client/errors.go
+++ b/internal/client/errors.go
@@ -7,19 +7,19 @@
 	"strconv"
 )
 
-// ErrUnanswered means that no controller gave a final answer in time; what was requested may have
-// been done.
+// ErrUnanswered means that no controller gave a final response in time. The request may have been
+// executed.
 var ErrUnanswered = errors.New("no controller answered")
 
-// Refusal is an answer that refuses.
+// Refusal is the error for a response with a status other than 200 and 201.
 type Refusal struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
-	// Reason is the controller's message; "": it gave none.
+	// Reason is the controller's error message; empty if there is none.
 	Reason string
 }
 
-// refusalTexts says what a status means, for users.
+// refusalTexts describes status codes for users.
 var refusalTexts = map[int]string{
 	http.StatusBadRequest:          "malformed",
 	http.StatusUnauthorized:        "no good credential",
@@ -40,7 +40,8 @@
 	return text + ": " + r.Reason
 }
 
-// isFinal says whether every controller would refuse the request with this status, at any time.
+// isFinal reports whether a status makes retries useless, because all controllers would give the same
+// response.
 func isFinal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound, http.StatusMethodNotAllowed,
@@ -50,8 +51,8 @@
 	return false
 }
 
-// withoutURL removes the address of the request, which may hold more than should be shown, from
-// an error.
+// withoutURL removes the URL of the request from an error, since it may contain data that must not be
+// shown.
 func withoutURL(err error) error {
 	var urlError *url.Error
 	if errors.As(err, &urlError) {
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// maxPause is the longest pause that a controller's Retry-After is followed for.
-	maxPause = 30 * time.Second
-	// maxResponseBytes is how much of a response is read.
+	// maxRetryAfter is the longest pause that a Retry-After header can cause.
+	maxRetryAfter = 30 * time.Second
+	// maxResponseBytes is the size to which response bodies are truncated.
 	maxResponseBytes = 8 << 20
 )
 
-// roundBackoff is the pause after all controllers have failed: about a second, spread so that
-// clients that failed together do not come back together.
+// roundBackoff is the backoff after all controllers have failed. Its jitter keeps clients that failed
+// together from retrying together.
 var roundBackoff = retry.Backoff{First: time.Second, Max: 2 * time.Second}
 
-// Do sends a request until there is a final answer, and decodes that into out unless out is nil. It
-// returns a Refusal if the request is refused for good, and an error that wraps ErrUnanswered if
-// Patience or ctx ends before.
+// Do sends a request until there is a final response, which it decodes into out unless out is nil. It
+// returns a *Refusal if the response is a final refusal, and an error that wraps ErrUnanswered if the
+// client's time limit passes or ctx is done first.
 func (c *Client) Do(ctx context.Context, method, target string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -44,14 +44,14 @@
 	return nil
 }
 
-// doUntilFinal sends a request to one controller after another until there is a final answer.
+// doUntilFinal sends a request to one controller after another until there is a final response.
 func (c *Client) doUntilFinal(ctx context.Context, method, target string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Patience)
 	defer cancel()
 	var last error
 	failures := 0
 	tries := retry.Tries{Backoff: roundBackoff, Who: rand.Text()}
-	c.retries.Call()
+	c.retryBudget.Call()
 	for {
 		answer, pause, err := c.doOnce(ctx, method, target, body)
 		if err == nil {
@@ -64,9 +64,9 @@
 		if ctx.Err() == nil {
 			last = err
 		}
-		// Another controller may answer at once; only when all have failed is there a reason to
-		// wait, or when so much fails that retries would multiply the load.
-		if failures++; failures%len(c.Controllers) != 0 && pause == 0 && c.retries.Retry() {
+		// The next controller is tried at once, unless all have failed in this round, the
+		// controller has sent Retry-After, or the retry budget is used up.
+		if failures++; failures%len(c.Controllers) != 0 && pause == 0 && c.retryBudget.Retry() {
 			continue
 		}
 		select {
@@ -80,8 +80,8 @@
 	}
 }
 
-// doOnce sends a request to the next controller. With an error it returns how long that controller
-// asks to wait; 0: it does not say.
+// doOnce sends a request to the next controller. With an error it also returns the pause of the
+// Retry-After header; 0 means no header.
 func (c *Client) doOnce(ctx context.Context, method, target string, body []byte) (answer []byte, pause time.Duration, err error) {
 	addr := c.Controllers[int(c.next.Add(1)-1)%len(c.Controllers)]
 	request, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+addr+target, bytes.NewReader(body))
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, 0, withoutURL(err)
 	}
-	defer response.Body.Close() //nolint:errcheck // read to its end or given up
+	defer response.Body.Close() //nolint:errcheck // nothing is read after this
 	answer, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, 0, withoutURL(err)
@@ -106,7 +106,7 @@
 	return nil, retryAfter(response.Header), &Refusal{Status: response.StatusCode, Reason: problem.Error}
 }
 
-// setHeaders says in which form the body is and who asks.
+// setHeaders sets the content type and the credentials.
 func (c *Client) setHeaders(header http.Header) {
 	header.Set("Content-Type", "application/msgpack")
 	if c.Token != "" {
@@ -117,8 +117,8 @@
 	}
 }
 
-// retryAfter is how long a response asks to wait, at most maxPause; 0: it does not say.
+// retryAfter returns the pause of the Retry-After header, at most maxRetryAfter; 0 means no header.
 func retryAfter(header http.Header) time.Duration {
 	seconds, _ := strconv.Atoi(header.Get("Retry-After"))
-	return min(maxPause, time.Duration(seconds)*time.Second)
+	return min(maxRetryAfter, time.Duration(seconds)*time.Second)
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,10 +1,9 @@
-// Package eventloop runs the one goroutine that owns a process's state, and the tasks
-// beside it that do its input and output.
+// Package eventloop runs the goroutine that owns a process's state, and the tasks that do I/O in
+// other goroutines.
 //
-// Invariant: functions passed to Do and the ticks run one after the other, in the loop's
-// goroutine; everything else that touches the state goes through Do. Tasks started with
-// Go have all returned when Wait returns, and the loop outlives them, since they end
-// through it.
+// Invariants: ticks and the functions passed to Do run one after the other in the loop's goroutine.
+// All other code accesses the state only through Do. When Wait returns, all tasks started with Go
+// have returned. The loop stops after the tasks, because they may call Do until they return.
 package eventloop
 
 import (
@@ -19,46 +18,45 @@
 const (
 	// TickInterval is the time between two ticks.
 	TickInterval = 250 * time.Millisecond
-	// queuedCalls is how many calls may wait before Do blocks.
-	queuedCalls = 256
+	// maxQueuedCalls is the number of calls that may wait in the queue. With a full queue, calls
+	// of Do wait for room in it.
+	maxQueuedCalls = 256
 )
 
-// Loop is an event loop with its tasks.
+// Loop is an event loop and its tasks.
 type Loop struct {
 	name string
-	// ctx is the tasks' context. It is kept because tasks begin at any time; they get it from
-	// Context.
+	// ctx is the context of the tasks. It is a field because tasks may start at any time.
 	ctx   context.Context
 	calls chan func()
 	tasks sync.WaitGroup
-	// ticksEnded is closed once no tick begins any more.
+	// ticksEnded is closed when no further tick will start.
 	ticksEnded chan struct{}
-	// ended is closed once no call runs any more.
+	// ended is closed when no further call will run.
 	ended   chan struct{}
 	endOnce sync.Once
-	// stop ends the loop; Start sets it.
+	// stop stops the loop. Start sets it.
 	stop context.CancelFunc
 }
 
-// New makes a loop whose tasks run until ctx ends. The name spreads the retries of one process
-// apart from those of others.
+// New returns a loop whose tasks run until ctx is done. The name is part of the jitter's seed, so that
+// different processes do not retry at the same time.
 func New(ctx context.Context, name string) *Loop {
-	return &Loop{name: name, ctx: ctx, calls: make(chan func(), queuedCalls),
+	return &Loop{name: name, ctx: ctx, calls: make(chan func(), maxQueuedCalls),
 		ticksEnded: make(chan struct{}), ended: make(chan struct{})}
 }
 
-// Context ends when the tasks are to end.
+// Context returns the context of the tasks. They return when it is done.
 func (l *Loop) Context() context.Context { return l.ctx }
 
-// Start starts the loop in a goroutine of its own, which Wait waits for.
+// Start starts the loop in a new goroutine. Wait waits for that goroutine.
 func (l *Loop) Start(tick func(now time.Time)) {
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
 	go l.Serve(ctx, tick)
 }
 
-// Wait returns when the loop's context has ended, every task has returned and the loop
-// has stopped.
+// Wait waits until the loop's context is done, all tasks have returned and the loop has stopped.
 func (l *Loop) Wait() {
 	<-l.ticksEnded
 	l.tasks.Wait()
@@ -66,23 +64,23 @@
 	<-l.ended
 }
 
-// Serve runs calls and ticks until ctx ends. No tick begins once the loop's own context
-// has ended, since a tick may start tasks.
+// Serve runs calls and ticks until ctx is done. No tick starts after the loop's own context is done,
+// because a tick may start tasks.
 func (l *Loop) Serve(ctx context.Context, tick func(now time.Time)) {
 	defer l.end()
 	ticks := ticker.New(TickInterval)
 	defer ticks.Stop()
-	ending := l.ctx.Done()
+	shutdown := l.ctx.Done()
 	for {
 		select {
 		case call := <-l.calls:
 			call()
 		case <-ticks.C:
-			if ending != nil {
+			if shutdown != nil {
 				tick(time.Now())
 			}
-		case <-ending:
-			ending = nil
+		case <-shutdown:
+			shutdown = nil
 			close(l.ticksEnded)
 		case <-ctx.Done():
 			return
@@ -90,21 +88,21 @@
 	}
 }
 
-// end makes Do refuse calls from now on.
+// end makes Do return false from now on.
 func (l *Loop) end() { l.endOnce.Do(func() { close(l.ended) }) }
 
-// Abandon ends a loop that was never started, and returns when its tasks have: their calls
-// are not run any more. The loop's context must have ended.
+// Abandon stops a loop that was never started and waits for its tasks, whose calls of Do no longer
+// run. The loop's context must be done.
 func (l *Loop) Abandon() {
 	l.end()
 	l.tasks.Wait()
 }
 
-// Go starts a task. It may be called before Start, in the loop, and by other tasks.
+// Go starts a task in a new goroutine. It may be called before Start, in the loop and in other tasks.
 func (l *Loop) Go(task func()) { l.tasks.Go(task) }
 
-// Do runs fn in the loop and waits for it. It reports whether fn ran. What fn touches may
-// be used afterwards: once Do has returned, fn never runs.
+// Do runs fn in the loop, waits for it and reports whether it ran. After Do has returned, fn does not
+// run any more, so the caller may use what fn accesses.
 func (l *Loop) Do(fn func()) bool {
 	done := make(chan struct{})
 	select {
@@ -116,7 +114,7 @@
 	case <-done:
 		return true
 	case <-l.ended:
-		// The last call may have ended together with the loop.
+		// The call may have been the last one before the loop stopped.
 		select {
 		case <-done:
 			return true
@@ -126,7 +124,7 @@
 	}
 }
 
-// Sleep waits for d, or until the loop's context ends, and reports whether it has not.
+// Sleep waits for d and returns true, or returns false as soon as the loop's context is done.
 func (l *Loop) Sleep(d time.Duration) bool {
 	if d <= 0 {
 		return l.ctx.Err() == nil
@@ -141,13 +139,13 @@
 	}
 }
 
-// Tries counts the failures of one task, with the pauses after them.
+// Tries returns a counter of one task's consecutive failures, with the pause after each.
 func (l *Loop) Tries(task string, backoff retry.Backoff) *retry.Tries {
 	return &retry.Tries{Backoff: backoff, Who: l.name + " " + task}
 }
 
-// Signal wakes the receiver of a channel that holds one value, unless a signal waits for it
-// already.
+// Signal sends a value to a channel with a buffer of one, unless the buffer is full. So several
+// signals before the receiver runs wake it once.
 func Signal(wakeup chan struct{}) {
 	select {
 	case wakeup <- struct{}{}:
--- a/internal/overview/shares.go
+++ b/internal/overview/delegations.go
@@ -7,40 +7,41 @@
 	"strings"
 )
 
-// wideName is how many characters of names Shares shows.
-const wideName = 16
+// wideNameWidth is the width of names in the output of Delegations, in characters.
+const wideNameWidth = 16
 
-// Delegations formats what all rows tell of who has the machines' connections.
+// Delegations formats which controllers the machines are connected to, and the most recent moves of
+// shards.
 func Delegations(rows []Row) string {
 	l := new(listing)
-	l.addSockets(rows)
+	l.addConnections(rows)
 	l.addDelegates(rows)
 	l.addMoves(rows)
 	return l.text.String()
 }
 
-// listing collects lines of any length.
+// listing collects lines without a limit of their length.
 type listing struct{ text strings.Builder }
 
 func (l *listing) add(format string, args ...any) {
 	fmt.Fprintln(&l.text, strings.TrimRight(fmt.Sprintf(format, args...), " "))
 }
 
-// addSockets lists how many machines are connected to each controller.
-func (l *listing) addSockets(rows []Row) {
+// addConnections lists the number of machines that are connected to each controller.
+func (l *listing) addConnections(rows []Row) {
 	l.add("%-16s %-12s %9s %6s %5s", "CONTROLLER", "ZONE", "MACHINES", "ROOM", "FULL")
 	for _, row := range rows {
 		view := row.View
 		if view == nil {
-			l.add("%-16s %s", clip(row.Addr, wideName), row.Err)
+			l.add("%-16s %s", truncate(row.Addr, wideNameWidth), row.Err)
 			continue
 		}
 		percent := 100 * float64(view.Connected) / float64(max(1, view.Capacity))
-		l.add("%-16s %-12s %9d %6d %4.0f%%", clip(view.Controller, wideName), clip(view.Zone, nameWidth), view.Connected, view.Capacity, percent)
+		l.add("%-16s %-12s %9d %6d %4.0f%%", truncate(view.Controller, wideNameWidth), truncate(view.Zone, nameWidth), view.Connected, view.Capacity, percent)
 	}
 }
 
-// addDelegates lists who has the connections of each partition's machines.
+// addDelegates lists the leader, the standby and the delegates of each partition.
 func (l *listing) addDelegates(rows []Row) {
 	standbys := map[int]string{}
 	for _, row := range rows {
@@ -60,7 +61,7 @@
 		for i := range row.View.Partitions {
 			p := &row.View.Partitions[i]
 			standby := cmp.Or(standbys[p.Part], "none")
-			l.add("%4d %-16s %-16s %9d  %s", p.Part, clip(row.View.Controller, wideName), clip(standby, wideName), p.Machines, describeDelegates(p))
+			l.add("%4d %-16s %-16s %9d  %s", p.Part, truncate(row.View.Controller, wideNameWidth), truncate(standby, wideNameWidth), p.Machines, describeDelegates(p))
 		}
 	}
 }
@@ -77,7 +78,7 @@
 	return cmp.Or(strings.Join(delegates, ", "), "nobody else")
 }
 
-// addMoves lists the last moves of shards, the newest of each controller first.
+// addMoves lists the most recent moves of shards by controller, the newest first.
 func (l *listing) addMoves(rows []Row) {
 	const leader = "its owner"
 	l.add("")
@@ -89,7 +90,7 @@
 		}
 		for _, move := range slices.Backward(row.View.Moves) {
 			moved = true
-			l.add("%7s %4d %5d  %s to %s: %s", formatSpan(move.AgoS), move.Part, move.Shard, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
+			l.add("%7s %4d %5d  %s to %s: %s", formatDuration(move.AgoS), move.Part, move.Shard, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
 		}
 	}
 	if !moved {
--- a/internal/overview/format.go
+++ b/internal/overview/format.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// clip bounds a text in characters.
-func clip(text string, width int) string {
+// truncate shortens a text to at most width characters.
+func truncate(text string, width int) string {
 	if runes := []rune(text); len(runes) > width {
 		return string(runes[:width])
 	}
 	return text
 }
 
-// length is that of a text in characters.
-func length(text string) int { return len([]rune(text)) }
+// runeCount returns the number of characters of a text.
+func runeCount(text string) int { return len([]rune(text)) }
 
-// formatSpan is a duration in seconds as a few characters.
-func formatSpan(seconds float64) string {
+// formatDuration formats a duration in seconds as a short text, such as 1m05s or 3d.
+func formatDuration(seconds float64) string {
 	d := time.Duration(seconds * float64(time.Second))
 	switch {
 	case d < time.Minute:
@@ -30,19 +30,20 @@
 	return fmt.Sprintf("%dd", int(d.Hours()/24))
 }
 
-// formatShortSpan is formatSpan with fractions of a second where they matter.
-func formatShortSpan(seconds float64) string {
+// formatShortDuration is like formatDuration, but shows fractions of a second below ten seconds.
+func formatShortDuration(seconds float64) string {
 	if seconds < 10 {
 		return fmt.Sprintf("%.3gs", seconds)
 	}
-	return formatSpan(seconds)
+	return formatDuration(seconds)
 }
 
-// listInLines puts items behind a heading, on as few lines as the width allows.
-func listInLines(heading string, items []string, width int) (lines []string) {
+// wrapItems formats a heading and items as lines, with a new line before an item that would exceed
+// the width.
+func wrapItems(heading string, items []string, width int) (lines []string) {
 	line := heading
 	for _, item := range items {
-		if length(line+item) > width && line != "" {
+		if runeCount(line+item) > width && line != "" {
 			lines, line = append(lines, line), ""
 		}
 		line += item
--- a/internal/overview/golden_test.go
+++ b/internal/overview/golden_test.go
@@ -8,7 +8,7 @@
 	"micaspindle/internal/overview"
 )
 
-// The operators' overview stays as it is, on the wire and as it is printed.
+// The encoding of View as MessagePack and JSON must not change.
 func TestGoldenOverview(t *testing.T) {
 	asJSON := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
 	golden.Check(t, "overview", golden.Fill(&overview.View{}), golden.MessagePack)
--- a/internal/overview/overview_test.go
+++ b/internal/overview/overview_test.go
@@ -26,7 +26,7 @@
 	for _, want := range []string{"2 of 3 controllers answer, spindle-1 leads", "no state 1m05s", "no controller answered",
 		"   1 spindle-1         798    12", "STANDBYS  0: spindle-1 0.4s behind  1: spindle-0 reading", "start              20        1s", "placements-desk-1           1      1200       100      2000      40       1"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not on\n%s", want, text)
+			t.Errorf("%q is missing in:\n%s", want, text)
 		}
 	}
 	rows = rows[:1]
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestDelegations(t *testing.T) {
 	rows := []Row{{Addr: "a:1", View: view(0)}, {Addr: "a:2", View: view(1)}, {Addr: "a:3", Err: "no controller answered"}}
 	rows[0].View.Connected, rows[0].View.Capacity = 600, 1100
 	rows[0].View.Partitions[0].Delegates = []Delegate{{Controller: "spindle-1", Shards: 4, Machines: 198, Active: true}, {Controller: "spindle-2", Shards: 1, Machines: 40}}
@@ -50,7 +50,7 @@
 		"   1 spindle-1        spindle-0              798  nobody else",
 		"     5s    0     4  spindle-1 to its owner: its carrier can't go on\n  1m15s    0     3  its owner to spindle-1: the owner is full"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not in\n%s", want, text)
+			t.Errorf("%q is missing in:\n%s", want, text)
 		}
 	}
 	if text := Screen(rows, time.Unix(0, 0), 80, 24); !strings.Contains(text, "CARRIED   0: 198 by spindle-1  0: 40 by spindle-2") {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Whatever is shown stays on the screen.
-func TestScreensOfAllSizes(t *testing.T) {
+// The text has at most the requested number of lines and columns, also with long names and many teams.
+func TestScreenFitsItsSize(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var rows []Row
@@ -82,11 +82,11 @@
 		width, height := 20+rng.IntN(200), 5+rng.IntN(60)
 		lines := strings.Split(Screen(rows, time.Now(), width, height), "\n")
 		if len(lines) > height {
-			t.Errorf("seed %d: %d lines of %d", seed, len(lines), height)
+			t.Errorf("seed %d: %d lines, want at most %d", seed, len(lines), height)
 		}
 		for _, l := range lines {
 			if n := len([]rune(l)); n > width {
-				t.Errorf("seed %d: %d columns of %d: %s", seed, n, width, l)
+				t.Errorf("seed %d: %d columns, want at most %d: %s", seed, n, width, l)
 			}
 		}
 	}
--- a/internal/overview/screen.go
+++ b/internal/overview/screen.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// nameWidth and teamWidth are how many characters of names are shown.
+	// Widths of columns, in characters. Longer texts are truncated.
 	nameWidth = 12
 	zoneWidth = 9
 	teamWidth = 24
-	// addressWidth is that of a controller that does not answer.
+	// addressWidth is the width of the address of a controller that does not answer.
 	addressWidth = 22
-	// maxStateSilenceS is after how many seconds without an answer the state service counts
-	// as out of reach.
+	// maxStateSilenceS is the time without an answer, in seconds, after which the state store is
+	// shown as unreachable.
 	maxStateSilenceS = 2
 )
 
-// Screen formats all rows as a text of at most so many columns and lines.
+// Screen formats all rows as a text of at most width columns and height lines.
 func Screen(rows []Row, now time.Time, width, height int) string {
 	s := &screen{width: width, height: height}
 	s.addTitle(rows, now)
@@ -34,13 +34,14 @@
 	return s.text()
 }
 
-// clusterSummary is what the controllers that answer tell together.
+// clusterSummary combines the views of all controllers that answered.
 type clusterSummary struct {
-	// partitions are sorted by their numbers.
+	// partitions are sorted by number.
 	partitions []Partition
-	// leaders and standbys are by partition; a standby comes with how far it is behind.
+	// leaders and standbys are keyed by partition. The text of a standby includes how far it is
+	// behind.
 	leaders, standbys map[int]string
-	// teams are sorted by what waits.
+	// teams are sorted by the number of waiting tasks, highest first.
 	teams []Team
 	waits []telemetry.Quantiles
 }
@@ -72,12 +73,13 @@
 
 func describeStandby(controller string, replica *Replica) string {
 	if !replica.Complete {
-		return clip(controller, nameWidth) + " reading"
+		return truncate(controller, nameWidth) + " reading"
 	}
-	return fmt.Sprintf("%s %s behind", clip(controller, nameWidth), formatShortSpan(replica.BehindS))
+	return fmt.Sprintf("%s %s behind", truncate(controller, nameWidth), formatShortDuration(replica.BehindS))
 }
 
-// worstWaits merges what several controllers have measured: the slowest counts.
+// worstWaits merges the quantiles of all controllers. Counts are added; of each quantile the highest
+// value is kept.
 func worstWaits(all []telemetry.Quantiles) []telemetry.Quantiles {
 	var merged []telemetry.Quantiles
 	for _, q := range all {
@@ -93,7 +95,7 @@
 	return merged
 }
 
-// screen collects lines.
+// screen collects lines and truncates them to its size.
 type screen struct {
 	width, height int
 	lines         []string
@@ -103,11 +105,11 @@
 	s.lines = append(s.lines, fmt.Sprintf(format, args...))
 }
 
-// text is the lines as far as they fit.
+// text returns the lines that fit, each truncated to the width.
 func (s *screen) text() string {
 	lines := s.lines[:min(len(s.lines), s.height)]
 	for i, line := range lines {
-		lines[i] = strings.TrimRight(clip(line, s.width), " ")
+		lines[i] = strings.TrimRight(truncate(line, s.width), " ")
 	}
 	return strings.Join(lines, "\n")
 }
@@ -132,19 +134,19 @@
 	for _, row := range rows {
 		view := row.View
 		if view == nil {
-			s.add("%-22s %s", clip(row.Addr, addressWidth), row.Err)
+			s.add("%-22s %s", truncate(row.Addr, addressWidth), row.Err)
 			continue
 		}
-		s.add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", clip(view.Controller, nameWidth), clip(view.Zone, zoneWidth), formatSpan(view.UpS),
+		s.add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", truncate(view.Controller, nameWidth), truncate(view.Zone, zoneWidth), formatDuration(view.UpS),
 			view.Jobs, view.EndedJobs, view.PendingScaleOut, view.WritesWanted, view.WritesGranted, view.state())
 	}
 }
 
-// state says in a word what is wrong, if something is.
+// state returns the most important problem of a controller, or "ok".
 func (v *View) state() string {
 	switch {
 	case v.StateSilenceS > maxStateSilenceS:
-		return "no state " + formatSpan(v.StateSilenceS)
+		return "no state " + formatDuration(v.StateSilenceS)
 	case !v.Ready:
 		return "not ready"
 	case v.CloudUnavailable:
@@ -162,8 +164,8 @@
 		if !p.Ready {
 			leader += " (taking over)"
 		}
-		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, clip(leader, nameWidth), p.Machines, p.Idle, p.Starting, p.Unusable,
-			100*p.Used, p.Running, p.Waiting, formatSpan(p.OldestS))
+		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, truncate(leader, nameWidth), p.Machines, p.Idle, p.Starting, p.Unusable,
+			100*p.Used, p.Running, p.Waiting, formatDuration(p.OldestS))
 	}
 	if len(c.partitions) == 0 {
 		s.add("no part is owned by a controller that answers")
@@ -173,26 +175,26 @@
 	s.addDelegates(c)
 }
 
-// addStandbys says who would take each partition over, and how far behind it is.
+// addStandbys lists the standby of each partition and how far it is behind.
 func (s *screen) addStandbys(c *clusterSummary) {
 	var items []string
 	for i := range c.partitions {
 		partition := c.partitions[i].Part
 		items = append(items, fmt.Sprintf("  %d: %s", partition, cmp.Or(c.standbys[partition], "none")))
 	}
-	s.lines = append(s.lines, listInLines("STANDBYS", items, s.width)...)
+	s.lines = append(s.lines, wrapItems("STANDBYS", items, s.width)...)
 }
 
-// addDelegates says who has connections of other leaders' machines, if anybody.
+// addDelegates lists the delegates of each partition, if there are any.
 func (s *screen) addDelegates(c *clusterSummary) {
 	var items []string
 	for i := range c.partitions {
 		for _, delegate := range c.partitions[i].Delegates {
-			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Part, delegate.Machines, clip(delegate.Controller, nameWidth)))
+			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Part, delegate.Machines, truncate(delegate.Controller, nameWidth)))
 		}
 	}
 	if len(items) > 0 {
-		s.lines = append(s.lines, listInLines("CARRIED ", items, s.width)...)
+		s.lines = append(s.lines, wrapItems("CARRIED ", items, s.width)...)
 	}
 }
 
@@ -200,11 +202,11 @@
 	s.add("")
 	s.add("%-12s %8s %9s %9s %9s", "WAIT FOR", "COUNT", "HALF IN", "99% IN", "LONGEST")
 	for _, w := range waits {
-		s.add("%-12s %8d %9s %9s %9s", w.What, w.Count, formatShortSpan(w.P50), formatShortSpan(w.P99), formatShortSpan(w.Max))
+		s.add("%-12s %8d %9s %9s %9s", w.What, w.Count, formatShortDuration(w.P50), formatShortDuration(w.P99), formatShortDuration(w.Max))
 	}
 }
 
-// addTeams lists the teams as far as there are lines.
+// addTeams lists as many teams as there are lines left, and the number of the others.
 func (s *screen) addTeams(teams []Team) {
 	s.add("")
 	s.add("%-24s %4s %9s %9s %9s %7s %7s", "TEAM", "PART", "CPUS", "HAS", "AT MOST", "RUNNING", "WAITING")
@@ -218,6 +220,6 @@
 		if team.Limit > 0 {
 			limit = fmt.Sprintf("%.0f", team.Limit)
 		}
-		s.add("%-24s %4d %9.0f %9.0f %9s %7d %7d", clip(team.Name, teamWidth), team.Part, team.CPUs, team.Guarantee, limit, team.Running, team.Waiting)
+		s.add("%-24s %4d %9.0f %9.0f %9s %7d %7d", truncate(team.Name, teamWidth), team.Part, team.CPUs, team.Guarantee, limit, team.Running, team.Waiting)
 	}
 }
--- a/internal/telemetry/bound.go
+++ b/internal/telemetry/bound.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Bound is a bound on what a controller keeps or sends. Meeting one loses no record, but what
-// lies beyond it is late, missing from a message, or refused (docs/limits.md).
+// Bound is a limit on what a controller keeps or sends. Exceeding it loses no records, but the excess
+// is delayed, left out of a message or refused (docs/limits.md).
 type Bound int
 
 // The bounds.
 const (
-	SummaryBytes        Bound = iota // summaries too large for a message, sent without details
-	JobProgress                      // summaries that have the progress of some jobs only
-	Demands                          // summaries that have the first demands of a partition only
-	Cancellations                    // cancellation notices that were not kept
-	ForwardedHeartbeats              // heartbeats refused since too many wait to be forwarded
-	ReplicaUpdates                   // replica updates that leave something for the next one
-	ReplicaStarts                    // starts replicated ahead of their records, not kept
-	ReplicaMachines                  // replicated machines, not kept
-	StateTransferBytes               // state transfers too large for a message, sent without details
-	Classes                          // jobs of classes beyond those that are told apart
-	Estimates                        // classes whose run times are not learnt
-	Callers                          // callers whose allowance of unknown jobs was forgotten
-	WaitingPolls                     // polls refused since too many wait
-	PeerConnections                  // connections of other controllers closed on arrival
-	Connections                      // connections of agents and users closed on arrival
+	SummaryBytes        Bound = iota // summaries sent without details, since they were too large
+	JobProgress                      // summaries with the progress of only some jobs
+	Demands                          // summaries with only the first demands of a partition
+	Cancellations                    // cancellation notices that were dropped
+	ForwardedHeartbeats              // heartbeats refused, since too many were waiting to be forwarded
+	ReplicaUpdates                   // replica updates that left a part for the next one
+	ReplicaStarts                    // replicated starts that were dropped before their run records came
+	ReplicaMachines                  // replicated machines that were dropped
+	StateTransferBytes               // state transfers sent without details, since they were too large
+	Classes                          // jobs of classes beyond the maximum number, counted together
+	Estimates                        // measured run times not used, since too many classes have estimates
+	Callers                          // callers whose rate limiter for unknown jobs was evicted
+	WaitingPolls                     // polls refused, since too many were waiting
+	PeerConnections                  // connections of other controllers refused
+	Connections                      // connections of agents and users refused
 	boundCount
 )
 
@@ -30,13 +30,13 @@
 	"replica_messages", "replica_starts", "replica_machines", "recall_bytes", "classes", "estimates", "callers",
 	"waiting_polls", "peer_connections", "connections"}
 
-// String is the bound's name, the label of its metric.
+// String returns the name of the bound, which is the label of its metric.
 func (b Bound) String() string { return boundNames[b] }
 
-// metricName is the name of a bound's counter.
+// metricName returns the name of a bound's counter.
 func (b Bound) metricName() string { return fmt.Sprintf("micaspindle_bound_met_total{bound=%q}", b) }
 
-// Met counts that a bound was met n times.
+// Met adds n to the counter of a bound.
 func (m *Metrics) Met(b Bound, n int) {
 	if m != nil && n > 0 {
 		m.bounds[b].Add(n)
--- a/internal/telemetry/event.go
+++ b/internal/telemetry/event.go
@@ -1,32 +1,32 @@
 package telemetry
 
-// Event is something that is counted.
+// Event is a kind of event that is counted.
 type Event int
 
 // The events.
 const (
-	RequestRefused        Event = iota // users' requests that were refused
+	RequestRefused        Event = iota // requests of users that were refused
 	JobLate                            // jobs that ended after their deadline
 	AttemptFailed                      // attempts that ended without a result
 	AttemptPreempted                   // attempts that were preempted
 	MachineLeaseExpired                // machines whose lease expired
 	MachineRequested                   // machines that were requested
 	MachineRequestRefused              // requests for machines that the cloud refused
-	CommitConflict                     // transactions that found a key changed
+	CommitConflict                     // transactions that failed because a key had changed
 	CommitUnanswered                   // transactions without an answer
-	LeaseRevoked                       // leases of controllers that were gone, revoked early
-	TakeoverWarm                       // takeovers of a partition from a replica
-	TakeoverCold                       // takeovers of a partition from the state store
+	LeaseRevoked                       // leases of lost controllers that were revoked before their expiry
+	TakeoverWarm                       // takeovers of a partition with a replica
+	TakeoverCold                       // takeovers of a partition that read the state store
 	ReplicaDiffers                     // replicas that differed from the state store
-	PartitionHandedOver                // partitions handed over at a planned end
-	ShardMoved                         // shards of machines that changed their delegate
+	PartitionHandedOver                // partitions handed over at a planned shutdown
+	ShardMoved                         // shards that moved to another controller
 	eventCount
 )
 
-// eventNames are the middles of the counters' names.
+// eventNames are the names of the counters without prefix and suffix.
 var eventNames = [eventCount]string{"requests_refused", "jobs_late", "attempts_failed", "attempts_stopped", "machines_lost", "machines_asked",
 	"rentals_refused", "commits_conflicting", "commits_unanswered", "leases_ended",
 	"takeovers_warm", "takeovers_cold", "copies_differing", "parts_handed_over", "shares_moved"}
 
-// metricName is the name of an event's counter.
+// metricName returns the name of an event's counter.
 func (e Event) metricName() string { return "micaspindle_" + eventNames[e] + "_total" }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,6 +1,5 @@
-// Package telemetry counts what a controller does and measures the waits that people notice,
-// for Prometheus and for `micaspindlectl top`. No label tells one job, team or caller from
-// another.
+// Package telemetry counts events in a controller and measures how long users wait, for Prometheus
+// and for `micaspindlectl top`. No metric has a label for jobs, teams or callers.
 package telemetry
 
 import (
@@ -13,11 +12,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// bucketBounds are the upper bounds of the histograms' buckets, in seconds.
+// bucketBounds are the upper bounds of the histogram buckets, in seconds.
 var bucketBounds = []float64{.001, .005, .01, .025, .05, .1, .25, .5, 1, 2, 5, 10, 30, 60, 120, 300, 600, 1800, 3600}
 
-// Metrics measures one controller. The nil Metrics measures nothing. Its methods may be
-// called from any goroutine.
+// Metrics holds the metrics of one controller. All methods may be called from any goroutine, and on a
+// nil Metrics, which records nothing.
 type Metrics struct {
 	set    *metrics.Set
 	waits  [waitCount]*metrics.PrometheusHistogram
@@ -25,17 +24,17 @@
 	bounds [boundCount]*metrics.Counter
 
 	mu sync.Mutex
-	// windowStart is when the present window began; waits are in milliseconds.
+	// windowStart is when the current window began.
 	windowStart       time.Time
-	present, previous [waitCount]*hdrhistogram.Histogram
+	current, previous [waitCount]*hdrhistogram.Histogram // waits in milliseconds, by window
 }
 
-// New makes a Metrics that has measured nothing yet.
+// New returns empty metrics.
 func New() *Metrics {
 	m := &Metrics{set: metrics.NewSet()}
 	for w := range waitCount {
 		m.waits[w] = m.set.NewPrometheusHistogramExt(fmt.Sprintf("micaspindle_wait_seconds{what=%q}", w), bucketBounds)
-		m.present[w] = newWindowHistogram()
+		m.current[w] = newWindowHistogram()
 	}
 	for e := range eventCount {
 		m.events[e] = m.set.NewCounter(e.metricName())
@@ -47,7 +46,8 @@
 	return m
 }
 
-// RecordWait notes a wait that ended now. A negative one, by a clock that was set, counts as none.
+// RecordWait records a wait that ended at now. A negative duration, which a clock adjustment may
+// cause, counts as zero.
 func (m *Metrics) RecordWait(w Wait, took time.Duration, now time.Time) {
 	if m == nil {
 		return
@@ -57,21 +57,20 @@
 	m.recordInWindow(w, took, now)
 }
 
-// Count counts that an event happened n times.
+// Count adds n to the counter of an event.
 func (m *Metrics) Count(e Event, n int) {
 	if m != nil && n > 0 {
 		m.events[e].Add(n)
 	}
 }
 
-// Gauge is a value as it is now; Labels is empty or as in {part="0"}.
+// Gauge is the current value of a metric. Labels is empty or in Prometheus format, such as {part="0"}.
 type Gauge struct {
 	Name, Labels string
 	Value        float64
 }
 
-// Write writes everything that was measured, the gauges and the process's own metrics in
-// Prometheus' text format.
+// Write writes the metrics, the gauges and the metrics of the process in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer, gauges []Gauge) {
 	if m != nil {
 		m.set.WritePrometheus(w)
--- a/internal/telemetry/quantiles.go
+++ b/internal/telemetry/quantiles.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// window is how long waits are gathered together. Quantiles are those of the present
-	// window and the whole one before it.
-	window = 2 * time.Minute
-	// longestMS is the longest wait that is told apart, in milliseconds.
-	longestMS = 24 * 3600 * 1000
-	// quantileDigits is to how many significant digits waits are told apart.
+	// windowLength is the length of a window of waits. Quantiles cover the current window and the
+	// previous one.
+	windowLength = 2 * time.Minute
+	// maxWaitMS is the maximum that is recorded, in milliseconds. Longer waits count as this.
+	maxWaitMS = 24 * 3600 * 1000
+	// quantileDigits is the number of significant digits of recorded waits.
 	quantileDigits = 2
 )
 
-// Quantiles are those of one wait in the last two to four minutes, in seconds.
+// Quantiles are the quantiles of one kind of wait in the last two to four minutes, in seconds.
 type Quantiles struct {
-	// What is the wait's name, Count how many there were.
+	// What is the name of the wait, Count the number of waits.
 	What  string `msgpack:"what" json:"what"`
 	Count int64  `msgpack:"count" json:"count"`
-	// P50 is the median, P99 the 99th percentile, Most the longest.
+	// P50 is the median, P99 the 99th percentile, Max the maximum.
 	P50 float64 `msgpack:"p50" json:"p50"`
 	P99 float64 `msgpack:"p99" json:"p99"`
 	Max float64 `msgpack:"most" json:"most"`
 }
 
-// Quantiles gives those of each wait that there was.
+// Quantiles returns the quantiles of each kind of wait with at least one value.
 func (m *Metrics) Quantiles() []Quantiles {
 	if m == nil {
 		return nil
@@ -38,7 +38,7 @@
 	for w := range waitCount {
 		h := newWindowHistogram()
 		h.Merge(m.previous[w])
-		h.Merge(m.present[w])
+		h.Merge(m.current[w])
 		if n := h.TotalCount(); n > 0 {
 			out = append(out, Quantiles{What: w.String(), Count: n, P50: seconds(h.ValueAtQuantile(50)),
 				P99: seconds(h.ValueAtQuantile(99)), Max: seconds(h.Max())})
@@ -47,29 +47,30 @@
 	return out
 }
 
-// seconds converts milliseconds.
+// seconds converts milliseconds to seconds.
 func seconds(ms int64) float64 { return float64(ms) / 1000 }
 
-// recordInWindow adds a wait to the present window, or to a new one if that is over.
+// recordInWindow adds a wait to the current window. It first begins a new window if the current one is
+// over.
 func (m *Metrics) recordInWindow(w Wait, took time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.windowStart) >= window {
+	if now.Sub(m.windowStart) >= windowLength {
 		m.beginWindow(now)
 	}
-	_ = m.present[w].RecordValue(min(longestMS, took.Milliseconds()+1)) // within its bounds
+	_ = m.current[w].RecordValue(min(maxWaitMS, took.Milliseconds()+1)) // cannot fail: the value is within the histogram's range
 }
 
-// beginWindow makes the present window the previous one.
+// beginWindow makes the current window the previous one and begins an empty one.
 func (m *Metrics) beginWindow(now time.Time) {
 	m.windowStart = now
-	m.previous = m.present
+	m.previous = m.current
 	for w := range waitCount {
-		m.present[w] = newWindowHistogram()
+		m.current[w] = newWindowHistogram()
 	}
 }
 
-// newWindowHistogram makes an empty histogram of waits in milliseconds.
+// newWindowHistogram returns an empty histogram of waits in milliseconds.
 func newWindowHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestMS, quantileDigits)
+	return hdrhistogram.New(1, maxWaitMS, quantileDigits)
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -13,19 +13,19 @@
 	none.Count(JobLate, 1)
 	none.Met(Demands, 1)
 	if none.Quantiles() != nil {
-		t.Error("the nil value has measured something")
+		t.Error("a nil Metrics returned quantiles")
 	}
 	m, now := New(), time.Unix(1000, 0)
 	for i := range 100 {
 		m.RecordWait(Start, time.Duration(i+1)*100*time.Millisecond, now)
 	}
-	m.RecordWait(Finish, -time.Second, now) // a clock that was set
+	m.RecordWait(Finish, -time.Second, now) // the clock was adjusted
 	m.RecordWait(Finish, 1000*time.Hour, now)
 	m.Count(JobLate, 3)
 	m.Met(ForwardedHeartbeats, 2)
 	q := m.Quantiles()
 	if len(q) != 2 || q[0].What != "start" || q[0].Count != 100 || q[0].P50 < 4.9 || q[0].P50 > 5.2 || q[0].P99 < 9.8 || q[0].Max > 10.2 {
-		t.Errorf("%+v", q)
+		t.Errorf("quantiles %+v", q)
 	}
 	var out bytes.Buffer
 	m.Write(&out, []Gauge{{"part_machines", `{part="0"}`, 7}})
@@ -33,16 +33,16 @@
 		"micaspindle_jobs_late_total 3", `micaspindle_bound_met_total{bound="carried_reports"} 2`,
 		`micaspindle_bound_met_total{bound="peer_connections"} 0`, `micaspindle_part_machines{part="0"} 7`} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is not in\n%s", want, out.String())
+			t.Errorf("%q is missing in:\n%s", want, out.String())
 		}
 	}
-	// Quantiles forget, the counts stay.
-	m.RecordWait(Start, time.Second, now.Add(window))
+	// Quantiles forget old waits after two windows.
+	m.RecordWait(Start, time.Second, now.Add(windowLength))
 	if q := m.Quantiles(); q[0].Count != 101 {
-		t.Errorf("after a window %+v", q)
+		t.Errorf("quantiles after one window: %+v", q)
 	}
-	m.RecordWait(Start, time.Second, now.Add(2*window))
+	m.RecordWait(Start, time.Second, now.Add(2*windowLength))
 	if q := m.Quantiles(); len(q) != 1 || q[0].Count != 2 {
-		t.Errorf("after two windows %+v", q)
+		t.Errorf("quantiles after two windows: %+v", q)
 	}
 }
--- a/internal/ticker/ticker.go
+++ b/internal/ticker/ticker.go
@@ -1,10 +1,10 @@
-// Package ticker sends ticks at even intervals to a goroutine that waits for other things
-// between them. It is a time.Ticker, except that a tick is sent by a timer's own function
-// and not by whoever receives from the channel: with the race detector, the fake clock of
-// testing/synctest lets two goroutines of one test that receive from channels of due
-// tickers at the same moment use the same record of the detector, which ends the process
-// (seen with Go 1.26.8: one of three runs of the controllers' tests on a loaded machine, none
-// of twelve since).
+// Package ticker provides a ticker like time.Ticker that works in testing/synctest tests under the
+// race detector.
+//
+// With time.Ticker, and the fake clock of testing/synctest, two goroutines that receive from due
+// tickers at the same time can use the same state of the race detector, which crashes the process
+// (seen with Go 1.26.8). Here the ticks are sent by the function of a timer instead of by the
+// runtime when a goroutine receives.
 package ticker
 
 import (
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Ticker sends ticks until it is stopped. A tick is dropped while the one before waits to be
+// Ticker sends ticks until it is stopped. It drops a tick while the previous one has not been
 // received.
 type Ticker struct {
-	// C is where ticks are received.
+	// C delivers the ticks.
 	C <-chan struct{}
 
 	mu    sync.Mutex
-	timer *time.Timer // nil once stopped
+	timer *time.Timer // nil after Stop
 }
 
-// New starts a ticker whose first tick comes after one interval.
+// New starts a ticker. The first tick is after one interval.
 func New(interval time.Duration) *Ticker {
 	ticks := make(chan struct{}, 1)
 	t := &Ticker{C: ticks}
@@ -39,8 +39,8 @@
 		if t.timer == nil {
 			return
 		}
-		// Ticks stay at multiples of the interval, however late one was; those that a
-		// standstill of the process has missed are left out.
+		// Ticks stay at multiples of the interval, even if one is late. Ticks that were due
+		// while the process was suspended are skipped.
 		now := time.Now()
 		for !next.After(now) {
 			next = next.Add(interval)
@@ -50,7 +50,7 @@
 	return t
 }
 
-// Stop ends the ticks. It is called once.
+// Stop stops the ticker. It must not be called twice.
 func (t *Ticker) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/ticker/ticker_test.go
+++ b/internal/ticker/ticker_test.go
@@ -10,31 +10,31 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		ticks := New(250 * time.Millisecond)
-		at := func(want time.Duration) {
+		expectTickAt := func(want time.Duration) {
 			t.Helper()
 			<-ticks.C
 			if got := time.Since(start); got != want {
-				t.Fatalf("a tick at %v, not at %v", got, want)
+				t.Fatalf("tick after %v, want it after %v", got, want)
 			}
 		}
-		at(250 * time.Millisecond)
-		at(500 * time.Millisecond)
-		time.Sleep(900 * time.Millisecond) // two ticks come, one of them waits
-		at(1400 * time.Millisecond)
-		at(1500 * time.Millisecond)
+		expectTickAt(250 * time.Millisecond)
+		expectTickAt(500 * time.Millisecond)
+		time.Sleep(900 * time.Millisecond) // the tick at 750 ms waits, later ones are dropped
+		expectTickAt(1400 * time.Millisecond)
+		expectTickAt(1500 * time.Millisecond)
 		ticks.Stop()
 		select {
 		case <-ticks.C:
-			t.Fatal("a tick after the end")
+			t.Fatal("got a tick after Stop")
 		case <-time.After(time.Second):
 		}
 	})
 }
 
-// Goroutines that are woken by something else at the moment at which all of their ticks are
-// due lose none. (With time.Ticker, tests with several controllers ended the process there,
-// in one of three runs; this test alone is too small to show it.)
-func TestTicksOfTheSameMoment(t *testing.T) {
+// No tick is lost if goroutines receive from another channel at the time at which their ticks are
+// due. This is the situation in which time.Ticker can crash the process, but this test alone does
+// not provoke the crash.
+func TestSimultaneousTicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const receivers, rounds = 8, 200
 		done := make(chan struct{})
@@ -68,7 +68,7 @@
 		close(done)
 		for range receivers {
 			if n := <-counts; n != rounds {
-				t.Fatalf("%d ticks of %d", n, rounds)
+				t.Fatalf("a goroutine received %d ticks, want %d", n, rounds)
 			}
 		}
 	})
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -10,58 +10,59 @@
 	"time"
 )
 
-// ErrNotSent marks a request of which no byte left this process, so that it
-// cannot be executed late.
+// ErrNotSent means that no byte of a request has left this process, so that the peer cannot
+// execute it later.
 var ErrNotSent = errors.New("transport: request not sent")
 
 const (
-	// dialTimeout bounds the wait for a connection.
+	// dialTimeout bounds the time to connect.
 	dialTimeout = time.Second
-	// responseTimeout bounds the wait for a response, beside the caller's context.
+	// responseTimeout bounds the wait for a response if the caller's context has no earlier
+	// deadline.
 	responseTimeout = 2 * time.Minute
-	// idlePerHost is how many connections to one address wait for their next request.
-	idlePerHost = 4
-	// idleFor is how long a connection waits for its next request.
-	idleFor = 20 * time.Second
-	// crowdedIdleFor is how long a connection waits for its next request where sockets
-	// run out.
-	crowdedIdleFor = time.Second
+	// maxIdlePerAddr is the maximum number of idle connections per address.
+	maxIdlePerAddr = 4
+	// clientIdleTimeout is how long idle connections are kept.
+	clientIdleTimeout = 20 * time.Second
+	// shortIdleTimeout replaces clientIdleTimeout while the process is near its limit of
+	// sockets. It is also the interval of SweepUntil.
+	shortIdleTimeout = time.Second
 )
 
 // Client sends requests over pooled connections.
 type Client struct {
-	// TLSConfig, if set, gives the TLS configuration for connections to an
-	// address; nil: in the clear.
+	// TLSConfig, if set, returns the TLS configuration for connections to an address. If it or its
+	// result is nil, the connection is plain HTTP.
 	TLSConfig func(addr string) *tls.Config
-	// CrowdedConnections, if set, is from how many open connections of the process on, accepted ones
-	// among them, no connection waits for a next request: sockets that only wait would be
-	// missing for agents and users. Below it connections are reused, since dialling anew
-	// costs time and processor.
+	// CrowdedConnections, if set, is the number of open connections of the process, accepted and
+	// dialled, from which on connections are closed after their response instead of being kept
+	// idle. This leaves the sockets to agents and users. Below it connections are reused, which
+	// saves dials and TLS handshakes.
 	CrowdedConnections int
 
 	engine *Engine
 
 	mu   sync.Mutex
-	idle map[string][]idleConnection // by address, the one used last at the end
+	idle map[string][]idleConnection // by address, the most recently used last
 }
 
-// idleConnection is a connection that waits for its next request.
+// idleConnection is an open connection without a request in progress.
 type idleConnection struct {
 	connection
-	since time.Time
+	idleSince time.Time
 }
 
-// requestHeadSize is about how many bytes the head of a request has.
+// requestHeadSize is the approximate size of the head of a request, in bytes.
 const requestHeadSize = 256
 
-// NewClient makes a client; it can send once an engine is attached.
+// NewClient returns a client. Attach must be called before Do.
 func NewClient() *Client { return &Client{idle: map[string][]idleConnection{}} }
 
-// Attach lets the client use the engine's event loop.
+// Attach sets the engine whose event loop the client uses.
 func (c *Client) Attach(e *Engine) { c.engine = e }
 
-// Do sends one request and waits for its response until ctx ends. An error
-// that wraps ErrNotSent proves that the peer will never execute the request.
+// Do sends one request and waits for its response until ctx is done. If the error wraps ErrNotSent,
+// the peer will never execute the request.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte) (*Response, error) {
 	conn := c.takeIdle(addr)
 	if conn == nil {
@@ -87,7 +88,7 @@
 	return resp, nil
 }
 
-// dial connects, over TLS where the address asks for it.
+// dial connects to an address, over TLS if there is a TLS configuration for it.
 func (c *Client) dial(ctx context.Context, addr string) (connection, error) {
 	raw, err := c.engine.dial(ctx, addr, dialTimeout)
 	if err != nil {
@@ -100,7 +101,7 @@
 	if config == nil {
 		return raw, nil
 	}
-	s, err := startTLS(ctx, raw, func(nc net.Conn) *tls.Conn { return tls.Client(nc, config) })
+	s, err := handshakeTLS(ctx, raw, func(nc net.Conn) *tls.Conn { return tls.Client(nc, config) })
 	if err != nil {
 		raw.close()
 		return nil, err
@@ -108,13 +109,13 @@
 	return s, nil
 }
 
-// readResponse waits for the response to the request that was sent last.
+// readResponse waits for the response to the last request.
 func readResponse(ctx context.Context, conn connection) (*Response, error) {
 	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	for {
 		var resp *Response
-		err := conn.take(func(buf []byte) (n int, err error) {
+		err := conn.consume(func(buf []byte) (n int, err error) {
 			resp, n, err = ParseResponse(buf, clientBuffer)
 			return n, err
 		})
@@ -130,8 +131,8 @@
 	}
 }
 
-// takeIdle takes a connection that waits for its next request; nil: there is none that is
-// still usable.
+// takeIdle removes an idle connection to an address from the pool and returns it; nil if there is
+// no usable one. It closes the unusable ones that it finds.
 func (c *Client) takeIdle(addr string) connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +141,7 @@
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
 		c.idle[addr] = list
-		if time.Since(last.since) < idleFor && !last.dead() && last.pending() == 0 {
+		if time.Since(last.idleSince) < clientIdleTimeout && !last.dead() && last.buffered() == 0 {
 			return last.connection
 		}
 		last.close()
@@ -148,34 +149,35 @@
 	return nil
 }
 
-// release lets a connection wait for its next request, or closes it if enough do.
+// release adds a connection to the pool, or closes it if the pool is full or the process is near
+// its limit of sockets.
 func (c *Client) release(addr string, conn connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= idlePerHost || c.crowded() {
+	if len(c.idle[addr]) >= maxIdlePerAddr || c.nearSocketLimit() {
 		conn.close()
 		return
 	}
-	c.idle[addr] = append(c.idle[addr], idleConnection{connection: conn, since: time.Now()})
+	c.idle[addr] = append(c.idle[addr], idleConnection{connection: conn, idleSince: time.Now()})
 }
 
-// crowded says whether the process is about to run out of sockets.
-func (c *Client) crowded() bool {
+// nearSocketLimit reports whether the process has CrowdedConnections or more open connections.
+func (c *Client) nearSocketLimit() bool {
 	return c.CrowdedConnections > 0 && c.engine.open.Load() >= int64(c.CrowdedConnections)
 }
 
-// SweepUntil closes connections that were not used for long, until ctx ends, and sooner where
-// sockets run out.
+// SweepUntil closes idle connections after clientIdleTimeout, or after shortIdleTimeout while the
+// process is near its limit of sockets. It returns when ctx is done.
 func (c *Client) SweepUntil(ctx context.Context) {
-	tick := time.NewTicker(crowdedIdleFor)
+	tick := time.NewTicker(shortIdleTimeout)
 	defer tick.Stop()
 	for last := time.Now(); ; {
 		select {
 		case now := <-tick.C:
-			if c.crowded() {
-				c.sweep(crowdedIdleFor)
-			} else if now.Sub(last) >= idleFor/2 {
-				c.sweep(idleFor)
+			if c.nearSocketLimit() {
+				c.closeIdle(shortIdleTimeout)
+			} else if now.Sub(last) >= clientIdleTimeout/2 {
+				c.closeIdle(clientIdleTimeout)
 				last = now
 			}
 		case <-ctx.Done():
@@ -184,18 +186,18 @@
 	}
 }
 
-// sweep closes connections that nobody has used for so long; hosts come and
-// go, and their sockets must not stay.
-func (c *Client) sweep(unused time.Duration) {
+// closeIdle closes connections that have been idle for at least a timeout, also those to addresses
+// to which no more requests are sent.
+func (c *Client) closeIdle(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
 		kept := list[:0]
-		for _, waiting := range list {
-			if time.Since(waiting.since) < unused && !waiting.dead() {
-				kept = append(kept, waiting)
+		for _, conn := range list {
+			if time.Since(conn.idleSince) < timeout && !conn.dead() {
+				kept = append(kept, conn)
 			} else {
-				waiting.close()
+				conn.close()
 			}
 		}
 		if len(kept) == 0 {
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// gnetBuffer is how large gnet's read and write buffers of a connection are, in bytes.
+	// gnetBuffer is the size of gnet's read and write buffers per connection, in bytes.
 	gnetBuffer = 16 << 10
-	// stopTimeout bounds the wait for gnet to stop.
+	// stopTimeout bounds how long a shutdown waits for the server's event loop.
 	stopTimeout = 2 * time.Second
 )
 
-// Handler answers the requests of one listening address.
+// Handler answers the requests of one listener.
 type Handler func(ctx context.Context, req *Request) Response
 
-// Listener is a listening address and what answers there.
+// Listener configures one listening address.
 type Listener struct {
 	Addr    string
 	Handler Handler
-	// MaxConns bounds the open connections; more are closed on arrival, so
-	// that a flood of users leaves sockets for agents and the state store.
+	// MaxConns is the maximum number of open connections. Further connections are closed as
+	// soon as they are accepted, so that many users cannot take the sockets that agents and
+	// the state store need.
 	MaxConns int
-	// MaxBody bounds the body of a request, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody int
-	// TLSConfig, if set, gives the TLS configuration for each new connection.
+	// TLSConfig, if set, returns the TLS configuration of a new connection. If it is nil,
+	// the listener serves plain HTTP.
 	TLSConfig func() *tls.Config
-	// OnRefused, if set, is called for each connection that is closed on arrival since there
-	// are too many.
+	// OnRefused, if set, is called for each connection that is closed because of MaxConns.
 	OnRefused func()
-	open      atomic.Int64 // connections
+	open      atomic.Int64 // number of open connections
 }
 
-// Engine carries every connection of the process: one gnet event loop for the
-// accepted ones and one for those that it dialled. gnet's way of registering
-// dialled connections with a listening engine races with its acceptor.
+// Engine runs all connections of the process: one gnet event loop for accepted connections
+// and one for dialled connections. They are separate because registering a dialled connection
+// with a listening gnet engine races with gnet's acceptor.
 type Engine struct {
 	gnet.BuiltinEventEngine
 	listeners map[string]*Listener // by port
 	server    gnet.Engine
 	client    *gnet.Client
-	booted    chan struct{} // closed once the engine listens
-	// ctx is that of Run: gnet's callbacks have none.
+	listening chan struct{} // closed when the engine listens
+	// ctx is the context of Run; gnet passes no context to its callbacks.
 	ctx         context.Context
 	connections sync.WaitGroup // goroutines of accepted connections
-	// open counts the connections, accepted and dialled.
+	// open is the number of open connections, accepted and dialled.
 	open atomic.Int64
 }
 
-// dialledEvents handles gnet's events of the connections that the process dialled.
+// dialledEvents handles gnet's events of dialled connections.
 type dialledEvents struct {
 	gnet.BuiltinEventEngine
 	engine *Engine
@@ -68,10 +69,10 @@
 	return d.engine.onClose(raw, err)
 }
 
-// Run serves the listeners until ctx ends. Once connections can be made, body
-// runs with the engine; the engine stops after body has returned.
+// Run serves the listeners until ctx is done. It runs body in a goroutine once the engine
+// listens, and stops the engine when ctx is done and body has returned.
 func Run(ctx context.Context, listeners []*Listener, body func(*Engine)) error {
-	e := &Engine{listeners: map[string]*Listener{}, booted: make(chan struct{}), ctx: ctx}
+	e := &Engine{listeners: map[string]*Listener{}, listening: make(chan struct{}), ctx: ctx}
 	addrs, err := e.addListeners(listeners)
 	if err != nil {
 		return err
@@ -83,8 +84,8 @@
 	go func() { failed <- gnet.Rotate(e, addrs, append(options(), gnet.WithReuseAddr(true))...) }()
 	select {
 	case err := <-failed:
-		return fmt.Errorf("transport: start: %w", err)
-	case <-e.booted:
+		return fmt.Errorf("transport: start engine: %w", err)
+	case <-e.listening:
 	}
 	bodyDone := make(chan struct{})
 	go func() {
@@ -93,15 +94,14 @@
 	}()
 	select {
 	case err := <-failed:
-		return fmt.Errorf("transport: engine ended: %w", err)
+		return fmt.Errorf("transport: engine stopped unexpectedly: %w", err)
 	case <-ctx.Done():
 	}
 	<-bodyDone
 	return e.stop()
 }
 
-// addListeners registers the listeners by their ports and returns their addresses in gnet's
-// form.
+// addListeners registers the listeners by port and returns their addresses in gnet's format.
 func (e *Engine) addListeners(listeners []*Listener) (addrs []string, err error) {
 	for _, l := range listeners {
 		_, port, err := net.SplitHostPort(l.Addr)
@@ -114,35 +114,35 @@
 	return addrs, nil
 }
 
-// startClient starts the event loop of dialled connections.
+// startClient starts the event loop for dialled connections.
 func (e *Engine) startClient() error {
 	client, err := gnet.NewClient(&dialledEvents{engine: e}, options()...)
 	if err != nil {
-		return fmt.Errorf("transport: client: %w", err)
+		return fmt.Errorf("transport: create client event loop: %w", err)
 	}
 	e.client = client
 	if err := client.Start(); err != nil {
-		return fmt.Errorf("transport: client: %w", err)
+		return fmt.Errorf("transport: start client event loop: %w", err)
 	}
 	return nil
 }
 
-// stop ends both event loops and waits for the goroutines of accepted connections.
+// stop stops both event loops and waits for the goroutines of accepted connections.
 func (e *Engine) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := e.server.Stop(ctx); err != nil {
-		return fmt.Errorf("transport: stop: %w", err)
+		return fmt.Errorf("transport: stop server event loop: %w", err)
 	}
-	// No connection can be accepted any more, so the count only falls.
+	// No more connections are accepted, so nothing is added to the WaitGroup during Wait.
 	e.connections.Wait()
 	if err := e.client.Stop(); err != nil {
-		return fmt.Errorf("transport: stop: %w", err)
+		return fmt.Errorf("transport: stop client event loop: %w", err)
 	}
 	return nil
 }
 
-// options are those of both event loops.
+// options returns the gnet options of both event loops.
 func options() []gnet.Option {
 	return []gnet.Option{
 		gnet.WithNumEventLoop(1),
@@ -153,8 +153,8 @@
 	}
 }
 
-// engineLog passes gnet's own messages on to the process's log; all but those before gnet ends
-// the process are for debugging.
+// engineLog writes gnet's messages to the default logger: fatal messages at level Error, all
+// others at level Debug.
 type engineLog struct{}
 
 func (l engineLog) Debugf(format string, args ...any) { l.debug(format, args) }
@@ -170,10 +170,10 @@
 	slog.Debug(fmt.Sprintf("gnet: "+format, args...))
 }
 
-// OnBoot marks that the engine listens.
+// OnBoot signals that the engine listens.
 func (e *Engine) OnBoot(server gnet.Engine) gnet.Action {
 	e.server = server
-	close(e.booted)
+	close(e.listening)
 	return gnet.None
 }
 
@@ -192,24 +192,25 @@
 		slog.Debug("connection refused", "reason", "too many connections", "addr", l.Addr)
 		return nil, gnet.Close
 	}
-	s := newStream(l.MaxBody + MaxHead + serverBuffer)
+	s := newStream(l.MaxBody + MaxHeadBytes + serverBuffer)
 	s.raw, s.addr = raw, raw.RemoteAddr()
 	raw.SetContext(s)
 	e.open.Add(1)
 	e.connections.Go(func() {
 		defer l.open.Add(-1)
-		serveAccepted(e.ctx, s, l)
+		serveConnection(e.ctx, s, l)
 	})
 	return nil, gnet.None
 }
 
-// OnTraffic hands the bytes that came to the connection's goroutine.
+// OnTraffic passes received bytes to the connection's goroutine.
 func (e *Engine) OnTraffic(raw gnet.Conn) gnet.Action { return onTraffic(raw) }
 
-// OnClose wakes the connection's goroutine for the last time.
+// OnClose tells the connection's goroutine that the connection is closed.
 func (e *Engine) OnClose(raw gnet.Conn, err error) gnet.Action { return e.onClose(raw, err) }
 
-// onTraffic feeds the bytes that arrived to the connection's stream.
+// onTraffic adds received bytes to the connection's stream. It closes the connection if the
+// stream's buffer is full.
 func onTraffic(raw gnet.Conn) gnet.Action {
 	buf, err := raw.Next(-1)
 	s, ok := raw.Context().(*stream)
@@ -219,7 +220,7 @@
 	return gnet.None
 }
 
-// onClose ends the connection's stream.
+// onClose sets the error of the connection's stream and counts the connection as closed.
 func (e *Engine) onClose(raw gnet.Conn, err error) gnet.Action {
 	if s, ok := raw.Context().(*stream); ok {
 		e.open.Add(-1)
@@ -231,8 +232,8 @@
 	return gnet.None
 }
 
-// dial connects off the event loop, since gnet's own dial blocks it, and then
-// enrols the connection with the event loop.
+// dial connects to an address and then registers the connection with the client's event loop.
+// It does not use gnet's own dial, which would block the event loop.
 func (e *Engine) dial(ctx context.Context, addr string, timeout time.Duration) (*stream, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	raw, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -241,10 +242,10 @@
 	}
 	s := newStream(clientBuffer)
 	s.addr = raw.RemoteAddr()
-	e.open.Add(1) // its end may come before EnrollContext returns
+	e.open.Add(1) // first, since OnClose may run before EnrollContext returns
 	if s.raw, err = e.client.EnrollContext(raw, s); err != nil {
 		e.open.Add(-1)
-		return nil, fmt.Errorf("transport: enrol %s: %w", addr, err)
+		return nil, fmt.Errorf("transport: register connection to %s: %w", addr, err)
 	}
 	return s, nil
 }
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// freeAddr finds a loopback address nobody listens on.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 
 func echo(_ context.Context, r *Request) Response {
 	if r.Path == "/panic" {
-		panic("told to")
+		panic("requested by the test")
 	}
 	return Response{Status: 200, Body: append([]byte(r.Method+" "), r.Body...), RetryAfter: 3}
 }
@@ -75,7 +75,7 @@
 				body := fmt.Appendf(nil, "%d.%d", i, k)
 				resp, err := client.Do(ctx, addr, "POST", "/x", body)
 				if err != nil || resp.Status != 200 || !bytes.Equal(resp.Body, append([]byte("POST "), body...)) || resp.RetryAfter != 3 {
-					t.Errorf("%v %+v", err, resp)
+					t.Errorf("POST /x: error %v, response %+v", err, resp)
 					return
 				}
 			}
@@ -83,12 +83,12 @@
 	}
 	wg.Wait()
 	if resp, err := client.Do(ctx, addr, "GET", "/panic", nil); err != nil || resp.Status != 500 {
-		t.Errorf("failing handler: %v %+v", err, resp)
+		t.Errorf("handler that panics: error %v, response %+v; want status 500", err, resp)
 	}
 	if _, err := client.Do(ctx, freeAddr(t), "GET", "/", nil); !errors.Is(err, ErrNotSent) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("request to an address without a listener: error %v, want ErrNotSent", err)
 	}
-	client.sweep(idleFor)
+	client.closeIdle(clientIdleTimeout)
 }
 
 func TestMalformedRequestsAreAnsweredAndClosed(t *testing.T) {
@@ -107,13 +107,14 @@
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		got, err := io.ReadAll(c)
 		if err != nil || !bytes.HasPrefix(got, []byte(want)) {
-			t.Errorf("%q: %q, %v", in, got, err)
+			t.Errorf("request %q: unexpected response %q or error %v", in, got, err)
 		}
 		_ = c.Close()
 	}
 }
 
-// A flood of connections must leave the process its sockets.
+// Connections beyond MaxConns are closed and counted, so that they cannot use up the sockets of the
+// process.
 func TestConnectionsPastTheBoundAreRefused(t *testing.T) {
 	var counted atomic.Int64
 	addr, _ := runListener(t, &Listener{Handler: echo, MaxConns: 2, OnRefused: func() { counted.Add(1) }})
@@ -136,45 +137,45 @@
 		_ = c.Close()
 	}
 	if refused != 4 || counted.Load() != 4 {
-		t.Errorf("%d of 6 refused, want 4; %d counted", refused, counted.Load())
+		t.Errorf("%d of 6 connections were refused and OnRefused was called %d times, want 4 and 4", refused, counted.Load())
 	}
 }
 
-// Where sockets run out no connection waits for a next request, and what waits goes soon;
-// before that, connections are kept.
-func TestCrowdedClientsKeepNoConnections(t *testing.T) {
+// From CrowdedConnections open connections on, a connection is closed after its response and idle
+// ones are closed early. Below it, connections are kept.
+func TestIdleConnectionsAreClosedNearTheSocketLimit(t *testing.T) {
 	addr, client := run(t, echo, 50)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	ask := func() {
+	send := func() {
 		t.Helper()
 		if _, err := client.Do(ctx, addr, "POST", "/x", []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	settles := func(want int64) {
+	awaitOpen := func(want int64) {
 		t.Helper()
 		for client.engine.open.Load() != want {
 			if ctx.Err() != nil {
-				t.Fatalf("%d connections, want %d", client.engine.open.Load(), want)
+				t.Fatalf("timed out with %d open connections, want %d", client.engine.open.Load(), want)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	ask()
-	ask()
-	settles(2) // one, at both of its ends
+	send()
+	send()
+	awaitOpen(2) // both ends of one connection
 	client.CrowdedConnections = 2
-	ask()
-	settles(0)
+	send()
+	awaitOpen(0)
 	client.CrowdedConnections = 3
-	ask()
-	settles(2)
+	send()
+	awaitOpen(2)
 	client.CrowdedConnections = 2
 	swept := make(chan struct{})
 	sweeping, stop := context.WithCancel(ctx)
 	go func() { defer close(swept); client.SweepUntil(sweeping) }()
-	settles(0)
+	awaitOpen(0)
 	stop()
 	<-swept
 }
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// head is what the headers of a message say.
+// head holds the values of the headers that this package uses.
 type head struct {
 	length        int
 	hasLength     bool
@@ -17,8 +17,8 @@
 	onBehalfOf    string
 }
 
-// parseHead reads the first line and the headers of a message from the front of buf and
-// reports how many bytes they took.
+// parseHead parses the first line and the headers of a message at the start of buf. used is their
+// length in bytes, with the empty line after them.
 func parseHead(buf []byte) (start string, hd head, used int, err error) {
 	end, err := findHeadEnd(buf)
 	if err != nil {
@@ -34,26 +34,26 @@
 		}
 	}
 	if hd.chunked && hd.hasLength {
-		return "", head{}, 0, malformed("both a length and chunks")
+		return "", head{}, 0, malformed("both Content-Length and chunked encoding")
 	}
 	return lines[0], hd, end + len(headEnd), nil
 }
 
-// findHeadEnd is where the empty line after the headers begins.
+// findHeadEnd returns the index of the CRLF that ends the last header line.
 func findHeadEnd(buf []byte) (int, error) {
-	end := bytes.Index(buf[:min(len(buf), MaxHead)], []byte(headEnd))
+	end := bytes.Index(buf[:min(len(buf), MaxHeadBytes)], []byte(headEnd))
 	switch {
 	case end >= 0:
 		return end, nil
-	case len(buf) >= MaxHead:
+	case len(buf) >= MaxHeadBytes:
 		return 0, &ParseError{Status: 431, Reason: "head too large"}
 	case len(buf) > 0 && (buf[0] < 'A' || buf[0] > 'Z'):
-		return 0, malformed("bad first byte")
+		return 0, malformed("first byte is not an uppercase letter")
 	}
 	return 0, ErrIncomplete
 }
 
-// splitHead splits a head into its lines and checks that no control byte hides in one.
+// splitHead splits a head into lines. It refuses lines that contain CR, LF or NUL.
 func splitHead(text string) ([]string, error) {
 	lines := strings.Split(text, lineEnd)
 	if len(lines) > MaxHeaders+1 {
@@ -61,41 +61,41 @@
 	}
 	for _, line := range lines {
 		if strings.ContainsAny(line, "\r\n\x00") {
-			return nil, malformed("bare control byte in head")
+			return nil, malformed("CR, LF or NUL within a header line")
 		}
 	}
 	return lines, nil
 }
 
-// addLine reads one header line.
+// addLine parses one header line.
 func (h *head) addLine(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
-		return malformed("bad header line")
+		return malformed("malformed header line")
 	}
 	return h.addHeader(strings.ToLower(name), strings.Trim(value, " \t"))
 }
 
-// addHeader reads one header; those that are not known are ignored.
+// addHeader parses one header. It ignores headers that this package does not use.
 func (h *head) addHeader(name, value string) error {
 	switch name {
 	case "content-length":
 		return h.setLength(value)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return malformed("unknown transfer encoding")
+			return malformed("unsupported transfer encoding")
 		}
 		h.chunked = true
 	case "connection":
 		h.addConnectionOptions(value)
 	case "authorization":
 		if h.authorization != "" {
-			return malformed("two credentials")
+			return malformed("repeated Authorization header")
 		}
 		h.authorization = value
 	case "on-behalf-of":
 		if h.onBehalfOf != "" {
-			return malformed("on behalf of two")
+			return malformed("repeated On-Behalf-Of header")
 		}
 		h.onBehalfOf = value
 	case "retry-after":
@@ -104,11 +104,11 @@
 	return nil
 }
 
-// setLength reads the content length, which may be given twice only if it is the same.
+// setLength parses Content-Length. A repeated header must have the same value.
 func (h *head) setLength(value string) error {
 	length, err := strconv.ParseUint(value, 10, sizeBits)
 	if err != nil || value[0] == '+' || h.hasLength && int(length) != h.length {
-		return malformed("bad content length")
+		return malformed("invalid or conflicting Content-Length")
 	}
 	h.length, h.hasLength = int(length), true
 	return nil
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -1,5 +1,5 @@
-// Package transport carries requests and responses: a gnet engine, the project's own HTTP/1.1
-// parser, and a server and a client built on both.
+// Package transport is an HTTP/1.1 server and client over gnet event loops, with its own HTTP
+// parser.
 package transport
 
 import (
@@ -14,14 +14,14 @@
 	Path   string
 	Query  string
 	Body   []byte
-	// Close: the sender wants the connection closed after the response.
+	// Close is whether the client wants the connection to be closed after the response.
 	Close bool
-	// Authorization is the header of that name. It holds a secret.
+	// Authorization is the value of the Authorization header. It is secret.
 	Authorization string
-	// OnBehalfOf names the user for whom a service sends the request.
+	// OnBehalfOf is the user for whom a service sends the request.
 	OnBehalfOf string
-	// Peer is the client's certificate, if it has proven to own one, and From
-	// its address.
+	// Peer is the certificate that the client presented and whose private key it has proven to
+	// hold; nil if there is none. From is the client's address.
 	Peer *x509.Certificate
 	From string
 }
@@ -30,17 +30,16 @@
 type Response struct {
 	Status int
 	Body   []byte
-	// RetryAfter is for how many seconds the sender should wait before its next attempt; 0: not
-	// said.
+	// RetryAfter is the value of the Retry-After header, in seconds; 0 means no header.
 	RetryAfter int
-	// Close: the connection is closed after the response.
+	// Close is whether the connection is closed after the response.
 	Close bool
-	// Type is the body's content type; "": MessagePack.
+	// Type is the content type of the body; empty means MessagePack.
 	Type string
 }
 
-// reasons are the reason phrases of status lines.
-var reasons = map[int]string{
+// reasonPhrases maps status codes to the reason phrases of status lines.
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large", 421: "Misdirected Request",
 	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
@@ -52,7 +51,7 @@
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(response.Status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[response.Status]...)
+	dst = append(dst, reasonPhrases[response.Status]...)
 	dst = append(dst, "\r\nContent-Type: "...)
 	dst = append(dst, cmp.Or(response.Type, "application/msgpack")...)
 	dst = append(dst, "\r\nContent-Length: "...)
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// Limits of what the parser accepts before it calls a message malformed.
+// Limits on the head of a message, which is its first line and its headers. A larger head is
+// refused with status 431.
 const (
-	MaxHead    = 8 << 10
-	MaxHeaders = 64
+	MaxHeadBytes = 8 << 10
+	MaxHeaders   = 64
 )
 
 const (
-	// maxTarget is how long a request target may be, in bytes.
-	maxTarget = 2048
-	// maxChunkSizeLine is how long the line with a chunk's size may be, in bytes.
+	// maxTargetBytes is the maximum length of a request target.
+	maxTargetBytes = 2048
+	// maxChunkSizeLine is the maximum length of the line with a chunk's size, in bytes.
 	maxChunkSizeLine = 32
-	// sizeBits bounds lengths, so that they fit into an int on every platform.
+	// sizeBits limits lengths to 31 bits, so that they fit into an int on every platform.
 	sizeBits = 31
 )
 
@@ -27,10 +28,11 @@
 	headEnd = "\r\n\r\n"
 )
 
-// ErrIncomplete says that the buffer holds only the beginning of a message.
+// ErrIncomplete means that the buffer holds only the beginning of a message.
 var ErrIncomplete = errors.New("transport: message incomplete")
 
-// ParseError is a malformed message and the status with which a server answers it.
+// ParseError is the error for a message that is malformed, too large, unsupported or too slow.
+// Status is the HTTP status with which a server answers it.
 type ParseError struct {
 	Status int
 	Reason string
@@ -42,8 +44,8 @@
 
 func bodyTooLarge() error { return &ParseError{Status: 413, Reason: "body too large"} }
 
-// ParseRequest reads one request from the front of buf and reports how many
-// bytes it took. It returns ErrIncomplete until the whole message is there.
+// ParseRequest parses one request at the start of buf and returns its length in bytes. It returns
+// ErrIncomplete if buf does not hold the whole message yet.
 func ParseRequest(buf []byte, maxBody int) (*Request, int, error) {
 	start, hd, used, err := parseHead(buf)
 	if err != nil {
@@ -54,7 +56,7 @@
 		return nil, 0, err
 	}
 	if hd.chunked {
-		return nil, 0, &ParseError{Status: 411, Reason: "a length is required"}
+		return nil, 0, &ParseError{Status: 411, Reason: "chunked request bodies are not supported"}
 	}
 	body, err := parseBody(buf[used:], hd.length, maxBody)
 	if err != nil {
@@ -71,8 +73,8 @@
 	return request, used + hd.length, nil
 }
 
-// ParseResponse reads one response from the front of buf and reports how many bytes it took.
-// It returns ErrIncomplete until the whole message is there.
+// ParseResponse parses one response at the start of buf and returns its length in bytes. It returns
+// ErrIncomplete if buf does not hold the whole message yet.
 func ParseResponse(buf []byte, maxBody int) (*Response, int, error) {
 	start, hd, used, err := parseHead(buf)
 	if err != nil {
@@ -84,7 +86,7 @@
 	}
 	response := &Response{Status: status, RetryAfter: hd.retryAfter, Close: hd.close}
 	switch {
-	case status < 200 || status == 204 || status == 304: // these have no body
+	case status < 200 || status == 204 || status == 304: // no body
 		return response, used, nil
 	case hd.chunked:
 		body, bodyLen, err := parseChunks(buf[used:], maxBody)
@@ -94,7 +96,7 @@
 		response.Body = body
 		return response, used + bodyLen, nil
 	case !hd.hasLength:
-		return nil, 0, malformed("a length is required")
+		return nil, 0, malformed("response has neither Content-Length nor chunked encoding")
 	}
 	if response.Body, err = parseBody(buf[used:], hd.length, maxBody); err != nil {
 		return nil, 0, err
@@ -105,44 +107,44 @@
 // requestLine is the first line of a request.
 type requestLine struct {
 	method, target string
-	http10         bool // of version 1.0
+	http10         bool // version is HTTP/1.0
 }
 
 func parseRequestLine(line string) (requestLine, error) {
 	method, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
 	if !hasTarget || !hasVersion || !isToken(method) {
-		return requestLine{}, malformed("bad request line")
+		return requestLine{}, malformed("malformed request line")
 	}
 	http10 := version == "HTTP/1.0"
 	if version != "HTTP/1.1" && !http10 {
 		return requestLine{}, &ParseError{Status: 505, Reason: "unsupported HTTP version"}
 	}
-	if !strings.HasPrefix(target, "/") || len(target) > maxTarget {
-		return requestLine{}, malformed("bad request target")
+	if !strings.HasPrefix(target, "/") || len(target) > maxTargetBytes {
+		return requestLine{}, malformed("request target is too long or does not begin with /")
 	}
 	for i := 0; i < len(target); i++ {
 		if target[i] <= ' ' || target[i] >= 0x7f {
-			return requestLine{}, malformed("bad byte in request target")
+			return requestLine{}, malformed("invalid byte in request target")
 		}
 	}
 	return requestLine{method, target, http10}, nil
 }
 
-// parseStatusLine reads the status from the first line of a response.
+// parseStatusLine parses the first line of a response and returns the status code.
 func parseStatusLine(line string) (int, error) {
 	const codeAt, codeEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
 	if len(line) < codeEnd || !strings.HasPrefix(line, "HTTP/1.") || line[codeAt-1] != ' ' {
-		return 0, malformed("bad status line")
+		return 0, malformed("malformed status line")
 	}
 	status, err := strconv.Atoi(line[codeAt:codeEnd])
 	if err != nil || status < 100 || status > 599 {
-		return 0, malformed("bad status")
+		return 0, malformed("invalid status code")
 	}
 	return status, nil
 }
 
-// parseBody copies a body of known length from the front of buf.
+// parseBody copies a body of the given length from the start of buf.
 func parseBody(buf []byte, length, maxBody int) ([]byte, error) {
 	if length > maxBody {
 		return nil, bodyTooLarge()
@@ -153,7 +155,7 @@
 	return bytes.Clone(buf[:length]), nil
 }
 
-// parseChunks reads a chunked body from the front of buf and reports how many bytes it took.
+// parseChunks parses a chunked body at the start of buf and returns it with its encoded length.
 func parseChunks(buf []byte, maxBody int) ([]byte, int, error) {
 	var body []byte
 	used := 0
@@ -172,7 +174,7 @@
 		body = append(body, buf[used:used+size]...)
 		used += size
 		if string(buf[used:used+len(lineEnd)]) != lineEnd {
-			return nil, 0, malformed("bad chunk end")
+			return nil, 0, malformed("chunk does not end with CRLF")
 		}
 		used += len(lineEnd)
 		if size == 0 {
@@ -181,23 +183,23 @@
 	}
 }
 
-// parseChunkSize reads the line with a chunk's size and reports how many bytes it took.
+// parseChunkSize parses the line with a chunk's size and returns the size and the line's length.
 func parseChunkSize(buf []byte) (size, used int, err error) {
 	end := bytes.Index(buf[:min(len(buf), maxChunkSizeLine)], []byte(lineEnd))
 	if end < 0 {
 		if len(buf) >= maxChunkSizeLine {
-			return 0, 0, malformed("bad chunk size")
+			return 0, 0, malformed("chunk size line too long")
 		}
 		return 0, 0, ErrIncomplete
 	}
 	parsed, err := strconv.ParseUint(string(buf[:end]), 16, sizeBits)
 	if err != nil {
-		return 0, 0, malformed("bad chunk size")
+		return 0, 0, malformed("invalid chunk size")
 	}
 	return int(parsed), end + len(lineEnd), nil
 }
 
-// isToken says whether text is a token of HTTP, as methods and header names are.
+// isToken reports whether text is an HTTP token. Methods and header names are tokens.
 func isToken(text string) bool {
 	for i := 0; i < len(text); i++ {
 		c := text[i]
--- a/internal/transport/secure_test.go
+++ b/internal/transport/secure_test.go
@@ -50,7 +50,8 @@
 	return l.Addr().String()
 }
 
-// serveTLS answers with who the client is.
+// serveTLS serves over TLS. Each response contains the client's identity, the Authorization header
+// and the length of the body.
 func serveTLS(t *testing.T, server func() *tls.Config, clientSide func(string) *tls.Config) (string, *transport.Client) {
 	addr := freeAddr()
 	client := transport.NewClient()
@@ -101,11 +102,11 @@
 	for i := range 10 {
 		wg.Go(func() {
 			for k := range 10 {
-				// Bodies of more than one TLS record too.
+				// Some bodies are longer than one TLS record.
 				body := bytes.Repeat([]byte{byte(i)}, 1+k*19_000)
 				resp, err := c.Do(ctx, addr, "POST", "/x", body)
 				if err != nil || string(resp.Body) != fmt.Sprintf("controller/n1  %d", len(body)) {
-					t.Errorf("%v %+v", err, resp)
+					t.Errorf("request over TLS: error %v, response %+v", err, resp)
 					return
 				}
 			}
@@ -114,8 +115,8 @@
 	wg.Wait()
 }
 
-// Who shows the wrong certificate, or none, is not spoken to, on either side,
-// and a request that could not be sent is known not to be executed.
+// Clients and servers refuse a peer with an invalid certificate, without a certificate, without TLS
+// or with an old version of TLS.
 func TestWrongCertificates(t *testing.T) {
 	now := time.Now()
 	a, foreign := newAuthority(t, now), newAuthority(t, now)
@@ -129,9 +130,9 @@
 		"server of a foreign root":  {foreign.ring("controller/n0", now, time.Hour), a.ring("controller/n1", now, time.Hour), anybody},
 		"server of another name":    {server, a.ring("controller/n2", now, time.Hour), func(n identity.Name) bool { return n.ID == "n9" }},
 		"server of another kind":    {a.ring("worker/m-1", now, time.Hour), a.ring("controller/n3", now, time.Hour), func(n identity.Name) bool { return n.Kind == identity.Controller }},
-		"both ended":                {old.ring("controller/n0", now.Add(-50*time.Hour), time.Hour), old.ring("controller/n1", now.Add(-50*time.Hour), time.Hour), anybody},
-		"only the client's ended":   {old.ring("controller/n4", now, time.Hour), old.ring("controller/n5", now.Add(-50*time.Hour), time.Hour), anybody},
-		"only the server's ended":   {old.ring("controller/n6", now.Add(-50*time.Hour), time.Hour), old.ring("controller/n7", now, time.Hour), anybody},
+		"both expired":              {old.ring("controller/n0", now.Add(-50*time.Hour), time.Hour), old.ring("controller/n1", now.Add(-50*time.Hour), time.Hour), anybody},
+		"client's expired":          {old.ring("controller/n4", now, time.Hour), old.ring("controller/n5", now.Add(-50*time.Hour), time.Hour), anybody},
+		"server's expired":          {old.ring("controller/n6", now.Add(-50*time.Hour), time.Hour), old.ring("controller/n7", now, time.Hour), anybody},
 		"server's is not valid yet": {a.ring("controller/n8", now.Add(time.Hour), time.Hour), a.ring("controller/n9", now, time.Hour), anybody},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -139,49 +140,49 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			if resp, err := c.Do(ctx, addr, "GET", "/", nil); err == nil {
-				t.Errorf("answered %+v", resp)
+				t.Errorf("got response %+v, want an error", resp)
 			}
 		})
 	}
-	t.Run("nobody's", func(t *testing.T) {
+	t.Run("no client certificate", func(t *testing.T) {
 		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(true) }, nil)
 		conn, err := tls.Dial("tcp4", addr, &tls.Config{InsecureSkipVerify: true})
 		if err == nil {
 			_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 			_, _ = conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 			if n, err := conn.Read(make([]byte, 100)); err == nil {
-				t.Errorf("answered with %d bytes", n)
+				t.Errorf("read %d bytes without a client certificate, want an error", n)
 			}
 		}
 	})
-	t.Run("an old TLS", func(t *testing.T) {
+	t.Run("TLS 1.2", func(t *testing.T) {
 		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 		if _, err := tls.Dial("tcp4", addr, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}); err == nil {
-			t.Error("TLS 1.2 was taken")
+			t.Error("the server accepted TLS 1.2")
 		}
 	})
-	t.Run("in the clear", func(t *testing.T) {
+	t.Run("plain HTTP", func(t *testing.T) {
 		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 		c := must(net.Dial("tcp4", addr))
 		_, _ = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if got, _ := io.ReadAll(c); bytes.Contains(got, []byte("HTTP/1.1")) {
-			t.Errorf("answered %q", got)
+			t.Errorf("plain HTTP request got the response %q, want none", got)
 		}
 	})
-	t.Run("a silent client", func(t *testing.T) {
+	t.Run("client that sends nothing", func(t *testing.T) {
 		addr, _ := serveTLS(t, func() *tls.Config { return server.ServerConfig(false) }, nil)
 		c := must(net.Dial("tcp4", addr))
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		begun := time.Now()
-		if _, err := c.Read(make([]byte, 1)); errors.Is(err, context.DeadlineExceeded) || time.Since(begun) > 15*time.Second {
-			t.Errorf("held open for %s: %v", time.Since(begun), err)
+		start := time.Now()
+		if _, err := c.Read(make([]byte, 1)); errors.Is(err, context.DeadlineExceeded) || time.Since(start) > 15*time.Second {
+			t.Errorf("connection was open for %s, want at most 15s; error %v", time.Since(start), err)
 		}
 	})
 }
 
-// A certificate is renewed without dropping a connection: the open one goes on,
-// and new ones see the new certificate.
+// After a server's certificate is renewed, open connections stay open and new ones use the new
+// certificate.
 func TestCertificatesRotateUnderOpenConnections(t *testing.T) {
 	a := newAuthority(t, time.Now())
 	name := must(identity.ParseName("controller/n0"))
@@ -205,7 +206,7 @@
 		conns++
 		return dialer.DialContext(ctx, network, addr)
 	}}}
-	ask := func() {
+	send := func() {
 		t.Helper()
 		resp, err := client.Get("https://" + addr + "/")
 		if err != nil {
@@ -214,28 +215,28 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	ask()
+	send()
 	must(a.ca.Issue(name, time.Now(), 2*time.Hour, true))
 	_, before := server.Signer()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		ask()
+		send()
 		if _, now := server.Signer(); !now.Equal(before) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the new certificate was never read")
+			t.Fatal("the server did not load the new certificate within 20s")
 		}
 	}
-	ask()
+	send()
 	if conns != 1 {
-		t.Errorf("%d connections, want the first to go on", conns)
+		t.Errorf("%d connections, want only the first one", conns)
 	}
 	client.CloseIdleConnections()
-	ask()
+	send()
 	n := 0
 	serials.Range(func(any, any) bool { n++; return true })
 	if conns != 2 || n != 2 {
-		t.Errorf("%d connections saw %d certificates, want 2 and 2", conns, n)
+		t.Errorf("%d connections with %d different certificates, want 2 and 2", conns, n)
 	}
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	// idleTimeout is how long a connection may wait for its next request.
+	// idleTimeout is how long a connection may stay open without a request.
 	idleTimeout = 75 * time.Second
-	// readTimeout is how long a request may take to arrive once it has begun.
+	// readTimeout is the maximum time from the first to the last byte of a request.
 	readTimeout = 5 * time.Second
 )
 
-// responseHeadSize is about how many bytes the head of a response has.
+// responseHeadSize is the approximate size of the head of a response, in bytes.
 const responseHeadSize = 160
 
-// serveAccepted serves one accepted connection, over TLS if the listener asks for it.
-func serveAccepted(ctx context.Context, raw *stream, l *Listener) {
+// serveConnection serves one accepted connection, over TLS if the listener has a TLS configuration.
+func serveConnection(ctx context.Context, raw *stream, l *Listener) {
 	if l.TLSConfig == nil {
 		serveRequests(ctx, raw, l, nil)
 		return
 	}
-	s, err := startTLS(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.TLSConfig()) })
+	s, err := handshakeTLS(ctx, raw, func(c net.Conn) *tls.Conn { return tls.Server(c, l.TLSConfig()) })
 	if err != nil {
-		slog.Debug("connection refused", "error", err, "from", raw.from())
+		slog.Debug("connection closed after a failed TLS handshake", "error", err, "from", raw.remoteAddr())
 		raw.close()
 		return
 	}
 	serveRequests(ctx, s, l, s.peer())
 }
 
-// serveRequests answers the requests of one connection, one after the other.
+// serveRequests answers the requests of one connection one after the other, then closes it.
 func serveRequests(ctx context.Context, conn connection, l *Listener, peer *x509.Certificate) {
 	defer conn.close()
 	for {
 		req, err := readRequest(ctx, conn, l.MaxBody)
 		if err != nil {
-			var malformed *ParseError
-			if errors.As(err, &malformed) {
-				_ = conn.write(appendResponse(nil, Response{Status: malformed.Status, Close: true}))
+			var parseErr *ParseError
+			if errors.As(err, &parseErr) {
+				_ = conn.write(appendResponse(nil, Response{Status: parseErr.Status, Close: true}))
 			}
 			return
 		}
-		req.Peer, req.From = peer, conn.from()
+		req.Peer, req.From = peer, conn.remoteAddr()
 		resp := handle(ctx, l.Handler, req)
 		resp.Close = resp.Close || req.Close
 		if conn.write(appendResponse(make([]byte, 0, responseHeadSize+len(resp.Body)), resp)) != nil || resp.Close {
@@ -57,12 +57,11 @@
 	}
 }
 
-// handle runs a handler. A panic in it does not end the process, but is answered with
-// status 500.
+// handle runs a handler. If the handler panics, the response has status 500.
 func handle(ctx context.Context, handler Handler, req *Request) (resp Response) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			slog.Error("handler failed", "path", req.Path, "reason", fault, "stack", string(debug.Stack()))
+		if cause := recover(); cause != nil {
+			slog.Error("handler panicked", "path", req.Path, "reason", cause, "stack", string(debug.Stack()))
 			resp = Response{Status: 500, Close: true}
 		}
 	}()
@@ -73,10 +72,10 @@
 func readRequest(ctx context.Context, conn connection, maxBody int) (*Request, error) {
 	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
-	begun := false
+	started := false
 	for {
 		var req *Request
-		err := conn.take(func(buf []byte) (n int, err error) {
+		err := conn.consume(func(buf []byte) (n int, err error) {
 			if len(buf) == 0 {
 				return 0, ErrIncomplete
 			}
@@ -89,14 +88,14 @@
 		if !errors.Is(err, ErrIncomplete) {
 			return nil, err
 		}
-		// A sender that has begun must finish soon; an idle one may wait.
-		if !begun && conn.pending() > 0 {
-			begun = true
+		// The idle timeout holds until the first byte of a request, the read timeout after it.
+		if !started && conn.buffered() > 0 {
+			started = true
 			timer.Reset(readTimeout)
 		}
 		if err := conn.wait(ctx, timer); err != nil {
-			if begun && errors.Is(err, ErrTimeout) {
-				return nil, &ParseError{Status: 408, Reason: "request came too slowly"}
+			if started && errors.Is(err, ErrTimeout) {
+				return nil, &ParseError{Status: 408, Reason: "request not received in time"}
 			}
 			return nil, err
 		}
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -15,55 +15,59 @@
 var (
 	ErrClosed      = errors.New("transport: connection closed")
 	ErrTimeout     = errors.New("transport: timed out")
-	errTooMuchData = errors.New("transport: peer sent more than a message may hold")
+	errTooMuchData = errors.New("transport: peer sent more data than the receive buffer may hold")
 )
 
 const (
-	// serverBuffer is how many bytes beyond one message an accepted connection buffers.
+	// serverBuffer is how many bytes an accepted connection buffers in addition to the largest
+	// request.
 	serverBuffer = 96 << 10
-	// clientBuffer is how many bytes a dialled connection buffers, and thus how large a
-	// response may be.
+	// clientBuffer is how many bytes a dialled connection buffers. It is also the maximum size
+	// of a response body.
 	clientBuffer = 8 << 20
-	// streamKeepBuffer is how large an empty buffer may be to be used again.
-	streamKeepBuffer = 8 << 10
+	// maxKeptBuffer is the capacity above which an emptied buffer is freed, in bytes.
+	maxKeptBuffer = 8 << 10
 )
 
-// connection is the byte stream of one connection as its goroutine uses it: in the
-// clear (stream), or TLS over that (tlsStream).
+// connection is a connection as the goroutine that reads it sees it: plain TCP (stream) or TLS
+// (tlsStream).
 type connection interface {
-	// take runs parse on what has arrived and drops the bytes it used.
-	take(parse func([]byte) (int, error)) error
-	// wait blocks until something arrived, the timer fires or ctx ends.
+	// consume calls parse with the buffered bytes. Parse returns how many bytes it used, and these
+	// are removed from the buffer. If parse returns an error, the buffer stays as it is; if
+	// that error is ErrIncomplete and nothing more can arrive, consume returns the reason.
+	consume(parse func([]byte) (int, error)) error
+	// wait blocks until bytes arrive, the connection fails, the timer fires or ctx is done.
 	wait(ctx context.Context, timer *time.Timer) error
 	write(b []byte) error
-	// pending is how many bytes have arrived and are not taken yet.
-	pending() int
-	// dead says whether nothing more can arrive.
+	// buffered returns the number of bytes that have arrived and are not consumed yet.
+	buffered() int
+	// dead reports whether the connection has failed or is closed.
 	dead() bool
-	// from is the other side's address.
-	from() string
+	// remoteAddr returns the address of the peer.
+	remoteAddr() string
 	close()
 }
 
-// stream is a connection in the clear. The engine's event loop feeds it; one
-// goroutine reads it.
+// stream is a plain TCP connection. The engine's event loop adds received bytes; one goroutine
+// reads them.
 type stream struct {
 	raw gnet.Conn
-	// addr is the other side; only the event loop may ask gnet for it.
+	// addr is the address of the peer. It is kept here because only the event loop may call
+	// gnet's RemoteAddr.
 	addr  net.Addr
-	limit int // of buf, in bytes
-	wake  chan struct{}
+	limit int           // maximum length of buf, in bytes
+	wake  chan struct{} // signals that buf or err has changed
 
 	mu  sync.Mutex
 	buf []byte
-	err error // nothing more arrives, because of this
+	err error // why nothing more can arrive; nil while the connection is open
 }
 
 func newStream(limit int) *stream {
 	return &stream{limit: limit, wake: make(chan struct{}, 1)}
 }
 
-// feed adds bytes that arrived; false: there are more than the buffer may hold.
+// feed adds received bytes to the buffer. It returns false if they exceed the limit.
 func (s *stream) feed(b []byte) bool {
 	s.mu.Lock()
 	ok := len(s.buf)+len(b) <= s.limit
@@ -77,7 +81,7 @@
 	return ok
 }
 
-// fail says why nothing more arrives, unless that is known already.
+// fail records why nothing more can arrive, unless an earlier error is recorded.
 func (s *stream) fail(err error) {
 	s.mu.Lock()
 	if s.err == nil {
@@ -94,13 +98,13 @@
 	}
 }
 
-func (s *stream) take(parse func([]byte) (int, error)) error {
+func (s *stream) consume(parse func([]byte) (int, error)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, err := parse(s.buf)
 	if err == nil {
 		s.buf = s.buf[:copy(s.buf, s.buf[n:])]
-		if len(s.buf) == 0 && cap(s.buf) > streamKeepBuffer {
+		if len(s.buf) == 0 && cap(s.buf) > maxKeptBuffer {
 			s.buf = nil
 		}
 		return nil
@@ -111,7 +115,7 @@
 	return err
 }
 
-func (s *stream) pending() int {
+func (s *stream) buffered() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.buf)
@@ -143,7 +147,7 @@
 
 func (s *stream) close() { _ = s.raw.Close() }
 
-func (s *stream) from() string {
+func (s *stream) remoteAddr() string {
 	if s.addr == nil {
 		return ""
 	}
--- a/internal/transport/tls.go
+++ b/internal/transport/tls.go
@@ -10,40 +10,43 @@
 	"time"
 )
 
-// handshakeTimeout bounds a handshake on either side, so that a silent peer
-// holds no socket.
+// handshakeTimeout bounds TLS handshakes on both sides, so that a peer that sends nothing cannot
+// hold a socket.
 const handshakeTimeout = 5 * time.Second
 
-// readSize is by how much a TLS connection's buffer grows at a time.
-const readSize = 4 << 10
+// initialPlainSize is the initial size of a TLS connection's buffer for decrypted bytes. The
+// buffer doubles when less than half of this size is free, and is freed if it is empty and larger
+// than twice this size.
+const initialPlainSize = 4 << 10
 
-// tlsStream is TLS over a stream. One goroutine uses it; only the stream below is
-// shared with the event loop.
+// tlsStream is a TLS connection over a stream. Only one goroutine uses it; the stream is shared
+// with the event loop.
 type tlsStream struct {
 	raw   *stream
 	conn  *tls.Conn
-	limit int    // of plain, in bytes
-	plain []byte // decrypted and not taken yet
-	err   error  // nothing more arrives, because of this
-	// ctx and timer are those of the wait under way: crypto/tls reads without any.
+	limit int    // maximum length of plain, in bytes
+	plain []byte // decrypted bytes that are not consumed yet
+	err   error  // why nothing more can arrive; nil while the connection is open
+	// ctx and timer are the arguments of the current call of wait. They are fields because
+	// net.Conn's Read, which crypto/tls calls, takes neither.
 	ctx   context.Context
 	timer *time.Timer
 }
 
-// startTLS does the handshake of TLS over a stream; wrap makes the client's or the server's
-// side. On error the stream is of no more use.
-func startTLS(ctx context.Context, raw *stream, wrap func(net.Conn) *tls.Conn) (*tlsStream, error) {
+// handshakeTLS does a TLS handshake over a stream. wrap is tls.Client or tls.Server with a
+// configuration. After an error the stream can only be closed.
+func handshakeTLS(ctx context.Context, raw *stream, wrap func(net.Conn) *tls.Conn) (*tlsStream, error) {
 	timer := time.NewTimer(handshakeTimeout)
 	defer timer.Stop()
 	s := &tlsStream{raw: raw, limit: raw.limit, ctx: ctx, timer: timer}
-	s.conn = wrap((*tlsTransport)(s))
+	s.conn = wrap((*netConnAdapter)(s))
 	if err := s.conn.HandshakeContext(context.WithoutCancel(ctx)); err != nil {
 		return nil, fmt.Errorf("transport: TLS handshake: %w", err)
 	}
 	return s, nil
 }
 
-// peer is the certificate that the other side has proven to own, or nil.
+// peer returns the peer's certificate; nil if it presented none.
 func (s *tlsStream) peer() *x509.Certificate {
 	if certs := s.conn.ConnectionState().PeerCertificates; len(certs) > 0 {
 		return certs[0]
@@ -51,11 +54,11 @@
 	return nil
 }
 
-func (s *tlsStream) take(parse func([]byte) (int, error)) error {
+func (s *tlsStream) consume(parse func([]byte) (int, error)) error {
 	n, err := parse(s.plain)
 	if err == nil {
 		s.plain = s.plain[:copy(s.plain, s.plain[n:])]
-		if len(s.plain) == 0 && cap(s.plain) > 2*readSize {
+		if len(s.plain) == 0 && cap(s.plain) > 2*initialPlainSize {
 			s.plain = nil
 		}
 		return nil
@@ -71,8 +74,8 @@
 	if len(s.plain) >= s.limit {
 		return errTooMuchData
 	}
-	if cap(s.plain)-len(s.plain) < readSize/2 {
-		grown := make([]byte, len(s.plain), max(readSize, 2*cap(s.plain)))
+	if cap(s.plain)-len(s.plain) < initialPlainSize/2 {
+		grown := make([]byte, len(s.plain), max(initialPlainSize, 2*cap(s.plain)))
 		copy(grown, s.plain)
 		s.plain = grown
 	}
@@ -96,23 +99,24 @@
 	return nil
 }
 
-func (s *tlsStream) pending() int { return len(s.plain) + s.raw.pending() }
-func (s *tlsStream) dead() bool   { return s.err != nil || s.raw.dead() }
-func (s *tlsStream) from() string { return s.raw.from() }
+func (s *tlsStream) buffered() int      { return len(s.plain) + s.raw.buffered() }
+func (s *tlsStream) dead() bool         { return s.err != nil || s.raw.dead() }
+func (s *tlsStream) remoteAddr() string { return s.raw.remoteAddr() }
 
 func (s *tlsStream) close() {
 	_ = s.conn.CloseWrite()
 	s.raw.close()
 }
 
-// tlsTransport is the stream below a tlsStream as the net.Conn that crypto/tls needs.
-type tlsTransport tlsStream
+// netConnAdapter makes the stream of a tlsStream a net.Conn, as crypto/tls needs.
+type netConnAdapter tlsStream
 
-// Read waits for bytes as long as the present wait allows.
-func (t *tlsTransport) Read(p []byte) (int, error) {
+// Read returns encrypted bytes. It waits for them until the timer of the current wait fires or its
+// context is done.
+func (t *netConnAdapter) Read(p []byte) (int, error) {
 	for {
 		n := 0
-		err := t.raw.take(func(buf []byte) (int, error) {
+		err := t.raw.consume(func(buf []byte) (int, error) {
 			if len(buf) == 0 {
 				return 0, ErrIncomplete
 			}
@@ -131,18 +135,18 @@
 	}
 }
 
-// Write hands a copy to the event loop: crypto/tls uses its buffer again.
-func (t *tlsTransport) Write(p []byte) (int, error) {
+// Write passes a copy of p to the event loop, because crypto/tls reuses p.
+func (t *netConnAdapter) Write(p []byte) (int, error) {
 	if err := t.raw.write(append([]byte(nil), p...)); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// Close and what follows it is not used here, but belongs to net.Conn.
-func (t *tlsTransport) Close() error                     { t.raw.close(); return nil }
-func (t *tlsTransport) LocalAddr() net.Addr              { return t.raw.addr }
-func (t *tlsTransport) RemoteAddr() net.Addr             { return t.raw.addr }
-func (t *tlsTransport) SetDeadline(time.Time) error      { return nil }
-func (t *tlsTransport) SetReadDeadline(time.Time) error  { return nil }
-func (t *tlsTransport) SetWriteDeadline(time.Time) error { return nil }
+// Close and the methods below complete the interface net.Conn; this package does not call them.
+func (t *netConnAdapter) Close() error                     { t.raw.close(); return nil }
+func (t *netConnAdapter) LocalAddr() net.Addr              { return t.raw.addr }
+func (t *netConnAdapter) RemoteAddr() net.Addr             { return t.raw.addr }
+func (t *netConnAdapter) SetDeadline(time.Time) error      { return nil }
+func (t *netConnAdapter) SetReadDeadline(time.Time) error  { return nil }
+func (t *netConnAdapter) SetWriteDeadline(time.Time) error { return nil }
