--- a/internal/overview/overview_test.go
+++ b/internal/overview/overview_test.go
@@ -32,10 +32,10 @@
 	rows = rows[:1]
 	rows[0].View.Replicas = nil
 	if text := Screen(rows, time.Unix(0, 0), 80, 24); !strings.Contains(text, "STANDBYS  0: none") {
-		t.Error(text)
+		t.Error("no STANDBYS line with none for partition 0:\n" + text)
 	}
 	if none := Screen(nil, time.Unix(0, 0), 80, 24); !strings.Contains(none, "no part is owned") {
-		t.Error(none)
+		t.Error("without rows, the text does not say that no part is owned:\n" + none)
 	}
 }
 
@@ -54,10 +54,10 @@
 		}
 	}
 	if text := Screen(rows, time.Unix(0, 0), 80, 24); !strings.Contains(text, "CARRIED   0: 198 by spindle-1  0: 40 by spindle-2") {
-		t.Error(text)
+		t.Error("no CARRIED line with both delegates:\n" + text)
 	}
 	if text := Delegations(rows[1:2]); !strings.Contains(text, "no share has moved") {
-		t.Error(text)
+		t.Error("without moves, the text does not say that no share has moved:\n" + text)
 	}
 }
 
--- a/internal/telemetry/bound.go
+++ b/internal/telemetry/bound.go
@@ -6,7 +6,7 @@
 // is delayed, left out of a message or refused (docs/limits.md).
 type Bound int
 
-// The bounds.
+// The bounds, with what each of them counts.
 const (
 	SummaryBytes        Bound = iota // summaries sent without details, since they were too large
 	JobProgress                      // summaries with the progress of only some jobs
--- a/internal/telemetry/event.go
+++ b/internal/telemetry/event.go
@@ -3,7 +3,7 @@
 // Event is a kind of event that is counted.
 type Event int
 
-// The events.
+// The events, with what each of them counts.
 const (
 	RequestRefused        Event = iota // requests of users that were refused
 	JobLate                            // jobs that ended after their deadline
--- a/internal/telemetry/wait.go
+++ b/internal/telemetry/wait.go
@@ -3,7 +3,7 @@
 // Wait is a kind of wait that is measured.
 type Wait int
 
-// The waits.
+// The waits, with what each of them measures.
 const (
 	Submission   Wait = iota // a user's submission, until it is answered
 	Poll                     // a user's request for the status of a job, until it is answered
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -35,22 +35,22 @@
 	l.Addr, l.MaxBody = addr, 1000
 	client = NewClient()
 	ctx, cancel := context.WithCancel(context.Background())
-	up, down := make(chan struct{}), make(chan error, 1)
+	started, stopped := make(chan struct{}), make(chan error, 1)
 	go func() {
-		down <- Run(ctx, []*Listener{l}, func(e *Engine) {
+		stopped <- Run(ctx, []*Listener{l}, func(e *Engine) {
 			client.Attach(e)
-			close(up)
+			close(started)
 			<-ctx.Done()
 		})
 	}()
 	select {
-	case <-up:
-	case err := <-down:
+	case <-started:
+	case err := <-stopped:
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		cancel()
-		if err := <-down; err != nil {
+		if err := <-stopped; err != nil {
 			t.Error(err)
 		}
 	})
@@ -116,8 +116,8 @@
 // Connections beyond MaxConns are closed and counted, so that they cannot use up the sockets of the
 // process.
 func TestConnectionsPastTheBoundAreRefused(t *testing.T) {
-	var counted atomic.Int64
-	addr, _ := runListener(t, &Listener{Handler: echo, MaxConns: 2, OnRefused: func() { counted.Add(1) }})
+	var refusedCalls atomic.Int64
+	addr, _ := runListener(t, &Listener{Handler: echo, MaxConns: 2, OnRefused: func() { refusedCalls.Add(1) }})
 	var open []net.Conn
 	refused := 0
 	for range 6 {
@@ -136,8 +136,8 @@
 	for _, c := range open {
 		_ = c.Close()
 	}
-	if refused != 4 || counted.Load() != 4 {
-		t.Errorf("%d of 6 connections were refused and OnRefused was called %d times, want 4 and 4", refused, counted.Load())
+	if refused != 4 || refusedCalls.Load() != 4 {
+		t.Errorf("%d of 6 connections were refused and OnRefused was called %d times, want 4 and 4", refused, refusedCalls.Load())
 	}
 }
 
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -19,7 +19,7 @@
 
 // parseHead parses the first line and the headers of a message at the start of buf. used is their
 // length in bytes, with the empty line after them.
-func parseHead(buf []byte) (start string, hd head, used int, err error) {
+func parseHead(buf []byte) (start string, headers head, used int, err error) {
 	end, err := findHeadEnd(buf)
 	if err != nil {
 		return "", head{}, 0, err
@@ -29,14 +29,14 @@
 		return "", head{}, 0, err
 	}
 	for _, line := range lines[1:] {
-		if err := hd.addLine(line); err != nil {
+		if err := headers.addLine(line); err != nil {
 			return "", head{}, 0, err
 		}
 	}
-	if hd.chunked && hd.hasLength {
+	if headers.chunked && headers.hasLength {
 		return "", head{}, 0, malformed("both Content-Length and chunked encoding")
 	}
-	return lines[0], hd, end + len(headEnd), nil
+	return lines[0], headers, end + len(headEnd), nil
 }
 
 // findHeadEnd returns the index of the CRLF that ends the last header line.
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -47,7 +47,7 @@
 // ParseRequest parses one request at the start of buf and returns its length in bytes. It returns
 // ErrIncomplete if buf does not hold the whole message yet.
 func ParseRequest(buf []byte, maxBody int) (*Request, int, error) {
-	start, hd, used, err := parseHead(buf)
+	start, headers, used, err := parseHead(buf)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -55,28 +55,28 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if hd.chunked {
+	if headers.chunked {
 		return nil, 0, &ParseError{Status: 411, Reason: "chunked request bodies are not supported"}
 	}
-	body, err := parseBody(buf[used:], hd.length, maxBody)
+	body, err := parseBody(buf[used:], headers.length, maxBody)
 	if err != nil {
 		return nil, 0, err
 	}
 	request := &Request{
 		Method:        line.method,
 		Body:          body,
-		Close:         hd.close || line.http10,
-		Authorization: hd.authorization,
-		OnBehalfOf:    hd.onBehalfOf,
+		Close:         headers.close || line.http10,
+		Authorization: headers.authorization,
+		OnBehalfOf:    headers.onBehalfOf,
 	}
 	request.Path, request.Query, _ = strings.Cut(line.target, "?")
-	return request, used + hd.length, nil
+	return request, used + headers.length, nil
 }
 
 // ParseResponse parses one response at the start of buf and returns its length in bytes. It returns
 // ErrIncomplete if buf does not hold the whole message yet.
 func ParseResponse(buf []byte, maxBody int) (*Response, int, error) {
-	start, hd, used, err := parseHead(buf)
+	start, headers, used, err := parseHead(buf)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -84,24 +84,24 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	response := &Response{Status: status, RetryAfter: hd.retryAfter, Close: hd.close}
+	response := &Response{Status: status, RetryAfter: headers.retryAfter, Close: headers.close}
 	switch {
 	case status < 200 || status == 204 || status == 304: // no body
 		return response, used, nil
-	case hd.chunked:
+	case headers.chunked:
 		body, bodyLen, err := parseChunks(buf[used:], maxBody)
 		if err != nil {
 			return nil, 0, err
 		}
 		response.Body = body
 		return response, used + bodyLen, nil
-	case !hd.hasLength:
+	case !headers.hasLength:
 		return nil, 0, malformed("response has neither Content-Length nor chunked encoding")
 	}
-	if response.Body, err = parseBody(buf[used:], hd.length, maxBody); err != nil {
+	if response.Body, err = parseBody(buf[used:], headers.length, maxBody); err != nil {
 		return nil, 0, err
 	}
-	return response, used + hd.length, nil
+	return response, used + headers.length, nil
 }
 
 // requestLine is the first line of a request.
--- a/internal/transport/secure_test.go
+++ b/internal/transport/secure_test.go
@@ -38,9 +38,9 @@
 	return authority{dir, must(pki.Create(dir, "test", now, 1000*time.Hour))}
 }
 
-func (a authority) ring(name string, issued time.Time, life time.Duration) *identity.Keyring {
+func (a authority) keyring(name string, issued time.Time, lifetime time.Duration) *identity.Keyring {
 	n := must(identity.ParseName(name))
-	cert := must(a.ca.Issue(n, issued, life, false))
+	cert := must(a.ca.Issue(n, issued, lifetime, false))
 	return must(identity.Load(identity.Files{Own: cert.File, Roots: filepath.Join(a.dir, pki.RootFile)}))
 }
 
@@ -57,7 +57,7 @@
 	client := transport.NewClient()
 	client.TLSConfig = clientSide
 	ctx, cancel := context.WithCancel(context.Background())
-	up, down := make(chan struct{}), make(chan error, 1)
+	started, stopped := make(chan struct{}), make(chan error, 1)
 	handler := func(_ context.Context, r *transport.Request) transport.Response {
 		who := "nobody"
 		if r.Peer != nil {
@@ -68,31 +68,31 @@
 		return transport.Response{Status: 200, Body: fmt.Appendf(nil, "%s %s %d", who, r.Authorization, len(r.Body))}
 	}
 	go func() {
-		down <- transport.Run(ctx, []*transport.Listener{{Addr: addr, Handler: handler, MaxConns: 50, MaxBody: 200_000, TLSConfig: server}}, func(e *transport.Engine) {
+		stopped <- transport.Run(ctx, []*transport.Listener{{Addr: addr, Handler: handler, MaxConns: 50, MaxBody: 200_000, TLSConfig: server}}, func(e *transport.Engine) {
 			client.Attach(e)
-			close(up)
+			close(started)
 			<-ctx.Done()
 		})
 	}()
 	select {
-	case <-up:
-	case err := <-down:
+	case <-started:
+	case err := <-stopped:
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		cancel()
-		if err := <-down; err != nil {
+		if err := <-stopped; err != nil {
 			t.Error(err)
 		}
 	})
 	return addr, client
 }
 
-func anybody(identity.Name) bool { return true }
+func anyName(identity.Name) bool { return true }
 
 func TestRequestsOverTLS(t *testing.T) {
 	a := newAuthority(t, time.Now())
-	server, client := a.ring("controller/n0", time.Now(), time.Hour), a.ring("controller/n1", time.Now(), time.Hour)
+	server, client := a.keyring("controller/n0", time.Now(), time.Hour), a.keyring("controller/n1", time.Now(), time.Hour)
 	addr, c := serveTLS(t, func() *tls.Config { return server.ServerConfig(true) }, func(string) *tls.Config {
 		return client.ClientConfig(func(n identity.Name) bool { return n.String() == "controller/n0" })
 	})
@@ -120,20 +120,20 @@
 func TestWrongCertificates(t *testing.T) {
 	now := time.Now()
 	a, foreign := newAuthority(t, now), newAuthority(t, now)
-	server := a.ring("controller/n0", now, time.Hour)
+	server := a.keyring("controller/n0", now, time.Hour)
 	old := newAuthority(t, now.Add(-100*time.Hour))
 	for name, tc := range map[string]struct {
 		server, client *identity.Keyring
 		accept         func(identity.Name) bool
 	}{
-		"client of a foreign root":  {server, foreign.ring("controller/n1", now, time.Hour), anybody},
-		"server of a foreign root":  {foreign.ring("controller/n0", now, time.Hour), a.ring("controller/n1", now, time.Hour), anybody},
-		"server of another name":    {server, a.ring("controller/n2", now, time.Hour), func(n identity.Name) bool { return n.ID == "n9" }},
-		"server of another kind":    {a.ring("worker/m-1", now, time.Hour), a.ring("controller/n3", now, time.Hour), func(n identity.Name) bool { return n.Kind == identity.Controller }},
-		"both expired":              {old.ring("controller/n0", now.Add(-50*time.Hour), time.Hour), old.ring("controller/n1", now.Add(-50*time.Hour), time.Hour), anybody},
-		"client's expired":          {old.ring("controller/n4", now, time.Hour), old.ring("controller/n5", now.Add(-50*time.Hour), time.Hour), anybody},
-		"server's expired":          {old.ring("controller/n6", now.Add(-50*time.Hour), time.Hour), old.ring("controller/n7", now, time.Hour), anybody},
-		"server's is not valid yet": {a.ring("controller/n8", now.Add(time.Hour), time.Hour), a.ring("controller/n9", now, time.Hour), anybody},
+		"client of a foreign root":  {server, foreign.keyring("controller/n1", now, time.Hour), anyName},
+		"server of a foreign root":  {foreign.keyring("controller/n0", now, time.Hour), a.keyring("controller/n1", now, time.Hour), anyName},
+		"server of another name":    {server, a.keyring("controller/n2", now, time.Hour), func(n identity.Name) bool { return n.ID == "n9" }},
+		"server of another kind":    {a.keyring("worker/m-1", now, time.Hour), a.keyring("controller/n3", now, time.Hour), func(n identity.Name) bool { return n.Kind == identity.Controller }},
+		"both expired":              {old.keyring("controller/n0", now.Add(-50*time.Hour), time.Hour), old.keyring("controller/n1", now.Add(-50*time.Hour), time.Hour), anyName},
+		"client's expired":          {old.keyring("controller/n4", now, time.Hour), old.keyring("controller/n5", now.Add(-50*time.Hour), time.Hour), anyName},
+		"server's expired":          {old.keyring("controller/n6", now.Add(-50*time.Hour), time.Hour), old.keyring("controller/n7", now, time.Hour), anyName},
+		"server's is not valid yet": {a.keyring("controller/n8", now.Add(time.Hour), time.Hour), a.keyring("controller/n9", now, time.Hour), anyName},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, c := serveTLS(t, func() *tls.Config { return tc.server.ServerConfig(true) }, func(string) *tls.Config { return tc.client.ClientConfig(tc.accept) })
@@ -186,7 +186,7 @@
 func TestCertificatesRotateUnderOpenConnections(t *testing.T) {
 	a := newAuthority(t, time.Now())
 	name := must(identity.ParseName("controller/n0"))
-	server := a.ring("controller/n0", time.Now(), time.Hour)
+	server := a.keyring("controller/n0", time.Now(), time.Hour)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go server.Watch(ctx, discard())
@@ -194,7 +194,7 @@
 	roots := x509.NewCertPool()
 	roots.AddCert(a.ca.Root())
 	var serials sync.Map
-	config := identity.ClientConfig(roots, nil, anybody)
+	config := identity.ClientConfig(roots, nil, anyName)
 	verify := config.VerifyConnection
 	config.VerifyConnection = func(cs tls.ConnectionState) error {
 		serials.Store(cs.PeerCertificates[0].SerialNumber.String(), true)
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -11,7 +11,7 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Errors of a connection.
+// Errors of connections.
 var (
 	ErrClosed      = errors.New("transport: connection closed")
 	ErrTimeout     = errors.New("transport: timed out")
