--- a/internal/identity/proof.go
+++ b/internal/identity/credentials.go
@@ -9,39 +9,40 @@
 	"strings"
 )
 
-// CredentialFiles names the credentials of a program that people start and that reads them once. A
-// token is read from a file only: a command line is seen by others.
+// CredentialFiles are the paths of the credentials of a command-line program, which reads them once.
+// A token can only be read from a file, since other users can see command lines.
 type CredentialFiles struct {
-	// Roots are the authorities to trust; without them connections are in the clear.
+	// Roots holds the trusted root certificates (PEM). Without it, connections are unencrypted.
 	Roots string
-	// Cert is the file of a certificate with its key.
+	// Cert holds a certificate and its private key (PEM).
 	Cert string
-	// TokenFile is the file of a token.
+	// TokenFile holds a token.
 	TokenFile string
 }
 
-// Load reads the files; the configuration is nil for connections in the clear.
-func (p *CredentialFiles) Load(accept func(Name) bool) (config *tls.Config, token string, err error) {
-	if p.Roots == "" {
-		if p.Cert != "" || p.TokenFile != "" {
-			return nil, "", errors.New("a certificate or a token needs the roots to trust: a credential is never sent in the clear")
+// Load reads the files. accept decides which names servers may have. config is nil if connections
+// are unencrypted.
+func (f *CredentialFiles) Load(accept func(Name) bool) (config *tls.Config, token string, err error) {
+	if f.Roots == "" {
+		if f.Cert != "" || f.TokenFile != "" {
+			return nil, "", errors.New("a certificate or a token requires trusted roots: credentials are never sent in the clear")
 		}
 		return nil, "", nil
 	}
-	roots, err := readRoots(p.Roots)
+	roots, err := readRoots(f.Roots)
 	if err != nil {
 		return nil, "", err
 	}
 	var own []tls.Certificate
-	if p.Cert != "" {
-		pair, err := readKeyPair(p.Cert)
+	if f.Cert != "" {
+		pair, err := readKeyPair(f.Cert)
 		if err != nil {
 			return nil, "", err
 		}
 		own = append(own, pair)
 	}
-	if p.TokenFile != "" {
-		if token, err = readToken(p.TokenFile); err != nil {
+	if f.TokenFile != "" {
+		if token, err = readToken(f.TokenFile); err != nil {
 			return nil, "", err
 		}
 	}
@@ -60,8 +61,8 @@
 	return roots, nil
 }
 
-// readKeyPair reads a certificate with its key. Its error says nothing of the content, which
-// might be a part of the key.
+// readKeyPair reads a certificate with its private key. Its errors don't quote the content, which
+// may include parts of the key.
 func readKeyPair(path string) (tls.Certificate, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,6 +1,6 @@
-// Package identity authenticates: names, the certificates and signed tokens that
-// prove them, and the files that this process's own credentials and its roots of
-// trust are read from. It does not know what anybody may do.
+// Package identity implements authentication: the names of identities, the certificates
+// and signed tokens that prove them, and the files that hold a process's credentials and
+// trusted roots. Authorization is in package rights.
 package identity
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Kind is what a name stands for.
+// Kind is the kind of an identity.
 type Kind string
 
 // The kinds of identities.
@@ -22,61 +22,61 @@
 	Worker     Kind = "worker"
 )
 
-// Name is an identity's name, for example person/anna.
+// Name is the name of an identity, for example person/anna.
 type Name struct {
 	Kind Kind
 	ID   string
 }
 
-// String is KIND/ID.
+// String returns the name as KIND/ID.
 func (n Name) String() string { return string(n.Kind) + "/" + n.ID }
 
-// IsZero reports whether there is no name.
+// IsZero reports whether the name is empty.
 func (n Name) IsZero() bool { return n.Kind == "" }
 
-// Caller reports whether the identity is one that sends users' requests.
+// Caller reports whether the identity is a person or a service: only these send user requests.
 func (n Name) Caller() bool { return n.Kind == Person || n.Kind == Service }
 
 const (
-	// maxName bounds ids, in bytes.
-	maxName = 100
-	// maxQuoted bounds what an error quotes of a text, in bytes.
-	maxQuoted = 40
-	// uriScheme is that of the names in certificates.
+	// maxIDBytes is the maximum length of an id.
+	maxIDBytes = 100
+	// maxQuotedBytes is the maximum length of a quotation in an error message.
+	maxQuotedBytes = 40
+	// uriScheme is the scheme of the URIs that hold names in certificates.
 	uriScheme = "spindle"
 )
 
-// ParseName reads KIND/ID.
+// ParseName parses a name of the form KIND/ID.
 func ParseName(text string) (Name, error) {
 	kind, id, ok := strings.Cut(text, "/")
 	if !ok {
-		return Name{}, fmt.Errorf("%q is no name of an identity: write KIND/ID, for example person/anna", clip(text))
+		return Name{}, fmt.Errorf("%q is no name of an identity: write KIND/ID, for example person/anna", truncate(text))
 	}
 	switch Kind(kind) {
 	case Person, Service, Controller, Worker:
 	default:
-		return Name{}, fmt.Errorf("%q is no kind of identity: person, service, controller or worker", clip(kind))
+		return Name{}, fmt.Errorf("%q is no kind of identity: person, service, controller or worker", truncate(kind))
 	}
-	if id == "" || len(id) > maxName {
-		return Name{}, fmt.Errorf("the id of a %s must have 1 to %d characters", kind, maxName)
+	if id == "" || len(id) > maxIDBytes {
+		return Name{}, fmt.Errorf("the id of a %s must have 1 to %d characters", kind, maxIDBytes)
 	}
 	for _, c := range id {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '.' || c == '_' || c == '-' || c == '@') {
-			return Name{}, fmt.Errorf("%q: an id holds letters, digits and . _ - @ only", clip(id))
+			return Name{}, fmt.Errorf("%q: an id holds letters, digits and . _ - @ only", truncate(id))
 		}
 	}
 	return Name{Kind(kind), id}, nil
 }
 
-func clip(text string) string { return text[:min(len(text), maxQuoted)] }
+func truncate(text string) string { return text[:min(len(text), maxQuotedBytes)] }
 
-// URI is the name as a certificate carries it.
+// URI returns the URI that holds the name in a certificate.
 func (n Name) URI() *url.URL {
 	return &url.URL{Scheme: uriScheme, Host: string(n.Kind), Path: "/" + n.ID}
 }
 
-// FromCertificate reads the name that a certificate proves. The caller has
-// verified the certificate.
+// FromCertificate returns the name in a certificate. The caller must have verified the
+// certificate.
 func FromCertificate(cert *x509.Certificate) (Name, error) {
 	var found Name
 	for _, uri := range cert.URIs {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -23,7 +23,7 @@
 	"micaspindle/internal/pki"
 )
 
-func parse(t testing.TB, name string) identity.Name {
+func parseName(t testing.TB, name string) identity.Name {
 	t.Helper()
 	n, err := identity.ParseName(name)
 	if err != nil {
@@ -32,37 +32,38 @@
 	return n
 }
 
-// authority makes a certificate authority and the keyring of a controller.
-func authority(t testing.TB, life time.Duration) (dir string, ca *pki.Authority, ring *identity.Keyring, files identity.Files) {
+// newAuthority creates a certificate authority and the keyring of a controller whose certificate has
+// a lifetime.
+func newAuthority(t testing.TB, lifetime time.Duration) (dir string, ca *pki.Authority, keyring *identity.Keyring, files identity.Files) {
 	t.Helper()
 	dir = t.TempDir()
 	ca, err := pki.Create(dir, "test", time.Now(), 365*24*time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	issued, err := ca.Issue(parse(t, "controller/n0"), time.Now(), life, false)
+	issued, err := ca.Issue(parseName(t, "controller/n0"), time.Now(), lifetime, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	files = identity.Files{Own: issued.File, Roots: filepath.Join(dir, pki.RootFile), TokenKeys: filepath.Join(dir, pki.TokenKeysFile)}
-	if ring, err = identity.Load(files); err != nil {
+	if keyring, err = identity.Load(files); err != nil {
 		t.Fatal(err)
 	}
-	return dir, ca, ring, files
+	return dir, ca, keyring, files
 }
 
 func TestNames(t *testing.T) {
-	for text, good := range map[string]bool{
+	for text, valid := range map[string]bool{
 		"person/anna": true, "service/price-check.v2@almaty": true, "worker/any": true, "controller/spindle-0": true,
 		"anna": false, "person/": false, "admin/anna": false, "person/a b": false, "person/a/b": false, "person/ä": false,
 		"person/" + strings.Repeat("a", 101): false, "": false, "person/\n": false,
 	} {
 		n, err := identity.ParseName(text)
-		if (err == nil) != good || good && n.String() != text {
-			t.Errorf("%q: %v %v", text, n, err)
+		if (err == nil) != valid || valid && n.String() != text {
+			t.Errorf("ParseName(%q) = %v, %v; want valid: %v", text, n, err, valid)
 		}
 	}
-	with := func(uris ...string) *x509.Certificate {
+	certificateWith := func(uris ...string) *x509.Certificate {
 		c := &x509.Certificate{}
 		for _, u := range uris {
 			parsed, err := url.Parse(u)
@@ -77,199 +78,203 @@
 		cert *x509.Certificate
 		want string
 	}{
-		{with("spindle://person/anna"), "person/anna"}, {with("https://x.example/y", "spindle://worker/any"), "worker/any"},
-		{with("spindle://person/anna", "spindle://person/root"), ""}, {with(), ""}, {with("spindle://person/a/b"), ""}, {with("https://person/anna"), ""},
+		{certificateWith("spindle://person/anna"), "person/anna"},
+		{certificateWith("https://x.example/y", "spindle://worker/any"), "worker/any"},
+		{certificateWith("spindle://person/anna", "spindle://person/root"), ""},
+		{certificateWith(), ""},
+		{certificateWith("spindle://person/a/b"), ""},
+		{certificateWith("https://person/anna"), ""},
 	} {
 		n, err := identity.FromCertificate(tc.cert)
 		if (err == nil) != (tc.want != "") || err == nil && n.String() != tc.want {
-			t.Errorf("%v: %v %v", tc.cert.URIs, n, err)
+			t.Errorf("name in the certificate with URIs %v: %v, %v; want %q", tc.cert.URIs, n, err, tc.want)
 		}
 	}
 }
 
 func TestTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dir, _, ring, _ := authority(t, 24*time.Hour)
+		dir, _, keyring, _ := newAuthority(t, 24*time.Hour)
 		key, err := pki.TokenKey(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		bound := 50 * time.Millisecond
-		tokens := identity.NewTokens(ring, "ombili", bound)
-		anna := parse(t, "person/anna")
+		tokens := identity.NewTokens(keyring, "ombili", bound)
+		anna := parseName(t, "person/anna")
 		raw, err := identity.IssueToken(key, anna, "ombili", time.Now(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		issued := time.Now()
-		for range 2 { // checked, then remembered
+		for range 2 { // the second result is cached
 			tok, err := tokens.Check(raw)
 			if err != nil || tok.Name != anna || tok.ID == "" || !tok.Expires.Equal(issued.Add(time.Minute)) {
-				t.Fatalf("%+v, %v", tok, err)
+				t.Fatalf("checking a valid token returned %+v, %v", tok, err)
 			}
 		}
-		// An elapsed token is not taken, whether it is remembered or not, from
-		// the moment on at which it may have elapsed by a clock that is right.
-		fresh := identity.NewTokens(ring, "ombili", bound)
+		// A token, cached or not, is rejected from the time at which it may have expired if the
+		// clock has its maximum error.
+		fresh := identity.NewTokens(keyring, "ombili", bound)
 		time.Sleep(time.Minute - bound - time.Millisecond)
 		if _, err := fresh.Check(raw); err != nil {
-			t.Errorf("refused before its end: %v", err)
+			t.Errorf("token was rejected before its expiry: %v", err)
 		}
 		time.Sleep(time.Millisecond)
-		for _, tk := range []*identity.Tokens{tokens, fresh, identity.NewTokens(ring, "ombili", bound)} {
+		for _, tk := range []*identity.Tokens{tokens, fresh, identity.NewTokens(keyring, "ombili", bound)} {
 			if _, err := tk.Check(raw); err == nil {
-				t.Error("taken although it may have elapsed")
+				t.Error("a token that may have expired was accepted")
 			}
 		}
-		// Whoever issued it may have a clock that is ahead by its bound.
+		// The issuer's clock may be ahead by its maximum error.
 		ahead, err := identity.IssueToken(key, anna, "ombili", time.Now().Add(bound).Truncate(time.Second), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := tokens.Check(ahead); err != nil {
-			t.Errorf("issued by a clock that is ahead: %v", err)
+			t.Errorf("token of an issuer whose clock is ahead was rejected: %v", err)
 		}
 		later, _ := identity.IssueToken(key, anna, "ombili", time.Now().Add(time.Hour), time.Minute)
 		other, _ := identity.IssueToken(key, anna, "bilet", time.Now(), time.Minute)
-		_, foreign, _ := ed25519.GenerateKey(rand.Reader)
-		stranger, _ := identity.IssueToken(foreign, anna, "ombili", time.Now(), time.Minute)
-		claims := func(edit func(*jwt.RegisteredClaims), method jwt.SigningMethod, by any) string {
+		_, unknownKey, _ := ed25519.GenerateKey(rand.Reader)
+		byUnknownKey, _ := identity.IssueToken(unknownKey, anna, "ombili", time.Now(), time.Minute)
+		sign := func(edit func(*jwt.RegisteredClaims), method jwt.SigningMethod, signingKey any) string {
 			now := time.Now()
 			c := jwt.RegisteredClaims{Issuer: "micaspindle", Subject: "person/anna", Audience: jwt.ClaimStrings{"ombili"}, ID: "x",
 				IssuedAt: jwt.NewNumericDate(now), NotBefore: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(time.Minute))}
 			edit(&c)
 			tok := jwt.NewWithClaims(method, c)
 			tok.Header["kid"] = identity.KeyID(key.Public().(ed25519.PublicKey))
-			signed, err := tok.SignedString(by)
+			signed, err := tok.SignedString(signingKey)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return signed
 		}
-		keep := func(*jwt.RegisteredClaims) {}
-		if _, err := tokens.Check(claims(keep, jwt.SigningMethodEdDSA, key)); err != nil {
-			t.Fatalf("the table's own token: %v", err)
+		unchanged := func(*jwt.RegisteredClaims) {}
+		if _, err := tokens.Check(sign(unchanged, jwt.SigningMethodEdDSA, key)); err != nil {
+			t.Fatalf("the token that the invalid tokens are derived from was rejected: %v", err)
 		}
 		parts := strings.Split(raw, ".")
-		for name, bad := range map[string]string{
-			"not valid yet": later, "another cluster": other, "unknown key": stranger, "empty": "", "long": strings.Repeat("a", 5000),
+		for name, invalid := range map[string]string{
+			"not valid yet": later, "another cluster": other, "unknown key": byUnknownKey, "empty": "", "too long": strings.Repeat("a", 5000),
 			"no signature":                         parts[0] + "." + parts[1] + ".",
-			"unsigned":                             claims(keep, jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType),
-			"signed by the public key as a secret": claims(keep, jwt.SigningMethodHS256, []byte(key.Public().(ed25519.PublicKey))),
-			"no end":                               claims(func(c *jwt.RegisteredClaims) { c.ExpiresAt = nil }, jwt.SigningMethodEdDSA, key),
-			"lives too long":                       claims(func(c *jwt.RegisteredClaims) { c.ExpiresAt = jwt.NewNumericDate(time.Now().Add(9 * 24 * time.Hour)) }, jwt.SigningMethodEdDSA, key),
-			"no issuing":                           claims(func(c *jwt.RegisteredClaims) { c.IssuedAt = nil }, jwt.SigningMethodEdDSA, key),
-			"no id":                                claims(func(c *jwt.RegisteredClaims) { c.ID = "" }, jwt.SigningMethodEdDSA, key),
-			"another issuer":                       claims(func(c *jwt.RegisteredClaims) { c.Issuer = "x" }, jwt.SigningMethodEdDSA, key),
-			"a worker":                             claims(func(c *jwt.RegisteredClaims) { c.Subject = "worker/any" }, jwt.SigningMethodEdDSA, key),
-			"a controller":                         claims(func(c *jwt.RegisteredClaims) { c.Subject = "controller/n0" }, jwt.SigningMethodEdDSA, key),
-			"nobody":                               claims(func(c *jwt.RegisteredClaims) { c.Subject = "" }, jwt.SigningMethodEdDSA, key),
+			"unsigned":                             sign(unchanged, jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType),
+			"signed by the public key as a secret": sign(unchanged, jwt.SigningMethodHS256, []byte(key.Public().(ed25519.PublicKey))),
+			"no expiry":                            sign(func(c *jwt.RegisteredClaims) { c.ExpiresAt = nil }, jwt.SigningMethodEdDSA, key),
+			"lifetime too long":                    sign(func(c *jwt.RegisteredClaims) { c.ExpiresAt = jwt.NewNumericDate(time.Now().Add(9 * 24 * time.Hour)) }, jwt.SigningMethodEdDSA, key),
+			"no time of issue":                     sign(func(c *jwt.RegisteredClaims) { c.IssuedAt = nil }, jwt.SigningMethodEdDSA, key),
+			"no id":                                sign(func(c *jwt.RegisteredClaims) { c.ID = "" }, jwt.SigningMethodEdDSA, key),
+			"another issuer":                       sign(func(c *jwt.RegisteredClaims) { c.Issuer = "x" }, jwt.SigningMethodEdDSA, key),
+			"for a worker":                         sign(func(c *jwt.RegisteredClaims) { c.Subject = "worker/any" }, jwt.SigningMethodEdDSA, key),
+			"for a controller":                     sign(func(c *jwt.RegisteredClaims) { c.Subject = "controller/n0" }, jwt.SigningMethodEdDSA, key),
+			"for nobody":                           sign(func(c *jwt.RegisteredClaims) { c.Subject = "" }, jwt.SigningMethodEdDSA, key),
 		} {
-			_, err := tokens.Check(bad)
-			if !errors.Is(err, identity.ErrToken) {
-				t.Errorf("%s: %v", name, err)
-			} else if len(bad) > 20 && strings.Contains(err.Error(), bad[len(bad)-10:]) {
-				t.Errorf("%s: the error tells the token: %v", name, err)
+			_, err := tokens.Check(invalid)
+			if !errors.Is(err, identity.ErrInvalidToken) {
+				t.Errorf("invalid token (%s): got error %v, want ErrInvalidToken", name, err)
+			} else if len(invalid) > 20 && strings.Contains(err.Error(), invalid[len(invalid)-10:]) {
+				t.Errorf("invalid token (%s): the error contains a part of the token: %v", name, err)
 			}
 		}
-		if _, err := identity.IssueToken(key, parse(t, "worker/any"), "ombili", time.Now(), time.Minute); err == nil {
+		if _, err := identity.IssueToken(key, parseName(t, "worker/any"), "ombili", time.Now(), time.Minute); err == nil {
 			t.Error("a token for a worker was issued")
 		}
 		if _, err := identity.IssueToken(key, anna, "ombili", time.Now(), 8*24*time.Hour); err == nil {
-			t.Error("a token that lives too long was issued")
+			t.Error("a token with too long a lifetime was issued")
 		}
 	})
 }
 
-// Keys rotate while the process runs: tokens of the former key stay good until
-// the key after the next, and a remembered one goes with its key.
-func TestKeysRotate(t *testing.T) {
-	dir, ca, ring, files := authority(t, 24*time.Hour)
+// Token keys and certificates are reloaded while the process runs. A token, cached or not, stays valid
+// for one key rotation and becomes invalid with the second.
+func TestKeyRotation(t *testing.T) {
+	dir, ca, keyring, files := newAuthority(t, 24*time.Hour)
 	var log bytes.Buffer
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ring.Watch(ctx, slog.New(slog.NewTextHandler(&log, nil)))
+		keyring.Watch(ctx, slog.New(slog.NewTextHandler(&log, nil)))
 	}()
-	tokens := identity.NewTokens(ring, "c", 0)
+	tokens := identity.NewTokens(keyring, "c", 0)
 	issue := func() string {
 		key, err := pki.TokenKey(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw, err := identity.IssueToken(key, parse(t, "person/anna"), "c", time.Now(), time.Minute)
+		raw, err := identity.IssueToken(key, parseName(t, "person/anna"), "c", time.Now(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return raw
 	}
-	await := func(what string, f func() bool) {
+	await := func(failure string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
-	takes := func(raw string) bool { _, err := tokens.Check(raw); return err == nil }
+	accepts := func(raw string) bool { _, err := tokens.Check(raw); return err == nil }
 	first := issue()
-	if !takes(first) {
-		t.Fatal("the first token is refused")
+	if !accepts(first) {
+		t.Fatal("the token of the first key was rejected")
 	}
 	if err := pki.RotateTokenKey(dir); err != nil {
 		t.Fatal(err)
 	}
 	second := issue()
-	await("the new key is never taken", func() bool { return takes(second) })
-	if !takes(first) {
-		t.Error("a token of the former key is refused")
+	await("the token of the new key was still rejected after 20 s", func() bool { return accepts(second) })
+	if !accepts(first) {
+		t.Error("a token of the previous key was rejected")
 	}
 	if err := pki.RotateTokenKey(dir); err != nil {
 		t.Fatal(err)
 	}
-	await("the oldest key stays", func() bool { return !takes(first) })
-	if !takes(second) {
-		t.Error("a token of the former key is refused after the second rotation")
+	await("a token of the oldest key was still accepted after 20 s", func() bool { return !accepts(first) })
+	if !accepts(second) {
+		t.Error("a token of the previous key was rejected after the second rotation")
 	}
-	// A new certificate is taken; one that can't be read leaves the old one.
-	_, before := ring.Signer()
-	if _, err := ca.Issue(parse(t, "controller/n0"), time.Now(), 48*time.Hour, true); err != nil {
+	// A new certificate is used; an invalid file leaves the previous one in use.
+	_, before := keyring.Signer()
+	if _, err := ca.Issue(parseName(t, "controller/n0"), time.Now(), 48*time.Hour, true); err != nil {
 		t.Fatal(err)
 	}
-	await("the new certificate is never taken", func() bool { _, now := ring.Signer(); return !now.Equal(before) })
-	_, before = ring.Signer()
-	whole, err := os.ReadFile(files.Own)
+	await("the new certificate was still not used after 20 s", func() bool { _, now := keyring.Signer(); return !now.Equal(before) })
+	_, before = keyring.Signer()
+	content, err := os.ReadFile(files.Own)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(files.Own, whole[:len(whole)/2], 0o600); err != nil {
+	if err := os.WriteFile(files.Own, content[:len(content)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2500 * time.Millisecond)
-	if _, now := ring.Signer(); !now.Equal(before) {
-		t.Error("half a file was taken")
+	if _, now := keyring.Signer(); !now.Equal(before) {
+		t.Error("a truncated file replaced the certificate")
 	}
 	cancel()
 	<-done
-	if !strings.Contains(log.String(), "the former ones stay") {
-		t.Errorf("nothing is logged: %s", log.String())
+	if !strings.Contains(log.String(), "the previous ones stay in use") {
+		t.Errorf("the failed reload was not logged: %s", log.String())
 	}
-	secret := string(whole[bytes.Index(whole, []byte("PRIVATE KEY")):])
+	secret := string(content[bytes.Index(content, []byte("PRIVATE KEY")):])
 	for _, line := range strings.Split(secret, "\n")[1:2] {
 		if strings.Contains(log.String(), line) {
-			t.Error("the key is logged")
+			t.Error("the private key was logged")
 		}
 	}
 }
 
-func TestFilesThatCantBeUsed(t *testing.T) {
-	dir, ca, _, good := authority(t, time.Hour)
-	key, err := os.ReadFile(good.Own)
+func TestInvalidFilesAreRejected(t *testing.T) {
+	dir, ca, _, valid := newAuthority(t, time.Hour)
+	own, err := os.ReadFile(valid.Own)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := ca.Issue(parse(t, "person/anna"), time.Now(), time.Hour, false)
+	other, err := ca.Issue(parseName(t, "person/anna"), time.Now(), time.Hour, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -277,7 +282,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	certOnly, _ := pem.Decode(key)
+	certOnly, _ := pem.Decode(own)
 	_, annasKey := pem.Decode(anna)
 	write := func(name string, data []byte) string {
 		path := filepath.Join(dir, name)
@@ -286,42 +291,42 @@
 		}
 		return path
 	}
-	mixed := write("mixed", append(pem.EncodeToMemory(certOnly), annasKey...))
+	mismatched := write("mismatched", append(pem.EncodeToMemory(certOnly), annasKey...))
 	for name, files := range map[string]identity.Files{
-		"no own":             {Own: dir + "/x", Roots: good.Roots},
-		"no roots":           {Own: good.Own, Roots: dir + "/x"},
-		"own is a root":      {Own: good.Roots, Roots: good.Roots},
-		"another's key":      {Own: mixed, Roots: good.Roots},
-		"roots are nothing":  {Own: good.Own, Roots: write("empty", nil)},
-		"keys are private":   {Own: good.Own, Roots: good.Roots, TokenKeys: good.Own},
-		"keys are nothing":   {Own: good.Own, Roots: good.Roots, TokenKeys: write("none", nil)},
-		"keys are not there": {Own: good.Own, Roots: good.Roots, TokenKeys: dir + "/x"},
+		"own certificate missing":          {Own: dir + "/x", Roots: valid.Roots},
+		"roots missing":                    {Own: valid.Own, Roots: dir + "/x"},
+		"root as own certificate":          {Own: valid.Roots, Roots: valid.Roots},
+		"private key of another":           {Own: mismatched, Roots: valid.Roots},
+		"roots empty":                      {Own: valid.Own, Roots: write("empty", nil)},
+		"private key among the token keys": {Own: valid.Own, Roots: valid.Roots, TokenKeys: valid.Own},
+		"token keys empty":                 {Own: valid.Own, Roots: valid.Roots, TokenKeys: write("none", nil)},
+		"token keys missing":               {Own: valid.Own, Roots: valid.Roots, TokenKeys: dir + "/x"},
 	} {
 		if _, err := identity.Load(files); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("Load accepted invalid files: %s", name)
 		}
 	}
 }
 
-// Whatever comes as a token, it proves nothing unless it was signed.
+// Only tokens that were signed with a known key are accepted.
 func FuzzToken(f *testing.F) {
-	dir, _, ring, _ := authority(f, time.Hour)
+	dir, _, keyring, _ := newAuthority(f, time.Hour)
 	key, err := pki.TokenKey(dir)
 	if err != nil {
 		f.Fatal(err)
 	}
-	good, err := identity.IssueToken(key, parse(f, "person/anna"), "c", time.Now(), time.Hour)
+	valid, err := identity.IssueToken(key, parseName(f, "person/anna"), "c", time.Now(), time.Hour)
 	if err != nil {
 		f.Fatal(err)
 	}
-	tokens := identity.NewTokens(ring, "c", 0)
-	f.Add(good)
-	f.Add(good[:len(good)-1])
+	tokens := identity.NewTokens(keyring, "c", 0)
+	f.Add(valid)
+	f.Add(valid[:len(valid)-1])
 	f.Add("a.b.c")
 	f.Add("eyJhbGciOiJub25lIn0..")
 	f.Fuzz(func(t *testing.T, raw string) {
-		if _, err := tokens.Check(raw); err == nil && raw != good {
-			t.Errorf("%q was taken", raw)
+		if _, err := tokens.Check(raw); err == nil && raw != valid {
+			t.Errorf("forged token %q was accepted", raw)
 		}
 	})
 }
--- a/internal/identity/keyring.go
+++ b/internal/identity/keyring.go
@@ -14,43 +14,43 @@
 	"time"
 )
 
-// Files name a process's own credentials and those it trusts.
+// Files are the paths of a process's own credentials and of the certificates and keys that it trusts.
 type Files struct {
-	// Own holds this process's certificate, any intermediate ones, and its
-	// private key (PEM), in one file so that a renewal replaces both at once.
+	// Own holds this process's certificate, any intermediate certificates and the private
+	// key (PEM). They share one file so that a renewal replaces them atomically.
 	Own string `yaml:"own"`
-	// Roots holds the certificates of the authorities to trust (PEM).
+	// Roots holds the trusted root certificates (PEM).
 	Roots string `yaml:"roots"`
-	// TokenKeys holds the public keys that tokens may be signed with (PEM); none
-	// means that no token is accepted.
+	// TokenKeys holds the public keys that verify tokens (PEM). Without it, no token is
+	// accepted.
 	TokenKeys string `yaml:"token_keys"`
 }
 
-// Keyring is what the files held when they were last valid. Open connections
-// stay as they were made; new ones use the latest.
+// Keyring holds the credentials of the last valid version of the files. A reload affects new
+// connections only.
 type Keyring struct {
 	files   Files
 	now     func() time.Time
 	current atomic.Pointer[snapshot]
-	// warned is the smallest number of days before which expiry was warned of,
-	// by fingerprint; used by the goroutine of Watch.
-	warned map[string]int
+	// expiryWarnings holds, by fingerprint, the smallest of expiryWarningDays that was logged for
+	// a certificate. Only the goroutine of Watch uses it.
+	expiryWarnings map[string]int
 }
 
-// snapshot is one reading of the files; it never changes.
+// snapshot is the content of the files at one time. It is immutable.
 type snapshot struct {
 	own   tls.Certificate
 	roots *x509.CertPool
-	// certificates are own and roots, for warnings.
+	// certificates are the own certificate and the roots, whose expiry is watched.
 	certificates []*x509.Certificate
 	tokenKeys    map[string]ed25519.PublicKey
-	// digest tells what the files held.
+	// digest is the hash of the files.
 	digest string
 }
 
-// Load reads the files.
+// Load returns a keyring with the content of the files.
 func Load(files Files) (*Keyring, error) {
-	k := &Keyring{files: files, now: time.Now, warned: map[string]int{}}
+	k := &Keyring{files: files, now: time.Now, expiryWarnings: map[string]int{}}
 	read, err := k.read()
 	if err != nil {
 		return nil, err
@@ -60,10 +60,10 @@
 }
 
 func (k *Keyring) read() (*snapshot, error) {
-	// The digest is taken first: of a file that changes meanwhile, the next look reads all.
+	// The digest is computed first, so that the next check detects a file that changes during the read.
 	read := &snapshot{digest: k.digestFiles()}
 	var err error
-	if read.own, err = readOwn(k.files.Own); err != nil {
+	if read.own, err = readOwnCertificate(k.files.Own); err != nil {
 		return nil, fmt.Errorf("own certificate: %w", err)
 	}
 	roots, err := readCertificates(k.files.Roots)
@@ -81,8 +81,8 @@
 	return read, nil
 }
 
-// readOwn reads a certificate with its key, which must prove a name.
-func readOwn(path string) (tls.Certificate, error) {
+// readOwnCertificate reads a certificate with its private key. The certificate must hold a name.
+func readOwnCertificate(path string) (tls.Certificate, error) {
 	pair, err := readKeyPair(path)
 	if err != nil {
 		return tls.Certificate{}, err
@@ -103,7 +103,7 @@
 	return certs, nil
 }
 
-// readTokenKeys reads the keys that tokens may be signed with; none without a file.
+// readTokenKeys reads the public keys that verify tokens. An empty path means no keys.
 func readTokenKeys(path string) (map[string]ed25519.PublicKey, error) {
 	if path == "" {
 		return map[string]ed25519.PublicKey{}, nil
@@ -119,8 +119,8 @@
 	return keys, nil
 }
 
-// digestFiles changes when a file does. It is of the content: a file that is renewed twice
-// within the resolution of the file system's clock keeps its time, and often its size.
+// digestFiles returns a hash of the files' content. Modification times don't suffice: a file
+// that is written twice within the resolution of the file system's clock keeps its time.
 func (k *Keyring) digestFiles() string {
 	hash := sha256.New()
 	for _, path := range []string{k.files.Own, k.files.Roots, k.files.TokenKeys} {
@@ -132,20 +132,20 @@
 }
 
 const (
-	// checkInterval is how often the files are looked at.
-	checkInterval = time.Second
-	// expiryInterval is how often the certificates' expiry is looked at.
-	expiryInterval = time.Hour
+	// reloadCheckInterval is the interval of checks for changed files.
+	reloadCheckInterval = time.Second
+	// expiryCheckInterval is the interval of checks for certificates that expire soon.
+	expiryCheckInterval = time.Hour
 )
 
-// expiryDays are how many days ahead expiry is warned of.
-var expiryDays = []int{1, 7, 30}
+// expiryWarningDays are the numbers of days before expiry at which a warning is logged, ascending.
+var expiryWarningDays = []int{1, 7, 30}
 
-// Watch reloads the files when they change, and warns of certificates that
-// expire, until ctx ends. Files that can't be used are logged, and the former content stays.
+// Watch reloads the files when they change, and logs a warning for certificates that expire soon,
+// until ctx is done. If a reload fails, it logs the error and keeps the previous content.
 func (k *Keyring) Watch(ctx context.Context, log *slog.Logger) {
 	k.warnOfExpiry(log)
-	tick := time.NewTicker(checkInterval)
+	tick := time.NewTicker(reloadCheckInterval)
 	defer tick.Stop()
 	warnedAt, failedDigest := k.now(), ""
 	for {
@@ -156,21 +156,21 @@
 		}
 		if digest := k.digestFiles(); digest != k.current.Load().digest && digest != failedDigest {
 			if err := k.reload(log); err != nil {
-				// A file that is being written may be complete at the next look.
-				log.Error("certificates not read again; the former ones stay", "error", err)
+				// The file may be half written; its next change is read again.
+				log.Error("reloading certificates failed; the previous ones stay in use", "error", err)
 				failedDigest = digest
 				continue
 			}
 			failedDigest = ""
 		}
-		if k.now().Sub(warnedAt) > expiryInterval {
+		if k.now().Sub(warnedAt) > expiryCheckInterval {
 			warnedAt = k.now()
 			k.warnOfExpiry(log)
 		}
 	}
 }
 
-// reload reads the files and uses them from now on.
+// reload reads the files and replaces the current snapshot.
 func (k *Keyring) reload(log *slog.Logger) error {
 	read, err := k.read()
 	if err != nil {
@@ -183,32 +183,32 @@
 	return nil
 }
 
-// warnOfExpiry warns of each certificate once for each of expiryDays.
+// warnOfExpiry logs one warning per certificate and element of expiryWarningDays.
 func (k *Keyring) warnOfExpiry(log *slog.Logger) {
 	for _, cert := range k.current.Load().certificates {
 		fingerprint := Fingerprint(cert)
 		left := cert.NotAfter.Sub(k.now())
-		for _, days := range expiryDays {
+		for _, days := range expiryWarningDays {
 			if left > time.Duration(days)*24*time.Hour {
 				continue
 			}
-			if before, warned := k.warned[fingerprint]; !warned || days < before {
-				k.warned[fingerprint] = days
-				log.Warn("certificate ends soon", "subject", cert.Subject.CommonName, "fingerprint", fingerprint, "until", cert.NotAfter, "within_days", days)
+			if before, warned := k.expiryWarnings[fingerprint]; !warned || days < before {
+				k.expiryWarnings[fingerprint] = days
+				log.Warn("certificate expires soon", "subject", cert.Subject.CommonName, "fingerprint", fingerprint, "until", cert.NotAfter, "within_days", days)
 			}
 			break
 		}
 	}
 }
 
-// Signer returns this process's private key, for signing, and its certificate.
+// Signer returns this process's private key and the certificate that verifies its signatures.
 func (k *Keyring) Signer() (crypto.Signer, *x509.Certificate) {
 	current := k.current.Load()
 	signer, _ := current.own.PrivateKey.(crypto.Signer)
 	return signer, current.own.Leaf
 }
 
-// Verify returns why a certificate does not chain to the roots at a time, nil if it does.
+// Verify returns an error unless a certificate chains to the trusted roots and is valid at the time.
 func (k *Keyring) Verify(cert *x509.Certificate, intermediates []*x509.Certificate, at time.Time) error {
 	return VerifyChain(cert, intermediates, k.current.Load().roots, at)
 }
--- a/internal/identity/keyring_test.go
+++ b/internal/identity/keyring_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// The end of a certificate is warned of 30, 7 and 1 days ahead, once each.
-func TestExpiryIsWarnedOf(t *testing.T) {
+// The expiry of a certificate is logged 30, 7 and 1 days before, once each.
+func TestExpiryWarnings(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	const day = 24 * time.Hour
-	k := &Keyring{now: func() time.Time { return now }, warned: map[string]int{}}
+	k := &Keyring{now: func() time.Time { return now }, expiryWarnings: map[string]int{}}
 	k.current.Store(&snapshot{certificates: []*x509.Certificate{{Raw: []byte("own"), NotAfter: now.Add(40 * day)}, {Raw: []byte("root"), NotAfter: now.Add(400 * day)}}})
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -27,25 +27,25 @@
 		for range 2 {
 			k.warnOfExpiry(log)
 		}
-		if n := strings.Count(out.String(), "certificate ends soon"); n != step.want {
-			t.Errorf("day %d: %d warnings, want %d", step.days, n, step.want)
+		if n := strings.Count(out.String(), "certificate expires soon"); n != step.want {
+			t.Errorf("by day %d: %d warnings of expiry were logged, want %d", step.days, n, step.want)
 		}
 	}
-	// A certificate that is already about to end is warned of at once.
+	// A new certificate that expires within a day gets only the warning of the last day.
 	k.current.Store(&snapshot{certificates: []*x509.Certificate{{Raw: []byte("new"), NotAfter: now.Add(time.Hour)}}})
 	k.warnOfExpiry(log)
 	if n := strings.Count(out.String(), "within_days=1"); n != 2 {
-		t.Errorf("%d warnings of the last day, want 2", n)
+		t.Errorf("%d warnings of the last day were logged for two certificates, want 2", n)
 	}
 }
 
-// A file that is renewed twice within a beat of the file system's clock keeps its time and
-// perhaps its size; the second renewal is seen all the same.
-func TestRenewalsWithinABeatOfTheClockAreSeen(t *testing.T) {
+// A file that is written twice within the resolution of the file system's clock may keep its
+// modification time and size. The second change must be detected too.
+func TestChangedFileWithUnchangedModTimeIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "own.pem")
 	at := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	k := &Keyring{files: Files{Own: path}}
-	stamps := map[string]bool{}
+	digests := map[string]bool{}
 	for _, text := range []string{"first", "other"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -53,9 +53,9 @@
 		if err := os.Chtimes(path, at, at); err != nil {
 			t.Fatal(err)
 		}
-		stamps[k.digestFiles()] = true
+		digests[k.digestFiles()] = true
 	}
-	if len(stamps) != 2 || !stamps[k.digestFiles()] {
-		t.Errorf("%d stamps of two contents", len(stamps))
+	if len(digests) != 2 || !digests[k.digestFiles()] {
+		t.Errorf("%d distinct digests of two contents, or the digest of unchanged files changed", len(digests))
 	}
 }
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// VerifyChain returns why a certificate does not chain to roots at a time, nil if it does.
+// VerifyChain returns an error unless a certificate chains to roots and is valid at the time.
 func VerifyChain(cert *x509.Certificate, intermediates []*x509.Certificate, roots *x509.CertPool, at time.Time) error {
 	pool := x509.NewCertPool()
 	for _, intermediate := range intermediates {
@@ -23,9 +23,9 @@
 	return err
 }
 
-// ServerConfig is the TLS configuration of a listener. required says whether a
-// client must show a certificate; one that is shown must be good in any case.
-func (k *Keyring) ServerConfig(required bool) *tls.Config {
+// ServerConfig returns the TLS configuration of a listener. requireClientCert makes the client
+// certificate mandatory. A certificate that a client sends is verified in either case.
+func (k *Keyring) ServerConfig(requireClientCert bool) *tls.Config {
 	current := k.current.Load()
 	config := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -35,23 +35,22 @@
 		SessionTicketsDisabled: true,
 		Time:                   k.now,
 	}
-	if required {
+	if requireClientCert {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
 	}
 	return config
 }
 
-// ClientConfig is the TLS configuration for connections to servers whose name accept
-// takes. Addresses are reassigned, so the name in the certificate counts, not the
-// address. Each new connection uses what the files hold by then, however old the
-// configuration is.
+// ClientConfig returns the TLS configuration for connections to servers whose name accept allows.
+// Addresses may be reassigned, so the name in the server's certificate is verified instead of the
+// address. Each new connection uses the keyring's current certificates.
 func (k *Keyring) ClientConfig(accept func(Name) bool) *tls.Config {
 	config := clientConfig(func() *x509.CertPool { return k.current.Load().roots }, accept, k.now)
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.current.Load().own, nil }
 	return config
 }
 
-// ClientConfig is Client for programs that have read their files themselves.
+// ClientConfig is like Keyring.ClientConfig, with fixed roots and certificates.
 func ClientConfig(roots *x509.CertPool, own []tls.Certificate, accept func(Name) bool) *tls.Config {
 	config := clientConfig(func() *x509.CertPool { return roots }, accept, time.Now)
 	config.Certificates = own
@@ -62,7 +61,7 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		Time:       now,
-		// Host names are not what is verified; VerifyConnection does it.
+		// Disables only the check of the host name; VerifyConnection verifies the certificate.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyServer(state.PeerCertificates, roots(), accept, now())
@@ -70,12 +69,13 @@
 	}
 }
 
-// verifyServer checks the certificates that a server has shown, its own first.
-func verifyServer(shown []*x509.Certificate, roots *x509.CertPool, accept func(Name) bool, at time.Time) error {
-	if len(shown) == 0 {
-		return errors.New("no certificate shown")
+// verifyServer verifies the certificate chain that a server sent, which begins with the server's
+// own certificate, and the name in it.
+func verifyServer(chain []*x509.Certificate, roots *x509.CertPool, accept func(Name) bool, at time.Time) error {
+	if len(chain) == 0 {
+		return errors.New("the server sent no certificate")
 	}
-	leaf, intermediates := shown[0], shown[1:]
+	leaf, intermediates := chain[0], chain[1:]
 	if err := VerifyChain(leaf, intermediates, roots, at); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 		return err
 	}
 	if !accept(name) {
-		return fmt.Errorf("%s answers there, which was not expected", name)
+		return fmt.Errorf("unexpected server identity %s", name)
 	}
 	return nil
 }
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -15,46 +15,46 @@
 
 const (
 	issuer = "micaspindle"
-	// MaxTokenLife is how long a token may be valid for.
-	MaxTokenLife = 7 * 24 * time.Hour
-	// maxTokenSize bounds a token, in bytes.
-	maxTokenSize = 2048
-	// tokenIDSize is the length of a token's id, in characters.
-	tokenIDSize = 16
-	// cachedTokens is how many valid tokens are remembered.
-	cachedTokens = 4096
+	// MaxTokenLifetime is the longest time for which a token may be valid.
+	MaxTokenLifetime = 7 * 24 * time.Hour
+	// maxTokenBytes is the maximum size of a token.
+	maxTokenBytes = 2048
+	// tokenIDLength is the length of the id of an issued token, in characters.
+	tokenIDLength = 16
+	// maxCachedTokens is the size of the cache of verified tokens.
+	maxCachedTokens = 4096
 )
 
-// Token is what a valid token proves.
+// Token is the content of a verified token.
 type Token struct {
 	Name Name
-	// ID tells the token from others, in the audit; it is not secret.
+	// ID identifies the token in the audit log. It is not secret.
 	ID      string
 	Issued  time.Time
 	Expires time.Time
 }
 
-// ErrToken means that a token proves nothing.
-var ErrToken = errors.New("token is not good")
+// ErrInvalidToken is wrapped by all errors of Tokens.Check.
+var ErrInvalidToken = errors.New("token is not good")
 
-var errTokenExpired = fmt.Errorf("%w: expired", ErrToken)
+var errTokenExpired = fmt.Errorf("%w: expired", ErrInvalidToken)
 
-// IssueToken signs a token for a name. What it returns is a secret.
-func IssueToken(key ed25519.PrivateKey, name Name, audience string, now time.Time, life time.Duration) (string, error) {
+// IssueToken returns a signed token for a name. The result is a secret.
+func IssueToken(key ed25519.PrivateKey, name Name, audience string, now time.Time, lifetime time.Duration) (string, error) {
 	if !name.Caller() {
-		return "", fmt.Errorf("a token is for a person or a service, not for a %s", name.Kind)
+		return "", fmt.Errorf("tokens are for persons and services, not for a %s", name.Kind)
 	}
-	if life <= 0 || life > MaxTokenLife {
-		return "", fmt.Errorf("a token lives for more than nothing and at most a week (%s)", MaxTokenLife)
+	if lifetime <= 0 || lifetime > MaxTokenLifetime {
+		return "", fmt.Errorf("the lifetime of a token must be positive and at most a week (%s)", MaxTokenLifetime)
 	}
 	token := jwt.NewWithClaims(jwt.SigningMethodEdDSA, jwt.RegisteredClaims{
 		Issuer:    issuer,
 		Subject:   name.String(),
 		Audience:  jwt.ClaimStrings{audience},
-		ID:        rand.Text()[:tokenIDSize],
+		ID:        rand.Text()[:tokenIDLength],
 		IssuedAt:  jwt.NewNumericDate(now),
 		NotBefore: jwt.NewNumericDate(now),
-		ExpiresAt: jwt.NewNumericDate(now.Add(life)),
+		ExpiresAt: jwt.NewNumericDate(now.Add(lifetime)),
 	})
 	token.Header["kid"] = KeyID(key.Public().(ed25519.PublicKey))
 	signed, err := token.SignedString(key)
@@ -64,36 +64,35 @@
 	return signed, nil
 }
 
-// Tokens checks tokens and remembers valid ones; it may be used by several
-// goroutines.
+// Tokens verifies tokens and caches valid ones. It is safe for concurrent use.
 type Tokens struct {
-	keys     *Keyring
+	keyring  *Keyring
 	audience string
-	// clockBound is by how much this process's clock may be off.
+	// clockBound is the maximum error of this process's clock.
 	clockBound time.Duration
 	cache      atomic.Pointer[tokenCache]
 }
 
-// tokenCache has valid tokens by their hash, as long as the keys are those that
-// they were checked with.
+// tokenCache holds valid tokens by their hash. It is discarded when the snapshot whose keys
+// verified them is replaced.
 type tokenCache struct {
-	keys   *snapshot
-	tokens *lru.Cache[[sha256.Size]byte, Token]
+	snapshot *snapshot
+	tokens   *lru.Cache[[sha256.Size]byte, Token]
 }
 
-// NewTokens checks tokens for an audience with the keyring's keys.
+// NewTokens returns a verifier of tokens for an audience, with the token keys of a keyring.
 func NewTokens(keys *Keyring, audience string, clockBound time.Duration) *Tokens {
-	return &Tokens{keys: keys, audience: audience, clockBound: clockBound}
+	return &Tokens{keyring: keys, audience: audience, clockBound: clockBound}
 }
 
-// Check says what a token proves. The clock may be off by its bound, so a token
-// counts as expired as soon as it may be, and as valid as soon as it may be: no
-// token is accepted after its end.
+// Check verifies a token and returns its content. Validity is checked at the latest time that the
+// clock's error allows. So no token is accepted after its expiry, and a token from an issuer whose
+// clock is ahead is accepted.
 func (t *Tokens) Check(raw string) (Token, error) {
-	if len(raw) > maxTokenSize {
-		return Token{}, fmt.Errorf("%w: too long", ErrToken)
+	if len(raw) > maxTokenBytes {
+		return Token{}, fmt.Errorf("%w: too long", ErrInvalidToken)
 	}
-	latest := t.keys.now().Add(t.clockBound)
+	latest := t.keyring.now().Add(t.clockBound)
 	cache, err := t.currentCache()
 	if err != nil {
 		return Token{}, err
@@ -105,31 +104,30 @@
 		}
 		return token, nil
 	}
-	token, err := verifyToken(raw, cache.keys.tokenKeys, t.audience, latest)
+	token, err := verifyToken(raw, cache.snapshot.tokenKeys, t.audience, latest)
 	if err == nil {
 		cache.tokens.Add(sum, token)
 	}
 	return token, err
 }
 
-// currentCache returns the cache for the keyring's present keys, a new one if they have
-// changed.
+// currentCache returns the cache for the keyring's current snapshot, and a new cache after a reload.
 func (t *Tokens) currentCache() (*tokenCache, error) {
-	keys := t.keys.current.Load()
-	if cache := t.cache.Load(); cache != nil && cache.keys == keys {
+	keys := t.keyring.current.Load()
+	if cache := t.cache.Load(); cache != nil && cache.snapshot == keys {
 		return cache, nil
 	}
-	tokens, err := lru.New[[sha256.Size]byte, Token](cachedTokens)
+	tokens, err := lru.New[[sha256.Size]byte, Token](maxCachedTokens)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrToken, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidToken, err)
 	}
-	cache := &tokenCache{keys: keys, tokens: tokens}
+	cache := &tokenCache{snapshot: keys, tokens: tokens}
 	t.cache.Store(cache)
 	return cache, nil
 }
 
-// verifyToken checks a token's signature and claims.
-func verifyToken(raw string, keys map[string]ed25519.PublicKey, audience string, latest time.Time) (Token, error) {
+// verifyToken verifies a token's signature and claims at the time now.
+func verifyToken(raw string, keys map[string]ed25519.PublicKey, audience string, now time.Time) (Token, error) {
 	findKey := func(token *jwt.Token) (any, error) {
 		id, _ := token.Header["kid"].(string)
 		if key, ok := keys[id]; ok {
@@ -143,7 +141,7 @@
 		jwt.WithIssuer(issuer),
 		jwt.WithAudience(audience),
 		jwt.WithExpirationRequired(),
-		jwt.WithTimeFunc(func() time.Time { return latest }),
+		jwt.WithTimeFunc(func() time.Time { return now }),
 		jwt.WithStrictDecoding())
 	if err != nil {
 		return Token{}, explainTokenError(err)
@@ -151,31 +149,31 @@
 	return checkClaims(&claims)
 }
 
-// explainTokenError says why a token does not hold. The library's own words might hold parts
-// of the token.
+// explainTokenError returns a description of an error of the JWT library. The library's message is
+// left out because it may contain parts of the token.
 func explainTokenError(err error) error {
 	switch {
 	case errors.Is(err, jwt.ErrTokenExpired):
 		return errTokenExpired
 	case errors.Is(err, jwt.ErrTokenNotValidYet):
-		return fmt.Errorf("%w: not valid yet", ErrToken)
+		return fmt.Errorf("%w: not valid yet", ErrInvalidToken)
 	case errors.Is(err, jwt.ErrTokenInvalidAudience):
-		return fmt.Errorf("%w: for another cluster", ErrToken)
+		return fmt.Errorf("%w: for another cluster", ErrInvalidToken)
 	}
-	return fmt.Errorf("%w: malformed or signed by an unknown key", ErrToken)
+	return fmt.Errorf("%w: malformed or signed by an unknown key", ErrInvalidToken)
 }
 
-// checkClaims checks the claims that the library does not.
+// checkClaims checks the claims that the JWT library does not check.
 func checkClaims(claims *jwt.RegisteredClaims) (Token, error) {
-	if claims.IssuedAt == nil || claims.ExpiresAt.Sub(claims.IssuedAt.Time) > MaxTokenLife {
-		return Token{}, fmt.Errorf("%w: lives too long", ErrToken)
+	if claims.IssuedAt == nil || claims.ExpiresAt.Sub(claims.IssuedAt.Time) > MaxTokenLifetime {
+		return Token{}, fmt.Errorf("%w: lives too long", ErrInvalidToken)
 	}
-	if claims.ID == "" || len(claims.ID) > maxName {
-		return Token{}, fmt.Errorf("%w: has no id", ErrToken)
+	if claims.ID == "" || len(claims.ID) > maxIDBytes {
+		return Token{}, fmt.Errorf("%w: has no id", ErrInvalidToken)
 	}
 	name, err := ParseName(claims.Subject)
 	if err != nil || !name.Caller() {
-		return Token{}, fmt.Errorf("%w: for nobody", ErrToken)
+		return Token{}, fmt.Errorf("%w: for nobody", ErrInvalidToken)
 	}
 	return Token{Name: name, ID: claims.ID, Issued: claims.IssuedAt.Time, Expires: claims.ExpiresAt.Time}, nil
 }
--- a/internal/pki/authority.go
+++ b/internal/pki/authority.go
@@ -1,5 +1,5 @@
-// Package pki is a small certificate authority in a directory, for installations that have none.
-// Controllers do not use it; they read what it makes.
+// Package pki implements a small certificate authority that is stored in a directory, for
+// installations without one. Controllers do not use it; they only read the files that it writes.
 package pki
 
 import (
@@ -19,49 +19,50 @@
 	"micaspindle/internal/identity"
 )
 
-// The files of an authority's directory. That of a certificate is named by Authority.File.
+// The files of an authority's directory. Authority.File returns the path of an issued certificate.
 const (
-	// RootFile is the root's certificate.
+	// RootFile holds the root certificate.
 	RootFile    = "root.pem"
 	rootKeyFile = "root.key"
-	// TokenKeysFile has the public keys of tokens, the newest first.
+	// TokenKeysFile holds the public keys that verify tokens, the newest first.
 	TokenKeysFile = "token-keys.pem"
 	tokenKeyFile  = "token.key"
 )
 
 const (
-	// backdate is how long before it is issued a certificate is valid from, since clocks differ.
+	// backdate is how long before its issue a certificate becomes valid, to tolerate clock skew.
 	backdate = 5 * time.Minute
-	// serialBits is the length of a certificate's serial number.
+	// serialBits is the length of serial numbers of certificates.
 	serialBits = 120
 )
 
-// Authority is a certificate authority.
+// Authority is a certificate authority with its root certificate and key.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
 	key  ed25519.PrivateKey
 }
 
-// Issued is a certificate in the authority's directory.
+// Issued describes an issued certificate in the authority's directory.
 type Issued struct {
 	Name  identity.Name
 	File  string
 	Until time.Time
 }
 
-// Create makes a root certificate and a key for tokens in a directory that has no root yet.
-func Create(dir, name string, now time.Time, life time.Duration) (*Authority, error) {
+// Create creates a root certificate and a token key in a directory. It fails if the directory has a
+// root certificate.
+func Create(dir, name string, now time.Time, lifetime time.Duration) (*Authority, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("pki: %w", err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, RootFile)); err == nil {
-		return nil, fmt.Errorf("pki: %s has a root already; nothing was changed", dir)
+		return nil, fmt.Errorf("pki: %s already has a root certificate; nothing was changed", dir)
 	}
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: name},
 		NotBefore:             now.Add(-backdate),
-		NotAfter:              now.Add(life),
+		NotAfter:              now.Add(lifetime),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		MaxPathLenZero:        true,
@@ -77,7 +78,7 @@
 	if err := RotateTokenKey(dir); err != nil {
 		return nil, err
 	}
-	// The root goes last: a directory with a root is complete.
+	// The root certificate is written last, so that a directory that has it is complete.
 	if err := writeFile(filepath.Join(dir, RootFile), encodeCertificate(cert), publicMode); err != nil {
 		return nil, err
 	}
@@ -88,14 +89,14 @@
 func Open(dir string) (*Authority, error) {
 	data, err := os.ReadFile(filepath.Join(dir, RootFile))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("pki: %s holds no root; 'micaspindlectl pki init' makes one", dir)
+		return nil, fmt.Errorf("pki: %s holds no root certificate; create one with 'micaspindlectl pki init'", dir)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("pki: %w", err)
 	}
 	certs, err := identity.ParseCertificates(data)
 	if err != nil || len(certs) == 0 {
-		return nil, fmt.Errorf("pki: %s is no certificate", RootFile)
+		return nil, fmt.Errorf("pki: %s holds no certificate", RootFile)
 	}
 	key, err := ReadKey(filepath.Join(dir, rootKeyFile))
 	if err != nil {
@@ -104,35 +105,35 @@
 	return &Authority{dir: dir, cert: certs[0], key: key}, nil
 }
 
-// File is the file of a name's certificate and key.
+// File returns the path of the file with a name's certificate and private key.
 func (a *Authority) File(name identity.Name) string {
 	return filepath.Join(a.dir, string(name.Kind)+"-"+name.ID+".pem")
 }
 
-// Root is the root's certificate.
+// Root returns the root certificate.
 func (a *Authority) Root() *x509.Certificate { return a.cert }
 
-// Issue makes a certificate with a new key for a name and writes both into one file, atomically.
-// An existing file is replaced only if renew is set, and must exist then.
-func (a *Authority) Issue(name identity.Name, now time.Time, life time.Duration, renew bool) (*Issued, error) {
+// Issue creates a key and a certificate for a name and writes both atomically into one file. With
+// renew, it replaces an existing file; without renew, the file must not exist.
+func (a *Authority) Issue(name identity.Name, now time.Time, lifetime time.Duration, renew bool) (*Issued, error) {
 	file := a.File(name)
 	_, err := os.Stat(file)
 	switch {
 	case err == nil && !renew:
 		return nil, fmt.Errorf("pki: %s exists; renew it instead", file)
 	case err != nil && renew:
-		return nil, fmt.Errorf("pki: %s was never issued", name)
-	case life <= 0:
-		return nil, errors.New("pki: a certificate must live for more than nothing")
+		return nil, fmt.Errorf("pki: there is no certificate for %s to renew", name)
+	case lifetime <= 0:
+		return nil, errors.New("pki: the lifetime of a certificate must be positive")
 	}
-	until := now.Add(life)
-	if until.After(a.cert.NotAfter) {
-		return nil, fmt.Errorf("pki: the certificate would outlive the root, which ends on %s", a.cert.NotAfter.Format(time.DateOnly))
+	notAfter := now.Add(lifetime)
+	if notAfter.After(a.cert.NotAfter) {
+		return nil, fmt.Errorf("pki: the certificate would outlive the root certificate, which expires on %s", a.cert.NotAfter.Format(time.DateOnly))
 	}
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: name.String()},
 		NotBefore:   now.Add(-backdate),
-		NotAfter:    until,
+		NotAfter:    notAfter,
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
@@ -144,11 +145,11 @@
 	if err := writeKey(file, cert, key); err != nil {
 		return nil, err
 	}
-	return &Issued{name, file, until}, nil
+	return &Issued{name, file, notAfter}, nil
 }
 
-// signNewKey makes a key and a certificate for it, with a random serial number. A nil issuer means
-// that the key signs its own certificate.
+// signNewKey generates a key and a certificate for it, with a random serial number. Without an
+// issuer, the certificate is self-signed.
 func signNewKey(template *x509.Certificate, issuer *Authority) (cert []byte, key ed25519.PrivateKey, err error) {
 	public, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -169,7 +170,7 @@
 	return cert, key, nil
 }
 
-// List reads the certificates that were issued. Other files are ignored.
+// List returns the issued certificates in the directory and ignores other files.
 func (a *Authority) List() ([]Issued, error) {
 	files, err := filepath.Glob(filepath.Join(a.dir, "*-*.pem"))
 	if err != nil {
@@ -192,7 +193,7 @@
 	return issued, nil
 }
 
-// encodeCertificate is a certificate as PEM.
+// encodeCertificate returns a DER certificate as PEM.
 func encodeCertificate(cert []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: cert})
 }
--- a/internal/pki/files.go
+++ b/internal/pki/files.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// The modes of files that everybody may read, and of those with private keys.
+// File modes of public files and of files with private keys.
 const (
 	publicMode  = 0o644
 	privateMode = 0o600
 )
 
-// ReadKey reads an Ed25519 private key (PEM, PKCS #8); other blocks of the file are ignored.
+// ReadKey reads an Ed25519 private key (PEM, PKCS #8) and ignores other blocks of the file.
 func ReadKey(path string) (ed25519.PrivateKey, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -33,14 +33,14 @@
 			}
 		}
 	}
-	return nil, fmt.Errorf("pki: %s holds no private key of the kind Ed25519", path)
+	return nil, fmt.Errorf("pki: %s holds no Ed25519 private key", path)
 }
 
-// writeKey writes a private key after its certificate; nil: it has none.
+// writeKey writes a file with a certificate, unless it is nil, and its private key.
 func writeKey(path string, cert []byte, key ed25519.PrivateKey) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return errors.New("pki: the key could not be encoded")
+		return errors.New("pki: encoding the private key failed")
 	}
 	var data []byte
 	if cert != nil {
@@ -49,13 +49,13 @@
 	return writeFile(path, append(data, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der})...), privateMode)
 }
 
-// writeFile replaces a file atomically, so that nobody reads half of it.
+// writeFile replaces a file atomically, so that readers never see a partial file.
 func writeFile(path string, data []byte, mode os.FileMode) error {
 	file, err := os.CreateTemp(filepath.Dir(path), "."+strings.TrimPrefix(filepath.Base(path), ".")+"-*")
 	if err != nil {
 		return fmt.Errorf("pki: %w", err)
 	}
-	defer os.Remove(file.Name()) //nolint:errcheck // gone once renamed
+	defer os.Remove(file.Name()) //nolint:errcheck // fails after the rename
 	if err := errors.Join(file.Chmod(mode), writeAndSync(file, data), file.Close()); err != nil {
 		return fmt.Errorf("pki: write %s: %w", path, err)
 	}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeAndSync writes data and waits until it is on disk.
+// writeAndSync writes data and syncs it to disk.
 func writeAndSync(file *os.File, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
--- a/internal/pki/token_keys.go
+++ b/internal/pki/token_keys.go
@@ -12,8 +12,8 @@
 	"path/filepath"
 )
 
-// RotateTokenKey makes a new key for tokens. The former public key remains valid, and with it the
-// tokens that it signed; the one before it is removed.
+// RotateTokenKey creates a new key for signing tokens. Tokens that the previous key signed remain
+// valid; older public keys are removed.
 func RotateTokenKey(dir string) error {
 	public, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -25,14 +25,14 @@
 	}
 	keys := pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der})
 	path := filepath.Join(dir, TokenKeysFile)
-	former, err := os.ReadFile(path)
+	previous, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("pki: %w", err)
 	}
-	if block, _ := pem.Decode(former); block != nil {
+	if block, _ := pem.Decode(previous); block != nil {
 		keys = append(keys, pem.EncodeToMemory(block)...)
 	}
-	// The public key goes first: a token must not be signed by a key that nobody knows.
+	// The public key is written first, so that no token is signed with a key that can't be verified.
 	if err := writeFile(path, keys, publicMode); err != nil {
 		return err
 	}
--- a/internal/rights/change.go
+++ b/internal/rights/change.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Change is what an administrator asks to be changed, at once.
+// Change is a set of changes to a policy that an administrator requests. They are applied atomically.
 type Change struct {
-	// Version is the policy's version that the change is meant for.
+	// Version is the version of the policy that the change is based on.
 	Version        uint64     `msgpack:"version" json:"version"`
 	PutRoles       []Role     `msgpack:"put_roles" json:"put_roles,omitempty"`
 	DropRoles      []string   `msgpack:"drop_roles" json:"drop_roles,omitempty"`
@@ -17,13 +17,13 @@
 	DropIdentities []string   `msgpack:"drop_identities" json:"drop_identities,omitempty"`
 }
 
-// Size is how many records the change touches.
+// Size returns the number of records in the change.
 func (c *Change) Size() int {
 	return len(c.PutRoles) + len(c.DropRoles) + len(c.PutIdentities) + len(c.DropIdentities)
 }
 
-// Apply returns the policy with a change made, or an error that says why the change can't be
-// made. The document stays as it is.
+// Apply returns a copy of a policy with the change applied, or an error if the change is invalid.
+// It does not modify the document.
 func Apply(document *Document, change *Change) (*Document, error) {
 	if change.Size() == 0 {
 		return nil, errors.New("nothing is to be changed")
@@ -39,25 +39,25 @@
 	if err := next.Check(); err != nil {
 		return nil, err
 	}
-	if !Compile(next).Administered() {
+	if !Compile(next).HasAdministrator() {
 		return nil, ErrNoAdministrator
 	}
 	return next, nil
 }
 
-// editor makes a changed copy of a policy.
+// editor builds a changed copy of a policy.
 type editor struct {
 	roles      map[string]Role
 	identities map[string]Identity
-	// touched are the records that the change has touched already.
-	touched map[string]bool
+	// changed holds the records that the change has put or dropped so far.
+	changed map[string]bool
 }
 
 func newEditor(document *Document) *editor {
 	e := &editor{
 		roles:      make(map[string]Role, len(document.Roles)),
 		identities: make(map[string]Identity, len(document.Identities)),
-		touched:    map[string]bool{},
+		changed:    map[string]bool{},
 	}
 	for _, role := range document.Roles {
 		e.roles[role.Name] = role
@@ -68,28 +68,28 @@
 	return e
 }
 
-// touch refuses a record that is changed twice.
-func (e *editor) touch(record string) error {
-	if e.touched[record] {
+// markChanged returns an error if the change contains a record twice.
+func (e *editor) markChanged(record string) error {
+	if e.changed[record] {
 		return fmt.Errorf("%s is changed twice", record)
 	}
-	e.touched[record] = true
+	e.changed[record] = true
 	return nil
 }
 
 func (e *editor) changeRoles(change *Change) error {
 	for _, role := range change.PutRoles {
-		if err := e.touch("role " + clip(role.Name)); err != nil {
+		if err := e.markChanged("role " + truncate(role.Name)); err != nil {
 			return err
 		}
 		e.roles[role.Name] = role
 	}
 	for _, name := range change.DropRoles {
-		if err := e.touch("role " + clip(name)); err != nil {
+		if err := e.markChanged("role " + truncate(name)); err != nil {
 			return err
 		}
 		if _, ok := e.roles[name]; !ok {
-			return fmt.Errorf("there is no role %q", clip(name))
+			return fmt.Errorf("there is no role %q", truncate(name))
 		}
 		delete(e.roles, name)
 	}
@@ -98,24 +98,24 @@
 
 func (e *editor) changeIdentities(change *Change) error {
 	for _, id := range change.PutIdentities {
-		if err := e.touch(clip(id.Name)); err != nil {
+		if err := e.markChanged(truncate(id.Name)); err != nil {
 			return err
 		}
 		e.identities[id.Name] = id
 	}
 	for _, name := range change.DropIdentities {
-		if err := e.touch(clip(name)); err != nil {
+		if err := e.markChanged(truncate(name)); err != nil {
 			return err
 		}
 		if _, ok := e.identities[name]; !ok {
-			return fmt.Errorf("there is no identity %q", clip(name))
+			return fmt.Errorf("there is no identity %q", truncate(name))
 		}
 		delete(e.identities, name)
 	}
 	return nil
 }
 
-// document is the policy with the changes, sorted by name.
+// document returns the changed policy, sorted by name.
 func (e *editor) document() *Document {
 	document := &Document{}
 	for _, name := range slices.Sorted(maps.Keys(e.roles)) {
@@ -127,19 +127,19 @@
 	return document
 }
 
-// Version is the answer to a change.
+// Version is the response to a policy change.
 type Version struct {
 	Version uint64 `msgpack:"version"`
-	// MaxChanges is how many records one change may touch.
+	// MaxChanges is the maximum number of records in one change.
 	MaxChanges int `msgpack:"max_changes"`
 }
 
-// Page is a page of the policy.
+// Page is a page of a policy listing.
 type Page struct {
 	Version    uint64     `msgpack:"version"`
 	MaxChanges int        `msgpack:"max_changes"`
 	Roles      []Role     `msgpack:"roles"`
 	Identities []Identity `msgpack:"identities"`
-	// More: there are records behind the last one.
+	// More says that there are records after the last one of the page.
 	More bool `msgpack:"more"`
 }
--- a/internal/rights/golden_test.go
+++ b/internal/rights/golden_test.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/rights"
 )
 
-// The messages by which administrators read and change the policy stay as they are.
+// The encoding of the messages that read and change the policy stays compatible.
 func TestGoldenMessages(t *testing.T) {
 	for name, message := range map[string]any{
 		"change":  golden.Fill(&rights.Change{}),
@@ -21,7 +21,7 @@
 	}
 }
 
-// The policy's file stays as administrators write it; tokens are not voided there.
+// The format of policy files stays compatible. Files don't contain TokensFromMS.
 func TestGoldenFile(t *testing.T) {
 	want := golden.Fill(&rights.Document{})
 	for i := range want.Identities {
@@ -33,11 +33,11 @@
 	}
 	got, stored := &rights.Document{}, golden.Text(t, "policy.yaml", string(text))
 	if err := yaml.Unmarshal([]byte(stored), got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v (%v), want %+v", got, err, want)
+		t.Errorf("policy.yaml decodes to %+v (error %v), want %+v", got, err, want)
 	}
 }
 
-// The verbs stay as policies name them.
+// The names of verbs in policies stay compatible.
 func TestGoldenVerbs(t *testing.T) {
 	for verb, want := range map[rights.Verb]string{
 		rights.Submit: "submit", rights.View: "view", rights.ViewArguments: "view-arguments", rights.Cancel: "withdraw",
--- a/internal/rights/policy.go
+++ b/internal/rights/policy.go
@@ -5,95 +5,96 @@
 	"time"
 )
 
-// maxQueues bounds the queues that are remembered; a caller may name any.
-const maxQueues = 4096
+// maxCachedQueues bounds the cache of queues, since callers can request arbitrary queue names.
+const maxCachedQueues = 4096
 
-// Policy is a policy ready for decisions. It does not change, except that it remembers what
-// its roles allow on the queues it was asked for, up to maxQueues. Several goroutines may
-// use it.
+// Policy is a policy document compiled for authorization decisions. It is immutable, apart from a
+// bounded cache of what the roles allow on each queue, and safe for concurrent use.
 type Policy struct {
 	roles       []Role
-	roleNumbers map[string]uint16 // indices into roles
-	members     map[string]member // by the identity's name
+	roleIndices map[string]uint16           // indices into roles
+	identities  map[string]compiledIdentity // by name
 
-	mu     sync.RWMutex
-	queues map[Queue][]Verb // what each role allows on a queue
+	mu         sync.RWMutex
+	queueCache map[Queue][]Verb // what each role allows on a queue, by role index
 }
 
-// member is what a policy has of an identity.
-type member struct {
+// compiledIdentity is an identity with its roles and their permissions.
+type compiledIdentity struct {
 	roles []uint16
-	// held are the verbs that it holds on any queue.
-	held    Verb
-	revoked bool
-	// tokensFromMS voids tokens that were issued before.
+	// anyQueueVerbs are the verbs that it holds on at least one queue.
+	anyQueueVerbs Verb
+	revoked       bool
+	// tokensFromMS is Identity.TokensFromMS.
 	tokensFromMS int64
 }
 
-// holds reports whether the identity holds a verb on any queue at all.
-func (m *member) holds(verb Verb) bool { return !m.revoked && m.held&verb != 0 }
+// holdsAny reports whether the identity holds a verb on at least one queue.
+func (id *compiledIdentity) holdsAny(verb Verb) bool {
+	return !id.revoked && id.anyQueueVerbs&verb != 0
+}
 
-// Compile makes a policy of a checked document.
+// Compile returns the policy of a document that passed Check.
 func Compile(document *Document) *Policy {
 	p := &Policy{
 		roles:       document.Roles,
-		roleNumbers: make(map[string]uint16, len(document.Roles)),
-		members:     make(map[string]member, len(document.Identities)),
-		queues:      map[Queue][]Verb{},
+		roleIndices: make(map[string]uint16, len(document.Roles)),
+		identities:  make(map[string]compiledIdentity, len(document.Identities)),
+		queueCache:  map[Queue][]Verb{},
 	}
-	held := make([]Verb, len(document.Roles))
+	roleVerbs := make([]Verb, len(document.Roles))
 	for i := range document.Roles {
 		role := &document.Roles[i]
-		p.roleNumbers[role.Name] = uint16(i)
+		p.roleIndices[role.Name] = uint16(i)
 		for j := range role.Rules {
-			held[i] |= role.Rules[j].verbSet()
+			roleVerbs[i] |= role.Rules[j].verbSet()
 		}
 	}
 	for i := range document.Identities {
 		id := &document.Identities[i]
-		m := member{revoked: id.Revoked, tokensFromMS: id.TokensFromMS}
+		compiled := compiledIdentity{revoked: id.Revoked, tokensFromMS: id.TokensFromMS}
 		for _, name := range id.Roles {
-			// A role that is gone allows nothing.
-			if number, ok := p.roleNumbers[name]; ok {
-				m.roles = append(m.roles, number)
-				m.held |= held[number]
+			// A role that doesn't exist any more allows nothing.
+			if index, ok := p.roleIndices[name]; ok {
+				compiled.roles = append(compiled.roles, index)
+				compiled.anyQueueVerbs |= roleVerbs[index]
 			}
 		}
-		p.members[id.Name] = m
+		p.identities[id.Name] = compiled
 	}
 	return p
 }
 
-// Known reports whether the policy names an identity that is not revoked.
+// Known reports whether the policy contains an identity and has not revoked it.
 func (p *Policy) Known(name string) bool {
-	m, ok := p.members[name]
-	return ok && !m.revoked
+	id, ok := p.identities[name]
+	return ok && !id.revoked
 }
 
-// Voids reports whether a token of an identity, issued at a time, is void.
+// Voids reports whether a token that was issued to an identity at a time has been revoked.
 func (p *Policy) Voids(name string, issued time.Time) bool {
-	return issued.UnixMilli() < p.members[name].tokensFromMS
+	return issued.UnixMilli() < p.identities[name].tokensFromMS
 }
 
-// HoldsAny reports whether an identity holds a verb on any queue at all.
+// HoldsAny reports whether an identity holds a verb on at least one queue.
 func (p *Policy) HoldsAny(name string, verb Verb) bool {
-	m := p.members[name]
-	return m.holds(verb)
+	id := p.identities[name]
+	return id.holdsAny(verb)
 }
 
 // Allows reports whether an identity holds a verb on a queue.
 func (p *Policy) Allows(name string, verb Verb, queue Queue) bool {
-	m := p.members[name]
-	if !m.holds(verb) {
+	id := p.identities[name]
+	if !id.holdsAny(verb) {
 		return false
 	}
 	p.mu.RLock()
-	allowed, seen := p.queues[queue]
+	allowed, cached := p.queueCache[queue]
 	p.mu.RUnlock()
-	if !seen {
-		allowed = p.remember(queue)
+	if !cached {
+		allowed = p.evaluateQueue(queue)
 	}
-	for _, role := range m.roles {
+	for _, role := range id.roles {
 		if allowed[role]&verb != 0 {
 			return true
 		}
@@ -101,34 +102,34 @@
 	return false
 }
 
-// remember works out what each role allows on a queue, and keeps it if there is room.
-func (p *Policy) remember(queue Queue) []Verb {
+// evaluateQueue returns what each role allows on a queue, and caches it unless the cache is full.
+func (p *Policy) evaluateQueue(queue Queue) []Verb {
 	allowed := make([]Verb, len(p.roles))
 	for i := range p.roles {
 		for j := range p.roles[i].Rules {
-			if rule := &p.roles[i].Rules[j]; rule.covers(queue) {
+			if rule := &p.roles[i].Rules[j]; rule.matches(queue) {
 				allowed[i] |= rule.verbSet()
 			}
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.queues) < maxQueues {
-		p.queues[queue] = allowed
+	if len(p.queueCache) < maxCachedQueues {
+		p.queueCache[queue] = allowed
 	}
 	return allowed
 }
 
-// AllowsEverywhere reports whether an identity holds a verb on every queue, by one
-// rule with "*" for team and class.
+// AllowsEverywhere reports whether an identity holds a verb on every queue, through a rule with "*"
+// for both team and class.
 func (p *Policy) AllowsEverywhere(name string, verb Verb) bool {
-	m := p.members[name]
-	if !m.holds(verb) {
+	id := p.identities[name]
+	if !id.holdsAny(verb) {
 		return false
 	}
-	for _, role := range m.roles {
+	for _, role := range id.roles {
 		for i := range p.roles[role].Rules {
-			if rule := &p.roles[role].Rules[i]; rule.everywhere() && rule.verbSet()&verb != 0 {
+			if rule := &p.roles[role].Rules[i]; rule.matchesAll() && rule.verbSet()&verb != 0 {
 				return true
 			}
 		}
@@ -136,9 +137,9 @@
 	return false
 }
 
-// Administered reports whether anybody is left who may change the policy.
-func (p *Policy) Administered() bool {
-	for name := range p.members {
+// HasAdministrator reports whether any identity may change the policy.
+func (p *Policy) HasAdministrator() bool {
+	for name := range p.identities {
 		if p.AllowsEverywhere(name, Administer) {
 			return true
 		}
--- a/internal/rights/policyfile/plan.go
+++ b/internal/rights/policyfile/plan.go
@@ -9,7 +9,7 @@
 	"micaspindle/internal/rights"
 )
 
-// step is one record to put or drop; only one of its fields is set.
+// step puts or drops one record. Exactly one field is set.
 type step struct {
 	putRole      *rights.Role
 	putIdentity  *rights.Identity
@@ -31,11 +31,11 @@
 	}
 }
 
-// Plan works out the changes from one policy to another, each of at most size
-// records and each leaving a policy that is valid. Tokens that were voided stay so.
+// Plan returns the changes that turn one policy into another. Each change has at most size records
+// and results in a valid policy. Revoked tokens stay revoked.
 func Plan(from, to *rights.Document, size int) ([]rights.Change, error) {
 	remaining := steps(from, to)
-	if !rights.Compile(from).Administered() {
+	if !rights.Compile(from).HasAdministrator() {
 		remaining = administratorFirst(remaining, to)
 	}
 	var plan []rights.Change
@@ -50,9 +50,8 @@
 	return plan, nil
 }
 
-// nextChange makes a change of the first steps, or if the policy would not be valid with
-// these, of the steps that can be made now. It returns the policy after it and the steps
-// that remain.
+// nextChange returns a change with the first steps or, if the resulting policy would be invalid, with
+// those steps that are possible now. It also returns the resulting policy and the remaining steps.
 func nextChange(current *rights.Document, remaining []step, size int) (change rights.Change, next *rights.Document, rest []step, err error) {
 	count := min(size, len(remaining))
 	for _, s := range remaining[:count] {
@@ -64,8 +63,8 @@
 	return possibleChange(current, remaining, size, err)
 }
 
-// possibleChange makes a change of those steps that can be made now. If there are none, it
-// returns why the last one can't be, or err if there was no step to try.
+// possibleChange returns a change with the steps that are possible now. If there are none, it
+// returns the error of the last step, or err if it tried no step.
 func possibleChange(current *rights.Document, remaining []step, size int, err error) (change rights.Change, next *rights.Document, rest []step, _ error) {
 	for i, s := range remaining {
 		if change.Size() == size {
@@ -97,8 +96,8 @@
 	}
 }
 
-// administratorFirst puts an administrator and the roles it needs in front: the
-// first change of a policy must leave one. It takes the one with the fewest roles.
+// administratorFirst moves an administrator and its roles to the front, since the first change of an
+// empty policy must add an administrator. It picks the administrator with the fewest roles.
 func administratorFirst(remaining []step, to *rights.Document) []step {
 	policy := rights.Compile(to)
 	var first *rights.Identity
@@ -121,8 +120,8 @@
 	return remaining
 }
 
-// steps lists what differs: roles first, then identities, then what is dropped, identities
-// before roles.
+// steps returns the steps from one policy to another: roles to put, identities to put, identities to
+// drop and roles to drop, in this order.
 func steps(from, to *rights.Document) []step {
 	puts, roles := rolesToPut(from, to)
 	morePuts, identities := identitiesToPut(from, to)
@@ -133,43 +132,43 @@
 	for name := range roles {
 		drops = append(drops, step{dropRole: name})
 	}
-	// An identity's key begins with a letter and a role's with a slash, which is before it.
+	// In descending order, identities come first: their keys begin with a letter, those of roles with a slash.
 	key := func(s step) string { return s.dropIdentity + "/" + s.dropRole }
 	slices.SortFunc(drops, func(a, b step) int { return strings.Compare(key(b), key(a)) })
 	return slices.Concat(puts, morePuts, drops)
 }
 
-// rolesToPut lists the roles that differ, and returns those that are only in from.
-func rolesToPut(from, to *rights.Document) (puts []step, left map[string]rights.Role) {
-	left = map[string]rights.Role{}
+// rolesToPut returns the steps for new and changed roles, and the roles that only from contains.
+func rolesToPut(from, to *rights.Document) (puts []step, onlyInFrom map[string]rights.Role) {
+	onlyInFrom = map[string]rights.Role{}
 	for _, role := range from.Roles {
-		left[role.Name] = role
+		onlyInFrom[role.Name] = role
 	}
 	for i := range to.Roles {
 		role := &to.Roles[i]
-		if before, ok := left[role.Name]; !ok || !reflect.DeepEqual(before, *role) {
+		if before, ok := onlyInFrom[role.Name]; !ok || !reflect.DeepEqual(before, *role) {
 			puts = append(puts, step{putRole: role})
 		}
-		delete(left, role.Name)
+		delete(onlyInFrom, role.Name)
 	}
-	return puts, left
+	return puts, onlyInFrom
 }
 
-// identitiesToPut lists the identities that differ, and returns those that are only in from.
-// Files do not have the time before which tokens are void, so it stays as it is.
-func identitiesToPut(from, to *rights.Document) (puts []step, left map[string]rights.Identity) {
-	left = map[string]rights.Identity{}
+// identitiesToPut returns the steps for new and changed identities, and the identities that only from
+// contains. Policy files don't contain TokensFromMS, so its value in from is kept.
+func identitiesToPut(from, to *rights.Document) (puts []step, onlyInFrom map[string]rights.Identity) {
+	onlyInFrom = map[string]rights.Identity{}
 	for _, id := range from.Identities {
-		left[id.Name] = id
+		onlyInFrom[id.Name] = id
 	}
 	for i := range to.Identities {
 		id := to.Identities[i]
-		before, ok := left[id.Name]
+		before, ok := onlyInFrom[id.Name]
 		id.TokensFromMS = before.TokensFromMS
 		if !ok || before.Revoked != id.Revoked || !slices.Equal(before.Roles, id.Roles) {
 			puts = append(puts, step{putIdentity: &id})
 		}
-		delete(left, id.Name)
+		delete(onlyInFrom, id.Name)
 	}
-	return puts, left
+	return puts, onlyInFrom
 }
--- a/internal/rights/policyfile/policyfile.go
+++ b/internal/rights/policyfile/policyfile.go
@@ -1,6 +1,5 @@
-// Package policyfile reads a policy as operators write it, YAML, against its
-// schema, and works out the changes that bring a cluster from one policy to
-// another. The controllers do not use it.
+// Package policyfile parses policy files, which are YAML with a JSON schema, and plans the changes
+// that turn a cluster's policy into another one. The controllers do not use it.
 package policyfile
 
 import (
@@ -19,13 +18,13 @@
 	"micaspindle/internal/rights"
 )
 
-// Schema is the policy's JSON schema.
+// Schema is the JSON schema of policy files.
 //
 //go:embed policy.schema.json
 var Schema string
 
-// compiled is Schema, ready to validate.
-var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
+// compiledSchema returns the compiled Schema.
+var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(strings.NewReader(Schema))
 	if err != nil {
 		return nil, err
@@ -39,14 +38,14 @@
 
 const (
 	schemaFile = "policy.schema.json"
-	// maxFile bounds a policy's file, in bytes.
-	maxFile = 16 << 20
+	// maxFileBytes is the maximum size of a policy file.
+	maxFileBytes = 16 << 20
 )
 
-// Parse reads a policy. Its error says what is to be corrected in it.
+// Parse parses and validates a policy file. Its error says what is wrong in the file.
 func Parse(data []byte) (*rights.Document, error) {
-	if len(data) > maxFile {
-		return nil, fmt.Errorf("the policy is larger than %d MiB", maxFile>>20)
+	if len(data) > maxFileBytes {
+		return nil, fmt.Errorf("the policy file is larger than %d MiB", maxFileBytes>>20)
 	}
 	if err := validate(data); err != nil {
 		return nil, err
@@ -60,32 +59,32 @@
 	if err := document.Check(); err != nil {
 		return nil, err
 	}
-	if !rights.Compile(document).Administered() {
+	if !rights.Compile(document).HasAdministrator() {
 		return nil, rights.ErrNoAdministrator
 	}
 	return document, nil
 }
 
-// validate checks a file against the schema.
+// validate validates a policy file against the schema.
 func validate(data []byte) error {
 	var raw any
 	if err := yaml.Unmarshal(data, &raw); err != nil {
 		return fmt.Errorf("not YAML: %w", err)
 	}
-	schema, err := compiled()
+	schema, err := compiledSchema()
 	if err != nil {
-		return fmt.Errorf("the policy's schema: %w", err)
+		return fmt.Errorf("compiling the policy schema: %w", err)
 	}
 	err = schema.Validate(raw)
 	var invalid *jsonschema.ValidationError
 	if errors.As(err, &invalid) {
-		return errors.New(explain(invalid))
+		return errors.New(validationMessage(invalid))
 	}
 	return err
 }
 
-// explain names the deepest place that is wrong.
-func explain(invalid *jsonschema.ValidationError) string {
+// validationMessage returns the location and message of the first innermost validation error.
+func validationMessage(invalid *jsonschema.ValidationError) string {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
--- a/internal/rights/policyfile/policyfile_test.go
+++ b/internal/rights/policyfile/policyfile_test.go
@@ -12,7 +12,7 @@
 	"micaspindle/internal/rights"
 )
 
-const good = `
+const validPolicy = `
 roles:
   - name: admin
     rules: [{allow: [administer], team: "*", class: "*"}]
@@ -24,40 +24,40 @@
 `
 
 func TestParse(t *testing.T) {
-	d, err := Parse([]byte(good))
+	d, err := Parse([]byte(validPolicy))
 	if err != nil || len(d.Roles) != 2 || len(d.Identities) != 2 || d.Roles[1].Rules[0].Team != "placements-*" {
-		t.Fatalf("%+v %v", d, err)
+		t.Fatalf("Parse of a valid policy returned %+v, %v", d, err)
 	}
 	for name, tc := range map[string]struct{ old, new, want string }{
-		"unknown field":     {"roles: [clerk]}", "roles: [clerk], admin: true}", "identities.1: additional properties"},
-		"unknown verb":      {"submit, view", "submit, delete", "roles.1.rules.0.allow.1: value must be one of"},
-		"no verb":           {"[submit, view]", "[]", "roles.1.rules.0.allow"},
-		"unknown role":      {"roles: [clerk]", "roles: [clark]", "there is no role clark"},
-		"no kind":           {"person/anna", "anna", "identities.1.name: "},
-		"a worker":          {"person/anna", "worker/anna", "identities.1.name: "},
-		"bad pattern":       {"placements-*", "placements-[", "is no pattern"},
-		"no team":           {`team: "placements-*", `, "", "missing property 'team'"},
-		"role twice":        {"name: clerk\n", "name: admin\n", "twice"},
-		"identity twice":    {"person/anna", "person/root", "twice"},
-		"no administrator":  {"roles: [admin]", "roles: [clerk]", "nobody would be left"},
-		"revoked":           {"roles: [admin]}", "roles: [admin], revoked: true}", "nobody would be left"},
-		"text for a flag":   {"roles: [clerk]}", "roles: [clerk], revoked: soon}", "identities.1.revoked: got string, want boolean"},
-		"not YAML":          {"roles:", "roles: [", "not YAML"},
-		"nothing":           {good, "", "got null, want object"},
-		"a list":            {good, "[]", "got array, want object"},
-		"an endless anchor": {good, "a: &a [*a]", ""},
+		"unknown field":               {"roles: [clerk]}", "roles: [clerk], admin: true}", "identities.1: additional properties"},
+		"unknown verb":                {"submit, view", "submit, delete", "roles.1.rules.0.allow.1: value must be one of"},
+		"rule without a verb":         {"[submit, view]", "[]", "roles.1.rules.0.allow"},
+		"unknown role":                {"roles: [clerk]", "roles: [clark]", "there is no role clark"},
+		"identity without a kind":     {"person/anna", "anna", "identities.1.name: "},
+		"identity of a worker":        {"person/anna", "worker/anna", "identities.1.name: "},
+		"invalid pattern":             {"placements-*", "placements-[", "is no pattern"},
+		"rule without a team":         {`team: "placements-*", `, "", "missing property 'team'"},
+		"duplicate role":              {"name: clerk\n", "name: admin\n", "twice"},
+		"duplicate identity":          {"person/anna", "person/root", "twice"},
+		"no administrator":            {"roles: [admin]", "roles: [clerk]", "nobody would be left"},
+		"administrator revoked":       {"roles: [admin]}", "roles: [admin], revoked: true}", "nobody would be left"},
+		"string instead of a boolean": {"roles: [clerk]}", "roles: [clerk], revoked: soon}", "identities.1.revoked: got string, want boolean"},
+		"not YAML":                    {"roles:", "roles: [", "not YAML"},
+		"empty file":                  {validPolicy, "", "got null, want object"},
+		"array instead of an object":  {validPolicy, "[]", "got array, want object"},
+		"recursive anchor":            {validPolicy, "a: &a [*a]", ""},
 	} {
-		text := strings.Replace(good, tc.old, tc.new, 1)
-		if text == good {
-			t.Fatalf("%s: nothing was replaced", name)
+		text := strings.Replace(validPolicy, tc.old, tc.new, 1)
+		if text == validPolicy {
+			t.Fatalf("%s: the text to replace is not in the valid policy", name)
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: %v, want %q", name, err, tc.want)
+			t.Errorf("%s: got error %v, want one that contains %q", name, err, tc.want)
 		}
 	}
 }
 
-// The policy that is shipped as an example is one.
+// The example policy in deploy is valid.
 func TestExample(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "policy.example.yaml"))
 	if err != nil {
@@ -73,18 +73,18 @@
 	for i := range plan {
 		next, err := rights.Apply(from, &plan[i])
 		if err != nil {
-			t.Fatalf("step %d: %v", i, err)
+			t.Fatalf("change %d is invalid: %v", i, err)
 		}
 		if plan[i].Size() > size {
-			t.Fatalf("step %d changes %d records", i, plan[i].Size())
+			t.Fatalf("change %d has %d records, want at most %d", i, plan[i].Size(), size)
 		}
 		from = next
 	}
 	return from
 }
 
-// From any policy to any other there are steps that each leave an
-// administrator, even where the roles change their names or swap.
+// Plan finds changes between any two policies that each leave an administrator, even if roles are
+// renamed or two roles swap their rules.
 func TestPlan(t *testing.T) {
 	role := func(name string, verbs ...string) rights.Role {
 		return rights.Role{Name: name, Rules: []rights.Rule{{Verbs: verbs, Team: "*", Class: "*"}}}
@@ -96,40 +96,41 @@
 		{Roles: []rights.Role{role("c", "administer")}, Identities: []rights.Identity{id("person/z", "c")}},
 		{Roles: []rights.Role{role("a", "view"), role("d", "administer")}, Identities: []rights.Identity{id("person/x", "d"), id("person/y", "a")}},
 	}
-	big := &rights.Document{Roles: []rights.Role{role("a", "administer"), role("b", "view")}}
+	large := &rights.Document{Roles: []rights.Role{role("a", "administer"), role("b", "view")}}
 	for i := range 500 {
-		big.Identities = append(big.Identities, id(fmt.Sprintf("person/p%04d", i), []string{"b", "a"}[i/499]))
+		large.Identities = append(large.Identities, id(fmt.Sprintf("person/p%04d", i), []string{"b", "a"}[i/499]))
 	}
-	docs = append(docs, big)
+	docs = append(docs, large)
 	for i, from := range append([]*rights.Document{{}}, docs...) {
 		for j, to := range docs {
 			for _, size := range []int{1, 2, 12} {
 				plan, err := Plan(from, to, size)
 				if err != nil {
-					// One record at a time, nobody can be made the first
-					// administrator, nor can roles swap administration.
+					// With one record per change, it is impossible to add the first
+					// administrator or to swap the rules of two roles.
 					if size == 1 {
 						continue
 					}
-					t.Errorf("%d to %d by %d: %v", i, j, size, err)
+					t.Errorf("Plan from policy %d to %d with %d records per change: %v", i, j, size, err)
 					continue
 				}
 				got, want := apply(t, from, plan, size), sorted(to)
 				if !reflect.DeepEqual(got.Roles, want.Roles) || !reflect.DeepEqual(got.Identities, want.Identities) {
-					t.Errorf("%d to %d by %d: %+v", i, j, size, got)
+					t.Errorf("Plan from policy %d to %d with %d records per change results in %+v, want %+v", i, j, size, got, want)
 				}
 			}
 		}
 	}
-	voided := &rights.Document{Roles: docs[0].Roles, Identities: []rights.Identity{id("person/x", "a"), {Name: "person/y", Roles: []string{"b"}, TokensFromMS: 7}}}
-	plan, err := Plan(voided, docs[1], 12)
-	if err != nil || apply(t, voided, plan, 12).Identities[1].TokensFromMS != 7 {
-		t.Errorf("voided tokens come back: %v", err)
+	withRevokedTokens := &rights.Document{Roles: docs[0].Roles, Identities: []rights.Identity{id("person/x", "a"), {Name: "person/y", Roles: []string{"b"}, TokensFromMS: 7}}}
+	plan, err := Plan(withRevokedTokens, docs[1], 12)
+	if err != nil || apply(t, withRevokedTokens, plan, 12).Identities[1].TokensFromMS != 7 {
+		t.Errorf("Plan failed or made revoked tokens valid again: %v", err)
 	}
 }
 
+// sorted returns a copy of the policy that is sorted by name.
 func sorted(d *rights.Document) *rights.Document {
-	// Any change sorts; putting what is there changes nothing else.
+	// Apply sorts the policy; putting an unchanged identity has no other effect.
 	out, err := rights.Apply(d, &rights.Change{PutIdentities: d.Identities[:1]})
 	if err != nil {
 		panic(err)
@@ -137,9 +138,9 @@
 	return out
 }
 
-// What is taken can be compiled, and passes the controllers' own check.
+// Policies that Parse accepts pass the controllers' check and can be compiled.
 func FuzzPolicyFile(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validPolicy))
 	f.Add([]byte("roles: []\nidentities: []\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d, err := Parse(data)
@@ -147,7 +148,7 @@
 			return
 		}
 		if err := d.Check(); err != nil {
-			t.Fatalf("taken, yet %v", err)
+			t.Fatalf("Parse accepted a policy that fails Check: %v", err)
 		}
 		p := rights.Compile(d)
 		for _, id := range d.Identities {
@@ -156,9 +157,9 @@
 	})
 }
 
-// A change as it comes to a controller never ends it, and what is taken holds.
+// No change that a controller receives makes it panic, and accepted changes leave an administrator.
 func FuzzChange(f *testing.F) {
-	from, err := Parse([]byte(good))
+	from, err := Parse([]byte(validPolicy))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -169,8 +170,8 @@
 		if protocol.Decode(body, &ch) != nil {
 			return
 		}
-		if next, err := rights.Apply(from, &ch); err == nil && !rights.Compile(next).Administered() {
-			t.Fatalf("%+v leaves nobody", ch)
+		if next, err := rights.Apply(from, &ch); err == nil && !rights.Compile(next).HasAdministrator() {
+			t.Fatalf("Apply accepted %+v, which leaves no administrator", ch)
 		}
 	})
 }
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -1,7 +1,6 @@
-// Package rights decides what an identity may do on which queue. A queue is a
-// team and a class of jobs. Everything is denied that no rule of one of the
-// identity's roles allows. The package is pure: it knows neither where policies
-// are stored nor how identities are proven.
+// Package rights implements authorization: role-based access control for queues, which are pairs of
+// a team and a job class. A request is denied unless a rule of one of the identity's roles allows
+// it. The package neither stores policies nor authenticates identities.
 package rights
 
 import (
@@ -13,17 +12,17 @@
 	"micaspindle/internal/identity"
 )
 
-// Queue is a team and a class of jobs.
+// Queue is a team and a job class.
 type Queue struct{ Team, Class string }
 
-// Document is a policy as it is written down.
+// Document is a policy as it is stored and written in policy files.
 type Document struct {
 	Roles      []Role     `msgpack:"roles" yaml:"roles" json:"roles"`
 	Identities []Identity `msgpack:"identities" yaml:"identities" json:"identities"`
 }
 
-// Rule allows verbs on queues: patterns as path.Match knows them, so that "*"
-// matches any name without a slash.
+// Rule allows verbs on the queues whose team and class match its patterns. The patterns are those of
+// path.Match, so "*" matches any name without a slash.
 type Rule struct {
 	Verbs []string `msgpack:"v" yaml:"allow" json:"allow"`
 	Team  string   `msgpack:"t" yaml:"team" json:"team"`
@@ -36,38 +35,38 @@
 	Rules []Rule `msgpack:"r" yaml:"rules" json:"rules"`
 }
 
-// Identity is what the policy says of an identity.
+// Identity is the policy's record of an identity.
 type Identity struct {
 	Name  string   `msgpack:"n" yaml:"name" json:"name"`
 	Roles []string `msgpack:"r" yaml:"roles" json:"roles"`
-	// Revoked identities may do nothing.
+	// Revoked denies the identity everything.
 	Revoked bool `msgpack:"x,omitempty" yaml:"revoked,omitempty" json:"revoked,omitempty"`
-	// TokensFromMS voids tokens that were issued before.
+	// TokensFromMS revokes the tokens that were issued before this time, in Unix milliseconds.
 	TokensFromMS int64 `msgpack:"f,omitempty" yaml:"-" json:"tokens_from_ms,omitempty"`
 }
 
-// Bounds of a policy.
+// Limits of a policy.
 const (
-	// MaxRoles is how many roles a policy may have.
+	// MaxRoles is the maximum number of roles in a policy.
 	MaxRoles = 1000
-	// MaxRules is how many rules a role may have.
-	MaxRules = 1000
-	// MaxIdentities is how many identities a policy may name.
+	// MaxRulesPerRole is the maximum number of rules in a role.
+	MaxRulesPerRole = 1000
+	// MaxIdentities is the maximum number of identities in a policy.
 	MaxIdentities = 100_000
-	// maxText bounds names and patterns, in bytes.
-	maxText = 100
-	// maxRolesOfOne is how many roles an identity may have.
-	maxRolesOfOne = 64
-	// maxQuoted bounds what an error quotes of a text, in bytes.
-	maxQuoted = 40
+	// maxTextBytes is the maximum length of names and patterns.
+	maxTextBytes = 100
+	// maxRolesPerIdentity is the maximum number of roles of an identity.
+	maxRolesPerIdentity = 64
+	// maxQuotedBytes is the maximum length of a quotation in an error message.
+	maxQuotedBytes = 40
 )
 
-// ErrNoAdministrator refuses a policy that nobody could change any more.
+// ErrNoAdministrator rejects a policy that no identity may change.
 var ErrNoAdministrator = errors.New("nobody would be left who may administer every queue (team \"*\", class \"*\")")
 
-func clip(text string) string { return text[:min(len(text), maxQuoted)] }
+func truncate(text string) string { return text[:min(len(text), maxQuotedBytes)] }
 
-// Check says what is wrong with a policy, in one line.
+// Check returns an error of one line if the policy is invalid.
 func (d *Document) Check() error {
 	if len(d.Roles) > MaxRoles || len(d.Identities) > MaxIdentities {
 		return fmt.Errorf("more than %d roles or %d identities", MaxRoles, MaxIdentities)
@@ -79,7 +78,7 @@
 	return checkIdentities(d.Identities, roles)
 }
 
-// checkRoles says what is wrong with the roles of a policy, and returns their names.
+// checkRoles validates the roles of a policy and returns their names.
 func checkRoles(roles []Role) (names map[string]bool, err error) {
 	names = make(map[string]bool, len(roles))
 	for i := range roles {
@@ -95,7 +94,7 @@
 	return names, nil
 }
 
-// checkIdentities says what is wrong with the identities of a policy that has so many roles.
+// checkIdentities validates the identities of a policy whose role names are given.
 func checkIdentities(identities []Identity, roles map[string]bool) error {
 	names := make(map[string]bool, len(identities))
 	for i := range identities {
@@ -116,13 +115,13 @@
 	return nil
 }
 
-// Check says what is wrong with a role.
+// Check returns an error if the role is invalid.
 func (r *Role) Check() error {
 	if err := checkName(r.Name); err != nil {
-		return fmt.Errorf("role %q: %w", clip(r.Name), err)
+		return fmt.Errorf("role %q: %w", truncate(r.Name), err)
 	}
-	if len(r.Rules) > MaxRules {
-		return fmt.Errorf("role %s: more than %d rules; split it", r.Name, MaxRules)
+	if len(r.Rules) > MaxRulesPerRole {
+		return fmt.Errorf("role %s: more than %d rules; split it", r.Name, MaxRulesPerRole)
 	}
 	for i := range r.Rules {
 		if err := r.Rules[i].check(); err != nil {
@@ -132,25 +131,25 @@
 	return nil
 }
 
-// check says what is wrong with a rule.
+// check returns an error if the rule is invalid.
 func (r *Rule) check() error {
 	if _, err := r.parseVerbs(); err != nil {
 		return err
 	}
 	for _, pattern := range []string{r.Team, r.Class} {
-		if pattern == "" || len(pattern) > maxText {
-			return fmt.Errorf("team and class need a pattern of 1 to %d characters; \"*\" means any", maxText)
+		if pattern == "" || len(pattern) > maxTextBytes {
+			return fmt.Errorf("team and class need a pattern of 1 to %d characters; \"*\" means any", maxTextBytes)
 		}
 		if _, err := path.Match(pattern, ""); err != nil {
-			return fmt.Errorf("%q is no pattern", clip(pattern))
+			return fmt.Errorf("%q is no pattern", truncate(pattern))
 		}
 	}
 	return nil
 }
 
 func checkName(name string) error {
-	if name == "" || len(name) > maxText {
-		return fmt.Errorf("a name has 1 to %d characters", maxText)
+	if name == "" || len(name) > maxTextBytes {
+		return fmt.Errorf("a name has 1 to %d characters", maxTextBytes)
 	}
 	for _, c := range name {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '.' || c == '_' || c == '-') {
@@ -160,7 +159,7 @@
 	return nil
 }
 
-// parseVerbs reads the verbs that a rule allows.
+// parseVerbs returns the verbs that a rule allows.
 func (r *Rule) parseVerbs() (Verb, error) {
 	var set Verb
 	for _, name := range r.Verbs {
@@ -176,24 +175,23 @@
 	return set, nil
 }
 
-// verbSet is what a rule allows that was checked before.
+// verbSet is parseVerbs for a rule that passed check.
 func (r *Rule) verbSet() Verb {
 	set, _ := r.parseVerbs()
 	return set
 }
 
-// covers reports whether a rule's patterns match a queue.
-func (r *Rule) covers(queue Queue) bool {
+// matches reports whether the rule's patterns match a queue.
+func (r *Rule) matches(queue Queue) bool {
 	team, _ := path.Match(r.Team, queue.Team)
 	class, _ := path.Match(r.Class, queue.Class)
 	return team && class
 }
 
-// everywhere reports whether a rule covers every queue: only patterns that match any text
-// count.
-func (r *Rule) everywhere() bool { return r.Team == "*" && r.Class == "*" }
+// matchesAll reports whether the rule has "*" for both team and class, and so applies to every queue.
+func (r *Rule) matchesAll() bool { return r.Team == "*" && r.Class == "*" }
 
-// Check says what is wrong with an identity, apart from the roles it names.
+// Check returns an error if the identity is invalid. It does not check that its roles exist.
 func (id *Identity) Check() error {
 	name, err := identity.ParseName(id.Name)
 	if err != nil {
@@ -202,12 +200,12 @@
 	if !name.Caller() {
 		return fmt.Errorf("%s: a policy is about persons and services; a %s has the rights of its kind", id.Name, name.Kind)
 	}
-	if len(id.Roles) > maxRolesOfOne {
-		return fmt.Errorf("%s: more than %d roles", id.Name, maxRolesOfOne)
+	if len(id.Roles) > maxRolesPerIdentity {
+		return fmt.Errorf("%s: more than %d roles", id.Name, maxRolesPerIdentity)
 	}
 	for i, r := range id.Roles {
 		if err := checkName(r); err != nil {
-			return fmt.Errorf("%s: role %q: %w", id.Name, clip(r), err)
+			return fmt.Errorf("%s: role %q: %w", id.Name, truncate(r), err)
 		}
 		if slices.Contains(id.Roles[:i], r) {
 			return fmt.Errorf("%s: role %s is named twice", id.Name, r)
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// policy has the wish's roles: a clerk of one office, the refund team, a guest,
-// and an administrator.
-func policy() *Document {
+// testPolicy returns a policy with an administrator, a clerk of one team, a refund service, a guest
+// and a revoked identity.
+func testPolicy() *Document {
 	return &Document{
 		Roles: []Role{
 			{Name: "admin", Rules: []Rule{{Verbs: []string{"administer"}, Team: "*", Class: "*"}}},
@@ -29,8 +29,8 @@
 	}
 }
 
-func TestWhatIsNotAllowedIsDenied(t *testing.T) {
-	d := policy()
+func TestDefaultDeny(t *testing.T) {
+	d := testPolicy()
 	if err := d.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -53,32 +53,31 @@
 		{"person/nobody", View, Queue{"payments", "refund-batch"}, false},
 		{"", View, Queue{}, false},
 	} {
-		for range 2 { // worked out, then remembered
+		for range 2 { // the second result is cached
 			if got := p.Allows(tc.who, tc.verb, tc.queue); got != tc.want {
-				t.Errorf("%s %s on %v: %v", tc.who, tc.verb, tc.queue, got)
+				t.Errorf("Allows(%q, %s, %v) = %v, want %v", tc.who, tc.verb, tc.queue, got, tc.want)
 			}
 		}
 	}
 	if p.HoldsAny("person/gone", Submit) || !p.HoldsAny("person/anna", Submit) || p.HoldsAny("person/anna", Administer) {
-		t.Error("verbs on any queue")
+		t.Error("HoldsAny returned a wrong result")
 	}
 	if p.AllowsEverywhere("person/gone", Administer) || !p.AllowsEverywhere("person/root", Administer) || !p.AllowsEverywhere("person/partner", View) {
-		t.Error("verbs on every queue")
+		t.Error("AllowsEverywhere returned a wrong result")
 	}
 }
 
-// Queues that a caller makes up must neither fill the memory nor change what is
-// decided.
-func TestQueuesRememberedAreBounded(t *testing.T) {
-	p := Compile(policy())
-	for i := range 2 * maxQueues {
+// Requests for many made-up queues neither exhaust memory nor change decisions.
+func TestQueueCacheIsBounded(t *testing.T) {
+	p := Compile(testPolicy())
+	for i := range 2 * maxCachedQueues {
 		q := Queue{"payments", fmt.Sprintf("refund-%d", i)}
 		if !p.Allows("service/refunds", Submit, q) || p.Allows("person/anna", View, q) {
-			t.Fatal("decided wrongly")
+			t.Fatal("Allows returned a wrong result once the cache was full or while it filled up")
 		}
 	}
-	if len(p.queues) > maxQueues {
-		t.Errorf("%d queues remembered", len(p.queues))
+	if len(p.queueCache) > maxCachedQueues {
+		t.Errorf("%d queues are cached, want at most %d", len(p.queueCache), maxCachedQueues)
 	}
 }
 
@@ -87,54 +86,54 @@
 	for _, tc := range []struct {
 		name string
 		ch   Change
-		want string // part of the refusal; empty: taken
+		want string // a part of the error; if empty, the change is valid
 	}{
 		{"revoke the last administrator", Change{PutIdentities: []Identity{{Name: "person/root", Roles: []string{"admin"}, Revoked: true}}}, "nobody would be left"},
 		{"drop the last administrator", Change{DropIdentities: []string{"person/root"}}, "nobody would be left"},
-		{"take its role away", Change{PutIdentities: []Identity{{Name: "person/root"}}}, "nobody would be left"},
-		{"take the role's rule away", Change{PutRoles: []Role{{Name: "admin", Rules: []Rule{{Verbs: []string{"administer"}, Team: "payments", Class: "*"}}}}}, "nobody would be left"},
-		{"with a second one", Change{PutIdentities: []Identity{admin2, {Name: "person/root", Roles: []string{"admin"}, Revoked: true}}}, ""},
+		{"remove the last administrator's role", Change{PutIdentities: []Identity{{Name: "person/root"}}}, "nobody would be left"},
+		{"remove the administrator role's rule", Change{PutRoles: []Role{{Name: "admin", Rules: []Rule{{Verbs: []string{"administer"}, Team: "payments", Class: "*"}}}}}, "nobody would be left"},
+		{"revoke an administrator and add another", Change{PutIdentities: []Identity{admin2, {Name: "person/root", Roles: []string{"admin"}, Revoked: true}}}, ""},
 		{"drop a role in use", Change{DropRoles: []string{"clerk"}}, "no role clerk"},
-		{"drop it with its users", Change{DropRoles: []string{"clerk"}, PutIdentities: []Identity{{Name: "person/anna"}, {Name: "person/gone"}}}, ""},
-		{"a role that is not there", Change{DropRoles: []string{"x"}}, "no role"},
-		{"an identity that is not there", Change{DropIdentities: []string{"person/x"}}, "no identity"},
-		{"nothing", Change{}, "nothing"},
-		{"twice", Change{PutIdentities: []Identity{admin2, admin2}}, "twice"},
-		{"a worker", Change{PutIdentities: []Identity{{Name: "worker/m-1"}}}, "persons and services"},
-		{"a bad verb", Change{PutRoles: []Role{{Name: "x", Rules: []Rule{{Verbs: []string{"delete"}, Team: "*", Class: "*"}}}}}, "no verb"},
-		{"a bad pattern", Change{PutRoles: []Role{{Name: "x", Rules: []Rule{{Verbs: []string{"view"}, Team: "[", Class: "*"}}}}}, "no pattern"},
+		{"drop a role and remove it from its holders", Change{DropRoles: []string{"clerk"}, PutIdentities: []Identity{{Name: "person/anna"}, {Name: "person/gone"}}}, ""},
+		{"drop a role that does not exist", Change{DropRoles: []string{"x"}}, "no role"},
+		{"drop an identity that does not exist", Change{DropIdentities: []string{"person/x"}}, "no identity"},
+		{"empty change", Change{}, "nothing"},
+		{"put an identity twice", Change{PutIdentities: []Identity{admin2, admin2}}, "twice"},
+		{"put a worker", Change{PutIdentities: []Identity{{Name: "worker/m-1"}}}, "persons and services"},
+		{"invalid verb", Change{PutRoles: []Role{{Name: "x", Rules: []Rule{{Verbs: []string{"delete"}, Team: "*", Class: "*"}}}}}, "no verb"},
+		{"invalid pattern", Change{PutRoles: []Role{{Name: "x", Rules: []Rule{{Verbs: []string{"view"}, Team: "[", Class: "*"}}}}}, "no pattern"},
 		{"no verbs", Change{PutRoles: []Role{{Name: "x", Rules: []Rule{{Team: "*", Class: "*"}}}}}, "allows nothing"},
-		{"too many rules", Change{PutRoles: []Role{{Name: "x", Rules: make([]Rule, MaxRules+1)}}}, "split it"},
+		{"too many rules", Change{PutRoles: []Role{{Name: "x", Rules: make([]Rule, MaxRulesPerRole+1)}}}, "split it"},
 	} {
-		before := policy()
+		before := testPolicy()
 		next, err := Apply(before, &tc.ch)
 		switch {
 		case tc.want == "" && err != nil:
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: Apply failed: %v", tc.name, err)
 		case tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)):
-			t.Errorf("%s: %v, want %q", tc.name, err, tc.want)
-		case tc.want == "" && !Compile(next).Administered():
-			t.Errorf("%s: nobody administers", tc.name)
+			t.Errorf("%s: got error %v, want one that contains %q", tc.name, err, tc.want)
+		case tc.want == "" && !Compile(next).HasAdministrator():
+			t.Errorf("%s: the resulting policy has no administrator", tc.name)
 		}
 	}
-	_, err := Apply(policy(), &Change{DropIdentities: []string{"person/root"}})
+	_, err := Apply(testPolicy(), &Change{DropIdentities: []string{"person/root"}})
 	if !errors.Is(err, ErrNoAdministrator) {
-		t.Errorf("the last administrator went: %v", err)
+		t.Errorf("dropping the last administrator: got error %v, want ErrNoAdministrator", err)
 	}
 }
 
-func TestTokensBeforeAMomentAreVoid(t *testing.T) {
-	d := policy()
+func TestTokensIssuedBeforeRevocationAreInvalid(t *testing.T) {
+	d := testPolicy()
 	at := time.UnixMilli(1_000_000_000_000)
 	d.Identities[1].TokensFromMS = at.UnixMilli()
 	p := Compile(d)
 	if !p.Voids("person/anna", at.Add(-time.Second)) || p.Voids("person/anna", at) || p.Voids("person/root", at.Add(-time.Hour)) {
-		t.Error("wrong tokens are void")
+		t.Error("Voids returned a wrong result")
 	}
 }
 
-// large is a policy with 1,000 rules in 100 roles and n identities.
-func large(n int) *Document {
+// largePolicy returns a policy with 1,000 rules in 100 roles and n identities.
+func largePolicy(n int) *Document {
 	d := &Document{}
 	for r := range 100 {
 		role := Role{Name: fmt.Sprintf("role-%02d", r)}
@@ -150,18 +149,18 @@
 	return d
 }
 
-func TestACheckAllocatesNothing(t *testing.T) {
-	p := Compile(large(1000))
+func TestAllowsDoesNotAllocate(t *testing.T) {
+	p := Compile(largePolicy(1000))
 	q := Queue{"team-07", "class-3-x"}
 	p.Allows("person/clerk-00007", Submit, q)
 	if n := testing.AllocsPerRun(100, func() { p.Allows("person/clerk-00007", Submit, q) }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("Allows made %v allocations for a cached queue, want 0", n)
 	}
 }
 
 // Command: go test -run XXX -bench . ./internal/rights
 func BenchmarkAllows(b *testing.B) {
-	p := Compile(large(10_000))
+	p := Compile(largePolicy(10_000))
 	queues := make([]Queue, 1000)
 	names := make([]string, 1000)
 	for i := range queues {
@@ -178,7 +177,7 @@
 }
 
 func BenchmarkCompile10000(b *testing.B) {
-	d := large(10_000)
+	d := largePolicy(10_000)
 	for b.Loop() {
 		Compile(d)
 	}
@@ -189,7 +188,7 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		d := large(10_000)
+		d := largePolicy(10_000)
 		p := Compile(d)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/rights/verbs.go
+++ b/internal/rights/verbs.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Verb is something that a rule may allow; several form a set.
+// Verb is an operation that a rule can allow, or a set of operations as a bit mask.
 type Verb uint8
 
 // The verbs.
@@ -13,18 +13,18 @@
 	Submit Verb = 1 << iota
 	View
 	ViewArguments
-	// Cancel is to cancel jobs.
+	// Cancel permits cancelling jobs.
 	Cancel
 	Reassign
-	// Administer is to cancel all jobs of somebody in a queue; on every queue, it is also to
-	// change the policy and to read the audit.
+	// Administer permits cancelling all jobs that an identity submitted to a queue. If it is
+	// held on every queue, it also permits changing the policy and reading the audit log.
 	Administer
-	// Vouch lets a service act on behalf of a caller whose certificate it has checked
-	// itself. It adds no right to those that the caller has.
+	// Vouch permits a service to act on behalf of a caller that it has authenticated by
+	// certificate. It permits nothing beyond the caller's own permissions.
 	Vouch
 )
 
-// verbNames are the names that rules use, in the order in which String lists them.
+// verbNames are the names of verbs in rules, in the order in which String lists them.
 var verbNames = []struct {
 	name string
 	verb Verb
@@ -38,7 +38,7 @@
 	{"vouch", Vouch},
 }
 
-// String lists the names of a set's verbs.
+// String returns the names of the verbs in the set, separated by commas.
 func (v Verb) String() string {
 	var names []string
 	for _, known := range verbNames {
@@ -56,5 +56,5 @@
 			return known.verb, nil
 		}
 	}
-	return 0, fmt.Errorf("%q is no verb: submit, view, view-arguments, withdraw, reassign, administer or vouch", clip(name))
+	return 0, fmt.Errorf("%q is no verb: submit, view, view-arguments, withdraw, reassign, administer or vouch", truncate(name))
 }
