--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -33,7 +33,7 @@
 }
 
 // newAuthority creates a certificate authority and the keyring of a controller whose certificate has
-// a lifetime.
+// the given lifetime.
 func newAuthority(t testing.TB, lifetime time.Duration) (dir string, ca *pki.Authority, keyring *identity.Keyring, files identity.Files) {
 	t.Helper()
 	dir = t.TempDir()
--- a/internal/identity/keyring.go
+++ b/internal/identity/keyring.go
@@ -51,34 +51,34 @@
 // Load returns a keyring with the content of the files.
 func Load(files Files) (*Keyring, error) {
 	k := &Keyring{files: files, now: time.Now, expiryWarnings: map[string]int{}}
-	read, err := k.read()
+	loaded, err := k.read()
 	if err != nil {
 		return nil, err
 	}
-	k.current.Store(read)
+	k.current.Store(loaded)
 	return k, nil
 }
 
 func (k *Keyring) read() (*snapshot, error) {
 	// The digest is computed first, so that the next check detects a file that changes during the read.
-	read := &snapshot{digest: k.digestFiles()}
+	loaded := &snapshot{digest: k.digestFiles()}
 	var err error
-	if read.own, err = readOwnCertificate(k.files.Own); err != nil {
+	if loaded.own, err = readOwnCertificate(k.files.Own); err != nil {
 		return nil, fmt.Errorf("own certificate: %w", err)
 	}
 	roots, err := readCertificates(k.files.Roots)
 	if err != nil {
 		return nil, fmt.Errorf("roots: %w", err)
 	}
-	read.roots = x509.NewCertPool()
+	loaded.roots = x509.NewCertPool()
 	for _, root := range roots {
-		read.roots.AddCert(root)
+		loaded.roots.AddCert(root)
 	}
-	read.certificates = append([]*x509.Certificate{read.own.Leaf}, roots...)
-	if read.tokenKeys, err = readTokenKeys(k.files.TokenKeys); err != nil {
+	loaded.certificates = append([]*x509.Certificate{loaded.own.Leaf}, roots...)
+	if loaded.tokenKeys, err = readTokenKeys(k.files.TokenKeys); err != nil {
 		return nil, fmt.Errorf("token keys: %w", err)
 	}
-	return read, nil
+	return loaded, nil
 }
 
 // readOwnCertificate reads a certificate with its private key. The certificate must hold a name.
@@ -172,13 +172,13 @@
 
 // reload reads the files and replaces the current snapshot.
 func (k *Keyring) reload(log *slog.Logger) error {
-	read, err := k.read()
+	loaded, err := k.read()
 	if err != nil {
 		return err
 	}
-	k.current.Store(read)
-	leaf := read.own.Leaf
-	log.Info("certificates read again", "own", Fingerprint(leaf), "until", leaf.NotAfter, "token_keys", len(read.tokenKeys))
+	k.current.Store(loaded)
+	leaf := loaded.own.Leaf
+	log.Info("certificates read again", "own", Fingerprint(leaf), "until", leaf.NotAfter, "token_keys", len(loaded.tokenKeys))
 	k.warnOfExpiry(log)
 	return nil
 }
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -81,8 +81,8 @@
 }
 
 // NewTokens returns a verifier of tokens for an audience, with the token keys of a keyring.
-func NewTokens(keys *Keyring, audience string, clockBound time.Duration) *Tokens {
-	return &Tokens{keyring: keys, audience: audience, clockBound: clockBound}
+func NewTokens(keyring *Keyring, audience string, clockBound time.Duration) *Tokens {
+	return &Tokens{keyring: keyring, audience: audience, clockBound: clockBound}
 }
 
 // Check verifies a token and returns its content. Validity is checked at the latest time that the
@@ -113,15 +113,15 @@
 
 // currentCache returns the cache for the keyring's current snapshot, and a new cache after a reload.
 func (t *Tokens) currentCache() (*tokenCache, error) {
-	keys := t.keyring.current.Load()
-	if cache := t.cache.Load(); cache != nil && cache.snapshot == keys {
+	current := t.keyring.current.Load()
+	if cache := t.cache.Load(); cache != nil && cache.snapshot == current {
 		return cache, nil
 	}
 	tokens, err := lru.New[[sha256.Size]byte, Token](maxCachedTokens)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidToken, err)
 	}
-	cache := &tokenCache{snapshot: keys, tokens: tokens}
+	cache := &tokenCache{snapshot: current, tokens: tokens}
 	t.cache.Store(cache)
 	return cache, nil
 }
--- a/internal/pki/authority.go
+++ b/internal/pki/authority.go
@@ -50,8 +50,8 @@
 	Until time.Time
 }
 
-// Create creates a root certificate and a token key in a directory. It fails if the directory has a
-// root certificate.
+// Create creates a root certificate and a token key in a directory. It fails if the directory
+// already has a root certificate.
 func Create(dir, name string, now time.Time, lifetime time.Duration) (*Authority, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("pki: %w", err)
--- a/internal/rights/policy.go
+++ b/internal/rights/policy.go
@@ -12,7 +12,7 @@
 // bounded cache of what the roles allow on each queue, and safe for concurrent use.
 type Policy struct {
 	roles       []Role
-	roleIndices map[string]uint16           // indices into roles
+	roleIndices map[string]uint16           // index into roles, by role name
 	identities  map[string]compiledIdentity // by name
 
 	mu         sync.RWMutex
@@ -21,7 +21,7 @@
 
 // compiledIdentity is an identity with its roles and their permissions.
 type compiledIdentity struct {
-	roles []uint16
+	roles []uint16 // indices into Policy.roles
 	// anyQueueVerbs are the verbs that it holds on at least one queue.
 	anyQueueVerbs Verb
 	revoked       bool
--- a/internal/rights/policyfile/plan.go
+++ b/internal/rights/policyfile/plan.go
@@ -132,7 +132,8 @@
 	for name := range roles {
 		drops = append(drops, step{dropRole: name})
 	}
-	// In descending order, identities come first: their keys begin with a letter, those of roles with a slash.
+	// Sorts by descending key. Identities come first, since their keys begin with a letter and
+	// those of roles with a slash.
 	key := func(s step) string { return s.dropIdentity + "/" + s.dropRole }
 	slices.SortFunc(drops, func(a, b step) int { return strings.Compare(key(b), key(a)) })
 	return slices.Concat(puts, morePuts, drops)
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -128,7 +128,7 @@
 	d.Identities[1].TokensFromMS = at.UnixMilli()
 	p := Compile(d)
 	if !p.Voids("person/anna", at.Add(-time.Second)) || p.Voids("person/anna", at) || p.Voids("person/root", at.Add(-time.Hour)) {
-		t.Error("Voids returned a wrong result")
+		t.Error("only tokens that were issued to person/anna before the revocation must be revoked")
 	}
 }
 
