--- a/internal/blobstore/capacity.go
+++ b/internal/blobstore/capacity.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// minRetryDelay is the shortest delay that a full store asks callers to wait.
+	// minRetryDelay is the minimum delay before a retry in a FullError.
 	minRetryDelay = time.Second
-	// borrowableShare is the share of the other spaces' unused quotas that a space beyond
-	// its own quota may fill. The rest stays free for them, since retained blobs can't be
-	// evicted.
+	// borrowableShare is the fraction of the other spaces' unused quotas that a space may use
+	// beyond its own quota. The rest stays free for the others, since retained blobs could not
+	// be evicted when they need it.
 	borrowableShare = 0.75
 )
 
-// reserve makes room for bytes of a space: first interrupted uploads go, then blobs of
-// spaces beyond their quotas, then the space's own; blobs of other spaces within their
-// quotas stay. s.mu is held, also while files are removed: the same blob may be written
-// again at once.
+// reserve reserves bytes for a space. To make room, it discards interrupted uploads first, then
+// evicts blobs of spaces beyond their quotas, then the space's own blobs. It does not evict
+// blobs of other spaces within their quotas. s.mu is held also while files are removed, since
+// the same blob may be written again right afterwards.
 func (s *Store) reserve(space string, bytes int64) error {
 	now := time.Now()
 	limit := s.limit(space, bytes)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// limit returns how many bytes the store may hold after a space has taken some more.
+// limit returns how many bytes the store may use after a space has added some.
 func (s *Store) limit(space string, bytes int64) int64 {
 	if s.bySpace[space]+bytes <= s.options.Quotas[space] {
 		return s.options.MaxBytes
@@ -57,8 +57,8 @@
 	return s.options.MaxBytes - int64(float64(unused)*(1-borrowableShare))
 }
 
-// beyondQuota reports whether a blob's space fills its quota without the blob. Every blob
-// of a space without a quota is beyond it.
+// beyondQuota reports whether a blob's space would use its whole quota even without the blob.
+// This holds for every blob of a space without a quota.
 func (s *Store) beyondQuota(e *entry) bool {
 	return s.bySpace[e.key.Space]-e.key.Size >= s.options.Quotas[e.key.Space]
 }
@@ -76,9 +76,9 @@
 	s.account(key.Space, -key.Size)
 }
 
-// evict removes the least recently used of the blobs that may be evicted until at most
-// maxUsed bytes are used. It returns when the first retention of such a blob ends, zero if
-// none is retained. s.mu is held.
+// evict removes evictable blobs, least recently used first, until at most maxUsed bytes are
+// used. It skips pinned and retained blobs, and returns the earliest end of retention of those
+// that it skipped, or zero if none is retained. s.mu is held.
 func (s *Store) evict(now time.Time, maxUsed int64, evictable func(*entry) bool) (soonest time.Time) {
 	for element := s.order.Front(); element != nil && s.used > maxUsed; {
 		e := element.Value.(*entry)
@@ -94,7 +94,7 @@
 		}
 		s.removeEntry(e)
 		s.evicted++
-		_ = os.Remove(s.path(e.key)) // a file that stays is found at the next start
+		_ = os.Remove(s.path(e.key)) // if the file remains, the next start finds it
 	}
 	return soonest
 }
--- a/internal/blobstore/digest.go
+++ b/internal/blobstore/digest.go
@@ -10,8 +10,8 @@
 	"lukechampine.com/blake3"
 )
 
-// Function is a digest function. The zero value is SHA-256. The same bytes under two
-// functions are two blobs.
+// Function is a digest function. The zero value is SHA-256. The same bytes with two digest
+// functions are two different blobs.
 type Function uint8
 
 // The supported functions. The digests of both have 32 bytes.
@@ -28,8 +28,8 @@
 	return "sha256"
 }
 
-// FunctionNamed returns the function with a name in resource names and file names, where SHA-256
-// is not named.
+// FunctionNamed returns the function with the given name in resource names and file names. ok
+// is false for SHA-256, whose name is omitted there, and for unknown names.
 func FunctionNamed(name string) (f Function, ok bool) {
 	if name == BLAKE3.String() {
 		return BLAKE3, true
@@ -37,7 +37,7 @@
 	return SHA256, false
 }
 
-// New creates a hasher.
+// New returns a new hash of the function.
 func (f Function) New() hash.Hash {
 	if f == BLAKE3 {
 		return blake3.New(sha256.Size, nil)
@@ -63,8 +63,8 @@
 	Function Function
 }
 
-// String returns the digest as in resource names: [FUNCTION/]HASH/SIZE. SHA-256 is not
-// named.
+// String returns the digest as in resource names: [FUNCTION/]HASH/SIZE, without the function
+// for SHA-256.
 func (d Digest) String() string {
 	s := d.Hash + "/" + strconv.FormatInt(d.Size, 10)
 	if d.Function != SHA256 {
@@ -86,16 +86,16 @@
 	return nil
 }
 
-// maxClip bounds how much of a caller's text an error repeats, in bytes.
-const maxClip = 80
+// maxClipBytes is the maximum length of a caller's text in an error.
+const maxClipBytes = 80
 
-// clip shortens a caller's text for an error.
-func clip(s string) string { return s[:min(len(s), maxClip)] }
+// clip truncates a caller's text for an error.
+func clip(s string) string { return s[:min(len(s), maxClipBytes)] }
 
 // Of returns the SHA-256 digest of data.
 func Of(data []byte) Digest { return SHA256.Of(data) }
 
-// empty holds the digests of the empty blob, which every store has, by function.
+// empty has the digests of the empty blob by function. Every store contains the empty blob.
 var empty = [...]Digest{SHA256.Of(nil), BLAKE3.Of(nil)}
 
 // Empty is the SHA-256 digest of the empty blob.
--- a/internal/blobstore/reader.go
+++ b/internal/blobstore/reader.go
@@ -27,8 +27,8 @@
 	return r.file.Close()
 }
 
-// Open opens a blob. The first time since the process started, its bytes are verified; a
-// corrupt blob is removed, and ErrNotFound returned.
+// Open opens a blob. Unless this process has verified the blob's bytes before, Open verifies
+// them; if they are corrupt, it removes the blob and returns ErrNotFound.
 func (s *Store) Open(key Key) (*Reader, error) {
 	if err := key.Check(); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return r, nil
 }
 
-// openFile opens the file of a blob. A blob whose file is gone is forgotten.
+// openFile opens the file of a blob. If the file is missing, it removes the blob from the index.
 func (s *Store) openFile(key Key) (*os.File, error) {
 	file, err := os.Open(s.path(key))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -90,8 +90,9 @@
 	return nil
 }
 
-// checkBytes reads a blob's bytes. A blob that is corrupt, or on a bad sector, is removed;
-// other errors of the disk say nothing about it.
+// checkBytes reads a blob and verifies its digest. It removes the blob if it is corrupt or can't
+// be read because of an I/O error of the disk. Other read errors do not mean that the blob is
+// corrupt.
 func (s *Store) checkBytes(key Key, r *Reader) error {
 	hasher := key.Function.New()
 	n, err := io.Copy(hasher, r.SectionReader)
@@ -109,8 +110,8 @@
 	return ErrMismatch
 }
 
-// Verify reads a blob's bytes at rest. It does not count as a use of the blob. A corrupt
-// blob is removed, and ErrMismatch returned.
+// Verify reads a blob from disk and verifies its digest, without counting as a use of the blob.
+// If the blob is corrupt, Verify removes it and returns ErrMismatch.
 func (s *Store) Verify(key Key) error {
 	s.mu.Lock()
 	e := s.entries[key]
@@ -130,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	// One byte more than the blob's: a file that has grown is corrupt too.
+	// Reads one byte more than the blob's size, since a file that is too long is corrupt too.
 	r := &Reader{SectionReader: io.NewSectionReader(file, 0, key.Size+1), file: file, unpin: func() {}}
 	defer r.Close() //nolint:errcheck // only read
 	return s.checkBytes(key, r)
--- a/internal/blobstore/results.go
+++ b/internal/blobstore/results.go
@@ -16,27 +16,27 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// storedFile is a file that was found in a store's directory.
+// storedFile is a file found in a store's directory.
 type storedFile struct {
 	key      Key
 	modified time.Time
 }
 
-// sortByTime sorts files by their modification, the oldest first.
+// sortByTime sorts files by modification time, oldest first.
 func sortByTime(files []storedFile) {
 	slices.SortStableFunc(files, func(a, b storedFile) int { return a.modified.Compare(b.modified) })
 }
 
-// Results is a store of small records by digest, on disk and bounded in number. Unlike a
-// blob's, a record's bytes can't be verified by its digest, so each carries a checksum. It
-// is safe for concurrent use.
+// Results stores small records by digest on disk, with a maximum number of records. A record's
+// digest is that of an action and not of the record, so each file also has a checksum of the
+// record. Results is safe for concurrent use.
 type Results struct {
 	dir  string
 	mu   sync.Mutex
 	keys *lru.Cache[Key, struct{}]
 }
 
-// OpenResults opens a directory of at most maxRecords records. Incomplete ones are removed.
+// OpenResults opens a directory of at most maxRecords records and removes incomplete ones.
 func OpenResults(dir string, maxRecords int) (*Results, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, wrap(err)
@@ -99,7 +99,7 @@
 	return filepath.Join(r.dir, hex.EncodeToString([]byte(key.Space)), name)
 }
 
-// recordKey is the key of a record: its digest's size does not matter.
+// recordKey returns the key of a record, without the digest's size.
 func recordKey(space string, digest Digest) Key {
 	return Key{space, Digest{Hash: digest.Hash, Function: digest.Function}}
 }
@@ -111,14 +111,14 @@
 	return r.keys.Keys()
 }
 
-// Has reports whether there is a record.
+// Has reports whether there is a record with a digest.
 func (r *Results) Has(space string, digest Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keys.Contains(recordKey(space, digest))
 }
 
-// Get reads a record. A corrupt one is removed, and ErrNotFound returned.
+// Get reads a record. If the record is corrupt, Get removes it and returns ErrNotFound.
 func (r *Results) Get(space string, digest Digest) ([]byte, error) {
 	key := recordKey(space, digest)
 	if err := key.Check(); err != nil {
@@ -145,7 +145,7 @@
 	return body, nil
 }
 
-// Put stores a record, replacing any other. The record is on disk when it returns.
+// Put stores a record durably, replacing an existing one.
 func (r *Results) Put(space string, digest Digest, body []byte) error {
 	key := recordKey(space, digest)
 	if err := key.Check(); err != nil {
--- a/internal/blobstore/resume.go
+++ b/internal/blobstore/resume.go
@@ -12,29 +12,28 @@
 	"time"
 )
 
-// A named upload can be resumed after the process has ended: its bytes stay in a file of
-// that name until it is committed, aborted or expired. They are verified with the whole
-// blob only.
+// A named upload can be resumed after a restart of the process: its bytes stay in a file, named
+// by the hash of the upload's name, until it is committed, aborted or expired. They are only
+// verified when the whole blob is committed.
 
-// namedPrefix begins the names of the files of named uploads.
+// namedPrefix is the prefix of the file names of named uploads.
 const namedPrefix = "kept-"
 
-// interruptedUpload is what an earlier process left of a named upload. Its space is not
-// known until it is resumed.
+// interruptedUpload is the file of a named upload that an earlier process left. Its space is
+// not known until it is resumed.
 type interruptedUpload struct {
 	size     int64
 	modified time.Time
 }
 
 // namedPath returns the file of a named upload.
-
 func (s *Store) namedPath(name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return filepath.Join(s.dir, tempDir, namedPrefix+hex.EncodeToString(sum[:]))
 }
 
-// Resume begins a named upload, or resumes it where an earlier process or attempt left it,
-// which Size returns. The caller ensures that a name has one upload at a time.
+// Resume begins a named upload, or resumes it after the bytes that were received earlier, whose
+// number Size returns. The caller must not use the same name for two uploads at a time.
 func (s *Store) Resume(name string, key Key) (*Upload, error) {
 	if err := s.checkUpload(key); err != nil {
 		return nil, err
@@ -42,7 +41,7 @@
 	return s.resume(name, key)
 }
 
-// resume is Resume without a check of the digest.
+// resume is Resume without the check of the digest.
 func (s *Store) resume(name string, key Key) (*Upload, error) {
 	path := s.namedPath(name)
 	s.mu.Lock()
@@ -63,8 +62,8 @@
 	return upload, nil
 }
 
-// reopen opens the file and hashes what it holds. If that is more than the blob, the
-// upload starts over.
+// reopen opens the upload's file and hashes its bytes. If the file is larger than the blob, the
+// upload starts from the beginning.
 func (u *Upload) reopen(path string) (err error) {
 	if u.file, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return err
@@ -88,10 +87,10 @@
 	return err
 }
 
-// Spool is a named upload of compressed bytes, which are not the blob's own.
+// Spool is a named upload of a blob's compressed bytes, which do not match the blob's digest.
 type Spool struct{ upload *Upload }
 
-// Spool begins or resumes a spool of at most maxBytes.
+// Spool begins or resumes a spool of at most maxBytes bytes.
 func (s *Store) Spool(name, space string, maxBytes int64) (*Spool, error) {
 	upload, err := s.resume(name, Key{Space: space, Digest: Digest{Size: maxBytes}})
 	if err != nil {
@@ -100,13 +99,13 @@
 	return &Spool{upload}, nil
 }
 
-// Write adds bytes. It refuses more than the spool's maximum.
+// Write appends bytes. It fails if the spool would exceed its maximum size.
 func (s *Spool) Write(p []byte) (int, error) { return s.upload.Write(p) }
 
 // Size returns how many bytes were written.
 func (s *Spool) Size() int64 { return s.upload.written }
 
-// Reader returns a reader of all bytes written.
+// Reader returns a reader of all bytes written so far.
 func (s *Spool) Reader() io.Reader { return io.NewSectionReader(s.upload.file, 0, s.upload.written) }
 
 // Abort discards the spool.
@@ -121,7 +120,7 @@
 	return info.Size()
 }
 
-// ReadReceived reads the stored bytes of a named upload, from an offset on.
+// ReadReceived opens the stored bytes of a named upload for reading from an offset.
 func (s *Store) ReadReceived(name string, offset int64) (io.ReadCloser, error) {
 	file, err := os.Open(s.namedPath(name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -137,8 +136,8 @@
 	return file, nil
 }
 
-// Expire discards uploads of earlier processes that were not resumed and last modified
-// before a time.
+// Expire discards interrupted uploads of earlier processes that were last modified before a
+// time.
 func (s *Store) Expire(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,11 +152,11 @@
 func (s *Store) discardInterrupted(path string, upload interruptedUpload) {
 	s.used -= upload.size
 	delete(s.interrupted, path)
-	_ = os.Remove(path) // a file that stays is found at the next start
+	_ = os.Remove(path) // if the file remains, the next start finds it
 }
 
-// scanUploads finds the files of uploads that did not end. Those of named uploads can be
-// resumed; the others are removed.
+// scanUploads finds the files of unfinished uploads. It adds named uploads to the interrupted
+// ones, which can be resumed, and removes the other files.
 func (s *Store) scanUploads(found *Opened) error {
 	files, err := os.ReadDir(filepath.Join(s.dir, tempDir))
 	if err != nil {
@@ -167,7 +166,7 @@
 		path := filepath.Join(s.dir, tempDir, file.Name())
 		info, err := file.Info()
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // removed since the directory was read
+			continue // removed after the directory was read
 		}
 		if err != nil {
 			return err
--- a/internal/blobstore/stats.go
+++ b/internal/blobstore/stats.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Stats are the store's figures; sizes are in bytes.
+// Stats are the store's statistics, with sizes in bytes.
 type Stats struct {
 	Blobs                             int
 	Bytes, MaxBytes, Evicted, Corrupt int64
 	Spaces                            map[string]SpaceStats
 }
 
-// SpaceStats are the figures of a space: its blobs, how many of their bytes are retained
-// or pinned and so can't be evicted now, and its quota.
+// SpaceStats are the statistics of a space. Retained and pinned bytes can't be evicted at
+// present.
 type SpaceStats struct {
 	Blobs                          int
 	Bytes, Retained, Pinned, Quota int64
 }
 
-// Stats returns the store's figures.
+// Stats returns the store's statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/blobstore/store.go
+++ b/internal/blobstore/store.go
@@ -1,7 +1,7 @@
-// Package blobstore stores blobs on disk under their digests, bounded in size, for several
-// spaces that do not see each other's blobs. A blob is stored whole or not at all. Blobs
-// are evicted in the order of their last use, but not while they are pinned or retained.
-// The package also stores small records, the action results. It knows no protocol.
+// Package blobstore is a content-addressed store of blobs on disk with a maximum size. Blobs
+// belong to spaces, which are isolated namespaces. A blob is stored completely or not at all.
+// The least recently used blobs are evicted first, but not while they are pinned or retained.
+// The package also stores small records, the action results. It does not depend on a protocol.
 package blobstore
 
 import (
@@ -26,29 +26,29 @@
 
 // Options bound a store.
 type Options struct {
-	// MaxBytes bounds all blobs and uploads, MaxBlob one blob.
+	// MaxBytes is the maximum total size of blobs and uploads, MaxBlob that of one blob.
 	MaxBytes int64
 	MaxBlob  int64
-	// Quotas are the bytes that spaces are guaranteed: blobs within the quota of their space
-	// are not evicted for other spaces. A space takes more while there is room. One that
-	// is not named has no quota.
+	// Quotas are the bytes guaranteed to spaces: blobs within the quota of their space are not
+	// evicted for other spaces. A space may use more than its quota while there is room. A
+	// space that is not listed has a quota of zero.
 	Quotas map[string]int64
-	// Retention is the retention: how long a blob is not evicted after a caller was told
-	// that the store has it.
+	// Retention is how long a blob is not evicted after the store has reported to a caller
+	// that it has the blob.
 	Retention time.Duration
 }
 
-// Opened says what was found in the store's directory.
+// Opened reports what Open has found in the store's directory.
 type Opened struct {
 	Blobs int
 	Bytes int64
-	// Incomplete counts incomplete files, which were removed; Kept counts interrupted uploads,
-	// which can be resumed.
+	// Incomplete is the number of incomplete files, which were removed, Interrupted that of
+	// interrupted uploads, which can be resumed.
 	Incomplete, Interrupted int
 }
 
-// Store is a store of blobs. It is safe for concurrent use; one process at a time owns its
-// directory.
+// Store is a store of blobs. It is safe for concurrent use. Only one process can have its
+// directory open.
 type Store struct {
 	dir     string
 	options Options
@@ -56,10 +56,10 @@
 
 	mu          sync.Mutex
 	entries     map[Key]*entry
-	order       list.List // of *entry, the least recently used first
-	used        int64     // bytes of blobs and interrupted uploads, and reserved for uploads
+	order       list.List // of *entry, least recently used first
+	used        int64     // bytes of blobs, of interrupted uploads and reserved for uploads
 	bySpace     map[string]int64
-	interrupted map[string]interruptedUpload // by path, of earlier processes
+	interrupted map[string]interruptedUpload // by path, left by earlier processes
 	evicted     int64
 	corrupt     int64
 }
@@ -70,19 +70,19 @@
 	element       *list.Element // in the store's order
 	retainedUntil time.Time
 	pins          int
-	// verified: its bytes were checked since the process started.
+	// verified is whether this process has checked the blob's bytes.
 	verified bool
 }
 
-// Names in the store's directory.
+// Names of files and directories in the store's directory.
 const (
 	blobDir  = "blobs"
 	tempDir  = "uploads"
 	lockFile = "lock"
 )
 
-// Open opens the store in a directory, which is created if it does not exist. Files that a
-// killed process left incomplete are removed.
+// Open opens the store in a directory, which is created if it does not exist. It removes files
+// that a killed process left incomplete.
 func Open(dir string, options Options) (*Store, Opened, error) {
 	var found Opened
 	if err := options.check(); err != nil {
@@ -121,11 +121,11 @@
 	quotas := int64(0)
 	for space, quota := range o.Quotas {
 		if quotas += quota; quota < 0 || quotas > o.MaxBytes {
-			return fmt.Errorf("%w: the quotas of the content store, at %q", ErrInvalid, space)
+			return fmt.Errorf("%w: content store: quota of space %q is negative or the quotas exceed the store's size", ErrInvalid, space)
 		}
 	}
 	if o.MaxBytes <= 0 || o.MaxBlob <= 0 || o.MaxBlob > o.MaxBytes || o.Retention < 0 {
-		return fmt.Errorf("%w: bounds of the content store", ErrInvalid)
+		return fmt.Errorf("%w: content store: size limits must be positive, the blob limit at most the store's, and the retention not negative", ErrInvalid)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 // Close releases the directory.
 func (s *Store) Close() error { return s.lock.Close() }
 
-// scan finds the blobs in the directory, in the order of their modification.
+// scan indexes the blobs in the directory, in order of modification time.
 func (s *Store) scan(found *Opened) error {
 	if err := s.scanUploads(found); err != nil {
 		return wrap(err)
@@ -169,7 +169,8 @@
 	return nil
 }
 
-// path returns the file of a blob: blobs/SPACE/HH/HASH-SIZE[-FUNCTION], with the space in hex.
+// path returns the file of a blob: blobs/SPACE/HH/HASH-SIZE[-FUNCTION], with the space in hex
+// and HH the first two digits of the hash.
 func (s *Store) path(key Key) string {
 	name := key.Hash + "-" + strconv.FormatInt(key.Size, 10)
 	if key.Function != SHA256 {
@@ -194,7 +195,7 @@
 	return key, spaceErr == nil && sizeErr == nil && key.Check() == nil && s.path(key) == path
 }
 
-// addEntry adds a blob as the most recently used. s.mu is held.
+// addEntry adds a blob to the index as the most recently used. s.mu is held.
 func (s *Store) addEntry(key Key, verified bool) *entry {
 	e := &entry{key: key, verified: verified}
 	e.element = s.order.PushBack(e)
@@ -209,7 +210,7 @@
 	s.account(e.key.Space, -e.key.Size)
 }
 
-// forget removes a blob whose file is gone or corrupt from the index.
+// forget removes a blob from the index because its file is missing or corrupt.
 func (s *Store) forget(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,8 +256,8 @@
 	return missing
 }
 
-// Pin prevents the eviction of blobs until the returned function is called. If some are
-// missing, it returns these and pins none.
+// Pin prevents the eviction of blobs until the returned function is called. If some blobs are
+// missing, it returns their digests and pins none.
 func (s *Store) Pin(space string, digests []Digest) (unpin func(), missing []Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,7 +288,7 @@
 	}), nil
 }
 
-// Keys returns the keys of all blobs, in no order.
+// Keys returns the keys of all blobs in unspecified order.
 func (s *Store) Keys() []Key {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-func open(t *testing.T, dir string, opt Options) (*Store, Opened) {
+func open(t *testing.T, dir string, options Options) (*Store, Opened) {
 	t.Helper()
-	s, found, err := Open(dir, opt)
+	s, found, err := Open(dir, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,61 +42,63 @@
 	return key
 }
 
+// Blobs are visible in their own space only, and bytes that do not match their digest, malformed
+// digests and blobs that are too large must be rejected.
 func TestDigestsAreVerified(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute})
 	data := blob(1, 5000)
 	key := put(t, s, "red", data)
 	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("read %d bytes with error %v, want the %d bytes that were stored", len(got), err, len(data))
 	}
-	// It is not visible in another space.
+	// The blob must not be visible in another space.
 	if _, err := s.Read(Key{"blue", key.Digest}, 1<<16); !errors.Is(err, ErrNotFound) {
-		t.Errorf("another space: %v", err)
+		t.Errorf("read in another space: got error %v, want ErrNotFound", err)
 	}
 	if m := s.Missing("blue", []Digest{key.Digest, Empty}); len(m) != 1 {
-		t.Errorf("another space misses %v", m)
+		t.Errorf("another space: got missing digests %v, want 1", m)
 	}
 	for name, err := range map[string]error{
-		"other bytes":    s.Put(Key{"red", key.Digest}, blob(2, 5000)),
-		"other new":      s.Put(Key{"red", Of([]byte("x"))}, []byte("y")),
-		"shorter":        s.Put(Key{"red", Of(blob(3, 10))}, blob(3, 9)),
-		"not nothing":    s.Put(Key{"red", Empty}, []byte("x")),
-		"longer than is": s.Put(Key{"red", Of(blob(4, 10))}, append(blob(4, 10), 1)),
+		"other bytes of a stored blob": s.Put(Key{"red", key.Digest}, blob(2, 5000)),
+		"other bytes of a new blob":    s.Put(Key{"red", Of([]byte("x"))}, []byte("y")),
+		"too few bytes":                s.Put(Key{"red", Of(blob(3, 10))}, blob(3, 9)),
+		"bytes of the empty blob":      s.Put(Key{"red", Empty}, []byte("x")),
+		"too many bytes":               s.Put(Key{"red", Of(blob(4, 10))}, append(blob(4, 10), 1)),
 	} {
 		if !errors.Is(err, ErrMismatch) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want ErrMismatch", name, err)
 		}
 	}
 	for _, d := range []Digest{{Hash: "x", Size: 1}, {Hash: key.Hash, Size: -1}, {Hash: strings.ToUpper(key.Hash), Size: key.Size}, {Hash: "../../../../etc/passwd" + key.Hash[22:], Size: 4}, {}, {Hash: key.Hash, Size: key.Size, Function: 7}} {
 		if _, err := s.Create(Key{"red", d}); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%v: %v", d, err)
+			t.Errorf("Create(%v): got error %v, want ErrInvalid", d, err)
 		}
 		if _, err := s.Open(Key{"red", d}); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%v: %v", d, err)
+			t.Errorf("Open(%v): got error %v, want ErrInvalid", d, err)
 		}
 	}
 	if _, err := s.Create(Key{"red", Digest{Hash: key.Hash, Size: 1<<16 + 1}}); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too large: %v", err)
+		t.Errorf("blob that is too large: got error %v, want ErrTooLarge", err)
 	}
 	if st := s.Stats(); st.Bytes != 5000 || st.Blobs != 1 {
-		t.Errorf("%+v: what failed keeps room", st)
+		t.Errorf("got %+v, want 1 blob of 5000 bytes and nothing reserved by failed uploads", st)
 	}
-	// Spaces whose names look like paths stay inside the directory.
+	// The files of a space whose name looks like a path must stay in the directory.
 	put(t, s, "../../out", data)
 }
 
-// Retained, pinned and open blobs are not evicted; the others are, least recently used
-// first, and room is freed when retentions end.
+// Retained, pinned and open blobs must not be evicted. Other blobs are evicted when the store is
+// full, also after their retention has ended.
 func TestEviction(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 10_000, MaxBlob: 10_000, Retention: 300 * time.Millisecond})
 	old, pinned, read := put(t, s, "a", blob(1, 3000)), put(t, s, "a", blob(2, 3000)), put(t, s, "a", blob(3, 3000))
 	var full *FullError
 	if err := s.Put(Key{"a", Of(blob(4, 3000))}, blob(4, 3000)); !errors.As(err, &full) || full.RetryAfter < time.Second {
-		t.Fatalf("promised blobs were evicted: %v", err)
+		t.Fatalf("Put in a store full of retained blobs: got error %v, want a FullError with a delay of a second or more", err)
 	}
 	unpin, missing := s.Pin("a", []Digest{pinned.Digest})
 	if len(missing) > 0 {
-		t.Fatal("missing")
+		t.Fatalf("Pin: got missing digests %v, want none", missing)
 	}
 	r, err := s.Open(read)
 	if err != nil {
@@ -105,13 +107,13 @@
 	time.Sleep(400 * time.Millisecond)
 	put(t, s, "a", blob(4, 3000))
 	if s.Has(old) || !s.Has(pinned) || !s.Has(read) {
-		t.Errorf("old %v, pinned %v, read %v", s.Has(old), s.Has(pinned), s.Has(read))
+		t.Errorf("stored: old %v, pinned %v, open %v; want false, true, true", s.Has(old), s.Has(pinned), s.Has(read))
 	}
 	if err := s.Put(Key{"a", Of(blob(5, 6000))}, blob(5, 6000)); !errors.As(err, &full) {
-		t.Errorf("what is in use was evicted: %v", err)
+		t.Errorf("Put in a store full of blobs in use: got error %v, want a FullError", err)
 	}
 	if got, err := io.ReadAll(r); err != nil || !bytes.Equal(got, blob(3, 3000)) {
-		t.Errorf("read %d bytes, %v", len(got), err)
+		t.Errorf("open blob: read %d bytes with error %v, want the 3000 bytes that were stored", len(got), err)
 	}
 	unpin()
 	unpin() // a second call does nothing
@@ -121,19 +123,19 @@
 	time.Sleep(400 * time.Millisecond)
 	put(t, s, "a", blob(5, 6000))
 	if st := s.Stats(); st.Bytes > 10_000 || st.Evicted < 2 {
-		t.Errorf("%+v", st)
+		t.Errorf("got %+v, want at most 10000 bytes and at least 2 evicted blobs", st)
 	}
 	if _, missing := s.Pin("a", []Digest{old.Digest, Of(blob(5, 6000))}); len(missing) != 1 {
-		t.Errorf("missing %v", missing)
+		t.Errorf("Pin: got missing digests %v, want 1", missing)
 	}
 }
 
-// After a kill and restart the directory holds whole blobs only, and corrupt ones are not
-// served.
+// After a kill and a restart, the store must have complete blobs only and must not serve corrupt
+// ones.
 func TestRestartAfterKill(t *testing.T) {
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute}
-	s, _ := open(t, dir, opt)
+	options := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute}
+	s, _ := open(t, dir, options)
 	good, short, flipped := put(t, s, "a", blob(1, 4000)), put(t, s, "a", blob(2, 4000)), put(t, s, "a", blob(3, 4000))
 	upload, err := s.Create(Key{"a", Of(blob(4, 4000))})
 	if err != nil {
@@ -142,10 +144,10 @@
 	if _, err := upload.Write(blob(4, 4000)[:1000]); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(dir, opt); err == nil {
-		t.Fatal("two processes have the folder")
+	if _, _, err := Open(dir, options); err == nil {
+		t.Fatal("a second process could open the directory")
 	}
-	if err := s.Close(); err != nil { // the upload is left as by a kill
+	if err := s.Close(); err != nil { // leaves the upload unfinished, as a kill does
 		t.Fatal(err)
 	}
 	if err := os.Truncate(s.path(short), 3000); err != nil {
@@ -159,34 +161,34 @@
 	if err := os.WriteFile(filepath.Join(filepath.Dir(s.path(good)), "stray"), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, found := open(t, dir, opt)
+	s, found := open(t, dir, options)
 	if found.Incomplete != 3 || found.Blobs != 2 {
-		t.Errorf("%+v", found)
+		t.Errorf("got %+v, want 3 incomplete files and 2 blobs", found)
 	}
 	if got, err := s.Read(good, 1<<16); err != nil || !bytes.Equal(got, blob(1, 4000)) {
-		t.Errorf("%v", err)
+		t.Errorf("complete blob: read %d bytes with error %v, want the 4000 bytes that were stored", len(got), err)
 	}
 	if _, err := s.Read(flipped, 1<<16); !errors.Is(err, ErrNotFound) {
-		t.Errorf("changed bytes were served: %v", err)
+		t.Errorf("corrupt blob: got error %v, want ErrNotFound", err)
 	}
 	if s.Has(flipped) || s.Has(short) {
-		t.Error("what is torn is said to be here")
+		t.Error("a corrupt or truncated blob is reported as stored")
 	}
-	// It can be stored again.
+	// The corrupt blob can be stored again.
 	put(t, s, "a", blob(3, 4000))
 	if st := s.Stats(); st.Corrupt != 1 || st.Bytes != 8000 {
-		t.Errorf("%+v", st)
+		t.Errorf("got %+v, want 1 corrupt blob and 8000 bytes", st)
 	}
 	// A blob whose file is removed while the process runs is missing too.
 	if err := os.Remove(s.path(good)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Read(good, 1<<16); !errors.Is(err, ErrNotFound) || s.Has(good) {
-		t.Errorf("a file that is gone: %v", err)
+		t.Errorf("blob whose file was removed: got error %v, want ErrNotFound and that Has is false", err)
 	}
 }
 
-// A process is killed while it writes: every blob that it acknowledged is stored whole.
+// A process is killed while it writes. Every blob that it acknowledged must be complete.
 func TestWritesSurviveKill(t *testing.T) {
 	if dir := os.Getenv("CONTENT_TEST_DIR"); dir != "" {
 		s, _, err := Open(dir, Options{MaxBytes: 1 << 30, MaxBlob: 1 << 20, Retention: time.Minute})
@@ -221,18 +223,18 @@
 		for i := range acknowledged {
 			data := blob(seed*100_000+i, 1+i*37%50_000)
 			if got, err := s.Read(Key{"a", Of(data)}, 1<<20); err != nil || !bytes.Equal(got, data) {
-				t.Errorf("seed %d: blob %d was written, yet %v", seed, i, err)
+				t.Errorf("seed %d: acknowledged blob %d: read %d bytes with error %v, want %d bytes", seed, i, len(got), err, len(data))
 			}
 		}
-		t.Logf("seed %d: %d written, %+v", seed, acknowledged, found)
+		t.Logf("seed %d: %d blobs acknowledged, store opened with %+v", seed, acknowledged, found)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Concurrent use of a store that is too small for all blobs: no wrong bytes are served, and
-// the accounts add up.
+// Under concurrent use of a store that is too small for all blobs, reads must return the right
+// bytes, and the accounting must match the files on disk.
 func TestConcurrentUse(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 60_000, MaxBlob: 10_000})
 	var wg sync.WaitGroup
@@ -246,7 +248,7 @@
 					t.Errorf("put: %v", err)
 				}
 				if got, err := s.Read(key, 1<<20); err == nil && !bytes.Equal(got, data) {
-					t.Error("other bytes were read")
+					t.Error("a read returned wrong bytes")
 				} else if err != nil && !errors.Is(err, ErrNotFound) {
 					t.Errorf("read: %v", err)
 				}
@@ -263,10 +265,11 @@
 		return err
 	})
 	if err != nil || sum != st.Bytes || st.Bytes > 60_000 {
-		t.Errorf("%d bytes on disk, %+v, %v", sum, st, err)
+		t.Errorf("got %d bytes on disk with error %v and statistics %+v, want the same number of bytes, at most 60000", sum, err, st)
 	}
 }
 
+// The oldest records are evicted, corrupt ones are not served, and the others survive a restart.
 func TestResults(t *testing.T) {
 	dir := t.TempDir()
 	r, err := OpenResults(dir, 3)
@@ -280,13 +283,13 @@
 		}
 	}
 	if _, err := r.Get("red", key(0)); !errors.Is(err, ErrNotFound) {
-		t.Errorf("the oldest of too many: %v", err)
+		t.Errorf("evicted record: got error %v, want ErrNotFound", err)
 	}
 	if _, err := r.Get("blue", key(1)); !errors.Is(err, ErrNotFound) {
-		t.Errorf("another space's: %v", err)
+		t.Errorf("record of another space: got error %v, want ErrNotFound", err)
 	}
 	if err := r.Put("red", Digest{Hash: "../x", Size: 1}, nil); !errors.Is(err, ErrInvalid) {
-		t.Errorf("a path: %v", err)
+		t.Errorf("digest that is a path: got error %v, want ErrInvalid", err)
 	}
 	path := r.path(Key{"red", Digest{Hash: key(2).Hash, Size: 0}})
 	data, err := os.ReadFile(path)
@@ -306,20 +309,20 @@
 	for i, want := range map[int]bool{1: true, 2: false, 3: true} {
 		got, err := r.Get("red", key(i))
 		if (err == nil) != want || want && !bytes.Equal(got, []byte{byte(i), 1}) {
-			t.Errorf("%d: %v %v", i, got, err)
+			t.Errorf("record %d: got %v with error %v, want it present: %v", i, got, err, want)
 		}
 	}
 }
 
-// A space may fill the store but for a share of the unused quotas of others, and blobs
-// within their quotas stay when it takes more.
+// A space may fill the store except for a fraction of the unused quotas of other spaces. Blobs
+// within the quota of their space must not be evicted for it.
 func TestQuotas(t *testing.T) {
 	if _, _, err := Open(t.TempDir(), Options{MaxBytes: 100, MaxBlob: 10, Quotas: map[string]int64{"red": 60, "blue": 50}}); !errors.Is(err, ErrInvalid) {
-		t.Fatalf("quotas above the store pass: %v", err)
+		t.Fatalf("quotas exceeding the size of the store: got error %v, want ErrInvalid", err)
 	}
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 100_000, MaxBlob: 10_000, Quotas: map[string]int64{"red": 40_000, "blue": 40_000}}
-	s, _ := open(t, dir, opt)
+	options := Options{MaxBytes: 100_000, MaxBlob: 10_000, Quotas: map[string]int64{"red": 40_000, "blue": 40_000}}
+	s, _ := open(t, dir, options)
 	seed := 0
 	next := func(space string) (Key, error) {
 		seed++
@@ -333,8 +336,8 @@
 			t.Fatal(err)
 		}
 	}
-	if got := bytes("red"); got != 90_000 { // a quarter of blue's 40,000 stays free
-		t.Errorf("red holds %d", got)
+	if got := bytes("red"); got != 90_000 { // a quarter of blue's unused quota of 40000 stays free
+		t.Errorf("red uses %d bytes, want 90000", got)
 	}
 	var first Key
 	for i := range 60 {
@@ -343,11 +346,11 @@
 			t.Fatal(err)
 		}
 		if i == 20 {
-			first = key // its first 20 are evicted as blue goes beyond its quota
+			first = key // the first 20 are evicted when blue exceeds its quota
 		}
 	}
 	if r, b := bytes("red"), bytes("blue"); r < 40_000 || b < 40_000 || r+b > 100_000 {
-		t.Errorf("red holds %d, blue %d", r, b)
+		t.Errorf("red uses %d bytes, blue %d; want at least 40000 each and at most 100000 in total", r, b)
 	}
 	for range 300 {
 		if _, err := next("red"); err != nil {
@@ -355,45 +358,46 @@
 		}
 	}
 	if got := bytes("blue"); got < 40_000 {
-		t.Errorf("a flood of red left blue %d of its quota of 40000", got)
+		t.Errorf("after many uploads by red, blue has %d bytes, want at least its quota of 40000", got)
 	}
 	if !s.Has(first) {
-		t.Error("a blob within blue's quota is gone")
+		t.Error("a blob within blue's quota was evicted")
 	}
-	// Retained blobs of a space beyond its quota can't be evicted; the refusal says until when.
+	// Retained blobs of a space beyond its quota can't be evicted. The FullError has the time
+	// until the first retention ends.
 	_ = s.Close()
-	opt.Retention = time.Minute
-	s, _ = open(t, t.TempDir(), opt)
+	options.Retention = time.Minute
+	s, _ = open(t, t.TempDir(), options)
 	defer s.Close() //nolint:errcheck // the test ends
 	var full *FullError
 	for {
 		if _, err := next("red"); err != nil {
 			if !errors.As(err, &full) || full.RetryAfter < 50*time.Second {
-				t.Fatal(err)
+				t.Fatalf("got error %v, want a FullError with a delay of at least 50 s", err)
 			}
 			break
 		}
 	}
 	for range 10 {
 		if _, err := next("blue"); err != nil {
-			t.Fatalf("blue finds no room within its quota: %v", err)
+			t.Fatalf("upload by blue within its quota: %v", err)
 		}
 	}
 	st := s.Stats()
 	if sp := st.Spaces["red"]; sp.Retained != sp.Bytes || sp.Quota != 40_000 || sp.Blobs != int(sp.Bytes/1000) || st.Bytes != sp.Bytes+st.Spaces["blue"].Bytes {
-		t.Errorf("%+v", st)
+		t.Errorf("got %+v, want all blobs of red retained, its quota 40000, and sums that agree", st)
 	}
 }
 
-// An interrupted named upload can be resumed after a kill, fails if its bytes changed on
-// disk, takes room, is evicted first, and expires.
+// An interrupted named upload can be resumed after a restart. It fails if its bytes were altered
+// on disk, counts as used space, is removed before blobs are evicted, and expires.
 func TestResumption(t *testing.T) {
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 10_000, MaxBlob: 9_000, Retention: time.Minute}
-	s, _ := open(t, dir, opt)
+	options := Options{MaxBytes: 10_000, MaxBlob: 9_000, Retention: time.Minute}
+	s, _ := open(t, dir, options)
 	data := blob(1, 6000)
 	key := Key{"a", Of(data)}
-	begin := func(name string, key Key, data []byte) *Upload {
+	startUpload := func(name string, key Key, data []byte) *Upload {
 		t.Helper()
 		upload, err := s.Resume(name, key)
 		if err != nil {
@@ -404,78 +408,78 @@
 		}
 		return upload
 	}
-	again := func() Opened {
+	restart := func() Opened {
 		t.Helper()
 		_ = s.Close()
 		var found Opened
-		s, found = open(t, dir, opt)
+		s, found = open(t, dir, options)
 		return found
 	}
-	begin("one", key, data[:2000])
-	if found := again(); found.Interrupted != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.Received("one") != 2000 || s.Received("two") != 0 {
-		t.Fatalf("%+v", found)
+	startUpload("one", key, data[:2000])
+	if found := restart(); found.Interrupted != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.Received("one") != 2000 || s.Received("two") != 0 {
+		t.Fatalf("got %+v, want 1 interrupted upload of 2000 bytes", found)
 	}
 	upload, err := s.Resume("one", key)
 	if err != nil || upload.Size() != 2000 || s.Stats().Bytes != 6000 {
-		t.Fatal(err, s.Stats())
+		t.Fatalf("got error %v and statistics %+v, want 2000 bytes resumed and 6000 reserved", err, s.Stats())
 	}
 	if _, err := upload.Write(data[2000:]); err != nil || upload.Commit() != nil {
 		t.Fatal(err)
 	}
 	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) || s.Received("one") != 0 {
-		t.Fatal(err)
+		t.Fatalf("resumed blob: read %d bytes with error %v, want the 6000 bytes that were uploaded and no upload left", len(got), err)
 	}
 
-	// Its bytes changed at rest.
+	// The bytes of an interrupted upload are altered on disk.
 	other := blob(2, 3000)
-	begin("flipped", Key{"a", Of(other)}, other[:1500])
-	again()
+	startUpload("flipped", Key{"a", Of(other)}, other[:1500])
+	restart()
 	file := s.namedPath("flipped")
 	bad := append([]byte(nil), other[:1500]...)
 	bad[7] ^= 1
 	if err := os.WriteFile(file, bad, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := begin("flipped", Key{"a", Of(other)}, other[1500:]).Commit(); !errors.Is(err, ErrMismatch) {
-		t.Errorf("changed bytes became a blob: %v", err)
+	if err := startUpload("flipped", Key{"a", Of(other)}, other[1500:]).Commit(); !errors.Is(err, ErrMismatch) {
+		t.Errorf("commit of altered bytes: got error %v, want ErrMismatch", err)
 	}
-	if err := begin("flipped", Key{"a", Of(other)}, other).Commit(); err != nil {
+	if err := startUpload("flipped", Key{"a", Of(other)}, other).Commit(); err != nil {
 		t.Error(err)
 	}
 
 	// Interrupted uploads are removed before blobs are evicted.
-	begin("left", Key{"a", Of(blob(3, 900))}, blob(3, 900)[:800])
-	again()
+	startUpload("left", Key{"a", Of(blob(3, 900))}, blob(3, 900)[:800])
+	restart()
 	s.Missing("a", []Digest{key.Digest, Of(other)})
 	put(t, s, "a", blob(4, 900))
 	if !s.Has(key) || s.Received("left") != 0 || s.Stats().Bytes != 9900 {
-		t.Errorf("%+v, left %d", s.Stats(), s.Received("left"))
+		t.Errorf("got %+v and %d bytes of the interrupted upload, want 9900 bytes used and the upload removed", s.Stats(), s.Received("left"))
 	}
 
-	// A file larger than the blob is discarded, and old ones expire.
+	// A file that is larger than the blob is discarded, and an old upload expires.
 	s.forget(key)
-	begin("long", Key{"a", Of(blob(5, 900))}, blob(5, 900))
-	again()
+	startUpload("long", Key{"a", Of(blob(5, 900))}, blob(5, 900))
+	restart()
 	if upload, err := s.Resume("long", Key{"a", Of(blob(6, 100))}); err != nil || upload.Size() != 0 {
-		t.Error(err)
+		t.Errorf("resuming with a file larger than the blob: got error %v, want an upload of size 0", err)
 	}
-	begin("old", Key{"a", Of(blob(7, 900))}, blob(7, 300))
-	again()
+	startUpload("old", Key{"a", Of(blob(7, 900))}, blob(7, 300))
+	restart()
 	s.Expire(time.Now().Add(-time.Minute))
 	if s.Received("old") != 300 {
-		t.Error("what is new has gone")
+		t.Error("a recent upload has expired")
 	}
 	s.Expire(time.Now().Add(time.Second))
 	if s.Received("old") != 0 || len(s.interrupted) != 0 {
-		t.Error("what is old stays")
+		t.Error("an old upload has not expired")
 	}
 }
 
-// The same bytes under two functions are two blobs, also after a restart.
+// The same bytes with two digest functions are two blobs, also after a restart.
 func TestDigestFunctions(t *testing.T) {
 	dir := t.TempDir()
-	opt := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute}
-	s, _ := open(t, dir, opt)
+	options := Options{MaxBytes: 1 << 20, MaxBlob: 1 << 16, Retention: time.Minute}
+	s, _ := open(t, dir, options)
 	data := blob(1, 500)
 	for _, d := range []Digest{Of(data), BLAKE3.Of(data)} {
 		if err := s.Put(Key{"a", d}, data); err != nil {
@@ -484,12 +488,12 @@
 	}
 	wrong := Key{"a", Digest{Hash: Of(data).Hash, Size: 500, Function: BLAKE3}}
 	if err := s.Put(wrong, data); !errors.Is(err, ErrMismatch) || !BLAKE3.Of(nil).IsEmpty() || BLAKE3.Of(nil) == Empty {
-		t.Error(err)
+		t.Errorf("SHA-256 hash as BLAKE3 digest: got error %v, want ErrMismatch and an empty blob per function", err)
 	}
 	_ = s.Close()
-	s, found := open(t, dir, opt)
+	s, found := open(t, dir, options)
 	if found.Blobs != 2 || !s.Has(Key{"a", BLAKE3.Of(data)}) || s.Has(wrong) {
-		t.Errorf("%+v", found)
+		t.Errorf("got %+v, want 2 blobs, one per function", found)
 	}
 	r, err := OpenResults(filepath.Join(dir, "results"), 10)
 	if err != nil {
@@ -502,9 +506,9 @@
 		t.Fatal(err)
 	}
 	if got, err := r.Get("a", BLAKE3.Of(data)); err != nil || string(got) != "blake" {
-		t.Error(string(got), err)
+		t.Errorf("record of a BLAKE3 digest: got %q with error %v, want \"blake\"", got, err)
 	}
 	if _, err := r.Get("a", Digest{Hash: BLAKE3.Of(data).Hash}); !errors.Is(err, ErrNotFound) {
-		t.Error("a record under another function:", err)
+		t.Error("record of another digest function: want ErrNotFound, got error", err)
 	}
 }
--- a/internal/blobstore/upload.go
+++ b/internal/blobstore/upload.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Upload is a blob that is being written. The store's room for it is reserved until it is
+// Upload is a blob that is being written. Its size stays reserved in the store until it is
 // committed or aborted.
 type Upload struct {
 	store   *Store
@@ -21,7 +21,7 @@
 	closed  bool
 }
 
-// Create begins the upload of a blob and reserves room for all of it.
+// Create begins the upload of a blob and reserves its full size.
 func (s *Store) Create(key Key) (*Upload, error) {
 	if err := s.checkUpload(key); err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	return &Upload{store: s, key: key, file: file, hasher: key.Function.New()}, nil
 }
 
-// checkUpload checks that the store accepts a blob of this digest.
+// checkUpload checks that the store accepts a blob with this digest.
 func (s *Store) checkUpload(key Key) error {
 	if err := key.Check(); err != nil {
 		return err
@@ -54,7 +54,7 @@
 // Size returns how many bytes were written.
 func (u *Upload) Size() int64 { return u.written }
 
-// Write adds bytes. It refuses more than the digest's size.
+// Write appends bytes. It fails if the upload would exceed the digest's size.
 func (u *Upload) Write(data []byte) (int, error) {
 	if u.written+int64(len(data)) > u.key.Size {
 		return 0, fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.key.Size)
@@ -68,7 +68,7 @@
 	return n, nil
 }
 
-// Abort discards the upload, unless it was committed.
+// Abort discards the upload. It does nothing after a commit.
 func (u *Upload) Abort() {
 	if u.closed {
 		return
@@ -79,8 +79,7 @@
 	u.store.release(u.key)
 }
 
-// Commit verifies the digest and makes the blob visible. The blob is on disk and retained
-// when it returns.
+// Commit verifies the digest, stores the blob durably, makes it visible and retains it.
 func (u *Upload) Commit() error {
 	defer u.Abort()
 	if u.written != u.key.Size || hex.EncodeToString(u.hasher.Sum(nil)) != u.key.Hash {
@@ -99,7 +98,7 @@
 	u.store.mu.Lock()
 	defer u.store.mu.Unlock()
 	retainedUntil := time.Now().Add(u.store.options.Retention)
-	if e := u.store.entries[u.key]; e != nil { // a concurrent upload of the same blob was faster
+	if e := u.store.entries[u.key]; e != nil { // a concurrent upload of the same blob was committed first
 		e.retainedUntil = retainedUntil
 		u.store.order.MoveToBack(e.element)
 		u.closed = true
@@ -114,7 +113,7 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// syncDir makes the entries of a directory durable.
+// syncDir writes the entries of a directory to disk.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -127,7 +126,7 @@
 	return nil
 }
 
-// Put stores a whole blob.
+// Put stores a blob whose bytes are all in memory.
 func (s *Store) Put(key Key, data []byte) error {
 	if key.IsEmpty() || s.Has(key) {
 		if key.Function.Of(data) != key.Digest {
