--- a/internal/audit/archive/archive.go
+++ b/internal/audit/archive/archive.go
@@ -1,6 +1,5 @@
-// Package archive writes the audit into files that can be verified by themselves, and
-// says of such a file whether anything in it was altered, removed, reordered or
-// cut off. The controllers do not use it.
+// Package archive exports the audit log to files and verifies such a file offline: it detects
+// altered, removed and reordered data and truncation. The controllers do not use it.
 package archive
 
 import (
@@ -8,22 +7,22 @@
 	"encoding/json"
 )
 
-// exportFormat is the version of the format of exports.
+// exportFormat is the version of the export format.
 const exportFormat = 1
 
-// The lines of an export. Each is exactly what json.Marshal makes of it, so
-// that any other byte shows.
+// The lines of an export. Each line must be exactly the output of json.Marshal, so that a
+// change of any byte is detected.
 type (
 	// exportHead is the first line.
 	exportHead struct {
 		Format int `json:"micaspindle_audit"`
 	}
-	// exportSigner is the certificate of a signer, before its batches.
+	// exportSigner is a line with the certificate of a signer. It precedes the batches.
 	exportSigner struct {
 		Signer string `json:"signer"`
 		Cert   string `json:"certificate"`
 	}
-	// exportBatch is a batch of a chain.
+	// exportBatch is a line with a batch of a chain.
 	exportBatch struct {
 		Chain  string            `json:"chain"`
 		Number uint64            `json:"number"`
@@ -32,7 +31,7 @@
 		Sig    string            `json:"sig"`
 		Lines  []json.RawMessage `json:"lines"`
 	}
-	// exportSeal is the last line.
+	// exportSeal is the last line, with the seal.
 	exportSeal struct {
 		Seal   json.RawMessage `json:"seal"`
 		Signer string          `json:"signer"`
@@ -40,14 +39,14 @@
 	}
 )
 
-// decodeExact decodes a line that must be just what the encoder makes of it, and reports
-// whether it is.
+// decodeExact decodes a line and reports whether encoding the result gives exactly the same
+// bytes.
 func decodeExact(line []byte, out any) bool {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if decoder.Decode(out) != nil {
 		return false
 	}
-	again, err := json.Marshal(out)
-	return err == nil && bytes.Equal(again, line)
+	encoded, err := json.Marshal(out)
+	return err == nil && bytes.Equal(encoded, line)
 }
--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -34,7 +34,8 @@
 	return v
 }
 
-// stateNet carries requests to a state service, and loses answers as told.
+// stateNet sends requests to the fake state store. It drops the response if lose returns an
+// error.
 type stateNet struct {
 	s    *state.Service
 	lose func(target string, resp *transport.Response) error
@@ -53,32 +54,32 @@
 }
 
 type fixture struct {
-	t     *testing.T
-	state *state.Service
-	net   *stateNet
-	dir   string
-	ca    *pki.Authority
-	roots *x509.CertPool
-	rings map[string]*identity.Keyring
+	t        *testing.T
+	state    *state.Service
+	net      *stateNet
+	dir      string
+	ca       *pki.Authority
+	roots    *x509.CertPool
+	keyrings map[string]*identity.Keyring
 }
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{t: t, state: state.New(new(sync.Mutex)), dir: t.TempDir(), roots: x509.NewCertPool(), rings: map[string]*identity.Keyring{}}
+	f := &fixture{t: t, state: state.New(new(sync.Mutex)), dir: t.TempDir(), roots: x509.NewCertPool(), keyrings: map[string]*identity.Keyring{}}
 	f.net = &stateNet{s: f.state}
 	f.ca = must(pki.Create(f.dir, "test", time.Now(), 1000*time.Hour))
 	f.roots.AddCert(f.ca.Root())
 	for _, label := range []string{"n0", "n1"} {
 		issued := must(f.ca.Issue(must(identity.ParseName("controller/"+label)), time.Now(), time.Hour, false))
-		f.rings[label] = must(identity.Load(identity.Files{Own: issued.File, Roots: filepath.Join(f.dir, pki.RootFile)}))
+		f.keyrings[label] = must(identity.Load(identity.Files{Own: issued.File, Roots: filepath.Join(f.dir, pki.RootFile)}))
 	}
 	return f
 }
 
-// open starts the log of a controller; stop ends it as a signal does.
+// open starts the log of a controller; stop ends it as a shutdown signal does.
 func (f *fixture) open(label string) (l *audit.Log, stop func()) {
 	store := storage.NewStore(f.net, "state", settings.StateStoreLimits{RPS: 10_000, WriteRPS: 10_000, ValueKB: 8, TxnOps: 12}, 2)
 	l = audit.NewLog(store, label, func() audit.Signer {
-		key, cert := f.rings[label].Signer()
+		key, cert := f.keyrings[label].Signer()
 		return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
 	}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -95,7 +96,7 @@
 	return &protocol.Transaction{If: []protocol.Condition{{Key: key}}, Then: []protocol.Change{{Put: key, Value: protocol.Encode(map[string]any{"a": 1})}}}
 }
 
-// export writes what the log holds.
+// export returns an export of the log.
 func (f *fixture) export(l *audit.Log) []byte {
 	f.t.Helper()
 	ctx := context.Background()
@@ -113,7 +114,7 @@
 	return must(archive.Verify(bytes.NewReader(data), f.roots))
 }
 
-// sample is an export of two chains.
+// sample returns an export of two chains.
 func (f *fixture) sample() []byte {
 	a, stopA := f.open("n0")
 	b, stopB := f.open("n1")
@@ -129,21 +130,21 @@
 	return f.export(a)
 }
 
-func TestExportIsWhatWasWritten(t *testing.T) {
+func TestExportVerifies(t *testing.T) {
 	f := newFixture(t)
 	data := f.sample()
 	v := f.verify(data)
 	if len(v.Problems) > 0 || v.Records != 5 || v.Counted != 9 || len(v.Chains) != 2 || v.SealedBy != "n0" {
-		t.Errorf("%+v", v)
+		t.Errorf("got %+v, want no problems, 5 records, 9 counted, 2 chains, sealed by n0", v)
 	}
-	// To a verifier with other roots it proves nothing.
+	// A verifier with other roots must not trust the export.
 	if v := must(archive.Verify(bytes.NewReader(data), x509.NewCertPool())); len(v.Problems) == 0 {
-		t.Error("trusted without a root")
+		t.Error("the export verifies without a trusted root")
 	}
 }
 
-// each runs f for 0 to n on all cores.
-func each(n int, f func(i int)) {
+// inParallel calls f with 0 to n-1 on all cores.
+func inParallel(n int, f func(i int)) {
 	var wg sync.WaitGroup
 	workers := runtime.GOMAXPROCS(0)
 	for w := range workers {
@@ -156,19 +157,19 @@
 	wg.Wait()
 }
 
-// Any byte that differs, in the plain file or in the compressed one, is found.
-func TestEveryByteCounts(t *testing.T) {
+// A change of any byte of an export, plain or compressed, must be detected.
+func TestEveryAlteredByteIsDetected(t *testing.T) {
 	f := newFixture(t)
 	data := f.sample()
-	var packed bytes.Buffer
-	if err := archive.Compress(&packed, func(w io.Writer) error { _, err := w.Write(data); return err }); err != nil {
+	var compressed bytes.Buffer
+	if err := archive.Compress(&compressed, func(w io.Writer) error { _, err := w.Write(data); return err }); err != nil {
 		t.Fatal(err)
 	}
-	if got := must(archive.Open(packed.Bytes())); !bytes.Equal(got, data) {
-		t.Fatal("what was packed comes out otherwise")
+	if got := must(archive.Open(compressed.Bytes())); !bytes.Equal(got, data) {
+		t.Fatal("decompression does not restore the export")
 	}
-	each(len(data), func(i int) {
-		// The lowest bit, the case of a letter, and a character that JSON passes over.
+	inParallel(len(data), func(i int) {
+		// Change the lowest bit or the case of a letter, or put a space, which JSON ignores.
 		for _, c := range []byte{data[i] ^ 1, data[i] ^ 0x20, ' '} {
 			if c == data[i] {
 				continue
@@ -176,60 +177,60 @@
 			bad := bytes.Clone(data)
 			bad[i] = c
 			if len(f.verify(bad).Problems) == 0 {
-				t.Errorf("byte %d, %q changed to %q: not found", i, data[i], c)
+				t.Errorf("byte %d changed from %q to %q: not detected", i, data[i], c)
 			}
 		}
 	})
-	each(packed.Len(), func(i int) {
+	inParallel(compressed.Len(), func(i int) {
 		for bit := range 8 {
-			bad := bytes.Clone(packed.Bytes())
+			bad := bytes.Clone(compressed.Bytes())
 			bad[i] ^= 1 << bit
 			if plain, err := archive.Open(bad); err == nil && len(f.verify(plain).Problems) == 0 {
-				t.Errorf("byte %d, bit %d of the compressed file: not found", i, bit)
+				t.Errorf("byte %d, bit %d of the compressed file flipped: not detected", i, bit)
 			}
 		}
 	})
 }
 
-// Lines that are gone, double, elsewhere or cut off are found, wherever they are.
-func TestEveryLineCounts(t *testing.T) {
+// Removed, repeated and moved lines and truncation must be detected at every line.
+func TestEveryAlteredLineIsDetected(t *testing.T) {
 	f := newFixture(t)
 	data := f.sample()
 	lines := bytes.SplitAfter(data, []byte("\n"))
 	lines = lines[:len(lines)-1]
-	found := func(what string, i int, bad [][]byte) {
+	requireDetected := func(change string, i int, bad [][]byte) {
 		t.Helper()
 		if len(f.verify(bytes.Join(bad, nil)).Problems) == 0 {
-			t.Errorf("line %d %s: not found", i+1, what)
+			t.Errorf("line %d %s: not detected", i+1, change)
 		}
 	}
 	for i := range lines {
 		without := append(append([][]byte{}, lines[:i]...), lines[i+1:]...)
-		found("removed", i, without)
+		requireDetected("removed", i, without)
 		double := append(append(append([][]byte{}, lines[:i+1]...), lines[i]), lines[i+1:]...)
-		found("doubled", i, double)
+		requireDetected("repeated", i, double)
 		for j := range without {
 			if j == i || bytes.HasPrefix(lines[i], []byte(`{"signer"`)) {
-				continue // the signers stand in no order
+				continue // the order of the signers does not matter
 			}
 			moved := append(append(append([][]byte{}, without[:j]...), lines[i]), without[j:]...)
-			// A batch may come between those of another chain: order counts
-			// within a chain.
+			// A batch may be between those of another chain: only the order within a chain
+			// matters.
 			if v := f.verify(bytes.Join(moved, nil)); len(v.Problems) == 0 && !sameChains(lines, moved) {
-				t.Errorf("line %d moved to %d: not found", i+1, j+1)
+				t.Errorf("line %d moved to line %d: not detected", i+1, j+1)
 			}
 		}
 	}
-	each(len(data), func(n int) {
+	inParallel(len(data), func(n int) {
 		if len(f.verify(data[:n]).Problems) == 0 {
-			t.Errorf("cut off after %d bytes: not found", n)
+			t.Errorf("truncated after %d bytes: not detected", n)
 		}
 	})
-	found("followed by another export", len(lines), append(append([][]byte{}, lines...), lines...))
+	requireDetected("followed by another export", len(lines), append(append([][]byte{}, lines...), lines...))
 }
 
-// sameChains says whether the batches of each chain come in the same order, and
-// the head and the seal where they were.
+// sameChains reports whether the batches of each chain have the same order in a and b, and the
+// first and last lines are equal.
 func sameChains(a, b [][]byte) bool {
 	split := func(lines [][]byte) map[string]string {
 		out := map[string]string{"ends": string(lines[0]) + string(lines[len(lines)-1])}
@@ -250,14 +251,16 @@
 	return true
 }
 
-// A transaction whose answer was lost, and that the service applies later than
-// its repetition or not at all, leaves one record of one change.
+// When responses of the state store are lost and changes are retried, each change must be
+// recorded exactly once.
 func TestUnansweredCommits(t *testing.T) {
 	for name, lose := range map[string]func(n int, target string, resp *transport.Response) error{
-		"answer lost":       func(n int, _ string, _ *transport.Response) error { return lost(n == 2) },
-		"all answers lost":  func(n int, _ string, _ *transport.Response) error { return lost(n >= 2 && n < 8) },
-		"every third":       func(n int, _ string, _ *transport.Response) error { return lost(n%3 == 0) },
-		"only commits lost": func(n int, target string, _ *transport.Response) error { return lost(target == "/commit" && n%4 == 0) },
+		"answer lost":             func(n int, _ string, _ *transport.Response) error { return lostIf(n == 2) },
+		"all answers lost":        func(n int, _ string, _ *transport.Response) error { return lostIf(n >= 2 && n < 8) },
+		"every third answer lost": func(n int, _ string, _ *transport.Response) error { return lostIf(n%3 == 0) },
+		"only commits lost": func(n int, target string, _ *transport.Response) error {
+			return lostIf(target == "/commit" && n%4 == 0)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
@@ -277,7 +280,7 @@
 					_, err := l.Commit(context.Background(), put(key), record("submit", fmt.Sprintf("job-%d", i)))
 					var conflict *storage.Conflict
 					if err == nil || errors.As(err, &conflict) {
-						break // done, or was done before
+						break // committed now or by an earlier attempt
 					}
 					if tries > 50 {
 						t.Fatal(err)
@@ -302,24 +305,24 @@
 			}
 			for i := range 12 {
 				if n := jobs[fmt.Sprintf("job-%d", i)]; n != 1 {
-					t.Errorf("job-%d has %d records", i, n)
+					t.Errorf("job-%d: got %d records, want 1", i, n)
 				}
 				if n := denials[fmt.Sprintf("person/p%d", i)]; n != 1 {
-					t.Errorf("person/p%d was refused once, the audit has %d", i, n)
+					t.Errorf("person/p%d: got %d denials, want 1", i, n)
 				}
 			}
 		})
 	}
 }
 
-func lost(yes bool) error {
+func lostIf(yes bool) error {
 	if yes {
 		return errors.New("no answer")
 	}
 	return nil
 }
 
-// Many changes at a time share transactions, and each gets its own answer.
+// Concurrent changes must share transactions, and each must get its own result.
 func TestChangesShareTransactions(t *testing.T) {
 	f := newFixture(t)
 	l, stop := f.open("n0")
@@ -343,35 +346,35 @@
 					conflicts++
 					mu.Unlock()
 					if key != "taken" || len(conflict.Failed) != 1 || conflict.Failed[0] != "taken" {
-						t.Errorf("%s: %v", key, err)
+						t.Errorf("%s: got %v, want a conflict only on the key taken", key, err)
 					}
 					return
 				case err == nil:
 					if key == "taken" {
-						t.Error("a taken key was put")
+						t.Error("the key taken was written again")
 					}
 					return
 				}
-				time.Sleep(10 * time.Millisecond) // over its budget: asked again
+				time.Sleep(10 * time.Millisecond) // over the budget: retry
 			}
 		})
 	}
 	wg.Wait()
 	stop()
 	if conflicts != 20 {
-		t.Errorf("%d conflicts, want 20", conflicts)
+		t.Errorf("got %d conflicts, want 20", conflicts)
 	}
 	if n := f.state.Revision - before; n > 100 {
-		t.Errorf("%d transactions for 180 changes", n)
+		t.Errorf("got %d transactions for 180 changes, want at most 100", n)
 	}
 	if v := f.verify(f.export(l)); len(v.Problems) > 0 || v.Records != 181 {
-		t.Errorf("%d records, %v", v.Records, v.Problems)
+		t.Errorf("got %d records and problems %v, want 181 and none", v.Records, v.Problems)
 	}
 }
 
-// A controller that starts again goes on with its chain, also after many batches
-// and with a head that somebody has altered.
-func TestChainGoesOnAfterARestart(t *testing.T) {
+// A restarted controller must continue its chain, also if the stored head of the chain was
+// altered.
+func TestChainContinuesAfterARestart(t *testing.T) {
 	f := newFixture(t)
 	n := 0
 	for range 4 {
@@ -391,28 +394,28 @@
 	l, stop := f.open("n0")
 	defer stop()
 	if v := f.verify(f.export(l)); len(v.Problems) > 0 || v.Batches != 120 {
-		t.Errorf("%d batches, %v", v.Batches, v.Problems)
+		t.Errorf("got %d batches and problems %v, want 120 and none", v.Batches, v.Problems)
 	}
 }
 
-// The certificate is renewed while the chain goes on; and nobody signs for
-// somebody else's chain.
+// A renewed certificate must be accepted in the same chain, and a batch signed by another
+// controller must be reported.
 func TestSigners(t *testing.T) {
 	f := newFixture(t)
 	l, stop := f.open("n0")
 	must(l.Commit(context.Background(), put("k/1"), record("submit", "job-1")))
 	issued := must(f.ca.Issue(must(identity.ParseName("controller/n0")), time.Now(), 2*time.Hour, true))
-	f.rings["n0"] = must(identity.Load(identity.Files{Own: issued.File, Roots: filepath.Join(f.dir, pki.RootFile)}))
+	f.keyrings["n0"] = must(identity.Load(identity.Files{Own: issued.File, Roots: filepath.Join(f.dir, pki.RootFile)}))
 	must(l.Commit(context.Background(), put("k/2"), record("submit", "job-2")))
 	if v := f.verify(f.export(l)); len(v.Problems) > 0 || v.Records != 2 {
-		t.Errorf("after a renewal: %+v", v)
+		t.Errorf("after a renewal: got %+v, want 2 records and no problems", v)
 	}
-	f.rings["n0"] = f.rings["n1"]
+	f.keyrings["n0"] = f.keyrings["n1"]
 	must(l.Commit(context.Background(), put("k/3"), record("submit", "job-3")))
 	stop()
 	v := f.verify(f.export(l))
 	if len(v.Problems) == 0 || !strings.Contains(v.Problems[0].Reason, "does not write this chain") {
-		t.Errorf("signed by another controller: %v", v.Problems)
+		t.Errorf("signed by another controller: got problems %v, want that the signer does not write this chain", v.Problems)
 	}
 }
 
@@ -426,7 +429,7 @@
 			return
 		}
 		if v, err := archive.Verify(bytes.NewReader(plain), x509.NewCertPool()); err == nil && len(v.Problems) == 0 {
-			t.Errorf("%q was taken", data)
+			t.Errorf("%q verifies without trusted roots", data)
 		}
 	})
 }
--- a/internal/audit/archive/compress.go
+++ b/internal/audit/archive/compress.go
@@ -11,22 +11,23 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A compressed export is one zstd frame and, in a skippable frame behind it,
-// the SHA-256 of the first: zstd's own checksum covers the content but not each
-// byte of the frame.
+// A compressed export is a zstd frame followed by a skippable frame with the SHA-256 hash of
+// the first. The checksum of zstd is not enough: it covers the content but not every byte of
+// the frame.
 const (
 	skippableMagic = 0x184D2A5A
-	// trailerHeader is the magic number and the size of a skippable frame, four bytes each.
+	// trailerHeader is the size of the magic number and the length of a skippable frame, four
+	// bytes each.
 	trailerHeader = 8
 	trailerSize   = trailerHeader + sha256.Size
-	// maxDecoded bounds what a compressed export may take in memory, in bytes.
-	maxDecoded = 1 << 30
+	// maxDecodedBytes is the maximum size of a compressed export after decompression.
+	maxDecodedBytes = 1 << 30
 )
 
-// zstdMagic begins a zstd frame.
+// zstdMagic is the magic number at the beginning of a zstd frame.
 var zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
 
-// Compress compresses the export that write writes.
+// Compress calls write and writes its output to w in compressed form.
 func Compress(w io.Writer, write func(io.Writer) error) error {
 	hash := sha256.New()
 	encoder, err := zstd.NewWriter(io.MultiWriter(w, hash))
@@ -44,7 +45,7 @@
 	return err
 }
 
-// trailerOf is the skippable frame with the sum of the compressed frame.
+// trailerOf returns the skippable frame with the hash of the compressed frame.
 func trailerOf(sum [sha256.Size]byte) []byte {
 	trailer := make([]byte, 0, trailerSize)
 	trailer = binary.LittleEndian.AppendUint32(trailer, skippableMagic)
@@ -52,10 +53,10 @@
 	return append(trailer, sum[:]...)
 }
 
-// errAltered says that a compressed export is not what was written.
-var errAltered = errors.New("audit: the compressed file was altered or cut off")
+// errAltered means that a compressed export was altered or truncated.
+var errAltered = errors.New("audit: the compressed file was altered or truncated")
 
-// Open returns what an export holds, whether it is compressed or not.
+// Open returns the content of an export, which may be compressed or not.
 func Open(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, zstdMagic) {
 		return data, nil
@@ -67,7 +68,7 @@
 	if !bytes.Equal(trailer, trailerOf(sha256.Sum256(frame))) {
 		return nil, errAltered
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecoded))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecodedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("audit: open: %w", err)
 	}
--- a/internal/audit/archive/export.go
+++ b/internal/audit/archive/export.go
@@ -13,11 +13,11 @@
 	"micaspindle/internal/identity"
 )
 
-// Fetch returns batches of a chain that come after a number.
+// Fetch returns batches of a chain that follow the batch with a number, none at the end.
 type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error)
 
-// Export writes everything up to a seal: a head, the signers, the batches of
-// each chain, and the seal at the end. progress is called with how many batches are done.
+// Export writes a head, the signers, the batches of each chain up to its end in the seal, and
+// the seal. It calls progress with the number of batches written so far and the total.
 func Export(ctx context.Context, w io.Writer, seal *audit.Seal, fetch Fetch, progress func(done, all uint64)) error {
 	var sealed audit.Sealed
 	if err := json.Unmarshal([]byte(seal.Text), &sealed); err != nil {
@@ -49,11 +49,11 @@
 	out      *bufio.Writer
 	fetch    Fetch
 	progress func(done, all uint64)
-	// done of all batches are written.
+	// done is the number of batches written, all their total number.
 	done, all uint64
 }
 
-// write writes a line.
+// write writes a value as a line of JSON.
 func (e *exporter) write(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -63,12 +63,12 @@
 	return err
 }
 
-// writeSigners writes certificates, base64.
+// writeSigners writes a line for each certificate; certs are in base64.
 func (e *exporter) writeSigners(certs []string) error {
 	for _, encoded := range certs {
 		cert, err := parseCertificate(encoded)
 		if err != nil {
-			return fmt.Errorf("audit: a signer's certificate can't be read: %w", err)
+			return fmt.Errorf("audit: cannot parse a signer's certificate: %w", err)
 		}
 		if err := e.write(exportSigner{identity.Fingerprint(cert), encoded}); err != nil {
 			return err
@@ -85,8 +85,8 @@
 	return x509.ParseCertificate(der)
 }
 
-// writeChain writes the batches of a chain up to its end. If batches are missing it stops
-// there: the verifier will say so.
+// writeChain writes the batches of a chain up to its end. If batches are missing at the end, it
+// stops without an error: the verifier will report them.
 func (e *exporter) writeChain(ctx context.Context, end audit.ChainEnd) error {
 	for last := uint64(0); last < end.Number; {
 		batches, err := e.fetch(ctx, end.Chain, last)
--- a/internal/audit/archive/verify.go
+++ b/internal/audit/archive/verify.go
@@ -16,7 +16,7 @@
 	"micaspindle/internal/identity"
 )
 
-// Problem is something in an export that is not as it was written.
+// Problem describes an alteration that was found in an export.
 type Problem struct {
 	Line   int    `json:"line"`
 	Chain  string `json:"chain,omitempty"`
@@ -24,7 +24,7 @@
 	Reason string `json:"reason"`
 }
 
-// String is the place and the reason.
+// String returns the location and the reason.
 func (p Problem) String() string {
 	at := fmt.Sprintf("line %d", p.Line)
 	if p.Chain != "" {
@@ -33,22 +33,22 @@
 	return at + ": " + p.Reason
 }
 
-// Verified is what Verify has found in an export.
+// Verified is the result of Verify.
 type Verified struct {
 	Records int `json:"records"`
-	// Counted is Records with each count of equal ones as so many.
+	// Counted is the number of actions and denials: a record with a count stands for that many.
 	Counted  uint64           `json:"counted"`
 	Batches  int              `json:"batches"`
 	Chains   []audit.ChainEnd `json:"chains"`
 	SealedAt time.Time        `json:"sealed_at"`
 	SealedBy string           `json:"sealed_by"`
 	Problems []Problem        `json:"problems"`
-	// Read has all records that could be read, in the order of their times.
+	// Read has all records that could be decoded, in order of time.
 	Read []ReadRecord  `json:"-"`
 	Took time.Duration `json:"-"`
 }
 
-// ReadRecord is a record with its place in the chains.
+// ReadRecord is a record with the chain and the number of its batch.
 type ReadRecord struct {
 	Chain  string `json:"controller"`
 	Number uint64 `json:"batch"`
@@ -56,32 +56,34 @@
 }
 
 const (
-	// maxProblems bounds what is reported of a file that is no export at all.
+	// maxProblems bounds the number of reported problems, since a file that is not an export has
+	// one in every line.
 	maxProblems = 100
-	// maxLine bounds a line of an export, in bytes.
-	maxLine = 4 << 20
-	// readBuffer is how much is read of a file at once, in bytes.
-	readBuffer = 64 << 10
+	// maxLineBytes is the maximum length of a line of an export.
+	maxLineBytes = 4 << 20
+	// readBufferBytes is the size of the buffer for reading an export.
+	readBufferBytes = 64 << 10
 )
 
-// verifier goes through an export line by line.
+// verifier verifies an export line by line.
 type verifier struct {
-	out   *Verified
-	roots *x509.CertPool
-	// signers are the certificates that the export holds, by fingerprint; used are those
-	// that have signed something.
+	result *Verified
+	roots  *x509.CertPool
+	// signers are the certificates in the export by fingerprint, used the fingerprints of those
+	// that have signed a batch or the seal.
 	signers map[string]*x509.Certificate
 	used    map[string]bool
-	// ends are the last batches so far, by chain.
+	// ends are the last batches read so far, by chain.
 	ends map[string]*audit.ChainEnd
-	// line is the number of the line that is read, from 1.
-	line   int
+	// line is the number of the current line, from 1.
+	line int
+	// sealed is true after the seal was read.
 	sealed bool
 }
 
 func newVerifier(roots *x509.CertPool) *verifier {
 	return &verifier{
-		out:     &Verified{Chains: []audit.ChainEnd{}, Problems: []Problem{}},
+		result:  &Verified{Chains: []audit.ChainEnd{}, Problems: []Problem{}},
 		roots:   roots,
 		signers: map[string]*x509.Certificate{},
 		used:    map[string]bool{},
@@ -89,19 +91,19 @@
 	}
 }
 
-// problem reports something about a batch, or with chain "" about a line.
-func (v *verifier) problem(chain string, batch uint64, format string, args ...any) {
-	if len(v.out.Problems) < maxProblems {
-		v.out.Problems = append(v.out.Problems, Problem{v.line, chain, batch, fmt.Sprintf(format, args...)})
+// addProblem adds a problem with a batch, or with the current line if chain is empty.
+func (v *verifier) addProblem(chain string, batch uint64, format string, args ...any) {
+	if len(v.result.Problems) < maxProblems {
+		v.result.Problems = append(v.result.Problems, Problem{v.line, chain, batch, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Verify reads an export and says what is not as it was written. The records
-// it has read come with it, whether there are problems or not.
+// Verify reads an export and reports what was altered, removed, reordered or truncated. The
+// result has the decoded records even if there are problems.
 func Verify(r io.Reader, roots *x509.CertPool) (*Verified, error) {
-	begun := time.Now()
+	start := time.Now()
 	v := newVerifier(roots)
-	in := bufio.NewReaderSize(r, readBuffer)
+	in := bufio.NewReaderSize(r, readBufferBytes)
 	for {
 		line, err := readLine(in)
 		if errors.Is(err, io.EOF) && len(line) == 0 {
@@ -110,9 +112,9 @@
 		v.line++
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				return v.out, fmt.Errorf("audit: read: %w", err)
+				return v.result, fmt.Errorf("audit: read: %w", err)
 			}
-			v.problem("", 0, "the last line has no end: the file was cut off")
+			v.addProblem("", 0, "the last line is incomplete: the file was truncated")
 		}
 		v.checkLine(line)
 		if err != nil {
@@ -120,8 +122,8 @@
 		}
 	}
 	v.finish()
-	v.out.Took = time.Since(begun)
-	return v.out, nil
+	v.result.Took = time.Since(start)
+	return v.result, nil
 }
 
 func readLine(in *bufio.Reader) ([]byte, error) {
@@ -129,8 +131,8 @@
 	for {
 		part, err := in.ReadSlice('\n')
 		line = append(line, part...)
-		if len(line) > maxLine {
-			return nil, errors.New("a line is too long for an export")
+		if len(line) > maxLineBytes {
+			return nil, fmt.Errorf("line longer than %d bytes", maxLineBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -139,10 +141,10 @@
 	}
 }
 
-// checkLine checks a line by its kind.
+// checkLine determines the kind of a line and checks it.
 func (v *verifier) checkLine(line []byte) {
 	if v.sealed {
-		v.problem("", 0, "something follows the seal")
+		v.addProblem("", 0, "there is data after the seal")
 		return
 	}
 	var (
@@ -154,7 +156,7 @@
 	switch {
 	case v.line == 1:
 		if !decodeExact(line, &head) || head.Format != exportFormat {
-			v.problem("", 0, "not an audit export, or of another format")
+			v.addProblem("", 0, "the file is not an audit export or has an unsupported format version")
 		}
 	case decodeExact(line, &signer):
 		v.checkSigner(&signer)
@@ -163,30 +165,30 @@
 	case decodeExact(line, &seal):
 		v.checkSeal(&seal)
 	default:
-		v.problem("", 0, "the line was altered: it is nothing that an export holds")
+		v.addProblem("", 0, "the line was altered: it is not a valid line of an export")
 	}
 }
 
-// checkSigner checks and remembers a signer's certificate.
+// checkSigner checks a signer's certificate and adds it to the signers.
 func (v *verifier) checkSigner(s *exportSigner) {
 	der, err := base64.StdEncoding.Strict().DecodeString(s.Cert)
 	if err != nil {
-		v.problem("", 0, "a signer's certificate was altered")
+		v.addProblem("", 0, "a signer's certificate was altered")
 		return
 	}
 	cert, err := x509.ParseCertificate(der)
 	switch {
 	case err != nil || identity.Fingerprint(cert) != s.Signer:
-		v.problem("", 0, "a signer's certificate was altered")
+		v.addProblem("", 0, "a signer's certificate was altered")
 	case v.signers[s.Signer] != nil:
-		v.problem("", 0, "a signer stands there twice")
+		v.addProblem("", 0, "the signer's certificate occurs twice")
 	default:
 		v.signers[s.Signer] = cert
 	}
 }
 
-// trustedSigner returns a signer's certificate, or why it may not have signed for a chain at
-// a time.
+// trustedSigner returns a signer's certificate. It returns an error if the signer was not
+// allowed to sign for a chain at a time.
 func (v *verifier) trustedSigner(signer, chain string, at time.Time) (*x509.Certificate, error) {
 	cert := v.signers[signer]
 	if cert == nil {
@@ -198,38 +200,38 @@
 		return nil, fmt.Errorf("signed by %s, which does not write this chain", name)
 	}
 	if err := identity.VerifyChain(cert, nil, v.roots, at); err != nil {
-		return nil, fmt.Errorf("the signer is not to be trusted: %w", err)
+		return nil, fmt.Errorf("the signer's certificate is not trusted: %w", err)
 	}
 	return cert, nil
 }
 
-// checkBatch checks that a batch follows from the one before and that its signature holds,
-// and takes its records.
+// checkBatch checks that a batch follows the previous one of its chain and that its signature
+// is valid, and reads its records.
 func (v *verifier) checkBatch(line *exportBatch) {
-	v.out.Batches++
+	v.result.Batches++
 	end := v.endOf(line.Chain)
 	switch {
 	case line.Number != end.Number+1:
-		v.problem(line.Chain, line.Number, "expected batch %d: batches were removed or reordered", end.Number+1)
+		v.addProblem(line.Chain, line.Number, "expected batch %d: batches were removed or reordered", end.Number+1)
 	case line.Prev != end.Hash:
-		v.problem(line.Chain, line.Number, "it does not follow from the batch before")
+		v.addProblem(line.Chain, line.Number, "the hash of the previous batch does not match")
 	}
 	batch := audit.Batch{Prev: line.Prev, Signer: line.Signer, Sig: line.Sig}
 	for _, raw := range line.Lines {
 		batch.Lines = append(batch.Lines, string(raw))
 	}
-	signedAt := v.takeRecords(line)
+	signedAt := v.readRecords(line)
 	cert, err := v.trustedSigner(line.Signer, line.Chain, signedAt)
 	if err == nil {
 		err = batch.Verify(line.Chain, line.Number, cert)
 	}
 	if err != nil {
-		v.problem(line.Chain, line.Number, "%v", err)
+		v.addProblem(line.Chain, line.Number, "%v", err)
 	}
 	end.Number, end.Hash = line.Number, batch.Hash(line.Chain, line.Number)
 }
 
-// endOf returns the end of a chain so far.
+// endOf returns the last batch of a chain read so far. Before the first one, it is zero.
 func (v *verifier) endOf(chain string) *audit.ChainEnd {
 	end := v.ends[chain]
 	if end == nil {
@@ -239,18 +241,18 @@
 	return end
 }
 
-// takeRecords reads the records of a batch, and returns the time of the latest one, when the
-// batch was signed at the earliest.
-func (v *verifier) takeRecords(line *exportBatch) (latest time.Time) {
+// readRecords decodes the records of a batch and returns the time of the latest. The batch was
+// not signed before that time.
+func (v *verifier) readRecords(line *exportBatch) (latest time.Time) {
 	for _, raw := range line.Lines {
 		var record audit.Record
 		if err := json.Unmarshal(raw, &record); err != nil {
-			v.problem(line.Chain, line.Number, "a record can't be read")
+			v.addProblem(line.Chain, line.Number, "cannot decode a record")
 			continue
 		}
-		v.out.Records++
-		v.out.Counted += max(1, record.Count)
-		v.out.Read = append(v.out.Read, ReadRecord{line.Chain, line.Number, record})
+		v.result.Records++
+		v.result.Counted += max(1, record.Count)
+		v.result.Read = append(v.result.Read, ReadRecord{line.Chain, line.Number, record})
 		if record.At.After(latest) {
 			latest = record.At
 		}
@@ -258,12 +260,12 @@
 	return latest
 }
 
-// checkSeal checks the seal's signature, and that the chains end as it says.
+// checkSeal checks the seal's signature and that the chains end at the batches in the seal.
 func (v *verifier) checkSeal(line *exportSeal) {
 	v.sealed = true
 	var sealed audit.Sealed
 	if !decodeExact(line.Seal, &sealed) {
-		v.problem("", 0, "the seal was altered")
+		v.addProblem("", 0, "the seal was altered")
 		return
 	}
 	cert, err := v.trustedSigner(line.Signer, sealed.By, sealed.At)
@@ -271,46 +273,46 @@
 		err = (&audit.Seal{Text: string(line.Seal), Signer: line.Signer, Sig: line.Sig}).Verify(cert)
 	}
 	if err != nil {
-		v.problem("", 0, "the seal: %v", err)
+		v.addProblem("", 0, "seal: %v", err)
 	}
-	v.out.SealedAt, v.out.SealedBy, v.out.Chains = sealed.At, sealed.By, sealed.Chains
+	v.result.SealedAt, v.result.SealedBy, v.result.Chains = sealed.At, sealed.By, sealed.Chains
 	v.checkEnds(sealed.Chains)
 }
 
-// checkEnds compares the ends of the chains with those that were sealed.
+// checkEnds compares the ends of the chains with those in the seal.
 func (v *verifier) checkEnds(sealed []audit.ChainEnd) {
 	for _, want := range sealed {
 		got := v.ends[want.Chain]
 		switch {
 		case got == nil && want.Number > 0:
-			v.problem(want.Chain, want.Number, "the whole chain is missing")
+			v.addProblem(want.Chain, want.Number, "the whole chain is missing")
 		case got != nil && got.Number < want.Number:
-			v.problem(want.Chain, got.Number, "the chain was cut off: it goes on to batch %d", want.Number)
+			v.addProblem(want.Chain, got.Number, "the chain was truncated: the seal has batch %d as its last", want.Number)
 		case got != nil && *got != want:
-			v.problem(want.Chain, got.Number, "the chain does not end as it was sealed")
+			v.addProblem(want.Chain, got.Number, "the last batch of the chain is not the one in the seal")
 		}
 		delete(v.ends, want.Chain)
 	}
 	for chain, end := range v.ends {
-		v.problem(chain, end.Number, "the seal does not know this chain")
+		v.addProblem(chain, end.Number, "the chain is not in the seal")
 	}
 }
 
-// finish checks what is known only at the end of the file.
+// finish makes the checks that need the whole file.
 func (v *verifier) finish() {
 	if !v.sealed {
-		v.problem("", 0, "no seal at the end: the file was cut off")
+		v.addProblem("", 0, "there is no seal at the end: the file was truncated")
 	}
 	for fingerprint, cert := range v.signers {
 		if v.used[fingerprint] {
 			continue
 		}
-		// Certificates of controllers that have signed nothing in here are
-		// harmless, but nothing else proves such a line.
+		// An unused certificate is harmless, but no signature covers its line, so the line is
+		// checked by the certificate's own issuer.
 		issued := cert.NotBefore.Add(time.Minute)
 		if err := identity.VerifyChain(cert, nil, v.roots, issued); err != nil {
-			v.problem("", 0, "a certificate that nobody issued was added")
+			v.addProblem("", 0, "an unused certificate was not issued by a trusted authority")
 		}
 	}
-	slices.SortStableFunc(v.out.Read, func(a, b ReadRecord) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(v.result.Read, func(a, b ReadRecord) int { return a.At.Compare(b.At) })
 }
