--- a/internal/audit/aggregator.go
+++ b/internal/audit/aggregator.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// tally gathers what is too frequent to be recorded one by one: denials and
-// reads. Equal ones are counted, and the more different ones come, the less a
-// count tells them apart: first by everything, then by identity and verb, then only by
-// verb and reason. So a flood takes a bounded number of lines and the counts still add up.
-type tally struct {
-	mu     sync.Mutex
-	counts map[tallyKey]*Record
-	since  time.Time // when the oldest came
+// aggregator counts records that are too frequent to be written one by one: denials and
+// reads. Records with equal keys share a count. To bound the number of lines under a flood of
+// requests, new keys lose detail as the number of counts grows: first all fields are
+// distinguished, then only identity, verb, outcome and reason, then only verb, outcome and
+// reason. The sum of the counts stays exact.
+type aggregator struct {
+	mu       sync.Mutex
+	counts   map[aggregateKey]*Record
+	oldestAt time.Time // time of the oldest record
 }
 
-// tallyKey is what makes two records equal. The address is left out: it would
-// make every connection different; the first one is kept.
-type tallyKey struct{ who, how, verb, team, class, job, outcome, reason string }
+// aggregateKey has the fields that are equal in records that are counted together. It omits
+// the address, which may differ with every connection; a count keeps the first address.
+type aggregateKey struct{ who, how, verb, team, class, job, outcome, reason string }
 
 const (
-	// maxDetailed is up to how many counts records are distinguished by everything.
-	maxDetailed = 64
-	// maxByIdentity is up to how many counts they are distinguished by identity and verb.
-	maxByIdentity = 128
-	// others stands for the identities that are not distinguished.
-	others = "(others)"
+	// maxFullKeys is the number of counts from which new keys omit team, class and job.
+	maxFullKeys = 64
+	// maxIdentityKeys is the number of counts from which new keys omit the identity as well.
+	maxIdentityKeys = 128
+	// otherIdentities replaces the identity in keys without one.
+	otherIdentities = "(others)"
 )
 
 // add counts a record.
-func (t *tally) add(r Record) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.counts == nil {
-		t.counts = map[tallyKey]*Record{}
+func (a *aggregator) add(r Record) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.counts == nil {
+		a.counts = map[aggregateKey]*Record{}
 	}
-	if len(t.counts) == 0 {
-		t.since = r.At
+	if len(a.counts) == 0 {
+		a.oldestAt = r.At
 	}
-	key := tallyKey{r.Who, r.How, r.Verb, r.Team, r.Class, r.Job, r.Outcome, r.Reason}
-	if t.counts[key] == nil && len(t.counts) >= maxDetailed {
+	key := aggregateKey{r.Who, r.How, r.Verb, r.Team, r.Class, r.Job, r.Outcome, r.Reason}
+	if a.counts[key] == nil && len(a.counts) >= maxFullKeys {
 		r.Team, r.Class, r.Job, r.Detail = "", "", "", ""
-		key = tallyKey{who: r.Who, how: r.How, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
+		key = aggregateKey{who: r.Who, how: r.How, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
 	}
-	if t.counts[key] == nil && len(t.counts) >= maxByIdentity {
-		r.Who, r.How, r.From = others, "", ""
-		key = tallyKey{who: others, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
+	if a.counts[key] == nil && len(a.counts) >= maxIdentityKeys {
+		r.Who, r.How, r.From = otherIdentities, "", ""
+		key = aggregateKey{who: otherIdentities, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
 	}
 	r.Count = max(1, r.Count)
-	if counted := t.counts[key]; counted != nil {
+	if counted := a.counts[key]; counted != nil {
 		counted.merge(&r)
 		return
 	}
-	t.counts[key] = &r
+	a.counts[key] = &r
 }
 
-// merge counts a later record that is equal.
+// merge adds a later record with the same key to the count.
 func (r *Record) merge(later *Record) {
 	r.Count += later.Count
 	last := later.At
@@ -65,24 +66,24 @@
 	r.Until = &last
 }
 
-// drain removes and returns everything.
-func (t *tally) drain() []Record {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	records := make([]Record, 0, len(t.counts))
-	for _, record := range t.counts {
+// drain removes and returns all records.
+func (a *aggregator) drain() []Record {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	records := make([]Record, 0, len(a.counts))
+	for _, record := range a.counts {
 		records = append(records, *record)
 	}
-	t.counts = nil
+	a.counts = nil
 	return records
 }
 
-// oldest says how long the oldest record has waited.
-func (t *tally) oldest(now time.Time) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.counts) == 0 {
+// age returns how long the oldest record has waited.
+func (a *aggregator) age(now time.Time) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if len(a.counts) == 0 {
 		return 0
 	}
-	return now.Sub(t.since)
+	return now.Sub(a.oldestAt)
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,7 @@
-// Package audit writes the permanent record of what was done and denied, and
-// shows whether it is still what was written. Each controller writes a chain of
-// its own: batches of lines, each bound to the one before by SHA-256 and signed
-// by the controller. The changes that a batch records are committed with it, in
-// one transaction. The package does not know what a line's verbs mean.
+// Package audit writes a tamper-evident log of allowed and denied actions. Each controller
+// writes its own hash chain of batches: a batch contains the SHA-256 hash of the previous
+// batch and is signed by the controller. The changes that a batch records are committed in
+// the same transaction as the batch. The meaning of the verbs is up to the callers.
 package audit
 
 import (
@@ -11,21 +10,21 @@
 	"time"
 )
 
-// Record is one line: an action, a denial, or a count of equal ones.
+// Record is one line of the log: an action, a denial, or a count of equal records.
 type Record struct {
 	At      time.Time `json:"at"`
-	BoundMS float64   `json:"bound_ms,omitempty"` // how far off the clock may be
-	Who     string    `json:"who,omitempty"`      // empty: nobody known
-	How     string    `json:"how,omitempty"`      // certificate or token, with its id
-	From    string    `json:"from,omitempty"`     // the address it came from
+	BoundMS float64   `json:"bound_ms,omitempty"` // maximum error of the clock
+	Who     string    `json:"who,omitempty"`      // empty if the caller is unknown
+	How     string    `json:"how,omitempty"`      // the certificate or token with its ID
+	From    string    `json:"from,omitempty"`     // the address of the caller
 	Verb    string    `json:"verb"`
 	Team    string    `json:"team,omitempty"`
 	Class   string    `json:"class,omitempty"`
 	Job     string    `json:"job,omitempty"`
-	Outcome string    `json:"outcome"` // allowed, denied
+	Outcome string    `json:"outcome"` // Allowed or Denied
 	Reason  string    `json:"reason,omitempty"`
 	Detail  string    `json:"detail,omitempty"`
-	// Of a count: how many there were, and the time of the last one.
+	// Count is the number of records that were counted together, Until the time of the last.
 	Count uint64     `json:"count,omitempty"`
 	Until *time.Time `json:"until,omitempty"`
 }
@@ -36,12 +35,12 @@
 	Denied  = "denied"
 )
 
-// line is the record as it is stored: its bytes are what the hash is over.
+// line returns the stored form of the record, over which the hash is computed.
 func (r *Record) line() string {
 	line, err := json.Marshal(r)
 	if err != nil {
-		// A record has nothing that can't be encoded.
-		panic(fmt.Sprintf("audit: a record can't be written: %v", err))
+		// All fields of a record can be encoded.
+		panic(fmt.Sprintf("audit: cannot encode record: %v", err))
 	}
 	return string(line)
 }
--- a/internal/audit/batch.go
+++ b/internal/audit/batch.go
@@ -14,20 +14,20 @@
 	"strconv"
 )
 
-// Batch is one link of a chain as the state service stores it.
+// Batch is a batch of a chain as it is stored in the state store.
 type Batch struct {
-	Prev   string   `msgpack:"p"` // hash of the batch before, in hex; empty: the first
+	Prev   string   `msgpack:"p"` // hash of the previous batch in hex, empty in the first batch
 	Lines  []string `msgpack:"l"`
 	Signer string   `msgpack:"k"` // fingerprint of the signer's certificate
-	Sig    string   `msgpack:"s"` // of the hash, base64
+	Sig    string   `msgpack:"s"` // signature of the hash, in base64
 }
 
-// hashDomain begins what the hash of a batch is over, so that a batch's signature is good
-// for nothing else.
+// hashDomain is the domain separator of the hash of a batch. It prevents a batch's signature
+// from being accepted for other data.
 const hashDomain = "micaspindle audit 1"
 
-// hash binds a batch to its chain, its number and the one before. Each field is preceded by
-// its length.
+// hash computes the hash of the batch with its chain, its number and the hash of the
+// previous batch. Each field is preceded by its length.
 func (b *Batch) hash(chain string, number uint64) [sha256.Size]byte {
 	h := sha256.New()
 	field := func(s string) {
@@ -49,53 +49,54 @@
 	return sum
 }
 
-// sign sets a batch's signature.
+// sign sets the batch's signature.
 func (b *Batch) sign(chain string, number uint64, signer Signer) (err error) {
 	b.Sig, err = signSum(signer, b.hash(chain, number))
 	return err
 }
 
-// signSum signs a sum as it is. The error of a key is not passed on: it might tell of the key.
+// signSum signs a hash. The error of the key is not passed on, since it might disclose details
+// of the key.
 func signSum(signer Signer, sum [sha256.Size]byte) (string, error) {
 	sig, err := signer.Key.Sign(rand.Reader, sum[:], crypto.Hash(0))
 	if err != nil {
-		return "", errors.New("audit: could not be signed")
+		return "", errors.New("audit: signing failed")
 	}
 	return base64.StdEncoding.EncodeToString(sig), nil
 }
 
-// Hash is the batch's hash in hex, to which the next one is bound.
+// Hash returns the batch's hash in hex, which the next batch contains.
 func (b *Batch) Hash(chain string, number uint64) string {
 	sum := b.hash(chain, number)
 	return hex.EncodeToString(sum[:])
 }
 
-// Verify checks a batch's signature.
+// Verify checks the batch's signature.
 func (b *Batch) Verify(chain string, number uint64, cert *x509.Certificate) error {
 	return verifySum(b.hash(chain, number), b.Sig, cert)
 }
 
-// verifySum checks a signature, base64, of a sum.
+// verifySum checks the signature of a hash; the signature is in base64.
 func verifySum(sum [sha256.Size]byte, signature string, cert *x509.Certificate) error {
 	key, ok := cert.PublicKey.(ed25519.PublicKey)
 	if !ok {
-		return errors.New("the signer's key is not of the kind Ed25519")
+		return errors.New("the signer's key is not an Ed25519 key")
 	}
 	sig, err := base64.StdEncoding.Strict().DecodeString(signature)
 	if err != nil || !ed25519.Verify(key, sum[:], sig) {
-		return errors.New("the signature is not the signer's")
+		return errors.New("the signature does not match the signer's key")
 	}
 	return nil
 }
 
-// head says how far a chain went at some time, so that its end can be found
-// without reading all of it. It proves nothing.
+// head names a recent batch of a chain, so that the end of the chain can be found without
+// reading all of it. It is not signed and proves nothing.
 type head struct {
 	Number uint64 `msgpack:"n"`
 	Hash   string `msgpack:"h"`
 }
 
-// signerRecord has a signer's certificate, stored beside what it has signed.
+// signerRecord stores a signer's certificate next to the batches that it has signed.
 type signerRecord struct {
 	Cert string `msgpack:"c"`
 }
@@ -108,7 +109,7 @@
 	ID string
 }
 
-// record is the signer's certificate as it is stored.
+// record returns the signer's certificate as it is stored.
 func (s *Signer) record() signerRecord {
 	return signerRecord{base64.StdEncoding.EncodeToString(s.Cert.Raw)}
 }
--- a/internal/audit/budget_test.go
+++ b/internal/audit/budget_test.go
@@ -7,9 +7,9 @@
 	"micaspindle/internal/storage"
 )
 
-// Users are answered 429, and not that the state store is unavailable, when the log is behind.
-func TestRefusalOfALogThatIsBehindIsOfTheBudget(t *testing.T) {
-	if !errors.Is(errBehind, storage.ErrBudget) || !errors.Is(errBehind, storage.ErrRefused) {
-		t.Errorf("%v is no refusal by the budget", errBehind)
+// Users get status 429, and not 503, when the log is overloaded.
+func TestOverloadIsABudgetError(t *testing.T) {
+	if !errors.Is(errOverloaded, storage.ErrBudget) || !errors.Is(errOverloaded, storage.ErrRefused) {
+		t.Errorf("error %q does not wrap storage.ErrBudget and storage.ErrRefused", errOverloaded)
 	}
 }
--- a/internal/audit/capacity.go
+++ b/internal/audit/capacity.go
@@ -3,44 +3,47 @@
 import "micaspindle/internal/protocol"
 
 const (
-	// maxBody bounds the body of a transaction, in bytes.
-	maxBody = 48 << 10
-	// batchChanges is what the audit adds to a transaction: the batch itself, its chain's
-	// head and its signer's certificate.
+	// maxBodyBytes is the maximum size of the body of a transaction.
+	maxBodyBytes = 48 << 10
+	// batchChanges is the maximum number of changes that the log adds to a transaction: the
+	// batch, the chain's head and the signer's certificate.
 	batchChanges = 3
-	// conditionsPerChange is how many conditions a transaction may have for each change that
-	// it may have.
+	// conditionsPerChange is the ratio of the maximum number of conditions of a transaction to
+	// its maximum number of changes.
 	conditionsPerChange = 4
-	// batchOverhead is the size of a batch without its lines.
+	// batchOverhead is the size of a batch without its lines, in bytes.
 	batchOverhead = 300
 
-	// What a change, a condition and a line take at the most besides their texts.
+	// The maximum sizes of a change, a condition and a line without their texts, in bytes.
 	changeOverhead    = 80
 	conditionOverhead = 60
 	lineOverhead      = 8
-	// escapeOverhead is what a character takes more if JSON escapes it as \uXXXX.
+	// escapeOverhead is how many bytes longer a character gets if JSON escapes it as \uXXXX.
 	escapeOverhead = 5
 )
 
-// capacity is what is left of a transaction.
+// capacity is the remaining capacity of a transaction.
 type capacity struct {
 	changes, conditions int
-	// body and lines are in bytes, of the transaction and of the batch.
+	// body is the remaining size of the transaction's body, lines that of the batch's lines, in
+	// bytes.
 	body, lines int
-	keys        map[string]bool
+	// keys are the keys that the transaction changes.
+	keys map[string]bool
 }
 
 func (l *Log) newCapacity() *capacity {
 	return &capacity{
 		changes:    l.store.TxnOps() - batchChanges,
-		conditions: conditionsPerChange*l.store.TxnOps() - 1, // the batch has one
-		body:       maxBody,
+		conditions: conditionsPerChange*l.store.TxnOps() - 1, // the batch has one condition
+		body:       maxBodyBytes,
 		lines:      l.store.ValueBytes() - batchOverhead,
 		keys:       map[string]bool{},
 	}
 }
 
-// fits reports whether a change fits. Two changes of the same key go one after the other.
+// fits reports whether a change fits in the transaction. A transaction changes a key once at
+// most, so a second change of the same key does not fit.
 func (c *capacity) fits(change *pendingChange) bool {
 	for _, part := range change.txn.Then {
 		if c.keys[part.Put+part.Delete] {
@@ -50,7 +53,7 @@
 	return len(change.txn.Then) <= c.changes && len(change.txn.If) <= c.conditions && change.size <= c.body && lineSize(change.line) <= c.lines
 }
 
-// use subtracts what a change takes.
+// use subtracts the size of a change.
 func (c *capacity) use(change *pendingChange) {
 	c.changes -= len(change.txn.Then)
 	c.conditions -= len(change.txn.If)
@@ -61,7 +64,8 @@
 	}
 }
 
-// changeSize bounds what a change with its line takes of a transaction's body.
+// changeSize returns an upper bound of the size of a change and its line in the body of a
+// transaction.
 func changeSize(txn *protocol.Transaction, line string) int {
 	size := lineSize(line)
 	for _, change := range txn.Then {
@@ -76,8 +80,8 @@
 	return size
 }
 
-// lineSize bounds what a line takes inside a value, counted as JSON: its quotes
-// are escaped once more.
+// lineSize returns an upper bound of the size of a line in a value that is encoded as JSON,
+// where the line's quotes are escaped again.
 func lineSize(line string) int {
 	size := len(line) + lineOverhead
 	for i := range len(line) {
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -8,7 +8,7 @@
 	"micaspindle/internal/storage"
 )
 
-// pageSize is how many records are read at a time.
+// pageSize is the number of records read per request.
 const pageSize = 50
 
 // open finds the end of this controller's chain.
@@ -30,13 +30,14 @@
 	return nil
 }
 
-// follow takes in batches of this chain that were committed late.
-func (l *Log) follow(ctx context.Context) error {
+// catchUp reads batches of this chain that were committed after their requests had failed
+// without an answer.
+func (l *Log) catchUp(ctx context.Context) error {
 	last, hash, err := l.walk(ctx, l.chain, l.next-1, l.prev, func(batch *Batch) {
 		for _, uncertain := range l.uncertain {
 			if uncertain.signature == batch.Sig {
-				// It was committed after all: what it holds is written.
-				l.unwritten = l.unwritten[uncertain.gathered:]
+				// The batch was committed after all, so its records are no longer unwritten.
+				l.unwritten = l.unwritten[uncertain.aggregated:]
 			}
 		}
 		l.uncertain = nil
@@ -46,7 +47,8 @@
 }
 
 // findEnd returns the number and the hash of a chain's last batch. It reads the chain from
-// the batch that its head names, or if the head does not match that batch, from the beginning.
+// the batch that the head names, or from the beginning if the head is missing or does not
+// match that batch.
 func (l *Log) findEnd(ctx context.Context, chain string, rawHead []byte) (number uint64, hash string, err error) {
 	var from head
 	if rawHead != nil {
@@ -57,8 +59,8 @@
 	return l.walk(ctx, chain, from.Number, from.Hash, func(*Batch) {})
 }
 
-// checkHead returns a chain's head if it matches the batch it names; if not, a head before
-// all batches.
+// checkHead returns a chain's head if it matches the batch that it names, and otherwise the
+// zero head, which precedes all batches.
 func (l *Log) checkHead(ctx context.Context, chain string, rawHead []byte) (head, error) {
 	var claimed head
 	err := storage.Decode(rawHead, &claimed)
@@ -85,7 +87,8 @@
 	return batch, err
 }
 
-// walk reads on from a batch to the chain's end, whose number and hash it returns.
+// walk reads the batches that follow a batch, given by its number and hash, and calls each
+// for them. It returns the number and hash of the last batch.
 func (l *Log) walk(ctx context.Context, chain string, number uint64, hash string, each func(*Batch)) (uint64, string, error) {
 	err := l.scan(ctx, BatchPrefix(chain), BatchKey(chain, number), func(key string, raw []byte) error {
 		n, batch, err := decodeBatch(key, raw)
@@ -93,8 +96,8 @@
 			return err
 		}
 		if n != number+1 || batch.Prev != hash {
-			// Going on preserves the evidence; the verifier will name the place.
-			l.log.Error("audit chain is not what was written", "chain", chain, "batch", n, "expected", number+1)
+			// Continuing preserves the evidence: the verifier will report the place.
+			l.log.Error("audit chain is broken: batch does not follow the previous one", "chain", chain, "batch", n, "expected", number+1)
 		}
 		each(batch)
 		number, hash = n, batch.Hash(chain, n)
@@ -103,18 +106,18 @@
 	return number, hash, err
 }
 
-// decodeBatch reads a stored batch and its number.
+// decodeBatch decodes a stored batch and the number in its key.
 func decodeBatch(key string, raw []byte) (number uint64, batch *Batch, err error) {
 	batch = new(Batch)
 	_, number, ok := ParseBatchKey(key)
 	if err := storage.Decode(raw, batch); err != nil || !ok {
-		return 0, nil, fmt.Errorf("audit: %s can't be read", key)
+		return 0, nil, fmt.Errorf("audit: cannot decode batch %s", key)
 	}
 	return number, batch, nil
 }
 
-// scan calls visit for every record under a prefix that comes after a key, until visit
-// returns an error.
+// scan calls visit for each record with a prefix whose key sorts after the given one. It stops
+// when visit returns an error.
 func (l *Log) scan(ctx context.Context, prefix, after string, visit func(key string, raw []byte) error) error {
 	for {
 		list, err := l.store.Page(ctx, prefix, after, pageSize)
@@ -133,11 +136,11 @@
 	}
 }
 
-// numberedOverhead is what a batch takes in an answer besides its record, in bytes.
+// numberedOverhead is the size of a batch in a response without its stored value, in bytes.
 const numberedOverhead = 64
 
-// Batches reads batches of a chain that come after a number, as many as an
-// answer of size bytes may hold, but one at least.
+// Batches returns the batches of a chain that follow the batch with a number. It returns as
+// many as fit in a response of size bytes, but at least one if there is any.
 func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]NumberedBatch, error) {
 	list, err := l.store.Page(ctx, BatchPrefix(chain), BatchKey(chain, after), pageSize)
 	if err != nil {
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -7,7 +7,7 @@
 	"micaspindle/internal/golden"
 )
 
-// The records of the audit stay as they are, as stored and as exported.
+// The stored and exported records must encode to the bytes in the golden files.
 func TestGoldenRecords(t *testing.T) {
 	asJSON := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
 	for _, tc := range []struct {
@@ -27,7 +27,8 @@
 	}
 }
 
-// What is signed depends on the hashes, and on the words that they begin with.
+// The hashes that are signed must not change: signatures of existing batches and seals would
+// become invalid.
 func TestGoldenHashes(t *testing.T) {
 	seal := golden.Fill(&Seal{})
 	sum := sealSum(seal.Text, seal.Signer)
@@ -35,7 +36,7 @@
 	golden.Text(t, "batch-hash.txt", golden.Fill(&Batch{}).Hash("spindle-0/nonce", 7)+"\n")
 }
 
-// The audit's keys and words stay as they are.
+// The keys of the log and the outcomes in records must not change.
 func TestGoldenKeys(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
 		{"all", Prefix, "a/"},
@@ -47,7 +48,7 @@
 		{"denied", Denied, "denied"},
 	} {
 		if tc.got != tc.want {
-			t.Errorf("%s: %q, want %q", tc.name, tc.got, tc.want)
+			t.Errorf("%s: got %q, want %q", tc.name, tc.got, tc.want)
 		}
 	}
 }
--- a/internal/audit/keys.go
+++ b/internal/audit/keys.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Keys of the audit, outside of what controllers watch.
+// Prefixes of the keys of the audit log. Controllers do not watch these keys.
 const (
-	// Prefix is that of all of them.
+	// Prefix is the prefix of all keys of the audit log.
 	Prefix       = "a/"
 	batchPrefix  = Prefix + "r/"
 	headPrefix   = Prefix + "h/"
@@ -18,12 +18,12 @@
 // BatchPrefix is the prefix of the keys of a chain's batches.
 func BatchPrefix(chain string) string { return batchPrefix + chain + "/" }
 
-// BatchKey is the key of a batch; keys sort as numbers do.
+// BatchKey is the key of a batch. The keys of a chain sort by batch number.
 func BatchKey(chain string, number uint64) string {
 	return fmt.Sprintf("%s%016d", BatchPrefix(chain), number)
 }
 
-// ParseBatchKey reads a batch's chain and number.
+// ParseBatchKey returns the chain and number in the key of a batch.
 func ParseBatchKey(key string) (chain string, number uint64, ok bool) {
 	rest, ok := strings.CutPrefix(key, batchPrefix)
 	slash := strings.LastIndexByte(rest, '/')
@@ -36,5 +36,5 @@
 
 func headKey(chain string) string { return headPrefix + chain }
 
-// signerKey is the key of a signer's certificate, by its fingerprint.
+// signerKey is the key of the certificate with a fingerprint.
 func signerKey(fingerprint string) string { return signerPrefix + fingerprint }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -12,130 +12,133 @@
 	"micaspindle/internal/ticker"
 )
 
-// Store is what the log needs of the state service's client.
+// Store is the part of the state store's client that the log uses.
 type Store interface {
-	// UserCommit commits a transaction that a user waits for.
+	// UserCommit commits a transaction for a user who is waiting for the result.
 	UserCommit(ctx context.Context, txn *protocol.Transaction) (uint64, error)
 	Get(ctx context.Context, key string) (*protocol.Item, error)
 	Page(ctx context.Context, prefix, after string, size int) (*protocol.ItemList, error)
-	// BudgetIn is how long it takes until there is budget for n changes of a user.
+	// BudgetIn returns the time until the write budget allows n changes for users.
 	BudgetIn(n int) time.Duration
-	// TxnOps is how many changes a transaction may have, ValueBytes how large a value may be.
+	// TxnOps returns the maximum number of changes of a transaction, ValueBytes the maximum
+	// size of a value.
 	TxnOps() int
 	ValueBytes() int
 }
 
 const (
-	// GatherInterval is for how long denials and reads are gathered at the most before
-	// they are written; a crash loses no more than these.
+	// GatherInterval is the maximum time for which denials and reads are aggregated in memory
+	// before they are written. A crash loses at most the records of this interval.
 	GatherInterval = 5 * time.Second
-	// patience is how long a change may wait for its turn before it is refused.
-	patience = 400 * time.Millisecond
-	// maxLinger is for how long of that a change may wait for others.
-	maxLinger = patience * 3 / 4
-	// scarceLinger is how long a change waits for others where the budget does not
-	// allow for a full transaction.
+	// queueTimeout is how long a change may wait in the queue before it is refused.
+	queueTimeout = 400 * time.Millisecond
+	// maxLinger is the part of queueTimeout for which a change may wait for others to share its
+	// transaction.
+	maxLinger = queueTimeout * 3 / 4
+	// scarceLinger is how long a change waits for others if the write budget does not allow a
+	// full transaction.
 	scarceLinger = 150 * time.Millisecond
-	// lingerStep is how often the budget is looked at while changes wait for it.
+	// lingerStep is the interval at which the write budget is checked while changes wait.
 	lingerStep = 10 * time.Millisecond
-	// pause is how often what was gathered is looked at, and the wait before a retry.
-	pause = 250 * time.Millisecond
-	// finalTimeout is how long writing the rest may take when the log stops.
-	finalTimeout = time.Second
-	// queueSize is how many changes may wait.
+	// pollInterval is the interval at which aggregated records are checked, and the delay before
+	// a retry.
+	pollInterval = 250 * time.Millisecond
+	// shutdownTimeout bounds the time for writing the remaining records when the log stops.
+	shutdownTimeout = time.Second
+	// queueSize is the maximum number of changes in the queue.
 	queueSize = 256
 )
 
-// errBehind refuses a change because those before it took too long. It wraps
-// storage.ErrBudget, so that the user is answered 429.
-var errBehind = fmt.Errorf("%w: audit log is over its budget", storage.ErrBudget)
+// errOverloaded refuses a change because the queue is full or the change has waited too long
+// in it. It wraps storage.ErrBudget, so that the user gets status 429.
+var errOverloaded = fmt.Errorf("%w: audit log is overloaded", storage.ErrBudget)
 
-// Log writes one controller's chain. Changes from several users at a time go in
-// one transaction together with the batch that records them, so that the audit
-// costs one change for all of them and no transaction of its own. One such
-// transaction is under way at a time; the number of its batch must not exist
-// yet, so that a late one and its retry exclude each other.
+// Log writes one controller's chain. Concurrent changes are grouped in one transaction with the
+// batch that records them, so that the log adds one change per group and no transaction of
+// its own. Only one such transaction is in progress at a time. Its condition is that no batch
+// with this number exists, so that a delayed transaction and its retry can't both be committed.
 type Log struct {
-	store   Store
-	chain   string
-	signer  func() Signer
-	log     *slog.Logger
-	queue   chan *pendingChange
-	tally   tally
-	stopped chan struct{}
+	store      Store
+	chain      string
+	signer     func() Signer
+	log        *slog.Logger
+	queue      chan *pendingChange
+	aggregator aggregator
+	stopped    chan struct{}
 
-	// Owned by Run.
+	// The fields below are used by Run only.
 
 	opened bool
 	// next is the number of the next batch, prev the hash of the last one.
 	next uint64
 	prev string
-	// deferred is a change that did not fit the last transaction.
+	// deferred is a change that did not fit in the last transaction.
 	deferred *pendingChange
-	// published are the signers whose certificates are stored.
+	// published are the IDs of the signers whose certificates are stored.
 	published map[string]bool
-	// unwritten are gathered records that are not written yet.
+	// unwritten are aggregated records that are not written yet.
 	unwritten []Record
-	// uncertain are the batches that were sent under the next number without an
-	// answer: any of them may still be committed, and one at the most.
+	// uncertain are the batches with the next number that were sent without getting an answer.
+	// At most one of them can still be committed.
 	uncertain []uncertainBatch
 }
 
-// uncertainBatch identifies a batch that may be committed late, and how many records from the
-// front of the unwritten ones it holds.
+// uncertainBatch identifies a batch that may still be committed.
 type uncertainBatch struct {
 	signature string
-	gathered  int
+	// aggregated is how many of the first unwritten records the batch contains.
+	aggregated int
 }
 
-// pendingChange is a change that waits for its record.
+// pendingChange is a change that waits to be committed with its record.
 type pendingChange struct {
 	txn  *protocol.Transaction
 	line string
-	// state is a changeState: a caller may abandon the change until the writer has taken it.
-	state  atomic.Int32
-	result chan result
-	since  time.Time
-	// size is what it takes of a transaction's body.
+	// state is one of the states below: the caller may abandon the change until the writer has
+	// taken it.
+	state    atomic.Int32
+	result   chan result
+	queuedAt time.Time
+	// size is an upper bound of the change's size in the body of a transaction.
 	size int
 }
 
-// States of a pendingChange.
+// The states of a pendingChange.
 const (
 	stateWaiting int32 = iota
 	stateTaken
 	stateAbandoned
 )
 
-// result is what became of a change.
+// result is the result of a change.
 type result struct {
 	revision uint64
 	err      error
 }
 
-// NewLog returns the log of a chain; Run must be started.
+// NewLog returns the log of a chain. The caller must start Run.
 func NewLog(store Store, chain string, signer func() Signer, log *slog.Logger) *Log {
 	return &Log{store: store, chain: chain, signer: signer, log: log, queue: make(chan *pendingChange, queueSize),
 		stopped: make(chan struct{}), published: map[string]bool{}}
 }
 
-// Commit commits a change together with its record: neither is there without
-// the other. Errors are those of the store's UserCommit.
+// Commit commits a change together with its record: either both are stored or neither.
+// Errors are those of the store's UserCommit.
 func (l *Log) Commit(ctx context.Context, txn *protocol.Transaction, record Record) (uint64, error) {
 	change := newPendingChange(txn, record.line())
 	select {
 	case l.queue <- change:
 	default:
-		return 0, errBehind
+		return 0, errOverloaded
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(queueTimeout)
 	defer timer.Stop()
 	select {
 	case result := <-change.result:
 		return result.revision, result.err
 	case <-timer.C:
 		if change.abandon() {
-			return 0, errBehind
+			return 0, errOverloaded
 		}
 	case <-ctx.Done():
 		if change.abandon() {
@@ -159,37 +162,38 @@
 	case result := <-change.result:
 		return result.revision, result.err
 	default:
-		return 0, fmt.Errorf("%w: stopping", storage.ErrUnknown)
+		return 0, fmt.Errorf("%w: audit log is stopping", storage.ErrUnknown)
 	}
 }
 
 func newPendingChange(txn *protocol.Transaction, line string) *pendingChange {
-	return &pendingChange{txn: txn, line: line, result: make(chan result, 1), since: time.Now(), size: changeSize(txn, line)}
+	return &pendingChange{txn: txn, line: line, result: make(chan result, 1), queuedAt: time.Now(), size: changeSize(txn, line)}
 }
 
-// abandon reports whether the caller could abandon the change: the writer won't take it.
+// abandon abandons the change unless the writer has taken it, and reports whether it did.
 func (c *pendingChange) abandon() bool {
 	return c.state.CompareAndSwap(stateWaiting, stateAbandoned)
 }
 
-// take reports whether the writer could take the change: its caller waits for the result.
+// take takes the change for writing unless its caller has abandoned it, and reports whether it
+// did.
 func (c *pendingChange) take() bool { return c.state.CompareAndSwap(stateWaiting, stateTaken) }
 
-// finish tells the callers of changes what became of them.
+// finish sends a result to the callers of changes.
 func finish(changes []*pendingChange, r result) {
 	for _, change := range changes {
 		change.result <- r
 	}
 }
 
-// Note gathers a record that needs no transaction of its own.
-func (l *Log) Note(record Record) { l.tally.add(record) }
+// Note aggregates a record, which Run writes later.
+func (l *Log) Note(record Record) { l.aggregator.add(record) }
 
-// Run writes until ctx ends; what was gathered by then is written before it
-// returns, if the state service takes it within finalTimeout.
+// Run writes changes and aggregated records until ctx ends. Before it returns, it tries for
+// shutdownTimeout to write the remaining aggregated records.
 func (l *Log) Run(ctx context.Context) {
 	defer close(l.stopped)
-	tick := ticker.New(pause)
+	tick := ticker.New(pollInterval)
 	defer tick.Stop()
 	for {
 		if first := l.deferred; first != nil {
@@ -201,57 +205,58 @@
 		case first := <-l.queue:
 			l.writeChanges(ctx, first)
 		case <-tick.C:
-			l.writeGathered(ctx)
+			l.writeAggregated(ctx)
 		case <-ctx.Done():
-			l.writeRest(ctx)
+			l.flush(ctx)
 			return
 		}
 	}
 }
 
-// writeChanges writes a change together with others that come meanwhile.
+// writeChanges writes a change together with others that arrive while it waits for the budget.
 func (l *Log) writeChanges(ctx context.Context, first *pendingChange) {
 	l.linger(ctx, first)
 	l.write(ctx, l.collect(first))
 }
 
-// writeGathered writes what was gathered, if it is due. The tally is drained only once the
-// last lot is written, so that a flood can't make more lines than the gathering allows.
-func (l *Log) writeGathered(ctx context.Context) {
-	if len(l.unwritten) == 0 && l.tally.oldest(time.Now()) >= GatherInterval-4*pause {
-		l.unwritten = l.tally.drain()
+// writeAggregated writes the aggregated records when they are due. It drains the aggregator only
+// after the previously drained records are written, so that the number of lines stays bounded
+// under a flood of requests.
+func (l *Log) writeAggregated(ctx context.Context) {
+	if len(l.unwritten) == 0 && l.aggregator.age(time.Now()) >= GatherInterval-4*pollInterval {
+		l.unwritten = l.aggregator.drain()
 	}
 	if len(l.unwritten) > 0 {
 		l.write(ctx, nil)
 	}
 }
 
-// writeRest writes all that was gathered, after ctx has ended.
-func (l *Log) writeRest(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalTimeout)
+// flush writes all aggregated records after ctx has ended.
+func (l *Log) flush(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	l.unwritten = append(l.unwritten, l.tally.drain()...)
+	l.unwritten = append(l.unwritten, l.aggregator.drain()...)
 	for l.opened && len(l.unwritten) > 0 && ctx.Err() == nil {
 		l.write(ctx, nil)
 	}
 }
 
-// linger waits while the state service's budget does not allow for what waits
-// here, but not beyond the first one's patience: a change that waits for budget
-// in any case can share its batch with those that come meanwhile.
+// linger waits for the write budget, for maxLinger at most since the first change was queued.
+// A change that has to wait for budget anyway can then share its batch with changes that
+// arrive in the meantime.
 func (l *Log) linger(ctx context.Context, first *pendingChange) {
 	full := l.store.TxnOps() - 2
-	for ctx.Err() == nil && time.Since(first.since) < maxLinger {
-		// The first, those in the queue, and the batch.
+	for ctx.Err() == nil && time.Since(first.queuedAt) < maxLinger {
+		// One change for the first, one for each in the queue, and one for the batch.
 		waiting := min(1+len(l.queue), full-1) + 1
-		if l.store.BudgetIn(full) <= 0 || time.Since(first.since) > scarceLinger && l.store.BudgetIn(waiting) <= 0 {
+		if l.store.BudgetIn(full) <= 0 || time.Since(first.queuedAt) > scarceLinger && l.store.BudgetIn(waiting) <= 0 {
 			return
 		}
 		l.sleep(ctx, lingerStep)
 	}
 }
 
-// collect takes as many waiting changes as fit one transaction with the first.
+// collect takes the first change and as many queued changes as fit in the same transaction.
 func (l *Log) collect(first *pendingChange) []*pendingChange {
 	capacity := l.newCapacity()
 	var taken []*pendingChange
@@ -260,7 +265,7 @@
 			l.deferred = change
 			break
 		}
-		// The first goes even if it seems too large: the service decides.
+		// The first change is sent even if it seems too large: the state store decides.
 		if change.take() {
 			capacity.use(change)
 			taken = append(taken, change)
@@ -269,7 +274,7 @@
 	return taken
 }
 
-// poll returns a change from the queue, nil if there is none.
+// poll returns the next change from the queue, or nil if there is none.
 func (l *Log) poll() *pendingChange {
 	select {
 	case change := <-l.queue:
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -12,50 +12,50 @@
 	"micaspindle/internal/storage"
 )
 
-// NumberedBatch is a batch with its place in the chains.
+// NumberedBatch is a batch with its chain and its number.
 type NumberedBatch struct {
 	Chain  string `msgpack:"chain"`
 	Number uint64 `msgpack:"number"`
 	Batch  Batch  `msgpack:"batch"`
 }
 
-// Seal states how far each chain goes at a moment, signed by the controller
-// that was asked. An export ends in one, so that nothing can be cut off its end.
+// Seal is a signed list of the last batches of all chains. The controller that serves the
+// request signs it. An export ends with a seal, so that truncation is detected.
 type Seal struct {
 	Text   string `msgpack:"seal"` // Sealed, as JSON
 	Signer string `msgpack:"signer"`
 	Sig    string `msgpack:"sig"`
-	// Signers are the certificates of all who signed, base64.
+	// Signers are the certificates of all signers, in base64.
 	Signers []string `msgpack:"signers"`
 }
 
-// Sealed is what a seal says.
+// Sealed is the signed content of a seal.
 type Sealed struct {
 	At     time.Time  `json:"at"`
 	By     string     `json:"by"`
 	Chains []ChainEnd `json:"chains"`
 }
 
-// ChainEnd is the last batch of a chain.
+// ChainEnd identifies the last batch of a chain.
 type ChainEnd struct {
 	Chain  string `json:"chain"`
 	Number uint64 `json:"number"`
 	Hash   string `json:"hash"`
 }
 
-// Verify checks a seal's signature.
+// Verify checks the seal's signature.
 func (s *Seal) Verify(cert *x509.Certificate) error {
 	return verifySum(sealSum(s.Text, s.Signer), s.Sig, cert)
 }
 
-// sealDomain begins what the signature of a seal is over.
+// sealDomain is the domain separator of the signature of a seal.
 const sealDomain = "micaspindle audit seal 1"
 
 func sealSum(text, signer string) [sha256.Size]byte {
 	return sha256.Sum256([]byte(sealDomain + "\n" + signer + "\n" + text))
 }
 
-// Seal reads the ends of all chains and signs them.
+// Seal finds the ends of all chains and signs the list of them.
 func (l *Log) Seal(ctx context.Context) (*Seal, error) {
 	body := Sealed{At: time.Now().UTC(), By: l.chain}
 	var err error
@@ -75,7 +75,7 @@
 	return seal, err
 }
 
-// chainEnds lists the ends of all chains.
+// chainEnds returns the ends of all chains.
 func (l *Log) chainEnds(ctx context.Context) ([]ChainEnd, error) {
 	ends := []ChainEnd{}
 	err := l.scan(ctx, headPrefix, headPrefix, func(key string, raw []byte) error {
@@ -90,7 +90,7 @@
 	return ends, err
 }
 
-// signers lists the certificates of all signers, base64, this controller's own first.
+// signers returns the certificates of all signers in base64, this controller's own first.
 func (l *Log) signers(ctx context.Context, own signerRecord) ([]string, error) {
 	certs := []string{own.Cert}
 	err := l.scan(ctx, signerPrefix, signerPrefix, func(_ string, raw []byte) error {
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// headInterval is after how many batches the chain's head is written anew.
+	// headInterval is the number of batches between updates of the chain's head.
 	headInterval = 32
-	// maxWriteAttempts is how often a batch is written anew after a conflict.
+	// maxWriteAttempts is the maximum number of attempts to write a batch after conflicts.
 	maxWriteAttempts = 6
-	// settleTimeout is how long a batch without an answer is looked for.
-	settleTimeout = time.Second
+	// resolveTimeout is how long to look for a batch whose transaction got no answer.
+	resolveTimeout = time.Second
 )
 
 // draft is a batch that is about to be committed.
 type draft struct {
 	batch *Batch
 	txn   *protocol.Transaction
-	// gathered are the unwritten records that the batch holds.
-	gathered []Record
+	// aggregated are the unwritten records that the batch contains.
+	aggregated []Record
 }
 
-// write commits changes with their batch, or without changes only what was gathered.
+// write commits changes and unwritten records in a batch. Without changes, the batch has the
+// unwritten records only.
 func (l *Log) write(ctx context.Context, changes []*pendingChange) {
 	if !l.opened {
 		if err := l.open(ctx); err != nil {
-			l.log.Debug("audit chain can't be read yet", "error", err)
-			finish(changes, result{err: fmt.Errorf("%w: audit chain can't be read", storage.ErrRefused)})
-			l.sleep(ctx, pause)
+			l.log.Debug("cannot read audit chain, will retry", "error", err)
+			finish(changes, result{err: fmt.Errorf("%w: cannot read audit chain", storage.ErrRefused)})
+			l.sleep(ctx, pollInterval)
 			return
 		}
 	}
@@ -45,16 +46,16 @@
 		}
 		changes = remaining
 	}
-	finish(changes, result{err: fmt.Errorf("%w: audit chain moves on", storage.ErrRefused)})
+	finish(changes, result{err: fmt.Errorf("%w: too many conflicts in the audit chain", storage.ErrRefused)})
 }
 
-// tryWrite commits changes with their batch once. If there was a conflict, it returns the
-// changes that are to be tried again.
+// tryWrite makes one attempt to commit changes with their batch. After a conflict, it returns
+// the changes to be retried.
 func (l *Log) tryWrite(ctx context.Context, changes []*pendingChange) (remaining []*pendingChange, retry bool) {
 	d, err := l.assemble(changes)
 	if err != nil {
-		l.log.Error("audit batch not made", "error", err)
-		finish(changes, result{err: fmt.Errorf("%w: audit batch not made", storage.ErrRefused)})
+		l.log.Error("cannot sign audit batch", "error", err)
+		finish(changes, result{err: fmt.Errorf("%w: cannot sign audit batch", storage.ErrRefused)})
 		return nil, false
 	}
 	if len(d.batch.Lines) == 0 {
@@ -62,14 +63,14 @@
 	}
 	revision, err := l.store.UserCommit(ctx, d.txn)
 	if errors.Is(err, storage.ErrUnknown) {
-		revision, err = l.settle(ctx, d.batch, err)
+		revision, err = l.resolveUnknown(ctx, d.batch, err)
 	}
 	if err == nil {
 		l.advance(d)
 		finish(changes, result{revision: revision})
 		return nil, false
 	}
-	l.putBack(d.gathered)
+	l.putBack(d.aggregated)
 	var conflict *storage.Conflict
 	switch {
 	case errors.As(err, &conflict):
@@ -82,54 +83,55 @@
 		finish(changes, result{err: err})
 	default:
 		if errors.Is(err, storage.ErrUnknown) {
-			l.uncertain = append(l.uncertain, uncertainBatch{d.batch.Sig, len(d.gathered)})
+			l.uncertain = append(l.uncertain, uncertainBatch{d.batch.Sig, len(d.aggregated)})
 		}
 		finish(changes, result{err: err})
-		l.sleep(ctx, pause)
+		l.sleep(ctx, pollInterval)
 	}
 	return nil, false
 }
 
-// assemble makes the next batch and its transaction. What was gathered is added
-// as far as there is room.
+// assemble builds the next batch and its transaction. The batch gets as many unwritten records
+// as fit.
 func (l *Log) assemble(changes []*pendingChange) (*draft, error) {
 	signer := l.signer()
 	d := &draft{
 		batch: &Batch{Prev: l.prev, Signer: signer.ID},
 		txn:   &protocol.Transaction{If: []protocol.Condition{{Key: BatchKey(l.chain, l.next)}}},
 	}
-	room := l.store.ValueBytes() - batchOverhead
+	available := l.store.ValueBytes() - batchOverhead
 	for _, change := range changes {
 		d.txn.If = append(d.txn.If, change.txn.If...)
 		d.txn.Then = append(d.txn.Then, change.txn.Then...)
 		d.batch.Lines = append(d.batch.Lines, change.line)
-		room -= lineSize(change.line)
+		available -= lineSize(change.line)
 	}
-	l.addGathered(d, room)
+	l.addAggregated(d, available)
 	if err := d.batch.sign(l.chain, l.next, signer); err != nil {
-		l.putBack(d.gathered)
+		l.putBack(d.aggregated)
 		return nil, err
 	}
 	l.addRecords(d, &signer)
 	return d, nil
 }
 
-// addGathered adds unwritten records to a batch as far as there is room, but one in any case.
-func (l *Log) addGathered(d *draft, room int) {
+// addAggregated adds as many unwritten records to a batch as fit in available bytes. A batch that has
+// no lines gets at least one.
+func (l *Log) addAggregated(d *draft, available int) {
 	for len(l.unwritten) > 0 {
 		line := l.unwritten[0].line()
-		if room -= lineSize(line); room < 0 && len(d.batch.Lines) > 0 {
+		if available -= lineSize(line); available < 0 && len(d.batch.Lines) > 0 {
 			break
 		}
 		d.batch.Lines = append(d.batch.Lines, line)
-		d.gathered = append(d.gathered, l.unwritten[0])
+		d.aggregated = append(d.aggregated, l.unwritten[0])
 		l.unwritten = l.unwritten[1:]
 	}
 }
 
-// addRecords adds the audit's own records to a transaction: the batch, now and then the head,
-// and a new signer's certificate. The head needs no condition of its own: whoever writes it
-// writes the batch of that number, and batches come in order.
+// addRecords adds the log's own records to a transaction: the batch, at intervals the head, and
+// the certificate of a new signer. The head needs no condition: it is written in the same
+// transaction as the batch that it names, and batches are committed in order.
 func (l *Log) addRecords(d *draft, signer *Signer) {
 	d.txn.Then = append(d.txn.Then, protocol.Change{Put: BatchKey(l.chain, l.next), Value: storage.Encode(d.batch)})
 	if l.next%headInterval == 1 && len(d.txn.Then) < l.store.TxnOps() {
@@ -141,10 +143,10 @@
 	}
 }
 
-// putBack makes gathered records unwritten again, in front of the others.
-func (l *Log) putBack(gathered []Record) { l.unwritten = append(gathered, l.unwritten...) }
+// putBack puts aggregated records back at the front of the unwritten ones.
+func (l *Log) putBack(records []Record) { l.unwritten = append(records, l.unwritten...) }
 
-// advance goes on to the next batch after one was committed.
+// advance moves on to the next number after a batch was committed.
 func (l *Log) advance(d *draft) {
 	l.prev = d.batch.Hash(l.chain, l.next)
 	l.next++
@@ -155,13 +157,13 @@
 	}
 }
 
-// settle finds out what became of a batch whose transaction got no answer. If
-// it is not there it may still be committed; then its number is tried again, and only
-// one of the two can be.
-func (l *Log) settle(ctx context.Context, batch *Batch, unknown error) (uint64, error) {
+// resolveUnknown looks for a batch whose transaction got no answer. A batch that is not found
+// may still be committed later. The next batch has the same number, so that only one of the
+// two can be committed.
+func (l *Log) resolveUnknown(ctx context.Context, batch *Batch, unknownErr error) (uint64, error) {
 	key := BatchKey(l.chain, l.next)
-	begun := time.Now()
-	for time.Since(begun) < settleTimeout {
+	start := time.Now()
+	for time.Since(start) < resolveTimeout {
 		item, err := l.store.Get(ctx, key)
 		switch {
 		case err == nil:
@@ -170,22 +172,22 @@
 			}
 			return 0, &storage.Conflict{Failed: []string{key}}
 		case errors.Is(err, storage.ErrNotFound), ctx.Err() != nil:
-			return 0, unknown
+			return 0, unknownErr
 		}
-		l.sleep(ctx, pause)
+		l.sleep(ctx, pollInterval)
 	}
-	return 0, unknown
+	return 0, unknownErr
 }
 
-// isBatch reports whether a stored value is a certain batch.
+// isBatch reports whether a stored value is the given batch.
 func isBatch(value []byte, batch *Batch) bool {
 	var stored Batch
 	return storage.Decode(value, &stored) == nil && stored.Sig == batch.Sig && stored.Prev == batch.Prev && slices.Equal(stored.Lines, batch.Lines)
 }
 
-// resolveConflict answers the changes whose own conditions failed and returns the rest,
-// to be tried again; what was gathered waits for the next batch. If the batch's number is
-// taken, the chain is read on.
+// resolveConflict fails the changes whose own conditions failed and returns the others for a
+// retry. If the batch's number is taken, or none of the changes has a failed condition, it
+// reads the new batches of the chain first.
 func (l *Log) resolveConflict(ctx context.Context, changes []*pendingChange, conflict *storage.Conflict) (remaining []*pendingChange, retry bool) {
 	failed := map[string]bool{}
 	for _, key := range conflict.Failed {
@@ -199,15 +201,16 @@
 		}
 	}
 	if failed[BatchKey(l.chain, l.next)] || len(remaining) == len(changes) {
-		if err := l.follow(ctx); err != nil {
-			finish(remaining, result{err: fmt.Errorf("%w: audit chain can't be read", storage.ErrRefused)})
+		if err := l.catchUp(ctx); err != nil {
+			finish(remaining, result{err: fmt.Errorf("%w: cannot read audit chain", storage.ErrRefused)})
 			return nil, false
 		}
 	}
 	return remaining, len(remaining) > 0
 }
 
-// failedConditions lists a transaction's keys that are among the failed ones.
+// failedConditions returns the keys in a transaction's conditions that are among the failed
+// keys.
 func failedConditions(txn *protocol.Transaction, failed map[string]bool) (keys []string) {
 	for _, condition := range txn.If {
 		if failed[condition.Key] {
