--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -255,12 +255,10 @@
 // recorded exactly once.
 func TestUnansweredCommits(t *testing.T) {
 	for name, lose := range map[string]func(n int, target string, resp *transport.Response) error{
-		"answer lost":             func(n int, _ string, _ *transport.Response) error { return lostIf(n == 2) },
-		"all answers lost":        func(n int, _ string, _ *transport.Response) error { return lostIf(n >= 2 && n < 8) },
-		"every third answer lost": func(n int, _ string, _ *transport.Response) error { return lostIf(n%3 == 0) },
-		"only commits lost": func(n int, target string, _ *transport.Response) error {
-			return lostIf(target == "/commit" && n%4 == 0)
-		},
+		"answer lost":             func(n int, _ string, _ *transport.Response) error { return lost(n == 2) },
+		"all answers lost":        func(n int, _ string, _ *transport.Response) error { return lost(n >= 2 && n < 8) },
+		"every third answer lost": func(n int, _ string, _ *transport.Response) error { return lost(n%3 == 0) },
+		"only commits lost":       func(n int, target string, _ *transport.Response) error { return lost(target == "/commit" && n%4 == 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
@@ -315,8 +313,9 @@
 	}
 }
 
-func lostIf(yes bool) error {
-	if yes {
+// lost returns an error if the answer is lost.
+func lost(answerLost bool) error {
+	if answerLost {
 		return errors.New("no answer")
 	}
 	return nil
--- a/internal/audit/archive/compress.go
+++ b/internal/audit/archive/compress.go
@@ -32,14 +32,14 @@
 	hash := sha256.New()
 	encoder, err := zstd.NewWriter(io.MultiWriter(w, hash))
 	if err != nil {
-		return fmt.Errorf("audit: compress: %w", err)
+		return fmt.Errorf("audit: cannot compress export: %w", err)
 	}
 	if err := write(encoder); err != nil {
 		_ = encoder.Close()
 		return err
 	}
 	if err := encoder.Close(); err != nil {
-		return fmt.Errorf("audit: compress: %w", err)
+		return fmt.Errorf("audit: cannot compress export: %w", err)
 	}
 	_, err = w.Write(trailerOf([sha256.Size]byte(hash.Sum(nil))))
 	return err
@@ -70,7 +70,7 @@
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecodedBytes))
 	if err != nil {
-		return nil, fmt.Errorf("audit: open: %w", err)
+		return nil, fmt.Errorf("audit: cannot decompress export: %w", err)
 	}
 	defer decoder.Close()
 	content, err := decoder.DecodeAll(frame, nil)
--- a/internal/audit/archive/export.go
+++ b/internal/audit/archive/export.go
@@ -13,7 +13,8 @@
 	"micaspindle/internal/identity"
 )
 
-// Fetch returns batches of a chain that follow the batch with a number, none at the end.
+// Fetch returns batches of a chain whose numbers are greater than after. It returns none at the
+// end of the chain.
 type Fetch func(ctx context.Context, chain string, after uint64) ([]audit.NumberedBatch, error)
 
 // Export writes a head, the signers, the batches of each chain up to its end in the seal, and
@@ -21,7 +22,7 @@
 func Export(ctx context.Context, w io.Writer, seal *audit.Seal, fetch Fetch, progress func(done, all uint64)) error {
 	var sealed audit.Sealed
 	if err := json.Unmarshal([]byte(seal.Text), &sealed); err != nil {
-		return fmt.Errorf("audit: seal: %w", err)
+		return fmt.Errorf("audit: cannot decode seal: %w", err)
 	}
 	e := &exporter{out: bufio.NewWriter(w), fetch: fetch, progress: progress}
 	for _, end := range sealed.Chains {
@@ -57,7 +58,7 @@
 func (e *exporter) write(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
-		return fmt.Errorf("audit: export: %w", err)
+		return fmt.Errorf("audit: cannot encode export line: %w", err)
 	}
 	_, err = e.out.Write(append(line, '\n'))
 	return err
--- a/internal/audit/archive/verify.go
+++ b/internal/audit/archive/verify.go
@@ -112,7 +112,7 @@
 		v.line++
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				return v.result, fmt.Errorf("audit: read: %w", err)
+				return v.result, fmt.Errorf("audit: cannot read export: %w", err)
 			}
 			v.addProblem("", 0, "the last line is incomplete: the file was truncated")
 		}
@@ -187,8 +187,8 @@
 	}
 }
 
-// trustedSigner returns a signer's certificate. It returns an error if the signer was not
-// allowed to sign for a chain at a time.
+// trustedSigner returns a signer's certificate, or an error if the signer was not allowed to
+// sign for the chain at that time.
 func (v *verifier) trustedSigner(signer, chain string, at time.Time) (*x509.Certificate, error) {
 	cert := v.signers[signer]
 	if cert == nil {
@@ -307,8 +307,8 @@
 		if v.used[fingerprint] {
 			continue
 		}
-		// An unused certificate is harmless, but no signature covers its line, so the line is
-		// checked by the certificate's own issuer.
+		// An unused certificate is harmless, but no signature in the export covers its line. An
+		// alteration of the line is detected by verifying the certificate itself.
 		issued := cert.NotBefore.Add(time.Minute)
 		if err := identity.VerifyChain(cert, nil, v.roots, issued); err != nil {
 			v.addProblem("", 0, "an unused certificate was not issued by a trusted authority")
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -139,8 +139,8 @@
 // numberedOverhead is the size of a batch in a response without its stored value, in bytes.
 const numberedOverhead = 64
 
-// Batches returns the batches of a chain that follow the batch with a number. It returns as
-// many as fit in a response of size bytes, but at least one if there is any.
+// Batches returns the batches of a chain whose numbers are greater than after: as many as fit in
+// a response of size bytes, but at least one if there is any.
 func (l *Log) Batches(ctx context.Context, chain string, after uint64, size int) ([]NumberedBatch, error) {
 	list, err := l.store.Page(ctx, BatchPrefix(chain), BatchKey(chain, after), pageSize)
 	if err != nil {
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -64,7 +64,7 @@
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		return nil, fmt.Errorf("audit: seal: %w", err)
+		return nil, fmt.Errorf("audit: cannot encode seal: %w", err)
 	}
 	signer := l.signer()
 	seal := &Seal{Text: string(text), Signer: signer.ID}
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -157,9 +157,10 @@
 	}
 }
 
-// resolveUnknown looks for a batch whose transaction got no answer. A batch that is not found
-// may still be committed later. The next batch has the same number, so that only one of the
-// two can be committed.
+// resolveUnknown looks for a batch whose transaction got no answer and returns its revision. If
+// there is no batch with its number, it returns unknownErr: the transaction may still be
+// committed later. The next batch then has the same number, so that only one of the two can
+// be committed.
 func (l *Log) resolveUnknown(ctx context.Context, batch *Batch, unknownErr error) (uint64, error) {
 	key := BatchKey(l.chain, l.next)
 	start := time.Now()
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -509,6 +509,6 @@
 		t.Errorf("record of a BLAKE3 digest: got %q with error %v, want \"blake\"", got, err)
 	}
 	if _, err := r.Get("a", Digest{Hash: BLAKE3.Of(data).Hash}); !errors.Is(err, ErrNotFound) {
-		t.Error("record of another digest function: want ErrNotFound, got error", err)
+		t.Errorf("record of another digest function: got error %v, want ErrNotFound", err)
 	}
 }
