--- a/internal/audit/archive/verify.go
+++ b/internal/audit/archive/verify.go
@@ -132,7 +132,7 @@
 		part, err := in.ReadSlice('\n')
 		line = append(line, part...)
 		if len(line) > maxLineBytes {
-			return nil, fmt.Errorf("line longer than %d bytes", maxLineBytes)
+			return nil, errors.New("line too long for an audit export")
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
