--- a/internal/reapi/actioncache.go
+++ b/internal/reapi/actioncache.go
@@ -15,13 +15,13 @@
 	"micaspindle/internal/blobstore"
 )
 
-// maxResultBytes bounds the encoding of an action result.
+// maxResultBytes is the maximum size of an encoded action result.
 const maxResultBytes = 1 << 20
 
-// GetActionResult returns the result of an action if every blob that it references is on
-// some front end, which pins these blobs for the promised time.
+// GetActionResult returns the cached result of an action if every blob that the result
+// references is on some front end. The blobs are pinned there for the retention period.
 func (f *FrontEnd) GetActionResult(ctx context.Context, req *repb.GetActionResultRequest) (*repb.ActionResult, error) {
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return nil, err
 	}
@@ -32,14 +32,14 @@
 	action := digestIn(function, req.GetActionDigest())
 	result, err := f.localResult(space, action)
 	if f.fromPeer(ctx) {
-		return result, failure(err) // the peer checks that it is complete
+		return result, failure(err) // the calling peer checks that all its blobs exist
 	}
 	if err == nil {
 		err = f.checkComplete(ctx, req.GetInstanceName(), space, function, result)
 	}
 	if errors.Is(err, blobstore.ErrNotFound) {
-		if copied := f.peerResult(ctx, req.GetInstanceName(), action); copied != nil && f.checkComplete(ctx, req.GetInstanceName(), space, function, copied) == nil {
-			return copied, nil
+		if peerResult := f.peerResult(ctx, req.GetInstanceName(), action); peerResult != nil && f.checkComplete(ctx, req.GetInstanceName(), space, function, peerResult) == nil {
+			return peerResult, nil
 		}
 	}
 	if err != nil {
@@ -61,7 +61,8 @@
 	return result, nil
 }
 
-// findResult reads a result from this front end or else from a peer; nil if none has it.
+// findResult reads a result from this front end or, failing that, from a peer. It returns
+// nil if none of them has it.
 func (f *FrontEnd) findResult(ctx context.Context, instance, space string, key blobstore.Digest) *repb.ActionResult {
 	if result, err := f.localResult(space, key); err == nil {
 		return result
@@ -69,11 +70,11 @@
 	return f.peerResult(ctx, instance, key)
 }
 
-// UpdateActionResult stores a result: of a client that executed the action itself, of a
-// worker for one of its executions, or the copy of a peer. A complete result that is
-// stored already is not replaced by a client's.
+// UpdateActionResult stores an action result. The caller is a client that executed the
+// action itself, a worker that reports an execution, or a peer that replicates a result. A
+// client cannot replace a stored result whose blobs all exist.
 func (f *FrontEnd) UpdateActionResult(ctx context.Context, req *repb.UpdateActionResultRequest) (*repb.ActionResult, error) {
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +86,7 @@
 	md, _ := metadata.FromIncomingContext(ctx)
 	fromPeer := f.fromPeer(ctx)
 	if execution := md.Get(ExecutionMark); len(execution) == 1 && (fromPeer || f.fromWorker(ctx)) {
-		return f.recordExecution(ctx, req, space, execution[0])
+		return f.recordExecutionResult(ctx, req, space, execution[0])
 	}
 	if !f.config.ClientResults && !fromPeer {
 		return nil, status.Error(codes.PermissionDenied, "clients write no results here")
@@ -102,10 +103,10 @@
 		return nil, status.Errorf(codes.InvalidArgument, "the result is larger than %d bytes", maxResultBytes)
 	}
 	replace := fromPeer && len(md.Get(replaceMark)) > 0
-	if first, err := f.localResult(space, action); err == nil && !replace && (fromPeer || f.checkComplete(ctx, instance, space, function, first) == nil) {
-		return first, nil
+	if stored, err := f.localResult(space, action); err == nil && !replace && (fromPeer || f.checkComplete(ctx, instance, space, function, stored) == nil) {
+		return stored, nil
 	}
-	if !fromPeer { // a peer has checked the result that it copies
+	if !fromPeer { // a peer has checked the result before replicating it
 		if err := f.checkUploaded(ctx, instance, space, function, req.GetActionResult()); err != nil {
 			return nil, err
 		}
@@ -117,11 +118,11 @@
 	return req.GetActionResult(), nil
 }
 
-// errResultMissing rejects an update without a result.
+// errResultMissing rejects an UpdateActionResult request without a result.
 var errResultMissing = status.Error(codes.InvalidArgument, "the result is missing")
 
-// checkUploaded is checkComplete for a result that a client is about to store. Its errors
-// are gRPC statuses.
+// checkUploaded checks that the blobs of a result that a client wants to store are uploaded.
+// Its errors are gRPC statuses.
 func (f *FrontEnd) checkUploaded(ctx context.Context, instance, space string, function blobstore.Function, result *repb.ActionResult) error {
 	err := f.checkComplete(ctx, instance, space, function, result)
 	if errors.Is(err, blobstore.ErrNotFound) {
@@ -130,10 +131,10 @@
 	return failure(err)
 }
 
-// recordExecution stores the result that a worker reports for an execution, on the front
-// end that is the execution's primary.
-func (f *FrontEnd) recordExecution(ctx context.Context, req *repb.UpdateActionResultRequest, space, execution string) (*repb.ActionResult, error) {
-	function, err := functionOf(req.GetDigestFunction())
+// recordExecutionResult stores the result that a worker reports for an execution. It runs on
+// the front end that is the primary of the execution; other front ends forward the call.
+func (f *FrontEnd) recordExecutionResult(ctx context.Context, req *repb.UpdateActionResultRequest, space, execution string) (*repb.ActionResult, error) {
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return nil, err
 	}
@@ -149,7 +150,7 @@
 			return recorded, err
 		}
 	}
-	// The call itself is not forwarded again, but answering it may take calls to peers.
+	// The call is not forwarded again, but answering it may require other calls to peers.
 	ctx = withoutPeerMark(ctx)
 	raw, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: entry.Action()}, maxTreeNode)
 	if err != nil {
@@ -162,12 +163,12 @@
 	if record := f.findStartRecord(ctx, req.GetInstanceName(), space, execution); record != nil && record.Queued > 0 && req.GetActionResult().GetExecutionMetadata() != nil {
 		req.ActionResult.ExecutionMetadata.QueuedTimestamp = timestamppb.New(time.UnixMilli(record.Queued))
 	}
-	first, err := f.RecordResult(ctx, req.GetInstanceName(), space, entry, req.GetActionResult(), !action.GetDoNotCache())
+	isFirst, err := f.RecordResult(ctx, req.GetInstanceName(), space, entry, req.GetActionResult(), !action.GetDoNotCache())
 	if err != nil {
 		return nil, failure(err)
 	}
-	if !first {
-		f.log.Info("late result discarded", "execution", execution, "count", f.discarded.Load())
+	if !isFirst {
+		f.log.Info("result discarded, execution already has one", "execution", execution, "count", f.discarded.Load())
 	}
 	return req.GetActionResult(), nil
 }
--- a/internal/reapi/authorization.go
+++ b/internal/reapi/authorization.go
@@ -20,13 +20,13 @@
 	"micaspindle/internal/protocol"
 )
 
-// certificatePrefix marks the credential of a client whose TLS certificate this front
-// end has verified; the certificate's name follows. A client that sends such a
-// credential itself is treated as having none.
+// certificatePrefix begins the credential of a client whose TLS certificate this front end
+// has verified; the name in the certificate follows. If a client sends an authorization
+// header with this prefix, it is treated as having no credential.
 const certificatePrefix = "certificate "
 
-// credential returns the client's authorization header or, without one, the name in its
-// certificate behind certificatePrefix; "" if the client has neither.
+// credential returns the client's authorization header. Without one, it returns
+// certificatePrefix and the name in the client's certificate, or "" if there is none.
 func (f *FrontEnd) credential(ctx context.Context) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	switch v := md.Get("authorization"); {
@@ -41,13 +41,13 @@
 	return ""
 }
 
-// clientFor returns a client of the controllers that acts for the holder of a
-// credential, and whether the credential is well-formed.
+// clientFor returns a client for the controllers that makes its calls on behalf of the holder
+// of a credential, and whether the credential is well-formed.
 func clientFor(c *client.Client, credential string) (*client.Client, bool) {
 	if name, ok := strings.CutPrefix(credential, certificatePrefix); ok {
 		return c.OnBehalf(name), true
 	}
-	token, ok := bearer(credential)
+	token, ok := bearerToken(credential)
 	return c.WithToken(token), ok
 }
 
@@ -58,44 +58,44 @@
 func (OpenAccess) Allows(context.Context, string, string, string) (string, error) { return "", nil }
 
 const (
-	// answerTTL is how long an answer of the controllers is cached. A revocation
-	// reaches them within 3 s, and takes effect here up to answerTTL later.
+	// answerTTL is how long an authorization decision of the controllers is cached. A
+	// revocation reaches them within 3 s and takes effect here up to answerTTL later.
 	answerTTL = time.Second
-	// accessTimeout bounds one question to the controllers.
+	// accessTimeout is the timeout of one authorization request to the controllers.
 	accessTimeout = 5 * time.Second
-	// maxCachedAnswers bounds the cache.
+	// maxCachedAnswers is the maximum number of cached decisions.
 	maxCachedAnswers = 8192
 )
 
-// ControllerAccess is an Access that asks the controllers with the client's own credential, so
-// that they decide and audit what was refused.
+// ControllerAccess is an Access that sends the client's credential to the controllers, which
+// decide and write denied requests to the audit log.
 type ControllerAccess struct {
 	controllers *client.Client
 	class       string
 	answers     *lru.Cache[accessQuery, *accessAnswer]
 }
 
-// accessQuery identifies a cached answer. Credentials are kept as hashes only.
+// accessQuery is the key of a cached decision. It holds a hash instead of the credential.
 type accessQuery struct {
 	credential [sha256.Size]byte
 	verb, team string
 }
 
-// accessAnswer is the answer to one query; concurrent calls with the same query share it.
+// accessAnswer is the decision on one query. Concurrent calls with the same query share it.
 type accessAnswer struct {
-	once sync.Once
-	at   atomic.Int64 // Unix milliseconds; 0: not answered yet
-	who  string
-	err  error
+	once       sync.Once
+	answeredAt atomic.Int64 // Unix milliseconds; 0: not answered yet
+	who        string
+	err        error
 }
 
-// expired reports whether an answer has outlived its TTL.
+// expired reports whether an answer is older than answerTTL.
 func (a *accessAnswer) expired() bool {
-	at := a.at.Load()
+	at := a.answeredAt.Load()
 	return at != 0 && time.Since(time.UnixMilli(at)) > answerTTL
 }
 
-// NewControllerAccess creates an Asker for jobs of a class.
+// NewControllerAccess creates a ControllerAccess for jobs of a class.
 func NewControllerAccess(controllers *client.Client, class string) (*ControllerAccess, error) {
 	answers, err := lru.New[accessQuery, *accessAnswer](maxCachedAnswers)
 	if err != nil {
@@ -104,9 +104,9 @@
 	return &ControllerAccess{controllers: controllers, class: class, answers: answers}, nil
 }
 
-// Allows implements Access, from the cache if an answer is fresh.
+// Allows implements Access. It uses a cached answer unless that has expired.
 func (a *ControllerAccess) Allows(ctx context.Context, credential, verb, team string) (string, error) {
-	asker, ok := clientFor(a.controllers, credential)
+	caller, ok := clientFor(a.controllers, credential)
 	if !ok {
 		return "", status.Error(codes.Unauthenticated, "send a token: authorization: Bearer ..., or show a certificate")
 	}
@@ -121,18 +121,18 @@
 		defer cancel()
 		var who protocol.WhoAmI
 		target := "/may?verb=" + url.QueryEscape(verb) + "&team=" + url.QueryEscape(team) + "&class=" + url.QueryEscape(a.class)
-		err := asker.Do(ctx, "GET", target, nil, &who)
+		err := caller.Do(ctx, "GET", target, nil, &who)
 		answer.who, answer.err = who.Name, accessError(err)
-		answer.at.Store(time.Now().UnixMilli())
+		answer.answeredAt.Store(time.Now().UnixMilli())
 	})
 	if answer.err != nil && status.Code(answer.err) == codes.Unavailable {
-		a.answers.Remove(query) // no decision: the next call asks again
+		a.answers.Remove(query) // no decision was made, so the next call retries
 	}
 	return answer.who, answer.err
 }
 
-// bearer extracts the token of an authorization header.
-func bearer(credential string) (string, bool) {
+// bearerToken extracts the bearer token from an authorization header.
+func bearerToken(credential string) (string, bool) {
 	const scheme = "Bearer "
 	if len(credential) <= len(scheme) || credential[:len(scheme)] != scheme {
 		return "", false
@@ -140,7 +140,7 @@
 	return credential[len(scheme):], true
 }
 
-// accessError converts an error of the controllers into a gRPC status.
+// accessError converts an error from the controllers into a gRPC status.
 func accessError(err error) error {
 	if err == nil {
 		return nil
@@ -151,8 +151,8 @@
 	return retryLater(codes.Unavailable, time.Second, "no controller could be asked")
 }
 
-// denied returns the status of a client that the controllers rejected because of its
-// credential or its rights; nil: err is something else.
+// denied returns a gRPC status if err says that the controllers rejected the credential or
+// that its holder lacks the right. For any other error it returns nil.
 func denied(err error) error {
 	var refusal *client.Refusal
 	if !errors.As(err, &refusal) {
--- a/internal/reapi/batch.go
+++ b/internal/reapi/batch.go
@@ -19,32 +19,31 @@
 	"micaspindle/internal/protocol"
 )
 
-// Jobs submits, queries and withdraws jobs with a client's credential.
+// Jobs submits, queries and cancels jobs with a client's credential.
 type Jobs interface {
 	Submit(ctx context.Context, credential string, s *protocol.Submission) (protocol.JobStatus, error)
 	Status(ctx context.Context, credential, job string) (protocol.JobStatus, error)
 	Withdraw(ctx context.Context, credential, job string) error
 }
 
-// executions is the state of the actions that are being executed. Actions gather in
-// batches; a batch becomes an array job.
+// executions is the state of the actions that are being executed. Actions are collected in
+// batches, and each batch is submitted as a job array.
 type executions struct {
 	mu      sync.Mutex
-	batches map[batchKey]*batch // that still gather
+	batches map[batchKey]*batch // that still accept actions
 	queues  map[queueKey]*submitQueue
-	// submitting holds batches that left their queue and whose job has no id yet; they
-	// count as submitted.
+	// submitting holds the batches that have left their queue and whose job has no id yet.
+	// They count as submitted.
 	submitting map[*batch]bool
-	submitted  map[string]*submittedJob // by job
-	running    map[string]*task         // by space and execution: identical actions run once
+	submitted  map[string]*submittedJob // by job id
+	running    map[string]*task         // by team and execution, so that identical actions run once
 	interests  map[string]*jobInterest
 	leases     map[string]interestLease // of jobs that clients of other front ends wait for
 	lookups    map[string]*resultLookup // by instance and execution
-	// jobs and actions count what was submitted.
-	jobs, actions atomic.Int64
+	// submittedJobs and submittedActions count since the start of the process.
+	submittedJobs, submittedActions atomic.Int64
 }
 
-// newExecutions creates an empty state.
 func newExecutions() executions {
 	return executions{
 		batches:    map[batchKey]*batch{},
@@ -65,44 +64,45 @@
 	requirements requirements
 }
 
-// batch is a list of actions that become one array job.
+// batch is a list of actions that become one job array.
 type batch struct {
 	key        batchKey
 	credential string
 	tasks      []*task
 	timer      *time.Timer
-	// queued: it waits in its submit queue. submitted: it has left the queue, and its
-	// tasks do not change any more.
+	// queued is set when the batch enters its submit queue. submitted is set when it leaves
+	// the queue; its tasks do not change after that.
 	queued, submitted bool
 }
 
-// task is an action that is being executed: it waits for its job, then for its result.
+// task is an action that is being executed. It waits first until it is assigned to a job and
+// then for its result.
 type task struct {
 	entry    ManifestEntry
 	instance string
 	space    string
-	// client is whose share of the waiting actions it occupies.
+	// client is the client whose quota of waiting actions the task uses.
 	client string
 	queued time.Time
-	// batch is where it gathers, nil if another front end submitted it; waiters counts
-	// the calls that wait for its job.
+	// batch is nil if another front end submitted the task. waiters counts the calls that
+	// wait for the task's job.
 	batch   *batch
 	waiters int
-	// placed is closed once the task has its job, or err says why it has none.
+	// placed is closed once job and index are set, or err if the submission failed.
 	placed chan struct{}
 	job    string
 	index  int
 	err    error
-	// done is closed once a result was recorded here.
+	// done is closed once a result is recorded on this front end.
 	done chan struct{}
 	once sync.Once
 }
 
 func (t *task) key() string { return t.space + "/" + t.entry.Execution }
 
-// joinTask returns the task of an execution that is under way, here or at another front
-// end, or adds a new one to a batch.
-func (f *FrontEnd) joinTask(ctx context.Context, instance, space, credential string, needs requirements, entry ManifestEntry) (*task, error) {
+// joinTask returns the task of an execution that is in progress, here or on another front
+// end. If there is none, it adds a new task to a batch.
+func (f *FrontEnd) joinTask(ctx context.Context, instance, space, credential string, required requirements, entry ManifestEntry) (*task, error) {
 	key := space + "/" + entry.Execution
 	if t := f.executions.join(key); t != nil {
 		return t, nil
@@ -129,11 +129,11 @@
 	}
 	t := &task{entry: entry, instance: instance, space: space, client: client, waiters: 1, queued: time.Now(), placed: make(chan struct{}), done: make(chan struct{})}
 	f.executions.running[key] = t
-	f.addToBatch(batchKey{credentialHash, instance, needs}, credential, t)
+	f.addToBatch(batchKey{credentialHash, instance, required}, credential, t)
 	return t, nil
 }
 
-// join returns the running task of a key with one waiter more, nil if there is none.
+// join adds a waiter to the running task of a key and returns the task, or nil if there is none.
 func (e *executions) join(key string) *task {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -144,8 +144,8 @@
 	return t
 }
 
-// addToBatch adds a task to the batch of its key, and queues the batch once it is full
-// or its time to gather is over. executions.mu is held.
+// addToBatch adds a task to the batch of its key. It queues the batch for submission once the
+// batch is full or its collection time is over. The caller holds executions.mu.
 func (f *FrontEnd) addToBatch(key batchKey, credential string, t *task) {
 	b := f.executions.batches[key]
 	if b == nil {
@@ -180,32 +180,32 @@
 	return t
 }
 
-// submitBatch submits a batch as a job and hands its tasks the outcome.
+// submitBatch submits a batch as a job and assigns the job, or the error, to its tasks.
 func (f *FrontEnd) submitBatch(b *batch) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	id, stale, err := f.submitBatchJob(ctx, b, "")
 	if err == nil && stale {
-		// The same actions were a job before that was withdrawn, or whose results were lost
-		// with a front end. Its tasks will never have results.
-		f.log.Info("actions resubmitted since their job ended without results", "job", id, "count", len(b.tasks))
+		// An earlier job of the same actions was cancelled, or its results were lost with a
+		// front end. Its tasks will never have results.
+		f.log.Info("resubmitting actions whose job ended without results", "job", id, "count", len(b.tasks))
 		f.executions.mu.Lock()
 		f.untrackJob(id)
 		f.executions.mu.Unlock()
 		id, _, err = f.submitBatchJob(ctx, b, rand.Text())
 	}
 	if err == nil {
-		f.executions.jobs.Add(1)
-		f.executions.actions.Add(int64(len(b.tasks)))
+		f.executions.submittedJobs.Add(1)
+		f.executions.submittedActions.Add(int64(len(b.tasks)))
 	} else {
-		f.log.Info("submission of actions failed", "job", id, "count", len(b.tasks), "error", err)
+		f.log.Info("job submission failed", "job", id, "count", len(b.tasks), "error", err)
 		err = submitFailure(err)
 	}
-	f.placeTasks(b.tasks, id, err)
+	f.assignJob(b.tasks, id, err)
 }
 
-// placeTasks sets the job of the tasks of a batch, or the error why they have none.
-func (f *FrontEnd) placeTasks(tasks []*task, job string, err error) {
+// assignJob sets the job of the tasks of a batch, or the error if the submission failed.
+func (f *FrontEnd) assignJob(tasks []*task, job string, err error) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
 	if err != nil {
@@ -224,10 +224,10 @@
 }
 
 // submitBatchJob submits the job of a batch. It stores the manifest and the start records
-// first: a front end that is killed in between leaves a job that nobody has submitted,
-// which the next attempt submits under the same id. A non-empty nonce makes the id differ
-// from that of earlier jobs of the same actions. stale reports that the job had ended
-// before, without the results that are wanted of it.
+// first. If the front end is killed before it submits the job, the next attempt submits it
+// under the same id. A non-empty nonce makes the id differ from that of earlier jobs of the
+// same actions. stale reports that a job with this id has already ended and that it was
+// cancelled or lacks a result of one of the tasks.
 func (f *FrontEnd) submitBatchJob(ctx context.Context, b *batch, nonce string) (id string, stale bool, err error) {
 	key, tasks, credential := b.key, b.tasks, b.credential
 	manifest := Manifest{Instance: key.instance, Again: nonce}
@@ -277,10 +277,11 @@
 	return retryLater(codes.Unavailable, time.Second, "the cluster did not accept it now")
 }
 
-// withCredential calls with a client's credential or, if the credential has expired since,
-// with the front end's own rights in the client's name: an execution that was accepted
-// continues, and a job that nobody waits for is withdrawn. *credential is replaced then,
-// since each further use of the expired one would be audited as a refusal.
+// withCredential runs call with a client's credential. If the controllers reject that credential,
+// which may have expired since, it repeats the call on behalf of the client with the front
+// end's own rights. So an accepted execution continues, and an abandoned job is cancelled.
+// *credential is replaced in that case, because the audit log would record each further use of
+// the expired credential as a denied request.
 func (f *FrontEnd) withCredential(credential *string, name string, call func(credential string) error) error {
 	err := call(*credential)
 	if name != "" && *credential != certificatePrefix+name && denied(err) != nil {
@@ -290,7 +291,7 @@
 	return err
 }
 
-// Submitted returns how many jobs this process submitted, and of how many actions.
+// Submitted returns how many jobs this process has submitted, and how many actions they had.
 func (f *FrontEnd) Submitted() (jobs, actions int64) {
-	return f.executions.jobs.Load(), f.executions.actions.Load()
+	return f.executions.submittedJobs.Load(), f.executions.submittedActions.Load()
 }
--- a/internal/reapi/bench_test.go
+++ b/internal/reapi/bench_test.go
@@ -16,13 +16,13 @@
 	"micaspindle/internal/repair"
 )
 
-// Command: GATE_THROUGHPUT=1 go test -run TestThroughput -v ./internal/reapi
+// TestThroughput measures, over gRPC on loopback, uploads relative to writing and syncing files,
+// downloads into files relative to copying files, and cached action results per second.
 //
-// TestThroughput measures uploads over gRPC on loopback against writing and syncing files,
-// downloads into files against copying files, and action results per second, in one run.
+// Run it with: GATE_THROUGHPUT=1 go test -run TestThroughput -v ./internal/reapi
 func TestThroughput(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
-		t.Skip("a measurement; set GATE_THROUGHPUT=1")
+		t.Skip("benchmark; set GATE_THROUGHPUT=1 to run it")
 	}
 	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
 	const blobs, size = 64, 8 << 20
@@ -51,29 +51,29 @@
 			t.Error(err)
 			return
 		}
-		defer f.Close() //nolint:errcheck // synced before
+		defer f.Close() //nolint:errcheck // Sync reports write errors
 		if _, err := f.Write(data[i]); err != nil || f.Sync() != nil {
-			t.Error("write")
+			t.Error("could not write and sync the file")
 		}
 	})
-	to := func(i int, f func(w io.Writer) error) {
+	writeCopy := func(i int, f func(w io.Writer) error) {
 		out, err := os.Create(path(i) + ".copy")
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		defer out.Close() //nolint:errcheck // a copy that is not used
+		defer out.Close() //nolint:errcheck // the copy is not read
 		if err := f(struct{ io.Writer }{out}); err != nil {
 			t.Error(err)
 		}
 	}
 	read := rate(func(i int) {
-		to(i, func(w io.Writer) error {
+		writeCopy(i, func(w io.Writer) error {
 			f, err := os.Open(path(i))
 			if err != nil {
 				return err
 			}
-			defer f.Close() //nolint:errcheck // only read
+			defer f.Close() //nolint:errcheck // opened for reading
 			_, err = io.CopyBuffer(w, struct{ io.Reader }{f}, make([]byte, chunkSize))
 			return err
 		})
@@ -84,7 +84,7 @@
 		}
 	})
 	down := rate(func(i int) {
-		to(i, func(w io.Writer) error { return b.downloadTo(w, "blobs/"+blobstore.Of(data[i]).String(), 0, 0) })
+		writeCopy(i, func(w io.Writer) error { return b.downloadTo(w, "blobs/"+blobstore.Of(data[i]).String(), 0, 0) })
 	})
 	action := digestToProto(blobstore.Of([]byte("a")))
 	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: b.blob(random(100))}}}
@@ -98,17 +98,17 @@
 		}
 		hits++
 	}
-	t.Logf("up %.0f MB/s, %.2f of writing files (%.0f); down %.0f MB/s, %.2f of copying files (%.0f); %.0f results a second to one client",
+	t.Logf("upload %.0f MB/s, %.2f of the rate of writing files (%.0f); download %.0f MB/s, %.2f of the rate of copying files (%.0f); %.0f cached results per second for one client",
 		up, up/write, write, down, down/read, read, float64(hits)/time.Since(started).Seconds())
 }
 
-// Command: GATE_THROUGHPUT=1 go test -run TestRepairSpeed -v ./internal/reapi
+// TestRepairSpeed measures how fast repair copies missing blobs to a peer without a rate limit,
+// relative to a client that writes the same blobs to one front end.
 //
-// TestRepairSpeed measures the copying of a lost front end's blobs to a peer, unthrottled,
-// against a client that writes the same blobs to one front end.
+// Run it with: GATE_THROUGHPUT=1 go test -run TestRepairSpeed -v ./internal/reapi
 func TestRepairSpeed(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
-		t.Skip("a measurement; set GATE_THROUGHPUT=1")
+		t.Skip("benchmark; set GATE_THROUGHPUT=1 to run it")
 	}
 	s := startGroup(t, 2, 1)
 	a := s.clients[0]
@@ -131,12 +131,12 @@
 	}
 	took := time.Since(started).Seconds()
 	if p := r.Progress(); p.Copied != blobs {
-		t.Fatalf("%+v", p)
+		t.Fatalf("repair did not copy all blobs: %+v", p)
 	}
 	started = time.Now()
 	if err := r.Pass(a.ctx); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("copied at %.0f MB/s, %.2f of a client's writing (%.0f); read at rest at %.0f MB/s", float64(blobs*size)/1e6/took,
+	t.Logf("copied at %.0f MB/s, %.2f of the rate of a client's writes (%.0f); verified at %.0f MB/s with nothing to copy", float64(blobs*size)/1e6/took,
 		float64(blobs*size)/1e6/took/write, write, float64(blobs*size)/1e6/time.Since(started).Seconds())
 }
--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -14,12 +14,12 @@
 	"micaspindle/internal/blobstore"
 )
 
-// transferTime returns how long a transfer of so many bytes may take.
+// transferTime returns the timeout of a transfer of the given size.
 func transferTime(bytes int64) time.Duration {
 	return callTimeout + time.Duration(float64(bytes)/minTransferRate*float64(time.Second))
 }
 
-// Read streams a blob, or a part of it, compressed if the resource name says so.
+// Read streams a blob or a part of it. The resource name says whether to compress it.
 func (f *FrontEnd) Read(req *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
 	r, err := parseResource(req.GetResourceName(), false)
 	if err != nil {
@@ -52,7 +52,7 @@
 	if limit := req.GetReadLimit(); limit > 0 {
 		from = io.LimitReader(blob, limit)
 	}
-	to := &sender{ctx: ctx, throttle: f.throttle, out: out}
+	to := &messageWriter{ctx: ctx, throttle: f.throttle, out: out}
 	if !r.compressed {
 		return failure(copyChunks(to, from))
 	}
@@ -67,26 +67,27 @@
 	return failure(encoder.Close())
 }
 
-// sender is a writer that sends to a read's stream, in messages of bounded size.
-type sender struct {
-	ctx      context.Context // the call's: a sender lives no longer than it
+// messageWriter is an io.Writer that sends data to a client in messages of at most chunkSize
+// bytes.
+type messageWriter struct {
+	ctx      context.Context // of the call, which outlives the messageWriter
 	throttle func(ctx context.Context, bytes int) error
 	out      bytestream.ByteStream_ReadServer
 }
 
-// Write sends bytes. A client that reads too slowly runs into the call's deadline, which
-// depends on the size of the blob.
-func (s *sender) Write(data []byte) (int, error) {
+// Write implements io.Writer. It fails at the call's deadline, which depends on the size of
+// the blob, if the client reads too slowly.
+func (w *messageWriter) Write(data []byte) (int, error) {
 	n := 0
 	for n < len(data) {
-		if err := s.ctx.Err(); err != nil {
+		if err := w.ctx.Err(); err != nil {
 			return n, err
 		}
 		message := data[n:min(len(data), n+chunkSize)]
-		if err := s.throttle(s.ctx, len(message)); err != nil {
+		if err := w.throttle(w.ctx, len(message)); err != nil {
 			return n, err
 		}
-		if err := s.out.Send(&bytestream.ReadResponse{Data: message}); err != nil {
+		if err := w.out.Send(&bytestream.ReadResponse{Data: message}); err != nil {
 			return n, err
 		}
 		n += len(message)
@@ -94,8 +95,8 @@
 	return n, nil
 }
 
-// Write receives a blob. An interrupted write can be resumed under the same resource
-// name, here or at a peer, at the offset that QueryWriteStatus returns.
+// Write receives a blob. An interrupted write can be resumed under the same resource name,
+// here or on a peer, at the offset that QueryWriteStatus returns.
 func (f *FrontEnd) Write(in bytestream.ByteStream_WriteServer) error {
 	first, err := in.Recv()
 	if err != nil {
@@ -112,8 +113,8 @@
 	}
 	key := blobstore.Key{Space: space, Digest: r.digest}
 	if r.digest.IsEmpty() || f.store.Has(key) {
-		// The client need not go on. The committed size is that of the whole blob, or -1
-		// for a compressed one, as the API defines.
+		// The client need not send the blob. As the API defines, the committed size is that
+		// of the whole blob, or -1 if the write is compressed.
 		size := r.digest.Size
 		if r.compressed {
 			size = -1
@@ -121,19 +122,19 @@
 		return in.SendAndClose(&bytestream.WriteResponse{CommittedSize: size})
 	}
 	name := uploadKey(space, first.GetResourceName())
-	upload, err := f.takeUpload(in.Context(), name, first, key, r)
+	upload, err := f.acquireUpload(in.Context(), name, first, key, r)
 	if err != nil {
 		return err
 	}
-	keep, err := f.receive(in, first, upload, r)
+	resumable, err := f.receive(in, first, upload, r)
 	if err != nil {
-		f.uploads.putBack(name, upload, keep)
+		f.uploads.release(name, upload, resumable)
 		return failure(err)
 	}
 	size := upload.received.Load()
 	err = upload.finish(f.store)
 	var full *blobstore.FullError
-	f.uploads.putBack(name, upload, errors.As(err, &full))
+	f.uploads.release(name, upload, errors.As(err, &full))
 	if err != nil {
 		return failure(err)
 	}
@@ -141,31 +142,31 @@
 	return in.SendAndClose(&bytestream.WriteResponse{CommittedSize: size})
 }
 
-// takeUpload makes a call the owner of its write, with what was received of it here and,
-// as far as the client resumes it, at a peer.
-func (f *FrontEnd) takeUpload(ctx context.Context, name string, first *bytestream.WriteRequest, key blobstore.Key, r resource) (*pendingUpload, error) {
+// acquireUpload makes a call the owner of a write. If the client resumes the write at an offset
+// beyond the bytes that this front end has received, the missing bytes are fetched from a peer.
+func (f *FrontEnd) acquireUpload(ctx context.Context, name string, first *bytestream.WriteRequest, key blobstore.Key, r resource) (*pendingUpload, error) {
 	begin := func() (*pendingUpload, error) { return f.openUpload(name, key, r.compressed) }
-	upload, err := f.uploads.take(name, begin)
+	upload, err := f.uploads.acquire(name, begin)
 	if err == nil && first.GetWriteOffset() == 0 && upload.received.Load() > 0 {
-		// A client that does not ask how much was received starts over.
-		f.uploads.putBack(name, upload, false)
-		upload, err = f.uploads.take(name, begin)
+		// A client that starts at offset 0 restarts the write.
+		f.uploads.release(name, upload, false)
+		upload, err = f.uploads.acquire(name, begin)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if first.GetWriteOffset() > upload.received.Load() && first.GetWriteOffset() <= r.digest.Size {
 		if err := f.fetchReceived(ctx, r.instance, first.GetResourceName(), upload, first.GetWriteOffset()); err != nil {
-			f.uploads.putBack(name, upload, upload.received.Load() > 0)
+			f.uploads.release(name, upload, upload.received.Load() > 0)
 			return nil, err
 		}
 	}
 	return upload, nil
 }
 
-// receive stores messages until the client finishes the write; keep says whether the write
-// can be resumed after an error.
-func (f *FrontEnd) receive(in bytestream.ByteStream_WriteServer, message *bytestream.WriteRequest, upload *pendingUpload, r resource) (keep bool, err error) {
+// receive stores messages until the client finishes the write. resumable reports whether the
+// write can be resumed after an error.
+func (f *FrontEnd) receive(in bytestream.ByteStream_WriteServer, message *bytestream.WriteRequest, upload *pendingUpload, r resource) (resumable bool, err error) {
 	deadline := time.Now().Add(transferTime(r.digest.Size))
 	name := message.GetResourceName()
 	for {
@@ -178,7 +179,7 @@
 		if err := f.throttle(in.Context(), len(message.GetData())); err != nil {
 			return true, err
 		}
-		if err := upload.add(message.GetData()); err != nil {
+		if err := upload.write(message.GetData()); err != nil {
 			return false, err
 		}
 		if message.GetFinishWrite() {
@@ -196,7 +197,7 @@
 	}
 }
 
-// QueryWriteStatus returns how much of a write was received, here or at a peer.
+// QueryWriteStatus returns how many bytes of a write this front end or a peer has received.
 func (f *FrontEnd) QueryWriteStatus(ctx context.Context, req *bytestream.QueryWriteStatusRequest) (*bytestream.QueryWriteStatusResponse, error) {
 	r, err := parseResource(req.GetResourceName(), true)
 	if err != nil {
@@ -209,9 +210,9 @@
 	if r.digest.IsEmpty() || f.store.Has(blobstore.Key{Space: space, Digest: r.digest}) {
 		return &bytestream.QueryWriteStatusResponse{CommittedSize: r.digest.Size, Complete: true}, nil
 	}
-	size := f.receivedHere(uploadKey(space, req.GetResourceName()))
+	size := f.receivedLocally(uploadKey(space, req.GetResourceName()))
 	if size == 0 {
-		_, size, _ = f.receivedElsewhere(ctx, r.instance, req.GetResourceName())
+		_, size, _ = f.receivedByPeers(ctx, r.instance, req.GetResourceName())
 	}
 	return &bytestream.QueryWriteStatusResponse{CommittedSize: size}, nil
 }
--- a/internal/reapi/callers.go
+++ b/internal/reapi/callers.go
@@ -6,36 +6,35 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// Keys in the metadata of calls.
+// Keys of gRPC metadata.
 const (
-	// WorkerMark marks workers' calls.
+	// WorkerMark is set on calls of workers.
 	WorkerMark = "micaspindle-worker"
-	// ExecutionMark names the execution whose result a call records.
+	// ExecutionMark holds the key of the execution whose result a call records.
 	ExecutionMark = "micaspindle-execution"
-	// peerMark marks calls between front ends. Such a call is answered from the front
-	// end's own store only, so that front ends never call each other in circles.
+	// peerMark is set on calls between front ends. Such a call is answered from the local
+	// store only, so that front ends never call each other in a loop.
 	peerMark = "micaspindle-peer"
-	// replaceMark marks a result that replaces one whose blobs are lost.
+	// replaceMark is set when a result replaces a stored one whose blobs are lost.
 	replaceMark = "micaspindle-replace"
-	// probeMark marks a question which blobs a peer has that must not pin them, since
-	// nobody relies on the answer.
+	// probeMark is set on a FindMissingBlobs call that must not pin the blobs it finds.
 	probeMark = "micaspindle-look"
 )
 
-// fromWorker reports whether a call comes from a worker.
+// fromWorker reports whether a call comes from a verified worker.
 func (f *FrontEnd) fromWorker(ctx context.Context) bool {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return len(md.Get(WorkerMark)) > 0 && f.config.IsWorker != nil && f.config.IsWorker(ctx)
 }
 
-// fromPeer reports whether a call comes from a peer.
+// fromPeer reports whether a call comes from a verified peer.
 func (f *FrontEnd) fromPeer(ctx context.Context) bool {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return len(md.Get(peerMark)) > 0 && f.config.IsPeer != nil && f.config.IsPeer(ctx)
 }
 
-// withoutPeerMark returns the context of a peer's call as if it were a client's, so that
-// answering it may take calls to peers.
+// withoutPeerMark returns ctx without the metadata of a peer's call, so that the handler may
+// call other peers.
 func withoutPeerMark(ctx context.Context) context.Context {
 	md, _ := metadata.FromIncomingContext(ctx)
 	md = md.Copy()
--- a/internal/reapi/callslots.go
+++ b/internal/reapi/callslots.go
@@ -12,27 +12,28 @@
 	"micaspindle/internal/admission"
 )
 
-// Shares are the resources that the teams and clients of a front end share fairly:
-// slots of small calls (its processor), slots of transfers, the rate of transferred
-// bytes (its disk and network), and actions that wait to be submitted. A nil field
-// means no bound.
+// Shares are the resources of a front end that teams and clients share fairly. A nil field
+// means no limit.
 type Shares struct {
+	// Calls limits concurrent small calls, which use the processor. Transfers limits
+	// concurrent transfers, and Bytes their total rate, which uses the disk and the network.
 	Calls, Transfers, Bytes *admission.Queue
-	Waiting                 *admission.Ledger
-	// Ahead bounds how many of a team's actions may wait for a machine in the cluster.
-	// Further ones wait here, where the team's clients take turns.
+	// Waiting limits the actions that wait to be submitted.
+	Waiting *admission.Ledger
+	// Ahead limits how many of a team's actions may wait for a machine in the cluster.
+	// Further ones wait on the front end, where the team's clients are served in turn.
 	Ahead admission.HandoffLimits
 }
 
 const (
-	// bytesPerCallCost is how many bytes of a small call cost as much as the call itself.
+	// bytesPerCallCost is the number of request bytes that cost as much as a small call itself.
 	bytesPerCallCost = 64 << 10
-	// bytesPerTransferCost is how many bytes of a transfer cost as much as its call.
+	// bytesPerTransferCost is the number of bytes that cost as much as a transfer call itself.
 	bytesPerTransferCost = 1 << 20
 )
 
-// callSlot is a call's slot among the shared ones. It is acquired only once the caller
-// is authorized, so that callers without rights occupy none.
+// callSlot is the slot of a call in one of the shared queues. It is acquired after the caller
+// is authorized, so that unauthorized calls take no slot.
 type callSlot struct {
 	queue        *admission.Queue
 	cost         float64
@@ -43,14 +44,14 @@
 // callSlotKey is the context key of a call's slot.
 type callSlotKey struct{}
 
-// callSlotOf returns the slot of the call that a context belongs to, nil if none.
+// callSlotOf returns the slot of the call that a context belongs to, or nil if it has none.
 func callSlotOf(ctx context.Context) *callSlot {
 	slot, _ := ctx.Value(callSlotKey{}).(*callSlot)
 	return slot
 }
 
-// withCallSlot prepares the slot of a unary call.
-func (f *FrontEnd) withCallSlot(ctx context.Context, req any) (context.Context, *callSlot) {
+// newCallSlot creates the slot of a unary call, without acquiring it.
+func (f *FrontEnd) newCallSlot(ctx context.Context, req any) (context.Context, *callSlot) {
 	slot := &callSlot{queue: f.config.Shares.Calls, cost: 1}
 	if m, ok := req.(proto.Message); ok {
 		slot.cost += float64(proto.Size(m)) / bytesPerCallCost
@@ -58,9 +59,9 @@
 	return context.WithValue(ctx, callSlotKey{}, slot), slot
 }
 
-// withStreamSlot prepares the slot of a stream. An execution counts as a small call
-// until its action is validated, and holds no slot while its client waits for the result.
-func (f *FrontEnd) withStreamSlot(stream grpc.ServerStream, method string) (grpc.ServerStream, *callSlot) {
+// newStreamSlot creates the slot of a stream, without acquiring it. An execution counts as a
+// small call until its action is validated. It holds no slot while it waits for the result.
+func (f *FrontEnd) newStreamSlot(stream grpc.ServerStream, method string) (grpc.ServerStream, *callSlot) {
 	slot := &callSlot{queue: f.config.Shares.Transfers, cost: 1}
 	if strings.HasPrefix(method, "/build.bazel.remote.execution.v2.Execution/") {
 		slot.queue = f.config.Shares.Calls
@@ -74,11 +75,11 @@
 	ctx context.Context
 }
 
-// Context returns the stream's context, with its slot.
+// Context returns the stream's context, which carries its slot.
 func (s *slottedStream) Context() context.Context { return s.ctx }
 
-// acquireSlot waits for the slot of an authorized call; once acquired, further calls of
-// it do nothing.
+// acquireSlot waits for the slot of an authorized call. It does nothing if the call has
+// already acquired its slot.
 func (f *FrontEnd) acquireSlot(ctx context.Context, team, who string) error {
 	slot := callSlotOf(ctx)
 	if slot == nil || slot.team != "" {
@@ -91,31 +92,31 @@
 	if slot.queue == nil {
 		return nil
 	}
-	leave, err := slot.queue.Enter(ctx, team, who, slot.cost)
+	returnSlot, err := slot.queue.Enter(ctx, team, who, slot.cost)
 	if err != nil {
 		return failure(err)
 	}
-	slot.returnSlot = leave
+	slot.returnSlot = returnSlot
 	return nil
 }
 
-// anonymousPrefix begins the name of a client whose identity is not known.
+// anonymousPrefix begins the name that anonymousName gives to a client of unknown identity.
 const anonymousPrefix = "credential "
 
-// anonymousName tells clients of unknown identity apart by their credentials.
+// anonymousName returns a name for a client of unknown identity, derived from its credential.
 func anonymousName(credential string) string {
 	sum := sha256.Sum256([]byte(credential))
 	return anonymousPrefix + hex.EncodeToString(sum[:8])
 }
 
-// addTransferCost adds the bytes that a transfer will move to the cost of its slot.
+// addTransferCost adds the cost of the bytes of a transfer to the cost of its slot.
 func addTransferCost(ctx context.Context, bytes int64) {
 	if slot := callSlotOf(ctx); slot != nil {
 		slot.cost += float64(bytes) / bytesPerTransferCost
 	}
 }
 
-// knownName returns a client's name, "" if its identity is not known.
+// knownName returns the name of a client, or "" if its identity is unknown.
 func knownName(who string) string {
 	if strings.HasPrefix(who, anonymousPrefix) {
 		return ""
@@ -123,7 +124,7 @@
 	return who
 }
 
-// release returns the slot, if it was acquired.
+// release gives the slot back if it was acquired.
 func (slot *callSlot) release() {
 	if slot != nil && slot.returnSlot != nil {
 		slot.returnSlot()
@@ -131,17 +132,18 @@
 	}
 }
 
-// throttle waits for the team's share of the byte rate. Calls of other front ends and
-// of workers are not throttled: the client's own call was, and workers serve all teams.
+// throttle waits until the team's share of the byte rate allows a transfer of the given size.
+// It does not limit calls from peers, which already limited the client's call, or from workers,
+// which serve all teams.
 func (f *FrontEnd) throttle(ctx context.Context, bytes int) error {
 	slot := callSlotOf(ctx)
 	if f.config.Shares.Bytes == nil || slot == nil || slot.team == "" || bytes == 0 {
 		return nil
 	}
-	leave, err := f.config.Shares.Bytes.Enter(ctx, slot.team, slot.client, float64(bytes))
+	returnSlot, err := f.config.Shares.Bytes.Enter(ctx, slot.team, slot.client, float64(bytes))
 	if err != nil {
 		return failure(err)
 	}
-	leave()
+	returnSlot()
 	return nil
 }
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -25,12 +25,12 @@
 	return 0
 }
 
-// A call acquires its slot only once it is authorized, releases it however it ends, and is
-// refused at once, with a retry delay, if none is free.
+// A call acquires its slot only after it is authorized and releases the slot even if the client
+// disconnects. If no slot is free, the call is rejected immediately with a retry delay.
 func TestTransferSlots(t *testing.T) {
 	config := oneTeam
-	q := admission.New(admission.Limits{Concurrency: 1, MaxWaiting: 0})
-	config.Shares.Transfers = q
+	queue := admission.New(admission.Limits{Concurrency: 1, MaxWaiting: 0})
+	config.Shares.Transfers = queue
 	rights := rightsOf{"anna view-arguments red": true, "anna submit red": true, "ben view-arguments blue": true}
 	open, _ := start(t, config, rights, roomy)
 	b := open.as("anna")
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	name := "blobs/" + blobstore.Of(data).String()
-	// A client that does not read its stream occupies the slot.
+	// A client that does not read its stream holds the slot.
 	ctx, cancel := context.WithCancel(b.ctx)
 	slow, err := b.bytes.Read(ctx, &bytestream.ReadRequest{ResourceName: name})
 	if err != nil {
@@ -51,25 +51,25 @@
 	_, err = b.download(name, 0, 0)
 	b.code(err, codes.ResourceExhausted)
 	if retryDelay(err) == 0 {
-		t.Errorf("the refusal does not say when to come back: %v", err)
+		t.Errorf("the rejected call has no retry delay: %v", err)
 	}
-	_, err = open.as("ben").download(name, 0, 0) // no right: refused for that reason
+	_, err = open.as("ben").download(name, 0, 0) // rejected for the missing right, not for the slot
 	open.code(err, codes.PermissionDenied)
 	if _, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{}); err != nil {
-		t.Errorf("a small call waits for transfers: %v", err)
+		t.Errorf("a small call failed while all transfer slots were in use: %v", err)
 	}
 	cancel()
-	for deadline := time.Now().Add(10 * time.Second); q.Stats().Inside > 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); queue.Stats().Inside > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the place of a client that went is kept")
+			t.Fatal("the slot of a disconnected client was not released")
 		}
 	}
 	if got, err := b.download(name, 0, 0); err != nil || len(got) != len(data) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("download after the slot was released: %d bytes, %v", len(got), err)
 	}
 }
 
-// The byte rate is enforced, and shared by weight between teams that both use it.
+// The byte rate is enforced, and teams that use it at the same time share it by weight.
 func TestByteRate(t *testing.T) {
 	config := oneTeam
 	const rate = 16 << 20
@@ -77,8 +77,8 @@
 	b, _ := start(t, config, OpenAccess{}, roomy)
 	data := random(4 << 20)
 	d := blobstore.Of(data).String()
-	for _, at := range []string{"", "a/b/"} {
-		if _, err := b.upload(at+"uploads/1/blobs/"+d, data, 0, chunkSize, true); err != nil {
+	for _, prefix := range []string{"", "a/b/"} {
+		if _, err := b.upload(prefix+"uploads/1/blobs/"+d, data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -87,17 +87,17 @@
 	got := map[string]int{}
 	var wg sync.WaitGroup
 	started := time.Now()
-	for _, at := range []string{"", "a/b/"} {
+	for _, prefix := range []string{"", "a/b/"} {
 		for range 3 {
 			wg.Go(func() {
 				for time.Now().Before(end) {
-					data, err := b.download(at+"blobs/"+d, 0, 0)
+					data, err := b.download(prefix+"blobs/"+d, 0, 0)
 					if err != nil {
 						t.Error(err)
 						return
 					}
 					mu.Lock()
-					got[at] += len(data)
+					got[prefix] += len(data)
 					mu.Unlock()
 				}
 			})
@@ -105,8 +105,8 @@
 	}
 	wg.Wait()
 	seconds := time.Since(started).Seconds()
-	all := float64(got[""] + got["a/b/"])
-	if all > 1.2*rate*seconds+8<<20 || all < 0.5*rate*seconds || float64(got["a/b/"]) < 1.5*float64(got[""]) {
-		t.Errorf("%d and %d bytes in %.1f s", got[""], got["a/b/"], seconds)
+	total := float64(got[""] + got["a/b/"])
+	if total > 1.2*rate*seconds+8<<20 || total < 0.5*rate*seconds || float64(got["a/b/"]) < 1.5*float64(got[""]) {
+		t.Errorf("team red got %d bytes and team blue %d bytes in %.1f s", got[""], got["a/b/"], seconds)
 	}
 }
--- a/internal/reapi/capabilities.go
+++ b/internal/reapi/capabilities.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// GetCapabilities returns the functions and limits of an instance.
+// GetCapabilities returns the supported features and the limits of an instance.
 func (f *FrontEnd) GetCapabilities(ctx context.Context, req *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
 	if _, ok := f.config.Instances[req.GetInstanceName()]; !ok {
 		return nil, status.Errorf(codes.InvalidArgument, "there is no instance %q", clip(req.GetInstanceName()))
@@ -20,7 +20,7 @@
 		CacheCapabilities: &repb.CacheCapabilities{
 			DigestFunctions:                 digestFunctions,
 			ActionCacheUpdateCapabilities:   &repb.ActionCacheUpdateCapabilities{UpdateEnabled: f.config.ClientResults},
-			MaxBatchTotalSizeBytes:          maxBatch,
+			MaxBatchTotalSizeBytes:          maxBatchBytes,
 			MaxCasBlobSizeBytes:             f.config.MaxBlob,
 			SymlinkAbsolutePathStrategy:     repb.SymlinkAbsolutePathStrategy_DISALLOWED,
 			SupportedCompressors:            zstd,
--- a/internal/reapi/cas.go
+++ b/internal/reapi/cas.go
@@ -10,10 +10,10 @@
 	"micaspindle/internal/blobstore"
 )
 
-// FindMissingBlobs returns the digests of blobs that no front end has. The others are
-// pinned for the promised time.
+// FindMissingBlobs returns the digests of the requested blobs that no front end has. The blobs
+// that were found are pinned for the retention period.
 func (f *FrontEnd) FindMissingBlobs(ctx context.Context, req *repb.FindMissingBlobsRequest) (*repb.FindMissingBlobsResponse, error) {
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return nil, err
 	}
@@ -39,9 +39,9 @@
 	return resp, nil
 }
 
-// BatchUpdateBlobs stores several blobs, each with its own status.
+// BatchUpdateBlobs stores several blobs and returns a status for each.
 func (f *FrontEnd) BatchUpdateBlobs(ctx context.Context, req *repb.BatchUpdateBlobsRequest) (*repb.BatchUpdateBlobsResponse, error) {
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	for _, r := range req.GetRequests() {
 		total += max(int64(len(r.GetData())), r.GetDigest().GetSizeBytes())
 	}
-	if total > maxBatch {
-		return nil, status.Errorf(codes.InvalidArgument, "the batch holds %d bytes, at most %d; write larger blobs by ByteStream", total, maxBatch)
+	if total > maxBatchBytes {
+		return nil, status.Errorf(codes.InvalidArgument, "the batch holds %d bytes, at most %d; write larger blobs by ByteStream", total, maxBatchBytes)
 	}
 	if err := f.throttle(ctx, int(total)); err != nil {
 		return nil, err
@@ -74,9 +74,9 @@
 	return resp, nil
 }
 
-// BatchReadBlobs reads several blobs, each with its own status.
+// BatchReadBlobs reads several blobs and returns a status for each.
 func (f *FrontEnd) BatchReadBlobs(ctx context.Context, req *repb.BatchReadBlobsRequest) (*repb.BatchReadBlobsResponse, error) {
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return nil, err
 	}
@@ -86,8 +86,8 @@
 	}
 	total := int64(0)
 	for _, d := range req.GetDigests() {
-		if total += max(0, d.GetSizeBytes()); total > maxBatch {
-			return nil, status.Errorf(codes.InvalidArgument, "the batch asks for more than %d bytes; read larger blobs by ByteStream", maxBatch)
+		if total += max(0, d.GetSizeBytes()); total > maxBatchBytes {
+			return nil, status.Errorf(codes.InvalidArgument, "the batch asks for more than %d bytes; read larger blobs by ByteStream", maxBatchBytes)
 		}
 	}
 	if err := f.throttle(ctx, int(total)); err != nil {
@@ -95,7 +95,7 @@
 	}
 	resp := new(repb.BatchReadBlobsResponse)
 	for _, d := range req.GetDigests() {
-		data, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: digestIn(function, d)}, maxBatch)
+		data, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: digestIn(function, d)}, maxBatchBytes)
 		resp.Responses = append(resp.Responses, &repb.BatchReadBlobsResponse_Response{Digest: d, Data: data, Status: statusOf(err)})
 	}
 	return resp, nil
--- a/internal/reapi/command.go
+++ b/internal/reapi/command.go
@@ -11,13 +11,14 @@
 	"google.golang.org/grpc/status"
 )
 
-// How long an action may run, if it sets no timeout and at most.
 const (
+	// defaultTimeout is the timeout of an action that sets none.
 	defaultTimeout = 10 * time.Minute
-	maxTimeout     = 6 * time.Hour
+	// maxTimeout is the longest timeout that an action may set.
+	maxTimeout = 6 * time.Hour
 )
 
-// timeoutOf returns how long an action may run.
+// timeoutOf returns the timeout of an action.
 func timeoutOf(action *repb.Action) (time.Duration, error) {
 	if action.GetTimeout() == nil {
 		return defaultTimeout, nil
@@ -29,8 +30,7 @@
 	return timeout, nil
 }
 
-// CheckPath checks that a path is relative, clean, and stays inside the directory that it
-// is relative to.
+// CheckPath checks that a path is relative and clean and does not leave its base directory.
 func CheckPath(p string) error {
 	if p == "" || path.IsAbs(p) || path.Clean(p) != p || p == ".." || strings.HasPrefix(p, "../") || strings.ContainsAny(p, "\x00\\") {
 		return status.Errorf(codes.InvalidArgument, "path %q is not relative, clean and inside the root", clip(p))
@@ -38,25 +38,25 @@
 	return nil
 }
 
-// maxName bounds the name of a directory entry, in bytes.
-const maxName = 255
+// maxNameBytes is the maximum length of the name of a directory entry.
+const maxNameBytes = 255
 
 // CheckName checks the name of a directory entry.
 func CheckName(name string) error {
-	if name == "" || name == "." || name == ".." || strings.ContainsAny(name, "/\x00\\") || len(name) > maxName {
+	if name == "" || name == "." || name == ".." || strings.ContainsAny(name, "/\x00\\") || len(name) > maxNameBytes {
 		return status.Errorf(codes.InvalidArgument, "%q is no name in a directory", clip(name))
 	}
 	return nil
 }
 
-// Outputs returns the paths that a command is expected to create, in the fields of version
-// 2.1 and of older ones.
+// Outputs returns the output paths of a command, from the field of API version 2.1 and the
+// deprecated fields of older versions.
 func Outputs(c *repb.Command) []string {
 	//lint:ignore SA1019 clients of version 2.0 set these fields
 	return slices.Concat(c.GetOutputPaths(), c.GetOutputFiles(), c.GetOutputDirectories())
 }
 
-// The node properties that are supported, of inputs and of outputs.
+// The supported node properties of inputs and outputs.
 const (
 	PropertyMtime = "mtime"
 	PropertyMode  = "unix_mode"
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, p := range Outputs(c) {
-		// An output may lie beside the working directory, not outside the root.
+		// An output path may leave the working directory, but not the input root.
 		if err := CheckPath(path.Join(c.GetWorkingDirectory(), p)); err != nil || path.IsAbs(p) {
 			return status.Errorf(codes.InvalidArgument, "output path %q is outside the input root", clip(p))
 		}
--- a/internal/reapi/compression.go
+++ b/internal/reapi/compression.go
@@ -11,21 +11,21 @@
 	"micaspindle/internal/blobstore"
 )
 
-// maxWindow bounds the window, and so the memory, of a decompressor.
-const maxWindow = 32 << 20
+// maxWindowBytes limits the zstd window, and thereby the memory that a decompressor uses.
+const maxWindowBytes = 32 << 20
 
-// decompressBlob returns the content of a blob in a batch. It decompresses at most one
-// byte more than the digest's size, so that a mismatch is noticed.
+// decompressBlob returns the content of a blob in a batch. It stops one byte past the size
+// in the digest: that is enough for the store to detect the mismatch.
 func decompressBlob(r *repb.BatchUpdateBlobsRequest_Request) ([]byte, error) {
 	switch r.GetCompressor() {
 	case repb.Compressor_IDENTITY:
 		return r.GetData(), nil
 	case repb.Compressor_ZSTD:
 		size := r.GetDigest().GetSizeBytes()
-		if size > maxBatch {
-			return nil, fmt.Errorf("%w: %d bytes in a batch, at most %d", blobstore.ErrTooLarge, size, maxBatch)
+		if size > maxBatchBytes {
+			return nil, fmt.Errorf("%w: %d bytes in a batch, at most %d", blobstore.ErrTooLarge, size, maxBatchBytes)
 		}
-		dec, err := zstd.NewReader(bytes.NewReader(r.GetData()), zstd.WithDecoderMaxWindow(maxWindow), zstd.WithDecoderConcurrency(1))
+		dec, err := zstd.NewReader(bytes.NewReader(r.GetData()), zstd.WithDecoderMaxWindow(maxWindowBytes), zstd.WithDecoderConcurrency(1))
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", blobstore.ErrInvalid, err)
 		}
--- a/internal/reapi/controllers.go
+++ b/internal/reapi/controllers.go
@@ -8,19 +8,20 @@
 	"micaspindle/internal/protocol"
 )
 
-// Controllers implements Jobs by calls to the controllers, with the clients' credentials.
+// Controllers implements Jobs with requests to the controllers that carry the clients'
+// credentials.
 type Controllers struct{ Client *client.Client }
 
-// statusTimeout bounds status requests and withdrawals.
+// statusTimeout is the timeout of a status or cancellation request.
 const statusTimeout = 5 * time.Second
 
-// clientFor returns a client that acts for the holder of a credential.
+// clientFor returns a client that makes its calls on behalf of the holder of a credential.
 func (c Controllers) clientFor(credential string) *client.Client {
-	forHolder, _ := clientFor(c.Client, credential)
-	return forHolder
+	holderClient, _ := clientFor(c.Client, credential)
+	return holderClient
 }
 
-// Submit submits a job, with retries until it is accepted or ctx ends.
+// Submit submits a job. It retries until the job is accepted or ctx ends.
 func (c Controllers) Submit(ctx context.Context, credential string, s *protocol.Submission) (protocol.JobStatus, error) {
 	return c.clientFor(credential).Submit(ctx, s)
 }
@@ -32,7 +33,7 @@
 	return c.clientFor(credential).Status(ctx, job)
 }
 
-// Withdraw withdraws a job.
+// Withdraw cancels a job.
 func (c Controllers) Withdraw(ctx context.Context, credential, job string) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/reapi/digest.go
+++ b/internal/reapi/digest.go
@@ -8,19 +8,19 @@
 	"micaspindle/internal/blobstore"
 )
 
-// digestIn converts a digest of the API, which names its digest function elsewhere.
+// digestIn converts a digest of the API, which does not include the digest function.
 func digestIn(function blobstore.Function, d *repb.Digest) blobstore.Digest {
 	return blobstore.Digest{Hash: d.GetHash(), Size: d.GetSizeBytes(), Function: function}
 }
 
-// digestToProto converts a digest into one of the API.
+// digestToProto converts a digest into a digest of the API.
 func digestToProto(d blobstore.Digest) *repb.Digest {
 	return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size}
 }
 
-// functionOf returns a call's digest function, or an error if it is not supported. A call
-// that names none means SHA-256; it can't be inferred, as BLAKE3 hashes are as long.
-func functionOf(function repb.DigestFunction_Value) (blobstore.Function, error) {
+// digestFunctionOf converts the digest function of a request. If the request sets none,
+// SHA-256 is assumed, because its hashes cannot be told from those of BLAKE3 by their length.
+func digestFunctionOf(function repb.DigestFunction_Value) (blobstore.Function, error) {
 	switch function {
 	case repb.DigestFunction_UNKNOWN, repb.DigestFunction_SHA256:
 		return blobstore.SHA256, nil
@@ -30,7 +30,7 @@
 	return 0, status.Errorf(codes.InvalidArgument, "digest function %s is not served; SHA256 and BLAKE3 are", function)
 }
 
-// FunctionOnWire converts a digest function into the API's.
+// FunctionOnWire converts a digest function into a digest function of the API.
 func FunctionOnWire(function blobstore.Function) repb.DigestFunction_Value {
 	if function == blobstore.BLAKE3 {
 		return repb.DigestFunction_BLAKE3
--- a/internal/reapi/download_test.go
+++ b/internal/reapi/download_test.go
@@ -16,13 +16,14 @@
 	"micaspindle/internal/blobstore"
 )
 
-// rawStream is a gRPC stream of bytes from memory, an upper bound for downloads over gRPC.
-type rawStream struct {
+// memoryStream is a ByteStream server that sends data from memory. Its rate is an upper bound
+// for downloads over gRPC.
+type memoryStream struct {
 	bytestream.UnimplementedByteStreamServer
 	data []byte
 }
 
-func (p *rawStream) Read(_ *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
+func (p *memoryStream) Read(_ *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
 	for at := 0; at < len(p.data); at += chunkSize {
 		if err := out.Send(&bytestream.ReadResponse{Data: p.data[at:min(len(p.data), at+chunkSize)]}); err != nil {
 			return err
@@ -31,13 +32,13 @@
 	return nil
 }
 
-// Command: GATE_THROUGHPUT=1 go test -run TestDownloads -v -count 3 ./internal/reapi
+// TestDownloads measures downloads of blobs relative to a gRPC stream of the same size from
+// memory.
 //
-// TestDownloads measures downloads of blobs against a gRPC stream of the same bytes from
-// memory, in one run.
+// Run it with: GATE_THROUGHPUT=1 go test -run TestDownloads -v -count 3 ./internal/reapi
 func TestDownloads(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
-		t.Skip("a measurement; set GATE_THROUGHPUT=1")
+		t.Skip("benchmark; set GATE_THROUGHPUT=1 to run it")
 	}
 	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
 	const size, blobs = 32 << 20, 4
@@ -56,7 +57,7 @@
 		t.Fatal(err)
 	}
 	server := grpc.NewServer()
-	bytestream.RegisterByteStreamServer(server, &rawStream{data: data})
+	bytestream.RegisterByteStreamServer(server, &memoryStream{data: data})
 	go func() { _ = server.Serve(l) }()
 	defer server.Stop()
 	conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -64,7 +65,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close() //nolint:errcheck // the test ends
-	bound := &build{t: t, ctx: context.Background(), bytes: bytestream.NewByteStreamClient(conn)}
+	baseline := &build{t: t, ctx: context.Background(), bytes: bytestream.NewByteStreamClient(conn)}
 	rate := func(c *build, streams int) float64 {
 		started := time.Now()
 		var wg sync.WaitGroup
@@ -81,9 +82,9 @@
 		return 16 / float64(streams) * float64(streams) * size / 1e6 / time.Since(started).Seconds()
 	}
 	for _, streams := range []int{1, 4} {
-		rate(bound, streams)
+		rate(baseline, streams)
 		rate(b, streams)
-		p, ours := rate(bound, streams), rate(b, streams)
-		t.Logf("%d at a time: %.0f MB/s, %.2f of a plain stream (%.0f)", streams, ours, ours/p, p)
+		fromMemory, fromStore := rate(baseline, streams), rate(b, streams)
+		t.Logf("%d concurrent streams: %.0f MB/s, %.2f of the rate from memory (%.0f)", streams, fromStore, fromStore/fromMemory, fromMemory)
 	}
 }
--- a/internal/reapi/execution.go
+++ b/internal/reapi/execution.go
@@ -11,16 +11,16 @@
 	"micaspindle/internal/blobstore"
 )
 
-// errNotExecuting is the answer of a front end that is configured to store blobs only.
+// errNotExecuting is returned by a front end that is configured without execution.
 var errNotExecuting = status.Error(codes.Unimplemented, "this front end executes nothing")
 
-// Execute executes an action, or answers with its cached result.
+// Execute returns the cached result of an action or executes it.
 func (f *FrontEnd) Execute(req *repb.ExecuteRequest, out repb.Execution_ExecuteServer) error {
 	ctx := out.Context()
 	if f.jobs == nil {
 		return errNotExecuting
 	}
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	needs, err := actionRequirements(action, command, req.GetExecutionPolicy())
+	required, err := actionRequirements(action, command, req.GetExecutionPolicy())
 	if err != nil {
 		return err
 	}
@@ -47,19 +47,19 @@
 	if action.GetDoNotCache() || req.GetSkipCacheLookup() {
 		salt = rand.Text()
 	}
-	t, err := f.joinTask(ctx, instance, space, f.credential(ctx), needs, *entryOf(executionKey(digest, salt), digest))
+	t, err := f.joinTask(ctx, instance, space, f.credential(ctx), required, *entryOf(executionKey(digest, salt), digest))
 	if err != nil {
 		return err
 	}
-	callSlotOf(ctx).release() // from here on it waits for the cluster
+	callSlotOf(ctx).release() // from here on, the call only waits for the cluster
 	if err := f.waitForJob(ctx, t); err != nil {
 		return err
 	}
 	return f.follow(ctx, out, t)
 }
 
-// cachedResult returns the complete result of an action, from here or from a peer; nil
-// if there is none.
+// cachedResult returns a cached result of an action, from this front end or a peer. It returns
+// nil if there is none whose blobs all exist.
 func (f *FrontEnd) cachedResult(ctx context.Context, instance, space string, action blobstore.Digest) *repb.ActionResult {
 	if result, err := f.localResult(space, action); err == nil && f.checkComplete(ctx, instance, space, action.Function, result) == nil {
 		return result
@@ -70,24 +70,25 @@
 	return nil
 }
 
-// actionRequirements returns what an action requires of a machine, and an error if its
+// actionRequirements returns the machine requirements of an action, or an error if its
 // platform, priority or timeout is not supported.
 func actionRequirements(action *repb.Action, command *repb.Command, policy *repb.ExecutionPolicy) (requirements, error) {
 	platform := action.GetPlatform()
 	if platform == nil {
-		//lint:ignore SA1019 clients of version 2.1 and older put it there
+		//lint:ignore SA1019 clients of API version 2.1 and older set this field
 		platform = command.GetPlatform()
 	}
-	needs, err := requirementsOf(platform, policy.GetPriority())
+	required, err := requirementsOf(platform, policy.GetPriority())
 	if err != nil {
-		return needs, err
+		return required, err
 	}
 	_, err = timeoutOf(action)
-	return needs, err
+	return required, err
 }
 
-// waitForJob waits until a task has its job. If the caller gives up first and nobody else
-// waits, the task is dropped, or its job is treated as one that nobody waits for.
+// waitForJob waits until a task is assigned to a job. If the call ends first and no other call
+// waits for the task, the task is dropped unless it is already being submitted. A job is
+// cancelled later if it was submitted and no other client waits for it.
 func (f *FrontEnd) waitForJob(ctx context.Context, t *task) error {
 	select {
 	case <-t.placed:
@@ -132,5 +133,5 @@
 	return f.follow(ctx, out, t)
 }
 
-// Discarded counts results that were discarded since the execution had one already.
+// Discarded returns how many results were discarded because the execution already had one.
 func (f *FrontEnd) Discarded() int64 { return f.discarded.Load() }
--- a/internal/reapi/execution_test.go
+++ b/internal/reapi/execution_test.go
@@ -21,20 +21,20 @@
 	"micaspindle/internal/protocol"
 )
 
-// scriptedJobs is a fake of the controllers. Credentials may expire; every call is recorded.
+// scriptedJobs is a fake of the controllers that records every call.
 type scriptedJobs struct {
 	mu        sync.Mutex
-	ended     map[string]bool // credentials
-	states    map[string]string
-	runs      map[string]int // running tasks, by job
-	calls     []string
+	ended     map[string]bool   // expired credentials
+	states    map[string]string // status by job
+	runs      map[string]int    // number of running tasks by job
+	calls     []string          // "{method} as {credential}"
 	submitted chan *protocol.Submission
 }
 
-func (j *scriptedJobs) call(what, credential, job string) error {
+func (j *scriptedJobs) call(method, credential, job string) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls = append(j.calls, what+" as "+credential)
+	j.calls = append(j.calls, method+" as "+credential)
 	if j.ended[credential] {
 		return &client.Refusal{Status: 401}
 	}
@@ -80,28 +80,28 @@
 	j.ended[credential] = true
 }
 
-func (j *scriptedJobs) called(what string) bool {
+func (j *scriptedJobs) called(call string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return slices.Contains(j.calls, what)
+	return slices.Contains(j.calls, call)
 }
 
-// everyone is an Access that allows everything and derives names from credentials.
+// everyone is an Access that allows every call and derives client names from credentials.
 type everyone struct{}
 
 func (everyone) Allows(_ context.Context, credential, _, _ string) (string, error) {
 	return "person/" + strings.TrimPrefix(strings.TrimPrefix(credential, "Bearer "), certificatePrefix+"person/"), nil
 }
 
-// startExecuting serves a front end with scripted jobs.
+// startExecuting starts a front end that submits jobs to a scriptedJobs.
 func startExecuting(t *testing.T, config Config) (*build, *FrontEnd, *scriptedJobs) {
 	t.Helper()
 	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
-	b, f := startWith(t, config, everyone{}, roomy, jobs)
+	b, f := startWithJobs(t, config, everyone{}, roomy, jobs)
 	return b, f, jobs
 }
 
-// action uploads a unique action.
+// action uploads an action that runs a shell script.
 func (b *build) action(script string) *repb.Digest {
 	b.t.Helper()
 	command, _ := proto.Marshal(&repb.Command{Arguments: []string{"/bin/sh", "-c", script}})
@@ -110,18 +110,18 @@
 	return b.blob(act)
 }
 
-// result records the result of an execution as a worker does.
+// result records the result of an execution, as if a worker had reported it.
 func (f *FrontEnd) result(t *testing.T, action *repb.Digest) {
 	t.Helper()
 	entry := &ManifestEntry{Execution: executionKey(digestOf(action), ""), Hash: action.Hash, Size: action.SizeBytes}
 	if first, err := f.RecordResult(context.Background(), "", "red", entry, &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{Worker: "m-1"}}, true); err != nil || !first {
-		t.Fatalf("%v %v", first, err)
+		t.Fatalf("RecordResult returned first = %v, error %v", first, err)
 	}
 }
 
-// An action whose job was withdrawn, or whose result was lost with a front end, is executed
-// again when it is requested again. Since the job's id derives from the manifest, it was
-// once taken for the ended job, and the build never ended.
+// If the job of an action was cancelled, or its result was lost with a front end, a repeated
+// request submits a new job. The job id derives from the manifest, so a request that reused
+// the id of the ended job would wait forever.
 func TestResubmissionAfterJobEnded(t *testing.T) {
 	for _, state := range []string{protocol.StatusCancelled, protocol.StatusDone} {
 		b, f, jobs := startExecuting(t, oneTeam)
@@ -138,8 +138,8 @@
 				break
 			}
 		}
-		again := executeAt(t, b, action)
-		eventually(t, "submitted as another job", func() bool {
+		second := executeAt(t, b, action)
+		eventually(t, "the action is submitted as another job", func() bool {
 			select {
 			case s := <-jobs.submitted:
 				return *s.ID != *sub.ID
@@ -149,9 +149,9 @@
 		})
 		f.result(t, action)
 		for {
-			op, err := again.stream.Recv()
+			op, err := second.stream.Recv()
 			if err != nil {
-				t.Fatalf("%s: %v", state, err)
+				t.Fatalf("repeated execution after a job with status %s: %v", state, err)
 			}
 			if op.GetDone() {
 				break
@@ -160,9 +160,9 @@
 	}
 }
 
-// A client's token expires while its action runs, and another's while its job lingers: the
-// first gets its result, and the second's job is withdrawn, both by the front end's own
-// rights in the clients' names.
+// If a client's token expires while its action runs, the client still gets the result. If the
+// token of a disconnected client expires, its job is still cancelled. In both cases the front
+// end acts on behalf of the client with its own rights.
 func TestExpiredCredentials(t *testing.T) {
 	b, f, jobs := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
@@ -172,25 +172,25 @@
 		t.Fatal(err)
 	}
 	if op, err := s.Recv(); err != nil || op.GetDone() {
-		t.Fatalf("%v %v", op, err)
+		t.Fatalf("first message of the execution: %v, %v", op, err)
 	}
 	jobs.end("Bearer anna")
 	for deadline := time.Now().Add(20 * time.Second); !jobs.called("status as certificate person/anna"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("called %q", jobs.calls)
+			t.Fatalf("status was not requested on behalf of the client; calls: %q", jobs.calls)
 		}
 	}
 	time.Sleep(2 * statusInterval)
 	jobs.mu.Lock()
-	shown := 0
+	uses := 0
 	for _, c := range jobs.calls {
 		if c == "status as Bearer anna" {
-			shown++
+			uses++
 		}
 	}
 	jobs.mu.Unlock()
-	if shown > 1 {
-		t.Errorf("an expired token was used %d times", shown)
+	if uses > 1 {
+		t.Errorf("an expired token was used %d times", uses)
 	}
 	f.result(t, action)
 	for {
@@ -202,7 +202,7 @@
 			break
 		}
 	}
-	// Another client leaves and its token expires; its job is withdrawn.
+	// The job of a client that disconnects and whose token expires is cancelled.
 	ctx, cancel := context.WithCancel(b.ctx)
 	ben := (&build{b.t, ctx, b.cas, b.ac, b.bytes, b.conn}).as("Bearer ben")
 	ben.ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs("authorization", "Bearer ben"))
@@ -217,13 +217,13 @@
 	go f.Sweep(b.ctx, 200*time.Millisecond)
 	for deadline := time.Now().Add(20 * time.Second); !jobs.called("withdraw as certificate person/ben"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("called %q", jobs.calls)
+			t.Fatalf("the job was not cancelled on behalf of the client; calls: %q", jobs.calls)
 		}
 	}
 }
 
-// A header that a client sends is never taken for a verified certificate; a verified
-// certificate counts if there is no token.
+// An authorization header can't impersonate a verified certificate. A verified certificate is
+// used if the client sends no header.
 func TestCredentials(t *testing.T) {
 	config := oneTeam
 	config.Certified = func(context.Context) string { return "person/carl" }
@@ -242,13 +242,14 @@
 			_, err = s.Recv()
 		}
 		if err != nil || !jobs.called(want) {
-			t.Errorf("%q: called %q, %v", header, jobs.calls, err)
+			t.Errorf("authorization header %q: the job was not submitted with the expected credential; calls: %q, error: %v", header, jobs.calls, err)
 		}
 	}
 }
 
-// Many actions of one team leave room for another's, and are refused with a retry delay;
-// an action that has its job occupies no room.
+// A team that floods the front end with actions can't use the quota of another team. Its
+// excess actions are rejected with a retry delay. An action stops using the quota when its
+// job is submitted.
 func TestWaitingActionsAreShared(t *testing.T) {
 	config := oneTeam
 	ledger, err := admission.NewLedger(100, 60, []string{"red", "blue"}, nil)
@@ -275,17 +276,17 @@
 			defer mu.Unlock()
 			got[status.Code(err)]++
 			if status.Code(err) == codes.ResourceExhausted && retryDelay(err) == 0 {
-				t.Errorf("%v", err)
+				t.Errorf("the rejected action has no retry delay: %v", err)
 			}
 		})
 	}
 	wg.Wait()
 	if got[codes.OK] < 60 || got[codes.OK]+got[codes.ResourceExhausted] != 120 {
-		t.Errorf("%v", got)
+		t.Errorf("calls by status code: %v, want at least 60 OK and the others ResourceExhausted", got)
 	}
 	for deadline := time.Now().Add(10 * time.Second); ledger.Held()["red"] != 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("held %v", ledger.Held())
+			t.Fatalf("submitted actions still use the quota: %v", ledger.Held())
 		}
 	}
 	tasks := 0
@@ -293,6 +294,6 @@
 		tasks += int(*(<-jobs.submitted).Tasks)
 	}
 	if tasks != got[codes.OK] {
-		t.Errorf("%d tasks of %d actions", tasks, got[codes.OK])
+		t.Errorf("%d tasks were submitted for %d accepted actions", tasks, got[codes.OK])
 	}
 }
--- a/internal/reapi/frontend.go
+++ b/internal/reapi/frontend.go
@@ -1,11 +1,11 @@
-// Package reapi is the front end for build tools. It serves the Remote Execution API,
-// version 2, over gRPC: Capabilities, ContentAddressableStorage, ActionCache, ByteStream
-// and Execution. Each API instance belongs to a team, whose rights the controllers
-// decide. Actions become tasks of array jobs that the controllers schedule; the front end
-// schedules nothing, and no invariant of the cluster depends on it.
+// Package reapi implements the front end for build tools. It serves version 2 of the Remote
+// Execution API over gRPC: Capabilities, ContentAddressableStorage, ActionCache, ByteStream
+// and Execution. Each API instance belongs to a team, and the controllers decide which clients
+// may use it. Actions become tasks of job arrays that the controllers schedule. The front end
+// itself schedules nothing, and no invariant of the cluster depends on it.
 //
 // Several front ends form a group of peers that replicate blobs and results (replication.go)
-// and agree on one result of each execution (primary.go).
+// and agree on a single result for each execution (primary.go).
 package reapi
 
 import (
@@ -30,40 +30,42 @@
 	"micaspindle/internal/repair"
 )
 
-// Limits of messages, in bytes unless stated otherwise. A batch and the message around it
-// must fit gRPC's default limit of 4 MiB, which clients assume.
+// Limits of messages, in bytes unless stated otherwise. A batch and its message framing must
+// fit into gRPC's default limit of 4 MiB, which clients assume.
 const (
-	maxMessage  = 4 << 20
-	maxBatch    = maxMessage - 64<<10
-	maxDigests  = 50_000 // in one call or tree
-	chunkSize   = 256 << 10
-	maxTreeNode = 4 << 20
-	treePage    = 1000 // directories
+	maxMessageBytes    = 4 << 20
+	maxBatchBytes      = maxMessageBytes - 64<<10
+	maxDigests         = 50_000 // in one call or tree
+	chunkSize          = 256 << 10
+	maxTreeNode        = 4 << 20
+	maxPageDirectories = 1000 // directories
 )
 
 // Limits of calls.
 const (
-	// callTimeout bounds a unary call. A transfer has that time and that of moving its
-	// bytes at minTransferRate.
+	// callTimeout is the timeout of a unary call. The timeout of a transfer is longer by the
+	// time that its bytes take at minTransferRate.
 	callTimeout     = time.Minute
-	minTransferRate = 64 << 10 // bytes a second
-	// maxStreams bounds the calls of one connection. An execution is a call for
-	// as long as its client waits.
+	minTransferRate = 64 << 10 // bytes per second
+	// maxStreams is the maximum number of concurrent calls of one connection. The call of an
+	// execution lasts as long as its client waits.
 	maxStreams = 4096
 
 	connectionTimeout = 10 * time.Second
-	// keepaliveInterval and keepaliveTimeout find connections whose client is gone;
-	// clients may ping as often as minPingInterval.
+	// A connection that is idle for keepaliveInterval is pinged, and it is closed if the
+	// client does not answer within keepaliveTimeout. Clients may ping every minPingInterval.
 	keepaliveInterval = 30 * time.Second
 	keepaliveTimeout  = 20 * time.Second
 	minPingInterval   = 10 * time.Second
-	// minSweepInterval bounds how often Sweep runs.
+	// minSweepInterval is the shortest interval between two cleanups by Sweep.
 	minSweepInterval = 100 * time.Millisecond
 )
 
-// Access decides whether a credential allows an operation on a team's builds.
+// Access decides whether the holder of a credential may perform an operation on a team's
+// builds.
 type Access interface {
-	// Allows returns the name of the credential's holder, or an error with a gRPC status.
+	// Allows returns the name of the credential's holder. If the operation is not allowed,
+	// it returns an error with a gRPC status.
 	Allows(ctx context.Context, credential, verb, team string) (who string, err error)
 }
 
@@ -71,29 +73,31 @@
 type Config struct {
 	// Instances maps instance names to teams.
 	Instances map[string]string
-	// ClientResults lets clients with the right to submit write action results.
+	// ClientResults allows clients that may submit jobs to write action results as well.
 	ClientResults bool
-	// MaxBlob is the size of the largest blob that is stored, in bytes.
+	// MaxBlob is the maximum size of a stored blob, in bytes.
 	MaxBlob int64
-	// Class is the class of the jobs that actions become.
+	// Class is the class of the jobs that execute actions.
 	Class string
-	// Self is the address under which the peers reach this front end.
+	// Self is the address at which the peers reach this front end.
 	Self string
-	// Grace is how long a peer that does not answer is assumed to be restarting. After
-	// it, the next one takes its place as primary of executions; 0 means defaultGrace.
+	// Grace is how long a peer that does not answer is assumed to be restarting. After that,
+	// the next peer replaces it as the primary of executions. 0 means defaultGrace.
 	Grace time.Duration
-	// GatherFor is how long an action waits for others to form a job with; GatherMost
-	// bounds the actions of a job.
+	// GatherFor is how long a batch collects actions before it is submitted as a job, and
+	// GatherMost the maximum number of its actions.
 	GatherFor  time.Duration
 	GatherMost int
-	// Shares are the resources that teams and clients share.
+	// Shares are the resources that teams and clients share fairly.
 	Shares Shares
-	// IsPeer verifies a call that is marked as a peer's; nil: none is.
+	// IsPeer verifies that a call marked as a peer's comes from a peer. If it is nil, no call
+	// is treated as a peer's.
 	IsPeer func(ctx context.Context) bool
-	// Certified returns the name in a client's verified certificate, "" if it has none;
-	// nil: certificates are not used.
+	// Certified returns the name in a client's verified certificate, or "" if the client has
+	// none. If Certified is nil, certificates are not used.
 	Certified func(ctx context.Context) string
-	// IsWorker verifies a call that is marked as a worker's; nil: none is.
+	// IsWorker verifies that a call marked as a worker's comes from a worker. If it is nil, no
+	// call is treated as a worker's.
 	IsWorker func(ctx context.Context) bool
 }
 
@@ -113,19 +117,20 @@
 	uploads uploads
 	peers   *Peers
 
-	// jobs is nil where nothing is executed.
+	// jobs is nil if this front end does not execute actions.
 	jobs       Jobs
 	executions executions
-	// recording serializes the recording of an execution's results. It is striped by the
-	// execution's hash: recording calls peers, and one that does not answer must not
-	// delay all results.
+	// recording serializes the recording of results of the same execution. The locks are
+	// striped by the hash of the execution: recording calls peers, and a peer that does not
+	// answer must not delay the results of all executions.
 	recording [256]sync.Mutex
 	discarded atomic.Int64
 	// repairer verifies and restores the stored blobs; nil until Repair is called.
 	repairer atomic.Pointer[repair.Repairer]
 }
 
-// New creates a front end. peers is nil if it has none, jobs if it executes nothing.
+// New creates a front end. peers is nil if it has no peers, and jobs is nil if it does not
+// execute actions.
 func New(config Config, store *blobstore.Store, results *blobstore.Results, access Access, peers *Peers, jobs Jobs, log *slog.Logger) *FrontEnd {
 	return &FrontEnd{
 		config:     config,
@@ -140,11 +145,11 @@
 	}
 }
 
-// Server creates a gRPC server with all services; opts carry the transport credentials.
+// Server creates a gRPC server with all services. opts provides the transport credentials.
 func (f *FrontEnd) Server(opts ...grpc.ServerOption) *grpc.Server {
 	opts = append(opts,
-		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.MaxSendMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxSendMsgSize(maxMessageBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
 		grpc.ConnectionTimeout(connectionTimeout),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
@@ -166,41 +171,41 @@
 	return s
 }
 
-// interceptUnary bounds a call's time, prepares its slot and converts panics into errors.
+// interceptUnary sets a call's timeout, creates its slot and converts panics into errors.
 func (f *FrontEnd) interceptUnary(ctx context.Context, req any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (resp any, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ctx, slot := f.withCallSlot(ctx, req)
+	ctx, slot := f.newCallSlot(ctx, req)
 	defer slot.release()
 	defer f.recoverPanic(info.FullMethod, &err)
 	return handler(ctx, req)
 }
 
-// interceptStream prepares a stream's slot and converts panics into errors.
+// interceptStream creates a stream's slot and converts panics into errors.
 func (f *FrontEnd) interceptStream(server any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handler grpc.StreamHandler) (err error) {
-	stream, slot := f.withStreamSlot(stream, info.FullMethod)
+	stream, slot := f.newStreamSlot(stream, info.FullMethod)
 	defer slot.release()
 	defer f.recoverPanic(info.FullMethod, &err)
 	return handler(server, stream)
 }
 
-// recoverPanic, deferred, converts a handler's panic into the call's error.
+// recoverPanic is deferred by the interceptors and converts a panic into the call's error.
 func (f *FrontEnd) recoverPanic(method string, err *error) {
 	if r := recover(); r != nil {
-		f.log.Error("handler panicked", "method", method, "reason", r)
+		f.log.Error("gRPC handler panicked", "method", method, "reason", r)
 		*err = status.Error(codes.Internal, "the call failed here; the log says why")
 	}
 }
 
-// space authorizes a call, acquires its slot, and returns the name space of the
-// instance's blobs, which is its team.
+// space authorizes a call, acquires its slot, and returns the namespace of the instance's
+// blobs, which is the name of its team.
 func (f *FrontEnd) space(ctx context.Context, instance, verb string) (string, error) {
 	team, ok := f.config.Instances[instance]
 	if !ok {
 		return "", status.Errorf(codes.InvalidArgument, "there is no instance %q", clip(instance))
 	}
 	if f.fromPeer(ctx) || f.fromWorker(ctx) {
-		return team, nil // a peer has authorized its client; workers run all teams' tasks
+		return team, nil // a peer has authorized its client, and workers serve all teams
 	}
 	who, err := f.access.Allows(ctx, f.credential(ctx), verb, team)
 	if err != nil {
@@ -209,17 +214,17 @@
 	return team, f.acquireSlot(ctx, team, who)
 }
 
-// Rights on a team's builds, as the controllers name them. Blobs count as arguments of
-// the team's jobs.
+// Verbs of the controllers' policy that are checked for a team. Access to blobs is checked
+// like access to the arguments of the team's jobs.
 const (
 	verbRead  = "view-arguments"
 	verbWrite = "submit"
-	verbView  = "view" // the state of executions and of the store
+	verbView  = "view" // read the state of executions and of the store
 )
 
-// Sweep does the periodic work until ctx ends: it discards interrupted writes that are
-// not resumed, withdraws jobs that no client has waited for in linger, and asks peers
-// for awaited results.
+// Sweep does periodic work until ctx ends. It discards interrupted writes that were not
+// resumed in time, cancels jobs that no client has waited for during linger, and asks peers
+// for results that clients wait for.
 func (f *FrontEnd) Sweep(ctx context.Context, linger time.Duration) {
 	sweepTicker := time.NewTicker(max(minSweepInterval, linger/4))
 	defer sweepTicker.Stop()
@@ -237,7 +242,7 @@
 				f.cancelAbandonedJobs(ctx, linger)
 			}
 			f.uploads.sweep(time.Now())
-			f.store.Expire(time.Now().Add(-resumeFor))
+			f.store.Expire(time.Now().Add(-resumeWindow))
 		case <-ctx.Done():
 			return
 		}
--- a/internal/reapi/frontend_test.go
+++ b/internal/reapi/frontend_test.go
@@ -30,7 +30,7 @@
 	"micaspindle/internal/blobstore"
 )
 
-// rightsOf is an Access by a table of credential, verb and team.
+// rightsOf is an Access that allows the listed calls, given as "{credential} {verb} {team}".
 type rightsOf map[string]bool
 
 func (r rightsOf) Allows(_ context.Context, credential, verb, team string) (string, error) {
@@ -43,7 +43,7 @@
 	return credential, nil
 }
 
-// build is a fake build tool.
+// build is a fake build tool: a client of a front end.
 type build struct {
 	t     *testing.T
 	ctx   context.Context
@@ -53,15 +53,17 @@
 	conn  *grpc.ClientConn
 }
 
-// start serves a front end on loopback and returns a client of it.
+// start starts a front end on loopback that does not execute actions. It returns a client of
+// the front end, and its blob store.
 func start(t *testing.T, config Config, access Access, opt blobstore.Options) (*build, *blobstore.Store) {
 	t.Helper()
-	b, f := startWith(t, config, access, opt, nil)
+	b, f := startWithJobs(t, config, access, opt, nil)
 	return b, f.store
 }
 
-// startWith is start with the controllers that execute actions.
-func startWith(t *testing.T, config Config, access Access, opt blobstore.Options, jobs Jobs) (*build, *FrontEnd) {
+// startWithJobs starts a front end on loopback that submits actions to jobs. It returns a
+// client of the front end.
+func startWithJobs(t *testing.T, config Config, access Access, opt blobstore.Options, jobs Jobs) (*build, *FrontEnd) {
 	t.Helper()
 	dir := t.TempDir()
 	store, _, err := blobstore.Open(filepath.Join(dir, "content"), opt)
@@ -115,21 +117,22 @@
 	}
 }
 
-// upload writes a blob by the byte stream in messages of the given size.
-func (b *build) upload(name string, data []byte, offset int64, message int, finish bool) (int64, error) {
+// upload writes data with ByteStream.Write, in messages of the given size, and returns the
+// committed size.
+func (b *build) upload(name string, data []byte, offset int64, messageSize int, finish bool) (int64, error) {
 	w, err := b.bytes.Write(b.ctx)
 	if err != nil {
 		return 0, err
 	}
 	for first := true; first || len(data) > 0; first = false {
-		part := data[:min(len(data), message)]
+		part := data[:min(len(data), messageSize)]
 		data = data[len(part):]
 		req := &bytestream.WriteRequest{WriteOffset: offset, Data: part, FinishWrite: finish && len(data) == 0}
 		if first {
 			req.ResourceName = name
 		}
 		if err := w.Send(req); err != nil {
-			break // the response has the reason
+			break // CloseAndRecv returns the error
 		}
 		offset += int64(len(part))
 	}
@@ -162,7 +165,7 @@
 	}
 }
 
-func pack(data []byte) []byte {
+func compressZstd(data []byte) []byte {
 	enc, _ := zstd.NewWriter(nil)
 	return enc.EncodeAll(data, nil)
 }
@@ -172,11 +175,11 @@
 	data := bytes.Repeat(random(1000), 3000)
 	d := blobstore.Of(data)
 	if n, err := b.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil || n != d.Size {
-		t.Fatalf("%d %v", n, err)
+		t.Fatalf("upload: %d bytes committed, %v", n, err)
 	}
-	// A second time: the blob exists, and the first message suffices.
+	// The blob exists now, so the front end answers after the first message.
 	if n, err := b.upload("uploads/2/blobs/"+d.String()+"/some/file.name", data, 0, 100_000, true); err != nil || n != d.Size {
-		t.Errorf("%d %v", n, err)
+		t.Errorf("upload of an existing blob: %d bytes committed, %v", n, err)
 	}
 	for _, tc := range []struct{ offset, limit int64 }{{0, 0}, {1, 0}, {5000, 777}, {d.Size, 0}, {d.Size - 1, 100}} {
 		want := data[tc.offset:]
@@ -184,27 +187,27 @@
 			want = want[:min(tc.limit, int64(len(want)))]
 		}
 		if got, err := b.download("blobs/"+d.String(), tc.offset, tc.limit); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%+v: %d bytes, %v", tc, len(got), err)
+			t.Errorf("download of %+v: %d bytes, %v", tc, len(got), err)
 		}
 	}
-	packed, err := b.download("compressed-blobs/zstd/"+d.String(), 1000, 0)
-	if err != nil || len(packed) > len(data)/10 {
-		t.Errorf("%d bytes compressed, %v", len(packed), err)
+	compressed, err := b.download("compressed-blobs/zstd/"+d.String(), 1000, 0)
+	if err != nil || len(compressed) > len(data)/10 {
+		t.Errorf("compressed download: %d bytes, %v", len(compressed), err)
 	}
 	dec, _ := zstd.NewReader(nil)
-	if got, err := dec.DecodeAll(packed, nil); err != nil || !bytes.Equal(got, data[1000:]) {
-		t.Errorf("%d bytes, %v", len(got), err)
+	if got, err := dec.DecodeAll(compressed, nil); err != nil || !bytes.Equal(got, data[1000:]) {
+		t.Errorf("decompressed download: %d bytes, %v", len(got), err)
 	}
 	// Uploaded compressed, downloaded uncompressed.
 	other := bytes.Repeat([]byte("compile "), 50_000)
 	o := blobstore.Of(other)
-	if n, err := b.upload("a/b/uploads/3/compressed-blobs/zstd/"+o.String(), pack(other), 0, 1000, true); err != nil || n != int64(len(pack(other))) {
-		t.Errorf("%d %v", n, err)
+	if n, err := b.upload("a/b/uploads/3/compressed-blobs/zstd/"+o.String(), compressZstd(other), 0, 1000, true); err != nil || n != int64(len(compressZstd(other))) {
+		t.Errorf("compressed upload: %d bytes committed, %v", n, err)
 	}
 	if got, err := b.download("a/b/blobs/"+o.String(), 0, 0); err != nil || !bytes.Equal(got, other) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("download after a compressed upload: %d bytes, %v", len(got), err)
 	}
-	_, err = b.download("blobs/"+o.String(), 0, 0) // of the other team
+	_, err = b.download("blobs/"+o.String(), 0, 0) // the blob belongs to the other team
 	b.code(err, codes.NotFound)
 	for name, want := range map[string]codes.Code{
 		"blobs/" + d.Hash + "/1": codes.NotFound, "blobs/xyz/1": codes.InvalidArgument, "blobs/" + d.Hash: codes.InvalidArgument,
@@ -214,7 +217,7 @@
 	} {
 		_, err := b.download(name, 0, 0)
 		if status.Code(err) != want {
-			t.Errorf("%q: %v, want %s", name, err, want)
+			t.Errorf("download of %q: %v, want %s", name, err, want)
 		}
 	}
 	_, err = b.download("blobs/"+d.String(), d.Size+1, 0)
@@ -223,8 +226,8 @@
 	b.code(err, codes.InvalidArgument)
 }
 
-// An interrupted write is resumed at its offset; one whose data does not match its digest
-// is rejected and leaves nothing.
+// An interrupted write can be resumed at its offset. A write whose data does not match its
+// digest is rejected and uses no space afterwards.
 func TestInterruptedAndInvalidWrites(t *testing.T) {
 	b, store := start(t, oneTeam, OpenAccess{}, roomy)
 	for _, compressed := range []bool{false, true} {
@@ -232,61 +235,61 @@
 		d := blobstore.Of(data)
 		sent, kind := data, "blobs/"
 		if compressed {
-			sent, kind = pack(data), "compressed-blobs/zstd/"
+			sent, kind = compressZstd(data), "compressed-blobs/zstd/"
 		}
 		name := "uploads/broken/" + kind + d.String()
 		_, err := b.upload(name, sent[:300_000], 0, 64_000, false)
 		b.code(err, codes.InvalidArgument) // ended without being finished
 		st, err := b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 		if err != nil || st.CommittedSize != 300_000 || st.Complete {
-			t.Fatalf("%v %v", st, err)
+			t.Fatalf("status of the interrupted write: %v, %v", st, err)
 		}
 		_, err = b.upload(name, sent[100:], 100, 64_000, true)
-		b.code(err, codes.InvalidArgument) // another offset than that of the bytes received
+		b.code(err, codes.InvalidArgument) // the offset differs from the number of bytes received
 		if n, err := b.upload(name, sent[300_000:], 300_000, 64_000, true); err != nil || n != int64(len(sent)) {
-			t.Fatalf("compressed %v: %d %v", compressed, n, err)
+			t.Fatalf("resumed write (compressed %v): %d bytes committed, %v", compressed, n, err)
 		}
 		if got, err := b.download("blobs/"+d.String(), 0, 0); err != nil || !bytes.Equal(got, data) {
-			t.Errorf("%d bytes, %v", len(got), err)
+			t.Errorf("download after the resumed write: %d bytes, %v", len(got), err)
 		}
 		st, err = b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 		if err != nil || !st.Complete || st.CommittedSize != d.Size {
-			t.Errorf("%v %v", st, err)
+			t.Errorf("status of the finished write: %v, %v", st, err)
 		}
 	}
 	before := store.Stats().Bytes
-	lie := blobstore.Of(random(5000))
+	mismatched := blobstore.Of(random(5000))
 	for name, data := range map[string][]byte{
-		"uploads/l1/blobs/" + lie.String():                                    random(5000),
-		"uploads/l2/blobs/" + lie.String():                                    random(5001),
-		"uploads/l3/blobs/" + lie.String():                                    random(10),
-		"uploads/l4/compressed-blobs/zstd/" + lie.String():                    random(5000),
-		"uploads/l5/compressed-blobs/zstd/" + lie.String():                    pack(random(5000)),
-		"uploads/l6/compressed-blobs/zstd/" + lie.String():                    pack(make([]byte, 30<<20)), // a decompression bomb
-		"uploads/l7/compressed-blobs/zstd/" + lie.String():                    pack(random(5000))[:2000],
+		"uploads/l1/blobs/" + mismatched.String():                             random(5000),
+		"uploads/l2/blobs/" + mismatched.String():                             random(5001),
+		"uploads/l3/blobs/" + mismatched.String():                             random(10),
+		"uploads/l4/compressed-blobs/zstd/" + mismatched.String():             random(5000),
+		"uploads/l5/compressed-blobs/zstd/" + mismatched.String():             compressZstd(random(5000)),
+		"uploads/l6/compressed-blobs/zstd/" + mismatched.String():             compressZstd(make([]byte, 30<<20)), // a decompression bomb
+		"uploads/l7/compressed-blobs/zstd/" + mismatched.String():             compressZstd(random(5000))[:2000],
 		"uploads/l8/blobs/" + blobstore.Of(nil).Hash[:63] + "0/" + "40000000": random(10), // larger than the store accepts
 	} {
 		_, err := b.upload(name, data, 0, 1000, true)
 		if status.Code(err) != codes.InvalidArgument {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("write of invalid data to %s: %v", name, err)
 		}
 	}
 	for end := time.Now().Add(5 * time.Second); store.Stats().Bytes != before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes, %d before: what lied keeps room", store.Stats().Bytes, before)
+			t.Fatalf("the store uses %d bytes after rejected writes, %d before", store.Stats().Bytes, before)
 		}
 	}
 }
 
 func TestBatches(t *testing.T) {
 	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
-	good, packed, lie := random(1000), bytes.Repeat([]byte("a"), 2000), random(10)
+	good, compressible, mismatched := random(1000), bytes.Repeat([]byte("a"), 2000), random(10)
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{
 		{Digest: digestToProto(blobstore.Of(good)), Data: good},
-		{Digest: digestToProto(blobstore.Of(packed)), Data: pack(packed), Compressor: repb.Compressor_ZSTD},
-		{Digest: digestToProto(blobstore.Of(lie)), Data: random(10)},
-		{Digest: digestToProto(blobstore.Of(lie)), Data: pack(make([]byte, 20<<20)), Compressor: repb.Compressor_ZSTD},
-		{Digest: digestToProto(blobstore.Of(lie)), Data: lie, Compressor: repb.Compressor_BROTLI},
+		{Digest: digestToProto(blobstore.Of(compressible)), Data: compressZstd(compressible), Compressor: repb.Compressor_ZSTD},
+		{Digest: digestToProto(blobstore.Of(mismatched)), Data: random(10)},
+		{Digest: digestToProto(blobstore.Of(mismatched)), Data: compressZstd(make([]byte, 20<<20)), Compressor: repb.Compressor_ZSTD},
+		{Digest: digestToProto(blobstore.Of(mismatched)), Data: mismatched, Compressor: repb.Compressor_BROTLI},
 		{Data: nil},
 	}})
 	if err != nil {
@@ -294,34 +297,34 @@
 	}
 	for i, want := range []codes.Code{codes.OK, codes.OK, codes.InvalidArgument, codes.InvalidArgument, codes.InvalidArgument, codes.InvalidArgument} {
 		if got := codes.Code(resp.Responses[i].GetStatus().GetCode()); got != want {
-			t.Errorf("%d: %s, want %s", i, got, want)
+			t.Errorf("update %d: %s, want %s", i, got, want)
 		}
 	}
-	read, err := b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(packed)), digestToProto(blobstore.Of(lie)), digestToProto(blobstore.Empty)}})
+	read, err := b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(compressible)), digestToProto(blobstore.Of(mismatched)), digestToProto(blobstore.Empty)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range [][]byte{good, packed, nil, {}} {
+	for i, want := range [][]byte{good, compressible, nil, {}} {
 		r := read.Responses[i]
 		if want == nil && codes.Code(r.GetStatus().GetCode()) != codes.NotFound || !bytes.Equal(r.GetData(), want) {
-			t.Errorf("%d: %v", i, r.GetStatus())
+			t.Errorf("read %d: %v", i, r.GetStatus())
 		}
 	}
-	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(lie)), digestToProto(blobstore.Empty)}})
-	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != blobstore.Of(lie).Hash {
-		t.Errorf("%v %v", miss, err)
+	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(mismatched)), digestToProto(blobstore.Empty)}})
+	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != blobstore.Of(mismatched).Hash {
+		t.Errorf("missing blobs: %v, %v", miss, err)
 	}
 	_, err = b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{{Hash: blobstore.Empty.Hash, SizeBytes: 5 << 20}}})
 	b.code(err, codes.InvalidArgument)
 	_, err = b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{DigestFunction: repb.DigestFunction_MD5})
 	b.code(err, codes.InvalidArgument)
-	big := random(maxMessage + 1)
+	big := random(maxMessageBytes + 1)
 	_, err = b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: digestToProto(blobstore.Of(big)), Data: big}}})
-	b.code(err, codes.ResourceExhausted) // gRPC's own limit of a message
+	b.code(err, codes.ResourceExhausted) // rejected by gRPC's limit on the message size
 }
 
-// store uploads a message and returns its digest.
-func (b *build) store(m proto.Message) *repb.Digest {
+// uploadMessage uploads a protobuf message and returns its digest.
+func (b *build) uploadMessage(m proto.Message) *repb.Digest {
 	b.t.Helper()
 	raw, err := proto.Marshal(m)
 	if err != nil {
@@ -335,20 +338,20 @@
 	d := digestToProto(blobstore.Of(raw))
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: d, Data: raw}}})
 	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
-		b.t.Fatalf("%v %v", resp, err)
+		b.t.Fatalf("upload: %v, %v", resp, err)
 	}
 	return d
 }
 
 func TestGetTree(t *testing.T) {
 	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
-	leaf := b.store(&repb.Directory{Files: []*repb.FileNode{{Name: "f"}}})
+	leaf := b.uploadMessage(&repb.Directory{Files: []*repb.FileNode{{Name: "f"}}})
 	var mids []*repb.DirectoryNode
 	for i := range 25 {
-		mid := b.store(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: fmt.Sprintf("d%d", i), Digest: leaf}}})
+		mid := b.uploadMessage(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: fmt.Sprintf("d%d", i), Digest: leaf}}})
 		mids = append(mids, &repb.DirectoryNode{Name: fmt.Sprintf("m%02d", i), Digest: mid})
 	}
-	root := b.store(&repb.Directory{Directories: mids})
+	root := b.uploadMessage(&repb.Directory{Directories: mids})
 	walk := func(size int32, token string) (names []string, tokens []string, err error) {
 		s, err := b.cas.GetTree(b.ctx, &repb.GetTreeRequest{RootDigest: root, PageSize: size, PageToken: token})
 		if err != nil {
@@ -363,7 +366,7 @@
 				return names, tokens, err
 			}
 			if size > 0 && len(p.Directories) > int(size) {
-				t.Errorf("a page of %d", len(p.Directories))
+				t.Errorf("a page has %d directories, more than the requested page size", len(p.Directories))
 			}
 			for _, d := range p.Directories {
 				names = append(names, d.String())
@@ -372,20 +375,20 @@
 		}
 	}
 	all, _, err := walk(0, "")
-	if err != nil || len(all) != 27 { // the leaf once, though named 25 times
-		t.Fatalf("%d directories, %v", len(all), err)
+	if err != nil || len(all) != 27 { // the leaf occurs once, though 25 directories contain it
+		t.Fatalf("got %d directories, want 27: %v", len(all), err)
 	}
 	paged, tokens, err := walk(4, "")
 	if err != nil || strings.Join(paged, "|") != strings.Join(all, "|") || tokens[len(tokens)-1] != "" {
-		t.Errorf("%d directories in pages, %v", len(paged), err)
+		t.Errorf("walk in pages of 4: %d directories differ from the complete list, or the last page token is not empty: %v", len(paged), err)
 	}
 	rest, _, err := walk(4, tokens[2])
 	if err != nil || strings.Join(rest, "|") != strings.Join(all[12:], "|") {
-		t.Errorf("%d directories after the third page, %v", len(rest), err)
+		t.Errorf("walk from the third page token: %d directories are not the remaining ones: %v", len(rest), err)
 	}
 	_, _, err = walk(4, "x")
 	b.code(err, codes.InvalidArgument)
-	missing := b.store(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "x", Digest: digestToProto(blobstore.Of(random(5)))}}})
+	missing := b.uploadMessage(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "x", Digest: digestToProto(blobstore.Of(random(5)))}}})
 	s, err := b.cas.GetTree(b.ctx, &repb.GetTreeRequest{RootDigest: missing})
 	if err == nil {
 		for err == nil {
@@ -395,12 +398,13 @@
 	b.code(err, codes.NotFound)
 }
 
-// A result is returned only if all blobs that it references exist; the first one stays.
+// A result is returned only if all blobs that it references exist. A second result replaces
+// the first only if a blob of the first is lost.
 func TestActionCache(t *testing.T) {
 	b, store := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 100_000, MaxBlob: 50_000})
 	action := digestToProto(blobstore.Of([]byte("action")))
 	out, inTree := b.blob(random(3000)), b.blob(random(1000))
-	tree := b.store(&repb.Tree{Root: &repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: inTree}}}})
+	tree := b.uploadMessage(&repb.Tree{Root: &repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: inTree}}}})
 	result := &repb.ActionResult{ExitCode: 3, OutputFiles: []*repb.OutputFile{{Path: "o", Digest: out}}, OutputDirectories: []*repb.OutputDirectory{{Path: "d", TreeDigest: tree}}}
 	get := func() (*repb.ActionResult, error) {
 		return b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action})
@@ -418,35 +422,35 @@
 		t.Fatal(err)
 	}
 	if got, err := get(); err != nil || !proto.Equal(got, result) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("stored result: %v, %v", got, err)
 	}
 	if got, err := update(&repb.ActionResult{ExitCode: 4}); err != nil || got.ExitCode != 3 {
-		t.Errorf("a second result took the place of the first: %v %v", got, err)
+		t.Errorf("a second result replaced the first: %v, %v", got, err)
 	}
 	_, err = b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{InstanceName: "a/b", ActionDigest: action})
-	b.code(err, codes.NotFound) // another team's
-	// The file in the tree is evicted, so there is no result.
-	for range 20 { // more than the store holds, while the others are in use
+	b.code(err, codes.NotFound) // the result belongs to the other team
+	// Uploads evict the file in the tree, while the other blobs of the result stay in use.
+	for range 20 { // exceeds the capacity of the store
 		b.blob(random(10_000))
 		store.Missing("red", []blobstore.Digest{digestOf(out), digestOf(tree)})
 	}
 	_, err = get()
 	b.code(err, codes.NotFound)
 	if got, err := update(&repb.ActionResult{ExitCode: 4}); err != nil || got.ExitCode != 4 {
-		t.Errorf("no new result where the old one lost its outputs: %v %v", got, err)
+		t.Errorf("a result with lost outputs was not replaced: %v, %v", got, err)
 	}
-	closed := oneTeam
-	closed.ClientResults = false
-	b2, _ := start(t, closed, OpenAccess{}, roomy)
+	noClientResults := oneTeam
+	noClientResults.ClientResults = false
+	b2, _ := start(t, noClientResults, OpenAccess{}, roomy)
 	_, err = b2.ac.UpdateActionResult(b2.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result})
 	b2.code(err, codes.PermissionDenied)
 	caps, err := repb.NewCapabilitiesClient(b2.conn).GetCapabilities(b2.ctx, &repb.GetCapabilitiesRequest{})
 	if err != nil || caps.CacheCapabilities.ActionCacheUpdateCapabilities.UpdateEnabled || caps.ExecutionCapabilities.GetExecEnabled() {
-		t.Errorf("%v %v", caps, err)
+		t.Errorf("capabilities without client results and execution: %v, %v", caps, err)
 	}
 }
 
-// A full store refuses at once, with a retry delay.
+// A full store rejects writes immediately, with a retry delay.
 func TestFullStore(t *testing.T) {
 	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Retention: 30 * time.Second})
 	b.blob(random(8000))
@@ -461,7 +465,7 @@
 		}
 	}
 	if delay < 20*time.Second || delay > 31*time.Second || time.Since(started) > 5*time.Second {
-		t.Errorf("retry delay of %s, after %s", delay, time.Since(started))
+		t.Errorf("rejected with a retry delay of %s after %s", delay, time.Since(started))
 	}
 }
 
@@ -511,15 +515,15 @@
 		if err := call(b.as("bob"), ""); writes {
 			b.code(err, codes.PermissionDenied)
 		} else if c := status.Code(err); c != codes.OK && c != codes.NotFound {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s by a client that may only read: %v", name, err)
 		}
 	}
 	got, err := b.as("eve").cas.FindMissingBlobs(b.as("eve").ctx, &repb.FindMissingBlobsRequest{InstanceName: "a/b", BlobDigests: []*repb.Digest{d}})
 	if err != nil || len(got.MissingBlobDigests) != 1 {
-		t.Errorf("another team's blob is returned: %v %v", got, err)
+		t.Errorf("another team's blob is reported as present: %v, %v", got, err)
 	}
 	if h, err := healthpb.NewHealthClient(b.conn).Check(b.ctx, &healthpb.HealthCheckRequest{}); err != nil || h.Status != healthpb.HealthCheckResponse_SERVING {
-		t.Errorf("health: %v %v", h, err)
+		t.Errorf("health check: %v, %v", h, err)
 	}
 }
 
@@ -537,17 +541,17 @@
 				data := blobs[(c+i)%len(blobs)]
 				d := blobstore.Of(data)
 				if _, err := b.upload(fmt.Sprintf("uploads/%d/blobs/%s", c, d), data, 0, 30_000, true); err != nil {
-					t.Errorf("write: %v", err)
+					t.Errorf("upload: %v", err)
 				}
 				if got, err := b.download("blobs/"+d.String(), 0, 0); err != nil || !bytes.Equal(got, data) {
-					t.Errorf("read: %d bytes, %v", len(got), err)
+					t.Errorf("download: %d bytes, %v", len(got), err)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	if st := store.Stats(); st.Blobs != len(blobs) || st.Bytes != 50_000*36 {
-		t.Errorf("%+v", st)
+		t.Errorf("the store does not hold each blob once: %+v", st)
 	}
 }
 
@@ -557,10 +561,10 @@
 	f.Fuzz(func(t *testing.T, name string, write bool) {
 		r, err := parseResource(name, write)
 		if err == nil && r.digest.Check() != nil {
-			t.Errorf("%q was taken", name)
+			t.Errorf("resource name %q with an invalid digest was accepted", name)
 		}
 	})
 }
 
-// digestOf converts a digest of the API in a call that names no digest function.
+// digestOf converts a digest of the API to a SHA-256 digest.
 func digestOf(d *repb.Digest) blobstore.Digest { return digestIn(blobstore.SHA256, d) }
--- a/internal/reapi/inputs.go
+++ b/internal/reapi/inputs.go
@@ -13,8 +13,8 @@
 	"micaspindle/internal/blobstore"
 )
 
-// loadAction reads an action and its command, validates both, and checks that every
-// blob of the input tree is on some front end, which pins it for the promised time.
+// loadAction reads and validates an action and its command. It also checks that every blob of
+// the input tree is on some front end, which pins it for the retention period.
 func (f *FrontEnd) loadAction(ctx context.Context, instance, space string, digest blobstore.Digest) (*repb.Action, *repb.Command, error) {
 	if err := digest.Check(); err != nil {
 		return nil, nil, failure(err)
@@ -36,7 +36,7 @@
 	return action, command, nil
 }
 
-// readMessage reads a blob that holds a message. Its errors are gRPC statuses.
+// readMessage reads a blob that holds a protobuf message. Its errors are gRPC statuses.
 func (f *FrontEnd) readMessage(ctx context.Context, instance string, key blobstore.Key, message proto.Message) error {
 	raw, err := f.read(ctx, instance, key, maxTreeNode)
 	if errors.Is(err, blobstore.ErrNotFound) {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// checkInputs validates the directories of an input tree and that all its blobs are here
-// or on another front end.
+// checkInputs validates the directories of an input tree and checks that each of its blobs is
+// on this front end or a peer.
 func (f *FrontEnd) checkInputs(ctx context.Context, instance, space string, root blobstore.Digest) error {
 	var files, missing []blobstore.Digest
 	collect := func(_ blobstore.Digest, directory *repb.Directory) error {
@@ -64,8 +64,8 @@
 		}
 		return checkDirectory(directory)
 	}
-	note := func(lost blobstore.Digest) { missing = append(missing, lost) }
-	if err := f.walkDirectories(ctx, instance, space, root, collect, note); err != nil {
+	addMissing := func(digest blobstore.Digest) { missing = append(missing, digest) }
+	if err := f.walkDirectories(ctx, instance, space, root, collect, addMissing); err != nil {
 		return failure(err)
 	}
 	missing = append(missing, f.missing(ctx, instance, space, files)...)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// checkDirectory validates an input directory: names must be unique and plain, digests
+// checkDirectory validates an input directory. Names must be valid and unique, digests must be
 // well-formed, and symlinks must not point outside the directory.
 func checkDirectory(directory *repb.Directory) error {
 	names := map[string]bool{}
--- a/internal/reapi/resourcename.go
+++ b/internal/reapi/resourcename.go
@@ -20,7 +20,7 @@
 
 // parseResource parses a name of the form
 // {instance}/[uploads/{uuid}/]{blobs|compressed-blobs/zstd}/[blake3/]{hash}/{size}.
-// The uploads part is there in names of writes only.
+// The uploads segments occur in the names of writes only.
 func parseResource(name string, write bool) (resource, error) {
 	malformed := status.Errorf(codes.InvalidArgument, "%q names no blob", clip(name))
 	segments := strings.Split(name, "/")
@@ -53,7 +53,7 @@
 	default:
 		return resource{}, malformed
 	}
-	// Clients may append anything to the name of a write.
+	// The API allows clients to append segments to the name of a write.
 	digest, length, ok := parseDigest(rest)
 	if !ok || !write && len(rest) != length {
 		return resource{}, malformed
@@ -65,7 +65,7 @@
 	return r, nil
 }
 
-// parseDigest parses [blake3/]{hash}/{size} and returns how many segments these are.
+// parseDigest parses the leading segments [blake3/]{hash}/{size} and returns their number.
 func parseDigest(segments []string) (digest blobstore.Digest, length int, ok bool) {
 	digest.Function = blobstore.SHA256
 	if len(segments) > 0 {
@@ -85,8 +85,8 @@
 	return digest, length + 2, true
 }
 
-// maxClip bounds how much of a client's text an error repeats, in bytes.
-const maxClip = 80
+// maxClippedBytes is the maximum length of text from a client that an error quotes.
+const maxClippedBytes = 80
 
-// clip shortens a client's text for an error.
-func clip(s string) string { return s[:min(len(s), maxClip)] }
+// clip shortens text from a client for use in an error.
+func clip(s string) string { return s[:min(len(s), maxClippedBytes)] }
--- a/internal/reapi/status.go
+++ b/internal/reapi/status.go
@@ -16,7 +16,7 @@
 	"micaspindle/internal/blobstore"
 )
 
-// failure converts an error of the store or of admission into a gRPC status.
+// failure converts an error of the blob store or of admission control into a gRPC status.
 func failure(err error) error {
 	var full *blobstore.FullError
 	var busy *admission.BusyError
@@ -40,16 +40,16 @@
 	return status.Errorf(codes.Internal, "content store: %v", err)
 }
 
-// retryLater returns a status that tells the client when to try again.
+// retryLater returns a status with the delay after which the client should retry.
 func retryLater(code codes.Code, after time.Duration, format string, args ...any) error {
 	st := status.New(code, fmt.Sprintf(format, args...))
-	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
-		st = with
+	if detailed, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
+		st = detailed
 	}
 	return st.Err()
 }
 
-// statusOf is the status of one blob in the response to a batch.
+// statusOf returns the status of one blob in the response to a batch.
 func statusOf(err error) *rpcstatus.Status {
 	if err == nil {
 		return &rpcstatus.Status{}
@@ -57,16 +57,16 @@
 	return status.Convert(failure(err)).Proto()
 }
 
-// missingBlobs returns the status that the API defines for blobs that must be uploaded
-// before an action can be executed.
+// missingBlobs returns the status that the API defines for an action whose blobs must be
+// uploaded before it can be executed.
 func missingBlobs(missing []blobstore.Digest) error {
 	st := status.New(codes.FailedPrecondition, fmt.Sprintf("%d blobs are missing, %s first", len(missing), missing[0]))
-	failure := &errdetails.PreconditionFailure{}
+	precondition := &errdetails.PreconditionFailure{}
 	for _, d := range missing {
-		failure.Violations = append(failure.Violations, &errdetails.PreconditionFailure_Violation{Type: "MISSING", Subject: "blobs/" + d.String()})
+		precondition.Violations = append(precondition.Violations, &errdetails.PreconditionFailure_Violation{Type: "MISSING", Subject: "blobs/" + d.String()})
 	}
-	if with, err := st.WithDetails(failure); err == nil {
-		st = with
+	if detailed, err := st.WithDetails(precondition); err == nil {
+		st = detailed
 	}
 	return st.Err()
 }
--- a/internal/reapi/tree.go
+++ b/internal/reapi/tree.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// maxTreeDirectories bounds the directories of a tree that GetTree walks.
+	// maxTreeDirectories is the maximum number of directories in a tree that GetTree walks.
 	maxTreeDirectories = maxDigests * 10
-	// pageTokenLength is the length of a page token: a 64-bit count, big-endian.
+	// pageTokenLength is the length of a page token in bytes: a big-endian 64-bit count.
 	pageTokenLength = 8
 )
 
-// GetTree streams the directories of a tree breadth-first, in pages. The page token is
-// the number of directories sent so far: a tree never changes, so that each walk visits
-// them in the same order.
+// GetTree streams the directories of a tree in pages, breadth-first. The page token is the
+// number of directories sent so far. That suffices to resume, because a tree never changes
+// and each walk visits its directories in the same order.
 func (f *FrontEnd) GetTree(req *repb.GetTreeRequest, out grpc.ServerStreamingServer[repb.GetTreeResponse]) error {
-	function, err := functionOf(req.GetDigestFunction())
+	function, err := digestFunctionOf(req.GetDigestFunction())
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	return out.Send(pages.page)
 }
 
-// parsePageToken returns how many directories earlier pages held.
+// parsePageToken returns the number of directories in earlier pages.
 func parsePageToken(token string) (uint64, error) {
 	if token == "" {
 		return 0, nil
@@ -78,15 +78,15 @@
 	return binary.BigEndian.Uint64([]byte(token)), nil
 }
 
-// pageSize returns how many directories a page may hold.
+// pageSize returns the maximum number of directories in a page.
 func pageSize(req *repb.GetTreeRequest) int {
 	if n := int(req.GetPageSize()); n > 0 {
-		return min(n, treePage)
+		return min(n, maxPageDirectories)
 	}
-	return treePage
+	return maxPageDirectories
 }
 
-// readDirectory reads a directory and the size of its encoding. Its errors are gRPC statuses.
+// readDirectory returns a directory and the size of its encoding. Its errors are gRPC statuses.
 func (f *FrontEnd) readDirectory(ctx context.Context, instance string, key blobstore.Key) (*repb.Directory, int, error) {
 	data, err := f.read(ctx, instance, key, maxTreeNode)
 	if errors.Is(err, blobstore.ErrNotFound) {
@@ -105,15 +105,16 @@
 // treePages sends directories in pages of bounded size.
 type treePages struct {
 	out   grpc.ServerStreamingServer[repb.GetTreeResponse]
-	size  int // directories in a page
+	size  int // maximum number of directories in a page
 	page  *repb.GetTreeResponse
-	bytes int    // encoded directories in the page
-	sent  uint64 // directories sent, in the page, or skipped
+	bytes int    // total size of the encoded directories in page
+	sent  uint64 // number of directories that were sent, skipped or added to page
 }
 
-// add adds a directory to the page, and sends the page before if it is full.
+// add adds a directory to the page. If the page has no room for it, add first sends the page
+// and begins a new one.
 func (p *treePages) add(directory *repb.Directory, size int) error {
-	if len(p.page.Directories) > 0 && (len(p.page.Directories) >= p.size || p.bytes+size > maxBatch) {
+	if len(p.page.Directories) > 0 && (len(p.page.Directories) >= p.size || p.bytes+size > maxBatchBytes) {
 		if err := p.flush(); err != nil {
 			return err
 		}
--- a/internal/reapi/uploads.go
+++ b/internal/reapi/uploads.go
@@ -16,58 +16,57 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// An interrupted write can be resumed: at this front end, also after a restart, or at a
-// peer, which then fetches what was received here. Compressed data is stored as it
-// arrives and decompressed at the end.
+// An interrupted write can be resumed on this front end, also after a restart, or on a peer,
+// which then fetches the bytes that were received here. Compressed data is spooled as it
+// arrives and decompressed when the write is finished.
 
-// uploads are the writes in progress and the interrupted ones, by uploadKey.
+// uploads holds the writes in progress and the interrupted ones, by uploadKey.
 type uploads struct {
 	mu   sync.Mutex
 	open map[string]*pendingUpload
 }
 
-// pendingUpload is a write that has begun. One call at a time owns it.
+// pendingUpload is an unfinished write. At most one call at a time owns it.
 type pendingUpload struct {
-	busy bool
-	last time.Time // when a call last released it
-	key  blobstore.Key
-	// One of the two receives the bytes: upload if they are the blob's, packed if they
-	// are compressed.
+	busy       bool
+	releasedAt time.Time // when a call last released it
+	key        blobstore.Key
+	// Uncompressed data is written to upload, compressed data to spool. The other is nil.
 	upload *blobstore.Upload
-	packed *blobstore.Spool
-	// received is how many bytes have arrived, compressed or not.
+	spool  *blobstore.Spool
+	// received is the number of bytes received, before any decompression.
 	received atomic.Int64
 }
 
 const (
-	// maxUploads bounds the writes in progress and the interrupted ones.
+	// maxUploads is the maximum number of unfinished writes, interrupted ones included.
 	maxUploads = 1024
-	// resumeFor is how long an interrupted write can be resumed.
-	resumeFor = 5 * time.Minute
-	// expansionDivisor bounds how much compression may enlarge a blob: data that does not
-	// compress grows by a few bytes per block.
+	// resumeWindow is how long an interrupted write can be resumed.
+	resumeWindow = 5 * time.Minute
+	// Compressed data may exceed the size of its blob by 1/expansionDivisor, since
+	// incompressible data grows by a few bytes per block.
 	expansionDivisor = 128
 )
 
-// expire discards interrupted writes that were not resumed in time. The lock is held.
+// expire discards interrupted writes that were not resumed in time. The caller holds mu.
 func (u *uploads) expire(now time.Time) {
 	for name, upload := range u.open {
-		if !upload.busy && now.Sub(upload.last) > resumeFor {
+		if !upload.busy && now.Sub(upload.releasedAt) > resumeWindow {
 			upload.discard()
 			delete(u.open, name)
 		}
 	}
 }
 
-// sweep discards interrupted writes that were not resumed in time.
+// sweep locks mu and calls expire.
 func (u *uploads) sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.expire(now)
 }
 
-// take makes the caller the owner of a write, which begin opens if there is none.
-func (u *uploads) take(name string, begin func() (*pendingUpload, error)) (*pendingUpload, error) {
+// acquire makes the caller the owner of a write. If the write is not open, begin opens it.
+func (u *uploads) acquire(name string, begin func() (*pendingUpload, error)) (*pendingUpload, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.expire(time.Now())
@@ -89,27 +88,28 @@
 	return upload, nil
 }
 
-// putBack ends the ownership of a write. keep says whether it can be resumed.
-func (u *uploads) putBack(name string, upload *pendingUpload, keep bool) {
+// release ends the caller's ownership of a write. Unless the write is resumable, it is
+// discarded.
+func (u *uploads) release(name string, upload *pendingUpload, resumable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	upload.busy, upload.last = false, time.Now()
-	if !keep {
+	upload.busy, upload.releasedAt = false, time.Now()
+	if !resumable {
 		upload.discard()
 		delete(u.open, name)
 	}
 }
 
-// discard deletes what was received.
+// discard deletes the received data.
 func (p *pendingUpload) discard() {
-	if p.packed != nil {
-		p.packed.Abort()
+	if p.spool != nil {
+		p.spool.Abort()
 		return
 	}
 	p.upload.Abort()
 }
 
-// openUpload opens a write, with what an earlier process received of it.
+// openUpload opens a write. It continues with the data that an earlier process received, if any.
 func (f *FrontEnd) openUpload(name string, key blobstore.Key, compressed bool) (*pendingUpload, error) {
 	upload := &pendingUpload{key: key}
 	var err error
@@ -120,8 +120,8 @@
 		if key.Size > f.config.MaxBlob {
 			return nil, blobstore.ErrTooLarge
 		}
-		if upload.packed, err = f.store.Spool(name, key.Space, key.Size+key.Size/expansionDivisor+chunkSize); err == nil {
-			upload.received.Store(upload.packed.Size())
+		if upload.spool, err = f.store.Spool(name, key.Space, key.Size+key.Size/expansionDivisor+chunkSize); err == nil {
+			upload.received.Store(upload.spool.Size())
 		}
 		return upload, err
 	}
@@ -131,21 +131,21 @@
 	return upload, err
 }
 
-// add stores bytes as they arrive.
-func (p *pendingUpload) add(data []byte) error {
-	var to io.Writer = p.upload
-	if p.packed != nil {
-		to = p.packed
+// write appends received bytes to the upload or the spool.
+func (p *pendingUpload) write(data []byte) error {
+	var dst io.Writer = p.upload
+	if p.spool != nil {
+		dst = p.spool
 	}
-	n, err := to.Write(data)
+	n, err := dst.Write(data)
 	p.received.Add(int64(n))
 	return err
 }
 
-// finish verifies the blob and commits it. If the store has no room to decompress it, the
-// write can be finished again later.
+// finish verifies the blob and commits it. A compressed write can be finished again after a
+// FullError, which means that the store has no space for the decompressed blob.
 func (p *pendingUpload) finish(store *blobstore.Store) error {
-	if p.packed == nil {
+	if p.spool == nil {
 		return p.upload.Commit()
 	}
 	upload, err := store.Create(p.key)
@@ -153,7 +153,7 @@
 		return err
 	}
 	defer upload.Abort()
-	decoder, err := zstd.NewReader(p.packed.Reader(), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxWindow(maxWindow))
+	decoder, err := zstd.NewReader(p.spool.Reader(), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxWindow(maxWindowBytes))
 	if err != nil {
 		return errors.Join(blobstore.ErrMismatch, err)
 	}
@@ -167,19 +167,19 @@
 	return upload.Commit()
 }
 
-// copyChunks copies with a buffer of chunkSize. It hides ReaderFrom and WriterTo, which
-// would choose chunks of their own.
-func copyChunks(to io.Writer, from io.Reader) error {
-	_, err := io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, chunkSize))
+// copyChunks copies with a buffer of chunkSize bytes. The wrappers hide the io.ReaderFrom and
+// io.WriterTo implementations, which would use buffers of other sizes.
+func copyChunks(dst io.Writer, src io.Reader) error {
+	_, err := io.CopyBuffer(struct{ io.Writer }{dst}, struct{ io.Reader }{src}, make([]byte, chunkSize))
 	return err
 }
 
-// uploadKey is the key of a write among those of all teams.
+// uploadKey returns the key of a write in uploads, which is unique across teams.
 func uploadKey(space, resource string) string { return space + "\x00" + resource }
 
-// receivedHere returns how many bytes of a write were received here; 0 while a call is
-// writing it.
-func (f *FrontEnd) receivedHere(key string) int64 {
+// receivedLocally returns how many bytes of a write this front end has received, or 0 while
+// a call owns the write.
+func (f *FrontEnd) receivedLocally(key string) int64 {
 	f.uploads.mu.Lock()
 	defer f.uploads.mu.Unlock()
 	if upload := f.uploads.open[key]; upload != nil {
@@ -191,12 +191,13 @@
 	return f.store.Received(key)
 }
 
-// receivedElsewhere asks the peers how many bytes of a write they received and returns the
-// one with the most, nil if none has any. sure says that all peers answered.
-func (f *FrontEnd) receivedElsewhere(ctx context.Context, instance, resource string) (at *peer, size int64, sure bool) {
-	sure = true
+// receivedByPeers asks the peers how many bytes of a write they have received. It returns the
+// peer with the most bytes, or nil if none has any. allAnswered is false if a peer failed to
+// answer.
+func (f *FrontEnd) receivedByPeers(ctx context.Context, instance, resource string) (holder *peer, size int64, allAnswered bool) {
+	allAnswered = true
 	if f.peers == nil || f.fromPeer(ctx) {
-		return nil, 0, sure
+		return nil, 0, allAnswered
 	}
 	for _, p := range f.peers.reachableFirst(resource) {
 		err := p.call(ctx, p.timeFor(peerTimeout), func(ctx context.Context) error {
@@ -206,43 +207,43 @@
 			}
 			first, err := stream.Recv()
 			if err == nil && first.GetSize() > size {
-				at, size = p, first.GetSize()
+				holder, size = p, first.GetSize()
 			}
 			return err
 		})
 		if err != nil {
-			f.log.Debug("query for write at peer failed", "peer", p.addr, "error", err)
-			sure = false
+			f.log.Debug("could not query upload status from peer", "peer", p.addr, "error", err)
+			allAnswered = false
 		}
 	}
-	return at, size, sure
+	return holder, size, allAnswered
 }
 
-// fetchReceived fetches what a peer received of a write, up to the offset at which the
-// client resumes it here. If no peer received that much, it fetches nothing, and the
-// write fails by its offset.
+// fetchReceived fetches the bytes of a write that a peer has received, up to the offset at
+// which the client resumes the write. If all peers answer and none has that many bytes, it
+// fetches nothing, and the caller rejects the offset.
 func (f *FrontEnd) fetchReceived(ctx context.Context, instance, resource string, upload *pendingUpload, offset int64) error {
 	unavailable := retryLater(codes.Unavailable, time.Second, "the write was begun at a front end that does not answer now; ask how much of it has come")
-	from, size, sure := f.receivedElsewhere(ctx, instance, resource)
+	holder, size, allAnswered := f.receivedByPeers(ctx, instance, resource)
 	if size < offset {
-		if sure {
+		if allAnswered {
 			return nil
 		}
 		return unavailable
 	}
-	err := from.call(ctx, transferTime(offset), func(ctx context.Context) error {
-		stream, err := from.service.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Offset: upload.received.Load()})
+	err := holder.call(ctx, transferTime(offset), func(ctx context.Context) error {
+		stream, err := holder.service.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Offset: upload.received.Load()})
 		for err == nil && upload.received.Load() < offset {
 			var reply *inspection.BegunReply
 			if reply, err = stream.Recv(); err == nil {
 				data := reply.GetData()
-				err = upload.add(data[:min(int64(len(data)), offset-upload.received.Load())])
+				err = upload.write(data[:min(int64(len(data)), offset-upload.received.Load())])
 			}
 		}
 		return err
 	})
 	if err != nil {
-		f.log.Info("resumption of write from peer failed", "peer", from.addr, "error", err)
+		f.log.Info("could not fetch upload data from peer", "peer", holder.addr, "error", err)
 		return unavailable
 	}
 	return nil
--- a/internal/reapi/uploads_test.go
+++ b/internal/reapi/uploads_test.go
@@ -14,8 +14,8 @@
 	"micaspindle/internal/blobstore"
 )
 
-// kill stops a front end as SIGKILL would and restarts it with the state that it left, at
-// the same address.
+// kill stops a front end abruptly, as SIGKILL would, and restarts it at the same address with
+// the state on its disk.
 func (s *group) kill(t *testing.T, i int) {
 	t.Helper()
 	old := s.frontEnds[i]
@@ -40,63 +40,64 @@
 	s.frontEnds[i], s.stores[i], s.servers[i] = f, store, server
 }
 
-// An interrupted write is resumed after its front end was killed, and at a peer, compressed
-// or not, with no byte sent twice.
+// An interrupted write, compressed or not, can be resumed after its front end was killed, and
+// on a peer, without sending any byte twice.
 func TestWritesSurviveRestart(t *testing.T) {
 	for _, compressed := range []bool{false, true} {
 		s := startGroup(t, 2, 1)
 		data := random(2_500_000)
 		sent, kind := data, "blobs/"
 		if compressed {
-			sent, kind = pack(data), "compressed-blobs/zstd/"
+			sent, kind = compressZstd(data), "compressed-blobs/zstd/"
 		}
 		name := "uploads/u/" + kind + blobstore.Of(data).String()
-		status := func(b *build) int64 {
+		committedSize := func(b *build) int64 {
 			t.Helper()
 			st, err := b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 			if err != nil || st.Complete {
-				t.Fatal(st, err)
+				t.Fatal("write status:", st, err)
 			}
 			return st.CommittedSize
 		}
 		a, b := s.clients[0], s.clients[1]
 		if _, err := a.upload(name, sent[:700_000], 0, chunkSize, false); err == nil {
-			t.Fatal("an unfinished write was answered")
+			t.Fatal("an unfinished write succeeded")
 		}
 		s.kill(t, 0)
-		for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // until the connection is back
+		for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // until the client has reconnected
 			if _, err := a.bytes.QueryWriteStatus(a.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name}); err == nil || time.Now().After(end) {
 				break
 			}
 		}
-		if n := status(a); n != 700_000 {
-			t.Fatalf("after a kill %d bytes are known", n)
+		if n := committedSize(a); n != 700_000 {
+			t.Fatalf("the restarted front end reports %d received bytes, want 700000", n)
 		}
 		if _, err := a.upload(name, sent[700_000:1_500_000], 700_000, chunkSize, false); err == nil {
-			t.Fatal("an unfinished write was answered")
+			t.Fatal("an unfinished write succeeded")
 		}
-		if n := status(b); n != 1_500_000 {
-			t.Fatalf("a peer knows of %d bytes", n)
+		if n := committedSize(b); n != 1_500_000 {
+			t.Fatalf("the peer reports %d received bytes, want 1500000", n)
 		}
 		if n, err := b.upload(name, sent[1_500_000:], 1_500_000, chunkSize, true); err != nil || n != int64(len(sent)) {
-			t.Fatal(n, err)
+			t.Fatal("write resumed on the peer:", n, err)
 		}
 		got, err := a.download("blobs/"+blobstore.Of(data).String(), 0, 0)
 		if err != nil || !bytes.Equal(got, data) {
-			t.Errorf("compressed %v: %v", compressed, err)
+			t.Errorf("download after the resumed write (compressed %v): %v", compressed, err)
 		}
 	}
 }
 
-// A client that resumes a write while the front end where it began is down is told to ask
-// for the offset again; with all front ends up, an offset that none has is its mistake.
+// A client that resumes a write while the front end that received its data is down gets
+// Unavailable. If all front ends are up and none has the data up to the offset, it gets
+// InvalidArgument.
 func TestResumptionWhileFrontEndIsDown(t *testing.T) {
 	s := startGroup(t, 2, 1)
 	data := random(1_000_000)
 	name := "uploads/u/blobs/" + blobstore.Of(data).String()
 	a, b := s.clients[0], s.clients[1]
 	if _, err := a.upload(name, data[:500_000], 0, chunkSize, false); err == nil {
-		t.Fatal("an unfinished write was answered")
+		t.Fatal("an unfinished write succeeded")
 	}
 	_, err := b.upload(name, data[600_000:], 600_000, chunkSize, true)
 	b.code(err, codes.InvalidArgument)
@@ -104,6 +105,6 @@
 	_, err = b.upload(name, data[500_000:], 500_000, chunkSize, true)
 	b.code(err, codes.Unavailable)
 	if n, err := b.upload(name, data, 0, chunkSize, true); err != nil || n != int64(len(data)) {
-		t.Error(n, err)
+		t.Error("restarted write:", n, err)
 	}
 }
