--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,5 @@
-// Package docs_test checks that the pages name what exists: files and headings that they link,
-// tests, make targets and programs.
+// Package docs_test checks that the files, headings, tests, make targets and programs that the
+// documentation pages name exist.
 package docs_test
 
 import (
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// root is the repository, seen from this package.
+// root is the path of the repository relative to this package.
 const root = ".."
 
 var (
@@ -39,7 +39,8 @@
 	path, text string
 }
 
-// code lists the page's commands and names: its code spans and the lines of its code blocks.
+// code returns the page's code spans and the lines of its code blocks, in which commands and
+// programs are named.
 func (p page) code() (pieces []string) {
 	for _, block := range fencePattern.FindAllString(p.text, -1) {
 		pieces = append(pieces, strings.Split(block, "\n")...)
@@ -57,8 +58,8 @@
 	return pieces
 }
 
-// links lists the targets of the page's links outside code. Indented lines count, since they may
-// go on with an item of a list.
+// links returns the targets of the page's links outside code. Indented lines are not taken for code,
+// since they may continue a list item.
 func (p page) links() (targets []string) {
 	prose := codeSpanPattern.ReplaceAllString(fencePattern.ReplaceAllString(p.text, ""), "")
 	for _, match := range linkPattern.FindAllStringSubmatch(prose, -1) {
@@ -67,7 +68,7 @@
 	return targets
 }
 
-// anchors lists the names by which the page's headings are linked.
+// anchors returns the names by which links refer to the page's headings.
 func (p page) anchors() map[string]bool {
 	anchors := map[string]bool{}
 	for _, match := range headingPattern.FindAllStringSubmatch(fencePattern.ReplaceAllString(p.text, ""), -1) {
@@ -94,7 +95,7 @@
 	return pages
 }
 
-// findFiles lists the files under a folder whose names have an ending.
+// findFiles returns the paths of the files under a folder whose names end in ending.
 func findFiles(t *testing.T, folder, ending string) (paths []string) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
@@ -121,7 +122,7 @@
 	return string(content)
 }
 
-// firstGroups lists what the first group of a pattern matches in a text.
+// firstGroups returns the text of the first group for each match of a pattern.
 func firstGroups(pattern *regexp.Regexp, text string) (found []string) {
 	for _, match := range pattern.FindAllStringSubmatch(text, -1) {
 		found = append(found, match[1])
@@ -129,8 +130,8 @@
 	return found
 }
 
-// Each relative link names a file or folder that exists and, if it names a heading, one that the
-// page has.
+// Each relative link refers to an existing file or folder and, if it has an anchor, to an existing
+// heading.
 func TestLinksResolve(t *testing.T) {
 	for _, p := range readPages(t) {
 		for _, target := range p.links() {
@@ -176,7 +177,7 @@
 		slices.Sort(names)
 		for _, name := range slices.Compact(names) {
 			if !exists[name] {
-				t.Errorf("%s: there is no %s", p.path, name)
+				t.Errorf("%s: there is no test %s", p.path, name)
 			}
 		}
 	}
@@ -190,7 +191,7 @@
 			for _, words := range firstGroups(makePattern, piece) {
 				for _, target := range strings.Fields(words) {
 					if !slices.Contains(targets, target) {
-						t.Errorf("%s: there is no make %s", p.path, target)
+						t.Errorf("%s: the Makefile has no target %s", p.path, target)
 					}
 				}
 			}
@@ -198,8 +199,8 @@
 	}
 }
 
-// Each program that a page names is under cmd. The former names that the Makefile links are
-// allowed in a paragraph that says that they are former names.
+// Each program that a page names exists under cmd. The former names that the Makefile links are
+// allowed only in paragraphs that contain "former name".
 func TestNamedProgramsExist(t *testing.T) {
 	formerNames := firstGroups(makeLinkPattern, readFile(t, filepath.Join(root, "Makefile")))
 	for _, p := range readPages(t) {
@@ -233,7 +234,7 @@
 	}
 	for _, name := range formerNames {
 		if regexp.MustCompile(`\b` + regexp.QuoteMeta(name) + `\b`).MatchString(paragraph) {
-			t.Errorf("%s: %s is a former name", p.path, name)
+			t.Errorf("%s: %s is the former name of a program", p.path, name)
 		}
 	}
 }
