--- a/internal/reapi/inspection.go
+++ b/internal/reapi/inspection.go
@@ -29,8 +29,8 @@
 	frontEnd *FrontEnd
 }
 
-// GetStore returns what the store holds of the teams that the caller may view, and the
-// totals if that is every team.
+// GetStore returns the store statistics of the teams that the caller may view. The totals
+// are included only if the caller may view every team.
 func (i inspector) GetStore(ctx context.Context, _ *inspection.StoreRequest) (*inspection.StoreReply, error) {
 	f := i.frontEnd
 	instances := map[string][]string{} // by team
@@ -77,7 +77,7 @@
 	return reply, nil
 }
 
-// totals returns the figures of the whole front end.
+// totals returns the statistics of the whole front end.
 func (f *FrontEnd) totals(stats blobstore.Stats, calls, transfers admission.Stats) *inspection.Totals {
 	jobs, actions := f.Submitted()
 	totals := &inspection.Totals{
@@ -95,7 +95,7 @@
 		TransfersRefused: transfers.Refused,
 	}
 	if f.peers != nil {
-		totals.ShortCopies = f.peers.Short.Load()
+		totals.ShortCopies = f.peers.UnderReplicated.Load()
 	}
 	if repairer := f.repairer.Load(); repairer != nil {
 		progress := repairer.Progress()
@@ -114,7 +114,7 @@
 	return totals
 }
 
-// queueStats returns the figures of a queue that may be nil.
+// queueStats returns the statistics of a queue; q may be nil.
 func queueStats(q *admission.Queue) admission.Stats {
 	if q == nil {
 		return admission.Stats{}
@@ -129,14 +129,14 @@
 	stateQueued    = "queued"
 	stateRunning   = "running"
 	stateDone      = "done"
-	stateWithdrawn = "withdrawn"
+	stateCancelled = "withdrawn"
 )
 
-// jobNeverAccepted is the job state of an action whose job the controllers do not know.
+// jobNeverAccepted is reported as the state of a job that the controllers do not know.
 const jobNeverAccepted = "never accepted"
 
-// GetAction returns the state of an action. The request names an operation, or the
-// action's digest, which stands for the task that the action became last.
+// GetAction returns the state of an action. The request names an operation or an action
+// digest; a digest refers to the latest task of the action.
 func (i inspector) GetAction(ctx context.Context, req *inspection.ActionRequest) (*inspection.ActionReply, error) {
 	f := i.frontEnd
 	if f.jobs == nil {
@@ -177,8 +177,8 @@
 	return reply, nil
 }
 
-// requestedTask returns the task that a request names. Its job is not known yet if the
-// request names an action.
+// requestedTask returns the task that a request names. Its job is left empty if the request
+// names an action digest.
 func requestedTask(req *inspection.ActionRequest) (*task, error) {
 	if req.GetName() != "" {
 		return parseOperation(req.GetName())
@@ -195,9 +195,9 @@
 	return &task{instance: req.GetInstance(), entry: *entryOf(executionKey(digest, ""), digest)}, nil
 }
 
-// findJob sets the job of a task, from the running executions or from its start record,
-// and leaves it empty if neither knows one. It reports whether the task still waits for
-// its job to be submitted.
+// findJob sets the job of a task from the running executions or from its start record. The
+// job stays empty if neither has one. findJob reports whether the task still waits for its
+// job to be submitted.
 func (f *FrontEnd) findJob(ctx context.Context, t *task) (waiting bool) {
 	f.executions.mu.Lock()
 	running := f.executions.running[t.key()]
@@ -219,7 +219,7 @@
 	return false
 }
 
-// addJobState adds the state of the job to a reply, as the controllers report it.
+// addJobState queries the controllers for the state of the job and adds it to the reply.
 func (f *FrontEnd) addJobState(ctx context.Context, reply *inspection.ActionReply) error {
 	jobStatus, err := f.jobs.Status(ctx, f.credential(ctx), reply.Job)
 	var refusal *client.Refusal
@@ -234,13 +234,13 @@
 	return nil
 }
 
-// replyDone makes a reply that of an action with a result.
+// replyDone sets the state of a reply to done and adds the result.
 func replyDone(reply *inspection.ActionReply, result *repb.ActionResult) {
 	reply.State, reply.WaitsFor, reply.Result = stateDone, "", resultView(result)
 }
 
-// describeState sets the state of an action without a result of its execution, and what
-// it waits for, from the state of its job.
+// describeState derives the state of an action that has no result yet, and what it waits
+// for, from the state of its job.
 func describeState(reply *inspection.ActionReply) {
 	switch reply.JobState {
 	case protocol.StatusRunning:
@@ -248,7 +248,7 @@
 	case protocol.StatusQueued:
 		reply.State, reply.WaitsFor = stateQueued, "a machine with room, in the order of urgency, within the team's limit"
 	case protocol.StatusCancelled:
-		reply.State, reply.WaitsFor = stateWithdrawn, "nothing: its job was withdrawn; execute it again"
+		reply.State, reply.WaitsFor = stateCancelled, "nothing: its job was withdrawn; execute it again"
 	case protocol.StatusDone:
 		if !reply.Cached {
 			reply.State, reply.WaitsFor = stateUnknown, "nothing: its result was lost with a front end; execute it again"
@@ -286,7 +286,7 @@
 }
 
 // secondsBetween returns the time between two timestamps in seconds, rounded to
-// milliseconds; 0 if one is not set or they are out of order.
+// milliseconds. It returns 0 if either is unset or if end is before start.
 func secondsBetween(start, end *timestamppb.Timestamp) float64 {
 	if start == nil || end == nil {
 		return 0
--- a/internal/reapi/inspection/golden_test.go
+++ b/internal/reapi/inspection/golden_test.go
@@ -6,5 +6,6 @@
 	"micaspindle/internal/golden"
 )
 
-// The encoding of the messages and the names of the methods must not change.
+// Guards against changes of the encoding of messages and of the names of methods, which would
+// break compatibility between versions.
 func TestGoldenMessages(t *testing.T) { golden.CheckProtobuf(t, "micaspindle.gate") }
--- a/internal/reapi/inspection_test.go
+++ b/internal/reapi/inspection_test.go
@@ -13,7 +13,7 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// A caller sees neither the figures of teams that it may not view, nor totals from which
+// A caller must not see the statistics of teams that it may not view, nor totals from which
 // they could be derived.
 func TestInspectionShowsOwnTeamsOnly(t *testing.T) {
 	rights := rightsOf{"anna view red": true, "anna view-arguments red": true, "anna submit red": true, "root view red": true, "root view blue": true}
@@ -23,29 +23,29 @@
 	if _, err := anna.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 		t.Fatal(err)
 	}
-	see := func(c *build) (*inspection.StoreReply, error) {
+	getStore := func(c *build) (*inspection.StoreReply, error) {
 		return inspection.NewInspectionClient(b.conn).GetStore(c.ctx, &inspection.StoreRequest{})
 	}
-	got, err := see(anna)
+	got, err := getStore(anna)
 	if err != nil || len(got.Teams) != 1 || got.Teams[0].Name != "red" || got.Teams[0].Bytes != 5000 || got.Teams[0].Promised != 5000 || got.Totals != nil {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("GetStore as a viewer of team red = %v, %v; want team red with 5000 bytes and no totals", got, err)
 	}
-	got, err = see(b.as("root"))
+	got, err = getStore(b.as("root"))
 	if err != nil || len(got.Teams) != 2 || got.Totals.GetBytes() != 5000 || got.Totals.GetMaxBytes() != roomy.MaxBytes {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("GetStore as a viewer of all teams = %v, %v; want two teams and totals of 5000 bytes", got, err)
 	}
-	_, err = see(b.as("ben"))
+	_, err = getStore(b.as("ben"))
 	b.code(err, codes.PermissionDenied)
-	_, err = see(b)
+	_, err = getStore(b)
 	b.code(err, codes.Unauthenticated)
 }
 
-// The state of an action is reported in all its stages, by name and by digest.
+// GetAction reports the state of an action at every stage, by operation name and by digest.
 func TestInspectionOfActions(t *testing.T) {
 	b, f, jobs := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
 	action := b.action("true")
-	see := func(req *inspection.ActionRequest) *inspection.ActionReply {
+	getAction := func(req *inspection.ActionRequest) *inspection.ActionReply {
 		t.Helper()
 		r, err := inspection.NewInspectionClient(b.conn).GetAction(b.ctx, req)
 		if err != nil {
@@ -54,8 +54,8 @@
 		return r
 	}
 	byDigest := &inspection.ActionRequest{Hash: action.Hash, SizeBytes: action.SizeBytes}
-	if r := see(byDigest); r.State != "unknown" {
-		t.Errorf("before: %v", r)
+	if r := getAction(byDigest); r.State != "unknown" {
+		t.Errorf("GetAction before execution = %v, want state unknown", r)
 	}
 	s, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{ActionDigest: action})
 	if err != nil {
@@ -71,21 +71,21 @@
 		jobs.states[job] = state
 		jobs.mu.Unlock()
 		for _, req := range []*inspection.ActionRequest{byDigest, {Name: op.GetName()}} {
-			if r := see(req); r.State != want || r.Job != job || r.Task != 0 || r.Operation != op.GetName() || r.JobState != state || r.WaitsFor == "" {
-				t.Errorf("job %s: %v, want %s", state, r, want)
+			if r := getAction(req); r.State != want || r.Job != job || r.Task != 0 || r.Operation != op.GetName() || r.JobState != state || r.WaitsFor == "" {
+				t.Errorf("GetAction while the job is %s = %v, want state %s", state, r, want)
 			}
 		}
 	}
 	f.result(t, action)
-	if r := see(byDigest); r.State != "done" || !r.Cached || r.Result.GetWorker() != "m-1" || r.WaitsFor != "" {
-		t.Errorf("after: %v", r)
+	if r := getAction(byDigest); r.State != "done" || !r.Cached || r.Result.GetWorker() != "m-1" || r.WaitsFor != "" {
+		t.Errorf("GetAction after execution = %v, want state done with the cached result", r)
 	}
 	for _, req := range []*inspection.ActionRequest{{Name: "operations/x"}, {Hash: "zz", SizeBytes: 1}} {
 		ctx, cancel := context.WithTimeout(b.ctx, 5*time.Second)
 		_, err := inspection.NewInspectionClient(b.conn).GetAction(ctx, req)
 		cancel()
 		if err == nil {
-			t.Errorf("%v is answered", req)
+			t.Errorf("GetAction accepted the invalid request %v", req)
 		}
 	}
 }
--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -12,22 +12,23 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// A front end knows which clients wait for a job through it. So that a job is withdrawn
-// after its last client has left even if that front end has died by then, each front end
-// sends interest leases to some peers and renews them while a client waits. A job that
-// nobody has waited for in the linger time is withdrawn, by the front end of its clients
-// or by a peer whose lease has expired. Before that, all peers are asked.
+// A job is cancelled once it has had no waiting client for the linger time. Each front end
+// tracks the clients that wait for jobs through it. In case it fails, it also sends interest
+// leases to some peers and renews them while a client waits; a peer whose lease has expired
+// cancels the job. Before a front end cancels a job, it asks all peers whether a client waits
+// for the job there.
 
 // jobInterest is the interest of this front end's clients in a job.
 type jobInterest struct {
 	waiters    int
-	credential string    // of the client that came last
-	client     string    // its name, "" if not known
+	credential string    // of the most recent client
+	client     string    // name of the most recent client, "" if not known
 	idleSince  time.Time // when the last client left
-	// status is what the controllers last reported of the job, if known is set;
-	// refreshedAt is when they were asked, refreshing says that they are being asked.
+	// status is the job's last status from the controllers, valid if statusKnown is set.
+	// refreshedAt is the time of the last status request; refreshing is set while one is
+	// in progress.
 	status      protocol.JobStatus
-	known       bool
+	statusKnown bool
 	refreshing  bool
 	refreshedAt time.Time
 }
@@ -35,21 +36,21 @@
 // interestLease is a peer's interest in a job.
 type interestLease struct {
 	client string // name, "" if not known
-	until  time.Time
+	expiry time.Time
 }
 
-// DefaultLinger is how long a job continues that no client waits for.
+// DefaultLinger is how long a job continues after its last client has left.
 const DefaultLinger = time.Minute
 
 const (
-	// maxLeases bounds the leases of peers; a job without a lease runs to its end if its
-	// front end dies.
+	// maxLeases bounds the leases held for peers. A job without a lease runs to completion
+	// if its front end fails.
 	maxLeases = 100_000
-	// maxJobsPerCall is how many jobs one call between peers is about.
+	// maxJobsPerCall bounds the jobs in one call between peers.
 	maxJobsPerCall = 1000
 )
 
-// addWaiter counts a client that waits for a job.
+// addWaiter registers a client that waits for a job.
 func (f *FrontEnd) addWaiter(job, credential, client string) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
@@ -60,10 +61,10 @@
 	}
 	interest.waiters++
 	interest.credential, interest.client = credential, client
-	delete(f.executions.leases, job) // from now on this front end has an interest itself
+	delete(f.executions.leases, job) // replaced by this front end's own interest
 }
 
-// removeWaiter counts a client that waits no longer.
+// removeWaiter removes a client that no longer waits for a job.
 func (f *FrontEnd) removeWaiter(job string) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
@@ -74,7 +75,7 @@
 	}
 }
 
-// forgetJob forgets a job that has ended.
+// forgetJob removes the state of a job that has ended.
 func (f *FrontEnd) forgetJob(job string) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
@@ -85,27 +86,27 @@
 	f.untrackJob(job)
 }
 
-// renewInterestLeases sends leases of the jobs that clients wait for to the peers that
-// come first in each job's order.
+// renewInterestLeases sends a lease of each job that a client waits for to the first peers
+// in the job's rendezvous order.
 func (f *FrontEnd) renewInterestLeases(ctx context.Context, linger time.Duration) {
 	if f.peers == nil || f.peers.Copies < 2 {
 		return
 	}
 	for p, leases := range f.interestLeases(linger) {
-		for some := range slices.Chunk(leases, maxJobsPerCall) {
+		for chunk := range slices.Chunk(leases, maxJobsPerCall) {
 			err := p.call(ctx, peerTimeout, func(ctx context.Context) error {
-				_, err := p.service.Note(ctx, &inspection.NoteRequest{Interests: some})
+				_, err := p.service.Note(ctx, &inspection.NoteRequest{Interests: chunk})
 				return err
 			})
 			if err != nil {
 				f.log.Debug("renewal of interest leases failed", "peer", p.addr, "error", err)
-				break // the next renewal goes to another peer if this one's circuit is open
+				break // the next renewal skips this peer if its circuit is open
 			}
 		}
 	}
 }
 
-// interestLeases returns the leases of the jobs that clients wait for, by peer.
+// interestLeases returns the leases to send for the jobs that clients wait for, by peer.
 func (f *FrontEnd) interestLeases(linger time.Duration) map[*peer][]*inspection.Interest {
 	leases := map[*peer][]*inspection.Interest{}
 	f.executions.mu.Lock()
@@ -125,24 +126,24 @@
 	return leases
 }
 
-// wantedElsewhere asks the peers which of the jobs clients wait for there. A peer that
-// does not answer has sent leases to others, for as long as it lived.
+// wantedElsewhere returns those of the jobs that clients wait for at a peer. A peer that
+// does not answer is skipped: other peers hold the leases that it sent.
 func (f *FrontEnd) wantedElsewhere(ctx context.Context, jobs []string) map[string]bool {
 	wanted := map[string]bool{}
 	if f.peers == nil {
 		return wanted
 	}
 	for _, p := range f.peers.available("") {
-		for some := range slices.Chunk(jobs, maxJobsPerCall) {
+		for chunk := range slices.Chunk(jobs, maxJobsPerCall) {
 			err := p.call(ctx, peerTimeout, func(ctx context.Context) error {
-				reply, err := p.service.Wanted(ctx, &inspection.WantedRequest{Jobs: some})
+				reply, err := p.service.Wanted(ctx, &inspection.WantedRequest{Jobs: chunk})
 				for _, job := range reply.GetJobs() {
 					wanted[job] = true
 				}
 				return err
 			})
 			if err != nil {
-				f.log.Debug("query for interest at peer failed", "peer", p.addr, "error", err)
+				f.log.Debug("query for awaited jobs at peer failed", "peer", p.addr, "error", err)
 				break
 			}
 		}
@@ -150,8 +151,8 @@
 	return wanted
 }
 
-// abandonedJobs returns the jobs that nobody has waited for in the linger time, as far as
-// this front end knows, with the credentials to withdraw them.
+// abandonedJobs returns the jobs that, as far as this front end knows, have had no waiting
+// client for the linger time, with the credentials to cancel them.
 func (f *FrontEnd) abandonedJobs(now time.Time, linger time.Duration) map[string]jobInterest {
 	abandoned := map[string]jobInterest{}
 	f.executions.mu.Lock()
@@ -162,7 +163,7 @@
 		}
 	}
 	for job, lease := range f.executions.leases {
-		if now.Sub(lease.until) > linger {
+		if now.Sub(lease.expiry) > linger {
 			credential := ""
 			if lease.client != "" {
 				credential = certificatePrefix + lease.client
@@ -173,8 +174,8 @@
 	return abandoned
 }
 
-// cancelAbandonedJobs withdraws jobs that nobody has waited for in the linger time. Jobs
-// that have ended by then are only forgotten.
+// cancelAbandonedJobs cancels the jobs that have had no waiting client for the linger time.
+// For jobs that have already ended, it only removes their state.
 func (f *FrontEnd) cancelAbandonedJobs(ctx context.Context, linger time.Duration) {
 	now := time.Now()
 	abandoned := f.abandonedJobs(now, linger)
@@ -193,16 +194,17 @@
 	}
 }
 
-// convertToLease keeps a job that clients of a peer wait for under a lease: the peer will
-// withdraw it, or renew the lease.
-func (f *FrontEnd) convertToLease(job string, interest jobInterest, until time.Time) {
+// convertToLease replaces this front end's interest in a job by a lease, or extends the
+// lease, since clients of a peer wait for the job. The peer then renews the lease or cancels
+// the job.
+func (f *FrontEnd) convertToLease(job string, interest jobInterest, expiry time.Time) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
 	if own := f.executions.interests[job]; own != nil && own.waiters == 0 {
 		delete(f.executions.interests, job)
-		f.executions.leases[job] = interestLease{interest.client, until}
+		f.executions.leases[job] = interestLease{interest.client, expiry}
 	} else if lease, ok := f.executions.leases[job]; ok {
-		lease.until = until
+		lease.expiry = expiry
 		f.executions.leases[job] = lease
 	}
 }
@@ -215,20 +217,20 @@
 	return interest != nil && interest.waiters > 0
 }
 
-// cancelAbandoned withdraws a job and forgets it. If the controllers can't be reached, it
-// is tried again at the next sweep; if they refuse, it is not.
+// cancelAbandoned cancels a job and removes its state. If the controllers can't be reached,
+// the next sweep tries again; if they refuse, it does not.
 func (f *FrontEnd) cancelAbandoned(ctx context.Context, job string, interest jobInterest) {
-	// Withdrawing a job that is done does nothing.
+	// Cancelling a job that is done has no effect.
 	err := f.withCredential(&interest.credential, interest.client, func(credential string) error {
 		return f.jobs.Withdraw(ctx, credential, job)
 	})
 	var refusal *client.Refusal
 	if err != nil && !errors.As(err, &refusal) {
-		f.log.Info("withdrawal of abandoned job failed, to be retried", "job", job, "error", err)
+		f.log.Info("cancellation of abandoned job failed, retrying at the next sweep", "job", job, "error", err)
 		return
 	}
 	if err != nil {
-		f.log.Warn("withdrawal of abandoned job refused", "job", job, "error", err)
+		f.log.Warn("cancellation of abandoned job refused", "job", job, "error", err)
 	}
 	f.forgetJob(job)
 	f.executions.mu.Lock()
--- a/internal/reapi/interest_test.go
+++ b/internal/reapi/interest_test.go
@@ -17,13 +17,14 @@
 
 const shortLinger = 400 * time.Millisecond
 
-// waitingClient is a client that waits for an action at a front end, until it leaves.
+// waitingClient is a client that waits for an action at a front end until it is cancelled.
 type waitingClient struct {
 	stream grpc.ServerStreamingClient[longrunningpb.Operation]
 	name   string
-	leave  context.CancelFunc
+	cancel context.CancelFunc
 }
 
+// executeAt executes an action at a front end and returns once the operation has started.
 func executeAt(t *testing.T, b *build, action *repb.Digest) *waitingClient {
 	t.Helper()
 	ctx, cancel := context.WithCancel(b.ctx)
@@ -38,6 +39,7 @@
 	return &waitingClient{s, op.GetName(), cancel}
 }
 
+// waitAt waits for an operation at a front end.
 func waitAt(t *testing.T, b *build, name string) *waitingClient {
 	t.Helper()
 	ctx, cancel := context.WithCancel(b.ctx)
@@ -51,34 +53,35 @@
 	return &waitingClient{s, name, cancel}
 }
 
-// withdrawn reports whether the job of an operation was withdrawn.
-func (j *scriptedJobs) withdrawn(operation string) bool {
+// cancelled reports whether the job of an operation was cancelled.
+func (j *scriptedJobs) cancelled(operation string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.states[strings.Split(operation, "/")[1]] == protocol.StatusCancelled
 }
 
-// eventually waits until a condition holds; never checks that it does not hold for a while.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
+// never checks that a condition does not hold for a multiple of the linger time.
 func never(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * shortLinger); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f() {
-			t.Fatalf("too early: %s", what)
+			t.Fatalf("unexpected: %s", what)
 		}
 	}
 }
 
-// A job is withdrawn after the last client that waits for it has left, at whichever front
-// end, also if that front end has died before.
+// A job is cancelled after its last client has left, whichever front end that client used, and
+// even if that front end failed before.
 func TestInterestLeases(t *testing.T) {
 	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 100)}
 	s := startGroupWith(t, 3, 2, jobs)
@@ -88,28 +91,29 @@
 	for i, b := range s.clients {
 		s.clients[i] = b.as("Bearer anna")
 	}
-	// Two clients wait at two front ends; the first leaves, then the other.
+	// Two clients wait at different front ends and leave one after the other.
 	a := executeAt(t, s.clients[0], s.clients[0].action("one"))
 	b := waitAt(t, s.clients[1], a.name)
-	gone := func() bool { return jobs.withdrawn(a.name) }
-	a.leave()
-	never(t, "withdrawn while a client waits at a peer", gone)
-	b.leave()
-	eventually(t, "withdrawn after the last one went", gone)
-	// A front end dies. Its client comes back at another one, and the next time does not.
+	cancelled := func() bool { return jobs.cancelled(a.name) }
+	a.cancel()
+	never(t, "job cancelled while a client waits at a peer", cancelled)
+	b.cancel()
+	eventually(t, "job cancelled after the last client left", cancelled)
+	// A front end fails and its client reconnects to another one. That one fails too, and the
+	// client does not reconnect.
 	c := executeAt(t, s.clients[0], s.clients[0].action("two"))
-	gone = func() bool { return jobs.withdrawn(c.name) }
-	time.Sleep(shortLinger) // a peer gets an interest lease
+	cancelled = func() bool { return jobs.cancelled(c.name) }
+	time.Sleep(shortLinger) // until a peer has an interest lease
 	s.servers[0].Stop()
 	d := waitAt(t, s.clients[2], c.name)
-	never(t, "withdrawn though the client came back", gone)
+	never(t, "job cancelled although its client reconnected", cancelled)
 	jobs.end("Bearer anna")
 	s.servers[2].Stop()
-	d.leave()
-	eventually(t, "withdrawn by a peer with a lease", func() bool { return gone() && jobs.called("withdraw as certificate person/anna") })
+	d.cancel()
+	eventually(t, "job cancelled by a peer with a lease", func() bool { return cancelled() && jobs.called("withdraw as certificate person/anna") })
 }
 
-// Only peers may send interest leases.
+// Only peers may send interest leases and ask which jobs are awaited.
 func TestInterestLeasesAreForPeersOnly(t *testing.T) {
 	b, _, _ := startExecuting(t, oneTeam)
 	n := inspection.NewNeighboursClient(b.conn)
--- a/internal/reapi/manifest.go
+++ b/internal/reapi/manifest.go
@@ -13,17 +13,18 @@
 	"micaspindle/internal/protocol"
 )
 
-// An action becomes a task of an array job. Actions of the same client with the same
-// requirements gather for a moment and form one job, whose manifest lists them in order.
-// The manifest is a blob; the job's id is derived from the manifest's digest and its image
-// names the manifest, so that a worker finds the actions of a job that it runs.
+// Each action runs as a task of an array job. Actions that arrive shortly after each other,
+// from the same client and with the same requirements, are batched into one job, whose
+// manifest lists them in order. The manifest is stored as a blob. The job's id is derived
+// from the manifest's digest, and the job's image names the manifest, so that workers can
+// look up the actions of the job.
 
 // Manifest lists the actions of a job; task i of the job executes Tasks[i].
 type Manifest struct {
 	Instance string          `json:"instance"`
 	Tasks    []ManifestEntry `json:"tasks"`
-	// Again is a nonce that makes the job's id differ from that of earlier jobs of the same
-	// actions, which ended without results; empty for the first.
+	// Again is a nonce that makes the job's id differ from those of earlier jobs of the same
+	// actions that ended without results; empty for the first job.
 	Again string `json:"again,omitempty"`
 }
 
@@ -46,8 +47,8 @@
 	return entry
 }
 
-// Action returns the digest of the entry's action. It is not valid if the entry names a
-// digest function of a later version.
+// Action returns the digest of the entry's action. If the entry names an unknown digest
+// function, for example one of a later version, the returned digest fails Check.
 func (e *ManifestEntry) Action() blobstore.Digest {
 	digest := blobstore.Digest{Hash: e.Hash, Size: e.Size}
 	var known bool
@@ -57,14 +58,14 @@
 	return digest
 }
 
-// ImagePrefix begins the images of jobs whose tasks are actions.
+// ImagePrefix is the prefix of the images of jobs whose tasks are actions.
 const ImagePrefix = "actions/"
 
 // Encode returns the stored form of the manifest.
 func (m *Manifest) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("reapi: encoding a manifest: %v", err)) // it holds nothing that can fail
+		panic(fmt.Sprintf("reapi: encoding a manifest: %v", err)) // all its fields can be encoded
 	}
 	return raw
 }
@@ -90,27 +91,27 @@
 	return digest, parts[2], err == nil && digest.Check() == nil
 }
 
-// imageOf returns the image of a manifest's job.
+// imageOf returns the image of the job that a manifest describes.
 func imageOf(manifest blobstore.Digest, instance string) string {
 	return ImagePrefix + manifest.String() + "/" + instance
 }
 
-// jobIDDigits is how many decimal digits of a manifest's hash make its job's id.
+// jobIDDigits is the number of decimal digits in the id of a job.
 const jobIDDigits = 30
 
 // jobID derives the id of a job from its manifest.
 func jobID(manifest blobstore.Digest) string {
 	raw, err := hex.DecodeString(manifest.Hash)
 	if err != nil {
-		panic(err) // a digest that was checked
+		panic(err) // the digest was checked before
 	}
 	modulus := new(big.Int).Exp(big.NewInt(10), big.NewInt(jobIDDigits), nil)
 	number := new(big.Int).SetBytes(raw)
 	return fmt.Sprintf("job-%0*s", jobIDDigits, number.Mod(number, modulus))
 }
 
-// executionKey derives the key of an execution from its action. A salt makes it differ
-// from other executions of the action, with which it must not be merged.
+// executionKey derives the key of an execution from its action. Executions with the same key
+// are merged; a salt prevents that.
 func executionKey(action blobstore.Digest, salt string) string {
 	sum := sha256.Sum256([]byte("execution\x00" + action.String() + "\x00" + salt))
 	return hex.EncodeToString(sum[:])
@@ -119,32 +120,32 @@
 // actionEstimate is the estimated running time of an action, in seconds.
 const actionEstimate = 10
 
-// submission returns the array job of a manifest.
-func submission(id, team, class, image string, needs requirements, tasks int) *protocol.Submission {
+// submission returns the array job that executes the actions of a manifest.
+func submission(id, team, class, image string, required requirements, tasks int) *protocol.Submission {
 	job := &protocol.Submission{
 		ID:          new(id),
 		Class:       new(class),
 		Team:        new(team),
 		Shape:       new("batch"),
-		Urgency:     new(needs.urgency),
+		Urgency:     new(required.urgency),
 		Tasks:       new(int64(tasks)),
-		CPUs:        new(needs.cpus),
+		CPUs:        new(required.cpus),
 		GPUs:        new(0.0),
-		MemGB:       new(needs.memGB),
+		MemGB:       new(required.memGB),
 		Image:       new(image),
 		ImageGB:     new(0.0),
 		OneZone:     new(false),
 		Spread:      new(false),
-		Spot:        new(needs.spot),
+		Spot:        new(required.spot),
 		EstimateS:   new(float64(actionEstimate)),
 		CheckpointS: new(0.0),
 		SaveS:       new(0.0),
 	}
-	if needs.machineType != "" {
-		job.Types = []string{needs.machineType}
+	if required.machineType != "" {
+		job.Types = []string{required.machineType}
 	}
-	if needs.zone != "" {
-		job.Zone = new(needs.zone)
+	if required.zone != "" {
+		job.Zone = new(required.zone)
 	}
 	return job
 }
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -21,8 +21,9 @@
 // operations/JOB/INDEX/EXECUTION/[FUNCTION:]HASH/SIZE/INSTANCE.
 const operationParts = 7
 
-// operation returns the name of the task's operation. It holds all that another front
-// end needs to wait for it. The digest function is left out if it is SHA-256.
+// operation returns the name of the task's operation. The name has all the information that
+// another front end needs to wait for the task. SHA-256, the default digest function, is
+// omitted.
 func (t *task) operation() string {
 	action := t.entry.Action()
 	hash := action.Hash
@@ -32,12 +33,12 @@
 	return strings.Join([]string{"operations", t.job, fmt.Sprint(t.index), t.entry.Execution, hash, fmt.Sprint(action.Size), t.instance}, "/")
 }
 
-// parseOperation parses an operation's name into the task that it names.
+// parseOperation returns the task that an operation's name refers to.
 func parseOperation(name string) (*task, error) {
-	bad := status.Errorf(codes.NotFound, "%q is no operation", clip(name))
+	invalid := status.Errorf(codes.NotFound, "%q is no operation", clip(name))
 	parts := strings.SplitN(name, "/", operationParts)
 	if len(parts) != operationParts || parts[0] != "operations" || !protocol.ValidID(parts[1]) {
-		return nil, bad
+		return nil, invalid
 	}
 	t := &task{instance: parts[6], job: parts[1], done: make(chan struct{})}
 	t.entry = ManifestEntry{Execution: parts[3], Hash: parts[4]}
@@ -46,7 +47,7 @@
 	}
 	if _, err := fmt.Sscan(parts[2]+" "+parts[5], &t.index, &t.entry.Size); err != nil || t.entry.Action().Check() != nil ||
 		(blobstore.Digest{Hash: t.entry.Execution}).Check() != nil || t.operation() != name {
-		return nil, bad
+		return nil, invalid
 	}
 	return t, nil
 }
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// operationAt returns an operation that is at a stage. queued is when the action arrived.
+// operationAt returns an operation that has reached the given stage. queued is when the
+// action arrived.
 func operationAt(name string, action blobstore.Digest, stage repb.ExecutionStage_Value, queued time.Time) *longrunningpb.Operation {
 	op := &longrunningpb.Operation{Name: name}
 	metadata := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: digestToProto(action), DigestFunction: FunctionOnWire(action.Function)}
@@ -76,7 +78,7 @@
 	return op
 }
 
-// completedOperation returns an operation that has ended with a response.
+// completedOperation returns an operation that has completed with a response.
 func completedOperation(name string, action blobstore.Digest, resp *repb.ExecuteResponse) *longrunningpb.Operation {
 	op := operationAt(name, action, repb.ExecutionStage_COMPLETED, time.Time{})
 	op.Done = true
--- a/internal/reapi/operationstream.go
+++ b/internal/reapi/operationstream.go
@@ -13,21 +13,21 @@
 	"micaspindle/internal/protocol"
 )
 
-// Many calls wait at once for tasks of the same job. So the status of a job is requested
-// once for all of them, by whichever call finds it outdated first, and peers are asked in
-// one call about all executions whose results are awaited here.
+// Many calls may wait for tasks of the same job at once. They share the job's status: the
+// first call that finds it outdated requests it for all of them. They also share the lookups
+// at peers: one call asks a peer about many executions whose results are awaited here.
 
-// statusInterval is how often the status of an awaited job is requested.
+// statusInterval is the interval between status requests for an awaited job.
 const statusInterval = 2 * time.Second
 
-// jobStatus returns the last known status of an awaited job. The call that finds it
-// outdated requests it with its own credential; a refusal concerns that call only.
+// jobStatus returns the last known status of an awaited job. The call that finds it outdated
+// requests it with its own credential; if the request is refused, only that call fails.
 func (f *FrontEnd) jobStatus(ctx context.Context, job string, credential *string, name string) (jobStatus protocol.JobStatus, known bool, err error) {
 	f.executions.mu.Lock()
 	interest := f.executions.interests[job]
 	if interest == nil || interest.refreshing || time.Since(interest.refreshedAt) < statusInterval {
 		if interest != nil {
-			jobStatus, known = interest.status, interest.known
+			jobStatus, known = interest.status, interest.statusKnown
 		}
 		f.executions.mu.Unlock()
 		return jobStatus, known, nil
@@ -44,7 +44,7 @@
 	if err != nil {
 		return jobStatus, false, err
 	}
-	interest.status, interest.known = jobStatus, true
+	interest.status, interest.statusKnown = jobStatus, true
 	f.updateJob(job, jobStatus)
 	return jobStatus, true, nil
 }
@@ -54,35 +54,35 @@
 	Send(*longrunningpb.Operation) error
 }
 
-// operationStream sends a client the stages of a task, and finally its result.
+// operationStream sends the stages of a task and finally its result to a client.
 type operationStream struct {
 	frontEnd *FrontEnd
 	out      operationSender
 	task     *task
-	// credential and name are the client's.
+	// credential and name identify the client.
 	credential, name string
 	stage            repb.ExecutionStage_Value
 	lookup           *resultLookup
 	ticker           *time.Ticker
-	// done is the task's; nil once it was closed and the result read.
+	// done is the task's done channel; nil once the stream has seen it closed.
 	done <-chan struct{}
-	// askPeers says that a peer may have the result.
+	// askPeers is set while a peer may have the result.
 	askPeers bool
 }
 
-// streamStep is what a stream does next.
+// streamStep is the next step of a stream.
 type streamStep int
 
 const (
-	streamWaits  streamStep = iota // until something may have changed
-	streamReads                    // the result, which was stored meanwhile
-	streamClosed                   // the call ends
+	streamWaits  streamStep = iota // wait until the result or the job's status may have changed
+	streamReads                    // read the result, which has been stored meanwhile
+	streamClosed                   // end the call
 )
 
-// follow streams the stages of a task to a client until it has the result.
+// follow streams the stages of a task to a client and ends with the result.
 func (f *FrontEnd) follow(ctx context.Context, out operationSender, t *task) error {
 	s := &operationStream{frontEnd: f, out: out, task: t, credential: f.credential(ctx), done: t.done,
-		askPeers: true, // one may have stored the result before
+		askPeers: true, // one may have stored the result already
 	}
 	if slot := callSlotOf(ctx); slot != nil {
 		s.name = knownName(slot.client)
@@ -124,12 +124,12 @@
 	return s.out.Send(completedOperation(s.task.operation(), s.task.entry.Action(), response))
 }
 
-// resultKey is the key under which the task's result is stored.
+// resultKey returns the key under which the task's result is stored.
 func (s *operationStream) resultKey() blobstore.Digest {
 	return blobstore.Digest{Hash: s.task.entry.Execution}
 }
 
-// readResult returns the task's result, nil if there is none yet.
+// readResult returns the task's result, or nil if there is none yet.
 func (s *operationStream) readResult(ctx context.Context) *repb.ActionResult {
 	askPeers := s.askPeers
 	s.askPeers = false
@@ -140,7 +140,7 @@
 	return result
 }
 
-// sendResult ends the operation with a result.
+// sendResult completes the operation with a result.
 func (s *operationStream) sendResult(ctx context.Context, result *repb.ActionResult) error {
 	s.frontEnd.forgetTask(s.task)
 	if err := s.frontEnd.checkComplete(ctx, s.task.instance, s.task.space, s.task.entry.Action().Function, result); err != nil {
@@ -149,7 +149,7 @@
 	return s.sendCompleted(&repb.ExecuteResponse{Result: result, Status: failureStatus(result)})
 }
 
-// checkJob acts on the status of the task's job.
+// checkJob tells the client about changes of the job's status and returns the next step.
 func (s *operationStream) checkJob(ctx context.Context) (streamStep, error) {
 	jobStatus, known, err := s.frontEnd.jobStatus(ctx, s.task.job, &s.credential, s.name)
 	if denial := denied(err); denial != nil {
@@ -163,7 +163,7 @@
 		s.frontEnd.forgetTask(s.task)
 		return streamClosed, s.sendCompleted(&repb.ExecuteResponse{Status: status.New(codes.Aborted, "its job was withdrawn").Proto()})
 	case protocol.StatusDone:
-		// A result is stored before its task ends, so some front end has it.
+		// Results are stored before their tasks end, so some front end should have it.
 		if s.frontEnd.findResult(ctx, s.task.instance, s.task.space, s.resultKey()) == nil {
 			s.frontEnd.forgetTask(s.task)
 			return streamClosed, retryLater(codes.Unavailable, time.Second, "its result was lost with a front end; execute it again")
@@ -188,7 +188,8 @@
 	case <-s.lookup.found:
 		s.frontEnd.endLookup(s.lookup)
 		s.lookup, s.askPeers = s.frontEnd.startLookup(s.task), true
-		// The result may be gone again by then, so it is read at the usual interval only.
+		// The peer may lose the result before it is read. Waiting for the ticker keeps that
+		// from becoming a busy loop.
 		select {
 		case <-s.ticker.C:
 			return nil
@@ -201,7 +202,7 @@
 	return failure(ctx.Err())
 }
 
-// forgetTask ends a task whose result was read, or will not come.
+// forgetTask removes a task whose result was read or will not arrive.
 func (f *FrontEnd) forgetTask(t *task) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
--- a/internal/reapi/peers.go
+++ b/internal/reapi/peers.go
@@ -27,13 +27,13 @@
 const (
 	// peerTimeout bounds a small call to a peer.
 	peerTimeout = 2 * time.Second
-	// openCircuitTimeout bounds a call to a peer whose circuit is open.
+	// openCircuitTimeout bounds a call to a peer whose circuit breaker is open.
 	openCircuitTimeout = 200 * time.Millisecond
 	// defaultGrace is the grace period if the configuration sets none.
 	defaultGrace = 2 * time.Minute
 )
 
-// Reconnection to a peer.
+// Backoff of reconnections to a peer.
 const (
 	minReconnectDelay   = 50 * time.Millisecond
 	maxReconnectDelay   = time.Second
@@ -41,22 +41,22 @@
 	reconnectJitter     = 0.2
 )
 
-// peerBackoff is how long the circuit of a peer that did not answer stays open.
+// peerBackoff is how long the circuit breaker of a peer that did not answer stays open.
 var peerBackoff = retry.Backoff{First: 3 * time.Second, Max: 6 * time.Second}
 
-// Peers are the other front ends of a group. A blob is written to some of them before the
-// client is answered, and read from any that has it.
+// Peers are the other front ends of a group. A blob is copied to some of them before its
+// upload is acknowledged, and can be read from any that has it.
 type Peers struct {
-	// Copies is how many front ends hold a blob, this one included, as long as so many
-	// can be reached.
+	// Copies is the replication factor: how many front ends, this one included, hold a blob
+	// while enough of them can be reached.
 	Copies int
 	peers  []*peer
 	log    *slog.Logger
-	// Short counts blobs that were acknowledged with fewer copies.
-	Short atomic.Int64
+	// UnderReplicated counts the blobs that were acknowledged with fewer copies.
+	UnderReplicated atomic.Int64
 }
 
-// NewPeers creates the peers with the given connections, which are by address.
+// NewPeers creates the peers of a front end. conns maps their addresses to connections.
 func NewPeers(copies int, conns map[string]*grpc.ClientConn, log *slog.Logger) *Peers {
 	peers := &Peers{Copies: copies, log: log}
 	for addr, conn := range conns {
@@ -72,8 +72,8 @@
 	return peers
 }
 
-// DialPeer connects to a peer. It reconnects within a second: the default backoff of gRPC
-// grows to two minutes.
+// DialPeer connects to a peer. The delay between reconnection attempts stays within a second,
+// whereas the default backoff of gRPC grows to two minutes.
 func DialPeer(addr string, secure credentials.TransportCredentials) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(secure),
@@ -107,7 +107,8 @@
 	return peers
 }
 
-// available returns the peers whose circuit is closed, in the order of a hash.
+// available returns the peers whose circuit breaker is closed, in the rendezvous order of a
+// hash.
 func (p *Peers) available(hash string) []*peer {
 	if p == nil {
 		return nil
@@ -116,7 +117,8 @@
 	return slices.DeleteFunc(p.ranked(hash), func(peer *peer) bool { return peer.circuit.Open(now) })
 }
 
-// reachableFirst returns all peers in the order of a hash, those whose circuit is open last.
+// reachableFirst returns all peers in the rendezvous order of a hash, but those whose circuit
+// breaker is open come last.
 func (p *Peers) reachableFirst(hash string) []*peer {
 	if p == nil {
 		return nil
@@ -130,8 +132,8 @@
 	return peers
 }
 
-// rendezvousWeight is the weight of a front end in the order of a hash; the highest comes
-// first.
+// rendezvousWeight returns the weight of a front end for a hash. The rendezvous order of the
+// hash is by descending weight.
 func rendezvousWeight(addr, hash string) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, addr+" "+hash)
@@ -146,10 +148,11 @@
 	bytes       bytestream.ByteStreamClient
 	service     inspection.NeighboursClient
 	circuit     retry.CircuitBreaker
-	silence     silence
+	outage      outage
 }
 
-// call makes a call to the peer as a peer's. If the peer does not answer, its circuit opens.
+// call makes a call to the peer and marks it as a call between front ends. If the peer does
+// not answer, its circuit breaker opens.
 func (p *peer) call(ctx context.Context, timeout time.Duration, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, peerMark, "1"), timeout)
 	defer cancel()
@@ -158,12 +161,13 @@
 		p.circuit.Done(time.Now(), false)
 	} else if err == nil {
 		p.circuit.Done(time.Now(), true)
-		p.silence.answered()
+		p.outage.answered()
 	}
 	return err
 }
 
-// timeFor returns how long a call may take, given its usual timeout.
+// timeFor returns the timeout of a call, given its usual timeout: it is shorter while the
+// peer's circuit breaker is open.
 func (p *peer) timeFor(timeout time.Duration) time.Duration {
 	if p.circuit.Open(time.Now()) {
 		return min(timeout, openCircuitTimeout)
@@ -171,39 +175,39 @@
 	return timeout
 }
 
-// silence is how long a peer has not answered the calls that tell. Its zero value is that
-// of a peer that answers.
-type silence struct {
-	mu          sync.Mutex
-	since, last time.Time
+// outage tracks how long a peer has not answered. Failures of forwarded results and pings are
+// recorded; any successful call ends the outage. The zero value is that of a peer that answers.
+type outage struct {
+	mu                 sync.Mutex
+	start, lastFailure time.Time
 }
 
-// failed notes an unanswered call. If the one before was long ago, nothing is known of the
-// time in between, and the silence starts anew.
-func (s *silence) failed(now time.Time, grace time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.since.IsZero() || now.Sub(s.last) > grace/2 {
-		s.since = now
+// failed records an unanswered call. If the previous one was long ago, the peer may have been
+// up in between, so a new outage starts.
+func (o *outage) failed(now time.Time, grace time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.start.IsZero() || now.Sub(o.lastFailure) > grace/2 {
+		o.start = now
 	}
-	s.last = now
+	o.lastFailure = now
 }
 
-// answered ends the silence.
-func (s *silence) answered() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.since = time.Time{}
+// answered records an answered call, which ends the outage.
+func (o *outage) answered() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.start = time.Time{}
 }
 
-// exceeds reports whether the peer has been silent for longer than the grace period.
-func (s *silence) exceeds(now time.Time, grace time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return !s.since.IsZero() && now.Sub(s.since) > grace
+// exceeds reports whether the outage has lasted for longer than the grace period.
+func (o *outage) exceeds(now time.Time, grace time.Duration) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return !o.start.IsZero() && now.Sub(o.start) > grace
 }
 
-// grace returns how long a peer may be silent before it is assumed to be gone.
+// grace returns how long a peer may fail to answer before it is assumed to be gone.
 func (f *FrontEnd) grace() time.Duration {
 	if f.config.Grace > 0 {
 		return f.config.Grace
--- a/internal/reapi/peers_test.go
+++ b/internal/reapi/peers_test.go
@@ -24,7 +24,7 @@
 	"micaspindle/internal/repair"
 )
 
-// group is a group of front ends that are peers.
+// group is a group of front ends that are peers of each other.
 type group struct {
 	clients   []*build
 	stores    []*blobstore.Store
@@ -34,12 +34,13 @@
 	dirs      []string
 }
 
+// startGroup starts a group of n front ends that execute nothing.
 func startGroup(t *testing.T, n, copies int) *group {
 	t.Helper()
 	return startGroupWith(t, n, copies, nil)
 }
 
-// startGroupWith starts a group whose actions are executed by the given controllers.
+// startGroupWith starts a group of n front ends that submit actions to the given controllers.
 func startGroupWith(t *testing.T, n, copies int, jobs Jobs) *group {
 	t.Helper()
 	var s group
@@ -93,7 +94,7 @@
 	return &s
 }
 
-// Any front end serves what was written to a peer.
+// Every front end serves blobs and results that were written to a peer.
 func TestReadThroughPeers(t *testing.T) {
 	s := startGroup(t, 3, 1)
 	a, c := s.clients[0], s.clients[2]
@@ -103,7 +104,7 @@
 		t.Fatal(err)
 	}
 	if s.stores[2].Stats().Blobs != 0 {
-		t.Fatal("copied without being asked")
+		t.Fatal("a blob was replicated though the replication factor is 1")
 	}
 	action := digestToProto(blobstore.Of([]byte("action")))
 	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: d}, {Path: "p", Digest: digestToProto(blobstore.Of(large))}}}
@@ -111,18 +112,18 @@
 		t.Fatal(err)
 	}
 	if got, err := c.ac.GetActionResult(c.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil || !proto.Equal(got, result) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("result read through a peer = %v, %v; want %v", got, err, result)
 	}
 	nowhere := digestToProto(blobstore.Of(random(10)))
 	miss, err := c.cas.FindMissingBlobs(c.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{d, digestToProto(blobstore.Of(large)), nowhere}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != nowhere.Hash {
-		t.Errorf("%v %v", miss, err)
+		t.Errorf("missing blobs = %v, %v; want only %v", miss, err, nowhere)
 	}
 	if got, err := c.download("blobs/"+blobstore.Of(large).String(), 0, 0); err != nil || !bytes.Equal(got, large) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("large blob read through a peer: %d bytes, error %v; want its %d bytes", len(got), err, len(large))
 	}
 	if got, err := c.cas.BatchReadBlobs(c.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{d}}); err != nil || !bytes.Equal(got.Responses[0].Data, small) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("small blob read through a peer = %v, %v; want its data", got, err)
 	}
 	_, err = c.download("blobs/"+digestOf(nowhere).String(), 0, 0)
 	c.code(err, codes.NotFound)
@@ -132,8 +133,8 @@
 	mark.code(err, codes.NotFound)
 }
 
-// A blob survives the loss of one front end; with more lost it is missing, and a client's
-// upload restores it.
+// Blobs and results survive the loss of one front end. After a second loss, a missing blob can
+// be uploaded again.
 func TestBlobsSurviveFrontEndLoss(t *testing.T) {
 	s := startGroup(t, 3, 2)
 	a := s.clients[0]
@@ -148,7 +149,7 @@
 		digests, blobs[d.Hash] = append(digests, digestToProto(d)), data
 	}
 	if n := s.stores[1].Stats().Blobs + s.stores[2].Stats().Blobs; n != 20 {
-		t.Errorf("%d copies on the peers, want 20", n)
+		t.Errorf("the peers have %d copies, want 20", n)
 	}
 	action := digestToProto(blobstore.Of([]byte("action")))
 	result := &repb.ActionResult{ExitCode: 7}
@@ -163,41 +164,42 @@
 		started := time.Now()
 		miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: digests})
 		if err != nil || len(miss.MissingBlobDigests) > 0 {
-			t.Fatalf("%v %v", miss, err)
+			t.Fatalf("missing blobs after the loss of a front end = %v, %v; want none", miss, err)
 		}
 		for _, d := range digests {
 			if got, err := b.download("blobs/"+digestOf(d).String(), 0, 0); err != nil || !bytes.Equal(got, blobs[d.Hash]) {
-				t.Errorf("%d bytes, %v", len(got), err)
+				t.Errorf("blob read after the loss of a front end: %d bytes, error %v; want its %d bytes", len(got), err, len(blobs[d.Hash]))
 			}
 		}
 		if got, err := b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil || !proto.Equal(got, result) {
-			t.Errorf("the result was lost with its front end: %v", err)
+			t.Errorf("result read after the loss of a front end = %v, %v; want %v", got, err, result)
 		}
 		if took := time.Since(started); took > 10*time.Second {
-			t.Errorf("a lost front end delayed others for %s", took)
+			t.Errorf("reading everything after the loss of a front end took %s, want at most 10s", took)
 		}
 	}
-	// Another front end is lost, with the blobs that only it had; new blobs have one copy,
-	// which is counted.
+	// Another front end is lost. New blobs have only one copy and are counted as
+	// under-replicated.
 	b := s.clients[2]
 	data := random(5000)
 	s.servers[1].Stop()
 	b.blob(data)
-	if n := s.peers[2].Short.Load(); n != 1 {
-		t.Errorf("%d blobs with too few copies are counted", n)
+	if n := s.peers[2].UnderReplicated.Load(); n != 1 {
+		t.Errorf("%d under-replicated blobs were counted, want 1", n)
 	}
 	lost := random(700)
 	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(lost))}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 {
-		t.Errorf("%v %v", miss, err)
+		t.Errorf("missing blobs = %v, %v; want 1", miss, err)
 	}
 	b.blob(lost)
 	if got, err := b.download("blobs/"+blobstore.Of(lost).String(), 0, 0); err != nil || !bytes.Equal(got, lost) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("blob read after it was uploaded again: %d bytes, error %v; want its %d bytes", len(got), err, len(lost))
 	}
 }
 
-// Without peers no call is accepted as a peer's.
+// A front end without peers ignores the metadata that marks calls of peers, so that clients
+// cannot bypass authorization.
 func TestPeerMarkNeedsVerification(t *testing.T) {
 	b, _ := start(t, oneTeam, rightsOf{}, roomy)
 	b.ctx = metadata.AppendToOutgoingContext(b.ctx, peerMark, "1")
@@ -205,8 +207,8 @@
 	b.code(err, codes.Unauthenticated)
 }
 
-// After a front end is lost for good, the others make new copies of its blobs, and a blob
-// that is corrupted on disk is restored from a peer. Probing for blobs pins none.
+// After a front end is lost for good, repair on the others makes new copies of its blobs and
+// results.
 func TestRepairAfterFrontEndLoss(t *testing.T) {
 	s := startGroup(t, 3, 2)
 	a := s.clients[0]
@@ -236,28 +238,28 @@
 			t.Fatal(err)
 		}
 		if p := r.Progress(); len(p.Gone) != 1 || p.Short != 0 {
-			t.Errorf("front end %d: %+v", i, p)
+			t.Errorf("repair progress of front end %d = %+v, want 1 lost peer and no under-replicated blobs", i, p)
 		}
 	}
 	for i := 1; i < 3; i++ {
 		if n := s.stores[i].Stats().Blobs; n != 30 {
-			t.Errorf("front end %d has %d of 30 blobs", i, n)
+			t.Errorf("front end %d has %d blobs, want 30", i, n)
 		}
 	}
-	// One more is lost; the last one has everything, results too.
+	// Another front end is lost. The last one has all blobs and the result.
 	s.servers[1].Stop()
 	c := s.clients[2]
 	for _, d := range digests {
 		if got, err := c.download("blobs/"+digestOf(d).String(), 0, 0); err != nil || !bytes.Equal(got, blobs[d.Hash]) {
-			t.Errorf("%d bytes, %v", len(got), err)
+			t.Errorf("blob read from the last front end: %d bytes, error %v; want its %d bytes", len(got), err, len(blobs[d.Hash]))
 		}
 	}
 	if _, err := c.ac.GetActionResult(c.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil {
-		t.Errorf("the result was lost with its front ends: %v", err)
+		t.Errorf("result read from the last front end: %v", err)
 	}
 }
 
-// A flipped bit is found at rest and the blob restored from a copy.
+// Repair detects a flipped bit on disk and restores the blob from a peer's copy.
 func TestRepairOfAFlippedBit(t *testing.T) {
 	s := startGroup(t, 2, 2)
 	a := s.clients[0]
@@ -272,14 +274,14 @@
 		t.Fatal(err)
 	}
 	if p := r.Progress(); p.Corrupt != 1 || p.Restored != 1 {
-		t.Errorf("%+v", p)
+		t.Errorf("repair progress = %+v, want 1 corrupt and 1 restored blob", p)
 	}
 	if got, err := os.ReadFile(file); err != nil || !bytes.Equal(got, data) {
-		t.Errorf("%d bytes on disk, %v", len(got), err)
+		t.Errorf("restored file: %d bytes, error %v; want the original %d bytes", len(got), err, len(data))
 	}
 }
 
-// flipBit flips a bit of a blob on disk and returns its file.
+// flipBit flips a bit of a blob on disk and returns the path of its file.
 func flipBit(t *testing.T, dir, hash string) (file string) {
 	t.Helper()
 	_ = filepath.WalkDir(dir, func(path string, _ fs.DirEntry, _ error) error {
--- a/internal/reapi/peerservice.go
+++ b/internal/reapi/peerservice.go
@@ -13,13 +13,13 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// peerService is the service that front ends call on each other.
+// peerService serves the calls of other front ends.
 type peerService struct {
 	inspection.UnimplementedNeighboursServer
 	frontEnd *FrontEnd
 }
 
-// checkPeer refuses calls that do not come from a peer.
+// checkPeer returns an error for calls that do not come from a peer.
 func (s peerService) checkPeer(ctx context.Context) error {
 	if !s.frontEnd.fromPeer(ctx) {
 		return status.Error(codes.PermissionDenied, "front ends ask this of each other only")
@@ -48,7 +48,7 @@
 	return &inspection.NoteReply{}, nil
 }
 
-// Wanted returns those of the jobs that a client waits for here.
+// Wanted returns those of the requested jobs that a client waits for here.
 func (s peerService) Wanted(ctx context.Context, req *inspection.WantedRequest) (*inspection.WantedReply, error) {
 	if err := s.checkPeer(ctx); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	return reply, nil
 }
 
-// Known returns those of the executions whose results are stored here.
+// Known returns those of the requested executions whose results are stored here.
 func (s peerService) Known(ctx context.Context, req *inspection.KnownRequest) (*inspection.KnownReply, error) {
 	if err := s.checkPeer(ctx); err != nil {
 		return nil, err
@@ -83,8 +83,8 @@
 	return reply, nil
 }
 
-// Begun streams what was received of an interrupted write; only its size, if the request
-// asks for no more.
+// Begun streams the data that was received of an interrupted write, or only its size if the
+// request asks for that.
 func (s peerService) Begun(req *inspection.BegunRequest, out inspection.Neighbours_BegunServer) error {
 	if err := s.checkPeer(out.Context()); err != nil {
 		return err
--- a/internal/reapi/platform.go
+++ b/internal/reapi/platform.go
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// requirements are what an action requires of a machine, and its urgency. Actions with
-// equal requirements gather in the same job.
+// requirements are an action's requirements of a machine, and its urgency. Only actions with
+// equal requirements are batched into the same job.
 type requirements struct {
 	cpus, memGB float64
 	machineType string
@@ -19,17 +19,17 @@
 	urgency     string
 }
 
-// Limits of platform properties.
+// Limits of the values of platform properties.
 const (
 	maxCPUs          = 1024
 	maxMemGB         = 65536
 	maxPropertyValue = 100 // bytes
 )
 
-// requirementsOf returns the requirements that platform properties and a priority state,
-// or an error if one of them is not supported.
+// requirementsOf returns the requirements that platform properties and a priority express. It
+// fails if a property is not supported or its value is invalid.
 func requirementsOf(platform *repb.Platform, priority int32) (requirements, error) {
-	needs := requirements{cpus: 1, memGB: 1, spot: true, urgency: "standard"}
+	required := requirements{cpus: 1, memGB: 1, spot: true, urgency: "standard"}
 	invalid := func(p *repb.Platform_Property, want string) error {
 		return status.Errorf(codes.FailedPrecondition, "platform property %s=%q: %s", clip(p.GetName()), clip(p.GetValue()), want)
 	}
@@ -37,39 +37,39 @@
 		var err error
 		switch p.GetName() {
 		case "cpus":
-			if needs.cpus, err = strconv.ParseFloat(p.GetValue(), 64); err != nil || !(needs.cpus > 0 && needs.cpus <= maxCPUs) {
-				return needs, invalid(p, "a number of CPUs up to 1024")
+			if required.cpus, err = strconv.ParseFloat(p.GetValue(), 64); err != nil || !(required.cpus > 0 && required.cpus <= maxCPUs) {
+				return required, invalid(p, "a number of CPUs up to 1024")
 			}
 		case "mem-gb":
-			if needs.memGB, err = strconv.ParseFloat(p.GetValue(), 64); err != nil || !(needs.memGB > 0 && needs.memGB <= maxMemGB) {
-				return needs, invalid(p, "a number of GB up to 65536")
+			if required.memGB, err = strconv.ParseFloat(p.GetValue(), 64); err != nil || !(required.memGB > 0 && required.memGB <= maxMemGB) {
+				return required, invalid(p, "a number of GB up to 65536")
 			}
 		case "machine-type":
-			needs.machineType = p.GetValue()
+			required.machineType = p.GetValue()
 		case "zone":
-			needs.zone = p.GetValue()
+			required.zone = p.GetValue()
 		case "spot":
-			if needs.spot, err = strconv.ParseBool(p.GetValue()); err != nil {
-				return needs, invalid(p, "true or false")
+			if required.spot, err = strconv.ParseBool(p.GetValue()); err != nil {
+				return required, invalid(p, "true or false")
 			}
 		case "OSFamily":
 			if !strings.EqualFold(p.GetValue(), "linux") {
-				return needs, invalid(p, "machines run linux")
+				return required, invalid(p, "machines run linux")
 			}
 		default:
-			return needs, invalid(p, "not served; cpus, mem-gb, machine-type, zone, spot and OSFamily are")
+			return required, invalid(p, "not served; cpus, mem-gb, machine-type, zone, spot and OSFamily are")
 		}
 		if len(p.GetValue()) > maxPropertyValue {
-			return needs, invalid(p, "too long")
+			return required, invalid(p, "too long")
 		}
 	}
-	// Smaller priorities are more urgent in the API. The urgency "production" is not
-	// available to builds.
+	// In the API, lower priority values are more urgent. Builds cannot use the urgency
+	// "production".
 	switch {
 	case priority < 0:
-		needs.urgency = "high"
+		required.urgency = "high"
 	case priority > 0:
-		needs.urgency = "low"
+		required.urgency = "low"
 	}
-	return needs, nil
+	return required, nil
 }
--- a/internal/reapi/primary.go
+++ b/internal/reapi/primary.go
@@ -10,14 +10,14 @@
 	"google.golang.org/grpc/status"
 )
 
-// An execution has one result, whichever attempts of its task report one, and to
-// whichever front end. One front end, the execution's primary, decides: the first in the
-// execution's rendezvous order, which all front ends compute alike. The others forward
-// results to it. While it does not answer, the worker retries; only when it has been
-// silent for longer than the grace period does the next one in the order take its place.
-// What the others store are copies of what the primary decided.
+// An execution has exactly one result, even if several attempts of its task report results,
+// possibly to different front ends. The execution's primary decides which result is recorded:
+// it is the first front end in the execution's rendezvous order, which is the same on all
+// front ends. The others forward results to the primary and store copies of the recorded
+// ones. While the primary does not answer, workers retry. The next front end in the order
+// becomes primary only once the outage exceeds the grace period.
 
-// primary returns the peer that is an execution's primary, nil if this front end is.
+// primary returns the peer that is an execution's primary, or nil if it is this front end.
 func (f *FrontEnd) primary(execution string, now time.Time) *peer {
 	if f.peers == nil {
 		return nil
@@ -27,15 +27,15 @@
 		if rendezvousWeight(p.addr, execution) < own {
 			return nil
 		}
-		if !p.silence.exceeds(now, f.grace()) {
+		if !p.outage.exceeds(now, f.grace()) {
 			return p
 		}
 	}
 	return nil
 }
 
-// forwardToPrimary forwards a result to the execution's primary and returns the recorded
-// one; nil if this front end is the primary.
+// forwardToPrimary forwards a result to the execution's primary and returns the result that is
+// recorded there. It returns nil if this front end is the primary.
 func (f *FrontEnd) forwardToPrimary(ctx context.Context, req *repb.UpdateActionResultRequest, execution string) (*repb.ActionResult, error) {
 	p := f.primary(execution, time.Now())
 	if p == nil {
@@ -50,12 +50,12 @@
 	case codes.OK:
 		return recorded, nil
 	case codes.Unavailable, codes.DeadlineExceeded, codes.Canceled:
-		p.silence.failed(time.Now(), f.grace())
+		p.outage.failed(time.Now(), f.grace())
 		return nil, retryLater(codes.Unavailable, time.Second, "the front end that decides on this result does not answer")
 	}
 	return nil, err
 }
 
-// forwardTimeout bounds a forwarded result. It leaves the call that forwards it time to
-// answer.
+// forwardTimeout bounds the forwarding of a result. It leaves the call that forwards it time
+// to answer.
 const forwardTimeout = callTimeout / 2
--- a/internal/reapi/recordresult.go
+++ b/internal/reapi/recordresult.go
@@ -15,8 +15,8 @@
 )
 
 // RecordResult stores the result of an execution if it has none yet, and reports whether
-// it did. The first result is kept for as long as the blobs that it references are on
-// some front end. cache says whether the action allows caching.
+// it did. A recorded result is replaced only if no front end has some of the blobs that it
+// references. cache says whether the action allows caching.
 func (f *FrontEnd) RecordResult(ctx context.Context, instance, space string, entry *ManifestEntry, result *repb.ActionResult, cache bool) (bool, error) {
 	function := entry.Action().Function
 	if err := f.checkComplete(ctx, instance, space, function, result); err != nil {
@@ -37,13 +37,14 @@
 		}
 		if !replace {
 			f.discarded.Add(1)
-			// A front end may have been killed between recording and caching it.
+			// A front end may have been killed after recording the first result and before
+			// caching it.
 			if cacheable(first, cache) && f.findResult(ctx, instance, space, entry.Action()) == nil {
 				return false, f.publish(ctx, instance, space, key, entry.Action(), first, cache, false)
 			}
 			return false, nil
 		}
-		f.log.Warn("result whose blobs are lost replaced", "execution", entry.Execution)
+		f.log.Warn("replacing result whose blobs are lost", "execution", entry.Execution)
 	}
 	if err := f.publish(ctx, instance, space, key, entry.Action(), result, cache, replace); err != nil {
 		return false, err
@@ -57,13 +58,13 @@
 	return true, nil
 }
 
-// cacheable reports whether a result goes into the action cache.
+// cacheable reports whether a result may be stored in the action cache.
 func cacheable(r *repb.ActionResult, cache bool) bool {
 	return cache && r.GetExitCode() == 0 && failureStatus(r) == nil
 }
 
-// publish stores a result here and at peers: first as that of the execution, then in the
-// action cache.
+// publish stores a result here and at peers: first as the result of the execution, then, if it
+// is cacheable, in the action cache.
 func (f *FrontEnd) publish(ctx context.Context, instance, space string, key, action blobstore.Digest, result *repb.ActionResult, cache, replace bool) error {
 	raw, err := proto.Marshal(result)
 	if err != nil {
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// resultLost reports whether a blob that a result references is on no front end. While a
-// peer does not answer that may only be restarting, this is not known and an error.
+// resultLost reports whether some blob that a result references is on no front end. It fails
+// while a peer that may only be restarting does not answer, since that peer may have the blob.
 func (f *FrontEnd) resultLost(ctx context.Context, instance, space string, function blobstore.Function, result *repb.ActionResult) (bool, error) {
 	err := f.checkComplete(ctx, instance, space, function, result)
 	if err == nil {
@@ -97,19 +98,20 @@
 		return true, nil
 	}
 	for _, p := range f.peers.ranked("") {
-		if p.silence.exceeds(time.Now(), f.grace()) {
+		if p.outage.exceeds(time.Now(), f.grace()) {
 			continue
 		}
 		if err := p.ping(ctx, instance); err != nil {
-			p.silence.failed(time.Now(), f.grace())
+			p.outage.failed(time.Now(), f.grace())
 			return false, retryLater(codes.Unavailable, time.Second, "a front end that may have the first result's blobs does not answer")
 		}
 	}
-	// All answer. They are asked once more, since one may have come back meanwhile.
+	// All peers answer. The blobs are looked up again, since a peer may have restarted after
+	// the first lookup.
 	return f.checkComplete(ctx, instance, space, function, result) != nil, nil
 }
 
-// ping checks that a peer answers, by a query about no blob.
+// ping checks that a peer answers, with a query for an empty list of blobs.
 func (p *peer) ping(ctx context.Context, instance string) error {
 	return p.call(ctx, peerTimeout, func(ctx context.Context) error {
 		_, err := p.cas.FindMissingBlobs(ctx, &repb.FindMissingBlobsRequest{InstanceName: instance})
--- a/internal/reapi/recordresult_test.go
+++ b/internal/reapi/recordresult_test.go
@@ -12,12 +12,12 @@
 	"micaspindle/internal/blobstore"
 )
 
-// All front ends compute the same primary of an execution, and executions are spread over
-// all; after the grace period, and not before, the next one is primary.
+// All front ends agree on the primary of an execution, and executions are spread over all front
+// ends. The next front end becomes primary after the grace period, and not before.
 func TestPrimary(t *testing.T) {
 	s := startGroup(t, 3, 2)
 	now := time.Now()
-	decided := map[string]int{}
+	executions := map[string]int{}
 	for i := range 300 {
 		execution := blobstore.Of(fmt.Append(nil, i)).Hash
 		var by string
@@ -30,14 +30,14 @@
 				by = addr
 			}
 			if addr != by {
-				t.Fatalf("%s is decided by %s and by %s", execution, by, addr)
+				t.Fatalf("front ends disagree on the primary of %s: %s and %s", execution, by, addr)
 			}
 		}
-		decided[by]++
+		executions[by]++
 	}
 	for _, f := range s.frontEnds {
-		if decided[f.config.Self] < 50 {
-			t.Errorf("decided by %v", decided)
+		if executions[f.config.Self] < 50 {
+			t.Errorf("executions by primary: %v; want at least 50 for %s", executions, f.config.Self)
 		}
 	}
 	f := s.frontEnds[0]
@@ -47,40 +47,40 @@
 		if f.primary(execution, now) != first {
 			continue
 		}
-		first.silence.failed(now, time.Minute)
+		first.outage.failed(now, time.Minute)
 		for at := now; at.Before(now.Add(70 * time.Second)); at = at.Add(10 * time.Second) {
-			first.silence.failed(at, time.Minute)
+			first.outage.failed(at, time.Minute)
 			if next := f.primary(execution, at); (next == first) != (at.Sub(now) <= f.grace()) {
-				t.Errorf("after %s: %v", at.Sub(now), next)
+				t.Errorf("the first primary has been down for %s with a grace period of %s: primary = %v", at.Sub(now), f.grace(), next)
 			}
 		}
 		break
 	}
 }
 
-// Two failures far apart do not make a rarely called peer count as gone.
-func TestSilence(t *testing.T) {
-	var s silence
+// Two failures far apart must not count as one long outage of a rarely called peer.
+func TestPeerOutage(t *testing.T) {
+	var o outage
 	now := time.Now()
-	s.failed(now, time.Minute)
-	s.failed(now.Add(time.Hour), time.Minute)
-	if s.exceeds(now.Add(time.Hour), time.Minute) {
-		t.Error("gone after two failures in an hour")
+	o.failed(now, time.Minute)
+	o.failed(now.Add(time.Hour), time.Minute)
+	if o.exceeds(now.Add(time.Hour), time.Minute) {
+		t.Error("two failures an hour apart exceed a grace period of one minute")
 	}
 	for i := range 5 {
-		s.failed(now.Add(time.Hour+time.Duration(i)*20*time.Second), time.Minute)
+		o.failed(now.Add(time.Hour+time.Duration(i)*20*time.Second), time.Minute)
 	}
-	if !s.exceeds(now.Add(time.Hour+80*time.Second), time.Minute) {
-		t.Error("not gone after 80 s without an answer")
+	if !o.exceeds(now.Add(time.Hour+80*time.Second), time.Minute) {
+		t.Error("80 s without an answer do not exceed a grace period of one minute")
 	}
-	s.answered()
-	if s.exceeds(now.Add(2*time.Hour), time.Minute) {
-		t.Error("gone though it answers")
+	o.answered()
+	if o.exceeds(now.Add(2*time.Hour), time.Minute) {
+		t.Error("the outage continues after an answer")
 	}
 }
 
-// A result whose blobs are lost is replaced by the next one, and the action can be executed
-// again; while a front end that may have them does not answer, nothing is replaced.
+// A result whose blobs are lost is replaced by the next result. While a front end that may have
+// the blobs does not answer, the result must not be replaced.
 func TestLostResultIsReplaced(t *testing.T) {
 	s := startGroup(t, 2, 1)
 	var f *FrontEnd
@@ -99,28 +99,28 @@
 		return f.RecordResult(context.Background(), "", "red", entry, &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: d}}}, true)
 	}
 	one, two := random(100), random(100)
-	if first, err := record(one); err != nil || !first {
-		t.Fatalf("%v %v", first, err)
+	if recorded, err := record(one); err != nil || !recorded {
+		t.Fatalf("first result: recorded = %v, error %v; want it recorded", recorded, err)
 	}
-	if first, err := record(two); err != nil || first {
-		t.Fatalf("a second result stays: %v %v", first, err)
+	if recorded, err := record(two); err != nil || recorded {
+		t.Fatalf("second result: recorded = %v, error %v; want it discarded", recorded, err)
 	}
 	f.config.Grace = time.Hour
 	// The blob is corrupted on disk, so no front end has it.
 	flipBit(t, s.dirs[at], blobstore.Of(one).Hash)
 	if err := f.store.Verify(blobstore.Key{Space: "red", Digest: blobstore.Of(one)}); err == nil {
-		t.Fatal("it is still there")
+		t.Fatal("the corrupt blob passes verification")
 	}
 	s.servers[1-at].Stop()
 	_, err := record(two)
 	b.code(err, codes.Unavailable)
 	f.config.Grace = time.Nanosecond
 	time.Sleep(time.Millisecond)
-	if first, err := record(two); err != nil || !first {
-		t.Fatalf("%v %v", first, err)
+	if recorded, err := record(two); err != nil || !recorded {
+		t.Fatalf("result after the blobs of the first were lost: recorded = %v, error %v; want it recorded", recorded, err)
 	}
 	got, err := b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{ActionDigest: action})
 	if err != nil || got.OutputFiles[0].Digest.Hash != blobstore.Of(two).Hash {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("stored result = %v, %v; want the replacement", got, err)
 	}
 }
--- a/internal/reapi/references.go
+++ b/internal/reapi/references.go
@@ -11,8 +11,9 @@
 	"micaspindle/internal/blobstore"
 )
 
-// checkComplete checks that every blob that a result references is on some front end,
-// which pins it for the promised time. The error is blobstore.ErrNotFound if one is missing.
+// checkComplete checks that every blob that a result references is on some front end, and
+// makes that front end pin it for the retention time. If a blob is missing, the error is
+// blobstore.ErrNotFound.
 func (f *FrontEnd) checkComplete(ctx context.Context, instance, space string, function blobstore.Function, result *repb.ActionResult) error {
 	references, err := f.referencedBlobs(ctx, instance, space, function, result)
 	if err != nil {
@@ -30,7 +31,7 @@
 	digests  []blobstore.Digest
 }
 
-// add adds a digest; one that is not set is left out.
+// add adds a digest. It ignores nil, which stands for an unset digest.
 func (r *references) add(d *repb.Digest) error {
 	if d == nil {
 		return nil
@@ -40,7 +41,7 @@
 	return digest.Check()
 }
 
-// addFiles adds the files of a directory.
+// addFiles adds the digests of the files of a directory.
 func (r *references) addFiles(directory *repb.Directory) error {
 	for _, file := range directory.GetFiles() {
 		if err := r.add(file.GetDigest()); err != nil {
@@ -69,8 +70,8 @@
 	return refs.digests, nil
 }
 
-// addOutputDirectory adds the blobs of an output directory, which is given by its root,
-// as a Tree message, or by both.
+// addOutputDirectory adds the blobs of an output directory, which is given by its root
+// directory, by a Tree message, or by both.
 func (f *FrontEnd) addOutputDirectory(ctx context.Context, instance, space string, refs *references, directory *repb.OutputDirectory) error {
 	root, treeDigest := directory.GetRootDirectoryDigest(), directory.GetTreeDigest()
 	if root == nil && treeDigest == nil {
@@ -97,7 +98,7 @@
 	}
 	tree := new(repb.Tree)
 	if err := proto.Unmarshal(raw, tree); err != nil {
-		return blobstore.ErrNotFound // such a result is not usable
+		return blobstore.ErrNotFound // the result is unusable, like one with a missing blob
 	}
 	for _, directory := range append([]*repb.Directory{tree.GetRoot()}, tree.GetChildren()...) {
 		if err := refs.addFiles(directory); err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// walkDirectories visits the directories below a root breadth-first, each once.
+// walkDirectories visits a root and the directories below it breadth-first, each once.
 // Directories that no front end has are passed to lost; if lost is nil, the first one
 // ends the walk with blobstore.ErrNotFound.
 func (f *FrontEnd) walkDirectories(ctx context.Context, instance, space string, root blobstore.Digest, visit func(blobstore.Digest, *repb.Directory) error, lost func(blobstore.Digest)) error {
@@ -125,7 +126,7 @@
 		directory := new(repb.Directory)
 		if err := proto.Unmarshal(raw, directory); err != nil {
 			if lost == nil {
-				return blobstore.ErrNotFound // a result that references it is not usable
+				return blobstore.ErrNotFound // a result that references it is unusable
 			}
 			return fmt.Errorf("%w: blob %s is no directory", blobstore.ErrInvalid, digest)
 		}
@@ -142,29 +143,29 @@
 	return nil
 }
 
-// directoryQueue holds the directories of a tree that are still to be visited, in
-// breadth-first order. A directory that occurs several times is visited once.
+// directoryQueue holds the directories of a tree that remain to be visited, in breadth-first
+// order. A directory that occurs several times is visited once.
 type directoryQueue struct {
 	function blobstore.Function
 	waiting  []blobstore.Digest
 	seen     map[blobstore.Digest]bool
 }
 
-// newDirectoryQueue creates a queue that holds the root.
+// newDirectoryQueue creates a queue that contains only the root.
 func newDirectoryQueue(root blobstore.Digest) *directoryQueue {
 	return &directoryQueue{function: root.Function, waiting: []blobstore.Digest{root}, seen: map[blobstore.Digest]bool{root: true}}
 }
 
 func (q *directoryQueue) empty() bool { return len(q.waiting) == 0 }
 
-// next removes the first directory. The queue must not be empty.
+// next removes and returns the first directory. The queue must not be empty.
 func (q *directoryQueue) next() blobstore.Digest {
 	first := q.waiting[0]
 	q.waiting = q.waiting[1:]
 	return first
 }
 
-// addChildren queues the subdirectories that were not seen yet.
+// addChildren queues the subdirectories that have not been queued before.
 func (q *directoryQueue) addChildren(directory *repb.Directory) error {
 	for _, child := range directory.GetDirectories() {
 		digest := digestIn(q.function, child.GetDigest())
--- a/internal/reapi/repair.go
+++ b/internal/reapi/repair.go
@@ -13,7 +13,7 @@
 )
 
 // Repair creates the repairer that verifies this front end's blobs, restores corrupt ones
-// and keeps enough copies; file is where it stores its progress.
+// and creates missing copies. It stores its progress in file.
 func (f *FrontEnd) Repair(settings repair.Settings, file string, log *slog.Logger) (*repair.Repairer, error) {
 	instances := map[string]string{} // by team
 	for _, name := range slices.Sorted(maps.Keys(f.config.Instances)) {
@@ -49,14 +49,14 @@
 	return repairer, nil
 }
 
-// servedStore is a store without the blobs of teams that have no instance. No instance
-// name stands for these in calls to peers.
+// servedStore is a store that hides the blobs of teams without an instance. Calls to peers
+// need an instance name, so these blobs cannot be repaired.
 type servedStore struct {
 	*blobstore.Store
 	instances map[string]string // by team
 }
 
-// Keys returns the keys of the blobs of teams with an instance.
+// Keys returns the keys of the blobs of teams that have an instance.
 func (s servedStore) Keys() []blobstore.Key {
 	return slices.DeleteFunc(s.Store.Keys(), func(key blobstore.Key) bool {
 		_, ok := s.instances[key.Space]
@@ -65,8 +65,8 @@
 }
 
 // repairRecords copies action results and start records to the peers that should have
-// them, and returns how many it copied. A peer's own record stays. take waits for the
-// share of the byte rate that a record may use.
+// them, and returns how many it copied. A peer that already has a record keeps its own. take
+// waits until the repairer's rate limit allows that many bytes.
 func (f *FrontEnd) repairRecords(ctx context.Context, copies int, instances map[string]string, take func(context.Context, int64) error) (int, error) {
 	copied := 0
 	if f.peers == nil || copies < 2 {
@@ -79,7 +79,7 @@
 		}
 		result, err := f.localResult(key.Space, key.Digest)
 		if err != nil {
-			continue // gone meanwhile
+			continue // deleted meanwhile
 		}
 		if err := take(ctx, recordCost); err != nil {
 			return copied, err
@@ -90,10 +90,10 @@
 	return copied, nil
 }
 
-// recordCost is how many bytes of blobs the copy of a record counts as.
+// recordCost is how many bytes the copy of a record counts as for the rate limit.
 const recordCost = 4 << 10
 
-// repairPeer is a peer as the repairer sees it.
+// repairPeer adapts a peer to the interface of the repairer.
 type repairPeer struct {
 	frontEnd  *FrontEnd
 	peer      *peer
@@ -104,7 +104,7 @@
 func (r *repairPeer) Name() string { return r.peer.addr }
 
 // Lacks returns the digests whose blobs the peer does not have, without pinning the
-// others. It asks also while the peer's circuit is open.
+// others. It calls the peer even while its circuit breaker is open.
 func (r *repairPeer) Lacks(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
 	ctx = metadata.AppendToOutgoingContext(ctx, probeMark, "1")
 	for _, function := range []blobstore.Function{blobstore.SHA256, blobstore.BLAKE3} {
--- a/internal/reapi/replication.go
+++ b/internal/reapi/replication.go
@@ -16,8 +16,8 @@
 	"micaspindle/internal/blobstore"
 )
 
-// missing returns the digests of blobs that neither this front end nor a peer has. The
-// front end that has one pins it for the promised time.
+// missing returns the digests of the blobs that neither this front end nor a peer has. A
+// front end that has one of the others pins it for the retention time.
 func (f *FrontEnd) missing(ctx context.Context, instance, space string, digests []blobstore.Digest) []blobstore.Digest {
 	if f.fromPeer(ctx) {
 		if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(probeMark)) > 0 {
@@ -32,7 +32,7 @@
 		}
 		stillMissing, err := p.findMissing(ctx, p.timeFor(peerTimeout), instance, missing)
 		if err != nil {
-			f.log.Debug("query for blobs at peer failed", "peer", p.addr, "error", err)
+			f.log.Debug("query for missing blobs at peer failed", "peer", p.addr, "error", err)
 			continue
 		}
 		missing = stillMissing
@@ -40,8 +40,8 @@
 	return missing
 }
 
-// findMissing returns those of the digests whose blobs the peer does not have. They have
-// the same digest function and are at least one.
+// findMissing returns those of the digests whose blobs the peer does not have. digests must
+// not be empty, and all must have the same digest function.
 func (p *peer) findMissing(ctx context.Context, timeout time.Duration, instance string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
 	function := digests[0].Function
 	req := &repb.FindMissingBlobsRequest{InstanceName: instance, DigestFunction: FunctionOnWire(function)}
@@ -58,7 +58,7 @@
 	return missing, err
 }
 
-// open opens a blob, fetched from a peer if it is not here.
+// open opens a blob, which it first fetches from a peer if it is not stored here.
 func (f *FrontEnd) open(ctx context.Context, instance string, key blobstore.Key) (*blobstore.Reader, error) {
 	blob, err := f.store.Open(key)
 	if !errors.Is(err, blobstore.ErrNotFound) || f.fromPeer(ctx) {
@@ -82,11 +82,11 @@
 	return nil, err
 }
 
-// read reads a whole blob, fetched from a peer if it is not here. One larger than limit is
-// an error.
+// read reads a whole blob, which it first fetches from a peer if it is not stored here. It
+// fails if the blob is larger than limit.
 func (f *FrontEnd) read(ctx context.Context, instance string, key blobstore.Key, limit int64) ([]byte, error) {
 	if key.Size > limit {
-		return f.store.Read(key, limit) // returns that error
+		return f.store.Read(key, limit) // returns the error for blobs larger than limit
 	}
 	blob, err := f.open(ctx, instance, key)
 	if err != nil {
@@ -96,13 +96,13 @@
 	return io.ReadAll(blob)
 }
 
-// fetchFrom copies a blob from a peer.
+// fetchFrom copies a blob from a peer to the store.
 func (f *FrontEnd) fetchFrom(ctx context.Context, p *peer, instance string, key blobstore.Key) error {
 	from, err := p.bytes.Read(ctx, &bytestream.ReadRequest{ResourceName: resourceName(instance, "blobs/"+key.Digest.String())})
 	if err != nil {
 		return err
 	}
-	// Space is reserved only once the peer has begun to send.
+	// Create reserves space, so it is called only once the peer has sent data.
 	message, err := from.Recv()
 	if err != nil {
 		return err
@@ -132,9 +132,9 @@
 	return instance + "/" + name
 }
 
-// replicate copies blobs that are here to peers until there are Copies of each. A peer that
-// does not answer is passed over for the next one. If too few answer, the blob stays with
-// fewer copies, which is counted and logged.
+// replicate copies blobs that are stored here to peers until there are Copies of each. A peer
+// that fails is skipped in favor of the next one. If too few succeed, the blob remains
+// under-replicated, which is counted and logged.
 func (f *FrontEnd) replicate(ctx context.Context, instance, space string, digests []blobstore.Digest) {
 	if f.peers == nil || f.peers.Copies < 2 || f.fromPeer(ctx) {
 		return
@@ -158,19 +158,20 @@
 			copies++
 		}
 		if copies < f.peers.Copies {
-			f.countShort(copies)
+			f.countUnderReplicated(copies)
 		}
 	}
 }
 
-// countShort counts a blob with too few copies. It logs the 1st, 2nd, 4th, 8th and so on.
-func (f *FrontEnd) countShort(copies int) {
-	if total := f.peers.Short.Add(1); total&(total-1) == 0 {
-		f.log.Warn("blobs with too few copies", "count", total, "copies", copies, "wanted", f.peers.Copies)
+// countUnderReplicated counts a blob with too few copies. To limit the log volume, it logs
+// only the 1st, 2nd, 4th, 8th and so on.
+func (f *FrontEnd) countUnderReplicated(copies int) {
+	if total := f.peers.UnderReplicated.Add(1); total&(total-1) == 0 {
+		f.log.Warn("blobs under-replicated", "count", total, "copies", copies, "wanted", f.peers.Copies)
 	}
 }
 
-// copyTo copies a blob to a peer, in one message if it is small.
+// copyTo copies a blob to a peer, in a single message if it is small.
 func (f *FrontEnd) copyTo(ctx context.Context, p *peer, instance string, key blobstore.Key) error {
 	blob, err := f.store.Open(key)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return p.write(ctx, instance, key.Digest, blob)
 }
 
-// update stores a small blob at the peer.
+// update stores a small blob at the peer in a single message.
 func (p *peer) update(ctx context.Context, instance string, digest blobstore.Digest, blob io.Reader) error {
 	data, err := io.ReadAll(blob)
 	if err != nil {
@@ -214,7 +215,7 @@
 			return err
 		}
 		if err := stream.Send(&bytestream.WriteRequest{ResourceName: name, WriteOffset: sent, Data: buf[:n], FinishWrite: sent+int64(n) == digest.Size}); err != nil {
-			break // the response has the reason, or the peer has the blob already
+			break // CloseAndRecv returns the reason, or success if the peer already has the blob
 		}
 		sent += int64(n)
 	}
@@ -222,7 +223,7 @@
 	return err
 }
 
-// peerResult returns an action's result from the first peer that has it, nil if none does.
+// peerResult returns an action's result from the first peer that has it, or nil if none does.
 func (f *FrontEnd) peerResult(ctx context.Context, instance string, action blobstore.Digest) *repb.ActionResult {
 	req := &repb.GetActionResultRequest{InstanceName: instance, ActionDigest: digestToProto(action), DigestFunction: FunctionOnWire(action.Function)}
 	for _, p := range f.peers.reachableFirst(action.Hash) {
@@ -238,14 +239,14 @@
 	return nil
 }
 
-// replicateResult copies a result to peers until there are Copies of it; a peer's own
-// result stays.
+// replicateResult copies a result to peers until there are Copies of it. A peer that already
+// has a result for the key keeps its own.
 func (f *FrontEnd) replicateResult(ctx context.Context, instance string, action blobstore.Digest, result *repb.ActionResult) {
 	f.replicateRecord(ctx, instance, action, result, false)
 }
 
-// replicateRecord is replicateResult; replace makes the copies replace the peers' own
-// results, since their blobs are lost.
+// replicateRecord does the same as replicateResult, but with replace set, the peers replace
+// the results that they have.
 func (f *FrontEnd) replicateRecord(ctx context.Context, instance string, action blobstore.Digest, result *repb.ActionResult, replace bool) {
 	if replace {
 		ctx = metadata.AppendToOutgoingContext(ctx, replaceMark, "1")
--- a/internal/reapi/restarts_test.go
+++ b/internal/reapi/restarts_test.go
@@ -28,123 +28,128 @@
 	"micaspindle/internal/protocol"
 )
 
-// faultyGroup is a group of front ends that are killed and restarted during builds, with a
-// fake of the cluster: its controllers are at times all down, and their responses get lost
-// after they accepted a job; its machines lose tasks, run them again, and report the
-// results of lost attempts late or never. No two attempts produce the same output.
+// faultyGroup is a group of front ends that are killed and restarted during builds, and a fake
+// cluster that executes their actions. At times, all controllers of the cluster are down, or
+// their response to an accepted submission is lost. The machines lose attempts of tasks and
+// run the tasks again; the result of a lost attempt is reported late or never. Each attempt
+// produces a different output.
 type faultyGroup struct {
-	t      *testing.T
-	ctx    context.Context
-	addrs  []string
-	dirs   []string
-	mu     sync.Mutex
-	rng    *rand.Rand
-	live   []*grpc.Server
-	stores []*blobstore.Store
-	jobs   map[string]*faultyJob
-	runs   int
-	// down is until when no controller answers; downs counts these times, lost the lost
-	// responses, gone the machines that never reported.
-	down              time.Time
-	downs, lost, gone int
-	sweeps            []context.CancelFunc
-	conn              *grpc.ClientConn // of machines, to any front end
-	wg                sync.WaitGroup
+	t        *testing.T
+	ctx      context.Context
+	addrs    []string
+	dirs     []string
+	mu       sync.Mutex
+	rng      *rand.Rand
+	servers  []*grpc.Server
+	stores   []*blobstore.Store
+	jobs     map[string]*faultyJob
+	attempts int
+	// downUntil is the end of the current outage of all controllers. outages counts these
+	// outages, lostResponses the lost responses of controllers, and lostMachines the
+	// machines that never report a result.
+	downUntil                            time.Time
+	outages, lostResponses, lostMachines int
+	stopSweeps                           []context.CancelFunc
+	conn                                 *grpc.ClientConn // from the machines to any front end
+	wg                                   sync.WaitGroup
 }
 
-type faultyJob struct{ left, tasks int }
+// faultyJob is a job of the fake cluster.
+type faultyJob struct{ unfinished, tasks int }
 
-func (k *faultyGroup) random(n int) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.rng.IntN(n)
+// random returns a random number below n.
+func (g *faultyGroup) random(n int) int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.rng.IntN(n)
 }
 
-// Submit runs the tasks of a job, once.
-func (k *faultyGroup) Submit(_ context.Context, _ string, s *protocol.Submission) (jobStatus protocol.JobStatus, err error) {
-	away, lost := k.away(), k.random(8) == 0
-	if away {
+// Submit starts the tasks of a job; repeated submissions have no effect.
+func (g *faultyGroup) Submit(_ context.Context, _ string, s *protocol.Submission) (jobStatus protocol.JobStatus, err error) {
+	down, lost := g.unavailable(), g.random(8) == 0
+	if down {
 		return jobStatus, &client.Refusal{Status: 503}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if lost {
-		k.lost++
+		g.lostResponses++
 		defer func() { err = &client.Refusal{Status: 503} }()
 	}
-	if j := k.jobs[*s.ID]; j != nil {
-		if j.left == 0 {
+	if j := g.jobs[*s.ID]; j != nil {
+		if j.unfinished == 0 {
 			jobStatus.Status = protocol.StatusDone
 		}
 		return jobStatus, nil
 	}
-	k.jobs[*s.ID] = &faultyJob{int(*s.Tasks), int(*s.Tasks)}
+	g.jobs[*s.ID] = &faultyJob{int(*s.Tasks), int(*s.Tasks)}
 	for i := range int(*s.Tasks) {
-		k.wg.Go(func() { k.machine(*s.ID, *s.Image, i) })
+		g.wg.Go(func() { g.runTask(*s.ID, *s.Image, i) })
 	}
 	return jobStatus, nil
 }
 
-// away reports whether no controller answers, and at random takes all of them down.
-func (k *faultyGroup) away() bool {
-	kill, down := k.random(12) == 0, time.Duration(50+k.random(350))*time.Millisecond
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if now := time.Now(); kill && now.After(k.down) {
-		k.down = now.Add(down)
-		k.downs++
+// unavailable reports whether all controllers are down. At random it begins such an outage.
+func (g *faultyGroup) unavailable() bool {
+	fail, duration := g.random(12) == 0, time.Duration(50+g.random(350))*time.Millisecond
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if now := time.Now(); fail && now.After(g.downUntil) {
+		g.downUntil = now.Add(duration)
+		g.outages++
 	}
-	return time.Now().Before(k.down)
+	return time.Now().Before(g.downUntil)
 }
 
 // Status returns the status of a job.
-func (k *faultyGroup) Status(_ context.Context, _, job string) (protocol.JobStatus, error) {
-	if k.away() {
+func (g *faultyGroup) Status(_ context.Context, _, job string) (protocol.JobStatus, error) {
+	if g.unavailable() {
 		return protocol.JobStatus{}, &client.Refusal{Status: 503}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	j := k.jobs[job]
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	j := g.jobs[job]
 	switch {
 	case j == nil:
 		return protocol.JobStatus{}, &client.Refusal{Status: 404}
-	case j.left == 0:
+	case j.unfinished == 0:
 		return protocol.JobStatus{ID: job, Status: protocol.StatusDone}, nil
 	}
 	return protocol.JobStatus{ID: job, Status: protocol.StatusRunning}, nil
 }
 
-// Withdraw does nothing: no client of this test leaves for good.
-func (k *faultyGroup) Withdraw(context.Context, string, string) error { return nil }
+// Withdraw does nothing, since no client abandons its actions in this test.
+func (g *faultyGroup) Withdraw(context.Context, string, string) error { return nil }
 
-// machine runs a task, and again if the first attempt is lost.
-func (k *faultyGroup) machine(job, image string, index int) {
-	again := k.random(4) == 0
-	if again {
-		late := time.Duration(k.random(120)) * time.Millisecond
-		if k.random(3) > 0 {
-			k.wg.Go(func() { k.attempt(image, index, "lost", late) })
+// runTask runs a task. At random, the first attempt is lost and the task runs again.
+func (g *faultyGroup) runTask(job, image string, index int) {
+	lost := g.random(4) == 0
+	if lost {
+		delay := time.Duration(g.random(120)) * time.Millisecond
+		if g.random(3) > 0 {
+			g.wg.Go(func() { g.runAttempt(image, index, "lost", delay) })
 		} else {
-			k.mu.Lock()
-			k.gone++
-			k.mu.Unlock()
+			g.mu.Lock()
+			g.lostMachines++
+			g.mu.Unlock()
 		}
-		time.Sleep(time.Duration(k.random(60)) * time.Millisecond)
+		time.Sleep(time.Duration(g.random(60)) * time.Millisecond)
 	}
-	k.attempt(image, index, "kept", 0)
-	k.mu.Lock()
-	k.jobs[job].left--
-	k.mu.Unlock()
+	g.runAttempt(image, index, "kept", 0)
+	g.mu.Lock()
+	g.jobs[job].unfinished--
+	g.mu.Unlock()
 }
 
-// attempt does what a worker does, at whichever front end answers, until the result is
-// recorded.
-func (k *faultyGroup) attempt(image string, index int, which string, late time.Duration) {
-	ctx := metadata.AppendToOutgoingContext(k.ctx, WorkerMark, "1")
-	cas, ac := repb.NewContentAddressableStorageClient(k.conn), repb.NewActionCacheClient(k.conn)
+// runAttempt executes a task like a worker: it fetches the action, uploads an output and,
+// after a delay, records the result. It retries each call, at any front end, until the call
+// succeeds.
+func (g *faultyGroup) runAttempt(image string, index int, label string, delay time.Duration) {
+	ctx := metadata.AppendToOutgoingContext(g.ctx, WorkerMark, "1")
+	cas, ac := repb.NewContentAddressableStorageClient(g.conn), repb.NewActionCacheClient(g.conn)
 	manifest, instance, _ := ParseImage(image)
-	persist := func(f func() error) bool {
-		for k.ctx.Err() == nil {
+	retry := func(f func() error) bool {
+		for g.ctx.Err() == nil {
 			if f() == nil {
 				return true
 			}
@@ -153,7 +158,7 @@
 		return false
 	}
 	var entry ManifestEntry
-	if !persist(func() error {
+	if !retry(func() error {
 		resp, err := cas.BatchReadBlobs(ctx, &repb.BatchReadBlobsRequest{InstanceName: instance, Digests: []*repb.Digest{digestToProto(manifest)}})
 		if err != nil {
 			return err
@@ -169,13 +174,13 @@
 	}) {
 		return
 	}
-	time.Sleep(time.Duration(k.random(30)) * time.Millisecond)
-	k.mu.Lock()
-	k.runs++
-	output := fmt.Appendf(nil, "%s %s of %s %d %d", entry.Execution, which, image, index, k.runs)
-	k.mu.Unlock()
+	time.Sleep(time.Duration(g.random(30)) * time.Millisecond)
+	g.mu.Lock()
+	g.attempts++
+	output := fmt.Appendf(nil, "%s %s of %s %d %d", entry.Execution, label, image, index, g.attempts)
+	g.mu.Unlock()
 	out := digestToProto(blobstore.Of(output))
-	persist(func() error {
+	retry(func() error {
 		resp, err := cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{InstanceName: instance,
 			Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: out, Data: output}}})
 		if err != nil {
@@ -183,78 +188,82 @@
 		}
 		return status.ErrorProto(resp.Responses[0].Status)
 	})
-	time.Sleep(late)
+	time.Sleep(delay)
 	ctx = metadata.AppendToOutgoingContext(ctx, ExecutionMark, entry.Execution)
-	persist(func() error {
+	retry(func() error {
 		_, err := ac.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: instance, ActionDigest: &repb.Digest{Hash: entry.Hash, SizeBytes: entry.Size},
 			ActionResult: &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "out", Digest: out}}}})
 		return err
 	})
 }
 
-// begin starts a front end with the state in its directory.
-func (k *faultyGroup) begin(i int) {
+// startFrontEnd starts a front end with the state that is stored in its directory.
+func (g *faultyGroup) startFrontEnd(i int) {
 	var l net.Listener
 	var err error
-	for range 100 { // the process before may still hold the port
-		if l, err = net.Listen("tcp", k.addrs[i]); err == nil {
+	for range 100 { // the previous server may still hold the port
+		if l, err = net.Listen("tcp", g.addrs[i]); err == nil {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if err != nil {
-		k.t.Error(err)
+		g.t.Error(err)
 		return
 	}
-	store, _, err := blobstore.Open(filepath.Join(k.dirs[i], "content"), roomy)
+	store, _, err := blobstore.Open(filepath.Join(g.dirs[i], "content"), roomy)
 	if err != nil {
-		k.t.Error(err)
+		g.t.Error(err)
 		return
 	}
-	results, err := blobstore.OpenResults(filepath.Join(k.dirs[i], "results"), 10_000)
+	results, err := blobstore.OpenResults(filepath.Join(g.dirs[i], "results"), 10_000)
 	if err != nil {
-		k.t.Error(err)
+		g.t.Error(err)
 		return
 	}
 	others := map[string]*grpc.ClientConn{}
-	for j, addr := range k.addrs {
+	for j, addr := range g.addrs {
 		if j != i {
 			conn, err := DialPeer(addr, insecure.NewCredentials())
 			if err != nil {
-				k.t.Error(err)
+				g.t.Error(err)
 				return
 			}
 			others[addr] = conn
-			k.t.Cleanup(func() { _ = conn.Close() })
+			g.t.Cleanup(func() { _ = conn.Close() })
 		}
 	}
 	config := oneTeam
-	config.MaxBlob, config.Class, config.Self = roomy.MaxBlob, "build", k.addrs[i]
+	config.MaxBlob, config.Class, config.Self = roomy.MaxBlob, "build", g.addrs[i]
 	config.Shares.Ahead = admission.HandoffLimits{Min: 16, MaxDuration: 100 * time.Millisecond}
-	believe := func(context.Context) bool { return true }
-	config.IsPeer, config.IsWorker = believe, believe
-	quiet := slog.New(slog.DiscardHandler)
-	f := New(config, store, results, everyone{}, NewPeers(2, others, quiet), k, quiet)
-	server := f.Server(grpc.WaitForHandlers(true)) // a killed process leaves no calls behind
-	sweep, cancel := context.WithCancel(k.ctx)
-	over := make(chan struct{})
-	go func() { defer close(over); f.Sweep(sweep, time.Minute) }()
-	k.mu.Lock()
-	k.sweeps[i] = func() { cancel(); <-over }
-	k.live[i], k.stores[i] = server, store
-	k.mu.Unlock()
+	always := func(context.Context) bool { return true }
+	config.IsPeer, config.IsWorker = always, always
+	discard := slog.New(slog.DiscardHandler)
+	f := New(config, store, results, everyone{}, NewPeers(2, others, discard), g, discard)
+	// Stop must wait for running calls, since a killed process leaves none behind.
+	server := f.Server(grpc.WaitForHandlers(true))
+	sweepCtx, cancel := context.WithCancel(g.ctx)
+	swept := make(chan struct{})
+	go func() { defer close(swept); f.Sweep(sweepCtx, time.Minute) }()
+	g.mu.Lock()
+	g.stopSweeps[i] = func() { cancel(); <-swept }
+	g.servers[i], g.stores[i] = server, store
+	g.mu.Unlock()
 	go func() { _ = server.Serve(l) }()
 }
 
-func (k *faultyGroup) kill(i int) {
-	k.live[i].Stop()
-	k.sweeps[i]()
-	_ = k.stores[i].Close()
+// killFrontEnd stops a front end; its directory keeps the stored state.
+func (g *faultyGroup) killFrontEnd(i int) {
+	g.servers[i].Stop()
+	g.stopSweeps[i]()
+	_ = g.stores[i].Close()
 }
 
-// Front ends are killed at random moments while several clients build overlapping sets of
-// actions. Afterwards, by the public API only: every client got the same result of the same
-// action, every front end has that result, its blobs exist, and the other team sees none. More seeds: KILL_SEEDS=200 go test -run TestGatesThroughKills ./internal/reapi
+// Front ends are killed and restarted at random while several clients build overlapping sets
+// of actions. Afterwards all clients must have the same result of each action, every front end
+// must serve that result and its blobs, and another team must not see them.
+//
+// More seeds: KILL_SEEDS=200 go test -run TestRestartsUnderBuilds ./internal/reapi
 func TestRestartsUnderBuilds(t *testing.T) {
 	seeds := 6
 	if text := os.Getenv("KILL_SEEDS"); text != "" {
@@ -271,78 +280,80 @@
 	}
 }
 
+// testRestarts runs TestRestartsUnderBuilds with one seed.
 func testRestarts(t *testing.T, seed uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	k := &faultyGroup{t: t, ctx: ctx, rng: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*faultyJob{}, live: make([]*grpc.Server, 3), stores: make([]*blobstore.Store, 3), sweeps: make([]context.CancelFunc, 3)}
+	g := &faultyGroup{t: t, ctx: ctx, rng: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*faultyJob{}, servers: make([]*grpc.Server, 3), stores: make([]*blobstore.Store, 3), stopSweeps: make([]context.CancelFunc, 3)}
 	for i := range 3 {
-		// An address of its own, so that no connection gets the port of a front end that
-		// is down.
+		// Each front end has its own IP address, so that no other socket can take its port
+		// while it is down.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 10+seed/250, seed%250+1, i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.addrs, k.dirs = append(k.addrs, l.Addr().String()), append(k.dirs, t.TempDir())
+		g.addrs, g.dirs = append(g.addrs, l.Addr().String()), append(g.dirs, t.TempDir())
 		_ = l.Close()
 	}
-	for i := range k.addrs {
-		k.begin(i)
+	for i := range g.addrs {
+		g.startFrontEnd(i)
 	}
 	if t.Failed() {
 		return
 	}
 	defer func() {
-		for i := range k.live {
-			k.kill(i)
+		for i := range g.servers {
+			g.killFrontEnd(i)
 		}
 	}()
 	var err error
-	if k.conn, err = buildtool.Dial(k.addrs, nil, ""); err != nil {
+	if g.conn, err = buildtool.Dial(g.addrs, nil, ""); err != nil {
 		t.Fatal(err)
 	}
-	defer k.conn.Close() //nolint:errcheck // the test ends
+	defer g.conn.Close() //nolint:errcheck // the test ends
 	const actions = 40
 	node := func(i int) buildtool.Node {
 		return buildtool.Node{Name: strconv.Itoa(i), Script: "true", Sources: map[string][]byte{"s": fmt.Appendf(nil, "seed %d source %d", seed, i)}}
 	}
-	stop, over := make(chan struct{}), make(chan int)
+	stop, killed := make(chan struct{}), make(chan int)
 	go func() {
 		kills := 0
 		for {
 			select {
 			case <-stop:
-				over <- kills
+				killed <- kills
 				return
-			case <-time.After(time.Duration(50+k.random(250)) * time.Millisecond):
+			case <-time.After(time.Duration(50+g.random(250)) * time.Millisecond):
 			}
-			i := k.random(3)
-			k.kill(i)
+			i := g.random(3)
+			g.killFrontEnd(i)
 			kills++
-			time.Sleep(time.Duration(k.random(150)) * time.Millisecond)
-			k.begin(i)
-			time.Sleep(50 * time.Millisecond) // one at a time: copies are two
+			time.Sleep(time.Duration(g.random(150)) * time.Millisecond)
+			g.startFrontEnd(i)
+			// At most one front end may be down at a time, since blobs have two copies.
+			time.Sleep(50 * time.Millisecond)
 		}
 	}()
 	reports := make([]*buildtool.Report, 4)
 	var wg sync.WaitGroup
 	for c := range reports {
-		var mine []buildtool.Node
+		var nodes []buildtool.Node
 		for i := range actions {
-			if k.random(2) == 0 {
-				mine = append(mine, node(i))
+			if g.random(2) == 0 {
+				nodes = append(nodes, node(i))
 			}
 		}
 		wg.Go(func() {
-			conn, err := buildtool.Dial(k.addrs, nil, "")
+			conn, err := buildtool.Dial(g.addrs, nil, "")
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer conn.Close() //nolint:errcheck // the build is over
 			b := buildtool.New(conn, "")
-			for len(mine) > 0 { // in several builds, so that clients overlap in time
-				part := mine[:min(len(mine), 5)]
-				mine = mine[len(part):]
+			for len(nodes) > 0 { // in several small builds, so that the clients' builds overlap in time
+				part := nodes[:min(len(nodes), 5)]
+				nodes = nodes[len(part):]
 				r, err := b.Build(ctx, part, nil)
 				if err != nil {
 					t.Errorf("seed %d: client %d: %v", seed, c, err)
@@ -360,12 +371,12 @@
 	}
 	wg.Wait()
 	close(stop)
-	kills := <-over
-	k.wg.Wait()
+	kills := <-killed
+	g.wg.Wait()
 	if t.Failed() {
 		return
 	}
-	time.Sleep(1500 * time.Millisecond) // until the front ends reach each other again
+	time.Sleep(1500 * time.Millisecond) // until the front ends have reconnected to each other
 	outputs := map[string]*repb.Digest{}
 	for c, r := range reports {
 		if r == nil {
@@ -373,12 +384,12 @@
 		}
 		for name, d := range r.Outputs {
 			if outputs[name] != nil && !proto.Equal(outputs[name], d) {
-				t.Errorf("seed %d: client %d got another result of action %s", seed, c, name)
+				t.Errorf("seed %d: client %d got a different result of action %s than another client", seed, c, name)
 			}
 			outputs[name] = d
 		}
 	}
-	for i, addr := range k.addrs {
+	for i, addr := range g.addrs {
 		conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.WaitForReady(true)))
 		if err != nil {
 			t.Fatal(err)
@@ -396,20 +407,20 @@
 		}
 		for name, d := range outputs {
 			if !proto.Equal(r.Outputs[name], d) {
-				t.Errorf("seed %d: front end %d has another result of action %s than a client got", seed, i, name)
+				t.Errorf("seed %d: front end %d has a different result of action %s than the clients got", seed, i, name)
 			}
 			if _, err := b.Read(ctx, d); err != nil {
-				t.Errorf("seed %d: the output of action %s at front end %d: %v", seed, name, i, err)
+				t.Errorf("seed %d: reading the output of action %s at front end %d: %v", seed, name, i, err)
 			}
 			resp, err := repb.NewContentAddressableStorageClient(conn).BatchReadBlobs(ctx, &repb.BatchReadBlobsRequest{InstanceName: "a/b", Digests: []*repb.Digest{d}})
 			if err != nil || codes.Code(resp.Responses[0].Status.GetCode()) != codes.NotFound {
-				t.Errorf("seed %d: the other team reads it: %v %v", seed, resp, err)
+				t.Errorf("seed %d: another team reads the output of action %s: %v, %v; want status NotFound", seed, name, resp, err)
 			}
 		}
 		if r.Cached != len(nodes) {
-			t.Errorf("seed %d: %d of %d actions come from the cache of front end %d", seed, r.Cached, len(nodes), i)
+			t.Errorf("seed %d: %d of %d actions were served from the cache of front end %d, want all", seed, r.Cached, len(nodes), i)
 		}
 	}
-	t.Logf("%d kills of front ends, %d of all controllers, %d responses of theirs lost, %d machines gone for good, %d actions of %d clients, %d runs",
-		kills, k.downs, k.lost, k.gone, len(outputs), len(reports), k.runs)
+	t.Logf("%d front-end kills, %d outages of all controllers, %d lost controller responses, %d lost machines, %d actions of %d clients, %d attempts",
+		kills, g.outages, g.lostResponses, g.lostMachines, len(outputs), len(reports), g.attempts)
 }
--- a/internal/reapi/resultlookup.go
+++ b/internal/reapi/resultlookup.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// lookupInterval is how often peers are asked for awaited results.
+	// lookupInterval is the interval between lookups of awaited results at peers.
 	lookupInterval = 250 * time.Millisecond
-	// maxLookupsPerCall is how many executions are asked about in one call.
+	// maxLookupsPerCall bounds the executions in one call.
 	maxLookupsPerCall = 5000
 )
 
-// resultLookup is an execution whose result is awaited here.
+// resultLookup is the lookup of an awaited execution result at peers.
 type resultLookup struct {
 	instance, execution string
-	waiting             int // calls
-	// found is closed once a peer said that it has the result.
+	waiters             int // number of calls that share the lookup
+	// found is closed once a peer reports that it has the result.
 	found chan struct{}
 }
 
-// startLookup makes peers be asked for a task's result.
+// startLookup starts the lookup of a task's result at peers, or joins one that exists.
 func (f *FrontEnd) startLookup(t *task) *resultLookup {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
@@ -37,21 +37,21 @@
 		lookup = &resultLookup{instance: t.instance, execution: t.entry.Execution, found: make(chan struct{})}
 		f.executions.lookups[key] = lookup
 	}
-	lookup.waiting++
+	lookup.waiters++
 	return lookup
 }
 
-// endLookup ends the lookup for one of the calls that share it.
+// endLookup removes one of the calls that share a lookup. The last one ends the lookup.
 func (f *FrontEnd) endLookup(lookup *resultLookup) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
 	key := lookup.instance + "/" + lookup.execution
-	if lookup.waiting--; lookup.waiting == 0 && f.executions.lookups[key] == lookup {
+	if lookup.waiters--; lookup.waiters == 0 && f.executions.lookups[key] == lookup {
 		delete(f.executions.lookups, key)
 	}
 }
 
-// lookUpAtPeers asks the peers which of the results that are awaited here they have.
+// lookUpAtPeers asks each peer which of the awaited results it has.
 func (f *FrontEnd) lookUpAtPeers(ctx context.Context) {
 	if f.peers == nil {
 		return
@@ -69,17 +69,17 @@
 	}
 }
 
-// lookUpAt asks one peer for results and wakes the calls that wait for those it has. A
-// peer of a version without this call counts as having all: the calls ask it themselves.
+// lookUpAt asks one peer for results and wakes the calls that wait for those it has. If the
+// peer's version does not have this call, all calls are woken and query the peer themselves.
 func (f *FrontEnd) lookUpAt(ctx context.Context, p *peer, instance string, executions []string) {
-	for some := range slices.Chunk(executions, maxLookupsPerCall) {
+	for chunk := range slices.Chunk(executions, maxLookupsPerCall) {
 		var reply *inspection.KnownReply
 		err := p.call(ctx, peerTimeout, func(ctx context.Context) (err error) {
-			reply, err = p.service.Known(ctx, &inspection.KnownRequest{Instance: instance, Executions: some})
+			reply, err = p.service.Known(ctx, &inspection.KnownRequest{Instance: instance, Executions: chunk})
 			return err
 		})
 		if status.Code(err) == codes.Unimplemented {
-			reply, err = &inspection.KnownReply{Executions: some}, nil
+			reply, err = &inspection.KnownReply{Executions: chunk}, nil
 		}
 		if err != nil {
 			f.log.Debug("lookup of results at peer failed", "peer", p.addr, "error", err)
--- a/internal/reapi/startrecord.go
+++ b/internal/reapi/startrecord.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// startRecord says which task an execution became. It is stored like an action result,
-// so that every front end finds a running execution and does not start it again.
+// startRecord maps an execution to its task. It is stored like an action result, so that
+// every front end finds a running execution and does not start it again.
 type startRecord struct {
 	Job   string `json:"job"`
 	Index int    `json:"index"`
@@ -20,17 +20,17 @@
 	Queued int64 `json:"queued,omitempty"`
 }
 
-// saveStartRecord stores which task an execution became, here and at peers.
+// saveStartRecord stores the start record of a task's execution here and at peers.
 func (f *FrontEnd) saveStartRecord(ctx context.Context, t *task, record startRecord) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
 		return err
 	}
-	note, err := anypb.New(wrapperspb.String(string(raw)))
+	packed, err := anypb.New(wrapperspb.String(string(raw)))
 	if err != nil {
 		return err
 	}
-	r := &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{note}}}
+	r := &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{packed}}}
 	body, err := proto.Marshal(r)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// findStartRecord returns which task an execution became, nil if no front end knows.
+// findStartRecord returns the start record of an execution, or nil if no front end has one.
 func (f *FrontEnd) findStartRecord(ctx context.Context, instance, space, execution string) *startRecord {
 	key := startRecordKey(execution)
 	r := f.findResult(ctx, instance, space, key)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// startRecordKey is the key of an execution's start record in the store of results.
+// startRecordKey returns the key of an execution's start record in the result store.
 func startRecordKey(execution string) blobstore.Digest {
 	return blobstore.Of([]byte("started\x00" + execution))
 }
--- a/internal/reapi/submitqueue.go
+++ b/internal/reapi/submitqueue.go
@@ -8,31 +8,34 @@
 	"micaspindle/internal/protocol"
 )
 
-// The cluster runs a team's jobs of one urgency in the order of submission, whoever
-// submitted them. So batches wait here once enough of the team's actions wait for a
-// machine there, and the team's clients take turns (admission.Next). The number of
-// actions that wait in the cluster is what was submitted, less the results received
-// and less what was running at the last status request.
-
-// queueKey identifies jobs that the cluster runs in their order of submission.
+// The cluster runs a team's jobs of one urgency in the order of submission, regardless of the
+// client. For fairness among the team's clients, a front end submits only as many actions as
+// the submission window admits; further batches queue here, and the clients take turns
+// (admission.NextBatch). The number of actions that wait for a machine in the cluster is
+// computed as the submitted actions, less the received results and the tasks that were
+// running at the last status request.
+
+// queueKey identifies the jobs that the cluster runs in the order of their submission.
 type queueKey struct{ space, urgency string }
 
 // submitQueue holds the batches of one key that are ready to be submitted, oldest first.
 type submitQueue struct {
-	ready  []*batch
-	served admission.Meter
+	ready []*batch
+	// completions measures the rate of received results.
+	completions admission.Meter
 }
 
 // submittedJob is a job in the cluster that this front end submitted.
 type submittedJob struct {
 	queue  queueKey
 	client string
-	// unfinished counts the tasks without a result; running counts those of them that
-	// were running at the last status request.
+	// unfinished counts the tasks without a result; running counts those of them that were
+	// running at the last status request, less the results received since.
 	tasks, unfinished, running int
 }
 
-// enqueueBatch queues a batch that gathers no more actions. executions.mu is held.
+// enqueueBatch queues a batch for submission, unless it is queued already. executions.mu must
+// be held.
 func (f *FrontEnd) enqueueBatch(b *batch) {
 	if b.queued {
 		return
@@ -48,27 +51,27 @@
 	f.submitReady(key, time.Now())
 }
 
-// submitReady submits the batches of a queue that the window admits now.
-// executions.mu is held.
+// submitReady submits those batches of a queue that the submission window admits now.
+// executions.mu must be held.
 func (f *FrontEnd) submitReady(key queueKey, now time.Time) {
 	queue := f.executions.queues[key]
 	if queue == nil || len(queue.ready) == 0 {
 		return
 	}
-	ahead, running := f.executions.load(key)
-	window := f.config.Shares.Ahead.Window(queue.served.PerSecond(now), running)
+	outstanding, running := f.executions.load(key)
+	window := f.config.Shares.Ahead.Window(queue.completions.PerSecond(now), running)
 	for len(queue.ready) > 0 {
 		waiting := make([]admission.Batch, len(queue.ready))
 		for i, b := range queue.ready {
 			waiting[i] = admission.Batch{Client: b.client(), Size: len(b.tasks)}
 		}
-		next := admission.NextBatch(window, ahead, waiting)
+		next := admission.NextBatch(window, outstanding, waiting)
 		if next < 0 {
 			return
 		}
 		b := queue.ready[next]
 		queue.ready = append(queue.ready[:next:next], queue.ready[next+1:]...)
-		ahead[b.client()] += len(b.tasks)
+		outstanding[b.client()] += len(b.tasks)
 		if f.executions.batches[b.key] == b {
 			delete(f.executions.batches, b.key)
 		}
@@ -79,25 +82,26 @@
 }
 
 // load returns how many actions of a queue wait for a machine in the cluster, by client,
-// and how many run there. The lock is held.
-func (e *executions) load(key queueKey) (ahead map[string]int, running int) {
-	ahead = map[string]int{}
+// and how many run there. e.mu must be held.
+func (e *executions) load(key queueKey) (outstanding map[string]int, running int) {
+	outstanding = map[string]int{}
 	for _, job := range e.submitted {
 		if job.queue == key {
 			runningTasks := min(job.unfinished, job.running)
-			ahead[job.client] += job.unfinished - runningTasks
+			outstanding[job.client] += job.unfinished - runningTasks
 			running += runningTasks
 		}
 	}
 	for b := range e.submitting {
 		if b.queueKey() == key {
-			ahead[b.client()] += len(b.tasks)
+			outstanding[b.client()] += len(b.tasks)
 		}
 	}
-	return ahead, running
+	return outstanding, running
 }
 
-// trackJob counts the job of a batch that is about to be submitted. executions.mu is held.
+// trackJob adds the job of a batch that is about to be submitted to the submitted jobs.
+// executions.mu must be held.
 func (f *FrontEnd) trackJob(job string, b *batch) {
 	delete(f.executions.submitting, b)
 	if f.executions.submitted[job] == nil {
@@ -105,14 +109,14 @@
 	}
 }
 
-// countResult counts a received result of a job. executions.mu is held.
+// countResult counts a received result of a job. executions.mu must be held.
 func (f *FrontEnd) countResult(id string, now time.Time) {
 	job := f.executions.submitted[id]
 	if job == nil {
 		return
 	}
 	if queue := f.executions.queues[job.queue]; queue != nil {
-		queue.served.Add(now, 1)
+		queue.completions.Add(now, 1)
 	}
 	job.running = max(0, job.running-1)
 	if job.unfinished--; job.unfinished <= 0 {
@@ -121,7 +125,8 @@
 	f.submitReady(job.queue, now)
 }
 
-// updateJob applies a job's status as the controllers report it. executions.mu is held.
+// updateJob updates the counts of a job from the status that the controllers reported.
+// executions.mu must be held.
 func (f *FrontEnd) updateJob(id string, jobStatus protocol.JobStatus) {
 	job := f.executions.submitted[id]
 	if job == nil {
@@ -134,7 +139,8 @@
 	f.submitReady(job.queue, time.Now())
 }
 
-// untrackJob stops counting a job that is not in the cluster. executions.mu is held.
+// untrackJob removes a job that is not in the cluster from the submitted jobs.
+// executions.mu must be held.
 func (f *FrontEnd) untrackJob(id string) {
 	if job := f.executions.submitted[id]; job != nil {
 		delete(f.executions.submitted, id)
@@ -142,8 +148,8 @@
 	}
 }
 
-// abandonTask removes a task that nobody waits for from its batch and reports whether
-// it could: not once the batch is being submitted. executions.mu is held.
+// abandonTask removes a task that no call waits for from its batch and reports whether it did.
+// It fails once the submission of the batch has begun. executions.mu must be held.
 func (f *FrontEnd) abandonTask(t *task) bool {
 	b := t.batch
 	if b == nil || b.submitted {
@@ -168,7 +174,8 @@
 	return true
 }
 
-// without returns a list without one of its elements, in a new array.
+// without returns a copy of a list with one element removed, or the list itself if it does
+// not contain the element.
 func without[T comparable](list []T, element T) []T {
 	if i := slices.Index(list, element); i >= 0 {
 		return append(list[:i:i], list[i+1:]...)
--- a/internal/reapi/submitqueue_test.go
+++ b/internal/reapi/submitqueue_test.go
@@ -14,8 +14,9 @@
 	"micaspindle/internal/protocol"
 )
 
-// execution requests an action and returns with its first response or its context.
-func (b *build) execution(ctx context.Context, action *repb.Digest) (repb.Execution_ExecuteClient, error) {
+// startExecution executes an action and returns once the first response has arrived or ctx has
+// ended.
+func (b *build) startExecution(ctx context.Context, action *repb.Digest) (repb.Execution_ExecuteClient, error) {
 	s, err := repb.NewExecutionClient(b.conn).Execute(ctx, &repb.ExecuteRequest{ActionDigest: action})
 	if err != nil {
 		return nil, err
@@ -24,6 +25,7 @@
 	return s, err
 }
 
+// manyActions uploads n actions.
 func manyActions(b *build, name string, n int) (out []*repb.Digest) {
 	for i := range n {
 		out = append(out, b.action(fmt.Sprint(name, i)))
@@ -31,9 +33,9 @@
 	return out
 }
 
-// One client submits many actions. The job of another client of the team that comes later
-// is submitted before all but a window of these. Actions that the first client cancels
-// meanwhile are never submitted.
+// Clients of a team take turns: when one client floods the front end with actions, only a
+// window of them is submitted before the job of a client that arrives later. Actions that are
+// cancelled while they wait must not be submitted.
 func TestClientsOfTeamTakeTurns(t *testing.T) {
 	config := oneTeam
 	config.GatherMost = 10
@@ -44,11 +46,11 @@
 	config.Shares = Shares{Waiting: ledger, Ahead: admission.HandoffLimits{Min: 30, MaxDuration: time.Second}}
 	b, f, jobs := startExecuting(t, config)
 	anna, bert := b.as("Bearer anna"), b.as("Bearer bert")
-	flood, end := context.WithCancel(anna.ctx)
-	defer end()
+	floodCtx, cancelFlood := context.WithCancel(anna.ctx)
+	defer cancelFlood()
 	var wg sync.WaitGroup
 	for _, a := range manyActions(anna, "anna", 200) {
-		wg.Go(func() { _, _ = anna.execution(flood, a) })
+		wg.Go(func() { _, _ = anna.startExecution(floodCtx, a) })
 	}
 	next := func() *protocol.Submission {
 		t.Helper()
@@ -56,19 +58,19 @@
 		case s := <-jobs.submitted:
 			return s
 		case <-time.After(5 * time.Second):
-			t.Fatal("no job comes")
+			t.Fatal("no job was submitted within 5 s")
 			return nil
 		}
 	}
-	quiet := func() {
+	expectNoJob := func() {
 		t.Helper()
 		select {
 		case s := <-jobs.submitted:
-			t.Fatalf("a job of %d tasks comes", *s.Tasks)
+			t.Fatalf("unexpected submission of a job of %d tasks", *s.Tasks)
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
-	// Batches may be small on a slow machine: the window is of tasks.
+	// The window counts tasks; on a slow machine it may take several small batches to fill it.
 	sum := *next().Tasks
 	for waiting := true; waiting; {
 		select {
@@ -79,47 +81,47 @@
 		}
 	}
 	if sum <= 20 || sum > 30 {
-		t.Fatalf("%d tasks are ahead of 30 that may be", sum)
+		t.Fatalf("%d tasks were submitted, want more than 20 and at most the window of 30", sum)
 	}
 	own := bert.action("bert")
-	if _, err := bert.execution(bert.ctx, own); err != nil {
+	if _, err := bert.startExecution(bert.ctx, own); err != nil {
 		t.Fatal(err)
 	}
 	if s := next(); *s.Tasks != 1 {
-		t.Errorf("a job of %d tasks instead", *s.Tasks)
+		t.Errorf("a job of %d tasks was submitted, want the single task of the second client", *s.Tasks)
 	}
-	quiet()
-	// The second client's result admits no action of the first.
+	expectNoJob()
+	// The second client's result makes no room for further actions of the first.
 	f.result(t, own)
 	if held := ledger.Held()["red"]; held != float64(200-sum) {
-		t.Errorf("%v actions wait, %d are submitted", held, sum)
+		t.Errorf("%v actions wait at the front end, want %d: 200 less %d submitted", held, 200-sum, sum)
 	}
-	end()
+	cancelFlood()
 	wg.Wait()
 	for deadline := time.Now().Add(5 * time.Second); ledger.Held()["red"] > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%v actions that nobody waits for occupy the queue", ledger.Held()["red"])
+			t.Fatalf("%v cancelled actions are still counted as waiting", ledger.Held()["red"])
 		}
 	}
-	quiet()
+	expectNoJob()
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
 	if len(f.executions.batches) > 0 || len(f.executions.running) > int(sum)+1 {
-		t.Errorf("%d batches and %d tasks are left", len(f.executions.batches), len(f.executions.running))
+		t.Errorf("%d batches and %d tasks are left after the cancellation, want none and at most %d", len(f.executions.batches), len(f.executions.running), sum+1)
 	}
 }
 
-// Received results and running tasks both admit further actions.
+// Both running tasks and received results make room for further actions in the window.
 func TestSubmissionWindow(t *testing.T) {
 	config := oneTeam
-	config.GatherMost, config.GatherFor = 10, time.Hour // batches are full, however slow the machine
+	config.GatherMost, config.GatherFor = 10, time.Hour // batches are submitted only when full, even on a slow machine
 	config.Shares.Ahead = admission.HandoffLimits{Min: 10, MaxDuration: time.Millisecond}
 	b, f, jobs := startExecuting(t, config)
 	b = b.as("Bearer anna")
 	actions := manyActions(b, "a", 40)
 	for _, a := range actions {
 		go func() {
-			s, err := b.execution(b.ctx, a)
+			s, err := b.startExecution(b.ctx, a)
 			for err == nil {
 				_, err = s.Recv()
 			}
@@ -128,19 +130,19 @@
 	s := <-jobs.submitted
 	select {
 	case <-jobs.submitted:
-		t.Fatal("the window is passed over")
+		t.Fatal("a second job was submitted although the window was full")
 	case <-time.After(300 * time.Millisecond):
 	}
-	// All tasks of the job run, as its status shows within two seconds.
+	// All tasks of the job start to run, which the next status request shows.
 	jobs.mu.Lock()
 	jobs.runs = map[string]int{*s.ID: 10}
 	jobs.mu.Unlock()
 	select {
 	case s = <-jobs.submitted:
 	case <-time.After(2*statusInterval + time.Second):
-		t.Fatal("what runs is no room")
+		t.Fatal("no job was submitted after the tasks of the first had started to run")
 	}
-	// Its results arrive.
+	// The results of the second job arrive.
 	raw, err := f.store.Read(manifestKey(t, s), maxTreeNode)
 	if err != nil {
 		t.Fatal(err)
@@ -157,15 +159,15 @@
 	select {
 	case <-jobs.submitted:
 	case <-time.After(5 * time.Second):
-		t.Fatal("what is served is no room")
+		t.Fatal("no job was submitted after the results of the second had arrived")
 	}
 }
 
-// However many calls wait for a job's tasks, its status is requested once per interval.
+// The status of a job is requested once per interval, however many calls wait for its tasks.
 func TestStatusIsRequestedOnce(t *testing.T) {
 	b, _, jobs := startExecuting(t, oneTeam)
 	b = b.as("Bearer anna")
-	if _, err := b.execution(b.ctx, b.action("alone")); err != nil {
+	if _, err := b.startExecution(b.ctx, b.action("alone")); err != nil {
 		t.Fatal(err)
 	}
 	started := time.Now()
@@ -173,7 +175,7 @@
 	a := b.action("shared")
 	for range 200 {
 		wg.Go(func() {
-			if _, err := b.execution(b.ctx, a); err != nil {
+			if _, err := b.startExecution(b.ctx, a); err != nil {
 				t.Error(err)
 			}
 		})
@@ -182,14 +184,14 @@
 	time.Sleep(2*statusInterval + statusInterval/2)
 	jobs.mu.Lock()
 	defer jobs.mu.Unlock()
-	asked := 0
+	requests := 0
 	for _, c := range jobs.calls {
 		if c == "status as Bearer anna" {
-			asked++
+			requests++
 		}
 	}
-	if most := 2 * (int(time.Since(started)/statusInterval) + 1); asked == 0 || asked > most {
-		t.Errorf("asked %d times for two jobs, at most %d", asked, most)
+	if most := 2 * (int(time.Since(started)/statusInterval) + 1); requests == 0 || requests > most {
+		t.Errorf("%d status requests for two jobs, want between 1 and %d", requests, most)
 	}
 }
 
@@ -198,13 +200,13 @@
 	t.Helper()
 	d, _, ok := ParseImage(*s.Image)
 	if !ok {
-		t.Fatalf("%q names no manifest", *s.Image)
+		t.Fatalf("image %q does not name a manifest", *s.Image)
 	}
 	return blobstore.Key{Space: "red", Digest: d}
 }
 
-// A client that waits at a front end without a copy of the result gets it soon: the peer is
-// asked, in one call for all executions.
+// A client that waits at a front end without a copy of the result soon gets it from a peer. One
+// call to the peer looks up the results of all executions.
 func TestLookupOfPeerResults(t *testing.T) {
 	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
 	s := startGroupWith(t, 2, 1, jobs)
@@ -218,7 +220,7 @@
 	var waits []repb.Execution_ExecuteClient
 	actions := manyActions(b, "a", n)
 	for _, a := range actions {
-		w, err := b.execution(b.ctx, a)
+		w, err := b.startExecution(b.ctx, a)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,11 +242,11 @@
 		}
 	}
 	if took := time.Since(started); took > 3*time.Second {
-		t.Errorf("found after %s", took)
+		t.Errorf("the results of %d executions at the peer were found after %s, want at most 3s", n, took)
 	}
 	s.frontEnds[1].executions.mu.Lock()
 	defer s.frontEnds[1].executions.mu.Unlock()
 	if len(s.frontEnds[1].executions.lookups) > 0 {
-		t.Errorf("%d lookups are left", len(s.frontEnds[1].executions.lookups))
+		t.Errorf("%d lookups are left, want none", len(s.frontEnds[1].executions.lookups))
 	}
 }
