--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -100,7 +100,7 @@
 			})
 			if err != nil {
 				f.log.Debug("renewal of interest leases failed", "peer", p.addr, "error", err)
-				break // the next renewal skips this peer if its circuit is open
+				break // the next renewal skips this peer if its circuit breaker is open
 			}
 		}
 	}
--- a/internal/reapi/replication.go
+++ b/internal/reapi/replication.go
@@ -167,7 +167,7 @@
 // only the 1st, 2nd, 4th, 8th and so on.
 func (f *FrontEnd) countUnderReplicated(copies int) {
 	if total := f.peers.UnderReplicated.Add(1); total&(total-1) == 0 {
-		f.log.Warn("blobs under-replicated", "count", total, "copies", copies, "wanted", f.peers.Copies)
+		f.log.Warn("under-replicated blobs", "count", total, "copies", copies, "wanted", f.peers.Copies)
 	}
 }
 
--- a/internal/reapi/waiting_test.go
+++ b/internal/reapi/waiting_test.go
@@ -59,7 +59,7 @@
 // Command: GATE_THROUGHPUT=1 go test -run TestSmallActions -v ./internal/reapi
 func TestSmallActions(t *testing.T) {
 	if os.Getenv("GATE_THROUGHPUT") == "" {
-		t.Skip("measurement skipped; set GATE_THROUGHPUT=1 to run it")
+		t.Skip("a measurement; set GATE_THROUGHPUT=1")
 	}
 	run := func(b *build, action *repb.Digest) {
 		s, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{ActionDigest: action})
@@ -92,7 +92,7 @@
 	slices.Sort(delays)
 	t.Logf("added delay of one small action: p50 %s, max %s, of which batching takes %s", delays[20].Round(time.Millisecond),
 		delays[39].Round(time.Millisecond), oneTeam.GatherFor)
-	const transactions, clients = 20, 400 // transactions per second
+	const transactions, clients = 20, 400 // transactions are per second
 	actionsPerSecond := func(maxActions int) float64 {
 		config := oneTeam
 		config.GatherMost = maxActions
