--- a/cmd/micaspindle-reapi/authentication.go
+++ b/cmd/micaspindle-reapi/authentication.go
@@ -17,28 +17,30 @@
 	"micaspindle/internal/reapi"
 )
 
-// protocolHTTP2 is what gRPC negotiates in the TLS handshake.
+// protocolHTTP2 is the ALPN protocol name that gRPC negotiates in the TLS handshake.
 const protocolHTTP2 = "h2"
 
-// authentication says who callers are, what they may do, and how this front end proves itself
-// to controllers and other front ends.
+// authentication identifies callers and decides what they may do. It also holds the credentials
+// of this front end for controllers and other front ends.
 type authentication struct {
-	access          reapi.Access
-	controllers     *client.Client
-	serverOptions   []grpc.ServerOption
+	access        reapi.Access
+	controllers   *client.Client
+	serverOptions []grpc.ServerOption
+	// peerCredentials returns the credentials for connections to the front end with a name.
 	peerCredentials func(name string) credentials.TransportCredentials
-	isPeer          func(ctx context.Context) bool
-	isWorker        func(ctx context.Context) bool
-	certified       func(ctx context.Context) string
+	// isPeer, isWorker and certified are those of reapi.Config.
+	isPeer    func(ctx context.Context) bool
+	isWorker  func(ctx context.Context) bool
+	certified func(ctx context.Context) string
 }
 
-// apply tells the service how callers are recognized.
+// apply sets the functions by which the service identifies callers.
 func (a *authentication) apply(config *reapi.Config) {
 	config.IsPeer, config.IsWorker, config.Certified = a.isPeer, a.isWorker, a.certified
 }
 
-// authenticate sets up authentication as the settings want it.
-func authenticate(ctx context.Context, s *settings, log *slog.Logger) (*authentication, error) {
+// newAuthentication sets up authentication according to the settings.
+func newAuthentication(ctx context.Context, s *settings, log *slog.Logger) (*authentication, error) {
 	if s.Identity == nil {
 		return unauthenticated(s), nil
 	}
@@ -63,22 +65,22 @@
 	}, nil
 }
 
-// unauthenticated believes every caller and encrypts nothing.
+// unauthenticated trusts every caller and uses unencrypted connections.
 func unauthenticated(s *settings) *authentication {
-	believe := func(context.Context) bool { return true }
+	trust := func(context.Context) bool { return true }
 	a := &authentication{
 		access:          reapi.OpenAccess{},
 		controllers:     client.New(s.Controllers, nil, ""),
 		peerCredentials: func(string) credentials.TransportCredentials { return insecure.NewCredentials() },
-		isWorker:        believe,
+		isWorker:        trust,
 	}
 	if len(s.Peers) > 0 {
-		a.isPeer = believe
+		a.isPeer = trust
 	}
 	return a
 }
 
-// serverCredentials take the latest certificates for each new connection.
+// serverCredentials returns credentials that use the latest certificates for each new connection.
 func serverCredentials(keys *identity.Keyring) credentials.TransportCredentials {
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -91,16 +93,17 @@
 	})
 }
 
-// peerCredentials accept the front end with a name only. The certificate of a new connection is
-// the latest.
+// peerCredentials returns credentials that accept only the front end whose certificate has the name. Each new
+// connection uses the latest certificate.
 func peerCredentials(keys *identity.Keyring, name string) credentials.TransportCredentials {
 	return credentials.NewTLS(keys.ClientConfig(func(n identity.Name) bool { return n.String() == name }))
 }
 
-// isController says whether a name is that of a controller.
+// isController reports whether a name is that of a controller.
 func isController(n identity.Name) bool { return n.Kind == identity.Controller }
 
-// peerCheck says whether a call's certificate is that of another front end.
+// peerCheck returns a function that reports whether a call's certificate is that of another front
+// end.
 func peerCheck(peers map[string]string) func(ctx context.Context) bool {
 	names := map[string]bool{}
 	for _, name := range peers {
@@ -109,12 +112,13 @@
 	return func(ctx context.Context) bool { return names[certifiedName(ctx)] }
 }
 
-// isWorker says whether a call's certificate is that of a worker.
+// isWorker reports whether a call's certificate is that of a worker.
 func isWorker(ctx context.Context) bool {
 	return strings.HasPrefix(certifiedName(ctx), string(identity.Worker)+"/")
 }
 
-// certifiedCaller is the name in a call's certificate if it may call for itself.
+// certifiedCaller returns the name in a call's certificate if it is a person or a service, otherwise
+// the empty string.
 func certifiedCaller(ctx context.Context) string {
 	name, err := identity.ParseName(certifiedName(ctx))
 	if err != nil || !name.Caller() {
@@ -123,7 +127,8 @@
 	return name.String()
 }
 
-// certifiedName is the name in the certificate of a call's connection, empty if there is none.
+// certifiedName returns the name in the client certificate of a call's connection, or the empty
+// string if there is no valid one.
 func certifiedName(ctx context.Context) string {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/cmd/micaspindle-reapi/golden_test.go
+++ b/cmd/micaspindle-reapi/golden_test.go
@@ -9,7 +9,7 @@
 	"micaspindle/internal/golden"
 )
 
-// The gate's settings stay as operators write them.
+// The settings file keeps the format that operators write.
 func TestGoldenSettings(t *testing.T) {
 	want := golden.Fill(&settings{})
 	text, err := yaml.Marshal(want)
@@ -18,6 +18,6 @@
 	}
 	got, stored := &settings{}, golden.Text(t, "gate.yaml", string(text))
 	if err := yaml.Unmarshal([]byte(stored), got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v (%v), want %+v", got, err, want)
+		t.Errorf("settings of the golden file: %+v, error %v; want %+v", got, err, want)
 	}
 }
--- a/cmd/micaspindle-reapi/main.go
+++ b/cmd/micaspindle-reapi/main.go
@@ -1,5 +1,5 @@
-// Command micaspindle-reapi is a front end for build tools: it serves the Remote Execution API,
-// for the queues that the controllers let its clients use.
+// Command micaspindle-reapi is a front end for build tools. It serves the Remote Execution API and
+// runs build actions as jobs of the cluster. Controllers decide which queues a client may use.
 package main
 
 import (
@@ -20,22 +20,22 @@
 	Check  bool   `help:"Validate the settings and exit."`
 }
 
-// Help shows examples.
+// Help returns examples and the exit codes.
 func (cli) Help() string {
 	return "Examples:\n  micaspindle-reapi --config deploy/gate.yaml --check\n  micaspindle-reapi --config /etc/micaspindle/gate.yaml\n\n" +
 		"Exit codes: 0 stopped by a signal, 1 serving failed, 2 invalid arguments or settings."
 }
 
-// The exit codes.
+// Exit codes of the process.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// usageError marks a mistake of the caller; it ends the process with exitUsage.
+// usageError marks invalid arguments or settings, for which the process exits with exitUsage.
 type usageError struct{ error }
 
-// exitCode is the exit code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	if errors.As(err, new(usageError)) {
 		return exitUsage
@@ -63,7 +63,8 @@
 	return serve(ctx, s, slog.New(handler))
 }
 
-// logLevel is that of the variable LOG_LEVEL; info, if it is not set or no level.
+// logLevel returns the level that the environment variable LOG_LEVEL names, or info if it is unset
+// or not a level.
 func logLevel() slog.Level {
 	level := slog.LevelInfo
 	if text := os.Getenv("LOG_LEVEL"); text != "" {
--- a/cmd/micaspindle-reapi/main_test.go
+++ b/cmd/micaspindle-reapi/main_test.go
@@ -21,61 +21,63 @@
 	"micaspindle/internal/blobstore"
 )
 
-// program builds this program.
-func program(t *testing.T) string {
+// buildProgram builds micaspindle-reapi and returns the path of the executable.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "micaspindle-reapi")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("go build: %v\n%s", err, out)
 	}
 	return path
 }
 
+// The example settings are valid, and invalid settings are refused with an error that names the
+// setting.
 func TestSettings(t *testing.T) {
 	if _, err := load(filepath.Join("..", "..", "deploy", "gate.yaml")); err != nil {
-		t.Errorf("the shipped settings: %v", err)
+		t.Errorf("the example settings are refused: %v", err)
 	}
 	const good = "listen: 127.0.0.1:1\ninstances: {\"\": red}\nstore: {dir: /tmp/x}\n"
 	file := filepath.Join(t.TempDir(), "gate.yaml")
 	for name, tc := range map[string]struct{ text, want string }{
-		"good":              {good, ""},
-		"unknown name":      {good + "port: 3\n", "port"},
+		"valid":             {good, ""},
+		"unknown key":       {good + "port: 3\n", "port"},
 		"no address":        {"instances: {a: b}\nstore: {dir: x}\n", "listen"},
 		"no instance":       {"listen: 127.0.0.1:1\nstore: {dir: x}\n", "instances"},
 		"no folder":         {"listen: 127.0.0.1:1\ninstances: {a: b}\n", "store.dir"},
 		"no team":           {"listen: 127.0.0.1:1\ninstances: {a: \"\"}\nstore: {dir: x}\n", "no team"},
-		"half identities":   {good + "identity: {own: x, roots: y}\n", "controllers"},
-		"nobody to ask":     {good + "execute: true\n", "controllers"},
+		"identity alone":    {good + "identity: {own: x, roots: y}\n", "controllers"},
+		"no controllers":    {good + "execute: true\n", "controllers"},
 		"no roots":          {good + "controllers: [127.0.0.1:2]\nidentity: {own: x}\n", "own and roots"},
 		"bad controller":    {good + "controllers: [x]\n", "controllers"},
-		"blob over store":   {strings.Replace(good, "/tmp/x", "x, max_gb: 1, max_blob_mb: 2000", 1), "must fit the store"},
-		"copies":            {good + "copies: 2\n", "copies"},
+		"blob above store":  {strings.Replace(good, "/tmp/x", "x, max_gb: 1, max_blob_mb: 2000", 1), "must fit the store"},
+		"few peers":         {good + "copies: 2\n", "copies"},
 		"bad peer":          {good + "peers: {x: service/a}\n", "peers"},
-		"empty":             {"", "listen"},
+		"empty file":        {"", "listen"},
 		"shares":            {good + "shares: {weights: {red: 2.5}, bytes_per_second: 1e8, calls: 0}\n", ""},
-		"no such team":      {good + "shares: {weights: {blue: 1}}\n", "weights.blue"},
-		"no weight":         {good + "shares: {weights: {red: -1}}\n", "weights.red"},
+		"unknown team":      {good + "shares: {weights: {blue: 1}}\n", "weights.blue"},
+		"negative weight":   {good + "shares: {weights: {red: -1}}\n", "weights.red"},
 		"no actions":        {good + "shares: {actions: 0}\n", "actions"},
-		"client over all":   {good + "shares: {actions: 10, actions_client: 11}\n", "actions_client"},
-		"quota over all":    {good + "shares: {store_quota: 1.5}\n", "store_quota"},
-		"no rate":           {good + "shares: {bytes_per_second: .nan}\n", "bytes_per_second"},
-		"no pace":           {good + "repair: {bytes_per_second: 0}\n", "repair: bytes_per_second"},
+		"client above all":  {good + "shares: {actions: 10, actions_client: 11}\n", "actions_client"},
+		"quota above 1":     {good + "shares: {store_quota: 1.5}\n", "store_quota"},
+		"NaN rate":          {good + "shares: {bytes_per_second: .nan}\n", "bytes_per_second"},
+		"no repair rate":    {good + "repair: {bytes_per_second: 0}\n", "repair: bytes_per_second"},
 		"peers and no self": {strings.Replace(good, "127.0.0.1:1", "0.0.0.0:1", 1) + "peers: {127.0.0.1:2: service/a}\n", "self"},
-		"no gathering":      {good + "gather: {most: 0}\n", "gather"},
-		"too often":         {good + "repair: {every: 1ms}\n", "repair: every"},
-		"below 0":           {good + "shares: {queue: -1}\n", "queue"},
+		"empty batches":     {good + "gather: {most: 0}\n", "gather"},
+		"short interval":    {good + "repair: {every: 1ms}\n", "repair: every"},
+		"negative queue":    {good + "shares: {queue: -1}\n", "queue"},
 	} {
 		if err := os.WriteFile(file, []byte(tc.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := load(file)
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: %v, want %q", name, err, tc.want)
+			t.Errorf("%s: got error %v, want one that contains %q, or none if that is empty", name, err, tc.want)
 		}
 	}
 }
 
-// frontend is a running front end of one team, "red", with a client.
+// frontend is a front end that serves one team, "red", with a connected client.
 type frontend struct {
 	t        *testing.T
 	program  string
@@ -86,10 +88,11 @@
 	stream   bytestream.ByteStreamClient
 }
 
-// newFrontend builds the program, writes settings and connects a client; nothing runs yet.
+// newFrontend builds the program, writes its settings and creates a client. It does not start the
+// front end.
 func newFrontend(t *testing.T) *frontend {
 	t.Helper()
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +124,7 @@
 	}
 }
 
-// kill ends the front end without a chance to clean up.
+// kill ends the front end with SIGKILL, so that it can't clean up.
 func (f *frontend) kill() {
 	f.t.Helper()
 	if err := f.process.Process.Kill(); err != nil {
@@ -136,12 +139,13 @@
 	digest := digestOf(data)
 	resp, err := f.cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: digest, Data: data}}})
 	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
-		f.t.Fatalf("%v %v", resp, err)
+		f.t.Fatalf("upload of a small blob: response %v, error %v", resp, err)
 	}
 	return digest
 }
 
-// upload streams a blob up to a length; without an answer if that is not all of it.
+// upload streams the first upTo bytes of a blob. If that is not the whole blob, it abandons the
+// upload and returns nil.
 func (f *frontend) upload(ctx context.Context, name string, blob []byte, upTo int) (*bytestream.WriteResponse, error) {
 	const chunk = 1 << 20
 	w, err := f.stream.Write(ctx)
@@ -155,27 +159,27 @@
 		}
 	}
 	if upTo < len(blob) {
-		return nil, nil // left in the middle
+		return nil, nil // abandoned
 	}
 	return w.CloseAndRecv()
 }
 
-// digestOf is the digest of a blob as clients send it.
+// digestOf returns the digest of a blob as clients send it.
 func digestOf(blob []byte) *repb.Digest {
 	d := blobstore.Of(blob)
 	return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size}
 }
 
-// random is a blob of a size.
-func random(size int) []byte {
+// randomBlob returns a random blob of the size.
+func randomBlob(size int) []byte {
 	blob := make([]byte, size)
 	_, _ = rand.Read(blob)
 	return blob
 }
 
-// The front end is killed in the middle of an upload and started again: what was
-// answered is there, what was not is missing, and the client can go on.
-func TestKilledInTheMiddle(t *testing.T) {
+// After a kill during an upload and a restart, the front end still has all acknowledged blobs,
+// reports the interrupted one as missing, and lets the client resume its upload.
+func TestUploadResumesAfterAKill(t *testing.T) {
 	f := newFrontend(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -183,9 +187,9 @@
 	defer func() { _ = f.process.Process.Kill(); _ = f.process.Wait() }()
 	var stored []*repb.Digest
 	for i := range 10 {
-		stored = append(stored, f.put(ctx, random(1000+i*10_000)))
+		stored = append(stored, f.put(ctx, randomBlob(1000+i*10_000)))
 	}
-	large := random(20 << 20)
+	large := randomBlob(20 << 20)
 	digest := digestOf(large)
 	name := "uploads/1/blobs/" + blobstore.Of(large).String()
 	if _, err := f.upload(ctx, name, large, 10<<20); err != nil {
@@ -194,24 +198,24 @@
 	time.Sleep(200 * time.Millisecond)
 	f.kill()
 	f.start()
-	miss, err := f.cas.FindMissingBlobs(ctx, &repb.FindMissingBlobsRequest{BlobDigests: append(stored, digest)})
-	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != digest.Hash {
-		t.Fatalf("%v %v", miss, err)
+	missing, err := f.cas.FindMissingBlobs(ctx, &repb.FindMissingBlobsRequest{BlobDigests: append(stored, digest)})
+	if err != nil || len(missing.MissingBlobDigests) != 1 || missing.MissingBlobDigests[0].Hash != digest.Hash {
+		t.Fatalf("missing blobs after the restart: %v, error %v; want only the interrupted upload", missing, err)
 	}
 	status, err := f.stream.QueryWriteStatus(ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 	if err != nil || status.CommittedSize <= 0 || status.CommittedSize >= digest.SizeBytes || status.Complete {
-		t.Errorf("%v %v", status, err)
+		t.Errorf("status of the interrupted upload: %v, error %v; want it incomplete, with a part committed", status, err)
 	}
 	if resp, err := f.upload(ctx, name, large, len(large)); err != nil || resp.CommittedSize != digest.SizeBytes {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("resumed upload: response %v, error %v; want %d bytes committed", resp, err, digest.SizeBytes)
 	}
 	if err := f.process.Process.Signal(os.Interrupt); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.process.Wait(); err != nil {
-		t.Errorf("after a signal: %v", err)
+		t.Errorf("exit after an interrupt: %v, want success", err)
 	}
 	if log := f.log.String(); !strings.Contains(log, "kept=1") || !strings.Contains(log, "stopped") {
-		t.Errorf("the log: %s", log)
+		t.Errorf("the log lacks \"kept=1\" or \"stopped\": %s", log)
 	}
 }
--- a/cmd/micaspindle-reapi/serve.go
+++ b/cmd/micaspindle-reapi/serve.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/reapi"
 )
 
-// drainTimeout is how long calls in progress may take to complete after a signal.
+// drainTimeout is how long calls in progress may take to complete after a shutdown signal.
 const drainTimeout = 5 * time.Second
 
 // serve runs the front end until ctx ends.
@@ -24,7 +24,7 @@
 		return err
 	}
 	defer store.Close() //nolint:errcheck // the process ends
-	results, err := blobstore.OpenResults(filepath.Join(s.Store.Dir, "results"), s.Store.Results)
+	results, err := blobstore.OpenResults(filepath.Join(s.Store.Dir, "results"), s.Store.MaxResults)
 	if err != nil {
 		return usageError{err}
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	auth, err := authenticate(ctx, s, log)
+	auth, err := newAuthentication(ctx, s, log)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	service := reapi.New(*config, store, results, auth.access, reapi.NewPeers(s.Copies, peers, log), jobsOf(s, auth), log)
+	service := reapi.New(*config, store, results, auth.access, reapi.NewPeers(s.Copies, peers, log), jobSubmitter(s, auth), log)
 	server := service.Server(auth.serverOptions...)
 	go service.Sweep(ctx, reapi.DefaultLinger)
 	repairer, err := service.Repair(s.repair(), filepath.Join(s.Store.Dir, "repair.json"), log)
@@ -54,7 +54,7 @@
 		return usageError{err}
 	}
 	go repairer.Run(ctx)
-	go stopAtEnd(ctx, server)
+	go stopOnShutdown(ctx, server)
 	log.Info("serving", "addr", listener.Addr().String(), "identities", s.Identity != nil)
 	if err := server.Serve(listener); err != nil {
 		return fmt.Errorf("serve: %w", err)
@@ -64,25 +64,25 @@
 	return nil
 }
 
-// openStore opens the content-addressed store, which is divided into quotas of teams.
+// openStore opens the content-addressed store, with a quota for each team.
 func openStore(s *settings, log *slog.Logger) (*blobstore.Store, error) {
 	options := blobstore.Options{
 		MaxBytes:  s.Store.maxBytes(),
 		MaxBlob:   s.Store.maxBlobBytes(),
-		Retention: s.Store.Promise,
+		Retention: s.Store.Retention,
 		Quotas:    s.Shares.quotas(s.Store.maxBytes(), s.teams()),
 	}
-	store, found, err := blobstore.Open(filepath.Join(s.Store.Dir, "content"), options)
+	store, recovered, err := blobstore.Open(filepath.Join(s.Store.Dir, "content"), options)
 	if err != nil {
 		return nil, usageError{err}
 	}
-	log.Info("content store opened", "blobs", found.Blobs, "bytes", found.Bytes, "torn", found.Incomplete, "kept", found.Interrupted)
+	log.Info("content store opened", "blobs", recovered.Blobs, "bytes", recovered.Bytes, "torn", recovered.Incomplete, "kept", recovered.Interrupted)
 	return store, nil
 }
 
-// serviceConfig is the configuration of the service, but for authentication.
+// serviceConfig returns the configuration of the service without authentication.
 func serviceConfig(s *settings) (*reapi.Config, error) {
-	shares, err := s.Shares.open(s.teams())
+	shares, err := s.Shares.newShares(s.teams())
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -93,21 +93,21 @@
 		MaxBlob:       s.Store.maxBlobBytes(),
 		Self:          s.Self,
 		Grace:         s.Repair.Grace,
-		GatherFor:     s.Gather.For,
-		GatherMost:    s.Gather.Most,
+		GatherFor:     s.Batching.MaxWait,
+		GatherMost:    s.Batching.MaxActions,
 		Shares:        shares,
 	}, nil
 }
 
-// jobsOf is where actions are submitted as jobs; nil if they are not run.
-func jobsOf(s *settings, auth *authentication) reapi.Jobs {
+// jobSubmitter returns the client that submits actions as jobs, or nil if actions are not executed.
+func jobSubmitter(s *settings, auth *authentication) reapi.Jobs {
 	if !s.Execute {
 		return nil
 	}
 	return reapi.Controllers{Client: auth.controllers}
 }
 
-// dialPeers opens connections to the other front ends, and returns what closes them.
+// dialPeers connects to the other front ends. closeAll closes the connections, also after an error.
 func dialPeers(s *settings, auth *authentication) (conns map[string]*grpc.ClientConn, closeAll func(), err error) {
 	conns = map[string]*grpc.ClientConn{}
 	closeAll = func() {
@@ -125,9 +125,9 @@
 	return conns, closeAll, nil
 }
 
-// stopAtEnd stops the server once ctx ends: calls in progress may complete within drainTimeout,
-// then they are cancelled.
-func stopAtEnd(ctx context.Context, server *grpc.Server) {
+// stopOnShutdown stops the server once ctx ends. Calls in progress may complete within drainTimeout
+// and are cancelled after it.
+func stopOnShutdown(ctx context.Context, server *grpc.Server) {
 	<-ctx.Done()
 	timer := time.AfterFunc(drainTimeout, server.Stop)
 	defer timer.Stop()
--- a/cmd/micaspindle-reapi/settings.go
+++ b/cmd/micaspindle-reapi/settings.go
@@ -19,64 +19,67 @@
 // settings is the operators' settings file.
 type settings struct {
 	Listen string `yaml:"listen"`
-	// Controllers decide what a client may do; none: every client may do everything.
+	// Controllers are the addresses of the controllers, which decide what clients may do and
+	// accept actions as jobs.
 	Controllers []string `yaml:"controllers"`
-	// Identity turns authentication on; nil: connections are not encrypted.
+	// Identity turns authentication on. If it is nil, every client may do everything and
+	// connections are not encrypted.
 	Identity *identitySettings `yaml:"identity"`
 	// Class is the job class of build actions.
 	Class string `yaml:"class"`
 	// Instances maps instance names of build tools to teams.
 	Instances map[string]string `yaml:"instances"`
-	// ClientResults lets clients that may submit write action results.
+	// ClientResults lets clients with the right to submit write action results.
 	ClientResults bool `yaml:"client_results"`
 	// Execute runs actions as jobs of the cluster.
 	Execute bool `yaml:"execute"`
-	// Peers are the other front ends, by address; with identities, each with the name in its
-	// certificate.
+	// Peers maps the addresses of the other front ends to the names in their certificates. The
+	// names are used only with Identity.
 	Peers map[string]string `yaml:"peers"`
 	// Copies is how many front ends hold each blob.
 	Copies int `yaml:"copies"`
-	// Self is the address under which the other front ends know this one; default: Listen.
+	// Self is the address at which the other front ends reach this one; default: Listen.
 	Self string `yaml:"self"`
-	// Gather bounds how actions are batched into array jobs.
-	Gather batchSettings `yaml:"gather"`
+	// Batching limits how actions are batched into array jobs.
+	Batching batchSettings `yaml:"gather"`
 	// Shares are the resources that teams share by weight.
 	Shares sharingSettings `yaml:"shares"`
-	// Repair bounds the verification and re-replication of stored blobs.
+	// Repair limits the verification and re-replication of stored blobs.
 	Repair repairSettings `yaml:"repair"`
 	// Store is the content-addressed store on disk.
 	Store storeSettings `yaml:"store"`
 }
 
-// identitySettings name the files that prove who this front end is and whom it trusts.
+// identitySettings names the files with this front end's certificate and key (Own) and with the CA
+// certificates that it trusts (Roots).
 type identitySettings struct {
 	Own   string `yaml:"own"`
 	Roots string `yaml:"roots"`
 }
 
-// batchSettings bound how long an action waits for others to share a job with, and how many
-// actions a job has.
+// batchSettings limits how long an action waits for others to form a job with, and how many actions
+// a job has.
 type batchSettings struct {
-	For  time.Duration `yaml:"for"`
-	Most int           `yaml:"most"`
+	MaxWait    time.Duration `yaml:"for"`
+	MaxActions int           `yaml:"most"`
 }
 
-// repairSettings bound the rate of repairs, the pause between passes, and how long a peer may
-// be unreachable before its blobs are replicated anew.
+// repairSettings limits repairs: their rate, the pause between passes (Interval), and how long a peer
+// may be unreachable before its blobs are replicated again (Grace).
 type repairSettings struct {
 	BytesPerSecond float64       `yaml:"bytes_per_second"`
-	Every          time.Duration `yaml:"every"`
+	Interval       time.Duration `yaml:"every"`
 	Grace          time.Duration `yaml:"grace"`
 }
 
-// storeSettings bound the store; Promise is how long a blob stays that a client was told is
-// there, Results how many action results are kept.
+// storeSettings limits the store. Retention is how long a blob is kept at least once a client was
+// told that it is stored, and MaxResults is how many action results are kept.
 type storeSettings struct {
-	Dir     string        `yaml:"dir"`
-	MaxGB   float64       `yaml:"max_gb"`
-	MaxBlob float64       `yaml:"max_blob_mb"`
-	Promise time.Duration `yaml:"promise"`
-	Results int           `yaml:"results"`
+	Dir        string        `yaml:"dir"`
+	MaxGB      float64       `yaml:"max_gb"`
+	MaxBlobMB  float64       `yaml:"max_blob_mb"`
+	Retention  time.Duration `yaml:"promise"`
+	MaxResults int           `yaml:"results"`
 }
 
 // Units of the settings, in bytes.
@@ -85,21 +88,21 @@
 	gigabyte = 1e9
 )
 
-// maxBytes is the size limit of the store.
+// maxBytes returns the size limit of the store.
 func (s *storeSettings) maxBytes() int64 { return int64(s.MaxGB * gigabyte) }
 
-// maxBlobBytes is the size limit of a blob.
-func (s *storeSettings) maxBlobBytes() int64 { return int64(s.MaxBlob * megabyte) }
+// maxBlobBytes returns the size limit of a blob.
+func (s *storeSettings) maxBlobBytes() int64 { return int64(s.MaxBlobMB * megabyte) }
 
-// defaultSettings are the values of settings that a file leaves out.
+// defaultSettings returns the values of settings that a file leaves out.
 func defaultSettings() *settings {
 	return &settings{
-		Class:  "build",
-		Copies: 1,
-		Shares: defaultSharing(),
-		Gather: batchSettings{For: 50 * time.Millisecond, Most: 256},
-		Repair: repairSettings{BytesPerSecond: 20 * megabyte, Every: 10 * time.Minute, Grace: 2 * time.Minute},
-		Store:  storeSettings{MaxGB: 10, MaxBlob: 1024, Promise: 10 * time.Minute, Results: 1_000_000},
+		Class:    "build",
+		Copies:   1,
+		Shares:   defaultSharing(),
+		Batching: batchSettings{MaxWait: 50 * time.Millisecond, MaxActions: 256},
+		Repair:   repairSettings{BytesPerSecond: 20 * megabyte, Interval: 10 * time.Minute, Grace: 2 * time.Minute},
+		Store:    storeSettings{MaxGB: 10, MaxBlobMB: 1024, Retention: 10 * time.Minute, MaxResults: 1_000_000},
 	}
 }
 
@@ -124,7 +127,7 @@
 	return s, nil
 }
 
-// check finds the first setting that can't be used.
+// check validates all settings and returns the first error.
 func (s *settings) check() error {
 	checks := []func() error{s.checkAddresses, s.checkService, s.checkStore, s.checkSelf, s.checkSharing, s.checkRepair, s.checkPeers, s.checkInstances}
 	for _, check := range checks {
@@ -148,66 +151,66 @@
 	return nil
 }
 
-// isAddress says whether text has the form HOST:PORT.
+// isAddress reports whether text has the form HOST:PORT.
 func isAddress(text string) bool {
 	_, _, err := net.SplitHostPort(text)
 	return err == nil
 }
 
-// The bounds of batching.
+// Upper limits of the batching settings.
 const (
-	maxGatherTime  = 10 * time.Second
-	maxGatherCount = 10_000
+	maxBatchWait    = 10 * time.Second
+	maxBatchActions = 10_000
 )
 
-// checkService validates what is served to whom, and how actions are run.
+// checkService validates who is served what, and how actions are executed.
 func (s *settings) checkService() error {
 	switch {
 	case s.Identity != nil && len(s.Controllers) == 0:
-		return errors.New("controllers: missing; with identities, they decide what a client may do")
+		return errors.New("controllers: missing; with identity set, they decide what a client may do")
 	case s.Execute && len(s.Controllers) == 0:
-		return errors.New("controllers: missing; actions are submitted to them")
+		return errors.New("controllers: missing; with execute set, actions are submitted to them")
 	case s.Identity != nil && (s.Identity.Own == "" || s.Identity.Roots == ""):
-		return errors.New("identity: own and roots are needed")
+		return errors.New("identity: own and roots are required")
 	case len(s.Instances) == 0:
 		return errors.New("instances: missing; they map instance names to teams, for example {\"\": payments}")
 	case s.Class == "":
-		return errors.New("class: missing")
+		return errors.New("class: must not be empty")
 	case s.Copies < 1 || s.Copies > len(s.Peers)+1:
 		return fmt.Errorf("copies: must lie between 1 and %d, the number of front ends", len(s.Peers)+1)
-	case s.Gather.For < 0 || s.Gather.For > maxGatherTime || s.Gather.Most < 1 || s.Gather.Most > maxGatherCount:
+	case s.Batching.MaxWait < 0 || s.Batching.MaxWait > maxBatchWait || s.Batching.MaxActions < 1 || s.Batching.MaxActions > maxBatchActions:
 		return errors.New("gather: for must lie between 0 and 10s, most between 1 and 10000")
 	}
 	return nil
 }
 
-// maxPromise bounds store.promise.
-const maxPromise = 24 * time.Hour
+// maxRetention is the upper limit of store.promise.
+const maxRetention = 24 * time.Hour
 
-// checkStore validates the settings of the store. The comparisons refuse NaN too.
+// checkStore validates the settings of the store. Its comparisons also reject NaN.
 func (s *settings) checkStore() error {
 	store := &s.Store
 	switch {
 	case store.Dir == "":
 		return errors.New("store.dir: missing")
-	case !(store.MaxGB > 0) || !(store.MaxBlob > 0) || store.MaxBlob*megabyte > store.MaxGB*gigabyte:
+	case !(store.MaxGB > 0) || !(store.MaxBlobMB > 0) || store.MaxBlobMB*megabyte > store.MaxGB*gigabyte:
 		return errors.New("store: max_gb and max_blob_mb must be above 0, and a blob must fit the store")
-	case store.Promise < 0 || store.Promise > maxPromise:
+	case store.Retention < 0 || store.Retention > maxRetention:
 		return errors.New("store.promise: must lie between 0 and 24h")
-	case store.Results < 1:
+	case store.MaxResults < 1:
 		return errors.New("store.results: must be at least 1")
 	}
 	return nil
 }
 
-// checkSelf validates the address that other front ends reach this one at.
+// checkSelf validates the address at which other front ends reach this one.
 func (s *settings) checkSelf() error {
 	if len(s.Peers) == 0 {
 		return nil
 	}
 	host, _, err := net.SplitHostPort(s.Self)
 	if err != nil || host == "" || net.ParseIP(host).IsUnspecified() {
-		return fmt.Errorf("self: %q is no address that other front ends reach; write the one that they have under peers", s.Self)
+		return fmt.Errorf("self: %q is not an address that other front ends can reach; give the one in their peers setting", s.Self)
 	}
 	return nil
 }
@@ -239,23 +242,23 @@
 			continue
 		}
 		if n, err := identity.ParseName(name); err != nil || n.Kind != identity.Service {
-			return fmt.Errorf("peers.%s: %q is no service; write the name in its certificate", address, name)
+			return fmt.Errorf("peers.%s: %q is not the name of a service; give the name in the front end's certificate", address, name)
 		}
 	}
 	return nil
 }
 
-// checkInstances validates the teams behind instance names.
+// checkInstances validates the teams that instance names map to.
 func (s *settings) checkInstances() error {
 	for name, team := range s.Instances {
 		if team == "" || strings.ContainsAny(team, "/\x00") {
-			return fmt.Errorf("instances.%s: %q is no team", name, team)
+			return fmt.Errorf("instances.%s: %q is no team name", name, team)
 		}
 	}
 	return nil
 }
 
-// repair are the limits of repairs.
+// repair returns the settings of repairs.
 func (s *settings) repair() repair.Settings {
-	return repair.Settings{Copies: s.Copies, BytesPerSecond: s.Repair.BytesPerSecond, Every: s.Repair.Every, Grace: s.Repair.Grace}
+	return repair.Settings{Copies: s.Copies, BytesPerSecond: s.Repair.BytesPerSecond, Every: s.Repair.Interval, Grace: s.Repair.Grace}
 }
--- a/cmd/micaspindle/authentication.go
+++ b/cmd/micaspindle/authentication.go
@@ -14,10 +14,10 @@
 	"micaspindle/internal/transport"
 )
 
-// identify turns authentication on: TLS to users, workers and other controllers, and a
-// controller that checks who its callers are. The state service and the cloud belong to the
-// platform; connections to them are not encrypted.
-func identify(ctl *coordination.Controller, client *transport.Client, set *settings.Settings, id *settings.Identity) (*identity.Keyring, error) {
+// enableAuthentication makes the controller authenticate its callers and use TLS with users,
+// workers and other controllers. It returns the keyring with the controller's keys. Connections to
+// the state service and the cloud, which belong to the platform, are not encrypted.
+func enableAuthentication(ctl *coordination.Controller, client *transport.Client, set *settings.Settings, id *settings.Identity) (*identity.Keyring, error) {
 	keys, err := loadKeys(set.Label, id)
 	if err != nil {
 		return nil, err
@@ -26,11 +26,11 @@
 		return nil, err
 	}
 	client.TLSConfig = clientTLS(set, keys)
-	bound := time.Duration(set.Params.TimeBoundMS * float64(time.Millisecond))
+	clockBound := time.Duration(set.Params.TimeBoundMS * float64(time.Millisecond))
 	err = ctl.EnableAuth(auth.Identities{
-		Tokens:     identity.NewTokens(keys, id.Cluster, bound),
+		Tokens:     identity.NewTokens(keys, id.Cluster, clockBound),
 		Bootstrap:  id.Bootstrap,
-		ClockBound: bound,
+		ClockBound: clockBound,
 		Signer:     func() audit.Signer { return signer(keys) },
 	})
 	if err != nil {
@@ -39,8 +39,8 @@
 	return keys, nil
 }
 
-// loadKeys reads the controller's certificate and the keys that it trusts. The certificate has to
-// be that of the controller with the label.
+// loadKeys reads the controller's certificate and the keys that it trusts. It fails if the
+// certificate was issued for another label.
 func loadKeys(label string, id *settings.Identity) (*identity.Keyring, error) {
 	path := func(name string) string { return strings.ReplaceAll(name, "{label}", label) }
 	keys, err := identity.Load(identity.Files{Own: path(id.Own), Roots: path(id.Roots), TokenKeys: path(id.TokenKeys)})
@@ -55,20 +55,20 @@
 	return keys, nil
 }
 
-// checkBootstrap validates the name of the first administrator, if there is one.
+// checkBootstrap validates the identity that may write the first policy, if one is set.
 func checkBootstrap(text string) error {
 	if text == "" {
 		return nil
 	}
 	if name, err := identity.ParseName(text); err != nil || !name.Caller() {
-		return fmt.Errorf("identity.bootstrap: %q is no person and no service", text)
+		return fmt.Errorf("identity.bootstrap: %q is not the name of a person or a service", text)
 	}
 	return nil
 }
 
-// clientTLS is the TLS configuration for connections to an address: another controller has to
-// show the certificate of its label, anything else that of a worker. Connections to the
-// platform's services have none.
+// clientTLS returns a function that returns the TLS configuration for connections to an address.
+// At another controller's address it accepts only the certificate of that controller, and at any
+// other address only those of workers. For the platform's services it returns nil.
 func clientTLS(set *settings.Settings, keys *identity.Keyring) func(addr string) *tls.Config {
 	peers := map[string]string{}
 	for _, other := range set.Others {
@@ -88,7 +88,8 @@
 	}
 }
 
-// signer signs the audit log with the latest certificate.
+// signer returns the key and certificate that sign the audit log. Reloaded files take effect at the
+// next call.
 func signer(keys *identity.Keyring) audit.Signer {
 	key, cert := keys.Signer()
 	return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
--- a/cmd/micaspindle/main.go
+++ b/cmd/micaspindle/main.go
@@ -20,14 +20,14 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// files are the settings files of a controller.
-type files struct {
+// settingsFiles are the flags that name a controller's settings files.
+type settingsFiles struct {
 	Config   string `required:"" type:"path" help:"Settings file of the platform (JSON)."`
 	Operator string `type:"path" help:"Settings file of the operators (YAML), optional."`
 }
 
-// load reads and validates the files.
-func (f files) load() (*settings.Settings, settings.Operator, error) {
+// load reads and validates the settings files.
+func (f settingsFiles) load() (*settings.Settings, settings.Operator, error) {
 	set, err := settings.Load(f.Config)
 	if err != nil {
 		return nil, settings.Operator{}, err
@@ -36,15 +36,15 @@
 	return set, op, err
 }
 
-// settingsCmd holds the commands of settings files.
+// settingsCmd holds the commands for settings files.
 type settingsCmd struct {
 	Check checkCmd `cmd:"" help:"Validate settings files and exit."`
 }
 
 // checkCmd validates settings files.
-type checkCmd struct{ files }
+type checkCmd struct{ settingsFiles }
 
-// Run checks the files.
+// Run validates the files and prints a summary.
 func (c *checkCmd) Run() error {
 	set, _, err := c.load()
 	if err != nil {
@@ -67,16 +67,16 @@
 	return nil
 }
 
-// The exit codes.
+// Exit codes of the process.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// usageError marks a mistake of the caller; it ends the process with exitUsage.
+// usageError marks invalid arguments or settings, for which the process exits with exitUsage.
 type usageError struct{ error }
 
-// exitCode is the exit code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	if errors.As(err, new(usageError)) {
 		return exitUsage
@@ -86,7 +86,7 @@
 
 func main() {
 	var c cli
-	parser := kong.Must(&c, kong.Name("micaspindle"), kong.Description("A cluster scheduler that places work where contention is least."))
+	parser := kong.Must(&c, kong.Name("micaspindle"), kong.Description("A cluster scheduler that places tasks where they contend least for resources."))
 	k, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "micaspindle:", err)
--- a/cmd/micaspindle/main_test.go
+++ b/cmd/micaspindle/main_test.go
@@ -9,10 +9,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// Settings that can't be used end the start with the code for the caller's
-// mistakes, through kong as main calls it.
-func TestBadSettingsAreTheCallersMistake(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "s.json")
+// Every command that reads settings reports invalid ones as a usage error. The commands run
+// through kong, as in main.
+func TestInvalidSettingsAreAUsageError(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, []byte(`{"label": 5}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		if err := k.Run(); !errors.As(err, new(usageError)) {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("%v: got error %v, want a usageError", args, err)
 		}
 	}
 }
--- a/cmd/micaspindle/serve.go
+++ b/cmd/micaspindle/serve.go
@@ -21,9 +21,9 @@
 )
 
 // serveCmd runs the controller.
-type serveCmd struct{ files }
+type serveCmd struct{ settingsFiles }
 
-// Run serves until a signal or a failure of the engine.
+// Run serves until a signal arrives or the transport engine fails.
 func (s *serveCmd) Run() error {
 	set, op, err := s.load()
 	if err != nil {
@@ -32,12 +32,13 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 	slog.SetDefault(log)
 	limitRuntime(set.Params.MachineLimits.MemMB)
-	asked, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	shutdown, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return serve(asked, set, op, log)
+	return serve(shutdown, set, op, log)
 }
 
-// logLevel is that of the variable LOG_LEVEL; info, if it is not set or unknown.
+// logLevel returns the level that the environment variable LOG_LEVEL names, or info if it is unset
+// or unknown.
 func logLevel() slog.Level {
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "debug":
@@ -49,11 +50,11 @@
 }
 
 const (
-	// heapShare is the share of the memory limit that the Go runtime may use, so that the
-	// process stays below the limit at which it would be killed.
-	heapShare = 0.7
-	// gcPercent is above the default: the live heap is a small part of the memory limit and
-	// the share of a core is small, so collecting less often costs memory that is there.
+	// heapFraction is the fraction of the memory limit that the Go runtime may use. The rest is a
+	// margin, since the process is killed when it exceeds the limit.
+	heapFraction = 0.7
+	// gcPercent is above the default, to trade memory for CPU time: the live heap is small
+	// compared to the memory limit, and the controller has only a fraction of a core.
 	gcPercent = 400
 
 	bytesPerMB = 1 << 20
@@ -62,24 +63,24 @@
 // limitRuntime keeps the Go runtime to one core and to the memory limit.
 func limitRuntime(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(memoryMB * heapShare * bytesPerMB))
+	debug.SetMemoryLimit(int64(memoryMB * heapFraction * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
 }
 
-// handOverTimeout is how long a planned shutdown may take to hand over; what is left of it by then
-// is recovered as after a crash.
+// handOverTimeout is how long a planned shutdown may take to hand over the partitions. Partitions
+// that are left after it are taken over as after a crash.
 const handOverTimeout = time.Second
 
-// serve runs the controller until it is asked to end, and then hands over first.
-func serve(asked context.Context, set *settings.Settings, op settings.Operator, log *slog.Logger) error {
-	ctx, end := context.WithCancelCause(context.WithoutCancel(asked))
-	defer end(nil)
+// serve runs the controller until shutdown is done. It then hands over the partitions and stops.
+func serve(shutdown context.Context, set *settings.Settings, op settings.Operator, log *slog.Logger) error {
+	ctx, cancel := context.WithCancelCause(context.WithoutCancel(shutdown))
+	defer cancel(nil)
 	client := transport.NewClient()
 	ctl := coordination.New(ctx, set, op, client, log)
 	var keys *identity.Keyring
 	if op.Identity != nil {
 		var err error
-		if keys, err = identify(ctl, client, set, op.Identity); err != nil {
+		if keys, err = enableAuthentication(ctl, client, set, op.Identity); err != nil {
 			return usageError{err}
 		}
 	}
@@ -91,7 +92,7 @@
 		if keys != nil {
 			go keys.Watch(ctx, log)
 		}
-		go handOverWhenAsked(ctx, asked, ctl, end)
+		go handOverOnShutdown(ctx, shutdown, ctl, cancel)
 		ctl.Run()
 	})
 	if err != nil {
@@ -101,19 +102,20 @@
 	return nil
 }
 
-// handOverWhenAsked waits until the controller is asked to end, hands its parts over and ends ctx.
-func handOverWhenAsked(ctx, asked context.Context, ctl *coordination.Controller, end context.CancelCauseFunc) {
+// handOverOnShutdown waits until shutdown is done, hands over the controller's partitions and
+// cancels ctx. It returns early if ctx ends first.
+func handOverOnShutdown(ctx, shutdown context.Context, ctl *coordination.Controller, cancel context.CancelCauseFunc) {
 	select {
-	case <-asked.Done():
-		handOver, cancel := context.WithTimeout(ctx, handOverTimeout)
-		defer cancel()
-		ctl.HandOver(handOver)
-		end(context.Cause(asked))
+	case <-shutdown.Done():
+		handOverCtx, cancelHandOver := context.WithTimeout(ctx, handOverTimeout)
+		defer cancelHandOver()
+		ctl.HandOver(handOverCtx)
+		cancel(context.Cause(shutdown))
 	case <-ctx.Done():
 	}
 }
 
-// The bounds of requests and connections of the listeners.
+// Limits of the listeners: the size of a request body, in bytes, and the number of connections.
 const (
 	maxUserBody        = 64 << 10
 	maxOperationsBody  = 1 << 10
@@ -121,8 +123,8 @@
 	minConnections     = 8
 )
 
-// listeners are those for users and workers, for other controllers, and for operators if the
-// settings have one. Without keys connections are not encrypted.
+// listeners returns the listeners for users and workers, for other controllers and, if the settings
+// have an operations address, for operators. Without keys, connections are not encrypted.
 func listeners(ctl *coordination.Controller, set *settings.Settings, op settings.Operator, keys *identity.Keyring) []*transport.Listener {
 	sockets := set.Params.MachineLimits.Sockets
 	users := &transport.Listener{
@@ -159,5 +161,5 @@
 	return []*transport.Listener{users, peers, operators}
 }
 
-// userSockets is how many of the sockets users and workers may hold.
+// userSockets returns how many of the controller's sockets users and workers may hold.
 func userSockets(sockets int) int { return sockets * 3 / 4 }
--- a/cmd/micaspindlectl/action.go
+++ b/cmd/micaspindlectl/action.go
@@ -17,7 +17,7 @@
 	Action   string `arg:"" help:"Operation name, or action digest: HASH/SIZE."`
 }
 
-// Help shows examples.
+// Help describes the output and shows examples.
 func (actionCmd) Help() string {
 	return "Shows what the action waits for, its job and task, and its result.\n\n" +
 		"Examples:\n  micaspindlectl action operations/job-.../0/...\n  micaspindlectl action --instance refunds 44136fa3.../148 -o json"
@@ -38,7 +38,7 @@
 // actionTimeout bounds the request for one action.
 const actionTimeout = 10 * time.Second
 
-// Run asks any one of the front ends.
+// Run asks one of the front ends and shows its answer.
 func (a *actionCmd) Run(ctx context.Context, c *cli) error {
 	addresses, err := a.addresses()
 	if err != nil {
@@ -63,7 +63,7 @@
 	return c.print(view, "", view.rows())
 }
 
-// request names the action by operation, or by instance and digest.
+// request returns a request that names the action by operation, or by instance and digest.
 func (a *actionCmd) request() (*inspection.ActionRequest, error) {
 	if strings.HasPrefix(a.Action, "operations/") {
 		return &inspection.ActionRequest{Name: a.Action}, nil
@@ -76,7 +76,7 @@
 	return &inspection.ActionRequest{Instance: a.Instance, Hash: hash, SizeBytes: bytes}, nil
 }
 
-// rows are the lines of the table; empty values are left out.
+// rows returns the rows of the table, without those that have no value.
 func (v *actionView) rows() [][]any {
 	rows := [][]any{{"state", v.State}}
 	add := func(name, value string) {
--- a/cmd/micaspindlectl/audit.go
+++ b/cmd/micaspindlectl/audit.go
@@ -9,14 +9,14 @@
 	"micaspindle/internal/audit/archive"
 )
 
-// auditCmd holds the commands of the audit log.
+// auditCmd holds the commands for the audit log.
 type auditCmd struct {
 	List   auditListCmd   `cmd:"" help:"List records of the cluster or of an export."`
 	Export auditExportCmd `cmd:"" help:"Export the audit log to a self-contained file."`
 	Verify auditVerifyCmd `cmd:"" help:"Verify the integrity of an export."`
 }
 
-// trustedRoots are the authorities whose signatures count.
+// trustedRoots reads the CA certificates that signatures are verified against.
 func (c *cli) trustedRoots() (*x509.CertPool, error) {
 	if c.Roots == "" {
 		return nil, usageError{errors.New("--roots is needed: the CA certificates that signatures are checked against")}
@@ -24,8 +24,8 @@
 	return readRoots(c.Roots)
 }
 
-// verify reads an export and checks its signatures and chains.
-func (c *cli) verify(file string) (*archive.Verified, error) {
+// verifyExport reads an export and verifies its signatures and hash chains.
+func (c *cli) verifyExport(file string) (*archive.Verified, error) {
 	roots, err := c.trustedRoots()
 	if err != nil {
 		return nil, err
--- a/cmd/micaspindlectl/audit_export.go
+++ b/cmd/micaspindlectl/audit_export.go
@@ -19,10 +19,11 @@
 	"micaspindle/internal/client"
 )
 
-// progressInterval is the least pause between two lines of progress.
+// progressInterval is the minimum time between two progress reports.
 const progressInterval = time.Second
 
-// exportAudit writes the cluster's audit log to w, up to a seal that a controller signs now.
+// exportAudit writes the cluster's audit log to w, up to a seal that a controller signs for this
+// export.
 func exportAudit(ctx context.Context, cl *client.Client, w io.Writer) error {
 	var seal audit.Seal
 	if err := cl.Do(ctx, http.MethodGet, "/audit/seal", nil, &seal); err != nil {
@@ -39,24 +40,24 @@
 	return archive.Export(ctx, w, &seal, fetch, exportProgress())
 }
 
-// exportProgress reports how many batches are done: on a terminal in one line that is
-// rewritten, elsewhere in a line each.
-func exportProgress() func(done, all uint64) {
+// exportProgress returns a function that reports on standard error how many batches are done. A
+// terminal shows one line that is rewritten, other outputs get a line for each report.
+func exportProgress() func(done, total uint64) {
 	terminal := term.IsTerminal(int(os.Stderr.Fd()))
-	shown := time.Now()
-	return func(done, all uint64) {
-		if time.Since(shown) < progressInterval && done < all {
+	lastReport := time.Now()
+	return func(done, total uint64) {
+		if time.Since(lastReport) < progressInterval && done < total {
 			return
 		}
-		shown = time.Now()
+		lastReport = time.Now()
 		switch {
 		case terminal:
-			fmt.Fprintf(os.Stderr, "\r\033[K%d of %d batches", done, all)
-			if done == all {
+			fmt.Fprintf(os.Stderr, "\r\033[K%d of %d batches", done, total)
+			if done == total {
 				fmt.Fprintln(os.Stderr)
 			}
-		case done < all:
-			fmt.Fprintf(os.Stderr, "%d of %d batches\n", done, all)
+		case done < total:
+			fmt.Fprintf(os.Stderr, "%d of %d batches\n", done, total)
 		}
 	}
 }
@@ -68,10 +69,10 @@
 
 // Help shows examples.
 func (auditExportCmd) Help() string {
-	return "Keep exports where operators of the cluster can't change them: they also prove later\nwhether records of the cluster were truncated.\n\nExample:\n  micaspindlectl audit export 2027-01.jsonl.zst"
+	return "Keep exports where operators of the cluster can't change them: an old export also proves\nwhether records of the cluster were removed later.\n\nExample:\n  micaspindlectl audit export 2027-01.jsonl.zst"
 }
 
-// Run exports the audit. The file appears whole or not at all.
+// Run exports the audit log. The file appears only once it is complete.
 func (a *auditExportCmd) Run(ctx context.Context, c *cli) error {
 	cl, err := c.client()
 	if err != nil {
@@ -81,7 +82,7 @@
 		return usageError{fmt.Errorf("%s exists; an export never replaces another", a.File)}
 	}
 	write := func(w io.Writer) error { return exportAudit(ctx, cl, w) }
-	if err := writeWhole(a.File, write); err != nil {
+	if err := writeAtomically(a.File, write); err != nil {
 		return err
 	}
 	info, err := os.Stat(a.File)
@@ -91,15 +92,15 @@
 	return c.print(map[string]any{"file": a.File, "bytes": info.Size()}, "FILE\tBYTES", [][]any{{a.File, info.Size()}})
 }
 
-// writeWhole writes a file under a temporary name and renames it once it is complete. A name
-// that ends with .zst is compressed.
-func writeWhole(path string, write func(io.Writer) error) error {
+// writeAtomically writes a file under a temporary name and renames it once it is complete. If the
+// name ends with .zst, the file is compressed.
+func writeAtomically(path string, write func(io.Writer) error) error {
 	temporary := path + ".part"
 	f, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return usageError{err}
 	}
-	defer os.Remove(temporary) //nolint:errcheck // gone once renamed
+	defer os.Remove(temporary) //nolint:errcheck // does not exist after the rename
 	if strings.HasSuffix(path, ".zst") {
 		err = archive.Compress(f, write)
 	} else {
--- a/cmd/micaspindlectl/audit_list.go
+++ b/cmd/micaspindlectl/audit_list.go
@@ -15,7 +15,7 @@
 	"micaspindle/internal/audit/archive"
 )
 
-// auditListCmd lists records that match all of its filters.
+// auditListCmd lists the records that match all filters.
 type auditListCmd struct {
 	File   string        `type:"path" help:"Read an export instead of asking the cluster."`
 	Who    string        `help:"Only records of this identity; - for unauthenticated callers."`
@@ -31,11 +31,11 @@
 	return "Examples:\n  micaspindlectl audit list --who person/anna --since 24h\n  micaspindlectl audit list --job job-17 -o json\n  micaspindlectl audit list --file 2027-01.jsonl.zst --denied"
 }
 
-// unknownCaller is the value of --who for requests whose caller was not authenticated.
-const unknownCaller = "-"
+// unauthenticatedCaller is the value of --who that selects requests of unauthenticated callers.
+const unauthenticatedCaller = "-"
 
-// Run lists records. They are listed even if verification finds problems, which are
-// reported and end the command with exit code 1.
+// Run lists records, even if their verification finds problems. The command then reports the
+// problems and exits with code 1.
 func (a *auditListCmd) Run(ctx context.Context, c *cli) error {
 	verified, err := a.read(ctx, c)
 	if err != nil {
@@ -54,15 +54,15 @@
 		fmt.Fprintln(os.Stderr, problem)
 	}
 	if n := len(verified.Problems); n > 0 {
-		return fmt.Errorf("the audit is not what was written: %d problems", n)
+		return fmt.Errorf("the audit log is not what was written: verification found %d problems", n)
 	}
 	return nil
 }
 
-// read verifies the given export, or one that is made of the cluster now.
+// read verifies the given export or, if there is none, a new export of the cluster's audit log.
 func (a *auditListCmd) read(ctx context.Context, c *cli) (*archive.Verified, error) {
 	if a.File != "" {
-		return c.verify(a.File)
+		return c.verifyExport(a.File)
 	}
 	cl, err := c.client()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return archive.Verify(&exported, roots)
 }
 
-// printRecordsJSON writes one JSON object a line.
+// printRecordsJSON writes each record as a JSON object on a line of its own.
 func printRecordsJSON(records []archive.ReadRecord) error {
 	enc := json.NewEncoder(os.Stdout)
 	for i := range records {
@@ -99,7 +99,8 @@
 	return printTable("TIME (UTC)\tCONTROLLER\tWHO\tVERB\tQUEUE\tJOB\tOUTCOME\tCOUNT\tWHY", rows)
 }
 
-// recordRow is one record; a count is shown where it stands for several requests.
+// recordRow returns the table row of a record. The count is shown if the record stands for several
+// requests.
 func recordRow(r *archive.ReadRecord) []any {
 	count := ""
 	if r.Count > 1 {
@@ -111,16 +112,16 @@
 	return []any{at, r.Chain, orNone(r.Who), r.Verb, orNone(queue), orNone(r.Job), r.Outcome, count, reason}
 }
 
-// matches says whether a record passes all filters.
+// matches reports whether a record passes all filters.
 func (a *auditListCmd) matches(r *audit.Record) bool {
 	last := r.At
 	if r.Until != nil {
 		last = *r.Until
 	}
 	switch {
-	case a.Who == unknownCaller && r.Who != "":
+	case a.Who == unauthenticatedCaller && r.Who != "":
 		return false
-	case a.Who != "" && a.Who != unknownCaller && a.Who != r.Who:
+	case a.Who != "" && a.Who != unauthenticatedCaller && a.Who != r.Who:
 		return false
 	case a.Job != "" && a.Job != r.Job:
 		return false
--- a/cmd/micaspindlectl/audit_verify.go
+++ b/cmd/micaspindlectl/audit_verify.go
@@ -7,22 +7,22 @@
 	"micaspindle/internal/audit/archive"
 )
 
-// auditVerifyCmd checks an export.
+// auditVerifyCmd verifies an export.
 type auditVerifyCmd struct {
 	File string `arg:"" type:"path" help:"Export file."`
 }
 
-// Help shows examples.
+// Help describes the exit code and shows an example.
 func (auditVerifyCmd) Help() string {
-	return "Needs --roots, the CA certificates; contacts no controller. Exit code 1 means that records\nwere altered, removed, reordered or truncated.\n\nExample:\n  micaspindlectl audit verify 2027-01.jsonl.zst --roots root.pem"
+	return "Needs --roots, the CA certificates, but no connection to a controller. Exit code 1 means that records\nwere altered, removed, reordered or truncated.\n\nExample:\n  micaspindlectl audit verify 2027-01.jsonl.zst --roots root.pem"
 }
 
-// hashShown is how many characters of a hash the table shows.
-const hashShown = 16
+// shownHashLength is the number of characters that the table shows of a hash.
+const shownHashLength = 16
 
 // Run verifies an export.
 func (a *auditVerifyCmd) Run(c *cli) error {
-	v, err := c.verify(a.File)
+	v, err := c.verifyExport(a.File)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 		return err
 	}
 	if n := len(v.Problems); n > 0 {
-		return fmt.Errorf("%s is not what was written: %d problems", a.File, n)
+		return fmt.Errorf("%s is not what was written: verification found %d problems", a.File, n)
 	}
 	if c.Output != outputJSON {
 		fmt.Printf("%d records of %d actions and refusals are what was written until %s (sealed by %s).\n", v.Records, v.Counted,
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// printVerified shows the end of each chain, then the problems.
+// printVerified shows the last batch of each controller's hash chain, and then the problems.
 func printVerified(v *archive.Verified) error {
 	var rows [][]any
 	for _, end := range v.Chains {
-		rows = append(rows, []any{end.Chain, end.Number, end.Hash[:min(hashShown, len(end.Hash))]})
+		rows = append(rows, []any{end.Chain, end.Number, end.Hash[:min(shownHashLength, len(end.Hash))]})
 	}
 	if err := printTable("CONTROLLER\tBATCHES\tLAST HASH", rows); err != nil {
 		return err
--- a/cmd/micaspindlectl/cache.go
+++ b/cmd/micaspindlectl/cache.go
@@ -13,10 +13,10 @@
 	"micaspindle/internal/reapi/inspection"
 )
 
-// cacheCmd shows what front ends hold in their caches.
+// cacheCmd shows the contents of the front ends' caches.
 type cacheCmd struct{ frontendsFlag }
 
-// Help shows examples.
+// Help describes the output and shows examples.
 func (cacheCmd) Help() string {
 	return "Shows the cache usage of the teams that you may view, and the totals of a front end if\nyou may view all of its teams.\n\n" +
 		"Examples:\n  micaspindlectl cache --frontends 10.0.0.7:8980,10.0.0.8:8980\n  micaspindlectl cache -o json"
@@ -33,7 +33,7 @@
 // cacheTimeout bounds the request to one front end.
 const cacheTimeout = 5 * time.Second
 
-// Run asks each front end. The failure of one is reported beside the answers of the others.
+// Run asks each front end. If some fail, the answers of the others are still shown.
 func (k *cacheCmd) Run(ctx context.Context, c *cli) error {
 	addresses, err := k.addresses()
 	if err != nil {
@@ -57,8 +57,8 @@
 	return failed
 }
 
-// fetchCache asks one front end. The view is nil if no connection could be made at all;
-// otherwise it holds the answer or the error.
+// fetchCache asks one front end. The view holds the answer or the error; it is nil if the
+// caller's credentials or the address are invalid.
 func (c *cli) fetchCache(ctx context.Context, address string) (*cacheView, error) {
 	conn, err := c.dialFrontends(address)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return &cacheView{Address: address, Teams: reply.GetTeams(), Totals: reply.GetTotals()}, nil
 }
 
-// printCaches shows a table of teams and, where there are any, one of totals.
+// printCaches shows a table of teams and, if there are totals, a table of these.
 func printCaches(views []*cacheView) error {
 	var teams, totals [][]any
 	for _, v := range views {
@@ -99,7 +99,7 @@
 	return printTable(header, totals)
 }
 
-// teamRow is one team's part of a front end's cache.
+// teamRow returns the table row of a team's use of a front end's cache.
 func teamRow(address string, t *inspection.Team) []any {
 	ofQuota := "-"
 	if t.Quota > 0 {
@@ -110,7 +110,7 @@
 		t.WaitingActions, t.WaitingCalls}
 }
 
-// totalsRow is a front end's cache as a whole, with the progress of its repair.
+// totalsRow returns the table row of a front end's whole cache and the progress of its repair.
 func totalsRow(address string, t *inspection.Totals) []any {
 	repair := t.GetRepair()
 	progress := fmt.Sprintf("%d/%d", repair.GetDone(), repair.GetOf())
@@ -119,23 +119,23 @@
 		t.CallsRefused + t.TransfersRefused, progress, repair.GetCopied(), repair.GetRestored(), lost}
 }
 
-// quoted are names in quotes, since one may be empty.
+// quoted returns the names in quotes, since a name may be empty.
 func quoted(names []string) []string {
-	var out []string
+	var result []string
 	for _, n := range names {
-		out = append(out, strconv.Quote(n))
+		result = append(result, strconv.Quote(n))
 	}
-	return out
+	return result
 }
 
-// formatBytes is a number of bytes with a decimal unit.
+// formatBytes formats a number of bytes with a decimal unit.
 func formatBytes(n int64) string {
-	for _, u := range []struct {
-		least float64
-		name  string
+	for _, unit := range []struct {
+		size float64
+		name string
 	}{{1e12, "TB"}, {1e9, "GB"}, {1e6, "MB"}, {1e3, "kB"}} {
-		if float64(n) >= u.least {
-			return fmt.Sprintf("%.1f %s", float64(n)/u.least, u.name)
+		if float64(n) >= unit.size {
+			return fmt.Sprintf("%.1f %s", float64(n)/unit.size, unit.name)
 		}
 	}
 	return fmt.Sprintf("%d B", n)
--- a/cmd/micaspindlectl/cancel.go
+++ b/cmd/micaspindlectl/cancel.go
@@ -9,12 +9,12 @@
 	"micaspindle/internal/protocol"
 )
 
-// cancelCmd cancels single jobs.
+// cancelCmd cancels the named jobs.
 type cancelCmd struct {
-	IDs []string `arg:"" name:"id" help:"Jobs."`
+	IDs []string `arg:"" name:"id" help:"Job ids."`
 }
 
-// Help shows examples.
+// Help shows an example.
 func (cancelCmd) Help() string {
 	return "A job that has completed stays completed.\n\nExample:\n  micaspindlectl cancel job-17 job-18"
 }
@@ -41,7 +41,7 @@
 	By string `required:"" placeholder:"KIND/ID" help:"Identity that submitted the jobs."`
 }
 
-// Help shows examples.
+// Help describes the command and shows an example.
 func (cancelAllCmd) Help() string {
 	return "Cancels every unfinished job that an identity has submitted, on the queues that you\nadminister. Revoking an identity alone does not stop its jobs.\n\nExample:\n  micaspindlectl cancel-all --by person/anna"
 }
@@ -53,7 +53,7 @@
 	NotAllowed int    `json:"not_allowed"`
 }
 
-// Run cancels batch after batch until none is left.
+// Run repeats the request, which cancels a limited number of jobs, until no unfinished job is left.
 func (k *cancelAllCmd) Run(ctx context.Context, c *cli) error {
 	if _, err := identity.ParseName(k.By); err != nil {
 		return usageError{err}
@@ -74,7 +74,7 @@
 			return c.print(view, "BY\tCANCELLED\tNOT ALLOWED", [][]any{{view.By, view.Cancelled, view.NotAllowed}})
 		}
 		fmt.Fprintf(os.Stderr, "%d cancelled, %d left\n", view.Cancelled, res.Remaining)
-		if err := pause(ctx, pollInterval); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
--- a/cmd/micaspindlectl/connection.go
+++ b/cmd/micaspindlectl/connection.go
@@ -11,9 +11,8 @@
 	"micaspindle/internal/identity"
 )
 
-// Connection holds the flags that say where the controllers are and which credentials
-// the caller has. A token is read from a file only, since other users of the machine
-// can see a command line.
+// Connection holds the flags with the addresses of the controllers and the caller's credentials. A
+// token is read only from a file, since other users of the machine can see the command line.
 type Connection struct {
 	Controllers string        `env:"SPINDLE_CONTROLLERS" placeholder:"HOST:PORT,..." help:"Addresses of controllers."`
 	Roots       string        `env:"SPINDLE_ROOTS" type:"path" help:"CA certificates to trust; without them connections are not encrypted."`
@@ -22,7 +21,7 @@
 	Patience    time.Duration `default:"60s" help:"How long requests are retried."`
 }
 
-// client is a client of the controllers with the caller's credentials.
+// client returns a client of the controllers with the caller's credentials.
 func (c *Connection) client() (*client.Client, error) {
 	addrs := client.SplitAddresses(c.Controllers)
 	if len(addrs) == 0 {
@@ -37,7 +36,7 @@
 	return cl, nil
 }
 
-// credentials are the files that prove who the caller is.
+// credentials returns the names of the files with the caller's credentials.
 func (c *Connection) credentials() *identity.CredentialFiles {
 	return &identity.CredentialFiles{Roots: c.Roots, Cert: c.Cert, TokenFile: c.TokenFile}
 }
--- a/cmd/micaspindlectl/frontends.go
+++ b/cmd/micaspindlectl/frontends.go
@@ -14,12 +14,12 @@
 	"micaspindle/internal/identity"
 )
 
-// frontendsFlag says where the Remote Execution API front ends are.
+// frontendsFlag is the flag with the addresses of Remote Execution API front ends.
 type frontendsFlag struct {
 	Frontends string `env:"SPINDLE_GATES" aliases:"gates" placeholder:"HOST:PORT,..." help:"Addresses of Remote Execution API front ends (micaspindle-reapi)."`
 }
 
-// addresses are those of the flag, at least one.
+// addresses returns the addresses of the flag. It fails if there is none.
 func (f *frontendsFlag) addresses() ([]string, error) {
 	list := client.SplitAddresses(f.Frontends)
 	if len(list) == 0 {
@@ -41,8 +41,8 @@
 	return conn, nil
 }
 
-// frontendFailure turns a front end's gRPC error into one that gets the same exit code as a
-// controller's refusal of the same kind.
+// frontendFailure converts a front end's gRPC error into the error that a controller's refusal of
+// the same kind gives, so that both lead to the same exit code.
 func frontendFailure(address string, err error) error {
 	s := status.Convert(err)
 	reason := fmt.Sprintf("front end %s: %s", address, s.Message())
--- a/cmd/micaspindlectl/jobs.go
+++ b/cmd/micaspindlectl/jobs.go
@@ -29,17 +29,17 @@
 	return c.print(views, "JOB\tSTATUS\tDONE\tRUNNING", rows)
 }
 
-// argumentsCmd shows what a job was submitted with.
+// argumentsCmd shows the specification that a job was submitted with.
 type argumentsCmd struct {
-	ID string `arg:"" help:"Job."`
+	ID string `arg:"" help:"Job id."`
 }
 
-// Help shows examples.
+// Help describes the command and shows an example.
 func (argumentsCmd) Help() string {
-	return "Needs the right view-arguments on the job's queue; each request is recorded in the audit log.\n\nExample:\n  micaspindlectl arguments job-17 -o json"
+	return "Needs the right view-arguments on the job's queue. Each request is recorded in the audit log.\n\nExample:\n  micaspindlectl arguments job-17 -o json"
 }
 
-// Run shows what a job was submitted with.
+// Run shows the specification of a job.
 func (a *argumentsCmd) Run(ctx context.Context, c *cli) error {
 	cl, err := c.client()
 	if err != nil {
@@ -58,15 +58,15 @@
 
 // reassignCmd moves a job that has not started to another queue.
 type reassignCmd struct {
-	ID    string `arg:"" help:"Job; none of its tasks may have started."`
+	ID    string `arg:"" help:"Id of a job of which no task has started."`
 	As    string `required:"" help:"Id of the new job: job- and digits."`
 	Team  string `required:"" help:"The new team."`
-	Class string `help:"The new class; default: as it was."`
+	Class string `help:"The new class; default: the present one."`
 }
 
-// Help shows examples.
+// Help describes the command and shows an example.
 func (reassignCmd) Help() string {
-	return "Cancels the job and submits its successor to the other queue in one transaction; the\nsubmission time is kept. Needs the right reassign on both queues.\n\nExample:\n  micaspindlectl reassign job-17 --as job-1017 --team payments"
+	return "Cancels the job and submits its successor to the other queue in one transaction. The\nsubmission time is kept. Needs the right reassign on both queues.\n\nExample:\n  micaspindlectl reassign job-17 --as job-1017 --team payments"
 }
 
 // Run moves a job to another queue.
--- a/cmd/micaspindlectl/main.go
+++ b/cmd/micaspindlectl/main.go
@@ -1,4 +1,4 @@
-// Command micaspindlectl is the command line of users and operators.
+// Command micaspindlectl is the command-line client for users and operators of a cluster.
 package main
 
 import (
@@ -44,10 +44,10 @@
 	Shares      delegationsCmd `cmd:"" hidden:"" help:"Former name of delegations."`
 }
 
-// usageError marks a mistake of the caller; it ends the process with exitUsage.
+// usageError marks invalid arguments or files, for which the process exits with exitUsage.
 type usageError struct{ error }
 
-// The exit codes, as the description tells them.
+// Exit codes of the process; description documents them.
 const (
 	exitFailed     = 1
 	exitUsage      = 2
@@ -56,7 +56,7 @@
 	exitUnanswered = 5
 )
 
-// exitCode tells scripts what kind of failure it was.
+// exitCode returns the exit code for an error. Scripts distinguish kinds of failures by it.
 func exitCode(err error) int {
 	var refusal *client.Refusal
 	switch {
@@ -70,7 +70,7 @@
 	return exitFailed
 }
 
-// refusalExitCode is the exit code of a controller's refusal.
+// refusalExitCode returns the exit code for the HTTP status of a controller's refusal.
 func refusalExitCode(status int) int {
 	switch status {
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
@@ -83,7 +83,7 @@
 	return exitFailed
 }
 
-const description = `Command line of a micaspindle cluster, for users and operators.
+const description = `Command-line client of a micaspindle cluster, for users and operators.
 
 Exit codes: 0 success, 1 failure, 2 wrong arguments or an invalid request, 3 not
 authenticated or not authorized, 4 no such job, 5 no controller answered.`
--- a/cmd/micaspindlectl/output.go
+++ b/cmd/micaspindlectl/output.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// outputJSON is the value of --output that asks for JSON in place of a table.
+// outputJSON is the value of --output that selects JSON instead of a table.
 const outputJSON = "json"
 
 // print writes rows as a table, or v as JSON.
@@ -43,7 +43,7 @@
 	return w.Flush()
 }
 
-// orNone shows an empty value as a dash.
+// orNone returns s, or a dash if s is empty.
 func orNone(s string) string {
 	if s == "" {
 		return "-"
--- a/cmd/micaspindlectl/overviews.go
+++ b/cmd/micaspindlectl/overviews.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/overview"
 )
 
-// operationsClient is a client of the controllers' operations addresses.
+// operationsClient returns a client of the controllers' operations addresses, and the addresses.
 func operationsClient(c *cli, list string) (*client.Client, []string, error) {
 	addrs := client.SplitAddresses(list)
 	if len(addrs) == 0 {
@@ -22,11 +22,11 @@
 	return cl, addrs, err
 }
 
-// overviewTimeout bounds the request to one controller, so that one that hangs does not
-// delay the rest.
+// overviewTimeout bounds the requests to all controllers, so that one that hangs does not delay the
+// answers of the others.
 const overviewTimeout = 900 * time.Millisecond
 
-// fetchOverviews asks all controllers at the same time. It fails if none answers.
+// fetchOverviews asks all controllers concurrently. It fails only if none answers.
 func fetchOverviews(ctx context.Context, cl *client.Client, addrs []string) ([]overview.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, overviewTimeout)
 	defer cancel()
--- a/cmd/micaspindlectl/pki.go
+++ b/cmd/micaspindlectl/pki.go
@@ -13,12 +13,12 @@
 // day is the unit of the validity flags.
 const day = 24 * time.Hour
 
-// pkiDir says where the certificate authority's files are.
+// pkiDir is the flag with the directory of the certificate authority's files.
 type pkiDir struct {
 	Dir string `default:"pki" env:"SPINDLE_PKI" type:"path" help:"Directory of the certificate authority. Its keys grant full access: keep it off the cluster's machines."`
 }
 
-// pkiCmd holds the commands of the certificate authority.
+// pkiCmd holds the commands for the certificate authority.
 type pkiCmd struct {
 	Init           pkiInitCmd   `cmd:"" help:"Create a root certificate and a token signing key."`
 	Issue          pkiIssueCmd  `cmd:"" help:"Issue certificates."`
@@ -34,12 +34,12 @@
 	Days int    `default:"3650" help:"Validity in days."`
 }
 
-// Help shows examples.
+// Help shows an example.
 func (pkiInitCmd) Help() string {
 	return "Example:\n  micaspindlectl pki init --dir pki --name 'Ombili root'"
 }
 
-// Run makes an authority.
+// Run creates a certificate authority.
 func (p *pkiInitCmd) Run() error {
 	a, err := pki.Create(p.Dir, p.Name, time.Now(), time.Duration(p.Days)*day)
 	if err != nil {
@@ -57,9 +57,9 @@
 	Days  int      `default:"90" help:"Validity in days."`
 }
 
-// Help shows examples.
+// Help describes the names and shows an example.
 func (pkiIssueCmd) Help() string {
-	return "The id of a controller is its label; worker machines that the cloud names share worker/any.\n\nExample:\n  micaspindlectl pki issue controller/spindle-0 worker/any person/anna"
+	return "The id of a controller is its label. Worker machines whose names the cloud chooses share worker/any.\n\nExample:\n  micaspindlectl pki issue controller/spindle-0 worker/any person/anna"
 }
 
 // Run issues certificates.
@@ -75,7 +75,7 @@
 // Run renews certificates.
 func (p *pkiRenewCmd) Run(c *cli) error { return issue(c, p.Dir, p.Names, p.Days, true) }
 
-// issue issues certificates, or renews those that there are.
+// issue issues certificates, or renews existing ones.
 func issue(c *cli, dir string, names []string, days int, renew bool) error {
 	a, err := pki.Open(dir)
 	if err != nil {
@@ -89,15 +89,15 @@
 		}
 		parsed = append(parsed, n)
 	}
-	var list []pki.Issued
+	var certificates []pki.Issued
 	for _, n := range parsed {
 		issued, err := a.Issue(n, time.Now(), time.Duration(days)*day, renew)
 		if err != nil {
 			return usageError{err}
 		}
-		list = append(list, *issued)
+		certificates = append(certificates, *issued)
 	}
-	return c.printIssued(list)
+	return c.printIssued(certificates)
 }
 
 // issuedView is a certificate as JSON.
@@ -108,35 +108,35 @@
 }
 
 // printIssued shows certificates.
-func (c *cli) printIssued(list []pki.Issued) error {
+func (c *cli) printIssued(certificates []pki.Issued) error {
 	views := []issuedView{}
 	var rows [][]any
-	for _, i := range list {
-		views = append(views, issuedView{i.Name.String(), i.Until, i.File})
-		left := fmt.Sprintf("%.0f days", time.Until(i.Until).Hours()/24)
-		if time.Now().After(i.Until) {
+	for _, cert := range certificates {
+		views = append(views, issuedView{cert.Name.String(), cert.Until, cert.File})
+		left := fmt.Sprintf("%.0f days", time.Until(cert.Until).Hours()/24)
+		if time.Now().After(cert.Until) {
 			left = "ended"
 		}
-		rows = append(rows, []any{i.Name, i.Until.Format(time.DateOnly), left, i.File})
+		rows = append(rows, []any{cert.Name, cert.Until.Format(time.DateOnly), left, cert.File})
 	}
 	return c.print(views, "NAME\tUNTIL\tLEFT\tFILE", rows)
 }
 
-// pkiListCmd lists certificates.
+// pkiListCmd lists issued certificates.
 type pkiListCmd struct{ pkiDir }
 
-// Run lists what was issued.
+// Run lists the certificates, those that expire first at the top.
 func (p *pkiListCmd) Run(c *cli) error {
 	a, err := pki.Open(p.Dir)
 	if err != nil {
 		return usageError{err}
 	}
-	list, err := a.List()
+	certificates, err := a.List()
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(list, func(a, b pki.Issued) int { return a.Until.Compare(b.Until) })
-	return c.printIssued(list)
+	slices.SortFunc(certificates, func(a, b pki.Issued) int { return a.Until.Compare(b.Until) })
+	return c.printIssued(certificates)
 }
 
 // pkiRotateCmd replaces the token signing key.
@@ -150,6 +150,6 @@
 	if err := pki.RotateTokenKey(p.Dir); err != nil {
 		return err
 	}
-	fmt.Printf("bring %s to every controller before tokens of the new key are used\n", filepath.Join(p.Dir, pki.TokenKeysFile))
+	fmt.Printf("copy %s to every controller before using tokens that are signed with the new key\n", filepath.Join(p.Dir, pki.TokenKeysFile))
 	return nil
 }
--- a/cmd/micaspindlectl/policy.go
+++ b/cmd/micaspindlectl/policy.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/rights/policyfile"
 )
 
-// policyCmd holds the commands of the access policy.
+// policyCmd holds the commands for the access policy.
 type policyCmd struct {
 	Check        policyCheckCmd        `cmd:"" help:"Validate a policy file."`
 	Apply        policyApplyCmd        `cmd:"" help:"Replace the cluster's policy with a policy file."`
@@ -55,7 +55,7 @@
 	return d, nil
 }
 
-// Run checks a policy file.
+// Run validates a policy file and prints a summary.
 func (p *policyCheckCmd) Run() error {
 	d, err := readPolicy(p.File)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// fetchPolicy reads the cluster's policy, and starts again if it was changed meanwhile. The
-// page that it returns is the last one read.
+// fetchPolicy reads the cluster's policy page by page. If the policy changes meanwhile, it starts
+// again. It also returns the last page.
 func fetchPolicy(ctx context.Context, cl *client.Client) (*rights.Document, rights.Page, error) {
 	for {
 		document := new(rights.Document)
@@ -84,13 +84,14 @@
 	}
 }
 
-// policyPages are pages that were read one after the other.
+// policyPages describes the pages that fetchPolicyPages has read.
 type policyPages struct {
 	last       rights.Page
-	consistent bool // all are of one version
+	consistent bool // all pages have the same policy version
 }
 
-// fetchPolicyPages adds all entries of a kind, roles or identities, to the document.
+// fetchPolicyPages reads all entries of a kind, "roles" or "identities", and adds them to the
+// document.
 func fetchPolicyPages(ctx context.Context, cl *client.Client, kind string, document *rights.Document) (policyPages, error) {
 	var first *rights.Page
 	pages := policyPages{consistent: true}
@@ -119,13 +120,13 @@
 	}
 }
 
-// policyApplyCmd replaces the cluster's policy with that of a file.
+// policyApplyCmd replaces the cluster's policy with a policy file.
 type policyApplyCmd struct {
 	File   string `arg:"" type:"path" help:"Policy file (YAML); roles and identities that it does not name are removed."`
 	DryRun bool   `help:"Only print what would change."`
 }
 
-// Help shows examples.
+// Help describes the command and shows an example.
 func (policyApplyCmd) Help() string {
 	return "A large difference is applied in steps, each of which leaves a valid policy. If the command\nis interrupted, run it again.\n\nExample:\n  micaspindlectl policy apply policy.yaml --dry-run"
 }
@@ -140,23 +141,23 @@
 	if err != nil {
 		return err
 	}
-	now, page, err := fetchPolicy(ctx, cl)
+	current, page, err := fetchPolicy(ctx, cl)
 	if err != nil {
 		return err
 	}
-	plan, err := policyfile.Plan(now, want, page.MaxChanges)
+	plan, err := policyfile.Plan(current, want, page.MaxChanges)
 	if err != nil {
 		return usageError{err}
 	}
 	records := 0
-	for _, ch := range plan {
-		records += ch.Size()
+	for _, step := range plan {
+		records += step.Size()
 	}
 	view := map[string]any{"version": page.Version, "records": records, "steps": len(plan), "applied": !p.DryRun}
 	if !p.DryRun {
 		version := page.Version
 		for i := range plan {
-			if version, err = change(ctx, cl, &plan[i], version); err != nil {
+			if version, err = applyChange(ctx, cl, &plan[i], version); err != nil {
 				return fmt.Errorf("step %d of %d: %w", i+1, len(plan), err)
 			}
 			if len(plan) > 1 {
@@ -168,8 +169,8 @@
 	return c.print(view, "VERSION\tRECORDS CHANGED\tSTEPS\tAPPLIED", [][]any{{view["version"], records, len(plan), !p.DryRun}})
 }
 
-// change makes one change of the policy and returns its version.
-func change(ctx context.Context, cl *client.Client, ch *rights.Change, version uint64) (uint64, error) {
+// applyChange changes the policy if it still has the given version, and returns the new version.
+func applyChange(ctx context.Context, cl *client.Client, ch *rights.Change, version uint64) (uint64, error) {
 	ch.Version = version
 	var v rights.Version
 	err := cl.Do(ctx, "POST", "/policy", ch, &v)
--- a/cmd/micaspindlectl/policy_identities.go
+++ b/cmd/micaspindlectl/policy_identities.go
@@ -11,8 +11,8 @@
 	"micaspindle/internal/rights"
 )
 
-// editIdentities changes identities of the cluster's policy. It starts again from the latest
-// version if the policy was changed meanwhile. edit says whether it changed the identity.
+// editIdentities edits the named identities in the cluster's policy. If the policy changes
+// meanwhile, it starts again from the latest version. edit reports whether it changed the identity.
 func editIdentities(ctx context.Context, c *cli, names []string, edit func(*rights.Identity) bool) error {
 	cl, err := c.client()
 	if err != nil {
@@ -29,7 +29,7 @@
 		}
 		version := page.Version
 		if edits.Size() > 0 {
-			version, err = change(ctx, cl, edits, version)
+			version, err = applyChange(ctx, cl, edits, version)
 		}
 		if isConflict(err) && ctx.Err() == nil {
 			continue
@@ -42,7 +42,7 @@
 	}
 }
 
-// editedIdentities is the change that edits the named identities.
+// editedIdentities returns the change of the policy that edits the named identities.
 func editedIdentities(document *rights.Document, names []string, edit func(*rights.Identity) bool) (*rights.Change, error) {
 	edits := new(rights.Change)
 	for _, name := range names {
@@ -63,7 +63,7 @@
 	return edits, nil
 }
 
-// isConflict says whether a change was refused since the policy has another version by now.
+// isConflict reports whether a change was refused because the policy has a newer version.
 func isConflict(err error) bool {
 	var refusal *client.Refusal
 	return errors.As(err, &refusal) && refusal.Status == http.StatusConflict
@@ -74,9 +74,9 @@
 	Names []string `arg:"" name:"name" help:"Identities, KIND/ID."`
 }
 
-// Help shows examples.
+// Help describes the effect on jobs and shows an example.
 func (policyRevokeCmd) Help() string {
-	return "Their jobs keep running; 'micaspindlectl cancel-all' cancels them.\nThe last administrator can't be revoked.\n\nExample:\n  micaspindlectl policy revoke person/anna"
+	return "The jobs of revoked identities keep running; 'micaspindlectl cancel-all' cancels them.\nThe last administrator can't be revoked.\n\nExample:\n  micaspindlectl policy revoke person/anna"
 }
 
 // Run revokes identities.
@@ -103,7 +103,7 @@
 	})
 }
 
-// policyRevokeTokensCmd revokes the tokens that an identity holds now.
+// policyRevokeTokensCmd revokes all tokens that identities were issued until now.
 type policyRevokeTokensCmd struct {
 	Names []string `arg:"" name:"name" help:"Identities, KIND/ID."`
 }
--- a/cmd/micaspindlectl/status.go
+++ b/cmd/micaspindlectl/status.go
@@ -11,9 +11,9 @@
 	"micaspindle/internal/protocol"
 )
 
-// statusCmd shows the state of jobs, or waits for their end.
+// statusCmd shows the state of jobs, or waits until they have ended.
 type statusCmd struct {
-	IDs  []string `arg:"" name:"id" help:"Jobs."`
+	IDs  []string `arg:"" name:"id" help:"Job ids."`
 	Wait bool     `help:"Wait until all jobs have ended; progress goes to standard error."`
 }
 
@@ -22,10 +22,10 @@
 	return "Examples:\n  micaspindlectl status job-17\n  micaspindlectl status job-17 job-18 --wait -o json"
 }
 
-// pollInterval is the pause between two polls of the same request.
+// pollInterval is the pause before a request is repeated.
 const pollInterval = time.Second
 
-// Run shows the jobs' states.
+// Run shows the state of the jobs, with --wait once all have ended.
 func (s *statusCmd) Run(ctx context.Context, c *cli) error {
 	cl, err := c.client()
 	if err != nil {
@@ -44,7 +44,7 @@
 			fmt.Fprintln(os.Stderr, "waiting:"+progress)
 			lastProgress = progress
 		}
-		if err := pause(ctx, pollInterval); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -63,12 +63,12 @@
 	return jobs, nil
 }
 
-// allEnded says whether every job is in a final state.
+// allEnded reports whether every job is in a final state.
 func allEnded(jobs []protocol.JobStatus) bool {
 	return !slices.ContainsFunc(jobs, func(st protocol.JobStatus) bool { return !st.Ended() })
 }
 
-// describeProgress is one line about all jobs.
+// describeProgress returns the progress of all jobs on one line.
 func describeProgress(jobs []protocol.JobStatus) string {
 	text := ""
 	for _, st := range jobs {
@@ -77,8 +77,8 @@
 	return text
 }
 
-// pause waits for a while, or until ctx ends, whose error it returns then.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d. If ctx ends earlier, it returns the error of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/cmd/micaspindlectl/submit.go
+++ b/cmd/micaspindlectl/submit.go
@@ -12,7 +12,7 @@
 
 // submitCmd submits one job.
 type submitCmd struct {
-	ID       string        `help:"Job id: job- and digits; default: a random one. Give it to make a repeated submission idempotent."`
+	ID       string        `help:"Job id: job- and digits; default: a random one. With the same id, a repeated submission is idempotent."`
 	Team     string        `required:"" help:"Team whose quota (guarantee and limit) the job counts against."`
 	Class    string        `required:"" help:"Job class."`
 	Shape    string        `default:"batch" enum:"batch,standing,gang" help:"How tasks run: batch (independently), standing (a service that stays up) or gang (all at once or none)."`
@@ -39,7 +39,8 @@
 		"  micaspindlectl submit --team payments --class payout-send --after job-17 --after job-18 -o json"
 }
 
-// submission is the request that the flags describe, checked as a controller checks it.
+// submission returns the request that the flags describe, after the same validation as in the
+// controller.
 func (s *submitCmd) submission() (*protocol.Submission, error) {
 	if s.ID == "" {
 		id, err := newJobID()
@@ -67,7 +68,7 @@
 	return sub, err
 }
 
-// newJobID is a random job id.
+// newJobID returns a random job id.
 func newJobID() (string, error) {
 	n, err := rand.Int(rand.Reader, big.NewInt(1e18))
 	if err != nil {
--- a/cmd/micaspindlectl/terminal.go
+++ b/cmd/micaspindlectl/terminal.go
@@ -10,15 +10,15 @@
 	"micaspindle/internal/overview"
 )
 
-// The size of the terminal until it tells its own.
+// The size that is assumed until the terminal reports its own.
 const (
 	defaultWidth  = 80
 	defaultHeight = 24
 )
 
-// runTerminal shows rows, and fetches new ones at each interval, until the user quits or ctx ends.
-func runTerminal(ctx context.Context, rows []overview.Row, fetch func() ([]overview.Row, error), every time.Duration) error {
-	s := &screen{rows: rows, fetch: fetch, every: every, width: defaultWidth, height: defaultHeight}
+// runTerminal shows rows and refreshes them at the interval, until the user quits or ctx ends.
+func runTerminal(ctx context.Context, rows []overview.Row, fetch func() ([]overview.Row, error), interval time.Duration) error {
+	s := &screen{rows: rows, fetch: fetch, interval: interval, width: defaultWidth, height: defaultHeight}
 	_, err := tea.NewProgram(s, tea.WithContext(ctx), tea.WithAltScreen()).Run()
 	if errors.Is(err, tea.ErrProgramKilled) && ctx.Err() != nil {
 		return nil
@@ -31,26 +31,28 @@
 	rows          []overview.Row
 	err           error
 	fetch         func() ([]overview.Row, error)
-	every         time.Duration
+	interval      time.Duration
 	width, height int
 }
 
-// tick says that the refresh interval has passed.
+// tick is the message that the refresh interval has passed.
 type tick struct{}
 
-// fetched carries the answers of one refresh.
+// fetched is the message with the result of one refresh.
 type fetched struct {
 	rows []overview.Row
 	err  error
 }
 
-// wait sends a tick after the refresh interval.
-func (s *screen) wait() tea.Cmd { return tea.Tick(s.every, func(time.Time) tea.Msg { return tick{} }) }
+// scheduleRefresh returns a command that sends a tick after the refresh interval.
+func (s *screen) scheduleRefresh() tea.Cmd {
+	return tea.Tick(s.interval, func(time.Time) tea.Msg { return tick{} })
+}
 
-// Init starts the first wait.
-func (s *screen) Init() tea.Cmd { return s.wait() }
+// Init schedules the first refresh.
+func (s *screen) Init() tea.Cmd { return s.scheduleRefresh() }
 
-// Update handles keys, window sizes, ticks and answers.
+// Update handles keys, changes of the window size, ticks and results of refreshes.
 func (s *screen) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.KeyMsg:
@@ -66,7 +68,7 @@
 		}
 	case fetched:
 		s.rows, s.err = msg.rows, msg.err
-		return s, s.wait()
+		return s, s.scheduleRefresh()
 	}
 	return s, nil
 }
--- a/cmd/micaspindlectl/token.go
+++ b/cmd/micaspindlectl/token.go
@@ -19,12 +19,12 @@
 	Out     string        `type:"path" help:"File to write (mode 0600); default: standard output."`
 }
 
-// Help shows examples.
+// Help describes the risk of a token and shows an example.
 func (tokenCmd) Help() string {
 	return "Anyone who holds the token can act as its identity until it expires.\n\nExample:\n  micaspindlectl token person/anna --cluster hosted --for 8h --out anna.token"
 }
 
-// Run signs a token.
+// Run issues a token and prints it or writes it to a file.
 func (t *tokenCmd) Run() error {
 	name, err := identity.ParseName(t.Name)
 	if err != nil {
--- a/cmd/micaspindlectl/top.go
+++ b/cmd/micaspindlectl/top.go
@@ -12,27 +12,27 @@
 	"micaspindle/internal/overview"
 )
 
-// topCmd shows the state of the cluster, on a terminal again and again.
+// topCmd shows the state of the cluster. On a terminal it refreshes it continuously.
 type topCmd struct {
 	Operations string        `env:"SPINDLE_OPERATIONS" placeholder:"HOST:PORT,..." help:"The controllers' operations addresses (operations.listen in their settings)."`
 	Every      time.Duration `default:"1s" help:"Refresh interval (200ms to 1m)."`
 	Once       bool          `help:"Print once and exit; the default if the output is not a terminal."`
 }
 
-// Help shows examples.
+// Help describes the keys, the output and the exit codes, and shows examples.
 func (topCmd) Help() string {
 	return "Examples:\n\n    micaspindlectl top --operations 10.0.0.1:9090,10.0.0.2:9090\n    micaspindlectl top --once -o json | jq .\n\n" +
-		"Keys: q quits. Wait times cover the last two to four minutes, of the slowest controller.\nWith identities it needs the right to view every queue.\n\n" +
+		"Keys: q quits. Wait times are those of the slowest controller over the last two to four minutes.\nWith identities it needs the right to view every queue.\n\n" +
 		"Exit codes: 0 success, 2 wrong arguments, 3 not authorized, 5 no controller answered."
 }
 
-// The bounds of --every.
+// The limits of --every.
 const (
 	minRefresh = 200 * time.Millisecond
 	maxRefresh = time.Minute
 )
 
-// The size of the printout of --once.
+// The screen size that is used for --once, in characters.
 const (
 	printWidth  = 200
 	printHeight = 1000
--- a/cmd/micaspindlectl/whoami.go
+++ b/cmd/micaspindlectl/whoami.go
@@ -7,7 +7,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// whoamiCmd shows the identity that the cluster sees the caller as.
+// whoamiCmd shows the caller's identity and rights as the cluster sees them.
 type whoamiCmd struct{}
 
 // whoamiView is the answer as JSON.
@@ -18,7 +18,7 @@
 	PolicyVersion uint64   `json:"policy_version"`
 }
 
-// Run shows the caller's identity and rights.
+// Run asks a controller and shows its answer.
 func (whoamiCmd) Run(ctx context.Context, c *cli) error {
 	cl, err := c.client()
 	if err != nil {
