--- a/cmd/micaspindlectl/delegations.go
+++ b/cmd/micaspindlectl/delegations.go
@@ -18,9 +18,8 @@
 	return "Examples:\n\n    micaspindlectl delegations --operations 10.0.0.1:9090,10.0.0.2:9090\n    micaspindlectl delegations -o json | jq '.[].view.moves'\n\n" +
 		"The leader of a partition (OWNER) that runs short of sockets delegates worker connections, in\n" +
 		"fixed groups called shares, to other controllers (docs/heartbeat-delegation.md). This needs no\n" +
-		"action by operators.\n" +
-		"MACHINES are the worker connections a controller holds, ROOM is its capacity.\n" +
-		"With identities it needs the right to view every queue.\n\n" +
+		"action by operators.\nMACHINES are the worker connections a controller holds, ROOM is its capacity.\n" +
+		"In a cluster with authentication, the command needs the right to view every queue.\n\n" +
 		"Exit codes: 0 success, 2 wrong arguments, 3 not authorized, 5 no controller answered."
 }
 
--- a/cmd/micaspindlectl/top.go
+++ b/cmd/micaspindlectl/top.go
@@ -22,7 +22,7 @@
 // Help describes the keys, the output and the exit codes, and shows examples.
 func (topCmd) Help() string {
 	return "Examples:\n\n    micaspindlectl top --operations 10.0.0.1:9090,10.0.0.2:9090\n    micaspindlectl top --once -o json | jq .\n\n" +
-		"Keys: q quits. Wait times are those of the slowest controller over the last two to four minutes.\nWith identities it needs the right to view every queue.\n\n" +
+		"Keys: q quits. Wait times are those of the slowest controller over the last two to four minutes.\nIn a cluster with authentication, the command needs the right to view every queue.\n\n" +
 		"Exit codes: 0 success, 2 wrong arguments, 3 not authorized, 5 no controller answered."
 }
 
