--- a/cmd/micaspindle-devcluster/build.go
+++ b/cmd/micaspindle-devcluster/build.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/identity"
 )
 
-// buildCmd runs a sample build through front ends that are running.
+// buildCmd runs a sample build through the front ends of a running cluster.
 type buildCmd struct {
 	Frontends string        `required:"" aliases:"gates" placeholder:"HOST:PORT,..." env:"SPINDLE_GATES" help:"Addresses of Remote Execution API front ends."`
 	Instance  string        `help:"Instance name; the front ends map it to a team."`
@@ -36,7 +36,7 @@
 		"Exit codes: 0 success, 1 an action failed or the output is wrong, 2 wrong arguments."
 }
 
-// The bounds of a build.
+// Upper bounds of the flags.
 const (
 	maxSources           = 50_000
 	maxConcurrentActions = 10_000
@@ -48,24 +48,24 @@
 	if b.Sources < 1 || b.Sources > maxSources || b.AtOnce < 1 || b.AtOnce > maxConcurrentActions || b.Seconds < 0 || b.Seconds > maxActionSeconds || b.Limit <= 0 {
 		return usageError{errors.New("--sources must lie between 1 and 50000, --at-once between 1 and 10000, --seconds between 0 and 3600, --limit above 0")}
 	}
-	proof := identity.CredentialFiles{Roots: b.Roots, Cert: b.Cert, TokenFile: b.TokenFile}
-	secure, token, err := proof.Load(func(n identity.Name) bool { return n.Kind == identity.Service })
+	credentials := identity.CredentialFiles{Roots: b.Roots, Cert: b.Cert, TokenFile: b.TokenFile}
+	tlsConfig, token, err := credentials.Load(func(n identity.Name) bool { return n.Kind == identity.Service })
 	if err != nil {
 		return usageError{err}
 	}
-	conn, err := buildtool.Dial(client.SplitAddresses(b.Frontends), secure, token)
+	conn, err := buildtool.Dial(client.SplitAddresses(b.Frontends), tlsConfig, token)
 	if err != nil {
 		return usageError{err}
 	}
 	defer conn.Close() //nolint:errcheck // the process ends
-	ctx, cancel := context.WithTimeoutCause(ctx, b.Limit, fmt.Errorf("not done within %v", b.Limit))
+	ctx, cancel := context.WithTimeoutCause(ctx, b.Limit, fmt.Errorf("the build took longer than its time limit of %v", b.Limit))
 	defer cancel()
 	tool := buildtool.New(conn, b.Instance)
 	tool.AtOnce = b.AtOnce
 	if b.Digest == "blake3" {
 		tool.Function = repb.DigestFunction_BLAKE3
 	}
-	report, err := devcluster.Build(ctx, tool, b.Name, b.Sources, b.Seconds, progress())
+	report, err := devcluster.Build(ctx, tool, b.Name, b.Sources, b.Seconds, newProgress())
 	if err != nil {
 		return err
 	}
--- a/cmd/micaspindle-devcluster/build_report.go
+++ b/cmd/micaspindle-devcluster/build_report.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/devcluster"
 )
 
-// buildView is a build as JSON.
+// buildView is the JSON form of a build's report.
 type buildView struct {
 	Name string `json:"name"`
 	*buildtool.Report
@@ -23,7 +23,7 @@
 	WaitMax int64 `json:"wait_max_ms"`
 }
 
-// buildViews are the reports as JSON shows them.
+// buildViews converts reports to their JSON form.
 func buildViews(reports []devcluster.NamedReport) []buildView {
 	var views []buildView
 	for _, r := range reports {
@@ -33,7 +33,8 @@
 	return views
 }
 
-// printBuilds shows one build a row, then a histogram of the waits of each.
+// printBuilds prints a table with one row per build, then a histogram of each build's wait
+// times; or everything as JSON.
 func printBuilds(output string, reports []devcluster.NamedReport) error {
 	if output == outputJSON {
 		return printJSON(buildViews(reports))
@@ -58,10 +59,11 @@
 	return nil
 }
 
-// histogramWidth is the length of the longest bar.
+// histogramWidth is the length of the longest bar, in characters.
 const histogramWidth = 50
 
-// printHistogram draws wait times; each line is of waits up to twice as long as the one above.
+// printHistogram draws a histogram of wait times. Its buckets are powers of two, each labelled
+// with its upper bound in milliseconds.
 func printHistogram(out io.Writer, h *hdrhistogram.Histogram) {
 	counts := map[int]int64{} // by the binary logarithm of the wait
 	lowest, highest, largest := 64, 0, int64(0)
--- a/cmd/micaspindle-devcluster/cluster.go
+++ b/cmd/micaspindle-devcluster/cluster.go
@@ -10,7 +10,7 @@
 	"micaspindle/internal/devcluster"
 )
 
-// The names of the programs that a cluster is made of.
+// Names of the project's programs that this command starts or mentions.
 const (
 	controllerProgram = "micaspindle"
 	frontendProgram   = "micaspindle-reapi"
@@ -18,7 +18,7 @@
 	ownProgram        = "micaspindle-devcluster"
 )
 
-// The bounds of what a cluster may have.
+// Bounds of the flags.
 const (
 	maxControllers = 9
 	maxFrontends   = 5
@@ -27,16 +27,16 @@
 	maxSockets     = 10_000
 )
 
-// The budgets of the model of the state service, in writes and in requests a second.
+// Rate limits of the fake state store.
 const (
 	stateWritesPerSecond   = 60
 	stateRequestsPerSecond = 400
 )
 
-// readyTimeout is how long a cluster may take to be ready.
+// readyTimeout bounds the startup of a cluster.
 const readyTimeout = 20 * time.Second
 
-// clusterFlags say what cluster is started.
+// clusterFlags configure the cluster to start.
 type clusterFlags struct {
 	Controllers int    `default:"3" help:"Number of controllers (1 to 9)."`
 	Binary      string `type:"path" help:"Controller program; default: micaspindle in the directory of this program."`
@@ -48,15 +48,16 @@
 	Sockets     int    `default:"2000" help:"Socket limit of each controller (100 to 10000); with a low limit, controllers delegate worker connections to each other."`
 }
 
-// frontendFlags say how many Remote Execution API front ends the cluster has.
+// frontendFlags configure the cluster's Remote Execution API front ends.
 type frontendFlags struct {
 	Frontends      int    `aliases:"gates" default:"${frontends}" help:"Number of Remote Execution API front ends (0 to 5)."`
 	FrontendBinary string `aliases:"gate-binary" type:"path" help:"Front end program; default: micaspindle-reapi in the directory of this program."`
 }
 
-// start starts the cluster, waits until it is ready and returns what takes it down again.
+// start starts the cluster and waits until it is ready. The returned function stops it and
+// removes its directory if that is temporary.
 func (f *clusterFlags) start(ctx context.Context, frontends frontendFlags) (*devcluster.Cluster, func(), error) {
-	if err := f.check(frontends); err != nil {
+	if err := f.validate(frontends); err != nil {
 		return nil, nil, err
 	}
 	options, err := f.options(frontends)
@@ -69,7 +70,7 @@
 	}
 	options.Dir = f.Dir
 	if f.Identities {
-		if options.Identities, err = devcluster.Prepare(f.Dir, f.Controllers); err != nil {
+		if options.Identities, err = devcluster.PrepareIdentities(f.Dir, f.Controllers); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -80,13 +81,13 @@
 	}
 	if err := f.awaitReady(ctx, cluster); err != nil {
 		cluster.Stop()
-		return nil, nil, err // the logs stay
+		return nil, nil, err // the directory is kept for its logs
 	}
 	return cluster, func() { cluster.Stop(); removeDirectory() }, nil
 }
 
-// check validates the flags.
-func (f *clusterFlags) check(frontends frontendFlags) error {
+// validate validates the flags.
+func (f *clusterFlags) validate(frontends frontendFlags) error {
 	switch {
 	case frontends.Frontends < 0 || frontends.Frontends > maxFrontends:
 		return usageError{errors.New("--frontends must lie between 0 and 5")}
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// options are the cluster's, but for its directory; the programs are found.
+// options returns the cluster's options except for its directory and identities.
 func (f *clusterFlags) options(frontends frontendFlags) (devcluster.Options, error) {
 	options := devcluster.Options{
 		Controllers: f.Controllers,
@@ -124,7 +125,8 @@
 	return options, nil
 }
 
-// makeDirectory makes the cluster's directory and returns what removes it if it is temporary.
+// makeDirectory creates the cluster's directory. The returned function removes it if it is
+// temporary.
 func (f *clusterFlags) makeDirectory() (remove func(), err error) {
 	if f.Dir != "" {
 		if err := os.MkdirAll(f.Dir, 0o700); err != nil {
@@ -138,10 +140,10 @@
 	return func() { _ = os.RemoveAll(f.Dir) }, nil
 }
 
-// temporaryDirectory is a new directory of this program's own.
+// temporaryDirectory creates a temporary directory.
 func temporaryDirectory() (string, error) { return os.MkdirTemp("", ownProgram+"-") }
 
-// awaitReady waits until the cluster serves, and gives it its access policy.
+// awaitReady waits until the cluster is ready. With identities it then writes the access policy.
 func (f *clusterFlags) awaitReady(ctx context.Context, cluster *devcluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/cmd/micaspindle-devcluster/demo.go
+++ b/cmd/micaspindle-devcluster/demo.go
@@ -26,39 +26,39 @@
 // Run runs the demo.
 func (d *demoCmd) Run(ctx context.Context) error {
 	started := time.Now()
-	report := progress()
+	report := newProgress()
 	cluster, stop, err := d.start(ctx, frontendFlags{})
 	if err != nil {
 		return err
 	}
 	defer stop()
 	report(fmt.Sprintf("%d controllers are ready", d.Controllers))
-	users, err := cluster.Client(devcluster.Administrator)
+	administrator, err := cluster.Client(devcluster.Administrator)
 	if err != nil {
 		return err
 	}
-	result, err := cluster.Demo(ctx, users, report)
+	result, err := cluster.Demo(ctx, administrator, report)
 	if d.Output == outputJSON {
 		return errors.Join(err, printJSON(result))
 	}
 	return errors.Join(err, printDemo(result, time.Since(started)))
 }
 
-// printDemo shows the jobs in a table, then the waits.
+// printDemo prints the jobs as a table, then a summary.
 func printDemo(result *devcluster.DemoResult, took time.Duration) error {
 	fmt.Println()
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "JOB\tCLASS\tURGENCY\tTASKS\tAFTER\tSTATE\tACCEPTED IN\tCOMPLETED IN")
 	for _, j := range result.Jobs {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d ms\t%.1f s\n", j.ID, j.Class, j.Urgency, j.Tasks, strings.Join(j.After, " "), j.State,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d ms\t%.1f s\n", j.ID, j.Class, j.Urgency, j.Tasks, strings.Join(j.Dependencies, " "), j.State,
 			j.AcceptedMS, float64(j.DoneMS)/1000)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("\n%d tasks ran on %d machines under %d controllers in %.0f s.\n", result.TasksDone, result.MachinesUsed, result.Processes, took.Seconds())
+	fmt.Printf("\n%d tasks ran on %d machines under %d controllers in %.0f s.\n", result.TasksDone, result.MachinesUsed, result.Controllers, took.Seconds())
 	if result.Successor != "" {
-		fmt.Printf("The leader %s was killed; %s led %.1f s later.\n", result.Killed, result.Successor, float64(result.LeaderlessMS)/1000)
+		fmt.Printf("The leader %s was killed; %s became leader %.1f s later.\n", result.Killed, result.Successor, float64(result.LeaderlessMS)/1000)
 	}
 	fmt.Printf("The longest wait for an answer was %.1f s.\n", float64(result.LongestWaitMS)/1000)
 	return nil
--- a/cmd/micaspindle-devcluster/demo_build.go
+++ b/cmd/micaspindle-devcluster/demo_build.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// demoBuildCmd runs a sample build on a cluster one of whose front ends is killed.
+// demoBuildCmd runs a sample build on a cluster and kills a front end during the build.
 type demoBuildCmd struct {
 	clusterFlags
 	Frontends      int     `aliases:"gates" default:"2" help:"Number of Remote Execution API front ends (2 to 5)."`
@@ -22,7 +22,7 @@
 		"Exit codes: 0 success of both builds, 1 failure, 2 wrong arguments."
 }
 
-// The bounds of the demo's build, which is to take seconds.
+// Upper bounds of the flags, so that the demo stays short.
 const (
 	maxDemoSources       = 2000
 	maxDemoActionSeconds = 10
@@ -33,7 +33,7 @@
 	if d.Frontends < 2 || d.Sources < 1 || d.Sources > maxDemoSources || d.Seconds < 0 || d.Seconds > maxDemoActionSeconds {
 		return usageError{errors.New("--frontends must lie between 2 and 5, --sources between 1 and 2000, --seconds between 0 and 10")}
 	}
-	report := progress()
+	report := newProgress()
 	cluster, stop, err := d.start(ctx, frontendFlags{Frontends: d.Frontends, FrontendBinary: d.FrontendBinary})
 	if err != nil {
 		return err
--- a/cmd/micaspindle-devcluster/main.go
+++ b/cmd/micaspindle-devcluster/main.go
@@ -1,5 +1,5 @@
-// Command micaspindle-devcluster runs a development cluster on loopback: real controllers,
-// with models of the state service, the cloud and the workers beside them.
+// Command micaspindle-devcluster runs a development cluster on loopback: real controllers
+// with fakes of the state store, the cloud and the workers.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the command line.
+// cli defines the commands and their flags.
 type cli struct {
 	Demo demoCmd `cmd:"" help:"Run jobs on a cluster, kill its leader, and report how long users waited."`
 	Up   upCmd   `cmd:"" help:"Run a cluster until Ctrl-C."`
@@ -24,13 +24,13 @@
 	Measure measureCmd `cmd:"" help:"Measure the overhead of authentication and audit, as ratios."`
 }
 
-// The exit codes.
+// Exit codes.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// usageError marks a mistake of the caller; it ends the process with exitUsage.
+// usageError is an error in the arguments, for which the process exits with exitUsage.
 type usageError struct{ error }
 
 func main() {
--- a/cmd/micaspindle-devcluster/measure.go
+++ b/cmd/micaspindle-devcluster/measure.go
@@ -11,7 +11,7 @@
 	"micaspindle/internal/devcluster"
 )
 
-// measureCmd compares a cluster with authentication and audit to one without.
+// measureCmd compares a cluster with authentication and audit logging to one without.
 type measureCmd struct {
 	Binary  string        `type:"path" help:"Controller program; default: micaspindle in the directory of this program."`
 	Against string        `type:"path" help:"Controller program of another version, to compare size, start time and memory with."`
@@ -25,7 +25,7 @@
 	return "Takes a few minutes. Only the ratios are meaningful, and only on an idle machine.\n\nExample:\n  micaspindle-devcluster measure --against /tmp/micaspindle.before"
 }
 
-// Run measures.
+// Run runs the measurements and prints the comparisons.
 func (m *measureCmd) Run(ctx context.Context) error {
 	if m.Rounds < 1 || m.For < time.Second {
 		return usageError{errors.New("--rounds must be at least 1 and --for at least 1s")}
@@ -39,42 +39,42 @@
 		return err
 	}
 	defer os.RemoveAll(directory) //nolint:errcheck // a temporary directory
-	measurement := devcluster.Measurement{Binary: binary, Against: m.Against, Dir: directory, For: m.For, Rounds: m.Rounds}
-	figures, err := measureAll(ctx, &measurement)
+	measurement := devcluster.Measurement{Binary: binary, Baseline: m.Against, Dir: directory, LoadDuration: m.For, Rounds: m.Rounds}
+	comparisons, err := measureAll(ctx, &measurement)
 	if err != nil {
 		return err
 	}
 	if m.Output == outputJSON {
-		return printJSON(figures)
+		return printJSON(comparisons)
 	}
-	return printFigures(figures)
+	return printComparisons(comparisons)
 }
 
-// measureAll runs every part of the measurement, that of the program's footprint only if there
-// is another version to compare with.
-func measureAll(ctx context.Context, measurement *devcluster.Measurement) ([]devcluster.Figure, error) {
-	parts := []func(context.Context, func(string)) ([]devcluster.Figure, error){measurement.Throughput, measurement.Flood}
-	if measurement.Against != "" {
-		parts = append(parts, measurement.Footprint)
+// measureAll runs all measurements. The program's footprint is measured only if there is another
+// version to compare with.
+func measureAll(ctx context.Context, measurement *devcluster.Measurement) ([]devcluster.Comparison, error) {
+	measurements := []func(context.Context, func(string)) ([]devcluster.Comparison, error){measurement.Throughput, measurement.Flood}
+	if measurement.Baseline != "" {
+		measurements = append(measurements, measurement.Footprint)
 	}
-	report := progress()
-	var all []devcluster.Figure
-	for _, part := range parts {
-		figures, err := part(ctx, report)
+	report := newProgress()
+	var all []devcluster.Comparison
+	for _, measure := range measurements {
+		comparisons, err := measure(ctx, report)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, figures...)
+		all = append(all, comparisons...)
 	}
 	return all, nil
 }
 
-// printFigures shows one figure a row.
-func printFigures(figures []devcluster.Figure) error {
+// printComparisons prints a table with one comparison per row.
+func printComparisons(comparisons []devcluster.Comparison) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEASURE\tBEFORE\tAFTER\tUNIT\tRATIO\tTARGET")
-	for _, f := range figures {
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%s\t%.2f\t%s\n", f.What, f.Before, f.After, f.Unit, f.Ratio, f.Aim)
+	for _, c := range comparisons {
+		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%s\t%.2f\t%s\n", c.Name, c.Before, c.After, c.Unit, c.Ratio, c.Target)
 	}
 	return w.Flush()
 }
--- a/cmd/micaspindle-devcluster/output.go
+++ b/cmd/micaspindle-devcluster/output.go
@@ -10,7 +10,7 @@
 	"golang.org/x/term"
 )
 
-// outputJSON is the value of --output that asks for JSON in place of a table.
+// outputJSON is the value of --output that selects JSON.
 const outputJSON = "json"
 
 // printJSON writes v as indented JSON to standard output.
@@ -20,9 +20,9 @@
 	return enc.Encode(v)
 }
 
-// progress reports progress on standard error: on a terminal repeated counts in one line that
-// is rewritten, elsewhere in a line each.
-func progress() func(string) {
+// newProgress returns a function that prints a progress message to standard error. On a terminal,
+// consecutive messages with counts overwrite each other in one line.
+func newProgress() func(string) {
 	started := time.Now()
 	terminal := term.IsTerminal(int(os.Stderr.Fd()))
 	return func(text string) {
--- a/cmd/micaspindle-devcluster/up.go
+++ b/cmd/micaspindle-devcluster/up.go
@@ -22,7 +22,7 @@
 	return "Examples:\n  micaspindle-devcluster up\n  micaspindle-devcluster up --frontends 2 --identities\n  micaspindle-devcluster up --controllers 5 --dir /tmp/cluster --log-level debug\n  micaspindle-devcluster up --machines 60 --sockets 120"
 }
 
-// Run runs a cluster until it is interrupted.
+// Run starts the cluster, prints how to use it, and waits for an interrupt.
 func (u *upCmd) Run(ctx context.Context) error {
 	cluster, stop, err := u.start(ctx, u.frontendFlags)
 	if err != nil {
@@ -43,25 +43,25 @@
 	return nil
 }
 
-// printProcesses shows the addresses, process ids and logs of controllers and front ends.
+// printProcesses prints the addresses, process IDs and log files of controllers and front ends.
 func printProcesses(cluster *devcluster.Cluster) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTROLLER\tADDRESS\tPROCESS\tLOG")
-	for _, n := range cluster.Nodes() {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", n.Label, n.Addr, n.Pid(), n.LogFile)
+	for _, node := range cluster.Nodes() {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", node.Label, node.Addr, node.Pid(), node.LogFile)
 	}
 	if err := w.Flush(); err != nil || len(cluster.FrontEnds()) == 0 {
 		return err
 	}
 	fmt.Fprintln(w, "\nFRONT END\tADDRESS\tPROCESS\tLOG")
-	for _, g := range cluster.FrontEnds() {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", g.Label, g.Addr, g.Pid(), g.LogFile)
+	for _, frontEnd := range cluster.FrontEnds() {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", frontEnd.Label, frontEnd.Addr, frontEnd.Pid(), frontEnd.LogFile)
 	}
 	return w.Flush()
 }
 
-// programPaths are the paths of the client program and of this one; their names, if the
-// directory is not known.
+// programPaths returns the paths of the client program and of this program, or their bare names
+// if this program's path is unknown.
 func programPaths() (client, self string) {
 	path, err := os.Executable()
 	if err != nil {
@@ -70,16 +70,16 @@
 	return filepath.Join(filepath.Dir(path), clientProgram), path
 }
 
-// printClientHints prints commands to try, ready to copy.
+// printClientHints prints client commands for this cluster.
 func printClientHints(cluster *devcluster.Cluster, client string) {
 	var operations []string
-	for _, n := range cluster.Nodes() {
-		operations = append(operations, n.Operations)
+	for _, node := range cluster.Nodes() {
+		operations = append(operations, node.Operations)
 	}
 	credentials := ""
-	if h := cluster.Identities(); h != nil {
+	if identities := cluster.Identities(); identities != nil {
 		credentials = fmt.Sprintf("  export SPINDLE_ROOTS=%s\n  export SPINDLE_TOKEN_FILE=%s  # or of %s\n  %s whoami\n  %s policy show\n  %s audit list\n",
-			h.Roots, h.TokenFile(devcluster.Administrator), strings.Join(h.Others(), ", "), client, client, client)
+			identities.Roots, identities.TokenFile(devcluster.Administrator), strings.Join(identities.OtherNames(), ", "), client, client, client)
 	}
 	fmt.Printf(`
 Teams: placements-desk, payments, venues. To try, in another terminal:
@@ -93,19 +93,19 @@
 `, strings.Join(cluster.Addrs(), ","), strings.Join(operations, ","), credentials, client, client, client, client, client)
 }
 
-// reportExits reports processes that exit by themselves, until ctx ends.
+// reportExits prints a line for each process that exits unexpectedly, until ctx is done.
 func reportExits(ctx context.Context, cluster *devcluster.Cluster) {
 	exited := make(chan string, len(cluster.Nodes())+len(cluster.FrontEnds()))
-	for _, g := range cluster.FrontEnds() {
+	for _, frontEnd := range cluster.FrontEnds() {
 		go func() {
-			<-g.Exited()
-			exited <- g.Label
+			<-frontEnd.Exited()
+			exited <- frontEnd.Label
 		}()
 	}
-	for _, n := range cluster.Nodes() {
+	for _, node := range cluster.Nodes() {
 		go func() {
-			<-n.Exited()
-			exited <- n.Label
+			<-node.Exited()
+			exited <- node.Label
 		}()
 	}
 	for {
@@ -120,17 +120,18 @@
 	}
 }
 
-// buildHints are the flags for a build tool and a command to try, ready to copy.
-func buildHints(self string, addresses []string, h *devcluster.Identities) string {
+// buildHints returns flags for build tools and a sample build command for this cluster.
+func buildHints(self string, addresses []string, identities *devcluster.Identities) string {
 	scheme, toolFlags, ownFlags := "grpc", "", ""
-	if h != nil {
+	if identities != nil {
 		scheme = "grpcs"
-		toolFlags = fmt.Sprintf(" --tls_certificate=%s --remote_header=\"authorization=Bearer $(cat %s)\"", h.Roots, h.TokenFile(devcluster.Builder))
-		ownFlags = fmt.Sprintf(" --roots %s --token-file %s", h.Roots, h.TokenFile(devcluster.Builder))
+		toolFlags = fmt.Sprintf(" --tls_certificate=%s --remote_header=\"authorization=Bearer $(cat %s)\"", identities.Roots, identities.TokenFile(devcluster.Builder))
+		ownFlags = fmt.Sprintf(" --roots %s --token-file %s", identities.Roots, identities.TokenFile(devcluster.Builder))
 	}
-	return fmt.Sprintf(`Instances: "" is venues', "refunds" payments', "placements" placements-desk's. Flags for a build tool:
+	return fmt.Sprintf(`Instance names and their teams: "" = venues, "refunds" = payments, "placements" = placements-desk.
+Flags for a build tool:
   --remote_executor=%s://%s --remote_instance_name=refunds%s
-A sample build, the second time from the cache:
+A sample build; run again, it is served from the cache:
   %s build --frontends %s --instance refunds%s
 `, scheme, addresses[0], toolFlags, self, strings.Join(addresses, ","), ownFlags)
 }
--- a/internal/devcluster/cluster.go
+++ b/internal/devcluster/cluster.go
@@ -1,7 +1,7 @@
 // Package devcluster runs a development cluster on loopback: fakes of the state store, the
 // cloud and the worker agents as small HTTP servers, and real controllers and Remote
-// Execution front ends as processes. It listens on 127.0.0.1 only, and all of it ends with
-// its context.
+// Execution front ends as processes. Everything listens on 127.0.0.1 only and stops when the
+// cluster's context is done.
 package devcluster
 
 import (
@@ -29,19 +29,19 @@
 	Binary string
 	// Dir holds settings, keys and logs.
 	Dir string
-	// Identities are the cluster's identities; nil: no authentication, everything is allowed.
+	// Identities are the cluster's identities; nil disables authentication and authorization.
 	Identities *Identities
-	// WriteRPS and RPS are the changes and requests per second that the state store allows.
+	// WriteRPS and RPS are the state store's limits on writes and on requests per second.
 	WriteRPS, RPS float64
 	LogLevel      string
-	// FrontEndConn is where machines fetch build actions from; nil: from the cluster's own front
-	// ends, if it has any.
+	// FrontEndConn is the connection over which machines fetch build actions; nil selects the
+	// cluster's own front ends, if it has any.
 	FrontEndConn grpc.ClientConnInterface
-	// FrontEnds is the number of front ends, GateBinary their program.
+	// FrontEnds is the number of front ends, FrontEndBinary their program.
 	FrontEnds      int
 	FrontEndBinary string
-	// Machines bounds the rented machines, Sockets is the limit of sockets in the
-	// controllers' settings; 0: defaultMachines and defaultSockets.
+	// Machines is the cloud's capacity, Sockets the socket limit in the controllers' settings;
+	// 0 selects defaultMachines and defaultSockets.
 	Machines, Sockets int
 }
 
@@ -49,43 +49,43 @@
 	defaultMachines = 24
 	defaultSockets  = 2000
 
-	// listLag is how far the cloud's machine list is behind.
+	// listLag is the staleness of the cloud's machine list.
 	listLag = 2 * time.Second
-	// heartbeatTimeout bounds the sending of a heartbeat; maxIdleHeartbeatConns is how many
-	// connections to a controller the machines share.
+	// heartbeatTimeout bounds a heartbeat request. maxIdleHeartbeatConns is how many idle
+	// connections to each controller the machines keep open between them.
 	heartbeatTimeout      = 4 * time.Second
 	maxIdleHeartbeatConns = 64
-	// stopGrace is how long a process may take to end before it is killed.
+	// stopGrace is how long a process may take to exit before it is killed.
 	stopGrace = 3 * time.Second
 )
 
 // Cluster is a running cluster.
 type Cluster struct {
 	options Options
-	ctx     context.Context // ends with the cluster
+	ctx     context.Context // done when the cluster stops
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
 
-	// mu guards the fakes and what follows up to results.
-	mu      sync.Mutex
-	rng     *rand.Rand
-	state   *state.Service
-	cloud   *cloud.Service
-	agents  map[string]*agent.Agent // by machine
-	results map[string]bool         // tasks that are done
+	// mu guards rng, the fakes and completedTasks.
+	mu             sync.Mutex
+	rng            *rand.Rand
+	state          *state.Service
+	cloud          *cloud.Service
+	agents         map[string]*agent.Agent // by machine
+	completedTasks map[string]bool         // by task name
 
 	nodes           []*Node
 	frontEnds       []*FrontEnd
 	heartbeatClient *http.Client
-	// addresses are those of processes, with what reserves them.
+	// addresses are the reserved addresses of processes.
 	addresses map[string]reservation
 }
 
-// Teams, zones and machine types, as in a small deployment.
+// Teams, zones and machine types of the cluster.
 var (
-	teams = []settings.Team{{Name: "placements-desk", CPUs: 32, CPUsMax: 128}, {Name: "payments", CPUs: 16, CPUsMax: 96}, {Name: "venues"}}
-	zones = []string{"almaty", "windhoek"}
-	types = []protocol.MachineType{
+	teams        = []settings.Team{{Name: "placements-desk", CPUs: 32, CPUsMax: 128}, {Name: "payments", CPUs: 16, CPUsMax: 96}, {Name: "venues"}}
+	zones        = []string{"almaty", "windhoek"}
+	machineTypes = []protocol.MachineType{
 		{Name: "desk-box", CPUs: 16, MemGB: 64, CacheGB: 40, FetchGBPerS: 1, Price: 0.74, SpotPrice: 0.19, BootS: 1, ZonesOffered: zones},
 		{Name: "hall-rack", CPUs: 64, MemGB: 256, CacheGB: 80, FetchGBPerS: 2, Price: 3.22, SpotPrice: 0.93, BootS: 2, ZonesOffered: zones}}
 )
@@ -93,11 +93,11 @@
 // Start starts a cluster that runs until Stop is called or ctx ends.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	c := &Cluster{
-		options:   options,
-		rng:       rand.New(rand.NewPCG(1, 2)),
-		agents:    map[string]*agent.Agent{},
-		results:   map[string]bool{},
-		addresses: map[string]reservation{},
+		options:        options,
+		rng:            rand.New(rand.NewPCG(1, 2)),
+		agents:         map[string]*agent.Agent{},
+		completedTasks: map[string]bool{},
+		addresses:      map[string]reservation{},
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.heartbeatClient = &http.Client{
@@ -105,7 +105,7 @@
 		Transport: &http.Transport{TLSClientConfig: options.Identities.workerTLS(), MaxIdleConnsPerHost: maxIdleHeartbeatConns},
 	}
 	c.state, c.cloud = state.New(&c.mu), cloud.New(&c.mu)
-	c.cloud.Types, c.cloud.Capacity, c.cloud.ListLag = types, cmp.Or(options.Machines, defaultMachines), listLag
+	c.cloud.Types, c.cloud.Capacity, c.cloud.ListLag = machineTypes, cmp.Or(options.Machines, defaultMachines), listLag
 	c.cloud.Boot, c.cloud.Stop = c.bootMachine, c.stopMachine
 	if err := c.start(); err != nil {
 		c.Stop()
@@ -114,33 +114,33 @@
 	return c, nil
 }
 
-// start starts the fakes and the controllers. Front ends are prepared only: they need
-// controllers to start.
+// start starts the fakes and the controllers and prepares the front ends, which AwaitReady
+// starts once the controllers serve.
 func (c *Cluster) start() error {
 	services, err := c.startServices()
 	if err != nil {
 		return err
 	}
-	if err := c.reserveNodes(); err != nil {
+	if err := c.prepareNodes(); err != nil {
 		return err
 	}
 	if err := c.prepareFrontEnds(); err != nil {
 		return err
 	}
 	params := c.params()
-	c.limitState(params.State)
+	c.enforceStateLimits(params.State)
 	for i, node := range c.nodes {
 		if err := c.writeNodeSettings(node, zones[i%len(zones)], services, params); err != nil {
 			return err
 		}
-		if err := c.Restart(node); err != nil {
+		if err := c.StartNode(node); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startServices serves the fakes of the state store and the cloud.
+// startServices starts the fakes of the state store and the cloud.
 func (c *Cluster) startServices() (services settings.Services, err error) {
 	services.State, err = c.serve(nil, func(ctx context.Context, r *http.Request, body []byte) *transport.Response {
 		return c.state.Serve(ctx, "", r.Method, r.URL.Path, r.URL.Query(), body)
@@ -154,24 +154,26 @@
 	return services, err
 }
 
-// Identities returns the cluster's identities, nil if it has none.
+// Identities returns the cluster's identities, or nil without authentication.
 func (c *Cluster) Identities() *Identities { return c.options.Identities }
 
-// State calls f with the state store, whose lock is held; f must not keep what it sees.
-func (c *Cluster) State(f func(*state.Service)) {
+// WithState calls f with the state store while the cluster's lock is held. f must not retain
+// references to the store's data.
+func (c *Cluster) WithState(f func(*state.Service)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.state)
 }
 
-// changes returns how many transactions have changed something so far.
-func (c *Cluster) changes() int {
+// stateRevision returns the state store's revision, which counts the transactions that changed
+// data.
+func (c *Cluster) stateRevision() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return int(c.state.Revision)
 }
 
-// Stop stops everything and waits for it.
+// Stop stops all processes and fakes and waits until they have ended.
 func (c *Cluster) Stop() {
 	c.stopFrontEnds()
 	c.stopControllers()
--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -25,47 +25,48 @@
 	"micaspindle/internal/overview"
 )
 
-// controllerBinary builds the controller, once for all tests of this package.
+// controllerBinary returns the path of the controller program, which it builds once for all tests.
 func controllerBinary(t *testing.T) string {
 	t.Helper()
-	return program(t, "micaspindle", "-ldflags=-linkmode=external")
+	return buildProgram(t, "micaspindle", "-ldflags=-linkmode=external")
 }
 
-// programs are the programs that tests of this package have built, by name.
-var programs struct {
+// builtPrograms holds the paths of the programs that tests have built, by program name.
+var builtPrograms struct {
 	mu    sync.Mutex
 	dir   string
-	built map[string]string
+	paths map[string]string
 }
 
-// program builds a program of the project, unless another test has built it.
-func program(t *testing.T, name string, flags ...string) string {
+// buildProgram returns the path of a program of the project, which it builds unless another test
+// has done so.
+func buildProgram(t *testing.T, name string, flags ...string) string {
 	t.Helper()
-	programs.mu.Lock()
-	defer programs.mu.Unlock()
-	if path, ok := programs.built[name]; ok {
+	builtPrograms.mu.Lock()
+	defer builtPrograms.mu.Unlock()
+	if path, ok := builtPrograms.paths[name]; ok {
 		return path
 	}
-	path := filepath.Join(programs.dir, name)
+	path := filepath.Join(builtPrograms.dir, name)
 	out, err := exec.Command("go", append(append([]string{"build"}, flags...), "-o", path, "micaspindle/cmd/"+name)...).CombinedOutput()
 	if err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("build %s: %v\n%s", name, err, out)
 	}
-	programs.built[name] = path
+	builtPrograms.paths[name] = path
 	return path
 }
 
-// clustersAtOnce is how many clusters of real processes run in parallel, unless -parallel
-// is given: their leases run in real time. A test that restarts a front end on its old
-// address, or compares times, runs alone.
-const clustersAtOnce = 3
+// maxParallelClusters limits the clusters of real processes that run in parallel, unless -parallel
+// is given, so that leases are renewed in time. A test that restarts a front end on its old
+// address, or compares times, is not parallel.
+const maxParallelClusters = 3
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
-	if !given {
-		if err := flag.Set("test.parallel", strconv.Itoa(clustersAtOnce)); err != nil {
+	parallelSet := false
+	flag.Visit(func(f *flag.Flag) { parallelSet = parallelSet || f.Name == "test.parallel" })
+	if !parallelSet {
+		if err := flag.Set("test.parallel", strconv.Itoa(maxParallelClusters)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -75,13 +76,13 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	programs.dir, programs.built = dir, map[string]string{}
+	builtPrograms.dir, builtPrograms.paths = dir, map[string]string{}
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// In the demo, with real processes, the cluster leader is killed and every job is done.
+// All jobs of the demo complete although the cluster leader is killed, and Stop ends all processes.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
@@ -94,16 +95,16 @@
 	if err := c.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	res, err := c.Demo(ctx, client.New(c.Addrs(), nil, ""), func(text string) { t.Log(text) })
+	result, err := c.Demo(ctx, client.New(c.Addrs(), nil, ""), func(text string) { t.Log(text) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	tasks := 0
-	for _, job := range res.Jobs {
+	for _, job := range result.Jobs {
 		tasks += job.Tasks
 	}
-	if res.TasksDone != tasks || res.Killed == "" || res.Successor == "" || res.Successor == res.Killed {
-		t.Errorf("%d of %d tasks, %q led, then %q", res.TasksDone, tasks, res.Killed, res.Successor)
+	if result.TasksDone != tasks || result.Killed == "" || result.Successor == "" || result.Successor == result.Killed {
+		t.Errorf("%d of %d tasks are done, killed leader %q, successor %q; want all tasks and two different leaders", result.TasksDone, tasks, result.Killed, result.Successor)
 	}
 	pids := []int{}
 	for _, node := range c.Nodes() {
@@ -114,16 +115,16 @@
 		select {
 		case <-node.Exited():
 		default:
-			t.Errorf("process %d still runs", pids[i])
+			t.Errorf("controller process %d is still running after Stop", pids[i])
 		}
 	}
 }
 
-// await waits until a job has ended.
-func await(ctx context.Context, t *testing.T, users *client.Client, id string) {
+// awaitEnd waits until a job has ended.
+func awaitEnd(ctx context.Context, t *testing.T, apiClient *client.Client, id string) {
 	t.Helper()
 	for {
-		st, err := users.Status(ctx, id)
+		st, err := apiClient.Status(ctx, id)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,8 +135,8 @@
 	}
 }
 
-// In a rolling restart of real controllers, each hands its partition over to the standby,
-// exits with code 0, and no task is run twice.
+// In a rolling restart, each controller hands its partition over to the standby and exits with
+// code 0, and no task is started twice.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
@@ -148,67 +149,67 @@
 	if err := c.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	users := client.New(c.Addrs(), nil, "")
+	apiClient := client.New(c.Addrs(), nil, "")
 	var jobs []string
 	for i, team := range []string{"payments", "venues", "payments"} {
 		s := NewSubmission(fmt.Sprint("job-", i+1), "refund-batch", team, "high", 8, 2, 4, 14)
-		if _, err := users.Submit(ctx, &s); err != nil {
+		if _, err := apiClient.Submit(ctx, &s); err != nil {
 			t.Fatal(err)
 		}
 		jobs = append(jobs, *s.ID)
 	}
-	says := func(node *Node, what string) int {
+	countInLog := func(node *Node, text string) int {
 		log, err := os.ReadFile(node.LogFile)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return strings.Count(string(log), what)
+		return strings.Count(string(log), text)
 	}
-	warm := func() (n int) {
-		for _, o := range c.Nodes() {
-			n += says(o, "warm=true")
+	warmTakeovers := func() (n int) {
+		for _, node := range c.Nodes() {
+			n += countInLog(node, "warm=true")
 		}
 		return n
 	}
 	for _, node := range c.Nodes() {
-		time.Sleep(3 * time.Second) // until it has a standby
-		before := warm()
-		if code, err := c.Terminate(node); err != nil || code != 0 {
-			t.Fatalf("%s ended with %d, %v", node.Label, code, err)
+		time.Sleep(3 * time.Second) // until each partition has a standby
+		before := warmTakeovers()
+		if code, err := c.TerminateNode(node); err != nil || code != 0 {
+			t.Fatalf("terminate %s: exit code %d, error %v; want code 0", node.Label, code, err)
 		}
-		if says(node, "handed over") == 0 || says(node, "stopped") == 0 {
-			t.Errorf("%s did not hand over", node.Label)
+		if countInLog(node, "handed over") == 0 || countInLog(node, "stopped") == 0 {
+			t.Errorf("the log of %s lacks a handover of its partition or a clean stop", node.Label)
 		}
-		for started := time.Now(); warm() == before; time.Sleep(10 * time.Millisecond) {
+		for started := time.Now(); warmTakeovers() == before; time.Sleep(10 * time.Millisecond) {
 			if time.Since(started) > 10*time.Second {
-				t.Fatalf("no standby took over from %s", node.Label)
+				t.Fatalf("no standby took over from %s within 10 s", node.Label)
 			}
 		}
-		if err := c.Restart(node); err != nil {
+		if err := c.StartNode(node); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, id := range jobs {
-		await(ctx, t, users, id)
+		awaitEnd(ctx, t, apiClient, id)
 	}
-	c.Agents(func(workers map[string]*agent.Agent) {
+	c.WithAgents(func(workers map[string]*agent.Agent) {
 		starts := 0
 		for _, a := range workers {
 			starts += a.Starts
 		}
 		if starts != 24 {
-			t.Errorf("24 tasks were started %d times", starts)
+			t.Errorf("24 tasks had %d starts in total, want 24", starts)
 		}
 	})
 }
 
-// Real controllers with few sockets share the machines' connections through delegates,
-// continue when a delegate is killed, and start no task twice.
+// Controllers with few sockets delegate machine connections to each other. No machine loses its
+// lease and no task is started twice when a delegate is killed.
 func TestDelegationWithFewSockets(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
-	const machines, sockets = 60, 120 // room for 60 of them each, full with 30
+	const machines, sockets = 60, 120 // a controller admits 60 machines and counts as full with 30
 	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: t.TempDir(), LogLevel: "info", WriteRPS: 60, RPS: 400,
 		Machines: machines, Sockets: sockets})
 	if err != nil {
@@ -218,83 +219,84 @@
 	if err := c.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	users := client.New(c.Addrs(), nil, "")
+	apiClient := client.New(c.Addrs(), nil, "")
 	s := NewSubmission("job-1", "refund-batch", "venues", "high", 2*machines, 8, 16, 30)
 	s.Types = []string{"desk-box"}
-	if _, err := users.Submit(ctx, &s); err != nil {
+	if _, err := apiClient.Submit(ctx, &s); err != nil {
 		t.Fatal(err)
 	}
-	// spread returns which controllers hold the machines' connections, and which lead them.
-	spread := func() (connected map[*Node]int, owner *Node, all int) {
+	// connections returns how many machines are connected to each controller and in total, and
+	// which controller leads the machines' partition.
+	connections := func() (connected map[*Node]int, leader *Node, total int) {
 		connected = map[*Node]int{}
 		for _, node := range c.Nodes() {
 			v := new(overview.View)
-			if err := users.ForController(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
-				continue // just killed
+			if err := apiClient.ForController(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
+				continue // it may have been killed
 			}
 			connected[node] = v.Connected
-			all += v.Connected
+			total += v.Connected
 			for _, p := range v.Partitions {
 				if p.Machines > 0 {
-					owner = node
+					leader = node
 				}
 			}
 		}
-		return connected, owner, all
+		return connected, leader, total
 	}
-	shared := func() (owner, carrier *Node) {
+	awaitDelegation := func() (leader, delegate *Node) {
 		t.Helper()
 		for {
-			connected, o, all := spread()
-			for node, k := range connected {
-				if node != o && k > 0 {
-					carrier = node
+			connected, leader, total := connections()
+			for node, n := range connected {
+				if node != leader && n > 0 {
+					delegate = node
 				}
 			}
-			if all >= machines*9/10 && connected[o] <= sockets/4 && carrier != nil {
-				t.Logf("%d machines' connections: owner %d of %d", all, connected[o], sockets/2)
-				return o, carrier
+			if total >= machines*9/10 && connected[leader] <= sockets/4 && delegate != nil {
+				t.Logf("%d machines are connected, %d of them to the leader of their partition, which admits %d", total, connected[leader], sockets/2)
+				return leader, delegate
 			}
 			if ctx.Err() != nil {
-				t.Fatalf("not shared: %d machines, owner %d", all, connected[o])
+				t.Fatalf("machine connections were not delegated: %d machines are connected, %d of them to the leader of their partition", total, connected[leader])
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 	}
-	_, carrier := shared()
-	c.Kill(carrier)
-	if err := c.Restart(carrier); err != nil {
+	_, delegate := awaitDelegation()
+	c.KillNode(delegate)
+	if err := c.StartNode(delegate); err != nil {
 		t.Fatal(err)
 	}
-	shared()
-	await(ctx, t, users, "job-1")
-	c.Agents(func(workers map[string]*agent.Agent) {
+	awaitDelegation()
+	awaitEnd(ctx, t, apiClient, "job-1")
+	c.WithAgents(func(workers map[string]*agent.Agent) {
 		starts := 0
 		for _, a := range workers {
 			starts += a.Starts
 			if a.Epoch != 1 {
-				t.Errorf("%s lost its lease", a.Name)
+				t.Errorf("machine %s lost its lease", a.Name)
 			}
 		}
 		if starts != 2*machines {
-			t.Errorf("%d tasks were started %d times", 2*machines, starts)
+			t.Errorf("%d tasks had %d starts in total", 2*machines, starts)
 		}
 	})
 }
 
-// Real front ends and controllers with authentication: a build continues when a front end
-// is killed, its output is right, and it is cached.
+// With authentication, a build completes correctly although a front end is killed, its results are
+// cached, and clients without the right to build are refused.
 func TestDemoBuild(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
 	dir := t.TempDir()
-	hosted, err := Prepare(dir, 3)
+	identities, err := PrepareIdentities(dir, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, Identities: hosted, LogLevel: "info", WriteRPS: 60, RPS: 400,
-		FrontEnds: 2, FrontEndBinary: program(t, "micaspindle-reapi")})
+	c, err := Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: dir, Identities: identities, LogLevel: "info", WriteRPS: 60, RPS: 400,
+		FrontEnds: 2, FrontEndBinary: buildProgram(t, "micaspindle-reapi")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,45 +312,45 @@
 		t.Fatal(err)
 	}
 	if first := reports[0].Report; first.Actions != 67 || first.Cached != 0 || first.Jobs == 0 || first.Jobs > 40 || c.FrontEnds()[0].Kills != 1 {
-		t.Errorf("%+v", first)
+		t.Errorf("first build, with %d kills of gate-0: %+v; want 67 actions, none cached, in 1 to 40 jobs, and one kill", c.FrontEnds()[0].Kills, first)
 	}
 	// A certificate grants the same rights as a token, and no more.
 	for who, want := range map[string]codes.Code{Builder: codes.OK, "person/partner": codes.PermissionDenied} {
-		file, err := hosted.issueCertificate(who)
+		file, err := identities.issueCertificate(who)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ring, err := identity.Load(identity.Files{Own: file, Roots: hosted.Roots})
+		keyring, err := identity.Load(identity.Files{Own: file, Roots: identities.Roots})
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := buildtool.Dial(c.FrontEndAddrs(), ring.ClientConfig(isService), "")
+		conn, err := buildtool.Dial(c.FrontEndAddrs(), keyring.ClientConfig(isService), "")
 		if err != nil {
 			t.Fatal(err)
 		}
 		tool := buildtool.New(conn, "refunds")
-		tool.Function = repb.DigestFunction_BLAKE3 // all the way to the machine and back
+		tool.Function = repb.DigestFunction_BLAKE3 // other than the default
 		_, err = Build(ctx, tool, "by certificate", 3, 0, func(string) {})
 		_ = conn.Close()
 		if err == nil && want != codes.OK || err != nil && status.Code(errors.Unwrap(err)) != want {
-			t.Errorf("%s by certificate: %v, want %s", who, err, want)
+			t.Errorf("build of %s with a certificate: got %v, want code %s", who, err, want)
 		}
 	}
-	// A client without the right to builds is refused at once, without a retry.
+	// A client without the right to build is refused without retries.
 	conn, err := c.BuildConn("person/partner")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close() //nolint:errcheck // the test ends
 	if _, err := Build(ctx, buildtool.New(conn, "refunds"), "other", 1, 0, func(string) {}); status.Code(errors.Unwrap(err)) != codes.PermissionDenied {
-		t.Errorf("a guest built: %v", err)
+		t.Errorf("build of a client without the right to build: got %v, want code PermissionDenied", err)
 	}
 	c.Stop()
 	for _, frontEnd := range c.FrontEnds() {
 		select {
 		case <-frontEnd.Exited():
 		default:
-			t.Errorf("process %d still runs", frontEnd.Pid())
+			t.Errorf("front end process %d is still running after Stop", frontEnd.Pid())
 		}
 	}
 }
--- a/internal/devcluster/config.go
+++ b/internal/devcluster/config.go
@@ -13,7 +13,7 @@
 	"micaspindle/internal/settings"
 )
 
-// Figures of the controllers' settings.
+// Values of the controllers' settings.
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	machineLease      = 6 * time.Second
@@ -26,7 +26,7 @@
 	timeBoundMS     = 5
 )
 
-// params returns the parameters that all controllers share.
+// params returns the settings that are the same for all controllers.
 func (c *Cluster) params() settings.Params {
 	return settings.Params{
 		Count: c.options.Controllers,
@@ -48,8 +48,8 @@
 	}
 }
 
-// limitState makes the state store enforce the limits that the controllers are told.
-func (c *Cluster) limitState(limits settings.StateStoreLimits) {
+// enforceStateLimits makes the fake state store enforce the limits in the controllers' settings.
+func (c *Cluster) enforceStateLimits(limits settings.StateStoreLimits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.TxnOps, c.state.ValueKB = limits.TxnOps, limits.ValueKB
@@ -57,7 +57,7 @@
 	c.state.Writes = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
 }
 
-// operatorSettings is the operators' settings file of a controller.
+// operatorSettings is the content of a controller's operator settings file.
 type operatorSettings struct {
 	Operations settings.Operations `yaml:"operations"`
 	Identity   *settings.Identity  `yaml:"identity,omitempty"`
--- a/internal/devcluster/controllers.go
+++ b/internal/devcluster/controllers.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	probeTimeout  = time.Second
-	probeInterval = 50 * time.Millisecond
-	endTimeout    = 10 * time.Second
+	probeTimeout     = time.Second
+	probeInterval    = 50 * time.Millisecond
+	terminateTimeout = 10 * time.Second
 )
 
 // Node is the process of a controller.
 type Node struct {
 	Label, Addr, Peer, LogFile string
-	// Operations is the address of the operators' interface.
+	// Operations is the address of the operators' HTTP interface.
 	Operations string
-	// Kills counts how often the process was killed.
+	// Kills counts the calls of KillNode.
 	Kills        int
 	settingsFile string
 	operatorFile string
@@ -33,10 +33,10 @@
 	exited       <-chan struct{}
 }
 
-// Exited returns a channel that is closed when the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (n *Node) Exited() <-chan struct{} { return n.exited }
 
-// Pid returns the id of the process.
+// Pid returns the process ID.
 func (n *Node) Pid() int { return n.cmd.Process.Pid }
 
 // Nodes returns the controllers.
@@ -51,8 +51,8 @@
 	return addrs
 }
 
-// reserveNodes creates the controllers' labels, addresses and file names.
-func (c *Cluster) reserveNodes() error {
+// prepareNodes assigns the controllers' labels, addresses and file names.
+func (c *Cluster) prepareNodes() error {
 	for i := range c.options.Controllers {
 		node := &Node{Label: "spindle-" + strconv.Itoa(i)}
 		for _, addr := range []*string{&node.Addr, &node.Peer, &node.Operations} {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Restart starts a controller that does not run.
-func (c *Cluster) Restart(node *Node) error {
+// StartNode starts a controller's process, which must not be running.
+func (c *Cluster) StartNode(node *Node) error {
 	cmd := exec.Command(c.options.Binary, "--config", node.settingsFile, "--operator", node.operatorFile)
 	c.releaseAddr(node.Addr)
 	c.releaseAddr(node.Peer)
@@ -83,27 +83,28 @@
 	return nil
 }
 
-// Kill kills a controller with SIGKILL and waits for its end.
-func (c *Cluster) Kill(node *Node) {
+// KillNode kills a controller with SIGKILL and waits until it has exited.
+func (c *Cluster) KillNode(node *Node) {
 	_ = node.cmd.Process.Kill()
 	<-node.exited
 	node.Kills++
 }
 
-// Terminate stops a controller with SIGTERM, waits for its end, and returns its exit code.
-func (c *Cluster) Terminate(node *Node) (code int, err error) {
+// TerminateNode sends SIGTERM to a controller, waits until it has exited, and returns its exit
+// code.
+func (c *Cluster) TerminateNode(node *Node) (code int, err error) {
 	if err := node.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		return 0, fmt.Errorf("end %s: %w", node.Label, err)
+		return 0, fmt.Errorf("terminate %s: %w", node.Label, err)
 	}
 	select {
 	case <-node.exited:
 		return node.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(endTimeout):
-		return 0, fmt.Errorf("end %s: it still runs %s after the signal", node.Label, endTimeout)
+	case <-time.After(terminateTimeout):
+		return 0, fmt.Errorf("terminate %s: still running %s after SIGTERM", node.Label, terminateTimeout)
 	}
 }
 
-// stopControllers interrupts all controllers and kills those that do not end.
+// stopControllers interrupts all controllers and kills those that do not exit within stopGrace.
 func (c *Cluster) stopControllers() {
 	for _, node := range c.nodes {
 		if node.cmd != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// Leader returns the cluster leader, nil if there is none.
+// Leader returns the cluster leader according to the state store, or nil if there is none.
 func (c *Cluster) Leader() *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +161,7 @@
 	}
 }
 
-// countReady returns how many controllers serve, and an error if one has ended.
+// countReady returns how many controllers are ready, or an error if one has exited.
 func (c *Cluster) countReady(ctx context.Context, probe *http.Client) (int, error) {
 	ready := 0
 	for _, node := range c.nodes {
@@ -172,7 +173,7 @@
 		if err != nil {
 			select {
 			case <-node.exited:
-				return 0, fmt.Errorf("devcluster: %s ended while it started: %s", node.Label, lastLine(node.LogFile))
+				return 0, fmt.Errorf("devcluster: %s exited during startup: %s", node.Label, lastLine(node.LogFile))
 			default:
 				continue
 			}
--- a/internal/devcluster/demo.go
+++ b/internal/devcluster/demo.go
@@ -13,36 +13,36 @@
 
 // DemoJob is a job of the demo and its outcome.
 type DemoJob struct {
-	ID          string    `json:"id"`
-	Class       string    `json:"class"`
-	Urgency     string    `json:"urgency"`
-	Tasks       int       `json:"tasks"`
-	After       []string  `json:"after,omitempty"`
-	State       string    `json:"state"`
-	AcceptedMS  int64     `json:"accepted_ms"` // from submission to acceptance
-	DoneMS      int64     `json:"done_ms"`     // from acceptance to the status that says it has ended
-	submitted   time.Time `json:"-"`
-	accepted    time.Time `json:"-"`
-	submission  protocol.Submission
-	longestPoll time.Duration
+	ID           string    `json:"id"`
+	Class        string    `json:"class"`
+	Urgency      string    `json:"urgency"`
+	Tasks        int       `json:"tasks"`
+	Dependencies []string  `json:"after,omitempty"`
+	State        string    `json:"state"`
+	AcceptedMS   int64     `json:"accepted_ms"` // from submission to acceptance
+	DoneMS       int64     `json:"done_ms"`     // from acceptance until a poll found that it had ended
+	submitted    time.Time `json:"-"`
+	accepted     time.Time `json:"-"`
+	submission   protocol.Submission
+	longestPoll  time.Duration
 }
 
 // DemoResult is the outcome of a demo.
 type DemoResult struct {
 	Jobs []*DemoJob `json:"jobs"`
-	// Killed is the cluster leader that was killed, Successor the next one.
+	// Killed is the label of the cluster leader that was killed, Successor that of the next leader.
 	Killed        string `json:"killed"`
 	Successor     string `json:"successor"`
 	LeaderlessMS  int64  `json:"leaderless_ms"`
 	LongestWaitMS int64  `json:"longest_unanswered_ms"`
 	TasksDone     int    `json:"tasks_done"`
 	MachinesUsed  int    `json:"machines_used"`
-	Processes     int    `json:"processes"`
+	Controllers   int    `json:"processes"`
 }
 
-// NewSubmission returns a batch job with the given figures; cpus, mem (in GB) and the
-// estimate (in seconds) are those of a task. It starts once the jobs in after are done.
-func NewSubmission(id, class, team, urgency string, tasks int, cpus, mem, estimateS float64, after ...string) protocol.Submission {
+// NewSubmission returns the submission of a batch job. cpus, memGB and estimateS, its estimated
+// run time in seconds, are those of one task. The job depends on the jobs in dependencies.
+func NewSubmission(id, class, team, urgency string, tasks int, cpus, memGB, estimateS float64, dependencies ...string) protocol.Submission {
 	job := protocol.Submission{
 		ID:          &id,
 		Class:       &class,
@@ -52,7 +52,7 @@
 		Tasks:       new(int64(tasks)),
 		CPUs:        &cpus,
 		GPUs:        new(0.0),
-		MemGB:       &mem,
+		MemGB:       &memGB,
 		Image:       new(class),
 		ImageGB:     new(1.0),
 		OneZone:     new(false),
@@ -62,19 +62,19 @@
 		CheckpointS: new(0.0),
 		SaveS:       new(0.0),
 	}
-	for _, dependency := range after {
+	for _, dependency := range dependencies {
 		job.Dependencies = append(job.Dependencies, &dependency)
 	}
 	return job
 }
 
-// demoJobs returns the jobs of the demo, two pipelines among them.
+// demoJobs returns the jobs of the demo, some of which depend on others.
 func demoJobs() []*DemoJob {
 	var jobs []*DemoJob
-	add := func(class, team, urgency string, tasks int, cpus, mem, s float64, after ...string) string {
+	add := func(class, team, urgency string, tasks int, cpus, memGB, estimateS float64, dependencies ...string) string {
 		id := fmt.Sprintf("job-%06d", len(jobs)+1)
-		jobs = append(jobs, &DemoJob{ID: id, Class: class, Urgency: urgency, Tasks: tasks, After: after,
-			submission: NewSubmission(id, class, team, urgency, tasks, cpus, mem, s, after...)})
+		jobs = append(jobs, &DemoJob{ID: id, Class: class, Urgency: urgency, Tasks: tasks, Dependencies: dependencies,
+			submission: NewSubmission(id, class, team, urgency, tasks, cpus, memGB, estimateS, dependencies...)})
 		return id
 	}
 	verify := add("applicant-verify", "placements-desk", "standard", 4, 16, 48, 4)
@@ -100,15 +100,15 @@
 	demoTimeout      = 40 * time.Second
 )
 
-// Demo submits jobs, kills the cluster leader while they run, restarts it, and waits for
-// the end of all jobs. progress is called with a line of text now and then.
-func (c *Cluster) Demo(ctx context.Context, users *client.Client, progress func(text string)) (*DemoResult, error) {
+// Demo submits jobs, kills the cluster leader while they run, restarts it, and waits until all
+// jobs have ended. progress receives one-line messages.
+func (c *Cluster) Demo(ctx context.Context, apiClient *client.Client, progress func(text string)) (*DemoResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	result := &DemoResult{Jobs: demoJobs(), Processes: len(c.nodes)}
+	result := &DemoResult{Jobs: demoJobs(), Controllers: len(c.nodes)}
 	for _, job := range result.Jobs {
 		job.submitted = time.Now()
-		if _, err := users.Submit(ctx, &job.submission); err != nil {
+		if _, err := apiClient.Submit(ctx, &job.submission); err != nil {
 			return result, fmt.Errorf("submit %s: %w", job.ID, err)
 		}
 		job.accepted = time.Now()
@@ -121,7 +121,7 @@
 	var wg sync.WaitGroup
 	errs := make([]error, len(result.Jobs)+1)
 	for i, job := range result.Jobs {
-		wg.Go(func() { errs[i] = c.follow(ctx, users, job, &mu) })
+		wg.Go(func() { errs[i] = c.awaitJob(ctx, apiClient, job, &mu) })
 	}
 	wg.Go(func() { errs[len(result.Jobs)] = c.killLeader(ctx, result, progress, &mu) })
 	done := make(chan struct{})
@@ -131,14 +131,14 @@
 		result.LongestWaitMS = max(result.LongestWaitMS, job.longestPoll.Milliseconds())
 	}
 	c.mu.Lock()
-	result.TasksDone = len(c.results)
+	result.TasksDone = len(c.completedTasks)
 	c.mu.Unlock()
 	_, result.MachinesUsed = c.Machines()
 	return result, errors.Join(errs...)
 }
 
-// reportProgress reports the states of the jobs every second until done is closed. mu guards
-// the jobs.
+// reportProgress reports how many jobs are in each state, every progressInterval until done is
+// closed. mu guards the jobs.
 func (c *Cluster) reportProgress(done <-chan struct{}, jobs []*DemoJob, progress func(string), mu *sync.Mutex) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -160,36 +160,37 @@
 	}
 }
 
-// follow polls a job's status until it has ended. mu guards the job.
-func (c *Cluster) follow(ctx context.Context, users *client.Client, job *DemoJob, mu *sync.Mutex) error {
+// awaitJob polls a job until it has ended and returns an error unless it is done. mu guards the
+// job.
+func (c *Cluster) awaitJob(ctx context.Context, apiClient *client.Client, job *DemoJob, mu *sync.Mutex) error {
 	for {
-		asked := time.Now()
-		st, err := users.Status(ctx, job.ID)
+		polled := time.Now()
+		st, err := apiClient.Status(ctx, job.ID)
 		if err != nil {
-			return fmt.Errorf("follow %s: %w", job.ID, err)
+			return fmt.Errorf("poll the status of %s: %w", job.ID, err)
 		}
 		mu.Lock()
 		job.State = st.Status
-		job.longestPoll = max(job.longestPoll, time.Since(asked))
+		job.longestPoll = max(job.longestPoll, time.Since(polled))
 		job.DoneMS = time.Since(job.accepted).Milliseconds()
 		mu.Unlock()
 		if st.Ended() {
 			if st.Status != protocol.StatusDone {
-				return fmt.Errorf("%s ended as %s", job.ID, st.Status)
+				return fmt.Errorf("%s ended with status %s", job.ID, st.Status)
 			}
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is still %s: %w", job.ID, st.Status, ctx.Err())
+			return fmt.Errorf("%s has not ended, its status is %s: %w", job.ID, st.Status, ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// killLeader kills the cluster leader, waits for another one, and restarts the first. mu
-// guards the result.
-func (c *Cluster) killLeader(ctx context.Context, res *DemoResult, progress func(string), mu *sync.Mutex) error {
+// killLeader kills the cluster leader, waits until another controller leads, and restarts the
+// first. mu guards the result.
+func (c *Cluster) killLeader(ctx context.Context, result *DemoResult, progress func(string), mu *sync.Mutex) error {
 	pause := func(d time.Duration) error {
 		select {
 		case <-ctx.Done():
@@ -205,19 +206,19 @@
 	if old == nil {
 		return errors.New("there is no cluster leader")
 	}
-	c.Kill(old)
+	c.KillNode(old)
 	killed := time.Now()
-	progress(old.Label + ", the leader, was killed")
+	progress("killed the leader " + old.Label)
 	mu.Lock()
-	res.Killed = old.Label
+	result.Killed = old.Label
 	mu.Unlock()
 	for {
-		now := c.Leader()
-		if now != nil && now != old {
+		successor := c.Leader()
+		if successor != nil && successor != old {
 			mu.Lock()
-			res.Successor, res.LeaderlessMS = now.Label, time.Since(killed).Milliseconds()
+			result.Successor, result.LeaderlessMS = successor.Label, time.Since(killed).Milliseconds()
 			mu.Unlock()
-			progress(fmt.Sprintf("%s leads, %.1f s later", now.Label, time.Since(killed).Seconds()))
+			progress(fmt.Sprintf("%s became leader %.1f s later", successor.Label, time.Since(killed).Seconds()))
 			break
 		}
 		if err := pause(leaderInterval); err != nil {
@@ -227,6 +228,6 @@
 	if err := pause(time.Until(killed.Add(restartDelay))); err != nil {
 		return err
 	}
-	progress(old.Label + " is back")
-	return c.Restart(old)
+	progress("restarting " + old.Label)
+	return c.StartNode(old)
 }
--- a/internal/devcluster/flood.go
+++ b/internal/devcluster/flood.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	acceptedInterval = 50 * time.Millisecond // between submissions
-	deniedInterval   = time.Millisecond      // between requests that are refused
-	floodConcurrency = 32
-	floodWrites      = 200
+	submissionInterval    = 50 * time.Millisecond
+	deniedRequestInterval = time.Millisecond
+	floodConcurrency      = 32
+	floodWriteRPS         = 200
 
-	// Delays are recorded in microseconds, up to a minute.
+	// Range and significant digits of the histogram of delays, in microseconds.
 	minDelay    = 1
 	maxDelay    = 60_000_000
 	delayDigits = 3
 	microsPerMS = 1000
 )
 
-// Flood compares the delays of submissions without and with a flood of refused requests.
-// Delays count from when a request was due, not from when it was sent.
-func (m *Measurement) Flood(ctx context.Context, say func(string)) ([]Figure, error) {
-	c, stop, err := m.startCluster(ctx, "flood", m.Binary, true, floodWrites)
+// Flood compares the delays of submissions without and with concurrent unauthorized requests. A
+// delay is measured from the time when the request was due, so that it includes the time that
+// the request waited to be sent.
+func (m *Measurement) Flood(ctx context.Context, progress func(string)) ([]Comparison, error) {
+	c, stop, err := m.startCluster(ctx, "flood", m.Binary, true, floodWriteRPS)
 	if err != nil {
 		return nil, err
 	}
@@ -39,49 +40,50 @@
 	if f.submitter, err = c.Client(Administrator); err != nil {
 		return nil, err
 	}
-	if f.intruder, err = c.Client("person/partner"); err != nil {
+	if f.unprivileged, err = c.Client("person/partner"); err != nil {
 		return nil, err
 	}
 	var p50, p99 [2][]float64
 	for round := range m.Rounds {
 		for i, flooded := range []bool{false, true} {
-			delays := f.run(ctx, time.Now().Add(m.For), flooded)
+			delays := f.run(ctx, time.Now().Add(m.LoadDuration), flooded)
 			p50[i] = append(p50[i], float64(delays.ValueAtPercentile(50))/microsPerMS)
 			p99[i] = append(p99[i], float64(delays.ValueAtPercentile(99))/microsPerMS)
 		}
-		say(fmt.Sprintf("flood: round %d of %d, %d refused so far", round+1, m.Rounds, f.denied.Load()))
+		progress(fmt.Sprintf("flood: round %d of %d, %d refused so far", round+1, m.Rounds, f.denied.Load()))
 	}
 	if n := f.failed.Load(); n > 0 {
-		return nil, fmt.Errorf("%d requests were not answered as they should be", n)
+		return nil, fmt.Errorf("%d requests got an unexpected response", n)
 	}
-	refusalRate := float64(f.denied.Load()) / m.For.Seconds() / float64(m.Rounds)
-	what := fmt.Sprintf("of good submissions without and with %.0f refusals a second", refusalRate)
-	return []Figure{
-		newFigure("50th percentile "+what, "ms", "", p50[0], p50[1]),
-		newFigure("99th percentile "+what, "ms", "within 1.20", p99[0], p99[1]),
+	refusalRate := float64(f.denied.Load()) / m.LoadDuration.Seconds() / float64(m.Rounds)
+	name := fmt.Sprintf("of good submissions without and with %.0f refusals a second", refusalRate)
+	return []Comparison{
+		compareMedians("50th percentile "+name, "ms", "", p50[0], p50[1]),
+		compareMedians("99th percentile "+name, "ms", "within 1.20", p99[0], p99[1]),
 	}, nil
 }
 
-// flood is a load of submissions beside requests that are refused.
+// flood is a load of submissions with concurrent unauthorized requests.
 type flood struct {
-	submitter, intruder *client.Client
-	// next numbers the submissions; denied counts the refused requests, and failed those of
-	// either kind with another response than expected.
-	next, denied, failed atomic.Int64
+	submitter, unprivileged *client.Client
+	// lastJob is the number of the last job submitted. denied counts the unauthorized requests,
+	// failed the requests of either kind with an unexpected response.
+	lastJob, denied, failed atomic.Int64
 }
 
-// run runs the load until end, flooded or not, and returns the delays of submissions.
+// run applies the load until end, with unauthorized requests if flooded, and returns the delays
+// of submissions.
 func (f *flood) run(ctx context.Context, end time.Time, flooded bool) *hdrhistogram.Histogram {
 	delays := hdrhistogram.New(minDelay, maxDelay, delayDigits)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	if flooded {
 		wg.Go(func() {
-			openLoop(ctx, end, deniedInterval, floodConcurrency, func(time.Time) { f.requestDenied(ctx) })
+			openLoop(ctx, end, deniedRequestInterval, floodConcurrency, func(time.Time) { f.sendDeniedRequest(ctx) })
 		})
 	}
-	openLoop(ctx, end, acceptedInterval, floodConcurrency, func(due time.Time) {
-		if _, err := f.submitter.Submit(ctx, idleJob(f.next.Add(1))); err != nil {
+	openLoop(ctx, end, submissionInterval, floodConcurrency, func(due time.Time) {
+		if _, err := f.submitter.Submit(ctx, idleJob(f.lastJob.Add(1))); err != nil {
 			f.failed.Add(1)
 			return
 		}
@@ -93,10 +95,10 @@
 	return delays
 }
 
-// requestDenied makes a request that must be refused.
-func (f *flood) requestDenied(ctx context.Context) {
+// sendDeniedRequest sends a request that the controllers must deny.
+func (f *flood) sendDeniedRequest(ctx context.Context) {
 	target := fmt.Sprintf("/submissions/job-%d/arguments", f.denied.Add(1))
-	err := f.intruder.Do(ctx, http.MethodGet, target, nil, nil)
+	err := f.unprivileged.Do(ctx, http.MethodGet, target, nil, nil)
 	var refusal *client.Refusal
 	if !errors.As(err, &refusal) || refusal.Status != http.StatusForbidden {
 		f.failed.Add(1)
--- a/internal/devcluster/footprint.go
+++ b/internal/devcluster/footprint.go
@@ -12,15 +12,16 @@
 	"time"
 )
 
-// versionRuns is how often a program is started to measure its start.
+// versionRuns is how often each program is started per round to measure its start time.
 const versionRuns = 20
 
-// Footprint compares the start, size and memory of two programs, without identities.
-func (m *Measurement) Footprint(ctx context.Context, say func(string)) ([]Figure, error) {
-	var start, own, mapped [2][]float64
+// Footprint compares the start time, size and memory of the baseline program and of the
+// controllers' program, without authentication.
+func (m *Measurement) Footprint(ctx context.Context, progress func(string)) ([]Comparison, error) {
+	var startTimes, anonymous, fileBacked [2][]float64
 	var size [2]float64
 	for round := range m.Rounds {
-		for i, binary := range []string{m.Against, m.Binary} {
+		for i, binary := range []string{m.Baseline, m.Binary} {
 			info, err := os.Stat(binary)
 			if err != nil {
 				return nil, err
@@ -31,37 +32,38 @@
 				if err := exec.CommandContext(ctx, binary, "version").Run(); err != nil {
 					return nil, fmt.Errorf("%s version: %w", binary, err)
 				}
-				start[i] = append(start[i], time.Since(started).Seconds()*1000)
+				startTimes[i] = append(startTimes[i], time.Since(started).Seconds()*1000)
 			}
 			c, stop, err := m.startCluster(ctx, "footprint", binary, false, 200)
 			if err != nil {
 				return nil, err
 			}
-			users, err := c.Client(Administrator)
+			administrator, err := c.Client(Administrator)
 			if err == nil {
-				_, err = submitIdleJobs(ctx, users, footprintUsers, m.For, &atomic.Int64{})
+				_, err = submitIdleJobs(ctx, administrator, footprintUsers, m.LoadDuration, &atomic.Int64{})
 			}
 			for _, node := range c.nodes {
-				own[i] = append(own[i], residentMB(node.Pid(), "RssAnon:"))
-				mapped[i] = append(mapped[i], residentMB(node.Pid(), "RssFile:"))
+				anonymous[i] = append(anonymous[i], residentMB(node.Pid(), "RssAnon:"))
+				fileBacked[i] = append(fileBacked[i], residentMB(node.Pid(), "RssFile:"))
 			}
 			stop()
 			if err != nil {
 				return nil, err
 			}
 		}
-		say(fmt.Sprintf("footprint: round %d of %d", round+1, m.Rounds))
+		progress(fmt.Sprintf("footprint: round %d of %d", round+1, m.Rounds))
 	}
-	return []Figure{newFigure("size of the program", "MB", "within 1.10", size[:1], size[1:]),
-		newFigure("start of the program, without serving", "ms", "within 1.10", start[0], start[1]),
-		newFigure("memory of its own, under submissions", "MB", "within 1.10", own[0], own[1]),
-		newFigure("pages of the program file in memory", "MB", "within 1.10", mapped[0], mapped[1])}, nil
+	return []Comparison{compareMedians("size of the program", "MB", "within 1.10", size[:1], size[1:]),
+		compareMedians("start of the program, without serving", "ms", "within 1.10", startTimes[0], startTimes[1]),
+		compareMedians("memory of its own, under submissions", "MB", "within 1.10", anonymous[0], anonymous[1]),
+		compareMedians("pages of the program file in memory", "MB", "within 1.10", fileBacked[0], fileBacked[1])}, nil
 }
 
-// footprintUsers is how many users submit jobs while memory is measured.
+// footprintUsers is how many concurrent users submit jobs before memory is measured.
 const footprintUsers = 16
 
-// residentMB returns the resident memory of one kind (RssAnon, RssFile) of a process.
+// residentMB returns a process's resident memory in MB, of the kind named in /proc/PID/status
+// ("RssAnon:" or "RssFile:"), or 0 if it cannot be read.
 func residentMB(pid int, kind string) float64 {
 	data, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	if err != nil {
--- a/internal/devcluster/frontends.go
+++ b/internal/devcluster/frontends.go
@@ -21,10 +21,10 @@
 // Builder is the identity of the cluster's build clients.
 const Builder = "service/builder"
 
-// Instances are the instance names of the cluster's front ends, and their teams.
+// Instances maps the instance names of the cluster's front ends to teams.
 var Instances = map[string]string{"": "venues", "refunds": "payments", "placements": "placements-desk"}
 
-// Figures of the front ends' settings.
+// Values of the front ends' settings.
 const (
 	maxCopies = 2
 	storeGB   = 2
@@ -40,21 +40,21 @@
 // FrontEnd is the process of a front end.
 type FrontEnd struct {
 	Label, Addr, LogFile string
-	// Kills counts how often the process was killed.
+	// Kills counts the calls of KillFrontEnd.
 	Kills        int
 	settingsFile string
 	cmd          *exec.Cmd
 	exited       <-chan struct{}
 }
 
-// Exited returns a channel that is closed when the process has ended.
-func (g *FrontEnd) Exited() <-chan struct{} { return g.exited }
+// Exited returns a channel that is closed when the process has exited.
+func (f *FrontEnd) Exited() <-chan struct{} { return f.exited }
 
-// Pid returns the id of the process.
-func (g *FrontEnd) Pid() int { return g.cmd.Process.Pid }
+// Pid returns the process ID.
+func (f *FrontEnd) Pid() int { return f.cmd.Process.Pid }
 
 // identity returns the name of the front end's identity.
-func (g *FrontEnd) identity() string { return "service/" + g.Label }
+func (f *FrontEnd) identity() string { return "service/" + f.Label }
 
 // FrontEnds returns the front ends.
 func (c *Cluster) FrontEnds() []*FrontEnd { return c.frontEnds }
@@ -68,11 +68,11 @@
 	return addrs
 }
 
-// isService accepts the identities of front ends.
+// isService reports whether an identity is that of a service, as front ends have.
 func isService(name identity.Name) bool { return name.Kind == identity.Service }
 
-// prepareFrontEnds creates the front ends' addresses and settings, and the machines'
-// connection to them. Front ends are started after the controllers.
+// prepareFrontEnds assigns the front ends' addresses, writes their settings, and opens the
+// machines' connection to them. startFrontEnds starts them later.
 func (c *Cluster) prepareFrontEnds() error {
 	if c.options.FrontEnds == 0 {
 		return nil
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// frontEndSettings is the settings file of a front end.
+// frontEndSettings is the content of a front end's settings file.
 type frontEndSettings struct {
 	Listen        string            `yaml:"listen"`
 	Controllers   []string          `yaml:"controllers"`
@@ -117,7 +117,7 @@
 	Identity      *identityFiles    `yaml:"identity,omitempty"`
 }
 
-// storeSettings is the section of a front end's store.
+// storeSettings is the section of a front end's settings about its blob store.
 type storeSettings struct {
 	Dir       string `yaml:"dir"`
 	MaxGB     int    `yaml:"max_gb"`
@@ -125,7 +125,7 @@
 	Promise   string `yaml:"promise"`
 }
 
-// identityFiles is the section of a front end's certificates.
+// identityFiles is the section of a front end's settings about its certificates.
 type identityFiles struct {
 	Own   string `yaml:"own"`
 	Roots string `yaml:"roots"`
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// dialFrontEnds connects to the front ends: machines with their certificate, others with a
-// token.
+// dialFrontEnds connects to the front ends, with the machines' certificate if machine is set and
+// otherwise with a token.
 func (c *Cluster) dialFrontEnds(machine bool, token string) (*grpc.ClientConn, error) {
 	var tlsConfig *tls.Config
 	if identities := c.options.Identities; identities != nil {
@@ -182,7 +182,7 @@
 	return buildtool.Dial(c.FrontEndAddrs(), tlsConfig, token)
 }
 
-// BuildConn connects a build client to the front ends, with the token of an identity.
+// BuildConn connects a build client to the front ends with the token of the named identity.
 func (c *Cluster) BuildConn(name string) (*grpc.ClientConn, error) {
 	token := ""
 	if identities := c.options.Identities; identities != nil {
@@ -194,8 +194,8 @@
 	return c.dialFrontEnds(false, token)
 }
 
-// RestartFrontEnd starts a front end that does not run.
-func (c *Cluster) RestartFrontEnd(frontEnd *FrontEnd) error {
+// StartFrontEnd starts a front end's process, which must not be running.
+func (c *Cluster) StartFrontEnd(frontEnd *FrontEnd) error {
 	cmd := exec.Command(c.options.FrontEndBinary, "--config", frontEnd.settingsFile)
 	c.releaseAddr(frontEnd.Addr)
 	exited, err := c.startProcess(frontEnd.Label, frontEnd.LogFile, cmd)
@@ -206,17 +206,17 @@
 	return nil
 }
 
-// KillFrontEnd kills a front end with SIGKILL and waits for its end.
+// KillFrontEnd kills a front end with SIGKILL and waits until it has exited.
 func (c *Cluster) KillFrontEnd(frontEnd *FrontEnd) {
 	_ = frontEnd.cmd.Process.Kill()
 	<-frontEnd.exited
 	frontEnd.Kills++
 }
 
-// startFrontEnds starts all front ends and waits until they serve.
+// startFrontEnds starts all front ends and waits until they are serving.
 func (c *Cluster) startFrontEnds(ctx context.Context) error {
 	for _, frontEnd := range c.frontEnds {
-		if err := c.RestartFrontEnd(frontEnd); err != nil {
+		if err := c.StartFrontEnd(frontEnd); err != nil {
 			return err
 		}
 	}
@@ -228,7 +228,7 @@
 	return nil
 }
 
-// awaitFrontEnd waits until a front end serves.
+// awaitFrontEnd waits until a front end's health check reports that it is serving.
 func (c *Cluster) awaitFrontEnd(ctx context.Context, frontEnd *FrontEnd) error {
 	var tlsConfig *tls.Config
 	if identities := c.options.Identities; identities != nil {
@@ -238,7 +238,7 @@
 	if err != nil {
 		return fmt.Errorf("devcluster: %w", err)
 	}
-	defer conn.Close() //nolint:errcheck // only used for checks
+	defer conn.Close() //nolint:errcheck // used for health checks only
 	for {
 		checkCtx, cancel := context.WithTimeout(ctx, healthTimeout)
 		resp, err := healthpb.NewHealthClient(conn).Check(checkCtx, &healthpb.HealthCheckRequest{})
@@ -248,7 +248,7 @@
 		}
 		select {
 		case <-frontEnd.exited:
-			return fmt.Errorf("devcluster: %s ended while it started: %s", frontEnd.Label, lastLine(frontEnd.LogFile))
+			return fmt.Errorf("devcluster: %s exited during startup: %s", frontEnd.Label, lastLine(frontEnd.LogFile))
 		case <-ctx.Done():
 			return fmt.Errorf("devcluster: %s did not become ready: %w; log: %s", frontEnd.Label, errors.Join(ctx.Err(), err), frontEnd.LogFile)
 		case <-time.After(healthInterval):
@@ -256,8 +256,8 @@
 	}
 }
 
-// stopFrontEnds interrupts all front ends and kills those that do not end: clients that
-// wait for results delay it.
+// stopFrontEnds interrupts all front ends and kills those that do not exit within stopGrace, as
+// when clients still wait for results.
 func (c *Cluster) stopFrontEnds() {
 	for _, frontEnd := range c.frontEnds {
 		if frontEnd.cmd != nil {
--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -29,11 +29,11 @@
 	"micaspindle/internal/reapi"
 )
 
-// builder is a cluster with a front end, and a fake build tool.
-type builder struct {
+// buildHarness is a cluster with a front end in the test's process, and a fake build tool.
+type buildHarness struct {
 	t        *testing.T
 	ctx      context.Context
-	c        *Cluster
+	cluster  *Cluster
 	dir      string
 	addr     string
 	conn     *grpc.ClientConn
@@ -46,9 +46,9 @@
 	instance string
 }
 
-func newBuilder(t *testing.T, ctx context.Context) *builder {
+func newBuildHarness(t *testing.T, ctx context.Context) *buildHarness {
 	t.Helper()
-	b := &builder{t: t, ctx: ctx, dir: t.TempDir()}
+	b := &buildHarness{t: t, ctx: ctx, dir: t.TempDir()}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,20 +59,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = b.conn.Close() })
-	// Machines have a connection of their own: waiting clients must not delay the fetching
-	// of what they wait for.
-	machines, err := grpc.NewClient("passthrough:///"+b.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+	// Machines have a connection of their own, so that waiting clients do not delay the fetching
+	// of their actions.
+	machineConn, err := grpc.NewClient("passthrough:///"+b.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.WaitForReady(true)), grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = machines.Close() })
-	b.c, err = Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: b.dir, LogLevel: "info", WriteRPS: 60, RPS: 400, FrontEndConn: machines})
+	t.Cleanup(func() { _ = machineConn.Close() })
+	b.cluster, err = Start(ctx, Options{Controllers: 3, Binary: controllerBinary(t), Dir: b.dir, LogLevel: "info", WriteRPS: 60, RPS: 400, FrontEndConn: machineConn})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.c.Stop)
-	if err := b.c.AwaitReady(ctx); err != nil {
+	t.Cleanup(b.cluster.Stop)
+	if err := b.cluster.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
 	b.startFrontEnd(l)
@@ -80,8 +80,9 @@
 	return b
 }
 
-// startFrontEnd starts a front end with the state that the last one has left.
-func (b *builder) startFrontEnd(l net.Listener) {
+// startFrontEnd starts a front end with the blobs and results of the last one. It listens on l or,
+// if that is nil, on the last one's address.
+func (b *buildHarness) startFrontEnd(l net.Listener) {
 	b.t.Helper()
 	var err error
 	if l == nil {
@@ -98,25 +99,25 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	believe := func(context.Context) bool { return true }
-	b.frontEnd = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: believe},
-		b.store, results, reapi.OpenAccess{}, nil, reapi.Controllers{Client: client.New(b.c.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
-	b.server = b.frontEnd.Server(grpc.WaitForHandlers(true)) // a killed process leaves no calls behind
+	acceptAll := func(context.Context) bool { return true }
+	b.frontEnd = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: acceptAll},
+		b.store, results, reapi.OpenAccess{}, nil, reapi.Controllers{Client: client.New(b.cluster.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
+	b.server = b.frontEnd.Server(grpc.WaitForHandlers(true)) // calls end with the server, as with a killed process
 	server := b.server
 	go func() { _ = server.Serve(l) }()
 	go b.frontEnd.Sweep(b.ctx, 2*time.Second)
 }
 
-// stopFrontEnd stops the front end as a kill does.
-func (b *builder) stopFrontEnd() {
+// stopFrontEnd stops the front end at once, like a kill.
+func (b *buildHarness) stopFrontEnd() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.server.Stop()
 	_ = b.store.Close()
 }
 
-// put uploads blobs, with retries until they are stored.
-func (b *builder) put(blobs ...[]byte) error {
+// upload uploads blobs and retries while the front end is unavailable.
+func (b *buildHarness) upload(blobs ...[]byte) error {
 	req := &repb.BatchUpdateBlobsRequest{InstanceName: b.instance}
 	for _, data := range blobs {
 		d := blobstore.Of(data)
@@ -145,36 +146,36 @@
 	return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size}
 }
 
-// action uploads an action: a command over input files, with one output "out".
+// action is a shell script over input files with one output, the file "out".
 type action struct {
-	script  string
-	inputs  map[string]*repb.Digest
-	timeout time.Duration
-	noCache bool
-	props   map[string]string
-	nodes   []string
+	script         string
+	inputs         map[string]*repb.Digest
+	timeout        time.Duration
+	noCache        bool
+	platform       map[string]string
+	nodeProperties []string
 }
 
-// execute executes an action as build tools do, with retries of whatever fails.
-func (b *builder) execute(a action) (*repb.ExecuteResponse, error) {
+// execute uploads and executes an action, with the retries of a build tool.
+func (b *buildHarness) execute(a action) (*repb.ExecuteResponse, error) {
 	root := &repb.Directory{}
 	for _, name := range sortedKeys(a.inputs) {
 		root.Files = append(root.Files, &repb.FileNode{Name: name, Digest: a.inputs[name]})
 	}
-	command := &repb.Command{Arguments: []string{"/bin/sh", "-c", a.script}, OutputPaths: []string{"out"}, OutputNodeProperties: a.nodes,
+	command := &repb.Command{Arguments: []string{"/bin/sh", "-c", a.script}, OutputPaths: []string{"out"}, OutputNodeProperties: a.nodeProperties,
 		EnvironmentVariables: []*repb.Command_EnvironmentVariable{{Name: "PATH", Value: "/usr/bin:/bin"}}}
 	act := &repb.Action{CommandDigest: digestOf(marshal(command)), InputRootDigest: digestOf(marshal(root)), DoNotCache: a.noCache, Platform: &repb.Platform{}}
 	if a.timeout > 0 {
 		act.Timeout = durationpb.New(a.timeout)
 	}
-	for _, name := range sortedKeys(a.props) {
-		act.Platform.Properties = append(act.Platform.Properties, &repb.Platform_Property{Name: name, Value: a.props[name]})
+	for _, name := range sortedKeys(a.platform) {
+		act.Platform.Properties = append(act.Platform.Properties, &repb.Platform_Property{Name: name, Value: a.platform[name]})
 	}
-	if err := b.put(marshal(root), marshal(command), marshal(act)); err != nil {
+	if err := b.upload(marshal(root), marshal(command), marshal(act)); err != nil {
 		return nil, err
 	}
 	for {
-		resp, err := b.once(digestOf(marshal(act)))
+		resp, err := b.executeOnce(digestOf(marshal(act)))
 		switch status.Code(err) {
 		case codes.Unavailable, codes.Aborted, codes.Internal:
 			if b.ctx.Err() != nil {
@@ -188,13 +189,13 @@
 	}
 }
 
-func (b *builder) once(d *repb.Digest) (*repb.ExecuteResponse, error) {
-	s, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{InstanceName: b.instance, ActionDigest: d})
+func (b *buildHarness) executeOnce(d *repb.Digest) (*repb.ExecuteResponse, error) {
+	stream, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{InstanceName: b.instance, ActionDigest: d})
 	if err != nil {
 		return nil, err
 	}
 	for {
-		op, err := s.Recv()
+		op, err := stream.Recv()
 		if err != nil {
 			return nil, err
 		}
@@ -225,7 +226,7 @@
 	return out
 }
 
-func (b *builder) read(d *repb.Digest) string {
+func (b *buildHarness) readBlob(d *repb.Digest) string {
 	resp, err := repb.NewContentAddressableStorageClient(b.conn).BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{d}})
 	if err != nil {
 		b.t.Fatal(err)
@@ -233,14 +234,15 @@
 	return string(resp.Responses[0].Data)
 }
 
-// build builds a graph: sources are compiled, groups of ten linked, all packed. It returns
-// the last output and how many actions came from the cache.
-func (b *builder) build(sources int, pause string) (string, int) {
+// buildSample builds a graph of actions: one per source, one per ten of their outputs, and one for
+// all. prefix is shell code that precedes each script but the last. It returns the last output and
+// the number of cached actions.
+func (b *buildHarness) buildSample(sources int, prefix string) (string, int) {
 	cached := atomic.Int64{}
 	run := func(a action) *repb.Digest {
 		resp, err := b.execute(a)
 		if err != nil || resp.GetResult().GetExitCode() != 0 || len(resp.GetResult().GetOutputFiles()) != 1 {
-			b.t.Errorf("%v %v", resp, err)
+			b.t.Errorf("run an action: response %v, error %v; want exit code 0 and one output file", resp, err)
 			return nil
 		}
 		if resp.GetCachedResult() {
@@ -253,11 +255,11 @@
 	for i := range sources {
 		wg.Go(func() {
 			src := fmt.Appendf(nil, "source %d", i)
-			if err := b.put(src); err != nil {
+			if err := b.upload(src); err != nil {
 				b.t.Error(err)
 				return
 			}
-			objects[i] = run(action{script: pause + "sed s/source/object/ <src >out", inputs: map[string]*repb.Digest{"src": digestOf(src)}})
+			objects[i] = run(action{script: prefix + "sed s/source/object/ <src >out", inputs: map[string]*repb.Digest{"src": digestOf(src)}})
 		})
 	}
 	wg.Wait()
@@ -272,7 +274,7 @@
 			for k := i; k < min(i+10, sources); k++ {
 				in[fmt.Sprintf("o%03d", k)] = objects[k]
 			}
-			d := run(action{script: pause + "cat o* >out", inputs: in})
+			d := run(action{script: prefix + "cat o* >out", inputs: in})
 			mu.Lock()
 			libs[fmt.Sprintf("l%03d", i)] = d
 			mu.Unlock()
@@ -282,10 +284,10 @@
 	if b.t.Failed() {
 		return "", 0
 	}
-	return b.read(run(action{script: "cat l* | wc -c >out; cat l* >>out", inputs: libs})), int(cached.Load())
+	return b.readBlob(run(action{script: "cat l* | wc -c >out; cat l* >>out", inputs: libs})), int(cached.Load())
 }
 
-func wanted(sources int) string {
+func expectedOutput(sources int) string {
 	all := ""
 	for i := range sources {
 		all += fmt.Sprintf("object %d", i)
@@ -293,67 +295,68 @@
 	return fmt.Sprintf("%d\n%s", len(all), all)
 }
 
-// A build of a few hundred real actions, first from clean and then all from the cache.
+// A build of many real actions takes few jobs and has the expected output; a second build finds
+// every result in the cache.
 func TestBuild(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
-	b := newBuilder(t, ctx)
+	b := newBuildHarness(t, ctx)
 	const sources = 200
 	started := time.Now()
-	got, cached := b.build(sources, "")
-	if got != wanted(sources) || cached != 0 {
-		t.Fatalf("%d cached, %q", cached, got[:min(len(got), 100)])
+	got, cached := b.buildSample(sources, "")
+	if got != expectedOutput(sources) || cached != 0 {
+		t.Fatalf("first build: %d actions cached, output starts with %q; want 0 cached and the expected output", cached, got[:min(len(got), 100)])
 	}
 	jobs, actions := b.frontEnd.Submitted()
 	t.Logf("%d actions as %d jobs in %s", actions, jobs, time.Since(started).Round(time.Millisecond))
 	if actions != sources+sources/10+1 || jobs > 20 {
-		t.Errorf("%d actions became %d jobs", actions, jobs)
+		t.Errorf("%d actions were submitted as %d jobs, want %d actions in at most 20 jobs", actions, jobs, sources+sources/10+1)
 	}
 	started = time.Now()
-	got, cached = b.build(sources, "")
-	if got != wanted(sources) || cached != sources+sources/10+1 {
-		t.Errorf("%d of %d from the cache", cached, sources+sources/10+1)
+	got, cached = b.buildSample(sources, "")
+	if got != expectedOutput(sources) || cached != sources+sources/10+1 {
+		t.Errorf("second build: wrong output, or only %d of %d actions cached", cached, sources+sources/10+1)
 	}
-	t.Logf("again, from the cache, in %s", time.Since(started).Round(time.Millisecond))
+	t.Logf("second build, from the cache, in %s", time.Since(started).Round(time.Millisecond))
 	if n := b.frontEnd.Discarded(); n != 0 {
 		t.Errorf("%d results were discarded", n)
 	}
-	resp, err := b.execute(action{script: "echo x >out; chmod 640 out; touch -d @1000000000 out", nodes: []string{"mtime", "unix_mode"}})
+	resp, err := b.execute(action{script: "echo x >out; chmod 640 out; touch -d @1000000000 out", nodeProperties: []string{"mtime", "unix_mode"}})
 	if err != nil || len(resp.GetResult().GetOutputFiles()) != 1 {
 		t.Fatal(resp, err)
 	}
 	if p := resp.Result.OutputFiles[0].GetNodeProperties(); p.GetUnixMode().GetValue() != 0o640 || p.GetMtime().GetSeconds() != 1_000_000_000 {
-		t.Errorf("the output's properties: %v", p)
+		t.Errorf("node properties of the output: got %v, want mode 0640 and an mtime of 1000000000 s", p)
 	}
 }
 
-// The results of actions that fail, run too long, reference missing blobs or leave their
-// input root.
+// Actions that fail, time out, reference missing blobs or have invalid names or properties return
+// the right codes, and a failure is not cached.
 func TestFailingActions(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
-	b := newBuilder(t, ctx)
+	b := newBuildHarness(t, ctx)
 	resp, err := b.execute(action{script: "echo told; echo wrong >&2; exit 3"})
-	if err != nil || resp.Result.ExitCode != 3 || b.read(resp.Result.StdoutDigest) != "told\n" || b.read(resp.Result.StderrDigest) != "wrong\n" {
-		t.Errorf("%v %v", resp, err)
+	if err != nil || resp.Result.ExitCode != 3 || b.readBlob(resp.Result.StdoutDigest) != "told\n" || b.readBlob(resp.Result.StderrDigest) != "wrong\n" {
+		t.Errorf("an action that exits with 3: response %v, error %v", resp, err)
 	}
 	if again, err := b.execute(action{script: "echo told; echo wrong >&2; exit 3"}); err != nil || again.CachedResult {
-		t.Errorf("a failure was cached: %v %v", again, err)
+		t.Errorf("a failed action, executed again: response %v, error %v; want no cached result", again, err)
 	}
 	resp, err = b.execute(action{script: "sleep 30 & sleep 30", timeout: time.Second})
 	if err != nil || codes.Code(resp.GetStatus().GetCode()) != codes.DeadlineExceeded {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("an action that exceeds its timeout: response %v, error %v; want DeadlineExceeded", resp, err)
 	}
-	one, err := b.execute(action{script: "date +%N >out", noCache: true})
-	two, err2 := b.execute(action{script: "date +%N >out", noCache: true})
-	if err != nil || err2 != nil || two.CachedResult || proto.Equal(one.Result.OutputFiles[0].Digest, two.Result.OutputFiles[0].Digest) {
-		t.Errorf("what must not be cached was: %v %v %v %v", one, err, two, err2)
+	first, err := b.execute(action{script: "date +%N >out", noCache: true})
+	second, err2 := b.execute(action{script: "date +%N >out", noCache: true})
+	if err != nil || err2 != nil || second.CachedResult || proto.Equal(first.Result.OutputFiles[0].Digest, second.Result.OutputFiles[0].Digest) {
+		t.Errorf("an action with do_not_cache was cached or failed: first response %v, error %v; second response %v, error %v", first, err, second, err2)
 	}
 	_, err = b.execute(action{script: "cat f", inputs: map[string]*repb.Digest{"f": digestOf([]byte("never uploaded"))}})
 	if status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("%v", err)
+		t.Errorf("an action with a missing input: got %v, want code FailedPrecondition", err)
 	}
 	missing := 0
 	for _, d := range status.Convert(err).Details() {
@@ -366,47 +369,47 @@
 		}
 	}
 	if missing != 1 {
-		t.Errorf("the missing blob is not named: %v", status.Convert(err).Details())
+		t.Errorf("%d violations name the missing blob, want 1; details: %v", missing, status.Convert(err).Details())
 	}
-	for what, tc := range map[string]struct {
+	for name, tc := range map[string]struct {
 		a    action
 		want codes.Code
 	}{
-		"a name that climbs":   {action{script: "true", inputs: map[string]*repb.Digest{"../up": digestOf(nil)}}, codes.InvalidArgument},
+		"a parent directory":   {action{script: "true", inputs: map[string]*repb.Digest{"../up": digestOf(nil)}}, codes.InvalidArgument},
 		"a path as a name":     {action{script: "true", inputs: map[string]*repb.Digest{"a/b": digestOf(nil)}}, codes.InvalidArgument},
-		"an unknown property":  {action{script: "true", props: map[string]string{"gpu": "1"}}, codes.FailedPrecondition},
-		"no such machine type": {action{script: "true", props: map[string]string{"machine-type": "huge"}}, codes.FailedPrecondition},
-		"too many CPUs":        {action{script: "true", props: map[string]string{"cpus": "1000"}}, codes.FailedPrecondition},
+		"an unknown property":  {action{script: "true", platform: map[string]string{"gpu": "1"}}, codes.FailedPrecondition},
+		"unknown machine type": {action{script: "true", platform: map[string]string{"machine-type": "huge"}}, codes.FailedPrecondition},
+		"too many CPUs":        {action{script: "true", platform: map[string]string{"cpus": "1000"}}, codes.FailedPrecondition},
 		"a timeout of days":    {action{script: "true", timeout: 100 * time.Hour}, codes.InvalidArgument},
 	} {
 		if _, err := b.execute(tc.a); status.Code(err) != tc.want {
-			t.Errorf("%s: %v, want %s", what, err, tc.want)
+			t.Errorf("%s: got %v, want code %s", name, err, tc.want)
 		}
 	}
-	w, err := repb.NewExecutionClient(b.conn).WaitExecution(ctx, &repb.WaitExecutionRequest{Name: "operations/job-1/0/x/y/1/"})
+	stream, err := repb.NewExecutionClient(b.conn).WaitExecution(ctx, &repb.WaitExecutionRequest{Name: "operations/job-1/0/x/y/1/"})
 	if err == nil {
-		_, err = w.Recv()
+		_, err = stream.Recv()
 	}
 	if status.Code(err) != codes.NotFound {
-		t.Errorf("an operation that is none: %v", err)
+		t.Errorf("wait for an operation that does not exist: got %v, want code NotFound", err)
 	}
 }
 
-// Front ends, controllers and machines are killed during a build: its output is right, and
-// a second build finds every result in the cache.
+// A build completes with the expected output although front ends, controllers and machines are
+// killed, and a second build finds every result in the cache.
 func TestBuildWithKills(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { buildThroughKills(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { testBuildWithKills(t, seed) })
 	}
 }
 
-func buildThroughKills(t *testing.T, seed uint64) {
+func testBuildWithKills(t *testing.T, seed uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 110*time.Second)
 	defer cancel()
-	b := newBuilder(t, ctx)
+	b := newBuildHarness(t, ctx)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	stop, done := make(chan struct{}), make(chan struct{})
-	frontEnds, machines := 0, 0
+	frontEndKills, machineKills := 0, 0
 	go func() {
 		defer close(done)
 		for i := 0; ; i++ {
@@ -420,58 +423,58 @@
 				b.stopFrontEnd()
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 				b.startFrontEnd(nil)
-				frontEnds++
+				frontEndKills++
 			case 1:
-				node := b.c.Nodes()[i%3]
-				b.c.Kill(node)
+				node := b.cluster.Nodes()[i%3]
+				b.cluster.KillNode(node)
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-				if err := b.c.Restart(node); err != nil {
+				if err := b.cluster.StartNode(node); err != nil {
 					t.Error(err)
 				}
 			case 2:
-				if b.c.PreemptMachine() {
-					machines++
+				if b.cluster.PreemptMachine() {
+					machineKills++
 				}
 			}
 		}
 	}()
-	// Also when the build fails, or the kills would outlast the test.
+	// Deferred too, so that the kills stop when the build fails.
 	endKills := sync.OnceFunc(func() { close(stop); <-done })
 	defer endKills()
 	const sources = 120
-	got, _ := b.build(sources, "sleep 0.5; ")
+	got, _ := b.buildSample(sources, "sleep 0.5; ")
 	endKills()
-	if got != wanted(sources) {
-		t.Fatalf("built %q", got[:min(len(got), 100)])
+	if got != expectedOutput(sources) {
+		t.Fatalf("wrong output, starting with %q", got[:min(len(got), 100)])
 	}
 	kills := 0
-	for _, node := range b.c.Nodes() {
+	for _, node := range b.cluster.Nodes() {
 		kills += node.Kills
 	}
-	t.Logf("%d kills of controllers, %d of front ends, %d of machines, %d retries", kills, frontEnds, machines, b.retries.Load())
-	if again, cached := b.build(sources, "sleep 0.5; "); again != got || cached != sources+sources/10+1 {
-		t.Errorf("%d of %d from the cache", cached, sources+sources/10+1)
+	t.Logf("%d kills of controllers, %d of front ends, %d of machines, %d retries", kills, frontEndKills, machineKills, b.retries.Load())
+	if again, cached := b.buildSample(sources, "sleep 0.5; "); again != got || cached != sources+sources/10+1 {
+		t.Errorf("second build: different output, or only %d of %d actions cached", cached, sources+sources/10+1)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		t.Error("out of time")
+		t.Error("the builds took longer than the time limit of 110 s")
 	}
 }
 
-// Urgent jobs that arrive during a flood of small actions start ahead of them, about as soon
-// as without them.
+// An urgent job that arrives during a flood of small actions is not delayed by their queue, and
+// jobs that no client waits for any more are cancelled.
 func TestUrgentJobsDuringFlood(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 	defer cancel()
-	b := newBuilder(t, ctx)
-	users := client.New(b.c.Addrs(), nil, "")
-	refund := func(id string) time.Duration {
+	b := newBuildHarness(t, ctx)
+	apiClient := client.New(b.cluster.Addrs(), nil, "")
+	runRefundJob := func(id string) time.Duration {
 		s := NewSubmission(id, "refund-batch", "payments", "high", 8, 4, 4, 1)
 		started := time.Now()
-		if _, err := users.Submit(ctx, &s); err != nil {
+		if _, err := apiClient.Submit(ctx, &s); err != nil {
 			t.Fatal(err)
 		}
 		for {
-			st, err := users.Status(ctx, id)
+			st, err := apiClient.Status(ctx, id)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -481,42 +484,42 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	refund("job-1") // boots machines
-	alone := refund("job-2")
+	runRefundJob("job-1") // boots machines
+	alone := runRefundJob("job-2")
 	var wg sync.WaitGroup
-	var ran atomic.Int64
-	flood, end := context.WithCancel(ctx)
+	var completed atomic.Int64
+	floodCtx, stopFlood := context.WithCancel(ctx)
 	for i := range 1500 {
 		wg.Go(func() {
-			f := b.shallow(flood)
-			resp, err := f.execute(action{script: fmt.Sprintf("sleep 0.5; echo %d >out", i)})
+			flooder := b.forRefunds(floodCtx)
+			resp, err := flooder.execute(action{script: fmt.Sprintf("sleep 0.5; echo %d >out", i)})
 			if err == nil && resp.GetResult().GetExitCode() == 0 {
-				ran.Add(1)
+				completed.Add(1)
 			}
 		})
 	}
-	for started := time.Now(); ran.Load() < 50; time.Sleep(20 * time.Millisecond) {
+	for started := time.Now(); completed.Load() < 50; time.Sleep(20 * time.Millisecond) {
 		if time.Since(started) > 30*time.Second {
-			t.Fatalf("%d actions have run", ran.Load())
+			t.Fatalf("only %d actions completed within 30 s, want 50", completed.Load())
 		}
 	}
-	before := ran.Load()
-	beside := refund("job-3")
-	after := ran.Load()
-	t.Logf("refunds took %s alone and %s beside the flood (%.2f); %d to %d of 1500 actions had run", alone.Round(time.Millisecond),
-		beside.Round(time.Millisecond), beside.Seconds()/alone.Seconds(), before, after)
-	if after == 1500 || beside > 3*alone+3*time.Second {
-		t.Errorf("refund work waited behind a flood of builds")
+	before := completed.Load()
+	duringFlood := runRefundJob("job-3")
+	after := completed.Load()
+	t.Logf("a refund job took %s alone and %s during the flood (ratio %.2f), while %d to %d of 1500 actions were complete", alone.Round(time.Millisecond),
+		duringFlood.Round(time.Millisecond), duringFlood.Seconds()/alone.Seconds(), before, after)
+	if after == 1500 || duringFlood > 3*alone+3*time.Second {
+		t.Errorf("the refund job was delayed by the flood: it took %s, against %s alone, and %d of 1500 actions completed before it", duringFlood, alone, after)
 	}
-	end()
+	stopFlood()
 	wg.Wait()
-	// Nobody waits for the flood any more: its remaining jobs are withdrawn.
+	// No client waits for the remaining jobs of the flood, so they must be cancelled.
 	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		open := 0
-		b.c.State(func(s *state.Service) {
+		b.cluster.WithState(func(s *state.Service) {
 			for key := range s.Items {
 				if strings.HasSuffix(key, "/spec") {
-					if _, over := s.Items[strings.TrimSuffix(key, "spec")+"final"]; !over {
+					if _, ended := s.Items[strings.TrimSuffix(key, "spec")+"final"]; !ended {
 						open++
 					}
 				}
@@ -526,12 +529,13 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d jobs are still open", open)
+			t.Fatalf("%d jobs have not ended 30 s after their clients left", open)
 		}
 	}
 }
 
-// shallow returns the builder with another context, for the team of the refunds.
-func (b *builder) shallow(ctx context.Context) *builder {
-	return &builder{t: b.t, ctx: ctx, c: b.c, conn: b.conn, instance: "refunds"}
+// forRefunds returns a harness over the same cluster with another context and the instance name
+// "refunds".
+func (b *buildHarness) forRefunds(ctx context.Context) *buildHarness {
+	return &buildHarness{t: b.t, ctx: ctx, cluster: b.cluster, conn: b.conn, instance: "refunds"}
 }
--- a/internal/devcluster/identities.go
+++ b/internal/devcluster/identities.go
@@ -27,7 +27,7 @@
 // Identities holds the identities of a cluster: a certificate authority in the cluster's
 // directory, certificates of controllers and machines, and tokens of people and services.
 type Identities struct {
-	Roots string // file of the root certificates
+	Roots string // path of the root certificates' file
 	CA    *pki.Authority
 	dir   string
 	// settings is the identity section of the controllers' settings.
@@ -35,9 +35,9 @@
 	workerKeyring *identity.Keyring
 }
 
-// Prepare creates the certificate authority, certificates and tokens of a cluster. An
-// authority that an earlier cluster has left in the directory is used again.
-func Prepare(dir string, controllers int) (*Identities, error) {
+// PrepareIdentities creates the certificate authority, certificates and tokens of a cluster. It
+// reuses an authority that exists in the directory.
+func PrepareIdentities(dir string, controllers int) (*Identities, error) {
 	identities := &Identities{dir: filepath.Join(dir, "pki")}
 	var err error
 	if _, statErr := os.Stat(filepath.Join(identities.dir, pki.RootFile)); statErr == nil {
@@ -61,8 +61,8 @@
 	if identities.workerKeyring, err = identity.Load(identity.Files{Own: filepath.Join(identities.dir, "worker-any.pem"), Roots: identities.Roots}); err != nil {
 		return nil, err
 	}
-	for _, name := range append(identities.Others(), Administrator) {
-		if err := identities.Token(name, tokenLifetime); err != nil {
+	for _, name := range append(identities.OtherNames(), Administrator) {
+		if err := identities.IssueToken(name, tokenLifetime); err != nil {
 			return nil, err
 		}
 	}
@@ -76,7 +76,8 @@
 	return identities, nil
 }
 
-// issueCertificate issues a certificate, replacing one that exists, and returns its file.
+// issueCertificate issues a certificate for the named identity, replacing an existing one, and
+// returns the path of its file.
 func (h *Identities) issueCertificate(text string) (string, error) {
 	name, err := identity.ParseName(text)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return h.CA.File(name), nil
 }
 
-// readToken returns the token of an identity.
+// readToken reads the token of the named identity from its file.
 func (h *Identities) readToken(name string) (string, error) {
 	token, err := os.ReadFile(h.TokenFile(name))
 	if err != nil {
@@ -98,18 +99,18 @@
 	return strings.TrimSpace(string(token)), nil
 }
 
-// Others returns the identities of the initial policy besides the administrator.
-func (h *Identities) Others() []string {
+// OtherNames returns the names of the identities besides the administrator that have tokens.
+func (h *Identities) OtherNames() []string {
 	return []string{"person/anna", "service/refunds", "person/partner", Builder}
 }
 
-// TokenFile returns the file of an identity's token.
+// TokenFile returns the path of the file that holds the named identity's token.
 func (h *Identities) TokenFile(name string) string {
 	return filepath.Join(h.dir, strings.ReplaceAll(name, "/", "-")+".token")
 }
 
-// Token signs a token for an identity and stores it in its file.
-func (h *Identities) Token(text string, lifetime time.Duration) error {
+// IssueToken signs a token for the named identity and writes it to its file.
+func (h *Identities) IssueToken(text string, lifetime time.Duration) error {
 	name, err := identity.ParseName(text)
 	if err != nil {
 		return err
@@ -128,11 +129,11 @@
 	return nil
 }
 
-// isController accepts the identities of controllers.
+// isController reports whether an identity is that of a controller.
 func isController(n identity.Name) bool { return n.Kind == identity.Controller }
 
-// workerTLS returns the TLS configuration of machines as clients of controllers, nil without
-// identities.
+// workerTLS returns the TLS configuration with which machines connect to controllers, nil
+// without identities.
 func (h *Identities) workerTLS() *tls.Config {
 	if h == nil {
 		return nil
@@ -140,8 +141,8 @@
 	return h.workerKeyring.ClientConfig(isController)
 }
 
-// machineTLS returns the TLS configuration of machines as servers, nil without identities.
-// Only controllers may send commands.
+// machineTLS returns the TLS configuration with which machines serve, nil without identities. It
+// rejects clients other than controllers, which alone may send commands.
 func (h *Identities) machineTLS() *tls.Config {
 	if h == nil {
 		return nil
@@ -150,14 +151,14 @@
 	config.VerifyConnection = func(cs tls.ConnectionState) error {
 		name, err := identity.FromCertificate(cs.PeerCertificates[0])
 		if err == nil && !isController(name) {
-			err = fmt.Errorf("%s gives no orders", name)
+			err = fmt.Errorf("%s is not a controller and may not send commands", name)
 		}
 		return err
 	}
 	return config
 }
 
-// Client returns a client of the controllers with the token of an identity.
+// Client returns a client of the controllers with the token of the named identity.
 func (c *Cluster) Client(name string) (*client.Client, error) {
 	identities := c.options.Identities
 	if identities == nil {
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -30,11 +30,11 @@
 	"micaspindle/internal/rights"
 )
 
-// hostedCluster starts a cluster of real processes with authentication.
-func hostedCluster(t *testing.T, ctx context.Context) *Cluster {
+// startAuthenticatedCluster starts a cluster of real processes with authentication.
+func startAuthenticatedCluster(t *testing.T, ctx context.Context) *Cluster {
 	t.Helper()
 	dir := t.TempDir()
-	identities, err := Prepare(dir, 3)
+	identities, err := PrepareIdentities(dir, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,8 +52,8 @@
 	return c
 }
 
-// as returns a client with the token of an identity.
-func (c *Cluster) as(t *testing.T, who string) *client.Client {
+// clientFor returns a client with the token of the named identity.
+func (c *Cluster) clientFor(t *testing.T, who string) *client.Client {
 	t.Helper()
 	cl, err := c.Client(who)
 	if err != nil {
@@ -62,20 +62,20 @@
 	return cl
 }
 
-func refused(t *testing.T, err error, status int) {
+func wantRefusal(t *testing.T, err error, status int) {
 	t.Helper()
-	var r *client.Refusal
-	if !errors.As(err, &r) || r.Status != status {
-		t.Errorf("got %v, want a refusal with %d", err, status)
+	var refusal *client.Refusal
+	if !errors.As(err, &refusal) || refusal.Status != status {
+		t.Errorf("got %v, want a refusal with status %d", err, status)
 	}
 }
 
-// exported returns the audit log, verified.
-func (c *Cluster) exported(t *testing.T, ctx context.Context) []archive.ReadRecord {
+// exportAudit exports the audit log, verifies it, and returns its records.
+func (c *Cluster) exportAudit(t *testing.T, ctx context.Context) []archive.ReadRecord {
 	t.Helper()
-	root := c.as(t, Administrator)
+	administrator := c.clientFor(t, Administrator)
 	var seal audit.Seal
-	if err := root.Do(ctx, "GET", "/audit/seal", nil, &seal); err != nil {
+	if err := administrator.Do(ctx, "GET", "/audit/seal", nil, &seal); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
@@ -83,7 +83,7 @@
 		var page struct {
 			Batches []audit.NumberedBatch `msgpack:"batches"`
 		}
-		err := root.Do(ctx, "GET", "/audit/batches?chain="+url.QueryEscape(chain)+"&after="+strconv.FormatUint(after, 10), nil, &page)
+		err := administrator.Do(ctx, "GET", "/audit/batches?chain="+url.QueryEscape(chain)+"&after="+strconv.FormatUint(after, 10), nil, &page)
 		return page.Batches, err
 	}, func(uint64, uint64) {})
 	if err != nil {
@@ -91,33 +91,34 @@
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(c.Identities().CA.Root())
-	v, err := archive.Verify(&out, roots)
+	verification, err := archive.Verify(&out, roots)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range v.Problems {
-		t.Errorf("audit: %s", p)
+	for _, p := range verification.Problems {
+		t.Errorf("problem in the audit log: %s", p)
 	}
-	return v.Read
+	return verification.Read
 }
 
-func tally(read []archive.ReadRecord, match func(r *audit.Record) bool) (n int) {
-	for i := range read {
-		if match(&read[i].Record) {
-			n += int(max(1, read[i].Count))
+func countRecords(records []archive.ReadRecord, match func(r *audit.Record) bool) (n int) {
+	for i := range records {
+		if match(&records[i].Record) {
+			n += int(max(1, records[i].Count))
 		}
 	}
 	return n
 }
 
-// Three roles against real processes over TLS: a clerk, the refund team and a guest partner
-// attempt operations that they have no right to.
+// Over TLS, identities with three roles are refused operations that they have no right to, as are
+// clients without valid credentials. Each refusal is in the audit log, and no log tells arguments or
+// tokens.
 func TestRolesOverTLS(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
-	c := hostedCluster(t, ctx)
-	root, anna, refunds, partner := c.as(t, Administrator), c.as(t, "person/anna"), c.as(t, "service/refunds"), c.as(t, "person/partner")
+	c := startAuthenticatedCluster(t, ctx)
+	administrator, anna, refunds, partner := c.clientFor(t, Administrator), c.clientFor(t, "person/anna"), c.clientFor(t, "service/refunds"), c.clientFor(t, "person/partner")
 	secret := "image-nobody-else-may-see"
 	submit := func(cl *client.Client, id, class, team string) error {
 		s := NewSubmission(id, class, team, "standard", 2, 1, 1, 1)
@@ -126,31 +127,31 @@
 		return err
 	}
 	for i, team := range []string{"placements-desk", "payments", "payments"} {
-		if err := submit(root, fmt.Sprintf("job-%d", i+1), []string{"placement-match", "refund-batch", "price-check"}[i], team); err != nil {
+		if err := submit(administrator, fmt.Sprintf("job-%d", i+1), []string{"placement-match", "refund-batch", "price-check"}[i], team); err != nil {
 			t.Fatal(err)
 		}
 	}
 	denials := map[string]int{}
-	try := func(who string, err error) {
+	wantDenied := func(who string, err error) {
 		t.Helper()
-		refused(t, err, 403)
+		wantRefusal(t, err, 403)
 		denials[who]++
 	}
-	try("person/anna", anna.Do(ctx, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-92", Team: "placements-desk"}, nil))
-	try("person/anna", anna.Do(ctx, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-91", Team: "payments"}, nil))
-	try("person/anna", submit(anna, "job-93", "x", "venues"))
+	wantDenied("person/anna", anna.Do(ctx, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-92", Team: "placements-desk"}, nil))
+	wantDenied("person/anna", anna.Do(ctx, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-91", Team: "payments"}, nil))
+	wantDenied("person/anna", submit(anna, "job-93", "x", "venues"))
 	for _, id := range []string{"job-1", "job-3", "job-99"} {
 		_, err := refunds.Status(ctx, id)
-		try("service/refunds", err)
+		wantDenied("service/refunds", err)
 		_, err = refunds.Cancel(ctx, id)
-		try("service/refunds", err)
+		wantDenied("service/refunds", err)
 	}
 	for _, path := range []string{"/submissions/job-1/arguments", "/submissions/job-99/arguments", "/policy/roles", "/audit/seal", "/audit/batches?chain=spindle-0&after=0"} {
-		try("person/partner", partner.Do(ctx, "GET", path, nil, nil))
+		wantDenied("person/partner", partner.Do(ctx, "GET", path, nil, nil))
 	}
-	try("person/partner", submit(partner, "job-1", "placement-match", "placements-desk"))
-	// The guest sees states without arguments; logs and audit hold no arguments either.
-	raw := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{TLSClientConfig: c.Identities().workerTLS()}}
+	wantDenied("person/partner", submit(partner, "job-1", "placement-match", "placements-desk"))
+	// A guest sees the status of a job without its arguments; logs contain no arguments or tokens.
+	httpClient := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{TLSClientConfig: c.Identities().workerTLS()}}
 	token, err := os.ReadFile(c.Identities().TokenFile("person/partner"))
 	if err != nil {
 		t.Fatal(err)
@@ -160,14 +161,14 @@
 		t.Fatal(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+strings.TrimSpace(string(token)))
-	resp, err := raw.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	body, _ := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
 	if resp.StatusCode != 200 || bytes.Contains(body, []byte(secret)) {
-		t.Errorf("%d %q", resp.StatusCode, body)
+		t.Errorf("the status for a guest: got %d %q, want 200 and no arguments", resp.StatusCode, body)
 	}
 	for _, node := range c.Nodes() {
 		log, err := os.ReadFile(node.LogFile)
@@ -176,70 +177,70 @@
 		}
 		for what, text := range map[string]string{"an argument": secret, "a token": strings.TrimSpace(string(token))} {
 			if bytes.Contains(log, []byte(text)) {
-				t.Errorf("the log of %s tells %s", node.Label, what)
+				t.Errorf("the log of %s contains %s", node.Label, what)
 			}
 		}
 	}
 	var args protocol.Arguments
 	if err := refunds.Do(ctx, "GET", "/submissions/job-2/arguments", nil, &args); err != nil || args.Image != secret || args.By != Administrator {
-		t.Errorf("%+v %v", args, err)
-	}
-	// A client without a credential, one with a bad token, a machine that acts as a user,
-	// and a user that acts as a machine.
-	none := client.New(c.Addrs(), c.Identities().withoutOwn(), "")
-	_, err = none.Status(ctx, "job-1")
-	refused(t, err, 401)
-	bad := client.New(c.Addrs(), c.Identities().withoutOwn(), strings.TrimSpace(string(token))+"x")
-	_, err = bad.Status(ctx, "job-1")
-	refused(t, err, 401)
+		t.Errorf("arguments of job-2: got %+v, error %v; want image %q submitted by %s", args, err, secret, Administrator)
+	}
+	// A client without credentials, a client with an invalid token, a machine that polls a job, and
+	// a user that sends a heartbeat.
+	noCredentials := client.New(c.Addrs(), c.Identities().tlsWithoutCertificate(), "")
+	_, err = noCredentials.Status(ctx, "job-1")
+	wantRefusal(t, err, 401)
+	badToken := client.New(c.Addrs(), c.Identities().tlsWithoutCertificate(), strings.TrimSpace(string(token))+"x")
+	_, err = badToken.Status(ctx, "job-1")
+	wantRefusal(t, err, 401)
 	machine := client.New(c.Addrs(), c.Identities().workerTLS(), "")
 	_, err = machine.Status(ctx, "job-1")
-	refused(t, err, 403)
-	refused(t, partner.Do(ctx, "POST", "/checkin", &protocol.Heartbeat{Machine: "m-1", Epoch: 1}, nil), 401)
+	wantRefusal(t, err, 403)
+	wantRefusal(t, partner.Do(ctx, "POST", "/checkin", &protocol.Heartbeat{Machine: "m-1", Epoch: 1}, nil), 401)
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		for st := (protocol.JobStatus{}); !st.Ended(); time.Sleep(100 * time.Millisecond) {
-			if st, err = root.Status(ctx, id); err != nil {
+			if st, err = administrator.Status(ctx, id); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	time.Sleep(audit.GatherInterval + time.Second)
-	read := c.exported(t, ctx)
+	records := c.exportAudit(t, ctx)
 	for who, n := range denials {
-		if got := tally(read, func(r *audit.Record) bool { return r.Who == who && r.Outcome == audit.Denied }); got != n {
-			t.Errorf("%s was refused %d times, the audit has %d", who, n, got)
+		if got := countRecords(records, func(r *audit.Record) bool { return r.Who == who && r.Outcome == audit.Denied }); got != n {
+			t.Errorf("%s was refused %d times, but the audit log has %d refusals", who, n, got)
 		}
 	}
-	if n := tally(read, func(r *audit.Record) bool { return r.Who == "" && r.Outcome == audit.Denied }); n != 3 {
-		t.Errorf("3 without a good credential, the audit has %d", n)
+	if n := countRecords(records, func(r *audit.Record) bool { return r.Who == "" && r.Outcome == audit.Denied }); n != 3 {
+		t.Errorf("the audit log has %d refusals of unauthenticated clients, want 3", n)
 	}
 }
 
-// withoutOwn returns the TLS configuration of a client without a certificate.
-func (h *Identities) withoutOwn() *tls.Config {
+// tlsWithoutCertificate returns the TLS configuration of a client without a certificate.
+func (h *Identities) tlsWithoutCertificate() *tls.Config {
 	config := h.workerTLS()
 	config.GetClientCertificate = nil
 	return config
 }
 
-// Controllers are killed at any moment while users submit with retries: each job exists
-// once, with one audit record of its acceptance.
+// Each job has exactly one audit record of its acceptance although controllers are killed at random
+// moments while users submit with retries.
 func TestKillsUnderLoadWithAudit(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 120*time.Second)
 	defer cancel()
-	c := hostedCluster(t, ctx)
+	c := startAuthenticatedCluster(t, ctx)
 	const seed = 11
 	rng := rand.New(rand.NewPCG(seed, 3))
 	t.Logf("seed %d", seed)
 	var wg sync.WaitGroup
-	const users, each = 12, 15
-	for u := range users {
-		anna := c.as(t, "person/anna")
+	const users, jobsPerUser = 12, 15
+	for user := range users {
+		anna := c.clientFor(t, "person/anna")
 		wg.Go(func() {
-			for k := range each {
-				s := NewSubmission(fmt.Sprintf("job-%d", 1000*(u+1)+k), "placement-match", "placements-desk", "standard", 1, 1, 1, 0.2)
+			for n := range jobsPerUser {
+				s := NewSubmission(fmt.Sprintf("job-%d", 1000*(user+1)+n), "placement-match", "placements-desk", "standard", 1, 1, 1, 0.2)
 				if _, err := anna.Submit(ctx, &s); err != nil {
-					t.Errorf("%s: %v", *s.ID, err)
+					t.Errorf("submit %s: %v", *s.ID, err)
 				}
 			}
 		})
@@ -255,12 +256,12 @@
 			case <-time.After(time.Duration(200+rng.IntN(600)) * time.Millisecond):
 			}
 			node := c.Nodes()[kills%3]
-			c.Kill(node)
+			c.KillNode(node)
 			select {
 			case <-stop:
 			case <-time.After(time.Duration(100+rng.IntN(400)) * time.Millisecond):
 			}
-			if err := c.Restart(node); err != nil {
+			if err := c.StartNode(node); err != nil {
 				t.Error(err)
 			}
 		}
@@ -271,10 +272,10 @@
 	if err := c.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	accepts := map[string]int{}
-	for _, r := range c.exported(t, ctx) {
+	acceptances := map[string]int{}
+	for _, r := range c.exportAudit(t, ctx) {
 		if r.Verb == "submit" && r.Outcome == audit.Allowed {
-			accepts[r.Job]++
+			acceptances[r.Job]++
 		}
 	}
 	kills := 0
@@ -282,25 +283,25 @@
 		kills += node.Kills
 	}
 	t.Logf("%d kills", kills)
-	for u := range users {
-		for k := range each {
-			if id := fmt.Sprintf("job-%d", 1000*(u+1)+k); accepts[id] != 1 {
-				t.Errorf("%s has %d records of its acceptance", id, accepts[id])
+	for user := range users {
+		for n := range jobsPerUser {
+			if id := fmt.Sprintf("job-%d", 1000*(user+1)+n); acceptances[id] != 1 {
+				t.Errorf("%s has %d audit records of its acceptance, want 1", id, acceptances[id])
 			}
 		}
 	}
-	if len(accepts) != users*each {
-		t.Errorf("%d jobs have records, %d were submitted", len(accepts), users*each)
+	if len(acceptances) != users*jobsPerUser {
+		t.Errorf("the audit log has acceptances of %d jobs, but %d jobs were submitted", len(acceptances), users*jobsPerUser)
 	}
 }
 
-// Running controllers load a renewed certificate, a revoked clerk is refused by each of them
-// at once, and a policy survives the end of all controllers.
+// Running controllers load a renewed certificate, each of them refuses a revoked identity within
+// seconds, and the policy survives a restart of all controllers.
 func TestRotationRevocationAndRestart(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
-	c := hostedCluster(t, ctx)
-	root, anna := c.as(t, Administrator), c.as(t, "person/anna")
+	c := startAuthenticatedCluster(t, ctx)
+	administrator, anna := c.clientFor(t, Administrator), c.clientFor(t, "person/anna")
 	for _, node := range c.Nodes() {
 		name := identity.Name{Kind: identity.Controller, ID: node.Label}
 		if _, err := c.Identities().CA.Issue(name, time.Now(), certificateLifetime, true); err != nil {
@@ -317,64 +318,64 @@
 				break
 			}
 			if ctx.Err() != nil {
-				t.Fatalf("%s never took its new certificate", node.Label)
+				t.Fatalf("%s did not load its renewed certificate", node.Label)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 	var page rights.Page
-	if err := root.Do(ctx, "GET", "/policy/identities", nil, &page); err != nil {
+	if err := administrator.Do(ctx, "GET", "/policy/identities", nil, &page); err != nil {
 		t.Fatal(err)
 	}
-	ch := rights.Change{Version: page.Version}
-	for _, id := range page.Identities {
-		if id.Name == "person/anna" {
-			id.Revoked = true
-			ch.PutIdentities = append(ch.PutIdentities, id)
+	change := rights.Change{Version: page.Version}
+	for _, entry := range page.Identities {
+		if entry.Name == "person/anna" {
+			entry.Revoked = true
+			change.PutIdentities = append(change.PutIdentities, entry)
 		}
 	}
 	revoked := time.Now()
-	if err := root.Do(ctx, "POST", "/policy", &ch, nil); err != nil {
+	if err := administrator.Do(ctx, "POST", "/policy", &change, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, node := range c.Nodes() {
 		for {
 			err := anna.ForController(node.Addr).Do(ctx, "GET", "/whoami", nil, nil)
-			var r *client.Refusal
-			if errors.As(err, &r) && r.Status == 403 {
+			var refusal *client.Refusal
+			if errors.As(err, &refusal) && refusal.Status == 403 {
 				break
 			}
 			if time.Since(revoked) > 3*time.Second {
-				t.Fatalf("%s still takes her after 3 s: %v", node.Label, err)
+				t.Fatalf("%s does not refuse the revoked person/anna after 3 s, error %v", node.Label, err)
 			}
 		}
 	}
 	for _, node := range c.Nodes() {
-		c.Kill(node)
+		c.KillNode(node)
 	}
 	for _, node := range c.Nodes() {
-		if err := c.Restart(node); err != nil {
+		if err := c.StartNode(node); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := c.AwaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	refused(t, anna.Do(ctx, "GET", "/whoami", nil, nil), 403)
-	if err := root.Do(ctx, "GET", "/whoami", nil, nil); err != nil {
-		t.Error(err)
+	wantRefusal(t, anna.Do(ctx, "GET", "/whoami", nil, nil), 403)
+	if err := administrator.Do(ctx, "GET", "/whoami", nil, nil); err != nil {
+		t.Errorf("the administrator after the restart: %v", err)
 	}
 }
 
-// The front end asks the controllers for rights: allowed clients are served, refusals are in
-// the controllers' audit, and a revocation takes effect at the front end too.
+// A front end's access checks follow the controllers' policy: refusals are in the audit log, a
+// revocation takes effect, and without controllers no client is authorized.
 func TestFrontEndAsksControllers(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	c := hostedCluster(t, ctx)
+	c := startAuthenticatedCluster(t, ctx)
 	identities := c.Identities()
-	asker, err := reapi.NewControllerAccess(client.New(c.Addrs(), identities.withoutOwn(), ""), "refund-batch")
+	access, err := reapi.NewControllerAccess(client.New(c.Addrs(), identities.tlsWithoutCertificate(), ""), "refund-batch")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -385,57 +386,57 @@
 		}
 		return "Bearer " + strings.TrimSpace(string(data))
 	}
-	ask := func(who, verb, team string, want codes.Code) {
+	wantCode := func(who, verb, team string, want codes.Code) {
 		t.Helper()
-		cred := who
+		credential := who
 		if strings.Contains(who, "/") {
-			cred = token(who)
+			credential = token(who)
 		}
-		if _, err := asker.Allows(ctx, cred, verb, team); status.Code(err) != want {
-			t.Errorf("%s %s on %s: %v, want %s", who, verb, team, err, want)
+		if _, err := access.Allows(ctx, credential, verb, team); status.Code(err) != want {
+			t.Errorf("access of %s to %s jobs of %s: got %v, want code %s", who, verb, team, err, want)
 		}
 	}
-	ask("service/refunds", "submit", "payments", codes.OK)
-	ask("service/refunds", "view-arguments", "payments", codes.OK)
-	ask("service/refunds", "submit", "venues", codes.PermissionDenied)
-	ask("person/partner", "view-arguments", "payments", codes.PermissionDenied)
-	ask("Bearer nonsense", "submit", "payments", codes.Unauthenticated)
-	ask("Basic x", "submit", "payments", codes.Unauthenticated)
-	ask("", "submit", "payments", codes.Unauthenticated)
+	wantCode("service/refunds", "submit", "payments", codes.OK)
+	wantCode("service/refunds", "view-arguments", "payments", codes.OK)
+	wantCode("service/refunds", "submit", "venues", codes.PermissionDenied)
+	wantCode("person/partner", "view-arguments", "payments", codes.PermissionDenied)
+	wantCode("Bearer nonsense", "submit", "payments", codes.Unauthenticated)
+	wantCode("Basic x", "submit", "payments", codes.Unauthenticated)
+	wantCode("", "submit", "payments", codes.Unauthenticated)
 	var page rights.Page
-	root := c.as(t, Administrator)
-	if err := root.Do(ctx, "GET", "/policy/identities", nil, &page); err != nil {
+	administrator := c.clientFor(t, Administrator)
+	if err := administrator.Do(ctx, "GET", "/policy/identities", nil, &page); err != nil {
 		t.Fatal(err)
 	}
-	revoke := rights.Change{Version: page.Version, PutIdentities: []rights.Identity{{Name: "service/refunds", Roles: []string{"refunds"}, Revoked: true}}}
-	if err := root.Do(ctx, "POST", "/policy", &revoke, nil); err != nil {
+	revocation := rights.Change{Version: page.Version, PutIdentities: []rights.Identity{{Name: "service/refunds", Roles: []string{"refunds"}, Revoked: true}}}
+	if err := administrator.Do(ctx, "POST", "/policy", &revocation, nil); err != nil {
 		t.Fatal(err)
 	}
 	revoked := time.Now()
 	for {
-		_, err := asker.Allows(ctx, token("service/refunds"), "submit", "payments")
+		_, err := access.Allows(ctx, token("service/refunds"), "submit", "payments")
 		if status.Code(err) == codes.PermissionDenied {
 			break
 		}
 		if time.Since(revoked) > 4*time.Second {
-			t.Fatalf("still allowed after %s: %v", time.Since(revoked), err)
+			t.Fatalf("service/refunds is not refused %s after its revocation, error %v", time.Since(revoked), err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(audit.GatherInterval + time.Second)
-	read := c.exported(t, ctx)
-	if n := tally(read, func(r *audit.Record) bool {
+	records := c.exportAudit(t, ctx)
+	if n := countRecords(records, func(r *audit.Record) bool {
 		return r.Who == "service/refunds" && r.Outcome == audit.Denied && r.Team == "venues"
 	}); n != 1 {
-		t.Errorf("one refusal at the front end, the audit has %d", n)
+		t.Errorf("the audit log has %d refusals of service/refunds, want 1", n)
 	}
-	if n := tally(read, func(r *audit.Record) bool { return r.Who == "person/partner" && r.Outcome == audit.Denied }); n != 1 {
-		t.Errorf("one refusal of the guest, the audit has %d", n)
+	if n := countRecords(records, func(r *audit.Record) bool { return r.Who == "person/partner" && r.Outcome == audit.Denied }); n != 1 {
+		t.Errorf("the audit log has %d refusals of person/partner, want 1", n)
 	}
-	// Without controllers nobody is authorized.
+	// Without controllers no client is authorized.
 	for _, node := range c.Nodes() {
-		c.Kill(node)
+		c.KillNode(node)
 	}
 	time.Sleep(1100 * time.Millisecond)
-	ask(Administrator, "submit", "payments", codes.Unavailable)
+	wantCode(Administrator, "submit", "payments", codes.Unavailable)
 }
--- a/internal/devcluster/load.go
+++ b/internal/devcluster/load.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// firstIdleJob is the number of the first idle job.
+	// firstIdleJob is the number in the first idle job's ID.
 	firstIdleJob = 1_000_000
-	// idleEstimate is the estimate of idle jobs, in seconds: longer than any measurement.
+	// idleEstimate is the estimated run time of idle jobs, in seconds; it exceeds any measurement.
 	idleEstimate = 600
 )
 
-// idleJob returns a job that waits for the first idle job, which runs for longer than any
-// measurement, so that only the acceptance of the others is measured.
+// idleJob returns the idle job with number n. Job 0 does not end during a measurement, and all
+// others depend on it: they never run, so that only their acceptance is measured.
 func idleJob(n int64) *protocol.Submission {
 	job := NewSubmission(fmt.Sprintf("job-%d", firstIdleJob+n), "applicant-verify", teams[n%int64(len(teams))].Name, "low", 1, 1, 1, idleEstimate)
 	if n > 0 {
@@ -30,9 +30,9 @@
 	return &job
 }
 
-// submitIdleJobs submits idle jobs from several users for a while, each user the next job
-// once the last is accepted. It returns how many were accepted.
-func submitIdleJobs(ctx context.Context, controllers *client.Client, users int, duration time.Duration, next *atomic.Int64) (int, error) {
+// submitIdleJobs submits idle jobs from concurrent users for the given duration. Each user submits
+// a job once its previous one is accepted. It returns how many were accepted.
+func submitIdleJobs(ctx context.Context, submitter *client.Client, users int, duration time.Duration, lastJob *atomic.Int64) (int, error) {
 	var accepted atomic.Int64
 	var wg sync.WaitGroup
 	errs := make([]error, users)
@@ -40,7 +40,7 @@
 	for user := range users {
 		wg.Go(func() {
 			for time.Now().Before(end) {
-				if _, err := controllers.Submit(ctx, idleJob(next.Add(1))); err != nil {
+				if _, err := submitter.Submit(ctx, idleJob(lastJob.Add(1))); err != nil {
 					errs[user] = err
 					return
 				}
@@ -54,8 +54,8 @@
 	return int(accepted.Load()), errors.Join(errs...)
 }
 
-// openLoop calls f at a steady rate until end, whether or not earlier calls have returned,
-// with at most maxConcurrent calls at a time. f gets the time when the call was due.
+// openLoop calls f every interval until end, without waiting for earlier calls unless
+// maxConcurrent are running. f gets the time when its call was due.
 func openLoop(ctx context.Context, end time.Time, interval time.Duration, maxConcurrent int, f func(due time.Time)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrent)
--- a/internal/devcluster/machines.go
+++ b/internal/devcluster/machines.go
@@ -22,25 +22,26 @@
 )
 
 const (
-	// A machine boots in minBootFactor to minBootFactor + bootFactorRange times the boot time
-	// of its type.
+	// The boot time of a machine is that of its type times a random factor between minBootFactor
+	// and minBootFactor + bootFactorRange.
 	minBootFactor   = 0.6
 	bootFactorRange = 0.9
 	defaultBootS    = 1.0
 
-	// A task runs for minRunFactor to minRunFactor + runFactorRange times its estimate.
+	// The run time of a task is its estimate times a factor between minRunFactor and
+	// minRunFactor + runFactorRange, in runFactorSteps steps.
 	minRunFactor   = 0.8
 	runFactorRange = 0.4
 	runFactorSteps = 1000
 
-	// standingRunTime is that of a standing task, which runs until it is stopped.
+	// standingRunTime stands for the unlimited run time of a standing job's tasks.
 	standingRunTime = 1000 * time.Hour
 )
 
-// bootMachine boots a rented machine after its boot time. The lock is held.
+// bootMachine starts the agent of a rented machine after its boot time. c.mu must be held.
 func (c *Cluster) bootMachine(name string, machine *cloud.Machine) {
 	bootS := defaultBootS
-	for _, machineType := range types {
+	for _, machineType := range machineTypes {
 		if machineType.Name == machine.Type {
 			bootS = machineType.BootS
 		}
@@ -63,8 +64,8 @@
 	})
 }
 
-// runMachine runs the agent of a machine until the machine is off or the cluster ends.
-// controller is the index of the one that gets the first heartbeat.
+// runMachine runs the agent of a machine until the machine is powered off or the cluster stops.
+// controller is the index of the controller that gets the first heartbeat.
 func (c *Cluster) runMachine(name string, machine *cloud.Machine, controller int) {
 	a := agent.New(&c.mu, c, c)
 	addr, err := c.serve(c.options.Identities.machineTLS(), func(_ context.Context, r *http.Request, body []byte) *transport.Response {
@@ -73,7 +74,7 @@
 		return a.Serve(r.URL.Path, body)
 	})
 	if err != nil {
-		return // like a machine that never comes up
+		return // like a machine that does not boot
 	}
 	c.mu.Lock()
 	a.Name, a.Addr, a.Type, a.Zone, a.Spot = name, addr, machine.Type, machine.Zone, machine.Spot
@@ -92,7 +93,7 @@
 	a.Run(c.ctx.Done())
 }
 
-// stopMachine powers a machine off. The lock is held.
+// stopMachine powers a machine off. c.mu must be held.
 func (c *Cluster) stopMachine(name string) {
 	if a := c.agents[name]; a != nil {
 		a.PowerOff()
@@ -100,8 +101,8 @@
 	}
 }
 
-// PreemptMachine preempts a machine that runs a task, without notice. It returns false if
-// there is none.
+// PreemptMachine preempts a machine that is running a task, without notice. It returns false if
+// no machine is.
 func (c *Cluster) PreemptMachine() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,21 +118,22 @@
 	return false
 }
 
-// Machines returns how many machines are rented now, and how many were so far.
-func (c *Cluster) Machines() (now, ever int) {
+// Machines returns how many machines are rented now and how many have been rented in total.
+func (c *Cluster) Machines() (current, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.cloud.Machines), c.cloud.Rented
 }
 
-// Agents calls f with the agents, by machine, with the lock held.
-func (c *Cluster) Agents(f func(map[string]*agent.Agent)) {
+// WithAgents calls f with the agents by machine name while the cluster's lock is held.
+func (c *Cluster) WithAgents(f func(map[string]*agent.Agent)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.agents)
 }
 
-// sendHeartbeat sends an agent's heartbeat to a controller. Status 0 means no answer.
+// sendHeartbeat sends an agent's heartbeat to a controller. Status 0 means that there was no
+// response.
 func (c *Cluster) sendHeartbeat(controller string, heartbeat []byte) (status int, answer []byte) {
 	for _, node := range c.nodes {
 		if node.Label != controller {
@@ -145,7 +147,7 @@
 		if err != nil {
 			return 0, nil
 		}
-		defer resp.Body.Close() //nolint:errcheck // read to its end
+		defer resp.Body.Close() //nolint:errcheck // the body has been read
 		body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 		if err != nil {
 			return 0, nil
@@ -155,8 +157,7 @@
 	return 0, nil
 }
 
-// jobSpec returns a job's specification. A real worker gets it from where users upload it;
-// here it is read from the state store. The lock is held.
+// jobSpec returns a job's specification, which it reads from the state store. c.mu must be held.
 func (c *Cluster) jobSpec(job string) (spec protocol.JobSpec, ok bool) {
 	item, ok := c.state.Items[storage.JobKey(job)]
 	if !ok || storage.Decode(item.Value, &spec) != nil {
@@ -165,8 +166,8 @@
 	return spec, true
 }
 
-// RunTime implements agent.Jobs: the job's estimate, varied by up to a fifth. The same task
-// takes the same time in each attempt, and none once it is done.
+// RunTime implements agent.Jobs. It varies the job's estimate by up to a fifth. Each attempt of a
+// task takes the same time, or none if the task is already done.
 func (c *Cluster) RunTime(job string, task int, _ string) (time.Duration, bool) {
 	spec, ok := c.jobSpec(job)
 	if !ok || task >= spec.Tasks {
@@ -176,7 +177,7 @@
 		return standingRunTime, true
 	}
 	name := protocol.TaskName(job, task)
-	if c.results[name] {
+	if c.completedTasks[name] {
 		return 0, true
 	}
 	h := fnv.New32a()
@@ -185,11 +186,11 @@
 	return settings.Seconds(spec.EstimateS * (minRunFactor + runFactorRange*variation)), true
 }
 
-// execute executes a task that is a build action and returns how to stop it, nil for other
-// tasks, which only take time. The lock is held.
+// execute starts a task that is a build action and returns a function that stops it. It returns
+// nil for other tasks, which the agent only simulates. c.mu must be held.
 func (c *Cluster) execute(a *agent.Agent, t *agent.Task) (stop func()) {
 	spec, ok := c.jobSpec(t.Job)
-	if !ok || !strings.HasPrefix(spec.Image, reapi.ImagePrefix) || c.results[t.Name] {
+	if !ok || !strings.HasPrefix(spec.Image, reapi.ImagePrefix) || c.completedTasks[t.Name] {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -209,7 +210,7 @@
 	return cancel
 }
 
-// Fails implements agent.Jobs: no task fails.
+// Fails implements agent.Jobs; no task fails.
 func (c *Cluster) Fails(string, int, string) bool { return false }
 
 // Obeying implements agent.Watcher.
@@ -221,9 +222,9 @@
 // Running implements agent.Watcher.
 func (c *Cluster) Running(*agent.Agent, *agent.Task, time.Time) {}
 
-// Ended implements agent.Watcher: it records tasks that are done.
+// Ended implements agent.Watcher; it records tasks that are done.
 func (c *Cluster) Ended(_ *agent.Agent, t *agent.Task) {
 	if t.Cause == protocol.CauseDone {
-		c.results[t.Name] = true
+		c.completedTasks[t.Name] = true
 	}
 }
--- a/internal/devcluster/measure.go
+++ b/internal/devcluster/measure.go
@@ -9,52 +9,53 @@
 	"micaspindle/internal/client"
 )
 
-// Figure is a comparison of two measured values. Both were measured in one run on one
-// machine, so that their ratio is meaningful.
-type Figure struct {
-	What   string  `json:"what"`
+// Comparison compares two values that were measured in the same run on the same machine, so that
+// their ratio is meaningful.
+type Comparison struct {
+	Name   string  `json:"what"`
 	Unit   string  `json:"unit"`
 	Before float64 `json:"before"`
 	After  float64 `json:"after"`
 	Ratio  float64 `json:"ratio"`
-	Aim    string  `json:"aim"`
+	Target string  `json:"aim"`
 }
 
-// Measurement configures measurements.
+// Measurement configures the measurements.
 type Measurement struct {
 	// Binary is the controllers' program.
 	Binary string
-	// Against is the program of another version, to compare start, size and memory with.
-	Against string
-	Dir     string
-	// For is how long each load runs, Rounds how many times.
-	For    time.Duration
-	Rounds int
+	// Baseline is the controllers' program in another version, which Footprint compares with
+	// Binary.
+	Baseline string
+	Dir      string
+	// LoadDuration is the duration of each load, Rounds the number of repetitions.
+	LoadDuration time.Duration
+	Rounds       int
 }
 
-// newFigure compares the medians of values.
-func newFigure(what, unit, aim string, before, after []float64) Figure {
+// compareMedians returns a comparison of the medians of two lists of values.
+func compareMedians(name, unit, target string, before, after []float64) Comparison {
 	b, a := median(before), median(after)
-	return Figure{what, unit, b, a, a / b, aim}
+	return Comparison{name, unit, b, a, a / b, target}
 }
 
-// median returns the median of values, the upper one of an even number.
+// median returns the median of values, for an even number of them the upper of the middle two.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// Figures of a measurement's cluster.
+// Options of the clusters for measurements.
 const (
 	measuredControllers = 3
 	minStateRPS         = 600
 	requestsPerWrite    = 4
 )
 
-// startCluster starts a cluster for a measurement, with or without identities, whose state
-// store allows so many changes per second. The returned function stops the cluster and
-// removes its directory.
-func (m *Measurement) startCluster(ctx context.Context, name, binary string, hosted bool, writes float64) (*Cluster, func(), error) {
+// startCluster starts a cluster for a measurement, with authentication if authenticated is set,
+// and submits the first idle job. writeRPS is the state store's limit on writes per second. The
+// returned function stops the cluster and removes its directory.
+func (m *Measurement) startCluster(ctx context.Context, name, binary string, authenticated bool, writeRPS float64) (*Cluster, func(), error) {
 	dir, err := os.MkdirTemp(m.Dir, name+"-")
 	if err != nil {
 		return nil, nil, err
@@ -65,11 +66,11 @@
 		Binary:      binary,
 		Dir:         dir,
 		LogLevel:    "error",
-		WriteRPS:    writes,
-		RPS:         max(minStateRPS, requestsPerWrite*writes),
+		WriteRPS:    writeRPS,
+		RPS:         max(minStateRPS, requestsPerWrite*writeRPS),
 	}
-	if hosted {
-		if options.Identities, err = Prepare(dir, measuredControllers); err != nil {
+	if authenticated {
+		if options.Identities, err = PrepareIdentities(dir, measuredControllers); err != nil {
 			remove()
 			return nil, nil, err
 		}
@@ -80,15 +81,15 @@
 		return nil, nil, err
 	}
 	stop := func() { c.Stop(); remove() }
-	if err = c.AwaitReady(ctx); err == nil && hosted {
+	if err = c.AwaitReady(ctx); err == nil && authenticated {
 		err = c.WritePolicy(ctx, "")
 	}
-	var users *client.Client
+	var administrator *client.Client
 	if err == nil {
-		users, err = c.Client(Administrator)
+		administrator, err = c.Client(Administrator)
 	}
 	if err == nil {
-		_, err = users.Submit(ctx, idleJob(0))
+		_, err = administrator.Submit(ctx, idleJob(0))
 	}
 	if err != nil {
 		stop()
--- a/internal/devcluster/policy.go
+++ b/internal/devcluster/policy.go
@@ -14,10 +14,10 @@
 	"micaspindle/internal/rights/policyfile"
 )
 
-// policyInterval is how often a controller is asked for its version of the policy.
+// policyInterval is the interval of polls for a controller's policy version.
 const policyInterval = 50 * time.Millisecond
 
-// initialPolicy returns the policy that a cluster with these front ends starts with.
+// initialPolicy returns the initial policy of a cluster with these front ends.
 func initialPolicy(frontEnds []*FrontEnd) *rights.Document {
 	build := []string{"submit", "view", "view-arguments", "withdraw"}
 	all := append(slices.Clone(build), "reassign", "administer")
@@ -44,8 +44,8 @@
 	return document
 }
 
-// WritePolicy writes the initial policy, or the one in a file if one is named, and waits
-// until every controller has applied it.
+// WritePolicy writes the policy in a file, or the initial policy if file is empty, and waits until
+// every controller has applied it.
 func (c *Cluster) WritePolicy(ctx context.Context, file string) error {
 	document := initialPolicy(c.frontEnds)
 	if file != "" {
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// readPolicy reads a policy that the administrator can write.
+// readPolicy reads a policy from a file. The policy must name the administrator, as whom
+// WritePolicy writes it.
 func readPolicy(file string) (*rights.Document, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -81,13 +82,13 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if !slices.ContainsFunc(document.Identities, func(i rights.Identity) bool { return i.Name == Administrator }) {
-		return nil, errors.New(file + ": does not name " + Administrator + ", who writes it here")
+		return nil, errors.New(file + ": the policy must name " + Administrator + ", the administrator of this cluster")
 	}
 	return document, nil
 }
 
-// writePolicy writes a policy in as few changes as the controllers allow and returns its
-// version.
+// writePolicy writes a policy as one or more changes, each as large as the controllers allow, and
+// returns its version.
 func writePolicy(ctx context.Context, administrator *client.Client, document *rights.Document) (version uint64, err error) {
 	var page rights.Page
 	if err := administrator.Do(ctx, http.MethodGet, "/policy/roles", nil, &page); err != nil {
--- a/internal/devcluster/process.go
+++ b/internal/devcluster/process.go
@@ -12,25 +12,25 @@
 	"syscall"
 )
 
-// Ports of the cluster's processes. They lie below the ephemeral ports: otherwise a
-// connection could get the port of a process that is down.
+// Ports of the cluster's processes. They lie below the ephemeral range, so that no outgoing
+// connection takes the port of a process that is down.
 const (
 	minPort      = 10_000
 	maxPort      = 30_000
 	portAttempts = 200
 )
 
-// reservation is what keeps an address for a process of this cluster.
+// reservation holds the sockets that reserve an address for a process of this cluster.
 type reservation struct {
-	// socket is bound to the address until its process starts; notHeld afterwards.
+	// socket is bound to the address until its process starts, then closedSocket.
 	socket int
-	// claim is bound to a name that stands for the port until the cluster stops, so that no
-	// other cluster draws the port between the release of the socket and the start.
-	claim int
+	// portLock is bound to an abstract Unix socket name for the port until the cluster stops, so
+	// that no other cluster reserves the port once socket is closed.
+	portLock int
 }
 
-// notHeld is a closed socket of a reservation.
-const notHeld = -1
+// closedSocket replaces the descriptor of a socket that has been closed.
+const closedSocket = -1
 
 // reserveAddr finds a free loopback address and reserves it until its process starts. The
 // address is bound but not listened on, so that connections are refused as if the process
@@ -43,7 +43,7 @@
 			continue
 		}
 		claim, err := bindSocket(syscall.AF_UNIX, &syscall.SockaddrUnix{Name: "@micaspindle-devcluster/" + strconv.Itoa(port)})
-		if errors.Is(err, errNoSocket) {
+		if errors.Is(err, errCreateSocket) {
 			return "", err
 		}
 		if err != nil {
@@ -60,41 +60,41 @@
 	return "", fmt.Errorf("devcluster: no free port between %d and %d", minPort, maxPort)
 }
 
-// errNoSocket says that the system gives no socket, for any address.
-var errNoSocket = errors.New("devcluster: reserve an address")
+// errCreateSocket reports that no socket could be created, whatever the address.
+var errCreateSocket = errors.New("devcluster: reserve an address")
 
-// bindSocket returns a socket that is bound to an address.
+// bindSocket creates a socket and binds it to an address.
 func bindSocket(family int, addr syscall.Sockaddr) (int, error) {
 	socket, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return notHeld, fmt.Errorf("%w: %w", errNoSocket, err)
+		return closedSocket, fmt.Errorf("%w: %w", errCreateSocket, err)
 	}
 	if err := syscall.Bind(socket, addr); err != nil {
 		_ = syscall.Close(socket)
-		return notHeld, err
+		return closedSocket, err
 	}
 	return socket, nil
 }
 
-// releaseAddr releases an address for its process.
+// releaseAddr closes the socket that reserves an address, so that its process can listen on it.
 func (c *Cluster) releaseAddr(addr string) {
-	if r, reserved := c.addresses[addr]; reserved && r.socket != notHeld {
+	if r, reserved := c.addresses[addr]; reserved && r.socket != closedSocket {
 		_ = syscall.Close(r.socket)
-		c.addresses[addr] = reservation{notHeld, r.claim}
+		c.addresses[addr] = reservation{closedSocket, r.portLock}
 	}
 }
 
-// releaseAddrs gives up all addresses; the cluster's processes have ended.
+// releaseAddrs releases all addresses of the cluster, whose processes must have exited.
 func (c *Cluster) releaseAddrs() {
 	for addr, r := range c.addresses {
 		c.releaseAddr(addr)
-		_ = syscall.Close(r.claim)
+		_ = syscall.Close(r.portLock)
 	}
 	clear(c.addresses)
 }
 
 // startProcess starts a process of the cluster that logs to a file. The returned channel is
-// closed when it has ended. The process dies with this one.
+// closed when the process has exited. The system kills it if this process dies.
 func (c *Cluster) startProcess(label, logFile string, cmd *exec.Cmd) (<-chan struct{}, error) {
 	file, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return exited, nil
 }
 
-// lastLine returns the last line of a log, which says why its process ended.
+// lastLine returns the last line of a log, which usually tells why its process exited.
 func lastLine(file string) string {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return lines[len(lines)-1]
 }
 
-// FindBinary returns the path of a program of the project: the given one or, if it is
-// empty, that of the name in the directory of this program.
+// FindBinary returns the path of a program of the project and checks that it exists. An empty path
+// selects the program with that name in the directory of this program.
 func FindBinary(path, name string) (string, error) {
 	if path == "" {
 		self, err := os.Executable()
@@ -138,10 +138,10 @@
 	}
 	info, err := os.Stat(path)
 	if err == nil && info.IsDir() {
-		err = errors.New("a directory")
+		err = errors.New("is a directory")
 	}
 	if err != nil {
-		return "", fmt.Errorf("no program %s at %s (make build makes it): %w", name, path, err)
+		return "", fmt.Errorf("program %s not found at %s (build it with make build): %w", name, path, err)
 	}
 	return path, nil
 }
--- a/internal/devcluster/process_test.go
+++ b/internal/devcluster/process_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// An address is reserved for its process: it is neither given twice nor free for another
-// cluster until the process starts.
+// A reserved address is not reserved a second time, also not by another cluster, and nothing else
+// can listen on it before its process starts.
 func TestAddressIsReservedUntilProcessStarts(t *testing.T) {
 	c, other := &Cluster{addresses: map[string]reservation{}}, &Cluster{addresses: map[string]reservation{}}
 	defer c.releaseAddrs()
 	defer other.releaseAddrs()
 	seen := map[string]bool{}
-	for range 1500 { // each of the two draws some twice
-		for _, each := range []*Cluster{c, other} {
-			addr, err := each.reserveAddr()
+	for range 1500 { // enough for random ports to repeat
+		for _, cluster := range []*Cluster{c, other} {
+			addr, err := cluster.reserveAddr()
 			if err != nil || seen[addr] {
-				t.Fatalf("%s, drawn before: %v; %v", addr, seen[addr], err)
+				t.Fatalf("reserve an address: got %q, already reserved: %v, error %v", addr, seen[addr], err)
 			}
 			seen[addr] = true
-			if each == c {
+			if cluster == c {
 				defer c.releaseAddr(addr)
 			} else {
 				defer other.releaseAddr(addr)
@@ -34,28 +34,28 @@
 	}
 	if conn, err := net.Dial("tcp4", addr); err == nil {
 		_ = conn.Close()
-		t.Error("an address that is only held answers")
+		t.Error("a connection to a reserved address was accepted before its process started")
 	}
 	if l, err := net.Listen("tcp4", addr); err == nil {
 		_ = l.Close()
-		t.Error("an address that is held is given to another")
+		t.Error("another listener could use a reserved address")
 	}
 	c.releaseAddr(addr)
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
-		t.Fatalf("the process of an address that was let go: %v", err)
+		t.Fatalf("listen on a released address: %v", err)
 	}
 	_, port, _ := net.SplitHostPort(addr)
 	if n, _ := strconv.Atoi(port); n < 10_000 || n >= 30_000 {
-		t.Errorf("port %s", port)
+		t.Errorf("port %s was reserved, want one from 10000 to 29999", port)
 	}
 	_ = l.Close()
-	for range 200 { // free for a listener, yet no other cluster may draw it
-		if drawn, err := other.reserveAddr(); err != nil || drawn == addr {
-			t.Fatalf("%s is drawn by another cluster while its process starts: %v", drawn, err)
+	for range 200 { // the port is free now, but still locked
+		if reserved, err := other.reserveAddr(); err != nil || reserved == addr {
+			t.Fatalf("another cluster reserved %s, which the first cluster has released only for its process: %v", reserved, err)
 		}
 	}
 	if _, err := bindSocket(syscall.AF_UNIX, &syscall.SockaddrUnix{Name: "@micaspindle-devcluster/" + port}); err == nil {
-		t.Error("another cluster could draw an address whose process has started")
+		t.Error("the lock of a port was free after the port was released for its process")
 	}
 }
--- a/internal/devcluster/server.go
+++ b/internal/devcluster/server.go
@@ -17,10 +17,11 @@
 	maxBody           = 1 << 20 // bytes
 )
 
-// handler answers a request of a fake; nil means no answer, as of a machine that is off.
+// handler returns a fake's response to a request, or nil to close the connection without one, as
+// for a machine that is powered off.
 type handler func(ctx context.Context, r *http.Request, body []byte) *transport.Response
 
-// serve serves a fake on an address of its own until the cluster ends.
+// serve serves a fake on a free port until the cluster stops, and returns its address.
 func (c *Cluster) serve(tlsConfig *tls.Config, handle handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +56,7 @@
 	return addr, nil
 }
 
-// scheme returns the URL scheme of the controllers.
+// scheme returns the URL scheme of the controllers' API.
 func (c *Cluster) scheme() string {
 	if c.options.Identities != nil {
 		return "https"
