--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -232,7 +232,7 @@
 		for _, node := range c.Nodes() {
 			v := new(overview.View)
 			if err := apiClient.ForController(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
-				continue // it may have been killed
+				continue // the controller may have been killed
 			}
 			connected[node] = v.Connected
 			total += v.Connected
--- a/internal/devcluster/demo.go
+++ b/internal/devcluster/demo.go
@@ -208,7 +208,7 @@
 	}
 	c.KillNode(old)
 	killed := time.Now()
-	progress("killed the leader " + old.Label)
+	progress(old.Label + ", the cluster leader, was killed")
 	mu.Lock()
 	result.Killed = old.Label
 	mu.Unlock()
@@ -228,6 +228,6 @@
 	if err := pause(time.Until(killed.Add(restartDelay))); err != nil {
 		return err
 	}
-	progress("restarting " + old.Label)
+	progress(old.Label + " is being restarted")
 	return c.StartNode(old)
 }
--- a/internal/devcluster/demo_build.go
+++ b/internal/devcluster/demo_build.go
@@ -99,7 +99,7 @@
 	}
 	pause(buildKillDelay)
 	c.KillFrontEnd(victim)
-	progress("killed " + victim.Label)
+	progress(victim.Label + " was killed")
 	pause(buildRestartDelay)
 	return c.StartFrontEnd(victim)
 }
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -110,9 +110,9 @@
 	return n
 }
 
-// Over TLS, identities with three roles are refused operations that they have no right to, as are
-// clients without valid credentials. Each refusal is in the audit log, and no log tells arguments or
-// tokens.
+// Over TLS, identities of three roles are refused every operation that they have no right to, as are
+// clients without valid credentials. Each refusal is in the audit log, and the controllers' logs
+// contain no arguments or tokens.
 func TestRolesOverTLS(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
--- a/internal/devcluster/process_test.go
+++ b/internal/devcluster/process_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A reserved address is not reserved a second time, also not by another cluster, and nothing else
-// can listen on it before its process starts.
+// Two clusters never reserve the same address, and no other listener can use a reserved address
+// before its process starts.
 func TestAddressIsReservedUntilProcessStarts(t *testing.T) {
 	c, other := &Cluster{addresses: map[string]reservation{}}, &Cluster{addresses: map[string]reservation{}}
 	defer c.releaseAddrs()
