--- a/cmd/micaspindle-devcluster/build.go
+++ b/cmd/micaspindle-devcluster/build.go
@@ -61,9 +61,9 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, b.Limit, fmt.Errorf("the build took longer than its time limit of %v", b.Limit))
 	defer cancel()
 	tool := buildtool.New(conn, b.Instance)
-	tool.AtOnce = b.AtOnce
+	tool.Concurrency = b.AtOnce
 	if b.Digest == "blake3" {
-		tool.Function = repb.DigestFunction_BLAKE3
+		tool.DigestFunction = repb.DigestFunction_BLAKE3
 	}
 	report, err := devcluster.Build(ctx, tool, b.Name, b.Sources, b.Seconds, newProgress())
 	if err != nil {
--- a/cmd/micaspindle-devcluster/build_report.go
+++ b/cmd/micaspindle-devcluster/build_report.go
@@ -27,7 +27,7 @@
 func buildViews(reports []devcluster.NamedReport) []buildView {
 	var views []buildView
 	for _, r := range reports {
-		waits := r.Report.Waits
+		waits := r.Report.WaitTimes
 		views = append(views, buildView{r.Name, r.Report, waits.ValueAtQuantile(50), waits.ValueAtQuantile(99), waits.Max()})
 	}
 	return views
@@ -42,18 +42,18 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "BUILD\tACTIONS\tCACHED\tJOBS\tUPLOADED\tRETRIES\tWAIT P50\tP99\tMAX\tTOOK")
 	for _, r := range reports {
-		h := r.Report.Waits
+		h := r.Report.WaitTimes
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.1f kB\t%d\t%d ms\t%d ms\t%d ms\t%.2f s\n", r.Name, r.Report.Actions, r.Report.Cached, r.Report.Jobs,
-			float64(r.Report.BytesUp)/1000, r.Report.Retries, h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max(), r.Report.Took.Seconds())
+			float64(r.Report.BytesUp)/1000, r.Report.Retries, h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max(), r.Report.Duration.Seconds())
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	for _, r := range reports {
 		fmt.Printf("\nWait times of the actions of %s, from request to result:\n", r.Name)
-		printHistogram(os.Stdout, r.Report.Waits)
-		if r.Report.SlowestName != "" {
-			fmt.Printf("The slowest action was %s: micaspindlectl action %s\n", r.Report.Slowest, r.Report.SlowestName)
+		printHistogram(os.Stdout, r.Report.WaitTimes)
+		if r.Report.SlowestOperation != "" {
+			fmt.Printf("The slowest action was %s: micaspindlectl action %s\n", r.Report.SlowestAction, r.Report.SlowestOperation)
 		}
 	}
 	return nil
--- a/cmd/micaspindle-reapi/authentication.go
+++ b/cmd/micaspindle-reapi/authentication.go
@@ -36,7 +36,7 @@
 
 // apply sets the functions by which the service identifies callers.
 func (a *authentication) apply(config *reapi.Config) {
-	config.IsPeer, config.IsWorker, config.Certified = a.isPeer, a.isWorker, a.certified
+	config.IsPeer, config.IsWorker, config.CertificateName = a.isPeer, a.isWorker, a.certified
 }
 
 // newAuthentication sets up authentication according to the settings.
@@ -44,7 +44,7 @@
 	if s.Identity == nil {
 		return unauthenticated(s), nil
 	}
-	keys, err := identity.Load(identity.Files{Own: s.Identity.Own, Roots: s.Identity.Roots})
+	keys, err := identity.Load(identity.Files{CredentialsFile: s.Identity.Own, RootsFile: s.Identity.Roots})
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -121,7 +121,7 @@
 // the empty string.
 func certifiedCaller(ctx context.Context) string {
 	name, err := identity.ParseName(certifiedName(ctx))
-	if err != nil || !name.Caller() {
+	if err != nil || !name.IsCaller() {
 		return ""
 	}
 	return name.String()
--- a/cmd/micaspindle-reapi/golden_test.go
+++ b/cmd/micaspindle-reapi/golden_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, stored := &settings{}, golden.Text(t, "gate.yaml", string(text))
+	got, stored := &settings{}, golden.CheckText(t, "gate.yaml", string(text))
 	if err := yaml.Unmarshal([]byte(stored), got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("settings of the golden file: %+v, error %v; want %+v", got, err, want)
 	}
--- a/cmd/micaspindle-reapi/serve.go
+++ b/cmd/micaspindle-reapi/serve.go
@@ -87,15 +87,15 @@
 		return nil, usageError{err}
 	}
 	return &reapi.Config{
-		Instances:     s.Instances,
-		ClientResults: s.ClientResults,
-		Class:         s.Class,
-		MaxBlob:       s.Store.maxBlobBytes(),
-		Self:          s.Self,
-		Grace:         s.Repair.Grace,
-		GatherFor:     s.Batching.MaxWait,
-		GatherMost:    s.Batching.MaxActions,
-		Shares:        shares,
+		Instances:       s.Instances,
+		ClientResults:   s.ClientResults,
+		Class:           s.Class,
+		MaxBlob:         s.Store.maxBlobBytes(),
+		SelfAddr:        s.Self,
+		Grace:           s.Repair.Grace,
+		BatchDelay:      s.Batching.MaxWait,
+		MaxBatchActions: s.Batching.MaxActions,
+		Shares:          shares,
 	}, nil
 }
 
--- a/cmd/micaspindle-reapi/settings.go
+++ b/cmd/micaspindle-reapi/settings.go
@@ -260,5 +260,5 @@
 
 // repair returns the settings of repairs.
 func (s *settings) repair() repair.Settings {
-	return repair.Settings{Copies: s.Copies, BytesPerSecond: s.Repair.BytesPerSecond, Every: s.Repair.Interval, Grace: s.Repair.Grace}
+	return repair.Settings{Copies: s.Copies, BytesPerSecond: s.Repair.BytesPerSecond, Interval: s.Repair.Interval, Grace: s.Repair.Grace}
 }
--- a/cmd/micaspindle-reapi/sharing.go
+++ b/cmd/micaspindle-reapi/sharing.go
@@ -114,11 +114,11 @@
 
 // newShares creates the queues and quotas of the shared resources.
 func (s *sharingSettings) newShares(teams []string) (reapi.Shares, error) {
-	waiting, err := admission.NewLedger(float64(s.MaxActions), float64(s.MaxActionsPerClient), teams, s.Weights)
+	waiting, err := admission.NewQuotaPool(float64(s.MaxActions), float64(s.MaxActionsPerClient), teams, s.Weights)
 	if err != nil {
 		return reapi.Shares{}, err
 	}
-	shares := reapi.Shares{Waiting: waiting, Ahead: admission.HandoffLimits{Min: s.HandoffMin, MaxDuration: s.HandoffMaxDuration}}
+	shares := reapi.Shares{Waiting: waiting, Handoff: admission.HandoffLimits{Min: s.HandoffMin, MaxDuration: s.HandoffMaxDuration}}
 	if s.Calls > 0 {
 		shares.Calls = admission.New(s.limits(s.Calls, 0))
 	}
--- a/cmd/micaspindle/authentication.go
+++ b/cmd/micaspindle/authentication.go
@@ -27,11 +27,11 @@
 	}
 	client.TLSConfig = clientTLS(set, keys)
 	clockBound := time.Duration(set.Params.TimeBoundMS * float64(time.Millisecond))
-	err = ctl.EnableAuth(auth.Identities{
-		Tokens:     identity.NewTokens(keys, id.Cluster, clockBound),
-		Bootstrap:  id.Bootstrap,
-		ClockBound: clockBound,
-		Signer:     func() audit.Signer { return signer(keys) },
+	err = ctl.EnableAuth(auth.Config{
+		Tokens:            identity.NewTokenVerifier(keys, id.Cluster, clockBound),
+		BootstrapIdentity: id.Bootstrap,
+		ClockBound:        clockBound,
+		Signer:            func() audit.Signer { return signer(keys) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("identity: %w", err)
@@ -43,7 +43,7 @@
 // certificate was issued for another label.
 func loadKeys(label string, id *settings.Identity) (*identity.Keyring, error) {
 	path := func(name string) string { return strings.ReplaceAll(name, "{label}", label) }
-	keys, err := identity.Load(identity.Files{Own: path(id.Own), Roots: path(id.Roots), TokenKeys: path(id.TokenKeys)})
+	keys, err := identity.Load(identity.Files{CredentialsFile: path(id.CredentialsFile), RootsFile: path(id.RootsFile), TokenKeysFile: path(id.TokenKeysFile)})
 	if err != nil {
 		return nil, fmt.Errorf("identity: %w", err)
 	}
@@ -60,7 +60,7 @@
 	if text == "" {
 		return nil
 	}
-	if name, err := identity.ParseName(text); err != nil || !name.Caller() {
+	if name, err := identity.ParseName(text); err != nil || !name.IsCaller() {
 		return fmt.Errorf("identity.bootstrap: %q is not the name of a person or a service", text)
 	}
 	return nil
--- a/cmd/micaspindle/main.go
+++ b/cmd/micaspindle/main.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	fmt.Printf("settings of %s are good: %d controllers, %d teams\n", set.Label, set.Params.Count, len(set.Params.Teams))
+	fmt.Printf("settings of %s are good: %d controllers, %d teams\n", set.Label, set.Params.ControllerCount, len(set.Params.Teams))
 	return nil
 }
 
--- a/cmd/micaspindle/serve.go
+++ b/cmd/micaspindle/serve.go
@@ -31,7 +31,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 	slog.SetDefault(log)
-	limitRuntime(set.Params.MachineLimits.MemMB)
+	limitRuntime(set.Params.ProcessLimits.MemMB)
 	shutdown, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return serve(shutdown, set, op, log)
@@ -84,11 +84,11 @@
 			return usageError{err}
 		}
 	}
-	client.CrowdedConnections = userSockets(set.Params.MachineLimits.Sockets)
+	client.MaxConnectionsForIdle = userSockets(set.Params.ProcessLimits.Sockets)
 	err := transport.Run(ctx, listeners(ctl, set, op, keys), func(e *transport.Engine) {
 		client.Attach(e)
 		log.Info("serving", "label", set.Label, "zone", set.Zone, "addr", set.ServeOn)
-		go client.SweepUntil(ctx)
+		go client.CloseIdleUntilDone(ctx)
 		if keys != nil {
 			go keys.Watch(ctx, log)
 		}
@@ -126,20 +126,20 @@
 // listeners returns the listeners for users and workers, for other controllers and, if the settings
 // have an operations address, for operators. Without keys, connections are not encrypted.
 func listeners(ctl *coordination.Controller, set *settings.Settings, op settings.Operator, keys *identity.Keyring) []*transport.Listener {
-	sockets := set.Params.MachineLimits.Sockets
+	sockets := set.Params.ProcessLimits.Sockets
 	users := &transport.Listener{
 		Addr:      set.ServeOn,
 		Handler:   ctl.Serve,
 		MaxBody:   maxUserBody,
 		MaxConns:  max(minConnections, userSockets(sockets)),
-		OnRefused: ctl.NoteUserConnectionRefused,
+		OnRefused: ctl.RecordRefusedUserConnection,
 	}
 	peers := &transport.Listener{
 		Addr:      set.ClusterListen,
 		Handler:   ctl.ServePeers,
-		MaxBody:   peerapi.MaxBody(set.Params.MachineLimits),
+		MaxBody:   peerapi.MaxBody(set.Params.ProcessLimits),
 		MaxConns:  max(minConnections, sockets/20),
-		OnRefused: ctl.NotePeerConnectionRefused,
+		OnRefused: ctl.RecordRefusedPeerConnection,
 	}
 	if keys != nil {
 		users.TLSConfig = func() *tls.Config { return keys.ServerConfig(false) }
--- a/cmd/micaspindlectl/audit.go
+++ b/cmd/micaspindlectl/audit.go
@@ -25,7 +25,7 @@
 }
 
 // verifyExport reads an export and verifies its signatures and hash chains.
-func (c *cli) verifyExport(file string) (*archive.Verified, error) {
+func (c *cli) verifyExport(file string) (*archive.Result, error) {
 	roots, err := c.trustedRoots()
 	if err != nil {
 		return nil, err
--- a/cmd/micaspindlectl/audit_list.go
+++ b/cmd/micaspindlectl/audit_list.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	matching := slices.DeleteFunc(verified.Read, func(r archive.ReadRecord) bool { return !a.matches(&r.Record) })
+	matching := slices.DeleteFunc(verified.Decoded, func(r archive.ChainRecord) bool { return !a.matches(&r.Record) })
 	if c.Output == outputJSON {
 		err = printRecordsJSON(matching)
 	} else {
@@ -60,7 +60,7 @@
 }
 
 // read verifies the given export or, if there is none, a new export of the cluster's audit log.
-func (a *auditListCmd) read(ctx context.Context, c *cli) (*archive.Verified, error) {
+func (a *auditListCmd) read(ctx context.Context, c *cli) (*archive.Result, error) {
 	if a.File != "" {
 		return c.verifyExport(a.File)
 	}
@@ -80,7 +80,7 @@
 }
 
 // printRecordsJSON writes each record as a JSON object on a line of its own.
-func printRecordsJSON(records []archive.ReadRecord) error {
+func printRecordsJSON(records []archive.ChainRecord) error {
 	enc := json.NewEncoder(os.Stdout)
 	for i := range records {
 		if err := enc.Encode(&records[i]); err != nil {
@@ -91,7 +91,7 @@
 }
 
 // printRecords shows a table of records.
-func printRecords(records []archive.ReadRecord) error {
+func printRecords(records []archive.ChainRecord) error {
 	var rows [][]any
 	for i := range records {
 		rows = append(rows, recordRow(&records[i]))
@@ -101,7 +101,7 @@
 
 // recordRow returns the table row of a record. The count is shown if the record stands for several
 // requests.
-func recordRow(r *archive.ReadRecord) []any {
+func recordRow(r *archive.ChainRecord) []any {
 	count := ""
 	if r.Count > 1 {
 		count = "x" + strconv.FormatUint(r.Count, 10)
@@ -109,19 +109,19 @@
 	queue := strings.Trim(r.Team+"/"+r.Class, "/")
 	reason := strings.TrimSpace(r.Reason + " " + r.Detail)
 	at := r.At.Format("2006-01-02 15:04:05.000")
-	return []any{at, r.Chain, orNone(r.Who), r.Verb, orNone(queue), orNone(r.Job), r.Outcome, count, reason}
+	return []any{at, r.Chain, orNone(r.Identity), r.Verb, orNone(queue), orNone(r.Job), r.Outcome, count, reason}
 }
 
 // matches reports whether a record passes all filters.
 func (a *auditListCmd) matches(r *audit.Record) bool {
 	last := r.At
-	if r.Until != nil {
-		last = *r.Until
+	if r.LastAt != nil {
+		last = *r.LastAt
 	}
 	switch {
-	case a.Who == unauthenticatedCaller && r.Who != "":
+	case a.Who == unauthenticatedCaller && r.Identity != "":
 		return false
-	case a.Who != "" && a.Who != unauthenticatedCaller && a.Who != r.Who:
+	case a.Who != "" && a.Who != unauthenticatedCaller && a.Who != r.Identity:
 		return false
 	case a.Job != "" && a.Job != r.Job:
 		return false
--- a/cmd/micaspindlectl/audit_verify.go
+++ b/cmd/micaspindlectl/audit_verify.go
@@ -38,14 +38,14 @@
 		return fmt.Errorf("%s is not what was written: verification found %d problems", a.File, n)
 	}
 	if c.Output != outputJSON {
-		fmt.Printf("%d records of %d actions and refusals are what was written until %s (sealed by %s).\n", v.Records, v.Counted,
+		fmt.Printf("%d records of %d actions and refusals are what was written until %s (sealed by %s).\n", v.Records, v.Actions,
 			v.SealedAt.Format(time.RFC3339), v.SealedBy)
 	}
 	return nil
 }
 
 // printVerified shows the last batch of each controller's hash chain, and then the problems.
-func printVerified(v *archive.Verified) error {
+func printVerified(v *archive.Result) error {
 	var rows [][]any
 	for _, end := range v.Chains {
 		rows = append(rows, []any{end.Chain, end.Number, end.Hash[:min(shownHashLength, len(end.Hash))]})
--- a/cmd/micaspindlectl/cancel.go
+++ b/cmd/micaspindlectl/cancel.go
@@ -65,7 +65,7 @@
 	view := cancelAllView{By: k.By}
 	for {
 		var res protocol.CancelAllResult
-		if err := cl.Do(ctx, "POST", "/withdrawals", protocol.CancelAll{By: k.By}, &res); err != nil {
+		if err := cl.Do(ctx, "POST", "/withdrawals", protocol.CancelAll{SubmittedBy: k.By}, &res); err != nil {
 			return err
 		}
 		view.Cancelled += res.Cancelled
--- a/cmd/micaspindlectl/connection.go
+++ b/cmd/micaspindlectl/connection.go
@@ -32,7 +32,7 @@
 		return nil, usageError{err}
 	}
 	cl := client.New(addrs, secure, token)
-	cl.Patience = c.Patience
+	cl.RetryTimeout = c.Patience
 	return cl, nil
 }
 
--- a/cmd/micaspindlectl/jobs.go
+++ b/cmd/micaspindlectl/jobs.go
@@ -50,7 +50,7 @@
 		return fmt.Errorf("%s: %w", a.ID, err)
 	}
 	submitted := time.UnixMilli(args.SubmittedMS).UTC().Format(time.RFC3339)
-	return c.print(args, "", [][]any{{"job", args.ID}, {"team", args.Team}, {"class", args.Class}, {"submitted", submitted}, {"by", orNone(args.By)},
+	return c.print(args, "", [][]any{{"job", args.ID}, {"team", args.Team}, {"class", args.Class}, {"submitted", submitted}, {"by", orNone(args.SubmittedBy)},
 		{"replaces", orNone(args.Replaces)}, {"urgency", args.Urgency}, {"tasks", args.Tasks}, {"cpus", args.CPUs}, {"memory", fmt.Sprintf("%g GB", args.MemGB)},
 		{"image", fmt.Sprintf("%s, %g GB", args.Image, args.ImageGB)}, {"estimate", fmt.Sprintf("%g s", args.EstimateS)}, {"due", fmt.Sprintf("%g s", args.DeadlineS)},
 		{"after", orNone(strings.Join(args.Dependencies, " "))}})
--- a/cmd/micaspindlectl/pki.go
+++ b/cmd/micaspindlectl/pki.go
@@ -89,7 +89,7 @@
 		}
 		parsed = append(parsed, n)
 	}
-	var certificates []pki.Issued
+	var certificates []pki.IssuedCertificate
 	for _, n := range parsed {
 		issued, err := a.Issue(n, time.Now(), time.Duration(days)*day, renew)
 		if err != nil {
@@ -108,16 +108,16 @@
 }
 
 // printIssued shows certificates.
-func (c *cli) printIssued(certificates []pki.Issued) error {
+func (c *cli) printIssued(certificates []pki.IssuedCertificate) error {
 	views := []issuedView{}
 	var rows [][]any
 	for _, cert := range certificates {
-		views = append(views, issuedView{cert.Name.String(), cert.Until, cert.File})
-		left := fmt.Sprintf("%.0f days", time.Until(cert.Until).Hours()/24)
-		if time.Now().After(cert.Until) {
+		views = append(views, issuedView{cert.Name.String(), cert.NotAfter, cert.File})
+		left := fmt.Sprintf("%.0f days", time.Until(cert.NotAfter).Hours()/24)
+		if time.Now().After(cert.NotAfter) {
 			left = "ended"
 		}
-		rows = append(rows, []any{cert.Name, cert.Until.Format(time.DateOnly), left, cert.File})
+		rows = append(rows, []any{cert.Name, cert.NotAfter.Format(time.DateOnly), left, cert.File})
 	}
 	return c.print(views, "NAME\tUNTIL\tLEFT\tFILE", rows)
 }
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(certificates, func(a, b pki.Issued) int { return a.Until.Compare(b.Until) })
+	slices.SortFunc(certificates, func(a, b pki.IssuedCertificate) int { return a.NotAfter.Compare(b.NotAfter) })
 	return c.printIssued(certificates)
 }
 
--- a/cmd/micaspindlectl/policy.go
+++ b/cmd/micaspindlectl/policy.go
@@ -172,7 +172,7 @@
 // applyChange changes the policy if it still has the given version, and returns the new version.
 func applyChange(ctx context.Context, cl *client.Client, ch *rights.Change, version uint64) (uint64, error) {
 	ch.Version = version
-	var v rights.Version
+	var v rights.ChangeResult
 	err := cl.Do(ctx, "POST", "/policy", ch, &v)
 	return v.Version, err
 }
--- a/cmd/micaspindlectl/policy_identities.go
+++ b/cmd/micaspindlectl/policy_identities.go
@@ -112,7 +112,7 @@
 func (p *policyRevokeTokensCmd) Run(ctx context.Context, c *cli) error {
 	now := time.Now().UnixMilli()
 	return editIdentities(ctx, c, p.Names, func(id *rights.Identity) bool {
-		id.TokensFromMS = now
+		id.TokensRevokedBeforeMS = now
 		return true
 	})
 }
--- a/cmd/micaspindlectl/submit.go
+++ b/cmd/micaspindlectl/submit.go
@@ -53,7 +53,7 @@
 	zero := 0.0
 	sub := &protocol.Submission{ID: &s.ID, Class: &s.Class, Team: &s.Team, Shape: &s.Shape, Urgency: &s.Urgency, Tasks: &s.Tasks,
 		CPUs: &s.CPUs, GPUs: &s.GPUs, MemGB: &s.MemGB, Image: &s.Image, ImageGB: &s.ImageGB, Types: s.Types, OneZone: &s.OneZone,
-		Spread: &s.Spread, Spot: &s.Spot, EstimateS: &estimate, CheckpointS: &zero, SaveS: &zero}
+		Spread: &s.Spread, Spot: &s.Spot, EstimateS: &estimate, CheckpointIntervalS: &zero, CheckpointDurationS: &zero}
 	if s.Zone != "" {
 		sub.Zone = &s.Zone
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -18,7 +18,7 @@
 	for range callers {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				release, err := q.Enter(ctx, team, client, 1)
+				release, err := q.Acquire(ctx, team, client, 1)
 				var busy *BusyError
 				if errors.As(err, &busy) {
 					select {
@@ -77,7 +77,7 @@
 		time.Sleep(10 * time.Second)
 		for range 20 {
 			begun := time.Now()
-			release, err := q.Enter(ctx, "blue", "b", 1)
+			release, err := q.Acquire(ctx, "blue", "b", 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -102,14 +102,14 @@
 		q := New(Limits{Concurrency: 1, MaxWaiting: 10})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		release, err := q.Enter(ctx, "red", "r", 1)
+		release, err := q.Acquire(ctx, "red", "r", 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		refused := make(chan error, 20)
 		for range 11 {
 			go func() {
-				_, err := q.Enter(ctx, "red", "r", 1)
+				_, err := q.Acquire(ctx, "red", "r", 1)
 				refused <- err
 			}()
 		}
@@ -122,7 +122,7 @@
 		got := make(chan string, 2)
 		for _, who := range [][2]string{{"red", "other"}, {"blue", "b"}} {
 			go func() {
-				release, err := q.Enter(ctx, who[0], who[1], 1)
+				release, err := q.Acquire(ctx, who[0], who[1], 1)
 				if err != nil {
 					t.Errorf("%v was refused: %v", who, err)
 					return
@@ -155,29 +155,29 @@
 func TestCancelledAndTimedOutCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(Limits{Concurrency: 1, MaxWaiting: 10, MaxWait: 3 * time.Second})
-		release, err := q.Enter(context.Background(), "red", "r", 1)
+		release, err := q.Acquire(context.Background(), "red", "r", 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		begun := time.Now()
 		var busy *BusyError
-		if _, err := q.Enter(context.Background(), "red", "r", 1); !errors.As(err, &busy) || time.Since(begun) != 3*time.Second {
+		if _, err := q.Acquire(context.Background(), "red", "r", 1); !errors.As(err, &busy) || time.Since(begun) != 3*time.Second {
 			t.Errorf("got error %v after %s, want BusyError after 3 s", err, time.Since(begun))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if _, err := q.Enter(ctx, "red", "r", 1); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := q.Acquire(ctx, "red", "r", 1); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("caller whose context ends while it waits got error %v, want DeadlineExceeded", err)
 		}
 		cancel()
-		if _, err := q.Enter(ctx, "red", "r", 1); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := q.Acquire(ctx, "red", "r", 1); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("caller whose context has ended before got error %v, want DeadlineExceeded", err)
 		}
 		release()
 		release() // has no effect
-		if s := q.Stats(); s.Inside != 0 || s.Waiting != 0 {
+		if s := q.Stats(); s.Active != 0 || s.Waiting != 0 {
 			t.Errorf("stats after all callers left: %+v, want none inside or waiting", s)
 		}
-		if release, err := q.Enter(context.Background(), "blue", "b", 1); err != nil {
+		if release, err := q.Acquire(context.Background(), "blue", "b", 1); err != nil {
 			t.Errorf("caller of the idle queue was refused: %v", err)
 		} else {
 			release()
@@ -198,7 +198,7 @@
 			for range 4 {
 				wg.Go(func() {
 					for {
-						release, err := q.Enter(ctx, team, "c", cost)
+						release, err := q.Acquire(ctx, team, "c", cost)
 						if err != nil {
 							return
 						}
@@ -234,7 +234,7 @@
 					time.Sleep(start)
 					ctx, cancel := context.WithTimeout(context.Background(), timeout)
 					defer cancel()
-					release, err := q.Enter(ctx, team, client, float64(i%5))
+					release, err := q.Acquire(ctx, team, client, float64(i%5))
 					if err != nil {
 						return
 					}
@@ -251,7 +251,7 @@
 				})
 			}
 			wg.Wait()
-			if s := q.Stats(); s.Inside != 0 || s.Waiting != 0 || s.Admitted+s.Refused > 200 {
+			if s := q.Stats(); s.Active != 0 || s.Waiting != 0 || s.Admitted+s.Refused > 200 {
 				t.Errorf("seed %d: stats after all callers left: %+v, want none inside or waiting, and 200 calls at most", seed, s)
 			}
 		})
@@ -261,7 +261,7 @@
 func TestZeroValueAdmitsEverybody(t *testing.T) {
 	var q Queue
 	for range 100 {
-		if _, err := q.Enter(context.Background(), "a", "b", 1); err != nil {
+		if _, err := q.Acquire(context.Background(), "a", "b", 1); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -270,7 +270,7 @@
 // A team may borrow the unused quota of another except for the part that is never lent: the other
 // team gets that at once, and the rest of its quota as the first one releases.
 func TestLedgerBorrows(t *testing.T) {
-	l, err := NewLedger(100, 80, []string{"red", "blue", "red"}, map[string]float64{"blue": 3})
+	l, err := NewQuotaPool(100, 80, []string{"red", "blue", "red"}, map[string]float64{"blue": 3})
 	if err != nil || l.Quota("red") != 25 || l.Quota("blue") != 75 {
 		t.Fatalf("error %v, quotas %v and %v, want 25 and 75", err, l.Quota("red"), l.Quota("blue"))
 	}
@@ -309,10 +309,10 @@
 			t.Errorf("invalid limits %+v are accepted", l)
 		}
 	}
-	for i, f := range []func() (*Ledger, error){
-		func() (*Ledger, error) { return NewLedger(0, 0, nil, nil) },
-		func() (*Ledger, error) { return NewLedger(1, -1, nil, nil) },
-		func() (*Ledger, error) { return NewLedger(1, 0, nil, map[string]float64{"a": math.Inf(1)}) },
+	for i, f := range []func() (*QuotaPool, error){
+		func() (*QuotaPool, error) { return NewQuotaPool(0, 0, nil, nil) },
+		func() (*QuotaPool, error) { return NewQuotaPool(1, -1, nil, nil) },
+		func() (*QuotaPool, error) { return NewQuotaPool(1, 0, nil, map[string]float64{"a": math.Inf(1)}) },
 	} {
 		if _, err := f(); err == nil {
 			t.Errorf("invalid ledger %d is accepted", i)
--- a/internal/admission/ledger.go
+++ b/internal/admission/ledger.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Ledger shares a fixed amount of a resource among teams, for example the slots of waiting
+// QuotaPool shares a fixed amount of a resource among teams, for example the slots of waiting
 // actions. Each team has a quota in proportion to its weight and may borrow what others do not
 // use. A part of their unused quota is never lent, so that a team finds some of its own at once.
-type Ledger struct {
+type QuotaPool struct {
 	total float64
 	// clientLimit bounds what one client holds; 0 is no bound.
 	clientLimit float64
@@ -29,9 +29,9 @@
 // unborrowableShare is the part of the other teams' unused quota that a team cannot borrow.
 const unborrowableShare = 0.25
 
-// NewLedger shares a total amount among teams; perClient bounds what one client holds, 0 is no
+// NewQuotaPool shares a total amount among teams; perClient bounds what one client holds, 0 is no
 // bound. Only the teams given have a quota.
-func NewLedger(total, perClient float64, teams []string, weights map[string]float64) (*Ledger, error) {
+func NewQuotaPool(total, perClient float64, teams []string, weights map[string]float64) (*QuotaPool, error) {
 	switch {
 	case !(total > 0):
 		return nil, errors.New("total amount must be above 0")
@@ -41,7 +41,7 @@
 	if err := checkWeights(weights); err != nil {
 		return nil, err
 	}
-	l := &Ledger{total: total, clientLimit: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
+	l := &QuotaPool{total: total, clientLimit: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
 	for _, team := range teams {
 		if _, known := l.weights[team]; !known {
 			l.weights[team] = weight(weights, team)
@@ -52,7 +52,7 @@
 }
 
 // Quota returns what a team may hold without borrowing.
-func (l *Ledger) Quota(team string) float64 {
+func (l *QuotaPool) Quota(team string) float64 {
 	if l.weightSum == 0 {
 		return 0
 	}
@@ -61,7 +61,7 @@
 
 // Acquire takes an amount if that is within the limits, and reports whether it did. The caller
 // returns the amount with Release.
-func (l *Ledger) Acquire(team, client string, amount float64) bool {
+func (l *QuotaPool) Acquire(team, client string, amount float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := teamClient{team, client}
@@ -79,7 +79,7 @@
 
 // mayBorrow reports whether a team may take an amount beyond its quota: enough of the other teams'
 // unused quota must remain.
-func (l *Ledger) mayBorrow(team string, amount float64) bool {
+func (l *QuotaPool) mayBorrow(team string, amount float64) bool {
 	unused := 0.0
 	for other := range l.weights {
 		if other != team {
@@ -90,7 +90,7 @@
 }
 
 // Release returns an amount taken with Acquire.
-func (l *Ledger) Release(team, client string, amount float64) {
+func (l *QuotaPool) Release(team, client string, amount float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := teamClient{team, client}
@@ -102,7 +102,7 @@
 }
 
 // Held returns what each team holds.
-func (l *Ledger) Held() map[string]float64 {
+func (l *QuotaPool) Held() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.byTeam)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -68,10 +68,10 @@
 // New creates a queue.
 func New(limits Limits) *Queue { return &Queue{limits: limits, teams: map[string]*team{}} }
 
-// Enter waits until the caller is admitted, and returns a function that releases the caller's
+// Acquire waits until the caller is admitted, and returns a function that releases the caller's
 // slot; calling it more than once has no effect. If the caller is not admitted, the error is a
 // BusyError or that of ctx.
-func (q *Queue) Enter(ctx context.Context, teamName, clientName string, cost float64) (release func(), err error) {
+func (q *Queue) Acquire(ctx context.Context, teamName, clientName string, cost float64) (release func(), err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -170,8 +170,8 @@
 
 // Stats is the state of a queue.
 type Stats struct {
-	// Inside counts the admitted callers that have not left, Waiting those in the queue.
-	Inside, Waiting int
+	// Active counts the admitted callers that have not left, Waiting those in the queue.
+	Active, Waiting int
 	// Admitted and Refused count callers since the queue was created.
 	Admitted, Refused int64
 	// ByTeam counts the waiting callers of each team that has any.
@@ -182,7 +182,7 @@
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	stats := Stats{Inside: q.active, Waiting: q.waiting, Admitted: q.admitted, Refused: q.refused, ByTeam: map[string]int{}}
+	stats := Stats{Active: q.active, Waiting: q.waiting, Admitted: q.admitted, Refused: q.refused, ByTeam: map[string]int{}}
 	for name, t := range q.teams {
 		if t.waiting > 0 {
 			stats.ByTeam[name] = t.waiting
--- a/internal/audit/aggregator.go
+++ b/internal/audit/aggregator.go
@@ -39,13 +39,13 @@
 	if len(a.counts) == 0 {
 		a.oldestAt = r.At
 	}
-	key := aggregateKey{r.Who, r.How, r.Verb, r.Team, r.Class, r.Job, r.Outcome, r.Reason}
+	key := aggregateKey{r.Identity, r.Credential, r.Verb, r.Team, r.Class, r.Job, r.Outcome, r.Reason}
 	if a.counts[key] == nil && len(a.counts) >= maxFullKeys {
 		r.Team, r.Class, r.Job, r.Detail = "", "", "", ""
-		key = aggregateKey{who: r.Who, how: r.How, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
+		key = aggregateKey{who: r.Identity, how: r.Credential, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
 	}
 	if a.counts[key] == nil && len(a.counts) >= maxIdentityKeys {
-		r.Who, r.How, r.From = otherIdentities, "", ""
+		r.Identity, r.Credential, r.Address = otherIdentities, "", ""
 		key = aggregateKey{who: otherIdentities, verb: r.Verb, outcome: r.Outcome, reason: r.Reason}
 	}
 	r.Count = max(1, r.Count)
@@ -60,10 +60,10 @@
 func (r *Record) merge(later *Record) {
 	r.Count += later.Count
 	last := later.At
-	if later.Until != nil {
-		last = *later.Until
+	if later.LastAt != nil {
+		last = *later.LastAt
 	}
-	r.Until = &last
+	r.LastAt = &last
 }
 
 // drain removes and returns all records.
--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -70,7 +70,7 @@
 	f.roots.AddCert(f.ca.Root())
 	for _, label := range []string{"n0", "n1"} {
 		issued := must(f.ca.Issue(must(identity.ParseName("controller/"+label)), time.Now(), time.Hour, false))
-		f.keyrings[label] = must(identity.Load(identity.Files{Own: issued.File, Roots: filepath.Join(f.dir, pki.RootFile)}))
+		f.keyrings[label] = must(identity.Load(identity.Files{CredentialsFile: issued.File, RootsFile: filepath.Join(f.dir, pki.RootFile)}))
 	}
 	return f
 }
@@ -89,7 +89,7 @@
 }
 
 func record(verb, job string) audit.Record {
-	return audit.Record{At: time.Now().UTC(), Who: "person/anna", Verb: verb, Team: "red", Class: "c<&>é", Job: job, Outcome: audit.Allowed}
+	return audit.Record{At: time.Now().UTC(), Identity: "person/anna", Verb: verb, Team: "red", Class: "c<&>é", Job: job, Outcome: audit.Allowed}
 }
 
 func put(key string) *protocol.Transaction {
@@ -110,7 +110,7 @@
 	return out.Bytes()
 }
 
-func (f *fixture) verify(data []byte) *archive.Verified {
+func (f *fixture) verify(data []byte) *archive.Result {
 	return must(archive.Verify(bytes.NewReader(data), f.roots))
 }
 
@@ -123,7 +123,7 @@
 	}
 	must(b.Commit(context.Background(), put("k/9"), record("submit", "job-9")))
 	for range 5 {
-		b.Note(audit.Record{At: time.Now().UTC(), Verb: "view", Outcome: audit.Denied, Reason: "no credential"})
+		b.Aggregate(audit.Record{At: time.Now().UTC(), Verb: "view", Outcome: audit.Denied, Reason: "no credential"})
 	}
 	stopA()
 	stopB()
@@ -134,7 +134,7 @@
 	f := newFixture(t)
 	data := f.sample()
 	v := f.verify(data)
-	if len(v.Problems) > 0 || v.Records != 5 || v.Counted != 9 || len(v.Chains) != 2 || v.SealedBy != "n0" {
+	if len(v.Problems) > 0 || v.Records != 5 || v.Actions != 9 || len(v.Chains) != 2 || v.SealedBy != "n0" {
 		t.Errorf("got %+v, want no problems, 5 records, 9 counted, 2 chains, sealed by n0", v)
 	}
 	// A verifier with other roots must not trust the export.
@@ -273,7 +273,7 @@
 			l, stop := f.open("n0")
 			for i := range 12 {
 				key := fmt.Sprintf("k/%d", i)
-				l.Note(audit.Record{At: time.Now().UTC(), Who: fmt.Sprintf("person/p%d", i), Verb: "view", Outcome: audit.Denied})
+				l.Aggregate(audit.Record{At: time.Now().UTC(), Identity: fmt.Sprintf("person/p%d", i), Verb: "view", Outcome: audit.Denied})
 				for tries := 0; ; tries++ {
 					_, err := l.Commit(context.Background(), put(key), record("submit", fmt.Sprintf("job-%d", i)))
 					var conflict *storage.Conflict
@@ -294,9 +294,9 @@
 				t.Error(p)
 			}
 			jobs, denials := map[string]int{}, map[string]uint64{}
-			for _, r := range v.Read {
+			for _, r := range v.Decoded {
 				if r.Outcome == audit.Denied {
-					denials[r.Who] += max(1, r.Count)
+					denials[r.Identity] += max(1, r.Count)
 				} else {
 					jobs[r.Job]++
 				}
@@ -404,7 +404,7 @@
 	l, stop := f.open("n0")
 	must(l.Commit(context.Background(), put("k/1"), record("submit", "job-1")))
 	issued := must(f.ca.Issue(must(identity.ParseName("controller/n0")), time.Now(), 2*time.Hour, true))
-	f.keyrings["n0"] = must(identity.Load(identity.Files{Own: issued.File, Roots: filepath.Join(f.dir, pki.RootFile)}))
+	f.keyrings["n0"] = must(identity.Load(identity.Files{CredentialsFile: issued.File, RootsFile: filepath.Join(f.dir, pki.RootFile)}))
 	must(l.Commit(context.Background(), put("k/2"), record("submit", "job-2")))
 	if v := f.verify(f.export(l)); len(v.Problems) > 0 || v.Records != 2 {
 		t.Errorf("after a renewal: got %+v, want 2 records and no problems", v)
--- a/internal/audit/archive/export.go
+++ b/internal/audit/archive/export.go
@@ -20,7 +20,7 @@
 // Export writes a head, the signers, the batches of each chain up to its end in the seal, and
 // the seal. It calls progress with the number of batches written so far and the total.
 func Export(ctx context.Context, w io.Writer, seal *audit.Seal, fetch Fetch, progress func(done, all uint64)) error {
-	var sealed audit.Sealed
+	var sealed audit.SealBody
 	if err := json.Unmarshal([]byte(seal.Text), &sealed); err != nil {
 		return fmt.Errorf("audit: cannot decode seal: %w", err)
 	}
--- a/internal/audit/archive/verify.go
+++ b/internal/audit/archive/verify.go
@@ -33,23 +33,23 @@
 	return at + ": " + p.Reason
 }
 
-// Verified is the result of Verify.
-type Verified struct {
+// Result is the result of Verify.
+type Result struct {
 	Records int `json:"records"`
-	// Counted is the number of actions and denials: a record with a count stands for that many.
-	Counted  uint64           `json:"counted"`
+	// Actions is the number of actions and denials: a record with a count stands for that many.
+	Actions  uint64           `json:"counted"`
 	Batches  int              `json:"batches"`
 	Chains   []audit.ChainEnd `json:"chains"`
 	SealedAt time.Time        `json:"sealed_at"`
 	SealedBy string           `json:"sealed_by"`
 	Problems []Problem        `json:"problems"`
-	// Read has all records that could be decoded, in order of time.
-	Read []ReadRecord  `json:"-"`
-	Took time.Duration `json:"-"`
+	// Decoded has all records that could be decoded, in order of time.
+	Decoded  []ChainRecord `json:"-"`
+	Duration time.Duration `json:"-"`
 }
 
-// ReadRecord is a record with the chain and the number of its batch.
-type ReadRecord struct {
+// ChainRecord is a record with the chain and the number of its batch.
+type ChainRecord struct {
 	Chain  string `json:"controller"`
 	Number uint64 `json:"batch"`
 	audit.Record
@@ -67,7 +67,7 @@
 
 // verifier verifies an export line by line.
 type verifier struct {
-	result *Verified
+	result *Result
 	roots  *x509.CertPool
 	// signers are the certificates in the export by fingerprint, used the fingerprints of those
 	// that have signed a batch or the seal.
@@ -83,7 +83,7 @@
 
 func newVerifier(roots *x509.CertPool) *verifier {
 	return &verifier{
-		result:  &Verified{Chains: []audit.ChainEnd{}, Problems: []Problem{}},
+		result:  &Result{Chains: []audit.ChainEnd{}, Problems: []Problem{}},
 		roots:   roots,
 		signers: map[string]*x509.Certificate{},
 		used:    map[string]bool{},
@@ -100,7 +100,7 @@
 
 // Verify reads an export and reports what was altered, removed, reordered or truncated. The
 // result has the decoded records even if there are problems.
-func Verify(r io.Reader, roots *x509.CertPool) (*Verified, error) {
+func Verify(r io.Reader, roots *x509.CertPool) (*Result, error) {
 	start := time.Now()
 	v := newVerifier(roots)
 	in := bufio.NewReaderSize(r, readBufferBytes)
@@ -122,7 +122,7 @@
 		}
 	}
 	v.finish()
-	v.result.Took = time.Since(start)
+	v.result.Duration = time.Since(start)
 	return v.result, nil
 }
 
@@ -251,8 +251,8 @@
 			continue
 		}
 		v.result.Records++
-		v.result.Counted += max(1, record.Count)
-		v.result.Read = append(v.result.Read, ReadRecord{line.Chain, line.Number, record})
+		v.result.Actions += max(1, record.Count)
+		v.result.Decoded = append(v.result.Decoded, ChainRecord{line.Chain, line.Number, record})
 		if record.At.After(latest) {
 			latest = record.At
 		}
@@ -263,7 +263,7 @@
 // checkSeal checks the seal's signature and that the chains end at the batches in the seal.
 func (v *verifier) checkSeal(line *exportSeal) {
 	v.sealed = true
-	var sealed audit.Sealed
+	var sealed audit.SealBody
 	if !decodeExact(line.Seal, &sealed) {
 		v.addProblem("", 0, "the seal was altered")
 		return
@@ -314,5 +314,5 @@
 			v.addProblem("", 0, "an unused certificate was not issued by a trusted authority")
 		}
 	}
-	slices.SortStableFunc(v.result.Read, func(a, b ReadRecord) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(v.result.Decoded, func(a, b ChainRecord) int { return a.At.Compare(b.At) })
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -12,21 +12,21 @@
 
 // Record is one line of the log: an action, a denial, or a count of equal records.
 type Record struct {
-	At      time.Time `json:"at"`
-	BoundMS float64   `json:"bound_ms,omitempty"` // maximum error of the clock
-	Who     string    `json:"who,omitempty"`      // empty if the caller is unknown
-	How     string    `json:"how,omitempty"`      // the certificate or token with its ID
-	From    string    `json:"from,omitempty"`     // the address of the caller
-	Verb    string    `json:"verb"`
-	Team    string    `json:"team,omitempty"`
-	Class   string    `json:"class,omitempty"`
-	Job     string    `json:"job,omitempty"`
-	Outcome string    `json:"outcome"` // Allowed or Denied
-	Reason  string    `json:"reason,omitempty"`
-	Detail  string    `json:"detail,omitempty"`
+	At           time.Time `json:"at"`
+	ClockErrorMS float64   `json:"bound_ms,omitempty"` // maximum error of the clock
+	Identity     string    `json:"who,omitempty"`      // empty if the caller is unknown
+	Credential   string    `json:"how,omitempty"`      // the certificate or token with its ID
+	Address      string    `json:"from,omitempty"`     // the address of the caller
+	Verb         string    `json:"verb"`
+	Team         string    `json:"team,omitempty"`
+	Class        string    `json:"class,omitempty"`
+	Job          string    `json:"job,omitempty"`
+	Outcome      string    `json:"outcome"` // Allowed or Denied
+	Reason       string    `json:"reason,omitempty"`
+	Detail       string    `json:"detail,omitempty"`
 	// Count is the number of records that were counted together, Until the time of the last.
-	Count uint64     `json:"count,omitempty"`
-	Until *time.Time `json:"until,omitempty"`
+	Count  uint64     `json:"count,omitempty"`
+	LastAt *time.Time `json:"until,omitempty"`
 }
 
 // The outcomes of a record.
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -21,7 +21,7 @@
 		{"numbered", golden.Fill(&NumberedBatch{}), golden.MessagePack},
 		{"seal", golden.Fill(&Seal{}), golden.MessagePack},
 		{"line", golden.Fill(&Record{}), asJSON},
-		{"sealed", golden.Fill(&Sealed{}), asJSON},
+		{"sealed", golden.Fill(&SealBody{}), asJSON},
 	} {
 		t.Run(tc.name, func(t *testing.T) { golden.Check(t, tc.name, tc.record, tc.codec) })
 	}
@@ -32,8 +32,8 @@
 func TestGoldenHashes(t *testing.T) {
 	seal := golden.Fill(&Seal{})
 	sum := sealSum(seal.Text, seal.Signer)
-	golden.Bytes(t, "seal-hash", sum[:])
-	golden.Text(t, "batch-hash.txt", golden.Fill(&Batch{}).Hash("spindle-0/nonce", 7)+"\n")
+	golden.CheckBytes(t, "seal-hash", sum[:])
+	golden.CheckText(t, "batch-hash.txt", golden.Fill(&Batch{}).Hash("spindle-0/nonce", 7)+"\n")
 }
 
 // The keys of the log and the outcomes in records must not change.
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -18,8 +18,8 @@
 	UserCommit(ctx context.Context, txn *protocol.Transaction) (uint64, error)
 	Get(ctx context.Context, key string) (*protocol.Item, error)
 	Page(ctx context.Context, prefix, after string, size int) (*protocol.ItemList, error)
-	// BudgetIn returns the time until the write budget allows n changes for users.
-	BudgetIn(n int) time.Duration
+	// WriteBudgetDelay returns the time until the write budget allows n changes for users.
+	WriteBudgetDelay(n int) time.Duration
 	// TxnOps returns the maximum number of changes of a transaction, ValueBytes the maximum
 	// size of a value.
 	TxnOps() int
@@ -27,9 +27,9 @@
 }
 
 const (
-	// GatherInterval is the maximum time for which denials and reads are aggregated in memory
+	// AggregationInterval is the maximum time for which denials and reads are aggregated in memory
 	// before they are written. A crash loses at most the records of this interval.
-	GatherInterval = 5 * time.Second
+	AggregationInterval = 5 * time.Second
 	// queueTimeout is how long a change may wait in the queue before it is refused.
 	queueTimeout = 400 * time.Millisecond
 	// maxLinger is the part of queueTimeout for which a change may wait for others to share its
@@ -186,8 +186,8 @@
 	}
 }
 
-// Note aggregates a record, which Run writes later.
-func (l *Log) Note(record Record) { l.aggregator.add(record) }
+// Aggregate aggregates a record, which Run writes later.
+func (l *Log) Aggregate(record Record) { l.aggregator.add(record) }
 
 // Run writes changes and aggregated records until ctx ends. Before it returns, it tries for
 // shutdownTimeout to write the remaining aggregated records.
@@ -223,7 +223,7 @@
 // after the previously drained records are written, so that the number of lines stays bounded
 // under a flood of requests.
 func (l *Log) writeAggregated(ctx context.Context) {
-	if len(l.unwritten) == 0 && l.aggregator.age(time.Now()) >= GatherInterval-4*pollInterval {
+	if len(l.unwritten) == 0 && l.aggregator.age(time.Now()) >= AggregationInterval-4*pollInterval {
 		l.unwritten = l.aggregator.drain()
 	}
 	if len(l.unwritten) > 0 {
@@ -249,7 +249,7 @@
 	for ctx.Err() == nil && time.Since(first.queuedAt) < maxLinger {
 		// One change for the first, one for each in the queue, and one for the batch.
 		waiting := min(1+len(l.queue), full-1) + 1
-		if l.store.BudgetIn(full) <= 0 || time.Since(first.queuedAt) > scarceLinger && l.store.BudgetIn(waiting) <= 0 {
+		if l.store.WriteBudgetDelay(full) <= 0 || time.Since(first.queuedAt) > scarceLinger && l.store.WriteBudgetDelay(waiting) <= 0 {
 			return
 		}
 		l.sleep(ctx, lingerStep)
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -29,8 +29,8 @@
 	Signers []string `msgpack:"signers"`
 }
 
-// Sealed is the signed content of a seal.
-type Sealed struct {
+// SealBody is the signed content of a seal.
+type SealBody struct {
 	At     time.Time  `json:"at"`
 	By     string     `json:"by"`
 	Chains []ChainEnd `json:"chains"`
@@ -57,7 +57,7 @@
 
 // Seal finds the ends of all chains and signs the list of them.
 func (l *Log) Seal(ctx context.Context) (*Seal, error) {
-	body := Sealed{At: time.Now().UTC(), By: l.chain}
+	body := SealBody{At: time.Now().UTC(), By: l.chain}
 	var err error
 	if body.Chains, err = l.chainEnds(ctx); err != nil {
 		return nil, err
--- a/internal/blobstore/resume.go
+++ b/internal/blobstore/resume.go
@@ -111,8 +111,8 @@
 // Abort discards the spool.
 func (s *Spool) Abort() { s.upload.Abort() }
 
-// Received returns how many bytes of a named upload are stored.
-func (s *Store) Received(name string) int64 {
+// ReceivedBytes returns how many bytes of a named upload are stored.
+func (s *Store) ReceivedBytes(name string) int64 {
 	info, err := os.Stat(s.namedPath(name))
 	if err != nil {
 		return 0
@@ -120,8 +120,8 @@
 	return info.Size()
 }
 
-// ReadReceived opens the stored bytes of a named upload for reading from an offset.
-func (s *Store) ReadReceived(name string, offset int64) (io.ReadCloser, error) {
+// OpenReceived opens the stored bytes of a named upload for reading from an offset.
+func (s *Store) OpenReceived(name string, offset int64) (io.ReadCloser, error) {
 	file, err := os.Open(s.namedPath(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, ErrNotFound
@@ -136,9 +136,9 @@
 	return file, nil
 }
 
-// Expire discards interrupted uploads of earlier processes that were last modified before a
+// ExpireUploads discards interrupted uploads of earlier processes that were last modified before a
 // time.
-func (s *Store) Expire(before time.Time) {
+func (s *Store) ExpireUploads(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for path, upload := range s.interrupted {
@@ -157,7 +157,7 @@
 
 // scanUploads finds the files of unfinished uploads. It adds named uploads to the interrupted
 // ones, which can be resumed, and removes the other files.
-func (s *Store) scanUploads(found *Opened) error {
+func (s *Store) scanUploads(found *OpenStats) error {
 	files, err := os.ReadDir(filepath.Join(s.dir, tempDir))
 	if err != nil {
 		return err
--- a/internal/blobstore/store.go
+++ b/internal/blobstore/store.go
@@ -38,8 +38,8 @@
 	Retention time.Duration
 }
 
-// Opened reports what Open has found in the store's directory.
-type Opened struct {
+// OpenStats reports what Open has found in the store's directory.
+type OpenStats struct {
 	Blobs int
 	Bytes int64
 	// Incomplete is the number of incomplete files, which were removed, Interrupted that of
@@ -83,8 +83,8 @@
 
 // Open opens the store in a directory, which is created if it does not exist. It removes files
 // that a killed process left incomplete.
-func Open(dir string, options Options) (*Store, Opened, error) {
-	var found Opened
+func Open(dir string, options Options) (*Store, OpenStats, error) {
+	var found OpenStats
 	if err := options.check(); err != nil {
 		return nil, found, err
 	}
@@ -134,7 +134,7 @@
 func (s *Store) Close() error { return s.lock.Close() }
 
 // scan indexes the blobs in the directory, in order of modification time.
-func (s *Store) scan(found *Opened) error {
+func (s *Store) scan(found *OpenStats) error {
 	if err := s.scanUploads(found); err != nil {
 		return wrap(err)
 	}
@@ -219,8 +219,8 @@
 	}
 }
 
-// Missing returns the digests whose blobs are not in the store, and retains the others.
-func (s *Store) Missing(space string, digests []Digest) []Digest {
+// FindMissing returns the digests whose blobs are not in the store, and retains the others.
+func (s *Store) FindMissing(space string, digests []Digest) []Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until := time.Now().Add(s.options.Retention)
@@ -241,10 +241,10 @@
 }
 
 // Has reports whether a blob is in the store, and retains it if so.
-func (s *Store) Has(key Key) bool { return len(s.Missing(key.Space, []Digest{key.Digest})) == 0 }
+func (s *Store) Has(key Key) bool { return len(s.FindMissing(key.Space, []Digest{key.Digest})) == 0 }
 
-// Lacks returns the digests whose blobs are not in the store, without retaining the others.
-func (s *Store) Lacks(space string, digests []Digest) []Digest {
+// PeekMissing returns the digests whose blobs are not in the store, without retaining the others.
+func (s *Store) PeekMissing(space string, digests []Digest) []Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var missing []Digest
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-func open(t *testing.T, dir string, options Options) (*Store, Opened) {
+func open(t *testing.T, dir string, options Options) (*Store, OpenStats) {
 	t.Helper()
 	s, found, err := Open(dir, options)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if _, err := s.Read(Key{"blue", key.Digest}, 1<<16); !errors.Is(err, ErrNotFound) {
 		t.Errorf("read in another space: got error %v, want ErrNotFound", err)
 	}
-	if m := s.Missing("blue", []Digest{key.Digest, Empty}); len(m) != 1 {
+	if m := s.FindMissing("blue", []Digest{key.Digest, Empty}); len(m) != 1 {
 		t.Errorf("another space: got missing digests %v, want 1", m)
 	}
 	for name, err := range map[string]error{
@@ -408,15 +408,15 @@
 		}
 		return upload
 	}
-	restart := func() Opened {
+	restart := func() OpenStats {
 		t.Helper()
 		_ = s.Close()
-		var found Opened
+		var found OpenStats
 		s, found = open(t, dir, options)
 		return found
 	}
 	startUpload("one", key, data[:2000])
-	if found := restart(); found.Interrupted != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.Received("one") != 2000 || s.Received("two") != 0 {
+	if found := restart(); found.Interrupted != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.ReceivedBytes("one") != 2000 || s.ReceivedBytes("two") != 0 {
 		t.Fatalf("got %+v, want 1 interrupted upload of 2000 bytes", found)
 	}
 	upload, err := s.Resume("one", key)
@@ -426,7 +426,7 @@
 	if _, err := upload.Write(data[2000:]); err != nil || upload.Commit() != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) || s.Received("one") != 0 {
+	if got, err := s.Read(key, 1<<16); err != nil || !bytes.Equal(got, data) || s.ReceivedBytes("one") != 0 {
 		t.Fatalf("resumed blob: read %d bytes with error %v, want the 6000 bytes that were uploaded and no upload left", len(got), err)
 	}
 
@@ -450,10 +450,10 @@
 	// Interrupted uploads are removed before blobs are evicted.
 	startUpload("left", Key{"a", Of(blob(3, 900))}, blob(3, 900)[:800])
 	restart()
-	s.Missing("a", []Digest{key.Digest, Of(other)})
+	s.FindMissing("a", []Digest{key.Digest, Of(other)})
 	put(t, s, "a", blob(4, 900))
-	if !s.Has(key) || s.Received("left") != 0 || s.Stats().Bytes != 9900 {
-		t.Errorf("got %+v and %d bytes of the interrupted upload, want 9900 bytes used and the upload removed", s.Stats(), s.Received("left"))
+	if !s.Has(key) || s.ReceivedBytes("left") != 0 || s.Stats().Bytes != 9900 {
+		t.Errorf("got %+v and %d bytes of the interrupted upload, want 9900 bytes used and the upload removed", s.Stats(), s.ReceivedBytes("left"))
 	}
 
 	// A file that is larger than the blob is discarded, and an old upload expires.
@@ -465,12 +465,12 @@
 	}
 	startUpload("old", Key{"a", Of(blob(7, 900))}, blob(7, 300))
 	restart()
-	s.Expire(time.Now().Add(-time.Minute))
-	if s.Received("old") != 300 {
+	s.ExpireUploads(time.Now().Add(-time.Minute))
+	if s.ReceivedBytes("old") != 300 {
 		t.Error("a recent upload has expired")
 	}
-	s.Expire(time.Now().Add(time.Second))
-	if s.Received("old") != 0 || len(s.interrupted) != 0 {
+	s.ExpireUploads(time.Now().Add(time.Second))
+	if s.ReceivedBytes("old") != 0 || len(s.interrupted) != 0 {
 		t.Error("an old upload has not expired")
 	}
 }
--- a/internal/buildtool/action.go
+++ b/internal/buildtool/action.go
@@ -147,9 +147,9 @@
 	if cached {
 		report.Cached++
 	}
-	_ = report.Waits.RecordValue(max(1, min(waitTime.Milliseconds(), report.Waits.HighestTrackableValue())))
+	_ = report.WaitTimes.RecordValue(max(1, min(waitTime.Milliseconds(), report.WaitTimes.HighestTrackableValue())))
 	if waitTime > report.longestWait {
-		report.longestWait, report.Slowest, report.SlowestName = waitTime, node.Name, operation
+		report.longestWait, report.SlowestAction, report.SlowestOperation = waitTime, node.Name, operation
 	}
 	if r.progress != nil {
 		r.progress(Progress{report.Actions, report.Cached, r.totalActions})
--- a/internal/buildtool/build.go
+++ b/internal/buildtool/build.go
@@ -43,7 +43,7 @@
 
 // Progress counts the actions of a build: those done, those of them answered from the
 // cache, and all.
-type Progress struct{ Done, Cached, Of int }
+type Progress struct{ Done, Cached, Total int }
 
 // Report is the outcome of a build.
 type Report struct {
@@ -53,16 +53,16 @@
 	BytesUp   int64 `json:"bytes_up"`
 	BytesDown int64 `json:"bytes_down"`
 	// Retries counts calls that were made again after a failure.
-	Retries int           `json:"retries"`
-	Took    time.Duration `json:"took_ns"`
-	// Slowest is the node with the longest wait.
-	Slowest string `json:"slowest,omitempty"`
-	// SlowestName is the operation of that node, or "" if its result came from the cache.
-	SlowestName string `json:"slowest_operation,omitempty"`
-	longestWait time.Duration
-	// Waits is a histogram of the times from the request of an action to its result, in
+	Retries  int           `json:"retries"`
+	Duration time.Duration `json:"took_ns"`
+	// SlowestAction is the node with the longest wait.
+	SlowestAction string `json:"slowest,omitempty"`
+	// SlowestOperation is the operation of that node, or "" if its result came from the cache.
+	SlowestOperation string `json:"slowest_operation,omitempty"`
+	longestWait      time.Duration
+	// WaitTimes is a histogram of the times from the request of an action to its result, in
 	// milliseconds.
-	Waits *hdrhistogram.Histogram `json:"-"`
+	WaitTimes *hdrhistogram.Histogram `json:"-"`
 	// Outputs maps the names of nodes to the digests of their outputs.
 	Outputs map[string]*repb.Digest `json:"-"`
 }
@@ -74,10 +74,10 @@
 	cas        repb.ContentAddressableStorageClient
 	exec       repb.ExecutionClient
 	byteStream bytestream.ByteStreamClient
-	// Function is the digest function: SHA-256, which is the default, or BLAKE3.
-	Function repb.DigestFunction_Value
-	// AtOnce is the number of concurrent actions; 0 means defaultConcurrency.
-	AtOnce int
+	// DigestFunction is the digest function: SHA-256, which is the default, or BLAKE3.
+	DigestFunction repb.DigestFunction_Value
+	// Concurrency is the number of concurrent actions; 0 means defaultConcurrency.
+	Concurrency int
 }
 
 // New creates a builder that uses SHA-256.
@@ -94,7 +94,7 @@
 // Digest returns the digest of data under the builder's digest function.
 func (b *Builder) Digest(data []byte) *repb.Digest {
 	sum := sha256.Sum256(data)
-	if b.Function == repb.DigestFunction_BLAKE3 {
+	if b.DigestFunction == repb.DigestFunction_BLAKE3 {
 		sum = blake3.Sum256(data)
 	}
 	return &repb.Digest{Hash: hex.EncodeToString(sum[:]), SizeBytes: int64(len(data))}
@@ -123,7 +123,7 @@
 		progress:     progress,
 		jobs:         map[string]bool{},
 		totalActions: len(nodes),
-		report:       Report{Waits: hdrhistogram.New(1, maxWaitMS, waitSignificantDigits), Outputs: map[string]*repb.Digest{}},
+		report:       Report{WaitTimes: hdrhistogram.New(1, maxWaitMS, waitSignificantDigits), Outputs: map[string]*repb.Digest{}},
 	}
 	done := map[string]chan struct{}{}
 	for _, node := range nodes {
@@ -135,7 +135,7 @@
 	if err := checkGraph(nodes); err != nil {
 		return nil, err
 	}
-	slots := make(chan struct{}, cmp.Or(b.AtOnce, defaultConcurrency))
+	slots := make(chan struct{}, cmp.Or(b.Concurrency, defaultConcurrency))
 	var wg sync.WaitGroup
 	for _, node := range nodes {
 		wg.Go(func() {
@@ -160,7 +160,7 @@
 		})
 	}
 	wg.Wait()
-	r.report.Jobs, r.report.Took = len(r.jobs), time.Since(started)
+	r.report.Jobs, r.report.Duration = len(r.jobs), time.Since(started)
 	err := context.Cause(ctx)
 	if err != nil && r.lastTransientErr != nil && !errors.Is(err, r.lastTransientErr) {
 		err = fmt.Errorf("%w; last transient error: %s", err, status.Convert(r.lastTransientErr).Message())
--- a/internal/buildtool/buildtool_test.go
+++ b/internal/buildtool/buildtool_test.go
@@ -274,7 +274,7 @@
 }
 
 func TestSample(t *testing.T) {
-	nodes, last, want := Sample("s", 23, 0)
+	nodes, last, want := SampleBuild("s", 23, 0)
 	if len(nodes) != 23+3+1 || last != nodes[len(nodes)-1].Name || checkGraph(nodes) != nil {
 		t.Errorf("%d nodes, last %q, want a valid graph of 27 nodes and the name of its last node", len(nodes), last)
 	}
--- a/internal/buildtool/execute.go
+++ b/internal/buildtool/execute.go
@@ -54,7 +54,7 @@
 	if e.operation != "" {
 		return b.exec.WaitExecution(ctx, &repb.WaitExecutionRequest{Name: e.operation})
 	}
-	return b.exec.Execute(ctx, &repb.ExecuteRequest{InstanceName: b.instance, ActionDigest: e.digest, DigestFunction: b.Function})
+	return b.exec.Execute(ctx, &repb.ExecuteRequest{InstanceName: b.instance, ActionDigest: e.digest, DigestFunction: b.DigestFunction})
 }
 
 // follow reads the states of the operation until it is done.
--- a/internal/buildtool/sample.go
+++ b/internal/buildtool/sample.go
@@ -5,10 +5,10 @@
 // filesPerLink is the number of compiled files that each link action of a sample build reads.
 const filesPerLink = 10
 
-// Sample returns a build for testing a cluster: it compiles the given number of source
+// SampleBuild returns a build for testing a cluster: it compiles the given number of source
 // files, links them in groups of filesPerLink, and packs all in the last action. Each action
 // sleeps for the given number of seconds. want is the expected output of the last action.
-func Sample(name string, sources int, seconds float64) (nodes []Node, last string, want []byte) {
+func SampleBuild(name string, sources int, seconds float64) (nodes []Node, last string, want []byte) {
 	sleep := ""
 	if seconds > 0 {
 		sleep = fmt.Sprintf("sleep %g; ", seconds)
--- a/internal/buildtool/transfer.go
+++ b/internal/buildtool/transfer.go
@@ -34,7 +34,7 @@
 
 // blobName returns the part of a resource name that identifies a blob.
 func (b *Builder) blobName(digest *repb.Digest) string {
-	if b.Function == repb.DigestFunction_BLAKE3 {
+	if b.DigestFunction == repb.DigestFunction_BLAKE3 {
 		return fmt.Sprintf("blobs/blake3/%s/%d", digest.GetHash(), digest.GetSizeBytes())
 	}
 	return fmt.Sprintf("blobs/%s/%d", digest.GetHash(), digest.GetSizeBytes())
@@ -44,7 +44,7 @@
 // all blobs, since a blob that one front end reports as present may be unavailable to another.
 func (r *run) upload(ctx context.Context, blobs map[string][]byte, all bool) error {
 	b := r.builder
-	query := &repb.FindMissingBlobsRequest{InstanceName: b.instance, DigestFunction: b.Function}
+	query := &repb.FindMissingBlobsRequest{InstanceName: b.instance, DigestFunction: b.DigestFunction}
 	for _, hash := range slices.Sorted(maps.Keys(blobs)) {
 		query.BlobDigests = append(query.BlobDigests, &repb.Digest{Hash: hash, SizeBytes: int64(len(blobs[hash]))})
 	}
@@ -91,7 +91,7 @@
 		return nil
 	}
 	b := r.builder
-	resp, err := b.cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{InstanceName: b.instance, DigestFunction: b.Function, Requests: batch})
+	resp, err := b.cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{InstanceName: b.instance, DigestFunction: b.DigestFunction, Requests: batch})
 	if err != nil {
 		return err
 	}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -36,8 +36,8 @@
 	// OnBehalfOf is the identity for which a service sends its requests; empty means its own. The
 	// controllers check that the service may act for it.
 	OnBehalfOf string
-	// Patience is the time limit of a request including its retries.
-	Patience time.Duration
+	// RetryTimeout is the time limit of a request including its retries.
+	RetryTimeout time.Duration
 
 	scheme string
 	http   *http.Client
@@ -55,19 +55,19 @@
 	}
 	transport := &http.Transport{TLSClientConfig: secure, MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleConnectionTimeout}
 	return &Client{
-		Controllers: controllers,
-		Token:       token,
-		Patience:    defaultRetryTimeout,
-		scheme:      scheme,
-		http:        &http.Client{Transport: transport, Timeout: requestTimeout},
-		retryBudget: &retry.Budget{Ratio: retryRatio, Max: retryBurst},
+		Controllers:  controllers,
+		Token:        token,
+		RetryTimeout: defaultRetryTimeout,
+		scheme:       scheme,
+		http:         &http.Client{Transport: transport, Timeout: requestTimeout},
+		retryBudget:  &retry.Budget{Ratio: retryRatio, Max: retryBurst},
 	}
 }
 
 // derive returns a client for the same cluster that shares connections and retry budget, without Token
 // and OnBehalfOf.
 func (c *Client) derive() *Client {
-	return &Client{Controllers: c.Controllers, Patience: c.Patience, scheme: c.scheme, http: c.http, retryBudget: c.retryBudget}
+	return &Client{Controllers: c.Controllers, RetryTimeout: c.RetryTimeout, scheme: c.scheme, http: c.http, retryBudget: c.retryBudget}
 }
 
 // ForController returns a client for only one controller, with the same credentials.
@@ -84,9 +84,9 @@
 	return derived
 }
 
-// OnBehalf returns a client that sends requests on behalf of an identity and without a token. It
+// WithOnBehalfOf returns a client that sends requests on behalf of an identity and without a token. It
 // authenticates with the process's certificate.
-func (c *Client) OnBehalf(name string) *Client {
+func (c *Client) WithOnBehalfOf(name string) *Client {
 	derived := c.derive()
 	derived.OnBehalfOf = name
 	return derived
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -46,11 +46,11 @@
 
 // doUntilFinal sends a request to one controller after another until there is a final response.
 func (c *Client) doUntilFinal(ctx context.Context, method, target string, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.RetryTimeout)
 	defer cancel()
 	var last error
 	failures := 0
-	tries := retry.Tries{Backoff: roundBackoff, Who: rand.Text()}
+	tries := retry.FailureCounter{Backoff: roundBackoff, JitterKey: rand.Text()}
 	c.retryBudget.Call()
 	for {
 		answer, pause, err := c.doOnce(ctx, method, target, body)
--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -52,10 +52,10 @@
 		a.handleTaskDone(attempt, now)
 	case protocol.CauseError:
 		a.handleTaskFailure(attempt, now)
-	case protocol.CauseFull, protocol.CauseInUse:
+	case protocol.CauseFull, protocol.CauseTaskInUse:
 		attempt.Machine.AvoidUntil = now.Add(startRefusedBackoff)
 		a.handleStartRefusal(attempt)
-	case protocol.CauseUnknown:
+	case protocol.CauseUnknownTask:
 		job.BackoffUntil = now.Add(unknownJobBackoff)
 		a.handleStartRefusal(attempt)
 	default:
@@ -66,7 +66,7 @@
 // handleTaskDone processes the completion of a task. The tasks of a service are started again.
 func (a *Agents) handleTaskDone(attempt *cluster.Attempt, now time.Time) {
 	job := attempt.Job
-	if job.Spec.Standing {
+	if job.Spec.Service {
 		job.Requeue(attempt.TaskIndex)
 		return
 	}
@@ -116,7 +116,7 @@
 	if len(machine.FailedJobs) >= failedJobsLimit && !machine.Quarantined {
 		a.quarantine(machine, "different jobs fail on it")
 		for _, other := range machine.SortedAttempts() {
-			a.StopAttempt(other, other.Job.Spec.SaveS+saveSlackS, now)
+			a.StopAttempt(other, other.Job.Spec.CheckpointDurationS+saveSlackS, now)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	if job.Spec.Gang && attempt.ExitCause != protocol.CauseDone {
 		// A gang can't run without one of its tasks, so all of them are restarted together.
 		for _, other := range job.Attempts() {
-			a.StopAttempt(other, job.Spec.SaveS+saveSlackS, now)
+			a.StopAttempt(other, job.Spec.CheckpointDurationS+saveSlackS, now)
 		}
 	}
 	job.MarkDirty(attempt.TaskIndex, false, now)
--- a/internal/coordination/agents/collaborators.go
+++ b/internal/coordination/agents/collaborators.go
@@ -17,9 +17,9 @@
 
 // Leases detects failed leaders of other partitions.
 type Leases interface {
-	// NoteDiverted records that a machine's agent sent its heartbeat to this controller instead
+	// AddDivertedMachine records that a machine's agent sent its heartbeat to this controller instead
 	// of its leader. If several agents do so and the leader is silent, it is considered failed.
-	NoteDiverted(leader, machine string, now time.Time)
+	AddDivertedMachine(leader, machine string, now time.Time)
 }
 
 // Proxy forwards heartbeats and commands between agents, their delegates and partition leaders.
--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -19,11 +19,11 @@
 	deleteBatchLimit = 100
 )
 
-// OutlastsCancelBound reports whether a task of a cancelled job may run on a machine for longer
+// MayExceedCancelBound reports whether a task of a cancelled job may run on a machine for longer
 // than the setting cancel_s allows: it was not stopped, and the machine's lease, which may be valid
 // until leaseEnd, does not provably expire in time (rule 46). It is false for a machine that is
 // silent but whose lease expires in time.
-func (a *Agents) OutlastsCancelBound(machine *cluster.Machine, leaseEnd, now time.Time) bool {
+func (a *Agents) MayExceedCancelBound(machine *cluster.Machine, leaseEnd, now time.Time) bool {
 	for _, attempt := range machine.Attempts {
 		if !attempt.Live() || !attempt.Stopping || attempt.Job.CancelledAt.IsZero() || now.Sub(attempt.StopRequestedAt) < stopGraceBeforeDelete {
 			continue
--- a/internal/coordination/agents/evacuation.go
+++ b/internal/coordination/agents/evacuation.go
@@ -40,9 +40,9 @@
 		a.StopAttempt(attempt, 0, now)
 	case remainingS < untilPreemptionS*likelyDoneFraction:
 		// It is expected to finish before the preemption.
-	case spec.CheckpointS > 0:
-		if untilPreemptionS < spec.SaveS+saveLeadS+saveLeadHeartbeats*a.HeartbeatInterval.Seconds() {
-			a.StopAttempt(attempt, spec.SaveS+saveSlackS, now)
+	case spec.CheckpointIntervalS > 0:
+		if untilPreemptionS < spec.CheckpointDurationS+saveLeadS+saveLeadHeartbeats*a.HeartbeatInterval.Seconds() {
+			a.StopAttempt(attempt, spec.CheckpointDurationS+saveSlackS, now)
 		}
 	case remainingS > untilPreemptionS*likelyLostFraction:
 		a.StopAttempt(attempt, 0, now)
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -90,7 +90,7 @@
 		return apierror.Response(errNoLeader)
 	}
 	a.DivertedMachines[machine.Name] = now
-	a.leases.NoteDiverted(partition.Leader, machine.Name, now)
+	a.leases.AddDivertedMachine(partition.Leader, machine.Name, now)
 	return redirect(partition.Leader)
 }
 
@@ -107,7 +107,7 @@
 func (a *Agents) StopsForCancelledJobs(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, task := range heartbeat.Tasks {
-		job, _, ok := protocol.ParseTask(task.Task)
+		job, _, ok := protocol.ParseTaskName(task.Task)
 		if ok && task.State != protocol.TaskEnded && a.FinalStates[job] == protocol.StatusCancelled {
 			commands = append(commands, protocol.Command{Op: protocol.OpStop, Task: task.Task, Attempt: task.Attempt})
 		}
--- a/internal/coordination/agents/machine_requests.go
+++ b/internal/coordination/agents/machine_requests.go
@@ -97,6 +97,6 @@
 		move.machine.RaiseTokenBy(time.Now())
 		return &peer.MachineReply{Reason: err.Error()}
 	}
-	a.MachineRecorded(move.machine.Name, move.record, revision, time.Now())
+	a.ApplyMachineRecord(move.machine.Name, move.record, revision, time.Now())
 	return &peer.MachineReply{Ok: true}
 }
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -18,9 +18,9 @@
 	commandRetryInterval = time.Second
 )
 
-// MachineRecorded applies a revision of a machine's record, which assigns the machine to a
+// ApplyMachineRecord applies a revision of a machine's record, which assigns the machine to a
 // partition. Revisions that are not newer than the last one applied are ignored.
-func (a *Agents) MachineRecorded(name string, record storage.Machine, revision uint64, now time.Time) {
+func (a *Agents) ApplyMachineRecord(name string, record storage.Machine, revision uint64, now time.Time) {
 	delete(a.UnregisteredMachines, name)
 	machine := a.Machines[name]
 	if machine == nil {
@@ -62,9 +62,9 @@
 	}
 }
 
-// MachineDeleted applies the deletion of a machine's record. The cluster leader deletes the record
+// ApplyMachineDeletion applies the deletion of a machine's record. The cluster leader deletes the record
 // only after the machine itself has certainly been deleted.
-func (a *Agents) MachineDeleted(name string, now time.Time) {
+func (a *Agents) ApplyMachineDeletion(name string, now time.Time) {
 	machine := a.Machines[name]
 	if machine == nil {
 		return
@@ -89,7 +89,7 @@
 			a.handleLeaseExpiry(machine, now)
 			continue
 		}
-		if a.OutlastsCancelBound(machine, lastAnswer.Add(leaseBound), now) && now.Sub(machine.DeleteTriedAt) > deleteRetryInterval {
+		if a.MayExceedCancelBound(machine, lastAnswer.Add(leaseBound), now) && now.Sub(machine.DeleteTriedAt) > deleteRetryInterval {
 			machine.DeleteTriedAt = now
 			toDelete = append(toDelete, machine)
 		}
--- a/internal/coordination/agents/tokens.go
+++ b/internal/coordination/agents/tokens.go
@@ -54,7 +54,7 @@
 // flight. This requires that the machine has a task of a cancelled job and that the limits on
 // requests are not reached.
 func (a *Agents) mayRepeat(machine *cluster.Machine) bool {
-	limit := max(RepeatedCommandsMin, a.Settings.Params.MachineLimits.Sockets/RepeatedCommandsSocketShare)
+	limit := max(RepeatedCommandsMin, a.Settings.Params.ProcessLimits.Sockets/RepeatedCommandsSocketShare)
 	return machine.HasCancelledTask() && machine.CommandRequestsInFlight < commandRequestsInFlightLimit && a.RepeatedCommands < limit
 }
 
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -57,7 +57,7 @@
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		s.loop.Do(func() { s.jobs.SetFinal(id, protocol.StatusCancelled, time.Now()) })
+		s.loop.Do(func() { s.jobs.SetFinalState(id, protocol.StatusCancelled, time.Now()) })
 		return protocol.StatusCancelled, nil
 	case !errors.As(err, &conflict):
 		return "", err
@@ -88,15 +88,15 @@
 // the number of remaining jobs; the caller repeats the request until none is left.
 func (s *Server) cancelAll(ctx context.Context, req request) (transport.Response, error) {
 	var body protocol.CancelAll
-	if err := protocol.Decode(req.Body, &body); err != nil || body.By == "" {
+	if err := protocol.Decode(req.Body, &body); err != nil || body.SubmittedBy == "" {
 		return transport.Response{}, apierror.New(http.StatusBadRequest, "by: whose jobs are to be withdrawn")
 	}
-	unfinished := s.unfinishedJobsOf(body.By)
+	unfinished := s.unfinishedJobsOf(body.SubmittedBy)
 	allowed := slices.DeleteFunc(unfinished, func(job jobInQueue) bool { return !s.mayAdministerJob(req.caller, job) })
 	// DeleteFunc zeroes the deleted elements, but unfinished keeps its length.
 	result := protocol.CancelAllResult{NotAllowed: len(unfinished) - len(allowed)}
 	slices.SortFunc(allowed, func(a, b jobInQueue) int { return strings.Compare(a.id, b.id) })
-	s.cancelJobs(ctx, req.caller, body.By, allowed, &result)
+	s.cancelJobs(ctx, req.caller, body.SubmittedBy, allowed, &result)
 	return success(http.StatusOK, result), nil
 }
 
@@ -104,7 +104,7 @@
 func (s *Server) unfinishedJobsOf(submitter string) (list []jobInQueue) {
 	s.loop.Do(func() {
 		for id, job := range s.Jobs {
-			if job.Spec.By == submitter && s.FinalStates[id] == "" {
+			if job.Spec.SubmittedBy == submitter && s.FinalStates[id] == "" {
 				list = append(list, jobInQueue{id, rights.Queue{Team: job.Spec.Team, Class: job.Spec.Class}})
 			}
 		}
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -104,9 +104,9 @@
 	ApplyFinalRecord(id string, raw []byte)
 	// ApplyJobRecord applies the record of an accepted job. The record is immutable.
 	ApplyJobRecord(id string, raw []byte)
-	// SetFinal marks a job as done or cancelled. at is the earliest time at which that may have
+	// SetFinalState marks a job as done or cancelled. at is the earliest time at which that may have
 	// happened.
-	SetFinal(id, status string, at time.Time)
+	SetFinalState(id, status string, at time.Time)
 }
 
 // EventApplier applies changes of this controller before the watch delivers them.
--- a/internal/coordination/api/feasibility.go
+++ b/internal/coordination/api/feasibility.go
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithTimeout(ctx, dependencyLookupTimeout)
 	defer cancel()
 	for _, id := range spec.Dependencies {
-		if id == spec.ID || !protocol.ValidID(id) {
+		if id == spec.ID || !protocol.ValidJobID(id) {
 			return unknownDependency, nil
 		}
 		service, err := s.isService(ctx, id)
@@ -54,7 +54,7 @@
 		job := s.Jobs[id]
 		// A service is never done. For a cancelled job, only its record says whether it was one.
 		known = job != nil || s.FinalStates[id] == protocol.StatusDone
-		service = job != nil && job.Spec.Standing
+		service = job != nil && job.Spec.Service
 	})
 	if known {
 		return service, nil
@@ -70,7 +70,7 @@
 	if err := storage.Decode(item.Value, &spec); err != nil {
 		return false, err
 	}
-	return spec.Standing, nil
+	return spec.Service, nil
 }
 
 // checkFeasible returns the reason why a job can never run, or "" if it can. It must be called
@@ -82,7 +82,7 @@
 	}
 	limits := s.Settings.Params.Teams[team]
 	// All tasks of a service or a gang run at the same time.
-	together := spec.Standing || spec.Gang
+	together := spec.Service || spec.Gang
 	concurrent := 1.0
 	if together {
 		concurrent = float64(spec.Tasks)
--- a/internal/coordination/api/gauges.go
+++ b/internal/coordination/api/gauges.go
@@ -24,21 +24,21 @@
 	return []telemetry.Gauge{
 		{Name: "leads", Value: boolGauge(view.ClusterLeader)},
 		{Name: "ready", Value: boolGauge(view.Ready)},
-		{Name: "up_seconds", Value: view.UpS},
+		{Name: "up_seconds", Value: view.UptimeS},
 		{Name: "state_silent_seconds", Value: view.StateSilenceS},
 		{Name: "writes_wanted", Value: view.WritesWanted},
 		{Name: "writes_granted", Value: view.WritesGranted},
 		{Name: "cloud_rests", Value: boolGauge(view.CloudUnavailable)},
-		{Name: "jobs", Value: float64(view.Jobs)},
+		{Name: "jobs", Value: float64(view.UnfinishedJobs)},
 		{Name: "jobs_ended", Value: float64(view.EndedJobs)},
-		{Name: "rentals_open", Value: float64(view.PendingScaleOut)},
-		{Name: "machines_connected", Value: float64(view.Connected)},
+		{Name: "rentals_open", Value: float64(view.PendingScaleOuts)},
+		{Name: "machines_connected", Value: float64(view.ConnectedMachines)},
 		{Name: "machines_room", Value: float64(view.Capacity)},
 	}
 }
 
 func replicaGauges(replica *overview.Replica) []telemetry.Gauge {
-	labels := partitionLabels(replica.Part)
+	labels := partitionLabels(replica.Partition)
 	return []telemetry.Gauge{
 		{Name: "copy_behind_seconds", Labels: labels, Value: replica.BehindS},
 		{Name: "copy_records", Labels: labels, Value: float64(replica.Records)},
@@ -50,7 +50,7 @@
 	for _, delegation := range partition.Delegates {
 		delegated += delegation.Machines
 	}
-	labels := partitionLabels(partition.Part)
+	labels := partitionLabels(partition.Index)
 	return []telemetry.Gauge{
 		{Name: "part_machines_carried", Labels: labels, Value: float64(delegated)},
 		{Name: "part_machines", Labels: labels, Value: float64(partition.Machines)},
@@ -58,10 +58,10 @@
 		{Name: "part_machines_coming", Labels: labels, Value: float64(partition.Starting)},
 		{Name: "part_machines_bad", Labels: labels, Value: float64(partition.Unusable)},
 		{Name: "part_machines_kept", Labels: labels, Value: float64(partition.Reserved)},
-		{Name: "part_cpus_used_ratio", Labels: labels, Value: partition.Used},
+		{Name: "part_cpus_used_ratio", Labels: labels, Value: partition.CPUUtilization},
 		{Name: "part_tasks_running", Labels: labels, Value: float64(partition.Running)},
 		{Name: "part_tasks_waiting", Labels: labels, Value: float64(partition.Waiting)},
-		{Name: "part_oldest_wait_seconds", Labels: labels, Value: partition.OldestS},
+		{Name: "part_oldest_wait_seconds", Labels: labels, Value: partition.OldestWaitS},
 	}
 }
 
--- a/internal/coordination/api/identity.go
+++ b/internal/coordination/api/identity.go
@@ -12,7 +12,7 @@
 )
 
 // allVerbs are all permissions, in the order in which whoAmI lists them.
-var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Cancel, rights.Reassign, rights.Administer, rights.Vouch}
+var allVerbs = []rights.Verb{rights.Submit, rights.View, rights.ViewArguments, rights.Cancel, rights.Reassign, rights.Administer, rights.ActOnBehalf}
 
 // whoAmI returns the caller's identity and its permissions on at least one queue.
 func (s *Server) whoAmI(_ context.Context, req request) (transport.Response, error) {
--- a/internal/coordination/api/operations.go
+++ b/internal/coordination/api/operations.go
@@ -57,7 +57,7 @@
 	}
 	var body bytes.Buffer
 	s.metrics.Write(&body, gauges(&view))
-	return transport.Response{Status: http.StatusOK, Type: prometheusText, Body: body.Bytes()}, nil
+	return transport.Response{Status: http.StatusOK, ContentType: prometheusText, Body: body.Bytes()}, nil
 }
 
 // StateOverview returns the state of this controller and of the partitions that it leads. It
@@ -65,24 +65,24 @@
 func (s *Server) StateOverview(now time.Time) overview.View {
 	load := s.proxy.Load(now)
 	view := overview.View{
-		Controller:       s.Settings.Label,
-		Zone:             s.Settings.Zone,
-		AtMS:             now.UnixMilli(),
-		UpS:              now.Sub(s.StartedAt).Seconds(),
-		ClusterLeader:    s.Leadership.Held,
-		Ready:            s.Synced && len(s.Catalog) > 0,
-		StateSilenceS:    s.store.SinceLastAnswer().Seconds(),
-		WritesWanted:     s.WriteDemand,
-		WritesGranted:    s.store.GrantedWriteRate(),
-		CloudUnavailable: s.cloud.Unavailable(now),
-		Jobs:             len(s.Jobs),
-		EndedJobs:        len(s.FinalStates),
-		PendingScaleOut:  len(s.Leadership.PendingScaleOuts),
-		Connected:        load.Machines,
-		Capacity:         load.Capacity,
-		Moves:            s.proxy.RecentMoves(now),
-		Replicas:         s.replicator.Overview(now),
-		Teams:            s.teamOverviews(),
+		Controller:        s.Settings.Label,
+		Zone:              s.Settings.Zone,
+		TimestampMS:       now.UnixMilli(),
+		UptimeS:           now.Sub(s.StartedAt).Seconds(),
+		ClusterLeader:     s.Leadership.Held,
+		Ready:             s.Synced && len(s.Catalog) > 0,
+		StateSilenceS:     s.store.SinceLastAnswer().Seconds(),
+		WritesWanted:      s.WriteDemand,
+		WritesGranted:     s.store.GrantedWriteRate(),
+		CloudUnavailable:  s.cloud.Unavailable(now),
+		UnfinishedJobs:    len(s.Jobs),
+		EndedJobs:         len(s.FinalStates),
+		PendingScaleOuts:  len(s.Leadership.PendingScaleOuts),
+		ConnectedMachines: load.Machines,
+		Capacity:          load.Capacity,
+		Moves:             s.proxy.RecentMoves(now),
+		Replicas:          s.replicator.Overview(now),
+		Teams:             s.teamOverviews(),
 	}
 	for _, partition := range s.Partitions {
 		if partition.Held {
@@ -96,7 +96,7 @@
 func (s *Server) teamOverviews() (teams []overview.Team) {
 	for index, team := range s.Settings.Params.Teams {
 		if partition := s.Partitions[s.TeamPartition[index]]; partition.Held {
-			teams = append(teams, overview.Team{Name: team.Name, Part: partition.Index, CPUs: partition.Usage[index].CPUs, Guarantee: team.CPUs, Limit: team.CPUsMax})
+			teams = append(teams, overview.Team{Name: team.Name, Partition: partition.Index, CPUs: partition.Usage[index].CPUs, Guarantee: team.CPUs, Limit: team.CPUsMax})
 		}
 	}
 	for _, job := range s.Jobs {
@@ -111,7 +111,7 @@
 }
 
 func (s *Server) partitionOverview(partition *cluster.Partition, now time.Time) overview.Partition {
-	view := overview.Partition{Part: partition.Index, Ready: partition.Ready, Delegates: s.proxy.Overview(partition, now)}
+	view := overview.Partition{Index: partition.Index, Ready: partition.Ready, Delegates: s.proxy.Overview(partition, now)}
 	s.countMachines(&view)
 	s.countTasks(&view, now)
 	return view
@@ -121,7 +121,7 @@
 func (s *Server) countMachines(view *overview.Partition) {
 	usedCPUs, allCPUs := 0.0, 0.0
 	for _, machine := range s.Machines {
-		if machine.Record.Partition != view.Part {
+		if machine.Record.Partition != view.Index {
 			continue
 		}
 		view.Machines++
@@ -142,20 +142,20 @@
 		}
 	}
 	if allCPUs > 0 {
-		view.Used = usedCPUs / allCPUs
+		view.CPUUtilization = usedCPUs / allCPUs
 	}
 }
 
 // countTasks fills in the counts of a partition's tasks and the longest wait.
 func (s *Server) countTasks(view *overview.Partition, now time.Time) {
 	for _, job := range s.Jobs {
-		if job.Partition != view.Part || !job.HasRunState {
+		if job.Partition != view.Index || !job.HasRunState {
 			continue
 		}
 		view.Running += len(job.LiveAttempts)
 		view.Waiting += len(job.Pending)
 		if len(job.Pending) > 0 && !job.Blocked {
-			view.OldestS = max(view.OldestS, now.Sub(job.ReadySince()).Seconds())
+			view.OldestWaitS = max(view.OldestWaitS, now.Sub(job.ReadySince()).Seconds())
 		}
 	}
 }
--- a/internal/coordination/api/policy.go
+++ b/internal/coordination/api/policy.go
@@ -59,7 +59,7 @@
 		return transport.Response{}, err
 	}
 	s.applyPolicyChange(txn, revision)
-	return success(http.StatusOK, rights.Version{Version: next.Version, MaxChanges: s.policyChangeLimit()}), nil
+	return success(http.StatusOK, rights.ChangeResult{Version: next.Version, MaxChanges: s.policyChangeLimit()}), nil
 }
 
 // checkPolicyChange rejects a change that is too large, invalid, or based on another version of
@@ -140,7 +140,7 @@
 		switch {
 		case id.Revoked:
 			revoked = append(revoked, id.Name)
-		case id.TokensFromMS > 0:
+		case id.TokensRevokedBeforeMS > 0:
 			voided = append(voided, text)
 		default:
 			identities = append(identities, text)
--- a/internal/coordination/api/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -58,7 +58,7 @@
 		return transport.Response{}, err
 	}
 	s.loop.Do(func() {
-		s.jobs.SetFinal(move.id, protocol.StatusCancelled, time.Now())
+		s.jobs.SetFinalState(move.id, protocol.StatusCancelled, time.Now())
 		s.jobs.ApplyJobRecord(move.successor.ID, move.value)
 	})
 	return success(http.StatusOK, protocol.JobStatus{ID: move.successor.ID, Status: protocol.StatusQueued}), nil
@@ -100,7 +100,7 @@
 	if err := protocol.Decode(req.Body, body); err != nil {
 		return nil, apierror.Invalid(http.StatusBadRequest, err)
 	}
-	if !protocol.ValidID(body.As) || body.As == req.job {
+	if !protocol.ValidJobID(body.As) || body.As == req.job {
 		return nil, apierror.New(http.StatusBadRequest, "as: the successor needs an id of its own")
 	}
 	if body.Team == "" {
@@ -144,7 +144,7 @@
 // transaction returns the transaction that cancels the job and accepts its successor, on
 // condition that no task was started.
 func (r *reassignment) transaction(now time.Time) *protocol.Transaction {
-	final := storage.Final{Status: protocol.StatusCancelled, AtMS: now.UnixMilli(), Successor: r.successor.ID}
+	final := storage.FinalRecord{Status: protocol.StatusCancelled, AtMS: now.UnixMilli(), Successor: r.successor.ID}
 	txn := &protocol.Transaction{
 		If: []protocol.Condition{{Key: storage.FinalKey(r.id)}, {Key: storage.JobKey(r.successor.ID)}},
 		Then: []protocol.Change{
@@ -171,7 +171,7 @@
 	if err != nil {
 		return transport.Response{}, err
 	}
-	var final storage.Final
+	var final storage.FinalRecord
 	if err := storage.Decode(item.Value, &final); err != nil {
 		return transport.Response{}, storage.ErrUnknown
 	}
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -32,7 +32,7 @@
 
 // lookUpJob returns the state of a job. The error is errNoSuchJob if there is no such job.
 func (s *Server) lookUpJob(ctx context.Context, id string) (protocol.JobStatus, error) {
-	if !protocol.ValidID(id) {
+	if !protocol.ValidJobID(id) {
 		return protocol.JobStatus{}, errNoSuchJob
 	}
 	status, found, err := s.jobStatus(ctx, id)
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -102,7 +102,7 @@
 	}
 	spec.SubmittedMS = time.Now().UnixMilli()
 	if caller != nil {
-		spec.By = caller.Name
+		spec.SubmittedBy = caller.Name
 	}
 	check.record = storage.Encode(spec)
 	if size, limit := protocol.JSONSize(check.record), s.store.ValueBytes(); size > limit {
--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -19,7 +19,7 @@
 )
 
 // readAudit exports the audit log as an operator does, verifies it and returns its records.
-func (sim *simulatedCluster) readAudit(label string) []archive.ReadRecord {
+func (sim *simulatedCluster) readAudit(label string) []archive.ChainRecord {
 	sim.t.Helper()
 	data := sim.exportAudit(label)
 	roots := x509.NewCertPool()
@@ -29,7 +29,7 @@
 	for _, p := range v.Problems {
 		sim.t.Errorf("verification of the audit log: %s", p)
 	}
-	return v.Read
+	return v.Decoded
 }
 
 // exportAudit returns the audit archive that a controller exports. It retries the request for the
@@ -58,8 +58,8 @@
 	return out.Bytes()
 }
 
-// countRecords counts the matching requests; one audit record may stand for several refusals.
-func countRecords(read []archive.ReadRecord, match func(r *audit.Record) bool) int {
+// countAuditRecords counts the matching requests; one audit record may stand for several refusals.
+func countAuditRecords(read []archive.ChainRecord, match func(r *audit.Record) bool) int {
 	n := uint64(0)
 	for i := range read {
 		if match(&read[i].Record) {
@@ -101,8 +101,8 @@
 		sim.expectStatus(200, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
 		sim.expectStatus(200, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
 		sim.startController("n1")
-		time.Sleep(2 * audit.GatherInterval)
-		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
+		time.Sleep(2 * audit.AggregationInterval)
+		if n := countAuditRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "submit" && r.Job == s.ID }); n != 1 {
 			t.Errorf("%d audit records of one submission, want 1", n)
 		}
 		sim.withLock(func() { sim.jobs[s.ID] = newAcceptedJob(s) })
@@ -115,9 +115,9 @@
 func TestRefusalsAreAuditedAtABoundedWriteRate(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 58, func(sim *simulatedCluster) {
-		time.Sleep(audit.GatherInterval)
+		time.Sleep(audit.AggregationInterval)
 		sim.mu.Lock()
-		before := sim.state.Changes
+		before := sim.state.ChangesRequested
 		sim.mu.Unlock()
 		duration := 20 * time.Second
 		refused := 0
@@ -125,14 +125,14 @@
 			sim.expectStatus(403, sim.requestAs("person/partner", "n1", "POST", fmt.Sprintf("/submissions/job-%d/withdraw", 1000+refused), nil))
 			refused++
 		}
-		time.Sleep(2 * audit.GatherInterval)
+		time.Sleep(2 * audit.AggregationInterval)
 		sim.mu.Lock()
-		changes := sim.state.Changes - before
+		changes := sim.state.ChangesRequested - before
 		sim.mu.Unlock()
 		if most := 2 * int(duration/time.Second); changes > most {
 			t.Errorf("%d refusals caused %d state store changes in %s, want at most %d", refused, changes, duration, most)
 		}
-		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
+		if n := countAuditRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Verb == "withdraw" }); n != refused {
 			t.Errorf("%d requests were refused, the audit log counts %d", refused, n)
 		}
 	})
@@ -191,7 +191,7 @@
 				if !exists || submissions[id] != 1 {
 					t.Errorf("seed %d: %s: job record exists: %v, %d audit records of its submission, want 1", seed, id, exists, submissions[id])
 				}
-				var final storage.Final
+				var final storage.FinalRecord
 				it, ended := sim.state.Items[storage.FinalKey(id)]
 				panicOnError(storage.Decode(it.Value, &final))
 				want := 0
@@ -206,7 +206,7 @@
 				t.Errorf("seed %d: the audit log has submissions of %d jobs, want %d", seed, len(submissions), len(submitted))
 			}
 			for key := range sim.state.Items {
-				if strings.HasPrefix(key, audit.Prefix) && sim.state.Largest["a"] > int(sim.settings.Params.State.ValueKB*1024) {
+				if strings.HasPrefix(key, audit.Prefix) && sim.state.LargestValues["a"] > int(sim.settings.Params.State.ValueKB*1024) {
 					t.Fatalf("%s or another audit record exceeds the value limit", key)
 				}
 			}
--- a/internal/coordination/auth/audit.go
+++ b/internal/coordination/auth/audit.go
@@ -38,10 +38,10 @@
 	if !a.enabled {
 		return nil
 	}
-	record := &audit.Record{At: time.Now().UTC(), BoundMS: float64(a.clockBound) / float64(time.Millisecond), Verb: verb,
+	record := &audit.Record{At: time.Now().UTC(), ClockErrorMS: float64(a.clockBound) / float64(time.Millisecond), Verb: verb,
 		Team: TruncateForAudit(queue.Team), Class: TruncateForAudit(queue.Class), Job: TruncateForAudit(job), Outcome: audit.Allowed}
 	if caller != nil {
-		record.Who, record.How, record.From = caller.Name, caller.Credential, caller.RemoteAddr
+		record.Identity, record.Credential, record.Address = caller.Name, caller.Credential, caller.RemoteAddr
 	}
 	return record
 }
@@ -66,13 +66,13 @@
 func (a *Auth) auditDenial(caller *Caller, verb string, queue rights.Queue, job, reason string) {
 	record := a.AuditRecord(caller, verb, queue, job)
 	record.Outcome, record.Reason = audit.Denied, reason
-	a.auditLog.Note(*record)
+	a.auditLog.Aggregate(*record)
 }
 
 // AuditRead records an allowed read in the audit log, unless authentication is disabled.
 func (a *Auth) AuditRead(caller *Caller, verb string, queue rights.Queue, job string) {
 	if a.enabled {
-		a.auditLog.Note(*a.AuditRecord(caller, verb, queue, job))
+		a.auditLog.Aggregate(*a.AuditRecord(caller, verb, queue, job))
 	}
 }
 
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -34,7 +34,7 @@
 	// Set by Enable, before the loop starts.
 	enabled           bool
 	enabledAt         time.Time
-	tokens            *identity.Tokens
+	tokens            *identity.TokenVerifier
 	bootstrapIdentity string
 	clockBound        time.Duration
 	auditLog          *audit.Log
@@ -58,14 +58,14 @@
 	return &Auth{State: state, loop: loop, store: store, log: log, bounds: bounds}
 }
 
-// Identities configures authentication, authorization and the audit log.
-type Identities struct {
+// Config configures authentication, authorization and the audit log.
+type Config struct {
 	// Tokens verifies the callers' bearer tokens.
-	Tokens *identity.Tokens
+	Tokens *identity.TokenVerifier
 	// Signer returns the current key for signing the audit log.
 	Signer func() audit.Signer
-	// Bootstrap is the name of the identity that may write the first policy.
-	Bootstrap string
+	// BootstrapIdentity is the name of the identity that may write the first policy.
+	BootstrapIdentity string
 	// ClockBound is the maximum error of this machine's clock.
 	ClockBound time.Duration
 }
@@ -91,16 +91,16 @@
 
 // Enable turns on authentication, authorization and the audit log. It must be called before
 // the event loop starts.
-func (a *Auth) Enable(ids Identities) error {
+func (a *Auth) Enable(ids Config) error {
 	if changes := a.Settings.Params.State.Lower().TxnOps; changes < minTransactionChanges {
 		return fmt.Errorf("authentication needs transactions of up to %d changes, but params.state allows only %d", minTransactionChanges, changes)
 	}
-	limiters, err := lru.NewWithEvict(UnknownJobLimitersLimit, func(string, *rate.Limiter) { a.bounds.Met(telemetry.Callers, 1) })
+	limiters, err := lru.NewWithEvict(MaxUnknownJobLimiters, func(string, *rate.Limiter) { a.bounds.ReportExceeded(telemetry.Callers, 1) })
 	if err != nil {
 		return err
 	}
 	a.enabled, a.enabledAt, a.UnknownJobLimiters = true, time.Now(), limiters
-	a.tokens, a.bootstrapIdentity, a.clockBound = ids.Tokens, ids.Bootstrap, ids.ClockBound
+	a.tokens, a.bootstrapIdentity, a.clockBound = ids.Tokens, ids.BootstrapIdentity, ids.ClockBound
 	a.auditLog = audit.NewLog(a.store, a.Settings.Label, ids.Signer, a.log)
 	a.policyCurrentAt.Store(-int64(initialPolicyAge))
 	a.records.init()
--- a/internal/coordination/auth/authentication.go
+++ b/internal/coordination/auth/authentication.go
@@ -41,7 +41,7 @@
 	if !a.enabled {
 		return nil, nil
 	}
-	caller := &Caller{RemoteAddr: req.From}
+	caller := &Caller{RemoteAddr: req.RemoteAddr}
 	proven, err := a.checkCredential(req)
 	if err != nil {
 		return nil, a.rejectCredential(caller, verb, err.Error())
@@ -76,7 +76,7 @@
 	if !strings.EqualFold(scheme, "Bearer") {
 		return credential{}, errors.New("authorization is not of the kind Bearer")
 	}
-	token, err := a.tokens.Check(strings.TrimSpace(text))
+	token, err := a.tokens.Verify(strings.TrimSpace(text))
 	if err != nil {
 		return credential{}, err
 	}
@@ -99,17 +99,17 @@
 // checkCaller rejects identities that may not send user requests: machines and controllers,
 // identities with a voided token, and those that are revoked or missing from the policy.
 func (a *Auth) checkCaller(caller *Caller, proven *credential, verb string) error {
-	if !proven.name.Caller() {
+	if !proven.name.IsCaller() {
 		return a.Deny(caller, verb, rights.Queue{}, "", "a "+string(proven.name.Kind)+" sends no users' requests")
 	}
 	view := a.policy.Load()
 	if view == nil || !a.policyFresh() {
 		return errPolicyStale
 	}
-	if !proven.isCertificate() && view.Rights.Voids(caller.Name, proven.issued) {
+	if !proven.isCertificate() && view.Rights.IsTokenRevoked(caller.Name, proven.issued) {
 		return a.rejectCredential(caller, verb, "token was issued before it was voided")
 	}
-	if !view.Rights.Known(caller.Name) && !a.mayBootstrapPolicy(view, caller.Name) {
+	if !view.Rights.IsActive(caller.Name) && !a.mayBootstrapPolicy(view, caller.Name) {
 		return a.Deny(caller, verb, rights.Queue{}, "", "not in the policy, or revoked")
 	}
 	return nil
@@ -123,11 +123,11 @@
 	if view == nil || !a.policyFresh() {
 		return errPolicyStale
 	}
-	if !proven.isCertificate() || proven.name.Kind != identity.Service || !view.Rights.HoldsAny(caller.Name, rights.Vouch) {
+	if !proven.isCertificate() || proven.name.Kind != identity.Service || !view.Rights.HoldsAny(caller.Name, rights.ActOnBehalf) {
 		return a.Deny(caller, verb, rights.Queue{}, "", "vouches for "+TruncateForAudit(onBehalfOf)+", which it may not")
 	}
 	name, err := identity.ParseName(onBehalfOf)
-	if err != nil || !name.Caller() {
+	if err != nil || !name.IsCaller() {
 		return a.Deny(caller, verb, rights.Queue{}, "", "vouches for "+TruncateForAudit(onBehalfOf)+", who can be no caller")
 	}
 	caller.Service, caller.Name = caller.Name, name.String()
@@ -153,7 +153,7 @@
 	if !a.enabled {
 		return nil, nil
 	}
-	caller := &Caller{RemoteAddr: req.From}
+	caller := &Caller{RemoteAddr: req.RemoteAddr}
 	if req.Peer == nil {
 		return nil, a.rejectCredential(caller, verb, "no certificate")
 	}
--- a/internal/coordination/auth/authorization.go
+++ b/internal/coordination/auth/authorization.go
@@ -17,9 +17,9 @@
 	unknownJobRate = 5
 	// UnknownJobBurst is the burst size of that limit.
 	UnknownJobBurst = 20
-	// UnknownJobLimitersLimit is the maximum number of identities with a limiter, of about
+	// MaxUnknownJobLimiters is the maximum number of identities with a limiter, of about
 	// 300 bytes each.
-	UnknownJobLimitersLimit = 4096
+	MaxUnknownJobLimiters = 4096
 )
 
 // serviceOwnVerbs are the permissions of its own that a service may use in requests on behalf of
@@ -37,7 +37,7 @@
 	if caller.Service == "" {
 		return allowed
 	}
-	return allowed && policy.Allows(caller.Service, rights.Vouch, queue) || verb&serviceOwnVerbs != 0 && policy.Allows(caller.Service, verb, queue)
+	return allowed && policy.Allows(caller.Service, rights.ActOnBehalf, queue) || verb&serviceOwnVerbs != 0 && policy.Allows(caller.Service, verb, queue)
 }
 
 // HoldsAny reports whether a caller has a permission on at least one queue.
@@ -49,7 +49,7 @@
 // AllowsEverywhere reports whether a caller has a permission on every queue.
 func (a *Auth) AllowsEverywhere(caller *Caller, verb rights.Verb) bool {
 	policy := a.policy.Load().Rights
-	return policy.AllowsEverywhere(caller.Name, verb) && (caller.Service == "" || policy.AllowsEverywhere(caller.Service, rights.Vouch))
+	return policy.AllowsEverywhere(caller.Name, verb) && (caller.Service == "" || policy.AllowsEverywhere(caller.Service, rights.ActOnBehalf))
 }
 
 // IsAdministrator reports whether a caller may change the policy and read the audit log. A
@@ -105,7 +105,7 @@
 
 // readUnknownJob reads a job's record within the caller's rate limit for unknown jobs.
 func (a *Auth) readUnknownJob(ctx context.Context, caller *Caller, id string) (*protocol.JobSpec, error) {
-	if !protocol.ValidID(id) {
+	if !protocol.ValidJobID(id) {
 		return nil, storage.ErrNotFound
 	}
 	if !a.allowUnknownJobLookup(caller.Name) {
--- a/internal/coordination/auth/jobqueues.go
+++ b/internal/coordination/auth/jobqueues.go
@@ -6,9 +6,9 @@
 	"micaspindle/internal/storage"
 )
 
-// NoteJob adds the queue of an accepted job to the index, from the job's record. It must be
+// AddJobQueue adds the queue of an accepted job to the index, from the job's record. It must be
 // called in the event loop.
-func (a *Auth) NoteJob(id string, record []byte) {
+func (a *Auth) AddJobQueue(id string, record []byte) {
 	if !a.enabled {
 		return
 	}
--- a/internal/coordination/auth/policy.go
+++ b/internal/coordination/auth/policy.go
@@ -14,9 +14,9 @@
 	// maxPolicyAge is the maximum age of the cached policy for a request to be allowed. A
 	// revocation must be effective on all controllers within 3 s.
 	maxPolicyAge = 2500 * time.Millisecond
-	// PolicyWatchWait is the maximum time that a watch request waits for changes while
+	// PolicyWatchTimeout is the maximum time that a watch request waits for changes while
 	// authentication is enabled, so that the cached policy stays within maxPolicyAge.
-	PolicyWatchWait = 500 * time.Millisecond
+	PolicyWatchTimeout = 500 * time.Millisecond
 	// initialPolicyAge is the assumed age of the policy at Enable. It exceeds maxPolicyAge, so
 	// that no request is allowed until the policy was read.
 	initialPolicyAge = time.Hour
@@ -45,7 +45,7 @@
 
 // ApplyPolicyRecord applies a watch event of a policy record. It must be called in the event
 // loop.
-func (a *Auth) ApplyPolicyRecord(kind storage.Kind, name string, e protocol.Event) error {
+func (a *Auth) ApplyPolicyRecord(kind storage.RecordKind, name string, e protocol.Event) error {
 	return a.records.apply(kind, name, e)
 }
 
@@ -92,7 +92,7 @@
 
 // apply applies a watch event of a record. A record that can't be decoded or is invalid is
 // removed, so that it grants no permissions.
-func (p *policyRecords) apply(kind storage.Kind, name string, e protocol.Event) error {
+func (p *policyRecords) apply(kind storage.RecordKind, name string, e protocol.Event) error {
 	p.changed = true
 	deleted := e.Delete != ""
 	switch kind {
--- a/internal/coordination/authorization_test.go
+++ b/internal/coordination/authorization_test.go
@@ -55,7 +55,7 @@
 			}
 			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/submissions", encodeSubmission(newJobSpecOfClass("job-1", "red", "match"))))
 			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/submissions/job-1/withdraw", nil))
-			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/withdrawals", protocol.CancelAll{By: "person/root"}))
+			refused("person/partner", 403, sim.requestAs("person/partner", label, "POST", "/withdrawals", protocol.CancelAll{SubmittedBy: "person/root"}))
 			refused("", 401, sim.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
 			refused("", 401, sim.requestAs("", label, "GET", "/submissions/job-1", nil))
 		}
@@ -78,15 +78,15 @@
 				t.Errorf("the response reveals the image of %s: %q", id, resp.Body)
 			}
 		}
-		time.Sleep(2 * audit.GatherInterval)
+		time.Sleep(2 * audit.AggregationInterval)
 		read := sim.readAudit("n1")
 		for identityName, n := range refusals {
-			if got := countRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Who == identityName }); got != n {
+			if got := countAuditRecords(read, func(r *audit.Record) bool { return r.Outcome == audit.Denied && r.Identity == identityName }); got != n {
 				t.Errorf("%q was refused %d times, the audit log has %d refusals", identityName, n, got)
 			}
 		}
-		if n := countRecords(read, func(r *audit.Record) bool {
-			return r.Verb == "view-arguments" && r.Who == "service/refunds" && r.Job == "job-2" && r.Outcome == audit.Allowed
+		if n := countAuditRecords(read, func(r *audit.Record) bool {
+			return r.Verb == "view-arguments" && r.Identity == "service/refunds" && r.Job == "job-2" && r.Outcome == audit.Allowed
 		}); n != 1 {
 			t.Errorf("the audit log has %d records of viewing arguments, want 1", n)
 		}
@@ -111,7 +111,7 @@
 		for _, id := range []string{"job-3", "job-77", "job-3/", "job-x"} {
 			time.Sleep(20 * time.Second) // until the rate limiter has refilled
 			sim.mu.Lock()
-			before := sim.state.Served
+			before := sim.state.RequestsServed
 			sim.mu.Unlock()
 			answers := ""
 			for range 3 * auth.UnknownJobBurst {
@@ -119,7 +119,7 @@
 				answers += fmt.Sprintf("%d %q %d;", resp.Status, resp.Body, resp.RetryAfter)
 			}
 			sim.mu.Lock()
-			read := sim.state.Served - before
+			read := sim.state.RequestsServed - before
 			sim.mu.Unlock()
 			seen[id] = answers
 			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < auth.UnknownJobBurst) {
@@ -146,7 +146,7 @@
 		for _, label := range allControllers {
 			sim.expectStatus(200, sim.requestAs("person/anna", label, "GET", "/submissions/job-1", nil))
 		}
-		sim.withLock(func() { sim.cut = func(from, to string) bool { return from == "n2" && to == "state" } })
+		sim.withLock(func() { sim.dropsMessage = func(from, to string) bool { return from == "n2" && to == "state" } })
 		revoke := &rights.Change{Version: 1, PutIdentities: []rights.Identity{{Name: "person/anna", Roles: []string{"clerk"}, Revoked: true}}}
 		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", revoke))
 		sim.expectStatus(403, sim.requestAs("person/anna", "n0", "GET", "/submissions/job-1", nil))
@@ -160,7 +160,7 @@
 				t.Error("a 503 response has no Retry-After")
 			}
 		}
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 		time.Sleep(5 * time.Second)
 		sim.expectStatus(403, sim.requestAs("person/anna", "n2", "GET", "/submissions/job-1", nil))
 		// The revoked identity's job keeps running.
@@ -199,7 +199,7 @@
 		cancelled := 0
 		for tries := 0; ; tries++ {
 			var res protocol.CancelAllResult
-			resp := sim.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.CancelAll{By: "person/anna"})
+			resp := sim.requestAs("person/root", "n1", "POST", "/withdrawals", protocol.CancelAll{SubmittedBy: "person/anna"})
 			panicOnError(protocol.Decode(sim.expectStatus(200, resp).Body, &res))
 			cancelled += res.Cancelled
 			if res.Remaining == 0 || tries > 30 {
@@ -217,9 +217,9 @@
 				t.Errorf("%s, submitted by another identity, has status %s, want done", id, st)
 			}
 		}
-		time.Sleep(2 * audit.GatherInterval)
-		if n := countRecords(sim.readAudit("n2"), func(r *audit.Record) bool {
-			return r.Verb == "withdraw-all" && r.Who == "person/root" && r.Outcome == audit.Allowed
+		time.Sleep(2 * audit.AggregationInterval)
+		if n := countAuditRecords(sim.readAudit("n2"), func(r *audit.Record) bool {
+			return r.Verb == "withdraw-all" && r.Identity == "person/root" && r.Outcome == audit.Allowed
 		}); n != cancelled {
 			t.Errorf("the audit log has %d cancellations, %d were made", n, cancelled)
 		}
@@ -264,7 +264,7 @@
 	runSimulationWithIdentities(t, 56, func(sim *simulatedCluster) {
 		sim.expectStatus(404, sim.requestAs("person/partner", "n0", "GET", "/submissions/job-9", nil))
 		time.Sleep(2 * time.Second)
-		partner := rights.Identity{Name: "person/partner", Roles: []string{"guest"}, TokensFromMS: time.Now().UnixMilli()}
+		partner := rights.Identity{Name: "person/partner", Roles: []string{"guest"}, TokensRevokedBeforeMS: time.Now().UnixMilli()}
 		sim.expectStatus(200, sim.requestAs("person/root", "n0", "POST", "/policy", &rights.Change{Version: 1, PutIdentities: []rights.Identity{partner}}))
 		time.Sleep(2 * time.Second)
 		sim.expectStatus(401, sim.requestAs("person/partner", "n1", "GET", "/submissions/job-9", nil))
@@ -278,7 +278,7 @@
 	var before, after runtime.MemStats
 	for b.Loop() {
 		c := newTestController(b.Context(), &newSimulatedCluster(b, 1).settings, settings.DefaultOperator())
-		panicOnError(c.EnableAuth(auth.Identities{}))
+		panicOnError(c.EnableAuth(auth.Config{}))
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range 1000 {
--- a/internal/coordination/autoscaler/collaborators.go
+++ b/internal/coordination/autoscaler/collaborators.go
@@ -14,10 +14,10 @@
 	// HandleMachineRequest moves or retires a machine of a partition that this controller leads, if
 	// the machine is idle.
 	HandleMachineRequest(req *peer.MachineRequest) *peer.MachineReply
-	// MachineDeleted removes a machine from the state after its record was deleted.
-	MachineDeleted(name string, now time.Time)
-	// MachineRecorded applies a machine's record, with its version, to the state.
-	MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time)
+	// ApplyMachineDeletion removes a machine from the state after its record was deleted.
+	ApplyMachineDeletion(name string, now time.Time)
+	// ApplyMachineRecord applies a machine's record, with its version, to the state.
+	ApplyMachineRecord(name string, rec storage.Machine, version uint64, now time.Time)
 }
 
 // Cloud creates, lists and deletes machines.
--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -17,7 +17,7 @@
 // transactions. It retries until all are written, another writer has written one of them, or this
 // controller is no longer the leader. Machines that remain without a record are adopted later.
 func (a *Autoscaler) recordMachines(names []string, record storage.Machine) {
-	retries := a.loop.Tries("records", recordBackoff)
+	retries := a.loop.NewRetryCounter("records", recordBackoff)
 	for len(names) > 0 {
 		leaseRevision, leading := a.leads()
 		if !leading {
@@ -28,7 +28,7 @@
 		if err == nil {
 			a.loop.Do(func() {
 				for _, name := range batch {
-					a.agents.MachineRecorded(name, record, revision, time.Now())
+					a.agents.ApplyMachineRecord(name, record, revision, time.Now())
 				}
 			})
 			names = names[len(batch):]
@@ -94,7 +94,7 @@
 		a.log.Info("machine record deletion failed", "machine", name, "error", err)
 		return
 	}
-	a.loop.Do(func() { a.agents.MachineDeleted(name, time.Now()) })
+	a.loop.Do(func() { a.agents.ApplyMachineDeletion(name, time.Now()) })
 }
 
 // commit commits a transaction on machine records and returns its revision.
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -47,7 +47,7 @@
 func (a *Autoscaler) finishScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
 	kind := request.Kind
 	body := protocol.CreateMachinesRequest{Request: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: request.Count}
-	retries := a.loop.Tries(name, scaleOutBackoff)
+	retries := a.loop.NewRetryCounter(name, scaleOutBackoff)
 	for {
 		machines, err := a.cloud.CreateMachines(body)
 		if err == nil {
--- a/internal/coordination/autoscaler/scaling_view.go
+++ b/internal/coordination/autoscaler/scaling_view.go
@@ -66,7 +66,7 @@
 		if index >= len(view.Partitions) || a.Partitions[index].Leader != controller {
 			continue
 		}
-		view.Partitions[index].Known = true
+		view.Partitions[index].Reporting = true
 		for _, status := range summary.Machines {
 			if machine := a.Machines[status.Name]; machine != nil && machine.Record.Partition == index {
 				statuses[status.Name] = status
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -78,7 +78,7 @@
 			defer stop()
 			go c.loop.Serve(ctx, c.tick)
 			if outcome == "final" {
-				c.loop.Do(func() { c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now()) })
+				c.loop.Do(func() { c.jobs.SetFinalState("job-1", protocol.StatusDone, time.Now()) })
 			} else {
 				setNetwork(c, unavailableNetwork{})
 				time.Sleep(1600 * time.Millisecond) // until the state store counts as down
@@ -194,7 +194,7 @@
 			now := time.Now()
 			c.Leadership.Held = true
 			for i := range c.Catalog {
-				for _, zone := range c.Catalog[i].ZonesOffered {
+				for _, zone := range c.Catalog[i].Zones {
 					for _, spot := range []bool{true, false} {
 						c.Leadership.CapacityRefusedUntil[binpack.MachineKind{Type: c.Catalog[i].Name, Zone: zone, Spot: spot}] = now.Add(time.Hour)
 					}
@@ -250,14 +250,14 @@
 					b.StopTimer()
 					replica := replication.NewReplica(partition, time.Now())
 					if mode == "warm" {
-						replica.StartFrom(c.log.Error, runs, 5, time.Now())
-						replica.Updates.Apply(update, replica.Derived.NoteStart, time.Now())
+						replica.ApplyListing(c.log.Error, runs, 5, time.Now())
+						replica.Updates.Apply(update, replica.Derived.StoreStart, time.Now())
 					}
-					c.leases.ClearPartition(c.Partitions[partition]) // as on a controller that did not lead it
-					runtime.GC()                                     // so that the takeover does not pay for the set-up
+					c.leases.ClearLeaderState(c.Partitions[partition]) // as on a controller that did not lead it
+					runtime.GC()                                       // so that the takeover does not pay for the set-up
 					b.StartTimer()
 					if mode == "cold" {
-						replica.StartFrom(c.log.Error, runs, 5, time.Now())
+						replica.ApplyListing(c.log.Error, runs, 5, time.Now())
 					}
 					c.takeover.Install(c.Partitions[partition], replica, nil, mode == "warm")
 				}
@@ -276,7 +276,7 @@
 	}
 	key, value := storage.RunKey(0, "job-1", 0), storage.Encode(record)
 	logError := slog.New(slog.DiscardHandler).Error
-	replica.StartFrom(logError, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
+	replica.ApplyListing(logError, []protocol.Item{{Key: key, Version: 1, Value: value}}, 1, time.Now())
 	b.ReportAllocs()
 	for at := uint64(1); b.Loop(); at++ {
 		if !replica.Apply(logError, at, &protocol.Events{Revision: at + 1, Events: []protocol.Event{{Put: key, Version: at + 1, Value: value}}}, time.Now()) {
@@ -296,7 +296,7 @@
 		if deep {
 			dep = i - 1
 		}
-		s := dependentJob(fmt.Sprintf("job-%d", i), 1, "green", fmt.Sprintf("job-%d", dep))
+		s := newDependentJobSpec(fmt.Sprintf("job-%d", i), 1, "green", fmt.Sprintf("job-%d", dep))
 		s.DeadlineS = 0
 		c.addJob(s)
 	}
@@ -314,7 +314,7 @@
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					// Each has a slightly earlier deadline, so that all jobs change.
-					last := dependentJob(fmt.Sprintf("job-1000000%d", i), 1, "green", fmt.Sprintf("job-%d", n-1))
+					last := newDependentJobSpec(fmt.Sprintf("job-1000000%d", i), 1, "green", fmt.Sprintf("job-%d", n-1))
 					last.DeadlineS = 1e6 - float64(i)/100
 					c.addJob(last)
 				}
@@ -335,7 +335,7 @@
 							c, next = newControllerWithPipeline(b, n, deep), 0
 							b.StartTimer()
 						}
-						c.jobs.SetFinal(fmt.Sprint("job-", next), status, time.Now())
+						c.jobs.SetFinalState(fmt.Sprint("job-", next), status, time.Now())
 						if next++; !deep || status == protocol.StatusCancelled {
 							next = n
 						}
--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -98,6 +98,6 @@
 // FitsOffered reports whether a task fits on an empty machine of a type and the cloud offers that
 // type in the task's zone.
 func FitsOffered(c Constraints, need Resources, t *protocol.MachineType) bool {
-	offered := c.Zone == "" || len(t.ZonesOffered) == 0 || slices.Contains(t.ZonesOffered, c.Zone)
+	offered := c.Zone == "" || len(t.Zones) == 0 || slices.Contains(t.Zones, c.Zone)
 	return offered && FitsType(c, need, t)
 }
--- a/internal/coordination/binpack/binpack_test.go
+++ b/internal/coordination/binpack/binpack_test.go
@@ -8,7 +8,7 @@
 
 // Checks whether tasks fit on machines and machine types, and how many of them.
 func TestFit(t *testing.T) {
-	big := &protocol.MachineType{Name: "big", CPUs: 32, GPUs: 2, MemGB: 64, ZonesOffered: []string{"a"}}
+	big := &protocol.MachineType{Name: "big", CPUs: 32, GPUs: 2, MemGB: 64, Zones: []string{"a"}}
 	small := protocol.MachineType{Name: "small", CPUs: 0.3, MemGB: 1}
 	for name, c := range map[string]struct{ got, want any }{
 		"rounding error in a sum":                {Resources{CPUs: 0.1 + 0.2}.Holds(Resources{CPUs: 0.3}), true},
@@ -32,9 +32,9 @@
 		}
 	}
 	s := Scarcity{}
-	s.Note("big", 3)
-	s.Note("big", 2)
-	s.Note("big", 5)
+	s.Record("big", 3)
+	s.Record("big", 2)
+	s.Record("big", 5)
 	if !s.Contested("big", 3) || s.Contested("big", 2) || s.Contested("small", 9) {
 		t.Error("want big contested for more than 2 types, and small not contested; scarcity:", s)
 	}
--- a/internal/coordination/binpack/types.go
+++ b/internal/coordination/binpack/types.go
@@ -29,8 +29,8 @@
 // how many types the job with the fewest alternatives can run on.
 type Scarcity map[string]int
 
-// Note records that a job fits a machine type, and typeCount types in total.
-func (s Scarcity) Note(machineType string, typeCount int) {
+// Record records that a job fits a machine type, and typeCount types in total.
+func (s Scarcity) Record(machineType string, typeCount int) {
 	if least := s[machineType]; least == 0 || typeCount < least {
 		s[machineType] = typeCount
 	}
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -20,8 +20,8 @@
 func configureLongAnswerBound(sim *simulatedCluster) {
 	sim.cloud.Capacity = 30
 	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
-	sim.settings.Params.Workers.CancelS, sim.settings.Params.Workers.LeaseS = 43, 18
-	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+	sim.settings.Params.AgentTimes.CancelS, sim.settings.Params.AgentTimes.LeaseS = 43, 18
+	sim.taskRunTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
 // The state store refuses the requests of the partition leader only, so that other controllers
@@ -79,10 +79,10 @@
 						case 0:
 							sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = tc.noNotices, tc.watchesStuck })
 						case beforeRefusal:
-							sim.setStateServiceRefusal(leader, true)
+							sim.setStateStoreRefusal(leader, true)
 							if tc.cut {
 								sim.mu.Lock()
-								sim.cut = func(from, host string) bool {
+								sim.dropsMessage = func(from, host string) bool {
 									return host == leader && from[0] == 'n' || from == leader && host[0] == 'n'
 								}
 								sim.mu.Unlock()
@@ -96,10 +96,10 @@
 					sim.setOutage(true)
 					time.Sleep(12 * time.Second)
 					for _, l := range allControllers {
-						sim.setStateServiceRefusal(l, false)
+						sim.setStateStoreRefusal(l, false)
 					}
 					time.Sleep(45 * time.Second)
-					sim.withLock(func() { sim.state.WatchesStuck, sim.cut, sim.suppressNotices = false, nil, false })
+					sim.withLock(func() { sim.state.WatchesStuck, sim.dropsMessage, sim.suppressNotices = false, nil, false })
 					sim.setOutage(false)
 					time.Sleep(30 * time.Second)
 				}
@@ -176,7 +176,7 @@
 				t.Fatalf("%d tasks of job-1 run, want 8", n)
 			}
 			unreachable := sim.machinesRunningAnyOf("job-1")
-			sim.cut = func(_, host string) bool { return unreachable[host] }
+			sim.dropsMessage = func(_, host string) bool { return unreachable[host] }
 			// After the successor has acquired the lease, the shared records are delayed, so that
 			// it still waits for them when it has read those of the partition.
 			sim.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
@@ -269,7 +269,7 @@
 					}
 					unreachable := sim.machinesRunningAnyOf("job-1")
 					if tc.cut {
-						sim.cut = func(_, host string) bool { return unreachable[host] }
+						sim.dropsMessage = func(_, host string) bool { return unreachable[host] }
 					}
 					if tc.inboundLost {
 						sim.inboundLost = unreachable
@@ -324,7 +324,7 @@
 				if sim.leaderOf(partition) == "" && !tc.outage {
 					t.Error("the partition has no leader")
 				}
-				sim.withLock(func() { sim.cut, sim.inboundLost = nil, nil })
+				sim.withLock(func() { sim.dropsMessage, sim.inboundLost = nil, nil })
 				sim.setOutage(false)
 				time.Sleep(30 * time.Second)
 			})
@@ -346,17 +346,17 @@
 			t.Parallel()
 			prepare := func(sim *simulatedCluster) {
 				configureFewSockets(sim)
-				sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+				sim.taskRunTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 			}
 			runConfiguredSimulation(t, 304, prepare, func(sim *simulatedCluster) {
 				partition := sim.startDelegation(8)
 				leader := sim.leaderOf(partition)
 				var delegated, direct int
 				count := func() (delegated, direct int) {
-					sim.forEachWorker(func(agent *agent.Agent) {
+					sim.forEachAgent(func(agent *agent.Agent) {
 						for _, task := range agent.Tasks {
 							if task.Job != "job-0" && task.Job != "job-1" || task.State == protocol.TaskEnded {
-							} else if agent.Controllers[agent.Controller] == leader {
+							} else if agent.Controllers[agent.ControllerIndex] == leader {
 								direct++
 							} else {
 								delegated++
@@ -369,7 +369,7 @@
 				if delegated, direct = count(); delegated == 0 || direct == 0 {
 					t.Fatalf("%d tasks on delegated machines, %d on the leader's, want some on both", delegated, direct)
 				}
-				sim.setStateServiceRefusal(leader, true)
+				sim.setStateStoreRefusal(leader, true)
 				for _, id := range []string{"job-0", "job-1"} {
 					if !sim.cancelAt(sim.otherControllers(leader)[0], id) {
 						t.Fatalf("the cancellation of %s was not confirmed", id)
@@ -386,7 +386,7 @@
 				if tc.noNotices && directLeft == 0 {
 					t.Error("the leader stopped its tasks without a notice")
 				}
-				sim.setStateServiceRefusal(leader, false)
+				sim.setStateStoreRefusal(leader, false)
 				sim.withLock(func() { sim.suppressNotices = false })
 				time.Sleep(25 * time.Second)
 			})
@@ -412,7 +412,7 @@
 			t.Errorf("notices to pass on: %v, want one with an age of 10 s", notices)
 		}
 		for i := range c.Cancellations.Limit + 10 {
-			c.jobs.SetFinal(fmt.Sprintf("job-%d", 10+i), protocol.StatusCancelled, time.Now())
+			c.jobs.SetFinalState(fmt.Sprintf("job-%d", 10+i), protocol.StatusCancelled, time.Now())
 		}
 		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != c.Cancellations.Limit || notices[0].Job != "job-1" {
 			t.Errorf("%d notices to pass on, want as many as the limit, job-1 first", len(notices))
@@ -433,7 +433,7 @@
 		sim.withLock(func() {
 			sim.cloud.Capacity = 2 // for four tasks at a time
 			sim.cloud.Types = sim.cloud.Types[:1]
-			sim.runTime = func(string, int, string) time.Duration { return 20 * time.Second }
+			sim.taskRunTime = func(string, int, string) time.Duration { return 20 * time.Second }
 		})
 		first, second := newJobSpec("job-1", 4, "green"), newJobSpec("job-2", 4, "green")
 		first.Urgency = protocol.High
--- a/internal/coordination/cloudclient/client.go
+++ b/internal/coordination/cloudclient/client.go
@@ -54,7 +54,7 @@
 		loop:     loop,
 		network:  network,
 		limiter:  rate.NewLimiter(rate.Limit(set.Params.Cloud.RPS*rateLimitFraction), rateBurst),
-		circuit:  retry.CircuitBreaker{After: failureThreshold, OpenTime: circuitOpenTime, Who: set.Label + " cloud"},
+		circuit:  retry.CircuitBreaker{FailureThreshold: failureThreshold, OpenTime: circuitOpenTime, JitterKey: set.Label + " cloud"},
 	}
 }
 
--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -10,8 +10,8 @@
 // group is a team or a class. Groups are numbered from 1: first the teams, in the order of
 // the settings, then the classes, in the order in which this controller first saw them.
 type FairShareState struct {
-	// DecidedAt is when the reservations were last computed.
-	DecidedAt time.Time
+	// ComputedAt is when the reservations were last computed.
+	ComputedAt time.Time
 	// Shares are the fractions of the machines that are reserved for groups, by group; nil
 	// if no group is starved.
 	Shares []float64
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -116,7 +116,7 @@
 
 // NewState returns the state of a controller that has not read any records yet.
 func NewState(set *settings.Settings, operator settings.Operator) *State {
-	workers := set.Params.Workers
+	workers := set.Params.AgentTimes
 	s := &State{
 		Settings:  set,
 		Operator:  operator,
@@ -124,10 +124,10 @@
 		StartedAt: time.Now(),
 
 		TeamIndex:         map[string]int{},
-		TeamPartition:     partition.Assign(set.Params.Teams, set.Params.Count),
+		TeamPartition:     partition.Assign(set.Params.Teams, set.Params.ControllerCount),
 		AgentLease:        settings.Seconds(workers.LeaseS),
 		CancelBound:       settings.Seconds(workers.CancelS),
-		HeartbeatInterval: settings.Seconds(workers.ReportS),
+		HeartbeatInterval: settings.Seconds(workers.HeartbeatS),
 
 		Jobs:                 map[string]*Job{},
 		FinalStates:          map[string]string{},
@@ -163,7 +163,7 @@
 
 // addPartitions adds the partitions, one for each controller.
 func (s *State) addPartitions() {
-	for i := range s.Settings.Params.Count {
+	for i := range s.Settings.Params.ControllerCount {
 		s.Partitions = append(s.Partitions, &Partition{
 			Index:       i,
 			Wakeup:      make(chan struct{}, 1),
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -260,7 +260,7 @@
 		return
 	}
 	id := job.Spec.ID
-	b.put(storage.FinalKey(id), 0, storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})
+	b.put(storage.FinalKey(id), 0, storage.FinalRecord{Status: protocol.StatusDone, AtMS: now.UnixMilli()})
 	b.completions = append(b.completions, job)
 	for _, chunk := range job.Chunks {
 		if chunk.Unconfirmed || len(b.txn.Then) >= opsLimit {
--- a/internal/coordination/commit/collaborators.go
+++ b/internal/coordination/commit/collaborators.go
@@ -9,8 +9,8 @@
 
 // Agents sends commands to agents and owns the attempts on machines.
 type Agents interface {
-	// MachineRecorded applies a revision of a machine's record.
-	MachineRecorded(name string, record storage.Machine, revision uint64, now time.Time)
+	// ApplyMachineRecord applies a revision of a machine's record.
+	ApplyMachineRecord(name string, record storage.Machine, revision uint64, now time.Time)
 	// ReleaseAttempt releases an attempt that has provably ended without a result.
 	ReleaseAttempt(attempt *cluster.Attempt, reason string, now time.Time)
 	// SendCommands sends the pending commands to a machine's agent, one request at a time.
@@ -22,8 +22,8 @@
 
 // Leases holds the partition leases of this controller.
 type Leases interface {
-	// LosePartition gives up the leadership of a partition.
-	LosePartition(partition *cluster.Partition, reason string)
+	// StopLeading gives up the leadership of a partition.
+	StopLeading(partition *cluster.Partition, reason string)
 }
 
 // Scheduler places tasks on machines.
@@ -43,7 +43,7 @@
 	ApplyFinalRecord(id string, raw []byte)
 	// DropIfReleased forgets a job that has ended, once it holds no resources and no records.
 	DropIfReleased(job *cluster.Job)
-	// SetFinal sets the final state of a job. at is the earliest time at which it may have
+	// SetFinalState sets the final state of a job. at is the earliest time at which it may have
 	// ended.
-	SetFinal(id, status string, at time.Time)
+	SetFinalState(id, status string, at time.Time)
 }
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -58,7 +58,7 @@
 // CommitLoop writes a partition's records, one transaction at a time, until the loop's context
 // ends.
 func (c *Committer) CommitLoop(partition *cluster.Partition) {
-	tries := c.loop.Tries("commit "+strconv.Itoa(partition.Index), commitBackoff)
+	tries := c.loop.NewRetryCounter("commit "+strconv.Itoa(partition.Index), commitBackoff)
 	for {
 		select {
 		case <-partition.Wakeup:
@@ -73,7 +73,7 @@
 
 // commitPending writes batches until there is nothing more to write, and reads back the run records
 // whose writes were not answered. It returns false if the loop's context ends.
-func (c *Committer) commitPending(partition *cluster.Partition, tries *retry.Tries) bool {
+func (c *Committer) commitPending(partition *cluster.Partition, tries *retry.FailureCounter) bool {
 	for {
 		next, unconfirmed := c.nextBatch(partition)
 		if len(unconfirmed) > 0 && !c.rereadChunks(partition, unconfirmed) && !c.loop.Sleep(tries.Failed()) {
@@ -125,7 +125,7 @@
 // because users are waiting for them.
 func (c *Committer) sendBatch(ctx context.Context, b *batch) (revision uint64, err error) {
 	if len(b.cancellations) > 0 {
-		return c.store.CommitAhead(ctx, &b.txn)
+		return c.store.CommitPriority(ctx, &b.txn)
 	}
 	return c.store.Commit(ctx, &b.txn)
 }
@@ -141,11 +141,11 @@
 	c.sendStarts(b.starts, now)
 	for _, machine := range b.tokenRaises {
 		if c.Machines[machine.Name] == machine {
-			c.agents.MachineRecorded(machine.Name, machine.Record, revision, now)
+			c.agents.ApplyMachineRecord(machine.Name, machine.Record, revision, now)
 		}
 	}
 	for _, job := range b.cancellations {
-		c.jobs.SetFinal(job.Spec.ID, protocol.StatusCancelled, now)
+		c.jobs.SetFinalState(job.Spec.ID, protocol.StatusCancelled, now)
 	}
 	for _, job := range b.completions {
 		c.handleJobDone(job, now)
@@ -195,5 +195,5 @@
 		c.metrics.Count(telemetry.JobLate, 1)
 	}
 	c.log.Info("job done", "job", job.Spec.ID, "class", job.Spec.Class, "count", job.Spec.Tasks, "after", after, "deadline_s", job.Spec.DeadlineS)
-	c.jobs.SetFinal(job.Spec.ID, protocol.StatusDone, now)
+	c.jobs.SetFinalState(job.Spec.ID, protocol.StatusDone, now)
 }
--- a/internal/coordination/commit/failures.go
+++ b/internal/coordination/commit/failures.go
@@ -39,7 +39,7 @@
 		switch kind, id := storage.ParseKey(key); kind {
 		case storage.KindLease:
 			if b.leaseRevision() == partition.LeaseRevision {
-				c.leases.LosePartition(partition, "lease revision changed")
+				c.leases.StopLeading(partition, "lease revision changed")
 			}
 		case storage.KindFinal:
 			c.loop.Go(func() { c.readFinal(id) })
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -30,7 +30,7 @@
 		sim.onRequest = func(sender, host, target string, body []byte) bool {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			if sender != from || target != "/orders" || sim.workers[host] == nil || commandOps(body)[fenceOp] {
+			if sender != from || target != "/orders" || sim.agents[host] == nil || commandOps(body)[fenceOp] {
 				return false
 			}
 			*captured = append(*captured, capturedCommands{host, body})
@@ -46,11 +46,11 @@
 	applied, refused = map[string]int{}, map[string]int{}
 	for _, message := range messages {
 		var agent *agent.Agent
-		sim.withLock(func() { agent = sim.workers[message.machine] })
+		sim.withLock(func() { agent = sim.agents[message.machine] })
 		if agent == nil {
 			continue
 		}
-		resp := sim.serveWorker(agent, "/orders", message.body)
+		resp := sim.deliverToAgent(agent, "/orders", message.body)
 		for op := range commandOps(message.body) {
 			if resp != nil && resp.Status == 200 {
 				applied[op]++
@@ -120,7 +120,7 @@
 			sim.onRequest = func(_, host, target string, body []byte) bool {
 				sim.mu.Lock()
 				defer sim.mu.Unlock()
-				if target == "/orders" && sim.workers[host] != nil && commandOps(body)[fenceOp] && firstFence != nil {
+				if target == "/orders" && sim.agents[host] != nil && commandOps(body)[fenceOp] && firstFence != nil {
 					close(firstFence)
 					firstFence = nil
 				}
@@ -216,7 +216,7 @@
 	{name: "responses to commands are lost while jobs are cancelled and the leader is killed", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 9*time.Second)
 		partition := sim.partitionOf("green")
-		sim.withLock(func() { sim.delayedCommands = &commandDelayFault{share: 0.7, loseAnswersOnly: true} })
+		sim.withLock(func() { sim.delayedCommands = &commandDelayFault{rate: 0.7, loseResponsesOnly: true} })
 		lostAnswers := func() (starts, stops, reaps int) {
 			return sim.faultCount("late start applied"), sim.faultCount("late stop applied"), sim.faultCount("late reap applied")
 		}
@@ -310,7 +310,7 @@
 		return nil
 	}, finishWithin: 5 * time.Minute},
 	{name: "jobs bound to a zone lose machines at full capacity, and the leader is killed", prepare: func(sim *simulatedCluster) {
-		sim.cloud.Types[1].ZonesOffered = []string{"a"}
+		sim.cloud.Types[1].Zones = []string{"a"}
 	}, run: func(sim *simulatedCluster) error {
 		sim.setRunTime(25 * time.Second)
 		partition := sim.partitionOf("green")
@@ -335,7 +335,7 @@
 // and cancelled and machines are preempted.
 func delayHalfOfCommands(sim *simulatedCluster) error {
 	sim.withLock(func() {
-		sim.runTime = func(job string, task int, _ string) time.Duration {
+		sim.taskRunTime = func(job string, task int, _ string) time.Duration {
 			return time.Duration(4+(len(job)+task*5)%16) * time.Second
 		}
 	})
@@ -356,7 +356,7 @@
 		if at := time.Since(begun); at > 10*time.Second && at < 70*time.Second {
 			sim.withLock(func() {
 				if sim.delayedCommands == nil {
-					sim.delayedCommands = &commandDelayFault{share: 0.5}
+					sim.delayedCommands = &commandDelayFault{rate: 0.5}
 				}
 			})
 		} else {
@@ -377,11 +377,11 @@
 		}
 		if i%20 == 10 {
 			sim.withLock(func() {
-				names := slices.Sorted(maps.Keys(sim.workers))
+				names := slices.Sorted(maps.Keys(sim.agents))
 				for _, name := range names[:len(names)/5] {
 					notice := time.Now().Add(15 * time.Second)
-					if agent := sim.workers[name]; agent.PreemptedAt == nil && agent.Spot {
-						agent.PreemptedAt = &notice
+					if agent := sim.agents[name]; agent.PreemptAt == nil && agent.Spot {
+						agent.PreemptAt = &notice
 						sim.group.Go(func() {
 							time.Sleep(15 * time.Second)
 							sim.withLock(func() {
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -90,8 +90,8 @@
 	}
 	sim.withLock(func() {
 		for machine := range sim.machinesRunningAnyOf(jobs...) {
-			sim.workers[machine].PowerOff()
-			delete(sim.workers, machine)
+			sim.agents[machine].PowerOff()
+			delete(sim.agents, machine)
 		}
 	})
 	return hit
@@ -104,7 +104,7 @@
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
-		sim.withLock(func() { sim.duplicatedHeartbeatShare, sim.keepForReplay = 1, true })
+		sim.withLock(func() { sim.duplicatedHeartbeatRate, sim.keepForReplay = 1, true })
 		time.Sleep(3 * time.Second)
 		// The lease of one machine expires, so that some of the kept heartbeats are from its
 		// previous epoch.
@@ -112,7 +112,7 @@
 		sim.withLock(func() { expired = sim.machinesRunning("job-100")[0] })
 		sim.hangMachine(expired, 10*time.Second)
 		time.Sleep(11 * time.Second)
-		sim.withLock(func() { sim.duplicatedHeartbeatShare = 0 })
+		sim.withLock(func() { sim.duplicatedHeartbeatRate = 0 })
 		sim.killController(leader)
 		sim.waitForLeaseChange(partition)
 		sim.replayHeartbeats()
@@ -127,7 +127,7 @@
 	{name: "duplicated heartbeats arrive late during failovers", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(4, 4, "green", 30*time.Second)
 		partition := sim.partitionOf("green")
-		sim.withLock(func() { sim.duplicatedHeartbeatShare = 0.6 })
+		sim.withLock(func() { sim.duplicatedHeartbeatRate = 0.6 })
 		for range 2 {
 			time.Sleep(5 * time.Second)
 			leader := sim.leaderOf(partition)
@@ -135,7 +135,7 @@
 			sim.waitForNewLeader(partition, leader)
 			sim.startController(leader)
 		}
-		sim.withLock(func() { sim.duplicatedHeartbeatShare = 0 })
+		sim.withLock(func() { sim.duplicatedHeartbeatRate = 0 })
 		time.Sleep(14 * time.Second)
 		if n := sim.faultCount("replayed heartbeat"); n < 10 {
 			return fmt.Errorf("%d replayed heartbeats", n)
@@ -205,10 +205,10 @@
 		leader := sim.leaderOf(partition)
 		inside := map[string]bool{}
 		sim.withLock(func() {
-			for name, agent := range sim.workers {
+			for name, agent := range sim.agents {
 				inside[name] = agent.Zone == "a"
 			}
-			sim.cut = func(from, host string) bool {
+			sim.dropsMessage = func(from, host string) bool {
 				in := from == leader || inside[from]
 				to := host == leader || inside[host]
 				return in != to
@@ -217,7 +217,7 @@
 		successor := sim.waitForNewLeader(partition, leader)
 		cancelled := sim.cancelAt(successor, ids[0])
 		time.Sleep(25 * time.Second)
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 		if !cancelled || len(inside) == 0 {
 			return fmt.Errorf("cancellation answered: %v, %d machines", cancelled, len(inside))
 		}
@@ -226,14 +226,14 @@
 	{name: "late transactions of a leader that restarts", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
 		// All writes of this job's record are delivered late; the first to arrive is applied.
-		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, writeOfJob })
+		sim.withLock(func() { sim.lateTransactionRate, sim.lateTransactionKind = 1, writeOfJob })
 		sim.group.Go(func() { sim.submit(newJobSpec("job-99", 3, "green")) })
 		for range 30 {
 			if time.Sleep(500 * time.Millisecond); sim.faultCount("late transaction applied") > 0 {
 				break
 			}
 		}
-		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 0.5, "" })
+		sim.withLock(func() { sim.lateTransactionRate, sim.lateTransactionKind = 0.5, "" })
 		for i := range 8 {
 			sim.group.Go(func() { sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 3, "green")) })
 		}
@@ -246,7 +246,7 @@
 			}
 		}
 		time.Sleep(4 * time.Second)
-		sim.withLock(func() { sim.lateTransactionShare = 0 })
+		sim.withLock(func() { sim.lateTransactionRate = 0 })
 		time.Sleep(13 * time.Second)
 		if done, refused := sim.faultCount("late transaction applied"), sim.faultCount("late transaction refused"); done < 1 || refused < 3 {
 			return fmt.Errorf("%d late transactions applied, %d refused", done, refused)
@@ -262,12 +262,12 @@
 			if leader == "" {
 				leader = sim.waitForNewLeader(partition, "")
 			}
-			sim.withLock(func() { sim.lateTransactionShare, sim.loseAnswersOnly = 0.5, true })
+			sim.withLock(func() { sim.lateTransactionRate, sim.loseResponsesOnly = 0.5, true })
 			sim.group.Go(func() { sim.handOverAndRestart(leader) })
 			for i := range 4 {
 				time.Sleep(40 * time.Millisecond)
 				if i == 1 {
-					sim.withLock(func() { sim.lateTransactionShare = 0 })
+					sim.withLock(func() { sim.lateTransactionRate = 0 })
 				}
 				if sim.leaderOf(partition) != leader {
 					betweenLeaders++
@@ -313,14 +313,14 @@
 	{name: "all controllers are down for longer than the lease, one restarts a second before the others", run: func(sim *simulatedCluster) error {
 		sim.startLongJobs(3, 4, "green", 40*time.Second)
 		epochSum := func() (n uint64) {
-			sim.forEachWorker(func(agent *agent.Agent) { n += agent.Epoch })
+			sim.forEachAgent(func(agent *agent.Agent) { n += agent.Epoch })
 			return n
 		}
 		before := epochSum()
 		for _, l := range sim.otherControllers("") {
 			sim.killController(l)
 		}
-		time.Sleep(settings.Seconds(sim.settings.Params.Workers.LeaseS) + 3*time.Second)
+		time.Sleep(settings.Seconds(sim.settings.Params.AgentTimes.LeaseS) + 3*time.Second)
 		for _, l := range []string{"n1", "n0", "n2"} {
 			sim.startController(l)
 			time.Sleep(time.Second)
@@ -331,7 +331,7 @@
 		return nil
 	}},
 	{name: "machines boot before their records are written, and the cluster leader is killed", prepare: func(sim *simulatedCluster) { sim.bootDelay = 300 * time.Millisecond }, run: func(sim *simulatedCluster) error {
-		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 1, writeOfMachine })
+		sim.withLock(func() { sim.lateTransactionRate, sim.lateTransactionKind = 1, writeOfMachine })
 		for i := range 4 {
 			sim.group.Go(func() { sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 6, "green")) })
 		}
@@ -339,7 +339,7 @@
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
 			sim.withLock(func() {
-				for name := range sim.workers {
+				for name := range sim.agents {
 					if _, ok := sim.state.Items["w/m/"+name]; !ok {
 						withoutRecord++
 					}
@@ -351,7 +351,7 @@
 			sim.killController(leader)
 		}
 		time.Sleep(6 * time.Second)
-		sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 0, "" })
+		sim.withLock(func() { sim.lateTransactionRate, sim.lateTransactionKind = 0, "" })
 		if leader != "" {
 			sim.startController(leader)
 		}
@@ -363,7 +363,7 @@
 	{name: "tasks of small jobs end before and after two failovers", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
 		sim.withLock(func() {
-			sim.runTime = func(_ string, task int, _ string) time.Duration { return time.Duration(6+14*task) * time.Second }
+			sim.taskRunTime = func(_ string, task int, _ string) time.Duration { return time.Duration(6+14*task) * time.Second }
 		})
 		for i := range 6 {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 2+i%2, "green")
@@ -495,7 +495,7 @@
 			if i == 0 {
 				dependency = "job-100"
 			}
-			sim.submit(dependentJob(fmt.Sprintf("job-%d", i), 1, "green", dependency))
+			sim.submit(newDependentJobSpec(fmt.Sprintf("job-%d", i), 1, "green", dependency))
 		}
 		leader := sim.leaderOf(partition)
 		other := sim.otherControllers(leader)[0]
@@ -542,9 +542,9 @@
 		refused := 0
 		for machine, body := range withheld {
 			var agent *agent.Agent
-			sim.withLock(func() { agent = sim.workers[machine] })
+			sim.withLock(func() { agent = sim.agents[machine] })
 			if agent != nil {
-				if resp := sim.serveWorker(agent, "/orders", body); resp != nil && resp.Status == 409 {
+				if resp := sim.deliverToAgent(agent, "/orders", body); resp != nil && resp.Status == 409 {
 					refused++
 				}
 			}
@@ -581,7 +581,7 @@
 				if err := combination.run(sim); err != nil {
 					t.Errorf("the faults did not coincide: %v", err)
 				}
-				sim.withLock(func() { sim.cancelAtEnd, sim.lateTransactionShare, sim.duplicatedHeartbeatShare = nil, 0, 0 })
+				sim.withLock(func() { sim.cancelAtEnd, sim.lateTransactionRate, sim.duplicatedHeartbeatRate = nil, 0, 0 })
 				limit := combination.finishWithin
 				if limit == 0 {
 					limit = 3 * time.Minute
--- a/internal/coordination/connections.go
+++ b/internal/coordination/connections.go
@@ -4,10 +4,12 @@
 	"micaspindle/internal/telemetry"
 )
 
-// NotePeerConnectionRefused records that a connection from another controller was closed on
+// RecordRefusedPeerConnection records that a connection from another controller was closed on
 // arrival because there are too many connections.
-func (c *Controller) NotePeerConnectionRefused() { c.bounds.Met(telemetry.PeerConnections, 1) }
+func (c *Controller) RecordRefusedPeerConnection() {
+	c.bounds.ReportExceeded(telemetry.PeerConnections, 1)
+}
 
-// NoteUserConnectionRefused records that a connection from an agent or a user was closed on
+// RecordRefusedUserConnection records that a connection from an agent or a user was closed on
 // arrival because there are too many connections.
-func (c *Controller) NoteUserConnectionRefused() { c.bounds.Met(telemetry.Connections, 1) }
+func (c *Controller) RecordRefusedUserConnection() { c.bounds.ReportExceeded(telemetry.Connections, 1) }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -67,9 +67,9 @@
 	params := set.Params
 	state := cluster.NewState(set, operator)
 	loop := eventloop.New(ctx, set.Label)
-	store := storage.NewStore(network, set.Services.State, params.State, params.Count)
+	store := storage.NewStore(network, set.Services.State, params.State, params.ControllerCount)
 	bounds := telemetry.NewBoundReporter(log)
-	store.OnPollRefused = func() { bounds.Met(telemetry.WaitingPolls, 1) }
+	store.OnPollRefused = func() { bounds.ReportExceeded(telemetry.WaitingPolls, 1) }
 	c := &Controller{
 		State: state, loop: loop, store: store, log: log, bounds: bounds,
 		scheduler:  scheduler.New(state, store, log, bounds),
@@ -109,7 +109,7 @@
 }
 
 // EnableAuth makes the controller authenticate and authorize requests. It is called before Run.
-func (c *Controller) EnableAuth(identities auth.Identities) error { return c.auth.Enable(identities) }
+func (c *Controller) EnableAuth(identities auth.Config) error { return c.auth.Enable(identities) }
 
 // observer is a component that has metrics.
 type observer interface{ Observe(*telemetry.Metrics) }
@@ -152,7 +152,7 @@
 		c.loop.Go(func() { c.auth.RunAudit(c.loop.Context()) })
 	}
 	for label := range c.Peers {
-		c.loop.Go(func() { c.peering.PeerLoop(label) })
+		c.loop.Go(func() { c.peering.SummaryLoop(label) })
 	}
 	for _, p := range c.Partitions {
 		c.loop.Go(func() { c.committer.CommitLoop(p) })
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -31,8 +31,8 @@
 	runSimulation(t, 4, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		s := newJobSpec("job-1", 2, "blue")
-		s.Standing, s.EstimateS, s.DeadlineS = true, 0, 0
-		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+		s.Service, s.EstimateS, s.DeadlineS = true, 0, 0
+		sim.taskRunTime = func(string, int, string) time.Duration { return time.Hour }
 		sim.submit(s)
 		time.Sleep(30 * time.Second)
 		if st := sim.poll("", "job-1"); st != protocol.StatusRunning {
@@ -66,27 +66,27 @@
 			}
 		}
 		// Heartbeats are lost as well, so that they do not reveal that the task did not start.
-		sim.cut = func(_, host string) bool { return machine != "" && host == machine }
+		sim.dropsMessage = func(_, host string) bool { return machine != "" && host == machine }
 		sim.mu.Unlock()
 		sim.setRunTime(time.Hour)
 		sim.submit(newJobSpec("job-2", 1, "blue"))
 		time.Sleep(3 * time.Second)
 		sim.cancelJob("job-2")
 		sim.mu.Lock()
-		sim.cut, sim.interceptCommands = nil, nil
+		sim.dropsMessage, sim.interceptCommands = nil, nil
 		if len(withheld) == 0 {
 			t.Fatal("no start command was withheld")
 		}
 		sim.mu.Unlock()
 		time.Sleep(6 * time.Second)
 		sim.mu.Lock()
-		agent := sim.workers[machine]
+		agent := sim.agents[machine]
 		if agent == nil {
 			sim.mu.Unlock()
 			return // the machine was deleted, which also prevents the start
 		}
 		sim.mu.Unlock()
-		resp := sim.serveWorker(agent, "/orders", protocol.Encode(withheld[0]))
+		resp := sim.deliverToAgent(agent, "/orders", protocol.Encode(withheld[0]))
 		if resp.Status == 200 {
 			t.Error("the agent executed the late start of a cancelled job")
 		}
@@ -100,7 +100,7 @@
 	t.Parallel()
 	runSimulation(t, 14, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.withLock(func() { sim.cut = func(from, host string) bool { return from == "n0" && host == "state" } })
+		sim.withLock(func() { sim.dropsMessage = func(from, host string) bool { return from == "n0" && host == "state" } })
 		for _, wait := range []time.Duration{0, 3 * time.Second} {
 			time.Sleep(wait)
 			start := time.Now()
@@ -116,7 +116,7 @@
 		if resp := sim.sendRequest("n0", "GET", "/healthz", nil); resp.Status != 503 {
 			t.Errorf("health check of the only controller cut off from the state store: status %d, want 503", resp.Status)
 		}
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 	})
 }
 
@@ -131,7 +131,7 @@
 		tooLarge := newJobSpec("job-9", 1, "green")
 		tooLarge.CPUs = 1000
 		overLimit := newJobSpec("job-9", 10, "red")
-		overLimit.Standing = true
+		overLimit.Service = true
 		oddZone := newJobSpec("job-9", 1, "green")
 		oddZone.Types, oddZone.Zone = []string{"big"}, "b"
 		for _, tc := range []struct {
--- a/internal/coordination/delegation_faults_test.go
+++ b/internal/coordination/delegation_faults_test.go
@@ -90,7 +90,7 @@
 		"machines hang": {func(sim *simulatedCluster, _, _ string) {
 			hang := func(on bool) {
 				n := 0
-				sim.forEachWorker(func(agent *agent.Agent) {
+				sim.forEachAgent(func(agent *agent.Agent) {
 					if n++; n%3 == 0 {
 						agent.Hung = on
 					}
@@ -120,7 +120,7 @@
 					}
 				})
 				if time.Sleep(12 * time.Second); f.keepsEpochs {
-					sim.forEachWorker(func(agent *agent.Agent) {
+					sim.forEachAgent(func(agent *agent.Agent) {
 						if agent.Epoch != 1 {
 							t.Errorf("the lease of %s expired: epoch %d, want 1", agent.Name, agent.Epoch)
 						}
@@ -149,9 +149,9 @@
 					time.Sleep(1900 * time.Millisecond) // until the delegate's grants are about to expire
 				}
 				var silent *agent.Agent
-				sim.forEachWorker(func(agent *agent.Agent) {
+				sim.forEachAgent(func(agent *agent.Agent) {
 					// The machine that was answered last has the lease that expires last.
-					if agent.Controllers[agent.Controller] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseRenewedAt.After(silent.LeaseRenewedAt)) {
+					if agent.Controllers[agent.ControllerIndex] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseRenewedAt.After(silent.LeaseRenewedAt)) {
 						silent = agent
 					}
 				})
@@ -160,7 +160,7 @@
 				}
 				sim.mu.Lock()
 				silent.Hung = true
-				name, from, lease := silent.Name, silent.LeaseRenewedAt, silent.Lease
+				name, from, lease := silent.Name, silent.LeaseRenewedAt, silent.LeaseDuration
 				sim.mu.Unlock()
 				if scenario == "the delegate is killed" {
 					sim.killController(delegate)
@@ -172,7 +172,7 @@
 				if took := time.Since(from); took <= lease || took > lease+7*time.Second {
 					t.Errorf("declared lost %s after its lease of %s began", took, lease)
 				}
-				sim.forEachWorker(func(agent *agent.Agent) { agent.Hung = false })
+				sim.forEachAgent(func(agent *agent.Agent) { agent.Hung = false })
 				if scenario == "the delegate is killed" {
 					sim.startController(delegate)
 				}
@@ -188,12 +188,12 @@
 	t.Parallel()
 	runConfiguredSimulation(t, 740, func(sim *simulatedCluster) {
 		configureFewSockets(sim)
-		sim.runTime = func(string, int, string) time.Duration { return 8 * time.Minute }
+		sim.taskRunTime = func(string, int, string) time.Duration { return 8 * time.Minute }
 	}, func(sim *simulatedCluster) {
 		partition := sim.startDelegation(3)
 		leader := sim.leaderOf(partition)
 		starts := map[string]int{}
-		sim.forEachWorker(func(agent *agent.Agent) { starts[agent.Name] = agent.Starts })
+		sim.forEachAgent(func(agent *agent.Agent) { starts[agent.Name] = agent.TasksStarted })
 		others := slices.DeleteFunc([]string{"n0", "n1", "n2"}, func(l string) bool { return l == leader })
 		moves := 0
 		for round := range 50 {
@@ -206,7 +206,7 @@
 						moves++
 					}
 				}
-				c.proxy.MovedAt = time.Now()
+				c.proxy.ShardMovedAt = time.Now()
 			})
 			time.Sleep(1500 * time.Millisecond)
 			switch round % 10 {
@@ -220,9 +220,9 @@
 				sim.pauseController(leader, time.Second)
 			}
 		}
-		sim.forEachWorker(func(agent *agent.Agent) {
-			if agent.Epoch != 1 || agent.Starts != starts[agent.Name] {
-				t.Errorf("%s: epoch %d, want 1; %d repeated starts, want 0", agent.Name, agent.Epoch, agent.Starts-starts[agent.Name])
+		sim.forEachAgent(func(agent *agent.Agent) {
+			if agent.Epoch != 1 || agent.TasksStarted != starts[agent.Name] {
+				t.Errorf("%s: epoch %d, want 1; %d repeated starts, want 0", agent.Name, agent.Epoch, agent.TasksStarted-starts[agent.Name])
 			}
 		})
 		t.Logf("%d shards were moved", moves)
@@ -267,7 +267,7 @@
 			t.Error("no shards are delegated although no controller of an old version runs")
 		}
 		sim.waitForAllJobs(4 * time.Minute)
-		sim.forEachWorker(func(agent *agent.Agent) {
+		sim.forEachAgent(func(agent *agent.Agent) {
 			if agent.Epoch != 1 {
 				t.Errorf("the lease of %s expired: epoch %d, want 1", agent.Name, agent.Epoch)
 			}
@@ -285,7 +285,7 @@
 			renewals := 0
 			runConfiguredSimulation(t, 20_000+seed, func(sim *simulatedCluster) {
 				announceLowerLimits(sim)
-				sim.settings.Params.MachineLimits.Sockets = 8
+				sim.settings.Params.ProcessLimits.Sockets = 8
 				sim.onRequest = func(_, _, target string, _ []byte) bool {
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -16,8 +16,8 @@
 	"micaspindle/internal/storage"
 )
 
-// dependentJob returns a job that depends on others.
-func dependentJob(id string, tasks int, team string, dependencies ...string) *protocol.JobSpec {
+// newDependentJobSpec returns a job that depends on others.
+func newDependentJobSpec(id string, tasks int, team string, dependencies ...string) *protocol.JobSpec {
 	s := newJobSpec(id, tasks, team)
 	s.Dependencies = dependencies
 	return s
@@ -39,10 +39,10 @@
 		time.Sleep(2 * time.Second)
 		sim.submit(newJobSpec("job-1", 1, "red"))
 		service := newJobSpec("job-2", 1, "blue")
-		service.Standing, service.EstimateS, service.DeadlineS = true, 0, 0
+		service.Service, service.EstimateS, service.DeadlineS = true, 0, 0
 		sim.submit(service)
 		cancelled := newJobSpec("job-3", 1, "blue")
-		cancelled.Standing, cancelled.EstimateS, cancelled.DeadlineS = true, 0, 0
+		cancelled.Service, cancelled.EstimateS, cancelled.DeadlineS = true, 0, 0
 		sim.submit(cancelled)
 		sim.cancelJob("job-3")
 		time.Sleep(2 * time.Second)
@@ -100,14 +100,14 @@
 			if r := sim.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
 				t.Fatalf("the submission of the dependency got status %d, want 201", r.Status)
 			}
-			if r := sim.sendRequest(allControllers[(i+1)%3], "POST", "/submissions", encodeSubmission(dependentJob(b, 1, "blue", a))); r.Status != 201 {
+			if r := sim.sendRequest(allControllers[(i+1)%3], "POST", "/submissions", encodeSubmission(newDependentJobSpec(b, 1, "blue", a))); r.Status != 201 {
 				t.Errorf("a dependency on a job that was just accepted: status %d %q, want 201", r.Status, r.Body)
 			}
 		}
 		// If a dependency cannot be looked up, the refusal is temporary.
 		sim.setOutage(true)
 		begun := time.Now()
-		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(dependentJob("job-70", 1, "red", "job-999")))
+		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(newDependentJobSpec("job-70", 1, "red", "job-999")))
 		if resp.Status != 503 || resp.RetryAfter == 0 || time.Since(begun) > time.Second {
 			t.Errorf("a dependency that cannot be looked up: status %d, Retry-After %d, after %s; want 503 with Retry-After within 1 s", resp.Status, resp.RetryAfter, time.Since(begun))
 		}
@@ -122,9 +122,9 @@
 	runSimulation(t, 31, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		sim.submit(newJobSpec("job-1", 6, "red"))
-		sim.submit(dependentJob("job-2", 70, "green", "job-1"))
-		sim.submit(dependentJob("job-3", 3, "blue", "job-1"))
-		sim.submit(dependentJob("job-4", 2, "red", "job-2", "job-3"))
+		sim.submit(newDependentJobSpec("job-2", 70, "green", "job-1"))
+		sim.submit(newDependentJobSpec("job-3", 3, "blue", "job-1"))
+		sim.submit(newDependentJobSpec("job-4", 2, "red", "job-2", "job-3"))
 		for i := range 40 {
 			time.Sleep(time.Second)
 			for _, id := range []string{"job-2", "job-4"} {
@@ -148,7 +148,7 @@
 	c, p := newLeadingController(t)
 	c.addMachine(p, "m-1", "big")
 	first := c.addJob(newJobSpec("job-1", 1, "green"))
-	urgent := dependentJob("job-2", 4, "green", "job-1")
+	urgent := newDependentJobSpec("job-2", 4, "green", "job-1")
 	urgent.Urgency = protocol.Production
 	urgent.CPUs, urgent.Types = 32, []string{"big"}
 	j := c.addJob(urgent)
@@ -167,7 +167,7 @@
 	if s := c.scheduler.Scarcity(now); s.Contested("big", 2) {
 		t.Error("a machine type counts as contested for a blocked job")
 	}
-	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
+	c.jobs.SetFinalState("job-1", protocol.StatusDone, time.Now())
 	if j.Blocked || j.ReadySince().Before(now) {
 		t.Errorf("with its dependency done, the job has blocked = %v and is ready since %s", j.Blocked, j.ReadySince())
 	}
@@ -182,7 +182,7 @@
 	t.Parallel()
 	c, _ := newLeadingController(t)
 	plain := func(id string, dependencies ...string) *protocol.JobSpec {
-		s := dependentJob(id, 1, "green", dependencies...) // 6 s each
+		s := newDependentJobSpec(id, 1, "green", dependencies...) // 6 s each
 		s.DeadlineS, s.Urgency = 0, protocol.Low
 		return s
 	}
@@ -206,18 +206,18 @@
 	expectDeadline(b, 54)
 	expectDeadline(a, 48)
 	// A dependent job is added after one of its dependencies has ended.
-	c.jobs.SetFinal("job-1", protocol.StatusDone, time.Now())
+	c.jobs.SetFinalState("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
 	c.addJob(sooner)
 	expectDeadline(b, 24)
-	c.jobs.SetFinal("job-4", protocol.StatusCancelled, time.Now())
+	c.jobs.SetFinalState("job-4", protocol.StatusCancelled, time.Now())
 	expectDeadline(b, 54)
-	c.jobs.SetFinal("job-3", protocol.StatusCancelled, time.Now())
+	c.jobs.SetFinalState("job-3", protocol.StatusCancelled, time.Now())
 	if _, ok := b.Deadline(); ok || b.Urgency() != protocol.Low {
 		t.Error("an inherited deadline or urgency remains after the dependent job is cancelled")
 	}
-	c.jobs.SetFinal("job-2", protocol.StatusDone, time.Now())
+	c.jobs.SetFinalState("job-2", protocol.StatusDone, time.Now())
 	if n := len(c.Dependencies.NodeByJob) + len(c.Dependencies.JobsToCancel); n > 0 || len(c.Dependencies.FreeNodes) != len(c.Dependencies.Nodes) {
 		t.Errorf("%d jobs are left in the graph", n)
 	}
@@ -346,13 +346,13 @@
 				}
 			}, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
-				sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+				sim.taskRunTime = func(string, int, string) time.Duration { return time.Hour }
 				teams := allTeams
 				sim.submit(newJobSpec("job-0", 2, "red"))
 				sim.submit(newJobSpec("job-500", 1, "blue")) // a dependency that is not cancelled
 				n := 40
 				for i := 1; i < n; i++ {
-					s := dependentJob(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
+					s := newDependentJobSpec(fmt.Sprintf("job-%d", i), 1, teams[i%3], fmt.Sprintf("job-%d", i-1))
 					if i%4 == 0 {
 						s.Dependencies = append(s.Dependencies, "job-0", "job-500")
 					}
@@ -360,7 +360,7 @@
 				}
 				time.Sleep(10 * time.Second)
 				if fault == "low write rate" {
-					sim.withLock(func() { sim.state.Writes = rate.NewLimiter(12, 12) })
+					sim.withLock(func() { sim.state.WriteLimiter = rate.NewLimiter(12, 12) })
 				}
 				sim.cancelJob("job-0")
 				confirmedAt := time.Now()
@@ -380,10 +380,10 @@
 					time.Sleep(10 * time.Second)
 					sim.setOutage(false)
 				}
-				sim.submit(dependentJob("job-600", 1, "blue", "job-39"))
+				sim.submit(newDependentJobSpec("job-600", 1, "blue", "job-39"))
 				// The partition leaders cancel the dependents without any poll. The margin of
 				// 3 s is for the leases of the killed controllers.
-				time.Sleep(time.Until(confirmedAt.Add(settings.Seconds(sim.settings.Params.Workers.CancelS - 3))))
+				time.Sleep(time.Until(confirmedAt.Add(settings.Seconds(sim.settings.Params.AgentTimes.CancelS - 3))))
 				sim.mu.Lock()
 				for i := 1; i < n; i++ {
 					if _, ok := sim.state.Items[storage.FinalKey(fmt.Sprintf("job-%d", i))]; !ok {
@@ -417,9 +417,9 @@
 		for i := range 6 {
 			first, earlyDependent, racingDependent := fmt.Sprintf("job-1%d", i), fmt.Sprintf("job-2%d", i), fmt.Sprintf("job-3%d", i)
 			sim.submit(newJobSpec(first, 1, "red"))
-			sim.submit(dependentJob(earlyDependent, 1, "green", first))
+			sim.submit(newDependentJobSpec(earlyDependent, 1, "green", first))
 			time.Sleep(time.Duration(i) * 2500 * time.Millisecond)
-			sim.group.Go(func() { sim.submit(dependentJob(racingDependent, 1, "blue", first, earlyDependent)) })
+			sim.group.Go(func() { sim.submit(newDependentJobSpec(racingDependent, 1, "blue", first, earlyDependent)) })
 			time.Sleep(time.Duration(i) * time.Millisecond)
 			answer := sim.cancelJob(first)
 			time.Sleep(30 * time.Second)
@@ -439,9 +439,9 @@
 	t.Parallel()
 	runSimulation(t, 34, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.runTime = func(string, int, string) time.Duration { return time.Hour }
+		sim.taskRunTime = func(string, int, string) time.Duration { return time.Hour }
 		sim.submit(newJobSpec("job-1", 1, "red"))
-		sim.submit(dependentJob("job-2", 1, "blue", "job-1"))
+		sim.submit(newDependentJobSpec("job-2", 1, "blue", "job-1"))
 		time.Sleep(time.Second)
 		poll := func() int { return sim.sendRequest("n0", "GET", "/submissions/job-2", nil).Status }
 		if got := poll(); got != 200 {
@@ -469,7 +469,7 @@
 	t.Parallel()
 	runConfiguredSimulation(t, 35, func(sim *simulatedCluster) {
 		announceLowerLimits(sim)
-		sim.cloud.Prefix = strings.Repeat("m", 180)
+		sim.cloud.NamePrefix = strings.Repeat("m", 180)
 		sim.cloud.Capacity = 20
 	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
@@ -477,7 +477,7 @@
 		s.CPUs = 1
 		sim.submit(s)
 		sim.waitForAllJobs(8 * time.Minute)
-		if largest := sim.state.Largest["r"]; largest < 1500 {
+		if largest := sim.state.LargestValues["r"]; largest < 1500 {
 			t.Errorf("the largest run record has %d bytes, too few to come near the limit", largest)
 		}
 	})
@@ -489,7 +489,7 @@
 	t.Parallel()
 	runSimulation(t, 36, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.withLock(func() { sim.state.HiddenOps, sim.state.HiddenValue = 2, 700 })
+		sim.withLock(func() { sim.state.UnannouncedTxnOps, sim.state.UnannouncedValueBytes = 2, 700 })
 		for i := range 12 {
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 40, "green")
 			s.CPUs, s.DeadlineS = 0.5, 600
@@ -498,7 +498,7 @@
 		sim.waitForAllJobs(8 * time.Minute)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		if n := sim.state.RefusedSize; n == 0 || n > 60 {
+		if n := sim.state.RefusedForSize; n == 0 || n > 60 {
 			t.Errorf("%d transactions were refused for their size, want 1 to 60", n)
 		}
 	})
@@ -517,7 +517,7 @@
 		if got := sim.sendRequest("n0", "POST", "/submissions", encodeSubmission(s)).Status; got != 201 {
 			t.Fatalf("the first submission gets status %d, want 201", got)
 		}
-		sim.withLock(func() { sim.state.HiddenValue = 300 })
+		sim.withLock(func() { sim.state.UnannouncedValueBytes = 300 })
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 200 {
 			t.Errorf("the repeated submission gets status %d, want 200", got)
 		}
@@ -525,7 +525,7 @@
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
 			t.Errorf("another job of its size gets status %d, want 422", got)
 		}
-		sim.withLock(func() { sim.state.WatchesStuck, sim.state.HiddenValue = false, 0 })
+		sim.withLock(func() { sim.state.WatchesStuck, sim.state.UnannouncedValueBytes = false, 0 })
 		sim.withLock(func() { sim.jobs["job-1"] = newSubmittedJob(newJobSpec("job-1", 1, "red")) })
 		sim.waitForAllJobs(2 * time.Minute)
 	})
@@ -542,7 +542,7 @@
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
 			if i == 20 {
-				sim.withLock(func() { sim.state.Writes = rate.NewLimiter(15, 15) })
+				sim.withLock(func() { sim.state.WriteLimiter = rate.NewLimiter(15, 15) })
 			}
 			s := newJobSpec(fmt.Sprintf("job-%d", i), 3, "green")
 			s.DeadlineS = 600
@@ -551,8 +551,8 @@
 		sim.waitForAllJobs(5 * time.Minute)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		if n := sim.state.RefusedRate; n > 60 {
-			t.Errorf("%d transactions were refused for the write rate (%d changes were not), want at most 60", n, sim.state.Changes)
+		if n := sim.state.RefusedForRate; n > 60 {
+			t.Errorf("%d transactions were refused for the write rate (%d changes were not), want at most 60", n, sim.state.ChangesRequested)
 		}
 	})
 }
@@ -579,7 +579,7 @@
 		s.EstimateS, s.ImageGB = 600, 1 // a short fetch
 		j := c.addJob(s)
 		if pipeline {
-			c.addJob(dependentJob("job-3", 1, "green", "job-2"))
+			c.addJob(newDependentJobSpec("job-3", 1, "green", "job-2"))
 		}
 		c.scheduler.Place(p, time.Now())
 		if got := j.LiveAttempts[0].Machine.Name; got == "m-1" != pipeline {
--- a/internal/coordination/failover/answer_bounds.go
+++ b/internal/coordination/failover/answer_bounds.go
@@ -13,9 +13,9 @@
 	AnswersUntil time.Time
 }
 
-// NoteReleased lowers, in place, AnswersUntil of a former leader whose record says that it stopped
+// RecordRelease lowers, in place, AnswersUntil of a former leader whose record says that it stopped
 // answering before it released the lease.
-func NoteReleased(all []FormerLeader, label, nonce string, leaseRevision uint64, until time.Time) {
+func RecordRelease(all []FormerLeader, label, nonce string, leaseRevision uint64, until time.Time) {
 	for i := range all {
 		former := &all[i]
 		if former.Label == label && former.Nonce == nonce && former.LeaseRevision == leaseRevision && former.AnswersUntil.After(until) {
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -95,11 +95,11 @@
 	}
 	never := func(string, string) time.Time { return time.Time{} }
 	for _, r := range []FormerLeader{{Label: "n1", Nonce: "y", LeaseRevision: 6}, {Label: "n1", Nonce: "z", LeaseRevision: 7}, {Label: "n0", Nonce: "y", LeaseRevision: 7}} {
-		if NoteReleased(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
+		if RecordRelease(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
 			t.Errorf("the release by %+v lowered the bound of another former leader", r)
 		}
 	}
-	if NoteReleased(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
+	if RecordRelease(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
 		t.Error("the release of a lease did not lower the bound of its former leader")
 	}
 	if got := AnsweredUntil(nil, nil); !got.IsZero() {
@@ -108,7 +108,7 @@
 }
 
 func TestMissing(t *testing.T) {
-	good := TakeoverCheck{LeaseRevision: 7, NewestLease: 7, SinceRenewal: time.Second, TTL: 3 * time.Second, RunRecords: 7, MachineRecords: 8, FinalStates: 9, Counted: true}
+	good := TakeoverCheck{LeaseRevision: 7, NewestLease: 7, SinceRenewal: time.Second, TTL: 3 * time.Second, RunRecords: 7, MachineRecords: 8, FinalStates: 9, QuotasCounted: true}
 	if m := good.Missing(); len(m) != 0 {
 		t.Errorf("a complete check misses %v", m)
 	}
@@ -118,7 +118,7 @@
 		"run records up to the lease revision":          func(c *TakeoverCheck) { c.RunRecords = 6 },
 		"machine records up to the lease revision":      func(c *TakeoverCheck) { c.MachineRecords = 6 },
 		"final states of jobs up to the lease revision": func(c *TakeoverCheck) { c.FinalStates = 6 },
-		"quotas from all live attempts":                 func(c *TakeoverCheck) { c.Counted = false },
+		"quotas from all live attempts":                 func(c *TakeoverCheck) { c.QuotasCounted = false },
 	} {
 		c := good
 		change(&c)
--- a/internal/coordination/failover/takeover_check.go
+++ b/internal/coordination/failover/takeover_check.go
@@ -14,8 +14,8 @@
 	// known from reads that began after the lease was acquired; FinalStates is the revision up to
 	// which the final states of jobs are known.
 	RunRecords, MachineRecords, FinalStates uint64
-	// Counted is true if the use of quotas was counted from all live attempts.
-	Counted bool
+	// QuotasCounted is true if the use of quotas was counted from all live attempts.
+	QuotasCounted bool
 }
 
 // Missing returns what is not known yet; if that is nothing, the leader may decide. What may change
@@ -32,6 +32,6 @@
 	require(c.RunRecords >= c.LeaseRevision, "run records up to the lease revision")
 	require(c.MachineRecords >= c.LeaseRevision, "machine records up to the lease revision")
 	require(c.FinalStates >= c.LeaseRevision, "final states of jobs up to the lease revision")
-	require(c.Counted, "quotas from all live attempts")
+	require(c.QuotasCounted, "quotas from all live attempts")
 	return missing
 }
--- a/internal/coordination/failover_faults_test.go
+++ b/internal/coordination/failover_faults_test.go
@@ -78,7 +78,7 @@
 					t.Parallel()
 					prepare := func(sim *simulatedCluster) {
 						sim.cloud.Capacity = 12
-						sim.runTime = func(string, int, string) time.Duration { return 15 * time.Second }
+						sim.taskRunTime = func(string, int, string) time.Duration { return 15 * time.Second }
 					}
 					runConfiguredSimulation(t, 660, prepare, func(sim *simulatedCluster) {
 						takeOverWithFault(t, sim, step, fault, after)
@@ -187,7 +187,7 @@
 	sim.mu.Lock()
 	sim.cloud.Capacity = 16
 	sim.messageFaultRate = []float64{0, 0.01, 0.03}[sim.rng.IntN(3)]
-	sim.runTime = func(job string, task int, _ string) time.Duration {
+	sim.taskRunTime = func(job string, task int, _ string) time.Duration {
 		return time.Duration(4+(len(job)*7+task*5)%20) * time.Second
 	}
 	sim.mu.Unlock()
@@ -257,9 +257,9 @@
 			}
 		case 9:
 			sim.mu.Lock()
-			names := slices.Sorted(maps.Keys(sim.workers))
+			names := slices.Sorted(maps.Keys(sim.agents))
 			if len(names) > 0 {
-				agent := sim.workers[names[sim.rng.IntN(len(names))]]
+				agent := sim.agents[names[sim.rng.IntN(len(names))]]
 				sim.hang(agent, time.Duration(2000+sim.rng.IntN(12000))*time.Millisecond)
 			}
 			sim.mu.Unlock()
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -20,7 +20,7 @@
 func configureLongJobs(sim *simulatedCluster) {
 	sim.cloud.Capacity = 30
 	sim.settings.Params.Teams[0].CPUsMax, sim.settings.Params.Teams[1].CPUsMax = 0, 0
-	sim.runTime = func(string, int, string) time.Duration { return 10 * time.Minute }
+	sim.taskRunTime = func(string, int, string) time.Duration { return 10 * time.Minute }
 }
 
 // submitLongJobs submits jobs that occupy the machines, and waits until they run.
@@ -74,10 +74,10 @@
 						}
 						sim.mu.Lock()
 						startedAt := time.Time{}
-						if agent := sim.workers[m.Name]; agent != nil {
+						if agent := sim.agents[m.Name]; agent != nil {
 							for _, task := range agent.Tasks {
 								if task.Name == a.TaskName() {
-									startedAt = task.Ends.Add(-10 * time.Minute)
+									startedAt = task.EndsAt.Add(-10 * time.Minute)
 								}
 							}
 						}
@@ -97,15 +97,15 @@
 			t.Logf("seed %d: the replicated start times of %d attempts are off by %s on average", seed, inherited, totalError/time.Duration(inherited))
 			sim.mu.Lock()
 			starts := 0
-			for _, agent := range sim.workers {
-				starts += agent.Starts
+			for _, agent := range sim.agents {
+				starts += agent.TasksStarted
 			}
 			sim.mu.Unlock()
 			sim.startController(killed)
 			time.Sleep(10 * time.Second)
 			sim.mu.Lock()
-			for _, agent := range sim.workers {
-				starts -= agent.Starts
+			for _, agent := range sim.agents {
+				starts -= agent.TasksStarted
 			}
 			sim.mu.Unlock()
 			if starts != 0 {
@@ -353,13 +353,13 @@
 		if !tc.upForLong {
 			c.StartedAt = now.Add(-time.Second)
 		}
-		if got := c.takeover.WantsPartition(p, now.Add(tc.vacantFor)); got != tc.want {
+		if got := c.takeover.ShouldAcquirePartition(p, now.Add(tc.vacantFor)); got != tc.want {
 			t.Errorf("case %d: the decision to acquire the partition is %v", i, got)
 		}
 	}
 	c.Draining = true
 	setPeers("n0", false, true)
-	if c.takeover.WantsPartition(p, now.Add(time.Hour)) {
+	if c.takeover.ShouldAcquirePartition(p, now.Add(time.Hour)) {
 		t.Error("a draining controller would acquire a partition")
 	}
 }
@@ -390,7 +390,7 @@
 		sim.mu.Lock()
 		inProgress := slices.Compact(slices.Sorted(slices.Values(requestNames)))
 		requestNames = nil
-		rented := sim.cloud.Rented
+		rented := sim.cloud.CreatedTotal
 		sim.mu.Unlock()
 		if len(inProgress) == 0 || rented == 0 {
 			t.Fatalf("%d scale-outs in progress and %d machines rented, want at least one of each", len(inProgress), rented)
--- a/internal/coordination/fairness_test.go
+++ b/internal/coordination/fairness_test.go
@@ -24,7 +24,7 @@
 	t.Parallel()
 	runConfiguredSimulation(t, 51, func(sim *simulatedCluster) {
 		sim.settings.Params.State.RPS = 60
-		sim.state.Requests = rate.NewLimiter(60, 60)
+		sim.state.RequestLimiter = rate.NewLimiter(60, 60)
 		sim.cloud.Capacity = 0 // no task runs
 	}, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
@@ -84,7 +84,7 @@
 // configureSurgeCluster configures a fleet in which the large class fits only one machine type.
 // Without a surge, about a third of the fleet is in use.
 func configureSurgeCluster(sim *simulatedCluster) {
-	sim.cloud.Capacity, sim.cloud.ByType = 22, map[string]int{"small": 12, "big": 10}
+	sim.cloud.Capacity, sim.cloud.CapacityByType = 22, map[string]int{"small": 12, "big": 10}
 	sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 400}, {Name: "blue", CPUs: 60, CPUsMax: 400}, {Name: "green"}}
 	sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 }
@@ -95,7 +95,7 @@
 	groups := map[string]*groupOutcome{}
 	started := map[string]map[int]bool{}
 	sim.mu.Lock()
-	sim.runTime = func(job string, task int, _ string) time.Duration {
+	sim.taskRunTime = func(job string, task int, _ string) time.Duration {
 		if started[job] == nil {
 			started[job] = map[int]bool{}
 		}
@@ -238,7 +238,7 @@
 			items = append(items, protocol.Item{Key: storage.JobKey(id), Value: storage.Encode(s), Version: 2})
 			if status != "" {
 				items = append(items, protocol.Item{Key: storage.FinalKey(id), Version: 3,
-					Value: storage.Encode(storage.Final{Status: status, AtMS: now.Add(-ago).UnixMilli()})})
+					Value: storage.Encode(storage.FinalRecord{Status: status, AtMS: now.Add(-ago).UnixMilli()})})
 			}
 		}
 		add("job-1", protocol.StatusDone, 0)
@@ -260,7 +260,7 @@
 		check("listed again", 1+1/math.E)
 		for range 2 {
 			c.watcher.ApplyEvent(protocol.Event{Put: storage.FinalKey("job-4"), Version: 4,
-				Value: storage.Encode(storage.Final{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
+				Value: storage.Encode(storage.FinalRecord{Status: protocol.StatusDone, AtMS: now.UnixMilli()})})
 		}
 		check("followed", 2+1/math.E)
 	})
@@ -270,7 +270,7 @@
 // must include demands of starved groups, but not only those.
 func TestDemandsOfStarvedGroupsComeFirst(t *testing.T) {
 	t.Parallel()
-	starvedMax := peering.DemandsMin / peering.StarvedDemandsShare
+	starvedMax := peering.MinDemands / peering.StarvedDemandsDivisor
 	var list []*cluster.Job
 	for i := range 300 {
 		list = append(list, &cluster.Job{ClassGroup: 7, Pending: []int{i}})
--- a/internal/coordination/fairshare/fairshare.go
+++ b/internal/coordination/fairshare/fairshare.go
@@ -37,9 +37,9 @@
 	starvationFraction = 0.5
 )
 
-// StarvationS returns the time in seconds after which a waiting job counts as starved. allowedS
+// StarvationTimeS returns the time in seconds after which a waiting job counts as starved. allowedS
 // is the time in seconds from its submission to its deadline, or 0 if it has no deadline.
-func StarvationS(allowedS float64) float64 {
+func StarvationTimeS(allowedS float64) float64 {
 	if allowedS <= 0 {
 		return noDeadlineStarvationTime.Seconds()
 	}
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -112,7 +112,7 @@
 
 func TestWhenAJobCountsAsStarved(t *testing.T) {
 	for allowedS, want := range map[float64]float64{0: 60, 20: 30, 155: 77.5} {
-		if got := StarvationS(allowedS); got != want {
+		if got := StarvationTimeS(allowedS); got != want {
 			t.Errorf("a job with %v s until its deadline is starved after %v s, want %v s", allowedS, got, want)
 		}
 	}
@@ -135,7 +135,7 @@
 		"nothing for a class that is not starved": {[]ClassUse{use(4, 0, 500)}, map[int]float64{}},
 	} {
 		got := map[int]float64{}
-		for _, q := range Quotas([]float64{0, 0.5, 0.5, 0.1, 0}, binpack.Compute{CPUs: 100}, c.uses) {
+		for _, q := range ReserveQuotas([]float64{0, 0.5, 0.5, 0.1, 0}, binpack.Compute{CPUs: 100}, c.uses) {
 			got[q.Class] = q.Reserved.CPUs
 		}
 		if !reflect.DeepEqual(got, c.want) {
--- a/internal/coordination/fairshare/quota.go
+++ b/internal/coordination/fairshare/quota.go
@@ -20,11 +20,11 @@
 	Reserved binpack.Compute
 }
 
-// Quotas returns the part of a team's limit that is reserved for each starved class; the team's
+// ReserveQuotas returns the part of a team's limit that is reserved for each starved class; the team's
 // other work may not start in it. shares are the groups' ReservedShares. Classes that want the
 // least are served first. Nothing is reserved for a class that already uses MaxReservedShare of
 // the limit, and no more than that is reserved in all.
-func Quotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
+func ReserveQuotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
 	uses = slices.Clone(uses)
 	slices.SortFunc(uses, func(a, b ClassUse) int {
 		return cmp.Or(cmp.Compare(a.Wanted.CPUs+a.Used.CPUs, b.Wanted.CPUs+b.Used.CPUs), cmp.Compare(a.Class, b.Class))
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -13,19 +13,19 @@
 // injectedFaults are the faults that can be injected besides lost messages, network cuts, kills
 // and pauses. They are guarded by the simulated cluster's lock.
 type injectedFaults struct {
-	// lateTransactionShare is the proportion of transactions that get no response. They are
-	// applied 2 to 12 s later, after newer ones, or at once with loseAnswersOnly.
-	lateTransactionShare float64
-	loseAnswersOnly      bool
+	// lateTransactionRate is the proportion of transactions that get no response. They are
+	// applied 2 to 12 s later, after newer ones, or at once with loseResponsesOnly.
+	lateTransactionRate float64
+	loseResponsesOnly   bool
 	// lateTransactionKind, if not empty, restricts this to transactions whose first write is of
 	// this kind.
 	lateTransactionKind string
-	// duplicatedHeartbeatShare is the proportion of heartbeats that are delivered again, between
+	// duplicatedHeartbeatRate is the proportion of heartbeats that are delivered again, between
 	// 2 s and 2 s plus 1.5 machine leases later. With keepForReplay they are instead delivered to
 	// every controller when replayHeartbeats is called.
-	duplicatedHeartbeatShare float64
-	keepForReplay            bool
-	keptHeartbeats           []keptHeartbeat
+	duplicatedHeartbeatRate float64
+	keepForReplay           bool
+	keptHeartbeats          []keptHeartbeat
 	// delayedCommands, if set, delays direct commands.
 	delayedCommands *commandDelayFault
 	// startsAfterCancel are the tasks that started after the user had received confirmation of
@@ -53,14 +53,14 @@
 // commandDelayFault delays direct commands. The sender gets no response, and the agent receives
 // the commands once, 2 to 16 s later; it executes them if token and epoch still match then.
 type commandDelayFault struct {
-	// share is the proportion of messages that are delayed, among those that contain the
+	// rate is the proportion of messages that are delayed, among those that contain the
 	// operation op. An empty op selects all messages, fenceOp those without commands.
-	share float64
-	op    string
-	// delay is the delay; 0 means a random one. With loseAnswersOnly the commands arrive at once
+	rate float64
+	op   string
+	// delay is the delay; 0 means a random one. With loseResponsesOnly the commands arrive at once
 	// and only the response is lost.
-	delay           time.Duration
-	loseAnswersOnly bool
+	delay             time.Duration
+	loseResponsesOnly bool
 }
 
 // startAfterCancel is a task that started after its job's cancellation was confirmed.
@@ -111,14 +111,14 @@
 // is held.
 func (sim *simulatedCluster) drawCommandDelay(target string, body []byte) (delay time.Duration, delayed bool) {
 	fault := sim.delayedCommands
-	if fault == nil || target != "/orders" || sim.rng.Float64() >= fault.share {
+	if fault == nil || target != "/orders" || sim.rng.Float64() >= fault.rate {
 		return 0, false
 	}
 	if fault.op != "" && !commandOps(body)[fault.op] {
 		return 0, false
 	}
 	switch {
-	case fault.loseAnswersOnly:
+	case fault.loseResponsesOnly:
 		return time.Millisecond, true
 	case fault.delay > 0:
 		return fault.delay, true
@@ -136,7 +136,7 @@
 			return
 		}
 		sim.mu.Lock()
-		agent := sim.workers[machine]
+		agent := sim.agents[machine]
 		hangs := agent != nil && agent.Hung
 		sim.mu.Unlock()
 		if agent == nil {
@@ -145,7 +145,7 @@
 		if hangs {
 			continue
 		}
-		resp := sim.serveWorker(agent, "/orders", body)
+		resp := sim.deliverToAgent(agent, "/orders", body)
 		sim.withLock(func() {
 			for op := range commandOps(body) {
 				if resp != nil && resp.Status == 200 {
@@ -162,7 +162,7 @@
 // drawTransactionDelay reports whether a transaction gets no response, and after what delay it
 // is applied. The lock is held.
 func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (delay time.Duration, late bool) {
-	if host != "state" || target != "/commit" || sim.lateTransactionShare == 0 || sim.rng.Float64() >= sim.lateTransactionShare {
+	if host != "state" || target != "/commit" || sim.lateTransactionRate == 0 || sim.rng.Float64() >= sim.lateTransactionRate {
 		return 0, false
 	}
 	if sim.lateTransactionKind != "" {
@@ -172,7 +172,7 @@
 			return 0, false
 		}
 	}
-	if sim.loseAnswersOnly {
+	if sim.loseResponsesOnly {
 		return time.Millisecond, true
 	}
 	return time.Duration(2000+sim.rng.IntN(10_000)) * time.Millisecond, true
@@ -199,14 +199,14 @@
 // duplicateHeartbeat schedules a second delivery of a heartbeat, or keeps a copy for
 // replayHeartbeats, with the configured probability. The lock is held.
 func (sim *simulatedCluster) duplicateHeartbeat(machine, label string, heartbeat []byte) {
-	if sim.duplicatedHeartbeatShare == 0 || sim.rng.Float64() >= sim.duplicatedHeartbeatShare {
+	if sim.duplicatedHeartbeatRate == 0 || sim.rng.Float64() >= sim.duplicatedHeartbeatRate {
 		return
 	}
 	if sim.keepForReplay {
 		sim.keptHeartbeats = append(sim.keptHeartbeats, keptHeartbeat{machine, heartbeat})
 		return
 	}
-	lease := settings.Seconds(sim.settings.Params.Workers.LeaseS)
+	lease := settings.Seconds(sim.settings.Params.AgentTimes.LeaseS)
 	delay := 2*time.Second + time.Duration(sim.rng.Int64N(int64(lease+lease/2)))
 	sim.group.Go(func() {
 		select {
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -33,7 +33,7 @@
 func TestGoldenPublicPaths(t *testing.T) {
 	other := map[string]string{"GET": "POST", "POST": "GET"}
 	ctx, c := t.Context(), newTestController(t.Context(), &newSimulatedCluster(t, 1).settings, settings.DefaultOperator())
-	panicOnError(c.EnableAuth(auth.Identities{}))
+	panicOnError(c.EnableAuth(auth.Config{}))
 	for path, method := range map[string]string{
 		"/checkin":                     "POST",
 		"/healthz":                     "GET",
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -19,7 +19,7 @@
 	c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced = now, now, true
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, lease, now
-	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
+	c.agents.ApplyMachineRecord("m-1", storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}, 3, now)
 	return p, c.Machines["m-1"]
 }
 
@@ -78,15 +78,15 @@
 		defer end()
 		now := time.Now()
 		c.RecordsCurrentAt, c.LeaseRenewedAt, c.Synced, c.Leadership.Held = now, now, true, true
-		c.SetCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, ZonesOffered: []string{"a"}}})
+		c.SetCatalog([]protocol.MachineType{{Name: "small", CPUs: 8, MemGB: 32, BootS: 5, Zones: []string{"a"}}})
 		p := c.Partitions[0]
 		p.Held, p.Ready, p.LeaseRevision, p.AcquiredAt = true, true, 5, now
 		rec := storage.Machine{Type: "small", Zone: "a", Addr: "m-1:1"}
 		for i, name := range []string{"m-1", "m-2", "m-3"} {
-			c.agents.MachineRecorded(name, rec, uint64(10+i), now)
+			c.agents.ApplyMachineRecord(name, rec, uint64(10+i), now)
 		}
-		c.agents.MachineDeleted("m-1", now)
-		c.agents.MachineRecorded("m-1", rec, 20, now) // the late write of its record
+		c.agents.ApplyMachineDeletion("m-1", now)
+		c.agents.ApplyMachineRecord("m-1", rec, 20, now) // the late write of its record
 		failed := map[string]bool{}
 		for _, m := range c.autoscaler.ScalingView(nil, now).Machines {
 			failed[m.Name] = m.Failed
@@ -128,7 +128,7 @@
 		c, end := newIdleController(t)
 		defer end()
 		now := time.Now()
-		c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
+		c.agents.ApplyMachineRecord("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 		m := c.Machines["m-1"]
 		for i, tc := range []struct {
 			status string
@@ -141,13 +141,13 @@
 			clear(m.Attempts)
 			a := addLiveAttempt(j, m, 1, cluster.AttemptConfirmed)
 			// First as a leader that saw the job end, then as one that finds it ended at a takeover.
-			c.jobs.SetFinal(id, tc.status, now.Add(-tc.ago))
+			c.jobs.SetFinalState(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
 				a.StopRequestedAt = now.Add(-time.Minute)
-				if got := c.agents.OutlastsCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
+				if got := c.agents.MayExceedCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
 					t.Errorf("%s job, ended %s ago: its machine is to be deleted: %v", tc.status, tc.ago, got)
 				}
-				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.OutlastsCancelBound(m, now.Add(time.Hour), now) {
+				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.MayExceedCancelBound(m, now.Add(time.Hour), now) {
 					t.Errorf("%s job, ended %s ago: its machine is to be deleted after a takeover", tc.status, tc.ago)
 				}
 			}
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -94,7 +94,7 @@
 				}
 				before := leaseVersions()
 				sim.mu.Lock()
-				sim.cut = tc.cut
+				sim.dropsMessage = tc.cut
 				if tc.delay != nil {
 					sim.onRequest = func(_, host, _ string, _ []byte) bool {
 						time.Sleep(tc.delay(sim, host))
@@ -103,7 +103,7 @@
 				}
 				sim.mu.Unlock()
 				time.Sleep(tc.duration)
-				sim.withLock(func() { sim.cut, sim.onRequest = nil, nil })
+				sim.withLock(func() { sim.dropsMessage, sim.onRequest = nil, nil })
 				time.Sleep(5 * time.Second)
 				if now := leaseVersions(); now != before {
 					t.Errorf("lease versions changed from %s to %s", before, now)
@@ -143,7 +143,7 @@
 						sim.mu.Lock()
 					}
 				}
-				sim.workers[failed].Hung = true
+				sim.agents[failed].Hung = true
 				sim.mu.Unlock()
 				killedAt := time.Now()
 				sim.killController(killed)
@@ -164,7 +164,7 @@
 						})
 					}
 				}
-				lease, bound := sim.settings.Params.Workers.LeaseS, 15.0 // cancel_s - lease_s - 2 s
+				lease, bound := sim.settings.Params.AgentTimes.LeaseS, 15.0 // cancel_s - lease_s - 2 s
 				t.Logf("failed machine was lost after %s", lostAfter)
 				if s := lostAfter.Seconds(); s < lease || restarted && s > 3+lease+4 || !restarted && s < bound+lease {
 					t.Errorf("failed machine was lost after %s", lostAfter)
@@ -172,7 +172,7 @@
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
 				}
-				sim.withLock(func() { sim.workers[failed].Hung = false })
+				sim.withLock(func() { sim.agents[failed].Hung = false })
 				sim.waitForAllJobs(time.Minute)
 			})
 		})
@@ -260,8 +260,8 @@
 		setLease(8, "n2", "y")
 		check("this controller as the former leader", time.Now())
 		time.Sleep(time.Minute)
-		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
-		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
+		c.agents.ApplyMachineRecord("m-1", storage.Machine{Partition: 1, Type: "small"}, 9, time.Now())
+		c.agents.ApplyMachineRecord("m-1", storage.Machine{Partition: 0, Type: "small"}, 10, time.Now())
 		m = c.Machines["m-1"]
 		check("leader of the machine's previous partition", time.Now().Add(bound))
 		m = &cluster.Machine{}
@@ -293,10 +293,10 @@
 		}
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
-		if unmet := c.takeover.MissingEvidence(p, 20, 20); !slices.Equal(unmet, []string{"machine records up to the lease revision", "final states of jobs up to the lease revision"}) {
+		if unmet := c.takeover.UnmetPreconditions(p, 20, 20); !slices.Equal(unmet, []string{"machine records up to the lease revision", "final states of jobs up to the lease revision"}) {
 			t.Errorf("unmet preconditions: %v", unmet)
 		}
-		if c.RecordsRevision = 20; len(c.takeover.MissingEvidence(p, 20, 20)) != 0 || len(c.takeover.MissingEvidence(p, 20, 19)) != 1 {
+		if c.RecordsRevision = 20; len(c.takeover.UnmetPreconditions(p, 20, 20)) != 0 || len(c.takeover.UnmetPreconditions(p, 20, 19)) != 1 {
 			t.Error("want no unmet precondition with records up to the lease revision, and one with older run records")
 		}
 	})
--- a/internal/coordination/invalid_requests_test.go
+++ b/internal/coordination/invalid_requests_test.go
@@ -102,10 +102,10 @@
 	unrunnable("unknown zone", func(s *protocol.JobSpec) { s.Zone = "z" })
 	unrunnable("type not in the zone", func(s *protocol.JobSpec) { s.Types, s.Zone = []string{"big"}, "b" })
 	unrunnable("one task over the limit", func(s *protocol.JobSpec) { s.Team, s.CPUs = "red", 32.5 })
-	unrunnable("a service over the limit", func(s *protocol.JobSpec) { s.Standing, s.Tasks = true, 9 })
+	unrunnable("a service over the limit", func(s *protocol.JobSpec) { s.Service, s.Tasks = true, 9 })
 	unrunnable("a gang over the limit", func(s *protocol.JobSpec) { s.Gang, s.Tasks = true, 9 })
 	unrunnable("a gang apart in one zone", func(s *protocol.JobSpec) { s.Gang, s.OneZone, s.Spread = true, true, true })
-	unrunnable("a service apart in a named zone", func(s *protocol.JobSpec) { s.Standing, s.Zone, s.Spread = true, "a", true })
+	unrunnable("a service apart in a named zone", func(s *protocol.JobSpec) { s.Service, s.Zone, s.Spread = true, "a", true })
 	return invalid
 }
 
@@ -121,7 +121,7 @@
 		// is recorded knows no machine types.
 		sim.withLock(func() {
 			delete(sim.state.Items, storage.CatalogKey)
-			sim.cut = func(from, host string) bool { return from == "n2" && host == "cloud" }
+			sim.dropsMessage = func(from, host string) bool { return from == "n2" && host == "cloud" }
 		})
 		sim.killController("n2")
 		sim.startController("n2")
@@ -154,7 +154,7 @@
 		}
 		// A controller that is cut off from the state store and its peers accepts none either.
 		sim.withLock(func() {
-			sim.cut = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
+			sim.dropsMessage = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
 		})
 		for _, name := range []string{"without gpus", "larger than any type", "unknown team"} {
 			resp := sim.sendRequest("n1", "POST", "/submissions", invalid[name].body)
@@ -167,7 +167,7 @@
 		if resp := sim.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
 			t.Errorf("repeated submission refused at a controller that is cut off: status %d", resp.Status)
 		}
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 		time.Sleep(5 * time.Second)
 		for _, label := range allControllers {
 			if resp := sim.sendRequest(label, "GET", "/submissions/job-2", nil); resp.Status != 404 {
@@ -206,9 +206,9 @@
 				leader := sim.leaderOf(partition)
 				sim.group.Go(func() { sim.restartController(leader, time.Second) })
 			case 40:
-				sim.withLock(func() { sim.lateTransactionShare = 0.5 })
+				sim.withLock(func() { sim.lateTransactionRate = 0.5 })
 			case 60:
-				sim.withLock(func() { sim.lateTransactionShare = 0 })
+				sim.withLock(func() { sim.lateTransactionRate = 0 })
 				sim.setOutage(true)
 			case 80:
 				sim.setOutage(false)
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -26,7 +26,7 @@
 	var txn protocol.Transaction
 	panicOnError(protocol.Decode(body, &txn))
 	return slices.ContainsFunc(txn.Then, func(c protocol.Change) bool {
-		var final storage.Final
+		var final storage.FinalRecord
 		return c.Put == storage.FinalKey(job) && storage.Decode(c.Value, &final) == nil && final.Status == protocol.StatusDone
 	})
 }
@@ -128,7 +128,7 @@
 				return step == "its response is lost"
 			}
 			if step == "the commit is late" {
-				sim.lateTransactionShare, sim.lateTransactionKind = 1, writeOfFinal
+				sim.lateTransactionRate, sim.lateTransactionKind = 1, writeOfFinal
 				sim.onRequest = nil
 				sim.onJobEnd = func(job string) {
 					h.record(job, porcupine.Operation{Input: jobCompletion, Call: h.nextTime(), Return: math.MaxInt64})
@@ -136,7 +136,7 @@
 						sim.waitForCompletion(job)
 						time.Sleep(time.Second)
 						sendRequests()
-						sim.withLock(func() { sim.lateTransactionShare, sim.lateTransactionKind = 0, "" })
+						sim.withLock(func() { sim.lateTransactionRate, sim.lateTransactionKind = 0, "" })
 					})
 				}
 			}
@@ -218,12 +218,12 @@
 						time.Sleep(time.Second)
 						sim.setOutage(true)
 					}
-					time.Sleep(settings.Seconds(sim.settings.Params.Workers.CancelS))
+					time.Sleep(settings.Seconds(sim.settings.Params.AgentTimes.CancelS))
 					sim.withLock(func() {
-						for _, agent := range sim.workers {
+						for _, agent := range sim.agents {
 							for _, task := range agent.Tasks {
 								submitted := sim.jobs[task.Job]
-								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseRenewedAt) <= agent.Lease {
+								if task.Running && !submitted.cancelledAt.IsZero() && time.Since(agent.LeaseRenewedAt) <= agent.LeaseDuration {
 									t.Errorf("cancelled task %s may resume on %s", task.Name, agent.Name)
 								}
 							}
--- a/internal/coordination/jobs/cancellation.go
+++ b/internal/coordination/jobs/cancellation.go
@@ -12,7 +12,7 @@
 // final record yet.
 func AddCancellation(txn *protocol.Transaction, id string, now time.Time) {
 	key := storage.FinalKey(id)
-	final := storage.Final{Status: protocol.StatusCancelled, AtMS: now.UnixMilli()}
+	final := storage.FinalRecord{Status: protocol.StatusCancelled, AtMS: now.UnixMilli()}
 	txn.If = append(txn.If, protocol.Condition{Key: key, Version: 0})
 	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(final)})
 }
@@ -22,9 +22,9 @@
 // arrives (rule 43).
 func (t *Tracker) ApplyCancellationNotices(summary *peer.Summary, now time.Time) {
 	for _, notice := range summary.Cancelled {
-		if protocol.ValidID(notice.Job) {
+		if protocol.ValidJobID(notice.Job) {
 			age := time.Duration(notice.AgeMs) * time.Millisecond
-			t.SetFinal(notice.Job, protocol.StatusCancelled, now.Add(-age))
+			t.SetFinalState(notice.Job, protocol.StatusCancelled, now.Add(-age))
 		}
 	}
 }
--- a/internal/coordination/jobs/collaborators.go
+++ b/internal/coordination/jobs/collaborators.go
@@ -15,14 +15,14 @@
 
 // Auth decides which users may access a job.
 type Auth interface {
-	// NoteJob records the queue of an accepted job from its record.
-	NoteJob(id string, record []byte)
+	// AddJobQueue records the queue of an accepted job from its record.
+	AddJobQueue(id string, record []byte)
 }
 
 // Scheduler assigns jobs to fair-share groups and counts the completed jobs of each group.
 type Scheduler interface {
 	// ClassGroup returns the fair-share group of a class.
 	ClassGroup(class string) int
-	// CountDone counts a completed job of a partition for its fair-share groups.
-	CountDone(partition int, groups [2]int, at time.Time)
+	// CountDoneJob counts a completed job of a partition for its fair-share groups.
+	CountDoneJob(partition int, groups [2]int, at time.Time)
 }
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -41,7 +41,7 @@
 // ApplyJobRecord loads an accepted job. Job records never change, so it does nothing if the job is
 // already known.
 func (t *Tracker) ApplyJobRecord(id string, raw []byte) {
-	t.auth.NoteJob(id, raw)
+	t.auth.AddJobQueue(id, raw)
 	if t.Jobs[id] != nil || t.FinalStates[id] != "" {
 		return
 	}
@@ -97,7 +97,7 @@
 
 // ApplyFinalRecord sets the final state of a job from its final record.
 func (t *Tracker) ApplyFinalRecord(id string, raw []byte) {
-	var final storage.Final
+	var final storage.FinalRecord
 	if err := storage.Decode(raw, &final); err != nil {
 		t.log.Error("invalid final record", "job", id, "error", err)
 		return
@@ -109,12 +109,12 @@
 	if final.AtMS > 0 {
 		at = cluster.MonotonicTime(final.AtMS, at)
 	}
-	t.SetFinal(id, final.Status, at)
+	t.SetFinalState(id, final.Status, at)
 }
 
-// SetFinal sets the final state of a job, done or cancelled. at is the earliest time at which it
+// SetFinalState sets the final state of a job, done or cancelled. at is the earliest time at which it
 // may have ended. It does nothing if the job already has a final state.
-func (t *Tracker) SetFinal(id, status string, at time.Time) {
+func (t *Tracker) SetFinalState(id, status string, at time.Time) {
 	if t.FinalStates[id] != "" {
 		return
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	if status == protocol.StatusDone {
-		t.scheduler.CountDone(j.Partition, j.Groups(), time.Now())
+		t.scheduler.CountDoneJob(j.Partition, j.Groups(), time.Now())
 	}
 	if !j.HasRunState {
 		delete(t.Jobs, id)
@@ -146,7 +146,7 @@
 // all tasks of the job have certainly ended.
 func (t *Tracker) recordCancellation(id string, at time.Time) {
 	if time.Since(at) < t.CancelBound && !t.Cancellations.Add(id, at) {
-		t.bounds.Met(telemetry.Cancellations, 1)
+		t.bounds.ReportExceeded(telemetry.Cancellations, 1)
 	}
 }
 
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -64,8 +64,8 @@
 				partition := sim.partitionOf("green")
 				leader := sim.leaderOf(partition)
 				sim.withLock(func() {
-					sim.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
-					sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStart, delay: tc.startDelay}
+					sim.taskRunTime = func(string, int, string) time.Duration { return 30 * time.Second }
+					sim.delayedCommands = &commandDelayFault{rate: 1, op: protocol.OpStart, delay: tc.startDelay}
 				})
 				s := newJobSpec("job-900", 4, "green")
 				s.DeadlineS, s.CPUs, s.Urgency = 0, 2, protocol.Production
@@ -96,7 +96,7 @@
 				}
 				sim.withLock(func() {
 					if sim.delayedCommands = nil; tc.delayFences {
-						sim.delayedCommands = &commandDelayFault{share: 0.5, op: fenceOp}
+						sim.delayedCommands = &commandDelayFault{rate: 0.5, op: fenceOp}
 					}
 				})
 				if !sim.cancelAt(sim.otherControllers(leader)[0], s.ID) {
@@ -148,7 +148,7 @@
 		partition := sim.partitionOf("green")
 		leader := sim.leaderOf(partition)
 		sim.withLock(func() {
-			sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStart, delay: 9 * time.Second}
+			sim.delayedCommands = &commandDelayFault{rate: 1, op: protocol.OpStart, delay: 9 * time.Second}
 		})
 		s := newJobSpec("job-900", 4, "green")
 		s.DeadlineS, s.CPUs = 0, 2
@@ -159,7 +159,7 @@
 		var heartbeat []byte
 		sim.withLock(func() {
 			process = sim.controllers[leader]
-			heartbeat = protocol.Encode(sim.workers[machine].Heartbeat())
+			heartbeat = protocol.Encode(sim.agents[machine].Heartbeat())
 		})
 		// A goroutine that returns late keeps the event loop running.
 		process.controller.loop.Go(func() {
@@ -201,7 +201,7 @@
 		leader := sim.leaderOf(sim.partitionOf("green"))
 		sim.withLock(func() {
 			sim.outboundLost = sim.machinesRunningAnyOf(ids[0])
-			sim.delayedCommands = &commandDelayFault{share: 1, op: protocol.OpStop, delay: 16 * time.Second}
+			sim.delayedCommands = &commandDelayFault{rate: 1, op: protocol.OpStop, delay: 16 * time.Second}
 		})
 		if !sim.cancelAt(leader, ids[0]) {
 			t.Fatal("the cancellation was not answered")
@@ -232,7 +232,7 @@
 			_, _ = c.leadFirstPartition(5)
 			for i := range 100 {
 				name := fmt.Sprintf("m-%d", 100+i)
-				c.agents.MachineRecorded(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
+				c.agents.ApplyMachineRecord(name, storage.Machine{Type: "small", Zone: "a", Addr: name + ":1"}, 3, time.Now())
 				m := c.Machines[name]
 				m.HasReported, m.TokenConfirmed, m.Epoch, m.AnsweredUntil = true, true, 1, time.Now()
 				j := &cluster.Job{Spec: newJobSpec(fmt.Sprint("job-", i), 1, "red"), Ended: true}
@@ -264,7 +264,7 @@
 				t.Errorf("%d repeated commands are still counted", c.agents.RepeatedCommands)
 			}
 		})
-		if limit := max(agents.RepeatedCommandsMin, c.Settings.Params.MachineLimits.Sockets/agents.RepeatedCommandsSocketShare); repeatedMax != limit {
+		if limit := max(agents.RepeatedCommandsMin, c.Settings.Params.ProcessLimits.Sockets/agents.RepeatedCommandsSocketShare); repeatedMax != limit {
 			t.Errorf("at most %d repeated commands were in flight, want %d", repeatedMax, limit)
 		}
 		stop()
