--- a/internal/coordination/lease/acquisition.go
+++ b/internal/coordination/lease/acquisition.go
@@ -47,11 +47,11 @@
 			h.handBack(p, now)
 			continue
 		}
-		if h.takeover.WantsPartition(p, now) {
+		if h.takeover.ShouldAcquirePartition(p, now) {
 			wanted = append(wanted, wantedLease{storage.LeaseKey(p.Index), p.LeaseRevision})
 		}
 	}
-	if h.takeover.WantsLeadership(now) {
+	if h.takeover.ShouldAcquireLeadership(now) {
 		wanted = append(wanted, wantedLease{storage.LeadershipKey, h.Leadership.Revision})
 	}
 	return wanted
@@ -87,7 +87,7 @@
 	}
 	if e.Delete != "" {
 		p.FormerLeader, p.Leader, p.LeaderNonce, p.LeaseRevision, p.VacantSince = p.Leader, "", "", 0, now
-		h.LosePartition(p, reasonLeaseEnded)
+		h.StopLeading(p, reasonLeaseEnded)
 		eventloop.Signal(h.LeaseWakeup)
 		return
 	}
@@ -96,7 +96,7 @@
 		h.log.Error("invalid lease record", "partition", p.Index, "error", err)
 		return
 	}
-	h.LosePartition(p, reasonLeaseReplaced)
+	h.StopLeading(p, reasonLeaseReplaced)
 	p.Leader, p.LeaderNonce, p.LeaseRevision = record.Holder, record.Nonce, e.Version
 	if record.Holder == h.Settings.Label && record.Nonce == h.Nonce {
 		p.Held, p.Ready, p.AcquiredAt = true, false, now
--- a/internal/coordination/lease/answer_bounds.go
+++ b/internal/coordination/lease/answer_bounds.go
@@ -75,9 +75,9 @@
 	return last
 }
 
-// NoteMissedLeaders adds an unknown former leader to each partition before a listing is applied:
+// AddUnknownLeaders adds an unknown former leader to each partition before a listing is applied:
 // leaders may have come and gone while this controller was not watching.
-func (h *Holder) NoteMissedLeaders(now time.Time) {
+func (h *Holder) AddUnknownLeaders(now time.Time) {
 	for _, p := range h.Partitions {
 		p.FormerLeaders = slices.DeleteFunc(stillAnswering(p.FormerLeaders, now), func(former failover.FormerLeader) bool { return former.Label == "" })
 		p.FormerLeaders = append(p.FormerLeaders, failover.FormerLeader{AnswersUntil: now.Add(h.AnswerBound())})
--- a/internal/coordination/lease/collaborators.go
+++ b/internal/coordination/lease/collaborators.go
@@ -30,10 +30,10 @@
 	// TakeOver rebuilds the state of a partition from its former leader's records. revision is
 	// the revision of the partition's lease.
 	TakeOver(p *cluster.Partition, revision uint64)
-	// WantsLeadership says whether to acquire the cluster leadership now.
-	WantsLeadership(now time.Time) bool
-	// WantsPartition says whether to acquire the lease of a partition now.
-	WantsPartition(p *cluster.Partition, now time.Time) bool
+	// ShouldAcquireLeadership says whether to acquire the cluster leadership now.
+	ShouldAcquireLeadership(now time.Time) bool
+	// ShouldAcquirePartition says whether to acquire the lease of a partition now.
+	ShouldAcquirePartition(p *cluster.Partition, now time.Time) bool
 }
 
 // Records applies changes of the state store's records to this controller's state.
--- a/internal/coordination/lease/dead_controllers.go
+++ b/internal/coordination/lease/dead_controllers.go
@@ -13,10 +13,10 @@
 // revokeTimeout bounds the revocation of another controller's lease.
 const revokeTimeout = 2 * time.Second
 
-// NoteDiverted records in memory that the agent of a machine, which another controller leads, has
+// AddDivertedMachine records in memory that the agent of a machine, which another controller leads, has
 // sent a heartbeat here. Enough such machines, together with the leader's silence, show that the
 // leader is dead.
-func (h *Holder) NoteDiverted(leader, machine string, now time.Time) {
+func (h *Holder) AddDivertedMachine(leader, machine string, now time.Time) {
 	other := h.Peers[leader]
 	if other == nil || !other.ReportingMachines[machine] {
 		return
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -76,7 +76,7 @@
 		for _, p := range h.Partitions {
 			if p.Held {
 				released = append(released, storage.ReleasedLease{Partition: p.Index, LeaseRevision: p.LeaseRevision})
-				h.LosePartition(p, reason)
+				h.StopLeading(p, reason)
 			}
 		}
 		if h.Leadership.Held {
--- a/internal/coordination/lease/incarnations.go
+++ b/internal/coordination/lease/incarnations.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		p := h.Partitions[released.Partition]
-		failover.NoteReleased(p.FormerLeaders, label, record.Nonce, released.LeaseRevision, now.Add(delegation.GrantDuration))
+		failover.RecordRelease(p.FormerLeaders, label, record.Nonce, released.LeaseRevision, now.Add(delegation.GrantDuration))
 		if p.Held && p.Ready {
 			h.shortenBounds(p, now)
 		}
--- a/internal/coordination/lease/loss.go
+++ b/internal/coordination/lease/loss.go
@@ -13,20 +13,20 @@
 	reasonControllerLeaseEnded = "the controller lease ended"
 )
 
-// LosePartition stops acting as the leader of a partition, if this controller is its leader.
-func (h *Holder) LosePartition(p *cluster.Partition, reason string) {
+// StopLeading stops acting as the leader of a partition, if this controller is its leader.
+func (h *Holder) StopLeading(p *cluster.Partition, reason string) {
 	if !p.Held {
 		return
 	}
 	h.log.Info("partition lost", "partition", p.Index, "reason", reason)
 	p.Held, p.Ready, p.FairShare = false, false, cluster.FairShareState{}
 	p.DelegatedUntil, p.Delegations = p.Delegations.LatestGrantEnd(), delegation.Ledger{}
-	h.ClearPartition(p)
+	h.ClearLeaderState(p)
 }
 
-// ClearPartition drops the state of a partition's jobs and machines that is valid only on the
+// ClearLeaderState drops the state of a partition's jobs and machines that is valid only on the
 // partition's leader.
-func (h *Holder) ClearPartition(p *cluster.Partition) {
+func (h *Holder) ClearLeaderState(p *cluster.Partition) {
 	p.LeaderStateCleared = true
 	clear(p.Usage)
 	for id, j := range h.Jobs {
@@ -48,7 +48,7 @@
 func (h *Holder) loseAllLeases(reason string) {
 	h.LeaseID = 0
 	for _, p := range h.Partitions {
-		h.LosePartition(p, reason)
+		h.StopLeading(p, reason)
 	}
 	h.autoscaler.DropLeadership(reason)
 }
--- a/internal/coordination/lease/release.go
+++ b/internal/coordination/lease/release.go
@@ -27,7 +27,7 @@
 // handBack releases a partition for its preferred leader.
 func (h *Holder) handBack(p *cluster.Partition, now time.Time) {
 	revision := p.LeaseRevision
-	h.LosePartition(p, "handed back")
+	h.StopLeading(p, "handed back")
 	p.AcquiredAt = now
 	txn := h.releaseTransaction([]storage.ReleasedLease{{Partition: p.Index, LeaseRevision: revision}}, 0)
 	h.loop.Go(func() { h.releaseLeases(h.loop.Context(), txn) })
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -57,7 +57,7 @@
 	c, _ := newLeadingController(t)
 	c.Observe()
 	setNetwork(c, unresponsiveNetwork{})
-	c.Settings.Params.MachineLimits, c.Settings.Params.State = largeProcessLimits, largeStateStoreLimits
+	c.Settings.Params.ProcessLimits, c.Settings.Params.State = largeProcessLimits, largeStateStoreLimits
 	c.proxy.UnsentLimit = proxy.UnsentBytesLimit(largeProcessLimits)
 	c.CancelBound = largeCancelBound
 	c.Cancellations.SetLimit(largeCancelBound, largeStateStoreLimits)
@@ -140,7 +140,7 @@
 		}
 	}
 	replica := replication.NewReplica(p.Index, time.Now())
-	replica.StartFrom(c.log.Error, items, 5, time.Now())
+	replica.ApplyListing(c.log.Error, items, 5, time.Now())
 	return replica
 }
 
@@ -160,7 +160,7 @@
 			break
 		}
 		messages++
-		p.Replication.AcknowledgedSeq = replica.Updates.Apply(sent, replica.Derived.NoteStart, now)
+		p.Replication.AcknowledgedSeq = replica.Updates.Apply(sent, replica.Derived.StoreStart, now)
 	}
 	return messages
 }
@@ -216,7 +216,7 @@
 	}
 	cancelled := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range cancelled {
-		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now)
+		c.jobs.SetFinalState(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now)
 	}
 	for i := range largeMachines { // as after a start of all controllers at once
 		name := largeMachineName(largeMachines + i)
@@ -244,7 +244,7 @@
 func TestWorstCaseSummaryFits(t *testing.T) {
 	c, _ := newLeadingController(t)
 	c.Observe()
-	c.Settings.Params.MachineLimits = largeProcessLimits
+	c.Settings.Params.ProcessLimits = largeProcessLimits
 	c.Cancellations.SetLimit(largeCancelBound, largeStateStoreLimits)
 	longID := func(i int) string { return fmt.Sprintf("job-%032d", i) }
 	longName := func(i int) string { return fmt.Sprintf("%064d", i) }
@@ -290,14 +290,14 @@
 		if messages > standbyMessagesMax {
 			t.Errorf("partition %d: its new standby needed %d messages, sent one a second", p.Index, messages)
 		}
-		attempts, machines = attempts+replica.Derived.KnownStarts(), machines+len(replica.Updates.Machines)
+		attempts, machines = attempts+replica.Derived.CountKnownStarts(), machines+len(replica.Updates.Machines)
 		transfer, complete := replica.StateTransfer(time.Now())
 		raw, err := proto.Marshal(transfer)
-		if err != nil || !complete || len(raw) > replication.StateTransferBytesLimit || len(transfer.Attempts) != replica.Derived.KnownStarts() || len(transfer.Machines) != len(replica.Updates.Machines) {
+		if err != nil || !complete || len(raw) > replication.StateTransferBytesLimit || len(transfer.Attempts) != replica.Derived.CountKnownStarts() || len(transfer.Machines) != len(replica.Updates.Machines) {
 			t.Errorf("state transfer of %d bytes, complete %v, has %d attempts and %d machines (%v)", len(raw), complete, len(transfer.Attempts), len(transfer.Machines), err)
 		}
 		t.Logf("partition %d: standby updated on %d machines in %d messages, state transfer of %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
-		c.leases.ClearPartition(p) // a standby does not hold a leader's state
+		c.leases.ClearLeaderState(p) // a standby does not hold a leader's state
 		c.takeover.Install(p, replica, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
@@ -323,11 +323,11 @@
 	replica := replication.NewReplica(0, time.Now())
 	for id, j := range c.Jobs {
 		for task := range j.LiveAttempts {
-			replica.Derived.NoteStart(replication.AttemptID{Job: id, Task: task, Number: 1}, time.Now())
+			replica.Derived.StoreStart(replication.AttemptID{Job: id, Task: task, Number: 1}, time.Now())
 		}
 	}
-	if len(replica.Derived.Starts) != largeTasks || replica.Derived.DroppedStarts != 0 {
-		t.Errorf("%d start times kept, %d dropped", len(replica.Derived.Starts), replica.Derived.DroppedStarts)
+	if len(replica.Derived.PendingStarts) != largeTasks || replica.Derived.DroppedStarts != 0 {
+		t.Errorf("%d start times kept, %d dropped", len(replica.Derived.PendingStarts), replica.Derived.DroppedStarts)
 	}
 }
 
@@ -338,7 +338,7 @@
 	cancelled := int(largeCancelsPerSecond * largeCancelBound.Seconds())
 	for i := range cancelled {
 		age := largeCancelBound - time.Second - time.Duration(i)*(largeCancelBound-2*time.Second)/time.Duration(cancelled)
-		c.jobs.SetFinal(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now.Add(-age))
+		c.jobs.SetFinalState(fmt.Sprintf("job-8%08d", i), protocol.StatusCancelled, now.Add(-age))
 	}
 	notices := c.Cancellations.Recent(now, c.CancelBound)
 	if len(notices) != cancelled || notices[0].Job != "job-800000000" {
@@ -443,7 +443,7 @@
 // Exceeding a bound is counted in the metrics and logged once; the more urgent entries are
 // kept.
 func TestExceededBoundsAreCounted(t *testing.T) {
-	limitMemory := func(c *Controller) { c.Settings.Params.MachineLimits.MemMB = 64 }
+	limitMemory := func(c *Controller) { c.Settings.Params.ProcessLimits.MemMB = 64 }
 	for _, tc := range []struct {
 		name   string
 		bound  telemetry.Bound
@@ -484,16 +484,16 @@
 			}
 		}},
 		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
-			for i := range peering.DemandsMin + 1 {
+			for i := range peering.MinDemands + 1 {
 				c.addQueuedJob(fmt.Sprint("job-", i), 1)
 			}
-			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.DemandsMin {
+			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.MinDemands {
 				t.Errorf("%d demands in the summary", n)
 			}
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
 			for i := range c.Cancellations.Limit + 1 {
-				c.jobs.SetFinal(fmt.Sprint("job-", i), protocol.StatusCancelled, time.Now())
+				c.jobs.SetFinalState(fmt.Sprint("job-", i), protocol.StatusCancelled, time.Now())
 			}
 			if sent := c.Cancellations.Recent(time.Now(), c.CancelBound); len(sent) != c.Cancellations.Limit || sent[0].Job != "job-0" {
 				t.Errorf("%d cancellation notices, the first for %s", len(sent), sent[0].Job)
@@ -527,11 +527,11 @@
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
 			for i := range replication.PendingStartsLimit {
-				replica.Derived.Starts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
+				replica.Derived.PendingStarts[replication.AttemptID{Job: "job-1", Task: i, Number: 1}] = time.Now()
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
-			if len(replica.Derived.Starts) != replication.PendingStartsLimit {
-				t.Errorf("%d start times kept", len(replica.Derived.Starts))
+			if len(replica.Derived.PendingStarts) != replication.PendingStartsLimit {
+				t.Errorf("%d start times kept", len(replica.Derived.PendingStarts))
 			}
 		}},
 		{"machines sent to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
@@ -598,17 +598,17 @@
 			}
 		}},
 		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.OnPollRefused() }},
-		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.NotePeerConnectionRefused() }},
+		{"connections of peers", telemetry.PeerConnections, func(_ *testing.T, c *Controller) { c.RecordRefusedPeerConnection() }},
 		{"callers", telemetry.Callers, func(t *testing.T, c *Controller) {
-			panicOnError(c.EnableAuth(auth.Identities{}))
-			for i := range auth.UnknownJobLimitersLimit + 1 {
+			panicOnError(c.EnableAuth(auth.Config{}))
+			for i := range auth.MaxUnknownJobLimiters + 1 {
 				c.auth.UnknownJobLimiters.Add(fmt.Sprint("person/", i), nil)
 			}
-			if n := c.auth.UnknownJobLimiters.Len(); n != auth.UnknownJobLimitersLimit {
+			if n := c.auth.UnknownJobLimiters.Len(); n != auth.MaxUnknownJobLimiters {
 				t.Errorf("%d callers are tracked", n)
 			}
 		}},
-		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.NoteUserConnectionRefused() }},
+		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.RecordRefusedUserConnection() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var log bytes.Buffer
@@ -617,7 +617,7 @@
 			c.bounds.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn}))
 			tc.exceed(t, c)
 			expectCountedBounds(t, c, tc.bound)
-			c.bounds.Met(tc.bound, 1)
+			c.bounds.ReportExceeded(tc.bound, 1)
 			if n := strings.Count(log.String(), "bound="+tc.bound.String()); n != 1 {
 				t.Errorf("bound logged %d times, want once:\n%s", n, log.String())
 			}
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -212,8 +212,8 @@
 // killed or cut off.
 func drawLinearizabilityFaults(seed uint64) []plannedFault {
 	kinds := []faultKind{
-		faultLostTransactionAnswers, faultLostTransactionAnswers, faultLateTransactions, faultCrash, faultRefused,
-		faultCutFromAllButAgents, faultOutage, faultHandover, faultPause, faultWatchesStuck, faultCrashOfAll,
+		faultLostTransactionAnswers, faultLostTransactionAnswers, faultLateTransactions, faultCrash, faultStateStoreRefusal,
+		faultCutFromAllButAgents, faultStateStoreOutage, faultHandover, faultPause, faultWatchesStuck, faultCrashOfAll,
 		faultLateCommands, faultSlowLinks,
 	}
 	triggers := []string{"", writeOfFinal, writeOfLease, writeOfRun}
@@ -251,7 +251,7 @@
 				sim.withLock(func() {
 					sim.cloud.Capacity = 16
 					sim.writes.observe(sim)
-					sim.runTime = func(job string, _ int, _ string) time.Duration {
+					sim.taskRunTime = func(job string, _ int, _ string) time.Duration {
 						return time.Duration(2+int(job[len(job)-1])%9) * time.Second
 					}
 				})
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -15,8 +15,8 @@
 const (
 	// maxAnswerDelay is how long status requests for an accepted job may go unanswered.
 	maxAnswerDelay = 75 * time.Second
-	// startedWithin is how long a job may wait while resources are free.
-	startedWithin = 90 * time.Second
+	// maxStartDelay is how long a job may wait while resources are free.
+	maxStartDelay = 90 * time.Second
 )
 
 // clearFaults ends all faults that are still active, and starts the controllers that are down.
@@ -24,10 +24,10 @@
 	sim.setOutage(false)
 	sim.withLock(func() {
 		sim.state.RefusedClients, sim.state.WatchesStuck = nil, false
-		sim.cut, sim.cuts, sim.onRequest, sim.onResponse, sim.interceptCommands = nil, networkCuts{}, nil, nil, nil
-		sim.messageFaultRate, sim.lateTransactionShare, sim.duplicatedHeartbeatShare, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, 0
+		sim.dropsMessage, sim.cuts, sim.onRequest, sim.onResponse, sim.interceptCommands = nil, networkCuts{}, nil, nil, nil
+		sim.messageFaultRate, sim.lateTransactionRate, sim.duplicatedHeartbeatRate, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, 0
 		sim.inboundLost, sim.outboundLost, sim.suppressNotices, sim.cancelAtEnd = nil, nil, false, nil
-		for _, agent := range sim.workers {
+		for _, agent := range sim.agents {
 			agent.Hung = false
 		}
 	})
@@ -77,7 +77,7 @@
 			}
 		})
 		for job, at := range since {
-			if now.Sub(at) > startedWithin {
+			if now.Sub(at) > maxStartDelay {
 				sim.t.Errorf("%s has waited for %s although %s has free resources", job.job, now.Sub(at), job.machine)
 				return
 			}
@@ -112,15 +112,15 @@
 // starvedJobs returns the jobs that wait although resources are free. The lock is held.
 func (sim *simulatedCluster) starvedJobs() map[starvedJob]bool {
 	starved := map[starvedJob]bool{}
-	if sim.fails != nil {
+	if sim.taskFails != nil {
 		return starved // jobs with failed tasks wait because of their backoff
 	}
-	names := slices.Sorted(maps.Keys(sim.workers))
+	names := slices.Sorted(maps.Keys(sim.agents))
 	used := map[string]float64{}
 	perZone := map[string]map[string]int{} // number of tasks by job and zone
 	free := make([]resources, len(names))
 	for i, name := range names {
-		agent := sim.workers[name]
+		agent := sim.agents[name]
 		free[i] = sim.machineResources(agent.Type)
 		for _, t := range agent.Tasks {
 			if t.State == protocol.TaskEnded {
@@ -146,7 +146,7 @@
 		}
 		slots, machines := 0, ""
 		for i, name := range names {
-			n := freeSlots(sim.workers[name], free[i], s, perZone[id])
+			n := freeSlots(sim.agents[name], free[i], s, perZone[id])
 			if slots += n; n == 0 {
 				continue
 			}
@@ -175,7 +175,7 @@
 // more task of a job, or, if the job is a gang or a service, for all its tasks.
 func (sim *simulatedCluster) withinTeamLimit(s *protocol.JobSpec, used float64) bool {
 	tasks := 1
-	if s.Gang || s.Standing {
+	if s.Gang || s.Service {
 		tasks = s.Tasks
 	}
 	for _, team := range sim.settings.Params.Teams {
@@ -207,7 +207,7 @@
 // freeSlots returns how many tasks of a job a machine with the given free resources can take.
 // inZone is the number of the job's tasks in each zone.
 func freeSlots(agent *agent.Agent, free resources, s *protocol.JobSpec, inZone map[string]int) int {
-	if agent.PoweredOff || agent.Hung || agent.PreemptedAt != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
+	if agent.PoweredOff || agent.Hung || agent.PreemptAt != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) {
 		return 0
 	}
--- a/internal/coordination/on_behalf_of_test.go
+++ b/internal/coordination/on_behalf_of_test.go
@@ -50,7 +50,7 @@
 			"a token instead of the certificate":                       requestThrough("", frontend, "person/anna", "POST", "/submissions", job("job-8", "red", "build")),
 			"a person who vouches":                                     requestThrough("person/root", "", "person/anna", "POST", "/submissions", job("job-9", "red", "build")),
 			"an administrator's change through the service":            requestThrough(frontend, "", "person/root", "POST", "/policy", rights.Change{Version: 2}),
-			"an administrator's bulk cancellation through the service": requestThrough(frontend, "", "person/root", "POST", "/withdrawals", protocol.CancelAll{By: "person/anna"}),
+			"an administrator's bulk cancellation through the service": requestThrough(frontend, "", "person/root", "POST", "/withdrawals", protocol.CancelAll{SubmittedBy: "person/anna"}),
 			"the service itself, which may submit nothing":             requestThrough(frontend, "", "", "POST", "/submissions", job("job-10", "red", "build")),
 			"a rights check for an identity without the right":         requestThrough(frontend, "", "person/partner", "GET", "/may?verb=submit&team=red&class=build", nil),
 		} {
@@ -69,14 +69,14 @@
 		time.Sleep(10 * time.Second)
 		read := sim.readAudit("n0")
 		for verb, n := range map[string]int{"submit": 1, "withdraw": 1} {
-			if got := countRecords(read, func(r *audit.Record) bool {
-				return r.Verb == verb && r.Job == "job-1" && r.Who == "person/anna" && r.Outcome == audit.Allowed && strings.HasPrefix(r.How, "vouched for by service/gate-0, certificate ")
+			if got := countAuditRecords(read, func(r *audit.Record) bool {
+				return r.Verb == verb && r.Job == "job-1" && r.Identity == "person/anna" && r.Outcome == audit.Allowed && strings.HasPrefix(r.Credential, "vouched for by service/gate-0, certificate ")
 			}); got != n {
 				t.Errorf("%d audit records of verb %s for the client, want %d", got, verb, n)
 			}
 		}
-		if got := countRecords(read, func(r *audit.Record) bool {
-			return r.Outcome == audit.Denied && r.Who == "service/other" && strings.Contains(r.Reason, "vouches for person/anna")
+		if got := countAuditRecords(read, func(r *audit.Record) bool {
+			return r.Outcome == audit.Denied && r.Identity == "service/other" && strings.Contains(r.Reason, "vouches for person/anna")
 		}); got != 1 {
 			t.Errorf("%d audit records of the service without the right to vouch, want 1", got)
 		}
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -14,7 +14,7 @@
 // requestOperations sends a GET request to a controller as an operator does.
 func (sim *simulatedCluster) requestOperations(identityName, label, path string) transport.Response {
 	process := sim.processOf(label)
-	req := &transport.Request{Method: "GET", Path: path, From: "10.9.0.2:4000"}
+	req := &transport.Request{Method: "GET", Path: path, RemoteAddr: "10.9.0.2:4000"}
 	if identityName != "" {
 		req.Authorization = sim.identities.authorization(identityName)
 	}
@@ -56,7 +56,7 @@
 			}
 		}
 		sim.mu.Lock()
-		partitions := sim.settings.Params.Count
+		partitions := sim.settings.Params.ControllerCount
 		sim.mu.Unlock()
 		if led != partitions || machines == 0 || tasks > 6 {
 			t.Errorf("the overviews show %d partitions of %d, %d machines, %d tasks; want all partitions, some machines, at most 6 tasks", led, partitions, machines, tasks)
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -52,9 +52,9 @@
 		}
 		for name, batch := range sent {
 			sim.mu.Lock()
-			agent := sim.workers[name]
+			agent := sim.agents[name]
 			sim.mu.Unlock()
-			if resp := sim.serveWorker(agent, "/orders", protocol.Encode(batch)); resp.Status == 200 {
+			if resp := sim.deliverToAgent(agent, "/orders", protocol.Encode(batch)); resp.Status == 200 {
 				t.Errorf("%s executed a command from before the takeover", name)
 			}
 		}
@@ -80,7 +80,7 @@
 			for _, label := range allControllers {
 				sim.mu.Lock()
 				var heartbeats []*protocol.Heartbeat
-				for _, agent := range sim.workers {
+				for _, agent := range sim.agents {
 					heartbeats = append(heartbeats, agent.Heartbeat())
 				}
 				sim.mu.Unlock()
@@ -121,7 +121,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		sim.mu.Lock()
-		for _, agent := range sim.workers {
+		for _, agent := range sim.agents {
 			if agent.Epoch != 1 {
 				t.Errorf("%s lost its lease during the outage", agent.Name)
 			}
@@ -140,7 +140,7 @@
 		sim.waitForAllJobs(time.Minute)
 		sim.mu.Lock()
 		var r *protocol.Heartbeat
-		for _, agent := range sim.workers {
+		for _, agent := range sim.agents {
 			r = agent.Heartbeat()
 		}
 		sim.mu.Unlock()
@@ -168,23 +168,23 @@
 	t.Parallel()
 	runSimulation(t, 11, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
+		sim.taskRunTime = func(string, int, string) time.Duration { return 25 * time.Second }
 		sim.submit(newJobSpec("job-1", 12, "blue"))
 		time.Sleep(15 * time.Second)
 		sim.mu.Lock()
 		unreachable := ""
-		for name, agent := range sim.workers {
+		for name, agent := range sim.agents {
 			if len(agent.Tasks) > 0 {
 				unreachable = name
 			}
 		}
-		sim.cut = func(_, host string) bool { return host == unreachable }
+		sim.dropsMessage = func(_, host string) bool { return host == unreachable }
 		sim.mu.Unlock()
 		if unreachable == "" {
 			t.Fatal("no machine runs a task")
 		}
 		time.Sleep(20 * time.Second)
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 		sim.waitForAllJobs(3 * time.Minute)
 	})
 }
@@ -198,7 +198,7 @@
 		sim.submit(newJobSpec("job-3", 4, "green"))
 		time.Sleep(10 * time.Second)
 		sim.withLock(func() {
-			sim.cut = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
+			sim.dropsMessage = func(from, host string) bool { return from == "n0" && strings.HasPrefix(host, "m-") }
 		})
 		time.Sleep(25 * time.Second)
 		led := 0
@@ -216,7 +216,7 @@
 			t.Logf("n0 still leads %d partitions and has %d machine records", led, machines)
 		}
 		sim.waitForAllJobs(2 * time.Minute)
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 	})
 }
 
@@ -250,12 +250,12 @@
 		}
 		// For a moment, the new leaders and their agents cannot reach each other.
 		sim.mu.Lock()
-		sim.cut = func(from, host string) bool {
+		sim.dropsMessage = func(from, host string) bool {
 			return from != leader && strings.HasPrefix(host, "m-")
 		}
 		sim.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		sim.withLock(func() { sim.cut = nil })
+		sim.withLock(func() { sim.dropsMessage = nil })
 		time.Sleep(3 * time.Second)
 		sim.mu.Lock()
 		for name := range before {
@@ -302,7 +302,7 @@
 	p := c.Partitions[0]
 	p.Held, p.Ready, p.LeaseRevision = true, true, 5
 	now := time.Now()
-	c.agents.MachineRecorded("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
+	c.agents.ApplyMachineRecord("m-1", storage.Machine{Type: "small", Zone: "a"}, 3, now)
 	m := c.Machines["m-1"]
 	m.Epoch, m.HasReported = 2, true
 	j := c.addLoadedJob("job-1")
@@ -333,7 +333,7 @@
 func TestPartitionsAreHandedBack(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 22, func(sim *simulatedCluster) {
-		sim.runTime = func(string, int, string) time.Duration { return 90 * time.Second }
+		sim.taskRunTime = func(string, int, string) time.Duration { return 90 * time.Second }
 		time.Sleep(4 * time.Second)
 		for i, team := range allTeams {
 			sim.submit(newJobSpec(fmt.Sprintf("job-%d", i), 4, team))
@@ -354,8 +354,8 @@
 		sim.waitForAllJobs(3 * time.Minute)
 		sim.mu.Lock()
 		starts := 0
-		for _, agent := range sim.workers {
-			starts += agent.Starts
+		for _, agent := range sim.agents {
+			starts += agent.TasksStarted
 		}
 		sim.mu.Unlock()
 		if starts > 12 {
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -5,19 +5,19 @@
 // memory.
 const JobProgressLimit = 8000
 
-// DemandsMin is the maximum number of demands in the summary of a small partition. For a larger
+// MinDemands is the maximum number of demands in the summary of a small partition. For a larger
 // one, the maximum grows with the number of machines.
-const DemandsMin = 200
+const MinDemands = 200
 
 // machinesPerDemand is the number of machines of a large partition for each demand that its summary
 // may contain.
 const machinesPerDemand = 4
 
-// StarvedDemandsShare limits the demands of starved groups that precede the demands of all other
+// StarvedDemandsDivisor limits the demands of starved groups that precede the demands of all other
 // jobs in a summary: there may be as many as the maximum number of demands divided by
-// StarvedDemandsShare. Without them, the fleet might not be scaled out for starved groups.
-const StarvedDemandsShare = 5
+// StarvedDemandsDivisor. Without them, the fleet might not be scaled out for starved groups.
+const StarvedDemandsDivisor = 5
 
 // DemandsLimit returns the maximum number of demands in the summary of a partition with a number of
 // machines.
-func DemandsLimit(machines int) int { return max(DemandsMin, machines/machinesPerDemand) }
+func DemandsLimit(machines int) int { return max(MinDemands, machines/machinesPerDemand) }
--- a/internal/coordination/peering/collaborators.go
+++ b/internal/coordination/peering/collaborators.go
@@ -19,8 +19,8 @@
 
 // Replicator holds replicas of other leaders' partitions.
 type Replicator interface {
-	// Summaries returns the status of each replica that this controller holds.
-	Summaries() []*peer.ReplicaStatus
+	// ReplicaStatuses returns the status of each replica that this controller holds.
+	ReplicaStatuses() []*peer.ReplicaStatus
 }
 
 // Scheduler provides the job queues and the estimates of run times.
--- a/internal/coordination/peering/demand.go
+++ b/internal/coordination/peering/demand.go
@@ -21,7 +21,7 @@
 // one entry for each job, starved groups first, up to the limit.
 func (e *Exchange) demands(partition *cluster.Partition, expected []expectedMachine, limit int, now time.Time) (list []*peer.Demand) {
 	taken := make([]binpack.Compute, len(partition.Usage)) // by the jobs handled so far, per team
-	for _, job := range partition.FairShare.StarvedFirst(e.scheduler.Queue(partition), limit/StarvedDemandsShare) {
+	for _, job := range partition.FairShare.StarvedFirst(e.scheduler.Queue(partition), limit/StarvedDemandsDivisor) {
 		if len(job.Pending) == 0 || job.Ended || now.Before(job.BackoffUntil) {
 			continue
 		}
@@ -34,7 +34,7 @@
 			continue
 		}
 		if len(list) >= limit {
-			e.bounds.Met(telemetry.Demands, 1)
+			e.bounds.ReportExceeded(telemetry.Demands, 1)
 			break
 		}
 		list = append(list, e.newDemand(job, count, now))
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -32,7 +32,7 @@
 )
 
 // Exchange sends the other controllers summaries of this one's state and applies theirs. Except for
-// PeerLoop, it must be used only in the event loop.
+// SummaryLoop, it must be used only in the event loop.
 type Exchange struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -96,8 +96,8 @@
 	}
 }
 
-// PeerLoop sends one other controller summaries until the event loop's context ends.
-func (e *Exchange) PeerLoop(label string) {
+// SummaryLoop sends one other controller summaries until the event loop's context ends.
+func (e *Exchange) SummaryLoop(label string) {
 	addr := e.Peers[label].Addr
 	for e.loop.Sleep(SummaryInterval) {
 		var body []byte
--- a/internal/coordination/peering/summary.go
+++ b/internal/coordination/peering/summary.go
@@ -17,7 +17,7 @@
 		From:          e.Settings.Label,
 		StateSilenceS: e.store.SinceLastAnswer().Seconds(),
 		WriteDemand:   e.WriteDemand,
-		Replicas:      e.replicator.Summaries(),
+		Replicas:      e.replicator.ReplicaStatuses(),
 		Draining:      e.Draining,
 		Replicates:    true,
 		Cancelled:     e.Cancellations.Recent(now, e.CancelBound),
@@ -43,7 +43,7 @@
 			continue
 		}
 		if len(list) >= JobProgressLimit {
-			e.bounds.Met(telemetry.JobProgress, 1)
+			e.bounds.ReportExceeded(telemetry.JobProgress, 1)
 			break
 		}
 		list = append(list, &peer.JobProgress{Id: job.Spec.ID, Done: uint32(job.DoneCount), Running: uint32(job.RunningCount)})
@@ -55,13 +55,13 @@
 // jobs, which is only shown to users, and then the unregistered and diverted machines, which will
 // send heartbeats again.
 func (e *Exchange) EncodeSummary(summary *peer.Summary) []byte {
-	limit := peerapi.MaxBody(e.Settings.Params.MachineLimits)
+	limit := peerapi.MaxBody(e.Settings.Params.ProcessLimits)
 	// Marshalling fails only for invalid UTF-8, and all strings were validated on input.
 	body, _ := proto.Marshal(summary)
 	if len(body) <= limit {
 		return body
 	}
-	e.bounds.Met(telemetry.SummaryBytes, 1)
+	e.bounds.ReportExceeded(telemetry.SummaryBytes, 1)
 	summary.Jobs = nil
 	if body, _ = proto.Marshal(summary); len(body) <= limit {
 		return body
--- a/internal/coordination/placement/choose.go
+++ b/internal/coordination/placement/choose.go
@@ -39,7 +39,7 @@
 	m := &r.Machines[machine]
 	return r.free(machine).Holds(job.Resources) &&
 		job.Constraints.Allows(m.Kind) &&
-		(zones == nil || ZoneOpen(job.OneZone, job.Spread, job.Tasks, zones, m.Kind.Zone)) &&
+		(zones == nil || ZoneAllowed(job.OneZone, job.Spread, job.Tasks, zones, m.Kind.Zone)) &&
 		!job.FailedMachines[m.Name] &&
 		(m.ReservedFor == fairshare.NoGroup || slices.Contains(job.Groups[:], m.ReservedFor))
 }
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -53,7 +53,7 @@
 		}, Plan{Assignments: []Assignment{{0, 0}}}},
 		"type that a more constrained job needs is avoided": {func(v *View, d *fakeDetails) {
 			v.Machines[0].Kind.Type = "scarce"
-			v.Scarcity.Note("scarce", 1)
+			v.Scarcity.Record("scarce", 1)
 			v.Jobs[0].Types = 3
 		}, Plan{Assignments: []Assignment{{0, 1}}}},
 		"machine where the job failed": {func(v *View, d *fakeDetails) { v.Jobs[0].FailedMachines = map[string]bool{"a": true} }, Plan{Assignments: []Assignment{{0, 1}}}},
--- a/internal/coordination/placement/zones.go
+++ b/internal/coordination/placement/zones.go
@@ -3,9 +3,9 @@
 // minSpreadZones is the minimum number of zones for the tasks of a job with Spread.
 const minSpreadZones = 2
 
-// ZoneOpen reports whether a further task of a job may start in a zone. tasks is the job's total
+// ZoneAllowed reports whether a further task of a job may start in a zone. tasks is the job's total
 // number of tasks; running counts those that run already by zone.
-func ZoneOpen(oneZone, spread bool, tasks int, running map[string]int, zone string) bool {
+func ZoneAllowed(oneZone, spread bool, tasks int, running map[string]int, zone string) bool {
 	if oneZone {
 		for other, count := range running {
 			if count > 0 && other != zone {
--- a/internal/coordination/planned_faults_test.go
+++ b/internal/coordination/planned_faults_test.go
@@ -40,11 +40,11 @@
 	faultReplayedHeartbeats     faultKind = "replayed heartbeats"      // copies of heartbeats arrive when the next partition lease is written
 	faultInboundLost            faultKind = "inbound lost"             // machines receive neither responses nor commands
 	faultOutboundLost           faultKind = "outbound lost"            // messages of machines are lost
-	faultRefused                faultKind = "refused"                  // the state store refuses one controller
+	faultStateStoreRefusal      faultKind = "refused"                  // the state store refuses one controller
 	faultCutFromAllButAgents    faultKind = "cut from all but agents"
 	faultCutFromAgents          faultKind = "cut from agents"
 	faultCutOff                 faultKind = "cut off"
-	faultOutage                 faultKind = "outage"        // the state store is down
+	faultStateStoreOutage       faultKind = "outage"        // the state store is down
 	faultWatchesStuck           faultKind = "watches stuck" // watches deliver nothing
 	faultCrash                  faultKind = "crash"
 	faultCrashOfAll             faultKind = "crash of all"
@@ -66,8 +66,8 @@
 // faultKinds are the kinds that random plans draw from; late commands are drawn twice as often.
 var faultKinds = []faultKind{
 	faultLateTransactions, faultLostTransactionAnswers, faultLateHeartbeats, faultReplayedHeartbeats,
-	faultInboundLost, faultOutboundLost, faultRefused, faultCutFromAllButAgents,
-	faultCutFromAgents, faultCutOff, faultOutage, faultWatchesStuck,
+	faultInboundLost, faultOutboundLost, faultStateStoreRefusal, faultCutFromAllButAgents,
+	faultCutFromAgents, faultCutOff, faultStateStoreOutage, faultWatchesStuck,
 	faultCrash, faultCrashOfAll, faultLongCrashOfAll, faultPause,
 	faultHandover, faultHang, faultPowerOff, faultCancelNow,
 	faultCancelAtEnd, faultZoneCut, faultLostMessages, faultCloudUnreachable,
@@ -154,7 +154,7 @@
 func (sim *simulatedCluster) selectMachines(fault plannedFault) (names []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for i, name := range slices.Sorted(maps.Keys(sim.workers)) {
+	for i, name := range slices.Sorted(maps.Keys(sim.agents)) {
 		if float64((i*37+fault.Arg)%100) < 100*fault.Share {
 			names = append(names, name)
 		}
@@ -175,13 +175,13 @@
 	faultOutboundLost: func(sim *simulatedCluster, fault plannedFault) {
 		sim.markMachinesDuring(fault, &sim.outboundLost)
 	},
-	faultRefused:             (*simulatedCluster).injectStateStoreRefusal,
+	faultStateStoreRefusal:   (*simulatedCluster).injectStateStoreRefusal,
 	faultCutFromAllButAgents: (*simulatedCluster).injectCut,
 	faultCutFromAgents:       (*simulatedCluster).injectCut,
 	faultCutOff:              (*simulatedCluster).injectCut,
 	faultCloudUnreachable:    (*simulatedCluster).injectCut,
 	faultZoneCut:             (*simulatedCluster).injectZoneCut,
-	faultOutage:              (*simulatedCluster).injectStateStoreOutage,
+	faultStateStoreOutage:    (*simulatedCluster).injectStateStoreOutage,
 	faultWatchesStuck: func(sim *simulatedCluster, fault plannedFault) {
 		sim.during(fault, func(on bool) { sim.state.WatchesStuck = on })
 	},
@@ -192,7 +192,7 @@
 		sim.restartAllControllers(fault.downtime())
 	},
 	faultLongCrashOfAll: func(sim *simulatedCluster, _ plannedFault) {
-		sim.restartAllControllers(time.Duration(sim.settings.Params.Workers.LeaseS+2) * time.Second)
+		sim.restartAllControllers(time.Duration(sim.settings.Params.AgentTimes.LeaseS+2) * time.Second)
 	},
 	faultPause: func(sim *simulatedCluster, fault plannedFault) {
 		sim.pauseController(fault.controller(), min(fault.For, 12*time.Second))
@@ -257,9 +257,9 @@
 // late, or at once if only the responses are to be lost.
 func (sim *simulatedCluster) injectLateTransactions(fault plannedFault) {
 	sim.during(fault, func(on bool) {
-		sim.lateTransactionShare, sim.loseAnswersOnly = 0, false
+		sim.lateTransactionRate, sim.loseResponsesOnly = 0, false
 		if on {
-			sim.lateTransactionShare, sim.loseAnswersOnly = fault.Share, fault.Kind == faultLostTransactionAnswers
+			sim.lateTransactionRate, sim.loseResponsesOnly = fault.Share, fault.Kind == faultLostTransactionAnswers
 		}
 	})
 }
@@ -268,9 +268,9 @@
 // if they are to be replayed.
 func (sim *simulatedCluster) injectDuplicatedHeartbeats(fault plannedFault) {
 	sim.during(fault, func(on bool) {
-		sim.duplicatedHeartbeatShare, sim.keepForReplay = 0, false
+		sim.duplicatedHeartbeatRate, sim.keepForReplay = 0, false
 		if on {
-			sim.duplicatedHeartbeatShare, sim.keepForReplay = fault.Share, fault.Kind == faultReplayedHeartbeats
+			sim.duplicatedHeartbeatRate, sim.keepForReplay = fault.Share, fault.Kind == faultReplayedHeartbeats
 		}
 	})
 }
@@ -290,9 +290,9 @@
 
 // injectStateStoreRefusal makes the state store refuse the requests of one controller.
 func (sim *simulatedCluster) injectStateStoreRefusal(fault plannedFault) {
-	sim.setStateServiceRefusal(fault.controller(), true)
+	sim.setStateStoreRefusal(fault.controller(), true)
 	time.Sleep(fault.For)
-	sim.setStateServiceRefusal(fault.controller(), false)
+	sim.setStateStoreRefusal(fault.controller(), false)
 }
 
 // injectStateStoreOutage takes the state store down for twice the fault's duration.
@@ -326,7 +326,7 @@
 	zone := []string{"a", "b"}[fault.Arg%2]
 	inside := map[string]bool{}
 	sim.withLock(func() {
-		for name, agent := range sim.workers {
+		for name, agent := range sim.agents {
 			inside[name] = agent.Zone == zone
 		}
 	})
@@ -370,9 +370,9 @@
 	names := sim.selectMachines(fault)
 	for _, name := range names[:min(3, len(names))] {
 		sim.withLock(func() {
-			if agent := sim.workers[name]; agent != nil {
+			if agent := sim.agents[name]; agent != nil {
 				agent.PowerOff()
-				delete(sim.workers, name)
+				delete(sim.agents, name)
 			}
 		})
 	}
@@ -431,7 +431,7 @@
 	sim.during(fault, func(on bool) {
 		sim.delayedCommands = nil
 		if on {
-			sim.delayedCommands = &commandDelayFault{share: fault.Share, loseAnswersOnly: fault.Kind == faultLostCommandAnswers}
+			sim.delayedCommands = &commandDelayFault{rate: fault.Share, loseResponsesOnly: fault.Kind == faultLostCommandAnswers}
 		}
 	})
 }
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -60,8 +60,8 @@
 	Service bool
 	// NonPreempting marks jobs that never preempt, such as gangs.
 	NonPreempting bool
-	// ClosedZones are the zones where no further task of the job may start.
-	ClosedZones map[string]bool
+	// DisallowedZones are the zones where no further task of the job may start.
+	DisallowedZones map[string]bool
 	// FailedMachines are the names of machines on which the job failed.
 	FailedMachines map[string]bool
 	// Groups are the job's fair-share groups.
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -66,7 +66,7 @@
 		"job without a deadline after maxWait":        {func(v *View) { v.Jobs[0].Deadline, v.Jobs[0].ReadyAt = time.Time{}, now.Add(-16*time.Second) }, []Preemption{{Task: 1}}},
 		"gang":                                        {func(v *View) { v.Jobs[0].NonPreempting = true }, nil},
 		"machine where the job failed":                {func(v *View) { v.Jobs[0].FailedMachines = map[string]bool{"m-2": true} }, []Preemption{{Task: 0}}},
-		"closed zone":                                 {func(v *View) { v.Jobs[0].ClosedZones = map[string]bool{"": true} }, nil},
+		"closed zone":                                 {func(v *View) { v.Jobs[0].DisallowedZones = map[string]bool{"": true} }, nil},
 		"lost work above the maximum":                 {func(v *View) { v.Tasks[0].LostWork, v.Tasks[1].LostWork = 41, 41 }, nil},
 		"stopping task suffices":                      {func(v *View) { v.Tasks[1].Stopping = true }, nil},
 		"one pending task on each machine":            {func(v *View) { v.Jobs[0].Pending = 3 }, []Preemption{{Task: 1}, {Task: 0}}},
--- a/internal/coordination/proxy/answering.go
+++ b/internal/coordination/proxy/answering.go
@@ -35,7 +35,7 @@
 		return apierror.Response(errSuperseded), true
 	}
 	if assigned.UnsentBytes+len(raw) > p.UnsentLimit {
-		p.bounds.Met(telemetry.ForwardedHeartbeats, 1)
+		p.bounds.ReportExceeded(telemetry.ForwardedHeartbeats, 1)
 		return apierror.Response(errLeaderBehind), true
 	}
 	if heartbeat.Addr != "" {
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -42,8 +42,8 @@
 	// Assignments holds this controller's assignment as a delegate for each partition, by partition
 	// index.
 	Assignments []*assignment
-	// MovedAt is when a shard was last moved.
-	MovedAt time.Time
+	// ShardMovedAt is when a shard was last moved.
+	ShardMovedAt time.Time
 	// balancedAt is when Rebalance last ran.
 	balancedAt time.Time
 	// recentMoves are the last shard moves, for operators, and recentMoveTimes their times.
@@ -56,7 +56,7 @@
 
 // New returns a Proxy. Connect must be called before it is used.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, log *slog.Logger, bounds *telemetry.BoundReporter) *Proxy {
-	limits := state.Settings.Params.MachineLimits
+	limits := state.Settings.Params.ProcessLimits
 	p := &Proxy{
 		State:          state,
 		loop:           loop,
--- a/internal/coordination/proxy/rebalancing.go
+++ b/internal/coordination/proxy/rebalancing.go
@@ -30,8 +30,8 @@
 	}
 	p.balancedAt = now
 	view := p.balancingView(now, nil)
-	view.MayMove = now.Sub(p.MovedAt) >= delegation.MoveInterval
-	view.MayReturn = now.Sub(p.MovedAt) >= delegation.ReturnInterval
+	view.MayMove = now.Sub(p.ShardMovedAt) >= delegation.MoveInterval
+	view.MayReturn = now.Sub(p.ShardMovedAt) >= delegation.ReturnInterval
 	for _, move := range delegation.PlanMoves(view) {
 		p.reassign(move, now)
 	}
@@ -86,9 +86,9 @@
 	former := partition.Delegations.Delegate(move.Shard)
 	p.log.Info("shard delegate changed", "partition", move.Partition, "shard", move.Shard, "controller", move.To, "former_controller", former, "reason", move.Reason)
 	p.metrics.Count(telemetry.ShardMoved, 1)
-	p.recordMove(overview.ShardMove{Part: move.Partition, Shard: move.Shard, From: former, To: move.To, Reason: move.Reason}, now)
+	p.recordMove(overview.ShardMove{Partition: move.Partition, Shard: move.Shard, From: former, To: move.To, Reason: move.Reason}, now)
 	partition.Delegations.Assign(move.Shard, move.To)
-	p.MovedAt = now
+	p.ShardMovedAt = now
 }
 
 // balancingView returns the input of delegation.PlanMoves. If takenOver is not nil, it is a
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -23,8 +23,8 @@
 func configureFewSockets(sim *simulatedCluster) {
 	sim.cloud.Capacity = 14
 	sim.cloud.Types = sim.cloud.Types[:1]
-	sim.settings.Params.MachineLimits.Sockets = 12
-	sim.runTime = func(string, int, string) time.Duration { return 25 * time.Second }
+	sim.settings.Params.ProcessLimits.Sockets = 12
+	sim.taskRunTime = func(string, int, string) time.Duration { return 25 * time.Second }
 }
 
 // startDelegation submits work for all machines to one partition, that of the team without a
@@ -91,7 +91,7 @@
 			t.Errorf("only %d machines are connected", total)
 		}
 		receivers := map[string]int{}
-		sim.forEachWorker(func(agent *agent.Agent) { receivers[agent.Controllers[agent.Controller]]++ })
+		sim.forEachAgent(func(agent *agent.Agent) { receivers[agent.Controllers[agent.ControllerIndex]]++ })
 		if len(receivers) != 3 {
 			t.Errorf("agents by receiver of their heartbeats: %v, want three receivers; connected machines %v", receivers, connected)
 		}
@@ -105,8 +105,8 @@
 					}
 				}
 			}
-			if delegated != total-connected[leader] || moves == 0 || overview.Connected != connected[leader] || overview.Capacity != 6 {
-				t.Errorf("overview shows %d delegated machines, %d moves, %d of %d connections used; connected machines %v", delegated, moves, overview.Connected, overview.Capacity, connected)
+			if delegated != total-connected[leader] || moves == 0 || overview.ConnectedMachines != connected[leader] || overview.Capacity != 6 {
+				t.Errorf("overview shows %d delegated machines, %d moves, %d of %d connections used; connected machines %v", delegated, moves, overview.ConnectedMachines, overview.Capacity, connected)
 			}
 		})
 		sim.mu.Lock()
@@ -115,7 +115,7 @@
 		}
 		sim.mu.Unlock()
 		sim.waitForAllJobs(4 * time.Minute)
-		sim.forEachWorker(func(agent *agent.Agent) {
+		sim.forEachAgent(func(agent *agent.Agent) {
 			if agent.Epoch != 1 {
 				t.Errorf("%s lost its lease: epoch %d", agent.Name, agent.Epoch)
 			}
@@ -158,8 +158,8 @@
 		}
 		var raw []byte
 		var name string
-		sim.forEachWorker(func(agent *agent.Agent) {
-			if raw == nil && agent.Controllers[agent.Controller] == delegate {
+		sim.forEachAgent(func(agent *agent.Agent) {
+			if raw == nil && agent.Controllers[agent.ControllerIndex] == delegate {
 				name, raw = agent.Name, protocol.Encode(agent.Heartbeat())
 				agent.Hung = true
 			}
@@ -173,7 +173,7 @@
 				t.Errorf("after a repeated heartbeat: last new heartbeat %s ago, last possible answer %s ago", silent, time.Since(m.AnsweredUntil))
 			}
 		})
-		sim.forEachWorker(func(agent *agent.Agent) { agent.Hung = false })
+		sim.forEachAgent(func(agent *agent.Agent) { agent.Hung = false })
 		sim.waitForAllJobs(4 * time.Minute)
 	})
 }
@@ -297,7 +297,7 @@
 		}
 		c.watcher.ApplyListing(nil, 1)
 		setLease(3, "n1", "x")
-		c.agents.MachineRecorded("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
+		c.agents.ApplyMachineRecord("m-1", storage.Machine{Partition: 0, Type: "small"}, 2, time.Now())
 		assignment, shard := c.proxy.Assignments[0], c.Machines["m-1"].Shard
 		grant := func() {
 			assignment.Leader, assignment.Lease, assignment.GrantedUntil = c.Partitions[0].Leader, c.Partitions[0].LeaseRevision, time.Now().Add(time.Second)
@@ -387,7 +387,7 @@
 			case lost == nil && len(forwarded) > 0:
 				lost, after = forwarded, req.After
 				for name := range lost { // so that no newer heartbeat replaces the lost one
-					sim.workers[name].Hung = true
+					sim.agents[name].Hung = true
 				}
 				return true
 			case lost != nil:
@@ -404,7 +404,7 @@
 			t.Errorf("machines with a lost heartbeat: %v, in the next request: %v", lost, repeated)
 		}
 		for name := range lost {
-			if sim.workers[name].Hung = false; !repeated[name] {
+			if sim.agents[name].Hung = false; !repeated[name] {
 				t.Errorf("the heartbeat of %s was not forwarded again", name)
 			}
 		}
--- a/internal/coordination/random_concurrent_faults_test.go
+++ b/internal/coordination/random_concurrent_faults_test.go
@@ -40,7 +40,7 @@
 	time.Sleep(2 * time.Second)
 	sim.withLock(func() {
 		sim.writes.observe(sim)
-		sim.runTime = func(job string, task int, _ string) time.Duration {
+		sim.taskRunTime = func(job string, task int, _ string) time.Duration {
 			return time.Duration(3+(len(job)*7+task*5+int(job[len(job)-1]))%30) * time.Second
 		}
 	})
@@ -87,7 +87,7 @@
 		<-finished
 	}
 	sim.withLock(func() {
-		sim.lateTransactionShare, sim.duplicatedHeartbeatShare, sim.messageFaultRate, sim.cancelAtEnd, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, nil, 0
+		sim.lateTransactionRate, sim.duplicatedHeartbeatRate, sim.messageFaultRate, sim.cancelAtEnd, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, nil, 0
 	})
 	// Waiting tasks may take long, for example behind a team's quota, but some must end in each
 	// interval until none is left.
@@ -97,7 +97,7 @@
 			break
 		}
 		ended = done
-		time.Sleep(longestTaskRunTime + startedWithin)
+		time.Sleep(longestTaskRunTime + maxStartDelay)
 	}
 	sim.waitForAllJobs(time.Minute)
 	for _, id := range ids {
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -49,8 +49,8 @@
 		time.Sleep(2 * time.Second)
 		sim.submit(newJobSpec("job-1000", 600, "green"))
 		runRandomFaults(sim)
-		if sim.cloud.Rented < 200 {
-			t.Errorf("only %d machines were launched, want at least 200", sim.cloud.Rented)
+		if sim.cloud.CreatedTotal < 200 {
+			t.Errorf("only %d machines were launched, want at least 200", sim.cloud.CreatedTotal)
 		}
 	})
 }
@@ -60,7 +60,7 @@
 	time.Sleep(2 * time.Second)
 	sim.mu.Lock()
 	sim.messageFaultRate = 0.03
-	sim.runTime = func(job string, task int, _ string) time.Duration {
+	sim.taskRunTime = func(job string, task int, _ string) time.Duration {
 		return time.Duration(3+(len(job)*7+task*5)%15) * time.Second
 	}
 	sim.mu.Unlock()
@@ -70,7 +70,7 @@
 		if round == 30 {
 			// The announced limits come into force.
 			limit := sim.settings.Params.State.Lower().WriteRPS
-			sim.withLock(func() { sim.state.Writes = rate.NewLimiter(rate.Limit(limit), int(limit)) })
+			sim.withLock(func() { sim.state.WriteLimiter = rate.NewLimiter(rate.Limit(limit), int(limit)) })
 		}
 		time.Sleep(time.Duration(500+randomInt(3000)) * time.Millisecond)
 		switch randomInt(8) {
@@ -101,7 +101,7 @@
 			// A machine hangs for less or more than its lease.
 			sim.mu.Lock()
 			var last *agent.Agent
-			for _, agent := range sim.workers {
+			for _, agent := range sim.agents {
 				last = agent
 			}
 			if last != nil {
--- a/internal/coordination/reassignment_test.go
+++ b/internal/coordination/reassignment_test.go
@@ -18,7 +18,7 @@
 	runSimulationWithIdentities(t, 57, func(sim *simulatedCluster) {
 		sim.mu.Lock()
 		sim.cloud.Capacity = 0
-		sim.runTime = func(string, int, string) time.Duration { return 8 * time.Second }
+		sim.taskRunTime = func(string, int, string) time.Duration { return 8 * time.Second }
 		sim.mu.Unlock()
 		add := func(s *protocol.JobSpec) {
 			sim.submit(s)
@@ -59,7 +59,7 @@
 		if st := sim.poll("n0", "job-11"); st != protocol.StatusDone {
 			t.Errorf("the new job of a reassignment is %s", st)
 		}
-		if n := countRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
+		if n := countAuditRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
 			t.Errorf("%d audit records of one reassignment", n)
 		}
 	})
@@ -74,7 +74,7 @@
 		runSimulationWithIdentities(t, seed, func(sim *simulatedCluster) {
 			sim.mu.Lock()
 			rng := rand.New(rand.NewPCG(seed, 1))
-			sim.runTime = func(string, int, string) time.Duration { return 2 * time.Second }
+			sim.taskRunTime = func(string, int, string) time.Duration { return 2 * time.Second }
 			sim.mu.Unlock()
 			first := newJobSpecOfClass("job-1000", "red", "match") // boots machines
 			sim.submit(first)
--- a/internal/coordination/records/apply.go
+++ b/internal/coordination/records/apply.go
@@ -22,7 +22,7 @@
 	defer func() { w.ListedEndTimes = nil }()
 	// Final records are applied first, so that ended jobs are not added.
 	w.applyListedFinalRecords(items)
-	w.leases.NoteMissedLeaders(now)
+	w.leases.AddUnknownLeaders(now)
 	w.scheduler.ResetDoneCounts()
 	listed := w.applyListedRecords(items)
 	w.dropUnlisted(listed, revision, now)
@@ -67,7 +67,7 @@
 func (w *Watcher) dropUnlisted(listed listedKeys, revision uint64, now time.Time) {
 	for name, m := range w.Machines {
 		if !listed.machines[name] && m.Revision <= revision {
-			w.agents.MachineDeleted(name, now)
+			w.agents.ApplyMachineDeletion(name, now)
 		}
 	}
 	for _, p := range w.Partitions {
@@ -136,7 +136,7 @@
 func (w *Watcher) applyMachine(name string, event protocol.Event, now time.Time) {
 	if event.Delete != "" {
 		if m := w.Machines[name]; m != nil && event.Version >= m.Revision {
-			w.agents.MachineDeleted(name, now)
+			w.agents.ApplyMachineDeletion(name, now)
 		}
 		return
 	}
@@ -149,11 +149,11 @@
 		w.log.Error("invalid machine record", "machine", name, "error", err)
 		return
 	}
-	w.agents.MachineRecorded(name, rec, event.Version, now)
+	w.agents.ApplyMachineRecord(name, rec, event.Version, now)
 }
 
 // applyPolicy applies a change of a record of the access policy.
-func (w *Watcher) applyPolicy(kind storage.Kind, name string, event protocol.Event) {
+func (w *Watcher) applyPolicy(kind storage.RecordKind, name string, event protocol.Event) {
 	if !w.auth.Enabled() {
 		return
 	}
--- a/internal/coordination/records/collaborators.go
+++ b/internal/coordination/records/collaborators.go
@@ -10,12 +10,12 @@
 
 // Agents tracks the recorded machines.
 type Agents interface {
-	// MachineDeleted handles the deletion of a machine's record. The cluster leader deletes it only
+	// ApplyMachineDeletion handles the deletion of a machine's record. The cluster leader deletes it only
 	// after the machine certainly no longer exists.
-	MachineDeleted(name string, now time.Time)
-	// MachineRecorded handles a new or changed machine record, which assigns the machine to a
+	ApplyMachineDeletion(name string, now time.Time)
+	// ApplyMachineRecord handles a new or changed machine record, which assigns the machine to a
 	// partition.
-	MachineRecorded(name string, rec storage.Machine, version uint64, now time.Time)
+	ApplyMachineRecord(name string, rec storage.Machine, version uint64, now time.Time)
 }
 
 // Auth maintains the access policy from its records.
@@ -23,7 +23,7 @@
 	// Enabled reports whether requests are authenticated. If not, policy records are ignored.
 	Enabled() bool
 	// ApplyPolicyRecord applies a change of one policy record.
-	ApplyPolicyRecord(kind storage.Kind, name string, event protocol.Event) error
+	ApplyPolicyRecord(kind storage.RecordKind, name string, event protocol.Event) error
 	// DropUnlistedPolicy removes policy records whose keys are not in a listing.
 	DropUnlistedPolicy(listed map[string]bool)
 	// PublishPolicy makes all policy records applied since the last call effective at once.
@@ -43,8 +43,8 @@
 	ApplyIncarnation(label string, event protocol.Event)
 	// ApplyLease applies a change of a partition's lease record.
 	ApplyLease(p *cluster.Partition, event protocol.Event, now time.Time)
-	// NoteMissedLeaders records that leadership may have changed unobserved before a listing.
-	NoteMissedLeaders(now time.Time)
+	// AddUnknownLeaders records that leadership may have changed unobserved before a listing.
+	AddUnknownLeaders(now time.Time)
 }
 
 // Scheduler counts completed jobs.
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -71,7 +71,7 @@
 
 // Watch lists the shared records and then watches for changes, until the event loop's context ends.
 func (w *Watcher) Watch() {
-	tries := w.loop.Tries("watch", watchBackoff)
+	tries := w.loop.NewRetryCounter("watch", watchBackoff)
 	at := w.newCursor()
 	for {
 		err := w.syncOnce(&at)
@@ -94,7 +94,7 @@
 func (w *Watcher) newCursor() cursor {
 	at := cursor{wait: w.Operator.LeaseTTL / watchesPerLeaseTTL, extraTimeout: watchOutageTimeout}
 	if w.auth.Enabled() {
-		at.wait, at.extraTimeout = min(at.wait, auth.PolicyWatchWait), storage.ChangeTimeout
+		at.wait, at.extraTimeout = min(at.wait, auth.PolicyWatchTimeout), storage.ImmediateWatchTimeout
 	}
 	return at
 }
--- a/internal/coordination/recordset/set.go
+++ b/internal/coordination/recordset/set.go
@@ -80,9 +80,9 @@
 // Sample is a page of the store at a revision: all records with keys after From, up to and including
 // Last. Last is empty for the last page.
 type Sample[V any] struct {
-	From, Last string
-	Revision   uint64
-	Records    []Change[V]
+	After, Last string
+	Revision    uint64
+	Records     []Change[V]
 }
 
 // Mismatches returns the keys, in order, of the records that differ between the set and a sample,
@@ -115,5 +115,5 @@
 
 // covers reports whether the sample would contain a record with the key.
 func (s *Sample[V]) covers(key string) bool {
-	return key > s.From && (s.Last == "" || key <= s.Last)
+	return key > s.After && (s.Last == "" || key <= s.Last)
 }
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -43,7 +43,7 @@
 
 func (s *store) page(from string, size int) Sample[int] {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(s.records)), func(k string) bool { return k <= from })
-	p := Sample[int]{From: from, Revision: s.revision}
+	p := Sample[int]{After: from, Revision: s.revision}
 	for _, k := range keys[:min(size, len(keys))] {
 		p.Records = append(p.Records, Change[int]{Key: k, Version: s.records[k].Version, Value: s.records[k].Value})
 	}
--- a/internal/coordination/replication/derived_state.go
+++ b/internal/coordination/replication/derived_state.go
@@ -32,14 +32,14 @@
 	Jobs map[string]*ReplicaJob
 	// AttemptsByMachine maps machine names to maps keyed like cluster.Machine.Attempts.
 	AttemptsByMachine map[string]map[string]*cluster.Attempt
-	// Starts holds the start times of attempts whose run records have not arrived yet.
-	Starts map[AttemptID]time.Time
+	// PendingStarts holds the start times of attempts whose run records have not arrived yet.
+	PendingStarts map[AttemptID]time.Time
 	// DroppedStarts counts the start times dropped at PendingStartsLimit since the last report.
 	DroppedStarts int
 }
 
 func newDerivedState() DerivedState {
-	return DerivedState{Jobs: map[string]*ReplicaJob{}, AttemptsByMachine: map[string]map[string]*cluster.Attempt{}, Starts: map[AttemptID]time.Time{}}
+	return DerivedState{Jobs: map[string]*ReplicaJob{}, AttemptsByMachine: map[string]map[string]*cluster.Attempt{}, PendingStarts: map[AttemptID]time.Time{}}
 }
 
 // apply updates the state for a changed or deleted run record. The record's key must be valid.
@@ -89,9 +89,9 @@
 	key := AttemptID{Job: id, Task: recorded.Task, Number: recorded.Number}
 	if before != nil && before.Number == recorded.Number {
 		a.ReplicatedStart = before.ReplicatedStart
-	} else if at, ok := s.Starts[key]; ok {
+	} else if at, ok := s.PendingStarts[key]; ok {
 		a.ReplicatedStart = at
-		delete(s.Starts, key)
+		delete(s.PendingStarts, key)
 	}
 	job.Live[recorded.Task] = a
 	attempts := s.AttemptsByMachine[recorded.Machine]
@@ -102,8 +102,8 @@
 	attempts[cluster.AttemptKey(protocol.TaskName(id, recorded.Task), recorded.Number)] = a
 }
 
-// NoteStart stores an attempt's start time, as received from the partition's leader.
-func (s *DerivedState) NoteStart(key AttemptID, at time.Time) {
+// StoreStart stores an attempt's start time, as received from the partition's leader.
+func (s *DerivedState) StoreStart(key AttemptID, at time.Time) {
 	if job := s.Jobs[key.Job]; job != nil {
 		if a := job.Live[key.Task]; a != nil && a.Number >= key.Number {
 			if a.Number == key.Number {
@@ -112,20 +112,20 @@
 			return
 		}
 	}
-	if _, known := s.Starts[key]; !known && len(s.Starts) >= PendingStartsLimit {
+	if _, known := s.PendingStarts[key]; !known && len(s.PendingStarts) >= PendingStartsLimit {
 		s.DroppedStarts++
 		return
 	}
-	s.Starts[key] = at
+	s.PendingStarts[key] = at
 }
 
 // pruneStarts drops old start times of attempts whose run records have not arrived.
 func (s *DerivedState) pruneStarts(now time.Time) {
-	maps.DeleteFunc(s.Starts, func(_ AttemptID, at time.Time) bool { return now.Sub(at) > pendingStartAge })
+	maps.DeleteFunc(s.PendingStarts, func(_ AttemptID, at time.Time) bool { return now.Sub(at) > pendingStartAge })
 }
 
-// KnownStarts returns the number of live attempts whose start time is known.
-func (s *DerivedState) KnownStarts() (count int) {
+// CountKnownStarts returns the number of live attempts whose start time is known.
+func (s *DerivedState) CountKnownStarts() (count int) {
 	for _, job := range s.Jobs {
 		for _, a := range job.Live {
 			if !a.ReplicatedStart.IsZero() {
--- a/internal/coordination/replication/follow.go
+++ b/internal/coordination/replication/follow.go
@@ -28,7 +28,7 @@
 func (r *Replicator) followInterval() time.Duration {
 	params := r.Settings.Params
 	requestRate := followRateShare * params.State.Lower().RPS
-	return max(minFollowInterval, time.Duration(float64(params.Count)/requestRate*float64(time.Second)))
+	return max(minFollowInterval, time.Duration(float64(params.ControllerCount)/requestRate*float64(time.Second)))
 }
 
 // FollowLoop keeps the replicas up to date until the controller shuts down.
@@ -120,14 +120,14 @@
 		r.log.Debug("listing run records for standby replica failed", "partition", replica.partition, "error", err)
 		return
 	}
-	r.ifCurrent(replica, func() { replica.StartFrom(r.log.Error, items, revision, requestedAt) })
+	r.ifCurrent(replica, func() { replica.ApplyListing(r.log.Error, items, revision, requestedAt) })
 }
 
 // readChanges applies the changes after a revision. If they are no longer available or do not
 // connect to the replica's revision, the replica is reset and listed again.
 func (r *Replicator) readChanges(ctx context.Context, replica *Replica, after uint64) {
 	requestedAt := time.Now()
-	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ChangeTimeout)
+	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ImmediateWatchTimeout)
 	r.ifCurrent(replica, func() {
 		switch {
 		case errors.Is(err, storage.ErrCompacted):
--- a/internal/coordination/replication/prepare.go
+++ b/internal/coordination/replication/prepare.go
@@ -63,6 +63,6 @@
 		return nil, fmt.Errorf("listing run records: %w", err)
 	}
 	replica := NewReplica(partition, requestedAt)
-	replica.StartFrom(r.log.Error, items, revision, requestedAt)
+	replica.ApplyListing(r.log.Error, items, revision, requestedAt)
 	return replica, nil
 }
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -110,7 +110,7 @@
 			return
 		}
 		if replica := r.Replicas[int(update.Partition)]; replica != nil {
-			reply.Acknowledged = replica.Updates.Apply(update, replica.Derived.NoteStart, now)
+			reply.Acknowledged = replica.Updates.Apply(update, replica.Derived.StoreStart, now)
 			r.reportDropped(replica)
 		}
 	})
@@ -119,7 +119,7 @@
 
 // reportDropped reports the entries that a replica dropped at its limits, and resets the counts.
 func (r *Replicator) reportDropped(replica *Replica) {
-	r.bounds.Met(telemetry.ReplicaMachines, replica.Updates.droppedMachines)
-	r.bounds.Met(telemetry.ReplicaStarts, replica.Derived.DroppedStarts)
+	r.bounds.ReportExceeded(telemetry.ReplicaMachines, replica.Updates.droppedMachines)
+	r.bounds.ReportExceeded(telemetry.ReplicaStarts, replica.Derived.DroppedStarts)
 	replica.Updates.droppedMachines, replica.Derived.DroppedStarts = 0, 0
 }
--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -44,9 +44,9 @@
 // lag returns the age of the replica's newest applied state.
 func (r *Replica) lag(now time.Time) time.Duration { return now.Sub(r.asOf) }
 
-// StartFrom replaces the replica's contents by a listing of the run records at a revision. Records
+// ApplyListing replaces the replica's contents by a listing of the run records at a revision. Records
 // that cannot be decoded are logged and skipped.
-func (r *Replica) StartFrom(log logError, items []protocol.Item, revision uint64, requestedAt time.Time) {
+func (r *Replica) ApplyListing(log logError, items []protocol.Item, revision uint64, requestedAt time.Time) {
 	all := make([]runRecordChange, 0, len(items))
 	for _, item := range items {
 		if change, ok := parseChange(log, item.Key, item.Version, false, item.Value); ok {
@@ -93,7 +93,7 @@
 	for id, job := range from.Derived.Jobs {
 		for task, a := range job.Live {
 			if !a.ReplicatedStart.IsZero() {
-				r.Derived.NoteStart(AttemptID{Job: id, Task: task, Number: a.Number}, a.ReplicatedStart)
+				r.Derived.StoreStart(AttemptID{Job: id, Task: task, Number: a.Number}, a.ReplicatedStart)
 			}
 		}
 	}
--- a/internal/coordination/replication/replicator.go
+++ b/internal/coordination/replication/replicator.go
@@ -61,8 +61,8 @@
 // replica's contents to the partition.
 func (r *Replicator) DropReplica(partition int) { delete(r.Replicas, partition) }
 
-// Summaries returns the status of each replica for this controller's summary to its peers.
-func (r *Replicator) Summaries() (list []*peer.ReplicaStatus) {
+// ReplicaStatuses returns the status of each replica for this controller's summary to its peers.
+func (r *Replicator) ReplicaStatuses() (list []*peer.ReplicaStatus) {
 	for partition, replica := range r.Replicas {
 		list = append(list, &peer.ReplicaStatus{Partition: uint32(partition), Revision: replica.Records.Revision()})
 	}
@@ -73,8 +73,8 @@
 func (r *Replicator) Overview(now time.Time) (list []overview.Replica) {
 	for _, p := range r.Partitions {
 		if replica := r.Replicas[p.Index]; replica != nil {
-			list = append(list, overview.Replica{Part: p.Index, Leader: p.Leader, Records: replica.Records.Len(), Complete: replica.Records.Revision() != 0,
-				BehindS: replica.lag(now).Seconds(), ConfirmedStarts: replica.Derived.KnownStarts()})
+			list = append(list, overview.Replica{Partition: p.Index, Leader: p.Leader, Records: replica.Records.Len(), Complete: replica.Records.Revision() != 0,
+				BehindS: replica.lag(now).Seconds(), ConfirmedStarts: replica.Derived.CountKnownStarts()})
 		}
 	}
 	return list
--- a/internal/coordination/replication/sampling.go
+++ b/internal/coordination/replication/sampling.go
@@ -37,7 +37,7 @@
 
 // storeSample keeps a page of run records until the replica has reached the page's revision.
 func (r *Replica) storeSample(page *protocol.ItemList, now time.Time) {
-	sample := &recordset.Sample[*storage.RunRecord]{From: r.sampleCursor, Revision: page.Revision}
+	sample := &recordset.Sample[*storage.RunRecord]{After: r.sampleCursor, Revision: page.Revision}
 	unlogged := func(string, ...any) {} // invalid records were logged when they were first read
 	for _, item := range page.Items {
 		if change, ok := parseChange(unlogged, item.Key, item.Version, false, item.Value); ok {
--- a/internal/coordination/replication/send.go
+++ b/internal/coordination/replication/send.go
@@ -119,7 +119,7 @@
 	changes := r.partitionChanges(p)
 	update.Through = progress.NewestSeq
 	if !addChanges(update, changes, budget, now) {
-		r.bounds.Met(telemetry.ReplicaUpdates, 1)
+		r.bounds.ReportExceeded(telemetry.ReplicaUpdates, 1)
 	}
 	return update
 }
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -37,7 +37,7 @@
 		if replica := r.Replicas[int(request.Partition)]; replica != nil && replica.Updates.Acknowledged != 0 {
 			complete := false
 			if transfer, complete = replica.StateTransfer(time.Now()); !complete {
-				r.bounds.Met(telemetry.StateTransferBytes, 1)
+				r.bounds.ReportExceeded(telemetry.StateTransferBytes, 1)
 			}
 		}
 	})
--- a/internal/coordination/replication_test.go
+++ b/internal/coordination/replication_test.go
@@ -126,7 +126,7 @@
 			write()
 		}
 		warm, cold := replication.NewReplica(index, time.Now()), replication.NewReplica(index, time.Now())
-		warm.StartFrom(logError, listing(), revision, time.Now())
+		warm.ApplyListing(logError, listing(), revision, time.Now())
 		appliedRevision := revision
 		for range 30 {
 			from := len(events)
@@ -138,10 +138,10 @@
 			}
 			appliedRevision = revision
 		}
-		cold.StartFrom(logError, listing(), revision, time.Now())
+		cold.ApplyListing(logError, listing(), revision, time.Now())
 		if seed%3 == 0 {
 			for _, c := range controllers {
-				c.jobs.SetFinal("job-2", protocol.StatusCancelled, time.Now())
+				c.jobs.SetFinalState("job-2", protocol.StatusCancelled, time.Now())
 			}
 		}
 		for _, c := range controllers {
@@ -218,17 +218,17 @@
 	for task := range tasks {
 		replica.Derived.Jobs["job-1"].Live[task] = &cluster.Attempt{TaskIndex: task, Number: 1}
 	}
-	for ; replica.Derived.KnownStarts() < tasks && messages < 10; messages++ {
+	for ; replica.Derived.CountKnownStarts() < tasks && messages < 10; messages++ {
 		raw, err := proto.Marshal(c.replicator.PartitionUpdate(p, now))
 		if err != nil || len(raw) > replication.UpdateBytesLimit+replication.EntryOverheadBytes {
 			t.Fatalf("replica update of %d bytes is too large or failed to encode (%v)", len(raw), err)
 		}
 		msg := new(peer.ReplicaUpdate)
 		panicOnError(proto.Unmarshal(raw, msg))
-		p.Replication.AcknowledgedSeq = replica.Updates.Apply(msg, replica.Derived.NoteStart, now)
+		p.Replication.AcknowledgedSeq = replica.Updates.Apply(msg, replica.Derived.StoreStart, now)
 	}
 	if messages != 3 || len(replica.Updates.Machines) != machines {
-		t.Errorf("sent %d messages with %d attempts and %d machines", messages, replica.Derived.KnownStarts(), len(replica.Updates.Machines))
+		t.Errorf("sent %d messages with %d attempts and %d machines", messages, replica.Derived.CountKnownStarts(), len(replica.Updates.Machines))
 	}
 	if again := c.replicator.PartitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
 		t.Errorf("acknowledged hints of %d attempts and %d machines were sent again", len(again.Attempts), len(again.Machines))
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Obeying checks that the start of a task was recorded before the agent executes it.
-func (sim *simulatedCluster) Obeying(agent *agent.Agent, c protocol.Command) {
+// Accepting checks that the start of a task was recorded before the agent executes it.
+func (sim *simulatedCluster) Accepting(agent *agent.Agent, c protocol.Command) {
 	if !sim.startRecorded(c, agent) {
 		sim.recordViolation("start of %s on %s was sent before it was recorded", c.Task, agent.Name)
 	}
@@ -85,7 +85,7 @@
 // startRecorded reports whether the start of a task is recorded in the state store. The lock is
 // held.
 func (sim *simulatedCluster) startRecorded(c protocol.Command, agent *agent.Agent) bool {
-	id, task, _ := protocol.ParseTask(c.Task)
+	id, task, _ := protocol.ParseTaskName(c.Task)
 	for key, it := range sim.state.Items {
 		if !strings.HasPrefix(key, "r/") || !strings.Contains(key, id) {
 			continue // faster than parsing the key, as most belong to other jobs
@@ -112,10 +112,10 @@
 		}
 	}
 	teamCPUs, tasksInZone := 0.0, 0
-	for _, other := range sim.workers {
+	for _, other := range sim.agents {
 		// A machine that hangs beyond its lease does not continue its tasks; it drops them when
 		// it resumes.
-		dead := time.Since(other.LeaseRenewedAt).Seconds() > sim.settings.Params.Workers.LeaseS
+		dead := time.Since(other.LeaseRenewedAt).Seconds() > sim.settings.Params.AgentTimes.LeaseS
 		for _, otherTask := range other.Tasks {
 			if !otherTask.Running || dead {
 				continue
@@ -150,7 +150,7 @@
 	if !submitted.cancelledAt.IsZero() {
 		after := time.Since(submitted.cancelledAt)
 		sim.startsAfterCancel = append(sim.startsAfterCancel, startAfterCancel{t.Name, agent.Name, after})
-		if after > settings.Seconds(sim.settings.Params.Workers.CancelS) {
+		if after > settings.Seconds(sim.settings.Params.AgentTimes.CancelS) {
 			sim.recordViolation("ran_cancelled: %s started too long after its job was cancelled", t.Name)
 		}
 	}
@@ -159,7 +159,7 @@
 // Running checks that the tasks of a cancelled job stop within the cancellation bound.
 func (sim *simulatedCluster) Running(agent *agent.Agent, t *agent.Task, now time.Time) {
 	submitted := sim.jobs[t.Job]
-	if !submitted.cancelledAt.IsZero() && now.Sub(submitted.cancelledAt) > settings.Seconds(sim.settings.Params.Workers.CancelS) {
+	if !submitted.cancelledAt.IsZero() && now.Sub(submitted.cancelledAt) > settings.Seconds(sim.settings.Params.AgentTimes.CancelS) {
 		sim.recordViolation("ran_cancelled: %s still runs on %s", t.Name, agent.Name)
 	}
 }
--- a/internal/coordination/scaling/move.go
+++ b/internal/coordination/scaling/move.go
@@ -19,7 +19,7 @@
 	for _, to := range r.partitionsByWait() {
 		for i := range r.demands[to] {
 			for from := range r.Partitions {
-				if from != to && r.Partitions[from].Known {
+				if from != to && r.Partitions[from].Reporting {
 					r.moveFrom(from, to, &r.demands[to][i])
 				}
 			}
--- a/internal/coordination/scaling/scale_in.go
+++ b/internal/coordination/scaling/scale_in.go
@@ -27,7 +27,7 @@
 // leader has not reported recently.
 func (r *round) mayBeNeeded(machine *Machine) bool {
 	for partition := range r.Partitions {
-		if !r.Partitions[partition].Known || r.hasDemandFor(partition, machine) {
+		if !r.Partitions[partition].Reporting || r.hasDemandFor(partition, machine) {
 			return true
 		}
 	}
--- a/internal/coordination/scaling/scale_out.go
+++ b/internal/coordination/scaling/scale_out.go
@@ -12,7 +12,7 @@
 // with a scale-out in progress are skipped, since their demands don't account for its machines yet.
 func (r *round) scaleOut() {
 	for partition := range r.Partitions {
-		if r.Partitions[partition].Known && !r.ScalingOut[partition] {
+		if r.Partitions[partition].Reporting && !r.ScalingOut[partition] {
 			r.scaleOutPartition(partition)
 		}
 	}
@@ -127,7 +127,7 @@
 			continue
 		}
 		contested := r.Scarcity.Contested(machineType.Name, typeCount)
-		zones := slices.Clone(machineType.ZonesOffered)
+		zones := slices.Clone(machineType.Zones)
 		slices.Sort(zones)
 		for _, zone := range zones {
 			for _, spot := range []bool{true, false} {
--- a/internal/coordination/scaling/scaling.go
+++ b/internal/coordination/scaling/scaling.go
@@ -49,8 +49,8 @@
 
 // Partition is the last report of a partition's leader.
 type Partition struct {
-	// Known is set if the leader has reported recently.
-	Known bool
+	// Reporting is set if the leader has reported recently.
+	Reporting bool
 	// Demands are the pending tasks that need additional machines, in queue order.
 	Demands []Demand
 }
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -14,8 +14,8 @@
 var (
 	now     = time.Unix(1000, 0)
 	catalog = []protocol.MachineType{
-		{Name: "big", CPUs: 32, MemGB: 128, Price: 4, SpotPrice: 1, BootS: 10, ZonesOffered: []string{"b", "a"}},
-		{Name: "small", CPUs: 8, MemGB: 16, Price: 1.2, SpotPrice: 0.2, BootS: 5, ZonesOffered: []string{"a"}}}
+		{Name: "big", CPUs: 32, MemGB: 128, Price: 4, SpotPrice: 1, BootS: 10, Zones: []string{"b", "a"}},
+		{Name: "small", CPUs: 8, MemGB: 16, Price: 1.2, SpotPrice: 0.2, BootS: 5, Zones: []string{"a"}}}
 )
 
 // newView returns a view of partitions without demands or machines.
@@ -23,7 +23,7 @@
 	v := View{Now: now, Partitions: make([]Partition, partitions), Catalog: catalog, Scarcity: binpack.Scarcity{}, RefusedCapacity: map[binpack.MachineKind]time.Time{}, ScalingOut: map[int]bool{},
 		IdleSpot: time.Minute, IdleOrdinary: 20 * time.Second}
 	for i := range v.Partitions {
-		v.Partitions[i].Known = true
+		v.Partitions[i].Reporting = true
 	}
 	return v
 }
@@ -78,7 +78,7 @@
 		}, Plan{ScaleOuts: []ScaleOut{{binpack.MachineKind{Type: "small", Zone: "a"}, 0, 1}}}},
 		"type that a more constrained job needs is avoided": {func(v *View) {
 			v.Partitions[0].Demands = []Demand{demand(2, 4)}
-			v.Scarcity.Note("small", 1)
+			v.Scarcity.Record("small", 1)
 		}, Plan{ScaleOuts: []ScaleOut{{spot("big"), 0, 1}}}},
 		"terminated machine is not scaled in as well": {func(v *View) {
 			m := v.machine("m", 0, 1, true)
@@ -97,7 +97,7 @@
 		"no scale-in while a partition does not report": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
 			m.Idle, m.IdleS = true, 30
-			v.Partitions[1].Known = false
+			v.Partitions[1].Reporting = false
 		}, Plan{}},
 		"no scale-in before the minimum lifetime": {func(v *View) {
 			m := v.machine("m", 0, 1, false)
@@ -105,7 +105,7 @@
 		}, Plan{}},
 		"unrecorded machines go to the smallest partition, with demand first": {func(v *View) {
 			v.machine("m", 0, 1, false)
-			v.Partitions = append(v.Partitions, Partition{Known: true, Demands: []Demand{{}}})
+			v.Partitions = append(v.Partitions, Partition{Reporting: true, Demands: []Demand{{}}})
 			v.Unrecorded = []Unrecorded{{Name: "s-1"}, {Name: "s-2"}, {Name: "s-3", TriedAt: now}}
 		}, Plan{Adopt: []Adoption{{"s-1", 2}, {"s-2", 1}}}},
 		"unrecorded machine is not adopted during a scale-out": {func(v *View) {
@@ -135,7 +135,7 @@
 				m.MovedAt, m.DeletingSince = now.Add(-time.Duration(rng.IntN(9))*time.Second), now.Add(-time.Duration(rng.IntN(9))*time.Second)
 			}
 			for p := range v.Partitions {
-				v.Partitions[p].Known = rng.IntN(6) > 0
+				v.Partitions[p].Reporting = rng.IntN(6) > 0
 				for range rng.IntN(5) {
 					d := demand(1+rng.IntN(30), float64(1+rng.IntN(40)))
 					d.Constraints.Spot, d.WaitedS, d.SlackS = rng.IntN(2) == 0, float64(rng.IntN(100)), float64(rng.IntN(100))
@@ -173,7 +173,7 @@
 			for _, d := range v.Partitions[r.Partition].Demands {
 				tasks += d.Count
 			}
-			if r.Count > tasks || v.ScalingOut[r.Partition] || !v.Partitions[r.Partition].Known {
+			if r.Count > tasks || v.ScalingOut[r.Partition] || !v.Partitions[r.Partition].Reporting {
 				t.Errorf("seed %d: unexpected scale-out %+v for %d pending tasks", seed, r, tasks)
 			}
 		}
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -107,7 +107,7 @@
 		typeCount := binpack.TypeCount(s.typeSet(job.Spec))
 		for index := range s.Catalog {
 			if machineType := &s.Catalog[index]; binpack.FitsOffered(constraints, need, machineType) {
-				scarcity.Note(machineType.Name, typeCount)
+				scarcity.Record(machineType.Name, typeCount)
 			}
 		}
 	}
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -21,7 +21,7 @@
 		return group
 	}
 	if len(s.ClassGroups) >= MaxClassGroups {
-		s.bounds.Met(telemetry.Classes, 1)
+		s.bounds.ReportExceeded(telemetry.Classes, 1)
 		return fairshare.NoGroup
 	}
 	group := len(s.Settings.Params.Teams) + len(s.ClassGroups) + 1
@@ -29,8 +29,8 @@
 	return group
 }
 
-// CountDone adds a job that was done at the given time to the tallies of its two groups.
-func (s *Scheduler) CountDone(partition int, groups [2]int, at time.Time) {
+// CountDoneJob adds a job that was done at the given time to the tallies of its two groups.
+func (s *Scheduler) CountDoneJob(partition int, groups [2]int, at time.Time) {
 	now := time.Now()
 	tallies := s.Partitions[partition].DoneTallies
 	for _, group := range groups {
@@ -66,5 +66,5 @@
 		return
 	}
 	groups := [2]int{cluster.TeamGroup(team), s.ClassGroup(spec.Class)}
-	s.CountDone(s.TeamPartition[team], groups, s.ListedEndTimes[id])
+	s.CountDoneJob(s.TeamPartition[team], groups, s.ListedEndTimes[id])
 }
--- a/internal/coordination/scheduler/estimates.go
+++ b/internal/coordination/scheduler/estimates.go
@@ -56,7 +56,7 @@
 	if len(s.Corrections) < MaxClassGroups {
 		return true
 	}
-	s.bounds.Met(telemetry.Estimates, 1)
+	s.bounds.ReportExceeded(telemetry.Estimates, 1)
 	return false
 }
 
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -16,11 +16,11 @@
 // updateFairShare decides which machines of a partition, and which parts of the teams' limits, are
 // reserved for starved groups.
 func (s *Scheduler) updateFairShare(p *cluster.Partition, now time.Time) {
-	if now.Sub(p.FairShare.DecidedAt) < fairShareInterval {
+	if now.Sub(p.FairShare.ComputedAt) < fairShareInterval {
 		return
 	}
 	wasActive := p.FairShare.Shares != nil
-	p.FairShare = cluster.FairShareState{DecidedAt: now}
+	p.FairShare = cluster.FairShareState{ComputedAt: now}
 	groups := s.countGroups(p, now)
 	p.FairShare.Shares = fairshare.ReservedShares(groups)
 	if p.FairShare.Shares == nil {
@@ -149,7 +149,7 @@
 // starvedFraction is the fraction of a job's tasks that are pending if the job has waited long
 // enough to be starved, else 0.
 func starvedFraction(job *cluster.Job, now time.Time) float64 {
-	if len(job.Pending) == 0 || now.Sub(job.ReadySince()).Seconds() <= fairshare.StarvationS(job.Spec.DeadlineS) {
+	if len(job.Pending) == 0 || now.Sub(job.ReadySince()).Seconds() <= fairshare.StarvationTimeS(job.Spec.DeadlineS) {
 		return 0
 	}
 	return float64(len(job.Pending)) / float64(job.Spec.Tasks)
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -43,7 +43,7 @@
 
 // contentionMachine describes a machine and its running tasks for the contention prediction.
 func (s *Scheduler) contentionMachine(machine *cluster.Machine, now time.Time) *contention.Machine {
-	return &contention.Machine{Tasks: s.contentionTasks(machine, now), UseLimit: s.Operator.LimitShare * machine.Type.CPUs}
+	return &contention.Machine{Tasks: s.contentionTasks(machine, now), UseLimit: s.Operator.UseLimit * machine.Type.CPUs}
 }
 
 // contentionTasks describes the running tasks of a machine for the contention prediction.
@@ -59,12 +59,12 @@
 
 // contentionTask describes a task that has run for elapsedS seconds for the contention prediction.
 func (s *Scheduler) contentionTask(spec *protocol.JobSpec, elapsedS float64) contention.Task {
-	return contention.Task{ElapsedS: elapsedS, EstimateS: s.EstimateS(spec), Use: spec.CPUs, Service: spec.Standing}
+	return contention.Task{ElapsedS: elapsedS, EstimateS: s.EstimateS(spec), Use: spec.CPUs, Service: spec.Service}
 }
 
 // RemainingS predicts for how many more seconds an attempt runs.
 func (s *Scheduler) RemainingS(a *cluster.Attempt, now time.Time) float64 {
-	if a.Job.Spec.Standing {
+	if a.Job.Spec.Service {
 		return predictionHorizonS
 	}
 	return max(s.EstimateS(a.Job.Spec)-a.RunTimeS(now), s.HeartbeatInterval.Seconds())
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -51,7 +51,7 @@
 	}
 	s.log.Info("attempt preempted", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", attempt.Machine.Name, "preemptor", preemptor.Spec.ID, "reason", reason)
 	s.metrics.Count(telemetry.AttemptPreempted, 1)
-	s.agents.StopAttempt(attempt, attempt.Job.Spec.SaveS+stopGraceMarginS, now)
+	s.agents.StopAttempt(attempt, attempt.Job.Spec.CheckpointDurationS+stopGraceMarginS, now)
 }
 
 // mustStart reports whether a job has to start now, so that attempts of other jobs may be preempted
--- a/internal/coordination/scheduler/preemption_view.go
+++ b/internal/coordination/scheduler/preemption_view.go
@@ -53,7 +53,7 @@
 	for _, job := range jobs {
 		index := b.ensureJob(job)
 		if len(job.Pending) > 0 && (job.Spec.OneZone || job.Spec.Spread) {
-			b.view.Jobs[index].ClosedZones = closedZones(job, zones)
+			b.view.Jobs[index].DisallowedZones = closedZones(job, zones)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		Deadline:       deadline,
 		EstimateS:      s.EstimateS(job.Spec),
 		Pending:        len(job.Pending),
-		Service:        job.Spec.Standing,
+		Service:        job.Spec.Service,
 		NonPreempting:  !mayPreempt(job, now),
 		FailedMachines: job.FailedMachines,
 		Groups:         job.Groups(),
@@ -158,7 +158,7 @@
 func closedZones(job *cluster.Job, zones map[string]bool) map[string]bool {
 	closed, running := map[string]bool{}, job.ZoneCounts()
 	for zone := range zones {
-		closed[zone] = !placement.ZoneOpen(job.Spec.OneZone, job.Spec.Spread, job.Spec.Tasks, running, zone)
+		closed[zone] = !placement.ZoneAllowed(job.Spec.OneZone, job.Spec.Spread, job.Spec.Tasks, running, zone)
 	}
 	return closed
 }
@@ -168,11 +168,11 @@
 func lostWork(attempt *cluster.Attempt, now time.Time) float64 {
 	spec := attempt.Job.Spec
 	lostS := 0.0
-	if !spec.Standing {
+	if !spec.Service {
 		lostS = attempt.RunTimeS(now)
 	}
-	if spec.CheckpointS > 0 {
-		lostS = min(lostS, spec.SaveS)
+	if spec.CheckpointIntervalS > 0 {
+		lostS = min(lostS, spec.CheckpointDurationS)
 	}
 	return lostS * max(spec.CPUs, 1)
 }
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -29,7 +29,7 @@
 			}
 		}
 		limit := cluster.TeamLimit(s.Settings.Params.Teams[team])
-		p.FairShare.ReservedQuotas[team] = fairshare.Quotas(p.FairShare.Shares, limit, classes)
+		p.FairShare.ReservedQuotas[team] = fairshare.ReserveQuotas(p.FairShare.Shares, limit, classes)
 		for _, class := range classes {
 			key := cluster.TeamClass{Team: team, ClassGroup: class.Class}
 			p.FairShare.WithinReservation[key] = class.Used.CPUs <= p.FairShare.Share(class.Class)*limit.CPUs
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -75,7 +75,7 @@
 	c := newTestController(ctx, &sim.settings, op)
 	defer func() {
 		cancel()
-		c.loop.Abandon()
+		c.loop.StopUnstarted()
 	}()
 	c.SetCatalog(sim.cloud.Types)
 	now := time.Now()
@@ -87,11 +87,11 @@
 	types := c.Catalog
 	for p := range c.Partitions {
 		typ, zone, spot := types[rng.IntN(len(types))], "", rng.IntN(2) == 0
-		zone = typ.ZonesOffered[rng.IntN(len(typ.ZonesOffered))]
+		zone = typ.Zones[rng.IntN(len(typ.Zones))]
 		recorded, idle := now.Add(-time.Duration(rng.IntN(200))*time.Second), now.Add(-time.Duration(rng.IntN(60))*time.Second)
 		for i := range rng.IntN(6) {
 			name := fmt.Sprintf("m-%d-%d", p, i)
-			c.agents.MachineRecorded(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
+			c.agents.ApplyMachineRecord(name, storage.Machine{Partition: p, Addr: name + ":1", Type: typ.Name, Zone: zone, Spot: spot}, 2, now)
 			m := c.Machines[name]
 			m.HasReported, m.TokenConfirmed, m.Epoch, m.AnsweredUntil, m.LastHeartbeatAt = true, true, 1, now, now
 			m.RecordedAt, m.IdleSince = recorded, idle
--- a/internal/coordination/scheduling_policy_test.go
+++ b/internal/coordination/scheduling_policy_test.go
@@ -69,7 +69,7 @@
 	}{{5 * time.Second, 1}, {time.Minute, 9}} {
 		c, p := newLeadingController(t)
 		now := time.Now()
-		c.agents.MachineRecorded("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
+		c.agents.ApplyMachineRecord("m-1", storage.Machine{Partition: p.Index, Type: "big", Zone: "a", Spot: true,
 			CreatedMS: now.Add(-tc.age).UnixMilli()}, 2, now)
 		c.Machines["m-1"].HeartbeatsExpectedSince = now.Add(-tc.age)
 		c.addJob(newJobSpec("job-1", 9, "green"))
@@ -104,7 +104,7 @@
 func TestPreemptionWithinATeamQuota(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 23, func(sim *simulatedCluster) {
-		sim.runTime = func(job string, _ int, _ string) time.Duration {
+		sim.taskRunTime = func(job string, _ int, _ string) time.Duration {
 			if job == "job-1" {
 				return 2 * time.Minute
 			}
@@ -112,7 +112,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		low := newJobSpec("job-1", 8, "red") // the whole quota of 32 CPUs
-		low.EstimateS, low.DeadlineS, low.CheckpointS, low.SaveS = 120, 600, 5, 1
+		low.EstimateS, low.DeadlineS, low.CheckpointIntervalS, low.CheckpointDurationS = 120, 600, 5, 1
 		sim.submit(low)
 		time.Sleep(30 * time.Second)
 		high := newJobSpec("job-2", 2, "red")
--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -19,7 +19,7 @@
 	runSimulation(t, 2, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		// First boot a machine that is free but that the constraints exclude: spot, small, zone a.
-		sim.runTime = func(string, int, string) time.Duration { return 30 * time.Second }
+		sim.taskRunTime = func(string, int, string) time.Duration { return 30 * time.Second }
 		first := newJobSpec("job-9", 1, "blue")
 		first.CPUs, first.Zone = 1, "a"
 		sim.submit(first)
@@ -74,8 +74,8 @@
 		sim.submit(newJobSpec("job-1", 2, "blue"))
 		time.Sleep(40 * time.Second)
 		sim.mu.Lock()
-		if lost.Load() < 3 || sim.cloud.Rented > 2 {
-			t.Errorf("%d machines rented for two tasks, %d responses lost", sim.cloud.Rented, lost.Load())
+		if lost.Load() < 3 || sim.cloud.CreatedTotal > 2 {
+			t.Errorf("%d machines rented for two tasks, %d responses lost", sim.cloud.CreatedTotal, lost.Load())
 		}
 		sim.mu.Unlock()
 		sim.waitForAllJobs(2 * time.Minute)
@@ -88,16 +88,16 @@
 	t.Parallel()
 	runSimulation(t, 10, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
-		sim.withLock(func() { sim.fails = func(job string, _ int, _ string) bool { return job == "job-13" } })
+		sim.withLock(func() { sim.taskFails = func(job string, _ int, _ string) bool { return job == "job-13" } })
 		sim.submit(newJobSpec("job-13", 2, "red"))
 		sim.submit(newJobSpec("job-2", 4, "blue"))
 		time.Sleep(2 * time.Minute)
 		sim.mu.Lock()
 		starts := 0
-		for _, agent := range sim.workers {
-			starts += agent.Starts
+		for _, agent := range sim.agents {
+			starts += agent.TasksStarted
 		}
-		rented := sim.cloud.Rented
+		rented := sim.cloud.CreatedTotal
 		sim.mu.Unlock()
 		if rented > 10 || starts > 40 {
 			t.Errorf("%d machines rented and %d tasks started, with a job that always fails", rented, starts)
@@ -106,7 +106,7 @@
 
 		var faulty string
 		sim.mu.Lock()
-		sim.fails = func(_ string, _ int, machine string) bool {
+		sim.taskFails = func(_ string, _ int, machine string) bool {
 			if faulty == "" {
 				faulty = machine
 			}
@@ -120,8 +120,8 @@
 		time.Sleep(20 * time.Second)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		if faulty != "" && sim.workers[faulty] != nil && sim.workers[faulty].Starts > 8 {
-			t.Errorf("%s, on which every task fails, was given %d tasks and was not deleted", faulty, sim.workers[faulty].Starts)
+		if faulty != "" && sim.agents[faulty] != nil && sim.agents[faulty].TasksStarted > 8 {
+			t.Errorf("%s, on which every task fails, was given %d tasks and was not deleted", faulty, sim.agents[faulty].TasksStarted)
 		}
 	})
 }
@@ -178,7 +178,7 @@
 		sim.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		sim.mu.Lock()
-		sim.runTime = func(job string, _ int, _ string) time.Duration {
+		sim.taskRunTime = func(job string, _ int, _ string) time.Duration {
 			if job == "job-1" {
 				return time.Hour
 			}
@@ -186,7 +186,7 @@
 		}
 		sim.mu.Unlock()
 		low := newJobSpec("job-1", 2, "blue") // fills the only machine
-		low.Standing, low.EstimateS, low.DeadlineS = true, 0, 0
+		low.Service, low.EstimateS, low.DeadlineS = true, 0, 0
 		sim.submit(low)
 		time.Sleep(20 * time.Second)
 		same := newJobSpec("job-2", 1, "blue")
@@ -218,7 +218,7 @@
 			runSimulation(t, 18, func(sim *simulatedCluster) {
 				time.Sleep(2 * time.Second)
 				sim.mu.Lock()
-				sim.runTime = func(_ string, _ int, machine string) time.Duration {
+				sim.taskRunTime = func(_ string, _ int, machine string) time.Duration {
 					if slow && machine == "m-000000" {
 						return 60 * time.Second
 					}
@@ -261,7 +261,7 @@
 		sim.mu.Lock()
 		sim.cloud.Capacity = 3 // room for six tasks of 4 CPUs on small machines
 		sim.cloud.Types = sim.cloud.Types[:1]
-		sim.runTime = func(string, int, string) time.Duration { return 10 * time.Second }
+		sim.taskRunTime = func(string, int, string) time.Duration { return 10 * time.Second }
 		sim.mu.Unlock()
 		gang := newJobSpec("job-1", 5, "blue")
 		gang.Gang = true
@@ -271,7 +271,7 @@
 			time.Sleep(100 * time.Millisecond)
 			sim.mu.Lock()
 			running := 0
-			for _, agent := range sim.workers {
+			for _, agent := range sim.agents {
 				running += len(agent.Tasks)
 			}
 			sim.mu.Unlock()
@@ -279,7 +279,7 @@
 				time.Sleep(50 * time.Millisecond) // the commands go to several machines and do not all arrive at once
 				sim.mu.Lock()
 				running = 0
-				for _, agent := range sim.workers {
+				for _, agent := range sim.agents {
 					running += len(agent.Tasks)
 				}
 				sim.mu.Unlock()
@@ -291,7 +291,7 @@
 			// Agents know a gang's tasks by their common attempt number.
 			numbers := map[uint64]bool{}
 			sim.mu.Lock()
-			for _, agent := range sim.workers {
+			for _, agent := range sim.agents {
 				for _, task := range agent.Tasks {
 					numbers[task.Attempt] = true
 				}
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -33,11 +33,11 @@
 		}
 		agent := agent.New(&sim.mu, sim, sim)
 		agent.Name, agent.Addr, agent.Type, agent.Zone, agent.Spot = name, m.Addr, m.Type, m.Zone, m.Spot
-		agent.Lease = settings.Seconds(sim.settings.Params.Workers.LeaseS)
-		agent.Controllers, agent.Controller = []string{"n0", "n1", "n2"}, home
+		agent.LeaseDuration = settings.Seconds(sim.settings.Params.AgentTimes.LeaseS)
+		agent.Controllers, agent.ControllerIndex = []string{"n0", "n1", "n2"}, home
 		agent.Send = func(label string, heartbeat []byte) (int, []byte) { return sim.sendHeartbeat(name, label, heartbeat) }
 		m.Up = true
-		sim.workers[name] = agent
+		sim.agents[name] = agent
 		sim.mu.Unlock()
 		agent.Run(sim.ctx.Done())
 	})
@@ -45,9 +45,9 @@
 
 // stopMachine powers a deleted machine off. The lock is held.
 func (sim *simulatedCluster) stopMachine(name string) {
-	if agent := sim.workers[name]; agent != nil {
+	if agent := sim.agents[name]; agent != nil {
 		agent.PowerOff()
-		delete(sim.workers, name)
+		delete(sim.agents, name)
 	}
 }
 
@@ -55,7 +55,7 @@
 func (sim *simulatedCluster) hangMachine(machine string, d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	agent := sim.workers[machine]
+	agent := sim.agents[machine]
 	if agent == nil || agent.Hung {
 		return
 	}
@@ -76,7 +76,7 @@
 func (sim *simulatedCluster) sendHeartbeat(machine, label string, heartbeat []byte) (int, []byte) {
 	sim.mu.Lock()
 	process := sim.controllers[label]
-	lost := sim.rng.Float64() < sim.messageFaultRate || sim.cut != nil && sim.cut(label, machine) || sim.outboundLost[machine]
+	lost := sim.rng.Float64() < sim.messageFaultRate || sim.dropsMessage != nil && sim.dropsMessage(label, machine) || sim.outboundLost[machine]
 	lostInbound := sim.inboundLost[machine]
 	requestDelay, responseDelay := sim.drawLinkDelay(), sim.drawLinkDelay()
 	if !lost {
@@ -101,8 +101,8 @@
 	return process.unlessKilled(process.controller.Serve(sim.ctx, &transport.Request{Method: "POST", Path: "/checkin", Body: heartbeat, Peer: sim.identities.certificate("worker/" + machine)}))
 }
 
-// serveWorker delivers a request to an agent.
-func (sim *simulatedCluster) serveWorker(agent *agent.Agent, path string, body []byte) *transport.Response {
+// deliverToAgent delivers a request to an agent.
+func (sim *simulatedCluster) deliverToAgent(agent *agent.Agent, path string, body []byte) *transport.Response {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if agent.PoweredOff {
@@ -135,12 +135,12 @@
 	if submitted.tasksDone[task] {
 		return 0, true
 	}
-	return sim.runTime(job, task, machine), true
+	return sim.taskRunTime(job, task, machine), true
 }
 
 // Fails reports whether a task fails on a machine.
 func (sim *simulatedCluster) Fails(job string, task int, machine string) bool {
-	return sim.fails != nil && sim.fails(job, task, machine)
+	return sim.taskFails != nil && sim.taskFails(job, task, machine)
 }
 
 // Ended records that a task is done, and cancels its job if the test asks for that.
@@ -158,21 +158,21 @@
 	}
 }
 
-// forEachWorker calls f for the agent of each machine that is up. The lock is held during the
+// forEachAgent calls f for the agent of each machine that is up. The lock is held during the
 // calls.
-func (sim *simulatedCluster) forEachWorker(f func(agent *agent.Agent)) {
+func (sim *simulatedCluster) forEachAgent(f func(agent *agent.Agent)) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
-		f(sim.workers[name])
+	for _, name := range slices.Sorted(maps.Keys(sim.agents)) {
+		f(sim.agents[name])
 	}
 }
 
 // machinesRunning returns the machines that have tasks of a job which have not ended, including
 // machines that hang. The lock is held.
 func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
-	for _, name := range slices.Sorted(maps.Keys(sim.workers)) {
-		for _, t := range sim.workers[name].Tasks {
+	for _, name := range slices.Sorted(maps.Keys(sim.agents)) {
+		for _, t := range sim.agents[name].Tasks {
 			if t.Job == id && t.State != protocol.TaskEnded {
 				machines = append(machines, name)
 			}
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -35,13 +35,13 @@
 	mu                sync.Mutex
 	rng               *rand.Rand
 	controllers       map[string]*simulatedController
-	workers           map[string]*agent.Agent
+	agents            map[string]*agent.Agent
 	violations        []string
 	jobs              map[string]*submittedJob
 	messageFaultRate  float64 // proportion of messages that are lost or late
-	cut               func(from, to string) bool
-	runTime           func(job string, task int, machine string) time.Duration
-	fails             func(job string, task int, machine string) bool
+	dropsMessage      func(from, to string) bool
+	taskRunTime       func(job string, task int, machine string) time.Duration
+	taskFails         func(job string, task int, machine string) bool
 	interceptCommands func(machine string, batch *protocol.CommandBatch) // is called with commands before they are executed
 	// onRequest is called with each request that a controller sends, and may drop it.
 	onRequest func(from, host, target string, body []byte) (lost bool)
@@ -126,7 +126,7 @@
 		ctx:          t.Context(),
 		rng:          rand.New(rand.NewPCG(seed, 7)),
 		controllers:  map[string]*simulatedController{},
-		workers:      map[string]*agent.Agent{},
+		agents:       map[string]*agent.Agent{},
 		jobs:         map[string]*submittedJob{},
 		incarnations: map[lease.IncarnationID]bool{},
 		operator:     settings.DefaultOperator(),
@@ -134,7 +134,7 @@
 	}
 	sim.settings.Params = defaultParams()
 	sim.settings.Services = settings.Services{Cloud: "cloud:1", State: "state:1"}
-	sim.runTime = func(string, int, string) time.Duration { return 6 * time.Second }
+	sim.taskRunTime = func(string, int, string) time.Duration { return 6 * time.Second }
 	sim.setUpState()
 	sim.setUpCloud()
 	return sim
@@ -143,21 +143,21 @@
 // defaultParams returns the parameters that tests start from.
 func defaultParams() settings.Params {
 	return settings.Params{
-		Count:         3,
-		Zones:         []string{"a", "b"},
-		Teams:         []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
-		Workers:       settings.AgentTimes{ReportS: 1, LeaseS: 8, CancelS: 25},
-		State:         settings.StateStoreLimits{RPS: 300, WriteRPS: 60, ValueKB: 8, TxnOps: 12},
-		Cloud:         settings.CloudLimits{RPS: 10, ListLagS: 4},
-		MachineLimits: settings.ProcessLimits{CoreShare: 0.1, MemMB: 64, Sockets: 200},
+		ControllerCount: 3,
+		Zones:           []string{"a", "b"},
+		Teams:           []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 32}, {Name: "blue", CPUs: 16, CPUsMax: 64}, {Name: "green"}},
+		AgentTimes:      settings.AgentTimes{HeartbeatS: 1, LeaseS: 8, CancelS: 25},
+		State:           settings.StateStoreLimits{RPS: 300, WriteRPS: 60, ValueKB: 8, TxnOps: 12},
+		Cloud:           settings.CloudLimits{RPS: 10, ListLagS: 4},
+		ProcessLimits:   settings.ProcessLimits{CoreShare: 0.1, MemMB: 64, Sockets: 200},
 	}
 }
 
 // setUpState sets up the state store and the safety checks on its writes.
 func (sim *simulatedCluster) setUpState() {
 	sim.state = state.New(&sim.mu)
-	sim.state.Page = 25
-	sim.state.Oversized = func(what string) { sim.recordViolation("%s", what) }
+	sim.state.PageSize = 25
+	sim.state.OnOversized = func(what string) { sim.recordViolation("%s", what) }
 	sim.state.BeforePut = func(c protocol.Change, old protocol.Item, exists bool) {
 		sim.checkLeaseWrite(c, old, exists)
 		sim.checkFinalStateWrite(c, exists)
@@ -170,8 +170,8 @@
 	sim.cloud.Capacity, sim.cloud.ListLag = 12, settings.Seconds(sim.settings.Params.Cloud.ListLagS)
 	sim.cloud.Boot, sim.cloud.Stop = sim.bootMachine, sim.stopMachine
 	sim.cloud.Types = []protocol.MachineType{
-		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, ZonesOffered: []string{"a", "b"}},
-		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, Price: 4, SpotPrice: 1.2, BootS: 8, ZonesOffered: []string{"a"}},
+		{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}},
+		{Name: "big", CPUs: 32, MemGB: 128, CacheGB: 50, FetchGBPerS: 1, Price: 4, SpotPrice: 1.2, BootS: 8, Zones: []string{"a"}},
 	}
 }
 
@@ -413,7 +413,7 @@
 
 // setRunTime sets how long every task runs from now on.
 func (sim *simulatedCluster) setRunTime(d time.Duration) {
-	sim.withLock(func() { sim.runTime = func(string, int, string) time.Duration { return d } })
+	sim.withLock(func() { sim.taskRunTime = func(string, int, string) time.Duration { return d } })
 }
 
 // setMessageFaultRate sets the proportion of messages that are lost or late from now on.
@@ -428,9 +428,9 @@
 	sim.state.SetOutage(on)
 }
 
-// setStateServiceRefusal makes the state store refuse the requests of one controller, or accept
+// setStateStoreRefusal makes the state store refuse the requests of one controller, or accept
 // them again.
-func (sim *simulatedCluster) setStateServiceRefusal(label string, on bool) {
+func (sim *simulatedCluster) setStateStoreRefusal(label string, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if sim.state.RefusedClients == nil {
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -105,10 +105,10 @@
 	faults.requestLost = draw < sim.messageFaultRate/3
 	faults.requestLate = draw < sim.messageFaultRate*2/3
 	faults.responseLost = draw < sim.messageFaultRate
-	faults.cut = sim.cut != nil && sim.cut(sender, host) || sim.inboundLost[host]
+	faults.cut = sim.dropsMessage != nil && sim.dropsMessage(sender, host) || sim.inboundLost[host]
 	faults.onRequest = sim.onRequest
 	faults.transactionDelay, faults.transactionLate = sim.drawTransactionDelay(host, target, body)
-	if sim.workers[host] != nil && !faults.cut {
+	if sim.agents[host] != nil && !faults.cut {
 		faults.commandDelay, faults.commandLate = sim.drawCommandDelay(target, body)
 	}
 	return faults
@@ -131,13 +131,13 @@
 		return sim.cloud.Serve(method, path, q, body)
 	}
 	sim.mu.Lock()
-	receiver, agent := sim.controllers[host], sim.workers[host]
+	receiver, agent := sim.controllers[host], sim.agents[host]
 	sim.mu.Unlock()
 	switch {
 	case receiver != nil:
 		return sim.deliverToController(ctx, from, receiver, method, path, body)
 	case agent != nil:
-		return sim.serveWorker(agent, path, body)
+		return sim.deliverToAgent(agent, path, body)
 	}
 	return nil
 }
@@ -205,7 +205,7 @@
 	defer sim.mu.Unlock()
 	if c.active == nil {
 		c.active = map[int]func(from, host string) bool{}
-		sim.cut = func(from, host string) bool {
+		sim.dropsMessage = func(from, host string) bool {
 			for _, f := range c.active {
 				if f(from, host) {
 					return true
@@ -228,9 +228,9 @@
 
 // cutNetworkFor drops the messages that the filter selects, for the duration d.
 func (sim *simulatedCluster) cutNetworkFor(filter func(from, host string) bool, d time.Duration) {
-	sim.withLock(func() { sim.cut = filter })
+	sim.withLock(func() { sim.dropsMessage = filter })
 	time.Sleep(d)
-	sim.withLock(func() { sim.cut = nil })
+	sim.withLock(func() { sim.dropsMessage = nil })
 }
 
 // downgradeSummary returns a summary as a controller without replication and delegation would
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -23,7 +23,7 @@
 // encodeSubmission returns the request body of a submission.
 func encodeSubmission(s *protocol.JobSpec) []byte {
 	shape := "batch"
-	if s.Standing {
+	if s.Service {
 		shape = "standing"
 	}
 	if s.Gang {
@@ -32,7 +32,7 @@
 	m := map[string]any{"name_id": s.ID, "jobclass": s.Class, "owner": s.Team, "shape": shape, "urgency": urgencyNames[s.Urgency],
 		"pieces": s.Tasks, "vcpus": s.CPUs, "gpus": s.GPUs, "mem_gb": s.MemGB, "bundle": s.Image, "image_gb": s.ImageGB,
 		"same_place": s.OneZone, "apart": s.Spread, "loaners": s.Spot, "guess_s": s.EstimateS, "due_s": s.DeadlineS,
-		"snapshot_every_s": s.CheckpointS, "snapshot_s": s.SaveS, "locale": nil, "shapes_of_box": nil}
+		"snapshot_every_s": s.CheckpointIntervalS, "snapshot_s": s.CheckpointDurationS, "locale": nil, "shapes_of_box": nil}
 	if s.Zone != "" {
 		m["locale"] = s.Zone
 	}
@@ -60,7 +60,7 @@
 	if process == nil {
 		return transport.Response{}
 	}
-	return process.unlessKilled(process.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), From: "10.9.0.1:4000"}))
+	return process.unlessKilled(process.controller.Serve(sim.ctx, &transport.Request{Method: method, Path: path, Body: body, Authorization: sim.identities.authorization(""), RemoteAddr: "10.9.0.1:4000"}))
 }
 
 // submit repeats a submission until it is accepted.
@@ -147,7 +147,7 @@
 		}
 		submitted.finalStatus = st.Status
 	case protocol.StatusQueued, protocol.StatusRunning:
-		if at := sim.dependencyCancelledAt(submitted); !at.IsZero() && time.Since(at).Seconds() > sim.settings.Params.Workers.CancelS {
+		if at := sim.dependencyCancelledAt(submitted); !at.IsZero() && time.Since(at).Seconds() > sim.settings.Params.AgentTimes.CancelS {
 			sim.recordViolation("orphaned: %s is still %s %s after a dependency was cancelled", id, st.Status, time.Since(at))
 		}
 	case protocol.StatusCancelled:
--- a/internal/coordination/takeover/acquisition.go
+++ b/internal/coordination/takeover/acquisition.go
@@ -28,10 +28,10 @@
 	standbyHeadStart = 600 * time.Millisecond
 )
 
-// WantsPartition reports whether to acquire the lease of a partition now. The standby acquires a
+// ShouldAcquirePartition reports whether to acquire the lease of a partition now. The standby acquires a
 // vacant partition at once. So does the preferred leader, but it first gives a live standby a head
 // start. Other controllers also wait for a delay that grows with the number of partitions they lead.
-func (t *Takeover) WantsPartition(p *cluster.Partition, now time.Time) bool {
+func (t *Takeover) ShouldAcquirePartition(p *cluster.Partition, now time.Time) bool {
 	if p.Held || !t.mayAcquire(now) {
 		return false
 	}
@@ -52,8 +52,8 @@
 	return now.Sub(p.VacantSince) >= t.vacancyDelay(now)
 }
 
-// WantsLeadership reports whether to acquire the cluster leadership now.
-func (t *Takeover) WantsLeadership(now time.Time) bool {
+// ShouldAcquireLeadership reports whether to acquire the cluster leadership now.
+func (t *Takeover) ShouldAcquireLeadership(now time.Time) bool {
 	leadership := &t.Leadership
 	if leadership.Held || !t.mayAcquire(now) {
 		return false
--- a/internal/coordination/takeover/collaborators.go
+++ b/internal/coordination/takeover/collaborators.go
@@ -18,8 +18,8 @@
 
 // Leases holds the partition leases and the bounds on what former leaders may still do.
 type Leases interface {
-	// ClearPartition drops the state of a partition that is valid only on its leader.
-	ClearPartition(p *cluster.Partition)
+	// ClearLeaderState drops the state of a partition that is valid only on its leader.
+	ClearLeaderState(p *cluster.Partition)
 	// LastAnswerBound returns the latest time at which another controller may have answered a
 	// heartbeat of a machine of a partition.
 	LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time
--- a/internal/coordination/takeover/install.go
+++ b/internal/coordination/takeover/install.go
@@ -30,7 +30,7 @@
 // clearLeaderState drops the state from an earlier time at which this controller led the partition.
 func (t *Takeover) clearLeaderState(p *cluster.Partition) {
 	if !p.LeaderStateCleared {
-		t.leases.ClearPartition(p)
+		t.leases.ClearLeaderState(p)
 	}
 	p.LeaderStateCleared = false
 }
@@ -86,7 +86,7 @@
 		j.RebuildPending()
 		if t.FinalStates[id] != "" {
 			j.Ended, j.CancelledAt, j.Pending = true, t.Cancellations.CancelledAt(id), nil
-		} else if j.DoneCount == j.Spec.Tasks && !j.Spec.Standing {
+		} else if j.DoneCount == j.Spec.Tasks && !j.Spec.Service {
 			j.Completing = true
 		}
 	}
--- a/internal/coordination/takeover/rebuild.go
+++ b/internal/coordination/takeover/rebuild.go
@@ -30,7 +30,7 @@
 // that succeeds or the lease with this revision is lost. Later writes of the former leader fail,
 // since they are conditional on the previous lease.
 func (t *Takeover) TakeOver(p *cluster.Partition, revision uint64) {
-	tries := t.loop.Tries("rebuild "+strconv.Itoa(p.Index), rebuildBackoff)
+	tries := t.loop.NewRetryCounter("rebuild "+strconv.Itoa(p.Index), rebuildBackoff)
 	for t.holdsLease(p, revision) {
 		err := t.rebuild(p, revision)
 		if err == nil {
@@ -98,7 +98,7 @@
 	if unknown := replica.Derived.UnknownJobs(t.Jobs, jobRecords); len(unknown) > 0 {
 		return installResult{unknownJobs: unknown}
 	}
-	if missing := t.MissingEvidence(p, revision, replica.Records.Revision()); len(missing) > 0 {
+	if missing := t.UnmetPreconditions(p, revision, replica.Records.Revision()); len(missing) > 0 {
 		return installResult{missing: missing}
 	}
 	t.Install(p, replica, jobRecords, warm)
@@ -117,15 +117,15 @@
 	return nil
 }
 
-// MissingEvidence lists the unmet preconditions of the first scheduling decision on a partition.
+// UnmetPreconditions lists the unmet preconditions of the first scheduling decision on a partition.
 // runRecords is the revision up to which its run records are known. Machine records and final
 // records arrive in order through the watch. Quota usage is counted when the replica is installed.
-func (t *Takeover) MissingEvidence(p *cluster.Partition, leaseRevision, runRecords uint64) []string {
+func (t *Takeover) UnmetPreconditions(p *cluster.Partition, leaseRevision, runRecords uint64) []string {
 	check := failover.TakeoverCheck{
 		LeaseRevision: leaseRevision, NewestLease: p.LeaseRevision,
 		SinceRenewal: time.Since(t.LeaseRenewedAt), TTL: t.Operator.LeaseTTL,
 		RunRecords: runRecords, MachineRecords: t.RecordsRevision, FinalStates: t.RecordsRevision,
-		Counted: true,
+		QuotasCounted: true,
 	}
 	return check.Missing()
 }
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -43,7 +43,7 @@
 	set.Label, set.Others = "n0", []settings.Peer{{Label: "n1", PeerAddr: "n1:2"}, {Label: "n2", PeerAddr: "n2:2"}}
 	ctx, cancel := context.WithCancel(t.Context())
 	c = newTestController(ctx, &set, settings.DefaultOperator())
-	return c, func() { cancel(); c.loop.Abandon() }
+	return c, func() { cancel(); c.loop.StopUnstarted() }
 }
 
 // newLeadingController returns a controller that leads every partition and whose network does
@@ -63,7 +63,7 @@
 // addMachine adds a usable machine to a partition.
 func (c *Controller) addMachine(p *cluster.Partition, name, typ string) *cluster.Machine {
 	now := time.Now()
-	c.agents.MachineRecorded(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
+	c.agents.ApplyMachineRecord(name, storage.Machine{Partition: p.Index, Addr: name + ":1", Type: typ, Zone: "a", Spot: true}, 2, now)
 	m := c.Machines[name]
 	m.HasReported, m.TokenConfirmed, m.Epoch, m.AnsweredUntil = true, true, 1, now
 	return m
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -45,8 +45,8 @@
 	identities := &testIdentities{t: t, ca: ca, key: key, keyrings: map[string]*identity.Keyring{}, certs: map[string]*x509.Certificate{}, tokens: map[string]string{}}
 	for _, label := range allControllers {
 		identities.certificate("controller/" + label)
-		ring, err := identity.Load(identity.Files{Own: ca.File(identity.Name{Kind: identity.Controller, ID: label}),
-			Roots: filepath.Join(dir, pki.RootFile), TokenKeys: filepath.Join(dir, pki.TokenKeysFile)})
+		ring, err := identity.Load(identity.Files{CredentialsFile: ca.File(identity.Name{Kind: identity.Controller, ID: label}),
+			RootsFile: filepath.Join(dir, pki.RootFile), TokenKeysFile: filepath.Join(dir, pki.TokenKeysFile)})
 		panicOnError(err)
 		identities.keyrings[label] = ring
 	}
@@ -54,9 +54,9 @@
 }
 
 // forController returns the identities that a controller is configured with.
-func (identities *testIdentities) forController(label string) auth.Identities {
+func (identities *testIdentities) forController(label string) auth.Config {
 	ring := identities.keyrings[label]
-	return auth.Identities{Tokens: identity.NewTokens(ring, "test", 5*time.Millisecond), Bootstrap: "person/root", ClockBound: 5 * time.Millisecond,
+	return auth.Config{Tokens: identity.NewTokenVerifier(ring, "test", 5*time.Millisecond), BootstrapIdentity: "person/root", ClockBound: 5 * time.Millisecond,
 		Signer: func() audit.Signer {
 			key, cert := ring.Signer()
 			return audit.Signer{Key: key, Cert: cert, ID: identity.Fingerprint(cert)}
@@ -121,7 +121,7 @@
 		raw = protocol.Encode(b)
 	}
 	path, query, _ := strings.Cut(target, "?")
-	return &transport.Request{Method: method, Path: path, Query: query, Body: raw, From: from}
+	return &transport.Request{Method: method, Path: path, Query: query, Body: raw, RemoteAddr: from}
 }
 
 // requestAs sends a request to a controller as an identity, or without authorization if its
--- a/internal/devcluster/cluster.go
+++ b/internal/devcluster/cluster.go
@@ -86,8 +86,8 @@
 	teams        = []settings.Team{{Name: "placements-desk", CPUs: 32, CPUsMax: 128}, {Name: "payments", CPUs: 16, CPUsMax: 96}, {Name: "venues"}}
 	zones        = []string{"almaty", "windhoek"}
 	machineTypes = []protocol.MachineType{
-		{Name: "desk-box", CPUs: 16, MemGB: 64, CacheGB: 40, FetchGBPerS: 1, Price: 0.74, SpotPrice: 0.19, BootS: 1, ZonesOffered: zones},
-		{Name: "hall-rack", CPUs: 64, MemGB: 256, CacheGB: 80, FetchGBPerS: 2, Price: 3.22, SpotPrice: 0.93, BootS: 2, ZonesOffered: zones}}
+		{Name: "desk-box", CPUs: 16, MemGB: 64, CacheGB: 40, FetchGBPerS: 1, Price: 0.74, SpotPrice: 0.19, BootS: 1, Zones: zones},
+		{Name: "hall-rack", CPUs: 64, MemGB: 256, CacheGB: 80, FetchGBPerS: 2, Price: 3.22, SpotPrice: 0.93, BootS: 2, Zones: zones}}
 )
 
 // Start starts a cluster that runs until Stop is called or ctx ends.
--- a/internal/devcluster/cluster_test.go
+++ b/internal/devcluster/cluster_test.go
@@ -195,7 +195,7 @@
 	c.WithAgents(func(workers map[string]*agent.Agent) {
 		starts := 0
 		for _, a := range workers {
-			starts += a.Starts
+			starts += a.TasksStarted
 		}
 		if starts != 24 {
 			t.Errorf("24 tasks had %d starts in total, want 24", starts)
@@ -234,8 +234,8 @@
 			if err := apiClient.ForController(node.Operations).Do(ctx, "GET", "/overview", nil, v); err != nil {
 				continue // the controller may have been killed
 			}
-			connected[node] = v.Connected
-			total += v.Connected
+			connected[node] = v.ConnectedMachines
+			total += v.ConnectedMachines
 			for _, p := range v.Partitions {
 				if p.Machines > 0 {
 					leader = node
@@ -273,7 +273,7 @@
 	c.WithAgents(func(workers map[string]*agent.Agent) {
 		starts := 0
 		for _, a := range workers {
-			starts += a.Starts
+			starts += a.TasksStarted
 			if a.Epoch != 1 {
 				t.Errorf("machine %s lost its lease", a.Name)
 			}
@@ -320,7 +320,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		keyring, err := identity.Load(identity.Files{Own: file, Roots: identities.Roots})
+		keyring, err := identity.Load(identity.Files{CredentialsFile: file, RootsFile: identities.Roots})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -329,7 +329,7 @@
 			t.Fatal(err)
 		}
 		tool := buildtool.New(conn, "refunds")
-		tool.Function = repb.DigestFunction_BLAKE3 // other than the default
+		tool.DigestFunction = repb.DigestFunction_BLAKE3 // other than the default
 		_, err = Build(ctx, tool, "by certificate", 3, 0, func(string) {})
 		_ = conn.Close()
 		if err == nil && want != codes.OK || err != nil && status.Code(errors.Unwrap(err)) != want {
--- a/internal/devcluster/config.go
+++ b/internal/devcluster/config.go
@@ -29,17 +29,17 @@
 // params returns the settings that are the same for all controllers.
 func (c *Cluster) params() settings.Params {
 	return settings.Params{
-		Count: c.options.Controllers,
-		Zones: zones,
-		Teams: teams,
-		Workers: settings.AgentTimes{
-			ReportS: heartbeatInterval.Seconds(),
-			LeaseS:  machineLease.Seconds(),
-			CancelS: cancelBound.Seconds(),
+		ControllerCount: c.options.Controllers,
+		Zones:           zones,
+		Teams:           teams,
+		AgentTimes: settings.AgentTimes{
+			HeartbeatS: heartbeatInterval.Seconds(),
+			LeaseS:     machineLease.Seconds(),
+			CancelS:    cancelBound.Seconds(),
 		},
 		State: settings.StateStoreLimits{RPS: c.options.RPS, WriteRPS: c.options.WriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps},
 		Cloud: settings.CloudLimits{RPS: cloudRPS, ListLagS: c.cloud.ListLag.Seconds()},
-		MachineLimits: settings.ProcessLimits{
+		ProcessLimits: settings.ProcessLimits{
 			CoreShare: 1,
 			MemMB:     controllerMemMB,
 			Sockets:   cmp.Or(c.options.Sockets, defaultSockets),
@@ -53,8 +53,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.TxnOps, c.state.ValueKB = limits.TxnOps, limits.ValueKB
-	c.state.Requests = rate.NewLimiter(rate.Limit(limits.RPS), int(limits.RPS))
-	c.state.Writes = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
+	c.state.RequestLimiter = rate.NewLimiter(rate.Limit(limits.RPS), int(limits.RPS))
+	c.state.WriteLimiter = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
 }
 
 // operatorSettings is the content of a controller's operator settings file.
--- a/internal/devcluster/demo_build.go
+++ b/internal/devcluster/demo_build.go
@@ -19,15 +19,15 @@
 // Build runs a sample build and verifies the output of its last action. progress receives
 // one-line messages.
 func Build(ctx context.Context, b *buildtool.Builder, name string, sources int, seconds float64, progress func(string)) (*buildtool.Report, error) {
-	nodes, last, want := buildtool.Sample(name, sources, seconds)
+	nodes, last, want := buildtool.SampleBuild(name, sources, seconds)
 	var mu sync.Mutex
 	var lastReport time.Time
 	report, err := b.Build(ctx, nodes, func(p buildtool.Progress) {
 		mu.Lock()
 		defer mu.Unlock()
-		if time.Since(lastReport) > progressInterval || p.Done == p.Of {
+		if time.Since(lastReport) > progressInterval || p.Done == p.Total {
 			lastReport = time.Now()
-			progress(fmt.Sprintf("%d of %d actions done, %d of them from the cache", p.Done, p.Of, p.Cached))
+			progress(fmt.Sprintf("%d of %d actions done, %d of them from the cache", p.Done, p.Total, p.Cached))
 		}
 	})
 	if err != nil {
--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -100,7 +100,7 @@
 		b.t.Fatal(err)
 	}
 	acceptAll := func(context.Context) bool { return true }
-	b.frontEnd = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, GatherFor: 50 * time.Millisecond, GatherMost: 256, IsWorker: acceptAll},
+	b.frontEnd = reapi.New(reapi.Config{Instances: map[string]string{"": "venues", "refunds": "payments"}, Class: "build", MaxBlob: 1 << 26, BatchDelay: 50 * time.Millisecond, MaxBatchActions: 256, IsWorker: acceptAll},
 		b.store, results, reapi.OpenAccess{}, nil, reapi.Controllers{Client: client.New(b.cluster.Addrs(), nil, "")}, slog.New(slog.DiscardHandler))
 	b.server = b.frontEnd.Server(grpc.WaitForHandlers(true)) // calls end with the server, as with a killed process
 	server := b.server
@@ -319,7 +319,7 @@
 		t.Errorf("second build: wrong output, or only %d of %d actions cached", cached, sources+sources/10+1)
 	}
 	t.Logf("second build, from the cache, in %s", time.Since(started).Round(time.Millisecond))
-	if n := b.frontEnd.Discarded(); n != 0 {
+	if n := b.frontEnd.DiscardedResults(); n != 0 {
 		t.Errorf("%d results were discarded", n)
 	}
 	resp, err := b.execute(action{script: "echo x >out; chmod 640 out; touch -d @1000000000 out", nodeProperties: []string{"mtime", "unix_mode"}})
--- a/internal/devcluster/identities.go
+++ b/internal/devcluster/identities.go
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 	}
-	if identities.workerKeyring, err = identity.Load(identity.Files{Own: filepath.Join(identities.dir, "worker-any.pem"), Roots: identities.Roots}); err != nil {
+	if identities.workerKeyring, err = identity.Load(identity.Files{CredentialsFile: filepath.Join(identities.dir, "worker-any.pem"), RootsFile: identities.Roots}); err != nil {
 		return nil, err
 	}
 	for _, name := range append(identities.OtherNames(), Administrator) {
@@ -67,11 +67,11 @@
 		}
 	}
 	identities.settings = settings.Identity{
-		Own:       filepath.Join(identities.dir, "controller-{label}.pem"),
-		Roots:     identities.Roots,
-		TokenKeys: filepath.Join(identities.dir, pki.TokenKeysFile),
-		Cluster:   clusterName,
-		Bootstrap: Administrator,
+		CredentialsFile: filepath.Join(identities.dir, "controller-{label}.pem"),
+		RootsFile:       identities.Roots,
+		TokenKeysFile:   filepath.Join(identities.dir, pki.TokenKeysFile),
+		Cluster:         clusterName,
+		Bootstrap:       Administrator,
 	}
 	return identities, nil
 }
--- a/internal/devcluster/identities_test.go
+++ b/internal/devcluster/identities_test.go
@@ -71,7 +71,7 @@
 }
 
 // exportAudit exports the audit log, verifies it, and returns its records.
-func (c *Cluster) exportAudit(t *testing.T, ctx context.Context) []archive.ReadRecord {
+func (c *Cluster) exportAudit(t *testing.T, ctx context.Context) []archive.ChainRecord {
 	t.Helper()
 	administrator := c.clientFor(t, Administrator)
 	var seal audit.Seal
@@ -98,10 +98,10 @@
 	for _, p := range verification.Problems {
 		t.Errorf("problem in the audit log: %s", p)
 	}
-	return verification.Read
+	return verification.Decoded
 }
 
-func countRecords(records []archive.ReadRecord, match func(r *audit.Record) bool) (n int) {
+func countRecords(records []archive.ChainRecord, match func(r *audit.Record) bool) (n int) {
 	for i := range records {
 		if match(&records[i].Record) {
 			n += int(max(1, records[i].Count))
@@ -182,7 +182,7 @@
 		}
 	}
 	var args protocol.Arguments
-	if err := refunds.Do(ctx, "GET", "/submissions/job-2/arguments", nil, &args); err != nil || args.Image != secret || args.By != Administrator {
+	if err := refunds.Do(ctx, "GET", "/submissions/job-2/arguments", nil, &args); err != nil || args.Image != secret || args.SubmittedBy != Administrator {
 		t.Errorf("arguments of job-2: got %+v, error %v; want image %q submitted by %s", args, err, secret, Administrator)
 	}
 	// A client without credentials, a client with an invalid token, a machine that polls a job, and
@@ -204,14 +204,14 @@
 			}
 		}
 	}
-	time.Sleep(audit.GatherInterval + time.Second)
+	time.Sleep(audit.AggregationInterval + time.Second)
 	records := c.exportAudit(t, ctx)
 	for who, n := range denials {
-		if got := countRecords(records, func(r *audit.Record) bool { return r.Who == who && r.Outcome == audit.Denied }); got != n {
+		if got := countRecords(records, func(r *audit.Record) bool { return r.Identity == who && r.Outcome == audit.Denied }); got != n {
 			t.Errorf("%s was refused %d times, but the audit log has %d refusals", who, n, got)
 		}
 	}
-	if n := countRecords(records, func(r *audit.Record) bool { return r.Who == "" && r.Outcome == audit.Denied }); n != 3 {
+	if n := countRecords(records, func(r *audit.Record) bool { return r.Identity == "" && r.Outcome == audit.Denied }); n != 3 {
 		t.Errorf("the audit log has %d refusals of unauthenticated clients, want 3", n)
 	}
 }
@@ -423,14 +423,14 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	time.Sleep(audit.GatherInterval + time.Second)
+	time.Sleep(audit.AggregationInterval + time.Second)
 	records := c.exportAudit(t, ctx)
 	if n := countRecords(records, func(r *audit.Record) bool {
-		return r.Who == "service/refunds" && r.Outcome == audit.Denied && r.Team == "venues"
+		return r.Identity == "service/refunds" && r.Outcome == audit.Denied && r.Team == "venues"
 	}); n != 1 {
 		t.Errorf("the audit log has %d refusals of service/refunds, want 1", n)
 	}
-	if n := countRecords(records, func(r *audit.Record) bool { return r.Who == "person/partner" && r.Outcome == audit.Denied }); n != 1 {
+	if n := countRecords(records, func(r *audit.Record) bool { return r.Identity == "person/partner" && r.Outcome == audit.Denied }); n != 1 {
 		t.Errorf("the audit log has %d refusals of person/partner, want 1", n)
 	}
 	// Without controllers no client is authorized.
--- a/internal/devcluster/machines.go
+++ b/internal/devcluster/machines.go
@@ -78,8 +78,8 @@
 	}
 	c.mu.Lock()
 	a.Name, a.Addr, a.Type, a.Zone, a.Spot = name, addr, machine.Type, machine.Zone, machine.Spot
-	a.HeartbeatInterval, a.Lease = heartbeatInterval, machineLease
-	a.Controller = controller
+	a.HeartbeatInterval, a.LeaseDuration = heartbeatInterval, machineLease
+	a.ControllerIndex = controller
 	for _, node := range c.nodes {
 		a.Controllers = append(a.Controllers, node.Label)
 	}
@@ -122,7 +122,7 @@
 func (c *Cluster) Machines() (current, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.cloud.Machines), c.cloud.Rented
+	return len(c.cloud.Machines), c.cloud.CreatedTotal
 }
 
 // WithAgents calls f with the agents by machine name while the cluster's lock is held.
@@ -173,7 +173,7 @@
 	if !ok || task >= spec.Tasks {
 		return 0, false
 	}
-	if spec.Standing {
+	if spec.Service {
 		return standingRunTime, true
 	}
 	name := protocol.TaskName(job, task)
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	c.group.Go(func() {
 		defer cancel()
-		dir := runner.Dir(filepath.Join(c.options.Dir, "work", a.Name), t.Name, t.Attempt)
+		dir := runner.TaskDir(filepath.Join(c.options.Dir, "work", a.Name), t.Name, t.Attempt)
 		err := runner.Run(ctx, c.options.FrontEndConn, a.Name, spec.Image, t.Index, dir)
 		_ = os.RemoveAll(dir)
 		c.mu.Lock()
@@ -213,8 +213,8 @@
 // Fails implements agent.Jobs; no task fails.
 func (c *Cluster) Fails(string, int, string) bool { return false }
 
-// Obeying implements agent.Watcher.
-func (c *Cluster) Obeying(*agent.Agent, protocol.Command) {}
+// Accepting implements agent.Watcher.
+func (c *Cluster) Accepting(*agent.Agent, protocol.Command) {}
 
 // Started implements agent.Watcher.
 func (c *Cluster) Started(*agent.Agent, *agent.Task) {}
--- a/internal/devcluster/policy.go
+++ b/internal/devcluster/policy.go
@@ -101,7 +101,7 @@
 	version = page.Version
 	for i := range plan {
 		plan[i].Version = version
-		var written rights.Version
+		var written rights.ChangeResult
 		if err := administrator.Do(ctx, http.MethodPost, "/policy", &plan[i], &written); err != nil {
 			return version, err
 		}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -91,9 +91,9 @@
 // end makes Do return false from now on.
 func (l *Loop) end() { l.endOnce.Do(func() { close(l.ended) }) }
 
-// Abandon stops a loop that was never started and waits for its tasks, whose calls of Do no longer
+// StopUnstarted stops a loop that was never started and waits for its tasks, whose calls of Do no longer
 // run. The loop's context must be done.
-func (l *Loop) Abandon() {
+func (l *Loop) StopUnstarted() {
 	l.end()
 	l.tasks.Wait()
 }
@@ -139,9 +139,9 @@
 	}
 }
 
-// Tries returns a counter of one task's consecutive failures, with the pause after each.
-func (l *Loop) Tries(task string, backoff retry.Backoff) *retry.Tries {
-	return &retry.Tries{Backoff: backoff, Who: l.name + " " + task}
+// NewRetryCounter returns a counter of one task's consecutive failures, with the pause after each.
+func (l *Loop) NewRetryCounter(task string, backoff retry.Backoff) *retry.FailureCounter {
+	return &retry.FailureCounter{Backoff: backoff, JitterKey: l.name + " " + task}
 }
 
 // Signal sends a value to a channel with a buffer of one, unless the buffer is full. So several
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// Jobs determines how long tasks run and whether they fail.
-type Jobs interface {
+// Workload determines how long tasks run and whether they fail.
+type Workload interface {
 	// RunTime returns how long a task runs on a machine, or false if there is no such task.
 	RunTime(job string, task int, machine string) (time.Duration, bool)
 	// Fails reports whether a task fails at the end of its run time.
@@ -20,8 +20,8 @@
 
 // Watcher observes the tasks of a machine. It is called with the lock held.
 type Watcher interface {
-	// Obeying is called before a start command is executed, except for repeated commands.
-	Obeying(a *Agent, command protocol.Command)
+	// Accepting is called before a start command is executed, except for repeated commands.
+	Accepting(a *Agent, command protocol.Command)
 	// Started is called when a task has begun to run.
 	Started(a *Agent, t *Task)
 	// Ended is called when a running task is done or has failed, not when it is stopped.
@@ -35,14 +35,14 @@
 	Name, Addr, Type, Zone string
 	Spot                   bool
 	HeartbeatInterval      time.Duration
-	// Lease is the duration of the machine lease.
-	Lease time.Duration
+	// LeaseDuration is the duration of the machine lease.
+	LeaseDuration time.Duration
 	// FetchTime is how long a task takes to fetch its image.
 	FetchTime time.Duration
 	// Controllers are the labels of the controllers.
 	Controllers []string
-	// Controller is the index of the controller that gets the heartbeats.
-	Controller int
+	// ControllerIndex is the index of the controller that gets the heartbeats.
+	ControllerIndex int
 	// Send sends an encoded heartbeat to a controller and returns the response. It is called
 	// without the lock. Status 0 means that there was no response.
 	Send func(controller string, heartbeat []byte) (status int, body []byte)
@@ -61,13 +61,13 @@
 	// LeaseRenewedAt is when the machine lease was last renewed.
 	LeaseRenewedAt time.Time
 	Tasks          map[string]*Task // by task and attempt
-	// PreemptedAt is the time announced in the preemption notice, or nil if there is none.
-	PreemptedAt *time.Time
-	// Starts counts the tasks that began to run.
-	Starts int
+	// PreemptAt is the time announced in the preemption notice, or nil if there is none.
+	PreemptAt *time.Time
+	// TasksStarted counts the tasks that began to run.
+	TasksStarted int
 
 	lock    sync.Locker
-	jobs    Jobs
+	jobs    Workload
 	watcher Watcher
 	stopped chan struct{}
 }
@@ -82,7 +82,7 @@
 
 // New creates the agent of a machine that has just booted. The lock guards its fields, of
 // which the caller sets those without a default.
-func New(lock sync.Locker, jobs Jobs, watcher Watcher) *Agent {
+func New(lock sync.Locker, jobs Workload, watcher Watcher) *Agent {
 	return &Agent{
 		lock:              lock,
 		jobs:              jobs,
@@ -141,7 +141,7 @@
 // all tasks and begins a new agent epoch. It starts the tasks whose images are fetched, and
 // ends those whose run time is over. The caller holds the lock.
 func (a *Agent) Advance(now time.Time) {
-	if now.Sub(a.LeaseRenewedAt) > a.Lease {
+	if now.Sub(a.LeaseRenewedAt) > a.LeaseDuration {
 		a.Epoch++
 		for _, t := range a.Tasks {
 			t.stopExec()
@@ -155,7 +155,7 @@
 			if !a.startTask(t, now) {
 				continue
 			}
-		case t.State == protocol.TaskRunning && t.stop == nil && !now.Before(t.Ends):
+		case t.State == protocol.TaskRunning && t.stop == nil && !now.Before(t.EndsAt):
 			cause := protocol.CauseDone
 			if a.jobs.Fails(t.Job, t.Index, a.Name) {
 				cause = protocol.CauseError
--- a/internal/fake/agent/commands.go
+++ b/internal/fake/agent/commands.go
@@ -35,15 +35,15 @@
 // accept creates the task of a start command. If its name is invalid, or another attempt of
 // the same task has not ended, the new task has ended already, with the cause.
 func (a *Agent) accept(command protocol.Command) *Task {
-	job, index, ok := protocol.ParseTask(command.Task)
-	a.watcher.Obeying(a, command)
+	job, index, ok := protocol.ParseTaskName(command.Task)
+	a.watcher.Accepting(a, command)
 	t := &Task{Name: command.Task, Job: job, Index: index, Attempt: command.Attempt, State: protocol.TaskFetching, acceptedAt: time.Now()}
 	if !ok {
-		t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknown
+		t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknownTask
 	}
 	for _, other := range a.Tasks {
 		if other.Name == command.Task && other.State != protocol.TaskEnded {
-			t.State, t.Cause = protocol.TaskEnded, protocol.CauseInUse
+			t.State, t.Cause = protocol.TaskEnded, protocol.CauseTaskInUse
 		}
 	}
 	return t
--- a/internal/fake/agent/heartbeat.go
+++ b/internal/fake/agent/heartbeat.go
@@ -21,8 +21,8 @@
 		Token:    a.Token,
 		Tasks:    []protocol.TaskReport{},
 	}
-	if a.PreemptedAt != nil {
-		seconds := time.Until(*a.PreemptedAt).Seconds()
+	if a.PreemptAt != nil {
+		seconds := time.Until(*a.PreemptAt).Seconds()
 		heartbeat.PreemptionNoticeS = &seconds
 	}
 	for _, t := range a.Tasks {
@@ -37,7 +37,7 @@
 	a.lock.Lock()
 	sent := time.Now()
 	heartbeat := a.Heartbeat()
-	controller := a.Controllers[a.Controller]
+	controller := a.Controllers[a.ControllerIndex]
 	a.lock.Unlock()
 	status, body := a.Send(controller, protocol.Encode(heartbeat))
 	a.lock.Lock()
@@ -57,13 +57,13 @@
 		var assigned protocol.AssignedController
 		if protocol.Decode(body, &assigned) == nil {
 			for i, label := range a.Controllers {
-				if label == assigned.Controller && i != a.Controller {
-					a.Controller = i
+				if label == assigned.Controller && i != a.ControllerIndex {
+					a.ControllerIndex = i
 					return false
 				}
 			}
 		}
 	}
-	a.Controller = (a.Controller + 1) % len(a.Controllers)
+	a.ControllerIndex = (a.ControllerIndex + 1) % len(a.Controllers)
 	return false
 }
--- a/internal/fake/agent/task.go
+++ b/internal/fake/agent/task.go
@@ -16,7 +16,7 @@
 	Cause      string // why it ended
 	Running    bool
 	acceptedAt time.Time
-	Ends       time.Time // end of the run time, used unless Agent.Exec executes the task
+	EndsAt     time.Time // end of the run time, used unless Agent.Exec executes the task
 	stop       func()    // stops what Agent.Exec executes, or nil
 }
 
@@ -33,15 +33,15 @@
 func (a *Agent) startTask(t *Task, now time.Time) bool {
 	runTime, ok := a.jobs.RunTime(t.Job, t.Index, a.Name)
 	if !ok {
-		t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknown
+		t.State, t.Cause = protocol.TaskEnded, protocol.CauseUnknownTask
 		return false
 	}
 	t.State, t.Running = protocol.TaskRunning, true
-	t.Ends = now.Add(runTime)
+	t.EndsAt = now.Add(runTime)
 	if a.Exec != nil {
 		t.stop = a.Exec(t)
 	}
-	a.Starts++
+	a.TasksStarted++
 	a.watcher.Started(a, t)
 	return true
 }
--- a/internal/fake/cloud/service.go
+++ b/internal/fake/cloud/service.go
@@ -40,16 +40,16 @@
 	Types []protocol.MachineType
 	// Capacity bounds the number of machines.
 	Capacity int
-	// ByType bounds the number of machines of the types that it contains.
-	ByType map[string]int
-	Prefix string // of machine names
+	// CapacityByType bounds the number of machines of the types that it contains.
+	CapacityByType map[string]int
+	NamePrefix     string // of machine names
 	// ListLag is how long a created machine is missing from the machine list.
 	ListLag time.Duration
 	// Unavailable simulates an outage: every request fails.
 	Unavailable bool
 	Machines    map[string]*Machine // by name
-	// Rented counts all machines created so far, including those deleted since.
-	Rented           int
+	// CreatedTotal counts all machines created so far, including those deleted since.
+	CreatedTotal     int
 	nextNumber       int                 // of the next machine's name
 	createdByRequest map[string][]string // machine names by request ID
 
@@ -61,7 +61,7 @@
 
 // New creates a cloud without machines. The lock guards its fields.
 func New(lock sync.Locker) *Service {
-	return &Service{lock: lock, Prefix: "m", Machines: map[string]*Machine{}, createdByRequest: map[string][]string{}}
+	return &Service{lock: lock, NamePrefix: "m", Machines: map[string]*Machine{}, createdByRequest: map[string][]string{}}
 }
 
 // newResponse returns a response with the encoded body.
@@ -151,7 +151,7 @@
 			existing++
 		}
 	}
-	limit, bounded := s.ByType[machineType]
+	limit, bounded := s.CapacityByType[machineType]
 	return len(s.Machines) < s.Capacity && (!bounded || existing < limit)
 }
 
@@ -166,14 +166,14 @@
 		return newResponse(http.StatusOK, protocol.MachineNames{Machines: names})
 	}
 	i := slices.IndexFunc(s.Types, func(t protocol.MachineType) bool { return t.Name == req.Type })
-	if i < 0 || !slices.Contains(s.Types[i].ZonesOffered, req.Zone) {
+	if i < 0 || !slices.Contains(s.Types[i].Zones, req.Zone) {
 		return badRequest("no such type or zone")
 	}
 	var names []string
 	for len(names) < req.Count && s.hasCapacity(req.Type) {
-		name := fmt.Sprintf("%s-%06d", s.Prefix, s.nextNumber)
+		name := fmt.Sprintf("%s-%06d", s.NamePrefix, s.nextNumber)
 		s.nextNumber++
-		s.Rented++
+		s.CreatedTotal++
 		machine := &Machine{Type: req.Type, Zone: req.Zone, Spot: req.Spot, CreatedAt: time.Now()}
 		s.Machines[name] = machine
 		names = append(names, name)
--- a/internal/fake/runner/command.go
+++ b/internal/fake/runner/command.go
@@ -44,7 +44,7 @@
 	}
 	times.InputFetchCompletedTimestamp = timestamppb.Now()
 	workingDir := filepath.Join(dir, filepath.FromSlash(command.GetWorkingDirectory()))
-	outputs := reapi.Outputs(command)
+	outputs := reapi.OutputPaths(command)
 	for _, output := range outputs {
 		if err := os.MkdirAll(filepath.Join(workingDir, filepath.Dir(filepath.FromSlash(output))), 0o755); err != nil {
 			return nil, err
--- a/internal/fake/runner/runner.go
+++ b/internal/fake/runner/runner.go
@@ -35,7 +35,7 @@
 // Run executes the task with the given index of a job with the given image, and records its
 // result. dir must be empty or not exist yet. After an error the task can be retried.
 func Run(ctx context.Context, conn grpc.ClientConnInterface, machine, image string, index int, dir string) error {
-	ctx = metadata.AppendToOutgoingContext(ctx, reapi.WorkerMark, "1")
+	ctx = metadata.AppendToOutgoingContext(ctx, reapi.WorkerMetadataKey, "1")
 	manifestDigest, instance, ok := reapi.ParseImage(image)
 	if !ok {
 		return fmt.Errorf("runner: image %q does not name a manifest of build actions", image)
@@ -69,12 +69,12 @@
 	if err != nil {
 		return err
 	}
-	ctx = metadata.AppendToOutgoingContext(ctx, reapi.ExecutionMark, entry.Execution)
+	ctx = metadata.AppendToOutgoingContext(ctx, reapi.ExecutionMetadataKey, entry.Execution)
 	_, err = r.actionCache.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{
 		InstanceName:   instance,
 		ActionDigest:   &repb.Digest{Hash: entry.Hash, SizeBytes: entry.Size},
 		ActionResult:   result,
-		DigestFunction: reapi.FunctionOnWire(r.digestFunction),
+		DigestFunction: reapi.DigestFunctionToProto(r.digestFunction),
 	})
 	return err
 }
@@ -84,7 +84,7 @@
 	return blobstore.Digest{Hash: d.GetHash(), Size: d.GetSizeBytes(), Function: r.digestFunction}
 }
 
-// Dir returns the directory for an attempt of a task. root is the directory of the machine.
-func Dir(root, task string, attempt uint64) string {
+// TaskDir returns the directory for an attempt of a task. root is the directory of the machine.
+func TaskDir(root, task string, attempt uint64) string {
 	return filepath.Join(root, strings.ReplaceAll(path.Clean(task), "/", "-")+fmt.Sprintf("-%d", attempt))
 }
--- a/internal/fake/state/service.go
+++ b/internal/fake/state/service.go
@@ -53,12 +53,12 @@
 	TxnOps int
 	// ValueKB bounds the size of a value; 0 means no bound.
 	ValueKB float64
-	// Page bounds the items in a page of a listing; 0 means maxPageSize.
-	Page int
-	// Requests bounds the requests per second; nil means no bound.
-	Requests *rate.Limiter
-	// Writes bounds the changes per second; nil means no bound.
-	Writes *rate.Limiter
+	// PageSize bounds the items in a page of a listing; 0 means maxPageSize.
+	PageSize int
+	// RequestLimiter bounds the requests per second; nil means no bound.
+	RequestLimiter *rate.Limiter
+	// WriteLimiter bounds the changes per second; nil means no bound.
+	WriteLimiter *rate.Limiter
 
 	// Unavailable simulates an outage: watches wait, and all other requests fail.
 	Unavailable bool
@@ -66,27 +66,27 @@
 	WatchesStuck bool
 	// RefusedClients simulates an outage for these clients only.
 	RefusedClients map[string]bool
-	// HiddenOps is a bound on the changes of a transaction that the store does not announce;
+	// UnannouncedTxnOps is a bound on the changes of a transaction that the store does not announce;
 	// 0 means no bound.
-	HiddenOps int
-	// HiddenValue is a bound on the size of a value, in bytes, that the store does not
+	UnannouncedTxnOps int
+	// UnannouncedValueBytes is a bound on the size of a value, in bytes, that the store does not
 	// announce; 0 means no bound.
-	HiddenValue int
-
-	// Changes counts the requested changes that were within the limit on changes per second.
-	Changes int
-	// Served counts the requests processed, not counting watches.
-	Served int
-	// RefusedSize counts the transactions refused by an unannounced bound.
-	RefusedSize int
-	// RefusedRate counts the transactions refused by the limit on changes per second.
-	RefusedRate int
-	// Largest maps the part of a key before its first slash to the size of the largest value
+	UnannouncedValueBytes int
+
+	// ChangesRequested counts the requested changes that were within the limit on changes per second.
+	ChangesRequested int
+	// RequestsServed counts the requests processed, not counting watches.
+	RequestsServed int
+	// RefusedForSize counts the transactions refused by an unannounced bound.
+	RefusedForSize int
+	// RefusedForRate counts the transactions refused by the limit on changes per second.
+	RefusedForRate int
+	// LargestValues maps the part of a key before its first slash to the size of the largest value
 	// put under such a key.
-	Largest map[string]int
+	LargestValues map[string]int
 
 	// Oversized, if set, is called for each transaction that exceeds an announced bound.
-	Oversized func(what string)
+	OnOversized func(what string)
 	// BeforePut, if set, is called before each put, with the item that it replaces.
 	BeforePut func(c protocol.Change, old protocol.Item, exists bool)
 }
@@ -95,11 +95,11 @@
 // one lock, so that a test can observe a consistent state of all of them.
 func New(lock sync.Locker) *Service {
 	return &Service{
-		lock:    lock,
-		Items:   map[string]protocol.Item{},
-		leases:  map[uint64]*lease{},
-		changed: make(chan struct{}),
-		Largest: map[string]int{},
+		lock:          lock,
+		Items:         map[string]protocol.Item{},
+		leases:        map[uint64]*lease{},
+		changed:       make(chan struct{}),
+		LargestValues: map[string]int{},
 	}
 }
 
@@ -120,7 +120,7 @@
 func (s *Service) Serve(ctx context.Context, client, method, path string, query url.Values, body []byte) *transport.Response {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.Requests != nil && !s.Requests.Allow() {
+	if s.RequestLimiter != nil && !s.RequestLimiter.Allow() {
 		return newResponse(http.StatusTooManyRequests, emptyBody{})
 	}
 	if path == "/changes" {
@@ -130,7 +130,7 @@
 		return newResponse(http.StatusServiceUnavailable, emptyBody{})
 	}
 	s.expireLeases()
-	s.Served++
+	s.RequestsServed++
 	if id, ok := strings.CutPrefix(path, "/grants/"); ok {
 		id, _, _ = strings.Cut(id, "/")
 		return s.renewOrRevokeLease(method, id)
@@ -160,8 +160,8 @@
 	if err != nil || page < 1 || page > maxPageSize {
 		page = maxPageSize
 	}
-	if s.Page > 0 {
-		page = min(page, s.Page)
+	if s.PageSize > 0 {
+		page = min(page, s.PageSize)
 	}
 	list := protocol.ItemList{Revision: s.Revision, Items: []protocol.Item{}}
 	keys := make([]string, 0, len(s.Items))
--- a/internal/fake/state/transaction.go
+++ b/internal/fake/state/transaction.go
@@ -16,11 +16,11 @@
 	if err := protocol.Decode(body, &txn); err != nil {
 		return badRequest(err.Error())
 	}
-	if s.Writes != nil && !s.Writes.AllowN(time.Now(), len(txn.Then)) {
-		s.RefusedRate++
+	if s.WriteLimiter != nil && !s.WriteLimiter.AllowN(time.Now(), len(txn.Then)) {
+		s.RefusedForRate++
 		return newResponse(http.StatusTooManyRequests, emptyBody{})
 	}
-	s.Changes += len(txn.Then)
+	s.ChangesRequested += len(txn.Then)
 	if refusal := s.checkTransaction(&txn, body); refusal != nil {
 		return refusal
 	}
@@ -45,7 +45,7 @@
 	if s.TxnOps > 0 && (len(txn.Then) > s.TxnOps || len(txn.If) > maxConditionsPerChange*s.TxnOps) || protocol.JSONSize(body) > maxTransactionSize {
 		return s.refuseOversized(fmt.Sprintf("transaction exceeds its limits: %d changes, %d conditions", len(txn.Then), len(txn.If)))
 	}
-	exceedsUnannounced := s.HiddenOps > 0 && len(txn.Then) > s.HiddenOps
+	exceedsUnannounced := s.UnannouncedTxnOps > 0 && len(txn.Then) > s.UnannouncedTxnOps
 	for _, change := range txn.Then {
 		if !validChange(change) {
 			return badRequest("bad key")
@@ -54,13 +54,13 @@
 		if len(change.Value) > 0 {
 			size = protocol.JSONSize(change.Value)
 		}
-		exceedsUnannounced = exceedsUnannounced || s.HiddenValue > 0 && size > s.HiddenValue
+		exceedsUnannounced = exceedsUnannounced || s.UnannouncedValueBytes > 0 && size > s.UnannouncedValueBytes
 		if s.ValueKB > 0 && size > int(s.ValueKB*1024) {
 			return s.refuseOversized("value of " + change.Put + " is too large")
 		}
 	}
 	if exceedsUnannounced {
-		s.RefusedSize++
+		s.RefusedForSize++
 		return badRequest("too large")
 	}
 	for _, change := range txn.Then {
@@ -80,8 +80,8 @@
 
 // refuseOversized returns the response to a transaction that exceeds an announced bound.
 func (s *Service) refuseOversized(what string) *transport.Response {
-	if s.Oversized != nil {
-		s.Oversized(what)
+	if s.OnOversized != nil {
+		s.OnOversized(what)
 	}
 	return badRequest("too large")
 }
@@ -99,7 +99,7 @@
 			s.BeforePut(change, old, exists)
 		}
 		first, _, _ := strings.Cut(change.Put, "/")
-		s.Largest[first] = max(s.Largest[first], protocol.JSONSize(change.Value))
+		s.LargestValues[first] = max(s.LargestValues[first], protocol.JSONSize(change.Value))
 		s.Items[change.Put] = protocol.Item{Key: change.Put, Value: change.Value, Version: s.Revision, Lease: change.Lease}
 		s.appendEvent(protocol.Event{Put: change.Put, Value: change.Value, Version: s.Revision})
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := Bytes(t, name, encoded)
+	stored := CheckBytes(t, name, encoded)
 	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
 	if err := codec.Unmarshal(stored, decoded); err != nil {
 		t.Fatalf("decode %s: %v", name, err)
@@ -53,19 +53,19 @@
 	}
 }
 
-// Bytes compares got with the hex dump testdata/golden/name.hex and returns the bytes of the
+// CheckBytes compares got with the hex dump testdata/golden/name.hex and returns the bytes of the
 // dump.
-func Bytes(t *testing.T, name string, got []byte) []byte {
+func CheckBytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
-	stored, err := parseDump(Text(t, name+".hex", hex.Dump(got)))
+	stored, err := parseDump(CheckText(t, name+".hex", hex.Dump(got)))
 	if err != nil {
 		t.Fatalf("parse %s.hex: %v", name, err)
 	}
 	return stored
 }
 
-// Text compares got with the file testdata/golden/name and returns the content of the file.
-func Text(t *testing.T, name, got string) string {
+// CheckText compares got with the file testdata/golden/name and returns the content of the file.
+func CheckText(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -104,9 +104,9 @@
 	return data, nil
 }
 
-// SortedKeys encodes a MessagePack value again with sorted map keys. It is meant for messages
+// SortMapKeys encodes a MessagePack value again with sorted map keys. It is meant for messages
 // whose encoder does not sort them.
-func SortedKeys(encoded []byte) ([]byte, error) {
+func SortMapKeys(encoded []byte) ([]byte, error) {
 	var value any
 	if err := msgpack.Unmarshal(encoded, &value); err != nil {
 		return nil, err
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestSortedKeysOrdersMaps(t *testing.T) {
-	got, err := SortedKeys([]byte{0x82, 0xa1, 'b', 1, 0xa1, 'a', 2})
+	got, err := SortMapKeys([]byte{0x82, 0xa1, 'b', 1, 0xa1, 'a', 2})
 	if want := []byte{0x82, 0xa1, 'a', 2, 0xa1, 'b', 1}; err != nil || !bytes.Equal(got, want) {
 		t.Errorf("encoded as %x (error %v), want %x", got, err, want)
 	}
--- a/internal/golden/protobuf.go
+++ b/internal/golden/protobuf.go
@@ -44,7 +44,7 @@
 				method.IsStreamingClient(), method.IsStreamingServer())
 		}
 	}
-	Text(t, prefix+"-schema.txt", schema.String())
+	CheckText(t, prefix+"-schema.txt", schema.String())
 }
 
 // checkMessage compares a message, with every field filled, with its golden file.
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := Bytes(t, name, encoded)
+	stored := CheckBytes(t, name, encoded)
 	decoded := kind.New().Interface()
 	if err := proto.Unmarshal(stored, decoded); err != nil || !proto.Equal(decoded, message.Interface()) {
 		t.Errorf("%s decodes to %v (error %v), want %v", name, decoded, err, message.Interface())
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -34,8 +34,8 @@
 // IsZero reports whether the name is empty.
 func (n Name) IsZero() bool { return n.Kind == "" }
 
-// Caller reports whether the identity is a person or a service: only these send user requests.
-func (n Name) Caller() bool { return n.Kind == Person || n.Kind == Service }
+// IsCaller reports whether the identity is a person or a service: only these send user requests.
+func (n Name) IsCaller() bool { return n.Kind == Person || n.Kind == Service }
 
 const (
 	// maxIDBytes is the maximum length of an id.
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	files = identity.Files{Own: issued.File, Roots: filepath.Join(dir, pki.RootFile), TokenKeys: filepath.Join(dir, pki.TokenKeysFile)}
+	files = identity.Files{CredentialsFile: issued.File, RootsFile: filepath.Join(dir, pki.RootFile), TokenKeysFile: filepath.Join(dir, pki.TokenKeysFile)}
 	if keyring, err = identity.Load(files); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		bound := 50 * time.Millisecond
-		tokens := identity.NewTokens(keyring, "ombili", bound)
+		tokens := identity.NewTokenVerifier(keyring, "ombili", bound)
 		anna := parseName(t, "person/anna")
 		raw, err := identity.IssueToken(key, anna, "ombili", time.Now(), time.Minute)
 		if err != nil {
@@ -108,21 +108,21 @@
 		}
 		issued := time.Now()
 		for range 2 { // the second result is cached
-			tok, err := tokens.Check(raw)
+			tok, err := tokens.Verify(raw)
 			if err != nil || tok.Name != anna || tok.ID == "" || !tok.Expires.Equal(issued.Add(time.Minute)) {
 				t.Fatalf("checking a valid token returned %+v, %v", tok, err)
 			}
 		}
 		// A token, cached or not, is rejected from the time at which it may have expired if the
 		// clock has its maximum error.
-		fresh := identity.NewTokens(keyring, "ombili", bound)
+		fresh := identity.NewTokenVerifier(keyring, "ombili", bound)
 		time.Sleep(time.Minute - bound - time.Millisecond)
-		if _, err := fresh.Check(raw); err != nil {
+		if _, err := fresh.Verify(raw); err != nil {
 			t.Errorf("token was rejected before its expiry: %v", err)
 		}
 		time.Sleep(time.Millisecond)
-		for _, tk := range []*identity.Tokens{tokens, fresh, identity.NewTokens(keyring, "ombili", bound)} {
-			if _, err := tk.Check(raw); err == nil {
+		for _, tk := range []*identity.TokenVerifier{tokens, fresh, identity.NewTokenVerifier(keyring, "ombili", bound)} {
+			if _, err := tk.Verify(raw); err == nil {
 				t.Error("a token that may have expired was accepted")
 			}
 		}
@@ -131,7 +131,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := tokens.Check(ahead); err != nil {
+		if _, err := tokens.Verify(ahead); err != nil {
 			t.Errorf("token of an issuer whose clock is ahead was rejected: %v", err)
 		}
 		later, _ := identity.IssueToken(key, anna, "ombili", time.Now().Add(time.Hour), time.Minute)
@@ -152,7 +152,7 @@
 			return signed
 		}
 		unchanged := func(*jwt.RegisteredClaims) {}
-		if _, err := tokens.Check(sign(unchanged, jwt.SigningMethodEdDSA, key)); err != nil {
+		if _, err := tokens.Verify(sign(unchanged, jwt.SigningMethodEdDSA, key)); err != nil {
 			t.Fatalf("the token that the invalid tokens are derived from was rejected: %v", err)
 		}
 		parts := strings.Split(raw, ".")
@@ -170,7 +170,7 @@
 			"for a controller":                     sign(func(c *jwt.RegisteredClaims) { c.Subject = "controller/n0" }, jwt.SigningMethodEdDSA, key),
 			"for nobody":                           sign(func(c *jwt.RegisteredClaims) { c.Subject = "" }, jwt.SigningMethodEdDSA, key),
 		} {
-			_, err := tokens.Check(invalid)
+			_, err := tokens.Verify(invalid)
 			if !errors.Is(err, identity.ErrInvalidToken) {
 				t.Errorf("invalid token (%s): got error %v, want ErrInvalidToken", name, err)
 			} else if len(invalid) > 20 && strings.Contains(err.Error(), invalid[len(invalid)-10:]) {
@@ -197,7 +197,7 @@
 		defer close(done)
 		keyring.Watch(ctx, slog.New(slog.NewTextHandler(&log, nil)))
 	}()
-	tokens := identity.NewTokens(keyring, "c", 0)
+	tokens := identity.NewTokenVerifier(keyring, "c", 0)
 	issue := func() string {
 		key, err := pki.TokenKey(dir)
 		if err != nil {
@@ -217,7 +217,7 @@
 			}
 		}
 	}
-	accepts := func(raw string) bool { _, err := tokens.Check(raw); return err == nil }
+	accepts := func(raw string) bool { _, err := tokens.Verify(raw); return err == nil }
 	first := issue()
 	if !accepts(first) {
 		t.Fatal("the token of the first key was rejected")
@@ -244,11 +244,11 @@
 	}
 	await("the new certificate was still not used after 20 s", func() bool { _, now := keyring.Signer(); return !now.Equal(before) })
 	_, before = keyring.Signer()
-	content, err := os.ReadFile(files.Own)
+	content, err := os.ReadFile(files.CredentialsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(files.Own, content[:len(content)/2], 0o600); err != nil {
+	if err := os.WriteFile(files.CredentialsFile, content[:len(content)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2500 * time.Millisecond)
@@ -270,7 +270,7 @@
 
 func TestInvalidFilesAreRejected(t *testing.T) {
 	dir, ca, _, valid := newAuthority(t, time.Hour)
-	own, err := os.ReadFile(valid.Own)
+	own, err := os.ReadFile(valid.CredentialsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -293,14 +293,14 @@
 	}
 	mismatched := write("mismatched", append(pem.EncodeToMemory(certOnly), annasKey...))
 	for name, files := range map[string]identity.Files{
-		"own certificate missing":          {Own: dir + "/x", Roots: valid.Roots},
-		"roots missing":                    {Own: valid.Own, Roots: dir + "/x"},
-		"root as own certificate":          {Own: valid.Roots, Roots: valid.Roots},
-		"private key of another":           {Own: mismatched, Roots: valid.Roots},
-		"roots empty":                      {Own: valid.Own, Roots: write("empty", nil)},
-		"private key among the token keys": {Own: valid.Own, Roots: valid.Roots, TokenKeys: valid.Own},
-		"token keys empty":                 {Own: valid.Own, Roots: valid.Roots, TokenKeys: write("none", nil)},
-		"token keys missing":               {Own: valid.Own, Roots: valid.Roots, TokenKeys: dir + "/x"},
+		"own certificate missing":          {CredentialsFile: dir + "/x", RootsFile: valid.RootsFile},
+		"roots missing":                    {CredentialsFile: valid.CredentialsFile, RootsFile: dir + "/x"},
+		"root as own certificate":          {CredentialsFile: valid.RootsFile, RootsFile: valid.RootsFile},
+		"private key of another":           {CredentialsFile: mismatched, RootsFile: valid.RootsFile},
+		"roots empty":                      {CredentialsFile: valid.CredentialsFile, RootsFile: write("empty", nil)},
+		"private key among the token keys": {CredentialsFile: valid.CredentialsFile, RootsFile: valid.RootsFile, TokenKeysFile: valid.CredentialsFile},
+		"token keys empty":                 {CredentialsFile: valid.CredentialsFile, RootsFile: valid.RootsFile, TokenKeysFile: write("none", nil)},
+		"token keys missing":               {CredentialsFile: valid.CredentialsFile, RootsFile: valid.RootsFile, TokenKeysFile: dir + "/x"},
 	} {
 		if _, err := identity.Load(files); err == nil {
 			t.Errorf("Load accepted invalid files: %s", name)
@@ -319,13 +319,13 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	tokens := identity.NewTokens(keyring, "c", 0)
+	tokens := identity.NewTokenVerifier(keyring, "c", 0)
 	f.Add(valid)
 	f.Add(valid[:len(valid)-1])
 	f.Add("a.b.c")
 	f.Add("eyJhbGciOiJub25lIn0..")
 	f.Fuzz(func(t *testing.T, raw string) {
-		if _, err := tokens.Check(raw); err == nil && raw != valid {
+		if _, err := tokens.Verify(raw); err == nil && raw != valid {
 			t.Errorf("forged token %q was accepted", raw)
 		}
 	})
--- a/internal/identity/keyring.go
+++ b/internal/identity/keyring.go
@@ -16,14 +16,14 @@
 
 // Files are the paths of a process's own credentials and of the certificates and keys that it trusts.
 type Files struct {
-	// Own holds this process's certificate, any intermediate certificates and the private
+	// CredentialsFile holds this process's certificate, any intermediate certificates and the private
 	// key (PEM). They share one file so that a renewal replaces them atomically.
-	Own string `yaml:"own"`
-	// Roots holds the trusted root certificates (PEM).
-	Roots string `yaml:"roots"`
-	// TokenKeys holds the public keys that verify tokens (PEM). Without it, no token is
+	CredentialsFile string `yaml:"own"`
+	// RootsFile holds the trusted root certificates (PEM).
+	RootsFile string `yaml:"roots"`
+	// TokenKeysFile holds the public keys that verify tokens (PEM). Without it, no token is
 	// accepted.
-	TokenKeys string `yaml:"token_keys"`
+	TokenKeysFile string `yaml:"token_keys"`
 }
 
 // Keyring holds the credentials of the last valid version of the files. A reload affects new
@@ -63,10 +63,10 @@
 	// The digest is computed first, so that the next check detects a file that changes during the read.
 	loaded := &snapshot{digest: k.digestFiles()}
 	var err error
-	if loaded.own, err = readOwnCertificate(k.files.Own); err != nil {
+	if loaded.own, err = readOwnCertificate(k.files.CredentialsFile); err != nil {
 		return nil, fmt.Errorf("own certificate: %w", err)
 	}
-	roots, err := readCertificates(k.files.Roots)
+	roots, err := readCertificates(k.files.RootsFile)
 	if err != nil {
 		return nil, fmt.Errorf("roots: %w", err)
 	}
@@ -75,7 +75,7 @@
 		loaded.roots.AddCert(root)
 	}
 	loaded.certificates = append([]*x509.Certificate{loaded.own.Leaf}, roots...)
-	if loaded.tokenKeys, err = readTokenKeys(k.files.TokenKeys); err != nil {
+	if loaded.tokenKeys, err = readTokenKeys(k.files.TokenKeysFile); err != nil {
 		return nil, fmt.Errorf("token keys: %w", err)
 	}
 	return loaded, nil
@@ -123,7 +123,7 @@
 // that is written twice within the resolution of the file system's clock keeps its time.
 func (k *Keyring) digestFiles() string {
 	hash := sha256.New()
-	for _, path := range []string{k.files.Own, k.files.Roots, k.files.TokenKeys} {
+	for _, path := range []string{k.files.CredentialsFile, k.files.RootsFile, k.files.TokenKeysFile} {
 		data, err := os.ReadFile(path)
 		fmt.Fprintf(hash, "%s %v %d;", path, err == nil, len(data))
 		hash.Write(data)
--- a/internal/identity/keyring_test.go
+++ b/internal/identity/keyring_test.go
@@ -44,7 +44,7 @@
 func TestChangedFileWithUnchangedModTimeIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "own.pem")
 	at := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	k := &Keyring{files: Files{Own: path}}
+	k := &Keyring{files: Files{CredentialsFile: path}}
 	digests := map[string]bool{}
 	for _, text := range []string{"first", "other"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -41,7 +41,7 @@
 
 // IssueToken returns a signed token for a name. The result is a secret.
 func IssueToken(key ed25519.PrivateKey, name Name, audience string, now time.Time, lifetime time.Duration) (string, error) {
-	if !name.Caller() {
+	if !name.IsCaller() {
 		return "", fmt.Errorf("tokens are for persons and services, not for a %s", name.Kind)
 	}
 	if lifetime <= 0 || lifetime > MaxTokenLifetime {
@@ -64,8 +64,8 @@
 	return signed, nil
 }
 
-// Tokens verifies tokens and caches valid ones. It is safe for concurrent use.
-type Tokens struct {
+// TokenVerifier verifies tokens and caches valid ones. It is safe for concurrent use.
+type TokenVerifier struct {
 	keyring  *Keyring
 	audience string
 	// clockBound is the maximum error of this process's clock.
@@ -80,15 +80,15 @@
 	tokens   *lru.Cache[[sha256.Size]byte, Token]
 }
 
-// NewTokens returns a verifier of tokens for an audience, with the token keys of a keyring.
-func NewTokens(keyring *Keyring, audience string, clockBound time.Duration) *Tokens {
-	return &Tokens{keyring: keyring, audience: audience, clockBound: clockBound}
+// NewTokenVerifier returns a verifier of tokens for an audience, with the token keys of a keyring.
+func NewTokenVerifier(keyring *Keyring, audience string, clockBound time.Duration) *TokenVerifier {
+	return &TokenVerifier{keyring: keyring, audience: audience, clockBound: clockBound}
 }
 
-// Check verifies a token and returns its content. Validity is checked at the latest time that the
+// Verify verifies a token and returns its content. Validity is checked at the latest time that the
 // clock's error allows. So no token is accepted after its expiry, and a token from an issuer whose
 // clock is ahead is accepted.
-func (t *Tokens) Check(raw string) (Token, error) {
+func (t *TokenVerifier) Verify(raw string) (Token, error) {
 	if len(raw) > maxTokenBytes {
 		return Token{}, fmt.Errorf("%w: too long", ErrInvalidToken)
 	}
@@ -112,7 +112,7 @@
 }
 
 // currentCache returns the cache for the keyring's current snapshot, and a new cache after a reload.
-func (t *Tokens) currentCache() (*tokenCache, error) {
+func (t *TokenVerifier) currentCache() (*tokenCache, error) {
 	current := t.keyring.current.Load()
 	if cache := t.cache.Load(); cache != nil && cache.snapshot == current {
 		return cache, nil
@@ -172,7 +172,7 @@
 		return Token{}, fmt.Errorf("%w: has no id", ErrInvalidToken)
 	}
 	name, err := ParseName(claims.Subject)
-	if err != nil || !name.Caller() {
+	if err != nil || !name.IsCaller() {
 		return Token{}, fmt.Errorf("%w: for nobody", ErrInvalidToken)
 	}
 	return Token{Name: name, ID: claims.ID, Issued: claims.IssuedAt.Time, Expires: claims.ExpiresAt.Time}, nil
--- a/internal/overview/delegations.go
+++ b/internal/overview/delegations.go
@@ -36,8 +36,8 @@
 			l.add("%-16s %s", truncate(row.Addr, wideNameWidth), row.Err)
 			continue
 		}
-		percent := 100 * float64(view.Connected) / float64(max(1, view.Capacity))
-		l.add("%-16s %-12s %9d %6d %4.0f%%", truncate(view.Controller, wideNameWidth), truncate(view.Zone, nameWidth), view.Connected, view.Capacity, percent)
+		percent := 100 * float64(view.ConnectedMachines) / float64(max(1, view.Capacity))
+		l.add("%-16s %-12s %9d %6d %4.0f%%", truncate(view.Controller, wideNameWidth), truncate(view.Zone, nameWidth), view.ConnectedMachines, view.Capacity, percent)
 	}
 }
 
@@ -49,7 +49,7 @@
 			continue
 		}
 		for _, replica := range row.View.Replicas {
-			standbys[replica.Part] = row.View.Controller
+			standbys[replica.Partition] = row.View.Controller
 		}
 	}
 	l.add("")
@@ -60,8 +60,8 @@
 		}
 		for i := range row.View.Partitions {
 			p := &row.View.Partitions[i]
-			standby := cmp.Or(standbys[p.Part], "none")
-			l.add("%4d %-16s %-16s %9d  %s", p.Part, truncate(row.View.Controller, wideNameWidth), truncate(standby, wideNameWidth), p.Machines, describeDelegates(p))
+			standby := cmp.Or(standbys[p.Index], "none")
+			l.add("%4d %-16s %-16s %9d  %s", p.Index, truncate(row.View.Controller, wideNameWidth), truncate(standby, wideNameWidth), p.Machines, describeDelegates(p))
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		}
 		for _, move := range slices.Backward(row.View.Moves) {
 			moved = true
-			l.add("%7s %4d %5d  %s to %s: %s", formatDuration(move.AgoS), move.Part, move.Shard, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
+			l.add("%7s %4d %5d  %s to %s: %s", formatDuration(move.AgoS), move.Partition, move.Shard, cmp.Or(move.From, leader), cmp.Or(move.To, leader), move.Reason)
 		}
 	}
 	if !moved {
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -6,10 +6,10 @@
 
 // View is the status of one controller and of the partitions that it leads.
 type View struct {
-	Controller string  `msgpack:"controller" json:"controller"`
-	Zone       string  `msgpack:"zone" json:"zone"`
-	AtMS       int64   `msgpack:"at_ms" json:"at_ms"`
-	UpS        float64 `msgpack:"up_s" json:"up_s"`
+	Controller  string  `msgpack:"controller" json:"controller"`
+	Zone        string  `msgpack:"zone" json:"zone"`
+	TimestampMS int64   `msgpack:"at_ms" json:"at_ms"`
+	UptimeS     float64 `msgpack:"up_s" json:"up_s"`
 	// ClusterLeader is whether the controller is the cluster leader.
 	ClusterLeader bool `msgpack:"leads" json:"leads"`
 	// Ready is whether the controller has read the state store and knows the machine types.
@@ -22,16 +22,16 @@
 	WritesGranted float64 `msgpack:"writes_granted" json:"writes_granted"`
 	// CloudUnavailable is whether requests to the cloud are paused because it did not answer.
 	CloudUnavailable bool `msgpack:"cloud_rests" json:"cloud_rests"`
-	// Jobs is the number of unfinished jobs, EndedJobs the number of ended ones.
-	Jobs      int `msgpack:"jobs" json:"jobs"`
-	EndedJobs int `msgpack:"ended" json:"ended"`
-	// PendingScaleOut is the number of open scale-out requests.
-	PendingScaleOut int `msgpack:"renting" json:"renting"`
+	// UnfinishedJobs is the number of unfinished jobs, EndedJobs the number of ended ones.
+	UnfinishedJobs int `msgpack:"jobs" json:"jobs"`
+	EndedJobs      int `msgpack:"ended" json:"ended"`
+	// PendingScaleOuts is the number of open scale-out requests.
+	PendingScaleOuts int `msgpack:"renting" json:"renting"`
 
-	// Connected is the number of machines that are connected to the controller, Capacity the
+	// ConnectedMachines is the number of machines that are connected to the controller, Capacity the
 	// number for which it has sockets.
-	Connected int `msgpack:"connected" json:"connected"`
-	Capacity  int `msgpack:"room" json:"room"`
+	ConnectedMachines int `msgpack:"connected" json:"connected"`
+	Capacity          int `msgpack:"room" json:"room"`
 	// Moves are the most recent moves of shards, the newest last.
 	Moves []ShardMove `msgpack:"moves,omitempty" json:"moves,omitempty"`
 
@@ -45,7 +45,7 @@
 
 // Partition is a partition that the controller leads.
 type Partition struct {
-	Part int `msgpack:"part" json:"part"`
+	Index int `msgpack:"part" json:"part"`
 	// Ready is whether the takeover is complete.
 	Ready    bool `msgpack:"ready" json:"ready"`
 	Machines int  `msgpack:"machines" json:"machines"`
@@ -56,13 +56,13 @@
 	Unusable int `msgpack:"bad" json:"bad"`
 	// Reserved machines are reserved for classes or teams that are starved.
 	Reserved int `msgpack:"kept,omitempty" json:"kept,omitempty"`
-	// Running and Waiting are numbers of tasks. OldestS is the longest time that a job that could
+	// Running and Waiting are numbers of tasks. OldestWaitS is the longest time that a job that could
 	// start has waited, in seconds.
-	Running int     `msgpack:"running" json:"running"`
-	Waiting int     `msgpack:"waiting" json:"waiting"`
-	OldestS float64 `msgpack:"oldest_s" json:"oldest_s"`
-	// Used is the fraction of CPUs in use.
-	Used float64 `msgpack:"used" json:"used"`
+	Running     int     `msgpack:"running" json:"running"`
+	Waiting     int     `msgpack:"waiting" json:"waiting"`
+	OldestWaitS float64 `msgpack:"oldest_s" json:"oldest_s"`
+	// CPUUtilization is the fraction of CPUs in use.
+	CPUUtilization float64 `msgpack:"used" json:"used"`
 	// Delegates are the controllers to which shards of the partition are delegated.
 	Delegates []Delegate `msgpack:"carried,omitempty" json:"carried,omitempty"`
 }
@@ -81,18 +81,18 @@
 // ShardMove is the move of a shard from one controller to another. An empty From or To means the
 // partition leader.
 type ShardMove struct {
-	Part   int     `msgpack:"part" json:"part"`
-	Shard  int     `msgpack:"share" json:"share"`
-	From   string  `msgpack:"from" json:"from"`
-	To     string  `msgpack:"to" json:"to"`
-	Reason string  `msgpack:"reason" json:"reason"`
-	AgoS   float64 `msgpack:"ago_s" json:"ago_s"`
+	Partition int     `msgpack:"part" json:"part"`
+	Shard     int     `msgpack:"share" json:"share"`
+	From      string  `msgpack:"from" json:"from"`
+	To        string  `msgpack:"to" json:"to"`
+	Reason    string  `msgpack:"reason" json:"reason"`
+	AgoS      float64 `msgpack:"ago_s" json:"ago_s"`
 }
 
 // Replica is a replica of a partition that another controller leads.
 type Replica struct {
-	Part   int    `msgpack:"part" json:"part"`
-	Leader string `msgpack:"owner" json:"owner"`
+	Partition int    `msgpack:"part" json:"part"`
+	Leader    string `msgpack:"owner" json:"owner"`
 	// Records is the number of run records in the replica, ConfirmedStarts the number of attempts
 	// whose start time the leader has sent.
 	Records         int `msgpack:"records" json:"records"`
@@ -105,9 +105,9 @@
 
 // Team is a team's usage of a partition that the controller leads.
 type Team struct {
-	Name string  `msgpack:"name" json:"name"`
-	Part int     `msgpack:"part" json:"part"`
-	CPUs float64 `msgpack:"cpus" json:"cpus"`
+	Name      string  `msgpack:"name" json:"name"`
+	Partition int     `msgpack:"part" json:"part"`
+	CPUs      float64 `msgpack:"cpus" json:"cpus"`
 	// Guarantee and Limit are numbers of CPUs; a Limit of 0 means no limit.
 	Guarantee float64 `msgpack:"guarantee" json:"guarantee"`
 	Limit     float64 `msgpack:"limit" json:"limit"`
--- a/internal/overview/overview_test.go
+++ b/internal/overview/overview_test.go
@@ -11,10 +11,10 @@
 )
 
 func view(i int) *View {
-	v := &View{Controller: fmt.Sprint("spindle-", i), Zone: "windhoek", UpS: 100_000, Ready: true, ClusterLeader: i == 1, Jobs: 40, EndedJobs: 123_456, WritesWanted: 12.34, WritesGranted: 80}
-	v.Partitions = []Partition{{Part: i, Ready: true, Machines: 798, Idle: 12, Used: 0.876, Running: 12_345, Waiting: 99_999, OldestS: 4000}}
-	v.Replicas = []Replica{{Part: 1 - i, Leader: "o", Complete: i == 1, BehindS: 0.4}}
-	v.Teams = []Team{{Name: fmt.Sprint("placements-desk-", i), Part: i, CPUs: 1200, Guarantee: 100, Limit: 2000, Running: 40, Waiting: i}}
+	v := &View{Controller: fmt.Sprint("spindle-", i), Zone: "windhoek", UptimeS: 100_000, Ready: true, ClusterLeader: i == 1, UnfinishedJobs: 40, EndedJobs: 123_456, WritesWanted: 12.34, WritesGranted: 80}
+	v.Partitions = []Partition{{Index: i, Ready: true, Machines: 798, Idle: 12, CPUUtilization: 0.876, Running: 12_345, Waiting: 99_999, OldestWaitS: 4000}}
+	v.Replicas = []Replica{{Partition: 1 - i, Leader: "o", Complete: i == 1, BehindS: 0.4}}
+	v.Teams = []Team{{Name: fmt.Sprint("placements-desk-", i), Partition: i, CPUs: 1200, Guarantee: 100, Limit: 2000, Running: 40, Waiting: i}}
 	v.Waits = []telemetry.Quantiles{{What: "start", Count: 10, P50: float64(i), P99: 100, Max: 4000}}
 	return v
 }
@@ -41,9 +41,9 @@
 
 func TestDelegations(t *testing.T) {
 	rows := []Row{{Addr: "a:1", View: view(0)}, {Addr: "a:2", View: view(1)}, {Addr: "a:3", Err: "no controller answered"}}
-	rows[0].View.Connected, rows[0].View.Capacity = 600, 1100
+	rows[0].View.ConnectedMachines, rows[0].View.Capacity = 600, 1100
 	rows[0].View.Partitions[0].Delegates = []Delegate{{Controller: "spindle-1", Shards: 4, Machines: 198, Active: true}, {Controller: "spindle-2", Shards: 1, Machines: 40}}
-	rows[0].View.Moves = []ShardMove{{Part: 0, Shard: 3, To: "spindle-1", Reason: "the owner is full", AgoS: 75}, {Part: 0, Shard: 4, From: "spindle-1", Reason: "its carrier can't go on", AgoS: 5}}
+	rows[0].View.Moves = []ShardMove{{Partition: 0, Shard: 3, To: "spindle-1", Reason: "the owner is full", AgoS: 75}, {Partition: 0, Shard: 4, From: "spindle-1", Reason: "its carrier can't go on", AgoS: 5}}
 	text := Delegations(rows)
 	for _, want := range []string{"spindle-0        windhoek           600   1100   55%", "a:3              no controller answered",
 		"   0 spindle-0        spindle-1              798  spindle-1: 198 in 4 shares, spindle-2: 40 in 1 shares (has not asked yet)",
--- a/internal/overview/screen.go
+++ b/internal/overview/screen.go
@@ -54,16 +54,16 @@
 		}
 		for _, partition := range row.View.Partitions {
 			c.partitions = append(c.partitions, partition)
-			c.leaders[partition.Part] = row.View.Controller
+			c.leaders[partition.Index] = row.View.Controller
 		}
 		for i := range row.View.Replicas {
 			replica := &row.View.Replicas[i]
-			c.standbys[replica.Part] = describeStandby(row.View.Controller, replica)
+			c.standbys[replica.Partition] = describeStandby(row.View.Controller, replica)
 		}
 		c.teams = append(c.teams, row.View.Teams...)
 		c.waits = append(c.waits, row.View.Waits...)
 	}
-	slices.SortFunc(c.partitions, func(a, b Partition) int { return cmp.Compare(a.Part, b.Part) })
+	slices.SortFunc(c.partitions, func(a, b Partition) int { return cmp.Compare(a.Index, b.Index) })
 	slices.SortFunc(c.teams, func(a, b Team) int {
 		return cmp.Or(cmp.Compare(b.Waiting, a.Waiting), cmp.Compare(b.CPUs, a.CPUs), cmp.Compare(a.Name, b.Name))
 	})
@@ -137,8 +137,8 @@
 			s.add("%-22s %s", truncate(row.Addr, addressWidth), row.Err)
 			continue
 		}
-		s.add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", truncate(view.Controller, nameWidth), truncate(view.Zone, zoneWidth), formatDuration(view.UpS),
-			view.Jobs, view.EndedJobs, view.PendingScaleOut, view.WritesWanted, view.WritesGranted, view.state())
+		s.add("%-12s %-9s %7s %5d %7d %6d %6.1f/%-6.1f %s", truncate(view.Controller, nameWidth), truncate(view.Zone, zoneWidth), formatDuration(view.UptimeS),
+			view.UnfinishedJobs, view.EndedJobs, view.PendingScaleOuts, view.WritesWanted, view.WritesGranted, view.state())
 	}
 }
 
@@ -160,12 +160,12 @@
 	s.add("%4s %-12s %8s %5s %6s %4s %5s %7s %7s %7s", "PART", "OWNER", "MACHINES", "IDLE", "COMING", "BAD", "CPUS", "RUNNING", "WAITING", "OLDEST")
 	for i := range c.partitions {
 		p := &c.partitions[i]
-		leader := c.leaders[p.Part]
+		leader := c.leaders[p.Index]
 		if !p.Ready {
 			leader += " (taking over)"
 		}
-		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Part, truncate(leader, nameWidth), p.Machines, p.Idle, p.Starting, p.Unusable,
-			100*p.Used, p.Running, p.Waiting, formatDuration(p.OldestS))
+		s.add("%4d %-12s %8d %5d %6d %4d %4.0f%% %7d %7d %7s", p.Index, truncate(leader, nameWidth), p.Machines, p.Idle, p.Starting, p.Unusable,
+			100*p.CPUUtilization, p.Running, p.Waiting, formatDuration(p.OldestWaitS))
 	}
 	if len(c.partitions) == 0 {
 		s.add("no part is owned by a controller that answers")
@@ -179,7 +179,7 @@
 func (s *screen) addStandbys(c *clusterSummary) {
 	var items []string
 	for i := range c.partitions {
-		partition := c.partitions[i].Part
+		partition := c.partitions[i].Index
 		items = append(items, fmt.Sprintf("  %d: %s", partition, cmp.Or(c.standbys[partition], "none")))
 	}
 	s.lines = append(s.lines, wrapItems("STANDBYS", items, s.width)...)
@@ -190,7 +190,7 @@
 	var items []string
 	for i := range c.partitions {
 		for _, delegate := range c.partitions[i].Delegates {
-			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Part, delegate.Machines, truncate(delegate.Controller, nameWidth)))
+			items = append(items, fmt.Sprintf("  %d: %d by %s", c.partitions[i].Index, delegate.Machines, truncate(delegate.Controller, nameWidth)))
 		}
 	}
 	if len(items) > 0 {
@@ -220,6 +220,6 @@
 		if team.Limit > 0 {
 			limit = fmt.Sprintf("%.0f", team.Limit)
 		}
-		s.add("%-24s %4d %9.0f %9.0f %9s %7d %7d", truncate(team.Name, teamWidth), team.Part, team.CPUs, team.Guarantee, limit, team.Running, team.Waiting)
+		s.add("%-24s %4d %9.0f %9.0f %9s %7d %7d", truncate(team.Name, teamWidth), team.Partition, team.CPUs, team.Guarantee, limit, team.Running, team.Waiting)
 	}
 }
--- a/internal/pki/authority.go
+++ b/internal/pki/authority.go
@@ -43,11 +43,11 @@
 	key  ed25519.PrivateKey
 }
 
-// Issued describes an issued certificate in the authority's directory.
-type Issued struct {
-	Name  identity.Name
-	File  string
-	Until time.Time
+// IssuedCertificate describes an issued certificate in the authority's directory.
+type IssuedCertificate struct {
+	Name     identity.Name
+	File     string
+	NotAfter time.Time
 }
 
 // Create creates a root certificate and a token key in a directory. It fails if the directory
@@ -115,7 +115,7 @@
 
 // Issue creates a key and a certificate for a name and writes both atomically into one file. With
 // renew, it replaces an existing file; without renew, the file must not exist.
-func (a *Authority) Issue(name identity.Name, now time.Time, lifetime time.Duration, renew bool) (*Issued, error) {
+func (a *Authority) Issue(name identity.Name, now time.Time, lifetime time.Duration, renew bool) (*IssuedCertificate, error) {
 	file := a.File(name)
 	_, err := os.Stat(file)
 	switch {
@@ -145,7 +145,7 @@
 	if err := writeKey(file, cert, key); err != nil {
 		return nil, err
 	}
-	return &Issued{name, file, notAfter}, nil
+	return &IssuedCertificate{name, file, notAfter}, nil
 }
 
 // signNewKey generates a key and a certificate for it, with a random serial number. Without an
@@ -171,12 +171,12 @@
 }
 
 // List returns the issued certificates in the directory and ignores other files.
-func (a *Authority) List() ([]Issued, error) {
+func (a *Authority) List() ([]IssuedCertificate, error) {
 	files, err := filepath.Glob(filepath.Join(a.dir, "*-*.pem"))
 	if err != nil {
 		return nil, fmt.Errorf("pki: %w", err)
 	}
-	var issued []Issued
+	var issued []IssuedCertificate
 	for _, file := range files {
 		data, err := os.ReadFile(file)
 		if err != nil {
@@ -187,7 +187,7 @@
 			continue
 		}
 		if name, err := identity.FromCertificate(certs[0]); err == nil {
-			issued = append(issued, Issued{name, file, certs[0].NotAfter})
+			issued = append(issued, IssuedCertificate{name, file, certs[0].NotAfter})
 		}
 	}
 	return issued, nil
--- a/internal/pki/authority_test.go
+++ b/internal/pki/authority_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	list, err := reopened.List()
-	if err != nil || len(list) != 1 || list[0].Name != name || list[0].Until.Sub(now) < 119*time.Minute {
+	if err != nil || len(list) != 1 || list[0].Name != name || list[0].NotAfter.Sub(now) < 119*time.Minute {
 		t.Errorf("List returned %+v, %v; want only the renewed certificate of %s", list, err, name)
 	}
 	leftovers, err := filepath.Glob(filepath.Join(dir, ".*"))
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -24,26 +24,26 @@
 
 // TaskReport is the state of one attempt in a heartbeat.
 type TaskReport struct {
-	Task    string `msgpack:"piece"`
-	Attempt uint64 `msgpack:"try"`
-	State   string `msgpack:"status"`
-	Cause   string `msgpack:"cause"`
-	Saved   bool   `msgpack:"kept"`
+	Task         string `msgpack:"piece"`
+	Attempt      uint64 `msgpack:"try"`
+	State        string `msgpack:"status"`
+	Cause        string `msgpack:"cause"`
+	Checkpointed bool   `msgpack:"kept"`
 }
 
 // The states of an attempt and the causes of its end.
 const (
-	TaskFetching = "fetching"
-	TaskRunning  = "running"
-	TaskSaving   = "flushing"
-	TaskEnded    = "ended"
+	TaskFetching      = "fetching"
+	TaskRunning       = "running"
+	TaskCheckpointing = "flushing"
+	TaskEnded         = "ended"
 
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseFull    = "full"
-	CauseInUse   = "in_use"
-	CauseUnknown = "unknown"
+	CauseDone        = "done"
+	CauseStopped     = "stopped"
+	CauseError       = "error"
+	CauseFull        = "full"
+	CauseTaskInUse   = "in_use"
+	CauseUnknownTask = "unknown"
 )
 
 // Check returns an error that names the first invalid field, nil if the heartbeat is valid.
--- a/internal/protocol/api.go
+++ b/internal/protocol/api.go
@@ -15,7 +15,7 @@
 
 // CancelAll is the body of POST /withdrawals, which cancels all jobs that one user has submitted.
 type CancelAll struct {
-	By string `msgpack:"by"`
+	SubmittedBy string `msgpack:"by"`
 }
 
 // CancelAllResult is the response to a CancelAll: how many jobs were cancelled, how many remain for
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -7,16 +7,16 @@
 
 // MachineType is a machine type that the cloud offers.
 type MachineType struct {
-	Name         string   `msgpack:"label"`
-	CPUs         float64  `msgpack:"vcpus"`
-	GPUs         float64  `msgpack:"gpus"`
-	MemGB        float64  `msgpack:"mem_gb"`
-	CacheGB      float64  `msgpack:"cache_gb"`
-	FetchGBPerS  float64  `msgpack:"pull_gb_per_s"`
-	Price        float64  `msgpack:"price"`
-	SpotPrice    float64  `msgpack:"spot_price"`
-	BootS        float64  `msgpack:"startup_s"`
-	ZonesOffered []string `msgpack:"locales"`
+	Name        string   `msgpack:"label"`
+	CPUs        float64  `msgpack:"vcpus"`
+	GPUs        float64  `msgpack:"gpus"`
+	MemGB       float64  `msgpack:"mem_gb"`
+	CacheGB     float64  `msgpack:"cache_gb"`
+	FetchGBPerS float64  `msgpack:"pull_gb_per_s"`
+	Price       float64  `msgpack:"price"`
+	SpotPrice   float64  `msgpack:"spot_price"`
+	BootS       float64  `msgpack:"startup_s"`
+	Zones       []string `msgpack:"locales"`
 }
 
 // CreateMachinesRequest is the body of the cloud's POST /machines. Request is an idempotency key:
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -42,7 +42,7 @@
 // stops have a grace period, so the other operations have golden files of their own.
 func TestGoldenCommands(t *testing.T) {
 	sorted := golden.Codec{
-		Marshal:   func(value any) ([]byte, error) { return golden.SortedKeys(protocol.Encode(value)) },
+		Marshal:   func(value any) ([]byte, error) { return golden.SortMapKeys(protocol.Encode(value)) },
 		Unmarshal: protocol.Decode,
 	}
 	batch := golden.Fill(&protocol.CommandBatch{})
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Bytes(t, "worker-command-"+op, encoded)
+		golden.CheckBytes(t, "worker-command-"+op, encoded)
 	}
 }
 
@@ -70,14 +70,14 @@
 		{"job withdrawn", protocol.StatusCancelled, "withdrawn"},
 		{"task fetching", protocol.TaskFetching, "fetching"},
 		{"task running", protocol.TaskRunning, "running"},
-		{"task saving", protocol.TaskSaving, "flushing"},
+		{"task saving", protocol.TaskCheckpointing, "flushing"},
 		{"task ended", protocol.TaskEnded, "ended"},
 		{"cause done", protocol.CauseDone, "done"},
 		{"cause stopped", protocol.CauseStopped, "stopped"},
 		{"cause error", protocol.CauseError, "error"},
 		{"cause full", protocol.CauseFull, "full"},
-		{"cause in use", protocol.CauseInUse, "in_use"},
-		{"cause unknown", protocol.CauseUnknown, "unknown"},
+		{"cause in use", protocol.CauseTaskInUse, "in_use"},
+		{"cause unknown", protocol.CauseUnknownTask, "unknown"},
 		{"command start", protocol.OpStart, "start"},
 		{"command stop", protocol.OpStop, "stop"},
 		{"command forget", protocol.OpForget, "reap"},
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -26,31 +26,31 @@
 	Class string `msgpack:"cl"`
 	Team  string `msgpack:"tm"`
 	// The tasks of a service run until they are stopped.
-	Standing bool `msgpack:"st,omitempty"`
+	Service bool `msgpack:"st,omitempty"`
 	// Gang marks a job whose tasks start together or not at all.
-	Gang        bool     `msgpack:"ga,omitempty"`
-	Urgency     Urgency  `msgpack:"ur"`
-	Tasks       int      `msgpack:"n"`
-	CPUs        float64  `msgpack:"c"`
-	GPUs        float64  `msgpack:"g,omitempty"`
-	MemGB       float64  `msgpack:"m"`
-	Image       string   `msgpack:"im,omitempty"`
-	ImageGB     float64  `msgpack:"ig,omitempty"`
-	Types       []string `msgpack:"ty,omitempty"`
-	Zone        string   `msgpack:"z,omitempty"`
-	OneZone     bool     `msgpack:"oz,omitempty"`
-	Spread      bool     `msgpack:"sp,omitempty"`
-	Spot        bool     `msgpack:"so,omitempty"`
-	EstimateS   float64  `msgpack:"e,omitempty"`
-	CheckpointS float64  `msgpack:"ck,omitempty"`
-	SaveS       float64  `msgpack:"sv,omitempty"`
-	DeadlineS   float64  `msgpack:"d,omitempty"`
+	Gang                bool     `msgpack:"ga,omitempty"`
+	Urgency             Urgency  `msgpack:"ur"`
+	Tasks               int      `msgpack:"n"`
+	CPUs                float64  `msgpack:"c"`
+	GPUs                float64  `msgpack:"g,omitempty"`
+	MemGB               float64  `msgpack:"m"`
+	Image               string   `msgpack:"im,omitempty"`
+	ImageGB             float64  `msgpack:"ig,omitempty"`
+	Types               []string `msgpack:"ty,omitempty"`
+	Zone                string   `msgpack:"z,omitempty"`
+	OneZone             bool     `msgpack:"oz,omitempty"`
+	Spread              bool     `msgpack:"sp,omitempty"`
+	Spot                bool     `msgpack:"so,omitempty"`
+	EstimateS           float64  `msgpack:"e,omitempty"`
+	CheckpointIntervalS float64  `msgpack:"ck,omitempty"`
+	CheckpointDurationS float64  `msgpack:"sv,omitempty"`
+	DeadlineS           float64  `msgpack:"d,omitempty"`
 	// SubmittedMS is the Unix time in milliseconds at which the job was accepted.
 	SubmittedMS int64 `msgpack:"at"`
 	// Dependencies are the ids of the jobs that must be done first, without duplicates.
 	Dependencies []string `msgpack:"dp,omitempty"`
-	// By is the user that submitted the job, if callers are authenticated.
-	By string `msgpack:"by,omitempty"`
+	// SubmittedBy is the user that submitted the job, if callers are authenticated.
+	SubmittedBy string `msgpack:"by,omitempty"`
 	// Replaces is the id of the job that this one was reassigned from.
 	Replaces string `msgpack:"rp,omitempty"`
 }
@@ -64,8 +64,8 @@
 // maxIDDigits bounds the digits of a job id.
 const maxIDDigits = 32
 
-// ValidID reports whether id has the form of a job id.
-func ValidID(id string) bool {
+// ValidJobID reports whether id has the form of a job id.
+func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "job-")
 	if !ok || digits == "" || len(digits) > maxIDDigits {
 		return false
@@ -81,8 +81,8 @@
 // TaskName returns the name that a job's task has on the wire.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTask splits the name of a task into the id of its job and its index in the job.
-func ParseTask(name string) (job string, index int, ok bool) {
+// ParseTaskName splits the name of a task into the id of its job and its index in the job.
+func ParseTaskName(name string) (job string, index int, ok bool) {
 	job, number, ok := strings.Cut(name, "/")
 	if !ok {
 		return "", 0, false
@@ -115,7 +115,7 @@
 	ID           string   `msgpack:"name_id"`
 	Class        string   `msgpack:"jobclass"`
 	Team         string   `msgpack:"owner"`
-	By           string   `msgpack:"by"`
+	SubmittedBy  string   `msgpack:"by"`
 	Replaces     string   `msgpack:"replaces"`
 	Urgency      string   `msgpack:"urgency"`
 	Tasks        int      `msgpack:"pieces"`
@@ -136,7 +136,7 @@
 		ID:           j.ID,
 		Class:        j.Class,
 		Team:         j.Team,
-		By:           j.By,
+		SubmittedBy:  j.SubmittedBy,
 		Replaces:     j.Replaces,
 		Tasks:        j.Tasks,
 		CPUs:         j.CPUs,
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -96,11 +96,11 @@
 }
 
 func TestTaskNames(t *testing.T) {
-	if job, i, ok := ParseTask(TaskName("job-1", 42)); job != "job-1" || i != 42 || !ok {
+	if job, i, ok := ParseTaskName(TaskName("job-1", 42)); job != "job-1" || i != 42 || !ok {
 		t.Errorf("name of task 42 of job-1 was parsed as %q, %d, %v", job, i, ok)
 	}
 	for _, bad := range []string{"", "job-1", "job-1/x", "job-1/-1", "job-1/100000"} {
-		if _, _, ok := ParseTask(bad); ok {
+		if _, _, ok := ParseTaskName(bad); ok {
 			t.Errorf("invalid task name %q was accepted", bad)
 		}
 	}
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -16,26 +16,26 @@
 // Submission is the body of POST /submissions, the description of a job. Scalar fields are
 // pointers, to tell an omitted field from a zero value.
 type Submission struct {
-	ID          *string  `msgpack:"name_id"`
-	Class       *string  `msgpack:"jobclass"`
-	Team        *string  `msgpack:"owner"`
-	Shape       *string  `msgpack:"shape"`
-	Urgency     *string  `msgpack:"urgency"`
-	Tasks       *int64   `msgpack:"pieces"`
-	CPUs        *float64 `msgpack:"vcpus"`
-	GPUs        *float64 `msgpack:"gpus"`
-	MemGB       *float64 `msgpack:"mem_gb"`
-	Image       *string  `msgpack:"bundle"`
-	ImageGB     *float64 `msgpack:"image_gb"`
-	Types       []string `msgpack:"shapes_of_box"`
-	Zone        *string  `msgpack:"locale"`
-	OneZone     *bool    `msgpack:"same_place"`
-	Spread      *bool    `msgpack:"apart"`
-	Spot        *bool    `msgpack:"loaners"`
-	EstimateS   *float64 `msgpack:"guess_s"`
-	CheckpointS *float64 `msgpack:"snapshot_every_s"`
-	SaveS       *float64 `msgpack:"snapshot_s"`
-	DeadlineS   *float64 `msgpack:"due_s"`
+	ID                  *string  `msgpack:"name_id"`
+	Class               *string  `msgpack:"jobclass"`
+	Team                *string  `msgpack:"owner"`
+	Shape               *string  `msgpack:"shape"`
+	Urgency             *string  `msgpack:"urgency"`
+	Tasks               *int64   `msgpack:"pieces"`
+	CPUs                *float64 `msgpack:"vcpus"`
+	GPUs                *float64 `msgpack:"gpus"`
+	MemGB               *float64 `msgpack:"mem_gb"`
+	Image               *string  `msgpack:"bundle"`
+	ImageGB             *float64 `msgpack:"image_gb"`
+	Types               []string `msgpack:"shapes_of_box"`
+	Zone                *string  `msgpack:"locale"`
+	OneZone             *bool    `msgpack:"same_place"`
+	Spread              *bool    `msgpack:"apart"`
+	Spot                *bool    `msgpack:"loaners"`
+	EstimateS           *float64 `msgpack:"guess_s"`
+	CheckpointIntervalS *float64 `msgpack:"snapshot_every_s"`
+	CheckpointDurationS *float64 `msgpack:"snapshot_s"`
+	DeadlineS           *float64 `msgpack:"due_s"`
 	// Dependencies are the ids of jobs that must be done before a task of this job starts.
 	Dependencies []*string `msgpack:"waits_on"`
 }
@@ -46,7 +46,7 @@
 	var s struct {
 		ID string `msgpack:"name_id"`
 	}
-	if Decode(body, &s) != nil || !ValidID(s.ID) {
+	if Decode(body, &s) != nil || !ValidJobID(s.ID) {
 		return ""
 	}
 	return s.ID
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	if !ValidID(spec.ID) {
+	if !ValidJobID(spec.ID) {
 		return invalid("name_id")
 	}
 	return nil
@@ -109,8 +109,8 @@
 		{"mem_gb", s.MemGB, &spec.MemGB, required},
 		{"image_gb", s.ImageGB, &spec.ImageGB, required},
 		{"guess_s", s.EstimateS, &spec.EstimateS, required},
-		{"snapshot_every_s", s.CheckpointS, &spec.CheckpointS, required},
-		{"snapshot_s", s.SaveS, &spec.SaveS, required},
+		{"snapshot_every_s", s.CheckpointIntervalS, &spec.CheckpointIntervalS, required},
+		{"snapshot_s", s.CheckpointDurationS, &spec.CheckpointDurationS, required},
 		{"due_s", s.DeadlineS, &spec.DeadlineS, nullable},
 	} {
 		if err := checkAmount(field.name, field.from, field.to, field.rule); err != nil {
@@ -143,7 +143,7 @@
 	}
 	switch *s.Shape {
 	case "standing":
-		spec.Standing = true
+		spec.Service = true
 	case "gang":
 		spec.Gang = true
 	case "batch":
--- a/internal/reapi/actioncache.go
+++ b/internal/reapi/actioncache.go
@@ -25,14 +25,14 @@
 	if err != nil {
 		return nil, err
 	}
-	space, err := f.space(ctx, req.GetInstanceName(), verbRead)
+	space, err := f.authorize(ctx, req.GetInstanceName(), verbRead)
 	if err != nil {
 		return nil, err
 	}
-	action := digestIn(function, req.GetActionDigest())
+	action := digestFromProto(function, req.GetActionDigest())
 	result, err := f.localResult(space, action)
 	if f.fromPeer(ctx) {
-		return result, failure(err) // the calling peer checks that all its blobs exist
+		return result, statusError(err) // the calling peer checks that all its blobs exist
 	}
 	if err == nil {
 		err = f.checkComplete(ctx, req.GetInstanceName(), space, function, result)
@@ -43,7 +43,7 @@
 		}
 	}
 	if err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	return result, nil
 }
@@ -79,21 +79,21 @@
 		return nil, err
 	}
 	instance := req.GetInstanceName()
-	space, err := f.space(ctx, instance, verbWrite)
+	space, err := f.authorize(ctx, instance, verbWrite)
 	if err != nil {
 		return nil, err
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
 	fromPeer := f.fromPeer(ctx)
-	if execution := md.Get(ExecutionMark); len(execution) == 1 && (fromPeer || f.fromWorker(ctx)) {
+	if execution := md.Get(ExecutionMetadataKey); len(execution) == 1 && (fromPeer || f.fromWorker(ctx)) {
 		return f.recordExecutionResult(ctx, req, space, execution[0])
 	}
 	if !f.config.ClientResults && !fromPeer {
 		return nil, status.Error(codes.PermissionDenied, "clients write no results here")
 	}
-	action := digestIn(function, req.GetActionDigest())
+	action := digestFromProto(function, req.GetActionDigest())
 	if err := action.Check(); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	if req.GetActionResult() == nil {
 		return nil, errResultMissing
@@ -102,7 +102,7 @@
 	if err != nil || len(raw) > maxResultBytes {
 		return nil, status.Errorf(codes.InvalidArgument, "the result is larger than %d bytes", maxResultBytes)
 	}
-	replace := fromPeer && len(md.Get(replaceMark)) > 0
+	replace := fromPeer && len(md.Get(replaceMetadataKey)) > 0
 	if stored, err := f.localResult(space, action); err == nil && !replace && (fromPeer || f.checkComplete(ctx, instance, space, function, stored) == nil) {
 		return stored, nil
 	}
@@ -112,7 +112,7 @@
 		}
 	}
 	if err := f.results.Put(space, action, raw); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	f.replicateResult(ctx, instance, action, req.GetActionResult())
 	return req.GetActionResult(), nil
@@ -128,7 +128,7 @@
 	if errors.Is(err, blobstore.ErrNotFound) {
 		return status.Errorf(codes.FailedPrecondition, "%v; upload them before the result", err)
 	}
-	return failure(err)
+	return statusError(err)
 }
 
 // recordExecutionResult stores the result that a worker reports for an execution. It runs on
@@ -138,9 +138,9 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := entryOf(execution, digestIn(function, req.GetActionDigest()))
+	entry := entryOf(execution, digestFromProto(function, req.GetActionDigest()))
 	if err := errors.Join(entry.Action().Check(), (blobstore.Digest{Hash: execution}).Check()); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	if req.GetActionResult() == nil {
 		return nil, errResultMissing
@@ -152,9 +152,9 @@
 	}
 	// The call is not forwarded again, but answering it may require other calls to peers.
 	ctx = withoutPeerMark(ctx)
-	raw, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: entry.Action()}, maxTreeNode)
+	raw, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: entry.Action()}, maxMessageBlobBytes)
 	if err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	action := new(repb.Action)
 	if err := proto.Unmarshal(raw, action); err != nil {
@@ -165,10 +165,10 @@
 	}
 	isFirst, err := f.RecordResult(ctx, req.GetInstanceName(), space, entry, req.GetActionResult(), !action.GetDoNotCache())
 	if err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	if !isFirst {
-		f.log.Info("result discarded, execution already has one", "execution", execution, "count", f.discarded.Load())
+		f.log.Info("result discarded, execution already has one", "execution", execution, "count", f.discardedResults.Load())
 	}
 	return req.GetActionResult(), nil
 }
