--- a/internal/reapi/authorization.go
+++ b/internal/reapi/authorization.go
@@ -32,10 +32,10 @@
 	switch v := md.Get("authorization"); {
 	case len(v) == 1 && !strings.HasPrefix(v[0], certificatePrefix):
 		return v[0]
-	case len(v) > 0 || f.config.Certified == nil:
+	case len(v) > 0 || f.config.CertificateName == nil:
 		return ""
 	}
-	if name := f.config.Certified(ctx); name != "" {
+	if name := f.config.CertificateName(ctx); name != "" {
 		return certificatePrefix + name
 	}
 	return ""
@@ -45,7 +45,7 @@
 // of a credential, and whether the credential is well-formed.
 func clientFor(c *client.Client, credential string) (*client.Client, bool) {
 	if name, ok := strings.CutPrefix(credential, certificatePrefix); ok {
-		return c.OnBehalf(name), true
+		return c.WithOnBehalfOf(name), true
 	}
 	token, ok := bearerToken(credential)
 	return c.WithToken(token), ok
@@ -145,15 +145,15 @@
 	if err == nil {
 		return nil
 	}
-	if denial := denied(err); denial != nil {
+	if denial := denialStatus(err); denial != nil {
 		return denial
 	}
 	return retryLater(codes.Unavailable, time.Second, "no controller could be asked")
 }
 
-// denied returns a gRPC status if err says that the controllers rejected the credential or
+// denialStatus returns a gRPC status if err says that the controllers rejected the credential or
 // that its holder lacks the right. For any other error it returns nil.
-func denied(err error) error {
+func denialStatus(err error) error {
 	var refusal *client.Refusal
 	if !errors.As(err, &refusal) {
 		return nil
--- a/internal/reapi/batch.go
+++ b/internal/reapi/batch.go
@@ -23,7 +23,7 @@
 type Jobs interface {
 	Submit(ctx context.Context, credential string, s *protocol.Submission) (protocol.JobStatus, error)
 	Status(ctx context.Context, credential, job string) (protocol.JobStatus, error)
-	Withdraw(ctx context.Context, credential, job string) error
+	Cancel(ctx context.Context, credential, job string) error
 }
 
 // executions is the state of the actions that are being executed. Actions are collected in
@@ -88,11 +88,11 @@
 	// wait for the task's job.
 	batch   *batch
 	waiters int
-	// placed is closed once job and index are set, or err if the submission failed.
-	placed chan struct{}
-	job    string
-	index  int
-	err    error
+	// assigned is closed once job and index are set, or err if the submission failed.
+	assigned chan struct{}
+	job      string
+	index    int
+	err      error
 	// done is closed once a result is recorded on this front end.
 	done chan struct{}
 	once sync.Once
@@ -127,7 +127,7 @@
 	if ledger := f.config.Shares.Waiting; ledger != nil && !ledger.Acquire(space, client, 1) {
 		return nil, retryLater(codes.ResourceExhausted, time.Second, "too many actions wait to be submitted")
 	}
-	t := &task{entry: entry, instance: instance, space: space, client: client, waiters: 1, queued: time.Now(), placed: make(chan struct{}), done: make(chan struct{})}
+	t := &task{entry: entry, instance: instance, space: space, client: client, waiters: 1, queued: time.Now(), assigned: make(chan struct{}), done: make(chan struct{})}
 	f.executions.running[key] = t
 	f.addToBatch(batchKey{credentialHash, instance, required}, credential, t)
 	return t, nil
@@ -151,7 +151,7 @@
 	if b == nil {
 		b = &batch{key: key, credential: credential}
 		f.executions.batches[key] = b
-		b.timer = time.AfterFunc(f.config.GatherFor, func() {
+		b.timer = time.AfterFunc(f.config.BatchDelay, func() {
 			f.executions.mu.Lock()
 			defer f.executions.mu.Unlock()
 			if !b.submitted {
@@ -161,7 +161,7 @@
 	}
 	t.batch = b
 	b.tasks = append(b.tasks, t)
-	if len(b.tasks) >= f.config.GatherMost {
+	if len(b.tasks) >= f.config.MaxBatchActions {
 		delete(f.executions.batches, key) // further actions start the next batch
 		f.enqueueBatch(b)
 	}
@@ -174,8 +174,8 @@
 	if t := f.executions.running[key]; t != nil {
 		return t
 	}
-	t := &task{entry: entry, instance: instance, space: space, placed: make(chan struct{}), done: make(chan struct{}), job: record.Job, index: record.Index, queued: time.UnixMilli(record.Queued)}
-	close(t.placed)
+	t := &task{entry: entry, instance: instance, space: space, assigned: make(chan struct{}), done: make(chan struct{}), job: record.Job, index: record.Index, queued: time.UnixMilli(record.Queued)}
+	close(t.assigned)
 	f.executions.running[key] = t
 	return t
 }
@@ -219,7 +219,7 @@
 		if err != nil {
 			delete(f.executions.running, t.key())
 		}
-		close(t.placed)
+		close(t.assigned)
 	}
 }
 
@@ -230,7 +230,7 @@
 // cancelled or lacks a result of one of the tasks.
 func (f *FrontEnd) submitBatchJob(ctx context.Context, b *batch, nonce string) (id string, stale bool, err error) {
 	key, tasks, credential := b.key, b.tasks, b.credential
-	manifest := Manifest{Instance: key.instance, Again: nonce}
+	manifest := Manifest{Instance: key.instance, Nonce: nonce}
 	for _, t := range tasks {
 		manifest.Tasks = append(manifest.Tasks, t.entry)
 	}
@@ -264,7 +264,7 @@
 
 // submitFailure converts an error of a submission or a status request into a gRPC status.
 func submitFailure(err error) error {
-	if denial := denied(err); denial != nil {
+	if denial := denialStatus(err); denial != nil {
 		return denial
 	}
 	var refusal *client.Refusal
@@ -284,7 +284,7 @@
 // the expired credential as a denied request.
 func (f *FrontEnd) withCredential(credential *string, name string, call func(credential string) error) error {
 	err := call(*credential)
-	if name != "" && *credential != certificatePrefix+name && denied(err) != nil {
+	if name != "" && *credential != certificatePrefix+name && denialStatus(err) != nil {
 		*credential = certificatePrefix + name
 		return call(*credential)
 	}
--- a/internal/reapi/bench_test.go
+++ b/internal/reapi/bench_test.go
@@ -24,11 +24,11 @@
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("benchmark; set GATE_THROUGHPUT=1 to run it")
 	}
-	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
+	b, _ := startFrontEnd(t, twoTeams, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
 	const blobs, size = 64, 8 << 20
 	data := make([][]byte, blobs)
 	for i := range data {
-		data[i] = random(size)
+		data[i] = randomBytes(size)
 	}
 	rate := func(f func(i int)) float64 {
 		started := time.Now()
@@ -87,7 +87,7 @@
 		writeCopy(i, func(w io.Writer) error { return b.downloadTo(w, "blobs/"+blobstore.Of(data[i]).String(), 0, 0) })
 	})
 	action := digestToProto(blobstore.Of([]byte("a")))
-	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: b.blob(random(100))}}}
+	result := &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: b.uploadBlob(randomBytes(100))}}}
 	if _, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result}); err != nil {
 		t.Fatal(err)
 	}
@@ -115,13 +115,13 @@
 	const blobs, size = 30, 1 << 20
 	started := time.Now()
 	for range blobs {
-		data := random(size)
+		data := randomBytes(size)
 		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write := float64(blobs*size) / 1e6 / time.Since(started).Seconds()
-	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
+	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e12, Interval: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithTimeout(out.Context(), transferTime(r.digest.Size))
 	defer cancel()
 	addTransferCost(ctx, r.digest.Size)
-	space, err := f.space(ctx, r.instance, verbRead)
+	space, err := f.authorize(ctx, r.instance, verbRead)
 	if err != nil {
 		return err
 	}
@@ -42,11 +42,11 @@
 	}
 	blob, err := f.open(ctx, r.instance, blobstore.Key{Space: space, Digest: r.digest})
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	defer blob.Close() //nolint:errcheck // only read
 	if _, err := blob.Seek(req.GetReadOffset(), io.SeekStart); err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	var from io.Reader = blob
 	if limit := req.GetReadLimit(); limit > 0 {
@@ -54,17 +54,17 @@
 	}
 	to := &messageWriter{ctx: ctx, throttle: f.throttle, out: out}
 	if !r.compressed {
-		return failure(copyChunks(to, from))
+		return statusError(copyChunks(to, from))
 	}
 	encoder, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	if err := copyChunks(encoder, from); err != nil {
 		_ = encoder.Close()
-		return failure(err)
+		return statusError(err)
 	}
-	return failure(encoder.Close())
+	return statusError(encoder.Close())
 }
 
 // messageWriter is an io.Writer that sends data to a client in messages of at most chunkSize
@@ -107,7 +107,7 @@
 		return err
 	}
 	addTransferCost(in.Context(), r.digest.Size)
-	space, err := f.space(in.Context(), r.instance, verbWrite)
+	space, err := f.authorize(in.Context(), r.instance, verbWrite)
 	if err != nil {
 		return err
 	}
@@ -129,14 +129,14 @@
 	resumable, err := f.receive(in, first, upload, r)
 	if err != nil {
 		f.uploads.release(name, upload, resumable)
-		return failure(err)
+		return statusError(err)
 	}
 	size := upload.received.Load()
 	err = upload.finish(f.store)
 	var full *blobstore.FullError
 	f.uploads.release(name, upload, errors.As(err, &full))
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	f.replicate(in.Context(), r.instance, space, []blobstore.Digest{r.digest})
 	return in.SendAndClose(&bytestream.WriteResponse{CommittedSize: size})
@@ -203,7 +203,7 @@
 	if err != nil {
 		return nil, err
 	}
-	space, err := f.space(ctx, r.instance, verbWrite)
+	space, err := f.authorize(ctx, r.instance, verbWrite)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/reapi/callslots.go
+++ b/internal/reapi/callslots.go
@@ -19,10 +19,10 @@
 	// concurrent transfers, and Bytes their total rate, which uses the disk and the network.
 	Calls, Transfers, Bytes *admission.Queue
 	// Waiting limits the actions that wait to be submitted.
-	Waiting *admission.Ledger
-	// Ahead limits how many of a team's actions may wait for a machine in the cluster.
+	Waiting *admission.QuotaPool
+	// Handoff limits how many of a team's actions may wait for a machine in the cluster.
 	// Further ones wait on the front end, where the team's clients are served in turn.
-	Ahead admission.HandoffLimits
+	Handoff admission.HandoffLimits
 }
 
 const (
@@ -92,9 +92,9 @@
 	if slot.queue == nil {
 		return nil
 	}
-	returnSlot, err := slot.queue.Enter(ctx, team, who, slot.cost)
+	returnSlot, err := slot.queue.Acquire(ctx, team, who, slot.cost)
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	slot.returnSlot = returnSlot
 	return nil
@@ -140,9 +140,9 @@
 	if f.config.Shares.Bytes == nil || slot == nil || slot.team == "" || bytes == 0 {
 		return nil
 	}
-	returnSlot, err := f.config.Shares.Bytes.Enter(ctx, slot.team, slot.client, float64(bytes))
+	returnSlot, err := f.config.Shares.Bytes.Acquire(ctx, slot.team, slot.client, float64(bytes))
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	returnSlot()
 	return nil
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -28,13 +28,13 @@
 // A call acquires its slot only after it is authorized and releases the slot even if the client
 // disconnects. If no slot is free, the call is rejected immediately with a retry delay.
 func TestTransferSlots(t *testing.T) {
-	config := oneTeam
+	config := twoTeams
 	queue := admission.New(admission.Limits{Concurrency: 1, MaxWaiting: 0})
 	config.Shares.Transfers = queue
 	rights := rightsOf{"anna view-arguments red": true, "anna submit red": true, "ben view-arguments blue": true}
-	open, _ := start(t, config, rights, roomy)
+	open, _ := startFrontEnd(t, config, rights, largeStore)
 	b := open.as("anna")
-	data := random(8 << 20)
+	data := randomBytes(8 << 20)
 	if _, err := b.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 		t.Fatal(err)
 	}
@@ -49,17 +49,17 @@
 		t.Fatal(err)
 	}
 	_, err = b.download(name, 0, 0)
-	b.code(err, codes.ResourceExhausted)
+	b.wantCode(err, codes.ResourceExhausted)
 	if retryDelay(err) == 0 {
 		t.Errorf("the rejected call has no retry delay: %v", err)
 	}
 	_, err = open.as("ben").download(name, 0, 0) // rejected for the missing right, not for the slot
-	open.code(err, codes.PermissionDenied)
+	open.wantCode(err, codes.PermissionDenied)
 	if _, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{}); err != nil {
 		t.Errorf("a small call failed while all transfer slots were in use: %v", err)
 	}
 	cancel()
-	for deadline := time.Now().Add(10 * time.Second); queue.Stats().Inside > 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); queue.Stats().Active > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the slot of a disconnected client was not released")
 		}
@@ -71,11 +71,11 @@
 
 // The byte rate is enforced, and teams that use it at the same time share it by weight.
 func TestByteRate(t *testing.T) {
-	config := oneTeam
+	config := twoTeams
 	const rate = 16 << 20
 	config.Shares.Bytes = admission.New(admission.Limits{PerSecond: rate, MaxWaiting: 100, Weights: map[string]float64{"blue": 3}})
-	b, _ := start(t, config, OpenAccess{}, roomy)
-	data := random(4 << 20)
+	b, _ := startFrontEnd(t, config, OpenAccess{}, largeStore)
+	data := randomBytes(4 << 20)
 	d := blobstore.Of(data).String()
 	for _, prefix := range []string{"", "a/b/"} {
 		if _, err := b.upload(prefix+"uploads/1/blobs/"+d, data, 0, chunkSize, true); err != nil {
--- a/internal/reapi/cas.go
+++ b/internal/reapi/cas.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	space, err := f.space(ctx, req.GetInstanceName(), verbRead)
+	space, err := f.authorize(ctx, req.GetInstanceName(), verbRead)
 	if err != nil {
 		return nil, err
 	}
@@ -26,9 +26,9 @@
 	}
 	digests := make([]blobstore.Digest, 0, len(req.GetBlobDigests()))
 	for _, d := range req.GetBlobDigests() {
-		digest := digestIn(function, d)
+		digest := digestFromProto(function, d)
 		if err := digest.Check(); err != nil {
-			return nil, failure(err)
+			return nil, statusError(err)
 		}
 		digests = append(digests, digest)
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	space, err := f.space(ctx, req.GetInstanceName(), verbWrite)
+	space, err := f.authorize(ctx, req.GetInstanceName(), verbWrite)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	resp := new(repb.BatchUpdateBlobsResponse)
 	for _, r := range req.GetRequests() {
 		data, err := decompressBlob(r)
-		digest := digestIn(function, r.GetDigest())
+		digest := digestFromProto(function, r.GetDigest())
 		if err == nil {
 			err = f.store.Put(blobstore.Key{Space: space, Digest: digest}, data)
 		}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	space, err := f.space(ctx, req.GetInstanceName(), verbRead)
+	space, err := f.authorize(ctx, req.GetInstanceName(), verbRead)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	}
 	resp := new(repb.BatchReadBlobsResponse)
 	for _, d := range req.GetDigests() {
-		data, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: digestIn(function, d)}, maxBatchBytes)
+		data, err := f.read(ctx, req.GetInstanceName(), blobstore.Key{Space: space, Digest: digestFromProto(function, d)}, maxBatchBytes)
 		resp.Responses = append(resp.Responses, &repb.BatchReadBlobsResponse_Response{Digest: d, Data: data, Status: statusOf(err)})
 	}
 	return resp, nil
--- a/internal/reapi/command.go
+++ b/internal/reapi/command.go
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// Outputs returns the output paths of a command, from the field of API version 2.1 and the
+// OutputPaths returns the output paths of a command, from the field of API version 2.1 and the
 // deprecated fields of older versions.
-func Outputs(c *repb.Command) []string {
+func OutputPaths(c *repb.Command) []string {
 	//lint:ignore SA1019 clients of version 2.0 set these fields
 	return slices.Concat(c.GetOutputPaths(), c.GetOutputFiles(), c.GetOutputDirectories())
 }
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	for _, p := range Outputs(c) {
+	for _, p := range OutputPaths(c) {
 		// An output path may leave the working directory, but not the input root.
 		if err := CheckPath(path.Join(c.GetWorkingDirectory(), p)); err != nil || path.IsAbs(p) {
 			return status.Errorf(codes.InvalidArgument, "output path %q is outside the input root", clip(p))
--- a/internal/reapi/conformance_test.go
+++ b/internal/reapi/conformance_test.go
@@ -19,24 +19,24 @@
 
 // Each call of the API returns the specified status code for valid and invalid requests.
 func TestConformance(t *testing.T) {
-	b, frontEnd, _ := startExecuting(t, oneTeam)
+	b, frontEnd, _ := startExecuting(t, twoTeams)
 	b = b.as("Bearer anna")
 	// 0xff can't begin a protobuf message. Without it, the random bytes are sometimes a valid
 	// Directory.
-	present, absent := b.blob(append([]byte{0xff}, random(99)...)), digestToProto(blobstore.Of(random(100)))
+	present, absent := b.uploadBlob(append([]byte{0xff}, randomBytes(99)...)), digestToProto(blobstore.Of(randomBytes(100)))
 	put := func(m proto.Message) *repb.Digest {
 		raw, err := proto.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b.blob(raw)
+		return b.uploadBlob(raw)
 	}
 	leaf := put(&repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: present}}})
 	incomplete := put(&repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: absent}}})
 	root := put(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "d", Digest: leaf}}})
 	command := put(&repb.Command{Arguments: []string{"true"}})
-	done := b.action("done")
-	frontEnd.result(t, done)
+	done := b.uploadAction("done")
+	frontEnd.recordTestResult(t, done)
 	find := func(req *repb.FindMissingBlobsRequest) error {
 		_, err := b.cas.FindMissingBlobs(b.ctx, req)
 		return err
@@ -75,7 +75,7 @@
 	}
 	get := func(req *repb.GetActionResultRequest) error { _, err := b.ac.GetActionResult(b.ctx, req); return err }
 	putResult := func(r *repb.ActionResult) error {
-		_, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: digestToProto(blobstore.Of(random(10))), ActionResult: r})
+		_, err := b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: digestToProto(blobstore.Of(randomBytes(10))), ActionResult: r})
 		return err
 	}
 	execute := func(req *repb.ExecuteRequest) error {
@@ -157,14 +157,14 @@
 		"Read: log stream":              {read("logstreams/x", 0, 0), codes.Unimplemented},
 
 		"Write":                                   {write("uploads/u1/blobs/"+blobstore.Of([]byte("y")).String(), []byte("y"), 0), codes.OK},
-		"Write: blob exists":                      {write("uploads/u2/blobs/"+presentName, random(100), 0), codes.OK},
-		"Write: digest mismatch":                  {write("uploads/u3/blobs/"+absentName, random(100), 0), codes.InvalidArgument},
-		"Write: too many bytes":                   {write("uploads/u4/blobs/"+absentName, random(101), 0), codes.InvalidArgument},
-		"Write: offset beyond the received bytes": {write("uploads/u5/blobs/"+absentName, random(10), 50), codes.InvalidArgument},
-		"Write: no upload id":                     {write("uploads//blobs/"+absentName, random(100), 0), codes.InvalidArgument},
-		"Write: too large":                        {write("uploads/u6/blobs/"+absent.Hash+"/999999999999", random(10), 0), codes.InvalidArgument},
+		"Write: blob exists":                      {write("uploads/u2/blobs/"+presentName, randomBytes(100), 0), codes.OK},
+		"Write: digest mismatch":                  {write("uploads/u3/blobs/"+absentName, randomBytes(100), 0), codes.InvalidArgument},
+		"Write: too many bytes":                   {write("uploads/u4/blobs/"+absentName, randomBytes(101), 0), codes.InvalidArgument},
+		"Write: offset beyond the received bytes": {write("uploads/u5/blobs/"+absentName, randomBytes(10), 50), codes.InvalidArgument},
+		"Write: no upload id":                     {write("uploads//blobs/"+absentName, randomBytes(100), 0), codes.InvalidArgument},
+		"Write: too large":                        {write("uploads/u6/blobs/"+absent.Hash+"/999999999999", randomBytes(10), 0), codes.InvalidArgument},
 		"Write: BLAKE3":                           {write("uploads/u8/blobs/"+other.String(), []byte("other"), 0), codes.OK},
-		"Write: BLAKE3 digest mismatch":           {write("uploads/u9/blobs/blake3/"+absentName, random(100), 0), codes.InvalidArgument},
+		"Write: BLAKE3 digest mismatch":           {write("uploads/u9/blobs/blake3/"+absentName, randomBytes(100), 0), codes.InvalidArgument},
 		"Read: BLAKE3":                            {read("blobs/"+other.String(), 0, 0), codes.OK},
 		"Read: BLAKE3 digest as SHA-256":          {read("blobs/"+other.Hash+"/5", 0, 0), codes.NotFound},
 		"FindMissingBlobs: BLAKE3":                {findOther(repb.DigestFunction_BLAKE3), codes.OK},
@@ -224,7 +224,7 @@
 }
 
 // uploadBLAKE3 uploads a protobuf message and returns its BLAKE3 digest.
-func (b *build) uploadBLAKE3(t *testing.T, m proto.Message) *repb.Digest {
+func (b *testClient) uploadBLAKE3(t *testing.T, m proto.Message) *repb.Digest {
 	t.Helper()
 	raw, err := proto.Marshal(m)
 	if err != nil {
--- a/internal/reapi/controllers.go
+++ b/internal/reapi/controllers.go
@@ -33,8 +33,8 @@
 	return c.clientFor(credential).Status(ctx, job)
 }
 
-// Withdraw cancels a job.
-func (c Controllers) Withdraw(ctx context.Context, credential, job string) error {
+// Cancel cancels a job.
+func (c Controllers) Cancel(ctx context.Context, credential, job string) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	_, err := c.clientFor(credential).Cancel(ctx, job)
--- a/internal/reapi/digest.go
+++ b/internal/reapi/digest.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/blobstore"
 )
 
-// digestIn converts a digest of the API, which does not include the digest function.
-func digestIn(function blobstore.Function, d *repb.Digest) blobstore.Digest {
+// digestFromProto converts a digest of the API, which does not include the digest function.
+func digestFromProto(function blobstore.Function, d *repb.Digest) blobstore.Digest {
 	return blobstore.Digest{Hash: d.GetHash(), Size: d.GetSizeBytes(), Function: function}
 }
 
@@ -30,8 +30,8 @@
 	return 0, status.Errorf(codes.InvalidArgument, "digest function %s is not served; SHA256 and BLAKE3 are", function)
 }
 
-// FunctionOnWire converts a digest function into a digest function of the API.
-func FunctionOnWire(function blobstore.Function) repb.DigestFunction_Value {
+// DigestFunctionToProto converts a digest function into a digest function of the API.
+func DigestFunctionToProto(function blobstore.Function) repb.DigestFunction_Value {
 	if function == blobstore.BLAKE3 {
 		return repb.DigestFunction_BLAKE3
 	}
--- a/internal/reapi/download_test.go
+++ b/internal/reapi/download_test.go
@@ -40,9 +40,9 @@
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("benchmark; set GATE_THROUGHPUT=1 to run it")
 	}
-	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
+	b, _ := startFrontEnd(t, twoTeams, OpenAccess{}, blobstore.Options{MaxBytes: 4 << 30, MaxBlob: 64 << 20})
 	const size, blobs = 32 << 20, 4
-	data := random(size)
+	data := randomBytes(size)
 	var names []string
 	for i := range blobs {
 		data[0] = byte(i)
@@ -65,8 +65,8 @@
 		t.Fatal(err)
 	}
 	defer conn.Close() //nolint:errcheck // the test ends
-	baseline := &build{t: t, ctx: context.Background(), bytes: bytestream.NewByteStreamClient(conn)}
-	rate := func(c *build, streams int) float64 {
+	baseline := &testClient{t: t, ctx: context.Background(), bytes: bytestream.NewByteStreamClient(conn)}
+	rate := func(c *testClient, streams int) float64 {
 		started := time.Now()
 		var wg sync.WaitGroup
 		for w := range streams {
--- a/internal/reapi/execution.go
+++ b/internal/reapi/execution.go
@@ -25,11 +25,11 @@
 		return err
 	}
 	instance := req.GetInstanceName()
-	space, err := f.space(ctx, instance, verbWrite)
+	space, err := f.authorize(ctx, instance, verbWrite)
 	if err != nil {
 		return err
 	}
-	digest := digestIn(function, req.GetActionDigest())
+	digest := digestFromProto(function, req.GetActionDigest())
 	if !req.GetSkipCacheLookup() {
 		if result := f.cachedResult(ctx, instance, space, digest); result != nil {
 			return out.Send(completedOperation("", digest, &repb.ExecuteResponse{Result: result, CachedResult: true}))
@@ -55,7 +55,7 @@
 	if err := f.waitForJob(ctx, t); err != nil {
 		return err
 	}
-	return f.follow(ctx, out, t)
+	return f.streamOperation(ctx, out, t)
 }
 
 // cachedResult returns a cached result of an action, from this front end or a peer. It returns
@@ -91,7 +91,7 @@
 // cancelled later if it was submitted and no other client waits for it.
 func (f *FrontEnd) waitForJob(ctx context.Context, t *task) error {
 	select {
-	case <-t.placed:
+	case <-t.assigned:
 		return t.err
 	case <-ctx.Done():
 	}
@@ -102,13 +102,13 @@
 	if !dropped {
 		credential, name := f.credential(ctx), knownName(t.client)
 		go func() {
-			if <-t.placed; t.err == nil {
+			if <-t.assigned; t.err == nil {
 				f.addWaiter(t.job, credential, name)
 				f.removeWaiter(t.job)
 			}
 		}()
 	}
-	return failure(ctx.Err())
+	return statusError(ctx.Err())
 }
 
 // WaitExecution streams the state of an operation, whichever front end started it.
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	if t.space, err = f.space(ctx, t.instance, verbWrite); err != nil {
+	if t.space, err = f.authorize(ctx, t.instance, verbWrite); err != nil {
 		return err
 	}
 	f.executions.mu.Lock()
@@ -130,8 +130,8 @@
 	}
 	f.executions.mu.Unlock()
 	callSlotOf(ctx).release()
-	return f.follow(ctx, out, t)
+	return f.streamOperation(ctx, out, t)
 }
 
-// Discarded returns how many results were discarded because the execution already had one.
-func (f *FrontEnd) Discarded() int64 { return f.discarded.Load() }
+// DiscardedResults returns how many results were discarded because the execution already had one.
+func (f *FrontEnd) DiscardedResults() int64 { return f.discardedResults.Load() }
--- a/internal/reapi/execution_test.go
+++ b/internal/reapi/execution_test.go
@@ -21,27 +21,27 @@
 	"micaspindle/internal/protocol"
 )
 
-// scriptedJobs is a fake of the controllers that records every call.
-type scriptedJobs struct {
-	mu        sync.Mutex
-	ended     map[string]bool   // expired credentials
-	states    map[string]string // status by job
-	runs      map[string]int    // number of running tasks by job
-	calls     []string          // "{method} as {credential}"
-	submitted chan *protocol.Submission
+// fakeJobs is a fake of the controllers that records every call.
+type fakeJobs struct {
+	mu           sync.Mutex
+	expired      map[string]bool   // expired credentials
+	states       map[string]string // status by job
+	runningTasks map[string]int    // number of running tasks by job
+	calls        []string          // "{method} as {credential}"
+	submitted    chan *protocol.Submission
 }
 
-func (j *scriptedJobs) call(method, credential, job string) error {
+func (j *fakeJobs) call(method, credential, job string) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.calls = append(j.calls, method+" as "+credential)
-	if j.ended[credential] {
+	if j.expired[credential] {
 		return &client.Refusal{Status: 401}
 	}
 	return nil
 }
 
-func (j *scriptedJobs) Submit(_ context.Context, credential string, s *protocol.Submission) (protocol.JobStatus, error) {
+func (j *fakeJobs) Submit(_ context.Context, credential string, s *protocol.Submission) (protocol.JobStatus, error) {
 	if err := j.call("submit", credential, *s.ID); err != nil {
 		return protocol.JobStatus{}, err
 	}
@@ -55,16 +55,16 @@
 	return jobStatus, nil
 }
 
-func (j *scriptedJobs) Status(_ context.Context, credential, job string) (protocol.JobStatus, error) {
+func (j *fakeJobs) Status(_ context.Context, credential, job string) (protocol.JobStatus, error) {
 	if err := j.call("status", credential, job); err != nil {
 		return protocol.JobStatus{}, err
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return protocol.JobStatus{ID: job, Status: j.states[job], Running: j.runs[job]}, nil
+	return protocol.JobStatus{ID: job, Status: j.states[job], Running: j.runningTasks[job]}, nil
 }
 
-func (j *scriptedJobs) Withdraw(_ context.Context, credential, job string) error {
+func (j *fakeJobs) Cancel(_ context.Context, credential, job string) error {
 	if err := j.call("withdraw", credential, job); err != nil {
 		return err
 	}
@@ -74,44 +74,44 @@
 	return nil
 }
 
-func (j *scriptedJobs) end(credential string) {
+func (j *fakeJobs) expire(credential string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.ended[credential] = true
+	j.expired[credential] = true
 }
 
-func (j *scriptedJobs) called(call string) bool {
+func (j *fakeJobs) called(call string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Contains(j.calls, call)
 }
 
-// everyone is an Access that allows every call and derives client names from credentials.
-type everyone struct{}
+// allowAll is an Access that allows every call and derives client names from credentials.
+type allowAll struct{}
 
-func (everyone) Allows(_ context.Context, credential, _, _ string) (string, error) {
+func (allowAll) Allows(_ context.Context, credential, _, _ string) (string, error) {
 	return "person/" + strings.TrimPrefix(strings.TrimPrefix(credential, "Bearer "), certificatePrefix+"person/"), nil
 }
 
-// startExecuting starts a front end that submits jobs to a scriptedJobs.
-func startExecuting(t *testing.T, config Config) (*build, *FrontEnd, *scriptedJobs) {
+// startExecuting starts a front end that submits jobs to a fakeJobs.
+func startExecuting(t *testing.T, config Config) (*testClient, *FrontEnd, *fakeJobs) {
 	t.Helper()
-	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
-	b, f := startWithJobs(t, config, everyone{}, roomy, jobs)
+	jobs := &fakeJobs{expired: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
+	b, f := startWithJobs(t, config, allowAll{}, largeStore, jobs)
 	return b, f, jobs
 }
 
-// action uploads an action that runs a shell script.
-func (b *build) action(script string) *repb.Digest {
+// uploadAction uploads an action that runs a shell script.
+func (b *testClient) uploadAction(script string) *repb.Digest {
 	b.t.Helper()
 	command, _ := proto.Marshal(&repb.Command{Arguments: []string{"/bin/sh", "-c", script}})
 	root, _ := proto.Marshal(&repb.Directory{})
-	act, _ := proto.Marshal(&repb.Action{CommandDigest: b.blob(command), InputRootDigest: b.blob(root)})
-	return b.blob(act)
+	act, _ := proto.Marshal(&repb.Action{CommandDigest: b.uploadBlob(command), InputRootDigest: b.uploadBlob(root)})
+	return b.uploadBlob(act)
 }
 
-// result records the result of an execution, as if a worker had reported it.
-func (f *FrontEnd) result(t *testing.T, action *repb.Digest) {
+// recordTestResult records the result of an execution, as if a worker had reported it.
+func (f *FrontEnd) recordTestResult(t *testing.T, action *repb.Digest) {
 	t.Helper()
 	entry := &ManifestEntry{Execution: executionKey(digestOf(action), ""), Hash: action.Hash, Size: action.SizeBytes}
 	if first, err := f.RecordResult(context.Background(), "", "red", entry, &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{Worker: "m-1"}}, true); err != nil || !first {
@@ -124,9 +124,9 @@
 // the id of the ended job would wait forever.
 func TestResubmissionAfterJobEnded(t *testing.T) {
 	for _, state := range []string{protocol.StatusCancelled, protocol.StatusDone} {
-		b, f, jobs := startExecuting(t, oneTeam)
+		b, f, jobs := startExecuting(t, twoTeams)
 		b = b.as("Bearer anna")
-		action := b.action("true")
+		action := b.uploadAction("true")
 		first := executeAt(t, b, action)
 		sub := <-jobs.submitted
 		jobs.mu.Lock()
@@ -147,7 +147,7 @@
 				return false
 			}
 		})
-		f.result(t, action)
+		f.recordTestResult(t, action)
 		for {
 			op, err := second.stream.Recv()
 			if err != nil {
@@ -164,9 +164,9 @@
 // token of a disconnected client expires, its job is still cancelled. In both cases the front
 // end acts on behalf of the client with its own rights.
 func TestExpiredCredentials(t *testing.T) {
-	b, f, jobs := startExecuting(t, oneTeam)
+	b, f, jobs := startExecuting(t, twoTeams)
 	b = b.as("Bearer anna")
-	action := b.action("true")
+	action := b.uploadAction("true")
 	s, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{ActionDigest: action})
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 	if op, err := s.Recv(); err != nil || op.GetDone() {
 		t.Fatalf("first message of the execution: %v, %v", op, err)
 	}
-	jobs.end("Bearer anna")
+	jobs.expire("Bearer anna")
 	for deadline := time.Now().Add(20 * time.Second); !jobs.called("status as certificate person/anna"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("status was not requested on behalf of the client; calls: %q", jobs.calls)
@@ -192,7 +192,7 @@
 	if uses > 1 {
 		t.Errorf("an expired token was used %d times", uses)
 	}
-	f.result(t, action)
+	f.recordTestResult(t, action)
 	for {
 		op, err := s.Recv()
 		if err != nil {
@@ -204,16 +204,16 @@
 	}
 	// The job of a client that disconnects and whose token expires is cancelled.
 	ctx, cancel := context.WithCancel(b.ctx)
-	ben := (&build{b.t, ctx, b.cas, b.ac, b.bytes, b.conn}).as("Bearer ben")
+	ben := (&testClient{b.t, ctx, b.cas, b.ac, b.bytes, b.conn}).as("Bearer ben")
 	ben.ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs("authorization", "Bearer ben"))
-	if s, err = repb.NewExecutionClient(b.conn).Execute(ben.ctx, &repb.ExecuteRequest{ActionDigest: ben.action("false")}); err == nil {
+	if s, err = repb.NewExecutionClient(b.conn).Execute(ben.ctx, &repb.ExecuteRequest{ActionDigest: ben.uploadAction("false")}); err == nil {
 		_, err = s.Recv()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	jobs.end("Bearer ben")
+	jobs.expire("Bearer ben")
 	go f.Sweep(b.ctx, 200*time.Millisecond)
 	for deadline := time.Now().Add(20 * time.Second); !jobs.called("withdraw as certificate person/ben"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -225,8 +225,8 @@
 // An authorization header can't impersonate a verified certificate. A verified certificate is
 // used if the client sends no header.
 func TestCredentials(t *testing.T) {
-	config := oneTeam
-	config.Certified = func(context.Context) string { return "person/carl" }
+	config := twoTeams
+	config.CertificateName = func(context.Context) string { return "person/carl" }
 	b, _, jobs := startExecuting(t, config)
 	for header, want := range map[string]string{
 		"":                        "submit as certificate person/carl",
@@ -237,7 +237,7 @@
 		if header != "" {
 			c = b.as(header)
 		}
-		s, err := repb.NewExecutionClient(b.conn).Execute(c.ctx, &repb.ExecuteRequest{ActionDigest: c.action(header)})
+		s, err := repb.NewExecutionClient(b.conn).Execute(c.ctx, &repb.ExecuteRequest{ActionDigest: c.uploadAction(header)})
 		if err == nil {
 			_, err = s.Recv()
 		}
@@ -251,8 +251,8 @@
 // excess actions are rejected with a retry delay. An action stops using the quota when its
 // job is submitted.
 func TestWaitingActionsAreShared(t *testing.T) {
-	config := oneTeam
-	ledger, err := admission.NewLedger(100, 60, []string{"red", "blue"}, nil)
+	config := twoTeams
+	ledger, err := admission.NewQuotaPool(100, 60, []string{"red", "blue"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 	b = b.as("Bearer flood")
 	var actions []*repb.Digest
 	for i := range 120 {
-		actions = append(actions, b.action(fmt.Sprint(i)))
+		actions = append(actions, b.uploadAction(fmt.Sprint(i)))
 	}
 	var mu sync.Mutex
 	got := map[codes.Code]int{}
--- a/internal/reapi/frontend.go
+++ b/internal/reapi/frontend.go
@@ -33,12 +33,12 @@
 // Limits of messages, in bytes unless stated otherwise. A batch and its message framing must
 // fit into gRPC's default limit of 4 MiB, which clients assume.
 const (
-	maxMessageBytes    = 4 << 20
-	maxBatchBytes      = maxMessageBytes - 64<<10
-	maxDigests         = 50_000 // in one call or tree
-	chunkSize          = 256 << 10
-	maxTreeNode        = 4 << 20
-	maxPageDirectories = 1000 // directories
+	maxMessageBytes     = 4 << 20
+	maxBatchBytes       = maxMessageBytes - 64<<10
+	maxDigests          = 50_000 // in one call or tree
+	chunkSize           = 256 << 10
+	maxMessageBlobBytes = 4 << 20
+	maxPageDirectories  = 1000 // directories
 )
 
 // Limits of calls.
@@ -79,23 +79,23 @@
 	MaxBlob int64
 	// Class is the class of the jobs that execute actions.
 	Class string
-	// Self is the address at which the peers reach this front end.
-	Self string
+	// SelfAddr is the address at which the peers reach this front end.
+	SelfAddr string
 	// Grace is how long a peer that does not answer is assumed to be restarting. After that,
 	// the next peer replaces it as the primary of executions. 0 means defaultGrace.
 	Grace time.Duration
-	// GatherFor is how long a batch collects actions before it is submitted as a job, and
-	// GatherMost the maximum number of its actions.
-	GatherFor  time.Duration
-	GatherMost int
+	// BatchDelay is how long a batch collects actions before it is submitted as a job, and
+	// MaxBatchActions the maximum number of its actions.
+	BatchDelay      time.Duration
+	MaxBatchActions int
 	// Shares are the resources that teams and clients share fairly.
 	Shares Shares
 	// IsPeer verifies that a call marked as a peer's comes from a peer. If it is nil, no call
 	// is treated as a peer's.
 	IsPeer func(ctx context.Context) bool
-	// Certified returns the name in a client's verified certificate, or "" if the client has
+	// CertificateName returns the name in a client's verified certificate, or "" if the client has
 	// none. If Certified is nil, certificates are not used.
-	Certified func(ctx context.Context) string
+	CertificateName func(ctx context.Context) string
 	// IsWorker verifies that a call marked as a worker's comes from a worker. If it is nil, no
 	// call is treated as a worker's.
 	IsWorker func(ctx context.Context) bool
@@ -120,11 +120,11 @@
 	// jobs is nil if this front end does not execute actions.
 	jobs       Jobs
 	executions executions
-	// recording serializes the recording of results of the same execution. The locks are
+	// recordLocks serializes the recording of results of the same execution. The locks are
 	// striped by the hash of the execution: recording calls peers, and a peer that does not
 	// answer must not delay the results of all executions.
-	recording [256]sync.Mutex
-	discarded atomic.Int64
+	recordLocks      [256]sync.Mutex
+	discardedResults atomic.Int64
 	// repairer verifies and restores the stored blobs; nil until Repair is called.
 	repairer atomic.Pointer[repair.Repairer]
 }
@@ -197,9 +197,9 @@
 	}
 }
 
-// space authorizes a call, acquires its slot, and returns the namespace of the instance's
+// authorize authorizes a call, acquires its slot, and returns the namespace of the instance's
 // blobs, which is the name of its team.
-func (f *FrontEnd) space(ctx context.Context, instance, verb string) (string, error) {
+func (f *FrontEnd) authorize(ctx context.Context, instance, verb string) (string, error) {
 	team, ok := f.config.Instances[instance]
 	if !ok {
 		return "", status.Errorf(codes.InvalidArgument, "there is no instance %q", clip(instance))
@@ -242,7 +242,7 @@
 				f.cancelAbandonedJobs(ctx, linger)
 			}
 			f.uploads.sweep(time.Now())
-			f.store.Expire(time.Now().Add(-resumeWindow))
+			f.store.ExpireUploads(time.Now().Add(-resumeWindow))
 		case <-ctx.Done():
 			return
 		}
--- a/internal/reapi/frontend_test.go
+++ b/internal/reapi/frontend_test.go
@@ -43,8 +43,8 @@
 	return credential, nil
 }
 
-// build is a fake build tool: a client of a front end.
-type build struct {
+// testClient is a fake build tool: a client of a front end.
+type testClient struct {
 	t     *testing.T
 	ctx   context.Context
 	cas   repb.ContentAddressableStorageClient
@@ -53,9 +53,9 @@
 	conn  *grpc.ClientConn
 }
 
-// start starts a front end on loopback that does not execute actions. It returns a client of
+// startFrontEnd starts a front end on loopback that does not execute actions. It returns a client of
 // the front end, and its blob store.
-func start(t *testing.T, config Config, access Access, opt blobstore.Options) (*build, *blobstore.Store) {
+func startFrontEnd(t *testing.T, config Config, access Access, opt blobstore.Options) (*testClient, *blobstore.Store) {
 	t.Helper()
 	b, f := startWithJobs(t, config, access, opt, nil)
 	return b, f.store
@@ -63,7 +63,7 @@
 
 // startWithJobs starts a front end on loopback that submits actions to jobs. It returns a
 // client of the front end.
-func startWithJobs(t *testing.T, config Config, access Access, opt blobstore.Options, jobs Jobs) (*build, *FrontEnd) {
+func startWithJobs(t *testing.T, config Config, access Access, opt blobstore.Options, jobs Jobs) (*testClient, *FrontEnd) {
 	t.Helper()
 	dir := t.TempDir()
 	store, _, err := blobstore.Open(filepath.Join(dir, "content"), opt)
@@ -90,27 +90,27 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
-	return &build{t, ctx, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bytestream.NewByteStreamClient(conn), conn}, f
+	return &testClient{t, ctx, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bytestream.NewByteStreamClient(conn), conn}, f
 }
 
-func (b *build) as(credential string) *build {
+func (b *testClient) as(credential string) *testClient {
 	c := *b
 	c.ctx = metadata.AppendToOutgoingContext(b.ctx, "authorization", credential)
 	return &c
 }
 
 var (
-	oneTeam = Config{Instances: map[string]string{"": "red", "a/b": "blue"}, ClientResults: true, GatherFor: 50 * time.Millisecond, GatherMost: 256}
-	roomy   = blobstore.Options{MaxBytes: 64 << 20, MaxBlob: 32 << 20, Retention: time.Minute}
+	twoTeams   = Config{Instances: map[string]string{"": "red", "a/b": "blue"}, ClientResults: true, BatchDelay: 50 * time.Millisecond, MaxBatchActions: 256}
+	largeStore = blobstore.Options{MaxBytes: 64 << 20, MaxBlob: 32 << 20, Retention: time.Minute}
 )
 
-func random(n int) []byte {
+func randomBytes(n int) []byte {
 	data := make([]byte, n)
 	_, _ = rand.Read(data)
 	return data
 }
 
-func (b *build) code(err error, want codes.Code) {
+func (b *testClient) wantCode(err error, want codes.Code) {
 	b.t.Helper()
 	if status.Code(err) != want {
 		b.t.Errorf("got %v, want %s", err, want)
@@ -119,7 +119,7 @@
 
 // upload writes data with ByteStream.Write, in messages of the given size, and returns the
 // committed size.
-func (b *build) upload(name string, data []byte, offset int64, messageSize int, finish bool) (int64, error) {
+func (b *testClient) upload(name string, data []byte, offset int64, messageSize int, finish bool) (int64, error) {
 	w, err := b.bytes.Write(b.ctx)
 	if err != nil {
 		return 0, err
@@ -140,13 +140,13 @@
 	return resp.GetCommittedSize(), err
 }
 
-func (b *build) download(name string, offset, limit int64) ([]byte, error) {
+func (b *testClient) download(name string, offset, limit int64) ([]byte, error) {
 	var out bytes.Buffer
 	err := b.downloadTo(&out, name, offset, limit)
 	return out.Bytes(), err
 }
 
-func (b *build) downloadTo(w io.Writer, name string, offset, limit int64) error {
+func (b *testClient) downloadTo(w io.Writer, name string, offset, limit int64) error {
 	r, err := b.bytes.Read(b.ctx, &bytestream.ReadRequest{ResourceName: name, ReadOffset: offset, ReadLimit: limit})
 	if err != nil {
 		return err
@@ -171,8 +171,8 @@
 }
 
 func TestByteStream(t *testing.T) {
-	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
-	data := bytes.Repeat(random(1000), 3000)
+	b, _ := startFrontEnd(t, twoTeams, OpenAccess{}, largeStore)
+	data := bytes.Repeat(randomBytes(1000), 3000)
 	d := blobstore.Of(data)
 	if n, err := b.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil || n != d.Size {
 		t.Fatalf("upload: %d bytes committed, %v", n, err)
@@ -208,7 +208,7 @@
 		t.Errorf("download after a compressed upload: %d bytes, %v", len(got), err)
 	}
 	_, err = b.download("blobs/"+o.String(), 0, 0) // the blob belongs to the other team
-	b.code(err, codes.NotFound)
+	b.wantCode(err, codes.NotFound)
 	for name, want := range map[string]codes.Code{
 		"blobs/" + d.Hash + "/1": codes.NotFound, "blobs/xyz/1": codes.InvalidArgument, "blobs/" + d.Hash: codes.InvalidArgument,
 		"blobs/" + d.Hash + "/01": codes.InvalidArgument, "nowhere/blobs/" + d.String(): codes.InvalidArgument, "": codes.InvalidArgument,
@@ -221,17 +221,17 @@
 		}
 	}
 	_, err = b.download("blobs/"+d.String(), d.Size+1, 0)
-	b.code(err, codes.OutOfRange)
+	b.wantCode(err, codes.OutOfRange)
 	_, err = b.download("compressed-blobs/zstd/"+d.String(), 0, 5)
-	b.code(err, codes.InvalidArgument)
+	b.wantCode(err, codes.InvalidArgument)
 }
 
 // An interrupted write can be resumed at its offset. A write whose data does not match its
 // digest is rejected and uses no space afterwards.
 func TestInterruptedAndInvalidWrites(t *testing.T) {
-	b, store := start(t, oneTeam, OpenAccess{}, roomy)
+	b, store := startFrontEnd(t, twoTeams, OpenAccess{}, largeStore)
 	for _, compressed := range []bool{false, true} {
-		data := random(900_000)
+		data := randomBytes(900_000)
 		d := blobstore.Of(data)
 		sent, kind := data, "blobs/"
 		if compressed {
@@ -239,13 +239,13 @@
 		}
 		name := "uploads/broken/" + kind + d.String()
 		_, err := b.upload(name, sent[:300_000], 0, 64_000, false)
-		b.code(err, codes.InvalidArgument) // ended without being finished
+		b.wantCode(err, codes.InvalidArgument) // ended without being finished
 		st, err := b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 		if err != nil || st.CommittedSize != 300_000 || st.Complete {
 			t.Fatalf("status of the interrupted write: %v, %v", st, err)
 		}
 		_, err = b.upload(name, sent[100:], 100, 64_000, true)
-		b.code(err, codes.InvalidArgument) // the offset differs from the number of bytes received
+		b.wantCode(err, codes.InvalidArgument) // the offset differs from the number of bytes received
 		if n, err := b.upload(name, sent[300_000:], 300_000, 64_000, true); err != nil || n != int64(len(sent)) {
 			t.Fatalf("resumed write (compressed %v): %d bytes committed, %v", compressed, n, err)
 		}
@@ -258,16 +258,16 @@
 		}
 	}
 	before := store.Stats().Bytes
-	mismatched := blobstore.Of(random(5000))
+	mismatched := blobstore.Of(randomBytes(5000))
 	for name, data := range map[string][]byte{
-		"uploads/l1/blobs/" + mismatched.String():                             random(5000),
-		"uploads/l2/blobs/" + mismatched.String():                             random(5001),
-		"uploads/l3/blobs/" + mismatched.String():                             random(10),
-		"uploads/l4/compressed-blobs/zstd/" + mismatched.String():             random(5000),
-		"uploads/l5/compressed-blobs/zstd/" + mismatched.String():             compressZstd(random(5000)),
+		"uploads/l1/blobs/" + mismatched.String():                             randomBytes(5000),
+		"uploads/l2/blobs/" + mismatched.String():                             randomBytes(5001),
+		"uploads/l3/blobs/" + mismatched.String():                             randomBytes(10),
+		"uploads/l4/compressed-blobs/zstd/" + mismatched.String():             randomBytes(5000),
+		"uploads/l5/compressed-blobs/zstd/" + mismatched.String():             compressZstd(randomBytes(5000)),
 		"uploads/l6/compressed-blobs/zstd/" + mismatched.String():             compressZstd(make([]byte, 30<<20)), // a decompression bomb
-		"uploads/l7/compressed-blobs/zstd/" + mismatched.String():             compressZstd(random(5000))[:2000],
-		"uploads/l8/blobs/" + blobstore.Of(nil).Hash[:63] + "0/" + "40000000": random(10), // larger than the store accepts
+		"uploads/l7/compressed-blobs/zstd/" + mismatched.String():             compressZstd(randomBytes(5000))[:2000],
+		"uploads/l8/blobs/" + blobstore.Of(nil).Hash[:63] + "0/" + "40000000": randomBytes(10), // larger than the store accepts
 	} {
 		_, err := b.upload(name, data, 0, 1000, true)
 		if status.Code(err) != codes.InvalidArgument {
@@ -282,12 +282,12 @@
 }
 
 func TestBatches(t *testing.T) {
-	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
-	good, compressible, mismatched := random(1000), bytes.Repeat([]byte("a"), 2000), random(10)
+	b, _ := startFrontEnd(t, twoTeams, OpenAccess{}, largeStore)
+	good, compressible, mismatched := randomBytes(1000), bytes.Repeat([]byte("a"), 2000), randomBytes(10)
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{
 		{Digest: digestToProto(blobstore.Of(good)), Data: good},
 		{Digest: digestToProto(blobstore.Of(compressible)), Data: compressZstd(compressible), Compressor: repb.Compressor_ZSTD},
-		{Digest: digestToProto(blobstore.Of(mismatched)), Data: random(10)},
+		{Digest: digestToProto(blobstore.Of(mismatched)), Data: randomBytes(10)},
 		{Digest: digestToProto(blobstore.Of(mismatched)), Data: compressZstd(make([]byte, 20<<20)), Compressor: repb.Compressor_ZSTD},
 		{Digest: digestToProto(blobstore.Of(mismatched)), Data: mismatched, Compressor: repb.Compressor_BROTLI},
 		{Data: nil},
@@ -315,25 +315,25 @@
 		t.Errorf("missing blobs: %v, %v", miss, err)
 	}
 	_, err = b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{{Hash: blobstore.Empty.Hash, SizeBytes: 5 << 20}}})
-	b.code(err, codes.InvalidArgument)
+	b.wantCode(err, codes.InvalidArgument)
 	_, err = b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{DigestFunction: repb.DigestFunction_MD5})
-	b.code(err, codes.InvalidArgument)
-	big := random(maxMessageBytes + 1)
+	b.wantCode(err, codes.InvalidArgument)
+	big := randomBytes(maxMessageBytes + 1)
 	_, err = b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: digestToProto(blobstore.Of(big)), Data: big}}})
-	b.code(err, codes.ResourceExhausted) // rejected by gRPC's limit on the message size
+	b.wantCode(err, codes.ResourceExhausted) // rejected by gRPC's limit on the message size
 }
 
 // uploadMessage uploads a protobuf message and returns its digest.
-func (b *build) uploadMessage(m proto.Message) *repb.Digest {
+func (b *testClient) uploadMessage(m proto.Message) *repb.Digest {
 	b.t.Helper()
 	raw, err := proto.Marshal(m)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	return b.blob(raw)
+	return b.uploadBlob(raw)
 }
 
-func (b *build) blob(raw []byte) *repb.Digest {
+func (b *testClient) uploadBlob(raw []byte) *repb.Digest {
 	b.t.Helper()
 	d := digestToProto(blobstore.Of(raw))
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: d, Data: raw}}})
@@ -344,7 +344,7 @@
 }
 
 func TestGetTree(t *testing.T) {
-	b, _ := start(t, oneTeam, OpenAccess{}, roomy)
+	b, _ := startFrontEnd(t, twoTeams, OpenAccess{}, largeStore)
 	leaf := b.uploadMessage(&repb.Directory{Files: []*repb.FileNode{{Name: "f"}}})
 	var mids []*repb.DirectoryNode
 	for i := range 25 {
@@ -387,23 +387,23 @@
 		t.Errorf("walk from the third page token: %d directories are not the remaining ones: %v", len(rest), err)
 	}
 	_, _, err = walk(4, "x")
-	b.code(err, codes.InvalidArgument)
-	missing := b.uploadMessage(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "x", Digest: digestToProto(blobstore.Of(random(5)))}}})
+	b.wantCode(err, codes.InvalidArgument)
+	missing := b.uploadMessage(&repb.Directory{Directories: []*repb.DirectoryNode{{Name: "x", Digest: digestToProto(blobstore.Of(randomBytes(5)))}}})
 	s, err := b.cas.GetTree(b.ctx, &repb.GetTreeRequest{RootDigest: missing})
 	if err == nil {
 		for err == nil {
 			_, err = s.Recv()
 		}
 	}
-	b.code(err, codes.NotFound)
+	b.wantCode(err, codes.NotFound)
 }
 
 // A result is returned only if all blobs that it references exist. A second result replaces
 // the first only if a blob of the first is lost.
 func TestActionCache(t *testing.T) {
-	b, store := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 100_000, MaxBlob: 50_000})
+	b, store := startFrontEnd(t, twoTeams, OpenAccess{}, blobstore.Options{MaxBytes: 100_000, MaxBlob: 50_000})
 	action := digestToProto(blobstore.Of([]byte("action")))
-	out, inTree := b.blob(random(3000)), b.blob(random(1000))
+	out, inTree := b.uploadBlob(randomBytes(3000)), b.uploadBlob(randomBytes(1000))
 	tree := b.uploadMessage(&repb.Tree{Root: &repb.Directory{Files: []*repb.FileNode{{Name: "f", Digest: inTree}}}})
 	result := &repb.ActionResult{ExitCode: 3, OutputFiles: []*repb.OutputFile{{Path: "o", Digest: out}}, OutputDirectories: []*repb.OutputDirectory{{Path: "d", TreeDigest: tree}}}
 	get := func() (*repb.ActionResult, error) {
@@ -413,11 +413,11 @@
 		return b.ac.UpdateActionResult(b.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: r})
 	}
 	_, err := get()
-	b.code(err, codes.NotFound)
-	_, err = update(&repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: digestToProto(blobstore.Of(random(7)))}}})
-	b.code(err, codes.FailedPrecondition)
+	b.wantCode(err, codes.NotFound)
+	_, err = update(&repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: digestToProto(blobstore.Of(randomBytes(7)))}}})
+	b.wantCode(err, codes.FailedPrecondition)
 	_, err = update(nil)
-	b.code(err, codes.InvalidArgument)
+	b.wantCode(err, codes.InvalidArgument)
 	if _, err := update(result); err != nil {
 		t.Fatal(err)
 	}
@@ -428,22 +428,22 @@
 		t.Errorf("a second result replaced the first: %v, %v", got, err)
 	}
 	_, err = b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{InstanceName: "a/b", ActionDigest: action})
-	b.code(err, codes.NotFound) // the result belongs to the other team
+	b.wantCode(err, codes.NotFound) // the result belongs to the other team
 	// Uploads evict the file in the tree, while the other blobs of the result stay in use.
 	for range 20 { // exceeds the capacity of the store
-		b.blob(random(10_000))
-		store.Missing("red", []blobstore.Digest{digestOf(out), digestOf(tree)})
+		b.uploadBlob(randomBytes(10_000))
+		store.FindMissing("red", []blobstore.Digest{digestOf(out), digestOf(tree)})
 	}
 	_, err = get()
-	b.code(err, codes.NotFound)
+	b.wantCode(err, codes.NotFound)
 	if got, err := update(&repb.ActionResult{ExitCode: 4}); err != nil || got.ExitCode != 4 {
 		t.Errorf("a result with lost outputs was not replaced: %v, %v", got, err)
 	}
-	noClientResults := oneTeam
+	noClientResults := twoTeams
 	noClientResults.ClientResults = false
-	b2, _ := start(t, noClientResults, OpenAccess{}, roomy)
+	b2, _ := startFrontEnd(t, noClientResults, OpenAccess{}, largeStore)
 	_, err = b2.ac.UpdateActionResult(b2.ctx, &repb.UpdateActionResultRequest{ActionDigest: action, ActionResult: result})
-	b2.code(err, codes.PermissionDenied)
+	b2.wantCode(err, codes.PermissionDenied)
 	caps, err := repb.NewCapabilitiesClient(b2.conn).GetCapabilities(b2.ctx, &repb.GetCapabilitiesRequest{})
 	if err != nil || caps.CacheCapabilities.ActionCacheUpdateCapabilities.UpdateEnabled || caps.ExecutionCapabilities.GetExecEnabled() {
 		t.Errorf("capabilities without client results and execution: %v, %v", caps, err)
@@ -452,12 +452,12 @@
 
 // A full store rejects writes immediately, with a retry delay.
 func TestFullStore(t *testing.T) {
-	b, _ := start(t, oneTeam, OpenAccess{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Retention: 30 * time.Second})
-	b.blob(random(8000))
-	data := random(5000)
+	b, _ := startFrontEnd(t, twoTeams, OpenAccess{}, blobstore.Options{MaxBytes: 10_000, MaxBlob: 10_000, Retention: 30 * time.Second})
+	b.uploadBlob(randomBytes(8000))
+	data := randomBytes(5000)
 	started := time.Now()
 	_, err := b.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, 1000, true)
-	b.code(err, codes.ResourceExhausted)
+	b.wantCode(err, codes.ResourceExhausted)
 	delay := time.Duration(0)
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
@@ -472,48 +472,48 @@
 // Every call is authorized, and a team's blobs are not accessible to other teams.
 func TestRights(t *testing.T) {
 	rights := rightsOf{"anna submit red": true, "anna view-arguments red": true, "bob view-arguments red": true, "eve submit blue": true, "eve view-arguments blue": true}
-	b, _ := start(t, oneTeam, rights, roomy)
-	data := random(2000)
+	b, _ := startFrontEnd(t, twoTeams, rights, largeStore)
+	data := randomBytes(2000)
 	d := digestToProto(blobstore.Of(data))
-	b.as("anna").blob(data)
-	calls := map[string]func(c *build, instance string) error{
-		"find": func(c *build, i string) error {
+	b.as("anna").uploadBlob(data)
+	calls := map[string]func(c *testClient, instance string) error{
+		"find": func(c *testClient, i string) error {
 			_, err := c.cas.FindMissingBlobs(c.ctx, &repb.FindMissingBlobsRequest{InstanceName: i, BlobDigests: []*repb.Digest{d}})
 			return err
 		},
-		"batch read": func(c *build, i string) error {
+		"batch read": func(c *testClient, i string) error {
 			_, err := c.cas.BatchReadBlobs(c.ctx, &repb.BatchReadBlobsRequest{InstanceName: i, Digests: []*repb.Digest{d}})
 			return err
 		},
-		"read": func(c *build, i string) error {
+		"read": func(c *testClient, i string) error {
 			_, err := c.download(strings.TrimPrefix(i+"/", "/")+"blobs/"+blobstore.Of(data).String(), 0, 0)
 			return err
 		},
-		"result": func(c *build, i string) error {
+		"result": func(c *testClient, i string) error {
 			_, err := c.ac.GetActionResult(c.ctx, &repb.GetActionResultRequest{InstanceName: i, ActionDigest: d})
 			return err
 		},
-		"batch update": func(c *build, i string) error {
+		"batch update": func(c *testClient, i string) error {
 			_, err := c.cas.BatchUpdateBlobs(c.ctx, &repb.BatchUpdateBlobsRequest{InstanceName: i})
 			return err
 		},
-		"write": func(c *build, i string) error {
+		"write": func(c *testClient, i string) error {
 			_, err := c.upload(strings.TrimPrefix(i+"/", "/")+"uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, 1000, true)
 			return err
 		},
-		"update": func(c *build, i string) error {
+		"update": func(c *testClient, i string) error {
 			_, err := c.ac.UpdateActionResult(c.ctx, &repb.UpdateActionResultRequest{InstanceName: i, ActionDigest: d, ActionResult: &repb.ActionResult{}})
 			return err
 		},
 	}
 	for name, call := range calls {
 		writes := name == "batch update" || name == "write" || name == "update"
-		b.code(call(b, ""), codes.Unauthenticated)
-		b.code(call(b.as("eve"), ""), codes.PermissionDenied)
-		b.code(call(b.as("anna"), "a/b"), codes.PermissionDenied)
-		b.code(call(b.as("anna"), "none"), codes.InvalidArgument)
+		b.wantCode(call(b, ""), codes.Unauthenticated)
+		b.wantCode(call(b.as("eve"), ""), codes.PermissionDenied)
+		b.wantCode(call(b.as("anna"), "a/b"), codes.PermissionDenied)
+		b.wantCode(call(b.as("anna"), "none"), codes.InvalidArgument)
 		if err := call(b.as("bob"), ""); writes {
-			b.code(err, codes.PermissionDenied)
+			b.wantCode(err, codes.PermissionDenied)
 		} else if c := status.Code(err); c != codes.OK && c != codes.NotFound {
 			t.Errorf("%s by a client that may only read: %v", name, err)
 		}
@@ -529,10 +529,10 @@
 
 // Many clients upload and download the same blobs concurrently.
 func TestManyClients(t *testing.T) {
-	b, store := start(t, oneTeam, OpenAccess{}, roomy)
+	b, store := startFrontEnd(t, twoTeams, OpenAccess{}, largeStore)
 	blobs := make([][]byte, 8)
 	for i := range blobs {
-		blobs[i] = random(50_000 * (i + 1))
+		blobs[i] = randomBytes(50_000 * (i + 1))
 	}
 	var wg sync.WaitGroup
 	for c := range 8 {
@@ -567,4 +567,4 @@
 }
 
 // digestOf converts a digest of the API to a SHA-256 digest.
-func digestOf(d *repb.Digest) blobstore.Digest { return digestIn(blobstore.SHA256, d) }
+func digestOf(d *repb.Digest) blobstore.Digest { return digestFromProto(blobstore.SHA256, d) }
--- a/internal/reapi/inputs.go
+++ b/internal/reapi/inputs.go
@@ -17,20 +17,20 @@
 // the input tree is on some front end, which pins it for the retention period.
 func (f *FrontEnd) loadAction(ctx context.Context, instance, space string, digest blobstore.Digest) (*repb.Action, *repb.Command, error) {
 	if err := digest.Check(); err != nil {
-		return nil, nil, failure(err)
+		return nil, nil, statusError(err)
 	}
 	action, command := new(repb.Action), new(repb.Command)
 	if err := f.readMessage(ctx, instance, blobstore.Key{Space: space, Digest: digest}, action); err != nil {
 		return nil, nil, err
 	}
-	commandDigest := digestIn(digest.Function, action.GetCommandDigest())
+	commandDigest := digestFromProto(digest.Function, action.GetCommandDigest())
 	if err := f.readMessage(ctx, instance, blobstore.Key{Space: space, Digest: commandDigest}, command); err != nil {
 		return nil, nil, err
 	}
 	if err := checkCommand(command); err != nil {
 		return nil, nil, err
 	}
-	if err := f.checkInputs(ctx, instance, space, digestIn(digest.Function, action.GetInputRootDigest())); err != nil {
+	if err := f.checkInputs(ctx, instance, space, digestFromProto(digest.Function, action.GetInputRootDigest())); err != nil {
 		return nil, nil, err
 	}
 	return action, command, nil
@@ -38,12 +38,12 @@
 
 // readMessage reads a blob that holds a protobuf message. Its errors are gRPC statuses.
 func (f *FrontEnd) readMessage(ctx context.Context, instance string, key blobstore.Key, message proto.Message) error {
-	raw, err := f.read(ctx, instance, key, maxTreeNode)
+	raw, err := f.read(ctx, instance, key, maxMessageBlobBytes)
 	if errors.Is(err, blobstore.ErrNotFound) {
 		return missingBlobs([]blobstore.Digest{key.Digest})
 	}
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	if err := proto.Unmarshal(raw, message); err != nil {
 		return status.Errorf(codes.InvalidArgument, "blob %s is no %s", key.Digest, message.ProtoReflect().Descriptor().Name())
@@ -57,7 +57,7 @@
 	var files, missing []blobstore.Digest
 	collect := func(_ blobstore.Digest, directory *repb.Directory) error {
 		for _, file := range directory.GetFiles() {
-			files = append(files, digestIn(root.Function, file.GetDigest()))
+			files = append(files, digestFromProto(root.Function, file.GetDigest()))
 		}
 		if len(files) > maxDigests {
 			return status.Errorf(codes.InvalidArgument, "the input root has more than %d files", maxDigests)
@@ -66,7 +66,7 @@
 	}
 	addMissing := func(digest blobstore.Digest) { missing = append(missing, digest) }
 	if err := f.walkDirectories(ctx, instance, space, root, collect, addMissing); err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	missing = append(missing, f.missing(ctx, instance, space, files)...)
 	if len(missing) > 0 {
@@ -92,12 +92,12 @@
 		}
 	}
 	for _, file := range directory.GetFiles() {
-		if err := errors.Join(checkNode(file.GetName()), digestIn(blobstore.SHA256, file.GetDigest()).Check()); err != nil {
+		if err := errors.Join(checkNode(file.GetName()), digestFromProto(blobstore.SHA256, file.GetDigest()).Check()); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
 	for _, child := range directory.GetDirectories() {
-		if err := errors.Join(checkNode(child.GetName()), digestIn(blobstore.SHA256, child.GetDigest()).Check()); err != nil {
+		if err := errors.Join(checkNode(child.GetName()), digestFromProto(blobstore.SHA256, child.GetDigest()).Check()); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
--- a/internal/reapi/inspection.go
+++ b/internal/reapi/inspection.go
@@ -88,10 +88,10 @@
 		Corrupt:          stats.Corrupt,
 		Jobs:             jobs,
 		Actions:          actions,
-		Discarded:        f.Discarded(),
-		CallsInside:      int64(calls.Inside),
+		Discarded:        f.DiscardedResults(),
+		CallsInside:      int64(calls.Active),
 		CallsRefused:     calls.Refused,
-		TransfersInside:  int64(transfers.Inside),
+		TransfersInside:  int64(transfers.Active),
 		TransfersRefused: transfers.Refused,
 	}
 	if f.peers != nil {
@@ -102,12 +102,12 @@
 		totals.Repair = &inspection.Repair{
 			Pass:     int64(progress.Pass),
 			Done:     int64(progress.Done),
-			Of:       int64(progress.Of),
-			Read:     progress.Read,
+			Of:       int64(progress.Total),
+			Read:     progress.Verified,
 			Corrupt:  progress.Corrupt,
 			Restored: progress.Restored,
 			Copied:   progress.Copied,
-			Short:    progress.Short,
+			Short:    progress.UnderReplicated,
 			Gone:     progress.Gone,
 		}
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if t.space, err = f.space(ctx, t.instance, verbView); err != nil {
+	if t.space, err = f.authorize(ctx, t.instance, verbView); err != nil {
 		return nil, err
 	}
 	reply := &inspection.ActionReply{State: stateUnknown, WaitsFor: "nothing is noted of it here or at a front end that answers"}
@@ -190,7 +190,7 @@
 		}
 	}
 	if err := digest.Check(); err != nil {
-		return nil, failure(err)
+		return nil, statusError(err)
 	}
 	return &task{instance: req.GetInstance(), entry: *entryOf(executionKey(digest, ""), digest)}, nil
 }
@@ -203,7 +203,7 @@
 	running := f.executions.running[t.key()]
 	if running != nil {
 		select {
-		case <-running.placed:
+		case <-running.assigned:
 			t.job, t.index = running.job, running.index
 		default:
 			waiting = true
--- a/internal/reapi/inspection_test.go
+++ b/internal/reapi/inspection_test.go
@@ -17,13 +17,13 @@
 // they could be derived.
 func TestInspectionShowsOwnTeamsOnly(t *testing.T) {
 	rights := rightsOf{"anna view red": true, "anna view-arguments red": true, "anna submit red": true, "root view red": true, "root view blue": true}
-	b, _ := start(t, oneTeam, rights, roomy)
+	b, _ := startFrontEnd(t, twoTeams, rights, largeStore)
 	anna := b.as("anna")
-	data := random(5000)
+	data := randomBytes(5000)
 	if _, err := anna.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, chunkSize, true); err != nil {
 		t.Fatal(err)
 	}
-	getStore := func(c *build) (*inspection.StoreReply, error) {
+	getStore := func(c *testClient) (*inspection.StoreReply, error) {
 		return inspection.NewInspectionClient(b.conn).GetStore(c.ctx, &inspection.StoreRequest{})
 	}
 	got, err := getStore(anna)
@@ -31,20 +31,20 @@
 		t.Errorf("GetStore as a viewer of team red = %v, %v; want team red with 5000 bytes and no totals", got, err)
 	}
 	got, err = getStore(b.as("root"))
-	if err != nil || len(got.Teams) != 2 || got.Totals.GetBytes() != 5000 || got.Totals.GetMaxBytes() != roomy.MaxBytes {
+	if err != nil || len(got.Teams) != 2 || got.Totals.GetBytes() != 5000 || got.Totals.GetMaxBytes() != largeStore.MaxBytes {
 		t.Errorf("GetStore as a viewer of all teams = %v, %v; want two teams and totals of 5000 bytes", got, err)
 	}
 	_, err = getStore(b.as("ben"))
-	b.code(err, codes.PermissionDenied)
+	b.wantCode(err, codes.PermissionDenied)
 	_, err = getStore(b)
-	b.code(err, codes.Unauthenticated)
+	b.wantCode(err, codes.Unauthenticated)
 }
 
 // GetAction reports the state of an action at every stage, by operation name and by digest.
 func TestInspectionOfActions(t *testing.T) {
-	b, f, jobs := startExecuting(t, oneTeam)
+	b, f, jobs := startExecuting(t, twoTeams)
 	b = b.as("Bearer anna")
-	action := b.action("true")
+	action := b.uploadAction("true")
 	getAction := func(req *inspection.ActionRequest) *inspection.ActionReply {
 		t.Helper()
 		r, err := inspection.NewInspectionClient(b.conn).GetAction(b.ctx, req)
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	f.result(t, action)
+	f.recordTestResult(t, action)
 	if r := getAction(byDigest); r.State != "done" || !r.Cached || r.Result.GetWorker() != "m-1" || r.WaitsFor != "" {
 		t.Errorf("GetAction after execution = %v, want state done with the cached result", r)
 	}
--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -222,7 +222,7 @@
 func (f *FrontEnd) cancelAbandoned(ctx context.Context, job string, interest jobInterest) {
 	// Cancelling a job that is done has no effect.
 	err := f.withCredential(&interest.credential, interest.client, func(credential string) error {
-		return f.jobs.Withdraw(ctx, credential, job)
+		return f.jobs.Cancel(ctx, credential, job)
 	})
 	var refusal *client.Refusal
 	if err != nil && !errors.As(err, &refusal) {
--- a/internal/reapi/interest_test.go
+++ b/internal/reapi/interest_test.go
@@ -25,7 +25,7 @@
 }
 
 // executeAt executes an action at a front end and returns once the operation has started.
-func executeAt(t *testing.T, b *build, action *repb.Digest) *waitingClient {
+func executeAt(t *testing.T, b *testClient, action *repb.Digest) *waitingClient {
 	t.Helper()
 	ctx, cancel := context.WithCancel(b.ctx)
 	s, err := repb.NewExecutionClient(b.conn).Execute(ctx, &repb.ExecuteRequest{ActionDigest: action})
@@ -40,7 +40,7 @@
 }
 
 // waitAt waits for an operation at a front end.
-func waitAt(t *testing.T, b *build, name string) *waitingClient {
+func waitAt(t *testing.T, b *testClient, name string) *waitingClient {
 	t.Helper()
 	ctx, cancel := context.WithCancel(b.ctx)
 	s, err := repb.NewExecutionClient(b.conn).WaitExecution(ctx, &repb.WaitExecutionRequest{Name: name})
@@ -54,7 +54,7 @@
 }
 
 // cancelled reports whether the job of an operation was cancelled.
-func (j *scriptedJobs) cancelled(operation string) bool {
+func (j *fakeJobs) cancelled(operation string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.states[strings.Split(operation, "/")[1]] == protocol.StatusCancelled
@@ -83,7 +83,7 @@
 // A job is cancelled after its last client has left, whichever front end that client used, and
 // even if that front end failed before.
 func TestInterestLeases(t *testing.T) {
-	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 100)}
+	jobs := &fakeJobs{expired: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 100)}
 	s := startGroupWith(t, 3, 2, jobs)
 	for _, f := range s.frontEnds {
 		go f.Sweep(s.clients[0].ctx, shortLinger)
@@ -92,7 +92,7 @@
 		s.clients[i] = b.as("Bearer anna")
 	}
 	// Two clients wait at different front ends and leave one after the other.
-	a := executeAt(t, s.clients[0], s.clients[0].action("one"))
+	a := executeAt(t, s.clients[0], s.clients[0].uploadAction("one"))
 	b := waitAt(t, s.clients[1], a.name)
 	cancelled := func() bool { return jobs.cancelled(a.name) }
 	a.cancel()
@@ -101,13 +101,13 @@
 	eventually(t, "job cancelled after the last client left", cancelled)
 	// A front end fails and its client reconnects to another one. That one fails too, and the
 	// client does not reconnect.
-	c := executeAt(t, s.clients[0], s.clients[0].action("two"))
+	c := executeAt(t, s.clients[0], s.clients[0].uploadAction("two"))
 	cancelled = func() bool { return jobs.cancelled(c.name) }
 	time.Sleep(shortLinger) // until a peer has an interest lease
 	s.servers[0].Stop()
 	d := waitAt(t, s.clients[2], c.name)
 	never(t, "job cancelled although its client reconnected", cancelled)
-	jobs.end("Bearer anna")
+	jobs.expire("Bearer anna")
 	s.servers[2].Stop()
 	d.cancel()
 	eventually(t, "job cancelled by a peer with a lease", func() bool { return cancelled() && jobs.called("withdraw as certificate person/anna") })
@@ -115,10 +115,10 @@
 
 // Only peers may send interest leases and ask which jobs are awaited.
 func TestInterestLeasesAreForPeersOnly(t *testing.T) {
-	b, _, _ := startExecuting(t, oneTeam)
+	b, _, _ := startExecuting(t, twoTeams)
 	n := inspection.NewNeighboursClient(b.conn)
 	_, err := n.Note(b.ctx, &inspection.NoteRequest{Interests: []*inspection.Interest{{Job: "job-1", ForMs: 1}}})
-	b.code(err, codes.PermissionDenied)
+	b.wantCode(err, codes.PermissionDenied)
 	_, err = n.Wanted(b.ctx, &inspection.WantedRequest{Jobs: []string{"job-1"}})
-	b.code(err, codes.PermissionDenied)
+	b.wantCode(err, codes.PermissionDenied)
 }
--- a/internal/reapi/manifest.go
+++ b/internal/reapi/manifest.go
@@ -23,9 +23,9 @@
 type Manifest struct {
 	Instance string          `json:"instance"`
 	Tasks    []ManifestEntry `json:"tasks"`
-	// Again is a nonce that makes the job's id differ from those of earlier jobs of the same
+	// Nonce is a nonce that makes the job's id differ from those of earlier jobs of the same
 	// actions that ended without results; empty for the first job.
-	Again string `json:"again,omitempty"`
+	Nonce string `json:"again,omitempty"`
 }
 
 // ManifestEntry is the action of one task.
@@ -123,23 +123,23 @@
 // submission returns the array job that executes the actions of a manifest.
 func submission(id, team, class, image string, required requirements, tasks int) *protocol.Submission {
 	job := &protocol.Submission{
-		ID:          new(id),
-		Class:       new(class),
-		Team:        new(team),
-		Shape:       new("batch"),
-		Urgency:     new(required.urgency),
-		Tasks:       new(int64(tasks)),
-		CPUs:        new(required.cpus),
-		GPUs:        new(0.0),
-		MemGB:       new(required.memGB),
-		Image:       new(image),
-		ImageGB:     new(0.0),
-		OneZone:     new(false),
-		Spread:      new(false),
-		Spot:        new(required.spot),
-		EstimateS:   new(float64(actionEstimate)),
-		CheckpointS: new(0.0),
-		SaveS:       new(0.0),
+		ID:                  new(id),
+		Class:               new(class),
+		Team:                new(team),
+		Shape:               new("batch"),
+		Urgency:             new(required.urgency),
+		Tasks:               new(int64(tasks)),
+		CPUs:                new(required.cpus),
+		GPUs:                new(0.0),
+		MemGB:               new(required.memGB),
+		Image:               new(image),
+		ImageGB:             new(0.0),
+		OneZone:             new(false),
+		Spread:              new(false),
+		Spot:                new(required.spot),
+		EstimateS:           new(float64(actionEstimate)),
+		CheckpointIntervalS: new(0.0),
+		CheckpointDurationS: new(0.0),
 	}
 	if required.machineType != "" {
 		job.Types = []string{required.machineType}
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -37,7 +37,7 @@
 func parseOperation(name string) (*task, error) {
 	invalid := status.Errorf(codes.NotFound, "%q is no operation", clip(name))
 	parts := strings.SplitN(name, "/", operationParts)
-	if len(parts) != operationParts || parts[0] != "operations" || !protocol.ValidID(parts[1]) {
+	if len(parts) != operationParts || parts[0] != "operations" || !protocol.ValidJobID(parts[1]) {
 		return nil, invalid
 	}
 	t := &task{instance: parts[6], job: parts[1], done: make(chan struct{})}
@@ -68,7 +68,7 @@
 // action arrived.
 func operationAt(name string, action blobstore.Digest, stage repb.ExecutionStage_Value, queued time.Time) *longrunningpb.Operation {
 	op := &longrunningpb.Operation{Name: name}
-	metadata := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: digestToProto(action), DigestFunction: FunctionOnWire(action.Function)}
+	metadata := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: digestToProto(action), DigestFunction: DigestFunctionToProto(action.Function)}
 	if queued.UnixMilli() > 0 {
 		metadata.PartialExecutionMetadata = &repb.ExecutedActionMetadata{QueuedTimestamp: timestamppb.New(queued)}
 	}
--- a/internal/reapi/operationstream.go
+++ b/internal/reapi/operationstream.go
@@ -79,8 +79,8 @@
 	streamClosed                   // end the call
 )
 
-// follow streams the stages of a task to a client and ends with the result.
-func (f *FrontEnd) follow(ctx context.Context, out operationSender, t *task) error {
+// streamOperation streams the stages of a task to a client and ends with the result.
+func (f *FrontEnd) streamOperation(ctx context.Context, out operationSender, t *task) error {
 	s := &operationStream{frontEnd: f, out: out, task: t, credential: f.credential(ctx), done: t.done,
 		askPeers: true, // one may have stored the result already
 	}
@@ -152,7 +152,7 @@
 // checkJob tells the client about changes of the job's status and returns the next step.
 func (s *operationStream) checkJob(ctx context.Context) (streamStep, error) {
 	jobStatus, known, err := s.frontEnd.jobStatus(ctx, s.task.job, &s.credential, s.name)
-	if denial := denied(err); denial != nil {
+	if denial := denialStatus(err); denial != nil {
 		return streamClosed, denial
 	}
 	if !known {
@@ -199,7 +199,7 @@
 		return nil
 	case <-ctx.Done():
 	}
-	return failure(ctx.Err())
+	return statusError(ctx.Err())
 }
 
 // forgetTask removes a task whose result was read or will not arrive.
--- a/internal/reapi/peers.go
+++ b/internal/reapi/peers.go
@@ -62,7 +62,7 @@
 	for addr, conn := range conns {
 		peers.peers = append(peers.peers, &peer{
 			addr:        addr,
-			circuit:     retry.CircuitBreaker{OpenTime: peerBackoff, Who: addr},
+			circuit:     retry.CircuitBreaker{OpenTime: peerBackoff, JitterKey: addr},
 			cas:         repb.NewContentAddressableStorageClient(conn),
 			actionCache: repb.NewActionCacheClient(conn),
 			bytes:       bytestream.NewByteStreamClient(conn),
@@ -154,7 +154,7 @@
 // call makes a call to the peer and marks it as a call between front ends. If the peer does
 // not answer, its circuit breaker opens.
 func (p *peer) call(ctx context.Context, timeout time.Duration, call func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, peerMark, "1"), timeout)
+	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, peerMetadataKey, "1"), timeout)
 	defer cancel()
 	err := call(ctx)
 	if code := status.Code(err); code == codes.Unavailable || code == codes.DeadlineExceeded && ctx.Err() != nil {
@@ -166,9 +166,9 @@
 	return err
 }
 
-// timeFor returns the timeout of a call, given its usual timeout: it is shorter while the
+// effectiveTimeout returns the timeout of a call, given its usual timeout: it is shorter while the
 // peer's circuit breaker is open.
-func (p *peer) timeFor(timeout time.Duration) time.Duration {
+func (p *peer) effectiveTimeout(timeout time.Duration) time.Duration {
 	if p.circuit.Open(time.Now()) {
 		return min(timeout, openCircuitTimeout)
 	}
--- a/internal/reapi/peers_test.go
+++ b/internal/reapi/peers_test.go
@@ -26,7 +26,7 @@
 
 // group is a group of front ends that are peers of each other.
 type group struct {
-	clients   []*build
+	clients   []*testClient
 	stores    []*blobstore.Store
 	servers   []*grpc.Server
 	peers     []*Peers
@@ -63,7 +63,7 @@
 	t.Cleanup(cancel)
 	for i, l := range listeners {
 		dir := t.TempDir()
-		store, _, err := blobstore.Open(filepath.Join(dir, "content"), roomy)
+		store, _, err := blobstore.Open(filepath.Join(dir, "content"), largeStore)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,18 +77,18 @@
 				others[addr] = c
 			}
 		}
-		config := oneTeam
-		config.MaxBlob = roomy.MaxBlob
-		config.Class, config.Self = "build", l.Addr().String()
+		config := twoTeams
+		config.MaxBlob = largeStore.MaxBlob
+		config.Class, config.SelfAddr = "build", l.Addr().String()
 		config.IsPeer = func(context.Context) bool { return true }
 		peers := NewPeers(copies, others, slog.New(slog.DiscardHandler))
-		f := New(config, store, results, everyone{}, peers, jobs, slog.New(slog.DiscardHandler))
+		f := New(config, store, results, allowAll{}, peers, jobs, slog.New(slog.DiscardHandler))
 		s.frontEnds, s.dirs = append(s.frontEnds, f), append(s.dirs, dir)
 		server := f.Server()
 		go func() { _ = server.Serve(listeners[i]) }()
 		t.Cleanup(func() { server.Stop(); _ = store.Close() })
 		conn := conns[l.Addr().String()]
-		s.clients = append(s.clients, &build{t, ctx, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bytestream.NewByteStreamClient(conn), conn})
+		s.clients = append(s.clients, &testClient{t, ctx, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bytestream.NewByteStreamClient(conn), conn})
 		s.stores, s.servers, s.peers = append(s.stores, store), append(s.servers, server), append(s.peers, peers)
 	}
 	return &s
@@ -98,8 +98,8 @@
 func TestReadThroughPeers(t *testing.T) {
 	s := startGroup(t, 3, 1)
 	a, c := s.clients[0], s.clients[2]
-	small, large := random(1000), random(3_000_000)
-	d := a.blob(small)
+	small, large := randomBytes(1000), randomBytes(3_000_000)
+	d := a.uploadBlob(small)
 	if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(large).String(), large, 0, 500_000, true); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	if got, err := c.ac.GetActionResult(c.ctx, &repb.GetActionResultRequest{ActionDigest: action}); err != nil || !proto.Equal(got, result) {
 		t.Errorf("result read through a peer = %v, %v; want %v", got, err, result)
 	}
-	nowhere := digestToProto(blobstore.Of(random(10)))
+	nowhere := digestToProto(blobstore.Of(randomBytes(10)))
 	miss, err := c.cas.FindMissingBlobs(c.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{d, digestToProto(blobstore.Of(large)), nowhere}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != nowhere.Hash {
 		t.Errorf("missing blobs = %v, %v; want only %v", miss, err, nowhere)
@@ -126,11 +126,11 @@
 		t.Errorf("small blob read through a peer = %v, %v; want its data", got, err)
 	}
 	_, err = c.download("blobs/"+digestOf(nowhere).String(), 0, 0)
-	c.code(err, codes.NotFound)
+	c.wantCode(err, codes.NotFound)
 	// A call marked as a peer's is answered from the front end's own store.
-	mark := &build{c.t, metadata.AppendToOutgoingContext(c.ctx, peerMark, "1"), c.cas, c.ac, c.bytes, c.conn}
+	mark := &testClient{c.t, metadata.AppendToOutgoingContext(c.ctx, peerMetadataKey, "1"), c.cas, c.ac, c.bytes, c.conn}
 	_, err = mark.ac.GetActionResult(mark.ctx, &repb.GetActionResultRequest{ActionDigest: action})
-	mark.code(err, codes.NotFound)
+	mark.wantCode(err, codes.NotFound)
 }
 
 // Blobs and results survive the loss of one front end. After a second loss, a missing blob can
@@ -141,7 +141,7 @@
 	var digests []*repb.Digest
 	blobs := map[string][]byte{}
 	for i := range 20 {
-		data := random(1000 + 30_000*i)
+		data := randomBytes(1000 + 30_000*i)
 		d := blobstore.Of(data)
 		if _, err := a.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil {
 			t.Fatal(err)
@@ -181,18 +181,18 @@
 	// Another front end is lost. New blobs have only one copy and are counted as
 	// under-replicated.
 	b := s.clients[2]
-	data := random(5000)
+	data := randomBytes(5000)
 	s.servers[1].Stop()
-	b.blob(data)
+	b.uploadBlob(data)
 	if n := s.peers[2].UnderReplicated.Load(); n != 1 {
 		t.Errorf("%d under-replicated blobs were counted, want 1", n)
 	}
-	lost := random(700)
+	lost := randomBytes(700)
 	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(lost))}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 {
 		t.Errorf("missing blobs = %v, %v; want 1", miss, err)
 	}
-	b.blob(lost)
+	b.uploadBlob(lost)
 	if got, err := b.download("blobs/"+blobstore.Of(lost).String(), 0, 0); err != nil || !bytes.Equal(got, lost) {
 		t.Errorf("blob read after it was uploaded again: %d bytes, error %v; want its %d bytes", len(got), err, len(lost))
 	}
@@ -201,10 +201,10 @@
 // A front end without peers ignores the metadata that marks calls of peers, so that clients
 // cannot bypass authorization.
 func TestPeerMarkNeedsVerification(t *testing.T) {
-	b, _ := start(t, oneTeam, rightsOf{}, roomy)
-	b.ctx = metadata.AppendToOutgoingContext(b.ctx, peerMark, "1")
+	b, _ := startFrontEnd(t, twoTeams, rightsOf{}, largeStore)
+	b.ctx = metadata.AppendToOutgoingContext(b.ctx, peerMetadataKey, "1")
 	_, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{})
-	b.code(err, codes.Unauthenticated)
+	b.wantCode(err, codes.Unauthenticated)
 }
 
 // After a front end is lost for good, repair on the others makes new copies of its blobs and
@@ -215,7 +215,7 @@
 	blobs := map[string][]byte{}
 	var digests []*repb.Digest
 	for i := range 30 {
-		data := random(1000 + 20_000*i)
+		data := randomBytes(1000 + 20_000*i)
 		if _, err := a.upload("uploads/1/blobs/"+blobstore.Of(data).String(), data, 0, 100_000, true); err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 		t.Fatal(err)
 	}
 	s.servers[0].Stop()
-	settings := repair.Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute}
+	settings := repair.Settings{Copies: 2, BytesPerSecond: 1e9, Interval: time.Minute}
 	for i := 1; i < 3; i++ {
 		r, err := s.frontEnds[i].Repair(settings, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -237,7 +237,7 @@
 		if err := r.Pass(a.ctx); err != nil {
 			t.Fatal(err)
 		}
-		if p := r.Progress(); len(p.Gone) != 1 || p.Short != 0 {
+		if p := r.Progress(); len(p.Gone) != 1 || p.UnderReplicated != 0 {
 			t.Errorf("repair progress of front end %d = %+v, want 1 lost peer and no under-replicated blobs", i, p)
 		}
 	}
@@ -263,10 +263,10 @@
 func TestRepairOfAFlippedBit(t *testing.T) {
 	s := startGroup(t, 2, 2)
 	a := s.clients[0]
-	data := random(100_000)
-	d := a.blob(data)
+	data := randomBytes(100_000)
+	d := a.uploadBlob(data)
 	file := flipBit(t, s.dirs[0], d.Hash)
-	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
+	r, err := s.frontEnds[0].Repair(repair.Settings{Copies: 2, BytesPerSecond: 1e9, Interval: time.Minute}, filepath.Join(t.TempDir(), "at"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/reapi/peerservice.go
+++ b/internal/reapi/peerservice.go
@@ -94,13 +94,13 @@
 		return status.Errorf(codes.InvalidArgument, "there is no instance %q, or the offset is below 0", clip(req.GetInstance()))
 	}
 	store, key := s.frontEnd.store, uploadKey(team, req.GetResource())
-	size := store.Received(key)
+	size := store.ReceivedBytes(key)
 	if err := out.Send(&inspection.BegunReply{Size: size}); err != nil || req.GetLook() || size == 0 {
 		return err
 	}
-	received, err := store.ReadReceived(key, req.GetOffset())
+	received, err := store.OpenReceived(key, req.GetOffset())
 	if err != nil {
-		return failure(err)
+		return statusError(err)
 	}
 	defer received.Close() //nolint:errcheck // only read
 	buf := make([]byte, chunkSize)
@@ -115,7 +115,7 @@
 			return nil
 		}
 		if err != nil {
-			return failure(err)
+			return statusError(err)
 		}
 	}
 }
--- a/internal/reapi/primary.go
+++ b/internal/reapi/primary.go
@@ -22,7 +22,7 @@
 	if f.peers == nil {
 		return nil
 	}
-	own := rendezvousWeight(f.config.Self, execution)
+	own := rendezvousWeight(f.config.SelfAddr, execution)
 	for _, p := range f.peers.ranked(execution) {
 		if rendezvousWeight(p.addr, execution) < own {
 			return nil
@@ -42,7 +42,7 @@
 		return nil, nil
 	}
 	var recorded *repb.ActionResult
-	err := p.call(metadata.AppendToOutgoingContext(ctx, ExecutionMark, execution), forwardTimeout, func(ctx context.Context) (err error) {
+	err := p.call(metadata.AppendToOutgoingContext(ctx, ExecutionMetadataKey, execution), forwardTimeout, func(ctx context.Context) (err error) {
 		recorded, err = p.actionCache.UpdateActionResult(ctx, req)
 		return err
 	})
--- a/internal/reapi/recordresult.go
+++ b/internal/reapi/recordresult.go
@@ -27,8 +27,8 @@
 	}
 	key := blobstore.Digest{Hash: entry.Execution}
 	stripe := sha256.Sum256([]byte(space + "/" + entry.Execution))[0]
-	f.recording[stripe].Lock()
-	defer f.recording[stripe].Unlock()
+	f.recordLocks[stripe].Lock()
+	defer f.recordLocks[stripe].Unlock()
 	replace := false
 	var err error
 	if first := f.findResult(ctx, instance, space, key); first != nil {
@@ -36,7 +36,7 @@
 			return false, err
 		}
 		if !replace {
-			f.discarded.Add(1)
+			f.discardedResults.Add(1)
 			// A front end may have been killed after recording the first result and before
 			// caching it.
 			if cacheable(first, cache) && f.findResult(ctx, instance, space, entry.Action()) == nil {
--- a/internal/reapi/recordresult_test.go
+++ b/internal/reapi/recordresult_test.go
@@ -22,7 +22,7 @@
 		execution := blobstore.Of(fmt.Append(nil, i)).Hash
 		var by string
 		for _, f := range s.frontEnds {
-			addr := f.config.Self
+			addr := f.config.SelfAddr
 			if p := f.primary(execution, now); p != nil {
 				addr = p.addr
 			}
@@ -36,8 +36,8 @@
 		executions[by]++
 	}
 	for _, f := range s.frontEnds {
-		if executions[f.config.Self] < 50 {
-			t.Errorf("executions by primary: %v; want at least 50 for %s", executions, f.config.Self)
+		if executions[f.config.SelfAddr] < 50 {
+			t.Errorf("executions by primary: %v; want at least 50 for %s", executions, f.config.SelfAddr)
 		}
 	}
 	f := s.frontEnds[0]
@@ -92,13 +92,13 @@
 		}
 	}
 	b := s.clients[at]
-	action := b.action("true")
+	action := b.uploadAction("true")
 	entry.Hash, entry.Size = action.Hash, action.SizeBytes
 	record := func(data []byte) (bool, error) {
-		d := b.blob(data)
+		d := b.uploadBlob(data)
 		return f.RecordResult(context.Background(), "", "red", entry, &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "o", Digest: d}}}, true)
 	}
-	one, two := random(100), random(100)
+	one, two := randomBytes(100), randomBytes(100)
 	if recorded, err := record(one); err != nil || !recorded {
 		t.Fatalf("first result: recorded = %v, error %v; want it recorded", recorded, err)
 	}
@@ -113,7 +113,7 @@
 	}
 	s.servers[1-at].Stop()
 	_, err := record(two)
-	b.code(err, codes.Unavailable)
+	b.wantCode(err, codes.Unavailable)
 	f.config.Grace = time.Nanosecond
 	time.Sleep(time.Millisecond)
 	if recorded, err := record(two); err != nil || !recorded {
--- a/internal/reapi/references.go
+++ b/internal/reapi/references.go
@@ -36,7 +36,7 @@
 	if d == nil {
 		return nil
 	}
-	digest := digestIn(r.function, d)
+	digest := digestFromProto(r.function, d)
 	r.digests = append(r.digests, digest)
 	return digest.Check()
 }
@@ -82,7 +82,7 @@
 			refs.digests = append(refs.digests, digest)
 			return refs.addFiles(directory)
 		}
-		if err := f.walkDirectories(ctx, instance, space, digestIn(refs.function, root), collect, nil); err != nil {
+		if err := f.walkDirectories(ctx, instance, space, digestFromProto(refs.function, root), collect, nil); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 	if err := refs.add(treeDigest); err != nil {
 		return err
 	}
-	raw, err := f.read(ctx, instance, blobstore.Key{Space: space, Digest: digestIn(refs.function, treeDigest)}, maxTreeNode)
+	raw, err := f.read(ctx, instance, blobstore.Key{Space: space, Digest: digestFromProto(refs.function, treeDigest)}, maxMessageBlobBytes)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	queue := newDirectoryQueue(root)
 	for !queue.empty() {
 		digest := queue.next()
-		raw, err := f.read(ctx, instance, blobstore.Key{Space: space, Digest: digest}, maxTreeNode)
+		raw, err := f.read(ctx, instance, blobstore.Key{Space: space, Digest: digest}, maxMessageBlobBytes)
 		if errors.Is(err, blobstore.ErrNotFound) && lost != nil {
 			lost(digest)
 			continue
@@ -168,7 +168,7 @@
 // addChildren queues the subdirectories that have not been queued before.
 func (q *directoryQueue) addChildren(directory *repb.Directory) error {
 	for _, child := range directory.GetDirectories() {
-		digest := digestIn(q.function, child.GetDigest())
+		digest := digestFromProto(q.function, child.GetDigest())
 		if err := digest.Check(); err != nil {
 			return err
 		}
--- a/internal/reapi/repair.go
+++ b/internal/reapi/repair.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	repairer.Records = func(ctx context.Context, take func(context.Context, int64) error) (int, error) {
+	repairer.CopyRecords = func(ctx context.Context, take func(context.Context, int64) error) (int, error) {
 		return f.repairRecords(ctx, settings.Copies, instances, take)
 	}
 	f.repairer.Store(repairer)
@@ -103,10 +103,10 @@
 // Name returns the peer's address.
 func (r *repairPeer) Name() string { return r.peer.addr }
 
-// Lacks returns the digests whose blobs the peer does not have, without pinning the
+// FindMissing returns the digests whose blobs the peer does not have, without pinning the
 // others. It calls the peer even while its circuit breaker is open.
-func (r *repairPeer) Lacks(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
-	ctx = metadata.AppendToOutgoingContext(ctx, probeMark, "1")
+func (r *repairPeer) FindMissing(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
+	ctx = metadata.AppendToOutgoingContext(ctx, probeMetadataKey, "1")
 	for _, function := range []blobstore.Function{blobstore.SHA256, blobstore.BLAKE3} {
 		var asked []blobstore.Digest
 		for _, digest := range digests {
--- a/internal/reapi/replication.go
+++ b/internal/reapi/replication.go
@@ -20,17 +20,17 @@
 // front end that has one of the others pins it for the retention time.
 func (f *FrontEnd) missing(ctx context.Context, instance, space string, digests []blobstore.Digest) []blobstore.Digest {
 	if f.fromPeer(ctx) {
-		if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(probeMark)) > 0 {
-			return f.store.Lacks(space, digests)
+		if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(probeMetadataKey)) > 0 {
+			return f.store.PeekMissing(space, digests)
 		}
-		return f.store.Missing(space, digests)
+		return f.store.FindMissing(space, digests)
 	}
-	missing := f.store.Missing(space, digests)
+	missing := f.store.FindMissing(space, digests)
 	for _, p := range f.peers.reachableFirst("") {
 		if len(missing) == 0 {
 			break
 		}
-		stillMissing, err := p.findMissing(ctx, p.timeFor(peerTimeout), instance, missing)
+		stillMissing, err := p.findMissing(ctx, p.effectiveTimeout(peerTimeout), instance, missing)
 		if err != nil {
 			f.log.Debug("query for missing blobs at peer failed", "peer", p.addr, "error", err)
 			continue
@@ -44,14 +44,14 @@
 // not be empty, and all must have the same digest function.
 func (p *peer) findMissing(ctx context.Context, timeout time.Duration, instance string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
 	function := digests[0].Function
-	req := &repb.FindMissingBlobsRequest{InstanceName: instance, DigestFunction: FunctionOnWire(function)}
+	req := &repb.FindMissingBlobsRequest{InstanceName: instance, DigestFunction: DigestFunctionToProto(function)}
 	for _, digest := range digests {
 		req.BlobDigests = append(req.BlobDigests, digestToProto(digest))
 	}
 	err = p.call(ctx, timeout, func(ctx context.Context) error {
 		resp, err := p.cas.FindMissingBlobs(ctx, req)
 		for _, digest := range resp.GetMissingBlobDigests() {
-			missing = append(missing, digestIn(function, digest))
+			missing = append(missing, digestFromProto(function, digest))
 		}
 		return err
 	})
@@ -65,7 +65,7 @@
 		return blob, err
 	}
 	for _, p := range f.peers.reachableFirst(key.Hash) {
-		fetchErr := p.call(ctx, p.timeFor(transferTime(key.Size)), func(ctx context.Context) error {
+		fetchErr := p.call(ctx, p.effectiveTimeout(transferTime(key.Size)), func(ctx context.Context) error {
 			return f.fetchFrom(ctx, p, instance, key)
 		})
 		if fetchErr == nil {
@@ -192,7 +192,7 @@
 	}
 	resp, err := p.cas.BatchUpdateBlobs(ctx, &repb.BatchUpdateBlobsRequest{
 		InstanceName:   instance,
-		DigestFunction: FunctionOnWire(digest.Function),
+		DigestFunction: DigestFunctionToProto(digest.Function),
 		Requests:       []*repb.BatchUpdateBlobsRequest_Request{{Digest: digestToProto(digest), Data: data}},
 	})
 	if err == nil && len(resp.GetResponses()) == 1 {
@@ -225,10 +225,10 @@
 
 // peerResult returns an action's result from the first peer that has it, or nil if none does.
 func (f *FrontEnd) peerResult(ctx context.Context, instance string, action blobstore.Digest) *repb.ActionResult {
-	req := &repb.GetActionResultRequest{InstanceName: instance, ActionDigest: digestToProto(action), DigestFunction: FunctionOnWire(action.Function)}
+	req := &repb.GetActionResultRequest{InstanceName: instance, ActionDigest: digestToProto(action), DigestFunction: DigestFunctionToProto(action.Function)}
 	for _, p := range f.peers.reachableFirst(action.Hash) {
 		var result *repb.ActionResult
-		err := p.call(ctx, p.timeFor(peerTimeout), func(ctx context.Context) (err error) {
+		err := p.call(ctx, p.effectiveTimeout(peerTimeout), func(ctx context.Context) (err error) {
 			result, err = p.actionCache.GetActionResult(ctx, req)
 			return err
 		})
@@ -249,12 +249,12 @@
 // the results that they have.
 func (f *FrontEnd) replicateRecord(ctx context.Context, instance string, action blobstore.Digest, result *repb.ActionResult, replace bool) {
 	if replace {
-		ctx = metadata.AppendToOutgoingContext(ctx, replaceMark, "1")
+		ctx = metadata.AppendToOutgoingContext(ctx, replaceMetadataKey, "1")
 	}
 	if f.peers == nil || f.fromPeer(ctx) {
 		return
 	}
-	req := &repb.UpdateActionResultRequest{InstanceName: instance, ActionDigest: digestToProto(action), ActionResult: result, DigestFunction: FunctionOnWire(action.Function)}
+	req := &repb.UpdateActionResultRequest{InstanceName: instance, ActionDigest: digestToProto(action), ActionResult: result, DigestFunction: DigestFunctionToProto(action.Function)}
 	copies := 1
 	for _, p := range f.peers.available(action.Hash) {
 		if copies >= f.peers.Copies {
--- a/internal/reapi/resourcename.go
+++ b/internal/reapi/resourcename.go
@@ -59,7 +59,7 @@
 		return resource{}, malformed
 	}
 	if err := digest.Check(); err != nil {
-		return resource{}, failure(err)
+		return resource{}, statusError(err)
 	}
 	r.digest = digest
 	return r, nil
--- a/internal/reapi/restarts_test.go
+++ b/internal/reapi/restarts_test.go
@@ -118,8 +118,8 @@
 	return protocol.JobStatus{ID: job, Status: protocol.StatusRunning}, nil
 }
 
-// Withdraw does nothing, since no client abandons its actions in this test.
-func (g *faultyGroup) Withdraw(context.Context, string, string) error { return nil }
+// Cancel does nothing, since no client abandons its actions in this test.
+func (g *faultyGroup) Cancel(context.Context, string, string) error { return nil }
 
 // runTask runs a task. At random, the first attempt is lost and the task runs again.
 func (g *faultyGroup) runTask(job, image string, index int) {
@@ -145,7 +145,7 @@
 // after a delay, records the result. It retries each call, at any front end, until the call
 // succeeds.
 func (g *faultyGroup) runAttempt(image string, index int, label string, delay time.Duration) {
-	ctx := metadata.AppendToOutgoingContext(g.ctx, WorkerMark, "1")
+	ctx := metadata.AppendToOutgoingContext(g.ctx, WorkerMetadataKey, "1")
 	cas, ac := repb.NewContentAddressableStorageClient(g.conn), repb.NewActionCacheClient(g.conn)
 	manifest, instance, _ := ParseImage(image)
 	retry := func(f func() error) bool {
@@ -189,7 +189,7 @@
 		return status.ErrorProto(resp.Responses[0].Status)
 	})
 	time.Sleep(delay)
-	ctx = metadata.AppendToOutgoingContext(ctx, ExecutionMark, entry.Execution)
+	ctx = metadata.AppendToOutgoingContext(ctx, ExecutionMetadataKey, entry.Execution)
 	retry(func() error {
 		_, err := ac.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: instance, ActionDigest: &repb.Digest{Hash: entry.Hash, SizeBytes: entry.Size},
 			ActionResult: &repb.ActionResult{OutputFiles: []*repb.OutputFile{{Path: "out", Digest: out}}}})
@@ -211,7 +211,7 @@
 		g.t.Error(err)
 		return
 	}
-	store, _, err := blobstore.Open(filepath.Join(g.dirs[i], "content"), roomy)
+	store, _, err := blobstore.Open(filepath.Join(g.dirs[i], "content"), largeStore)
 	if err != nil {
 		g.t.Error(err)
 		return
@@ -233,13 +233,13 @@
 			g.t.Cleanup(func() { _ = conn.Close() })
 		}
 	}
-	config := oneTeam
-	config.MaxBlob, config.Class, config.Self = roomy.MaxBlob, "build", g.addrs[i]
-	config.Shares.Ahead = admission.HandoffLimits{Min: 16, MaxDuration: 100 * time.Millisecond}
+	config := twoTeams
+	config.MaxBlob, config.Class, config.SelfAddr = largeStore.MaxBlob, "build", g.addrs[i]
+	config.Shares.Handoff = admission.HandoffLimits{Min: 16, MaxDuration: 100 * time.Millisecond}
 	always := func(context.Context) bool { return true }
 	config.IsPeer, config.IsWorker = always, always
 	discard := slog.New(slog.DiscardHandler)
-	f := New(config, store, results, everyone{}, NewPeers(2, others, discard), g, discard)
+	f := New(config, store, results, allowAll{}, NewPeers(2, others, discard), g, discard)
 	// Stop must wait for running calls, since a killed process leaves none behind.
 	server := f.Server(grpc.WaitForHandlers(true))
 	sweepCtx, cancel := context.WithCancel(g.ctx)
--- a/internal/reapi/status.go
+++ b/internal/reapi/status.go
@@ -16,8 +16,8 @@
 	"micaspindle/internal/blobstore"
 )
 
-// failure converts an error of the blob store or of admission control into a gRPC status.
-func failure(err error) error {
+// statusError converts an error of the blob store or of admission control into a gRPC status.
+func statusError(err error) error {
 	var full *blobstore.FullError
 	var busy *admission.BusyError
 	switch {
@@ -54,7 +54,7 @@
 	if err == nil {
 		return &rpcstatus.Status{}
 	}
-	return status.Convert(failure(err)).Proto()
+	return status.Convert(statusError(err)).Proto()
 }
 
 // missingBlobs returns the status that the API defines for an action whose blobs must be
--- a/internal/reapi/submitqueue.go
+++ b/internal/reapi/submitqueue.go
@@ -59,7 +59,7 @@
 		return
 	}
 	outstanding, running := f.executions.load(key)
-	window := f.config.Shares.Ahead.Window(queue.completions.PerSecond(now), running)
+	window := f.config.Shares.Handoff.Window(queue.completions.PerSecond(now), running)
 	for len(queue.ready) > 0 {
 		waiting := make([]admission.Batch, len(queue.ready))
 		for i, b := range queue.ready {
--- a/internal/reapi/submitqueue_test.go
+++ b/internal/reapi/submitqueue_test.go
@@ -16,7 +16,7 @@
 
 // startExecution executes an action and returns once the first response has arrived or ctx has
 // ended.
-func (b *build) startExecution(ctx context.Context, action *repb.Digest) (repb.Execution_ExecuteClient, error) {
+func (b *testClient) startExecution(ctx context.Context, action *repb.Digest) (repb.Execution_ExecuteClient, error) {
 	s, err := repb.NewExecutionClient(b.conn).Execute(ctx, &repb.ExecuteRequest{ActionDigest: action})
 	if err != nil {
 		return nil, err
@@ -26,9 +26,9 @@
 }
 
 // manyActions uploads n actions.
-func manyActions(b *build, name string, n int) (out []*repb.Digest) {
+func manyActions(b *testClient, name string, n int) (out []*repb.Digest) {
 	for i := range n {
-		out = append(out, b.action(fmt.Sprint(name, i)))
+		out = append(out, b.uploadAction(fmt.Sprint(name, i)))
 	}
 	return out
 }
@@ -37,13 +37,13 @@
 // window of them is submitted before the job of a client that arrives later. Actions that are
 // cancelled while they wait must not be submitted.
 func TestClientsOfTeamTakeTurns(t *testing.T) {
-	config := oneTeam
-	config.GatherMost = 10
-	ledger, err := admission.NewLedger(1000, 500, []string{"red", "blue"}, nil)
+	config := twoTeams
+	config.MaxBatchActions = 10
+	ledger, err := admission.NewQuotaPool(1000, 500, []string{"red", "blue"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	config.Shares = Shares{Waiting: ledger, Ahead: admission.HandoffLimits{Min: 30, MaxDuration: time.Second}}
+	config.Shares = Shares{Waiting: ledger, Handoff: admission.HandoffLimits{Min: 30, MaxDuration: time.Second}}
 	b, f, jobs := startExecuting(t, config)
 	anna, bert := b.as("Bearer anna"), b.as("Bearer bert")
 	floodCtx, cancelFlood := context.WithCancel(anna.ctx)
@@ -83,7 +83,7 @@
 	if sum <= 20 || sum > 30 {
 		t.Fatalf("%d tasks were submitted, want more than 20 and at most the window of 30", sum)
 	}
-	own := bert.action("bert")
+	own := bert.uploadAction("bert")
 	if _, err := bert.startExecution(bert.ctx, own); err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	}
 	expectNoJob()
 	// The second client's result makes no room for further actions of the first.
-	f.result(t, own)
+	f.recordTestResult(t, own)
 	if held := ledger.Held()["red"]; held != float64(200-sum) {
 		t.Errorf("%v actions wait at the front end, want %d: 200 less %d submitted", held, 200-sum, sum)
 	}
@@ -113,9 +113,9 @@
 
 // Both running tasks and received results make room for further actions in the window.
 func TestSubmissionWindow(t *testing.T) {
-	config := oneTeam
-	config.GatherMost, config.GatherFor = 10, time.Hour // batches are submitted only when full, even on a slow machine
-	config.Shares.Ahead = admission.HandoffLimits{Min: 10, MaxDuration: time.Millisecond}
+	config := twoTeams
+	config.MaxBatchActions, config.BatchDelay = 10, time.Hour // batches are submitted only when full, even on a slow machine
+	config.Shares.Handoff = admission.HandoffLimits{Min: 10, MaxDuration: time.Millisecond}
 	b, f, jobs := startExecuting(t, config)
 	b = b.as("Bearer anna")
 	actions := manyActions(b, "a", 40)
@@ -135,7 +135,7 @@
 	}
 	// All tasks of the job start to run, which the next status request shows.
 	jobs.mu.Lock()
-	jobs.runs = map[string]int{*s.ID: 10}
+	jobs.runningTasks = map[string]int{*s.ID: 10}
 	jobs.mu.Unlock()
 	select {
 	case s = <-jobs.submitted:
@@ -143,7 +143,7 @@
 		t.Fatal("no job was submitted after the tasks of the first had started to run")
 	}
 	// The results of the second job arrive.
-	raw, err := f.store.Read(manifestKey(t, s), maxTreeNode)
+	raw, err := f.store.Read(manifestKey(t, s), maxMessageBlobBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,14 +165,14 @@
 
 // The status of a job is requested once per interval, however many calls wait for its tasks.
 func TestStatusIsRequestedOnce(t *testing.T) {
-	b, _, jobs := startExecuting(t, oneTeam)
+	b, _, jobs := startExecuting(t, twoTeams)
 	b = b.as("Bearer anna")
-	if _, err := b.startExecution(b.ctx, b.action("alone")); err != nil {
+	if _, err := b.startExecution(b.ctx, b.uploadAction("alone")); err != nil {
 		t.Fatal(err)
 	}
 	started := time.Now()
 	var wg sync.WaitGroup
-	a := b.action("shared")
+	a := b.uploadAction("shared")
 	for range 200 {
 		wg.Go(func() {
 			if _, err := b.startExecution(b.ctx, a); err != nil {
@@ -208,7 +208,7 @@
 // A client that waits at a front end without a copy of the result soon gets it from a peer. One
 // call to the peer looks up the results of all executions.
 func TestLookupOfPeerResults(t *testing.T) {
-	jobs := &scriptedJobs{ended: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
+	jobs := &fakeJobs{expired: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 1000)}
 	s := startGroupWith(t, 2, 1, jobs)
 	ctx, cancel := context.WithCancel(s.clients[0].ctx)
 	defer cancel()
@@ -227,7 +227,7 @@
 		waits = append(waits, w)
 	}
 	for _, a := range actions {
-		s.frontEnds[0].result(t, a)
+		s.frontEnds[0].recordTestResult(t, a)
 	}
 	started := time.Now()
 	for _, w := range waits {
--- a/internal/reapi/tree.go
+++ b/internal/reapi/tree.go
@@ -31,7 +31,7 @@
 	}
 	ctx, cancel := context.WithTimeout(out.Context(), callTimeout)
 	defer cancel()
-	space, err := f.space(ctx, req.GetInstanceName(), verbRead)
+	space, err := f.authorize(ctx, req.GetInstanceName(), verbRead)
 	if err != nil {
 		return err
 	}
@@ -40,10 +40,10 @@
 		return err
 	}
 	pages := &treePages{out: out, size: pageSize(req), page: new(repb.GetTreeResponse)}
-	queue := newDirectoryQueue(digestIn(function, req.GetRootDigest()))
+	queue := newDirectoryQueue(digestFromProto(function, req.GetRootDigest()))
 	for visited := uint64(0); !queue.empty(); visited++ {
 		if err := ctx.Err(); err != nil {
-			return failure(err)
+			return statusError(err)
 		}
 		if len(queue.seen) > maxTreeDirectories {
 			return status.Errorf(codes.InvalidArgument, "the tree has more than %d directories", maxTreeDirectories)
@@ -53,7 +53,7 @@
 			return err
 		}
 		if err := queue.addChildren(directory); err != nil {
-			return failure(err)
+			return statusError(err)
 		}
 		if visited < skip {
 			pages.sent = visited + 1
@@ -88,12 +88,12 @@
 
 // readDirectory returns a directory and the size of its encoding. Its errors are gRPC statuses.
 func (f *FrontEnd) readDirectory(ctx context.Context, instance string, key blobstore.Key) (*repb.Directory, int, error) {
-	data, err := f.read(ctx, instance, key, maxTreeNode)
+	data, err := f.read(ctx, instance, key, maxMessageBlobBytes)
 	if errors.Is(err, blobstore.ErrNotFound) {
 		return nil, 0, status.Errorf(codes.NotFound, "directory %s is not here", key.Digest)
 	}
 	if err != nil {
-		return nil, 0, failure(err)
+		return nil, 0, statusError(err)
 	}
 	directory := new(repb.Directory)
 	if err := proto.Unmarshal(data, directory); err != nil {
--- a/internal/reapi/uploads.go
+++ b/internal/reapi/uploads.go
@@ -80,7 +80,7 @@
 		}
 		var err error
 		if upload, err = begin(); err != nil {
-			return nil, failure(err)
+			return nil, statusError(err)
 		}
 		u.open[name] = upload
 	}
@@ -188,7 +188,7 @@
 		}
 		return upload.received.Load()
 	}
-	return f.store.Received(key)
+	return f.store.ReceivedBytes(key)
 }
 
 // receivedByPeers asks the peers how many bytes of a write they have received. It returns the
@@ -200,7 +200,7 @@
 		return nil, 0, allAnswered
 	}
 	for _, p := range f.peers.reachableFirst(resource) {
-		err := p.call(ctx, p.timeFor(peerTimeout), func(ctx context.Context) error {
+		err := p.call(ctx, p.effectiveTimeout(peerTimeout), func(ctx context.Context) error {
 			stream, err := p.service.Begun(ctx, &inspection.BegunRequest{Instance: instance, Resource: resource, Look: true})
 			if err != nil {
 				return err
--- a/internal/reapi/uploads_test.go
+++ b/internal/reapi/uploads_test.go
@@ -14,14 +14,14 @@
 	"micaspindle/internal/blobstore"
 )
 
-// kill stops a front end abruptly, as SIGKILL would, and restarts it at the same address with
+// killAndRestart stops a front end abruptly, as SIGKILL would, and restarts it at the same address with
 // the state on its disk.
-func (s *group) kill(t *testing.T, i int) {
+func (s *group) killAndRestart(t *testing.T, i int) {
 	t.Helper()
 	old := s.frontEnds[i]
 	s.servers[i].Stop()
 	_ = s.stores[i].Close()
-	store, _, err := blobstore.Open(filepath.Join(s.dirs[i], "content"), roomy)
+	store, _, err := blobstore.Open(filepath.Join(s.dirs[i], "content"), largeStore)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := New(old.config, store, results, everyone{}, old.peers, old.jobs, slog.New(slog.DiscardHandler))
-	l, err := net.Listen("tcp", old.config.Self)
+	f := New(old.config, store, results, allowAll{}, old.peers, old.jobs, slog.New(slog.DiscardHandler))
+	l, err := net.Listen("tcp", old.config.SelfAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,13 +45,13 @@
 func TestWritesSurviveRestart(t *testing.T) {
 	for _, compressed := range []bool{false, true} {
 		s := startGroup(t, 2, 1)
-		data := random(2_500_000)
+		data := randomBytes(2_500_000)
 		sent, kind := data, "blobs/"
 		if compressed {
 			sent, kind = compressZstd(data), "compressed-blobs/zstd/"
 		}
 		name := "uploads/u/" + kind + blobstore.Of(data).String()
-		committedSize := func(b *build) int64 {
+		committedSize := func(b *testClient) int64 {
 			t.Helper()
 			st, err := b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 			if err != nil || st.Complete {
@@ -63,7 +63,7 @@
 		if _, err := a.upload(name, sent[:700_000], 0, chunkSize, false); err == nil {
 			t.Fatal("an unfinished write succeeded")
 		}
-		s.kill(t, 0)
+		s.killAndRestart(t, 0)
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // until the client has reconnected
 			if _, err := a.bytes.QueryWriteStatus(a.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name}); err == nil || time.Now().After(end) {
 				break
@@ -93,17 +93,17 @@
 // InvalidArgument.
 func TestResumptionWhileFrontEndIsDown(t *testing.T) {
 	s := startGroup(t, 2, 1)
-	data := random(1_000_000)
+	data := randomBytes(1_000_000)
 	name := "uploads/u/blobs/" + blobstore.Of(data).String()
 	a, b := s.clients[0], s.clients[1]
 	if _, err := a.upload(name, data[:500_000], 0, chunkSize, false); err == nil {
 		t.Fatal("an unfinished write succeeded")
 	}
 	_, err := b.upload(name, data[600_000:], 600_000, chunkSize, true)
-	b.code(err, codes.InvalidArgument)
+	b.wantCode(err, codes.InvalidArgument)
 	s.servers[0].Stop()
 	_, err = b.upload(name, data[500_000:], 500_000, chunkSize, true)
-	b.code(err, codes.Unavailable)
+	b.wantCode(err, codes.Unavailable)
 	if n, err := b.upload(name, data, 0, chunkSize, true); err != nil || n != int64(len(data)) {
 		t.Error("restarted write:", n, err)
 	}
--- a/internal/reapi/waiting_test.go
+++ b/internal/reapi/waiting_test.go
@@ -23,7 +23,7 @@
 // instantJobs is a fake of the controllers that records the results of a job as soon as it is
 // submitted. Accepting a job and ending it count as one transaction each.
 type instantJobs struct {
-	scriptedJobs
+	fakeJobs
 	frontEnd     *FrontEnd
 	transactions *rate.Limiter
 }
@@ -33,7 +33,7 @@
 		return jobStatus, err
 	}
 	manifest, instance, _ := ParseImage(*s.Image)
-	raw, err := j.frontEnd.store.Read(blobstore.Key{Space: "red", Digest: manifest}, maxTreeNode)
+	raw, err := j.frontEnd.store.Read(blobstore.Key{Space: "red", Digest: manifest}, maxMessageBlobBytes)
 	if err != nil {
 		return jobStatus, err
 	}
@@ -61,7 +61,7 @@
 	if os.Getenv("GATE_THROUGHPUT") == "" {
 		t.Skip("a measurement; set GATE_THROUGHPUT=1")
 	}
-	run := func(b *build, action *repb.Digest) {
+	run := func(b *testClient, action *repb.Digest) {
 		s, err := repb.NewExecutionClient(b.conn).Execute(b.ctx, &repb.ExecuteRequest{ActionDigest: action})
 		for err == nil {
 			op, recvErr := s.Recv()
@@ -76,26 +76,26 @@
 			t.Error(err)
 		}
 	}
-	startInstant := func(config Config, transactions float64) *build {
+	startInstant := func(config Config, transactions float64) *testClient {
 		b, f, _ := startExecuting(t, config)
 		f.jobs = &instantJobs{frontEnd: f, transactions: rate.NewLimiter(rate.Limit(transactions), 2)}
 		return b.as("Bearer anna")
 	}
-	b := startInstant(oneTeam, 1e9)
+	b := startInstant(twoTeams, 1e9)
 	var delays []time.Duration
 	for i := range 40 {
-		a := b.action(fmt.Sprint("delay ", i))
+		a := b.uploadAction(fmt.Sprint("delay ", i))
 		started := time.Now()
 		run(b, a)
 		delays = append(delays, time.Since(started))
 	}
 	slices.Sort(delays)
 	t.Logf("added delay of one small action: p50 %s, max %s, of which batching takes %s", delays[20].Round(time.Millisecond),
-		delays[39].Round(time.Millisecond), oneTeam.GatherFor)
+		delays[39].Round(time.Millisecond), twoTeams.BatchDelay)
 	const transactions, clients = 20, 400 // transactions are per second
 	actionsPerSecond := func(maxActions int) float64 {
-		config := oneTeam
-		config.GatherMost = maxActions
+		config := twoTeams
+		config.MaxBatchActions = maxActions
 		b := startInstant(config, transactions)
 		var done atomic.Int64
 		var wg sync.WaitGroup
@@ -103,7 +103,7 @@
 		for w := range clients {
 			wg.Go(func() {
 				for i := 0; time.Since(started) < 6*time.Second; i++ {
-					run(b, b.action(fmt.Sprint(maxActions, w, i)))
+					run(b, b.uploadAction(fmt.Sprint(maxActions, w, i)))
 					done.Add(1)
 					if maxActions == 1 && done.Load() > 60 {
 						return // enough to measure the rate
@@ -124,11 +124,11 @@
 	unbatched, batched := actionsPerSecond(1), actionsPerSecond(256)
 	t.Logf("at %d transactions per second: %.1f actions per second with one action per job, %.0f with batching: %.0f times as many", transactions, unbatched, batched, batched/unbatched)
 	for _, n := range []int{1000, 10_000} {
-		b, _, _ := startExecuting(t, oneTeam)
+		b, _, _ := startExecuting(t, twoTeams)
 		b = b.as("Bearer anna")
 		actions := make([]*repb.Digest, n)
 		for i := range actions {
-			actions[i] = b.action(fmt.Sprint("wait ", i))
+			actions[i] = b.uploadAction(fmt.Sprint("wait ", i))
 		}
 		memory := func() uint64 {
 			runtime.GC()
--- a/internal/repair/copies.go
+++ b/internal/repair/copies.go
@@ -90,7 +90,7 @@
 	}
 	answers := inventory{}
 	for _, peer := range r.order(keys[0].Hash) {
-		missing, err := peer.Lacks(ctx, keys[0].Space, digests)
+		missing, err := peer.FindMissing(ctx, keys[0].Space, digests)
 		if ctx.Err() != nil {
 			return nil, context.Cause(ctx)
 		}
@@ -133,7 +133,7 @@
 		targets, short := PlanCopies(states, r.settings.Copies)
 		if len(targets) == 0 {
 			if short > 0 {
-				r.count(func(p *Progress) { p.Short++ })
+				r.count(func(p *Progress) { p.UnderReplicated++ })
 			}
 			return nil
 		}
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -28,9 +28,9 @@
 // Peer is another front end.
 type Peer interface {
 	Name() string
-	// Lacks returns the digests whose blobs the peer does not have. The request does not extend
+	// FindMissing returns the digests whose blobs the peer does not have. The request does not extend
 	// the lifetime of the others in the peer's store.
-	Lacks(ctx context.Context, space string, digests []blobstore.Digest) ([]blobstore.Digest, error)
+	FindMissing(ctx context.Context, space string, digests []blobstore.Digest) ([]blobstore.Digest, error)
 	// Push copies a blob of this front end to the peer.
 	Push(ctx context.Context, key blobstore.Key) error
 }
@@ -48,8 +48,8 @@
 	Copies int
 	// BytesPerSecond bounds the rate at which blobs are read and copied.
 	BytesPerSecond float64
-	// Every is the pause between passes.
-	Every time.Duration
+	// Interval is the pause between passes.
+	Interval time.Duration
 	// Grace is how long an unresponsive peer, which may only be restarting, counts as holding the
 	// blobs that it should hold.
 	Grace time.Duration
@@ -62,7 +62,7 @@
 		return errors.New("copies: must be at least 1")
 	case !(s.BytesPerSecond > 0) || math.IsInf(s.BytesPerSecond, 0):
 		return errors.New("bytes_per_second: must be above 0")
-	case s.Every < time.Second:
+	case s.Interval < time.Second:
 		return errors.New("every: must be at least 1s")
 	case s.Grace < 0:
 		return errors.New("grace: must not be below 0")
@@ -74,12 +74,12 @@
 type Progress struct {
 	// Pass counts the passes begun. The others are how many blobs of the current pass are
 	// processed, and how many it has.
-	Pass, Done, Of int
+	Pass, Done, Total int
 	// Counts since the process started: blobs found intact, blobs found corrupt, corrupt blobs
 	// restored, copies made, and blobs left with too few copies.
-	Read, Corrupt, Restored, Copied, Short int64
-	// Records counts the records sent to peers, including those that the peers had already.
-	Records int64
+	Verified, Corrupt, Restored, Copied, UnderReplicated int64
+	// RecordsSent counts the records sent to peers, including those that the peers had already.
+	RecordsSent int64
 	// Gone are the peers that have not answered for longer than the grace period.
 	Gone []string
 }
@@ -96,7 +96,7 @@
 	rate       *admission.Queue
 	// This optional function copies small records to peers after each pass. Before it sends some
 	// bytes it calls throttle with their number.
-	Records func(ctx context.Context, throttle func(context.Context, int64) error) (copied int, err error)
+	CopyRecords func(ctx context.Context, throttle func(context.Context, int64) error) (copied int, err error)
 
 	mu                sync.Mutex
 	progress          Progress
@@ -133,13 +133,13 @@
 		}
 		progress := r.Progress()
 		if err != nil {
-			r.log.Warn("repair pass interrupted", "error", err, "done", progress.Done, "of", progress.Of)
+			r.log.Warn("repair pass interrupted", "error", err, "done", progress.Done, "of", progress.Total)
 		} else {
-			r.log.Info("repair pass done", "count", progress.Of, "elapsed", time.Since(started).Round(time.Millisecond), "corrupt", progress.Corrupt,
-				"restored", progress.Restored, "copied", progress.Copied, "short", progress.Short, "gone", progress.Gone)
+			r.log.Info("repair pass done", "count", progress.Total, "elapsed", time.Since(started).Round(time.Millisecond), "corrupt", progress.Corrupt,
+				"restored", progress.Restored, "copied", progress.Copied, "short", progress.UnderReplicated, "gone", progress.Gone)
 		}
 		select {
-		case <-time.After(r.settings.Every):
+		case <-time.After(r.settings.Interval):
 		case <-ctx.Done():
 			return
 		}
@@ -179,7 +179,7 @@
 	keys := r.store.Keys()
 	slices.SortFunc(keys, compareKeys)
 	done := r.resumeIndex(keys)
-	r.count(func(p *Progress) { p.Pass++; p.Done, p.Of = done, len(keys) })
+	r.count(func(p *Progress) { p.Pass++; p.Done, p.Total = done, len(keys) })
 	for done < len(keys) {
 		// A batch holds blobs of one space, since a call to a peer asks about one space.
 		end := done + 1
@@ -195,9 +195,9 @@
 			return err
 		}
 	}
-	if r.Records != nil {
-		copied, err := r.Records(ctx, r.throttle)
-		r.count(func(p *Progress) { p.Records += int64(copied) })
+	if r.CopyRecords != nil {
+		copied, err := r.CopyRecords(ctx, r.throttle)
+		r.count(func(p *Progress) { p.RecordsSent += int64(copied) })
 		if err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 		switch {
 		case err == nil:
 			intact = append(intact, key)
-			r.count(func(p *Progress) { p.Read++ })
+			r.count(func(p *Progress) { p.Verified++ })
 		case errors.Is(err, blobstore.ErrNotFound): // evicted meanwhile
 		case errors.Is(err, blobstore.ErrMismatch):
 			if r.restoreCorrupt(ctx, key) {
@@ -246,7 +246,7 @@
 
 // throttle waits until the rate allows reading or copying that many bytes.
 func (r *Repairer) throttle(ctx context.Context, bytes int64) error {
-	release, err := r.rate.Enter(ctx, "", "", float64(bytes))
+	release, err := r.rate.Acquire(ctx, "", "", float64(bytes))
 	if err != nil {
 		return err
 	}
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -53,7 +53,7 @@
 
 func (p *fakePeer) Name() string { return p.name }
 
-func (p *fakePeer) Lacks(_ context.Context, space string, digests []blobstore.Digest) (out []blobstore.Digest, err error) {
+func (p *fakePeer) FindMissing(_ context.Context, space string, digests []blobstore.Digest) (out []blobstore.Digest, err error) {
 	if p.down {
 		return nil, errors.New("down")
 	}
@@ -133,7 +133,7 @@
 	return r
 }
 
-var fastSettings = Settings{Copies: 2, BytesPerSecond: 1e9, Every: time.Minute, Grace: 2 * time.Minute}
+var fastSettings = Settings{Copies: 2, BytesPerSecond: 1e9, Interval: time.Minute, Grace: 2 * time.Minute}
 
 // A peer that is down for less than the grace period causes no copies. The blobs of one that is
 // gone are copied to others, and nothing more is copied when it returns.
@@ -148,7 +148,7 @@
 			}
 			return r.Progress()
 		}
-		if p := pass(); p.Copied != 0 || p.Done != 1500 || p.Read != 1500 || len(p.Gone) != 0 {
+		if p := pass(); p.Copied != 0 || p.Done != 1500 || p.Verified != 1500 || len(p.Gone) != 0 {
 			t.Errorf("pass with enough copies: %+v, want 1500 blobs read and none copied", p)
 		}
 		cluster.peers[1].down = true
@@ -184,7 +184,7 @@
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if p := r.Progress(); p.Corrupt != 2 || p.Restored != 1 || p.Read != 97 || p.Copied != 0 {
+		if p := r.Progress(); p.Corrupt != 2 || p.Restored != 1 || p.Verified != 97 || p.Copied != 0 {
 			t.Errorf("%+v, want 97 blobs read, 2 corrupt, 1 restored and none copied", p)
 		}
 		if _, ok := cluster.blobs[key(3)]; !ok {
@@ -202,7 +202,7 @@
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if p := r.Progress(); p.Copied != 100 || p.Short != 0 || cluster.peers[0].pushed != 0 {
+		if p := r.Progress(); p.Copied != 100 || p.UnderReplicated != 0 || cluster.peers[0].pushed != 0 {
 			t.Errorf("one peer full: %+v, want 100 blobs copied and none short", p)
 		}
 		cluster = newFakeCluster(100, 2, 1)
@@ -211,7 +211,7 @@
 		if err := r.Pass(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if p := r.Progress(); p.Copied != 0 || p.Short != 100 {
+		if p := r.Progress(); p.Copied != 0 || p.UnderReplicated != 100 {
 			t.Errorf("all peers full: %+v, want none copied and 100 blobs short", p)
 		}
 	})
@@ -241,7 +241,7 @@
 		if cluster.reads < 3000 || cluster.reads > 3000+maxBatchSize {
 			t.Errorf("both parts of the pass read %d blobs, want 3000 and at most one batch twice", cluster.reads)
 		}
-		if err := r.Pass(context.Background()); err != nil || r.Progress().Read < 3000 {
+		if err := r.Pass(context.Background()); err != nil || r.Progress().Verified < 3000 {
 			t.Errorf("next pass: %+v, error %v, want all 3000 blobs read", r.Progress(), err)
 		}
 	})
@@ -287,7 +287,7 @@
 
 func TestInvalidSettings(t *testing.T) {
 	for _, change := range []func(*Settings){func(s *Settings) { s.Copies = 0 }, func(s *Settings) { s.BytesPerSecond = 0 },
-		func(s *Settings) { s.Every = 0 }, func(s *Settings) { s.Grace = -1 }} {
+		func(s *Settings) { s.Interval = 0 }, func(s *Settings) { s.Grace = -1 }} {
 		s := fastSettings
 		change(&s)
 		if s.Check() == nil {
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -34,20 +34,20 @@
 	return float64(bits>>(64-float64Bits)) / (1 << float64Bits)
 }
 
-// Tries counts the consecutive failures of one task.
-type Tries struct {
+// FailureCounter counts the consecutive failures of one task.
+type FailureCounter struct {
 	Backoff Backoff
-	// Who identifies the task. It is the input of the jitter, so that different tasks have
+	// JitterKey identifies the task. It is the input of the jitter, so that different tasks have
 	// different pauses.
-	Who      string
-	failures int
+	JitterKey string
+	failures  int
 }
 
 // Failed counts a failure and returns the pause before the next attempt.
-func (t *Tries) Failed() time.Duration {
+func (t *FailureCounter) Failed() time.Duration {
 	t.failures++
-	return t.Backoff.Pause(t.Who, t.failures)
+	return t.Backoff.Pause(t.JitterKey, t.failures)
 }
 
 // Succeeded resets the count of consecutive failures.
-func (t *Tries) Succeeded() { t.failures = 0 }
+func (t *FailureCounter) Succeeded() { t.failures = 0 }
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -9,13 +9,13 @@
 // it opens for a time; then it is half-open and allows one call as a probe. It closes if the probe
 // is answered, and opens for longer if not. Its zero value is closed. It is safe for concurrent use.
 type CircuitBreaker struct {
-	// After is the number of consecutive failures that opens the circuit; 0 means 1.
-	After int
+	// FailureThreshold is the number of consecutive failures that opens the circuit; 0 means 1.
+	FailureThreshold int
 	// OpenTime is how long the circuit stays open.
 	OpenTime Backoff
-	// Who identifies the target. It is the input of the jitter of OpenTime, so that different
+	// JitterKey identifies the target. It is the input of the jitter of OpenTime, so that different
 	// circuits do not become half-open at the same time.
-	Who string
+	JitterKey string
 
 	mu       sync.Mutex
 	failures int
@@ -62,7 +62,7 @@
 		return
 	}
 	c.failures++
-	if limit := max(1, c.After); c.failures >= limit {
-		c.openUntil = now.Add(c.OpenTime.Pause(c.Who, c.failures-limit+1))
+	if limit := max(1, c.FailureThreshold); c.failures >= limit {
+		c.openUntil = now.Add(c.OpenTime.Pause(c.JitterKey, c.failures-limit+1))
 	}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("pause after %d failures is %s, want between half and all of %s, and the same each time", failures, p, bound)
 		}
 	}
-	tries := Tries{Backoff: b, Who: "x"}
+	tries := FailureCounter{Backoff: b, JitterKey: "x"}
 	first := tries.Failed()
 	tries.Failed()
 	tries.Succeeded()
@@ -77,7 +77,7 @@
 }
 
 func TestCircuitBreaker(t *testing.T) {
-	c := CircuitBreaker{After: 2, OpenTime: Backoff{time.Second, 4 * time.Second}}
+	c := CircuitBreaker{FailureThreshold: 2, OpenTime: Backoff{time.Second, 4 * time.Second}}
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	if !c.Allow(now) || c.Open(now) {
 		t.Error("a new circuit is open")
--- a/internal/rights/change.go
+++ b/internal/rights/change.go
@@ -127,8 +127,8 @@
 	return document
 }
 
-// Version is the response to a policy change.
-type Version struct {
+// ChangeResult is the response to a policy change.
+type ChangeResult struct {
 	Version uint64 `msgpack:"version"`
 	// MaxChanges is the maximum number of records in one change.
 	MaxChanges int `msgpack:"max_changes"`
--- a/internal/rights/policy.go
+++ b/internal/rights/policy.go
@@ -25,7 +25,7 @@
 	// anyQueueVerbs are the verbs that it holds on at least one queue.
 	anyQueueVerbs Verb
 	revoked       bool
-	// tokensFromMS is Identity.TokensFromMS.
+	// tokensFromMS is Identity.TokensRevokedBeforeMS.
 	tokensFromMS int64
 }
 
@@ -52,7 +52,7 @@
 	}
 	for i := range document.Identities {
 		id := &document.Identities[i]
-		compiled := compiledIdentity{revoked: id.Revoked, tokensFromMS: id.TokensFromMS}
+		compiled := compiledIdentity{revoked: id.Revoked, tokensFromMS: id.TokensRevokedBeforeMS}
 		for _, name := range id.Roles {
 			// A role that doesn't exist any more allows nothing.
 			if index, ok := p.roleIndices[name]; ok {
@@ -65,14 +65,14 @@
 	return p
 }
 
-// Known reports whether the policy contains an identity and has not revoked it.
-func (p *Policy) Known(name string) bool {
+// IsActive reports whether the policy contains an identity and has not revoked it.
+func (p *Policy) IsActive(name string) bool {
 	id, ok := p.identities[name]
 	return ok && !id.revoked
 }
 
-// Voids reports whether a token that was issued to an identity at a time has been revoked.
-func (p *Policy) Voids(name string, issued time.Time) bool {
+// IsTokenRevoked reports whether a token that was issued to an identity at a time has been revoked.
+func (p *Policy) IsTokenRevoked(name string, issued time.Time) bool {
 	return issued.UnixMilli() < p.identities[name].tokensFromMS
 }
 
--- a/internal/rights/policyfile/plan.go
+++ b/internal/rights/policyfile/plan.go
@@ -156,7 +156,7 @@
 }
 
 // identitiesToPut returns the steps for new and changed identities, and the identities that only from
-// contains. Policy files don't contain TokensFromMS, so its value in from is kept.
+// contains. Policy files don't contain TokensRevokedBeforeMS, so its value in from is kept.
 func identitiesToPut(from, to *rights.Document) (puts []step, onlyInFrom map[string]rights.Identity) {
 	onlyInFrom = map[string]rights.Identity{}
 	for _, id := range from.Identities {
@@ -165,7 +165,7 @@
 	for i := range to.Identities {
 		id := to.Identities[i]
 		before, ok := onlyInFrom[id.Name]
-		id.TokensFromMS = before.TokensFromMS
+		id.TokensRevokedBeforeMS = before.TokensRevokedBeforeMS
 		if !ok || before.Revoked != id.Revoked || !slices.Equal(before.Roles, id.Roles) {
 			puts = append(puts, step{putIdentity: &id})
 		}
--- a/internal/rights/policyfile/policyfile_test.go
+++ b/internal/rights/policyfile/policyfile_test.go
@@ -121,9 +121,9 @@
 			}
 		}
 	}
-	withRevokedTokens := &rights.Document{Roles: docs[0].Roles, Identities: []rights.Identity{id("person/x", "a"), {Name: "person/y", Roles: []string{"b"}, TokensFromMS: 7}}}
+	withRevokedTokens := &rights.Document{Roles: docs[0].Roles, Identities: []rights.Identity{id("person/x", "a"), {Name: "person/y", Roles: []string{"b"}, TokensRevokedBeforeMS: 7}}}
 	plan, err := Plan(withRevokedTokens, docs[1], 12)
-	if err != nil || apply(t, withRevokedTokens, plan, 12).Identities[1].TokensFromMS != 7 {
+	if err != nil || apply(t, withRevokedTokens, plan, 12).Identities[1].TokensRevokedBeforeMS != 7 {
 		t.Errorf("Plan failed or made revoked tokens valid again: %v", err)
 	}
 }
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -41,8 +41,8 @@
 	Roles []string `msgpack:"r" yaml:"roles" json:"roles"`
 	// Revoked denies the identity everything.
 	Revoked bool `msgpack:"x,omitempty" yaml:"revoked,omitempty" json:"revoked,omitempty"`
-	// TokensFromMS revokes the tokens that were issued before this time, in Unix milliseconds.
-	TokensFromMS int64 `msgpack:"f,omitempty" yaml:"-" json:"tokens_from_ms,omitempty"`
+	// TokensRevokedBeforeMS revokes the tokens that were issued before this time, in Unix milliseconds.
+	TokensRevokedBeforeMS int64 `msgpack:"f,omitempty" yaml:"-" json:"tokens_from_ms,omitempty"`
 }
 
 // Limits of a policy.
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	if !name.Caller() {
+	if !name.IsCaller() {
 		return fmt.Errorf("%s: a policy is about persons and services; a %s has the rights of its kind", id.Name, name.Kind)
 	}
 	if len(id.Roles) > maxRolesPerIdentity {
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -125,9 +125,9 @@
 func TestTokensIssuedBeforeRevocationAreInvalid(t *testing.T) {
 	d := testPolicy()
 	at := time.UnixMilli(1_000_000_000_000)
-	d.Identities[1].TokensFromMS = at.UnixMilli()
+	d.Identities[1].TokensRevokedBeforeMS = at.UnixMilli()
 	p := Compile(d)
-	if !p.Voids("person/anna", at.Add(-time.Second)) || p.Voids("person/anna", at) || p.Voids("person/root", at.Add(-time.Hour)) {
+	if !p.IsTokenRevoked("person/anna", at.Add(-time.Second)) || p.IsTokenRevoked("person/anna", at) || p.IsTokenRevoked("person/root", at.Add(-time.Hour)) {
 		t.Error("only tokens that were issued to person/anna before the revocation must be revoked")
 	}
 }
--- a/internal/rights/verbs.go
+++ b/internal/rights/verbs.go
@@ -19,9 +19,9 @@
 	// Administer permits cancelling all jobs that an identity submitted to a queue. If it is
 	// held on every queue, it also permits changing the policy and reading the audit log.
 	Administer
-	// Vouch permits a service to act on behalf of a caller that it has authenticated by
+	// ActOnBehalf permits a service to act on behalf of a caller that it has authenticated by
 	// certificate. It permits nothing beyond the caller's own permissions.
-	Vouch
+	ActOnBehalf
 )
 
 // verbNames are the names of verbs in rules, in the order in which String lists them.
@@ -35,7 +35,7 @@
 	{"withdraw", Cancel},
 	{"reassign", Reassign},
 	{"administer", Administer},
-	{"vouch", Vouch},
+	{"vouch", ActOnBehalf},
 }
 
 // String returns the names of the verbs in the set, separated by commas.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -55,8 +55,8 @@
 			return err
 		}
 	}
-	if s.Params.Count != len(s.Others)+1 {
-		return fmt.Errorf("params.count: %d does not match the %d entries of others; it must be one more", s.Params.Count, len(s.Others))
+	if s.Params.ControllerCount != len(s.Others)+1 {
+		return fmt.Errorf("params.count: %d does not match the %d entries of others; it must be one more", s.Params.ControllerCount, len(s.Others))
 	}
 	return nil
 }
@@ -92,23 +92,23 @@
 // checkLimits checks the timing of agents and the limits of the services and of this process.
 func (p *Params) checkLimits() error {
 	limits := []limit{
-		{"params.workers.report_s", p.Workers.ReportS},
-		{"params.workers.lease_s", p.Workers.LeaseS},
-		{"params.workers.cancel_s", p.Workers.CancelS},
+		{"params.workers.report_s", p.AgentTimes.HeartbeatS},
+		{"params.workers.lease_s", p.AgentTimes.LeaseS},
+		{"params.workers.cancel_s", p.AgentTimes.CancelS},
 		{"params.state.rps", p.State.RPS},
 		{"params.state.write_rps", p.State.WriteRPS},
 		{"params.state.value_kb", p.State.ValueKB},
 		{"params.state.txn_ops", float64(p.State.TxnOps)},
 		{"params.cloud.rps", p.Cloud.RPS},
-		{"params.machine_limits.mem_mb", p.MachineLimits.MemMB},
-		{"params.machine_limits.sockets", float64(p.MachineLimits.Sockets)},
+		{"params.machine_limits.mem_mb", p.ProcessLimits.MemMB},
+		{"params.machine_limits.sockets", float64(p.ProcessLimits.Sockets)},
 	}
 	for _, limit := range append(limits, p.State.Next.limits()...) {
 		if !(limit.value > 0) || math.IsInf(limit.value, 0) {
 			return fmt.Errorf("%s: must be positive and finite", limit.field)
 		}
 	}
-	if p.Workers.LeaseS <= p.Workers.ReportS {
+	if p.AgentTimes.LeaseS <= p.AgentTimes.HeartbeatS {
 		return errors.New("params.workers.lease_s: must be greater than report_s")
 	}
 	return nil
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -18,8 +18,8 @@
 	s.ServeOn, s.ClusterListen = "10.0.0.1:1001", "10.0.0.1:1002"
 	s.Others[0].PeerAddr, s.Others[1].PeerAddr = "10.0.0.2:1003", "10.0.0.3:1004"
 	s.Services = Services{Cloud: "10.0.0.4:1005", State: "10.0.0.5:1006"}
-	s.Params.Count = len(s.Others) + 1
-	s.Params.Workers = AgentTimes{ReportS: 1.25, LeaseS: 10.25, CancelS: 30.25}
+	s.Params.ControllerCount = len(s.Others) + 1
+	s.Params.AgentTimes = AgentTimes{HeartbeatS: 1.25, LeaseS: 10.25, CancelS: 30.25}
 	return s
 }
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := golden.Text(t, "platform.json", string(text)+"\n")
+	stored := golden.CheckText(t, "platform.json", string(text)+"\n")
 	if got, err := Parse([]byte(stored)); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v (%v), want %+v", got, err, want)
 	}
@@ -40,7 +40,7 @@
 // Guards against changes in how the operators' settings file is read.
 func TestGoldenOperator(t *testing.T) {
 	want := golden.Fill(&Operator{})
-	want.LimitShare = 0.75
+	want.UseLimit = 0.75
 	want.MovePeriod, want.IdleReturn, want.LeaseTTL = 2*time.Second, 20*time.Second, 4*time.Second
 	want.Operations.Listen = "127.0.0.1:1007"
 	golden.RequireFilled(t, want)
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "operator.yaml", string(text))
+	golden.CheckText(t, "operator.yaml", string(text))
 	got, err := LoadOperator(filepath.Join("testdata", "golden", "operator.yaml"))
 	if err != nil || !reflect.DeepEqual(&got, want) {
 		t.Errorf("read as %+v (%v), want %+v", got, err, want)
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -22,8 +22,8 @@
 
 // Operator has the settings of the operators' file. All are optional.
 type Operator struct {
-	// LimitShare is the use limit of a machine, as a fraction of its CPUs.
-	LimitShare float64 `yaml:"limit_share"`
+	// UseLimit is the use limit of a machine, as a fraction of its CPUs.
+	UseLimit float64 `yaml:"limit_share"`
 	// MovePeriod is how often the cluster leader moves idle machines between partitions.
 	MovePeriod time.Duration `yaml:"move_period"`
 	// IdleReturn is how long a machine may be idle before it is returned to the cloud.
@@ -47,12 +47,12 @@
 // Identity names the files with a controller's credentials and with the certificates and keys that it
 // trusts.
 type Identity struct {
-	// Own is the file with the controller's certificate and key, Roots the one with the trusted
-	// root certificates, and TokenKeys the one with the public keys of tokens. "{label}" in a
+	// CredentialsFile is the file with the controller's certificate and key, Roots the one with the trusted
+	// root certificates, and TokenKeysFile the one with the public keys of tokens. "{label}" in a
 	// file name is replaced by the controller's label.
-	Own       string `yaml:"own"`
-	Roots     string `yaml:"roots"`
-	TokenKeys string `yaml:"token_keys"`
+	CredentialsFile string `yaml:"own"`
+	RootsFile       string `yaml:"roots"`
+	TokenKeysFile   string `yaml:"token_keys"`
 	// Cluster is the name that tokens must be issued for.
 	Cluster string `yaml:"cluster"`
 	// Bootstrap is the identity that may write the first policy.
@@ -62,7 +62,7 @@
 // DefaultOperator returns the settings that apply without an operators' file.
 func DefaultOperator() Operator {
 	return Operator{
-		LimitShare: 0.8,
+		UseLimit:   0.8,
 		MovePeriod: time.Second,
 		IdleReturn: 15 * time.Second,
 		LeaseTTL:   3 * time.Second,
@@ -94,7 +94,7 @@
 // check returns an error that names the first invalid field.
 func (o *Operator) check() error {
 	switch {
-	case !(o.LimitShare >= 0 && o.LimitShare <= 1):
+	case !(o.UseLimit >= 0 && o.UseLimit <= 1):
 		return errors.New("limit_share: must be between 0 and 1")
 	case o.MovePeriod < minMovePeriod:
 		return errors.New("move_period: must be at least 100ms")
@@ -129,11 +129,11 @@
 // check returns an error that names the first missing field.
 func (i *Identity) check() error {
 	switch {
-	case i.Own == "":
+	case i.CredentialsFile == "":
 		return errors.New("identity.own: missing file name of this controller's certificate and key")
-	case i.Roots == "":
+	case i.RootsFile == "":
 		return errors.New("identity.roots: missing file name of the trusted root certificates")
-	case i.TokenKeys != "" && i.Cluster == "":
+	case i.TokenKeysFile != "" && i.Cluster == "":
 		return errors.New("identity.cluster: missing cluster name, which is required with token_keys")
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,15 +39,15 @@
 
 // Params describes the deployment.
 type Params struct {
-	// Count is the number of controllers, which is also the number of partitions.
-	Count         int              `json:"count"`
-	Zones         []string         `json:"zones"`
-	Teams         []Team           `json:"teams"`
-	Objectives    []Objective      `json:"objectives"`
-	Workers       AgentTimes       `json:"workers"`
-	State         StateStoreLimits `json:"state"`
-	Cloud         CloudLimits      `json:"cloud"`
-	MachineLimits ProcessLimits    `json:"machine_limits"`
+	// ControllerCount is the number of controllers, which is also the number of partitions.
+	ControllerCount int              `json:"count"`
+	Zones           []string         `json:"zones"`
+	Teams           []Team           `json:"teams"`
+	Objectives      []Objective      `json:"objectives"`
+	AgentTimes      AgentTimes       `json:"workers"`
+	State           StateStoreLimits `json:"state"`
+	Cloud           CloudLimits      `json:"cloud"`
+	ProcessLimits   ProcessLimits    `json:"machine_limits"`
 	// TimeBoundMS is the maximum difference between clocks, in milliseconds.
 	TimeBoundMS float64 `json:"time_bound_ms"`
 }
@@ -74,9 +74,9 @@
 // AgentTimes has the timing of agents, in seconds: the heartbeat interval, the duration of a machine
 // lease, and how long a task may keep running after its job is cancelled.
 type AgentTimes struct {
-	ReportS float64 `json:"report_s"`
-	LeaseS  float64 `json:"lease_s"`
-	CancelS float64 `json:"cancel_s"`
+	HeartbeatS float64 `json:"report_s"`
+	LeaseS     float64 `json:"lease_s"`
+	CancelS    float64 `json:"cancel_s"`
 }
 
 // StateStoreLimits has the limits of the state store: requests and writes per second, the size of a
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -90,7 +90,7 @@
 	if op, err := LoadOperator(""); err != nil || op != DefaultOperator() {
 		t.Errorf("LoadOperator without a file = %+v, %v, want the defaults", op, err)
 	}
-	if op, err := LoadOperator(write("limit_share: 0.5\nmove_period: 2s\n")); err != nil || op.LimitShare != 0.5 || op.MovePeriod != 2*time.Second {
+	if op, err := LoadOperator(write("limit_share: 0.5\nmove_period: 2s\n")); err != nil || op.UseLimit != 0.5 || op.MovePeriod != 2*time.Second {
 		t.Errorf("LoadOperator = %+v, %v, want limit_share 0.5 and move_period 2s", op, err)
 	}
 	if _, err := LoadOperator(write("")); err != nil {
--- a/internal/storage/compat_test.go
+++ b/internal/storage/compat_test.go
@@ -74,7 +74,7 @@
 		"job": {
 			&protocol.JobSpec{ID: "job-000412", Class: "train", Team: "vision", Urgency: protocol.High, Tasks: 160, CPUs: 8, GPUs: 1,
 				MemGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"}, Zone: "a", OneZone: true, Spread: true, Spot: true,
-				EstimateS: 240.25, CheckpointS: 30, SaveS: 4, DeadlineS: 900, SubmittedMS: 1764600000123},
+				EstimateS: 240.25, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: 900, SubmittedMS: 1764600000123},
 			&oldJobSpec{ID: "job-000412", Class: "train", Team: "vision", Urgency: 2, Tasks: 160, CPUs: 8, GPUs: 1,
 				MemGB: 64.5, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "c4"}, Zone: "a", OneZone: true, Spread: true, Spot: true,
 				EstimateS: 240.25, CheckpointS: 30, SaveS: 4, DeadlineS: 900, SubmittedMS: 1764600000123},
@@ -84,7 +84,7 @@
 			&oldJobSpec{ID: "job-7", Class: "c", Team: "t", Urgency: 1, Tasks: 1, CPUs: 0.5, MemGB: 1, SubmittedMS: 1},
 		},
 		"job-service": {
-			&protocol.JobSpec{ID: "job-8", Class: "web", Team: "t", Standing: true, Tasks: 3, CPUs: 2, MemGB: 4, SubmittedMS: 5},
+			&protocol.JobSpec{ID: "job-8", Class: "web", Team: "t", Service: true, Tasks: 3, CPUs: 2, MemGB: 4, SubmittedMS: 5},
 			&oldJobSpec{ID: "job-8", Class: "web", Team: "t", Standing: true, Tasks: 3, CPUs: 2, MemGB: 4, SubmittedMS: 5},
 		},
 		"run": {
@@ -98,8 +98,8 @@
 			&Machine{Partition: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, CreatedMS: 1764600000123},
 			&oldMachine{Part: 2, Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, RentedMS: 1764600000123},
 		},
-		"final-done": {&Final{Status: protocol.StatusDone, AtMS: 1764600000123}, &oldFinal{Status: "done", AtMS: 1764600000123}},
-		"final-withdrawn": {&Final{Status: protocol.StatusCancelled, AtMS: 1764600000124},
+		"final-done": {&FinalRecord{Status: protocol.StatusDone, AtMS: 1764600000123}, &oldFinal{Status: "done", AtMS: 1764600000123}},
+		"final-withdrawn": {&FinalRecord{Status: protocol.StatusCancelled, AtMS: 1764600000124},
 			&oldFinal{Status: "withdrawn", AtMS: 1764600000124}},
 		"claim": {&Lease{Holder: "spindle-0", Nonce: "N0NCE"}, &oldClaim{Owner: "spindle-0", Nonce: "N0NCE"}},
 	}
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -24,7 +24,7 @@
 func TestGoldenRecords(t *testing.T) {
 	for name, record := range map[string]any{
 		"job":         golden.Fill(&protocol.JobSpec{}),
-		"final":       golden.Fill(&storage.Final{}),
+		"final":       golden.Fill(&storage.FinalRecord{}),
 		"run":         golden.Fill(&storage.RunRecord{}),
 		"claim":       golden.Fill(&storage.Lease{}), // of a partition and of the cluster leader
 		"life":        golden.Fill(&storage.Incarnation{}),
@@ -42,7 +42,7 @@
 func TestGoldenKeys(t *testing.T) {
 	for _, tc := range []struct {
 		name, key, want string
-		kind            storage.Kind
+		kind            storage.RecordKind
 		of              string
 	}{
 		{"claim", storage.LeaseKey(12), "w/c/12", storage.KindLease, "12"},
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -30,12 +30,12 @@
 	finalRecord = "final"
 )
 
-// Kind is the kind of record that a watched key holds.
-type Kind int
+// RecordKind is the kind of record that a watched key holds.
+type RecordKind int
 
 // The kinds of watched keys.
 const (
-	KindOther Kind = iota
+	KindOther RecordKind = iota
 	KindLease
 	KindLeadership
 	KindMachine
@@ -82,7 +82,7 @@
 }
 
 // ParseKey returns the kind of a watched key, and the name or partition in it, if any.
-func ParseKey(key string) (Kind, string) {
+func ParseKey(key string) (RecordKind, string) {
 	switch {
 	case key == LeadershipKey:
 		return KindLeadership, ""
@@ -107,7 +107,7 @@
 }
 
 // parseJobKey returns the kind and the job of a key, given the part after jobPrefix.
-func parseJobKey(rest string) (Kind, string) {
+func parseJobKey(rest string) (RecordKind, string) {
 	id, record, _ := strings.Cut(rest, "/")
 	switch record {
 	case jobRecord:
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -46,8 +46,8 @@
 	CreatedMS int64 `msgpack:"r"`
 }
 
-// Final records that a job is done or cancelled.
-type Final struct {
+// FinalRecord records that a job is done or cancelled.
+type FinalRecord struct {
 	Status string `msgpack:"s"`
 	// AtMS is the time at which the job ended, in Unix milliseconds; 0 means unknown.
 	AtMS int64 `msgpack:"at"`
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -26,8 +26,8 @@
 	return s.commit(ctx, txn)
 }
 
-// CommitAhead is like Commit for records that users wait for. They have priority over other records.
-func (s *Store) CommitAhead(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
+// CommitPriority is like Commit for records that users wait for. They have priority over other records.
+func (s *Store) CommitPriority(ctx context.Context, txn *protocol.Transaction) (revision uint64, err error) {
 	if err := s.awaitWrites(ctx, s.writes, len(txn.Then)); err != nil {
 		return 0, err
 	}
--- a/internal/storage/user_requests.go
+++ b/internal/storage/user_requests.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// BudgetIn returns the time until the budget allows n changes of a user, at the current rate.
-func (s *Store) BudgetIn(n int) time.Duration {
+// WriteBudgetDelay returns the time until the budget allows n changes of a user, at the current rate.
+func (s *Store) WriteBudgetDelay(n int) time.Duration {
 	missing := float64(n) - s.writes.Tokens()
 	if missing <= 0 {
 		return 0
--- a/internal/storage/watches.go
+++ b/internal/storage/watches.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// ChangeTimeout is the timeout of a watch request that does not wait for changes.
-const ChangeTimeout = 3 * time.Second
+// ImmediateWatchTimeout is the timeout of a watch request that does not wait for changes.
+const ImmediateWatchTimeout = 3 * time.Second
 
 // Watch returns the changes under prefix after a revision. It waits up to wait for the first of them.
 // grace is how much longer the response may take, so that an open watch outlasts a short outage. If
@@ -25,7 +25,7 @@
 // the budget, since a takeover depends on it.
 func (s *Store) CatchUp(ctx context.Context, prefix string, after uint64) (*protocol.Events, error) {
 	s.requests.Reserve()
-	return s.changes(ctx, prefix, after, 0, ChangeTimeout)
+	return s.changes(ctx, prefix, after, 0, ImmediateWatchTimeout)
 }
 
 // changes is Watch without waiting for the budget.
--- a/internal/telemetry/bound.go
+++ b/internal/telemetry/bound.go
@@ -36,8 +36,8 @@
 // metricName returns the name of a bound's counter.
 func (b Bound) metricName() string { return fmt.Sprintf("micaspindle_bound_met_total{bound=%q}", b) }
 
-// Met adds n to the counter of a bound.
-func (m *Metrics) Met(b Bound, n int) {
+// CountExceeded adds n to the counter of a bound.
+func (m *Metrics) CountExceeded(b Bound, n int) {
 	if m != nil && n > 0 {
 		m.bounds[b].Add(n)
 	}
--- a/internal/telemetry/bound_reporter.go
+++ b/internal/telemetry/bound_reporter.go
@@ -21,12 +21,12 @@
 // NewBoundReporter returns a reporter without metrics.
 func NewBoundReporter(log *slog.Logger) *BoundReporter { return &BoundReporter{Log: log} }
 
-// Met reports that a bound was exceeded n times.
-func (r *BoundReporter) Met(b Bound, n int) {
+// ReportExceeded reports that a bound was exceeded n times.
+func (r *BoundReporter) ReportExceeded(b Bound, n int) {
 	if n <= 0 {
 		return
 	}
-	r.Metrics.Met(b, n)
+	r.Metrics.CountExceeded(b, n)
 	if !r.logged[b].Swap(true) {
 		r.Log.Warn("bound exceeded; further occurrences are only counted", "bound", b)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,7 +11,7 @@
 	var none *Metrics
 	none.RecordWait(Start, time.Second, time.Now())
 	none.Count(JobLate, 1)
-	none.Met(Demands, 1)
+	none.CountExceeded(Demands, 1)
 	if none.Quantiles() != nil {
 		t.Error("a nil Metrics returned quantiles")
 	}
@@ -22,7 +22,7 @@
 	m.RecordWait(Finish, -time.Second, now) // the clock was adjusted
 	m.RecordWait(Finish, 1000*time.Hour, now)
 	m.Count(JobLate, 3)
-	m.Met(ForwardedHeartbeats, 2)
+	m.CountExceeded(ForwardedHeartbeats, 2)
 	q := m.Quantiles()
 	if len(q) != 2 || q[0].What != "start" || q[0].Count != 100 || q[0].P50 < 4.9 || q[0].P50 > 5.2 || q[0].P99 < 9.8 || q[0].Max > 10.2 {
 		t.Errorf("quantiles %+v", q)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -25,7 +25,7 @@
 	// clientIdleTimeout is how long idle connections are kept.
 	clientIdleTimeout = 20 * time.Second
 	// shortIdleTimeout replaces clientIdleTimeout while the process is near its limit of
-	// sockets. It is also the interval of SweepUntil.
+	// sockets. It is also the interval of CloseIdleUntilDone.
 	shortIdleTimeout = time.Second
 )
 
@@ -34,11 +34,11 @@
 	// TLSConfig, if set, returns the TLS configuration for connections to an address. If it or its
 	// result is nil, the connection is plain HTTP.
 	TLSConfig func(addr string) *tls.Config
-	// CrowdedConnections, if set, is the number of open connections of the process, accepted and
+	// MaxConnectionsForIdle, if set, is the number of open connections of the process, accepted and
 	// dialled, from which on connections are closed after their response instead of being kept
 	// idle. This leaves the sockets to agents and users. Below it connections are reused, which
 	// saves dials and TLS handshakes.
-	CrowdedConnections int
+	MaxConnectionsForIdle int
 
 	engine *Engine
 
@@ -161,14 +161,14 @@
 	c.idle[addr] = append(c.idle[addr], idleConnection{connection: conn, idleSince: time.Now()})
 }
 
-// nearSocketLimit reports whether the process has CrowdedConnections or more open connections.
+// nearSocketLimit reports whether the process has MaxConnectionsForIdle or more open connections.
 func (c *Client) nearSocketLimit() bool {
-	return c.CrowdedConnections > 0 && c.engine.open.Load() >= int64(c.CrowdedConnections)
+	return c.MaxConnectionsForIdle > 0 && c.engine.open.Load() >= int64(c.MaxConnectionsForIdle)
 }
 
-// SweepUntil closes idle connections after clientIdleTimeout, or after shortIdleTimeout while the
+// CloseIdleUntilDone closes idle connections after clientIdleTimeout, or after shortIdleTimeout while the
 // process is near its limit of sockets. It returns when ctx is done.
-func (c *Client) SweepUntil(ctx context.Context) {
+func (c *Client) CloseIdleUntilDone(ctx context.Context) {
 	tick := time.NewTicker(shortIdleTimeout)
 	defer tick.Stop()
 	for last := time.Now(); ; {
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// From CrowdedConnections open connections on, a connection is closed after its response and idle
+// From MaxConnectionsForIdle open connections on, a connection is closed after its response and idle
 // ones are closed early. Below it, connections are kept.
 func TestIdleConnectionsAreClosedNearTheSocketLimit(t *testing.T) {
 	addr, client := run(t, echo, 50)
@@ -165,16 +165,16 @@
 	send()
 	send()
 	awaitOpen(2) // both ends of one connection
-	client.CrowdedConnections = 2
+	client.MaxConnectionsForIdle = 2
 	send()
 	awaitOpen(0)
-	client.CrowdedConnections = 3
+	client.MaxConnectionsForIdle = 3
 	send()
 	awaitOpen(2)
-	client.CrowdedConnections = 2
+	client.MaxConnectionsForIdle = 2
 	swept := make(chan struct{})
 	sweeping, stop := context.WithCancel(ctx)
-	go func() { defer close(swept); client.SweepUntil(sweeping) }()
+	go func() { defer close(swept); client.CloseIdleUntilDone(sweeping) }()
 	awaitOpen(0)
 	stop()
 	<-swept
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -22,8 +22,8 @@
 	OnBehalfOf string
 	// Peer is the certificate that the client presented and whose private key it has proven to
 	// hold; nil if there is none. From is the client's address.
-	Peer *x509.Certificate
-	From string
+	Peer       *x509.Certificate
+	RemoteAddr string
 }
 
 // Response is one HTTP response.
@@ -34,8 +34,8 @@
 	RetryAfter int
 	// Close is whether the connection is closed after the response.
 	Close bool
-	// Type is the content type of the body; empty means MessagePack.
-	Type string
+	// ContentType is the content type of the body; empty means MessagePack.
+	ContentType string
 }
 
 // reasonPhrases maps status codes to the reason phrases of status lines.
@@ -53,7 +53,7 @@
 	dst = append(dst, ' ')
 	dst = append(dst, reasonPhrases[response.Status]...)
 	dst = append(dst, "\r\nContent-Type: "...)
-	dst = append(dst, cmp.Or(response.Type, "application/msgpack")...)
+	dst = append(dst, cmp.Or(response.ContentType, "application/msgpack")...)
 	dst = append(dst, "\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(response.Body)), 10)
 	if response.RetryAfter > 0 {
--- a/internal/transport/secure_test.go
+++ b/internal/transport/secure_test.go
@@ -41,7 +41,7 @@
 func (a authority) keyring(name string, issued time.Time, lifetime time.Duration) *identity.Keyring {
 	n := must(identity.ParseName(name))
 	cert := must(a.ca.Issue(n, issued, lifetime, false))
-	return must(identity.Load(identity.Files{Own: cert.File, Roots: filepath.Join(a.dir, pki.RootFile)}))
+	return must(identity.Load(identity.Files{CredentialsFile: cert.File, RootsFile: filepath.Join(a.dir, pki.RootFile)}))
 }
 
 func freeAddr() string {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -48,7 +48,7 @@
 			}
 			return
 		}
-		req.Peer, req.From = peer, conn.remoteAddr()
+		req.Peer, req.RemoteAddr = peer, conn.remoteAddr()
 		resp := handle(ctx, l.Handler, req)
 		resp.Close = resp.Close || req.Close
 		if conn.write(appendResponse(make([]byte, 0, responseHeadSize+len(resp.Body)), resp)) != nil || resp.Close {
