--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Slots returns how many tasks that each need these resources fit into r, at most limit.
+// Slots returns the number of tasks that fit into r if each needs the resources need, at most limit.
 func (r Resources) Slots(need Resources, limit int) int {
 	slots := limit
 	for _, resource := range [...]struct{ need, available float64 }{{need.CPUs, r.CPUs}, {need.GPUs, r.GPUs}, {need.MemGB, r.MemGB}} {
--- a/internal/coordination/binpack/binpack_test.go
+++ b/internal/coordination/binpack/binpack_test.go
@@ -6,7 +6,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// Checks whether tasks fit on machines and machine types, and how many of them.
+// Checks whether tasks fit on machines and machine types, and the number of tasks that fit.
 func TestFit(t *testing.T) {
 	big := &protocol.MachineType{Name: "big", CPUs: 32, GPUs: 2, MemGB: 64, Zones: []string{"a"}}
 	small := protocol.MachineType{Name: "small", CPUs: 0.3, MemGB: 1}
--- a/internal/coordination/binpack/types.go
+++ b/internal/coordination/binpack/types.go
@@ -26,10 +26,10 @@
 func TypeCount(set uint64) int { return bits.OnesCount64(set) }
 
 // Scarcity maps each machine type to the smallest TypeCount among the unfinished jobs that fit it:
-// how many types the job with the fewest alternatives can run on.
+// the number of types that the least flexible of these jobs fits.
 type Scarcity map[string]int
 
-// Record records that a job fits a machine type, and typeCount types in total.
+// Record adds a job that fits a machine type. typeCount is the TypeCount of the job.
 func (s Scarcity) Record(machineType string, typeCount int) {
 	if least := s[machineType]; least == 0 || typeCount < least {
 		s[machineType] = typeCount
--- a/internal/coordination/contention/contention.go
+++ b/internal/coordination/contention/contention.go
@@ -37,7 +37,7 @@
 	use, contention float64
 }
 
-// Horizon bounds predictions.
+// Horizon holds the limits of the predicted remaining times of tasks.
 type Horizon struct {
 	// MaxS is the length of the horizon in seconds. It limits every prediction, and services are
 	// predicted to run for all of it.
@@ -85,10 +85,10 @@
 }
 
 // EvenContention returns the contention rate that algorithm 2 uses if no machine is under its
-// use limit: the rate with newcomer added, where each task gets an equal share of the machine.
-func (h Horizon) EvenContention(tasks []Task, newcomer Task) float64 {
+// use limit: the rate with newTask added, where each task gets an equal share of the machine.
+func (h Horizon) EvenContention(tasks []Task, newTask Task) float64 {
 	share := 1 / float64(len(tasks)+1)
-	own := h.expectedSeconds(newcomer, share)
+	own := h.expectedSeconds(newTask, share)
 	sum, longest := own, own
 	for _, task := range tasks {
 		seconds := h.expectedSeconds(task, share)
@@ -114,11 +114,12 @@
 	}
 }
 
-// Choose implements algorithm 2: it returns the index of the machine on which to place newcomer, or
+// Choose implements algorithm 2: it returns the index of the machine on which to place newTask, or
 // -1 if there are no machines. Among machines under their use limits it chooses the one with the
-// lowest contention rate of its running tasks. If there are none, it chooses among all machines by
-// EvenContention. before breaks ties: it reports whether machine a is preferred to machine b.
-func (h Horizon) Choose(machines []*Machine, newcomer Task, before func(a, b int) bool) int {
+// lowest contention rate of its running tasks. If no machine is under its use limit, it chooses the
+// one with the lowest EvenContention. before breaks ties: it reports whether machine a is preferred to
+// machine b.
+func (h Horizon) Choose(machines []*Machine, newTask Task, before func(a, b int) bool) int {
 	best, least := -1, math.Inf(1)
 	consider := func(i int, rate float64) {
 		if best < 0 || rate < least || rate == least && before(i, best) {
@@ -134,7 +135,7 @@
 		return best
 	}
 	for i, machine := range machines {
-		consider(i, h.EvenContention(machine.Tasks, newcomer))
+		consider(i, h.EvenContention(machine.Tasks, newTask))
 	}
 	return best
 }
--- a/internal/coordination/contention/contention_test.go
+++ b/internal/coordination/contention/contention_test.go
@@ -16,7 +16,7 @@
 	}{
 		// f = 40/100 = 0.4, P = 10/40 = 25%: 0.4/1 × 75 = 30.
 		{"alone", Task{ElapsedS: 10, EstimateS: 40}, 1, 30},
-		// With half of the machine it takes twice as long: 0.4/0.5 × 75 = 60.
+		// With half of the machine, the task takes twice as long: 0.4/0.5 × 75 = 60.
 		{"half of the machine", Task{ElapsedS: 10, EstimateS: 40}, 0.5, 60},
 		{"not started", Task{EstimateS: 25}, 1, 25},
 		// Past the estimate: one heartbeat interval, whatever the share.
@@ -94,7 +94,7 @@
 func TestChoose(t *testing.T) {
 	long := Task{EstimateS: 100, Use: 4}
 	short := Task{EstimateS: 10, Use: 4}
-	newcomer := Task{EstimateS: 10, Use: 4}
+	newTask := Task{EstimateS: 10, Use: 4}
 	for _, tc := range []struct {
 		name     string
 		machines []*Machine
@@ -106,12 +106,12 @@
 		{"lower contention", []*Machine{{Tasks: []Task{long, long}, UseLimit: 16}, {Tasks: []Task{short, short}, UseLimit: 16}}, 1},
 		// A machine under its use limit is preferred, whatever its contention.
 		{"under the use limit", []*Machine{{Tasks: []Task{short}, UseLimit: 4}, {Tasks: []Task{long, long, long}, UseLimit: 16}}, 1},
-		// No machine is under its use limit. The newcomer with the long task: indicators
+		// No machine is under its use limit. The new task with the long task: indicators
 		// 20 and 200, contention 20. With the two short tasks: 30, 30 and 30, contention 60.
 		{"even shares", []*Machine{{Tasks: []Task{short, short}, UseLimit: 8}, {Tasks: []Task{long}, UseLimit: 4}}, 1},
 		{"tie broken by the caller", []*Machine{{Tasks: []Task{long}, UseLimit: 16}, {UseLimit: 16}}, 0},
 	} {
-		if got := h.Choose(tc.machines, newcomer, func(a, b int) bool { return a < b }); got != tc.want {
+		if got := h.Choose(tc.machines, newTask, func(a, b int) bool { return a < b }); got != tc.want {
 			t.Errorf("%s: chose machine %d, want %d", tc.name, got, tc.want)
 		}
 	}
--- a/internal/coordination/fairshare/fairshare.go
+++ b/internal/coordination/fairshare/fairshare.go
@@ -1,10 +1,10 @@
-// Package fairshare decides which machines, and how much of the teams' limits, are reserved for
-// starved classes of jobs and starved teams. Other work may not use what is reserved, however
-// urgent or plentiful it is. All decisions are pure functions of a snapshot of one partition.
+// Package fairshare decides which machines, and which parts of the teams' limits, are reserved for
+// starved classes of jobs and starved teams. Other jobs may not use the reserved parts, whatever
+// their urgency or number. All decisions are pure functions of a snapshot of one partition.
 //
-// A group is a class or a team; each job belongs to one class and one team. A group is starved
-// to the extent that its accepted jobs have waited too long. That is counted from the stored
-// records, so it survives a failover.
+// A group is a class or a team; each job belongs to one class and one team. Its starved share
+// is the share of its accepted jobs that have waited too long. It is computed from the stored records
+// and so is preserved in a failover.
 package fairshare
 
 import (
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -13,9 +13,9 @@
 
 const large, urgent = 1, 2
 
-func machine(i int, typ string, cpus, free float64, held map[int]float64) Machine {
+func machine(i int, typ string, cpus, free float64, used map[int]float64) Machine {
 	return Machine{Name: fmt.Sprintf("m-%02d", i), Kind: binpack.MachineKind{Type: typ}, Size: binpack.Resources{CPUs: cpus, MemGB: 100},
-		Free: binpack.Resources{CPUs: free, MemGB: 100}, UsedCPUs: held}
+		Free: binpack.Resources{CPUs: free, MemGB: 100}, UsedCPUs: used}
 }
 
 // full returns ten machines full of urgent tasks, while jobs of the large class wait.
@@ -64,9 +64,9 @@
 	}
 }
 
-// Two classes starved by a load surge both get a share, although one wants far more than the
-// other. Teams that are starved alike get nothing: reserving for each would leave no machines for
-// the classes.
+// Two classes that are starved by a load surge both get reservations, although one has far more
+// demand than the other. Teams with equal starved shares get none: reservations for each team would
+// leave no machines for the classes.
 func TestStarvedGroupsShareReservations(t *testing.T) {
 	v := full()
 	v.Groups = append(v.Groups, Group{Open: 30, Starved: 30})
@@ -86,7 +86,7 @@
 	}
 	for i, want := range []float64{0, 0.023, 0.275} {
 		if got := teams[i].BeyondAverage(all).StarvedShare(); got < want-0.01 || got > want+0.01 {
-			t.Errorf("team %d: starved share %v beyond the average, want %v", i, got, want)
+			t.Errorf("team %d: starved share of BeyondAverage is %v, want %v", i, got, want)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 		again := Reserve(reversed)
 		slices.Reverse(again)
 		if !reflect.DeepEqual(reserved, again) {
-			t.Errorf("seed %d: other reservations for the machines in reverse order", seed)
+			t.Errorf("seed %d: with the machines in reverse order, the reservations are %v, want %v", seed, again, reserved)
 		}
 		// Machines beyond what is needed may be released in the first few calls.
 		for range 4 {
--- a/internal/coordination/fairshare/quota.go
+++ b/internal/coordination/fairshare/quota.go
@@ -7,8 +7,8 @@
 	"micaspindle/internal/coordination/binpack"
 )
 
-// ClassUse is what a class's running tasks use of its team's limit, and what its pending tasks
-// need of it.
+// ClassUse is the part of a team's limit that the running tasks of a class use, and the part that
+// its pending tasks need.
 type ClassUse struct {
 	Class        int
 	Used, Wanted binpack.Compute
@@ -20,10 +20,11 @@
 	Reserved binpack.Compute
 }
 
-// ReserveQuotas returns the part of a team's limit that is reserved for each starved class; the team's
-// other work may not start in it. shares are the groups' ReservedShares. Classes that want the
+// ReserveQuotas returns the part of a team's limit that is reserved for each starved class. Tasks of
+// the team's other classes may not use it. shares are the groups' ReservedShares. Classes that want the
 // least are served first. Nothing is reserved for a class that already uses MaxReservedShare of
-// the limit, and no more than that is reserved in all.
+// the limit, and no more than MaxReservedShare is reserved for all classes
+// together.
 func ReserveQuotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
 	uses = slices.Clone(uses)
 	slices.SortFunc(uses, func(a, b ClassUse) int {
@@ -47,15 +48,15 @@
 	return quotas
 }
 
-// quotaPool tracks how much of one resource of a team's limit may still be reserved.
+// quotaPool tracks the amount of one resource of a team's limit that may still be reserved.
 type quotaPool struct{ limit, left float64 }
 
 func newQuotaPool(limit float64) quotaPool {
 	return quotaPool{limit: limit, left: MaxReservedShare * limit}
 }
 
-// reserve returns the reservation for a class. It takes the reservation and what the class already
-// uses out of the pool.
+// reserve returns the reservation for a class. It subtracts the reservation and the class's present
+// usage from the pool.
 func (p *quotaPool) reserve(share, used, wanted float64) float64 {
 	if used >= MaxReservedShare*p.limit {
 		return 0
--- a/internal/coordination/fairshare/reserve.go
+++ b/internal/coordination/fairshare/reserve.go
@@ -9,12 +9,12 @@
 
 // View is a snapshot of one partition.
 type View struct {
-	Groups   []Group // by number; the entry of NoGroup is empty
+	Groups   []Group // by group number; the entry of NoGroup is empty
 	Jobs     []Job
 	Machines []Machine
 }
 
-// Job is a job with pending tasks that quotas allow to start.
+// Job is a job whose pending tasks may start as far as quotas are concerned.
 type Job struct {
 	Class, Team int // group numbers
 	Resources   binpack.Resources
@@ -57,12 +57,12 @@
 	return a.groups
 }
 
-// demand is what a group wants of the machines that fit its pending tasks.
+// demand is the demand of a group for the machines that fit its pending tasks.
 type demand struct {
 	group    int
 	machines []int // indexes into View.Machines
-	// totalCPUs is the capacity of these machines, usedCPUs what the group uses of it, and
-	// wantedCPUs the sum of usedCPUs and the CPUs that its pending tasks need.
+	// totalCPUs is the capacity of these machines, usedCPUs the part of it that the group uses,
+	// and wantedCPUs the sum of usedCPUs and the CPUs that the group's pending tasks need.
 	totalCPUs, usedCPUs, wantedCPUs float64
 }
 
@@ -84,7 +84,7 @@
 	return demands
 }
 
-// demand returns what a group wants of the machines that fit its pending tasks.
+// demand returns the demand of a group for the machines that fit its pending tasks.
 func (v *View) demand(group int) demand {
 	d := demand{group: group}
 	var jobs []*Job
@@ -113,13 +113,13 @@
 // allocation is the working state of Reserve.
 type allocation struct {
 	View
-	// groups is the group for which each machine is reserved, or NoGroup.
+	// groups holds, for each machine, the group for which it is reserved, or NoGroup.
 	groups []int
 	// leftCPUs is the number of CPUs that may still be reserved, by machine type.
 	leftCPUs map[string]float64
 }
 
-// reserve reserves machines for a group until they have shareCPUs, or as many CPUs as it wants.
+// reserve reserves machines for a group until their CPUs reach shareCPUs or the group's demand.
 func (a *allocation) reserve(d demand, shareCPUs float64) {
 	slices.SortFunc(d.machines, func(x, y int) int { return compareMachines(&a.Machines[x], &a.Machines[y], d.group) })
 	wantedCPUs := d.wantedCPUs
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -40,7 +40,7 @@
 	// HasImage reports whether a machine has an image or is already fetching it.
 	HasImage(machine int, image string) bool
 	// Running returns a machine with its running tasks as input of the contention
-	// prediction. The caller does not modify the tasks.
+	// prediction. The result must not be modified.
 	Running(machine int) *contention.Machine
 }
 
@@ -52,7 +52,7 @@
 	Gang bool
 	// Team is an index in the view.
 	Team int
-	// Groups are the job's fair-share groups. Class is the one that represents its class.
+	// Groups are the job's fair-share groups. Class is the group of its class.
 	Groups      [2]int
 	Class       int
 	Resources   binpack.Resources
@@ -61,8 +61,8 @@
 	Types   uint64
 	Image   string
 	ImageGB float64
-	// LongFetchS is a duration in seconds. If fetching the image takes longer, machines that
-	// have the image are preferred.
+	// LongFetchS is the duration in seconds above which fetching the image counts as long, so
+	// that machines that have the image are preferred.
 	LongFetchS float64
 	// OneZone requires that all tasks run in the same zone. Spread requires that no zone has
 	// more than SpreadLimit of them.
@@ -74,7 +74,7 @@
 	// FailedMachines are the names of machines on which the job failed. Its tasks don't start
 	// there again.
 	FailedMachines map[string]bool
-	// Prediction is a newly started task of the job as input of the contention prediction.
+	// Prediction describes a newly started task of the job for the contention prediction.
 	Prediction contention.Task
 }
 
@@ -118,13 +118,13 @@
 	return t
 }
 
-// Plan is the result of Decide.
+// Plan lists the tasks to start and the machines that unplaced gangs wait for.
 type Plan struct {
 	// Assignments are in queue order; those of one job are consecutive.
 	Assignments []Assignment
-	// WantedByGangs are the machines that fit a part of a gang that could not be placed as a
-	// whole. The gang waits for additional machines, so these don't count as idle. A machine
-	// may be listed more than once.
+	// WantedByGangs are the machines that fit some tasks of a gang that could not be placed as
+	// a whole. They don't count as idle while the gang waits for more machines. A machine may be
+	// listed more than once.
 	WantedByGangs []int
 }
 
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -181,7 +181,7 @@
 			}
 			for zone, n := range zones[i] {
 				if j.Spread && n > SpreadLimit(j.Tasks) {
-					t.Errorf("seed %d: %d of %d tasks of a spread job in zone %s", seed, n, j.Tasks, zone)
+					t.Errorf("seed %d: %d of %d tasks of a spread job in zone %s, want at most %d", seed, n, j.Tasks, zone, SpreadLimit(j.Tasks))
 				}
 			}
 			team := v.Teams[j.Team]
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -23,7 +23,7 @@
 	hasReservations bool
 	plan            Plan
 
-	// Buffers of choose.
+	// Buffers that choose reuses in each call.
 	fitting    []int
 	candidates []*contention.Machine
 }
--- a/internal/coordination/placement/zones.go
+++ b/internal/coordination/placement/zones.go
@@ -4,7 +4,7 @@
 const minSpreadZones = 2
 
 // ZoneAllowed reports whether a further task of a job may start in a zone. tasks is the job's total
-// number of tasks; running counts those that run already by zone.
+// number of tasks; running counts the running ones by zone.
 func ZoneAllowed(oneZone, spread bool, tasks int, running map[string]int, zone string) bool {
 	if oneZone {
 		for other, count := range running {
@@ -16,5 +16,6 @@
 	return !spread || running[zone] < SpreadLimit(tasks)
 }
 
-// SpreadLimit returns how many of a job's tasks may run in the same zone if the job has Spread.
+// SpreadLimit returns the maximum number of tasks in the same zone for a job with Spread. tasks is the
+// job's total number of tasks.
 func SpreadLimit(tasks int) int { return (tasks + minSpreadZones - 1) / minSpreadZones }
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -20,7 +20,7 @@
 	// quotaMargin replaces startMargin for jobs that the team limit keeps from starting. It is
 	// longer since the preempted tasks must save their checkpoints and end first.
 	quotaMargin = 20 * time.Second
-	// maxWait is how long jobs without a deadline wait before they may preempt.
+	// maxWait is the time for which jobs without a deadline wait before they may preempt.
 	maxWait = 15 * time.Second
 	// maxPreemptions bounds the preemptions of a round. It is checked between machines, so the
 	// last set of victims may exceed it.
@@ -49,7 +49,7 @@
 	Constraints binpack.Constraints
 	// ReadyAt is the earliest time at which the job could have started.
 	ReadyAt time.Time
-	// Deadline is when the job should be done; zero means no deadline.
+	// Deadline is the time by which the job should be done; zero means no deadline.
 	Deadline time.Time
 	// EstimateS is the estimated run time of a task in seconds.
 	EstimateS float64
@@ -75,7 +75,7 @@
 	Name string
 	// LostWork is the work that is lost if the task is preempted, in CPU seconds.
 	LostWork float64
-	// Stopping marks a task that has already been told to stop.
+	// Stopping marks a task whose agent has already been sent the command to stop it.
 	Stopping bool
 	// ReservedFor is the fair-share group for which the task's resources are reserved, or
 	// fairshare.NoGroup. The task is only preempted for jobs of that group.
@@ -97,16 +97,17 @@
 	Tasks []int
 }
 
-// Preemption says that a task is stopped for a job. Both are indexes in the view.
+// Preemption is the decision to stop a task for a job.
 type Preemption struct {
-	Task, Job int
+	Task, Job int // indexes in the view
 	// TeamLimit is set if the job is kept from starting by its team's limit and not by a lack
 	// of free machines.
 	TeamLimit bool
 }
 
-// MustStart reports whether a pending job must start now: it would miss its deadline if it waited
-// longer than a margin, but not yet; or it has no deadline and has waited longer than maxWait.
+// MustStart reports whether a pending job must start now: if it has a deadline, whether that can still
+// be met, but only by a start within startMargin or quotaMargin; if it has none, whether it has waited
+// longer than maxWait.
 func MustStart(job *Job, team *Team, now time.Time) bool {
 	if job.Deadline.IsZero() {
 		return now.Sub(job.ReadyAt) > maxWait
@@ -134,11 +135,12 @@
 	return t.Used.CPUs > t.Guarantee.CPUs+binpack.Epsilon || t.Used.GPUs > t.Guarantee.GPUs+binpack.Epsilon
 }
 
-// maxLostWork returns how much work may be lost to start a task of a job, in CPU seconds: no more
-// than the task itself does if it uses that many CPUs.
+// maxLostWork returns the maximum work that may be lost to start a task of a job, in CPU seconds: the
+// work that the task itself does if it uses the given number of CPUs.
 func (j *Job) maxLostWork(cpus float64) float64 { return j.EstimateS * max(cpus, 1) }
 
-// Decide returns which tasks are preempted for which jobs. It does not modify the view.
+// Decide returns the tasks to preempt and the jobs that they are preempted for. It does not modify
+// the view.
 func Decide(v View) []Preemption {
 	r := newRound(v)
 	for i := range v.Jobs {
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -118,7 +118,8 @@
 			j, victim := v.Jobs[p.Job], v.Jobs[v.Tasks[p.Task].Job]
 			allowed := victim.Urgency < j.Urgency || v.Teams[j.Team].withinGuarantee(&j) && victim.Team != j.Team && v.Teams[victim.Team].beyondGuarantee()
 			if seen[p.Task] || v.Tasks[p.Task].Stopping || !allowed || len(preemptions) > maxPreemptions+4 {
-				t.Errorf("seed %d: invalid preemption %+v, or too many: %+v", seed, p, preemptions)
+				t.Errorf("seed %d: preemption %+v: repeated %v, task already stopping %v, allowed by the protocol %v; %d preemptions, want at most %d",
+					seed, p, seen[p.Task], v.Tasks[p.Task].Stopping, allowed, len(preemptions), maxPreemptions+4)
 			}
 			seen[p.Task] = true
 		}
--- a/internal/coordination/preemption/round.go
+++ b/internal/coordination/preemption/round.go
@@ -113,7 +113,7 @@
 }
 
 // mayPreempt implements the protocol's rule for which tasks may be preempted for a job. guaranteed
-// says that the job's team stays within its guarantee.
+// is set if the job's team stays within its guarantee.
 func (r *round) mayPreempt(victim, job *Job, guaranteed bool) bool {
 	if victim.Urgency < job.Urgency {
 		return true
--- a/internal/coordination/queue/grades.go
+++ b/internal/coordination/queue/grades.go
@@ -13,7 +13,7 @@
 type grade int
 
 const (
-	// gradeStarved is the grade of starved jobs while they go first; see starvedCycleS.
+	// gradeStarved is the grade of starved jobs while they are served first; see starvedCycleS.
 	gradeStarved grade = iota - 1
 	// gradeInTime is the grade of jobs that can meet their deadline, that have none, or that have
 	// no pending tasks.
@@ -21,7 +21,7 @@
 	// gradeLate is the grade of jobs that can be done within lateFactor times their allowed time.
 	gradeLate
 	// gradeVeryLate is the grade of jobs that can't be done within lateFactor times their allowed
-	// time, and of starved jobs while they do not go first.
+	// time, and of starved jobs while they are not served first.
 	gradeVeryLate
 )
 
@@ -31,9 +31,9 @@
 	// starvationFactor is the multiple of its allowed time after which a waiting job counts as
 	// starved.
 	starvationFactor = 5
-	// starvedCycleS is the length in seconds of a cycle. Starved jobs go first in one second of
-	// it; if they always went first, a long backlog of them would delay jobs that can still
-	// meet their deadlines.
+	// starvedCycleS is the length in seconds of a cycle in which starved jobs are served first
+	// for one second. If they were always served first, a long backlog of them would delay jobs
+	// that can still meet their deadlines.
 	starvedCycleS = 4
 )
 
@@ -52,9 +52,9 @@
 	types   uint64
 }
 
-// gradeJobs returns the grade of each job. Ordered by deadline alone, a backlog would make every
-// job late. Instead, the largest jobs are postponed, so that as many jobs as possible meet their
-// deadlines: the Moore-Hodgson algorithm, with the partition's machines as a single fast machine.
+// gradeJobs returns the grade of each job. If jobs were ordered by deadline alone, a backlog would
+// make every job late. Instead, the largest jobs are postponed, so that as many jobs as possible meet
+// their deadlines: the Moore-Hodgson algorithm, with the partition's machines as a single fast machine.
 // order holds the indexes of the jobs in order of their due times.
 func gradeJobs(jobs []Job, order []int, now time.Time) []grade {
 	grades := make([]grade, len(jobs))
@@ -147,7 +147,7 @@
 // backlog is the work that is queued for one resource.
 type backlog struct {
 	jobs   []int     // indexes of the queued jobs
-	workS  []float64 // seconds that each job takes with all of the resource
+	workS  []float64 // run time of each job in seconds if it gets the whole resource
 	totalS float64   // sum of workS
 }
 
@@ -155,7 +155,7 @@
 	b.jobs, b.workS, b.totalS = append(b.jobs, job), append(b.workS, workS), b.totalS+workS
 }
 
-// largest returns the job that takes longest, or the first of several.
+// largest returns the job with the longest run time, the first one in a tie.
 func (b *backlog) largest() int {
 	return b.jobs[slices.Index(b.workS, slices.Max(b.workS))]
 }
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -16,7 +16,7 @@
 // minTotalRunTimeS keeps response ratios finite.
 const minTotalRunTimeS = 1e-3
 
-// Job holds what the order depends on.
+// Job holds the properties of a job that the order depends on.
 type Job struct {
 	ID          string
 	Urgency     protocol.Urgency
@@ -41,8 +41,8 @@
 	Parallelism float64
 }
 
-// Rounds returns how many times the run time of one task it takes to run the given number of
-// tasks, parallelism of them at once.
+// Rounds returns the number of consecutive rounds in which the given number of tasks run if at most
+// parallelism tasks run in a round.
 func Rounds(tasks int, parallelism float64) float64 {
 	return max(1, math.Ceil(float64(tasks)/parallelism))
 }
@@ -56,7 +56,7 @@
 // waitedS returns the time in seconds since the job was submitted.
 func (j *Job) waitedS(now time.Time) float64 { return now.Sub(j.SubmittedAt).Seconds() }
 
-// totalRunTimeS returns how many seconds the pending tasks take on all machines that fit them.
+// totalRunTimeS returns the time in seconds that the pending tasks take on all machines that fit them.
 func (j *Job) totalRunTimeS() float64 {
 	return max(j.EstimateS*float64(j.Pending)/max(1, j.Slots), minTotalRunTimeS)
 }
@@ -95,8 +95,8 @@
 
 // compareWithinGrade orders two jobs of one grade; 0 leaves them in order of their due times.
 //
-// Of the very late jobs, the shortest go first: in order of deadlines, a few large jobs would delay
-// many small ones, and under a load surge most would never start. Starved jobs are ordered by
+// Of the very late jobs, the shortest are served first: in order of deadlines, a few large jobs would
+// delay many small ones, and under a load surge most would never start. Starved jobs are ordered by
 // response ratio, highest first.
 func compareWithinGrade(a, b *Job, g grade, now time.Time) int {
 	switch g {
--- a/internal/coordination/queue/queue_test.go
+++ b/internal/coordination/queue/queue_test.go
@@ -88,7 +88,7 @@
 			served = append(served, jobs[i])
 		}
 		if got := inTime(served[:most]); got != most {
-			t.Errorf("seed %d: only %d of the first %d jobs meet their deadlines", seed, got, most)
+			t.Errorf("seed %d: %d of the first %d jobs meet their deadlines, want all", seed, got, most)
 		}
 		shuffled := append([]Job(nil), jobs...)
 		rng.Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
@@ -103,8 +103,8 @@
 	}
 }
 
-// inTime returns how many jobs meet their deadlines if they run one after the other in order of
-// deadlines.
+// inTime returns the number of jobs that meet their deadlines if they run one after the other in
+// order of deadlines.
 func inTime(jobs []Job) int {
 	left := append([]Job(nil), jobs...)
 	at, n := 0.0, 0
--- a/internal/coordination/scaling/membership.go
+++ b/internal/coordination/scaling/membership.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // adopt assigns unrecorded machines to partitions. While a scale-out is in progress, the first attempt
-// for a machine is put off, since the machine may belong to the scale-out.
+// for a machine is postponed, since the machine may belong to the scale-out.
 func (r *round) adopt() {
 	counts := make([]int, len(r.Partitions))
 	for i := range r.Machines {
@@ -23,8 +23,8 @@
 	}
 }
 
-// smallestPartition returns a partition with the fewest machines. If several have as few, it returns
-// the last of them with demands, or else the first.
+// smallestPartition returns a partition with the fewest machines. In a tie, it returns the last of
+// these partitions that has demands, or the first if none has.
 func (r *round) smallestPartition(counts []int) int {
 	fewest := slices.Min(counts)
 	best := slices.Index(counts, fewest)
@@ -49,8 +49,8 @@
 	}
 }
 
-// unhealthy reports whether a machine is to be terminated, and why. A quarantined machine may finish
-// its tasks first.
+// unhealthy reports whether a machine is to be terminated, and returns the reason. A quarantined
+// machine may finish its tasks first.
 func (m *Machine) unhealthy() (TerminationReason, bool) {
 	switch {
 	case m.Lost:
--- a/internal/coordination/scaling/move.go
+++ b/internal/coordination/scaling/move.go
@@ -35,7 +35,8 @@
 		!r.recently(machine.MovedAt, moveCooldown) && !r.recently(machine.DeletingSince, retryInterval)
 }
 
-// partitionsByWait returns the partitions with demands, sorted by the longest wait of their tasks, descending.
+// partitionsByWait returns the partitions with demands, in descending order of the longest wait among
+// their tasks.
 func (r *round) partitionsByWait() []int {
 	var partitions []int
 	longestS := make([]float64, len(r.Partitions))
--- a/internal/coordination/scaling/scale_in.go
+++ b/internal/coordination/scaling/scale_in.go
@@ -23,8 +23,8 @@
 		!r.recently(machine.MovedAt, moveCooldown) && !r.recently(machine.DeletingSince, retryInterval)
 }
 
-// mayBeNeeded reports whether some partition has demand for a machine, or may have it because its
-// leader has not reported recently.
+// mayBeNeeded reports whether some partition has demand for a machine, or has unknown demands because
+// its leader has not reported recently.
 func (r *round) mayBeNeeded(machine *Machine) bool {
 	for partition := range r.Partitions {
 		if !r.Partitions[partition].Reporting || r.hasDemandFor(partition, machine) {
--- a/internal/coordination/scaling/scale_out.go
+++ b/internal/coordination/scaling/scale_out.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// fleetSlots returns how many of a demand's tasks a fleet can run at once, without the machine types
-// that are needed by jobs that fit fewer types.
+// fleetSlots returns the number of a demand's tasks that a fleet can run at once. Contested machine
+// types are left to the jobs that fit fewer types.
 func (r *round) fleetSlots(demand *Demand, fleet map[binpack.MachineKind]int) float64 {
 	slots, typeCount := 0, r.eligibleTypes(demand)
 	for kind, count := range fleet {
@@ -104,8 +104,8 @@
 	contested bool
 }
 
-// betterThan reports whether an offer is preferred to another: uncontested types first, then the
-// lower price.
+// betterThan reports whether an offer is preferred to another: a type that is not contested is
+// preferred to one that is, then the lower price per task to the higher.
 func (o offer) betterThan(other offer) bool {
 	if o.contested != other.contested {
 		return !o.contested
@@ -114,8 +114,8 @@
 }
 
 // cheapestKind returns the best offer for a demand: the machine kind with the lowest price per task,
-// where contested types come last and the first kind wins a tie. waitS is how many seconds the last
-// task of the demand would wait for the existing machines.
+// where contested types come last and the first kind wins a tie. waitS is the time in seconds
+// that the last task of the demand would wait for the existing machines.
 func (r *round) cheapestKind(demand *Demand, waitS float64) (binpack.MachineKind, bool) {
 	best := offer{taskPrice: math.Inf(1), contested: true}
 	found := false
--- a/internal/coordination/scaling/scaling.go
+++ b/internal/coordination/scaling/scaling.go
@@ -36,8 +36,8 @@
 	Machines []Machine
 	Catalog  []protocol.MachineType
 	Scarcity binpack.Scarcity
-	// RefusedCapacity holds the machine kinds that the cloud refused, and until when they are
-	// not requested again.
+	// RefusedCapacity maps each machine kind that the cloud refused to the time before which it
+	// is not requested again.
 	RefusedCapacity map[binpack.MachineKind]time.Time
 	// ScalingOut holds the partitions with a scale-out in progress.
 	ScalingOut map[int]bool
@@ -47,7 +47,7 @@
 	IdleSpot, IdleOrdinary time.Duration
 }
 
-// Partition is the last report of a partition's leader.
+// Partition is the state of a partition according to the last report of its leader.
 type Partition struct {
 	// Reporting is set if the leader has reported recently.
 	Reporting bool
@@ -71,18 +71,19 @@
 	Partition int
 	Kind      binpack.MachineKind
 	Type      *protocol.MachineType // nil if not in the catalog
-	// Serving is set if the cluster leader itself does not consider the machine lost or
+	// Serving is set unless the cluster leader's own state marks the machine as lost or
 	// quarantined.
 	Serving bool
-	// Status reported by the partition's leader. NeverUp: no first heartbeat within the expected
-	// boot time. Retiring: the machine gets no further tasks.
+	// Idle to Retiring are the status that the partition's leader reported. NeverUp is set if no
+	// heartbeat arrived within the expected boot time, Retiring if the machine gets no further
+	// tasks.
 	Idle, Lost, Quarantined, NeverUp, Retiring bool
-	// IdleS is how many seconds the machine has been idle.
+	// IdleS is the time in seconds for which the machine has been idle.
 	IdleS float64
 	// Failed is set if the cloud reports the machine as failed.
 	Failed bool
-	// RecordedAt is when the record was created, MovedAt when the machine was last moved, and
-	// DeletingSince when its deletion was last started.
+	// RecordedAt is the time at which the record was created, MovedAt that of the machine's last
+	// move, and DeletingSince that of the last attempt to delete it.
 	RecordedAt, MovedAt, DeletingSince time.Time
 }
 
@@ -90,15 +91,15 @@
 type Unrecorded struct {
 	Name string
 	Kind binpack.MachineKind
-	// TriedAt is the time of the last adoption attempt, including one that was put off.
+	// TriedAt is the time of the last adoption attempt, including postponed ones.
 	TriedAt time.Time
 }
 
-// Plan is the result of Decide.
+// Plan lists the changes of the fleet.
 type Plan struct {
 	Adopt []Adoption
 	// AdoptLater are the names of unrecorded machines that may belong to a scale-out in
-	// progress. Their adoption is put off.
+	// progress. Their adoption is postponed.
 	AdoptLater []string
 	Terminate  []Termination
 	Moves      []Move
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -18,9 +18,9 @@
 	types uint64
 }
 
-// addEstimates fills in the fields of views that only count for jobs with pending tasks and a
-// deadline: the estimated run time of a task, the machine types that it fits, and how many tasks
-// can run at once on the partition's machines and within the team's limit.
+// addEstimates sets the fields of views that are used only for jobs with pending tasks and a
+// deadline: the estimated run time of a task, the machine types that it fits, and the number of tasks
+// that can run at once on the partition's machines and within the team's limit.
 func (s *Scheduler) addEstimates(p *cluster.Partition, jobs []*cluster.Job, views []queue.Job) {
 	machines := s.machinesByType(p)
 	// A type set leaves out the types beyond its size, so equal keys may then have unequal slots.
@@ -57,14 +57,14 @@
 	return counts
 }
 
-// JobRunTime predicts how long a job takes from the start of its first task to the end of its last.
+// JobRunTime predicts the time from the start of a job's first task to the end of its last.
 func (s *Scheduler) JobRunTime(job *cluster.Job) time.Duration {
 	rounds := queue.Rounds(job.Spec.Tasks, s.teamParallelism(job))
 	return settings.Seconds(s.EstimateS(job.Spec) * rounds)
 }
 
-// partitionSlots is how many tasks of a job can run at once if nothing else runs on the machines,
-// which are counted by type.
+// partitionSlots returns the number of a job's tasks that can run at once on otherwise empty machines.
+// machines counts the machines by type.
 func (s *Scheduler) partitionSlots(machines map[string]int, spec *protocol.JobSpec) float64 {
 	constraints, need := cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec)
 	slots := 0
@@ -77,7 +77,7 @@
 	return float64(slots)
 }
 
-// teamParallelism is how many tasks of a job can run at once within its team's limit.
+// teamParallelism returns the number of a job's tasks that can run at once within its team's limit.
 func (s *Scheduler) teamParallelism(job *cluster.Job) float64 {
 	team := s.Settings.Params.Teams[job.Team]
 	if team.CPUsMax <= 0 || job.Spec.CPUs <= 0 {
@@ -86,13 +86,13 @@
 	return max(1, math.Floor((team.CPUsMax+binpack.Epsilon)/job.Spec.CPUs))
 }
 
-// typeSet is the set of machine types that a job's tasks fit, as a bit set.
+// typeSet returns the binpack.TypeSet of a job's tasks.
 func (s *Scheduler) typeSet(spec *protocol.JobSpec) uint64 {
 	return binpack.TypeSet(cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec), s.Catalog)
 }
 
-// Scarcity gives, for each machine type that unfinished jobs fit, the smallest number of types
-// that one of these jobs can choose from. It covers the jobs of all partitions, since machines move
+// Scarcity returns, for each machine type that unfinished jobs fit, the smallest number of types
+// that one of these jobs fits. It covers the jobs of all partitions, since machines move
 // between them, and is cached for cluster.QueueOrderTTL.
 func (s *Scheduler) Scarcity(now time.Time) binpack.Scarcity {
 	if s.ScarcityCache != nil && now.Sub(s.scarcityAt) < cluster.QueueOrderTTL {
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -10,8 +10,9 @@
 	"micaspindle/internal/telemetry"
 )
 
-// MaxClassGroups bounds how many classes get a fair-share group, and how many get a correction of
-// their run times, since users choose class names freely. A class takes up to 300 bytes of memory.
+// MaxClassGroups is the maximum number of classes with a fair-share group, and of classes with a
+// correction of their run times, since users choose class names freely. A class takes up to 300 bytes
+// of memory.
 const MaxClassGroups = 1000
 
 // ClassGroup returns the fair-share group of a class. A new class gets the next number, or
--- a/internal/coordination/scheduler/estimates.go
+++ b/internal/coordination/scheduler/estimates.go
@@ -12,9 +12,9 @@
 const (
 	// minRunTimeRatio and maxRunTimeRatio bound the ratio of a run time to its estimate.
 	minRunTimeRatio, maxRunTimeRatio = 0.25, 4
-	// minLearningWeight is the least weight of a new run time in the average.
+	// minLearningWeight is the minimum weight of a new run time in the moving average.
 	minLearningWeight = 0.02
-	// priorCount is how many run times the initial ratio of 1 counts for.
+	// priorCount is the number of run times that the initial ratio of 1 stands for.
 	priorCount = 5
 )
 
@@ -60,7 +60,7 @@
 	return false
 }
 
-// EstimateS is the submitter's estimate of a task's run time in seconds, times the correction for
+// EstimateS returns the submitter's estimate of a task's run time in seconds, times the correction for
 // the job's class.
 func (s *Scheduler) EstimateS(spec *protocol.JobSpec) float64 {
 	if correction := s.Corrections[spec.Class]; correction != nil {
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -47,7 +47,7 @@
 }
 
 // reserveMachines reserves each usable machine of a partition for a starved group, or for none. It
-// returns how many machines are reserved and how many are usable.
+// returns the numbers of reserved and of usable machines.
 func (s *Scheduler) reserveMachines(p *cluster.Partition, groups []fairshare.Group, now time.Time) (reserved, usable int) {
 	view := fairshare.View{Groups: groups, Jobs: s.starvedJobs(p, now)}
 	var machines []*cluster.Machine
@@ -66,7 +66,7 @@
 	return reserved, len(machines)
 }
 
-// starvedJobs lists the jobs of starved groups that need only free machines to start.
+// starvedJobs lists the jobs of starved groups that could start if machines were free.
 func (s *Scheduler) starvedJobs(p *cluster.Partition, now time.Time) []fairshare.Job {
 	var jobs []fairshare.Job
 	for _, job := range s.Queue(p) {
@@ -91,7 +91,7 @@
 	return limit.Allows(p.Usage[job.Team], cluster.ResourcesOf(job.Spec)) || p.FairShare.WithinReservation[teamClass(job)]
 }
 
-// fairShareMachine is the view of a machine for the fair-share reservations.
+// fairShareMachine converts a machine to the input of the fair-share reservations.
 func fairShareMachine(p *cluster.Partition, machine *cluster.Machine) fairshare.Machine {
 	view := fairshare.Machine{
 		Name:        machine.Name,
@@ -146,8 +146,8 @@
 	return groups
 }
 
-// starvedFraction is the fraction of a job's tasks that are pending if the job has waited long
-// enough to be starved, else 0.
+// starvedFraction returns the pending fraction of a job's tasks if the job has waited long enough to
+// count as starved, else 0.
 func starvedFraction(job *cluster.Job, now time.Time) float64 {
 	if len(job.Pending) == 0 || now.Sub(job.ReadySince()).Seconds() <= fairshare.StarvationTimeS(job.Spec.DeadlineS) {
 		return 0
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -10,7 +10,7 @@
 // longFetchShare is the share of a task's run time above which fetching its image counts as long.
 const longFetchShare = 0.15
 
-// placementBuffers are the slices that Place fills, reused from one round to the next. jobViews[i]
+// placementBuffers are the slices that Place fills, reused in each round. jobViews[i]
 // is the view of jobs[i], and machineViews[i] that of machines[i].
 type placementBuffers struct {
 	jobs         []*cluster.Job
@@ -104,7 +104,7 @@
 	return teams
 }
 
-// placementView is the view of a job for placement.
+// placementView converts a job to the input of placement.Decide.
 func (s *Scheduler) placementView(job *cluster.Job) placement.Job {
 	spec := job.Spec
 	view := placement.Job{
@@ -131,9 +131,9 @@
 	return view
 }
 
-// longFetchS is how many seconds fetching a job's image may take before machines that already have
-// the image are preferred. In a pipeline the fetches of its jobs add up, so every fetch counts as
-// long.
+// longFetchS returns the duration in seconds above which fetching a job's image counts as long, so that
+// machines that already have the image are preferred. In a pipeline the fetches of
+// its jobs add up, so every fetch counts as long.
 func (s *Scheduler) longFetchS(job *cluster.Job) float64 {
 	if inPipeline(job) {
 		return 0
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -8,11 +8,11 @@
 	"micaspindle/internal/protocol"
 )
 
-// predictionHorizonS is how many seconds ahead contention is predicted.
+// predictionHorizonS is the time in seconds for which contention is predicted.
 const predictionHorizonS = 3600
 
-// machineDetails implements placement.MachineDetails. It determines details of a machine only when
-// placement asks for them, which it does for few machines.
+// machineDetails implements placement.MachineDetails. It computes details of a machine only when
+// placement queries them, which it does for few machines.
 type machineDetails struct {
 	scheduler *Scheduler
 	machines  []*cluster.Machine
@@ -24,9 +24,9 @@
 	return d.machines[index].HasImage(image)
 }
 
-// Running is the contention on a machine from its running tasks. It is cached until the machine's
-// attempts change or cluster.QueueOrderTTL is over, so that placing a task does not recompute it for
-// all machines.
+// Running returns a machine and its running tasks for the contention prediction. The result is cached
+// until the machine's attempts change or cluster.QueueOrderTTL has passed, so that placing a task does
+// not recompute it for all machines.
 func (d machineDetails) Running(index int) *contention.Machine {
 	machine := d.machines[index]
 	if machine.Prediction == nil || d.now.Sub(machine.PredictedAt) >= cluster.QueueOrderTTL {
@@ -36,7 +36,7 @@
 	return machine.Prediction
 }
 
-// horizon limits how far ahead contention is predicted.
+// horizon returns the limits of the predicted remaining times.
 func (s *Scheduler) horizon() contention.Horizon {
 	return contention.Horizon{MaxS: predictionHorizonS, OverdueS: s.HeartbeatInterval.Seconds()}
 }
@@ -62,7 +62,7 @@
 	return contention.Task{ElapsedS: elapsedS, EstimateS: s.EstimateS(spec), Use: spec.CPUs, Service: spec.Service}
 }
 
-// RemainingS predicts for how many more seconds an attempt runs.
+// RemainingS predicts the remaining run time of an attempt in seconds.
 func (s *Scheduler) RemainingS(a *cluster.Attempt, now time.Time) float64 {
 	if a.Job.Spec.Service {
 		return predictionHorizonS
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -12,8 +12,8 @@
 const (
 	// preemptInterval is the minimum time between two rounds of preemption in a partition.
 	preemptInterval = time.Second
-	// stopGraceMarginS is how many seconds a preempted task gets in addition to the time that
-	// it needs to save a checkpoint.
+	// stopGraceMarginS is the time in seconds that a preempted task gets in addition to the time
+	// that it needs to save a checkpoint.
 	stopGraceMarginS = 1
 )
 
@@ -42,8 +42,8 @@
 	}
 }
 
-// preempt stops an attempt for another job, the preemptor. atTeamLimit says that the preemptor waits
-// for its team's limit and not for free capacity.
+// preempt stops an attempt for another job, the preemptor. atTeamLimit is set if the preemptor can't
+// start because of its team's limit and not for lack of free capacity.
 func (s *Scheduler) preempt(attempt *cluster.Attempt, preemptor *cluster.Job, atTeamLimit bool, now time.Time) {
 	reason := preemptForStart
 	if atTeamLimit {
--- a/internal/coordination/scheduler/preemption_view.go
+++ b/internal/coordination/scheduler/preemption_view.go
@@ -25,7 +25,8 @@
 }
 
 // preemptionView builds the view of the given jobs of a partition and of the attempts on its usable
-// machines. The view starts with the given jobs in the same order, and attempts[i] is its task i.
+// machines. view.Jobs starts with the given jobs in the same order, and attempts[i] is the attempt of
+// view.Tasks[i].
 func (s *Scheduler) preemptionView(p *cluster.Partition, jobs []*cluster.Job, now time.Time) (view preemption.View, attempts []*cluster.Attempt) {
 	builder := &preemptionViewBuilder{
 		scheduler:    s,
@@ -53,7 +54,7 @@
 	for _, job := range jobs {
 		index := b.ensureJob(job)
 		if len(job.Pending) > 0 && (job.Spec.OneZone || job.Spec.Spread) {
-			b.view.Jobs[index].DisallowedZones = closedZones(job, zones)
+			b.view.Jobs[index].DisallowedZones = disallowedZones(job, zones)
 		}
 	}
 }
@@ -116,7 +117,7 @@
 	return index
 }
 
-// preemptionJob is the view of a job for preemption, without its closed zones.
+// preemptionJob converts a job to the input of preemption.Decide, without DisallowedZones.
 func (s *Scheduler) preemptionJob(job *cluster.Job, now time.Time) preemption.Job {
 	deadline, _ := job.Deadline()
 	return preemption.Job{
@@ -135,7 +136,7 @@
 	}
 }
 
-// preemptionTeam is a team's guarantee, limit and usage in a partition.
+// preemptionTeam returns a team's guarantee, limit and usage in a partition.
 func (s *Scheduler) preemptionTeam(p *cluster.Partition, index int) preemption.Team {
 	team := s.Settings.Params.Teams[index]
 	return preemption.Team{
@@ -145,7 +146,7 @@
 	}
 }
 
-// machineZones is the set of zones in which there are machines.
+// machineZones returns the set of zones in which there are machines.
 func (s *Scheduler) machineZones() map[string]bool {
 	zones := map[string]bool{}
 	for _, machine := range s.Machines {
@@ -154,16 +155,16 @@
 	return zones
 }
 
-// closedZones reports for each zone whether it is closed to further tasks of a job.
-func closedZones(job *cluster.Job, zones map[string]bool) map[string]bool {
-	closed, running := map[string]bool{}, job.ZoneCounts()
+// disallowedZones reports for each zone whether further tasks of a job must not start there.
+func disallowedZones(job *cluster.Job, zones map[string]bool) map[string]bool {
+	disallowed, running := map[string]bool{}, job.ZoneCounts()
 	for zone := range zones {
-		closed[zone] = !placement.ZoneAllowed(job.Spec.OneZone, job.Spec.Spread, job.Spec.Tasks, running, zone)
+		disallowed[zone] = !placement.ZoneAllowed(job.Spec.OneZone, job.Spec.Spread, job.Spec.Tasks, running, zone)
 	}
-	return closed
+	return disallowed
 }
 
-// lostWork is the work that preempting an attempt discards, in CPU seconds. A service loses none,
+// lostWork returns the work that preempting an attempt discards, in CPU seconds. A service loses none,
 // since its replicas have no result to complete.
 func lostWork(attempt *cluster.Attempt, now time.Time) float64 {
 	spec := attempt.Job.Spec
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -8,7 +8,7 @@
 	"micaspindle/internal/coordination/queue"
 )
 
-// queueBuffers are the slices that Queue sorts in, reused from one call to the next. views[i] is the
+// queueBuffers are the slices that Queue sorts, reused in each call. views[i] is the
 // view of jobs[i].
 type queueBuffers struct {
 	jobs  []*cluster.Job
@@ -19,10 +19,9 @@
 // which they are served: those that have pending tasks or records to write, or that are completing.
 // The caller may modify the list.
 //
-// The order is cached for cluster.QueueOrderTTL, so that not every event sorts all jobs again. It is
-// recomputed at once when an idle job gets work. Otherwise the job would be served last: its tasks
-// would find no free capacity, and its completion would be recorded, and its team's quota released,
-// one batch late.
+// The order is cached for cluster.QueueOrderTTL, to avoid sorting all jobs for each event. It is
+// recomputed at once when an idle job gets work: a job that was only appended to the cached order
+// would be served last, find no free capacity, and have its completion recorded one batch late.
 func (s *Scheduler) Queue(p *cluster.Partition) []*cluster.Job {
 	now := time.Now()
 	if p.QueueOrder == nil || now.Sub(p.QueueOrderedAt) >= cluster.QueueOrderTTL || slices.ContainsFunc(p.IdleJobs, s.belongsInQueue) {
@@ -66,7 +65,7 @@
 	clear(jobs) // so that the buffer does not keep ended jobs in memory
 }
 
-// queueView is the view of a job for the queue order, without the fields that addEstimates sets.
+// queueView converts a job to the input of queue.Order, without the fields that addEstimates sets.
 func queueView(job *cluster.Job) queue.Job {
 	deadline, _ := job.Deadline()
 	return queue.Job{
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -8,14 +8,14 @@
 	"micaspindle/internal/coordination/fairshare"
 )
 
-// teamClass is the team and the class of a job.
+// teamClass returns the team and the class group of a job.
 func teamClass(job *cluster.Job) cluster.TeamClass {
 	return cluster.TeamClass{Team: job.Team, ClassGroup: job.ClassGroup}
 }
 
 // reserveQuota reserves parts of the teams' limits for their starved classes, but only for tasks for
-// which machines have free capacity now. While a class waits for machines, other classes can make
-// better use of the limit.
+// which machines have free capacity now. While a class waits for machines, the limit is
+// left to the other classes.
 func (s *Scheduler) reserveQuota(p *cluster.Partition, now time.Time) {
 	uses := s.quotaWanted(p, now)
 	s.addQuotaUsed(uses)
@@ -61,8 +61,8 @@
 	return wanted
 }
 
-// allocateSlots returns how many pending tasks of a job fit on machines, and subtracts the resources
-// of these tasks from free.
+// allocateSlots returns the number of a job's pending tasks that fit on machines, and subtracts the
+// resources of these tasks from free.
 func allocateSlots(job *cluster.Job, machines []*cluster.Machine, free map[*cluster.Machine]binpack.Resources) int {
 	taken, need, constraints := 0, cluster.ResourcesOf(job.Spec), cluster.ConstraintsOf(job.Spec)
 	for _, machine := range machines {
@@ -82,7 +82,7 @@
 	return group != fairshare.NoGroup && group != job.ClassGroup && group != cluster.TeamGroup(job.Team)
 }
 
-// addQuotaUsed adds to uses what the live attempts of each class in it take of their team's limit.
+// addQuotaUsed adds to uses, for each class in it, the resources of the class's live attempts.
 func (s *Scheduler) addQuotaUsed(uses map[cluster.TeamClass]fairshare.ClassUse) {
 	for _, job := range s.Jobs {
 		use, counted := uses[teamClass(job)]
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/storage"
 )
 
-// reservePlan reserves attempts for all assignments of a plan, which has the assignments of a job
-// next to each other. The plan refers to jobs and machines by their indexes in the placement buffers.
+// reservePlan reserves attempts for all assignments of a plan, in which the assignments of a job are
+// consecutive. The plan refers to jobs and machines by their indexes in the placement buffers.
 func (s *Scheduler) reservePlan(p *cluster.Partition, plan []placement.Assignment, now time.Time) {
 	for len(plan) > 0 {
 		job, count := plan[0].Job, 1
@@ -42,7 +42,7 @@
 }
 
 // reserveGang reserves attempts for all tasks of a gang, or none if they don't fit into its records.
-// All attempts share one attempt number, by which agents know that they belong together.
+// All attempts share one attempt number, which identifies them to the agents as one gang.
 func (s *Scheduler) reserveGang(p *cluster.Partition, job *cluster.Job, plan []placement.Assignment, now time.Time) {
 	number := uint64(1)
 	previous := map[int]cluster.RunChunk{}
@@ -61,7 +61,8 @@
 	dropPending(job, len(plan))
 }
 
-// dropPending removes the first count tasks from a job's pending tasks, since they have attempts now.
+// dropPending removes the first count tasks, for which attempts were reserved, from a job's pending
+// tasks.
 func dropPending(job *cluster.Job, count int) {
 	job.Pending = job.Pending[count:]
 	if len(job.Pending) == 0 {
@@ -69,8 +70,8 @@
 	}
 }
 
-// unreserveGang undoes the reservations for a gang. previous has copies of its chunks from before
-// the first reservation.
+// unreserveGang undoes the reservations for a gang. previous holds copies of the job's chunks as they
+// were before the first reservation.
 func (s *Scheduler) unreserveGang(p *cluster.Partition, job *cluster.Job, previous map[int]cluster.RunChunk) {
 	for _, attempt := range job.LiveAttempts {
 		delete(attempt.Machine.Attempts, cluster.AttemptKey(attempt.TaskName(), attempt.Number))
@@ -88,7 +89,7 @@
 	}
 }
 
-// Reserve makes an attempt of a task on a machine, adds its resources to the usage of the machine and
+// Reserve creates an attempt of a task on a machine, adds its resources to the usage of the machine and
 // of the team, and marks the task's chunk of the job's records as changed.
 func (s *Scheduler) Reserve(p *cluster.Partition, job *cluster.Job, task int, number uint64, machine *cluster.Machine, now time.Time) {
 	chunk := job.Chunk(task)
@@ -103,7 +104,7 @@
 }
 
 // hasRecordSpace reports whether the record of a task's chunk has space for one more attempt. It
-// adds up the space that the chunk's tasks take now, which only shrinks as they end.
+// adds up the present sizes of the entries of the chunk's tasks, which don't grow later.
 func (s *Scheduler) hasRecordSpace(job *cluster.Job, task int, number uint64, machine *cluster.Machine) bool {
 	size := storage.RunBaseSize + storage.AttemptSize(number, machine.Name, machine.Epoch)
 	first := task / storage.ChunkTasks * storage.ChunkTasks
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -16,8 +16,8 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Scheduler decides which tasks of a partition run where: the order of its queue, placement,
-// preemption and the fair share.
+// Scheduler decides the order of a partition's queue, the placement and preemption of its tasks, and
+// the fair-share reservations.
 type Scheduler struct {
 	*cluster.State
 	store   *storage.Store
@@ -32,14 +32,15 @@
 	// ScarcityCache is the last result of Scarcity, computed at scarcityAt; nil if there is none.
 	ScarcityCache binpack.Scarcity
 	scarcityAt    time.Time
-	// ClassGroups has the fair-share group of each class; the numbers follow those of the teams.
+	// ClassGroups maps each class to its fair-share group. Group numbers of classes begin after
+	// those of the teams.
 	ClassGroups map[string]int
 
 	queueBuffers     queueBuffers
 	placementBuffers placementBuffers
 }
 
-// New makes a scheduler. Connect must be called before it is used.
+// New returns a scheduler. Connect must be called before the scheduler is used.
 func New(state *cluster.State, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Scheduler {
 	return &Scheduler{
 		State:       state,
