--- a/internal/coordination/failover/answer_bounds.go
+++ b/internal/coordination/failover/answer_bounds.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// FormerLeader is an incarnation of a controller that may have answered agents of a partition.
+// FormerLeader is an incarnation of a controller that may have answered heartbeats of a partition's
+// machines.
 type FormerLeader struct {
-	// Label names the controller, Nonce the run of its process. Both are empty for leaders that
-	// may have been missed.
+	// Label identifies the controller, Nonce its incarnation. Both are empty for an unknown leader,
+	// which may have held the lease while its record was not watched.
 	Label, Nonce string
 	// LeaseRevision is the revision of the partition lease under which it may have answered.
 	LeaseRevision uint64
@@ -13,8 +14,8 @@
 	AnswersUntil time.Time
 }
 
-// RecordRelease lowers, in place, AnswersUntil of a former leader whose record says that it stopped
-// answering before it released the lease.
+// RecordRelease lowers, in place, AnswersUntil of a former leader that has released its lease, before
+// which it stopped answering heartbeats.
 func RecordRelease(all []FormerLeader, label, nonce string, leaseRevision uint64, until time.Time) {
 	for i := range all {
 		former := &all[i]
@@ -25,8 +26,8 @@
 }
 
 // AnsweredUntil returns the latest time at which any of the former leaders may have answered. ended
-// returns the time at which the record of a newer incarnation proved an incarnation to be over, or
-// zero if none has.
+// returns the latest time at which an incarnation that is proven to have ended may have answered, or
+// zero if there is no such proof.
 func AnsweredUntil(all []FormerLeader, ended func(label, nonce string) time.Time) time.Time {
 	last := time.Time{}
 	for _, former := range all {
--- a/internal/coordination/failover/failover_test.go
+++ b/internal/coordination/failover/failover_test.go
@@ -26,7 +26,7 @@
 		reversed := slices.Clone(c.all)
 		slices.Reverse(reversed)
 		if got := ChooseStandby(c.leader, c.zone, reversed); got != c.want {
-			t.Errorf("%s: standby %q for the candidates in reverse order", name, got)
+			t.Errorf("%s: with the candidates in reverse order: standby %q, want %q", name, got, c.want)
 		}
 	}
 }
@@ -53,8 +53,9 @@
 	}
 }
 
-// A leader is dead only if it is silent and machines are diverted: silence alone may come from
-// failed connections between controllers, diverted machines from agents that lost a connection.
+// A leader counts as dead only if its summaries are missing and machines are diverted: missing
+// summaries alone may result from failed connections between controllers, diverted machines from
+// failed connections of agents.
 func TestDead(t *testing.T) {
 	const interval = 500 * time.Millisecond
 	for _, c := range []struct {
@@ -63,7 +64,7 @@
 		want                bool
 	}{
 		{1200 * time.Millisecond, 100, 3, true},
-		{1000 * time.Millisecond, 100, 50, false}, // it may have been stalled for a second
+		{1000 * time.Millisecond, 100, 50, false}, // the leader may have been stalled for a second
 		{time.Minute, 100, 0, false},
 		{time.Minute, 100, 2, false},
 		{time.Minute, 2, 2, true},
@@ -71,7 +72,7 @@
 		{time.Minute, 0, 0, false},
 	} {
 		if got := (Evidence{c.silent, interval, c.reporting, c.diverted}).Dead(); got != c.want {
-			t.Errorf("case %+v: Dead returns %v", c, got)
+			t.Errorf("%v since the last summary, %d machines reporting, %d diverted: Dead() = %v, want %v", c.silent, c.reporting, c.diverted, got, c.want)
 		}
 	}
 }
@@ -90,27 +91,27 @@
 		"another incarnation of the same controller ended": {map[string]time.Time{"n1/z": at(3)}, at(23)},
 	} {
 		if got := AnsweredUntil(all, func(label, nonce string) time.Time { return c.ended[label+"/"+nonce] }); !got.Equal(c.want) {
-			t.Errorf("%s: answers until %v, want %v", name, got, c.want)
+			t.Errorf("%s: AnsweredUntil() = %v, want %v", name, got, c.want)
 		}
 	}
 	never := func(string, string) time.Time { return time.Time{} }
 	for _, r := range []FormerLeader{{Label: "n1", Nonce: "y", LeaseRevision: 6}, {Label: "n1", Nonce: "z", LeaseRevision: 7}, {Label: "n0", Nonce: "y", LeaseRevision: 7}} {
 		if RecordRelease(all, r.Label, r.Nonce, r.LeaseRevision, at(1)); !AnsweredUntil(all, never).Equal(at(23)) {
-			t.Errorf("the release by %+v lowered the bound of another former leader", r)
+			t.Errorf("RecordRelease for %+v, which is no former leader, lowered AnswersUntil of a former leader", r)
 		}
 	}
 	if RecordRelease(all, "n1", "y", 7, at(1)); !AnsweredUntil(all, never).Equal(at(20)) {
-		t.Error("the release of a lease did not lower the bound of its former leader")
+		t.Error("RecordRelease did not lower AnswersUntil of the former leader that released its lease")
 	}
 	if got := AnsweredUntil(nil, nil); !got.IsZero() {
-		t.Errorf("answers until %v without former leaders", got)
+		t.Errorf("no former leaders: AnsweredUntil() = %v, want the zero time", got)
 	}
 }
 
 func TestMissing(t *testing.T) {
 	good := TakeoverCheck{LeaseRevision: 7, NewestLease: 7, SinceRenewal: time.Second, TTL: 3 * time.Second, RunRecords: 7, MachineRecords: 8, FinalStates: 9, QuotasCounted: true}
 	if m := good.Missing(); len(m) != 0 {
-		t.Errorf("a complete check misses %v", m)
+		t.Errorf("all preconditions met: Missing() = %v, want none", m)
 	}
 	for want, change := range map[string]func(*TakeoverCheck){
 		"the newest lease":                              func(c *TakeoverCheck) { c.NewestLease = 8 },
@@ -123,10 +124,10 @@
 		c := good
 		change(&c)
 		if m := c.Missing(); !slices.Equal(m, []string{want}) {
-			t.Errorf("missing %v, want only %s", m, want)
+			t.Errorf("one precondition not met: Missing() = %v, want only %q", m, want)
 		}
 	}
 	if m := (TakeoverCheck{}).Missing(); !slices.Contains(m, "the newest lease") {
-		t.Errorf("without a lease: missing %v, should include the newest lease", m)
+		t.Errorf("no lease: Missing() = %v, want \"the newest lease\" among them", m)
 	}
 }
--- a/internal/coordination/failover/standby.go
+++ b/internal/coordination/failover/standby.go
@@ -1,7 +1,7 @@
-// Package failover makes the decisions of a failover: which controller is a partition's standby,
-// when a leader counts as dead before its lease expires, until when former leaders may have
-// answered agents, and what a new leader must still learn before its first decision. The functions
-// read no records and use no connections.
+// Package failover makes the decisions of a failover: the choice of a partition's standby, whether a
+// leader counts as dead before its lease expires, the latest time at which former leaders may have
+// answered heartbeats, and the preconditions of a new leader's first decision. The functions read no
+// records and use no connections.
 package failover
 
 import (
@@ -10,8 +10,8 @@
 )
 
 // machineTolerance is the number of machines by which a standby may exceed twice the load of the best
-// candidate before it is replaced. A new standby must first read its replica; until then, a failover
-// finds none.
+// candidate before it is replaced. A replacement is costly: until the new standby has read its
+// replica, a failover has no replica to use.
 const machineTolerance = 50
 
 // Candidate is a controller that could take over a partition.
@@ -22,8 +22,8 @@
 }
 
 // ChooseStandby returns the label of the standby for a leader's partitions, or "" if there is no
-// candidate. It prefers controllers outside the leader's zone, since a whole zone may fail, and of
-// these the least loaded. The choice is deterministic. zone is the leader's zone, or "" if unknown.
+// candidate. It prefers controllers outside the leader's zone, since a whole zone may fail, and
+// among these the least loaded. The choice is deterministic. zone is the leader's zone, or "" if unknown.
 func ChooseStandby(leader, zone string, all []Candidate) string {
 	all = slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return c.Label == leader })
 	if len(all) == 0 {
--- a/internal/coordination/failover/takeover_check.go
+++ b/internal/coordination/failover/takeover_check.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// TakeoverCheck holds what a new leader must know before its first decision on a partition.
+// TakeoverCheck holds the state by which the preconditions of a new leader's first decision on a
+// partition are checked.
 type TakeoverCheck struct {
-	// LeaseRevision is the revision of its partition lease, NewestLease that of the newest lease
-	// seen for the partition.
+	// LeaseRevision is the revision of the leader's partition lease, NewestLease that of the newest
+	// lease received for the partition.
 	LeaseRevision, NewestLease uint64
-	// SinceRenewal is the time since the last certain renewal of its controller lease, TTL the
-	// time to live of that lease.
+	// SinceRenewal is the time since the last confirmed renewal of the leader's controller lease,
+	// TTL the time to live of that lease.
 	SinceRenewal, TTL time.Duration
-	// RunRecords and MachineRecords are the revisions up to which the partition's records are
-	// known from reads that began after the lease was acquired; FinalStates is the revision up to
-	// which the final states of jobs are known.
+	// RunRecords, MachineRecords and FinalStates are the revisions up to which the leader has
+	// applied the partition's run records, the machine records and the final records of jobs.
 	RunRecords, MachineRecords, FinalStates uint64
-	// QuotasCounted is true if the use of quotas was counted from all live attempts.
+	// QuotasCounted is true if the teams' usage includes all live attempts.
 	QuotasCounted bool
 }
 
-// Missing returns what is not known yet; if that is nothing, the leader may decide. What may change
-// before a decision is written is also a condition of that write (docs/design.md, rules 32 to 36).
+// Missing lists the preconditions that are not met yet; if the list is empty, the leader may make
+// decisions. A precondition that may cease to hold before a decision is written is also a condition of
+// that write (docs/design.md, rules 32 to 36).
 func (c TakeoverCheck) Missing() []string {
 	var missing []string
 	require := func(known bool, description string) {
--- a/internal/coordination/lease/acquisition.go
+++ b/internal/coordination/lease/acquisition.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// wantedLease is a lease that this controller should hold. revision is the revision of the lease's
-// record when that was decided, 0 if there was no record.
+// wantedLease is a lease that this controller should acquire. revision is the revision of the lease's
+// record at the time of that decision, 0 if there was no record.
 type wantedLease struct {
 	key      string
 	revision uint64
@@ -37,13 +37,13 @@
 	}
 }
 
-// wantedLeases lists the leases to acquire now. It also hands a partition back to its preferred
-// leader if that is due.
+// wantedLeases lists the leases to acquire now. It also hands at most one partition back to its
+// preferred leader.
 func (h *Holder) wantedLeases(now time.Time) (wanted []wantedLease) {
 	handedBack := false
 	for _, p := range h.Partitions {
 		if !handedBack && h.takeover.ShouldHandBack(p, now) {
-			handedBack = true // one at a time, since each rewrites this incarnation's record
+			handedBack = true // one per call, since each handback rewrites this incarnation's record
 			h.handBack(p, now)
 			continue
 		}
@@ -58,8 +58,8 @@
 }
 
 // acquireLease tries to acquire a lease that is free or held by this controller's former
-// incarnation. If the request succeeds but its answer is lost, the watch brings the new record,
-// which has this incarnation's nonce.
+// incarnation. If the request succeeds but its response is lost, the new record, which has this
+// incarnation's nonce, arrives through the watch.
 func (h *Holder) acquireLease(key string, revision, lease uint64) {
 	value := storage.Encode(storage.Lease{Holder: h.Settings.Label, Nonce: h.Nonce})
 	acquired, err := h.store.CommitLease(h.loop.Context(), &protocol.Transaction{
--- a/internal/coordination/lease/answer_bounds.go
+++ b/internal/coordination/lease/answer_bounds.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// LastAnswerBound is the latest moment at which a former leader of a machine, or a delegate of one,
-// may have answered the machine's heartbeats. p is the machine's partition.
+// LastAnswerBound returns the latest time at which a former leader of a machine, or a delegate of a
+// former leader, may have answered the machine's heartbeats. p is the machine's partition.
 func (h *Holder) LastAnswerBound(p *cluster.Partition, m *cluster.Machine) time.Time {
 	until := failover.AnsweredUntil(p.FormerLeaders, func(label, nonce string) time.Time {
 		return h.EndedIncarnations[IncarnationID{Label: label, Nonce: nonce}]
@@ -22,8 +22,7 @@
 	return until
 }
 
-// shortenAllBounds shortens the answer bounds of machines in all partitions that this controller
-// leads and that are ready.
+// shortenAllBounds calls shortenBounds for all ready partitions that this controller leads.
 func (h *Holder) shortenAllBounds(now time.Time) {
 	for _, p := range h.Partitions {
 		if p.Held && p.Ready {
@@ -32,8 +31,9 @@
 	}
 }
 
-// shortenBounds lowers AnsweredUntil of a partition's machines if it is proven by now that former
-// leaders stopped answering earlier. The leases of silent machines then expire sooner.
+// shortenBounds lowers AnsweredUntil of a partition's machines to the present LastAnswerBound, which is
+// earlier once records prove that former leaders have stopped answering. The leases of silent
+// machines then expire sooner.
 func (h *Holder) shortenBounds(p *cluster.Partition, now time.Time) {
 	for _, m := range h.Machines {
 		if m.Record.Partition != p.Index || !m.AnsweredUntil.After(now) {
@@ -48,8 +48,9 @@
 	}
 }
 
-// addFormerLeader adds the holder of a partition's lease to its former leaders when the lease ends or
-// changes hands. It may go on answering heartbeats until its answer bound (rule 12).
+// addFormerLeader adds the holder of a partition's lease to the partition's former leaders when the
+// lease ends or gets another holder. The former leader may answer heartbeats until its answer bound
+// (rule 12).
 func (h *Holder) addFormerLeader(p *cluster.Partition, now time.Time) {
 	former := failover.FormerLeader{Label: p.Leader, Nonce: p.LeaderNonce, LeaseRevision: p.LeaseRevision, AnswersUntil: now.Add(h.AnswerBound())}
 	if former.Label == h.Settings.Label && former.Nonce == h.Nonce {
@@ -62,7 +63,7 @@
 	p.FormerLeaders = append(stillAnswering(p.FormerLeaders, now), former)
 }
 
-// lastOwnAnswer is the latest moment at which this controller or one of its delegates may answer
+// lastOwnAnswer returns the latest time at which this controller or one of its delegates may answer
 // heartbeats of a partition that it led. The controller itself stopped when it lost the lease; its
 // delegates stop when their grants end.
 func lastOwnAnswer(p *cluster.Partition, now time.Time) time.Time {
@@ -76,7 +77,7 @@
 }
 
 // AddUnknownLeaders adds an unknown former leader to each partition before a listing is applied:
-// leaders may have come and gone while this controller was not watching.
+// another controller may have acquired and lost the lease while this one was not watching.
 func (h *Holder) AddUnknownLeaders(now time.Time) {
 	for _, p := range h.Partitions {
 		p.FormerLeaders = slices.DeleteFunc(stillAnswering(p.FormerLeaders, now), func(former failover.FormerLeader) bool { return former.Label == "" })
--- a/internal/coordination/lease/dead_controllers.go
+++ b/internal/coordination/lease/dead_controllers.go
@@ -13,9 +13,9 @@
 // revokeTimeout bounds the revocation of another controller's lease.
 const revokeTimeout = 2 * time.Second
 
-// AddDivertedMachine records in memory that the agent of a machine, which another controller leads, has
-// sent a heartbeat here. Enough such machines, together with the leader's silence, show that the
-// leader is dead.
+// AddDivertedMachine records in memory that this controller has received a heartbeat of a machine whose
+// leader is another controller. Enough such machines, together with missing summaries of the leader,
+// show that the leader is dead.
 func (h *Holder) AddDivertedMachine(leader, machine string, now time.Time) {
 	other := h.Peers[leader]
 	if other == nil || !other.ReportingMachines[machine] {
@@ -28,10 +28,10 @@
 	h.RevokeIfDead(leader, other, now)
 }
 
-// RevokeIfDead revokes the lease of a controller that neither controllers nor agents can reach, so
-// that its leases end at once and not only when their TTL is over. This is as safe as any other end
-// of the lease: the former leader's writes fail, since they are conditional on its leases, and it
-// answers heartbeats no longer than its successor allows for (rule 11).
+// RevokeIfDead revokes the controller lease of a controller that neither controllers nor agents can
+// reach, so that its leases end before their TTL. This is as safe as the expiry of the lease: the
+// former leader's writes fail, since they are conditional on its leases, and it answers heartbeats
+// no longer than its successor assumes (rule 11).
 func (h *Holder) RevokeIfDead(label string, other *cluster.Peer, now time.Time) {
 	incarnation := h.incarnations[label]
 	evidence := failover.Evidence{Silent: now.Sub(other.LastSummaryAt), Interval: peering.SummaryInterval,
@@ -52,7 +52,7 @@
 	})
 }
 
-// leadsAnyPartition says whether an incarnation leads any partition.
+// leadsAnyPartition reports whether an incarnation leads any partition.
 func (h *Holder) leadsAnyPartition(id IncarnationID) bool {
 	for _, p := range h.Partitions {
 		if p.Leader == id.Label && p.LeaderNonce == id.Nonce {
--- a/internal/coordination/lease/handover.go
+++ b/internal/coordination/lease/handover.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// drainTimeout bounds how long a planned shutdown waits for replica updates and for the
-	// answers to commands and commits.
+	// drainTimeout is the maximum time for which a planned shutdown waits for replica updates and
+	// for the responses to commands and commits.
 	drainTimeout = 150 * time.Millisecond
-	// drainPollInterval is the time between two checks for whether these answers have come.
+	// drainPollInterval is the time between two checks for outstanding responses.
 	drainPollInterval = 5 * time.Millisecond
-	// releaseOverhead is how many operations of a release transaction are not for a partition's
-	// lease: the deletion of the leadership lease and the update of the incarnation record.
+	// releaseOverhead is the number of operations in a release transaction in addition to those
+	// for partition leases: the deletion of the leadership lease and the update of the incarnation record.
 	releaseOverhead = 2
 )
 
 // HandOver hands the leases of this controller over to standbys before a planned shutdown. It stops
-// new work, waits for the answers to commands and commits, stops answering heartbeats, and only then
-// releases its leases, in this order (rule 36). Each step is bounded in time; a process that ends
-// between them is replaced like one that crashes. If no other controller can take over, no lease is
-// released, and this controller's next incarnation acquires them at once.
+// new work, waits for the responses to commands and commits, stops answering heartbeats, and only then
+// releases its leases, in this order (rule 36). Each step is bounded in time. If the process ends
+// between two steps, the failover is the same as after a crash. If no other controller can take over,
+// no lease is released, and this controller's next incarnation acquires the leases at once.
 func (h *Holder) HandOver(ctx context.Context) {
 	begun := time.Now()
 	if !h.startDraining(begun) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// startDraining stops new work, and says whether another controller can take over.
+// startDraining stops new work, and reports whether another controller can take over.
 func (h *Holder) startDraining(now time.Time) (successor bool) {
 	h.loop.Do(func() {
 		h.Draining = true
@@ -68,7 +68,7 @@
 	}
 }
 
-// stepDown stops acting as the leader of all partitions and of the cluster, and returns the leases to
+// stepDown stops acting as the leader of partitions and of the cluster, and returns the leases to
 // release. leadership is the revision of the leadership lease, 0 if this controller did not hold it.
 func (h *Holder) stepDown() (released []storage.ReleasedLease, leadership uint64) {
 	const reason = "handed over"
@@ -87,7 +87,8 @@
 	return released, leadership
 }
 
-// hasUnansweredRequests says whether commands or commits of the partitions led here are still unanswered.
+// hasUnansweredRequests reports whether commands or commits of this controller's partitions are still
+// unanswered.
 func (h *Holder) hasUnansweredRequests() bool {
 	for _, p := range h.Partitions {
 		if p.Held && p.Committing {
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -1,7 +1,7 @@
 // Package lease acquires, renews, hands over and loses the leases of partitions and of the cluster
 // leadership, and tracks the incarnations of all controllers. Invariant: a controller that has lost
-// a lease, or may have lost it, answers no heartbeat under it, and its successor allows for the
-// latest moment at which it may have answered one. Numbered rules are those of docs/design.md.
+// a lease, or may have lost it, answers no heartbeat under it, and its successor assumes that it
+// answered heartbeats until the latest possible time. Numbered rules are those of docs/design.md.
 package lease
 
 import (
@@ -14,9 +14,9 @@
 	"micaspindle/internal/telemetry"
 )
 
-// Holder acquires, renews, hands over and loses the leases of partitions and of the cluster
-// leadership. They all depend on one lease of the state store, the controller lease, which only this
-// process renews. Its fields belong to the event loop.
+// Holder manages the leases of partitions and of the cluster leadership that this controller holds.
+// These all depend on one lease of the state store, the controller lease, which only this process
+// renews. The fields of Holder may be accessed only on the event loop.
 type Holder struct {
 	*cluster.State
 	loop    *eventloop.Loop
@@ -31,15 +31,14 @@
 
 	// incarnations are the newest incarnation records of the controllers, by label.
 	incarnations map[string]incarnationRecord
-	// EndedIncarnations has the incarnations that are over, as a later incarnation's record
-	// proves, each with the latest moment at which it or one of its delegates may have answered
-	// a heartbeat.
+	// EndedIncarnations maps each incarnation that a later incarnation's record proves to have
+	// ended to the latest time at which it or one of its delegates may have answered a heartbeat.
 	EndedIncarnations map[IncarnationID]time.Time
-	// announcedLease is the controller lease that this controller's own incarnation record names.
+	// announcedLease is the ID of the controller lease in this controller's own incarnation record.
 	announcedLease uint64
 }
 
-// New makes a holder. Connect must be called before it is used.
+// New returns a holder. Connect must be called before the holder is used.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Holder {
 	return &Holder{State: state, loop: loop, store: store, log: log,
 		incarnations: map[string]incarnationRecord{}, EndedIncarnations: map[IncarnationID]time.Time{}}
@@ -53,7 +52,7 @@
 // Observe sets the metrics. It is called before the event loop starts.
 func (h *Holder) Observe(m *telemetry.Metrics) { h.metrics = m }
 
-// leaseIsFresh says whether the controller lease was renewed recently enough for this controller to
+// leaseIsFresh reports whether the controller lease was renewed recently enough for this controller to
 // acquire leases or to revoke those of others.
 func (h *Holder) leaseIsFresh(now time.Time) bool {
 	return now.Sub(h.LeaseRenewedAt) <= h.Operator.LeaseTTL/2
--- a/internal/coordination/lease/incarnations.go
+++ b/internal/coordination/lease/incarnations.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// endedIncarnationRetention is how long ended incarnations are kept in memory. The leases of machines
-// whose heartbeats they answered have long expired by then.
+// endedIncarnationRetention is the time for which ended incarnations are kept in memory. The leases of
+// machines whose heartbeats they answered expire much earlier.
 const endedIncarnationRetention = time.Hour
 
 // IncarnationID identifies one run of a controller process by the controller's label and the random
@@ -24,10 +24,10 @@
 	revision uint64
 }
 
-// announceIncarnation records this incarnation with its controller lease in the state store, and says
-// whether the record names that lease. It must precede the acquisition of any other lease. Since
-// incarnation records are ordered by revision, a record with another nonce proves that the previous
-// incarnation is over (rule 34).
+// announceIncarnation writes this incarnation with its controller lease to the state store, and reports
+// whether the stored record contains that lease. It must succeed before any other lease is acquired.
+// Since incarnation records are ordered by revision, a record with another nonce proves that the
+// previous incarnation has ended (rule 34).
 func (h *Holder) announceIncarnation(lease uint64) bool {
 	var txn *protocol.Transaction
 	announced := false
@@ -46,7 +46,8 @@
 	case err == nil:
 		h.applyOwnIncarnation(protocol.Event{Put: put.Put, Value: put.Value, Version: revision})
 	case errors.As(err, &conflict) || errors.Is(err, storage.ErrUnknown):
-		// The former incarnation wrote the record, or this one did in a request that went unanswered.
+		// The record was written by the former incarnation, or by this one in a request without a
+		// response.
 		if item, readErr := h.store.Get(h.loop.Context(), put.Put); readErr == nil {
 			h.applyOwnIncarnation(protocol.Event{Put: put.Put, Value: item.Value, Version: item.Version})
 		}
@@ -57,7 +58,8 @@
 	return announced
 }
 
-// incarnationTransaction is the transaction that records this incarnation with a controller lease.
+// incarnationTransaction returns the transaction that writes the record of this incarnation with a
+// controller lease.
 func (h *Holder) incarnationTransaction(lease uint64) *protocol.Transaction {
 	key, own := storage.IncarnationKey(h.Settings.Label), h.incarnations[h.Settings.Label]
 	record := storage.Incarnation{Nonce: h.Nonce, Lease: lease}
@@ -96,8 +98,8 @@
 	}
 }
 
-// applyReleasedLeases shortens the answer bounds for the leases that a controller's record says it has
-// released, since it had stopped answering heartbeats under them before.
+// applyReleasedLeases shortens the answer bounds for the released leases in a controller's record,
+// since the controller stopped answering heartbeats under them before it released them.
 func (h *Holder) applyReleasedLeases(label string, record storage.Incarnation, now time.Time) {
 	for _, released := range record.Released {
 		if released.Partition < 0 || released.Partition >= len(h.Partitions) {
@@ -111,8 +113,8 @@
 	}
 }
 
-// markIncarnationEnded adds an incarnation to those that are over. Its delegates may go on answering
-// heartbeats until their grants end.
+// markIncarnationEnded adds an incarnation to EndedIncarnations. Its delegates may answer heartbeats
+// until their grants end.
 func (h *Holder) markIncarnationEnded(id IncarnationID, now time.Time) {
 	for other, at := range h.EndedIncarnations {
 		if now.Sub(at) > endedIncarnationRetention {
--- a/internal/coordination/lease/loss.go
+++ b/internal/coordination/lease/loss.go
@@ -9,11 +9,11 @@
 const (
 	reasonLeaseEnded    = "the lease ended"
 	reasonLeaseReplaced = "another controller acquired the lease"
-	// reasonControllerLeaseEnded: all leases are lost at once.
+	// The end of the controller lease ends all other leases of this controller.
 	reasonControllerLeaseEnded = "the controller lease ended"
 )
 
-// StopLeading stops acting as the leader of a partition, if this controller is its leader.
+// StopLeading makes this controller stop acting as the leader of a partition, if it is the leader.
 func (h *Holder) StopLeading(p *cluster.Partition, reason string) {
 	if !p.Held {
 		return
--- a/internal/coordination/lease/reachability.go
+++ b/internal/coordination/lease/reachability.go
@@ -13,15 +13,16 @@
 	minSilence        = 4 * time.Second
 )
 
-// reachability counts the machines of the partitions led here, and the silent ones of them.
+// reachability counts the machines of the partitions that this controller leads, and the silent ones
+// among them.
 type reachability struct {
 	machines, silent int
-	// diverted: some machine has sent its heartbeats to other controllers and not here, for longer
-	// than an agent takes to move here.
+	// diverted is set if some machine has sent its heartbeats to other controllers for longer than
+	// its agent needs to follow a redirect to this controller.
 	diverted bool
 }
 
-// isolated says whether no agent reaches this controller while some agents reach other controllers.
+// isolated reports whether no agent reaches this controller while some agents reach other controllers.
 func (r reachability) isolated() bool {
 	return r.machines > 0 && r.silent == r.machines && r.diverted
 }
@@ -37,8 +38,8 @@
 	}
 }
 
-// applyReportedDiversions marks the machines that have sent heartbeats to other controllers, as the
-// summaries of those controllers say.
+// applyReportedDiversions marks the machines that have sent heartbeats to other controllers, according
+// to the summaries of those controllers.
 func (h *Holder) applyReportedDiversions(now time.Time) {
 	for _, other := range h.Peers {
 		if !other.Alive(now) {
@@ -52,9 +53,10 @@
 	}
 }
 
-// measureReachability counts the machines of partitions that were acquired at least the given silence
-// ago, and how many of them have been silent for longer. It clears the diversion of machines that
-// have come back.
+// measureReachability counts the machines of this controller's partitions, and those of them that have
+// been silent for longer than the given time. Partitions acquired within that time are not counted.
+// DivertedSince is cleared for machines that reached this controller at a later time, and for machines
+// in partitions that this controller does not lead.
 func (h *Holder) measureReachability(now time.Time, silence time.Duration) (r reachability) {
 	for _, m := range h.Machines {
 		p := h.Partitions[m.Record.Partition]
@@ -69,14 +71,14 @@
 		if now.Sub(reachedAt) > silence {
 			r.silent++
 		}
-		// An agent that was just redirected to this controller takes a moment to move here.
+		// An agent needs some time to follow a redirect to this controller.
 		r.diverted = r.diverted || !m.DivertedSince.IsZero() && now.Sub(m.DivertedSince) > silence
 	}
 	return r
 }
 
-// lastReachedAt is when the agent of a machine last reached this controller, even if it could not be
-// answered, for example in an outage of the state store.
+// lastReachedAt returns the time at which the agent of a machine last reached this controller, even if
+// its heartbeat could not be answered, for example in an outage of the state store.
 func lastReachedAt(m *cluster.Machine) time.Time {
 	if m.LastContactAt.After(m.LastHeartbeatAt) {
 		return m.LastContactAt
@@ -86,7 +88,7 @@
 
 // resign stops acting under all leases and revokes the controller lease.
 func (h *Holder) resign(machines int, now time.Time) {
-	h.log.Info("controller resigned", "reason", "no heartbeats arrive here while they reach other controllers", "count", machines)
+	h.log.Info("controller resigned", "reason", "no agent reaches this controller while some reach other controllers", "count", machines)
 	h.ResignedAt = now
 	lease := h.LeaseID
 	h.loseAllLeases("resigned")
--- a/internal/coordination/lease/release.go
+++ b/internal/coordination/lease/release.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// SettleTime is how long a controller must have been alive, and a partition must have had its
-	// leader, before the partition is handed back to that controller. It keeps a rolling restart
-	// from moving a partition twice.
+	// SettleTime is the time for which a controller must have been alive, and a partition must have
+	// had its present leader, before the partition is handed back to that controller. It prevents a
+	// rolling restart from moving a partition twice.
 	SettleTime = 15 * time.Second
-	// ReleaseTimeout is how long the release of a lease may take to appear in the watch. It is
-	// longer than a request may take, so that a partition is not acquired again while its release
-	// is under way.
+	// ReleaseTimeout is the maximum time until the release of a lease appears in the watch. It is
+	// longer than the timeout of a request, so that a partition is not acquired again while its
+	// release is in progress.
 	ReleaseTimeout = 4 * time.Second
-	// releasedLeasesLimit is how many released leases an incarnation record names at most, unless
+	// releasedLeasesLimit is the maximum number of released leases in an incarnation record, unless
 	// one transaction releases more.
 	releasedLeasesLimit = 8
 )
 
-// handBack releases a partition for its preferred leader.
+// handBack releases a partition, so that its preferred leader can acquire it.
 func (h *Holder) handBack(p *cluster.Partition, now time.Time) {
 	revision := p.LeaseRevision
 	h.StopLeading(p, "handed back")
@@ -33,9 +33,9 @@
 	h.loop.Go(func() { h.releaseLeases(h.loop.Context(), txn) })
 }
 
-// releaseTransaction is the transaction that releases leases under which this controller has stopped
-// acting, and that names them in its incarnation record. leadership is the revision of the leadership
-// lease if that is released too, else 0.
+// releaseTransaction returns the transaction that releases leases under which this controller has
+// stopped acting, and that adds them to its incarnation record. leadership is the revision of the
+// leadership lease if that is released too, else 0.
 func (h *Holder) releaseTransaction(released []storage.ReleasedLease, leadership uint64) *protocol.Transaction {
 	txn := &protocol.Transaction{}
 	release := func(key string, revision uint64) {
@@ -58,10 +58,10 @@
 	return txn
 }
 
-// releaseLeases commits a release transaction and says whether that succeeded. The controller must
-// have stopped acting under the leases before: if a lease changed hands while it still answered
-// heartbeats, it could answer later than the next leader allows for (rules 8, 12). If the release
-// fails, this controller acquires the partition again, as it would after a restart.
+// releaseLeases commits a release transaction and reports whether that succeeded. The controller must
+// have stopped acting under the leases before: if it still answered heartbeats after the release, it
+// could answer later than the next leader assumes (rules 8, 12). If the release fails, this controller
+// acquires the partitions again, as it would after a restart.
 func (h *Holder) releaseLeases(ctx context.Context, txn *protocol.Transaction) bool {
 	revision, err := h.store.CommitLease(ctx, txn)
 	if err != nil {
--- a/internal/coordination/lease/renewal.go
+++ b/internal/coordination/lease/renewal.go
@@ -11,9 +11,9 @@
 	// acquireInterval is the time between two checks for leases to acquire. It is shorter than the
 	// renewal interval, so that a vacant partition doesn't wait for the next renewal.
 	acquireInterval = 250 * time.Millisecond
-	// renewalsPerTTL is how many times the controller lease is renewed within its TTL.
+	// renewalsPerTTL is the number of renewals of the controller lease within its TTL.
 	renewalsPerTTL = 3
-	// renewTimeout bounds one renewal.
+	// renewTimeout is the timeout of one renewal request.
 	renewTimeout = time.Second
 )
 
@@ -25,7 +25,7 @@
 		if now := time.Now(); !now.Before(next) {
 			next = now.Add(h.Operator.LeaseTTL / renewalsPerTTL)
 			if !h.renew() {
-				next = now // the leases would expire if each refusal cost a whole interval
+				next = now // retry after acquireInterval: by the next renewal, the leases might have expired
 			}
 		}
 		h.acquireWantedLeases()
--- a/internal/coordination/partition/partition.go
+++ b/internal/coordination/partition/partition.go
@@ -14,8 +14,8 @@
 
 // Assign returns the partition of each team, from 0 to count-1. Partitions are balanced by the
 // teams' guarantees. All teams with neither a guarantee nor a limit go to the partition with the
-// smallest load: no quota requires that they are separate, and spreading them over partitions
-// would leave machines half empty (docs/design.md).
+// smallest load: since they have no quotas, they can share a partition, and spreading them over
+// partitions would leave machines half empty (docs/design.md).
 func Assign(teams []settings.Team, count int) []int {
 	load := make([]float64, count)
 	lightest := func() int { return slices.Index(load, slices.Min(load)) }
--- a/internal/coordination/partition/partition_test.go
+++ b/internal/coordination/partition/partition_test.go
@@ -18,9 +18,9 @@
 	mixed := []settings.Team{{}, {CPUs: 10, CPUsMax: 20}, {}, {CPUsMax: 8}, {CPUs: 4}}
 	got := Assign(mixed, 3)
 	if got[0] != got[2] {
-		t.Errorf("teams with neither a guarantee nor a limit are in different partitions: %v", got)
+		t.Errorf("partitions by team: %v, want the same for teams 0 and 2, which have neither a guarantee nor a limit", got)
 	}
 	if got[1] == got[4] || got[3] == got[1] || got[0] == got[1] {
-		t.Errorf("teams with a guarantee or a limit are not spread: %v", got)
+		t.Errorf("partitions by team: %v, want none of the teams 0, 3 and 4 in the partition of team 1", got)
 	}
 }
--- a/internal/coordination/records/apply.go
+++ b/internal/coordination/records/apply.go
@@ -8,14 +8,14 @@
 	"micaspindle/internal/storage"
 )
 
-// listedKeys holds the keys and names in a listing, for the kinds of records that can be deleted.
+// listedKeys holds the keys or names of the deletable records in a listing.
 type listedKeys struct {
 	machines map[string]bool // by machine name
 	leases   map[string]bool // by key, including the cluster leadership
 	policy   map[string]bool // by key
 }
 
-// ApplyListing replaces the known shared records by a listing at a revision.
+// ApplyListing replaces the current shared records by a listing at a revision.
 func (w *Watcher) ApplyListing(items []protocol.Item, revision uint64) {
 	now := time.Now()
 	w.ListedEndTimes = map[string]time.Time{}
@@ -41,7 +41,7 @@
 	}
 }
 
-// applyListedRecords applies all other records of a listing and returns the keys in it.
+// applyListedRecords applies all records of a listing except final records, and returns its keys.
 func (w *Watcher) applyListedRecords(items []protocol.Item) listedKeys {
 	listed := listedKeys{machines: map[string]bool{}, leases: map[string]bool{}, policy: map[string]bool{}}
 	for _, item := range items {
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, p := range w.Partitions {
-		// A partition for which no leader has ever been seen counts as vacant from now on, which
+		// A partition that has had no lease record so far counts as vacant from now on, which
 		// gives its preferred leader time to start.
 		if p.LeaseRevision == 0 && p.VacantSince.IsZero() {
 			p.VacantSince = now
@@ -131,8 +131,8 @@
 	}
 }
 
-// applyMachine applies a change of a machine's record. A deletion that is older than the known record
-// is ignored.
+// applyMachine applies a change of a machine's record. A deletion that is older than the current
+// record is ignored.
 func (w *Watcher) applyMachine(name string, event protocol.Event, now time.Time) {
 	if event.Delete != "" {
 		if m := w.Machines[name]; m != nil && event.Version >= m.Revision {
@@ -162,8 +162,8 @@
 	}
 }
 
-// applyCatalog sets the machine types from the catalog record if none are known. Each controller also
-// reads them from the cloud; the record serves those that have not received a response yet.
+// applyCatalog sets the machine types from the catalog record if there are none yet. Each controller
+// also reads them from the cloud; the record is used until the first response of the cloud.
 func (w *Watcher) applyCatalog(raw []byte) {
 	var catalog protocol.Catalog
 	if err := storage.Decode(raw, &catalog); err == nil && len(w.Catalog) == 0 {
--- a/internal/coordination/records/collaborators.go
+++ b/internal/coordination/records/collaborators.go
@@ -10,8 +10,8 @@
 
 // Agents tracks the recorded machines.
 type Agents interface {
-	// ApplyMachineDeletion handles the deletion of a machine's record. The cluster leader deletes it only
-	// after the machine certainly no longer exists.
+	// ApplyMachineDeletion handles the deletion of a machine's record. The cluster leader deletes
+	// the record only once the machine is proven not to exist any more.
 	ApplyMachineDeletion(name string, now time.Time)
 	// ApplyMachineRecord handles a new or changed machine record, which assigns the machine to a
 	// partition.
@@ -27,7 +27,7 @@
 	// DropUnlistedPolicy removes policy records whose keys are not in a listing.
 	DropUnlistedPolicy(listed map[string]bool)
 	// PublishPolicy makes all policy records applied since the last call effective at once.
-	// requestedAt is when the listing or watch that returned them was requested.
+	// requestedAt is the time of the request for the listing or watch that returned them.
 	PublishPolicy(requestedAt time.Time)
 }
 
@@ -43,7 +43,8 @@
 	ApplyIncarnation(label string, event protocol.Event)
 	// ApplyLease applies a change of a partition's lease record.
 	ApplyLease(p *cluster.Partition, event protocol.Event, now time.Time)
-	// AddUnknownLeaders records that leadership may have changed unobserved before a listing.
+	// AddUnknownLeaders adds an unknown former leader to each partition before a listing is
+	// applied, since leaders may have changed while the records were not watched.
 	AddUnknownLeaders(now time.Time)
 }
 
--- a/internal/coordination/records/watcher.go
+++ b/internal/coordination/records/watcher.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// watchOutageTimeout is how long a watch request stays open during an outage, beyond its wait
-	// time. After a watch that was given up, all records are listed again.
+	// watchOutageTimeout is the time for which a watch request stays open during an outage, in
+	// addition to its wait time. After a watch that timed out, all records are listed again.
 	watchOutageTimeout = 12 * time.Second
 	// watchesPerLeaseTTL is the number of watch requests per lease TTL, which equals the number of
 	// lease renewals.
@@ -25,8 +25,8 @@
 )
 
 // watchBackoff is the pause after a failed listing or watch, with jitter. It does not grow, since the
-// request budget of the state store already limits the rate; docs/retries.md describes what growing
-// pauses cost users.
+// request budget of the state store already limits the rate; docs/retries.md describes the effect
+// of growing pauses on users.
 var watchBackoff = retry.Backoff{First: 266 * time.Millisecond, Max: 266 * time.Millisecond}
 
 // Watcher watches the shared records and passes each to the component that owns its kind.
@@ -44,7 +44,7 @@
 	scheduler  Scheduler
 }
 
-// New creates a watcher. Connect must be called before it is used.
+// New creates a watcher. Connect must be called before the watcher is used.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Watcher {
 	return &Watcher{State: state, loop: loop, store: store, log: log}
 }
@@ -64,8 +64,8 @@
 	revision uint64
 	// lastAnswerLate is true if the last watch took more than twice its wait time.
 	lastAnswerLate bool
-	// wait is how long a watch waits for a change. extraTimeout is how long its response may take
-	// beyond that, for example during an outage.
+	// wait is the time for which a watch waits for a change. extraTimeout is the additional time
+	// until its response times out, for example during an outage.
 	wait, extraTimeout time.Duration
 }
 
@@ -90,7 +90,8 @@
 }
 
 // newCursor returns the initial cursor. Watches are requested as often as the lease is renewed, since
-// the time until which heartbeats may be answered depends on the older of the two (rule 42).
+// the time until which heartbeats may be answered depends on the earlier of the last watch and the
+// last renewal (rule 42).
 func (w *Watcher) newCursor() cursor {
 	at := cursor{wait: w.Operator.LeaseTTL / watchesPerLeaseTTL, extraTimeout: watchOutageTimeout}
 	if w.auth.Enabled() {
@@ -110,7 +111,7 @@
 		// Changes may be lost after a watch that failed or that returned status 410 (Gone). A new
 		// listing includes them (rule 4).
 		at.revision = 0
-		return fmt.Errorf("watch: %w", err)
+		return fmt.Errorf("watching shared records for changes: %w", err)
 	}
 	return nil
 }
@@ -139,7 +140,7 @@
 	requestedAt := time.Now()
 	wait := at.wait
 	if at.lastAnswerLate {
-		wait = 0 // return at once, since the records are only known up to the time of the last, slow request
+		wait = 0 // return at once, since the records are only as current as the last, slow request
 	}
 	changes, err := w.store.Watch(w.loop.Context(), storage.WatchPrefix, at.revision, wait, at.extraTimeout)
 	if err != nil {
--- a/internal/coordination/recordset/lag.go
+++ b/internal/coordination/recordset/lag.go
@@ -4,8 +4,8 @@
 // behind.
 type Lag struct{ behind bool }
 
-// Changed updates the state with the number of seconds by which the set lags. The set falls behind
-// when it exceeds the limit, and has caught up at half the limit or less. changed reports whether
+// Changed updates the state with the lag of the set in seconds. The set falls behind when the lag
+// exceeds the limit, and has caught up when the lag is half the limit or less. changed reports whether
 // the state has changed since the last call; behind is the new state.
 func (l *Lag) Changed(behindS, limitS float64) (changed, behind bool) {
 	switch {
--- a/internal/coordination/recordset/set.go
+++ b/internal/coordination/recordset/set.go
@@ -23,8 +23,8 @@
 }
 
 // Set is a copy of the records under a prefix of the state store, as of a revision. A new leader may
-// rely on it once that revision has reached the revision of its lease: no writes of the former
-// leader take effect after that (docs/design.md, rule 1). The zero value holds no records.
+// use the copy once that revision has reached the revision of the leader's lease: writes of the former
+// leader have no effect after that revision (docs/design.md, rule 1). The zero value holds no records.
 type Set[V any] struct {
 	revision uint64
 	records  map[string]Record[V]
@@ -53,9 +53,9 @@
 	}
 }
 
-// Apply applies the changes after one revision and up to another. It returns false, and applies
-// nothing, if the set has no listing yet or does not hold all changes up to after. Changes that the
-// set already holds are skipped; applied is called with each of the others.
+// Apply applies changes: all those with revisions above after and up to upTo. It returns false, and
+// applies nothing, if the set has no listing yet or its revision is below after. Changes that the set
+// already holds are skipped; applied is called with each of the others.
 func (s *Set[V]) Apply(after, upTo uint64, changes []Change[V], applied func(Change[V])) bool {
 	if s.revision == 0 || after > s.revision {
 		return false
@@ -77,8 +77,8 @@
 	return true
 }
 
-// Sample is a page of the store at a revision: all records with keys after From, up to and including
-// Last. Last is empty for the last page.
+// Sample is a page of the store at a revision: all records with keys after the key After, up to and
+// including the key Last. Last is empty for the last page.
 type Sample[V any] struct {
 	After, Last string
 	Revision    uint64
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -113,7 +113,7 @@
 			}
 			for k, r := range s.records {
 				if seen[k] != r.Value || len(seen) != len(s.records) {
-					t.Fatalf("seed %d: the changes passed to the callback add up to %v", seed, seen)
+					t.Fatalf("seed %d: after all changes passed to the callback, the values are %v, want those of the store: %v", seed, seen, s.records)
 				}
 			}
 			for range rng.IntN(3) {
@@ -121,7 +121,7 @@
 			}
 			if sample != nil && rng.IntN(2) == 0 {
 				if keys, ok := set.Mismatches(*sample, equal); !ok || len(keys) > 0 {
-					t.Fatalf("seed %d: a correct set has mismatches %v (compared: %v)", seed, keys, ok)
+					t.Fatalf("seed %d: Mismatches() of a correct set = %v, %v, want none, true", seed, keys, ok)
 				}
 				sample = nil
 			}
@@ -147,7 +147,7 @@
 		for {
 			p := s.page(last, 5)
 			if _, ok := (&Set[int]{revision: s.revision - 1}).Mismatches(p, equal); ok {
-				t.Fatalf("seed %d: a set older than the sample was compared", seed)
+				t.Fatalf("seed %d: Mismatches() compared a set that is older than the sample", seed)
 			}
 			keys, _ := set.Mismatches(p, equal)
 			found = append(found, keys...)
@@ -156,7 +156,7 @@
 			}
 		}
 		if !slices.Equal(found, []string{key}) {
-			t.Fatalf("seed %d: record %s is wrong, but the samples found %v", seed, key, found)
+			t.Fatalf("seed %d: mismatches %v in all samples, want only record %s", seed, found, key)
 		}
 	}
 }
--- a/internal/coordination/replication/collaborators.go
+++ b/internal/coordination/replication/collaborators.go
@@ -15,14 +15,14 @@
 
 // Autoscaler holds the cluster leader's state.
 type Autoscaler interface {
-	// LeaderUpdate returns the cluster leader's state that its successor needs.
+	// LeaderUpdate returns an update with the cluster leader's state for its successor.
 	LeaderUpdate(now time.Time) *peer.ReplicaUpdate
 }
 
 // Scheduler holds the correction factors for run time estimates.
 type Scheduler interface {
-	// AdoptCorrection replaces the correction of a job class by one from another controller, if
-	// that one is based on more jobs.
+	// AdoptCorrection replaces the correction of a job class by that of another controller if the
+	// latter is based on more tasks.
 	AdoptCorrection(correction *peer.RuntimeCorrection)
 	// RuntimeCorrections returns the corrections of all job classes, sorted by class name.
 	RuntimeCorrections() []*peer.RuntimeCorrection
--- a/internal/coordination/replication/derived_state.go
+++ b/internal/coordination/replication/derived_state.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// PendingStartsLimit is the maximum number of start times held for attempts whose run records
-	// have not arrived: those committed a moment ago, or all 64,000 attempts of 4,000 machines
-	// while the replica is first read. An entry takes about 130 bytes, all entries 10 MB.
+	// PendingStartsLimit is the maximum number of start times kept for attempts whose run records
+	// have not arrived: recently committed ones, or all 64,000 attempts of 4,000 machines while the
+	// replica is first read. An entry takes about 130 bytes, all entries 10 MB.
 	PendingStartsLimit = 80_000
 	// pendingStartAge is the time since its start after which an attempt is dropped from the
 	// pending starts.
@@ -136,8 +136,8 @@
 	return count
 }
 
-// UnknownJobs returns the ids of jobs with run records that are neither in known nor in read. These
-// are finished jobs with attempts that may still run, and jobs whose own records have not arrived.
+// UnknownJobs returns the ids of jobs that have run records but are neither in known nor in read:
+// finished jobs with attempts that may still run, and jobs whose job records have not arrived.
 func (s *DerivedState) UnknownJobs(known map[string]*cluster.Job, read map[string]*protocol.Item) (ids []string) {
 	for id := range s.Jobs {
 		if known[id] == nil && read[id] == nil {
--- a/internal/coordination/replication/follow.go
+++ b/internal/coordination/replication/follow.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// replicaRetention is how long a controller keeps a replica after it was last the partition's
-	// standby, since it may become the standby again.
+	// replicaRetention is the time for which a controller keeps a replica after it was last the
+	// partition's standby, since it may become the standby again.
 	replicaRetention = 30 * time.Second
 	// followRateShare is the fraction of the state store's request rate that replicas of all
 	// partitions together may use to read changes.
@@ -43,8 +43,8 @@
 	}
 }
 
-// dueReplicas creates replicas that are needed, drops those that are not, and returns the rest,
-// which are to be brought up to date.
+// dueReplicas creates missing replicas, drops those that are no longer needed, and returns all others,
+// which are to be updated.
 func (r *Replicator) dueReplicas(now time.Time) (due []*Replica) {
 	for _, p := range r.Partitions {
 		if r.isStandbyOf(p) {
@@ -123,8 +123,8 @@
 	r.ifCurrent(replica, func() { replica.ApplyListing(r.log.Error, items, revision, requestedAt) })
 }
 
-// readChanges applies the changes after a revision. If they are no longer available or do not
-// connect to the replica's revision, the replica is reset and listed again.
+// readChanges applies the changes after a revision. If changes after the replica's revision are
+// missing, the replica is reset, and the run records are listed again.
 func (r *Replicator) readChanges(ctx context.Context, replica *Replica, after uint64) {
 	requestedAt := time.Now()
 	events, err := r.store.Watch(ctx, storage.RunPrefix(replica.partition), after, 0, storage.ImmediateWatchTimeout)
--- a/internal/coordination/replication/hints.go
+++ b/internal/coordination/replication/hints.go
@@ -7,7 +7,7 @@
 )
 
 // ApplyStart sets the start time of an inherited attempt to the one sent by the former leader. It
-// returns false if there is no such live attempt or its start time is already known.
+// returns false if there is no such live attempt, or if the attempt already has a start time.
 func (r *Replicator) ApplyStart(p *cluster.Partition, id AttemptID, at time.Time) bool {
 	job := r.Jobs[id.Job]
 	if job == nil || job.Partition != p.Index || !job.HasRunState {
@@ -36,8 +36,8 @@
 	}
 }
 
-// applyMachineHints merges received hints into a machine. An address or preemption time that is
-// already known here is kept.
+// applyMachineHints merges received hints into a machine. An address or preemption time that the
+// machine already has is kept.
 func applyMachineHints(m *cluster.Machine, hints MachineHints, now time.Time) {
 	for _, image := range hints.Images {
 		if _, known := m.Images[image]; !known {
--- a/internal/coordination/replication/prepare.go
+++ b/internal/coordination/replication/prepare.go
@@ -37,8 +37,8 @@
 	return cold, false, nil
 }
 
-// catchUp applies all changes after a revision. It returns true if the replica has then reached the
-// lease's revision and matches its pending sample, if any.
+// catchUp applies all changes after a revision. It returns true if the replica then has reached the
+// revision of the lease and matches its sample, if a sample is waiting to be compared.
 func (r *Replicator) catchUp(replica *Replica, after, leaseRevision uint64) (complete bool, err error) {
 	requestedAt := time.Now()
 	events, err := r.store.CatchUp(r.loop.Context(), storage.RunPrefix(replica.partition), after)
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// ReplicaMachinesLimit is the maximum number of machines kept from a partition's updates. No
-	// partition has as many, so only a faulty sender reaches it.
+	// ReplicaMachinesLimit is the maximum number of machines kept from a partition's updates. It is
+	// larger than any partition, so that only the updates of a faulty sender exceed it.
 	ReplicaMachinesLimit = 100_000
 	// secondsLimit is the upper limit of a received number of seconds: larger ones could overflow a
 	// time.Duration.
 	secondsLimit = 1e9
 )
 
-// MachineHints is a machine's hint as received, with its preemption time converted to local time.
+// MachineHints is a received hint on a machine, with its preemption time converted to local time.
 type MachineHints struct {
 	*peer.MachineHint
-	// PreemptionAt is when the cloud will preempt the machine; zero if no notice was given.
+	// PreemptionAt is the time at which the cloud will preempt the machine; zero if there was no
+	// preemption notice.
 	PreemptionAt time.Time
 }
 
--- a/internal/coordination/replication/replica.go
+++ b/internal/coordination/replication/replica.go
@@ -21,16 +21,16 @@
 	Records   recordset.Set[*storage.RunRecord]
 	Derived   DerivedState
 	Updates   ReceivedUpdates
-	// wantedAt is when this controller was last seen to be the partition's standby.
+	// wantedAt is the time at which this controller was last found to be the partition's standby.
 	wantedAt time.Time
 	// asOf is the request time of the newest applied response: the replica has all earlier changes.
 	// Until the first response, it is the creation time of the replica.
 	asOf time.Time
-	// lagState tells whether the replica was last logged as behind.
+	// lagState records whether the replica was last logged as behind.
 	lagState recordset.Lag
-	// sampledAt is when a sample of the state store was last read. sampleCursor is the key after
-	// which the next one begins. sample is the one to compare once the records have reached its
-	// revision.
+	// sampledAt is the time at which a sample of the state store was last read. sampleCursor is the
+	// key after which the next sample begins. sample is to be compared once the records have reached
+	// its revision; nil if there is none.
 	sampledAt    time.Time
 	sampleCursor string
 	sample       *recordset.Sample[*storage.RunRecord]
--- a/internal/coordination/replication/replica_job.go
+++ b/internal/coordination/replication/replica_job.go
@@ -44,8 +44,8 @@
 }
 
 // attachAttempts links the live attempts to the job and adds their resources to the usage of their
-// machines. Attempts without a machine, or of a task that the job does not have, are dropped, and
-// their run records are marked for rewriting.
+// machines. Attempts on an unknown machine, or with a task index that the job does not have, are
+// dropped, and their run records are marked for rewriting.
 func (j *ReplicaJob) attachAttempts(job *cluster.Job, now time.Time) {
 	need := cluster.ResourcesOf(job.Spec)
 	for task, a := range job.LiveAttempts {
@@ -62,8 +62,8 @@
 	}
 }
 
-// DetachAttempts removes the attempts of an unknown job from their machines. If these still run,
-// heartbeats report them as tasks without an attempt on record.
+// DetachAttempts removes the attempts of an unknown job from their machines. Attempts that still run
+// are then reported in heartbeats as tasks without a recorded attempt.
 func (j *ReplicaJob) DetachAttempts(id string) {
 	for task, a := range j.Live {
 		if a.Machine != nil {
--- a/internal/coordination/replication/replicator.go
+++ b/internal/coordination/replication/replicator.go
@@ -43,7 +43,7 @@
 	Mismatches int
 }
 
-// New creates a replicator. Connect must be called before it is used.
+// New creates a replicator. Connect must be called before the replicator is used.
 func New(state *cluster.State, loop *eventloop.Loop, network storage.Requester, store *storage.Store, log *slog.Logger, bounds *telemetry.BoundReporter) *Replicator {
 	return &Replicator{State: state, loop: loop, network: network, store: store, log: log, bounds: bounds,
 		Replicas: map[int]*Replica{}}
--- a/internal/coordination/replication/sampling.go
+++ b/internal/coordination/replication/sampling.go
@@ -20,8 +20,8 @@
 	maxLoggedKeys = 5
 )
 
-// sampleDue reports whether the next sample is to be read. There is at most one sample that waits
-// to be compared.
+// sampleDue reports whether the next sample is to be read. No sample is read while another one is
+// waiting to be compared.
 func (r *Replica) sampleDue(now time.Time) bool {
 	return r.Records.Revision() != 0 && r.sample == nil && now.Sub(r.sampledAt) >= sampleInterval
 }
@@ -30,7 +30,7 @@
 func (r *Replicator) readSample(ctx context.Context, replica *Replica, cursor string) {
 	page, err := r.store.Page(ctx, storage.RunPrefix(replica.partition), cursor, sampleSize)
 	if err != nil {
-		return // it is read with the next update of the replica
+		return // retried with the next update of the replica
 	}
 	r.ifCurrent(replica, func() { replica.storeSample(page, time.Now()) })
 }
--- a/internal/coordination/replication/send.go
+++ b/internal/coordination/replication/send.go
@@ -37,8 +37,8 @@
 	update    *peer.ReplicaUpdate
 }
 
-// ReplicateLoop sends updates until the controller shuts down: to the standbys of the partitions led
-// here and, from the cluster leader, to all other controllers.
+// ReplicateLoop sends updates until the controller shuts down. Partition leaders send them to the
+// standbys of their partitions, and the cluster leader sends its update to all other controllers.
 func (r *Replicator) ReplicateLoop() {
 	for r.loop.Sleep(updateInterval) {
 		r.SendUpdates(r.loop.Context())
@@ -154,9 +154,9 @@
 		if m.Record.Partition != p.Index || !m.HasReported {
 			continue
 		}
-		if facts := m.ReplicatedState(); m.ReplicationSeq == 0 || facts != m.LastReplicated {
+		if state := m.ReplicatedState(); m.ReplicationSeq == 0 || state != m.LastReplicated {
 			progress.NewestSeq++
-			m.LastReplicated, m.ReplicationSeq = facts, progress.NewestSeq
+			m.LastReplicated, m.ReplicationSeq = state, progress.NewestSeq
 		}
 		if m.ReplicationSeq > progress.AcknowledgedSeq {
 			changes = append(changes, replicaChange{seq: m.ReplicationSeq, machine: m})
@@ -166,8 +166,8 @@
 	return changes
 }
 
-// addChanges adds changes to an update, at least one and otherwise as many as fit into the budget of
-// bytes. It reports whether all fit; the others follow in the next update.
+// addChanges adds as many changes to an update as fit into the budget of bytes, but at least one. It
+// reports whether all were added; the others follow in the next update.
 func addChanges(update *peer.ReplicaUpdate, changes []replicaChange, budget int, now time.Time) bool {
 	for i, change := range changes {
 		var start *peer.AttemptStart
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -21,7 +21,7 @@
 	StateTransferPath = "/peer/recall"
 	// StateTransferBytesLimit is the maximum size of a state transfer, below the size at which a
 	// client refuses a response. 64,000 attempts take about 2 MB and 4,000 machines 0.4 MB; the
-	// rest is for their images.
+	// rest is for the lists of the machines' images.
 	StateTransferBytesLimit = 6 << 20
 )
 
@@ -45,8 +45,8 @@
 }
 
 // StateTransfer returns the received updates of the replica's partition, for its new leader. complete
-// is false if they exceed StateTransferBytesLimit. Then images are left out first, since they only
-// serve to predict which machines start a task fast, then machines, then start times.
+// is false if they exceed StateTransferBytesLimit. In that case, images are left out first, since they
+// are only used to predict the start-up time of tasks, then machines, then start times.
 func (r *Replica) StateTransfer(now time.Time) (transfer *peer.ReplicaUpdate, complete bool) {
 	updates := &r.Updates
 	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
@@ -111,7 +111,7 @@
 }
 
 // RequestStateTransfer requests the updates of a partition from all other controllers. It is called
-// after a takeover by a controller that has received no updates, usually because it was restarted.
+// after a takeover if this controller has received no updates, usually because of a restart.
 func (r *Replicator) RequestStateTransfer(p *cluster.Partition, leaseRevision uint64) {
 	for label, other := range r.Peers {
 		r.loop.Go(func() {
--- a/internal/coordination/takeover/acquisition.go
+++ b/internal/coordination/takeover/acquisition.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// resignationPause is how long a controller acquires no leases after it has resigned because no
-	// heartbeats reached it.
+	// resignationPause is the time for which a controller acquires no leases after it has resigned
+	// because no heartbeats reached it.
 	resignationPause = 10 * time.Second
-	// startupSettleTime is how long after its start a controller counts as new: it may not know all
-	// other controllers yet.
+	// startupSettleTime is the time since its start for which a controller counts as new, since it
+	// may not have received the summaries of all other controllers yet.
 	startupSettleTime = 5 * time.Second
 	// startupDelay is the additional time for which a new controller leaves a vacant partition to
 	// others.
 	startupDelay = 2500 * time.Millisecond
-	// delayPerPartition is the additional time, for each partition that a controller leads, for
-	// which it leaves a vacant partition to others.
+	// delayPerPartition is the time for which a controller leaves a vacant partition to others for
+	// each partition that it already leads.
 	delayPerPartition = 400 * time.Millisecond
-	// leadershipDelayPerIndex is the additional time, for each controller before it in the order of
-	// labels, for which a controller leaves the vacant cluster leadership to others.
+	// leadershipDelayPerIndex is the time for which a controller leaves the vacant cluster
+	// leadership to each of the controllers before it in the order of labels.
 	leadershipDelayPerIndex = 400 * time.Millisecond
-	// standbyHeadStart is how long the other controllers leave a vacant partition to a standby that
-	// has a replica of it.
+	// standbyHeadStart is the time for which the other controllers leave a vacant partition to a
+	// standby that has a replica of it.
 	standbyHeadStart = 600 * time.Millisecond
 )
 
-// ShouldAcquirePartition reports whether to acquire the lease of a partition now. The standby acquires a
-// vacant partition at once. So does the preferred leader, but it first gives a live standby a head
-// start. Other controllers also wait for a delay that grows with the number of partitions they lead.
+// ShouldAcquirePartition reports whether to acquire the lease of a partition now. The standby acquires
+// a vacant partition at once. The preferred leader does so too, unless a live standby exists, to which
+// it leaves the partition for standbyHeadStart. Other controllers also wait until vacancyDelay has
+// passed.
 func (t *Takeover) ShouldAcquirePartition(p *cluster.Partition, now time.Time) bool {
 	if p.Held || !t.mayAcquire(now) {
 		return false
@@ -73,7 +74,8 @@
 	return t.Synced && !t.Draining && !resigned
 }
 
-// vacancyDelay returns how long this controller leaves a vacant partition to others.
+// vacancyDelay returns the time for which this controller leaves a vacant partition to others. It grows
+// with the number of partitions that this controller leads.
 func (t *Takeover) vacancyDelay(now time.Time) (delay time.Duration) {
 	for _, p := range t.Partitions {
 		if p.Held {
--- a/internal/coordination/takeover/collaborators.go
+++ b/internal/coordination/takeover/collaborators.go
@@ -16,7 +16,7 @@
 	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
 }
 
-// Leases holds the partition leases and the bounds on what former leaders may still do.
+// Leases holds the partition leases and the bounds of the former leaders' answers to heartbeats.
 type Leases interface {
 	// ClearLeaderState drops the state of a partition that is valid only on its leader.
 	ClearLeaderState(p *cluster.Partition)
@@ -28,9 +28,9 @@
 // Proxy delegates shards of a partition's machines to other controllers.
 type Proxy interface {
 	// SpreadShards immediately delegates shards of a partition that was just taken over, as many
-	// as its number of machines requires. All machines are fenced and send heartbeats at once,
-	// which could use up the sockets of the leader alone. Delegates of the former leader keep
-	// their shards, and so their connections to agents.
+	// as its number of machines requires. Since all machines are fenced and send heartbeats at the
+	// same time, the leader might not have enough sockets without delegates. Delegates of the former
+	// leader keep their shards, and so their connections to agents.
 	SpreadShards(p *cluster.Partition, now time.Time)
 }
 
@@ -42,12 +42,12 @@
 	// newly acquired lease. It catches up the existing replica (warm), or reads all run records
 	// if there is none or it cannot be used (not warm).
 	PrepareReplica(p *cluster.Partition, leaseRevision uint64) (replica *replication.Replica, warm bool, err error)
-	// DropReplica removes the replica of a partition, whose contents are transferred to the
-	// partition.
+	// DropReplica removes the replica of a partition. It is called when a takeover transfers the
+	// replica's contents to the partition.
 	DropReplica(partition int)
 	// RequestStateTransfer requests the updates of a partition from all other controllers. It is
-	// called after a takeover by a controller that has received no updates, usually because it
-	// was restarted.
+	// called after a takeover if this controller has received no updates, usually because of a
+	// restart.
 	RequestStateTransfer(p *cluster.Partition, leaseRevision uint64)
 }
 
@@ -55,8 +55,8 @@
 type Jobs interface {
 	// ApplyJobRecord adds an accepted job from its record, which never changes.
 	ApplyJobRecord(id string, raw []byte)
-	// DropIfReleased removes a job that has ended and holds no resources any more.
+	// DropIfReleased removes a job if it has ended and no longer uses resources.
 	DropIfReleased(j *cluster.Job)
-	// LoadJobRecord creates a job from its record.
+	// LoadJobRecord adds a job from its record, even if the job has ended.
 	LoadJobRecord(id string, raw []byte) *cluster.Job
 }
--- a/internal/coordination/takeover/handback.go
+++ b/internal/coordination/takeover/handback.go
@@ -11,8 +11,8 @@
 	// handbackWarmUp is the maximum time for which the handback of a partition is delayed until its
 	// preferred leader has a replica of it.
 	handbackWarmUp = 10 * time.Second
-	// handbackImbalance is the number of partitions with teams that this controller must lead beyond
-	// those of the preferred leader before it hands one back.
+	// handbackImbalance is the minimum lead of this controller over the preferred leader, in
+	// partitions with teams, at which a partition is handed back.
 	handbackImbalance = 2
 )
 
@@ -30,9 +30,10 @@
 	return !preferred.Summary.Replicates || preferred.HasReplicaOf(p.Index) || now.Sub(p.HandbackSince) > handbackWarmUp
 }
 
-// preferredLeader returns the preferred leader of a partition led here, if the partition is to be
-// handed back to it, else "". A partition is handed back only if that controller has been alive for
-// long enough and leads at least handbackImbalance fewer partitions with teams than this one.
+// preferredLeader returns the label of the preferred leader of a partition that this controller leads,
+// if the partition is to be handed back to it, else "". A partition is handed back
+// only if the preferred leader has been alive for lease.SettleTime and leads at least
+// handbackImbalance fewer partitions with teams than this controller.
 func (t *Takeover) preferredLeader(p *cluster.Partition, now time.Time) string {
 	if !p.Held || !p.Ready || !p.HasTeams || p.Index == t.SelfIndex || p.Index >= len(t.Labels) || now.Sub(p.AcquiredAt) < lease.SettleTime {
 		return ""
@@ -42,16 +43,16 @@
 	if preferred == nil || !preferred.Alive(now) || preferred.Summary.Draining || now.Sub(preferred.AliveSince) < lease.SettleTime {
 		return ""
 	}
-	mine, theirs := 0, 0
+	ownCount, preferredCount := 0, 0
 	for _, other := range t.Partitions {
 		switch {
 		case other.HasTeams && other.Held:
-			mine++
+			ownCount++
 		case other.HasTeams && other.Leader == label:
-			theirs++
+			preferredCount++
 		}
 	}
-	if mine-theirs < handbackImbalance {
+	if ownCount-preferredCount < handbackImbalance {
 		return ""
 	}
 	return label
--- a/internal/coordination/takeover/install.go
+++ b/internal/coordination/takeover/install.go
@@ -11,8 +11,8 @@
 )
 
 // Install sets the state of a partition's jobs and machines from a replica and marks the partition
-// ready. jobRecords are the records of jobs that were not known here. The partition owns the
-// replica's contents from then on. It runs on the event loop.
+// ready. jobRecords are the records of jobs that this controller had not loaded. The partition owns
+// the replica's contents from then on. Install must be called on the event loop.
 func (t *Takeover) Install(p *cluster.Partition, replica *replication.Replica, jobRecords map[string]*protocol.Item, warm bool) {
 	now := time.Now()
 	t.replicator.DropReplica(p.Index)
@@ -27,7 +27,7 @@
 	t.markReady(p, live, warm, now)
 }
 
-// clearLeaderState drops the state from an earlier time at which this controller led the partition.
+// clearLeaderState drops state that is left from an earlier leadership of this controller.
 func (t *Takeover) clearLeaderState(p *cluster.Partition) {
 	if !p.LeaderStateCleared {
 		t.leases.ClearLeaderState(p)
@@ -41,7 +41,7 @@
 		if t.FinalStates[id] == "" {
 			t.jobs.ApplyJobRecord(id, item.Value)
 		} else if t.Jobs[id] == nil {
-			// The job has ended, but some of its attempts are not proven to have ended.
+			// The job has ended, but there is no proof yet that all of its attempts have.
 			t.jobs.LoadJobRecord(id, item.Value)
 		}
 	}
--- a/internal/coordination/takeover/rebuild.go
+++ b/internal/coordination/takeover/rebuild.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// catchUpTimeout is how long a new leader waits for the preconditions of a takeover before it
-	// prepares the replica again. catchUpPollInterval is the time between two checks of them.
+	// catchUpTimeout is the time for which a new leader waits for the preconditions of a takeover
+	// before it prepares the replica again. catchUpPollInterval is the time between two checks of
+	// the preconditions.
 	catchUpTimeout      = 2 * time.Second
 	catchUpPollInterval = 10 * time.Millisecond
 )
 
-// rebuildBackoff spreads the pauses between attempts to rebuild a partition over 133 to 266 ms. They
-// do not grow, since the request budget of the state store already limits the rate; docs/retries.md
-// describes what growing pauses cost users.
+// rebuildBackoff is the pause between attempts to rebuild a partition, with jitter: 133 to 266 ms. It
+// does not grow, since the request budget of the state store already limits the rate; docs/retries.md
+// describes the effect of growing pauses on users.
 var rebuildBackoff = retry.Backoff{First: 266 * time.Millisecond, Max: 266 * time.Millisecond}
 
 // TakeOver rebuilds the state of a partition from the records of its former leader. It retries until
-// that succeeds or the lease with this revision is lost. Later writes of the former leader fail,
+// the rebuild succeeds or the lease with this revision is lost. Later writes of the former leader fail,
 // since they are conditional on the previous lease.
 func (t *Takeover) TakeOver(p *cluster.Partition, revision uint64) {
 	tries := t.loop.NewRetryCounter("rebuild "+strconv.Itoa(p.Index), rebuildBackoff)
@@ -66,7 +67,7 @@
 			}
 		case len(result.missing) > 0:
 			if time.Since(begun) > catchUpTimeout || !t.loop.Sleep(catchUpPollInterval) {
-				return fmt.Errorf("partition not installed: missing %s", strings.Join(result.missing, ", "))
+				return fmt.Errorf("preconditions for installing the partition not met: missing %s", strings.Join(result.missing, ", "))
 			}
 		default:
 			if result.withoutUpdates {
@@ -77,8 +78,8 @@
 	}
 }
 
-// installResult is the result of one attempt to install a replica. In its zero value nothing is left
-// to do.
+// installResult is the result of one attempt to install a replica. The zero value means that nothing
+// is left to do.
 type installResult struct {
 	// unknownJobs are the ids of jobs whose records must be read first.
 	unknownJobs []string
@@ -88,13 +89,14 @@
 	withoutUpdates bool
 }
 
-// installIfComplete installs a replica if all preconditions are met. It runs on the event loop.
+// installIfComplete installs a replica if all preconditions are met. It must be called on the event
+// loop.
 func (t *Takeover) installIfComplete(p *cluster.Partition, revision uint64, replica *replication.Replica, jobRecords map[string]*protocol.Item, warm bool) installResult {
 	if !p.Held || p.LeaseRevision != revision {
 		return installResult{} // the lease was lost, so there is nothing to install
 	}
-	// Unknown jobs are determined in the same call on the event loop as the installation: a job that
-	// ends in between is dropped, but its attempts use their team's quota until they end.
+	// Unknown jobs are determined in the same call on the event loop as the installation. Otherwise a
+	// job that ends in between would be dropped, although its attempts use quota until they end.
 	if unknown := replica.Derived.UnknownJobs(t.Jobs, jobRecords); len(unknown) > 0 {
 		return installResult{unknownJobs: unknown}
 	}
@@ -118,8 +120,9 @@
 }
 
 // UnmetPreconditions lists the unmet preconditions of the first scheduling decision on a partition.
-// runRecords is the revision up to which its run records are known. Machine records and final
-// records arrive in order through the watch. Quota usage is counted when the replica is installed.
+// runRecords is the revision up to which the partition's run records have been applied; for machine
+// records and final records, that is the revision of the watch. QuotasCounted is set, since the
+// installation of the replica counts the quota usage.
 func (t *Takeover) UnmetPreconditions(p *cluster.Partition, leaseRevision, runRecords uint64) []string {
 	check := failover.TakeoverCheck{
 		LeaseRevision: leaseRevision, NewestLease: p.LeaseRevision,
--- a/internal/coordination/takeover/standby.go
+++ b/internal/coordination/takeover/standby.go
@@ -8,9 +8,9 @@
 	"micaspindle/internal/coordination/failover"
 )
 
-// ChooseStandby sets the standby of a partition led here: the controller to which the partition is to
-// be handed back, or else the best candidate. The current standby is kept unless another candidate
-// is clearly better.
+// ChooseStandby sets the standby of a partition that this controller leads: the controller to which the
+// partition is to be handed back, or else the best candidate. The current standby is kept unless
+// another candidate is clearly better.
 func (t *Takeover) ChooseStandby(p *cluster.Partition, now time.Time) {
 	if preferred := t.preferredLeader(p, now); preferred != "" && t.Peers[preferred].Summary.Replicates {
 		p.Standby = preferred
@@ -23,10 +23,10 @@
 	p.Standby = failover.KeepStandby(p.Standby, t.Settings.Label, t.Settings.Zone, candidates)
 }
 
-// isStandbyFor reports whether this controller is the standby for a former leader. That is the
-// announced standby while it is a candidate, and otherwise the one that every controller chooses in
-// the same way. A controller that has just started cannot be chosen yet, since it knows too little
-// of the others, but it can be the announced one.
+// isStandbyFor reports whether this controller is the standby for a former leader: the given announced
+// standby if it is a candidate, otherwise the result of failover.ChooseStandby, which is the same on
+// all controllers. A controller that has just started is the standby only if it was announced, since
+// it may not have received the summaries of all other controllers yet.
 func (t *Takeover) isStandbyFor(former, standby string, now time.Time) bool {
 	if former == "" || standby != t.Settings.Label && now.Sub(t.StartedAt) < startupSettleTime {
 		return false
--- a/internal/coordination/takeover/takeover.go
+++ b/internal/coordination/takeover/takeover.go
@@ -1,6 +1,6 @@
 // Package takeover decides which partitions this controller should lead. It rebuilds the state of an
 // acquired partition from a replica or from the state store. Invariant: no task of a partition is
-// placed before the partition's records are known up to the revision of its lease.
+// placed before the partition's records have been applied up to the revision of its lease.
 package takeover
 
 import (
@@ -27,7 +27,7 @@
 	replicator Replicator
 }
 
-// New creates a Takeover. Connect must be called before it is used.
+// New creates a Takeover. Connect must be called before the Takeover is used.
 func New(state *cluster.State, loop *eventloop.Loop, store *storage.Store, log *slog.Logger) *Takeover {
 	return &Takeover{State: state, loop: loop, store: store, log: log}
 }
