--- a/internal/coordination/queue/grades.go
+++ b/internal/coordination/queue/grades.go
@@ -26,10 +26,9 @@
 )
 
 const (
-	// lateFactor is the multiple of its allowed time beyond which a late job counts as very late.
+	// A job that can't be done within lateFactor times its allowed time counts as very late.
 	lateFactor = 1.5
-	// starvationFactor is the multiple of its allowed time after which a waiting job counts as
-	// starved.
+	// A job that has waited for starvationFactor times its allowed time counts as starved.
 	starvationFactor = 5
 	// starvedCycleS is the length in seconds of a cycle in which starved jobs are served first
 	// for one second. If they were always served first, a long backlog of them would delay jobs
