--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -267,8 +267,8 @@
 	}
 }
 
-// A team may borrow the unused quota of another except for the part that is never lent: the other
-// team gets that at once, and the rest of its quota as the first one releases.
+// A team may borrow the unused quota of another except for the part that is never lent. The other
+// team can use that part at once, and the rest of its quota as the borrower releases it.
 func TestLedgerBorrows(t *testing.T) {
 	l, err := NewQuotaPool(100, 80, []string{"red", "blue", "red"}, map[string]float64{"blue": 3})
 	if err != nil || l.Quota("red") != 25 || l.Quota("blue") != 75 {
@@ -283,7 +283,7 @@
 	if n := take("red", "r"); n != 80 {
 		t.Errorf("first client of red took %d, want its limit of 80", n)
 	}
-	if n := take("red", "s"); n != 1 { // 81 in all, since a quarter of blue's 75 is not lent
+	if n := take("red", "s"); n != 1 { // 81 in all: red's own 25 and 56 of blue's 75, a quarter of which is not lent
 		t.Errorf("red took %d in all, want 81", 80+n)
 	}
 	if n := take("blue", "b"); n != 19 {
@@ -315,7 +315,7 @@
 		func() (*QuotaPool, error) { return NewQuotaPool(1, 0, nil, map[string]float64{"a": math.Inf(1)}) },
 	} {
 		if _, err := f(); err == nil {
-			t.Errorf("invalid ledger %d is accepted", i)
+			t.Errorf("NewQuotaPool accepted the invalid arguments of case %d", i)
 		}
 	}
 }
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// pruneTeams removes idle teams once many are known. It keeps those whose finish tag is ahead of
-// the virtual time: without the tag they would get more than their share.
+// pruneTeams removes idle teams once there are many teams. It keeps those whose finish tag is ahead
+// of the virtual time: without the tag they would get more than their share.
 func (q *Queue) pruneTeams() {
 	if len(q.teams) < pruneThreshold {
 		return
@@ -137,7 +137,7 @@
 	}
 }
 
-// pruneClients does the same for the clients of a team.
+// pruneClients removes idle clients of a team in the same way.
 func (t *team) pruneClients() {
 	if len(t.clients) < pruneThreshold {
 		return
--- a/internal/admission/handoff.go
+++ b/internal/admission/handoff.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// HandoffLimits bound the work that waits at another server, which serves it in the order of
-// arrival: everything that arrives later waits behind it. Only enough work is handed off to keep
-// that server busy; the rest waits here, where clients take turns.
+// HandoffLimits bound the work that waits at another server. That server works in order of arrival,
+// so new work is served after all work that waits there. Only enough work is handed off to keep the
+// server busy; the rest waits in this process, where clients take turns.
 type HandoffLimits struct {
-	// Min may wait at the server however slowly it works; 0 removes all bounds.
+	// Min is the amount of work that may always wait at the server, whatever its rate; 0 removes
+	// all bounds.
 	Min int
-	// MaxDuration bounds how long the server needs for the waiting work at its current rate.
+	// MaxDuration bounds the time that the server needs for the waiting work at its current rate.
 	MaxDuration time.Duration
 }
 
-// Window returns how much work may wait at a server that completes perSecond and is working on
-// inService. It is at least inService, so that a server that scales out by its queue can double.
+// Window returns the amount of work that may wait at a server that completes perSecond and is
+// working on inService. It is at least inService, so that a server that scales out with the length
+// of its queue can double its capacity.
 func (l HandoffLimits) Window(perSecond float64, inService int) int {
 	if l.Min == 0 {
 		return math.MaxInt
@@ -30,11 +32,11 @@
 	Size   int
 }
 
-// NextBatch returns the index of the waiting batch to hand off next, or -1 if none may be until
-// the server has completed some work. Batches are in order of arrival, and outstanding is the
-// work of each client that waits at the server. The client with the least outstanding work goes
-// first. A client may use its equal part of the window even while others fill the window, and may
-// always have one batch outstanding, whatever its size.
+// NextBatch returns the index of the waiting batch to hand off next, or -1 if no batch may be
+// handed off before the server has completed some work. Batches are in order of arrival, and
+// outstanding is the work of each client that waits at the server. The client with the least
+// outstanding work goes first. A client may use its equal part of the window even while others fill
+// the window, and may always have one batch outstanding, whatever its size.
 func NextBatch(window int, outstanding map[string]int, waiting []Batch) int {
 	if len(waiting) == 0 {
 		return -1
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -9,12 +9,12 @@
 
 // Limits are the bounds and the weights of a Queue.
 type Limits struct {
-	// Concurrency bounds the callers admitted at a time, PerSecond the cost admitted per second;
-	// 0 is no bound.
+	// Concurrency bounds the callers admitted at a time, PerSecond the cost admitted per second; 0
+	// means no bound.
 	Concurrency int
 	PerSecond   float64
-	// MaxWaiting bounds the callers that wait, MaxWait the time that each waits; a MaxWait of 0 is
-	// no bound.
+	// MaxWaiting bounds the number of waiting callers, MaxWait the time that each waits; a MaxWait
+	// of 0 means no bound.
 	MaxWaiting int
 	MaxWait    time.Duration
 	// Weights are the relative shares of teams, 1 for a team that is not listed.
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -32,8 +32,8 @@
 // load returns the number of the team's waiting callers divided by its weight.
 func (t *team) load() float64 { return float64(t.waiting) / t.weight }
 
-// loadWith returns the load that the caller's team would have if the caller waited too. own is
-// nil if the queue does not know the team.
+// loadWith returns the load that the caller's team would have if the caller waited too. own is the
+// state of that team, nil if the queue has none.
 func (q *Queue) loadWith(own *team, w *waiter) float64 {
 	waiting := 1.0
 	if own != nil {
@@ -42,7 +42,7 @@
 	return waiting / weight(q.limits.Weights, w.team)
 }
 
-// mostLoadedTeam returns the team with the highest load, nil if nobody waits.
+// mostLoadedTeam returns the team with the highest load, nil if no caller waits.
 func (q *Queue) mostLoadedTeam() *team {
 	var largest *team
 	for _, t := range q.teams {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -13,7 +13,7 @@
 
 // Queue admits callers by start-time fair queueing on two levels: first the team with the lowest
 // weighted usage, in it the client with the lowest usage, and the callers of a client in order of
-// arrival. The zero value admits everybody.
+// arrival. The zero value admits every caller.
 type Queue struct {
 	limits Limits
 
@@ -27,7 +27,8 @@
 	rateUsedUntil time.Time
 	// timer dispatches at rateUsedUntil; nil if no caller waits for the rate.
 	timer *time.Timer
-	// holdTime is the moving average of how long callers hold a slot, for the retry delays.
+	// holdTime is the moving average of the time for which callers hold a slot. It is used to
+	// compute retry delays.
 	holdTime time.Duration
 	admitted int64
 	refused  int64
@@ -134,8 +135,9 @@
 	}
 }
 
-// grantSlot returns the release function of an admitted caller. A caller whose wait timed out at
-// the moment of its admission keeps the slot; one whose context has ended releases it.
+// grantSlot returns the release function of an admitted caller. If the caller's wait timed out at
+// the moment of its admission, the caller keeps the slot. If its context has ended, the slot is
+// released.
 func (q *Queue) grantSlot(ctx context.Context, gaveUp error) (release func(), err error) {
 	s := &slot{acquired: time.Now()}
 	if gaveUp != nil && ctx.Err() != nil {
--- a/internal/admission/ledger.go
+++ b/internal/admission/quota_pool.go
@@ -7,11 +7,12 @@
 )
 
 // QuotaPool shares a fixed amount of a resource among teams, for example the slots of waiting
-// actions. Each team has a quota in proportion to its weight and may borrow what others do not
-// use. A part of their unused quota is never lent, so that a team finds some of its own at once.
+// actions. Each team has a quota in proportion to its weight and may borrow what others do not use.
+// A part of each unused quota is never lent, so that its team can use that part without waiting for
+// a release.
 type QuotaPool struct {
 	total float64
-	// clientLimit bounds what one client holds; 0 is no bound.
+	// clientLimit bounds the amount that one client holds; 0 means no bound.
 	clientLimit float64
 	// weights are the weights of all teams, weightSum their sum.
 	weights   map[string]float64
@@ -29,8 +30,8 @@
 // unborrowableShare is the part of the other teams' unused quota that a team cannot borrow.
 const unborrowableShare = 0.25
 
-// NewQuotaPool shares a total amount among teams; perClient bounds what one client holds, 0 is no
-// bound. Only the teams given have a quota.
+// NewQuotaPool shares a total amount among teams. perClient bounds the amount that one client
+// holds; 0 means no bound. Only the given teams have a quota.
 func NewQuotaPool(total, perClient float64, teams []string, weights map[string]float64) (*QuotaPool, error) {
 	switch {
 	case !(total > 0):
@@ -51,7 +52,7 @@
 	return l, nil
 }
 
-// Quota returns what a team may hold without borrowing.
+// Quota returns the amount that a team may hold without borrowing.
 func (l *QuotaPool) Quota(team string) float64 {
 	if l.weightSum == 0 {
 		return 0
@@ -101,7 +102,7 @@
 	}
 }
 
-// Held returns what each team holds.
+// Held returns the amount that each team holds.
 func (l *QuotaPool) Held() map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -7,8 +7,8 @@
 )
 
 // Heartbeat is an agent's report on its machine: the body of POST /checkin and of the responses to
-// /orders and /show. Epoch identifies the agent's incarnation, Sequence numbers its heartbeats,
-// and Token is the highest fencing token that it has seen.
+// /orders and /show. Epoch identifies the agent's incarnation, Sequence is the number of the
+// heartbeat, and Token is the highest fencing token that the agent has received.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"endpoint"`
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Command tells an agent what to do with one attempt.
+// Command is an operation on one attempt, which an agent carries out.
 type Command struct {
 	Op      string  `msgpack:"verb"`
 	Task    string  `msgpack:"piece"`
@@ -83,15 +83,15 @@
 	OpForget = "reap"
 )
 
-// CommandBatch carries commands to an agent under a fencing token. It is the response to a
-// heartbeat, without an epoch, or the body of POST /orders.
+// CommandBatch holds commands for an agent and the sender's fencing token. It is the body of POST
+// /orders and, without an epoch, the response to a heartbeat.
 type CommandBatch struct {
 	Token    uint64    `msgpack:"mandate"`
 	Epoch    uint64    `msgpack:"tenure,omitempty"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// AssignedController tells an agent which controller answers its heartbeats.
+// AssignedController names the controller that answers an agent's heartbeats.
 type AssignedController struct {
 	Controller string `msgpack:"home,omitempty"`
 }
--- a/internal/protocol/api.go
+++ b/internal/protocol/api.go
@@ -18,15 +18,15 @@
 	SubmittedBy string `msgpack:"by"`
 }
 
-// CancelAllResult is the response to a CancelAll: how many jobs were cancelled, how many remain for
-// the next request, and how many the caller may not cancel.
+// CancelAllResult is the response to a CancelAll: the numbers of jobs that were cancelled, that
+// remain for the next request, and that the caller may not cancel.
 type CancelAllResult struct {
 	Cancelled  int `msgpack:"withdrawn"`
 	Remaining  int `msgpack:"left"`
 	NotAllowed int `msgpack:"not_allowed"`
 }
 
-// WhoAmI tells callers their name, how they were authenticated and what they may do.
+// WhoAmI is a caller's name, method of authentication and permissions, in a response to the caller.
 type WhoAmI struct {
 	Name          string   `msgpack:"name"`
 	How           string   `msgpack:"how"`
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -34,8 +34,8 @@
 	Machines []string `msgpack:"hosts"`
 }
 
-// MachineList is one page of the response to the cloud's GET /machines; More says that it is not
-// the last one.
+// MachineList is one page of the response to the cloud's GET /machines. More is true unless the
+// page is the last one.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"hosts"`
 	More     bool            `msgpack:"more"`
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -42,8 +42,8 @@
 	return buf.Bytes()
 }
 
-// JSONSize returns an upper bound of the size that an encoded value has as JSON, however that is
-// spaced and escaped. The size limits of the protocol refer to JSON.
+// JSONSize returns an upper bound of the size of an encoded value as JSON, for any spacing and
+// escaping. The size limits of the protocol refer to JSON.
 func JSONSize(raw []byte) int {
 	var v any
 	if err := msgpack.Unmarshal(raw, &v); err != nil {
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -55,13 +55,14 @@
 	Replaces string `msgpack:"rp,omitempty"`
 }
 
-// JobKind holds the only fields of a JobSpec that are read once its job is in a final state.
+// JobKind holds the class and the team of a job. No other fields of a JobSpec are read once its job
+// is in a final state.
 type JobKind struct {
 	Class string `msgpack:"cl"`
 	Team  string `msgpack:"tm"`
 }
 
-// maxIDDigits bounds the digits of a job id.
+// maxIDDigits is the maximum number of digits in a job id.
 const maxIDDigits = 32
 
 // ValidJobID reports whether id has the form of a job id.
@@ -91,7 +92,7 @@
 	return job, index, err == nil && index >= 0 && index < maxTasks
 }
 
-// JobStatus is the response to a user who asks for the status of a job.
+// JobStatus is the response to a request for the status of a job.
 type JobStatus struct {
 	ID      string `msgpack:"name_id"`
 	Status  string `msgpack:"status"`
@@ -102,7 +103,7 @@
 // Ended reports whether the job is in a final state.
 func (s *JobStatus) Ended() bool { return s.Status == StatusDone || s.Status == StatusCancelled }
 
-// The states of a job as users see them. A cancelled job is called withdrawn on the wire.
+// The states of a job in responses to users. A cancelled job is called withdrawn on the wire.
 const (
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
--- a/internal/protocol/statestore.go
+++ b/internal/protocol/statestore.go
@@ -11,7 +11,7 @@
 	Lease   uint64             `msgpack:"hold"`
 }
 
-// ItemList is one page of a listing; More says that it is not the last one.
+// ItemList is one page of a listing. More is true unless the page is the last one.
 type ItemList struct {
 	Items    []Item `msgpack:"pairs"`
 	More     bool   `msgpack:"more"`
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -203,13 +203,13 @@
 	return nil
 }
 
-// presence says whether a field of a submission may be omitted or empty.
+// presence specifies whether a field of a submission may be omitted or empty.
 type presence int
 
 const (
 	nullable presence = iota // may be null or omitted
-	required                 // must be there
-	nonEmpty                 // must be there and not empty
+	required                 // must be present
+	nonEmpty                 // must be present and not empty
 )
 
 func missing(name string) error { return fmt.Errorf("%w: %s is missing", ErrMalformed, name) }
--- a/internal/repair/copies.go
+++ b/internal/repair/copies.go
@@ -8,21 +8,21 @@
 	"micaspindle/internal/blobstore"
 )
 
-// PeerState says whether a peer has a copy of a blob.
+// PeerState is the state of a peer with respect to a blob.
 type PeerState int
 
 // The states of a peer.
 const (
-	Holds        PeerState = iota // it has a copy
-	Lacks                         // it has none
-	Unresponsive                  // it does not answer, perhaps because it restarts
-	Gone                          // it has not answered for longer than the grace period
+	Holds        PeerState = iota // the peer has a copy
+	Lacks                         // the peer has no copy
+	Unresponsive                  // the peer does not answer, perhaps because it restarts
+	Gone                          // the peer has not answered for longer than the grace period
 )
 
 // PlanCopies returns the indexes of the peers that should get a copy, so that the given number of
-// front ends hold the blob, this one included. short is how many copies are still missing then.
-// An unresponsive peer counts as holding the blob if it is among the first copies-1 peers of the
-// order, not counting those that are gone.
+// front ends hold the blob, including this one. short is the number of copies that would still be
+// missing. An unresponsive peer counts as holding the blob if it is among the first copies-1 peers
+// of the order, not counting those that are gone.
 func PlanCopies(order []PeerState, copies int) (targets []int, short int) {
 	have, place := 1, 1
 	for _, state := range order {
@@ -50,11 +50,11 @@
 	return targets, max(0, copies-have)
 }
 
-// inventory holds, by the name of the peer, which blobs of a batch a peer lacks. Peers that did not
-// answer have no entry.
+// inventory holds the blobs of a batch that each peer lacks, by the name of the peer. Peers that
+// did not answer have no entry.
 type inventory map[string]map[blobstore.Digest]bool
 
-// state returns the state of a peer for a blob; gone are the peers past the grace period.
+// state returns the state of a peer for a blob; gone lists the peers past the grace period.
 func (i inventory) state(peer string, digest blobstore.Digest, gone []string) PeerState {
 	lacked, answered := i[peer]
 	switch {
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// findMissing asks all peers which of the blobs they lack, and records which peers answered.
+// findMissing requests from each peer the list of the blobs that it lacks, and records which peers
+// answered.
 func (r *Repairer) findMissing(ctx context.Context, keys []blobstore.Key) (inventory, error) {
 	digests := make([]blobstore.Digest, len(keys))
 	for i, key := range keys {
@@ -133,7 +134,7 @@
 		targets, short := PlanCopies(states, r.settings.Copies)
 		if len(targets) == 0 {
 			if short > 0 {
-				r.count(func(p *Progress) { p.UnderReplicated++ })
+				r.updateProgress(func(p *Progress) { p.UnderReplicated++ })
 			}
 			return nil
 		}
@@ -145,7 +146,7 @@
 		switch {
 		case err == nil:
 			states[target] = Holds
-			r.count(func(p *Progress) { p.Copied++ })
+			r.updateProgress(func(p *Progress) { p.Copied++ })
 		case ctx.Err() != nil:
 			return context.Cause(ctx)
 		default: // the peer is full or has just failed
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -17,7 +17,7 @@
 	"micaspindle/internal/blobstore"
 )
 
-// Store is the front end's own store.
+// Store is the blob store of this front end.
 type Store interface {
 	Keys() []blobstore.Key
 	// Verify compares a blob's bytes with its digest. It removes a corrupt blob and returns
@@ -25,11 +25,11 @@
 	Verify(key blobstore.Key) error
 }
 
-// Peer is another front end.
+// Peer is another front end, which may hold copies of this one's blobs.
 type Peer interface {
 	Name() string
-	// FindMissing returns the digests whose blobs the peer does not have. The request does not extend
-	// the lifetime of the others in the peer's store.
+	// FindMissing returns the digests whose blobs the peer does not have. The request does not
+	// extend the lifetime of the blobs that the peer has.
 	FindMissing(ctx context.Context, space string, digests []blobstore.Digest) ([]blobstore.Digest, error)
 	// Push copies a blob of this front end to the peer.
 	Push(ctx context.Context, key blobstore.Key) error
@@ -44,14 +44,14 @@
 
 // Settings configure a Repairer.
 type Settings struct {
-	// Copies is how many front ends should hold a blob, this one included.
+	// Copies is the number of front ends that should hold a blob, including this one.
 	Copies int
 	// BytesPerSecond bounds the rate at which blobs are read and copied.
 	BytesPerSecond float64
 	// Interval is the pause between passes.
 	Interval time.Duration
-	// Grace is how long an unresponsive peer, which may only be restarting, counts as holding the
-	// blobs that it should hold.
+	// Grace is the time for which an unresponsive peer, which may only be restarting, counts as
+	// holding the blobs that it should hold.
 	Grace time.Duration
 }
 
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// Progress is the progress of a Repairer.
+// Progress is the progress of a Repairer's current pass, with counts over all passes.
 type Progress struct {
-	// Pass counts the passes begun. The others are how many blobs of the current pass are
-	// processed, and how many it has.
+	// Pass is the number of passes begun, Done the number of blobs that the current pass has
+	// processed, and Total the number of its blobs.
 	Pass, Done, Total int
 	// Counts since the process started: blobs found intact, blobs found corrupt, corrupt blobs
 	// restored, copies made, and blobs left with too few copies.
@@ -94,8 +94,8 @@
 	restore    Restore
 	log        *slog.Logger
 	rate       *admission.Queue
-	// This optional function copies small records to peers after each pass. Before it sends some
-	// bytes it calls throttle with their number.
+	// CopyRecords, if set, copies small records to peers after each pass. Before each transfer it
+	// must call throttle with the number of bytes.
 	CopyRecords func(ctx context.Context, throttle func(context.Context, int64) error) (copied int, err error)
 
 	mu                sync.Mutex
@@ -120,7 +120,7 @@
 	}, nil
 }
 
-// maxBatchSize bounds the blobs that a peer is asked about in one call.
+// maxBatchSize is the maximum number of blobs in one request to a peer.
 const maxBatchSize = 500
 
 // Run makes passes until ctx ends.
@@ -167,8 +167,8 @@
 	return gone
 }
 
-// count updates the progress.
-func (r *Repairer) count(update func(*Progress)) {
+// updateProgress applies an update to the progress.
+func (r *Repairer) updateProgress(update func(*Progress)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	update(&r.progress)
@@ -179,9 +179,9 @@
 	keys := r.store.Keys()
 	slices.SortFunc(keys, compareKeys)
 	done := r.resumeIndex(keys)
-	r.count(func(p *Progress) { p.Pass++; p.Done, p.Total = done, len(keys) })
+	r.updateProgress(func(p *Progress) { p.Pass++; p.Done, p.Total = done, len(keys) })
 	for done < len(keys) {
-		// A batch holds blobs of one space, since a call to a peer asks about one space.
+		// A batch holds blobs of one space, since a request to a peer is limited to one space.
 		end := done + 1
 		for end < len(keys) && end-done < maxBatchSize && keys[end].Space == keys[done].Space {
 			end++
@@ -190,14 +190,14 @@
 			return err
 		}
 		done = end
-		r.count(func(p *Progress) { p.Done = done })
+		r.updateProgress(func(p *Progress) { p.Done = done })
 		if err := r.saveCursor(keys[done-1]); err != nil {
 			return err
 		}
 	}
 	if r.CopyRecords != nil {
 		copied, err := r.CopyRecords(ctx, r.throttle)
-		r.count(func(p *Progress) { p.RecordsSent += int64(copied) })
+		r.updateProgress(func(p *Progress) { p.RecordsSent += int64(copied) })
 		if err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 		switch {
 		case err == nil:
 			intact = append(intact, key)
-			r.count(func(p *Progress) { p.Verified++ })
+			r.updateProgress(func(p *Progress) { p.Verified++ })
 		case errors.Is(err, blobstore.ErrNotFound): // evicted meanwhile
 		case errors.Is(err, blobstore.ErrMismatch):
 			if r.restoreCorrupt(ctx, key) {
@@ -234,13 +234,13 @@
 
 // restoreCorrupt restores a corrupt blob from a peer and reports whether that succeeded.
 func (r *Repairer) restoreCorrupt(ctx context.Context, key blobstore.Key) bool {
-	r.count(func(p *Progress) { p.Corrupt++ })
+	r.updateProgress(func(p *Progress) { p.Corrupt++ })
 	if err := r.restore(ctx, key); err != nil {
 		r.log.Error("blob corrupt", "space", key.Space, "blob", key.Digest.String(), "brought_back", false, "error", err)
 		return false
 	}
 	r.log.Warn("blob corrupt", "space", key.Space, "blob", key.Digest.String(), "brought_back", true)
-	r.count(func(p *Progress) { p.Restored++ })
+	r.updateProgress(func(p *Progress) { p.Restored++ })
 	return true
 }
 
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -79,8 +79,8 @@
 	return blobstore.Key{Space: []string{"red", "blue"}[i%2], Digest: d}
 }
 
-// newFakeCluster creates blobs that have the given number of copies, on this front end and the
-// first peers of their order.
+// newFakeCluster creates blobs with the given number of copies each: one on this front end, the
+// others on the first peers in the blob's order.
 func newFakeCluster(blobs, peers, copies int) *fakeCluster {
 	cluster := &fakeCluster{blobs: map[blobstore.Key]string{}}
 	for i := range peers {
@@ -185,7 +185,7 @@
 			t.Fatal(err)
 		}
 		if p := r.Progress(); p.Corrupt != 2 || p.Restored != 1 || p.Verified != 97 || p.Copied != 0 {
-			t.Errorf("%+v, want 97 blobs read, 2 corrupt, 1 restored and none copied", p)
+			t.Errorf("pass with corrupt blobs: %+v, want 97 blobs read, 2 corrupt, 1 restored and none copied", p)
 		}
 		if _, ok := cluster.blobs[key(3)]; !ok {
 			t.Error("corrupt blob with a copy was not restored")
@@ -193,7 +193,8 @@
 	})
 }
 
-// If a peer is full, blobs are copied to the next one; if all are, the blob counts as short.
+// If a peer is full, blobs are copied to the next one; if all are, the blob counts as
+// under-replicated.
 func TestFullPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newFakeCluster(100, 3, 1)
@@ -203,7 +204,7 @@
 			t.Fatal(err)
 		}
 		if p := r.Progress(); p.Copied != 100 || p.UnderReplicated != 0 || cluster.peers[0].pushed != 0 {
-			t.Errorf("one peer full: %+v, want 100 blobs copied and none short", p)
+			t.Errorf("pass with one full peer: %+v, want 100 blobs copied and none under-replicated", p)
 		}
 		cluster = newFakeCluster(100, 2, 1)
 		cluster.peers[0].full, cluster.peers[1].full = true, true
@@ -212,7 +213,7 @@
 			t.Fatal(err)
 		}
 		if p := r.Progress(); p.Copied != 0 || p.UnderReplicated != 100 {
-			t.Errorf("all peers full: %+v, want none copied and 100 blobs short", p)
+			t.Errorf("pass with only full peers: %+v, want none copied and 100 blobs under-replicated", p)
 		}
 	})
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -34,7 +34,7 @@
 	return true
 }
 
-// fill fills the bucket at the first use.
+// fill adds the initial tokens to the bucket at the first use.
 func (b *Budget) fill() {
 	if !b.started {
 		b.started, b.tokens = true, b.Max
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -11,7 +11,7 @@
 type CircuitBreaker struct {
 	// FailureThreshold is the number of consecutive failures that opens the circuit; 0 means 1.
 	FailureThreshold int
-	// OpenTime is how long the circuit stays open.
+	// OpenTime is the time for which the circuit stays open.
 	OpenTime Backoff
 	// JitterKey identifies the target. It is the input of the jitter of OpenTime, so that different
 	// circuits do not become half-open at the same time.
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -24,9 +24,10 @@
 type Operator struct {
 	// UseLimit is the use limit of a machine, as a fraction of its CPUs.
 	UseLimit float64 `yaml:"limit_share"`
-	// MovePeriod is how often the cluster leader moves idle machines between partitions.
+	// MovePeriod is the interval at which the cluster leader moves idle machines between
+	// partitions.
 	MovePeriod time.Duration `yaml:"move_period"`
-	// IdleReturn is how long a machine may be idle before it is returned to the cloud.
+	// IdleReturn is the idle time after which a machine is returned to the cloud.
 	IdleReturn time.Duration `yaml:"idle_return"`
 	// LeaseTTL is the time to live of a controller's lease after its last renewal.
 	LeaseTTL time.Duration `yaml:"claim_ttl"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,8 +71,8 @@
 	WithinS float64 `json:"within_s"`
 }
 
-// AgentTimes has the timing of agents, in seconds: the heartbeat interval, the duration of a machine
-// lease, and how long a task may keep running after its job is cancelled.
+// AgentTimes has the timing of agents, in seconds: the heartbeat interval, the duration of a
+// machine lease, and the maximum time for which a task may keep running after its job is cancelled.
 type AgentTimes struct {
 	HeartbeatS float64 `json:"report_s"`
 	LeaseS     float64 `json:"lease_s"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -94,7 +94,7 @@
 		t.Errorf("LoadOperator = %+v, %v, want limit_share 0.5 and move_period 2s", op, err)
 	}
 	if _, err := LoadOperator(write("")); err != nil {
-		t.Errorf("empty file: %v", err)
+		t.Errorf("LoadOperator of an empty file: %v, want no error", err)
 	}
 	for _, bad := range []string{"limit_shar: 1", "limit_share: 2", "limit_share: .nan", "claim_ttl: 1ms", "idle_return: soon", "[]"} {
 		if _, err := LoadOperator(write(bad)); err == nil {
--- a/internal/storage/absence.go
+++ b/internal/storage/absence.go
@@ -30,7 +30,7 @@
 	absenceQueueMin = 2048
 )
 
-// absenceQueue batches users' queries whether keys are absent. One transaction without changes
+// absenceQueue batches users' queries for the absence of keys. One transaction without changes
 // checks as many keys as it may have conditions, in a single request. Sent one by one, the polls
 // of about 1,500 waiting jobs exhaust the state store's request limit and starve the renewals of
 // the controllers' leases (docs/incidents/night-flood.md).
@@ -50,7 +50,7 @@
 	conditionsLimit atomic.Int64
 }
 
-// absenceQuery is a user's query whether a key is absent, and its result.
+// absenceQuery is a user's query for the absence of a key, with its result.
 type absenceQuery struct {
 	key string
 	// ready is closed when the query has a result or becomes the sender.
@@ -197,7 +197,7 @@
 	return err
 }
 
-// presentKeys returns the queried keys that exist. A conflict need not name every existing key, so
+// presentKeys returns the queried keys that exist. A conflict may leave out some existing keys, so
 // the remaining keys are compared again. If the state store refuses a batch for its size, later
 // batches have at most half as many keys.
 func (s *Store) presentKeys(ctx context.Context, queries []*absenceQuery) (map[string]bool, error) {
--- a/internal/storage/absence_test.go
+++ b/internal/storage/absence_test.go
@@ -57,8 +57,8 @@
 	return answer(200, protocol.TransactionResult{Revision: 7})
 }
 
-// pollConcurrently sends n queries concurrently and returns how many got an error. It fails the test
-// if a result is wrong.
+// pollConcurrently sends n queries concurrently and returns the number of failed ones. It fails the
+// test if a result is wrong.
 func pollConcurrently(t *testing.T, s *Store, c *fakeStore, n int) int {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -106,7 +106,7 @@
 				c.change(svc)
 				begun := time.Now()
 				if failed := pollConcurrently(t, s, svc, 1000); failed > 0 || svc.requests > c.maxRequests || time.Since(begun) > c.maxTime {
-					t.Errorf("%d polls failed, %d requests sent in %s, want no failures and the bounds of the case", failed, svc.requests, time.Since(begun))
+					t.Errorf("%d polls failed, %d requests sent in %s, want no failures and at most maxRequests and maxTime of the case", failed, svc.requests, time.Since(begun))
 				}
 			})
 		})
--- a/internal/storage/budget.go
+++ b/internal/storage/budget.go
@@ -45,10 +45,10 @@
 	// The fields below belong to the goroutine that calls WriteDemand and ShareWriteRate.
 	granted       float64   // estimated write rate that the state store accepts, in changes per second
 	grantedAt     time.Time // time of the last update of granted
-	refusedSeen   int64     // refused at grantedAt
+	refusedSeen   int64     // value of refused at grantedAt
 	demand        float64   // average of the requested changes per second
 	demandAt      time.Time // time of the last update of demand
-	requestedSeen int64     // requested at demandAt
+	requestedSeen int64     // value of requested at demandAt
 }
 
 func (b *writeBudget) init(limits settings.StateStoreLimits, count int) {
--- a/internal/storage/budget_test.go
+++ b/internal/storage/budget_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("demand %v of %v: %v writes per second, want %v", tc.own, tc.total, got, tc.want)
 		}
 		if s.records.Limit() >= s.writes.Limit() {
-			t.Error("the limit for records leaves no budget for users")
+			t.Error("the rate limit for records is not below the one for all writes")
 		}
 	}
 }
--- a/internal/storage/compat_test.go
+++ b/internal/storage/compat_test.go
@@ -43,7 +43,7 @@
 		Last uint64       `msgpack:"n"`
 	}
 	oldAttempt struct {
-		//lint:ignore U1000 tells the encoder to write a list
+		//lint:ignore U1000 makes the encoder write a list
 		_msgpack struct{} `msgpack:",as_array"`
 		Task     int
 		Number   uint64
@@ -148,7 +148,7 @@
 	run.Done, run.Live = append(run.Done, [2]int{12, 13}), run.Live[:1]
 	back := new(RunRecord)
 	if err := Decode(Encode(run), back); err != nil || len(back.Done) != 3 || len(back.Live) != 1 || back.Live[0].Machine != "m-000231" {
-		t.Errorf("rewritten run record is decoded as %+v (%v)", back, err)
+		t.Errorf("rewritten run record is decoded as %+v (%v), want three ranges of done tasks and one live attempt on m-000231", back, err)
 	}
 }
 
@@ -170,7 +170,7 @@
 				}
 			}
 			if size, real := run.Size(), protocol.JSONSize(Encode(run))-32; size < real {
-				t.Errorf("%.10s big %v: Size is %d bytes, the record takes %d", name, big, size, real)
+				t.Errorf("machine %.10s, large numbers %v: Size returned %d bytes, the record takes %d", name, big, size, real)
 			}
 			// 64 attempts with usual names fit a value at the announced limit of 2 KiB.
 			if name == "m-000231" && !big && run.Size() > 2048 {
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -16,10 +16,10 @@
 	// still be.
 	ErrUnknown = errors.New("state service did not answer")
 	// ErrNotFound means that the key or lease does not exist.
-	ErrNotFound = errors.New("not found")
+	ErrNotFound = errors.New("key or lease not found")
 	// ErrCompacted means that the state store has discarded the requested changes. The caller
 	// must list the keys again and watch from the new revision.
-	ErrCompacted = errors.New("requested changes have been compacted")
+	ErrCompacted = errors.New("requested changes have been discarded by compaction")
 	// ErrLeaseGone means that a change refers to a lease that has expired.
 	ErrLeaseGone = errors.New("no such lease")
 	// ErrTooLarge means that a transaction exceeds the state store's size limits. It must not be
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -7,7 +7,8 @@
 )
 
 // Keys and their prefixes. The keys that all controllers watch are under WatchPrefix, so that each
-// needs a single watch. Keys that only a partition's leader and its replicas read are elsewhere.
+// needs a single watch. Keys that only a partition's leader and its replicas read have other
+// prefixes.
 const (
 	WatchPrefix       = "w/"
 	leasePrefix       = "w/c/"
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -60,10 +60,10 @@
 	Version uint64 `msgpack:"v"`
 }
 
-// Encode encodes a record.
+// Encode returns the MessagePack encoding of a record.
 func Encode(record any) msgpack.RawMessage { return protocol.Encode(record) }
 
-// Decode decodes a record.
+// Decode decodes the MessagePack encoding of a record into record, a pointer.
 func Decode(raw msgpack.RawMessage, record any) error {
 	if err := protocol.Decode(raw, record); err != nil {
 		return fmt.Errorf("storage: decoding record: %w", err)
--- a/internal/storage/run_record.go
+++ b/internal/storage/run_record.go
@@ -16,7 +16,7 @@
 
 // Attempt is a recorded attempt to run a task on a machine, in one epoch of the machine's agent.
 type Attempt struct {
-	//lint:ignore U1000 tells the encoder to write a list
+	//lint:ignore U1000 makes the encoder write a list
 	_msgpack struct{} `msgpack:",as_array"`
 	Task     int
 	Number   uint64
@@ -35,7 +35,8 @@
 	// attemptBaseSize is the size of a live attempt without its number, machine and epoch:
 	// [99999, , "", ] and a comma.
 	attemptBaseSize = 17
-	// escapeSize is by how much an escape sequence is longer than the byte that it encodes.
+	// escapeSize is the number of bytes by which an escape sequence is longer than the byte that it
+	// encodes.
 	escapeSize = 5
 )
 
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -55,7 +55,7 @@
 	s := NewStore(&scriptedStore{answers: []transport.Response{tooLarge}}, "state:1", settings.StateStoreLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}, 5)
 	for _, n := range []int{12, 6, 3, 2} {
 		if s.TxnOps() != n {
-			t.Errorf("at most %d changes in a transaction, want %d", s.TxnOps(), n)
+			t.Errorf("TxnOps returned %d, want %d", s.TxnOps(), n)
 		}
 		txn := &protocol.Transaction{}
 		for range n {
--- a/internal/storage/watches.go
+++ b/internal/storage/watches.go
@@ -11,9 +11,9 @@
 // ImmediateWatchTimeout is the timeout of a watch request that does not wait for changes.
 const ImmediateWatchTimeout = 3 * time.Second
 
-// Watch returns the changes under prefix after a revision. It waits up to wait for the first of them.
-// grace is how much longer the response may take, so that an open watch outlasts a short outage. If
-// the state store no longer has the changes, the error is ErrCompacted.
+// Watch returns the changes under prefix after a revision. If there are none yet, it waits for one,
+// but no longer than wait. The response may take longer than that by grace, so that an open watch
+// outlasts a short outage. If the state store no longer has the changes, the error is ErrCompacted.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait, grace time.Duration) (*protocol.Events, error) {
 	if err := s.awaitRequest(ctx); err != nil {
 		return nil, err
