--- a/internal/audit/aggregator.go
+++ b/internal/audit/aggregator.go
@@ -78,7 +78,7 @@
 	return records
 }
 
-// age returns how long the oldest record has waited.
+// age returns the time since the oldest record, 0 if there is none.
 func (a *aggregator) age(now time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/audit/archive/archive.go
+++ b/internal/audit/archive/archive.go
@@ -13,7 +13,7 @@
 // The lines of an export. Each line must be exactly the output of json.Marshal, so that a
 // change of any byte is detected.
 type (
-	// exportHead is the first line.
+	// exportHead is the first line of an export.
 	exportHead struct {
 		Format int `json:"micaspindle_audit"`
 	}
@@ -31,7 +31,7 @@
 		Sig    string            `json:"sig"`
 		Lines  []json.RawMessage `json:"lines"`
 	}
-	// exportSeal is the last line, with the seal.
+	// exportSeal is the last line of an export, with the seal.
 	exportSeal struct {
 		Seal   json.RawMessage `json:"seal"`
 		Signer string          `json:"signer"`
--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -135,11 +135,11 @@
 	data := f.sample()
 	v := f.verify(data)
 	if len(v.Problems) > 0 || v.Records != 5 || v.Actions != 9 || len(v.Chains) != 2 || v.SealedBy != "n0" {
-		t.Errorf("got %+v, want no problems, 5 records, 9 counted, 2 chains, sealed by n0", v)
+		t.Errorf("got %+v, want no problems, 5 records, 9 actions, 2 chains, sealed by n0", v)
 	}
 	// A verifier with other roots must not trust the export.
 	if v := must(archive.Verify(bytes.NewReader(data), x509.NewCertPool())); len(v.Problems) == 0 {
-		t.Error("the export verifies without a trusted root")
+		t.Error("Verify found no problems in the export without a trusted root")
 	}
 }
 
@@ -345,12 +345,12 @@
 					conflicts++
 					mu.Unlock()
 					if key != "taken" || len(conflict.Failed) != 1 || conflict.Failed[0] != "taken" {
-						t.Errorf("%s: got %v, want a conflict only on the key taken", key, err)
+						t.Errorf("%s: got %v, want a conflict only on the existing key", key, err)
 					}
 					return
 				case err == nil:
 					if key == "taken" {
-						t.Error("the key taken was written again")
+						t.Error("the existing key was written again")
 					}
 					return
 				}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,7 +1,7 @@
 // Package audit writes a tamper-evident log of allowed and denied actions. Each controller
 // writes its own hash chain of batches: a batch contains the SHA-256 hash of the previous
 // batch and is signed by the controller. The changes that a batch records are committed in
-// the same transaction as the batch. The meaning of the verbs is up to the callers.
+// the same transaction as the batch. The callers define the verbs.
 package audit
 
 import (
--- a/internal/audit/capacity.go
+++ b/internal/audit/capacity.go
@@ -18,7 +18,8 @@
 	changeOverhead    = 80
 	conditionOverhead = 60
 	lineOverhead      = 8
-	// escapeOverhead is how many bytes longer a character gets if JSON escapes it as \uXXXX.
+	// escapeOverhead is the number of bytes by which a character grows if JSON escapes it as
+	// \uXXXX.
 	escapeOverhead = 5
 )
 
@@ -64,8 +65,8 @@
 	}
 }
 
-// changeSize returns an upper bound of the size of a change and its line in the body of a
-// transaction.
+// changeSize returns an upper bound of the number of bytes that a change and the line of its record
+// take in the body of a transaction.
 func changeSize(txn *protocol.Transaction, line string) int {
 	size := lineSize(line)
 	for _, change := range txn.Then {
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -59,8 +59,8 @@
 	return l.walk(ctx, chain, from.Number, from.Hash, func(*Batch) {})
 }
 
-// checkHead returns a chain's head if it matches the batch that it names, and otherwise the
-// zero head, which precedes all batches.
+// checkHead returns a chain's head if it matches the batch that it names. Otherwise it returns the
+// zero head, so that the chain is read from its first batch.
 func (l *Log) checkHead(ctx context.Context, chain string, rawHead []byte) (head, error) {
 	var claimed head
 	err := storage.Decode(rawHead, &claimed)
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -30,13 +30,13 @@
 	// AggregationInterval is the maximum time for which denials and reads are aggregated in memory
 	// before they are written. A crash loses at most the records of this interval.
 	AggregationInterval = 5 * time.Second
-	// queueTimeout is how long a change may wait in the queue before it is refused.
+	// queueTimeout is the maximum time for which a change waits in the queue before it is refused.
 	queueTimeout = 400 * time.Millisecond
 	// maxLinger is the part of queueTimeout for which a change may wait for others to share its
 	// transaction.
 	maxLinger = queueTimeout * 3 / 4
-	// scarceLinger is how long a change waits for others if the write budget does not allow a
-	// full transaction.
+	// scarceLinger is the time for which a change waits for others if the write budget does not
+	// allow a full transaction.
 	scarceLinger = 150 * time.Millisecond
 	// lingerStep is the interval at which the write budget is checked while changes wait.
 	lingerStep = 10 * time.Millisecond
@@ -86,7 +86,8 @@
 // uncertainBatch identifies a batch that may still be committed.
 type uncertainBatch struct {
 	signature string
-	// aggregated is how many of the first unwritten records the batch contains.
+	// aggregated is the number of unwritten records, counted from the first, that the batch
+	// contains.
 	aggregated int
 }
 
@@ -94,7 +95,7 @@
 type pendingChange struct {
 	txn  *protocol.Transaction
 	line string
-	// state is one of the states below: the caller may abandon the change until the writer has
+	// state is one of the states below. The caller may abandon the change until the writer has
 	// taken it.
 	state    atomic.Int32
 	result   chan result
--- a/internal/audit/seal.go
+++ b/internal/audit/seal.go
@@ -22,7 +22,7 @@
 // Seal is a signed list of the last batches of all chains. The controller that serves the
 // request signs it. An export ends with a seal, so that truncation is detected.
 type Seal struct {
-	Text   string `msgpack:"seal"` // Sealed, as JSON
+	Text   string `msgpack:"seal"` // SealBody, as JSON
 	Signer string `msgpack:"signer"`
 	Sig    string `msgpack:"sig"`
 	// Signers are the certificates of all signers, in base64.
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -16,7 +16,7 @@
 	headInterval = 32
 	// maxWriteAttempts is the maximum number of attempts to write a batch after conflicts.
 	maxWriteAttempts = 6
-	// resolveTimeout is how long to look for a batch whose transaction got no answer.
+	// resolveTimeout bounds the time of the search for a batch whose transaction got no answer.
 	resolveTimeout = time.Second
 )
 
@@ -146,7 +146,8 @@
 // putBack puts aggregated records back at the front of the unwritten ones.
 func (l *Log) putBack(records []Record) { l.unwritten = append(records, l.unwritten...) }
 
-// advance moves on to the next number after a batch was committed.
+// advance updates the number, the hash and the published signers for the next batch after a batch
+// was committed.
 func (l *Log) advance(d *draft) {
 	l.prev = d.batch.Hash(l.chain, l.next)
 	l.next++
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -15,7 +15,7 @@
 const (
 	// requestTimeout bounds one request to one controller.
 	requestTimeout = 5 * time.Second
-	// defaultRetryTimeout is the initial value of Patience.
+	// defaultRetryTimeout is the initial value of RetryTimeout.
 	defaultRetryTimeout = time.Minute
 	// maxIdleConnections is the maximum number of idle connections per controller. They are closed
 	// after idleConnectionTimeout.
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Guards against retry storms: while all controllers refuse requests, the retry budget limits immediate
-// retries, and a client waits as long as Retry-After says.
+// Guards against retry storms: while all controllers refuse requests, the retry budget limits
+// immediate retries, and a client waits for the time that Retry-After gives.
 func TestRetriesDoNotMultiplyAnOutage(t *testing.T) {
 	const callers = 300
 	var requests atomic.Int64
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -101,8 +101,8 @@
 // Go starts a task in a new goroutine. It may be called before Start, in the loop and in other tasks.
 func (l *Loop) Go(task func()) { l.tasks.Go(task) }
 
-// Do runs fn in the loop, waits for it and reports whether it ran. After Do has returned, fn does not
-// run any more, so the caller may use what fn accesses.
+// Do runs fn in the loop, waits for it and reports whether it ran. After Do has returned, fn does
+// not run any more, so the caller may access the variables that fn uses.
 func (l *Loop) Do(fn func()) bool {
 	done := make(chan struct{})
 	select {
@@ -144,8 +144,8 @@
 	return &retry.FailureCounter{Backoff: backoff, JitterKey: l.name + " " + task}
 }
 
-// Signal sends a value to a channel with a buffer of one, unless the buffer is full. So several
-// signals before the receiver runs wake it once.
+// Signal sends a value to a channel with a buffer of one, unless the buffer is full. Several
+// signals before the receiver runs wake it only once.
 func Signal(wakeup chan struct{}) {
 	select {
 	case wakeup <- struct{}{}:
--- a/internal/identity/credentials.go
+++ b/internal/identity/credentials.go
@@ -20,8 +20,8 @@
 	TokenFile string
 }
 
-// Load reads the files. accept decides which names servers may have. config is nil if connections
-// are unencrypted.
+// Load reads the files. accept reports whether a server with a name is accepted. config is nil if
+// connections are unencrypted.
 func (f *CredentialFiles) Load(accept func(Name) bool) (config *tls.Config, token string, err error) {
 	if f.Roots == "" {
 		if f.Cert != "" || f.TokenFile != "" {
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -34,7 +34,7 @@
 	Expires time.Time
 }
 
-// ErrInvalidToken is wrapped by all errors of Tokens.Check.
+// ErrInvalidToken is wrapped by all errors of TokenVerifier.Verify.
 var ErrInvalidToken = errors.New("token is not good")
 
 var errTokenExpired = fmt.Errorf("%w: expired", ErrInvalidToken)
--- a/internal/overview/delegations.go
+++ b/internal/overview/delegations.go
@@ -10,8 +10,8 @@
 // wideNameWidth is the width of names in the output of Delegations, in characters.
 const wideNameWidth = 16
 
-// Delegations formats which controllers the machines are connected to, and the most recent moves of
-// shards.
+// Delegations formats the number of machines connected to each controller, the delegates of each
+// partition, and the most recent moves of shards.
 func Delegations(rows []Row) string {
 	l := new(listing)
 	l.addConnections(rows)
@@ -20,7 +20,7 @@
 	return l.text.String()
 }
 
-// listing collects lines without a limit of their length.
+// listing collects lines of any length.
 type listing struct{ text strings.Builder }
 
 func (l *listing) add(format string, args ...any) {
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -10,9 +10,9 @@
 	Zone        string  `msgpack:"zone" json:"zone"`
 	TimestampMS int64   `msgpack:"at_ms" json:"at_ms"`
 	UptimeS     float64 `msgpack:"up_s" json:"up_s"`
-	// ClusterLeader is whether the controller is the cluster leader.
+	// ClusterLeader is true if the controller is the cluster leader.
 	ClusterLeader bool `msgpack:"leads" json:"leads"`
-	// Ready is whether the controller has read the state store and knows the machine types.
+	// Ready is true once the controller has read the state store and has the machine types.
 	Ready bool `msgpack:"ready" json:"ready"`
 	// StateSilenceS is the time since the last answer of the state store, in seconds.
 	StateSilenceS float64 `msgpack:"state_silent_s" json:"state_silent_s"`
@@ -20,7 +20,7 @@
 	// rate that it may use, both in writes per second.
 	WritesWanted  float64 `msgpack:"writes_wanted" json:"writes_wanted"`
 	WritesGranted float64 `msgpack:"writes_granted" json:"writes_granted"`
-	// CloudUnavailable is whether requests to the cloud are paused because it did not answer.
+	// CloudUnavailable is true while requests to the cloud are paused because it did not answer.
 	CloudUnavailable bool `msgpack:"cloud_rests" json:"cloud_rests"`
 	// UnfinishedJobs is the number of unfinished jobs, EndedJobs the number of ended ones.
 	UnfinishedJobs int `msgpack:"jobs" json:"jobs"`
@@ -46,7 +46,7 @@
 // Partition is a partition that the controller leads.
 type Partition struct {
 	Index int `msgpack:"part" json:"part"`
-	// Ready is whether the takeover is complete.
+	// Ready is true once the takeover is complete.
 	Ready    bool `msgpack:"ready" json:"ready"`
 	Machines int  `msgpack:"machines" json:"machines"`
 	Idle     int  `msgpack:"idle" json:"idle"`
@@ -69,12 +69,12 @@
 
 // Delegate is a controller to which a partition leader has delegated shards.
 type Delegate struct {
-	// Shards and Machines are what is delegated to the controller.
+	// Shards and Machines are the numbers of shards and machines delegated to the controller.
 	Controller string `msgpack:"by" json:"by"`
 	Shards     int    `msgpack:"shares" json:"shares"`
 	Machines   int    `msgpack:"machines" json:"machines"`
-	// Active is whether the delegate has renewed the delegation recently. Agents are sent only to
-	// active delegates.
+	// Active is true if the delegate has renewed the delegation recently. Agents are directed only
+	// to active delegates.
 	Active bool `msgpack:"active" json:"active"`
 }
 
@@ -97,7 +97,7 @@
 	// whose start time the leader has sent.
 	Records         int `msgpack:"records" json:"records"`
 	ConfirmedStarts int `msgpack:"told" json:"told"`
-	// Complete is whether the state transfer is complete.
+	// Complete is true once the state transfer is complete.
 	Complete bool `msgpack:"whole" json:"whole"`
 	// BehindS is the time since the last applied update was requested, in seconds.
 	BehindS float64 `msgpack:"behind_s" json:"behind_s"`
--- a/internal/pki/authority.go
+++ b/internal/pki/authority.go
@@ -30,7 +30,7 @@
 )
 
 const (
-	// backdate is how long before its issue a certificate becomes valid, to tolerate clock skew.
+	// backdate is the time by which certificates are backdated, to tolerate clock skew.
 	backdate = 5 * time.Minute
 	// serialBits is the length of serial numbers of certificates.
 	serialBits = 120
--- a/internal/rights/change.go
+++ b/internal/rights/change.go
@@ -140,6 +140,6 @@
 	MaxChanges int        `msgpack:"max_changes"`
 	Roles      []Role     `msgpack:"roles"`
 	Identities []Identity `msgpack:"identities"`
-	// More says that there are records after the last one of the page.
+	// More is true if there are records after the last one of the page.
 	More bool `msgpack:"more"`
 }
--- a/internal/rights/policy.go
+++ b/internal/rights/policy.go
@@ -9,20 +9,20 @@
 const maxCachedQueues = 4096
 
 // Policy is a policy document compiled for authorization decisions. It is immutable, apart from a
-// bounded cache of what the roles allow on each queue, and safe for concurrent use.
+// bounded cache of the verbs that the roles allow on each queue, and safe for concurrent use.
 type Policy struct {
 	roles       []Role
 	roleIndices map[string]uint16           // index into roles, by role name
 	identities  map[string]compiledIdentity // by name
 
 	mu         sync.RWMutex
-	queueCache map[Queue][]Verb // what each role allows on a queue, by role index
+	queueCache map[Queue][]Verb // verbs that each role allows on a queue, by role index
 }
 
 // compiledIdentity is an identity with its roles and their permissions.
 type compiledIdentity struct {
 	roles []uint16 // indices into Policy.roles
-	// anyQueueVerbs are the verbs that it holds on at least one queue.
+	// anyQueueVerbs are the verbs that the identity holds on at least one queue.
 	anyQueueVerbs Verb
 	revoked       bool
 	// tokensFromMS is Identity.TokensRevokedBeforeMS.
@@ -102,7 +102,8 @@
 	return false
 }
 
-// evaluateQueue returns what each role allows on a queue, and caches it unless the cache is full.
+// evaluateQueue returns the verbs that each role allows on a queue, and caches them unless the
+// cache is full.
 func (p *Policy) evaluateQueue(queue Queue) []Verb {
 	allowed := make([]Verb, len(p.roles))
 	for i := range p.roles {
--- a/internal/rights/policyfile/plan.go
+++ b/internal/rights/policyfile/plan.go
@@ -139,7 +139,8 @@
 	return slices.Concat(puts, morePuts, drops)
 }
 
-// rolesToPut returns the steps for new and changed roles, and the roles that only from contains.
+// rolesToPut returns the steps for new and changed roles, and the roles that are in the policy from
+// but not in to.
 func rolesToPut(from, to *rights.Document) (puts []step, onlyInFrom map[string]rights.Role) {
 	onlyInFrom = map[string]rights.Role{}
 	for _, role := range from.Roles {
@@ -155,8 +156,9 @@
 	return puts, onlyInFrom
 }
 
-// identitiesToPut returns the steps for new and changed identities, and the identities that only from
-// contains. Policy files don't contain TokensRevokedBeforeMS, so its value in from is kept.
+// identitiesToPut returns the steps for new and changed identities, and the identities that are in
+// the policy from but not in to. Policy files don't contain TokensRevokedBeforeMS, so its value in
+// from is kept.
 func identitiesToPut(from, to *rights.Document) (puts []step, onlyInFrom map[string]rights.Identity) {
 	onlyInFrom = map[string]rights.Identity{}
 	for _, id := range from.Identities {
--- a/internal/rights/policyfile/policyfile.go
+++ b/internal/rights/policyfile/policyfile.go
@@ -42,7 +42,7 @@
 	maxFileBytes = 16 << 20
 )
 
-// Parse parses and validates a policy file. Its error says what is wrong in the file.
+// Parse parses and validates a policy file. Its error describes the fault in the file.
 func Parse(data []byte) (*rights.Document, error) {
 	if len(data) > maxFileBytes {
 		return nil, fmt.Errorf("the policy file is larger than %d MiB", maxFileBytes>>20)
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -39,7 +39,7 @@
 type Identity struct {
 	Name  string   `msgpack:"n" yaml:"name" json:"name"`
 	Roles []string `msgpack:"r" yaml:"roles" json:"roles"`
-	// Revoked denies the identity everything.
+	// Revoked denies all requests of the identity.
 	Revoked bool `msgpack:"x,omitempty" yaml:"revoked,omitempty" json:"revoked,omitempty"`
 	// TokensRevokedBeforeMS revokes the tokens that were issued before this time, in Unix milliseconds.
 	TokensRevokedBeforeMS int64 `msgpack:"f,omitempty" yaml:"-" json:"tokens_from_ms,omitempty"`
@@ -47,15 +47,11 @@
 
 // Limits of a policy.
 const (
-	// MaxRoles is the maximum number of roles in a policy.
-	MaxRoles = 1000
-	// MaxRulesPerRole is the maximum number of rules in a role.
+	MaxRoles        = 1000
 	MaxRulesPerRole = 1000
-	// MaxIdentities is the maximum number of identities in a policy.
-	MaxIdentities = 100_000
-	// maxTextBytes is the maximum length of names and patterns.
-	maxTextBytes = 100
-	// maxRolesPerIdentity is the maximum number of roles of an identity.
+	MaxIdentities   = 100_000
+	// maxTextBytes is the maximum length of names and patterns, in bytes.
+	maxTextBytes        = 100
 	maxRolesPerIdentity = 64
 	// maxQuotedBytes is the maximum length of a quotation in an error message.
 	maxQuotedBytes = 40
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -60,10 +60,10 @@
 		}
 	}
 	if p.HoldsAny("person/gone", Submit) || !p.HoldsAny("person/anna", Submit) || p.HoldsAny("person/anna", Administer) {
-		t.Error("HoldsAny returned a wrong result")
+		t.Error("HoldsAny is wrong for the revoked person/gone, or for person/anna, who may submit but not administer")
 	}
 	if p.AllowsEverywhere("person/gone", Administer) || !p.AllowsEverywhere("person/root", Administer) || !p.AllowsEverywhere("person/partner", View) {
-		t.Error("AllowsEverywhere returned a wrong result")
+		t.Error("AllowsEverywhere is wrong for the revoked person/gone, person/root or person/partner")
 	}
 }
 
--- a/internal/rights/verbs.go
+++ b/internal/rights/verbs.go
@@ -13,7 +13,7 @@
 	Submit Verb = 1 << iota
 	View
 	ViewArguments
-	// Cancel permits cancelling jobs.
+	// Cancel permits cancelling any job of a queue. It is called withdraw in rules.
 	Cancel
 	Reassign
 	// Administer permits cancelling all jobs that an identity submitted to a queue. If it is
--- a/internal/telemetry/bound_reporter.go
+++ b/internal/telemetry/bound_reporter.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// BoundReporter counts how often each bound is exceeded, and logs the first time. Its methods may be
-// called from any goroutine.
+// BoundReporter counts the occurrences of exceeded bounds, and logs the first one of each bound.
+// Its methods may be called from any goroutine.
 type BoundReporter struct {
-	// Metrics holds the counters. If it is nil, nothing is counted. It must be set before the
-	// first call of Met.
+	// Metrics holds the counters. If it is nil, nothing is counted. It must be set before the first
+	// call of ReportExceeded.
 	Metrics *Metrics
 
 	// Log receives a warning the first time that a bound is exceeded.
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,4 +1,4 @@
-// Package telemetry counts events in a controller and measures how long users wait, for Prometheus
+// Package telemetry counts events in a controller and measures the waits of users, for Prometheus
 // and for `micaspindlectl top`. No metric has a label for jobs, teams or callers.
 package telemetry
 
@@ -24,7 +24,7 @@
 	bounds [boundCount]*metrics.Counter
 
 	mu sync.Mutex
-	// windowStart is when the current window began.
+	// windowStart is the start time of the current window.
 	windowStart       time.Time
 	current, previous [waitCount]*hdrhistogram.Histogram // waits in milliseconds, by window
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -25,7 +25,7 @@
 	m.CountExceeded(ForwardedHeartbeats, 2)
 	q := m.Quantiles()
 	if len(q) != 2 || q[0].What != "start" || q[0].Count != 100 || q[0].P50 < 4.9 || q[0].P50 > 5.2 || q[0].P99 < 9.8 || q[0].Max > 10.2 {
-		t.Errorf("quantiles %+v", q)
+		t.Errorf("quantiles %+v, want 100 waits of kind start, their median about 5, their 99th percentile about 10 and maximum 10", q)
 	}
 	var out bytes.Buffer
 	m.Write(&out, []Gauge{{"part_machines", `{part="0"}`, 7}})
@@ -36,13 +36,13 @@
 			t.Errorf("%q is missing in:\n%s", want, out.String())
 		}
 	}
-	// Quantiles forget old waits after two windows.
+	// The quantiles cover only the current and the previous window.
 	m.RecordWait(Start, time.Second, now.Add(windowLength))
 	if q := m.Quantiles(); q[0].Count != 101 {
-		t.Errorf("quantiles after one window: %+v", q)
+		t.Errorf("quantiles after one window: %+v, want 101 waits of kind start", q)
 	}
 	m.RecordWait(Start, time.Second, now.Add(2*windowLength))
 	if q := m.Quantiles(); len(q) != 1 || q[0].Count != 2 {
-		t.Errorf("quantiles after two windows: %+v", q)
+		t.Errorf("quantiles after two windows: %+v, want only 2 waits of kind start", q)
 	}
 }
--- a/internal/telemetry/wait.go
+++ b/internal/telemetry/wait.go
@@ -5,13 +5,13 @@
 
 // The waits, with what each of them measures.
 const (
-	Submission   Wait = iota // a user's submission, until it is answered
-	Poll                     // a user's request for the status of a job, until it is answered
-	Cancellation             // a user's cancellation of a job, until it is answered
-	Start                    // a task, from when its job could start to when it runs
+	Submission   Wait = iota // a user's submission, until the response
+	Poll                     // a user's request for the status of a job, until the response
+	Cancellation             // a user's cancellation of a job, until the response
+	Start                    // a task, from the time at which its job could start until it runs
 	Finish                   // a job, from its submission to its end
 	Commit                   // a transaction of a partition leader
-	Takeover                 // a partition, from when its lease was acquired to when it is ready
+	Takeover                 // a partition, from the acquisition of its lease until it is ready
 	waitCount
 )
 
--- a/internal/ticker/ticker.go
+++ b/internal/ticker/ticker.go
@@ -3,8 +3,8 @@
 //
 // With time.Ticker, and the fake clock of testing/synctest, two goroutines that receive from due
 // tickers at the same time can use the same state of the race detector, which crashes the process
-// (seen with Go 1.26.8). Here the ticks are sent by the function of a timer instead of by the
-// runtime when a goroutine receives.
+// (seen with Go 1.26.8). This ticker avoids that: its ticks are sent by the function of a timer, and
+// not by the runtime when a goroutine receives.
 package ticker
 
 import (
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -22,7 +22,7 @@
 	responseTimeout = 2 * time.Minute
 	// maxIdlePerAddr is the maximum number of idle connections per address.
 	maxIdlePerAddr = 4
-	// clientIdleTimeout is how long idle connections are kept.
+	// clientIdleTimeout is the time for which idle connections are kept.
 	clientIdleTimeout = 20 * time.Second
 	// shortIdleTimeout replaces clientIdleTimeout while the process is near its limit of
 	// sockets. It is also the interval of CloseIdleUntilDone.
@@ -35,9 +35,9 @@
 	// result is nil, the connection is plain HTTP.
 	TLSConfig func(addr string) *tls.Config
 	// MaxConnectionsForIdle, if set, is the number of open connections of the process, accepted and
-	// dialled, from which on connections are closed after their response instead of being kept
-	// idle. This leaves the sockets to agents and users. Below it connections are reused, which
-	// saves dials and TLS handshakes.
+	// dialled, at which the client stops keeping idle connections. It then closes each connection
+	// after its response, which leaves the sockets to agents and users. Below that number,
+	// connections are reused, which saves dials and TLS handshakes.
 	MaxConnectionsForIdle int
 
 	engine *Engine
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -16,7 +16,7 @@
 const (
 	// gnetBuffer is the size of gnet's read and write buffers per connection, in bytes.
 	gnetBuffer = 16 << 10
-	// stopTimeout bounds how long a shutdown waits for the server's event loop.
+	// stopTimeout bounds the time that a shutdown waits for the server's event loop.
 	stopTimeout = 2 * time.Second
 )
 
@@ -206,7 +206,7 @@
 // OnTraffic passes received bytes to the connection's goroutine.
 func (e *Engine) OnTraffic(raw gnet.Conn) gnet.Action { return onTraffic(raw) }
 
-// OnClose tells the connection's goroutine that the connection is closed.
+// OnClose signals the end of the connection to its goroutine.
 func (e *Engine) OnClose(raw gnet.Conn, err error) gnet.Action { return e.onClose(raw, err) }
 
 // onTraffic adds received bytes to the connection's stream. It closes the connection if the
--- a/internal/transport/engine_test.go
+++ b/internal/transport/engine_test.go
@@ -75,7 +75,7 @@
 				body := fmt.Appendf(nil, "%d.%d", i, k)
 				resp, err := client.Do(ctx, addr, "POST", "/x", body)
 				if err != nil || resp.Status != 200 || !bytes.Equal(resp.Body, append([]byte("POST "), body...)) || resp.RetryAfter != 3 {
-					t.Errorf("POST /x: error %v, response %+v", err, resp)
+					t.Errorf("POST /x: error %v, response %+v; want status 200, the echoed body and RetryAfter 3", err, resp)
 					return
 				}
 			}
@@ -141,8 +141,8 @@
 	}
 }
 
-// From MaxConnectionsForIdle open connections on, a connection is closed after its response and idle
-// ones are closed early. Below it, connections are kept.
+// With MaxConnectionsForIdle or more open connections, a connection is closed after its response,
+// and idle ones are closed early. With fewer, connections are kept.
 func TestIdleConnectionsAreClosedNearTheSocketLimit(t *testing.T) {
 	addr, client := run(t, echo, 50)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -14,7 +14,7 @@
 	Path   string
 	Query  string
 	Body   []byte
-	// Close is whether the client wants the connection to be closed after the response.
+	// Close is true if the client requests that the connection be closed after the response.
 	Close bool
 	// Authorization is the value of the Authorization header. It is secret.
 	Authorization string
@@ -32,7 +32,7 @@
 	Body   []byte
 	// RetryAfter is the value of the Retry-After header, in seconds; 0 means no header.
 	RetryAfter int
-	// Close is whether the connection is closed after the response.
+	// Close is true if the connection is to be closed after the response.
 	Close bool
 	// ContentType is the content type of the body; empty means MessagePack.
 	ContentType string
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -45,7 +45,7 @@
 	}
 	req, _, err := ParseRequest([]byte("GET /a/b?c=d HTTP/1.1\r\nConnection: Close\r\n\r\n"), 0)
 	if err != nil || req.Path != "/a/b" || req.Query != "c=d" || !req.Close {
-		t.Errorf("GET /a/b?c=d with Connection: Close: parsed %+v, error %v", req, err)
+		t.Errorf("GET /a/b?c=d with Connection: Close: parsed %+v, error %v; want path /a/b, query c=d and Close", req, err)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	resp, n, err := ParseResponse([]byte(in), 10)
 	if err != nil || n != len(in) || resp.Status != 503 || resp.RetryAfter != 7 || string(resp.Body) != "abc" {
-		t.Errorf("parsed %+v, %d bytes, error %v", resp, n, err)
+		t.Errorf("response parsed as %+v, %d bytes, error %v; want all bytes, status 503, RetryAfter 7 and body abc", resp, n, err)
 	}
 	if _, _, err := ParseResponse([]byte(in), 2); err == nil {
 		t.Error("a body larger than the limit was accepted")
@@ -74,7 +74,7 @@
 			return
 		}
 		if n > len(in) || len(req.Body) > 64 {
-			t.Fatalf("parsed %d of %d bytes, %d of them body", n, len(in), len(req.Body))
+			t.Fatalf("parsed %d of %d bytes, with a body of %d bytes; want at most all and a body of at most 64", n, len(in), len(req.Body))
 		}
 		// The result must not change when another request follows.
 		again, m, err := ParseRequest(append(in[:len(in):len(in)], "GET / HTTP/1.1\r\n\r\n"...), 64)
@@ -89,7 +89,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if resp, n, err := ParseResponse(in, 64); err == nil && (n > len(in) || len(resp.Body) > 64) {
-			t.Fatalf("parsed %d of %d bytes, or a body over the limit", n, len(in))
+			t.Fatalf("parsed %d of %d bytes; want at most all of them, and a body of at most 64 bytes", n, len(in))
 		}
 	})
 }
--- a/internal/transport/secure_test.go
+++ b/internal/transport/secure_test.go
@@ -106,7 +106,7 @@
 				body := bytes.Repeat([]byte{byte(i)}, 1+k*19_000)
 				resp, err := c.Do(ctx, addr, "POST", "/x", body)
 				if err != nil || string(resp.Body) != fmt.Sprintf("controller/n1  %d", len(body)) {
-					t.Errorf("request over TLS: error %v, response %+v", err, resp)
+					t.Errorf("request over TLS: error %v, response %+v, want the identity controller/n1 and the length of the request body", err, resp)
 					return
 				}
 			}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// idleTimeout is how long a connection may stay open without a request.
+	// idleTimeout is the maximum time for which a connection stays open without a request.
 	idleTimeout = 75 * time.Second
 	// readTimeout is the maximum time from the first to the last byte of a request.
 	readTimeout = 5 * time.Second
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// serverBuffer is how many bytes an accepted connection buffers in addition to the largest
-	// request.
+	// serverBuffer is the number of bytes that an accepted connection buffers in addition to the
+	// largest request.
 	serverBuffer = 96 << 10
-	// clientBuffer is how many bytes a dialled connection buffers. It is also the maximum size
-	// of a response body.
+	// clientBuffer is the number of bytes that a dialled connection buffers. It is also the maximum
+	// size of a response body.
 	clientBuffer = 8 << 20
 	// maxKeptBuffer is the capacity above which an emptied buffer is freed, in bytes.
 	maxKeptBuffer = 8 << 10
 )
 
-// connection is a connection as the goroutine that reads it sees it: plain TCP (stream) or TLS
-// (tlsStream).
+// connection is a plain TCP connection (stream) or a TLS connection (tlsStream), for use by the
+// goroutine that reads from it.
 type connection interface {
-	// consume calls parse with the buffered bytes. Parse returns how many bytes it used, and these
-	// are removed from the buffer. If parse returns an error, the buffer stays as it is; if
-	// that error is ErrIncomplete and nothing more can arrive, consume returns the reason.
+	// consume calls parse with the buffered bytes and removes the number of bytes that parse
+	// returns. If parse returns an error, the buffer is unchanged. If that error is ErrIncomplete
+	// and no more bytes can arrive, consume returns the error that ended the connection.
 	consume(parse func([]byte) (int, error)) error
 	// wait blocks until bytes arrive, the connection fails, the timer fires or ctx is done.
 	wait(ctx context.Context, timer *time.Timer) error
@@ -60,7 +60,7 @@
 
 	mu  sync.Mutex
 	buf []byte
-	err error // why nothing more can arrive; nil while the connection is open
+	err error // the error that ended the connection; nil while it is open
 }
 
 func newStream(limit int) *stream {
@@ -81,7 +81,7 @@
 	return ok
 }
 
-// fail records why nothing more can arrive, unless an earlier error is recorded.
+// fail records the error that ended the connection, unless an earlier one is recorded.
 func (s *stream) fail(err error) {
 	s.mu.Lock()
 	if s.err == nil {
--- a/internal/transport/tls.go
+++ b/internal/transport/tls.go
@@ -26,7 +26,7 @@
 	conn  *tls.Conn
 	limit int    // maximum length of plain, in bytes
 	plain []byte // decrypted bytes that are not consumed yet
-	err   error  // why nothing more can arrive; nil while the connection is open
+	err   error  // the error that ended the connection; nil while it is open
 	// ctx and timer are the arguments of the current call of wait. They are fields because
 	// net.Conn's Read, which crypto/tls calls, takes neither.
 	ctx   context.Context
