--- a/internal/admission/quota_pool.go
+++ b/internal/admission/quota_pool.go
@@ -42,69 +42,69 @@
 	if err := checkWeights(weights); err != nil {
 		return nil, err
 	}
-	l := &QuotaPool{total: total, clientLimit: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
+	p := &QuotaPool{total: total, clientLimit: perClient, weights: map[string]float64{}, byTeam: map[string]float64{}, byClient: map[teamClient]float64{}}
 	for _, team := range teams {
-		if _, known := l.weights[team]; !known {
-			l.weights[team] = weight(weights, team)
-			l.weightSum += l.weights[team]
+		if _, known := p.weights[team]; !known {
+			p.weights[team] = weight(weights, team)
+			p.weightSum += p.weights[team]
 		}
 	}
-	return l, nil
+	return p, nil
 }
 
 // Quota returns the amount that a team may hold without borrowing.
-func (l *QuotaPool) Quota(team string) float64 {
-	if l.weightSum == 0 {
+func (p *QuotaPool) Quota(team string) float64 {
+	if p.weightSum == 0 {
 		return 0
 	}
-	return l.total * l.weights[team] / l.weightSum
+	return p.total * p.weights[team] / p.weightSum
 }
 
 // Acquire takes an amount if that is within the limits, and reports whether it did. The caller
 // returns the amount with Release.
-func (l *QuotaPool) Acquire(team, client string, amount float64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *QuotaPool) Acquire(team, client string, amount float64) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	key := teamClient{team, client}
-	if l.held+amount > l.total || l.clientLimit > 0 && l.byClient[key]+amount > l.clientLimit {
+	if p.held+amount > p.total || p.clientLimit > 0 && p.byClient[key]+amount > p.clientLimit {
 		return false
 	}
-	if l.byTeam[team]+amount > l.Quota(team) && !l.mayBorrow(team, amount) {
+	if p.byTeam[team]+amount > p.Quota(team) && !p.mayBorrow(team, amount) {
 		return false
 	}
-	l.byTeam[team] += amount
-	l.byClient[key] += amount
-	l.held += amount
+	p.byTeam[team] += amount
+	p.byClient[key] += amount
+	p.held += amount
 	return true
 }
 
 // mayBorrow reports whether a team may take an amount beyond its quota: enough of the other teams'
 // unused quota must remain.
-func (l *QuotaPool) mayBorrow(team string, amount float64) bool {
+func (p *QuotaPool) mayBorrow(team string, amount float64) bool {
 	unused := 0.0
-	for other := range l.weights {
+	for other := range p.weights {
 		if other != team {
-			unused += max(0, l.Quota(other)-l.byTeam[other])
+			unused += max(0, p.Quota(other)-p.byTeam[other])
 		}
 	}
-	return l.total-l.held-amount >= unused*unborrowableShare
+	return p.total-p.held-amount >= unused*unborrowableShare
 }
 
 // Release returns an amount taken with Acquire.
-func (l *QuotaPool) Release(team, client string, amount float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *QuotaPool) Release(team, client string, amount float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	key := teamClient{team, client}
-	l.byTeam[team] -= amount
-	l.held -= amount
-	if l.byClient[key] -= amount; l.byClient[key] <= 0 {
-		delete(l.byClient, key)
+	p.byTeam[team] -= amount
+	p.held -= amount
+	if p.byClient[key] -= amount; p.byClient[key] <= 0 {
+		delete(p.byClient, key)
 	}
 }
 
 // Held returns the amount that each team holds.
-func (l *QuotaPool) Held() map[string]float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.byTeam)
+func (p *QuotaPool) Held() map[string]float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return maps.Clone(p.byTeam)
 }
--- a/internal/overview/screen.go
+++ b/internal/overview/screen.go
@@ -38,8 +38,8 @@
 type clusterSummary struct {
 	// partitions are sorted by number.
 	partitions []Partition
-	// leaders and standbys are keyed by partition. The text of a standby includes how far it is
-	// behind.
+	// leaders and standbys are keyed by partition. The text of a standby includes the lag of its
+	// replica.
 	leaders, standbys map[int]string
 	// teams are sorted by the number of waiting tasks, highest first.
 	teams []Team
@@ -175,7 +175,7 @@
 	s.addDelegates(c)
 }
 
-// addStandbys lists the standby of each partition and how far it is behind.
+// addStandbys lists the standby of each partition with the lag of its replica.
 func (s *screen) addStandbys(c *clusterSummary) {
 	var items []string
 	for i := range c.partitions {
--- a/internal/storage/run_record.go
+++ b/internal/storage/run_record.go
@@ -24,8 +24,8 @@
 	Epoch    uint64
 }
 
-// Sizes of the parts of a run record, in bytes as JSON. With them the size of a record is known
-// without encoding it.
+// Sizes of the parts of a run record, in bytes as JSON. With them the size of a record is
+// computed without encoding it.
 const (
 	// RunBaseSize is the size of a run record without tasks: {"d": [], "l": [],
 	// "n": 18446744073709551615}.
--- a/internal/storage/user_requests.go
+++ b/internal/storage/user_requests.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// reserveForUser reserves n tokens of a limiter and returns how long to wait before using them. If
-// that is longer than userWaitLimit, it reserves none and returns ErrBudget.
+// reserveForUser reserves n tokens of a limiter and returns the pause before their use. If that is
+// longer than userWaitLimit, it reserves none and returns ErrBudget.
 func reserveForUser(limiter *rate.Limiter, n int) (time.Duration, error) {
 	reservation := limiter.ReserveN(time.Now(), n)
 	wait := reservation.Delay()
