--- a/internal/coordination/agents/attempts.go
+++ b/internal/coordination/agents/attempts.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// startRefusedBackoff is how long no task is started on a machine whose agent refused a
-	// start.
+	// startRefusedBackoff is the time for which no task is started on a machine whose agent
+	// refused a start.
 	startRefusedBackoff = time.Second
-	// unknownJobBackoff is how long a job is not scheduled after an agent reported it as
-	// unknown.
+	// unknownJobBackoff is the time for which a job is not scheduled after an agent reported
+	// the job as unknown.
 	unknownJobBackoff = 2 * time.Second
-	// failedMachineBackoff is how long no task is started on a machine after a task failed on
-	// it.
+	// failedMachineBackoff is the time for which no task is started on a machine after a task
+	// failed there.
 	failedMachineBackoff = 10 * time.Second
-	// failingJobBackoff is how long a job that failed on several machines is not scheduled. It
-	// doubles with each failure, up to failingJobBackoffMax.
+	// failingJobBackoff is the time for which a job that failed on several machines is not
+	// scheduled. The time doubles with each failure, up to failingJobBackoffMax.
 	failingJobBackoff    = time.Second
 	failingJobBackoffMax = time.Minute
-	// failureDoublingsLimit bounds the doublings, so that the backoff does not overflow.
+	// failureDoublingsLimit is the maximum number of doublings, so that the backoff does not
+	// overflow.
 	failureDoublingsLimit = 6
 	// failedMachinesLimit is the number of machines on which a job may fail before the job
 	// itself is considered faulty.
@@ -30,8 +31,8 @@
 	// failedJobsLimit is the number of different jobs that may fail on a machine before it is
 	// quarantined.
 	failedJobsLimit = 2
-	// saveSlackS, in seconds, plus the time that a job needs to save its progress is the grace
-	// period of a stop.
+	// saveSlackS is added to the duration of a job's checkpoint to get the grace period of a
+	// stop, in seconds.
 	saveSlackS = 1
 )
 
@@ -82,7 +83,7 @@
 	job.Completing = job.DoneCount == job.Spec.Tasks
 }
 
-// recordRunTime records how long a completed task ran, in seconds.
+// recordRunTime records the run time of a completed task, in seconds.
 func (a *Agents) recordRunTime(attempt *cluster.Attempt, runTimeS float64) {
 	job, machine := attempt.Job, attempt.Machine
 	a.scheduler.LearnRunTime(job.Spec.Class, runTimeS, job.Spec.EstimateS)
@@ -121,7 +122,8 @@
 	}
 }
 
-// quarantine excludes a machine from scheduling. It is returned to the cloud once it is idle.
+// quarantine excludes a machine from scheduling. The machine is returned to the cloud once it is
+// idle.
 func (a *Agents) quarantine(machine *cluster.Machine, reason string) {
 	machine.Quarantined = true
 	a.log.Info("machine quarantined", "machine", machine.Name, "reason", reason)
@@ -160,7 +162,7 @@
 }
 
 // freeResources returns the resources of an attempt that has ended. If the job is gang-scheduled
-// and the attempt was not successful, it also stops the job's other attempts.
+// and the attempt was not successful, freeResources also stops the job's other attempts.
 func (a *Agents) freeResources(attempt *cluster.Attempt, now time.Time) {
 	job := attempt.Job
 	delete(job.LiveAttempts, attempt.TaskIndex)
@@ -170,7 +172,7 @@
 	partition := a.Partitions[job.Partition]
 	partition.Usage[job.Team].Add(cluster.ResourcesOf(job.Spec), -1)
 	if job.Spec.Gang && attempt.ExitCause != protocol.CauseDone {
-		// A gang can't run without one of its tasks, so all of them are restarted together.
+		// A gang's tasks can only run together, so all of them are restarted.
 		for _, other := range job.Attempts() {
 			a.StopAttempt(other, job.Spec.CheckpointDurationS+saveSlackS, now)
 		}
@@ -195,8 +197,9 @@
 	a.SendCommands(attempt.Machine)
 }
 
-// startNeverSent reports whether no start of an attempt was sent that may still be executed. Starts
-// sent by earlier leaders are ruled out once the machine has confirmed the current fencing token.
+// startNeverSent reports whether it is certain that no start of an attempt has reached or may still
+// reach the agent. Starts sent by earlier leaders are ruled out once the machine has confirmed the
+// current fencing token.
 func startNeverSent(attempt *cluster.Attempt) bool {
 	switch attempt.State {
 	case cluster.AttemptReserved:
--- a/internal/coordination/agents/collaborators.go
+++ b/internal/coordination/agents/collaborators.go
@@ -17,8 +17,9 @@
 
 // Leases detects failed leaders of other partitions.
 type Leases interface {
-	// AddDivertedMachine records that a machine's agent sent its heartbeat to this controller instead
-	// of its leader. If several agents do so and the leader is silent, it is considered failed.
+	// AddDivertedMachine records that a machine's agent sent its heartbeat to this controller
+	// instead of the partition's leader. If several agents do so and the leader sends no
+	// summaries, the leader is considered failed.
 	AddDivertedMachine(leader, machine string, now time.Time)
 }
 
@@ -29,14 +30,14 @@
 	// leader with the next delegation request (rule 37).
 	AnswerHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool)
 	// ForwardCommands sends commands to a machine through its delegate. An error that wraps
-	// transport.ErrNotSent proves that they can never arrive.
+	// transport.ErrNotSent proves that the commands can never arrive.
 	ForwardCommands(delegate, machine string, body []byte) (*transport.Response, error)
 	// RedirectTarget returns the delegate to which an agent that contacted this controller
 	// should send its heartbeats, or "" if it should keep sending them here.
 	RedirectTarget(partition *cluster.Partition, machine *cluster.Machine, now time.Time) string
 }
 
-// Scheduler predicts the run times of tasks from those of completed ones.
+// Scheduler predicts the run times of tasks from the run times of completed tasks.
 type Scheduler interface {
 	// LearnRunTime adds the run time of a completed task to the statistics of its class,
 	// together with the user's estimate. Both are in seconds.
@@ -47,6 +48,7 @@
 
 // Jobs tracks the unfinished jobs.
 type Jobs interface {
-	// DropIfReleased forgets a job that has ended, once it holds no resources and no records.
+	// DropIfReleased removes a job that has ended from memory, once the job has no live
+	// attempts and no run records.
 	DropIfReleased(job *cluster.Job)
 }
--- a/internal/coordination/agents/command_delivery.go
+++ b/internal/coordination/agents/command_delivery.go
@@ -13,12 +13,12 @@
 // CommandTimeout is the timeout of a request that sends commands to an agent.
 const CommandTimeout = 2500 * time.Millisecond
 
-// errStaleCommands is returned if an agent refused commands because it has seen a higher fencing
-// token or is in another epoch.
+// errStaleCommands is returned if an agent refused commands because it has received a higher
+// fencing token or is in another epoch.
 var errStaleCommands = errors.New("agent refused the commands: stale fencing token or epoch")
 
 // SendCommands sends the pending commands to a machine's agent. While a request to the machine is
-// in flight, sending is deferred until its answer.
+// in flight, the commands are deferred until the request is answered.
 func (a *Agents) SendCommands(machine *cluster.Machine) {
 	if machine.CommandRequestsInFlight > 0 {
 		machine.CommandsDeferred = true
@@ -54,7 +54,8 @@
 	})
 }
 
-// recordStartsSent returns the attempts that commands start, and counts their starts as in flight.
+// recordStartsSent returns the attempts that a list of commands starts, and counts their starts as
+// in flight.
 func recordStartsSent(commands []protocol.Command, machine *cluster.Machine) (starts []*cluster.Attempt) {
 	for _, command := range commands {
 		if command.Op == protocol.OpStart {
@@ -123,7 +124,7 @@
 }
 
 // deliverCommands sends encoded commands to the machine's delegate, or directly to the agent if
-// there is no delegate or it certainly did not receive them.
+// there is no delegate or the delegate certainly did not receive them.
 func (a *Agents) deliverCommands(delegate, machine, addr string, body []byte) (*transport.Response, error) {
 	if delegate != "" {
 		response, err := a.proxy.ForwardCommands(delegate, machine, body)
@@ -144,8 +145,8 @@
 	if machine.Record.Addr == "" || machine.Lost {
 		return
 	}
-	// If a cancelled task is waiting, the message is sent even though an earlier request has
-	// not been answered.
+	// If a cancelled task is still to be stopped, the message is sent even though an earlier
+	// request has not been answered.
 	if machine.CommandRequestsInFlight > 0 && !a.mayRepeat(machine) {
 		return
 	}
@@ -160,8 +161,8 @@
 	})
 }
 
-// postFence sends a batch without commands, and repeats it once if the agent answers with another
-// epoch.
+// postFence sends a batch without commands, and repeats the batch once if the agent answers with
+// another epoch.
 func (a *Agents) postFence(delegate, machine, addr string, batch protocol.CommandBatch) (*protocol.Heartbeat, error) {
 	heartbeat, _, err := a.PostCommands(delegate, machine, addr, batch)
 	if heartbeat != nil && errors.Is(err, errStaleCommands) && heartbeat.Epoch != batch.Epoch {
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -11,16 +11,16 @@
 	// commandsLimit is the maximum number of commands in one message. It keeps an answer to an
 	// agent well below 64 KiB.
 	commandsLimit = 300
-	// directStartDelay is how long the first start of an attempt is sent only by direct
-	// requests. After that, answers to heartbeats include it too.
+	// directStartDelay is the time for which a new attempt's start command is sent only in
+	// requests to the agent. After that, answers to heartbeats repeat the command.
 	directStartDelay = 500 * time.Millisecond
 	// A stop is repeated with its grace period until stopGraceSlackS seconds after that period
 	// has ended, and without grace afterwards.
 	stopGraceSlackS = 2
 )
 
-// commandsFor returns the pending commands for a machine's agent, in order. forHeartbeat says
-// whether they go into the answer to a heartbeat, which repeats commands whose direct request may
+// commandsFor returns the pending commands for a machine's agent, in order. forHeartbeat is set if
+// the commands are for the answer to a heartbeat, which also repeats commands whose own request may
 // have been lost.
 func (a *Agents) commandsFor(machine *cluster.Machine, now time.Time, forHeartbeat bool) []protocol.Command {
 	commands := []protocol.Command{}
@@ -40,7 +40,8 @@
 }
 
 // opForAttempt returns the operation of the pending command for an attempt, or "" if there is none,
-// and its grace period in seconds. If it returns a start, it records that the start is sent.
+// and its grace period in seconds. If the operation is a start, opForAttempt records that the start
+// is sent.
 func opForAttempt(attempt *cluster.Attempt, token uint64, now time.Time, forHeartbeat bool) (op string, graceS float64) {
 	switch {
 	case attempt.State == cluster.AttemptCommitted && !attempt.Stopping && !attempt.Job.Ended && attempt.Epoch == attempt.Machine.Epoch:
--- a/internal/coordination/agents/deletions.go
+++ b/internal/coordination/agents/deletions.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// deleteLead is how long before the end of the cancellation bound a machine is deleted if a
-	// cancelled task on it could not be stopped.
+	// deleteLead is the time before the end of the cancellation bound at which a machine is
+	// deleted if a cancelled task on the machine could not be stopped.
 	deleteLead = 8 * time.Second
 	// stopGraceBeforeDelete is the minimum time between a stop and the deletion of the machine.
 	stopGraceBeforeDelete = 3 * time.Second
@@ -20,9 +20,9 @@
 )
 
 // MayExceedCancelBound reports whether a task of a cancelled job may run on a machine for longer
-// than the setting cancel_s allows: it was not stopped, and the machine's lease, which may be valid
-// until leaseEnd, does not provably expire in time (rule 46). It is false for a machine that is
-// silent but whose lease expires in time.
+// than the setting cancel_s allows: the task was not stopped, and the machine's lease, which may be
+// valid until leaseEnd, does not provably expire in time (rule 46). A machine that sends no
+// heartbeats, but whose lease expires in time, needs no deletion.
 func (a *Agents) MayExceedCancelBound(machine *cluster.Machine, leaseEnd, now time.Time) bool {
 	for _, attempt := range machine.Attempts {
 		if !attempt.Live() || !attempt.Stopping || attempt.Job.CancelledAt.IsZero() || now.Sub(attempt.StopRequestedAt) < stopGraceBeforeDelete {
@@ -37,9 +37,9 @@
 }
 
 // deleteOverdueMachines requests the deletion of machines on which tasks of cancelled jobs may
-// still be running. The partition leader requests it itself, because the cluster leader depends on
-// the state store, which may be unreachable due to the same failure that prevents the stop. The
-// machine records are removed later, like those of lost machines.
+// still be running. The partition leader requests the deletion itself, because the cluster leader
+// depends on the state store, which may be unreachable due to the same failure that prevents the
+// stop. The machine records are removed later, like those of lost machines.
 func (a *Agents) deleteOverdueMachines(machines []*cluster.Machine) {
 	names := make([]string, 0, len(machines))
 	for _, machine := range machines {
--- a/internal/coordination/agents/evacuation.go
+++ b/internal/coordination/agents/evacuation.go
@@ -9,7 +9,7 @@
 const (
 	// likelyDoneFraction and likelyLostFraction are fractions of the time until a preemption. A
 	// task whose remaining run time is below the first is expected to finish before the
-	// preemption, and one whose remaining run time is above the second is expected not to.
+	// preemption. A task whose remaining run time is above the second is expected to be lost.
 	likelyDoneFraction = 0.9
 	likelyLostFraction = 1.2
 	// saveLeadS and saveLeadHeartbeats, in seconds and heartbeat intervals, allow for the time
@@ -30,8 +30,8 @@
 	}
 }
 
-// evacuateAttempt stops an attempt on a machine that is preempted in untilPreemptionS seconds, if
-// it has to be stopped now.
+// evacuateAttempt stops an attempt on a machine that will be preempted in untilPreemptionS seconds,
+// if the attempt has to be stopped now.
 func (a *Agents) evacuateAttempt(attempt *cluster.Attempt, untilPreemptionS float64, now time.Time) {
 	spec := attempt.Job.Spec
 	remainingS := a.scheduler.RemainingS(attempt, now)
@@ -39,7 +39,7 @@
 	case attempt.StartedAt.IsZero():
 		a.StopAttempt(attempt, 0, now)
 	case remainingS < untilPreemptionS*likelyDoneFraction:
-		// It is expected to finish before the preemption.
+		// The task is expected to finish before the preemption.
 	case spec.CheckpointIntervalS > 0:
 		if untilPreemptionS < spec.CheckpointDurationS+saveLeadS+saveLeadHeartbeats*a.HeartbeatInterval.Seconds() {
 			a.StopAttempt(attempt, spec.CheckpointDurationS+saveSlackS, now)
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -13,17 +13,17 @@
 // Errors with which a heartbeat is refused. The agent retries with this or another controller.
 var (
 	errUnregisteredMachine = apierror.NotReady("machine is not on record", 1)
-	// errSuperseded means that the agent has seen a higher fencing token.
+	// errSuperseded means that the agent has received a higher fencing token.
 	errSuperseded = apierror.NotReady("superseded", 1)
 	// errStaleHeartbeat means that a newer heartbeat was received or the machine is deleted, so
-	// an answer must not extend its lease.
+	// no answer may extend the machine's lease.
 	errStaleHeartbeat = apierror.NotReady("a newer report has come, or the machine is gone", 1)
-	// errNoLeader means that this controller may not answer and knows of no other leader of the
-	// partition.
+	// errNoLeader means that this controller may not answer and no other controller is on
+	// record as the partition's leader.
 	errNoLeader = apierror.NotReady("part has no owner here", 1)
 )
 
-// HandleHeartbeat answers an agent's heartbeat. raw is its encoded form.
+// HandleHeartbeat answers an agent's heartbeat. raw is the encoded heartbeat.
 func (a *Agents) HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response {
 	now := time.Now()
 	machine := a.Machines[heartbeat.Machine]
@@ -41,8 +41,8 @@
 	}
 	token := a.Token(machine)
 	if heartbeat.Token > token {
-		// The machine has a newer leader. Its agent would discard an answer of this
-		// controller, but go on sending heartbeats here.
+		// The machine has a newer leader. The agent would discard an answer of this
+		// controller, but continue to send heartbeats here.
 		return apierror.Response(errSuperseded)
 	}
 	if machine.DeleteConfirmed || !machine.AcceptHeartbeat(heartbeat) {
@@ -83,8 +83,9 @@
 	}
 }
 
-// redirectToLeader redirects an agent that this controller may not answer to its partition leader,
-// if that is another controller, and records that the agent contacted this one.
+// redirectToLeader answers a heartbeat that this controller may not accept: it redirects the agent
+// to the partition's leader, if that is another controller, and records that the agent contacted
+// this one.
 func (a *Agents) redirectToLeader(partition *cluster.Partition, machine *cluster.Machine, now time.Time) transport.Response {
 	if partition.Leader == "" || partition.Leader == a.Settings.Label {
 		return apierror.Response(errNoLeader)
@@ -94,16 +95,17 @@
 	return redirect(partition.Leader)
 }
 
-// redirect returns a response that tells an agent to send its heartbeats to another controller.
+// redirect returns a response that makes an agent send its heartbeats to another controller.
 func redirect(label string) transport.Response {
 	return transport.Response{Status: 421, Body: protocol.Encode(protocol.AssignedController{Controller: label})}
 }
 
 // StopsForCancelledJobs returns stop commands for the tasks in a heartbeat whose jobs are
-// cancelled. An answer to a heartbeat extends the lease under which the machine's tasks run, so it
-// must stop the tasks of jobs that are known to be cancelled. This holds even for a delegate and
-// for a leader that has not yet read its partition's records, which send no other commands. A
-// cancellation is final, so a stop needs no check of the fencing token.
+// cancelled. An answer to a heartbeat extends the lease under which the machine's tasks run, so the
+// answer must stop the tasks of jobs that are known to be cancelled. This holds even for a
+// delegate, and for a leader that has not yet read its partition's records, although neither sends
+// any other command. A cancellation is final, so stops are safe without a check of the fencing
+// token.
 func (a *Agents) StopsForCancelledJobs(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, task := range heartbeat.Tasks {
@@ -150,21 +152,21 @@
 	}
 }
 
-// recordReporting updates a machine that sent its first heartbeat, or the first one after its lease
-// expired.
+// recordReporting updates a machine whose first heartbeat was received, and one that is no longer
+// lost.
 func (a *Agents) recordReporting(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	if !machine.HasReported {
 		machine.HasReported, machine.IdleSince = true, now
-		a.log.Info("machine reporting", "machine", machine.Name, "type", machine.Record.Type, "zone", machine.Record.Zone, "spot", machine.Record.Spot)
+		a.log.Info("first heartbeat received", "machine", machine.Name, "type", machine.Record.Type, "zone", machine.Record.Zone, "spot", machine.Record.Spot)
 	}
 	if machine.Lost {
 		machine.Lost = false
-		a.log.Info("lost machine reporting again", "machine", machine.Name, "epoch", heartbeat.Epoch)
+		a.log.Info("heartbeat received from lost machine", "machine", machine.Name, "epoch", heartbeat.Epoch)
 	}
 }
 
 // applyEpoch records the agent epoch and sequence number of a heartbeat, and releases the attempts
-// of earlier epochs, since they ended with their epoch.
+// of earlier epochs, which ended with those epochs.
 func (a *Agents) applyEpoch(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	if heartbeat.Epoch > machine.Epoch {
 		if machine.Epoch != 0 {
@@ -184,7 +186,7 @@
 	machine.Epoch, machine.Sequence = heartbeat.Epoch, heartbeat.Sequence
 }
 
-// applyPreemptionNotice records when the cloud is going to preempt a spot machine.
+// applyPreemptionNotice records the time at which the cloud is going to preempt a spot machine.
 func (a *Agents) applyPreemptionNotice(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	if heartbeat.PreemptionNoticeS == nil {
 		return
--- a/internal/coordination/agents/machine_requests.go
+++ b/internal/coordination/agents/machine_requests.go
@@ -28,8 +28,8 @@
 }
 
 // HandleMachineRequest handles a request of the cluster leader to retire a machine of a partition
-// that this controller leads, or to move it to another partition. It blocks, so it is called
-// outside the event loop.
+// that this controller leads, or to move the machine to another partition. It blocks, so it is
+// called outside the event loop.
 func (a *Agents) HandleMachineRequest(request *peer.MachineRequest) *peer.MachineReply {
 	var reply *peer.MachineReply
 	var move *machineMove
@@ -64,16 +64,16 @@
 	return nil, a.startMove(machine, int(request.ToPartition))
 }
 
-// mayHoldWork reports whether a machine that is not lost has tasks, may receive some through
+// mayHoldWork reports whether a machine that is not lost has tasks, may receive tasks through
 // commands in flight, or is being moved.
 func mayHoldWork(machine *cluster.Machine) bool {
 	return machine.HasReported && !machine.Lost &&
 		(len(machine.Attempts) > 0 || len(machine.OrphanedTasks) > 0 || machine.CommandRequestsInFlight > 0 || machine.Moving || !machine.TokenConfirmed)
 }
 
-// startMove excludes a machine from scheduling and returns its move to another partition. The
-// caller has checked that all commands to the machine are answered and that its newest heartbeat
-// contains no task (rule 10).
+// startMove excludes a machine from scheduling and returns the move to another partition. The
+// caller has checked that all commands to the machine are answered and that the machine's newest
+// heartbeat contains no task (rule 10).
 func (a *Agents) startMove(machine *cluster.Machine, toPartition int) *machineMove {
 	machine.Moving = true
 	record := machine.Record
@@ -92,8 +92,8 @@
 func (a *Agents) handleMoveResult(move *machineMove, revision uint64, err error) *peer.MachineReply {
 	if err != nil {
 		// A move that was not answered may still be committed. The machine stays excluded
-		// from scheduling until its record is seen. Writing the record again, to raise the
-		// fencing token, settles which partition it belongs to.
+		// from scheduling until its record is received. Writing the record again raises the
+		// fencing token and determines the machine's partition.
 		move.machine.RaiseTokenBy(time.Now())
 		return &peer.MachineReply{Reason: err.Error()}
 	}
--- a/internal/coordination/agents/machines.go
+++ b/internal/coordination/agents/machines.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// retirementTimeout is how long a machine stays excluded from scheduling if the cluster
-	// leader does not complete its retirement.
+	// retirementTimeout is the time after which a machine is scheduled again if the cluster
+	// leader does not complete the machine's retirement.
 	retirementTimeout = 30 * time.Second
 	// commandRetryInterval is the interval at which unsent commands are retried.
 	commandRetryInterval = time.Second
@@ -47,7 +47,7 @@
 	}
 }
 
-// newMachine returns a machine whose record and heartbeats have not been seen yet.
+// newMachine returns a machine whose record and heartbeats have not been received yet.
 func newMachine(name string, now time.Time) *cluster.Machine {
 	return &cluster.Machine{
 		Name:                    name,
@@ -100,8 +100,8 @@
 	}
 }
 
-// handleLeaseExpiry marks a machine whose lease has expired as lost and releases its attempts: its
-// agent has stopped all tasks.
+// handleLeaseExpiry marks a machine whose lease has expired as lost and releases its attempts. The
+// agent stops all tasks when the lease expires.
 func (a *Agents) handleLeaseExpiry(machine *cluster.Machine, now time.Time) {
 	a.metrics.Count(telemetry.MachineLeaseExpired, 1)
 	a.log.Info("machine lease expired", "machine", machine.Name, "elapsed", now.Sub(machine.LastHeartbeatAt), "count", len(machine.Attempts))
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -62,14 +62,15 @@
 	a.detectSlowMachine(attempt, now.Sub(attempt.StartedAt).Seconds())
 }
 
-// applyAbsence updates an attempt that is missing from a heartbeat under a fencing token.
+// applyAbsence updates an attempt that is missing from a heartbeat. token is the heartbeat's
+// fencing token.
 func (a *Agents) applyAbsence(key string, attempt *cluster.Attempt, token uint64, now time.Time) {
 	switch attempt.State {
 	case cluster.AttemptReleased:
-		// The agent has forgotten it.
+		// The agent has forgotten the attempt.
 		delete(attempt.Machine.Attempts, key)
 	case cluster.AttemptExited:
-		// It is kept until its end is committed.
+		// The attempt is kept until its end is committed.
 	case cluster.AttemptConfirmed:
 		a.ReleaseAttempt(attempt, "missing from heartbeat", now)
 	case cluster.AttemptCommitted:
--- a/internal/coordination/agents/slow_machines.go
+++ b/internal/coordination/agents/slow_machines.go
@@ -16,7 +16,7 @@
 	slowSampleSize = 3
 )
 
-// detectSlowMachine quarantines a machine on which tasks take far longer than those of the same job
+// detectSlowMachine quarantines a machine on which tasks run far longer than tasks of the same job
 // on other machines. runTimeS is the run time of an attempt so far, in seconds. The user's estimate
 // is not used, since it may be wrong for all tasks of the job. A false positive is cheap: running
 // tasks continue, and the machine is returned to the cloud once it is idle.
@@ -36,8 +36,8 @@
 	}
 }
 
-// runTimesElsewhere returns the sum of the run times, in seconds, of the tasks of an attempt's job
-// that were completed on other machines, and their number.
+// runTimesElsewhere returns the total run time, in seconds, and the number of the tasks that an
+// attempt's job completed on other machines.
 func runTimesElsewhere(attempt *cluster.Attempt) (sum float64, count int) {
 	for name, times := range attempt.Job.RunTimesS {
 		if name == attempt.Machine.Name {
--- a/internal/coordination/agents/tokens.go
+++ b/internal/coordination/agents/tokens.go
@@ -8,27 +8,30 @@
 	"micaspindle/internal/coordination/cluster"
 )
 
-// A command that was not answered may be executed at any later time, until its agent has seen a
-// higher fencing token (rule 50). To prevent a start from being executed late, the machine's token
-// is raised: the machine record is written again, and the new token is sent to the agent.
+// A command that was not answered may be executed at any later time, until the machine's agent has
+// received a higher fencing token (rule 50). To prevent a start from being executed late, the
+// machine's token is raised: the machine record is written again, and the new token is sent to the
+// agent.
 
 const (
-	// CommandAnswerWait is how long the controller waits for the answer to a command on which
-	// the cancellation of a task depends, before it repeats the command or raises the token. It
-	// equals the time in which an agent reports a change.
+	// CommandAnswerWait is the time after which an unanswered command to a machine with a task
+	// of a cancelled job is repeated, or the machine's token is raised. It equals the maximum
+	// time until an agent reports a change.
 	CommandAnswerWait = 500 * time.Millisecond
-	// stopAnswerWait is how long it waits if the job was not cancelled.
+	// stopAnswerWait is the time from the request of a stop until the token is raised, if the
+	// request with the start has failed but the start may still arrive.
 	stopAnswerWait = time.Second
-	// forgetDelay delays the token raise that lets an agent forget a released attempt whose
-	// start may still arrive, so that one raise serves many attempts. Meanwhile the attempt
-	// uses neither resources nor quota.
+	// forgetDelay is the delay of a token raise for a released attempt whose start may still
+	// arrive. The agent may forget the attempt only after the raise. One delayed raise serves
+	// many attempts, which meanwhile use neither resources nor quota.
 	forgetDelay = 5 * time.Second
 	// commandRequestsInFlightLimit is the maximum number of requests in flight to one machine.
 	commandRequestsInFlightLimit = 4
 
-	// Requests to machines to which an earlier request is still in flight may use one in
-	// RepeatedCommandsSocketShare of the sockets, but at least RepeatedCommandsMin. The other
-	// sockets are kept for agents and users if many machines are unreachable.
+	// The limit on requests to machines to which an earlier request is still in flight is the
+	// number of sockets divided by RepeatedCommandsSocketShare, but at least
+	// RepeatedCommandsMin. The other sockets are kept for agents and users if many machines are
+	// unreachable.
 	RepeatedCommandsSocketShare = 32
 	RepeatedCommandsMin         = 8
 )
@@ -66,8 +69,8 @@
 }
 
 // fencePendingStart requests a higher fencing token if a start of an attempt that is being stopped
-// may still arrive. It first waits for the answer to the start. The wait is short if the job has
-// ended, because no task may start after its cancellation was confirmed to a user.
+// may still arrive, once the wait for the answer to the start is over. The wait is short if the job
+// has ended, because no task may start after its cancellation was confirmed to a user.
 func (a *Agents) fencePendingStart(attempt *cluster.Attempt, now time.Time) {
 	if !a.startMayStillArrive(attempt) {
 		return
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -8,15 +8,15 @@
 	"micaspindle/internal/protocol"
 )
 
-// AttemptState is how far an attempt has progressed. It only ever increases.
+// AttemptState is the stage of an attempt. It only ever increases.
 type AttemptState int
 
 const (
-	AttemptReserved  AttemptState = iota // planned in memory, not on record yet
-	AttemptCommitted                     // on record: its start may be sent
-	AttemptConfirmed                     // the agent has reported it
-	AttemptExited                        // the agent has reported that it ended
-	AttemptReleased                      // certainly over: to be removed from the record
+	AttemptReserved  AttemptState = iota // planned in memory, not in a run record yet
+	AttemptCommitted                     // in a run record: the start command may be sent
+	AttemptConfirmed                     // the agent has reported the attempt
+	AttemptExited                        // the agent has reported the end of the attempt
+	AttemptReleased                      // certainly ended: to be removed from the run record
 )
 
 // Attempt is one execution of a task on a machine, within one epoch of the machine's agent.
@@ -32,55 +32,56 @@
 
 	// Reported by the agent.
 
-	// ExitCause is the reported reason for its end, or "" if it has not ended or no cause
-	// was given.
+	// ExitCause is the reported reason for the attempt's end, or "" if the attempt has
+	// not ended or no cause was given.
 	ExitCause string
-	// StartedAt is when it was first seen running.
+	// StartedAt is the time at which the attempt was first reported as running.
 	StartedAt time.Time
-	// Slow is set if it has run far longer than the job's tasks did on other machines.
+	// Slow is set if the attempt has run far longer than the job's tasks on other
+	// machines.
 	Slow bool
 
 	// The start command.
 
 	CommittedAt time.Time
-	// StartToken is the highest fencing token under which its start command was sent, or 0
-	// if none was.
+	// StartToken is the highest fencing token under which the start command was sent,
+	// or 0 if no start was sent.
 	StartToken uint64
-	// StartSentAt is when its start command was last sent.
+	// StartSentAt is the time at which the start command was last sent.
 	StartSentAt time.Time
-	// StartsInFlight counts the requests in flight that carry its start command.
+	// StartsInFlight is the number of requests in flight with the start command.
 	StartsInFlight int
-	// StartUnanswered is set if a start command was sent and may or may not have arrived.
-	// It may still arrive, so while StartToken is the machine's token the agent must not
-	// forget the attempt (rule 9).
+	// StartUnanswered is set if a start command was sent and may or may not have
+	// arrived. The command may still arrive, so the agent must not forget the attempt
+	// while StartToken is the machine's token (rule 9).
 	StartUnanswered bool
 
 	// The stop command.
 
-	// Stopping is set once it is to be stopped.
+	// Stopping is set once the attempt is to be stopped.
 	Stopping bool
-	// StopGraceS is the time in seconds between the stop signal and the kill of its
-	// process.
+	// StopGraceS is the time in seconds between the stop signal and the kill of the
+	// attempt's process.
 	StopGraceS      float64
 	StopRequestedAt time.Time
 
 	// Failover.
 
-	// Inherited is set if it was committed under an earlier partition leader.
+	// Inherited is set if the attempt was committed by an earlier partition leader.
 	Inherited bool
-	// ReplicatedStart is when an Inherited attempt started, if the earlier leader had
-	// replicated that.
+	// ReplicatedStart is the start time of an Inherited attempt, if the earlier leader
+	// had replicated it.
 	ReplicatedStart time.Time
-	// ReplicationSeq is the sequence number of its start among the partition's replicated
-	// changes, or 0 if it has none yet.
+	// ReplicationSeq is the sequence number of the attempt's start among the
+	// partition's replicated changes, or 0 if the start has no number yet.
 	ReplicationSeq uint64
 }
 
 // TaskName returns the task's name on the wire.
 func (a *Attempt) TaskName() string { return protocol.TaskName(a.Job.Spec.ID, a.TaskIndex) }
 
-// RunTimeS returns for how many seconds the attempt has run, or 0 if its start is not known
-// here.
+// RunTimeS returns the run time of the attempt in seconds, or 0 if its start time is not
+// known here.
 func (a *Attempt) RunTimeS(now time.Time) float64 {
 	begun := a.StartedAt
 	if begun.IsZero() {
@@ -93,7 +94,7 @@
 }
 
 // StartTimeUnknown reports whether an earlier leader committed the attempt and did not
-// replicate when it started.
+// replicate its start time.
 func (a *Attempt) StartTimeUnknown() bool { return a.Inherited && a.ReplicatedStart.IsZero() }
 
 // Live reports whether the attempt may be running on its machine, or may still start there.
--- a/internal/coordination/cluster/cancellation_notices.go
+++ b/internal/coordination/cluster/cancellation_notices.go
@@ -11,16 +11,16 @@
 
 // CancellationNotices are the recent cancellations known to this controller, to be sent to
 // the other controllers. A controller that has lost only its connection to the state store
-// still receives heartbeats from its agents and learns of cancellations in no other way. A
-// notice may be lost: the bound on how long a task may outlive its job's cancellation does
-// not depend on notices but on State.UpToDateAt (rules 42 and 43). The notices belong to
-// the event loop.
+// still answers its agents' heartbeats, but receives cancellations only through these
+// notices. A notice may be lost: the bound on the time for which a task may outlive its
+// job's cancellation depends on State.UpToDateAt and not on notices (rules 42 and 43). The
+// notices may be accessed only in the event loop.
 type CancellationNotices struct {
 	// list is in the order in which the notices were added.
 	list []cancelledJob
 	// Limit is the maximum number of notices.
 	Limit int
-	// retention is how long a notice is of use.
+	// retention is the time after which a notice is dropped.
 	retention time.Duration
 }
 
@@ -35,10 +35,10 @@
 // writes.
 const minCancellationNotices = 500
 
-// SetLimit computes how many notices are kept. Each cancellation is a write to the state
-// store, so within the cancel bound there can't be more of them than the store accepts in
-// that time and in one burst. A notice takes about 20 bytes of a message, at most 44, and
-// 100 bytes of memory.
+// SetLimit computes Limit. Each cancellation is a write to the state store, so the number
+// of cancellations within cancelBound is at most the number of writes that the store
+// accepts in that time and in one burst. A notice takes about 20 bytes of a message, at
+// most 44, and 100 bytes of memory.
 func (n *CancellationNotices) SetLimit(cancelBound time.Duration, state settings.StateStoreLimits) {
 	writesPerSecond := state.WriteRPS
 	if next := state.Next.WriteRPS; next != nil {
@@ -48,8 +48,8 @@
 	n.Limit = max(minCancellationNotices, int(math.Ceil(writesPerSecond*(cancelBound.Seconds()+1))))
 }
 
-// Add adds a notice and reports whether there was room. A full list keeps its notices,
-// since they are more urgent than a newer one.
+// Add adds a notice and reports whether the limit allowed it. A full list keeps its
+// notices, since they are more urgent than a newer one.
 func (n *CancellationNotices) Add(job string, at time.Time) bool {
 	if len(n.list) >= n.Limit {
 		now := time.Now()
@@ -76,7 +76,7 @@
 }
 
 // CancelledAt returns the earliest time at which a job may have been cancelled, or zero if
-// there is no notice of it.
+// there is no notice for the job.
 func (n *CancellationNotices) CancelledAt(job string) time.Time {
 	for _, c := range n.list {
 		if c.job == job {
--- a/internal/coordination/cluster/delegations.go
+++ b/internal/coordination/cluster/delegations.go
@@ -5,8 +5,8 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// DelegationSummary returns the partition's delegates and their shards for the other
-// controllers, in the order of labels.
+// DelegationSummary returns the partition's delegates and their shards, in the order of
+// labels, for the summary to other controllers.
 func (p *Partition) DelegationSummary(labels []string) (list []*peer.DelegatedShards) {
 	for _, label := range labels {
 		shards := p.Delegations.ShardsOf(label)
@@ -22,7 +22,8 @@
 	return list
 }
 
-// delegatedShards returns, for each shard, whether a summary names a delegate for it.
+// delegatedShards returns for each shard whether a partition's summary names a delegate of
+// the shard.
 func delegatedShards(summary *peer.PartitionSummary) (delegated [delegation.ShardCount]bool) {
 	for _, d := range summary.Delegated {
 		for _, shard := range d.Shards {
--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -23,8 +23,8 @@
 	// Nodes are all nodes. Those whose indices are in FreeNodes are unused.
 	Nodes     []graphNode
 	FreeNodes []int32
-	// JobsToCancel are the unfinished jobs that must be cancelled because of a dependency,
-	// by id. Jobs whose records were not seen yet are left out.
+	// JobsToCancel are the unfinished jobs that must be cancelled because of a
+	// dependency, by id. Jobs whose records were not read yet are left out.
 	JobsToCancel map[string]*Job
 	// jobs are the jobs by id, in the map that was passed to Init.
 	jobs map[string]*Job
@@ -35,9 +35,9 @@
 // graphNode is a job that has unfinished dependencies or dependents.
 type graphNode struct {
 	id  string
-	job *Job // nil until its record is seen: listings are not ordered by age
-	// dependencies are the nodes that the job depends on, dependents those that depend on
-	// it.
+	job *Job // nil until the job's record is read: listings are not ordered by age
+	// dependencies are the nodes that the job depends on, and dependents are the nodes
+	// that depend on the job.
 	dependencies []int32
 	dependents   []int32
 	mustCancel   bool
@@ -87,8 +87,9 @@
 	}
 }
 
-// Add adds a job whose record was seen. final returns the final status of another job, or
-// "" if none is known, and when that job ended, or zero if that is not known.
+// Add adds a job whose record was read. final returns the final status of another job, or
+// "" if none is known, and the time at which that job ended, or zero if the time is not
+// known.
 func (g *DependencyGraph) Add(j *Job, final func(id string) (status string, at time.Time)) {
 	id := j.Spec.ID
 	n, known := g.NodeByJob[id]
@@ -129,7 +130,8 @@
 		case protocol.StatusCancelled:
 			mustCancel = true
 		default:
-			// The dependency may have to be cancelled itself, and not be on record as cancelled yet.
+			// A dependency that must be cancelled itself may not have its final
+			// record yet.
 			if d, ok := g.NodeByJob[dependency]; ok && g.Nodes[d].mustCancel {
 				mustCancel = true
 			}
@@ -139,8 +141,8 @@
 	return open, mustCancel
 }
 
-// JobEnded removes a job that is done or cancelled, and returns the jobs that become ready
-// by that.
+// JobEnded removes a job that is done or cancelled, and returns the jobs that thereby
+// become ready.
 func (g *DependencyGraph) JobEnded(id string, done bool, now time.Time) []*Job {
 	delete(g.JobsToCancel, id)
 	n, ok := g.NodeByJob[id]
@@ -165,7 +167,7 @@
 	for _, d := range dependencies {
 		g.Nodes[d].dependents = removeIndex(g.Nodes[d].dependents, n)
 	}
-	// The job's dependencies may have inherited from it.
+	// The dependencies may have inherited the job's urgency or deadline.
 	g.recomputeInheritedOf(dependencies)
 	for _, d := range dependencies {
 		g.releaseIfUnused(d)
@@ -192,15 +194,15 @@
 	}
 }
 
-// HasUnseenDependency reports whether a job depends on one whose record was not seen yet,
-// so that the dependencies of that one are not known here.
+// HasUnseenDependency reports whether a job has a dependency whose record was not read yet,
+// so that the dependency's own dependencies are not known here.
 func (g *DependencyGraph) HasUnseenDependency(id string) bool {
 	n, ok := g.NodeByJob[id]
 	return ok && slices.ContainsFunc(g.Nodes[n].dependencies, func(d int32) bool { return g.Nodes[d].job == nil })
 }
 
-// requirementOf returns what a job requires of its dependencies: its urgency, and the time by
-// which they must be done, or zero if there is none.
+// requirementOf returns a job's requirements on its dependencies: the job's urgency, and
+// the time by which the dependencies must be done, or zero if the job has no deadline.
 func (g *DependencyGraph) requirementOf(j *Job) (protocol.Urgency, time.Time) {
 	due, ok := j.Deadline()
 	if !ok {
@@ -209,8 +211,8 @@
 	return j.Urgency(), due.Add(-g.runTime(j))
 }
 
-// propagateRequirements passes the urgency and deadline of a job on to its direct and indirect
-// dependencies, as far as that changes anything.
+// propagateRequirements raises the inherited urgency and advances the inherited deadline of
+// a job's direct and indirect dependencies where the job requires it.
 func (g *DependencyGraph) propagateRequirements(n int32) {
 	stack := []int32{n}
 	for len(stack) > 0 {
@@ -228,8 +230,8 @@
 	}
 }
 
-// recomputeInherited recomputes what a job inherits from its dependents, and reports whether
-// that has changed.
+// recomputeInherited recomputes the urgency and deadline that a job inherits from its
+// dependents, and reports whether either has changed.
 func (g *DependencyGraph) recomputeInherited(n int32) bool {
 	node := &g.Nodes[n]
 	j := node.job
@@ -243,8 +245,8 @@
 	return urgency != j.InheritedUrgency || !deadline.Equal(j.InheritedDeadline)
 }
 
-// recomputeInheritedOf recomputes what jobs inherit and, where that has changed, also what their
-// dependencies inherit.
+// recomputeInheritedOf recomputes the inherited urgency and deadline of jobs and, where
+// either has changed, also those of their dependencies.
 func (g *DependencyGraph) recomputeInheritedOf(list []int32) {
 	stack := slices.Clone(list)
 	for len(stack) > 0 {
--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -8,9 +8,10 @@
 
 // FairShareState holds the reservations for the starved fair-share groups of a partition. A
 // group is a team or a class. Groups are numbered from 1: first the teams, in the order of
-// the settings, then the classes, in the order in which this controller first saw them.
+// the settings, then the classes, in the order in which this controller first read a job of
+// each class.
 type FairShareState struct {
-	// ComputedAt is when the reservations were last computed.
+	// ComputedAt is the time at which the reservations were last computed.
 	ComputedAt time.Time
 	// Shares are the fractions of the machines that are reserved for groups, by group; nil
 	// if no group is starved.
@@ -18,8 +19,8 @@
 	// ReservedQuotas are the reserved parts of the teams' limits, by team index; nil if
 	// nothing is reserved.
 	ReservedQuotas [][]fairshare.ReservedQuota
-	// WithinReservation are the classes of teams that use no more of their team's limit
-	// than is reserved for them.
+	// WithinReservation are the classes whose usage of their team's limit is within the
+	// part that is reserved for them.
 	WithinReservation map[TeamClass]bool
 }
 
@@ -27,8 +28,8 @@
 // class's group.
 type TeamClass struct{ Team, ClassGroup int }
 
-// Share returns the fraction of the machines that is reserved for a group, or 0 if it is
-// not starved.
+// Share returns the fraction of the machines that is reserved for a group, or 0 if the
+// group is not starved.
 func (f *FairShareState) Share(group int) float64 {
 	if group >= len(f.Shares) {
 		return 0
@@ -49,8 +50,8 @@
 	return f.ReservedQuotas[team]
 }
 
-// ReservationOf returns the group in whose reservation an attempt runs, or
-// fairshare.NoGroup if it runs in none.
+// ReservationOf returns the group whose reservation an attempt counts toward, or
+// fairshare.NoGroup if there is none.
 func (f *FairShareState) ReservationOf(a *Attempt) int {
 	j := a.Job
 	switch reservedFor := a.Machine.ReservedFor; {
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -9,58 +9,59 @@
 )
 
 // Job is an accepted job that has not ended, or has ended but still has attempts or run
-// records to be cleaned up. Every controller has its record and dependencies; only its
-// partition's leader has its run state.
+// records to be cleaned up. Every controller has the job's record and dependencies; only
+// the leader of the job's partition has its run state.
 type Job struct {
 	// From the job's record; does not change.
 
 	Spec      *protocol.JobSpec
 	Partition int
-	// Team is the index of its team in the settings, ClassGroup the fair-share group of its
-	// class.
+	// Team is the index of the job's team in the settings, and ClassGroup the
+	// fair-share group of the job's class.
 	Team       int
 	ClassGroup int
-	// SubmittedAt is when it was submitted, converted to the monotonic clock.
+	// SubmittedAt is the time of the submission, converted to the monotonic clock.
 	SubmittedAt time.Time
 
 	// From the dependency graph, on every controller.
 
 	// Blocked is set while some dependency is not done.
 	Blocked bool
-	// DependenciesDoneAt is when the last of the completed dependencies was done, as far as
-	// that is known; zero if none is done.
+	// DependenciesDoneAt is the latest known completion time of a dependency; zero if
+	// there is none.
 	DependenciesDoneAt time.Time
-	// InheritedUrgency is the highest urgency among its dependents.
+	// InheritedUrgency is the highest urgency among the job's dependents.
 	InheritedUrgency protocol.Urgency
-	// InheritedDeadline is when it must be done for its dependents to meet their deadlines;
-	// zero if none of them has a deadline.
+	// InheritedDeadline is the time by which the job must be done for its dependents to
+	// meet their deadlines; zero if no dependent has a deadline.
 	InheritedDeadline time.Time
 
 	// The job's end.
 
-	// Ended is set once it is done or cancelled. Its remaining attempts are then being
-	// stopped.
+	// Ended is set once the job is done or cancelled. The remaining attempts are then
+	// being stopped.
 	Ended bool
-	// CancelledAt is the earliest time at which its cancellation may have been confirmed to
-	// a user; zero if it is done, or was cancelled so long ago that none of its tasks can
-	// still run.
+	// CancelledAt is the earliest time at which the job's cancellation may have been
+	// confirmed to a user; zero if the job is not cancelled, or was cancelled so long
+	// ago that no task can still run.
 	CancelledAt time.Time
 
 	// Run state, valid while HasRunState is set; only the partition's leader has it.
 
 	HasRunState bool
-	// TaskDone tells which tasks are done, by task index; DoneCount is their number.
+	// TaskDone is set for the tasks that are done, by task index; DoneCount is the
+	// number of these tasks.
 	TaskDone  []bool
 	DoneCount int
 	// Completing is set once all tasks are done: the final record is to be written.
 	Completing bool
 	// Pending are the tasks that wait for a machine, in the order in which they are placed.
 	Pending []int
-	// LiveAttempts are the attempts that occupy a task, by task index; RunningCount is how
-	// many of them were seen running.
+	// LiveAttempts are the attempts that occupy a task, by task index; RunningCount is
+	// the number of live attempts that were reported as running.
 	LiveAttempts map[int]*Attempt
 	RunningCount int
-	// Chunks are its run records, by index.
+	// Chunks are the job's run records, by index.
 	Chunks map[int]*RunChunk
 	// MayHaveDirtyChunk is set when a chunk becomes dirty, and cleared when HasDirtyChunk
 	// finds none.
@@ -76,8 +77,8 @@
 	RunTimesS map[string][]float64
 }
 
-// defaultTimeToDue is the time, from when a job without a deadline became ready, after which
-// the queue treats it as due.
+// defaultTimeToDue is the time after which a ready job without a deadline counts as due in
+// the queue.
 const defaultTimeToDue = time.Hour
 
 // InitRunState creates the run state for the partition's leader, with all tasks pending.
@@ -151,8 +152,8 @@
 	return own, true
 }
 
-// Due returns when the job should be done: at its deadline or, without one, at a default
-// time that gives it a place in the queue.
+// Due returns the time by which the job should be done: its deadline or, if there is none,
+// a default time that determines the job's place in the queue.
 func (j *Job) Due() time.Time {
 	if at, ok := j.Deadline(); ok {
 		return at
@@ -160,8 +161,8 @@
 	return j.ReadySince().Add(defaultTimeToDue)
 }
 
-// inheritRequirement raises the inherited urgency and moves the inherited deadline forward to what
-// a dependent requires, and reports whether either has changed.
+// inheritRequirement raises the inherited urgency and advances the inherited deadline to
+// the requirements of a dependent, and reports whether either has changed.
 func (j *Job) inheritRequirement(urgency protocol.Urgency, by time.Time) bool {
 	changed := false
 	if urgency > j.InheritedUrgency {
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -8,9 +8,10 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Leadership is the cluster leadership as every controller knows it, and what the cluster
-// leader keeps in memory for scaling. The latter may be lost: the names of scale-out
-// requests are never reused, and machines without a record are adopted.
+// Leadership holds the cluster leadership, which every controller has from its record, and
+// the cluster leader's own state for scaling. The latter is only in memory and may be lost:
+// the names of scale-out requests are never reused, and machines without a record are
+// adopted.
 type Leadership struct {
 	// From the leadership record.
 
@@ -18,7 +19,8 @@
 	Held bool
 	// Holder is the cluster leader's label, or "" if there is none.
 	Holder string
-	// FormerHolder is the label of the last cluster leader, used while there is none.
+	// FormerHolder is the label of the last cluster leader. It is used while there is
+	// no cluster leader.
 	FormerHolder string
 	// Revision is the revision of the leadership record in the state store, or 0 if there
 	// is none.
@@ -36,24 +38,27 @@
 	// PendingScaleOuts are the scale-out requests in progress, by name.
 	PendingScaleOuts map[string]*ScaleOutRequest
 	// CapacityRefusedUntil is the time until which no machines of a kind are requested
-	// because the cloud had none.
+	// because the cloud refused a request for them.
 	CapacityRefusedUntil map[binpack.MachineKind]time.Time
-	// DeletionRequestedAt is when the deletion of a machine was last requested, by name.
+	// DeletionRequestedAt is the time at which the deletion of a machine was last
+	// requested, by name.
 	DeletionRequestedAt map[string]time.Time
-	// AdoptionTriedAt is when the last attempt was made to record a machine that has no
-	// record, by name. An earlier time is stored to make the next attempt sooner.
+	// AdoptionTriedAt is the time of the last attempt to write the record of a machine
+	// that has none, by name. An earlier time is stored to make the next attempt
+	// sooner.
 	AdoptionTriedAt map[string]time.Time
-	// MovedAt is when a machine was last moved between partitions, by name.
+	// MovedAt is the time at which a machine was last moved between partitions, by
+	// name.
 	MovedAt map[string]time.Time
-	// MachineAssignedAt is when a partition was last given a machine, by partition index.
-	// Demand that the partition's leader reported before it noticed that machine must not
-	// bring another one.
+	// MachineAssignedAt is the time at which a machine was last assigned to a
+	// partition, by partition index. Demand that does not take this machine into
+	// account yet must not cause another scale-out.
 	MachineAssignedAt map[int]time.Time
 	// ListedMachines are the machines in the cloud's last listing, by name.
 	ListedMachines map[string]protocol.ListedMachine
 }
 
-// Reset clears what the cluster leader keeps in memory about machines.
+// Reset clears the cluster leader's state in memory about machines.
 func (l *Leadership) Reset() {
 	l.PendingScaleOuts, l.CapacityRefusedUntil = map[string]*ScaleOutRequest{}, map[binpack.MachineKind]time.Time{}
 	l.DeletionRequestedAt, l.AdoptionTriedAt = map[string]time.Time{}, map[string]time.Time{}
@@ -70,8 +75,8 @@
 	Count int
 }
 
-// LeaderUpdate is the part of its memory that a cluster leader last sent, from which the
-// next cluster leader resumes.
+// LeaderUpdate is the last update from a cluster leader about its state in memory, from
+// which the next cluster leader resumes.
 type LeaderUpdate struct {
 	// From is the sender's label, or "" if no update was received.
 	From       string
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -10,33 +10,35 @@
 	"micaspindle/internal/storage"
 )
 
-// Machine is a rented machine that is on record. Every controller has its record. The other
-// fields are used by its partition's leader, and by the standby to prepare a takeover.
+// Machine is a rented machine that is on record. Every controller has the machine's record.
+// The other fields are used by the partition's leader, and by the standby to prepare a
+// takeover.
 type Machine struct {
 	// The record.
 
 	Name string
-	// Shard is its shard among its partition's machines, derived from its name.
+	// Shard is the index of the machine's shard in its partition, derived from the
+	// machine's name.
 	Shard  int
 	Record storage.Machine
-	// Revision is the record's revision in the state store, or 0 if it is not on record
+	// Revision is the record's revision in the state store, or 0 if there is no record
 	// yet.
 	Revision uint64
-	// RecordedAt is when this controller first saw the record.
+	// RecordedAt is the time at which this controller first received the record.
 	RecordedAt time.Time
-	// Type is the machine's type, or nil if the catalog is not known or does not contain
-	// it.
+	// Type is the machine's type, or nil if there is no catalog or the catalog does not
+	// contain the type.
 	Type *protocol.MachineType
-	// HeartbeatsExpectedSince is the time since which the leader of its partition can have
-	// received heartbeats from it.
+	// HeartbeatsExpectedSince is the time from which the partition's leader can have
+	// received the machine's heartbeats.
 	HeartbeatsExpectedSince time.Time
 
 	// The agent's heartbeats.
 
 	// HasReported is set once a heartbeat was applied under the present leader.
 	HasReported bool
-	// Epoch and Sequence are those of the newest heartbeat that was applied, or 0 if none
-	// was.
+	// Epoch and Sequence identify the newest heartbeat that was applied; both are 0 if
+	// none was.
 	Epoch    uint64
 	Sequence uint64
 	// NewestHeartbeatRequest identifies the newest heartbeat that came as a request, and
@@ -45,27 +47,28 @@
 	// ReplicatedEpoch is the agent epoch that an earlier leader replicated, or 0 if none
 	// did.
 	ReplicatedEpoch uint64
-	// LastHeartbeatAt is when a heartbeat was last received, here or by the machine's
-	// delegate.
+	// LastHeartbeatAt is the time at which a heartbeat was last received, here or by
+	// the machine's delegate.
 	LastHeartbeatAt time.Time
-	// LastContactAt is when its agent last contacted this controller, whether it was
-	// answered or not.
+	// LastContactAt is the time at which the agent last sent this controller a
+	// heartbeat, answered or not.
 	LastContactAt time.Time
-	// DivertedSince is the time since which its agent has reached other controllers but not
-	// this one.
+	// DivertedSince is the time since which the agent has reached other controllers but
+	// not this one.
 	DivertedSince time.Time
-	// RedirectedAt is when its agent was last redirected to its delegate,
-	// DelegateHeartbeatAt when the delegate last forwarded a heartbeat.
+	// RedirectedAt is the time at which the agent was last redirected to the machine's
+	// delegate, DelegateHeartbeatAt the time at which the delegate last forwarded a
+	// heartbeat.
 	RedirectedAt        time.Time
 	DelegateHeartbeatAt time.Time
 
-	// The machine's lease; its tasks may run until it expires.
+	// The machine's lease. The machine's tasks may run until the lease expires.
 
 	// AnsweredUntil is the latest time at which any controller may have answered a
 	// heartbeat.
 	AnsweredUntil time.Time
-	// FormerLeaderAnswersUntil is the time until which the leader of the partition that the
-	// machine was moved from may answer its heartbeats.
+	// FormerLeaderAnswersUntil is the time until which the leader of the machine's
+	// former partition may answer heartbeats, if the machine was moved.
 	FormerLeaderAnswersUntil time.Time
 	// Lost is set once the lease has expired, so that nothing runs on the machine.
 	Lost bool
@@ -74,36 +77,38 @@
 
 	// TokenConfirmed is set once a heartbeat with the present fencing token was received.
 	TokenConfirmed bool
-	// TokenRaiseBy is the time by which its token must be raised; zero if it need not be.
+	// TokenRaiseBy is the time by which the machine's token must be raised; zero if no
+	// raise is needed.
 	TokenRaiseBy time.Time
 
 	// Commands to the agent.
 
-	// CommandRequestsInFlight counts the requests in flight that carry commands. The newest
-	// was sent at CommandsSentAt.
+	// CommandRequestsInFlight is the number of requests with commands in flight. The
+	// newest of them was sent at CommandsSentAt.
 	CommandRequestsInFlight int
 	CommandsSentAt          time.Time
-	// CommandsDeferred is set if there is more to command once those requests are answered.
+	// CommandsDeferred is set if more commands are to be sent once the requests in
+	// flight are answered.
 	CommandsDeferred bool
-	// CommandsRetriedAt is when commands were last repeated while no such request was in
-	// flight.
+	// CommandsRetriedAt is the time at which commands were last repeated while no
+	// request with commands was in flight.
 	CommandsRetriedAt time.Time
 
 	// What is on the machine.
 
 	// Attempts are the attempts on the machine, by AttemptKey.
 	Attempts map[string]*Attempt
-	// OrphanedTasks are the tasks that its agent reports and that belong to no attempt, by
-	// AttemptKey. The agent is told to stop and then to forget them.
+	// OrphanedTasks are the tasks that the agent reports and that belong to no attempt,
+	// by AttemptKey. They are stopped and then forgotten by commands to the agent.
 	OrphanedTasks map[string]protocol.TaskReport
-	// Used is the sum of what the live attempts take, computed by RecountUsed.
+	// Used is the sum of the resources of the live attempts, computed by RecountUsed.
 	Used binpack.Resources
 	// Images are the images on the machine, with the time at which each was last used.
 	Images map[string]time.Time
-	// IdleSince is when it last had an attempt or a task.
+	// IdleSince is the last time at which the machine had an attempt or a task.
 	IdleSince time.Time
-	// Prediction is the machine as the contention model sees it, computed at PredictedAt;
-	// nil if it must be recomputed.
+	// Prediction is the machine's input for the contention model, computed at
+	// PredictedAt; nil if it must be recomputed.
 	Prediction  *contention.Machine
 	PredictedAt time.Time
 
@@ -115,7 +120,8 @@
 	// SlowTasks counts the tasks that ran far longer than their job's tasks on other
 	// machines.
 	SlowTasks int
-	// Quarantined is set if the machine is considered faulty. It then gets no new work.
+	// Quarantined is set if the machine is considered faulty. A quarantined machine
+	// gets no new work.
 	Quarantined bool
 	// AvoidUntil is the time until which the machine gets no new work after a failure.
 	AvoidUntil time.Time
@@ -125,28 +131,30 @@
 	// ReservedFor is the fair-share group whose jobs alone may start on the machine, or
 	// fairshare.NoGroup if all jobs may.
 	ReservedFor int
-	// PreemptionAt is when the cloud takes the machine away; zero if no notice was given.
+	// PreemptionAt is the time at which the cloud preempts the machine; zero if there
+	// is no preemption notice.
 	PreemptionAt time.Time
-	// RetiringSince is the time since which the machine has been prepared for its deletion;
-	// zero if it is not.
+	// RetiringSince is the time at which the machine's retirement, the preparation of
+	// its deletion, began; zero if the machine is not being retired.
 	RetiringSince time.Time
 	// Moving is set while the record of its move to another partition is being written.
 	Moving bool
-	// DeleteTriedAt is when this controller last asked the cloud to delete the machine
-	// because its lease might outlast the bound on cancellations. DeleteConfirmed is set
-	// once the cloud has confirmed the deletion.
+	// DeleteTriedAt is the time at which this controller last requested the machine's
+	// deletion from the cloud because the machine's lease might outlast the
+	// cancellation bound. DeleteConfirmed is set once the cloud has confirmed the
+	// deletion.
 	DeleteTriedAt   time.Time
 	DeleteConfirmed bool
 
-	// LastReplicated is the state that was last replicated to the standby. ReplicationSeq
-	// is its sequence number among the partition's replicated changes, or 0 if it has none
-	// yet.
+	// LastReplicated is the state that was last replicated to the standby.
+	// ReplicationSeq is the sequence number of that state among the partition's
+	// replicated changes, or 0 if it has none yet.
 	LastReplicated ReplicatedMachineState
 	ReplicationSeq uint64
 }
 
-// lateHeartbeatGrace is how late a heartbeat may be, in addition to a quarter of the
-// heartbeat interval, before the machine gets no new work.
+// lateHeartbeatGrace is the delay of a heartbeat, in addition to a quarter of the heartbeat
+// interval, after which the machine gets no new work.
 const lateHeartbeatGrace = 1500 * time.Millisecond
 
 // ResetLeaderState clears the state that is valid only on the leader of the machine's
@@ -188,8 +196,8 @@
 	return deleted
 }
 
-// Age returns how long ago the machine was rented. The record may not tell, and clocks
-// differ, so it is at least the time for which the leader has known the machine.
+// Age returns the time since the machine was created. The record may lack the creation
+// time, and clocks differ, so the age is at least the time since HeartbeatsExpectedSince.
 func (m *Machine) Age(now time.Time) time.Duration {
 	known := now.Sub(m.HeartbeatsExpectedSince)
 	if m.Record.CreatedMS == 0 {
@@ -227,8 +235,8 @@
 
 // AcceptHeartbeat records a heartbeat that came as a request, and reports whether it is
 // newer than all earlier ones. An agent has only one heartbeat in flight, so it no longer
-// waits for the answer to an older or a repeated one, and that answer could not extend the
-// machine's lease (rule 48).
+// waits for the answer to an older or a repeated heartbeat. Such an answer could not extend
+// the machine's lease (rule 48).
 func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
 	newest := &m.NewestHeartbeatRequest
 	if heartbeat.Epoch < newest.Epoch || heartbeat.Epoch == newest.Epoch && heartbeat.Sequence <= newest.Sequence {
@@ -238,13 +246,13 @@
 	return true
 }
 
-// IsNewer reports whether a heartbeat is newer than all that were applied.
+// IsNewer reports whether a heartbeat is newer than all applied heartbeats.
 func (m *Machine) IsNewer(heartbeat *protocol.Heartbeat) bool {
 	return heartbeat.Epoch > m.Epoch || heartbeat.Epoch == m.Epoch && heartbeat.Sequence > m.Sequence
 }
 
-// HasAttemptBeforeEpoch reports whether some attempt belongs to an earlier agent epoch than
-// the given one, and so has ended.
+// HasAttemptBeforeEpoch reports whether an attempt belongs to an earlier agent epoch than
+// the given one, and thus has ended.
 func (m *Machine) HasAttemptBeforeEpoch(epoch uint64) bool {
 	for _, a := range m.Attempts {
 		if a.Epoch < epoch {
@@ -254,9 +262,9 @@
 	return false
 }
 
-// HasCancelledTask reports whether a task of an ended job is running on the machine or may
-// still start there. If so, commands to the machine are repeated without waiting for
-// earlier answers.
+// HasCancelledTask reports whether a task that is being stopped because its job has ended
+// is running on the machine or may still start there. Commands to such a machine are
+// repeated without waiting for earlier answers.
 func (m *Machine) HasCancelledTask() bool {
 	for _, a := range m.Attempts {
 		if a.Live() && a.Stopping && a.Job.Ended {
@@ -266,7 +274,7 @@
 	return false
 }
 
-// NeedsCommands reports whether there may be commands for the machine. It is a cheap check,
+// NeedsCommands reports whether there may be commands for the machine. The check is cheap,
 // since most heartbeats change nothing.
 func (m *Machine) NeedsCommands() bool {
 	if len(m.OrphanedTasks) > 0 {
@@ -280,8 +288,8 @@
 	return false
 }
 
-// HasUnsentCommands reports whether commands that are sent now, ahead of the next
-// heartbeat, would start or stop anything.
+// HasUnsentCommands reports whether a start or stop command should be sent now, without
+// waiting for the next heartbeat.
 func (m *Machine) HasUnsentCommands() bool {
 	for _, a := range m.Attempts {
 		if a.State == AttemptCommitted && a.StartsInFlight == 0 && !a.Stopping || a.State == AttemptConfirmed && a.Stopping {
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -10,23 +10,23 @@
 	"micaspindle/internal/eventloop"
 )
 
-// Partition is the work of some of the teams, together with the machines for it. It is
-// served by one controller, its leader.
+// Partition is a subset of the teams with their jobs and machines. Its leader, one
+// controller, schedules the jobs on the machines.
 type Partition struct {
 	// From the settings; does not change.
 
 	Index int
-	// HasTeams is set if some team's work belongs to the partition.
+	// HasTeams is set if the partition has at least one team.
 	HasTeams bool
 
 	// The lease, from its record.
 
-	// Leader is the label of the controller that holds the lease, and LeaderNonce the nonce
-	// of that controller's process; both are "" if nobody holds it.
+	// Leader is the label of the controller that holds the lease, and LeaderNonce the
+	// nonce of that controller's process; both are "" if the partition has no leader.
 	Leader      string
 	LeaderNonce string
-	// FormerLeader is the label of the last leader, used while there is none, or "" if
-	// there never was one.
+	// FormerLeader is the label of the last leader, or "" if there never was one. It is
+	// used while the partition has no leader.
 	FormerLeader string
 	// LeaseRevision is the revision of the lease's record in the state store, or 0 if there
 	// is none.
@@ -43,31 +43,31 @@
 	AcquiredAt time.Time
 	// Ready is set once the partition's run state was read after the lease was acquired.
 	Ready bool
-	// WarmFailover is set if that run state came from a replica.
+	// WarmFailover is set if the run state at the takeover came from a replica.
 	WarmFailover bool
-	// LeaderStateCleared is set if no state is left in memory that is valid only on the
-	// partition's leader.
+	// LeaderStateCleared is set once all state that is valid only on the partition's
+	// leader was removed from memory.
 	LeaderStateCleared bool
 	// Wakeup triggers the next round of the partition's work early.
 	Wakeup chan struct{}
 	// Committing is set while a transaction is in flight.
 	Committing bool
-	// HasUnconfirmedChunk is set if the last write of some run record went unanswered.
+	// HasUnconfirmedChunk is set if the last write of a run record was not answered.
 	HasUnconfirmedChunk bool
 
 	// Scheduling, on the leader.
 
-	// Usage is what the live attempts use, by team index.
+	// Usage is the resource usage of the live attempts, by team index.
 	Usage []binpack.Compute
-	// QueueOrder are the jobs that need service, in the order in which they are served,
-	// computed at QueueOrderedAt; nil if it must be recomputed. IdleJobs are the other jobs
-	// that have run state and are not blocked.
+	// QueueOrder are the jobs with work for the leader, in scheduling order, computed
+	// at QueueOrderedAt; nil if the order must be recomputed. IdleJobs are the other
+	// jobs that have run state and are not blocked.
 	QueueOrder     []*Job
 	IdleJobs       []*Job
 	QueueOrderedAt time.Time
-	// PreemptionCheckedAt is when preemption was last considered.
+	// PreemptionCheckedAt is the time at which preemption was last considered.
 	PreemptionCheckedAt time.Time
-	// DoneTallies count the jobs that were done recently, by fair-share group.
+	// DoneTallies are the counts of recently completed jobs, by fair-share group.
 	DoneTallies map[int]*fairshare.Tally
 	FairShare   FairShareState
 
@@ -76,10 +76,10 @@
 	// Standby is the label of the controller that was chosen to take over, or "" if there
 	// is none.
 	Standby string
-	// Replication is how far the standby's replica has followed.
+	// Replication is the progress of the replication to the standby.
 	Replication ReplicationProgress
 	// HandbackSince is the time since which the partition is to be handed back to its
-	// preferred leader; zero if it is not.
+	// preferred leader; zero if no handback is due.
 	HandbackSince time.Time
 	// Delegations are the shards whose agents are connected to other controllers.
 	Delegations delegation.Ledger
@@ -88,7 +88,7 @@
 	DelegatedUntil time.Time
 }
 
-// QueueOrderTTL is how long a computed QueueOrder is used.
+// QueueOrderTTL is the time for which a computed QueueOrder is used.
 const QueueOrderTTL = 200 * time.Millisecond
 
 // Wake triggers the next round of the partition's work early.
--- a/internal/coordination/cluster/peer.go
+++ b/internal/coordination/cluster/peer.go
@@ -9,24 +9,25 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Peer is another controller, as known from its summaries.
+// Peer is the state of another controller according to its summaries.
 type Peer struct {
-	// Addr is its address for other controllers, from the settings.
+	// Addr is the peer's address for other controllers, from the settings.
 	Addr string
-	// Summary is the last summary that it sent, received at LastSummaryAt; nil if there was
-	// none.
+	// Summary is the peer's last summary, received at LastSummaryAt; nil if none was
+	// received.
 	Summary       *peer.Summary
 	LastSummaryAt time.Time
-	// AliveSince is the time since which its summaries have come without a gap.
+	// AliveSince is the time since which the peer's summaries have arrived without a
+	// gap.
 	AliveSince time.Time
-	// ReportingMachines are the machines that send their heartbeats to it, according to
-	// Summary.
+	// ReportingMachines are the machines that send their heartbeats to the peer,
+	// according to Summary.
 	ReportingMachines map[string]bool
-	// DivertedMachines are those of them that have contacted this controller since that
-	// summary.
+	// DivertedMachines are the ReportingMachines that have contacted this controller
+	// since that summary.
 	DivertedMachines map[string]bool
-	// RevokedLeaseID is the id of its lease that this controller revoked, or 0 if it
-	// revoked none.
+	// RevokedLeaseID is the id of the peer's lease that this controller revoked, or 0
+	// if there is none.
 	RevokedLeaseID uint64
 }
 
@@ -40,8 +41,8 @@
 	return p.Summary != nil && now.Sub(p.LastSummaryAt) <= peerSilenceLimit
 }
 
-// PartitionSummary returns what the peer last sent about a partition as its leader, or nil
-// if it sent nothing. It may be called on a nil Peer.
+// PartitionSummary returns the peer's last summary of a partition that it leads, or nil if
+// there is none. It may be called on a nil Peer.
 func (p *Peer) PartitionSummary(partition *Partition) *peer.PartitionSummary {
 	if p == nil || p.Summary == nil {
 		return nil
@@ -69,9 +70,9 @@
 	clear(p.ReportingMachines)
 	clear(p.DivertedMachines)
 	for _, partition := range p.Summary.Partitions {
-		// Machines in delegated shards are no evidence that the leader is unreachable: a
-		// delegate that cannot reach the leader redirects them, while the leader may still
-		// serve all others.
+		// Machines in delegated shards are no evidence that the leader is
+		// unreachable: a delegate that cannot reach the leader redirects the
+		// machines' agents, while the leader may still serve all other machines.
 		delegated := delegatedShards(partition)
 		for _, m := range partition.Machines {
 			if m.Reported && (len(partition.Delegated) == 0 || !delegated[delegation.ShardOf(m.Name)]) {
--- a/internal/coordination/cluster/replication.go
+++ b/internal/coordination/cluster/replication.go
@@ -9,16 +9,16 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// HintImagesLimit is the maximum number of images that are replicated for a machine: the
-// most recently used ones.
+// HintImagesLimit is the maximum number of images that are replicated for a machine. Only
+// the most recently used images are replicated.
 const HintImagesLimit = 50
 
 // noPreemptionNotice is the PreemptionNoticeS of a hint if the cloud gave no notice.
 const noPreemptionNotice = -1
 
-// ReplicationProgress is how far a partition's standby has received the changes that are
-// not in the records. Each change has a sequence number, the ReplicationSeq of its attempt
-// or machine.
+// ReplicationProgress tracks which of a partition's changes that are not in the records the
+// standby has received. Each change has a sequence number, the ReplicationSeq of its
+// attempt or machine.
 type ReplicationProgress struct {
 	// Target is the label of the standby that the changes are sent to, or "" if there is
 	// none.
@@ -53,7 +53,7 @@
 	}
 }
 
-// Hint returns what the standby needs to know of the machine beyond its record.
+// Hint returns the state of the machine that the standby needs in addition to the record.
 func (m *Machine) Hint(now time.Time) *peer.MachineHint {
 	hint := &peer.MachineHint{
 		Name:              m.Name,
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -17,7 +17,7 @@
 	return binpack.Constraints{Types: spec.Types, Zone: spec.Zone, Spot: spec.Spot}
 }
 
-// TeamLimit returns the most that a team may use at a time.
+// TeamLimit returns the limit on the resources that a team uses at a time.
 func TeamLimit(team settings.Team) binpack.Compute {
 	return binpack.Compute{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 }
--- a/internal/coordination/cluster/run_chunk.go
+++ b/internal/coordination/cluster/run_chunk.go
@@ -17,16 +17,17 @@
 	// Dirty is set if the chunk differs from its record; it has differed since DirtySince.
 	Dirty      bool
 	DirtySince time.Time
-	// Urgent is set if starts wait for the record, which is then written at once.
+	// Urgent is set if start commands wait for the write of the record, so that it is
+	// written at once.
 	Urgent bool
-	// Oversized is set while the record is larger than the state store allows. It fits
-	// again once tasks have ended.
+	// Oversized is set while the record is larger than the state store allows. The
+	// record fits again once enough tasks have ended.
 	Oversized bool
-	// Unconfirmed is set if a commit went unanswered. The record is then read before it is
-	// written again.
+	// Unconfirmed is set if the last write of the record was not answered. The record
+	// is then read back before it is written again.
 	Unconfirmed bool
-	// Generation counts the changes to the chunk, so that a commit detects those made while
-	// it was in flight.
+	// Generation counts the changes to the chunk, so that the changes made during a
+	// commit are detected.
 	Generation uint64
 	// Exited are the attempts whose end is not in the record yet.
 	Exited []*Attempt
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -1,7 +1,7 @@
 // Package cluster holds the state that a controller's event loop owns: partitions, jobs,
-// attempts, machines, peers and the dependency graph. It contains data and what can be
-// computed from it. Other components change the data, each of them only the fields that it
-// owns, and only in the loop.
+// attempts, machines, peers and the dependency graph. It contains data and functions that
+// compute values from the data. Other components change the data. Each component changes
+// only its own fields, and only in the loop.
 //
 // A zero time.Time means that the event has not happened, unless the field's comment says
 // otherwise. In names of plain numbers, the suffix S stands for seconds and MS for
@@ -21,8 +21,8 @@
 	"micaspindle/internal/settings"
 )
 
-// State is what the components of a controller share. It belongs to the event loop and may
-// be accessed only by functions that run in the loop.
+// State is the state that the components of a controller share. It belongs to the event
+// loop and may be accessed only by functions that run in the loop.
 type State struct {
 	// The process and its configuration, which do not change after NewState.
 
@@ -42,7 +42,8 @@
 	// controller's label.
 	Labels    []string
 	SelfIndex int
-	// AgentLease is how long an agent lets its tasks run after its last answered heartbeat.
+	// AgentLease is the time for which an agent's tasks may run after its last answered
+	// heartbeat.
 	AgentLease time.Duration
 	// CancelBound is the longest time for which a task may outlive its job's cancellation.
 	CancelBound time.Duration
@@ -53,9 +54,9 @@
 
 	// Synced is set once the shared records were listed.
 	Synced bool
-	// RecordsCurrentAt is when the newest applied listing or watch was requested: all
-	// shared records written before are known. RecordsRevision is the revision of its
-	// answer.
+	// RecordsCurrentAt is the time of the request for the newest applied listing or
+	// watch response: all shared records written before are applied. RecordsRevision is
+	// the revision of that response.
 	RecordsCurrentAt time.Time
 	RecordsRevision  uint64
 
@@ -67,25 +68,25 @@
 	Jobs map[string]*Job
 	// FinalStates are the final statuses of ended jobs, by id. An entry never changes.
 	FinalStates map[string]string
-	// ListedEndTimes is when jobs ended, by id. It is nil except while a listing is
-	// applied.
+	// ListedEndTimes are the times at which jobs ended, by id. It is nil except while a
+	// listing is applied.
 	ListedEndTimes map[string]time.Time
 	Dependencies   DependencyGraph
 	Cancellations  CancellationNotices
 
 	// Machines are all machines on record, by name.
 	Machines map[string]*Machine
-	// DeletedMachines is when machines were deleted, by name. Entries are kept for a while,
-	// to recognize late heartbeats.
+	// DeletedMachines are the times at which machines were deleted, by name. Entries
+	// are kept for a while, to recognize late heartbeats.
 	DeletedMachines map[string]time.Time
 	// UnregisteredMachines are machines that have sent heartbeats without being on record,
 	// by name.
 	UnregisteredMachines map[string]*peer.UnregisteredMachine
-	// DivertedMachines are machines of partitions that other controllers lead, with when
-	// each last sent a heartbeat to this controller, by name.
+	// DivertedMachines are the machines of other leaders' partitions that sent a
+	// heartbeat to this controller, with the time of the last one, by name.
 	DivertedMachines map[string]time.Time
-	// Catalog is the cloud's list of machine types, MachineTypes the same by name. Both are
-	// empty until the catalog is known.
+	// Catalog is the cloud's list of machine types, and MachineTypes maps their names
+	// to them. Both are empty until the catalog was received.
 	Catalog      []protocol.MachineType
 	MachineTypes map[string]*protocol.MachineType
 
@@ -97,10 +98,11 @@
 	// LeaseID is the state store's lease on which this controller's partition leases and
 	// cluster leadership depend, or 0 if there is none.
 	LeaseID uint64
-	// LeaseRenewedAt is when the last confirmed renewal of that lease was sent.
+	// LeaseRenewedAt is the time at which the last confirmed renewal of that lease was
+	// sent.
 	LeaseRenewedAt time.Time
-	// ResignedAt is when this controller last gave up its lease because no agent reached
-	// it.
+	// ResignedAt is the time at which this controller last gave up its lease because no
+	// agent reached it.
 	ResignedAt time.Time
 	// LeaseWakeup triggers the acquisition of wanted leases early.
 	LeaseWakeup chan struct{}
@@ -108,9 +110,11 @@
 	Leadership Leadership
 	// LastLeaderUpdate is the last update received from a cluster leader.
 	LastLeaderUpdate LeaderUpdate
-	// Draining is set while this controller hands over what it leads before it exits.
+	// Draining is set while this controller hands over its partitions and the cluster
+	// leadership before it exits.
 	Draining bool
-	// WriteDemand is how many writes per second to the state store this controller wants.
+	// WriteDemand is the number of writes per second to the state store that this
+	// controller needs.
 	WriteDemand float64
 }
 
@@ -188,17 +192,17 @@
 	}
 }
 
-// AnswerBound returns how long after UpToDateAt a controller may still answer its agents'
-// heartbeats. Tasks thereby survive an outage of the state store, and yet a task whose job
-// is cancelled elsewhere ends within CancelBound (rules 12 and 42).
+// AnswerBound returns the time after UpToDateAt for which a controller may still answer its
+// agents' heartbeats. It lets tasks survive an outage of the state store, and still ends a
+// task within CancelBound if its job is cancelled by another controller (rules 12 and 42).
 func (s *State) AnswerBound() time.Duration {
 	return max(0, s.CancelBound-s.AgentLease-2*ClockMargin)
 }
 
-// UpToDateAt returns the latest time up to which this controller provably knows every
-// cancellation that was confirmed to a user, and held its leases. A lease renewal alone
-// does not prove the former, since it may succeed while the watch delivers nothing (rule
-// 42).
+// UpToDateAt returns the latest time at which this controller provably held its leases and
+// had received every cancellation confirmed to users so far. A lease renewal does not prove
+// that all cancellations were received, since it may succeed while the watch delivers no
+// events (rule 42).
 func (s *State) UpToDateAt() time.Time {
 	if s.RecordsCurrentAt.Before(s.LeaseRenewedAt) {
 		return s.RecordsCurrentAt
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// lazyRecordDelay is how long a record that is not urgent collects changes before it is
-	// written.
+	// lazyRecordDelay is the time for which a record that is not urgent collects changes before
+	// it is written.
 	lazyRecordDelay = 2 * time.Second
-	// leaseExpirySlack is how long batches are still sent after the lease's time to live has
-	// passed since its last confirmed renewal.
+	// leaseExpirySlack is the time for which batches are still sent after the lease should have
+	// expired, counted from its last confirmed renewal.
 	leaseExpirySlack = 10 * time.Second
 	// batchBytesLimit is the size in bytes above which no run record is added to a batch.
 	batchBytesLimit = 40 << 10
-	// deletionBytes is the size in bytes that a deletion counts as in a batch.
+	// deletionBytes is the assumed size in bytes of a deletion in a batch.
 	deletionBytes = 100
-	// recordBytesFactor allows for the encoding of a record in a message, which may be longer
-	// than the record.
+	// recordBytesFactor is an upper bound on the ratio of a record's encoded size in a message
+	// to its own size.
 	recordBytesFactor = 2
 )
 
@@ -34,8 +34,8 @@
 	completions []*cluster.Job
 	tokenRaises []*cluster.Machine
 	starts      []*cluster.Attempt
-	// cancellations are the jobs that the batch cancels. If there are any, it contains nothing
-	// else.
+	// cancellations are the jobs that the batch cancels. A batch with cancellations contains
+	// nothing else.
 	cancellations []*cluster.Job
 }
 
@@ -99,8 +99,8 @@
 }
 
 // prepareBatch places waiting tasks and collects the changes that are due to be written. It returns
-// nil if there are none. Token raises may use up to half of the batch. Records use the rest, and
-// further token raises any space that they leave.
+// nil if there are none. Token raises may use up to half of the batch, and the space that the
+// records leave.
 func (c *Committer) prepareBatch(partition *cluster.Partition, now time.Time) *batch {
 	if !c.mayCommit(partition, now) {
 		return nil
@@ -127,8 +127,8 @@
 		now.Sub(c.LeaseRenewedAt) <= c.Operator.LeaseTTL+leaseExpirySlack
 }
 
-// addCancellations cancels the jobs that depend on a cancelled job. The cancellation of that job is
-// already confirmed to users (rules 21, 22).
+// addCancellations cancels the jobs that depend on a cancelled job. Users may already see that job
+// as cancelled, so its dependents must be cancelled, too (rules 21 and 22).
 func (c *Committer) addCancellations(b *batch, partition *cluster.Partition, now time.Time, opsLimit int) {
 	for _, job := range c.Dependencies.JobsToCancel {
 		if len(b.txn.Then) == opsLimit {
@@ -149,7 +149,7 @@
 			return due[i:]
 		}
 		if machine.CommandRequestsInFlight > 0 && now.Sub(machine.CommandsSentAt) < agents.CommandAnswerWait {
-			continue // the answer may make a new token unnecessary
+			continue // the answer in flight may make a new token unnecessary
 		}
 		b.put(storage.MachineKey(machine.Name), machine.Revision, machine.Record)
 		b.tokenRaises = append(b.tokenRaises, machine)
@@ -213,7 +213,7 @@
 	return deletionBytes
 }
 
-// dropChunk forgets a chunk of an ended job that has no run record.
+// dropChunk removes a chunk without a run record from an ended job.
 func (c *Committer) dropChunk(job *cluster.Job, chunk *cluster.RunChunk) {
 	chunk.Dirty = false
 	for _, attempt := range chunk.Exited {
@@ -225,9 +225,10 @@
 }
 
 // runRecordWithinLimit returns the run record of a chunk, and whether its size is within the state
-// store's limit on values. It may be too large because the limit was higher before, or because the
-// store accepts less than it announced. In that case, attempts that are only reserved are released;
-// if that is not enough, the record is not written until enough tasks of the chunk have ended.
+// store's limit on values. The record may be too large because the limit was higher before, or
+// because the store accepts less than it announced. In that case, attempts that are only reserved
+// are released; if that is not enough, the record is not written until enough tasks of the chunk
+// have ended.
 func (c *Committer) runRecordWithinLimit(job *cluster.Job, chunk *cluster.RunChunk) (run storage.RunRecord, fits bool) {
 	run = job.RunRecord(chunk)
 	limit := c.store.ValueBytes()
--- a/internal/coordination/commit/collaborators.go
+++ b/internal/coordination/commit/collaborators.go
@@ -37,13 +37,14 @@
 	Queue(partition *cluster.Partition) []*cluster.Job
 }
 
-// Jobs tracks the unfinished jobs and the final states of the others.
+// Jobs tracks the unfinished jobs and the final states of ended jobs.
 type Jobs interface {
 	// ApplyFinalRecord sets the final state of a job from its final record.
 	ApplyFinalRecord(id string, raw []byte)
-	// DropIfReleased forgets a job that has ended, once it holds no resources and no records.
+	// DropIfReleased removes a job that has ended from memory, once the job has no live
+	// attempts and no run records.
 	DropIfReleased(job *cluster.Job)
-	// SetFinalState sets the final state of a job. at is the earliest time at which it may have
-	// ended.
+	// SetFinalState sets the final state of a job. at is the earliest time at which the job may
+	// have ended.
 	SetFinalState(id, status string, at time.Time)
 }
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -1,8 +1,8 @@
 // Package commit writes the run records and final states of the partitions that this controller
 // leads. It batches them into compare-and-swap transactions, one at a time for each partition.
 // Invariant: every transaction is conditional on the partition lease and on the revision of each
-// key that it changes. After a transaction without an answer, its keys are read back before the
-// next one.
+// key that it changes. The keys of a transaction without an answer are read back before the next
+// transaction.
 package commit
 
 import (
--- a/internal/coordination/commit/failures.go
+++ b/internal/coordination/commit/failures.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/telemetry"
 )
 
-// handleBatchFailure processes a batch that was refused or not answered. Its chunks are written
-// again.
+// handleBatchFailure processes a batch that was refused or not answered. The batch's chunks are
+// written again.
 func (c *Committer) handleBatchFailure(partition *cluster.Partition, b *batch, err error) {
 	b.restoreChunks()
 	var conflict *storage.Conflict
@@ -32,7 +32,8 @@
 	}
 }
 
-// handleConflict processes the failed conditions of a batch, and has the affected keys read.
+// handleConflict processes the failed conditions of a batch, and marks the affected keys to be
+// read.
 func (c *Committer) handleConflict(partition *cluster.Partition, b *batch, conflict *storage.Conflict) {
 	c.metrics.Count(telemetry.CommitConflict, 1)
 	for _, key := range conflict.Failed {
@@ -51,8 +52,8 @@
 	}
 }
 
-// markUnconfirmed marks the chunk whose run record is stored under a key to be read back before it
-// is written again.
+// markUnconfirmed marks the chunk of a run record's key as unconfirmed, so that the record is read
+// back before it is written again.
 func (b *batch) markUnconfirmed(partition *cluster.Partition, key string) {
 	for _, write := range b.chunks {
 		if storage.RunKey(partition.Index, write.job.Spec.ID, write.chunk.Index) == key {
@@ -61,7 +62,8 @@
 	}
 }
 
-// readFinal reads and applies the final record of a job, after a commit found that there is one.
+// readFinal reads and applies the final record of a job, after a commit failed because the record
+// exists.
 func (c *Committer) readFinal(id string) {
 	item, err := c.store.Get(c.loop.Context(), storage.FinalKey(id))
 	if err != nil {
--- a/internal/coordination/commit/unanswered.go
+++ b/internal/coordination/commit/unanswered.go
@@ -11,14 +11,14 @@
 )
 
 // A transaction without an answer may have been committed, or may be committed at any later time.
-// Its keys are read back, and the next write is conditional on the revisions read, so that at most
-// one of the late transaction and its retry is committed (rule 2).
+// Its keys are read back, and the next write is conditional on the revisions read, so that either
+// the late transaction or its retry is committed, but not both (rule 2).
 
 // rereadLimit is the maximum number of chunks that are read back at a time.
 const rereadLimit = 8
 
-// handleUnansweredBatch processes a batch that may or may not be committed. Its chunks are marked
-// to be read back, and its token raises are requested again.
+// handleUnansweredBatch processes a batch that may or may not be committed. The batch's chunks are
+// marked to be read back, and its token raises are requested again.
 func (c *Committer) handleUnansweredBatch(partition *cluster.Partition, b *batch, err error) {
 	c.metrics.Count(telemetry.CommitUnanswered, 1)
 	c.log.Info("commit unanswered", "partition", partition.Index, "error", err)
@@ -26,7 +26,8 @@
 		write.chunk.Unconfirmed, partition.HasUnconfirmedChunk = true, true
 	}
 	for _, machine := range b.tokenRaises {
-		// If the record was written, the watch or the next heartbeat shows it.
+		// If the record was written, the watch or the next heartbeat delivers the new
+		// token.
 		machine.RaiseTokenBy(time.Now())
 	}
 }
--- a/internal/coordination/jobs/cancellation.go
+++ b/internal/coordination/jobs/cancellation.go
@@ -17,9 +17,8 @@
 	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.Encode(final)})
 }
 
-// ApplyCancellationNotices applies the cancellations that another controller knows to be committed.
-// A final record never changes, so a notice can be trusted like the record itself, however late it
-// arrives (rule 43).
+// ApplyCancellationNotices applies another controller's notices of committed cancellations. A final
+// record never changes, so a notice is valid however late it arrives (rule 43).
 func (t *Tracker) ApplyCancellationNotices(summary *peer.Summary, now time.Time) {
 	for _, notice := range summary.Cancelled {
 		if protocol.ValidJobID(notice.Job) {
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -38,8 +38,8 @@
 	t.agents, t.auth, t.scheduler = agents, auth, scheduler
 }
 
-// ApplyJobRecord loads an accepted job. Job records never change, so it does nothing if the job is
-// already known.
+// ApplyJobRecord loads an accepted job. Job records never change, so a job that is already in
+// memory stays as it is.
 func (t *Tracker) ApplyJobRecord(id string, raw []byte) {
 	t.auth.AddJobQueue(id, raw)
 	if t.Jobs[id] != nil || t.FinalStates[id] != "" {
@@ -51,8 +51,8 @@
 	}
 }
 
-// finalOf returns a job's final status, or "" if it has none, and the time at which it ended if a
-// listing of the records is in progress.
+// finalOf returns a job's final status, or "" if there is none, and the time at which the job
+// ended, which is only available while a listing of the records is applied.
 func (t *Tracker) finalOf(id string) (string, time.Time) {
 	return t.FinalStates[id], t.ListedEndTimes[id]
 }
@@ -89,7 +89,7 @@
 	return j
 }
 
-// requeue makes a partition's leader recompute its queue at once.
+// requeue makes the leader of a partition recompute the job queue at once.
 func requeue(p *cluster.Partition) {
 	p.QueueOrder = nil
 	p.Wake()
@@ -112,8 +112,8 @@
 	t.SetFinalState(id, final.Status, at)
 }
 
-// SetFinalState sets the final state of a job, done or cancelled. at is the earliest time at which it
-// may have ended. It does nothing if the job already has a final state.
+// SetFinalState sets the final state of a job, done or cancelled. at is the earliest time at which
+// the job may have ended. The final state of a job never changes, so an existing one is kept.
 func (t *Tracker) SetFinalState(id, status string, at time.Time) {
 	if t.FinalStates[id] != "" {
 		return
@@ -142,8 +142,8 @@
 	t.stopJob(j, status, at)
 }
 
-// recordCancellation stores a notice of a cancellation to be sent to the other controllers, unless
-// all tasks of the job have certainly ended.
+// recordCancellation stores a cancellation notice for the other controllers, unless all tasks of
+// the job have certainly ended.
 func (t *Tracker) recordCancellation(id string, at time.Time) {
 	if time.Since(at) < t.CancelBound && !t.Cancellations.Add(id, at) {
 		t.bounds.ReportExceeded(telemetry.Cancellations, 1)
@@ -165,8 +165,8 @@
 	t.DropIfReleased(j)
 }
 
-// wakeForJobsToCancel wakes the partitions if there are jobs to cancel because a dependency was
-// cancelled.
+// wakeForJobsToCancel triggers a round of work in all partitions if there are jobs to cancel
+// because a dependency was cancelled.
 func (t *Tracker) wakeForJobsToCancel() {
 	if len(t.Dependencies.JobsToCancel) > 0 {
 		for _, p := range t.Partitions {
@@ -175,8 +175,8 @@
 	}
 }
 
-// DropIfReleased forgets a job that has ended, once it has no live attempt and its run records are
-// deleted. It marks the remaining run records for deletion.
+// DropIfReleased removes a job that has ended from memory, once the job has no live attempt and its
+// run records are deleted. Until then, it marks the remaining run records for deletion.
 func (t *Tracker) DropIfReleased(j *cluster.Job) {
 	if t.FinalStates[j.Spec.ID] == "" || len(j.LiveAttempts) > 0 {
 		return
@@ -192,9 +192,9 @@
 	delete(t.Jobs, j.Spec.ID)
 }
 
-// markRunRecordsForDeletion marks the chunks of an ended job whose run records are or may be in the
-// state store as dirty, so that the next commit deletes the records. It reports whether there are
-// any.
+// markRunRecordsForDeletion marks chunks of an ended job as dirty if their run records may be in
+// the state store, so that the next commit deletes the records. It reports whether there are such
+// chunks.
 func markRunRecordsForDeletion(j *cluster.Job, now time.Time) bool {
 	found := false
 	for _, chunk := range j.Chunks {
