--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -72,7 +72,7 @@
 		status = s.FinalStates[id]
 	})
 	if status == "" {
-		return "", fmt.Errorf("%w: invalid final record", storage.ErrUnknown)
+		return "", fmt.Errorf("%w: the job's final record can't be decoded", storage.ErrUnknown)
 	}
 	return status, nil
 }
@@ -83,9 +83,9 @@
 	queue rights.Queue
 }
 
-// cancelAll cancels the unfinished jobs of one submitter in the queues that the caller
-// administers. A request cancels a limited number of jobs in a limited time. The response has
-// the number of remaining jobs; the caller repeats the request until none is left.
+// cancelAll cancels the unfinished jobs of one submitter in the queues that the caller administers.
+// A request cancels a limited number of jobs in a limited time. The response contains the number of
+// remaining jobs; the caller repeats the request until there are none.
 func (s *Server) cancelAll(ctx context.Context, req request) (transport.Response, error) {
 	var body protocol.CancelAll
 	if err := protocol.Decode(req.Body, &body); err != nil || body.SubmittedBy == "" {
@@ -93,7 +93,7 @@
 	}
 	unfinished := s.unfinishedJobsOf(body.SubmittedBy)
 	allowed := slices.DeleteFunc(unfinished, func(job jobInQueue) bool { return !s.mayAdministerJob(req.caller, job) })
-	// DeleteFunc zeroes the deleted elements, but unfinished keeps its length.
+	// DeleteFunc zeroes the deleted elements, but the length of unfinished stays the same.
 	result := protocol.CancelAllResult{NotAllowed: len(unfinished) - len(allowed)}
 	slices.SortFunc(allowed, func(a, b jobInQueue) int { return strings.Compare(a.id, b.id) })
 	s.cancelJobs(ctx, req.caller, body.SubmittedBy, allowed, &result)
@@ -113,7 +113,7 @@
 }
 
 // mayAdministerJob reports whether a caller administers a job's queue and doesn't act through a
-// service. If not, it records the denial in the audit log.
+// service. A denial is recorded in the audit log.
 func (s *Server) mayAdministerJob(caller *auth.Caller, job jobInQueue) bool {
 	if caller.Service == "" && s.auth.Allows(caller, rights.Administer, job.queue) {
 		return true
--- a/internal/coordination/api/collaborators.go
+++ b/internal/coordination/api/collaborators.go
@@ -16,8 +16,8 @@
 
 // Agents handles the heartbeats of agents on worker machines.
 type Agents interface {
-	// HandleHeartbeat returns the response to a heartbeat; raw is its encoded body. It must be
-	// called in the event loop.
+	// HandleHeartbeat returns the response to a heartbeat; raw is the encoded heartbeat. It
+	// must be called in the event loop.
 	HandleHeartbeat(heartbeat *protocol.Heartbeat, raw []byte) transport.Response
 }
 
@@ -45,8 +45,8 @@
 	// AuthorizeJob returns the queue of a job if a caller has a permission on that queue. The
 	// error for a caller without it doesn't reveal whether the job exists.
 	AuthorizeJob(ctx context.Context, caller *auth.Caller, verb rights.Verb, id string) (rights.Queue, error)
-	// JobQueue returns the queue of a job, and whether this controller knows the job. It must
-	// be called in the event loop.
+	// JobQueue returns the queue of a job, and whether the job is in this controller's index.
+	// It must be called in the event loop.
 	JobQueue(id string) (queue rights.Queue, known bool)
 	// ReadSpec reads a job's record from the state store.
 	ReadSpec(ctx context.Context, id string) (*protocol.JobSpec, error)
@@ -71,14 +71,16 @@
 	// PolicyRevision returns the revision of the policy's head record; 0 if there is none. It
 	// must be called in the event loop.
 	PolicyRevision() uint64
-	// PublishPolicy makes the applied policy records effective. requestedAt is when the listing
-	// or watch that delivered them was requested. It must be called in the event loop.
+	// PublishPolicy makes the applied policy records effective. requestedAt is the time of the
+	// request for the listing or watch response that delivered the records. PublishPolicy must
+	// be called in the event loop.
 	PublishPolicy(requestedAt time.Time)
 }
 
 // Cloud reports the state of the cloud provider's API.
 type Cloud interface {
-	// Unavailable reports whether requests to the cloud are suspended after it failed to answer.
+	// Unavailable reports whether requests to the cloud are suspended because earlier ones were
+	// not answered.
 	Unavailable(now time.Time) bool
 }
 
@@ -104,12 +106,12 @@
 	ApplyFinalRecord(id string, raw []byte)
 	// ApplyJobRecord applies the record of an accepted job. The record is immutable.
 	ApplyJobRecord(id string, raw []byte)
-	// SetFinalState marks a job as done or cancelled. at is the earliest time at which that may have
-	// happened.
+	// SetFinalState marks a job as done or cancelled. at is the earliest time at which the job
+	// may have ended.
 	SetFinalState(id, status string, at time.Time)
 }
 
-// EventApplier applies changes of this controller before the watch delivers them.
+// EventApplier applies changes that this controller has committed, before the watch delivers them.
 type EventApplier interface {
 	// ApplyEvent applies a state store event. It must be called in the event loop.
 	ApplyEvent(e protocol.Event)
--- a/internal/coordination/api/feasibility.go
+++ b/internal/coordination/api/feasibility.go
@@ -24,8 +24,9 @@
 }
 
 // checkDependencies returns the reason why a job's dependencies are invalid, or "" if they are
-// valid. An accepted job stays accepted, so a job in memory need not be read. Other jobs are
-// read from the state store, since another controller may have just accepted them (rule 20).
+// valid. An accepted job stays accepted, so a dependency that is in memory need not be read. Other
+// dependencies are read from the state store, since another controller may have just accepted them
+// (rule 20).
 func (s *Server) checkDependencies(ctx context.Context, spec *protocol.JobSpec) (reason string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dependencyLookupTimeout)
 	defer cancel()
@@ -52,7 +53,8 @@
 	known, service := false, false
 	s.loop.Do(func() {
 		job := s.Jobs[id]
-		// A service is never done. For a cancelled job, only its record says whether it was one.
+		// A service is never done. Whether a cancelled job was a service is only in the
+		// job's record.
 		known = job != nil || s.FinalStates[id] == protocol.StatusDone
 		service = job != nil && job.Spec.Service
 	})
--- a/internal/coordination/api/policy.go
+++ b/internal/coordination/api/policy.go
@@ -27,8 +27,8 @@
 	maxDetailBytes = 500
 )
 
-// policyChangeLimit returns the maximum number of records in one policy change. The same
-// transaction also changes the policy's head and the records of the audit log.
+// policyChangeLimit returns the maximum number of records in one policy change. Its transaction
+// also changes the policy's head and the audit log's records.
 func (s *Server) policyChangeLimit() int { return max(1, s.store.TxnOps()-1-auth.AuditChanges) }
 
 // changePolicy applies a policy change requested by an administrator.
@@ -195,9 +195,9 @@
 	return success(http.StatusOK, page), nil
 }
 
-// pageOf returns the records whose names are greater than after, as many as fit into a page, and
-// whether there are more. The records must be sorted by name. The first record of a page does
-// not count toward the size limit, so that a page is never empty while there are more.
+// pageOf returns as many of the records whose names are greater than after as fit into a page, and
+// whether there are more. The records must be sorted by name. The first record of a page does not
+// count toward the size limit, so that a page is never empty while there are more.
 func pageOf[Record any](records []Record, after string, name func(*Record) string) (page []Record, more bool) {
 	size := 0
 	for i := range records {
--- a/internal/coordination/api/reassign.go
+++ b/internal/coordination/api/reassign.go
@@ -19,8 +19,9 @@
 	// conditionsPerChange is the ratio of the maximum number of conditions in a transaction to
 	// the maximum number of changes.
 	conditionsPerChange = 4
-	// otherReassignConditions is the number of conditions of a reassignment apart from those on
-	// run records: one each on the final record, the successor's record and the audit batch.
+	// otherReassignConditions is the number of a reassignment's conditions on records other
+	// than run records: one each on the final record, the successor's record and the audit
+	// batch.
 	otherReassignConditions = 3
 )
 
@@ -30,7 +31,8 @@
 	from, to rights.Queue
 	// partition is the partition that holds the job's run records.
 	partition int
-	// spec is the specification of the job, successor that of the job that replaces it.
+	// spec is the specification of the job, and successor the specification of the job that
+	// replaces it.
 	spec, successor *protocol.JobSpec
 	// value is the encoded record of the successor.
 	value []byte
@@ -185,7 +187,7 @@
 	return success(http.StatusOK, status), nil
 }
 
-// showArguments returns the arguments with which a job was submitted.
+// showArguments returns the arguments in a job's submission.
 func (s *Server) showArguments(ctx context.Context, req request) (transport.Response, error) {
 	queue, err := s.auth.AuthorizeJob(ctx, req.caller, rights.ViewArguments, req.job)
 	if err != nil {
--- a/internal/coordination/api/routes.go
+++ b/internal/coordination/api/routes.go
@@ -40,8 +40,8 @@
 // route describes how requests for a path are handled.
 type route struct {
 	method string
-	// verb is the request's verb in audit records; empty if the request is not from a user, so
-	// that its handler authenticates the sender if necessary.
+	// verb is the request's verb in audit records; empty if the request is not from a user. The
+	// handler of such a request authenticates the sender if necessary.
 	verb string
 	// requiresAuth is set if the path exists only while authentication is enabled.
 	requiresAuth bool
--- a/internal/coordination/api/routes_test.go
+++ b/internal/coordination/api/routes_test.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/protocol"
 )
 
-// TestFindRoute checks the method, the verb and the job id of each path. A path without a
-// method has no route.
+// TestFindRoute checks the method, the verb and the job id of each path. A case without a method
+// expects no route.
 func TestFindRoute(t *testing.T) {
 	for _, tc := range []struct{ path, method, verb, job string }{
 		{"/checkin", "POST", "", ""},
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestBodies checks that response types are encoded like maps with the names on the wire.
+// TestBodies checks the field names in encoded responses.
 func TestBodies(t *testing.T) {
 	batches := []audit.NumberedBatch{{Chain: "spindle-0", Number: 7, Batch: audit.Batch{Prev: "p", Lines: []string{"{}"}, Signer: "k", Sig: "s"}}}
 	for _, tc := range []struct{ got, want any }{
@@ -55,7 +55,7 @@
 		{auditBatches{}, map[string]any{"batches": []audit.NumberedBatch(nil)}},
 	} {
 		if got, want := protocol.Encode(tc.got), protocol.Encode(tc.want); !bytes.Equal(got, want) {
-			t.Errorf("encoding of %+v: got %q, want %q", tc.got, got, want)
+			t.Errorf("encoded response %+v: got %q, want %q", tc.got, got, want)
 		}
 	}
 }
--- a/internal/coordination/api/server.go
+++ b/internal/coordination/api/server.go
@@ -99,7 +99,7 @@
 	return response, err
 }
 
-// serveCaller authenticates the caller, authorizes the request if its route says so, and runs
+// serveCaller authenticates the caller, authorizes the request if the route requires it, and runs
 // the handler.
 func (s *Server) serveCaller(ctx context.Context, route *route, req *transport.Request, job string) (transport.Response, error) {
 	caller, err := s.auth.Authenticate(req, route.verb)
--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -63,8 +63,8 @@
 	return s.unknownJobStatus(ctx, status)
 }
 
-// knownJobStatus returns the state of a job that is unfinished in memory, after reading from the
-// state store whether it has ended.
+// knownJobStatus returns the state of a job that is unfinished in memory. It first checks in the
+// state store whether the job has ended.
 func (s *Server) knownJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	finalKey := storage.FinalKey(status.ID)
 	unfinished, err := s.store.UserKeyAbsent(ctx, finalKey)
@@ -85,8 +85,8 @@
 	return status, true, nil
 }
 
-// unknownJobStatus returns the state of a job that is not in memory, after reading its records
-// and applying them.
+// unknownJobStatus returns the state of a job that is not in memory. It reads and applies the job's
+// records.
 func (s *Server) unknownJobStatus(ctx context.Context, status protocol.JobStatus) (protocol.JobStatus, bool, error) {
 	list, err := s.store.UserList(ctx, storage.JobPrefix(status.ID))
 	if err != nil || len(list.Items) == 0 {
@@ -119,8 +119,8 @@
 }
 
 // StaleLimit returns the maximum age of this controller's records for reporting a job with
-// unfinished dependencies as queued. Another controller may have reported since then that one
-// of the dependencies is cancelled (rule 22).
+// unfinished dependencies as queued. Another controller may have reported a cancelled dependency
+// since the records were read (rule 22).
 func (s *Server) StaleLimit() time.Duration {
 	return max(minStaleLimit, s.CancelBound-2*cluster.ClockMargin)
 }
@@ -167,8 +167,8 @@
 	return true
 }
 
-// fillStatusFromPeers fills in a job's task counts from the summary of the controller that
-// reports it.
+// fillStatusFromPeers fills in a job's task counts from the summary of the controller that reports
+// the job's progress.
 func (s *Server) fillStatusFromPeers(status *protocol.JobStatus) {
 	for _, peer := range s.Peers {
 		if peer.Summary == nil {
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -34,8 +34,8 @@
 	}
 	check := submissionCheck{malformed: malformed}
 	s.checkSubmission(ctx, &check, req.caller, id, spec)
-	// Before a submission is rejected, the job is looked up: a repeated submission of an
-	// accepted job must never get status 400 or 422.
+	// A repeated submission of an accepted job must never get status 400 or 422, so the job is
+	// looked up before a submission is rejected.
 	if refusal := check.refusal(); check.known || refusal != nil {
 		status, found, err := s.jobStatus(ctx, id)
 		switch {
@@ -56,8 +56,8 @@
 	return s.commitSubmission(ctx, req.caller, queue, id, check.record)
 }
 
-// errMachineTypesUnknown rejects submissions until the machine types are known, since these
-// determine whether a job can run.
+// errMachineTypesUnknown rejects submissions until the machine types are known, which determine
+// whether a job can run.
 var errMachineTypesUnknown = apierror.NotReady("machine types are not known yet", retryMachineTypes)
 
 // submissionCheck is the result of validating a submission.
@@ -66,17 +66,17 @@
 	malformed error
 	// known is set if the job was accepted before.
 	known bool
-	// machineTypesKnown is set if the machine types are known. No job is accepted before.
+	// machineTypesKnown is set if the machine types are known. Until then, no job is accepted.
 	machineTypesKnown bool
-	// infeasible is the reason why the job can't be accepted, "" if it can.
+	// infeasible is the reason why the job can't be accepted, or "" if there is none.
 	infeasible string
-	// readErr is the error of looking up the dependencies.
+	// readErr is the error from the lookup of the dependencies, or nil.
 	readErr error
 	// record is the encoded record of the job.
 	record []byte
 }
 
-// refusal returns the error that rejects the submission if its job is new, or nil.
+// refusal returns the error with which a submission of a new job is rejected, or nil.
 func (c *submissionCheck) refusal() error {
 	switch {
 	case c.malformed != nil:
@@ -123,8 +123,8 @@
 	case errors.As(err, &conflict):
 		return s.answerUncommitted(ctx, caller, id, storage.ErrUnknown)
 	case errors.Is(err, storage.ErrTooLarge):
-		// The state store may check the size before the condition, so the job may already be
-		// accepted. A repeated submission must not be rejected.
+		// The state store may reject a record for its size before it checks that the key is
+		// new. So this may be a repeated submission, which must not be rejected.
 		refusal := apierror.New(http.StatusUnprocessableEntity, tooLargeReason(protocol.JSONSize(record), s.store.ValueBytes()))
 		return s.answerUncommitted(ctx, caller, id, refusal)
 	case err != nil:
@@ -134,8 +134,8 @@
 	return success(http.StatusCreated, protocol.JobStatus{ID: id, Status: protocol.StatusQueued}), nil
 }
 
-// answerUncommitted responds to a submission whose record was not committed. It returns the
-// state of the job if it was accepted before, and the error notFound if not.
+// answerUncommitted responds to a submission whose record was not committed. It returns the state
+// of the job if the job was accepted before, and the error notFound otherwise.
 func (s *Server) answerUncommitted(ctx context.Context, caller *auth.Caller, id string, notFound error) (transport.Response, error) {
 	status, found, err := s.jobStatus(ctx, id)
 	switch {
@@ -195,7 +195,7 @@
 	if known {
 		return queue, nil
 	}
-	// The index lacks jobs that ended before this controller saw their records.
+	// The index lacks jobs that ended before this controller read their records.
 	spec, err := s.auth.ReadSpec(ctx, id)
 	if err != nil {
 		return rights.Queue{}, err
--- a/internal/coordination/api/workers.go
+++ b/internal/coordination/api/workers.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxStateSilence is the maximum time without an answer from the state store before this
-	// controller's health depends on whether other controllers reach it.
+	// maxStateSilence is the time without an answer from the state store after which this
+	// controller is unhealthy if another controller reaches the state store.
 	maxStateSilence = 2500 * time.Millisecond
 	// reachableStateSilenceS is the time since the state store's last answer, in seconds, below
-	// which another controller counts as reaching it.
+	// which another controller is considered to reach it.
 	reachableStateSilenceS = 1.5
 )
 
@@ -47,9 +47,10 @@
 	Status string `msgpack:"status"`
 }
 
-// checkHealth reports whether this controller can serve requests. A controller is unhealthy if
-// it can't reach the state store but others can, so that users are sent to those. If no
-// controller reaches it, all stay healthy: becoming unhealthy would only delay the recovery.
+// checkHealth reports whether this controller can serve requests. A controller is unhealthy if it
+// can't reach the state store but other controllers can, so that users are sent to them. If no
+// controller reaches the state store, all stay healthy, because unhealthy controllers would only
+// delay the recovery.
 func (s *Server) checkHealth(context.Context, request) (transport.Response, error) {
 	healthy := false
 	s.loop.Do(func() { healthy = s.Synced && !s.isolatedFromStateStore(time.Now()) })
--- a/internal/coordination/apierror/apierror_test.go
+++ b/internal/coordination/apierror/apierror_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Only errors that wrap storage.ErrBudget get status 429, whatever the text of the error says.
+// Only errors that wrap storage.ErrBudget get status 429, regardless of the error's text.
 func TestResponseTellsBudgetFromOutage(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/coordination/auth/audit.go
+++ b/internal/coordination/auth/audit.go
@@ -46,7 +46,7 @@
 	return record
 }
 
-// TruncateForAudit truncates a text supplied by a caller to maxAuditTextBytes.
+// TruncateForAudit truncates a caller-supplied text to maxAuditTextBytes.
 func TruncateForAudit(text string) string { return text[:min(len(text), maxAuditTextBytes)] }
 
 // Deny records a denied request in the audit log and returns an error with status 403.
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -44,8 +44,8 @@
 	// policyCurrentAt is the last time at which the published policy was known to be up to
 	// date, in nanoseconds since enabledAt.
 	policyCurrentAt atomic.Int64
-	// UnknownJobLimiters limits, by identity name, the lookups of jobs that are unknown to this
-	// controller.
+	// UnknownJobLimiters are the rate limiters for lookups of jobs that are not in this
+	// controller's memory, by identity name.
 	UnknownJobLimiters *lru.Cache[string, *rate.Limiter]
 
 	// Owned by the event loop.
@@ -85,7 +85,7 @@
 	// a batch, the head of its chain and the signer's certificate.
 	AuditChanges = 3
 	// minTransactionChanges is the number of changes in the largest transaction of a user
-	// request, a reassignment, with AuditChanges.
+	// request: two of a reassignment, and AuditChanges.
 	minTransactionChanges = 2 + AuditChanges
 )
 
--- a/internal/coordination/auth/authentication.go
+++ b/internal/coordination/auth/authentication.go
@@ -83,8 +83,8 @@
 	return credential{name: token.Name, issued: token.Issued, description: "token " + token.ID}, nil
 }
 
-// checkCertificate returns the identity in a client certificate. The TLS handshake has verified
-// the certificate, but it may have expired since.
+// checkCertificate returns the identity in a client certificate. The TLS handshake has verified the
+// certificate, but the certificate may have expired since.
 func (a *Auth) checkCertificate(req *transport.Request) (credential, error) {
 	if now := time.Now().Add(a.clockBound); !now.Before(req.Peer.NotAfter) {
 		return credential{}, errors.New("certificate expired")
@@ -97,7 +97,7 @@
 }
 
 // checkCaller rejects identities that may not send user requests: machines and controllers,
-// identities with a voided token, and those that are revoked or missing from the policy.
+// identities with a voided token, and identities that are revoked or missing from the policy.
 func (a *Auth) checkCaller(caller *Caller, proven *credential, verb string) error {
 	if !proven.name.IsCaller() {
 		return a.Deny(caller, verb, rights.Queue{}, "", "a "+string(proven.name.Kind)+" sends no users' requests")
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// actOnBehalf turns a service's request into one of the user that it names in On-Behalf-Of. The
-// service must authenticate with a certificate and have the Vouch permission. The request is
-// then authorized by the permissions of the user.
+// actOnBehalf makes the user in a service's On-Behalf-Of header the caller of the request. The
+// service must authenticate with a certificate and have the Vouch permission. The request is then
+// authorized by the permissions of the user.
 func (a *Auth) actOnBehalf(caller *Caller, proven *credential, onBehalfOf, verb string) error {
 	view := a.policy.Load()
 	if view == nil || !a.policyFresh() {
@@ -148,7 +148,7 @@
 }
 
 // authenticateByCertificate returns the worker or controller that sent a message. It rejects
-// messages without a client certificate, and certificates whose name accept does not allow.
+// messages without a client certificate, and certificates for whose name accept returns false.
 func (a *Auth) authenticateByCertificate(req *transport.Request, verb string, accept func(identity.Name) bool) (*Caller, error) {
 	if !a.enabled {
 		return nil, nil
--- a/internal/coordination/auth/authorization.go
+++ b/internal/coordination/auth/authorization.go
@@ -22,9 +22,9 @@
 	MaxUnknownJobLimiters = 4096
 )
 
-// serviceOwnVerbs are the permissions of its own that a service may use in requests on behalf of
-// a user. With them it can still view and cancel the jobs that it submitted for a user who has
-// lost these permissions since.
+// serviceOwnVerbs are the permissions of its own that a service may use in requests on behalf of a
+// user. With them, the service can still view and cancel the jobs that it submitted for a user who
+// has lost these permissions since.
 const serviceOwnVerbs = rights.View | rights.Cancel
 
 // errUnknownJobBudget rejects a caller that exceeds the rate limit for unknown jobs.
@@ -52,14 +52,15 @@
 	return policy.AllowsEverywhere(caller.Name, verb) && (caller.Service == "" || policy.AllowsEverywhere(caller.Service, rights.ActOnBehalf))
 }
 
-// IsAdministrator reports whether a caller may change the policy and read the audit log. A
-// request that a service sends on behalf of a user never may.
+// IsAdministrator reports whether a caller may change the policy and read the audit log. Requests
+// that a service sends on behalf of a user may do neither.
 func (a *Auth) IsAdministrator(caller *Caller) bool {
 	view := a.policy.Load()
 	return caller.Service == "" && (view.Rights.AllowsEverywhere(caller.Name, rights.Administer) || a.mayBootstrapPolicy(view, caller.Name))
 }
 
-// mayBootstrapPolicy reports whether there is no policy yet and an identity may write the first.
+// mayBootstrapPolicy reports whether there is no policy yet and an identity may write the first
+// one.
 func (a *Auth) mayBootstrapPolicy(view *PolicyView, name string) bool {
 	return view.Version == 0 && a.bootstrapIdentity != "" && name == a.bootstrapIdentity
 }
@@ -82,8 +83,9 @@
 	if known && a.Allows(caller, verb, queue) {
 		return queue, nil
 	}
-	// A known job on whose queue the caller lacks the permission is read like an unknown one,
-	// so that neither the response time nor the rate limit tells them apart.
+	// A job in memory on whose queue the caller lacks the permission is looked up like a job
+	// that is not in memory, so that neither the response time nor the rate limit reveals
+	// whether the job exists.
 	spec, err := a.readUnknownJob(ctx, caller, id)
 	switch {
 	case errors.Is(err, storage.ErrNotFound) && everywhere:
@@ -114,8 +116,8 @@
 	return a.ReadSpec(ctx, id)
 }
 
-// allowUnknownJobLookup takes a token from an identity's rate limiter for unknown jobs, and
-// reports whether there was one.
+// allowUnknownJobLookup reports whether an identity's rate limiter allows another lookup of an
+// unknown job.
 func (a *Auth) allowUnknownJobLookup(name string) bool {
 	limiter, ok := a.UnknownJobLimiters.Get(name)
 	if !ok {
--- a/internal/coordination/auth/jobqueues.go
+++ b/internal/coordination/auth/jobqueues.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// JobQueue returns the queue of a job, and whether this controller knows the job. It must be
-// called in the event loop.
+// JobQueue returns the queue of a job, and whether the job is in this controller's index. It must
+// be called in the event loop.
 func (a *Auth) JobQueue(id string) (queue rights.Queue, known bool) { return a.jobQueues.queueOf(id) }
 
 // jobQueueIndex holds the queue of every job, including finished jobs. Since there are many
--- a/internal/coordination/auth/policy.go
+++ b/internal/coordination/auth/policy.go
@@ -54,8 +54,8 @@
 func (a *Auth) DropUnlistedPolicy(listed map[string]bool) { a.records.dropUnlisted(listed) }
 
 // PublishPolicy publishes the applied records as the new PolicyView, once for all records that
-// arrived together. requestedAt is when the listing or watch that delivered them was requested.
-// It must be called in the event loop.
+// arrived together. requestedAt is the time of the request for the listing or watch response that
+// delivered the records. PublishPolicy must be called in the event loop.
 func (a *Auth) PublishPolicy(requestedAt time.Time) {
 	if !a.enabled {
 		return
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/telemetry"
 )
 
-// recordTimeout limits one write of machine records.
+// recordTimeout is the timeout of a write of machine records.
 const recordTimeout = 4 * time.Second
 
 // Autoscaler scales the fleet while this controller is the cluster leader. Its state is
--- a/internal/coordination/autoscaler/catalog.go
+++ b/internal/coordination/autoscaler/catalog.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// catalogCheckInterval is how often CatalogLoop checks whether it must fetch the catalog.
+	// catalogCheckInterval is the interval at which CatalogLoop checks whether it must fetch
+	// the catalog.
 	catalogCheckInterval = time.Second
-	// catalogRefreshInterval is how often the cluster leader fetches the catalog.
+	// catalogRefreshInterval is the interval at which the cluster leader fetches the catalog.
 	catalogRefreshInterval = 20 * time.Second
 )
 
@@ -43,8 +44,8 @@
 	}
 }
 
-// recordCatalog writes the catalog to the state store, if it is not there yet, for controllers that
-// start while the cloud API is unavailable.
+// recordCatalog writes the catalog to the state store, unless it is already recorded. Controllers
+// that start while the cloud API is unavailable read it there.
 func (a *Autoscaler) recordCatalog(catalog protocol.Catalog) {
 	ctx := a.loop.Context()
 	if _, err := a.store.Get(ctx, storage.CatalogKey); !errors.Is(err, storage.ErrNotFound) {
--- a/internal/coordination/autoscaler/collaborators.go
+++ b/internal/coordination/autoscaler/collaborators.go
@@ -40,9 +40,9 @@
 	PartitionSummaries(now time.Time) []*peer.PartitionSummary
 }
 
-// Scheduler knows the pending work of all partitions.
+// Scheduler provides the scarcity of machine types.
 type Scheduler interface {
-	// Scarcity returns how scarce each machine type is, given the unfinished jobs that need it and
-	// the alternatives that these have.
+	// Scarcity returns the scarcity of each machine type, given the unfinished jobs that need
+	// the type and the other types on which these jobs can run.
 	Scarcity(now time.Time) binpack.Scarcity
 }
--- a/internal/coordination/autoscaler/leadership_update.go
+++ b/internal/coordination/autoscaler/leadership_update.go
@@ -19,12 +19,12 @@
 	// maxRefusalS is the limit on the remaining seconds of a capacity refusal in an update. A
 	// refusal with a longer remaining time is ignored.
 	maxRefusalS = 60
-	// leaderUpdateTTL is how long after its receipt an update may be used.
+	// leaderUpdateTTL is the time after its receipt for which an update may be used.
 	leaderUpdateTTL = 10 * time.Second
 )
 
-// LeaderUpdate returns what the next cluster leader needs to continue: the scale-out requests in
-// progress, the capacity refused by the cloud, and the recent machine moves.
+// LeaderUpdate returns the state that the next cluster leader needs to continue: the scale-out
+// requests in progress, the capacity refused by the cloud, and the recent machine moves.
 func (a *Autoscaler) LeaderUpdate(now time.Time) *peer.ReplicaUpdate {
 	leadership := &a.Leadership
 	update := &peer.LeaderUpdate{}
@@ -53,7 +53,7 @@
 }
 
 // ResumeLeadership continues the work of the former leader from its last update. Unanswered
-// requests to the cloud are repeated under their own names, so that no machine is created twice
+// requests to the cloud are repeated under the same names, so that no machine is created twice
 // (rule 18).
 func (a *Autoscaler) ResumeLeadership(last cluster.LeaderUpdate, now time.Time) {
 	if last.Update == nil || now.Sub(last.ReceivedAt) > leaderUpdateTTL || last.From == a.Settings.Label {
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -13,19 +13,18 @@
 const (
 	// minListInterval is the minimum time between two listings of the cloud's machines.
 	minListInterval = 2 * time.Second
-	// listsPerLag is how often the machines are listed during the time by which the cloud's list
-	// may lag.
+	// listsPerLag is the number of listings during the time by which the cloud's list may lag.
 	listsPerLag = 3
-	// A listed machine without a record counts as unrecorded if it is older, in seconds, than
-	// unrecordedMinAgeS plus unrecordedMinLags times the lag of the list. The record of a younger
-	// one may still be about to be written.
+	// A listed machine without a record counts as unrecorded if its age in seconds exceeds
+	// unrecordedMinAgeS plus unrecordedMinLags times the lag of the list. The record of a
+	// younger machine may not have been written yet.
 	unrecordedMinAgeS, unrecordedMinLags = 4, 2
 	// listedAdoptionDelay is the time after the start of this controller during which the cloud's
 	// list is not searched for unrecorded machines.
 	listedAdoptionDelay = 5 * time.Second
 )
 
-// listInterval returns how often the cluster leader lists the cloud's machines.
+// listInterval returns the interval at which the cluster leader lists the cloud's machines.
 func (a *Autoscaler) listInterval() time.Duration {
 	return max(minListInterval, settings.Seconds(a.Settings.Params.Cloud.ListLagS/listsPerLag))
 }
@@ -48,9 +47,9 @@
 	})
 }
 
-// unrecordedMachines returns the machines that have no record, with the records to write for them.
-// They were there before the cluster started, or belong to scale-outs whose answer was lost. They
-// have sent heartbeats or are in the cloud's list.
+// unrecordedMachines returns the machines that have no record, with the records to write for them:
+// machines that have sent heartbeats or are in the cloud's list. Such machines existed before the
+// cluster started, or belong to scale-outs whose answer was lost.
 func (a *Autoscaler) unrecordedMachines(now time.Time) map[string]storage.Machine {
 	unrecorded := map[string]storage.Machine{}
 	for _, machine := range a.UnregisteredMachines {
--- a/internal/coordination/autoscaler/machine_records.go
+++ b/internal/coordination/autoscaler/machine_records.go
@@ -10,12 +10,13 @@
 	"micaspindle/internal/storage"
 )
 
-// recordBackoff is the pause, before jitter, until the records of new machines are written again.
+// recordBackoff is the pause, before jitter, between attempts to write the records of new machines.
 var recordBackoff = retry.Backoff{First: 666 * time.Millisecond, Max: 666 * time.Millisecond}
 
 // recordMachines writes the same record for each of several new machines, in one or more
-// transactions. It retries until all are written, another writer has written one of them, or this
-// controller is no longer the leader. Machines that remain without a record are adopted later.
+// transactions. It retries until all records are written, another writer has written one of the
+// records, or this controller is no longer the leader. Machines that remain without a record are
+// adopted later.
 func (a *Autoscaler) recordMachines(names []string, record storage.Machine) {
 	retries := a.loop.NewRetryCounter("records", recordBackoff)
 	for len(names) > 0 {
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -8,12 +8,12 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// machineRequestTimeout limits a request to another controller.
+// machineRequestTimeout is the timeout of a request to another controller.
 const machineRequestTimeout = 3 * time.Second
 
-// askPartitionLeader sends the leader of a partition a request about one of its machines, and calls
-// onAccepted if the leader accepts it. Both happen in a new goroutine. It must be called in the
-// event loop.
+// askPartitionLeader starts a goroutine that sends the leader of a partition a request about one of
+// the partition's machines, and calls onAccepted if the leader accepts the request. It must be
+// called in the event loop.
 func (a *Autoscaler) askPartitionLeader(partition int, request *peer.MachineRequest, onAccepted func()) {
 	leader := a.Partitions[partition].Leader
 	a.loop.Go(func() {
--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -8,8 +8,8 @@
 	"micaspindle/internal/storage"
 )
 
-// adoptLaterBackdate is how much sooner a machine whose adoption was put off is considered again
-// than one whose adoption failed.
+// adoptLaterBackdate shortens the wait for the next attempt to adopt a machine if the adoption was
+// postponed and did not fail.
 const adoptLaterBackdate = 3 * time.Second
 
 // LeaderLoop periodically lists the cloud's machines and reconciles the fleet while this controller
@@ -85,7 +85,8 @@
 	a.loop.Go(func() { a.deleteMachines(names) })
 }
 
-// move asks the leader of a machine's partition to move the machine to another partition.
+// move requests from the leader of a machine's partition that the machine be moved to another
+// partition.
 func (a *Autoscaler) move(move scaling.Move, now time.Time) {
 	a.Leadership.MovedAt[move.Name] = now
 	a.log.Info("machine move started", "machine", move.Name, "partition", move.To, "former_partition", move.From)
@@ -95,7 +96,8 @@
 	})
 }
 
-// scaleIn asks the leader of a machine's partition to retire the machine, and then deletes it.
+// scaleIn requests from the leader of a machine's partition that the machine be retired, and then
+// deletes it.
 func (a *Autoscaler) scaleIn(name string, now time.Time) {
 	a.Leadership.DeletionRequestedAt[name] = now
 	record := a.Machines[name].Record
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -17,7 +17,8 @@
 const (
 	// maxScaleOut is the maximum number of machines in one request.
 	maxScaleOut = 50
-	// refusedCapacityTTL is how long capacity that the cloud refused is not requested again.
+	// refusedCapacityTTL is the time for which capacity that the cloud refused is not requested
+	// again.
 	refusedCapacityTTL = 15 * time.Second
 )
 
@@ -43,7 +44,7 @@
 }
 
 // finishScaleOut repeats a request under its name until it is answered or this controller no longer
-// leads under the given lease revision. In the latter case the next leader continues it.
+// leads under the given lease revision. In the latter case, the next leader continues the request.
 func (a *Autoscaler) finishScaleOut(name string, request *cluster.ScaleOutRequest, leaseRevision uint64) {
 	kind := request.Kind
 	body := protocol.CreateMachinesRequest{Request: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: request.Count}
--- a/internal/coordination/autoscaler/scaling_view.go
+++ b/internal/coordination/autoscaler/scaling_view.go
@@ -17,8 +17,8 @@
 	// assignmentLag is the time until a new machine's record is reflected in the summaries of its
 	// partition's leader.
 	assignmentLag = 300 * time.Millisecond
-	// ordinaryIdleDivisor is the idle time of spot machines before scale-in, divided by that of
-	// ordinary machines, which are more expensive.
+	// ordinaryIdleDivisor is the ratio of the idle times before scale-in of spot machines and
+	// of ordinary machines, which are more expensive.
 	ordinaryIdleDivisor = 3
 )
 
@@ -58,8 +58,8 @@
 	return view
 }
 
-// addSummary adds a controller's summaries of its partitions, received at the given time, to a
-// view: the demands to the partitions, and the machines' statuses to statuses.
+// addSummary adds a controller's summaries of its partitions, received at the given time, to the
+// scaling input: the demands to the partitions in view, and the machines' statuses to statuses.
 func (a *Autoscaler) addSummary(view *scaling.View, statuses map[string]*peer.MachineStatus, controller string, partitions []*peer.PartitionSummary, receivedAt time.Time) {
 	for _, summary := range partitions {
 		index := int(summary.Partition)
@@ -72,7 +72,8 @@
 				statuses[status.Name] = status
 			}
 		}
-		// A demand reported before a machine was assigned must not cause another scale-out.
+		// Demand that was reported before a machine was assigned to the partition must not
+		// cause another scale-out.
 		if receivedAt.Sub(a.Leadership.MachineAssignedAt[index]) >= assignmentLag {
 			view.Partitions[index].Demands = scalingDemands(summary.Demands)
 		}
--- a/internal/coordination/cloudclient/client.go
+++ b/internal/coordination/cloudclient/client.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// requestTimeout limits a request, including the wait for the rate limiter.
+	// requestTimeout is the timeout of a request, including the wait for the rate limiter.
 	requestTimeout = 5 * time.Second
 	// rateLimitFraction is the fraction of the cloud API's rate limit that is used.
 	rateLimitFraction = 0.8
@@ -29,7 +29,7 @@
 	failureThreshold = 10
 )
 
-// circuitOpenTime is how long the circuit stays open, before jitter.
+// circuitOpenTime is the time for which the circuit stays open, before jitter.
 var circuitOpenTime = retry.Backoff{First: 600 * time.Millisecond, Max: 600 * time.Millisecond}
 
 // errCircuitOpen is returned while the circuit is open because the cloud API does not answer.
--- a/internal/coordination/cloudclient/requests.go
+++ b/internal/coordination/cloudclient/requests.go
@@ -30,8 +30,9 @@
 	return fmt.Sprintf("cloud request %s %s: status %d", e.Method, e.Target, e.Status)
 }
 
-// CapacityRefused reports whether err is the cloud's refusal of a request for machines, because it
-// has no capacity or does not offer the kind of machine. It would refuse the same request again.
+// CapacityRefused reports whether err is the cloud's refusal of a request for machines, because the
+// cloud has no capacity or does not offer the kind of machine. The cloud would refuse the same
+// request again.
 func CapacityRefused(err error) bool {
 	var answer *StatusError
 	return errors.As(err, &answer) && (answer.Status == statusUnavailable || answer.Status == statusBadRequest)
--- a/internal/coordination/cloudclient/requests_test.go
+++ b/internal/coordination/cloudclient/requests_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against taking machines on pages that were not fetched for unlisted.
+// If a page can't be fetched, the machines on it must not be taken for deleted ones.
 func TestMachinesReturnsNoPartialList(t *testing.T) {
 	client := newClient(t, fakeNetwork{
 		"GET /machines?after=&page=500": okResponse(protocol.MachineList{Machines: []protocol.ListedMachine{{Name: "m-1"}}, More: true}),
@@ -65,8 +65,8 @@
 	}
 }
 
-// A request for machines may have created some unless the cloud refused it, so only a refusal ends
-// it.
+// After any error other than a refusal, the request may have created machines. Only a refusal means
+// that it created none and need not be repeated.
 func TestCapacityRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		network fakeNetwork
--- a/internal/coordination/delegation/delegation.go
+++ b/internal/coordination/delegation/delegation.go
@@ -1,9 +1,9 @@
-// Package delegation divides the machines of a partition into shards, which the partition's
-// leader may delegate to other controllers. A delegate holds the agents' connections, answers
-// their heartbeats under a time-limited grant, and forwards heartbeats and commands; all
-// decisions remain with the leader. The package maps machines to shards (ShardOf), plans which
-// controller serves which shard (PlanMoves), and bounds the answers that delegates may have given
-// (Ledger). It sends no messages.
+// Package delegation divides the machines of a partition into shards, which the partition's leader
+// may delegate to other controllers. A delegate holds the agents' connections, answers their
+// heartbeats under a time-limited grant, and forwards heartbeats and commands; all decisions remain
+// with the leader. The package maps machines to shards (ShardOf), plans which controller serves
+// which shard (PlanMoves), and computes the latest time at which a delegate may have answered a
+// machine (Ledger). It sends no messages.
 package delegation
 
 import (
@@ -15,8 +15,9 @@
 // to be listed in messages.
 const ShardCount = 16
 
-// GrantDuration is the longest time for which a delegate may answer after it has requested a
-// grant. Once a former leader has stopped answering, its delegates may go on for as long.
+// GrantDuration is the longest time for which a delegate may answer after it has requested a grant.
+// The delegates of a former leader may continue to answer for that time after the leader has
+// stopped.
 const GrantDuration = 2 * time.Second
 
 // ShardOf returns the index of a machine's shard. It must be the same on all controllers and in all
--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// The leader of all partitions has more machines connected than it should. Its shards are spread, no
-// delegate is filled beyond its limit, no shard moves back and forth, and the plan is deterministic.
+// A leader that leads all partitions has too many connections. Its shards are delegated, no
+// delegate is filled beyond its limit, no shard moves back and forth, and the plan is
+// deterministic.
 func TestPlanBalancesAndConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -97,8 +98,8 @@
 		{"the leader is full, no peer is available", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{unavailable}, MayMove: true}, nil},
 		{"the leader is full, a peer does not support delegation", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{settled}, MayMove: true, Unsupported: true}, nil},
 		{"the delegate is unavailable", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{unavailable}}, []Move{{0, 1, "", "its delegate can't go on"}}},
-		// When the state store fails, no delegate reaches it. If all shards were returned then,
-		// the leader would run out of sockets.
+		// When the state store fails, no delegate reaches it. The delegates must keep their
+		// shards, or the leader would run out of sockets.
 		{"the delegate can't reach the state store", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{unsettled}, MayMove: true}, nil},
 		{"the delegate is not a peer", View{Own: Load{61, 100}, Shards: delegated}, []Move{{0, 1, "", "its delegate can't go on"}}},
 		{"a delegate serves a shard, a peer does not support delegation", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{settled}, Unsupported: true},
@@ -109,7 +110,7 @@
 		{"the peer would be as full", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{{Label: "b", Load: Load{35, 100}, Available: true, Settled: true}}, MayMove: true}, nil},
 	} {
 		if got := PlanMoves(c.view); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: moves %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got moves %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -151,12 +152,12 @@
 		}
 		label := func(i int) string { return fmt.Sprint("c-", i) }
 		answers := make([][]time.Time, ShardCount) // all answers to the shard's machines, in order
-		lastKnown := make([]time.Time, ShardCount) // last answer known to the leader
+		lastKnown := make([]time.Time, ShardCount) // last answer that the leader has received
 		for s := range lastKnown {
 			lastKnown[s] = start
 			answers[s] = []time.Time{start}
 		}
-		silent := make([]time.Time, ShardCount) // a shard's machines send no heartbeats until then
+		silent := make([]time.Time, ShardCount) // time until which a shard's machines send no heartbeats
 		var inFlight []*request
 		for ms := 0; ms < 60_000; ms += 50 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
@@ -192,7 +193,7 @@
 					case 0:
 						r.arrivesAt = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
 					case 1:
-						r.arrivesAt = time.Time{} // lost
+						r.arrivesAt = time.Time{} // the request is lost
 					}
 					if rng.IntN(15) == 0 {
 						r.replyLostAt = now
@@ -240,7 +241,7 @@
 				for i := len(answers[s]) - 1; i >= 0; i-- {
 					if a := answers[s][i]; !a.After(known) {
 						if known.Sub(a) <= lease {
-							t.Fatalf("seed %d, %d ms: shard %d of delegate %q: the ledger bounds the last answer to %s ago, but it was %s ago",
+							t.Fatalf("seed %d, %d ms: shard %d of delegate %q: the ledger reports the last answer at least %s ago, but it was given %s ago",
 								seed, ms, s, l.Delegate(s), known.Sub(answered), known.Sub(a))
 						}
 						break
@@ -263,21 +264,21 @@
 	}
 	for s, n := range counts {
 		if n < 60 || n > 140 {
-			t.Errorf("shard %d holds %d of 1600 machines", s, n)
+			t.Errorf("shard %d has %d of 1600 machines, want 60 to 140", s, n)
 		}
 	}
 	if got := [3]int{ShardOf("m-000001"), ShardOf("m-000231"), ShardOf("")}; got != [3]int{4, 9, 5} {
-		t.Errorf("the shards of three names are %v, want 4, 9 and 5", got)
+		t.Errorf("ShardOf of three machine names: got %v, want [4 9 5]", got)
 	}
 }
 
-// No grant lasts longer than the leader itself may answer.
+// No grant lasts longer than the bound that the leader sets in the renewal.
 func TestGrantsStayWithinTheLeadersBound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Ledger
 	l.Assign(3, "b")
 	if l.Active(3, now) || l.CommandRoute(3, now) != "" {
-		t.Error("a delegate without a grant gets heartbeats or commands")
+		t.Error("the delegate is active or receives commands before it has a grant")
 	}
 	for _, c := range []struct {
 		longest, want time.Duration
@@ -285,7 +286,7 @@
 	}{{time.Minute, GrantDuration, 1}, {time.Second, time.Second, 1}, {0, 0, 0}, {-time.Second, 0, 0}} {
 		granted, d, _ := l.Renew("b", "x", 0, c.longest, now)
 		if d > max(0, c.want) || len(granted) != c.shards {
-			t.Errorf("renewal with a bound of %s: shards %v granted for %s", c.longest, granted, d)
+			t.Errorf("renewal with a bound of %s: got shards %v for %s, want %d shards for at most %s", c.longest, granted, d, c.shards, max(0, c.want))
 		}
 	}
 	if delegate := l.CommandRoute(3, now); delegate != "b" {
--- a/internal/coordination/delegation/ledger.go
+++ b/internal/coordination/delegation/ledger.go
@@ -5,13 +5,13 @@
 // downDuration is the time for which commands bypass a delegate that failed to forward one.
 const downDuration = 5 * time.Second
 
-// driftDivisor is the divisor for the part of a grant's duration that the leader adds to it,
-// since the delegate's clock may run slower: one percent.
+// driftDivisor determines the margin that the leader adds to a grant's duration, since the
+// delegate's clock may run slower: the duration divided by driftDivisor, or one percent.
 const driftDivisor = 100
 
-// Ledger is a leader's record of the delegations of one partition: which controller serves which
-// shard, until when it may answer agents, and up to when all its answers are known. It is valid
-// for one term of the partition lease.
+// Ledger is a leader's record of the delegations of one partition: the delegate of each shard, the
+// end of its grant, and the time up to which the leader has received all its answers. A ledger is
+// valid for one term of the partition lease.
 type Ledger struct {
 	shards [ShardCount]shardGrant
 	links  map[string]*delegateLink
@@ -23,7 +23,7 @@
 	// until is the latest end of any grant to the current delegate.
 	until time.Time
 	// unknownUntil is the latest time at which a former delegate, or a former incarnation of
-	// the current one, may have given answers that the leader will never learn of.
+	// the current one, may have given answers that are never forwarded to the leader.
 	unknownUntil time.Time
 }
 
@@ -37,10 +37,10 @@
 type delegateLink struct {
 	nonce  string // identifies the delegate's incarnation
 	serial uint64 // number of the last reply
-	// repliedAt is the time of the last reply. All answers of the delegate up to knownUntil
-	// are known.
+	// repliedAt is the time of the last reply. The leader has received all answers that the
+	// delegate gave up to knownUntil.
 	repliedAt, knownUntil time.Time
-	downUntil             time.Time // commands bypass the delegate until then
+	downUntil             time.Time // time until which commands bypass the delegate
 }
 
 // Delegate returns the delegate of a shard, or "" if the leader serves it.
@@ -69,13 +69,14 @@
 }
 
 // Renew handles a delegate's request to renew its grant. nonce identifies the delegate's
-// incarnation, after is the serial number of the last reply that it had received, and longest
-// bounds the grant. Renew returns the granted shards, the time after sending the request for which
-// the delegate may answer, and the serial number of the reply.
+// incarnation, after is the serial number of the last reply that the delegate has received, and
+// longest is the maximum duration of the grant. Renew returns the granted shards, the duration of
+// the grant, counted from the time at which the delegate sent the request, and the serial number of
+// the reply.
 //
-// With each request, a delegate forwards the heartbeats that it has answered; it keeps them until
-// they are acknowledged by a reply, and has one request at a time under way. So if it has received
-// the last reply, it has forwarded all heartbeats that it answered before that reply was given.
+// With each request, a delegate forwards the heartbeats that it has answered. It keeps these
+// heartbeats until a reply acknowledges them, and has only one request in flight. So a delegate
+// that has received the last reply has forwarded all heartbeats that it answered before that reply.
 func (l *Ledger) Renew(delegate, nonce string, after uint64, longest time.Duration, now time.Time) (granted []int, duration time.Duration, serial uint64) {
 	link := l.linkOf(delegate, nonce)
 	if link.serial != 0 && after == link.serial {
@@ -88,15 +89,16 @@
 	}
 	granted = l.ShardsOf(delegate)
 	for _, shard := range granted {
-		// The grant counts from when the request was sent, which was before now.
+		// The delegate counts the duration from the time at which it sent the request,
+		// which was before now.
 		until := now.Add(duration + duration/driftDivisor)
 		l.shards[shard].until = later(l.shards[shard].until, until)
 	}
 	return granted, duration, link.serial
 }
 
-// linkOf returns the link to a delegate's incarnation. For a new incarnation it creates a new link:
-// the former one never forwards the heartbeats that it answered last.
+// linkOf returns the link to a delegate's incarnation. For a new incarnation it creates a new link,
+// because the former incarnation never forwards the heartbeats that it answered last.
 func (l *Ledger) linkOf(delegate, nonce string) *delegateLink {
 	if link := l.links[delegate]; link != nil && link.nonce == nonce {
 		return link
@@ -114,17 +116,17 @@
 	return link
 }
 
-// Active reports whether a shard's agents should send their heartbeats to its delegate: its grant
-// is valid and was renewed recently.
+// Active reports whether a shard's agents should send their heartbeats to the delegate. This
+// requires that the delegate's grant is valid and was renewed recently.
 func (l *Ledger) Active(shard int, now time.Time) bool {
 	grant := &l.shards[shard]
 	link := l.links[grant.delegate]
 	return link != nil && now.Sub(link.repliedAt) < GrantDuration/2 && grant.until.After(now)
 }
 
-// AnswerBounds bounds the time of the last answer to a machine of a shard whose last known answer
-// was at lastAnswer: no answer was given after answered and up to known. The machine's lease has
-// expired if the time between the two exceeds it.
+// AnswerBounds returns an interval without answers to a machine in a shard: no answer was given
+// after answered and up to known. lastAnswer is the time of the last answer to the machine that the
+// leader has received. The machine's lease has expired if the interval is longer than the lease.
 func (l *Ledger) AnswerBounds(shard int, lastAnswer, now time.Time) (known, answered time.Time) {
 	grant := &l.shards[shard]
 	answered = later(lastAnswer, grant.unknownUntil)
@@ -149,9 +151,9 @@
 	}
 }
 
-// FenceRoute returns the delegate that forwards commands that only raise the fencing token, or "" if
-// they go directly to the agents. It may be a delegate without a grant, since these commands are
-// safe on any route.
+// FenceRoute returns the delegate that forwards messages that only raise the fencing token, or ""
+// if they go directly to the agents. The delegate needs no grant, since these messages are safe on
+// any route.
 func (l *Ledger) FenceRoute(shard int, now time.Time) string {
 	delegate := l.shards[shard].delegate
 	if link := l.links[delegate]; link != nil && !now.After(link.downUntil) {
@@ -169,8 +171,8 @@
 	return l.FenceRoute(shard, now)
 }
 
-// LatestGrantEnd returns the latest time at which a delegate may answer under a grant of this ledger,
-// or zero if there was none.
+// LatestGrantEnd returns the latest time at which a delegate may answer under a grant of this
+// ledger, or zero if there was no grant.
 func (l *Ledger) LatestGrantEnd() time.Time {
 	last := time.Time{}
 	for shard := range l.shards {
--- a/internal/coordination/delegation/plan.go
+++ b/internal/coordination/delegation/plan.go
@@ -16,12 +16,14 @@
 
 // Fractions of a controller's capacity that are in use.
 const (
-	// delegateAbove is the fraction above which a leader delegates shards.
+	// delegateAbove is the fraction of the leader's capacity in use above which it delegates
+	// shards.
 	delegateAbove = 0.5
-	// delegateFillLimit is the fraction up to which a delegate may be filled.
+	// delegateFillLimit is the maximum fraction of a delegate's capacity in use after a
+	// delegation.
 	delegateFillLimit = 0.75
-	// returnBelow is the fraction up to which a leader takes shards back, provided that this
-	// does not fill it beyond returnFillLimit.
+	// returnBelow is the maximum fraction of the leader's capacity in use at which it takes a
+	// shard back, and returnFillLimit the maximum fraction with that shard.
 	returnBelow     = 0.3
 	returnFillLimit = 0.4
 )
@@ -39,11 +41,11 @@
 type Peer struct {
 	Label string
 	Load  Load
-	// Available is true if it is alive, is not draining and supports delegation. It then keeps
-	// the shards that it has.
+	// Available is true if the controller is alive, is not draining and supports delegation. An
+	// available delegate keeps its shards.
 	Available bool
-	// Settled is true if it has been alive for a while and reaches the state store. If it is
-	// available too, it may get more shards.
+	// Settled is true if the controller has been alive for a while and reaches the state store.
+	// A controller that is available and settled may receive more shards.
 	Settled bool
 }
 
@@ -59,11 +61,11 @@
 	Own    Load
 	Shards []Shard
 	Peers  []Peer
-	// Unsupported is true if some live controller does not support delegation. Then nothing
-	// may be delegated.
+	// Unsupported is true if a live controller does not support delegation. No shard may be
+	// delegated then.
 	Unsupported bool
-	// MayMove is true if the last move was at least MoveInterval ago, MayReturn if it was at
-	// least ReturnInterval ago.
+	// MayMove is true if the last move was at least MoveInterval ago, and MayReturn if the last
+	// move was at least ReturnInterval ago.
 	MayMove, MayReturn bool
 }
 
@@ -116,7 +118,7 @@
 	}
 }
 
-// reclaimShards returns all shards to the leader whose delegates may not keep them.
+// reclaimShards returns the moves that take all shards back from delegates that may not keep them.
 func reclaimShards(v View) (moves []Move) {
 	available := map[string]bool{}
 	for _, p := range v.Peers {
@@ -134,7 +136,8 @@
 	return moves
 }
 
-// delegateShard moves the largest shard that fits to the least loaded controller that can take it.
+// delegateShard returns the move of the largest possible shard to the least loaded controller that
+// can take it.
 func delegateShard(v View) (Move, bool) {
 	if !v.MayMove || v.Own.utilizationWith(0) <= delegateAbove {
 		return Move{}, false
@@ -168,7 +171,8 @@
 	return filled <= delegateFillLimit && filled < leader.utilizationWith(-shard.Machines)
 }
 
-// returnShard returns the smallest delegated shard to a leader with a low load.
+// returnShard returns the move of the smallest delegated shard back to the leader, if the leader's
+// load is low.
 func returnShard(v View) (Move, bool) {
 	if !v.MayReturn || v.Own.utilizationWith(0) > returnBelow {
 		return Move{}, false
--- a/internal/coordination/peerapi/bounds.go
+++ b/internal/coordination/peerapi/bounds.go
@@ -14,9 +14,9 @@
 // maxSummaryBytes is the size in bytes of the summary of a controller with 4,000 machines.
 const maxSummaryBytes = 2 << 20
 
-// bodyMemoryDivisor limits the size of a message: it may take the memory of the process divided by
-// bodyMemoryDivisor, because messages on all connections between controllers may be in memory at
-// the same time.
+// bodyMemoryDivisor determines the limit on the size of a message: the memory of the process
+// divided by bodyMemoryDivisor, because messages on all connections between controllers may be in
+// memory at the same time.
 const bodyMemoryDivisor = 128
 
 // MaxBody returns the size in bytes of the largest message that is accepted from another
--- a/internal/coordination/peerapi/call.go
+++ b/internal/coordination/peerapi/call.go
@@ -32,7 +32,7 @@
 }
 
 // Call sends a request to another controller and decodes the reply. Any status other than 200 is an
-// error; 404 means that the other controller's version does not know the path. If the error wraps
+// error; 404 means that the other controller's version does not serve the path. If the error wraps
 // transport.ErrNotSent, the request was not sent and will never arrive.
 func Call(ctx context.Context, network storage.Requester, timeout time.Duration, addr, path string, request, reply proto.Message) error {
 	body, err := proto.Marshal(request)
--- a/internal/coordination/peering/collaborators.go
+++ b/internal/coordination/peering/collaborators.go
@@ -9,9 +9,10 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Proxy knows how many machines this controller serves, and serves shards as a delegate.
+// Proxy serves shards as a delegate and reports this controller's load.
 type Proxy interface {
-	// Load returns how many machines this controller serves, and for how many its sockets suffice.
+	// Load returns the number of machines that this controller serves, and the number for which
+	// its sockets suffice.
 	Load(now time.Time) delegation.Load
 	// SummaryReceived handles a summary in which a leader may delegate shards to this controller.
 	SummaryReceived(summary *peer.Summary)
@@ -28,15 +29,15 @@
 	// EstimateS returns the submitter's estimate of a task's run time in seconds, corrected by the
 	// observed run times of the job's class.
 	EstimateS(spec *protocol.JobSpec) float64
-	// Queue returns the jobs of a partition that need attention, in scheduling order: jobs with
-	// waiting tasks or with records to write, and jobs that are about to end.
+	// Queue returns the jobs of a partition that have waiting tasks, run records to write or a
+	// completion to commit, in scheduling order.
 	Queue(partition *cluster.Partition) []*cluster.Job
 }
 
 // Jobs tracks jobs and their cancellations.
 type Jobs interface {
-	// ApplyCancellationNotices applies the cancellations in another controller's summary, which
-	// that controller has seen committed. A cancellation record never changes, so a notice is valid
-	// however late it arrives.
+	// ApplyCancellationNotices applies the committed cancellations in another controller's
+	// summary. A cancellation record never changes, so a notice is valid however late it
+	// arrives.
 	ApplyCancellationNotices(summary *peer.Summary, now time.Time)
 }
--- a/internal/coordination/peering/demand.go
+++ b/internal/coordination/peering/demand.go
@@ -42,8 +42,9 @@
 	return list
 }
 
-// countWithinTeamLimit returns how many waiting tasks of a job may start within the team's limits,
-// given what the team uses and what the jobs handled before have taken.
+// countWithinTeamLimit returns the number of a job's waiting tasks that may start within the team's
+// limits. These limits are reduced by the team's usage and by taken, the resources for jobs handled
+// before.
 func (e *Exchange) countWithinTeamLimit(partition *cluster.Partition, job *cluster.Job, taken binpack.Compute) int {
 	count := len(job.Pending)
 	team, used := e.Settings.Params.Teams[job.Team], partition.Usage[job.Team]
@@ -56,8 +57,8 @@
 	return count
 }
 
-// placeOnExpected takes the resources for tasks of a job from expected machines, and returns the
-// number of tasks left over.
+// placeOnExpected reserves the resources for tasks of a job on expected machines, and returns the
+// number of tasks that did not fit.
 func placeOnExpected(expected []expectedMachine, spec *protocol.JobSpec, count int) int {
 	constraints, needed := cluster.ConstraintsOf(spec), cluster.ResourcesOf(spec)
 	for i := range expected {
--- a/internal/coordination/peering/exchange.go
+++ b/internal/coordination/peering/exchange.go
@@ -20,14 +20,14 @@
 // SummaryPath is the path at which controllers accept summaries from each other.
 const SummaryPath = "/peer/summary"
 
-// SummaryInterval is the interval at which each other controller is sent a summary.
+// SummaryInterval is the interval between two summaries to the same controller.
 const SummaryInterval = 500 * time.Millisecond
 
 const (
-	// summaryTimeout limits one request with a summary.
+	// summaryTimeout is the timeout of a request with a summary.
 	summaryTimeout = time.Second
-	// summaryMaxAge is how long a cached summary is sent. It is a little shorter than the interval,
-	// so that each round of requests sends a new one.
+	// summaryMaxAge is the maximum age of a cached summary. It is slightly shorter than
+	// SummaryInterval, so that each round of requests sends a new summary.
 	summaryMaxAge = SummaryInterval * 4 / 5
 )
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// sendSummary sends a summary without retries: the next one replaces it.
+// sendSummary sends a summary without retries, because the next summary replaces it.
 func (e *Exchange) sendSummary(label, addr string, body []byte) {
 	ctx, cancel := context.WithTimeout(e.loop.Context(), summaryTimeout)
 	defer cancel()
@@ -121,8 +121,8 @@
 	}
 }
 
-// MarshalledSummary returns the encoded summary, which it renews if the cached one is too old. It
-// returns nil until the shared records have been read.
+// MarshalledSummary returns the cached encoded summary, or a new one if the cached summary is too
+// old. It returns nil until the shared records have been read.
 func (e *Exchange) MarshalledSummary(now time.Time) []byte {
 	cached := &e.SummaryCache
 	if e.Synced && (cached.body == nil || now.Sub(cached.MarshalledAt) >= summaryMaxAge) {
--- a/internal/coordination/peering/partition_summary.go
+++ b/internal/coordination/peering/partition_summary.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// neverUpGrace is how long a new leader waits for the first heartbeat of a machine whose boot
-	// timeout has passed.
+	// neverUpGrace is the time for which a new leader waits for the first heartbeat of a
+	// machine whose boot timeout has passed.
 	neverUpGrace = 10 * time.Second
-	// firstHeartbeatMargin is added to the heartbeat interval in the wait for the first heartbeat
-	// of a machine that was just moved to this partition.
+	// firstHeartbeatMargin is the time, in addition to the heartbeat interval, within which a
+	// machine that was moved to this partition is expected to send its first heartbeat here.
 	firstHeartbeatMargin = time.Second
 )
 
@@ -81,8 +81,8 @@
 		now.Sub(machine.HeartbeatsExpectedSince) > neverUpGrace && machine.Age(now) > bootTimeout(machine.Type)
 }
 
-// isExpected reports whether a machine is expected to run waiting tasks soon: it is booting or was
-// just moved to this partition, and it has sent no heartbeat or is not fenced yet.
+// isExpected reports whether a machine is expected to run waiting tasks soon: the machine is
+// booting or was just moved to this partition, and it has sent no heartbeat or is not fenced yet.
 func (e *Exchange) isExpected(machine *cluster.Machine, now time.Time) bool {
 	if machine.Type == nil || machine.Lost || machine.Quarantined || e.IsDeleted(machine.Name) || !machine.RetiringSince.IsZero() {
 		return false
--- a/internal/coordination/proxy/answering.go
+++ b/internal/coordination/proxy/answering.go
@@ -14,8 +14,8 @@
 
 // Responses with which a delegate refuses a heartbeat.
 var (
-	// errSuperseded is returned if the agent has seen a higher fencing token than this controller
-	// knows.
+	// errSuperseded is returned if the agent has received a higher fencing token than this
+	// controller has.
 	errSuperseded = apierror.NotReady("superseded", 1)
 	// errLeaderBehind is returned if too many answered heartbeats wait to be sent to the
 	// partition's leader.
@@ -23,8 +23,8 @@
 )
 
 // AnswerHeartbeat answers an agent's heartbeat on behalf of the partition's leader. It returns
-// false if no grant allows this. The heartbeat is sent to the leader with the next renewal (rule
-// 37).
+// false if this controller has no grant for the machine. The heartbeat is sent to the leader with
+// the next renewal (rule 37).
 func (p *Proxy) AnswerHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, raw []byte, now time.Time) (transport.Response, bool) {
 	partition, assigned := p.Partitions[machine.Record.Partition], p.Assignments[machine.Record.Partition]
 	if p.Draining || partition.Held || !assigned.allows(partition, machine, now) {
--- a/internal/coordination/proxy/assignment.go
+++ b/internal/coordination/proxy/assignment.go
@@ -25,7 +25,7 @@
 	// leader. UnsentBytes is the size of these heartbeats and of those in a request in flight.
 	Unsent      map[string]answeredHeartbeat
 	UnsentBytes int
-	// wakeup makes RenewLoop send a renewal.
+	// wakeup makes RenewLoop send a renewal request early.
 	wakeup chan struct{}
 }
 
@@ -39,7 +39,7 @@
 	return &assignment{Unsent: map[string]answeredHeartbeat{}, wakeup: make(chan struct{}, 1)}
 }
 
-// olderThan reports whether the machine sent h before the other heartbeat.
+// olderThan reports whether the machine sent the heartbeat h before other.
 func (h answeredHeartbeat) olderThan(other answeredHeartbeat) bool {
 	if h.epoch != other.epoch {
 		return h.epoch < other.epoch
@@ -47,8 +47,8 @@
 	return h.sequence < other.sequence
 }
 
-// add stores a heartbeat that is to be sent to the leader, unless a newer one of the machine is
-// stored: heartbeats may arrive out of order.
+// add stores a heartbeat to be sent to the leader, unless a newer heartbeat of the machine is
+// already stored, since heartbeats may arrive out of order.
 func (a *assignment) add(machine string, heartbeat answeredHeartbeat) {
 	if stored, ok := a.Unsent[machine]; ok {
 		if heartbeat.olderThan(stored) {
--- a/internal/coordination/proxy/bounds.go
+++ b/internal/coordination/proxy/bounds.go
@@ -9,8 +9,8 @@
 // serves: one for heartbeats and one for commands.
 const socketsPerMachine = 2
 
-// unsentMemoryDivisor limits the unsent heartbeats of one partition: they may take the memory of
-// the process divided by unsentMemoryDivisor.
+// unsentMemoryDivisor determines the limit on the size of one partition's unsent heartbeats: the
+// memory of the process divided by unsentMemoryDivisor.
 const unsentMemoryDivisor = 32
 
 // UnsentBytesLimit returns the limit, in bytes, on the heartbeats of one partition that were
--- a/internal/coordination/proxy/collaborators.go
+++ b/internal/coordination/proxy/collaborators.go
@@ -13,14 +13,13 @@
 	// ApplyHeartbeat applies a machine's heartbeat to the state, whether it came from the agent or
 	// from a delegate.
 	ApplyHeartbeat(machine *cluster.Machine, heartbeat *protocol.Heartbeat, now time.Time)
-	// SendCommands sends the agent of a machine its commands. A machine has at most one such
-	// request in flight.
+	// SendCommands sends the pending commands to a machine's agent, one request at a time.
 	SendCommands(machine *cluster.Machine)
 	// StopsForCancelledJobs returns stop commands for the attempts of cancelled jobs in a
-	// heartbeat. An answer to a heartbeat renews the leases of all attempts in it, so it must stop
-	// the tasks that are known to be cancelled. This holds for delegates, and for a leader that has
-	// not yet read the partition's records, although neither makes any other decision. A
-	// cancellation is permanent, so the stop command needs no record of its own.
+	// heartbeat. An answer to a heartbeat renews the leases of all attempts in it, so the
+	// answer must stop the tasks that are known to be cancelled. This holds for delegates, and
+	// for a leader that has not yet read the partition's records, although neither makes any
+	// other decision. A cancellation is permanent, so a stop command needs no record.
 	StopsForCancelledJobs(heartbeat *protocol.Heartbeat) []protocol.Command
 }
 
--- a/internal/coordination/proxy/command_delivery.go
+++ b/internal/coordination/proxy/command_delivery.go
@@ -18,8 +18,8 @@
 // commandsPath is the path at which agents accept commands.
 const commandsPath = "/orders"
 
-// forwardAnswerWait is how long a delegate waits for the agents' answers to the commands in one
-// request.
+// forwardAnswerWait is the time for which a delegate waits for the agents' answers to the commands
+// in one request.
 const forwardAnswerWait = 400 * time.Millisecond
 
 // errStopping is returned for commands that arrive after the event loop has ended.
--- a/internal/coordination/proxy/command_forwarding.go
+++ b/internal/coordination/proxy/command_forwarding.go
@@ -18,8 +18,8 @@
 const ForwardCommandsLimit = 64
 
 const (
-	// forwardBatchDelay is how long commands to a delegate are collected, from the first one on,
-	// before they are sent together.
+	// forwardBatchDelay is the time for which commands to a delegate are collected before they
+	// are sent in one request.
 	forwardBatchDelay = 3 * time.Millisecond
 	// forwardBytesLimit is the maximum size of the commands in one request, in bytes. A single
 	// larger command is sent in a request of its own.
@@ -30,8 +30,8 @@
 // may have received the commands, or may still receive them.
 var errDelegateUnanswered = errors.New("no answer from the agent")
 
-// forwardedCommand is the encoded commands for one machine's agent, which are sent through a
-// delegate, with the channel for the result.
+// forwardedCommand holds encoded commands for one machine's agent that are sent through a delegate,
+// and the channel for the result.
 type forwardedCommand struct {
 	machine string
 	body    []byte
@@ -74,7 +74,8 @@
 	}
 }
 
-// batchLen returns how many of the first queued commands fit into one request, at least one.
+// batchLen returns the number of queued commands to send in the next request: as many as fit, but
+// at least one.
 func batchLen(queued []*forwardedCommand) int {
 	n, size := 0, 0
 	for n < len(queued) && n < ForwardCommandsLimit && (n == 0 || size+len(queued[n].body) <= forwardBytesLimit) {
--- a/internal/coordination/proxy/grants.go
+++ b/internal/coordination/proxy/grants.go
@@ -54,8 +54,8 @@
 }
 
 // renewGrant applies the heartbeats in a renewal request and renews the delegate's grant. It
-// returns nil if this controller may not answer heartbeats as the partition's leader, or not under
-// the lease in the request.
+// returns nil if this controller may not answer heartbeats as the partition's leader, or if the
+// request belongs to another lease.
 func (p *Proxy) renewGrant(request *peer.DelegationRequest, heartbeats []*protocol.Heartbeat, now time.Time) *peer.DelegationGrant {
 	if int(request.Partition) >= len(p.Partitions) {
 		return nil
@@ -83,7 +83,7 @@
 		return
 	}
 	machine.AcceptHeartbeat(heartbeat)
-	machine.AnsweredUntil = now // an upper bound, as the delegate answered before now
+	machine.AnsweredUntil = now // an upper bound: the delegate answered before now
 	if heartbeat.Token > p.Token(machine) || !machine.IsNewer(heartbeat) {
 		return // out of order, or older than one received directly or through another delegate
 	}
--- a/internal/coordination/proxy/overview.go
+++ b/internal/coordination/proxy/overview.go
@@ -8,7 +8,7 @@
 	"micaspindle/internal/overview"
 )
 
-// recentMovesLimit is how many recent shard moves are kept for operators.
+// recentMovesLimit is the number of recent shard moves that are kept for operators.
 const recentMovesLimit = 16
 
 // recordMove stores a shard move and drops the oldest ones beyond the limit.
--- a/internal/coordination/proxy/proxy.go
+++ b/internal/coordination/proxy/proxy.go
@@ -34,17 +34,16 @@
 	agents Agents
 	auth   Auth
 
-	// capacity is how many machines the sockets suffice for.
+	// capacity is the number of machines for which the sockets suffice.
 	capacity int
 	// UnsentLimit is the limit, in bytes, on the heartbeats of one partition that were answered
 	// here and not yet sent to its leader.
 	UnsentLimit int
-	// Assignments holds this controller's assignment as a delegate for each partition, by partition
-	// index.
+	// Assignments are the states of this controller as a delegate, by partition index.
 	Assignments []*assignment
-	// ShardMovedAt is when a shard was last moved.
+	// ShardMovedAt is the time of the last move of a shard.
 	ShardMovedAt time.Time
-	// balancedAt is when Rebalance last ran.
+	// balancedAt is the time of the last run of Rebalance.
 	balancedAt time.Time
 	// recentMoves are the last shard moves, for operators, and recentMoveTimes their times.
 	recentMoves     []overview.ShardMove
@@ -81,9 +80,9 @@
 // Observe sets the metrics. It must be called before the event loop starts.
 func (p *Proxy) Observe(metrics *telemetry.Metrics) { p.metrics = metrics }
 
-// Load returns how many machines this controller serves and for how many its sockets suffice. It
-// serves the machines of its own partitions in shards without a delegate, and those of the shards
-// delegated to it.
+// Load returns the number of machines that this controller serves and the number for which its
+// sockets suffice. It serves the machines of its own partitions in shards without a delegate, and
+// those of the shards delegated to it.
 func (p *Proxy) Load(now time.Time) delegation.Load {
 	load := delegation.Load{Capacity: p.capacity}
 	for _, machine := range p.Machines {
--- a/internal/coordination/proxy/rebalancing.go
+++ b/internal/coordination/proxy/rebalancing.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// delegateSettleTime is how long a controller must have been alive without interruption before
-	// shards are delegated to it.
+	// delegateSettleTime is the time for which a controller must have been alive without
+	// interruption before shards are delegated to it.
 	delegateSettleTime = 5 * time.Second
 	// stateSilenceLimitS is the number of seconds without an answer from the state store after
 	// which a controller gets no more shards.
@@ -38,12 +38,12 @@
 }
 
 // SpreadShards delegates shards of a partition that was just taken over, without waiting between
-// the moves. All its machines must be fenced and will send heartbeats, for which the leader's own
-// sockets may not suffice. Delegates of the former leader keep their shards, so that agents need
-// not reconnect.
+// the moves. All machines of the partition must be fenced and will send heartbeats, for which the
+// leader's own sockets may not suffice. Delegates of the former leader keep their shards, so that
+// agents need not reconnect.
 func (p *Proxy) SpreadShards(partition *cluster.Partition, now time.Time) {
 	p.adoptDelegates(partition, now)
-	// The loads in the delegates' summaries already include the adopted shards.
+	// The loads in the delegates' summaries already include the shards that they keep.
 	view := p.balancingView(now, partition)
 	view.MayMove = true
 	for range delegation.ShardCount {
@@ -91,9 +91,9 @@
 	p.ShardMovedAt = now
 }
 
-// balancingView returns the input of delegation.PlanMoves. If takenOver is not nil, it is a
-// partition that is being taken over, and all its machines count although none has sent this
-// controller a heartbeat yet.
+// balancingView returns the input of delegation.PlanMoves. takenOver is the partition that is being
+// taken over, or nil. All machines of this partition count, although none has sent this controller
+// a heartbeat yet.
 func (p *Proxy) balancingView(now time.Time, takenOver *cluster.Partition) delegation.View {
 	view := delegation.View{Own: p.Load(now)}
 	p.addPeers(&view, now)
--- a/internal/coordination/proxy/renewal.go
+++ b/internal/coordination/proxy/renewal.go
@@ -14,19 +14,20 @@
 const DelegationPath = "/peer/carry"
 
 const (
-	// renewInterval is how often a delegate renews its grant.
+	// renewInterval is the interval at which a delegate renews its grant.
 	renewInterval = 300 * time.Millisecond
-	// renewalBatchDelay is how long answered heartbeats are collected, from the first one on,
-	// before they are sent together.
+	// renewalBatchDelay is the time for which answered heartbeats are collected before they are
+	// sent in one request.
 	renewalBatchDelay = 50 * time.Millisecond
-	// peerCallTimeout limits a renewal request to a leader, or a forwarding request to a delegate.
+	// peerCallTimeout is the timeout of a renewal request to a leader, and of a forwarding
+	// request to a delegate.
 	peerCallTimeout = time.Second
 	// renewalBytesLimit is the maximum size of the heartbeats in one request, in bytes. A single
 	// larger heartbeat is sent in a request of its own.
 	renewalBytesLimit = peerapi.PortableBodyLimit * 3 / 4
 )
 
-// renewal is a renewal request to a partition's leader, with what is needed to handle the reply.
+// renewal is a renewal request to a partition's leader, with the data to handle the reply.
 type renewal struct {
 	request   *peer.DelegationRequest
 	addr      string
@@ -38,8 +39,8 @@
 }
 
 // RenewLoop renews this controller's grant for a partition and sends its leader the answered
-// heartbeats, until the event loop's context ends. It sleeps while the leader delegates nothing to
-// this controller.
+// heartbeats, until the event loop's context ends. It waits while the leader has no shard delegated
+// to this controller.
 func (p *Proxy) RenewLoop(partition *cluster.Partition) {
 	assigned := p.Assignments[partition.Index]
 	for active := false; ; active = p.RenewAll(partition, assigned) {
@@ -120,9 +121,9 @@
 	next.sent, next.sentBytes = assigned.takeUnsent()
 	next.moreUnsent = len(assigned.Unsent) > 0
 	if !next.moreUnsent {
-		// After acknowledges the last reply. It shows the leader that it has received all
-		// heartbeats answered before that reply, so it is set only if this request
-		// contains all unsent ones (rule 39).
+		// After acknowledges the last reply. From it, the leader concludes that it has
+		// received all heartbeats that were answered before that reply. So After is set
+		// only if this request contains all unsent heartbeats (rule 39).
 		next.request.After = assigned.Serial
 	}
 	for _, heartbeat := range next.sent {
