--- a/internal/coordination/audit_test.go
+++ b/internal/coordination/audit_test.go
@@ -18,7 +18,7 @@
 	"micaspindle/internal/transport"
 )
 
-// readAudit exports the audit log as an operator does, verifies it and returns its records.
+// readAudit exports the audit log like an operator, verifies the log and returns its records.
 func (sim *simulatedCluster) readAudit(label string) []archive.ChainRecord {
 	sim.t.Helper()
 	data := sim.exportAudit(label)
@@ -58,7 +58,8 @@
 	return out.Bytes()
 }
 
-// countAuditRecords counts the matching requests; one audit record may stand for several refusals.
+// countAuditRecords counts the audited requests that match. One audit record may count several
+// refusals.
 func countAuditRecords(read []archive.ChainRecord, match func(r *audit.Record) bool) int {
 	n := uint64(0)
 	for i := range read {
@@ -96,8 +97,8 @@
 		if resp.Status == 201 || resp.Status == 200 || !killed {
 			t.Fatalf("the submission got status %d, controller killed: %v; want a kill and no success", resp.Status, killed)
 		}
-		// Until the watches of the other controllers deliver the job record, only the state
-		// store knows the job.
+		// Until the watches deliver the job record to the other controllers, the job is
+		// only in the state store.
 		sim.expectStatus(200, sim.requestAs("person/anna", "n2", "POST", "/submissions", encodeSubmission(s)))
 		sim.expectStatus(200, sim.requestAs("person/anna", "n0", "POST", "/submissions", encodeSubmission(s)))
 		sim.startController("n1")
@@ -110,7 +111,7 @@
 	})
 }
 
-// A flood of refused requests uses hardly any of the state store's write budget, and every
+// A flood of refused requests uses only a small part of the state store's write budget, and every
 // refusal is audited.
 func TestRefusalsAreAuditedAtABoundedWriteRate(t *testing.T) {
 	t.Parallel()
@@ -139,8 +140,8 @@
 }
 
 // Under random faults, every accepted job has exactly one audit record of its submission, every
-// such record has its job, every cancelled job has one record of its cancellation, and the hash
-// chains verify.
+// record of a submission belongs to an accepted job, every cancelled job has one record of its
+// cancellation, and the hash chains verify.
 func TestAuditIsCompleteUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(70); seed < 74; seed++ {
--- a/internal/coordination/authorization_test.go
+++ b/internal/coordination/authorization_test.go
@@ -23,8 +23,8 @@
 	"micaspindle/internal/transport"
 )
 
-// Identities of three roles must not exceed their rights. A refusal does not reveal whether the
-// job exists, and the audit log contains every refusal, in a record of its own or counted in one.
+// Identities of three roles must not exceed their rights. A refusal does not reveal whether the job
+// exists, and the audit log contains every refusal, as a record or in the count of a record.
 func TestRolesLimitWhatIdentitiesMayDo(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 51, func(sim *simulatedCluster) {
@@ -39,7 +39,8 @@
 				refusals[identityName]++
 			}
 		}
-		// The clerk tries to reassign another team's job, and one of its own to another team.
+		// The clerk tries to reassign another team's job, and to reassign a job of its own
+		// team to another team.
 		for _, label := range allControllers {
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-2/reassign", protocol.Reassignment{As: "job-90", Team: "red"}))
 			refused("person/anna", 403, sim.requestAs("person/anna", label, "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-90", Team: "green"}))
@@ -59,7 +60,7 @@
 			refused("", 401, sim.requestAs("person/partner", label, "POST", "/checkin", protocol.Encode((&protocol.Heartbeat{Machine: "m-000000", Epoch: 1}))))
 			refused("", 401, sim.requestAs("", label, "GET", "/submissions/job-1", nil))
 		}
-		// The response for a job of another queue does not differ from that for an unknown job.
+		// The responses for a job of another queue and for an unknown job are the same.
 		a := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-3", nil)
 		b := sim.requestAs("service/refunds", "n0", "GET", "/submissions/job-77", nil)
 		refusals["service/refunds"] += 2
@@ -106,7 +107,7 @@
 	t.Parallel()
 	runSimulationWithIdentities(t, 50, func(sim *simulatedCluster) {
 		sim.submit(newJobSpecOfClass("job-3", "blue", "price-check"))
-		time.Sleep(10 * time.Second) // until every controller knows the job
+		time.Sleep(10 * time.Second) // until every controller has the job record
 		seen := map[string]string{}
 		for _, id := range []string{"job-3", "job-77", "job-3/", "job-x"} {
 			time.Sleep(20 * time.Second) // until the rate limiter has refilled
@@ -123,7 +124,7 @@
 			sim.mu.Unlock()
 			seen[id] = answers
 			if id == "job-3" && (!strings.Contains(answers, "403") || !strings.Contains(answers, "429") || read < auth.UnknownJobBurst) {
-				t.Errorf("%s: %d state store requests, responses %s", id, read, answers)
+				t.Errorf("%s: %d state store requests, responses %s; want status 403 until the rate limit for unknown jobs is exceeded, then 429", id, read, answers)
 			}
 		}
 		if seen["job-3"] != seen["job-77"] {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -66,8 +66,8 @@
 	return allFleetSizes
 }
 
-// BenchmarkPoll measures a user's poll without the network: refused while the state store is
-// down, and answered from memory.
+// BenchmarkPoll measures a user's poll without the network: one that is refused while the state
+// store is down, and one that is answered from memory.
 func BenchmarkPoll(b *testing.B) {
 	for _, outcome := range []string{"refused", "final"} {
 		b.Run(outcome, func(b *testing.B) {
@@ -222,8 +222,8 @@
 	})
 }
 
-// BenchmarkTakeover measures the takeover of a partition from records in memory: cold, where the
-// replica is first built from all of them, and warm, where a standby has followed them.
+// BenchmarkTakeover measures the takeover of a partition from records in memory: a cold one, for
+// which the replica is first built from all records, and a warm one with a standby's replica.
 func BenchmarkTakeover(b *testing.B) {
 	for _, n := range fleetSizes() {
 		for i, mode := range []string{"cold", "warm", "cold", "warm"} {
@@ -253,8 +253,8 @@
 						replica.ApplyListing(c.log.Error, runs, 5, time.Now())
 						replica.Updates.Apply(update, replica.Derived.StoreStart, time.Now())
 					}
-					c.leases.ClearLeaderState(c.Partitions[partition]) // as on a controller that did not lead it
-					runtime.GC()                                       // so that the takeover does not pay for the set-up
+					c.leases.ClearLeaderState(c.Partitions[partition]) // as on a controller that did not lead the partition
+					runtime.GC()                                       // so that the garbage of the set-up is not collected during the takeover
 					b.StartTimer()
 					if mode == "cold" {
 						replica.ApplyListing(c.log.Error, runs, 5, time.Now())
@@ -266,8 +266,8 @@
 	}
 }
 
-// BenchmarkApplyRecordChange measures a standby that applies one change of a record of 64
-// tasks.
+// BenchmarkApplyRecordChange measures the application of one change of a record of 64 tasks to a
+// standby's replica.
 func BenchmarkApplyRecordChange(b *testing.B) {
 	replica := replication.NewReplica(0, time.Now())
 	record := storage.RunRecord{Last: 1, Done: [][2]int{{0, 31}}}
@@ -285,8 +285,8 @@
 	}
 }
 
-// newControllerWithPipeline returns a controller with n jobs. If deep, each depends on the one
-// before; otherwise all others depend on the first.
+// newControllerWithPipeline returns a controller with n jobs. If deep is set, each job depends on
+// the one before; otherwise all other jobs depend on the first.
 func newControllerWithPipeline(b *testing.B, n int, deep bool) *Controller {
 	b.Helper()
 	c, _ := newLeadingController(b)
@@ -313,7 +313,8 @@
 				c := newControllerWithPipeline(b, n, deep)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					// Each has a slightly earlier deadline, so that all jobs change.
+					// Each submission has a slightly earlier deadline, so that
+					// the inherited deadlines of all jobs change.
 					last := newDependentJobSpec(fmt.Sprintf("job-1000000%d", i), 1, "green", fmt.Sprintf("job-%d", n-1))
 					last.DeadlineS = 1e6 - float64(i)/100
 					c.addJob(last)
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -25,22 +25,24 @@
 }
 
 // The state store refuses the requests of the partition leader only, so that other controllers
-// confirm cancellations; then it is down for longer than cancel_s, while agents still send
-// heartbeats to the old leader. Each task must stop within cancel_s of the confirmation, which
+// confirm cancellations; then the state store is down for longer than cancel_s, while agents still
+// send heartbeats to the old leader. Each task must stop within cancel_s of the confirmation, which
 // the simulated cluster checks at every step of every machine.
 func TestCancellationBetweenARefusalAndAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// refusedFor is how long the refusal lasts before the outage begins. If 0, the outage
-		// begins when a successor has acquired the lease but not read the partition's records.
+		// refusedFor is the duration of the refusal before the outage begins. If it is 0,
+		// the outage begins when a successor has acquired the lease but not read the
+		// partition's records.
 		refusedFor time.Duration
 		// noNotices: no controller receives cancellation notices; cut: the leader is also cut
 		// off from its peers.
 		noNotices, cut bool
-		// watchesStuck: the watches deliver nothing, starting before the first cancellation.
+		// watchesStuck: the watches deliver no events from before the first cancellation
+		// on.
 		watchesStuck bool
-		// hang is how long half of the machines of cancelled jobs hang.
+		// hang is the time for which half of the machines of cancelled jobs hang.
 		hang time.Duration
 		// twice: refusal and outage happen twice.
 		twice bool
@@ -116,9 +118,9 @@
 }
 
 // cancelDuringRefusal cancels count jobs at controllers that do not lead their partition, one every
-// 0.1 s, beginning with the job numbered first. It calls beforeCancel before each. beforeRefusal is
-// how many it cancels before the refusal begins. If hang is not 0, the machines of every second
-// job hang for that long.
+// 0.1 s, beginning with the job numbered first. It calls beforeCancel before each cancellation.
+// beforeRefusal is the number of cancellations before the refusal begins. If hang is not 0, the
+// machines of every second job hang for that time.
 func (sim *simulatedCluster) cancelDuringRefusal(first, count, beforeRefusal, partition int, beforeCancel func(i int, leader string), hang time.Duration) {
 	leader := sim.leaderOf(partition)
 	if leader == "" {
@@ -146,7 +148,7 @@
 		}
 	}
 	if runningTasks < count/2 || confirmed < count/2 || confirmedAfter < 5 {
-		sim.t.Fatalf("%d tasks of %d jobs ran, %d cancellations were confirmed, %d of them after the refusal began", runningTasks, count, confirmed, confirmedAfter)
+		sim.t.Fatalf("%d tasks of %d jobs ran, %d cancellations were confirmed, %d of them after the refusal began; want half of the jobs, half, and at least 5", runningTasks, count, confirmed, confirmedAfter)
 	}
 }
 
@@ -177,8 +179,9 @@
 			}
 			unreachable := sim.machinesRunningAnyOf("job-1")
 			sim.dropsMessage = func(_, host string) bool { return unreachable[host] }
-			// After the successor has acquired the lease, the shared records are delayed, so that
-			// it still waits for them when it has read those of the partition.
+			// After the successor has acquired the lease, the shared records are
+			// delayed, so that the successor still waits for them after it has read the
+			// partition's records.
 			sim.onResponse = func(_, _, target string, _ []byte, _ *transport.Response) bool {
 				for delayRecords.Load() && strings.HasPrefix(target, "/changes?under="+storage.WatchPrefix) {
 					time.Sleep(time.Millisecond)
@@ -231,11 +234,12 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// takeover: the leader is killed, and its successor cannot know which heartbeats it
-		// answered; outage: the state store goes down as well.
+		// takeover: the leader is killed, so that its successor has no record of the
+		// answered heartbeats; outage: the state store goes down as well.
 		takeover, outage bool
-		// afterTakeover: the cancellation follows the takeover, so that the leader knows which
-		// machines get no answers. Otherwise it precedes it.
+		// afterTakeover: the cancellation follows the takeover, so that the leader has a
+		// record of the machines that it answered. Otherwise the cancellation precedes the
+		// takeover.
 		afterTakeover bool
 		// inboundLost: messages to the machines are lost, but not those from them; cut: the
 		// machines cannot be reached.
@@ -316,10 +320,10 @@
 				}
 				time.Sleep(time.Until(cancelledAt.Add(43 * time.Second)))
 				deletedCount := countDeleted()
-				// Without an outage, the cluster leader may have deleted lost machines, also
-				// where the partition leader keeps them.
+				// Without an outage, the cluster leader may have deleted lost
+				// machines that the partition leader would keep.
 				if tc.deleted && deletedCount != len(machines) || !tc.deleted && tc.outage && deletedCount > 0 {
-					t.Errorf("%d of %d machines were deleted within cancel_s", deletedCount, len(machines))
+					t.Errorf("%d of %d machines were deleted within cancel_s, want all: %v; otherwise want none", deletedCount, len(machines), tc.deleted)
 				}
 				if sim.leaderOf(partition) == "" && !tc.outage {
 					t.Error("the partition has no leader")
@@ -332,10 +336,10 @@
 	}
 }
 
-// A leader whose requests the state store refuses learns of cancellations from its peers' notices
-// and stops the tasks at once. Without notices, a delegate that knows of the cancellation stops
-// the tasks of the machines that send their heartbeats to it (rule 43). Neither waits for the
-// cancellation bound.
+// A leader whose requests the state store refuses receives cancellations in its peers' notices and
+// stops the tasks at once. Without notices, a delegate that has received the cancellation stops the
+// tasks on the machines that send it heartbeats (rule 43). In both cases, the tasks stop long
+// before the cancellation bound.
 func TestNoticesAndDelegatesStopCancelledTasks(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -381,7 +385,7 @@
 				}
 				delegatedLeft, directLeft := count()
 				if delegatedLeft > 0 || !tc.noNotices && directLeft > 0 {
-					t.Errorf("tasks left after 1.8 s: %d on delegated machines, %d on the leader's; before: %d and %d", delegatedLeft, directLeft, delegated, direct)
+					t.Errorf("running tasks after 1.8 s: %d on delegated machines, %d on the leader's; before: %d and %d; a controller with a cancellation notice should stop all", delegatedLeft, directLeft, delegated, direct)
 				}
 				if tc.noNotices && directLeft == 0 {
 					t.Error("the leader stopped its tasks without a notice")
@@ -415,7 +419,7 @@
 			c.jobs.SetFinalState(fmt.Sprintf("job-%d", 10+i), protocol.StatusCancelled, time.Now())
 		}
 		if notices := c.Cancellations.Recent(time.Now(), c.CancelBound); len(notices) != c.Cancellations.Limit || notices[0].Job != "job-1" {
-			t.Errorf("%d notices to pass on, want as many as the limit, job-1 first", len(notices))
+			t.Errorf("%d notices to pass on, want the maximum number, with job-1 first", len(notices))
 		}
 		if time.Sleep(c.CancelBound + time.Second); len(c.Cancellations.Recent(time.Now(), c.CancelBound)) != 0 {
 			t.Error("notices never expire")
@@ -468,7 +472,7 @@
 			})
 		}
 		if !unseen {
-			t.Error("the leader knew of the cancellation before a machine was free")
+			t.Error("the leader received the cancellation before a machine was free")
 		}
 		sim.withLock(func() { sim.suppressNotices, sim.state.WatchesStuck = false, false })
 		time.Sleep(5 * time.Second)
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -145,14 +145,14 @@
 		maps.Copy(arrived, early.refused)
 		maps.Copy(arrived, early.applied)
 		if len(arrived) < 2 || len(early.applied) == 0 || refused[protocol.OpStart] == 0 || refused[protocol.OpStop]+refused[protocol.OpForget] == 0 || successor == "" {
-			return fmt.Errorf("%d messages withheld; applied and refused at the first fence: %v, refused after it: %v, new leader %q", len(sent), early, refused, successor)
+			return fmt.Errorf("%d messages withheld; delivered at the first fence: %v, refused after all fences: %v, new leader %q; want starts and stops or reaps on both occasions, some of the early ones applied, and a new leader", len(sent), early, refused, successor)
 		}
 		return nil
 	}
 }
 
-// tokenRaiseShareMax is the largest share of the state store's write rate that raising tokens may
-// use in any second.
+// tokenRaiseShareMax is the maximum share of the state store's write rate that token raises may use
+// in any second.
 const tokenRaiseShareMax = 0.5
 
 // commandFaultCombinations combine faults of commands, links and zones. The index of a
@@ -209,7 +209,7 @@
 			}
 		})
 		if refused := sim.faultCount("refused start"); successor == leader || refused == 0 {
-			return fmt.Errorf("new leader %s, %d stale starts refused", successor, refused)
+			return fmt.Errorf("new leader %s, %d stale starts refused; want another leader and at least one refusal", successor, refused)
 		}
 		return nil
 	}},
@@ -241,7 +241,7 @@
 		sim.startController(leader)
 		time.Sleep(8 * time.Second)
 		if starts, stops, reaps := lostAnswers(); starts < 5 || stops < 2 || reaps < 3 {
-			return fmt.Errorf("responses to %d starts, %d stops and %d reaps were lost", starts, stops, reaps)
+			return fmt.Errorf("responses to %d starts, %d stops and %d reaps were lost, want at least 5, 2 and 3", starts, stops, reaps)
 		}
 		return nil
 	}},
@@ -259,7 +259,7 @@
 		leaderless := sim.leaderOf(partition) == ""
 		cancelled := sim.cancelAt(other, ids[0])
 		sim.waitForNewLeader(partition, leader)
-		time.Sleep(1500 * time.Millisecond) // much shorter than what is left of the machine leases
+		time.Sleep(1500 * time.Millisecond) // much shorter than the remaining time of the machine leases
 		left := 0
 		sim.withLock(func() {
 			left = len(sim.machinesRunning(ids[0]))
@@ -270,7 +270,7 @@
 			sim.t.Errorf("%d tasks of the cancelled job still run although commands reach their machines", left)
 		}
 		if !leaderless || !cancelled {
-			return fmt.Errorf("cancellation answered: %v, while the partition had no leader: %v", cancelled, leaderless)
+			return fmt.Errorf("cancellation answered: %v, partition without a leader at that time: %v; want both", cancelled, leaderless)
 		}
 		return nil
 	}},
@@ -305,7 +305,7 @@
 		time.Sleep(20 * time.Second)
 		sim.withLock(func() { sim.linkDelayMax = 0 })
 		if queuedMax < 20 {
-			return fmt.Errorf("at most %d tasks were queued", queuedMax)
+			return fmt.Errorf("at most %d tasks were queued at a time, want at least 20", queuedMax)
 		}
 		return nil
 	}, finishWithin: 5 * time.Minute},
@@ -325,7 +325,7 @@
 		sim.waitForNewLeader(partition, leader)
 		sim.startController(leader)
 		if hit < len(ids) {
-			return fmt.Errorf("only %d of %d jobs lost machines at full capacity", hit, len(ids))
+			return fmt.Errorf("%d of %d jobs lost machines while the cloud had no capacity left, want all", hit, len(ids))
 		}
 		return nil
 	}, finishWithin: 6 * time.Minute},
@@ -404,8 +404,8 @@
 	var late []string
 	sim.withLock(func() {
 		for _, start := range sim.startsAfterCancel {
-			// Tasks that were fetching their image at the cancellation start within this time;
-			// later starts arrived after the cancellation.
+			// A task that was fetching its image at the cancellation may still start
+			// within this time. A later start must have arrived after the cancellation.
 			if start.after > time.Second+agents.CommandAnswerWait {
 				late = append(late, fmt.Sprintf("%s after %s", start.task, start.after))
 			}
@@ -419,7 +419,7 @@
 	}
 	applied, refused, stops, preempted := sim.faultCount("late start applied"), sim.faultCount("late start refused"), sim.faultCount("late stop applied"), sim.faultCount("machines preempted")
 	if applied < 10 || refused < 3 || stops < 3 || preempted < 1 || len(tokenRaises) == 0 {
-		return fmt.Errorf("%d late starts applied, %d refused, %d late stops, %d machines preempted, tokens raised in %d seconds", applied, refused, stops, preempted, len(tokenRaises))
+		return fmt.Errorf("%d late starts applied, %d refused, %d late stops applied, %d machines preempted, tokens raised in %d seconds; want at least 10, 3, 3, 1 and 1", applied, refused, stops, preempted, len(tokenRaises))
 	}
 	return nil
 }
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -13,13 +13,14 @@
 )
 
 // faultCombination is a combination of two faults listed in docs/concurrent-faults.md. Its run
-// function injects both and returns an error if they did not coincide, since the test then proves
-// nothing.
+// function injects both faults and returns an error if they did not coincide, because the test then
+// checks nothing.
 type faultCombination struct {
 	name    string
 	prepare func(sim *simulatedCluster)
 	run     func(sim *simulatedCluster) error
-	// finishWithin is how long after the faults all jobs must have ended; 0: three minutes.
+	// finishWithin is the time after the faults within which all jobs must have ended; 0 means
+	// three minutes.
 	finishWithin time.Duration
 }
 
@@ -66,8 +67,9 @@
 	}
 }
 
-// powerOffMachinesOf waits until all of the jobs run and condition, called with the lock held,
-// returns true. It then powers off their machines and returns how many jobs lost machines.
+// powerOffMachinesOf waits until all of the jobs run and condition returns true. condition is
+// called with the lock held. The function then powers off the jobs' machines and returns the number
+// of jobs that lost machines.
 func (sim *simulatedCluster) powerOffMachinesOf(jobs []string, condition func() bool) (hit int) {
 	ready := false
 	for range 160 {
@@ -120,7 +122,7 @@
 		sim.replayHeartbeats()
 		sim.startController(leader)
 		if n := sim.faultCount("replayed heartbeat"); n < 20 || successor == leader {
-			return fmt.Errorf("%d replayed heartbeats, new leader %s", n, successor)
+			return fmt.Errorf("%d heartbeats replayed, want at least 20; new leader %s, want another one than before", n, successor)
 		}
 		return nil
 	}},
@@ -138,7 +140,7 @@
 		sim.withLock(func() { sim.duplicatedHeartbeatRate = 0 })
 		time.Sleep(14 * time.Second)
 		if n := sim.faultCount("replayed heartbeat"); n < 10 {
-			return fmt.Errorf("%d replayed heartbeats", n)
+			return fmt.Errorf("%d heartbeats replayed, want at least 10", n)
 		}
 		return nil
 	}},
@@ -164,7 +166,7 @@
 		sim.withLock(func() { sim.inboundLost = nil })
 		sim.startController(leader)
 		if unfenced == 0 || !cancelled {
-			return fmt.Errorf("%d machines not fenced, cancellation answered: %v", unfenced, cancelled)
+			return fmt.Errorf("%d machines not fenced, want at least 1; cancellation answered: %v, want true", unfenced, cancelled)
 		}
 		return nil
 	}},
@@ -195,7 +197,7 @@
 		})
 		sim.startController(leader)
 		if fenced == 0 || !cancelled || left > 0 {
-			return fmt.Errorf("%d machines fenced by commands, cancellation answered: %v, %d tasks of the cancelled job left", fenced, cancelled, left)
+			return fmt.Errorf("%d machines fenced by commands, cancellation answered: %v, machines that still run tasks of the cancelled job: %d; want at least 1, true and 0", fenced, cancelled, left)
 		}
 		return nil
 	}},
@@ -219,13 +221,14 @@
 		time.Sleep(25 * time.Second)
 		sim.withLock(func() { sim.dropsMessage = nil })
 		if !cancelled || len(inside) == 0 {
-			return fmt.Errorf("cancellation answered: %v, %d machines", cancelled, len(inside))
+			return fmt.Errorf("cancellation answered: %v, %d machines divided by the cut; want true and at least 1", cancelled, len(inside))
 		}
 		return nil
 	}},
 	{name: "late transactions of a leader that restarts", run: func(sim *simulatedCluster) error {
 		partition := sim.partitionOf("green")
-		// All writes of this job's record are delivered late; the first to arrive is applied.
+		// All writes of this job's record are delivered late, and only the first of them to
+		// arrive is applied.
 		sim.withLock(func() { sim.lateTransactionRate, sim.lateTransactionKind = 1, writeOfJob })
 		sim.group.Go(func() { sim.submit(newJobSpec("job-99", 3, "green")) })
 		for range 30 {
@@ -249,7 +252,7 @@
 		sim.withLock(func() { sim.lateTransactionRate = 0 })
 		time.Sleep(13 * time.Second)
 		if done, refused := sim.faultCount("late transaction applied"), sim.faultCount("late transaction refused"); done < 1 || refused < 3 {
-			return fmt.Errorf("%d late transactions applied, %d refused", done, refused)
+			return fmt.Errorf("%d late transactions applied, %d refused, want at least 1 and 3", done, refused)
 		}
 		return nil
 	}, finishWithin: 4 * time.Minute},
@@ -282,7 +285,7 @@
 			time.Sleep(8 * time.Second)
 		}
 		if betweenLeaders == 0 || lost == 0 {
-			return fmt.Errorf("%d cancellations between two leaders, %d responses lost", betweenLeaders, lost)
+			return fmt.Errorf("%d cancellations requested between two leaders, %d responses to transactions lost, want at least 1 of each", betweenLeaders, lost)
 		}
 		return nil
 	}},
@@ -356,7 +359,7 @@
 			sim.startController(leader)
 		}
 		if withoutRecord == 0 || leader == "" {
-			return fmt.Errorf("running machines without a record were seen %d times, cluster leader %q", withoutRecord, leader)
+			return fmt.Errorf("running machines had no record in %d samples, want at least 1; cluster leader %q", withoutRecord, leader)
 		}
 		return nil
 	}, finishWithin: 4 * time.Minute},
@@ -400,7 +403,7 @@
 			time.Sleep(8 * time.Second)
 		}
 		if failoversAmidJobs == 0 {
-			return fmt.Errorf("fewer than two jobs were partly done at each failover")
+			return fmt.Errorf("at no failover were two or more jobs partly done")
 		}
 		return nil
 	}},
@@ -417,7 +420,7 @@
 			}
 		}
 		if n := sim.faultCount("cancelled at job end"); n < 10 {
-			return fmt.Errorf("only %d cancellations at the end of a job", n)
+			return fmt.Errorf("%d cancellations at the end of a job, want at least 10", n)
 		}
 		return nil
 	}},
@@ -445,7 +448,7 @@
 			}
 		}
 		if changes < 5 {
-			return fmt.Errorf("only %d failovers", changes)
+			return fmt.Errorf("%d failovers, want at least 5", changes)
 		}
 		return nil
 	}, finishWithin: 4 * time.Minute},
@@ -458,7 +461,7 @@
 			return !slices.ContainsFunc(ids, func(id string) bool { return len(sim.jobs[id].tasksDone) > 0 })
 		})
 		if hit < len(ids) {
-			return fmt.Errorf("only %d of %d jobs lost machines", hit, len(ids))
+			return fmt.Errorf("%d of %d jobs lost machines, want all", hit, len(ids))
 		}
 		return nil
 	}},
@@ -483,7 +486,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		if cancelled < 30 {
-			return fmt.Errorf("only %d cancellations were requested", cancelled)
+			return fmt.Errorf("%d cancellations were requested, want at least 30", cancelled)
 		}
 		return nil
 	}},
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -32,8 +32,8 @@
 	"micaspindle/internal/transport"
 )
 
-// Controller is one controller process: the state that its event loop owns, and the components
-// that work on it. It only connects them; the components make the decisions.
+// Controller is one controller process: the state that its event loop owns, and the components that
+// work on it. Controller only connects the components; they make the decisions.
 type Controller struct {
 	*cluster.State
 	loop  *eventloop.Loop
@@ -61,8 +61,8 @@
 	api        *api.Server
 }
 
-// New returns a controller that runs until ctx ends. Run starts its background tasks; it may
-// receive requests before that.
+// New returns a controller that runs until ctx ends. Run starts the controller's background tasks;
+// the controller may receive requests before that.
 func New(ctx context.Context, set *settings.Settings, operator settings.Operator, network storage.Requester, log *slog.Logger) *Controller {
 	params := set.Params
 	state := cluster.NewState(set, operator)
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -58,14 +58,16 @@
 		sim.interceptCommands = func(name string, batch *protocol.CommandBatch) {
 			for _, c := range batch.Commands {
 				if c.Op == protocol.OpStart {
-					// Keep the batch for later, and make the agent refuse it now.
+					// Keep the batch for later delivery, and make the agent
+					// refuse it now.
 					withheld = append(withheld, *batch)
 					machine = name
 					batch.Token = 0
 				}
 			}
 		}
-		// Heartbeats are lost as well, so that they do not reveal that the task did not start.
+		// Heartbeats are lost as well, so that they do not report that the task did not
+		// start.
 		sim.dropsMessage = func(_, host string) bool { return machine != "" && host == machine }
 		sim.mu.Unlock()
 		sim.setRunTime(time.Hour)
@@ -94,8 +96,8 @@
 	})
 }
 
-// A submission is accepted only once it is recorded. While the outcome of the write is unknown,
-// the user gets 503 with Retry-After.
+// A submission is accepted only once its record is committed. While the outcome of the write is
+// unknown, the response is 503 with Retry-After.
 func TestSubmissionIsAcceptedOnlyWhenRecorded(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 14, func(sim *simulatedCluster) {
--- a/internal/coordination/delegation_faults_test.go
+++ b/internal/coordination/delegation_faults_test.go
@@ -63,7 +63,8 @@
 		"controllers cannot reach each other": {func(sim *simulatedCluster, _, _ string) {
 			sim.cutNetworkFor(func(from, host string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(host, "n") }, 12*time.Second)
 		}, true, true},
-		// The delegate's agents turn to other controllers, which cannot reach the leader.
+		// The delegate's agents send their heartbeats to other controllers, which cannot
+		// reach the leader.
 		"the delegate is killed while the leader is unreachable": {func(sim *simulatedCluster, _, delegate string) {
 			sim.group.Go(func() {
 				time.Sleep(time.Second)
@@ -109,7 +110,7 @@
 				partition := sim.startDelegation(9)
 				leader, delegate := sim.leaderOf(partition), sim.delegateOf(partition)
 				if delegate == "" {
-					t.Fatalf("no shards are delegated: %v", sim.connectedMachines())
+					t.Fatalf("no shards are delegated; connected machines %v", sim.connectedMachines())
 				}
 				var lease uint64
 				sim.onController(leader, func(c *Controller) { lease = c.Partitions[partition].LeaseRevision })
@@ -132,8 +133,9 @@
 	}
 }
 
-// A delegated machine that goes silent is declared lost after its lease has expired, and not much
-// later, whether its delegate keeps running, is killed, or cannot reach the leader.
+// A delegated machine that stops sending heartbeats is declared lost soon after its lease has
+// expired, and not before, whether its delegate keeps running, is killed, or cannot reach the
+// leader.
 func TestSilentDelegatedMachinesAreLostInTime(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range []string{"the delegate lives", "the delegate is killed", "the delegate is unreachable"} {
@@ -150,7 +152,8 @@
 				}
 				var silent *agent.Agent
 				sim.forEachAgent(func(agent *agent.Agent) {
-					// The machine that was answered last has the lease that expires last.
+					// The machine whose heartbeat was answered last has the
+					// lease that expires last.
 					if agent.Controllers[agent.ControllerIndex] == delegate && len(agent.Tasks) > 0 && (silent == nil || agent.LeaseRenewedAt.After(silent.LeaseRenewedAt)) {
 						silent = agent
 					}
@@ -170,7 +173,7 @@
 					sim.onController(leader, func(c *Controller) { lost = c.Machines[name] == nil || c.Machines[name].Lost })
 				}
 				if took := time.Since(from); took <= lease || took > lease+7*time.Second {
-					t.Errorf("declared lost %s after its lease of %s began", took, lease)
+					t.Errorf("machine declared lost %s after its last answer, want within 7 s after its lease of %s", took, lease)
 				}
 				sim.forEachAgent(func(agent *agent.Agent) { agent.Hung = false })
 				if scenario == "the delegate is killed" {
@@ -245,7 +248,7 @@
 			return shards
 		}
 		if len(delegated()) == 0 {
-			t.Errorf("no shards are delegated: %v", sim.connectedMachines())
+			t.Errorf("no shards are delegated; connected machines %v", sim.connectedMachines())
 		}
 		for _, l := range allControllers {
 			if l != leader {
@@ -259,7 +262,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		if n := sim.connectedMachines(); n[leader] < 9 {
-			t.Errorf("only %d machines are connected to the leader: %v", n[leader], n)
+			t.Errorf("%d machines are connected to the leader, want at least 9; connected machines %v", n[leader], n)
 		}
 		sim.withLock(func() { sim.oldVersions = nil })
 		time.Sleep(10 * time.Second)
@@ -275,8 +278,8 @@
 	})
 }
 
-// Random failovers violate no safety rule if controllers have few sockets, so that shards are
-// delegated and move often; all jobs end.
+// If controllers have few sockets, so that shards are delegated and move often, random failovers
+// violate no safety rule, and all jobs end.
 func TestRandomFailoversWithDelegation(t *testing.T) {
 	t.Parallel()
 	for seed := range numberFromEnvironment(failoversVariable, 3) {
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -85,7 +85,8 @@
 				if tc.name == "too many to record" && !strings.Contains(string(resp.Body), "8192") {
 					t.Errorf("the answer %q does not name the limit", resp.Body)
 				}
-				// A repeated submission of a known job gets its status, whatever the body.
+				// A repeated submission of a known job is answered with the job's
+				// status, regardless of the body.
 				if tc.want != 201 {
 					if resp := sim.sendRequest(label, "POST", "/submissions", submissionWithField(newJobSpec("job-1", 1, "red"), "waits_on", tc.value)); resp.Status != 200 {
 						t.Errorf("repeated submission with dependencies %s at %s: status %d, want 200", tc.name, label, resp.Status)
@@ -93,8 +94,8 @@
 				}
 			}
 		}
-		// A job that one controller has just accepted is named as a dependency at another
-		// controller, whose watch lags.
+		// A job that one controller has just accepted is a dependency of a submission to
+		// another controller, whose watch lags.
 		for i := range 6 {
 			a, b := fmt.Sprintf("job-5%d", i), fmt.Sprintf("job-6%d", i)
 			if r := sim.sendRequest(allControllers[i%3], "POST", "/submissions", encodeSubmission(newJobSpec(a, 1, "red"))); r.Status != 201 {
@@ -142,7 +143,7 @@
 	})
 }
 
-// A job that waits for its dependencies holds and demands nothing.
+// A job that waits for its dependencies uses no resources and causes no demand for machines.
 func TestBlockedJobHoldsNoResources(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -169,7 +170,7 @@
 	}
 	c.jobs.SetFinalState("job-1", protocol.StatusDone, time.Now())
 	if j.Blocked || j.ReadySince().Before(now) {
-		t.Errorf("with its dependency done, the job has blocked = %v and is ready since %s", j.Blocked, j.ReadySince())
+		t.Errorf("after its dependency was done, the job has blocked = %v and is ready since %s, want false and not before the dependency was done", j.Blocked, j.ReadySince())
 	}
 	if list := c.scheduler.Queue(p); !slices.Contains(list, j) {
 		t.Error("the ready job is not queued")
@@ -197,15 +198,15 @@
 		t.Helper()
 		at, ok := j.Deadline()
 		if d := at.Sub(l.SubmittedAt).Seconds(); !ok || d < wantS-0.1 || d > wantS+0.1 {
-			t.Errorf("%s has its deadline after %v s (set: %v), want %v s", j.Spec.ID, d, ok, wantS)
+			t.Errorf("%s: deadline %v s after the submission of the last job (has a deadline: %v), want %v s", j.Spec.ID, d, ok, wantS)
 		}
 		if j.Urgency() != protocol.High {
-			t.Errorf("%s has urgency %d", j.Spec.ID, j.Urgency())
+			t.Errorf("%s has urgency %d, want the urgency high of its dependent", j.Spec.ID, j.Urgency())
 		}
 	}
 	expectDeadline(b, 54)
 	expectDeadline(a, 48)
-	// A dependent job is added after one of its dependencies has ended.
+	// A dependent job is added after a dependency has ended.
 	c.jobs.SetFinalState("job-1", protocol.StatusDone, time.Now())
 	sooner := plain("job-4", "job-2", "job-1")
 	sooner.DeadlineS = 30
@@ -219,7 +220,7 @@
 	}
 	c.jobs.SetFinalState("job-2", protocol.StatusDone, time.Now())
 	if n := len(c.Dependencies.NodeByJob) + len(c.Dependencies.JobsToCancel); n > 0 || len(c.Dependencies.FreeNodes) != len(c.Dependencies.Nodes) {
-		t.Errorf("%d jobs are left in the graph", n)
+		t.Errorf("%d jobs are left in the graph or the graph has used nodes, want none", n)
 	}
 }
 
@@ -245,7 +246,7 @@
 			}
 			all[i] = &cluster.Job{Spec: s, SubmittedAt: now}
 		}
-		// A listing yields jobs in any order; final states arrive in between.
+		// A listing returns jobs in any order, and final states arrive between them.
 		order := rng.Perm(n)
 		for len(order) > 0 || rng.IntN(20) > 0 {
 			if len(order) > 0 && rng.IntN(3) > 0 {
@@ -291,7 +292,7 @@
 func checkDependencyGraph(t *testing.T, seed uint64, g *cluster.DependencyGraph, all []*cluster.Job, jobs map[string]*cluster.Job, finals map[string]string) {
 	t.Helper()
 	mustCancel, blocked := map[string]bool{}, map[string]bool{}
-	for _, j := range all { // dependencies come before dependents
+	for _, j := range all { // sorted with dependencies before dependents
 		id := j.Spec.ID
 		if jobs[id] == nil {
 			continue
@@ -315,7 +316,7 @@
 			t.Errorf("seed %d: %s inherits urgency %d and deadline %s, want at least %d and at latest %s", seed, id, j.InheritedUrgency, j.InheritedDeadline, inheritedUrgency[id], inheritedDeadline[id])
 		}
 		if mustCancel[id] {
-			continue // a job that will be cancelled passes nothing on
+			continue // the dependencies of a job to be cancelled inherit nothing from it
 		}
 		urgency := max(j.Spec.Urgency, inheritedUrgency[id])
 		deadline := inheritedDeadline[id]
@@ -408,8 +409,8 @@
 	}
 }
 
-// The cancellation of a job races with the submission of a dependent job or with the completion
-// of the job: the dependents must end in the status that the cancellation was answered with.
+// The cancellation of a job races with the submission of a dependent job or with the completion of
+// the job: the dependents must end in the status in the answer to the cancellation.
 func TestCancellationRacesWithDependentJobs(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 33, func(sim *simulatedCluster) {
@@ -433,8 +434,8 @@
 	})
 }
 
-// A controller whose records are stale does not report a dependent job as queued: the user may
-// have seen a cancellation that this controller has not.
+// A controller whose records are stale does not report a dependent job as queued: another
+// controller may have confirmed a cancellation that this controller has not received.
 func TestStaleControllerRefusesStatusOfDependentJobs(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 34, func(sim *simulatedCluster) {
@@ -483,8 +484,8 @@
 	})
 }
 
-// When the state store applies lower limits without announcing them, batches become smaller, and
-// a write that is too large by itself does not block the others.
+// When the state store applies lower limits without announcing them, batches become smaller, and a
+// single write that is too large does not block other writes.
 func TestUnannouncedLimitsShrinkBatches(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 36, func(sim *simulatedCluster) {
@@ -504,8 +505,8 @@
 	})
 }
 
-// The value limit falls unannounced. A repeated submission of an accepted job that now exceeds it
-// is still recognized by a controller that has not seen the job's record.
+// The value limit falls unannounced. A repeated submission of an accepted job that now exceeds the
+// limit is still recognized by a controller that has not received the job's record.
 func TestRepeatedSubmissionAboveAnUnannouncedLimit(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 38, func(sim *simulatedCluster) {
@@ -557,8 +558,8 @@
 	})
 }
 
-// Image fetches add up over the stages of a pipeline, so a job of a pipeline is placed on a
-// machine that has its image even if the fetch would be short.
+// The image fetches of a pipeline's stages add up. So a job in a pipeline is placed on a machine
+// with its image, even if the fetch would be short.
 func TestPipelinesPreferMachinesWithTheImage(t *testing.T) {
 	t.Parallel()
 	for _, pipeline := range []bool{false, true} {
@@ -583,7 +584,7 @@
 		}
 		c.scheduler.Place(p, time.Now())
 		if got := j.LiveAttempts[0].Machine.Name; got == "m-1" != pipeline {
-			t.Errorf("pipeline %v: placed on %s", pipeline, got)
+			t.Errorf("job in a pipeline: %v; placed on %s, want m-1 (which has the image) only in a pipeline", pipeline, got)
 		}
 	}
 }
--- a/internal/coordination/failover_faults_test.go
+++ b/internal/coordination/failover_faults_test.go
@@ -30,9 +30,9 @@
 	"incarnation record":   func(target string, body []byte) bool { return strings.Contains(string(body), "w/l/") },
 }
 
-// takeoverFaults inject a fault into the controller that reached the step; nil: its message or the
-// response to it is lost. Tests run in the sorted order of the names, which determines the part
-// that CI runs.
+// takeoverFaults inject a fault into the controller that reached the step. If the function is nil,
+// the message of the step or its response is lost. Tests run in the sorted order of the names,
+// which determines the part that CI runs.
 var takeoverFaults = map[string]func(sim *simulatedCluster, label string){
 	"killed": func(sim *simulatedCluster, label string) {
 		sim.killController(label)
@@ -68,9 +68,10 @@
 	for i, step := range slices.Sorted(maps.Keys(takeoverSteps)) {
 		n = i
 		for k, fault := range slices.Sorted(maps.Keys(takeoverFaults)) {
-			n += k % 2 // so that each fault comes before some steps and after others
+			n += k % 2 // so that each fault is injected before some steps and after others
 			for _, after := range []bool{false, true} {
-				// CI runs every third combination; with MICASPINDLE_FAILOVERS set, all run.
+				// By default every third combination runs; with
+				// MICASPINDLE_FAILOVERS set, all of them.
 				if n++; n%3 != 0 && environment(failoversVariable) == "" {
 					continue
 				}
@@ -269,8 +270,8 @@
 	sim.waitForAllJobs(6 * time.Minute)
 }
 
-// A controller of a version without replication is not a standby and has none; partitions still
-// fail over from it and to it.
+// A controller of a version without replication is not a standby, and its partitions have no
+// standby. Partitions still fail over from it and to it.
 func TestOldVersionsAreNoStandbys(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 670, func(sim *simulatedCluster) { configureLongJobs(sim); sim.oldVersions = map[string]bool{"n1": true} }, func(sim *simulatedCluster) {
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -34,7 +34,7 @@
 	time.Sleep(30 * time.Second)
 }
 
-// cancelLongJobs cancels the jobs of submitLongJobs and waits until they are gone.
+// cancelLongJobs cancels the jobs of submitLongJobs and waits until all of them have ended.
 func (sim *simulatedCluster) cancelLongJobs() {
 	for i := range 3 {
 		sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -116,8 +116,8 @@
 	}
 }
 
-// A planned shutdown hands its partitions over first: they have no leader for 200 ms at most,
-// and the new leaders need not assume that the old one still answers heartbeats. A restarted
+// A planned shutdown hands its partitions over first: the partitions have no leader for 200 ms at
+// most, and the new leaders need not assume that the old one still answers heartbeats. A restarted
 // controller gets a partition back by a warm takeover.
 func TestPlannedShutdownHandsOverPartitions(t *testing.T) {
 	t.Parallel()
@@ -166,7 +166,7 @@
 			<-ended
 			t.Logf("seed %d: %d partitions handed over, without a leader for at most %s", seed, len(partitions), longest)
 			if len(partitions) == 0 || longest > 200*time.Millisecond {
-				t.Errorf("seed %d: partitions %v were handed over, without a leader for up to %s", seed, partitions, longest)
+				t.Errorf("seed %d: partitions %v were handed over, without a leader for up to %s; want at least one partition and at most 200 ms", seed, partitions, longest)
 			}
 			for _, p := range partitions {
 				sim.onController(sim.leaderOf(p), func(c *Controller) {
@@ -175,7 +175,7 @@
 					}
 					for _, m := range c.Machines {
 						if m.Record.Partition == p && time.Until(m.AnsweredUntil) > delegation.GrantDuration {
-							t.Errorf("seed %d: other controllers may answer heartbeats of %s for another %s", seed, m.Name, time.Until(m.AnsweredUntil))
+							t.Errorf("seed %d: other controllers may answer heartbeats of %s for another %s, want at most the duration of a grant", seed, m.Name, time.Until(m.AnsweredUntil))
 						}
 					}
 				})
@@ -210,7 +210,7 @@
 		shutdownAt := time.Now()
 		n.controller.HandOver(sim.ctx)
 		if took := time.Since(shutdownAt); took > 10*time.Millisecond {
-			t.Errorf("the handover took %s though no other controller is running", took)
+			t.Errorf("the handover took %s although no other controller is running, want at most 10 ms", took)
 		}
 		sim.killController("n0")
 		time.Sleep(300 * time.Millisecond)
@@ -219,7 +219,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(shutdownAt); took > time.Second {
-			t.Errorf("the restarted controller reacquired its partitions only after %s", took)
+			t.Errorf("the restarted controller reacquired its partitions after %s, want at most 1 s", took)
 		}
 		sim.startController("n1")
 		sim.startController("n2")
@@ -255,14 +255,14 @@
 			}
 		})
 		if all == 0 || known < all {
-			t.Errorf("the start times of %d of %d attempts are known", known, all)
+			t.Errorf("the start times of %d of %d attempts are known, want all and at least one", known, all)
 		}
 		sim.cancelLongJobs()
 	})
 }
 
-// A corrupt replica is detected by comparing samples with the records; it is dropped and read
-// again before a failover uses it.
+// A corrupt replica is detected by comparing samples with the records; the standby drops the
+// replica and reads it again before a failover uses it.
 func TestCorruptReplicaIsFoundBeforeFailover(t *testing.T) {
 	t.Parallel()
 	for i, corrupt := range []func(replica *replication.Replica, key string){
@@ -354,7 +354,7 @@
 			c.StartedAt = now.Add(-time.Second)
 		}
 		if got := c.takeover.ShouldAcquirePartition(p, now.Add(tc.vacantFor)); got != tc.want {
-			t.Errorf("case %d: the decision to acquire the partition is %v", i, got)
+			t.Errorf("case %d: the decision to acquire the partition is %v, want %v", i, got, tc.want)
 		}
 	}
 	c.Draining = true
--- a/internal/coordination/fairness_test.go
+++ b/internal/coordination/fairness_test.go
@@ -40,7 +40,7 @@
 		}
 		before, answered, polled := leaseVersions(), 0, 0
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
-			for i := range jobs / 2 { // 150 polls a second, where 60 requests are allowed
+			for i := range jobs / 2 { // 150 polls a second; the limit is 60 requests a second
 				sim.group.Go(func() {
 					st := sim.poll(fmt.Sprintf("n%d", i%3), fmt.Sprintf("job-%d", i))
 					sim.mu.Lock()
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		if now := leaseVersions(); now != before {
-			t.Errorf("leases were acquired anew: versions %s, then %s", before, now)
+			t.Errorf("lease versions changed from %s to %s: partitions changed leaders", before, now)
 		}
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
@@ -63,13 +63,14 @@
 	})
 }
 
-// loadSurge makes the jobs of one class or team arrive several times as often as usual.
+// loadSurge multiplies the usual arrival rate of the jobs of one class or team.
 type loadSurge struct {
 	class, team string // empty: any
 	multiplier  int
 }
 
-// factor returns how many times as often the jobs of a class and team arrive.
+// factor returns the ratio of the surge's arrival rate to the usual one for the jobs of a class and
+// team.
 func (surge loadSurge) factor(class, team string) int {
 	if (surge.class == "" || surge.class == class) && (surge.team == "" || surge.team == team) {
 		return surge.multiplier
@@ -77,8 +78,8 @@
 	return 1
 }
 
-// groupOutcome counts the jobs of a class or team, and those of which all tasks have started or
-// are done.
+// groupOutcome holds the number of jobs of a class or team, and the numbers of jobs whose tasks
+// have all started or are all done.
 type groupOutcome struct{ jobs, started, done int }
 
 // configureSurgeCluster configures a fleet in which the large class fits only one machine type.
@@ -175,7 +176,7 @@
 		t.Run(fmt.Sprintf("%s%s by %d, seed %d", surge.class, surge.team, surge.multiplier, seed), func(t *testing.T) {
 			t.Parallel()
 			runConfiguredSimulation(t, uint64(300+seed), configureSurgeCluster, func(sim *simulatedCluster) {
-				groups := runLoadSurge(sim, surge, 60, 180+6*surge.multiplier) // long enough for the fleet to run the jobs
+				groups := runLoadSurge(sim, surge, 60, 180+6*surge.multiplier) // the wait is long enough for the fleet to run the jobs
 				for _, name := range slices.Sorted(maps.Keys(groups)) {
 					g := groups[name]
 					t.Logf("%s: %d jobs, a share of %.2f started, %.2f done", name, g.jobs, float64(g.started)/float64(g.jobs), float64(g.done)/float64(g.jobs))
@@ -188,8 +189,8 @@
 	}
 }
 
-// While a load surge lasts, at least half of the jobs of a starved group start: they do not wait
-// for the end of the surge.
+// While a load surge lasts, at least half of the jobs of a starved group start without waiting for
+// the end of the surge.
 func TestEndlessLoadSurgeLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
 	for seed, tc := range []struct {
@@ -222,8 +223,8 @@
 	}
 }
 
-// Completed jobs are counted from the records, each once, so that a controller that starts later
-// or lists the records again has the same counts as one that saw the jobs end.
+// Completed jobs are counted from the records, each once, so that a controller that starts later or
+// lists the records again has the same counts as one that was running when the jobs ended.
 func TestCompletedJobsAreCountedFromTheRecords(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -266,8 +267,8 @@
 	})
 }
 
-// The cluster leader sees only the first demands of a long backlog and scales out for these: they
-// must include demands of starved groups, but not only those.
+// The cluster leader receives only the first demands of a long backlog and scales out for these.
+// They must include demands of starved groups, but also of other groups.
 func TestDemandsOfStarvedGroupsComeFirst(t *testing.T) {
 	t.Parallel()
 	starvedMax := peering.MinDemands / peering.StarvedDemandsDivisor
@@ -286,11 +287,11 @@
 	state.Shares[8] = 0.1
 	got := state.StarvedFirst(list, starvedMax)
 	if len(got) != len(list) {
-		t.Fatalf("%d of %d jobs are returned", len(got), len(list))
+		t.Fatalf("StarvedFirst returned %d of %d jobs, want all", len(got), len(list))
 	}
 	for i, j := range got {
 		if i < 340 && (j.ClassGroup == 8) != (i < starvedMax) {
-			t.Fatalf("a job of class group %d is at position %d", j.ClassGroup, i)
+			t.Fatalf("a job of class group %d is at position %d, want the jobs of group 8 first", j.ClassGroup, i)
 		}
 	}
 }
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -17,8 +17,8 @@
 	// applied 2 to 12 s later, after newer ones, or at once with loseResponsesOnly.
 	lateTransactionRate float64
 	loseResponsesOnly   bool
-	// lateTransactionKind, if not empty, restricts this to transactions whose first write is of
-	// this kind.
+	// lateTransactionKind, if not empty, restricts late transactions to those whose first write
+	// is of this kind.
 	lateTransactionKind string
 	// duplicatedHeartbeatRate is the proportion of heartbeats that are delivered again, between
 	// 2 s and 2 s plus 1.5 machine leases later. With keepForReplay they are instead delivered to
@@ -42,23 +42,25 @@
 	cancelAtEnd func(job string) bool
 	// onJobEnd, if set, is called when a job's last task ends.
 	onJobEnd func(job string)
-	// bootDelay is how long machines take to boot; 0 means 3 to 7 seconds at random.
+	// bootDelay is the boot time of machines; 0 means 3 to 7 seconds at random.
 	bootDelay time.Duration
 	writes    writeObserver
 	cuts      networkCuts
-	// faultCounts counts events by name, so that a test can check that its faults took effect.
+	// faultCounts are the numbers of events by name, with which a test checks that its faults
+	// took effect.
 	faultCounts map[string]int
 }
 
-// commandDelayFault delays direct commands. The sender gets no response, and the agent receives
-// the commands once, 2 to 16 s later; it executes them if token and epoch still match then.
+// commandDelayFault delays direct commands. The sender gets no response, and the agent receives the
+// commands once, 2 to 16 s later. The agent executes them if their token and epoch still match.
 type commandDelayFault struct {
 	// rate is the proportion of messages that are delayed, among those that contain the
-	// operation op. An empty op selects all messages, fenceOp those without commands.
+	// operation op. An empty op selects all messages, and fenceOp selects the messages without
+	// commands.
 	rate float64
 	op   string
-	// delay is the delay; 0 means a random one. With loseResponsesOnly the commands arrive at once
-	// and only the response is lost.
+	// delay is the delay of each message; 0 means a random one. With loseResponsesOnly, the
+	// commands arrive at once and only the response is lost.
 	delay             time.Duration
 	loseResponsesOnly bool
 }
@@ -84,7 +86,7 @@
 	sim.faultCounts[event]++
 }
 
-// faultCount returns how often an event was counted.
+// faultCount returns the number of times that an event was counted.
 func (sim *simulatedCluster) faultCount(event string) (n int) {
 	sim.withLock(func() { n = sim.faultCounts[event] })
 	return n
@@ -107,7 +109,7 @@
 	return ops
 }
 
-// drawCommandDelay reports whether and for how long a message to an agent is delayed. The lock
+// drawCommandDelay returns the delay of a message to an agent, and whether there is one. The lock
 // is held.
 func (sim *simulatedCluster) drawCommandDelay(target string, body []byte) (delay time.Duration, delayed bool) {
 	fault := sim.delayedCommands
@@ -159,8 +161,8 @@
 	}
 }
 
-// drawTransactionDelay reports whether a transaction gets no response, and after what delay it
-// is applied. The lock is held.
+// drawTransactionDelay returns the delay of a transaction that gets no response, and whether it is
+// such a transaction. The lock is held.
 func (sim *simulatedCluster) drawTransactionDelay(host, target string, body []byte) (delay time.Duration, late bool) {
 	if host != "state" || target != "/commit" || sim.lateTransactionRate == 0 || sim.rng.Float64() >= sim.lateTransactionRate {
 		return 0, false
--- a/internal/coordination/heartbeat_test.go
+++ b/internal/coordination/heartbeat_test.go
@@ -52,11 +52,12 @@
 				t.Errorf("stale heartbeat (%s) was answered", stale.name)
 			}
 			if !m.TokenConfirmed || m.Epoch != 2 || !a.Live() || !m.AnsweredUntil.Equal(receivedAt) || !m.LastHeartbeatAt.Equal(receivedAt) {
-				t.Errorf("stale heartbeat (%s): token confirmed %v, epoch %d, attempt live %v; times of the last answer and heartbeat moved by %s and %s", stale.name, m.TokenConfirmed, m.Epoch, a.Live(),
+				t.Errorf("stale heartbeat (%s): token confirmed %v, epoch %d, attempt live %v, want true, 2 and true; times of the last answer and heartbeat moved by %s and %s, want 0", stale.name, m.TokenConfirmed, m.Epoch, a.Live(),
 					m.AnsweredUntil.Sub(receivedAt), m.LastHeartbeatAt.Sub(receivedAt))
 			}
 		}
-		// A heartbeat is still answered if the agent's reply to later commands arrived before it.
+		// A heartbeat is still answered if the agent's reply to later commands arrived
+		// before the heartbeat.
 		c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 2, Sequence: 44, Token: 5, Tasks: task}, time.Now())
 		if send(2, 43, 5, task) != 200 || !m.AnsweredUntil.Equal(time.Now()) {
 			t.Error("a heartbeat overtaken by a reply to commands was not answered")
@@ -86,7 +87,7 @@
 			c.agents.ApplyMachineRecord(name, rec, uint64(10+i), now)
 		}
 		c.agents.ApplyMachineDeletion("m-1", now)
-		c.agents.ApplyMachineRecord("m-1", rec, 20, now) // the late write of its record
+		c.agents.ApplyMachineRecord("m-1", rec, 20, now) // the late write of m-1's record
 		failed := map[string]bool{}
 		for _, m := range c.autoscaler.ScalingView(nil, now).Machines {
 			failed[m.Name] = m.Failed
@@ -119,9 +120,9 @@
 	})
 }
 
-// A machine is deleted because of unstopped tasks only if their job was cancelled recently.
-// Tasks of jobs that are done, or that were cancelled longer ago than a machine lease can last,
-// are no reason to delete it.
+// A machine is deleted because of unstopped tasks only if their job was cancelled recently. Tasks
+// of jobs that are done, or that were cancelled longer ago than a machine lease can last, are no
+// reason to delete the machine.
 func TestMachinesOfFinishedJobsAreNotDeleted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -140,15 +141,16 @@
 			j := c.addLoadedJob(id)
 			clear(m.Attempts)
 			a := addLiveAttempt(j, m, 1, cluster.AttemptConfirmed)
-			// First as a leader that saw the job end, then as one that finds it ended at a takeover.
+			// First the leader was running when the job ended, then it reads the job's
+			// final state at a takeover.
 			c.jobs.SetFinalState(id, tc.status, now.Add(-tc.ago))
 			for range 2 {
 				a.StopRequestedAt = now.Add(-time.Minute)
 				if got := c.agents.MayExceedCancelBound(m, now.Add(time.Hour), now); got != tc.want && (tc.ago < c.CancelBound || tc.status == protocol.StatusDone) {
-					t.Errorf("%s job, ended %s ago: its machine is to be deleted: %v", tc.status, tc.ago, got)
+					t.Errorf("%s job, ended %s ago: its machine is to be deleted: %v, want %v", tc.status, tc.ago, got, tc.want)
 				}
 				if j.CancelledAt = c.Cancellations.CancelledAt(id); tc.ago > c.CancelBound && c.agents.MayExceedCancelBound(m, now.Add(time.Hour), now) {
-					t.Errorf("%s job, ended %s ago: its machine is to be deleted after a takeover", tc.status, tc.ago)
+					t.Errorf("%s job, ended %s ago: its machine is to be deleted after a takeover, want it kept", tc.status, tc.ago)
 				}
 			}
 		}
@@ -170,11 +172,11 @@
 		a.Inherited, a.Stopping, a.StopRequestedAt = true, true, now
 		stale := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 10, Token: 5}
 		if c.agents.HandleHeartbeat(stale, protocol.Encode(stale)); !a.Live() || m.TokenConfirmed {
-			t.Errorf("heartbeat under an old token without the task: attempt live %v, token confirmed %v", a.Live(), m.TokenConfirmed)
+			t.Errorf("heartbeat under an old token without the task: attempt live %v, token confirmed %v, want true and false", a.Live(), m.TokenConfirmed)
 		}
 		r := &protocol.Heartbeat{Machine: "m-1", Addr: "m-1:1", Epoch: 1, Sequence: 11, Token: 9}
 		if c.agents.HandleHeartbeat(r, protocol.Encode(r)); a.Live() || !m.TokenConfirmed {
-			t.Errorf("heartbeat under the new token without the task: attempt live %v, token confirmed %v", a.Live(), m.TokenConfirmed)
+			t.Errorf("heartbeat under the new token without the task: attempt live %v, token confirmed %v, want false and true", a.Live(), m.TokenConfirmed)
 		}
 	})
 }
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -15,8 +15,8 @@
 	"micaspindle/internal/storage"
 )
 
-// A killed leader is detected by its agents turning to other controllers, and is replaced
-// before its lease expires.
+// A killed leader is detected because its agents send heartbeats to other controllers, and is
+// replaced before its lease expires.
 func TestLostLeaderIsReplacedBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	var leaderless []time.Duration
@@ -43,7 +43,7 @@
 	slices.Sort(leaderless)
 	t.Logf("sorted times without a leader: %v", leaderless)
 	if median, longest := leaderless[len(leaderless)/2], leaderless[len(leaderless)-1]; median > 1900*time.Millisecond || longest > 2400*time.Millisecond {
-		t.Errorf("partition without a leader for %s (median) and up to %s; a lease expires after 3 s", median, longest)
+		t.Errorf("partition without a leader for %s (median) and up to %s, want at most 1.9 s and 2.4 s; a lease expires after 3 s", median, longest)
 	}
 }
 
@@ -106,7 +106,7 @@
 				sim.withLock(func() { sim.dropsMessage, sim.onRequest = nil, nil })
 				time.Sleep(5 * time.Second)
 				if now := leaseVersions(); now != before {
-					t.Errorf("lease versions changed from %s to %s", before, now)
+					t.Errorf("lease versions changed from %s to %s: the leader lost a lease", before, now)
 				}
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -117,9 +117,9 @@
 	}
 }
 
-// Machines that fail together with their leader are lost one machine lease after the leader's
-// next incarnation starts. Without a next incarnation they are lost only after the time for
-// which the old one may have continued to answer them.
+// Machines that fail together with their leader are lost one machine lease after the leader's next
+// incarnation starts. Without a next incarnation, the machines are lost only after the time for
+// which the old incarnation may have continued to answer their heartbeats.
 func TestNewIncarnationEndsThePreviousOne(t *testing.T) {
 	t.Parallel()
 	for _, restarted := range []bool{true, false} {
@@ -167,7 +167,7 @@
 				lease, bound := sim.settings.Params.AgentTimes.LeaseS, 15.0 // cancel_s - lease_s - 2 s
 				t.Logf("failed machine was lost after %s", lostAfter)
 				if s := lostAfter.Seconds(); s < lease || restarted && s > 3+lease+4 || !restarted && s < bound+lease {
-					t.Errorf("failed machine was lost after %s", lostAfter)
+					t.Errorf("failed machine was lost after %s, want at least a machine lease, at most 7 s more with the leader's next incarnation, and at least %v s more without", lostAfter, bound)
 				}
 				for i := range 3 {
 					sim.cancelJob(fmt.Sprintf("job-%d", i))
@@ -179,9 +179,8 @@
 	}
 }
 
-// Incarnations are ordered by the revision of their record: a late write of an older
-// incarnation's record is refused, and seeing the older record again does not end the newer
-// incarnation.
+// Incarnations are ordered by the revision of their record: a late write of an older incarnation's
+// record is refused, and another event of the older record does not end the newer incarnation.
 func TestIncarnationRecordsKeepTheirOrder(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 540, func(sim *simulatedCluster) {
@@ -211,7 +210,8 @@
 		if !ended(a.Nonce) || ended(b.Nonce) {
 			t.Errorf("first incarnation ended: %v, second: %v; want only the first ended", ended(a.Nonce), ended(b.Nonce))
 		}
-		// A late write of the first incarnation is refused by its revision.
+		// A late write of the first incarnation is refused because it is conditional on an
+		// old revision.
 		resp := sim.state.Serve(sim.ctx, "", "POST", "/commit", nil, protocol.Encode(&protocol.Transaction{
 			If: []protocol.Condition{{Key: key, Version: 0}}, Then: []protocol.Change{{Put: key, Value: first.Value}}}))
 		if resp.Status != 409 {
@@ -294,10 +294,10 @@
 
 		p.LeaseRevision, c.RecordsRevision = 20, 19
 		if unmet := c.takeover.UnmetPreconditions(p, 20, 20); !slices.Equal(unmet, []string{"machine records up to the lease revision", "final states of jobs up to the lease revision"}) {
-			t.Errorf("unmet preconditions: %v", unmet)
+			t.Errorf("unmet preconditions: %v, want the machine records and the final states up to the lease revision", unmet)
 		}
 		if c.RecordsRevision = 20; len(c.takeover.UnmetPreconditions(p, 20, 20)) != 0 || len(c.takeover.UnmetPreconditions(p, 20, 19)) != 1 {
-			t.Error("want no unmet precondition with records up to the lease revision, and one with older run records")
+			t.Error("wrong unmet preconditions: want none with records up to the lease revision, and one with older run records")
 		}
 	})
 }
--- a/internal/coordination/invalid_requests_test.go
+++ b/internal/coordination/invalid_requests_test.go
@@ -29,7 +29,7 @@
 }
 
 // invalidSubmissions returns, by description, submissions of a job that must not be accepted, and
-// the status with which a controller that knows the machine types refuses them.
+// the status with which a controller that has the machine types refuses them.
 func invalidSubmissions(id string) map[string]struct {
 	body []byte
 	want int
@@ -109,16 +109,16 @@
 	return invalid
 }
 
-// No controller accepts a submission that is invalid or that no machine can run, also while the
-// controller does not know the machine types yet or is cut off. A repeated submission of a known
-// job gets its status, whatever the body (rule 14).
+// No controller accepts a submission that is invalid or that no machine can run, even if the
+// controller has no machine types yet or is cut off. A repeated submission of a known job is
+// answered with the job's status, regardless of the body (rule 14).
 func TestInvalidSubmissionsAreRefused(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 620, func(sim *simulatedCluster) {
 		time.Sleep(2 * time.Second)
 		sim.submit(newJobSpec("job-1", 1, "green"))
-		// A controller that starts while the cloud is unreachable and no catalog of machine types
-		// is recorded knows no machine types.
+		// A controller that starts while the cloud is unreachable has no machine types if
+		// no catalog is recorded.
 		sim.withLock(func() {
 			delete(sim.state.Items, storage.CatalogKey)
 			sim.dropsMessage = func(from, host string) bool { return from == "n2" && host == "cloud" }
@@ -129,7 +129,7 @@
 		types := -1
 		sim.onController("n2", func(c *Controller) { types = len(c.Catalog) })
 		if types != 0 {
-			t.Fatalf("n2 knows %d machine types, want 0", types)
+			t.Fatalf("n2 has %d machine types, want 0", types)
 		}
 		check := func(name, label string, body []byte, want ...int) {
 			if resp := sim.sendRequest(label, "POST", "/submissions", body); !slices.Contains(want, resp.Status) {
@@ -141,7 +141,8 @@
 			submission := invalid[name]
 			check(name, "n0", submission.body, submission.want)
 			check(name, "n1", submission.body, submission.want)
-			// Without the machine types it may answer 503 to a job that fits none of them.
+			// Without the machine types, the controller may answer 503 to a job that
+			// fits none of them.
 			check(name, "n2", submission.body, submission.want, 503)
 			if submission.want == 400 {
 				check(name, "n2", submission.body, 400)
@@ -152,20 +153,21 @@
 				}
 			}
 		}
-		// A controller that is cut off from the state store and its peers accepts none either.
+		// A controller that is cut off from the state store and its peers does not accept
+		// invalid submissions either.
 		sim.withLock(func() {
 			sim.dropsMessage = func(from, host string) bool { return from == "n1" && (host == "state" || len(host) == 2) }
 		})
 		for _, name := range []string{"without gpus", "larger than any type", "unknown team"} {
 			resp := sim.sendRequest("n1", "POST", "/submissions", invalid[name].body)
 			if resp.Status == 200 || resp.Status == 201 {
-				t.Errorf("%s accepted at a controller that is cut off: status %d", name, resp.Status)
+				t.Errorf("submission %s accepted by a controller that is cut off: status %d", name, resp.Status)
 			}
 		}
 		// That controller must not refuse a repeated submission of a known job as invalid.
 		body := known["without gpus"].body
 		if resp := sim.sendRequest("n1", "POST", "/submissions", body); resp.Status == 400 || resp.Status == 422 || resp.Status == 404 {
-			t.Errorf("repeated submission refused at a controller that is cut off: status %d", resp.Status)
+			t.Errorf("repeated submission refused by a controller that is cut off: status %d", resp.Status)
 		}
 		sim.withLock(func() { sim.dropsMessage = nil })
 		time.Sleep(5 * time.Second)
@@ -235,14 +237,14 @@
 				var st protocol.JobStatus
 				panicOnError(protocol.Decode(resp.Body, &st))
 				if st.Status != protocol.StatusDone {
-					t.Errorf("the cancellation of a done job is answered with status %s", st.Status)
+					t.Errorf("the cancellation of a done job is answered with status %s, want done", st.Status)
 				}
 				outcomes["cancellation of a done job answered"]++
 			}
 			time.Sleep(150 * time.Millisecond)
 		}
 		if outcomes["repeat accepted"] < 20 || outcomes["invalid answered"] < 60 || outcomes["cancellation of a done job answered"] < 60 {
-			t.Errorf("too few requests were answered: %v", outcomes)
+			t.Errorf("numbers of answered requests: %v, want at least 20 repeated submissions, 60 invalid ones and 60 cancellations", outcomes)
 		}
 		sim.waitForAllJobs(2 * time.Minute)
 	})
--- a/internal/coordination/job_completion_test.go
+++ b/internal/coordination/job_completion_test.go
@@ -53,8 +53,7 @@
 }
 
 // synctestOnce is a sync.Once for functions that sleep in a synctest bubble. Its waiting callers
-// block on a channel, so that the bubble's fake time advances; it would not while they wait for a
-// mutex.
+// block on a channel, because the bubble's fake time does not advance while they wait for a mutex.
 type synctestOnce struct {
 	mu   sync.Mutex
 	done chan struct{} // nil before the first call
@@ -162,7 +161,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-// waitForCompletion waits until a controller knows that a job's last task has ended, or for 5 s.
+// waitForCompletion waits until a controller has received the end of a job's last task, or for 5 s.
 func (sim *simulatedCluster) waitForCompletion(job string) {
 	for range 5000 {
 		known := false
@@ -179,9 +178,9 @@
 	}
 }
 
-// Jobs are cancelled while their machines hang. The machines resume just before or after their
-// leases expire, they would be deleted, or cancel_s is over, with the state store up or down. They
-// must not resume the cancelled tasks (rules 12, 46).
+// Jobs are cancelled while their machines hang. The machines resume just before or after one of
+// three times: the expiry of their leases, their deletion, and the end of cancel_s. The state store
+// is up or down. The cancelled tasks must not continue (rules 12, 46).
 func TestCancelledTasksOfHungMachinesAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []time.Duration{17 * time.Second, 19 * time.Second, 33 * time.Second, 36 * time.Second, 42 * time.Second, 44 * time.Second, 60 * time.Second} {
@@ -212,7 +211,7 @@
 						}
 					}
 					if len(hung) < 8 {
-						t.Errorf("%d machines of cancelled tasks hang, want at least 8", len(hung))
+						t.Errorf("%d machines with cancelled tasks hang, want at least 8", len(hung))
 					}
 					if outage {
 						time.Sleep(time.Second)
--- a/internal/coordination/late_commands_test.go
+++ b/internal/coordination/late_commands_test.go
@@ -16,15 +16,16 @@
 )
 
 // A start that arrives after its job was cancelled is refused, because the fencing token was raised
-// before, whichever controller leads the partition by then (rules 9, 50, 51). In an outage of the
-// state store no token can be raised; the task is then stopped as soon as it is reported.
+// in the meantime, by the same or another leader (rules 9, 50, 51). In an outage of the state store
+// no token can be raised; the task is then stopped as soon as it is reported.
 func TestLateStartsOfCancelledJobsAreFenced(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
 		// delayFences: half of the messages that only raise the token are delayed as well.
 		delayFences bool
-		// cancelAfter is how long after the start was sent the job is cancelled.
+		// cancelAfter is the time from the sending of the start to the cancellation of the
+		// job.
 		cancelAfter time.Duration
 		takeover    bool
 		hang        time.Duration
@@ -119,7 +120,7 @@
 						}
 					}
 					if refused+applied == 0 || tc.delegated && byDelegates == 0 {
-						t.Errorf("%d starts arrived late, %d messages of other controllers were delayed", refused+applied, byDelegates)
+						t.Errorf("%d starts arrived late, %d messages of other controllers were delayed, want at least 1 start and, with delegates, at least 1 message", refused+applied, byDelegates)
 					}
 					for _, start := range sim.startsAfterCancel {
 						if !tc.outage {
@@ -130,7 +131,7 @@
 						t.Error("no late start was applied during the outage")
 					}
 					if n := len(sim.machinesRunning(s.ID)); n > 0 {
-						t.Errorf("%d tasks of the cancelled job are left", n)
+						t.Errorf("%d machines still run tasks of the cancelled job, want none", n)
 					}
 				})
 			})
@@ -138,8 +139,9 @@
 	}
 }
 
-// When a leader is killed, its goroutines give up unanswered starts and would repeat them in the
-// answer to a heartbeat. Of a killed process neither such an answer nor a command may be delivered.
+// When a leader is killed, its requests with starts fail, so that the next answer to a heartbeat
+// would repeat the starts. Neither such an answer nor a command of a killed process may be
+// delivered.
 func TestKilledLeaderRepeatsNoStart(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 503, func(sim *simulatedCluster) {
@@ -161,7 +163,8 @@
 			process = sim.controllers[leader]
 			heartbeat = protocol.Encode(sim.agents[machine].Heartbeat())
 		})
-		// A goroutine that returns late keeps the event loop running.
+		// The event loop keeps running until this goroutine returns, shortly after the
+		// kill.
 		process.controller.loop.Go(func() {
 			<-process.ctx.Done()
 			time.Sleep(10 * time.Millisecond)
@@ -175,7 +178,7 @@
 		if resp := process.handleHeartbeat(sim, machine, heartbeat); resp.Status != 0 {
 			var commands protocol.CommandBatch
 			panicOnError(protocol.Decode(resp.Body, &commands))
-			t.Errorf("the killed leader answered a heartbeat with %d %v", resp.Status, commands.Commands)
+			t.Errorf("the killed leader answered a heartbeat with status %d and commands %v, want no answer", resp.Status, commands.Commands)
 		}
 		before := sim.faultCount("delayed from " + leader)
 		start := protocol.CommandBatch{Token: 1, Epoch: 1, Commands: []protocol.Command{{Op: protocol.OpStart, Task: s.ID + "/0", Attempt: 1}}}
@@ -183,7 +186,7 @@
 		defer cancel()
 		_, err := (&controllerNetwork{sim, process}).Do(ctx, machine+":9000", "POST", "/orders", protocol.Encode(start))
 		if sent := sim.faultCount("delayed from "+leader) - before; !errors.Is(err, transport.ErrNotSent) || sent > 0 {
-			t.Errorf("the killed leader sent %d messages with commands, error %v", sent, err)
+			t.Errorf("the killed leader sent %d messages with commands, error %v; want none and ErrNotSent", sent, err)
 		}
 		<-ended
 		sim.withLock(func() { sim.delayedCommands = nil })
@@ -212,13 +215,13 @@
 		time.Sleep(700 * time.Millisecond)
 		sim.withLock(func() {
 			if left := len(sim.machinesRunning(ids[0])); left > 0 || delayed == 0 {
-				t.Errorf("%d tasks are left a second after their cancellation, %d stops were delayed", left, delayed)
+				t.Errorf("%d machines still run cancelled tasks a second after the cancellation, %d stops were delayed; want 0 and at least 1", left, delayed)
 			}
 		})
 	})
 }
 
-// If many machines with cancelled tasks are silent, repeated commands use a bounded share of the
+// If many machines with cancelled tasks do not answer, repeated commands use a bounded share of the
 // sockets and release them after the timeout.
 func TestRepeatedCommandsAreBounded(t *testing.T) {
 	t.Parallel()
@@ -252,7 +255,7 @@
 					repeated += max(0, m.CommandRequestsInFlight-1)
 				}
 				if repeated != c.agents.RepeatedCommands {
-					t.Errorf("%d repeated commands are in flight, but %d were counted", repeated, c.agents.RepeatedCommands)
+					t.Errorf("%d repeated commands are in flight, but RepeatedCommands is %d", repeated, c.agents.RepeatedCommands)
 				}
 				repeatedMax = max(repeatedMax, repeated)
 			})
@@ -261,7 +264,7 @@
 		time.Sleep(2 * agents.CommandTimeout)
 		c.loop.Do(func() {
 			if c.agents.RepeatedCommands != 0 {
-				t.Errorf("%d repeated commands are still counted", c.agents.RepeatedCommands)
+				t.Errorf("RepeatedCommands is %d after the timeout, want 0", c.agents.RepeatedCommands)
 			}
 		})
 		if limit := max(agents.RepeatedCommandsMin, c.Settings.Params.ProcessLimits.Sockets/agents.RepeatedCommandsSocketShare); repeatedMax != limit {
@@ -281,13 +284,14 @@
 			setNetwork(c, fixedStatusNetwork{status})
 			r, sent, err := c.agents.PostCommands("", "m-1", "m-1:1", protocol.CommandBatch{Token: 5, Epoch: 1})
 			if sent != mayExecute || (r != nil) != (status == 200 || status == 409) || (err == nil) != (status == 200) {
-				t.Errorf("status %d: may be executed: %v, heartbeat %v, error %v", status, sent, r, err)
+				t.Errorf("status %d: commands may be executed: %v, heartbeat %v, error %v; only 400 and 409 refuse commands, and only 200 is no error", status, sent, r, err)
 			}
 		}
 	})
 }
 
-// waitForStartsInFlight waits until starts of a job await a response, and returns their machines.
+// waitForStartsInFlight waits until requests with starts of a job are in flight, and returns their
+// machines.
 func (sim *simulatedCluster) waitForStartsInFlight(leader, job string) (machines []string) {
 	for range 60_000 {
 		time.Sleep(time.Millisecond)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -35,8 +35,8 @@
 	// largeCancelsPerSecond is three times the cancellation rate of large deployments.
 	largeCancelsPerSecond = 36
 	largeCancelBound      = 43 * time.Second
-	// standbyMessagesMax is the largest number of update messages, sent one a second, that a new
-	// standby of a partition may need.
+	// standbyMessagesMax is the maximum number of update messages, one per second, until a new
+	// standby of a partition is up to date.
 	standbyMessagesMax = 10
 	// clientResponseLimit is the largest response that transport's client accepts.
 	clientResponseLimit = 8 << 20
@@ -100,7 +100,7 @@
 	return r
 }
 
-// countedBounds returns the metrics lines of the bounds that were met at least once.
+// countedBounds returns the metrics lines of the bounds that were exceeded at least once.
 func countedBounds(c *Controller) []string {
 	var out bytes.Buffer
 	c.metrics.Write(&out, nil)
@@ -113,17 +113,17 @@
 	return list
 }
 
-// expectCountedBounds fails the test unless exactly the given bounds were met.
+// expectCountedBounds fails the test unless exactly the given bounds were exceeded.
 func expectCountedBounds(t *testing.T, c *Controller, bounds ...telemetry.Bound) {
 	t.Helper()
 	list := countedBounds(c)
 	for _, b := range bounds {
 		if !strings.Contains(strings.Join(list, "\n"), fmt.Sprintf("%q", b.String())) {
-			t.Errorf("bound %s was not counted; bounds counted: %q", b, list)
+			t.Errorf("bound %s was not counted as exceeded; counted bounds: %q", b, list)
 		}
 	}
 	if len(list) != len(bounds) {
-		t.Errorf("bounds counted: %q, want %v", list, bounds)
+		t.Errorf("counted bounds: got %q, want %v", list, bounds)
 	}
 }
 
@@ -267,7 +267,7 @@
 	sum.Partitions = append(sum.Partitions, ps)
 	body := c.peering.EncodeSummary(sum)
 	if len(body) > peerapi.MaxBody(largeProcessLimits) || len(sum.Jobs) != peering.JobProgressLimit {
-		t.Errorf("the summary has %d bytes, limit %d, and %d jobs", len(body), peerapi.MaxBody(largeProcessLimits), len(sum.Jobs))
+		t.Errorf("the summary has %d bytes, limit %d, and %d jobs, want %d", len(body), peerapi.MaxBody(largeProcessLimits), len(sum.Jobs), peering.JobProgressLimit)
 	}
 	expectCountedBounds(t, c)
 	t.Logf("the worst-case summary has %d bytes, limit %d", len(body), peerapi.MaxBody(largeProcessLimits))
@@ -288,20 +288,20 @@
 		}
 		messages := updateStandby(t, c, p, replica)
 		if messages > standbyMessagesMax {
-			t.Errorf("partition %d: its new standby needed %d messages, sent one a second", p.Index, messages)
+			t.Errorf("partition %d: its new standby needed %d messages, want at most %d", p.Index, messages, standbyMessagesMax)
 		}
 		attempts, machines = attempts+replica.Derived.CountKnownStarts(), machines+len(replica.Updates.Machines)
 		transfer, complete := replica.StateTransfer(time.Now())
 		raw, err := proto.Marshal(transfer)
 		if err != nil || !complete || len(raw) > replication.StateTransferBytesLimit || len(transfer.Attempts) != replica.Derived.CountKnownStarts() || len(transfer.Machines) != len(replica.Updates.Machines) {
-			t.Errorf("state transfer of %d bytes, complete %v, has %d attempts and %d machines (%v)", len(raw), complete, len(transfer.Attempts), len(transfer.Machines), err)
+			t.Errorf("the state transfer is too large or incomplete: %d bytes, complete %v, %d attempts, %d machines, error %v", len(raw), complete, len(transfer.Attempts), len(transfer.Machines), err)
 		}
 		t.Logf("partition %d: standby updated on %d machines in %d messages, state transfer of %d bytes", p.Index, len(replica.Updates.Machines), messages, len(raw))
 		c.leases.ClearLeaderState(p) // a standby does not hold a leader's state
 		c.takeover.Install(p, replica, nil, true)
 	}
 	if attempts != largeTasks || machines != largeMachines {
-		t.Errorf("the standbys know %d start times and %d machines", attempts, machines)
+		t.Errorf("the standbys have %d start times and %d machines, want %d and %d", attempts, machines, largeTasks, largeMachines)
 	}
 	live := 0
 	for _, j := range c.Jobs {
@@ -312,7 +312,7 @@
 		}
 	}
 	if live != largeTasks {
-		t.Errorf("%d tasks are live with a replicated start time after the takeover", live)
+		t.Errorf("%d tasks are live with a replicated start time after the takeover, want %d", live, largeTasks)
 	}
 }
 
@@ -327,7 +327,7 @@
 		}
 	}
 	if len(replica.Derived.PendingStarts) != largeTasks || replica.Derived.DroppedStarts != 0 {
-		t.Errorf("%d start times kept, %d dropped", len(replica.Derived.PendingStarts), replica.Derived.DroppedStarts)
+		t.Errorf("%d start times kept, %d dropped, want %d and 0", len(replica.Derived.PendingStarts), replica.Derived.DroppedStarts, largeTasks)
 	}
 }
 
@@ -342,7 +342,7 @@
 	}
 	notices := c.Cancellations.Recent(now, c.CancelBound)
 	if len(notices) != cancelled || notices[0].Job != "job-800000000" {
-		t.Errorf("%d of %d cancellation notices sent, the first for %s", len(notices), cancelled, notices[0].Job)
+		t.Errorf("%d of %d cancellation notices sent, the first for %s; want all, the first for job-800000000", len(notices), cancelled, notices[0].Job)
 	}
 }
 
@@ -399,7 +399,7 @@
 	renewed := c.proxy.RenewAll(p, assignment)
 	stop()
 	if !renewed || len(net.machines) != largeMachines || assignment.UnsentBytes != 0 {
-		t.Errorf("heartbeats of %d machines forwarded, %d bytes unsent", len(net.machines), assignment.UnsentBytes)
+		t.Errorf("heartbeats of %d machines forwarded, want %d; %d bytes unsent, want 0", len(net.machines), largeMachines, assignment.UnsentBytes)
 	}
 	// Only a request that contains all remaining heartbeats acknowledges the previous reply.
 	for i, after := range net.acknowledged {
@@ -436,7 +436,7 @@
 		}
 	}
 	if tasks != largeTasks || machines != largeMachines {
-		t.Errorf("%d running tasks on %d machines are known", tasks, machines)
+		t.Errorf("the controller has %d running tasks on %d machines, want %d on %d", tasks, machines, largeTasks, largeMachines)
 	}
 }
 
@@ -459,7 +459,7 @@
 			sent := new(peer.Summary)
 			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), sent))
 			if len(sent.Jobs) > 0 || len(sent.Partitions) != 1 {
-				t.Errorf("%d jobs and %d partitions in the summary", len(sent.Jobs), len(sent.Partitions))
+				t.Errorf("%d jobs and %d partitions in the summary, want 0 and 1", len(sent.Jobs), len(sent.Partitions))
 			}
 		}},
 		{"summary size, many unregistered machines", telemetry.SummaryBytes, func(t *testing.T, c *Controller) {
@@ -471,7 +471,7 @@
 			sent := new(peer.Summary)
 			panicOnError(proto.Unmarshal(c.peering.EncodeSummary(sum), sent))
 			if len(sent.Unregistered) > 0 || len(sent.Cancelled) != 1 {
-				t.Errorf("%d unregistered machines and %d cancelled jobs in the summary", len(sent.Unregistered), len(sent.Cancelled))
+				t.Errorf("%d unregistered machines and %d cancelled jobs in the summary, want 0 and 1", len(sent.Unregistered), len(sent.Cancelled))
 			}
 		}},
 		{"job progress", telemetry.JobProgress, func(t *testing.T, c *Controller) {
@@ -480,7 +480,7 @@
 				c.Jobs[id] = &cluster.Job{Spec: newJobSpec(id, 1, "green"), HasRunState: true, RunningCount: 1}
 			}
 			if n := len(c.peering.OwnSummary(time.Now()).Jobs); n != peering.JobProgressLimit {
-				t.Errorf("%d jobs in the summary", n)
+				t.Errorf("%d jobs in the summary, want %d", n, peering.JobProgressLimit)
 			}
 		}},
 		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
@@ -488,7 +488,7 @@
 				c.addQueuedJob(fmt.Sprint("job-", i), 1)
 			}
 			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.MinDemands {
-				t.Errorf("%d demands in the summary", n)
+				t.Errorf("%d demands in the summary, want %d", n, peering.MinDemands)
 			}
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
@@ -496,7 +496,7 @@
 				c.jobs.SetFinalState(fmt.Sprint("job-", i), protocol.StatusCancelled, time.Now())
 			}
 			if sent := c.Cancellations.Recent(time.Now(), c.CancelBound); len(sent) != c.Cancellations.Limit || sent[0].Job != "job-0" {
-				t.Errorf("%d cancellation notices, the first for %s", len(sent), sent[0].Job)
+				t.Errorf("%d cancellation notices, want %d; the first for %s, want job-0", len(sent), c.Cancellations.Limit, sent[0].Job)
 			}
 		}},
 		{"delegated heartbeats", telemetry.ForwardedHeartbeats, func(t *testing.T, c *Controller) {
@@ -520,7 +520,7 @@
 				m = c.addMachine(p, fmt.Sprint("m-2", i), "big")
 			}
 			if sent := c.replicator.PartitionUpdate(p, time.Now()); proto.Size(sent) > peerapi.PortableBodyLimit || len(sent.Machines) > 200 || sent.Through >= p.Replication.NewestSeq {
-				t.Errorf("replica update of %d bytes with %d machines", proto.Size(sent), len(sent.Machines))
+				t.Errorf("replica update of %d bytes with %d machines, want one within the size limit that leaves machines out", proto.Size(sent), len(sent.Machines))
 			}
 		}},
 		{"starts sent to a standby", telemetry.ReplicaStarts, func(t *testing.T, c *Controller) {
@@ -531,7 +531,7 @@
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, Through: 1, Attempts: []*peer.AttemptStart{{Job: "job-2", Attempt: 1}}})
 			if len(replica.Derived.PendingStarts) != replication.PendingStartsLimit {
-				t.Errorf("%d start times kept", len(replica.Derived.PendingStarts))
+				t.Errorf("%d start times kept, want %d", len(replica.Derived.PendingStarts), replication.PendingStartsLimit)
 			}
 		}},
 		{"machines sent to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
@@ -543,7 +543,7 @@
 			}
 			applyReplicaUpdate(t, c, &peer.ReplicaUpdate{From: "n1", LeaseRevision: 1, After: 1, Through: 2, Machines: []*peer.MachineHint{{Name: "another"}, {Name: "m-1"}}})
 			if replica.Updates.Machines["m-1"].MachineHint == nil || len(replica.Updates.Machines) != replication.ReplicaMachinesLimit {
-				t.Errorf("known machine not updated, or wrong number of machines kept: %d", len(replica.Updates.Machines))
+				t.Errorf("known machine not updated, or %d machines kept, want %d", len(replica.Updates.Machines), replication.ReplicaMachinesLimit)
 			}
 		}},
 		{"state transfers", telemetry.StateTransferBytes, func(t *testing.T, c *Controller) {
@@ -565,7 +565,7 @@
 			sent := new(peer.ReplicaUpdate)
 			panicOnError(proto.Unmarshal(resp.Body, sent))
 			if len(resp.Body) > clientResponseLimit || len(sent.Machines) != largeMachines || len(replica.Updates.Machines[largeMachineName(0)].Images) != cluster.HintImagesLimit {
-				t.Errorf("state transfer of %d bytes with %d machines", len(resp.Body), len(sent.Machines))
+				t.Errorf("state transfer of %d bytes with %d machines, want at most %d bytes, %d machines and unchanged hints in the replica", len(resp.Body), len(sent.Machines), clientResponseLimit, largeMachines)
 			}
 		}},
 		{"classes", telemetry.Classes, func(t *testing.T, c *Controller) {
@@ -573,7 +573,7 @@
 				c.scheduler.ClassGroup(fmt.Sprint("class-", i))
 			}
 			if countedBounds(c) != nil || c.scheduler.ClassGroup("another") != 0 {
-				t.Error("bound met by the last allowed class, or not enforced for the next one")
+				t.Error("the bound is exceeded by the last allowed class, or not enforced for the next one")
 			}
 		}},
 		{"estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
@@ -585,7 +585,7 @@
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
 			if c.scheduler.Corrections["class-0"].Count != 2 {
-				t.Error("run time of a known class not updated at the bound")
+				t.Error("once the maximum number of classes is reached, the run time of a known class is not updated")
 			}
 		}},
 		{"replicated estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
@@ -605,7 +605,7 @@
 				c.auth.UnknownJobLimiters.Add(fmt.Sprint("person/", i), nil)
 			}
 			if n := c.auth.UnknownJobLimiters.Len(); n != auth.MaxUnknownJobLimiters {
-				t.Errorf("%d callers are tracked", n)
+				t.Errorf("%d callers have a rate limiter, want %d", n, auth.MaxUnknownJobLimiters)
 			}
 		}},
 		{"connections of workers and users", telemetry.Connections, func(_ *testing.T, c *Controller) { c.RecordRefusedUserConnection() }},
@@ -662,12 +662,12 @@
 		var notices cluster.CancellationNotices
 		notices.SetLimit(tc.cancelBound, tc.state)
 		if body, unsent := peerapi.MaxBody(tc.limits), proxy.UnsentBytesLimit(tc.limits); body != tc.bodyBytes || unsent != tc.unsentBytes || notices.Limit != tc.cancellations {
-			t.Errorf("%s: limits of %d bytes for a body, %d unsent bytes, %d cancellation notices", tc.name, body, unsent, notices.Limit)
+			t.Errorf("%s: limits of %d bytes for a body, %d unsent bytes, %d cancellation notices, want %d, %d and %d", tc.name, body, unsent, notices.Limit, tc.bodyBytes, tc.unsentBytes, tc.cancellations)
 		}
 	}
 	for machines, want := range map[int]int{0: 200, 800: 200, 4000: 1000} {
 		if got := peering.DemandsLimit(machines); got != want {
-			t.Errorf("limit of %d demands for %d machines", got, machines)
+			t.Errorf("limit of %d demands for %d machines, want %d", got, machines, want)
 		}
 	}
 }
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -14,9 +14,9 @@
 	"micaspindle/internal/protocol"
 )
 
-// The answers to users are checked for linearizability. Each request for a job must appear to
-// take effect at some moment between request and answer, whichever controller answers it, on a
-// single job that is first unknown, then accepted, then done or cancelled for good (rule 49).
+// The answers to users are checked for linearizability. Each request for a job must appear to take
+// effect at some moment between request and answer, whichever controller answers it, on a single
+// job that is first unknown, then accepted, and finally done or cancelled (rule 49).
 
 // requestKind is the kind of an operation in a job's history.
 type requestKind int
@@ -35,7 +35,7 @@
 	jobStatus string
 }
 
-// jobState is the state of a job as users see it.
+// jobState is the state of a job in answers to users.
 type jobState int
 
 // The states of a job.
@@ -90,8 +90,8 @@
 	mu   sync.Mutex
 	next int64
 	jobs map[string][]porcupine.Operation
-	// answers counts the answers, and finals those with a final state, so that a test can check
-	// that its history is not trivial.
+	// answers is the number of answers, and finals the number of answers with a final state.
+	// With them, a test checks that its history is not trivial.
 	answers, finals int
 }
 
@@ -146,7 +146,7 @@
 		return ""
 	default:
 		if q == requestPoll {
-			return "" // changes nothing and tells the user nothing
+			return "" // has no effect and no status
 		}
 	}
 	h.record(s.ID, op)
@@ -174,7 +174,7 @@
 // the job within 5 s, after its end, or both.
 func (h *requestHistory) runJobLifecycle(sim *simulatedCluster, s *protocol.JobSpec, rng *rand.Rand) {
 	randomController := func() string { return fmt.Sprint("n", rng.IntN(3)) }
-	// retry repeats a request until it is answered, as users do.
+	// retry repeats a request until it is answered, like users.
 	retry := func(q requestKind) string {
 		for range 90 {
 			if st := h.request(sim, randomController(), q, s); st != "" {
@@ -288,7 +288,7 @@
 				time.Sleep(20 * time.Second)
 			})
 			if h.answers < 24*15 || h.finals < 24*4 {
-				t.Errorf("too few answers: %d, of which %d with a final state", h.answers, h.finals)
+				t.Errorf("%d answers, %d of them with a final state, want at least 360 and 96", h.answers, h.finals)
 			}
 			h.check(t)
 			if t.Failed() {
@@ -344,7 +344,7 @@
 			tc.ops[i].ClientId = i
 		}
 		if got := porcupine.CheckOperations(jobStateModel, tc.ops); got != tc.ok {
-			t.Errorf("%s: history accepted: %v", tc.name, got)
+			t.Errorf("%s: history accepted: %v, want %v", tc.name, got, tc.ok)
 		}
 	}
 }
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -13,9 +13,10 @@
 // status requests for accepted jobs are answered, and no job waits while a suitable machine has
 // free resources and its team is below its quota.
 const (
-	// maxAnswerDelay is how long status requests for an accepted job may go unanswered.
+	// maxAnswerDelay is the maximum time for which status requests for an accepted job may be
+	// unanswered.
 	maxAnswerDelay = 75 * time.Second
-	// maxStartDelay is how long a job may wait while resources are free.
+	// maxStartDelay is the maximum time for which a job may wait while resources are free.
 	maxStartDelay = 90 * time.Second
 )
 
@@ -63,7 +64,7 @@
 			if sim.poll("", id) != "" {
 				delete(unanswered, id)
 			} else if now.Sub(start) > maxAnswerDelay {
-				sim.t.Errorf("forgotten: status requests for %s were not answered for %s", id, maxAnswerDelay)
+				sim.t.Errorf("status requests for the accepted job %s were not answered for %s", id, maxAnswerDelay)
 				delete(unanswered, id)
 			}
 		}
@@ -101,11 +102,12 @@
 	return ids
 }
 
-// starvedJob is a job that waits although a machine has free resources for one of its tasks, or,
-// for a gang, although several machines have them for all its tasks.
+// starvedJob is a job that waits although a machine has free resources for one of the job's tasks
+// or, if the job is a gang, although several machines together have free resources for all its
+// tasks.
 type starvedJob struct {
 	job     string
-	placed  int    // number of its tasks that are done or on a machine
+	placed  int    // number of the job's tasks that are done or on a machine
 	machine string // for a gang, several names
 }
 
@@ -204,8 +206,8 @@
 	r.cpus, r.memGB, r.gpus = r.cpus-s.CPUs, r.memGB-s.MemGB, r.gpus-s.GPUs
 }
 
-// freeSlots returns how many tasks of a job a machine with the given free resources can take.
-// inZone is the number of the job's tasks in each zone.
+// freeSlots returns the number of a job's tasks for which a machine with the given free resources
+// has room. inZone is the number of the job's tasks in each zone.
 func freeSlots(agent *agent.Agent, free resources, s *protocol.JobSpec, inZone map[string]int) int {
 	if agent.PoweredOff || agent.Hung || agent.PreemptAt != nil || agent.Spot && !s.Spot || s.Zone != "" && s.Zone != agent.Zone ||
 		len(s.Types) > 0 && !slices.Contains(s.Types, agent.Type) {
--- a/internal/coordination/main_test.go
+++ b/internal/coordination/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// defaultParallelism is how many simulated clusters run in parallel unless -parallel is given.
-// It exceeds the number of cores, so that the longest tests start early, but must keep the
+// defaultParallelism is the number of simulated clusters that run in parallel unless -parallel is
+// given. It exceeds the number of cores, so that the longest tests start early, but must keep the
 // process below the race detector's limit of 8,128 goroutines.
 const defaultParallelism = 24
 
--- a/internal/coordination/on_behalf_of_test.go
+++ b/internal/coordination/on_behalf_of_test.go
@@ -11,9 +11,9 @@
 	"micaspindle/internal/transport"
 )
 
-// A service that vouches for a client may submit what that client may, and no more. It polls and
-// cancels the submitted jobs by its own rights. The audit log records who sent a request on whose
-// behalf.
+// A service that acts on behalf of a client may submit only to the queues to which the client may
+// submit. The service polls and cancels the submitted jobs by its own rights. The audit log records
+// the service and the client of each request.
 func TestRequestsOnBehalfOfClients(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 57, func(sim *simulatedCluster) {
--- a/internal/coordination/operations_test.go
+++ b/internal/coordination/operations_test.go
@@ -11,7 +11,7 @@
 	"micaspindle/internal/transport"
 )
 
-// requestOperations sends a GET request to a controller as an operator does.
+// requestOperations sends an operator's GET request to a controller.
 func (sim *simulatedCluster) requestOperations(identityName, label, path string) transport.Response {
 	process := sim.processOf(label)
 	req := &transport.Request{Method: "GET", Path: path, RemoteAddr: "10.9.0.2:4000"}
@@ -21,7 +21,7 @@
 	return process.controller.ServeOperations(sim.ctx, req)
 }
 
-// The overview and the metrics cover all queues, so they require the right to view all of them.
+// The overview and the metrics cover all queues, so they require the right to view all queues.
 func TestOperationsRequireRightsOnAllQueues(t *testing.T) {
 	t.Parallel()
 	runSimulationWithIdentities(t, 5, func(sim *simulatedCluster) {
--- a/internal/coordination/partition_leadership_test.go
+++ b/internal/coordination/partition_leadership_test.go
@@ -14,8 +14,8 @@
 	"micaspindle/internal/storage"
 )
 
-// Commands that a leader sent before it lost its partition must be refused after the successor
-// has reached the agent: a takeover raises every machine's fencing token.
+// Commands of a former leader must be refused after the new leader has reached the agent, because a
+// takeover raises every machine's fencing token.
 func TestCommandsOfAFormerLeaderAreRefused(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 13, func(sim *simulatedCluster) {
@@ -114,7 +114,7 @@
 		time.Sleep(3 * time.Second)
 		resp := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(newJobSpec("job-2", 1, "red")))
 		if resp.Status != 503 || resp.RetryAfter == 0 {
-			t.Errorf("submission during the outage: status %d, Retry-After %d", resp.Status, resp.RetryAfter)
+			t.Errorf("submission during the outage: status %d, Retry-After %d, want 503 with Retry-After", resp.Status, resp.RetryAfter)
 		}
 		if resp := sim.sendRequest("n1", "GET", "/submissions/job-1", nil); resp.Status != 503 {
 			t.Errorf("poll of an unfinished job during the outage: status %d, want 503", resp.Status)
@@ -162,7 +162,7 @@
 	})
 }
 
-// An unreachable machine may still run its tasks until its lease expires; they must not be
+// An unreachable machine may still run its tasks until its lease expires. The tasks must not be
 // started elsewhere before.
 func TestSilentMachineKeepsItsTasksUntilItsLeaseExpires(t *testing.T) {
 	t.Parallel()
@@ -220,9 +220,9 @@
 	})
 }
 
-// A new leader has not received heartbeats of its machines yet. It must not delete them as
-// machines that never booted, nor learn run times from the part of an inherited task that ran
-// after the takeover.
+// A new leader has not received heartbeats of its machines yet. It must not delete the machines as
+// if they had never booted, and must not take the time since the takeover for the run time of an
+// inherited task.
 func TestTakeoverKeepsMachinesAndEstimates(t *testing.T) {
 	t.Parallel()
 	runSimulation(t, 19, func(sim *simulatedCluster) {
@@ -292,8 +292,8 @@
 	})
 }
 
-// An inherited attempt whose agent epoch ended before the takeover must not block its task
-// forever, even if the new leader already knew the later epoch.
+// An inherited attempt whose agent epoch ended before the takeover must not block its task forever,
+// even if the new leader had already received the later epoch.
 func TestInheritedAttemptOfAnOlderEpochIsOver(t *testing.T) {
 	t.Parallel()
 	set := newSimulatedCluster(t, 1).settings
@@ -359,7 +359,7 @@
 		}
 		sim.mu.Unlock()
 		if starts > 12 {
-			t.Errorf("%d starts of 12 tasks: running tasks were restarted", starts)
+			t.Errorf("%d starts of 12 tasks, want 12: running tasks were restarted", starts)
 		}
 	})
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -66,7 +66,7 @@
 	return handle(c, caller, req.Body)
 }
 
-// handleSummary receives the summary that another controller sends about itself.
+// handleSummary applies another controller's summary.
 func (c *Controller) handleSummary(caller *auth.Caller, body []byte) (proto.Message, error) {
 	summary := new(peer.Summary)
 	if err := proto.Unmarshal(body, summary); err != nil {
--- a/internal/coordination/planned_faults_test.go
+++ b/internal/coordination/planned_faults_test.go
@@ -11,16 +11,18 @@
 	"micaspindle/internal/storage"
 )
 
-// plannedFault is one fault of a plan. It begins at time At, or with the next write of kind
-// OnWrite after it, so that it hits a step of a takeover, handover, commit or cancellation.
+// plannedFault is one fault of a plan. It begins at time At, or with the next write of kind OnWrite
+// after that time, so that it coincides with a step of a takeover, handover, commit or
+// cancellation.
 type plannedFault struct {
 	At, For time.Duration
 	Kind    faultKind
-	// Arg selects the controller, machines or jobs to hit; Share is the proportion of machines
-	// or messages.
+	// Arg selects the affected controller, machines or jobs; Share is the proportion of
+	// affected machines or messages.
 	Arg   int
 	Share float64
-	// OnWrite is the kind of write that triggers the fault; "": it begins at time At.
+	// OnWrite is the kind of write that triggers the fault; if it is "", the fault begins at
+	// time At.
 	OnWrite string
 }
 
@@ -45,7 +47,7 @@
 	faultCutFromAgents          faultKind = "cut from agents"
 	faultCutOff                 faultKind = "cut off"
 	faultStateStoreOutage       faultKind = "outage"        // the state store is down
-	faultWatchesStuck           faultKind = "watches stuck" // watches deliver nothing
+	faultWatchesStuck           faultKind = "watches stuck" // watches deliver no events
 	faultCrash                  faultKind = "crash"
 	faultCrashOfAll             faultKind = "crash of all"
 	faultLongCrashOfAll         faultKind = "away" // all controllers are down for longer than a machine lease
@@ -91,7 +93,7 @@
 // writeObserver signals writes to the state store by their kind.
 type writeObserver struct{ waiting map[string]chan struct{} }
 
-// writeKind returns the kind of a write to a key, "" if it cannot trigger a fault.
+// writeKind returns the kind of a write to a key, or "" if such a write triggers no fault.
 func writeKind(key string) string {
 	switch kind, _ := storage.ParseKey(key); kind {
 	case storage.KindLease:
@@ -135,7 +137,8 @@
 }
 
 // injectAtTrigger waits for a fault's time, counted from start, and for its trigger, injects the
-// fault and ends it. If no write triggers the fault within timeout, it begins without one.
+// fault and ends it. If no write triggers the fault within timeout, the fault begins without a
+// trigger.
 func (sim *simulatedCluster) injectAtTrigger(fault plannedFault, start time.Time, timeout time.Duration) {
 	time.Sleep(time.Until(start.Add(fault.At)))
 	if fault.OnWrite != "" {
@@ -149,8 +152,8 @@
 	sim.inject(fault)
 }
 
-// selectMachines returns the names of about the proportion Share of the machines; Arg determines
-// which.
+// selectMachines returns the names of machines that Arg selects, about the proportion Share of all
+// machines.
 func (sim *simulatedCluster) selectMachines(fault plannedFault) (names []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -208,10 +211,10 @@
 	faultSlowLinks:          (*simulatedCluster).injectSlowLinks,
 }
 
-// controller returns the label of the controller to hit.
+// controller returns the label of the affected controller.
 func (fault plannedFault) controller() string { return fmt.Sprint("n", fault.Arg%3) }
 
-// downtime returns how long a killed controller stays down.
+// downtime returns the time for which a killed controller stays down.
 func (fault plannedFault) downtime() time.Duration {
 	return []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[fault.Arg/3%3]
 }
@@ -253,8 +256,8 @@
 	sim.cuts.end(sim, id)
 }
 
-// injectLateTransactions leaves a share of the transactions without a response and applies them
-// late, or at once if only the responses are to be lost.
+// injectLateTransactions drops the responses to a share of the transactions, and applies these
+// transactions late, or at once if only the responses are to be lost.
 func (sim *simulatedCluster) injectLateTransactions(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.lateTransactionRate, sim.loseResponsesOnly = 0, false
@@ -405,8 +408,8 @@
 	}
 }
 
-// injectCancellationsAtEnd cancels some jobs when their last task ends: those whose id length has
-// the parity of Arg.
+// injectCancellationsAtEnd cancels jobs when their last task ends, if the length of the job's id
+// and Arg are both even or both odd.
 func (sim *simulatedCluster) injectCancellationsAtEnd(fault plannedFault) {
 	sim.during(fault, func(on bool) {
 		sim.cancelAtEnd = nil
--- a/internal/coordination/proxy_test.go
+++ b/internal/coordination/proxy_test.go
@@ -41,7 +41,7 @@
 	return partition
 }
 
-// connectedMachines returns how many machines are connected to each controller.
+// connectedMachines returns the number of machines that are connected to each controller.
 func (sim *simulatedCluster) connectedMachines() map[string]int {
 	n := map[string]int{}
 	for _, l := range allControllers {
@@ -88,7 +88,7 @@
 			}
 		}
 		if total < 9 {
-			t.Errorf("only %d machines are connected", total)
+			t.Errorf("%d machines are connected, want at least 9", total)
 		}
 		receivers := map[string]int{}
 		sim.forEachAgent(func(agent *agent.Agent) { receivers[agent.Controllers[agent.ControllerIndex]]++ })
@@ -106,7 +106,7 @@
 				}
 			}
 			if delegated != total-connected[leader] || moves == 0 || overview.ConnectedMachines != connected[leader] || overview.Capacity != 6 {
-				t.Errorf("overview shows %d delegated machines, %d moves, %d of %d connections used; connected machines %v", delegated, moves, overview.ConnectedMachines, overview.Capacity, connected)
+				t.Errorf("the overview shows %d delegated machines, %d moves, %d of 6 connections used (capacity %d), want at least 1 move and the numbers of connected machines %v", delegated, moves, overview.ConnectedMachines, overview.Capacity, connected)
 			}
 		})
 		sim.mu.Lock()
@@ -124,7 +124,7 @@
 }
 
 // A delegate's grant ends no later than the leader's own bound for answering heartbeats. A
-// forwarded heartbeat that arrives twice or late does not make its machine look alive.
+// forwarded heartbeat that arrives twice or late does not count as a sign of life of its machine.
 func TestGrantsEndWithinTheLeadersAnswerBound(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 780, configureFewSockets, func(sim *simulatedCluster) {
@@ -148,10 +148,10 @@
 		}
 		bound := ctl.AnswerBound()
 		if status, grant := requestGrant(0); status != 200 || grant != delegation.GrantDuration {
-			t.Errorf("right after a lease renewal: status %d, granted for %s", status, grant)
+			t.Errorf("right after a lease renewal: status %d, granted for %s, want 200 and the full duration", status, grant)
 		}
 		if status, grant := requestGrant(bound - time.Second); status != 200 || grant > time.Second || grant < 900*time.Millisecond {
-			t.Errorf("a second before the answer bound: status %d, granted for %s", status, grant)
+			t.Errorf("a second before the answer bound: status %d, granted for %s, want 200 and 0.9 s to 1 s", status, grant)
 		}
 		if status, _ := requestGrant(bound); status != 409 {
 			t.Errorf("at the answer bound: status %d, want 409", status)
@@ -170,7 +170,7 @@
 		ctl.loop.Do(func() {
 			m := ctl.Machines[name]
 			if silent := time.Since(m.LastHeartbeatAt); silent < 3*time.Second || time.Since(m.AnsweredUntil) > 0 {
-				t.Errorf("after a repeated heartbeat: last new heartbeat %s ago, last possible answer %s ago", silent, time.Since(m.AnsweredUntil))
+				t.Errorf("after a repeated heartbeat: last new heartbeat %s ago, last possible answer %s ago, want at least 3 s and a time in the future", silent, time.Since(m.AnsweredUntil))
 			}
 		})
 		sim.forEachAgent(func(agent *agent.Agent) { agent.Hung = false })
@@ -178,8 +178,9 @@
 	})
 }
 
-// If a controller takes over more machines than it has sockets for, it delegates some of them
-// at once, including the commands that raise their fencing tokens.
+// If a controller takes over more machines than it has sockets for, it delegates some of the
+// machines at once, and also forwards the messages that raise their fencing tokens through
+// delegates.
 func TestTakeoverDelegatesAtOnce(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 790, configureFewSockets, func(sim *simulatedCluster) {
@@ -228,15 +229,15 @@
 		directCount := len(direct[successor])
 		sim.mu.Unlock()
 		if machines < 9 || confirmed < machines || delegated == 0 || forwarded == 0 || directCount >= machines {
-			t.Errorf("%d machines, %d with a confirmed token; %d shards delegated, %d commands forwarded, %d machines sent commands by %s directly", machines, confirmed, delegated, forwarded, directCount, successor)
+			t.Errorf("%d machines, %d with a confirmed token, %d shards delegated, %d commands forwarded, %d machines that received commands from %s directly; want at least 9 machines, all tokens confirmed, some shards delegated, some commands forwarded, and not all sent directly", machines, confirmed, delegated, forwarded, directCount, successor)
 		}
 		sim.startController(killed)
 		sim.waitForAllJobs(6 * time.Minute)
 	})
 }
 
-// Malformed requests are refused, and so are requests under another lease, which a delegate of
-// a former leader may send.
+// Malformed requests are refused. Requests under another lease, which a delegate of a former leader
+// may send, are also refused.
 func TestInvalidDelegationRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 760, configureFewSockets, func(sim *simulatedCluster) {
@@ -261,7 +262,7 @@
 			"malformed heartbeats":         renew(&peer.DelegationRequest{From: "n1", Nonce: "x", Partition: uint32(partition), LeaseRevision: lease, Heartbeats: [][]byte{{1}, nil}}) - 200,
 		} {
 			if got != 0 {
-				t.Errorf("%s: status differs by %d from the expected one", name, got)
+				t.Errorf("%s: got status minus wanted status = %d, want 0", name, got)
 			}
 		}
 		many := &peer.ForwardRequest{From: "n1"}
@@ -313,7 +314,7 @@
 				t.Errorf("%s: status %d with token %d and %d commands, want status %d with token %d and no commands", name, resp.Status, commands.Token, len(commands.Commands), want, token)
 			}
 			if unsent := string(assignment.Unsent["m-1"].Raw) == "body"; unsent != (want == 200) {
-				t.Errorf("%s: status %d, heartbeat kept for forwarding %v", name, resp.Status, unsent)
+				t.Errorf("%s: status %d, heartbeat kept for forwarding: %v, want kept only with status 200", name, resp.Status, unsent)
 			}
 		}
 		expectAnswer("without a grant", 421, 0)
@@ -355,7 +356,7 @@
 		grant()
 		setLease(7, "n0", c.Nonce)
 		if resp := c.agents.HandleHeartbeat(heartbeat, nil); resp.Status != 503 && resp.Status != 200 || len(assignment.Unsent) > 0 {
-			t.Errorf("as the partition's leader: status %d, %d heartbeats kept for forwarding", resp.Status, len(assignment.Unsent))
+			t.Errorf("as the partition's leader: status %d, want 200 or 503; %d heartbeats kept for forwarding, want none", resp.Status, len(assignment.Unsent))
 		}
 	})
 }
@@ -401,7 +402,7 @@
 		time.Sleep(5 * time.Second)
 		sim.mu.Lock()
 		if len(lost) == 0 || repeated == nil {
-			t.Errorf("machines with a lost heartbeat: %v, in the next request: %v", lost, repeated)
+			t.Errorf("machines with a lost heartbeat: %v, in the next request: %v; want some of both", lost, repeated)
 		}
 		for name := range lost {
 			if sim.agents[name].Hung = false; !repeated[name] {
@@ -413,8 +414,8 @@
 	})
 }
 
-// An agent that is redirected to a delegate before any controller has answered it still holds
-// its first lease: attempts on it must not be taken to have ended (rule 6).
+// An agent that is redirected to a delegate before any controller has answered it still holds its
+// first lease: attempts on its machine must not be considered ended (rule 6).
 func TestUnansweredAgentKeepsItsFirstLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -425,7 +426,8 @@
 		now := time.Now()
 		c.RecordsCurrentAt, c.LeaseRenewedAt = now, now
 		p.Delegations.Assign(m.Shard, "n1")
-		// The delegate renews its grant repeatedly, so that all of its answers are known.
+		// The delegate renews its grant repeatedly, so that the leader has received all of
+		// its answers.
 		for serial := range uint64(3) {
 			p.Delegations.Renew("n1", "x", serial, time.Minute, now.Add(-time.Second))
 		}
--- a/internal/coordination/random_concurrent_faults_test.go
+++ b/internal/coordination/random_concurrent_faults_test.go
@@ -89,8 +89,8 @@
 	sim.withLock(func() {
 		sim.lateTransactionRate, sim.duplicatedHeartbeatRate, sim.messageFaultRate, sim.cancelAtEnd, sim.delayedCommands, sim.linkDelayMax = 0, 0, 0, nil, nil, 0
 	})
-	// Waiting tasks may take long, for example behind a team's quota, but some must end in each
-	// interval until none is left.
+	// Tasks may wait long, for example because of a team's quota, but some must end in each
+	// interval until all have ended.
 	for ended := -1; ; {
 		done := sim.countFinishedTasks()
 		if done == ended {
@@ -107,10 +107,10 @@
 	}
 }
 
-// longestTaskRunTime bounds the run times of tasks in runFaultPlan.
+// longestTaskRunTime is the maximum run time of tasks in runFaultPlan.
 const longestTaskRunTime = 33 * time.Second
 
-// countFinishedTasks returns how many tasks are done or were cancelled with their job.
+// countFinishedTasks returns the number of tasks that are done or were cancelled with their job.
 func (sim *simulatedCluster) countFinishedTasks() (n int) {
 	sim.withLock(func() {
 		for _, submitted := range sim.jobs {
@@ -164,8 +164,8 @@
 	return kept
 }
 
-// minimizePlan removes from a failing plan, one by one, the faults without which the test still
-// fails. It runs the test for each of them in a new process.
+// minimizePlan returns a failing plan without the faults that are not necessary for the failure.
+// For each fault, it runs the test without that fault in a new process.
 func minimizePlan(t *testing.T, plan []plannedFault) []plannedFault {
 	t.Helper()
 	var excluded []string
@@ -182,7 +182,8 @@
 
 // Random plans of overlapping faults violate no safety rule while jobs are submitted and cancelled,
 // and all jobs end. A failing plan is printed, one fault per line; with
-// MICASPINDLE_FAULT_PLANS_MINIMIZE set, only the faults that it needs to fail.
+// MICASPINDLE_FAULT_PLANS_MINIMIZE set, the plan is first reduced to the faults that are necessary
+// for the failure.
 func TestRandomConcurrentFaults(t *testing.T) {
 	t.Parallel()
 	from, count := seedRange(12)
--- a/internal/coordination/reassignment_test.go
+++ b/internal/coordination/reassignment_test.go
@@ -37,7 +37,7 @@
 		reassigned := newJobSpecOfClass("job-11", "blue", "match")
 		sim.withLock(func() { sim.jobs["job-11"] = newAcceptedJob(reassigned) })
 		sim.expectStatus(200, reassign("job-1", "job-11", "blue"))
-		// Repeated at the same controller and at another one.
+		// The request is repeated at the same controller and at another one.
 		sim.expectStatus(200, reassign("job-1", "job-11", "blue"))
 		sim.expectStatus(200, sim.requestAs("person/root", "n2", "POST", "/submissions/job-1/reassign", protocol.Reassignment{As: "job-11", Team: "blue"}))
 		sim.expectStatus(409, reassign("job-1", "job-12", "blue"))
@@ -53,14 +53,14 @@
 		}
 		sim.expectStatus(409, reassign("job-2", "job-12", "blue"))
 		if st := sim.poll("n0", "job-1"); st != protocol.StatusCancelled {
-			t.Errorf("the original of a reassigned job is %s", st)
+			t.Errorf("a reassigned job has status %s, want cancelled", st)
 		}
 		sim.waitForAllJobs(3 * time.Minute)
 		if st := sim.poll("n0", "job-11"); st != protocol.StatusDone {
-			t.Errorf("the new job of a reassignment is %s", st)
+			t.Errorf("the successor of a reassigned job has status %s, want done", st)
 		}
 		if n := countAuditRecords(sim.readAudit("n0"), func(r *audit.Record) bool { return r.Verb == "reassign" && r.Outcome == audit.Allowed }); n != 1 {
-			t.Errorf("%d audit records of one reassignment", n)
+			t.Errorf("%d audit records of one reassignment, want 1", n)
 		}
 	})
 }
--- a/internal/coordination/replication_test.go
+++ b/internal/coordination/replication_test.go
@@ -17,7 +17,8 @@
 	"micaspindle/internal/storage"
 )
 
-// standbyOf returns the controller that has a complete replica of a partition, "" if none has.
+// standbyOf returns the controller that has a complete replica of a partition, or "" if there is
+// none.
 func (sim *simulatedCluster) standbyOf(partition int) (label string) {
 	for _, l := range allControllers {
 		sim.onController(l, func(c *Controller) {
@@ -59,8 +60,9 @@
 	return out
 }
 
-// A replica kept up to date by changes of the records yields the same state as a new listing,
-// for random records and for jobs and machines that are not all known when it is used.
+// A replica that is updated with each change of the records yields the same state as a new listing.
+// The records are random, and the controller that uses the replica lacks some of the jobs and
+// machines in them.
 func TestReplicaEqualsAListing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -158,7 +160,7 @@
 			}
 		}
 		if a["miscounted"] != "" {
-			t.Fatalf("seed %d: machine with its counted and actual usage: %s", seed, a["miscounted"])
+			t.Fatalf("seed %d: the counted usage of a machine differs from the actual one: %s", seed, a["miscounted"])
 		}
 		if len(a) != len(b) || len(a) < 20 {
 			t.Fatalf("seed %d: snapshots have %d and %d entries, want equal numbers of at least 20", seed, len(a), len(b))
@@ -197,10 +199,10 @@
 			t.Errorf("update %d: acknowledged %d, want %d", i, got, c.want)
 		}
 		if at, took := starts[replication.AttemptID{Job: job, Task: 0, Number: 1}]; took != c.applied || took && !at.Equal(now.Add(-2*time.Second)) {
-			t.Errorf("update %d: applied %v, start time %s ago", i, took, now.Sub(at))
+			t.Errorf("update %d: applied %v, want %v; start time %s ago, want 2 s if applied", i, took, c.applied, now.Sub(at))
 		}
 	}
-	// The size of a message is bounded; what is left out is sent in the next ones.
+	// The size of a message is bounded. Changes that do not fit are sent in the next messages.
 	const machines, tasks = 2000, 80_000
 	c, p := newLeadingController(t)
 	for i := range machines {
@@ -228,15 +230,15 @@
 		p.Replication.AcknowledgedSeq = replica.Updates.Apply(msg, replica.Derived.StoreStart, now)
 	}
 	if messages != 3 || len(replica.Updates.Machines) != machines {
-		t.Errorf("sent %d messages with %d attempts and %d machines", messages, replica.Derived.CountKnownStarts(), len(replica.Updates.Machines))
+		t.Errorf("sent %d messages with %d attempts and %d machines, want 3 messages and %d machines", messages, replica.Derived.CountKnownStarts(), len(replica.Updates.Machines), machines)
 	}
 	if again := c.replicator.PartitionUpdate(p, now); len(again.Attempts)+len(again.Machines) > 0 {
 		t.Errorf("acknowledged hints of %d attempts and %d machines were sent again", len(again.Attempts), len(again.Machines))
 	}
 }
 
-// A replicated start time does not show that the attempt still runs: the attempt counts as
-// running since that time only once its machine reports it.
+// A replicated start time does not prove that the attempt still runs. Only once its machine reports
+// the attempt does it count as running since that time.
 func TestReplicatedStartIsNoReportOfRunning(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -248,14 +250,14 @@
 	a := j.LiveAttempts[0]
 	a.State, a.Inherited = cluster.AttemptCommitted, true
 	if !c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 1}, now.Add(-20*time.Second)) || c.replicator.ApplyStart(p, replication.AttemptID{Job: "job-1", Task: 0, Number: 2}, now) {
-		t.Error("want the start time of the attempt applied and that of an unknown attempt ignored")
+		t.Error("the start time of the attempt was not applied, or that of an unknown attempt was not ignored")
 	}
 	if !a.StartedAt.IsZero() || j.RunningCount != 0 || a.State != cluster.AttemptCommitted || a.RunTimeS(now) != 20 {
-		t.Errorf("before a heartbeat: started at %s, %d tasks running, attempt state %d, run time %v s", a.StartedAt, j.RunningCount, a.State, a.RunTimeS(now))
+		t.Errorf("before a heartbeat: started at %s, %d tasks running, attempt state %d, run time %v s; want a committed attempt that is not running, with a run time of 20 s", a.StartedAt, j.RunningCount, a.State, a.RunTimeS(now))
 	}
 	c.agents.ApplyHeartbeat(m, &protocol.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1, Token: c.Token(m),
 		Tasks: []protocol.TaskReport{{Task: a.TaskName(), Attempt: 1, State: protocol.TaskRunning}}}, now)
 	if now.Sub(a.StartedAt) != 20*time.Second || j.RunningCount != 1 || a.State != cluster.AttemptConfirmed {
-		t.Errorf("after a heartbeat: started %s ago, %d tasks running, attempt state %d", now.Sub(a.StartedAt), j.RunningCount, a.State)
+		t.Errorf("after a heartbeat: started %s ago, %d tasks running, attempt state %d; want 20 s, 1 and a confirmed attempt", now.Sub(a.StartedAt), j.RunningCount, a.State)
 	}
 }
--- a/internal/coordination/safety_checks_test.go
+++ b/internal/coordination/safety_checks_test.go
@@ -19,14 +19,14 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%s: ", time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)))+fmt.Sprintf(format, args...))
 }
 
-// checkLeaseWrite checks that no controller acquires a lease that another one still holds. The
-// holder could go on answering heartbeats for longer than its successor expects.
+// checkLeaseWrite checks that no controller acquires a lease that another one still holds.
+// Otherwise the holder might answer heartbeats for longer than its successor expects.
 func (sim *simulatedCluster) checkLeaseWrite(c protocol.Change, old protocol.Item, exists bool) {
 	var record storage.Lease
 	if kind, _ := storage.ParseKey(c.Put); (kind == storage.KindLease || kind == storage.KindLeadership) && storage.Decode(c.Value, &record) == nil {
-		// The holder's incarnation need not be the latest. A late lease write of a process that
-		// has ended may come after the record of the next incarnation, while the lease has not
-		// expired (rule 44).
+		// The holder's incarnation need not be the latest. A late lease write of a process
+		// that has ended may be applied after the record of the next incarnation was
+		// written, while the lease has not expired (rule 44).
 		if !sim.incarnations[lease.IncarnationID{Label: record.Holder, Nonce: record.Nonce}] {
 			sim.recordViolation("%s was acquired before its holder's incarnation was recorded", c.Put)
 		}
@@ -113,8 +113,8 @@
 	}
 	teamCPUs, tasksInZone := 0.0, 0
 	for _, other := range sim.agents {
-		// A machine that hangs beyond its lease does not continue its tasks; it drops them when
-		// it resumes.
+		// A machine that hangs beyond its lease does not continue its tasks when it
+		// resumes; it drops them.
 		dead := time.Since(other.LeaseRenewedAt).Seconds() > sim.settings.Params.AgentTimes.LeaseS
 		for _, otherTask := range other.Tasks {
 			if !otherTask.Running || dead {
--- a/internal/coordination/scheduling_decisions_test.go
+++ b/internal/coordination/scheduling_decisions_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// describePlans generates a cluster from a seed and describes the scheduling decisions for it.
-// The machines of a partition are alike, so that it does not matter which of them is chosen.
+// describePlans generates a cluster from a seed and describes the scheduling decisions for it. The
+// machines of a partition are equal, so that the choice between them does not change the decisions.
 func describePlans(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
--- a/internal/coordination/scheduling_policy_test.go
+++ b/internal/coordination/scheduling_policy_test.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// In a backlog, ordering by deadline alone could make every job late; the largest job goes last
-// instead.
+// In a backlog, ordering by deadline alone could make every job late. Therefore the largest job is
+// last in the queue.
 func TestBacklogQueuesTheLargestJobLast(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Small tasks must not fill the machines that waiting large tasks need while machines of other
-// types are free.
+// While machines of other types are free, small tasks must not fill the machines that waiting large
+// tasks need.
 func TestScarceMachineTypesAreLeftToJobsThatNeedThem(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -60,7 +60,8 @@
 	}
 }
 
-// A machine that is long overdue may never boot: waiting jobs must not count on it.
+// A machine whose boot time has long passed may never boot, so it must not reduce the demand of
+// waiting jobs.
 func TestOverdueMachinesDoNotCountAsCapacity(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -126,9 +127,9 @@
 	})
 }
 
-// A job that is requeued, or whose record changes, while the queue order is cached must be
-// inserted by its urgency. At the end of the queue, its tasks would find the machines taken by
-// lower urgencies, and its ended tasks, which free quota, would be recorded later.
+// A job that is requeued, or whose record changes, while the queue order is cached must be inserted
+// by its urgency. At the end of the queue, jobs of lower urgency would get the machines first, and
+// the ends of the job's tasks, which free quota, would be recorded later.
 func TestRequeuedJobKeepsItsQueuePosition(t *testing.T) {
 	t.Parallel()
 	c, p := newLeadingController(t)
@@ -141,12 +142,12 @@
 	}
 	first.Requeue(0)
 	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
-		t.Error("a job with a requeued task is queued after one of lower urgency")
+		t.Error("a job with a requeued task is missing from the queue or comes after a job of lower urgency")
 	}
 	p.QueueOrder, first.Pending = nil, nil
 	c.scheduler.Queue(p)
 	first.MarkDirty(0, false, time.Now())
 	if list := c.scheduler.Queue(p); len(list) != 2 || list[0] != first {
-		t.Error("a job with a changed record is queued after one of lower urgency")
+		t.Error("a job with a changed record is missing from the queue or comes after a job of lower urgency")
 	}
 }
--- a/internal/coordination/scheduling_test.go
+++ b/internal/coordination/scheduling_test.go
@@ -75,7 +75,7 @@
 		time.Sleep(40 * time.Second)
 		sim.mu.Lock()
 		if lost.Load() < 3 || sim.cloud.CreatedTotal > 2 {
-			t.Errorf("%d machines rented for two tasks, %d responses lost", sim.cloud.CreatedTotal, lost.Load())
+			t.Errorf("%d machines rented for two tasks, want at most 2; %d responses lost, want at least 3", sim.cloud.CreatedTotal, lost.Load())
 		}
 		sim.mu.Unlock()
 		sim.waitForAllJobs(2 * time.Minute)
@@ -100,7 +100,7 @@
 		rented := sim.cloud.CreatedTotal
 		sim.mu.Unlock()
 		if rented > 10 || starts > 40 {
-			t.Errorf("%d machines rented and %d tasks started, with a job that always fails", rented, starts)
+			t.Errorf("%d machines rented and %d tasks started for a job that always fails, want at most 10 and 40", rented, starts)
 		}
 		sim.cancelJob("job-13")
 
@@ -126,9 +126,9 @@
 	})
 }
 
-// Late jobs queue behind jobs that can still meet their deadlines; served first, they would
-// make those late too. A job that has waited very long must not starve: it goes first a quarter
-// of the time.
+// Late jobs queue behind jobs that can still meet their deadlines, because those would otherwise be
+// late, too. A job that has waited very long must not starve: it is first in the queue a quarter of
+// the time.
 func TestLateJobsQueueBehindJobsInTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -208,8 +208,8 @@
 	})
 }
 
-// A slow machine is detected by comparison with others of its type. A job whose estimate is
-// wrong on all machines must not quarantine any.
+// A slow machine is detected by comparison with others of its type. A job whose estimate is wrong
+// on all machines must not cause the quarantine of any machine.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []bool{true, false} {
@@ -245,7 +245,7 @@
 					}
 				}
 				if len(quarantined) > 1 || quarantined["m-000000"] != slow {
-					t.Errorf("machines quarantined: %v", quarantined)
+					t.Errorf("machines quarantined: %v, want only m-000000, and only if it is slow", quarantined)
 				}
 				sim.waitForAllJobs(5 * time.Minute)
 			})
@@ -288,7 +288,7 @@
 				}
 			}
 			maxRunning = max(maxRunning, running)
-			// Agents know a gang's tasks by their common attempt number.
+			// All tasks of a gang have the same attempt number.
 			numbers := map[uint64]bool{}
 			sim.mu.Lock()
 			for _, agent := range sim.agents {
--- a/internal/coordination/simulated_agents_test.go
+++ b/internal/coordination/simulated_agents_test.go
@@ -126,7 +126,7 @@
 	return resp
 }
 
-// RunTime returns how long a task runs. A task that was done before ends at once.
+// RunTime returns the run time of a task. A task that was done before ends at once.
 func (sim *simulatedCluster) RunTime(job string, task int, machine string) (time.Duration, bool) {
 	submitted := sim.jobs[job]
 	if submitted == nil {
@@ -143,7 +143,7 @@
 	return sim.taskFails != nil && sim.taskFails(job, task, machine)
 }
 
-// Ended records that a task is done, and cancels its job if the test asks for that.
+// Ended records that a task is done, and cancels its job if cancelAtEnd selects it.
 func (sim *simulatedCluster) Ended(_ *agent.Agent, t *agent.Task) {
 	if t.Cause == protocol.CauseDone {
 		submitted := sim.jobs[t.Job]
@@ -168,8 +168,8 @@
 	}
 }
 
-// machinesRunning returns the machines that have tasks of a job which have not ended, including
-// machines that hang. The lock is held.
+// machinesRunning returns the machines with unfinished tasks of a job, including machines that
+// hang. The lock is held.
 func (sim *simulatedCluster) machinesRunning(id string) (machines []string) {
 	for _, name := range slices.Sorted(maps.Keys(sim.agents)) {
 		for _, t := range sim.agents[name].Tasks {
@@ -181,8 +181,8 @@
 	return machines
 }
 
-// machinesRunningAnyOf returns the set of machines that have tasks of any of the jobs which have
-// not ended. The lock is held.
+// machinesRunningAnyOf returns the set of machines with unfinished tasks of any of the jobs. The
+// lock is held.
 func (sim *simulatedCluster) machinesRunningAnyOf(ids ...string) map[string]bool {
 	machines := map[string]bool{}
 	for _, id := range ids {
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -24,8 +24,8 @@
 )
 
 // simulatedCluster simulates everything outside the controllers under a fake clock: the state
-// store, the cloud, the agents and the network between them, as PROTOCOL describes them. It
-// records each violation of a safety rule that an outside observer could see.
+// store, the cloud, the agents and the network between them, as PROTOCOL describes them. It records
+// each violation of a safety rule that is observable outside the controllers.
 type simulatedCluster struct {
 	t        testing.TB
 	ctx      context.Context
@@ -90,11 +90,11 @@
 	return resp
 }
 
-// submittedJob is a job as its user knows it.
+// submittedJob is a job according to the responses to its user.
 type submittedJob struct {
 	spec            *protocol.JobSpec
 	acceptedAt      time.Time // zero: not accepted yet
-	cancelRequested bool      // the user has asked to cancel it
+	cancelRequested bool      // the user has requested the job's cancellation
 	cancelledAt     time.Time
 	finalStatus     string
 	tasksDone       map[int]bool
@@ -189,8 +189,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulatedCluster(t, seed)
 		prepare(sim)
-		// The state store enforces announced lower limits from the start: the controllers must
-		// already keep to them.
+		// The state store enforces announced lower limits from the start, because the
+		// controllers must already respect them.
 		limits := sim.settings.Params.State.Lower()
 		sim.state.TxnOps, sim.state.ValueKB = limits.TxnOps, limits.ValueKB
 		ctx, cancel := context.WithCancel(context.Background())
@@ -281,8 +281,8 @@
 	sim.startController(label)
 }
 
-// pauseController withholds what a controller sends and receives, as if its process were
-// stopped.
+// pauseController withholds the messages that a controller sends and receives, as if its process
+// were stopped.
 func (sim *simulatedCluster) pauseController(label string, d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -381,7 +381,8 @@
 	return held
 }
 
-// waitForNewLeader waits until a partition has a ready leader other than before.
+// waitForNewLeader waits until a partition has a ready leader other than the controller before, and
+// returns its label.
 func (sim *simulatedCluster) waitForNewLeader(partition int, before string) string {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
@@ -411,7 +412,7 @@
 	sim.t.Fatal("no controller acquired the partition's lease within 20 s")
 }
 
-// setRunTime sets how long every task runs from now on.
+// setRunTime sets the run time of every task that starts from now on.
 func (sim *simulatedCluster) setRunTime(d time.Duration) {
 	sim.withLock(func() { sim.taskRunTime = func(string, int, string) time.Duration { return d } })
 }
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -17,14 +17,14 @@
 	"micaspindle/internal/transport"
 )
 
-// controllerNetwork is the network as one controller sees it.
+// controllerNetwork is the network of one controller.
 type controllerNetwork struct {
 	cluster *simulatedCluster
 	sender  *simulatedController
 }
 
-// Do delivers one message. The message or its response may be lost, or the message may arrive
-// long after the sender has given up.
+// Do delivers one message. The message or its response may be lost, or the message may arrive long
+// after the sender's timeout.
 func (network *controllerNetwork) Do(ctx context.Context, addr, method, target string, body []byte) (*transport.Response, error) {
 	sim, sender := network.cluster, network.sender.label
 	host, _, _ := strings.Cut(addr, ":")
@@ -114,7 +114,7 @@
 	return faults
 }
 
-// lostMessage waits until the sender gives up, and returns the error that the sender gets.
+// lostMessage waits until the sender's context ends, and returns the sender's error.
 func lostMessage(ctx context.Context, reason string) (*transport.Response, error) {
 	<-ctx.Done()
 	return nil, fmt.Errorf("%s: %w", reason, ctx.Err())
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -47,7 +47,8 @@
 	return b
 }
 
-// sendRequest sends a user's request to a controller, or to another one if it is not running.
+// sendRequest sends a user's request to a controller, or to another one if that controller is not
+// running.
 func (sim *simulatedCluster) sendRequest(label, method, path string, body []byte) transport.Response {
 	sim.mu.Lock()
 	process := sim.controllers[label]
@@ -182,8 +183,8 @@
 	return first
 }
 
-// mayBeCancelled reports whether a user has asked to cancel a job or one of its dependencies.
-// The lock is held.
+// mayBeCancelled reports whether a user has requested the cancellation of a job or of one of its
+// dependencies. The lock is held.
 func (sim *simulatedCluster) mayBeCancelled(submitted *submittedJob) bool {
 	return submitted.cancelRequested || slices.ContainsFunc(submitted.spec.Dependencies, func(dep string) bool { return sim.mayBeCancelled(sim.jobs[dep]) })
 }
--- a/internal/coordination/test_controller_test.go
+++ b/internal/coordination/test_controller_test.go
@@ -17,7 +17,7 @@
 // testNetwork is the network of a controller under test. A test may replace it.
 type testNetwork struct{ storage.Requester }
 
-// testNetworks are the networks by controller.
+// testNetworks maps each test controller to its network, a *testNetwork.
 var testNetworks sync.Map
 
 // newTestController returns a controller whose network does not answer until setNetwork
@@ -86,7 +86,7 @@
 // unresponsiveNetwork is a network that never answers.
 type unresponsiveNetwork struct{}
 
-// Do waits until the sender gives up.
+// Do waits until the sender's context ends.
 func (unresponsiveNetwork) Do(ctx context.Context, _, _, _ string, _ []byte) (*transport.Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
--- a/internal/coordination/test_environment_test.go
+++ b/internal/coordination/test_environment_test.go
@@ -7,14 +7,15 @@
 
 // The environment variables that configure the random tests.
 const (
-	// failoversVariable is the number of seeds of the random failover tests. If it is set, the
-	// takeover tests also inject every fault at every step.
+	// failoversVariable sets the number of seeds of the random failover tests. If it is set,
+	// the takeover tests also inject every fault at every step.
 	failoversVariable = "MICASPINDLE_FAILOVERS"
-	// faultPlansVariable is the number of random fault plans.
+	// faultPlansVariable sets the number of random fault plans.
 	faultPlansVariable = "MICASPINDLE_FAULT_PLANS"
-	// faultPlansFromVariable is the first seed of the random fault plans.
+	// faultPlansFromVariable sets the first seed of the random fault plans.
 	faultPlansFromVariable = "MICASPINDLE_FAULT_PLANS_FROM"
-	// faultPlansWithoutVariable lists the indexes of faults to leave out, separated by commas.
+	// faultPlansWithoutVariable sets the indexes of the faults to leave out, separated by
+	// commas.
 	faultPlansWithoutVariable = "MICASPINDLE_FAULT_PLANS_WITHOUT"
 	// faultPlansMinimizeVariable, if not empty, makes the test minimize a failing plan.
 	faultPlansMinimizeVariable = "MICASPINDLE_FAULT_PLANS_MINIMIZE"
--- a/internal/coordination/test_identities_test.go
+++ b/internal/coordination/test_identities_test.go
@@ -53,7 +53,7 @@
 	return identities
 }
 
-// forController returns the identities that a controller is configured with.
+// forController returns a controller's configuration of authentication and authorization.
 func (identities *testIdentities) forController(label string) auth.Config {
 	ring := identities.keyrings[label]
 	return auth.Config{Tokens: identity.NewTokenVerifier(ring, "test", 5*time.Millisecond), BootstrapIdentity: "person/root", ClockBound: 5 * time.Millisecond,
--- a/internal/coordination/tick.go
+++ b/internal/coordination/tick.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// deletedMachineRetention is how long a deleted machine is remembered, to recognize its
-	// late heartbeats.
+	// deletedMachineRetention is the time for which a deleted machine is kept in memory, to
+	// recognize its late heartbeats.
 	deletedMachineRetention = 10 * time.Minute
-	// divertedMachineRetention is how long a machine of another controller's partition counts
-	// as diverted to this controller after its last heartbeat here.
+	// divertedMachineRetention is the time for which a machine of another controller's
+	// partition counts as diverted to this controller after its last heartbeat here.
 	divertedMachineRetention = 5 * time.Second
 )
 
-// tick does the periodic work of the components. It runs in the event loop every
+// tick does the periodic work of the components. It is called in the event loop every
 // eventloop.TickInterval.
 func (c *Controller) tick(now time.Time) {
 	c.agents.CheckMachines(now)
