--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -398,8 +398,8 @@
 	}
 }
 
-// A cancellation notice says how long ago the job was cancelled. Later notices about the same job
-// change nothing.
+// A cancellation notice contains the time since the job's cancellation. Later notices about the
+// same job change nothing.
 func TestCancellationNoticesCarryTheirAge(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -427,9 +427,9 @@
 	})
 }
 
-// A cancellation prevents waiting tasks from starting even if the leader has not seen it, since
-// its watch delivers nothing and it receives no notice: every transaction that starts a task
-// requires that no cancellation is recorded (rule 17).
+// A cancellation prevents waiting tasks from starting even if the leader has received neither a
+// watch event nor a notice of it, because every transaction that starts a task is conditional on
+// the absence of the job's final record (rule 17).
 func TestNoStartAfterACancellationUnseenByTheLeader(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 305, configureLongAnswerBound, func(sim *simulatedCluster) {
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -40,8 +40,8 @@
 	return captured
 }
 
-// deliverCaptured delivers captured messages to their agents and counts by operation how many
-// were applied and refused.
+// deliverCaptured delivers captured messages to their agents, and returns the numbers of applied
+// and refused messages by operation.
 func (sim *simulatedCluster) deliverCaptured(messages []capturedCommands) (applied, refused map[string]int) {
 	applied, refused = map[string]int{}, map[string]int{}
 	for _, message := range messages {
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -581,7 +581,7 @@
 				c.scheduler.LearnRunTime(fmt.Sprint("class-", i), 1, 1)
 			}
 			if len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
-				t.Errorf("run times of %d classes are kept", len(c.scheduler.Corrections))
+				t.Errorf("run times of %d classes are kept, want %d", len(c.scheduler.Corrections), scheduler.MaxClassGroups)
 			}
 			c.scheduler.LearnRunTime("class-0", 1, 1)
 			if c.scheduler.Corrections["class-0"].Count != 2 {
@@ -594,7 +594,7 @@
 				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
 			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
-				t.Errorf("run times of %d classes are kept", len(c.scheduler.Corrections))
+				t.Errorf("run times of %d classes are kept, want %d", len(c.scheduler.Corrections), scheduler.MaxClassGroups)
 			}
 		}},
 		{"polls", telemetry.WaitingPolls, func(_ *testing.T, c *Controller) { c.store.OnPollRefused() }},
--- a/internal/coordination/liveness_check_test.go
+++ b/internal/coordination/liveness_check_test.go
@@ -64,7 +64,7 @@
 			if sim.poll("", id) != "" {
 				delete(unanswered, id)
 			} else if now.Sub(start) > maxAnswerDelay {
-				sim.t.Errorf("status requests for the accepted job %s were not answered for %s", id, maxAnswerDelay)
+				sim.t.Errorf("forgotten: status requests for the accepted job %s were not answered for %s", id, maxAnswerDelay)
 				delete(unanswered, id)
 			}
 		}
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -153,7 +153,7 @@
 		}
 	case protocol.StatusCancelled:
 		if submitted.cancelledAt.IsZero() && submitted.finalStatus == "" && !sim.mayBeCancelled(submitted) {
-			sim.recordViolation("went_back: %s is cancelled, but no user asked for it", id)
+			sim.recordViolation("went_back: %s is cancelled, but no user requested its cancellation", id)
 		}
 		submitted.finalStatus = st.Status
 	}
