--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -193,8 +193,8 @@
 }
 
 // AnswerBound returns the time after UpToDateAt for which a controller may still answer its
-// agents' heartbeats. It lets tasks survive an outage of the state store, and still ends a
-// task within CancelBound if its job is cancelled by another controller (rules 12 and 42).
+// agents' heartbeats. With this bound, tasks survive an outage of the state store, and yet
+// a task ends within CancelBound if another controller cancels its job (rules 12 and 42).
 func (s *State) AnswerBound() time.Duration {
 	return max(0, s.CancelBound-s.AgentLease-2*ClockMargin)
 }
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -244,7 +244,7 @@
 	return run, fits
 }
 
-// unreserveChunk releases the attempts of a chunk that are only reserved.
+// unreserveChunk releases the reserved attempts of a chunk, which are in no run record yet.
 func (c *Committer) unreserveChunk(job *cluster.Job, chunk *cluster.RunChunk) {
 	now := time.Now()
 	for _, attempt := range job.Attempts() {
