--- a/internal/blobstore/capacity.go
+++ b/internal/blobstore/capacity.go
@@ -9,12 +9,12 @@
 	// minRetryDelay is the minimum delay before a retry in a FullError.
 	minRetryDelay = time.Second
 	// borrowableShare is the fraction of the other spaces' unused quotas that a space may use
-	// beyond its own quota. The rest stays free for the others, since retained blobs could not
-	// be evicted when they need it.
+	// beyond its own quota. The rest stays free for the other spaces, since retained blobs
+	// could not be evicted when those spaces need the bytes.
 	borrowableShare = 0.75
 )
 
-// reserve reserves bytes for a space. To make room, it discards interrupted uploads first, then
+// reserve reserves bytes for a space. To free bytes, it discards interrupted uploads first, then
 // evicts blobs of spaces beyond their quotas, then the space's own blobs. It does not evict
 // blobs of other spaces within their quotas. s.mu is held also while files are removed, since
 // the same blob may be written again right afterwards.
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// limit returns how many bytes the store may use after a space has added some.
+// limit returns the maximum total size of the store's blobs once a space has added the given
+// number of bytes.
 func (s *Store) limit(space string, bytes int64) int64 {
 	if s.bySpace[space]+bytes <= s.options.Quotas[space] {
 		return s.options.MaxBytes
@@ -63,7 +64,8 @@
 	return s.bySpace[e.key.Space]-e.key.Size >= s.options.Quotas[e.key.Space]
 }
 
-// account adds to the bytes used by a space; a negative number frees them. s.mu is held.
+// account adds bytes to the usage of a space and of the store; a negative number subtracts.
+// s.mu is held.
 func (s *Store) account(space string, bytes int64) {
 	s.used += bytes
 	s.bySpace[space] += bytes
--- a/internal/blobstore/digest.go
+++ b/internal/blobstore/digest.go
@@ -28,8 +28,8 @@
 	return "sha256"
 }
 
-// FunctionNamed returns the function with the given name in resource names and file names. ok
-// is false for SHA-256, whose name is omitted there, and for unknown names.
+// FunctionNamed returns the function that a resource name or file name contains. ok is false
+// for unknown names and for SHA-256, which resource names and file names omit.
 func FunctionNamed(name string) (f Function, ok bool) {
 	if name == BLAKE3.String() {
 		return BLAKE3, true
@@ -73,7 +73,7 @@
 	return s
 }
 
-// Check checks that a digest is well-formed.
+// Check returns an error if the digest is not well-formed.
 func (d Digest) Check() error {
 	if len(d.Hash) != 2*sha256.Size || d.Size < 0 || d.Function > BLAKE3 {
 		return fmt.Errorf("%w: %q is no %s with a size", ErrInvalid, clip(d.String()), d.Function)
--- a/internal/blobstore/errors.go
+++ b/internal/blobstore/errors.go
@@ -15,7 +15,7 @@
 	ErrTooLarge = errors.New("blob is larger than the store takes")
 )
 
-// FullError means that there is no room for a blob, because no more blobs can be evicted now:
+// FullError means that there is no space for a blob, because no more blobs can be evicted now:
 // the others are pinned, retained or within the quotas of other spaces.
 type FullError struct{ RetryAfter time.Duration }
 
--- a/internal/blobstore/resume.go
+++ b/internal/blobstore/resume.go
@@ -13,14 +13,14 @@
 )
 
 // A named upload can be resumed after a restart of the process: its bytes stay in a file, named
-// by the hash of the upload's name, until it is committed, aborted or expired. They are only
-// verified when the whole blob is committed.
+// by the hash of the upload's name, until the upload is committed, aborted or expired. The bytes
+// are verified only when the upload is committed.
 
 // namedPrefix is the prefix of the file names of named uploads.
 const namedPrefix = "kept-"
 
-// interruptedUpload is the file of a named upload that an earlier process left. Its space is
-// not known until it is resumed.
+// interruptedUpload is the file of a named upload from an earlier process. The upload's space is
+// unknown until it is resumed.
 type interruptedUpload struct {
 	size     int64
 	modified time.Time
@@ -32,8 +32,8 @@
 	return filepath.Join(s.dir, tempDir, namedPrefix+hex.EncodeToString(sum[:]))
 }
 
-// Resume begins a named upload, or resumes it after the bytes that were received earlier, whose
-// number Size returns. The caller must not use the same name for two uploads at a time.
+// Resume begins a named upload, or resumes it after the bytes that were received earlier; Size
+// returns their number. The caller must not use the same name for two uploads at a time.
 func (s *Store) Resume(name string, key Key) (*Upload, error) {
 	if err := s.checkUpload(key); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 // Write appends bytes. It fails if the spool would exceed its maximum size.
 func (s *Spool) Write(p []byte) (int, error) { return s.upload.Write(p) }
 
-// Size returns how many bytes were written.
+// Size returns the number of bytes written so far.
 func (s *Spool) Size() int64 { return s.upload.written }
 
 // Reader returns a reader of all bytes written so far.
@@ -111,7 +111,7 @@
 // Abort discards the spool.
 func (s *Spool) Abort() { s.upload.Abort() }
 
-// ReceivedBytes returns how many bytes of a named upload are stored.
+// ReceivedBytes returns the number of stored bytes of a named upload.
 func (s *Store) ReceivedBytes(name string) int64 {
 	info, err := os.Stat(s.namedPath(name))
 	if err != nil {
--- a/internal/blobstore/store.go
+++ b/internal/blobstore/store.go
@@ -26,15 +26,16 @@
 
 // Options bound a store.
 type Options struct {
-	// MaxBytes is the maximum total size of blobs and uploads, MaxBlob that of one blob.
+	// MaxBytes is the maximum total size of blobs and uploads, and MaxBlob the maximum size of
+	// one blob.
 	MaxBytes int64
 	MaxBlob  int64
 	// Quotas are the bytes guaranteed to spaces: blobs within the quota of their space are not
-	// evicted for other spaces. A space may use more than its quota while there is room. A
-	// space that is not listed has a quota of zero.
+	// evicted for other spaces. A space may use more than its quota while the store has free
+	// space. A space that is not listed has a quota of zero.
 	Quotas map[string]int64
-	// Retention is how long a blob is not evicted after the store has reported to a caller
-	// that it has the blob.
+	// Retention is the time for which a blob is not evicted after the store has reported it
+	// to a caller as stored.
 	Retention time.Duration
 }
 
@@ -42,8 +43,8 @@
 type OpenStats struct {
 	Blobs int
 	Bytes int64
-	// Incomplete is the number of incomplete files, which were removed, Interrupted that of
-	// interrupted uploads, which can be resumed.
+	// Incomplete is the number of incomplete files that were removed, and Interrupted the
+	// number of interrupted uploads that can be resumed.
 	Incomplete, Interrupted int
 }
 
@@ -67,10 +68,10 @@
 // entry is a stored blob.
 type entry struct {
 	key           Key
-	element       *list.Element // in the store's order
+	element       *list.Element // the entry's element of Store.order
 	retainedUntil time.Time
 	pins          int
-	// verified is whether this process has checked the blob's bytes.
+	// verified is set once this process has checked the blob's bytes.
 	verified bool
 }
 
@@ -99,7 +100,7 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, found, fmt.Errorf("content: %s is in use by another process", dir)
+		return nil, found, fmt.Errorf("content store: directory %s is in use by another process", dir)
 	}
 	s := &Store{
 		dir:         dir,
@@ -219,7 +220,8 @@
 	}
 }
 
-// FindMissing returns the digests whose blobs are not in the store, and retains the others.
+// FindMissing returns the digests whose blobs are not in the store, and retains the blobs that
+// are.
 func (s *Store) FindMissing(space string, digests []Digest) []Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +245,7 @@
 // Has reports whether a blob is in the store, and retains it if so.
 func (s *Store) Has(key Key) bool { return len(s.FindMissing(key.Space, []Digest{key.Digest})) == 0 }
 
-// PeekMissing returns the digests whose blobs are not in the store, without retaining the others.
+// PeekMissing returns the digests whose blobs are not in the store. It retains no blobs.
 func (s *Store) PeekMissing(space string, digests []Digest) []Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("read in another space: got error %v, want ErrNotFound", err)
 	}
 	if m := s.FindMissing("blue", []Digest{key.Digest, Empty}); len(m) != 1 {
-		t.Errorf("another space: got missing digests %v, want 1", m)
+		t.Errorf("missing blobs in another space: got %v, want only the digest of the stored blob", m)
 	}
 	for name, err := range map[string]error{
 		"other bytes of a stored blob": s.Put(Key{"red", key.Digest}, blob(2, 5000)),
@@ -81,7 +81,7 @@
 		t.Errorf("blob that is too large: got error %v, want ErrTooLarge", err)
 	}
 	if st := s.Stats(); st.Bytes != 5000 || st.Blobs != 1 {
-		t.Errorf("got %+v, want 1 blob of 5000 bytes and nothing reserved by failed uploads", st)
+		t.Errorf("statistics %+v, want 1 blob of 5000 bytes and nothing reserved by failed uploads", st)
 	}
 	// The files of a space whose name looks like a path must stay in the directory.
 	put(t, s, "../../out", data)
@@ -123,10 +123,10 @@
 	time.Sleep(400 * time.Millisecond)
 	put(t, s, "a", blob(5, 6000))
 	if st := s.Stats(); st.Bytes > 10_000 || st.Evicted < 2 {
-		t.Errorf("got %+v, want at most 10000 bytes and at least 2 evicted blobs", st)
+		t.Errorf("statistics %+v, want at most 10000 bytes and at least 2 evicted blobs", st)
 	}
 	if _, missing := s.Pin("a", []Digest{old.Digest, Of(blob(5, 6000))}); len(missing) != 1 {
-		t.Errorf("Pin: got missing digests %v, want 1", missing)
+		t.Errorf("Pin after an eviction: got missing digests %v, want 1", missing)
 	}
 }
 
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(dir, options); err == nil {
-		t.Fatal("a second process could open the directory")
+		t.Fatal("a second Open of the directory succeeded, want an error while the store is open")
 	}
 	if err := s.Close(); err != nil { // leaves the upload unfinished, as a kill does
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 	}
 	s, found := open(t, dir, options)
 	if found.Incomplete != 3 || found.Blobs != 2 {
-		t.Errorf("got %+v, want 3 incomplete files and 2 blobs", found)
+		t.Errorf("Open found %+v, want 3 incomplete files and 2 blobs", found)
 	}
 	if got, err := s.Read(good, 1<<16); err != nil || !bytes.Equal(got, blob(1, 4000)) {
 		t.Errorf("complete blob: read %d bytes with error %v, want the 4000 bytes that were stored", len(got), err)
@@ -177,7 +177,7 @@
 	// The corrupt blob can be stored again.
 	put(t, s, "a", blob(3, 4000))
 	if st := s.Stats(); st.Corrupt != 1 || st.Bytes != 8000 {
-		t.Errorf("got %+v, want 1 corrupt blob and 8000 bytes", st)
+		t.Errorf("statistics %+v, want 1 corrupt blob and 8000 bytes", st)
 	}
 	// A blob whose file is removed while the process runs is missing too.
 	if err := os.Remove(s.path(good)); err != nil {
@@ -233,8 +233,8 @@
 	}
 }
 
-// Under concurrent use of a store that is too small for all blobs, reads must return the right
-// bytes, and the accounting must match the files on disk.
+// Under concurrent use of a store that is too small for all blobs, reads must return the stored
+// bytes, and the recorded sizes must match the files on disk.
 func TestConcurrentUse(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Options{MaxBytes: 60_000, MaxBlob: 10_000})
 	var wg sync.WaitGroup
@@ -265,7 +265,7 @@
 		return err
 	})
 	if err != nil || sum != st.Bytes || st.Bytes > 60_000 {
-		t.Errorf("got %d bytes on disk with error %v and statistics %+v, want the same number of bytes, at most 60000", sum, err, st)
+		t.Errorf("%d bytes on disk (error %v) and statistics %+v, want the same number of bytes in both, at most 60000", sum, err, st)
 	}
 }
 
@@ -309,7 +309,7 @@
 	for i, want := range map[int]bool{1: true, 2: false, 3: true} {
 		got, err := r.Get("red", key(i))
 		if (err == nil) != want || want && !bytes.Equal(got, []byte{byte(i), 1}) {
-			t.Errorf("record %d: got %v with error %v, want it present: %v", i, got, err, want)
+			t.Errorf("record %d: got %v with error %v, want a stored record: %v", i, got, err, want)
 		}
 	}
 }
@@ -373,7 +373,7 @@
 	for {
 		if _, err := next("red"); err != nil {
 			if !errors.As(err, &full) || full.RetryAfter < 50*time.Second {
-				t.Fatalf("got error %v, want a FullError with a delay of at least 50 s", err)
+				t.Fatalf("upload by a space beyond its quota: got error %v, want a FullError with a delay of at least 50 s", err)
 			}
 			break
 		}
@@ -385,7 +385,7 @@
 	}
 	st := s.Stats()
 	if sp := st.Spaces["red"]; sp.Retained != sp.Bytes || sp.Quota != 40_000 || sp.Blobs != int(sp.Bytes/1000) || st.Bytes != sp.Bytes+st.Spaces["blue"].Bytes {
-		t.Errorf("got %+v, want all blobs of red retained, its quota 40000, and sums that agree", st)
+		t.Errorf("statistics %+v, want all blobs of red retained, its quota 40000, and the sums of the spaces equal to the totals", st)
 	}
 }
 
@@ -417,11 +417,11 @@
 	}
 	startUpload("one", key, data[:2000])
 	if found := restart(); found.Interrupted != 1 || found.Bytes != 2000 || s.Stats().Bytes != 2000 || s.ReceivedBytes("one") != 2000 || s.ReceivedBytes("two") != 0 {
-		t.Fatalf("got %+v, want 1 interrupted upload of 2000 bytes", found)
+		t.Fatalf("Open found %+v, want 1 interrupted upload of 2000 bytes", found)
 	}
 	upload, err := s.Resume("one", key)
 	if err != nil || upload.Size() != 2000 || s.Stats().Bytes != 6000 {
-		t.Fatalf("got error %v and statistics %+v, want 2000 bytes resumed and 6000 reserved", err, s.Stats())
+		t.Fatalf("Resume: got error %v and statistics %+v, want 2000 bytes resumed and 6000 reserved", err, s.Stats())
 	}
 	if _, err := upload.Write(data[2000:]); err != nil || upload.Commit() != nil {
 		t.Fatal(err)
@@ -453,7 +453,7 @@
 	s.FindMissing("a", []Digest{key.Digest, Of(other)})
 	put(t, s, "a", blob(4, 900))
 	if !s.Has(key) || s.ReceivedBytes("left") != 0 || s.Stats().Bytes != 9900 {
-		t.Errorf("got %+v and %d bytes of the interrupted upload, want 9900 bytes used and the upload removed", s.Stats(), s.ReceivedBytes("left"))
+		t.Errorf("statistics %+v with %d bytes of the interrupted upload, want 9900 bytes used and the upload removed", s.Stats(), s.ReceivedBytes("left"))
 	}
 
 	// A file that is larger than the blob is discarded, and an old upload expires.
@@ -493,7 +493,7 @@
 	_ = s.Close()
 	s, found := open(t, dir, options)
 	if found.Blobs != 2 || !s.Has(Key{"a", BLAKE3.Of(data)}) || s.Has(wrong) {
-		t.Errorf("got %+v, want 2 blobs, one per function", found)
+		t.Errorf("Open found %+v, want 2 blobs, one per function", found)
 	}
 	r, err := OpenResults(filepath.Join(dir, "results"), 10)
 	if err != nil {
--- a/internal/blobstore/upload.go
+++ b/internal/blobstore/upload.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Size returns how many bytes were written.
+// Size returns the number of bytes written so far.
 func (u *Upload) Size() int64 { return u.written }
 
 // Write appends bytes. It fails if the upload would exceed the digest's size.
--- a/internal/buildtool/action.go
+++ b/internal/buildtool/action.go
@@ -19,7 +19,8 @@
 // outputFile is the path of the only output of each action.
 const outputFile = "out"
 
-// maxUploadAttempts bounds how often an action's blobs are uploaded before the action fails.
+// maxUploadAttempts is the maximum number of uploads of an action's blobs; after that, the
+// action fails.
 const maxUploadAttempts = 20
 
 // action is a REAPI action with the blobs to upload before it is executed.
--- a/internal/buildtool/build.go
+++ b/internal/buildtool/build.go
@@ -41,8 +41,8 @@
 	Inputs map[string]string
 }
 
-// Progress counts the actions of a build: those done, those of them answered from the
-// cache, and all.
+// Progress counts the actions of a build: the completed ones, those completed with a cached
+// result, and all.
 type Progress struct{ Done, Cached, Total int }
 
 // Report is the outcome of a build.
@@ -52,7 +52,7 @@
 	Jobs      int   `json:"jobs"`
 	BytesUp   int64 `json:"bytes_up"`
 	BytesDown int64 `json:"bytes_down"`
-	// Retries counts calls that were made again after a failure.
+	// Retries is the number of repeated calls after transient failures.
 	Retries  int           `json:"retries"`
 	Duration time.Duration `json:"took_ns"`
 	// SlowestAction is the node with the longest wait.
--- a/internal/buildtool/buildtool_test.go
+++ b/internal/buildtool/buildtool_test.go
@@ -31,8 +31,9 @@
 	mu    sync.Mutex
 	blobs map[string][]byte
 	calls []string
-	// script responds to the n-th of these calls; n starts at 1. name is the operation to wait
-	// for, or "" in an Execute call. send sends the operation, done if it has a response.
+	// script responds to the n-th Execute or WaitExecution call; n starts at 1. name is the
+	// operation to wait for, or "" in an Execute call. send sends the state of the operation,
+	// which is done if resp is not nil.
 	script func(n int, name string, send func(name string, resp *repb.ExecuteResponse) error) error
 }
 
@@ -269,7 +270,7 @@
 		t.Errorf("build error %v, want a refused connection", err)
 	}
 	if _, err := Dial([]string{addr}, nil, "secret"); err == nil {
-		t.Error("a connection without TLS accepts a token")
+		t.Error("Dial with a token and without TLS succeeded, want an error")
 	}
 }
 
--- a/internal/buildtool/retry.go
+++ b/internal/buildtool/retry.go
@@ -55,7 +55,7 @@
 	return delay
 }
 
-// countRetry counts a retry.
+// countRetry adds a retry to the report.
 func (r *run) countRetry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/buildtool/transfer.go
+++ b/internal/buildtool/transfer.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// maxBatchSize bounds the blobs uploaded in one call, in bytes. It leaves room for the
-	// rest of the request within the usual gRPC message limit of 4 MiB.
+	// maxBatchSize is the maximum total size of the blobs uploaded in one call, in bytes. With
+	// the rest of the request it stays below the usual gRPC message limit of 4 MiB.
 	maxBatchSize = 3 << 20
 	// chunkSize is the number of bytes in each message of a write stream.
 	chunkSize = 512 << 10
--- a/internal/reapi/authorization.go
+++ b/internal/reapi/authorization.go
@@ -58,8 +58,8 @@
 func (OpenAccess) Allows(context.Context, string, string, string) (string, error) { return "", nil }
 
 const (
-	// answerTTL is how long an authorization decision of the controllers is cached. A
-	// revocation reaches them within 3 s and takes effect here up to answerTTL later.
+	// answerTTL is the time for which a decision of the controllers is cached. A revocation
+	// reaches the controllers within 3 s and takes effect here up to answerTTL later.
 	answerTTL = time.Second
 	// accessTimeout is the timeout of one authorization request to the controllers.
 	accessTimeout = 5 * time.Second
@@ -85,7 +85,7 @@
 type accessAnswer struct {
 	once       sync.Once
 	answeredAt atomic.Int64 // Unix milliseconds; 0: not answered yet
-	who        string
+	holder     string
 	err        error
 }
 
@@ -119,16 +119,16 @@
 	answer.once.Do(func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), accessTimeout)
 		defer cancel()
-		var who protocol.WhoAmI
+		var identity protocol.WhoAmI
 		target := "/may?verb=" + url.QueryEscape(verb) + "&team=" + url.QueryEscape(team) + "&class=" + url.QueryEscape(a.class)
-		err := caller.Do(ctx, "GET", target, nil, &who)
-		answer.who, answer.err = who.Name, accessError(err)
+		err := caller.Do(ctx, "GET", target, nil, &identity)
+		answer.holder, answer.err = identity.Name, accessError(err)
 		answer.answeredAt.Store(time.Now().UnixMilli())
 	})
 	if answer.err != nil && status.Code(answer.err) == codes.Unavailable {
 		a.answers.Remove(query) // no decision was made, so the next call retries
 	}
-	return answer.who, answer.err
+	return answer.holder, answer.err
 }
 
 // bearerToken extracts the bearer token from an authorization header.
@@ -151,8 +151,8 @@
 	return retryLater(codes.Unavailable, time.Second, "no controller could be asked")
 }
 
-// denialStatus returns a gRPC status if err says that the controllers rejected the credential or
-// that its holder lacks the right. For any other error it returns nil.
+// denialStatus returns a gRPC status if err means that the controllers rejected the credential
+// or that its holder lacks the right. For any other error it returns nil.
 func denialStatus(err error) error {
 	var refusal *client.Refusal
 	if !errors.As(err, &refusal) {
--- a/internal/reapi/batch.go
+++ b/internal/reapi/batch.go
@@ -32,7 +32,7 @@
 	mu      sync.Mutex
 	batches map[batchKey]*batch // that still accept actions
 	queues  map[queueKey]*submitQueue
-	// submitting holds the batches that have left their queue and whose job has no id yet.
+	// submitting holds the batches that were taken from their queue and whose job has no id yet.
 	// They count as submitted.
 	submitting map[*batch]bool
 	submitted  map[string]*submittedJob // by job id
@@ -57,7 +57,7 @@
 	}
 }
 
-// batchKey is what the actions of a batch have in common.
+// batchKey holds the properties that all actions of a batch share.
 type batchKey struct {
 	client       [sha256.Size]byte // hash of the credential
 	instance     string
@@ -75,8 +75,8 @@
 	queued, submitted bool
 }
 
-// task is an action that is being executed. It waits first until it is assigned to a job and
-// then for its result.
+// task is an action in execution. A task waits first for its assignment to a job and then for
+// its result.
 type task struct {
 	entry    ManifestEntry
 	instance string
@@ -88,7 +88,8 @@
 	// wait for the task's job.
 	batch   *batch
 	waiters int
-	// assigned is closed once job and index are set, or err if the submission failed.
+	// assigned is closed after the submission: job and index are set if it succeeded, and err
+	// if it failed.
 	assigned chan struct{}
 	job      string
 	index    int
@@ -100,14 +101,14 @@
 
 func (t *task) key() string { return t.space + "/" + t.entry.Execution }
 
-// joinTask returns the task of an execution that is in progress, here or on another front
-// end. If there is none, it adds a new task to a batch.
+// joinTask returns the running task of an execution, which this or another front end started.
+// If there is none, it adds a new task to a batch.
 func (f *FrontEnd) joinTask(ctx context.Context, instance, space, credential string, required requirements, entry ManifestEntry) (*task, error) {
 	key := space + "/" + entry.Execution
 	if t := f.executions.join(key); t != nil {
 		return t, nil
 	}
-	// An earlier process of this front end, or another one, may have started it.
+	// An earlier process or another front end may have started the execution.
 	if record := f.findStartRecord(ctx, instance, space, entry.Execution); record != nil {
 		if jobStatus, err := f.jobs.Status(ctx, credential, record.Job); err == nil && !jobStatus.Ended() {
 			return f.adoptTask(key, instance, space, entry, record), nil
@@ -291,7 +292,7 @@
 	return err
 }
 
-// Submitted returns how many jobs this process has submitted, and how many actions they had.
+// Submitted returns the numbers of jobs and of actions that this process has submitted.
 func (f *FrontEnd) Submitted() (jobs, actions int64) {
 	return f.executions.submittedJobs.Load(), f.executions.submittedActions.Load()
 }
--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -19,7 +19,7 @@
 	return callTimeout + time.Duration(float64(bytes)/minTransferRate*float64(time.Second))
 }
 
-// Read streams a blob or a part of it. The resource name says whether to compress it.
+// Read streams a blob or a part of it, compressed if the resource name requests that.
 func (f *FrontEnd) Read(req *bytestream.ReadRequest, out bytestream.ByteStream_ReadServer) error {
 	r, err := parseResource(req.GetResourceName(), false)
 	if err != nil {
@@ -70,7 +70,7 @@
 // messageWriter is an io.Writer that sends data to a client in messages of at most chunkSize
 // bytes.
 type messageWriter struct {
-	ctx      context.Context // of the call, which outlives the messageWriter
+	ctx      context.Context // the call's context
 	throttle func(ctx context.Context, bytes int) error
 	out      bytestream.ByteStream_ReadServer
 }
@@ -142,8 +142,9 @@
 	return in.SendAndClose(&bytestream.WriteResponse{CommittedSize: size})
 }
 
-// acquireUpload makes a call the owner of a write. If the client resumes the write at an offset
-// beyond the bytes that this front end has received, the missing bytes are fetched from a peer.
+// acquireUpload opens a write and reserves it for the calling handler. If the client resumes the
+// write at an offset beyond the bytes that this front end has received, acquireUpload fetches
+// the missing bytes from a peer.
 func (f *FrontEnd) acquireUpload(ctx context.Context, name string, first *bytestream.WriteRequest, key blobstore.Key, r resource) (*pendingUpload, error) {
 	begin := func() (*pendingUpload, error) { return f.openUpload(name, key, r.compressed) }
 	upload, err := f.uploads.acquire(name, begin)
@@ -197,7 +198,8 @@
 	}
 }
 
-// QueryWriteStatus returns how many bytes of a write this front end or a peer has received.
+// QueryWriteStatus returns the number of bytes of a write that this front end or a peer has
+// received.
 func (f *FrontEnd) QueryWriteStatus(ctx context.Context, req *bytestream.QueryWriteStatusRequest) (*bytestream.QueryWriteStatusResponse, error) {
 	r, err := parseResource(req.GetResourceName(), true)
 	if err != nil {
--- a/internal/reapi/callslots.go
+++ b/internal/reapi/callslots.go
@@ -20,8 +20,9 @@
 	Calls, Transfers, Bytes *admission.Queue
 	// Waiting limits the actions that wait to be submitted.
 	Waiting *admission.QuotaPool
-	// Handoff limits how many of a team's actions may wait for a machine in the cluster.
-	// Further ones wait on the front end, where the team's clients are served in turn.
+	// Handoff limits the number of a team's actions that may wait for a machine in the
+	// cluster. Further actions wait on the front end, where the team's clients are served in
+	// turn.
 	Handoff admission.HandoffLimits
 }
 
@@ -78,21 +79,21 @@
 // Context returns the stream's context, which carries its slot.
 func (s *slottedStream) Context() context.Context { return s.ctx }
 
-// acquireSlot waits for the slot of an authorized call. It does nothing if the call has
-// already acquired its slot.
-func (f *FrontEnd) acquireSlot(ctx context.Context, team, who string) error {
+// acquireSlot acquires the slot of an authorized call, waiting until the queue grants it. It
+// does nothing if the call already holds its slot.
+func (f *FrontEnd) acquireSlot(ctx context.Context, team, client string) error {
 	slot := callSlotOf(ctx)
 	if slot == nil || slot.team != "" {
 		return nil
 	}
-	if who == "" {
-		who = anonymousName(f.credential(ctx))
+	if client == "" {
+		client = anonymousName(f.credential(ctx))
 	}
-	slot.team, slot.client = team, who
+	slot.team, slot.client = team, client
 	if slot.queue == nil {
 		return nil
 	}
-	returnSlot, err := slot.queue.Acquire(ctx, team, who, slot.cost)
+	returnSlot, err := slot.queue.Acquire(ctx, team, client, slot.cost)
 	if err != nil {
 		return statusError(err)
 	}
@@ -117,11 +118,11 @@
 }
 
 // knownName returns the name of a client, or "" if its identity is unknown.
-func knownName(who string) string {
-	if strings.HasPrefix(who, anonymousPrefix) {
+func knownName(client string) string {
+	if strings.HasPrefix(client, anonymousPrefix) {
 		return ""
 	}
-	return who
+	return client
 }
 
 // release gives the slot back if it was acquired.
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	if got, err := b.download(name, 0, 0); err != nil || len(got) != len(data) {
-		t.Errorf("download after the slot was released: %d bytes, %v", len(got), err)
+		t.Errorf("download after the slot was released: %d bytes, error %v; want %d bytes", len(got), err, len(data))
 	}
 }
 
@@ -107,6 +107,6 @@
 	seconds := time.Since(started).Seconds()
 	total := float64(got[""] + got["a/b/"])
 	if total > 1.2*rate*seconds+8<<20 || total < 0.5*rate*seconds || float64(got["a/b/"]) < 1.5*float64(got[""]) {
-		t.Errorf("team red got %d bytes and team blue %d bytes in %.1f s", got[""], got["a/b/"], seconds)
+		t.Errorf("team red received %d bytes and team blue %d bytes in %.1f s; want 0.5 to 1.2 times the rate limit in total, and blue at least 1.5 times red", got[""], got["a/b/"], seconds)
 	}
 }
--- a/internal/reapi/conformance_test.go
+++ b/internal/reapi/conformance_test.go
@@ -215,7 +215,7 @@
 		}(), codes.NotFound},
 	} {
 		if got := status.Code(c.err); got != c.want {
-			t.Errorf("%s: %v, want %s", name, c.err, c.want)
+			t.Errorf("%s: got error %v, want code %s", name, c.err, c.want)
 		}
 		if c.err != nil && strings.TrimSpace(c.err.Error()) == "" {
 			t.Errorf("%s: the error has no message", name)
@@ -233,7 +233,7 @@
 	d := digestToProto(blobstore.BLAKE3.Of(raw))
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{DigestFunction: repb.DigestFunction_BLAKE3, Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: d, Data: raw}}})
 	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
-		t.Fatal("upload:", err, resp)
+		t.Fatalf("upload of a BLAKE3 blob: response %v, error %v", resp, err)
 	}
 	return d
 }
--- a/internal/reapi/digest.go
+++ b/internal/reapi/digest.go
@@ -19,7 +19,7 @@
 }
 
 // digestFunctionOf converts the digest function of a request. If the request sets none,
-// SHA-256 is assumed, because its hashes cannot be told from those of BLAKE3 by their length.
+// SHA-256 is assumed, since the hashes of SHA-256 and BLAKE3 have the same length.
 func digestFunctionOf(function repb.DigestFunction_Value) (blobstore.Function, error) {
 	switch function {
 	case repb.DigestFunction_UNKNOWN, repb.DigestFunction_SHA256:
--- a/internal/reapi/execution.go
+++ b/internal/reapi/execution.go
@@ -133,5 +133,6 @@
 	return f.streamOperation(ctx, out, t)
 }
 
-// DiscardedResults returns how many results were discarded because the execution already had one.
+// DiscardedResults returns the number of results that were discarded because the execution
+// already had one.
 func (f *FrontEnd) DiscardedResults() int64 { return f.discardedResults.Load() }
--- a/internal/reapi/execution_test.go
+++ b/internal/reapi/execution_test.go
@@ -139,7 +139,7 @@
 			}
 		}
 		second := executeAt(t, b, action)
-		eventually(t, "the action is submitted as another job", func() bool {
+		eventually(t, "submission of the action as another job", func() bool {
 			select {
 			case s := <-jobs.submitted:
 				return *s.ID != *sub.ID
@@ -151,7 +151,7 @@
 		for {
 			op, err := second.stream.Recv()
 			if err != nil {
-				t.Fatalf("repeated execution after a job with status %s: %v", state, err)
+				t.Fatalf("repeated execution after a job with status %s: got error %v, want a result", state, err)
 			}
 			if op.GetDone() {
 				break
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	if op, err := s.Recv(); err != nil || op.GetDone() {
-		t.Fatalf("first message of the execution: %v, %v", op, err)
+		t.Fatalf("first message of the execution: %v, error %v; want an operation that is not done", op, err)
 	}
 	jobs.expire("Bearer anna")
 	for deadline := time.Now().Add(20 * time.Second); !jobs.called("status as certificate person/anna"); time.Sleep(20 * time.Millisecond) {
@@ -190,7 +190,7 @@
 	}
 	jobs.mu.Unlock()
 	if uses > 1 {
-		t.Errorf("an expired token was used %d times", uses)
+		t.Errorf("the expired token was used for %d calls, want at most 1", uses)
 	}
 	f.recordTestResult(t, action)
 	for {
--- a/internal/reapi/frontend.go
+++ b/internal/reapi/frontend.go
@@ -66,7 +66,7 @@
 type Access interface {
 	// Allows returns the name of the credential's holder. If the operation is not allowed,
 	// it returns an error with a gRPC status.
-	Allows(ctx context.Context, credential, verb, team string) (who string, err error)
+	Allows(ctx context.Context, credential, verb, team string) (holder string, err error)
 }
 
 // Config configures a front end.
@@ -81,23 +81,24 @@
 	Class string
 	// SelfAddr is the address at which the peers reach this front end.
 	SelfAddr string
-	// Grace is how long a peer that does not answer is assumed to be restarting. After that,
-	// the next peer replaces it as the primary of executions. 0 means defaultGrace.
+	// Grace is the grace period of a peer that does not answer. Until it ends, the peer is
+	// assumed to be restarting; then the next peer replaces it as the primary of executions.
+	// 0 means defaultGrace.
 	Grace time.Duration
-	// BatchDelay is how long a batch collects actions before it is submitted as a job, and
-	// MaxBatchActions the maximum number of its actions.
+	// BatchDelay is the time for which a batch collects actions before it is submitted as a
+	// job, and MaxBatchActions the maximum number of its actions.
 	BatchDelay      time.Duration
 	MaxBatchActions int
 	// Shares are the resources that teams and clients share fairly.
 	Shares Shares
-	// IsPeer verifies that a call marked as a peer's comes from a peer. If it is nil, no call
-	// is treated as a peer's.
+	// IsPeer verifies that a call with the metadata of a peer's call comes from a peer. If
+	// IsPeer is nil, the front end treats no call as a peer's.
 	IsPeer func(ctx context.Context) bool
 	// CertificateName returns the name in a client's verified certificate, or "" if the client has
-	// none. If Certified is nil, certificates are not used.
+	// none. If CertificateName is nil, certificates are not used.
 	CertificateName func(ctx context.Context) string
-	// IsWorker verifies that a call marked as a worker's comes from a worker. If it is nil, no
-	// call is treated as a worker's.
+	// IsWorker verifies that a call with the metadata of a worker's call comes from a worker.
+	// If IsWorker is nil, the front end treats no call as a worker's.
 	IsWorker func(ctx context.Context) bool
 }
 
@@ -207,11 +208,11 @@
 	if f.fromPeer(ctx) || f.fromWorker(ctx) {
 		return team, nil // a peer has authorized its client, and workers serve all teams
 	}
-	who, err := f.access.Allows(ctx, f.credential(ctx), verb, team)
+	client, err := f.access.Allows(ctx, f.credential(ctx), verb, team)
 	if err != nil {
 		return "", err
 	}
-	return team, f.acquireSlot(ctx, team, who)
+	return team, f.acquireSlot(ctx, team, client)
 }
 
 // Verbs of the controllers' policy that are checked for a team. Access to blobs is checked
--- a/internal/reapi/frontend_test.go
+++ b/internal/reapi/frontend_test.go
@@ -113,7 +113,7 @@
 func (b *testClient) wantCode(err error, want codes.Code) {
 	b.t.Helper()
 	if status.Code(err) != want {
-		b.t.Errorf("got %v, want %s", err, want)
+		b.t.Errorf("got error %v, want code %s", err, want)
 	}
 }
 
@@ -175,11 +175,11 @@
 	data := bytes.Repeat(randomBytes(1000), 3000)
 	d := blobstore.Of(data)
 	if n, err := b.upload("uploads/1/blobs/"+d.String(), data, 0, 100_000, true); err != nil || n != d.Size {
-		t.Fatalf("upload: %d bytes committed, %v", n, err)
+		t.Fatalf("upload: %d bytes committed, error %v; want all %d bytes committed", n, err, d.Size)
 	}
 	// The blob exists now, so the front end answers after the first message.
 	if n, err := b.upload("uploads/2/blobs/"+d.String()+"/some/file.name", data, 0, 100_000, true); err != nil || n != d.Size {
-		t.Errorf("upload of an existing blob: %d bytes committed, %v", n, err)
+		t.Errorf("upload of an existing blob: %d bytes committed, error %v; want all %d bytes committed", n, err, d.Size)
 	}
 	for _, tc := range []struct{ offset, limit int64 }{{0, 0}, {1, 0}, {5000, 777}, {d.Size, 0}, {d.Size - 1, 100}} {
 		want := data[tc.offset:]
@@ -187,25 +187,25 @@
 			want = want[:min(tc.limit, int64(len(want)))]
 		}
 		if got, err := b.download("blobs/"+d.String(), tc.offset, tc.limit); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("download of %+v: %d bytes, %v", tc, len(got), err)
+			t.Errorf("download of %+v: %d bytes, error %v; want the %d stored bytes of this range", tc, len(got), err, len(want))
 		}
 	}
 	compressed, err := b.download("compressed-blobs/zstd/"+d.String(), 1000, 0)
 	if err != nil || len(compressed) > len(data)/10 {
-		t.Errorf("compressed download: %d bytes, %v", len(compressed), err)
+		t.Errorf("compressed download: %d bytes, error %v; want at most a tenth of %d bytes", len(compressed), err, len(data))
 	}
 	dec, _ := zstd.NewReader(nil)
 	if got, err := dec.DecodeAll(compressed, nil); err != nil || !bytes.Equal(got, data[1000:]) {
-		t.Errorf("decompressed download: %d bytes, %v", len(got), err)
+		t.Errorf("decompressed download: %d bytes, error %v; want the stored bytes from offset 1000", len(got), err)
 	}
-	// Uploaded compressed, downloaded uncompressed.
+	// A blob that was uploaded compressed can be downloaded uncompressed.
 	other := bytes.Repeat([]byte("compile "), 50_000)
 	o := blobstore.Of(other)
 	if n, err := b.upload("a/b/uploads/3/compressed-blobs/zstd/"+o.String(), compressZstd(other), 0, 1000, true); err != nil || n != int64(len(compressZstd(other))) {
-		t.Errorf("compressed upload: %d bytes committed, %v", n, err)
+		t.Errorf("compressed upload: %d bytes committed, error %v; want all %d compressed bytes committed", n, err, len(compressZstd(other)))
 	}
 	if got, err := b.download("a/b/blobs/"+o.String(), 0, 0); err != nil || !bytes.Equal(got, other) {
-		t.Errorf("download after a compressed upload: %d bytes, %v", len(got), err)
+		t.Errorf("download after a compressed upload: %d bytes, error %v; want the %d uncompressed bytes", len(got), err, len(other))
 	}
 	_, err = b.download("blobs/"+o.String(), 0, 0) // the blob belongs to the other team
 	b.wantCode(err, codes.NotFound)
@@ -217,7 +217,7 @@
 	} {
 		_, err := b.download(name, 0, 0)
 		if status.Code(err) != want {
-			t.Errorf("download of %q: %v, want %s", name, err, want)
+			t.Errorf("download of %q: got error %v, want code %s", name, err, want)
 		}
 	}
 	_, err = b.download("blobs/"+d.String(), d.Size+1, 0)
@@ -242,19 +242,19 @@
 		b.wantCode(err, codes.InvalidArgument) // ended without being finished
 		st, err := b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 		if err != nil || st.CommittedSize != 300_000 || st.Complete {
-			t.Fatalf("status of the interrupted write: %v, %v", st, err)
+			t.Fatalf("status of the interrupted write: %v, error %v; want 300000 bytes received and not complete", st, err)
 		}
 		_, err = b.upload(name, sent[100:], 100, 64_000, true)
 		b.wantCode(err, codes.InvalidArgument) // the offset differs from the number of bytes received
 		if n, err := b.upload(name, sent[300_000:], 300_000, 64_000, true); err != nil || n != int64(len(sent)) {
-			t.Fatalf("resumed write (compressed %v): %d bytes committed, %v", compressed, n, err)
+			t.Fatalf("resumed write (compressed %v): %d bytes committed, error %v; want all %d bytes committed", compressed, n, err, len(sent))
 		}
 		if got, err := b.download("blobs/"+d.String(), 0, 0); err != nil || !bytes.Equal(got, data) {
-			t.Errorf("download after the resumed write: %d bytes, %v", len(got), err)
+			t.Errorf("download after the resumed write: %d bytes, error %v; want the %d bytes written", len(got), err, len(data))
 		}
 		st, err = b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 		if err != nil || !st.Complete || st.CommittedSize != d.Size {
-			t.Errorf("status of the finished write: %v, %v", st, err)
+			t.Errorf("status of the finished write: %v, error %v; want complete with %d bytes", st, err, d.Size)
 		}
 	}
 	before := store.Stats().Bytes
@@ -271,7 +271,7 @@
 	} {
 		_, err := b.upload(name, data, 0, 1000, true)
 		if status.Code(err) != codes.InvalidArgument {
-			t.Errorf("write of invalid data to %s: %v", name, err)
+			t.Errorf("write of invalid data to %s: got error %v, want code InvalidArgument", name, err)
 		}
 	}
 	for end := time.Now().Add(5 * time.Second); store.Stats().Bytes != before; time.Sleep(10 * time.Millisecond) {
@@ -297,7 +297,7 @@
 	}
 	for i, want := range []codes.Code{codes.OK, codes.OK, codes.InvalidArgument, codes.InvalidArgument, codes.InvalidArgument, codes.InvalidArgument} {
 		if got := codes.Code(resp.Responses[i].GetStatus().GetCode()); got != want {
-			t.Errorf("update %d: %s, want %s", i, got, want)
+			t.Errorf("update %d of the batch: got code %s, want %s", i, got, want)
 		}
 	}
 	read, err := b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(compressible)), digestToProto(blobstore.Of(mismatched)), digestToProto(blobstore.Empty)}})
@@ -307,12 +307,12 @@
 	for i, want := range [][]byte{good, compressible, nil, {}} {
 		r := read.Responses[i]
 		if want == nil && codes.Code(r.GetStatus().GetCode()) != codes.NotFound || !bytes.Equal(r.GetData(), want) {
-			t.Errorf("read %d: %v", i, r.GetStatus())
+			t.Errorf("read %d of the batch: %d bytes with status %v, want %d bytes, or NotFound for the absent blob", i, len(r.GetData()), r.GetStatus(), len(want))
 		}
 	}
 	miss, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{BlobDigests: []*repb.Digest{digestToProto(blobstore.Of(good)), digestToProto(blobstore.Of(mismatched)), digestToProto(blobstore.Empty)}})
 	if err != nil || len(miss.MissingBlobDigests) != 1 || miss.MissingBlobDigests[0].Hash != blobstore.Of(mismatched).Hash {
-		t.Errorf("missing blobs: %v, %v", miss, err)
+		t.Errorf("missing blobs: %v, error %v; want only the blob that was not stored", miss, err)
 	}
 	_, err = b.cas.BatchReadBlobs(b.ctx, &repb.BatchReadBlobsRequest{Digests: []*repb.Digest{{Hash: blobstore.Empty.Hash, SizeBytes: 5 << 20}}})
 	b.wantCode(err, codes.InvalidArgument)
@@ -338,7 +338,7 @@
 	d := digestToProto(blobstore.Of(raw))
 	resp, err := b.cas.BatchUpdateBlobs(b.ctx, &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{{Digest: d, Data: raw}}})
 	if err != nil || resp.Responses[0].GetStatus().GetCode() != 0 {
-		b.t.Fatalf("upload: %v, %v", resp, err)
+		b.t.Fatalf("upload of a blob: response %v, error %v", resp, err)
 	}
 	return d
 }
@@ -376,7 +376,7 @@
 	}
 	all, _, err := walk(0, "")
 	if err != nil || len(all) != 27 { // the leaf occurs once, though 25 directories contain it
-		t.Fatalf("got %d directories, want 27: %v", len(all), err)
+		t.Fatalf("GetTree returned %d directories with error %v, want 27 directories", len(all), err)
 	}
 	paged, tokens, err := walk(4, "")
 	if err != nil || strings.Join(paged, "|") != strings.Join(all, "|") || tokens[len(tokens)-1] != "" {
@@ -422,10 +422,10 @@
 		t.Fatal(err)
 	}
 	if got, err := get(); err != nil || !proto.Equal(got, result) {
-		t.Errorf("stored result: %v, %v", got, err)
+		t.Errorf("stored result: got %v, error %v; want %v", got, err, result)
 	}
 	if got, err := update(&repb.ActionResult{ExitCode: 4}); err != nil || got.ExitCode != 3 {
-		t.Errorf("a second result replaced the first: %v, %v", got, err)
+		t.Errorf("update with a second result returned %v, error %v; want the first result, with exit code 3", got, err)
 	}
 	_, err = b.ac.GetActionResult(b.ctx, &repb.GetActionResultRequest{InstanceName: "a/b", ActionDigest: action})
 	b.wantCode(err, codes.NotFound) // the result belongs to the other team
@@ -437,7 +437,7 @@
 	_, err = get()
 	b.wantCode(err, codes.NotFound)
 	if got, err := update(&repb.ActionResult{ExitCode: 4}); err != nil || got.ExitCode != 4 {
-		t.Errorf("a result with lost outputs was not replaced: %v, %v", got, err)
+		t.Errorf("update of a result with lost outputs returned %v, error %v; want the new result, with exit code 4", got, err)
 	}
 	noClientResults := twoTeams
 	noClientResults.ClientResults = false
@@ -446,7 +446,7 @@
 	b2.wantCode(err, codes.PermissionDenied)
 	caps, err := repb.NewCapabilitiesClient(b2.conn).GetCapabilities(b2.ctx, &repb.GetCapabilitiesRequest{})
 	if err != nil || caps.CacheCapabilities.ActionCacheUpdateCapabilities.UpdateEnabled || caps.ExecutionCapabilities.GetExecEnabled() {
-		t.Errorf("capabilities without client results and execution: %v, %v", caps, err)
+		t.Errorf("capabilities without client results and execution: %v, error %v; want both disabled", caps, err)
 	}
 }
 
@@ -515,15 +515,15 @@
 		if err := call(b.as("bob"), ""); writes {
 			b.wantCode(err, codes.PermissionDenied)
 		} else if c := status.Code(err); c != codes.OK && c != codes.NotFound {
-			t.Errorf("%s by a client that may only read: %v", name, err)
+			t.Errorf("%s by a client that may only read: got error %v, want OK or NotFound", name, err)
 		}
 	}
 	got, err := b.as("eve").cas.FindMissingBlobs(b.as("eve").ctx, &repb.FindMissingBlobsRequest{InstanceName: "a/b", BlobDigests: []*repb.Digest{d}})
 	if err != nil || len(got.MissingBlobDigests) != 1 {
-		t.Errorf("another team's blob is reported as present: %v, %v", got, err)
+		t.Errorf("query for another team's blob: missing blobs %v, error %v; want the blob reported as missing", got, err)
 	}
 	if h, err := healthpb.NewHealthClient(b.conn).Check(b.ctx, &healthpb.HealthCheckRequest{}); err != nil || h.Status != healthpb.HealthCheckResponse_SERVING {
-		t.Errorf("health check: %v, %v", h, err)
+		t.Errorf("health check: %v, error %v; want status SERVING", h, err)
 	}
 }
 
@@ -544,14 +544,14 @@
 					t.Errorf("upload: %v", err)
 				}
 				if got, err := b.download("blobs/"+d.String(), 0, 0); err != nil || !bytes.Equal(got, data) {
-					t.Errorf("download: %d bytes, %v", len(got), err)
+					t.Errorf("download: %d bytes, error %v; want the %d bytes uploaded", len(got), err, len(data))
 				}
 			}
 		})
 	}
 	wg.Wait()
 	if st := store.Stats(); st.Blobs != len(blobs) || st.Bytes != 50_000*36 {
-		t.Errorf("the store does not hold each blob once: %+v", st)
+		t.Errorf("store statistics %+v, want each of the %d blobs once", st, len(blobs))
 	}
 }
 
--- a/internal/reapi/inspection.go
+++ b/internal/reapi/inspection.go
@@ -132,7 +132,7 @@
 	stateCancelled = "withdrawn"
 )
 
-// jobNeverAccepted is reported as the state of a job that the controllers do not know.
+// jobNeverAccepted is reported as the state of a job for which the controllers have no record.
 const jobNeverAccepted = "never accepted"
 
 // GetAction returns the state of an action. The request names an operation or an action
@@ -177,7 +177,7 @@
 	return reply, nil
 }
 
-// requestedTask returns the task that a request names. Its job is left empty if the request
+// requestedTask returns the task that a request names. The task's job is empty if the request
 // names an action digest.
 func requestedTask(req *inspection.ActionRequest) (*task, error) {
 	if req.GetName() != "" {
--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -23,7 +23,7 @@
 	waiters    int
 	credential string    // of the most recent client
 	client     string    // name of the most recent client, "" if not known
-	idleSince  time.Time // when the last client left
+	idleSince  time.Time // disconnection of the last client
 	// status is the job's last status from the controllers, valid if statusKnown is set.
 	// refreshedAt is the time of the last status request; refreshing is set while one is
 	// in progress.
@@ -39,14 +39,14 @@
 	expiry time.Time
 }
 
-// DefaultLinger is how long a job continues after its last client has left.
+// DefaultLinger is the time for which a job continues after its last client has disconnected.
 const DefaultLinger = time.Minute
 
 const (
-	// maxLeases bounds the leases held for peers. A job without a lease runs to completion
-	// if its front end fails.
+	// maxLeases is the maximum number of leases held for peers. A job without a lease runs to
+	// completion if its front end fails.
 	maxLeases = 100_000
-	// maxJobsPerCall bounds the jobs in one call between peers.
+	// maxJobsPerCall is the maximum number of jobs in one call between peers.
 	maxJobsPerCall = 1000
 )
 
@@ -126,8 +126,8 @@
 	return leases
 }
 
-// wantedElsewhere returns those of the jobs that clients wait for at a peer. A peer that
-// does not answer is skipped: other peers hold the leases that it sent.
+// wantedElsewhere returns the jobs from the list that have waiting clients at a peer. A peer
+// that does not answer is skipped: other peers hold the leases that it sent.
 func (f *FrontEnd) wantedElsewhere(ctx context.Context, jobs []string) map[string]bool {
 	wanted := map[string]bool{}
 	if f.peers == nil {
@@ -151,8 +151,8 @@
 	return wanted
 }
 
-// abandonedJobs returns the jobs that, as far as this front end knows, have had no waiting
-// client for the linger time, with the credentials to cancel them.
+// abandonedJobs returns the jobs that no client of this front end has waited for during the
+// linger time, with the credentials to cancel them.
 func (f *FrontEnd) abandonedJobs(now time.Time, linger time.Duration) map[string]jobInterest {
 	abandoned := map[string]jobInterest{}
 	f.executions.mu.Lock()
@@ -209,7 +209,7 @@
 	}
 }
 
-// hasWaiters reports whether a client waits for a job here.
+// hasWaiters reports whether a client of this front end waits for a job.
 func (f *FrontEnd) hasWaiters(job string) bool {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
--- a/internal/reapi/interest_test.go
+++ b/internal/reapi/interest_test.go
@@ -61,27 +61,27 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, condition string, f func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for: %s", what)
+			t.Fatalf("timed out waiting for this condition: %s", condition)
 		}
 	}
 }
 
 // never checks that a condition does not hold for a multiple of the linger time.
-func never(t *testing.T, what string, f func() bool) {
+func never(t *testing.T, condition string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * shortLinger); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f() {
-			t.Fatalf("unexpected: %s", what)
+			t.Fatalf("this condition held, want it never to hold: %s", condition)
 		}
 	}
 }
 
-// A job is cancelled after its last client has left, whichever front end that client used, and
-// even if that front end failed before.
+// A job is cancelled after its last client has disconnected from any front end, even if that
+// front end failed before.
 func TestInterestLeases(t *testing.T) {
 	jobs := &fakeJobs{expired: map[string]bool{}, states: map[string]string{}, submitted: make(chan *protocol.Submission, 100)}
 	s := startGroupWith(t, 3, 2, jobs)
--- a/internal/reapi/manifest.go
+++ b/internal/reapi/manifest.go
@@ -23,8 +23,8 @@
 type Manifest struct {
 	Instance string          `json:"instance"`
 	Tasks    []ManifestEntry `json:"tasks"`
-	// Nonce is a nonce that makes the job's id differ from those of earlier jobs of the same
-	// actions that ended without results; empty for the first job.
+	// Nonce makes the job's id differ from those of earlier jobs of the same actions that
+	// ended without results. It is empty for the first job.
 	Nonce string `json:"again,omitempty"`
 }
 
@@ -38,7 +38,7 @@
 	Function string `json:"function,omitempty"`
 }
 
-// entryOf returns the entry of an execution of an action.
+// entryOf returns the manifest entry for an execution of an action.
 func entryOf(execution string, action blobstore.Digest) *ManifestEntry {
 	entry := &ManifestEntry{Execution: execution, Hash: action.Hash, Size: action.Size}
 	if action.Function != blobstore.SHA256 {
@@ -91,7 +91,8 @@
 	return digest, parts[2], err == nil && digest.Check() == nil
 }
 
-// imageOf returns the image of the job that a manifest describes.
+// imageOf returns the image name of the job with this manifest, which contains the manifest's
+// digest.
 func imageOf(manifest blobstore.Digest, instance string) string {
 	return ImagePrefix + manifest.String() + "/" + instance
 }
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// operationAt returns an operation that has reached the given stage. queued is when the
-// action arrived.
+// operationAt returns an operation that has reached the given stage. queued is the time of the
+// action's arrival.
 func operationAt(name string, action blobstore.Digest, stage repb.ExecutionStage_Value, queued time.Time) *longrunningpb.Operation {
 	op := &longrunningpb.Operation{Name: name}
 	metadata := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: digestToProto(action), DigestFunction: DigestFunctionToProto(action.Function)}
--- a/internal/reapi/operationstream.go
+++ b/internal/reapi/operationstream.go
@@ -17,7 +17,7 @@
 // first call that finds it outdated requests it for all of them. They also share the lookups
 // at peers: one call asks a peer about many executions whose results are awaited here.
 
-// statusInterval is the interval between status requests for an awaited job.
+// statusInterval is the minimum interval between status requests for an awaited job.
 const statusInterval = 2 * time.Second
 
 // jobStatus returns the last known status of an awaited job. The call that finds it outdated
@@ -64,7 +64,7 @@
 	stage            repb.ExecutionStage_Value
 	lookup           *resultLookup
 	ticker           *time.Ticker
-	// done is the task's done channel; nil once the stream has seen it closed.
+	// done is the task's done channel, or nil once the stream has found it closed.
 	done <-chan struct{}
 	// askPeers is set while a peer may have the result.
 	askPeers bool
@@ -113,13 +113,13 @@
 	}
 }
 
-// sendStage tells the client that the task has reached a stage.
+// sendStage sends the client the stage that the task has reached.
 func (s *operationStream) sendStage(stage repb.ExecutionStage_Value) error {
 	s.stage = stage
 	return s.out.Send(operationAt(s.task.operation(), s.task.entry.Action(), stage, s.task.queued))
 }
 
-// sendCompleted tells the client that the task has ended.
+// sendCompleted sends the client the completed operation.
 func (s *operationStream) sendCompleted(response *repb.ExecuteResponse) error {
 	return s.out.Send(completedOperation(s.task.operation(), s.task.entry.Action(), response))
 }
@@ -149,7 +149,7 @@
 	return s.sendCompleted(&repb.ExecuteResponse{Result: result, Status: failureStatus(result)})
 }
 
-// checkJob tells the client about changes of the job's status and returns the next step.
+// checkJob sends the client the changes of the job's status and returns the next step.
 func (s *operationStream) checkJob(ctx context.Context) (streamStep, error) {
 	jobStatus, known, err := s.frontEnd.jobStatus(ctx, s.task.job, &s.credential, s.name)
 	if denial := denialStatus(err); denial != nil {
--- a/internal/reapi/peers.go
+++ b/internal/reapi/peers.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// peerTimeout bounds a small call to a peer.
+	// peerTimeout is the timeout of a small call to a peer.
 	peerTimeout = 2 * time.Second
-	// openCircuitTimeout bounds a call to a peer whose circuit breaker is open.
+	// openCircuitTimeout is the timeout of a call to a peer whose circuit breaker is open.
 	openCircuitTimeout = 200 * time.Millisecond
 	// defaultGrace is the grace period if the configuration sets none.
 	defaultGrace = 2 * time.Minute
@@ -41,18 +41,19 @@
 	reconnectJitter     = 0.2
 )
 
-// peerBackoff is how long the circuit breaker of a peer that did not answer stays open.
+// peerBackoff is the time for which the circuit breaker of a peer that did not answer stays
+// open.
 var peerBackoff = retry.Backoff{First: 3 * time.Second, Max: 6 * time.Second}
 
 // Peers are the other front ends of a group. A blob is copied to some of them before its
 // upload is acknowledged, and can be read from any that has it.
 type Peers struct {
-	// Copies is the replication factor: how many front ends, this one included, hold a blob
-	// while enough of them can be reached.
+	// Copies is the replication factor: the number of front ends, including this one, that
+	// hold a blob while enough of them can be reached.
 	Copies int
 	peers  []*peer
 	log    *slog.Logger
-	// UnderReplicated counts the blobs that were acknowledged with fewer copies.
+	// UnderReplicated is the number of blobs acknowledged with fewer than Copies copies.
 	UnderReplicated atomic.Int64
 }
 
@@ -175,8 +176,8 @@
 	return timeout
 }
 
-// outage tracks how long a peer has not answered. Failures of forwarded results and pings are
-// recorded; any successful call ends the outage. The zero value is that of a peer that answers.
+// outage measures the time for which a peer has not answered. Failures of forwarded results and
+// pings are recorded; any successful call ends the outage. The zero value means no outage.
 type outage struct {
 	mu                 sync.Mutex
 	start, lastFailure time.Time
@@ -207,7 +208,7 @@
 	return !o.start.IsZero() && now.Sub(o.start) > grace
 }
 
-// grace returns how long a peer may fail to answer before it is assumed to be gone.
+// grace returns the grace period, after which a peer that does not answer is assumed to be lost.
 func (f *FrontEnd) grace() time.Duration {
 	if f.config.Grace > 0 {
 		return f.config.Grace
--- a/internal/reapi/primary.go
+++ b/internal/reapi/primary.go
@@ -56,6 +56,6 @@
 	return nil, err
 }
 
-// forwardTimeout bounds the forwarding of a result. It leaves the call that forwards it time
-// to answer.
+// forwardTimeout is the timeout for forwarding a result. It is shorter than the timeout of the
+// forwarding call, so that the call can still respond.
 const forwardTimeout = callTimeout / 2
--- a/internal/reapi/recordresult.go
+++ b/internal/reapi/recordresult.go
@@ -14,9 +14,9 @@
 	"micaspindle/internal/blobstore"
 )
 
-// RecordResult stores the result of an execution if it has none yet, and reports whether
-// it did. A recorded result is replaced only if no front end has some of the blobs that it
-// references. cache says whether the action allows caching.
+// RecordResult stores the result of an execution that has none yet, and reports whether it was
+// stored. A recorded result is replaced only if a blob that it references is on no front end.
+// cache is set if the action allows caching.
 func (f *FrontEnd) RecordResult(ctx context.Context, instance, space string, entry *ManifestEntry, result *repb.ActionResult, cache bool) (bool, error) {
 	function := entry.Action().Function
 	if err := f.checkComplete(ctx, instance, space, function, result); err != nil {
--- a/internal/reapi/repair.go
+++ b/internal/reapi/repair.go
@@ -65,7 +65,7 @@
 }
 
 // repairRecords copies action results and start records to the peers that should have
-// them, and returns how many it copied. A peer that already has a record keeps its own. take
+// them, and returns the number of copies. A peer that already has a record keeps its own. take
 // waits until the repairer's rate limit allows that many bytes.
 func (f *FrontEnd) repairRecords(ctx context.Context, copies int, instances map[string]string, take func(context.Context, int64) error) (int, error) {
 	copied := 0
@@ -90,7 +90,7 @@
 	return copied, nil
 }
 
-// recordCost is how many bytes the copy of a record counts as for the rate limit.
+// recordCost is the number of bytes that the rate limit charges for the copy of a record.
 const recordCost = 4 << 10
 
 // repairPeer adapts a peer to the interface of the repairer.
@@ -103,8 +103,8 @@
 // Name returns the peer's address.
 func (r *repairPeer) Name() string { return r.peer.addr }
 
-// FindMissing returns the digests whose blobs the peer does not have, without pinning the
-// others. It calls the peer even while its circuit breaker is open.
+// FindMissing returns the digests whose blobs the peer does not have. The peer does not pin the
+// blobs that it has. FindMissing calls the peer even while the peer's circuit breaker is open.
 func (r *repairPeer) FindMissing(ctx context.Context, space string, digests []blobstore.Digest) (missing []blobstore.Digest, err error) {
 	ctx = metadata.AppendToOutgoingContext(ctx, probeMetadataKey, "1")
 	for _, function := range []blobstore.Function{blobstore.SHA256, blobstore.BLAKE3} {
--- a/internal/reapi/replication.go
+++ b/internal/reapi/replication.go
@@ -16,8 +16,8 @@
 	"micaspindle/internal/blobstore"
 )
 
-// missing returns the digests of the blobs that neither this front end nor a peer has. A
-// front end that has one of the others pins it for the retention time.
+// missing returns the digests of the blobs that neither this front end nor a peer has. Every
+// other blob is pinned for the retention time on a front end that has it.
 func (f *FrontEnd) missing(ctx context.Context, instance, space string, digests []blobstore.Digest) []blobstore.Digest {
 	if f.fromPeer(ctx) {
 		if md, _ := metadata.FromIncomingContext(ctx); len(md.Get(probeMetadataKey)) > 0 {
@@ -245,8 +245,8 @@
 	f.replicateRecord(ctx, instance, action, result, false)
 }
 
-// replicateRecord does the same as replicateResult, but with replace set, the peers replace
-// the results that they have.
+// replicateRecord does the same as replicateResult. If replace is set, the peers replace the
+// results that they have.
 func (f *FrontEnd) replicateRecord(ctx context.Context, instance string, action blobstore.Digest, result *repb.ActionResult, replace bool) {
 	if replace {
 		ctx = metadata.AppendToOutgoingContext(ctx, replaceMetadataKey, "1")
--- a/internal/reapi/restarts_test.go
+++ b/internal/reapi/restarts_test.go
@@ -240,7 +240,7 @@
 	config.IsPeer, config.IsWorker = always, always
 	discard := slog.New(slog.DiscardHandler)
 	f := New(config, store, results, allowAll{}, NewPeers(2, others, discard), g, discard)
-	// Stop must wait for running calls, since a killed process leaves none behind.
+	// Stop must wait for running calls, since no call of a killed process continues.
 	server := f.Server(grpc.WaitForHandlers(true))
 	sweepCtx, cancel := context.WithCancel(g.ctx)
 	swept := make(chan struct{})
@@ -356,7 +356,7 @@
 				nodes = nodes[len(part):]
 				r, err := b.Build(ctx, part, nil)
 				if err != nil {
-					t.Errorf("seed %d: client %d: %v", seed, c, err)
+					t.Errorf("seed %d: build of client %d failed: %v", seed, c, err)
 					return
 				}
 				if reports[c] == nil {
@@ -414,7 +414,7 @@
 			}
 			resp, err := repb.NewContentAddressableStorageClient(conn).BatchReadBlobs(ctx, &repb.BatchReadBlobsRequest{InstanceName: "a/b", Digests: []*repb.Digest{d}})
 			if err != nil || codes.Code(resp.Responses[0].Status.GetCode()) != codes.NotFound {
-				t.Errorf("seed %d: another team reads the output of action %s: %v, %v; want status NotFound", seed, name, resp, err)
+				t.Errorf("seed %d: read of the output of action %s by another team: response %v, error %v; want status NotFound", seed, name, resp, err)
 			}
 		}
 		if r.Cached != len(nodes) {
--- a/internal/reapi/resultlookup.go
+++ b/internal/reapi/resultlookup.go
@@ -15,7 +15,7 @@
 const (
 	// lookupInterval is the interval between lookups of awaited results at peers.
 	lookupInterval = 250 * time.Millisecond
-	// maxLookupsPerCall bounds the executions in one call.
+	// maxLookupsPerCall is the maximum number of executions in one lookup call.
 	maxLookupsPerCall = 5000
 )
 
--- a/internal/reapi/startrecord.go
+++ b/internal/reapi/startrecord.go
@@ -16,7 +16,7 @@
 type startRecord struct {
 	Job   string `json:"job"`
 	Index int    `json:"index"`
-	// Queued is when the action arrived, in Unix milliseconds.
+	// Queued is the time of the action's arrival, in Unix milliseconds.
 	Queued int64 `json:"queued,omitempty"`
 }
 
--- a/internal/reapi/submitqueue.go
+++ b/internal/reapi/submitqueue.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// load returns how many actions of a queue wait for a machine in the cluster, by client,
-// and how many run there. e.mu must be held.
+// load returns the number of a queue's actions that wait for a machine in the cluster, by client,
+// and the number that run there. e.mu must be held.
 func (e *executions) load(key queueKey) (outstanding map[string]int, running int) {
 	outstanding = map[string]int{}
 	for _, job := range e.submitted {
@@ -148,8 +148,8 @@
 	}
 }
 
-// abandonTask removes a task that no call waits for from its batch and reports whether it did.
-// It fails once the submission of the batch has begun. executions.mu must be held.
+// abandonTask removes a task that no call waits for from its batch, unless the submission of the
+// batch has begun. It reports whether it removed the task. executions.mu must be held.
 func (f *FrontEnd) abandonTask(t *task) bool {
 	b := t.batch
 	if b == nil || b.submitted {
--- a/internal/reapi/submitqueue_test.go
+++ b/internal/reapi/submitqueue_test.go
@@ -91,7 +91,7 @@
 		t.Errorf("a job of %d tasks was submitted, want the single task of the second client", *s.Tasks)
 	}
 	expectNoJob()
-	// The second client's result makes no room for further actions of the first.
+	// The second client's result does not admit further actions of the first client.
 	f.recordTestResult(t, own)
 	if held := ledger.Held()["red"]; held != float64(200-sum) {
 		t.Errorf("%v actions wait at the front end, want %d: 200 less %d submitted", held, 200-sum, sum)
@@ -111,7 +111,8 @@
 	}
 }
 
-// Both running tasks and received results make room for further actions in the window.
+// Tasks that start to run and tasks whose results arrive no longer count in the submission
+// window, so further actions are submitted.
 func TestSubmissionWindow(t *testing.T) {
 	config := twoTeams
 	config.MaxBatchActions, config.BatchDelay = 10, time.Hour // batches are submitted only when full, even on a slow machine
@@ -140,7 +141,7 @@
 	select {
 	case s = <-jobs.submitted:
 	case <-time.After(2*statusInterval + time.Second):
-		t.Fatal("no job was submitted after the tasks of the first had started to run")
+		t.Fatal("no second job was submitted after all tasks of the first job had started, want one")
 	}
 	// The results of the second job arrive.
 	raw, err := f.store.Read(manifestKey(t, s), maxMessageBlobBytes)
@@ -159,7 +160,7 @@
 	select {
 	case <-jobs.submitted:
 	case <-time.After(5 * time.Second):
-		t.Fatal("no job was submitted after the results of the second had arrived")
+		t.Fatal("no third job was submitted after the results of the second job had arrived, want one")
 	}
 }
 
--- a/internal/reapi/tree.go
+++ b/internal/reapi/tree.go
@@ -111,8 +111,8 @@
 	sent  uint64 // number of directories that were sent, skipped or added to page
 }
 
-// add adds a directory to the page. If the page has no room for it, add first sends the page
-// and begins a new one.
+// add adds a directory to the page. If that would exceed the page's limits, add first sends the
+// page and begins a new one.
 func (p *treePages) add(directory *repb.Directory, size int) error {
 	if len(p.page.Directories) > 0 && (len(p.page.Directories) >= p.size || p.bytes+size > maxBatchBytes) {
 		if err := p.flush(); err != nil {
--- a/internal/reapi/uploads.go
+++ b/internal/reapi/uploads.go
@@ -26,10 +26,10 @@
 	open map[string]*pendingUpload
 }
 
-// pendingUpload is an unfinished write. At most one call at a time owns it.
+// pendingUpload is an unfinished write. At most one call at a time uses it.
 type pendingUpload struct {
 	busy       bool
-	releasedAt time.Time // when a call last released it
+	releasedAt time.Time // last release by a call
 	key        blobstore.Key
 	// Uncompressed data is written to upload, compressed data to spool. The other is nil.
 	upload *blobstore.Upload
@@ -41,7 +41,7 @@
 const (
 	// maxUploads is the maximum number of unfinished writes, interrupted ones included.
 	maxUploads = 1024
-	// resumeWindow is how long an interrupted write can be resumed.
+	// resumeWindow is the time for which an interrupted write can be resumed.
 	resumeWindow = 5 * time.Minute
 	// Compressed data may exceed the size of its blob by 1/expansionDivisor, since
 	// incompressible data grows by a few bytes per block.
@@ -65,7 +65,7 @@
 	u.expire(now)
 }
 
-// acquire makes the caller the owner of a write. If the write is not open, begin opens it.
+// acquire reserves a write for the caller. If the write is not open, begin opens it.
 func (u *uploads) acquire(name string, begin func() (*pendingUpload, error)) (*pendingUpload, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -88,8 +88,7 @@
 	return upload, nil
 }
 
-// release ends the caller's ownership of a write. Unless the write is resumable, it is
-// discarded.
+// release ends the caller's use of a write. Unless the write is resumable, it is discarded.
 func (u *uploads) release(name string, upload *pendingUpload, resumable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -177,8 +176,8 @@
 // uploadKey returns the key of a write in uploads, which is unique across teams.
 func uploadKey(space, resource string) string { return space + "\x00" + resource }
 
-// receivedLocally returns how many bytes of a write this front end has received, or 0 while
-// a call owns the write.
+// receivedLocally returns the number of bytes of a write that this front end has received, or 0
+// while a call uses the write.
 func (f *FrontEnd) receivedLocally(key string) int64 {
 	f.uploads.mu.Lock()
 	defer f.uploads.mu.Unlock()
@@ -191,9 +190,9 @@
 	return f.store.ReceivedBytes(key)
 }
 
-// receivedByPeers asks the peers how many bytes of a write they have received. It returns the
-// peer with the most bytes, or nil if none has any. allAnswered is false if a peer failed to
-// answer.
+// receivedByPeers queries the peers for the number of bytes of a write that they have received.
+// It returns the peer with the most bytes, or nil if none has any. allAnswered is false if a
+// peer failed to answer.
 func (f *FrontEnd) receivedByPeers(ctx context.Context, instance, resource string) (holder *peer, size int64, allAnswered bool) {
 	allAnswered = true
 	if f.peers == nil || f.fromPeer(ctx) {
--- a/internal/reapi/uploads_test.go
+++ b/internal/reapi/uploads_test.go
@@ -55,7 +55,7 @@
 			t.Helper()
 			st, err := b.bytes.QueryWriteStatus(b.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 			if err != nil || st.Complete {
-				t.Fatal("write status:", st, err)
+				t.Fatalf("write status: %v, error %v; want a status that is not complete", st, err)
 			}
 			return st.CommittedSize
 		}
@@ -79,11 +79,11 @@
 			t.Fatalf("the peer reports %d received bytes, want 1500000", n)
 		}
 		if n, err := b.upload(name, sent[1_500_000:], 1_500_000, chunkSize, true); err != nil || n != int64(len(sent)) {
-			t.Fatal("write resumed on the peer:", n, err)
+			t.Fatalf("write resumed on the peer: %d bytes committed, error %v; want %d bytes", n, err, len(sent))
 		}
 		got, err := a.download("blobs/"+blobstore.Of(data).String(), 0, 0)
 		if err != nil || !bytes.Equal(got, data) {
-			t.Errorf("download after the resumed write (compressed %v): %v", compressed, err)
+			t.Errorf("download after the resumed write (compressed %v): %d bytes, error %v; want the %d bytes written", compressed, len(got), err, len(data))
 		}
 	}
 }
@@ -105,6 +105,6 @@
 	_, err = b.upload(name, data[500_000:], 500_000, chunkSize, true)
 	b.wantCode(err, codes.Unavailable)
 	if n, err := b.upload(name, data, 0, chunkSize, true); err != nil || n != int64(len(data)) {
-		t.Error("restarted write:", n, err)
+		t.Errorf("restarted write: %d bytes committed, error %v; want %d bytes", n, err, len(data))
 	}
 }
--- a/internal/reapi/waiting_test.go
+++ b/internal/reapi/waiting_test.go
@@ -49,7 +49,7 @@
 	return jobStatus, nil
 }
 
-// callsPerConnection bounds the waiting calls on one connection.
+// callsPerConnection is the maximum number of waiting calls on one connection.
 const callsPerConnection = 2000
 
 // TestSmallActions measures the delay that a front end adds to a small action; the throughput
