--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -29,6 +29,9 @@
 	"micaspindle/internal/reapi"
 )
 
+// Outgoing connections have the source 127.0.0.1, so none can take the port of a stopped front end.
+const frontEndAddr = "127.9.0.1:0"
+
 // builder is a cluster with a front end, and a fake build tool.
 type builder struct {
 	t        *testing.T
@@ -49,7 +52,7 @@
 func newBuilder(t *testing.T, ctx context.Context) *builder {
 	t.Helper()
 	b := &builder{t: t, ctx: ctx, dir: t.TempDir()}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := net.Listen("tcp", frontEndAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
