--- a/internal/coordination/binpack/binpack_test.go
+++ b/internal/coordination/binpack/binpack_test.go
@@ -36,6 +36,6 @@
 	s.Record("big", 2)
 	s.Record("big", 5)
 	if !s.Contested("big", 3) || s.Contested("big", 2) || s.Contested("small", 9) {
-		t.Error("want big contested for more than 2 types, and small not contested; scarcity:", s)
+		t.Error("want type big contested only for jobs that fit more than 2 types, and type small never; scarcity:", s)
 	}
 }
--- a/internal/coordination/contention/contention.go
+++ b/internal/coordination/contention/contention.go
@@ -39,9 +39,9 @@
 
 // Horizon holds the limits of the predicted remaining times of tasks.
 type Horizon struct {
-	// MaxS is the length of the horizon in seconds. It limits every prediction, and services are
+	// LengthS is the length of the horizon in seconds. It limits every prediction, and services are
 	// predicted to run for all of it.
-	MaxS float64
+	LengthS float64
 	// OverdueS is the predicted remaining time, in seconds, of a task that has reached its
 	// estimate: one heartbeat interval.
 	OverdueS float64
@@ -53,15 +53,15 @@
 func (h Horizon) Remaining(t Task, share float64) float64 {
 	switch {
 	case t.Service:
-		return h.MaxS
+		return h.LengthS
 	case t.EstimateS <= 0 || t.ElapsedS >= t.EstimateS:
-		return min(h.OverdueS, h.MaxS)
+		return min(h.OverdueS, h.LengthS)
 	case share <= 0:
-		return h.MaxS
+		return h.LengthS
 	}
 	f := t.EstimateS / maxProgress
 	progress := t.ElapsedS / t.EstimateS * maxProgress
-	return min(f/share*(maxProgress-progress), h.MaxS)
+	return min(f/share*(maxProgress-progress), h.LengthS)
 }
 
 // expectedSeconds returns the number of one-second steps of algorithm 1 during which a task is
--- a/internal/coordination/contention/contention_test.go
+++ b/internal/coordination/contention/contention_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var h = Horizon{MaxS: 1000, OverdueS: 3}
+var h = Horizon{LengthS: 1000, OverdueS: 3}
 
 func TestRemaining(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/coordination/fairshare/fairshare.go
+++ b/internal/coordination/fairshare/fairshare.go
@@ -50,8 +50,8 @@
 type Group struct {
 	// Open is the number of unfinished jobs.
 	Open float64
-	// Starved is the number of starved jobs among these, each weighted by the share of its
-	// tasks that wait.
+	// Starved is the number of starved unfinished jobs, each weighted by the share of its tasks
+	// that are pending.
 	Starved float64
 	// Done is the number of recently completed jobs; see Tally.
 	Done float64
@@ -66,7 +66,7 @@
 }
 
 // BeyondAverage returns the group with only those starved jobs that exceed the average share of
-// all groups: an overload that affects every team alike is no reason to reserve machines for
+// all groups: an overload that affects all groups equally is no reason to reserve machines for
 // each of them.
 func (g Group) BeyondAverage(all Group) Group {
 	g.Starved = max(0, g.Starved-all.StarvedShare()*(g.Open+g.Done))
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -77,7 +77,7 @@
 		count[g]++
 	}
 	if count[3] != 3 || count[large] != 2 || count[urgent] != 0 {
-		t.Errorf("machines reserved by class: %v, want 3 for class 3, 2 for the large and none for the urgent class", count)
+		t.Errorf("machines reserved by class: %v, want 3 for the added class 3, 2 for the large class and none for the urgent class", count)
 	}
 	all := Group{}
 	teams := []Group{{Open: 400, Starved: 300, Done: 100}, {Open: 390, Starved: 310, Done: 90}, {Open: 10, Starved: 9}}
@@ -106,7 +106,7 @@
 	}
 	// A class that is no longer served becomes starved within tallyDecay.
 	if g := (Group{Open: 30, Starved: 30, Done: tally.Value(now.Add(tallyDecay))}); g.StarvedShare() < 0.8 {
-		t.Errorf("starved share %v, tallyDecay after the last job was completed, want at least 0.8", g.StarvedShare())
+		t.Errorf("starved share %v at a time tallyDecay after the last completed job, want at least 0.8", g.StarvedShare())
 	}
 }
 
@@ -189,7 +189,7 @@
 		}
 		for typ, n := range reservedCPUs {
 			if n > MaxReservedShare*totalCPUs[typ]+binpack.Epsilon {
-				t.Errorf("seed %d: %v of %v CPUs of machine type %s are reserved", seed, n, totalCPUs[typ], typ)
+				t.Errorf("seed %d: %v of %v CPUs of machine type %s are reserved, want at most the share MaxReservedShare", seed, n, totalCPUs[typ], typ)
 			}
 		}
 		reversed := v
--- a/internal/coordination/fairshare/quota.go
+++ b/internal/coordination/fairshare/quota.go
@@ -22,9 +22,8 @@
 
 // ReserveQuotas returns the part of a team's limit that is reserved for each starved class. Tasks of
 // the team's other classes may not use it. shares are the groups' ReservedShares. Classes that want the
-// least are served first. Nothing is reserved for a class that already uses MaxReservedShare of
-// the limit, and no more than MaxReservedShare is reserved for all classes
-// together.
+// least are served first. Nothing is reserved for a class that already uses MaxReservedShare of the
+// limit, and no more than MaxReservedShare is reserved for all classes together.
 func ReserveQuotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
 	uses = slices.Clone(uses)
 	slices.SortFunc(uses, func(a, b ClassUse) int {
--- a/internal/coordination/placement/choose.go
+++ b/internal/coordination/placement/choose.go
@@ -47,7 +47,7 @@
 // preferred filters machines by the three preferences that take precedence over contention
 // (docs/design.md). It reuses the slice.
 func (r *round) preferred(machines []int, job *Job) []int {
-	// Leave machine types that other jobs depend on to the jobs that fit fewer types.
+	// Avoid machine types that are contested by jobs that fit fewer types.
 	typeCount := binpack.TypeCount(job.Types)
 	machines = prefer(machines, func(machine int) bool {
 		return !r.Scarcity.Contested(r.Machines[machine].Kind.Type, typeCount)
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -102,7 +102,7 @@
 	} {
 		d := fakeDetails{}
 		v := View{Jobs: []Job{job(1, 2)}, Machines: []Machine{machine("a", "x", 8, true), machine("b", "y", 8, true)}, Teams: make([]Team, 1),
-			Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
+			Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{LengthS: 3600, OverdueS: 1}}
 		c.view(&v, &d)
 		v.Details = d
 		got := Decide(v)
@@ -123,7 +123,7 @@
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var d fakeDetails
-			v := View{Teams: []Team{{}, {Limit: binpack.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{MaxS: 3600, OverdueS: 1}}
+			v := View{Teams: []Team{{}, {Limit: binpack.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{LengthS: 3600, OverdueS: 1}}
 			for i := range rng.IntN(8) {
 				v.Machines = append(v.Machines, machine(fmt.Sprint("m-", i), fmt.Sprint(rng.IntN(3)), float64(rng.IntN(17)), rng.IntN(2) == 0))
 				var tasks []contention.Task
@@ -174,7 +174,7 @@
 		}
 		for i, j := range v.Jobs {
 			if count[i] > j.Pending || j.Gang && count[i] != 0 && count[i] != j.Pending {
-				t.Errorf("seed %d: %d of %d pending tasks placed for job %d, gang %v", seed, count[i], j.Pending, i, j.Gang)
+				t.Errorf("seed %d: %d of %d pending tasks placed for job %d, gang %v; want no more than pending, and all or none of a gang", seed, count[i], j.Pending, i, j.Gang)
 			}
 			if j.OneZone && len(zones[i]) > 1 {
 				t.Errorf("seed %d: job %d must run in one zone, has tasks by zone %v", seed, i, zones[i])
@@ -190,7 +190,7 @@
 			}
 			for m := range v.Machines {
 				if free[m].Holds(j.Resources) && j.Constraints.Allows(v.Machines[m].Kind) {
-					t.Errorf("seed %d: job %d has pending tasks that fit on machine %d", seed, i, m)
+					t.Errorf("seed %d: job %d has pending tasks that fit on machine %d, want them placed", seed, i, m)
 				}
 			}
 		}
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -105,9 +105,10 @@
 	TeamLimit bool
 }
 
-// MustStart reports whether a pending job must start now: if it has a deadline, whether that can still
-// be met, but only by a start within startMargin or quotaMargin; if it has none, whether it has waited
-// longer than maxWait.
+// MustStart reports whether a pending job must start now. A job without a deadline must start once it
+// has waited longer than maxWait. A job with a deadline must start once its latest start is less than
+// startMargin away, or quotaMargin if the team limit keeps it from starting, unless the deadline can't
+// be met any more.
 func MustStart(job *Job, team *Team, now time.Time) bool {
 	if job.Deadline.IsZero() {
 		return now.Sub(job.ReadyAt) > maxWait
@@ -135,8 +136,8 @@
 	return t.Used.CPUs > t.Guarantee.CPUs+binpack.Epsilon || t.Used.GPUs > t.Guarantee.GPUs+binpack.Epsilon
 }
 
-// maxLostWork returns the maximum work that may be lost to start a task of a job, in CPU seconds: the
-// work that the task itself does if it uses the given number of CPUs.
+// maxLostWork returns the maximum work that may be lost to start a task of the job, in CPU seconds: the
+// estimated work of the task itself on the given number of CPUs, but at least one.
 func (j *Job) maxLostWork(cpus float64) float64 { return j.EstimateS * max(cpus, 1) }
 
 // Decide returns the tasks to preempt and the jobs that they are preempted for. It does not modify
--- a/internal/coordination/queue/grades.go
+++ b/internal/coordination/queue/grades.go
@@ -36,9 +36,8 @@
 	starvedCycleS = 4
 )
 
-// deadlineGrades lists the multiples of a job's allowed time that are tried as its deadline, with the
-// grade of the jobs that miss it. Each multiple is tried only with the jobs that missed the previous
-// one.
+// deadlineGrades holds multiples of a job's allowed time, each with the grade of the jobs that can't be
+// done within it. A multiple after the first applies only to the jobs that exceed the previous one.
 var deadlineGrades = [...]struct {
 	factor float64
 	missed grade
@@ -132,7 +131,8 @@
 	}
 	workS := s.jobs[i].EstimateS * float64(s.jobs[i].Pending) / slots
 	b.add(i, workS)
-	// workS assumes that tasks can be divided; the job itself takes at least aloneS.
+	// workS is the run time if the work is divided evenly among all slots. Tasks are indivisible, so
+	// the job takes at least aloneS.
 	if b.totalS-workS+max(workS, aloneS) <= leftS {
 		return true
 	}
--- a/internal/coordination/queue/queue.go
+++ b/internal/coordination/queue/queue.go
@@ -47,8 +47,8 @@
 	return max(1, math.Ceil(float64(tasks)/parallelism))
 }
 
-// allowedS returns the allowed time of a job, from submission to deadline, in seconds. It is at
-// least the run time of one task, since a dependency may be submitted too late for its deadline.
+// allowedS returns the allowed time of a job, from submission to deadline, in seconds. It is at least
+// the run time of one task, even if the deadline was already too close at the submission.
 func (j *Job) allowedS() float64 {
 	return max(j.Deadline.Sub(j.SubmittedAt).Seconds(), j.EstimateS)
 }
--- a/internal/coordination/scaling/scaling.go
+++ b/internal/coordination/scaling/scaling.go
@@ -74,7 +74,7 @@
 	// Serving is set unless the cluster leader's own state marks the machine as lost or
 	// quarantined.
 	Serving bool
-	// Idle to Retiring are the status that the partition's leader reported. NeverUp is set if no
+	// The fields from Idle to Retiring are as reported by the partition's leader. NeverUp is set if no
 	// heartbeat arrived within the expected boot time, Retiring if the machine gets no further
 	// tasks.
 	Idle, Lost, Quarantined, NeverUp, Retiring bool
--- a/internal/coordination/scaling/scaling_test.go
+++ b/internal/coordination/scaling/scaling_test.go
@@ -174,7 +174,7 @@
 				tasks += d.Count
 			}
 			if r.Count > tasks || v.ScalingOut[r.Partition] || !v.Partitions[r.Partition].Reporting {
-				t.Errorf("seed %d: unexpected scale-out %+v for %d pending tasks", seed, r, tasks)
+				t.Errorf("seed %d: scale-out %+v for %d pending tasks; want no more machines than tasks, and none while a scale-out is in progress or the leader does not report", seed, r, tasks)
 			}
 		}
 	}
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -92,8 +92,8 @@
 }
 
 // Scarcity returns, for each machine type that unfinished jobs fit, the smallest TypeCount of these
-// jobs. It covers the jobs of all partitions, since machines move
-// between them, and is cached for cluster.QueueOrderTTL.
+// jobs. It covers the jobs of all partitions, since machines move between them, and is cached for
+// cluster.QueueOrderTTL.
 func (s *Scheduler) Scarcity(now time.Time) binpack.Scarcity {
 	if s.ScarcityCache != nil && now.Sub(s.scarcityAt) < cluster.QueueOrderTTL {
 		return s.ScarcityCache
--- a/internal/coordination/scheduler/placement.go
+++ b/internal/coordination/scheduler/placement.go
@@ -132,8 +132,8 @@
 }
 
 // longFetchS returns the duration in seconds above which fetching a job's image counts as long, so that
-// machines that already have the image are preferred. In a pipeline the fetches of
-// its jobs add up, so every fetch counts as long.
+// machines that already have the image are preferred. In a pipeline the fetches of its jobs add up, so
+// every fetch counts as long.
 func (s *Scheduler) longFetchS(job *cluster.Job) float64 {
 	if inPipeline(job) {
 		return 0
--- a/internal/coordination/scheduler/predictions.go
+++ b/internal/coordination/scheduler/predictions.go
@@ -38,7 +38,7 @@
 
 // horizon returns the limits of the predicted remaining times.
 func (s *Scheduler) horizon() contention.Horizon {
-	return contention.Horizon{MaxS: predictionHorizonS, OverdueS: s.HeartbeatInterval.Seconds()}
+	return contention.Horizon{LengthS: predictionHorizonS, OverdueS: s.HeartbeatInterval.Seconds()}
 }
 
 // contentionMachine describes a machine and its running tasks for the contention prediction.
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -15,9 +15,9 @@
 	views []queue.Job
 }
 
-// Queue lists the jobs of a partition that need the scheduler or the committer, in the order in
-// which they are served: those that have pending tasks or records to write, or that are completing.
-// The caller may modify the list.
+// Queue lists the jobs of a partition that need the scheduler or the committer: the completing jobs,
+// and those with pending tasks or records to write. The jobs are in the order in which they are
+// served. The caller may modify the list.
 //
 // The order is cached for cluster.QueueOrderTTL, to avoid sorting all jobs for each event. It is
 // recomputed at once when an idle job gets work: a job that was only appended to the cached order
--- a/internal/coordination/scheduler/quota.go
+++ b/internal/coordination/scheduler/quota.go
@@ -14,8 +14,8 @@
 }
 
 // reserveQuota reserves parts of the teams' limits for their starved classes, but only for tasks for
-// which machines have free capacity now. While a class waits for machines, the limit is
-// left to the other classes.
+// which machines have free capacity now. While a class waits for machines, the limit is left to the
+// other classes.
 func (s *Scheduler) reserveQuota(p *cluster.Partition, now time.Time) {
 	uses := s.quotaWanted(p, now)
 	s.addQuotaUsed(uses)
