--- a/internal/coordination/failover/evidence.go
+++ b/internal/coordination/failover/evidence.go
@@ -8,8 +8,8 @@
 	// minRequiredDiverted.
 	maxRequiredDiverted = 3
 	minRequiredDiverted = 2
-	// silentIntervals is the number of summary intervals for which no summary of a leader must have
-	// arrived. The interval divided by silenceMarginDivisor is added for delayed messages.
+	// A leader is silent if no summary of it has arrived for silentIntervals summary intervals. The
+	// interval divided by silenceMarginDivisor is added for delayed messages.
 	silentIntervals      = 2
 	silenceMarginDivisor = 5
 )
@@ -23,10 +23,10 @@
 	Reporting, Diverted int
 }
 
-// Dead reports whether the leader's lease may be revoked: whether neither controllers nor agents reach
-// the leader, so that it can't act as leader, even if its process still runs. Missing summaries alone
-// are no proof, since the fault may be in the connections between controllers. Diverted machines alone
-// are no proof either, since the fault may be in the agents' connections.
+// Dead reports whether the leader's lease may be revoked. This requires that neither controllers nor
+// agents reach the leader: then it can't act as leader, even if its process still runs. Missing
+// summaries alone are no proof, since the fault may be in the connections between controllers. Diverted
+// machines alone are no proof either, since the fault may be in the agents' connections.
 func (e Evidence) Dead() bool {
 	silent := e.Silent > silentIntervals*e.Interval+e.Interval/silenceMarginDivisor
 	return silent && e.Diverted >= max(minRequiredDiverted, min(maxRequiredDiverted, e.Reporting))
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -106,7 +106,7 @@
 	}
 	// A class that is no longer served becomes starved within tallyDecay.
 	if g := (Group{Open: 30, Starved: 30, Done: tally.Value(now.Add(tallyDecay))}); g.StarvedShare() < 0.8 {
-		t.Errorf("starved share %v at a time tallyDecay after the last completed job, want at least 0.8", g.StarvedShare())
+		t.Errorf("tallyDecay after the last completed job: starved share %v, want at least 0.8", g.StarvedShare())
 	}
 }
 
--- a/internal/coordination/lease/acquisition.go
+++ b/internal/coordination/lease/acquisition.go
@@ -10,8 +10,8 @@
 	"micaspindle/internal/storage"
 )
 
-// wantedLease is a lease that this controller should acquire. revision is the revision of the lease's
-// record at the time of that decision, 0 if there was no record.
+// wantedLease is a lease that this controller should acquire. The acquisition is conditional on
+// revision, the revision of the lease's record, or 0 if there is no record.
 type wantedLease struct {
 	key      string
 	revision uint64
@@ -21,19 +21,19 @@
 // lease is fresh.
 func (h *Holder) acquireWantedLeases() {
 	var wanted []wantedLease
-	var lease uint64
+	var leaseID uint64
 	h.loop.Do(func() {
 		now := time.Now()
-		if lease = h.LeaseID; lease == 0 || !h.leaseIsFresh(now) {
+		if leaseID = h.LeaseID; leaseID == 0 || !h.leaseIsFresh(now) {
 			return
 		}
 		wanted = h.wantedLeases(now)
 	})
-	if lease == 0 || !h.announceIncarnation(lease) {
+	if leaseID == 0 || !h.announceIncarnation(leaseID) {
 		return
 	}
 	for _, w := range wanted {
-		h.acquireLease(w.key, w.revision, lease)
+		h.acquireLease(w.key, w.revision, leaseID)
 	}
 }
 
@@ -60,11 +60,11 @@
 // acquireLease tries to acquire a lease that is free or held by this controller's former
 // incarnation. If the request succeeds but its response is lost, the new record, which has this
 // incarnation's nonce, arrives through the watch.
-func (h *Holder) acquireLease(key string, revision, lease uint64) {
+func (h *Holder) acquireLease(key string, revision, leaseID uint64) {
 	value := storage.Encode(storage.Lease{Holder: h.Settings.Label, Nonce: h.Nonce})
 	acquired, err := h.store.CommitLease(h.loop.Context(), &protocol.Transaction{
 		If:   []protocol.Condition{{Key: key, Version: revision}},
-		Then: []protocol.Change{{Put: key, Value: value, Lease: lease}},
+		Then: []protocol.Change{{Put: key, Value: value, Lease: leaseID}},
 	})
 	if errors.Is(err, storage.ErrLeaseGone) {
 		h.loop.Do(func() { h.loseAllLeases(reasonControllerLeaseEnded) })
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -31,8 +31,9 @@
 
 	// incarnations are the newest incarnation records of the controllers, by label.
 	incarnations map[string]incarnationRecord
-	// EndedIncarnations maps each incarnation that a later incarnation's record proves to have
-	// ended to the latest time at which it or one of its delegates may have answered a heartbeat.
+	// EndedIncarnations holds, for each incarnation that has provably ended, the latest time at
+	// which it or one of its delegates may have answered a heartbeat. The proof is the record of a
+	// later incarnation of the same controller.
 	EndedIncarnations map[IncarnationID]time.Time
 	// announcedLease is the ID of the controller lease in this controller's own incarnation record.
 	announcedLease uint64
--- a/internal/coordination/lease/incarnations.go
+++ b/internal/coordination/lease/incarnations.go
@@ -24,16 +24,17 @@
 	revision uint64
 }
 
-// announceIncarnation writes this incarnation with its controller lease to the state store, and reports
-// whether the stored record contains that lease. It must succeed before any other lease is acquired.
+// announceIncarnation writes the record of this incarnation, with its controller lease, to the state
+// store, and reports whether the stored record contains that lease. Other leases may be acquired only
+// after it has returned true.
 // Since incarnation records are ordered by revision, a record with another nonce proves that the
 // previous incarnation has ended (rule 34).
-func (h *Holder) announceIncarnation(lease uint64) bool {
+func (h *Holder) announceIncarnation(leaseID uint64) bool {
 	var txn *protocol.Transaction
 	announced := false
 	h.loop.Do(func() {
-		if announced = h.announcedLease == lease; !announced && h.Synced {
-			txn = h.incarnationTransaction(lease)
+		if announced = h.announcedLease == leaseID; !announced && h.Synced {
+			txn = h.incarnationTransaction(leaseID)
 		}
 	})
 	if txn == nil {
@@ -54,15 +55,15 @@
 	default:
 		h.log.Debug("incarnation not recorded", "error", err)
 	}
-	h.loop.Do(func() { announced = h.announcedLease == lease })
+	h.loop.Do(func() { announced = h.announcedLease == leaseID })
 	return announced
 }
 
 // incarnationTransaction returns the transaction that writes the record of this incarnation with a
 // controller lease.
-func (h *Holder) incarnationTransaction(lease uint64) *protocol.Transaction {
+func (h *Holder) incarnationTransaction(leaseID uint64) *protocol.Transaction {
 	key, own := storage.IncarnationKey(h.Settings.Label), h.incarnations[h.Settings.Label]
-	record := storage.Incarnation{Nonce: h.Nonce, Lease: lease}
+	record := storage.Incarnation{Nonce: h.Nonce, Lease: leaseID}
 	if own.Nonce == h.Nonce {
 		record.Released = own.Released
 	}
--- a/internal/coordination/lease/renewal.go
+++ b/internal/coordination/lease/renewal.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// renew grants or renews the controller lease. It returns false if the state store refused the
-// request, which is then to be repeated soon.
+// renew grants or renews the controller lease. It returns false if the state store refused the request,
+// so that RenewLoop repeats it soon.
 func (h *Holder) renew() bool {
 	var lease uint64
 	if !h.loop.Do(func() { lease = h.LeaseID }) {
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -537,7 +537,7 @@
 		{"machines sent to a standby", telemetry.ReplicaMachines, func(t *testing.T, c *Controller) {
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
-			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
+			replica.Updates = replication.ReceivedUpdates{Sender: "n1", LeaseRevision: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range replication.ReplicaMachinesLimit {
 				replica.Updates.Machines[fmt.Sprint("m-", i)] = replication.MachineHints{}
 			}
@@ -549,7 +549,7 @@
 		{"state transfers", telemetry.StateTransferBytes, func(t *testing.T, c *Controller) {
 			replica := replication.NewReplica(0, time.Now())
 			c.replicator.Replicas[0] = replica
-			replica.Updates = replication.ReceivedUpdates{Sender: "n1", Lease: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
+			replica.Updates = replication.ReceivedUpdates{Sender: "n1", LeaseRevision: 1, Acknowledged: 1, Machines: map[string]replication.MachineHints{}}
 			for i := range largeMachines {
 				hint := &peer.MachineHint{Name: largeMachineName(i), PreemptionNoticeS: -1}
 				for k := range cluster.HintImagesLimit {
@@ -591,7 +591,7 @@
 		{"replicated estimates", telemetry.Estimates, func(t *testing.T, c *Controller) {
 			h := replication.ReceivedUpdates{}
 			for i := range scheduler.MaxClassGroups + 1 {
-				h.Classes = append(h.Classes, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
+				h.Corrections = append(h.Corrections, &peer.RuntimeCorrection{Class: fmt.Sprint("class-", i), Ratio: 1, Count: 3})
 			}
 			if c.replicator.ApplyHints(c.Partitions[0], &h, time.Now()); len(c.scheduler.Corrections) != scheduler.MaxClassGroups {
 				t.Errorf("run times of %d classes are kept, want %d", len(c.scheduler.Corrections), scheduler.MaxClassGroups)
--- a/internal/coordination/preemption/round.go
+++ b/internal/coordination/preemption/round.go
@@ -57,7 +57,7 @@
 type victimSet struct {
 	machine int
 	tasks   []int
-	// lostWork is the sum over the tasks, in CPU seconds.
+	// lostWork is the sum of the LostWork of the tasks, in CPU seconds.
 	lostWork float64
 }
 
--- a/internal/coordination/recordset/lag.go
+++ b/internal/coordination/recordset/lag.go
@@ -1,7 +1,7 @@
 package recordset
 
-// Lag detects when a set falls behind the store and when it has caught up. Its zero value is not
-// behind.
+// Lag detects when a set falls behind the store and when it has caught up. The zero value stands for a
+// set that is not behind.
 type Lag struct{ behind bool }
 
 // Changed updates the state with the lag of the set in seconds. The set falls behind when the lag
--- a/internal/coordination/recordset/set_test.go
+++ b/internal/coordination/recordset/set_test.go
@@ -113,7 +113,7 @@
 			}
 			for k, r := range s.records {
 				if seen[k] != r.Value || len(seen) != len(s.records) {
-					t.Fatalf("seed %d: after all changes passed to the callback, the values are %v, want those of the store: %v", seed, seen, s.records)
+					t.Fatalf("seed %d: the changes passed to the callback add up to the values %v, want those of the store's records %v", seed, seen, s.records)
 				}
 			}
 			for range rng.IntN(3) {
--- a/internal/coordination/replication/derived_state.go
+++ b/internal/coordination/replication/derived_state.go
@@ -82,13 +82,13 @@
 	return removed
 }
 
-// addAttempt adds a live attempt of a run record. before is the task's previous attempt, or nil; if
-// it has the same number, its start time is kept.
-func (s *DerivedState) addAttempt(id string, job *ReplicaJob, recorded storage.Attempt, before *cluster.Attempt) {
+// addAttempt adds a live attempt of a run record. previous is the task's attempt before the change, or
+// nil; if it has the same number, its start time is kept.
+func (s *DerivedState) addAttempt(id string, job *ReplicaJob, recorded storage.Attempt, previous *cluster.Attempt) {
 	a := &cluster.Attempt{TaskIndex: recorded.Task, Number: recorded.Number, Epoch: recorded.Epoch, State: cluster.AttemptCommitted, Inherited: true}
 	key := AttemptID{Job: id, Task: recorded.Task, Number: recorded.Number}
-	if before != nil && before.Number == recorded.Number {
-		a.ReplicatedStart = before.ReplicatedStart
+	if previous != nil && previous.Number == recorded.Number {
+		a.ReplicatedStart = previous.ReplicatedStart
 	} else if at, ok := s.PendingStarts[key]; ok {
 		a.ReplicatedStart = at
 		delete(s.PendingStarts, key)
--- a/internal/coordination/replication/hints.go
+++ b/internal/coordination/replication/hints.go
@@ -31,7 +31,7 @@
 			applyMachineHints(m, hints, now)
 		}
 	}
-	for _, correction := range updates.Classes {
+	for _, correction := range updates.Corrections {
 		r.scheduler.AdoptCorrection(correction)
 	}
 }
--- a/internal/coordination/replication/receive.go
+++ b/internal/coordination/replication/receive.go
@@ -32,14 +32,14 @@
 
 // ReceivedUpdates is the accumulated content of the updates from a partition's leader.
 type ReceivedUpdates struct {
-	// Sender and nonce identify the incarnation of the sending controller, Lease is the revision of
-	// its partition lease.
+	// Sender and nonce identify the incarnation of the sending controller. LeaseRevision is the
+	// revision of its partition lease.
 	Sender, nonce string
-	Lease         uint64
+	LeaseRevision uint64
 	// Acknowledged is the sequence number up to which all updates were received; 0 if none were.
 	Acknowledged uint64
 	Machines     map[string]MachineHints
-	Classes      []*peer.RuntimeCorrection
+	Corrections  []*peer.RuntimeCorrection
 	// droppedMachines counts the machines dropped at ReplicaMachinesLimit since the last report.
 	droppedMachines int
 }
@@ -48,11 +48,11 @@
 // Duplicate and late updates are ignored, as are those after a gap: the sender then continues from
 // the returned number. storeStart is called with each attempt's start time.
 func (u *ReceivedUpdates) Apply(update *peer.ReplicaUpdate, storeStart func(AttemptID, time.Time), now time.Time) uint64 {
-	if update.LeaseRevision < u.Lease {
-		return 0 // from a former leader
+	if update.LeaseRevision < u.LeaseRevision {
+		return 0 // the update is from a former leader
 	}
-	if u.Sender != update.From || u.nonce != update.Nonce || u.Lease != update.LeaseRevision {
-		*u = ReceivedUpdates{Sender: update.From, nonce: update.Nonce, Lease: update.LeaseRevision}
+	if u.Sender != update.From || u.nonce != update.Nonce || u.LeaseRevision != update.LeaseRevision {
+		*u = ReceivedUpdates{Sender: update.From, nonce: update.Nonce, LeaseRevision: update.LeaseRevision}
 	}
 	if update.After > u.Acknowledged || update.Through < u.Acknowledged {
 		return u.Acknowledged
@@ -68,7 +68,7 @@
 	for _, hint := range update.Machines {
 		u.storeMachineHint(hint, now)
 	}
-	u.Acknowledged, u.Classes = update.Through, update.Classes
+	u.Acknowledged, u.Corrections = update.Through, update.Classes
 	return u.Acknowledged
 }
 
--- a/internal/coordination/replication/state_transfer.go
+++ b/internal/coordination/replication/state_transfer.go
@@ -49,8 +49,8 @@
 // are only used to predict the start-up time of tasks, then machines, then start times.
 func (r *Replica) StateTransfer(now time.Time) (transfer *peer.ReplicaUpdate, complete bool) {
 	updates := &r.Updates
-	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.Lease, Partition: uint32(r.partition),
-		Through: updates.Acknowledged, Classes: updates.Classes}
+	transfer = &peer.ReplicaUpdate{From: updates.Sender, Nonce: updates.nonce, LeaseRevision: updates.LeaseRevision, Partition: uint32(r.partition),
+		Through: updates.Acknowledged, Classes: updates.Corrections}
 	budget := byteBudget(StateTransferBytesLimit - proto.Size(transfer))
 	complete = r.addStarts(transfer, &budget, now) && updates.addMachines(transfer, &budget, now) && updates.addImages(transfer, &budget)
 	return transfer, complete
@@ -59,7 +59,7 @@
 // byteBudget is the number of bytes that can still be added to a message.
 type byteBudget int
 
-// take subtracts the size of an entry and reports whether the entry fits.
+// take subtracts the size of an entry from the budget, and reports whether the entry fits.
 func (b *byteBudget) take(entry proto.Message) bool {
 	*b -= byteBudget(proto.Size(entry) + EntryOverheadBytes)
 	return *b >= 0
--- a/internal/coordination/takeover/collaborators.go
+++ b/internal/coordination/takeover/collaborators.go
@@ -16,7 +16,7 @@
 	StopAttempt(a *cluster.Attempt, grace float64, now time.Time)
 }
 
-// Leases holds the partition leases and the bounds of the former leaders' answers to heartbeats.
+// Leases holds the partition leases and the times until which former leaders may answer heartbeats.
 type Leases interface {
 	// ClearLeaderState drops the state of a partition that is valid only on its leader.
 	ClearLeaderState(p *cluster.Partition)
--- a/internal/coordination/takeover/handback.go
+++ b/internal/coordination/takeover/handback.go
@@ -11,8 +11,8 @@
 	// handbackWarmUp is the maximum time for which the handback of a partition is delayed until its
 	// preferred leader has a replica of it.
 	handbackWarmUp = 10 * time.Second
-	// handbackImbalance is the minimum lead of this controller over the preferred leader, in
-	// partitions with teams, at which a partition is handed back.
+	// handbackImbalance is the minimum number of partitions with teams that this controller must
+	// lead more than the preferred leader for a partition to be handed back.
 	handbackImbalance = 2
 )
 
@@ -31,9 +31,9 @@
 }
 
 // preferredLeader returns the label of the preferred leader of a partition that this controller leads,
-// if the partition is to be handed back to it, else "". A partition is handed back
-// only if the preferred leader has been alive for lease.SettleTime and leads at least
-// handbackImbalance fewer partitions with teams than this controller.
+// if the partition is to be handed back to it, else "". A partition is handed back only if the preferred
+// leader has been alive for lease.SettleTime and leads at least handbackImbalance fewer partitions with
+// teams than this controller.
 func (t *Takeover) preferredLeader(p *cluster.Partition, now time.Time) string {
 	if !p.Held || !p.Ready || !p.HasTeams || p.Index == t.SelfIndex || p.Index >= len(t.Labels) || now.Sub(p.AcquiredAt) < lease.SettleTime {
 		return ""
--- a/internal/coordination/takeover/rebuild.go
+++ b/internal/coordination/takeover/rebuild.go
@@ -120,8 +120,8 @@
 }
 
 // UnmetPreconditions lists the unmet preconditions of the first scheduling decision on a partition.
-// runRecords is the revision up to which the partition's run records have been applied; for machine
-// records and final records, that is the revision of the watch. QuotasCounted is set, since the
+// runRecords is the revision up to which the partition's run records have been applied. The machine
+// records and final records have been applied up to RecordsRevision. QuotasCounted is set, since the
 // installation of the replica counts the quota usage.
 func (t *Takeover) UnmetPreconditions(p *cluster.Partition, leaseRevision, runRecords uint64) []string {
 	check := failover.TakeoverCheck{
--- a/internal/coordination/takeover/standby.go
+++ b/internal/coordination/takeover/standby.go
@@ -23,10 +23,10 @@
 	p.Standby = failover.KeepStandby(p.Standby, t.Settings.Label, t.Settings.Zone, candidates)
 }
 
-// isStandbyFor reports whether this controller is the standby for a former leader: the given announced
-// standby if it is a candidate, otherwise the result of failover.ChooseStandby, which is the same on
-// all controllers. A controller that has just started is the standby only if it was announced, since
-// it may not have received the summaries of all other controllers yet.
+// isStandbyFor reports whether this controller is the standby for a former leader. standby is the label
+// of the announced standby. If that is no candidate, failover.ChooseStandby chooses one, which is the
+// same on all controllers. A controller that has just started is the standby only if it was announced,
+// since it may not have received the summaries of all other controllers yet.
 func (t *Takeover) isStandbyFor(former, standby string, now time.Time) bool {
 	if former == "" || standby != t.Settings.Label && now.Sub(t.StartedAt) < startupSettleTime {
 		return false
