--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -11,9 +11,9 @@
 	// commandsLimit is the maximum number of commands in one message. It keeps an answer to an
 	// agent well below 64 KiB.
 	commandsLimit = 300
-	// directStartDelay is the time for which a new attempt's start command is sent only in
+	// directStartPeriod is the time for which a new attempt's start command is sent only in
 	// requests to the agent. After that, answers to heartbeats repeat the command.
-	directStartDelay = 500 * time.Millisecond
+	directStartPeriod = 500 * time.Millisecond
 	// A stop is repeated with its grace period until stopGraceSlackS seconds after that period
 	// has ended, and without grace afterwards.
 	stopGraceSlackS = 2
@@ -45,7 +45,7 @@
 func opForAttempt(attempt *cluster.Attempt, token uint64, now time.Time, forHeartbeat bool) (op string, graceS float64) {
 	switch {
 	case attempt.State == cluster.AttemptCommitted && !attempt.Stopping && !attempt.Job.Ended && attempt.Epoch == attempt.Machine.Epoch:
-		if attempt.StartsInFlight > 0 || forHeartbeat && attempt.StartToken == 0 && now.Sub(attempt.CommittedAt) < directStartDelay {
+		if attempt.StartsInFlight > 0 || forHeartbeat && attempt.StartToken == 0 && now.Sub(attempt.CommittedAt) < directStartPeriod {
 			return "", 0
 		}
 		attempt.StartToken, attempt.StartSentAt = token, now
--- a/internal/coordination/agents/evacuation.go
+++ b/internal/coordination/agents/evacuation.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// likelyDoneFraction and likelyLostFraction are fractions of the time until a preemption. A
-	// task whose remaining run time is below the first is expected to finish before the
-	// preemption. A task whose remaining run time is above the second is expected to be lost.
-	likelyDoneFraction = 0.9
-	likelyLostFraction = 1.2
+	// likelyDoneRatio and likelyLostRatio are ratios of a task's remaining run time to the
+	// time until a preemption. Below the first, the task is expected to finish before the
+	// preemption. Above the second, the task is expected to be lost.
+	likelyDoneRatio = 0.9
+	likelyLostRatio = 1.2
 	// saveLeadS and saveLeadHeartbeats, in seconds and heartbeat intervals, allow for the time
 	// until a stop arrives: a task that saves its progress is stopped that much earlier.
 	saveLeadS          = 2
@@ -38,13 +38,13 @@
 	switch {
 	case attempt.StartedAt.IsZero():
 		a.StopAttempt(attempt, 0, now)
-	case remainingS < untilPreemptionS*likelyDoneFraction:
+	case remainingS < untilPreemptionS*likelyDoneRatio:
 		// The task is expected to finish before the preemption.
 	case spec.CheckpointIntervalS > 0:
 		if untilPreemptionS < spec.CheckpointDurationS+saveLeadS+saveLeadHeartbeats*a.HeartbeatInterval.Seconds() {
 			a.StopAttempt(attempt, spec.CheckpointDurationS+saveSlackS, now)
 		}
-	case remainingS > untilPreemptionS*likelyLostFraction:
+	case remainingS > untilPreemptionS*likelyLostRatio:
 		a.StopAttempt(attempt, 0, now)
 	}
 }
--- a/internal/coordination/cluster/dependencies.go
+++ b/internal/coordination/cluster/dependencies.go
@@ -130,8 +130,8 @@
 		case protocol.StatusCancelled:
 			mustCancel = true
 		default:
-			// A dependency that must be cancelled itself may not have its final
-			// record yet.
+			// The dependency may have to be cancelled although it has no final record
+			// yet.
 			if d, ok := g.NodeByJob[dependency]; ok && g.Nodes[d].mustCancel {
 				mustCancel = true
 			}
--- a/internal/coordination/cluster/fair_share.go
+++ b/internal/coordination/cluster/fair_share.go
@@ -65,8 +65,8 @@
 	return fairshare.NoGroup
 }
 
-// StarvedFirst moves the jobs of starved groups that have pending tasks to the front of a
-// list, at most limit of them.
+// StarvedFirst moves at most limit jobs to the front of a list: jobs with pending tasks that
+// belong to a starved group.
 func (f *FairShareState) StarvedFirst(list []*Job, limit int) []*Job {
 	if f.Shares == nil {
 		return list
--- a/internal/coordination/cluster/leadership.go
+++ b/internal/coordination/cluster/leadership.go
@@ -8,12 +8,12 @@
 	"micaspindle/internal/protocol/peer"
 )
 
-// Leadership holds the cluster leadership, which every controller has from its record, and
-// the cluster leader's own state for scaling. The latter is only in memory and may be lost:
-// the names of scale-out requests are never reused, and machines without a record are
+// Leadership holds the cluster leadership as of its record, which every controller reads,
+// and the cluster leader's own state for scaling. That state is only in memory and may be
+// lost: the names of scale-out requests are never reused, and machines without a record are
 // adopted.
 type Leadership struct {
-	// From the leadership record.
+	// The cluster leadership, from its record.
 
 	// Held is set while this controller is the cluster leader.
 	Held bool
@@ -28,7 +28,7 @@
 	// VacantSince is the time since which there has been no cluster leader.
 	VacantSince time.Time
 
-	// Kept in memory by the cluster leader.
+	// The state for scaling, which only the cluster leader has.
 
 	// Wakeup triggers the next round of scaling early.
 	Wakeup chan struct{}
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -41,8 +41,8 @@
 	// none was.
 	Epoch    uint64
 	Sequence uint64
-	// NewestHeartbeatRequest identifies the newest heartbeat that came as a request, and
-	// not as the answer to commands.
+	// NewestHeartbeatRequest identifies the newest heartbeat that was received as a request,
+	// and not as the answer to commands.
 	NewestHeartbeatRequest struct{ Epoch, Sequence uint64 }
 	// ReplicatedEpoch is the agent epoch that an earlier leader replicated, or 0 if none
 	// did.
@@ -117,8 +117,8 @@
 	// FailedJobs are the ids of jobs that failed on the machine since a task was last done
 	// on it.
 	FailedJobs map[string]bool
-	// SlowTasks counts the tasks that ran far longer than their job's tasks on other
-	// machines.
+	// SlowTasks counts the consecutive tasks that ran far longer than their job's tasks on
+	// other machines.
 	SlowTasks int
 	// Quarantined is set if the machine is considered faulty. A quarantined machine
 	// gets no new work.
@@ -233,10 +233,10 @@
 	return false
 }
 
-// AcceptHeartbeat records a heartbeat that came as a request, and reports whether it is
-// newer than all earlier ones. An agent has only one heartbeat in flight, so it no longer
-// waits for the answer to an older or a repeated heartbeat. Such an answer could not extend
-// the machine's lease (rule 48).
+// AcceptHeartbeat records a heartbeat that was received as a request, and reports whether it
+// is newer than all heartbeats received before. An agent has only one heartbeat in flight,
+// so it no longer waits for the answer to an older or duplicate heartbeat, and that answer
+// could not extend the machine's lease (rule 48).
 func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
 	newest := &m.NewestHeartbeatRequest
 	if heartbeat.Epoch < newest.Epoch || heartbeat.Epoch == newest.Epoch && heartbeat.Sequence <= newest.Sequence {
--- a/internal/coordination/cluster/replication.go
+++ b/internal/coordination/cluster/replication.go
@@ -16,9 +16,9 @@
 // noPreemptionNotice is the PreemptionNoticeS of a hint if the cloud gave no notice.
 const noPreemptionNotice = -1
 
-// ReplicationProgress tracks which of a partition's changes that are not in the records the
-// standby has received. Each change has a sequence number, the ReplicationSeq of its
-// attempt or machine.
+// ReplicationProgress tracks which changes of a partition's replicated state the standby has
+// received. That state is not in the records. Each change has a sequence number, the
+// ReplicationSeq of its attempt or machine.
 type ReplicationProgress struct {
 	// Target is the label of the standby that the changes are sent to, or "" if there is
 	// none.
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -98,8 +98,8 @@
 	// LeaseID is the state store's lease on which this controller's partition leases and
 	// cluster leadership depend, or 0 if there is none.
 	LeaseID uint64
-	// LeaseRenewedAt is the time at which the last confirmed renewal of that lease was
-	// sent.
+	// LeaseRenewedAt is the time at which the last confirmed renewal of the lease LeaseID
+	// was sent.
 	LeaseRenewedAt time.Time
 	// ResignedAt is the time at which this controller last gave up its lease because no
 	// agent reached it.
--- a/internal/coordination/jobs/tracker.go
+++ b/internal/coordination/jobs/tracker.go
@@ -84,13 +84,14 @@
 	t.Jobs[id] = j
 	if p := t.Partitions[j.Partition]; p.Held && p.Ready {
 		j.InitRunState()
-		requeue(p)
+		invalidateQueueOrder(p)
 	}
 	return j
 }
 
-// requeue makes the leader of a partition recompute the job queue at once.
-func requeue(p *cluster.Partition) {
+// invalidateQueueOrder drops the cached queue order of a partition and triggers a round of the
+// partition's work, which recomputes the order.
+func invalidateQueueOrder(p *cluster.Partition) {
 	p.QueueOrder = nil
 	p.Wake()
 }
@@ -124,7 +125,7 @@
 	}
 	for _, dependent := range t.Dependencies.JobEnded(id, status == protocol.StatusDone, time.Now()) {
 		if p := t.Partitions[dependent.Partition]; p.Held && p.Ready {
-			requeue(p)
+			invalidateQueueOrder(p)
 		}
 	}
 	t.wakeForJobsToCancel()
