--- a/internal/audit/archive/archive.go
+++ b/internal/audit/archive/archive.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 )
 
-// exportFormat is the version of the export format.
+// exportFormat is the format version in the first line of an export. Verify accepts no other.
 const exportFormat = 1
 
 // The lines of an export. Each line must be exactly the output of json.Marshal, so that a
--- a/internal/audit/archive/archive_test.go
+++ b/internal/audit/archive/archive_test.go
@@ -34,14 +34,14 @@
 	return v
 }
 
-// stateNet sends requests to the fake state store. It drops the response if lose returns an
+// lossyTransport sends requests to the fake state store. It drops the response if lose returns an
 // error.
-type stateNet struct {
+type lossyTransport struct {
 	s    *state.Service
 	lose func(target string, resp *transport.Response) error
 }
 
-func (n *stateNet) Do(ctx context.Context, _, method, target string, body []byte) (*transport.Response, error) {
+func (n *lossyTransport) Do(ctx context.Context, _, method, target string, body []byte) (*transport.Response, error) {
 	path, query, _ := strings.Cut(target, "?")
 	q := must(url.ParseQuery(query))
 	resp := n.s.Serve(ctx, "", method, path, q, body)
@@ -56,7 +56,7 @@
 type fixture struct {
 	t        *testing.T
 	state    *state.Service
-	net      *stateNet
+	net      *lossyTransport
 	dir      string
 	ca       *pki.Authority
 	roots    *x509.CertPool
@@ -65,7 +65,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, state: state.New(new(sync.Mutex)), dir: t.TempDir(), roots: x509.NewCertPool(), keyrings: map[string]*identity.Keyring{}}
-	f.net = &stateNet{s: f.state}
+	f.net = &lossyTransport{s: f.state}
 	f.ca = must(pki.Create(f.dir, "test", time.Now(), 1000*time.Hour))
 	f.roots.AddCert(f.ca.Root())
 	for _, label := range []string{"n0", "n1"} {
@@ -313,7 +313,7 @@
 	}
 }
 
-// lost returns an error if the answer is lost.
+// lost returns the error of a request without an answer if answerLost is set.
 func lost(answerLost bool) error {
 	if answerLost {
 		return errors.New("no answer")
@@ -345,7 +345,7 @@
 					conflicts++
 					mu.Unlock()
 					if key != "taken" || len(conflict.Failed) != 1 || conflict.Failed[0] != "taken" {
-						t.Errorf("%s: got %v, want a conflict only on the existing key", key, err)
+						t.Errorf("commit of key %s: got error %v, want a conflict only for the key \"taken\"", key, err)
 					}
 					return
 				case err == nil:
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -87,9 +87,9 @@
 	return batch, err
 }
 
-// walk reads the batches that follow a batch, given by its number and hash, and calls each
-// for them. It returns the number and hash of the last batch.
-func (l *Log) walk(ctx context.Context, chain string, number uint64, hash string, each func(*Batch)) (uint64, string, error) {
+// walk reads the batches that follow the batch with the given number and hash, and calls visit
+// for each of them. It returns the number and hash of the last batch.
+func (l *Log) walk(ctx context.Context, chain string, number uint64, hash string, visit func(*Batch)) (uint64, string, error) {
 	err := l.scan(ctx, BatchPrefix(chain), BatchKey(chain, number), func(key string, raw []byte) error {
 		n, batch, err := decodeBatch(key, raw)
 		if err != nil {
@@ -99,7 +99,7 @@
 			// Continuing preserves the evidence: the verifier will report the place.
 			l.log.Error("audit chain is broken: batch does not follow the previous one", "chain", chain, "batch", n, "expected", number+1)
 		}
-		each(batch)
+		visit(batch)
 		number, hash = n, batch.Hash(chain, n)
 		return nil
 	})
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -111,7 +111,7 @@
 	stateAbandoned
 )
 
-// result is the result of a change.
+// result is the revision of the transaction that committed a change, or the error.
 type result struct {
 	revision uint64
 	err      error
@@ -147,11 +147,11 @@
 		}
 	case <-l.stopped:
 	}
-	return l.awaitTaken(ctx, change)
+	return l.awaitResult(ctx, change)
 }
 
-// awaitTaken waits for the result of a change that the writer may have taken.
-func (l *Log) awaitTaken(ctx context.Context, change *pendingChange) (uint64, error) {
+// awaitResult waits for the result of a change that the writer may have taken.
+func (l *Log) awaitResult(ctx context.Context, change *pendingChange) (uint64, error) {
 	select {
 	case result := <-change.result:
 		return result.revision, result.err
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -169,7 +169,7 @@
 		item, err := l.store.Get(ctx, key)
 		switch {
 		case err == nil:
-			if isBatch(item.Value, batch) {
+			if equalsBatch(item.Value, batch) {
 				return item.Version, nil
 			}
 			return 0, &storage.Conflict{Failed: []string{key}}
@@ -181,8 +181,8 @@
 	return 0, unknownErr
 }
 
-// isBatch reports whether a stored value is the given batch.
-func isBatch(value []byte, batch *Batch) bool {
+// equalsBatch reports whether a stored value is the given batch.
+func equalsBatch(value []byte, batch *Batch) bool {
 	var stored Batch
 	return storage.Decode(value, &stored) == nil && stored.Sig == batch.Sig && stored.Prev == batch.Prev && slices.Equal(stored.Lines, batch.Lines)
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -91,8 +91,8 @@
 // end makes Do return false from now on.
 func (l *Loop) end() { l.endOnce.Do(func() { close(l.ended) }) }
 
-// StopUnstarted stops a loop that was never started and waits for its tasks, whose calls of Do no longer
-// run. The loop's context must be done.
+// StopUnstarted stops a loop that was never started: it makes Do return false and waits until all tasks
+// have returned. The loop's context must be done.
 func (l *Loop) StopUnstarted() {
 	l.end()
 	l.tasks.Wait()
--- a/internal/identity/keyring_test.go
+++ b/internal/identity/keyring_test.go
@@ -56,6 +56,6 @@
 		digests[k.digestFiles()] = true
 	}
 	if len(digests) != 2 || !digests[k.digestFiles()] {
-		t.Errorf("%d distinct digests of two contents, want 2; or the digest changed although the file did not", len(digests))
+		t.Errorf("%d distinct digests of two contents, want 2, and the same digest again for an unchanged file", len(digests))
 	}
 }
--- a/internal/rights/policyfile/plan.go
+++ b/internal/rights/policyfile/plan.go
@@ -63,8 +63,8 @@
 	return possibleChange(current, remaining, size, err)
 }
 
-// possibleChange returns a change with the steps that are possible now. If there are none, it
-// returns the error of the last step, or err if it tried no step.
+// possibleChange returns a change with the steps that are possible now. If no step is possible, it
+// returns the error of the last step that it tried; if it tried none, it returns err.
 func possibleChange(current *rights.Document, remaining []step, size int, err error) (change rights.Change, next *rights.Document, rest []step, _ error) {
 	for i, s := range remaining {
 		if change.Size() == size {
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -62,7 +62,7 @@
 
 func truncate(text string) string { return text[:min(len(text), maxQuotedBytes)] }
 
-// Check returns an error of one line if the policy is invalid.
+// Check returns a one-line error if the policy is invalid.
 func (d *Document) Check() error {
 	if len(d.Roles) > MaxRoles || len(d.Identities) > MaxIdentities {
 		return fmt.Errorf("more than %d roles or %d identities", MaxRoles, MaxIdentities)
@@ -171,7 +171,7 @@
 	return set, nil
 }
 
-// verbSet is parseVerbs for a rule that passed check.
+// verbSet returns the verbs of a rule that has passed check, so that parsing them can't fail.
 func (r *Rule) verbSet() Verb {
 	set, _ := r.parseVerbs()
 	return set
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -60,10 +60,10 @@
 		}
 	}
 	if p.HoldsAny("person/gone", Submit) || !p.HoldsAny("person/anna", Submit) || p.HoldsAny("person/anna", Administer) {
-		t.Error("HoldsAny is wrong for the revoked person/gone, or for person/anna, who may submit but not administer")
+		t.Error("HoldsAny is wrong: want Submit false for the revoked person/gone, and for person/anna Submit true and Administer false")
 	}
 	if p.AllowsEverywhere("person/gone", Administer) || !p.AllowsEverywhere("person/root", Administer) || !p.AllowsEverywhere("person/partner", View) {
-		t.Error("AllowsEverywhere is wrong for the revoked person/gone, person/root or person/partner")
+		t.Error("AllowsEverywhere is wrong: want Administer false for the revoked person/gone and true for person/root, and View true for person/partner")
 	}
 }
 
@@ -73,7 +73,7 @@
 	for i := range 2 * maxCachedQueues {
 		q := Queue{"payments", fmt.Sprintf("refund-%d", i)}
 		if !p.Allows("service/refunds", Submit, q) || p.Allows("person/anna", View, q) {
-			t.Fatal("Allows returned a wrong result once the cache was full or while it filled up")
+			t.Fatal("Allows returned a wrong result for a queue while the cache was filling up or full")
 		}
 	}
 	if len(p.queueCache) > maxCachedQueues {
--- a/internal/telemetry/bound.go
+++ b/internal/telemetry/bound.go
@@ -8,21 +8,21 @@
 
 // The bounds, with what each of them counts.
 const (
-	SummaryBytes        Bound = iota // summaries sent without details, since they were too large
+	SummaryBytes        Bound = iota // summaries that were sent without details, since they were too large
 	JobProgress                      // summaries with the progress of only some jobs
 	Demands                          // summaries with only the first demands of a partition
 	Cancellations                    // cancellation notices that were dropped
-	ForwardedHeartbeats              // heartbeats refused, since too many were waiting to be forwarded
-	ReplicaUpdates                   // replica updates that left a part for the next one
-	ReplicaStarts                    // replicated starts that were dropped before their run records came
+	ForwardedHeartbeats              // heartbeats that were refused, since too many were waiting to be forwarded
+	ReplicaUpdates                   // replica updates that could not hold all changes
+	ReplicaStarts                    // replicated starts that were dropped before their run records arrived
 	ReplicaMachines                  // replicated machines that were dropped
-	StateTransferBytes               // state transfers sent without details, since they were too large
+	StateTransferBytes               // state transfers that were sent without details, since they were too large
 	Classes                          // jobs of classes beyond the maximum number, counted together
-	Estimates                        // measured run times not used, since too many classes have estimates
+	Estimates                        // measured run times that were not used, since too many classes have estimates
 	Callers                          // callers whose rate limiter for unknown jobs was evicted
-	WaitingPolls                     // polls refused, since too many were waiting
-	PeerConnections                  // connections of other controllers refused
-	Connections                      // connections of agents and users refused
+	WaitingPolls                     // polls that were refused, since too many were waiting
+	PeerConnections                  // connections of other controllers that were refused
+	Connections                      // connections of agents and users that were refused
 	boundCount
 )
 
--- a/internal/telemetry/quantiles.go
+++ b/internal/telemetry/quantiles.go
@@ -10,7 +10,7 @@
 	// windowLength is the length of a window of waits. Quantiles cover the current window and the
 	// previous one.
 	windowLength = 2 * time.Minute
-	// maxWaitMS is the maximum that is recorded, in milliseconds. Longer waits count as this.
+	// maxWaitMS is the longest recorded wait, in milliseconds. A longer wait is recorded as maxWaitMS.
 	maxWaitMS = 24 * 3600 * 1000
 	// quantileDigits is the number of significant digits of recorded waits.
 	quantileDigits = 2
--- a/internal/telemetry/wait.go
+++ b/internal/telemetry/wait.go
@@ -3,7 +3,7 @@
 // Wait is a kind of wait that is measured.
 type Wait int
 
-// The waits, with what each of them measures.
+// The kinds of waits, with the interval that each of them measures.
 const (
 	Submission   Wait = iota // a user's submission, until the response
 	Poll                     // a user's request for the status of a job, until the response
