--- a/internal/blobstore/reader.go
+++ b/internal/blobstore/reader.go
@@ -18,7 +18,7 @@
 	unpin func()
 }
 
-// Close closes the reader.
+// Close closes the file and unpins the blob.
 func (r *Reader) Close() error {
 	r.unpin()
 	if r.file == nil {
--- a/internal/blobstore/resume.go
+++ b/internal/blobstore/resume.go
@@ -41,7 +41,7 @@
 	return s.resume(name, key)
 }
 
-// resume is Resume without the check of the digest.
+// resume does the same as Resume, but does not check the digest.
 func (s *Store) resume(name string, key Key) (*Upload, error) {
 	path := s.namedPath(name)
 	s.mu.Lock()
--- a/internal/blobstore/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -245,12 +245,12 @@
 				key := Key{"a", Of(data)}
 				var full *FullError
 				if err := s.Put(key, data); err != nil && !errors.As(err, &full) {
-					t.Errorf("put: %v", err)
+					t.Errorf("put of a blob by concurrent writers: got error %v, want none or a FullError", err)
 				}
 				if got, err := s.Read(key, 1<<20); err == nil && !bytes.Equal(got, data) {
 					t.Error("a read returned wrong bytes")
 				} else if err != nil && !errors.Is(err, ErrNotFound) {
-					t.Errorf("read: %v", err)
+					t.Errorf("concurrent read of a blob: got error %v, want none or ErrNotFound", err)
 				}
 			}
 		})
@@ -309,7 +309,7 @@
 	for i, want := range map[int]bool{1: true, 2: false, 3: true} {
 		got, err := r.Get("red", key(i))
 		if (err == nil) != want || want && !bytes.Equal(got, []byte{byte(i), 1}) {
-			t.Errorf("record %d: got %v with error %v, want a stored record: %v", i, got, err, want)
+			t.Errorf("record %d: got %v with error %v; the record should be found: %v", i, got, err, want)
 		}
 	}
 }
@@ -488,7 +488,7 @@
 	}
 	wrong := Key{"a", Digest{Hash: Of(data).Hash, Size: 500, Function: BLAKE3}}
 	if err := s.Put(wrong, data); !errors.Is(err, ErrMismatch) || !BLAKE3.Of(nil).IsEmpty() || BLAKE3.Of(nil) == Empty {
-		t.Errorf("SHA-256 hash as BLAKE3 digest: got error %v, want ErrMismatch and an empty blob per function", err)
+		t.Errorf("put with a SHA-256 hash in a BLAKE3 digest: got error %v, want ErrMismatch; or the digest of the empty blob is the same for both functions", err)
 	}
 	_ = s.Close()
 	s, found := open(t, dir, options)
--- a/internal/buildtool/build.go
+++ b/internal/buildtool/build.go
@@ -26,7 +26,7 @@
 	defaultConcurrency = 256
 	// maxWaitMS is the upper bound of the histogram of wait times, in milliseconds.
 	maxWaitMS = 3_600_000
-	// waitSignificantDigits is the precision of that histogram, in decimal digits.
+	// waitSignificantDigits is the precision of the histogram of wait times, in decimal digits.
 	waitSignificantDigits = 3
 )
 
--- a/internal/reapi/callslots_test.go
+++ b/internal/reapi/callslots_test.go
@@ -31,7 +31,7 @@
 	config := twoTeams
 	queue := admission.New(admission.Limits{Concurrency: 1, MaxWaiting: 0})
 	config.Shares.Transfers = queue
-	rights := rightsOf{"anna view-arguments red": true, "anna submit red": true, "ben view-arguments blue": true}
+	rights := allowedCalls{"anna view-arguments red": true, "anna submit red": true, "ben view-arguments blue": true}
 	open, _ := startFrontEnd(t, config, rights, largeStore)
 	b := open.as("anna")
 	data := randomBytes(8 << 20)
--- a/internal/reapi/execution_test.go
+++ b/internal/reapi/execution_test.go
@@ -115,13 +115,13 @@
 	t.Helper()
 	entry := &ManifestEntry{Execution: executionKey(digestOf(action), ""), Hash: action.Hash, Size: action.SizeBytes}
 	if first, err := f.RecordResult(context.Background(), "", "red", entry, &repb.ActionResult{ExecutionMetadata: &repb.ExecutedActionMetadata{Worker: "m-1"}}, true); err != nil || !first {
-		t.Fatalf("RecordResult returned first = %v, error %v", first, err)
+		t.Fatalf("RecordResult returned first = %v, error %v; want the first result", first, err)
 	}
 }
 
 // If the job of an action was cancelled, or its result was lost with a front end, a repeated
-// request submits a new job. The job id derives from the manifest, so a request that reused
-// the id of the ended job would wait forever.
+// request submits a new job. Its id must differ from that of the ended job, for which the
+// controllers would not run any task again.
 func TestResubmissionAfterJobEnded(t *testing.T) {
 	for _, state := range []string{protocol.StatusCancelled, protocol.StatusDone} {
 		b, f, jobs := startExecuting(t, twoTeams)
@@ -222,8 +222,8 @@
 	}
 }
 
-// An authorization header can't impersonate a verified certificate. A verified certificate is
-// used if the client sends no header.
+// A client is identified by its authorization header or, without one, by its verified certificate.
+// A header in the form of a certificate's credential counts as none.
 func TestCredentials(t *testing.T) {
 	config := twoTeams
 	config.CertificateName = func(context.Context) string { return "person/carl" }
@@ -294,6 +294,6 @@
 		tasks += int(*(<-jobs.submitted).Tasks)
 	}
 	if tasks != got[codes.OK] {
-		t.Errorf("%d tasks were submitted for %d accepted actions", tasks, got[codes.OK])
+		t.Errorf("%d tasks were submitted for %d accepted actions, want one task per action", tasks, got[codes.OK])
 	}
 }
--- a/internal/reapi/frontend.go
+++ b/internal/reapi/frontend.go
@@ -69,7 +69,7 @@
 	Allows(ctx context.Context, credential, verb, team string) (holder string, err error)
 }
 
-// Config configures a front end.
+// Config holds the settings of a front end.
 type Config struct {
 	// Instances maps instance names to teams.
 	Instances map[string]string
--- a/internal/reapi/frontend_test.go
+++ b/internal/reapi/frontend_test.go
@@ -30,10 +30,10 @@
 	"micaspindle/internal/blobstore"
 )
 
-// rightsOf is an Access that allows the listed calls, given as "{credential} {verb} {team}".
-type rightsOf map[string]bool
+// allowedCalls is an Access that allows the listed calls, given as "{credential} {verb} {team}".
+type allowedCalls map[string]bool
 
-func (r rightsOf) Allows(_ context.Context, credential, verb, team string) (string, error) {
+func (r allowedCalls) Allows(_ context.Context, credential, verb, team string) (string, error) {
 	if credential == "" {
 		return "", status.Error(codes.Unauthenticated, "no token")
 	}
@@ -465,13 +465,13 @@
 		}
 	}
 	if delay < 20*time.Second || delay > 31*time.Second || time.Since(started) > 5*time.Second {
-		t.Errorf("rejected with a retry delay of %s after %s", delay, time.Since(started))
+		t.Errorf("write to a full store: retry delay of %s, rejected after %s; want a delay of 20s to 31s, and at most 5s until the rejection", delay, time.Since(started))
 	}
 }
 
 // Every call is authorized, and a team's blobs are not accessible to other teams.
 func TestRights(t *testing.T) {
-	rights := rightsOf{"anna submit red": true, "anna view-arguments red": true, "bob view-arguments red": true, "eve submit blue": true, "eve view-arguments blue": true}
+	rights := allowedCalls{"anna submit red": true, "anna view-arguments red": true, "bob view-arguments red": true, "eve submit blue": true, "eve view-arguments blue": true}
 	b, _ := startFrontEnd(t, twoTeams, rights, largeStore)
 	data := randomBytes(2000)
 	d := digestToProto(blobstore.Of(data))
--- a/internal/reapi/inspection_test.go
+++ b/internal/reapi/inspection_test.go
@@ -16,7 +16,7 @@
 // A caller must not see the statistics of teams that it may not view, nor totals from which
 // they could be derived.
 func TestInspectionShowsOwnTeamsOnly(t *testing.T) {
-	rights := rightsOf{"anna view red": true, "anna view-arguments red": true, "anna submit red": true, "root view red": true, "root view blue": true}
+	rights := allowedCalls{"anna view red": true, "anna view-arguments red": true, "anna submit red": true, "root view red": true, "root view blue": true}
 	b, _ := startFrontEnd(t, twoTeams, rights, largeStore)
 	anna := b.as("anna")
 	data := randomBytes(5000)
--- a/internal/reapi/interest.go
+++ b/internal/reapi/interest.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// convertToLease replaces this front end's interest in a job by a lease, or extends the
-// lease, since clients of a peer wait for the job. The peer then renews the lease or cancels
-// the job.
+// convertToLease is called for a job that clients of a peer wait for. It replaces this front
+// end's interest in the job by a lease of the peer, or extends an existing lease. From then
+// on, the peer renews the lease or cancels the job.
 func (f *FrontEnd) convertToLease(job string, interest jobInterest, expiry time.Time) {
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
--- a/internal/reapi/operationstream.go
+++ b/internal/reapi/operationstream.go
@@ -74,9 +74,9 @@
 type streamStep int
 
 const (
-	streamWaits  streamStep = iota // wait until the result or the job's status may have changed
-	streamReads                    // read the result, which has been stored meanwhile
-	streamClosed                   // end the call
+	stepWait       streamStep = iota // wait until the result or the job's status may have changed
+	stepReadResult                   // read the result, which has been stored meanwhile
+	stepEnd                          // end the call
 )
 
 // streamOperation streams the stages of a task to a client and ends with the result.
@@ -102,9 +102,9 @@
 		}
 		step, err := s.checkJob(ctx)
 		switch step {
-		case streamClosed:
+		case stepEnd:
 			return err
-		case streamReads:
+		case stepReadResult:
 			continue
 		}
 		if err := s.wait(ctx); err != nil {
@@ -153,30 +153,30 @@
 func (s *operationStream) checkJob(ctx context.Context) (streamStep, error) {
 	jobStatus, known, err := s.frontEnd.jobStatus(ctx, s.task.job, &s.credential, s.name)
 	if denial := denialStatus(err); denial != nil {
-		return streamClosed, denial
+		return stepEnd, denial
 	}
 	if !known {
-		return streamWaits, nil
+		return stepWait, nil
 	}
 	switch jobStatus.Status {
 	case protocol.StatusCancelled:
 		s.frontEnd.forgetTask(s.task)
-		return streamClosed, s.sendCompleted(&repb.ExecuteResponse{Status: status.New(codes.Aborted, "its job was withdrawn").Proto()})
+		return stepEnd, s.sendCompleted(&repb.ExecuteResponse{Status: status.New(codes.Aborted, "its job was withdrawn").Proto()})
 	case protocol.StatusDone:
 		// Results are stored before their tasks end, so some front end should have it.
 		if s.frontEnd.findResult(ctx, s.task.instance, s.task.space, s.resultKey()) == nil {
 			s.frontEnd.forgetTask(s.task)
-			return streamClosed, retryLater(codes.Unavailable, time.Second, "its result was lost with a front end; execute it again")
+			return stepEnd, retryLater(codes.Unavailable, time.Second, "its result was lost with a front end; execute it again")
 		}
-		return streamReads, nil
+		return stepReadResult, nil
 	case protocol.StatusRunning:
 		if s.stage == repb.ExecutionStage_QUEUED {
 			if err := s.sendStage(repb.ExecutionStage_EXECUTING); err != nil {
-				return streamClosed, err
+				return stepEnd, err
 			}
 		}
 	}
-	return streamWaits, nil
+	return stepWait, nil
 }
 
 // wait returns once the result or the job's status may have changed.
--- a/internal/reapi/peers_test.go
+++ b/internal/reapi/peers_test.go
@@ -201,7 +201,7 @@
 // A front end without peers ignores the metadata that marks calls of peers, so that clients
 // cannot bypass authorization.
 func TestPeerMarkNeedsVerification(t *testing.T) {
-	b, _ := startFrontEnd(t, twoTeams, rightsOf{}, largeStore)
+	b, _ := startFrontEnd(t, twoTeams, allowedCalls{}, largeStore)
 	b.ctx = metadata.AppendToOutgoingContext(b.ctx, peerMetadataKey, "1")
 	_, err := b.cas.FindMissingBlobs(b.ctx, &repb.FindMissingBlobsRequest{})
 	b.wantCode(err, codes.Unauthenticated)
--- a/internal/reapi/recordresult_test.go
+++ b/internal/reapi/recordresult_test.go
@@ -51,7 +51,7 @@
 		for at := now; at.Before(now.Add(70 * time.Second)); at = at.Add(10 * time.Second) {
 			first.outage.failed(at, time.Minute)
 			if next := f.primary(execution, at); (next == first) != (at.Sub(now) <= f.grace()) {
-				t.Errorf("the first primary has been down for %s with a grace period of %s: primary = %v", at.Sub(now), f.grace(), next)
+				t.Errorf("the first primary has been down for %s and the grace period is %s: primary = %v, want another one only after the grace period", at.Sub(now), f.grace(), next)
 			}
 		}
 		break
