--- a/cmd/micaspindle-devcluster/cluster.go
+++ b/cmd/micaspindle-devcluster/cluster.go
@@ -140,7 +140,7 @@
 	return func() { _ = os.RemoveAll(f.Dir) }, nil
 }
 
-// temporaryDirectory creates a temporary directory.
+// temporaryDirectory creates a directory for a cluster's files in the system's temporary directory.
 func temporaryDirectory() (string, error) { return os.MkdirTemp("", ownProgram+"-") }
 
 // awaitReady waits until the cluster is ready. With identities it then writes the access policy.
--- a/cmd/micaspindle-devcluster/demo.go
+++ b/cmd/micaspindle-devcluster/demo.go
@@ -23,7 +23,7 @@
 	return "Examples:\n  micaspindle-devcluster demo\n  micaspindle-devcluster demo --controllers 5 --output json\n\nExit codes: 0 all jobs completed, 1 failure, 2 wrong arguments."
 }
 
-// Run runs the demo.
+// Run starts a cluster, runs the demo on it and prints the outcome.
 func (d *demoCmd) Run(ctx context.Context) error {
 	started := time.Now()
 	report := newProgress()
--- a/cmd/micaspindle-devcluster/demo_build.go
+++ b/cmd/micaspindle-devcluster/demo_build.go
@@ -28,7 +28,7 @@
 	maxDemoActionSeconds = 10
 )
 
-// Run runs the demo.
+// Run starts a cluster, runs the demo build on it and prints the reports.
 func (d *demoBuildCmd) Run(ctx context.Context) error {
 	if d.Frontends < 2 || d.Sources < 1 || d.Sources > maxDemoSources || d.Seconds < 0 || d.Seconds > maxDemoActionSeconds {
 		return usageError{errors.New("--frontends must lie between 2 and 5, --sources between 1 and 2000, --seconds between 0 and 10")}
--- a/cmd/micaspindle-devcluster/main_test.go
+++ b/cmd/micaspindle-devcluster/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// parse parses command line arguments.
+// parse parses command line arguments, with no front ends as the default.
 func parse(t *testing.T, args ...string) *cli {
 	t.Helper()
 	c := new(cli)
--- a/cmd/micaspindle-reapi/main_test.go
+++ b/cmd/micaspindle-reapi/main_test.go
@@ -37,35 +37,35 @@
 	if _, err := load(filepath.Join("..", "..", "deploy", "gate.yaml")); err != nil {
 		t.Errorf("load the example settings: got error %v, want none", err)
 	}
-	const good = "listen: 127.0.0.1:1\ninstances: {\"\": red}\nstore: {dir: /tmp/x}\n"
+	const validSettings = "listen: 127.0.0.1:1\ninstances: {\"\": red}\nstore: {dir: /tmp/x}\n"
 	file := filepath.Join(t.TempDir(), "gate.yaml")
 	for name, tc := range map[string]struct{ text, want string }{
-		"valid":             {good, ""},
-		"unknown key":       {good + "port: 3\n", "port"},
+		"valid":             {validSettings, ""},
+		"unknown key":       {validSettings + "port: 3\n", "port"},
 		"no address":        {"instances: {a: b}\nstore: {dir: x}\n", "listen"},
 		"no instance":       {"listen: 127.0.0.1:1\nstore: {dir: x}\n", "instances"},
 		"no folder":         {"listen: 127.0.0.1:1\ninstances: {a: b}\n", "store.dir"},
 		"no team":           {"listen: 127.0.0.1:1\ninstances: {a: \"\"}\nstore: {dir: x}\n", "no team"},
-		"identity alone":    {good + "identity: {own: x, roots: y}\n", "controllers"},
-		"no controllers":    {good + "execute: true\n", "controllers"},
-		"no roots":          {good + "controllers: [127.0.0.1:2]\nidentity: {own: x}\n", "own and roots"},
-		"bad controller":    {good + "controllers: [x]\n", "controllers"},
-		"blob above store":  {strings.Replace(good, "/tmp/x", "x, max_gb: 1, max_blob_mb: 2000", 1), "must fit the store"},
-		"few peers":         {good + "copies: 2\n", "copies"},
-		"bad peer":          {good + "peers: {x: service/a}\n", "peers"},
+		"identity alone":    {validSettings + "identity: {own: x, roots: y}\n", "controllers"},
+		"no controllers":    {validSettings + "execute: true\n", "controllers"},
+		"no roots":          {validSettings + "controllers: [127.0.0.1:2]\nidentity: {own: x}\n", "own and roots"},
+		"bad controller":    {validSettings + "controllers: [x]\n", "controllers"},
+		"blob above store":  {strings.Replace(validSettings, "/tmp/x", "x, max_gb: 1, max_blob_mb: 2000", 1), "must fit the store"},
+		"few peers":         {validSettings + "copies: 2\n", "copies"},
+		"bad peer":          {validSettings + "peers: {x: service/a}\n", "peers"},
 		"empty file":        {"", "listen"},
-		"shares":            {good + "shares: {weights: {red: 2.5}, bytes_per_second: 1e8, calls: 0}\n", ""},
-		"unknown team":      {good + "shares: {weights: {blue: 1}}\n", "weights.blue"},
-		"negative weight":   {good + "shares: {weights: {red: -1}}\n", "weights.red"},
-		"no actions":        {good + "shares: {actions: 0}\n", "actions"},
-		"client above all":  {good + "shares: {actions: 10, actions_client: 11}\n", "actions_client"},
-		"quota above 1":     {good + "shares: {store_quota: 1.5}\n", "store_quota"},
-		"NaN rate":          {good + "shares: {bytes_per_second: .nan}\n", "bytes_per_second"},
-		"no repair rate":    {good + "repair: {bytes_per_second: 0}\n", "repair: bytes_per_second"},
-		"peers and no self": {strings.Replace(good, "127.0.0.1:1", "0.0.0.0:1", 1) + "peers: {127.0.0.1:2: service/a}\n", "self"},
-		"empty batches":     {good + "gather: {most: 0}\n", "gather"},
-		"short interval":    {good + "repair: {every: 1ms}\n", "repair: every"},
-		"negative queue":    {good + "shares: {queue: -1}\n", "queue"},
+		"shares":            {validSettings + "shares: {weights: {red: 2.5}, bytes_per_second: 1e8, calls: 0}\n", ""},
+		"unknown team":      {validSettings + "shares: {weights: {blue: 1}}\n", "weights.blue"},
+		"negative weight":   {validSettings + "shares: {weights: {red: -1}}\n", "weights.red"},
+		"no actions":        {validSettings + "shares: {actions: 0}\n", "actions"},
+		"client above all":  {validSettings + "shares: {actions: 10, actions_client: 11}\n", "actions_client"},
+		"quota above 1":     {validSettings + "shares: {store_quota: 1.5}\n", "store_quota"},
+		"NaN rate":          {validSettings + "shares: {bytes_per_second: .nan}\n", "bytes_per_second"},
+		"no repair rate":    {validSettings + "repair: {bytes_per_second: 0}\n", "repair: bytes_per_second"},
+		"peers and no self": {strings.Replace(validSettings, "127.0.0.1:1", "0.0.0.0:1", 1) + "peers: {127.0.0.1:2: service/a}\n", "self"},
+		"empty batches":     {validSettings + "gather: {most: 0}\n", "gather"},
+		"short interval":    {validSettings + "repair: {every: 1ms}\n", "repair: every"},
+		"negative queue":    {validSettings + "shares: {queue: -1}\n", "queue"},
 	} {
 		if err := os.WriteFile(file, []byte(tc.text), 0o600); err != nil {
 			t.Fatal(err)
--- a/cmd/micaspindle-regress/bench.go
+++ b/cmd/micaspindle-regress/bench.go
@@ -17,7 +17,7 @@
 // benchGracePeriod is the maximum time for the benchmark to end its processes after an interrupt.
 const benchGracePeriod = 20 * time.Second
 
-// commandRun is the name in journal entries of the benchmark's command that plays single days.
+// commandRun is the benchmark's command that plays single days, as journal entries name it.
 const commandRun = "run"
 
 // benchKit is the benchmark program and the site files to play.
--- a/cmd/micaspindle-regress/scenarios.go
+++ b/cmd/micaspindle-regress/scenarios.go
@@ -53,8 +53,8 @@
 }
 
 // selectScenarios returns the scenarios from the files of --file or, without --file, the given
-// scenarios. If --scenario is set, it returns only the scenarios with these names. If err is not
-// nil, selectScenarios returns it.
+// scenarios. If --scenario is set, it returns only the scenarios with these names. err is the error
+// of reading the given scenarios; if it is not nil, selectScenarios returns it.
 func (f *scenarioFlags) selectScenarios(scenarios []scenario.Scenario, err error) ([]scenario.Scenario, error) {
 	if err == nil && len(f.File) > 0 {
 		if scenarios, err = readScenarios(f.File); err != nil {
--- a/cmd/micaspindle-regress/verdict.go
+++ b/cmd/micaspindle-regress/verdict.go
@@ -21,8 +21,8 @@
 	return enc.Encode(v)
 }
 
-// printComparison prints the rows. It returns an error if a row failed or if incomplete, the error of
-// runs that did not complete, is not nil.
+// printComparison prints the rows. incomplete is the error of runs that did not complete, or nil.
+// printComparison returns an error if incomplete is not nil or a row failed.
 func printComparison(output string, rows []regress.Row, incomplete error) error {
 	var err error
 	if output == outputJSON {
--- a/cmd/micaspindle/authentication.go
+++ b/cmd/micaspindle/authentication.go
@@ -15,8 +15,8 @@
 )
 
 // enableAuthentication makes the controller authenticate its callers and use TLS with users,
-// workers and other controllers. It returns the keyring with the controller's keys. Connections to
-// the state service and the cloud, which belong to the platform, are not encrypted.
+// workers and other controllers. It returns the keyring with the controller's keys. The platform's
+// services, which are the state service and the cloud, are still reached without encryption.
 func enableAuthentication(ctl *coordination.Controller, client *transport.Client, set *settings.Settings, id *settings.Identity) (*identity.Keyring, error) {
 	keys, err := loadKeys(set.Label, id)
 	if err != nil {
--- a/cmd/micaspindlectl/frontends.go
+++ b/cmd/micaspindlectl/frontends.go
@@ -41,8 +41,8 @@
 	return conn, nil
 }
 
-// frontendFailure converts a front end's gRPC error into the error that a controller's refusal of
-// the same kind gives, so that both lead to the same exit code.
+// frontendFailure converts a front end's gRPC error into an error of the client package or a
+// usageError, so that the exit code is the same as for a controller's refusal of that kind.
 func frontendFailure(address string, err error) error {
 	s := status.Convert(err)
 	reason := fmt.Sprintf("front end %s: %s", address, s.Message())
--- a/internal/devcluster/footprint.go
+++ b/internal/devcluster/footprint.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// versionRuns is the number of starts of each program per round that measure its start time.
+// versionRuns is the number of times per round that each program is started to measure its start time.
 const versionRuns = 20
 
 // Footprint compares the start time, size and memory of the baseline program and of the
--- a/internal/devcluster/frontends_test.go
+++ b/internal/devcluster/frontends_test.go
@@ -234,9 +234,9 @@
 	return string(resp.Responses[0].Data)
 }
 
-// buildSample builds a graph of actions: one action per source, one per ten of the outputs of these,
-// and a last action over the outputs of the second kind. prefix is shell code that precedes each
-// script but the last. buildSample returns the last output and the number of cached actions.
+// buildSample builds a graph of actions: each compiles one source, links ten compiled files, or, as the
+// last action, packs all linked files. prefix is shell code that precedes each script but the last.
+// buildSample returns the output of the last action and the number of cached actions.
 func (b *buildHarness) buildSample(sources int, prefix string) (string, int) {
 	cached := atomic.Int64{}
 	run := func(a action) *repb.Digest {
--- a/internal/devcluster/machines.go
+++ b/internal/devcluster/machines.go
@@ -34,7 +34,8 @@
 	runFactorRange = 0.4
 	runFactorSteps = 1000
 
-	// standingRunTime stands for the unlimited run time of a standing job's tasks.
+	// standingRunTime is the run time of a standing job's tasks. It exceeds the lifetime of any
+	// development cluster, so that these tasks run until they are stopped.
 	standingRunTime = 1000 * time.Hour
 )
 
--- a/internal/regress/merge.go
+++ b/internal/regress/merge.go
@@ -63,5 +63,5 @@
 	}
 }
 
-// meanWith returns the mean of count values with the given mean and one more value.
+// meanWith returns the mean of count+1 values: value, and count others whose mean is given.
 func meanWith(mean, count, value float64) float64 { return (mean*count + value) / (count + 1) }
--- a/internal/regress/regress_test.go
+++ b/internal/regress/regress_test.go
@@ -161,7 +161,7 @@
 		want int
 	}{{one, 0}, {entry("1", "08:00:00", "score", "quick", "a", 0.60, day("rough", 0.60, "")), 1}, {two, 0}} {
 		if got := SitesWithOnlyScoreDrops(Compare(history(t), parse(t, c.now))); len(got) != c.want {
-			t.Errorf("sites with only score drops: %q, want %d sites", got, c.want)
+			t.Errorf("sites that failed only because of lower scores: %q, want %d sites", got, c.want)
 		}
 	}
 }
--- a/internal/regress/scenario/report.go
+++ b/internal/regress/scenario/report.go
@@ -16,8 +16,8 @@
 	} `json:"rules_broken"`
 	Classes map[string]classReport   `json:"classes"`
 	Teams   map[string]startedReport `json:"teams"`
-	// Largest counts the largest jobs of each class; of these, it counts those as started
-	// that began within the benchmark's time limit.
+	// Largest counts the largest jobs of each class, and as started only those of them that
+	// began within the benchmark's time limit.
 	Largest map[string]startedReport `json:"largest"`
 	// Idle counts jobs that waited although a machine had free capacity (Neglected), and
 	// defects that no rule covers (Slips), such as starts after a confirmed cancellation or
