--- a/internal/coordination/api/status.go
+++ b/internal/coordination/api/status.go
@@ -13,7 +13,7 @@
 	"micaspindle/internal/transport"
 )
 
-// minStaleLimit is the lower bound of StaleLimit.
+// minStaleLimit is the smallest value of StaleLimit.
 const minStaleLimit = 3 * time.Second
 
 // poll returns a job's state.
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -56,8 +56,8 @@
 	return s.commitSubmission(ctx, req.caller, queue, id, check.record)
 }
 
-// errMachineTypesUnknown rejects submissions until the machine types are known, which determine
-// whether a job can run.
+// errMachineTypesUnknown rejects submissions while the machine types are unknown, since a job may
+// fit none of them.
 var errMachineTypesUnknown = apierror.NotReady("machine types are not known yet", retryMachineTypes)
 
 // submissionCheck is the result of validating a submission.
--- a/internal/coordination/auth/auth.go
+++ b/internal/coordination/auth/auth.go
@@ -31,7 +31,7 @@
 	log    *slog.Logger
 	bounds *telemetry.BoundReporter
 
-	// Set by Enable, before the loop starts.
+	// The following fields are set by Enable before the event loop starts.
 	enabled           bool
 	enabledAt         time.Time
 	tokens            *identity.TokenVerifier
@@ -48,7 +48,7 @@
 	// controller's memory, by identity name.
 	UnknownJobLimiters *lru.Cache[string, *rate.Limiter]
 
-	// Owned by the event loop.
+	// The following fields are owned by the event loop.
 	records   policyRecords
 	jobQueues jobQueueIndex
 }
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -19,9 +19,9 @@
 	// unrecordedMinAgeS plus unrecordedMinLags times the lag of the list. The record of a
 	// younger machine may not have been written yet.
 	unrecordedMinAgeS, unrecordedMinLags = 4, 2
-	// listedAdoptionDelay is the time after the start of this controller during which the cloud's
-	// list is not searched for unrecorded machines.
-	listedAdoptionDelay = 5 * time.Second
+	// listedMachineAdoptionDelay is the time from the start of this controller until machines
+	// in the cloud's list that have no record are adopted.
+	listedMachineAdoptionDelay = 5 * time.Second
 )
 
 // listInterval returns the interval at which the cluster leader lists the cloud's machines.
@@ -63,7 +63,7 @@
 			unrecorded[machine.Name] = recordOfUnregistered(machine)
 		}
 	}
-	if now.Sub(a.StartedAt) > listedAdoptionDelay {
+	if now.Sub(a.StartedAt) > listedMachineAdoptionDelay {
 		minAgeS := unrecordedMinAgeS + unrecordedMinLags*a.Settings.Params.Cloud.ListLagS
 		for name, listed := range a.Leadership.ListedMachines {
 			if listed.State != protocol.MachineFailed && listed.AgeS > minAgeS {
--- a/internal/coordination/autoscaler/reconcile.go
+++ b/internal/coordination/autoscaler/reconcile.go
@@ -8,9 +8,9 @@
 	"micaspindle/internal/storage"
 )
 
-// adoptLaterBackdate shortens the wait for the next attempt to adopt a machine if the adoption was
-// postponed and did not fail.
-const adoptLaterBackdate = 3 * time.Second
+// postponedAdoptionBackdate is subtracted from the recorded time of a postponed adoption, so that
+// the next attempt follows sooner than after an adoption that failed.
+const postponedAdoptionBackdate = 3 * time.Second
 
 // LeaderLoop periodically lists the cloud's machines and reconciles the fleet while this controller
 // is the cluster leader. It returns when the event loop's context ends.
@@ -49,7 +49,7 @@
 		a.adopt(adoption, unrecorded[adoption.Name], now)
 	}
 	for _, name := range plan.AdoptLater {
-		a.Leadership.AdoptionTriedAt[name] = now.Add(-adoptLaterBackdate)
+		a.Leadership.AdoptionTriedAt[name] = now.Add(-postponedAdoptionBackdate)
 	}
 	a.terminate(plan.Terminate, now)
 	for _, move := range plan.Moves {
--- a/internal/coordination/delegation/delegation_test.go
+++ b/internal/coordination/delegation/delegation_test.go
@@ -72,11 +72,11 @@
 		for _, p := range v.Peers {
 			least = min(least, p.Load.utilizationWith(largest))
 			if p.Load.utilizationWith(0) > delegateFillLimit {
-				t.Errorf("seed %d: delegate %s has %d machines of %d, beyond its limit", seed, p.Label, p.Load.Machines, capacity)
+				t.Errorf("seed %d: delegate %s has %d machines and a capacity of %d, want at most delegateFillLimit of the capacity in use", seed, p.Label, p.Load.Machines, capacity)
 			}
 		}
 		if v.Own.utilizationWith(0) > delegateAbove && least <= delegateFillLimit && least < v.Own.utilizationWith(-largest) {
-			t.Errorf("seed %d: the leader has %d machines of %d although a delegate has free capacity", seed, v.Own.Machines, capacity)
+			t.Errorf("seed %d: the leader keeps %d machines with a capacity of %d, although a delegate has free capacity", seed, v.Own.Machines, capacity)
 		}
 	}
 }
@@ -96,13 +96,13 @@
 		{"the leader is full", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{settled}, MayMove: true}, []Move{{0, 1, "b", "the leader is full"}}},
 		{"the leader is full, a shard has just moved", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{settled}}, nil},
 		{"the leader is full, no peer is available", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{unavailable}, MayMove: true}, nil},
-		{"the leader is full, a peer does not support delegation", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{settled}, MayMove: true, Unsupported: true}, nil},
+		{"the leader is full, a peer does not support delegation", View{Own: Load{61, 100}, Shards: own, Peers: []Peer{settled}, MayMove: true, DelegationUnsupported: true}, nil},
 		{"the delegate is unavailable", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{unavailable}}, []Move{{0, 1, "", "its delegate can't go on"}}},
 		// When the state store fails, no delegate reaches it. The delegates must keep their
 		// shards, or the leader would run out of sockets.
 		{"the delegate can't reach the state store", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{unsettled}, MayMove: true}, nil},
 		{"the delegate is not a peer", View{Own: Load{61, 100}, Shards: delegated}, []Move{{0, 1, "", "its delegate can't go on"}}},
-		{"a delegate serves a shard, a peer does not support delegation", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{settled}, Unsupported: true},
+		{"a delegate serves a shard, a peer does not support delegation", View{Own: Load{61, 100}, Shards: delegated, Peers: []Peer{settled}, DelegationUnsupported: true},
 			[]Move{{0, 1, "", "a controller does not support delegation"}}},
 		{"the leader has capacity again", View{Own: Load{30, 100}, Shards: delegated, Peers: []Peer{settled}, MayReturn: true}, []Move{{0, 1, "", "the leader has capacity again"}}},
 		{"the leader has capacity again, too soon", View{Own: Load{30, 100}, Shards: delegated, Peers: []Peer{settled}, MayMove: true}, nil},
--- a/internal/coordination/delegation/ledger.go
+++ b/internal/coordination/delegation/ledger.go
@@ -10,8 +10,8 @@
 const driftDivisor = 100
 
 // Ledger is a leader's record of the delegations of one partition: the delegate of each shard, the
-// end of its grant, and the time up to which the leader has received all its answers. A ledger is
-// valid for one term of the partition lease.
+// latest end of the delegate's grants, and the time before which the leader has received all
+// heartbeats that the delegate answered. A ledger is valid for one term of the partition lease.
 type Ledger struct {
 	shards [ShardCount]shardGrant
 	links  map[string]*delegateLink
@@ -23,11 +23,13 @@
 	// until is the latest end of any grant to the current delegate.
 	until time.Time
 	// unknownUntil is the latest time at which a former delegate, or a former incarnation of
-	// the current one, may have given answers that are never forwarded to the leader.
+	// the current one, may have answered heartbeats that it never forwards to the leader.
 	unknownUntil time.Time
 }
 
-// supersedeGrants records that the grants so far were given to a former delegate or incarnation.
+// supersedeGrants records that the holder of the grants so far is no longer the shard's delegate,
+// or that a new incarnation of the delegate has replaced it. The former holder may still answer
+// heartbeats until the grants expire.
 func (g *shardGrant) supersedeGrants() {
 	g.unknownUntil = later(g.unknownUntil, g.until)
 	g.until = time.Time{}
@@ -36,9 +38,9 @@
 // delegateLink is the state of the grant renewals with one delegate.
 type delegateLink struct {
 	nonce  string // identifies the delegate's incarnation
-	serial uint64 // number of the last reply
-	// repliedAt is the time of the last reply. The leader has received all answers that the
-	// delegate gave up to knownUntil.
+	serial uint64 // serial number of the leader's last reply
+	// repliedAt is the time of the leader's last reply to a renewal request. The leader has
+	// received all heartbeats that the delegate answered up to knownUntil.
 	repliedAt, knownUntil time.Time
 	downUntil             time.Time // time until which commands bypass the delegate
 }
@@ -124,9 +126,10 @@
 	return link != nil && now.Sub(link.repliedAt) < GrantDuration/2 && grant.until.After(now)
 }
 
-// AnswerBounds returns an interval without answers to a machine in a shard: no answer was given
-// after answered and up to known. lastAnswer is the time of the last answer to the machine that the
-// leader has received. The machine's lease has expired if the interval is longer than the lease.
+// AnswerBounds returns an interval in which no controller answered heartbeats of a machine in a
+// shard: none was answered after answered and up to known. lastAnswer is the time of the last
+// answer to the machine that is known to the leader. The machine's lease has expired if the
+// interval is longer than the lease.
 func (l *Ledger) AnswerBounds(shard int, lastAnswer, now time.Time) (known, answered time.Time) {
 	grant := &l.shards[shard]
 	answered = later(lastAnswer, grant.unknownUntil)
--- a/internal/coordination/delegation/plan.go
+++ b/internal/coordination/delegation/plan.go
@@ -61,9 +61,9 @@
 	Own    Load
 	Shards []Shard
 	Peers  []Peer
-	// Unsupported is true if a live controller does not support delegation. No shard may be
-	// delegated then.
-	Unsupported bool
+	// DelegationUnsupported is true if a live controller does not support delegation. No shard
+	// may be delegated then.
+	DelegationUnsupported bool
 	// MayMove is true if the last move was at least MoveInterval ago, and MayReturn if the last
 	// move was at least ReturnInterval ago.
 	MayMove, MayReturn bool
@@ -80,7 +80,7 @@
 // available return to the leader at once; otherwise, at most one shard moves. The plan is
 // deterministic.
 func PlanMoves(v View) []Move {
-	if moves := reclaimShards(v); len(moves) > 0 || v.Unsupported {
+	if moves := reclaimShards(v); len(moves) > 0 || v.DelegationUnsupported {
 		return moves
 	}
 	if move, ok := delegateShard(v); ok {
@@ -127,7 +127,7 @@
 	for _, shard := range v.Shards {
 		switch {
 		case shard.Delegate == "":
-		case v.Unsupported:
+		case v.DelegationUnsupported:
 			moves = append(moves, Move{shard.Partition, shard.Index, "", "a controller does not support delegation"})
 		case !available[shard.Delegate]:
 			moves = append(moves, Move{shard.Partition, shard.Index, "", "its delegate can't go on"})
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -13,10 +13,10 @@
 // in its summary.
 const machinesPerDemand = 4
 
-// StarvedDemandsDivisor limits the demands of starved groups that precede the demands of all other
-// jobs in a summary: their maximum number is the maximum number of all demands divided by
-// StarvedDemandsDivisor. If these demands did not come first, the fleet might not be scaled out for
-// starved groups.
+// StarvedDemandsDivisor is the ratio of the maximum number of demands in a summary to the maximum
+// number of demands of starved groups that are listed first. Without a place at the start of the
+// list, starved groups might be left out of a full summary, so that the fleet would not be scaled
+// out for them.
 const StarvedDemandsDivisor = 5
 
 // DemandsLimit returns the maximum number of demands in the summary of a partition with a number of
--- a/internal/coordination/proxy/rebalancing.go
+++ b/internal/coordination/proxy/rebalancing.go
@@ -62,7 +62,7 @@
 // assigned, if these are able to serve them.
 func (p *Proxy) adoptDelegates(partition *cluster.Partition, now time.Time) {
 	view := p.balancingView(now, partition)
-	if view.Unsupported {
+	if view.DelegationUnsupported {
 		return
 	}
 	for _, delegated := range p.Peers[partition.FormerLeader].PartitionSummary(partition).GetDelegated() {
@@ -130,7 +130,7 @@
 		}
 		summary := other.Summary
 		if other.Alive(now) && summary.Capacity == 0 {
-			view.Unsupported = true
+			view.DelegationUnsupported = true
 		}
 		view.Peers = append(view.Peers, delegation.Peer{
 			Label:     label,
