--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -269,10 +269,10 @@
 
 // A team may borrow the unused quota of another except for the part that is never lent. The other
 // team can use that part at once, and the rest of its quota as the borrower releases it.
-func TestLedgerBorrows(t *testing.T) {
+func TestQuotaPoolBorrows(t *testing.T) {
 	l, err := NewQuotaPool(100, 80, []string{"red", "blue", "red"}, map[string]float64{"blue": 3})
 	if err != nil || l.Quota("red") != 25 || l.Quota("blue") != 75 {
-		t.Fatalf("error %v, quotas %v and %v, want 25 and 75", err, l.Quota("red"), l.Quota("blue"))
+		t.Fatalf("NewQuotaPool: error %v, quotas of red and blue %v and %v, want 25 and 75", err, l.Quota("red"), l.Quota("blue"))
 	}
 	take := func(team, client string) (n int) {
 		for l.Acquire(team, client, 1) {
--- a/internal/admission/handoff.go
+++ b/internal/admission/handoff.go
@@ -16,9 +16,9 @@
 	MaxDuration time.Duration
 }
 
-// Window returns the amount of work that may wait at a server that completes perSecond and is
-// working on inService. It is at least inService, so that a server that scales out with the length
-// of its queue can double its capacity.
+// Window returns the amount of work that may wait at a server, given the amounts of work that the
+// server completes per second and is working on now (inService). It is at least inService, so that
+// a server that scales out with the length of its queue can double its capacity.
 func (l HandoffLimits) Window(perSecond float64, inService int) int {
 	if l.Min == 0 {
 		return math.MaxInt
--- a/internal/admission/handoff_test.go
+++ b/internal/admission/handoff_test.go
@@ -42,13 +42,14 @@
 	}
 	a := HandoffLimits{Min: 100, MaxDuration: 2 * time.Second}
 	if a.Window(0, 0) != 100 || a.Window(49, 99) != 100 || a.Window(500, 999) != 1000 || a.Window(0, 300) != 300 {
-		t.Errorf("windows %d, %d, %d and %d, want 100, 100, 1000 and 300", a.Window(0, 0), a.Window(49, 99), a.Window(500, 999), a.Window(0, 300))
+		t.Errorf("Window(0, 0), Window(49, 99), Window(500, 999), Window(0, 300) = %d, %d, %d, %d; want 100, 100, 1000, 300", a.Window(0, 0), a.Window(49, 99), a.Window(500, 999), a.Window(0, 300))
 	}
 }
 
 // With random clients, a server that works in order of arrival is never idle while batches wait,
-// the outstanding work is at most the window plus one batch for each client, and the batch of a
-// new client is completed in the time that the server needs for that much work.
+// the outstanding work is at most the window plus one batch for each client, and the batch of a new
+// client is completed within the time that the server needs for the window and one batch for each
+// client.
 func TestClientsTakeTurns(t *testing.T) {
 	for seed := range uint64(15) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -88,7 +89,7 @@
 				outstanding[c]--
 				if c == "new" && outstanding[c] == 0 && arrived >= 0 {
 					if took := step - arrived; took > window+(len(clients)+1)*size {
-						t.Errorf("seed %d: batch of the new client took %d steps, window %d", seed, took, window)
+						t.Errorf("seed %d: batch of the new client took %d steps, want at most the window of %d plus one batch for each client", seed, took, window)
 					}
 					arrived = -1
 				}
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -6,7 +6,8 @@
 	// minRetryDelay and maxRetryDelay bound the retry delays of refusals.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 30 * time.Second
-	// minHoldTime is the least hold time that retry delays assume, also before any was measured.
+	// minHoldTime is the lower bound of the hold time from which retry delays are computed. It
+	// is used until a hold time has been measured.
 	minHoldTime = 10 * time.Millisecond
 )
 
--- a/internal/protocol/scan.go
+++ b/internal/protocol/scan.go
@@ -63,8 +63,8 @@
 
 func truncated() error { return fmt.Errorf("%w: cut short", ErrMalformed) }
 
-// scanValue returns the size of the first value in b, which is nested in depth others. A map key
-// (isKey) must be a string.
+// scanValue returns the size of the first value in b. depth is the number of arrays and maps that
+// contain the value. A map key (isKey) must be a string.
 func scanValue(b []byte, depth int, isKey bool) (int, error) {
 	if depth > maxDepth {
 		return 0, fmt.Errorf("%w: nested too deeply", ErrMalformed)
--- a/internal/repair/copies.go
+++ b/internal/repair/copies.go
@@ -50,13 +50,13 @@
 	return targets, max(0, copies-have)
 }
 
-// inventory holds the blobs of a batch that each peer lacks, by the name of the peer. Peers that
+// missingBlobs holds, by the name of the peer, the blobs of a batch that the peer lacks. Peers that
 // did not answer have no entry.
-type inventory map[string]map[blobstore.Digest]bool
+type missingBlobs map[string]map[blobstore.Digest]bool
 
 // state returns the state of a peer for a blob; gone lists the peers past the grace period.
-func (i inventory) state(peer string, digest blobstore.Digest, gone []string) PeerState {
-	lacked, answered := i[peer]
+func (m missingBlobs) state(peer string, digest blobstore.Digest, gone []string) PeerState {
+	lacked, answered := m[peer]
 	switch {
 	case answered && lacked[digest]:
 		return Lacks
@@ -70,12 +70,12 @@
 
 // makeCopies copies the blobs, which are of one space, to peers until there are enough copies.
 func (r *Repairer) makeCopies(ctx context.Context, keys []blobstore.Key) error {
-	inventory, err := r.findMissing(ctx, keys)
+	missing, err := r.findMissing(ctx, keys)
 	if err != nil {
 		return err
 	}
 	for _, key := range keys {
-		if err := r.copyBlob(ctx, key, inventory); err != nil {
+		if err := r.copyBlob(ctx, key, missing); err != nil {
 			return err
 		}
 	}
@@ -84,12 +84,12 @@
 
 // findMissing requests from each peer the list of the blobs that it lacks, and records which peers
 // answered.
-func (r *Repairer) findMissing(ctx context.Context, keys []blobstore.Key) (inventory, error) {
+func (r *Repairer) findMissing(ctx context.Context, keys []blobstore.Key) (missingBlobs, error) {
 	digests := make([]blobstore.Digest, len(keys))
 	for i, key := range keys {
 		digests[i] = key.Digest
 	}
-	answers := inventory{}
+	answers := missingBlobs{}
 	for _, peer := range r.order(keys[0].Hash) {
 		missing, err := peer.FindMissing(ctx, keys[0].Space, digests)
 		if ctx.Err() != nil {
@@ -121,14 +121,14 @@
 
 // copyBlob copies a blob to peers until there are enough copies. If a copy fails, it tries the next
 // peer.
-func (r *Repairer) copyBlob(ctx context.Context, key blobstore.Key, inventory inventory) error {
+func (r *Repairer) copyBlob(ctx context.Context, key blobstore.Key, missing missingBlobs) error {
 	peers := r.order(key.Hash)
 	r.mu.Lock()
 	gone := r.gonePeers(time.Now())
 	r.mu.Unlock()
 	states := make([]PeerState, len(peers))
 	for i, peer := range peers {
-		states[i] = inventory.state(peer.Name(), key.Digest, gone)
+		states[i] = missing.state(peer.Name(), key.Digest, gone)
 	}
 	for {
 		targets, short := PlanCopies(states, r.settings.Copies)
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -135,8 +135,8 @@
 
 var fastSettings = Settings{Copies: 2, BytesPerSecond: 1e9, Interval: time.Minute, Grace: 2 * time.Minute}
 
-// A peer that is down for less than the grace period causes no copies. The blobs of one that is
-// gone are copied to others, and nothing more is copied when it returns.
+// If a peer is down for less than the grace period, no blobs are copied. If it is down for longer,
+// its blobs are copied to other peers, and nothing more is copied when it returns.
 func TestCopiesOfLostPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newFakeCluster(1500, 3, 2)
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -22,7 +22,8 @@
 
 // Operator has the settings of the operators' file. All are optional.
 type Operator struct {
-	// UseLimit is the use limit of a machine, as a fraction of its CPUs.
+	// UseLimit is the use of a machine's CPUs, as a fraction, below which placement prefers the
+	// machine.
 	UseLimit float64 `yaml:"limit_share"`
 	// MovePeriod is the interval at which the cluster leader moves idle machines between
 	// partitions.
--- a/internal/storage/absence.go
+++ b/internal/storage/absence.go
@@ -224,7 +224,7 @@
 				return failed
 			})
 			if len(keys) == before {
-				return nil, fmt.Errorf("%w: the conflict names none of the compared keys", ErrUnknown)
+				return nil, fmt.Errorf("%w: the reported conflict is on none of the compared keys", ErrUnknown)
 			}
 		case errors.Is(err, ErrTooLarge) && len(compared) > 1:
 			s.absences.conditionsLimit.Store(int64(len(compared)+1) / 2)
--- a/internal/storage/absence_test.go
+++ b/internal/storage/absence_test.go
@@ -237,11 +237,11 @@
 		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := s.UserKeyAbsent(cancelled, "w/j/job-1/final"); !errors.Is(err, context.Canceled) || refused != 0 {
-			t.Errorf("%s: query within the capacity: %v, %d refused, want it to wait", tc.name, err, refused)
+			t.Errorf("%s: query within the capacity: error %v, %d queries refused; want context.Canceled after waiting, and none refused", tc.name, err, refused)
 		}
 		s.absences.waiting = make([]*absenceQuery, tc.capacity)
 		if _, err := s.UserKeyAbsent(t.Context(), "w/j/job-1/final"); !errors.Is(err, ErrBudget) || !errors.Is(err, ErrRefused) || refused != 1 {
-			t.Errorf("%s: query beyond the capacity: %v, %d refused, want ErrBudget and 1", tc.name, err, refused)
+			t.Errorf("%s: query beyond the capacity: error %v, %d queries refused; want ErrBudget and 1", tc.name, err, refused)
 		}
 	}
 }
--- a/internal/storage/reads.go
+++ b/internal/storage/reads.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// Page reads up to size keys under a prefix, starting after the key after.
+// Page reads up to size keys under a prefix, beginning with the first key that is greater than
+// after.
 func (s *Store) Page(ctx context.Context, prefix, after string, size int) (*protocol.ItemList, error) {
 	if err := s.awaitRequest(ctx); err != nil {
 		return nil, err
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -147,8 +147,9 @@
 	return nil, err
 }
 
-// checkStatus returns an error for statuses that mean a server error or a rate limit, and records
-// whether the state store is responding. A refusal by its rate limit counts as neither.
+// checkStatus returns an error for statuses that mean a server error or a rate limit. It records
+// the time of the last response and of the last failure of the state store; a refusal by the rate
+// limit counts as neither.
 func (s *Store) checkStatus(status int) error {
 	switch status {
 	case 200, 400, 404, 409, 410:
