--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -88,7 +88,7 @@
 			want := map[string]int{"refused": 503, "final": 200}[outcome]
 			for b.Loop() {
 				if resp := c.Serve(ctx, req); resp.Status != want {
-					b.Fatalf("status %d", resp.Status)
+					b.Fatalf("poll got status %d, want %d", resp.Status, want)
 				}
 			}
 		})
@@ -329,8 +329,11 @@
 					var c *Controller
 					next := n
 					for b.Loop() {
-						// If the status ends the whole pipeline, each iteration needs a new
-						// pipeline. If it ends only one job, the next iteration ends the next job.
+						// A cancellation affects all dependent jobs, and so
+						// does the end of a job on which all others depend:
+						// the next iteration needs a new pipeline. In a
+						// deep pipeline, a done job affects only the next
+						// job, which the next iteration ends.
 						if next == n {
 							b.StopTimer()
 							c, next = newControllerWithPipeline(b, n, deep), 0
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -39,8 +39,8 @@
 		// noNotices: no controller receives cancellation notices; cut: the leader is also cut
 		// off from its peers.
 		noNotices, cut bool
-		// watchesStuck: the watches deliver no events from before the first cancellation
-		// on.
+		// watchesStuck: the watches deliver no events; this begins before the first
+		// cancellation.
 		watchesStuck bool
 		// hang is the time for which half of the machines of cancelled jobs hang.
 		hang time.Duration
@@ -148,7 +148,7 @@
 		}
 	}
 	if runningTasks < count/2 || confirmed < count/2 || confirmedAfter < 5 {
-		sim.t.Fatalf("%d tasks of %d jobs ran, %d cancellations were confirmed, %d of them after the refusal began; want half of the jobs, half, and at least 5", runningTasks, count, confirmed, confirmedAfter)
+		sim.t.Fatalf("%d tasks of %d jobs ran, %d cancellations were confirmed, %d of them after the refusal began; want at least half as many tasks and confirmed cancellations as jobs, and at least 5 confirmed after the refusal began", runningTasks, count, confirmed, confirmedAfter)
 	}
 }
 
--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -145,7 +145,7 @@
 		maps.Copy(arrived, early.refused)
 		maps.Copy(arrived, early.applied)
 		if len(arrived) < 2 || len(early.applied) == 0 || refused[protocol.OpStart] == 0 || refused[protocol.OpStop]+refused[protocol.OpForget] == 0 || successor == "" {
-			return fmt.Errorf("%d messages withheld; delivered at the first fence: %v, refused after all fences: %v, new leader %q; want starts and stops or reaps on both occasions, some of the early ones applied, and a new leader", len(sent), early, refused, successor)
+			return fmt.Errorf("%d messages withheld; operations applied and refused at the first fence: %v; operations refused after all fences: %v; new leader %q; want starts, and stops or reaps, both times, at least one operation applied at the first fence, and a new leader", len(sent), early, refused, successor)
 		}
 		return nil
 	}
@@ -419,7 +419,7 @@
 	}
 	applied, refused, stops, preempted := sim.faultCount("late start applied"), sim.faultCount("late start refused"), sim.faultCount("late stop applied"), sim.faultCount("machines preempted")
 	if applied < 10 || refused < 3 || stops < 3 || preempted < 1 || len(tokenRaises) == 0 {
-		return fmt.Errorf("%d late starts applied, %d refused, %d late stops applied, %d machines preempted, tokens raised in %d seconds; want at least 10, 3, 3, 1 and 1", applied, refused, stops, preempted, len(tokenRaises))
+		return fmt.Errorf("%d late starts applied, %d refused, %d late stops applied, %d machines preempted, fencing tokens raised during %d different seconds; want at least 10, 3, 3, 1 and 1", applied, refused, stops, preempted, len(tokenRaises))
 	}
 	return nil
 }
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -221,7 +221,7 @@
 		time.Sleep(25 * time.Second)
 		sim.withLock(func() { sim.dropsMessage = nil })
 		if !cancelled || len(inside) == 0 {
-			return fmt.Errorf("cancellation answered: %v, %d machines divided by the cut; want true and at least 1", cancelled, len(inside))
+			return fmt.Errorf("cancellation answered: %v, %d machines when the network was cut; want true and at least 1", cancelled, len(inside))
 		}
 		return nil
 	}},
--- a/internal/coordination/delegation_faults_test.go
+++ b/internal/coordination/delegation_faults_test.go
@@ -186,7 +186,7 @@
 }
 
 // Shards move back and forth fifty times while their tasks run and controllers are killed and
-// paused: no task is started again, and no epoch ends.
+// paused: no task is started again, and every agent keeps its epoch.
 func TestShardsMoveWhileTasksRun(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 740, func(sim *simulatedCluster) {
@@ -233,7 +233,8 @@
 }
 
 // While a controller of a version without delegation runs, delegated shards return to the leader
-// and none are delegated. Once it is gone, shards are delegated again. No epoch ends.
+// and none are delegated. After the controller has stopped, shards are delegated again. Every agent
+// keeps its epoch.
 func TestOldVersionsAreNoDelegates(t *testing.T) {
 	t.Parallel()
 	runConfiguredSimulation(t, 750, configureFewSockets, func(sim *simulatedCluster) {
@@ -252,7 +253,7 @@
 		}
 		for _, l := range allControllers {
 			if l != leader {
-				sim.withLock(func() { sim.oldVersions = map[string]bool{l: true} })
+				sim.withLock(func() { sim.controllersOfOldVersion = map[string]bool{l: true} })
 				break
 			}
 		}
@@ -264,7 +265,7 @@
 		if n := sim.connectedMachines(); n[leader] < 9 {
 			t.Errorf("%d machines are connected to the leader, want at least 9; connected machines %v", n[leader], n)
 		}
-		sim.withLock(func() { sim.oldVersions = nil })
+		sim.withLock(func() { sim.controllersOfOldVersion = nil })
 		time.Sleep(10 * time.Second)
 		if len(delegated()) == 0 {
 			t.Error("no shards are delegated although no controller of an old version runs")
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -524,7 +524,7 @@
 		}
 		s.ID = "job-2"
 		if got := sim.sendRequest("n1", "POST", "/submissions", encodeSubmission(s)).Status; got != 422 {
-			t.Errorf("another job of its size gets status %d, want 422", got)
+			t.Errorf("a new job of the same size gets status %d, want 422", got)
 		}
 		sim.withLock(func() { sim.state.WatchesStuck, sim.state.UnannouncedValueBytes = false, 0 })
 		sim.withLock(func() { sim.jobs["job-1"] = newSubmittedJob(newJobSpec("job-1", 1, "red")) })
@@ -553,7 +553,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		if n := sim.state.RefusedForRate; n > 60 {
-			t.Errorf("%d transactions were refused for the write rate (%d changes were not), want at most 60", n, sim.state.ChangesRequested)
+			t.Errorf("%d transactions were refused for the write rate, want at most 60; %d changes were within the rate", n, sim.state.ChangesRequested)
 		}
 	})
 }
--- a/internal/coordination/failover_faults_test.go
+++ b/internal/coordination/failover_faults_test.go
@@ -274,7 +274,10 @@
 // standby. Partitions still fail over from it and to it.
 func TestOldVersionsAreNoStandbys(t *testing.T) {
 	t.Parallel()
-	runConfiguredSimulation(t, 670, func(sim *simulatedCluster) { configureLongJobs(sim); sim.oldVersions = map[string]bool{"n1": true} }, func(sim *simulatedCluster) {
+	runConfiguredSimulation(t, 670, func(sim *simulatedCluster) {
+		configureLongJobs(sim)
+		sim.controllersOfOldVersion = map[string]bool{"n1": true}
+	}, func(sim *simulatedCluster) {
 		sim.submitLongJobs()
 		for partition := range 3 {
 			leader, successor := sim.leaderOf(partition), sim.standbyOf(partition)
--- a/internal/coordination/failover_test.go
+++ b/internal/coordination/failover_test.go
@@ -266,14 +266,14 @@
 func TestCorruptReplicaIsFoundBeforeFailover(t *testing.T) {
 	t.Parallel()
 	for i, corrupt := range []func(replica *replication.Replica, key string){
-		func(replica *replication.Replica, key string) { // an attempt is missing
+		func(replica *replication.Replica, key string) { // removes an attempt from a run record
 			for k, r := range replica.Records.All {
 				if k == key {
 					r.Value.Live = r.Value.Live[1:]
 				}
 			}
 		},
-		func(replica *replication.Replica, key string) { // a change was lost
+		func(replica *replication.Replica, key string) { // replaces a run record with one without attempts
 			for k, r := range replica.Records.All {
 				if k == key {
 					*r.Value = storage.RunRecord{Last: 1}
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -20,9 +20,9 @@
 	// lateTransactionKind, if not empty, restricts late transactions to those whose first write
 	// is of this kind.
 	lateTransactionKind string
-	// duplicatedHeartbeatRate is the proportion of heartbeats that are delivered again, between
-	// 2 s and 2 s plus 1.5 machine leases later. With keepForReplay they are instead delivered to
-	// every controller when replayHeartbeats is called.
+	// duplicatedHeartbeatRate is the proportion of heartbeats that are delivered a second time,
+	// after 2 s plus a random time of up to 1.5 machine leases. With keepForReplay they are
+	// instead delivered to every controller when replayHeartbeats is called.
 	duplicatedHeartbeatRate float64
 	keepForReplay           bool
 	keptHeartbeats          []keptHeartbeat
--- a/internal/coordination/incarnation_test.go
+++ b/internal/coordination/incarnation_test.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// Machines that fail together with their leader are lost one machine lease after the leader's next
-// incarnation starts. Without a next incarnation, the machines are lost only after the time for
-// which the old incarnation may have continued to answer their heartbeats.
+// Machines that fail together with their leader are declared lost one machine lease after the
+// leader's next incarnation starts. Without a next incarnation, they are declared lost only after
+// the time for which the old incarnation may have continued to answer their heartbeats.
 func TestNewIncarnationEndsThePreviousOne(t *testing.T) {
 	t.Parallel()
 	for _, restarted := range []bool{true, false} {
--- a/internal/coordination/linearizability_test.go
+++ b/internal/coordination/linearizability_test.go
@@ -146,7 +146,7 @@
 		return ""
 	default:
 		if q == requestPoll {
-			return "" // has no effect and no status
+			return "" // an unanswered poll changes no state, so it is not recorded
 		}
 	}
 	h.record(s.ID, op)
@@ -243,7 +243,7 @@
 			h := &requestHistory{jobs: map[string][]porcupine.Operation{}}
 			prepare := func(sim *simulatedCluster) {
 				if announceLowerLimits(sim); seed%3 == 2 {
-					sim.oldVersions = map[string]bool{"n1": true}
+					sim.controllersOfOldVersion = map[string]bool{"n1": true}
 				}
 			}
 			runConfiguredSimulation(t, 30_000+seed, prepare, func(sim *simulatedCluster) {
--- a/internal/coordination/planned_faults_test.go
+++ b/internal/coordination/planned_faults_test.go
@@ -52,8 +52,8 @@
 	faultCrashOfAll             faultKind = "crash of all"
 	faultLongCrashOfAll         faultKind = "away" // all controllers are down for longer than a machine lease
 	faultPause                  faultKind = "pause"
-	faultHandover               faultKind = "handover"      // a planned shutdown
-	faultHang                   faultKind = "hang"          // machines hang
+	faultHandover               faultKind = "handover" // a planned shutdown
+	faultHang                   faultKind = "hang"
 	faultPowerOff               faultKind = "power off"     // machines fail
 	faultCancelNow              faultKind = "cancel now"    // running jobs are cancelled
 	faultCancelAtEnd            faultKind = "cancel at end" // jobs are cancelled when their last task ends
--- a/internal/coordination/random_concurrent_faults_test.go
+++ b/internal/coordination/random_concurrent_faults_test.go
@@ -144,7 +144,7 @@
 			sim.settings.Params.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 120}, {Name: "blue", CPUs: 60, CPUsMax: 200}, {Name: "green"}}
 			sim.settings.Params.State.RPS, sim.settings.Params.State.WriteRPS = 600, 200
 		case 3:
-			sim.oldVersions = map[string]bool{"n1": true}
+			sim.controllersOfOldVersion = map[string]bool{"n1": true}
 		}
 	}
 }
--- a/internal/coordination/reassignment_test.go
+++ b/internal/coordination/reassignment_test.go
@@ -65,9 +65,9 @@
 	})
 }
 
-// If a reassignment races with the job's first start, one of them wins, and no task of a
-// reassigned job ever starts. The simulated cluster checks quotas and placement constraints at
-// each start.
+// If a reassignment races with the job's first start, only one of them succeeds, and no task of a
+// reassigned job ever starts. The simulated cluster checks quotas and placement constraints at each
+// start.
 func TestReassignmentRacesWithTheFirstStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(60); seed < 64; seed++ {
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -50,8 +50,9 @@
 	// alterReplicaUpdate changes the replica updates of partition leaders and the cluster
 	// leader before they arrive. It is called with the lock held.
 	alterReplicaUpdate func(*peer.ReplicaUpdate)
-	// oldVersions are the controllers that run a version without replication and delegation.
-	oldVersions map[string]bool
+	// controllersOfOldVersion are the controllers that run a version without replication and
+	// delegation.
+	controllersOfOldVersion map[string]bool
 	// onResponse is called with each response that a controller receives, and may drop it.
 	onResponse func(from, host, target string, body []byte, resp *transport.Response) (lost bool)
 	// identities, if set, makes the controllers authenticate their callers.
@@ -381,8 +382,8 @@
 	return held
 }
 
-// waitForNewLeader waits until a partition has a ready leader other than the controller before, and
-// returns its label.
+// waitForNewLeader waits until a partition has a ready leader other than the given one, and returns
+// its label.
 func (sim *simulatedCluster) waitForNewLeader(partition int, before string) string {
 	for range 300 {
 		time.Sleep(100 * time.Millisecond)
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -145,7 +145,7 @@
 // deliverToController delivers a message from one controller to another.
 func (sim *simulatedCluster) deliverToController(ctx context.Context, from string, receiver *simulatedController, method, path string, body []byte) *transport.Response {
 	sim.mu.Lock()
-	fromOldVersion, toOldVersion := sim.oldVersions[from], sim.oldVersions[receiver.label]
+	fromOldVersion, toOldVersion := sim.controllersOfOldVersion[from], sim.controllersOfOldVersion[receiver.label]
 	suppressNotices, alterUpdate := sim.suppressNotices, sim.alterReplicaUpdate
 	sim.mu.Unlock()
 	if (fromOldVersion || toOldVersion) && slices.Contains(pathsOfNewVersions, path) {
--- a/internal/coordination/tick.go
+++ b/internal/coordination/tick.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// servePartitions chooses the standbys of the partitions that this controller leads, and
-// triggers their next round of work.
+// servePartitions chooses the standby of each partition that this controller leads, and wakes the
+// partition's commit loop.
 func (c *Controller) servePartitions(now time.Time) {
 	for _, p := range c.Partitions {
 		if p.Held && p.Ready {
