--- a/internal/coordination/concurrent_command_faults_test.go
+++ b/internal/coordination/concurrent_command_faults_test.go
@@ -15,17 +15,17 @@
 	"micaspindle/internal/storage"
 )
 
-// capturedCommands is a message with commands that a controller sent and that was not delivered
+// capturedMessage is a message with commands that a controller sent and that was not delivered
 // to its machine.
-type capturedCommands struct {
+type capturedMessage struct {
 	machine string
 	body    []byte
 }
 
 // captureCommands withholds the messages with commands that a controller sends directly to
 // agents from now on. Messages that only raise the fencing token are delivered.
-func (sim *simulatedCluster) captureCommands(from string) (captured *[]capturedCommands) {
-	captured = new([]capturedCommands)
+func (sim *simulatedCluster) captureCommands(from string) (captured *[]capturedMessage) {
+	captured = new([]capturedMessage)
 	sim.withLock(func() {
 		sim.onRequest = func(sender, host, target string, body []byte) bool {
 			sim.mu.Lock()
@@ -33,7 +33,7 @@
 			if sender != from || target != "/orders" || sim.agents[host] == nil || commandOps(body)[fenceOp] {
 				return false
 			}
-			*captured = append(*captured, capturedCommands{host, body})
+			*captured = append(*captured, capturedMessage{host, body})
 			return true
 		}
 	})
@@ -42,7 +42,7 @@
 
 // deliverCaptured delivers captured messages to their agents, and returns the numbers of applied
 // and refused messages by operation.
-func (sim *simulatedCluster) deliverCaptured(messages []capturedCommands) (applied, refused map[string]int) {
+func (sim *simulatedCluster) deliverCaptured(messages []capturedMessage) (applied, refused map[string]int) {
 	applied, refused = map[string]int{}, map[string]int{}
 	for _, message := range messages {
 		var agent *agent.Agent
@@ -64,7 +64,7 @@
 
 // everySecondMessage returns the messages at even (from = 0) or odd (from = 1) indexes, so that
 // both halves are likely to contain all operations.
-func everySecondMessage(messages []capturedCommands, from int) (list []capturedCommands) {
+func everySecondMessage(messages []capturedMessage, from int) (list []capturedMessage) {
 	for i := from; i < len(messages); i += 2 {
 		list = append(list, messages[i])
 	}
@@ -72,7 +72,7 @@
 }
 
 // hasStartsAndStops reports whether the messages contain starts as well as stops or reaps.
-func hasStartsAndStops(messages []capturedCommands) bool {
+func hasStartsAndStops(messages []capturedMessage) bool {
 	ops := map[string]bool{}
 	for _, message := range messages {
 		maps.Copy(ops, commandOps(message.body))
@@ -107,7 +107,7 @@
 		if err := sim.sendCommandsOfAllKinds(leader, "job-101"); err != nil {
 			return err
 		}
-		var sent []capturedCommands
+		var sent []capturedMessage
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
 			sim.withLock(func() { sent = slices.Clone(*captured) })
--- a/internal/coordination/fairness_test.go
+++ b/internal/coordination/fairness_test.go
@@ -271,7 +271,7 @@
 // They must include demands of starved groups, but also of other groups.
 func TestDemandsOfStarvedGroupsComeFirst(t *testing.T) {
 	t.Parallel()
-	starvedMax := peering.MinDemands / peering.StarvedDemandsDivisor
+	starvedMax := peering.MinDemandsLimit / peering.StarvedDemandsDivisor
 	var list []*cluster.Job
 	for i := range 300 {
 		list = append(list, &cluster.Job{ClassGroup: 7, Pending: []int{i}})
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -484,11 +484,11 @@
 			}
 		}},
 		{"demands", telemetry.Demands, func(t *testing.T, c *Controller) {
-			for i := range peering.MinDemands + 1 {
+			for i := range peering.MinDemandsLimit + 1 {
 				c.addQueuedJob(fmt.Sprint("job-", i), 1)
 			}
-			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.MinDemands {
-				t.Errorf("%d demands in the summary, want %d", n, peering.MinDemands)
+			if n := len(c.peering.PartitionSummary(c.Partitions[c.TeamPartition[c.TeamIndex["green"]]], time.Now()).Demands); n != peering.MinDemandsLimit {
+				t.Errorf("%d demands in the summary, want %d", n, peering.MinDemandsLimit)
 			}
 		}},
 		{"cancellation notices", telemetry.Cancellations, func(t *testing.T, c *Controller) {
--- a/internal/coordination/peering/bounds.go
+++ b/internal/coordination/peering/bounds.go
@@ -5,12 +5,10 @@
 // message and 100 in memory.
 const JobProgressLimit = 8000
 
-// MinDemands is the maximum number of demands in the summary of a small partition. For a larger
-// one, the maximum grows with the number of machines.
-const MinDemands = 200
+// MinDemandsLimit is the lower bound of DemandsLimit, which applies to small partitions.
+const MinDemandsLimit = 200
 
-// machinesPerDemand is the ratio of a large partition's machines to the maximum number of demands
-// in its summary.
+// machinesPerDemand is the ratio of a large partition's machines to its DemandsLimit.
 const machinesPerDemand = 4
 
 // StarvedDemandsDivisor is the ratio of the maximum number of demands in a summary to the maximum
@@ -21,4 +19,4 @@
 
 // DemandsLimit returns the maximum number of demands in the summary of a partition with a number of
 // machines.
-func DemandsLimit(machines int) int { return max(MinDemands, machines/machinesPerDemand) }
+func DemandsLimit(machines int) int { return max(MinDemandsLimit, machines/machinesPerDemand) }
--- a/internal/coordination/tick.go
+++ b/internal/coordination/tick.go
@@ -22,7 +22,7 @@
 	c.revokeDeadPeers(now)
 	c.shareWriteRate(now)
 	c.proxy.Rebalance(now)
-	c.servePartitions(now)
+	c.tickPartitions(now)
 	dropOlder(c.DeletedMachines, now, deletedMachineRetention)
 	dropOlder(c.DivertedMachines, now, divertedMachineRetention)
 }
@@ -34,9 +34,9 @@
 	}
 }
 
-// servePartitions chooses the standby of each partition that this controller leads, and wakes the
+// tickPartitions chooses the standby of each partition that this controller leads, and wakes the
 // partition's commit loop.
-func (c *Controller) servePartitions(now time.Time) {
+func (c *Controller) tickPartitions(now time.Time) {
 	for _, p := range c.Partitions {
 		if p.Held && p.Ready {
 			c.takeover.ChooseStandby(p, now)
