--- a/internal/coordination/binpack/binpack.go
+++ b/internal/coordination/binpack/binpack.go
@@ -44,18 +44,18 @@
 	return max(slots, 0)
 }
 
-// Compute is the usage or the limit of a team, in the resources that team limits apply to.
-type Compute struct{ CPUs, GPUs float64 }
+// TeamResources is the usage or the limit of a team, in the resources that team limits apply to.
+type TeamResources struct{ CPUs, GPUs float64 }
 
 // Add adds times × need.
-func (c *Compute) Add(need Resources, times float64) {
+func (c *TeamResources) Add(need Resources, times float64) {
 	c.CPUs += times * need.CPUs
 	c.GPUs += times * need.GPUs
 }
 
 // Allows reports whether a team stays within the limit c when it starts one more task in addition to
 // its present usage. A limit of 0 means no limit.
-func (c Compute) Allows(used Compute, need Resources) bool {
+func (c TeamResources) Allows(used TeamResources, need Resources) bool {
 	return (c.CPUs <= 0 || used.CPUs+need.CPUs <= c.CPUs+Epsilon) &&
 		(c.GPUs <= 0 || used.GPUs+need.GPUs <= c.GPUs+Epsilon)
 }
--- a/internal/coordination/cluster/partition.go
+++ b/internal/coordination/cluster/partition.go
@@ -58,7 +58,7 @@
 	// Scheduling, on the leader.
 
 	// Usage is the resource usage of the live attempts, by team index.
-	Usage []binpack.Compute
+	Usage []binpack.TeamResources
 	// QueueOrder are the jobs with work for the leader, in scheduling order, computed
 	// at QueueOrderedAt; nil if the order must be recomputed. IdleJobs are the other
 	// jobs that have run state and are not blocked.
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -18,8 +18,8 @@
 }
 
 // TeamLimit returns the limit on the resources that a team uses at a time.
-func TeamLimit(team settings.Team) binpack.Compute {
-	return binpack.Compute{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+func TeamLimit(team settings.Team) binpack.TeamResources {
+	return binpack.TeamResources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 }
 
 // MachineKindOf returns the kind of a machine on record.
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -171,7 +171,7 @@
 		s.Partitions = append(s.Partitions, &Partition{
 			Index:       i,
 			Wakeup:      make(chan struct{}, 1),
-			Usage:       make([]binpack.Compute, len(s.Settings.Params.Teams)),
+			Usage:       make([]binpack.TeamResources, len(s.Settings.Params.Teams)),
 			DoneTallies: map[int]*fairshare.Tally{},
 		})
 	}
--- a/internal/coordination/fairshare/fairshare_test.go
+++ b/internal/coordination/fairshare/fairshare_test.go
@@ -120,7 +120,7 @@
 
 func TestQuotas(t *testing.T) {
 	use := func(class int, used, wanted float64) ClassUse {
-		return ClassUse{class, binpack.Compute{CPUs: used}, binpack.Compute{CPUs: wanted}}
+		return ClassUse{class, binpack.TeamResources{CPUs: used}, binpack.TeamResources{CPUs: wanted}}
 	}
 	for name, c := range map[string]struct {
 		uses []ClassUse
@@ -135,7 +135,7 @@
 		"nothing for a class that is not starved": {[]ClassUse{use(4, 0, 500)}, map[int]float64{}},
 	} {
 		got := map[int]float64{}
-		for _, q := range ReserveQuotas([]float64{0, 0.5, 0.5, 0.1, 0}, binpack.Compute{CPUs: 100}, c.uses) {
+		for _, q := range ReserveQuotas([]float64{0, 0.5, 0.5, 0.1, 0}, binpack.TeamResources{CPUs: 100}, c.uses) {
 			got[q.Class] = q.Reserved.CPUs
 		}
 		if !reflect.DeepEqual(got, c.want) {
--- a/internal/coordination/fairshare/quota.go
+++ b/internal/coordination/fairshare/quota.go
@@ -11,20 +11,20 @@
 // its pending tasks need.
 type ClassUse struct {
 	Class        int
-	Used, Wanted binpack.Compute
+	Used, Wanted binpack.TeamResources
 }
 
 // ReservedQuota is the part of a team's limit that is reserved for a class.
 type ReservedQuota struct {
 	Class    int
-	Reserved binpack.Compute
+	Reserved binpack.TeamResources
 }
 
 // ReserveQuotas returns the part of a team's limit that is reserved for each starved class. Tasks of
 // the team's other classes may not use it. shares are the groups' ReservedShares. Classes that want the
 // least are served first. Nothing is reserved for a class that already uses MaxReservedShare of the
 // limit, and no more than MaxReservedShare is reserved for all classes together.
-func ReserveQuotas(shares []float64, limit binpack.Compute, uses []ClassUse) []ReservedQuota {
+func ReserveQuotas(shares []float64, limit binpack.TeamResources, uses []ClassUse) []ReservedQuota {
 	uses = slices.Clone(uses)
 	slices.SortFunc(uses, func(a, b ClassUse) int {
 		return cmp.Or(cmp.Compare(a.Wanted.CPUs+a.Used.CPUs, b.Wanted.CPUs+b.Used.CPUs), cmp.Compare(a.Class, b.Class))
@@ -36,11 +36,11 @@
 		if share <= 0 {
 			continue
 		}
-		reserved := binpack.Compute{
+		reserved := binpack.TeamResources{
 			CPUs: cpus.reserve(share, use.Used.CPUs, use.Wanted.CPUs),
 			GPUs: gpus.reserve(share, use.Used.GPUs, use.Wanted.GPUs),
 		}
-		if reserved != (binpack.Compute{}) {
+		if reserved != (binpack.TeamResources{}) {
 			quotas = append(quotas, ReservedQuota{Class: use.Class, Reserved: reserved})
 		}
 	}
--- a/internal/coordination/peering/demand.go
+++ b/internal/coordination/peering/demand.go
@@ -20,7 +20,7 @@
 // demands returns the demand of a partition's waiting tasks for machines beyond the expected ones:
 // one entry for each job, starved groups first, up to the limit.
 func (e *Exchange) demands(partition *cluster.Partition, expected []expectedMachine, limit int, now time.Time) (list []*peer.Demand) {
-	taken := make([]binpack.Compute, len(partition.Usage)) // by the jobs handled so far, per team
+	taken := make([]binpack.TeamResources, len(partition.Usage)) // by the jobs handled so far, per team
 	for _, job := range partition.FairShare.StarvedFirst(e.scheduler.Queue(partition), limit/StarvedDemandsDivisor) {
 		if len(job.Pending) == 0 || job.Ended || now.Before(job.BackoffUntil) {
 			continue
@@ -45,7 +45,7 @@
 // countWithinTeamLimit returns the number of a job's waiting tasks that may start within the team's
 // limits. These limits are reduced by the team's usage and by taken, the resources for jobs handled
 // before.
-func (e *Exchange) countWithinTeamLimit(partition *cluster.Partition, job *cluster.Job, taken binpack.Compute) int {
+func (e *Exchange) countWithinTeamLimit(partition *cluster.Partition, job *cluster.Job, taken binpack.TeamResources) int {
 	count := len(job.Pending)
 	team, used := e.Settings.Params.Teams[job.Team], partition.Usage[job.Team]
 	if team.CPUsMax > 0 && job.Spec.CPUs > 0 {
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -84,7 +84,7 @@
 // Team is a team's limit, its usage, and the parts of the limit that are reserved for starved
 // classes. A limit of 0 means no limit.
 type Team struct {
-	Limit, Used binpack.Compute
+	Limit, Used binpack.TeamResources
 	Reserved    []fairshare.ReservedQuota
 }
 
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -58,7 +58,7 @@
 		}, Plan{Assignments: []Assignment{{0, 1}}}},
 		"machine where the job failed": {func(v *View, d *fakeDetails) { v.Jobs[0].FailedMachines = map[string]bool{"a": true} }, Plan{Assignments: []Assignment{{0, 1}}}},
 		"team limit": {func(v *View, d *fakeDetails) {
-			v.Jobs[0].Pending, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 3.5}}
+			v.Jobs[0].Pending, v.Teams[0] = 3, Team{Limit: binpack.TeamResources{CPUs: 8}, Used: binpack.TeamResources{CPUs: 3.5}}
 		}, Plan{Assignments: []Assignment{{0, 0}, {0, 0}}}},
 		"spread over zones": {func(v *View, d *fakeDetails) {
 			v.Jobs[0] = job(4, 1)
@@ -89,14 +89,14 @@
 			v.Machines[0].ReservedFor, v.Jobs[1].Groups, v.Machines[1].Free.CPUs = 2, [2]int{1, 2}, 0
 		}, Plan{Assignments: []Assignment{{1, 0}}}},
 		"part of the team limit reserved for another class": {func(v *View, d *fakeDetails) {
-			v.Jobs[0].Pending, v.Teams[0] = 3, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
+			v.Jobs[0].Pending, v.Teams[0] = 3, Team{Limit: binpack.TeamResources{CPUs: 8}, Used: binpack.TeamResources{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.TeamResources{CPUs: 3}}}}
 		}, Plan{Assignments: []Assignment{{0, 0}}}},
 		"part of the team limit reserved for the job's class": {func(v *View, d *fakeDetails) {
-			v.Jobs[0].Pending, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
+			v.Jobs[0].Pending, v.Jobs[0].Class, v.Teams[0] = 9, 4, Team{Limit: binpack.TeamResources{CPUs: 8}, Used: binpack.TeamResources{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.TeamResources{CPUs: 3}}}}
 		}, Plan{Assignments: []Assignment{{0, 0}, {0, 0}, {0, 1}}}},
 		"reservation of the team limit is used up": {func(v *View, d *fakeDetails) {
 			v.Jobs = []Job{job(1, 3), job(2, 2)}
-			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: binpack.Compute{CPUs: 8}, Used: binpack.Compute{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.Compute{CPUs: 3}}}}
+			v.Jobs[0].Class, v.Teams[0] = 4, Team{Limit: binpack.TeamResources{CPUs: 8}, Used: binpack.TeamResources{CPUs: 2}, Reserved: []fairshare.ReservedQuota{{Class: 4, Reserved: binpack.TeamResources{CPUs: 3}}}}
 		}, Plan{Assignments: []Assignment{{0, 0}, {1, 0}}}},
 		"no machines": {func(v *View, d *fakeDetails) { v.Machines = nil }, Plan{}},
 	} {
@@ -123,7 +123,7 @@
 		build := func() View {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var d fakeDetails
-			v := View{Teams: []Team{{}, {Limit: binpack.Compute{CPUs: float64(rng.IntN(40))}}}, Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{LengthS: 3600, OverdueS: 1}}
+			v := View{Teams: []Team{{}, {Limit: binpack.TeamResources{CPUs: float64(rng.IntN(40))}}}, Scarcity: binpack.Scarcity{}, Horizon: contention.Horizon{LengthS: 3600, OverdueS: 1}}
 			for i := range rng.IntN(8) {
 				v.Machines = append(v.Machines, machine(fmt.Sprint("m-", i), fmt.Sprint(rng.IntN(3)), float64(rng.IntN(17)), rng.IntN(2) == 0))
 				var tasks []contention.Task
--- a/internal/coordination/preemption/preemption.go
+++ b/internal/coordination/preemption/preemption.go
@@ -38,7 +38,7 @@
 }
 
 // Team is a team's guarantee, limit and usage. A guarantee or limit of 0 means none.
-type Team struct{ Guarantee, Limit, Used binpack.Compute }
+type Team struct{ Guarantee, Limit, Used binpack.TeamResources }
 
 // Job is a job with pending tasks, or with running tasks that may be preempted.
 type Job struct {
--- a/internal/coordination/preemption/preemption_test.go
+++ b/internal/coordination/preemption/preemption_test.go
@@ -17,8 +17,8 @@
 const red, blue, green = 0, 1, 2
 
 func teams() []Team {
-	guarantee := binpack.Compute{CPUs: 16}
-	return []Team{{Guarantee: guarantee, Used: binpack.Compute{CPUs: 20}}, {Guarantee: guarantee, Used: binpack.Compute{CPUs: 8}}, {Used: binpack.Compute{CPUs: 4}}}
+	guarantee := binpack.TeamResources{CPUs: 16}
+	return []Team{{Guarantee: guarantee, Used: binpack.TeamResources{CPUs: 20}}, {Guarantee: guarantee, Used: binpack.TeamResources{CPUs: 8}}, {Used: binpack.TeamResources{CPUs: 4}}}
 }
 
 // urgentJob returns a job with one pending task that must start now.
--- a/internal/coordination/preemption/quota.go
+++ b/internal/coordination/preemption/quota.go
@@ -25,9 +25,9 @@
 // lowerUrgencyTasks returns the tasks of a job's team that may be preempted for the job, by ascending
 // lost work, and the unused part of the team limit once its stopping tasks of lower urgency have
 // ended.
-func (r *round) lowerUrgencyTasks(job *Job) (available binpack.Compute, victims []int) {
+func (r *round) lowerUrgencyTasks(job *Job) (available binpack.TeamResources, victims []int) {
 	team := &r.Teams[job.Team]
-	available = binpack.Compute{CPUs: team.Limit.CPUs - team.Used.CPUs, GPUs: team.Limit.GPUs - team.Used.GPUs}
+	available = binpack.TeamResources{CPUs: team.Limit.CPUs - team.Used.CPUs, GPUs: team.Limit.GPUs - team.Used.GPUs}
 	for i := range r.Tasks {
 		task, lower := &r.Tasks[i], r.jobOf(i)
 		if lower.Team != job.Team || lower.Urgency >= job.Urgency || task.protectedFrom(job) {
@@ -48,7 +48,7 @@
 
 // quotaSuffices reports whether the available part of a team limit is enough for all pending tasks
 // of a job, or for as many of them as fit within the limit at all.
-func quotaSuffices(job *Job, limit, available binpack.Compute) bool {
+func quotaSuffices(job *Job, limit, available binpack.TeamResources) bool {
 	pending := float64(job.Pending)
 	suffices := func(limit, available, need float64) bool {
 		return limit <= 0 || pending*need <= available+binpack.Epsilon || available >= limit-need
--- a/internal/coordination/scheduler/done_counts.go
+++ b/internal/coordination/scheduler/done_counts.go
@@ -58,7 +58,7 @@
 	if s.FinalStates[id] != protocol.StatusDone {
 		return
 	}
-	var spec protocol.JobKind
+	var spec protocol.JobClassAndTeam
 	if storage.Decode(raw, &spec) != nil {
 		return
 	}
--- a/internal/coordination/scheduler/preemption_view.go
+++ b/internal/coordination/scheduler/preemption_view.go
@@ -140,7 +140,7 @@
 func (s *Scheduler) preemptionTeam(p *cluster.Partition, index int) preemption.Team {
 	team := s.Settings.Params.Teams[index]
 	return preemption.Team{
-		Guarantee: binpack.Compute{CPUs: team.CPUs, GPUs: team.GPUs},
+		Guarantee: binpack.TeamResources{CPUs: team.CPUs, GPUs: team.GPUs},
 		Limit:     cluster.TeamLimit(team),
 		Used:      p.Usage[index],
 	}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -32,7 +32,7 @@
 		"state-lease":        golden.Fill(&protocol.Lease{}),
 		"state-events":       golden.Fill(&protocol.Events{}),
 		"record-job":         golden.Fill(&protocol.JobSpec{}),
-		"record-job-of-kind": golden.Fill(&protocol.JobKind{}),
+		"record-job-of-kind": golden.Fill(&protocol.JobClassAndTeam{}),
 	} {
 		t.Run(name, func(t *testing.T) { golden.Check(t, name, message, golden.MessagePack) })
 	}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -55,9 +55,9 @@
 	Replaces string `msgpack:"rp,omitempty"`
 }
 
-// JobKind holds the class and the team of a job. No other fields of a JobSpec are read once its job
+// JobClassAndTeam holds the class and the team of a job. No other fields of a JobSpec are read once its job
 // is in a final state.
-type JobKind struct {
+type JobClassAndTeam struct {
 	Class string `msgpack:"cl"`
 	Team  string `msgpack:"tm"`
 }
