--- a/cmd/micaspindle-regress/main.go
+++ b/cmd/micaspindle-regress/main.go
@@ -1,5 +1,5 @@
-// Command micaspindle-regress plays the users' benchmark before a change lands and says
-// whether the change may land. It needs the benchmark kit, which is not part of the repository.
+// Command micaspindle-regress runs the users' benchmark and decides from its results whether a
+// change may land. It needs the benchmark kit, which is not part of the repository.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	Tests       testsCmd       `cmd:"" help:"Run the project's tests except those that are known to fail."`
 	Compare     compareCmd     `cmd:"" help:"Compare the latest scores of the journal with earlier ones, without playing anything."`
 
-	// The former names of commands, kept for one release.
+	// Former names of commands, kept for one release.
 	Night scenariosCmd   `cmd:"" hidden:"" help:"Former name of scenarios."`
 	Hunt  faultSearchCmd `cmd:"" hidden:"" help:"Former name of fault-search."`
 }
@@ -35,20 +35,20 @@
 process that exited by itself, or a score that fell; 2 wrong arguments, or no kit;
 3 the benchmark could not be run to completion.`
 
-// The exit codes, as the description tells them.
+// Exit codes; description documents them.
 const (
 	exitMayNotLand = 1
 	exitUsage      = 2
 	exitIncomplete = 3
 )
 
-// usageError marks a mistake of the caller; it ends the process with exitUsage.
+// usageError is an error in the arguments or the environment; the process exits with exitUsage.
 type usageError struct{ error }
 
-// errMayNotLand ends the process with exitMayNotLand; the table says why.
+// errMayNotLand makes the process exit with exitMayNotLand; the printed table gives the reason.
 var errMayNotLand = errors.New("the change may not land")
 
-// exitCode is the exit code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errMayNotLand):
--- a/internal/regress/compare.go
+++ b/internal/regress/compare.go
@@ -7,57 +7,60 @@
 	"strings"
 )
 
-// MaxFall is by how much a score may be below what it was.
-const MaxFall = 0.03
+// MaxScoreDrop is the largest allowed difference between an earlier score and a lower new one.
+const MaxScoreDrop = 0.03
 
 const (
-	// recentRuns is how many earlier scores count. A score is compared with their median, so
-	// that neither one lucky run nor one unlucky one decides, and a series of small falls shows.
+	// recentRuns is the number of latest earlier scores whose median a new score is compared
+	// with. The median limits the effect of a single outlier, and a series of small drops shows.
 	recentRuns = 5
-	// dayNoiseFactor is how many times its noise the score of a day must fall to count.
+	// dayNoiseFactor is the multiple of its standard deviation by which the score of a day
+	// must drop before the drop counts.
 	dayNoiseFactor = 2
-	// roundingTolerance keeps rounding errors from counting as falls.
+	// roundingTolerance keeps rounding errors from counting as drops.
 	roundingTolerance = 1e-9
-	// freshDayPrefix begins the names of days that the benchmark drew at random.
-	freshDayPrefix = "fresh-"
+	// randomDayPrefix is the name prefix of days that the benchmark generated at random.
+	randomDayPrefix = "fresh-"
 )
 
-// Row is a line of the comparison: a site, or one of its days.
+// Row is one row of the comparison: the score of a site, or of one of its days.
 type Row struct {
 	Site string `json:"site"`
 	// Day is empty for the site's own score.
 	Day string  `json:"day"`
 	Now float64 `json:"now"`
 	// Before is the median of the Runs latest earlier scores, and Noise their
-	// standard deviation; both are undefined where Runs is 0.
+	// standard deviation; both are undefined if Runs is 0.
 	Before float64 `json:"before"`
 	Noise  float64 `json:"noise"`
 	Runs   int     `json:"runs"`
-	// Failed says why the change may not land, Note what deserves attention.
+	// Failed is the reason why the change may not land, and Note a remark that does not
+	// prevent it.
 	Failed string `json:"failed,omitempty"`
 	Note   string `json:"note,omitempty"`
-	// Fell: only a lower score forbids to land, which another run may show to be chance.
-	Fell bool `json:"fell,omitempty"`
+	// OnlyScoreDrop is set if the row failed only because of a lower score, which a repeated
+	// run may show to be chance.
+	OnlyScoreDrop bool `json:"fell,omitempty"`
 }
 
-// FellOnly lists the sites of which nothing but lower scores forbid to land.
-func FellOnly(rows []Row) []string {
+// SitesWithOnlyScoreDrops lists the sites whose rows failed only because of lower scores.
+func SitesWithOnlyScoreDrops(rows []Row) []string {
 	fellOnly := map[string]bool{}
 	for _, row := range rows {
 		if row.Failed == "" {
 			continue
 		}
 		before, known := fellOnly[row.Site]
-		fellOnly[row.Site] = row.Fell && (before || !known)
+		fellOnly[row.Site] = row.OnlyScoreDrop && (before || !known)
 	}
 	maps.DeleteFunc(fellOnly, func(_ string, only bool) bool { return !only })
 	return slices.Sorted(maps.Keys(fellOnly))
 }
 
-// Compare compares the entries of now with earlier ones. A broken rule, a failed day and a process
-// that ended by itself forbid to land wherever they occur; so does a site's score that fell by more
-// than MaxFall. A day's score also has to fall by more than dayNoiseFactor times its noise: a single
-// day differs more from run to run than a site.
+// Compare compares new entries with earlier ones. A row fails on a violated rule, a failed day or a
+// process that exited by itself, and if a site's score dropped by more than MaxScoreDrop. A day's
+// score must also drop by more than dayNoiseFactor times its noise, since the score of a single day
+// varies more from run to run than that of a site.
 func Compare(earlier, now []Entry) []Row {
 	var rows []Row
 	for _, entry := range now {
@@ -93,8 +96,8 @@
 	return row
 }
 
-// earlierSiteScores are the earlier scores of the entry's site, oldest first, that are made of the
-// same standard days.
+// earlierSiteScores returns the earlier scores of the entry's site, oldest first, that were computed
+// from the same standard days.
 func earlierSiteScores(earlier []Entry, entry Entry) []float64 {
 	var scores []float64
 	for _, other := range earlier {
@@ -105,17 +108,17 @@
 	return scores
 }
 
-// sameStandardDays says whether two scores are made of the same standard days. A day that was
-// drawn at random is new each time and does not count.
+// sameStandardDays reports whether two scores were computed from the same standard days. Days that
+// are generated at random differ in each run and are ignored.
 func sameStandardDays(a, b Entry) bool {
 	return slices.Equal(a.standardDayKeys(), b.standardDayKeys())
 }
 
-// standardDayKeys are the sorted keys of the entry's standard days.
+// standardDayKeys returns the sorted keys of the entry's standard days.
 func (e Entry) standardDayKeys() []string {
 	var keys []string
 	for _, day := range e.Days {
-		if !strings.HasPrefix(day.Name, freshDayPrefix) {
+		if !strings.HasPrefix(day.Name, randomDayPrefix) {
 			keys = append(keys, day.Key)
 		}
 	}
@@ -123,8 +126,8 @@
 	return keys
 }
 
-// earlierDayScores are the earlier scores of a day, oldest first. Only those of the command score
-// count: single runs may be of other seeds, or without limits on processor time.
+// earlierDayScores returns the earlier scores of a day, oldest first, from entries of the score
+// command only: single runs may use other seeds, or have no CPU limits.
 func earlierDayScores(earlier []Entry, site, key string) []float64 {
 	var scores []float64
 	for _, entry := range earlier {
@@ -140,11 +143,11 @@
 	return scores
 }
 
-// failure says why the day forbids to land; "": it does not.
+// failure returns why the change may not land because of this day, or "".
 func (d Day) failure() string {
 	var reasons []string
-	for _, rule := range slices.Sorted(maps.Keys(d.Broken)) {
-		if times := d.Broken[rule]; times > 0 {
+	for _, rule := range slices.Sorted(maps.Keys(d.Violations)) {
+		if times := d.Violations[rule]; times > 0 {
 			reasons = append(reasons, fmt.Sprintf("rule broken: %s (%d times)", rule, times))
 		}
 	}
@@ -157,26 +160,26 @@
 	return strings.Join(reasons, "; ")
 }
 
-// compareWith compares the row with earlier scores, oldest first. A fall counts if it exceeds
-// MaxFall and noiseFactor times the noise.
+// compareWith compares the row's score with earlier ones, oldest first. The row fails if the score
+// dropped by more than MaxScoreDrop and by more than noiseFactor times the noise.
 func (r *Row) compareWith(earlier []float64, noiseFactor float64) {
 	earlier = earlier[max(0, len(earlier)-recentRuns):]
 	r.Runs = len(earlier)
 	if r.Runs == 0 {
-		r.Note = "first figure"
+		r.Note = "no earlier score"
 		return
 	}
-	r.Before, r.Noise = median(earlier), deviation(earlier)
-	fall := r.Before - r.Now
+	r.Before, r.Noise = median(earlier), standardDeviation(earlier)
+	drop := r.Before - r.Now
 	switch {
-	case fall > max(MaxFall, noiseFactor*r.Noise)+roundingTolerance:
-		r.Failed, r.Fell = fmt.Sprintf("fell by %.3f", fall), true
-	case fall > MaxFall+roundingTolerance:
-		r.Note = fmt.Sprintf("fell by %.3f, within its noise", fall)
+	case drop > max(MaxScoreDrop, noiseFactor*r.Noise)+roundingTolerance:
+		r.Failed, r.OnlyScoreDrop = fmt.Sprintf("fell by %.3f", drop), true
+	case drop > MaxScoreDrop+roundingTolerance:
+		r.Note = fmt.Sprintf("fell by %.3f, within its noise", drop)
 	}
 }
 
-// Failures counts the rows that forbid to land.
+// Failures returns the number of failed rows.
 func Failures(rows []Row) int {
 	count := 0
 	for _, row := range rows {
--- a/internal/regress/known_failures.go
+++ b/internal/regress/known_failures.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// KnownFailure is a test that fails for a known fault that is not fixed yet.
+// KnownFailure is a test that fails because of a known fault that is not fixed yet.
 type KnownFailure struct {
-	// Package is the test's directory, Test its name, with those of subtests after slashes.
+	// Package is the test's directory, and Test its name, with names of subtests after slashes.
 	Package, Test string
-	// Cause says what the fault is, Issue which issue is to fix it.
+	// Cause describes the fault, and Issue is the number of the issue about it.
 	Cause string
 	Issue string
-	// Line is the line as it stands in the file.
+	// Line is the unchanged line of the file.
 	Line string
 }
 
-// MaxKnownFailures is how many tests may be known to fail at a time.
+// MaxKnownFailures is the maximum length of the list.
 const MaxKnownFailures = 3
 
-// knownFailureLine is a line of the list: package, test, cause and issue.
+// knownFailureLine matches a line of the list: package, test, cause and issue.
 var knownFailureLine = regexp.MustCompile(`^(\S+) (Test\w*(?:/\S+)?): (\S.*\S) \(issue (\d+)\)$`)
 
-// ParseKnownFailures reads the list of tests that may fail: a line each, "PACKAGE TEST: CAUSE
-// (issue N)". An empty list skips nothing.
+// ParseKnownFailures parses the list of tests that are known to fail, with one line for each:
+// "PACKAGE TEST: CAUSE (issue N)". Empty lines are ignored.
 func ParseKnownFailures(text string) ([]KnownFailure, error) {
 	var list []KnownFailure
 	var invalid []error
@@ -46,8 +46,8 @@
 	return list, errors.Join(invalid...)
 }
 
-// SkipPattern matches just these tests of one package, as go test's -skip takes it: of a
-// test with subtests the named one only.
+// SkipPattern returns a pattern for go test's -skip flag that matches exactly the given tests of
+// one package. A subtest is matched without its siblings.
 func SkipPattern(tests []string) string {
 	var all []string
 	for _, test := range tests {
--- a/internal/regress/merge.go
+++ b/internal/regress/merge.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Merge makes one entry of the runs of a site with the same command and mode: the means of their
-// scores, and all that went wrong in any of them. Only scores are merged, since a fault search
-// plays other days each time.
-func Merge(entries []Entry) []Entry {
+// MergeRuns merges entries of the same site, command and mode into one, with the mean scores and the
+// failures of all. Only entries of the score command are merged, since a fault search plays other
+// days each time.
+func MergeRuns(entries []Entry) []Entry {
 	var merged []Entry
 	runs := map[int]float64{} // by index in merged
 	for _, entry := range entries {
-		index := slices.IndexFunc(merged, entry.isRunOf)
+		index := slices.IndexFunc(merged, entry.isRepeatOf)
 		if index < 0 || entry.Command != commandScore {
 			entry.Days = slices.Clone(entry.Days)
 			merged = append(merged, entry)
 			runs[len(merged)-1] = 1
 			continue
 		}
-		merged[index].add(entry, runs[index])
+		merged[index].addRun(entry, runs[index])
 		runs[index]++
 	}
 	return merged
 }
 
-// isRunOf says whether two entries are of the same site, command and mode. Entries without a site
-// are only themselves.
-func (e Entry) isRunOf(other Entry) bool {
+// isRepeatOf reports whether two entries have the same site, command and mode. An entry without a
+// site matches only itself.
+func (e Entry) isRepeatOf(other Entry) bool {
 	return other.Site == e.Site && other.Command == e.Command && other.Quick == e.Quick && (e.Site != "" || other.ID == e.ID)
 }
 
-// add merges a further run into an entry that has so many.
-func (e *Entry) add(run Entry, runs float64) {
+// addRun merges another run into an entry that consists of the given number of runs.
+func (e *Entry) addRun(run Entry, runs float64) {
 	e.Score = meanWith(e.Score, runs, run.Score)
 	if run.Failure != "" {
 		e.Failure = run.Failure
@@ -43,25 +43,25 @@
 			e.Days = append(e.Days, day)
 			continue
 		}
-		e.Days[index].add(day, runs)
+		e.Days[index].addRun(day, runs)
 	}
 }
 
-// add merges a further run of a day into one that has so many.
-func (d *Day) add(run Day, runs float64) {
+// addRun merges another run of a day into a day that consists of the given number of runs.
+func (d *Day) addRun(run Day, runs float64) {
 	d.Score = meanWith(d.Score, runs, run.Score)
 	d.Restarts += run.Restarts
-	d.Broken = maps.Clone(d.Broken)
-	for rule, times := range run.Broken {
-		if d.Broken == nil {
-			d.Broken = map[string]int{}
+	d.Violations = maps.Clone(d.Violations)
+	for rule, times := range run.Violations {
+		if d.Violations == nil {
+			d.Violations = map[string]int{}
 		}
-		d.Broken[rule] += times
+		d.Violations[rule] += times
 	}
 	if run.Failure != "" {
 		d.Failure = run.Failure
 	}
 }
 
-// meanWith is the mean of so many values and one more.
+// meanWith returns the mean of count values with the given mean and one more value.
 func meanWith(mean, count, value float64) float64 { return (mean*count + value) / (count + 1) }
--- a/internal/regress/scenario/encode.go
+++ b/internal/regress/scenario/encode.go
@@ -7,24 +7,24 @@
 	"github.com/BurntSushi/toml"
 )
 
-// How much longer than the median the slowest tasks run, where a scenario says for how long a
-// class's tasks run: the 95th percentile and the maximum, as multiples of the median.
+// The 95th percentile and the maximum of the runtimes of tasks as multiples of the median, for
+// classes whose median runtime a scenario sets.
 const (
 	runP95Factor = 1.25
 	runMaxFactor = 1.4
 )
 
 const (
-	// bootFailures is the fraction of machines that fail to boot in a fault of booting.
+	// bootFailures is the fraction of machines that fail to boot during boot_trouble.
 	bootFailures = 0.2
-	// quickBootFactor is how long machines take to boot that boot quickly, as a multiple.
+	// quickBootFactor is the factor for boot times during quick_boots.
 	quickBootFactor = 0.05
 )
 
-// File is the site file.
+// File encodes the site file.
 func (s *Site) File() ([]byte, error) { return encode(s.all) }
 
-// ScenarioFile is a scenario in the benchmark's format, for this deployment.
+// ScenarioFile encodes a scenario for this deployment in the benchmark's format.
 func (s *Site) ScenarioFile(scenario *Scenario) ([]byte, error) {
 	var faults []map[string]any
 	for i := range scenario.Faults {
@@ -44,9 +44,9 @@
 	return encode(map[string]any{"day": []map[string]any{day}})
 }
 
-// encodeChange is how the jobs of a class differ, in the benchmark's format.
+// encodeChange converts the changes of a job class to the benchmark's format.
 func (s *Site) encodeChange(change ClassChange) map[string]any {
-	encoded := map[string]any{"name": s.classFor(change.Class)["name"]}
+	encoded := map[string]any{"name": s.resolveClass(change.Class)["name"]}
 	if change.Cancelled > 0 {
 		encoded["cancelled"] = change.Cancelled
 	}
@@ -56,7 +56,7 @@
 	return encoded
 }
 
-// encodeFault is a fault in the benchmark's format. Which fields it has depends on its kind.
+// encodeFault converts a fault to the benchmark's format. Its kind determines its fields.
 func (s *Site) encodeFault(f *Fault) map[string]any {
 	encoded := map[string]any{"at_s": f.AtS, "kind": f.Kind}
 	if f.ForS > 0 {
@@ -64,9 +64,9 @@
 	}
 	switch f.Kind {
 	case "job_burst":
-		encoded["class"], encoded["factor"] = s.classFor(f.Class)["name"], f.Factor
+		encoded["class"], encoded["factor"] = s.resolveClass(f.Class)["name"], f.Factor
 		if f.Team {
-			encoded["class"] = burstClass(f.Class)
+			encoded["class"] = burstClassName(f.Class)
 		}
 	case "machine_die", "machine_hang", "machine_sick":
 		encoded["count"] = int64(math.Ceil(f.Machines * float64(s.Machines())))
@@ -98,8 +98,8 @@
 	return encoded
 }
 
-// encodeControllerFault adds how many controllers a fault is of, the busiest first, and of a cut
-// what it cuts them off from.
+// encodeControllerFault adds the number of controllers that a fault affects, the busiest first, and
+// for a cut also what it cuts them off from.
 func (s *Site) encodeControllerFault(f *Fault, encoded map[string]any) {
 	controllers := f.Controllers
 	if controllers == 0 || controllers > s.Controllers() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// encodeMessageFault adds which fraction of messages a fault is of, and what becomes of them.
+// encodeMessageFault adds the fraction of messages that a fault affects, and what happens to them.
 func encodeMessageFault(f *Fault, encoded map[string]any) {
 	encoded["share"] = f.Share
 	if f.Kind == "late_writes" && f.AtOnce {
@@ -131,7 +131,7 @@
 	}
 }
 
-// encode writes TOML without indentation.
+// encode returns v as TOML without indentation.
 func encode(v any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := toml.NewEncoder(&buffer)
--- a/internal/regress/scenario/library.go
+++ b/internal/regress/scenario/library.go
@@ -12,11 +12,11 @@
 //go:embed days/*.yaml meetings/*.yaml
 var files embed.FS
 
-// LoadScenarios returns the project's load and failure scenarios, by name.
-func LoadScenarios() ([]Scenario, error) { return loadFolder("days") }
+// OverloadScenarios returns the project's overload and failure scenarios, sorted by name.
+func OverloadScenarios() ([]Scenario, error) { return loadFolder("days") }
 
-// FaultScenarios returns the scenarios in which two faults coincide, by name.
-func FaultScenarios() ([]Scenario, error) { return loadFolder("meetings") }
+// CoincidingFaultScenarios returns the scenarios in which two faults coincide, sorted by name.
+func CoincidingFaultScenarios() ([]Scenario, error) { return loadFolder("meetings") }
 
 // loadFolder reads the scenarios of an embedded folder.
 func loadFolder(folder string) ([]Scenario, error) {
--- a/internal/regress/scenario/site.go
+++ b/internal/regress/scenario/site.go
@@ -7,8 +7,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Site is a deployment as its site file describes it; what this package does not know of it
-// stays as it is.
+// Site is the contents of a site file, which describes a deployment. Unknown fields are preserved.
 type Site struct {
 	all      map[string]any
 	teams    []map[string]any
@@ -16,8 +15,8 @@
 	capacity []map[string]any
 }
 
-// ReadSite reads a site file.
-func ReadSite(data []byte) (*Site, error) {
+// ParseSite parses a site file.
+func ParseSite(data []byte) (*Site, error) {
 	s := &Site{all: map[string]any{}}
 	if err := toml.Unmarshal(data, &s.all); err != nil {
 		return nil, err
@@ -38,22 +37,22 @@
 	return s, nil
 }
 
-// Name is the deployment's.
+// Name returns the name of the deployment.
 func (s *Site) Name() string { return text(s.all["name"]) }
 
-// Wire is the name of the file, beside the site's, that it needs.
-func (s *Site) Wire() string { return text(s.all["wire"]) }
+// WireFile returns the name of the wire protocol's file in the folder of the site file, or "".
+func (s *Site) WireFile() string { return text(s.all["wire"]) }
 
-// nodes describes the controllers; ReadSite has checked that it is there.
+// nodes returns the section about the controllers, which ParseSite requires.
 func (s *Site) nodes() map[string]any { return s.all["nodes"].(map[string]any) }
 
-// Controllers is how many there are.
+// Controllers returns the number of controllers.
 func (s *Site) Controllers() int { return int(number(s.nodes()["count"])) }
 
-// socketLimit is how many connections a controller may have; 0: not said.
+// socketLimit returns how many connections a controller may have, or 0 if the site sets no limit.
 func (s *Site) socketLimit() float64 { return number(s.nodes()["max_connections"]) }
 
-// Machines is how many the cloud has.
+// Machines returns the number of machines that the cloud provides, including spot machines.
 func (s *Site) Machines() int {
 	total := 0.0
 	for _, capacity := range s.capacity {
@@ -62,7 +61,7 @@
 	return int(total)
 }
 
-// largestZone is the zone with most machines, of equals the first by name.
+// largestZone returns the zone with the most machines; ties are broken by name.
 func (s *Site) largestZone() string {
 	count := map[string]float64{}
 	for _, capacity := range s.capacity {
@@ -77,13 +76,13 @@
 	return largest
 }
 
-// machineCount is how many machines an entry of the capacity stands for, ordinary and spot.
+// machineCount returns the number of on-demand and spot machines of a capacity entry.
 func machineCount(capacity map[string]any) float64 {
 	return number(capacity["count"]) + number(capacity["spot"])
 }
 
-// class is the entry of a class of jobs; nil: there is none of that name.
-func (s *Site) class(name string) map[string]any {
+// findClass returns the entry of the job class with the given name, or nil.
+func (s *Site) findClass(name string) map[string]any {
 	for _, class := range s.jobs {
 		if class["name"] == name {
 			return class
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// number is a number of a site file; 0 if it is none.
+// number converts a value of a site file to a number, or 0 if it is not one.
 func number(v any) float64 {
 	switch n := v.(type) {
 	case int64:
@@ -103,7 +102,7 @@
 	return 0
 }
 
-// text is a string of a site file; "" if it is none.
+// text converts a value of a site file to a string, or "" if it is not one.
 func text(v any) string {
 	s, _ := v.(string)
 	return s
--- a/internal/regress/scenario/table.go
+++ b/internal/regress/scenario/table.go
@@ -9,7 +9,7 @@
 // tableHeader names the columns of Table.
 const tableHeader = "SITE\tDAY\tSTARTED\tDONE\tTOLD\tTEAM\tLARGEST\tIN TIME\tUSEFUL\tSOCKETS\tCPU\tOWNERLESS S\tLATE S\tREFUSED\tTOOK S\tVERDICT\n"
 
-// Table writes results, one a row, with columns separated by tabs.
+// Table writes a row for each result, with columns separated by tabs.
 func Table(out io.Writer, results []Result) error {
 	var rows strings.Builder
 	rows.WriteString(tableHeader)
@@ -28,10 +28,10 @@
 	}
 	fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t", r.Site, r.Scenario, r.Started, r.Done, r.Confirmed, r.Team, r.Largest, r.InTime)
 	fmt.Fprintf(out, "%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%d\t%.0f\t%s\n",
-		r.Useful, r.Sockets, r.Processor, r.LeaderlessS, r.SubmitP99S, r.Refusals, r.ElapsedS, verdict)
+		r.UsefulSpend, r.SocketUsage, r.CPUUsage, r.LeaderlessS, r.SubmitP99S, r.Refusals, r.ElapsedS, verdict)
 }
 
-// String is the share and whose it is; "-": there is none.
+// String returns the share and the name of the class or team, or "-" if the share is undefined.
 func (l LowestShare) String() string {
 	if l.Share > 1 {
 		return "-"
--- a/internal/regress/statistics.go
+++ b/internal/regress/statistics.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// median is the median of values, of which there must be one.
+// median returns the median of values, which must not be empty.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// deviation is the standard deviation of values; 0 of fewer than two.
-func deviation(values []float64) float64 {
+// standardDeviation returns the sample standard deviation of values, or 0 for fewer than two values.
+func standardDeviation(values []float64) float64 {
 	if len(values) < 2 {
 		return 0
 	}
