--- a/cmd/micaspindle-reapi/authentication.go
+++ b/cmd/micaspindle-reapi/authentication.go
@@ -26,17 +26,18 @@
 	access        reapi.Access
 	controllers   *client.Client
 	serverOptions []grpc.ServerOption
-	// peerCredentials returns the credentials for connections to the front end with a name.
+	// peerCredentials returns the credentials for connections to the front end with the given
+	// name.
 	peerCredentials func(name string) credentials.TransportCredentials
-	// isPeer, isWorker and certified are those of reapi.Config.
-	isPeer    func(ctx context.Context) bool
-	isWorker  func(ctx context.Context) bool
-	certified func(ctx context.Context) string
+	// isPeer, isWorker and certified are the functions that apply sets in reapi.Config.
+	isPeer          func(ctx context.Context) bool
+	isWorker        func(ctx context.Context) bool
+	certificateName func(ctx context.Context) string
 }
 
-// apply sets the functions by which the service identifies callers.
+// apply sets the functions of the configuration that identify callers.
 func (a *authentication) apply(config *reapi.Config) {
-	config.IsPeer, config.IsWorker, config.CertificateName = a.isPeer, a.isWorker, a.certified
+	config.IsPeer, config.IsWorker, config.CertificateName = a.isPeer, a.isWorker, a.certificateName
 }
 
 // newAuthentication sets up authentication according to the settings.
@@ -61,7 +62,7 @@
 		peerCredentials: func(name string) credentials.TransportCredentials { return peerCredentials(keys, name) },
 		isPeer:          peerCheck(s.Peers),
 		isWorker:        isWorker,
-		certified:       certifiedCaller,
+		certificateName: certifiedCaller,
 	}, nil
 }
 
@@ -139,7 +140,7 @@
 		return ""
 	}
 	name, err := identity.FromCertificate(info.State.PeerCertificates[0])
-	// The connection may have been open for longer than the certificate is valid.
+	// The certificate may have expired since the connection was opened.
 	if err != nil || time.Now().After(info.State.PeerCertificates[0].NotAfter) {
 		return ""
 	}
--- a/cmd/micaspindle-reapi/golden_test.go
+++ b/cmd/micaspindle-reapi/golden_test.go
@@ -9,7 +9,7 @@
 	"micaspindle/internal/golden"
 )
 
-// The settings file keeps the format that operators write.
+// The format of the settings file must not change, since operators have such files.
 func TestGoldenSettings(t *testing.T) {
 	want := golden.Fill(&settings{})
 	text, err := yaml.Marshal(want)
--- a/cmd/micaspindle-reapi/serve.go
+++ b/cmd/micaspindle-reapi/serve.go
@@ -14,7 +14,7 @@
 	"micaspindle/internal/reapi"
 )
 
-// drainTimeout is how long calls in progress may take to complete after a shutdown signal.
+// drainTimeout is the maximum time for calls in progress to complete after a shutdown signal.
 const drainTimeout = 5 * time.Second
 
 // serve runs the front end until ctx ends.
--- a/cmd/micaspindle-reapi/sharing.go
+++ b/cmd/micaspindle-reapi/sharing.go
@@ -16,29 +16,31 @@
 type sharingSettings struct {
 	// Weights are the weights of teams; a team without one has weight 1.
 	Weights map[string]float64 `yaml:"weights"`
-	// Calls and Transfers limit how many are in progress at a time, and BytesPerSecond limits the
-	// rate of transfers. 0 means no limit.
+	// Calls and Transfers limit the numbers of concurrent calls and transfers, and BytesPerSecond
+	// limits the rate of transfers. 0 means no limit.
 	Calls          int     `yaml:"calls"`
 	Transfers      int     `yaml:"transfers"`
 	BytesPerSecond float64 `yaml:"bytes_per_second"`
-	// MaxWaiting is how many calls may wait for each of these resources, and MaxWait for how long.
+	// MaxWaiting is the maximum number of calls that wait for each of these resources, and MaxWait
+	// their maximum waiting time.
 	MaxWaiting int           `yaml:"queue"`
 	MaxWait    time.Duration `yaml:"patience"`
-	// MaxActions is how many actions may wait to be submitted, and MaxActionsPerClient how many of
-	// one client.
+	// MaxActions is the maximum number of actions that wait for submission, and
+	// MaxActionsPerClient the maximum number of one client's.
 	MaxActions          int `yaml:"actions"`
 	MaxActionsPerClient int `yaml:"actions_client"`
-	// HandoffMin and HandoffMaxDuration limit how many of a team's actions of one urgency wait for a
-	// machine in the cluster; further ones wait in the front end. The limit is the largest of
-	// HandoffMin, the number of running actions, and the number that the cluster completes within
-	// HandoffMaxDuration at its current rate. With a HandoffMin of 0 there is no limit.
+	// HandoffMin and HandoffMaxDuration limit the number of a team's actions of one urgency that
+	// wait for a machine in the cluster; further actions wait in the front end. The limit is the
+	// largest of HandoffMin, the number of running actions, and the number that the cluster
+	// completes within HandoffMaxDuration at its current rate. With a HandoffMin of 0 there is no
+	// limit.
 	HandoffMin         int           `yaml:"ahead"`
 	HandoffMaxDuration time.Duration `yaml:"ahead_for"`
 	// QuotaFraction is the fraction of the store that is divided into quotas.
 	QuotaFraction float64 `yaml:"store_quota"`
 }
 
-// defaultSharing returns the limits that apply where a file leaves them out.
+// defaultSharing returns the default limits, which apply where a file sets none.
 func defaultSharing() sharingSettings {
 	return sharingSettings{
 		Calls:               64,
--- a/cmd/micaspindle-regress/bench.go
+++ b/cmd/micaspindle-regress/bench.go
@@ -14,10 +14,10 @@
 	"micaspindle/internal/regress"
 )
 
-// benchGracePeriod is how long the benchmark may take to end its processes after an interrupt.
+// benchGracePeriod is the maximum time for the benchmark to end its processes after an interrupt.
 const benchGracePeriod = 20 * time.Second
 
-// commandRun is the benchmark's command that plays single days, as journal entries name it.
+// commandRun is the name in journal entries of the benchmark's command that plays single days.
 const commandRun = "run"
 
 // benchKit is the benchmark program and the site files to play.
--- a/cmd/micaspindle-regress/fault_search.go
+++ b/cmd/micaspindle-regress/fault_search.go
@@ -99,8 +99,8 @@
 	return printComparison(c.Output, regress.Compare(nil, found), incomplete)
 }
 
-// faultSearchArgs returns the benchmark's arguments for a fault search on a site, which it calls a
-// hunt.
+// faultSearchArgs returns the arguments of the benchmark's hunt command, which runs a fault search on
+// a site.
 func faultSearchArgs(site string, days int, why string) []string {
 	return []string{"hunt", site, "--days", fmt.Sprint(days), "--why", why}
 }
--- a/cmd/micaspindle-regress/run.go
+++ b/cmd/micaspindle-regress/run.go
@@ -29,8 +29,8 @@
 	return "Example:\n  micaspindle-regress run --kit ../given/kit --why \"Summaries are deltas: expect the same figures\" sites/one.toml sites/two.toml"
 }
 
-// reasonLengthLimit is the length in bytes below which --why must stay, so that the journal remains
-// readable.
+// reasonLengthLimit is the exclusive upper bound of the length of --why in bytes, which keeps the
+// journal readable.
 const reasonLengthLimit = 120
 
 // maxAgain is the upper bound of --again.
@@ -77,10 +77,10 @@
 	earlier         []regress.Entry // journal entries from before the run
 	newEntries      []regress.Entry // journal entries of the run
 	expectedEntries int             // number of entries that the run should add
-	err             error           // why something was not played; the scores of the rest are compared anyway
+	err             error           // errors of incomplete runs; the scores of the other runs are still compared
 }
 
-// fail records that something was not played.
+// fail records the error of an incomplete run.
 func (s *scoreRun) fail(err error) { s.err = errors.Join(s.err, err) }
 
 // compare compares the new entries with the earlier ones.
--- a/cmd/micaspindle-regress/scenario_play.go
+++ b/cmd/micaspindle-regress/scenario_play.go
@@ -107,7 +107,7 @@
 	return &seeded
 }
 
-// playAll plays everything, the longest first, with the given parallelism; 0 means one play per CPU
+// playAll runs the plays, the longest first, with the given parallelism; 0 means one play per CPU
 // core.
 func playAll(ctx context.Context, program string, plays []*scenarioPlay, parallel int) {
 	queue := make(chan *scenarioPlay, len(plays))
@@ -138,8 +138,8 @@
 	return order
 }
 
-// expectedWork estimates how long a scenario takes relative to others, from its arrivals and the
-// factors and durations of its faults.
+// expectedWork estimates the duration of a scenario relative to other scenarios, from its arrivals
+// and the factors and durations of its faults.
 func (p *scenarioPlay) expectedWork() float64 {
 	work := p.scenario.Arrivals * p.scenario.Machines
 	for _, fault := range p.scenario.Faults {
--- a/cmd/micaspindle-regress/scenarios.go
+++ b/cmd/micaspindle-regress/scenarios.go
@@ -13,8 +13,8 @@
 	"micaspindle/internal/regress/scenario"
 )
 
-// scenarioFlags select the scenarios to play, and how. A scenario is a simulated day of the
-// benchmark on one site.
+// scenarioFlags select the scenarios to play and configure the plays. A scenario is a simulated day
+// of the benchmark on one site.
 type scenarioFlags struct {
 	Kit      string        `required:"" type:"path" help:"Directory of the benchmark kit."`
 	Bench    string        `default:"more/hunt/bin/fleetbench" help:"Benchmark program, relative to the kit."`
@@ -52,8 +52,9 @@
 	return s.run(ctx, c, scenarios)
 }
 
-// selectScenarios returns the scenarios of the files that --file names or, without it, the given
-// scenarios; --scenario limits them to those that it names. A given error is returned.
+// selectScenarios returns the scenarios from the files of --file or, without --file, the given
+// scenarios. If --scenario is set, it returns only the scenarios with these names. If err is not
+// nil, selectScenarios returns it.
 func (f *scenarioFlags) selectScenarios(scenarios []scenario.Scenario, err error) ([]scenario.Scenario, error) {
 	if err == nil && len(f.File) > 0 {
 		if scenarios, err = readScenarios(f.File); err != nil {
--- a/cmd/micaspindle-regress/verdict.go
+++ b/cmd/micaspindle-regress/verdict.go
@@ -21,8 +21,8 @@
 	return enc.Encode(v)
 }
 
-// printComparison prints the rows. It returns an error if a row failed, or if incomplete, which says
-// why something was not played, is not nil.
+// printComparison prints the rows. It returns an error if a row failed or if incomplete, the error of
+// runs that did not complete, is not nil.
 func printComparison(output string, rows []regress.Row, incomplete error) error {
 	var err error
 	if output == outputJSON {
--- a/cmd/micaspindle/authentication.go
+++ b/cmd/micaspindle/authentication.go
@@ -66,9 +66,10 @@
 	return nil
 }
 
-// clientTLS returns a function that returns the TLS configuration for connections to an address.
-// At another controller's address it accepts only the certificate of that controller, and at any
-// other address only those of workers. For the platform's services it returns nil.
+// clientTLS returns a function from addresses to the TLS configurations of outgoing connections. A
+// connection to another controller's address accepts only the certificate of that controller, and a
+// connection to any other address only certificates of workers. For the platform's services, whose
+// connections are not encrypted, the function returns nil.
 func clientTLS(set *settings.Settings, keys *identity.Keyring) func(addr string) *tls.Config {
 	peers := map[string]string{}
 	for _, other := range set.Others {
--- a/cmd/micaspindle/serve.go
+++ b/cmd/micaspindle/serve.go
@@ -67,8 +67,8 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// handOverTimeout is how long a planned shutdown may take to hand over the partitions. Partitions
-// that are left after it are taken over as after a crash.
+// handOverTimeout is the maximum time for handing over the partitions in a planned shutdown. Other
+// controllers take over the remaining partitions as after a crash.
 const handOverTimeout = time.Second
 
 // serve runs the controller until shutdown is done. It then hands over the partitions and stops.
@@ -161,5 +161,5 @@
 	return []*transport.Listener{users, peers, operators}
 }
 
-// userSockets returns how many of the controller's sockets users and workers may hold.
+// userSockets returns the number of the controller's sockets that users and workers may use.
 func userSockets(sockets int) int { return sockets * 3 / 4 }
--- a/cmd/micaspindlectl/action.go
+++ b/cmd/micaspindlectl/action.go
@@ -35,10 +35,10 @@
 	Result    *inspection.Result `json:"result,omitempty"`
 }
 
-// actionTimeout bounds the request for one action.
+// actionTimeout is the timeout of the request for one action.
 const actionTimeout = 10 * time.Second
 
-// Run asks one of the front ends and shows its answer.
+// Run requests the action's state from one of the front ends and prints it.
 func (a *actionCmd) Run(ctx context.Context, c *cli) error {
 	addresses, err := a.addresses()
 	if err != nil {
--- a/cmd/micaspindlectl/audit_export.go
+++ b/cmd/micaspindlectl/audit_export.go
@@ -40,8 +40,8 @@
 	return archive.Export(ctx, w, &seal, fetch, exportProgress())
 }
 
-// exportProgress returns a function that reports on standard error how many batches are done. A
-// terminal shows one line that is rewritten, other outputs get a line for each report.
+// exportProgress returns a function that prints the number of exported batches to standard error. On
+// a terminal, one line is rewritten; other outputs receive a line for each report.
 func exportProgress() func(done, total uint64) {
 	terminal := term.IsTerminal(int(os.Stderr.Fd()))
 	lastReport := time.Now()
--- a/cmd/micaspindlectl/audit_verify.go
+++ b/cmd/micaspindlectl/audit_verify.go
@@ -17,7 +17,7 @@
 	return "Needs --roots, the CA certificates, but no connection to a controller. Exit code 1 means that records\nwere altered, removed, reordered or truncated.\n\nExample:\n  micaspindlectl audit verify 2027-01.jsonl.zst --roots root.pem"
 }
 
-// shownHashLength is the number of characters that the table shows of a hash.
+// shownHashLength is the number of leading characters of a hash in the table.
 const shownHashLength = 16
 
 // Run verifies an export.
--- a/cmd/micaspindlectl/cache.go
+++ b/cmd/micaspindlectl/cache.go
@@ -30,10 +30,11 @@
 	Error   string             `json:"error,omitempty"`
 }
 
-// cacheTimeout bounds the request to one front end.
+// cacheTimeout is the timeout of the request to one front end.
 const cacheTimeout = 5 * time.Second
 
-// Run asks each front end. If some fail, the answers of the others are still shown.
+// Run requests the cache statistics of each front end and prints them. If some requests fail, it
+// still prints the statistics of the other front ends.
 func (k *cacheCmd) Run(ctx context.Context, c *cli) error {
 	addresses, err := k.addresses()
 	if err != nil {
@@ -57,8 +58,8 @@
 	return failed
 }
 
-// fetchCache asks one front end. The view holds the answer or the error; it is nil if the
-// caller's credentials or the address are invalid.
+// fetchCache requests the cache statistics of one front end. The view holds the statistics or the
+// error; it is nil if the caller's credentials or the address are invalid.
 func (c *cli) fetchCache(ctx context.Context, address string) (*cacheView, error) {
 	conn, err := c.dialFrontends(address)
 	if err != nil {
--- a/cmd/micaspindlectl/cancel.go
+++ b/cmd/micaspindlectl/cancel.go
@@ -53,7 +53,7 @@
 	NotAllowed int    `json:"not_allowed"`
 }
 
-// Run repeats the request, which cancels a limited number of jobs, until no unfinished job is left.
+// Run repeats the request, which cancels a limited number of jobs, until no unfinished job remains.
 func (k *cancelAllCmd) Run(ctx context.Context, c *cli) error {
 	if _, err := identity.ParseName(k.By); err != nil {
 		return usageError{err}
--- a/cmd/micaspindlectl/overviews.go
+++ b/cmd/micaspindlectl/overviews.go
@@ -22,11 +22,12 @@
 	return cl, addrs, err
 }
 
-// overviewTimeout bounds the requests to all controllers, so that one that hangs does not delay the
-// answers of the others.
+// overviewTimeout is the timeout of the concurrent requests to all controllers. It bounds the delay
+// that a hanging controller causes.
 const overviewTimeout = 900 * time.Millisecond
 
-// fetchOverviews asks all controllers concurrently. It fails only if none answers.
+// fetchOverviews requests the overviews of all controllers concurrently. It fails only if no
+// controller answers.
 func fetchOverviews(ctx context.Context, cl *client.Client, addrs []string) ([]overview.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, overviewTimeout)
 	defer cancel()
--- a/cmd/micaspindlectl/policy.go
+++ b/cmd/micaspindlectl/policy.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// fetchPolicy reads the cluster's policy page by page. If the policy changes meanwhile, it starts
-// again. It also returns the last page.
+// fetchPolicy reads the cluster's policy page by page, and starts again if the policy changes
+// meanwhile. It returns the policy and the last page, which has the policy's version.
 func fetchPolicy(ctx context.Context, cl *client.Client) (*rights.Document, rights.Page, error) {
 	for {
 		document := new(rights.Document)
--- a/cmd/micaspindlectl/status.go
+++ b/cmd/micaspindlectl/status.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// fetchStatuses asks for the state of each job.
+// fetchStatuses requests the state of each job.
 func fetchStatuses(ctx context.Context, cl *client.Client, ids []string) ([]protocol.JobStatus, error) {
 	var jobs []protocol.JobStatus
 	for _, id := range ids {
--- a/cmd/micaspindlectl/whoami.go
+++ b/cmd/micaspindlectl/whoami.go
@@ -7,7 +7,7 @@
 	"micaspindle/internal/protocol"
 )
 
-// whoamiCmd shows the caller's identity and rights as the cluster sees them.
+// whoamiCmd shows the identity and the rights that the cluster assigns to the caller.
 type whoamiCmd struct{}
 
 // whoamiView is the answer as JSON.
@@ -18,16 +18,16 @@
 	PolicyVersion uint64   `json:"policy_version"`
 }
 
-// Run asks a controller and shows its answer.
+// Run requests the caller's identity from a controller and prints it.
 func (whoamiCmd) Run(ctx context.Context, c *cli) error {
 	cl, err := c.client()
 	if err != nil {
 		return err
 	}
-	var who protocol.WhoAmI
-	if err := cl.Do(ctx, "GET", "/whoami", nil, &who); err != nil {
+	var caller protocol.WhoAmI
+	if err := cl.Do(ctx, "GET", "/whoami", nil, &caller); err != nil {
 		return err
 	}
-	rows := [][]any{{who.Name, who.How, orNone(strings.Join(who.Verbs, " ")), who.PolicyVersion}}
-	return c.print(whoamiView(who), "NAME\tAUTHENTICATED BY\tRIGHTS ON SOME QUEUE\tPOLICY", rows)
+	rows := [][]any{{caller.Name, caller.How, orNone(strings.Join(caller.Verbs, " ")), caller.PolicyVersion}}
+	return c.print(whoamiView(caller), "NAME\tAUTHENTICATED BY\tRIGHTS ON SOME QUEUE\tPOLICY", rows)
 }
--- a/internal/devcluster/cluster.go
+++ b/internal/devcluster/cluster.go
@@ -22,10 +22,10 @@
 	"micaspindle/internal/transport"
 )
 
-// Options configure a cluster.
+// Options holds the settings of a cluster.
 type Options struct {
 	Controllers int
-	// Binary is the controllers' program.
+	// Binary is the path of the controllers' executable.
 	Binary string
 	// Dir holds settings, keys and logs.
 	Dir string
@@ -37,11 +37,11 @@
 	// FrontEndConn is the connection over which machines fetch build actions; nil selects the
 	// cluster's own front ends, if it has any.
 	FrontEndConn grpc.ClientConnInterface
-	// FrontEnds is the number of front ends, FrontEndBinary their program.
+	// FrontEnds is the number of front ends, and FrontEndBinary the path of their executable.
 	FrontEnds      int
 	FrontEndBinary string
-	// Machines is the cloud's capacity, Sockets the socket limit in the controllers' settings;
-	// 0 selects defaultMachines and defaultSockets.
+	// Machines is the number of machines that the cloud provides, and Sockets the socket limit in
+	// the controllers' settings. 0 selects defaultMachines and defaultSockets.
 	Machines, Sockets int
 }
 
@@ -51,11 +51,11 @@
 
 	// listLag is the staleness of the cloud's machine list.
 	listLag = 2 * time.Second
-	// heartbeatTimeout bounds a heartbeat request. maxIdleHeartbeatConns is how many idle
-	// connections to each controller the machines keep open between them.
+	// heartbeatTimeout is the timeout of a heartbeat request. maxIdleHeartbeatConns is the
+	// maximum number of idle connections to each controller, for all machines together.
 	heartbeatTimeout      = 4 * time.Second
 	maxIdleHeartbeatConns = 64
-	// stopGrace is how long a process may take to exit before it is killed.
+	// stopGrace is the time after which a process that has not exited is killed.
 	stopGrace = 3 * time.Second
 )
 
--- a/internal/devcluster/controllers.go
+++ b/internal/devcluster/controllers.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// countReady returns how many controllers are ready, or an error if one has exited.
+// countReady returns the number of ready controllers, or an error if a controller has exited.
 func (c *Cluster) countReady(ctx context.Context, probe *http.Client) (int, error) {
 	ready := 0
 	for _, node := range c.nodes {
--- a/internal/devcluster/demo.go
+++ b/internal/devcluster/demo.go
@@ -30,7 +30,8 @@
 // DemoResult is the outcome of a demo.
 type DemoResult struct {
 	Jobs []*DemoJob `json:"jobs"`
-	// Killed is the label of the cluster leader that was killed, Successor that of the next leader.
+	// Killed is the label of the cluster leader that was killed, and Successor the label of the
+	// next leader.
 	Killed        string `json:"killed"`
 	Successor     string `json:"successor"`
 	LeaderlessMS  int64  `json:"leaderless_ms"`
@@ -40,8 +41,9 @@
 	Controllers   int    `json:"processes"`
 }
 
-// NewSubmission returns the submission of a batch job. cpus, memGB and estimateS, its estimated
-// run time in seconds, are those of one task. The job depends on the jobs in dependencies.
+// NewSubmission returns the submission of a batch job. cpus and memGB are the requirements of each
+// task, and estimateS is the estimated run time of a task in seconds. The job depends on the jobs in
+// dependencies.
 func NewSubmission(id, class, team, urgency string, tasks int, cpus, memGB, estimateS float64, dependencies ...string) protocol.Submission {
 	job := protocol.Submission{
 		ID:                  &id,
@@ -137,8 +139,8 @@
 	return result, errors.Join(errs...)
 }
 
-// reportProgress reports how many jobs are in each state, every progressInterval until done is
-// closed. mu guards the jobs.
+// reportProgress reports the number of jobs in each state every progressInterval until done is
+// closed. It locks mu to read the jobs.
 func (c *Cluster) reportProgress(done <-chan struct{}, jobs []*DemoJob, progress func(string), mu *sync.Mutex) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -160,8 +162,8 @@
 	}
 }
 
-// awaitJob polls a job until it has ended and returns an error unless it is done. mu guards the
-// job.
+// awaitJob polls a job until it has ended and returns an error unless the job's status is done. It
+// locks mu to write to the job.
 func (c *Cluster) awaitJob(ctx context.Context, apiClient *client.Client, job *DemoJob, mu *sync.Mutex) error {
 	for {
 		polled := time.Now()
@@ -188,8 +190,8 @@
 	}
 }
 
-// killLeader kills the cluster leader, waits until another controller leads, and restarts the
-// first. mu guards the result.
+// killLeader kills the cluster leader, waits until another controller is the cluster leader, and
+// restarts the killed one. It locks mu to write to the result.
 func (c *Cluster) killLeader(ctx context.Context, result *DemoResult, progress func(string), mu *sync.Mutex) error {
 	pause := func(d time.Duration) error {
 		select {
--- a/internal/devcluster/flood.go
+++ b/internal/devcluster/flood.go
@@ -28,8 +28,8 @@
 )
 
 // Flood compares the delays of submissions without and with concurrent unauthorized requests. A
-// delay is measured from the time when the request was due, so that it includes the time that
-// the request waited to be sent.
+// delay is measured from the due time of the request, so that it includes the wait until the
+// request was sent.
 func (m *Measurement) Flood(ctx context.Context, progress func(string)) ([]Comparison, error) {
 	c, stop, err := m.startCluster(ctx, "flood", m.Binary, true, floodWriteRPS)
 	if err != nil {
--- a/internal/devcluster/footprint.go
+++ b/internal/devcluster/footprint.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// versionRuns is how often each program is started per round to measure its start time.
+// versionRuns is the number of starts of each program per round that measure its start time.
 const versionRuns = 20
 
 // Footprint compares the start time, size and memory of the baseline program and of the
@@ -59,7 +59,7 @@
 		compareMedians("pages of the program file in memory", "MB", "within 1.10", fileBacked[0], fileBacked[1])}, nil
 }
 
-// footprintUsers is how many concurrent users submit jobs before memory is measured.
+// footprintUsers is the number of concurrent users that submit jobs before memory is measured.
 const footprintUsers = 16
 
 // residentMB returns a process's resident memory in MB, of the kind named in /proc/PID/status
--- a/internal/devcluster/frontends.go
+++ b/internal/devcluster/frontends.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// stopFrontEnds interrupts all front ends and kills those that do not exit within stopGrace, as
-// when clients still wait for results.
+// stopFrontEnds interrupts all front ends. It kills those that do not exit within stopGrace, for
+// example because clients still wait for results.
 func (c *Cluster) stopFrontEnds() {
 	for _, frontEnd := range c.frontEnds {
 		if frontEnd.cmd != nil {
--- a/internal/devcluster/identities.go
+++ b/internal/devcluster/identities.go
@@ -132,7 +132,7 @@
 // isController reports whether an identity is that of a controller.
 func isController(n identity.Name) bool { return n.Kind == identity.Controller }
 
-// workerTLS returns the TLS configuration with which machines connect to controllers, nil
+// workerTLS returns the TLS configuration for connections from machines to controllers, or nil
 // without identities.
 func (h *Identities) workerTLS() *tls.Config {
 	if h == nil {
@@ -141,8 +141,8 @@
 	return h.workerKeyring.ClientConfig(isController)
 }
 
-// machineTLS returns the TLS configuration with which machines serve, nil without identities. It
-// rejects clients other than controllers, which alone may send commands.
+// machineTLS returns the TLS configuration of the machines' servers, or nil without identities. It
+// rejects clients other than controllers, since only controllers may send commands.
 func (h *Identities) machineTLS() *tls.Config {
 	if h == nil {
 		return nil
--- a/internal/devcluster/load.go
+++ b/internal/devcluster/load.go
@@ -31,7 +31,7 @@
 }
 
 // submitIdleJobs submits idle jobs from concurrent users for the given duration. Each user submits
-// a job once its previous one is accepted. It returns how many were accepted.
+// a job once its previous one is accepted. submitIdleJobs returns the number of accepted jobs.
 func submitIdleJobs(ctx context.Context, submitter *client.Client, users int, duration time.Duration, lastJob *atomic.Int64) (int, error) {
 	var accepted atomic.Int64
 	var wg sync.WaitGroup
@@ -55,7 +55,7 @@
 }
 
 // openLoop calls f every interval until end, without waiting for earlier calls unless
-// maxConcurrent are running. f gets the time when its call was due.
+// maxConcurrent are running. The argument of f is the time at which its call was due.
 func openLoop(ctx context.Context, end time.Time, interval time.Duration, maxConcurrent int, f func(due time.Time)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrent)
--- a/internal/devcluster/machines.go
+++ b/internal/devcluster/machines.go
@@ -65,7 +65,7 @@
 }
 
 // runMachine runs the agent of a machine until the machine is powered off or the cluster stops.
-// controller is the index of the controller that gets the first heartbeat.
+// controller is the index of the controller that receives the first heartbeat.
 func (c *Cluster) runMachine(name string, machine *cloud.Machine, controller int) {
 	a := agent.New(&c.mu, c, c)
 	addr, err := c.serve(c.options.Identities.machineTLS(), func(_ context.Context, r *http.Request, body []byte) *transport.Response {
@@ -102,7 +102,7 @@
 }
 
 // PreemptMachine preempts a machine that is running a task, without notice. It returns false if
-// no machine is.
+// no machine is running a task.
 func (c *Cluster) PreemptMachine() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +118,7 @@
 	return false
 }
 
-// Machines returns how many machines are rented now and how many have been rented in total.
+// Machines returns the number of machines rented now and the number rented since the start.
 func (c *Cluster) Machines() (current, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +166,7 @@
 	return spec, true
 }
 
-// RunTime implements agent.Jobs. It varies the job's estimate by up to a fifth. Each attempt of a
+// RunTime implements agent.Workload. It varies the job's estimate by up to a fifth. Each attempt of a
 // task takes the same time, or none if the task is already done.
 func (c *Cluster) RunTime(job string, task int, _ string) (time.Duration, bool) {
 	spec, ok := c.jobSpec(job)
@@ -186,8 +186,8 @@
 	return settings.Seconds(spec.EstimateS * (minRunFactor + runFactorRange*variation)), true
 }
 
-// execute starts a task that is a build action and returns a function that stops it. It returns
-// nil for other tasks, which the agent only simulates. c.mu must be held.
+// execute starts the execution of a task that is a build action and returns a function that stops
+// it. For other tasks, which the agent only simulates, it returns nil. c.mu must be held.
 func (c *Cluster) execute(a *agent.Agent, t *agent.Task) (stop func()) {
 	spec, ok := c.jobSpec(t.Job)
 	if !ok || !strings.HasPrefix(spec.Image, reapi.ImagePrefix) || c.completedTasks[t.Name] {
@@ -210,7 +210,7 @@
 	return cancel
 }
 
-// Fails implements agent.Jobs; no task fails.
+// Fails implements agent.Workload; no task fails.
 func (c *Cluster) Fails(string, int, string) bool { return false }
 
 // Accepting implements agent.Watcher.
--- a/internal/devcluster/measure.go
+++ b/internal/devcluster/measure.go
@@ -22,13 +22,13 @@
 
 // Measurement configures the measurements.
 type Measurement struct {
-	// Binary is the controllers' program.
+	// Binary is the path of the controllers' executable.
 	Binary string
-	// Baseline is the controllers' program in another version, which Footprint compares with
-	// Binary.
+	// Baseline is the path of another version of the controllers' executable, which Footprint
+	// compares with Binary.
 	Baseline string
 	Dir      string
-	// LoadDuration is the duration of each load, Rounds the number of repetitions.
+	// LoadDuration is the duration of each load, and Rounds the number of repetitions.
 	LoadDuration time.Duration
 	Rounds       int
 }
@@ -39,7 +39,8 @@
 	return Comparison{name, unit, b, a, a / b, target}
 }
 
-// median returns the median of values, for an even number of them the upper of the middle two.
+// median returns the median of values. If their number is even, it returns the larger of the two
+// middle values.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
--- a/internal/devcluster/process.go
+++ b/internal/devcluster/process.go
@@ -116,7 +116,7 @@
 	return exited, nil
 }
 
-// lastLine returns the last line of a log, which usually tells why its process exited.
+// lastLine returns the last line of a log, which usually has the reason for the process's exit.
 func lastLine(file string) string {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent is a fake of the worker agent that PROTOCOL describes. It sends heartbeats,
 // keeps a machine lease with a fencing token and an agent epoch, and executes commands. By
-// default its tasks do nothing but take time.
+// default its tasks only simulate a run time.
 package agent
 
 import (
@@ -10,9 +10,9 @@
 	"micaspindle/internal/protocol"
 )
 
-// Workload determines how long tasks run and whether they fail.
+// Workload determines the run times of tasks and whether they fail.
 type Workload interface {
-	// RunTime returns how long a task runs on a machine, or false if there is no such task.
+	// RunTime returns the run time of a task on a machine, or false if there is no such task.
 	RunTime(job string, task int, machine string) (time.Duration, bool)
 	// Fails reports whether a task fails at the end of its run time.
 	Fails(job string, task int, machine string) bool
@@ -37,11 +37,11 @@
 	HeartbeatInterval      time.Duration
 	// LeaseDuration is the duration of the machine lease.
 	LeaseDuration time.Duration
-	// FetchTime is how long a task takes to fetch its image.
+	// FetchTime is the time that a task takes to fetch its image.
 	FetchTime time.Duration
 	// Controllers are the labels of the controllers.
 	Controllers []string
-	// ControllerIndex is the index of the controller that gets the heartbeats.
+	// ControllerIndex is the index of the controller that receives the heartbeats.
 	ControllerIndex int
 	// Send sends an encoded heartbeat to a controller and returns the response. It is called
 	// without the lock. Status 0 means that there was no response.
@@ -49,7 +49,7 @@
 
 	// Exec, if set, is called with the lock held when a task starts. If it executes the task,
 	// it returns a function that stops the execution, and the task runs until Finish is
-	// called. If it returns nil, the task does nothing but take its run time.
+	// called. If it returns nil, the agent only simulates the task's run time.
 	Exec func(t *Task) (stop func())
 
 	PoweredOff bool
@@ -58,7 +58,7 @@
 	Epoch    uint64 // agent epoch
 	Sequence uint64 // number of the last heartbeat
 	Token    uint64 // fencing token of the machine lease
-	// LeaseRenewedAt is when the machine lease was last renewed.
+	// LeaseRenewedAt is the time of the last renewal of the machine lease.
 	LeaseRenewedAt time.Time
 	Tasks          map[string]*Task // by task and attempt
 	// PreemptAt is the time announced in the preemption notice, or nil if there is none.
@@ -66,14 +66,14 @@
 	// TasksStarted counts the tasks that began to run.
 	TasksStarted int
 
-	lock    sync.Locker
-	jobs    Workload
-	watcher Watcher
-	stopped chan struct{}
+	lock     sync.Locker
+	workload Workload
+	watcher  Watcher
+	stopped  chan struct{}
 }
 
 const (
-	// stepInterval is how often a running agent advances its tasks.
+	// stepInterval is the interval at which a running agent advances its tasks.
 	stepInterval = 100 * time.Millisecond
 
 	defaultFetchTime         = 300 * time.Millisecond
@@ -85,7 +85,7 @@
 func New(lock sync.Locker, jobs Workload, watcher Watcher) *Agent {
 	return &Agent{
 		lock:              lock,
-		jobs:              jobs,
+		workload:          jobs,
 		watcher:           watcher,
 		stopped:           make(chan struct{}),
 		Epoch:             1,
@@ -157,7 +157,7 @@
 			}
 		case t.State == protocol.TaskRunning && t.stop == nil && !now.Before(t.EndsAt):
 			cause := protocol.CauseDone
-			if a.jobs.Fails(t.Job, t.Index, a.Name) {
+			if a.workload.Fails(t.Job, t.Index, a.Name) {
 				cause = protocol.CauseError
 			}
 			a.Finish(t, cause)
--- a/internal/fake/agent/commands.go
+++ b/internal/fake/agent/commands.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// accept creates the task of a start command. If its name is invalid, or another attempt of
-// the same task has not ended, the new task has ended already, with the cause.
+// accept creates the task of a start command. If the name is invalid, or another attempt of the
+// same task has not ended, the new task is created as ended, with the cause.
 func (a *Agent) accept(command protocol.Command) *Task {
 	job, index, ok := protocol.ParseTaskName(command.Task)
 	a.watcher.Accepting(a, command)
--- a/internal/fake/cloud/service.go
+++ b/internal/fake/cloud/service.go
@@ -42,15 +42,15 @@
 	Capacity int
 	// CapacityByType bounds the number of machines of the types that it contains.
 	CapacityByType map[string]int
-	NamePrefix     string // of machine names
-	// ListLag is how long a created machine is missing from the machine list.
+	NamePrefix     string // prefix of machine names
+	// ListLag is the time for which a created machine is missing from the machine list.
 	ListLag time.Duration
 	// Unavailable simulates an outage: every request fails.
 	Unavailable bool
 	Machines    map[string]*Machine // by name
 	// CreatedTotal counts all machines created so far, including those deleted since.
 	CreatedTotal     int
-	nextNumber       int                 // of the next machine's name
+	nextNumber       int                 // number in the next machine's name
 	createdByRequest map[string][]string // machine names by request ID
 
 	// Boot boots a created machine, Stop stops a machine that is deleted. Both are called
@@ -109,7 +109,7 @@
 	return newResponse(http.StatusOK, map[string]any{})
 }
 
-// listMachines returns a page of the machines that are at least as old as the lag, sorted by
+// listMachines returns a page of the machines that were created at least ListLag ago, sorted by
 // name.
 func (s *Service) listMachines(query url.Values) *transport.Response {
 	page, err := strconv.Atoi(query.Get("page"))
--- a/internal/fake/runner/command.go
+++ b/internal/fake/runner/command.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// maxStreamSize bounds how much of a command's stdout, and of its stderr, is kept, in bytes.
+	// maxStreamSize is the maximum number of bytes kept of a command's stdout, and of its stderr.
 	maxStreamSize = 1 << 20
 	// defaultTimeout is the timeout of actions that set none.
 	defaultTimeout = 10 * time.Minute
-	// outputWaitDelay is how long the runner waits for the output pipes of a killed command to
-	// close.
+	// outputWaitDelay is the maximum time for which the runner waits until the output pipes of a
+	// killed command close.
 	outputWaitDelay = time.Second
 )
 
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// uploadStream uploads what a command wrote to stdout or stderr. It returns a nil digest if
-// that is empty.
+// uploadStream uploads a command's output to stdout or stderr. It returns a nil digest if the
+// output is empty.
 func (r *Runner) uploadStream(ctx context.Context, stream *limitedBuffer) (*repb.Digest, error) {
 	if stream.Len() == 0 {
 		return nil, nil
--- a/internal/fake/state/service.go
+++ b/internal/fake/state/service.go
@@ -32,8 +32,8 @@
 	// maxConditionsPerChange is the limit on the conditions of a transaction, as a multiple of
 	// the limit on its changes.
 	maxConditionsPerChange = 4
-	// outagePollInterval is how often a waiting watch checks whether an outage is over, since
-	// the end of an outage does not wake it.
+	// outagePollInterval is the interval at which a waiting watch checks whether an outage is
+	// over, since the end of an outage does not wake the watch.
 	outagePollInterval = 100 * time.Millisecond
 )
 
@@ -85,7 +85,7 @@
 	// put under such a key.
 	LargestValues map[string]int
 
-	// Oversized, if set, is called for each transaction that exceeds an announced bound.
+	// OnOversized, if set, is called for each transaction that exceeds an announced bound.
 	OnOversized func(what string)
 	// BeforePut, if set, is called before each put, with the item that it replaces.
 	BeforePut func(c protocol.Change, old protocol.Item, exists bool)
--- a/internal/regress/compare.go
+++ b/internal/regress/compare.go
@@ -12,7 +12,8 @@
 
 const (
 	// recentRuns is the number of latest earlier scores whose median a new score is compared
-	// with. The median limits the effect of a single outlier, and a series of small drops shows.
+	// with. The median limits the effect of a single outlier, but reflects a series of small
+	// drops.
 	recentRuns = 5
 	// dayNoiseFactor is the multiple of its standard deviation by which the score of a day
 	// must drop before the drop counts.
@@ -143,7 +144,8 @@
 	return scores
 }
 
-// failure returns why the change may not land because of this day, or "".
+// failure returns the reason for which this day prevents the change from landing, or "" if there is
+// none.
 func (d Day) failure() string {
 	var reasons []string
 	for _, rule := range slices.Sorted(maps.Keys(d.Violations)) {
--- a/internal/regress/journal.go
+++ b/internal/regress/journal.go
@@ -28,7 +28,7 @@
 	// Site is empty if the run ended before it had read a site file.
 	Site  string
 	Score float64
-	// Failure is the reason why the run's scores are not valid, or "" if they are.
+	// Failure is the reason why the run's scores are not valid, or "" if they are valid.
 	Failure string
 	Days    []Day
 }
@@ -105,7 +105,7 @@
 	return entry, nil
 }
 
-// failure returns why the entry's scores are not valid, or "" if they are.
+// failure returns the reason why the entry's scores are not valid, or "" if they are valid.
 func (e *journalEntry) failure() string {
 	switch {
 	case e.Error != "":
--- a/internal/regress/scenario/encode.go
+++ b/internal/regress/scenario/encode.go
@@ -21,7 +21,7 @@
 	quickBootFactor = 0.05
 )
 
-// File encodes the site file.
+// File returns the contents of the site file in TOML.
 func (s *Site) File() ([]byte, error) { return encode(s.all) }
 
 // ScenarioFile encodes a scenario for this deployment in the benchmark's format.
@@ -99,7 +99,7 @@
 }
 
 // encodeControllerFault adds the number of controllers that a fault affects, the busiest first, and
-// for a cut also what it cuts them off from.
+// for a cut also the endpoints that the controllers can't reach.
 func (s *Site) encodeControllerFault(f *Fault, encoded map[string]any) {
 	controllers := f.Controllers
 	if controllers == 0 || controllers > s.Controllers() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// encodeMessageFault adds the fraction of messages that a fault affects, and what happens to them.
+// encodeMessageFault adds the fraction of messages that a fault affects, and its effect on them.
 func encodeMessageFault(f *Fault, encoded map[string]any) {
 	encoded["share"] = f.Share
 	if f.Kind == "late_writes" && f.AtOnce {
--- a/internal/regress/scenario/fault.go
+++ b/internal/regress/scenario/fault.go
@@ -12,7 +12,7 @@
 type Fault struct {
 	AtS  float64 `yaml:"at_s"`
 	Kind string  `yaml:"kind"`
-	// Why says which situation the fault is to cause.
+	// Why describes the situation that the fault is to cause.
 	Why  string  `yaml:"why"`
 	ForS float64 `yaml:"for_s"`
 	// Class is urgent or large: the deployment's class of highest urgency, or the one
@@ -31,18 +31,18 @@
 	Share   float64 `yaml:"share"`
 	NoticeS float64 `yaml:"notice_s"`
 	EveryS  float64 `yaml:"every_s"`
-	// From is what controllers can't reach during a cut: state, workers, all-but-workers
-	// (all but workers and users) or everything.
+	// From names the endpoints that controllers can't reach during a cut: state, workers,
+	// all-but-workers (all but workers and users) or everything.
 	From string `yaml:"from"`
-	// Mode is what happens to packets at a cut: they are held (hold) or connections are
-	// reset (reset). With refuse, the state store refuses the controllers' requests.
+	// Mode is the effect of a cut. With hold, packets are held; with reset, connections are
+	// reset; with refuse, the state store refuses the controllers' requests.
 	Mode string `yaml:"mode"`
 	// With AtOnce, late writes are executed at once and only their responses are lost. With
 	// ForNextLeader, copies of late reports are kept for the next leader.
 	AtOnce        bool `yaml:"at_once"`
 	ForNextLeader bool `yaml:"for_next"`
-	// Jobs is the number of jobs that are cancelled. HangS is how long some of their
-	// machines hang.
+	// Jobs is the number of jobs that are cancelled, and HangS the time for which some of
+	// their machines hang.
 	Jobs  int     `yaml:"jobs"`
 	HangS float64 `yaml:"hang_s"`
 }
--- a/internal/regress/scenario/leadership_log.go
+++ b/internal/regress/scenario/leadership_log.go
@@ -59,9 +59,9 @@
 // leadership is the leadership of a partition as derived from the log.
 type leadership struct {
 	leader string
-	// vacantSince is when the partition lost its leader; negative while it has one.
+	// vacantSince is the time at which the partition lost its leader; negative while it has one.
 	vacantSince float64
-	// readyAt is when a leader last became ready.
+	// readyAt is the time at which a leader last became ready.
 	readyAt float64
 }
 
--- a/internal/regress/scenario/report.go
+++ b/internal/regress/scenario/report.go
@@ -8,7 +8,7 @@
 
 // benchReport is the benchmark's report on a day; other fields are ignored.
 type benchReport struct {
-	// WallS is how long the day took to play, in seconds.
+	// WallS is the wall time of the play, in seconds.
 	WallS float64 `json:"wall_s"`
 	Rules struct {
 		Total *int           `json:"total"`
@@ -19,9 +19,9 @@
 	// Largest counts the largest jobs of each class; of these, it counts those as started
 	// that began within the benchmark's time limit.
 	Largest map[string]startedReport `json:"largest"`
-	// Idle counts jobs that waited although a machine had room (Neglected), and defects that
-	// no rule covers (Slips), such as starts after a confirmed cancellation or accepted jobs
-	// that can't run.
+	// Idle counts jobs that waited although a machine had free capacity (Neglected), and
+	// defects that no rule covers (Slips), such as starts after a confirmed cancellation or
+	// accepted jobs that can't run.
 	Idle struct {
 		Neglected int            `json:"neglected"`
 		Slips     map[string]any `json:"slips"`
@@ -52,7 +52,7 @@
 	InTime *float64 `json:"in_deadline"`
 }
 
-// startedReport counts jobs, and how many of them were started.
+// startedReport counts jobs, and the jobs among them that were started.
 type startedReport struct {
 	Jobs    int `json:"jobs"`
 	Started int `json:"started"`
@@ -67,7 +67,8 @@
 	Restarts    []restartReport `json:"restarts"`
 }
 
-// restartReport says when a process ended, in seconds since the start of the day, and why.
+// restartReport is the end of a process: its time in seconds since the start of the day, and its
+// reason.
 type restartReport struct {
 	AtS float64 `json:"at_s"`
 	Why string  `json:"why"`
--- a/internal/regress/scenario/scenario.go
+++ b/internal/regress/scenario/scenario.go
@@ -18,7 +18,7 @@
 // Scenario is a simulated day of load and faults, described independently of the deployment.
 type Scenario struct {
 	Name string `yaml:"name"`
-	// Why says what the scenario is for.
+	// Why describes the purpose of the scenario.
 	Why  string `yaml:"why"`
 	Seed int    `yaml:"seed"`
 	// Machines is a factor for the number of machines, and Arrivals one for the arrival rates
@@ -27,7 +27,7 @@
 	Machines float64 `yaml:"machines"`
 	Arrivals float64 `yaml:"arrivals"`
 	RestartS float64 `yaml:"restart_s"`
-	// DurationS is how long jobs are submitted; 0 keeps the deployment's duration.
+	// DurationS is the time for which jobs are submitted; 0 keeps the deployment's duration.
 	DurationS float64       `yaml:"duration_s"`
 	Jobs      []ClassChange `yaml:"jobs"`
 	Faults    []Fault       `yaml:"faults"`
--- a/internal/regress/scenario/site_changes.go
+++ b/internal/regress/scenario/site_changes.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// addBurstTeam adds a team with a copy of a job class of its own, at a tenth of the arrival rate, so
-// that a burst of the copy is a burst of one team. The team has no other jobs.
+// addBurstTeam adds a team and a copy of a job class with a tenth of the arrival rate. The copy is
+// the only class of the team, so a burst of the copy is a burst of one team.
 func (s *Site) addBurstTeam(class string) {
 	if s.findClass(burstClassName(class)) != nil {
 		return
--- a/internal/regress/scenario/verdict.go
+++ b/internal/regress/scenario/verdict.go
@@ -36,11 +36,11 @@
 	// LeaderlessS is the total time in seconds, according to the log, for which partitions
 	// with running work had no ready leader.
 	LeaderlessS float64 `json:"ownerless_s"`
-	// SubmitP99S is the 99th percentile of the latency of submissions, in seconds. Refusals
-	// counts the responses to users with status 429 or 503.
+	// SubmitP99S is the 99th percentile of the latency of submissions, in seconds. Refusals is
+	// the number of responses to users with status 429 or 503.
 	SubmitP99S float64 `json:"late_s"`
 	Refusals   int     `json:"refusals"`
-	// ElapsedS is how long the scenario took to play, in seconds.
+	// ElapsedS is the duration of the play, in seconds.
 	ElapsedS float64 `json:"took_s"`
 	// Failed lists the reasons why the change may not land.
 	Failed []string `json:"failed,omitempty"`
@@ -56,7 +56,6 @@
 // undefinedShare is an undefined LowestShare.Share, which is greater than any share.
 const undefinedShare = 2
 
-// msPerS is the number of milliseconds in a second.
 const msPerS = 1000
 
 // update replaces l by the share of n in total if that is lower, and returns the share, which is 1
